--- /dev/null
+++ b/crates/alerts/src/check/tests.rs
@@ -0,0 +1,22 @@
+//! Unit tests of `check`.
+
+use super::*;
+use crate::rules;
+
+fn told(expr: &str) -> Vec<String> {
+    let mut catalog = Catalog::new(&["instance"]);
+    let label = |n: &str, v: &str| (n.to_owned(), v.to_owned());
+    catalog.add(&[label("__name__", "calls_total"), label("class", "quick"), label("end", "refused")]);
+    let text = format!("groups: [{{name: g, rules: [{{alert: A, expr: '{expr}'}}]}}]");
+    check(&rules::read("a", &text).expect("sound")[0], &catalog)
+}
+
+#[test]
+fn what_exists_passes_and_what_does_not_is_named() {
+    assert!(told("sum by (class, instance) (rate(calls_total{end=\"refused\"}[5m])) > 1").is_empty());
+    assert_eq!(told("sum(call_total) > 1"), ["there is no metric call_total"]);
+    assert_eq!(told("sum by (klass) (calls_total) > 1"), ["no metric of it has the label klass"]);
+    assert_eq!(told("calls_total{ent=\"x\"} > 1"), ["calls_total has no label ent"]);
+    assert_eq!(told("calls_total{end=\"refussed\"} > 1"), ["calls_total: no series has end=\"refussed\""]);
+    assert_eq!(told("vector(1) > 2"), ["it names no metric"]);
+}
--- /dev/null
+++ b/crates/alerts/src/eval/tests.rs
@@ -0,0 +1,92 @@
+//! Unit tests of `eval`.
+
+use super::*;
+use promql_parser::parser::parse;
+
+/// Counters that grow by one, two and nothing each 15 s, and a gauge.
+fn store() -> Store {
+    let mut store = Store::default();
+    for n in 0..=80i64 {
+        for (class, step) in [("a", 1.0), ("b", 2.0), ("c", 0.0)] {
+            let labels = [("__name__", "calls"), ("class", class)].map(|(k, v)| (k.to_owned(), v.to_owned()));
+            store.add(&labels.into(), n * 15_000, n as f64 * step);
+        }
+    }
+    let gauge: Labels = [("__name__".to_owned(), "held".to_owned())].into();
+    store.add(&gauge, 1_000_000, 7.0);
+    store.add(&gauge, 1_100_000, stale());
+    store
+}
+
+fn value(expr: &str, at: Millis) -> Vec<(String, f64)> {
+    match eval(&parse(expr).expect("PromQL"), &store(), at).expect("in the subset") {
+        Value::Scalar(x) => vec![(String::new(), x)],
+        Value::Vector(all) => {
+            all.into_iter().map(|(l, x)| (l.get("class").cloned().unwrap_or_default(), x)).collect()
+        }
+    }
+}
+
+fn of(all: &[(&str, f64)]) -> Vec<(String, f64)> {
+    all.iter().map(|(l, x)| ((*l).to_owned(), *x)).collect()
+}
+
+#[test]
+fn rates_are_extrapolated_and_zero_is_zero() {
+    let rates = value("rate(calls[5m])", 1_200_000);
+    let near = |x: f64, y: f64| (x - y).abs() < 1e-9;
+    assert!(near(rates[0].1, 1.0 / 15.0) && near(rates[1].1, 2.0 / 15.0) && rates[2].1 == 0.0, "{rates:?}");
+    assert!(value("rate(calls[20s])", 10_000).is_empty(), "one sample is no rate");
+}
+
+#[test]
+fn a_counter_that_begins_anew_does_not_fall() {
+    let mut store = Store::default();
+    let labels: Labels = [("__name__".to_owned(), "x".to_owned())].into();
+    for (n, v) in [10.0, 20.0, 0.0, 10.0].into_iter().enumerate() {
+        store.add(&labels, n as i64 * 60_000, v);
+    }
+    let got = eval(&parse("increase(x[3m])").expect("PromQL"), &store, 180_000).expect("in the subset");
+    let Value::Vector(all) = got else { panic!("a vector") };
+    assert!(all[0].1 > 10.0 && all[0].1 < 35.0, "{all:?}");
+}
+
+#[test]
+fn zero_by_zero_is_no_alert() {
+    assert_eq!(value("rate(calls{class=\"c\"}[5m]) / rate(calls{class=\"c\"}[5m]) > 0.1", 1_200_000), []);
+}
+
+#[test]
+fn operators_and_sets() {
+    assert_eq!(value("calls > 50", 1_200_000), of(&[("a", 80.0), ("b", 160.0)]));
+    assert_eq!(
+        value("sum by (class) (calls) * 2 > bool 200", 1_200_000),
+        of(&[("a", 0.0), ("b", 1.0), ("c", 0.0)])
+    );
+    assert_eq!(value("calls unless calls > 0", 1_200_000), of(&[("c", 0.0)]));
+    assert_eq!(value("calls > 100 and on (class) calls", 1_200_000), of(&[("b", 160.0)]));
+    assert_eq!(value("calls / on (class) calls > 0", 1_200_000), of(&[("a", 1.0), ("b", 1.0)]));
+    assert_eq!(
+        value("calls / ignoring (class) group_left sum(calls) > 0.5", 1_200_000),
+        of(&[("b", 160.0 / 240.0)])
+    );
+    assert_eq!(value("-1 + 3 * 2 ^ 2", 0), of(&[("", 11.0)]));
+}
+
+#[test]
+fn staleness_and_lookback_end_a_series() {
+    assert_eq!(value("held", 1_050_000), of(&[("", 7.0)]));
+    assert!(value("held", 1_150_000).is_empty(), "it was marked as ended");
+    assert_eq!(value("absent(held)", 1_150_000), of(&[("", 1.0)]));
+    assert!(value("calls", 1_200_000 + LOOKBACK).is_empty());
+    assert_eq!(value("absent_over_time(held[1m])", 1_300_000), of(&[("", 1.0)]));
+}
+
+#[test]
+fn what_is_outside_is_told() {
+    let told =
+        |expr: &str| eval(&parse(expr).expect("PromQL"), &store(), 0).expect_err("outside").to_string();
+    assert!(told("deriv(calls[5m])").contains("deriv"));
+    assert!(told("topk(1, calls)").contains("topk"));
+    assert!(told("max_over_time(rate(calls[5m])[1h:])").contains("range other than"));
+}
--- a/crates/alerts/src/unit.rs
+++ b/crates/alerts/src/unit.rs
@@ -182,34 +182,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use crate::rules;
-
-    #[test]
-    fn values_are_promtool_s() {
-        let some = |all: &[f64]| all.iter().map(|x| Some(*x)).collect::<Vec<_>>();
-        assert_eq!(values("0+10x2 5").expect("sound"), some(&[0.0, 10.0, 20.0, 5.0]));
-        assert_eq!(values("-2-3x1").expect("sound"), some(&[-2.0, -5.0]));
-        assert_eq!(values("1 _x2 3").expect("sound"), [Some(1.0), None, None, Some(3.0)]);
-        assert!(values("1 two").is_err() && values("1x999999999").is_err());
-    }
-
-    #[test]
-    fn a_wrong_expectation_is_told() {
-        let rules = rules::read("r", "groups: [{name: g, rules: [{alert: A, expr: x > 5, for: 1m}]}]")
-            .expect("sound");
-        let file = |time: &str, fires: &str| {
-            let text = format!(
-                "rule_files: [r]\ntests:\n- interval: 1m\n  input_series:\n  - {{series: 'x{{c=\"q\"}}', values: '0+2x9'}}\n  \
-                 alert_rule_test:\n  - {{eval_time: {time}, alertname: A, exp_alerts: [{fires}]}}\n"
-            );
-            read("t", &text).expect("sound").run(&rules)
-        };
-        assert!(file("2m", "").is_empty());
-        assert!(file("4m", "{exp_labels: {c: q}}").is_empty());
-        assert_eq!(file("4m", "").len(), 1);
-        assert_eq!(file("2m", "{exp_labels: {c: q}}").len(), 1);
-        assert_eq!(file("4m", "{exp_labels: {c: other}}").len(), 1);
-    }
-}
+mod tests;
--- a/crates/config/src/workers.rs
+++ b/crates/config/src/workers.rs
@@ -120,36 +120,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn what_is_written_is_read_again() {
-        let text =
-            "(worker w1 (address \"127.0.0.1:9001\") (zone \"room \\\"a\\\"\") (state draining) (born 1.5s))
-                    (worker w2 (address \"[::1]:9\") (weight 2.5) (cell pod-3))";
-        let workers = read("workers.sexp", text).expect("sound");
-        assert_eq!(workers[0].born, Some(1_500_000));
-        assert_eq!(workers[0].cell, "w1");
-        assert_eq!(read("again", &write(&workers)), Ok(workers));
-    }
-
-    #[test]
-    fn a_list_with_one_bad_line_is_not_taken_at_all() {
-        let text = "(worker w1 (address \"127.0.0.1:9001\"))\n(worker w1 (address \"127.0.0.1\") (stat on))";
-        let errors = read("workers.sexp", text).expect_err("two faults").to_string();
-        assert!(errors.contains("workers.sexp:2:21: (address ...): write an address and port"), "{errors}");
-        assert!(errors.contains("did you mean state?"), "{errors}");
-    }
-
-    #[test]
-    fn a_name_may_stand_once() {
-        let line = "(worker w1 (address \"127.0.0.1:9001\"))\n";
-        assert!(
-            read("w", &line.repeat(2))
-                .expect_err("doubled")
-                .to_string()
-                .contains("w:2:1: worker w1 stands twice")
-        );
-    }
-}
+mod tests;
--- /dev/null
+++ b/crates/figures/src/latency/tests.rs
@@ -0,0 +1,46 @@
+//! Unit tests of `latency`.
+
+use super::*;
+use proptest::prelude::*;
+
+#[test]
+fn classic_buckets_hold_their_bounds_and_the_rest_is_in_the_last() {
+    let latency = Latency::default();
+    for micros in [1, 5_000, 5_001, 30_000_000, 30_000_001, u64::MAX] {
+        latency.observe(micros);
+    }
+    let inner = latency.lock();
+    assert_eq!((inner.classic[0], inner.classic[1], inner.classic[13]), (2, 1, 1));
+    assert_eq!((inner.all.len(), inner.classic.iter().sum::<u64>()), (6, 4));
+}
+
+#[test]
+fn an_index_is_the_one_of_the_specification() {
+    // Upper bounds: 2^(i/8). One second is the bound of bucket 0.
+    assert_eq!((index(1_000_000), index(1_000_001), index(2_000_000), index(500_000)), (0, 1, 8, -8));
+}
+
+proptest! {
+    #[test]
+    fn native_buckets_hold_every_observation_near_its_place_and_only_grow(
+        some in prop::collection::vec(1u64..600_000_000, 1..200),
+    ) {
+        let latency = Latency::default();
+        let mut before = latency.native();
+        for micros in &some {
+            latency.observe(*micros);
+            let now = latency.native();
+            prop_assert_eq!(now.count, now.buckets.iter().map(|b| b.1).sum::<u64>());
+            prop_assert!(now.buckets.windows(2).all(|w| w[0].0 < w[1].0));
+            for (index, count) in &before.buckets {
+                prop_assert!(now.buckets.iter().any(|(i, c)| i == index && c >= count));
+            }
+            // At most one bucket up: the HdrHistogram is within 1 %.
+            let place = index(*micros);
+            prop_assert!(now.buckets.iter().any(|(i, _)| *i == place || *i == place + 1));
+            before = now;
+        }
+        let sum: u64 = some.iter().sum();
+        prop_assert!((before.sum - sum as f64 / 1e6).abs() < 1e-6);
+    }
+}
--- a/crates/gateway/src/commands/admin/table.rs
+++ b/crates/gateway/src/commands/admin/table.rs
@@ -65,16 +65,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use serde_json::json;
-
-    #[test]
-    fn a_difference_names_its_path() {
-        let before = json!({"name": "a", "limits": {"open_calls": 5, "burst": 2}});
-        let after = json!({"name": "a", "limits": {"open_calls": 9}, "note": "n"});
-        let lines = difference(&before, &after);
-        assert_eq!(lines, "- limits.burst: 2\n- limits.open_calls: 5\n+ limits.open_calls: 9\n+ note: n");
-        assert_eq!(difference(&before, &before), "");
-    }
-}
+mod tests;
--- a/crates/gateway/src/front/head.rs
+++ b/crates/gateway/src/front/head.rs
@@ -65,37 +65,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn parts(headers: &[(&str, &str)]) -> request::Parts {
-        let mut request = http::Request::post("http://x/y");
-        for (name, value) in headers {
-            request = request.header(*name, *value);
-        }
-        request.body(()).expect("sound").into_parts().0
-    }
-
-    #[test]
-    fn other_content_types_are_415() {
-        for kind in ["application/grpc", "application/grpc+proto", "application/grpc; v=1"] {
-            assert_eq!(acceptable(&parts(&[("content-type", kind)])), Ok(()), "{kind}");
-        }
-        for kind in ["application/json", "application/grpc-web", "application/grpc+json", ""] {
-            assert_eq!(
-                acceptable(&parts(&[("content-type", kind)])),
-                Err(StatusCode::UNSUPPORTED_MEDIA_TYPE),
-                "{kind}"
-            );
-        }
-    }
-
-    #[test]
-    fn timeouts_and_encodings_are_read_or_refused_with_the_fix() {
-        let head = read(&parts(&[("grpc-timeout", "600m"), ("grpc-encoding", "gzip")]), 5).expect("sound");
-        assert_eq!((head.due, head.gzip), (Some(600_005), true));
-        let error = |name, value| read(&parts(&[(name, value)]), 0).expect_err("refused").status;
-        assert_eq!(error("grpc-timeout", "soon").code, Code::InvalidArgument);
-        assert_eq!(error("grpc-encoding", "snappy").code, Code::Unimplemented);
-    }
-}
+mod tests;
--- /dev/null
+++ b/crates/gateway/src/links/wire/tests.rs
@@ -0,0 +1,73 @@
+//! Unit tests of `wire`.
+
+use super::*;
+use http::HeaderValue;
+use nettleferry_net::framing::FrameError;
+use nettleferry_net::grpc::write_binary;
+
+fn trailers(code: Code, mark: Option<&'static str>) -> HeaderMap {
+    let mut map = Status::new(code, "words").trailers();
+    if let Some(mark) = mark {
+        map.insert(marks::NEVER_RAN, HeaderValue::from_static(mark));
+    }
+    map
+}
+
+#[test]
+fn only_a_mark_proves_that_a_status_never_ran() {
+    let status = |text: &str| Ended::Status { message: text.to_owned() };
+    let table = [
+        (trailers(Code::Ok, None), Ended::Served),
+        (trailers(Code::Unavailable, None), status("UNAVAILABLE: words")),
+        (trailers(Code::Unavailable, Some("full")), Ended::MarkedFull),
+        (trailers(Code::Unavailable, Some("fenced")), Ended::MarkedFull),
+        (trailers(Code::Unavailable, Some("miss")), Ended::MarkedMiss),
+        (trailers(Code::Unavailable, Some("load-failed")), Ended::MarkedLoadFailed),
+        (trailers(Code::Unavailable, Some("perhaps")), status("UNAVAILABLE: words")),
+        (trailers(Code::ResourceExhausted, None), status("RESOURCE_EXHAUSTED: words")),
+        (trailers(Code::InvalidArgument, None), Ended::Rejected("words".to_owned())),
+        (HeaderMap::new(), status("the worker's answer ended without a status")),
+    ];
+    for (map, ended) in table {
+        assert_eq!(by_trailers(StatusCode::OK, &map), ended);
+        assert_eq!(
+            ended.never_ran(),
+            matches!(ended, Ended::MarkedFull | Ended::MarkedMiss | Ended::MarkedLoadFailed)
+        );
+    }
+    assert_eq!(by_trailers(StatusCode::BAD_GATEWAY, &trailers(Code::Ok, None)), status("HTTP 502"));
+}
+
+#[test]
+fn stream_errors_prove_what_the_wire_proves() {
+    let table = [
+        (StreamError::NotConnected, true),
+        (StreamError::NotWritten, true),
+        (StreamError::Refused, true),
+        (StreamError::GoneAway, true),
+        (StreamError::Reset("CANCEL".to_owned()), false),
+        (StreamError::Broken, false),
+        (StreamError::Protocol("x".to_owned()), false),
+        (StreamError::Message(FrameError::BadGzip), false),
+    ];
+    for (error, proof) in table {
+        assert_eq!(by_error(&error).never_ran(), proof, "{error:?}");
+    }
+}
+
+#[test]
+fn reports_are_read_and_damaged_ones_are_not() {
+    let mut report =
+        orca::OrcaLoadReport { cpu_utilization: 0.5, mem_utilization: f64::NAN, ..Default::default() };
+    report.named_metrics.insert(orca::NOTE.to_owned(), 2.0);
+    report.named_metrics.insert(orca::CROWD.to_owned(), 5.0);
+    report.named_metrics.insert(orca::QUEUE.to_owned(), -1.0);
+    let mut map = HeaderMap::new();
+    map.insert(orca::TRAILER, write_binary(&report.encode_to_vec()).expect("ascii"));
+    let news = news(&map);
+    assert_eq!((news.note, news.crowd), (Some(LoadNote::Began), Some(5)));
+    let load = news.report.expect("told");
+    assert_eq!((load.util, load.memory_held, load.queue), (Some(0.5), None, None));
+    map.insert(orca::TRAILER, HeaderValue::from_static("!!"));
+    assert_eq!(super::news(&map), News::default());
+}
--- /dev/null
+++ b/crates/net/src/http1/tests.rs
@@ -0,0 +1,51 @@
+//! Unit tests of `http1`.
+
+use super::*;
+use std::net::TcpStream as Plain;
+
+/// What a server answers to bytes that come in pieces of a size.
+fn talk(bytes: &[u8], piece: usize) -> String {
+    let limits = Http1Limits { head_bytes: 400, body_bytes: 10, ..Http1Limits::default() };
+    let mut server = Http1::bind("127.0.0.1:0".parse().expect("sound"), limits).expect("a port");
+    let (address, stop) = (server.local().expect("bound"), server.stop());
+    let thread = std::thread::spawn(move || {
+        server.run(|r| Reply::text(200, format!("{} {} {}\n", r.method, r.target, r.body.len())))
+    });
+    let mut socket = Plain::connect(address).expect("connects");
+    socket.set_read_timeout(Some(Duration::from_secs(20))).expect("set");
+    socket.set_nodelay(true).expect("set");
+    for part in bytes.chunks(piece) {
+        if socket.write_all(part).is_err() {
+            break;
+        }
+    }
+    let mut told = Vec::new();
+    let _ = socket.read_to_end(&mut told);
+    stop.stop();
+    thread.join().expect("ends").expect("served");
+    String::from_utf8_lossy(&told).into_owned()
+}
+
+#[test]
+fn requests_are_answered_in_order_however_they_come() {
+    let bytes = b"GET /a HTTP/1.1\r\nHost: x\r\n\r\nPOST /b HTTP/1.1\r\nContent-Length: 3\r\n\r\nxyz\
+                      GET /c HTTP/1.1\r\nConnection: close\r\n\r\n";
+    for piece in [1, 7, 1000] {
+        let told = talk(bytes, piece);
+        let bodies: Vec<&str> =
+            told.lines().filter(|l| l.contains(" /")).filter(|l| !l.starts_with("HTTP")).collect();
+        assert_eq!(bodies, ["GET /a 0", "POST /b 3", "GET /c 0"], "{told}");
+    }
+}
+
+#[test]
+fn what_is_malformed_or_too_large_is_told_and_ends() {
+    let status = |bytes: &[u8]| talk(bytes, 4096).split(' ').nth(1).unwrap_or("").to_owned();
+    assert_eq!(status(b"nonsense\r\n\r\n"), "400");
+    assert_eq!(status(b"POST / HTTP/1.1\r\nContent-Length: 11\r\n\r\n"), "413");
+    assert_eq!(status(b"POST / HTTP/1.1\r\nContent-Length: x\r\n\r\n"), "400");
+    assert_eq!(status(b"POST / HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n"), "400");
+    assert_eq!(status(b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n"), "411");
+    let long = format!("GET /{} HTTP/1.1\r\n\r\n", "x".repeat(500));
+    assert_eq!(status(long.as_bytes()), "431");
+}
--- /dev/null
+++ b/crates/net/src/post/tests.rs
@@ -0,0 +1,52 @@
+//! Unit tests of `post`.
+
+use super::*;
+use crate::http1::{Http1, Http1Limits, Reply};
+use crate::http1_client::read;
+
+fn wait(poster: &mut Poster) -> Result<Answer, PostError> {
+    let (mut out, until) = (Vec::new(), Instant::now() + Duration::from_secs(30));
+    while out.is_empty() {
+        assert!(Instant::now() < until, "no end came");
+        poster.turn(Some(Duration::from_millis(50)), &mut out).expect("polls");
+    }
+    out.remove(0).1
+}
+
+#[test]
+fn answers_come_with_their_heads_and_connections_are_kept() {
+    let mut server =
+        Http1::bind("127.0.0.1:0".parse().expect("sound"), Http1Limits::default()).expect("a port");
+    let (address, stop) = (server.local().expect("bound"), server.stop());
+    let thread = std::thread::spawn(move || {
+        server.run(|r| Reply {
+            headers: vec![("X-Got", format!("{} {}", r.target, r.body.len()))],
+            ..Reply::text(if r.target == "/bad" { 400 } else { 200 }, "body")
+        })
+    });
+    let mut poster = Poster::new(address, 1, Duration::from_secs(20)).expect("a poll");
+    for (path, status) in [("/a", 200), ("/bad", 400), ("/b", 200)] {
+        poster.post(0, path, &[("Content-Type", "x")], &vec![7; 300_000]);
+        let answer = wait(&mut poster).expect("an answer");
+        assert_eq!(
+            (answer.status, answer.header("x-got")),
+            (status, Some(format!("{path} 300000").as_str()))
+        );
+    }
+    stop.stop();
+    thread.join().expect("ends").expect("served");
+    // Its address listens no more.
+    poster.post(0, "/c", &[], b"x");
+    assert!(matches!(wait(&mut poster), Err(PostError::Broken(_))));
+}
+
+#[test]
+fn a_silent_or_garbled_receiver_is_told() {
+    let silent = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
+    let mut poster =
+        Poster::new(silent.local_addr().expect("bound"), 1, Duration::from_millis(40)).expect("a poll");
+    poster.post(0, "/", &[], b"x");
+    assert_eq!(wait(&mut poster), Err(PostError::Late));
+    assert_eq!(read(b"HELO\r\n\r\n"), Err(PostError::Malformed));
+    assert_eq!(read(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nabc"), Ok(None));
+}
--- /dev/null
+++ b/crates/standin/src/models/tests.rs
@@ -0,0 +1,41 @@
+//! Unit tests of `models`.
+
+use super::*;
+
+#[test]
+fn longer_segments_come_first_and_sums_are_per_segment() {
+    let heights = [0.0, 1.0, 3.0, 2.0, 2.5, 0.5, 1.0, 9.0];
+    let answer = answer(&climb_request("climb-x", "7", &heights, 3)).expect("sound");
+    // 7 steps: 3, 2, 2.
+    let Answer::Climb { segments, .. } = &answer else { panic!("climb") };
+    assert_eq!(segments, &[(3.0, 1.0), (0.5, 2.0), (8.5, 0.0)]);
+    assert_eq!(answer.part(0).parameters[FINAL].truth(), Some(false));
+    assert_eq!(answer.part(2).parameters[FINAL].truth(), Some(true));
+    assert_eq!(answer.whole().outputs[0].shape, [3]);
+}
+
+#[test]
+fn heights_are_read_typed_or_raw_and_answered_alike() {
+    let mut typed = climb_request("climb", "", &[1.0, 2.0], 1);
+    let raw = answer(&typed).expect("sound").whole();
+    typed.raw_input_contents.clear();
+    typed.inputs[0].contents =
+        Some(InferTensorContents { fp32_contents: vec![1.0, 2.0], ..Default::default() });
+    let typed = answer(&typed).expect("sound").whole();
+    assert_eq!(raw.raw_output_contents[0], Bytes::from_static(&[0, 0, 128, 63]));
+    assert_eq!(typed.outputs[0].contents.as_ref().map(|c| c.fp32_contents[0]), Some(1.0));
+    assert!(typed.raw_output_contents.is_empty());
+}
+
+#[test]
+fn mistakes_are_told() {
+    let of = |heights: &[f32], n| answer(&climb_request("climb", "", heights, n)).expect_err("wrong");
+    assert_eq!(of(&[1.0, 2.0], 2), BadInput::Segments { got: 2, most: 1 });
+    assert_eq!(of(&[1.0, 2.0], 0), BadInput::Segments { got: 0, most: 1 });
+    assert_eq!(of(&[1.0], 1), BadInput::NoHeight);
+    let mut short = climb_request("climb", "", &[1.0, 2.0], 1);
+    short.inputs[0].shape = vec![i64::MAX];
+    assert_eq!(answer(&short), Err(BadInput::Length { got: 2, told: i64::MAX }));
+    assert!(matches!(answer(&ModelInferRequest::default()), Err(BadInput::NoModel(_))));
+    assert!(exists("echo-a") && !exists("echoes"));
+}
--- a/crates/standin/src/spec.rs
+++ b/crates/standin/src/spec.rs
@@ -157,18 +157,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_file_is_read_with_its_units() {
-        let text = "(listen \"127.0.0.1:0\") (cores 2) (cold 5s (start-capacity 0.3)) (model echo-* (lanes 3) (work 20ms))";
-        let (_, spec) = read_file("w.sexp", text).expect("sound");
-        assert_eq!(
-            (spec.cold, spec.model("echo-1").lanes, spec.model("echo-1").work),
-            (5_000_000, 3, 20_000)
-        );
-        assert_eq!(spec.model("climb").lanes, ModelSpec::any().lanes);
-        assert!(read_file("w.sexp", "(listen 9001)").is_err());
-    }
-}
+mod tests;
--- a/crates/standin/src/store.rs
+++ b/crates/standin/src/store.rs
@@ -50,18 +50,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_crowd_slows_it_and_a_limit_refuses() {
-        let mut store = Store::new(2, 3);
-        assert_eq!((store.begin(100), store.begin(100)), (Some(100), Some(100)));
-        assert_eq!(store.begin(100), Some(150));
-        assert_eq!(store.begin(100), None);
-        store.end();
-        store.slowness = 4.0;
-        assert_eq!(store.begin(100), Some(600));
-        assert_eq!((store.begun, store.refused), (4, 1));
-    }
-}
+mod tests;
