--- a/adapter/src/wire.rs
+++ b/adapter/src/wire.rs
@@ -4,7 +4,7 @@
 use std::fmt::Write;
 
 use nettleferry::*;
-pub use nettleferry_settings::micros;
+pub use nettleferry_platform_settings::micros;
 use serde_json::Value;
 
 /// Names of the wire, as the small numbers that the library uses.
@@ -21,7 +21,7 @@
 impl Names {
     /// Takes in a controller's settings; its zone is numbered among the list's.
     pub fn settings(&mut self, info: &Value) -> Result<Settings, String> {
-        let site = nettleferry_settings::read(info).map_err(|e| format!("ENLIST: {e}"))?;
+        let site = nettleferry_platform_settings::read(info).map_err(|e| format!("ENLIST: {e}"))?;
         let places =
             |names: Vec<String>| names.into_iter().enumerate().map(|(at, name)| (name, at)).collect();
         (self.classes, self.tenants) = (places(site.classes), places(site.tenants));
--- a/crates/trail/tests/golden.rs
+++ b/crates/audit-log/tests/golden.rs
@@ -1,6 +1,6 @@
 //! Entries of the audit log as earlier versions wrote them: each kind is read, and written again byte by byte.
 
-use nettleferry_trail::Line;
+use nettleferry_audit_log::Line;
 
 const ENTRIES: [&str; 15] = [
     r#"{"n":1,"life":7,"from":0,"to":0,"prev":"00000000000000000000000000000000","what":"began","controller":3,"program":"0.1.0"}"#,
--- a/crates/trail/tests/truth.rs
+++ b/crates/audit-log/tests/truth.rs
@@ -4,11 +4,11 @@
 
 use std::collections::BTreeMap;
 
-use nettleferry_trail::audit::{Audit, Certainty, Incarnation};
-use nettleferry_trail::chain::check;
-use nettleferry_trail::line::What;
-use nettleferry_trail::recorder::{NameResolver, Recorder};
-use nettleferry_trail::{Millis, View};
+use nettleferry_audit_log::audit::{Audit, Certainty, Incarnation};
+use nettleferry_audit_log::chain::check;
+use nettleferry_audit_log::line::What;
+use nettleferry_audit_log::recorder::{NameResolver, Recorder};
+use nettleferry_audit_log::{Millis, View};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
--- a/crates/keep/tests/keeper.rs
+++ b/crates/durable/tests/keeper.rs
@@ -5,7 +5,7 @@
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::time::Duration;
 
-use nettleferry_keep::{Found, MemoryStorage, RecordWriter, Storage};
+use nettleferry_durable::{Found, MemoryStorage, RecordWriter, Storage};
 
 /// A disk whose writes wait until they are let through.
 struct Still {
--- a/crates/keep/tests/power.rs
+++ b/crates/durable/tests/power.rs
@@ -2,7 +2,7 @@
 
 use std::path::Path;
 
-use nettleferry_keep::{Found, Loss, MemoryStorage, RecordFile, Storage};
+use nettleferry_durable::{Found, Loss, MemoryStorage, RecordFile, Storage};
 
 const LOSSES: [Loss; 3] = [Loss::Gone, Loss::Torn, Loss::Whole];
 
--- a/crates/gateway/benches/measure.rs
+++ b/crates/gateway/benches/measure.rs
@@ -16,11 +16,11 @@
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
-use nettleferry_day::client::{Ask, Client, Heard};
 use nettleferry_net::NetLimits;
 use nettleferry_net::grpc::Code;
 use nettleferry_proto::inference::ModelStreamInferResponse;
-use nettleferry_standin::Fault;
+use nettleferry_scenario::client::{Ask, Client, Heard};
+use nettleferry_test_servers::Fault;
 use prost::Message;
 use stats_alloc::{INSTRUMENTED_SYSTEM, Region, StatsAlloc};
 
@@ -206,9 +206,9 @@
 
 /// What figures cost: bytes on the wire, and how fast a backlog goes through queue and encoder on one thread.
 fn figures() {
-    use nettleferry_figures::{End, Figures, Slots, sample};
+    use nettleferry_metrics::{End, Figures, Slots, sample};
     use nettleferry_proto::remote_write::{Kind, Series, Version, write};
-    use nettleferry_push::{Answer, Limits, Queue, Sample};
+    use nettleferry_remote_write::{Answer, Limits, Queue, Sample};
     let names = |p: &str, n: usize| (0..n).map(|i| format!("{p}-{i}")).collect::<Vec<_>>();
     let figures =
         Figures::new(Slots::new(names("class", 3), &names("tenant", 6), &names("model", 8), 5_000), &["a"]);
--- a/crates/gateway/benches/outage.rs
+++ b/crates/gateway/benches/outage.rs
@@ -6,8 +6,8 @@
 use std::time::Instant;
 
 use nettleferry_proto::remote_write::{Kind, Series, Version, write};
-use nettleferry_push::{Answer, Batch, Limits, Queue, RecordTracker, Sample};
-use nettleferry_spool::{DirectoryStorage, Limits as WalLimits, Position, WriteAheadLog};
+use nettleferry_remote_write::{Answer, Batch, Limits, Queue, RecordTracker, Sample};
+use nettleferry_wal::{DirectoryStorage, Limits as WalLimits, Position, WriteAheadLog};
 use plotters::prelude::*;
 
 const S: u64 = 1_000_000;
--- a/crates/gateway/src/admin/desk.rs
+++ b/crates/gateway/src/admin/desk.rs
@@ -12,6 +12,8 @@
 
 use nettleferry_admin::api::{Api, Holds, Keep, Live, MOST_BODY, Running, Usage, Worker};
 use nettleferry_admin::{Answer, Problem, Request};
+use nettleferry_audit_log::recorder::Recorder;
+use nettleferry_audit_log::{What, chain};
 use nettleferry_config::settings::AdminKey;
 use nettleferry_fleet::authority::{Authority, Duty, Step};
 use nettleferry_fleet::lease::{MOST_SPAN, ends, error_of};
@@ -24,8 +26,6 @@
 use nettleferry_net::patience::Patience;
 use nettleferry_tenancy::{Book, Entry, Once, Revision, Tenant};
 use nettleferry_tenant_store::{Origin, Snapshot, Store, StoreError};
-use nettleferry_trail::recorder::Recorder;
-use nettleferry_trail::{What, chain};
 use serde_json::{Value, json};
 use tracing::{error, info, warn};
 
--- a/crates/gateway/src/admin/records.rs
+++ b/crates/gateway/src/admin/records.rs
@@ -4,8 +4,8 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::path::PathBuf;
 
-use nettleferry_spool::{DirectoryStorage, Limits, WalError, WriteAheadLog};
-use nettleferry_trail::Line;
+use nettleferry_audit_log::Line;
+use nettleferry_wal::{DirectoryStorage, Limits, WalError, WriteAheadLog};
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
 use tracing::{info, warn};
--- a/crates/gateway/src/commands/alerts.rs
+++ b/crates/gateway/src/commands/alerts.rs
@@ -5,7 +5,7 @@
 use clap::{Args, Subcommand};
 use nettleferry_alerts::{check, rules, unit};
 use nettleferry_config::settings;
-use nettleferry_figures::sample;
+use nettleferry_metrics::sample;
 
 use super::{CommandError, announce, read, serve};
 use crate::observe::Observer;
--- a/crates/gateway/src/commands/audit.rs
+++ b/crates/gateway/src/commands/audit.rs
@@ -1,10 +1,10 @@
 //! `fleet audit` and `fleet verify`: gathers the records that controllers delivered, and says who acted on what.
-//! What follows from the records is decided by `nettleferry_trail`.
+//! What follows from the records is decided by `nettleferry_audit_log`.
 
 use std::path::{Path, PathBuf};
 
-use nettleferry_trail::audit::{Actor, Audit, Certainty, Incarnation, Report};
-use nettleferry_trail::chain::{self, Checked};
+use nettleferry_audit_log::audit::{Actor, Audit, Certainty, Incarnation, Report};
+use nettleferry_audit_log::chain::{self, Checked};
 use plotters::prelude::*;
 use serde_json::{Value, json};
 
--- a/crates/gateway/src/commands/call.rs
+++ b/crates/gateway/src/commands/call.rs
@@ -5,11 +5,11 @@
 
 use bytes::Bytes;
 use clap::Args;
-use nettleferry_day::client::{Ask, Client, Heard};
 use nettleferry_net::NetLimits;
 use nettleferry_net::grpc::Code;
 use nettleferry_proto::inference::model_infer_request::InferInputTensor;
 use nettleferry_proto::inference::*;
+use nettleferry_scenario::client::{Ask, Client, Heard};
 use prost::Message;
 
 use super::{CommandError, announce};
--- a/crates/gateway/src/commands/demo.rs
+++ b/crates/gateway/src/commands/demo.rs
@@ -6,8 +6,8 @@
 
 use clap::Args;
 use nettleferry_config::{settings, workers};
-use nettleferry_standin::spec::ModelSpec;
-use nettleferry_standin::{Handle, Options, Spec, Store, spawn};
+use nettleferry_test_servers::spec::ModelSpec;
+use nettleferry_test_servers::{Handle, Options, Spec, Store, spawn};
 
 use super::{CommandError, serve};
 
--- a/crates/gateway/src/commands/load.rs
+++ b/crates/gateway/src/commands/load.rs
@@ -7,10 +7,10 @@
 use bytes::Bytes;
 use clap::Args;
 use hdrhistogram::Histogram;
-use nettleferry_day::client::{Ask, Client, Heard};
 use nettleferry_net::NetLimits;
 use nettleferry_net::grpc::Code;
 use nettleferry_proto::inference::ModelInferRequest;
+use nettleferry_scenario::client::{Ask, Client, Heard};
 use prost::Message;
 
 use super::{CommandError, announce};
@@ -104,11 +104,11 @@
     }
 
     fn ask(&self) -> Ask {
-        let mut request = nettleferry_standin::models::climb_request(&self.model, "1", &[], 1);
+        let mut request = nettleferry_test_servers::models::climb_request(&self.model, "1", &[], 1);
         request.raw_input_contents = vec![vec![7; self.bytes].into()];
         if self.model.starts_with("climb") {
             let heights = [1.0; 65];
-            request = nettleferry_standin::models::climb_request(&self.model, "1", &heights, 4);
+            request = nettleferry_test_servers::models::climb_request(&self.model, "1", &heights, 4);
         }
         let body = ModelInferRequest::encode_to_vec(&request);
         let method = if self.stream { "ModelStreamInfer" } else { "ModelInfer" };
--- a/crates/gateway/src/commands/mod.rs
+++ b/crates/gateway/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! The command line. Exit codes: 0 done; 1 a rule broke (`day`, `soak`), a bound broke (`scale`), the call was not served
+//! The command line. Exit codes: 0 done; 1 a rule broke (`scenario`, `soak`), a bound broke (`scale`), the call was not served
 //! (`call`), or alert rules have findings (`alerts`); 2 the
 //! command line is wrong; 3 a file can't be read or is not sound; 4 the system refused something (an address,
 //! a thread, a process); 130 stopped at once by a second signal or with calls still open.
@@ -7,13 +7,14 @@
 mod alerts;
 mod audit;
 mod call;
-mod day;
+
 mod demo;
 mod fleet;
 mod hollow;
 mod load;
 mod node;
 mod scale;
+mod scenario;
 mod serve;
 mod simulate;
 mod soak;
@@ -33,7 +34,7 @@
     name = "nettleferry",
     version,
     propagate_version = true,
-    after_help = "Exit codes: 0 done; 1 a rule broke (day), a bound broke (scale), the call was not served (call) alert rules have findings (alerts) or the administration refused (admin); 2 wrong command line; 3 a \
+    after_help = "Exit codes: 0 done; 1 a rule broke (scenario), a bound broke (scale), the call was not served (call) alert rules have findings (alerts) or the administration refused (admin); 2 wrong command line; 3 a \
                   file can't be read or is not sound; 4 the system refused something; 130 stopped at once with calls open."
 )]
 pub struct Arguments {
@@ -57,8 +58,9 @@
     Call(call::Call),
     /// Measure: closed-loop load, through a gateway and straight to a worker side by side
     Load(load::Load),
-    /// Play a scripted day against controller processes and audit the five rules
-    Day(day::Day),
+    /// Run a scripted scenario of faults against controller processes and audit the five rules
+    #[command(alias = "day")]
+    Scenario(scenario::Scenario),
     /// Check alert rules against the registry, or run rule unit tests
     Alerts(alerts::Alerts),
     /// Administer tenants, limits, workers and the audit trail of a running controller
@@ -102,7 +104,7 @@
     File(String),
     /// A day could not be played.
     #[error("{0}")]
-    Day(nettleferry_day::run::DayError),
+    Day(nettleferry_scenario::run::DayError),
     /// The system refused something.
     #[error("{what}: {source}")]
     System {
@@ -162,7 +164,7 @@
         Command::Check(check) => check.run(),
         Command::Call(call) => call.run(),
         Command::Load(load) => load.run(),
-        Command::Day(day) => day.run(&arguments.logs.log),
+        Command::Scenario(scenario) => scenario.run(&arguments.logs.log),
         Command::Admin(admin) => admin.run(),
         Command::Fleet(fleet) => fleet.run(),
         Command::Top(top) => top.run(),
--- a/crates/gateway/src/commands/day.rs
+++ b/crates/gateway/src/commands/scenario.rs
@@ -1,17 +1,17 @@
-//! `day`: plays a scripted day and prints the audit of the five rules.
+//! `scenario`: runs a scripted scenario of faults and prints the audit of the five rules.
 
 use std::path::{Path, PathBuf};
 
 use clap::Args;
-use nettleferry_day::audit::{Slack, audit};
-use nettleferry_day::{alerting, report, run, script, story};
+use nettleferry_scenario::audit::{Slack, audit};
+use nettleferry_scenario::{alerting, report, run, script, story};
 
 use super::{CommandError, announce, read};
 
-/// Play a scripted day against controller processes and audit the five rules.
+/// Run a scripted scenario of faults against controller processes and audit the five rules.
 #[derive(Args)]
-pub struct Day {
-    /// Day file; days/ has one of each kind
+pub struct Scenario {
+    /// Scenario file; days/ has one of each kind
     file: PathBuf,
     /// Keep the controllers' settings, lists and logs and the evidence (evidence.txt) in this folder
     #[arg(long, value_name = "DIR")]
@@ -23,7 +23,7 @@
 /// Most calls whose story is printed.
 const MOST_STORIES: usize = 3;
 
-impl Day {
+impl Scenario {
     /// `log`: what the controllers log, as this program was told for itself.
     pub fn run(self, log: &str) -> Result<u8, CommandError> {
         let text = read(&self.file)?;
--- a/crates/gateway/src/commands/simulate.rs
+++ b/crates/gateway/src/commands/simulate.rs
@@ -9,8 +9,8 @@
 use clap::Args;
 use indicatif::{ProgressBar, ProgressStyle};
 use nettleferry_config::form::{Bytes, Errors, Form, Source, TimeSpan};
-use nettleferry_rehearsal::network::Network;
-use nettleferry_rehearsal::{follow, power};
+use nettleferry_simulation::network::Network;
+use nettleferry_simulation::{follow, power};
 use plotters::prelude::*;
 use serde_json::{Value, json};
 
--- a/crates/gateway/src/commands/worker.rs
+++ b/crates/gateway/src/commands/worker.rs
@@ -5,7 +5,7 @@
 use std::time::Instant;
 
 use clap::Args;
-use nettleferry_standin::{Options, Store, spawn, spec};
+use nettleferry_test_servers::{Options, Store, spawn, spec};
 
 use super::{CommandError, announce, read};
 
--- a/crates/gateway/src/controller.rs
+++ b/crates/gateway/src/controller.rs
@@ -9,13 +9,13 @@
 
 use mio::Interest;
 use nettleferry::{ListForm, Micros, WorkerState};
+use nettleferry_audit_log::{Act, Recorder, View};
 use nettleferry_config::settings::{Admin, GateWhen};
 use nettleferry_config::{Config, Worker};
 use nettleferry_engine::{Command, Engine, EngineLimits, Event};
 use nettleferry_fleet::gate::{Gate, Step, Terms};
 use nettleferry_fleet::lease::{self, Holder, Stage};
 use nettleferry_net::{Hub, NetEvent, NetLimits};
-use nettleferry_trail::{Act, Recorder, View};
 use signal_hook_mio::v1_0::Signals;
 use tracing::{debug, info, warn};
 
--- a/crates/gateway/src/front/mod.rs
+++ b/crates/gateway/src/front/mod.rs
@@ -14,6 +14,7 @@
 use bytes::Bytes;
 use http::{HeaderMap, HeaderValue, Response, StatusCode};
 use nettleferry::{Micros, TenantId};
+use nettleferry_audit_log::Recorder;
 use nettleferry_config::Config;
 use nettleferry_engine::{CallId, Command, End, Engine, Event, Open, Phase, Step};
 use nettleferry_fleet::gate::{Asked, Gate, Verdict};
@@ -23,7 +24,6 @@
 use nettleferry_net::{Hub, NetEvent, StreamKey};
 use nettleferry_proto::inference::SERVICE;
 use nettleferry_proto::peek;
-use nettleferry_trail::Recorder;
 
 use ends::Failure;
 
--- a/crates/gateway/src/kept.rs
+++ b/crates/gateway/src/kept.rs
@@ -4,9 +4,9 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
+use nettleferry_durable::{FileSystem, Found, RecordWriter};
 use nettleferry_fleet::Millis;
 use nettleferry_fleet::trust::{self, Held, Thing, Verdict};
-use nettleferry_keep::{FileSystem, Found, RecordWriter};
 use tracing::{info, warn};
 
 /// A kept file, and what it held at the start until that is taken.
--- a/crates/gateway/src/observe.rs
+++ b/crates/gateway/src/observe.rs
@@ -7,9 +7,9 @@
 use nettleferry::{LoadNote, Micros, Outcome, WorkerState};
 use nettleferry_config::Config;
 use nettleferry_engine::{EndKind, Engine, Note};
-use nettleferry_figures::{End, Figures, Slots};
 use nettleferry_fleet::gate::{Counters as GateCounters, Gate, Step};
 use nettleferry_fleet::lease::{Counters as LeaseCounters, Stage};
+use nettleferry_metrics::{End, Figures, Slots};
 use nettleferry_net::NetCounters;
 use nettleferry_net::http1::{Reply, Request};
 
@@ -153,7 +153,7 @@
         let at_gate = gate.map_or(before, Gate::counters);
         self.figures.recovery(step, [at_gate.no_list, at_gate.crowded, at_gate.unproven, without_lease]);
         let (stage, counted) = lease.unwrap_or((Stage::Current, LeaseCounters::default()));
-        let stage = nettleferry_figures::STAGES.iter().position(|s| *s == stage.word()).unwrap_or(0);
+        let stage = nettleferry_metrics::STAGES.iter().position(|s| *s == stage.word()).unwrap_or(0);
         self.figures.lease(stage, counted.lapses, counted.doubtful);
     }
 
@@ -170,7 +170,7 @@
     }
 }
 
-/// The place of a reason among [`nettleferry_figures::REASONS`].
+/// The place of a reason among [`nettleferry_metrics::REASONS`].
 fn reason(after: Option<Outcome>) -> usize {
     match after {
         None | Some(Outcome::Ok) => 0,
--- a/crates/gateway/src/push.rs
+++ b/crates/gateway/src/push.rs
@@ -1,5 +1,5 @@
 //! Pushes the figures by Prometheus remote write, in a thread that can hold up no call. What is kept, sent,
-//! dropped and tried again is decided by `nettleferry-push`; what survives a crash by `nettleferry-spool`. Here
+//! dropped and tried again is decided by `nettleferry-remote-write`; what survives a crash by `nettleferry-wal`. Here
 //! they are wired to the clock, the disk and the socket.
 //!
 //! A round: the registry is read, written to the spool as one record (or some, where it is long), offered to the
@@ -18,20 +18,20 @@
 
 use nettleferry::Micros;
 use nettleferry_config::settings::Push;
-use nettleferry_figures::{Figures, LATENCY, sample};
+use nettleferry_metrics::{Figures, LATENCY, sample};
 use nettleferry_net::post::{Answer as Heard, PostError, Poster};
 use nettleferry_proto::remote_write::{self, Kind, Native, Series, Version};
-use nettleferry_push::{
+use nettleferry_remote_write::{
     Acceptance, Answer, Backoff, HeapSize, Limits, Negotiation, ProtocolVersion, Queue, RecordTracker,
     SampleClock,
 };
-use nettleferry_spool::{DirectoryStorage, Limits as WalLimits, Position, WalError, WriteAheadLog};
+use nettleferry_wal::{DirectoryStorage, Limits as WalLimits, Position, WalError, WriteAheadLog};
 use tracing::{info, warn};
 
 use nettleferry_net::clock::{Clock, wall};
 
-type Sample = nettleferry_push::Sample<Value>;
-type Batch = nettleferry_push::Batch<Value>;
+type Sample = nettleferry_remote_write::Sample<Value>;
+type Batch = nettleferry_remote_write::Batch<Value>;
 
 /// Series of one spool record at the most: bounds its length.
 const RECORD_SERIES: usize = 2_000;
@@ -246,7 +246,7 @@
         let end = |series: u64| {
             let native = self.series.get(series as usize).is_some_and(|known| known.native);
             let value = if native {
-                Value::Native(Arc::new(Native::ended(nettleferry_figures::latency::SCHEMA)))
+                Value::Native(Arc::new(Native::ended(nettleferry_metrics::latency::SCHEMA)))
             } else {
                 Value::Number(remote_write::stale())
             };
@@ -375,7 +375,7 @@
                 let labels = [("__name__", LATENCY), ("class", class)];
                 let labels = labels.map(|(n, v)| (n.to_owned(), v.to_owned())).to_vec();
                 let series = self.labelled(labels, Kind::Histogram);
-                let nettleferry_figures::Native { schema, count, sum, buckets } = told;
+                let nettleferry_metrics::Native { schema, count, sum, buckets } = told;
                 let native = Native { schema, count, sum, buckets };
                 samples.push(Sample { series, at_ms, value: Value::Native(Arc::new(native)) });
             }
--- a/crates/gateway/src/trail.rs
+++ b/crates/gateway/src/trail.rs
@@ -1,5 +1,5 @@
 //! The record of what this controller acted on: written by a thread of its own to a bounded, crash-safe log, and held
-//! in memory for those who gather it. What stands in it is decided by `nettleferry_trail`; the thread that answers
+//! in memory for those who gather it. What stands in it is decided by `nettleferry_audit_log`; the thread that answers
 //! calls counts, and hands lines on by a bounded queue.
 
 use std::collections::VecDeque;
@@ -10,10 +10,10 @@
 use std::time::Duration;
 
 use nettleferry::{TenantId, WorkerId};
+use nettleferry_audit_log::chain::{self, Checked};
+use nettleferry_audit_log::recorder::{NameResolver, Recorder, Tail};
 use nettleferry_engine::Engine;
-use nettleferry_spool::{DirectoryStorage, Limits, WalError, WriteAheadLog};
-use nettleferry_trail::chain::{self, Checked};
-use nettleferry_trail::recorder::{NameResolver, Recorder, Tail};
+use nettleferry_wal::{DirectoryStorage, Limits, WalError, WriteAheadLog};
 use tracing::{info, warn};
 
 use crate::tenants::Tenants;
@@ -141,7 +141,7 @@
 fn hold(held: &Shared, batch: Vec<String>) {
     let mut held = lock(held);
     for text in batch {
-        if let Ok(line) = nettleferry_trail::Line::read(&text) {
+        if let Ok(line) = nettleferry_audit_log::Line::read(&text) {
             held.push(line.n, text);
         }
     }
--- a/crates/gateway/src/trail/tests.rs
+++ b/crates/gateway/src/trail/tests.rs
@@ -1,7 +1,7 @@
 //! Unit tests of `trail`.
 
 use super::*;
-use nettleferry_trail::View;
+use nettleferry_audit_log::View;
 
 struct Plain;
 
--- a/crates/gateway/tests/admin.rs
+++ b/crates/gateway/tests/admin.rs
@@ -9,7 +9,7 @@
 use std::process::Command;
 
 use nettleferry_net::grpc::Code;
-use nettleferry_standin::{Fault, Seen};
+use nettleferry_test_servers::{Fault, Seen};
 use serde_json::{Value, json};
 
 #[test]
@@ -59,7 +59,7 @@
     // In flight: it hangs. Held: its model's load never ends, so that the second of it has no worker.
     fleet.handles[0].tell(Fault::Hang(Some("echo-".to_owned())));
     let headers = || vec![("nettleferry-tenant".to_owned(), "a".to_owned())];
-    let stream = caller.ask(nettleferry_day::client::Ask {
+    let stream = caller.ask(nettleferry_scenario::client::Ask {
         headers: headers(),
         ..ask("ModelStreamInfer", &climb("climb", "s", 50))
     });
--- a/crates/gateway/tests/common/mod.rs
+++ b/crates/gateway/tests/common/mod.rs
@@ -17,12 +17,12 @@
 
 use bytes::Bytes;
 use http::HeaderMap;
-use nettleferry_day::client::{Ask, Client, Heard};
 use nettleferry_net::grpc::Status;
 use nettleferry_net::{NetLimits, StreamError};
 use nettleferry_proto::inference::*;
-use nettleferry_standin::models::climb_request;
-use nettleferry_standin::{Handle, Options, Record, Seen, Spec, Store, spawn, spec};
+use nettleferry_scenario::client::{Ask, Client, Heard};
+use nettleferry_test_servers::models::climb_request;
+use nettleferry_test_servers::{Handle, Options, Record, Seen, Spec, Store, spawn, spec};
 use prost::Message;
 
 pub const PATIENCE: Duration = Duration::from_secs(30);
--- a/crates/gateway/tests/cut.rs
+++ b/crates/gateway/tests/cut.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 
 use nettleferry_net::grpc::Code;
-use nettleferry_standin::{Fault, Record, Seen};
+use nettleferry_test_servers::{Fault, Record, Seen};
 
 const SETTINGS: &str = r#"
 (listen (grpc "127.0.0.1:0"))
--- a/crates/gateway/tests/days.rs
+++ b/crates/gateway/tests/days.rs
@@ -43,7 +43,7 @@
         let path = entry.expect("readable").path();
         let text = std::fs::read_to_string(&path).expect("text");
         let name = path.display().to_string();
-        nettleferry_day::script::read(&name, &text).unwrap_or_else(|e| panic!("{e}"));
+        nettleferry_scenario::script::read(&name, &text).unwrap_or_else(|e| panic!("{e}"));
         kinds += 1;
     }
     assert!(kinds >= 22);
--- a/crates/gateway/tests/hollow.rs
+++ b/crates/gateway/tests/hollow.rs
@@ -11,7 +11,7 @@
 
 use nettleferry_hollow::followers::report::{Change, Second, Summary};
 use nettleferry_hollow::report::Line;
-use nettleferry_standin::Seen;
+use nettleferry_test_servers::Seen;
 use serde_json::json;
 
 const HOLLOW: u32 = 50;
--- a/crates/gateway/tests/life.rs
+++ b/crates/gateway/tests/life.rs
@@ -6,7 +6,7 @@
 use std::process::Command;
 
 use nettleferry_net::grpc::Code;
-use nettleferry_standin::{Fault, Seen};
+use nettleferry_test_servers::{Fault, Seen};
 
 fn output(arguments: &[&str]) -> (i32, String, String) {
     let out = Command::new(PROGRAM).args(arguments).output().expect("it runs");
--- a/crates/gateway/tests/limits.rs
+++ b/crates/gateway/tests/limits.rs
@@ -8,10 +8,10 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use nettleferry_day::client::Ask;
 use nettleferry_net::grpc::Code;
 use nettleferry_proto::inference::*;
-use nettleferry_standin::{Fault, Seen};
+use nettleferry_scenario::client::Ask;
+use nettleferry_test_servers::{Fault, Seen};
 use prost::Message;
 
 #[track_caller]
@@ -66,7 +66,7 @@
 
 /// A climb that wants more segments than it has steps.
 fn climb_with(segments: i64) -> ModelInferRequest {
-    nettleferry_standin::models::climb_request("climb", "1", &[1.0, 2.0], segments)
+    nettleferry_test_servers::models::climb_request("climb", "1", &[1.0, 2.0], segments)
 }
 
 #[test]
--- a/crates/gateway/tests/loans.rs
+++ b/crates/gateway/tests/loans.rs
@@ -12,9 +12,9 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-use nettleferry_day::client::Heard;
 use nettleferry_net::grpc::Code;
-use nettleferry_standin::Seen;
+use nettleferry_scenario::client::Heard;
+use nettleferry_test_servers::Seen;
 use serde_json::json;
 
 const LIMIT: usize = 40;
@@ -32,9 +32,9 @@
         let ended = Arc::clone(&stop);
         let thread = std::thread::spawn(move || {
             let limits = nettleferry_net::NetLimits { connect_timeout: PATIENCE, ..Default::default() };
-            let mut client = nettleferry_day::client::Client::new(1, limits).expect("a hub");
+            let mut client = nettleferry_scenario::client::Client::new(1, limits).expect("a hub");
             let headers = vec![("nettleferry-tenant".to_owned(), "kalahari".to_owned())];
-            let one = || nettleferry_day::client::Ask {
+            let one = || nettleferry_scenario::client::Ask {
                 headers: headers.clone(),
                 ..ask("ModelInfer", &echo("echo", "u", 64))
             };
--- a/crates/gateway/tests/push.rs
+++ b/crates/gateway/tests/push.rs
@@ -6,7 +6,7 @@
 
 use nettleferry_net::grpc::Code;
 use nettleferry_proto::remote_write::is_stale;
-use nettleferry_standin::receiver::{Kept, Mode, Receiver};
+use nettleferry_test_servers::receiver::{Kept, Mode, Receiver};
 
 const CALLS: &str = "nettleferry_calls_total";
 const SERVED: [(&str, &str); 4] =
--- a/crates/gateway/tests/stored_data.rs
+++ b/crates/gateway/tests/stored_data.rs
@@ -9,13 +9,13 @@
 
 use std::path::Path;
 
+use nettleferry_audit_log::chain;
 use nettleferry_config::workers;
-use nettleferry_keep::{FileSystem, Found, RecordFile};
+use nettleferry_durable::{FileSystem, Found, RecordFile};
 use nettleferry_net::grpc::Code;
-use nettleferry_spool::{DirectoryStorage, Limits, WriteAheadLog};
 use nettleferry_tenancy::{Entry, Tenant};
 use nettleferry_tenant_store::{Snapshot, Store};
-use nettleferry_trail::chain;
+use nettleferry_wal::{DirectoryStorage, Limits, WriteAheadLog};
 use serde_json::{Value, json};
 
 /// What the API of the earlier program told of its state before it ended.
@@ -139,7 +139,7 @@
         let checked = chain::check(texts.iter().map(String::as_str));
         assert_eq!(checked.faults, []);
         assert_eq!(json!(texts), told()["trail"][of]);
-        let rewritten: Vec<String> = checked.lines.iter().map(nettleferry_trail::Line::text).collect();
+        let rewritten: Vec<String> = checked.lines.iter().map(nettleferry_audit_log::Line::text).collect();
         assert_eq!(rewritten, texts, "they are written as they were");
     }
 }
--- a/crates/gateway/tests/streams.rs
+++ b/crates/gateway/tests/streams.rs
@@ -4,9 +4,9 @@
 use common::*;
 
 use bytes::Bytes;
-use nettleferry_day::client::{Ask, Heard};
 use nettleferry_net::grpc::Code;
-use nettleferry_standin::{Fault, Seen};
+use nettleferry_scenario::client::{Ask, Heard};
+use nettleferry_test_servers::{Fault, Seen};
 use prost::Message;
 
 /// Four segments of 40 ms each, so that there is a middle.
@@ -191,7 +191,7 @@
                 _ => None,
             })
             .collect();
-        let call = |r: &nettleferry_standin::Record| match &r.seen {
+        let call = |r: &nettleferry_test_servers::Record| match &r.seen {
             Seen::Call { stream, .. } => Some((r.worker.clone(), *stream)),
             _ => None,
         };
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -19,7 +19,7 @@
 use nettleferry_platform::directory::{List, ListError, State};
 use nettleferry_platform::frames::MOST_PAYLOAD;
 use nettleferry_platform::resp::{MOST_BODY, MOST_WORD};
-use nettleferry_settings::SettingsFault;
+use nettleferry_platform_settings::SettingsFault;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook_mio::v1_0::Signals;
 use tracing::{debug, info, warn};
@@ -158,7 +158,7 @@
     /// A node by the configuration in this file. `signals`: SIGHUP, SIGTERM and SIGINT are its.
     pub fn new(path: PathBuf, signals: bool) -> Result<Self, NodeError> {
         let config = read_patiently(&path)?;
-        let site = nettleferry_settings::read(&config.settings)?;
+        let site = nettleferry_platform_settings::read(&config.settings)?;
         let bounds = Bounds::of(&config.limits, site.open_calls);
         let longest = site.settings.classes.iter().map(|c| c.deadline).max().unwrap_or(0);
         let told = site.settings.limits.connect_timeout;
--- a/crates/settings/tests/faults.rs
+++ b/crates/platform-settings/tests/faults.rs
@@ -1,7 +1,7 @@
 //! Settings that are spoilt are refused by the path of the field; what is absent, or at its bound, is not.
 
 use nettleferry::{Effect, Group, Weights};
-use nettleferry_settings::read;
+use nettleferry_platform_settings::read;
 use serde_json::{Value, json};
 
 fn sound() -> Value {
--- a/crates/settings/tests/golden.rs
+++ b/crates/platform-settings/tests/golden.rs
@@ -1,7 +1,7 @@
 //! Names and words of the platform's JSON settings: each is taken, and a wrong value of each is refused by its path,
 //! so that none is passed over unread.
 
-use nettleferry_settings::read;
+use nettleferry_platform_settings::read;
 use serde_json::{Value, json};
 
 /// Settings with every field.
--- a/crates/push/tests/queue.rs
+++ b/crates/remote-write/tests/queue.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use nettleferry_push::*;
+use nettleferry_remote_write::*;
 use proptest::prelude::*;
 
 const MS: u64 = 1_000;
--- a/crates/scale/src/measure/list/calls.rs
+++ b/crates/scale/src/measure/list/calls.rs
@@ -9,10 +9,10 @@
 use std::time::{Duration, Instant};
 
 use hdrhistogram::Histogram;
-use nettleferry_day::client::{Ask, Client, Heard};
 use nettleferry_net::NetLimits;
 use nettleferry_net::grpc::Code;
-use nettleferry_standin::models::climb_request;
+use nettleferry_scenario::client::{Ask, Client, Heard};
+use nettleferry_test_servers::models::climb_request;
 use prost::Message;
 
 /// Calls that are open at once; while so many are, no further one begins.
--- a/crates/day/src/alerting.rs
+++ b/crates/scenario/src/alerting.rs
@@ -3,7 +3,7 @@
 use std::fmt::Write;
 
 use nettleferry::Micros;
-use nettleferry_standin::watch::Episode;
+use nettleferry_test_servers::watch::Episode;
 
 use crate::script::Watch;
 
--- a/crates/day/src/attempts.rs
+++ b/crates/scenario/src/attempts.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 
 use nettleferry::Micros;
-use nettleferry_standin::Seen;
+use nettleferry_test_servers::Seen;
 
 use crate::evidence::{During, Evidence};
 
--- a/crates/day/src/audit.rs
+++ b/crates/scenario/src/audit.rs
@@ -9,7 +9,7 @@
 use std::fmt;
 
 use nettleferry::{Effect, Group, Micros, WorkerState};
-use nettleferry_standin::Seen;
+use nettleferry_test_servers::Seen;
 
 use crate::attempts::{Attempt, Links, attempts};
 use crate::evidence::{ClientSaw, Evidence, Final, Life, Told};
--- a/crates/day/src/evidence.rs
+++ b/crates/scenario/src/evidence.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 use nettleferry::{Effect, Micros, WorkerState};
-use nettleferry_standin::{Record, Seen};
+use nettleferry_test_servers::{Record, Seen};
 
 /// What a client saw of a call.
 #[derive(Clone, Debug, PartialEq)]
--- a/crates/day/src/report.rs
+++ b/crates/scenario/src/report.rs
@@ -5,7 +5,7 @@
 
 use hdrhistogram::Histogram;
 use nettleferry::Micros;
-use nettleferry_standin::Seen;
+use nettleferry_test_servers::Seen;
 
 use crate::evidence::{ClientSaw, Evidence, Final};
 
--- a/crates/day/src/run.rs
+++ b/crates/scenario/src/run.rs
@@ -10,8 +10,8 @@
 
 use nettleferry::{Micros, WorkerState};
 use nettleferry_config::{Worker, settings};
-use nettleferry_standin::receiver::{Mode, Receiver};
-use nettleferry_standin::{Fault, Handle, Options, Store, spawn};
+use nettleferry_test_servers::receiver::{Mode, Receiver};
+use nettleferry_test_servers::{Fault, Handle, Options, Store, spawn};
 
 use crate::alerting;
 use crate::evidence::{self, During, Evidence, Figures, Life, Place};
--- a/crates/day/src/script.rs
+++ b/crates/scenario/src/script.rs
@@ -2,7 +2,7 @@
 
 use nettleferry::Micros;
 use nettleferry_config::form::{Errors, Form, Source, TimeSpan};
-use nettleferry_standin::Spec;
+use nettleferry_test_servers::Spec;
 
 /// A scripted day.
 #[derive(Clone, Debug)]
@@ -287,7 +287,7 @@
 
 fn traffic(mut form: Form) -> Traffic {
     let name = form.or_name();
-    if !nettleferry_standin::models::exists(&name) {
+    if !nettleferry_test_servers::models::exists(&name) {
         form.fault(format!("traffic {name}: the stand-ins' models are echo, echo-*, climb and climb-*"));
     }
     let rate = form.must("rate").unwrap_or(1.0);
--- a/crates/day/src/story.rs
+++ b/crates/scenario/src/story.rs
@@ -4,7 +4,7 @@
 use std::fmt::Write;
 
 use nettleferry::Micros;
-use nettleferry_standin::Seen;
+use nettleferry_test_servers::Seen;
 
 use crate::evidence::{ClientSaw, Evidence};
 
--- a/crates/day/src/traffic.rs
+++ b/crates/scenario/src/traffic.rs
@@ -15,7 +15,7 @@
 use nettleferry_proto::inference::{
     FINAL, InferParameter, ModelStreamInferResponse, infer_parameter::ParameterChoice,
 };
-use nettleferry_standin::models::climb_request;
+use nettleferry_test_servers::models::climb_request;
 use prost::Message;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
--- a/crates/day/tests/audit.rs
+++ b/crates/scenario/tests/audit.rs
@@ -1,9 +1,9 @@
 //! The audit on doctored records: a sound day has no finding, and each way to break a rule has its own.
 
 use nettleferry::{Effect, Group, WorkerState};
-use nettleferry_day::audit::{Breach, Slack, audit};
-use nettleferry_day::evidence::*;
-use nettleferry_standin::{Record, Seen};
+use nettleferry_scenario::audit::{Breach, Slack, audit};
+use nettleferry_scenario::evidence::*;
+use nettleferry_test_servers::{Record, Seen};
 
 const MS: u64 = 1_000;
 const S: u64 = 1_000_000;
--- a/crates/rehearsal/tests/plays.rs
+++ b/crates/simulation/tests/plays.rs
@@ -1,7 +1,7 @@
 //! One seed, one outcome; nobody acts wrongly at any size; nobody waits for ever for a book.
 
-use nettleferry_rehearsal::network::Network;
-use nettleferry_rehearsal::{follow, power};
+use nettleferry_simulation::network::Network;
+use nettleferry_simulation::{follow, power};
 
 fn network(loss: f64) -> Network {
     Network { loss, delay: 2_000, bandwidth: 100e6 }
--- a/crates/spool/tests/spool.rs
+++ b/crates/wal/tests/spool.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use nettleferry_spool::*;
+use nettleferry_wal::*;
 use proptest::prelude::*;
 
 fn limits() -> Limits {
