--- a/adapter/src/wire.rs
+++ b/adapter/src/wire.rs
@@ -97,13 +97,13 @@
         Ok(match self.whole(at, "verdict")? {
             1 => Outcome::Ok,
             2 => Outcome::Error,
-            3 => Outcome::Full,
+            3 => Outcome::Rejected,
             4 => Outcome::Timeout,
             5 => Outcome::ConnectFailed,
             6 => Outcome::Reset,
             7 => Outcome::Cancelled,
-            8 => Outcome::Moot,
-            9 => Outcome::Miss,
+            8 => Outcome::NeverSent,
+            9 => Outcome::NotLoaded,
             other => return Err(self.bad("verdict", &format!("{other} is unknown"))),
         })
     }
@@ -146,7 +146,7 @@
                 tenant,
                 function: FunctionId(f.whole(5, "fn")?),
                 left: f.time(6, "left_ms")?,
-                work_hint: f.span(7, "size_hint_ms")?.filter(|_| flags & 1 != 0),
+                cpu_time_hint: f.span(7, "size_hint_ms")?.filter(|_| flags & 1 != 0),
                 lanes: f.optional(9, "concurrency")?.unwrap_or(1).clamp(1, 1 << 20) as u32,
                 load_time: f.span(10, "start_ms")?,
                 repeat: flags & 2 != 0,
@@ -169,7 +169,8 @@
                     4 => Some(LoadNote::Failed),
                     _ => None,
                 },
-                crowd: matches!(outcome, Outcome::Ok | Outcome::Full).then_some((detail / 8).min(30) as u32),
+                concurrent_calls: matches!(outcome, Outcome::Ok | Outcome::Rejected)
+                    .then_some((detail / 8).min(30) as u32),
                 report: f.report(9)?,
             }
         }
@@ -220,14 +221,14 @@
             "off" => WorkerState::Gone,
             _ => return Err(f.bad("state", "is unknown")),
         },
-        born: f.span(6, "born_ms")?.filter(|&born| born > 0),
+        started_at: f.span(6, "born_ms")?.filter(|&born| born > 0),
     })
 }
 
 /// Appends one action to the reply.
 pub fn action(id: u64, action: &Action, out: &mut String) {
     // The simulator carries an order in the moment in which it is given: it has left.
-    if matches!(action, Action::Unwanted { .. }) {
+    if matches!(action, Action::CancelLoad { .. }) {
         return;
     }
     if !out.is_empty() {
@@ -249,7 +250,7 @@
         Action::Load { worker, function, count } => {
             write!(out, "[\"PRELOAD\",{id},{},{count},{}]", worker.0, function.0)
         }
-        Action::Unwanted { .. } => return,
+        Action::CancelLoad { .. } => return,
         Action::Unload { worker, function } => {
             write!(out, "[\"RELEASE_IDLE\",{id},{},{}]", function.0, worker.0)
         }
--- a/crates/config/src/settings/classes.rs
+++ b/crates/config/src/settings/classes.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use nettleferry::{Class, Effect, Group, Tenant, TenantId};
+use nettleferry::{Class, Effect, KeyScope, Tenant, TenantId};
 
 use crate::form::{Form, TimeSpan};
 
@@ -30,10 +30,10 @@
             form.fault(format!("class {name}: (late-share ...) is a share, from 0 to 1"));
         }
         classes.push(Class {
-            aim,
+            latency_objective: aim,
             deadline,
-            effect: effect(&mut form).unwrap_or(Effect::Unsafe),
-            worth: form.or("worth", 1.0),
+            effect: effect(&mut form).unwrap_or(Effect::NonIdempotent),
+            priority_weight: form.or("worth", 1.0),
             late_share,
             stream: form.or("stream", false),
         });
@@ -53,14 +53,14 @@
     let mut form = form.need("effect")?;
     let word = form.word("effect", &[("safe", 0), ("keyed", 1), ("unsafe", 2)])?;
     let effect = match word {
-        0 => Effect::Safe,
+        0 => Effect::Idempotent,
         1 => {
-            let group = [("all", Group::All), ("zone", Group::Zone), ("cell", Group::Cell)];
+            let group = [("all", KeyScope::All), ("zone", KeyScope::Zone), ("cell", KeyScope::Cell)];
             let group = form.word("the group that drops repeats", &group);
             let window: Option<TimeSpan> = form.want("the window in which repeats are dropped");
-            Effect::Keyed { group: group?, window: window?.0 }
+            Effect::IdempotencyKey { scope: group?, window: window?.0 }
         }
-        _ => Effect::Unsafe,
+        _ => Effect::NonIdempotent,
     };
     form.end();
     Some(effect)
--- a/crates/config/src/settings/policy.rs
+++ b/crates/config/src/settings/policy.rs
@@ -6,7 +6,7 @@
 
 /// Reads how workers are discovered.
 pub(super) fn discovery(top: &mut Form) -> Discovery {
-    let words = [("push", Discovery::Push), ("ask", Discovery::Ask)];
+    let words = [("push", Discovery::Push), ("ask", Discovery::Poll)];
     top.word_or("discovery", &words, Discovery::Push)
 }
 
@@ -45,11 +45,11 @@
         orders: form.or("orders", true),
         order_timeout: form.span_or("order-timeout", 10_000_000),
         notes: form.or("notes", true),
-        crowd: form.or("crowd", true),
+        reports_concurrency: form.or("crowd", true),
         ration_window: window,
         ration_floor: floor,
         ration_share: share,
-        spent: false,
+        unknown_prior_orders: false,
         memory_price: form.or("memory-price", 0.0),
     };
     if loading.when_absent == WhenAbsent::Miss && !loading.orders {
@@ -66,11 +66,11 @@
         // Answers are due before the deadline: see (limits (answer-margin ...)).
         answer_grace: 0,
         drain_grace: form.span_or("drain-grace", 500_000),
-        must_ask_in: form.span_or("must-ask-in", 10_000_000),
+        must_poll_within: form.span_or("must-ask-in", 10_000_000),
         start_capacity: form.or("start-capacity", 1.0),
-        cold: form.span_or("cold", 0),
+        warm_up: form.span_or("cold", 0),
         overload_factor: form.or("overload-factor", 1.0),
-        fall: form.span_or("fall", 0),
+        overload_span: form.span_or("fall", 0),
     };
     if rules.start_capacity <= 0.0 || rules.start_capacity > 1.0 {
         form.fault("(start-capacity ...): a share above 0, at most 1");
--- a/crates/config/src/settings/tests.rs
+++ b/crates/config/src/settings/tests.rs
@@ -1,6 +1,6 @@
 //! The example, suggestions and faults.
 
-use nettleferry::{Effect, Group};
+use nettleferry::{Effect, KeyScope};
 
 use super::*;
 
@@ -16,7 +16,10 @@
     let text = include_str!("../../../../examples/nettleferry.sexp");
     let config = read("examples/nettleferry.sexp", text).unwrap_or_else(|e| panic!("{e}"));
     assert_eq!(config.classes, ["quick", "keyed", "once"]);
-    assert_eq!(config.settings.classes[1].effect, Effect::Keyed { group: Group::Zone, window: 5_000_000 });
+    assert_eq!(
+        config.settings.classes[1].effect,
+        Effect::IdempotencyKey { scope: KeyScope::Zone, window: 5_000_000 }
+    );
     assert_eq!(config.settings.loading.ration_window, 10_000_000);
     assert_eq!(config.models.find("climb-windhoek").expect("by prefix").lanes, 4);
 }
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -319,7 +319,7 @@
             tenant: open.tenant,
             function,
             left,
-            work_hint: open.work_hint,
+            cpu_time_hint: open.work_hint,
             lanes: open.lanes.max(1),
             load_time: open.load_time,
             repeat: open.repeat,
@@ -434,7 +434,7 @@
                 let Model { name, version } = model;
                 self.out.push(Command::Load { errand, worker, model: name, version, copies: count });
             }
-            Action::Unwanted { worker, function } => {
+            Action::CancelLoad { worker, function } => {
                 let ours = |e: &Errand| e.worker == worker && e.function == Some(function);
                 let ours = self.errands.iter().filter(|(_, e)| ours(e)).map(|(errand, _)| *errand);
                 self.out.extend(ours.map(|errand| Command::Unwanted { errand }));
@@ -506,7 +506,7 @@
             finished: true,
             elapsed: 0,
             note: None,
-            crowd: None,
+            concurrent_calls: None,
             report: None,
         });
     }
@@ -569,7 +569,7 @@
             finished,
             elapsed: self.now.saturating_sub(flight.sent),
             note: news.note,
-            crowd: news.crowd,
+            concurrent_calls: news.crowd,
             report: news.report,
         });
         match how {
--- a/crates/engine/src/names.rs
+++ b/crates/engine/src/names.rs
@@ -149,7 +149,7 @@
             weight: member.weight,
             cell: CellId(u64::from(number(&mut self.cells, &member.cell))),
             state: member.state,
-            born: member.born,
+            started_at: member.born,
         }
     }
 
--- a/crates/engine/src/outcome.rs
+++ b/crates/engine/src/outcome.rs
@@ -53,10 +53,10 @@
         match self {
             Self::Served | Self::Rejected(_) => Outcome::Ok,
             Self::NotConnected => Outcome::ConnectFailed,
-            Self::NotWritten => Outcome::Unsent,
-            Self::NoRoom | Self::RefusedStream | Self::GoneAway | Self::MarkedFull => Outcome::Full,
-            Self::MarkedMiss | Self::MarkedLoadFailed => Outcome::Miss,
-            Self::Unwanted => Outcome::Moot,
+            Self::NotWritten => Outcome::PartlySent,
+            Self::NoRoom | Self::RefusedStream | Self::GoneAway | Self::MarkedFull => Outcome::Rejected,
+            Self::MarkedMiss | Self::MarkedLoadFailed => Outcome::NotLoaded,
+            Self::Unwanted => Outcome::NeverSent,
             Self::Status { .. } | Self::Reset => Outcome::Error,
             Self::Broken => Outcome::Reset,
             Self::TimedOut => Outcome::Timeout,
@@ -68,7 +68,11 @@
     pub fn never_ran(&self) -> bool {
         matches!(
             self.outcome(),
-            Outcome::ConnectFailed | Outcome::Unsent | Outcome::Full | Outcome::Miss | Outcome::Moot
+            Outcome::ConnectFailed
+                | Outcome::PartlySent
+                | Outcome::Rejected
+                | Outcome::NotLoaded
+                | Outcome::NeverSent
         )
     }
 
--- a/crates/engine/tests/ledger.rs
+++ b/crates/engine/tests/ledger.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use nettleferry::{
-    Class, ClassId, Effect, Group, Limits, ListForm, Loading, Micros, Report, Reports, Rules, Settings,
+    Class, ClassId, Effect, KeyScope, Limits, ListForm, Loading, Micros, Report, Reports, Rules, Settings,
 };
 use nettleferry::{WhenAbsent, WorkerState};
 use nettleferry_engine::*;
@@ -14,19 +14,19 @@
 
 fn settings() -> Settings {
     let class = |effect| Class {
-        aim: 600 * MS,
+        latency_objective: 600 * MS,
         deadline: 4_000 * MS,
         effect,
-        worth: 1.0,
+        priority_weight: 1.0,
         late_share: 0.3,
         stream: false,
     };
     let mut settings = Settings {
         controllers: 1,
         classes: vec![
-            class(Effect::Safe),
-            class(Effect::Unsafe),
-            class(Effect::Keyed { group: Group::Zone, window: 1_000 * MS }),
+            class(Effect::Idempotent),
+            class(Effect::NonIdempotent),
+            class(Effect::IdempotencyKey { scope: KeyScope::Zone, window: 1_000 * MS }),
         ],
         reports: Reports::Answers,
         step: MS,
@@ -48,9 +48,9 @@
     };
     settings.rules = Rules {
         start_capacity: 0.2,
-        cold: 1_000 * MS,
+        warm_up: 1_000 * MS,
         overload_factor: 2.0,
-        fall: 500 * MS,
+        overload_span: 500 * MS,
         ..Rules::default()
     };
     settings
--- a/crates/engine/tests/soak.rs
+++ b/crates/engine/tests/soak.rs
@@ -12,11 +12,17 @@
 const S: Micros = 1_000_000;
 
 fn settings() -> Settings {
-    let class =
-        |effect| Class { aim: 600 * MS, deadline: 4 * S, effect, worth: 1.0, late_share: 0.2, stream: false };
+    let class = |effect| Class {
+        latency_objective: 600 * MS,
+        deadline: 4 * S,
+        effect,
+        priority_weight: 1.0,
+        late_share: 0.2,
+        stream: false,
+    };
     Settings {
         controllers: 1,
-        classes: vec![class(Effect::Safe), class(Effect::Unsafe)],
+        classes: vec![class(Effect::Idempotent), class(Effect::NonIdempotent)],
         step: 4 * MS,
         loading: Loading {
             when_absent: WhenAbsent::Miss,
@@ -35,9 +41,9 @@
         },
         rules: Rules {
             start_capacity: 0.2,
-            cold: 15 * S,
+            warm_up: 15 * S,
             overload_factor: 2.5,
-            fall: 2 * S,
+            overload_span: 2 * S,
             ..Rules::default()
         },
         ..Settings::default()
--- a/crates/gateway/benches/measure.rs
+++ b/crates/gateway/benches/measure.rs
@@ -87,10 +87,10 @@
     use nettleferry_engine::{Command, Ended, Engine, EngineLimits, Event, Member, News, Open};
     const CALLS: u64 = 300_000;
     let class = Class {
-        aim: 600_000,
+        latency_objective: 600_000,
         deadline: 4_000_000,
-        effect: Effect::Safe,
-        worth: 1.0,
+        effect: Effect::Idempotent,
+        priority_weight: 1.0,
         late_share: 0.3,
         stream: false,
     };
@@ -172,7 +172,7 @@
             tenant: None,
             function: FunctionId(n % 64),
             left: 4_000_000,
-            work_hint: None,
+            cpu_time_hint: None,
             lanes: 64,
             load_time: None,
             repeat: false,
@@ -190,7 +190,7 @@
                 finished: true,
                 elapsed: 40,
                 note: Some(LoadNote::Warm),
-                crowd: None,
+                concurrent_calls: None,
                 report: None,
             };
             module.handle(now + 40, event, &mut actions);
--- a/crates/gateway/src/controller.rs
+++ b/crates/gateway/src/controller.rs
@@ -165,7 +165,7 @@
         // An earlier life that kept a list may have given load orders just before it ended.
         let again = first.iter().any(|news| news.form == ListForm::Restored);
         let mut settings = config.settings.clone();
-        settings.loading.spent = again;
+        settings.loading.unknown_prior_orders = again;
         let mut engine = Engine::new(settings, config.zone.as_deref(), limits, seed)?;
         let signals = if signals { Some(patiently(|| watch_signals(&hub))?) } else { None };
         let links = LinkLimits { connections: edge.worker_connections, streams: edge.worker_streams };
--- a/crates/gateway/src/front/mod.rs
+++ b/crates/gateway/src/front/mod.rs
@@ -363,10 +363,10 @@
         let class = classes.get(class)?;
         let due = self.rpcs.get(&stream).and_then(|rpc| rpc.due);
         let left = due.map_or(class.deadline, |due| due.saturating_sub(around.now).min(class.deadline));
-        let dearest = classes.iter().map(|c| c.worth).fold(f64::MIN_POSITIVE, f64::max);
-        let careful = class.effect != nettleferry::Effect::Safe;
-        let (left, aim) = (left / 1000, class.aim / 1000);
-        let asked = Asked { left, aim, worth: class.worth / dearest, careful, model };
+        let dearest = classes.iter().map(|c| c.priority_weight).fold(f64::MIN_POSITIVE, f64::max);
+        let careful = class.effect != nettleferry::Effect::Idempotent;
+        let (left, aim) = (left / 1000, class.latency_objective / 1000);
+        let asked = Asked { left, aim, worth: class.priority_weight / dearest, careful, model };
         match gate.ask(around.now / 1000, &asked, rand::random()) {
             Verdict::Take => None,
             Verdict::Refuse(wait) => Some(Duration::from_millis(wait)),
--- a/crates/gateway/src/observe.rs
+++ b/crates/gateway/src/observe.rs
@@ -51,7 +51,7 @@
         let admission = nettleferry_admission::admission::WHY.iter().map(|(_, name)| *name);
         let limits: Vec<&str> = LIMITS.into_iter().chain(admission).collect();
         let figures = Arc::new(Figures::new(slots, &limits));
-        let aims = config.settings.classes.iter().map(|c| c.aim).collect();
+        let aims = config.settings.classes.iter().map(|c| c.latency_objective).collect();
         Self { figures, aims, counts: config.figures.count }
     }
 
@@ -94,7 +94,7 @@
             Note::OrderSent => self.figures.order_sent(),
             Note::Order(outcome) => self.figures.order(match outcome {
                 Outcome::Ok => 0,
-                Outcome::Full => 1,
+                Outcome::Rejected => 1,
                 Outcome::Timeout => 3,
                 _ => 2,
             }),
@@ -106,7 +106,7 @@
     pub fn refresh(&self, engine: &Engine, net: &NetCounters, front: &FrontCounters, no_room: u64) {
         let mut workers = [0; 4];
         for health in engine.health() {
-            let at = match (health.state, health.down, health.barred) {
+            let at = match (health.state, health.down, health.ejected) {
                 (WorkerState::Draining, _, _) => 1,
                 (_, true, _) => 3,
                 (_, _, true) => 2,
@@ -175,13 +175,13 @@
     match after {
         None | Some(Outcome::Ok) => 0,
         Some(Outcome::Error) => 1,
-        Some(Outcome::Full) => 2,
+        Some(Outcome::Rejected) => 2,
         Some(Outcome::Timeout) => 3,
-        Some(Outcome::ConnectFailed | Outcome::Unsent) => 4,
+        Some(Outcome::ConnectFailed | Outcome::PartlySent) => 4,
         Some(Outcome::Reset) => 5,
         Some(Outcome::Cancelled) => 6,
-        Some(Outcome::Moot) => 7,
-        Some(Outcome::Miss) => 8,
+        Some(Outcome::NeverSent) => 7,
+        Some(Outcome::NotLoaded) => 8,
     }
 }
 
--- a/crates/node/src/guard.rs
+++ b/crates/node/src/guard.rs
@@ -100,7 +100,7 @@
         if self.out {
             return Err(Violation::OverlappingAttempt);
         }
-        if self.may_have_run && self.effect == Effect::Unsafe {
+        if self.may_have_run && self.effect == Effect::NonIdempotent {
             return Err(Violation::RepeatAfterEffect);
         }
         Ok(())
@@ -141,7 +141,10 @@
 
 /// May a request that may have run be refused, as if a new try did no harm?
 pub fn may_refuse(may_have_run: bool, effect: Effect) -> Result<(), Violation> {
-    let harmless = matches!(effect, Effect::Safe | Effect::Keyed { group: nettleferry::Group::All, .. });
+    let harmless = matches!(
+        effect,
+        Effect::Idempotent | Effect::IdempotencyKey { scope: nettleferry::KeyScope::All, .. }
+    );
     if may_have_run && !harmless { Err(Violation::RefusedAfterEffect) } else { Ok(()) }
 }
 
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -107,7 +107,7 @@
 impl ClassTerms {
     fn of(name: &str, class: &nettleferry::Class) -> Self {
         let window = match class.effect {
-            Effect::Keyed { window, .. } => Some(Duration::from_micros(window)),
+            Effect::IdempotencyKey { window, .. } => Some(Duration::from_micros(window)),
             _ => None,
         };
         Self { name: Arc::from(name), effect: class.effect, window }
@@ -630,7 +630,7 @@
         count.violations.report(Violation::AnswerForNobody, &mark);
         return end;
     };
-    let effect = classes.get(call.class.0).map_or(Effect::Unsafe, |class| class.effect);
+    let effect = classes.get(call.class.0).map_or(Effect::NonIdempotent, |class| class.effect);
     let refused = matches!(end, End::Refused { .. });
     match guard::may_refuse(call.attempts.may_have_run(), effect) {
         Err(violation) if refused => {
--- a/crates/platform-settings/src/lib.rs
+++ b/crates/platform-settings/src/lib.rs
@@ -58,7 +58,7 @@
         tenants,
         over_quota_worth: fields.real("over_share_worth")?.unwrap_or(1.0),
         discovery: fields
-            .word("discovery", &[("push", Discovery::Push), ("ask", Discovery::Ask)])?
+            .word("discovery", &[("push", Discovery::Push), ("ask", Discovery::Poll)])?
             .unwrap_or(Discovery::Push),
         reports: stats
             .word(
@@ -103,10 +103,10 @@
             return Err(class.fault("deadline_ms", "is no time"));
         }
         classes.push(Class {
-            aim: class.span("goal_time_ms")?.unwrap_or(deadline),
+            latency_objective: class.span("goal_time_ms")?.unwrap_or(deadline),
             deadline,
             effect: effect(&class)?,
-            worth: class.real("points")?.unwrap_or(1.0),
+            priority_weight: class.real("points")?.unwrap_or(1.0),
             late_share: class.real("late_share")?.unwrap_or(0.0),
             stream: class.yes("stream")?,
         });
@@ -116,15 +116,15 @@
 
 /// What a repeat of a class may do; where nothing is told, it may do anything.
 fn effect(class: &Fields) -> Result<Effect, SettingsFault> {
-    let groups = [("all", Group::All), ("zone", Group::Zone), ("cell", Group::Cell)];
-    let group = class.word("key_scope", &groups)?.unwrap_or(Group::All);
+    let groups = [("all", KeyScope::All), ("zone", KeyScope::Zone), ("cell", KeyScope::Cell)];
+    let group = class.word("key_scope", &groups)?.unwrap_or(KeyScope::All);
     let window = class.span("repeat_window_ms")?.unwrap_or(0);
     let effects = [
-        ("free", Effect::Safe),
-        ("guarded", Effect::Keyed { group, window }),
-        ("single_shot", Effect::Unsafe),
+        ("free", Effect::Idempotent),
+        ("guarded", Effect::IdempotencyKey { scope: group, window }),
+        ("single_shot", Effect::NonIdempotent),
     ];
-    Ok(class.word("effect", &effects)?.unwrap_or(Effect::Unsafe))
+    Ok(class.word("effect", &effects)?.unwrap_or(Effect::NonIdempotent))
 }
 
 fn tenants(fields: &Fields) -> Result<(Vec<String>, Vec<Tenant>), SettingsFault> {
@@ -145,11 +145,11 @@
         orders: family.yes("orders")?,
         order_timeout: family.span("order_timeout_ms")?.unwrap_or(0),
         notes: family.yes("warm_notes")?,
-        crowd: family.yes("counts_alike")?,
+        reports_concurrency: family.yes("counts_alike")?,
         ration_window: family.span("load_period_ms")?.unwrap_or(0),
         ration_floor: family.real("load_floor")?.unwrap_or(0.0),
         ration_share: family.real("load_share")?.unwrap_or(0.0),
-        spent: false,
+        unknown_prior_orders: false,
         memory_price: family.real("memory_price")?.unwrap_or(0.0),
     })
 }
@@ -170,10 +170,10 @@
     Ok(Rules {
         answer_grace: obligations.span("grace_to_answer_ms")?.unwrap_or(0),
         drain_grace: obligations.span("stop_sending_within_ms")?.unwrap_or(0),
-        must_ask_in: obligations.span("must_ask_in_ms")?.unwrap_or(0),
+        must_poll_within: obligations.span("must_ask_in_ms")?.unwrap_or(0),
         start_capacity: obligations.real("start_capacity")?.unwrap_or(1.0),
-        cold: obligations.span("cold_ms")?.unwrap_or(0),
+        warm_up: obligations.span("cold_ms")?.unwrap_or(0),
         overload_factor: obligations.real("overload_factor")?.unwrap_or(1.0),
-        fall: obligations.span("fall_ms")?.unwrap_or(0),
+        overload_span: obligations.span("fall_ms")?.unwrap_or(0),
     })
 }
--- a/crates/platform-settings/tests/faults.rs
+++ b/crates/platform-settings/tests/faults.rs
@@ -1,6 +1,6 @@
 //! Settings that are spoilt are refused by the path of the field; what is absent, or at its bound, is not.
 
-use nettleferry::{Effect, Group, Weights};
+use nettleferry::{Effect, KeyScope, Weights};
 use nettleferry_platform_settings::read;
 use serde_json::{Value, json};
 
@@ -31,8 +31,11 @@
     assert_eq!((site.settings.controllers, site.settings.limits.max_attempts), (3, 3), "3.0 is 3");
     assert_eq!((site.streams, site.open_calls), (u32::MAX, Some(1 << 32)), "no more than fits");
     assert_eq!(site.settings.weights, Weights::Live);
-    let keyed = Effect::Keyed { group: Group::Cell, window: 0 };
-    assert_eq!((site.settings.classes[0].effect, site.settings.classes[1].effect), (Effect::Safe, keyed));
+    let keyed = Effect::IdempotencyKey { scope: KeyScope::Cell, window: 0 };
+    assert_eq!(
+        (site.settings.classes[0].effect, site.settings.classes[1].effect),
+        (Effect::Idempotent, keyed)
+    );
     assert_eq!(site.settings.tenants[0].quota_per_s, None);
     assert!(!site.settings.limits.cancel, "null is absent");
 }
--- a/crates/scale/src/measure/module/driver.rs
+++ b/crates/scale/src/measure/module/driver.rs
@@ -135,7 +135,7 @@
             tenant: None,
             function,
             left: CLIENT_WAITS,
-            work_hint: None,
+            cpu_time_hint: None,
             lanes: LANES,
             load_time: None,
             repeat: false,
@@ -205,7 +205,7 @@
                 self.close(request);
             }
             Action::Cancel { .. }
-            | Action::Unwanted { .. }
+            | Action::CancelLoad { .. }
             | Action::Unload { .. }
             | Action::Watch
             | Action::Fetch
@@ -225,7 +225,7 @@
             finished: true,
             elapsed: self.answer_after,
             note: Some(LoadNote::Warm),
-            crowd: None,
+            concurrent_calls: None,
             report: Some(REPORT),
         };
         self.schedule(self.answer_after, event);
--- a/crates/scale/src/measure/module/mod.rs
+++ b/crates/scale/src/measure/module/mod.rs
@@ -81,10 +81,10 @@
 impl Script {
     fn settings(&self) -> Settings {
         let class = Class {
-            aim: 600_000,
+            latency_objective: 600_000,
             deadline: 4_000_000,
-            effect: Effect::Safe,
-            worth: 1.0,
+            effect: Effect::Idempotent,
+            priority_weight: 1.0,
             late_share: 0.3,
             stream: false,
         };
--- a/crates/scale/src/measure/module/play.rs
+++ b/crates/scale/src/measure/module/play.rs
@@ -72,7 +72,7 @@
             weight: 1.0,
             cell: CellId(number / WORKERS_IN_CELL),
             state: WorkerState::On,
-            born,
+            started_at: born,
         }
     }
 
--- a/crates/scenario/src/audit.rs
+++ b/crates/scenario/src/audit.rs
@@ -8,7 +8,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-use nettleferry::{Effect, Group, Micros, WorkerState};
+use nettleferry::{Effect, KeyScope, Micros, WorkerState};
 use nettleferry_test_servers::Seen;
 
 use crate::attempts::{Attempt, Links, attempts};
@@ -177,10 +177,11 @@
 ) {
     let mut breach = |at, what: String| found.push(of_call(2, at, id, &what));
     let runs: Vec<&Attempt> = tries.iter().filter(|a| a.ran).collect();
-    if *call.effect == Effect::Unsafe && runs.len() > 1 {
+    if *call.effect == Effect::NonIdempotent && runs.len() > 1 {
         breach(runs[1].came, format!("unsafe, and ran at {} and at {}", runs[0].worker, runs[1].worker));
     }
-    let harmless = matches!(call.effect, Effect::Safe | Effect::Keyed { group: Group::All, .. });
+    let harmless =
+        matches!(call.effect, Effect::Idempotent | Effect::IdempotencyKey { scope: KeyScope::All, .. });
     if let Some((at, Final::Refused)) = call.finals.first()
         && !harmless
         && let Some(ran) = runs.first()
@@ -196,7 +197,7 @@
     }
     // The first attempt that may have run binds a keyed call to its group and window.
     let maybe = tries.iter().position(Attempt::may_have_run);
-    if let (Effect::Keyed { group, window }, Some(first)) = (call.effect, maybe) {
+    if let (Effect::IdempotencyKey { scope: group, window }, Some(first)) = (call.effect, maybe) {
         let place = |worker: &str| evidence.places.get(worker).cloned().unwrap_or_default();
         let (bound, home) = (&tries[first].worker, place(&tries[first].worker));
         // It had left when the next one came, however late it arrived itself.
@@ -204,9 +205,9 @@
         for later in &tries[first + 1..] {
             let there = place(&later.worker);
             let within = match group {
-                Group::All => true,
-                Group::Zone => there.zone == home.zone,
-                Group::Cell => there.cell == home.cell,
+                KeyScope::All => true,
+                KeyScope::Zone => there.zone == home.zone,
+                KeyScope::Cell => there.cell == home.cell,
             };
             if !within {
                 let what = format!("keyed, repeated at {} outside the group of {bound}", later.worker);
--- a/crates/scenario/src/traffic.rs
+++ b/crates/scenario/src/traffic.rs
@@ -227,7 +227,7 @@
                 deadline,
                 effect: settings.effect,
                 class: self.plan.config.classes[class].clone(),
-                aim: settings.aim,
+                aim: settings.latency_objective,
                 slow,
             },
         );
--- a/crates/scenario/tests/audit.rs
+++ b/crates/scenario/tests/audit.rs
@@ -1,6 +1,6 @@
 //! The audit on doctored records: a sound day has no finding, and each way to break a rule has its own.
 
-use nettleferry::{Effect, Group, WorkerState};
+use nettleferry::{Effect, KeyScope, WorkerState};
 use nettleferry_scenario::audit::{Breach, Slack, audit};
 use nettleferry_scenario::evidence::*;
 use nettleferry_test_servers::{Record, Seen};
@@ -90,11 +90,11 @@
     assert!(found.iter().any(|b| b.what.contains(words)), "{words:?} in {found:?}");
 }
 
-const KEYED: Effect = Effect::Keyed { group: Group::Zone, window: 2 * S };
+const KEYED: Effect = Effect::IdempotencyKey { scope: KeyScope::Zone, window: 2 * S };
 
 #[test]
 fn a_sound_day_has_no_finding() {
-    for effect in [Effect::Safe, Effect::Unsafe, KEYED] {
+    for effect in [Effect::Idempotent, Effect::NonIdempotent, KEYED] {
         assert_eq!(findings(&served(effect)), vec![]);
     }
 }
@@ -102,7 +102,7 @@
 #[test]
 fn rule_1_a_call_without_an_answer() {
     let mut e = empty();
-    sent(&mut e, S, "x", Effect::Safe);
+    sent(&mut e, S, "x", Effect::Idempotent);
     breaks(&e, 1, "no final answer");
     client(&mut e, S + 5, "x", ClientSaw::Lost);
     breaks(&e, 1, "its connection broke");
@@ -115,28 +115,28 @@
 
 #[test]
 fn rule_1_two_answers_a_late_one_and_a_part_after_it() {
-    let mut twice = served(Effect::Safe);
+    let mut twice = served(Effect::Idempotent);
     client(&mut twice, S + 30 * MS, "x", ClientSaw::Final(Final::Refused));
     breaks(&twice, 1, "2 final answers");
     let mut late = empty();
-    sent(&mut late, S, "x", Effect::Safe);
+    sent(&mut late, S, "x", Effect::Idempotent);
     client(&mut late, 4 * S + 5 * MS, "x", ClientSaw::Final(Final::Failed));
     breaks(&late, 1, "5 ms after its deadline");
     late.stalls.push((0, During { from: 2 * S, to: 4 * S }));
     assert_eq!(findings(&late), vec![], "it stood still");
-    let mut part = served(Effect::Safe);
+    let mut part = served(Effect::Idempotent);
     client(&mut part, S + 40 * MS, "x", ClientSaw::Part);
     breaks(&part, 1, "a part after the final answer");
 }
 
 #[test]
 fn rule_1_an_attempt_after_the_end() {
-    let mut e = served(Effect::Safe);
+    let mut e = served(Effect::Idempotent);
     came(&mut e, 2 * S, "w2", 1, "x");
     answered(&mut e, 2 * S + 1, "w2", 1, true);
     breaks(&e, 1, "reached w2 after the call had ended");
     let mut cancelled = empty();
-    sent(&mut cancelled, S, "x", Effect::Safe);
+    sent(&mut cancelled, S, "x", Effect::Idempotent);
     client(&mut cancelled, S + 1, "x", ClientSaw::Cancelled);
     assert_eq!(findings(&cancelled), vec![]);
     came(&mut cancelled, 2 * S, "w2", 1, "x");
@@ -146,7 +146,7 @@
 
 #[test]
 fn rule_2_an_unsafe_call_runs_twice() {
-    let mut e = served(Effect::Unsafe);
+    let mut e = served(Effect::NonIdempotent);
     came(&mut e, S + 20 * MS, "w2", 1, "x");
     answered(&mut e, S + 20 * MS, "w2", 1, true);
     assert_eq!(findings(&e), vec![], "sent twice, ran once");
@@ -165,10 +165,10 @@
         client(&mut e, S + 30 * MS, "x", ClientSaw::Final(Final::Refused));
         e
     };
-    breaks(&refused(Effect::Unsafe), 2, "refused, and ran at w1");
+    breaks(&refused(Effect::NonIdempotent), 2, "refused, and ran at w1");
     breaks(&refused(KEYED), 2, "refused, and ran at w1");
-    assert_eq!(findings(&refused(Effect::Safe)), vec![]);
-    assert_eq!(findings(&refused(Effect::Keyed { group: Group::All, window: S })), vec![]);
+    assert_eq!(findings(&refused(Effect::Idempotent)), vec![]);
+    assert_eq!(findings(&refused(Effect::IdempotencyKey { scope: KeyScope::All, window: S })), vec![]);
 }
 
 #[test]
@@ -192,7 +192,7 @@
 #[test]
 fn rule_2_attempts_overlap() {
     let mut e = empty();
-    sent(&mut e, S, "x", Effect::Safe);
+    sent(&mut e, S, "x", Effect::Idempotent);
     came(&mut e, S, "w1", 1, "x");
     came(&mut e, 2 * S, "w2", 1, "x");
     answered(&mut e, 2 * S + 1, "w2", 1, false);
@@ -232,7 +232,7 @@
 
 #[test]
 fn an_attempt_that_a_cut_link_held_back_is_judged_by_its_number_and_its_link() {
-    for effect in [Effect::Safe, KEYED] {
+    for effect in [Effect::Idempotent, KEYED] {
         let mut e = overtaken(effect);
         if effect == KEYED {
             e.places.get_mut("w2").expect("there").zone = "a".into();
@@ -240,7 +240,7 @@
         assert_eq!(findings(&e), vec![], "sound: {effect:?}");
     }
     // It ran on after the link had healed: it had not been withdrawn.
-    let mut ran = overtaken(Effect::Safe);
+    let mut ran = overtaken(Effect::Idempotent);
     record(&mut ran, "w2", |s| matches!(s, Seen::Gone { .. })).seen =
         Seen::Answered { stream: 1, served: true, never_ran: false };
     assert_eq!(findings(&ran), vec![], "answered in the moment of reading");
@@ -251,16 +251,16 @@
         "{found:?}"
     );
     // Withdrawn long after the link had healed.
-    let mut late = overtaken(Effect::Safe);
+    let mut late = overtaken(Effect::Idempotent);
     record(&mut late, "w2", |s| matches!(s, Seen::Gone { .. })).at = 4 * S;
     breaks(&late, 2, "began while one at w2 was open");
     // The link was whole: its coming late is a late sending, after the call's end.
-    let mut whole = overtaken(Effect::Safe);
+    let mut whole = overtaken(Effect::Idempotent);
     whole.cuts.clear();
     let found = findings(&whole);
     assert!(found.iter().any(|b| b.rule == 1 && b.what.contains("reached w2 after the call had ended")));
     // A cut of another link excuses nothing.
-    let mut other = overtaken(Effect::Safe);
+    let mut other = overtaken(Effect::Idempotent);
     other.cuts[0].0 = "w3".into();
     assert_eq!(findings(&other), found);
 }
@@ -271,7 +271,7 @@
     // healing, and w1 works on.
     let overlap = |over: Seen, at: u64| {
         let mut e = empty();
-        sent(&mut e, S, "x", Effect::Safe);
+        sent(&mut e, S, "x", Effect::Idempotent);
         came(&mut e, S + 1, "w1", 1, "x");
         cut(&mut e, "w1", S + 100 * MS, 2 * S);
         came(&mut e, S + 500 * MS, "w2", 1, "x");
@@ -302,7 +302,7 @@
 
 #[test]
 fn an_unsafe_call_repeated_behind_a_cut_link_is_found_when_it_runs() {
-    let mut e = overtaken(Effect::Unsafe);
+    let mut e = overtaken(Effect::NonIdempotent);
     assert_eq!(findings(&e), vec![], "it was withdrawn before it ran");
     worker(&mut e, 3 * S + 12 * MS + 500, "w2", Seen::Runs { stream: 1 });
     breaks(&e, 2, "unsafe, and ran at w2 and at w1");
@@ -331,7 +331,7 @@
 
 #[test]
 fn attempts_carry_a_number_each_its_own() {
-    let mut e = overtaken(Effect::Safe);
+    let mut e = overtaken(Effect::Idempotent);
     if let Seen::Call { attempt, .. } = &mut record(&mut e, "w1", |s| matches!(s, Seen::Call { .. })).seen {
         *attempt = Some(0);
     }
@@ -362,7 +362,7 @@
 #[test]
 fn rule_3_something_new_after_the_drain_grace() {
     let told = |at: u64| {
-        let mut e = served(Effect::Safe);
+        let mut e = served(Effect::Idempotent);
         e.told.push(Told { at, worker: "w1".into(), state: WorkerState::Draining });
         e
     };
@@ -373,7 +373,7 @@
     assert_eq!(findings(&back), vec![], "it is on again");
     let mut order = empty();
     order.told.push(Told { at: S, worker: "w1".into(), state: WorkerState::Gone });
-    sent(&mut order, 3 * S, "y", Effect::Safe);
+    sent(&mut order, 3 * S, "y", Effect::Idempotent);
     client(&mut order, 3 * S + 1, "y", ClientSaw::Final(Final::Refused));
     let seen = Seen::Order { controller: "0".into(), model: "echo".into(), copies: 1 };
     worker(&mut order, 3 * S, "w1", seen);
@@ -394,7 +394,7 @@
     let orders = |times: &[u64], calls: u64| {
         let mut e = empty();
         for n in 0..calls {
-            sent(&mut e, S + n, &format!("c{n}"), Effect::Safe);
+            sent(&mut e, S + n, &format!("c{n}"), Effect::Idempotent);
             client(&mut e, S + n + 1, &format!("c{n}"), ClientSaw::Final(Final::Served));
         }
         for at in times {
--- a/src/choice.rs
+++ b/src/choice.rs
@@ -66,7 +66,7 @@
 const SHUN_LOADS: f64 = 0.5;
 /// One that did so this often in a row is no home for a while; a load that failed counts as so many.
 const TURNED_AWAY: u32 = 3;
-/// Waits before asking a list that failed again: the first, doubled up to a share of `must_ask_in`.
+/// Waits before asking a list that failed again: the first, doubled up to a share of `must_poll_within`.
 const ASK_FIRST: Micros = 200_000;
 pub(crate) const FORGET_SPANS: Micros = 3;
 
@@ -93,14 +93,24 @@
         self.forget_open();
         if self.started.is_none() {
             self.started = Some(now);
-            if self.settings.discovery == Discovery::Ask {
+            if self.settings.discovery == Discovery::Poll {
                 self.out.push(Action::Watch);
             }
         }
         match event {
             Event::Workers { form, entries } => self.workers_told(form, entries),
             Event::Request(request) => self.request(request),
-            Event::Outcome { request, attempt, outcome, finished, elapsed, note, crowd, report, .. } => {
+            Event::Outcome {
+                request,
+                attempt,
+                outcome,
+                finished,
+                elapsed,
+                note,
+                concurrent_calls: crowd,
+                report,
+                ..
+            } => {
                 let key = (request, attempt);
                 if let (Some(at), Some(report)) = (self.flights.get(&key).map(|f| f.worker), report) {
                     self.news(at, report);
@@ -122,12 +132,13 @@
 
     fn workers_told(&mut self, form: ListForm, entries: Vec<WorkerEntry>) {
         if form == ListForm::Failed {
-            if self.settings.discovery == Discovery::Ask {
+            if self.settings.discovery == Discovery::Poll {
                 // Asked again after a wait that grows, never so long that what it held is deemed told.
                 self.random = mix(self.random);
                 let wait = self.ask_wait / 2 + self.random % (self.ask_wait / 2).max(1);
                 self.due.insert((self.now + wait, Due::Ask));
-                self.ask_wait = (self.ask_wait * 2).min((self.settings.rules.must_ask_in / 4).max(ASK_FIRST));
+                self.ask_wait =
+                    (self.ask_wait * 2).min((self.settings.rules.must_poll_within / 4).max(ASK_FIRST));
             }
             return;
         }
@@ -147,7 +158,7 @@
             let fresh = || Worker { bar: BAR_FIRST, heard: self.now, ..Worker::default() };
             let known = self.workers.contains_key(&id);
             let worker = self.workers.entry(id).or_insert_with(fresh);
-            let anew = entry.born.is_some() && entry.born != worker.entry.born;
+            let anew = entry.started_at.is_some() && entry.started_at != worker.entry.started_at;
             self.fleet.set(id, (entry.state == WorkerState::On).then(|| weight(&self.settings, &entry)));
             let gone = entry.state == WorkerState::Gone;
             _ = if gone { self.gone.insert(id) } else { self.gone.remove(&id) };
@@ -155,8 +166,8 @@
             if anew {
                 // A restart: it is empty and cold, and past failures say nothing of it.
                 // What an earlier life of ours sent it is not known: a fall span passes first.
-                let before = self.started.filter(|s| worker.entry.born < Some(*s));
-                worker.starts(worker.entry.born, before.map(|s| s + self.settings.rules.fall));
+                let before = self.started.filter(|s| worker.entry.started_at < Some(*s));
+                worker.starts(worker.entry.started_at, before.map(|s| s + self.settings.rules.overload_span));
                 (worker.failing, worker.barred, worker.bar, worker.down) = (0.0, false, BAR_FIRST, false);
                 if known {
                     self.forget_copies(id);
@@ -256,7 +267,7 @@
         let there = |f: &Function| !f.warm.is_empty() || !f.loading.is_empty();
         let miss = self.settings.loading.when_absent == WhenAbsent::Miss
             && !self.functions.get(&call.function).is_some_and(there);
-        let aim = self.settings.classes[call.class].aim as f64;
+        let aim = self.settings.classes[call.class].latency_objective as f64;
         let heard = worker.told.map_or(0, |t| t.1).max(worker.strained.1);
         let asks = self.settings.limits.probes && self.settings.reports != Reports::None;
         let blind = worker.told.is_some_and(|(report, _)| report.util.is_none());
@@ -275,7 +286,7 @@
         let asks = self.settings.limits.probes && self.settings.reports != Reports::None;
         let Some(call) = self.calls.get_mut(&id) else { return };
         if !call.held {
-            let (aim, function) = (self.settings.classes[call.class].aim, call.function);
+            let (aim, function) = (self.settings.classes[call.class].latency_objective, call.function);
             let mean = self.functions.get(&function).map_or(0.0, Function::mean) as Micros;
             let hope = call.arrived + aim.saturating_sub(mean);
             call.priority.0 = self.now >= hope;
@@ -334,7 +345,7 @@
         let order = |only| self.along(call.function, function, call.class, only);
         let along = || last.into_iter().chain(order(Some(&function.warm)));
         let stand = || along().filter(|w| warm(w) && may(*w) && call.avoid != Some(*w));
-        let aim = self.settings.classes[call.class].aim as f64;
+        let aim = self.settings.classes[call.class].latency_objective as f64;
         let wait = (aim * NEWS_WAIT) as Micros;
         let asked = function.loading.values().any(|&t| self.now < t + wait);
         let eased = stand().find(|w| strain(*w) < 1.0);
@@ -393,7 +404,7 @@
         let warm = self.warm_at(function, id);
         let there = function.out.get(&id).copied().unwrap_or(0);
         // Health: a barred worker takes one trial at a time once its bar is over, none of them unsafe.
-        let unsafe_call = self.settings.classes[call.class].effect == Effect::Unsafe;
+        let unsafe_call = self.settings.classes[call.class].effect == Effect::NonIdempotent;
         let barred = self.shut(worker) || worker.barred && unsafe_call;
         // The design's bound. Calls that wait for a load use no core: they count for their own function only.
         // One call starts a load; the others wait here, not in the worker's slots.
@@ -412,7 +423,7 @@
 
     /// Its report, no older than an aim, tells of idle cores: others' calls there do not fill the bound.
     fn idle(&self, worker: &Worker, class: usize) -> bool {
-        let since = self.now.saturating_sub(self.settings.classes[class].aim);
+        let since = self.now.saturating_sub(self.settings.classes[class].latency_objective);
         worker.told.is_some_and(|(r, at)| at >= since && r.util.is_some_and(|u| u < UTIL_ROOM))
     }
 
@@ -421,8 +432,12 @@
         let Some((first, _)) = call.ran else { return true };
         let there = self.workers.get(&first).map(|w| &w.entry);
         let scope = match self.settings.classes[call.class].effect {
-            Effect::Keyed { group: Group::Zone, .. } => there.is_some_and(|t| t.zone == worker.entry.zone),
-            Effect::Keyed { group: Group::Cell, .. } => there.is_some_and(|t| t.cell == worker.entry.cell),
+            Effect::IdempotencyKey { scope: KeyScope::Zone, .. } => {
+                there.is_some_and(|t| t.zone == worker.entry.zone)
+            }
+            Effect::IdempotencyKey { scope: KeyScope::Cell, .. } => {
+                there.is_some_and(|t| t.cell == worker.entry.cell)
+            }
             _ => true,
         };
         scope && self.repeatable(call)
@@ -432,9 +447,9 @@
     fn repeatable(&self, call: &Call) -> bool {
         let Some((_, since)) = call.ran else { return true };
         match self.settings.classes[call.class].effect {
-            Effect::Safe => true,
-            Effect::Unsafe => false,
-            Effect::Keyed { window, .. } => self.now + self.settings.step < since + window,
+            Effect::Idempotent => true,
+            Effect::NonIdempotent => false,
+            Effect::IdempotencyKey { window, .. } => self.now + self.settings.step < since + window,
         }
     }
 
@@ -470,7 +485,7 @@
 
     /// Rule on cold workers: what one may be sent is dealt out call by call, to one controller after another.
     fn cold_room(&self, worker: &Worker, class: usize) -> bool {
-        !self.cold(worker) || self.settings.rules.fall == 0 || self.cold_part(worker, class).0
+        !self.cold(worker) || self.settings.rules.overload_span == 0 || self.cold_part(worker, class).0
     }
 
     /// Is a part at a cold worker ours now, and how much will have been dealt out when our next one is?
@@ -492,8 +507,8 @@
     /// the span before, as it grows and no window may hold more than what it bore at its beginning.
     fn dealt(&self, worker: &Worker, by: Micros) -> (f64, f64) {
         let (rules, age) = (&self.settings.rules, by.saturating_sub(worker.born.unwrap_or(by)));
-        let (fall, late) = (rules.fall as f64, age.saturating_sub(rules.fall) as f64);
-        let grown = late * (1.0 - rules.start_capacity) / rules.cold as f64;
+        let (fall, late) = (rules.overload_span as f64, age.saturating_sub(rules.overload_span) as f64);
+        let grown = late * (1.0 - rules.start_capacity) / rules.warm_up as f64;
         let borne = |from: f64| rules.overload_factor * (rules.start_capacity + grown * from);
         let dealt = borne(0.0) * age as f64 + (borne(0.5) - borne(0.0)) * late;
         (COLD_DEALT * dealt + (1.0 - COLD_DEALT) * borne(0.0) * fall, borne(1.0) * fall)
@@ -501,7 +516,7 @@
 
     /// Core time of a call of this class, as far as seen.
     fn work(&self, class: usize) -> f64 {
-        self.class_work[class].unwrap_or(self.settings.classes[class].aim as f64 / 4.0)
+        self.class_work[class].unwrap_or(self.settings.classes[class].latency_objective as f64 / 4.0)
     }
 
     fn send(&mut self, id: RequestId, to: WorkerId) {
@@ -556,7 +571,7 @@
     fn silence(&self, flight: &Flight) -> Micros {
         let Some(function) = self.functions.get(&flight.function) else { return Micros::MAX / 4 };
         let load = if flight.loading { self.load_span(function) * STUCK_LOADS } else { 0.0 };
-        let least = self.settings.classes[flight.class].aim as f64 * SILENT_AIMS;
+        let least = self.settings.classes[flight.class].latency_objective as f64 * SILENT_AIMS;
         ((function.mean() * SILENT_LATENCIES).max(least) + load) as Micros
     }
 
@@ -579,7 +594,7 @@
         }
         match outcome {
             Outcome::Ok => self.served(&flight, elapsed as f64, note, crowd),
-            Outcome::Miss => {
+            Outcome::NotLoaded => {
                 // The copy has gone, or its load failed: nothing brings it back by itself. Missed again after
                 // an order, it is a new version: what was found warm before that order is void as well.
                 let begun = self.functions.get(&flight.function).is_some_and(|f| self.begun(f));
@@ -590,19 +605,19 @@
                 }
             }
             // No room for a copy says nothing of the cores: that function goes elsewhere for a while.
-            Outcome::Full if flight.loading => self.shun(flight.function, at, 1),
-            Outcome::Full => self.strained(at, STRAIN_FULL),
+            Outcome::Rejected if flight.loading => self.shun(flight.function, at, 1),
+            Outcome::Rejected => self.strained(at, STRAIN_FULL),
             _ => {}
         }
         if finished {
             self.finish(id);
         } else if let Some(call) = self.calls.get_mut(&id) {
             call.out = call.out.filter(|out| *out != number);
-            let unsent = matches!(outcome, Outcome::ConnectFailed | Outcome::Unsent | Outcome::Moot);
-            if !unsent && !matches!(outcome, Outcome::Full | Outcome::Miss) {
+            let unsent = matches!(outcome, Outcome::ConnectFailed | Outcome::PartlySent | Outcome::NeverSent);
+            if !unsent && !matches!(outcome, Outcome::Rejected | Outcome::NotLoaded) {
                 call.ran = call.ran.or(Some((at, flight.sent)));
             }
-            if outcome != Outcome::Miss {
+            if outcome != Outcome::NotLoaded {
                 call.avoid = Some(at);
             }
             self.again(id, outcome);
@@ -615,7 +630,7 @@
         self.found(flight.function, at);
         let Some(function) = self.functions.get_mut(&flight.function) else { return };
         let loaded = matches!(note, Some(LoadNote::Began | LoadNote::Waited));
-        let aim = self.settings.classes[flight.class].aim.max(1) as f64;
+        let aim = self.settings.classes[flight.class].latency_objective.max(1) as f64;
         let ours = function.out.get(&at).copied().unwrap_or(0);
         let held = f64::from(crowd.unwrap_or(0).max(ours)) / f64::from(function.lanes.max(1));
         function.told.insert(at, (held, self.now));
@@ -653,7 +668,7 @@
     }
 
     fn strain(&self, function: &Function, id: WorkerId, class: usize) -> f64 {
-        let aim = self.settings.classes[class].aim.max(1) as f64;
+        let aim = self.settings.classes[class].latency_objective.max(1) as f64;
         let aged = |(s, at): (f64, Micros)| s - self.now.saturating_sub(at) as f64 / aim;
         let there = function.told.get(&id).map_or(0.0, |told| aged(*told));
         let Some(worker) = self.workers.get(&id) else { return there };
@@ -679,7 +694,7 @@
     /// Another attempt if the effect and the count permit, else the final answer.
     fn again(&mut self, id: RequestId, outcome: Outcome) {
         let Some(call) = self.calls.get(&id) else { return };
-        let spent = call.attempts >= self.settings.limits.max_attempts || outcome == Outcome::Moot;
+        let spent = call.attempts >= self.settings.limits.max_attempts || outcome == Outcome::NeverSent;
         if spent || !self.repeatable(call) || self.now >= call.answer_by {
             self.answer(id);
         } else {
@@ -692,7 +707,8 @@
         let Some(call) = self.calls.get(&id) else { return };
         let clean = call.out.is_none() && call.ran.is_none();
         let effect = self.settings.classes[call.class].effect;
-        let harmless = matches!(effect, Effect::Safe | Effect::Keyed { group: Group::All, .. });
+        let harmless =
+            matches!(effect, Effect::Idempotent | Effect::IdempotencyKey { scope: KeyScope::All, .. });
         self.out.push(if clean || harmless {
             Action::Refuse { request: id, retry_after: None }
         } else {
@@ -716,7 +732,7 @@
         let Some(function) = self.calls.get(&id).map(|call| call.function) else { return };
         self.close(id);
         if let Some(f) = self.functions.get(&function).filter(|f| f.held == 0 && f.out.is_empty()) {
-            self.out.extend(f.loading.keys().map(|at| Action::Unwanted { worker: *at, function }));
+            self.out.extend(f.loading.keys().map(|at| Action::CancelLoad { worker: *at, function }));
         }
     }
 
@@ -747,16 +763,16 @@
         let refused = outcome == Outcome::ConnectFailed && elapsed < self.settings.limits.connect_timeout / 2;
         match outcome {
             Outcome::Ok => self.count(flight.worker, None, flight.trial),
-            Outcome::Miss | Outcome::Full => worker.heard = self.now,
-            Outcome::Timeout | Outcome::Cancelled | Outcome::Moot => {}
+            Outcome::NotLoaded | Outcome::Rejected => worker.heard = self.now,
+            Outcome::Timeout | Outcome::Cancelled | Outcome::NeverSent => {}
             // What no worker ever served may itself be at fault: its errors tell nothing of the worker.
             Outcome::Error if !self.served_before(flight.function) => {}
-            Outcome::Reset | Outcome::Unsent if self.settings.limits.probes => {
+            Outcome::Reset | Outcome::PartlySent if self.settings.limits.probes => {
                 if self.doubt(flight.worker) {
                     self.count(flight.worker, Some(BROKE_WEIGHT), flight.trial);
                 }
             }
-            Outcome::Error | Outcome::ConnectFailed | Outcome::Reset | Outcome::Unsent => {
+            Outcome::Error | Outcome::ConnectFailed | Outcome::Reset | Outcome::PartlySent => {
                 if refused || outcome == Outcome::Reset {
                     self.died(flight.worker);
                 }
@@ -836,7 +852,7 @@
             worker.heard = self.now;
             if worker.down {
                 (worker.failing, worker.barred, worker.bar, worker.down) = (0.0, false, BAR_FIRST, false);
-                if worker.born != worker.entry.born {
+                if worker.born != worker.entry.started_at {
                     worker.starts(Some(self.now), None);
                 }
             }
@@ -847,7 +863,7 @@
         } else if outcome == Outcome::ConnectFailed && quick {
             self.died(id);
         } else {
-            let broke = matches!(outcome, Outcome::Reset | Outcome::Unsent);
+            let broke = matches!(outcome, Outcome::Reset | Outcome::PartlySent);
             if !broke {
                 // One that waits in a queue and times out tells of a crowd; silence is told by what is owed.
                 self.strained(id, STRAIN_FULL);
@@ -905,7 +921,7 @@
         }
         // What an earlier life gave within the window is not known: at its worst, all of the floor.
         let fresh = self.started.is_some_and(|s| self.now < s + loading.ration_window + step);
-        let floor = if loading.spent && fresh { 0.0 } else { loading.ration_floor };
+        let floor = if loading.unknown_prior_orders && fresh { 0.0 } else { loading.ration_floor };
         let most = floor + loading.ration_share * self.taken.len() as f64;
         if (self.orders.len() + 1) as f64 > most {
             return false;
@@ -918,7 +934,7 @@
         if !self.functions.get(&id).is_some_and(|f| f.loading.contains_key(&at)) {
             return;
         }
-        let broke = matches!(outcome, Outcome::Reset | Outcome::Unsent | Outcome::Timeout)
+        let broke = matches!(outcome, Outcome::Reset | Outcome::PartlySent | Outcome::Timeout)
             && self.settings.limits.probes
             && elapsed < self.settings.loading.order_timeout;
         let on = |w: &&mut Worker| broke && w.entry.state == WorkerState::On;
@@ -937,7 +953,7 @@
                 self.learn_load(id, elapsed as f64);
             }
         } else if outcome != Outcome::Cancelled {
-            self.shun(id, at, if outcome == Outcome::Full { 1 } else { TURNED_AWAY });
+            self.shun(id, at, if outcome == Outcome::Rejected { 1 } else { TURNED_AWAY });
         }
         self.release(None);
     }
@@ -1030,7 +1046,7 @@
     /// Withdraws a safe attempt, so that its call may go elsewhere. Harm: slow work is done twice.
     fn recall(&mut self, (request, attempt): (RequestId, u32)) {
         let Some(call) = self.calls.get(&request) else { return };
-        let safe = self.settings.classes[call.class].effect == Effect::Safe;
+        let safe = self.settings.classes[call.class].effect == Effect::Idempotent;
         let room = call.attempts < self.settings.limits.max_attempts;
         if safe && room && call.out == Some(attempt) && !call.streaming && self.settings.limits.cancel {
             self.out.push(Action::Cancel { request, attempt });
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -43,7 +43,7 @@
 
 /// Where repeats of a keyed request are recognised.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
+pub enum KeyScope {
     /// By every worker.
     All,
     /// By the workers in the zone of the first attempt.
@@ -56,29 +56,29 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
     /// Repeats are harmless.
-    Safe,
-    /// Repeats are dropped inside `group` for `window` after the first attempt that may have run.
-    Keyed {
+    Idempotent,
+    /// Repeats are dropped inside `scope` for `window` after the first attempt that may have run.
+    IdempotencyKey {
         /// Who recognises repeats.
-        group: Group,
+        scope: KeyScope,
         /// For how long.
         window: Micros,
     },
     /// Must never run twice.
-    Unsafe,
+    NonIdempotent,
 }
 
 /// A request class.
 #[derive(Clone, Debug)]
 pub struct Class {
     /// An answer within this span has its full worth.
-    pub aim: Micros,
+    pub latency_objective: Micros,
     /// How long a client waits over all its tries.
     pub deadline: Micros,
     /// What a repeat may do.
     pub effect: Effect,
     /// Worth of one request.
-    pub worth: f64,
+    pub priority_weight: f64,
     /// Share of the worth left after the aim.
     pub late_share: f64,
     /// The answer is streamed: [`Event::Started`] precedes its end.
@@ -99,7 +99,7 @@
     #[default]
     Push,
     /// Changes come only after [`Action::Watch`] or [`Action::Fetch`].
-    Ask,
+    Poll,
 }
 
 /// How workers report their load.
@@ -134,7 +134,7 @@
     /// Loads it while the call waits there.
     #[default]
     Load,
-    /// Answers [`Outcome::Miss`]; only [`Action::Load`] brings the function.
+    /// Answers [`Outcome::NotLoaded`]; only [`Action::Load`] brings the function.
     Miss,
 }
 
@@ -152,13 +152,13 @@
     /// Outcomes carry a [`LoadNote`].
     pub notes: bool,
     /// Outcomes tell how many calls of the function the worker held.
-    pub crowd: bool,
+    pub reports_concurrency: bool,
     /// Span over which orders are rationed; 0: they are not.
     pub ration_window: Micros,
     /// Orders free in each window.
     pub ration_floor: f64,
     /// An earlier life of this controller may have given orders within the window before the start.
-    pub spent: bool,
+    pub unknown_prior_orders: bool,
     /// Further orders, per request taken in the window.
     pub ration_share: f64,
     /// Points that a full memory of idle and loading copies would cost.
@@ -189,16 +189,16 @@
     pub answer_grace: Micros,
     /// Span after word of a drain within which sends must stop.
     pub drain_grace: Micros,
-    /// With [`Discovery::Ask`]: unasked for this long, a controller is deemed told.
-    pub must_ask_in: Micros,
+    /// With [`Discovery::Poll`]: unasked for this long, a controller is deemed told.
+    pub must_poll_within: Micros,
     /// A started worker has at least this share of its capacity.
     pub start_capacity: f64,
     /// It is warm after this span at the latest.
-    pub cold: Micros,
+    pub warm_up: Micros,
     /// Sent more than this multiple of its present capacity ...
     pub overload_factor: f64,
     /// ... for this long it falls over.
-    pub fall: Micros,
+    pub overload_span: Micros,
 }
 
 /// What a controller is told when it starts.
@@ -286,7 +286,7 @@
     /// Its state.
     pub state: WorkerState,
     /// When it last started; `None`: long ago.
-    pub born: Option<Micros>,
+    pub started_at: Option<Micros>,
 }
 
 /// A listed worker's health, as the module sees it.
@@ -297,7 +297,7 @@
     /// Its state in the list.
     pub state: WorkerState,
     /// Its recent outcomes keep calls from it, but for trials.
-    pub barred: bool,
+    pub ejected: bool,
     /// Its process died or is silent.
     pub down: bool,
 }
@@ -338,21 +338,21 @@
     /// The worker failed it; it may have run.
     Error,
     /// Turned away unseen.
-    Full,
+    Rejected,
     /// No answer in time; it may have run.
     Timeout,
     /// No connection came about.
     ConnectFailed,
     /// The connection came about but broke before all of it had left; it never ran.
-    Unsent,
+    PartlySent,
     /// The connection broke; it may have run.
     Reset,
     /// Withdrawn; it may have run.
     Cancelled,
     /// Never sent.
-    Moot,
+    NeverSent,
     /// The function is not loaded there and no load is under way, or the load failed.
-    Miss,
+    NotLoaded,
 }
 
 /// What an outcome tells of loaded copies.
@@ -382,7 +382,7 @@
     /// Time until the client gives up.
     pub left: Micros,
     /// Work it is thought to need on a standard core.
-    pub work_hint: Option<Micros>,
+    pub cpu_time_hint: Option<Micros>,
     /// Calls one copy runs at once.
     pub lanes: u32,
     /// Usual time of a load.
@@ -420,7 +420,7 @@
         /// What it tells of loaded copies.
         note: Option<LoadNote>,
         /// Calls of the function the worker held, where told.
-        crowd: Option<u32>,
+        concurrent_calls: Option<u32>,
         /// Load report, where attached.
         report: Option<Report>,
     },
@@ -514,7 +514,7 @@
     },
     /// A load that was ordered is not wanted any more: an order that has not left need not leave, and is answered
     /// [`Outcome::Cancelled`] then; one that has left goes on.
-    Unwanted {
+    CancelLoad {
         /// Where.
         worker: WorkerId,
         /// Of what.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -20,10 +20,10 @@
 //! let mut settings = Settings {
 //!     controllers: 3,
 //!     classes: vec![Class {
-//!         aim: 600_000,
+//!         latency_objective: 600_000,
 //!         deadline: 4_000_000,
-//!         effect: Effect::Safe,
-//!         worth: 1.0,
+//!         effect: Effect::Idempotent,
+//!         priority_weight: 1.0,
 //!         late_share: 0.3,
 //!         stream: false,
 //!     }],
@@ -44,7 +44,7 @@
 //!     tenant: None,
 //!     function: FunctionId(99),
 //!     left: 4_000_000,
-//!     work_hint: None,
+//!     cpu_time_hint: None,
 //!     lanes: 2,
 //!     load_time: None,
 //!     repeat: false,
--- a/src/state.rs
+++ b/src/state.rs
@@ -179,7 +179,7 @@
         self.workers.iter().filter(|(_, w)| w.entry.state != WorkerState::Gone).map(|(id, w)| Health {
             worker: *id,
             state: w.entry.state,
-            barred: w.barred,
+            ejected: w.barred,
             down: w.down,
         })
     }
@@ -266,7 +266,7 @@
 
     /// Did it start no longer ago than it takes to be warm?
     pub(crate) fn cold(&self, worker: &Worker) -> bool {
-        worker.born.is_some_and(|born| self.now < born + self.settings.rules.cold)
+        worker.born.is_some_and(|born| self.now < born + self.settings.rules.warm_up)
     }
 
     pub(crate) fn unhold(&mut self, id: RequestId) {
--- a/tests/any_order.rs
+++ b/tests/any_order.rs
@@ -24,7 +24,7 @@
 }
 
 fn proven(outcome: Outcome) -> bool {
-    matches!(outcome, Outcome::Full | Outcome::ConnectFailed | Outcome::Moot | Outcome::Miss)
+    matches!(outcome, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NeverSent | Outcome::NotLoaded)
 }
 
 fn run(when_absent: WhenAbsent, seed: u64) {
@@ -67,11 +67,11 @@
                 Outcome::Ok,
                 Outcome::Ok,
                 Outcome::Error,
-                Outcome::Full,
+                Outcome::Rejected,
                 Outcome::Timeout,
                 Outcome::ConnectFailed,
                 Outcome::Reset,
-                Outcome::Miss,
+                Outcome::NotLoaded,
             ];
             let outcome = ends[chance.below(9) as usize];
             let call = seen.get_mut(&id).unwrap();
@@ -87,13 +87,13 @@
                 finished: call.over,
                 elapsed: chance.below(200) * MS,
                 note: Some(LoadNote::Warm).filter(|_| outcome == Outcome::Ok),
-                crowd: None,
+                concurrent_calls: None,
                 report: None,
             };
             stand.feed(event)
         } else if pick == 7 && !owed.is_empty() {
             let (worker, function) = owed.swap_remove(chance.below(owed.len() as u64) as usize);
-            let outcome = [Outcome::Ok, Outcome::Full, Outcome::Timeout][chance.below(3) as usize];
+            let outcome = [Outcome::Ok, Outcome::Rejected, Outcome::Timeout][chance.below(3) as usize];
             stand.feed(Event::Loaded {
                 worker: WorkerId(worker),
                 function: FunctionId(function),
--- a/tests/cold_fleet.rs
+++ b/tests/cold_fleet.rs
@@ -106,7 +106,7 @@
 
     fn list(&mut self, at: usize, now: Micros, form: ListForm, born: Option<Micros>) {
         self.told[at] = born.is_some();
-        let entries = vec![WorkerEntry { born, ..entry(1) }];
+        let entries = vec![WorkerEntry { started_at: born, ..entry(1) }];
         self.feed(at, now, Event::Workers { form, entries });
     }
 
@@ -135,7 +135,7 @@
 
     /// Plays until the worker is warm; gives when what was sent to it.
     fn play(mut self) -> Vec<Micros> {
-        let until = BORN + settings().rules.cold;
+        let until = BORN + settings().rules.warm_up;
         while let Some(Reverse((now, _, what))) = self.due.pop() {
             if now >= until {
                 break;
@@ -177,7 +177,7 @@
         finished: true,
         elapsed: WORK,
         note: Some(LoadNote::Warm),
-        crowd: None,
+        concurrent_calls: None,
         report: None,
     }
 }
@@ -185,14 +185,14 @@
 /// Calls that a worker of this age may be sent in a fall span: the rule's N.
 fn budget(age: Micros) -> f64 {
     let rules = settings().rules;
-    let share = rules.start_capacity + (1.0 - rules.start_capacity) * age as f64 / rules.cold as f64;
-    rules.overload_factor * share.min(1.0) * rules.fall as f64 / WORK as f64
+    let share = rules.start_capacity + (1.0 - rules.start_capacity) * age as f64 / rules.warm_up as f64;
+    rules.overload_factor * share.min(1.0) * rules.overload_span as f64 / WORK as f64
 }
 
 /// The window that comes nearest to what is put down to chance, 2 sqrt(N) + 2 over N, N as of its beginning: by how much it
 /// is over (below 0: under), its sends, its N.
 fn worst(sends: &[Micros]) -> (f64, usize, f64) {
-    let fall = settings().rules.fall;
+    let fall = settings().rules.overload_span;
     let (mut window, mut worst) = (VecDeque::new(), (f64::NEG_INFINITY, 0, 0.0));
     for sent in sends {
         window.push_back(*sent);
@@ -212,7 +212,7 @@
 /// cold time must be used: a ramp that sends nothing is no answer.
 fn holds(day: Day, seeds: u64, useful: f64) {
     let rules = settings().rules;
-    let all = budget(rules.cold / 2) * rules.cold as f64 / rules.fall as f64;
+    let all = budget(rules.warm_up / 2) * rules.warm_up as f64 / rules.overload_span as f64;
     for seed in 0..seeds {
         let sends = Fleet::new(day, seed).play();
         let (over, sent, budget) = worst(&sends);
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -8,16 +8,22 @@
 
 /// Three controllers, one safe, one unsafe and one keyed class, absent functions loaded by the call.
 pub fn settings() -> Settings {
-    let class =
-        |effect| Class { aim: 500 * MS, deadline: 4 * S, effect, worth: 1.0, late_share: 0.2, stream: false };
+    let class = |effect| Class {
+        latency_objective: 500 * MS,
+        deadline: 4 * S,
+        effect,
+        priority_weight: 1.0,
+        late_share: 0.2,
+        stream: false,
+    };
     Settings {
         me: 0,
         controllers: 3,
         zone: Some(ZoneId(0)),
         classes: vec![
-            class(Effect::Safe),
-            class(Effect::Unsafe),
-            class(Effect::Keyed { group: Group::Zone, window: 2 * S }),
+            class(Effect::Idempotent),
+            class(Effect::NonIdempotent),
+            class(Effect::IdempotencyKey { scope: KeyScope::Zone, window: 2 * S }),
         ],
         tenants: vec![],
         over_quota_worth: 0.1,
@@ -30,11 +36,11 @@
             orders: true,
             order_timeout: 10 * S,
             notes: true,
-            crowd: false,
+            reports_concurrency: false,
             ration_window: 0,
             ration_floor: 0.0,
             ration_share: 0.0,
-            spent: false,
+            unknown_prior_orders: false,
             memory_price: 0.0,
         },
         limits: Limits {
@@ -48,11 +54,11 @@
         rules: Rules {
             answer_grace: 8 * MS,
             drain_grace: 500 * MS,
-            must_ask_in: 10 * S,
+            must_poll_within: 10 * S,
             start_capacity: 0.2,
-            cold: 15 * S,
+            warm_up: 15 * S,
             overload_factor: 2.0,
-            fall: 2 * S,
+            overload_span: 2 * S,
         },
         step: 2 * MS,
     }
@@ -72,7 +78,7 @@
         weight: 1.0,
         cell: CellId(id % 4),
         state: WorkerState::On,
-        born: None,
+        started_at: None,
     }
 }
 
@@ -136,7 +142,7 @@
             finished: outcome == Outcome::Ok,
             elapsed,
             note,
-            crowd: None,
+            concurrent_calls: None,
             report: None,
         })
     }
@@ -149,7 +155,7 @@
     }
 
     pub fn change(&mut self, id: u64, state: WorkerState, born: Option<Micros>) -> Vec<Action> {
-        let changed = WorkerEntry { state, born, ..entry(id) };
+        let changed = WorkerEntry { state, started_at: born, ..entry(id) };
         self.feed(Event::Workers { form: ListForm::Changes, entries: vec![changed] })
     }
 }
@@ -161,7 +167,7 @@
         tenant: None,
         function: FunctionId(function),
         left: 4 * S,
-        work_hint: None,
+        cpu_time_hint: None,
         lanes,
         load_time: None,
         repeat: false,
--- a/tests/guards.rs
+++ b/tests/guards.rs
@@ -74,13 +74,13 @@
         assert_eq!(sent(&stand.ask(1, 0, 9, 4)), Some(home));
         if ours {
             stand.ask(2, 0, other, 4);
-            assert_eq!(loads(&stand.end(2, 0, home, Outcome::Miss, None)), 1);
+            assert_eq!(loads(&stand.end(2, 0, home, Outcome::NotLoaded, None)), 1);
         }
-        assert_eq!(loads(&stand.end(1, 0, home, Outcome::Miss, None)), 1);
+        assert_eq!(loads(&stand.end(1, 0, home, Outcome::NotLoaded, None)), 1);
         let turned = Event::Loaded {
             worker: WorkerId(home),
             function: FunctionId(9),
-            outcome: Outcome::Full,
+            outcome: Outcome::Rejected,
             copies: 0,
             elapsed: MS,
         };
@@ -153,7 +153,7 @@
     let mut stand = Stand::new(settings(), 1);
     stand.warm(1, 9, 8);
     stand.ask(10, 0, 9, 8);
-    assert!(sends(&stand.end(10, 0, 1, Outcome::Full, None)).is_empty());
+    assert!(sends(&stand.end(10, 0, 1, Outcome::Rejected, None)).is_empty());
     assert!(
         sends(&stand.pass(200 * MS)).is_empty(),
         "its queue is longer than any answer in time would wait"
@@ -171,7 +171,7 @@
         finished: true,
         elapsed: 50 * MS,
         note: Some(LoadNote::Warm),
-        crowd: Some(crowd),
+        concurrent_calls: Some(crowd),
         report: None,
     })
 }
@@ -375,7 +375,7 @@
     stand.pass(480 * MS);
     stand.feed(Event::Probed { worker: WorkerId(1), outcome: Outcome::Ok, report: None });
     stand.ask(6, 0, 8, 1);
-    stand.end(4, 0, 1, Outcome::Full, None);
+    stand.end(4, 0, 1, Outcome::Rejected, None);
     stand.ask(7, 0, 9, 1);
     let freed = sends(&stand.end(3, 0, 1, Outcome::Ok, Some(LoadNote::Warm)));
     assert_eq!(freed.first().map(|s| s.0).filter(|id| *id == 5), None, "{freed:?}");
@@ -395,7 +395,7 @@
 #[test]
 fn discovery_by_asking_is_asked_again_after_a_growing_wait() {
     let mut asking = settings();
-    asking.discovery = Discovery::Ask;
+    asking.discovery = Discovery::Poll;
     let mut controller = Controller::new(asking, 5).unwrap();
     let mut first = Vec::new();
     controller.handle(S, Event::Workers { form: ListForm::Restored, entries: vec![] }, &mut first);
@@ -443,7 +443,7 @@
     let mut stand = Stand::new(settings(), 1);
     stand.warm(1, 8, 4);
     stand.ask(2, 0, 9, 4);
-    stand.end(2, 0, 1, Outcome::Full, None);
+    stand.end(2, 0, 1, Outcome::Rejected, None);
     for id in 10..14 {
         assert_eq!(sent(&stand.ask(id, 0, 8, 4)), Some(1), "call {id}");
     }
@@ -529,18 +529,18 @@
     let at = sent(&first).expect("sent to a copy that is believed");
     assert_eq!(sent(&second), Some(at));
     stand.now += MS;
-    let mut missed = stand.end(11, 0, at, Outcome::Miss, None);
+    let mut missed = stand.end(11, 0, at, Outcome::NotLoaded, None);
     assert_eq!(loads(&missed), 1, "the first miss orders a copy");
     let mut tries = 1;
     while let Some((_, next)) = sends(&missed).into_iter().find(|(id, _)| *id == 11) {
         stand.now += MS;
-        missed = stand.end(11, tries, next, Outcome::Miss, None);
+        missed = stand.end(11, tries, next, Outcome::NotLoaded, None);
         assert_eq!(loads(&missed), 0, "not every copy that was known is ordered");
         tries += 1;
     }
     assert!(tries <= 2 && !refused(&missed, 11), "its last try is not spent on what is void as well");
     stand.now += MS;
-    let missed = stand.end(12, 0, at, Outcome::Miss, None);
+    let missed = stand.end(12, 0, at, Outcome::NotLoaded, None);
     assert_eq!(loads(&missed), 0, "the order is under way, whoever misses there");
     assert_eq!(sent(&missed), None, "both wait for it");
     stand.now += 100 * MS;
@@ -558,10 +558,10 @@
     set.limits.cancel = false;
     let mut stand = Stand::new(set, 3);
     let at = sent(&stand.ask(1, 0, 9, 4)).expect("sent");
-    let missed = stand.end(1, 0, at, Outcome::Miss, None);
+    let missed = stand.end(1, 0, at, Outcome::NotLoaded, None);
     assert!(refused(&missed, 1), "it has no try left");
     assert_eq!(loads(&missed), 1, "a copy is ordered for the calls to come");
-    let unwanted = |actions: &[Action]| actions.iter().any(|a| matches!(a, Action::Unwanted { .. }));
+    let unwanted = |actions: &[Action]| actions.iter().any(|a| matches!(a, Action::CancelLoad { .. }));
     assert!(!unwanted(&missed), "and its order is not taken back in the same event: {missed:?}");
     // A client that leaves while its call alone waits for the copy is another matter.
     assert_eq!(sent(&stand.ask(2, 0, 9, 4)), None, "it waits for the copy");
--- a/tests/order.rs
+++ b/tests/order.rs
@@ -163,7 +163,7 @@
 #[test]
 fn beyond_thirty_homes_that_are_full_or_barred_the_order_goes_on() {
     for (size, function) in [(60, 1), (600, 2), (600, 3), (3_000, 4)] {
-        for outcome in [Outcome::Full, Outcome::ConnectFailed] {
+        for outcome in [Outcome::Rejected, Outcome::ConnectFailed] {
             let mut many = settings();
             many.limits.max_attempts = 50;
             let mut told = Told::new(many, entries(1..size + 1));
@@ -184,7 +184,7 @@
         told.tell(ListForm::Changes, vec![changed(home, WorkerState::Gone)]);
         assert_eq!(told.first(9), Some(order[1]));
         let born = Some(told.stand.now - 60 * S);
-        told.tell(ListForm::Changes, vec![WorkerEntry { born, ..entry(home) }]);
+        told.tell(ListForm::Changes, vec![WorkerEntry { started_at: born, ..entry(home) }]);
         assert_eq!(told.first(9), Some(home));
     }
 }
--- a/tests/ordinary_path.rs
+++ b/tests/ordinary_path.rs
@@ -19,7 +19,7 @@
     let second = sent(&stand.ask(2, 0, 9, 2)).unwrap();
     assert_eq!(second, home);
     stand.change(home, WorkerState::Draining, None);
-    let other = sent(&stand.end(2, 0, home, Outcome::Full, None)).unwrap();
+    let other = sent(&stand.end(2, 0, home, Outcome::Rejected, None)).unwrap();
     assert_ne!(other, home);
     stand.end(2, 1, other, Outcome::Ok, Some(LoadNote::Began));
     stand.change(home, WorkerState::On, None);
@@ -107,7 +107,7 @@
 fn a_miss_orders_one_copy_there_and_the_call_goes_once_it_stands() {
     let mut stand = Stand::new(missing(), 4);
     let at = sent(&stand.ask(1, 0, 9, 2)).unwrap();
-    let after = stand.end(1, 0, at, Outcome::Miss, None);
+    let after = stand.end(1, 0, at, Outcome::NotLoaded, None);
     assert!(after.contains(&Action::Load { worker: WorkerId(at), function: FunctionId(9), count: 1 }));
     assert_eq!(loads(&after), 1);
     assert_eq!(sent(&after), None, "a send could overtake the order");
@@ -124,7 +124,7 @@
 
 /// Answers the order that follows a miss of function 9 at this worker.
 fn order_ends(stand: &mut Stand, id: u64, attempt: u32, at: u64, outcome: Outcome) -> Vec<Action> {
-    let after = stand.end(id, attempt, at, Outcome::Miss, None);
+    let after = stand.end(id, attempt, at, Outcome::NotLoaded, None);
     assert_eq!(loads(&after), 1);
     let (worker, function) = (WorkerId(at), FunctionId(9));
     stand.feed(Event::Loaded { worker, function, outcome, copies: 0, elapsed: 5 * MS })
@@ -145,16 +145,16 @@
     // A load of ours is under way there all the while: it fills home, and it ends.
     let fills = (100..200).find(|f| {
         let at = sent(&stand.ask(*f, 0, *f, 2)).unwrap();
-        at == home && loads(&stand.end(*f, 0, at, Outcome::Miss, None)) == 1
+        at == home && loads(&stand.end(*f, 0, at, Outcome::NotLoaded, None)) == 1
     });
     assert!(fills.is_some());
-    let mut after = order_ends(&mut stand, 1, 0, home, Outcome::Full);
+    let mut after = order_ends(&mut stand, 1, 0, home, Outcome::Rejected);
     for id in 2..4 {
         assert_eq!(sent(&after), None, "a copy elsewhere would be one load more");
         stand.feed(Event::ClientGone { request: RequestId(id - 1) });
         stand.pass(600 * MS);
         assert_eq!(sent(&stand.ask(id, 0, 9, 2)), Some(home));
-        after = order_ends(&mut stand, id, 0, home, Outcome::Full);
+        after = order_ends(&mut stand, id, 0, home, Outcome::Rejected);
     }
     assert_ne!(sent(&after).expect("it stays full"), home);
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -47,7 +47,7 @@
 
 #[test]
 fn an_unsafe_call_proven_not_run_is_sent_again() {
-    for outcome in [Outcome::Full, Outcome::ConnectFailed] {
+    for outcome in [Outcome::Rejected, Outcome::ConnectFailed] {
         let mut stand = Stand::new(settings(), 4);
         let at = sent(&stand.ask(1, UNSAFE, 9, 2)).unwrap();
         let mut after = stand.end(1, 0, at, outcome, None);
@@ -60,7 +60,7 @@
 fn an_unsafe_call_never_sent_again_after_moot_is_refused() {
     let mut stand = Stand::new(settings(), 4);
     let at = sent(&stand.ask(1, UNSAFE, 9, 2)).unwrap();
-    let after = stand.end(1, 0, at, Outcome::Moot, None);
+    let after = stand.end(1, 0, at, Outcome::NeverSent, None);
     assert!(refused(&after, 1));
 }
 
@@ -97,7 +97,7 @@
         let home = stand.warm(1, 9, 1);
         assert_eq!(sent(&stand.ask(2, SAFE, 9, 1)), Some(home));
         stand.change(home, state, None);
-        let after = stand.end(2, 0, home, Outcome::Miss, None);
+        let after = stand.end(2, 0, home, Outcome::NotLoaded, None);
         assert_eq!(loads(&after), 0);
         assert!(sends(&after).iter().all(|(_, w)| *w != home));
         assert!(sends(&stand.ask(3, SAFE, 9, 1)).iter().all(|(_, w)| *w != home));
@@ -161,7 +161,7 @@
 fn our_own_restart_does_not_forget_what_may_just_have_been_sent() {
     let controller = Controller::new(settings(), 3).unwrap();
     let mut stand = Stand { controller, now: 100 * S, workers: vec![] };
-    let cold = WorkerEntry { born: Some(99 * S), ..entry(1) };
+    let cold = WorkerEntry { started_at: Some(99 * S), ..entry(1) };
     stand.feed(Event::Workers { form: ListForm::Restored, entries: vec![cold] });
     assert!(sends(&stand.ask(1, SAFE, 9, 2)).is_empty());
     assert!(sends(&stand.pass(1900 * MS)).is_empty());
@@ -182,7 +182,7 @@
         let mut queue: Vec<(u64, u64)> = sends(&stand.ask(id, SAFE, id, 2));
         while let Some((request, at)) = queue.pop() {
             let attempt = 0;
-            let after = stand.end(request, attempt, at, Outcome::Miss, None);
+            let after = stand.end(request, attempt, at, Outcome::NotLoaded, None);
             orders.extend(std::iter::repeat_n(stand.now, loads(&after)));
         }
         stand.now += 5 * MS;
@@ -201,19 +201,19 @@
         settings.loading.when_absent = WhenAbsent::Miss;
         settings.loading.ration_window = S;
         settings.loading.ration_floor = 2.0;
-        settings.loading.spent = spent;
+        settings.loading.unknown_prior_orders = spent;
         let mut stand = Stand::new(settings, 8);
         let mut given = 0;
         for id in 1..=20 {
             for (request, at) in sends(&stand.ask(id, SAFE, id, 2)) {
-                given += loads(&stand.end(request, 0, at, Outcome::Miss, None));
+                given += loads(&stand.end(request, 0, at, Outcome::NotLoaded, None));
             }
         }
         assert_eq!(given, least, "spent: {spent}");
         stand.now += S + 100 * MS;
         for id in 21..=40 {
             for (request, at) in sends(&stand.ask(id, SAFE, id, 2)) {
-                given += loads(&stand.end(request, 0, at, Outcome::Miss, None));
+                given += loads(&stand.end(request, 0, at, Outcome::NotLoaded, None));
             }
         }
         assert_eq!(given, least + 2, "a window after the start the ration is whole");
@@ -277,7 +277,7 @@
 #[test]
 fn a_keyed_call_of_a_cell_stays_in_its_cell() {
     let mut settings = settings();
-    settings.classes[KEYED].effect = Effect::Keyed { group: Group::Cell, window: 2 * S };
+    settings.classes[KEYED].effect = Effect::IdempotencyKey { scope: KeyScope::Cell, window: 2 * S };
     let mut stand = Stand::new(settings, 8);
     let at = sent(&stand.ask(1, KEYED, 9, 2)).unwrap();
     let again = sent(&stand.end(1, 0, at, Outcome::Reset, None)).expect("its cell has another worker");
@@ -290,7 +290,7 @@
     settings.loading.when_absent = WhenAbsent::Miss;
     let mut stand = Stand::new(settings, 2);
     let at = sent(&stand.ask(1, UNSAFE, 9, 2)).unwrap();
-    let after = stand.end(1, 0, at, Outcome::Miss, None);
+    let after = stand.end(1, 0, at, Outcome::NotLoaded, None);
     assert!(loads(&after) == 1 && !failed(&after, 1) && !refused(&after, 1));
     let stands = Event::Loaded {
         worker: WorkerId(at),
