--- a/crates/gateway/src/admin/desk.rs
+++ b/crates/administration/src/desk.rs
@@ -29,16 +29,16 @@
 use serde_json::{Value, json};
 use tracing::{error, info, warn};
 
-use super::changes::{self, Changes, Here};
-use super::lending::{Demand, Lending};
-use super::marks::{Applied, Marks};
-use super::peers::{Asker, Peers, Whole, stamp};
-use super::records::{self, Records};
-use super::{
-    MOST_FOLLOWERS, SNAPSHOT_EVERY, Shown, Told, keys, lease_path, lock, reply, snapshot_path, token,
-};
+use crate::changes::{self, Changes, Here};
 use crate::kept::Kept as KeptFile;
+use crate::lending::{Demand, Lending};
+use crate::marks::{Applied, Marks};
+use crate::peers::{Asker, Peers, Whole, stamp};
+use crate::records::{self, Records};
 use crate::trail::{Shared, lock as lock_lines};
+use crate::{
+    MOST_FOLLOWERS, SNAPSHOT_EVERY, Shown, Told, keys, lease_path, lock, reply, snapshot_path, token,
+};
 
 /// Peers are asked again after this span while it is open which book stands.
 const ASK_PEERS_EVERY: Duration = Duration::from_millis(500);
@@ -118,7 +118,7 @@
     // Each follower keeps two connections: one that waits for changes, and one for books and records.
     let connections = 2 * MOST_FOLLOWERS + Http1Limits::default().connections;
     let limits = Http1Limits { body_bytes: MOST_BODY, connections, ..Http1Limits::default() };
-    let mut server = crate::controller::patiently(|| Http1::bind(listen, limits))?;
+    let mut server = crate::startup::patiently(|| Http1::bind(listen, limits))?;
     let (local, stop) = (server.local()?, server.stop());
     // Peers and their key are there together, or neither.
     let token = peer_key.map(token).transpose()?.unwrap_or_default();
--- a/crates/gateway/src/admin/follow.rs
+++ b/crates/administration/src/follow.rs
@@ -23,11 +23,11 @@
 use serde::Deserialize;
 use tracing::{info, warn};
 
-use super::marks::{Applied, Marks};
-use super::peers::{Mirror, Peers, Whole, stamp};
-use super::{Lent, Shown, Told, token};
 use crate::kept::Kept;
+use crate::marks::{Applied, Marks};
+use crate::peers::{Mirror, Peers, Whole, stamp};
 use crate::trail::{Shared, lock as lock_lines};
+use crate::{Lent, Shown, Told, token};
 
 /// What was taken is to be in force and on the disk within this span; else the administration is told how far it is.
 const SETTLE: Duration = Duration::from_millis(100);
--- a/crates/gateway/src/admin/mod.rs
+++ b/crates/administration/src/lib.rs
@@ -1,15 +1,21 @@
 //! Tenants at this controller: its own administration ([`desk`]), or another's that it follows ([`follow`]).
 //! Both run on threads of their own and tell the controller what has changed, in order.
 
+#![forbid(unsafe_code)]
+
 mod changes;
 mod desk;
+pub mod endpoint;
 mod follow;
+pub mod kept;
 mod keys;
 mod lending;
 mod marks;
 mod mirror;
 mod peers;
 mod records;
+pub mod startup;
+pub mod trail;
 
 use std::collections::{BTreeSet, HashMap};
 use std::io;
--- a/crates/gateway/src/admin/mirror.rs
+++ b/crates/administration/src/mirror.rs
@@ -10,10 +10,10 @@
 use nettleferry_net::http1::{Reply, Request};
 use serde_json::{Value, json};
 
-use super::keys::Keys;
-use super::peers::Mirror;
-use super::reply;
 use crate::endpoint::Endpoint;
+use crate::keys::Keys;
+use crate::peers::Mirror;
+use crate::reply;
 
 /// Bytes of a request's body: none is read.
 const MOST_BODY: usize = 1 << 10;
--- a/crates/gateway/src/trail.rs
+++ b/crates/administration/src/trail.rs
@@ -9,15 +9,11 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use nettleferry::{TenantId, WorkerId};
 use nettleferry_audit_log::chain::{self, Checked};
-use nettleferry_audit_log::recorder::{NameResolver, Recorder, Tail};
-use nettleferry_engine::Engine;
+use nettleferry_audit_log::recorder::{Recorder, Tail};
 use nettleferry_wal::{DirectoryStorage, Limits, WalError, WriteAheadLog};
 use tracing::{info, warn};
 
-use crate::tenants::Tenants;
-
 /// Batches of lines that wait for the disk; what does not fit waits in the recorder.
 const WAITING: usize = 16;
 /// Lines of a batch at the most.
@@ -29,9 +25,6 @@
 /// A segment of the log: the bound lets go of whole ones.
 const SEGMENT: u64 = 1 << 20;
 
-/// Calls that name no tenant are counted under this number.
-pub const NOBODY: u64 = u64::MAX;
-
 /// The newest lines, by number.
 #[derive(Default)]
 pub struct Held {
@@ -67,7 +60,7 @@
 
     /// The number of the last line.
     #[cfg(test)]
-    pub fn last(&self) -> u64 {
+    fn last(&self) -> u64 {
         self.lines.back().map_or(0, |(n, _)| *n)
     }
 }
@@ -187,25 +180,5 @@
     }
 }
 
-/// Who is who at this controller.
-pub struct Known<'a> {
-    pub tenants: Option<&'a Tenants>,
-    pub engine: &'a Engine,
-}
-
-impl NameResolver for Known<'_> {
-    fn tenant(&self, id: u64) -> String {
-        if id == NOBODY {
-            return "(none)".to_owned();
-        }
-        let name = self.tenants.and_then(|tenants| tenants.name(TenantId(id as usize)));
-        name.map_or_else(|| format!("(tenant {id} of the settings)"), |name| name.to_string())
-    }
-
-    fn worker(&self, id: u64) -> String {
-        self.engine.names().worker_name(WorkerId(id)).to_string()
-    }
-}
-
 #[cfg(test)]
 mod tests;
--- a/crates/gateway/src/trail/tests.rs
+++ b/crates/administration/src/trail/tests.rs
@@ -2,6 +2,7 @@
 
 use super::*;
 use nettleferry_audit_log::View;
+use nettleferry_audit_log::recorder::NameResolver;
 
 struct Plain;
 
--- a/crates/gateway/src/commands/admin/mod.rs
+++ b/crates/gateway/src/commands/admin/mod.rs
@@ -149,7 +149,7 @@
     pub fn run(self) -> Result<u8, CommandError> {
         match &self.what {
             What::Key { name, role } => {
-                let (token, hash) = crate::admin::make_key(name).map_err(CommandError::File)?;
+                let (token, hash) = nettleferry_administration::make_key(name).map_err(CommandError::File)?;
                 announce(&format!("token: {token}"))?;
                 announce(&format!("settings: (key {name} {role} \"{hash}\")"))?;
                 return Ok(0);
--- a/crates/gateway/src/commands/audit.rs
+++ b/crates/gateway/src/commands/audit.rs
@@ -3,6 +3,7 @@
 
 use std::path::{Path, PathBuf};
 
+use nettleferry_administration::ADMINISTRATION;
 use nettleferry_audit_log::audit::{Actor, Audit, Certainty, Incarnation, Report};
 use nettleferry_audit_log::chain::{self, Checked};
 use plotters::prelude::*;
@@ -10,7 +11,6 @@
 
 use super::CommandError;
 use super::admin::{Client, escaped};
-use crate::admin::ADMINISTRATION;
 
 /// Lines of a record that are gathered at the most.
 const MOST_LINES: usize = 1_000_000;
@@ -205,7 +205,8 @@
 ) -> Result<(Value, Vec<String>, bool), CommandError> {
     let records = match folder {
         Some(folder) => {
-            let read = crate::trail::read(folder.clone()).map_err(|e| CommandError::File(e.to_string()))?;
+            let read = nettleferry_administration::trail::read(folder.clone())
+                .map_err(|e| CommandError::File(e.to_string()))?;
             vec![(folder.display().to_string(), read)]
         }
         None => gather(&mut client()?)?.records,
--- a/crates/gateway/src/controller.rs
+++ b/crates/gateway/src/controller.rs
@@ -9,6 +9,10 @@
 
 use mio::Interest;
 use nettleferry::{ListForm, Micros, WorkerState};
+use nettleferry_administration::endpoint::Endpoint;
+use nettleferry_administration::startup::patiently;
+use nettleferry_administration::trail::Log;
+use nettleferry_administration::{Desk, Told};
 use nettleferry_audit_log::{Act, Recorder, View};
 use nettleferry_config::settings::{Admin, GateWhen};
 use nettleferry_config::{Config, Worker};
@@ -19,17 +23,14 @@
 use signal_hook_mio::v1_0::Signals;
 use tracing::{debug, info, warn};
 
-use crate::admin::{Desk, Told};
-use crate::endpoint::Endpoint;
+use crate::audit_log::Known;
 use crate::front::{self, Around, Front};
 use crate::links::{LinkLimits, Links};
 use crate::list::{Lists, News, members};
 use crate::observe::{self, Observer};
 use crate::push::Pusher;
 use crate::tenants::Tenants;
-use crate::trail::{Known, Log};
 use nettleferry_net::clock::Clock;
-use nettleferry_net::patience::Patience;
 
 /// Why a controller could not start or go on.
 #[derive(Debug, thiserror::Error)]
@@ -61,17 +62,6 @@
     if error.kind() == io::ErrorKind::AddrInUse { "; is another process there?" } else { "" }
 }
 
-/// A step of the start, tried again while the system refuses it for a moment: for want of a descriptor or of memory. An
-/// address that is taken or not ours does not pass by itself.
-pub(crate) fn patiently<T>(step: impl FnMut() -> io::Result<T>) -> io::Result<T> {
-    use io::ErrorKind::{AddrInUse, AddrNotAvailable, InvalidInput, PermissionDenied};
-    let lasting = |error: &io::Error| {
-        matches!(error.kind(), AddrInUse | AddrNotAvailable | InvalidInput | PermissionDenied)
-    };
-    let held_up = |error: &io::Error| warn!(%error, "the start is held up: tried again");
-    Patience::START.until(step, |error| !lasting(error), held_up)
-}
-
 /// How a controller ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stopped {
--- a/crates/gateway/src/front/mod.rs
+++ b/crates/gateway/src/front/mod.rs
@@ -9,8 +9,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use crate::audit_log::{Known, NOBODY};
 use crate::tenants::{Tenants, Turned, model_number};
-use crate::trail::{Known, NOBODY};
 use bytes::Bytes;
 use http::{HeaderMap, HeaderValue, Response, StatusCode};
 use nettleferry::{Micros, TenantId};
--- a/crates/gateway/src/list.rs
+++ b/crates/gateway/src/list.rs
@@ -11,14 +11,13 @@
 use std::time::{Duration, Instant};
 
 use nettleferry::{ListForm, Micros, WorkerState};
+use nettleferry_administration::kept::Kept;
 use nettleferry_config::{Worker, workers};
 use nettleferry_engine::Member;
 use nettleferry_fleet::trust::Thing;
 use nettleferry_net::clock;
 use tracing::{info, warn};
 
-use crate::kept::Kept;
-
 /// What a source of membership tells.
 #[derive(Debug)]
 pub struct News {
--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -4,24 +4,21 @@
 //! engine.
 //!
 //! * [`controller`]: the loop. [`front`]: towards clients. [`links`]: towards workers. [`list`]: who they are.
-//! * [`tenants`]: admission in a front's words. [`admin`]: the administration's thread.
+//! * [`tenants`]: admission in a front's words. [`audit_log`]: names for its numbers.
 //! * [`commands`]: one file a subcommand. [`observe`]: figures. [`push`]: remote write. [`logs`].
 
 #![forbid(unsafe_code)]
 
-mod admin;
+mod audit_log;
 mod commands;
 mod controller;
-mod endpoint;
 mod front;
-mod kept;
 mod links;
 mod list;
 mod logs;
 mod observe;
 mod push;
 mod tenants;
-mod trail;
 
 use std::process::ExitCode;
 
--- a/crates/gateway/src/observe.rs
+++ b/crates/gateway/src/observe.rs
@@ -5,6 +5,7 @@
 use std::sync::Arc;
 
 use nettleferry::{LoadNote, Micros, Outcome, WorkerState};
+use nettleferry_administration::endpoint::Endpoint;
 use nettleferry_config::Config;
 use nettleferry_engine::{EndKind, Engine, Note};
 use nettleferry_fleet::gate::{Counters as GateCounters, Gate, Step};
@@ -13,7 +14,6 @@
 use nettleferry_net::NetCounters;
 use nettleferry_net::http1::{Reply, Request};
 
-use crate::endpoint::Endpoint;
 use crate::front::FrontCounters;
 
 /// Names of limits whose hits are counted, in the order in which [`Observer::limits`] gives them.
--- a/crates/gateway/src/tenants.rs
+++ b/crates/gateway/src/tenants.rs
@@ -7,6 +7,7 @@
 
 use nettleferry::{Micros, TenantId};
 use nettleferry_admin::api::Usage;
+use nettleferry_administration::{Demand, Lent, MOST_DEMANDS};
 use nettleferry_admission::admission::{Asked, Limits};
 use nettleferry_admission::{Admission, Policy, Verdict, Why};
 use nettleferry_engine::{EndKind, Phase, Step};
@@ -14,8 +15,6 @@
 use nettleferry_tenancy::{Book, Entry, Revision, Spec, State, Tenant};
 use slab::Slab;
 
-use crate::admin::{Demand, Lent, MOST_DEMANDS};
-
 /// Why a call is turned away, for a front.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Turned {
