--- a/crates/audit-log/tests/golden.rs
+++ b/crates/audit-log/tests/golden.rs
@@ -1,6 +1,9 @@
 //! Entries of the audit log as earlier versions wrote them: each kind is read, and written again byte by byte.
 
 use nettleferry_audit_log::Line;
+use nettleferry_audit_log::audit::{
+    Actor, Certainty, Fork, Gap, Incarnation, LateCalls, Report, StaleActivity,
+};
 
 const ENTRIES: [&str; 15] = [
     r#"{"n":1,"life":7,"from":0,"to":0,"prev":"00000000000000000000000000000000","what":"began","controller":3,"program":"0.1.0"}"#,
@@ -27,3 +30,51 @@
         assert_eq!(entry.text(), text);
     }
 }
+
+#[test]
+fn reports_keep_their_fields() {
+    let who = Incarnation { controller: 2, life: 9 };
+    let elsewhere = Incarnation { controller: 1, life: 8 };
+    let report = Report {
+        actors: vec![Actor { who, book: (1, 4), from: Some(-3), to: None, calls: 7 }],
+        behind: vec![StaleActivity {
+            who,
+            book: (1, 4),
+            newer: (1, 5),
+            elsewhere,
+            sure: Certainty::Certain,
+            least_ms: 10,
+            most_ms: 30,
+            calls: [("morava".to_owned(), (1, 2))].into(),
+            why: "w".to_owned(),
+        }],
+        after: vec![LateCalls {
+            who,
+            tenant: "morava".to_owned(),
+            change: (1, 5),
+            action: "suspend".to_owned(),
+            sure: Certainty::Doubtful,
+            calls: (0, 2),
+            why: "w".to_owned(),
+        }],
+        forks: vec![Fork { epochs: vec![1, 2], sides: vec![elsewhere, who] }],
+        gaps: vec![Gap { who: None, what: "a".to_owned() }, Gap { who: Some(who), what: "b".to_owned() }],
+        more: 6,
+    };
+    let two = r#"{"controller":2,"life":9}"#;
+    let one = r#"{"controller":1,"life":8}"#;
+    let expected = format!(
+        concat!(
+            r#"{{"actors":[{{"who":{two},"book":[1,4],"from":-3,"to":null,"calls":7}}],"#,
+            r#""behind":[{{"who":{two},"book":[1,4],"newer":[1,5],"elsewhere":{one},"sure":"certain","#,
+            r#""least_ms":10,"most_ms":30,"calls":{{"morava":[1,2]}},"why":"w"}}],"#,
+            r#""after":[{{"who":{two},"tenant":"morava","change":[1,5],"action":"suspend","sure":"doubtful","#,
+            r#""calls":[0,2],"why":"w"}}],"#,
+            r#""forks":[{{"epochs":[1,2],"sides":[{one},{two}]}}],"#,
+            r#""gaps":[{{"who":null,"what":"a"}},{{"who":{two},"what":"b"}}],"more":6}}"#
+        ),
+        one = one,
+        two = two
+    );
+    assert_eq!(serde_json::to_string(&report).expect("JSON"), expected);
+}
