--- a/crates/fleet/src/follower_requests/tests.rs
+++ b/crates/fleet/src/follower_requests/tests.rs
@@ -4,27 +4,27 @@
 
 #[test]
 fn four_asks_fit_into_a_span_and_their_answers_into_half_of_one() {
-    let timing = LeaseSpan::Given(Duration::from_secs(6)).timing(false);
+    let timing = LeaseSpan::Granted(Duration::from_secs(6)).timing(false);
     assert_eq!(timing.wait, Duration::from_millis(1_500));
-    assert_eq!(timing.patience, Duration::from_secs(3));
-    let timing = LeaseSpan::Given(Duration::from_millis(200)).timing(true);
-    assert_eq!((timing.wait, timing.patience), (WAIT_WHILE_BEHIND, LEAST_PATIENCE));
+    assert_eq!(timing.timeout, Duration::from_secs(3));
+    let timing = LeaseSpan::Granted(Duration::from_millis(200)).timing(true);
+    assert_eq!((timing.wait, timing.timeout), (WAIT_WHILE_BEHIND, MIN_WATCH_TIMEOUT));
     assert_eq!(LeaseSpan::Unknown.timing(false).wait, Duration::ZERO);
-    assert_eq!(LeaseSpan::NotGiven.timing(false).wait, WAIT_WITHOUT_LEASES);
-    assert_eq!(LeaseSpan::NotGiven.timing(true).wait, WAIT_WHILE_BEHIND);
+    assert_eq!(LeaseSpan::NoLeases.timing(false).wait, WAIT_WITHOUT_LEASES);
+    assert_eq!(LeaseSpan::NoLeases.timing(true).wait, WAIT_WHILE_BEHIND);
 }
 
 #[test]
 fn an_ask_tells_what_is_held_and_in_force() {
-    let stamp = Stamp { store: "s".to_owned(), epoch: 3, revision: 9, sum: 5 };
-    let report = Report {
+    let stamp = SnapshotVersion { store: "s".to_owned(), epoch: 3, revision: 9, checksum: 5 };
+    let report = Heartbeat {
         controller: 1,
-        life: 7,
+        incarnation: 7,
         in_force: 8,
-        kept: 6,
-        ends: true,
+        persisted: 6,
+        requires_lease: true,
         fenced: false,
-        holds: Some(&stamp),
+        snapshot: Some(&stamp),
     };
     assert_eq!(
         report.watch_target(Duration::from_millis(1_500)),
@@ -32,7 +32,7 @@
              &store=s&epoch=3&after=9&sum=5&limit=1000&wait_ms=1500"
     );
     assert_eq!(
-        Report { holds: None, ..report }.snapshot_target(),
+        Heartbeat { snapshot: None, ..report }.snapshot_target(),
         "/v1/snapshot?controller=1&life=7&in_force=8&kept=6&ends=1&ended=0"
     );
 }
--- a/crates/fleet/src/gate.rs
+++ b/crates/fleet/src/gate.rs
@@ -18,36 +18,36 @@
     /// No list is believed: nothing can be served.
     NoList,
     /// Calls are taken in part.
-    Part,
+    Partial,
     /// Service is whole: the gate judges nothing.
-    Whole,
+    Complete,
 }
 
 impl Step {
     /// A word for logs, figures and the API.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             Self::NoList => "no-list",
-            Self::Part => "part",
-            Self::Whole => "whole",
+            Self::Partial => "part",
+            Self::Complete => "whole",
         }
     }
 }
 
 /// Tuned values of the gate. They are no deployment's: each is a share of what the call itself tells.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Terms {
+pub struct GateConfig {
     /// A call is taken while the oldest of its model has waited less than this share of its wanted time.
     pub age_share: f64,
     /// Whole: nothing had to be refused for this long.
-    pub calm: Millis,
+    pub quiet_period: Millis,
     /// Longest advice to stay away.
-    pub most_wait: Millis,
+    pub max_retry_after: Millis,
 }
 
-impl Default for Terms {
+impl Default for GateConfig {
     fn default() -> Self {
-        Self { age_share: 0.5, calm: 1_000, most_wait: 2_000 }
+        Self { age_share: 0.5, quiet_period: 1_000, max_retry_after: 2_000 }
     }
 }
 
@@ -55,22 +55,22 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
     /// It is taken.
-    Take,
+    Admit,
     /// It is refused at once; the client is to come back after this span.
-    Refuse(Millis),
+    Reject(Millis),
 }
 
 /// A call, as the gate sees it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Asked {
+pub struct CallInfo {
     /// Until its client gives up.
-    pub left: Millis,
+    pub remaining: Millis,
     /// The time in which its class wants an answer.
-    pub aim: Millis,
+    pub latency_objective: Millis,
     /// Its worth beside the dearest class: above 0, at most 1.
-    pub worth: f64,
+    pub priority_weight: f64,
     /// A repeat of it could do harm.
-    pub careful: bool,
+    pub non_idempotent: bool,
     /// Its model, by any number that tells models apart.
     pub model: u64,
 }
@@ -87,17 +87,17 @@
 }
 
 /// Calls that are followed at the most; one more is refused as crowded.
-pub const MOST_WAITING: usize = 65_536;
+pub const MAX_WAITING: usize = 65_536;
 /// Advice where no list is believed, or none that was read in this life: the next look is near.
-const NO_LIST_WAIT: Millis = 500;
+const NO_LIST_RETRY_AFTER: Millis = 500;
 /// Least advice to stay away, and the least part of its time that a call of little worth counts.
-const LEAST_WAIT: Millis = 50;
-const LEAST_ROOM: f64 = 0.1;
+const MIN_RETRY_AFTER: Millis = 50;
+const MIN_WEIGHT: f64 = 0.1;
 
 /// The gate.
 #[derive(Clone, Debug)]
 pub struct Gate {
-    terms: Terms,
+    config: GateConfig,
     step: Step,
     since: Millis,
     /// The list in force was read in this life.
@@ -114,9 +114,9 @@
 
 impl Gate {
     /// At the start of a life.
-    pub fn new(terms: Terms, now: Millis) -> Self {
+    pub fn new(config: GateConfig, now: Millis) -> Self {
         Self {
-            terms,
+            config,
             step: Step::NoList,
             since: now,
             proven: false,
@@ -139,22 +139,22 @@
     }
 
     /// Calls that wait for a worker.
-    pub fn waits(&self) -> usize {
+    pub fn waiting_calls(&self) -> usize {
         self.waiting.len()
     }
 
-    fn turn(&mut self, now: Millis, step: Step) {
+    fn transition(&mut self, now: Millis, step: Step) {
         if self.step != step {
             (self.step, self.since) = (step, now);
         }
     }
 
     /// A list is in force, with so many workers on. `proven`: it was read in this life.
-    pub fn listed(&mut self, now: Millis, workers: u32, proven: bool) {
+    pub fn list_applied(&mut self, now: Millis, workers: u32, proven: bool) {
         self.proven |= proven;
         if self.step == Step::NoList && workers > 0 {
             self.last_refusal = now;
-            self.turn(now, Step::Part);
+            self.transition(now, Step::Partial);
         }
     }
 
@@ -165,34 +165,34 @@
     }
 
     /// A call has come. `chance`: any number, it spreads those who are refused.
-    pub fn ask(&mut self, now: Millis, call: &Asked, chance: u64) -> Verdict {
+    pub fn admit(&mut self, now: Millis, call: &CallInfo, chance: u64) -> Verdict {
         let spread = |least: Millis, most: Millis| {
-            let most = most.clamp(least, self.terms.most_wait.max(least));
-            Verdict::Refuse(least + chance % (most - least + 1))
+            let most = most.clamp(least, self.config.max_retry_after.max(least));
+            Verdict::Reject(least + chance % (most - least + 1))
         };
         match self.step {
-            Step::Whole => return Verdict::Take,
+            Step::Complete => return Verdict::Admit,
             Step::NoList => {
                 self.counters.no_list += 1;
-                return spread(LEAST_WAIT, NO_LIST_WAIT);
+                return spread(MIN_RETRY_AFTER, NO_LIST_RETRY_AFTER);
             }
-            Step::Part if call.careful && !self.proven => {
+            Step::Partial if call.non_idempotent && !self.proven => {
                 self.counters.unproven += 1;
-                return spread(LEAST_WAIT, NO_LIST_WAIT);
+                return spread(MIN_RETRY_AFTER, NO_LIST_RETRY_AFTER);
             }
-            Step::Part => {}
+            Step::Partial => {}
         }
         let age = self.age(now, call.model);
         // What is worth less leaves the room to what is worth more, and no call's time is longer than its client's.
-        let room = call.worth.clamp(LEAST_ROOM, 1.0);
-        let bears = call.aim.min(call.left) as f64 * self.terms.age_share * room;
-        if (age as f64) < bears && self.waiting.len() < MOST_WAITING {
-            return Verdict::Take;
+        let room = call.priority_weight.clamp(MIN_WEIGHT, 1.0);
+        let bears = call.latency_objective.min(call.remaining) as f64 * self.config.age_share * room;
+        if (age as f64) < bears && self.waiting.len() < MAX_WAITING {
+            return Verdict::Admit;
         }
         self.counters.crowded += 1;
         self.last_refusal = now;
         // What waits now has waited for so long already: those who are refused come back over as long again.
-        spread((age / 2).max(LEAST_WAIT), (age * 2).max(call.aim))
+        spread((age / 2).max(MIN_RETRY_AFTER), (age * 2).max(call.latency_objective))
     }
 
     /// A worker has this call: it waits no more, and is known until its end.
@@ -203,7 +203,7 @@
     }
 
     /// A worker gave it back: it waits anew.
-    pub fn given_back(&mut self, now: Millis, call: u64) {
+    pub fn returned_by_worker(&mut self, now: Millis, call: u64) {
         if let Some(model) = self.at_workers.remove(&call) {
             self.waiting(now, call, model);
         }
@@ -211,7 +211,7 @@
 
     /// A call was taken: it waits for a worker.
     pub fn waiting(&mut self, now: Millis, call: u64, model: u64) {
-        if self.step == Step::Whole || self.waiting.len() >= MOST_WAITING {
+        if self.step == Step::Complete || self.waiting.len() >= MAX_WAITING {
             return;
         }
         self.unwait(call);
@@ -220,7 +220,7 @@
     }
 
     /// It has had its end.
-    pub fn gone(&mut self, call: u64) {
+    pub fn ended(&mut self, call: u64) {
         self.unwait(call);
         self.at_workers.remove(&call);
     }
@@ -237,10 +237,10 @@
     }
 
     /// What is due by the passing of time; `answered`: answers in all.
-    pub fn count(&mut self, now: Millis, answered: u64) {
-        let calm = now.saturating_sub(self.last_refusal) >= self.terms.calm;
-        if self.step == Step::Part && calm && answered > 0 {
-            self.turn(now, Step::Whole);
+    pub fn advance(&mut self, now: Millis, answered: u64) {
+        let calm = now.saturating_sub(self.last_refusal) >= self.config.quiet_period;
+        if self.step == Step::Partial && calm && answered > 0 {
+            self.transition(now, Step::Complete);
             (self.waiting, self.by_model) = (HashMap::new(), HashMap::new());
             self.at_workers = HashMap::new();
         }
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -6,14 +6,14 @@
 //! No I/O, clock or chance of its own: times are milliseconds that are passed in, chance is a number that is.
 
 pub mod authority;
+pub mod bootstrap;
+pub mod follower_requests;
 pub mod gate;
 pub mod lease;
 pub mod loans;
-pub mod roll;
-pub mod seek;
-pub mod stamp;
-pub mod trust;
-pub mod watch;
+pub mod membership;
+pub mod recovery_policy;
+pub mod snapshot_version;
 
 /// Milliseconds of whatever clock the owner has.
 pub type Millis = u64;
--- a/crates/fleet/src/loans.rs
+++ b/crates/fleet/src/loans.rs
@@ -18,21 +18,21 @@
 use serde::{Deserialize, Serialize};
 
 use crate::Millis;
-use crate::roll::Who;
+use crate::membership::Incarnation;
 
 /// Loans of one life that may be in use at once: one that asks and never hears holds its greatest ones.
-const MOST_OUT: usize = 16;
+const MAX_OUTSTANDING: usize = 16;
 
 /// How a limit is divided.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Terms {
+pub struct LoanConfig {
     /// Controllers of the installation.
     pub controllers: u32,
     /// Part of a limit that is divided for good, from 0 to 1. 1: nothing is lent.
     pub reserve: f64,
 }
 
-impl Terms {
+impl LoanConfig {
     /// What a controller has without any loan.
     pub fn reserve_of(&self, limit: f64) -> f64 {
         limit * self.reserve / f64::from(self.controllers.max(1))
@@ -60,13 +60,13 @@
 
 /// What a life tells of a limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Word {
+pub struct UsageReport {
     /// How much it could use, in all.
     pub demand: f64,
     /// How much of it is in use: of what calls hold, by calls in hand; nothing of a rate.
     pub in_use: f64,
     /// The number of the loan that it acts on; 0: none. Of the same moment as `in_use`.
-    pub acts_on: u64,
+    pub applied_loan: u64,
 }
 
 /// A loan: so much beyond the reserve.
@@ -102,12 +102,12 @@
 /// Loans of one limit.
 #[derive(Clone, Debug, Default)]
 pub struct Lender {
-    borrowers: BTreeMap<Who, Borrower>,
+    borrowers: BTreeMap<Incarnation, Borrower>,
 }
 
 impl Lender {
     /// The most of it that may be in use now.
-    pub fn lent(&self, now: Millis) -> f64 {
+    pub fn outstanding(&self, now: Millis) -> f64 {
         self.borrowers.values().map(|b| b.uses(now)).sum()
     }
 
@@ -121,9 +121,9 @@
     pub fn report(
         &mut self,
         (now, until): (Millis, Millis),
-        (terms, limit): (Terms, f64),
-        who: Who,
-        Word { demand, in_use, acts_on }: Word,
+        (terms, limit): (LoanConfig, f64),
+        who: Incarnation,
+        UsageReport { demand, in_use, applied_loan: acts_on }: UsageReport,
         next: &mut u64,
     ) -> Loan {
         // One that got nothing is there all the same, and wants its part.
@@ -144,7 +144,7 @@
         let Some(borrower) = self.borrowers.get_mut(&who) else { return Loan { number: 0, amount: 0.0 } };
         *next += 1;
         borrower.out.push((*next, amount, until));
-        if borrower.out.len() > MOST_OUT {
+        if borrower.out.len() > MAX_OUTSTANDING {
             // Two become one that covers both.
             let (_, amount, over) = borrower.out.remove(0);
             let first = &mut borrower.out[0];
@@ -154,14 +154,15 @@
     }
 
     /// A life has ended, in order or by its own word that it takes no calls: what it had is free at once.
-    pub fn ended(&mut self, who: Who) {
+    pub fn ended(&mut self, who: Incarnation) {
         self.borrowers.remove(&who);
     }
 
     /// A life's part by max-min fairness: nobody gets more than it asks for, and what is left over goes to all in
     /// equal parts, since demand may grow before the next report.
-    fn part(&self, lendable: f64, who: Who) -> f64 {
-        let mut demands: Vec<(f64, Who)> = self.borrowers.iter().map(|(w, b)| (b.demand, *w)).collect();
+    fn part(&self, lendable: f64, who: Incarnation) -> f64 {
+        let mut demands: Vec<(f64, Incarnation)> =
+            self.borrowers.iter().map(|(w, b)| (b.demand, *w)).collect();
         demands.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
         let (mut left, mut part) = (lendable, 0.0);
         let count = demands.len();
--- a/crates/fleet/src/loans/tests.rs
+++ b/crates/fleet/src/loans/tests.rs
@@ -3,10 +3,10 @@
 use super::*;
 use proptest::prelude::*;
 
-const TERMS: Terms = Terms { controllers: 4, reserve: 0.2 };
+const TERMS: LoanConfig = LoanConfig { controllers: 4, reserve: 0.2 };
 
-fn who(number: u32) -> Who {
-    Who { number, life: 1 }
+fn who(number: u32) -> Incarnation {
+    Incarnation { controller: number, incarnation: 1 }
 }
 
 #[test]
@@ -18,7 +18,7 @@
             (now, now + 1_000),
             (TERMS, 100.0),
             who(n),
-            Word { demand, in_use: 0.0, acts_on },
+            UsageReport { demand, in_use: 0.0, applied_loan: acts_on },
             &mut next,
         )
     };
@@ -31,7 +31,7 @@
     assert_eq!(ask(&mut lender, 30, 2, 1_000.0, 2).amount, 0.0, "it may not have heard of it");
     ask(&mut lender, 40, 1, 1_000.0, smaller.number);
     assert_eq!(ask(&mut lender, 50, 2, 1_000.0, 4).amount, 40.0);
-    assert_eq!(lender.lent(60), 80.0);
+    assert_eq!(lender.outstanding(60), 80.0);
 }
 
 #[test]
@@ -44,7 +44,7 @@
                 (now, now + 1_000),
                 (TERMS, 100.0),
                 who(n),
-                Word { demand: 1_000.0, in_use: 0.0, acts_on: 0 },
+                UsageReport { demand: 1_000.0, in_use: 0.0, applied_loan: 0 },
                 &mut next,
             )
             .amount
@@ -60,7 +60,7 @@
 fn calls_in_hand_count_until_they_have_ended() {
     let (mut lender, mut next) = (Lender::default(), 0);
     let mut word = |lender: &mut Lender, now: Millis, n, in_use, acts_on| {
-        let word = Word { demand: 1_000.0, in_use, acts_on };
+        let word = UsageReport { demand: 1_000.0, in_use, applied_loan: acts_on };
         lender.report((now, now + 1_000), (TERMS, 100.0), who(n), word, &mut next).amount
     };
     assert_eq!(word(&mut lender, 0, 1, 0.0, 0), 80.0);
@@ -87,7 +87,7 @@
         reserve in 0.0f64..=1.0,
         steps in prop::collection::vec((0u32..6, 0.0f64..3_000.0, 0u64..700, 0u8..4, any::<bool>()), 1..400),
     ) {
-        let (terms, limit, span) = (Terms { controllers: 6, reserve }, 1_000.0, 2_000);
+        let (terms, limit, span) = (LoanConfig { controllers: 6, reserve }, 1_000.0, 2_000);
         let mut lender = Lender::default();
         let mut acts = [Acts::default(); 6];
         // What each told at some time before: words are measured now and then, and may be old.
@@ -101,7 +101,7 @@
             }
             let known = if lost == 3 { 0 } else { told[n as usize] };
             let until = now + span + crate::lease::error_of(span);
-            let loan = lender.report((now, until), (terms, limit), who(n), Word { demand, in_use: 0.0, acts_on: known }, &mut next);
+            let loan = lender.report((now, until), (terms, limit), who(n), UsageReport { demand, in_use: 0.0, applied_loan: known }, &mut next);
             if lost != 0 {
                 let over = crate::lease::ends(now, span);
                 acts[n as usize] = Acts { number: loan.number, amount: loan.amount, until: over };
@@ -115,7 +115,7 @@
 #[test]
 fn all_of_a_limit_passes_under_twice_its_demand() {
     for controllers in [2u32, 8, 64, 1_000] {
-        let (terms, limit) = (Terms { controllers, reserve: 0.2 }, 1_000.0);
+        let (terms, limit) = (LoanConfig { controllers, reserve: 0.2 }, 1_000.0);
         let mut lender = Lender::default();
         let mut has = vec![(0u64, 0.0f64); controllers as usize];
         let mut next = 0;
@@ -135,7 +135,7 @@
                     (at, at + 6_060),
                     (terms, limit),
                     who(n),
-                    Word { demand, in_use: 0.0, acts_on: has[n as usize].0 },
+                    UsageReport { demand, in_use: 0.0, applied_loan: has[n as usize].0 },
                     &mut next,
                 );
                 has[n as usize] = (loan.number, loan.amount);
--- a/crates/fleet/src/membership.rs
+++ b/crates/fleet/src/membership.rs
@@ -1,301 +1,349 @@
-//! The administration's roll: which lives of which controllers have a lease, what each has taken and kept, and when
-//! a change is held by enough disks and in force everywhere.
+//! The leader's view of the fleet: which incarnations of which controllers hold a lease, which changes each of them
+//! has applied and persisted, and when a change is persisted often enough and in force everywhere.
 //!
-//! A change is in force everywhere once each life that may act has it in force, or may act no more: its lease has
-//! run out, by the longest that any clock makes of it (see [`crate::lease`]). A lease comes with the book of its
-//! answer and counts only behind it: so one given after a change lets nobody act without the change, and a change
-//! waits for the leases given before it alone, however often a life asks that hears no answer. A life that goes on without a lease is
-//! not bounded, and is said to be so. Nobody is forgotten while its lease runs: where the roll is full, one more
-//! gets no lease.
+//! A change is in force everywhere once each incarnation that may act has applied it, or may act no more because its
+//! lease has run out by the longest that any clock makes of it (see [`crate::lease`]). A lease is sent along with the
+//! snapshot and is valid only for a holder that has applied that snapshot. So a lease granted after a change lets
+//! nobody act without the change, and a change waits only for the leases granted before it, however often a member
+//! sends heartbeats whose responses are lost. A member that continues without a lease has no bound, and is reported
+//! so. No member is forgotten while its lease runs: where the membership is full, a further incarnation gets no lease.
+//!
+//! Heartbeats, persistence and the notification of members are left to the caller.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::Millis;
-use crate::lease::{MOST_SPAN, error_of};
+use crate::lease::{MAX_SPAN, error_of};
 
-/// Books that leases which may run came with, at the most; beyond them two neighbours count as the older of both.
-const MOST_GIVEN: usize = 32;
-/// Lives at the most.
-pub const MOST_LIVES: usize = 1_024;
-/// A life without a lease is shown for so long after it was heard last, and then forgotten.
+/// Leases that are tracked for one member; beyond them two neighbours are merged, with the older version.
+const MAX_TRACKED_LEASES: usize = 32;
+/// Members at the most.
+pub const MAX_INCARNATIONS: usize = 1_024;
+/// A member without a lease is forgotten this long after its last heartbeat.
 pub const FORGOTTEN_AFTER: Millis = 10 * 60_000;
-/// Where no leases are given, one that was not heard for so long is not counted on to hold a change.
-pub const SILENT_AFTER: Millis = 10_000;
-/// Fenced lives that are remembered; the lowest numbers go last.
-pub const MOST_FENCED: usize = 256;
+/// Where no leases are granted, a member that was silent for so long is not expected to persist a change.
+pub const UNRESPONSIVE_AFTER: Millis = 10_000;
+/// Fenced incarnations that are remembered; the lowest controller numbers are dropped first.
+pub const MAX_FENCED: usize = 256;
 
-/// One life of one controller: two lives of one number are two.
+/// One run of one controller's process. Two runs of the same controller are different incarnations.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Who {
-    /// Its number, as its settings say.
-    pub number: u32,
-    /// Chosen by chance at its start.
-    pub life: u64,
+pub struct Incarnation {
+    /// The controller's number, from its settings.
+    pub controller: u32,
+    /// A random number, chosen at the start of the process.
+    pub incarnation: u64,
 }
 
-/// Which changes a life has: by epoch and revision of the book.
+/// Which changes a controller has applied: all up to this one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct At {
-    /// The store's epoch.
+pub struct Version {
+    /// The epoch of the tenant store.
     pub epoch: u64,
-    /// The last change.
+    /// The number of the last change.
     pub revision: u64,
 }
 
-/// What a life tells with each ask.
+/// What a member reports with each heartbeat.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Told {
-    /// In force on the thread that answers its calls.
-    pub in_force: At,
+pub struct MemberState {
+    /// Applied on the thread that answers its calls.
+    pub in_force: Version,
     /// Synced to its disk.
-    pub kept: At,
-    /// It takes no call without a lease.
-    pub ends: bool,
+    pub persisted: Version,
+    /// It accepts no call without a lease.
+    pub requires_lease: bool,
+}
+
+/// A lease that may still run.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+struct IssuedLease {
+    /// The snapshot that it was sent with.
+    version: Version,
+    /// When the last lease with this snapshot is over by every clock.
+    over: Millis,
 }
 
-/// A life on the roll.
+/// An incarnation that the leader knows.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Member {
-    /// What it told last.
-    pub told: Told,
-    /// When that was.
-    pub heard: Millis,
-    /// Its last lease is out by then, whatever its clock says; `None`: it never had one of us.
-    pub out: Option<Millis>,
-    /// Leases that may run, in order: which book came with one, and when the last one with it is out.
-    given: Vec<(At, Millis)>,
-    /// Its place among the lives of the fleet: a later one has a higher one. Workers turn away an earlier life of a
-    /// number once they have seen a later one.
-    pub place: u64,
+    /// What it reported last; versions never go back.
+    pub state: MemberState,
+    /// When its last heartbeat came.
+    pub last_heartbeat: Millis,
+    /// When its last lease is over by every clock; `None`: this leader granted it none.
+    pub lease_over: Option<Millis>,
+    /// Leases that may run, in the order in which they were granted.
+    leases: Vec<IssuedLease>,
+    /// Grows with each incarnation of the fleet. Workers reject requests of an earlier incarnation of a controller
+    /// once they have seen a later one.
+    pub fencing_token: u64,
 }
 
-/// Why a life gets no lease.
+/// Why an incarnation gets no lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Without {
-    /// It was shut out.
+pub enum LeaseDenied {
+    /// It was fenced.
     Fenced,
-    /// The roll is full of lives whose leases run.
+    /// The membership is full of incarnations whose leases run.
     Full,
 }
 
-/// Who a change waits for.
+/// A member that a change still waits for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Waits {
-    /// Who; `None`: lives that an earlier administration may have given a lease.
-    pub who: Option<Who>,
-    /// Out by then at the latest; `None`: it goes on without a lease, and there is no bound.
-    pub out: Option<Millis>,
+pub struct PendingMember {
+    /// Which one; `None`: incarnations that an earlier leader may have granted a lease.
+    pub incarnation: Option<Incarnation>,
+    /// When its last lease without the change is over; `None`: it continues without a lease, and there is no bound.
+    pub lease_over: Option<Millis>,
 }
 
-/// How far a change is.
+/// How far a change has come.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Progress {
-    /// Disks of others that hold it.
-    pub held: usize,
-    /// How many of them are wanted: what the settings say, of those that are there.
-    pub wanted: usize,
-    /// Lives that may still act without it.
-    pub waits: Vec<Waits>,
+    /// Other controllers that have persisted it.
+    pub persisted: usize,
+    /// How many must have persisted it: the configured number, or all that are reachable where these are fewer.
+    pub required: usize,
+    /// Members that may still act without it.
+    pub pending: Vec<PendingMember>,
 }
 
 impl Progress {
-    /// Enough disks hold it.
-    pub fn is_held(&self) -> bool {
-        self.held >= self.wanted
+    /// Has it been persisted often enough?
+    pub fn is_persisted(&self) -> bool {
+        self.persisted >= self.required
     }
 
-    /// Nobody acts without it.
-    pub fn is_everywhere(&self) -> bool {
-        self.waits.is_empty()
+    /// Is it in force everywhere, so that nobody acts without it?
+    pub fn is_in_force(&self) -> bool {
+        self.pending.is_empty()
     }
 
-    /// When it will be in force everywhere at the latest; `None`: there is no bound, as a life goes on without a
-    /// lease. The present where it is.
+    /// When it will be in force everywhere at the latest; `now` where it already is. `None`: there is no bound, as a
+    /// member continues without a lease.
     pub fn bound(&self, now: Millis) -> Option<Millis> {
-        self.waits.iter().try_fold(now, |most, waits| Some(most.max(waits.out?)))
+        self.pending.iter().try_fold(now, |latest, member| Some(latest.max(member.lease_over?)))
     }
 }
 
-/// The roll.
+/// Until when a member may act without a change.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Staleness {
+    /// Until this moment at the latest.
+    Until(Millis),
+    /// Without a bound.
+    Unbounded,
+}
+
+/// The incarnations that the leader knows, with their leases and versions.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Roll {
-    /// Span of a lease; `None`: none are given.
+pub struct Membership {
+    /// The span of a lease; `None`: none are granted.
     span: Option<Millis>,
-    members: BTreeMap<Who, Member>,
-    fenced: BTreeSet<Who>,
-    /// Leases of an earlier life of the administration are out by then.
-    strangers: Millis,
-    refused: u64,
-    /// The place of the life that came last.
-    place: u64,
+    members: BTreeMap<Incarnation, Member>,
+    fenced: BTreeSet<Incarnation>,
+    /// When the leases of an earlier leader are over by every clock.
+    earlier_leases_over: Millis,
+    /// Heartbeats for which there was no room.
+    rejected: u64,
+    /// The newest incarnation's token.
+    last_token: u64,
 }
 
-impl Roll {
-    /// Begins at `now`. `before`: the longest span that an earlier life may have given a lease for.
-    /// Places of lives begin behind `place`: of the wall clock's milliseconds, so that another life of the
-    /// administration gives none that was given before.
-    pub fn new(now: Millis, span: Option<Millis>, before: Option<Millis>, place: u64) -> Self {
-        let strangers = before.map_or(now, |span| outlast(now, span.min(MOST_SPAN)));
-        let (members, fenced) = (BTreeMap::new(), BTreeSet::new());
-        Self { span: span.map(|s| s.min(MOST_SPAN)), members, fenced, strangers, refused: 0, place }
+impl Membership {
+    /// An empty membership at `now`. `earlier_span`: the longest span for which an earlier leader may have granted a
+    /// lease. `last_token`: fencing tokens begin behind it; taken from the wall clock's milliseconds, so that a
+    /// restarted leader assigns none a second time.
+    pub fn new(now: Millis, span: Option<Millis>, earlier_span: Option<Millis>, last_token: u64) -> Self {
+        Self {
+            span: span.map(|span| span.min(MAX_SPAN)),
+            members: BTreeMap::new(),
+            fenced: BTreeSet::new(),
+            earlier_leases_over: earlier_span.map_or(now, |span| lease_over(now, span.min(MAX_SPAN))),
+            rejected: 0,
+            last_token,
+        }
     }
 
-    /// Span of a lease.
+    /// The span of a lease; `None`: none are granted.
     pub fn span(&self) -> Option<Millis> {
         self.span
     }
 
-    /// A life told what it has. It is entered where there is room.
-    pub fn told(&mut self, now: Millis, who: Who, told: Told) {
+    /// An incarnation has reported its state. It becomes a member where there is room.
+    pub fn heartbeat(&mut self, now: Millis, who: Incarnation, state: MemberState) {
         if !self.members.contains_key(&who) && !self.make_room(now) {
             return;
         }
-        let place = &mut self.place;
+        let last_token = &mut self.last_token;
         let member = self.members.entry(who).or_insert_with(|| {
-            *place += 1;
-            Member { told, heard: now, out: None, given: Vec::new(), place: *place }
+            *last_token += 1;
+            Member {
+                state,
+                last_heartbeat: now,
+                lease_over: None,
+                leases: Vec::new(),
+                fencing_token: *last_token,
+            }
         });
-        // A word that overtook another takes nothing back of what a life has in force and on its disk.
-        let in_force = member.told.in_force.max(told.in_force);
-        let kept = member.told.kept.max(told.kept);
-        member.told = Told { in_force, kept, ends: told.ends };
-        member.heard = now;
+        // A heartbeat that overtook another takes back nothing that was applied or persisted.
+        member.state = MemberState {
+            in_force: member.state.in_force.max(state.in_force),
+            persisted: member.state.persisted.max(state.persisted),
+            requires_lease: state.requires_lease,
+        };
+        member.last_heartbeat = now;
     }
 
+    /// Forgets members that may be forgotten. False: there is no room for one more.
     fn make_room(&mut self, now: Millis) -> bool {
-        let idle = |m: &Member| m.out.is_none_or(|out| out <= now);
-        self.members.retain(|_, m| !idle(m) || m.heard + FORGOTTEN_AFTER > now);
-        if self.members.len() < MOST_LIVES {
+        let idle = |m: &Member| m.lease_over.is_none_or(|over| over <= now);
+        self.members.retain(|_, m| !idle(m) || m.last_heartbeat + FORGOTTEN_AFTER > now);
+        if self.members.len() < MAX_INCARNATIONS {
             return true;
         }
-        let oldest = self.members.iter().filter(|(_, m)| idle(m)).min_by_key(|(_, m)| m.heard);
+        let oldest = self.members.iter().filter(|(_, m)| idle(m)).min_by_key(|(_, m)| m.last_heartbeat);
         if let Some(who) = oldest.map(|(who, _)| *who) {
             self.members.remove(&who);
             return true;
         }
-        self.refused += 1;
+        self.rejected += 1;
         false
     }
 
-    /// A life is answered now with all that holds, up to `book`: the span of its lease, where leases are given.
-    pub fn grant(&mut self, now: Millis, who: Who, book: At) -> Result<Option<Millis>, Without> {
+    /// Grants a lease along with the snapshot of `version`, which is sent now. The lease's span, or `None` where no
+    /// leases are granted.
+    pub fn grant(
+        &mut self,
+        now: Millis,
+        who: Incarnation,
+        version: Version,
+    ) -> Result<Option<Millis>, LeaseDenied> {
         if self.fenced.contains(&who) {
-            return Err(Without::Fenced);
+            return Err(LeaseDenied::Fenced);
         }
         let Some(span) = self.span else { return Ok(None) };
-        let member = self.members.get_mut(&who).ok_or(Without::Full)?;
-        let out = outlast(now, span);
-        member.out = Some(member.out.map_or(out, |before| before.max(out)));
-        member.given.retain(|(_, out)| now < *out);
-        match member.given.last_mut() {
-            Some((at, last)) if *at >= book => *last = out,
-            _ => member.given.push((book, out)),
+        let member = self.members.get_mut(&who).ok_or(LeaseDenied::Full)?;
+        let over = lease_over(now, span);
+        member.lease_over = Some(member.lease_over.map_or(over, |before| before.max(over)));
+        member.leases.retain(|lease| now < lease.over);
+        match member.leases.last_mut() {
+            Some(last) if last.version >= version => last.over = over,
+            _ => member.leases.push(IssuedLease { version, over }),
         }
-        if member.given.len() > MOST_GIVEN {
-            // The older book with the later end: never too early.
-            let (_, out) = member.given.remove(1);
-            member.given[0].1 = member.given[0].1.max(out);
+        if member.leases.len() > MAX_TRACKED_LEASES {
+            // The older version with the later end: never too early.
+            let second = member.leases.remove(1);
+            member.leases[0].over = member.leases[0].over.max(second.over);
         }
         Ok(Some(span))
     }
 
-    /// How far a change is that stands at `change`. `disks`: how many others are to hold it, where there are so many.
-    pub fn progress(&self, now: Millis, change: At, disks: usize) -> Progress {
-        let held = self.members.values().filter(|m| m.told.kept >= change).count();
-        let there = self.members.values().filter(|m| self.is_there(now, m)).count();
-        let waits = self.members.iter().filter(|(_, m)| m.told.in_force < change).filter_map(|(who, m)| {
-            let out = self.acts_without(now, m, change)?;
-            Some(Waits { who: Some(*who), out })
+    /// How far the change has come that made `change`. `copies`: how many other controllers are to persist it, where
+    /// there are so many.
+    pub fn progress(&self, now: Millis, change: Version, copies: usize) -> Progress {
+        let persisted = self.members.values().filter(|m| m.state.persisted >= change).count();
+        let reachable = self.members.values().filter(|m| self.is_reachable(now, m)).count();
+        let behind = self.members.iter().filter(|(_, m)| m.state.in_force < change);
+        let members = behind.filter_map(|(who, member)| {
+            let lease_over = match self.staleness(now, member, change)? {
+                Staleness::Until(over) => Some(over),
+                Staleness::Unbounded => None,
+            };
+            Some(PendingMember { incarnation: Some(*who), lease_over })
         });
-        let strangers = (now < self.strangers).then_some(Waits { who: None, out: Some(self.strangers) });
-        Progress { held, wanted: disks.min(there), waits: waits.chain(strangers).collect() }
+        let earlier = (now < self.earlier_leases_over)
+            .then_some(PendingMember { incarnation: None, lease_over: Some(self.earlier_leases_over) });
+        Progress { persisted, required: copies.min(reachable), pending: members.chain(earlier).collect() }
     }
 
-    /// Is it counted on to take and hold changes?
-    fn is_there(&self, now: Millis, member: &Member) -> bool {
-        match (self.span, member.out) {
-            (Some(_), out) => out.is_some_and(|out| now < out),
-            (None, _) => member.heard + SILENT_AFTER > now,
+    /// Is this member expected to apply and persist changes?
+    fn is_reachable(&self, now: Millis, member: &Member) -> bool {
+        match self.span {
+            Some(_) => member.lease_over.is_some_and(|over| now < over),
+            None => member.last_heartbeat + UNRESPONSIVE_AFTER > now,
         }
     }
 
-    /// May it act without this change, for all that is known, and until when? `Some(None)`: without a bound.
-    fn acts_without(&self, now: Millis, member: &Member, change: At) -> Option<Option<Millis>> {
-        if member.told.ends && self.span.is_some() {
-            let before = member.given.iter().filter(|(book, out)| *book < change && now < *out);
-            return before.map(|(_, out)| *out).max().map(Some);
+    /// Until when a member may act without this change, for all that is known; `None`: it may not.
+    fn staleness(&self, now: Millis, member: &Member, change: Version) -> Option<Staleness> {
+        if member.state.requires_lease && self.span.is_some() {
+            let without = member.leases.iter().filter(|lease| lease.version < change && now < lease.over);
+            return without.map(|lease| lease.over).max().map(Staleness::Until);
         }
-        // One that goes on without a lease may act for as long as it lives; it is forgotten when it was silent long
-        // enough to be dead, and until then said to be without bound.
-        (member.heard + FORGOTTEN_AFTER > now).then_some(None)
+        // A member that continues without a lease may act for as long as its process runs. It is forgotten when it
+        // was silent long enough to be dead.
+        (member.last_heartbeat + FORGOTTEN_AFTER > now).then_some(Staleness::Unbounded)
     }
 
-    /// Shuts out the lives of this number that are known. Those that are told of it act no more at once, others when
-    /// their leases end.
-    pub fn fence(&mut self, number: u32) -> Vec<Who> {
-        let known: Vec<Who> = self.members.keys().filter(|who| who.number == number).copied().collect();
+    /// Fences the known incarnations of a controller. Those that are notified stop at once, others when their leases
+    /// end.
+    pub fn fence(&mut self, controller: u32) -> Vec<Incarnation> {
+        let known: Vec<Incarnation> =
+            self.members.keys().filter(|who| who.controller == controller).copied().collect();
         self.fenced.extend(known.iter().copied());
-        while self.fenced.len() > MOST_FENCED {
+        while self.fenced.len() > MAX_FENCED {
             self.fenced.pop_first();
         }
         known
     }
 
-    /// Lets the lives of this number in again that were shut out and have not heard of it.
-    pub fn admit(&mut self, number: u32) -> usize {
+    /// Lifts the fencing of a controller's incarnations that were not yet notified; how many these were.
+    pub fn unfence(&mut self, controller: u32) -> usize {
         let before = self.fenced.len();
-        self.fenced.retain(|who| who.number != number);
+        self.fenced.retain(|who| who.controller != controller);
         before - self.fenced.len()
     }
 
-    /// Was this life shut out?
-    pub fn is_fenced(&self, who: Who) -> bool {
+    /// Was this incarnation fenced?
+    pub fn is_fenced(&self, who: Incarnation) -> bool {
         self.fenced.contains(&who)
     }
 
-    /// A life that was shut out has heard so: it takes no call any more.
-    pub fn ended(&mut self, who: Who) {
+    /// A fenced incarnation was notified, or one has shut down: it accepts no calls any more.
+    pub fn ended(&mut self, who: Incarnation) {
         if let Some(member) = self.members.get_mut(&who) {
-            member.out = None;
-            member.given.clear();
-            member.told.ends = true;
+            member.lease_over = None;
+            member.leases.clear();
+            member.state.requires_lease = true;
         }
     }
 
-    /// All lives, by number and life.
-    pub fn members(&self) -> impl Iterator<Item = (Who, &Member)> {
+    /// All members, by controller and incarnation.
+    pub fn members(&self) -> impl Iterator<Item = (Incarnation, &Member)> {
         self.members.iter().map(|(who, member)| (*who, member))
     }
 
-    /// A life's place among those of the fleet.
-    pub fn place(&self, who: Who) -> Option<u64> {
-        self.members.get(&who).map(|member| member.place)
+    /// A member's fencing token.
+    pub fn fencing_token(&self, who: Incarnation) -> Option<u64> {
+        self.members.get(&who).map(|member| member.fencing_token)
     }
 
-    /// Lives that hold a lease now: how many we are.
-    pub fn holders(&self, now: Millis) -> usize {
-        self.members.values().filter(|m| m.out.is_some_and(|out| now < out)).count()
+    /// How many members hold a lease now.
+    pub fn lease_holders(&self, now: Millis) -> usize {
+        self.members.values().filter(|m| m.lease_over.is_some_and(|over| now < over)).count()
     }
 
-    /// Leases of an earlier life of the administration are out by then.
-    pub fn strangers(&self) -> Millis {
-        self.strangers
+    /// When the leases of an earlier leader are over by every clock.
+    pub fn earlier_leases_over(&self) -> Millis {
+        self.earlier_leases_over
     }
 
-    /// Lives that found no room.
-    pub fn refused(&self) -> u64 {
-        self.refused
+    /// Heartbeats of incarnations for which there was no room.
+    pub fn rejected(&self) -> u64 {
+        self.rejected
     }
 
-    /// When something changes by the passing of time alone, for those who wait for a change.
-    pub fn next(&self, now: Millis) -> Option<Millis> {
-        let outs = self.members.values().flat_map(|m| m.given.iter().map(|(_, out)| *out));
-        outs.chain([self.strangers]).filter(|at| *at > now).min()
+    /// When the next lease is over, for those who wait for a change to be in force.
+    pub fn next_expiry(&self, now: Millis) -> Option<Millis> {
+        let leases = self.members.values().flat_map(|m| m.leases.iter().map(|lease| lease.over));
+        leases.chain([self.earlier_leases_over]).filter(|over| *over > now).min()
     }
 }
 
-/// When a lease of this span, given now, is over by every clock.
-fn outlast(now: Millis, span: Millis) -> Millis {
+/// When a lease of this span, granted now, is over by every clock.
+fn lease_over(now: Millis, span: Millis) -> Millis {
     now + span + error_of(span)
 }
 
--- a/crates/fleet/src/snapshot_version.rs
+++ b/crates/fleet/src/snapshot_version.rs
@@ -6,7 +6,7 @@
 
 /// A book's stamp.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Stamp {
+pub struct SnapshotVersion {
     /// The store, by the name that it got when it was made and that its restores keep.
     pub store: String,
     /// Raised by each restore: what an earlier epoch holds beyond it was given up by an operator.
@@ -15,13 +15,13 @@
     /// The last change.
     pub revision: u64,
     /// The book's checksum (CRC-32 of its JSON): two books of one revision are equal, or one of them is broken.
-    #[serde(default)]
-    pub sum: u32,
+    #[serde(default, rename = "sum")]
+    pub checksum: u32,
 }
 
 /// How one book stands to another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum VersionOrder {
     /// The same.
     Same,
     /// It holds all of the other, and more; or a restore has put it in the other's place.
@@ -34,9 +34,9 @@
     Foreign,
 }
 
-impl Standing {
+impl VersionOrder {
     /// A word for logs, figures and the API.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             Self::Same => "same",
             Self::Ahead => "ahead",
@@ -47,23 +47,23 @@
     }
 }
 
-impl Stamp {
+impl SnapshotVersion {
     /// How this one stands to another.
-    pub fn against(&self, other: &Self) -> Standing {
+    pub fn compare(&self, other: &Self) -> VersionOrder {
         if self.store != other.store {
-            return Standing::Foreign;
+            return VersionOrder::Foreign;
         }
         match (self.epoch, self.revision).cmp(&(other.epoch, other.revision)) {
-            std::cmp::Ordering::Less => Standing::Behind,
-            std::cmp::Ordering::Greater => Standing::Ahead,
-            std::cmp::Ordering::Equal if self.sum == other.sum => Standing::Same,
-            std::cmp::Ordering::Equal => Standing::Forked,
+            std::cmp::Ordering::Less => VersionOrder::Behind,
+            std::cmp::Ordering::Greater => VersionOrder::Ahead,
+            std::cmp::Ordering::Equal if self.checksum == other.checksum => VersionOrder::Same,
+            std::cmp::Ordering::Equal => VersionOrder::Forked,
         }
     }
 }
 
-impl fmt::Display for Stamp {
+impl fmt::Display for SnapshotVersion {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(out, "{}.{}@{}#{:08x}", self.store, self.epoch, self.revision, self.sum)
+        write!(out, "{}.{}@{}#{:08x}", self.store, self.epoch, self.revision, self.checksum)
     }
 }
--- a/crates/fleet/tests/lease_model.rs
+++ b/crates/fleet/tests/lease_model.rs
@@ -3,8 +3,8 @@
 //! Mutants of the decisions are each found.
 
 use nettleferry_fleet::Millis;
-use nettleferry_fleet::lease::{self, Holder, Terms};
-use nettleferry_fleet::roll::{At, Roll, Told, Who};
+use nettleferry_fleet::lease::{self, Holder, LeasePolicy};
+use nettleferry_fleet::membership::{Incarnation, MemberState, Membership, Version};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
 const HOLDERS: usize = 2;
@@ -14,8 +14,8 @@
 const SPAN: Millis = 2 * TICK;
 /// Exchanges of each holder at the most.
 const MOST_ASKS: [u8; HOLDERS] = [2, 1];
-const CHANGE: At = At { epoch: 1, revision: 2 };
-const BEFORE: At = At { epoch: 1, revision: 1 };
+const CHANGE: Version = Version { epoch: 1, revision: 2 };
+const BEFORE: Version = Version { epoch: 1, revision: 1 };
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Mutant {
@@ -39,13 +39,13 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct One {
-    in_force: At,
+    in_force: Version,
     until: Option<Millis>,
     asks: u8,
     /// An ask on its way: when it left, by its own clock, and what it told.
-    ask: Option<(Millis, At)>,
+    ask: Option<(Millis, Version)>,
     /// An answer on its way: to an ask of then, with this book.
-    answer: Option<(Millis, At)>,
+    answer: Option<(Millis, Version)>,
     stalled: bool,
     /// It had a lease when it was stopped.
     checked: bool,
@@ -56,8 +56,8 @@
     ticks: u64,
     /// Whose clocks are fast: the administration's, then the holders'.
     fast: [bool; HOLDERS + 1],
-    roll: Roll,
-    book: At,
+    roll: Membership,
+    book: Version,
     holders: Vec<One>,
     /// When the change was made, by the administration's clock.
     changed: Millis,
@@ -83,14 +83,14 @@
 
 struct Fleet(Mutant);
 
-fn who(n: usize) -> Who {
-    Who { number: n as u32, life: 1 }
+fn who(n: usize) -> Incarnation {
+    Incarnation { controller: n as u32, incarnation: 1 }
 }
 
 fn holder(one: &One) -> Holder {
-    let mut holder = Holder::new(0, Terms { refuses: true, leaves_after: None });
+    let mut holder = Holder::new(0, LeasePolicy { rejects: true, not_ready_after: None });
     if let Some(until) = one.until {
-        holder.leased(until);
+        holder.renewed(until);
     }
     holder
 }
@@ -105,7 +105,7 @@
     }
 
     fn acts(&self, n: usize) -> bool {
-        !self.holders[n].stalled && holder(&self.holders[n]).stage(self.clock(n)).takes()
+        !self.holders[n].stalled && holder(&self.holders[n]).stage(self.clock(n)).accepts_calls()
     }
 
     /// Whoever may act does so in every state: it must have what was acknowledged.
@@ -114,7 +114,7 @@
             // Without the allowance for clocks, leases are out that much earlier.
             let early = if mutant == Mutant::ClocksAgree { lease::error_of(SPAN) } else { 0 };
             let progress = self.roll.progress(self.now() + early, CHANGE, 0);
-            self.acknowledged = mutant == Mutant::AcknowledgedAtOnce || progress.is_everywhere();
+            self.acknowledged = mutant == Mutant::AcknowledgedAtOnce || progress.is_in_force();
         }
         let behind = |n: usize| self.holders[n].in_force < CHANGE && self.acts(n);
         self.wrong |= self.acknowledged && (0..HOLDERS).any(behind);
@@ -126,7 +126,7 @@
     type Action = Act;
 
     fn init_states(&self) -> Vec<State> {
-        let span = |now| Roll::new(now, Some(SPAN), None, 0);
+        let span = |now| Membership::new(now, Some(SPAN), None, 0);
         // The administration's clock, and those of the holders.
         (0..4u32)
             .map(|bits| State {
@@ -203,7 +203,7 @@
             Act::Restart => {
                 next.restarted = true;
                 let before = (self.0 != Mutant::ForgetsLeases).then_some(SPAN);
-                next.roll = Roll::new(now, Some(SPAN), before, 0);
+                next.roll = Membership::new(now, Some(SPAN), before, 0);
             }
             Act::Ask(n) => {
                 let clock = state.clock(n);
@@ -213,7 +213,11 @@
             }
             Act::Arrives(n) => {
                 let (asked, in_force) = next.holders[n].ask.take()?;
-                next.roll.told(now, who(n), Told { in_force, kept: in_force, ends: true });
+                next.roll.heartbeat(
+                    now,
+                    who(n),
+                    MemberState { in_force, persisted: in_force, requires_lease: true },
+                );
                 next.roll.grant(now, who(n), state.book).ok()?;
                 next.holders[n].answer = Some((asked, state.book));
             }
@@ -250,7 +254,7 @@
         vec![
             Property::always("nobody acts without what was acknowledged", |_, s: &State| !s.wrong),
             Property::always("a change is acknowledged within a span, whatever is lost", |_, s: &State| {
-                let bound = (s.changed + SPAN + lease::error_of(SPAN)).max(s.roll.strangers());
+                let bound = (s.changed + SPAN + lease::error_of(SPAN)).max(s.roll.earlier_leases_over());
                 s.acknowledged || s.book == BEFORE || s.now() < bound
             }),
             Property::sometimes("one that never heard of it is waited out", |_, s: &State| {
--- a/crates/fleet/tests/loss.rs
+++ b/crates/fleet/tests/loss.rs
@@ -1,25 +1,25 @@
 //! Which book stands after a loss: random losses and returns, with what must never come of them.
 
 use nettleferry_fleet::authority::{Authority, Cause, Duty, Step};
-use nettleferry_fleet::seek::{self, Heard, Seeker};
-use nettleferry_fleet::stamp::{Stamp, Standing};
+use nettleferry_fleet::bootstrap::{self, Bootstrap, PeerResponse};
+use nettleferry_fleet::snapshot_version::{SnapshotVersion, VersionOrder};
 use proptest::prelude::*;
 
-fn stamp(epoch: u64, revision: u64) -> Stamp {
-    Stamp { store: "s".to_owned(), epoch, revision, sum: (epoch * 1000 + revision) as u32 }
+fn stamp(epoch: u64, revision: u64) -> SnapshotVersion {
+    SnapshotVersion { store: "s".to_owned(), epoch, revision, checksum: (epoch * 1000 + revision) as u32 }
 }
 
 #[test]
 fn a_damaged_book_is_replaced_only_when_all_have_told_theirs() {
     let mut a = Authority::new(0, None, 3);
     assert_eq!(a.duty().0, Duty::Waiting(Cause::Damaged));
-    assert_eq!(a.told(1, 1, Some(stamp(1, 7))), Step::None);
-    assert_eq!(a.told(2, 2, None), Step::None);
+    assert_eq!(a.report_received(1, 1, Some(stamp(1, 7))), Step::None);
+    assert_eq!(a.report_received(2, 2, None), Step::None);
     // The third holds the newest: had the first been taken, an acknowledged change would be gone.
-    assert_eq!(a.told(3, 3, Some(stamp(1, 9))), Step::Take(3, stamp(1, 9)));
-    a.stands(4, stamp(2, 9), true);
+    assert_eq!(a.report_received(3, 3, Some(stamp(1, 9))), Step::Install(3, stamp(1, 9)));
+    a.set_own(4, stamp(2, 9), true);
     assert_eq!(a.duty().0, Duty::Serving);
-    assert_eq!(a.told(5, 1, Some(stamp(1, 7))), Step::None);
+    assert_eq!(a.report_received(5, 1, Some(stamp(1, 7))), Step::None);
     assert_eq!(a.duty().0, Duty::Serving, "who is behind follows");
 }
 
@@ -27,70 +27,76 @@
 fn an_older_book_is_not_served_and_an_empty_one_is_nobody_s_truth() {
     let mut older = Authority::new(0, Some(stamp(1, 5)), 2);
     assert_eq!(older.duty().0, Duty::Serving, "until it is told otherwise");
-    assert_eq!(older.told(1, 1, Some(stamp(1, 6))), Step::None);
+    assert_eq!(older.report_received(1, 1, Some(stamp(1, 6))), Step::None);
     assert_eq!(older.duty().0, Duty::Waiting(Cause::Behind));
-    assert_eq!(older.told(2, 2, Some(stamp(1, 5))), Step::Take(1, stamp(1, 6)));
-    let empty = Stamp { store: "new".to_owned(), epoch: 1, revision: 0, sum: 0 };
+    assert_eq!(older.report_received(2, 2, Some(stamp(1, 5))), Step::Install(1, stamp(1, 6)));
+    let empty = SnapshotVersion { store: "new".to_owned(), epoch: 1, revision: 0, checksum: 0 };
     let mut emptied = Authority::new(0, Some(empty.clone()), 2);
     assert_eq!(emptied.duty().0, Duty::Waiting(Cause::Empty));
-    assert_eq!(emptied.told(1, 1, Some(stamp(1, 6))), Step::None);
-    assert_eq!(emptied.told(2, 2, Some(stamp(1, 6))), Step::Take(1, stamp(1, 6)));
+    assert_eq!(emptied.report_received(1, 1, Some(stamp(1, 6))), Step::None);
+    assert_eq!(emptied.report_received(2, 2, Some(stamp(1, 6))), Step::Install(1, stamp(1, 6)));
     let mut first = Authority::new(0, Some(empty), 2);
-    first.told(1, 1, None);
+    first.report_received(1, 1, None);
     assert_eq!(first.duty().0, Duty::Waiting(Cause::Empty));
-    first.told(2, 2, None);
+    first.report_received(2, 2, None);
     assert_eq!(first.duty().0, Duty::Serving, "nobody holds any: an installation begins");
 }
 
 #[test]
 fn two_books_of_one_revision_are_not_guessed_at() {
-    let forged = Stamp { sum: 99, ..stamp(1, 6) };
+    let forged = SnapshotVersion { checksum: 99, ..stamp(1, 6) };
     let mut a = Authority::new(0, None, 2);
-    a.told(1, 1, Some(stamp(1, 6)));
-    assert_eq!(a.told(2, 2, Some(forged.clone())), Step::None);
+    a.report_received(1, 1, Some(stamp(1, 6)));
+    assert_eq!(a.report_received(2, 2, Some(forged.clone())), Step::None);
     assert_eq!(a.duty().0, Duty::Waiting(Cause::Disagreed));
     // The word of an operator stands above both.
-    let (store, epoch) = a.over_all().expect("books are known");
-    let decided = Stamp { store, epoch, ..stamp(0, 6) };
-    assert_eq!((decided.against(&forged), decided.against(&stamp(1, 6))), (Standing::Ahead, Standing::Ahead));
+    let (store, epoch) = a.superseding_origin().expect("books are known");
+    let decided = SnapshotVersion { store, epoch, ..stamp(0, 6) };
+    assert_eq!(
+        (decided.compare(&forged), decided.compare(&stamp(1, 6))),
+        (VersionOrder::Ahead, VersionOrder::Ahead)
+    );
     // One that told its book anew agrees, and the fleet goes on without an operator.
-    assert_eq!(a.told(3, 2, Some(stamp(1, 6))), Step::Take(1, stamp(1, 6)));
+    assert_eq!(a.report_received(3, 2, Some(stamp(1, 6))), Step::Install(1, stamp(1, 6)));
 }
 
 #[test]
 fn a_follower_takes_nothing_older_nothing_forked_and_no_other_store_s() {
     let held = stamp(2, 6);
-    assert_eq!(seek::takes(None, &held), Ok(true));
-    assert_eq!(seek::takes(Some(&held), &held), Ok(false));
-    assert_eq!(seek::takes(Some(&held), &stamp(3, 4)), Ok(true), "a restore is above");
-    assert_eq!(seek::takes(Some(&held), &stamp(2, 5)), Err(Standing::Behind));
-    assert_eq!(seek::takes(Some(&held), &stamp(1, 9)), Err(Standing::Behind));
-    assert_eq!(seek::takes(Some(&held), &Stamp { sum: 1, ..held.clone() }), Err(Standing::Forked));
-    let empty = Stamp { store: "new".to_owned(), ..Stamp::default() };
-    assert_eq!(seek::takes(Some(&held), &empty), Err(Standing::Foreign));
+    assert_eq!(bootstrap::should_replace(None, &held), Ok(true));
+    assert_eq!(bootstrap::should_replace(Some(&held), &held), Ok(false));
+    assert_eq!(bootstrap::should_replace(Some(&held), &stamp(3, 4)), Ok(true), "a restore is above");
+    assert_eq!(bootstrap::should_replace(Some(&held), &stamp(2, 5)), Err(VersionOrder::Behind));
+    assert_eq!(bootstrap::should_replace(Some(&held), &stamp(1, 9)), Err(VersionOrder::Behind));
+    assert_eq!(
+        bootstrap::should_replace(Some(&held), &SnapshotVersion { checksum: 1, ..held.clone() }),
+        Err(VersionOrder::Forked)
+    );
+    let empty = SnapshotVersion { store: "new".to_owned(), ..SnapshotVersion::default() };
+    assert_eq!(bootstrap::should_replace(Some(&held), &empty), Err(VersionOrder::Foreign));
 }
 
 #[test]
 fn one_without_a_book_asks_a_bounded_number_of_peers_and_takes_the_newest() {
-    let mut seeker = Seeker::new(200, 9);
+    let mut seeker = Bootstrap::new(200, 9);
     let (mut now, mut asked, mut taken) = (0, Vec::new(), None);
     while taken.is_none() && now < 60_000 {
         match seeker.next(now) {
-            seek::Step::Wait(until) => now = until.max(now + 1),
-            seek::Step::Ask(peer) => {
+            bootstrap::Step::Wait(until) => now = until.max(now + 1),
+            bootstrap::Step::Request(peer) => {
                 asked.push(peer);
-                let holds = Heard::Has(stamp(1, peer as u64 % 7));
-                seeker.heard(peer, if peer % 3 == 0 { Heard::Nothing } else { holds });
+                let holds = PeerResponse::Snapshot(stamp(1, peer as u64 % 7));
+                seeker.peer_responded(peer, if peer % 3 == 0 { PeerResponse::NoSnapshot } else { holds });
             }
-            seek::Step::Take(peer) => taken = Some(peer),
-            seek::Step::Forked => panic!("all are of one store"),
+            bootstrap::Step::Install(peer) => taken = Some(peer),
+            bootstrap::Step::Forked => panic!("all are of one store"),
         }
     }
     let taken = taken.expect("one of them has a book");
-    assert!(asked.len() <= seek::MOST_ASKED, "{asked:?}");
+    assert!(asked.len() <= bootstrap::MAX_PEERS_PER_ROUND, "{asked:?}");
     let newest = asked.iter().filter(|p| **p % 3 != 0).map(|p| p % 7).max();
     assert_eq!(newest, Some(taken % 7));
-    assert!(now >= seek::ADMINISTRATION_FIRST, "the administration is asked first");
+    assert!(now >= bootstrap::LEADER_HEAD_START, "the administration is asked first");
 }
 
 proptest! {
@@ -106,12 +112,12 @@
         let mut serving = own;
         for (now, who) in order.iter().enumerate() {
             let who = who % held.len();
-            let step = a.told(now as u64, who as u32, held[who].map(|r| stamp(1, r)));
-            if let Step::Take(from, stamp) = step {
+            let step = a.report_received(now as u64, who as u32, held[who].map(|r| stamp(1, r)));
+            if let Step::Install(from, stamp) = step {
                 prop_assert_eq!(stamp.revision, newest, "the newest of all disks");
                 prop_assert_eq!(held[from as usize], Some(newest), "from one that holds it");
                 serving = Some(stamp.revision);
-                a.stands(now as u64, Stamp { epoch: 2, ..stamp }, true);
+                a.set_own(now as u64, SnapshotVersion { epoch: 2, ..stamp }, true);
                 break;
             }
         }
--- a/crates/fleet/tests/model.rs
+++ b/crates/fleet/tests/model.rs
@@ -2,8 +2,8 @@
 //! administration and two controllers that follow. Mutants of the decisions are each found.
 
 use nettleferry_fleet::authority::{Authority, Duty, Step};
-use nettleferry_fleet::seek;
-use nettleferry_fleet::stamp::Stamp;
+use nettleferry_fleet::bootstrap;
+use nettleferry_fleet::snapshot_version::SnapshotVersion;
 use stateright::{Checker, Model, Property};
 
 /// Followers; the administration's disk is the first.
@@ -27,9 +27,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
     /// Books on disks: the administration's, then the followers'. `None`: lost.
-    disks: Vec<Option<Stamp>>,
+    disks: Vec<Option<SnapshotVersion>>,
     /// The administration's disk as it was one change before.
-    older: Option<Stamp>,
+    older: Option<SnapshotVersion>,
     authority: Authority,
     changes: u64,
     losses: u8,
@@ -55,15 +55,15 @@
 
 struct Fleet(Mutant);
 
-fn first() -> Stamp {
-    Stamp { store: "s".to_owned(), epoch: 1, revision: 1, sum: 1 }
+fn first() -> SnapshotVersion {
+    SnapshotVersion { store: "s".to_owned(), epoch: 1, revision: 1, checksum: 1 }
 }
 
 impl Fleet {
-    fn start(&self, disks: &[Option<Stamp>]) -> Authority {
+    fn start(&self, disks: &[Option<SnapshotVersion>]) -> Authority {
         let expected = if self.0 == Mutant::TakesFirst { 1 } else { FOLLOWERS };
         let own = match (&disks[0], self.0) {
-            (None, Mutant::UnreadIsEmpty) => Some(Stamp { revision: 0, sum: 0, ..first() }),
+            (None, Mutant::UnreadIsEmpty) => Some(SnapshotVersion { revision: 0, checksum: 0, ..first() }),
             (own, _) => own.clone(),
         };
         match self.0 {
@@ -116,30 +116,34 @@
                 let own = next.authority.own()?.clone();
                 let revision = own.revision + 1;
                 // The checksum is the history: two books of one revision that came about apart differ.
-                let changed = Stamp { revision, sum: own.sum * 7 + own.epoch as u32, ..own.clone() };
+                let changed = SnapshotVersion {
+                    revision,
+                    checksum: own.checksum * 7 + own.epoch as u32,
+                    ..own.clone()
+                };
                 next.older = Some(own);
                 next.disks[0] = Some(changed.clone());
-                next.authority.stands(0, changed, false);
+                next.authority.set_own(0, changed, false);
                 next.changes += 1;
             }
             Act::Asks(who) => {
                 let held = next.disks[who].clone();
-                let told =
-                    (self.0 != Mutant::AsBefore).then(|| next.authority.told(0, who as u32, held.clone()));
-                if let Some(Step::Take(_, taken)) = told {
+                let told = (self.0 != Mutant::AsBefore)
+                    .then(|| next.authority.report_received(0, who as u32, held.clone()));
+                if let Some(Step::Install(_, taken)) = told {
                     let newest = next.disks.iter().flatten().max().cloned();
                     next.undone |=
                         newest.is_some_and(|n| n.revision > taken.revision && n.epoch >= taken.epoch);
                     let epoch = taken.epoch + 1;
-                    let stands = Stamp { epoch, ..taken };
+                    let stands = SnapshotVersion { epoch, ..taken };
                     next.disks[0] = Some(stands.clone());
-                    next.authority.stands(0, stands, true);
+                    next.authority.set_own(0, stands, true);
                 }
                 if next.authority.duty().0 == Duty::Serving {
                     let given = next.authority.own()?.clone();
                     let takes = match self.0 {
                         Mutant::AsBefore | Mutant::UnreadIsEmpty => true,
-                        _ => seek::takes(held.as_ref(), &given) == Ok(true),
+                        _ => bootstrap::should_replace(held.as_ref(), &given) == Ok(true),
                     };
                     if takes {
                         let behind = held
@@ -176,7 +180,7 @@
             Property::always("no follower goes back", |_, s: &State| !s.back),
             Property::always("whoever waits has somebody to hear", |_, s: &State| {
                 // All were heard, all agree and some disk has a book: then it does not wait.
-                let heard: Vec<_> = s.authority.heard().collect();
+                let heard: Vec<_> = s.authority.reports().collect();
                 let all = heard.len() >= FOLLOWERS;
                 let current = heard.iter().all(|(who, told, _)| *told == s.disks[*who as usize].as_ref());
                 let books: Vec<_> = s.disks.iter().flatten().collect();
--- a/crates/gateway/src/admin/changes.rs
+++ b/crates/gateway/src/admin/changes.rs
@@ -1,11 +1,11 @@
 //! Changes whose answers wait until they are held and, where they bind, in force: made, durable here, and told as
-//! soon as what is wanted is so. When that is, is decided by `nettleferry_fleet::roll`.
+//! soon as what is wanted is so. When that is, is decided by `nettleferry_fleet::membership`.
 
 use std::collections::BTreeMap;
 
 use nettleferry_admin::{Problem, Response};
 use nettleferry_fleet::Millis;
-use nettleferry_fleet::roll::{At, Progress, Roll};
+use nettleferry_fleet::membership::{Membership, Progress, Version};
 use serde_json::{Value, json};
 
 /// A change for which there is no bound is answered after this span, and so is one that nobody else's disk takes:
@@ -19,7 +19,7 @@
 /// One that waits.
 struct Change {
     response: Response,
-    at: At,
+    at: Version,
     binds: bool,
     /// It is answered then as things stand.
     until: Millis,
@@ -27,22 +27,22 @@
 
 /// What a change wants, and how things stand.
 pub struct Here<'a> {
-    pub roll: &'a Roll,
+    pub roll: &'a Membership,
     /// What the calls of the administration's own controller act on.
-    pub own: At,
+    pub own: Version,
     /// Disks of others that are to hold it.
     pub disks: usize,
     pub now: Millis,
 }
 
 impl Here<'_> {
-    pub fn progress(&self, at: At) -> Progress {
+    pub fn progress(&self, at: Version) -> Progress {
         self.roll.progress(self.now, at, self.disks)
     }
 
-    fn is_done(&self, at: At, binds: bool) -> bool {
+    fn is_done(&self, at: Version, binds: bool) -> bool {
         let progress = self.progress(at);
-        progress.is_held() && (!binds || progress.is_everywhere() && self.own >= at)
+        progress.is_persisted() && (!binds || progress.is_in_force() && self.own >= at)
     }
 }
 
@@ -52,7 +52,7 @@
     next: u64,
     waiting: BTreeMap<u64, Change>,
     /// Changes that take something away and were told to be in force everywhere, until they are recorded.
-    pub everywhere: Vec<At>,
+    pub everywhere: Vec<Version>,
 }
 
 /// What becomes of an answer.
@@ -65,7 +65,7 @@
 
 impl Changes {
     /// A change was made.
-    pub fn made(&mut self, here: &Here, response: Response, at: At, binds: bool) -> Told {
+    pub fn made(&mut self, here: &Here, response: Response, at: Version, binds: bool) -> Told {
         if here.is_done(at, binds) || self.waiting.len() >= MOST_WAITING {
             return Told::Answer(self.finish(here, response, at, binds));
         }
@@ -97,7 +97,7 @@
     /// When one of them is to be looked at by the passing of time.
     pub fn next(&self, here: &Here) -> Option<Millis> {
         let until = self.waiting.values().map(|c| c.until).min()?;
-        Some(here.roll.next(here.now).map_or(until, |at| at.min(until)))
+        Some(here.roll.next_expiry(here.now).map_or(until, |at| at.min(until)))
     }
 
     /// Forgets those whose clients are gone: a while after they should have been asked for.
@@ -105,13 +105,13 @@
         self.waiting.retain(|_, c| now < c.until + NO_BOUND);
     }
 
-    fn finish(&mut self, here: &Here, response: Response, at: At, binds: bool) -> Response {
+    fn finish(&mut self, here: &Here, response: Response, at: Version, binds: bool) -> Response {
         let progress = here.progress(at);
-        let everywhere = progress.is_everywhere() && here.own >= at;
-        if !progress.is_held() {
+        let everywhere = progress.is_in_force() && here.own >= at;
+        if !progress.is_persisted() {
             let detail = format!(
                 "the change was made as revision {} and goes out, but {} of {} other disks hold it so far: see GET /v1/fleet/change",
-                at.revision, progress.held, progress.wanted
+                at.revision, progress.persisted, progress.required
             );
             return Problem::new(503, "not-held", detail).response();
         }
@@ -119,7 +119,7 @@
         let in_force = match (everywhere, progress.bound(here.now)) {
             (true, _) => "everywhere".to_owned(),
             (false, Some(bound)) => format!("within {} ms", bound.saturating_sub(here.now)),
-            (false, None) => format!("not everywhere: {} may act without it", progress.waits.len()),
+            (false, None) => format!("not everywhere: {} may act without it", progress.pending.len()),
         };
         if binds && everywhere {
             self.everywhere.push(at);
@@ -128,27 +128,29 @@
             // Made, and not yet so for all: RFC 9110, 15.3.3.
             response.status = 202;
         }
-        response.headers.push(("Nettleferry-Held", format!("{} of {}", progress.held, progress.wanted)));
+        response
+            .headers
+            .push(("Nettleferry-Held", format!("{} of {}", progress.persisted, progress.required)));
         response.headers.push(("Nettleferry-In-Force", in_force));
         response
     }
 }
 
 /// For the API.
-pub fn shown(progress: &Progress, at: At, now: Millis, own: bool) -> Value {
+pub fn shown(progress: &Progress, at: Version, now: Millis, own: bool) -> Value {
     let waits: Vec<Value> = progress
-        .waits
+        .pending
         .iter()
         .map(|w| {
             json!({
-                "controller": w.who.map(|who| who.number), "life": w.who.map(|who| format!("{:016x}", who.life)),
-                "within_ms": w.out.map(|out| out.saturating_sub(now)),
+                "controller": w.incarnation.map(|who| who.controller), "life": w.incarnation.map(|who| format!("{:016x}", who.incarnation)),
+                "within_ms": w.lease_over.map(|out| out.saturating_sub(now)),
             })
         })
         .collect();
     json!({
-        "revision": at.revision, "held": progress.held, "wanted": progress.wanted,
-        "everywhere": progress.is_everywhere() && own,
+        "revision": at.revision, "held": progress.persisted, "wanted": progress.required,
+        "everywhere": progress.is_in_force() && own,
         "within_ms": progress.bound(now).map(|bound| bound.saturating_sub(now)), "waits": waits,
     })
 }
--- a/crates/gateway/src/admin/desk.rs
+++ b/crates/gateway/src/admin/desk.rs
@@ -16,11 +16,11 @@
 use nettleferry_audit_log::{What, chain};
 use nettleferry_config::settings::AdminKey;
 use nettleferry_fleet::authority::{Authority, Duty, Step};
-use nettleferry_fleet::lease::{MOST_SPAN, ends, error_of};
-use nettleferry_fleet::loans::Terms;
-use nettleferry_fleet::roll::{self, At, Roll, Who, Without};
-use nettleferry_fleet::stamp::Stamp;
-use nettleferry_fleet::trust::Thing;
+use nettleferry_fleet::lease::{MAX_SPAN, ends, error_of};
+use nettleferry_fleet::loans::LoanConfig;
+use nettleferry_fleet::membership::{self, Incarnation, LeaseDenied, Membership, Version};
+use nettleferry_fleet::recovery_policy::PersistedState;
+use nettleferry_fleet::snapshot_version::SnapshotVersion;
 use nettleferry_net::clock;
 use nettleferry_net::http1::{self, Http1, Http1Limits, Stop, Turn};
 use nettleferry_net::patience::Patience;
@@ -65,7 +65,7 @@
     pub records: bool,
     pub held: Option<crate::trail::Shared>,
     /// How limits are divided.
-    pub terms: Terms,
+    pub terms: LoanConfig,
     /// The longest deadline of a class, milliseconds.
     pub longest: u64,
 }
@@ -128,8 +128,8 @@
     let start = Instant::now();
     let held =
         held.map(|book| Whole { controller: None, store: origin.store.clone(), epoch: origin.epoch, book });
-    let roll = Roll::new(0, span, spans.before, clock::wall() / 1000);
-    let marks = Marks::new(At { epoch: origin.epoch, revision: book.revision() });
+    let roll = Membership::new(0, span, spans.before, clock::wall() / 1000);
+    let marks = Marks::new(Version { epoch: origin.epoch, revision: book.revision() });
     let applied = marks.applied();
     let mut work = Work {
         api: Api::new(book.clone(), Kept(store), (origin.store.clone(), origin.epoch), read_only),
@@ -147,7 +147,7 @@
             epoch: origin.epoch,
             book: book.revision(),
             roll,
-            own: At::default(),
+            own: Version::default(),
             held_by,
             records,
             lending: (terms.reserve < 1.0).then(|| Lending::new(terms, life, longest)),
@@ -199,10 +199,10 @@
     fn open(store: &Path, lease: Option<u64>) -> (Option<u64>, Self) {
         let again = store.exists();
         let mut file = KeptFile::open(lease_path(store), "span of leases", LEASE_WAIT);
-        let kept = file.take(Thing::LeasesGiven, clock::wall() / 1000, |_| None);
+        let kept = file.take(PersistedState::LongestLease, clock::wall() / 1000, |_| None);
         let kept = kept.and_then(|bytes| std::str::from_utf8(&bytes).ok()?.trim().parse::<u64>().ok());
         // What can't be known is taken at its worst.
-        let before = kept.or(again.then_some(MOST_SPAN)).filter(|span| *span > 0);
+        let before = kept.or(again.then_some(MAX_SPAN)).filter(|span| *span > 0);
         let most = lease.max(before).unwrap_or(0);
         file.put(most.to_string().into_bytes());
         let kept = file.settle(LEASE_WAIT) && file.durable() > 0;
@@ -258,9 +258,9 @@
     /// The epoch of the book that stands, and its revision.
     epoch: u64,
     book: Revision,
-    roll: Roll,
+    roll: Membership,
     /// What the calls of this controller act on.
-    own: At,
+    own: Version,
     held_by: usize,
     /// Records of acts, where they are gathered.
     records: Option<Gathered>,
@@ -358,10 +358,14 @@
     }
 
     fn follows(&mut self, controller: u32, holds: Holds) -> Result<(), Problem> {
-        let who = Who { number: controller, life: holds.life };
-        let at = |revision| At { epoch: holds.epoch, revision };
-        let told = roll::Told { in_force: at(holds.in_force), kept: at(holds.kept), ends: holds.ends };
-        self.roll.told(self.now(), who, told);
+        let who = Incarnation { controller, incarnation: holds.life };
+        let at = |revision| Version { epoch: holds.epoch, revision };
+        let told = membership::MemberState {
+            in_force: at(holds.in_force),
+            persisted: at(holds.kept),
+            requires_lease: holds.ends,
+        };
+        self.roll.heartbeat(self.now(), who, told);
         if holds.ended {
             self.roll.ended(who);
             self.lending.iter_mut().for_each(|lending| lending.ended(who));
@@ -378,7 +382,12 @@
         }
         let Holds { store, epoch, revision, sum, .. } = holds;
         // One that says nothing of its book asks as earlier versions did, or has none.
-        let stamp = (!store.is_empty() && epoch > 0).then_some(Stamp { store, epoch, revision, sum });
+        let stamp = (!store.is_empty() && epoch > 0).then_some(SnapshotVersion {
+            store,
+            epoch,
+            revision,
+            checksum: sum,
+        });
         if stamp.is_some() {
             self.holds(controller, stamp);
         }
@@ -386,12 +395,12 @@
     }
 
     fn lease(&mut self, controller: u32, life: u64) -> Option<(u64, u64)> {
-        let who = Who { number: controller, life };
-        let book = At { epoch: self.epoch, revision: self.book };
+        let who = Incarnation { controller, incarnation: life };
+        let book = Version { epoch: self.epoch, revision: self.book };
         match self.roll.grant(self.now(), who, book) {
-            Ok(span) => span.zip(self.roll.place(who)),
-            Err(Without::Fenced) => None,
-            Err(Without::Full) => {
+            Ok(span) => span.zip(self.roll.fencing_token(who)),
+            Err(LeaseDenied::Fenced) => None,
+            Err(LeaseDenied::Full) => {
                 warn!(controller, "the roll is full of lives whose leases run: this one gets none");
                 None
             }
@@ -399,7 +408,7 @@
     }
 
     fn fence(&mut self, controller: u32, out: bool) -> Value {
-        let lives = if out { self.roll.fence(controller).len() } else { self.roll.admit(controller) };
+        let lives = if out { self.roll.fence(controller).len() } else { self.roll.unfence(controller) };
         info!(controller, lives, out, "a controller's lives are shut out, or let in again");
         json!({ "controller": controller, "lives": lives })
     }
@@ -411,12 +420,12 @@
     fn loans(&mut self, book: &Book, controller: u32, life: u64, report: Value) -> Result<Value, Problem> {
         let none =
             || Problem::new(409, "not-lent", "limits are not lent here: see (loans ...) in the settings");
-        let (now, who) = (self.now(), Who { number: controller, life });
+        let (now, who) = (self.now(), Incarnation { controller, incarnation: life });
         let lending = self.lending.as_mut().ok_or_else(none)?;
         let rows: Vec<Demand> = serde_json::from_value(report)
             .map_err(|e| Problem::field("the body", format!("an array of demands: {e}")))?;
         // A loan lasts as long as a lease, and only who holds one may borrow.
-        let leased = self.roll.members().any(|(w, m)| w == who && m.out.is_some_and(|out| now < out));
+        let leased = self.roll.members().any(|(w, m)| w == who && m.lease_over.is_some_and(|out| now < out));
         let Some(span) = self.roll.span().filter(|_| leased && !self.roll.is_fenced(who)) else {
             return Err(Problem::new(409, "no-lease", "this life holds no lease"));
         };
@@ -446,7 +455,7 @@
     }
 
     fn progress(&self, revision: Revision) -> Value {
-        let at = At { epoch: self.epoch, revision };
+        let at = Version { epoch: self.epoch, revision };
         let here = self.here();
         changes::shown(&here.progress(at), at, here.now, self.own >= at)
     }
@@ -455,10 +464,10 @@
         match self.authority.duty().0 {
             Duty::Serving => Ok(()),
             Duty::Waiting(cause) => {
-                let (heard, of) = (self.authority.heard().count(), self.authority.expected());
+                let (heard, of) = (self.authority.reports().count(), self.authority.expected());
                 Err(format!(
                     "it is open which book stands ({}; {heard} controllers heard, {of} awaited): see GET /v1/fleet",
-                    cause.word()
+                    cause.as_str()
                 ))
             }
         }
@@ -470,15 +479,15 @@
         let own = self.authority.own();
         let rows: Vec<Value> = self
             .authority
-            .heard()
+            .reports()
             .map(|(controller, stamp, at)| {
-                let standing = stamp.zip(own).map(|(told, own)| told.against(own).word());
+                let standing = stamp.zip(own).map(|(told, own)| told.compare(own).as_str());
                 json!({ "controller": controller, "holds": stamp, "standing": standing, "seen_ms_ago": now.saturating_sub(at) })
             })
             .collect();
         let (step, cause) = match duty {
             Duty::Serving => ("serving", None),
-            Duty::Waiting(cause) => ("waiting", Some(cause.word())),
+            Duty::Waiting(cause) => ("waiting", Some(cause.as_str())),
         };
         let lives: Vec<Value> =
             self.roll.members().map(|(who, member)| self.life(now, who, member)).collect();
@@ -486,7 +495,7 @@
         json!({
             "records_unkept": self.records.as_ref().map_or(0, |gathered| gathered.all.unkept),
             "lent": { "limits": limits, "borrowers": borrowers },
-            "lease_ms": self.roll.span(), "leases": self.roll.holders(now), "lives": lives, "without_room": self.roll.refused(),
+            "lease_ms": self.roll.span(), "leases": self.roll.lease_holders(now), "lives": lives, "without_room": self.roll.rejected(),
             "controller": self.number, "role": "administration", "step": step, "cause": cause,
             "since_ms": now.saturating_sub(since), "holds": own, "awaited": self.authority.expected(),
             "controllers": rows,
@@ -536,10 +545,10 @@
     /// For the figures of the controller.
     fn show_lives(&self, now: u64) {
         let revision = self.authority.own().map_or(0, |own| own.revision);
-        let leased = |m: &roll::Member| m.out.is_some_and(|out| now < out);
+        let leased = |m: &membership::Member| m.lease_over.is_some_and(|out| now < out);
         let members = || self.roll.members();
-        let behind = members().filter(|(_, m)| leased(m) && m.told.in_force.revision < revision).count();
-        let lately = |m: &roll::Member| now < m.heard + roll::SILENT_AFTER;
+        let behind = members().filter(|(_, m)| leased(m) && m.state.in_force.revision < revision).count();
+        let lately = |m: &membership::Member| now < m.last_heartbeat + membership::UNRESPONSIVE_AFTER;
         let fenced = members().filter(|(who, m)| lately(m) && self.roll.is_fenced(*who)).count();
         let mut shown = lock(&self.shown);
         (shown.lives_behind, shown.lives_fenced) = (behind, fenced);
@@ -556,21 +565,21 @@
     }
 
     /// It was said to those who asked that this change is in force everywhere.
-    fn everywhere(&mut self, at: At) {
+    fn everywhere(&mut self, at: Version) {
         let now = self.now();
         if let Some(records) = &mut self.records {
             records.said(now, What::Everywhere { epoch: at.epoch, revision: at.revision });
         }
     }
 
-    fn life(&self, now: u64, who: Who, member: &roll::Member) -> Value {
+    fn life(&self, now: u64, who: Incarnation, member: &membership::Member) -> Value {
         let behind =
-            self.authority.own().map(|own| own.revision.saturating_sub(member.told.in_force.revision));
+            self.authority.own().map(|own| own.revision.saturating_sub(member.state.in_force.revision));
         json!({
-            "controller": who.number, "life": format!("{:016x}", who.life), "in_force": member.told.in_force.revision,
-            "epoch": member.told.in_force.epoch, "kept": member.told.kept.revision, "behind": behind,
-            "ends": member.told.ends, "fenced": self.roll.is_fenced(who), "seen_ms_ago": now.saturating_sub(member.heard),
-            "lease_left_ms": member.out.map(|out| out.saturating_sub(now)),
+            "controller": who.controller, "life": format!("{:016x}", who.incarnation), "in_force": member.state.in_force.revision,
+            "epoch": member.state.in_force.epoch, "kept": member.state.persisted.revision, "behind": behind,
+            "ends": member.state.requires_lease, "fenced": self.roll.is_fenced(who), "seen_ms_ago": now.saturating_sub(member.last_heartbeat),
+            "lease_left_ms": member.lease_over.map(|out| out.saturating_sub(now)),
         })
     }
 
@@ -578,8 +587,10 @@
         self.start.elapsed().as_millis() as u64
     }
 
-    fn holds(&mut self, controller: u32, stamp: Option<Stamp>) {
-        let Step::Take(who, stamp) = self.authority.told(self.now(), controller, stamp) else { return };
+    fn holds(&mut self, controller: u32, stamp: Option<SnapshotVersion>) {
+        let Step::Install(who, stamp) = self.authority.report_received(self.now(), controller, stamp) else {
+            return;
+        };
         // One that told its stamp by its ask gives its book when it is asked in turn.
         let offer = self.offers.get(&who).filter(|whole| whole.stamp() == stamp);
         if let Some((whole, origin)) = offer.zip(self.above_all()) {
@@ -589,7 +600,7 @@
 
     /// Under which store and epoch a book stands above all that are held.
     fn above_all(&self) -> Option<Origin> {
-        let (store, least) = self.authority.over_all()?;
+        let (store, least) = self.authority.superseding_origin()?;
         Some(Origin { store, epoch: least.max(clock::wall() / 1000) })
     }
 }
@@ -688,7 +699,7 @@
             Answer::Now(response) => Turn::Reply(reply(response)),
             Answer::Later(span) => Turn::Wait(span),
             Answer::Changed { response, revision, binds } => {
-                let at = At { epoch: self.around.epoch, revision };
+                let at = Version { epoch: self.around.epoch, revision };
                 self.around.own = self.marks.in_force();
                 let told = turn(self.changes.made(&self.around.here(), response, at, binds));
                 self.acknowledged();
@@ -713,7 +724,7 @@
     }
 
     /// News were told to the controller: it says when it has come so far.
-    fn mark(&mut self, at: At) {
+    fn mark(&mut self, at: Version) {
         let mark = self.marks.told(at);
         self.around.tell(Told::Mark(mark));
     }
@@ -731,7 +742,7 @@
             return;
         }
         let asked = Instant::now();
-        let who = Who { number: self.around.number, life: self.around.life };
+        let who = Incarnation { controller: self.around.number, incarnation: self.around.life };
         let loans = lending.report((now, now + span + error_of(span)), self.api.book(), who, &rows);
         self.around.tell(Told::Lent { until: asked + Duration::from_millis(ends(0, span)), loans });
     }
@@ -739,7 +750,7 @@
     /// Leases of before are out: what another life has to wait for is our own span.
     fn settle_spans(&mut self, now: u64) -> Option<u64> {
         self.spans.after?;
-        let out = self.around.roll.strangers();
+        let out = self.around.roll.earlier_leases_over();
         if now < out {
             return Some(out);
         }
@@ -755,7 +766,7 @@
             return;
         }
         let ((store, epoch), now) = (self.api.store(), self.around.now());
-        self.around.authority.stands(now, stamp(store, epoch, self.api.book()), false);
+        self.around.authority.set_own(now, stamp(store, epoch, self.api.book()), false);
         match self.api.entries(self.told) {
             Ok(entries) => {
                 for entry in entries {
@@ -767,7 +778,7 @@
             }
             Err(why) => warn!(%why, "changes can't be read back"),
         }
-        self.mark(At { epoch: self.around.epoch, revision: self.told });
+        self.mark(Version { epoch: self.around.epoch, revision: self.told });
         self.wake.wake();
         self.write_at.get_or_insert_with(|| Instant::now() + SNAPSHOT_EVERY);
     }
@@ -852,7 +863,7 @@
         match duty {
             Duty::Serving => info!("the book stands: it is given and changed"),
             Duty::Waiting(cause) => warn!(
-                cause = cause.word(),
+                cause = cause.as_str(),
                 awaited = self.around.authority.expected(),
                 "it is open which book stands: none is given and nothing is changed; nettleferry fleet status, nettleferry fleet recover"
             ),
@@ -867,13 +878,13 @@
                 Ok(()) => {
                     let (now, revision) = (self.around.now(), book.revision());
                     info!(revision, epoch = origin.epoch, store = %origin.store, "a book was taken over: it stands now");
-                    self.around.authority.stands(now, stamp(&origin.store, origin.epoch, &book), true);
+                    self.around.authority.set_own(now, stamp(&origin.store, origin.epoch, &book), true);
                     self.around.offers.clear();
                     self.told = revision;
                     self.around.epoch = origin.epoch;
                     let (store, epoch) = (origin.store.clone(), origin.epoch);
                     self.around.tell(Told::Began(Box::new(Whole { controller: None, store, epoch, book })));
-                    self.mark(At { epoch: origin.epoch, revision });
+                    self.mark(Version { epoch: origin.epoch, revision });
                     self.written = Revision::MAX;
                     self.write_at = Some(Instant::now());
                     self.wake.wake();
--- a/crates/gateway/src/admin/follow.rs
+++ b/crates/gateway/src/admin/follow.rs
@@ -10,12 +10,14 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-use nettleferry_fleet::lease::{self, LEAST_SPAN, MOST_SPAN};
-use nettleferry_fleet::roll::At;
-use nettleferry_fleet::seek::{self, Seeker, Step};
-use nettleferry_fleet::stamp::{Stamp, Standing};
-use nettleferry_fleet::trust::Thing;
-use nettleferry_fleet::watch::{FAREWELL_PATIENCE, LeaseSpan, Report, SNAPSHOT_PATIENCE, farewell_target};
+use nettleferry_fleet::bootstrap::{self, Bootstrap, Step};
+use nettleferry_fleet::follower_requests::{
+    DEREGISTRATION_TIMEOUT, Heartbeat, LeaseSpan, SNAPSHOT_TIMEOUT, deregistration_target,
+};
+use nettleferry_fleet::lease::{self, MAX_SPAN, MIN_SPAN};
+use nettleferry_fleet::membership::Version;
+use nettleferry_fleet::recovery_policy::PersistedState;
+use nettleferry_fleet::snapshot_version::{SnapshotVersion, VersionOrder};
 use nettleferry_net::clock;
 use nettleferry_net::post::{Answer, PostError, Poster};
 use nettleferry_tenancy::Entry;
@@ -93,7 +95,7 @@
     watches: Poster,
     snapshots: Poster,
     peers: Peers,
-    seeker: Seeker,
+    seeker: Bootstrap,
     /// Books that peers gave in this round.
     given: Vec<(usize, Whole)>,
     token: String,
@@ -103,7 +105,7 @@
     /// The epoch of the book that it holds, kept or given; `None`: it holds none.
     epoch: Option<u64>,
     /// What was last refused: said once.
-    refused: Option<(Stamp, Standing)>,
+    refused: Option<(SnapshotVersion, VersionOrder)>,
     mirror: Mirror,
     tell: T,
     ended: Arc<AtomicBool>,
@@ -115,8 +117,8 @@
     fenced: bool,
     /// What is in force on the calls' thread, and which put of the kept book is of which change.
     marks: Marks,
-    puts: VecDeque<(u64, At)>,
-    kept_at: At,
+    puts: VecDeque<(u64, Version)>,
+    kept_at: Version,
     /// Its record, and the last line that the administration has of it.
     held: Option<Shared>,
     delivered: u64,
@@ -128,14 +130,16 @@
 impl<T: Fn(Told)> Follow<T> {
     pub fn new(whom: &Whom, number: u32, mirror: Mirror, tell: T) -> io::Result<Self> {
         let token = token(whom.key_file)?;
-        let watches = Poster::new(whom.to, 1, SNAPSHOT_PATIENCE)?;
+        let watches = Poster::new(whom.to, 1, SNAPSHOT_TIMEOUT)?;
         let waker = watches.waker();
         let written = move || _ = waker.wake();
         let mut kept = Kept::open_and_tell(whom.kept.to_owned(), "tenants' book", KEPT_WAIT, written);
         let held = read(&mut kept);
         let epoch = held.as_ref().map(|whole| whole.epoch);
-        let at =
-            held.as_ref().map(|w| At { epoch: w.epoch, revision: w.book.revision() }).unwrap_or_default();
+        let at = held
+            .as_ref()
+            .map(|w| Version { epoch: w.epoch, revision: w.book.revision() })
+            .unwrap_or_default();
         *mirror.lock().unwrap_or_else(PoisonError::into_inner) = held.clone().map(Arc::new);
         let follower = Follower::new(held.map(|whole| (whole.store, whole.book)), rand::random());
         let (revision, tenants) = (follower.book().revision(), follower.book().tenants().len());
@@ -143,8 +147,8 @@
         let peers = Peers::new(whom.peers, &token, number)?;
         Ok(Self {
             watches,
-            snapshots: Poster::new(whom.to, 1, SNAPSHOT_PATIENCE)?,
-            seeker: Seeker::new(peers.count(), rand::random()),
+            snapshots: Poster::new(whom.to, 1, SNAPSHOT_TIMEOUT)?,
+            seeker: Bootstrap::new(peers.count(), rand::random()),
             given: Vec::new(),
             peers,
             token,
@@ -194,7 +198,7 @@
         self.start.elapsed().as_millis() as u64
     }
 
-    fn stamp(&self) -> Option<Stamp> {
+    fn stamp(&self) -> Option<SnapshotVersion> {
         Some(stamp(self.follower.store(), self.epoch?, self.follower.book()))
     }
 
@@ -228,16 +232,16 @@
 
     /// It takes no calls any more: what it had is others' at once, and no change waits for it.
     fn farewell(&mut self) -> io::Result<()> {
-        if !matches!(self.span, LeaseSpan::Given(_)) {
+        if !matches!(self.span, LeaseSpan::Granted(_)) {
             return Ok(());
         }
-        let target = farewell_target(self.number, self.life);
+        let target = deregistration_target(self.number, self.life);
         let bearer = format!("Bearer {}", self.token);
-        self.snapshots.patience(FAREWELL_PATIENCE);
+        self.snapshots.patience(DEREGISTRATION_TIMEOUT);
         self.snapshots.send(0, "GET", &target, &[("Authorization", &bearer)], b"");
-        let (mut heard, until) = (Vec::new(), Instant::now() + FAREWELL_PATIENCE);
+        let (mut heard, until) = (Vec::new(), Instant::now() + DEREGISTRATION_TIMEOUT);
         while heard.is_empty() && Instant::now() < until {
-            self.snapshots.turn(Some(FAREWELL_PATIENCE), &mut heard)?;
+            self.snapshots.turn(Some(DEREGISTRATION_TIMEOUT), &mut heard)?;
         }
         Ok(())
     }
@@ -273,11 +277,11 @@
     fn post(&mut self, target: &str, body: &[u8]) -> io::Result<Option<Answer>> {
         let bearer = format!("Bearer {}", self.token);
         let headers = [("Authorization", bearer.as_str()), ("Content-Type", "application/json")];
-        self.snapshots.patience(SNAPSHOT_PATIENCE);
+        self.snapshots.patience(SNAPSHOT_TIMEOUT);
         self.snapshots.send(0, "POST", target, &headers, body);
         let mut heard = Vec::new();
         while heard.is_empty() && !self.ended.load(Ordering::Acquire) {
-            self.snapshots.turn(Some(SNAPSHOT_PATIENCE), &mut heard)?;
+            self.snapshots.turn(Some(SNAPSHOT_TIMEOUT), &mut heard)?;
         }
         Ok(heard.pop().and_then(|(_, answer)| answer.ok()))
     }
@@ -285,8 +289,8 @@
     /// It may act on what was told so far, for a span from when it asked.
     fn leased(&mut self, asked: Instant, lease: Option<Lease>) {
         let Some(Lease { lease_ms: span_ms, place }) = lease else { return };
-        let given = |ms: u64| LeaseSpan::Given(Duration::from_millis(ms.clamp(LEAST_SPAN, MOST_SPAN)));
-        let span = span_ms.map_or(LeaseSpan::NotGiven, given);
+        let given = |ms: u64| LeaseSpan::Granted(Duration::from_millis(ms.clamp(MIN_SPAN, MAX_SPAN)));
+        let span = span_ms.map_or(LeaseSpan::NoLeases, given);
         if self.span != span {
             info!(span_ms, "leases of the administration");
             self.span = span;
@@ -359,12 +363,12 @@
     }
 
     /// What is held.
-    fn at(&self) -> At {
-        At { epoch: self.epoch.unwrap_or(0), revision: self.follower.book().revision() }
+    fn at(&self) -> Version {
+        Version { epoch: self.epoch.unwrap_or(0), revision: self.follower.book().revision() }
     }
 
     /// What is on the disk.
-    fn kept_at(&mut self) -> At {
+    fn kept_at(&mut self) -> Version {
         let durable = self.kept.durable();
         while let Some((put, at)) = self.puts.front()
             && *put <= durable
@@ -380,20 +384,20 @@
         let stamp = self.stamp();
         let (in_force, kept, epoch) = (self.marks.in_force(), self.kept_at(), self.epoch.unwrap_or(0));
         // Of another epoch it has nothing.
-        let of = |at: At| if at.epoch == epoch { at.revision } else { 0 };
-        let report = Report {
+        let of = |at: Version| if at.epoch == epoch { at.revision } else { 0 };
+        let report = Heartbeat {
             controller: self.number,
-            life: self.life,
+            incarnation: self.life,
             in_force: of(in_force),
-            kept: of(kept),
-            ends: self.ends,
+            persisted: of(kept),
+            requires_lease: self.ends,
             fenced: self.fenced,
-            holds: stamp.as_ref(),
+            snapshot: stamp.as_ref(),
         };
         let timing = self.span.timing(self.is_behind());
         let (poster, patience, target) = match ask {
-            Ask::Snapshot => (&mut self.snapshots, SNAPSHOT_PATIENCE, report.snapshot_target()),
-            Ask::Watch { .. } => (&mut self.watches, timing.patience, report.watch_target(timing.wait)),
+            Ask::Snapshot => (&mut self.snapshots, SNAPSHOT_TIMEOUT, report.snapshot_target()),
+            Ask::Watch { .. } => (&mut self.watches, timing.timeout, report.watch_target(timing.wait)),
         };
         poster.patience(patience);
         poster.send(0, "GET", &target, &[("Authorization", &format!("Bearer {}", self.token))], b"");
@@ -410,7 +414,7 @@
         if self.epoch.is_none() {
             match self.seeker.next(self.now()) {
                 Step::Wait(until) => wait = wait.min(until.saturating_sub(self.now())),
-                Step::Ask(peer) => {
+                Step::Request(peer) => {
                     self.ask_peer(peer);
                     return Ok(());
                 }
@@ -418,7 +422,7 @@
                     warn!("peers hold different books of one revision: none of them is taken");
                     return Ok(());
                 }
-                Step::Take(peer) => {
+                Step::Install(peer) => {
                     if let Some(whole) = self.seeker_gave(peer) {
                         let Whole { store, book, epoch, .. } = whole;
                         info!(peer, %store, epoch, revision = book.revision(), "a peer's book is taken, as none was held and the administration is silent");
@@ -437,11 +441,11 @@
             Ok(Some(whole)) => {
                 let stamp = whole.stamp();
                 self.given.push((peer, whole));
-                seek::Heard::Has(stamp)
+                bootstrap::PeerResponse::Snapshot(stamp)
             }
-            Ok(None) | Err(_) => seek::Heard::Nothing,
+            Ok(None) | Err(_) => bootstrap::PeerResponse::NoSnapshot,
         };
-        self.seeker.heard(peer, heard);
+        self.seeker.peer_responded(peer, heard);
     }
 
     /// The book that a peer gave in this round; the others' are given up.
@@ -493,7 +497,7 @@
     /// The administration gave its whole book: is it one to take?
     fn given_book(&mut self, whole: Whole) -> Heard {
         let (given, held) = (whole.stamp(), self.stamp());
-        match seek::takes(held.as_ref(), &given) {
+        match bootstrap::should_replace(held.as_ref(), &given) {
             Ok(_) => {
                 self.refused = None;
                 self.epoch = Some(whole.epoch);
@@ -502,7 +506,7 @@
             Err(standing) => {
                 let held = held.map(|s| s.to_string()).unwrap_or_default();
                 if self.refused.as_ref() != Some(&(given.clone(), standing)) {
-                    warn!(%given, held, standing = standing.word(), "the administration's book is not taken: the one that is held stands until it has caught up or an operator has decided");
+                    warn!(%given, held, standing = standing.as_str(), "the administration's book is not taken: the one that is held stands until it has caught up or an operator has decided");
                     self.refused = Some((given, standing));
                 }
                 Heard::Failed
@@ -549,7 +553,7 @@
                 if self.puts.len() >= MOST_PUTS {
                     self.puts.pop_back();
                 }
-                self.puts.push_back((put, At { epoch, revision: self.follower.book().revision() }));
+                self.puts.push_back((put, Version { epoch, revision: self.follower.book().revision() }));
             }
             Err(error) => warn!(%error, "the tenants can't be kept for the next start"),
         }
@@ -557,7 +561,7 @@
 }
 
 fn read(kept: &mut Kept) -> Option<Whole> {
-    let payload = kept.take(Thing::Book, clock::wall() / 1000, |_| None)?;
+    let payload = kept.take(PersistedState::Snapshot, clock::wall() / 1000, |_| None)?;
     serde_json::from_slice::<Whole>(&payload).inspect_err(|error| kept.unusable(error)).ok()
 }
 
--- a/crates/gateway/src/admin/lending.rs
+++ b/crates/gateway/src/admin/lending.rs
@@ -4,8 +4,8 @@
 use std::collections::BTreeMap;
 
 use nettleferry_fleet::Millis;
-use nettleferry_fleet::loans::{Kind, Lender, Terms, Word};
-use nettleferry_fleet::roll::Who;
+use nettleferry_fleet::loans::{Kind, Lender, LoanConfig, UsageReport};
+use nettleferry_fleet::membership::Incarnation;
 use nettleferry_tenancy::{Book, Revision, Tenant};
 use serde::{Deserialize, Serialize};
 
@@ -61,7 +61,7 @@
 
 /// Loans of all limits.
 pub struct Lending {
-    terms: Terms,
+    terms: LoanConfig,
     by: u64,
     /// The longest time that a call may take.
     longest: Millis,
@@ -72,7 +72,7 @@
 
 impl Lending {
     /// Nothing is lent yet, by this life of the administration.
-    pub fn new(terms: Terms, by: u64, longest: Millis) -> Self {
+    pub fn new(terms: LoanConfig, by: u64, longest: Millis) -> Self {
         Self { terms, by, longest, next: 0, lenders: BTreeMap::new() }
     }
 
@@ -81,7 +81,7 @@
         &mut self,
         (now, until): (Millis, Millis),
         book: &Book,
-        who: Who,
+        who: Incarnation,
         rows: &[Demand],
     ) -> Vec<Lent> {
         let mut all = Vec::new();
@@ -92,7 +92,7 @@
             let acts_on = if row.by == self.by { row.acts_on } else { 0 };
             // What calls hold stays in use for as long as they may take.
             let over = if row.kind == Kind::Rate { until } else { until + self.longest };
-            let word = Word { demand: row.demand, in_use: row.in_use, acts_on };
+            let word = UsageReport { demand: row.demand, in_use: row.in_use, applied_loan: acts_on };
             let loan = lender.report((now, over), (self.terms, limit), who, word, &mut self.next);
             let (number, amount) = (loan.number, loan.amount);
             all.push(Lent { uid: row.uid, kind: row.kind, limit, number, by: self.by, amount });
@@ -101,13 +101,13 @@
     }
 
     /// A life that takes no calls any more.
-    pub fn ended(&mut self, who: Who) {
+    pub fn ended(&mut self, who: Incarnation) {
         self.lenders.values_mut().for_each(|lender| lender.ended(who));
     }
 
     /// Forgets limits of which nothing is out.
     pub fn sweep(&mut self, now: Millis) {
-        self.lenders.retain(|_, lender| lender.lent(now) > 0.0);
+        self.lenders.retain(|_, lender| lender.outstanding(now) > 0.0);
     }
 
     /// Limits of which something is lent, and to how many lives.
--- a/crates/gateway/src/admin/marks.rs
+++ b/crates/gateway/src/admin/marks.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-use nettleferry_fleet::roll::At;
+use nettleferry_fleet::membership::Version;
 
 /// The last mark that the calls' thread has come to.
 pub type Applied = Arc<AtomicU64>;
@@ -17,13 +17,13 @@
 pub struct Marks {
     applied: Applied,
     next: u64,
-    out: VecDeque<(u64, At)>,
-    in_force: At,
+    out: VecDeque<(u64, Version)>,
+    in_force: Version,
 }
 
 impl Marks {
     /// Begins with what is in force from the start.
-    pub fn new(in_force: At) -> Self {
+    pub fn new(in_force: Version) -> Self {
         Self { applied: Applied::default(), next: 0, out: VecDeque::new(), in_force }
     }
 
@@ -33,7 +33,7 @@
     }
 
     /// News up to this one have been told: the mark to send behind them.
-    pub fn told(&mut self, at: At) -> u64 {
+    pub fn told(&mut self, at: Version) -> u64 {
         self.next += 1;
         if self.out.len() >= MOST_OUT {
             self.out.pop_back();
@@ -43,12 +43,12 @@
     }
 
     /// What was told last.
-    pub fn last(&self) -> At {
+    pub fn last(&self) -> Version {
         self.out.back().map_or(self.in_force, |(_, at)| *at)
     }
 
     /// What is in force by now.
-    pub fn in_force(&mut self) -> At {
+    pub fn in_force(&mut self) -> Version {
         let applied = self.applied.load(Ordering::Acquire);
         while let Some((mark, at)) = self.out.front()
             && *mark <= applied
--- a/crates/gateway/src/admin/marks/tests.rs
+++ b/crates/gateway/src/admin/marks/tests.rs
@@ -4,7 +4,7 @@
 
 #[test]
 fn what_was_told_is_in_force_when_its_mark_is_back() {
-    let at = |revision| At { epoch: 1, revision };
+    let at = |revision| Version { epoch: 1, revision };
     let mut marks = Marks::new(at(3));
     let applied = marks.applied();
     let (four, nine) = (marks.told(at(4)), marks.told(at(9)));
--- a/crates/gateway/src/admin/mod.rs
+++ b/crates/gateway/src/admin/mod.rs
@@ -23,7 +23,7 @@
 use nettleferry_admin::Response;
 use nettleferry_admin::api::{Usage, Worker};
 use nettleferry_config::settings::{Admin, AdminKey, Desk as Whose};
-use nettleferry_fleet::loans::Terms;
+use nettleferry_fleet::loans::LoanConfig;
 use nettleferry_net::http1::{Reply, Stop};
 use nettleferry_tenancy::{Entry, Revision};
 use tracing::warn;
@@ -130,7 +130,7 @@
                 let (peer_key, held_by) = (peer_key.as_deref(), *held_by);
                 let lease = lease.map(|span| span / 1000);
                 let records = held.is_some();
-                let terms = Terms { controllers: of, reserve: admin.reserve };
+                let terms = LoanConfig { controllers: of, reserve: admin.reserve };
                 let around = desk::Rest {
                     number,
                     waker,
--- a/crates/gateway/src/admin/peers.rs
+++ b/crates/gateway/src/admin/peers.rs
@@ -7,7 +7,7 @@
 use std::sync::mpsc::{Receiver, Sender, channel, sync_channel};
 use std::time::Duration;
 
-use nettleferry_fleet::stamp::Stamp;
+use nettleferry_fleet::snapshot_version::SnapshotVersion;
 use nettleferry_net::post::{Answer, Poster};
 use nettleferry_tenancy::Book;
 use serde::{Deserialize, Serialize};
@@ -38,14 +38,14 @@
 
 impl Whole {
     /// Its stamp; the checksum is made anew from what came.
-    pub fn stamp(&self) -> Stamp {
+    pub fn stamp(&self) -> SnapshotVersion {
         stamp(&self.store, self.epoch, &self.book)
     }
 }
 
 /// The stamp of a book of this store and epoch.
-pub fn stamp(store: &str, epoch: u64, book: &Book) -> Stamp {
-    Stamp { store: store.to_owned(), epoch, revision: book.revision(), sum: book.sum() }
+pub fn stamp(store: &str, epoch: u64, book: &Book) -> SnapshotVersion {
+    SnapshotVersion { store: store.to_owned(), epoch, revision: book.revision(), checksum: book.sum() }
 }
 
 /// Who a peer is and what it holds.
--- a/crates/gateway/src/controller.rs
+++ b/crates/gateway/src/controller.rs
@@ -13,7 +13,7 @@
 use nettleferry_config::settings::{Admin, GateWhen};
 use nettleferry_config::{Config, Worker};
 use nettleferry_engine::{Command, Engine, EngineLimits, Event};
-use nettleferry_fleet::gate::{Gate, Step, Terms};
+use nettleferry_fleet::gate::{Gate, GateConfig, Step};
 use nettleferry_fleet::lease::{self, Holder, Stage};
 use nettleferry_net::{Hub, NetEvent, NetLimits};
 use signal_hook_mio::v1_0::Signals;
@@ -202,7 +202,8 @@
                 book = (whole.store.clone(), whole.epoch);
             }
             let (base, of) = (config.tenants.len(), config.settings.controllers);
-            let terms = nettleferry_fleet::loans::Terms { controllers: of.max(1), reserve: admin.reserve };
+            let terms =
+                nettleferry_fleet::loans::LoanConfig { controllers: of.max(1), reserve: admin.reserve };
             let mut all = Tenants::new(base, &config.classes, admin.anonymous, admin.places, terms);
             match &started.book {
                 Some(whole) => {
@@ -252,7 +253,7 @@
             GateWhen::Always => true,
         };
         let now = controller.clock.now() / 1000;
-        controller.gate = judged.then(|| Gate::new(Terms::default(), now));
+        controller.gate = judged.then(|| Gate::new(GateConfig::default(), now));
         if judged {
             controller.engine.take_phases();
         }
@@ -348,19 +349,19 @@
     /// Says each step of the return; a gate that is whole is taken away.
     fn gate_steps(&mut self) {
         let Some(gate) = &mut self.gate else { return };
-        gate.count(self.clock.now() / 1000, self.engine.counters().served);
+        gate.advance(self.clock.now() / 1000, self.engine.counters().served);
         let (step, since) = gate.step();
         if self.gate_said.replace(step) != Some(step) {
             let refused = gate.counters();
             info!(
-                step = step.word(),
+                step = step.as_str(),
                 at_ms = since,
-                waits = gate.waits(),
+                waits = gate.waiting_calls(),
                 ?refused,
                 "the return from a restart"
             );
         }
-        if step == Step::Whole {
+        if step == Step::Complete {
             self.gate_counted = gate.counters();
             self.gate = None;
             if self.tenants.is_none() {
@@ -375,7 +376,7 @@
         let Some(holder) = &self.lease else { return };
         let (stage, counted) = (holder.stage(now), holder.counters());
         if self.stage_said.replace(stage) != Some(stage) {
-            let (step, left_ms) = (stage.word(), holder.left(now));
+            let (step, left_ms) = (stage.as_str(), holder.remaining(now));
             if stage == Stage::Current {
                 info!(step, left_ms, ?counted, "what it acts on is known to hold");
             } else {
@@ -471,7 +472,7 @@
                     let now = self.clock.now() / 1000;
                     let left = until.saturating_duration_since(Instant::now()).as_millis() as u64;
                     if let Some(holder) = self.lease.as_mut().filter(|_| left > 0) {
-                        holder.leased(now + left);
+                        holder.renewed(now + left);
                     }
                 }
                 Told::Lent { until, loans } => {
@@ -554,7 +555,7 @@
         let done = work(&mut self.front, &mut around);
         if let Some(holder) = self.lease.as_mut().filter(|_| self.front.opened != opened) {
             let after = self.clock.now();
-            if holder.done(now / 1000, after / 1000) {
+            if holder.action_finished(now / 1000, after / 1000) {
                 warn!(
                     stood_us = after - now,
                     "calls were taken while the lease ran out: this process stood still"
@@ -658,7 +659,7 @@
         self.links.listed(&addresses);
         if let Some(gate) = &mut self.gate {
             let on = news.workers.iter().filter(|w| w.state == WorkerState::On).count();
-            gate.listed(now / 1000, on as u32, news.form != ListForm::Restored);
+            gate.list_applied(now / 1000, on as u32, news.form != ListForm::Restored);
         }
         self.front.ready = news.workers.iter().any(|w| w.state == WorkerState::On);
         self.view();
@@ -741,7 +742,10 @@
 fn holder(admin: &Admin, now: Micros) -> Option<Holder> {
     let nettleferry_config::settings::Desk::Follow { straggler, .. } = &admin.desk else { return None };
     let leaves_after = straggler.leaves_after.map(|span| span / 1000);
-    Some(Holder::new(now / 1000, lease::Terms { refuses: straggler.refuses, leaves_after }))
+    Some(Holder::new(
+        now / 1000,
+        lease::LeasePolicy { rejects: straggler.refuses, not_ready_after: leaves_after },
+    ))
 }
 
 /// A worker as the administration shows it.
--- a/crates/gateway/src/front/mod.rs
+++ b/crates/gateway/src/front/mod.rs
@@ -17,7 +17,7 @@
 use nettleferry_audit_log::Recorder;
 use nettleferry_config::Config;
 use nettleferry_engine::{CallId, Command, End, Engine, Event, Open, Phase, Step};
-use nettleferry_fleet::gate::{Asked, Gate, Verdict};
+use nettleferry_fleet::gate::{CallInfo, Gate, Verdict};
 use nettleferry_fleet::lease::{Holder, Stage};
 use nettleferry_net::framing::FrameError;
 use nettleferry_net::grpc::{Code, Status};
@@ -236,7 +236,7 @@
         match rpc.method {
             Method::Small(small) if first => {
                 let stage = around.lease.as_ref().map_or(Stage::Current, |l| l.stage(around.now / 1000));
-                let ready = self.ready && !self.draining && stage.ready();
+                let ready = self.ready && !self.draining && stage.is_ready();
                 match metadata::answer(small, payload, &self.config, ready) {
                     Ok(message) => {
                         around.hub.respond(stream, grpc_head());
@@ -366,25 +366,31 @@
         let dearest = classes.iter().map(|c| c.worth).fold(f64::MIN_POSITIVE, f64::max);
         let careful = class.effect != nettleferry::Effect::Safe;
         let (left, aim) = (left / 1000, class.aim / 1000);
-        let asked = Asked { left, aim, worth: class.worth / dearest, careful, model };
-        match gate.ask(around.now / 1000, &asked, rand::random()) {
-            Verdict::Take => None,
-            Verdict::Refuse(wait) => Some(Duration::from_millis(wait)),
+        let asked = CallInfo {
+            remaining: left,
+            latency_objective: aim,
+            priority_weight: class.worth / dearest,
+            non_idempotent: careful,
+            model,
+        };
+        match gate.admit(around.now / 1000, &asked, rand::random()) {
+            Verdict::Admit => None,
+            Verdict::Reject(wait) => Some(Duration::from_millis(wait)),
         }
     }
 
     /// One that can't know whether its book still holds takes no call, where it is told not to: another controller
     /// may, and so may this one when it has heard.
     fn without_lease(&self, around: &mut Around) -> Option<Failure> {
-        let stage = around.lease.as_mut()?.ask(around.now / 1000);
+        let stage = around.lease.as_mut()?.check_call(around.now / 1000);
         if let Some(trail) = &mut around.trail {
             let known = Known { tenants: around.tenants.as_deref(), engine: around.engine };
-            trail.stage(around.now / 1000, stage.word(), &known);
-            if !stage.takes() {
+            trail.stage(around.now / 1000, stage.as_str(), &known);
+            if !stage.accepts_calls() {
                 trail.refused(around.now / 1000);
             }
         }
-        if stage.takes() {
+        if stage.accepts_calls() {
             return None;
         }
         let what = match stage {
@@ -533,8 +539,8 @@
     match phase.step {
         // Its model stays known while a worker has it: one that is given back waits anew.
         Step::Began => gate.has_worker(phase.front),
-        Step::Back => gate.given_back(now / 1000, phase.front),
-        Step::Ended(_) => gate.gone(phase.front),
+        Step::Back => gate.returned_by_worker(now / 1000, phase.front),
+        Step::Ended(_) => gate.ended(phase.front),
     }
 }
 
--- a/crates/gateway/src/kept.rs
+++ b/crates/gateway/src/kept.rs
@@ -6,7 +6,7 @@
 
 use nettleferry_durable::{FileSystem, Found, RecordWriter};
 use nettleferry_fleet::Millis;
-use nettleferry_fleet::trust::{self, Held, Thing, Verdict};
+use nettleferry_fleet::recovery_policy::{self, PersistedState, StoredState, Verdict};
 use tracing::{info, warn};
 
 /// A kept file, and what it held at the start until that is taken.
@@ -58,7 +58,7 @@
     /// To be asked once.
     pub fn take(
         &mut self,
-        thing: Thing,
+        thing: PersistedState,
         now_ms: Millis,
         at: impl FnOnce(&[u8]) -> Option<Millis>,
     ) -> Option<Vec<u8>> {
@@ -79,10 +79,10 @@
             }
             Found::Absent => return None,
         };
-        let held = Held { sound: payload.is_some(), at_ms: payload.as_deref().and_then(at) };
-        match trust::judge(thing, &held, now_ms) {
+        let held = StoredState { readable: payload.is_some(), saved_at_ms: payload.as_deref().and_then(at) };
+        match recovery_policy::judge(thing, &held, now_ms) {
             Verdict::Use(belief) => info!(%file, word, ?belief, "the kept {what} is looked at"),
-            Verdict::Not(why) => {
+            Verdict::Discard(why) => {
                 warn!(%file, word, why, "the kept {what} is not believed");
                 return None;
             }
--- a/crates/gateway/src/list.rs
+++ b/crates/gateway/src/list.rs
@@ -13,7 +13,7 @@
 use nettleferry::{ListForm, Micros, WorkerState};
 use nettleferry_config::{Worker, workers};
 use nettleferry_engine::Member;
-use nettleferry_fleet::trust::Thing;
+use nettleferry_fleet::recovery_policy::PersistedState;
 use nettleferry_net::clock;
 use tracing::{info, warn};
 
@@ -161,7 +161,7 @@
     /// The list of the last life, where one was kept, is sound and young enough to be believed.
     fn restored(&mut self, now_ms: u64) -> Option<News> {
         let kept = self.kept.as_mut()?;
-        let payload = kept.take(Thing::WorkerList, now_ms, kept_at)?;
+        let payload = kept.take(PersistedState::WorkerList, now_ms, kept_at)?;
         match workers::read("the kept list", &String::from_utf8_lossy(&payload)) {
             Ok(workers) => Some(News { form: ListForm::Restored, workers }),
             Err(errors) => {
--- a/crates/gateway/src/list/tests.rs
+++ b/crates/gateway/src/list/tests.rs
@@ -2,7 +2,7 @@
 
 use std::path::Path;
 
-use nettleferry_fleet::trust;
+use nettleferry_fleet::recovery_policy;
 
 use super::*;
 
@@ -27,7 +27,9 @@
     drop(first);
     let restored = file(&path, &kept).restored(now).expect("kept");
     assert_eq!((restored.form, restored.workers[0].name.as_str()), (ListForm::Restored, "w1"));
-    let old = trust::row(Thing::WorkerList).most_age_ms.expect("a list has an age limit");
+    let old = recovery_policy::rule(recovery_policy::PersistedState::WorkerList)
+        .max_age_ms
+        .expect("a list has an age limit");
     assert!(file(&path, &kept).restored(now + old + 60_000).is_none(), "too old to be believed");
     std::fs::write(&kept, "(worker w1 (address \"127.0.0.1:9\"))").expect("written");
     assert!(file(&path, &kept).restored(now).is_none(), "of an age that nobody knows");
--- a/crates/gateway/src/observe.rs
+++ b/crates/gateway/src/observe.rs
@@ -147,14 +147,14 @@
     ) {
         let step = gate.map_or(0, |gate| match gate.step().0 {
             Step::NoList => 1,
-            Step::Part => 2,
-            Step::Whole => 3,
+            Step::Partial => 2,
+            Step::Complete => 3,
         });
         let at_gate = gate.map_or(before, Gate::counters);
         self.figures.recovery(step, [at_gate.no_list, at_gate.crowded, at_gate.unproven, without_lease]);
         let (stage, counted) = lease.unwrap_or((Stage::Current, LeaseCounters::default()));
-        let stage = nettleferry_metrics::STAGES.iter().position(|s| *s == stage.word()).unwrap_or(0);
-        self.figures.lease(stage, counted.lapses, counted.doubtful);
+        let stage = nettleferry_metrics::STAGES.iter().position(|s| *s == stage.as_str()).unwrap_or(0);
+        self.figures.lease(stage, counted.expiries, counted.doubtful);
     }
 
     /// What the administration knows of others.
--- a/crates/gateway/src/tenants.rs
+++ b/crates/gateway/src/tenants.rs
@@ -10,7 +10,7 @@
 use nettleferry_admission::admission::{Asked, Limits};
 use nettleferry_admission::{Admission, Policy, Verdict, Why};
 use nettleferry_engine::{EndKind, Phase, Step};
-use nettleferry_fleet::loans::{Kind, Terms};
+use nettleferry_fleet::loans::{Kind, LoanConfig};
 use nettleferry_tenancy::{Book, Entry, Revision, Spec, State, Tenant};
 use slab::Slab;
 
@@ -78,7 +78,7 @@
     classes: HashMap<String, usize>,
     class_names: Vec<String>,
     anonymous: bool,
-    terms: Terms,
+    terms: LoanConfig,
     /// Loans in force, and when the first of them is over.
     loans: HashMap<(Revision, Kind), Borrowed>,
     loan_ends: Micros,
@@ -111,7 +111,7 @@
 
 impl Tenants {
     /// No tenants yet. `terms`: how a limit is divided.
-    pub fn new(base: usize, classes: &[String], anonymous: bool, places: u32, terms: Terms) -> Self {
+    pub fn new(base: usize, classes: &[String], anonymous: bool, places: u32, terms: LoanConfig) -> Self {
         Self {
             base,
             classes: classes.iter().cloned().enumerate().map(|(n, name)| (name, n)).collect(),
--- a/crates/hollow/src/followers/book.rs
+++ b/crates/hollow/src/followers/book.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use nettleferry_fleet::stamp::Stamp;
+use nettleferry_fleet::snapshot_version::SnapshotVersion;
 use nettleferry_net::http1_client::Answer;
 use nettleferry_tenancy::{Book, Revision};
 
@@ -23,9 +23,9 @@
 
 impl SharedBook {
     /// The stamp of a revision; `None`: it is not known here any more.
-    pub fn stamp(&self, store: &str, epoch: u64, revision: Revision) -> Option<Stamp> {
+    pub fn stamp(&self, store: &str, epoch: u64, revision: Revision) -> Option<SnapshotVersion> {
         let sum = *self.sums.get(&revision).filter(|_| self.is(store, epoch))?;
-        Some(Stamp { store: store.to_owned(), epoch, revision, sum })
+        Some(SnapshotVersion { store: store.to_owned(), epoch, revision, checksum: sum })
     }
 
     fn is(&self, store: &str, epoch: u64) -> bool {
--- a/crates/hollow/src/followers/follower.rs
+++ b/crates/hollow/src/followers/follower.rs
@@ -2,11 +2,11 @@
 
 use std::time::{Duration, Instant};
 
-use nettleferry_fleet::lease::{self, LEAST_SPAN, MOST_SPAN};
-use nettleferry_fleet::roll::At;
-use nettleferry_fleet::seek;
-use nettleferry_fleet::stamp::Stamp;
-use nettleferry_fleet::watch::{LeaseSpan, Report, SNAPSHOT_PATIENCE};
+use nettleferry_fleet::bootstrap;
+use nettleferry_fleet::follower_requests::{Heartbeat, LeaseSpan, SNAPSHOT_TIMEOUT};
+use nettleferry_fleet::lease::{self, MAX_SPAN, MIN_SPAN};
+use nettleferry_fleet::membership::Version;
+use nettleferry_fleet::snapshot_version::SnapshotVersion;
 use nettleferry_net::http1_client::{Answer, PostError};
 use nettleferry_tenancy::Revision;
 use nettleferry_tenancy::follow::Backoff;
@@ -157,7 +157,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct Held {
     store: String,
-    at: At,
+    at: Version,
 }
 
 /// A hollow follower.
@@ -217,27 +217,27 @@
         let stamp = self.stamp(book);
         // What is taken is in force and on the disk at once: there is neither work nor a disk.
         let revision = stamp.as_ref().map_or(0, |stamp| stamp.revision);
-        let report = Report {
+        let report = Heartbeat {
             controller: self.number,
-            life: self.life,
+            incarnation: self.life,
             in_force: revision,
-            kept: revision,
-            ends: self.ends,
+            persisted: revision,
+            requires_lease: self.ends,
             fenced: self.fenced,
-            holds: stamp.as_ref(),
+            snapshot: stamp.as_ref(),
         };
         if self.whole || stamp.is_none() {
             return Request {
                 ask: Ask::Snapshot,
                 target: report.snapshot_target(),
-                patience: SNAPSHOT_PATIENCE,
+                patience: SNAPSHOT_TIMEOUT,
             };
         }
         let timing = self.span.timing(false);
-        Request { ask: Ask::Watch, target: report.watch_target(timing.wait), patience: timing.patience }
+        Request { ask: Ask::Watch, target: report.watch_target(timing.wait), patience: timing.timeout }
     }
 
-    fn stamp(&self, book: &SharedBook) -> Option<Stamp> {
+    fn stamp(&self, book: &SharedBook) -> Option<SnapshotVersion> {
         let Held { store, at } = self.held.as_ref()?;
         book.stamp(store, at.epoch, at.revision)
     }
@@ -318,11 +318,14 @@
     /// Takes a book, where it is not older than the one that is held.
     fn took_snapshot(&mut self, snapshot: Snapshot, answer: &Answer, book: &mut SharedBook) -> bool {
         let Snapshot { store, epoch, sum, book: given, .. } = &snapshot;
-        let stamp = Stamp { store: store.clone(), epoch: *epoch, revision: given.revision, sum: *sum };
-        if seek::takes(self.stamp(book).as_ref(), &stamp).is_err() || !book.given(&snapshot, answer) {
+        let stamp =
+            SnapshotVersion { store: store.clone(), epoch: *epoch, revision: given.revision, checksum: *sum };
+        if bootstrap::should_replace(self.stamp(book).as_ref(), &stamp).is_err()
+            || !book.given(&snapshot, answer)
+        {
             return false;
         }
-        let at = At { epoch: stamp.epoch, revision: stamp.revision };
+        let at = Version { epoch: stamp.epoch, revision: stamp.revision };
         self.held = Some(Held { store: stamp.store, at });
         self.whole = false;
         true
@@ -347,8 +350,8 @@
 
     /// The lease is counted from the ask, however long the answer was on its way.
     fn leased(&mut self, exchange: Exchange, lease: Lease) {
-        let given = |ms: u64| LeaseSpan::Given(Duration::from_millis(ms.clamp(LEAST_SPAN, MOST_SPAN)));
-        self.span = lease.lease_ms.map_or(LeaseSpan::NotGiven, given);
+        let given = |ms: u64| LeaseSpan::Granted(Duration::from_millis(ms.clamp(MIN_SPAN, MAX_SPAN)));
+        self.span = lease.lease_ms.map_or(LeaseSpan::NoLeases, given);
         if let Some(span) = lease.lease_ms {
             let until = exchange.asked + Duration::from_millis(lease::ends(0, span));
             self.leases.given(exchange.now, until);
--- a/crates/hollow/src/followers/run.rs
+++ b/crates/hollow/src/followers/run.rs
@@ -6,7 +6,7 @@
 
 use hdrhistogram::Histogram;
 use mio::{Events, Poll, Token, Waker};
-use nettleferry_fleet::watch::{FAREWELL_PATIENCE, farewell_target};
+use nettleferry_fleet::follower_requests::{DEREGISTRATION_TIMEOUT, deregistration_target};
 use nettleferry_net::clock::wall;
 use nettleferry_net::http1_client::{Answer, ClientConnection, PostError, request};
 use rand::{RngExt, SeedableRng};
@@ -360,7 +360,7 @@
 
     /// All of them say that they end, as a follower does that ends in order.
     fn farewell(&mut self) -> io::Result<()> {
-        let (to, until) = (self.settings.administration, Instant::now() + FAREWELL_PATIENCE);
+        let (to, until) = (self.settings.administration, Instant::now() + DEREGISTRATION_TIMEOUT);
         for (n, peer) in self.peers.iter_mut().enumerate() {
             peer.connections[WATCHES].close();
             if !peer.follower.leases().any() {
@@ -368,7 +368,7 @@
             }
             let (number, life) = peer.follower.who();
             let headers = [("Authorization", self.authorization.as_str())];
-            let bytes = request(to, "GET", &farewell_target(number, life), &headers, b"");
+            let bytes = request(to, "GET", &deregistration_target(number, life), &headers, b"");
             let token = Token(n * CONNECTIONS + SNAPSHOTS);
             peer.connections[SNAPSHOTS].send(self.poll.registry(), token, to, bytes, until);
         }
--- a/crates/scale/src/measure/administration/mod.rs
+++ b/crates/scale/src/measure/administration/mod.rs
@@ -10,8 +10,8 @@
 
 use nettleferry::Micros;
 use nettleferry_config::form::Form;
-use nettleferry_fleet::lease::{LEAST_SPAN, MOST_SPAN};
-use nettleferry_fleet::roll::MOST_LIVES;
+use nettleferry_fleet::lease::{MAX_SPAN, MIN_SPAN};
+use nettleferry_fleet::membership::MAX_INCARNATIONS;
 
 use self::figures::*;
 use self::fleet::{Fleet, HOLLOW_A_PROCESS};
@@ -47,7 +47,7 @@
     if script.real > MOST_REAL {
         form.fault(format!("(real ...): write 0 to {MOST_REAL}"));
     }
-    if !(LEAST_SPAN * 1_000..=MOST_SPAN * 1_000).contains(&script.lease) {
+    if !(MIN_SPAN * 1_000..=MAX_SPAN * 1_000).contains(&script.lease) {
         form.fault("(lease ...): write 200ms to 60s");
     }
     if !(1..=MOST_TENANTS).contains(&script.tenants) {
@@ -59,10 +59,10 @@
     if !(100_000..=LONGEST_INTERVAL).contains(&script.interval) {
         form.fault("(interval ...): write 100ms to 2min");
     }
-    let most = (MOST_LIVES as u64).saturating_sub(u64::from(script.real));
+    let most = (MAX_INCARNATIONS as u64).saturating_sub(u64::from(script.real));
     if let Some(size) = sizes.as_ref().and_then(|sizes| sizes.values.iter().find(|size| **size > most)) {
         form.fault(format!(
-            "followers {size}: an administration gives leases to {MOST_LIVES} lives; write at most {most}"
+            "followers {size}: an administration gives leases to {MAX_INCARNATIONS} lives; write at most {most}"
         ));
     }
     Some(Box::new(Administration { sizes: sizes?, script }))
--- a/crates/simulation/src/follow.rs
+++ b/crates/simulation/src/follow.rs
@@ -2,8 +2,8 @@
 //! the real roll, asks and waits as the program has them.
 
 use hdrhistogram::Histogram;
-use nettleferry_fleet::lease::{self, ASKS_IN_A_SPAN, Holder, Terms};
-use nettleferry_fleet::roll::{At, Roll, Told, Who};
+use nettleferry_fleet::lease::{self, HEARTBEATS_PER_SPAN, Holder, LeasePolicy};
+use nettleferry_fleet::membership::{Incarnation, MemberState, Membership, Version};
 use nettleferry_tenancy::follow::{WAIT_FIRST, WAIT_MOST};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -108,7 +108,7 @@
     plan: Plan,
     random: ChaCha8Rng,
     events: Events<Event>,
-    roll: Roll,
+    roll: Membership,
     book: u64,
     ones: Vec<One>,
     /// Watches that wait at the administration: whose, asked when, under which serial.
@@ -125,8 +125,8 @@
     wrong: u64,
 }
 
-fn who(n: usize) -> Who {
-    Who { number: n as u32, life: 1 }
+fn who(n: usize) -> Incarnation {
+    Incarnation { controller: n as u32, incarnation: 1 }
 }
 
 /// Plays it.
@@ -141,7 +141,7 @@
     events.at(0, Event::Look);
     let one = |_| One {
         revision: 0,
-        holder: Holder::new(0, Terms { refuses: true, leaves_after: None }),
+        holder: Holder::new(0, LeasePolicy { rejects: true, not_ready_after: None }),
         serial: 0,
         failures: 0,
         span: None,
@@ -150,7 +150,7 @@
         plan,
         random,
         events,
-        roll: Roll::new(0, Some(plan.lease_ms), None, 0),
+        roll: Membership::new(0, Some(plan.lease_ms), None, 0),
         book: 0,
         ones: (0..count).map(one).collect(),
         waiting: vec![None; count],
@@ -219,7 +219,7 @@
                 (one.failures, one.span) = (0, span.or(one.span));
                 one.revision = one.revision.max(book);
                 if let Some(span) = span {
-                    one.holder.leased(lease::ends(ms(asked), span));
+                    one.holder.renewed(lease::ends(ms(asked), span));
                 }
                 self.ask(now, who);
             }
@@ -241,7 +241,7 @@
     fn ask(&mut self, now: Micros, n: usize) {
         let one = &self.ones[n];
         let (serial, has) = (one.serial, one.revision);
-        let patience = one.span.map_or(2_000, |span| span / ASKS_IN_A_SPAN * PATIENCE_PARTS);
+        let patience = one.span.map_or(2_000, |span| span / HEARTBEATS_PER_SPAN * PATIENCE_PARTS);
         self.events.at(now + patience * 1000, Event::GivenUp { who: n, serial });
         if let Some(takes) = self.plan.network.takes(&mut self.random, EMPTY) {
             self.events.at(now + takes, Event::Arrives { who: n, asked: now, serial, has });
@@ -258,21 +258,25 @@
     fn arrives(&mut self, now: Micros, n: usize, asked: Micros, serial: u64, has: u64) {
         self.meter.count(now, EMPTY);
         let done = self.work(now);
-        let at = At { epoch: 1, revision: has };
-        self.roll.told(ms(done), who(n), Told { in_force: at, kept: at, ends: true });
+        let at = Version { epoch: 1, revision: has };
+        self.roll.heartbeat(
+            ms(done),
+            who(n),
+            MemberState { in_force: at, persisted: at, requires_lease: true },
+        );
         self.acknowledge(done);
         let first = self.ones[n].span.is_none();
         if has < self.book || first {
             return self.answer(done, n, asked, serial);
         }
         self.waiting[n] = Some((asked, serial));
-        let wait = self.plan.lease_ms / ASKS_IN_A_SPAN;
+        let wait = self.plan.lease_ms / HEARTBEATS_PER_SPAN;
         self.events.at(done + wait * 1000, Event::Due { who: n, serial });
     }
 
     fn answer(&mut self, now: Micros, n: usize, asked: Micros, serial: u64) {
         let done = self.work(now);
-        let book = At { epoch: 1, revision: self.book };
+        let book = Version { epoch: 1, revision: self.book };
         let Ok(span) = self.roll.grant(ms(done), who(n), book) else { return };
         let behind = self.book - self.ones[n].revision.min(self.book);
         let bytes = EMPTY + ENTRY * behind;
@@ -285,14 +289,14 @@
 
     fn acknowledge(&mut self, now: Micros) {
         while let Some(&(revision, made)) = self.open.first() {
-            if !self.roll.progress(ms(now), At { epoch: 1, revision }, 0).is_everywhere() {
+            if !self.roll.progress(ms(now), Version { epoch: 1, revision }, 0).is_in_force() {
                 return;
             }
             self.open.remove(0);
             self.acknowledged = revision;
             let _ = self.times.record(((now - made) / 100).max(1));
             // Whoever may act now has it in force.
-            let behind = |one: &&One| one.revision < revision && one.holder.stage(ms(now)).takes();
+            let behind = |one: &&One| one.revision < revision && one.holder.stage(ms(now)).accepts_calls();
             self.wrong += self.ones.iter().filter(behind).count() as u64;
         }
     }
@@ -303,7 +307,7 @@
         if ms(now) > self.plan.lease_ms {
             for one in &self.ones {
                 self.without.1 += 1;
-                self.without.0 += u64::from(!one.holder.stage(ms(now)).takes());
+                self.without.0 += u64::from(!one.holder.stage(ms(now)).accepts_calls());
             }
         }
         self.events.at(now + 20_000, Event::Look);
--- a/crates/simulation/src/power.rs
+++ b/crates/simulation/src/power.rs
@@ -6,9 +6,9 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use nettleferry_fleet::gate::{Asked, Gate, Terms, Verdict};
-use nettleferry_fleet::seek::{Heard, Seeker, Step};
-use nettleferry_fleet::stamp::Stamp;
+use nettleferry_fleet::bootstrap::{Bootstrap, PeerResponse, Step};
+use nettleferry_fleet::gate::{CallInfo, Gate, GateConfig, Verdict};
+use nettleferry_fleet::snapshot_version::SnapshotVersion;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use serde::Serialize;
@@ -132,7 +132,7 @@
     Told {
         at: usize,
         peer: Option<usize>,
-        has: Option<Stamp>,
+        has: Option<SnapshotVersion>,
         serial: u64,
     },
     NotTold {
@@ -151,9 +151,9 @@
 }
 
 struct One {
-    book: Option<Stamp>,
+    book: Option<SnapshotVersion>,
     had_book: Micros,
-    seeker: Seeker,
+    seeker: Bootstrap,
     serial: u64,
     asked_administration: bool,
     gate: Gate,
@@ -182,8 +182,8 @@
     orders: Meter,
 }
 
-fn book(plan: &Plan) -> Stamp {
-    Stamp { store: "store".to_owned(), epoch: 1, revision: plan.tenants, sum: 1 }
+fn book(plan: &Plan) -> SnapshotVersion {
+    SnapshotVersion { store: "store".to_owned(), epoch: 1, revision: plan.tenants, checksum: 1 }
 }
 
 /// Plays it.
@@ -196,12 +196,12 @@
         // A machine's start takes its time.
         let start = random.random_range(0..100_000);
         let lost = random.random_bool(plan.lost_books);
-        let mut gate = Gate::new(Terms::default(), ms(start));
-        gate.listed(ms(start), 2, true);
+        let mut gate = Gate::new(GateConfig::default(), ms(start));
+        gate.list_applied(ms(start), 2, true);
         ones.push(One {
             book: (!lost).then(|| book(&plan)),
             had_book: 0,
-            seeker: Seeker::new(count - 1, random.random()),
+            seeker: Bootstrap::new(count - 1, random.random()),
             serial: 0,
             asked_administration: false,
             gate,
@@ -289,7 +289,7 @@
                 for at in 0..self.ones.len() {
                     self.order(now, at);
                     let one = &mut self.ones[at];
-                    one.gate.count(ms(now), one.served);
+                    one.gate.advance(ms(now), one.served);
                     self.serve(now, at);
                 }
                 self.events.at(now + 50_000, Event::Tick);
@@ -313,15 +313,25 @@
         let left = (first + plan.deadline).saturating_sub(now);
         let verdict = if one.book.is_none() {
             // Who may call is not known.
-            Verdict::Refuse(500)
+            Verdict::Reject(500)
         } else if plan.gate {
             let (left, aim, model) = (ms(left), ms(plan.aim), u64::from(model));
-            one.gate.ask(ms(now), &Asked { left, aim, worth: 1.0, careful: false, model }, chance)
+            one.gate.admit(
+                ms(now),
+                &CallInfo {
+                    remaining: left,
+                    latency_objective: aim,
+                    priority_weight: 1.0,
+                    non_idempotent: false,
+                    model,
+                },
+                chance,
+            )
         } else {
-            Verdict::Take
+            Verdict::Admit
         };
         match verdict {
-            Verdict::Take => {
+            Verdict::Admit => {
                 one.taken.push_back(now);
                 if !one.loaded.contains_key(&model) && !one.wanted.contains(&model) {
                     one.wanted.push_back(model);
@@ -332,7 +342,7 @@
                 self.order(now, at);
                 self.serve(now, at);
             }
-            Verdict::Refuse(wait) => {
+            Verdict::Reject(wait) => {
                 self.refusals += 1;
                 let again = now + wait * 1000;
                 if returns >= MOST_RETURNS || again >= first + plan.deadline {
@@ -376,7 +386,7 @@
         let one = &mut self.ones[at];
         while one.queue.front().is_some_and(|c| c.first + plan.deadline <= now) {
             if let Some(call) = one.queue.pop_front() {
-                one.gate.gone(call.call);
+                one.gate.ended(call.call);
                 self.counts[3] += 1;
                 if let Some(bin) = self.bins.get_mut((call.first / BIN) as usize) {
                     bin.0 += 1;
@@ -390,7 +400,7 @@
         let Some(place) = one.queue.iter().position(stands) else { return };
         one.serving = one.queue.remove(place);
         if let Some(call) = &one.serving {
-            one.gate.gone(call.call);
+            one.gate.ended(call.call);
         }
         let part = (now as f64 / plan.cold.max(1) as f64).min(1.0);
         let speed = plan.capacity * (plan.cold_part + (1.0 - plan.cold_part) * part);
@@ -462,8 +472,8 @@
                 let until = until.saturating_mul(1000).clamp(now + 100_000, now + 10_000_000);
                 self.events.at(until, Event::Seek(at));
             }
-            Step::Ask(peer) => self.ask(now, at, Some(peer)),
-            Step::Take(_) => {
+            Step::Request(peer) => self.ask(now, at, Some(peer)),
+            Step::Install(_) => {
                 let held = book(&self.plan);
                 let one = &mut self.ones[at];
                 (one.book, one.had_book) = (Some(held), now);
@@ -472,7 +482,14 @@
         }
     }
 
-    fn told(&mut self, now: Micros, at: usize, peer: Option<usize>, has: Option<Stamp>, serial: u64) {
+    fn told(
+        &mut self,
+        now: Micros,
+        at: usize,
+        peer: Option<usize>,
+        has: Option<SnapshotVersion>,
+        serial: u64,
+    ) {
         let one = &mut self.ones[at];
         if one.serial != serial || one.book.is_some() {
             return;
@@ -481,8 +498,8 @@
         match (peer, has) {
             (None, Some(book)) => (one.book, one.had_book) = (Some(book), now),
             (None, None) => {}
-            (Some(peer), Some(book)) => one.seeker.heard(peer, Heard::Has(book)),
-            (Some(peer), None) => one.seeker.heard(peer, Heard::Nothing),
+            (Some(peer), Some(book)) => one.seeker.peer_responded(peer, PeerResponse::Snapshot(book)),
+            (Some(peer), None) => one.seeker.peer_responded(peer, PeerResponse::NoSnapshot),
         }
         self.events.at(now, Event::Seek(at));
     }
