--- /dev/null
+++ b/src/decision/hold_queue.rs
@@ -0,0 +1,111 @@
+//! Decides the order in which held calls leave, and when they are looked at.
+//!
+//! A call is held when no worker may take it. Held calls leave lowest priority first: recent calls of the
+//! function times their mean latency, fixed at arrival (the study's Fair-Choice, section IV). Each answer
+//! releases the lowest that has room.
+//!
+//! Leaves the worker to `placement` and the final answer to `retry`. Guards: calls that can't meet their
+//! objective any more wait behind those that can (overload, retry storms); a call that is held where its
+//! replica stands asks whether that worker idles (a bound filled by others).
+
+use std::collections::BTreeSet;
+
+use super::placement::Ejected;
+use crate::controller::Controller;
+use crate::interface::*;
+use crate::state::{Function, Timer, TimerKind, Worker};
+
+/// Held calls looked at for one answer: bounds the time of an event.
+const RELEASE_SCAN: usize = 512;
+/// Held calls are looked at without an answer after so many steps, as room comes with time ...
+const RELEASE_INTERVAL_STEPS: Micros = 4;
+/// ... and no more often than this.
+pub(super) const RELEASE_INTERVAL_MIN: Micros = 20_000;
+
+impl Controller {
+    pub(super) fn hold(&mut self, id: RequestId) {
+        let Some(call) = self.calls.get(&id) else { return };
+        if !call.held {
+            self.join_hold_queue(id);
+        }
+        self.set_release_timer();
+    }
+
+    fn join_hold_queue(&mut self, id: RequestId) {
+        let may_probe = self.may_probe_load();
+        let Some(call) = self.calls.get_mut(&id) else { return };
+        let objective = self.settings.classes[call.class].latency_objective;
+        let mean = self.functions.get(&call.function).map_or(0.0, Function::mean_latency) as Micros;
+        let latest_start = call.arrived + objective.saturating_sub(mean);
+        call.priority.objective_missed = self.now >= latest_start;
+        if !call.priority.objective_missed {
+            self.timers.insert(Timer { at: latest_start, kind: TimerKind::ObjectivePassed(id) });
+        }
+        call.held = true;
+        self.hold_queue.insert(call.priority, id);
+        let Some(function) = self.functions.get_mut(&call.function) else { return };
+        function.held_calls += 1;
+        // Others' calls fill the bound where its replica stands: asked whether the cores are idle.
+        let full = |w: &Worker| {
+            let outdated = w.last_report.is_some_and(|r| r.at + objective < self.now);
+            w.warm_in_flight >= function.lanes && outdated
+        };
+        let full_home = |id: &&WorkerId| self.workers.get(id).is_some_and(full);
+        let full_home = function.warm_replicas.keys().find(full_home).copied();
+        if let Some(at) = full_home.filter(|_| may_probe) {
+            self.send_probe(at);
+        }
+    }
+
+    /// A held call that can't meet its objective waits behind those that can: late answers make others late.
+    pub(super) fn objective_passed(&mut self, id: RequestId) {
+        if self.calls.get(&id).is_some_and(|call| call.held) {
+            self.leave_hold_queue(id);
+            self.hold(id);
+        }
+    }
+
+    pub(super) fn leave_hold_queue(&mut self, id: RequestId) {
+        let Some(call) = self.calls.get_mut(&id) else { return };
+        if call.held {
+            call.held = false;
+            self.hold_queue.remove(&call.priority);
+            if let Some(function) = self.functions.get_mut(&call.function) {
+                function.held_calls = function.held_calls.saturating_sub(1);
+            }
+        }
+    }
+
+    /// An answer of `at`, or a change anywhere: the lowest held that have room go, each along its own order.
+    pub(super) fn release_held(&mut self, at: Option<WorkerId>) {
+        let mut without_room = BTreeSet::new();
+        for id in self.hold_queue.values().take(RELEASE_SCAN).copied().collect::<Vec<_>>() {
+            let Some(call) = self.calls.get(&id) else { continue };
+            // Calls that agree in these have the same workers open to them.
+            let alike = (call.function, call.class, call.failed_at, call.first_run);
+            if without_room.contains(&alike) {
+                continue;
+            }
+            let Some(function) = self.functions.get(&call.function) else { continue };
+            let room = at.is_none_or(|w| self.may_take(w, call, function, Ejected::Excluded));
+            match if room { self.select_worker(id) } else { None } {
+                Some(worker) if !self.ensure_recent_load(id, worker) => {}
+                Some(worker) => self.send_attempt(id, worker),
+                None => _ = without_room.insert(alike),
+            }
+        }
+    }
+
+    pub(super) fn set_release_timer(&mut self) {
+        if !self.hold_queue.is_empty() && !self.release_timer_set {
+            self.release_timer_set = true;
+            let at = self.now + self.release_interval();
+            self.timers.insert(Timer { at, kind: TimerKind::ReleaseHeld });
+        }
+    }
+
+    /// How often held calls and pending responses are looked at without an answer.
+    pub(super) fn release_interval(&self) -> Micros {
+        (self.settings.step * RELEASE_INTERVAL_STEPS).max(RELEASE_INTERVAL_MIN)
+    }
+}
--- /dev/null
+++ b/src/decision/response_timeout.rs
@@ -0,0 +1,118 @@
+//! Decides when a pending response is overdue, and what follows for its worker and its call.
+//!
+//! Leaves probes to `health_check` and ejection to `outlier_ejection`. Guards: a worker that owes answers
+//! and has sent nothing for long (silent machines, cut links, processes that hang); a single call that was
+//! lost while its worker answered others (answers that never come).
+
+use super::outlier_ejection::{EJECTION_FAILURE_RATE, EjectionReason};
+use super::replica_loading::STUCK_LOAD_FACTOR;
+use super::worker_load::PRESSURE_LIMIT;
+use crate::controller::Controller;
+use crate::interface::*;
+use crate::state::{Attempt, AttemptId, Timer, TimerKind, Worker};
+
+/// A response pending for this many mean latencies ...
+const TIMEOUT_LATENCIES: f64 = 6.0;
+/// ... and this share of a latency objective at the least is overdue.
+const TIMEOUT_OBJECTIVES: f64 = 0.5;
+/// The timeout of attempts of a forgotten function: never, with room to add to it.
+const NO_TIMEOUT: Micros = Micros::MAX / 4;
+
+impl Controller {
+    /// Sets a check of the worker's pending responses, unless one is set that comes no later.
+    pub(super) fn schedule_timeout_check(&mut self, id: WorkerId) {
+        let Some(worker) = self.workers.get(&id) else { return };
+        let pending = self.attempts.values().filter(|a| a.worker == id);
+        let since = |a: &Attempt| if a.probed { a.sent.max(worker.last_response) } else { a.sent };
+        let Some(at) = pending.map(|a| since(a) + self.response_timeout(a)).min() else { return };
+        let ejected_until = if worker.ejected { worker.ejected_until } else { 0 };
+        let at = at.max(ejected_until).max(self.now + self.release_interval());
+        if worker.timeout_check.is_none_or(|set| at < set) {
+            self.set_timeout_check(id, at);
+        }
+    }
+
+    /// Sets a worker's one timeout check, in place of one that is set.
+    pub(super) fn set_timeout_check(&mut self, id: WorkerId, at: Micros) {
+        let Some(worker) = self.workers.get_mut(&id) else { return };
+        if let Some(set) = worker.timeout_check.replace(at) {
+            self.timers.remove(&Timer { at: set, kind: TimerKind::ResponseTimeout(id) });
+        }
+        self.timers.insert(Timer { at, kind: TimerKind::ResponseTimeout(id) });
+    }
+
+    /// A worker that owes answers and has sent nothing for long is probed, or ejected where probes are not
+    /// permitted; idempotent calls lost there are withdrawn and go elsewhere.
+    pub(super) fn check_timeouts(&mut self, id: WorkerId) {
+        let Some(worker) = self.workers.get_mut(&id) else { return };
+        worker.timeout_check = None;
+        let worker = &self.workers[&id];
+        let (state, down, suspect) = (worker.entry.state, worker.down, worker.connection_suspect);
+        let overdue = self.attempts.values().any(|a| self.is_overdue(id, worker, a));
+        let late_attempts = self.withdraw_lost_attempts(id);
+        if !down && !suspect && !overdue && !late_attempts {
+            self.schedule_timeout_check(id);
+        } else if self.settings.limits.probes && state == WorkerState::On {
+            // A probe tells a machine that is silent from one that is slow.
+            self.send_probe(id);
+        } else if self.workers[&id].probe_sent.is_none() && (down || overdue) {
+            self.eject_unresponsive(id);
+        }
+    }
+
+    /// Marks the attempts that became overdue there, and withdraws those that are lost: others that went
+    /// there were answered since, and it is not crowded. True: there were overdue ones.
+    fn withdraw_lost_attempts(&mut self, id: WorkerId) -> bool {
+        let late = |a: &Attempt| a.worker == id && !a.probed && self.now >= a.sent + self.response_timeout(a);
+        let late: Vec<_> = self.attempts.iter().filter(|(_, a)| late(a)).map(|(id, _)| *id).collect();
+        for attempt_id in &late {
+            self.attempts.get_mut(attempt_id).expect("just seen").probed = true;
+            let attempt = &self.attempts[attempt_id];
+            let function = self.functions.get(&attempt.function);
+            let relaxed = function.is_some_and(|f| self.pressure(f, id, attempt.class) < PRESSURE_LIMIT);
+            if attempt.sent < self.workers[&id].last_response && !attempt.loading && relaxed {
+                self.withdraw_attempt(*attempt_id);
+            }
+        }
+        !late.is_empty()
+    }
+
+    /// How long a response may be pending before it is overdue.
+    fn response_timeout(&self, attempt: &Attempt) -> Micros {
+        let Some(function) = self.functions.get(&attempt.function) else { return NO_TIMEOUT };
+        let load = if attempt.loading { self.expected_load_time(function) * STUCK_LOAD_FACTOR } else { 0.0 };
+        let least = self.settings.classes[attempt.class].latency_objective as f64 * TIMEOUT_OBJECTIVES;
+        ((function.mean_latency() * TIMEOUT_LATENCIES).max(least) + load) as Micros
+    }
+
+    /// Is the response overdue, and has the worker sent nothing else meanwhile?
+    pub(super) fn is_overdue(&self, id: WorkerId, worker: &Worker, attempt: &Attempt) -> bool {
+        let since = || attempt.sent.max(worker.last_response);
+        attempt.worker == id && self.now >= since() + self.response_timeout(attempt)
+    }
+
+    /// Withdraws an idempotent attempt, so that its call may go elsewhere. Harm: slow calls run twice.
+    fn withdraw_attempt(&mut self, id: AttemptId) {
+        let AttemptId { request, number } = id;
+        let Some(call) = self.calls.get(&request) else { return };
+        let idempotent = self.settings.classes[call.class].effect == Effect::Idempotent;
+        let attempts_left = call.attempts < self.settings.limits.max_attempts;
+        let in_flight = call.in_flight == Some(number) && !call.streaming;
+        if idempotent && attempts_left && in_flight && self.settings.limits.cancel {
+            self.actions.push(Action::Cancel { request, attempt: number });
+        }
+    }
+
+    /// Ejects a worker that does not answer; idempotent calls there are withdrawn.
+    pub(super) fn eject_unresponsive(&mut self, id: WorkerId) {
+        let Some(worker) = self.workers.get(&id) else { return };
+        let overdue = self.attempts.iter().filter(|(_, a)| self.is_overdue(id, worker, a));
+        for attempt in overdue.map(|(attempt, _)| *attempt).collect::<Vec<_>>() {
+            self.withdraw_attempt(attempt);
+        }
+        let worker = self.workers.get_mut(&id).expect("just seen");
+        worker.failure_rate = worker.failure_rate.max(EJECTION_FAILURE_RATE);
+        self.eject(id, EjectionReason::Unresponsive);
+        self.schedule_timeout_check(id);
+    }
+}
--- /dev/null
+++ b/src/interface/actions.rs
@@ -0,0 +1,78 @@
+//! What the embedding program is to do.
+
+use super::{FunctionId, Micros, RequestId, WorkerId};
+
+/// Something the embedding program is to do, in the order given.
+#[derive(Clone, Debug, PartialEq)]
+pub enum Action {
+    /// Begin an attempt; attempts of a request are numbered from 0 in this order.
+    Send {
+        /// The request.
+        request: RequestId,
+        /// Where to.
+        worker: WorkerId,
+        /// Time-out; `None`: until the client gives up.
+        timeout: Option<Micros>,
+    },
+    /// Stop waiting on an attempt.
+    Cancel {
+        /// The request.
+        request: RequestId,
+        /// Number of the attempt.
+        attempt: u32,
+    },
+    /// Final answer: not served, and another try is harmless.
+    Refuse {
+        /// The request.
+        request: RequestId,
+        /// Advice to stay away this long.
+        retry_after: Option<Micros>,
+    },
+    /// Final answer: failed, nothing promised.
+    Fail {
+        /// The request.
+        request: RequestId,
+    },
+    /// Order a worker to hold at least `count` copies; 0 only asks.
+    Load {
+        /// The worker.
+        worker: WorkerId,
+        /// The function.
+        function: FunctionId,
+        /// Copies wanted, up to 16.
+        count: u32,
+    },
+    /// A load that was ordered is not wanted any more: an order that has not left need not leave, and is
+    /// answered [`Outcome::Cancelled`] then; one that has left goes on.
+    CancelLoad {
+        /// Where.
+        worker: WorkerId,
+        /// Of what.
+        function: FunctionId,
+    },
+    /// Unload the idle copies of a function.
+    Unload {
+        /// The worker.
+        worker: WorkerId,
+        /// The function.
+        function: FunctionId,
+    },
+    /// Probe a worker.
+    Probe {
+        /// The worker.
+        worker: WorkerId,
+    },
+    /// Deliver [`Event::Timer`] with this tag after a span.
+    SetTimer {
+        /// From now.
+        after: Micros,
+        /// To be handed back.
+        tag: u64,
+    },
+    /// Subscribe to the worker list.
+    Watch,
+    /// Ask for the complete list once.
+    Fetch,
+    /// A line for the log.
+    Log(String),
+}
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,8 @@
 //! Decisions of a front end (a *controller*) that sends calls to *workers* which load programs on demand.
 //!
-//! The library does no input or output and reads no clock. A [`Controller`] is built from [`Settings`] and a
-//! seed; each thing the front end learns goes in as an [`Event`] with the time it was learnt, and what is to be
-//! done comes out as [`Action`]s, to be carried out in order. Equal events give equal actions.
+//! The library does no input or output and reads no clock. A [`Controller`] is built from [`Settings`] and
+//! a seed; each thing the front end learns goes in as an [`Event`] with the time it was learnt, and what is
+//! to be done comes out as [`Action`]s, to be carried out in order. Equal events give equal actions.
 //!
 //! What the embedding program does:
 //!
@@ -34,7 +34,8 @@
 //! settings.loading.keep_alive = 8_000_000;
 //! let mut controller = Controller::new(settings, 42).expect("the settings are sound");
 //!
-//! let entry = WorkerEntry { worker: WorkerId(7), weight: 1.0, state: WorkerState::On, ..WorkerEntry::default() };
+//! let on = WorkerState::On;
+//! let entry = WorkerEntry { worker: WorkerId(7), weight: 1.0, state: on, ..WorkerEntry::default() };
 //! let mut actions = Vec::new();
 //! controller.handle(0, Event::Workers { form: ListForm::Restored, entries: vec![entry] }, &mut actions);
 //!
@@ -54,15 +55,15 @@
 //! assert!(actions.iter().any(|a| matches!(a, Action::SetTimer { .. })));
 //! ```
 
-#![deny(missing_docs)]
 #![forbid(unsafe_code)]
 
-mod choice;
+mod controller;
+mod decision;
+mod hash;
 mod interface;
-mod memory;
 mod rendezvous;
 mod state;
-mod walk;
+mod worker_order;
 
+pub use controller::Controller;
 pub use interface::*;
-pub use state::Controller;
--- a/src/rendezvous.rs
+++ b/src/rendezvous.rs
@@ -15,35 +15,48 @@
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, VecDeque};
 
+use crate::hash::mix;
 use crate::interface::{FunctionId, WorkerId};
-use crate::state::mix;
 
-/// A list of at most this many workers is kept whole by each function.
-const WHOLE: usize = 64;
-/// Homes kept of a longer list.
-const KEPT: usize = 24;
-/// Homes that a pass over a longer list aims at: a few more than are kept, as their number is up to chance.
-const AIMED: f64 = 36.0;
+/// Each function keeps the complete order of a list of at most this many workers.
+const COMPLETE_LIST: usize = 64;
+/// Homes that a function keeps of a longer list.
+const HOMES: usize = 24;
+/// Homes that a pass over a longer list looks for: a few more than are kept, as their number is random.
+const TARGET_HOMES: f64 = 36.0;
 /// With fewer homes than this left, they are made anew.
-const FEWEST: usize = 8;
+const MIN_HOMES: usize = 8;
 /// Changes of the list that are remembered.
-const LOGGED: usize = 1_024;
+const CHANGE_LOG: usize = 1_024;
 /// A function that missed more than the list's length divided by this makes its homes anew: that is cheaper.
-const MENDED: usize = 16;
+const REPAIR_RATIO: usize = 16;
 /// Each pass that goes further looks for scores up to this many times as high.
-const WIDER: f64 = 16.0;
+const SCORE_STEP: f64 = 16.0;
 /// After so many passes that found too few, the whole list is sorted: weights are far apart.
-const PASSES: u32 = 8;
+const MAX_PASSES: u32 = 8;
 /// Relative error of a score that is provided for; it is a few units of the last place, near 1e-15.
 const ROUNDING: f64 = 1e-9;
 
-/// A place in an order: a score, and the worker's id, by which equal scores are ordered.
-type Place = (f64, WorkerId);
+/// A position in an order: by score, equal scores by the worker's id.
+#[derive(Clone, Copy)]
+pub(crate) struct Position {
+    /// The worker's score for the function, lowest first.
+    pub(crate) score: f64,
+    worker: WorkerId,
+}
+
+impl Position {
+    /// Before every worker.
+    const START: Self = Self::from_score(f64::NEG_INFINITY);
 
-const START: Place = (f64::NEG_INFINITY, WorkerId(0));
+    /// Before every worker of this score.
+    const fn from_score(score: f64) -> Self {
+        Self { score, worker: WorkerId(0) }
+    }
 
-fn by_place(a: &Place, b: &Place) -> Ordering {
-    a.0.total_cmp(&b.0).then(a.1.cmp(&b.1))
+    fn compare(&self, other: &Self) -> Ordering {
+        self.score.total_cmp(&other.score).then(self.worker.cmp(&other.worker))
+    }
 }
 
 /// The part of a score's hash that depends on the worker alone.
@@ -78,13 +91,14 @@
         self.weights.swap_remove(index);
     }
 
-    /// The candidates from place `from` on with a score below `below`, or all from there on where that is
+    /// The candidates from position `from` on with a score below `below`, or all from there on where that is
     /// infinite, in the function's order.
     ///
-    /// The logarithm is computed only where it may matter: with `unit` in (0, 1], `-ln(unit) >= 1 - unit`, and
-    /// `1 - unit` is the complement of the hash's upper bits over 2^53, exactly. A worker whose complement is
-    /// beyond `below * weight` (and a margin for rounding) has a score beyond `below`, and is left out.
-    fn between(&self, function_hash: u64, from: Place, below: f64) -> Vec<Place> {
+    /// The logarithm is computed only where it may matter: with `unit` in (0, 1], `-ln(unit) >= 1 - unit`,
+    /// and `1 - unit` is the complement of the hash's upper bits over 2^53, exactly. A worker whose
+    /// complement is beyond `below * weight` (and a margin for rounding) has a score beyond `below`, and is
+    /// left out.
+    fn between(&self, function_hash: u64, from: Position, below: f64) -> Vec<Position> {
         let reach = below * (1u64 << 53) as f64 * (1.0 + ROUNDING);
         let mut found = Vec::new();
         for (index, (worker_hash, weight)) in self.hashes.iter().zip(&self.weights).enumerate() {
@@ -92,13 +106,14 @@
             if complement as f64 > reach * weight {
                 continue;
             }
-            let place = (score(function_hash, *worker_hash, *weight), self.workers[index]);
-            let beyond = place.0 >= below && below < f64::INFINITY;
-            if !beyond && by_place(&place, &from).is_ge() {
-                found.push(place);
+            let score = score(function_hash, *worker_hash, *weight);
+            let position = Position { score, worker: self.workers[index] };
+            let beyond = score >= below && below < f64::INFINITY;
+            if !beyond && position.compare(&from).is_ge() {
+                found.push(position);
             }
         }
-        found.sort_unstable_by(by_place);
+        found.sort_unstable_by(Position::compare);
         found
     }
 }
@@ -112,7 +127,7 @@
     /// Changes so far, the forgotten ones as well.
     changes: u64,
     /// The score below which a pass looks for homes; 0: to be worked out. It sets the cost, not the result.
-    below: f64,
+    score_limit: f64,
     hashes: Cell<u64>,
 }
 
@@ -140,9 +155,9 @@
             }
         }
         self.changes += 1;
-        self.below = 0.0;
+        self.score_limit = 0.0;
         self.changed.push_back(worker);
-        if self.changed.len() > LOGGED {
+        if self.changed.len() > CHANGE_LOG {
             self.changed.pop_front();
         }
     }
@@ -156,11 +171,12 @@
         self.hashes.set(self.hashes.get() + hashes as u64);
     }
 
-    /// A worker's place in a function's order, where it is in service.
-    pub(crate) fn place(&self, function: FunctionId, worker: WorkerId) -> Option<Place> {
+    /// A worker's position in a function's order, where it is in service.
+    pub(crate) fn position(&self, function: FunctionId, worker: WorkerId) -> Option<Position> {
         let index = *self.index.get(&worker)?;
         self.count(1);
-        Some((score(mix(function.0), self.all.hashes[index], self.all.weights[index]), worker))
+        let score = score(mix(function.0), self.all.hashes[index], self.all.weights[index]);
+        Some(Position { score, worker })
     }
 
     /// Those of some workers that are in service, in the function's order.
@@ -169,14 +185,14 @@
         function: FunctionId,
         workers: impl Iterator<Item = WorkerId>,
     ) -> Vec<WorkerId> {
-        let mut places: Vec<Place> = workers.filter_map(|w| self.place(function, w)).collect();
-        places.sort_unstable_by(by_place);
-        places.into_iter().map(|place| place.1).collect()
+        let mut positions: Vec<Position> = workers.filter_map(|w| self.position(function, w)).collect();
+        positions.sort_unstable_by(Position::compare);
+        positions.into_iter().map(|position| position.worker).collect()
     }
 
     /// A part of a function's order beyond its homes, of all workers or of those in `among` alone: the parts
     /// from 0 on, until `None`, give each worker once, in order.
-    pub(crate) fn further(
+    pub(crate) fn beyond_homes(
         &self,
         function: FunctionId,
         homes: &Homes,
@@ -184,30 +200,30 @@
         among: Option<&Candidates>,
     ) -> Option<Vec<WorkerId>> {
         let end = homes.end?;
-        let first = end.0.max(f64::MIN_POSITIVE);
+        let first = end.score.max(f64::MIN_POSITIVE);
         let limit = |part: u32| match part {
-            0 => first * WIDER,
-            1 => first * WIDER * WIDER,
+            0 => first * SCORE_STEP,
+            1 => first * SCORE_STEP * SCORE_STEP,
             _ => f64::INFINITY,
         };
         let from = match part {
             0 => end,
-            1 | 2 => (limit(part - 1), WorkerId(0)),
+            1 | 2 => Position::from_score(limit(part - 1)),
             _ => return None,
         };
-        if from.0 == f64::INFINITY && part > 0 {
+        if from.score == f64::INFINITY && part > 0 {
             return None;
         }
         let among = among.unwrap_or(&self.all);
         self.count(among.workers.len());
-        let places = among.between(mix(function.0), from, limit(part));
-        Some(places.into_iter().map(|place| place.1).collect())
+        let positions = among.between(mix(function.0), from, limit(part));
+        Some(positions.into_iter().map(|position| position.worker).collect())
     }
 
-    /// A score below which about `AIMED` workers lie, where weights are alike.
-    fn likely_limit(&self) -> f64 {
+    /// A score below which about `TARGET_HOMES` workers lie, where weights are alike.
+    fn likely_score_limit(&self) -> f64 {
         let sum: f64 = self.all.weights.iter().filter(|w| w.is_finite()).sum();
-        let limit = if sum > 0.0 { AIMED / sum } else { 1.0 };
+        let limit = if sum > 0.0 { TARGET_HOMES / sum } else { 1.0 };
         limit.clamp(f64::MIN_POSITIVE, f64::MAX)
     }
 }
@@ -216,10 +232,10 @@
 #[derive(Default)]
 pub(crate) struct Homes {
     workers: Vec<WorkerId>,
-    /// All workers before this place are kept, and no other; `None`: the order ends with them.
-    end: Option<Place>,
+    /// All workers before this position are kept, and no other; `None`: the order ends with them.
+    end: Option<Position>,
     /// Changes of the list taken in, and one; 0: nothing was computed yet.
-    taken_in: u64,
+    changes_applied: u64,
 }
 
 impl Homes {
@@ -228,72 +244,76 @@
     }
 
     /// The order ends with the homes.
-    pub(crate) fn whole(&self) -> bool {
+    pub(crate) fn covers_all(&self) -> bool {
         self.end.is_none()
     }
 
     /// Takes in what changed in the list since this was last called.
     pub(crate) fn update(&mut self, function: FunctionId, fleet: &mut Fleet) {
         let now = fleet.changes + 1;
-        if self.taken_in == now {
+        if self.changes_applied == now {
             return;
         }
-        let missed = (now - self.taken_in) as usize;
-        let worth = missed <= fleet.changed.len() && missed <= fleet.all.workers.len() / MENDED;
-        if self.taken_in == 0 || !worth || !self.mend(function, fleet, missed) {
+        let missed = (now - self.changes_applied) as usize;
+        let worth = missed <= fleet.changed.len() && missed <= fleet.all.workers.len() / REPAIR_RATIO;
+        if self.changes_applied == 0 || !worth || !self.repair(function, fleet, missed) {
             self.compute(function, fleet);
         }
-        self.taken_in = now;
+        self.changes_applied = now;
     }
 
     /// Takes in the latest changes one by one. False: too few homes are left.
-    fn mend(&mut self, function: FunctionId, fleet: &Fleet, missed: usize) -> bool {
+    fn repair(&mut self, function: FunctionId, fleet: &Fleet, missed: usize) -> bool {
         let changed = || fleet.changed.range(fleet.changed.len() - missed..);
         for worker in changed() {
             self.workers.retain(|home| home != worker);
         }
         for worker in changed() {
-            let Some(place) = fleet.place(function, *worker) else { continue };
-            if self.end.is_some_and(|end| by_place(&place, &end).is_ge()) || self.workers.contains(worker) {
+            let Some(position) = fleet.position(function, *worker) else { continue };
+            if self.end.is_some_and(|end| position.compare(&end).is_ge()) || self.workers.contains(worker) {
                 continue;
             }
             let before = |home: &WorkerId| {
-                fleet.place(function, *home).is_some_and(|other| by_place(&other, &place).is_lt())
+                fleet.position(function, *home).is_some_and(|other| other.compare(&position).is_lt())
             };
             let at = self.workers.partition_point(before);
             self.workers.insert(at, *worker);
         }
-        let most = if self.whole() { WHOLE } else { 2 * KEPT };
+        let most = if self.covers_all() { COMPLETE_LIST } else { 2 * HOMES };
         if self.workers.len() > most {
-            self.end = fleet.place(function, self.workers[KEPT]);
-            self.workers.truncate(KEPT);
+            self.end = fleet.position(function, self.workers[HOMES]);
+            self.workers.truncate(HOMES);
         }
-        self.whole() || self.workers.len() >= FEWEST
+        self.covers_all() || self.workers.len() >= MIN_HOMES
     }
 
     fn compute(&mut self, function: FunctionId, fleet: &mut Fleet) {
         let (all, hash) = (fleet.all.workers.len(), mix(function.0));
-        if fleet.below == 0.0 {
-            fleet.below = fleet.likely_limit();
+        if fleet.score_limit == 0.0 {
+            fleet.score_limit = fleet.likely_score_limit();
         }
-        let (mut below, mut pass) = (fleet.below, 1);
-        let places = loop {
-            if all <= WHOLE || pass > PASSES {
+        let (mut below, mut pass) = (fleet.score_limit, 1);
+        let positions = loop {
+            if all <= COMPLETE_LIST || pass > MAX_PASSES {
                 below = f64::INFINITY;
             }
             fleet.count(all);
-            let places = fleet.all.between(hash, START, below);
-            if places.len() >= FEWEST || below == f64::INFINITY {
-                break places;
+            let positions = fleet.all.between(hash, Position::START, below);
+            if positions.len() >= MIN_HOMES || below == f64::INFINITY {
+                break positions;
             }
-            (below, pass) = (below * WIDER, pass + 1);
+            (below, pass) = (below * SCORE_STEP, pass + 1);
         };
         if below < f64::INFINITY {
-            fleet.below = if places.len() as f64 > AIMED * WIDER { below / WIDER.sqrt() } else { below };
+            fleet.score_limit = if positions.len() as f64 > TARGET_HOMES * SCORE_STEP {
+                below / SCORE_STEP.sqrt()
+            } else {
+                below
+            };
         }
-        let kept = if all <= WHOLE { all } else { places.len().min(KEPT) };
-        let limit = Some((below, WorkerId(0))).filter(|_| below < f64::INFINITY);
-        self.end = places.get(kept).copied().or(limit);
-        self.workers = places[..kept].iter().map(|place| place.1).collect();
+        let kept = if all <= COMPLETE_LIST { all } else { positions.len().min(HOMES) };
+        let limit = Some(Position::from_score(below)).filter(|_| below < f64::INFINITY);
+        self.end = positions.get(kept).copied().or(limit);
+        self.workers = positions[..kept].iter().map(|position| position.worker).collect();
     }
 }
--- a/src/rendezvous/tests.rs
+++ b/src/rendezvous/tests.rs
@@ -26,7 +26,7 @@
 
 /// The whole order, as a walk that never ends early sees it.
 fn walked(function: FunctionId, homes: &Homes, fleet: &Fleet, open: Option<&Candidates>) -> Vec<WorkerId> {
-    let further = (0..).map_while(|part| fleet.further(function, homes, part, open));
+    let further = (0..).map_while(|part| fleet.beyond_homes(function, homes, part, open));
     homes.workers().iter().copied().chain(further.flatten()).collect()
 }
 
@@ -48,12 +48,12 @@
 
     fn check(&mut self, function: FunctionId, homes: &mut Homes) {
         homes.update(function, &mut self.fleet);
-        let whole = reference(function, &self.listed);
-        assert_eq!(homes.workers(), &whole[..homes.workers().len()], "the homes are the order's first");
-        assert_eq!(homes.whole(), homes.workers().len() == whole.len() || whole.is_empty());
-        assert!(homes.workers().len() >= FEWEST.min(whole.len()), "enough of them");
-        assert!(homes.workers().len() <= WHOLE, "and not too many");
-        assert_eq!(walked(function, homes, &self.fleet, None), whole, "the order goes on");
+        let complete = reference(function, &self.listed);
+        assert_eq!(homes.workers(), &complete[..homes.workers().len()], "the homes are the order's first");
+        assert_eq!(homes.covers_all(), homes.workers().len() == complete.len() || complete.is_empty());
+        assert!(homes.workers().len() >= MIN_HOMES.min(complete.len()), "enough of them");
+        assert!(homes.workers().len() <= COMPLETE_LIST, "and not too many");
+        assert_eq!(walked(function, homes, &self.fleet, None), complete, "the order goes on");
     }
 
     /// A walk over open workers alone sees those, and the homes, in the order's sequence.
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn the_order_is_the_one_that_sorting_all_gives() {
+fn the_order_equals_that_of_sorting_all_workers() {
     for seed in 0..40 {
         let mut draw = Draw(seed << 32);
         let (size, kind) = ([1, 9, 70, 200, 700][seed as usize % 5], draw.below(4));
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn homes_that_leave_one_after_another_are_filled_up_in_order() {
+fn homes_are_refilled_in_order_as_workers_leave_one_by_one() {
     let mut pair = Pair::default();
     (0..500).for_each(|worker| pair.set(worker, Some(1.0)));
     let (function, mut homes) = (FunctionId(7), Homes::default());
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn a_list_replaced_whole_is_taken_in_and_back() {
+fn a_completely_replaced_list_and_its_return_are_applied() {
     let mut pair = Pair::default();
     let (function, mut homes) = (FunctionId(99), Homes::default());
     for round in 0..4 {
--- a/tests/any_order.rs
+++ b/tests/any_order.rs
@@ -27,6 +27,7 @@
     matches!(outcome, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NeverSent | Outcome::NotLoaded)
 }
 
+#[expect(clippy::too_many_lines, reason = "one random scenario and the checks of each step")]
 fn run(when_absent: WhenAbsent, seed: u64) {
     let mut settings = settings();
     settings.loading.when_absent = when_absent;
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,13 +1,13 @@
 //! A small stand for one controller: settings, and short ways to feed events and read actions.
-#![allow(dead_code)]
+#![allow(dead_code, reason = "each test file uses a part of this one")]
 
 use nettleferry::*;
 
-pub const MS: Micros = 1_000;
-pub const S: Micros = 1_000_000;
+pub(crate) const MS: Micros = 1_000;
+pub(crate) const S: Micros = 1_000_000;
 
 /// Three controllers, one safe, one unsafe and one keyed class, absent functions loaded by the call.
-pub fn settings() -> Settings {
+pub(crate) fn settings() -> Settings {
     let class = |effect| Class {
         latency_objective: 500 * MS,
         deadline: 4 * S,
@@ -64,13 +64,13 @@
     }
 }
 
-pub struct Stand {
-    pub controller: Controller,
-    pub now: Micros,
-    pub workers: Vec<WorkerEntry>,
+pub(crate) struct Stand {
+    pub(crate) controller: Controller,
+    pub(crate) now: Micros,
+    pub(crate) workers: Vec<WorkerEntry>,
 }
 
-pub fn entry(id: u64) -> WorkerEntry {
+pub(crate) fn entry(id: u64) -> WorkerEntry {
     WorkerEntry {
         worker: WorkerId(id),
         zone: ZoneId(id as u32 % 2),
@@ -84,7 +84,7 @@
 
 impl Stand {
     /// A controller told of `n` workers, at 100 s on its clock.
-    pub fn new(settings: Settings, n: u64) -> Self {
+    pub(crate) fn new(settings: Settings, n: u64) -> Self {
         let controller = Controller::new(settings, 7).expect("settings are sound");
         let workers = (1..=n).map(entry).collect();
         let mut stand = Self { controller, now: 100 * S, workers };
@@ -93,14 +93,14 @@
         stand
     }
 
-    pub fn feed(&mut self, event: Event) -> Vec<Action> {
+    pub(crate) fn feed(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.controller.handle(self.now, event, &mut actions);
         actions
     }
 
     /// Lets time pass in steps, with the timer event that a set timer would bring.
-    pub fn pass(&mut self, span: Micros) -> Vec<Action> {
+    pub(crate) fn pass(&mut self, span: Micros) -> Vec<Action> {
         let end = self.now + span;
         let mut all = Vec::new();
         while self.now < end {
@@ -110,11 +110,11 @@
         all
     }
 
-    pub fn ask(&mut self, id: u64, class: usize, function: u64, lanes: u32) -> Vec<Action> {
+    pub(crate) fn ask(&mut self, id: u64, class: usize, function: u64, lanes: u32) -> Vec<Action> {
         self.feed(Event::Request(request(id, class, function, lanes)))
     }
 
-    pub fn end(
+    pub(crate) fn end(
         &mut self,
         id: u64,
         attempt: u32,
@@ -125,7 +125,7 @@
         self.ended(id, attempt, worker, outcome, note, 50 * MS)
     }
 
-    pub fn ended(
+    pub(crate) fn ended(
         &mut self,
         id: u64,
         attempt: u32,
@@ -148,19 +148,19 @@
     }
 
     /// Has one call of the function served warm, so that the worker it went to is last warm. Tells that worker.
-    pub fn warm(&mut self, id: u64, function: u64, lanes: u32) -> u64 {
+    pub(crate) fn warm(&mut self, id: u64, function: u64, lanes: u32) -> u64 {
         let worker = sent(&self.ask(id, 0, function, lanes)).expect("a first call is sent");
         self.end(id, 0, worker, Outcome::Ok, Some(LoadNote::Warm));
         worker
     }
 
-    pub fn change(&mut self, id: u64, state: WorkerState, born: Option<Micros>) -> Vec<Action> {
+    pub(crate) fn change(&mut self, id: u64, state: WorkerState, born: Option<Micros>) -> Vec<Action> {
         let changed = WorkerEntry { state, started_at: born, ..entry(id) };
         self.feed(Event::Workers { form: ListForm::Changes, entries: vec![changed] })
     }
 }
 
-pub fn request(id: u64, class: usize, function: u64, lanes: u32) -> Request {
+pub(crate) fn request(id: u64, class: usize, function: u64, lanes: u32) -> Request {
     Request {
         id: RequestId(id),
         class: ClassId(class),
@@ -175,34 +175,34 @@
 }
 
 /// The worker of the first send among the actions.
-pub fn sent(actions: &[Action]) -> Option<u64> {
+pub(crate) fn sent(actions: &[Action]) -> Option<u64> {
     actions.iter().find_map(|a| if let Action::Send { worker, .. } = a { Some(worker.0) } else { None })
 }
 
 /// All sends among the actions: request and worker.
-pub fn sends(actions: &[Action]) -> Vec<(u64, u64)> {
+pub(crate) fn sends(actions: &[Action]) -> Vec<(u64, u64)> {
     let pair = |a: &Action| {
         if let Action::Send { request, worker, .. } = a { Some((request.0, worker.0)) } else { None }
     };
     actions.iter().filter_map(pair).collect()
 }
 
-pub fn refused(actions: &[Action], id: u64) -> bool {
+pub(crate) fn refused(actions: &[Action], id: u64) -> bool {
     actions.iter().any(|a| matches!(a, Action::Refuse { request, .. } if request.0 == id))
 }
 
-pub fn failed(actions: &[Action], id: u64) -> bool {
+pub(crate) fn failed(actions: &[Action], id: u64) -> bool {
     actions.iter().any(|a| matches!(a, Action::Fail { request } if request.0 == id))
 }
 
-pub fn cancels(actions: &[Action], id: u64) -> bool {
+pub(crate) fn cancels(actions: &[Action], id: u64) -> bool {
     actions.iter().any(|a| matches!(a, Action::Cancel { request, .. } if request.0 == id))
 }
 
-pub fn loads(actions: &[Action]) -> usize {
+pub(crate) fn loads(actions: &[Action]) -> usize {
     actions.iter().filter(|a| matches!(a, Action::Load { count, .. } if *count > 0)).count()
 }
 
-pub fn probes(actions: &[Action]) -> usize {
+pub(crate) fn probes(actions: &[Action]) -> usize {
     actions.iter().filter(|a| matches!(a, Action::Probe { .. })).count()
 }
