--- a/crates/gateway/src/admin/desk.rs
+++ b/crates/gateway/src/admin/desk.rs
@@ -23,7 +23,7 @@
 use nettleferry_fleet::trust::Thing;
 use nettleferry_net::clock;
 use nettleferry_net::http1::{self, Http1, Http1Limits, Stop, Turn};
-use nettleferry_net::patience::Patience;
+use nettleferry_net::retry::{RetryPolicy, is_transient, retry_startup};
 use nettleferry_tenancy::{Book, Entry, Once, Revision, Tenant};
 use nettleferry_tenant_store::{Origin, Snapshot, Store, StoreError};
 use serde_json::{Value, json};
@@ -118,7 +118,7 @@
     // Each follower keeps two connections: one that waits for changes, and one for books and records.
     let connections = 2 * MOST_FOLLOWERS + Http1Limits::default().connections;
     let limits = Http1Limits { body_bytes: MOST_BODY, connections, ..Http1Limits::default() };
-    let mut server = crate::controller::patiently(|| Http1::bind(listen, limits))?;
+    let mut server = retry_startup("administration listener", || Http1::bind(listen, limits), is_transient)?;
     let (local, stop) = (server.local()?, server.stop());
     // Peers and their key are there together, or neither.
     let token = peer_key.map(token).transpose()?.unwrap_or_default();
@@ -215,12 +215,13 @@
 }
 
 /// How long a start waits for a store whose file can't be read or written just now, and how often it looks.
-const STORE_PATIENCE: Patience = Patience { span: Duration::from_secs(5), pause: Duration::from_millis(100) };
+const STORE_RETRY: RetryPolicy =
+    RetryPolicy { timeout: Duration::from_secs(5), pause: Duration::from_millis(100) };
 
 /// Opens the store, again while its file fails: that passes, and is no damage.
 fn open_patiently(path: &Path) -> Result<(Store, Book), StoreError> {
     let held_up = |why: &StoreError| warn!(%why, "the tenant store can't be opened yet: tried again");
-    STORE_PATIENCE.until(|| Store::open(path), StoreError::passes, held_up)
+    STORE_RETRY.run(|| Store::open(path), StoreError::passes, held_up)
 }
 
 /// The store, or none where it is damaged.
--- a/crates/gateway/src/controller.rs
+++ b/crates/gateway/src/controller.rs
@@ -29,7 +29,7 @@
 use crate::tenants::Tenants;
 use crate::trail::{Known, Log};
 use nettleferry_net::clock::Clock;
-use nettleferry_net::patience::Patience;
+use nettleferry_net::retry::{is_transient, retry_startup};
 
 /// Why a controller could not start or go on.
 #[derive(Debug, thiserror::Error)]
@@ -61,17 +61,6 @@
     if error.kind() == io::ErrorKind::AddrInUse { "; is another process there?" } else { "" }
 }
 
-/// A step of the start, tried again while the system refuses it for a moment: for want of a descriptor or of memory. An
-/// address that is taken or not ours does not pass by itself.
-pub(crate) fn patiently<T>(step: impl FnMut() -> io::Result<T>) -> io::Result<T> {
-    use io::ErrorKind::{AddrInUse, AddrNotAvailable, InvalidInput, PermissionDenied};
-    let lasting = |error: &io::Error| {
-        matches!(error.kind(), AddrInUse | AddrNotAvailable | InvalidInput | PermissionDenied)
-    };
-    let held_up = |error: &io::Error| warn!(%error, "the start is held up: tried again");
-    Patience::START.until(step, |error| !lasting(error), held_up)
-}
-
 /// How a controller ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stopped {
@@ -147,7 +136,7 @@
             idle: Duration::from_micros(edge.idle),
             ..NetLimits::default()
         };
-        let mut hub = patiently(|| Hub::new(net_limits.clone()))?;
+        let mut hub = retry_startup("reactor", || Hub::new(net_limits.clone()), is_transient)?;
         let limits = EngineLimits {
             open_calls: edge.open_calls,
             models: edge.models,
@@ -155,7 +144,7 @@
             probe_timeout: edge.probe_timeout,
         };
         let seed = config.seed.unwrap_or_else(rand::random);
-        let (_, local) = patiently(|| hub.listen(config.grpc))
+        let (_, local) = retry_startup("gRPC listener", || hub.listen(config.grpc), is_transient)
             .map_err(|source| ControllerError::Listen { address: config.grpc, source })?;
         let waker = hub.waker();
         let wake = move || _ = waker.wake();
@@ -167,13 +156,21 @@
         let mut settings = config.settings.clone();
         settings.loading.spent = again;
         let mut engine = Engine::new(settings, config.zone.as_deref(), limits, seed)?;
-        let signals = if signals { Some(patiently(|| watch_signals(&hub))?) } else { None };
+        let signals = if signals {
+            Some(retry_startup("signals", || watch_signals(&hub), is_transient)?)
+        } else {
+            None
+        };
         let links = LinkLimits { connections: edge.worker_connections, streams: edge.worker_streams };
         let observer = Observer::new(&config);
         let scrape = match config.figures.scrape {
             Some(address) => Some(
-                patiently(|| observe::scrape(address, observer.figures()))
-                    .map_err(|source| ControllerError::Listen { address, source })?,
+                retry_startup(
+                    "metrics listener",
+                    || observe::scrape(address, observer.figures()),
+                    is_transient,
+                )
+                .map_err(|source| ControllerError::Listen { address, source })?,
             ),
             None => None,
         };
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -12,7 +12,7 @@
 //! * [`post`]: an HTTP/1.1 client for pushing; [`http1_client`]: one connection of it.
 //! * [`framing`]: length-prefixed messages. [`grpc`]: status, time-outs, percent and base64 headers.
 //! * [`tcp`]: plain connections, for protocols other than HTTP/2. [`clock`]: the time.
-//! * [`limits`]: every bound, and its counter. [`patience`]: what fails for a moment is tried again.
+//! * [`limits`]: every bound, and its counter. [`retry`]: retries of startup steps.
 
 #![forbid(unsafe_code)]
 
@@ -24,8 +24,8 @@
 pub mod hub;
 pub mod io;
 pub mod limits;
-pub mod patience;
 pub mod post;
+pub mod retry;
 pub mod tcp;
 mod wake;
 
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -13,7 +13,7 @@
     Cause, Command, End, Ended, Engine, EngineLimits, Event, Left, Member, News, Open, Refusal,
 };
 use nettleferry_net::clock::Clock;
-use nettleferry_net::patience::Patience;
+use nettleferry_net::retry::retry_startup;
 use nettleferry_net::tcp::{Gone, Tcp, TcpCounters, TcpEvent, TcpKey, TcpLimits};
 use nettleferry_platform::config::{Config, ConfigError};
 use nettleferry_platform::directory::{List, ListError, State};
@@ -655,8 +655,7 @@
 /// Reads the configuration, again while the system fails to read a file that is there.
 fn read_patiently(path: &PathBuf) -> Result<Config, NodeError> {
     let may_pass = |error: &NodeError| matches!(error, NodeError::Read { source, .. } if passes(source));
-    let held_up = |error: &NodeError| warn!(%error, "the start is held up: tried again");
-    Patience::START.until(|| read(path), may_pass, held_up)
+    retry_startup("reading the configuration", || read(path), may_pass)
 }
 
 /// May this failure to read a file pass, as it tells of the system and not of the file?
@@ -674,6 +673,5 @@
 /// A step of the start, tried again while the system refuses it: for want of a descriptor or of memory, or as the address
 /// is still held by the process before.
 fn patiently<T>(what: &'static str, step: impl FnMut() -> io::Result<T>) -> Result<T, NodeError> {
-    let held_up = |error: &io::Error| warn!(%error, what, "the start is held up: tried again");
-    Patience::START.until(step, |_| true, held_up).map_err(NodeError::system(what))
+    retry_startup(what, step, |_| true).map_err(NodeError::system(what))
 }
