--- a/crates/gateway/src/controller/administration.rs
+++ b/crates/gateway/src/controller/administration.rs
@@ -4,13 +4,13 @@
 use std::time::Instant;
 
 use nettleferry::{ListForm, TenantId};
+use nettleferry_administration::{Lent, Told, Whole};
 use nettleferry_audit_log::Act;
 use nettleferry_engine::Event;
 use nettleferry_tenancy::Entry;
 
 use super::audit::tenant_event;
 use super::{Controller, SnapshotSource};
-use crate::admin::{Lent, Told, Whole};
 use crate::list::News;
 
 impl Controller {
@@ -87,7 +87,7 @@
         let now = self.clock.now_ms();
         let remaining_ms = until.saturating_duration_since(Instant::now()).as_millis() as u64;
         if let Some(lease) = self.lease.as_mut().filter(|_| remaining_ms > 0) {
-            lease.leased(now + remaining_ms);
+            lease.renewed(now + remaining_ms);
         }
     }
 
--- a/crates/gateway/src/controller/audit.rs
+++ b/crates/gateway/src/controller/audit.rs
@@ -1,11 +1,12 @@
 //! What the controller enters into its audit log, where it has one.
 
+use nettleferry_administration::trail::Log;
 use nettleferry_audit_log::{Act, Recorder, View};
 use nettleferry_tenancy::{Entry, Tenant};
 
 use super::Controller;
+use crate::audit_log::Known;
 use crate::tenants::Tenants;
-use crate::trail::{Known, Log};
 
 /// The recorder of entries, and the log that writes them.
 pub(super) struct AuditLog {
--- a/crates/gateway/src/controller/commands.rs
+++ b/crates/gateway/src/controller/commands.rs
@@ -97,7 +97,7 @@
     fn check_lease_after_accepting(&mut self, started_at: Micros) {
         let Some(lease) = &mut self.lease else { return };
         let now = self.clock.now();
-        if lease.done(started_at / 1000, now / 1000) {
+        if lease.action_finished(started_at / 1000, now / 1000) {
             let paused_us = now - started_at;
             warn!(paused_us, "lease expired while calls were being accepted: the process was paused");
             let event = Act::Doubtful { stood_ms: paused_us / 1000 };
--- a/crates/gateway/src/controller/mod.rs
+++ b/crates/gateway/src/controller/mod.rs
@@ -25,6 +25,8 @@
 use std::time::Duration;
 
 use nettleferry::Micros;
+use nettleferry_administration::Desk;
+use nettleferry_administration::endpoint::Endpoint;
 use nettleferry_config::{Config, Worker};
 use nettleferry_engine::{Command, Engine, Event};
 use nettleferry_fleet::gate::{self, Gate};
@@ -33,8 +35,6 @@
 use nettleferry_net::{Hub, NetEvent};
 use signal_hook_mio::v1_0::Signals;
 
-use crate::admin::Desk;
-use crate::endpoint::Endpoint;
 use crate::front::Front;
 use crate::links::Links;
 use crate::list::Lists;
--- a/crates/gateway/src/controller/startup.rs
+++ b/crates/gateway/src/controller/startup.rs
@@ -9,13 +9,16 @@
 
 use mio::Interest;
 use nettleferry::{ListForm, Micros};
+use nettleferry_administration::Desk;
+use nettleferry_administration::endpoint::Endpoint;
+use nettleferry_administration::trail::Log;
 use nettleferry_audit_log::Recorder;
 use nettleferry_config::Config;
 use nettleferry_config::settings::{self, Admin, GateWhen};
 use nettleferry_engine::{Engine, EngineLimits};
-use nettleferry_fleet::gate::{self, Gate};
-use nettleferry_fleet::lease::{self, Holder};
-use nettleferry_fleet::loans;
+use nettleferry_fleet::gate::{Gate, GateConfig};
+use nettleferry_fleet::lease::{Holder, LeasePolicy};
+use nettleferry_fleet::loans::LoanConfig;
 use nettleferry_net::clock::Clock;
 use nettleferry_net::retry::{is_transient, retry_startup};
 use nettleferry_net::{Hub, NetLimits};
@@ -23,15 +26,12 @@
 
 use super::audit::AuditLog;
 use super::{Controller, ControllerError, RestartAdmission, SIGNAL_SOURCE, SnapshotSource};
-use crate::admin::Desk;
-use crate::endpoint::Endpoint;
 use crate::front::Front;
 use crate::links::{LinkLimits, Links};
 use crate::list::Lists;
 use crate::observe::{self, Observer};
 use crate::push::Pusher;
 use crate::tenants::Tenants;
-use crate::trail::Log;
 
 impl Controller {
     /// Opens the listeners and restores the last worker list. `with_signals`: SIGTERM and SIGINT drain it.
@@ -101,7 +101,7 @@
             GateWhen::Always => true,
         };
         if limited {
-            self.restart_admission.limiter = Some(Gate::new(gate::Terms::default(), self.clock.now_ms()));
+            self.restart_admission.limiter = Some(Gate::new(GateConfig::default(), self.clock.now_ms()));
             self.engine.take_phases();
         }
     }
@@ -220,7 +220,7 @@
 }
 
 fn create_tenants(config: &Config, admin: &Admin, clock: Clock, server: &Desk) -> Tenants {
-    let loan_terms = loans::Terms { controllers: config.settings.controllers.max(1), reserve: admin.reserve };
+    let loan_terms = LoanConfig { controllers: config.settings.controllers.max(1), reserve: admin.reserve };
     let first_id = config.tenants.len();
     let mut tenants = Tenants::new(first_id, &config.classes, admin.anonymous, admin.places, loan_terms);
     match &server.book {
@@ -236,6 +236,6 @@
 /// The lease of a follower; a leader needs none.
 fn create_lease(admin: &Admin, now: Micros) -> Option<Holder> {
     let settings::Desk::Follow { straggler, .. } = &admin.desk else { return None };
-    let leaves_after = straggler.leaves_after.map(|span| span / 1000);
-    Some(Holder::new(now / 1000, lease::Terms { refuses: straggler.refuses, leaves_after }))
+    let not_ready_after = straggler.leaves_after.map(|span| span / 1000);
+    Some(Holder::new(now / 1000, LeasePolicy { rejects: straggler.refuses, not_ready_after }))
 }
--- a/crates/gateway/src/controller/status.rs
+++ b/crates/gateway/src/controller/status.rs
@@ -81,13 +81,19 @@
     fn log_restart_admission(&mut self) {
         let admission = &mut self.restart_admission;
         let Some(limiter) = &mut admission.limiter else { return };
-        limiter.count(self.clock.now_ms(), self.engine.counters().served);
+        limiter.advance(self.clock.now_ms(), self.engine.counters().served);
         let (step, at_ms) = limiter.step();
         if admission.logged_step.replace(step) != Some(step) {
             let refused = limiter.counters();
-            info!(step = step.word(), at_ms, waits = limiter.waits(), ?refused, "recovery step changed");
+            info!(
+                step = step.as_str(),
+                at_ms,
+                waits = limiter.waiting_calls(),
+                ?refused,
+                "recovery step changed"
+            );
         }
-        if step == Step::Whole {
+        if step == Step::Complete {
             admission.final_counters = limiter.counters();
             admission.limiter = None;
             if self.tenants.is_none() {
@@ -102,7 +108,7 @@
         let Some(lease) = &self.lease else { return };
         let (stage, counters) = (lease.stage(now), lease.counters());
         if self.logged_lease_stage.replace(stage) != Some(stage) {
-            let (stage_name, remaining_ms) = (stage.word(), lease.left(now));
+            let (stage_name, remaining_ms) = (stage.as_str(), lease.remaining(now));
             if stage == Stage::Current {
                 info!(stage = stage_name, remaining_ms, ?counters, "lease is current");
             } else {
--- a/crates/gateway/src/controller/worker_list.rs
+++ b/crates/gateway/src/controller/worker_list.rs
@@ -29,7 +29,7 @@
         self.links.listed(&addresses);
         let in_service = update.workers.iter().filter(|worker| worker.state == WorkerState::On).count();
         if let Some(limiter) = &mut self.restart_admission.limiter {
-            limiter.listed(now / 1000, in_service as u32, update.form != ListForm::Restored);
+            limiter.list_applied(now / 1000, in_service as u32, update.form != ListForm::Restored);
         }
         self.front.ready = in_service > 0;
         self.record_view();
--- a/crates/gateway/src/list.rs
+++ b/crates/gateway/src/list.rs
@@ -11,14 +11,13 @@
 use std::time::{Duration, Instant};
 
 use nettleferry::{ListForm, Micros, WorkerState};
+use nettleferry_administration::kept::Kept;
 use nettleferry_config::{Worker, workers};
 use nettleferry_engine::Member;
-use nettleferry_fleet::trust::Thing;
+use nettleferry_fleet::recovery_policy::PersistedState;
 use nettleferry_net::clock;
 use tracing::{info, warn};
 
-use crate::kept::Kept;
-
 /// What a source of membership tells.
 #[derive(Debug)]
 pub struct News {
@@ -161,7 +160,7 @@
     /// The list of the last life, where one was kept, is sound and young enough to be believed.
     fn restored(&mut self, now_ms: u64) -> Option<News> {
         let kept = self.kept.as_mut()?;
-        let payload = kept.take(Thing::WorkerList, now_ms, kept_at)?;
+        let payload = kept.take(PersistedState::WorkerList, now_ms, kept_at)?;
         match workers::read("the kept list", &String::from_utf8_lossy(&payload)) {
             Ok(workers) => Some(News { form: ListForm::Restored, workers }),
             Err(errors) => {
