--- a/crates/engine/src/names.rs
+++ b/crates/engine/src/names.rs
@@ -10,7 +10,7 @@
 use nettleferry::{CellId, FunctionId, KindId, WorkerEntry, WorkerId, ZoneId};
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::types::Member;
+use crate::events::Member;
 
 /// A model as clients name it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -32,16 +32,16 @@
     }
 }
 
-struct Known {
+struct RegisteredModel {
     id: FunctionId,
     open: u32,
     used: u64,
 }
 
-/// The book of names.
+/// Models and workers by name and number.
 #[derive(Default)]
 pub struct Names {
-    models: HashMap<Model, Known>,
+    models: HashMap<Model, RegisteredModel>,
     by_id: BTreeMap<FunctionId, Model>,
     /// Models without open calls, longest unused first.
     unused: BTreeSet<(u64, FunctionId)>,
@@ -65,7 +65,7 @@
 }
 
 impl Names {
-    /// The number of a model that a call was opened for. `None`: `most` models have open calls.
+    /// The number of a model for which a call is opened. `None`: `most` models have open calls, so that none can be forgotten.
     pub fn open(&mut self, model: Model, most: usize) -> Option<FunctionId> {
         self.clock += 1;
         if let Some(known) = self.models.get_mut(&model) {
@@ -87,7 +87,7 @@
             id.0 = id.0.wrapping_add(1);
         }
         self.by_id.insert(id, model.clone());
-        self.models.insert(model, Known { id, open: 1, used: 0 });
+        self.models.insert(model, RegisteredModel { id, open: 1, used: 0 });
         Some(id)
     }
 
@@ -127,20 +127,20 @@
         id
     }
 
-    /// A worker's name; one never listed has none.
+    /// A worker's name, or a placeholder for one that is not listed.
     pub fn worker_name(&self, id: WorkerId) -> Arc<str> {
         self.workers.get(&id).cloned().unwrap_or_else(|| "unlisted".into())
     }
 
-    /// Forgets the names of workers that `keep` does not want, so that a fleet that is replaced day by day
-    /// does not fill the book.
+    /// Forgets the names of workers for which `keep` is false, so that a fleet that is replaced over and over
+    /// does not fill the maps.
     pub fn retain_workers(&mut self, mut keep: impl FnMut(WorkerId) -> bool) {
         self.workers.retain(|id, _| keep(*id));
         let workers = &self.workers;
         self.worker_ids.retain(|_, id| workers.contains_key(id));
     }
 
-    /// A line of the list in numbers.
+    /// A worker of the list in numbers.
     pub fn entry(&mut self, member: &Member) -> WorkerEntry {
         WorkerEntry {
             worker: self.worker(&member.name),
--- a/crates/engine/src/outcome.rs
+++ b/crates/engine/src/outcome.rs
@@ -1,37 +1,39 @@
 //! What each end of an attempt proves: the one place in which facts of the wire become the module's
 //! [`Outcome`].
 
+use std::fmt;
+
 use nettleferry::Outcome;
 
-/// How an attempt, an order or a probe ended, as a fact.
+/// How an attempt or a control request ended, as an observed fact.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Ended {
+pub enum AttemptEnd {
     /// The worker served it.
     Served,
-    /// The worker looked at it and found the call itself wrong (INVALID_ARGUMENT, which gRPC defines as "
-    /// regardless of the state of the system"): an answer, not a failure of the worker.
+    /// The worker found the call itself invalid (INVALID_ARGUMENT, which gRPC defines as "regardless of the
+    /// state of the system"): an answer, not a failure of the worker.
     Rejected(String),
-    /// No connection came about.
+    /// No connection could be established.
     NotConnected,
-    /// Nothing of the request left before the connection ended.
+    /// Nothing of the request was written before the connection ended.
     NotWritten,
-    /// Our own bound on connections or streams to the worker left no room.
+    /// All connections or streams to the worker that the limits allow are in use.
     NoRoom,
     /// RST_STREAM REFUSED_STREAM.
     RefusedStream,
     /// A GOAWAY whose last stream id is below the attempt's.
     GoneAway,
-    /// The worker's trailers mark it as turned away unseen.
+    /// The worker's trailers state that it was rejected without being looked at.
     MarkedFull,
-    /// The worker's trailers mark it as missing its model.
+    /// The worker's trailers state that the model is not loaded.
     MarkedMiss,
-    /// The worker's trailers mark that the load it waited for failed.
+    /// The worker's trailers state that the load it waited for failed.
     MarkedLoadFailed,
-    /// The worker answered that the request was over when it came: it never ran (the platform's `nobody`).
+    /// The worker answered that the request had expired or was cancelled when it arrived: it never ran (the platform's `nobody`).
     Unwanted,
     /// Any other failing status.
     Status {
-        /// Its name and words, for people.
+        /// The status and its message, for people.
         message: String,
     },
     /// RST_STREAM with another reason, or a protocol error.
@@ -40,12 +42,12 @@
     Broken,
     /// No answer in time.
     TimedOut,
-    /// We withdrew it.
+    /// Cancelled by this controller.
     Cancelled,
 }
 
-impl Ended {
-    /// The module's word for it.
+impl AttemptEnd {
+    /// What it proves, in the decision module's terms.
     ///
     /// Only what proves that nothing ran becomes `ConnectFailed`, `Full` or `Miss`. A bare UNAVAILABLE, a reset
     /// and a broken connection prove nothing.
@@ -64,34 +66,35 @@
         }
     }
 
-    /// Does it prove that the attempt never ran?
+    /// Whether it proves that the attempt never ran.
     pub fn never_ran(&self) -> bool {
         matches!(
             self.outcome(),
             Outcome::ConnectFailed | Outcome::Unsent | Outcome::Full | Outcome::Miss | Outcome::Moot
         )
     }
+}
 
-    /// For people: a client's message, a log line.
-    pub fn words(&self) -> String {
-        match self {
-            Self::Served => "served".to_owned(),
-            Self::Rejected(message) => message.clone(),
-            Self::NotConnected => "no connection to the worker came about".to_owned(),
-            Self::NotWritten => "the connection ended before the request left".to_owned(),
-            Self::NoRoom => "all connections to the worker are in use".to_owned(),
-            Self::RefusedStream => "the worker refused the stream unseen".to_owned(),
-            Self::GoneAway => "the worker went away before it saw the request".to_owned(),
-            Self::MarkedFull => "the worker is full".to_owned(),
-            Self::MarkedMiss => "the worker does not hold the model".to_owned(),
-            Self::MarkedLoadFailed => "the worker could not load the model".to_owned(),
-            Self::Unwanted => "the request was over when the worker got it".to_owned(),
-            Self::Status { message } => message.clone(),
-            Self::Reset => "the worker reset the stream".to_owned(),
-            Self::Broken => "the connection to the worker broke".to_owned(),
-            Self::TimedOut => "the worker did not answer in time".to_owned(),
-            Self::Cancelled => "withdrawn".to_owned(),
-        }
+/// The end in plain words, for a client's message or the log.
+impl fmt::Display for AttemptEnd {
+    fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
+        out.write_str(match self {
+            Self::Served => "served",
+            Self::Rejected(message) | Self::Status { message } => message,
+            Self::NotConnected => "no connection to the worker came about",
+            Self::NotWritten => "the connection ended before the request left",
+            Self::NoRoom => "all connections to the worker are in use",
+            Self::RefusedStream => "the worker refused the stream unseen",
+            Self::GoneAway => "the worker went away before it saw the request",
+            Self::MarkedFull => "the worker is full",
+            Self::MarkedMiss => "the worker does not hold the model",
+            Self::MarkedLoadFailed => "the worker could not load the model",
+            Self::Unwanted => "the request was over when the worker got it",
+            Self::Reset => "the worker reset the stream",
+            Self::Broken => "the connection to the worker broke",
+            Self::TimedOut => "the worker did not answer in time",
+            Self::Cancelled => "withdrawn",
+        })
     }
 }
 
--- a/crates/engine/src/outcome/tests.rs
+++ b/crates/engine/src/outcome/tests.rs
@@ -4,25 +4,25 @@
 
 #[test]
 fn each_end_proves_what_it_proves_and_no_more() {
-    let status = |m: &str| Ended::Status { message: m.to_owned() };
+    let status = |m: &str| AttemptEnd::Status { message: m.to_owned() };
     let table = [
-        (Ended::Served, Outcome::Ok, false),
-        (Ended::Rejected("shape".to_owned()), Outcome::Ok, false),
-        (Ended::NotConnected, Outcome::ConnectFailed, true),
-        (Ended::NotWritten, Outcome::Unsent, true),
-        (Ended::NoRoom, Outcome::Full, true),
-        (Ended::RefusedStream, Outcome::Full, true),
-        (Ended::GoneAway, Outcome::Full, true),
-        (Ended::MarkedFull, Outcome::Full, true),
-        (Ended::MarkedMiss, Outcome::Miss, true),
-        (Ended::MarkedLoadFailed, Outcome::Miss, true),
-        (Ended::Unwanted, Outcome::Moot, true),
+        (AttemptEnd::Served, Outcome::Ok, false),
+        (AttemptEnd::Rejected("shape".to_owned()), Outcome::Ok, false),
+        (AttemptEnd::NotConnected, Outcome::ConnectFailed, true),
+        (AttemptEnd::NotWritten, Outcome::Unsent, true),
+        (AttemptEnd::NoRoom, Outcome::Full, true),
+        (AttemptEnd::RefusedStream, Outcome::Full, true),
+        (AttemptEnd::GoneAway, Outcome::Full, true),
+        (AttemptEnd::MarkedFull, Outcome::Full, true),
+        (AttemptEnd::MarkedMiss, Outcome::Miss, true),
+        (AttemptEnd::MarkedLoadFailed, Outcome::Miss, true),
+        (AttemptEnd::Unwanted, Outcome::Moot, true),
         (status("UNAVAILABLE: bare"), Outcome::Error, false),
         (status("INTERNAL"), Outcome::Error, false),
-        (Ended::Reset, Outcome::Error, false),
-        (Ended::Broken, Outcome::Reset, false),
-        (Ended::TimedOut, Outcome::Timeout, false),
-        (Ended::Cancelled, Outcome::Cancelled, false),
+        (AttemptEnd::Reset, Outcome::Error, false),
+        (AttemptEnd::Broken, Outcome::Reset, false),
+        (AttemptEnd::TimedOut, Outcome::Timeout, false),
+        (AttemptEnd::Cancelled, Outcome::Cancelled, false),
     ];
     for (ended, outcome, proof) in table {
         assert_eq!(ended.outcome(), outcome, "{ended:?}");
--- a/crates/engine/tests/ledger.rs
+++ b/crates/engine/tests/ledger.rs
@@ -100,30 +100,30 @@
             let mut probes = Vec::new();
             for command in std::mem::take(&mut self.out) {
                 match command {
-                    Command::Probe { errand, .. } => probes.push(errand),
+                    Command::Probe { request_id, .. } => probes.push(request_id),
                     other => all.push(other),
                 }
             }
             if probes.is_empty() {
                 return all;
             }
-            for errand in probes {
+            for request_id in probes {
                 let report = Some(Report { util: Some(0.1), inflight: Some(0.0), ..Report::default() });
-                let told = Event::Probed { errand, how: Ended::Served, report };
+                let told = Event::ProbeEnded { request_id, end: AttemptEnd::Served, load_report: report };
                 self.engine.handle(self.now, told, &mut self.out);
             }
         }
     }
 
     fn open(&mut self, class: usize, streamed: bool) -> (CallId, Vec<Command>) {
-        let open = Open {
+        let open = NewCall {
             front: 77,
             class: ClassId(class),
             tenant: None,
             model: "echo".into(),
             version: "".into(),
-            left: 4_000 * MS,
-            work_hint: None,
+            time_left: 4_000 * MS,
+            cost_hint: None,
             lanes: 2,
             load_time: None,
             repeat: false,
@@ -156,19 +156,19 @@
     })
 }
 
-fn end(commands: &[Command]) -> Option<End> {
+fn end(commands: &[Command]) -> Option<FinalAnswer> {
     commands.iter().find_map(|c| match c {
-        Command::End { end, .. } => Some(end.clone()),
+        Command::Answer { answer: end, .. } => Some(end.clone()),
         _ => None,
     })
 }
 
-fn ended(attempt: AttemptId, how: Ended) -> Event {
-    Event::Ended { attempt, how, news: News::default() }
+fn ended(attempt: AttemptId, how: AttemptEnd) -> Event {
+    Event::AttemptEnded { attempt, end: how, report: AttemptReport::default() }
 }
 
 fn part(attempt: AttemptId, last: bool) -> Event {
-    Event::Part { attempt, payload: Bytes::from_static(b"part"), last }
+    Event::ResponsePart { attempt, payload: Bytes::from_static(b"part"), last }
 }
 
 #[test]
@@ -177,17 +177,17 @@
     let (_, first) = bench.open(0, false);
     let attempt = started(&first).expect("a worker is free");
     assert_eq!(bench.tell(part(attempt, false)), vec![], "OK may still not come");
-    let done = bench.tell(ended(attempt, Ended::Served));
-    assert_eq!(end(&done), Some(End::Served { last: Some(Bytes::from_static(b"part")) }));
-    assert_eq!(bench.tell(ended(attempt, Ended::Broken)), vec![], "nothing follows");
+    let done = bench.tell(ended(attempt, AttemptEnd::Served));
+    assert_eq!(end(&done), Some(FinalAnswer::Served { last: Some(Bytes::from_static(b"part")) }));
+    assert_eq!(bench.tell(ended(attempt, AttemptEnd::Broken)), vec![], "nothing follows");
 }
 
 #[test]
 fn an_answer_without_a_message_is_no_answer() {
     let mut bench = Bench::new(&["w1"], EngineLimits::default());
     let (_, first) = bench.open(1, false);
-    let done = bench.tell(ended(started(&first).expect("sent"), Ended::Served));
-    assert!(matches!(end(&done), Some(End::Failed { cause: Cause::Internal, .. })), "{done:?}");
+    let done = bench.tell(ended(started(&first).expect("sent"), AttemptEnd::Served));
+    assert!(matches!(end(&done), Some(FinalAnswer::Failed { cause: Cause::Internal, .. })), "{done:?}");
 }
 
 #[test]
@@ -196,13 +196,13 @@
     let (_, first) = bench.open(0, true);
     let attempt = started(&first).expect("sent");
     for _ in 0..3 {
-        assert!(matches!(bench.tell(part(attempt, false))[..], [Command::Part { front: 77, .. }]));
+        assert!(matches!(bench.tell(part(attempt, false))[..], [Command::ResponsePart { front: 77, .. }]));
     }
-    let broken = bench.tell(ended(attempt, Ended::Broken));
-    assert!(matches!(end(&broken), Some(End::Failed { cause: Cause::Aborted, .. })), "{broken:?}");
+    let broken = bench.tell(ended(attempt, AttemptEnd::Broken));
+    assert!(matches!(end(&broken), Some(FinalAnswer::Failed { cause: Cause::Aborted, .. })), "{broken:?}");
     assert_eq!(started(&broken), None);
     assert!(
-        bench.pass(10_000 * MS).iter().all(|c| !matches!(c, Command::Start { .. } | Command::End { .. }))
+        bench.pass(10_000 * MS).iter().all(|c| !matches!(c, Command::Start { .. } | Command::Answer { .. }))
     );
 }
 
@@ -211,32 +211,32 @@
     let mut bench = Bench::new(&["w1", "w2"], EngineLimits::default());
     let (_, first) = bench.open(0, true);
     let one = started(&first).expect("sent");
-    let again = bench.tell(ended(one, Ended::Broken));
+    let again = bench.tell(ended(one, AttemptEnd::Broken));
     let two = started(&again).expect("safe calls may be repeated");
     assert_eq!((one.call, one.number + 1), (two.call, two.number));
     // The only part is the last one: it is held, so that a break before the end leaves the retry open.
     assert_eq!(bench.tell(part(two, true)), vec![]);
-    let served = bench.tell(ended(two, Ended::Served));
-    assert!(matches!(end(&served), Some(End::Served { last: Some(_) })));
+    let served = bench.tell(ended(two, AttemptEnd::Served));
+    assert!(matches!(end(&served), Some(FinalAnswer::Served { last: Some(_) })));
 }
 
 #[test]
 fn an_unsafe_call_is_repeated_only_after_proof() {
     for (how, again) in [
-        (Ended::NotWritten, true),
-        (Ended::RefusedStream, true),
-        (Ended::GoneAway, true),
-        (Ended::MarkedFull, true),
-        (Ended::Broken, false),
-        (Ended::Reset, false),
-        (Ended::Status { message: "UNAVAILABLE".into() }, false),
-        (Ended::TimedOut, false),
+        (AttemptEnd::NotWritten, true),
+        (AttemptEnd::RefusedStream, true),
+        (AttemptEnd::GoneAway, true),
+        (AttemptEnd::MarkedFull, true),
+        (AttemptEnd::Broken, false),
+        (AttemptEnd::Reset, false),
+        (AttemptEnd::Status { message: "UNAVAILABLE".into() }, false),
+        (AttemptEnd::TimedOut, false),
     ] {
         let mut bench = Bench::new(&["w1", "w2"], EngineLimits::default());
         let (_, first) = bench.open(1, false);
         let then = bench.tell(ended(started(&first).expect("sent"), how.clone()));
         assert_eq!(started(&then).is_some(), again, "{how:?}");
-        assert_eq!(matches!(end(&then), Some(End::Failed { .. })), !again, "{how:?}");
+        assert_eq!(matches!(end(&then), Some(FinalAnswer::Failed { .. })), !again, "{how:?}");
     }
 }
 
@@ -253,9 +253,9 @@
         seen.extend(bench.tell(Event::Tick));
     }
     assert!(bench.now < began + 4_000 * MS);
-    assert!(matches!(end(&seen), Some(End::Failed { cause: Cause::Deadline, .. })));
-    assert!(seen.contains(&Command::Withdraw { attempt }));
-    assert_eq!(bench.tell(ended(attempt, Ended::Served)), vec![], "deadline and answer in one moment");
+    assert!(matches!(end(&seen), Some(FinalAnswer::Failed { cause: Cause::Deadline, .. })));
+    assert!(seen.contains(&Command::Cancel { attempt }));
+    assert_eq!(bench.tell(ended(attempt, AttemptEnd::Served)), vec![], "deadline and answer in one moment");
     assert_eq!(bench.engine.counters().backstop, 0, "the module was in time");
 }
 
@@ -266,8 +266,8 @@
     let attempt = started(&first).expect("sent");
     bench.tell(part(attempt, false));
     let late = bench.pass(4_000 * MS);
-    assert!(matches!(end(&late), Some(End::Failed { cause: Cause::Deadline, .. })), "{late:?}");
-    assert!(late.contains(&Command::Withdraw { attempt }));
+    assert!(matches!(end(&late), Some(FinalAnswer::Failed { cause: Cause::Deadline, .. })), "{late:?}");
+    assert!(late.contains(&Command::Cancel { attempt }));
 }
 
 #[test]
@@ -276,10 +276,10 @@
     let (call, first) = bench.open(0, true);
     let attempt = started(&first).expect("sent");
     bench.tell(part(attempt, false));
-    let gone = bench.tell(Event::ClientGone { call });
-    assert_eq!(gone, vec![Command::Withdraw { attempt }]);
+    let gone = bench.tell(Event::ClientDisconnected { call });
+    assert_eq!(gone, vec![Command::Cancel { attempt }]);
     assert_eq!(bench.tell(part(attempt, false)), vec![]);
-    assert_eq!(bench.tell(ended(attempt, Ended::Served)), vec![], "both closed in one moment");
+    assert_eq!(bench.tell(ended(attempt, AttemptEnd::Served)), vec![], "both closed in one moment");
     assert_eq!(bench.engine.open_calls(), 0);
 }
 
@@ -290,7 +290,7 @@
     let (_, first) = bench.open(0, false);
     let first = started(&first).expect("a worker is free");
     bench.tell(part(first, true));
-    bench.tell(ended(first, Ended::Served));
+    bench.tell(ended(first, AttemptEnd::Served));
     let opened: Vec<_> = (0..4).map(|_| bench.open(0, false)).collect();
     let out: Vec<AttemptId> = opened.iter().filter_map(|(_, commands)| started(commands)).collect();
     assert_eq!(out.len(), 2, "two lanes");
@@ -298,7 +298,9 @@
 }
 
 fn left(calls: &[CallId]) -> Event {
-    Event::ClientsLeft { calls: calls.iter().map(|call| Left { call: *call, answered: false }).collect() }
+    Event::ClientsDisconnected {
+        clients: calls.iter().map(|call| ClientDisconnect { call: *call, answered: false }).collect(),
+    }
 }
 
 #[test]
@@ -306,7 +308,7 @@
     let (mut bench, calls, _) = two_run_and_two_wait(settings());
     let done = bench.tell(left(&calls));
     assert_eq!(started(&done), None, "{done:?}");
-    assert_eq!(done.iter().filter(|c| matches!(c, Command::Withdraw { .. })).count(), 2);
+    assert_eq!(done.iter().filter(|c| matches!(c, Command::Cancel { .. })).count(), 2);
     assert_eq!(bench.engine.open_calls(), 0);
     // The module counts none of them any more: the lanes are there for those who come.
     for _ in 0..2 {
@@ -318,20 +320,22 @@
 #[test]
 fn a_client_whose_side_ended_has_its_final_answer_at_once() {
     let (mut bench, calls, out) = two_run_and_two_wait(settings());
-    let all = calls.iter().map(|call| Left { call: *call, answered: true }).collect();
-    let done = bench.tell(Event::ClientsLeft { calls: all });
+    let all = calls.iter().map(|call| ClientDisconnect { call: *call, answered: true }).collect();
+    let done = bench.tell(Event::ClientsDisconnected { clients: all });
     for call in calls {
-        let ends: Vec<&End> = done
+        let ends: Vec<&FinalAnswer> = done
             .iter()
             .filter_map(|c| match c {
-                Command::End { call: of, end, .. } if *of == call => Some(end),
+                Command::Answer { call: of, answer: end, .. } if *of == call => Some(end),
                 _ => None,
             })
             .collect();
         let ran = out.iter().any(|attempt| attempt.call == call);
         match ends[..] {
-            [End::Failed { cause: Cause::Aborted, .. }] => assert!(ran, "it had not left"),
-            [End::Refused { why: Refusal::ClientLeft, .. }] => assert!(!ran, "it may have run"),
+            [FinalAnswer::Failed { cause: Cause::Aborted, .. }] => assert!(ran, "it had not left"),
+            [FinalAnswer::Refused { reason: Refusal::ClientDisconnected, .. }] => {
+                assert!(!ran, "it may have run")
+            }
             _ => panic!("one end each: {ends:?}"),
         }
     }
@@ -344,18 +348,18 @@
     let (mut bench, calls, out) = two_run_and_two_wait(settings);
     let running: Vec<CallId> = out.iter().map(|attempt| attempt.call).collect();
     let done = bench.tell(left(&running));
-    assert!(!done.iter().any(|c| matches!(c, Command::Withdraw { .. })), "{done:?}");
+    assert!(!done.iter().any(|c| matches!(c, Command::Cancel { .. })), "{done:?}");
     assert_eq!(started(&done), None, "the worker is still busy with them");
-    assert_eq!((bench.engine.open_calls(), bench.engine.held_calls()), (2, 2));
+    assert_eq!((bench.engine.open_calls(), bench.engine.waiting_calls()), (2, 2));
     // One answers, and its lane is free; nobody gets the answer.
     bench.tell(part(out[0], true));
-    let freed = bench.tell(ended(out[0], Ended::Served));
+    let freed = bench.tell(ended(out[0], AttemptEnd::Served));
     let next = started(&freed).expect("one that waited");
     assert!(calls.contains(&next.call) && end(&freed).is_none());
     // The other never does: after the time that its worker was told, nothing is sent for it.
     let passed = bench.pass(5_000 * MS);
     assert!(passed.contains(&Command::Abandon { attempt: out[1] }), "{passed:?}");
-    assert!(!passed.contains(&Command::Withdraw { attempt: out[1] }));
+    assert!(!passed.contains(&Command::Cancel { attempt: out[1] }));
 }
 
 #[test]
@@ -388,22 +392,25 @@
         bench.engine.handle(bench.now, Event::Tick, &mut bench.out);
         while !bench.out.is_empty() {
             for command in std::mem::take(&mut bench.out) {
-                let Command::Probe { errand, worker } = command else {
+                let Command::Probe { request_id, worker } = command else {
                     seen.push(command);
                     continue;
                 };
-                let how = if Some(worker) == silent { Ended::TimedOut } else { Ended::Served };
-                let told = Event::Probed { errand, how, report: None };
+                let how = if Some(worker) == silent { AttemptEnd::TimedOut } else { AttemptEnd::Served };
+                let told = Event::ProbeEnded { request_id, end: how, load_report: None };
                 bench.engine.handle(bench.now, told, &mut bench.out);
             }
         }
     }
     let two = started(&seen).expect("just seen");
-    assert!(seen.contains(&Command::Withdraw { attempt: one }));
+    assert!(seen.contains(&Command::Cancel { attempt: one }));
     assert_eq!(bench.tell(part(one, false)), vec![]);
-    assert_eq!(bench.tell(ended(one, Ended::Served)), vec![], "its answer is nobody's any more");
+    assert_eq!(bench.tell(ended(one, AttemptEnd::Served)), vec![], "its answer is nobody's any more");
     bench.tell(part(two, false));
-    assert!(matches!(end(&bench.tell(ended(two, Ended::Served))), Some(End::Served { last: Some(_) })));
+    assert!(matches!(
+        end(&bench.tell(ended(two, AttemptEnd::Served))),
+        Some(FinalAnswer::Served { last: Some(_) })
+    ));
 }
 
 #[test]
@@ -411,10 +418,13 @@
     let mut bench = Bench::new(&["w1"], EngineLimits { open_calls: 1, ..EngineLimits::default() });
     bench.open(0, false);
     let (_, over) = bench.open(0, false);
-    assert!(matches!(end(&over), Some(End::Refused { why: Refusal::TooManyOpen, .. })));
+    assert!(matches!(end(&over), Some(FinalAnswer::Refused { reason: Refusal::TooManyOpen, .. })));
     let mut bench = Bench::new(&[], EngineLimits::default());
     let (_, at_once) = bench.open(1, false);
-    assert!(matches!(end(&at_once), Some(End::Refused { why: Refusal::NoWorker, .. })), "{at_once:?}");
+    assert!(
+        matches!(end(&at_once), Some(FinalAnswer::Refused { reason: Refusal::NoWorker, .. })),
+        "{at_once:?}"
+    );
 }
 
 #[test]
@@ -423,7 +433,10 @@
         Bench::new(&["w1"], EngineLimits { answer_margin: 5_000 * MS, ..EngineLimits::default() });
     let (_, out) = bench.open(1, false);
     assert!(
-        matches!(out[..], [Command::End { end: End::Failed { cause: Cause::Deadline, .. }, .. }]),
+        matches!(
+            out[..],
+            [Command::Answer { answer: FinalAnswer::Failed { cause: Cause::Deadline, .. }, .. }]
+        ),
         "{out:?}"
     );
 }
@@ -441,16 +454,16 @@
     );
     let mut bench = Bench { engine, now: MS, out: Vec::new() };
     let (_, first) = bench.open(0, false);
-    let missed = bench.tell(ended(started(&first).expect("sent"), Ended::MarkedMiss));
-    let errand = missed.iter().find_map(|c| match c {
-        Command::Load { errand, model, copies: 1, .. } if &**model == "echo" => Some(*errand),
+    let missed = bench.tell(ended(started(&first).expect("sent"), AttemptEnd::MarkedMiss));
+    let request_id = missed.iter().find_map(|c| match c {
+        Command::Load { request_id, model, copies: 1, .. } if &**model == "echo" => Some(*request_id),
         _ => None,
     });
-    let errand = errand.expect("one copy is ordered");
+    let request_id = request_id.expect("one copy is ordered");
     bench.now += 700 * MS;
-    let sent = bench.tell(Event::Loaded { errand, how: Ended::Served, copies: 1 });
+    let sent = bench.tell(Event::LoadEnded { request_id, end: AttemptEnd::Served, copies: 1 });
     assert!(started(&sent).is_some());
-    assert_eq!(bench.tell(Event::Loaded { errand, how: Ended::Served, copies: 1 }), vec![]);
+    assert_eq!(bench.tell(Event::LoadEnded { request_id, end: AttemptEnd::Served, copies: 1 }), vec![]);
 }
 
 #[test]
@@ -514,19 +527,21 @@
                     assert!(class != 1 || !self.may_have_run.contains(&attempt.call), "an effect twice");
                     self.out.insert(*attempt, false);
                 }
-                Command::Withdraw { attempt } => {
+                Command::Cancel { attempt } => {
                     self.out.remove(attempt);
                     self.past.push(*attempt);
                     self.may_have_run.insert(attempt.call);
                 }
-                Command::Part { call, .. } => assert!(self.open.contains_key(call), "a part after the end"),
-                Command::End { call, end, .. } => {
+                Command::ResponsePart { call, .. } => {
+                    assert!(self.open.contains_key(call), "a part after the end")
+                }
+                Command::Answer { call, answer: end, .. } => {
                     let (class, due) = self.open.remove(call).expect("one end a call");
                     assert!(now <= due, "answered {} us late", now - due);
                     assert!(self.ended.insert(*call));
                     let ran = self.may_have_run.contains(call) || self.out.keys().any(|a| a.call == *call);
                     assert!(
-                        class == 0 || !matches!(end, End::Refused { .. }) || !ran,
+                        class == 0 || !matches!(end, FinalAnswer::Refused { .. }) || !ran,
                         "refused what may have run"
                     );
                 }
@@ -559,13 +574,13 @@
                 Step::End(at, how) if !out.is_empty() => {
                     let attempt = out[at % out.len()];
                     let how = match how {
-                        0..3 => Ended::Served,
-                        3 => Ended::Broken,
-                        4 => Ended::MarkedFull,
-                        5 => Ended::MarkedMiss,
-                        6 => Ended::NotConnected,
-                        7 => Ended::Rejected("shape".into()),
-                        _ => Ended::Status { message: "INTERNAL".into() },
+                        0..3 => AttemptEnd::Served,
+                        3 => AttemptEnd::Broken,
+                        4 => AttemptEnd::MarkedFull,
+                        5 => AttemptEnd::MarkedMiss,
+                        6 => AttemptEnd::NotConnected,
+                        7 => AttemptEnd::Rejected("shape".into()),
+                        _ => AttemptEnd::Status { message: "INTERNAL".into() },
                     };
                     audit.out.remove(&attempt);
                     audit.past.push(attempt);
@@ -578,13 +593,13 @@
                 Step::Gone(at) if !audit.open.is_empty() => {
                     let call = *audit.open.keys().nth(at % audit.open.len()).expect("there");
                     audit.open.remove(&call);
-                    let commands = bench.tell(Event::ClientGone { call });
+                    let commands = bench.tell(Event::ClientDisconnected { call });
                     audit.see(bench.now, &commands);
                     prop_assert!(audit.out.keys().all(|a| a.call != call), "withdrawn with its client");
                 }
                 Step::Late(at, as_part) if !audit.past.is_empty() => {
                     let attempt = audit.past[at % audit.past.len()];
-                    let word = if as_part { part(attempt, false) } else { ended(attempt, Ended::Served) };
+                    let word = if as_part { part(attempt, false) } else { ended(attempt, AttemptEnd::Served) };
                     let commands = bench.tell(word);
                     prop_assert!(commands.is_empty(), "a word of the past does something: {commands:?}");
                 }
--- a/crates/engine/tests/soak.rs
+++ b/crates/engine/tests/soak.rs
@@ -80,14 +80,14 @@
         } else {
             format!("f-{}", dice(&mut seed, 40))
         };
-        let open = Open {
+        let open = NewCall {
             front: round,
             class: ClassId(dice(&mut seed, 2) as usize),
             tenant: None,
             model: model.as_str().into(),
             version: "".into(),
-            left: 2 * S,
-            work_hint: None,
+            time_left: 2 * S,
+            cost_hint: None,
             lanes: 4,
             load_time: Some(300 * MS),
             repeat: false,
@@ -103,27 +103,33 @@
                         // Answers, misses, errors, broken connections; some never come.
                         let how = match dice(&mut seed, 20) {
                             0 => continue,
-                            1 => Ended::Broken,
-                            2 => Ended::Status { message: String::new() },
-                            3 => Ended::MarkedFull,
-                            4..=6 => Ended::MarkedMiss,
-                            _ => Ended::Served,
+                            1 => AttemptEnd::Broken,
+                            2 => AttemptEnd::Status { message: String::new() },
+                            3 => AttemptEnd::MarkedFull,
+                            4..=6 => AttemptEnd::MarkedMiss,
+                            _ => AttemptEnd::Served,
                         };
-                        if how == Ended::Served {
+                        if how == AttemptEnd::Served {
                             let payload = Bytes::from_static(b"y");
-                            engine.handle(now, Event::Part { attempt, payload, last: true }, &mut out);
+                            engine.handle(
+                                now,
+                                Event::ResponsePart { attempt, payload, last: true },
+                                &mut out,
+                            );
                         }
-                        let news = News { note: Some(LoadNote::Warm), ..News::default() };
-                        (60 * MS, Event::Ended { attempt, how, news })
+                        let news =
+                            AttemptReport { load_note: Some(LoadNote::Warm), ..AttemptReport::default() };
+                        (60 * MS, Event::AttemptEnded { attempt, end: how, report: news })
                     }
-                    Command::Load { errand, .. } => {
-                        let how = if dice(&mut seed, 8) == 0 { Ended::Broken } else { Ended::Served };
-                        (300 * MS, Event::Loaded { errand, how, copies: 1 })
+                    Command::Load { request_id, .. } => {
+                        let how =
+                            if dice(&mut seed, 8) == 0 { AttemptEnd::Broken } else { AttemptEnd::Served };
+                        (300 * MS, Event::LoadEnded { request_id, end: how, copies: 1 })
                     }
-                    Command::Probe { errand, .. } => {
-                        (2 * MS, Event::Probed { errand, how: Ended::Served, report: None })
+                    Command::Probe { request_id, .. } => {
+                        (2 * MS, Event::ProbeEnded { request_id, end: AttemptEnd::Served, load_report: None })
                     }
-                    Command::End { .. } => {
+                    Command::Answer { .. } => {
                         ends += 1;
                         continue;
                     }
--- a/crates/gateway/benches/measure.rs
+++ b/crates/gateway/benches/measure.rs
@@ -84,7 +84,9 @@
 /// Engine and module alone: a call opened, sent, answered.
 fn engine() {
     use nettleferry::*;
-    use nettleferry_engine::{Command, Ended, Engine, EngineLimits, Event, Member, News, Open};
+    use nettleferry_engine::{
+        AttemptEnd, AttemptReport, Command, Engine, EngineLimits, Event, Member, NewCall,
+    };
     const CALLS: u64 = 300_000;
     let class = Class {
         aim: 600_000,
@@ -116,14 +118,14 @@
     for n in 0..CALLS {
         let now = 1_000_000 + n * 50;
         out.clear();
-        let open = Open {
+        let open = NewCall {
             front: n,
             class: ClassId(0),
             tenant: None,
             model: names[(n % 64) as usize].clone(),
             version: "".into(),
-            left: 4_000_000,
-            work_hint: None,
+            time_left: 4_000_000,
+            cost_hint: None,
             lanes: 64,
             load_time: None,
             repeat: false,
@@ -138,11 +140,15 @@
         if let Some(attempt) = start {
             engine.handle(
                 now,
-                Event::Part { attempt, payload: Bytes::from_static(b"answer"), last: false },
+                Event::ResponsePart { attempt, payload: Bytes::from_static(b"answer"), last: false },
+                &mut out,
+            );
+            let news = AttemptReport { load_note: Some(LoadNote::Warm), ..AttemptReport::default() };
+            engine.handle(
+                now + 40,
+                Event::AttemptEnded { attempt, end: AttemptEnd::Served, report: news },
                 &mut out,
             );
-            let news = News { note: Some(LoadNote::Warm), ..News::default() };
-            engine.handle(now + 40, Event::Ended { attempt, how: Ended::Served, news }, &mut out);
         }
         engine.handle(now + 41, Event::Tick, &mut out);
     }
--- a/crates/gateway/src/controller.rs
+++ b/crates/gateway/src/controller.rs
@@ -180,7 +180,7 @@
         let pusher =
             config.figures.push.clone().map(|push| Pusher::start(push, observer.figures())).transpose()?;
         if config.figures.count {
-            engine.take_notes();
+            engine.record_measurements();
         }
         let clock = Clock::start();
         let (mut tenants, mut desk, mut lease) = (None, None, None);
@@ -211,7 +211,7 @@
                 }
                 None => all.blind(),
             }
-            engine.take_phases();
+            engine.record_phases();
             lease = holder(admin, clock.now());
             (tenants, desk) = (Some(all), Some(started));
         }
@@ -254,7 +254,7 @@
         let now = controller.clock.now() / 1000;
         controller.gate = judged.then(|| Gate::new(Terms::default(), now));
         if judged {
-            controller.engine.take_phases();
+            controller.engine.record_phases();
         }
         for news in first {
             controller.listed(news);
@@ -364,7 +364,7 @@
             self.gate_counted = gate.counters();
             self.gate = None;
             if self.tenants.is_none() {
-                self.engine.leave_phases();
+                self.engine.stop_recording_phases();
             }
         }
     }
@@ -411,7 +411,7 @@
             return;
         }
         let now = self.clock.now();
-        for phase in self.engine.phases() {
+        for phase in self.engine.drain_phases() {
             if let Some(gate) = &mut self.gate {
                 front::gate_step(gate, now, &phase);
             }
@@ -424,7 +424,7 @@
     /// Tenants that are gone: each of their calls has its one final answer before a place may be another's.
     fn evict(&mut self, gone: impl IntoIterator<Item = nettleferry::TenantId>) {
         for tenant in gone {
-            self.engine.handle(self.clock.now(), Event::Evict { tenant }, &mut self.commands);
+            self.engine.handle(self.clock.now(), Event::TenantRemoved { tenant }, &mut self.commands);
             self.carry_out();
             self.steps();
             if let Some(tenants) = &mut self.tenants {
@@ -567,11 +567,11 @@
     }
 
     fn tell(&mut self, told: Event) {
-        if let Event::Ended { attempt, how, .. } = &told
-            && *how != nettleferry_engine::Ended::Served
+        if let Event::AttemptEnded { attempt, end: how, .. } = &told
+            && *how != nettleferry_engine::AttemptEnd::Served
             && let Some((worker, model)) = self.engine.describe(*attempt)
         {
-            debug!(call = attempt.call.0, attempt = attempt.number, %worker, model = %model.name, how = %how.words(), "attempt ended");
+            debug!(call = attempt.call.0, attempt = attempt.number, %worker, model = %model.name, how = %how, "attempt ended");
         }
         self.engine.handle(self.clock.now(), told, &mut self.commands);
     }
@@ -592,7 +592,7 @@
     fn act(&mut self, command: Command) -> Option<Event> {
         let hub = &mut self.hub;
         match command {
-            Command::Start { attempt, worker, streamed, left, body } => {
+            Command::Start { attempt, worker, streamed, time_left: left, body } => {
                 if let Some((worker, model)) = self.engine.describe(attempt) {
                     debug!(call = attempt.call.0, attempt = attempt.number, %worker, model = %model.name, "attempt");
                 }
@@ -601,27 +601,29 @@
                 }
                 return self.links.start(hub, attempt, worker, streamed, left, body);
             }
-            Command::Withdraw { attempt } | Command::Abandon { attempt } => self.links.withdraw(hub, attempt),
+            Command::Cancel { attempt } | Command::Abandon { attempt } => self.links.withdraw(hub, attempt),
             // Its stream is open: it has left.
-            Command::Unwanted { .. } => {}
+            Command::CancelLoad { .. } => {}
             Command::Pause { attempt } => self.links.flow(hub, attempt, true),
             Command::Resume { attempt } => self.links.flow(hub, attempt, false),
-            Command::Part { front, payload, .. } => self.at_front(|f, around| f.part(around, front, payload)),
-            Command::End { call, front, end } => {
+            Command::ResponsePart { front, payload, .. } => {
+                self.at_front(|f, around| f.part(around, front, payload))
+            }
+            Command::Answer { call, front, answer: end } => {
                 debug!(call = call.0, ?end, "final answer");
                 self.at_front(|f, around| f.end(around, call, front, end));
             }
-            Command::Load { errand, worker, model, version, copies } => {
+            Command::Load { request_id, worker, model, version, copies } => {
                 debug!(worker = %self.engine.names().worker_name(worker), %model, copies, "load ordered");
                 let memory = self.config.models.find(&model).and_then(|m| m.memory);
                 if let Some((recorder, _)) = &mut self.trail {
                     recorder.order(self.clock.now() / 1000, worker.0);
                 }
-                return self.links.load(hub, errand, worker, (&model, &version, memory), copies);
+                return self.links.load(hub, request_id, worker, (&model, &version, memory), copies);
             }
             Command::Unload { worker, model, .. } => self.links.unload(hub, worker, &model),
-            Command::Probe { errand, worker } => return self.links.probe(hub, errand, worker),
-            Command::Forget { errand } => self.links.forget(hub, errand),
+            Command::Probe { request_id, worker } => return self.links.probe(hub, request_id, worker),
+            Command::ForgetControlRequest { request_id } => self.links.forget(hub, request_id),
             Command::WatchList | Command::FetchList => self.lists.ask(),
             Command::Log(line) => warn!("{line}"),
         }
--- a/crates/gateway/src/front/ends.rs
+++ b/crates/gateway/src/front/ends.rs
@@ -8,7 +8,7 @@
 
 use bytes::Bytes;
 use http::{HeaderMap, HeaderValue};
-use nettleferry_engine::{Cause, End, Refusal};
+use nettleferry_engine::{Cause, FinalAnswer, Refusal};
 use nettleferry_net::grpc::{Code, Status, write_binary};
 use nettleferry_proto::inference::{FINAL, InferParameter, ModelInferResponse, ModelStreamInferResponse};
 use nettleferry_proto::rpc::status_with_retry;
@@ -73,24 +73,24 @@
 }
 
 /// The failure of an end; `None`: it is a success.
-pub fn failure(end: &End, pushback: Duration) -> Option<Failure> {
+pub fn failure(end: &FinalAnswer, pushback: Duration) -> Option<Failure> {
     Some(match end {
-        End::Served { .. } => return None,
-        End::Rejected { message } => Failure::of(Code::InvalidArgument, message.clone()),
-        End::Refused { why: Refusal::TenantGone, .. } => {
+        FinalAnswer::Served { .. } => return None,
+        FinalAnswer::Rejected { message } => Failure::of(Code::InvalidArgument, message.clone()),
+        FinalAnswer::Refused { reason: Refusal::TenantRemoved, .. } => {
             Failure::of(Code::PermissionDenied, "its tenant was removed; it was not run")
         }
-        End::Refused { why, retry_after } => {
+        FinalAnswer::Refused { reason: why, retry_after } => {
             let message = match why {
-                Refusal::TenantGone => "its tenant was removed; it was not run",
-                Refusal::ClientLeft => "its client left; it was not run",
+                Refusal::TenantRemoved => "its tenant was removed; it was not run",
+                Refusal::ClientDisconnected => "its client left; it was not run",
                 Refusal::TooManyOpen => "too many open calls at this controller; it was not run",
                 Refusal::NoWorker => "no worker is in service; it was not run or may be repeated",
                 Refusal::NoRoom => "no worker had room in time; it was not run or may be repeated",
             };
             Failure::refused(message, retry_after.map_or(pushback, Duration::from_micros))
         }
-        End::Failed { cause, message } => {
+        FinalAnswer::Failed { cause, message } => {
             let code = match cause {
                 Cause::Aborted => Code::Aborted,
                 Cause::Internal => Code::Internal,
--- a/crates/gateway/src/front/ends/tests.rs
+++ b/crates/gateway/src/front/ends/tests.rs
@@ -6,7 +6,7 @@
 
 #[test]
 fn refusals_say_when_and_failures_say_never() {
-    let refused = End::Refused { why: Refusal::NoRoom, retry_after: None };
+    let refused = FinalAnswer::Refused { reason: Refusal::NoRoom, retry_after: None };
     let map = failure(&refused, Duration::from_millis(70)).expect("no success").trailers();
     assert_eq!((map["grpc-status"].as_bytes(), map[PUSHBACK].as_bytes()), (&b"14"[..], &b"70"[..]));
     let details = read_binary(&map["grpc-status-details-bin"]).expect("base64");
@@ -16,14 +16,14 @@
     assert_eq!(retry.retry_delay.expect("told").nanos, 70_000_000);
 
     for cause in [Cause::Aborted, Cause::Internal, Cause::Deadline] {
-        let failed = End::Failed { cause, message: "it broke: \u{e4} 100%".to_owned() };
+        let failed = FinalAnswer::Failed { cause, message: "it broke: \u{e4} 100%".to_owned() };
         let map = failure(&failed, Duration::ZERO).expect("no success").trailers();
         assert_ne!(map["grpc-status"], "14");
         assert_eq!(map[PUSHBACK], "-1");
         assert_eq!(map["grpc-message"], "it broke: %C3%A4 100%25");
         assert!(!map.contains_key("grpc-status-details-bin"));
     }
-    assert_eq!(failure(&End::Served { last: None }, Duration::ZERO), None);
+    assert_eq!(failure(&FinalAnswer::Served { last: None }, Duration::ZERO), None);
 }
 
 #[test]
--- a/crates/gateway/src/front/mod.rs
+++ b/crates/gateway/src/front/mod.rs
@@ -16,7 +16,7 @@
 use nettleferry::{Micros, TenantId};
 use nettleferry_audit_log::Recorder;
 use nettleferry_config::Config;
-use nettleferry_engine::{CallId, Command, End, Engine, Event, Open, Phase, Step};
+use nettleferry_engine::{CallId, Command, Engine, Event, FinalAnswer, NewCall, Phase, Step};
 use nettleferry_fleet::gate::{Asked, Gate, Verdict};
 use nettleferry_fleet::lease::{Holder, Stage};
 use nettleferry_net::framing::FrameError;
@@ -298,7 +298,7 @@
             None => Ok(rpc.tenant.as_ref().and_then(|name| self.config.tenants.get(name).copied())),
             Some(tenants) => {
                 // What is in hand is to be as the engine has it by now.
-                for phase in around.engine.phases() {
+                for phase in around.engine.drain_phases() {
                     if let Some(gate) = &mut around.gate {
                         gate_step(gate, around.now, &phase);
                     }
@@ -318,14 +318,14 @@
         };
         let (id, name): (Arc<str>, Arc<str>) = (head.id.into(), head.model.into());
         self.calls.insert(front, Call { stream, id, model: Arc::clone(&name) });
-        let open = Open {
+        let open = NewCall {
             front,
             class: model.class,
             tenant,
             model: name,
             version: head.version.into(),
-            left,
-            work_hint: model.work,
+            time_left: left,
+            cost_hint: model.work,
             lanes: model.lanes,
             load_time: model.load_time,
             repeat: rpc.repeat,
@@ -342,8 +342,9 @@
         }
         let before = around.commands.len();
         let call = around.engine.open(around.now, open, around.commands);
-        let ended =
-            around.commands[before..].iter().any(|c| matches!(c, Command::End { call: c, .. } if *c == call));
+        let ended = around.commands[before..]
+            .iter()
+            .any(|c| matches!(c, Command::Answer { call: c, .. } if *c == call));
         let Some(rpc) = self.rpcs.get_mut(&stream).filter(|_| !ended) else { return };
         rpc.calls.insert(call, front);
         if rpc.full {
@@ -426,7 +427,7 @@
     fn abandon(&mut self, around: &mut Around, calls: BTreeMap<CallId, u64>) {
         for (call, front) in calls {
             self.calls.remove(&front);
-            around.engine.handle(around.now, Event::ClientGone { call }, around.commands);
+            around.engine.handle(around.now, Event::ClientDisconnected { call }, around.commands);
         }
     }
 
@@ -439,7 +440,7 @@
     }
 
     /// A call's final answer.
-    pub fn end(&mut self, around: &mut Around, id: CallId, front: u64, end: End) {
+    pub fn end(&mut self, around: &mut Around, id: CallId, front: u64, end: FinalAnswer) {
         let Some(call) = self.calls.remove(&front) else { return };
         let pushback = self.pushback();
         let Some(rpc) = self.rpcs.get_mut(&call.stream) else { return };
@@ -450,7 +451,7 @@
         }
         match (ends::failure(&end, pushback), end) {
             (Some(failure), _) => self.fail_call(around, call.stream, &call.id, &failure),
-            (None, End::Served { last }) => {
+            (None, FinalAnswer::Served { last }) => {
                 let streamed = rpc.method == Method::Stream;
                 let last = last.or_else(|| streamed.then(|| ends::empty_final(&call.id, &call.model)));
                 if let Some(payload) = last {
@@ -532,9 +533,9 @@
 pub fn gate_step(gate: &mut Gate, now: Micros, phase: &Phase) {
     match phase.step {
         // Its model stays known while a worker has it: one that is given back waits anew.
-        Step::Began => gate.has_worker(phase.front),
-        Step::Back => gate.given_back(now / 1000, phase.front),
-        Step::Ended(_) => gate.gone(phase.front),
+        Step::AttemptStarted => gate.has_worker(phase.front),
+        Step::AttemptEnded => gate.given_back(now / 1000, phase.front),
+        Step::CallEnded(_) => gate.gone(phase.front),
     }
 }
 
--- a/crates/gateway/src/links/mod.rs
+++ b/crates/gateway/src/links/mod.rs
@@ -10,7 +10,7 @@
 use bytes::Bytes;
 use http::{HeaderValue, Request, StatusCode};
 use nettleferry::{Micros, WorkerId};
-use nettleferry_engine::{AttemptId, Ended, ErrandId, Event, News};
+use nettleferry_engine::{AttemptEnd, AttemptId, AttemptReport, ControlRequestId, Event};
 use nettleferry_net::{ConnKey, Hub, NetEvent, StreamKey, grpc};
 use nettleferry_proto::inference::*;
 use nettleferry_proto::{marks, peek};
@@ -33,8 +33,8 @@
 #[derive(Clone, Copy)]
 enum Job {
     Attempt { attempt: AttemptId, streamed: bool },
-    Load(ErrandId),
-    Probe(ErrandId),
+    Load(ControlRequestId),
+    Probe(ControlRequestId),
     Unload,
 }
 
@@ -52,7 +52,7 @@
     links: HashMap<WorkerId, Link>,
     rpcs: HashMap<StreamKey, Rpc>,
     attempts: HashMap<AttemptId, StreamKey>,
-    errands: HashMap<ErrandId, StreamKey>,
+    control_requests: HashMap<ControlRequestId, StreamKey>,
     /// Attempts, orders and probes that found all connections in use.
     pub no_room: u64,
 }
@@ -67,7 +67,7 @@
             links: HashMap::new(),
             rpcs: HashMap::new(),
             attempts: HashMap::new(),
-            errands: HashMap::new(),
+            control_requests: HashMap::new(),
             no_room: 0,
         }
     }
@@ -86,8 +86,8 @@
     }
 
     /// A connection with room, or a new one.
-    fn connection(&mut self, hub: &mut Hub, worker: WorkerId) -> Result<ConnKey, Ended> {
-        let Some(link) = self.links.get_mut(&worker) else { return Err(Ended::NotConnected) };
+    fn connection(&mut self, hub: &mut Hub, worker: WorkerId) -> Result<ConnKey, AttemptEnd> {
+        let Some(link) = self.links.get_mut(&worker) else { return Err(AttemptEnd::NotConnected) };
         let most = self.limits.streams;
         let open = link.conns.iter().copied().filter(|c| hub.can_open(*c) && hub.streams_on(*c) < most);
         let mut open: Vec<ConnKey> = open.collect();
@@ -98,9 +98,9 @@
         // Connections that the worker has left do not count: their streams end, and they with them.
         if link.conns.iter().filter(|c| !hub.is_leaving(**c)).count() >= self.limits.connections {
             self.no_room += 1;
-            return Err(Ended::NoRoom);
+            return Err(AttemptEnd::NoRoom);
         }
-        let conn = hub.connect(link.address).map_err(|_| Ended::NotConnected)?;
+        let conn = hub.connect(link.address).map_err(|_| AttemptEnd::NotConnected)?;
         link.conns.push(conn);
         Ok(conn)
     }
@@ -113,7 +113,7 @@
         attempt: Option<(u32, Micros)>,
         body: Bytes,
         job: Job,
-    ) -> Result<StreamKey, Ended> {
+    ) -> Result<StreamKey, AttemptEnd> {
         let conn = self.connection(hub, worker)?;
         let mut request = Request::post(format!("http://worker{SERVICE}{method}"))
             .header("content-type", "application/grpc")
@@ -128,8 +128,8 @@
                 .header(marks::ATTEMPT, number)
                 .header("grpc-timeout", grpc::write_timeout(Duration::from_micros(left)));
         }
-        let request = request.body(()).map_err(|_| Ended::NotWritten)?;
-        let stream = hub.open(conn, request).ok_or(Ended::NotConnected)?;
+        let request = request.body(()).map_err(|_| AttemptEnd::NotWritten)?;
+        let stream = hub.open(conn, request).ok_or(AttemptEnd::NotConnected)?;
         hub.send(stream, body);
         hub.finish(stream, None);
         self.rpcs.insert(stream, Rpc { job, http: StatusCode::OK });
@@ -153,7 +153,7 @@
                 self.attempts.insert(attempt, stream);
                 None
             }
-            Err(how) => Some(Event::Ended { attempt, how, news: News::default() }),
+            Err(how) => Some(Event::AttemptEnded { attempt, end: how, report: AttemptReport::default() }),
         }
     }
 
@@ -161,7 +161,7 @@
     pub fn load(
         &mut self,
         hub: &mut Hub,
-        errand: ErrandId,
+        request_id: ControlRequestId,
         worker: WorkerId,
         (model, version, memory): (&str, &str, Option<u64>),
         copies: u32,
@@ -182,12 +182,12 @@
             request.parameters.insert("version".to_owned(), text);
         }
         let body = request.encode_to_vec().into();
-        match self.call(hub, worker, "RepositoryModelLoad", None, body, Job::Load(errand)) {
+        match self.call(hub, worker, "RepositoryModelLoad", None, body, Job::Load(request_id)) {
             Ok(stream) => {
-                self.errands.insert(errand, stream);
+                self.control_requests.insert(request_id, stream);
                 None
             }
-            Err(how) => Some(Event::Loaded { errand, how, copies: 0 }),
+            Err(how) => Some(Event::LoadEnded { request_id, end: how, copies: 0 }),
         }
     }
 
@@ -199,14 +199,14 @@
     }
 
     /// Probes a worker. `Some`: it ended at once.
-    pub fn probe(&mut self, hub: &mut Hub, errand: ErrandId, worker: WorkerId) -> Option<Event> {
+    pub fn probe(&mut self, hub: &mut Hub, request_id: ControlRequestId, worker: WorkerId) -> Option<Event> {
         let body = ServerReadyRequest {}.encode_to_vec().into();
-        match self.call(hub, worker, "ServerReady", None, body, Job::Probe(errand)) {
+        match self.call(hub, worker, "ServerReady", None, body, Job::Probe(request_id)) {
             Ok(stream) => {
-                self.errands.insert(errand, stream);
+                self.control_requests.insert(request_id, stream);
                 None
             }
-            Err(how) => Some(Event::Probed { errand, how, report: None }),
+            Err(how) => Some(Event::ProbeEnded { request_id, end: how, load_report: None }),
         }
     }
 
@@ -219,8 +219,8 @@
     }
 
     /// Gives up an order or a probe.
-    pub fn forget(&mut self, hub: &mut Hub, errand: ErrandId) {
-        if let Some(stream) = self.errands.remove(&errand) {
+    pub fn forget(&mut self, hub: &mut Hub, request_id: ControlRequestId) {
+        if let Some(stream) = self.control_requests.remove(&request_id) {
             self.rpcs.remove(&stream);
             hub.reset(stream, h2::Reason::CANCEL);
         }
@@ -271,33 +271,37 @@
     fn message(&mut self, hub: &mut Hub, stream: StreamKey, payload: Bytes) -> Option<Event> {
         let Job::Attempt { attempt, streamed } = self.rpcs.get(&stream)?.job else { return None };
         if !streamed {
-            return Some(Event::Part { attempt, payload, last: false });
+            return Some(Event::ResponsePart { attempt, payload, last: false });
         }
         let how = match peek::stream_response(&payload) {
             Ok(head) if head.error.is_empty() => {
-                return Some(Event::Part { attempt, payload, last: head.last });
+                return Some(Event::ResponsePart { attempt, payload, last: head.last });
             }
             // A worker that tells an error inside the stream: as far as we know it ran.
-            Ok(head) => Ended::Status { message: head.error },
-            Err(error) => Ended::Status { message: format!("the worker's answer: {error}") },
+            Ok(head) => AttemptEnd::Status { message: head.error },
+            Err(error) => AttemptEnd::Status { message: format!("the worker's answer: {error}") },
         };
         self.withdraw(hub, attempt);
-        Some(Event::Ended { attempt, how, news: News::default() })
+        Some(Event::AttemptEnded { attempt, end: how, report: AttemptReport::default() })
     }
 
-    fn over(&mut self, job: Job, how: Ended, trailers: &http::HeaderMap) -> Option<Event> {
+    fn over(&mut self, job: Job, how: AttemptEnd, trailers: &http::HeaderMap) -> Option<Event> {
         Some(match job {
             Job::Attempt { attempt, .. } => {
                 self.attempts.remove(&attempt);
-                Event::Ended { attempt, how, news: wire::news(trailers) }
+                Event::AttemptEnded { attempt, end: how, report: wire::news(trailers) }
             }
-            Job::Load(errand) => {
-                self.errands.remove(&errand);
-                Event::Loaded { errand, how, copies: wire::copies(trailers) }
+            Job::Load(request_id) => {
+                self.control_requests.remove(&request_id);
+                Event::LoadEnded { request_id, end: how, copies: wire::copies(trailers) }
             }
-            Job::Probe(errand) => {
-                self.errands.remove(&errand);
-                Event::Probed { errand, how, report: wire::report(trailers).as_ref().map(wire::load) }
+            Job::Probe(request_id) => {
+                self.control_requests.remove(&request_id);
+                Event::ProbeEnded {
+                    request_id,
+                    end: how,
+                    load_report: wire::report(trailers).as_ref().map(wire::load),
+                }
             }
             Job::Unload => return None,
         })
--- a/crates/gateway/src/links/wire.rs
+++ b/crates/gateway/src/links/wire.rs
@@ -3,42 +3,44 @@
 
 use http::{HeaderMap, StatusCode};
 use nettleferry::{LoadNote, Report};
-use nettleferry_engine::{Ended, News};
+use nettleferry_engine::{AttemptEnd, AttemptReport};
 use nettleferry_net::StreamError;
 use nettleferry_net::grpc::{Code, Status, read_binary};
 use nettleferry_proto::{marks, orca};
 use prost::Message;
 
 /// How an answer with trailers ended.
-pub fn by_trailers(http: StatusCode, trailers: &HeaderMap) -> Ended {
+pub fn by_trailers(http: StatusCode, trailers: &HeaderMap) -> AttemptEnd {
     if http != StatusCode::OK {
-        return Ended::Status { message: format!("HTTP {}", http.as_u16()) };
+        return AttemptEnd::Status { message: format!("HTTP {}", http.as_u16()) };
     }
     let mark = trailers.get(marks::NEVER_RAN).and_then(|v| v.to_str().ok());
     match (Status::read(trailers), mark) {
-        (Some(Status { code: Code::Ok, .. }), _) => Ended::Served,
+        (Some(Status { code: Code::Ok, .. }), _) => AttemptEnd::Served,
         // The worker's own word: nothing else about a failing status proves anything.
-        (Some(_), Some(marks::FULL | marks::FENCED)) => Ended::MarkedFull,
-        (Some(_), Some(marks::MISS)) => Ended::MarkedMiss,
-        (Some(_), Some(marks::LOAD_FAILED)) => Ended::MarkedLoadFailed,
-        (Some(Status { code: Code::InvalidArgument, message }), _) => Ended::Rejected(message),
+        (Some(_), Some(marks::FULL | marks::FENCED)) => AttemptEnd::MarkedFull,
+        (Some(_), Some(marks::MISS)) => AttemptEnd::MarkedMiss,
+        (Some(_), Some(marks::LOAD_FAILED)) => AttemptEnd::MarkedLoadFailed,
+        (Some(Status { code: Code::InvalidArgument, message }), _) => AttemptEnd::Rejected(message),
         (Some(Status { code, message }), _) => {
-            Ended::Status { message: format!("{}: {message}", code.name()) }
+            AttemptEnd::Status { message: format!("{}: {message}", code.name()) }
         }
-        (None, _) => Ended::Status { message: "the worker's answer ended without a status".to_owned() },
+        (None, _) => AttemptEnd::Status { message: "the worker's answer ended without a status".to_owned() },
     }
 }
 
 /// How a stream that failed ended.
-pub fn by_error(error: &StreamError) -> Ended {
+pub fn by_error(error: &StreamError) -> AttemptEnd {
     match error {
-        StreamError::NotConnected => Ended::NotConnected,
-        StreamError::NotWritten => Ended::NotWritten,
-        StreamError::Refused => Ended::RefusedStream,
-        StreamError::GoneAway => Ended::GoneAway,
-        StreamError::Reset(_) | StreamError::Protocol(_) => Ended::Reset,
-        StreamError::Broken => Ended::Broken,
-        StreamError::Message(error) => Ended::Status { message: format!("the worker's answer: {error}") },
+        StreamError::NotConnected => AttemptEnd::NotConnected,
+        StreamError::NotWritten => AttemptEnd::NotWritten,
+        StreamError::Refused => AttemptEnd::RefusedStream,
+        StreamError::GoneAway => AttemptEnd::GoneAway,
+        StreamError::Reset(_) | StreamError::Protocol(_) => AttemptEnd::Reset,
+        StreamError::Broken => AttemptEnd::Broken,
+        StreamError::Message(error) => {
+            AttemptEnd::Status { message: format!("the worker's answer: {error}") }
+        }
     }
 }
 
@@ -62,8 +64,8 @@
 }
 
 /// What an answer tells of copies and load.
-pub fn news(trailers: &HeaderMap) -> News {
-    let Some(report) = report(trailers) else { return News::default() };
+pub fn news(trailers: &HeaderMap) -> AttemptReport {
+    let Some(report) = report(trailers) else { return AttemptReport::default() };
     let named = |name: &str| report.named_metrics.get(name).copied();
     let note = named(orca::NOTE).and_then(|n| match n as i64 {
         1 => Some(LoadNote::Warm),
@@ -72,7 +74,11 @@
         4 => Some(LoadNote::Failed),
         _ => None,
     });
-    News { note, crowd: named(orca::CROWD).map(|n| n.clamp(0.0, 1e6) as u32), report: Some(load(&report)) }
+    AttemptReport {
+        load_note: note,
+        queue_depth: named(orca::CROWD).map(|n| n.clamp(0.0, 1e6) as u32),
+        load_report: Some(load(&report)),
+    }
 }
 
 /// Copies that stand, by the answer to an order.
--- a/crates/gateway/src/links/wire/tests.rs
+++ b/crates/gateway/src/links/wire/tests.rs
@@ -15,24 +15,24 @@
 
 #[test]
 fn only_a_mark_proves_that_a_status_never_ran() {
-    let status = |text: &str| Ended::Status { message: text.to_owned() };
+    let status = |text: &str| AttemptEnd::Status { message: text.to_owned() };
     let table = [
-        (trailers(Code::Ok, None), Ended::Served),
+        (trailers(Code::Ok, None), AttemptEnd::Served),
         (trailers(Code::Unavailable, None), status("UNAVAILABLE: words")),
-        (trailers(Code::Unavailable, Some("full")), Ended::MarkedFull),
-        (trailers(Code::Unavailable, Some("fenced")), Ended::MarkedFull),
-        (trailers(Code::Unavailable, Some("miss")), Ended::MarkedMiss),
-        (trailers(Code::Unavailable, Some("load-failed")), Ended::MarkedLoadFailed),
+        (trailers(Code::Unavailable, Some("full")), AttemptEnd::MarkedFull),
+        (trailers(Code::Unavailable, Some("fenced")), AttemptEnd::MarkedFull),
+        (trailers(Code::Unavailable, Some("miss")), AttemptEnd::MarkedMiss),
+        (trailers(Code::Unavailable, Some("load-failed")), AttemptEnd::MarkedLoadFailed),
         (trailers(Code::Unavailable, Some("perhaps")), status("UNAVAILABLE: words")),
         (trailers(Code::ResourceExhausted, None), status("RESOURCE_EXHAUSTED: words")),
-        (trailers(Code::InvalidArgument, None), Ended::Rejected("words".to_owned())),
+        (trailers(Code::InvalidArgument, None), AttemptEnd::Rejected("words".to_owned())),
         (HeaderMap::new(), status("the worker's answer ended without a status")),
     ];
     for (map, ended) in table {
         assert_eq!(by_trailers(StatusCode::OK, &map), ended);
         assert_eq!(
             ended.never_ran(),
-            matches!(ended, Ended::MarkedFull | Ended::MarkedMiss | Ended::MarkedLoadFailed)
+            matches!(ended, AttemptEnd::MarkedFull | AttemptEnd::MarkedMiss | AttemptEnd::MarkedLoadFailed)
         );
     }
     assert_eq!(by_trailers(StatusCode::BAD_GATEWAY, &trailers(Code::Ok, None)), status("HTTP 502"));
@@ -65,9 +65,9 @@
     let mut map = HeaderMap::new();
     map.insert(orca::TRAILER, write_binary(&report.encode_to_vec()).expect("ascii"));
     let news = news(&map);
-    assert_eq!((news.note, news.crowd), (Some(LoadNote::Began), Some(5)));
-    let load = news.report.expect("told");
+    assert_eq!((news.load_note, news.queue_depth), (Some(LoadNote::Began), Some(5)));
+    let load = news.load_report.expect("told");
     assert_eq!((load.util, load.memory_held, load.queue), (Some(0.5), None, None));
     map.insert(orca::TRAILER, HeaderValue::from_static("!!"));
-    assert_eq!(super::news(&map), News::default());
+    assert_eq!(super::news(&map), AttemptReport::default());
 }
--- a/crates/gateway/src/observe.rs
+++ b/crates/gateway/src/observe.rs
@@ -6,7 +6,7 @@
 
 use nettleferry::{LoadNote, Micros, Outcome, WorkerState};
 use nettleferry_config::Config;
-use nettleferry_engine::{EndKind, Engine, Note};
+use nettleferry_engine::{CallOutcome, Engine, Measurement};
 use nettleferry_fleet::gate::{Counters as GateCounters, Gate, Step};
 use nettleferry_fleet::lease::{Counters as LeaseCounters, Stage};
 use nettleferry_metrics::{End, Figures, Slots};
@@ -63,42 +63,42 @@
     /// Counts what was noted.
     pub fn count(&self, engine: &mut Engine) {
         if self.counts {
-            for note in engine.notes() {
+            for note in engine.drain_measurements() {
                 self.note(note);
             }
         }
-        self.figures.in_hand(engine.open_calls(), engine.held_calls());
+        self.figures.in_hand(engine.open_calls(), engine.waiting_calls());
     }
 
-    fn note(&self, note: Note) {
+    fn note(&self, note: Measurement) {
         match note {
-            Note::Ended { class, tenant, group, how, took } => {
+            Measurement::CallEnded { class, tenant, group, outcome, latency } => {
                 let aim = self.aims.get(class.0).copied().unwrap_or(Micros::MAX);
-                let end = match how {
-                    EndKind::Served if took <= aim => End::InTime,
-                    EndKind::Served => End::Late,
-                    EndKind::Refused => End::Refused,
-                    EndKind::Failed => End::Failed,
-                    EndKind::Rejected => End::Rejected,
-                    EndKind::Gone => End::Cancelled,
+                let end = match outcome {
+                    CallOutcome::Served if latency <= aim => End::InTime,
+                    CallOutcome::Served => End::Late,
+                    CallOutcome::Refused => End::Refused,
+                    CallOutcome::Failed => End::Failed,
+                    CallOutcome::Rejected => End::Rejected,
+                    CallOutcome::ClientGone => End::Cancelled,
                 };
-                self.figures.call(class.0, end, tenant.map(|t| t.0), group as usize, took);
+                self.figures.call(class.0, end, tenant.map(|t| t.0), group as usize, latency);
             }
-            Note::Attempt { after } => self.figures.attempt(reason(after)),
-            Note::Copy(note) => self.figures.note(match note {
+            Measurement::AttemptStarted { after } => self.figures.attempt(reason(after)),
+            Measurement::LoadNote(note) => self.figures.note(match note {
                 LoadNote::Warm => 0,
                 LoadNote::Began => 1,
                 LoadNote::Waited => 2,
                 LoadNote::Failed => 3,
             }),
-            Note::OrderSent => self.figures.order_sent(),
-            Note::Order(outcome) => self.figures.order(match outcome {
+            Measurement::LoadSent => self.figures.order_sent(),
+            Measurement::LoadEnded(outcome) => self.figures.order(match outcome {
                 Outcome::Ok => 0,
                 Outcome::Full => 1,
                 Outcome::Timeout => 3,
                 _ => 2,
             }),
-            Note::Probe { answered } => self.figures.probe(answered),
+            Measurement::ProbeEnded { answered } => self.figures.probe(answered),
         }
     }
 
--- a/crates/gateway/src/tenants.rs
+++ b/crates/gateway/src/tenants.rs
@@ -9,7 +9,7 @@
 use nettleferry_admin::api::Usage;
 use nettleferry_admission::admission::{Asked, Limits};
 use nettleferry_admission::{Admission, Policy, Verdict, Why};
-use nettleferry_engine::{EndKind, Phase, Step};
+use nettleferry_engine::{CallOutcome, Phase, Step};
 use nettleferry_fleet::loans::{Kind, Terms};
 use nettleferry_tenancy::{Book, Entry, Revision, Spec, State, Tenant};
 use slab::Slab;
@@ -99,13 +99,13 @@
 }
 
 /// Words for the ends of calls, as the figures have them.
-fn end_word(how: EndKind) -> &'static str {
+fn end_word(how: CallOutcome) -> &'static str {
     match how {
-        EndKind::Served => "served",
-        EndKind::Rejected => "rejected",
-        EndKind::Refused => "refused",
-        EndKind::Failed => "failed",
-        EndKind::Gone => "cancelled",
+        CallOutcome::Served => "served",
+        CallOutcome::Rejected => "rejected",
+        CallOutcome::Refused => "refused",
+        CallOutcome::Failed => "failed",
+        CallOutcome::ClientGone => "cancelled",
     }
 }
 
@@ -403,9 +403,9 @@
         let place = call.place;
         self.touched.insert(place);
         match phase.step {
-            Step::Began => self.admission.began(place),
-            Step::Back => self.admission.back(place),
-            Step::Ended(how) => {
+            Step::AttemptStarted => self.admission.began(place),
+            Step::AttemptEnded => self.admission.back(place),
+            Step::CallEnded(how) => {
                 self.admission.ended(now, place, call.class, call.model);
                 if let Some(place) = self.places.get_mut(place) {
                     *place.ends.entry(end_word(how)).or_default() += 1;
--- a/crates/node/src/front.rs
+++ b/crates/node/src/front.rs
@@ -11,7 +11,7 @@
 
 use bytes::Bytes;
 use nettleferry::{ClassId, TenantId};
-use nettleferry_engine::{CallId, End, Left};
+use nettleferry_engine::{CallId, ClientDisconnect, FinalAnswer};
 use nettleferry_net::tcp::{Tcp, TcpKey};
 use nettleferry_platform::frames::{self, Code, Frame, Reader, kind};
 use nettleferry_platform::request::Request;
@@ -38,7 +38,7 @@
     /// The client marks it as a repeat.
     pub repeat: bool,
     /// The work that it is thought to need, microseconds.
-    pub work_hint: Option<u64>,
+    pub cost_hint: Option<u64>,
     /// When its last byte may have come at the earliest.
     pub came: Instant,
     /// Time until the client gives up, microseconds.
@@ -56,7 +56,7 @@
     /// A request came.
     Request(Incoming),
     /// A client waits no longer, or its side has ended.
-    Left(Left),
+    Left(ClientDisconnect),
 }
 
 /// What a link must know of a call.
@@ -387,7 +387,7 @@
             function,
             tenant,
             repeat: request.repeat,
-            work_hint: request.work_ms.map(micros),
+            cost_hint: request.work_ms.map(micros),
             came,
             left: micros(ttl_ms),
             lanes: request.lanes.unwrap_or(1),
@@ -425,12 +425,19 @@
     }
 
     /// A call has its final answer.
-    pub fn end(&mut self, tcp: &mut Tcp, mark: u64, end: &End, count: &mut Counters) {
+    pub fn end(&mut self, tcp: &mut Tcp, mark: u64, end: &FinalAnswer, count: &mut Counters) {
         self.end_because(tcp, mark, end, EndReason::of(end), count);
     }
 
     /// The same, with a reason that the answer does not tell.
-    pub fn end_because(&mut self, tcp: &mut Tcp, mark: u64, end: &End, why: EndReason, count: &mut Counters) {
+    pub fn end_because(
+        &mut self,
+        tcp: &mut Tcp,
+        mark: u64,
+        end: &FinalAnswer,
+        why: EndReason,
+        count: &mut Counters,
+    ) {
         let Some(call) = self.calls.get(&mark) else { return };
         let (key, stream, name) = (call.conn, call.stream, Arc::clone(&call.name));
         let may_have_run = call.attempts.may_have_run();
@@ -444,7 +451,7 @@
         count.reasons.ended(why);
         debug!(conn = ?key, stream, id = %name, ?why, may_have_run, "ended");
         match end {
-            End::Served { last } => {
+            FinalAnswer::Served { last } => {
                 let body = last.as_deref().unwrap_or_default();
                 if takes(tcp, key, body.len()) {
                     self.say(tcp, key, stream, Code::Served, body);
@@ -453,10 +460,10 @@
                     self.say(tcp, key, stream, Code::Failed, b"its connection takes its answers too slowly");
                 }
             }
-            End::Refused { .. } => {
+            FinalAnswer::Refused { .. } => {
                 self.say(tcp, key, stream, Code::Refused, b"refused: a new try does no harm")
             }
-            End::Rejected { message } | End::Failed { message, .. } => {
+            FinalAnswer::Rejected { message } | FinalAnswer::Failed { message, .. } => {
                 self.say(tcp, key, stream, Code::Failed, message.as_bytes());
             }
         }
--- a/crates/node/src/front/closing.rs
+++ b/crates/node/src/front/closing.rs
@@ -2,7 +2,7 @@
 
 use std::time::Instant;
 
-use nettleferry_engine::{CallId, Left};
+use nettleferry_engine::{CallId, ClientDisconnect};
 use nettleferry_net::tcp::{Tcp, TcpKey};
 use nettleferry_platform::frames::{self, Code};
 use tracing::debug;
@@ -81,7 +81,7 @@
         debug!(conn = ?key, open = client.streams.len(), "a client's connection is ending");
         for (stream, mark) in client.streams.clone() {
             match self.calls.get(&mark).and_then(|call| call.call) {
-                Some(call) => events.push(ClientEvent::Left(Left { call, answered: true })),
+                Some(call) => events.push(ClientEvent::Left(ClientDisconnect { call, answered: true })),
                 None => self.never_opened(tcp, key, stream, mark, count),
             }
         }
@@ -171,5 +171,5 @@
 
 /// Its client waits no longer: no answer is owed.
 pub(super) fn gone(call: CallId) -> ClientEvent {
-    ClientEvent::Left(Left { call, answered: false })
+    ClientEvent::Left(ClientDisconnect { call, answered: false })
 }
--- a/crates/node/src/links.rs
+++ b/crates/node/src/links.rs
@@ -14,7 +14,7 @@
 use std::time::{Duration, Instant};
 
 use nettleferry::{Micros, WorkerId};
-use nettleferry_engine::{Ended, Event};
+use nettleferry_engine::{AttemptEnd, Event};
 use nettleferry_net::tcp::{Tcp, TcpKey};
 
 pub use command::Attempt;
@@ -131,7 +131,7 @@
 
     fn drop_link(&mut self, tcp: &mut Tcp, key: TcpKey) {
         tcp.finish(key);
-        self.broken(key, &mut Vec::new(), |_| Ended::Broken);
+        self.broken(key, &mut Vec::new(), |_| AttemptEnd::Broken);
     }
 }
 
--- a/crates/node/src/links/answers.rs
+++ b/crates/node/src/links/answers.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use nettleferry::{LoadNote, WorkerId};
-use nettleferry_engine::{Ended, Event, News};
+use nettleferry_engine::{AttemptEnd, AttemptReport, Event};
 use nettleferry_net::tcp::{Gone, Tcp, TcpKey};
 use nettleferry_platform::answer::{Told, Word};
 use nettleferry_platform::resp;
@@ -35,7 +35,7 @@
                     debug!(%error, "an answer can't be read");
                     count.bad_answers += 1;
                     tcp.close(key);
-                    return self.broken(key, out, |_| Ended::Broken);
+                    return self.broken(key, out, |_| AttemptEnd::Broken);
                 }
             };
             let Some(link) = self.links.get_mut(&key) else { return };
@@ -47,7 +47,7 @@
             let Some((word, told)) = word else {
                 count.bad_answers += 1;
                 tcp.close(key);
-                return self.broken(key, out, |_| Ended::Broken);
+                return self.broken(key, out, |_| AttemptEnd::Broken);
             };
             let Some(item) = link.items.remove(&answer.id) else {
                 count.stray_answers += 1;
@@ -70,7 +70,7 @@
         for key in links {
             if self.links.get(&key).is_some_and(|l| l.suspect) {
                 tcp.close(key);
-                self.broken(key, out, |_| Ended::TimedOut);
+                self.broken(key, out, |_| AttemptEnd::TimedOut);
             }
         }
     }
@@ -86,19 +86,20 @@
         self.owed.remove(&owed);
         match owed {
             Owed::Attempt(attempt) => {
-                let news = News { note: told.note, crowd: None, report: told.report };
+                let news =
+                    AttemptReport { load_note: told.note, queue_depth: None, load_report: told.report };
                 if word == Word::Served {
-                    out.push(Event::Part { attempt, payload: body, last: true });
+                    out.push(Event::ResponsePart { attempt, payload: body, last: true });
                 }
-                out.push(Event::Ended { attempt, how: ended(word, told), news });
+                out.push(Event::AttemptEnded { attempt, end: ended(word, told), report: news });
             }
-            Owed::Order(errand) => {
+            Owed::Order(request_id) => {
                 let copies = told.instances.unwrap_or(0);
-                out.push(Event::Loaded { errand, how: ended(word, told), copies });
+                out.push(Event::LoadEnded { request_id, end: ended(word, told), copies });
             }
-            Owed::Probe(errand) => {
-                let how = if word == Word::Green { Ended::Served } else { ended(word, told) };
-                out.push(Event::Probed { errand, how, report: told.report });
+            Owed::Probe(request_id) => {
+                let how = if word == Word::Green { AttemptEnd::Served } else { ended(word, told) };
+                out.push(Event::ProbeEnded { request_id, end: how, load_report: told.report });
             }
         }
     }
@@ -107,15 +108,15 @@
     pub fn closed(&mut self, tcp: &Tcp, key: TcpKey, why: Gone, out: &mut Vec<Event>) {
         let written = tcp.written(key);
         self.broken(key, out, |item| match (why, item.place) {
-            (Gone::Refused | Gone::NotConnected, _) => Ended::NotConnected,
-            (_, None) => Ended::NotWritten,
-            (Gone::Slow, _) => Ended::Broken,
-            (_, Some((_, end))) if end > written => Ended::NotWritten,
-            _ => Ended::Broken,
+            (Gone::Refused | Gone::NotConnected, _) => AttemptEnd::NotConnected,
+            (_, None) => AttemptEnd::NotWritten,
+            (Gone::Slow, _) => AttemptEnd::Broken,
+            (_, Some((_, end))) if end > written => AttemptEnd::NotWritten,
+            _ => AttemptEnd::Broken,
         });
     }
 
-    pub(super) fn broken(&mut self, key: TcpKey, out: &mut Vec<Event>, how: impl Fn(&Item) -> Ended) {
+    pub(super) fn broken(&mut self, key: TcpKey, out: &mut Vec<Event>, how: impl Fn(&Item) -> AttemptEnd) {
         let Some(link) = self.links.remove(&key) else { return };
         if !link.items.is_empty() {
             debug!(
@@ -147,7 +148,7 @@
             debug!(worker = link.worker.0, "an answer stopped short");
             count.bad_answers += 1;
             tcp.close(key);
-            self.broken(key, out, |_| Ended::Broken);
+            self.broken(key, out, |_| AttemptEnd::Broken);
         } else if link.items.is_empty()
             && self
                 .idle
@@ -159,14 +160,14 @@
 }
 
 /// What a word proves of a request; see the engine's table.
-fn ended(word: Word, told: &Told) -> Ended {
+fn ended(word: Word, told: &Told) -> AttemptEnd {
     match word {
-        Word::Served => Ended::Served,
-        Word::NotHere if told.note == Some(LoadNote::Failed) => Ended::MarkedLoadFailed,
-        Word::NotHere => Ended::MarkedMiss,
-        Word::Overload => Ended::MarkedFull,
-        Word::Crashed => Ended::Status { message: "the invoker failed it".to_owned() },
-        Word::Nobody => Ended::Unwanted,
-        Word::Green | Word::Red => Ended::Status { message: "the invoker is not in service".to_owned() },
+        Word::Served => AttemptEnd::Served,
+        Word::NotHere if told.note == Some(LoadNote::Failed) => AttemptEnd::MarkedLoadFailed,
+        Word::NotHere => AttemptEnd::MarkedMiss,
+        Word::Overload => AttemptEnd::MarkedFull,
+        Word::Crashed => AttemptEnd::Status { message: "the invoker failed it".to_owned() },
+        Word::Nobody => AttemptEnd::Unwanted,
+        Word::Green | Word::Red => AttemptEnd::Status { message: "the invoker is not in service".to_owned() },
     }
 }
--- a/crates/node/src/links/choose.rs
+++ b/crates/node/src/links/choose.rs
@@ -3,7 +3,7 @@
 use std::time::Instant;
 
 use nettleferry::WorkerId;
-use nettleferry_engine::Ended;
+use nettleferry_engine::AttemptEnd;
 use nettleferry_net::tcp::{Tcp, TcpKey};
 use tracing::debug;
 
@@ -19,7 +19,7 @@
         id: WorkerId,
         tag: &str,
         count: &mut Counters,
-    ) -> Result<TcpKey, Ended> {
+    ) -> Result<TcpKey, AttemptEnd> {
         let links = self.workers.get(&id).map(|w| w.links.as_slice()).unwrap_or_default();
         let owing = links.iter().filter_map(|key| {
             let link = self.links.get(key).filter(|l| l.up && !l.draining && !l.suspect)?;
@@ -40,10 +40,10 @@
         id: WorkerId,
         tag: &str,
         count: &mut Counters,
-    ) -> Result<TcpKey, Ended> {
+    ) -> Result<TcpKey, AttemptEnd> {
         let each = (self.bounds.links / self.workers.len().max(1)).max(2);
         let known = self.workers.get_mut(&id).filter(|w| w.listed.is_some());
-        let Some(worker) = known else { return Err(Ended::NotConnected) };
+        let Some(worker) = known else { return Err(AttemptEnd::NotConnected) };
         let now = Instant::now();
         // Its end by idleness is due, and this process may have been away: the other end may have closed it.
         let over = |l: &Link| {
@@ -66,15 +66,15 @@
         }
         if full {
             count.over_links += 1;
-            return Err(Ended::NoRoom);
+            return Err(AttemptEnd::NoRoom);
         }
         let before = tcp.counters().over_made;
         let Some(key) = tcp.connect(worker.address) else {
             if tcp.counters().over_made > before {
                 count.over_links += 1;
-                return Err(Ended::NoRoom);
+                return Err(AttemptEnd::NoRoom);
             }
-            return Err(Ended::NotConnected);
+            return Err(AttemptEnd::NotConnected);
         };
         worker.links.push(key);
         debug!(worker = id.0, tag, ?key, links = worker.links.len(), "a new connection");
--- a/crates/node/src/links/commands.rs
+++ b/crates/node/src/links/commands.rs
@@ -4,7 +4,7 @@
 use std::time::Instant;
 
 use nettleferry::{Micros, WorkerId};
-use nettleferry_engine::{AttemptId, CallId, Ended, ErrandId, Event};
+use nettleferry_engine::{AttemptEnd, AttemptId, CallId, ControlRequestId, Event};
 use nettleferry_net::tcp::{Tcp, TcpKey};
 use nettleferry_platform::resp;
 use tracing::debug;
@@ -36,16 +36,16 @@
         &mut self,
         tcp: &mut Tcp,
         worker: WorkerId,
-        errand: ErrandId,
+        request_id: ControlRequestId,
         (asset, instances): (&str, u32),
         out: &mut Vec<Event>,
         count: &mut Counters,
     ) {
-        let tag = format!("o{}", errand.0);
+        let tag = format!("o{}", request_id.0);
         let mut bytes = Vec::new();
         resp::load(&mut bytes, &tag, asset, instances);
         let link = self.choose(tcp, worker, &tag, count);
-        let outbound = Outbound { tag, owed: Owed::Order(errand), command: Outgoing::Other(bytes) };
+        let outbound = Outbound { tag, owed: Owed::Order(request_id), command: Outgoing::Other(bytes) };
         self.begin(tcp, link, outbound, out, count);
     }
 
@@ -65,15 +65,15 @@
         &mut self,
         tcp: &mut Tcp,
         worker: WorkerId,
-        errand: ErrandId,
+        request_id: ControlRequestId,
         out: &mut Vec<Event>,
         count: &mut Counters,
     ) {
-        let tag = format!("p{}", errand.0);
+        let tag = format!("p{}", request_id.0);
         let mut bytes = Vec::new();
         resp::probe(&mut bytes, &tag, self.reports);
         let link = self.choose_for_probe(tcp, worker, &tag, count);
-        let outbound = Outbound { tag, owed: Owed::Probe(errand), command: Outgoing::Other(bytes) };
+        let outbound = Outbound { tag, owed: Owed::Probe(request_id), command: Outgoing::Other(bytes) };
         self.begin(tcp, link, outbound, out, count);
     }
 
@@ -81,7 +81,7 @@
     pub(super) fn begin(
         &mut self,
         tcp: &mut Tcp,
-        link: Result<TcpKey, Ended>,
+        link: Result<TcpKey, AttemptEnd>,
         outbound: Outbound,
         out: &mut Vec<Event>,
         count: &mut Counters,
@@ -97,7 +97,7 @@
             && up
         {
             count.violations.report(violation, &tag);
-            return out.push(owed.ended(Ended::NotWritten));
+            return out.push(owed.ended(AttemptEnd::NotWritten));
         }
         let Some(link) = self.links.get_mut(&key) else { return };
         debug!(worker = link.worker.0, tag, ?owed, ?key, "begun");
@@ -155,7 +155,7 @@
                 }
                 if let Some(item) = link.items.remove(&tag) {
                     self.owed.remove(&item.owed);
-                    out.push(item.owed.ended(Ended::NotWritten));
+                    out.push(item.owed.ended(AttemptEnd::NotWritten));
                 }
             } else if let Some(item) = link.items.get_mut(&tag) {
                 command.write(&mut self.buffer, now);
@@ -193,8 +193,8 @@
                 let written = tcp.written(key);
                 tcp.close(key);
                 return self.broken(key, out, |item| match item.place {
-                    Some((_, end)) if end <= written => Ended::Broken,
-                    _ => Ended::NotWritten,
+                    Some((_, end)) if end <= written => AttemptEnd::Broken,
+                    _ => AttemptEnd::NotWritten,
                 });
             }
             // Its answer was awaited and did not come: whether any other would is not known.
@@ -215,23 +215,23 @@
     }
 
     /// An order that nobody wants any more does not leave, if it has not left.
-    pub fn unwanted(&mut self, tcp: &mut Tcp, errand: ErrandId, out: &mut Vec<Event>) {
-        let owed = Owed::Order(errand);
+    pub fn unwanted(&mut self, tcp: &mut Tcp, request_id: ControlRequestId, out: &mut Vec<Event>) {
+        let owed = Owed::Order(request_id);
         let Some((key, tag)) = self.owed.get(&owed).cloned() else { return };
         if self.unsend(tcp, key, &tag) {
             self.owed.remove(&owed);
             if let Some(link) = self.links.get_mut(&key) {
                 link.items.remove(&tag);
             }
-            out.push(owed.ended(Ended::Cancelled));
+            out.push(owed.ended(AttemptEnd::Cancelled));
             self.settle(tcp, key);
         }
     }
 
     /// An order or a probe ran out of time: nothing about it is wanted any more.
-    pub fn forget(&mut self, tcp: &mut Tcp, errand: ErrandId) {
-        let order = self.owed.remove(&Owed::Order(errand));
-        let Some((key, tag)) = order.or_else(|| self.owed.remove(&Owed::Probe(errand))) else { return };
+    pub fn forget(&mut self, tcp: &mut Tcp, request_id: ControlRequestId) {
+        let order = self.owed.remove(&Owed::Order(request_id));
+        let Some((key, tag)) = order.or_else(|| self.owed.remove(&Owed::Probe(request_id))) else { return };
         let Some(link) = self.links.get_mut(&key) else { return };
         let item = link.items.remove(&tag);
         // Cleared by the next byte that comes there.
@@ -259,7 +259,7 @@
                 ends.push(item.owed);
             }
             ends.sort();
-            out.extend(ends.into_iter().map(|owed| owed.ended(Ended::NotWritten)));
+            out.extend(ends.into_iter().map(|owed| owed.ended(AttemptEnd::NotWritten)));
             self.settle(tcp, key);
         }
     }
--- a/crates/node/src/links/link.rs
+++ b/crates/node/src/links/link.rs
@@ -4,7 +4,7 @@
 use std::time::Instant;
 
 use nettleferry::{Micros, WorkerId};
-use nettleferry_engine::{AttemptId, Ended, ErrandId, Event, News};
+use nettleferry_engine::{AttemptEnd, AttemptId, AttemptReport, ControlRequestId, Event};
 
 use super::command::Outgoing;
 
@@ -16,18 +16,20 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Owed {
     // In this order where a connection ends: what is told of it is known before what was lost with it.
-    Probe(ErrandId),
+    Probe(ControlRequestId),
     Attempt(AttemptId),
-    Order(ErrandId),
+    Order(ControlRequestId),
 }
 
 impl Owed {
     /// It ended without an answer.
-    pub(super) fn ended(self, how: Ended) -> Event {
+    pub(super) fn ended(self, how: AttemptEnd) -> Event {
         match self {
-            Self::Attempt(attempt) => Event::Ended { attempt, how, news: News::default() },
-            Self::Order(errand) => Event::Loaded { errand, how, copies: 0 },
-            Self::Probe(errand) => Event::Probed { errand, how, report: None },
+            Self::Attempt(attempt) => {
+                Event::AttemptEnded { attempt, end: how, report: AttemptReport::default() }
+            }
+            Self::Order(request_id) => Event::LoadEnded { request_id, end: how, copies: 0 },
+            Self::Probe(request_id) => Event::ProbeEnded { request_id, end: how, load_report: None },
         }
     }
 }
--- a/crates/node/src/links/tests.rs
+++ b/crates/node/src/links/tests.rs
@@ -129,13 +129,13 @@
     assert!(!rig.links.owns(key) && rig.tcp.input(key).is_none(), "the connection is gone at once");
     let mut ends = BTreeMap::new();
     for event in &rig.told {
-        if let Event::Ended { attempt, how, .. } = event {
+        if let Event::AttemptEnded { attempt, end: how, .. } = event {
             assert!(ends.insert(*attempt, how.clone()).is_none(), "one end each");
         }
     }
     assert_eq!(ends.len(), there.len() - 1, "all that shared it have ended, the withdrawn one in silence");
     for id in &there[1..] {
-        let how = if unsent.contains(id) { Ended::NotWritten } else { Ended::Broken };
+        let how = if unsent.contains(id) { AttemptEnd::NotWritten } else { AttemptEnd::Broken };
         assert_eq!(ends.get(id), Some(&how));
     }
     // Its invoker sees the end as soon as it looks.
@@ -191,8 +191,10 @@
     while rig.told.is_empty() {
         rig.turn();
     }
-    let Some(Event::Ended { attempt, how, .. }) = rig.told.first() else { panic!("{:?}", rig.told) };
-    assert_eq!((attempt, how), (&late, &Ended::NotWritten), "proven not to have left");
+    let Some(Event::AttemptEnded { attempt, end: how, .. }) = rig.told.first() else {
+        panic!("{:?}", rig.told)
+    };
+    assert_eq!((attempt, how), (&late, &AttemptEnd::NotWritten), "proven not to have left");
     let next = rig.start(10);
     while !rig.left(next) {
         rig.turn();
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -10,7 +10,8 @@
 use mio::Interest;
 use nettleferry::{Effect, ListForm, Reports, WorkerState};
 use nettleferry_engine::{
-    Cause, Command, End, Ended, Engine, EngineLimits, Event, Left, Member, News, Open, Refusal,
+    AttemptEnd, AttemptReport, Cause, ClientDisconnect, Command, Engine, EngineLimits, Event, FinalAnswer,
+    Member, NewCall, Refusal,
 };
 use nettleferry_net::clock::Clock;
 use nettleferry_net::patience::Patience;
@@ -93,7 +94,7 @@
 const FIGURES_EVERY: Duration = Duration::from_secs(5);
 
 /// The answer of a request that came with no time left.
-const NO_TIME: End = End::Refused { why: Refusal::NoRoom, retry_after: None };
+const NO_TIME: FinalAnswer = FinalAnswer::Refused { reason: Refusal::NoRoom, retry_after: None };
 
 /// What attempts of a class must know of it.
 #[derive(Clone)]
@@ -378,13 +379,13 @@
                 // One whose connection broke since has nobody to be answered.
                 ClientEvent::Left(one) => {
                     let answered = one.answered && self.front.awaits(one.call);
-                    left.push(Left { answered, ..one });
+                    left.push(ClientDisconnect { answered, ..one });
                 }
                 ClientEvent::Request(request) => self.requests.push_back(request),
             }
         }
         if !left.is_empty() {
-            self.tell(Event::ClientsLeft { calls: left });
+            self.tell(Event::ClientsDisconnected { clients: left });
         }
         if turn.list
             && let Some(list) = self.discovery.ready(&mut self.count)
@@ -418,7 +419,7 @@
     fn work(&mut self) {
         while !self.told.is_empty() {
             for event in std::mem::take(&mut self.told) {
-                if let Event::Ended { attempt, how, .. } = &event
+                if let Event::AttemptEnded { attempt, end: how, .. } = &event
                     && let Some(call) = self.front.call(attempt.call)
                 {
                     call.attempts.ended(how.never_ran());
@@ -442,14 +443,14 @@
             let why = EndReason::NoTime;
             return self.front.end_because(&mut self.tcp, mark, &NO_TIME, why, &mut self.count);
         }
-        let open = Open {
+        let open = NewCall {
             front: mark,
             class: request.class,
             tenant: request.tenant,
             model: request.function,
             version: Arc::from(""),
-            left,
-            work_hint: request.work_hint,
+            time_left: left,
+            cost_hint: request.cost_hint,
             lanes: request.lanes,
             load_time: request.load_time,
             repeat: request.repeat,
@@ -480,13 +481,17 @@
         let (tcp, count) = (&mut self.tcp, &mut self.count);
         for command in self.commands.drain(..) {
             match command {
-                Command::Start { attempt, worker, left, body, .. } => {
+                Command::Start { attempt, worker, time_left: left, body, .. } => {
                     let class = |call: &crate::front::Call| self.classes.get(call.class.0).cloned();
                     let known = self.front.call(attempt.call).and_then(|call| class(call).zip(Some(call)));
                     let Some((class, call)) = known else {
                         // Its client has left, and the engine hears of it next.
-                        let how = Ended::Cancelled;
-                        self.told.push(Event::Ended { attempt, how, news: News::default() });
+                        let how = AttemptEnd::Cancelled;
+                        self.told.push(Event::AttemptEnded {
+                            attempt,
+                            end: how,
+                            report: AttemptReport::default(),
+                        });
                         continue;
                     };
                     let sending = Sending {
@@ -496,8 +501,12 @@
                     };
                     if let Err(violation) = sending.check() {
                         count.violations.report(violation, &call.name);
-                        let how = Ended::Cancelled;
-                        self.told.push(Event::Ended { attempt, how, news: News::default() });
+                        let how = AttemptEnd::Cancelled;
+                        self.told.push(Event::AttemptEnded {
+                            attempt,
+                            end: how,
+                            report: AttemptReport::default(),
+                        });
                         continue;
                     }
                     if let Some(after) = call.last_end {
@@ -518,30 +527,30 @@
                     self.links.start(tcp, worker, begin, &mut self.told, count);
                 }
                 Command::Abandon { attempt } => self.links.abandon(tcp, attempt),
-                Command::Unwanted { errand } => self.links.unwanted(tcp, errand, &mut self.told),
-                Command::Withdraw { attempt } => {
+                Command::CancelLoad { request_id } => self.links.unwanted(tcp, request_id, &mut self.told),
+                Command::Cancel { attempt } => {
                     if let Some(call) = self.front.call(attempt.call) {
                         call.attempts.ended(false);
                         call.last_end = Some(RepeatReason::Withdrawn);
                     }
                     self.links.withdraw(tcp, attempt, &mut self.told, count);
                 }
-                Command::End { front, end, .. } => {
+                Command::Answer { front, answer: end, .. } => {
                     let end = checked_end(&self.front, &self.classes, front, end, count);
                     self.front.end(tcp, front, &end, count);
                 }
-                Command::Load { errand, worker, model, copies, .. } => {
-                    self.links.load(tcp, worker, errand, (&model, copies), &mut self.told, count);
+                Command::Load { request_id, worker, model, copies, .. } => {
+                    self.links.load(tcp, worker, request_id, (&model, copies), &mut self.told, count);
                 }
                 Command::Unload { worker, model, .. } => self.links.unload(tcp, worker, &model),
-                Command::Probe { errand, worker } => {
-                    self.links.probe(tcp, worker, errand, &mut self.told, count);
+                Command::Probe { request_id, worker } => {
+                    self.links.probe(tcp, worker, request_id, &mut self.told, count);
                 }
-                Command::Forget { errand } => self.links.forget(tcp, errand),
+                Command::ForgetControlRequest { request_id } => self.links.forget(tcp, request_id),
                 Command::WatchList | Command::FetchList => self.discovery.ask(),
                 Command::Log(line) => info!("{line}"),
                 // Answers here come whole: no parts, nothing to hold back.
-                Command::Part { .. } | Command::Pause { .. } | Command::Resume { .. } => {}
+                Command::ResponsePart { .. } | Command::Pause { .. } | Command::Resume { .. } => {}
             }
         }
     }
@@ -618,25 +627,31 @@
     fn figures(&self) {
         let (tcp, engine) = (self.tcp.counters(), self.engine.counters());
         let (clients, links) = (self.front.clients(), self.tcp.made());
-        info!(clients, links, open = self.engine.open_calls(), held = self.engine.held_calls(), "figures");
+        info!(clients, links, open = self.engine.open_calls(), held = self.engine.waiting_calls(), "figures");
         info!("figures {engine:?}");
         info!("figures {:?} {tcp:?}", self.count);
     }
 }
 
 /// The final answer of a request: one that may have run, and may run once, is never refused.
-fn checked_end(front: &Front, classes: &[ClassTerms], mark: u64, end: End, count: &mut Counters) -> End {
+fn checked_end(
+    front: &Front,
+    classes: &[ClassTerms],
+    mark: u64,
+    end: FinalAnswer,
+    count: &mut Counters,
+) -> FinalAnswer {
     let Some(call) = front.call_of(mark) else {
         count.violations.report(Violation::AnswerForNobody, &mark);
         return end;
     };
     let effect = classes.get(call.class.0).map_or(Effect::Unsafe, |class| class.effect);
-    let refused = matches!(end, End::Refused { .. });
+    let refused = matches!(end, FinalAnswer::Refused { .. });
     match guard::may_refuse(call.attempts.may_have_run(), effect) {
         Err(violation) if refused => {
             count.violations.report(violation, &call.name);
             let message = "nothing is promised: the call may have run".to_owned();
-            End::Failed { cause: Cause::Aborted, message }
+            FinalAnswer::Failed { cause: Cause::Aborted, message }
         }
         _ => end,
     }
--- a/crates/node/src/reasons.rs
+++ b/crates/node/src/reasons.rs
@@ -1,7 +1,7 @@
 //! Why requests ended as they did, why they were sent again, and why clients' connections were closed: counters by
 //! reason, and the words for the log.
 
-use nettleferry_engine::{Cause, End, Ended, Refusal};
+use nettleferry_engine::{AttemptEnd, Cause, FinalAnswer, Refusal};
 
 /// How a request ended, and why.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -32,17 +32,17 @@
     const COUNT: usize = 10;
 
     /// Of a final answer.
-    pub fn of(end: &End) -> Self {
+    pub fn of(end: &FinalAnswer) -> Self {
         match end {
-            End::Served { .. } => Self::Served,
-            End::Rejected { .. } => Self::Rejected,
-            End::Refused { why: Refusal::NoRoom, .. } => Self::NoRoom,
-            End::Refused { why: Refusal::NoWorker, .. } => Self::NoWorker,
-            End::Refused { why: Refusal::ClientLeft, .. } => Self::ClientEnded,
-            End::Refused { .. } => Self::TooManyOpen,
-            End::Failed { cause: Cause::Deadline, .. } => Self::Deadline,
-            End::Failed { cause: Cause::Internal, .. } => Self::WorkerFailed,
-            End::Failed { .. } => Self::AttemptLost,
+            FinalAnswer::Served { .. } => Self::Served,
+            FinalAnswer::Rejected { .. } => Self::Rejected,
+            FinalAnswer::Refused { reason: Refusal::NoRoom, .. } => Self::NoRoom,
+            FinalAnswer::Refused { reason: Refusal::NoWorker, .. } => Self::NoWorker,
+            FinalAnswer::Refused { reason: Refusal::ClientDisconnected, .. } => Self::ClientEnded,
+            FinalAnswer::Refused { .. } => Self::TooManyOpen,
+            FinalAnswer::Failed { cause: Cause::Deadline, .. } => Self::Deadline,
+            FinalAnswer::Failed { cause: Cause::Internal, .. } => Self::WorkerFailed,
+            FinalAnswer::Failed { .. } => Self::AttemptLost,
         }
     }
 }
@@ -70,15 +70,20 @@
     const COUNT: usize = 7;
 
     /// Of the end of an attempt.
-    pub fn of(how: &Ended) -> Self {
+    pub fn of(how: &AttemptEnd) -> Self {
         match how {
-            Ended::NotConnected => Self::NotConnected,
-            Ended::NotWritten => Self::NotWritten,
-            Ended::NoRoom | Ended::RefusedStream | Ended::GoneAway | Ended::MarkedFull => Self::Full,
-            Ended::MarkedMiss | Ended::MarkedLoadFailed | Ended::Unwanted => Self::Miss,
-            Ended::Status { .. } | Ended::Reset | Ended::Rejected(_) | Ended::Served => Self::WorkerFailed,
-            Ended::Broken => Self::Broken,
-            Ended::TimedOut | Ended::Cancelled => Self::Withdrawn,
+            AttemptEnd::NotConnected => Self::NotConnected,
+            AttemptEnd::NotWritten => Self::NotWritten,
+            AttemptEnd::NoRoom
+            | AttemptEnd::RefusedStream
+            | AttemptEnd::GoneAway
+            | AttemptEnd::MarkedFull => Self::Full,
+            AttemptEnd::MarkedMiss | AttemptEnd::MarkedLoadFailed | AttemptEnd::Unwanted => Self::Miss,
+            AttemptEnd::Status { .. } | AttemptEnd::Reset | AttemptEnd::Rejected(_) | AttemptEnd::Served => {
+                Self::WorkerFailed
+            }
+            AttemptEnd::Broken => Self::Broken,
+            AttemptEnd::TimedOut | AttemptEnd::Cancelled => Self::Withdrawn,
         }
     }
 }
--- a/crates/node/tests/shared.rs
+++ b/crates/node/tests/shared.rs
@@ -71,7 +71,7 @@
     // The copy is found by a call that is served.
     ask(&mut client, 1, 1_000, DEADLINE);
     assert_eq!(answers(&mut hand, &mut client, 1), [SERVED]);
-    // Open all the while.
+    // NewCall all the while.
     ask(&mut client, 2, 1, DEADLINE);
     hand.at(0, "CALL", &name(1));
     let amiss = 3 * CLIENT_FAULTS;
