--- a/crates/gateway/src/controller/administration.rs
+++ b/crates/gateway/src/controller/administration.rs
@@ -69,7 +69,7 @@
     /// Ends the calls of removed tenants: each has its final answer before another tenant may get the number.
     fn remove_tenants(&mut self, removed: impl IntoIterator<Item = TenantId>) {
         for tenant in removed {
-            self.engine.handle(self.clock.now(), Event::Evict { tenant }, &mut self.commands);
+            self.engine.handle(self.clock.now(), Event::TenantRemoved { tenant }, &mut self.commands);
             self.execute_commands();
             self.count_call_steps();
             if let Some(tenants) = &mut self.tenants {
--- a/crates/gateway/src/controller/commands.rs
+++ b/crates/gateway/src/controller/commands.rs
@@ -2,7 +2,7 @@
 
 use nettleferry::Micros;
 use nettleferry_audit_log::Act;
-use nettleferry_engine::{Command, Ended, Event};
+use nettleferry_engine::{AttemptEnd, Command, Event};
 use tracing::{debug, warn};
 
 use super::Controller;
@@ -24,38 +24,38 @@
     fn execute(&mut self, command: Command) -> Option<Event> {
         let hub = &mut self.hub;
         match command {
-            Command::Start { attempt, worker, streamed, left, body } => {
+            Command::Start { attempt, worker, streamed, time_left, body } => {
                 if let Some((worker, model)) = self.engine.describe(attempt) {
                     debug!(call = attempt.call.0, attempt = attempt.number, %worker, model = %model.name, "attempt started");
                 }
                 if let Some(audit_log) = &mut self.audit_log {
                     audit_log.recorder.attempt(self.clock.now_ms(), worker.0);
                 }
-                return self.links.start(hub, attempt, worker, streamed, left, body);
+                return self.links.start(hub, attempt, worker, streamed, time_left, body);
             }
-            Command::Withdraw { attempt } | Command::Abandon { attempt } => self.links.withdraw(hub, attempt),
+            Command::Cancel { attempt } | Command::Abandon { attempt } => self.links.withdraw(hub, attempt),
             // Its stream is open, so the client has disconnected already.
-            Command::Unwanted { .. } => {}
+            Command::CancelLoad { .. } => {}
             Command::Pause { attempt } => self.links.flow(hub, attempt, true),
             Command::Resume { attempt } => self.links.flow(hub, attempt, false),
-            Command::Part { front, payload, .. } => {
+            Command::ResponsePart { front, payload, .. } => {
                 self.with_front(|handler, context| handler.part(context, front, payload));
             }
-            Command::End { call, front, end } => {
-                debug!(call = call.0, ?end, "final answer");
-                self.with_front(|handler, context| handler.end(context, call, front, end));
+            Command::Answer { call, front, answer } => {
+                debug!(call = call.0, ?answer, "final answer");
+                self.with_front(|handler, context| handler.end(context, call, front, answer));
             }
-            Command::Load { errand, worker, model, version, copies } => {
+            Command::Load { request_id, worker, model, version, copies } => {
                 debug!(worker = %self.engine.names().worker_name(worker), %model, copies, "load ordered");
                 let memory = self.config.models.find(&model).and_then(|m| m.memory);
                 if let Some(audit_log) = &mut self.audit_log {
                     audit_log.recorder.order(self.clock.now_ms(), worker.0);
                 }
-                return self.links.load(hub, errand, worker, (&model, &version, memory), copies);
+                return self.links.load(hub, request_id, worker, (&model, &version, memory), copies);
             }
             Command::Unload { worker, model, .. } => self.links.unload(hub, worker, &model),
-            Command::Probe { errand, worker } => return self.links.probe(hub, errand, worker),
-            Command::Forget { errand } => self.links.forget(hub, errand),
+            Command::Probe { request_id, worker } => return self.links.probe(hub, request_id, worker),
+            Command::ForgetControlRequest { request_id } => self.links.forget(hub, request_id),
             Command::WatchList | Command::FetchList => self.lists.ask(),
             Command::Log(line) => warn!("{line}"),
         }
@@ -64,11 +64,11 @@
 
     /// Gives an event to the engine.
     pub(super) fn notify_engine(&mut self, event: Event) {
-        if let Event::Ended { attempt, how, .. } = &event
-            && *how != Ended::Served
+        if let Event::AttemptEnded { attempt, end, .. } = &event
+            && *end != AttemptEnd::Served
             && let Some((worker, model)) = self.engine.describe(*attempt)
         {
-            debug!(call = attempt.call.0, attempt = attempt.number, %worker, model = %model.name, how = %how.words(), "attempt ended");
+            debug!(call = attempt.call.0, attempt = attempt.number, %worker, model = %model.name, %end, "attempt ended");
         }
         self.engine.handle(self.clock.now(), event, &mut self.commands);
     }
--- a/crates/gateway/src/controller/startup.rs
+++ b/crates/gateway/src/controller/startup.rs
@@ -50,14 +50,14 @@
         let pusher =
             config.figures.push.clone().map(|push| Pusher::start(push, observer.figures())).transpose()?;
         if config.figures.count {
-            engine.take_notes();
+            engine.record_measurements();
         }
         let clock = Clock::start();
         let mut administration = Administration::default();
         if let Some(admin) = &config.admin {
             administration = Administration::start(&config, admin, clock, &hub)
                 .map_err(|source| ControllerError::Admin { source })?;
-            engine.take_phases();
+            engine.record_phases();
         }
         let config = Arc::new(config);
         let mut controller = Self {
@@ -102,7 +102,7 @@
         };
         if limited {
             self.restart_admission.limiter = Some(Gate::new(GateConfig::default(), self.clock.now_ms()));
-            self.engine.take_phases();
+            self.engine.record_phases();
         }
     }
 }
--- a/crates/gateway/src/controller/status.rs
+++ b/crates/gateway/src/controller/status.rs
@@ -67,7 +67,7 @@
             return;
         }
         let now = self.clock.now();
-        for phase in self.engine.phases() {
+        for phase in self.engine.drain_phases() {
             if let Some(limiter) = &mut self.restart_admission.limiter {
                 front::gate_step(limiter, now, &phase);
             }
@@ -97,7 +97,7 @@
             admission.final_counters = limiter.counters();
             admission.limiter = None;
             if self.tenants.is_none() {
-                self.engine.leave_phases();
+                self.engine.stop_recording_phases();
             }
         }
     }
