--- a/crates/gateway/src/controller/audit.rs
+++ b/crates/gateway/src/controller/audit.rs
@@ -1,19 +1,12 @@
 //! What the controller enters into its audit log, where it has one.
 
-use nettleferry_administration::trail::Log;
 use nettleferry_audit_log::{Act, Recorder, View};
 use nettleferry_tenancy::{Entry, Tenant};
 
-use super::Controller;
+use super::{AuditLog, Controller};
 use crate::audit_log::Known;
 use crate::tenants::Tenants;
 
-/// The recorder of entries, and the log that writes them.
-pub(super) struct AuditLog {
-    pub(super) recorder: Recorder,
-    pub(super) log: Log,
-}
-
 impl Controller {
     /// Enters something into the audit log. `entry` gets the recorder, the time in milliseconds, and names for numbers.
     pub(super) fn record(&mut self, entry: impl FnOnce(&mut Recorder, u64, &Known)) {
--- a/crates/gateway/src/controller/commands.rs
+++ b/crates/gateway/src/controller/commands.rs
@@ -6,7 +6,7 @@
 use tracing::{debug, warn};
 
 use super::Controller;
-use crate::front::{Around, Front};
+use crate::front::{Front, FrontContext};
 
 impl Controller {
     /// Executes what the engine commands, and what it commands in return, until nothing is left.
@@ -39,11 +39,11 @@
             Command::Pause { attempt } => self.links.flow(hub, attempt, true),
             Command::Resume { attempt } => self.links.flow(hub, attempt, false),
             Command::ResponsePart { front, payload, .. } => {
-                self.with_front(|handler, context| handler.part(context, front, payload));
+                self.with_front(|handler, context| handler.send_part(context, front, payload));
             }
             Command::Answer { call, front, answer } => {
                 debug!(call = call.0, ?answer, "final answer");
-                self.with_front(|handler, context| handler.end(context, call, front, answer));
+                self.with_front(|handler, context| handler.answer(context, call, front, answer));
             }
             Command::Load { request_id, worker, model, version, copies } => {
                 debug!(worker = %self.engine.names().worker_name(worker), %model, copies, "load ordered");
@@ -74,16 +74,16 @@
     }
 
     /// Lets the front handle something, and checks that the lease still held when it had accepted a call.
-    pub(super) fn with_front<T>(&mut self, handle: impl FnOnce(&mut Front, &mut Around) -> T) -> T {
+    pub(super) fn with_front<T>(&mut self, handle: impl FnOnce(&mut Front, &mut FrontContext) -> T) -> T {
         let (now, opened_before) = (self.clock.now(), self.front.opened);
-        let mut context = Around {
+        let mut context = FrontContext {
             hub: &mut self.hub,
             engine: &mut self.engine,
             commands: &mut self.commands,
             tenants: self.tenants.as_mut(),
-            gate: self.restart_admission.limiter.as_mut(),
+            limiter: self.restart_admission.limiter.as_mut(),
             lease: self.lease.as_mut(),
-            trail: self.audit_log.as_mut().map(|audit_log| &mut audit_log.recorder),
+            recorder: self.audit_log.as_mut().map(|audit_log| &mut audit_log.recorder),
             now,
         };
         let result = handle(&mut self.front, &mut context);
--- a/crates/gateway/src/controller/mod.rs
+++ b/crates/gateway/src/controller/mod.rs
@@ -27,6 +27,8 @@
 use nettleferry::Micros;
 use nettleferry_administration::Desk;
 use nettleferry_administration::endpoint::Endpoint;
+use nettleferry_administration::trail::Log;
+use nettleferry_audit_log::Recorder;
 use nettleferry_config::{Config, Worker};
 use nettleferry_engine::{Command, Engine, Event};
 use nettleferry_fleet::gate::{self, Gate};
@@ -41,7 +43,6 @@
 use crate::observe::Observer;
 use crate::push::Pusher;
 use crate::tenants::Tenants;
-use audit::AuditLog;
 
 /// Why a controller could not start or go on.
 #[derive(Debug, thiserror::Error)]
@@ -100,6 +101,12 @@
     final_counters: gate::Counters,
 }
 
+/// The recorder of entries of the audit log, and the log that writes them.
+struct AuditLog {
+    recorder: Recorder,
+    log: Log,
+}
+
 /// A controller of the gateway.
 pub struct Controller {
     config: Arc<Config>,
--- a/crates/gateway/src/controller/startup.rs
+++ b/crates/gateway/src/controller/startup.rs
@@ -24,8 +24,7 @@
 use nettleferry_net::{Hub, NetLimits};
 use signal_hook_mio::v1_0::Signals;
 
-use super::audit::AuditLog;
-use super::{Controller, ControllerError, RestartAdmission, SIGNAL_SOURCE, SnapshotSource};
+use super::{AuditLog, Controller, ControllerError, RestartAdmission, SIGNAL_SOURCE, SnapshotSource};
 use crate::front::Front;
 use crate::links::{LinkLimits, Links};
 use crate::list::Lists;
--- a/crates/gateway/src/controller/status.rs
+++ b/crates/gateway/src/controller/status.rs
@@ -11,7 +11,7 @@
 use tracing::{info, warn};
 
 use super::Controller;
-use crate::front;
+use crate::call_steps::count_call_steps;
 
 /// Metrics of workers and limits are updated at most this often, as events come. Microseconds.
 const REFRESH_INTERVAL: Micros = 200_000;
@@ -66,15 +66,8 @@
         if self.tenants.is_none() && self.restart_admission.limiter.is_none() {
             return;
         }
-        let now = self.clock.now();
-        for phase in self.engine.drain_phases() {
-            if let Some(limiter) = &mut self.restart_admission.limiter {
-                front::gate_step(limiter, now, &phase);
-            }
-            if let Some(tenants) = &mut self.tenants {
-                tenants.step(now, phase);
-            }
-        }
+        let limiter = self.restart_admission.limiter.as_mut();
+        count_call_steps(self.clock.now(), &mut self.engine, limiter, self.tenants.as_mut());
     }
 
     /// Logs each step of the recovery from a restart, and removes the limiter after the last.
--- a/crates/gateway/src/front/ends.rs
+++ b/crates/gateway/src/front/failure.rs
@@ -1,8 +1,8 @@
-//! A call's one final answer in gRPC's words.
+//! A call's final answer as a gRPC status.
 //!
-//! Served: OK. Refused: UNAVAILABLE with `grpc-retry-pushback-ms` (gRFC A6) and `RetryInfo`: another try is
-//! harmless. Failed: ABORTED, INTERNAL or DEADLINE_EXCEEDED with pushback -1 ("do not retry"), since nothing
-//! is promised; never UNAVAILABLE.
+//! Served: OK. Refused: UNAVAILABLE with `grpc-retry-pushback-ms` (gRFC A6) and `RetryInfo`, as a retry does no harm.
+//! Failed: ABORTED, INTERNAL or DEADLINE_EXCEEDED with pushback -1 ("do not retry"), as the call may have run; never
+//! UNAVAILABLE.
 
 use std::time::Duration;
 
@@ -14,31 +14,31 @@
 use nettleferry_proto::rpc::status_with_retry;
 use prost::Message;
 
-/// `grpc-retry-pushback-ms`.
+/// The metadata key of the advice when to retry (gRFC A6).
 pub const PUSHBACK: &str = "grpc-retry-pushback-ms";
 
-/// An end that is no success, in gRPC's words.
+/// A final answer that is no success, as gRPC has it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Failure {
     /// Code and message.
     pub status: Status,
-    /// Milliseconds to stay away; negative: do not retry; `None`: nothing is said.
+    /// When to retry, in milliseconds; negative: do not retry; `None`: no advice.
     pub pushback_ms: Option<i64>,
 }
 
 impl Failure {
-    /// A failure of the call itself: nothing is said of retries.
-    pub fn of(code: Code, message: impl Into<String>) -> Self {
+    /// A failure of the call itself, without advice on retries.
+    pub fn new(code: Code, message: impl Into<String>) -> Self {
         Self { status: Status::new(code, message), pushback_ms: None }
     }
 
-    /// Harmless to try again after a while.
+    /// A call that was not run, or may be repeated: a retry after a while does no harm.
     pub fn refused(message: impl Into<String>, after: Duration) -> Self {
         let ms = i64::try_from(after.as_millis()).unwrap_or(i64::MAX);
         Self { status: Status::new(Code::Unavailable, message), pushback_ms: Some(ms) }
     }
 
-    /// As trailers.
+    /// The trailers of an RPC that ends with it.
     pub fn trailers(&self) -> HeaderMap {
         let mut map = self.status.trailers();
         if let Some(ms) = self.pushback_ms {
@@ -54,7 +54,7 @@
         map
     }
 
-    /// As one message of a stream: `error_message`, and the call's `id`.
+    /// One message of a stream: `error_message`, and the call's `id`.
     pub fn message(&self, id: &str) -> Bytes {
         let mut response = ModelInferResponse { id: id.to_owned(), ..Default::default() };
         let text = |s: &str| InferParameter {
@@ -72,16 +72,16 @@
     }
 }
 
-/// The failure of an end; `None`: it is a success.
-pub fn failure(end: &FinalAnswer, pushback: Duration) -> Option<Failure> {
-    Some(match end {
+/// The failure that a final answer is; `None`: it is a success.
+pub fn of_answer(answer: &FinalAnswer, pushback: Duration) -> Option<Failure> {
+    Some(match answer {
         FinalAnswer::Served { .. } => return None,
-        FinalAnswer::Rejected { message } => Failure::of(Code::InvalidArgument, message.clone()),
+        FinalAnswer::Rejected { message } => Failure::new(Code::InvalidArgument, message.clone()),
         FinalAnswer::Refused { reason: Refusal::TenantRemoved, .. } => {
-            Failure::of(Code::PermissionDenied, "its tenant was removed; it was not run")
+            Failure::new(Code::PermissionDenied, "its tenant was removed; it was not run")
         }
-        FinalAnswer::Refused { reason: why, retry_after } => {
-            let message = match why {
+        FinalAnswer::Refused { reason, retry_after } => {
+            let message = match reason {
                 Refusal::TenantRemoved => "its tenant was removed; it was not run",
                 Refusal::ClientDisconnected => "its client left; it was not run",
                 Refusal::TooManyOpen => "too many open calls at this controller; it was not run",
--- a/crates/gateway/src/front/head/tests.rs
+++ b/crates/gateway/src/front/headers/tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of `head`.
+//! Unit tests of `headers`.
 
 use super::*;
 
@@ -11,13 +11,13 @@
 }
 
 #[test]
-fn other_content_types_are_415() {
+fn other_content_types_are_answered_with_415() {
     for kind in ["application/grpc", "application/grpc+proto", "application/grpc; v=1"] {
-        assert_eq!(acceptable(&parts(&[("content-type", kind)])), Ok(()), "{kind}");
+        assert_eq!(check_grpc(&parts(&[("content-type", kind)])), Ok(()), "{kind}");
     }
     for kind in ["application/json", "application/grpc-web", "application/grpc+json", ""] {
         assert_eq!(
-            acceptable(&parts(&[("content-type", kind)])),
+            check_grpc(&parts(&[("content-type", kind)])),
             Err(StatusCode::UNSUPPORTED_MEDIA_TYPE),
             "{kind}"
         );
@@ -25,10 +25,10 @@
 }
 
 #[test]
-fn timeouts_and_encodings_are_read_or_refused_with_the_fix() {
-    let head = read(&parts(&[("grpc-timeout", "600m"), ("grpc-encoding", "gzip")]), 5).expect("sound");
-    assert_eq!((head.due, head.gzip), (Some(600_005), true));
-    let error = |name, value| read(&parts(&[(name, value)]), 0).expect_err("refused").status;
+fn timeouts_and_encodings_are_read_or_rejected() {
+    let headers = read(&parts(&[("grpc-timeout", "600m"), ("grpc-encoding", "gzip")]), 5).expect("sound");
+    assert_eq!((headers.deadline, headers.gzip), (Some(600_005), true));
+    let error = |name, value| read(&parts(&[(name, value)]), 0).expect_err("rejected").status;
     assert_eq!(error("grpc-timeout", "soon").code, Code::InvalidArgument);
     assert_eq!(error("grpc-encoding", "snappy").code, Code::Unimplemented);
 }
--- a/crates/gateway/src/front/metadata.rs
+++ b/crates/gateway/src/front/info_methods.rs
@@ -1,4 +1,4 @@
-//! The small methods: live, ready, metadata. Answered from the settings alone.
+//! Methods that are no calls: liveness, readiness, metadata. They are answered from the settings alone.
 
 use bytes::Bytes;
 use nettleferry_config::Config;
@@ -8,11 +8,11 @@
 use nettleferry_proto::inference::*;
 use prost::Message;
 
-use super::ends::Failure;
+use super::failure::Failure;
 
-/// A small method.
+/// A method that is no call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Small {
+pub enum InfoMethod {
     ServerLive,
     ServerReady,
     ModelReady,
@@ -20,9 +20,9 @@
     ModelMetadata,
 }
 
-impl Small {
-    /// By its published name.
-    pub fn named(name: &str) -> Option<Self> {
+impl InfoMethod {
+    /// The method of a published name.
+    pub fn from_name(name: &str) -> Option<Self> {
         Some(match name {
             "ServerLive" => Self::ServerLive,
             "ServerReady" => Self::ServerReady,
@@ -34,27 +34,29 @@
     }
 }
 
-/// Its answer. `ready`: a worker is in service and we take calls.
-pub fn answer(small: Small, request: Bytes, config: &Config, ready: bool) -> Result<Bytes, Failure> {
-    let malformed =
-        |error: prost::DecodeError| Failure::of(Code::InvalidArgument, format!("malformed request: {error}"));
-    let message = match small {
-        Small::ServerLive => ServerLiveResponse { live: true }.encode_to_vec(),
-        Small::ServerReady => ServerReadyResponse { ready }.encode_to_vec(),
-        Small::ModelReady => {
+/// The response to it. `ready`: a worker is in service and calls are accepted.
+pub fn answer(method: InfoMethod, request: Bytes, config: &Config, ready: bool) -> Result<Bytes, Failure> {
+    let malformed = |error: prost::DecodeError| {
+        Failure::new(Code::InvalidArgument, format!("malformed request: {error}"))
+    };
+    let message = match method {
+        InfoMethod::ServerLive => ServerLiveResponse { live: true }.encode_to_vec(),
+        InfoMethod::ServerReady => ServerReadyResponse { ready }.encode_to_vec(),
+        InfoMethod::ModelReady => {
             let request = ModelReadyRequest::decode(request).map_err(malformed)?;
-            let known = find(config, &request.name, &request.version).is_ok();
+            let known = config.models.served(&request.name, &request.version).is_some();
             ModelReadyResponse { ready: ready && known }.encode_to_vec()
         }
-        Small::ServerMetadata => ServerMetadataResponse {
+        InfoMethod::ServerMetadata => ServerMetadataResponse {
             name: "nettleferry".to_owned(),
             version: env!("CARGO_PKG_VERSION").to_owned(),
             extensions: Vec::new(),
         }
         .encode_to_vec(),
-        Small::ModelMetadata => {
+        InfoMethod::ModelMetadata => {
             let request = ModelMetadataRequest::decode(request).map_err(malformed)?;
-            let model = find(config, &request.name, &request.version)?;
+            let model = config.models.served(&request.name, &request.version);
+            let model = model.ok_or_else(|| unknown_model(&request.name))?;
             let tensors = |all: &[Tensor]| all.iter().map(tensor).collect();
             ModelMetadataResponse {
                 name: request.name,
@@ -69,11 +71,8 @@
     Ok(message.into())
 }
 
-fn find<'a>(config: &'a Config, name: &str, version: &str) -> Result<&'a nettleferry_config::Model, Failure> {
-    config
-        .models
-        .served(name, version)
-        .ok_or_else(|| Failure::of(Code::NotFound, format!("no model {name:?} is served here")))
+fn unknown_model(name: &str) -> Failure {
+    Failure::new(Code::NotFound, format!("no model {name:?} is served here"))
 }
 
 fn tensor(tensor: &Tensor) -> TensorMetadata {
--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -10,6 +10,7 @@
 #![forbid(unsafe_code)]
 
 mod audit_log;
+mod call_steps;
 mod commands;
 mod controller;
 mod front;
