--- a/crates/administration/src/lib.rs
+++ b/crates/administration/src/lib.rs
@@ -14,7 +14,6 @@
 mod mirror;
 mod peers;
 mod records;
-pub mod startup;
 pub mod trail;
 
 use std::collections::{BTreeSet, HashMap};
