--- a/crates/admin/src/api/mod.rs
+++ b/crates/admin/src/api/mod.rs
@@ -19,30 +19,38 @@
 use crate::openapi;
 use crate::problem::Problem;
 use crate::routes::{Found, Operation, Role, Route, find};
-pub use ports::{Holds, Keep, Live, Running, Usage, Worker};
+pub use ports::{
+    ChangeStore, ChangeStoreError, ClockReading, ControllerRevision, ControllerState, LeaseGrant,
+    RecoveryPending, Runtime, StoreIdentity, Usage, Worker,
+};
 use query::Query;
 
 /// Bytes of a body at the most: the edge's limit is to be this one.
-pub const MOST_BODY: usize = 1 << 20;
+pub const MAX_BODY_BYTES: usize = 1 << 20;
 /// Most rows of a page, and how many where not told.
-pub const MOST_ROWS: usize = 1_000;
-/// See [`MOST_ROWS`].
-pub const ROWS: usize = 100;
+pub const MAX_PAGE_ROWS: usize = 1_000;
+/// See [`MAX_PAGE_ROWS`].
+pub const DEFAULT_PAGE_ROWS: usize = 100;
 /// Longest grace of a removal, and the one where not told, milliseconds.
-pub const MOST_GRACE: Millis = 3_600_000;
-/// See [`MOST_GRACE`].
-pub const GRACE: Millis = 10_000;
+pub const MAX_GRACE_MS: Millis = 3_600_000;
+/// See [`MAX_GRACE_MS`].
+pub const DEFAULT_GRACE_MS: Millis = 10_000;
 /// Longest wait of a watch, milliseconds.
-pub const MOST_WAIT: u64 = 60_000;
+pub const MAX_WATCH_WAIT_MS: u64 = 60_000;
 /// Longest idempotency key, bytes.
-pub const MOST_KEY: usize = 128;
-
-/// The API over a book.
-pub struct Api<K> {
-    book: Book,
-    keep: K,
-    /// The store's own name, and its epoch.
-    store: (String, u64),
+pub const MAX_IDEMPOTENCY_KEY_BYTES: usize = 128;
+
+/// Content types of bodies.
+const JSON: &str = "application/json";
+const MERGE_PATCH: &str = "application/merge-patch+json";
+/// Seconds after which a client may retry while the fleet has not agreed on a snapshot.
+const RECOVERY_RETRY_SECONDS: u64 = 1;
+
+/// The API over a snapshot of the tenants and the store that it was read from.
+pub struct Api<S> {
+    snapshot: Book,
+    store: S,
+    identity: StoreIdentity,
     /// Why nothing may be changed: the store is damaged.
     read_only: Option<String>,
 }
@@ -58,65 +66,68 @@
     now: Millis,
 }
 
-type Told = Result<Response, Problem>;
+type ApiResult = Result<Response, Problem>;
 
-fn told(status: u16, body: &impl Serialize) -> Told {
+fn json_response(status: u16, body: &impl Serialize) -> ApiResult {
     let body = serde_json::to_string(body).map_err(|e| Problem::new(500, "internal", e.to_string()))?;
-    Ok(Response { status, kind: "application/json", headers: Vec::new(), body })
+    Ok(Response { status, content_type: JSON, headers: Vec::new(), body })
 }
 
-fn now_told(status: u16, body: &impl Serialize) -> Result<Answer, Problem> {
-    told(status, body).map(Answer::Now)
+fn ready_json(status: u16, body: &impl Serialize) -> Result<Answer, Problem> {
+    json_response(status, body).map(Answer::Ready)
 }
 
-fn now_tenant(status: u16, of: &Tenant) -> Result<Answer, Problem> {
-    tenant(status, of).map(Answer::Now)
+fn ready_tenant(status: u16, of: &Tenant) -> Result<Answer, Problem> {
+    tenant_response(status, of).map(Answer::Ready)
 }
 
-fn tenant(status: u16, tenant: &Tenant) -> Told {
-    let mut response = told(status, tenant)?;
+fn tenant_response(status: u16, tenant: &Tenant) -> ApiResult {
+    let mut response = json_response(status, tenant)?;
     response.headers.push(("ETag", format!("\"{}\"", tenant.revision)));
     Ok(response)
 }
 
-impl<K: Keep> Api<K> {
-    /// An API over what a store of this name held at its start.
-    pub fn new(book: Book, keep: K, store: (String, u64), read_only: Option<String>) -> Self {
-        Self { book, keep, store, read_only }
+impl<S: ChangeStore> Api<S> {
+    /// An API over a store's snapshot. `read_only`: why nothing may be changed.
+    pub fn new(snapshot: Book, store: S, identity: StoreIdentity, read_only: Option<String>) -> Self {
+        Self { snapshot, store, identity, read_only }
     }
 
-    /// The book as it stands.
-    pub fn book(&self) -> &Book {
-        &self.book
+    /// The newest snapshot.
+    pub fn snapshot(&self) -> &Book {
+        &self.snapshot
     }
 
-    /// Puts another book and store in the place of what was there.
-    pub fn adopt(&mut self, book: Book, keep: K, store: (String, u64)) {
-        *self = Self::new(book, keep, store, None);
+    /// Replaces the snapshot and the store.
+    pub fn replace(&mut self, snapshot: Book, store: S, identity: StoreIdentity) {
+        *self = Self::new(snapshot, store, identity, None);
     }
 
-    /// The store's own name, and its epoch.
-    pub fn store(&self) -> (&str, u64) {
-        (&self.store.0, self.store.1)
+    /// Which store it is.
+    pub fn identity(&self) -> &StoreIdentity {
+        &self.identity
     }
 
-    /// What is kept, for its owner.
-    pub fn keep(&mut self) -> &mut K {
-        &mut self.keep
+    /// The store, for its owner.
+    pub fn store(&mut self) -> &mut S {
+        &mut self.store
     }
 
     /// Changes after a revision, in order.
-    pub fn entries(&self, after: Revision) -> Result<Vec<Entry>, String> {
-        self.keep.audit(after, usize::MAX, None)
+    ///
+    /// # Errors
+    /// Where the store can't be read.
+    pub fn entries(&self, after: Revision) -> Result<Vec<Entry>, ChangeStoreError> {
+        self.store.entries(after, usize::MAX, None)
     }
 
-    /// Ends the graces that are over; the entries, in order. What can't be kept is tried again next time.
-    pub fn sweep(&mut self, now: Millis) -> Vec<Entry> {
+    /// Removes tenants whose grace is over; the entries, in order. What can't be committed is retried next time.
+    pub fn remove_expired(&mut self, now: Millis) -> Vec<Entry> {
         let mut all = Vec::new();
         while self.read_only.is_none()
-            && let Some(entry) = self.book.due(now)
-            && self.keep.commit(&entry, None).is_ok()
-            && self.book.take(&entry).is_ok()
+            && let Some(entry) = self.snapshot.due(now)
+            && self.store.commit(&entry, None).is_ok()
+            && self.snapshot.take(&entry).is_ok()
         {
             all.push(entry);
         }
@@ -128,69 +139,69 @@
         &mut self,
         request: &Request<'_>,
         caller: &Caller,
-        live: &mut impl Live,
+        runtime: &mut impl Runtime,
         now: Millis,
         waited: Duration,
     ) -> Answer {
         let (path, query) = request.target.split_once('?').unwrap_or((request.target, ""));
         let found = match find(request.method, path) {
             Found::Route(route, name) => Ok((route, name)),
-            Found::Methods(methods) => return Answer::Now(other_method(&methods)),
+            Found::Methods(methods) => return Answer::Ready(method_not_allowed(&methods)),
             Found::None => {
                 Err(Problem::new(404, "no-such-path", format!("there is no {path}; see /v1/openapi.json")))
             }
         };
         let answer = found.and_then(|(route, name)| {
-            if !may(route, caller) {
+            if !is_permitted(route, caller) {
                 let detail = format!("the key {} may not {}", caller.name, route.id);
                 return Err(Problem::new(403, "forbidden", detail));
             }
             let query = Query::read(query, route)?;
             if route.operation == Operation::Watch {
-                return self.watch(&query, live, waited);
+                return self.watch(&query, runtime, waited);
             }
             let call = Invocation { route, name, query, request, caller, now };
-            self.operate(&call, live)
+            self.operate(&call, runtime)
         });
-        answer.unwrap_or_else(|problem| Answer::Now(problem.response()))
+        answer.unwrap_or_else(|problem| Answer::Ready(problem.response()))
     }
 
     /// Hands a request to its operation.
-    fn operate(&mut self, call: &Invocation<'_>, live: &mut impl Live) -> Result<Answer, Problem> {
+    fn operate(&mut self, call: &Invocation<'_>, runtime: &mut impl Runtime) -> Result<Answer, Problem> {
         let query = &call.query;
         let name = || call.name.to_owned();
         match call.route.operation {
             Operation::ListTenants => self.list_tenants(query),
-            Operation::ReadTenant => now_tenant(200, &self.known(call.name)?),
-            Operation::ReadUsage => now_told(200, &live.usage(&self.known(call.name)?)),
-            Operation::ListUsage => self.list_usage(query, live),
+            Operation::ReadTenant => ready_tenant(200, &self.existing_tenant(call.name)?),
+            Operation::ReadUsage => ready_json(200, &runtime.usage(&self.existing_tenant(call.name)?)),
+            Operation::ListUsage => self.list_usage(query, runtime),
             Operation::ListAudit => self.list_audit(query),
-            Operation::ListWorkers => now_told(200, &json!({ "workers": live.workers() })),
-            Operation::DrainWorker => reads::drain(call.name, true, live),
-            Operation::UndrainWorker => reads::drain(call.name, false, live),
-            Operation::ListControllers => self.list_controllers(live),
-            Operation::ReadSnapshot => self.read_snapshot(query, live),
-            Operation::ReadFleet => now_told(200, &live.fleet()),
-            Operation::Recover => self.recover(query, live),
-            Operation::Fence => reads::fence(query, true, live),
-            Operation::Admit => reads::fence(query, false, live),
-            Operation::DeliverRecords => reads::deliver_records(call, live),
-            Operation::Lend => self.lend(call, live),
-            Operation::ReadRecords => reads::read_records(query, live),
-            Operation::ReadChange => self.read_change(query, live),
-            Operation::ReadDocument => now_told(200, &openapi::document()),
-            Operation::Watch => Err(internal("a watch is answered elsewhere".to_owned())),
-            Operation::CreateTenant => self.change(call, &changes::creation(call)?, live),
-            Operation::ChangeTenant => self.change(call, &changes::patch(call)?, live),
-            Operation::RemoveTenant => self.change(call, &changes::removal(call)?, live),
-            Operation::SuspendTenant => self.change(call, &Change::Suspend { name: name() }, live),
-            Operation::ResumeTenant => self.change(call, &Change::Resume { name: name() }, live),
+            Operation::ListWorkers => ready_json(200, &json!({ "workers": runtime.workers() })),
+            Operation::DrainWorker => reads::set_drained(call.name, true, runtime),
+            Operation::UndrainWorker => reads::set_drained(call.name, false, runtime),
+            Operation::ListControllers => self.list_controllers(runtime),
+            Operation::ReadSnapshot => self.read_snapshot(query, runtime),
+            Operation::ReadFleet => ready_json(200, &runtime.fleet_status()),
+            Operation::Recover => self.recover(query, runtime),
+            Operation::Fence => reads::set_fenced(query, true, runtime),
+            Operation::Admit => reads::set_fenced(query, false, runtime),
+            Operation::DeliverRecords => reads::append_audit_entries(call, runtime),
+            Operation::Lend => self.grant_loans(call, runtime),
+            Operation::ReadRecords => reads::read_audit_logs(query, runtime),
+            Operation::ReadChange => self.read_change(query, runtime),
+            Operation::ReadDocument => ready_json(200, &openapi::document()),
+            Operation::Watch => Err(internal("a watch is answered elsewhere")),
+            Operation::CreateTenant => self.change(call, &changes::creation(call)?, runtime),
+            Operation::ChangeTenant => self.change(call, &changes::patch(call)?, runtime),
+            Operation::RemoveTenant => self.change(call, &changes::removal(call)?, runtime),
+            Operation::SuspendTenant => self.change(call, &Change::Suspend { name: name() }, runtime),
+            Operation::ResumeTenant => self.change(call, &Change::Resume { name: name() }, runtime),
         }
     }
 }
 
 /// May this caller ask for this?
-fn may(route: &Route, caller: &Caller) -> bool {
+fn is_permitted(route: &Route, caller: &Caller) -> bool {
     match route.role {
         // What a controller reads a viewer may read; what it tells nobody else does but who may do all.
         Role::Controller if route.method == "GET" => true,
@@ -200,7 +211,7 @@
 }
 
 /// The answer to a method that a path does not know.
-fn other_method(methods: &[&'static str]) -> Response {
+fn method_not_allowed(methods: &[&'static str]) -> Response {
     let detail = format!("{} is answered here", methods.join(", "));
     let mut response = Problem::new(405, "method-not-allowed", detail).response();
     response.headers.push(("Allow", methods.join(", ")));
@@ -208,14 +219,16 @@
 }
 
 /// A fault of our own.
-fn internal(what: String) -> Problem {
-    Problem::new(500, "internal", what)
+fn internal(cause: impl std::fmt::Display) -> Problem {
+    Problem::new(500, "internal", cause.to_string())
 }
 
 /// Neither books nor changes while it is open which book stands.
-fn serving(live: &impl Live) -> Result<(), Problem> {
-    let wait = |why| Problem { retry_after: Some(1), ..Problem::new(503, "recovering", why) };
-    live.serving().map_err(wait)
+fn serving(runtime: &impl Runtime) -> Result<(), Problem> {
+    runtime.check_serving().map_err(|pending| Problem {
+        retry_after: Some(RECOVERY_RETRY_SECONDS),
+        ..Problem::new(503, "recovering", pending.to_string())
+    })
 }
 
 /// What the next page begins after: the last row's key, where the page is full.
@@ -223,12 +236,12 @@
     (page.len() == rows).then(|| page.last().map(key)).flatten()
 }
 
-/// Is the body of one of these kinds?
-fn wants(request: &Request<'_>, kinds: &[&str]) -> Result<(), Problem> {
-    if request.kind.is_some_and(|kind| kinds.contains(&kind)) {
+/// Checks that the body has one of these content types.
+fn expect_content_type(request: &Request<'_>, accepted: &[&str]) -> Result<(), Problem> {
+    if request.content_type.is_some_and(|given| accepted.contains(&given)) {
         return Ok(());
     }
-    let detail = format!("Content-Type is to be {}", kinds.join(" or "));
+    let detail = format!("Content-Type is to be {}", accepted.join(" or "));
     Err(Problem { field: Some("Content-Type".to_owned()), ..Problem::new(415, "media-type", detail) })
 }
 
--- a/crates/admin/src/api/query.rs
+++ b/crates/admin/src/api/query.rs
@@ -3,7 +3,7 @@
 use crate::problem::Problem;
 use crate::routes::Route;
 
-use super::{MOST_ROWS, ROWS};
+use super::{DEFAULT_PAGE_ROWS, MAX_PAGE_ROWS};
 
 /// Query parameters, each known and given once.
 pub(super) struct Query(Vec<(String, String)>);
@@ -46,7 +46,7 @@
 
     /// Rows of a page.
     pub(super) fn rows(&self) -> Result<usize, Problem> {
-        Ok(self.number("limit", 1, MOST_ROWS as u64, ROWS as u64)? as usize)
+        Ok(self.number("limit", 1, MAX_PAGE_ROWS as u64, DEFAULT_PAGE_ROWS as u64)? as usize)
     }
 
     /// Is the change to be judged only?
--- a/crates/admin/src/message.rs
+++ b/crates/admin/src/message.rs
@@ -1,10 +1,10 @@
-//! Requests and answers as the API sees them.
+//! Requests and responses as the API sees them.
 
 use std::time::Duration;
 
 use crate::routes::Role;
 
-/// Who asks, once the key was proven.
+/// The authenticated sender of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Caller {
     /// The key's name.
@@ -21,42 +21,44 @@
     /// Path and query.
     pub target: &'a str,
     /// Content-Type, without parameters.
-    pub kind: Option<&'a str>,
+    pub content_type: Option<&'a str>,
     /// If-Match.
     pub if_match: Option<&'a str>,
     /// Idempotency-Key.
-    pub once: Option<&'a str>,
+    pub idempotency_key: Option<&'a str>,
     /// The body.
     pub body: &'a [u8],
 }
 
-/// An answer.
+/// A response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Response {
     /// The status.
     pub status: u16,
     /// Content-Type.
-    pub kind: &'static str,
+    pub content_type: &'static str,
     /// Further headers.
     pub headers: Vec<(&'static str, String)>,
     /// The body.
     pub body: String,
 }
 
-/// An answer, or that it is to be asked again.
+/// What became of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// This.
-    Now(Response),
-    /// This, once the change of this revision is held and, where it binds, in force as far as is wanted. It was made.
-    Changed {
-        /// The answer.
+    /// The response, to be sent now.
+    Ready(Response),
+    /// A change was committed: the response is to be sent once enough others have the change and, where it restricts,
+    /// no controller acts on what was before.
+    Committed {
+        /// The response.
         response: Response,
-        /// The change.
+        /// The revision of the change.
         revision: u64,
-        /// It takes something away: it counts when nobody acts on what was before.
-        binds: bool,
+        /// Whether the change takes a right or a share away.
+        restricts: bool,
     },
-    /// Nothing to tell yet: ask again when the book has changed, and answer after this span all the same.
-    Later(Duration),
+    /// There is nothing new: the request is to be handed in again when the snapshot has changed, and at the latest
+    /// after this time.
+    Wait(Duration),
 }
--- a/crates/admin/src/problem.rs
+++ b/crates/admin/src/problem.rs
@@ -1,4 +1,4 @@
-//! Problem details (RFC 9457).
+//! Errors as problem details (RFC 9457).
 
 use nettleferry_tenancy::Denied;
 use serde_json::{Value, json};
@@ -6,20 +6,20 @@
 use crate::message::Response;
 
 /// Media type of a problem.
-pub const KIND: &str = "application/problem+json";
+pub const PROBLEM_JSON: &str = "application/problem+json";
 
-/// What went wrong, for programs (`kind`, `status`, `field`) and for people (`detail`).
+/// An error, for programs (`kind`, `status`, `field`) and for people (`detail`).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Problem {
     /// The status.
     pub status: u16,
     /// A word for the kind; the `type` is `/problems/` and this.
     pub kind: &'static str,
-    /// What happened and what would do.
+    /// What happened and what would help.
     pub detail: String,
     /// The field that is wrong, where there is one.
     pub field: Option<String>,
-    /// Seconds to stay away.
+    /// Seconds after which a retry may succeed (`Retry-After`).
     pub retry_after: Option<u64>,
 }
 
@@ -34,7 +34,7 @@
         Self { field: Some(field.into()), ..Self::new(422, "unsound", detail) }
     }
 
-    /// As an answer.
+    /// As a response.
     pub fn response(&self) -> Response {
         let mut body = json!({
             "type": format!("/problems/{}", self.kind),
@@ -52,7 +52,7 @@
         if let Some(seconds) = self.retry_after {
             headers.push(("Retry-After", seconds.to_string()));
         }
-        Response { status: self.status, kind: KIND, headers, body: body.to_string() }
+        Response { status: self.status, content_type: PROBLEM_JSON, headers, body: body.to_string() }
     }
 }
 
--- a/crates/gateway/src/admin/desk.rs
+++ b/crates/gateway/src/admin/desk.rs
@@ -10,7 +10,10 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-use nettleferry_admin::api::{Api, Holds, Keep, Live, MOST_BODY, Running, Usage, Worker};
+use nettleferry_admin::api::{
+    Api, ChangeStore, ChangeStoreError, ClockReading, ControllerRevision, ControllerState, LeaseGrant,
+    MAX_BODY_BYTES, RecoveryPending, Runtime, StoreIdentity, Usage, Worker,
+};
 use nettleferry_admin::{Answer, Problem, Request};
 use nettleferry_audit_log::recorder::Recorder;
 use nettleferry_audit_log::{What, chain};
@@ -117,7 +120,7 @@
     info!(revision = book.revision(), tenants = book.tenants().len(), epoch = origin.epoch, "tenants");
     // Each follower keeps two connections: one that waits for changes, and one for books and records.
     let connections = 2 * MOST_FOLLOWERS + Http1Limits::default().connections;
-    let limits = Http1Limits { body_bytes: MOST_BODY, connections, ..Http1Limits::default() };
+    let limits = Http1Limits { body_bytes: MAX_BODY_BYTES, connections, ..Http1Limits::default() };
     let mut server = crate::controller::patiently(|| Http1::bind(listen, limits))?;
     let (local, stop) = (server.local()?, server.stop());
     // Peers and their key are there together, or neither.
@@ -132,7 +135,7 @@
     let marks = Marks::new(At { epoch: origin.epoch, revision: book.revision() });
     let applied = marks.applied();
     let mut work = Work {
-        api: Api::new(book.clone(), Kept(store), (origin.store.clone(), origin.epoch), read_only),
+        api: Api::new(book.clone(), Kept(store), identity(&origin), read_only),
         keys: keys::Keys::new(keys),
         around: Around {
             number,
@@ -226,23 +229,42 @@
 /// The store, or none where it is damaged.
 struct Kept(Option<Store>);
 
-impl Keep for Kept {
-    fn commit(&mut self, entry: &Entry, once: Option<(&str, &Once)>) -> Result<(), String> {
-        let store = self.0.as_mut().ok_or("the tenant store can't be used")?;
-        store.commit(entry, once).map_err(|e| e.to_string())
+impl Kept {
+    fn usable(&self) -> Result<&Store, ChangeStoreError> {
+        self.0.as_ref().ok_or(ChangeStoreError::Unavailable)
+    }
+}
+
+fn failed(error: StoreError) -> ChangeStoreError {
+    ChangeStoreError::Failed(error.into())
+}
+
+impl ChangeStore for Kept {
+    fn commit(&mut self, entry: &Entry, idempotent: Option<(&str, &Once)>) -> Result<(), ChangeStoreError> {
+        let store = self.0.as_mut().ok_or(ChangeStoreError::Unavailable)?;
+        store.commit(entry, idempotent).map_err(failed)
     }
 
-    fn once(&self, key: &str) -> Result<Option<Once>, String> {
+    fn stored_response(&self, key: &str) -> Result<Option<Once>, ChangeStoreError> {
         let Some(store) = &self.0 else { return Ok(None) };
-        store.once(key).map_err(|e| e.to_string())
+        store.once(key).map_err(failed)
     }
 
-    fn audit(&self, after: Revision, most: usize, of: Option<&str>) -> Result<Vec<Entry>, String> {
-        let store = self.0.as_ref().ok_or("the tenant store can't be used: its audit trail can't be read")?;
-        store.audit(after, most, of).map_err(|e| e.to_string())
+    fn entries(
+        &self,
+        after: Revision,
+        limit: usize,
+        tenant: Option<&str>,
+    ) -> Result<Vec<Entry>, ChangeStoreError> {
+        self.usable()?.audit(after, limit, tenant).map_err(failed)
     }
 }
 
+/// Which store it is, as the API names it.
+fn identity(origin: &Origin) -> StoreIdentity {
+    StoreIdentity { name: origin.store.clone(), epoch: origin.epoch }
+}
+
 struct Around {
     number: u32,
     shown: Arc<Mutex<Shown>>,
@@ -303,7 +325,7 @@
         }
         if let Some(lines) = &self.lines {
             let of = self.number.to_string();
-            let new = lock_lines(lines).after(self.all.last(&of), MOST_BODY);
+            let new = lock_lines(lines).after(self.all.last(&of), MAX_BODY_BYTES);
             if !new.is_empty() {
                 self.all.take(&of, new.into_iter().map(|(_, text)| text).collect());
             }
@@ -319,7 +341,7 @@
     }
 }
 
-impl Live for Around {
+impl Runtime for Around {
     fn usage(&self, tenant: &Tenant) -> Usage {
         let none = || Usage { tenant: tenant.name.clone(), uid: tenant.uid, ..Usage::default() };
         lock(&self.shown).usage.get(&tenant.uid).cloned().unwrap_or_else(none)
@@ -333,7 +355,7 @@
         workers
     }
 
-    fn drain(&mut self, worker: &str, drained: bool) -> bool {
+    fn set_drained(&mut self, worker: &str, drained: bool) -> bool {
         if !lock(&self.shown).workers.iter().any(|w| w.name == worker) {
             return false;
         }
@@ -345,24 +367,32 @@
         true
     }
 
-    fn controllers(&self) -> Vec<Running> {
-        let ours = Running { controller: self.number, revision: lock(&self.shown).revision, seen_ms_ago: 0 };
-        let others = self.followers.iter().map(|(number, (revision, seen))| Running {
+    fn controllers(&self) -> Vec<ControllerRevision> {
+        let ours = ControllerRevision {
+            controller: self.number,
+            revision: lock(&self.shown).revision,
+            seen_ms_ago: 0,
+        };
+        let others = self.followers.iter().map(|(number, (revision, seen))| ControllerRevision {
             controller: *number,
             revision: *revision,
             seen_ms_ago: seen.elapsed().as_millis() as u64,
         });
-        let mut all: Vec<Running> = others.chain([ours]).collect();
+        let mut all: Vec<ControllerRevision> = others.chain([ours]).collect();
         all.sort_by_key(|r| r.controller);
         all
     }
 
-    fn follows(&mut self, controller: u32, holds: Holds) -> Result<(), Problem> {
-        let who = Who { number: controller, life: holds.life };
-        let at = |revision| At { epoch: holds.epoch, revision };
-        let told = roll::Told { in_force: at(holds.in_force), kept: at(holds.kept), ends: holds.ends };
+    fn record_state(&mut self, controller: u32, state: ControllerState) -> Result<(), Problem> {
+        let who = Who { number: controller, life: state.incarnation };
+        let at = |revision| At { epoch: state.epoch, revision };
+        let told = roll::Told {
+            in_force: at(state.in_force),
+            kept: at(state.durable),
+            ends: state.stops_without_lease,
+        };
         self.roll.told(self.now(), who, told);
-        if holds.ended {
+        if state.stopped {
             self.roll.ended(who);
             self.lending.iter_mut().for_each(|lending| lending.ended(who));
         }
@@ -370,13 +400,13 @@
             let detail = "this life of the controller was shut out: it is let in again as another life";
             return Err(Problem::new(403, "fenced", detail));
         }
-        if holds.ended {
+        if state.stopped {
             return Err(Problem::new(403, "ended", "it said that it takes no calls any more"));
         }
         if self.followers.len() < MOST_FOLLOWERS || self.followers.contains_key(&controller) {
-            self.followers.insert(controller, (holds.revision, Instant::now()));
+            self.followers.insert(controller, (state.revision, Instant::now()));
         }
-        let Holds { store, epoch, revision, sum, .. } = holds;
+        let ControllerState { store, epoch, revision, checksum: sum, .. } = state;
         // One that says nothing of its book asks as earlier versions did, or has none.
         let stamp = (!store.is_empty() && epoch > 0).then_some(Stamp { store, epoch, revision, sum });
         if stamp.is_some() {
@@ -385,11 +415,14 @@
         Ok(())
     }
 
-    fn lease(&mut self, controller: u32, life: u64) -> Option<(u64, u64)> {
-        let who = Who { number: controller, life };
+    fn grant_lease(&mut self, controller: u32, incarnation: u64) -> Option<LeaseGrant> {
+        let who = Who { number: controller, life: incarnation };
         let book = At { epoch: self.epoch, revision: self.book };
         match self.roll.grant(self.now(), who, book) {
-            Ok(span) => span.zip(self.roll.place(who)),
+            Ok(span) => {
+                let (duration_ms, fencing_token) = span.zip(self.roll.place(who))?;
+                Some(LeaseGrant { duration_ms, fencing_token })
+            }
             Err(Without::Fenced) => None,
             Err(Without::Full) => {
                 warn!(controller, "the roll is full of lives whose leases run: this one gets none");
@@ -398,20 +431,26 @@
         }
     }
 
-    fn fence(&mut self, controller: u32, out: bool) -> Value {
-        let lives = if out { self.roll.fence(controller).len() } else { self.roll.admit(controller) };
-        info!(controller, lives, out, "a controller's lives are shut out, or let in again");
+    fn set_fenced(&mut self, controller: u32, fenced: bool) -> Value {
+        let lives = if fenced { self.roll.fence(controller).len() } else { self.roll.admit(controller) };
+        info!(controller, lives, out = fenced, "a controller's lives are shut out, or let in again");
         json!({ "controller": controller, "lives": lives })
     }
 
-    fn clock(&self) -> (u64, u64) {
-        (self.life, self.now())
+    fn read_clock(&self) -> ClockReading {
+        ClockReading { incarnation: self.life, at_ms: self.now() }
     }
 
-    fn loans(&mut self, book: &Book, controller: u32, life: u64, report: Value) -> Result<Value, Problem> {
+    fn grant_loans(
+        &mut self,
+        snapshot: &Book,
+        controller: u32,
+        incarnation: u64,
+        report: Value,
+    ) -> Result<Value, Problem> {
         let none =
             || Problem::new(409, "not-lent", "limits are not lent here: see (loans ...) in the settings");
-        let (now, who) = (self.now(), Who { number: controller, life });
+        let (now, who) = (self.now(), Who { number: controller, life: incarnation });
         let lending = self.lending.as_mut().ok_or_else(none)?;
         let rows: Vec<Demand> = serde_json::from_value(report)
             .map_err(|e| Problem::field("the body", format!("an array of demands: {e}")))?;
@@ -420,11 +459,11 @@
         let Some(span) = self.roll.span().filter(|_| leased && !self.roll.is_fenced(who)) else {
             return Err(Problem::new(409, "no-lease", "this life holds no lease"));
         };
-        let loans = lending.report((now, now + span + error_of(span)), book, who, &rows);
+        let loans = lending.report((now, now + span + error_of(span)), snapshot, who, &rows);
         Ok(json!({ "span_ms": span, "loans": loans }))
     }
 
-    fn deliver(&mut self, controller: u32, lines: Vec<String>) -> Result<u64, Problem> {
+    fn append_audit_entries(&mut self, controller: u32, entries: Vec<String>) -> Result<u64, Problem> {
         let no_room = || {
             Problem::new(
                 409,
@@ -433,38 +472,36 @@
             )
         };
         let gathered = self.records.as_mut().ok_or_else(no_room)?;
-        Ok(gathered.all.take(&controller.to_string(), lines))
+        Ok(gathered.all.take(&controller.to_string(), entries))
     }
 
-    fn records(&self, of: Option<&str>, from: u64, most: usize) -> Result<Value, Problem> {
+    fn audit_logs(&self, of: Option<&str>, from: u64, limit: usize) -> Result<Value, Problem> {
         let Some(gathered) = &self.records else { return Ok(json!({ "by": self.life, "records": [] })) };
         let Some(of) = of else { return Ok(json!({ "by": self.life, "records": gathered.all.all() })) };
         let from = usize::try_from(from).unwrap_or(usize::MAX);
         let unknown = || Problem::new(404, "no-such-record", format!("nothing was delivered of {of}"));
-        let (lines, next) = gathered.all.page(of, from, most).ok_or_else(unknown)?;
+        let (lines, next) = gathered.all.page(of, from, limit).ok_or_else(unknown)?;
         Ok(json!({ "by": self.life, "of": of, "lines": lines, "next": next }))
     }
 
-    fn progress(&self, revision: Revision) -> Value {
+    fn change_progress(&self, revision: Revision) -> Value {
         let at = At { epoch: self.epoch, revision };
         let here = self.here();
         changes::shown(&here.progress(at), at, here.now, self.own >= at)
     }
 
-    fn serving(&self) -> Result<(), String> {
+    fn check_serving(&self) -> Result<(), RecoveryPending> {
         match self.authority.duty().0 {
             Duty::Serving => Ok(()),
-            Duty::Waiting(cause) => {
-                let (heard, of) = (self.authority.heard().count(), self.authority.expected());
-                Err(format!(
-                    "it is open which book stands ({}; {heard} controllers heard, {of} awaited): see GET /v1/fleet",
-                    cause.word()
-                ))
-            }
+            Duty::Waiting(cause) => Err(RecoveryPending {
+                cause: cause.word(),
+                responded: self.authority.heard().count(),
+                expected: self.authority.expected(),
+            }),
         }
     }
 
-    fn fleet(&self) -> Value {
+    fn fleet_status(&self) -> Value {
         let (duty, since) = self.authority.duty();
         let now = self.now();
         let own = self.authority.own();
@@ -669,28 +706,28 @@
             self.acknowledged();
             return told;
         }
-        let kind = request.header("content-type").map(|k| k.split(';').next().unwrap_or("").trim());
+        let content_type = request.header("content-type").map(|k| k.split(';').next().unwrap_or("").trim());
         let asked = Request {
             method: request.method,
             target: request.target,
-            kind,
+            content_type,
             if_match: request.header("if-match"),
-            once: request.header("idempotency-key"),
+            idempotency_key: request.header("idempotency-key"),
             body: request.body,
         };
         let now = clock::wall() / 1000;
-        self.around.book = self.api.book().revision();
+        self.around.book = self.api.snapshot().revision();
         let answer = self.api.answer(&asked, &caller, &mut self.around, now, waited);
         self.recover();
         self.spread();
         self.wake_changes();
         match answer {
-            Answer::Now(response) => Turn::Reply(reply(response)),
-            Answer::Later(span) => Turn::Wait(span),
-            Answer::Changed { response, revision, binds } => {
+            Answer::Ready(response) => Turn::Reply(reply(response)),
+            Answer::Wait(span) => Turn::Wait(span),
+            Answer::Committed { response, revision, restricts } => {
                 let at = At { epoch: self.around.epoch, revision };
                 self.around.own = self.marks.in_force();
-                let told = turn(self.changes.made(&self.around.here(), response, at, binds));
+                let told = turn(self.changes.made(&self.around.here(), response, at, restricts));
                 self.acknowledged();
                 told
             }
@@ -732,7 +769,7 @@
         }
         let asked = Instant::now();
         let who = Who { number: self.around.number, life: self.around.life };
-        let loans = lending.report((now, now + span + error_of(span)), self.api.book(), who, &rows);
+        let loans = lending.report((now, now + span + error_of(span)), self.api.snapshot(), who, &rows);
         self.around.tell(Told::Lent { until: asked + Duration::from_millis(ends(0, span)), loans });
     }
 
@@ -751,11 +788,11 @@
 
     /// Tells the controller, and those who wait, what has changed.
     fn spread(&mut self) {
-        if self.told == self.api.book().revision() {
+        if self.told == self.api.snapshot().revision() {
             return;
         }
-        let ((store, epoch), now) = (self.api.store(), self.around.now());
-        self.around.authority.stands(now, stamp(store, epoch, self.api.book()), false);
+        let (StoreIdentity { name, epoch }, now) = (self.api.identity(), self.around.now());
+        self.around.authority.stands(now, stamp(name, *epoch, self.api.snapshot()), false);
         match self.api.entries(self.told) {
             Ok(entries) => {
                 for entry in entries {
@@ -778,20 +815,21 @@
         self.peers_told();
         self.recover();
         // A store whose file has failed is opened again, so that it can be read though nothing is changed.
-        if let Some(store) = &mut self.api.keep().0
+        if let Some(store) = &mut self.api.store().0
             && let Err(why) = store.heal()
         {
             warn!(%why, "the tenant store can't be used yet");
         }
         // Graces end where the book may change.
         if self.around.authority.duty().0 == Duty::Serving {
-            self.api.sweep(now);
+            self.api.remove_expired(now);
         }
         self.spread();
         if self.write_at.is_some_and(|at| at <= Instant::now()) {
             self.write_snapshot();
         }
-        let grace = self.api.book().next_due().map(|at| Duration::from_millis(at.saturating_sub(now).max(1)));
+        let grace =
+            self.api.snapshot().next_due().map(|at| Duration::from_millis(at.saturating_sub(now).max(1)));
         let grace = grace.filter(|_| self.around.authority.duty().0 == Duty::Serving);
         let write = self.write_at.map(|at| at.saturating_duration_since(Instant::now()));
         let ask = self.ask_peers();
@@ -886,7 +924,7 @@
 
     /// Durable when this returns. A store that can't be used is put aside, and a new one made.
     fn adopt(&mut self, book: &Book, origin: &Origin) -> Result<(), String> {
-        let mut store = match self.api.keep().0.take() {
+        let mut store = match self.api.store().0.take() {
             Some(store) => store,
             None => {
                 let aside = self.path.with_extension(format!("damaged-{}", clock::wall() / 1000));
@@ -899,22 +937,22 @@
         };
         let kept = store.adopt(book, origin).map_err(|e| e.to_string());
         if let Err(why) = kept {
-            self.api.keep().0 = Some(store);
+            self.api.store().0 = Some(store);
             return Err(why);
         }
-        self.api.adopt(book.clone(), Kept(Some(store)), (origin.store.clone(), origin.epoch));
+        self.api.replace(book.clone(), Kept(Some(store)), identity(origin));
         Ok(())
     }
 
     fn write_snapshot(&mut self) {
         self.write_at = None;
-        let book = self.api.book();
+        let book = self.api.snapshot();
         // A snapshot of a book that is not the store's own would put the last good one out of the way.
         if book.revision() == self.written || self.around.authority.own().is_none() {
             return;
         }
-        let (store, epoch) = self.api.store();
-        let origin = Origin { store: store.to_owned(), epoch };
+        let StoreIdentity { name: store, epoch } = self.api.identity();
+        let origin = Origin { store: store.to_owned(), epoch: *epoch };
         match Snapshot::of(book, Some(origin)).write(&self.beside) {
             Ok(()) => self.written = book.revision(),
             Err(error) => warn!(%error, "the snapshot beside the store can't be written"),
--- a/crates/gateway/src/admin/mod.rs
+++ b/crates/gateway/src/admin/mod.rs
@@ -244,6 +244,6 @@
 }
 
 fn reply(response: Response) -> Reply {
-    let Response { status, kind, headers, body } = response;
+    let Response { status, content_type: kind, headers, body } = response;
     Reply { status, kind, headers, body: body.into_bytes(), cut: None }
 }
