--- a/crates/admin/src/api/changes.rs
+++ b/crates/admin/src/api/changes.rs
@@ -1,4 +1,4 @@
-//! Changes of tenants: what a request wants changed, under which condition, once per idempotency key.
+//! Changes of tenants: under the condition of If-Match, and once for each idempotency key.
 
 use nettleferry_tenancy::{Applied, Change, Condition, Once};
 use serde_json::Value;
@@ -7,14 +7,64 @@
 use crate::problem::Problem;
 use crate::routes::Operation;
 
-use super::{
-    Api, ChangeStore, DEFAULT_GRACE_MS, Invocation, JSON, MAX_GRACE_MS, MAX_IDEMPOTENCY_KEY_BYTES,
-    MERGE_PATCH, Runtime, expect_content_type, internal, json_body, serving, tenant_response,
-};
+use super::Api;
+use super::invocation::{Invocation, expect_content_type, json_body};
+use super::limits::{DEFAULT_GRACE_MS, MAX_GRACE_MS, MAX_IDEMPOTENCY_KEY_BYTES};
+use super::ports::{ChangeStore, Runtime};
+use super::responses::{JSON, MERGE_PATCH, internal, serving, tenant_response};
 
 impl<S: ChangeStore> Api<S> {
-    /// Makes a change, or says what it would do.
-    pub(super) fn change(
+    /// Creates a tenant.
+    pub(super) fn create_tenant(
+        &mut self,
+        call: &Invocation<'_>,
+        runtime: &impl Runtime,
+    ) -> Result<Answer, Problem> {
+        let (name, spec) = new_tenant(call.request)?;
+        self.change(call, &Change::Create { name, spec }, runtime)
+    }
+
+    /// Changes a tenant by merge patch.
+    pub(super) fn patch_tenant(
+        &mut self,
+        call: &Invocation<'_>,
+        runtime: &impl Runtime,
+    ) -> Result<Answer, Problem> {
+        expect_content_type(call.request, &[MERGE_PATCH, JSON])?;
+        let change = Change::Patch { name: call.name.to_owned(), patch: json_body(call.request.body)? };
+        self.change(call, &change, runtime)
+    }
+
+    /// Removes a tenant; its open calls have a grace.
+    pub(super) fn remove_tenant(
+        &mut self,
+        call: &Invocation<'_>,
+        runtime: &impl Runtime,
+    ) -> Result<Answer, Problem> {
+        let grace_ms = call.query.number("grace_ms", 0, MAX_GRACE_MS, DEFAULT_GRACE_MS)?;
+        self.change(call, &Change::Remove { name: call.name.to_owned(), grace_ms }, runtime)
+    }
+
+    /// Rejects new calls of a tenant.
+    pub(super) fn suspend_tenant(
+        &mut self,
+        call: &Invocation<'_>,
+        runtime: &impl Runtime,
+    ) -> Result<Answer, Problem> {
+        self.change(call, &Change::Suspend { name: call.name.to_owned() }, runtime)
+    }
+
+    /// Accepts calls of a suspended tenant again.
+    pub(super) fn resume_tenant(
+        &mut self,
+        call: &Invocation<'_>,
+        runtime: &impl Runtime,
+    ) -> Result<Answer, Problem> {
+        self.change(call, &Change::Resume { name: call.name.to_owned() }, runtime)
+    }
+
+    /// Commits a change, or returns what it would lead to.
+    fn change(
         &mut self,
         call: &Invocation<'_>,
         change: &Change,
@@ -54,12 +104,12 @@
         committed.map_err(|error| {
             Problem::new(503, "not-kept", format!("the change was not kept, and has not happened: {error}"))
         })?;
-        self.snapshot.take(&entry).map_err(|gap| internal(gap))?;
+        self.snapshot.take(&entry).map_err(internal)?;
         Ok(Answer::Committed { response, revision: entry.revision, restricts: entry.binds() })
     }
 }
 
-/// The key under which a creation happens once; `None`: it may happen again.
+/// The key under which a creation is executed once; `None`: there is none.
 fn idempotency_key(call: &Invocation<'_>, dry_run: bool) -> Result<Option<String>, Problem> {
     let creates = call.route.operation == Operation::CreateTenant;
     match call.request.idempotency_key.filter(|_| creates && !dry_run) {
@@ -92,24 +142,7 @@
     Ok(Answer::Committed { response, revision: before.revision, restricts: true })
 }
 
-/// What a request wants created.
-pub(super) fn creation(call: &Invocation<'_>) -> Result<Change, Problem> {
-    let (name, spec) = new_tenant(call.request)?;
-    Ok(Change::Create { name, spec })
-}
-
-/// What a request wants altered.
-pub(super) fn patch(call: &Invocation<'_>) -> Result<Change, Problem> {
-    expect_content_type(call.request, &[MERGE_PATCH, JSON])?;
-    Ok(Change::Patch { name: call.name.to_owned(), patch: json_body(call.request.body)? })
-}
-
-/// What a request wants removed.
-pub(super) fn removal(call: &Invocation<'_>) -> Result<Change, Problem> {
-    let grace_ms = call.query.number("grace_ms", 0, MAX_GRACE_MS, DEFAULT_GRACE_MS)?;
-    Ok(Change::Remove { name: call.name.to_owned(), grace_ms })
-}
-
+/// The condition that If-Match states.
 fn condition(if_match: Option<&str>) -> Result<Condition, Problem> {
     let Some(tag) = if_match else {
         let detail = "send If-Match with the tenant's ETag, or * to change it whatever it is";
@@ -124,6 +157,7 @@
     number.map(Condition::Is).ok_or_else(one)
 }
 
+/// The name and the settings of the tenant that a body describes.
 fn new_tenant(request: &Request<'_>) -> Result<(String, Value), Problem> {
     expect_content_type(request, &[JSON])?;
     let Value::Object(mut body) = json_body(request.body)? else {
--- a/crates/admin/src/api/mod.rs
+++ b/crates/admin/src/api/mod.rs
@@ -1,50 +1,38 @@
-//! What is answered: a request is found in the table of routes, permitted, and handed to its operation.
+//! Handling of a request: it is found in the table of routes, authorized, and handed to its operation.
 //!
-//! Changes of tenants are made in [`changes`], what followers ask is answered in [`replication`], all that is read
-//! in [`reads`]. [`ports`]: what the API needs of its surroundings. [`query`]: query parameters.
+//! * [`changes`]: changes of tenants. [`replication`]: requests of followers. [`reads`]: all that is read or handed on.
+//! * [`ports`]: what the API needs of its surroundings. [`limits`]: bounds of requests.
+//! * [`invocation`], [`query`]: what operations read of a request. [`responses`]: what they return.
 
 mod changes;
+mod invocation;
+mod limits;
 mod ports;
 mod query;
 mod reads;
 mod replication;
+mod responses;
 
 use std::time::Duration;
 
-use nettleferry_tenancy::{Book, Change, Entry, Millis, Revision, Tenant};
-use serde::Serialize;
-use serde_json::{Value, json};
+use nettleferry_tenancy::{Book, Entry, Millis, Revision};
+use serde_json::json;
 
-use crate::message::{Answer, Caller, Request, Response};
+use crate::message::{Answer, Caller, Request};
 use crate::openapi;
 use crate::problem::Problem;
-use crate::routes::{Found, Operation, Role, Route, find};
+use crate::routes::{Operation, Role, Route, RouteMatch, find};
+use invocation::Invocation;
+pub use limits::{
+    DEFAULT_GRACE_MS, DEFAULT_PAGE_ROWS, MAX_BODY_BYTES, MAX_GRACE_MS, MAX_IDEMPOTENCY_KEY_BYTES,
+    MAX_PAGE_ROWS, MAX_WATCH_WAIT_MS,
+};
 pub use ports::{
     ChangeStore, ChangeStoreError, ClockReading, ControllerRevision, ControllerState, LeaseGrant,
     RecoveryPending, Runtime, StoreIdentity, Usage, Worker,
 };
 use query::Query;
-
-/// Bytes of a body at the most: the edge's limit is to be this one.
-pub const MAX_BODY_BYTES: usize = 1 << 20;
-/// Most rows of a page, and how many where not told.
-pub const MAX_PAGE_ROWS: usize = 1_000;
-/// See [`MAX_PAGE_ROWS`].
-pub const DEFAULT_PAGE_ROWS: usize = 100;
-/// Longest grace of a removal, and the one where not told, milliseconds.
-pub const MAX_GRACE_MS: Millis = 3_600_000;
-/// See [`MAX_GRACE_MS`].
-pub const DEFAULT_GRACE_MS: Millis = 10_000;
-/// Longest wait of a watch, milliseconds.
-pub const MAX_WATCH_WAIT_MS: u64 = 60_000;
-/// Longest idempotency key, bytes.
-pub const MAX_IDEMPOTENCY_KEY_BYTES: usize = 128;
-
-/// Content types of bodies.
-const JSON: &str = "application/json";
-const MERGE_PATCH: &str = "application/merge-patch+json";
-/// Seconds after which a client may retry while the fleet has not agreed on a snapshot.
-const RECOVERY_RETRY_SECONDS: u64 = 1;
+use responses::{internal, method_not_allowed, ready_json, ready_tenant};
 
 /// The API over a snapshot of the tenants and the store that it was read from.
 pub struct Api<S> {
@@ -55,38 +43,6 @@
     read_only: Option<String>,
 }
 
-/// A request that was found in the table of routes, and is permitted.
-struct Invocation<'a> {
-    route: &'a Route,
-    /// The name in its path, where it has one.
-    name: &'a str,
-    query: Query,
-    request: &'a Request<'a>,
-    caller: &'a Caller,
-    now: Millis,
-}
-
-type ApiResult = Result<Response, Problem>;
-
-fn json_response(status: u16, body: &impl Serialize) -> ApiResult {
-    let body = serde_json::to_string(body).map_err(|e| Problem::new(500, "internal", e.to_string()))?;
-    Ok(Response { status, content_type: JSON, headers: Vec::new(), body })
-}
-
-fn ready_json(status: u16, body: &impl Serialize) -> Result<Answer, Problem> {
-    json_response(status, body).map(Answer::Ready)
-}
-
-fn ready_tenant(status: u16, of: &Tenant) -> Result<Answer, Problem> {
-    tenant_response(status, of).map(Answer::Ready)
-}
-
-fn tenant_response(status: u16, tenant: &Tenant) -> ApiResult {
-    let mut response = json_response(status, tenant)?;
-    response.headers.push(("ETag", format!("\"{}\"", tenant.revision)));
-    Ok(response)
-}
-
 impl<S: ChangeStore> Api<S> {
     /// An API over a store's snapshot. `read_only`: why nothing may be changed.
     pub fn new(snapshot: Book, store: S, identity: StoreIdentity, read_only: Option<String>) -> Self {
@@ -134,7 +90,7 @@
         all
     }
 
-    /// Answers. `waited`: how long ago the request came first, for one that was told to wait.
+    /// Handles a request. `waited`: how long ago it came first, where [`Answer::Wait`] was returned for it before.
     pub fn answer(
         &mut self,
         request: &Request<'_>,
@@ -145,9 +101,9 @@
     ) -> Answer {
         let (path, query) = request.target.split_once('?').unwrap_or((request.target, ""));
         let found = match find(request.method, path) {
-            Found::Route(route, name) => Ok((route, name)),
-            Found::Methods(methods) => return Answer::Ready(method_not_allowed(&methods)),
-            Found::None => {
+            RouteMatch::Route(route, name) => Ok((route, name)),
+            RouteMatch::OtherMethods(methods) => return Answer::Ready(method_not_allowed(&methods)),
+            RouteMatch::NoSuchPath => {
                 Err(Problem::new(404, "no-such-path", format!("there is no {path}; see /v1/openapi.json")))
             }
         };
@@ -169,7 +125,6 @@
     /// Hands a request to its operation.
     fn operate(&mut self, call: &Invocation<'_>, runtime: &mut impl Runtime) -> Result<Answer, Problem> {
         let query = &call.query;
-        let name = || call.name.to_owned();
         match call.route.operation {
             Operation::ListTenants => self.list_tenants(query),
             Operation::ReadTenant => ready_tenant(200, &self.existing_tenant(call.name)?),
@@ -177,76 +132,35 @@
             Operation::ListUsage => self.list_usage(query, runtime),
             Operation::ListAudit => self.list_audit(query),
             Operation::ListWorkers => ready_json(200, &json!({ "workers": runtime.workers() })),
-            Operation::DrainWorker => reads::set_drained(call.name, true, runtime),
-            Operation::UndrainWorker => reads::set_drained(call.name, false, runtime),
+            Operation::DrainWorker => self.set_drained(call.name, true, runtime),
+            Operation::UndrainWorker => self.set_drained(call.name, false, runtime),
             Operation::ListControllers => self.list_controllers(runtime),
             Operation::ReadSnapshot => self.read_snapshot(query, runtime),
             Operation::ReadFleet => ready_json(200, &runtime.fleet_status()),
             Operation::Recover => self.recover(query, runtime),
-            Operation::Fence => reads::set_fenced(query, true, runtime),
-            Operation::Admit => reads::set_fenced(query, false, runtime),
-            Operation::DeliverRecords => reads::append_audit_entries(call, runtime),
-            Operation::Lend => self.grant_loans(call, runtime),
-            Operation::ReadRecords => reads::read_audit_logs(query, runtime),
+            Operation::Fence => self.set_fenced(query, true, runtime),
+            Operation::Admit => self.set_fenced(query, false, runtime),
+            Operation::AppendAuditEntries => self.append_audit_entries(call, runtime),
+            Operation::GrantLoans => self.grant_loans(call, runtime),
+            Operation::ReadAuditLogs => self.read_audit_logs(query, runtime),
             Operation::ReadChange => self.read_change(query, runtime),
             Operation::ReadDocument => ready_json(200, &openapi::document()),
             Operation::Watch => Err(internal("a watch is answered elsewhere")),
-            Operation::CreateTenant => self.change(call, &changes::creation(call)?, runtime),
-            Operation::ChangeTenant => self.change(call, &changes::patch(call)?, runtime),
-            Operation::RemoveTenant => self.change(call, &changes::removal(call)?, runtime),
-            Operation::SuspendTenant => self.change(call, &Change::Suspend { name: name() }, runtime),
-            Operation::ResumeTenant => self.change(call, &Change::Resume { name: name() }, runtime),
+            Operation::CreateTenant => self.create_tenant(call, runtime),
+            Operation::ChangeTenant => self.patch_tenant(call, runtime),
+            Operation::RemoveTenant => self.remove_tenant(call, runtime),
+            Operation::SuspendTenant => self.suspend_tenant(call, runtime),
+            Operation::ResumeTenant => self.resume_tenant(call, runtime),
         }
     }
 }
 
-/// May this caller ask for this?
+/// Whether the caller's role allows the route.
 fn is_permitted(route: &Route, caller: &Caller) -> bool {
     match route.role {
-        // What a controller reads a viewer may read; what it tells nobody else does but who may do all.
+        // Every role may read what controllers read; only a controller or an admin may report in its name.
         Role::Controller if route.method == "GET" => true,
         Role::Controller => matches!(caller.role, Role::Controller | Role::Admin),
         least => caller.role >= least,
     }
 }
-
-/// The answer to a method that a path does not know.
-fn method_not_allowed(methods: &[&'static str]) -> Response {
-    let detail = format!("{} is answered here", methods.join(", "));
-    let mut response = Problem::new(405, "method-not-allowed", detail).response();
-    response.headers.push(("Allow", methods.join(", ")));
-    response
-}
-
-/// A fault of our own.
-fn internal(cause: impl std::fmt::Display) -> Problem {
-    Problem::new(500, "internal", cause.to_string())
-}
-
-/// Neither books nor changes while it is open which book stands.
-fn serving(runtime: &impl Runtime) -> Result<(), Problem> {
-    runtime.check_serving().map_err(|pending| Problem {
-        retry_after: Some(RECOVERY_RETRY_SECONDS),
-        ..Problem::new(503, "recovering", pending.to_string())
-    })
-}
-
-/// What the next page begins after: the last row's key, where the page is full.
-fn next<T, N>(page: &[T], rows: usize, key: impl Fn(&T) -> N) -> Option<N> {
-    (page.len() == rows).then(|| page.last().map(key)).flatten()
-}
-
-/// Checks that the body has one of these content types.
-fn expect_content_type(request: &Request<'_>, accepted: &[&str]) -> Result<(), Problem> {
-    if request.content_type.is_some_and(|given| accepted.contains(&given)) {
-        return Ok(());
-    }
-    let detail = format!("Content-Type is to be {}", accepted.join(" or "));
-    Err(Problem { field: Some("Content-Type".to_owned()), ..Problem::new(415, "media-type", detail) })
-}
-
-/// The body as JSON.
-fn json_body(body: &[u8]) -> Result<Value, Problem> {
-    serde_json::from_slice(body)
-        .map_err(|e| Problem { status: 400, ..Problem::field("the body", format!("no JSON: {e}")) })
-}
--- a/crates/admin/src/api/query.rs
+++ b/crates/admin/src/api/query.rs
@@ -3,7 +3,7 @@
 use crate::problem::Problem;
 use crate::routes::Route;
 
-use super::{DEFAULT_PAGE_ROWS, MAX_PAGE_ROWS};
+use super::limits::{DEFAULT_PAGE_ROWS, MAX_PAGE_ROWS};
 
 /// Query parameters, each known and given once.
 pub(super) struct Query(Vec<(String, String)>);
@@ -13,8 +13,8 @@
     pub(super) fn read(query: &str, route: &Route) -> Result<Self, Problem> {
         let mut all: Vec<(String, String)> = Vec::new();
         for (name, value) in form_urlencoded::parse(query.as_bytes()) {
-            if !route.query.iter().any(|(known, _)| *known == name) {
-                let known: Vec<&str> = route.query.iter().map(|q| q.0).collect();
+            if !route.query.iter().any(|known| known.name == name) {
+                let known: Vec<&str> = route.query.iter().map(|known| known.name).collect();
                 let known = if known.is_empty() { "none".to_owned() } else { known.join(", ") };
                 return Err(Problem::field(&*name, format!("no such query parameter; known here: {known}")));
             }
@@ -31,25 +31,25 @@
         self.0.iter().find(|(n, _)| n == name).map(|(_, v)| v.as_str())
     }
 
-    /// A whole number within bounds; `usual` where it is not given.
-    pub(super) fn number(&self, name: &str, least: u64, most: u64, usual: u64) -> Result<u64, Problem> {
-        let Some(text) = self.text(name) else { return Ok(usual) };
-        let number = text.parse().ok().filter(|n| (least..=most).contains(n));
-        number.ok_or_else(|| Problem::field(name, format!("a whole number from {least} to {most}")))
+    /// An integer within bounds; `default` where it is not given.
+    pub(super) fn number(&self, name: &str, min: u64, max: u64, default: u64) -> Result<u64, Problem> {
+        let Some(text) = self.text(name) else { return Ok(default) };
+        let number = text.parse().ok().filter(|n| (min..=max).contains(n));
+        number.ok_or_else(|| Problem::field(name, format!("a whole number from {min} to {max}")))
     }
 
-    /// The number of a controller, which is to be told.
+    /// The number of a controller, which is required.
     pub(super) fn controller(&self) -> Result<u32, Problem> {
         let number = self.number("controller", 0, u64::from(u32::MAX), u64::MAX)?;
         u32::try_from(number).map_err(|_| Problem::field("controller", "the number of the controller"))
     }
 
-    /// Rows of a page.
+    /// The number of rows of a page.
     pub(super) fn rows(&self) -> Result<usize, Problem> {
         Ok(self.number("limit", 1, MAX_PAGE_ROWS as u64, DEFAULT_PAGE_ROWS as u64)? as usize)
     }
 
-    /// Is the change to be judged only?
+    /// Whether the change is only to be checked.
     pub(super) fn dry_run(&self) -> Result<bool, Problem> {
         match self.text("dry_run") {
             None | Some("false") => Ok(false),
--- a/crates/admin/src/api/reads.rs
+++ b/crates/admin/src/api/reads.rs
@@ -6,11 +6,11 @@
 use crate::message::Answer;
 use crate::problem::Problem;
 
+use super::Api;
+use super::invocation::{Invocation, expect_content_type, json_body};
+use super::ports::{ChangeStore, Runtime, Usage, Worker};
 use super::query::Query;
-use super::{
-    Api, ChangeStore, Invocation, JSON, Runtime, Usage, Worker, expect_content_type, internal, json_body,
-    next, ready_json, serving,
-};
+use super::responses::{JSON, internal, next, ready_json, serving};
 
 impl<S: ChangeStore> Api<S> {
     /// A tenant by name; a problem where there is none.
@@ -75,38 +75,49 @@
         let take = query.text("take").unwrap_or("");
         ready_json(200, &runtime.recover(&self.snapshot, take, query.dry_run()?)?)
     }
-}
 
-/// Drains a worker by hand, or lets the list decide again.
-pub(super) fn set_drained(name: &str, drained: bool, runtime: &mut impl Runtime) -> Result<Answer, Problem> {
-    let gone = || Problem::new(404, "unknown-worker", format!("there is no worker {name}"));
-    if !runtime.set_drained(name, drained) {
-        return Err(gone());
+    /// Drains a worker by hand, or lets the list decide again.
+    pub(super) fn set_drained(
+        &self,
+        name: &str,
+        drained: bool,
+        runtime: &mut impl Runtime,
+    ) -> Result<Answer, Problem> {
+        let gone = || Problem::new(404, "unknown-worker", format!("there is no worker {name}"));
+        if !runtime.set_drained(name, drained) {
+            return Err(gone());
+        }
+        let worker = runtime.workers().into_iter().find(|w| w.name == name).ok_or_else(gone)?;
+        ready_json(200, &Worker { drained, ..worker })
     }
-    let worker = runtime.workers().into_iter().find(|w| w.name == name).ok_or_else(gone)?;
-    ready_json(200, &Worker { drained, ..worker })
-}
 
-/// Takes entries of a controller's audit log.
-pub(super) fn append_audit_entries(
-    call: &Invocation<'_>,
-    runtime: &mut impl Runtime,
-) -> Result<Answer, Problem> {
-    let number = call.query.controller()?;
-    expect_content_type(call.request, &[JSON])?;
-    let entries: Vec<String> = serde_json::from_value(json_body(call.request.body)?)
-        .map_err(|e| Problem::field("the body", format!("an array of lines: {e}")))?;
-    ready_json(200, &json!({ "last": runtime.append_audit_entries(number, entries)? }))
-}
+    /// Takes entries of a controller's audit log.
+    pub(super) fn append_audit_entries(
+        &self,
+        call: &Invocation<'_>,
+        runtime: &mut impl Runtime,
+    ) -> Result<Answer, Problem> {
+        let number = call.query.controller()?;
+        expect_content_type(call.request, &[JSON])?;
+        let entries: Vec<String> = serde_json::from_value(json_body(call.request.body)?)
+            .map_err(|e| Problem::field("the body", format!("an array of lines: {e}")))?;
+        ready_json(200, &json!({ "last": runtime.append_audit_entries(number, entries)? }))
+    }
 
-/// Audit logs that were delivered.
-pub(super) fn read_audit_logs(query: &Query, runtime: &impl Runtime) -> Result<Answer, Problem> {
-    let from = query.number("from", 0, u64::MAX, 0)?;
-    ready_json(200, &runtime.audit_logs(query.text("of"), from, query.rows()?)?)
-}
+    /// Audit logs that were delivered.
+    pub(super) fn read_audit_logs(&self, query: &Query, runtime: &impl Runtime) -> Result<Answer, Problem> {
+        let from = query.number("from", 0, u64::MAX, 0)?;
+        ready_json(200, &runtime.audit_logs(query.text("of"), from, query.rows()?)?)
+    }
 
-/// Fences the known incarnations of a controller, or admits them again.
-pub(super) fn set_fenced(query: &Query, fenced: bool, runtime: &mut impl Runtime) -> Result<Answer, Problem> {
-    let number = query.controller()?;
-    ready_json(200, &runtime.set_fenced(number, fenced))
+    /// Fences the known incarnations of a controller, or admits them again.
+    pub(super) fn set_fenced(
+        &self,
+        query: &Query,
+        fenced: bool,
+        runtime: &mut impl Runtime,
+    ) -> Result<Answer, Problem> {
+        let number = query.controller()?;
+        ready_json(200, &runtime.set_fenced(number, fenced))
+    }
 }
--- a/crates/admin/src/api/replication.rs
+++ b/crates/admin/src/api/replication.rs
@@ -7,11 +7,11 @@
 use crate::message::Answer;
 use crate::problem::Problem;
 
+use super::Api;
+use super::limits::MAX_WATCH_WAIT_MS;
+use super::ports::{ChangeStore, ClockReading, ControllerState, Runtime, StoreIdentity};
 use super::query::Query;
-use super::{
-    Api, ChangeStore, ClockReading, ControllerState, MAX_WATCH_WAIT_MS, Runtime, StoreIdentity, internal,
-    next, ready_json, serving,
-};
+use super::responses::{internal, next, ready_json, serving};
 
 /// A controller that replicates the tenants.
 struct Follower {
--- a/crates/admin/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -8,7 +8,6 @@
 //! * [`message`]: requests and responses. [`openapi`]: the OpenAPI document, made from the same table.
 
 #![forbid(unsafe_code)]
-#![deny(missing_docs)]
 
 pub mod api;
 pub mod message;
