--- a/crates/admin/src/api/ports.rs
+++ b/crates/admin/src/api/ports.rs
@@ -110,9 +110,9 @@
     /// The revision that its call thread acts on, of that store and epoch.
     pub in_force: Revision,
     /// The revision that is synced to its disk.
-    pub durable: Revision,
+    pub persisted: Revision,
     /// Whether it accepts no calls without a lease.
-    pub stops_without_lease: bool,
+    pub requires_lease: bool,
     /// Whether it knows that it is fenced, and accepts no calls any more.
     pub stopped: bool,
 }
--- a/crates/admin/src/api/replication.rs
+++ b/crates/admin/src/api/replication.rs
@@ -112,8 +112,8 @@
         checksum: query.number("sum", 0, u64::from(u32::MAX), 0)? as u32,
         incarnation,
         in_force: query.number("in_force", 0, u64::MAX, same)?,
-        durable: query.number("kept", 0, u64::MAX, 0)?,
-        stops_without_lease: query.number("ends", 0, 1, 0)? == 1,
+        persisted: query.number("kept", 0, u64::MAX, 0)?,
+        requires_lease: query.number("ends", 0, 1, 0)? == 1,
         stopped: query.number("ended", 0, 1, 0)? == 1,
     };
     runtime.record_state(number, state)?;
--- a/crates/gateway/src/admin/mod.rs
+++ b/crates/administration/src/lib.rs
@@ -1,15 +1,21 @@
 //! Tenants at this controller: its own administration ([`desk`]), or another's that it follows ([`follow`]).
 //! Both run on threads of their own and tell the controller what has changed, in order.
 
+#![forbid(unsafe_code)]
+
 mod changes;
 mod desk;
+pub mod endpoint;
 mod follow;
+pub mod kept;
 mod keys;
 mod lending;
 mod marks;
 mod mirror;
 mod peers;
 mod records;
+pub mod startup;
+pub mod trail;
 
 use std::collections::{BTreeSet, HashMap};
 use std::io;
@@ -23,7 +29,7 @@
 use nettleferry_admin::Response;
 use nettleferry_admin::api::{Usage, Worker};
 use nettleferry_config::settings::{Admin, AdminKey, Desk as Whose};
-use nettleferry_fleet::loans::Terms;
+use nettleferry_fleet::loans::LoanConfig;
 use nettleferry_net::http1::{Reply, Stop};
 use nettleferry_tenancy::{Entry, Revision};
 use tracing::warn;
@@ -130,7 +136,7 @@
                 let (peer_key, held_by) = (peer_key.as_deref(), *held_by);
                 let lease = lease.map(|span| span / 1000);
                 let records = held.is_some();
-                let terms = Terms { controllers: of, reserve: admin.reserve };
+                let terms = LoanConfig { controllers: of, reserve: admin.reserve };
                 let around = desk::Rest {
                     number,
                     waker,
--- a/crates/gateway/src/observe.rs
+++ b/crates/gateway/src/observe.rs
@@ -5,6 +5,7 @@
 use std::sync::Arc;
 
 use nettleferry::{LoadNote, Micros, Outcome, WorkerState};
+use nettleferry_administration::endpoint::Endpoint;
 use nettleferry_config::Config;
 use nettleferry_engine::{EndKind, Engine, Note};
 use nettleferry_fleet::gate::{Counters as GateCounters, Gate, Step};
@@ -13,7 +14,6 @@
 use nettleferry_net::NetCounters;
 use nettleferry_net::http1::{Reply, Request};
 
-use crate::endpoint::Endpoint;
 use crate::front::FrontCounters;
 
 /// Names of limits whose hits are counted, in the order in which [`Observer::limits`] gives them.
@@ -147,14 +147,14 @@
     ) {
         let step = gate.map_or(0, |gate| match gate.step().0 {
             Step::NoList => 1,
-            Step::Part => 2,
-            Step::Whole => 3,
+            Step::Partial => 2,
+            Step::Complete => 3,
         });
         let at_gate = gate.map_or(before, Gate::counters);
         self.figures.recovery(step, [at_gate.no_list, at_gate.crowded, at_gate.unproven, without_lease]);
         let (stage, counted) = lease.unwrap_or((Stage::Current, LeaseCounters::default()));
-        let stage = nettleferry_metrics::STAGES.iter().position(|s| *s == stage.word()).unwrap_or(0);
-        self.figures.lease(stage, counted.lapses, counted.doubtful);
+        let stage = nettleferry_metrics::STAGES.iter().position(|s| *s == stage.as_str()).unwrap_or(0);
+        self.figures.lease(stage, counted.expiries, counted.doubtful);
     }
 
     /// What the administration knows of others.
