--- a/crates/gateway/src/controller/administration.rs
+++ b/crates/gateway/src/controller/administration.rs
@@ -81,7 +81,7 @@
     /// `fencing_token`: 0 where the leader gave none.
     fn renew_lease(&mut self, until: Instant, fencing_token: u64) {
         if fencing_token > 0 {
-            self.links.fence(fencing_token);
+            self.worker_links.set_fencing_token(fencing_token);
         }
         // Our clock is read first: what passes between the two readings shortens the lease.
         let now = self.clock.now_ms();
--- a/crates/gateway/src/controller/commands.rs
+++ b/crates/gateway/src/controller/commands.rs
@@ -7,6 +7,7 @@
 
 use super::Controller;
 use crate::front::{Front, FrontContext};
+use crate::worker_links::LoadOrder;
 
 impl Controller {
     /// Executes what the engine commands, and what it commands in return, until nothing is left.
@@ -31,13 +32,15 @@
                 if let Some(audit_log) = &mut self.audit_log {
                     audit_log.recorder.attempt(self.clock.now_ms(), worker.0);
                 }
-                return self.links.start(hub, attempt, worker, streamed, time_left, body);
+                return self.worker_links.start_attempt(hub, attempt, worker, streamed, time_left, body);
+            }
+            Command::Cancel { attempt } | Command::Abandon { attempt } => {
+                self.worker_links.cancel(hub, attempt)
             }
-            Command::Cancel { attempt } | Command::Abandon { attempt } => self.links.withdraw(hub, attempt),
             // Its stream is open, so the client has disconnected already.
             Command::CancelLoad { .. } => {}
-            Command::Pause { attempt } => self.links.flow(hub, attempt, true),
-            Command::Resume { attempt } => self.links.flow(hub, attempt, false),
+            Command::Pause { attempt } => self.worker_links.pause(hub, attempt),
+            Command::Resume { attempt } => self.worker_links.resume(hub, attempt),
             Command::ResponsePart { front, payload, .. } => {
                 self.with_front(|handler, context| handler.send_part(context, front, payload));
             }
@@ -47,15 +50,18 @@
             }
             Command::Load { request_id, worker, model, version, copies } => {
                 debug!(worker = %self.engine.names().worker_name(worker), %model, copies, "load ordered");
-                let memory = self.config.models.find(&model).and_then(|m| m.memory);
+                let memory_bytes = self.config.models.find(&model).and_then(|model| model.memory);
                 if let Some(audit_log) = &mut self.audit_log {
                     audit_log.recorder.order(self.clock.now_ms(), worker.0);
                 }
-                return self.links.load(hub, request_id, worker, (&model, &version, memory), copies);
+                let order = LoadOrder { model: &model, version: &version, memory_bytes, replicas: copies };
+                return self.worker_links.load(hub, request_id, worker, &order);
+            }
+            Command::Unload { worker, model, .. } => self.worker_links.unload(hub, worker, &model),
+            Command::Probe { request_id, worker } => return self.worker_links.probe(hub, request_id, worker),
+            Command::ForgetControlRequest { request_id } => {
+                self.worker_links.cancel_control_request(hub, request_id)
             }
-            Command::Unload { worker, model, .. } => self.links.unload(hub, worker, &model),
-            Command::Probe { request_id, worker } => return self.links.probe(hub, request_id, worker),
-            Command::ForgetControlRequest { request_id } => self.links.forget(hub, request_id),
             Command::WatchList | Command::FetchList => self.lists.ask(),
             Command::Log(line) => warn!("{line}"),
         }
--- a/crates/gateway/src/controller/mod.rs
+++ b/crates/gateway/src/controller/mod.rs
@@ -38,11 +38,11 @@
 use signal_hook_mio::v1_0::Signals;
 
 use crate::front::Front;
-use crate::links::Links;
 use crate::list::Lists;
 use crate::observe::Observer;
 use crate::push::Pusher;
 use crate::tenants::Tenants;
+use crate::worker_links::WorkerLinks;
 
 /// Why a controller could not start or go on.
 #[derive(Debug, thiserror::Error)]
@@ -114,7 +114,7 @@
     hub: Hub,
     engine: Engine,
     front: Front,
-    links: Links,
+    worker_links: WorkerLinks,
     lists: Lists,
     signals: Option<Signals>,
     observer: Observer,
@@ -216,14 +216,14 @@
     /// An event of a connection: of a worker's, or else of a client's.
     fn handle_connection_event(&mut self, event: NetEvent) {
         match event {
-            NetEvent::Closed { conn, .. } => self.links.closed(conn),
+            NetEvent::Closed { conn, .. } => self.worker_links.connection_closed(conn),
             NetEvent::Head { stream, .. }
             | NetEvent::Message { stream, .. }
             | NetEvent::Trailers { stream, .. }
             | NetEvent::Failed { stream, .. }
-                if self.links.owns(stream) =>
+                if self.worker_links.owns(stream) =>
             {
-                if let Some(event) = self.links.event(&mut self.hub, event) {
+                if let Some(event) = self.worker_links.event(&mut self.hub, event) {
                     self.notify_engine(event);
                 }
             }
--- a/crates/gateway/src/controller/startup.rs
+++ b/crates/gateway/src/controller/startup.rs
@@ -26,11 +26,11 @@
 
 use super::{AuditLog, Controller, ControllerError, RestartAdmission, SIGNAL_SOURCE, SnapshotSource};
 use crate::front::Front;
-use crate::links::{LinkLimits, Links};
 use crate::list::Lists;
 use crate::observe::{self, Observer};
 use crate::push::Pusher;
 use crate::tenants::Tenants;
+use crate::worker_links::{PoolLimits, WorkerLinks};
 
 impl Controller {
     /// Opens the listeners and restores the last worker list. `with_signals`: SIGTERM and SIGINT drain it.
@@ -64,7 +64,7 @@
             hub,
             engine,
             front: Front::new(Arc::clone(&config)),
-            links: Links::new(link_limits(&config), config.settings.me),
+            worker_links: WorkerLinks::new(pool_limits(&config), config.settings.me),
             lists,
             signals,
             observer,
@@ -123,8 +123,8 @@
     }
 }
 
-fn link_limits(config: &Config) -> LinkLimits {
-    LinkLimits { connections: config.edge.worker_connections, streams: config.edge.worker_streams }
+fn pool_limits(config: &Config) -> PoolLimits {
+    PoolLimits { connections: config.edge.worker_connections, streams: config.edge.worker_streams }
 }
 
 fn listen_grpc(hub: &mut Hub, address: SocketAddr) -> Result<SocketAddr, ControllerError> {
--- a/crates/gateway/src/controller/status.rs
+++ b/crates/gateway/src/controller/status.rs
@@ -35,7 +35,7 @@
         self.log_restart_admission();
         self.log_lease_stage();
         let (net, front) = (self.hub.counters(), self.front.counters());
-        self.observer.refresh(&self.engine, &net, &front, self.links.no_room);
+        self.observer.refresh(&self.engine, &net, &front, self.worker_links.no_room);
         let now = self.clock.now_ms();
         let lease = self.lease.as_ref().map(|lease| (lease.stage(now), lease.counters()));
         let admission = &self.restart_admission;
--- a/crates/gateway/src/controller/worker_list.rs
+++ b/crates/gateway/src/controller/worker_list.rs
@@ -26,7 +26,7 @@
             .filter(|worker| worker.state != WorkerState::Gone)
             .map(|worker| (self.engine.worker_id(&worker.name), worker.address))
             .collect();
-        self.links.listed(&addresses);
+        self.worker_links.update_workers(&addresses);
         let in_service = update.workers.iter().filter(|worker| worker.state == WorkerState::On).count();
         if let Some(limiter) = &mut self.restart_admission.limiter {
             limiter.list_applied(now / 1000, in_service as u32, update.form != ListForm::Restored);
--- a/crates/gateway/src/links/wire.rs
+++ b/crates/gateway/src/worker_links/trailers.rs
@@ -1,5 +1,5 @@
-//! What a worker's answer means on the wire: trailers and stream errors to the engine's facts, reports to the
-//! module's numbers. One place, table-tested.
+//! What a worker's answer means: trailers and stream errors as the engine's ends of attempts, load reports as the decision
+//! module's. Nothing else reads them.
 
 use http::{HeaderMap, StatusCode};
 use nettleferry::{LoadNote, Report};
@@ -9,15 +9,15 @@
 use nettleferry_proto::{marks, orca};
 use prost::Message;
 
-/// How an answer with trailers ended.
-pub fn by_trailers(http: StatusCode, trailers: &HeaderMap) -> AttemptEnd {
+/// The end of an RPC with trailers.
+pub(super) fn end_by_trailers(http: StatusCode, trailers: &HeaderMap) -> AttemptEnd {
     if http != StatusCode::OK {
         return AttemptEnd::Status { message: format!("HTTP {}", http.as_u16()) };
     }
     let mark = trailers.get(marks::NEVER_RAN).and_then(|v| v.to_str().ok());
     match (Status::read(trailers), mark) {
         (Some(Status { code: Code::Ok, .. }), _) => AttemptEnd::Served,
-        // The worker's own word: nothing else about a failing status proves anything.
+        // Only the worker's mark proves that the call did not run; no failing status does.
         (Some(_), Some(marks::FULL | marks::FENCED)) => AttemptEnd::MarkedFull,
         (Some(_), Some(marks::MISS)) => AttemptEnd::MarkedMiss,
         (Some(_), Some(marks::LOAD_FAILED)) => AttemptEnd::MarkedLoadFailed,
@@ -29,8 +29,8 @@
     }
 }
 
-/// How a stream that failed ended.
-pub fn by_error(error: &StreamError) -> AttemptEnd {
+/// The end of an RPC whose stream failed.
+pub(super) fn end_by_error(error: &StreamError) -> AttemptEnd {
     match error {
         StreamError::NotConnected => AttemptEnd::NotConnected,
         StreamError::NotWritten => AttemptEnd::NotWritten,
@@ -44,14 +44,14 @@
     }
 }
 
-/// The load report and named metrics of trailers.
-pub fn report(trailers: &HeaderMap) -> Option<orca::OrcaLoadReport> {
+/// The ORCA load report in trailers, where there is a sound one.
+pub(super) fn orca_report(trailers: &HeaderMap) -> Option<orca::OrcaLoadReport> {
     let bytes = read_binary(trailers.get(orca::TRAILER)?)?;
     orca::OrcaLoadReport::decode(&bytes[..]).ok()
 }
 
-/// The module's report. What is not told stays untold; what is no number is not told.
-pub fn load(report: &orca::OrcaLoadReport) -> Report {
+/// A load report as the decision module has it. Values that are missing, negative or no numbers are left out.
+pub(super) fn load_report(report: &orca::OrcaLoadReport) -> Report {
     let named = |name: &str| report.named_metrics.get(name).copied().filter(|x| x.is_finite() && *x >= 0.0);
     let share = |x: f64| (x.is_finite() && x >= 0.0).then_some(x);
     Report {
@@ -63,9 +63,9 @@
     }
 }
 
-/// What an answer tells of copies and load.
-pub fn news(trailers: &HeaderMap) -> AttemptReport {
-    let Some(report) = report(trailers) else { return AttemptReport::default() };
+/// What a worker reports of replicas and load with the end of an attempt.
+pub(super) fn attempt_report(trailers: &HeaderMap) -> AttemptReport {
+    let Some(report) = orca_report(trailers) else { return AttemptReport::default() };
     let named = |name: &str| report.named_metrics.get(name).copied();
     let note = named(orca::NOTE).and_then(|n| match n as i64 {
         1 => Some(LoadNote::Warm),
@@ -77,13 +77,13 @@
     AttemptReport {
         load_note: note,
         queue_depth: named(orca::CROWD).map(|n| n.clamp(0.0, 1e6) as u32),
-        load_report: Some(load(&report)),
+        load_report: Some(load_report(&report)),
     }
 }
 
-/// Copies that stand, by the answer to an order.
-pub fn copies(trailers: &HeaderMap) -> u32 {
-    report(trailers)
+/// How many replicas are loaded, by the answer to a load order.
+pub(super) fn loaded_replicas(trailers: &HeaderMap) -> u32 {
+    orca_report(trailers)
         .and_then(|r| r.named_metrics.get(orca::STANDING).copied())
         .map_or(0, |n| n.clamp(0.0, 1e6) as u32)
 }
--- a/crates/gateway/src/links/wire/tests.rs
+++ b/crates/gateway/src/worker_links/trailers/tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of `wire`.
+//! Unit tests of `trailers`.
 
 use super::*;
 use http::HeaderValue;
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn only_a_mark_proves_that_a_status_never_ran() {
+fn only_a_mark_shows_that_a_failing_call_did_not_run() {
     let status = |text: &str| AttemptEnd::Status { message: text.to_owned() };
     let table = [
         (trailers(Code::Ok, None), AttemptEnd::Served),
@@ -29,17 +29,17 @@
         (HeaderMap::new(), status("the worker's answer ended without a status")),
     ];
     for (map, ended) in table {
-        assert_eq!(by_trailers(StatusCode::OK, &map), ended);
+        assert_eq!(end_by_trailers(StatusCode::OK, &map), ended);
         assert_eq!(
             ended.never_ran(),
             matches!(ended, AttemptEnd::MarkedFull | AttemptEnd::MarkedMiss | AttemptEnd::MarkedLoadFailed)
         );
     }
-    assert_eq!(by_trailers(StatusCode::BAD_GATEWAY, &trailers(Code::Ok, None)), status("HTTP 502"));
+    assert_eq!(end_by_trailers(StatusCode::BAD_GATEWAY, &trailers(Code::Ok, None)), status("HTTP 502"));
 }
 
 #[test]
-fn stream_errors_prove_what_the_wire_proves() {
+fn stream_errors_become_ends_of_attempts() {
     let table = [
         (StreamError::NotConnected, true),
         (StreamError::NotWritten, true),
@@ -51,12 +51,12 @@
         (StreamError::Message(FrameError::BadGzip), false),
     ];
     for (error, proof) in table {
-        assert_eq!(by_error(&error).never_ran(), proof, "{error:?}");
+        assert_eq!(end_by_error(&error).never_ran(), proof, "{error:?}");
     }
 }
 
 #[test]
-fn reports_are_read_and_damaged_ones_are_not() {
+fn load_reports_are_read_and_damaged_ones_ignored() {
     let mut report =
         orca::OrcaLoadReport { cpu_utilization: 0.5, mem_utilization: f64::NAN, ..Default::default() };
     report.named_metrics.insert(orca::NOTE.to_owned(), 2.0);
@@ -64,10 +64,10 @@
     report.named_metrics.insert(orca::QUEUE.to_owned(), -1.0);
     let mut map = HeaderMap::new();
     map.insert(orca::TRAILER, write_binary(&report.encode_to_vec()).expect("ascii"));
-    let news = news(&map);
-    assert_eq!((news.load_note, news.queue_depth), (Some(LoadNote::Began), Some(5)));
-    let load = news.load_report.expect("told");
+    let report = attempt_report(&map);
+    assert_eq!((report.load_note, report.queue_depth), (Some(LoadNote::Began), Some(5)));
+    let load = report.load_report.expect("a load report");
     assert_eq!((load.util, load.memory_held, load.queue), (Some(0.5), None, None));
     map.insert(orca::TRAILER, HeaderValue::from_static("!!"));
-    assert_eq!(super::news(&map), AttemptReport::default());
+    assert_eq!(attempt_report(&map), AttemptReport::default());
 }
