--- a/crates/gateway/src/controller/administration.rs
+++ b/crates/gateway/src/controller/administration.rs
@@ -11,7 +11,7 @@
 
 use super::audit::tenant_event;
 use super::{Controller, SnapshotSource};
-use crate::list::News;
+use crate::worker_list::ListUpdate;
 
 impl Controller {
     /// Applies what the administration has sent since the last time.
@@ -109,6 +109,6 @@
             self.record(|recorder, now, names| recorder.one(now, event, names));
         }
         let workers = self.listed_workers.clone();
-        self.apply_list(News { form: ListForm::Complete, workers });
+        self.apply_list(ListUpdate { form: ListForm::Complete, workers });
     }
 }
--- a/crates/gateway/src/controller/commands.rs
+++ b/crates/gateway/src/controller/commands.rs
@@ -62,7 +62,7 @@
             Command::ForgetControlRequest { request_id } => {
                 self.worker_links.cancel_control_request(hub, request_id)
             }
-            Command::WatchList | Command::FetchList => self.lists.ask(),
+            Command::WatchList | Command::FetchList => self.list_watcher.request_update(),
             Command::Log(line) => warn!("{line}"),
         }
         None
--- a/crates/gateway/src/controller/mod.rs
+++ b/crates/gateway/src/controller/mod.rs
@@ -38,11 +38,11 @@
 use signal_hook_mio::v1_0::Signals;
 
 use crate::front::Front;
-use crate::list::Lists;
 use crate::observe::Observer;
 use crate::push::Pusher;
 use crate::tenants::Tenants;
 use crate::worker_links::WorkerLinks;
+use crate::worker_list::ListWatcher;
 
 /// Why a controller could not start or go on.
 #[derive(Debug, thiserror::Error)]
@@ -115,7 +115,7 @@
     engine: Engine,
     front: Front,
     worker_links: WorkerLinks,
-    lists: Lists,
+    list_watcher: ListWatcher,
     signals: Option<Signals>,
     observer: Observer,
     metrics_endpoint: Option<Endpoint>,
@@ -203,7 +203,7 @@
         match event {
             NetEvent::Source(SIGNAL_SOURCE) => return self.handle_signals(),
             NetEvent::Woken => {
-                for update in self.lists.told() {
+                for update in self.list_watcher.updates() {
                     self.apply_list(update);
                 }
                 self.handle_admin_events();
--- a/crates/gateway/src/controller/shutdown.rs
+++ b/crates/gateway/src/controller/shutdown.rs
@@ -71,7 +71,7 @@
             (_, pusher) => drop(pusher),
         }
         let (engine, net, front) = (self.engine.counters(), self.hub.counters(), self.front.counters());
-        let (no_room, lists_rejected) = (self.worker_links.no_room, self.lists.refused());
+        let (no_room, lists_rejected) = (self.worker_links.no_room, self.list_watcher.rejected());
         info!(?engine, ?net, ?front, no_room, lists_rejected, "stopped");
         shutdown
     }
--- a/crates/gateway/src/controller/startup.rs
+++ b/crates/gateway/src/controller/startup.rs
@@ -26,19 +26,19 @@
 
 use super::{AuditLog, Controller, ControllerError, RestartAdmission, SIGNAL_SOURCE, SnapshotSource};
 use crate::front::Front;
-use crate::list::Lists;
 use crate::observe::{self, Observer};
 use crate::push::Pusher;
 use crate::tenants::Tenants;
 use crate::worker_links::{PoolLimits, WorkerLinks};
+use crate::worker_list::{ListSource, ListWatcher};
 
 impl Controller {
     /// Opens the listeners and restores the last worker list. `with_signals`: SIGTERM and SIGINT drain it.
     pub fn new(config: Config, with_signals: bool) -> Result<Self, ControllerError> {
         let mut hub = retry_startup("reactor", || Hub::new(net_limits(&config)), is_transient)?;
         let grpc_address = listen_grpc(&mut hub, config.grpc)?;
-        let lists = watch_worker_list(&config, &hub)?;
-        let initial_lists = lists.first();
+        let list_watcher = watch_worker_list(&config, &hub)?;
+        let initial_lists = list_watcher.initial_updates();
         // An earlier incarnation that persisted a list may have sent load orders just before it ended.
         let restarted = initial_lists.iter().any(|update| update.form == ListForm::Restored);
         let mut engine = create_engine(&config, restarted)?;
@@ -65,7 +65,7 @@
             engine,
             front: Front::new(Arc::clone(&config)),
             worker_links: WorkerLinks::new(pool_limits(&config), config.settings.me),
-            lists,
+            list_watcher,
             signals,
             observer,
             metrics_endpoint,
@@ -134,10 +134,15 @@
 }
 
 /// Starts the thread that reads the worker list; it wakes the hub after each update.
-fn watch_worker_list(config: &Config, hub: &Hub) -> io::Result<Lists> {
+fn watch_worker_list(config: &Config, hub: &Hub) -> io::Result<ListWatcher> {
     let waker = hub.waker();
     let wake = move || _ = waker.wake();
-    Lists::start(config.workers.clone(), config.workers_kept.clone(), config.workers_check, wake)
+    let source = ListSource {
+        path: config.workers.clone(),
+        persisted: config.workers_kept.clone(),
+        check_interval: config.workers_check,
+    };
+    ListWatcher::start(source, wake)
 }
 
 fn create_engine(config: &Config, restarted: bool) -> Result<Engine, nettleferry::SettingsError> {
--- a/crates/gateway/src/controller/worker_list.rs
+++ b/crates/gateway/src/controller/worker_list.rs
@@ -7,11 +7,11 @@
 use nettleferry_engine::{Event, Member};
 
 use super::Controller;
-use crate::list::{News, members};
+use crate::worker_list::{ListUpdate, members};
 
 impl Controller {
     /// Applies an update of the worker list.
-    pub(super) fn apply_list(&mut self, mut update: News) {
+    pub(super) fn apply_list(&mut self, mut update: ListUpdate) {
         let now = self.clock.now();
         if update.form == ListForm::Failed {
             return self.notify_engine_of_list(now, update.form, Vec::new());
--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -3,7 +3,7 @@
 //! May know: everything below it. Must not know: decisions; they are the module's, and come through the
 //! engine.
 //!
-//! * [`controller`]: the loop. [`front`]: towards clients. [`worker_links`]: towards workers. [`list`]: who they are.
+//! * [`controller`]: the loop. [`front`]: towards clients. [`worker_links`]: towards workers. [`worker_list`]: who they are.
 //! * [`tenants`]: admission in a front's words. [`audit_log`]: names for its numbers.
 //! * [`commands`]: one file a subcommand. [`observe`]: figures. [`push`]: remote write. [`logs`].
 
@@ -14,12 +14,12 @@
 mod commands;
 mod controller;
 mod front;
-mod list;
 mod logs;
 mod observe;
 mod push;
 mod tenants;
 mod worker_links;
+mod worker_list;
 
 use std::process::ExitCode;
 
--- /dev/null
+++ b/crates/gateway/src/worker_list/file.rs
@@ -0,0 +1,108 @@
+//! The worker list's file: a version is taken as a whole or rejected, and the last one taken is persisted for the next
+//! start.
+
+use std::path::PathBuf;
+use std::sync::Arc;
+use std::sync::atomic::{AtomicU64, Ordering};
+use std::time::Duration;
+
+use nettleferry::ListForm;
+use nettleferry_administration::kept::Kept;
+use nettleferry_config::{Worker, workers};
+use nettleferry_fleet::recovery_policy::PersistedState;
+use nettleferry_net::clock;
+use tracing::{info, warn};
+
+use super::ListUpdate;
+
+/// How long the persisted list is waited for, before the list itself is read.
+const RESTORE_TIMEOUT: Duration = Duration::from_millis(400);
+/// Begins the first line of a persisted list, before its time: milliseconds of the wall clock.
+const SAVED_AT_PREFIX: &str = ";at ";
+
+/// A list file.
+pub(super) struct ListFile {
+    path: PathBuf,
+    persisted: Option<Kept>,
+    /// The text that was read last; empty where the file could not be read.
+    last_text: Option<String>,
+    rejected: Arc<AtomicU64>,
+}
+
+impl ListFile {
+    /// A file that was not read yet. `rejected` counts versions that can't be taken.
+    pub(super) fn new(path: PathBuf, persisted: Option<PathBuf>, rejected: Arc<AtomicU64>) -> Self {
+        let persisted = persisted.map(|file| Kept::open(file, "worker list", RESTORE_TIMEOUT));
+        Self { path, persisted, last_text: None, rejected }
+    }
+
+    /// The list of the incarnation before, where one was persisted, is valid and recent enough.
+    pub(super) fn restore(&mut self, now_ms: u64) -> Option<ListUpdate> {
+        let persisted = self.persisted.as_mut()?;
+        let payload = persisted.take(PersistedState::WorkerList, now_ms, saved_at)?;
+        match workers::read("the kept list", &String::from_utf8_lossy(&payload)) {
+            Ok(workers) => Some(ListUpdate { form: ListForm::Restored, workers }),
+            Err(errors) => {
+                persisted.unusable(&errors);
+                None
+            }
+        }
+    }
+
+    /// Reads the file. `Some`: it has changed and is valid, or an update was requested.
+    pub(super) fn read(&mut self, requested: bool) -> Option<ListUpdate> {
+        if requested {
+            self.last_text = None;
+        }
+        let failed = || requested.then_some(ListUpdate { form: ListForm::Failed, workers: Vec::new() });
+        let Some(text) = self.read_text() else { return failed() };
+        if self.last_text.as_deref() == Some(text.as_str()) {
+            return None;
+        }
+        let parsed = workers::read(&self.path.display().to_string(), &text);
+        self.last_text = Some(text);
+        match parsed {
+            Ok(workers) => {
+                info!(workers = workers.len(), "worker list applied");
+                self.persist(&workers);
+                Some(ListUpdate { form: ListForm::Complete, workers })
+            }
+            Err(errors) => {
+                self.rejected.fetch_add(1, Ordering::Relaxed);
+                warn!(%errors, "worker list rejected, the last one stays in force");
+                failed()
+            }
+        }
+    }
+
+    fn read_text(&mut self) -> Option<String> {
+        match std::fs::read_to_string(&self.path) {
+            Ok(text) => Some(text),
+            Err(error) => {
+                // Logged and counted once: an unreadable file is remembered as an empty text.
+                if self.last_text.as_deref() != Some("") {
+                    let file = self.path.display();
+                    warn!(%file, %error, "worker list not readable, the last one stays in force");
+                    self.last_text = Some(String::new());
+                    self.rejected.fetch_add(1, Ordering::Relaxed);
+                }
+                None
+            }
+        }
+    }
+
+    fn persist(&self, workers: &[Worker]) {
+        let Some(persisted) = &self.persisted else { return };
+        let text = format!("{SAVED_AT_PREFIX}{}\n{}", clock::wall() / 1000, workers::write(workers));
+        persisted.put(text.into_bytes());
+    }
+}
+
+/// When a persisted list was saved, in milliseconds of the wall clock.
+fn saved_at(payload: &[u8]) -> Option<u64> {
+    let line = payload.split(|&b| b == b'\n').next()?;
+    std::str::from_utf8(line).ok()?.strip_prefix(SAVED_AT_PREFIX)?.trim().parse().ok()
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/scale/src/measure/list/mod.rs
+++ b/crates/scale/src/measure/list/mod.rs
@@ -33,8 +33,8 @@
 /// A child has so long to listen, and a list to be taken.
 const PATIENCE: Duration = Duration::from_secs(20);
 /// The log line that tells of a list that was taken, and the filter that lets it through.
-const TAKEN: &str = "worker list taken";
-const LOG_FILTER: &str = "warn,nettleferry::list=info";
+const TAKEN: &str = "worker list applied";
+const LOG_FILTER: &str = "warn,nettleferry::worker_list=info";
 /// The model that is called.
 const MODEL: &str = "echo";
 /// Zones and kinds of the workers in the list.
