--- a/crates/gateway/src/commands/node.rs
+++ b/crates/gateway/src/commands/node.rs
@@ -21,7 +21,7 @@
     pub fn run(self) -> Result<u8, CommandError> {
         let mut node = Node::new(self.config, true)?;
         // Clients know the address from elsewhere: that nobody can be told of it here holds up no start.
-        if let Err(error) = announce(&format!("listening frames {}", node.local())) {
+        if let Err(error) = announce(&format!("listening frames {}", node.local_addr())) {
             warn!(%error, "where it listens can't be announced");
         }
         node.run()?;
--- a/crates/gateway/tests/node.rs
+++ b/crates/gateway/tests/node.rs
@@ -145,7 +145,7 @@
     }
     let mut logs = BufReader::new(node.0.stderr.take().expect("piped"));
     let mut line = String::new();
-    while !line.contains("not used yet") {
+    while !line.contains("configuration not reloaded") {
         line.clear();
         assert!(logs.read_line(&mut line).expect("text") > 0, "it goes on");
     }
--- a/crates/node/src/directory.rs
+++ b/crates/node/src/directory.rs
@@ -1,4 +1,4 @@
-//! Asks the directory for the list of invokers, over and over, by DNS over UDP.
+//! Polls the directory for the list of invokers, by DNS over UDP.
 
 use std::collections::VecDeque;
 use std::io;
@@ -11,19 +11,36 @@
 use rand::RngExt;
 use tracing::{debug, info};
 
-use crate::limits::{ASK_AGAIN, ASK_EVERY, ASK_WAIT, Counters, OLD_ADDRESS, QUERIES, UNSENT_MOST};
+use crate::limits::{
+    Counters, MAX_UNSENT_QUERIES, OLD_RESOLVER_GRACE, QUERY_INTERVAL, QUERY_RETRY_DELAY, QUERY_TIMEOUT,
+    REMEMBERED_QUERIES,
+};
 
-/// Datagrams taken in one turn: a flood of them must not keep the node from its work.
-const TURN: usize = 16;
+/// Datagrams received in one iteration: a flood of them must not keep the node from its work.
+const DATAGRAMS_PER_ITERATION: usize = 16;
 
-/// A socket to one address of the directory, and the queries whose answers may still come there.
-struct Line {
+/// A socket to one address of the directory, and the queries whose answers may still arrive there.
+struct ResolverSocket {
     socket: UdpSocket,
-    /// The newest last.
+    /// Ids of the queries, the newest last.
     queries: VecDeque<u16>,
 }
 
-impl Line {
+/// The socket to the directory's previous address.
+struct OldResolver {
+    socket: ResolverSocket,
+    /// When it is closed.
+    until: Instant,
+}
+
+/// When lists were received, whether they were newer than the one before or not.
+#[derive(Default)]
+struct ReceivedLists {
+    latest: Option<Instant>,
+    previous: Option<Instant>,
+}
+
+impl ResolverSocket {
     fn open(registry: &Registry, token: Token, resolver: SocketAddr) -> io::Result<Self> {
         let any = if resolver.is_ipv4() { "0.0.0.0:0" } else { "[::]:0" };
         let any: SocketAddr = any.parse().map_err(io::Error::other)?;
@@ -34,218 +51,241 @@
     }
 
     fn close(mut self, registry: &Registry) {
+        // Its descriptor is closed in any case, and with it the registration.
         let _ = registry.deregister(&mut self.socket);
     }
+
+    /// Reads one datagram.
+    fn read(&mut self, bytes: &[u8]) -> Received {
+        let id = bytes.get(..2).map(|id| u16::from_be_bytes([id[0], id[1]]));
+        let Some(at) = self.queries.iter().position(|query| Some(*query) == id) else {
+            return Received { answer: Answer::Foreign, newest: false };
+        };
+        let query = self.queries[at];
+        let newest = at + 1 == self.queries.len();
+        let answer = match directory::answer(query, bytes) {
+            Ok(list) => Answer::List(list),
+            Err(ListError::Other) => Answer::Foreign,
+            Err(error) => {
+                debug!(%error, "directory answer is unusable");
+                Answer::Unusable
+            }
+        };
+        // Answered once: what arrives again under its id is no answer.
+        if !matches!(answer, Answer::Foreign) {
+            self.queries.remove(at);
+        }
+        Received { answer, newest }
+    }
 }
 
-/// What one datagram told.
+/// What one datagram holds.
 enum Answer {
     List(List),
-    /// An answer of ours that can't be used.
-    Bad,
-    /// None of ours.
-    Other,
+    /// An answer to a query of ours that can't be used.
+    Unusable,
+    /// No answer to a query of ours.
+    Foreign,
 }
 
-/// The client of the directory.
+/// An answer that was received.
+struct Received {
+    answer: Answer,
+    /// It answers the newest query.
+    newest: bool,
+}
+
+/// Polls the directory.
 pub struct DiscoveryClient {
-    line: Option<Line>,
-    /// The directory's address before it moved: what it had said by then counts as told.
-    old: Option<(Line, Instant)>,
+    socket: Option<ResolverSocket>,
+    /// The directory's address before it moved: answers that arrive there for a while still count.
+    old: Option<OldResolver>,
     resolver: SocketAddr,
     token: Token,
-    /// When the newest query is taken for lost, while its answer has not come.
-    lost: Option<Instant>,
-    next: Instant,
+    /// When the newest query times out, while its answer has not arrived.
+    times_out_at: Option<Instant>,
+    next_query_at: Instant,
     serial: u32,
-    /// When a list was last heard, whether it was news or not, and when the one before it was.
-    heard: [Option<Instant>; 2],
+    received: ReceivedLists,
     /// Queries in a row that could not be sent.
     unsent: u32,
-    /// More datagrams stand than one turn takes.
-    more: bool,
+    /// More datagrams wait than one iteration receives.
+    has_more: bool,
     buffer: Vec<u8>,
 }
 
 impl DiscoveryClient {
-    /// One that knows the list as of event `serial`.
+    /// A client that knows the list as of event `serial`.
     pub fn new(resolver: SocketAddr, token: Token, serial: u32) -> Self {
         Self {
-            line: None,
+            socket: None,
             old: None,
             resolver,
             token,
-            lost: None,
-            next: Instant::now(),
+            times_out_at: None,
+            next_query_at: Instant::now(),
             serial,
-            heard: [None; 2],
+            received: ReceivedLists::default(),
             unsent: 0,
-            more: false,
+            has_more: false,
             buffer: vec![0; MOST_ANSWER + 1],
         }
     }
 
-    /// The directory has another address; the numbers of its events go on. What its old address has said, or still
-    /// says within [`OLD_ADDRESS`], is heard.
-    pub fn moved(&mut self, registry: &Registry, resolver: SocketAddr) {
-        info!(%resolver, "the directory is asked there from now on");
-        if let Some((old, _)) = self.old.take() {
-            old.close(registry);
+    /// The directory has another address; the serials of its events continue. What its old address has answered, or
+    /// answers within [`OLD_RESOLVER_GRACE`], is received.
+    pub fn set_resolver(&mut self, registry: &Registry, resolver: SocketAddr) {
+        info!(%resolver, "directory address changed");
+        if let Some(old) = self.old.take() {
+            old.socket.close(registry);
         }
         self.resolver = resolver;
-        self.old = self.line.take().map(|line| (line, Instant::now() + OLD_ADDRESS));
-        self.lost = None;
-        self.ask();
+        let until = Instant::now() + OLD_RESOLVER_GRACE;
+        self.old = self.socket.take().map(|socket| OldResolver { socket, until });
+        self.times_out_at = None;
+        self.query_now();
     }
 
-    /// Asks as soon as may be.
-    pub fn ask(&mut self) {
-        self.next = Instant::now();
+    /// Makes a query due at once.
+    pub fn query_now(&mut self) {
+        self.next_query_at = Instant::now();
     }
 
-    /// When [`DiscoveryClient::turn`] is wanted.
+    /// When [`DiscoveryClient::query_if_due`] is to be called.
     pub fn due(&self) -> Instant {
-        let due = self.lost.unwrap_or(self.next);
-        if self.more { Instant::now() } else { due }
+        let due = self.times_out_at.unwrap_or(self.next_query_at);
+        if self.has_more { Instant::now() } else { due }
     }
 
-    /// Sends what is due.
-    pub fn turn(&mut self, registry: &Registry, count: &mut Counters) {
+    /// Sends a query, if one is due.
+    pub fn query_if_due(&mut self, registry: &Registry, counters: &mut Counters) {
         let now = Instant::now();
-        if self.old.as_ref().is_some_and(|(_, until)| now >= *until)
-            && let Some((old, _)) = self.old.take()
-        {
-            old.close(registry);
-        }
-        if let Some(lost) = self.lost {
-            if now < lost {
+        self.close_old_socket(registry, now);
+        if let Some(times_out_at) = self.times_out_at {
+            if now < times_out_at {
                 return;
             }
-            // Its answer is taken all the same, should it still come: what an answer tells counts as told.
-            count.lost_lists += 1;
-            self.lost = None;
-            self.next = now;
+            // Its answer is received all the same, should it still arrive.
+            counters.lost_lists += 1;
+            self.times_out_at = None;
+            self.next_query_at = now;
         }
-        if now < self.next {
+        if now < self.next_query_at {
             return;
         }
         match self.send(registry) {
             Ok(()) => {
                 self.unsent = 0;
-                self.lost = Some(now + ASK_WAIT);
-                self.next = now + ASK_EVERY;
+                self.times_out_at = Some(now + QUERY_TIMEOUT);
+                self.next_query_at = now + QUERY_INTERVAL;
             }
             Err(error) => {
-                debug!(%error, "the directory can't be asked");
-                count.unsent_queries += 1;
-                self.unsent += 1;
-                self.next = now + ASK_AGAIN;
-                // Answers may stand in the socket: what they tell counts as told. One that never sends is made anew.
-                if self.unsent >= UNSENT_MOST
-                    && let Some(line) = self.line.take()
-                {
-                    line.close(registry);
-                    self.unsent = 0;
-                }
+                debug!(%error, "directory query not sent");
+                counters.unsent_queries += 1;
+                self.next_query_at = now + QUERY_RETRY_DELAY;
+                self.count_unsent(registry);
             }
         }
     }
 
+    fn close_old_socket(&mut self, registry: &Registry, now: Instant) {
+        if self.old.as_ref().is_some_and(|old| now >= old.until)
+            && let Some(old) = self.old.take()
+        {
+            old.socket.close(registry);
+        }
+    }
+
+    /// A socket that never sends is replaced, but not at once: answers may wait in it.
+    fn count_unsent(&mut self, registry: &Registry) {
+        self.unsent += 1;
+        if self.unsent >= MAX_UNSENT_QUERIES
+            && let Some(socket) = self.socket.take()
+        {
+            socket.close(registry);
+            self.unsent = 0;
+        }
+    }
+
     fn send(&mut self, registry: &Registry) -> io::Result<()> {
         let id: u16 = rand::rng().random();
         let query = directory::query(id).map_err(io::Error::other)?;
-        let line = match &mut self.line {
-            Some(line) => line,
-            none => none.insert(Line::open(registry, self.token, self.resolver)?),
+        let socket = match &mut self.socket {
+            Some(socket) => socket,
+            none => none.insert(ResolverSocket::open(registry, self.token, self.resolver)?),
         };
-        line.socket.send(&query)?;
-        line.queries.push_back(id);
-        if line.queries.len() > QUERIES {
-            line.queries.pop_front();
+        socket.socket.send(&query)?;
+        socket.queries.push_back(id);
+        if socket.queries.len() > REMEMBERED_QUERIES {
+            socket.queries.pop_front();
         }
         Ok(())
     }
 
-    /// When the list before the newest was heard.
-    pub fn heard_before(&self) -> Option<Instant> {
-        self.heard[1]
+    /// When the list before the newest was received.
+    pub fn previous_list(&self) -> Option<Instant> {
+        self.received.previous
     }
 
-    /// Are datagrams left over from the last time?
-    pub fn more(&self) -> bool {
-        self.more
+    /// Whether datagrams are left over from the last time.
+    pub fn has_more(&self) -> bool {
+        self.has_more
     }
 
-    /// Takes what came. A list newer than the last, if there is one.
-    pub fn ready(&mut self, count: &mut Counters) -> Option<List> {
-        let mut heard = Vec::new();
-        self.more = false;
-        for line in self.old.iter_mut().map(|(old, _)| old) {
-            self.more |= take(line, &mut self.buffer, |what, _| heard.push(what));
+    /// Receives what has arrived. Returns a list newer than the last, if there is one.
+    pub fn receive(&mut self, counters: &mut Counters) -> Option<List> {
+        let mut all = Vec::new();
+        self.has_more = false;
+        for old in self.old.iter_mut() {
+            self.has_more |= receive_from(&mut old.socket, &mut self.buffer, |received| all.push(received));
         }
         let mut answered = false;
-        if let Some(line) = &mut self.line {
-            self.more |= take(line, &mut self.buffer, |what, newest| {
-                answered |= newest;
-                if newest && matches!(what, Answer::Bad) {
-                    // Asked again soon, but not at the pace of its answers.
-                    self.next = self.next.min(Instant::now() + ASK_AGAIN);
+        if let Some(socket) = &mut self.socket {
+            self.has_more |= receive_from(socket, &mut self.buffer, |received| {
+                answered |= received.newest;
+                if received.newest && matches!(received.answer, Answer::Unusable) {
+                    // Queried again soon, but not at the pace of its answers.
+                    self.next_query_at = self.next_query_at.min(Instant::now() + QUERY_RETRY_DELAY);
                 }
-                heard.push(what);
+                all.push(received);
             });
         }
         if answered {
-            self.lost = None;
+            self.times_out_at = None;
         }
-        let mut newest = None;
-        for what in heard {
-            match what {
-                Answer::List(list) if list.serial >= self.serial => {
-                    self.heard = [Some(Instant::now()), self.heard[0]];
-                    if list.serial == self.serial {
-                        continue;
-                    }
-                    self.serial = list.serial;
-                    newest = Some(list);
+        let answers = all.into_iter().map(|received| received.answer);
+        answers.fold(None, |newest, answer| self.judge(answer, counters).or(newest))
+    }
+
+    /// A list that is newer than the last.
+    fn judge(&mut self, answer: Answer, counters: &mut Counters) -> Option<List> {
+        match answer {
+            Answer::List(list) if list.serial >= self.serial => {
+                let latest = self.received.latest.replace(Instant::now());
+                self.received.previous = latest;
+                if list.serial == self.serial {
+                    return None;
                 }
-                Answer::List(_) => count.old_lists += 1,
-                Answer::Bad | Answer::Other => count.bad_lists += 1,
+                self.serial = list.serial;
+                return Some(list);
             }
+            Answer::List(_) => counters.old_lists += 1,
+            Answer::Unusable | Answer::Foreign => counters.bad_lists += 1,
         }
-        newest
+        None
     }
 }
 
-/// Takes datagrams off a line, and tells of each whether it answers the newest query. True: more may stand there.
-fn take(line: &mut Line, buffer: &mut [u8], mut tell: impl FnMut(Answer, bool)) -> bool {
-    for _ in 0..TURN {
-        let length = match line.socket.recv(buffer) {
+/// Receives datagrams from a socket, each passed to `handle`. True: more may wait there.
+fn receive_from(socket: &mut ResolverSocket, buffer: &mut [u8], mut handle: impl FnMut(Received)) -> bool {
+    for _ in 0..DATAGRAMS_PER_ITERATION {
+        let length = match socket.socket.recv(buffer) {
             Ok(length) => length,
-            Err(e) if e.kind() == io::ErrorKind::WouldBlock => return false,
-            // Nobody is there just now: the query counts as lost in its time.
+            Err(error) if error.kind() == io::ErrorKind::WouldBlock => return false,
+            // Nobody is there just now: the query times out.
             Err(_) => continue,
         };
-        let bytes = buffer.get(..length).unwrap_or_default();
-        let id = bytes.get(..2).map(|id| u16::from_be_bytes([id[0], id[1]]));
-        let Some(at) = line.queries.iter().position(|query| Some(*query) == id) else {
-            tell(Answer::Other, false);
-            continue;
-        };
-        let query = line.queries[at];
-        let newest = at + 1 == line.queries.len();
-        let what = match directory::answer(query, bytes) {
-            Ok(list) => Answer::List(list),
-            Err(ListError::Other) => Answer::Other,
-            Err(error) => {
-                debug!(%error, "an answer of the directory can't be used");
-                Answer::Bad
-            }
-        };
-        // Answered once: what comes again under its number is no answer.
-        if !matches!(what, Answer::Other) {
-            line.queries.remove(at);
-        }
-        tell(what, newest);
+        handle(socket.read(buffer.get(..length).unwrap_or_default()));
     }
     true
 }
--- a/crates/node/src/front/closing.rs
+++ b/crates/node/src/front/closing.rs
@@ -1,157 +1,167 @@
-//! How clients' connections end: by their own side, for faults, for silence, idle, and with the process.
+//! How clients' connections end: by the client, for faults, by a time-out, idle, and with the process.
 
 use std::time::Instant;
 
-use nettleferry_engine::{CallId, ClientDisconnect};
+use nettleferry_engine::ClientDisconnect;
 use nettleferry_net::tcp::{Tcp, TcpKey};
 use nettleferry_platform::frames::{self, Code};
 use tracing::debug;
 
-use super::{ClientEvent, Front};
-use crate::limits::*;
+use super::Front;
+use super::call::ClientEvent;
+use crate::limits::{CONSECUTIVE_FAULTS, Counters, FIRST_FRAME_TIMEOUT, FRAME_TIMEOUT, RECHECK_DELAY};
 use crate::reasons::{CloseReason, EndReason};
 
 impl Front {
-    /// Counts what a connection sent amiss, and closes it when it goes on.
-    pub(super) fn fault(
+    /// Counts an unusable request or frame, and closes the connection after too many in a row.
+    pub(super) fn count_fault(
         &mut self,
         tcp: &mut Tcp,
         key: TcpKey,
         events: &mut Vec<ClientEvent>,
-        count: &mut Counters,
+        counters: &mut Counters,
     ) {
         let Some(client) = self.clients.get_mut(&key) else { return };
         client.faults += 1;
-        if client.faults > CLIENT_FAULTS {
-            self.expel(tcp, key, "too much that can't be used", events, count);
+        if client.faults > CONSECUTIVE_FAULTS {
+            self.close_for_fault(tcp, key, "too much that can't be used", events, counters);
         }
     }
 
-    /// Says why on stream 0, reads nothing more and closes: what is open there has its final answer at once.
-    pub(super) fn expel(
+    /// Reports the fault on stream 0, reads nothing more and closes: open requests get their final answers at once.
+    pub(super) fn close_for_fault(
         &mut self,
         tcp: &mut Tcp,
         key: TcpKey,
-        why: &str,
+        fault: &str,
         events: &mut Vec<ClientEvent>,
-        count: &mut Counters,
+        counters: &mut Counters,
     ) {
-        count.closed_for_faults += 1;
-        debug!(why, "a client's connection is closed");
-        self.say(tcp, key, 0, Code::Failed, why.as_bytes());
-        self.ended(tcp, key, CloseReason::Faults, events, count);
+        counters.closed_for_faults += 1;
+        debug!(conn = ?key, fault, "client connection closed for a fault");
+        self.send_answer(tcp, key, 0, Code::Failed, fault.as_bytes());
+        self.close_after_answers(tcp, key, CloseReason::Faults, events, counters);
     }
 
-    /// Nothing more comes from a client, or nothing more is read: it can't withdraw any more, and has most likely
-    /// left. So what is open there has its final answer at once, which is never wrong, and nothing of it is sent
-    /// on; the connection closes after the last answer.
-    pub fn ended(
+    /// Nothing more arrives from a client, or nothing more is read: it can't cancel any more, and has most likely
+    /// left. So its open requests get their final answers at once, which is never wrong, and nothing of them is
+    /// forwarded; the connection closes after the last answer.
+    pub fn close_after_answers(
         &mut self,
         tcp: &mut Tcp,
         key: TcpKey,
-        why: CloseReason,
+        reason: CloseReason,
         events: &mut Vec<ClientEvent>,
-        count: &mut Counters,
+        counters: &mut Counters,
     ) {
         let Some(client) = self.clients.get_mut(&key) else { return };
         if !client.closing {
-            debug!(conn = ?key, ?why, open = client.streams.len(), "a client's connection is closed");
-            count.reasons.closed(why);
+            debug!(conn = ?key, ?reason, open = client.streams.len(), "client connection closing");
+            counters.reasons.closed(reason);
         }
         client.closing = true;
-        client.began = None;
+        client.frame_began = None;
         tcp.alarm(key, None);
-        self.leave(tcp, key, events, count);
+        self.client_disconnecting(tcp, key, events, counters);
         if self.clients.get(&key).is_some_and(|client| client.streams.is_empty()) {
             self.clients.remove(&key);
             tcp.finish(key);
         }
     }
 
-    /// A client has left: what is open on its connection gets its final answer at once.
-    pub(super) fn leave(
+    /// A client's side has ended: its open requests get their final answers at once.
+    pub(super) fn client_disconnecting(
         &mut self,
         tcp: &mut Tcp,
         key: TcpKey,
         events: &mut Vec<ClientEvent>,
-        count: &mut Counters,
+        counters: &mut Counters,
     ) {
-        let Some(client) = self.clients.get_mut(&key).filter(|client| !client.ending) else { return };
-        client.ending = true;
-        debug!(conn = ?key, open = client.streams.len(), "a client's connection is ending");
-        for (stream, mark) in client.streams.clone() {
-            match self.calls.get(&mark).and_then(|call| call.call) {
-                Some(call) => events.push(ClientEvent::Left(ClientDisconnect { call, answered: true })),
-                None => self.never_opened(tcp, key, stream, mark, count),
+        let Some(client) = self.clients.get_mut(&key).filter(|client| !client.disconnecting) else { return };
+        client.disconnecting = true;
+        debug!(conn = ?key, open = client.streams.len(), "client disconnecting");
+        for (stream, token) in client.streams.clone() {
+            match self.calls.get(&token).and_then(|call| call.engine_id) {
+                Some(call) => {
+                    events.push(ClientEvent::Disconnected(ClientDisconnect { call, answered: true }))
+                }
+                None => self.refuse_unopened(tcp, key, stream, token, counters),
             }
         }
     }
 
-    /// The answer of a request that was not opened, and so never is.
-    pub(super) fn never_opened(
+    /// Refuses a request that was not opened, and so never is.
+    pub(super) fn refuse_unopened(
         &mut self,
         tcp: &mut Tcp,
         key: TcpKey,
         stream: u32,
-        mark: u64,
-        count: &mut Counters,
+        token: u64,
+        counters: &mut Counters,
     ) {
-        self.close_call(mark);
-        count.reasons.ended(EndReason::ClientEnded);
-        debug!(conn = ?key, stream, why = ?EndReason::ClientEnded, "ended");
+        self.close_call(token);
+        counters.reasons.ended(EndReason::ClientEnded);
+        debug!(conn = ?key, stream, reason = ?EndReason::ClientEnded, "request answered");
         if let Some(client) = self.clients.get_mut(&key) {
             client.streams.remove(&stream);
         }
-        self.say(tcp, key, stream, Code::Refused, b"its client's side ended: it was not run");
+        self.send_answer(tcp, key, stream, Code::Refused, b"its client's side ended: it was not run");
     }
 
-    /// A client's connection is gone.
-    pub fn closed(&mut self, key: TcpKey, events: &mut Vec<ClientEvent>, count: &mut Counters) {
+    /// A client's connection broke: nobody waits for its requests.
+    pub fn connection_closed(&mut self, key: TcpKey, events: &mut Vec<ClientEvent>, counters: &mut Counters) {
         let Some(client) = self.clients.remove(&key) else { return };
-        debug!(conn = ?key, open = client.streams.len(), "a client's connection broke");
+        debug!(conn = ?key, open = client.streams.len(), "client connection broke");
         if !client.closing {
-            count.reasons.closed(CloseReason::Broken);
+            counters.reasons.closed(CloseReason::Broken);
         }
-        for mark in client.streams.into_values() {
-            events.extend(self.close_call(mark).map(gone));
+        for token in client.streams.into_values() {
+            events.extend(self.close_call(token).map(ClientEvent::cancelled));
         }
     }
 
     pub(super) fn set_alarm(&self, tcp: &mut Tcp, key: TcpKey) {
         let Some(client) = self.clients.get(&key).filter(|c| !c.closing) else { return };
-        let frame = client.began.map(|began| began + WHOLE_FRAME);
-        let first = (!client.known).then(|| client.came + FIRST_FRAME);
+        let frame = client.frame_began.map(|began| began + FRAME_TIMEOUT);
+        let first = (!client.active).then(|| client.accepted_at + FIRST_FRAME_TIMEOUT);
         // One that is within a frame is not idle: its frame has a time of its own.
-        let idle = client.streams.is_empty() && client.began.is_none();
-        let idle = idle.then(|| client.quiet + self.idle);
+        let idle = client.streams.is_empty() && client.frame_began.is_none();
+        let idle = idle.then(|| client.idle_since + self.idle);
         tcp.alarm(key, [frame, first, idle].into_iter().flatten().min());
     }
 
-    /// A connection's alarm came due. What has come by now was read before; what comes at this very moment is seen
-    /// by a last look.
-    pub fn alarm(&mut self, tcp: &mut Tcp, key: TcpKey, events: &mut Vec<ClientEvent>, count: &mut Counters) {
+    /// A connection's alarm fired. What has arrived by now was read before; what arrives at this very moment is found
+    /// by a last check.
+    pub fn alarm_due(
+        &mut self,
+        tcp: &mut Tcp,
+        key: TcpKey,
+        events: &mut Vec<ClientEvent>,
+        counters: &mut Counters,
+    ) {
         let Some(client) = self.clients.get(&key).filter(|c| !c.closing) else { return };
         let now = Instant::now();
-        let slow = client.began.is_some_and(|began| now >= began + WHOLE_FRAME);
-        let silent = !client.known && now >= client.came + FIRST_FRAME;
-        let idle = client.streams.is_empty() && client.began.is_none() && now >= client.quiet + self.idle;
-        if !(slow || silent || idle) {
+        let slow = client.frame_began.is_some_and(|began| now >= began + FRAME_TIMEOUT);
+        let unresponsive = !client.active && now >= client.accepted_at + FIRST_FRAME_TIMEOUT;
+        let idle =
+            client.streams.is_empty() && client.frame_began.is_none() && now >= client.idle_since + self.idle;
+        if !(slow || unresponsive || idle) {
             self.set_alarm(tcp, key);
         } else if !tcp.silent(key) {
-            // It is told in the next turn, and judged anew after it.
-            tcp.alarm(key, Some(now + LAST_LOOK));
-        } else if slow || silent {
-            count.closed_for_silence += 1;
-            self.say(tcp, key, 0, Code::Failed, b"nothing whole came in time");
-            self.ended(tcp, key, CloseReason::Silent, events, count);
+            // It is read in the next iteration, and judged again after it.
+            tcp.alarm(key, Some(now + RECHECK_DELAY));
+        } else if slow || unresponsive {
+            counters.closed_for_silence += 1;
+            self.send_answer(tcp, key, 0, Code::Failed, b"nothing whole came in time");
+            self.close_after_answers(tcp, key, CloseReason::Unresponsive, events, counters);
         } else {
-            count.closed_idle += 1;
-            self.ended(tcp, key, CloseReason::Idle, events, count);
+            counters.closed_idle += 1;
+            self.close_after_answers(tcp, key, CloseReason::Idle, events, counters);
         }
     }
 
-    /// Asks clients for no new requests on the connections that stand. What comes all the same is served.
-    pub fn go_away(&mut self, tcp: &mut Tcp) {
+    /// Asks clients to open no new requests on the connections that stand. What arrives all the same is served.
+    pub fn announce_shutdown(&mut self, tcp: &mut Tcp) {
         self.draining = true;
         for key in self.clients.keys().copied().collect::<Vec<_>>() {
             self.send_go_away(tcp, key);
@@ -168,8 +178,3 @@
         tcp.send(key, &self.buffer);
     }
 }
-
-/// Its client waits no longer: no answer is owed.
-pub(super) fn gone(call: CallId) -> ClientEvent {
-    ClientEvent::Left(ClientDisconnect { call, answered: false })
-}
--- /dev/null
+++ b/crates/node/src/front/eviction.rs
@@ -0,0 +1,60 @@
+//! Which client's connection is evicted for a new one.
+
+use std::time::Instant;
+
+use nettleferry_net::tcp::{Tcp, TcpKey};
+use tracing::debug;
+
+use super::Front;
+use super::client::{EvictionOrder, EvictionRank};
+use crate::guard::may_close;
+use crate::limits::{Counters, EVICTION_CANDIDATES};
+use crate::reasons::CloseReason;
+
+/// A connection that may be evicted.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct Candidate {
+    rank: EvictionRank,
+    key: TcpKey,
+}
+
+impl Front {
+    /// The connection to evict, of those whose state is no later in the order than `last`: see [`EvictionOrder`]. Never
+    /// one that waits for an answer or has not taken one, and none whose request has arrived unread, which its client
+    /// would see reset.
+    pub(super) fn eviction_candidate(&self, tcp: &mut Tcp, last: EvictionOrder) -> Option<TcpKey> {
+        let now = Instant::now();
+        let unused = self.clients.iter().filter(|(_, client)| client.streams.is_empty() && !client.closing);
+        let mut candidates: Vec<Candidate> = unused
+            .map(|(key, client)| Candidate { rank: client.eviction_rank(now), key: *key })
+            .filter(|candidate| candidate.rank.order <= last)
+            .collect();
+        candidates.sort_unstable();
+        let mut examined = candidates.into_iter().take(EVICTION_CANDIDATES);
+        // What stands read and not yet judged counts as well.
+        examined
+            .find(|Candidate { rank, key }| {
+                let within_frame =
+                    matches!(rank.order, EvictionOrder::StalledFrame | EvictionOrder::WithinFrame);
+                let unread = !within_frame && tcp.input(*key).is_some_and(|input| !input.is_empty());
+                let answers_taken = tcp.flush(*key);
+                answers_taken && !unread && tcp.silent(*key)
+            })
+            .map(|candidate| candidate.key)
+    }
+
+    /// Closes a connection for a new one, unless an answer would be lost with it.
+    pub(super) fn evict(&mut self, tcp: &mut Tcp, key: TcpKey, counters: &mut Counters) {
+        let Some(client) = self.clients.get(&key) else { return };
+        if let Err(violation) = may_close(client.streams.len(), tcp.unsent(key)) {
+            return counters.violations.report(violation, &key);
+        }
+        let now = Instant::now();
+        let EvictionRank { order, since } = client.eviction_rank(now);
+        debug!(conn = ?key, ?order, age = ?now - since, "client connection evicted for a new one");
+        self.clients.remove(&key);
+        counters.made_room += 1;
+        counters.reasons.closed(CloseReason::Evicted);
+        tcp.close(key);
+    }
+}
--- a/crates/node/src/front/tests.rs
+++ b/crates/node/src/front/tests.rs
@@ -1,11 +1,12 @@
 //! Clients' connections about the end of their idle time, which is short here.
 
-use super::*;
-
 use std::io::{Read, Write};
 use std::net::TcpStream;
 
 use nettleferry_net::tcp::{TcpEvent, TcpLimits};
+use nettleferry_platform::frames::kind;
+
+use super::*;
 
 /// No wait of these tests is longer; each is for an event.
 const PATIENCE: Duration = Duration::from_secs(20);
@@ -17,7 +18,7 @@
     client: TcpStream,
     key: Option<TcpKey>,
     events: Vec<ClientEvent>,
-    count: Counters,
+    counters: Counters,
 }
 
 impl Stand {
@@ -30,12 +31,12 @@
         let client = TcpStream::connect(address).expect("it listens");
         client.set_nodelay(true).expect("set");
         client.set_read_timeout(Some(PATIENCE)).expect("set");
-        let (events, count) = (Vec::new(), Counters::default());
-        let mut stand = Self { tcp, front, client, key: None, events, count };
+        let (events, counters) = (Vec::new(), Counters::default());
+        let mut stand = Self { tcp, front, client, key: None, events, counters };
         let mut ready = Vec::new();
         frames::bare(&mut ready, kind::READY, 0);
         stand.client.write_all(&ready).expect("written");
-        stand.until(|stand| stand.key.is_some_and(|key| stand.front.clients[&key].known));
+        stand.until(|stand| stand.key.is_some_and(|key| stand.front.clients[&key].active));
         stand
     }
 
@@ -45,16 +46,18 @@
         for event in happened {
             match event {
                 TcpEvent::Accepted(key) => {
-                    self.front.accepted(&mut self.tcp, key, &mut self.count);
+                    self.front.accepted(&mut self.tcp, key, &mut self.counters);
                     self.key = Some(key);
                 }
                 TcpEvent::Data(key) => {
-                    self.front.data(&mut self.tcp, key, &mut self.events, &mut self.count);
+                    self.front.data(&mut self.tcp, key, &mut self.events, &mut self.counters);
                 }
                 TcpEvent::Alarm(key) => {
-                    self.front.alarm(&mut self.tcp, key, &mut self.events, &mut self.count);
+                    self.front.alarm_due(&mut self.tcp, key, &mut self.events, &mut self.counters);
+                }
+                TcpEvent::Closed(key, _) => {
+                    self.front.connection_closed(key, &mut self.events, &mut self.counters)
                 }
-                TcpEvent::Closed(key, _) => self.front.closed(key, &mut self.events, &mut self.count),
                 _ => {}
             }
         }
@@ -88,7 +91,7 @@
 fn a_connection_without_a_request_is_closed_when_its_idle_time_is_over() {
     let mut stand = Stand::new();
     stand.idle_for(Duration::from_millis(10));
-    stand.until(|stand| stand.count.closed_idle == 1);
+    stand.until(|stand| stand.counters.closed_idle == 1);
     stand.tcp.flush_all();
     let mut rest = Vec::new();
     stand.client.read_to_end(&mut rest).expect("ended in order");
@@ -101,16 +104,16 @@
     let whole = request();
     let (half, rest) = whole.split_at(whole.len() / 2);
     stand.client.write_all(half).expect("written");
-    stand.until(|stand| stand.front.clients[&stand.key.expect("connected")].began.is_some());
+    stand.until(|stand| stand.front.clients[&stand.key.expect("connected")].frame_began.is_some());
     // By this clock it has been idle for long.
     stand.idle_for(Duration::ZERO);
     let key = stand.key.expect("connected");
-    stand.front.alarm(&mut stand.tcp, key, &mut stand.events, &mut stand.count);
+    stand.front.alarm_due(&mut stand.tcp, key, &mut stand.events, &mut stand.counters);
     stand.turn();
     stand.client.write_all(rest).expect("still open");
     stand.until(|stand| !stand.events.is_empty());
     assert!(matches!(stand.events[..], [ClientEvent::Request(_)]));
-    assert_eq!((stand.count.closed_idle, stand.count.closed_for_silence), (0, 0));
+    assert_eq!((stand.counters.closed_idle, stand.counters.closed_for_silence), (0, 0));
 }
 
 #[test]
@@ -120,17 +123,17 @@
     stand.client.write_all(&request()).expect("written");
     // Its alarm is acted on before a turn has told of the request: a last look finds it.
     let key = stand.key.expect("connected");
-    stand.front.alarm(&mut stand.tcp, key, &mut stand.events, &mut stand.count);
+    stand.front.alarm_due(&mut stand.tcp, key, &mut stand.events, &mut stand.counters);
     stand.until(|stand| !stand.events.is_empty());
     assert!(matches!(stand.events[..], [ClientEvent::Request(_)]));
-    assert_eq!(stand.count.closed_idle, 0);
+    assert_eq!(stand.counters.closed_idle, 0);
 }
 
 #[test]
 fn a_connection_that_has_not_taken_its_answers_makes_no_room() {
     let mut stand = Stand::new();
     let key = stand.key.expect("connected");
-    let idle = |stand: &mut Stand| stand.front.makes_room(&mut stand.tcp, Yields::Within);
+    let idle = |stand: &mut Stand| stand.front.eviction_candidate(&mut stand.tcp, EvictionOrder::WithinFrame);
     assert_eq!(idle(&mut stand), Some(key), "it is idle");
     // Until the system takes no more of what its client does not read.
     let answer = vec![0; 256 << 10];
@@ -139,5 +142,5 @@
         stand.tcp.flush(key);
     }
     assert_eq!(idle(&mut stand), None);
-    assert_eq!(stand.count.violations.total(), 0);
+    assert_eq!(stand.counters.violations.total(), 0);
 }
--- /dev/null
+++ b/crates/node/src/front/validation.rs
@@ -0,0 +1,180 @@
+//! Validates a client's request and takes it in.
+
+use std::num::ParseIntError;
+use std::sync::Arc;
+
+use bytes::Bytes;
+use nettleferry::{ClassId, TenantId};
+use nettleferry_platform::frames::Code;
+use nettleferry_platform::request::{Request, RequestError};
+use tracing::debug;
+
+use super::Front;
+use super::call::{Call, IncomingRequest, RequestOrigin};
+use crate::attempt_history::AttemptHistory;
+use crate::limits::{Counters, MAX_TTL_FACTOR};
+
+/// Why a request is not taken in. Its text is the answer that the client gets.
+#[derive(Debug, thiserror::Error)]
+pub(super) enum RequestRejected {
+    #[error(transparent)]
+    Unreadable(#[from] RequestError),
+    #[error("there is no such class")]
+    UnknownClass,
+    #[error("its class or key can't be named to an invoker")]
+    NotForwardable,
+    #[error("ttl is far longer than the class's deadline")]
+    TtlTooLong,
+    #[error(transparent)]
+    InvalidId(#[from] ParseIntError),
+    #[error("this id is open already")]
+    DuplicateId,
+    #[error("there is no such tenant")]
+    UnknownTenant,
+    #[error("too many bytes are held")]
+    TooManyBytes,
+}
+
+impl RequestRejected {
+    /// The code of its answer. The first request with a duplicate id may run: a refusal would state that a retry is
+    /// harmless.
+    pub(super) fn code(&self) -> Code {
+        match self {
+            Self::TooManyBytes => Code::Refused,
+            _ => Code::Failed,
+        }
+    }
+
+    fn count(&self, counters: &mut Counters) {
+        match self {
+            Self::DuplicateId => counters.ids_open += 1,
+            Self::TooManyBytes => counters.over_bodies += 1,
+            _ => counters.bad_requests += 1,
+        }
+    }
+}
+
+/// What the checks of a request have found.
+struct ValidRequest {
+    class: ClassId,
+    tenant: Option<TenantId>,
+    id: u64,
+    /// No longer than its class's deadline.
+    ttl_ms: f64,
+}
+
+impl Front {
+    /// Takes in a request that can be used.
+    pub(super) fn accept_request(
+        &mut self,
+        origin: RequestOrigin,
+        payload: &[u8],
+        counters: &mut Counters,
+    ) -> Result<IncomingRequest, RequestRejected> {
+        let checked = Request::read(payload).map_err(RequestRejected::from);
+        let checked = checked.and_then(|request| Ok((self.validate(&request, counters)?, request)));
+        match checked {
+            Ok((valid, request)) => Ok(self.register(origin, &valid, &request)),
+            Err(rejected) => {
+                rejected.count(counters);
+                Err(rejected)
+            }
+        }
+    }
+
+    fn validate(&self, request: &Request, counters: &mut Counters) -> Result<ValidRequest, RequestRejected> {
+        let class = self.classes.get(request.op).copied().ok_or(RequestRejected::UnknownClass)?;
+        if !is_plain(request.op) || !request.dedupe.is_none_or(is_plain) {
+            return Err(RequestRejected::NotForwardable);
+        }
+        // A client counts from its own clock, and one that sends early has longer than its class: it is no worse a client
+        // for it. Rejected, such requests failed untried, and nine of them ended their connection under all others.
+        let deadline = self.deadlines.get(class.0).copied().unwrap_or(0.0);
+        if request.ttl_ms > deadline * MAX_TTL_FACTOR {
+            return Err(RequestRejected::TtlTooLong);
+        }
+        counters.over_deadline += u64::from(request.ttl_ms > deadline);
+        let id = u64::from_str_radix(request.call, 16)?;
+        if self.ids.contains(&id) {
+            return Err(RequestRejected::DuplicateId);
+        }
+        let tenant = self.tenant_of(request)?;
+        if self.body_bytes + request.body.len() > self.bounds.body_bytes {
+            return Err(RequestRejected::TooManyBytes);
+        }
+        Ok(ValidRequest { class, tenant, id, ttl_ms: request.ttl_ms.min(deadline) })
+    }
+
+    /// Where there are tenants, one that the settings do not know is no customer of this controller.
+    fn tenant_of(&self, request: &Request) -> Result<Option<TenantId>, RequestRejected> {
+        let Some(org) = request.org.filter(|_| !self.tenants.is_empty()) else { return Ok(None) };
+        let tenant = self.tenants.get(org).copied();
+        tenant.map(Some).ok_or(RequestRejected::UnknownTenant)
+    }
+
+    fn register(
+        &mut self,
+        origin: RequestOrigin,
+        valid: &ValidRequest,
+        request: &Request,
+    ) -> IncomingRequest {
+        let RequestOrigin { connection, stream, arrived } = origin;
+        self.last_token += 1;
+        let token = self.last_token;
+        debug!(
+            conn = ?connection,
+            stream,
+            waited = ?arrived.elapsed(),
+            id = request.call,
+            op = request.op,
+            function = request.row,
+            ttl = request.ttl_ms,
+            bytes = request.body.len(),
+            "request accepted"
+        );
+        self.ids.insert(valid.id);
+        self.body_bytes += request.body.len();
+        let function: Arc<str> = request.row.into();
+        let call = Call {
+            connection,
+            stream,
+            id: valid.id,
+            body_bytes: request.body.len(),
+            engine_id: None,
+            name: request.call.into(),
+            class: valid.class,
+            function: Arc::clone(&function),
+            key: request.dedupe.map(Arc::from),
+            attempts: AttemptHistory::default(),
+            last_end: None,
+        };
+        self.calls.insert(token, call);
+        if let Some(client) = self.clients.get_mut(&connection) {
+            client.streams.insert(stream, token);
+            client.active = true;
+        }
+        IncomingRequest {
+            token,
+            class: valid.class,
+            function,
+            tenant: valid.tenant,
+            repeat: request.repeat,
+            cost_hint: request.work_ms.map(microseconds),
+            arrived,
+            time_left: microseconds(valid.ttl_ms),
+            lanes: request.lanes.unwrap_or(1),
+            load_time: request.load_ms.map(microseconds),
+            body: Bytes::copy_from_slice(request.body),
+        }
+    }
+}
+
+/// Whether a text can be passed on as a field. One with a separator of the fields' own form would be read as other
+/// fields, and invokers close on that.
+fn is_plain(text: &str) -> bool {
+    !text.contains([',', '='])
+}
+
+fn microseconds(milliseconds: f64) -> u64 {
+    (milliseconds * 1000.0) as u64
+}
--- a/crates/node/src/guard.rs
+++ b/crates/node/src/guard.rs
@@ -1,8 +1,8 @@
-//! The platform's rules as invariants, checked at run time where each could be broken: where a request is sent or sent
-//! again, where it is answered, where a client's connection is closed, and where the process ends.
+//! The platform's rules as invariants, checked at run time where each could be broken: where a request is sent or
+//! retried, where it is answered, where a client's connection is closed, and where the process ends.
 //!
-//! The checks repeat nothing that decides: a decision that keeps its rules never meets them. What would break a rule is
-//! not done; it is counted by its kind and logged with its ids.
+//! The checks make no decision: one that keeps its rules never fails them. An action that would break a rule is not
+//! taken; it is counted by its kind and logged with its ids.
 
 use std::fmt;
 use std::time::Instant;
@@ -10,30 +10,30 @@
 use nettleferry::Effect;
 use tracing::error;
 
-/// An invariant that something was about to break.
+/// An invariant that an action was about to break.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Violation {
-    /// A request whose client has left was about to be sent.
+    /// A request whose client has disconnected was about to be sent.
     SendAfterClientLeft,
-    /// A request whose time is over was about to be sent.
+    /// A request whose deadline has passed was about to be sent.
     SendAfterDeadline,
-    /// A request was about to be sent to a worker that takes nothing new.
+    /// A request was about to be sent to a worker that is not in service.
     SendOutOfService,
-    /// A request was about to be sent while an attempt of it was out.
+    /// A request was about to be sent while an attempt of it was in flight.
     OverlappingAttempt,
-    /// A request that may have run, and may run once, was about to be sent again.
-    RepeatAfterEffect,
-    /// A keyed request was about to be sent again after repeats are no longer dropped.
-    RepeatAfterWindow,
-    /// A request that may have run, and may run once, was about to be refused: as if a new try did no harm.
+    /// A request that may have run, and must not run twice, was about to be retried.
+    RetryAfterEffect,
+    /// A request with an idempotency key was about to be retried after the span in which duplicates are dropped.
+    RetryAfterWindow,
+    /// A request that may have run, and must not run twice, was about to be refused, which states that a retry is harmless.
     RefusedAfterEffect,
-    /// An answer came for a request that has none to get.
-    AnswerForNobody,
-    /// A connection was about to be closed under a request without an answer.
+    /// An answer was about to be given to a request that is not open.
+    AnswerWithoutRequest,
+    /// A connection was about to be closed with an unanswered request open.
     CloseUnderRequest,
     /// A connection was about to be closed before the system had taken its answers.
     CloseBeforeAnswer,
-    /// The process was about to end with requests without an answer.
+    /// The process was about to end with unanswered requests.
     EndWithRequests,
 }
 
@@ -44,10 +44,10 @@
         Self::SendAfterDeadline,
         Self::SendOutOfService,
         Self::OverlappingAttempt,
-        Self::RepeatAfterEffect,
-        Self::RepeatAfterWindow,
+        Self::RetryAfterEffect,
+        Self::RetryAfterWindow,
         Self::RefusedAfterEffect,
-        Self::AnswerForNobody,
+        Self::AnswerWithoutRequest,
         Self::CloseUnderRequest,
         Self::CloseBeforeAnswer,
         Self::EndWithRequests,
@@ -62,15 +62,15 @@
     /// Counts one and logs it. `subject`: the request's id or the connection.
     pub fn report(&mut self, violation: Violation, subject: &dyn fmt::Debug) {
         self.0[violation as usize] += 1;
-        error!(?violation, ?subject, "invariant broken: it is not done");
+        error!(?violation, ?subject, "invariant broken, action not taken");
     }
 
-    /// Of one kind.
+    /// Violations of one kind.
     pub fn of(&self, violation: Violation) -> u64 {
         self.0[violation as usize]
     }
 
-    /// Of all kinds.
+    /// Violations of all kinds.
     pub fn total(&self) -> u64 {
         self.0.iter().sum()
     }
@@ -83,69 +83,86 @@
     }
 }
 
-/// What is known of a request that is about to be sent.
+/// What is known of a request of which an attempt is about to start.
 #[derive(Clone, Copy, Debug)]
-pub struct Sending {
-    /// An attempt of it is out.
-    pub out: bool,
+pub struct AttemptCheck {
+    /// An attempt of it is in flight.
+    pub in_flight: bool,
     /// An attempt of it may have run.
     pub may_have_run: bool,
-    /// What a repeat does.
+    /// What a second run would do.
     pub effect: Effect,
 }
 
-impl Sending {
-    /// The invariant that sending it would break.
-    pub fn check(&self) -> Result<(), Violation> {
-        if self.out {
+impl AttemptCheck {
+    /// Checks that an attempt may start.
+    ///
+    /// # Errors
+    ///
+    /// The invariant that it would break.
+    pub fn run(&self) -> Result<(), Violation> {
+        if self.in_flight {
             return Err(Violation::OverlappingAttempt);
         }
         if self.may_have_run && self.effect == Effect::Unsafe {
-            return Err(Violation::RepeatAfterEffect);
+            return Err(Violation::RetryAfterEffect);
         }
         Ok(())
     }
 }
 
-/// What is known of a command in the moment in which its bytes are handed on.
+/// What is known of an attempt in the moment in which its bytes are written.
 #[derive(Clone, Copy, Debug)]
-pub struct Leaving {
+pub struct WriteCheck {
     /// Its client still waits.
     pub awaited: bool,
-    /// Its worker takes something new.
+    /// Its worker accepts new requests.
     pub in_service: bool,
     /// Until when its client waits.
-    pub until: Instant,
-    /// Until when a repeat of it is dropped, where that matters.
-    pub leave_by: Option<Instant>,
+    pub deadline: Instant,
+    /// Until when a duplicate of it is dropped, where that matters.
+    pub send_by: Option<Instant>,
 }
 
-impl Leaving {
-    /// The invariant that handing it on would break.
-    pub fn check(&self, now: Instant) -> Result<(), Violation> {
+impl WriteCheck {
+    /// Checks that it may be written.
+    ///
+    /// # Errors
+    ///
+    /// The invariant that it would break.
+    pub fn run(&self, now: Instant) -> Result<(), Violation> {
         if !self.awaited {
             return Err(Violation::SendAfterClientLeft);
         }
         if !self.in_service {
             return Err(Violation::SendOutOfService);
         }
-        if self.until <= now {
+        if self.deadline <= now {
             return Err(Violation::SendAfterDeadline);
         }
-        if self.leave_by.is_some_and(|by| by <= now) {
-            return Err(Violation::RepeatAfterWindow);
+        if self.send_by.is_some_and(|send_by| send_by <= now) {
+            return Err(Violation::RetryAfterWindow);
         }
         Ok(())
     }
 }
 
-/// May a request that may have run be refused, as if a new try did no harm?
+/// Checks that a request may be refused, which states that a retry is harmless.
+///
+/// # Errors
+///
+/// It may have run, and a second run is not harmless.
 pub fn may_refuse(may_have_run: bool, effect: Effect) -> Result<(), Violation> {
     let harmless = matches!(effect, Effect::Safe | Effect::Keyed { group: nettleferry::Group::All, .. });
     if may_have_run && !harmless { Err(Violation::RefusedAfterEffect) } else { Ok(()) }
 }
 
-/// May a client's connection be closed, with so many requests open and so many bytes that the system has not taken?
+/// Checks that a client's connection may be closed, with so many requests open and so many bytes that the system has not
+/// accepted yet.
+///
+/// # Errors
+///
+/// An answer would be lost.
 pub fn may_close(open: usize, unsent: usize) -> Result<(), Violation> {
     if open > 0 {
         return Err(Violation::CloseUnderRequest);
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,24 +1,27 @@
-//! The real controller on the platform: what `run` in `deploy/balancer.toml` starts.
+//! The controller on the users' platform: what `run` in `deploy/balancer.toml` starts.
 //!
-//! May know: `platform` (the wire), `net` (plain TCP), `engine`. Must not know: HTTP/2, administration,
-//! decisions. One thread, one poll.
+//! Depends on `platform` (the wire), `net` (plain TCP) and `engine`. Leaves to others: HTTP/2, administration, decisions.
+//! One thread, one poll.
 //!
-//! * [`node`]: the loop and the wiring. [`front`]: towards clients. [`links`]: towards invokers.
-//! * [`guard`]: the rules as invariants, checked at run time. [`repeat`]: the attempts of one request.
-//! * [`reasons`]: why requests and connections ended, counted.
-//! * [`directory`]: asks for the list of invokers. [`starts`]: their starts in our own time. [`limits`]: every bound, and its counter.
+//! * [`node`]: the event loop. [`front`]: towards clients. [`pools`]: towards invokers.
+//! * [`guard`]: the platform's rules as invariants, checked at run time. [`attempt_history`]: the attempts of a request.
+//! * [`reasons`]: why requests and connections ended, counted. [`limits`]: every bound, and its counter.
+//! * [`directory`]: polls the list of invokers. [`start_times`]: their start times on this process's clock.
+//! * [`error`]: why a node can't start or go on.
 
 #![forbid(unsafe_code)]
-#![deny(missing_docs)]
 
+pub mod attempt_history;
+mod class;
 pub mod directory;
+pub mod error;
 pub mod front;
 pub mod guard;
 pub mod limits;
-pub mod links;
 pub mod node;
+pub mod pools;
 pub mod reasons;
-pub mod repeat;
-pub mod starts;
+pub mod start_times;
 
-pub use node::{Node, NodeError};
+pub use error::NodeError;
+pub use node::Node;
--- /dev/null
+++ b/crates/node/src/node/dispatch.rs
@@ -0,0 +1,167 @@
+//! From the sockets to the engine: what one iteration read, and the order in which it is acted on.
+
+use std::collections::BTreeSet;
+use std::sync::Arc;
+use std::time::Instant;
+
+use nettleferry::ListForm;
+use nettleferry_engine::{ClientDisconnect, Event, FinalAnswer, NewCall, Refusal};
+use nettleferry_net::tcp::{Gone, TcpEvent, TcpKey};
+use tracing::info;
+
+use super::{Node, PendingEvents, SIGNALS};
+use crate::front::{ClientEvent, IncomingRequest};
+use crate::limits::{OPENS_PER_ITERATION, time_before_kill};
+use crate::reasons::{CloseReason, EndReason};
+
+/// The answer of a request that arrived with no time left.
+const NO_TIME_LEFT: FinalAnswer = FinalAnswer::Refused { reason: Refusal::NoRoom, retry_after: None };
+
+impl Node {
+    /// Reads what the events brought; nothing is decided or forwarded yet.
+    pub(super) fn read_events(&mut self, mut events: Vec<TcpEvent>) -> PendingEvents {
+        let mut pending = PendingEvents { list: self.discovery.has_more(), ..PendingEvents::default() };
+        // Connections accepted just now last: at the bound they evict others, by what was read of those.
+        let new: BTreeSet<TcpKey> = events.iter().filter_map(accepted).collect();
+        let is_new = |event: &TcpEvent| event.key().is_some_and(|key| new.contains(&key));
+        for event in events.iter().filter(|event| !is_new(event)) {
+            self.read_event(*event, &mut pending);
+        }
+        for event in events.drain(..).filter(is_new) {
+            self.read_event(event, &mut pending);
+        }
+        self.tcp_events = events;
+        pending
+    }
+
+    fn read_event(&mut self, event: TcpEvent, pending: &mut PendingEvents) {
+        let (tcp, counters) = (&mut self.tcp, &mut self.counters);
+        let (client_events, engine_events) = (&mut self.client_events, &mut self.engine_events);
+        let client = event.key().is_some_and(|key| self.front.owns(key));
+        if client && matches!(event, TcpEvent::Data(_)) || matches!(event, TcpEvent::Accepted(_)) {
+            self.last_client_activity = Instant::now();
+        }
+        match event {
+            TcpEvent::Accepted(key) => self.front.accepted(tcp, key, counters),
+            TcpEvent::Data(key) if client => self.front.data(tcp, key, client_events, counters),
+            TcpEvent::Alarm(key) if client => self.front.alarm_due(tcp, key, client_events, counters),
+            TcpEvent::Ended(key) if client => {
+                let reason = CloseReason::ClientEnded;
+                self.front.close_after_answers(tcp, key, reason, client_events, counters);
+            }
+            TcpEvent::Closed(key, _) if client => self.front.connection_closed(key, client_events, counters),
+            TcpEvent::Connected(key) => pending.connected.push(key),
+            TcpEvent::Data(key) => self.pools.data(tcp, key, engine_events, counters),
+            TcpEvent::Alarm(key) => self.pools.alarm_due(tcp, key, engine_events, counters),
+            TcpEvent::Ended(key) => {
+                self.pools.connection_closed(tcp, key, Gone::Broken, engine_events);
+                tcp.close(key);
+            }
+            TcpEvent::Closed(key, reason) => self.pools.connection_closed(tcp, key, reason, engine_events),
+            TcpEvent::Source(SIGNALS) => self.handle_signals(),
+            TcpEvent::Source(_) => pending.list = true,
+        }
+    }
+
+    /// Acts on what one iteration read; the order is explained at [`Node::iterate`].
+    pub(super) fn dispatch(&mut self, pending: PendingEvents) {
+        self.dispatch_client_events();
+        if pending.list {
+            self.dispatch_list();
+        }
+        self.run_engine();
+        for key in pending.connected {
+            let (is_awaited, now) = (|call| self.front.is_awaited(call), self.clock.now());
+            let (events, counters) = (&mut self.engine_events, &mut self.counters);
+            self.pools.connected(&mut self.tcp, key, now, is_awaited, events, counters);
+            self.run_engine();
+        }
+        if !self.requests.is_empty() {
+            self.dispatch_requests();
+        }
+    }
+
+    fn dispatch_client_events(&mut self) {
+        let mut clients = Vec::new();
+        for event in self.client_events.drain(..) {
+            match event {
+                // One whose connection broke since can't be answered.
+                ClientEvent::Disconnected(client) => {
+                    let answered = client.answered && self.front.is_awaited(client.call);
+                    clients.push(ClientDisconnect { answered, ..client });
+                }
+                ClientEvent::Request(request) => self.requests.push_back(request),
+            }
+        }
+        if !clients.is_empty() {
+            self.send_to_engine(Event::ClientsDisconnected { clients });
+        }
+    }
+
+    fn dispatch_list(&mut self) {
+        let Some(list) = self.discovery.receive(&mut self.counters) else { return };
+        info!(serial = list.serial, invokers = list.invokers.len(), "invoker list changed");
+        self.apply_list(ListForm::Complete, &list);
+    }
+
+    fn dispatch_requests(&mut self) {
+        self.send_to_engine(Event::Tick);
+        self.run_engine();
+        self.tcp.flush_all();
+        // What was cancelled since it was read waits for nothing: a flood of such would hold up all that arrives behind
+        // it, and never be worked off.
+        self.requests.retain(|request| self.front.is_waiting(request.token));
+        let batch = self.requests.len().min(OPENS_PER_ITERATION);
+        for request in self.requests.drain(..batch).collect::<Vec<_>>() {
+            self.open_request(request);
+        }
+        self.run_engine();
+    }
+
+    fn open_request(&mut self, request: IncomingRequest) {
+        let token = request.token;
+        if !self.front.is_waiting(token) {
+            return;
+        }
+        let waited = request.arrived.elapsed().as_micros() as u64;
+        self.counters.longest_read_delay = self.counters.longest_read_delay.max(waited);
+        let time_left = self.limit_to_kill(request.time_left.saturating_sub(waited));
+        if time_left == 0 {
+            // It could not be answered after an attempt: a retry elsewhere is harmless.
+            let (tcp, counters) = (&mut self.tcp, &mut self.counters);
+            let reason = EndReason::NoTime;
+            return self.front.answer_with_reason(tcp, token, &NO_TIME_LEFT, reason, counters);
+        }
+        let new_call = NewCall {
+            front: token,
+            class: request.class,
+            tenant: request.tenant,
+            model: request.function,
+            version: Arc::from(""),
+            time_left,
+            cost_hint: request.cost_hint,
+            lanes: request.lanes,
+            load_time: request.load_time,
+            repeat: request.repeat,
+            group: 0,
+            streamed: false,
+            body: request.body,
+        };
+        let call = self.engine.open(self.clock.now(), new_call, &mut self.commands);
+        self.front.opened(token, call);
+        self.execute_commands();
+    }
+
+    /// The time that a call has, microseconds: what its client gives it, and after SIGTERM no more than is left until the
+    /// platform kills this process. What arrives so late has little of it, and its answer all the same.
+    fn limit_to_kill(&mut self, time_left: u64) -> u64 {
+        let Some(since) = self.draining_since else { return time_left };
+        let limited = time_before_kill(since, Instant::now(), self.longest_deadline, time_left);
+        self.counters.after_end += u64::from(limited < time_left);
+        limited
+    }
+}
+
+fn accepted(event: &TcpEvent) -> Option<TcpKey> {
+    if let TcpEvent::Accepted(key) = event { Some(*key) } else { None }
+}
--- /dev/null
+++ b/crates/node/src/node/execute.rs
@@ -0,0 +1,131 @@
+//! From the engine to the sockets: executes its commands, each checked against the invariants of [`crate::guard`].
+
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+use bytes::Bytes;
+use nettleferry::{Effect, WorkerId};
+use nettleferry_engine::{AttemptEnd, AttemptId, AttemptReport, Cause, Command, Event, FinalAnswer};
+use tracing::{debug, info};
+
+use super::Node;
+use crate::guard::{self, AttemptCheck, Violation};
+use crate::pools::{Attempt, LoadOrder};
+use crate::reasons::RetryReason;
+
+impl Node {
+    pub(super) fn execute_commands(&mut self) {
+        let mut commands = std::mem::take(&mut self.commands);
+        for command in commands.drain(..) {
+            self.execute(command);
+        }
+        // No command adds another one: the allocation is kept.
+        self.commands = commands;
+    }
+
+    fn execute(&mut self, command: Command) {
+        let (tcp, events, counters) = (&mut self.tcp, &mut self.engine_events, &mut self.counters);
+        match command {
+            Command::Start { attempt, worker, time_left, body, .. } => {
+                self.start_attempt(attempt, worker, Duration::from_micros(time_left), body);
+            }
+            Command::Abandon { attempt } => self.pools.abandon(tcp, attempt),
+            Command::Cancel { attempt } => self.cancel_attempt(attempt),
+            Command::Answer { front, answer, .. } => {
+                let answer = self.checked_answer(front, answer);
+                self.front.answer(&mut self.tcp, front, &answer, &mut self.counters);
+            }
+            Command::Load { request_id, worker, model, copies, .. } => {
+                let order = LoadOrder { id: request_id, function: &model, replicas: copies };
+                self.pools.load(tcp, worker, order, events, counters);
+            }
+            Command::CancelLoad { request_id } => self.pools.cancel_load(tcp, request_id, events),
+            Command::Unload { worker, model, .. } => self.pools.unload(tcp, worker, &model),
+            Command::Probe { request_id, worker } => {
+                self.pools.probe(tcp, worker, request_id, events, counters);
+            }
+            Command::ForgetControlRequest { request_id } => self.pools.forget(tcp, request_id),
+            Command::WatchList | Command::FetchList => self.discovery.query_now(),
+            Command::Log(line) => info!("{line}"),
+            // Answers here arrive complete: no parts, nothing to hold back.
+            Command::ResponsePart { .. } | Command::Pause { .. } | Command::Resume { .. } => {}
+        }
+    }
+
+    fn start_attempt(&mut self, id: AttemptId, worker: WorkerId, time_left: Duration, body: Bytes) {
+        let Some(call) = self.front.call_mut(id.call) else {
+            // Its client has left, and the engine learns of it next.
+            return self.attempt_not_started(id);
+        };
+        let Some(class) = self.classes.get(call.class.0).cloned() else {
+            return self.attempt_not_started(id);
+        };
+        let check = AttemptCheck {
+            in_flight: call.attempts.is_pending(),
+            may_have_run: call.attempts.may_have_run(),
+            effect: class.effect,
+        };
+        if let Err(violation) = check.run() {
+            self.counters.violations.report(violation, &call.name);
+            return self.attempt_not_started(id);
+        }
+        if let Some(after) = call.last_end {
+            self.counters.reasons.retried(after);
+            debug!(id = %call.name, attempt = id.number, ?after, "request retried");
+        }
+        let now = Instant::now();
+        let attempt = Attempt {
+            id,
+            call_id: Arc::clone(&call.name),
+            class: class.name,
+            function: Arc::clone(&call.function),
+            key: call.key.clone(),
+            deadline: now + time_left,
+            send_by: call.attempts.start(now, class.window),
+            body,
+        };
+        let (events, counters) = (&mut self.engine_events, &mut self.counters);
+        self.pools.start(&mut self.tcp, worker, attempt, events, counters);
+    }
+
+    fn attempt_not_started(&mut self, attempt: AttemptId) {
+        let (end, report) = (AttemptEnd::Cancelled, AttemptReport::default());
+        self.engine_events.push(Event::AttemptEnded { attempt, end, report });
+    }
+
+    fn cancel_attempt(&mut self, attempt: AttemptId) {
+        if let Some(call) = self.front.call_mut(attempt.call) {
+            call.attempts.ended(false);
+            call.last_end = Some(RetryReason::Cancelled);
+        }
+        self.pools.cancel(&mut self.tcp, attempt, &mut self.engine_events, &mut self.counters);
+    }
+
+    /// Keeps the history of a call's attempts, before the engine learns that one has ended.
+    pub(super) fn record_attempt_end(&mut self, event: &Event) {
+        if let Event::AttemptEnded { attempt, end, .. } = event
+            && let Some(call) = self.front.call_mut(attempt.call)
+        {
+            call.attempts.ended(end.never_ran());
+            call.last_end = Some(RetryReason::of(end));
+        }
+    }
+
+    /// The final answer of a request: one that may have run, and must not run twice, is never refused.
+    fn checked_answer(&mut self, token: u64, answer: FinalAnswer) -> FinalAnswer {
+        let Some(call) = self.front.call_by_token(token) else {
+            self.counters.violations.report(Violation::AnswerWithoutRequest, &token);
+            return answer;
+        };
+        let effect = self.classes.get(call.class.0).map_or(Effect::Unsafe, |class| class.effect);
+        let refused = matches!(answer, FinalAnswer::Refused { .. });
+        match guard::may_refuse(call.attempts.may_have_run(), effect) {
+            Err(violation) if refused => {
+                self.counters.violations.report(violation, &call.name);
+                let message = "nothing is promised: the call may have run".to_owned();
+                FinalAnswer::Failed { cause: Cause::Aborted, message }
+            }
+            _ => answer,
+        }
+    }
+}
--- /dev/null
+++ b/crates/node/src/pools/cancellation.rs
@@ -0,0 +1,148 @@
+//! Requests that are cancelled, abandoned or taken back before they are written.
+
+use nettleferry::WorkerId;
+use nettleferry_engine::{AttemptEnd, AttemptId, ControlRequestId, Event};
+use nettleferry_net::tcp::{Tcp, TcpKey};
+use nettleferry_platform::resp;
+use tracing::debug;
+
+use super::ConnectionPools;
+use super::pending::{OutputRange, PendingResponse, ResponseLocation};
+use crate::limits::Counters;
+
+impl ConnectionPools {
+    /// Cancels an attempt; no event about it follows. Its call may be sent elsewhere with the next bytes that are
+    /// written: so the cancellation is written first, or its connection is closed now, with all that is open there.
+    pub fn cancel(
+        &mut self,
+        tcp: &mut Tcp,
+        attempt: AttemptId,
+        out: &mut Vec<Event>,
+        counters: &mut Counters,
+    ) {
+        let Some(location) = self.pending.remove(&PendingResponse::Attempt(attempt)) else { return };
+        let ResponseLocation { connection: key, tag } = location;
+        // What has not begun to leave never does, and its connection is as good as before.
+        if self.take_back(tcp, key, &tag) {
+            if let Some(connection) = self.connections.get_mut(&key) {
+                connection.open.remove(&tag);
+            }
+            return self.retire_if_unused(tcp, key);
+        }
+        let Some(connection) = self.connections.get_mut(&key) else { return };
+        if connection.open.remove(&tag).is_some() {
+            let mut bytes = Vec::new();
+            resp::cancel(&mut bytes, &tag);
+            if tcp.send(key, &bytes).is_none() || !tcp.flush(key) {
+                let worker = connection.worker.0;
+                debug!(worker, tag, conn = ?key, "connection closed: a cancellation can't be written");
+                return self.close_to_cancel(tcp, key, out, counters);
+            }
+            // Its response was awaited and did not arrive: whether any other would is not known.
+            connection.draining = true;
+        }
+        connection.remember_finished(tag);
+        self.retire_if_unused(tcp, key);
+    }
+
+    fn close_to_cancel(&mut self, tcp: &mut Tcp, key: TcpKey, out: &mut Vec<Event>, counters: &mut Counters) {
+        counters.cut_to_withdraw += 1;
+        let written = tcp.written(key);
+        tcp.close(key);
+        self.remove_connection(key, out, |request| match request.output {
+            Some(output) if output.end <= written => AttemptEnd::Broken,
+            _ => AttemptEnd::NotWritten,
+        });
+    }
+
+    /// Stops waiting for the response of an attempt that may not be cancelled.
+    pub fn abandon(&mut self, tcp: &mut Tcp, attempt: AttemptId) {
+        let Some(location) = self.pending.remove(&PendingResponse::Attempt(attempt)) else { return };
+        let ResponseLocation { connection: key, tag } = location;
+        let Some(connection) = self.connections.get_mut(&key) else { return };
+        connection.open.remove(&tag);
+        connection.draining = true;
+        connection.remember_finished(tag);
+        self.retire_if_unused(tcp, key);
+    }
+
+    /// Takes back a load order that is not needed any more, if it has not been written.
+    pub fn cancel_load(&mut self, tcp: &mut Tcp, id: ControlRequestId, out: &mut Vec<Event>) {
+        let response = PendingResponse::Load(id);
+        let Some(ResponseLocation { connection: key, tag }) = self.pending.get(&response).cloned() else {
+            return;
+        };
+        if self.take_back(tcp, key, &tag) {
+            self.pending.remove(&response);
+            if let Some(connection) = self.connections.get_mut(&key) {
+                connection.open.remove(&tag);
+            }
+            out.push(response.ended(AttemptEnd::Cancelled));
+            self.retire_if_unused(tcp, key);
+        }
+    }
+
+    /// A load order or a health check timed out: no event about it follows.
+    pub fn forget(&mut self, tcp: &mut Tcp, id: ControlRequestId) {
+        let load = self.pending.remove(&PendingResponse::Load(id));
+        let location = load.or_else(|| self.pending.remove(&PendingResponse::Probe(id)));
+        let Some(ResponseLocation { connection: key, tag }) = location else { return };
+        let Some(connection) = self.connections.get_mut(&key) else { return };
+        let request = connection.open.remove(&tag);
+        // Cleared by the next byte that arrives there.
+        connection.suspect |=
+            request.is_some_and(|request| request.response.is_probe() && request.output.is_some());
+        connection.waiting.retain(|waiting| waiting.tag != tag);
+        connection.remember_finished(tag);
+        self.retire_if_unused(tcp, key);
+    }
+
+    /// Ends as not written what has not been written to this invoker.
+    pub(super) fn return_unsent(&mut self, tcp: &mut Tcp, worker: WorkerId, out: &mut Vec<Event>) {
+        let keys = self.pools.get(&worker).map(|pool| pool.connections.clone()).unwrap_or_default();
+        for key in keys {
+            let mut returned = self.take_back_all(tcp, key);
+            returned.sort();
+            out.extend(returned.into_iter().map(|response| response.ended(AttemptEnd::NotWritten)));
+            self.retire_if_unused(tcp, key);
+        }
+    }
+
+    /// Takes back all requests of a connection that have not been written, but for health checks.
+    fn take_back_all(&mut self, tcp: &mut Tcp, key: TcpKey) -> Vec<PendingResponse> {
+        let Some(connection) = self.connections.get(&key) else { return Vec::new() };
+        let requests = connection.open.iter().filter(|(_, request)| !request.response.is_probe());
+        let tags: Vec<String> = requests.map(|(tag, _)| tag.clone()).collect();
+        let mut returned = Vec::new();
+        for tag in tags {
+            if !self.take_back(tcp, key, &tag) {
+                continue;
+            }
+            let Some(request) = self.connections.get_mut(&key).and_then(|c| c.open.remove(&tag)) else {
+                continue;
+            };
+            self.pending.remove(&request.response);
+            returned.push(request.response);
+        }
+        returned
+    }
+
+    /// Takes back a command that has not begun to leave. False: it has, or may have.
+    fn take_back(&mut self, tcp: &mut Tcp, key: TcpKey, tag: &str) -> bool {
+        let Some(connection) = self.connections.get_mut(&key) else { return false };
+        match connection.open.get(tag).and_then(|request| request.output) {
+            None => {
+                let before = connection.waiting.len();
+                connection.waiting.retain(|waiting| waiting.tag != tag);
+                before > connection.waiting.len()
+            }
+            Some(removed @ OutputRange { start, end }) if tcp.unsend(key, start, end) => {
+                for output in connection.open.values_mut().filter_map(|request| request.output.as_mut()) {
+                    output.close_gap(removed);
+                }
+                true
+            }
+            Some(_) => false,
+        }
+    }
+}
--- /dev/null
+++ b/crates/node/src/pools/responses.rs
@@ -0,0 +1,202 @@
+//! Responses of invokers, and connections that end under open requests.
+
+use std::time::Instant;
+
+use bytes::Bytes;
+use nettleferry::{LoadNote, WorkerId};
+use nettleferry_engine::{AttemptEnd, AttemptReport, Event};
+use nettleferry_net::tcp::{Gone, Tcp, TcpKey};
+use nettleferry_platform::answer::{Told, Word};
+use nettleferry_platform::resp::{self, Answer};
+use tracing::debug;
+
+use super::ConnectionPools;
+use super::pending::{OpenRequest, PendingResponse};
+use crate::limits::{Counters, RESPONSE_TIMEOUT};
+
+impl ConnectionPools {
+    /// Bytes arrived from an invoker.
+    pub fn data(&mut self, tcp: &mut Tcp, key: TcpKey, out: &mut Vec<Event>, counters: &mut Counters) {
+        if let Some(connection) = self.connections.get_mut(&key) {
+            connection.suspect = false;
+        }
+        loop {
+            let Some(input) = tcp.input(key) else { return };
+            match resp::next(input) {
+                Ok(Some(answer)) => {
+                    if !self.response(tcp, key, answer, out, counters) {
+                        return;
+                    }
+                }
+                Ok(None) if input.is_empty() => break,
+                Ok(None) => {
+                    let Some(connection) = self.connections.get_mut(&key) else { return };
+                    let since = *connection.partial_since.get_or_insert_with(Instant::now);
+                    tcp.alarm(key, Some(since + RESPONSE_TIMEOUT));
+                    return;
+                }
+                Err(error) => {
+                    debug!(conn = ?key, %error, "response of an invoker is unreadable");
+                    return self.close_for_bad_response(tcp, key, out, counters);
+                }
+            }
+        }
+        self.retire_if_unused(tcp, key);
+    }
+
+    /// Handles a complete response. False: its connection is gone.
+    fn response(
+        &mut self,
+        tcp: &mut Tcp,
+        key: TcpKey,
+        answer: Answer,
+        out: &mut Vec<Event>,
+        counters: &mut Counters,
+    ) -> bool {
+        let Some(connection) = self.connections.get_mut(&key) else { return false };
+        // It is complete, whichever request it belongs to.
+        if connection.partial_since.take().is_some() {
+            tcp.alarm(key, None);
+        }
+        let Some((kind, fields)) = Word::read(&answer.word).zip(Told::read(&answer.fields)) else {
+            self.close_for_bad_response(tcp, key, out, counters);
+            return false;
+        };
+        let Some(request) = connection.open.remove(&answer.id) else {
+            counters.stray_answers += 1;
+            return true;
+        };
+        let worker = connection.worker;
+        let age = request.started.elapsed();
+        debug!(worker = worker.0, tag = answer.id, ?kind, fields = answer.fields, ?age, "response received");
+        connection.remember_finished(answer.id);
+        if request.response.is_probe() {
+            self.close_suspects(tcp, worker, out);
+        }
+        self.deliver(request.response, kind, &fields, answer.body, out);
+        true
+    }
+
+    fn close_for_bad_response(
+        &mut self,
+        tcp: &mut Tcp,
+        key: TcpKey,
+        out: &mut Vec<Event>,
+        counters: &mut Counters,
+    ) {
+        counters.bad_answers += 1;
+        tcp.close(key);
+        self.remove_connection(key, out, |_| AttemptEnd::Broken);
+    }
+
+    /// The invoker has answered a health check: connections on which it did not answer one before are of no further use.
+    fn close_suspects(&mut self, tcp: &mut Tcp, worker: WorkerId, out: &mut Vec<Event>) {
+        let keys = self.pools.get(&worker).map(|pool| pool.connections.clone()).unwrap_or_default();
+        for key in keys {
+            if self.connections.get(&key).is_some_and(|connection| connection.suspect) {
+                tcp.close(key);
+                self.remove_connection(key, out, |_| AttemptEnd::TimedOut);
+            }
+        }
+    }
+
+    fn deliver(
+        &mut self,
+        response: PendingResponse,
+        kind: Word,
+        fields: &Told,
+        body: Bytes,
+        out: &mut Vec<Event>,
+    ) {
+        self.pending.remove(&response);
+        match response {
+            PendingResponse::Attempt(attempt) => {
+                if kind == Word::Served {
+                    out.push(Event::ResponsePart { attempt, payload: body, last: true });
+                }
+                let report =
+                    AttemptReport { load_note: fields.note, queue_depth: None, load_report: fields.report };
+                out.push(Event::AttemptEnded { attempt, end: attempt_end(kind, fields), report });
+            }
+            PendingResponse::Load(request_id) => {
+                let copies = fields.instances.unwrap_or(0);
+                out.push(Event::LoadEnded { request_id, end: attempt_end(kind, fields), copies });
+            }
+            PendingResponse::Probe(request_id) => {
+                let healthy = kind == Word::Green;
+                let end = if healthy { AttemptEnd::Served } else { attempt_end(kind, fields) };
+                out.push(Event::ProbeEnded { request_id, end, load_report: fields.report });
+            }
+        }
+    }
+
+    /// A connection is gone: its open requests have ended, as far as they were written.
+    pub fn connection_closed(&mut self, tcp: &Tcp, key: TcpKey, reason: Gone, out: &mut Vec<Event>) {
+        let written = tcp.written(key);
+        self.remove_connection(key, out, |request| match (reason, request.output) {
+            (Gone::Refused | Gone::NotConnected, _) => AttemptEnd::NotConnected,
+            (_, None) => AttemptEnd::NotWritten,
+            (Gone::Slow, _) => AttemptEnd::Broken,
+            (_, Some(output)) if output.end > written => AttemptEnd::NotWritten,
+            _ => AttemptEnd::Broken,
+        });
+    }
+
+    /// Forgets a connection and ends its open requests, each as `end_of` states.
+    pub(super) fn remove_connection(
+        &mut self,
+        key: TcpKey,
+        out: &mut Vec<Event>,
+        end_of: impl Fn(&OpenRequest) -> AttemptEnd,
+    ) {
+        let Some(connection) = self.connections.remove(&key) else { return };
+        let worker = connection.worker;
+        if !connection.open.is_empty() {
+            let open = connection.open.len();
+            debug!(worker = worker.0, conn = ?key, open, "connection to an invoker ended under open requests");
+        }
+        if let Some(pool) = self.pools.get_mut(&worker) {
+            pool.connections.retain(|other| *other != key);
+            if pool.endpoint.is_none() && pool.connections.is_empty() {
+                self.pools.remove(&worker);
+            }
+        }
+        let mut open: Vec<_> = connection.open.into_iter().collect();
+        open.sort_by_key(|(_, request)| request.response);
+        for (tag, request) in open {
+            let end = end_of(&request);
+            let age = request.started.elapsed();
+            debug!(worker = worker.0, tag, conn = ?key, ?age, ?end, "request ended with its connection");
+            self.pending.remove(&request.response);
+            out.push(request.response.ended(end));
+        }
+    }
+
+    /// A connection's alarm fired: it was idle, or a response did not arrive completely.
+    pub fn alarm_due(&mut self, tcp: &mut Tcp, key: TcpKey, out: &mut Vec<Event>, counters: &mut Counters) {
+        let Some(connection) = self.connections.get(&key) else { return };
+        let is_over =
+            |since: Option<Instant>, span| since.is_some_and(|since| Instant::now() >= since + span);
+        if is_over(connection.partial_since, RESPONSE_TIMEOUT) {
+            debug!(worker = connection.worker.0, conn = ?key, "response of an invoker is incomplete");
+            self.close_for_bad_response(tcp, key, out, counters);
+        } else if connection.open.is_empty()
+            && self.idle.is_some_and(|idle| is_over(connection.idle_since, idle))
+        {
+            self.close_connection(tcp, key);
+        }
+    }
+}
+
+/// What an answer proves of a request; see the engine's table.
+fn attempt_end(kind: Word, fields: &Told) -> AttemptEnd {
+    match kind {
+        Word::Served => AttemptEnd::Served,
+        Word::NotHere if fields.note == Some(LoadNote::Failed) => AttemptEnd::MarkedLoadFailed,
+        Word::NotHere => AttemptEnd::MarkedMiss,
+        Word::Overload => AttemptEnd::MarkedFull,
+        Word::Crashed => AttemptEnd::Status { message: "the invoker failed it".to_owned() },
+        Word::Nobody => AttemptEnd::Unwanted,
+        Word::Green | Word::Red => AttemptEnd::Status { message: "the invoker is not in service".to_owned() },
+    }
+}
--- a/crates/node/src/reasons.rs
+++ b/crates/node/src/reasons.rs
@@ -1,5 +1,5 @@
-//! Why requests ended as they did, why they were sent again, and why clients' connections were closed: counters by
-//! reason, and the words for the log.
+//! Why requests ended as they did, why they were retried, and why clients' connections were closed: counters by reason,
+//! and their names for the log.
 
 use nettleferry_engine::{AttemptEnd, Cause, FinalAnswer, Refusal};
 
@@ -18,11 +18,11 @@
     TooManyOpen,
     /// Refused: no time was left when it was opened.
     NoTime,
-    /// Refused: its client's side had ended before it was opened.
+    /// Refused: its client had disconnected before it was opened.
     ClientEnded,
-    /// Failed: its time was over.
+    /// Failed: its deadline passed.
     Deadline,
-    /// Failed: a worker failed it.
+    /// Failed: a worker returned an error.
     WorkerFailed,
     /// Failed: its attempt was lost.
     AttemptLost,
@@ -32,8 +32,8 @@
     const COUNT: usize = 10;
 
     /// Of a final answer.
-    pub fn of(end: &FinalAnswer) -> Self {
-        match end {
+    pub fn of(answer: &FinalAnswer) -> Self {
+        match answer {
             FinalAnswer::Served { .. } => Self::Served,
             FinalAnswer::Rejected { .. } => Self::Rejected,
             FinalAnswer::Refused { reason: Refusal::NoRoom, .. } => Self::NoRoom,
@@ -47,9 +47,9 @@
     }
 }
 
-/// How an attempt ended after which its request was sent again.
+/// How an attempt ended after which its request was retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum RepeatReason {
+pub enum RetryReason {
     /// No connection came about.
     NotConnected,
     /// Its connection ended before it had left.
@@ -62,16 +62,16 @@
     WorkerFailed,
     /// Its connection broke.
     Broken,
-    /// It was withdrawn: its answer was late.
-    Withdrawn,
+    /// It was cancelled: its response was late.
+    Cancelled,
 }
 
-impl RepeatReason {
+impl RetryReason {
     const COUNT: usize = 7;
 
     /// Of the end of an attempt.
-    pub fn of(how: &AttemptEnd) -> Self {
-        match how {
+    pub fn of(end: &AttemptEnd) -> Self {
+        match end {
             AttemptEnd::NotConnected => Self::NotConnected,
             AttemptEnd::NotWritten => Self::NotWritten,
             AttemptEnd::NoRoom
@@ -83,7 +83,7 @@
                 Self::WorkerFailed
             }
             AttemptEnd::Broken => Self::Broken,
-            AttemptEnd::TimedOut | AttemptEnd::Cancelled => Self::Withdrawn,
+            AttemptEnd::TimedOut | AttemptEnd::Cancelled => Self::Cancelled,
         }
     }
 }
@@ -95,14 +95,14 @@
     ClientEnded,
     /// It broke.
     Broken,
-    /// It rested for too long.
+    /// It was idle for too long.
     Idle,
-    /// Nothing whole came in time.
-    Silent,
+    /// No complete frame arrived in time.
+    Unresponsive,
     /// It sent what can't be used.
     Faults,
-    /// It made room for a new one.
-    Room,
+    /// It was evicted for a new one.
+    Evicted,
     /// There was no room for it.
     NoRoom,
 }
@@ -111,42 +111,42 @@
     const COUNT: usize = 7;
 }
 
-/// How often each reason stood.
+/// How often each reason occurred.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Reasons {
     ends: [u64; EndReason::COUNT],
-    repeats: [u64; RepeatReason::COUNT],
+    retries: [u64; RetryReason::COUNT],
     closes: [u64; CloseReason::COUNT],
 }
 
 impl Reasons {
     /// A request has ended.
-    pub fn ended(&mut self, why: EndReason) {
-        self.ends[why as usize] += 1;
+    pub fn ended(&mut self, reason: EndReason) {
+        self.ends[reason as usize] += 1;
     }
 
-    /// A request is sent again.
-    pub fn repeated(&mut self, why: RepeatReason) {
-        self.repeats[why as usize] += 1;
+    /// A request is retried.
+    pub fn retried(&mut self, reason: RetryReason) {
+        self.retries[reason as usize] += 1;
     }
 
     /// A client's connection has ended.
-    pub fn closed(&mut self, why: CloseReason) {
-        self.closes[why as usize] += 1;
+    pub fn closed(&mut self, reason: CloseReason) {
+        self.closes[reason as usize] += 1;
     }
 
-    /// Requests that ended so.
-    pub fn ends(&self, why: EndReason) -> u64 {
-        self.ends[why as usize]
+    /// Requests that ended for this reason.
+    pub fn ends(&self, reason: EndReason) -> u64 {
+        self.ends[reason as usize]
     }
 
-    /// Requests that were sent again after that.
-    pub fn repeats(&self, why: RepeatReason) -> u64 {
-        self.repeats[why as usize]
+    /// Requests that were retried after such an end.
+    pub fn retries(&self, reason: RetryReason) -> u64 {
+        self.retries[reason as usize]
     }
 
-    /// Connections of clients that ended so.
-    pub fn closes(&self, why: CloseReason) -> u64 {
-        self.closes[why as usize]
+    /// Connections of clients that ended for this reason.
+    pub fn closes(&self, reason: CloseReason) -> u64 {
+        self.closes[reason as usize]
     }
 }
--- a/crates/node/tests/bounds.rs
+++ b/crates/node/tests/bounds.rs
@@ -11,15 +11,15 @@
     let (short, long) = (Duration::from_millis(400), Duration::from_secs(12));
     let micros = |span: Duration| span.as_micros() as u64;
     for longest in [short, long] {
-        let kill = since + longest.max(KILL_LEAST) + KILL_AFTER;
+        let kill = since + longest.max(MIN_KILL_DELAY) + KILL_GRACE;
         // Within the time in which the platform still sends requests, all of the client's time is left, but for
         // the answer's way.
-        let now = since + KILL_AFTER - ANSWER_WAY;
-        assert_eq!(until_kill(since, now, longest, micros(longest)), micros(longest));
-        for late in [KILL_AFTER, Duration::from_secs(2), longest + KILL_AFTER, Duration::from_secs(60)] {
+        let now = since + KILL_GRACE - ANSWER_TRANSIT;
+        assert_eq!(time_before_kill(since, now, longest, micros(longest)), micros(longest));
+        for late in [KILL_GRACE, Duration::from_secs(2), longest + KILL_GRACE, Duration::from_secs(60)] {
             let now = since + late;
-            let left = Duration::from_micros(until_kill(since, now, longest, micros(longest)));
-            assert!(left.is_zero() || now + left + ANSWER_WAY <= kill, "{late:?}");
+            let left = Duration::from_micros(time_before_kill(since, now, longest, micros(longest)));
+            assert!(left.is_zero() || now + left + ANSWER_TRANSIT <= kill, "{late:?}");
         }
     }
 }
@@ -30,13 +30,16 @@
         let bounds = Bounds::of(&Limits { sockets, ..Limits::default() }, None);
         // The least that a node is made for is 64.
         let all = (sockets as usize).max(64);
-        assert!(bounds.clients + bounds.links + OWN_DESCRIPTORS <= all, "{sockets}: {bounds:?}");
+        assert!(
+            bounds.clients + bounds.pool_connections + RESERVED_DESCRIPTORS <= all,
+            "{sockets}: {bounds:?}"
+        );
         assert!(
             bounds.clients >= all.div_ceil(3),
             "what clients may hold at the most, {sockets}: {bounds:?}"
         );
         let coming = all / 3 - bounds.idle_clients;
         assert!(coming >= all / 13, "room for those that come, {sockets}: {bounds:?}");
-        assert!(bounds.links >= 8, "{sockets}: {bounds:?}");
+        assert!(bounds.pool_connections >= 8, "{sockets}: {bounds:?}");
     }
 }
--- a/crates/node/tests/common/hand.rs
+++ b/crates/node/tests/common/hand.rs
@@ -11,35 +11,35 @@
 use super::{PATIENCE, command, config, reply, reply_with};
 
 /// A node, its directory and its invokers.
-pub struct Hand {
-    pub node: Node,
-    pub directory: UdpSocket,
-    pub invokers: Vec<Invoker>,
-    pub path: std::path::PathBuf,
-    pub config: serde_json::Value,
+pub(crate) struct Hand {
+    pub(crate) node: Node,
+    pub(crate) directory: UdpSocket,
+    pub(crate) invokers: Vec<Invoker>,
+    pub(crate) path: std::path::PathBuf,
+    pub(crate) config: serde_json::Value,
     dir: tempfile::TempDir,
     last: Option<(u16, SocketAddr)>,
 }
 
 /// An invoker: its listener, and what came on each connection.
-pub struct Invoker {
-    pub listener: TcpListener,
-    pub conns: Vec<Conn>,
+pub(crate) struct Invoker {
+    pub(crate) listener: TcpListener,
+    pub(crate) conns: Vec<Conn>,
 }
 
 /// A connection at an invoker.
-pub struct Conn {
-    pub socket: TcpStream,
+pub(crate) struct Conn {
+    pub(crate) socket: TcpStream,
     input: Vec<u8>,
     /// The commands so far: word, id, fields, body.
-    pub got: Vec<Vec<String>>,
+    pub(crate) got: Vec<Vec<String>>,
     /// The other end has ended it.
-    pub ended: bool,
+    pub(crate) ended: bool,
 }
 
 /// A client.
-pub struct Client {
-    pub socket: TcpStream,
+pub(crate) struct Client {
+    pub(crate) socket: TcpStream,
     input: Vec<u8>,
 }
 
@@ -57,7 +57,7 @@
 
 impl Hand {
     /// A node with so many invokers; `change` may alter its configuration.
-    pub fn start(invokers: usize, change: impl FnOnce(&mut serde_json::Value)) -> Self {
+    pub(crate) fn start(invokers: usize, change: impl FnOnce(&mut serde_json::Value)) -> Self {
         let invokers: Vec<Invoker> = (0..invokers)
             .map(|_| {
                 let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
@@ -82,18 +82,18 @@
     }
 
     /// One turn with what stands in the sockets now.
-    pub fn turn(&mut self) {
-        self.node.turn(Some(Duration::ZERO)).expect("a turn");
+    pub(crate) fn turn(&mut self) {
+        self.node.iterate(Some(Duration::ZERO)).expect("a turn");
         for invoker in &mut self.invokers {
             invoker.look();
         }
     }
 
     /// Turns until something holds.
-    pub fn until<T>(&mut self, what: &str, mut holds: impl FnMut(&mut Self) -> Option<T>) -> T {
+    pub(crate) fn until<T>(&mut self, what: &str, mut holds: impl FnMut(&mut Self) -> Option<T>) -> T {
         let end = Instant::now() + PATIENCE;
         while Instant::now() < end {
-            self.node.turn(Some(Duration::from_millis(1))).expect("a turn");
+            self.node.iterate(Some(Duration::from_millis(1))).expect("a turn");
             for invoker in &mut self.invokers {
                 invoker.look();
             }
@@ -105,7 +105,7 @@
     }
 
     /// Looks at the invokers, without a turn, until something holds.
-    pub fn until_looked<T>(&mut self, what: &str, mut holds: impl FnMut(&mut Self) -> Option<T>) -> T {
+    pub(crate) fn until_looked<T>(&mut self, what: &str, mut holds: impl FnMut(&mut Self) -> Option<T>) -> T {
         let end = Instant::now() + PATIENCE;
         while Instant::now() < end {
             self.invokers.iter_mut().for_each(Invoker::look);
@@ -118,15 +118,15 @@
     }
 
     /// Turns until an invoker has a command with this word and id; gives its connection.
-    pub fn at(&mut self, invoker: usize, word: &str, id: &str) -> usize {
+    pub(crate) fn at(&mut self, invoker: usize, word: &str, id: &str) -> usize {
         self.until(&format!("{word} {id} at {invoker}"), |hand| hand.invokers[invoker].find(word, id))
     }
 
     /// Turns until a request stands unread at an invoker; gives its connection. To drop that socket resets it.
-    pub fn unread_at(&mut self, invoker: usize, id: u64) -> usize {
+    pub(crate) fn unread_at(&mut self, invoker: usize, id: u64) -> usize {
         let (end, wanted) = (Instant::now() + PATIENCE, name(id).into_bytes());
         while Instant::now() < end {
-            self.node.turn(Some(Duration::from_millis(1))).expect("a turn");
+            self.node.iterate(Some(Duration::from_millis(1))).expect("a turn");
             self.invokers[invoker].accept();
             let mut buffer = [0; 4096];
             let found = self.invokers[invoker].conns.iter().position(|conn| {
@@ -141,26 +141,26 @@
     }
 
     /// How often a request was sent, to whomever.
-    pub fn sends(&self, id: &str) -> usize {
+    pub(crate) fn sends(&self, id: &str) -> usize {
         let all = self.invokers.iter().flat_map(|i| &i.conns).flat_map(|c| &c.got);
         all.filter(|got| got[0].starts_with("CALL") && got[1] == id).count()
     }
 
     /// Commands with this word, to whomever.
-    pub fn words(&self, word: &str) -> usize {
+    pub(crate) fn words(&self, word: &str) -> usize {
         let all = self.invokers.iter().flat_map(|i| &i.conns).flat_map(|c| &c.got);
         all.filter(|got| got[0] == word).count()
     }
 
-    pub fn client(&self) -> Client {
-        let socket = TcpStream::connect(self.node.local()).expect("it listens");
+    pub(crate) fn client(&self) -> Client {
+        let socket = TcpStream::connect(self.node.local_addr()).expect("it listens");
         socket.set_nonblocking(true).expect("set");
         socket.set_nodelay(true).expect("set");
         Client { socket, input: Vec::new() }
     }
 
     /// Takes the next query of the node to its directory.
-    pub fn query(&mut self) -> (u16, SocketAddr) {
+    pub(crate) fn query(&mut self) -> (u16, SocketAddr) {
         self.directory.set_nonblocking(true).expect("set");
         self.until("a query", |hand| {
             let mut buffer = [0; 2048];
@@ -172,7 +172,7 @@
     }
 
     /// Answers a query: the list is this, as of event `serial`.
-    pub fn answer(&self, (id, from): (u16, SocketAddr), serial: u32, list: &[(usize, bool)]) {
+    pub(crate) fn answer(&self, (id, from): (u16, SocketAddr), serial: u32, list: &[(usize, bool)]) {
         let lines: Vec<_> = list
             .iter()
             .map(|(at, draining)| {
@@ -184,7 +184,7 @@
     }
 
     /// Answers a query: this invoker alone, started at this Unix millisecond.
-    pub fn answer_born(&self, (id, from): (u16, SocketAddr), serial: u32, at: usize, born_ms: u64) {
+    pub(crate) fn answer_born(&self, (id, from): (u16, SocketAddr), serial: u32, at: usize, born_ms: u64) {
         let address = self.invokers[at].listener.local_addr().expect("bound");
         let started = format!("started={born_ms}");
         let lines = [(format!("s-{at}"), address, false)];
@@ -192,14 +192,14 @@
     }
 
     /// Answers a query: these names at the addresses of these invokers.
-    pub fn answer_named(&self, (id, from): (u16, SocketAddr), serial: u32, list: &[(&str, usize)]) {
+    pub(crate) fn answer_named(&self, (id, from): (u16, SocketAddr), serial: u32, list: &[(&str, usize)]) {
         let address = |at: usize| self.invokers[at].listener.local_addr().expect("bound");
         let lines: Vec<_> = list.iter().map(|(name, at)| ((*name).to_owned(), address(*at), false)).collect();
         self.directory.send_to(&reply(id, serial, &lines), from).expect("sent");
     }
 
     /// Turns until all that the node may still send on has come: a later request of another client is answered.
-    pub fn fence(&mut self, id: u64) {
+    pub(crate) fn fence(&mut self, id: u64) {
         let mut other = self.client();
         let name = format!("{id:016x}");
         other.ask(1, "safe", id, 0xfe0ce, b"fence");
@@ -217,7 +217,7 @@
     }
 
     /// The folder of its configuration.
-    pub fn folder(&self) -> &std::path::Path {
+    pub(crate) fn folder(&self) -> &std::path::Path {
         self.dir.path()
     }
 }
@@ -247,12 +247,12 @@
     }
 
     /// The connection on which such a command came.
-    pub fn find(&self, word: &str, id: &str) -> Option<usize> {
+    pub(crate) fn find(&self, word: &str, id: &str) -> Option<usize> {
         self.conns.iter().position(|c| c.got.iter().any(|got| got[0] == word && got[1] == id))
     }
 
     /// Answers, as served or green, what came and is wanted; once.
-    pub fn serve(&mut self, wanted: impl Fn(&[String]) -> bool) {
+    pub(crate) fn serve(&mut self, wanted: impl Fn(&[String]) -> bool) {
         for conn in self.conns.iter_mut().filter(|conn| !conn.ended) {
             for got in conn.got.iter_mut().filter(|got| matches!(got[0].as_str(), "CALL" | "PING")) {
                 if wanted(got) {
@@ -265,7 +265,7 @@
     }
 
     /// Answers orders of such fields: the copy stands.
-    pub fn load(&mut self, wanted: impl Fn(&str) -> bool) {
+    pub(crate) fn load(&mut self, wanted: impl Fn(&str) -> bool) {
         for conn in &mut self.conns {
             for got in conn.got.iter_mut().filter(|got| got[0] == "LOAD") {
                 if wanted(&got[2]) {
@@ -278,12 +278,12 @@
 }
 
 /// An id as it stands on the wire.
-pub fn name(id: u64) -> String {
+pub(crate) fn name(id: u64) -> String {
     format!("{id:016x}")
 }
 
 /// Writes an answer of an invoker.
-pub fn say(socket: &mut TcpStream, id: &str, word: &str, fields: &str) {
+pub(crate) fn say(socket: &mut TcpStream, id: &str, word: &str, fields: &str) {
     let mut out = Vec::new();
     resp::command(&mut out, &[id.as_bytes(), word.as_bytes(), fields.as_bytes(), b"x"]);
     socket.write_all(&out).expect("written");
@@ -291,19 +291,19 @@
 
 impl Client {
     /// Sends a request.
-    pub fn ask(&mut self, stream: u32, op: &str, id: u64, row: u64, body: &[u8]) {
+    pub(crate) fn ask(&mut self, stream: u32, op: &str, id: u64, row: u64, body: &[u8]) {
         self.socket.write_all(&request(stream, op, id, row, body)).expect("written");
     }
 
     /// Withdraws one.
-    pub fn withdraw(&mut self, stream: u32) {
+    pub(crate) fn withdraw(&mut self, stream: u32) {
         let mut out = Vec::new();
         frames::bare(&mut out, frames::kind::CANCEL, stream);
         self.socket.write_all(&out).expect("written");
     }
 
     /// The frames that have come so far: type, stream, payload.
-    pub fn frames(&mut self) -> Vec<(u8, u32, Vec<u8>)> {
+    pub(crate) fn frames(&mut self) -> Vec<(u8, u32, Vec<u8>)> {
         drain(&mut self.socket, &mut self.input);
         let (mut all, mut rest) = (Vec::new(), self.input.as_slice());
         while rest.len() >= 9 {
@@ -319,19 +319,19 @@
     }
 
     /// Has the other end ended the connection?
-    pub fn ended(&mut self) -> bool {
+    pub(crate) fn ended(&mut self) -> bool {
         drain(&mut self.socket, &mut self.input)
     }
 
     /// The codes of the answers on a stream.
-    pub fn codes(&mut self, stream: u32) -> Vec<u8> {
+    pub(crate) fn codes(&mut self, stream: u32) -> Vec<u8> {
         let answer = |f: &(u8, u32, Vec<u8>)| f.0 == frames::kind::ANSWER && f.1 == stream;
         self.frames().iter().filter(|f| answer(f)).map(|f| f.2[0]).collect()
     }
 }
 
 /// A sound request as bytes: a function of one lane, with three seconds.
-pub fn request(stream: u32, op: &str, id: u64, row: u64, body: &[u8]) -> Vec<u8> {
+pub(crate) fn request(stream: u32, op: &str, id: u64, row: u64, body: &[u8]) -> Vec<u8> {
     let (id, row) = (format!("{id:016x}"), format!("{row:016x}"));
     let tags = "memory_mb:9;lanes:1;load_ms:50";
     let fields = [("op", op), ("call", id.as_str()), ("ttl", "3000"), ("row", &row), ("tags", tags)];
--- a/crates/node/tests/common/leaving.rs
+++ b/crates/node/tests/common/leaving.rs
@@ -9,7 +9,7 @@
 
 /// Every way in which a client leaves.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Leaves {
+pub(crate) enum Leaves {
     /// Type 9.
     Withdraws,
     /// Its connection ends in order, after all that it sent.
@@ -23,12 +23,12 @@
 }
 
 /// All of them.
-pub const WAYS: [Leaves; 5] =
+pub(crate) const WAYS: [Leaves; 5] =
     [Leaves::Withdraws, Leaves::Ends, Leaves::Resets, Leaves::IsClosed, Leaves::IsGivenUp];
 
 impl Leaves {
     /// The client as it is afterwards, where it still is.
-    pub fn go(self, mut client: Client, stream: u32) -> Option<Client> {
+    pub(crate) fn go(self, mut client: Client, stream: u32) -> Option<Client> {
         match self {
             Self::Withdraws => client.withdraw(stream),
             Self::Ends => client.socket.shutdown(Shutdown::Write).expect("open"),
@@ -49,7 +49,7 @@
     }
 
     /// What its client is owed on the stream: an answer at once where it can still be read.
-    pub fn check(self, hand: &mut Hand, client: Option<Client>, stream: u32, code: u8) {
+    pub(crate) fn check(self, hand: &mut Hand, client: Option<Client>, stream: u32, code: u8) {
         let Some(mut client) = client else { return };
         match self {
             Self::Withdraws => assert!(client.codes(stream).is_empty(), "no answer is owed"),
@@ -63,7 +63,7 @@
 }
 
 /// A client whose end will reset its connection: what it was sent lies unread.
-pub fn with_something_unread(hand: &mut Hand) -> Client {
+pub(crate) fn with_something_unread(hand: &mut Hand) -> Client {
     let mut client = hand.client();
     let mut ready = Vec::new();
     frames::bare(&mut ready, frames::kind::READY, 0);
@@ -76,7 +76,7 @@
 }
 
 /// Has a call of this function served, on its client's first stream; gives the connection at the invoker.
-pub fn served(hand: &mut Hand, client: &mut Client, id: u64, row: u64) -> usize {
+pub(crate) fn served(hand: &mut Hand, client: &mut Client, id: u64, row: u64) -> usize {
     client.ask(1, "safe", id, row, b"");
     let conn = hand.at(0, "CALL", &name(id));
     hand.invokers[0].serve(|_| true);
--- a/crates/node/tests/common/mod.rs
+++ b/crates/node/tests/common/mod.rs
@@ -1,8 +1,8 @@
 //! A node in a thread, with a stand-in directory and stand-in invokers, on loopback.
 #![allow(dead_code)]
 
-pub mod hand;
-pub mod leaving;
+pub(crate) mod hand;
+pub(crate) mod leaving;
 
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -20,10 +20,10 @@
 use simple_dns::{CLASS, Name, Packet, ResourceRecord};
 
 /// No wait of these tests is longer; each is for an event.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+pub(crate) const PATIENCE: Duration = Duration::from_secs(20);
 
 /// What a stand-in does with a command.
-pub enum Does {
+pub(crate) enum Does {
     /// Answers: word, fields, body.
     Says(&'static str, &'static str, Vec<u8>),
     /// Writes these bytes.
@@ -35,28 +35,28 @@
 }
 
 /// A command as an invoker gets it: its parts, and the number of the connection.
-pub struct Told<'a> {
-    pub parts: &'a [Vec<u8>],
-    pub connection: usize,
+pub(crate) struct Told<'a> {
+    pub(crate) parts: &'a [Vec<u8>],
+    pub(crate) connection: usize,
 }
 
 impl Told<'_> {
-    pub fn word(&self) -> &str {
+    pub(crate) fn word(&self) -> &str {
         std::str::from_utf8(&self.parts[0]).unwrap_or("")
     }
-    pub fn id(&self) -> &str {
+    pub(crate) fn id(&self) -> &str {
         std::str::from_utf8(&self.parts[1]).unwrap_or("")
     }
 }
 
 /// An invoker that does what it is told, and remembers what it got.
-pub struct Invoker {
-    pub address: SocketAddr,
-    pub got: Arc<Mutex<Vec<String>>>,
+pub(crate) struct Invoker {
+    pub(crate) address: SocketAddr,
+    pub(crate) got: Arc<Mutex<Vec<String>>>,
 }
 
 impl Invoker {
-    pub fn start(does: impl Fn(&Told) -> Does + Send + Sync + 'static) -> Self {
+    pub(crate) fn start(does: impl Fn(&Told) -> Does + Send + Sync + 'static) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
         let got = Arc::new(Mutex::new(Vec::new()));
@@ -72,7 +72,7 @@
     }
 
     /// What came, as words with ids.
-    pub fn got(&self) -> Vec<String> {
+    pub(crate) fn got(&self) -> Vec<String> {
         self.got.lock().expect("no panic holds it").clone()
     }
 }
@@ -100,7 +100,7 @@
     }
 }
 
-pub fn command(reader: &mut impl BufRead) -> Option<Vec<Vec<u8>>> {
+pub(crate) fn command(reader: &mut impl BufRead) -> Option<Vec<Vec<u8>>> {
     let figure = |reader: &mut dyn BufRead, mark: char| {
         let mut line = String::new();
         reader.read_line(&mut line).ok()?;
@@ -118,16 +118,16 @@
 }
 
 /// Lines of the list: id, address, draining.
-pub type Lines = Vec<(String, SocketAddr, bool)>;
+pub(crate) type Lines = Vec<(String, SocketAddr, bool)>;
 
 /// A directory whose list can be changed.
-pub struct Directory {
-    pub address: SocketAddr,
+pub(crate) struct Directory {
+    pub(crate) address: SocketAddr,
     list: Arc<Mutex<(u32, Lines)>>,
 }
 
 impl Directory {
-    pub fn start(list: Lines) -> Self {
+    pub(crate) fn start(list: Lines) -> Self {
         let socket = UdpSocket::bind("127.0.0.1:0").expect("a port");
         let address = socket.local_addr().expect("an address");
         let list = Arc::new(Mutex::new((1, list)));
@@ -144,31 +144,36 @@
     }
 
     /// The next event: the list is this now.
-    pub fn change(&self, list: Lines) {
+    pub(crate) fn change(&self, list: Lines) {
         let mut held = self.list.lock().expect("no panic holds it");
         *held = (held.0 + 1, list);
     }
 }
 
-pub fn reply(id: u16, serial: u32, invokers: &[(String, SocketAddr, bool)]) -> Vec<u8> {
+pub(crate) fn reply(id: u16, serial: u32, invokers: &[(String, SocketAddr, bool)]) -> Vec<u8> {
     reply_with(id, serial, invokers, &[])
 }
 
 /// A list in which each invoker has these words besides.
-pub fn reply_with(id: u16, serial: u32, invokers: &[(String, SocketAddr, bool)], words: &[&str]) -> Vec<u8> {
+pub(crate) fn reply_with(
+    id: u16,
+    serial: u32,
+    invokers: &[(String, SocketAddr, bool)],
+    words: &[&str],
+) -> Vec<u8> {
     reply_changed(id, serial, invokers, words, |_| ())
 }
 
 /// An answer of the directory, to be spoilt.
-pub struct Reply {
-    pub id: u16,
-    pub serial: u32,
-    pub list: Lines,
+pub(crate) struct Reply {
+    pub(crate) id: u16,
+    pub(crate) serial: u32,
+    pub(crate) list: Lines,
 }
 
 impl Reply {
     /// It with a change.
-    pub fn bytes(&self, change: impl Fn(&mut Packet)) -> Vec<u8> {
+    pub(crate) fn bytes(&self, change: impl Fn(&mut Packet)) -> Vec<u8> {
         reply_changed(self.id, self.serial, &self.list, &[], change)
     }
 }
@@ -204,7 +209,7 @@
 }
 
 /// The configuration of a node that knows these invokers from the start.
-pub fn config(directory: SocketAddr, listed: &[(String, SocketAddr, bool)]) -> serde_json::Value {
+pub(crate) fn config(directory: SocketAddr, listed: &[(String, SocketAddr, bool)]) -> serde_json::Value {
     let instances: Vec<_> = listed
         .iter()
         .map(|(id, address, _)| {
@@ -234,9 +239,9 @@
 }
 
 /// A node in its thread.
-pub struct Rig {
-    pub address: SocketAddr,
-    pub directory: Directory,
+pub(crate) struct Rig {
+    pub(crate) address: SocketAddr,
+    pub(crate) directory: Directory,
     stop: Arc<AtomicBool>,
     leave: Arc<AtomicBool>,
     thread: Option<JoinHandle<Counters>>,
@@ -245,12 +250,12 @@
 
 impl Rig {
     /// A node with these invokers, known from the start.
-    pub fn start(invokers: &[&Invoker]) -> Self {
+    pub(crate) fn start(invokers: &[&Invoker]) -> Self {
         Self::start_with(invokers, |_| ())
     }
 
     /// The same, with a configuration changed by the test.
-    pub fn start_with(invokers: &[&Invoker], change: impl FnOnce(&mut serde_json::Value)) -> Self {
+    pub(crate) fn start_with(invokers: &[&Invoker], change: impl FnOnce(&mut serde_json::Value)) -> Self {
         let listed: Vec<_> =
             invokers.iter().enumerate().map(|(at, i)| (format!("s-{at}"), i.address, false)).collect();
         let directory = Directory::start(listed.clone());
@@ -264,11 +269,11 @@
         let (stopped, leaving) = (Arc::clone(&stop), Arc::clone(&leave));
         let thread = std::thread::spawn(move || {
             let mut node = Node::new(path, false).expect("sound");
-            tell.send(node.local()).expect("the test waits");
-            while !node.done() && !stopped.load(Ordering::Acquire) {
-                node.turn(Some(Duration::from_millis(5))).expect("a turn");
+            tell.send(node.local_addr()).expect("the test waits");
+            while !node.is_done() && !stopped.load(Ordering::Acquire) {
+                node.iterate(Some(Duration::from_millis(5))).expect("a turn");
                 if leaving.swap(false, Ordering::AcqRel) {
-                    node.leave();
+                    node.begin_shutdown();
                 }
             }
             node.counters()
@@ -278,22 +283,22 @@
     }
 
     /// As SIGTERM does.
-    pub fn leave(&self) {
+    pub(crate) fn leave(&self) {
         self.leave.store(true, Ordering::Release);
     }
 
     /// Waits until it has ended by itself.
-    pub fn ended(&mut self) -> Counters {
+    pub(crate) fn ended(&mut self) -> Counters {
         self.thread.take().expect("once").join().expect("no panic")
     }
 
     /// Ends it now.
-    pub fn stop(&mut self) -> Counters {
+    pub(crate) fn stop(&mut self) -> Counters {
         self.stop.store(true, Ordering::Release);
         self.ended()
     }
 
-    pub fn client(&self) -> Client {
+    pub(crate) fn client(&self) -> Client {
         Client::connect(self.address)
     }
 }
@@ -308,25 +313,25 @@
 }
 
 /// A client of the platform.
-pub struct Client {
-    pub socket: TcpStream,
+pub(crate) struct Client {
+    pub(crate) socket: TcpStream,
     next: u32,
     answers: BTreeMap<u32, (u8, Vec<u8>)>,
 }
 
-pub const SERVED: u8 = 79;
-pub const REFUSED: u8 = 66;
-pub const FAILED: u8 = 69;
+pub(crate) const SERVED: u8 = 79;
+pub(crate) const REFUSED: u8 = 66;
+pub(crate) const FAILED: u8 = 69;
 
 impl Client {
-    pub fn connect(address: SocketAddr) -> Self {
+    pub(crate) fn connect(address: SocketAddr) -> Self {
         let socket = TcpStream::connect(address).expect("it listens");
         socket.set_read_timeout(Some(PATIENCE)).expect("set");
         Self { socket, next: 0, answers: BTreeMap::new() }
     }
 
     /// Sends a sound request and gives its stream.
-    pub fn ask(&mut self, op: &str, id: u64, row: u64, body: &[u8]) -> u32 {
+    pub(crate) fn ask(&mut self, op: &str, id: u64, row: u64, body: &[u8]) -> u32 {
         let (id, row) = (format!("{id:016x}"), format!("{row:016x}"));
         self.ask_with(
             &[
@@ -340,7 +345,7 @@
         )
     }
 
-    pub fn ask_with(&mut self, fields: &[(&str, &str)], body: &[u8]) -> u32 {
+    pub(crate) fn ask_with(&mut self, fields: &[(&str, &str)], body: &[u8]) -> u32 {
         self.next += 1;
         let mut out = Vec::new();
         frames::request(&mut out, self.next, fields, body);
@@ -349,7 +354,7 @@
     }
 
     /// The next frame: type, stream, payload. `None`: the connection ended.
-    pub fn frame(&mut self) -> Option<(u8, u32, Vec<u8>)> {
+    pub(crate) fn frame(&mut self) -> Option<(u8, u32, Vec<u8>)> {
         let mut head = [0; 9];
         self.socket.read_exact(&mut head).ok()?;
         let length = u32::from_be_bytes([head[0], head[1], head[2], head[3]]) as usize;
@@ -359,7 +364,7 @@
     }
 
     /// The answer on a stream: code and body.
-    pub fn answer(&mut self, stream: u32) -> (u8, Vec<u8>) {
+    pub(crate) fn answer(&mut self, stream: u32) -> (u8, Vec<u8>) {
         loop {
             if let Some(answer) = self.answers.remove(&stream) {
                 return answer;
--- a/crates/node/tests/crossings.rs
+++ b/crates/node/tests/crossings.rs
@@ -328,25 +328,25 @@
 fn what_came_while_the_process_did_not_run_is_served_before_its_end() {
     let mut hand = Hand::start(1, |_| ());
     hand.turn();
-    hand.node.leave();
+    hand.node.begin_shutdown();
     hand.turn();
     // The process is stopped until its quiet span is over by the clock, and a client came meanwhile.
-    std::thread::sleep(nettleferry_node::limits::LAST_REQUESTS);
+    std::thread::sleep(nettleferry_node::limits::SHUTDOWN_QUIET_SPAN);
     let mut client = hand.client();
     client.ask(1, "safe", WAITS, ROW, b"");
-    assert!(!hand.node.done(), "nobody has looked");
+    assert!(!hand.node.is_done(), "nobody has looked");
     hand.turn();
-    assert!(!hand.node.done());
+    assert!(!hand.node.is_done());
     hand.at(0, "CALL", &name(WAITS));
     hand.invokers[0].serve(|_| true);
     hand.until("it is served", |_| (!client.codes(1).is_empty()).then_some(()));
-    hand.until("the end", |hand| hand.node.done().then_some(()));
+    hand.until("the end", |hand| hand.node.is_done().then_some(()));
 }
 
 #[test]
 fn one_that_came_after_the_word_to_end_is_served_and_asked_for_no_more() {
     let mut hand = Hand::start(1, |_| ());
-    hand.node.leave();
+    hand.node.begin_shutdown();
     let mut client = hand.client();
     hand.turn();
     assert!(client.frames().is_empty(), "the request that it came for is awaited");
--- a/crates/node/tests/shared.rs
+++ b/crates/node/tests/shared.rs
@@ -8,7 +8,9 @@
 
 use common::hand::{Client, Hand, name};
 use common::{FAILED, REFUSED, SERVED};
-use nettleferry_node::limits::{CLIENT_FAULTS, CLIENT_STREAMS, OPENED_A_TURN, SHORT_ANSWER};
+use nettleferry_node::limits::{
+    CONSECUTIVE_FAULTS, OPENS_PER_ITERATION, SHORT_ANSWER_BYTES, STREAMS_PER_CLIENT,
+};
 use nettleferry_platform::{frames, resp};
 
 const ROW: u64 = 9;
@@ -32,7 +34,7 @@
 /// As many as one connection may have open, in one piece; their ids are above `base`.
 fn crowd(client: &mut Client, base: u64) {
     let mut out = Vec::new();
-    (1..=CLIENT_STREAMS as u32).for_each(|n| request(&mut out, n, base + u64::from(n), DEADLINE));
+    (1..=STREAMS_PER_CLIENT as u32).for_each(|n| request(&mut out, n, base + u64::from(n), DEADLINE));
     client.socket.write_all(&out).expect("written");
 }
 
@@ -74,7 +76,7 @@
     // NewCall all the while.
     ask(&mut client, 2, 1, DEADLINE);
     hand.at(0, "CALL", &name(1));
-    let amiss = 3 * CLIENT_FAULTS;
+    let amiss = 3 * CONSECUTIVE_FAULTS;
     for n in 1..=amiss {
         let (bad, sound) = (2 * n + 1, 2 * n + 2);
         ask(&mut client, bad, u64::from(bad), DEADLINE * 1_000);
@@ -105,7 +107,7 @@
     hand.turn();
     let told = patience(&mut hand, 2);
     assert!(told <= DEADLINE - stopped, "{told} ms after {stopped} ms");
-    assert!(hand.node.counters().read_late_most >= stopped * 1_000);
+    assert!(hand.node.counters().longest_read_delay >= stopped * 1_000);
 }
 
 #[test]
@@ -114,23 +116,28 @@
     let mut clients: Vec<Client> = (0..3).map(|_| hand.client()).collect();
     hand.turn();
     hand.turn();
-    let all = clients.len() * CLIENT_STREAMS;
-    assert!(all > OPENED_A_TURN);
+    let all = clients.len() * STREAMS_PER_CLIENT;
+    assert!(all > OPENS_PER_ITERATION);
     for (at, client) in clients.iter_mut().enumerate() {
         crowd(client, 100 * at as u64);
     }
     hand.turn();
-    assert_eq!(hand.node.engine_counters().opened, OPENED_A_TURN as u64);
+    assert_eq!(hand.node.engine_counters().opened, OPENS_PER_ITERATION as u64);
     // All leave now: of what was not opened, nothing ever is.
     for client in &mut clients {
         // In one piece: the system holds back small ones until the first of them are acknowledged.
         let mut out = Vec::new();
-        (1..=CLIENT_STREAMS).for_each(|stream| frames::bare(&mut out, frames::kind::CANCEL, stream as u32));
+        (1..=STREAMS_PER_CLIENT)
+            .for_each(|stream| frames::bare(&mut out, frames::kind::CANCEL, stream as u32));
         client.socket.write_all(&out).expect("written");
     }
     hand.turn();
     hand.fence(5_000);
-    assert_eq!(hand.node.engine_counters().opened, OPENED_A_TURN as u64 + 1, "the fence's is the other one");
+    assert_eq!(
+        hand.node.engine_counters().opened,
+        OPENS_PER_ITERATION as u64 + 1,
+        "the fence's is the other one"
+    );
 }
 
 #[test]
@@ -150,7 +157,7 @@
     hand.turn();
     // It may have run, and a new try of its class does no harm.
     assert_eq!(client.codes(1), [REFUSED], "in that very turn");
-    assert_eq!(hand.node.engine_counters().opened, 1 + CLIENT_STREAMS as u64);
+    assert_eq!(hand.node.engine_counters().opened, 1 + STREAMS_PER_CLIENT as u64);
 }
 
 #[test]
@@ -175,7 +182,7 @@
             while !out.is_empty() {
                 match socket.write(&out) {
                     Ok(n) => drop(out.drain(..n)),
-                    Err(_) => hand.node.turn(Some(Duration::ZERO)).expect("a turn"),
+                    Err(_) => hand.node.iterate(Some(Duration::ZERO)).expect("a turn"),
                 }
             }
         }
@@ -194,7 +201,7 @@
         assert_eq!(of.len(), 1, "stream {stream}");
         let payload = &of[0].2;
         let whole = payload[0] == SERVED && payload.len() == 2 + big.len();
-        assert!(whole || payload[0] == FAILED && payload.len() < SHORT_ANSWER, "stream {stream}");
+        assert!(whole || payload[0] == FAILED && payload.len() < SHORT_ANSWER_BYTES, "stream {stream}");
     }
     ask(&mut client, asked + 1, u64::from(asked + 1), DEADLINE);
     assert_eq!(answers(&mut hand, &mut client, asked + 1), [SERVED]);
--- a/crates/node/tests/whole.rs
+++ b/crates/node/tests/whole.rs
@@ -293,7 +293,7 @@
     let rest = client.ask("safe", 2, 9, b"rest");
     let (_, one) = client.answer(rest);
     // Beyond the time in which an answer must have come whole.
-    let until = std::time::Instant::now() + nettleferry_node::limits::WHOLE_ANSWER * 2;
+    let until = std::time::Instant::now() + nettleferry_node::limits::RESPONSE_TIMEOUT * 2;
     let mut id = 3;
     while std::time::Instant::now() < until {
         let late = client.ask("safe", id, 9, b"late");
