--- a/crates/administration/src/keys.rs
+++ b/crates/administration/src/keys.rs
@@ -7,12 +7,12 @@
 use argon2::Argon2;
 use argon2::password_hash::{PasswordHasher, PasswordVerifier, phc::PasswordHash};
 use nettleferry_admin::{Caller, Problem, Role};
-use nettleferry_admission::Gcra;
+use nettleferry_admission::{Gcra, RateLimit};
 use nettleferry_config::settings::AdminKey;
 use rand::RngExt;
 
 /// Proofs that may fail in a second, and at once.
-const FAILURES: (f64, u32) = (2.0, 20);
+const FAILURES: RateLimit = RateLimit { per_second: 2.0, burst: 20 };
 /// Characters of a secret: 190 bits.
 const SECRET: usize = 32;
 
@@ -29,7 +29,7 @@
     /// Keys of the settings.
     pub fn new(keys: &[AdminKey]) -> Self {
         let keys = keys.iter().map(|k| (k.name.clone(), k.clone())).collect();
-        let (proven, failures) = (BTreeMap::new(), Gcra::new(FAILURES.0, FAILURES.1));
+        let (proven, failures) = (BTreeMap::new(), Gcra::new(FAILURES));
         Self { keys, proven, failures, start: Instant::now() }
     }
 
@@ -44,8 +44,8 @@
         let (name, secret) = token.rsplit_once('.').ok_or_else(|| wrong("a key is NAME.SECRET"))?;
         let now = self.start.elapsed().as_micros() as u64;
         if self.proven.get(name).is_none_or(|proven| !same(proven, secret)) {
-            if let Err(wait) = self.failures.wait(now) {
-                let seconds = wait.map(|us| us.div_ceil(1_000_000));
+            if let Err(exceeded) = self.failures.check(now) {
+                let seconds = exceeded.retry_after.map(|us| us.div_ceil(1_000_000));
                 let what = "too many keys were wrong; wait a moment";
                 return Err(Problem {
                     retry_after: seconds,
@@ -57,7 +57,7 @@
                     .is_ok_and(|hash| Argon2::default().verify_password(secret.as_bytes(), &hash).is_ok())
             });
             if !sound {
-                self.failures.take();
+                self.failures.record();
                 return Err(wrong("there is no such key"));
             }
             self.proven.insert(name.to_owned(), secret.to_owned());
--- a/crates/admission/src/gcra/tests.rs
+++ b/crates/admission/src/gcra/tests.rs
@@ -3,18 +3,23 @@
 use super::*;
 use proptest::prelude::*;
 
+fn limiter(per_second: f64, burst: u32) -> Gcra {
+    Gcra::new(RateLimit { per_second, burst })
+}
+
+/// Lets a call through where it conforms.
 fn pass(gcra: &mut Gcra, now: Micros) -> bool {
-    let passes = gcra.wait(now).is_ok();
+    let passes = gcra.check(now).is_ok();
     if passes {
-        gcra.take();
+        gcra.record();
     }
     passes
 }
 
 #[test]
-fn what_is_not_known_is_taken_to_be_spent_and_the_rate_goes_on() {
-    let mut gcra = Gcra::new(10.0, 20);
-    gcra.spend(1_000_000);
+fn exhausted_burst_leaves_the_rate() {
+    let mut gcra = limiter(10.0, 20);
+    gcra.exhaust(1_000_000);
     assert!(!pass(&mut gcra, 1_000_000), "no second burst");
     // A tenth of a second a call, and no more.
     let passed = (1_000_000..3_000_000).step_by(1_000).filter(|now| pass(&mut gcra, *now)).count();
@@ -22,40 +27,44 @@
 }
 
 #[test]
-fn a_burst_passes_then_the_rate_and_the_wait_told_is_right() {
-    let mut gcra = Gcra::new(10.0, 3);
+fn burst_passes_then_the_rate_and_retry_after_is_exact() {
+    let mut gcra = limiter(10.0, 3);
     assert_eq!((0..5).filter(|_| pass(&mut gcra, 0)).count(), 3);
-    assert_eq!(gcra.wait(0), Err(Some(100_000)));
+    assert_eq!(gcra.check(0), Err(RateExceeded { retry_after: Some(100_000) }));
     assert!(!pass(&mut gcra, 99_999) && pass(&mut gcra, 100_000) && !pass(&mut gcra, 100_001));
     assert_eq!((0..9).filter(|_| pass(&mut gcra, 10_000_000)).count(), 3, "no more than the burst saves up");
 }
 
 #[test]
-fn nought_lets_nothing_through_and_a_clock_that_steps_back_stands_still() {
-    let mut gcra = Gcra::new(0.0, 100);
-    assert_eq!(gcra.wait(5), Err(None));
-    let mut gcra = Gcra::new(1.0, 1);
+fn rate_of_zero_rejects_all_and_backward_clock_stands_still() {
+    let mut gcra = limiter(0.0, 100);
+    assert_eq!(gcra.check(5), Err(RateExceeded { retry_after: None }));
+    let mut gcra = limiter(1.0, 1);
     assert!(pass(&mut gcra, 9_000_000) && !pass(&mut gcra, 1));
-    assert_eq!(gcra.wait(2), Err(Some(1_000_000)));
+    assert_eq!(gcra.check(2), Err(RateExceeded { retry_after: Some(1_000_000) }));
 }
 
 #[test]
-fn a_change_keeps_what_is_owed_in_calls() {
-    let mut gcra = Gcra::new(10.0, 10);
+fn changed_limit_keeps_the_debt_in_calls() {
+    let mut gcra = limiter(10.0, 10);
     assert_eq!((0..10).filter(|_| pass(&mut gcra, 0)).count(), 10);
-    gcra.set(100.0, 10);
-    assert_eq!(gcra.wait(0), Err(Some(10_000)), "no second burst, but the wait of the new rate");
-    gcra.set(0.0, 10);
-    gcra.set(10.0, 10);
-    assert!(gcra.wait(0).is_err(), "nor by way of nought");
+    gcra.set_limit(RateLimit { per_second: 100.0, burst: 10 });
+    assert_eq!(
+        gcra.check(0),
+        Err(RateExceeded { retry_after: Some(10_000) }),
+        "no second burst, but the wait of the new rate"
+    );
+    gcra.set_limit(RateLimit { per_second: 0.0, burst: 10 });
+    gcra.set_limit(RateLimit { per_second: 10.0, burst: 10 });
+    assert!(gcra.check(0).is_err(), "nor by way of a rate of zero");
 }
 
 proptest! {
     #[test]
-    fn no_span_lets_more_through_than_burst_and_rate(
+    fn no_interval_lets_more_through_than_burst_and_rate(
         rate in 1.0f64..5_000.0, burst in 1u32..50, gaps in prop::collection::vec(0u64..20_000, 1..400),
     ) {
-        let mut gcra = Gcra::new(rate, burst);
+        let mut gcra = limiter(rate, burst);
         let (mut now, mut passed) = (0, Vec::new());
         for gap in gaps {
             now += gap;
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -1,20 +1,27 @@
-//! Who may call, decided before the decision module sees a call: no I/O, no clock.
+//! Admission control by tenant: whether a call is accepted, decided before the decision module sees it. No I/O, no
+//! clock.
 //!
-//! May know: tenants, classes and models as numbers, limits, how many calls are in hand. Must not know: names,
-//! sockets, the module, the engine, where limits come from. Times are whole microseconds on a clock that never
-//! goes back; one that does is taken to stand still. Equal events give equal verdicts.
+//! May know: tenants, classes and models as numbers, limits, how many calls are open. Must not know: names, sockets,
+//! the decision module, the engine, where limits come from. Times are microseconds on a clock that never goes back;
+//! one that does is taken to stand still. Equal events give equal verdicts.
 //!
+//! * [`admission`]: all tenants of a controller, one verdict a call.
+//! * [`policy`]: the limits of a tenant and its classes. [`verdict`]: why a call is rejected.
 //! * [`gcra`]: a rate with a burst.
-//! * [`admission`]: a tenant's limits and its classes', one verdict a call.
 
 #![forbid(unsafe_code)]
-#![deny(missing_docs)]
 
+mod account;
 pub mod admission;
 pub mod gcra;
+pub mod policy;
+pub mod verdict;
 
-pub use admission::{Admission, Counters, Policy, Verdict, Why};
-pub use gcra::Gcra;
+pub use account::Counters;
+pub use admission::{Admission, CallRequest, MODEL_IDLE_TIMEOUT};
+pub use gcra::{Gcra, RateExceeded};
+pub use policy::{Limits, Policy, RateLimit};
+pub use verdict::{RejectReason, Rejection, Verdict};
 
 /// Microseconds.
 pub type Micros = u64;
--- a/crates/gateway/benches/isolation.rs
+++ b/crates/gateway/benches/isolation.rs
@@ -7,8 +7,7 @@
 use std::path::Path;
 use std::time::Instant;
 
-use nettleferry_admission::admission::{Asked, Limits};
-use nettleferry_admission::{Admission, Policy, Verdict};
+use nettleferry_admission::{Admission, CallRequest, Limits, Policy, RateLimit, Verdict};
 use plotters::prelude::*;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -47,18 +46,22 @@
     let mut random = ChaCha8Rng::seed_from_u64(5);
     let mut admission = Admission::new(128);
     for tenant in 0..TENANTS {
-        let limits = Limits { rate: Some((limit, (limit / 10.0) as u32)), open: None };
+        let limits =
+            Limits { rate: Some(RateLimit { per_second: limit, burst: (limit / 10.0) as u32 }), open: None };
         let held = (guard == Guard::Full).then_some(256);
-        admission.set(tenant, Policy { limits, held, ..Policy::default() });
+        admission.set_policy(tenant, Policy { limits, held, ..Policy::default() });
     }
     if guard == Guard::Bucket {
         // Rates alone: no places to share.
         let mut alone = Admission::new(u32::MAX);
         for tenant in 0..TENANTS {
-            alone.set(
+            alone.set_policy(
                 tenant,
                 Policy {
-                    limits: Limits { rate: Some((limit, (limit / 10.0) as u32)), open: None },
+                    limits: Limits {
+                        rate: Some(RateLimit { per_second: limit, burst: (limit / 10.0) as u32 }),
+                        open: None,
+                    },
                     ..Policy::default()
                 },
             );
@@ -100,26 +103,26 @@
                         counts.0 += 1;
                     }
                 }
-                let asked = Asked { tenant, class: 0, model: 0, memory: 0 };
-                let verdict = if guard == Guard::None { Verdict::Admit } else { admission.ask(now, asked) };
+                let asked = CallRequest { tenant, class: 0, model: 0, memory: 0 };
+                let verdict = if guard == Guard::None { Verdict::Admit } else { admission.admit(now, asked) };
                 match verdict {
                     Verdict::Admit => queue.push_back((tenant, first)),
                     // Clients that do not heed the pushback: the hard case.
-                    Verdict::Refuse(..) if tries < RETRIES => {
+                    Verdict::Reject(_) if tries < RETRIES => {
                         push(
                             &mut events,
                             now + 20_000,
                             Event::Arrive { tenant, first, tries: tries + 1, own: false },
                         );
                     }
-                    Verdict::Refuse(..) => {}
+                    Verdict::Reject(_) => {}
                 }
             }
             Event::Done { tenant, first } => {
                 free += 1;
                 if guard != Guard::None {
-                    admission.back(tenant);
-                    admission.ended(now, tenant, 0, 0);
+                    admission.call_returned(tenant);
+                    admission.call_ended(now, tenant, 0, 0);
                 }
                 if now - first <= AIM {
                     if tenant != 0 {
@@ -136,13 +139,13 @@
             // Its client has left by now: it costs no lane.
             if now - first > DEADLINE {
                 if guard != Guard::None {
-                    admission.ended(now, tenant, 0, 0);
+                    admission.call_ended(now, tenant, 0, 0);
                 }
                 continue;
             }
             free -= 1;
             if guard != Guard::None {
-                admission.began(tenant);
+                admission.call_started(tenant);
             }
             push(&mut events, now + gap(&mut random, 1e6 / WORK), Event::Done { tenant, first });
         }
@@ -174,18 +177,22 @@
     for tenants in [10usize, 1_000, 10_000] {
         let mut all = Admission::new(256);
         for tenant in 0..tenants {
-            let limits = Limits { rate: Some((1e6, 1_000)), open: Some(1_000) };
-            all.set(tenant, Policy { limits, held: Some(1_000), memory: Some(1 << 40), ..Policy::default() });
+            let limits =
+                Limits { rate: Some(RateLimit { per_second: 1e6, burst: 1_000 }), open: Some(1_000) };
+            all.set_policy(
+                tenant,
+                Policy { limits, held: Some(1_000), memory: Some(1 << 40), ..Policy::default() },
+            );
         }
         const CALLS: u64 = 1_000_000;
         let begun = Instant::now();
         for n in 0..CALLS {
             // 50 of them are busy.
             let tenant = (n % 50) as usize * tenants.max(50) / 50 % tenants;
-            if all.ask(n, Asked { tenant, class: 0, model: n % 7, memory: 1 }) == Verdict::Admit {
-                all.began(tenant);
-                all.back(tenant);
-                all.ended(n, tenant, 0, n % 7);
+            if all.admit(n, CallRequest { tenant, class: 0, model: n % 7, memory: 1 }) == Verdict::Admit {
+                all.call_started(tenant);
+                all.call_returned(tenant);
+                all.call_ended(n, tenant, 0, n % 7);
             }
         }
         let ns = begun.elapsed().as_secs_f64() * 1e9 / CALLS as f64;
--- a/crates/gateway/src/observe.rs
+++ b/crates/gateway/src/observe.rs
@@ -6,6 +6,7 @@
 
 use nettleferry::{LoadNote, Micros, Outcome, WorkerState};
 use nettleferry_administration::endpoint::Endpoint;
+use nettleferry_admission::RejectReason;
 use nettleferry_config::Config;
 use nettleferry_engine::{EndKind, Engine, Note};
 use nettleferry_fleet::gate::{Counters as GateCounters, Gate, Step};
@@ -48,7 +49,7 @@
         let slots =
             Slots::new(config.classes.clone(), &tenants, config.models.groups(), config.figures.series);
         // Reasons of admission stand behind the other limits.
-        let admission = nettleferry_admission::admission::WHY.iter().map(|(_, name)| *name);
+        let admission = RejectReason::ALL.into_iter().map(RejectReason::label);
         let limits: Vec<&str> = LIMITS.into_iter().chain(admission).collect();
         let figures = Arc::new(Figures::new(slots, &limits));
         let aims = config.settings.classes.iter().map(|c| c.aim).collect();
--- a/crates/gateway/src/tenants.rs
+++ b/crates/gateway/src/tenants.rs
@@ -8,14 +8,13 @@
 use nettleferry::{Micros, TenantId};
 use nettleferry_admin::api::Usage;
 use nettleferry_administration::{Demand, Lent, MOST_DEMANDS};
-use nettleferry_admission::admission::{Asked, Limits};
-use nettleferry_admission::{Admission, Policy, Verdict, Why};
+use nettleferry_admission::{Admission, CallRequest, Limits, Policy, RateLimit, RejectReason, Verdict};
 use nettleferry_engine::{EndKind, Phase, Step};
 use nettleferry_fleet::loans::{Kind, LoanConfig};
 use nettleferry_tenancy::{Book, Entry, Revision, Spec, State, Tenant};
 use slab::Slab;
 
-/// Why a call is turned away, for a front.
+/// RejectReason a call is turned away, for a front.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Turned {
     /// It has no right to call: no retry will do. Else it is over a limit.
@@ -93,8 +92,8 @@
     revision: Revision,
     /// No book is held: who may call is not known.
     blind: bool,
-    /// Calls turned away, by reason in the order of `WHY`.
-    turned: [u64; nettleferry_admission::admission::WHY.len()],
+    /// Calls turned away, by reason in the order of [`RejectReason::ALL`].
+    turned: [u64; RejectReason::ALL.len()],
 }
 
 /// Words for the ends of calls, as the figures have them.
@@ -150,7 +149,7 @@
     /// The book is of a life before: what that took of rates is not known, and no tenant gets a second burst.
     pub fn spend(&mut self, now: Micros) {
         for (place, _) in &self.places {
-            self.admission.spend(now, place);
+            self.admission.exhaust_rates(now, place);
         }
     }
 
@@ -217,7 +216,7 @@
             place
         });
         (self.places[place].spec, self.places[place].state) = (tenant.spec.clone(), tenant.state);
-        self.admission.set(place, self.policy(&self.places[place]));
+        self.admission.set_policy(place, self.policy(&self.places[place]));
     }
 
     /// Are limits lent here?
@@ -258,7 +257,7 @@
             self.places.iter().filter(|(_, p)| of.contains(&p.uid)).map(|(at, _)| at).collect();
         for place in places {
             let policy = self.policy(&self.places[place]);
-            self.admission.set(place, policy);
+            self.admission.set_policy(place, policy);
         }
     }
 
@@ -313,7 +312,7 @@
         let rate = |per_second: f64, burst: Option<u32>, ours: f64, alone: &dyn Fn(f64) -> f64| {
             // Bursts are not lent: what moves from one controller to another would be a second burst.
             let burst = burst.map_or(alone(per_second) / 10.0, |b| alone(f64::from(b)));
-            (ours, (burst as u32).max(1))
+            RateLimit { per_second: ours, burst: (burst as u32).max(1) }
         };
         let reserve = |limit| self.terms.reserve_of(limit);
         let lent = |kind, limit| self.part(tenant.uid, kind, limit);
@@ -357,7 +356,7 @@
             if self.anonymous {
                 return Ok(None);
             }
-            self.turned[Why::Unknown as usize] += 1;
+            self.turned[RejectReason::UnknownTenant as usize] += 1;
             return Err(denied("this call names no tenant: send the metadata nettleferry-tenant".to_owned()));
         };
         let Some(place) = self.names.get(name).copied() else {
@@ -365,33 +364,40 @@
                 let message = "which tenants there are is not known here yet: try again".to_owned();
                 return Err(Turned { denied: false, message, wait: Some(BLIND_WAIT) });
             }
-            self.turned[Why::Unknown as usize] += 1;
+            self.turned[RejectReason::UnknownTenant as usize] += 1;
             return Err(denied(format!("there is no tenant {name}")));
         };
         if !self.places[place].spec.may_call(model) {
             // A tenant without the right is counted with those that may not call at all.
-            self.turned[Why::Inactive as usize] += 1;
+            self.turned[RejectReason::InactiveTenant as usize] += 1;
             return Err(denied(format!("tenant {name} has no right to call {model}")));
         }
         self.lapse(now);
         self.touched.insert(place);
         self.places[place].asked.came += 1;
-        let asked = Asked { tenant: place, class, model: model_number(model), memory: memory.unwrap_or(0) };
-        match self.admission.ask(now, asked) {
+        let request =
+            CallRequest { tenant: place, class, model: model_number(model), memory: memory.unwrap_or(0) };
+        match self.admission.admit(now, request) {
             Verdict::Admit => {
-                self.calls.insert(front, InHand { place, class, model: asked.model });
+                self.calls.insert(front, InHand { place, class, model: request.model });
                 Ok(Some(TenantId(self.base + place)))
             }
-            Verdict::Refuse(why, wait) => {
+            Verdict::Reject(rejection) => {
                 let asked = &mut self.places[place].asked;
-                match why {
-                    Why::Open => asked.no_open += 1,
-                    Why::Held => asked.no_held += 1,
-                    Why::Memory => asked.no_memory = asked.no_memory.saturating_add(memory.unwrap_or(0)),
+                match rejection.reason {
+                    RejectReason::TenantOpenCalls => asked.no_open += 1,
+                    RejectReason::TenantHeldCalls => asked.no_held += 1,
+                    RejectReason::TenantMemory => {
+                        asked.no_memory = asked.no_memory.saturating_add(memory.unwrap_or(0))
+                    }
                     _ => {}
                 }
-                self.turned[why as usize] += 1;
-                Err(Turned { denied: why == Why::Inactive, message: words(why, name), wait })
+                self.turned[rejection.reason as usize] += 1;
+                Err(Turned {
+                    denied: rejection.reason == RejectReason::InactiveTenant,
+                    message: words(rejection.reason, name),
+                    wait: rejection.retry_after,
+                })
             }
         }
     }
@@ -402,10 +408,10 @@
         let place = call.place;
         self.touched.insert(place);
         match phase.step {
-            Step::Began => self.admission.began(place),
-            Step::Back => self.admission.back(place),
+            Step::Began => self.admission.call_started(place),
+            Step::Back => self.admission.call_returned(place),
             Step::Ended(how) => {
-                self.admission.ended(now, place, call.class, call.model);
+                self.admission.call_ended(now, place, call.class, call.model);
                 if let Some(place) = self.places.get_mut(place) {
                     *place.ends.entry(end_word(how)).or_default() += 1;
                 }
@@ -414,7 +420,7 @@
         }
     }
 
-    /// Calls turned away, by reason in the order of `WHY`.
+    /// Calls turned away, by reason in the order of [`RejectReason::ALL`].
     pub fn turned(&self) -> &[u64] {
         &self.turned
     }
@@ -444,7 +450,7 @@
             held_calls: c.open - c.running,
             loaded_memory_bytes: c.memory,
             admitted: c.admitted,
-            refused: c.refused,
+            refused: c.rejected,
             ends: p.ends.iter().map(|(end, n)| ((*end).to_owned(), *n)).collect(),
         }
     }
@@ -457,17 +463,19 @@
     hasher.finish()
 }
 
-fn words(why: Why, name: &str) -> String {
-    match why {
-        Why::Unknown => format!("there is no tenant {name}"),
-        Why::Inactive => format!("tenant {name} is suspended or being removed"),
-        Why::Rate => format!("tenant {name} is over its rate"),
-        Why::ClassRate => format!("tenant {name} is over its rate in this class"),
-        Why::Open => format!("tenant {name} has as many open calls as it may"),
-        Why::ClassOpen => format!("tenant {name} has as many open calls in this class as it may"),
-        Why::Held => format!("tenant {name} has as many calls waiting as it may"),
-        Why::Memory => format!("tenant {name} uses as much memory of models as it may"),
-        Why::Share => format!("tenant {name} has its part of the fleet, and others wait"),
-        Why::Fair => format!("many calls wait, and tenant {name} has its part of the places"),
+fn words(reason: RejectReason, name: &str) -> String {
+    match reason {
+        RejectReason::UnknownTenant => format!("there is no tenant {name}"),
+        RejectReason::InactiveTenant => format!("tenant {name} is suspended or being removed"),
+        RejectReason::TenantRate => format!("tenant {name} is over its rate"),
+        RejectReason::ClassRate => format!("tenant {name} is over its rate in this class"),
+        RejectReason::TenantOpenCalls => format!("tenant {name} has as many open calls as it may"),
+        RejectReason::ClassOpenCalls => {
+            format!("tenant {name} has as many open calls in this class as it may")
+        }
+        RejectReason::TenantHeldCalls => format!("tenant {name} has as many calls waiting as it may"),
+        RejectReason::TenantMemory => format!("tenant {name} uses as much memory of models as it may"),
+        RejectReason::FleetShare => format!("tenant {name} has its part of the fleet, and others wait"),
+        RejectReason::FairShare => format!("many calls wait, and tenant {name} has its part of the places"),
     }
 }
