--- a/crates/gateway/src/tenants.rs
+++ b/crates/gateway/src/tenants.rs
@@ -9,7 +9,7 @@
 use nettleferry_admin::api::Usage;
 use nettleferry_administration::{Demand, Lent, MOST_DEMANDS};
 use nettleferry_admission::{Admission, CallRequest, Limits, Policy, RateLimit, RejectReason, Verdict};
-use nettleferry_engine::{EndKind, Phase, Step};
+use nettleferry_engine::{CallOutcome, Phase, Step};
 use nettleferry_fleet::loans::{Kind, LoanConfig};
 use nettleferry_tenancy::{Book, Entry, Revision, Spec, State, Tenant};
 use slab::Slab;
@@ -97,13 +97,13 @@
 }
 
 /// Words for the ends of calls, as the figures have them.
-fn end_word(how: EndKind) -> &'static str {
+fn end_word(how: CallOutcome) -> &'static str {
     match how {
-        EndKind::Served => "served",
-        EndKind::Rejected => "rejected",
-        EndKind::Refused => "refused",
-        EndKind::Failed => "failed",
-        EndKind::Gone => "cancelled",
+        CallOutcome::Served => "served",
+        CallOutcome::Rejected => "rejected",
+        CallOutcome::Refused => "refused",
+        CallOutcome::Failed => "failed",
+        CallOutcome::ClientGone => "cancelled",
     }
 }
 
@@ -408,9 +408,9 @@
         let place = call.place;
         self.touched.insert(place);
         match phase.step {
-            Step::Began => self.admission.call_started(place),
-            Step::Back => self.admission.call_returned(place),
-            Step::Ended(how) => {
+            Step::AttemptStarted => self.admission.call_started(place),
+            Step::AttemptEnded => self.admission.call_returned(place),
+            Step::CallEnded(how) => {
                 self.admission.call_ended(now, place, call.class, call.model);
                 if let Some(place) = self.places.get_mut(place) {
                     *place.ends.entry(end_word(how)).or_default() += 1;
