--- a/crates/gateway/src/commands/admin/table.rs
+++ b/crates/gateway/src/commands/admin/table.rs
@@ -1,4 +1,4 @@
-//! JSON as tables for people.
+//! JSON as tables and differences for people.
 
 use std::collections::BTreeSet;
 
@@ -17,8 +17,8 @@
     }
 }
 
-/// Rows by these columns.
-pub fn rows(all: &[Value], columns: &[&str]) -> String {
+/// A row for each object, with these columns.
+pub(super) fn rows(all: &[Value], columns: &[&str]) -> String {
     let mut table = Table::new();
     table.load_style(presets::NOTHING).set_header(columns.iter().map(|c| c.to_uppercase()));
     for row in all {
@@ -27,8 +27,8 @@
     table.trim_fmt()
 }
 
-/// One object, a line a field.
-pub fn fields(value: &Value) -> String {
+/// One object, a line for each field.
+pub(super) fn fields(value: &Value) -> String {
     let mut table = Table::new();
     table.load_style(presets::NOTHING);
     for (name, value) in value.as_object().into_iter().flatten() {
@@ -37,22 +37,27 @@
     table.trim_fmt()
 }
 
-/// What differs, a line each, by path.
-pub fn difference(before: &Value, after: &Value) -> String {
+/// A line for each value that differs, by its path: `-` before, `+` after.
+pub(super) fn difference(before: &Value, after: &Value) -> String {
     let mut lines = Vec::new();
-    differ("", before, after, &mut lines);
+    collect_differences("", before, after, &mut lines);
     lines.join("\n")
 }
 
-fn differ(path: &str, before: &Value, after: &Value, lines: &mut Vec<String>) {
+fn collect_differences(path: &str, before: &Value, after: &Value, lines: &mut Vec<String>) {
     if before == after {
         return;
     }
-    if let (Value::Object(a), Value::Object(b)) = (before, after) {
-        let names: BTreeSet<&String> = a.keys().chain(b.keys()).collect();
+    if let (Value::Object(old), Value::Object(new)) = (before, after) {
+        let names: BTreeSet<&String> = old.keys().chain(new.keys()).collect();
         for name in names {
             let path = if path.is_empty() { name.clone() } else { format!("{path}.{name}") };
-            differ(&path, a.get(name).unwrap_or(&Value::Null), b.get(name).unwrap_or(&Value::Null), lines);
+            collect_differences(
+                &path,
+                old.get(name).unwrap_or(&Value::Null),
+                new.get(name).unwrap_or(&Value::Null),
+                lines,
+            );
         }
         return;
     }
--- a/crates/gateway/src/commands/admin/table/tests.rs
+++ b/crates/gateway/src/commands/admin/table/tests.rs
@@ -4,7 +4,7 @@
 use serde_json::json;
 
 #[test]
-fn a_difference_names_its_path() {
+fn difference_names_the_path_of_each_value() {
     let before = json!({"name": "a", "limits": {"open_calls": 5, "burst": 2}});
     let after = json!({"name": "a", "limits": {"open_calls": 9}, "note": "n"});
     let lines = difference(&before, &after);
--- a/crates/gateway/src/commands/alerts.rs
+++ b/crates/gateway/src/commands/alerts.rs
@@ -4,22 +4,24 @@
 
 use clap::{Args, Subcommand};
 use nettleferry_alerts::{check, rules, unit};
-use nettleferry_config::settings;
+use nettleferry_config::{Config, settings};
 use nettleferry_metrics::sample;
 
-use super::{CommandError, announce, read, serve};
+use super::console::{announce, read_file};
+use super::error::CommandError;
+use super::{exit_code, settings_file};
 use crate::observe::Observer;
 
 /// Check alert rules against the registry, or run rule unit tests.
 #[derive(Args)]
-pub struct Alerts {
+pub(crate) struct Alerts {
     #[command(subcommand)]
-    what: What,
+    action: Action,
 }
 
 #[derive(Subcommand)]
-enum What {
-    /// Hold every metric and label that rules name against the registry
+enum Action {
+    /// Check every metric and label that rules name against the registry
     Check {
         /// Rule files
         #[arg(default_value = "alerts/nettleferry.yml")]
@@ -30,69 +32,74 @@
     },
     /// Run rule unit tests: series in, alerts out
     Test {
-        /// Test file, in the manner of promtool
+        /// Test file, in the format of promtool
         file: PathBuf,
     },
 }
 
-/// Settings of a registry that nobody told of.
-const PLAIN: &str = "(listen (grpc \"127.0.0.1:0\")) (workers (file \"w\"))
+/// Settings of the registry where none are given.
+const MINIMAL_SETTINGS: &str = "(listen (grpc \"127.0.0.1:0\")) (workers (file \"w\"))
     (class default (effect safe) (aim 1s) (deadline 2s)) (model \"*\" (class default))";
 
 /// Labels that a push or a scrape adds.
-const OUTER: [&str; 2] = ["instance", "job"];
-
-fn rule_file(path: &Path) -> Result<Vec<rules::Rule>, CommandError> {
-    let text = read(path)?;
-    rules::read(&path.display().to_string(), &text).map_err(|e| CommandError::File(e.to_string()))
-}
+const TARGET_LABELS: [&str; 2] = ["instance", "job"];
 
 impl Alerts {
-    pub fn run(self) -> Result<u8, CommandError> {
-        match self.what {
-            What::Check { files, settings } => check_files(&files, settings.as_deref()),
-            What::Test { file } => test(&file),
+    pub(crate) fn run(self) -> Result<u8, CommandError> {
+        match self.action {
+            Action::Check { files, settings } => check_files(&files, settings.as_deref()),
+            Action::Test { file } => run_tests(&file),
         }
     }
 }
 
-fn check_files(files: &[PathBuf], told: Option<&Path>) -> Result<u8, CommandError> {
-    let config = match told {
-        Some(path) => serve::settings(path)?,
-        None => settings::read("the plain settings", PLAIN).map_err(CommandError::Unsound)?,
+fn check_files(files: &[PathBuf], settings: Option<&Path>) -> Result<u8, CommandError> {
+    let config = match settings {
+        Some(path) => settings_file::read(path)?,
+        None => settings::read("the plain settings", MINIMAL_SETTINGS).map_err(CommandError::InvalidFile)?,
     };
-    let text = Observer::new(&config).figures().text();
-    let text = text.map_err(|_| CommandError::File("the registry can't be written as text".to_owned()))?;
-    let mut catalog = check::Catalog::new(&OUTER);
-    for series in sample::read(&text) {
-        catalog.add(&series.labels);
-    }
-    let (mut count, mut wrong) = (0, 0);
+    let catalog = catalog(&config)?;
+    let (mut alerts, mut findings) = (0, 0);
     for file in files {
-        for rule in rule_file(file)? {
-            count += 1;
-            for what in check::check(&rule, &catalog) {
-                wrong += 1;
-                announce(&format!("{}: {}: {what}", file.display(), rule.alert))?;
+        for rule in read_rules(file)? {
+            alerts += 1;
+            for finding in check::check(&rule, &catalog) {
+                findings += 1;
+                announce(&format!("{}: {}: {finding}", file.display(), rule.alert))?;
             }
         }
     }
-    announce(&format!("{count} alerts, {wrong} findings"))?;
-    Ok(u8::from(wrong > 0))
+    announce(&format!("{alerts} alerts, {findings} findings"))?;
+    Ok(exit_code::of_check(findings == 0))
+}
+
+/// Metrics and labels of a controller with these settings.
+fn catalog(config: &Config) -> Result<check::Catalog, CommandError> {
+    let text = Observer::new(config).figures().text().map_err(CommandError::MetricsText)?;
+    let mut catalog = check::Catalog::new(&TARGET_LABELS);
+    for series in sample::read(&text) {
+        catalog.add(&series.labels);
+    }
+    Ok(catalog)
 }
 
-fn test(file: &Path) -> Result<u8, CommandError> {
-    let text = read(file)?;
-    let tests = unit::read(&file.display().to_string(), &text).map_err(CommandError::File)?;
-    let beside = file.parent().unwrap_or(Path::new(""));
-    let mut all = Vec::new();
+fn run_tests(file: &Path) -> Result<u8, CommandError> {
+    let text = read_file(file)?;
+    let tests = unit::read(&file.display().to_string(), &text).map_err(CommandError::AlertTests)?;
+    let folder = file.parent().unwrap_or(Path::new(""));
+    let mut rules = Vec::new();
     for name in &tests.rule_files {
-        all.extend(rule_file(&beside.join(name))?);
+        rules.extend(read_rules(&folder.join(name))?);
     }
-    let wrong = tests.run(&all);
-    for what in &wrong {
-        announce(what)?;
+    let unmet = tests.run(&rules);
+    for expectation in &unmet {
+        announce(expectation)?;
     }
-    announce(&format!("{} alerts, {} expectations not met", all.len(), wrong.len()))?;
-    Ok(u8::from(!wrong.is_empty()))
+    announce(&format!("{} alerts, {} expectations not met", rules.len(), unmet.len()))?;
+    Ok(exit_code::of_check(unmet.is_empty()))
+}
+
+fn read_rules(path: &Path) -> Result<Vec<rules::Rule>, CommandError> {
+    let text = read_file(path)?;
+    Ok(rules::read(&path.display().to_string(), &text)?)
 }
--- a/crates/gateway/src/commands/call.rs
+++ b/crates/gateway/src/commands/call.rs
@@ -1,22 +1,33 @@
-//! `call`: one inference call, for people.
+//! `call`: makes one inference call and prints its answer.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
 use clap::Args;
+use http::HeaderMap;
 use nettleferry_net::NetLimits;
 use nettleferry_net::grpc::Code;
 use nettleferry_proto::inference::model_infer_request::InferInputTensor;
-use nettleferry_proto::inference::*;
+use nettleferry_proto::inference::model_infer_response::InferOutputTensor;
+use nettleferry_proto::inference::{ModelInferRequest, ModelInferResponse, ModelStreamInferResponse};
 use nettleferry_scenario::client::{Ask, Client, Heard};
 use prost::Message;
 
-use super::{CommandError, announce};
+use super::console::announce;
+use super::error::{CommandError, UsageError};
+use super::exit_code;
+
+/// How long a connection may take to open.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
+/// How much longer than the call's own timeout its end is waited for.
+const END_GRACE: Duration = Duration::from_secs(1);
+/// The trailer by which a server says when a retry is welcome (gRFC A6); a negative number: none is.
+const PUSHBACK_TRAILER: &str = "grpc-retry-pushback-ms";
 
 /// Make one inference call.
 #[derive(Args)]
-pub struct Call {
+pub(crate) struct Call {
     /// The gateway, or a worker
     address: SocketAddr,
     /// The model
@@ -48,7 +59,7 @@
 }
 
 impl Call {
-    fn request(&self) -> Result<ModelInferRequest, CommandError> {
+    fn request(&self) -> Result<ModelInferRequest, UsageError> {
         let mut request = ModelInferRequest {
             model_name: self.model.clone(),
             model_version: self.version_wanted.clone(),
@@ -64,89 +75,101 @@
         let raw: Vec<u8> = self.values.iter().flat_map(|v| v.to_le_bytes()).collect();
         request.raw_input_contents = vec![raw.into()];
         for param in &self.param {
-            let pair =
-                param.split_once('=').and_then(|(name, value)| Some((name, value.parse::<i64>().ok()?)));
-            let (name, value) = pair.ok_or_else(|| {
-                CommandError::Usage(format!(
-                    "--param {param:?}: write NAME=VALUE with a whole number, such as segments=3"
-                ))
-            })?;
+            let (name, value) = parameter(param).ok_or_else(|| UsageError::Parameter(param.clone()))?;
             request.parameters.insert(name.to_owned(), value.into());
         }
         Ok(request)
     }
 
-    pub fn run(self) -> Result<u8, CommandError> {
+    pub(crate) fn run(self) -> Result<u8, CommandError> {
         let request = self.request()?;
         let failed = || CommandError::system("can't open a socket");
-        let mut client =
-            Client::new(1, NetLimits { connect_timeout: Duration::from_secs(2), ..NetLimits::default() })
-                .map_err(failed())?;
-        let headers =
-            self.tenant.iter().map(|t| (nettleferry_proto::marks::TENANT.to_owned(), t.clone())).collect();
+        let limits = NetLimits { connect_timeout: CONNECT_TIMEOUT, ..NetLimits::default() };
+        let mut client = Client::new(1, limits).map_err(failed())?;
         let timeout = Duration::from_millis(self.timeout_ms);
-        let method = if self.stream { "ModelStreamInfer" } else { "ModelInfer" };
-        let messages = vec![request.encode_to_vec().into()];
-        let ask = Ask { method, messages, timeout: Some(timeout), headers, ..Ask::default() };
-        client.call(self.address, ask).map_err(failed())?;
-        let until = Instant::now() + timeout + Duration::from_secs(1);
-        let mut heard = Vec::new();
-        let mut wrong = false;
+        client.call(self.address, self.client_request(&request, timeout)).map_err(failed())?;
+        let until = Instant::now() + timeout + END_GRACE;
+        let mut events = Vec::new();
+        let mut served = true;
         while Instant::now() < until {
-            client.turn(Some(until - Instant::now()), &mut heard).map_err(failed())?;
-            for what in heard.drain(..) {
-                match what {
-                    Heard::Message { payload, .. } => wrong |= self.show(payload)?,
+            client.turn(Some(until - Instant::now()), &mut events).map_err(failed())?;
+            for event in events.drain(..) {
+                match event {
+                    Heard::Message { payload, .. } => served &= self.print_message(payload)?,
                     Heard::End { status: Ok(status), trailers, .. } => {
                         if status.code == Code::Ok {
-                            return Ok(u8::from(wrong));
+                            return Ok(exit_code::of_check(served));
                         }
-                        let pushback = trailers.get("grpc-retry-pushback-ms").and_then(|v| v.to_str().ok());
-                        let advice = match pushback {
-                            Some(ms) if ms.starts_with('-') => {
-                                " (do not try again: nothing is promised)".to_owned()
-                            }
-                            Some(ms) => format!(" (another try is harmless, in {ms} ms)"),
-                            None => String::new(),
-                        };
+                        let advice = retry_advice(&trailers);
                         eprintln!("{}: {}{advice}", status.code.name(), status.message);
-                        return Ok(1);
+                        return Ok(exit_code::FAILED);
                     }
                     Heard::End { status: Err(error), .. } => {
                         eprintln!("{}: {error}", self.address);
-                        return Ok(1);
+                        return Ok(exit_code::FAILED);
                     }
                 }
             }
         }
         eprintln!("{}: no answer within the time given", self.address);
-        Ok(1)
+        Ok(exit_code::FAILED)
+    }
+
+    fn client_request(&self, request: &ModelInferRequest, timeout: Duration) -> Ask {
+        let tenant = self.tenant.iter();
+        Ask {
+            method: if self.stream { "ModelStreamInfer" } else { "ModelInfer" },
+            messages: vec![request.encode_to_vec().into()],
+            timeout: Some(timeout),
+            headers: tenant
+                .map(|tenant| (nettleferry_proto::marks::TENANT.to_owned(), tenant.clone()))
+                .collect(),
+            ..Ask::default()
+        }
     }
 
-    /// Prints a message; true: it tells an error.
-    fn show(&self, payload: Bytes) -> Result<bool, CommandError> {
-        let read = if self.stream {
-            ModelStreamInferResponse::decode(payload)
-                .map(|r| (r.error_message, r.infer_response.unwrap_or_default()))
+    /// Prints the outputs, or the error that a stream's message has; false: it has one.
+    fn print_message(&self, payload: Bytes) -> Result<bool, CommandError> {
+        let response = if self.stream {
+            let part = ModelStreamInferResponse::decode(payload).map_err(UsageError::Response)?;
+            if !part.error_message.is_empty() {
+                eprintln!("{}", part.error_message);
+                return Ok(false);
+            }
+            part.infer_response.unwrap_or_default()
         } else {
-            ModelInferResponse::decode(payload).map(|r| (String::new(), r))
+            ModelInferResponse::decode(payload).map_err(UsageError::Response)?
         };
-        let (error, response) =
-            read.map_err(|e| CommandError::Usage(format!("the answer is no message of the protocol: {e}")))?;
-        if !error.is_empty() {
-            eprintln!("{error}");
-            return Ok(true);
-        }
-        for (at, output) in response.outputs.iter().enumerate() {
-            let values = match (&output.contents, response.raw_output_contents.get(at)) {
-                (Some(contents), _) if !contents.fp32_contents.is_empty() => contents.fp32_contents.clone(),
-                (_, Some(raw)) if output.datatype == "FP32" => {
-                    raw.chunks_exact(4).map(|b| f32::from_le_bytes([b[0], b[1], b[2], b[3]])).collect()
-                }
-                _ => Vec::new(),
-            };
+        for (index, output) in response.outputs.iter().enumerate() {
+            let raw = response.raw_output_contents.get(index);
+            let values = fp32_values(output, raw);
             announce(&format!("{} {} {:?}: {values:?}", output.name, output.datatype, output.shape))?;
         }
-        Ok(false)
+        Ok(true)
+    }
+}
+
+fn parameter(text: &str) -> Option<(&str, i64)> {
+    let (name, value) = text.split_once('=')?;
+    Some((name, value.parse().ok()?))
+}
+
+/// What the server says of a retry.
+fn retry_advice(trailers: &HeaderMap) -> String {
+    match trailers.get(PUSHBACK_TRAILER).and_then(|value| value.to_str().ok()) {
+        Some(ms) if ms.starts_with('-') => " (do not try again: nothing is promised)".to_owned(),
+        Some(ms) => format!(" (another try is harmless, in {ms} ms)"),
+        None => String::new(),
+    }
+}
+
+/// The values of an output tensor: typed, or raw little-endian; none where it has another type.
+fn fp32_values(output: &InferOutputTensor, raw: Option<&Bytes>) -> Vec<f32> {
+    match (&output.contents, raw) {
+        (Some(contents), _) if !contents.fp32_contents.is_empty() => contents.fp32_contents.clone(),
+        (_, Some(raw)) if output.datatype == "FP32" => {
+            raw.chunks_exact(4).map(|b| f32::from_le_bytes([b[0], b[1], b[2], b[3]])).collect()
+        }
+        _ => Vec::new(),
     }
 }
--- a/crates/gateway/src/commands/demo.rs
+++ b/crates/gateway/src/commands/demo.rs
@@ -1,4 +1,4 @@
-//! `demo`: a controller and six stand-in workers in one process, on loopback, over real sockets.
+//! `demo`: a controller and test workers in one process, on loopback, over real sockets.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -9,19 +9,21 @@
 use nettleferry_test_servers::spec::ModelSpec;
 use nettleferry_test_servers::{Handle, Options, Spec, Store, spawn};
 
-use super::{CommandError, serve};
+use super::error::CommandError;
+use super::serve;
 
-/// Start a controller with six stand-in workers, to try it.
+/// Start a controller with six test workers, to try it.
 #[derive(Args)]
-pub struct Demo {
+pub(crate) struct Demo {
     /// Where the controller listens; port 0 lets the system choose
     #[arg(long, value_name = "ADDR:PORT", default_value = "127.0.0.1:8001")]
     listen: SocketAddr,
-    /// How many stand-in workers
+    /// How many test workers
     #[arg(long, default_value_t = 6, value_parser = clap::value_parser!(u32).range(1..=64))]
     workers: u32,
 }
 
+/// Settings of the demo; the listening address and the worker list are filled in.
 const SETTINGS: &str = r#"
 (listen (grpc "127.0.0.1:0"))
 (workers (file "workers.sexp"))
@@ -35,61 +37,76 @@
 (model "climb-*" (class quick) (lanes 2) (input "HEIGHT" FP32 -1) (output "ASCENT" FP32 -1) (output "DESCENT" FP32 -1))
 "#;
 
-/// Starts stand-ins that share a store, and gives them with the list that names them.
-pub fn fleet(count: u32, spec: &Spec) -> Result<(Vec<Handle>, Vec<workers::Worker>), CommandError> {
-    let store = Arc::new(Mutex::new(Store::default()));
-    let epoch = Instant::now();
-    let mut handles = Vec::new();
-    let mut list = Vec::new();
-    for n in 1..=count {
-        let handle = spawn(Options {
-            name: format!("w{n}"),
-            doors: vec![SocketAddr::from(([127, 0, 0, 1], 0))],
-            spec: spec.clone(),
-            store: Arc::clone(&store),
-            epoch,
-            records: None,
-            cold: false,
-            seed: u64::from(n),
-        })
-        .map_err(CommandError::system("can't start a stand-in worker"))?;
-        list.push(workers::Worker {
-            name: handle.name.clone(),
-            address: handle.doors[0],
-            zone: if n % 2 == 0 { "b" } else { "a" }.to_owned(),
-            kind: "stand-in".to_owned(),
-            weight: 1.0,
-            cell: handle.name.clone(),
-            state: nettleferry::WorkerState::On,
-            born: None,
-        });
-        handles.push(handle);
+/// Calls that wait at a worker, at the most.
+const WORKER_QUEUE: usize = 4096;
+
+/// Test workers that run as long as this is kept.
+struct Workers {
+    _handles: Vec<Handle>,
+    list: Vec<workers::Worker>,
+}
+
+impl Workers {
+    /// Starts workers on loopback that share a model store.
+    fn start(count: u32, spec: &Spec) -> Result<Self, CommandError> {
+        let store = Arc::new(Mutex::new(Store::default()));
+        let epoch = Instant::now();
+        let mut handles = Vec::new();
+        let mut list = Vec::new();
+        for number in 1..=count {
+            let handle = spawn(Options {
+                name: format!("w{number}"),
+                doors: vec![SocketAddr::from(([127, 0, 0, 1], 0))],
+                spec: spec.clone(),
+                store: Arc::clone(&store),
+                epoch,
+                records: None,
+                cold: false,
+                seed: u64::from(number),
+            })
+            .map_err(CommandError::system("can't start a stand-in worker"))?;
+            list.push(listed(&handle, if number % 2 == 0 { "b" } else { "a" }));
+            handles.push(handle);
+        }
+        Ok(Self { _handles: handles, list })
+    }
+}
+
+/// A worker's line of the worker list.
+fn listed(handle: &Handle, zone: &str) -> workers::Worker {
+    workers::Worker {
+        name: handle.name.clone(),
+        address: handle.doors[0],
+        zone: zone.to_owned(),
+        kind: "stand-in".to_owned(),
+        weight: 1.0,
+        cell: handle.name.clone(),
+        state: nettleferry::WorkerState::On,
+        born: None,
     }
-    Ok((handles, list))
 }
 
 impl Demo {
-    pub fn run(self) -> Result<u8, CommandError> {
-        let mut spec = Spec { queue: 4096, ..Spec::default() };
-        // Answers at once: load on it shows the gateway, not the pretended work of the others.
-        spec.models.push(ModelSpec {
-            prefix: "echo-now".to_owned(),
-            lanes: 256,
-            work: 0,
-            ..ModelSpec::any()
-        });
-        let (_workers, list) = fleet(self.workers, &spec)?;
-        let dir = std::env::temp_dir().join(format!("nettleferry-demo-{}", std::process::id()));
-        std::fs::create_dir_all(&dir)
+    pub(crate) fn run(self) -> Result<u8, CommandError> {
+        let workers = Workers::start(self.workers, &worker_spec())?;
+        let folder = std::env::temp_dir().join(format!("nettleferry-demo-{}", std::process::id()));
+        std::fs::create_dir_all(&folder)
             .map_err(CommandError::system("can't make a folder for the worker list"))?;
-        let file = dir.join("workers.sexp");
-        let written = std::fs::write(&file, workers::write(&list));
-        written.map_err(CommandError::system("can't write the worker list"))?;
-        let mut config = settings::read("demo", SETTINGS).map_err(CommandError::Unsound)?;
+        let file = folder.join("workers.sexp");
+        std::fs::write(&file, workers::write(&workers.list))
+            .map_err(CommandError::system("can't write the worker list"))?;
+        let mut config = settings::read("demo", SETTINGS).map_err(CommandError::InvalidFile)?;
         config.grpc = self.listen;
         config.workers = file;
-        let ended = serve::run(config);
-        let _ = std::fs::remove_dir_all(&dir);
-        ended
+        let exit_code = serve::run_controller(config);
+        let _ = std::fs::remove_dir_all(&folder);
+        exit_code
     }
 }
+
+/// All models of a test worker, and one that answers at once: load on it shows the gateway's own limits.
+fn worker_spec() -> Spec {
+    let mut spec = Spec { queue: WORKER_QUEUE, ..Spec::default() };
+    spec.models.push(ModelSpec { prefix: "echo-now".to_owned(), lanes: 256, work: 0, ..ModelSpec::any() });
+    spec
+}
--- /dev/null
+++ b/crates/gateway/src/commands/fleet/audit.rs
@@ -0,0 +1,123 @@
+//! `fleet audit` and `fleet verify`: fetches the audit logs that controllers delivered, and evaluates or verifies them.
+//! What follows from the entries is decided by `nettleferry_audit_log`.
+
+use std::path::Path;
+
+use nettleferry_audit_log::audit::{Audit, Report};
+use nettleferry_audit_log::chain::{self, ChainError, Checked};
+use serde_json::{Value, json};
+
+use super::super::admin::{Api, Client, escaped};
+use super::super::error::CommandError;
+use super::output::Output;
+use crate::admin::ADMINISTRATION;
+
+/// Entries of one audit log that are fetched, at the most.
+const MAX_ENTRIES: usize = 1_000_000;
+/// Entries of one response.
+const PAGE_ENTRIES: usize = 1_000;
+
+/// One audit log, with what was found wrong in it.
+struct FetchedLog {
+    /// Whose it is: a controller as the leader names it, or a folder.
+    source: String,
+    checked: Checked,
+}
+
+/// The audit logs that the leader has.
+pub(super) struct FetchedLogs {
+    /// The leader's incarnation: all times are given on its clock.
+    leader: u64,
+    logs: Vec<FetchedLog>,
+}
+
+/// Fetches all audit logs, page by page.
+pub(super) fn fetch(client: &mut Client) -> Result<FetchedLogs, CommandError> {
+    let list = client.get("/v1/fleet/records")?;
+    let leader = list["by"].as_u64().unwrap_or(0);
+    let sources = list["records"].as_array().into_iter().flatten().filter_map(|row| row["of"].as_str());
+    let logs: Result<_, CommandError> = sources
+        .map(|source| {
+            let entries = fetch_entries(client, source)?;
+            let checked = chain::check(entries.iter().map(String::as_str));
+            Ok(FetchedLog { source: source.to_owned(), checked })
+        })
+        .collect();
+    Ok(FetchedLogs { leader, logs: logs? })
+}
+
+fn fetch_entries(client: &mut Client, source: &str) -> Result<Vec<String>, CommandError> {
+    let mut entries: Vec<String> = Vec::new();
+    let mut next = Some(0);
+    while let Some(from) = next.filter(|_| entries.len() < MAX_ENTRIES) {
+        let source = escaped(source);
+        let page = client.get(&format!("/v1/fleet/records?of={source}&from={from}&limit={PAGE_ENTRIES}"))?;
+        let lines = page["lines"].as_array().into_iter().flatten();
+        entries.extend(lines.filter_map(|line| line.as_str().map(str::to_owned)));
+        next = page["next"].as_u64();
+    }
+    Ok(entries)
+}
+
+/// Evaluates all logs together.
+pub(super) fn report(fetched: &FetchedLogs) -> Report {
+    let mut audit = Audit::default();
+    for FetchedLog { source, checked } in &fetched.logs {
+        if source == ADMINISTRATION {
+            audit.administration(fetched.leader, &checked.lines);
+        } else {
+            audit.controller(fetched.leader, &checked.lines, false);
+        }
+        for fault in &checked.faults {
+            audit.fault(None, format!("record of {source}: {fault}"));
+        }
+    }
+    audit.report()
+}
+
+/// The outcome of `fleet verify`.
+pub(super) struct Verified {
+    pub(super) output: Output,
+    /// No log lacks an entry.
+    pub(super) complete: bool,
+}
+
+/// Checks the chains of the audit log in a folder, or of those that were delivered.
+pub(super) fn verify(folder: Option<&Path>, api: &Api) -> Result<Verified, CommandError> {
+    let logs = match folder {
+        Some(folder) => {
+            let checked = crate::trail::read(folder.to_owned())?;
+            vec![FetchedLog { source: folder.display().to_string(), checked }]
+        }
+        None => fetch(&mut Client::new(api)?)?.logs,
+    };
+    let mut verified = Verified { output: Output { json: json!([]), lines: Vec::new() }, complete: true };
+    let mut rows = Vec::new();
+    for log in &logs {
+        let complete = log.checked.faults.iter().all(is_expected);
+        verified.complete &= complete;
+        verified.output.lines.extend(log_lines(log, complete));
+        rows.push(log_row(log, complete));
+    }
+    verified.output.json = json!(rows);
+    Ok(verified)
+}
+
+/// The oldest entries go by the log's bound: a log that begins later is not damaged.
+fn is_expected(fault: &ChainError) -> bool {
+    matches!(fault, ChainError::Begins { .. })
+}
+
+fn log_lines(log: &FetchedLog, complete: bool) -> Vec<String> {
+    let state = if complete { "whole" } else { "NOT whole" };
+    let FetchedLog { source, checked } = log;
+    let mut lines = vec![format!("record of {source}: {} lines, {state}", checked.lines.len())];
+    lines.extend(checked.faults.iter().map(|fault| format!("  {fault}")));
+    lines
+}
+
+fn log_row(log: &FetchedLog, complete: bool) -> Value {
+    let FetchedLog { source, checked } = log;
+    let faults: Vec<String> = checked.faults.iter().map(ToString::to_string).collect();
+    json!({ "of": source, "lines": checked.lines.len(), "whole": complete, "faults": faults })
+}
--- /dev/null
+++ b/crates/gateway/src/commands/fleet/plans.rs
@@ -0,0 +1,188 @@
+//! The file of `fleet simulate`: one run for each combination of fleet size, loss and seed.
+
+use nettleferry_config::form::{Bytes, Errors, Form, Source, TimeSpan};
+use nettleferry_simulation::network::Network;
+use nettleferry_simulation::{follow, power};
+
+/// Controllers of a run, at the most.
+const MAX_CONTROLLERS: u32 = 1_000;
+/// Runs of a file, at the most.
+const MAX_RUNS: usize = 10_000;
+/// Bounds of a run's virtual time, in microseconds.
+const MIN_LENGTH_US: u64 = 1_000_000;
+const MAX_LENGTH_US: u64 = 3_600_000_000;
+const DEFAULT_LENGTH_US: u64 = 30_000_000;
+/// Bounds of a lease, in milliseconds.
+const LEASE_MS: std::ops::RangeInclusive<u64> = 200..=60_000;
+
+/// One run.
+pub(super) enum Run {
+    /// Followers of a stream of changes.
+    Follow(follow::Plan),
+    /// The return from a loss of power.
+    Power(power::Plan),
+}
+
+/// One combination of the values that a form varies.
+struct Combination {
+    controllers: u32,
+    loss: f64,
+    seed: u64,
+}
+
+/// The values that a form varies; each combination is a run.
+struct Variations {
+    controllers: Vec<u32>,
+    losses: Vec<f64>,
+}
+
+impl Variations {
+    fn read(form: &mut Form) -> Self {
+        let controllers: Vec<u32> = numbers(form, "controllers", &["3", "30", "300"]);
+        if controllers.iter().any(|n| !(2..=MAX_CONTROLLERS).contains(n)) {
+            form.fault(format!("(controllers ...): 2 to {MAX_CONTROLLERS}"));
+        }
+        let losses: Vec<f64> = numbers(form, "loss", &["0"]);
+        if losses.iter().any(|loss| !(0.0..=0.5).contains(loss)) {
+            form.fault("(loss ...): parts of the packets, 0 to 0.5");
+        }
+        Self { controllers, losses }
+    }
+
+    /// Seeds vary fastest, sizes slowest.
+    fn combinations(&self, seeds: &[u64]) -> Vec<Combination> {
+        let mut all = Vec::new();
+        for &controllers in &self.controllers {
+            for &loss in &self.losses {
+                all.extend(seeds.iter().map(|&seed| Combination { controllers, loss, seed }));
+            }
+        }
+        all
+    }
+}
+
+/// Reads the file; all that is wrong with it is reported together.
+pub(super) fn read(file: &str, text: &str) -> Result<Vec<Run>, Errors> {
+    let (source, mut top) = Source::open(file, text);
+    let seeds: Vec<u64> = numbers(&mut top, "seeds", &["1"]);
+    let mut runs = Vec::new();
+    for form in top.all("follow") {
+        runs.extend(follow_runs(form, &seeds));
+    }
+    for form in top.all("power") {
+        runs.extend(power_runs(form, &seeds));
+    }
+    if runs.is_empty() {
+        top.fault("nothing is played: write (follow ...) or (power ...)");
+    } else if runs.len() > MAX_RUNS {
+        top.fault(format!("{} plays: at most {MAX_RUNS}", runs.len()));
+    }
+    top.end();
+    source.finish(Some(runs))
+}
+
+fn follow_runs(mut form: Form, seeds: &[u64]) -> Vec<Run> {
+    let variations = Variations::read(&mut form);
+    let network = network(&mut form);
+    let lease_ms = form.span_or("lease", 6_000_000) / 1000;
+    if !LEASE_MS.contains(&lease_ms) {
+        form.fault("(lease ...): 200ms to 60s");
+    }
+    let changes: f64 = form.or("changes-per-second", 0.5);
+    if !(0.001..=1_000.0).contains(&changes) {
+        form.fault("(changes-per-second ...): 0.001 to 1000");
+    }
+    let length = length(&mut form);
+    form.end();
+    let plan = |Combination { controllers, loss, seed }| {
+        let network = Network { loss, ..network };
+        Run::Follow(follow::Plan { controllers, network, lease_ms, changes, length, seed })
+    };
+    variations.combinations(seeds).into_iter().map(plan).collect()
+}
+
+fn power_runs(mut form: Form, seeds: &[u64]) -> Vec<Run> {
+    let variations = Variations::read(&mut form);
+    let network = network(&mut form);
+    let base = power_plan(&mut form, network);
+    form.end();
+    let mut runs = Vec::new();
+    for Combination { controllers, loss, seed } in variations.combinations(seeds) {
+        for gate in [false, true] {
+            let network = Network { loss, ..network };
+            runs.push(Run::Power(power::Plan { controllers, network, gate, seed, ..base }));
+        }
+    }
+    runs
+}
+
+/// A plan without the values that vary.
+fn power_plan(form: &mut Form, network: Network) -> power::Plan {
+    let after = form.get::<TimeSpan>("administration-after").map(|span| span.0);
+    let administration = match (form.or("administration", true), after) {
+        (false, _) => power::Back::Never,
+        (true, Some(after)) => power::Back::After(after),
+        (true, None) => power::Back::First,
+    };
+    let plan = power::Plan {
+        controllers: 0,
+        network,
+        administration,
+        lost_books: form.or("lost-books", 0.1f64).clamp(0.0, 1.0),
+        tenants: form.or("tenants", 500u64).min(20_000),
+        calls: form.or("calls-per-second", 70.0f64).clamp(0.1, 10_000.0),
+        capacity: form.or("capacity", 131.0f64).clamp(0.1, 100_000.0),
+        cold_part: form.or("cold-part", 0.25f64).clamp(0.01, 1.0),
+        cold: form.span_or("cold", 4_000_000),
+        wait: form.span_or("wait", 1_000_000),
+        models: form.or("models", 26u32).clamp(1, 10_000),
+        load: form.span_or("load-time", 300_000).max(1),
+        store: form.or("store", 64u32).max(1),
+        aim: form.span_or("aim", 600_000),
+        deadline: form.span_or("deadline", 3_000_000),
+        gate: true,
+        length: length(form),
+        seed: 0,
+    };
+    if plan.deadline >= plan.length {
+        form.fault("(deadline ...): shorter than the length");
+    }
+    plan
+}
+
+/// The network without its loss.
+fn network(form: &mut Form) -> Network {
+    let delay = form.span_or("delay", 2_000).max(2);
+    let bandwidth = form.get::<Bytes>("bandwidth").map_or(100 << 20, |bytes| bytes.0).max(1) as f64;
+    Network { loss: 0.0, delay, bandwidth }
+}
+
+fn length(form: &mut Form) -> u64 {
+    let length = form.span_or("length", DEFAULT_LENGTH_US);
+    if !(MIN_LENGTH_US..=MAX_LENGTH_US).contains(&length) {
+        form.fault("(length ...): 1s to 1h");
+    }
+    length.clamp(MIN_LENGTH_US, MAX_LENGTH_US)
+}
+
+/// Values of `(key VALUE ...)`, or the defaults where there are none.
+fn numbers<T: std::str::FromStr>(form: &mut Form, key: &'static str, defaults: &[&str]) -> Vec<T> {
+    let mut texts: Vec<String> = Vec::new();
+    if let Some(mut list) = form.sub(key) {
+        while let Some(text) = list.take::<String>() {
+            texts.push(text);
+        }
+        list.end();
+    }
+    if texts.is_empty() {
+        texts = defaults.iter().map(|text| (*text).to_owned()).collect();
+    }
+    let mut values = Vec::new();
+    for text in texts {
+        match text.parse() {
+            Ok(value) => values.push(value),
+            Err(_) => form.fault(format!("({key} {text}): numbers are wanted")),
+        }
+    }
+    values
+}
--- /dev/null
+++ b/crates/gateway/src/commands/fleet/timeline.rs
@@ -0,0 +1,112 @@
+//! The time line of `fleet audit --svg`: controllers against versions; what was surely stale is shaded.
+
+use std::path::Path;
+
+use nettleferry_audit_log::audit::{Actor, Certainty, Incarnation, Report};
+use plotters::coord::Shift;
+use plotters::coord::types::RangedCoordf64;
+use plotters::prelude::*;
+
+use super::super::error::{CommandError, PlotError};
+use super::audit_text::incarnation;
+
+const WIDTH_PIXELS: u32 = 1_000;
+const FRAME_PIXELS: u32 = 120;
+const ROW_PIXELS: u32 = 28;
+/// A bar is drawn at least this part of the time line wide.
+const SHORTEST_BAR: f64 = 0.002;
+
+type Chart<'a> = ChartContext<'a, SVGBackend<'a>, Cartesian2d<RangedCoordf64, RangedCoordf64>>;
+
+/// An actor whose begin and end are known, in seconds.
+struct Bar<'a> {
+    actor: &'a Actor,
+    from: f64,
+    to: f64,
+}
+
+/// What is drawn: a row for each incarnation, and its bars.
+struct Timeline<'a> {
+    report: &'a Report,
+    bars: Vec<Bar<'a>>,
+    rows: Vec<Incarnation>,
+    begin: f64,
+    end: f64,
+}
+
+/// Draws the time line into an SVG file.
+pub(super) fn draw(report: &Report, file: &Path) -> Result<(), CommandError> {
+    let timeline = Timeline::new(report);
+    let height = FRAME_PIXELS + ROW_PIXELS * timeline.rows.len().max(1) as u32;
+    let area = SVGBackend::new(file, (WIDTH_PIXELS, height)).into_drawing_area();
+    timeline.draw(&area).map_err(CommandError::plot(file))
+}
+
+impl<'a> Timeline<'a> {
+    fn new(report: &'a Report) -> Self {
+        let seconds = |ms: i64| ms as f64 / 1000.0;
+        let bars: Vec<Bar> = report
+            .actors
+            .iter()
+            .filter_map(|actor| Some(Bar { actor, from: seconds(actor.from?), to: seconds(actor.to?) }))
+            .collect();
+        let mut rows: Vec<Incarnation> = bars.iter().map(|bar| bar.actor.who).collect();
+        rows.sort();
+        rows.dedup();
+        let begin = bars.iter().map(|bar| bar.from).fold(f64::INFINITY, f64::min).min(0.0);
+        let end = bars.iter().map(|bar| bar.to).fold(1.0, f64::max);
+        Self { report, bars, rows, begin, end }
+    }
+
+    fn row(&self, who: Incarnation) -> f64 {
+        self.rows.iter().position(|row| *row == who).unwrap_or(0) as f64
+    }
+
+    fn draw(&self, area: &DrawingArea<SVGBackend, Shift>) -> Result<(), PlotError> {
+        area.fill(&WHITE)?;
+        let rows = self.rows.len().max(1);
+        let mut chart = ChartBuilder::on(area)
+            .caption("Versions that controllers acted on", ("sans-serif", 16))
+            .margin(12)
+            .x_label_area_size(36)
+            .y_label_area_size(150)
+            .build_cartesian_2d(self.begin..self.end * 1.02, 0.0..rows as f64)?;
+        let label =
+            |y: &f64| self.rows.get(y.floor() as usize).map_or(String::new(), |who| incarnation(*who));
+        chart
+            .configure_mesh()
+            .disable_y_mesh()
+            .y_labels(rows + 1)
+            .y_label_formatter(&label)
+            .x_desc("seconds of the administration")
+            .draw()?;
+        self.draw_bars(&mut chart)?;
+        self.draw_stale(&mut chart)?;
+        area.present()
+    }
+
+    fn draw_bars(&self, chart: &mut Chart) -> Result<(), PlotError> {
+        for Bar { actor, from, to } in &self.bars {
+            let row = self.row(actor.who);
+            let colour = Palette99::pick(actor.book.1 as usize).mix(0.7);
+            let corners = [(*from, row + 0.2), (to.max(from + self.end * SHORTEST_BAR), row + 0.8)];
+            chart.draw_series([Rectangle::new(corners, colour.filled())])?;
+            let text = Text::new(actor.book.1.to_string(), (*from, row + 0.62), ("sans-serif", 11));
+            chart.draw_series([text])?;
+        }
+        Ok(())
+    }
+
+    fn draw_stale(&self, chart: &mut Chart) -> Result<(), PlotError> {
+        for found in &self.report.behind {
+            let matches = |bar: &&Bar| bar.actor.who == found.who && bar.actor.book == found.book;
+            let Some(bar) = self.bars.iter().find(matches) else { continue };
+            let row = self.row(found.who);
+            let since = (bar.to - found.most_ms as f64 / 1000.0).max(bar.from);
+            let colour = if found.sure == Certainty::Certain { RED.mix(0.5) } else { RED.mix(0.2) };
+            let corners = [(since, row + 0.05), (bar.to, row + 0.95)];
+            chart.draw_series([Rectangle::new(corners, colour.filled())])?;
+        }
+        Ok(())
+    }
+}
--- a/crates/gateway/src/commands/hollow.rs
+++ b/crates/gateway/src/commands/hollow.rs
@@ -1,19 +1,20 @@
-//! `hollow`: peers for scale runs that keep a protocol and do no work, thousands in one process.
+//! `hollow`: peers for scale runs that keep to a protocol and do no work, thousands in one process.
 
 use std::net::SocketAddr;
 use std::path::Path;
 use std::time::Duration;
 
 use clap::{Args, Subcommand};
-use nettleferry_hollow::bounds::Refused;
 use nettleferry_hollow::process::Machine;
 use nettleferry_hollow::{controllers, followers};
 
-use super::{CommandError, read};
+use super::console::read_file;
+use super::error::{CommandError, UsageError};
+use super::exit_code;
 
-/// Run hollow peers: they keep a protocol and its timing and do no work; JSON lines, until standard input closes.
+/// Run hollow peers: they keep to a protocol and its timing and do no work; JSON lines, until standard input closes.
 #[derive(Args)]
-pub struct Hollow {
+pub(crate) struct Hollow {
     #[command(subcommand)]
     role: Role,
 }
@@ -37,25 +38,25 @@
     /// How many
     #[arg(long)]
     count: u32,
-    /// The controller's number of the first
+    /// The controller number of the first
     #[arg(long, default_value_t = 1)]
     first_number: u32,
-    /// What draws begin with
+    /// Seed of the random numbers
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// End after so long; else when standard input closes
+    /// End after so many seconds; else when standard input closes
     #[arg(long)]
     seconds: Option<u64>,
-    /// They begin to ask spread over so long
+    /// Their first requests are spread over this time
     #[arg(long, value_name = "MS", default_value_t = 1_000)]
     begin_within: u64,
-    /// They go on without a lease, like (without-lease serve)
+    /// They go on serving without a lease, like (without-lease serve)
     #[arg(long)]
     goes_on: bool,
-    /// The chance that a request or an answer is lost, and comes 200 ms later as TCP sends it again
+    /// The probability that a request or a response is lost, and comes 200 ms later as TCP sends it again
     #[arg(long, value_name = "P", default_value_t = 0.0)]
     loss: f64,
-    /// How long one way takes, beyond what loopback does
+    /// Delay of one way, in addition to that of loopback
     #[arg(long, value_name = "MS", default_value_t = 0)]
     delay: u64,
 }
@@ -68,16 +69,16 @@
     /// How many
     #[arg(long)]
     count: u32,
-    /// The controller's number of the first
+    /// The controller number of the first
     #[arg(long, default_value_t = 1)]
     first_number: u32,
-    /// What draws begin with
+    /// Seed of the random numbers
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// End after so long; else when standard input closes
+    /// End after so many seconds; else when standard input closes
     #[arg(long)]
     seconds: Option<u64>,
-    /// They open their connections spread over so long
+    /// The opening of their connections is spread over this time
     #[arg(long, value_name = "MS", default_value_t = 1_000)]
     begin_within: u64,
     /// Calls a second, over all of them
@@ -89,13 +90,13 @@
     /// The model that is called
     #[arg(long, default_value = "echo")]
     model: String,
-    /// A call has so long
+    /// The deadline of a call
     #[arg(long, value_name = "MS", default_value_t = 4_000)]
     deadline: u64,
 }
 
 impl Hollow {
-    pub fn run(self) -> Result<u8, CommandError> {
+    pub(crate) fn run(self) -> Result<u8, CommandError> {
         match self.role {
             Role::Followers(followers) => followers.run(),
             Role::Controllers(controllers) => controllers.run(),
@@ -117,11 +118,11 @@
             loss: self.loss,
             delay: Duration::from_millis(self.delay),
         };
-        settings.check(Machine::read()).map_err(refused)?;
+        settings.check(Machine::read()).map_err(UsageError::HollowPeers)?;
         let followers = followers::Followers::new(settings).map_err(CommandError::system("can't begin"))?;
         let ran = followers.run(std::io::stdin(), std::io::stdout());
         ran.map_err(CommandError::system("the run ended"))?;
-        Ok(0)
+        Ok(exit_code::SUCCESS)
     }
 }
 
@@ -139,21 +140,17 @@
             model: self.model,
             deadline: Duration::from_millis(self.deadline),
         };
-        settings.check(Machine::read()).map_err(refused)?;
+        settings.check(Machine::read()).map_err(UsageError::HollowPeers)?;
         let controllers =
             controllers::Controllers::new(settings).map_err(CommandError::system("can't begin"))?;
         let ran = controllers.run(std::io::stdin(), std::io::stdout());
         ran.map_err(CommandError::system("the run ended"))?;
-        Ok(0)
+        Ok(exit_code::SUCCESS)
     }
 }
 
-fn refused(why: Refused) -> CommandError {
-    CommandError::Usage(why.to_string())
-}
-
 /// A token, or what the file of this name holds.
 fn token(key: &str) -> Result<String, CommandError> {
     let path = Path::new(key);
-    if path.is_file() { Ok(read(path)?.trim().to_owned()) } else { Ok(key.to_owned()) }
+    if path.is_file() { Ok(read_file(path)?.trim().to_owned()) } else { Ok(key.to_owned()) }
 }
--- a/crates/gateway/src/commands/load.rs
+++ b/crates/gateway/src/commands/load.rs
@@ -1,6 +1,7 @@
 //! `load`: closed-loop load with latencies, through a gateway and straight to a worker in one run, and what the
 //! gateway answers by itself, to tell whose bound the figure shows.
 
+use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
@@ -9,15 +10,17 @@
 use hdrhistogram::Histogram;
 use nettleferry_net::NetLimits;
 use nettleferry_net::grpc::Code;
-use nettleferry_proto::inference::ModelInferRequest;
 use nettleferry_scenario::client::{Ask, Client, Heard};
+use nettleferry_test_servers::models::climb_request;
 use prost::Message;
 
-use super::{CommandError, announce};
+use super::console::announce;
+use super::error::{CommandError, UsageError};
+use super::exit_code;
 
 /// Measure: closed-loop load, through a gateway and straight to a worker side by side.
 #[derive(Args)]
-pub struct Load {
+pub(crate) struct Load {
     /// The gateway
     address: SocketAddr,
     /// A worker: the same load goes straight to it, in turn with the gateway's
@@ -46,111 +49,150 @@
     stream: bool,
 }
 
-/// A call through the gateway costs it some times an answer of its own; below this part of them something
-/// else bounds.
+/// A call through the gateway costs it several times as much as an answer of its own. Below this part of the rate of
+/// its own answers, something else is the bound.
 const WORKERS_BOUND: f64 = 0.15;
 
+/// How long a connection may take to open.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(5);
+/// How long a round's last calls are waited for after its end.
+const LAST_CALLS_GRACE: Duration = Duration::from_secs(30);
+/// The longest wait for an event.
+const MAX_WAIT: Duration = Duration::from_secs(1);
+/// A round's length at the most, in seconds.
+const MAX_SECONDS: f64 = 3600.0;
+/// Calls a second that a ratio divides by at the least.
+const SMALLEST_RATE: f64 = 1e-9;
+/// Latencies above this are counted as this.
+const MAX_LATENCY_US: u64 = 60_000_000;
+/// The request to a climbing model: its heights, and the segments of its answer.
+const CLIMB_HEIGHTS: usize = 65;
+const CLIMB_SEGMENTS: i64 = 4;
+
 /// What one round gave.
 struct Round {
-    calls: u64,
-    bad: u64,
+    served: u64,
+    not_served: u64,
     span: Duration,
-    latency: Histogram<u64>,
+    latency_us: Histogram<u64>,
+}
+
+impl Round {
+    fn new() -> Result<Self, UsageError> {
+        let latency_us = Histogram::new_with_bounds(1, MAX_LATENCY_US, 3)?;
+        Ok(Self { served: 0, not_served: 0, span: Duration::ZERO, latency_us })
+    }
+}
+
+impl Round {
+    fn calls_per_second(&self) -> f64 {
+        self.served as f64 / self.span.as_secs_f64()
+    }
+
+    fn latency_ms(&self, quantile: f64) -> f64 {
+        self.latency_us.value_at_quantile(quantile) as f64 / 1e3
+    }
+}
+
+/// One end of the comparison, with the calls a second of each round.
+struct Side {
+    name: &'static str,
+    address: SocketAddr,
+    rates: Vec<f64>,
 }
 
 impl Load {
-    pub fn run(self) -> Result<u8, CommandError> {
-        if !(self.seconds > 0.0 && self.seconds <= 3600.0) {
-            return Err(CommandError::Usage("--seconds: more than 0, at most 3600".to_owned()));
+    pub(crate) fn run(self) -> Result<u8, CommandError> {
+        if !(self.seconds > 0.0 && self.seconds <= MAX_SECONDS) {
+            return Err(UsageError::RoundLength.into());
         }
-        let mut sides = vec![("through", self.address)];
-        sides.extend(self.against.map(|address| ("direct", address)));
-        let mut rates = vec![Vec::new(); sides.len()];
-        let ask = self.ask();
-        for round in 1..=self.rounds {
-            for (side, (name, address)) in sides.iter().enumerate() {
-                let got = self.round(*address, &ask)?;
-                let rate = got.calls as f64 / got.span.as_secs_f64();
-                rates[side].push(rate);
-                let at = |q| got.latency.value_at_quantile(q) as f64 / 1e3;
+        let mut sides = vec![Side { name: "through", address: self.address, rates: Vec::new() }];
+        sides.extend(self.against.map(|address| Side { name: "direct", address, rates: Vec::new() }));
+        let request = self.request();
+        for number in 1..=self.rounds {
+            for side in &mut sides {
+                let round = self.round(side.address, &request)?;
+                side.rates.push(round.calls_per_second());
                 announce(&format!(
-                    "round {round} {name}: {rate:.0} calls/s, {} not served, p50 {:.2} ms, p99 {:.2} ms, p99.9 {:.2} ms",
-                    got.bad,
-                    at(0.5),
-                    at(0.99),
-                    at(0.999)
+                    "round {number} {}: {:.0} calls/s, {} not served, p50 {:.2} ms, p99 {:.2} ms, p99.9 {:.2} ms",
+                    side.name,
+                    round.calls_per_second(),
+                    round.not_served,
+                    round.latency_ms(0.5),
+                    round.latency_ms(0.99),
+                    round.latency_ms(0.999)
                 ))?;
             }
         }
-        let through = median(&mut rates[0]);
-        let live = Ask { method: "ServerLive", messages: vec![Bytes::new()], ..Ask::default() };
-        let got = self.round(self.address, &live)?;
-        let front = got.calls as f64 / got.span.as_secs_f64();
-        announce(&format!("the gateway's own answers (ServerLive): {front:.0} a second at the same load"))?;
-        if through < front * WORKERS_BOUND {
-            announce(&format!(
-                "calls come to {:.1}% of that: lanes, cores and work of the workers bound this figure, not the gateway",
-                100.0 * through / front.max(1e-9)
-            ))?;
-        }
-        if let [through, direct] = &mut rates[..] {
-            let ratio = median(through) / median(direct).max(1e-9);
+        let medians: Vec<f64> = sides.into_iter().map(|side| median(side.rates)).collect();
+        self.compare_with_own_answers(medians[0])?;
+        if let [through, direct] = medians[..] {
+            let ratio = through / direct.max(SMALLEST_RATE);
             announce(&format!(
                 "through/direct: {ratio:.3} of the throughput (medians of {} rounds)",
                 self.rounds
             ))?;
         }
-        Ok(0)
+        Ok(exit_code::SUCCESS)
     }
 
-    fn ask(&self) -> Ask {
-        let mut request = nettleferry_test_servers::models::climb_request(&self.model, "1", &[], 1);
-        request.raw_input_contents = vec![vec![7; self.bytes].into()];
-        if self.model.starts_with("climb") {
-            let heights = [1.0; 65];
-            request = nettleferry_test_servers::models::climb_request(&self.model, "1", &heights, 4);
+    /// Says whether the workers bound the rate through the gateway: one round of calls that it answers by itself.
+    fn compare_with_own_answers(&self, through: f64) -> Result<(), CommandError> {
+        let live = Ask { method: "ServerLive", messages: vec![Bytes::new()], ..Ask::default() };
+        let own = self.round(self.address, &live)?.calls_per_second();
+        announce(&format!("the gateway's own answers (ServerLive): {own:.0} a second at the same load"))?;
+        if through < own * WORKERS_BOUND {
+            announce(&format!(
+                "calls come to {:.1}% of that: lanes, cores and work of the workers bound this figure, not the gateway",
+                100.0 * through / own.max(SMALLEST_RATE)
+            ))?;
         }
-        let body = ModelInferRequest::encode_to_vec(&request);
+        Ok(())
+    }
+
+    fn request(&self) -> Ask {
+        let body = if self.model.starts_with("climb") {
+            climb_request(&self.model, "1", &[1.0; CLIMB_HEIGHTS], CLIMB_SEGMENTS)
+        } else {
+            let mut body = climb_request(&self.model, "1", &[], 1);
+            body.raw_input_contents = vec![vec![7; self.bytes].into()];
+            body
+        };
         let method = if self.stream { "ModelStreamInfer" } else { "ModelInfer" };
-        Ask { method, messages: vec![body.into()], ..Ask::default() }
+        Ask { method, messages: vec![body.encode_to_vec().into()], ..Ask::default() }
     }
 
-    fn round(&self, address: SocketAddr, ask: &Ask) -> Result<Round, CommandError> {
+    /// Keeps `open` calls open until the round's end, and waits for the last ones.
+    fn round(&self, address: SocketAddr, request: &Ask) -> Result<Round, CommandError> {
         let failed = || CommandError::system("the client failed");
-        let limits = NetLimits { connect_timeout: Duration::from_secs(5), ..NetLimits::default() };
+        let limits = NetLimits { connect_timeout: CONNECT_TIMEOUT, ..NetLimits::default() };
         let mut client = Client::new(self.connections as usize, limits).map_err(failed())?;
-        let mut begun = std::collections::HashMap::new();
-        let mut round = Round {
-            calls: 0,
-            bad: 0,
-            span: Duration::ZERO,
-            latency: Histogram::new_with_bounds(1, 60_000_000, 3)
-                .map_err(|e| CommandError::Usage(format!("histogram: {e}")))?,
-        };
+        let mut open = HashMap::new();
+        let mut round = Round::new()?;
         let start = Instant::now();
         let until = start + Duration::from_secs_f64(self.seconds);
         for _ in 0..self.open {
-            begun.insert(client.call(address, ask.clone()).map_err(failed())?, Instant::now());
+            open.insert(client.call(address, request.clone()).map_err(failed())?, Instant::now());
         }
-        let mut heard = Vec::new();
-        while !begun.is_empty() {
-            client.turn(Some(Duration::from_secs(1)), &mut heard).map_err(failed())?;
+        let mut events = Vec::new();
+        while !open.is_empty() {
+            client.turn(Some(MAX_WAIT), &mut events).map_err(failed())?;
             let now = Instant::now();
-            for what in heard.drain(..) {
-                let Heard::End { rpc, status, .. } = what else { continue };
-                let Some(since) = begun.remove(&rpc) else { continue };
-                if status.is_ok_and(|s| s.code == Code::Ok) {
-                    round.calls += 1;
-                    round.latency.saturating_record((now - since).as_micros() as u64);
+            for event in events.drain(..) {
+                let Heard::End { rpc, status, .. } = event else { continue };
+                let Some(since) = open.remove(&rpc) else { continue };
+                if status.is_ok_and(|status| status.code == Code::Ok) {
+                    round.served += 1;
+                    round.latency_us.saturating_record((now - since).as_micros() as u64);
                 } else {
-                    round.bad += 1;
+                    round.not_served += 1;
                 }
                 if now < until {
-                    begun.insert(client.call(address, ask.clone()).map_err(failed())?, now);
+                    open.insert(client.call(address, request.clone()).map_err(failed())?, now);
                 }
             }
-            if now > until + Duration::from_secs(30) {
-                round.bad += begun.len() as u64;
+            if now > until + LAST_CALLS_GRACE {
+                round.not_served += open.len() as u64;
                 break;
             }
         }
@@ -159,7 +201,7 @@
     }
 }
 
-fn median(values: &mut [f64]) -> f64 {
+fn median(mut values: Vec<f64>) -> f64 {
     values.sort_by(f64::total_cmp);
     values.get(values.len() / 2).copied().unwrap_or(0.0)
 }
--- a/crates/gateway/src/commands/mod.rs
+++ b/crates/gateway/src/commands/mod.rs
@@ -1,14 +1,15 @@
-//! The command line. Exit codes: 0 done; 1 a rule broke (`scenario`, `soak`), a bound broke (`scale`), the call was not served
-//! (`call`), or alert rules have findings (`alerts`); 2 the
-//! command line is wrong; 3 a file can't be read or is not sound; 4 the system refused something (an address,
-//! a thread, a process); 130 stopped at once by a second signal or with calls still open.
+//! The command line: one module a subcommand. Each reads its files, calls the package that does the work and prints
+//! the result; decisions belong to those packages.
+//!
+//! [`exit_code`] lists the exit codes, [`error`] maps errors to them.
 
-pub mod admin;
+mod admin;
 mod alerts;
-mod audit;
 mod call;
-
+mod console;
 mod demo;
+mod error;
+mod exit_code;
 mod fleet;
 mod hollow;
 mod load;
@@ -16,17 +17,16 @@
 mod scale;
 mod scenario;
 mod serve;
-mod simulate;
+mod settings_file;
 mod soak;
 mod top;
 mod worker;
 
-use std::path::{Path, PathBuf};
-
 use clap::{Parser, Subcommand};
 
-use crate::controller::ControllerError;
-use crate::logs::Logs;
+pub(crate) use error::CommandError;
+
+use crate::logs::LogOptions;
 
 /// A gateway that sends inference calls to workers which load models on demand.
 #[derive(Parser)]
@@ -34,25 +34,26 @@
     name = "nettleferry",
     version,
     propagate_version = true,
-    after_help = "Exit codes: 0 done; 1 a rule broke (scenario), a bound broke (scale), the call was not served (call) alert rules have findings (alerts) or the administration refused (admin); 2 wrong command line; 3 a \
-                  file can't be read or is not sound; 4 the system refused something; 130 stopped at once with calls open."
+    after_help = "Exit codes: 0 done; 1 a rule broke (scenario, soak), a bound broke (scale), the call was not served (call), \
+                  alert rules have findings (alerts) or the administration refused (admin, fleet); 2 wrong command line; \
+                  3 a file can't be read or is not valid; 4 the system refused something; 130 stopped at once with calls open."
 )]
-pub struct Arguments {
+pub(crate) struct Arguments {
     #[command(flatten)]
-    pub logs: Logs,
+    pub(crate) logs: LogOptions,
     #[command(subcommand)]
-    pub command: Command,
+    pub(crate) command: Command,
 }
 
 #[derive(Subcommand)]
-pub enum Command {
-    /// Start a controller with six stand-in workers, to try it
+pub(crate) enum Command {
+    /// Start a controller with six test workers, to try it
     Demo(demo::Demo),
     /// Run a controller
     Serve(serve::Serve),
     /// Run a controller on the platform
     Node(node::NodeCommand),
-    /// Check a settings file and say all that is wrong with it
+    /// Check a settings file and report all errors in it
     Check(serve::Check),
     /// Make one inference call
     Call(call::Call),
@@ -65,98 +66,22 @@
     Alerts(alerts::Alerts),
     /// Administer tenants, limits, workers and the audit trail of a running controller
     Admin(admin::Admin),
-    /// See which book of tenants each controller holds, and decide which one stands after a loss
+    /// See which tenant snapshot each controller has, and decide which one is used after a loss
     Fleet(fleet::Fleet),
     /// Show tenants, classes, workers and held calls, live; q ends it
     Top(top::Top),
     /// Measure how cost grows with the size of the fleet, and judge it by the bounds of a file
     Scale(scale::Scale),
-    /// Play controllers on the platform under overlapping troubles, and judge them by invariants
+    /// Run controllers on the platform under overlapping faults, and judge them by invariants
     Soak(soak::Soak),
-    /// Run one stand-in worker
+    /// Run one test worker
     Worker(worker::WorkerCommand),
     #[command(hide = true)]
     Hollow(hollow::Hollow),
 }
 
-/// Why a command ended without success.
-#[derive(Debug, thiserror::Error)]
-pub enum CommandError {
-    /// A file can't be read.
-    #[error("can't read {}: {source}", path.display())]
-    Read {
-        /// The file.
-        path: PathBuf,
-        /// Why.
-        source: std::io::Error,
-    },
-    /// A file is not sound.
-    #[error("{0}")]
-    Unsound(nettleferry_config::Errors),
-    /// The controller failed.
-    #[error("{0}")]
-    Controller(#[from] ControllerError),
-    /// The controller on the platform failed.
-    #[error("{0}")]
-    Node(#[from] nettleferry_node::NodeError),
-    /// A file is not what it should be.
-    #[error("{0}")]
-    File(String),
-    /// A day could not be played.
-    #[error("{0}")]
-    Day(nettleferry_scenario::run::DayError),
-    /// The system refused something.
-    #[error("{what}: {source}")]
-    System {
-        /// What was tried.
-        what: String,
-        /// Why.
-        source: std::io::Error,
-    },
-    /// The administration refused, or could not be asked.
-    #[error("the administration: {0}")]
-    Api(String),
-    /// A scale run could not go on.
-    #[error("{measure} {size}: {error}")]
-    Scale {
-        /// What was measured.
-        measure: &'static str,
-        /// At which size.
-        size: u64,
-        /// Why it ended.
-        error: nettleferry_scale::measure::MeasureError,
-    },
-    /// A soak run could not be played.
-    #[error("{0}")]
-    Soak(String),
-    /// Words that clap can't judge.
-    #[error("{0}")]
-    Usage(String),
-}
-
-impl CommandError {
-    /// The exit code.
-    pub fn code(&self) -> u8 {
-        match self {
-            Self::Usage(_) => 2,
-            Self::Read { .. } | Self::Unsound(_) | Self::File(_) => 3,
-            Self::Controller(ControllerError::Settings(_)) => 3,
-            Self::Controller(_) | Self::System { .. } | Self::Day(_) | Self::Scale { .. } | Self::Soak(_) => {
-                4
-            }
-            Self::Node(error) => node::code(error),
-            Self::Api(_) => 1,
-        }
-    }
-
-    fn system(what: impl Into<String>) -> impl FnOnce(std::io::Error) -> Self {
-        let what = what.into();
-        move |source| Self::System { what, source }
-    }
-}
-
 /// Runs a command and gives its exit code.
-pub fn run(arguments: Arguments) -> Result<u8, CommandError> {
+pub(crate) fn run(arguments: Arguments) -> Result<u8, CommandError> {
     match arguments.command {
         Command::Demo(demo) => demo.run(),
         Command::Serve(serve) => serve.run(),
@@ -175,14 +100,3 @@
         Command::Hollow(hollow) => hollow.run(),
     }
 }
-
-fn read(path: &Path) -> Result<String, CommandError> {
-    std::fs::read_to_string(path).map_err(|source| CommandError::Read { path: path.to_owned(), source })
-}
-
-/// Prints a line that others wait for: written out at once.
-fn announce(line: &str) -> Result<(), CommandError> {
-    use std::io::Write;
-    let mut out = std::io::stdout().lock();
-    writeln!(out, "{line}").and_then(|()| out.flush()).map_err(CommandError::system("standard output"))
-}
--- a/crates/gateway/src/commands/scenario.rs
+++ b/crates/gateway/src/commands/scenario.rs
@@ -3,14 +3,18 @@
 use std::path::{Path, PathBuf};
 
 use clap::Args;
-use nettleferry_scenario::audit::{Slack, audit};
+use nettleferry_scenario::audit::{Breach, Slack, audit};
+use nettleferry_scenario::evidence::Evidence;
+use nettleferry_scenario::script::{Script, Watch};
 use nettleferry_scenario::{alerting, report, run, script, story};
 
-use super::{CommandError, announce, read};
+use super::console::{announce, read_file};
+use super::error::CommandError;
+use super::exit_code;
 
 /// Run a scripted scenario of faults against controller processes and audit the five rules.
 #[derive(Args)]
-pub struct Scenario {
+pub(crate) struct Scenario {
     /// Scenario file; days/ has one of each kind
     file: PathBuf,
     /// Keep the controllers' settings, lists and logs and the evidence (evidence.txt) in this folder
@@ -18,65 +22,80 @@
     keep: Option<PathBuf>,
 }
 
-/// Most findings printed.
-const MOST_SHOWN: usize = 40;
-/// Most calls whose story is printed.
-const MOST_STORIES: usize = 3;
+/// Findings that are printed, at the most.
+const MAX_FINDINGS: usize = 40;
+/// Calls whose events are printed, at the most.
+const MAX_CALLS: usize = 3;
 
 impl Scenario {
-    /// `log`: what the controllers log, as this program was told for itself.
-    pub fn run(self, log: &str) -> Result<u8, CommandError> {
-        let text = read(&self.file)?;
-        let script = script::read(&self.file.display().to_string(), &text).map_err(CommandError::Unsound)?;
-        let program = std::env::current_exe().map_err(CommandError::system("can't find this program"))?;
-        let dir = self.keep.clone().unwrap_or_else(run::folder);
-        let beside = self.file.parent().unwrap_or(Path::new(""));
-        let played = run::play(&script, &run::Stage { program: &program, dir: &dir, beside, log });
-        if self.keep.is_none() {
-            let _ = std::fs::remove_dir_all(&dir);
-        }
-        let played = played.map_err(|error| match error {
-            run::DayError::Settings(errors) => CommandError::Unsound(errors),
-            other => CommandError::Day(other),
-        })?;
-        if let Some(dir) = &self.keep {
-            std::fs::write(dir.join("evidence.txt"), story::whole(&played.evidence))
+    /// `log`: what the controllers log; the filter that this program was given for itself.
+    pub(crate) fn run(self, log: &str) -> Result<u8, CommandError> {
+        let text = read_file(&self.file)?;
+        let script =
+            script::read(&self.file.display().to_string(), &text).map_err(CommandError::InvalidFile)?;
+        let played = self.play(&script, log)?;
+        if let Some(folder) = &self.keep {
+            std::fs::write(folder.join("evidence.txt"), story::whole(&played.evidence))
                 .map_err(CommandError::system("can't write evidence.txt"))?;
         }
         announce(report::summary(&played.evidence).trim_end())?;
-        let found = audit(&played.evidence, Slack::default());
-        for breach in found.iter().take(MOST_SHOWN) {
-            announce(&breach.to_string())?;
-        }
-        if found.len() > MOST_SHOWN {
-            announce(&format!("and {} more", found.len() - MOST_SHOWN))?;
+        let breaches = audit(&played.evidence, Slack::default());
+        print_breaches(&breaches, &played.evidence)?;
+        for end in &played.odd_ends {
+            announce(end)?;
         }
-        let mut calls: Vec<&str> = found.iter().filter_map(|b| b.call.as_deref()).collect();
-        calls.dedup();
-        for call in calls.into_iter().take(MOST_STORIES) {
-            announce(&format!("call {call}:\n{}", story::of_call(&played.evidence, call).trim_end()))?;
-        }
-        for odd in &played.odd_ends {
-            announce(odd)?;
-        }
-        let mut unmet = Vec::new();
-        if let (Some(watch), Some(seen)) = (&script.watch, &played.alerts) {
-            for f in &seen.alerts {
-                let to = f.to.map_or("the end".to_owned(), |to| format!("{:.1} s", to as f64 / 1e6));
-                announce(&format!("alert {}{}: {:.1} s to {to}", f.alert, f.labels, f.from as f64 / 1e6))?;
-            }
-            unmet = alerting::judge(watch, seen);
-            for what in unmet.iter().take(MOST_SHOWN) {
-                announce(what)?;
-            }
-        }
-        let sound = found.is_empty() && played.odd_ends.is_empty();
-        announce(&format!("day {}: {}", script.name, if sound { "no rule broken" } else { "BROKEN" }))?;
+        let alerts = script.watch.as_ref().zip(played.alerts.as_ref());
+        let unmet = alerts.map_or(Ok(Vec::new()), |(watch, seen)| print_alerts(watch, seen))?;
+        let rules_kept = breaches.is_empty() && played.odd_ends.is_empty();
+        announce(&format!("day {}: {}", script.name, if rules_kept { "no rule broken" } else { "BROKEN" }))?;
         if script.watch.is_some() {
-            let came = if unmet.is_empty() { "as expected" } else { "NOT as expected" };
-            announce(&format!("day {}: alerts came {came}", script.name))?;
+            let outcome = if unmet.is_empty() { "as expected" } else { "NOT as expected" };
+            announce(&format!("day {}: alerts came {outcome}", script.name))?;
         }
-        let sound = sound && unmet.is_empty();
-        Ok(u8::from(!sound))
+        Ok(exit_code::of_check(rules_kept && unmet.is_empty()))
+    }
+
+    fn play(&self, script: &Script, log: &str) -> Result<run::Played, CommandError> {
+        let program = std::env::current_exe().map_err(CommandError::system("can't find this program"))?;
+        let dir = self.keep.clone().unwrap_or_else(run::folder);
+        let beside = self.file.parent().unwrap_or(Path::new(""));
+        let played = run::play(script, &run::Stage { program: &program, dir: &dir, beside, log });
+        if self.keep.is_none() {
+            let _ = std::fs::remove_dir_all(&dir);
+        }
+        played.map_err(|error| match error {
+            run::DayError::Settings(errors) => CommandError::InvalidFile(errors),
+            other => CommandError::Scenario(other),
+        })
+    }
+}
+
+/// Prints broken rules, and all events of the first calls that broke one.
+fn print_breaches(breaches: &[Breach], evidence: &Evidence) -> Result<(), CommandError> {
+    for breach in breaches.iter().take(MAX_FINDINGS) {
+        announce(&breach.to_string())?;
+    }
+    if breaches.len() > MAX_FINDINGS {
+        announce(&format!("and {} more", breaches.len() - MAX_FINDINGS))?;
+    }
+    let mut calls: Vec<&str> = breaches.iter().filter_map(|breach| breach.call.as_deref()).collect();
+    calls.dedup();
+    for call in calls.into_iter().take(MAX_CALLS) {
+        announce(&format!("call {call}:\n{}", story::of_call(evidence, call).trim_end()))?;
+    }
+    Ok(())
+}
+
+/// Prints the alerts that fired; gives the expectations that were not met.
+fn print_alerts(watch: &Watch, seen: &alerting::Seen) -> Result<Vec<String>, CommandError> {
+    let seconds = |at_us: u64| at_us as f64 / 1e6;
+    for alert in &seen.alerts {
+        let to = alert.to.map_or("the end".to_owned(), |to| format!("{:.1} s", seconds(to)));
+        announce(&format!("alert {}{}: {:.1} s to {to}", alert.alert, alert.labels, seconds(alert.from)))?;
+    }
+    let unmet = alerting::judge(watch, seen);
+    for expectation in unmet.iter().take(MAX_FINDINGS) {
+        announce(expectation)?;
     }
+    Ok(unmet)
 }
--- a/crates/gateway/src/commands/serve.rs
+++ b/crates/gateway/src/commands/serve.rs
@@ -1,18 +1,19 @@
-//! `serve` and `check`.
+//! `serve` runs a controller, `check` checks its settings.
 
 use std::net::SocketAddr;
-use std::path::{Path, PathBuf};
+use std::path::PathBuf;
 
 use clap::Args;
-use nettleferry_config::settings::Desk;
-use nettleferry_config::{Config, settings};
+use nettleferry_config::Config;
 
-use super::{CommandError, announce, read};
+use super::console::announce;
+use super::error::CommandError;
+use super::{exit_code, settings_file};
 use crate::controller::{Controller, Stopped};
 
 /// Run a controller.
 #[derive(Args)]
-pub struct Serve {
+pub(crate) struct Serve {
     /// Settings file; examples/nettleferry.sexp shows every key
     file: PathBuf,
     /// Listen here instead of where the settings say
@@ -20,52 +21,25 @@
     listen: Option<SocketAddr>,
 }
 
-/// Check a settings file and say all that is wrong with it.
+/// Check a settings file and report all errors in it.
 #[derive(Args)]
-pub struct Check {
+pub(crate) struct Check {
     /// Settings file
     file: PathBuf,
 }
 
-/// Reads settings; files they name are beside them.
-pub fn settings(path: &Path) -> Result<Config, CommandError> {
-    let text = read(path)?;
-    let mut config = settings::read(&path.display().to_string(), &text).map_err(CommandError::Unsound)?;
-    let beside = path.parent().unwrap_or(Path::new(""));
-    config.workers = beside.join(&config.workers);
-    config.workers_kept = config.workers_kept.map(|kept| beside.join(kept));
-    if let Some(push) = &mut config.figures.push {
-        push.spool = beside.join(&push.spool);
-    }
-    if let Some(admin) = &mut config.admin {
-        if let Some(trail) = &mut admin.trail {
-            trail.folder = beside.join(&trail.folder);
-        }
-        match &mut admin.desk {
-            Desk::Own { store, peer_key, .. } => {
-                *store = beside.join(&*store);
-                *peer_key = peer_key.take().map(|file| beside.join(file));
-            }
-            Desk::Follow { key_file, kept, .. } => {
-                (*key_file, *kept) = (beside.join(&*key_file), beside.join(&*kept));
-            }
-        }
-    }
-    Ok(config)
-}
-
 impl Serve {
-    pub fn run(self) -> Result<u8, CommandError> {
-        let mut config = settings(&self.file)?;
+    pub(crate) fn run(self) -> Result<u8, CommandError> {
+        let mut config = settings_file::read(&self.file)?;
         if let Some(listen) = self.listen {
             config.grpc = listen;
         }
-        run(config)
+        run_controller(config)
     }
 }
 
 /// Runs a controller until a signal stops it.
-pub fn run(config: Config) -> Result<u8, CommandError> {
+pub(super) fn run_controller(config: Config) -> Result<u8, CommandError> {
     let mut controller = Controller::new(config, true)?;
     announce(&format!("listening grpc {}", controller.local()))?;
     if let Some(scrape) = controller.scrape() {
@@ -75,15 +49,15 @@
         announce(&format!("listening admin {admin}"))?;
     }
     Ok(match controller.run()? {
-        Stopped::Clean => 0,
-        Stopped::AtOnce => 130,
+        Stopped::Clean => exit_code::SUCCESS,
+        Stopped::AtOnce => exit_code::INTERRUPTED,
     })
 }
 
 impl Check {
-    pub fn run(self) -> Result<u8, CommandError> {
-        let config = settings(&self.file)?;
+    pub(crate) fn run(self) -> Result<u8, CommandError> {
+        let config = settings_file::read(&self.file)?;
         announce(&format!("{}: sound; {} classes", self.file.display(), config.classes.len()))?;
-        Ok(0)
+        Ok(exit_code::SUCCESS)
     }
 }
--- a/crates/gateway/src/commands/soak.rs
+++ b/crates/gateway/src/commands/soak.rs
@@ -1,17 +1,18 @@
-//! `soak`: controller processes on loopback under overlapping troubles, judged by invariants at the sockets.
+//! `soak`: controller processes on loopback under overlapping faults, judged by invariants at the sockets.
 
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use std::time::Duration;
 
 use clap::Args;
 use clap::builder::TypedValueParser;
 use nettleferry_soak::{Plan, Report, Size, play};
 
-use super::CommandError;
+use super::error::CommandError;
+use super::exit_code;
 
-/// Play controllers on the platform under troubles that overlap, over seeds, and judge them by invariants.
+/// Run controllers on the platform under overlapping faults, over seeds, and judge them by invariants.
 #[derive(Args)]
-pub struct Soak {
+pub(crate) struct Soak {
     /// The first seed
     #[arg(long, default_value_t = 1)]
     seed: u64,
@@ -27,10 +28,10 @@
     /// Clients of each controller
     #[arg(long, default_value_t = Size::USUAL.clients, value_parser = clap::value_parser!(u16).range(1..=16).map(usize::from))]
     clients: usize,
-    /// Seconds in which clients ask
+    /// Seconds in which clients send calls
     #[arg(long, default_value_t = Size::USUAL.span.as_secs(), value_parser = clap::value_parser!(u64).range(4..=600))]
     seconds: u64,
-    /// System calls of controllers fail as Linux documents; needs a C compiler
+    /// System calls of controllers fail as Linux documents it; needs a C compiler
     #[arg(long)]
     faults: bool,
     /// A folder that keeps configurations and logs; by default none are kept
@@ -42,10 +43,10 @@
 }
 
 /// Findings of one seed that are printed; the rest are counted.
-const PRINTED: usize = 40;
+const MAX_PRINTED: usize = 40;
 
 impl Soak {
-    pub fn run(self) -> Result<u8, CommandError> {
+    pub(crate) fn run(self) -> Result<u8, CommandError> {
         let size = Size {
             controllers: self.controllers,
             workers: self.workers,
@@ -58,24 +59,27 @@
         };
         let mut broken = 0;
         for seed in self.seed..self.seed.saturating_add(self.seeds) {
-            let held = tempfile::tempdir().map_err(CommandError::system("a folder"))?;
-            let dir = match &self.keep {
-                Some(keep) => keep.join(seed.to_string()),
-                None => held.path().to_owned(),
-            };
-            std::fs::create_dir_all(&dir).map_err(CommandError::system("a folder"))?;
-            let plan = Plan::draw(seed, size, self.faults);
-            let report = play(plan, &program, &dir).map_err(|error| CommandError::Soak(error.to_string()))?;
+            let report = self.run_seed(seed, size, &program)?;
             print(&report);
             broken += usize::from(!report.findings.is_empty());
         }
         println!("{} seeds, {broken} with a broken invariant", self.seeds);
-        Ok(u8::from(broken > 0))
+        Ok(exit_code::of_check(broken == 0))
+    }
+
+    fn run_seed(&self, seed: u64, size: Size, program: &Path) -> Result<Report, CommandError> {
+        let temporary = tempfile::tempdir().map_err(CommandError::system("a folder"))?;
+        let folder = match &self.keep {
+            Some(keep) => keep.join(seed.to_string()),
+            None => temporary.path().to_owned(),
+        };
+        std::fs::create_dir_all(&folder).map_err(CommandError::system("a folder"))?;
+        Ok(play(Plan::draw(seed, size, self.faults), program, &folder)?)
     }
 }
 
 fn print(report: &Report) {
-    let ends: Vec<_> = report.ends.iter().map(|(kind, count)| format!("{kind} {count}")).collect();
+    let ends: Vec<String> = report.ends.iter().map(|(kind, count)| format!("{kind} {count}")).collect();
     println!(
         "seed {}: {} broken; {} troubles, {} attempts; {}; the test ran late by {:?} at the most",
         report.seed,
@@ -85,7 +89,7 @@
         ends.join(", "),
         report.lag,
     );
-    for finding in report.findings.iter().take(PRINTED) {
+    for finding in report.findings.iter().take(MAX_PRINTED) {
         println!("  {finding}");
     }
 }
--- a/crates/gateway/src/commands/top/tests.rs
+++ b/crates/gateway/src/commands/top/screen/tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of `top`.
+//! Unit tests of the screen of `top`.
 
 use super::*;
 use ratatui::Terminal;
@@ -6,28 +6,28 @@
 use serde_json::json;
 
 #[test]
-fn the_busiest_tenant_stands_first_and_a_failure_is_told() {
+fn busiest_tenant_is_first_and_a_failed_refresh_is_shown() {
     let usage = |name: &str, open: u64, held: u64| {
         json!({ "tenant": name, "open_calls": open, "held_calls": held, "admitted": 70, "refused": 3,
                 "loaded_memory_bytes": 5 << 20, "open_by_class": { "quick": open } })
     };
-    let mut seen = Seen {
+    let mut sample = Sample {
         usage: vec![usage("kalahari", 1, 0), usage("morava", 9, 4)],
         workers: vec![json!({ "name": "w1", "zone": "a", "address": "x", "listed": "on", "drained": true })],
         revision: 17,
-        ..Seen::default()
+        ..Sample::default()
     };
     let mut terminal = Terminal::new(TestBackend::new(100, 30)).expect("a screen");
-    let mut text = |seen: &Seen| {
-        terminal.draw(|frame| draw(frame, seen)).expect("drawn");
+    let mut render = |sample: &Sample| {
+        terminal.draw(|frame| draw(frame, sample)).expect("drawn");
         terminal.backend().to_string()
     };
-    let screen = text(&seen);
+    let screen = render(&sample);
     let at = |what: &str| screen.find(what).unwrap_or_else(|| panic!("{what} in {screen}"));
     assert!(at("morava") < at("kalahari"));
     for what in ["revision 17", "open 10", "held 4", "refused 6", "5 MiB", "quick", "drained by hand"] {
         at(what);
     }
-    seen.error = Some("no answer".to_owned());
-    assert!(text(&seen).contains("no answer"));
+    sample.error = Some("no answer".to_owned());
+    assert!(render(&sample).contains("no answer"));
 }
--- a/crates/gateway/src/commands/worker.rs
+++ b/crates/gateway/src/commands/worker.rs
@@ -1,4 +1,4 @@
-//! `worker`: one stand-in worker.
+//! `worker`: one test worker, until a signal ends it.
 
 use std::path::PathBuf;
 use std::sync::{Arc, Mutex};
@@ -6,12 +6,16 @@
 
 use clap::Args;
 use nettleferry_test_servers::{Options, Store, spawn, spec};
+use signal_hook::consts::{SIGINT, SIGTERM};
+use signal_hook::iterator::Signals;
 
-use super::{CommandError, announce, read};
+use super::console::{announce, read_file};
+use super::error::CommandError;
+use super::exit_code;
 
-/// Run one stand-in worker.
+/// Run one test worker.
 #[derive(Args)]
-pub struct WorkerCommand {
+pub(crate) struct WorkerCommand {
     /// Its description; see the operators' page
     file: PathBuf,
     /// Its name
@@ -20,12 +24,11 @@
 }
 
 impl WorkerCommand {
-    pub fn run(self) -> Result<u8, CommandError> {
-        let text = read(&self.file)?;
-        let read = spec::read_file(&self.file.display().to_string(), &text);
-        let (listen, spec) = read.map_err(CommandError::Unsound)?;
-        let signals = signal_hook::iterator::Signals::new([2, 15]);
-        let mut signals = signals.map_err(CommandError::system("signals"))?;
+    pub(crate) fn run(self) -> Result<u8, CommandError> {
+        let text = read_file(&self.file)?;
+        let (listen, spec) =
+            spec::read_file(&self.file.display().to_string(), &text).map_err(CommandError::InvalidFile)?;
+        let mut signals = Signals::new([SIGINT, SIGTERM]).map_err(CommandError::system("signals"))?;
         let worker = spawn(Options {
             name: self.name,
             doors: vec![listen],
@@ -40,6 +43,6 @@
         announce(&format!("listening grpc {}", worker.doors[0]))?;
         let _ = signals.forever().next();
         worker.stop();
-        Ok(0)
+        Ok(exit_code::SUCCESS)
     }
 }
--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -1,11 +1,12 @@
 //! The nettleferry program: a gateway that sends inference calls to workers which load models on demand.
 //!
-//! May know: everything below it. Must not know: decisions; they are the module's, and come through the
-//! engine.
+//! It may use every other package. It decides nothing: decisions come from the decision module through the engine.
+//! `docs/ARCHITECTURE.md` shows how the parts work together.
 //!
-//! * [`controller`]: the loop. [`front`]: towards clients. [`links`]: towards workers. [`list`]: who they are.
-//! * [`tenants`]: admission in a front's words. [`admin`]: the administration's thread.
-//! * [`commands`]: one file a subcommand. [`observe`]: figures. [`push`]: remote write. [`logs`].
+//! * [`controller`]: the event loop. [`front`]: connections to clients. [`links`]: connections to workers. [`list`]: the
+//!   worker list.
+//! * [`tenants`]: admission control for the front. [`admin`]: the administration's thread.
+//! * [`commands`]: a module for each subcommand. [`observe`]: metrics. [`push`]: remote write. [`logs`]: logging.
 
 #![forbid(unsafe_code)]
 
@@ -29,13 +30,13 @@
 
 fn main() -> ExitCode {
     let arguments = commands::Arguments::parse();
-    // On the platform one thread runs at a time, and its log is read as it comes.
-    let aside = matches!(arguments.command, commands::Command::Serve(_));
-    let _writing = logs::start(&arguments.logs, aside);
+    // `node` logs in the thread that logs: the platform runs one thread at a time.
+    let background = matches!(arguments.command, commands::Command::Serve(_));
+    let _log_writer = logs::start(&arguments.logs, background);
     match commands::run(arguments) {
         Ok(code) => ExitCode::from(code),
         Err(error) => {
-            logs::say(format_args!("nettleferry: {error}"));
+            logs::write_line(format_args!("nettleferry: {error}"));
             ExitCode::from(error.code())
         }
     }
