--- a/crates/gateway/src/admin/desk.rs
+++ b/crates/administration/src/desk.rs
@@ -10,35 +10,38 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-use nettleferry_admin::api::{Api, Holds, Keep, Live, MOST_BODY, Running, Usage, Worker};
+use nettleferry_admin::api::{
+    Api, ChangeStore, ChangeStoreError, ClockReading, ControllerRevision, ControllerState, LeaseGrant,
+    MAX_BODY_BYTES, RecoveryPending, Runtime, StoreIdentity, Usage, Worker,
+};
 use nettleferry_admin::{Answer, Problem, Request};
 use nettleferry_audit_log::recorder::Recorder;
 use nettleferry_audit_log::{What, chain};
 use nettleferry_config::settings::AdminKey;
 use nettleferry_fleet::authority::{Authority, Duty, Step};
-use nettleferry_fleet::lease::{MOST_SPAN, ends, error_of};
-use nettleferry_fleet::loans::Terms;
-use nettleferry_fleet::roll::{self, At, Roll, Who, Without};
-use nettleferry_fleet::stamp::Stamp;
-use nettleferry_fleet::trust::Thing;
+use nettleferry_fleet::lease::{MAX_SPAN, ends, error_of};
+use nettleferry_fleet::loans::LoanConfig;
+use nettleferry_fleet::membership::{self, Incarnation, LeaseDenied, Membership, Version};
+use nettleferry_fleet::recovery_policy::PersistedState;
+use nettleferry_fleet::snapshot_version::SnapshotVersion;
 use nettleferry_net::clock;
 use nettleferry_net::http1::{self, Http1, Http1Limits, Stop, Turn};
-use nettleferry_net::patience::Patience;
+use nettleferry_net::retry::{RetryPolicy, is_transient, retry_startup};
 use nettleferry_tenancy::{Book, Entry, Once, Revision, Tenant};
 use nettleferry_tenant_store::{Origin, Snapshot, Store, StoreError};
 use serde_json::{Value, json};
 use tracing::{error, info, warn};
 
-use super::changes::{self, Changes, Here};
-use super::lending::{Demand, Lending};
-use super::marks::{Applied, Marks};
-use super::peers::{Asker, Peers, Whole, stamp};
-use super::records::{self, Records};
-use super::{
-    MOST_FOLLOWERS, SNAPSHOT_EVERY, Shown, Told, keys, lease_path, lock, reply, snapshot_path, token,
-};
+use crate::changes::{self, Changes, Here};
 use crate::kept::Kept as KeptFile;
+use crate::lending::{Demand, Lending};
+use crate::marks::{Applied, Marks};
+use crate::peers::{Asker, Peers, Whole, stamp};
+use crate::records::{self, Records};
 use crate::trail::{Shared, lock as lock_lines};
+use crate::{
+    MOST_FOLLOWERS, SNAPSHOT_EVERY, Shown, Told, keys, lease_path, lock, reply, snapshot_path, token,
+};
 
 /// Peers are asked again after this span while it is open which book stands.
 const ASK_PEERS_EVERY: Duration = Duration::from_millis(500);
@@ -65,7 +68,7 @@
     pub records: bool,
     pub held: Option<crate::trail::Shared>,
     /// How limits are divided.
-    pub terms: Terms,
+    pub terms: LoanConfig,
     /// The longest deadline of a class, milliseconds.
     pub longest: u64,
 }
@@ -117,8 +120,8 @@
     info!(revision = book.revision(), tenants = book.tenants().len(), epoch = origin.epoch, "tenants");
     // Each follower keeps two connections: one that waits for changes, and one for books and records.
     let connections = 2 * MOST_FOLLOWERS + Http1Limits::default().connections;
-    let limits = Http1Limits { body_bytes: MOST_BODY, connections, ..Http1Limits::default() };
-    let mut server = crate::controller::patiently(|| Http1::bind(listen, limits))?;
+    let limits = Http1Limits { body_bytes: MAX_BODY_BYTES, connections, ..Http1Limits::default() };
+    let mut server = retry_startup("administration listener", || Http1::bind(listen, limits), is_transient)?;
     let (local, stop) = (server.local()?, server.stop());
     // Peers and their key are there together, or neither.
     let token = peer_key.map(token).transpose()?.unwrap_or_default();
@@ -128,11 +131,11 @@
     let start = Instant::now();
     let held =
         held.map(|book| Whole { controller: None, store: origin.store.clone(), epoch: origin.epoch, book });
-    let roll = Roll::new(0, span, spans.before, clock::wall() / 1000);
-    let marks = Marks::new(At { epoch: origin.epoch, revision: book.revision() });
+    let roll = Membership::new(0, span, spans.before, clock::wall() / 1000);
+    let marks = Marks::new(Version { epoch: origin.epoch, revision: book.revision() });
     let applied = marks.applied();
     let mut work = Work {
-        api: Api::new(book.clone(), Kept(store), (origin.store.clone(), origin.epoch), read_only),
+        api: Api::new(book.clone(), Kept(store), identity(&origin), read_only),
         keys: keys::Keys::new(keys),
         around: Around {
             number,
@@ -147,7 +150,7 @@
             epoch: origin.epoch,
             book: book.revision(),
             roll,
-            own: At::default(),
+            own: Version::default(),
             held_by,
             records,
             lending: (terms.reserve < 1.0).then(|| Lending::new(terms, life, longest)),
@@ -199,10 +202,10 @@
     fn open(store: &Path, lease: Option<u64>) -> (Option<u64>, Self) {
         let again = store.exists();
         let mut file = KeptFile::open(lease_path(store), "span of leases", LEASE_WAIT);
-        let kept = file.take(Thing::LeasesGiven, clock::wall() / 1000, |_| None);
+        let kept = file.take(PersistedState::LongestLease, clock::wall() / 1000, |_| None);
         let kept = kept.and_then(|bytes| std::str::from_utf8(&bytes).ok()?.trim().parse::<u64>().ok());
         // What can't be known is taken at its worst.
-        let before = kept.or(again.then_some(MOST_SPAN)).filter(|span| *span > 0);
+        let before = kept.or(again.then_some(MAX_SPAN)).filter(|span| *span > 0);
         let most = lease.max(before).unwrap_or(0);
         file.put(most.to_string().into_bytes());
         let kept = file.settle(LEASE_WAIT) && file.durable() > 0;
@@ -215,34 +218,54 @@
 }
 
 /// How long a start waits for a store whose file can't be read or written just now, and how often it looks.
-const STORE_PATIENCE: Patience = Patience { span: Duration::from_secs(5), pause: Duration::from_millis(100) };
+const STORE_RETRY: RetryPolicy =
+    RetryPolicy { timeout: Duration::from_secs(5), pause: Duration::from_millis(100) };
 
 /// Opens the store, again while its file fails: that passes, and is no damage.
 fn open_patiently(path: &Path) -> Result<(Store, Book), StoreError> {
     let held_up = |why: &StoreError| warn!(%why, "the tenant store can't be opened yet: tried again");
-    STORE_PATIENCE.until(|| Store::open(path), StoreError::passes, held_up)
+    STORE_RETRY.run(|| Store::open(path), StoreError::passes, held_up)
 }
 
 /// The store, or none where it is damaged.
 struct Kept(Option<Store>);
 
-impl Keep for Kept {
-    fn commit(&mut self, entry: &Entry, once: Option<(&str, &Once)>) -> Result<(), String> {
-        let store = self.0.as_mut().ok_or("the tenant store can't be used")?;
-        store.commit(entry, once).map_err(|e| e.to_string())
+impl Kept {
+    fn usable(&self) -> Result<&Store, ChangeStoreError> {
+        self.0.as_ref().ok_or(ChangeStoreError::Unavailable)
+    }
+}
+
+fn failed(error: StoreError) -> ChangeStoreError {
+    ChangeStoreError::Failed(error.into())
+}
+
+impl ChangeStore for Kept {
+    fn commit(&mut self, entry: &Entry, idempotent: Option<(&str, &Once)>) -> Result<(), ChangeStoreError> {
+        let store = self.0.as_mut().ok_or(ChangeStoreError::Unavailable)?;
+        store.commit(entry, idempotent).map_err(failed)
     }
 
-    fn once(&self, key: &str) -> Result<Option<Once>, String> {
+    fn stored_response(&self, key: &str) -> Result<Option<Once>, ChangeStoreError> {
         let Some(store) = &self.0 else { return Ok(None) };
-        store.once(key).map_err(|e| e.to_string())
+        store.once(key).map_err(failed)
     }
 
-    fn audit(&self, after: Revision, most: usize, of: Option<&str>) -> Result<Vec<Entry>, String> {
-        let store = self.0.as_ref().ok_or("the tenant store can't be used: its audit trail can't be read")?;
-        store.audit(after, most, of).map_err(|e| e.to_string())
+    fn entries(
+        &self,
+        after: Revision,
+        limit: usize,
+        tenant: Option<&str>,
+    ) -> Result<Vec<Entry>, ChangeStoreError> {
+        self.usable()?.audit(after, limit, tenant).map_err(failed)
     }
 }
 
+/// Which store it is, as the API names it.
+fn identity(origin: &Origin) -> StoreIdentity {
+    StoreIdentity { name: origin.store.clone(), epoch: origin.epoch }
+}
+
 struct Around {
     number: u32,
     shown: Arc<Mutex<Shown>>,
@@ -258,9 +281,9 @@
     /// The epoch of the book that stands, and its revision.
     epoch: u64,
     book: Revision,
-    roll: Roll,
+    roll: Membership,
     /// What the calls of this controller act on.
-    own: At,
+    own: Version,
     held_by: usize,
     /// Records of acts, where they are gathered.
     records: Option<Gathered>,
@@ -303,7 +326,7 @@
         }
         if let Some(lines) = &self.lines {
             let of = self.number.to_string();
-            let new = lock_lines(lines).after(self.all.last(&of), MOST_BODY);
+            let new = lock_lines(lines).after(self.all.last(&of), MAX_BODY_BYTES);
             if !new.is_empty() {
                 self.all.take(&of, new.into_iter().map(|(_, text)| text).collect());
             }
@@ -319,7 +342,7 @@
     }
 }
 
-impl Live for Around {
+impl Runtime for Around {
     fn usage(&self, tenant: &Tenant) -> Usage {
         let none = || Usage { tenant: tenant.name.clone(), uid: tenant.uid, ..Usage::default() };
         lock(&self.shown).usage.get(&tenant.uid).cloned().unwrap_or_else(none)
@@ -333,7 +356,7 @@
         workers
     }
 
-    fn drain(&mut self, worker: &str, drained: bool) -> bool {
+    fn set_drained(&mut self, worker: &str, drained: bool) -> bool {
         if !lock(&self.shown).workers.iter().any(|w| w.name == worker) {
             return false;
         }
@@ -345,24 +368,32 @@
         true
     }
 
-    fn controllers(&self) -> Vec<Running> {
-        let ours = Running { controller: self.number, revision: lock(&self.shown).revision, seen_ms_ago: 0 };
-        let others = self.followers.iter().map(|(number, (revision, seen))| Running {
+    fn controllers(&self) -> Vec<ControllerRevision> {
+        let ours = ControllerRevision {
+            controller: self.number,
+            revision: lock(&self.shown).revision,
+            seen_ms_ago: 0,
+        };
+        let others = self.followers.iter().map(|(number, (revision, seen))| ControllerRevision {
             controller: *number,
             revision: *revision,
             seen_ms_ago: seen.elapsed().as_millis() as u64,
         });
-        let mut all: Vec<Running> = others.chain([ours]).collect();
+        let mut all: Vec<ControllerRevision> = others.chain([ours]).collect();
         all.sort_by_key(|r| r.controller);
         all
     }
 
-    fn follows(&mut self, controller: u32, holds: Holds) -> Result<(), Problem> {
-        let who = Who { number: controller, life: holds.life };
-        let at = |revision| At { epoch: holds.epoch, revision };
-        let told = roll::Told { in_force: at(holds.in_force), kept: at(holds.kept), ends: holds.ends };
-        self.roll.told(self.now(), who, told);
-        if holds.ended {
+    fn record_state(&mut self, controller: u32, state: ControllerState) -> Result<(), Problem> {
+        let who = Incarnation { controller, incarnation: state.incarnation };
+        let at = |revision| Version { epoch: state.epoch, revision };
+        let told = membership::MemberState {
+            in_force: at(state.in_force),
+            persisted: at(state.persisted),
+            requires_lease: state.requires_lease,
+        };
+        self.roll.heartbeat(self.now(), who, told);
+        if state.stopped {
             self.roll.ended(who);
             self.lending.iter_mut().for_each(|lending| lending.ended(who));
         }
@@ -370,61 +401,71 @@
             let detail = "this life of the controller was shut out: it is let in again as another life";
             return Err(Problem::new(403, "fenced", detail));
         }
-        if holds.ended {
+        if state.stopped {
             return Err(Problem::new(403, "ended", "it said that it takes no calls any more"));
         }
         if self.followers.len() < MOST_FOLLOWERS || self.followers.contains_key(&controller) {
-            self.followers.insert(controller, (holds.revision, Instant::now()));
+            self.followers.insert(controller, (state.revision, Instant::now()));
         }
-        let Holds { store, epoch, revision, sum, .. } = holds;
+        let ControllerState { store, epoch, revision, checksum, .. } = state;
         // One that says nothing of its book asks as earlier versions did, or has none.
-        let stamp = (!store.is_empty() && epoch > 0).then_some(Stamp { store, epoch, revision, sum });
+        let stamp =
+            (!store.is_empty() && epoch > 0).then_some(SnapshotVersion { store, epoch, revision, checksum });
         if stamp.is_some() {
             self.holds(controller, stamp);
         }
         Ok(())
     }
 
-    fn lease(&mut self, controller: u32, life: u64) -> Option<(u64, u64)> {
-        let who = Who { number: controller, life };
-        let book = At { epoch: self.epoch, revision: self.book };
+    fn grant_lease(&mut self, controller: u32, incarnation: u64) -> Option<LeaseGrant> {
+        let who = Incarnation { controller, incarnation };
+        let book = Version { epoch: self.epoch, revision: self.book };
         match self.roll.grant(self.now(), who, book) {
-            Ok(span) => span.zip(self.roll.place(who)),
-            Err(Without::Fenced) => None,
-            Err(Without::Full) => {
+            Ok(span) => {
+                let (duration_ms, fencing_token) = span.zip(self.roll.fencing_token(who))?;
+                Some(LeaseGrant { duration_ms, fencing_token })
+            }
+            Err(LeaseDenied::Fenced) => None,
+            Err(LeaseDenied::Full) => {
                 warn!(controller, "the roll is full of lives whose leases run: this one gets none");
                 None
             }
         }
     }
 
-    fn fence(&mut self, controller: u32, out: bool) -> Value {
-        let lives = if out { self.roll.fence(controller).len() } else { self.roll.admit(controller) };
-        info!(controller, lives, out, "a controller's lives are shut out, or let in again");
+    fn set_fenced(&mut self, controller: u32, fenced: bool) -> Value {
+        let lives = if fenced { self.roll.fence(controller).len() } else { self.roll.unfence(controller) };
+        info!(controller, lives, out = fenced, "a controller's lives are shut out, or let in again");
         json!({ "controller": controller, "lives": lives })
     }
 
-    fn clock(&self) -> (u64, u64) {
-        (self.life, self.now())
+    fn read_clock(&self) -> ClockReading {
+        ClockReading { incarnation: self.life, at_ms: self.now() }
     }
 
-    fn loans(&mut self, book: &Book, controller: u32, life: u64, report: Value) -> Result<Value, Problem> {
+    fn grant_loans(
+        &mut self,
+        snapshot: &Book,
+        controller: u32,
+        incarnation: u64,
+        report: Value,
+    ) -> Result<Value, Problem> {
         let none =
             || Problem::new(409, "not-lent", "limits are not lent here: see (loans ...) in the settings");
-        let (now, who) = (self.now(), Who { number: controller, life });
+        let (now, who) = (self.now(), Incarnation { controller, incarnation });
         let lending = self.lending.as_mut().ok_or_else(none)?;
         let rows: Vec<Demand> = serde_json::from_value(report)
             .map_err(|e| Problem::field("the body", format!("an array of demands: {e}")))?;
         // A loan lasts as long as a lease, and only who holds one may borrow.
-        let leased = self.roll.members().any(|(w, m)| w == who && m.out.is_some_and(|out| now < out));
+        let leased = self.roll.members().any(|(w, m)| w == who && m.lease_over.is_some_and(|out| now < out));
         let Some(span) = self.roll.span().filter(|_| leased && !self.roll.is_fenced(who)) else {
             return Err(Problem::new(409, "no-lease", "this life holds no lease"));
         };
-        let loans = lending.report((now, now + span + error_of(span)), book, who, &rows);
+        let loans = lending.report((now, now + span + error_of(span)), snapshot, who, &rows);
         Ok(json!({ "span_ms": span, "loans": loans }))
     }
 
-    fn deliver(&mut self, controller: u32, lines: Vec<String>) -> Result<u64, Problem> {
+    fn append_audit_entries(&mut self, controller: u32, entries: Vec<String>) -> Result<u64, Problem> {
         let no_room = || {
             Problem::new(
                 409,
@@ -433,52 +474,50 @@
             )
         };
         let gathered = self.records.as_mut().ok_or_else(no_room)?;
-        Ok(gathered.all.take(&controller.to_string(), lines))
+        Ok(gathered.all.take(&controller.to_string(), entries))
     }
 
-    fn records(&self, of: Option<&str>, from: u64, most: usize) -> Result<Value, Problem> {
+    fn audit_logs(&self, of: Option<&str>, from: u64, limit: usize) -> Result<Value, Problem> {
         let Some(gathered) = &self.records else { return Ok(json!({ "by": self.life, "records": [] })) };
         let Some(of) = of else { return Ok(json!({ "by": self.life, "records": gathered.all.all() })) };
         let from = usize::try_from(from).unwrap_or(usize::MAX);
         let unknown = || Problem::new(404, "no-such-record", format!("nothing was delivered of {of}"));
-        let (lines, next) = gathered.all.page(of, from, most).ok_or_else(unknown)?;
+        let (lines, next) = gathered.all.page(of, from, limit).ok_or_else(unknown)?;
         Ok(json!({ "by": self.life, "of": of, "lines": lines, "next": next }))
     }
 
-    fn progress(&self, revision: Revision) -> Value {
-        let at = At { epoch: self.epoch, revision };
+    fn change_progress(&self, revision: Revision) -> Value {
+        let at = Version { epoch: self.epoch, revision };
         let here = self.here();
         changes::shown(&here.progress(at), at, here.now, self.own >= at)
     }
 
-    fn serving(&self) -> Result<(), String> {
+    fn check_serving(&self) -> Result<(), RecoveryPending> {
         match self.authority.duty().0 {
             Duty::Serving => Ok(()),
-            Duty::Waiting(cause) => {
-                let (heard, of) = (self.authority.heard().count(), self.authority.expected());
-                Err(format!(
-                    "it is open which book stands ({}; {heard} controllers heard, {of} awaited): see GET /v1/fleet",
-                    cause.word()
-                ))
-            }
+            Duty::Waiting(cause) => Err(RecoveryPending {
+                cause: cause.as_str(),
+                responded: self.authority.reports().count(),
+                expected: self.authority.expected(),
+            }),
         }
     }
 
-    fn fleet(&self) -> Value {
+    fn fleet_status(&self) -> Value {
         let (duty, since) = self.authority.duty();
         let now = self.now();
         let own = self.authority.own();
         let rows: Vec<Value> = self
             .authority
-            .heard()
+            .reports()
             .map(|(controller, stamp, at)| {
-                let standing = stamp.zip(own).map(|(told, own)| told.against(own).word());
+                let standing = stamp.zip(own).map(|(told, own)| told.compare(own).as_str());
                 json!({ "controller": controller, "holds": stamp, "standing": standing, "seen_ms_ago": now.saturating_sub(at) })
             })
             .collect();
         let (step, cause) = match duty {
             Duty::Serving => ("serving", None),
-            Duty::Waiting(cause) => ("waiting", Some(cause.word())),
+            Duty::Waiting(cause) => ("waiting", Some(cause.as_str())),
         };
         let lives: Vec<Value> =
             self.roll.members().map(|(who, member)| self.life(now, who, member)).collect();
@@ -486,7 +525,7 @@
         json!({
             "records_unkept": self.records.as_ref().map_or(0, |gathered| gathered.all.unkept),
             "lent": { "limits": limits, "borrowers": borrowers },
-            "lease_ms": self.roll.span(), "leases": self.roll.holders(now), "lives": lives, "without_room": self.roll.refused(),
+            "lease_ms": self.roll.span(), "leases": self.roll.lease_holders(now), "lives": lives, "without_room": self.roll.rejected(),
             "controller": self.number, "role": "administration", "step": step, "cause": cause,
             "since_ms": now.saturating_sub(since), "holds": own, "awaited": self.authority.expected(),
             "controllers": rows,
@@ -536,10 +575,10 @@
     /// For the figures of the controller.
     fn show_lives(&self, now: u64) {
         let revision = self.authority.own().map_or(0, |own| own.revision);
-        let leased = |m: &roll::Member| m.out.is_some_and(|out| now < out);
+        let leased = |m: &membership::Member| m.lease_over.is_some_and(|out| now < out);
         let members = || self.roll.members();
-        let behind = members().filter(|(_, m)| leased(m) && m.told.in_force.revision < revision).count();
-        let lately = |m: &roll::Member| now < m.heard + roll::SILENT_AFTER;
+        let behind = members().filter(|(_, m)| leased(m) && m.state.in_force.revision < revision).count();
+        let lately = |m: &membership::Member| now < m.last_heartbeat + membership::UNRESPONSIVE_AFTER;
         let fenced = members().filter(|(who, m)| lately(m) && self.roll.is_fenced(*who)).count();
         let mut shown = lock(&self.shown);
         (shown.lives_behind, shown.lives_fenced) = (behind, fenced);
@@ -556,21 +595,21 @@
     }
 
     /// It was said to those who asked that this change is in force everywhere.
-    fn everywhere(&mut self, at: At) {
+    fn everywhere(&mut self, at: Version) {
         let now = self.now();
         if let Some(records) = &mut self.records {
             records.said(now, What::Everywhere { epoch: at.epoch, revision: at.revision });
         }
     }
 
-    fn life(&self, now: u64, who: Who, member: &roll::Member) -> Value {
+    fn life(&self, now: u64, who: Incarnation, member: &membership::Member) -> Value {
         let behind =
-            self.authority.own().map(|own| own.revision.saturating_sub(member.told.in_force.revision));
+            self.authority.own().map(|own| own.revision.saturating_sub(member.state.in_force.revision));
         json!({
-            "controller": who.number, "life": format!("{:016x}", who.life), "in_force": member.told.in_force.revision,
-            "epoch": member.told.in_force.epoch, "kept": member.told.kept.revision, "behind": behind,
-            "ends": member.told.ends, "fenced": self.roll.is_fenced(who), "seen_ms_ago": now.saturating_sub(member.heard),
-            "lease_left_ms": member.out.map(|out| out.saturating_sub(now)),
+            "controller": who.controller, "life": format!("{:016x}", who.incarnation), "in_force": member.state.in_force.revision,
+            "epoch": member.state.in_force.epoch, "kept": member.state.persisted.revision, "behind": behind,
+            "ends": member.state.requires_lease, "fenced": self.roll.is_fenced(who), "seen_ms_ago": now.saturating_sub(member.last_heartbeat),
+            "lease_left_ms": member.lease_over.map(|out| out.saturating_sub(now)),
         })
     }
 
@@ -578,8 +617,10 @@
         self.start.elapsed().as_millis() as u64
     }
 
-    fn holds(&mut self, controller: u32, stamp: Option<Stamp>) {
-        let Step::Take(who, stamp) = self.authority.told(self.now(), controller, stamp) else { return };
+    fn holds(&mut self, controller: u32, stamp: Option<SnapshotVersion>) {
+        let Step::Install(who, stamp) = self.authority.report_received(self.now(), controller, stamp) else {
+            return;
+        };
         // One that told its stamp by its ask gives its book when it is asked in turn.
         let offer = self.offers.get(&who).filter(|whole| whole.stamp() == stamp);
         if let Some((whole, origin)) = offer.zip(self.above_all()) {
@@ -589,7 +630,7 @@
 
     /// Under which store and epoch a book stands above all that are held.
     fn above_all(&self) -> Option<Origin> {
-        let (store, least) = self.authority.over_all()?;
+        let (store, least) = self.authority.superseding_origin()?;
         Some(Origin { store, epoch: least.max(clock::wall() / 1000) })
     }
 }
@@ -669,28 +710,28 @@
             self.acknowledged();
             return told;
         }
-        let kind = request.header("content-type").map(|k| k.split(';').next().unwrap_or("").trim());
+        let content_type = request.header("content-type").map(|k| k.split(';').next().unwrap_or("").trim());
         let asked = Request {
             method: request.method,
             target: request.target,
-            kind,
+            content_type,
             if_match: request.header("if-match"),
-            once: request.header("idempotency-key"),
+            idempotency_key: request.header("idempotency-key"),
             body: request.body,
         };
         let now = clock::wall() / 1000;
-        self.around.book = self.api.book().revision();
+        self.around.book = self.api.snapshot().revision();
         let answer = self.api.answer(&asked, &caller, &mut self.around, now, waited);
         self.recover();
         self.spread();
         self.wake_changes();
         match answer {
-            Answer::Now(response) => Turn::Reply(reply(response)),
-            Answer::Later(span) => Turn::Wait(span),
-            Answer::Changed { response, revision, binds } => {
-                let at = At { epoch: self.around.epoch, revision };
+            Answer::Ready(response) => Turn::Reply(reply(response)),
+            Answer::Wait(span) => Turn::Wait(span),
+            Answer::Committed { response, revision, restricts } => {
+                let at = Version { epoch: self.around.epoch, revision };
                 self.around.own = self.marks.in_force();
-                let told = turn(self.changes.made(&self.around.here(), response, at, binds));
+                let told = turn(self.changes.made(&self.around.here(), response, at, restricts));
                 self.acknowledged();
                 told
             }
@@ -713,7 +754,7 @@
     }
 
     /// News were told to the controller: it says when it has come so far.
-    fn mark(&mut self, at: At) {
+    fn mark(&mut self, at: Version) {
         let mark = self.marks.told(at);
         self.around.tell(Told::Mark(mark));
     }
@@ -731,15 +772,15 @@
             return;
         }
         let asked = Instant::now();
-        let who = Who { number: self.around.number, life: self.around.life };
-        let loans = lending.report((now, now + span + error_of(span)), self.api.book(), who, &rows);
+        let who = Incarnation { controller: self.around.number, incarnation: self.around.life };
+        let loans = lending.report((now, now + span + error_of(span)), self.api.snapshot(), who, &rows);
         self.around.tell(Told::Lent { until: asked + Duration::from_millis(ends(0, span)), loans });
     }
 
     /// Leases of before are out: what another life has to wait for is our own span.
     fn settle_spans(&mut self, now: u64) -> Option<u64> {
         self.spans.after?;
-        let out = self.around.roll.strangers();
+        let out = self.around.roll.earlier_leases_over();
         if now < out {
             return Some(out);
         }
@@ -751,11 +792,11 @@
 
     /// Tells the controller, and those who wait, what has changed.
     fn spread(&mut self) {
-        if self.told == self.api.book().revision() {
+        if self.told == self.api.snapshot().revision() {
             return;
         }
-        let ((store, epoch), now) = (self.api.store(), self.around.now());
-        self.around.authority.stands(now, stamp(store, epoch, self.api.book()), false);
+        let (StoreIdentity { name, epoch }, now) = (self.api.identity(), self.around.now());
+        self.around.authority.set_own(now, stamp(name, *epoch, self.api.snapshot()), false);
         match self.api.entries(self.told) {
             Ok(entries) => {
                 for entry in entries {
@@ -767,7 +808,7 @@
             }
             Err(why) => warn!(%why, "changes can't be read back"),
         }
-        self.mark(At { epoch: self.around.epoch, revision: self.told });
+        self.mark(Version { epoch: self.around.epoch, revision: self.told });
         self.wake.wake();
         self.write_at.get_or_insert_with(|| Instant::now() + SNAPSHOT_EVERY);
     }
@@ -778,20 +819,21 @@
         self.peers_told();
         self.recover();
         // A store whose file has failed is opened again, so that it can be read though nothing is changed.
-        if let Some(store) = &mut self.api.keep().0
+        if let Some(store) = &mut self.api.store().0
             && let Err(why) = store.heal()
         {
             warn!(%why, "the tenant store can't be used yet");
         }
         // Graces end where the book may change.
         if self.around.authority.duty().0 == Duty::Serving {
-            self.api.sweep(now);
+            self.api.remove_expired(now);
         }
         self.spread();
         if self.write_at.is_some_and(|at| at <= Instant::now()) {
             self.write_snapshot();
         }
-        let grace = self.api.book().next_due().map(|at| Duration::from_millis(at.saturating_sub(now).max(1)));
+        let grace =
+            self.api.snapshot().next_due().map(|at| Duration::from_millis(at.saturating_sub(now).max(1)));
         let grace = grace.filter(|_| self.around.authority.duty().0 == Duty::Serving);
         let write = self.write_at.map(|at| at.saturating_duration_since(Instant::now()));
         let ask = self.ask_peers();
@@ -852,7 +894,7 @@
         match duty {
             Duty::Serving => info!("the book stands: it is given and changed"),
             Duty::Waiting(cause) => warn!(
-                cause = cause.word(),
+                cause = cause.as_str(),
                 awaited = self.around.authority.expected(),
                 "it is open which book stands: none is given and nothing is changed; nettleferry fleet status, nettleferry fleet recover"
             ),
@@ -867,13 +909,13 @@
                 Ok(()) => {
                     let (now, revision) = (self.around.now(), book.revision());
                     info!(revision, epoch = origin.epoch, store = %origin.store, "a book was taken over: it stands now");
-                    self.around.authority.stands(now, stamp(&origin.store, origin.epoch, &book), true);
+                    self.around.authority.set_own(now, stamp(&origin.store, origin.epoch, &book), true);
                     self.around.offers.clear();
                     self.told = revision;
                     self.around.epoch = origin.epoch;
                     let (store, epoch) = (origin.store.clone(), origin.epoch);
                     self.around.tell(Told::Began(Box::new(Whole { controller: None, store, epoch, book })));
-                    self.mark(At { epoch: origin.epoch, revision });
+                    self.mark(Version { epoch: origin.epoch, revision });
                     self.written = Revision::MAX;
                     self.write_at = Some(Instant::now());
                     self.wake.wake();
@@ -886,7 +928,7 @@
 
     /// Durable when this returns. A store that can't be used is put aside, and a new one made.
     fn adopt(&mut self, book: &Book, origin: &Origin) -> Result<(), String> {
-        let mut store = match self.api.keep().0.take() {
+        let mut store = match self.api.store().0.take() {
             Some(store) => store,
             None => {
                 let aside = self.path.with_extension(format!("damaged-{}", clock::wall() / 1000));
@@ -899,22 +941,22 @@
         };
         let kept = store.adopt(book, origin).map_err(|e| e.to_string());
         if let Err(why) = kept {
-            self.api.keep().0 = Some(store);
+            self.api.store().0 = Some(store);
             return Err(why);
         }
-        self.api.adopt(book.clone(), Kept(Some(store)), (origin.store.clone(), origin.epoch));
+        self.api.replace(book.clone(), Kept(Some(store)), identity(origin));
         Ok(())
     }
 
     fn write_snapshot(&mut self) {
         self.write_at = None;
-        let book = self.api.book();
+        let book = self.api.snapshot();
         // A snapshot of a book that is not the store's own would put the last good one out of the way.
         if book.revision() == self.written || self.around.authority.own().is_none() {
             return;
         }
-        let (store, epoch) = self.api.store();
-        let origin = Origin { store: store.to_owned(), epoch };
+        let StoreIdentity { name: store, epoch } = self.api.identity();
+        let origin = Origin { store: store.to_owned(), epoch: *epoch };
         match Snapshot::of(book, Some(origin)).write(&self.beside) {
             Ok(()) => self.written = book.revision(),
             Err(error) => warn!(%error, "the snapshot beside the store can't be written"),
--- a/crates/gateway/src/commands/admin/mod.rs
+++ b/crates/gateway/src/commands/admin/mod.rs
@@ -49,7 +49,7 @@
 }
 
 fn make_key(name: &str, role: &str) -> Result<(), CommandError> {
-    let (token, hash) = crate::admin::make_key(name).map_err(CommandError::KeyHash)?;
+    let (token, hash) = nettleferry_administration::make_key(name).map_err(CommandError::KeyHash)?;
     announce(&format!("token: {token}"))?;
     announce(&format!("settings: (key {name} {role} \"{hash}\")"))
 }
--- a/crates/gateway/src/commands/fleet/audit.rs
+++ b/crates/gateway/src/commands/fleet/audit.rs
@@ -3,6 +3,7 @@
 
 use std::path::Path;
 
+use nettleferry_administration::ADMINISTRATION;
 use nettleferry_audit_log::audit::{Audit, Report};
 use nettleferry_audit_log::chain::{self, ChainError, Checked};
 use serde_json::{Value, json};
@@ -10,7 +11,6 @@
 use super::super::admin::{Api, Client, escaped};
 use super::super::error::CommandError;
 use super::output::Output;
-use crate::admin::ADMINISTRATION;
 
 /// Entries of one audit log that are fetched, at the most.
 const MAX_ENTRIES: usize = 1_000_000;
@@ -86,7 +86,7 @@
 pub(super) fn verify(folder: Option<&Path>, api: &Api) -> Result<Verified, CommandError> {
     let logs = match folder {
         Some(folder) => {
-            let checked = crate::trail::read(folder.to_owned())?;
+            let checked = nettleferry_administration::trail::read(folder.to_owned())?;
             vec![FetchedLog { source: folder.display().to_string(), checked }]
         }
         None => fetch(&mut Client::new(api)?)?.logs,
--- a/crates/gateway/src/commands/serve.rs
+++ b/crates/gateway/src/commands/serve.rs
@@ -9,7 +9,7 @@
 use super::console::announce;
 use super::error::CommandError;
 use super::{exit_code, settings_file};
-use crate::controller::{Controller, Stopped};
+use crate::controller::{Controller, Shutdown};
 
 /// Run a controller.
 #[derive(Args)]
@@ -41,16 +41,16 @@
 /// Runs a controller until a signal stops it.
 pub(super) fn run_controller(config: Config) -> Result<u8, CommandError> {
     let mut controller = Controller::new(config, true)?;
-    announce(&format!("listening grpc {}", controller.local()))?;
-    if let Some(scrape) = controller.scrape() {
+    announce(&format!("listening grpc {}", controller.grpc_address()))?;
+    if let Some(scrape) = controller.metrics_address() {
         announce(&format!("listening scrape {scrape}"))?;
     }
-    if let Some(admin) = controller.admin() {
+    if let Some(admin) = controller.admin_address() {
         announce(&format!("listening admin {admin}"))?;
     }
     Ok(match controller.run()? {
-        Stopped::Clean => exit_code::SUCCESS,
-        Stopped::AtOnce => exit_code::INTERRUPTED,
+        Shutdown::Graceful => exit_code::SUCCESS,
+        Shutdown::Forced => exit_code::INTERRUPTED,
     })
 }
 
--- a/crates/gateway/src/front/mod.rs
+++ b/crates/gateway/src/front/mod.rs
@@ -9,15 +9,15 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use crate::audit_log::{Known, NOBODY};
 use crate::tenants::{Tenants, Turned, model_number};
-use crate::trail::{Known, NOBODY};
 use bytes::Bytes;
 use http::{HeaderMap, HeaderValue, Response, StatusCode};
 use nettleferry::{Micros, TenantId};
 use nettleferry_audit_log::Recorder;
 use nettleferry_config::Config;
-use nettleferry_engine::{CallId, Command, End, Engine, Event, Open, Phase, Step};
-use nettleferry_fleet::gate::{Asked, Gate, Verdict};
+use nettleferry_engine::{CallId, Command, Engine, Event, FinalAnswer, NewCall, Phase, Step};
+use nettleferry_fleet::gate::{CallInfo, Gate, Verdict};
 use nettleferry_fleet::lease::{Holder, Stage};
 use nettleferry_net::framing::FrameError;
 use nettleferry_net::grpc::{Code, Status};
@@ -236,7 +236,7 @@
         match rpc.method {
             Method::Small(small) if first => {
                 let stage = around.lease.as_ref().map_or(Stage::Current, |l| l.stage(around.now / 1000));
-                let ready = self.ready && !self.draining && stage.ready();
+                let ready = self.ready && !self.draining && stage.is_ready();
                 match metadata::answer(small, payload, &self.config, ready) {
                     Ok(message) => {
                         around.hub.respond(stream, grpc_head());
@@ -298,7 +298,7 @@
             None => Ok(rpc.tenant.as_ref().and_then(|name| self.config.tenants.get(name).copied())),
             Some(tenants) => {
                 // What is in hand is to be as the engine has it by now.
-                for phase in around.engine.phases() {
+                for phase in around.engine.drain_phases() {
                     if let Some(gate) = &mut around.gate {
                         gate_step(gate, around.now, &phase);
                     }
@@ -318,14 +318,14 @@
         };
         let (id, name): (Arc<str>, Arc<str>) = (head.id.into(), head.model.into());
         self.calls.insert(front, Call { stream, id, model: Arc::clone(&name) });
-        let open = Open {
+        let open = NewCall {
             front,
             class: model.class,
             tenant,
             model: name,
             version: head.version.into(),
-            left,
-            work_hint: model.work,
+            time_left: left,
+            cost_hint: model.work,
             lanes: model.lanes,
             load_time: model.load_time,
             repeat: rpc.repeat,
@@ -342,8 +342,9 @@
         }
         let before = around.commands.len();
         let call = around.engine.open(around.now, open, around.commands);
-        let ended =
-            around.commands[before..].iter().any(|c| matches!(c, Command::End { call: c, .. } if *c == call));
+        let ended = around.commands[before..]
+            .iter()
+            .any(|c| matches!(c, Command::Answer { call: c, .. } if *c == call));
         let Some(rpc) = self.rpcs.get_mut(&stream).filter(|_| !ended) else { return };
         rpc.calls.insert(call, front);
         if rpc.full {
@@ -366,25 +367,31 @@
         let dearest = classes.iter().map(|c| c.worth).fold(f64::MIN_POSITIVE, f64::max);
         let careful = class.effect != nettleferry::Effect::Safe;
         let (left, aim) = (left / 1000, class.aim / 1000);
-        let asked = Asked { left, aim, worth: class.worth / dearest, careful, model };
-        match gate.ask(around.now / 1000, &asked, rand::random()) {
-            Verdict::Take => None,
-            Verdict::Refuse(wait) => Some(Duration::from_millis(wait)),
+        let asked = CallInfo {
+            remaining: left,
+            latency_objective: aim,
+            priority_weight: class.worth / dearest,
+            non_idempotent: careful,
+            model,
+        };
+        match gate.admit(around.now / 1000, &asked, rand::random()) {
+            Verdict::Admit => None,
+            Verdict::Reject(wait) => Some(Duration::from_millis(wait)),
         }
     }
 
     /// One that can't know whether its book still holds takes no call, where it is told not to: another controller
     /// may, and so may this one when it has heard.
     fn without_lease(&self, around: &mut Around) -> Option<Failure> {
-        let stage = around.lease.as_mut()?.ask(around.now / 1000);
+        let stage = around.lease.as_mut()?.check_call(around.now / 1000);
         if let Some(trail) = &mut around.trail {
             let known = Known { tenants: around.tenants.as_deref(), engine: around.engine };
-            trail.stage(around.now / 1000, stage.word(), &known);
-            if !stage.takes() {
+            trail.stage(around.now / 1000, stage.as_str(), &known);
+            if !stage.accepts_calls() {
                 trail.refused(around.now / 1000);
             }
         }
-        if stage.takes() {
+        if stage.accepts_calls() {
             return None;
         }
         let what = match stage {
@@ -426,7 +433,7 @@
     fn abandon(&mut self, around: &mut Around, calls: BTreeMap<CallId, u64>) {
         for (call, front) in calls {
             self.calls.remove(&front);
-            around.engine.handle(around.now, Event::ClientGone { call }, around.commands);
+            around.engine.handle(around.now, Event::ClientDisconnected { call }, around.commands);
         }
     }
 
@@ -439,7 +446,7 @@
     }
 
     /// A call's final answer.
-    pub fn end(&mut self, around: &mut Around, id: CallId, front: u64, end: End) {
+    pub fn end(&mut self, around: &mut Around, id: CallId, front: u64, end: FinalAnswer) {
         let Some(call) = self.calls.remove(&front) else { return };
         let pushback = self.pushback();
         let Some(rpc) = self.rpcs.get_mut(&call.stream) else { return };
@@ -450,7 +457,7 @@
         }
         match (ends::failure(&end, pushback), end) {
             (Some(failure), _) => self.fail_call(around, call.stream, &call.id, &failure),
-            (None, End::Served { last }) => {
+            (None, FinalAnswer::Served { last }) => {
                 let streamed = rpc.method == Method::Stream;
                 let last = last.or_else(|| streamed.then(|| ends::empty_final(&call.id, &call.model)));
                 if let Some(payload) = last {
@@ -532,9 +539,9 @@
 pub fn gate_step(gate: &mut Gate, now: Micros, phase: &Phase) {
     match phase.step {
         // Its model stays known while a worker has it: one that is given back waits anew.
-        Step::Began => gate.has_worker(phase.front),
-        Step::Back => gate.given_back(now / 1000, phase.front),
-        Step::Ended(_) => gate.gone(phase.front),
+        Step::AttemptStarted => gate.has_worker(phase.front),
+        Step::AttemptEnded => gate.returned_by_worker(now / 1000, phase.front),
+        Step::CallEnded(_) => gate.ended(phase.front),
     }
 }
 
--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -5,24 +5,21 @@
 //!
 //! * [`controller`]: the event loop. [`front`]: connections to clients. [`links`]: connections to workers. [`list`]: the
 //!   worker list.
-//! * [`tenants`]: admission control for the front. [`admin`]: the administration's thread.
+//! * [`tenants`]: admission control for the front. [`audit_log`]: names in the audit log.
 //! * [`commands`]: a module for each subcommand. [`observe`]: metrics. [`push`]: remote write. [`logs`]: logging.
 
 #![forbid(unsafe_code)]
 
-mod admin;
+mod audit_log;
 mod commands;
 mod controller;
-mod endpoint;
 mod front;
-mod kept;
 mod links;
 mod list;
 mod logs;
 mod observe;
 mod push;
 mod tenants;
-mod trail;
 
 use std::process::ExitCode;
 
