--- a/crates/admin/src/api/changes.rs
+++ b/crates/admin/src/api/changes.rs
@@ -1,6 +1,6 @@
 //! Changes of tenants: what a request wants changed, under which condition, once per idempotency key.
 
-use nettleferry_tenancy::{Applied, Change, Condition, Once};
+use nettleferry_tenancy::{Applied, Change, Condition, IdempotentResponse};
 use serde_json::Value;
 
 use crate::message::{Answer, Request, Response};
@@ -35,7 +35,7 @@
             return replayed(before, fingerprint);
         }
         let Applied { tenant: after, entry } =
-            self.book.judge(change, condition, &call.caller.name, call.now)?;
+            self.book.evaluate(change, condition, &call.caller.name, call.now)?;
         let after = after.ok_or_else(|| internal("a change left no tenant".to_owned()))?;
         let response = tenant(call.route.status, &after)?;
         if dry_run {
@@ -47,14 +47,14 @@
         };
         let once = key.as_ref().map(|key| {
             let (status, body, revision) = (response.status, response.body.clone(), after.revision);
-            (key.as_str(), Once { fingerprint, status, revision, body, at_ms: call.now })
+            (key.as_str(), IdempotentResponse { fingerprint, status, revision, body, at_ms: call.now })
         });
         let kept = self.keep.commit(&entry, once.as_ref().map(|(key, once)| (*key, once)));
         kept.map_err(|what| {
             Problem::new(503, "not-kept", format!("the change was not kept, and has not happened: {what}"))
         })?;
-        self.book.take(&entry).map_err(|gap| internal(gap.to_string()))?;
-        Ok(Answer::Changed { response, revision: entry.revision, binds: entry.binds() })
+        self.book.apply(&entry).map_err(|gap| internal(gap.to_string()))?;
+        Ok(Answer::Changed { response, revision: entry.revision, binds: entry.restricts() })
     }
 }
 
@@ -77,7 +77,7 @@
 }
 
 /// The answer that was given to the same request before.
-fn replayed(before: Once, fingerprint: u64) -> Result<Answer, Problem> {
+fn replayed(before: IdempotentResponse, fingerprint: u64) -> Result<Answer, Problem> {
     if before.fingerprint != fingerprint {
         let detail = "this Idempotency-Key came before with another body";
         return Err(Problem {
--- a/crates/admin/src/api/mod.rs
+++ b/crates/admin/src/api/mod.rs
@@ -11,7 +11,7 @@
 
 use std::time::Duration;
 
-use nettleferry_tenancy::{Book, Change, Entry, Millis, Revision, Tenant};
+use nettleferry_tenancy::{Change, Entry, Millis, Revision, Tenant, TenantSnapshot};
 use serde::Serialize;
 use serde_json::{Value, json};
 
@@ -39,7 +39,7 @@
 
 /// The API over a book.
 pub struct Api<K> {
-    book: Book,
+    book: TenantSnapshot,
     keep: K,
     /// The store's own name, and its epoch.
     store: (String, u64),
@@ -81,17 +81,17 @@
 
 impl<K: Keep> Api<K> {
     /// An API over what a store of this name held at its start.
-    pub fn new(book: Book, keep: K, store: (String, u64), read_only: Option<String>) -> Self {
+    pub fn new(book: TenantSnapshot, keep: K, store: (String, u64), read_only: Option<String>) -> Self {
         Self { book, keep, store, read_only }
     }
 
     /// The book as it stands.
-    pub fn book(&self) -> &Book {
+    pub fn book(&self) -> &TenantSnapshot {
         &self.book
     }
 
     /// Puts another book and store in the place of what was there.
-    pub fn adopt(&mut self, book: Book, keep: K, store: (String, u64)) {
+    pub fn adopt(&mut self, book: TenantSnapshot, keep: K, store: (String, u64)) {
         *self = Self::new(book, keep, store, None);
     }
 
@@ -114,9 +114,9 @@
     pub fn sweep(&mut self, now: Millis) -> Vec<Entry> {
         let mut all = Vec::new();
         while self.read_only.is_none()
-            && let Some(entry) = self.book.due(now)
+            && let Some(entry) = self.book.due_removal(now)
             && self.keep.commit(&entry, None).is_ok()
-            && self.book.take(&entry).is_ok()
+            && self.book.apply(&entry).is_ok()
         {
             all.push(entry);
         }
--- a/crates/admin/src/api/ports.rs
+++ b/crates/admin/src/api/ports.rs
@@ -1,7 +1,7 @@
 //! What the API needs of its surroundings: a store for changes and the running controller, with the values that pass
 //! between them.
 
-use nettleferry_tenancy::{Book, Entry, Once, Revision, Tenant};
+use nettleferry_tenancy::{Entry, IdempotentResponse, Revision, Tenant, TenantSnapshot};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
@@ -10,9 +10,9 @@
 /// What is kept of changes; errors are for people.
 pub trait Keep {
     /// Keeps a change; durable when it returns.
-    fn commit(&mut self, entry: &Entry, once: Option<(&str, &Once)>) -> Result<(), String>;
+    fn commit(&mut self, entry: &Entry, once: Option<(&str, &IdempotentResponse)>) -> Result<(), String>;
     /// The answer kept under a key.
-    fn once(&self, key: &str) -> Result<Option<Once>, String>;
+    fn once(&self, key: &str) -> Result<Option<IdempotentResponse>, String>;
     /// Entries after a revision.
     fn audit(&self, after: Revision, most: usize, of: Option<&str>) -> Result<Vec<Entry>, String>;
 }
@@ -86,7 +86,13 @@
     /// Our clock: whose life it is of, and what it reads, in milliseconds.
     fn clock(&self) -> (u64, u64);
     /// What a controller could use of limits, as it reports; what it may use.
-    fn loans(&mut self, book: &Book, controller: u32, life: u64, report: Value) -> Result<Value, Problem>;
+    fn loans(
+        &mut self,
+        book: &TenantSnapshot,
+        controller: u32,
+        life: u64,
+        report: Value,
+    ) -> Result<Value, Problem>;
     /// Lines of a controller's record, as it delivers them; what is held of it now.
     fn deliver(&mut self, controller: u32, lines: Vec<String>) -> Result<u64, Problem>;
     /// Records that were delivered: whose there are, or a page of one.
@@ -98,7 +104,7 @@
     /// What the fleet is known to run and hold.
     fn fleet(&self) -> Value;
     /// An operator's word on which book is to stand: `own`, this one, or a controller's number.
-    fn recover(&mut self, own: &Book, take: &str, dry_run: bool) -> Result<Value, Problem>;
+    fn recover(&mut self, own: &TenantSnapshot, take: &str, dry_run: bool) -> Result<Value, Problem>;
 }
 
 /// Which book a controller holds.
--- a/crates/admin/src/api/replication.rs
+++ b/crates/admin/src/api/replication.rs
@@ -24,7 +24,7 @@
         let follower = follows(query, live)?;
         serving(live)?;
         let (store, epoch) = &self.store;
-        let sum = self.book.sum();
+        let sum = self.book.checksum();
         let lease = follower.and_then(|follower| live.lease(follower.number, follower.life));
         let ((lease_ms, place), clock) = (lease.unzip(), read_clock(live, Duration::ZERO));
         let body = json!({
--- a/crates/admin/src/problem.rs
+++ b/crates/admin/src/problem.rs
@@ -64,7 +64,7 @@
             Denied::Exists(_) => Self::new(409, "tenant-exists", detail),
             Denied::Stale { .. } => Self::new(412, "stale", detail),
             Denied::Removing(_) => Self::new(409, "being-removed", detail),
-            Denied::Unsound(fault) => Self::field(fault.field, detail),
+            Denied::Invalid(fault) => Self::field(fault.field, detail),
             Denied::Full(_) => Self::new(507, "too-many-tenants", detail),
         }
     }
--- a/crates/admin/tests/api.rs
+++ b/crates/admin/tests/api.rs
@@ -4,18 +4,18 @@
 
 use nettleferry_admin::api::{Api, Holds, Keep, Live, Running, Usage, Worker};
 use nettleferry_admin::{Answer, Caller, Problem, Request, Response, Role, openapi, routes};
-use nettleferry_tenancy::{Book, Entry, Once, Revision, Tenant};
+use nettleferry_tenancy::{Entry, IdempotentResponse, Revision, Tenant, TenantSnapshot};
 use serde_json::{Value, json};
 
 #[derive(Default)]
 struct Kept {
     entries: Vec<Entry>,
-    once: Vec<(String, Once)>,
+    once: Vec<(String, IdempotentResponse)>,
     fails: bool,
 }
 
 impl Keep for Kept {
-    fn commit(&mut self, entry: &Entry, once: Option<(&str, &Once)>) -> Result<(), String> {
+    fn commit(&mut self, entry: &Entry, once: Option<(&str, &IdempotentResponse)>) -> Result<(), String> {
         if self.fails {
             return Err("the disk is full".to_owned());
         }
@@ -24,7 +24,7 @@
         Ok(())
     }
 
-    fn once(&self, key: &str) -> Result<Option<Once>, String> {
+    fn once(&self, key: &str) -> Result<Option<IdempotentResponse>, String> {
         Ok(self.once.iter().find(|(k, _)| k == key).map(|(_, once)| once.clone()))
     }
 
@@ -86,7 +86,13 @@
         (77, 1_234)
     }
 
-    fn loans(&mut self, _: &Book, controller: u32, life: u64, report: Value) -> Result<Value, Problem> {
+    fn loans(
+        &mut self,
+        _: &TenantSnapshot,
+        controller: u32,
+        life: u64,
+        report: Value,
+    ) -> Result<Value, Problem> {
         Ok(json!({ "span_ms": 5, "loans": [], "by": [controller, life], "report": report }))
     }
 
@@ -110,7 +116,7 @@
         json!({ "controllers": [] })
     }
 
-    fn recover(&mut self, _: &Book, take: &str, _: bool) -> Result<Value, Problem> {
+    fn recover(&mut self, _: &TenantSnapshot, take: &str, _: bool) -> Result<Value, Problem> {
         Ok(json!({ "take": take }))
     }
 }
@@ -124,7 +130,7 @@
 impl Side {
     fn new() -> Self {
         Self {
-            api: Api::new(Book::default(), Kept::default(), ("s1".to_owned(), 1), None),
+            api: Api::new(TenantSnapshot::default(), Kept::default(), ("s1".to_owned(), 1), None),
             live: Running1::default(),
             role: Role::Admin,
         }
@@ -285,10 +291,10 @@
 fn what_is_not_kept_has_not_happened_and_a_damaged_store_refuses() {
     let mut side = Side::new();
     let kept = Kept { fails: true, ..Kept::default() };
-    side.api = Api::new(Book::default(), kept, ("s1".to_owned(), 1), None);
+    side.api = Api::new(TenantSnapshot::default(), kept, ("s1".to_owned(), 1), None);
     assert_eq!((side.create(json!({"name": "a"}), None).status, side.api.book().revision()), (503, 0));
     side.api = Api::new(
-        Book::default(),
+        TenantSnapshot::default(),
         Kept::default(),
         ("s1".to_owned(), 1),
         Some("the tenant store is damaged".to_owned()),
@@ -335,12 +341,13 @@
     };
     assert_eq!(read(&empty).1["entries"], json!([]));
     assert_eq!(side.get("/v1/watch?after=9").0, 409);
-    let mut follower = Book::default();
+    let mut follower = TenantSnapshot::default();
     let (_, changes) = side.get("/v1/watch?after=0");
     let entries: Vec<Entry> = serde_json::from_value(changes["entries"].clone()).expect("entries");
-    entries.iter().for_each(|entry| follower.take(entry).expect("the next"));
+    entries.iter().for_each(|entry| follower.apply(entry).expect("the next"));
     assert_eq!(&follower, side.api.book());
-    let snapshot: Book = serde_json::from_value(side.get("/v1/snapshot").1["book"].clone()).expect("a book");
+    let snapshot: TenantSnapshot =
+        serde_json::from_value(side.get("/v1/snapshot").1["book"].clone()).expect("a book");
     assert_eq!(
         (side.get("/v1/watch?store=s2&after=1").0, side.get("/v1/watch?store=s1&after=1").0),
         (410, 200)
--- a/crates/audit-log/src/audit.rs
+++ b/crates/audit-log/src/audit.rs
@@ -1,142 +1,32 @@
-//! The audit: from the records of a fleet, who acted on which version until when, and who acted on one when a newer
-//! one was in force elsewhere or had been acknowledged.
+//! The audit over the logs of a fleet: who acted on which version until when, and who acted on one when a newer one
+//! was in force elsewhere or had been acknowledged.
 //!
-//! Every statement is made on the administration's clock, to which each controller's is bounded by its exchanges
+//! Every statement is made on the leader's clock, to which each controller's is bounded by its exchanges
 //! ([`crate::clock`]). One is **certain** only where it holds for every clock within the bounds and whatever moment of
-//! an interval an act had; all else is **doubtful** and told as such, with how many acts it may be about. Where a
-//! record is missing or damaged, the part that can't be spoken of is told.
+//! an interval an act had; all else is **doubtful** and reported so, with how many acts it may be about. Where a log
+//! is incomplete, the part of which nothing can be said is reported.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use serde::Serialize;
-
 use crate::clock::{ClockBounds, TimeBounds};
-use crate::line::{Act, Line, What};
-use crate::view::View;
-
-/// Findings of each kind that are kept; more are counted.
-pub const MOST_FINDINGS: usize = 1_000;
-
-/// A book: epoch, then revision.
-pub type Book = (u64, u64);
-
-/// One life of one controller.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
-pub struct Incarnation {
-    /// The controller's number.
-    pub controller: u32,
-    /// Its life.
-    pub life: u64,
-}
-
-/// How sure a statement is.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
-#[serde(rename_all = "snake_case")]
-pub enum Certainty {
-    /// It holds for every clock within the bounds.
-    Certain,
-    /// It holds for some.
-    Doubtful,
-}
-
-/// Acts on one version by one life.
-#[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Actor {
-    /// Who.
-    pub who: Incarnation,
-    /// On which book.
-    pub book: Book,
-    /// Its first and last act on it may have been from here to there, on the administration's clock, milliseconds;
-    /// none: its clock is not known.
-    pub from: Option<i64>,
-    /// See `from`.
-    pub to: Option<i64>,
-    /// Calls taken on it.
-    pub calls: u64,
-}
-
-/// Acts on a version when a newer one was in force elsewhere.
-#[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct StaleActivity {
-    /// Who.
-    pub who: Incarnation,
-    /// On which book.
-    pub book: Book,
-    /// The first newer one that was in force elsewhere, and where.
-    pub newer: Book,
-    /// See `newer`.
-    pub elsewhere: Incarnation,
-    /// How sure.
-    pub sure: Certainty,
-    /// For how long at the least and at the most, milliseconds.
-    pub least_ms: i64,
-    /// See `least_ms`.
-    pub most_ms: i64,
-    /// Calls by tenant that were surely begun after, and that may have been.
-    pub calls: BTreeMap<String, (u64, u64)>,
-    /// Why, as far as the record tells.
-    pub why: String,
-}
-
-/// Calls of a tenant that were taken after a change of him was acknowledged as in force everywhere.
-#[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct LateCalls {
-    /// Who took them.
-    pub who: Incarnation,
-    /// Whose.
-    pub tenant: String,
-    /// The change.
-    pub change: Book,
-    /// What was done: suspend, remove.
-    pub action: String,
-    /// How sure.
-    pub sure: Certainty,
-    /// How many surely were, and may have been.
-    pub calls: (u64, u64),
-    /// Why, as far as the record tells.
-    pub why: String,
-}
-
-/// Where nothing can be said.
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
-pub struct Gap {
-    /// Whose record.
-    pub who: Option<Incarnation>,
-    /// What is missing.
-    pub what: String,
-}
+use crate::entry::{Entry, EntryKind, Event};
+use crate::findings::{
+    Actor, CallCount, Certainty, Fork, Gap, Incarnation, LateCalls, Report, StaleActivity,
+};
+use crate::view::{Version, View};
 
-/// Two histories of one store.
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
-pub struct Fork {
-    /// The epochs.
-    pub epochs: Vec<u64>,
-    /// Who acted on each side while the other was acted on.
-    pub sides: Vec<Incarnation>,
-}
+/// Findings of each kind that are listed; further ones are counted.
+pub const MAX_FINDINGS: usize = 1_000;
 
-/// What the records say.
-#[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct Report {
-    /// Who acted on what.
-    pub actors: Vec<Actor>,
-    /// Who acted on what when a newer one was in force elsewhere.
-    pub behind: Vec<StaleActivity>,
-    /// Calls taken after an acknowledgement.
-    pub after: Vec<LateCalls>,
-    /// Epochs that were acted on side by side.
-    pub forks: Vec<Fork>,
-    /// Where nothing can be said.
-    pub gaps: Vec<Gap>,
-    /// Findings that found no room.
-    pub more: u64,
-}
+/// The stage of a lease that is valid, as entries spell it.
+const STAGE_CURRENT: &str = "current";
 
-/// An interval of acts on one view.
+/// Acts on one view between two moments.
 #[derive(Clone, Debug)]
 struct Interval {
-    who: Incarnation,
-    book: Book,
+    incarnation: Incarnation,
+    version: Version,
+    /// When its first and its last act were; `None`: the clock is not known.
     first: Option<TimeBounds>,
     last: Option<TimeBounds>,
     calls: BTreeMap<String, u64>,
@@ -144,144 +34,180 @@
 }
 
 impl Interval {
-    /// How many of so many acts in it were surely, and may have been, after a moment.
-    fn after(&self, moment: TimeBounds, count: u64) -> (u64, u64) {
-        let (Some(first), Some(last)) = (self.first, self.last) else { return (0, count) };
+    /// How many of `count` acts in it were after a moment.
+    fn after(&self, moment: TimeBounds, count: u64) -> CallCount {
+        let (Some(first), Some(last)) = (self.first, self.last) else {
+            return CallCount { certain: 0, possible: count };
+        };
         if first.is_after(moment) {
-            (count, count)
+            CallCount { certain: count, possible: count }
         } else if last.is_not_after(moment) {
-            (0, 0)
+            CallCount::default()
         } else {
-            (0, count)
+            CallCount { certain: 0, possible: count }
         }
     }
 }
 
-/// Where a life came to a version.
+/// When an incarnation came to a version.
 #[derive(Clone, Debug)]
 struct Arrival {
-    who: Incarnation,
-    book: Book,
+    incarnation: Incarnation,
+    version: Version,
+    /// `None`: the clock is not known.
     at: Option<TimeBounds>,
 }
 
-/// What is gathered.
+/// An arrival of which the moment is known.
+#[derive(Clone, Copy, Debug)]
+struct KnownArrival {
+    incarnation: Incarnation,
+    version: Version,
+    at: TimeBounds,
+}
+
+/// A change that the leader accepted.
+#[derive(Clone, Debug)]
+struct AcceptedChange {
+    tenant: String,
+    action: String,
+    restricts: bool,
+}
+
+/// When the acts of one epoch surely were.
+#[derive(Clone, Debug)]
+struct EpochActivity {
+    /// The earliest moment by which its acts had surely begun.
+    begun: i64,
+    /// The latest moment up to which they surely went on.
+    until: i64,
+    incarnations: BTreeSet<Incarnation>,
+}
+
+/// Gathers the logs of a fleet, and reports what they show.
 #[derive(Clone, Debug, Default)]
 pub struct Audit {
     intervals: Vec<Interval>,
-    came: Vec<Arrival>,
-    /// The administration's changes: whose, what, whether it takes something away.
-    accepted: BTreeMap<Book, (String, String, bool)>,
-    everywhere: BTreeMap<Book, TimeBounds>,
-    /// What each life tells of itself that explains a delay.
-    excuses: BTreeMap<Incarnation, BTreeSet<String>>,
+    arrivals: Vec<Arrival>,
+    accepted: BTreeMap<Version, AcceptedChange>,
+    /// When the leader acknowledged a change as in force everywhere.
+    in_force: BTreeMap<Version, TimeBounds>,
+    /// What each incarnation logged that explains a delay.
+    explanations: BTreeMap<Incarnation, BTreeSet<String>>,
     gaps: Vec<Gap>,
 }
 
 impl Audit {
-    /// Takes in the administration's own lines: `life` is the one on whose clock all is told. Lines of its earlier
-    /// lives tell of changes, and no moment of this clock.
-    pub fn administration(&mut self, life: u64, lines: &[Line]) {
-        for line in lines {
-            match &line.what {
-                What::Accepted { epoch, revision, tenant, action, binds } => {
-                    let told = (tenant.clone(), action.clone(), *binds);
-                    self.accepted.insert((*epoch, *revision), told);
+    /// Takes in the leader's own log. `incarnation`: the leader's, on whose clock the audit is made; entries of its
+    /// earlier incarnations tell of changes, and of no moment on this clock.
+    pub fn add_leader(&mut self, incarnation: u64, entries: &[Entry]) {
+        for entry in entries {
+            match &entry.kind {
+                EntryKind::Accepted { epoch, revision, tenant, action, restricts } => {
+                    let change = AcceptedChange {
+                        tenant: tenant.clone(),
+                        action: action.clone(),
+                        restricts: *restricts,
+                    };
+                    self.accepted.insert(Version { epoch: *epoch, revision: *revision }, change);
                 }
-                What::Everywhere { epoch, revision } if line.life == life => {
-                    self.everywhere.entry((*epoch, *revision)).or_insert(TimeBounds::at(line.to));
+                EntryKind::InForce { epoch, revision } if entry.incarnation == incarnation => {
+                    let version = Version { epoch: *epoch, revision: *revision };
+                    self.in_force.entry(version).or_insert(TimeBounds::at(entry.to));
                 }
                 _ => {}
             }
         }
-        self.controller(life, lines, true);
+        self.add_controller(incarnation, entries, true);
     }
 
-    /// Takes in a controller's record. `by`: the administration's life on whose clock all is told.
-    pub fn controller(&mut self, by: u64, lines: &[Line], is_administration: bool) {
-        let mut lives: Vec<(u64, Vec<&Line>)> = Vec::new();
-        for line in lines {
-            match lives.last_mut() {
-                Some((life, all)) if *life == line.life => all.push(line),
-                _ => lives.push((line.life, vec![line])),
-            }
-        }
-        for (life, lines) in lives {
-            self.life(by, life, &lines, is_administration);
+    /// Takes in a controller's log. `leader`: the leader's incarnation, on whose clock the audit is made.
+    /// `is_leader`: this is the leader's own log.
+    pub fn add_controller(&mut self, leader: u64, entries: &[Entry], is_leader: bool) {
+        for run in entries.chunk_by(|one, next| one.incarnation == next.incarnation) {
+            self.add_incarnation(leader, run, is_leader);
         }
     }
 
-    fn life(&mut self, by: u64, life: u64, lines: &[&Line], is_administration: bool) {
-        let began = lines.iter().find_map(|line| match &line.what {
-            What::Began { controller, .. } => Some(*controller),
+    /// Takes in the entries of one incarnation, which are not empty.
+    fn add_incarnation(&mut self, leader: u64, entries: &[Entry], is_leader: bool) {
+        let incarnation = entries.first().map_or(0, |entry| entry.incarnation);
+        let started = entries.iter().find_map(|entry| match &entry.kind {
+            EntryKind::Started { controller, .. } => Some(*controller),
             _ => None,
         });
-        let Some(controller) = began else {
-            self.gaps.push(Gap { who: None, what: format!("life {life:016x} does not say whose it is") });
+        let Some(controller) = started else {
+            let reason = format!("life {incarnation:016x} does not say whose it is");
+            self.gaps.push(Gap { incarnation: None, reason });
             return;
         };
-        let who = Incarnation { controller, life };
-        let mut clock = ClockBounds::default();
-        for line in lines {
-            if let What::Heard { by: heard, at } = &line.what
-                && *heard == by
-            {
-                clock.heard(line.from, line.to, *at);
-            }
-        }
-        // The administration's own controller has its clock.
-        let own = is_administration && life == by;
-        let place = |moment| if own { Some(TimeBounds::at(moment)) } else { clock.place(moment) };
+        let who = Incarnation { controller, incarnation };
+        let clock = clock_bounds(leader, entries);
+        // The leader's own controller has its clock.
+        let own = is_leader && incarnation == leader;
+        let bounds = |moment| if own { Some(TimeBounds::at(moment)) } else { clock.bounds_of(moment) };
         let mut views: BTreeMap<u32, &View> = BTreeMap::new();
-        for line in lines {
-            match &line.what {
-                What::View { view, parts } => {
+        for entry in entries {
+            match &entry.kind {
+                EntryKind::View { view, parts } => {
                     views.insert(*view, parts);
-                    self.came.push(Arrival { who, book: parts.book(), at: place(line.from) });
+                    let (version, at) = (parts.version(), bounds(entry.from));
+                    self.arrivals.push(Arrival { incarnation: who, version, at });
                 }
-                What::Did { view, stage, calls, .. } => match views.get(view) {
+                EntryKind::Activity { view, stage, calls, .. } => match views.get(view) {
                     Some(parts) => self.intervals.push(Interval {
-                        who,
-                        book: parts.book(),
-                        first: place(line.from),
-                        last: place(line.to),
+                        incarnation: who,
+                        version: parts.version(),
+                        first: bounds(entry.from),
+                        last: bounds(entry.to),
                         calls: calls.clone(),
                         stage: stage.clone(),
                     }),
                     None => {
-                        let what = format!("line {} acts on view {view}, whose line is missing", line.n);
-                        self.gaps.push(Gap { who: Some(who), what });
+                        let number = entry.number;
+                        let reason = format!("line {number} acts on view {view}, whose line is missing");
+                        self.add_fault(Some(who), reason);
                     }
                 },
-                What::One { act: Act::Doubtful { stood_ms }, .. } => {
-                    self.excuse(who, format!("it stood still for {stood_ms} ms while its lease ran out"));
-                }
-                What::One { act: Act::Fenced, .. } => self.excuse(who, "it was shut out".to_owned()),
-                What::Gap { lines, why } => {
-                    let what = format!("{lines} lines before line {} are missing: {why}", line.n);
-                    self.gaps.push(Gap { who: Some(who), what });
-                }
-                _ => {}
+                _ => self.add_explanation(who, entry),
             }
         }
-        if !own && place(lines.last().map_or(0, |line| line.to)).is_none() {
-            let what = "its clock is not known: it exchanged nothing with this life of the administration";
-            self.gaps.push(Gap { who: Some(who), what: what.to_owned() });
+        if !own && bounds(entries.last().map_or(0, |entry| entry.to)).is_none() {
+            let reason = "its clock is not known: it exchanged nothing with this life of the administration";
+            self.add_fault(Some(who), reason.to_owned());
         }
     }
 
-    fn excuse(&mut self, who: Incarnation, what: String) {
-        self.excuses.entry(who).or_default().insert(what);
+    /// Takes in an entry that explains a delay, or declares a gap.
+    fn add_explanation(&mut self, who: Incarnation, entry: &Entry) {
+        match &entry.kind {
+            EntryKind::Event { event: Event::LeaseEndedMeanwhile { stalled_ms }, .. } => {
+                self.explain(who, format!("it stood still for {stalled_ms} ms while its lease ran out"));
+            }
+            EntryKind::Event { event: Event::Fenced, .. } => {
+                self.explain(who, "it was shut out".to_owned());
+            }
+            EntryKind::Gap { lines, why } => {
+                let reason = format!("{lines} lines before line {} are missing: {why}", entry.number);
+                self.add_fault(Some(who), reason);
+            }
+            _ => {}
+        }
     }
 
-    /// What is wrong with a record that was read.
-    pub fn fault(&mut self, who: Option<Incarnation>, what: String) {
-        self.gaps.push(Gap { who, what });
+    fn explain(&mut self, who: Incarnation, explanation: String) {
+        self.explanations.entry(who).or_default().insert(explanation);
     }
 
-    fn why(&self, who: Incarnation, stage: &str) -> String {
-        let mut all: Vec<String> = self.excuses.get(&who).into_iter().flatten().cloned().collect();
-        if stage != "current" {
+    /// Takes in what is wrong with a log that was read.
+    pub fn add_fault(&mut self, incarnation: Option<Incarnation>, reason: String) {
+        self.gaps.push(Gap { incarnation, reason });
+    }
+
+    /// Why an incarnation acted on an old version while its lease was at this stage.
+    fn explanation(&self, who: Incarnation, stage: &str) -> String {
+        let mut all: Vec<String> = self.explanations.get(&who).into_iter().flatten().cloned().collect();
+        if stage != STAGE_CURRENT {
             all.push(format!("it had no lease ({stage}): it heard nothing of the administration"));
         } else if all.is_empty() {
             all.push("it had a lease: the news were on their way".to_owned());
@@ -289,121 +215,155 @@
         all.join("; ")
     }
 
-    /// What the records say.
+    /// What the logs show.
     pub fn report(&self) -> Report {
         let mut report = Report { actors: self.actors(), forks: self.forks(), ..Report::default() };
-        self.behind(&mut report);
-        self.after(&mut report);
-        report.gaps = self.gaps.clone();
+        self.find_stale_activity(&mut report);
+        self.find_late_calls(&mut report);
+        report.gaps.clone_from(&self.gaps);
         report.gaps.sort();
         report.gaps.dedup();
         report
     }
 
     fn actors(&self) -> Vec<Actor> {
-        let mut all: BTreeMap<(Book, Incarnation), Actor> = BTreeMap::new();
+        let mut all: BTreeMap<(Version, Incarnation), Actor> = BTreeMap::new();
         for interval in &self.intervals {
-            let (who, book) = (interval.who, interval.book);
-            let new = || Actor { who, book, from: interval.first.map(|s| s.lo), to: None, calls: 0 };
-            let actor = all.entry((book, who)).or_insert_with(new);
-            actor.from = actor.from.zip(interval.first).map(|(from, first)| from.min(first.lo));
-            actor.to = actor.to.max(interval.last.map(|s| s.hi));
+            let (incarnation, version) = (interval.incarnation, interval.version);
+            let actor = all.entry((version, incarnation)).or_insert_with(|| {
+                let from = interval.first.map(|bounds| bounds.earliest);
+                Actor { incarnation, version, from, to: None, calls: 0 }
+            });
+            actor.from = actor.from.zip(interval.first).map(|(from, first)| from.min(first.earliest));
+            actor.to = actor.to.max(interval.last.map(|bounds| bounds.latest));
             actor.calls += interval.calls.values().sum::<u64>();
         }
         all.into_values().collect()
     }
 
-    /// The first newer book of the same epoch or a later one that was surely in force at another life, and by when.
-    fn newer(&self, who: Incarnation, book: Book) -> Option<(Book, Incarnation, TimeBounds)> {
-        let newer = self.came.iter().filter(|c| c.who.controller != who.controller && c.book > book);
-        let known = newer.filter_map(|c| Some((c.book, c.who, c.at?)));
-        known.min_by_key(|(book, who, at)| (at.hi, *book, *who))
+    /// The newer version that was the first to be surely in force at another controller.
+    fn first_newer(&self, who: Incarnation, version: Version) -> Option<KnownArrival> {
+        let others = self.arrivals.iter().filter(|arrival| arrival.incarnation.controller != who.controller);
+        let newer = others.filter(|arrival| arrival.version > version);
+        let known = newer.filter_map(|arrival| {
+            let Arrival { incarnation, version, at } = *arrival;
+            Some(KnownArrival { incarnation, version, at: at? })
+        });
+        known.min_by_key(|arrival| (arrival.at.latest, arrival.version, arrival.incarnation))
     }
 
-    fn behind(&self, report: &mut Report) {
-        let mut all: BTreeMap<(Incarnation, Book), Vec<&Interval>> = BTreeMap::new();
-        for interval in self.intervals.iter().filter(|i| !i.calls.is_empty()) {
-            all.entry((interval.who, interval.book)).or_default().push(interval);
+    fn find_stale_activity(&self, report: &mut Report) {
+        let mut all: BTreeMap<(Incarnation, Version), Vec<&Interval>> = BTreeMap::new();
+        for interval in self.intervals.iter().filter(|interval| !interval.calls.is_empty()) {
+            all.entry((interval.incarnation, interval.version)).or_default().push(interval);
         }
-        for ((who, book), intervals) in all {
-            let Some((newer, elsewhere, at)) = self.newer(who, book) else { continue };
-            let mut calls: BTreeMap<String, (u64, u64)> = BTreeMap::new();
-            let (mut surely, mut maybe, mut stage) = (false, false, "current");
-            let (mut least_ms, mut most_ms) = (0, 0);
-            for interval in intervals {
-                // After the latest moment at which it was in force elsewhere: surely. After the earliest: maybe.
-                for (tenant, count) in &interval.calls {
-                    let certain = interval.after(TimeBounds { lo: at.hi, hi: at.hi }, *count).0;
-                    let possible = interval.after(TimeBounds { lo: at.lo, hi: at.lo }, *count).1;
-                    if possible > 0 {
-                        let (a, b) = calls.entry(tenant.clone()).or_insert((0, 0));
-                        (*a, *b) = (*a + certain, *b + possible);
-                    }
-                    surely |= certain > 0;
-                    maybe |= possible > 0;
-                }
-                // Its last act itself is surely an act, whatever the moments of those before.
-                if let Some(last) = interval.last {
-                    surely |= last.is_after(at);
-                    least_ms = least_ms.max(last.lo - at.hi);
-                    most_ms = most_ms.max(last.hi - at.lo);
-                    if last.hi > at.lo && interval.stage != "current" {
-                        stage = &interval.stage;
-                    }
+        for ((who, version), intervals) in all {
+            let Some(newer) = self.first_newer(who, version) else { continue };
+            if let Some(found) = self.stale_activity(&intervals, newer) {
+                push_bounded(&mut report.stale_activity, found, &mut report.omitted);
+            }
+        }
+    }
+
+    /// What one incarnation did on one version, in these intervals, after a newer one was in force elsewhere.
+    fn stale_activity(&self, intervals: &[&Interval], newer: KnownArrival) -> Option<StaleActivity> {
+        let &Interval { incarnation, version, .. } = *intervals.first()?;
+        let mut calls: BTreeMap<String, CallCount> = BTreeMap::new();
+        let (mut certain, mut possible, mut stage) = (false, false, STAGE_CURRENT);
+        let (mut least_ms, mut most_ms) = (0, 0);
+        for interval in intervals {
+            for (tenant, count) in &interval.calls {
+                let found = stale_calls(interval, newer.at, *count);
+                if found.possible > 0 {
+                    calls.entry(tenant.clone()).or_default().add(found);
                 }
+                certain |= found.certain > 0;
+                possible |= found.possible > 0;
             }
-            if !maybe {
-                continue;
+            // Its last act itself is surely an act, whatever the moments of those before.
+            if let Some(last) = interval.last {
+                certain |= last.is_after(newer.at);
+                least_ms = least_ms.max(last.earliest - newer.at.latest);
+                most_ms = most_ms.max(last.latest - newer.at.earliest);
+                if last.latest > newer.at.earliest && interval.stage != STAGE_CURRENT {
+                    stage = &interval.stage;
+                }
             }
-            let sure = if surely { Certainty::Certain } else { Certainty::Doubtful };
-            let why = self.why(who, stage);
-            let found = StaleActivity { who, book, newer, elsewhere, sure, least_ms, most_ms, calls, why };
-            keep(&mut report.behind, found, &mut report.more);
         }
+        possible.then(|| StaleActivity {
+            incarnation,
+            version,
+            newer: newer.version,
+            elsewhere: newer.incarnation,
+            certainty: if certain { Certainty::Certain } else { Certainty::Doubtful },
+            least_ms,
+            most_ms,
+            calls,
+            why: self.explanation(incarnation, stage),
+        })
     }
 
-    fn after(&self, report: &mut Report) {
-        for (change, at) in &self.everywhere {
-            let Some((tenant, action, true)) = self.accepted.get(change) else { continue };
-            if !matches!(action.as_str(), "suspend" | "remove") {
+    fn find_late_calls(&self, report: &mut Report) {
+        for (version, acknowledged) in &self.in_force {
+            let Some(change) = self.accepted.get(version).filter(|change| change.restricts) else { continue };
+            if !matches!(change.action.as_str(), "suspend" | "remove") {
                 continue;
             }
-            let mut by: BTreeMap<Incarnation, (u64, u64, String)> = BTreeMap::new();
-            for interval in self.intervals.iter().filter(|i| i.book < *change) {
-                let Some(count) = interval.calls.get(tenant) else { continue };
-                let (certain, possible) = interval.after(*at, *count);
-                if possible > 0 {
-                    let found = by.entry(interval.who).or_insert((0, 0, interval.stage.clone()));
-                    (found.0, found.1) = (found.0 + certain, found.1 + possible);
-                }
+            for found in self.late_calls(*version, *acknowledged, change) {
+                push_bounded(&mut report.late_calls, found, &mut report.omitted);
             }
-            for (who, (certain, possible, stage)) in by {
-                let sure = if certain > 0 { Certainty::Certain } else { Certainty::Doubtful };
-                let (tenant, action) = (tenant.clone(), action.clone());
-                let why = self.why(who, &stage);
-                let found =
-                    LateCalls { who, tenant, change: *change, action, sure, calls: (certain, possible), why };
-                keep(&mut report.after, found, &mut report.more);
+        }
+    }
+
+    /// Calls that were accepted without this change after it was acknowledged, by incarnation.
+    fn late_calls(
+        &self,
+        version: Version,
+        acknowledged: TimeBounds,
+        change: &AcceptedChange,
+    ) -> impl Iterator<Item = LateCalls> {
+        let mut by_incarnation: BTreeMap<Incarnation, (CallCount, &str)> = BTreeMap::new();
+        for interval in self.intervals.iter().filter(|interval| interval.version < version) {
+            let Some(count) = interval.calls.get(&change.tenant) else { continue };
+            let found = interval.after(acknowledged, *count);
+            if found.possible > 0 {
+                let new = (CallCount::default(), interval.stage.as_str());
+                by_incarnation.entry(interval.incarnation).or_insert(new).0.add(found);
             }
         }
+        by_incarnation.into_iter().map(move |(incarnation, (calls, stage))| LateCalls {
+            incarnation,
+            tenant: change.tenant.clone(),
+            change: version,
+            action: change.action.clone(),
+            certainty: calls.certainty(),
+            calls,
+            why: self.explanation(incarnation, stage),
+        })
     }
 
     /// Epochs whose acts overlap for sure: two histories of one store were acted on at once.
     fn forks(&self) -> Vec<Fork> {
-        let mut spans: BTreeMap<u64, (i64, i64, BTreeSet<Incarnation>)> = BTreeMap::new();
-        for interval in self.intervals.iter().filter(|i| i.book.0 > 0) {
+        let mut by_epoch: BTreeMap<u64, EpochActivity> = BTreeMap::new();
+        for interval in self.intervals.iter().filter(|interval| interval.version.epoch > 0) {
             let (Some(first), Some(last)) = (interval.first, interval.last) else { continue };
+            let activity = by_epoch.entry(interval.version.epoch).or_insert_with(|| EpochActivity {
+                begun: i64::MAX,
+                until: i64::MIN,
+                incarnations: BTreeSet::new(),
+            });
             // What is surely within: from the latest first to the earliest last.
-            let entry = spans.entry(interval.book.0).or_insert((i64::MAX, i64::MIN, BTreeSet::new()));
-            (entry.0, entry.1) = (entry.0.min(first.hi), entry.1.max(last.lo));
-            entry.2.insert(interval.who);
+            activity.begun = activity.begun.min(first.latest);
+            activity.until = activity.until.max(last.earliest);
+            activity.incarnations.insert(interval.incarnation);
         }
-        let all: Vec<_> = spans.into_iter().collect();
+        let all: Vec<_> = by_epoch.into_iter().collect();
         let mut forks = Vec::new();
-        for (place, (older, (_, until, left))) in all.iter().enumerate() {
-            for (newer, (from, _, right)) in &all[place + 1..] {
-                if from < until {
-                    let sides = left.iter().chain(right).copied().collect::<BTreeSet<_>>();
+        for (index, (older, before)) in all.iter().enumerate() {
+            for (newer, after) in &all[index + 1..] {
+                if after.begun < before.until {
+                    let sides: BTreeSet<_> =
+                        before.incarnations.union(&after.incarnations).copied().collect();
                     forks.push(Fork { epochs: vec![*older, *newer], sides: sides.into_iter().collect() });
                 }
             }
@@ -412,10 +372,33 @@
     }
 }
 
-fn keep<T>(all: &mut Vec<T>, found: T, more: &mut u64) {
-    if all.len() < MOST_FINDINGS {
+/// The clock of an incarnation against the leader's, from the exchanges that it logged.
+fn clock_bounds(leader: u64, entries: &[Entry]) -> ClockBounds {
+    let mut clock = ClockBounds::default();
+    for entry in entries {
+        if let EntryKind::ClockExchange { leader: by, leader_time } = &entry.kind
+            && *by == leader
+        {
+            clock.add_exchange(entry.from, entry.to, *leader_time);
+        }
+    }
+    clock
+}
+
+/// How many of `count` calls in an interval came after a newer version was in force elsewhere, which was at a moment
+/// within `newer`: certainly after its latest moment, possibly after its earliest.
+fn stale_calls(interval: &Interval, newer: TimeBounds, count: u64) -> CallCount {
+    let at = |moment| TimeBounds { earliest: moment, latest: moment };
+    CallCount {
+        certain: interval.after(at(newer.latest), count).certain,
+        possible: interval.after(at(newer.earliest), count).possible,
+    }
+}
+
+fn push_bounded<T>(all: &mut Vec<T>, found: T, omitted: &mut u64) {
+    if all.len() < MAX_FINDINGS {
         all.push(found);
     } else {
-        *more += 1;
+        *omitted += 1;
     }
 }
--- a/crates/audit-log/src/chain.rs
+++ b/crates/audit-log/src/chain.rs
@@ -1,102 +1,96 @@
-//! Is a record whole? Lines that are missing, altered, or no lines at all are each found, and where.
+//! Is an audit log complete? Finds entries that are missing, altered or unreadable, and says where. What follows from
+//! that is left to [`crate::audit`].
 
-use crate::line::{FIRST, Hash, Line, What, hash};
+use crate::entry::{Entry, EntryKind, GENESIS_HASH, hash};
 use crate::recorder::Tail;
 
-/// What is wrong with a record.
-#[derive(Clone, Debug, PartialEq, Eq)]
+/// What is wrong with an audit log.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ChainError {
-    /// This text is no line.
-    NoLine {
-        /// Its place among the texts, from 0.
-        place: usize,
+    /// A text is no entry.
+    #[error("text {index} is no line: it was altered")]
+    Unreadable {
+        /// Its index among the texts, from 0.
+        index: usize,
     },
-    /// Lines between these two numbers are missing.
+    /// Entries between these two numbers are missing.
+    #[error("lines {} to {} are missing", after + 1, before - 1)]
     Missing {
-        /// The last one before.
+        /// The last entry before the gap.
         after: u64,
-        /// The first one behind.
+        /// The first entry behind it.
         before: u64,
     },
-    /// This line does not follow on the text before it: that one, or this one, was altered.
+    /// An entry does not follow on the text before it: one of the two was altered.
+    #[error("line {number} does not follow on the one before: one of them was altered")]
     Altered {
-        /// The line that does not follow.
-        n: u64,
+        /// The entry that does not follow.
+        number: u64,
     },
-    /// The record says itself that lines are missing here.
-    Said {
-        /// The line that says so.
-        n: u64,
-        /// How many.
-        lines: u64,
+    /// The log itself says that entries are missing.
+    #[error("line {number} says that {entries} lines are missing: {why}")]
+    DeclaredGap {
+        /// The entry that says so.
+        number: u64,
+        /// How many are missing.
+        entries: u64,
         /// Why.
         why: String,
     },
-    /// The record does not begin with its first line: the oldest were let go.
-    Begins {
-        /// Its first line.
-        at: u64,
+    /// The log does not begin with its first entry: the oldest were deleted to bound its size.
+    #[error("it begins with line {first}: the oldest were let go")]
+    Truncated {
+        /// The oldest entry that is there.
+        first: u64,
     },
 }
 
-impl std::fmt::Display for ChainError {
-    fn fmt(&self, out: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        match self {
-            Self::NoLine { place } => write!(out, "text {place} is no line: it was altered"),
-            Self::Missing { after, before } => {
-                write!(out, "lines {} to {} are missing", after + 1, before - 1)
-            }
-            Self::Altered { n } => {
-                write!(out, "line {n} does not follow on the one before: one of them was altered")
-            }
-            Self::Said { n, lines, why } => {
-                write!(out, "line {n} says that {lines} lines are missing: {why}")
-            }
-            Self::Begins { at } => write!(out, "it begins with line {at}: the oldest were let go"),
-        }
-    }
-}
-
-/// A record as it was read.
+/// An audit log as it was read.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Checked {
-    /// Its lines, without those that are none.
-    pub lines: Vec<Line>,
-    /// What is wrong.
-    pub faults: Vec<ChainError>,
-    /// Its end, for what is written behind it.
+pub struct CheckedLog {
+    /// Its entries, without texts that could not be read.
+    pub entries: Vec<Entry>,
+    /// What is wrong with it.
+    pub errors: Vec<ChainError>,
+    /// Its end, on which the next entry is to follow; `None`: it has no entry.
     pub tail: Option<Tail>,
 }
 
-/// Reads texts in order.
-pub fn check<'a>(texts: impl IntoIterator<Item = &'a str>) -> Checked {
-    let mut checked = Checked::default();
-    // The number and hash of the text before; `None` after one that is no line.
-    let mut before: Option<(u64, Hash)> = Some((0, FIRST.to_owned()));
-    for (place, text) in texts.into_iter().enumerate() {
-        let Ok(line) = Line::read(text) else {
-            checked.faults.push(ChainError::NoLine { place });
-            before = None;
+/// Reads an audit log's texts in order.
+pub fn check<'a>(texts: impl IntoIterator<Item = &'a str>) -> CheckedLog {
+    let mut checked = CheckedLog::default();
+    // `None` after a text that is no entry.
+    let mut previous = Some(Tail { number: 0, hash: GENESIS_HASH.to_owned() });
+    for (index, text) in texts.into_iter().enumerate() {
+        let Ok(entry) = Entry::from_json(text) else {
+            checked.errors.push(ChainError::Unreadable { index });
+            previous = None;
             continue;
         };
-        match &before {
-            Some((0, _)) if line.n > 1 => checked.faults.push(ChainError::Begins { at: line.n }),
-            Some((n, _)) if line.n != n + 1 => {
-                checked.faults.push(ChainError::Missing { after: *n, before: line.n });
-            }
-            Some((_, prev)) if *prev != line.prev => checked.faults.push(ChainError::Altered { n: line.n }),
-            _ => {}
-        }
-        if let What::Gap { lines, why } = &line.what {
-            checked.faults.push(ChainError::Said { n: line.n, lines: *lines, why: why.clone() });
+        checked.errors.extend(previous.as_ref().and_then(|previous| broken_link(previous, &entry)));
+        if let EntryKind::Gap { lines, why } = &entry.kind {
+            let (entries, why) = (*lines, why.clone());
+            checked.errors.push(ChainError::DeclaredGap { number: entry.number, entries, why });
         }
-        let sum = hash(text);
-        checked.tail = Some(Tail { n: line.n, hash: sum.clone() });
-        before = Some((line.n, sum));
-        checked.lines.push(line);
+        let tail = Tail { number: entry.number, hash: hash(text) };
+        checked.tail = Some(tail.clone());
+        previous = Some(tail);
+        checked.entries.push(entry);
     }
     checked
 }
 
+/// Why an entry does not follow on the one before; `None`: it does.
+fn broken_link(previous: &Tail, entry: &Entry) -> Option<ChainError> {
+    let number = entry.number;
+    if previous.number == 0 && number > 1 {
+        return Some(ChainError::Truncated { first: number });
+    }
+    if number != previous.number + 1 {
+        return Some(ChainError::Missing { after: previous.number, before: number });
+    }
+    (previous.hash != entry.prev).then_some(ChainError::Altered { number })
+}
+
 #[cfg(test)]
 mod tests;
--- a/crates/audit-log/src/chain/tests.rs
+++ b/crates/audit-log/src/chain/tests.rs
@@ -22,7 +22,7 @@
     for life in 1..=2 {
         let mut recorder = Recorder::new(0, life, 3, "1.0", left.take());
         for revision in 1..4 {
-            recorder.acts_on(revision * 10, View { revision, ..View::default() }, &Plain);
+            recorder.view_applied(revision * 10, View { revision, ..View::default() }, &Plain);
             recorder.call(revision * 10 + 1, 7);
             recorder.call(revision * 10 + 2, 8);
             recorder.attempt(revision * 10 + 2, 1);
@@ -35,17 +35,19 @@
 }
 
 fn faults(texts: &[String]) -> Vec<ChainError> {
-    check(texts.iter().map(String::as_str)).faults
+    check(texts.iter().map(String::as_str)).errors
 }
 
 #[test]
 fn a_whole_record_over_two_lives_is_whole() {
     let texts = record();
     let checked = check(texts.iter().map(String::as_str));
-    assert_eq!((checked.faults, checked.lines.len()), (vec![], 14));
-    let What::Did { calls, attempts, .. } = &checked.lines[2].what else { panic!("{:?}", checked.lines[2]) };
+    assert_eq!((checked.errors, checked.entries.len()), (vec![], 14));
+    let EntryKind::Activity { calls, attempts, .. } = &checked.entries[2].kind else {
+        panic!("{:?}", checked.entries[2])
+    };
     assert_eq!((calls.len(), calls["t7"], attempts["w1"]), (2, 1, 1));
-    assert_eq!((checked.lines[2].from, checked.lines[2].to), (11, 12));
+    assert_eq!((checked.entries[2].from, checked.entries[2].to), (11, 12));
 }
 
 #[test]
@@ -58,24 +60,26 @@
         let mut altered = texts.clone();
         // One digit of a time or a count: still a line, and no longer the same.
         altered[place] = altered[place].replacen("\"from\":", "\"from\":1", 1);
-        assert_eq!(faults(&altered), [ChainError::Altered { n: place as u64 + 2 }], "line {place}");
+        assert_eq!(faults(&altered), [ChainError::Altered { number: place as u64 + 2 }], "line {place}");
         let mut garbled = texts.clone();
         garbled[place].truncate(9);
-        assert_eq!(faults(&garbled), [ChainError::NoLine { place }]);
+        assert_eq!(faults(&garbled), [ChainError::Unreadable { index: place }]);
     }
-    assert_eq!(faults(&texts[4..]), [ChainError::Begins { at: 5 }]);
+    assert_eq!(faults(&texts[4..]), [ChainError::Truncated { first: 5 }]);
 }
 
 #[test]
 fn what_finds_no_room_is_said_to_be_missing() {
     let mut recorder = Recorder::new(0, 1, 3, "1.0", None);
     for revision in 0..5_000 {
-        recorder.acts_on(revision, View { revision, ..View::default() }, &Plain);
+        recorder.view_applied(revision, View { revision, ..View::default() }, &Plain);
     }
-    assert_eq!(recorder.waiting(), crate::recorder::MOST_WAITING);
+    assert_eq!(recorder.waiting(), crate::recorder::MAX_WAITING);
     let mut texts: Vec<String> = recorder.take(usize::MAX).collect();
-    recorder.acts_on(9_000, View { revision: 9_000, ..View::default() }, &Plain);
+    recorder.view_applied(9_000, View { revision: 9_000, ..View::default() }, &Plain);
     texts.extend(recorder.take(usize::MAX));
-    let [ChainError::Said { lines, .. }] = &faults(&texts)[..] else { panic!("{:?}", faults(&texts)) };
-    assert_eq!(*lines, 5_001 - crate::recorder::MOST_WAITING as u64);
+    let [ChainError::DeclaredGap { entries: lines, .. }] = &faults(&texts)[..] else {
+        panic!("{:?}", faults(&texts))
+    };
+    assert_eq!(*lines, 5_001 - crate::recorder::MAX_WAITING as u64);
 }
--- a/crates/audit-log/src/line.rs
+++ b/crates/audit-log/src/entry.rs
@@ -14,7 +14,7 @@
 pub type Hash = String;
 
 /// The hash before the first line.
-pub const FIRST: &str = "00000000000000000000000000000000";
+pub const GENESIS_HASH: &str = "00000000000000000000000000000000";
 
 /// The hash of a line's text: BLAKE2s, 16 bytes, in hexadecimal digits.
 pub fn hash(text: &str) -> Hash {
@@ -25,11 +25,13 @@
 
 /// A line.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Line {
+pub struct Entry {
     /// Its number: one more than the line before, over all lives of a disk.
-    pub n: u64,
+    #[serde(rename = "n")]
+    pub number: u64,
     /// The life that wrote it, as [`What::Began`] tells it.
-    pub life: u64,
+    #[serde(rename = "life")]
+    pub incarnation: u64,
     /// From when to when, by the clock of that life.
     pub from: Millis,
     /// See `from`.
@@ -38,15 +40,16 @@
     pub prev: Hash,
     /// What was so.
     #[serde(flatten)]
-    pub what: What,
+    pub kind: EntryKind,
 }
 
 /// What a line says.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "what", rename_all = "snake_case")]
-pub enum What {
+pub enum EntryKind {
     /// A life began.
-    Began {
+    #[serde(rename = "began")]
+    Started {
         /// The controller's number.
         controller: u32,
         /// The program's version.
@@ -60,7 +63,8 @@
         parts: View,
     },
     /// So many acts of each kind, all under one view and at one stage of its lease.
-    Did {
+    #[serde(rename = "did")]
+    Activity {
         /// The view.
         view: u32,
         /// The stage of its lease.
@@ -79,19 +83,24 @@
         refused: u64,
     },
     /// One act that is rare or may be disputed.
-    One {
+    #[serde(rename = "one")]
+    Event {
         /// The view.
         view: u32,
         /// What.
-        act: Act,
+        #[serde(rename = "act")]
+        event: Event,
     },
     /// An exchange with the administration: between `from`, when it was asked, and `to`, when it had answered, its
     /// clock read `at`.
-    Heard {
+    #[serde(rename = "heard")]
+    ClockExchange {
         /// The administration's life.
-        by: u64,
+        #[serde(rename = "by")]
+        leader: u64,
         /// Its clock.
-        at: Millis,
+        #[serde(rename = "at")]
+        leader_time: Millis,
     },
     /// Lines are missing here.
     Gap {
@@ -111,10 +120,12 @@
         /// What was done.
         action: String,
         /// It takes something away.
-        binds: bool,
+        #[serde(rename = "binds")]
+        restricts: bool,
     },
     /// The administration said that a change is in force everywhere.
-    Everywhere {
+    #[serde(rename = "everywhere")]
+    InForce {
         /// The store's epoch.
         epoch: u64,
         /// The change.
@@ -125,7 +136,7 @@
 /// One act.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "act", rename_all = "snake_case")]
-pub enum Act {
+pub enum Event {
     /// A tenant's state became another, as this controller acts on it.
     Tenant {
         /// Whose.
@@ -146,9 +157,11 @@
         stage: String,
     },
     /// Calls were taken while the lease ran out, as the process stood still.
-    Doubtful {
+    #[serde(rename = "doubtful")]
+    LeaseEndedMeanwhile {
         /// For so long, milliseconds.
-        stood_ms: Millis,
+        #[serde(rename = "stood_ms")]
+        stalled_ms: Millis,
     },
     /// This life was shut out.
     Fenced,
@@ -159,15 +172,15 @@
     *n == 0
 }
 
-impl Line {
+impl Entry {
     /// As it is written and hashed.
-    pub fn text(&self) -> String {
+    pub fn to_json(&self) -> String {
         // Every part of a line can be written as JSON: its maps have strings for keys.
         serde_json::to_string(self).unwrap_or_default()
     }
 
     /// From a text.
-    pub fn read(text: &str) -> Result<Self, serde_json::Error> {
+    pub fn from_json(text: &str) -> Result<Self, serde_json::Error> {
         serde_json::from_str(text)
     }
 }
--- a/crates/audit-log/src/lib.rs
+++ b/crates/audit-log/src/lib.rs
@@ -14,14 +14,16 @@
 pub mod audit;
 pub mod chain;
 pub mod clock;
-pub mod line;
+pub mod entry;
+pub mod findings;
 pub mod recorder;
 pub mod view;
 
-pub use audit::{Audit, Report};
-pub use line::{Act, Line, What};
+pub use audit::Audit;
+pub use entry::{Entry, EntryKind, Event};
+pub use findings::Report;
 pub use recorder::Recorder;
-pub use view::View;
+pub use view::{Version, View};
 
 /// Milliseconds of a clock that never steps: a controller's since its start, the administration's since its own.
 pub type Millis = u64;
--- a/crates/audit-log/src/recorder.rs
+++ b/crates/audit-log/src/recorder.rs
@@ -5,16 +5,16 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
 use crate::Millis;
-use crate::line::{Act, FIRST, Hash, Line, What, hash};
+use crate::entry::{Entry, EntryKind, Event, GENESIS_HASH, Hash, hash};
 use crate::view::View;
 
 /// An interval is closed after so long at the latest, where anything happens: the finer, the fewer doubtful cases.
-pub const MOST_SPAN: Millis = 1_000;
+pub const MAX_INTERVAL: Millis = 1_000;
 /// Lines that wait to be written at the most.
-pub const MOST_WAITING: usize = 4_096;
+pub const MAX_WAITING: usize = 4_096;
 /// Names counted in one interval at the most; acts beyond them are counted together, under [`OTHERS`].
-pub const MOST_NAMES: usize = 4_096;
-/// See [`MOST_NAMES`].
+pub const MAX_NAMES: usize = 4_096;
+/// See [`MAX_NAMES`].
 pub const OTHERS: &str = "(others)";
 
 /// What an interval counts by name.
@@ -28,7 +28,7 @@
     fn add(&mut self, id: u64) {
         if let Some(count) = self.counts.get_mut(&id) {
             *count += 1;
-        } else if self.counts.len() < MOST_NAMES {
+        } else if self.counts.len() < MAX_NAMES {
             self.counts.insert(id, 1);
         } else {
             self.others += 1;
@@ -64,7 +64,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Tail {
     /// Its last line's number.
-    pub n: u64,
+    pub number: u64,
     /// Its hash.
     pub hash: Hash,
 }
@@ -72,8 +72,8 @@
 /// The record.
 #[derive(Clone, Debug)]
 pub struct Recorder {
-    life: u64,
-    n: u64,
+    incarnation: u64,
+    last_number: u64,
     prev: Hash,
     view: Option<(u32, View)>,
     stage: &'static str,
@@ -90,10 +90,10 @@
 impl Recorder {
     /// A life begins, behind what others left on this disk.
     pub fn new(now: Millis, life: u64, controller: u32, program: &str, left: Option<Tail>) -> Self {
-        let (n, prev) = left.map_or((0, FIRST.to_owned()), |tail| (tail.n, tail.hash));
+        let (n, prev) = left.map_or((0, GENESIS_HASH.to_owned()), |tail| (tail.number, tail.hash));
         let mut recorder = Self {
-            life,
-            n,
+            incarnation: life,
+            last_number: n,
             prev,
             view: None,
             stage: "current",
@@ -105,7 +105,7 @@
             waiting: VecDeque::new(),
             missing: 0,
         };
-        recorder.line((now, now), What::Began { controller, program: program.to_owned() });
+        recorder.line((now, now), EntryKind::Started { controller, program: program.to_owned() });
         recorder
     }
 
@@ -115,13 +115,13 @@
     }
 
     /// From now on this is acted on: what was done before is closed under the view before.
-    pub fn acts_on(&mut self, now: Millis, view: View, names: &impl NameResolver) {
+    pub fn view_applied(&mut self, now: Millis, view: View, names: &impl NameResolver) {
         if self.view.as_ref().is_some_and(|(_, before)| *before == view) {
             return;
         }
         self.close(names);
         let number = self.view.as_ref().map_or(1, |(number, _)| number + 1);
-        self.line((now, now), What::View { view: number, parts: view.clone() });
+        self.line((now, now), EntryKind::View { view: number, parts: view.clone() });
         self.view = Some((number, view));
     }
 
@@ -130,7 +130,7 @@
         if self.stage != stage {
             self.close(names);
             self.stage = stage;
-            self.one(now, Act::Stage { stage: stage.to_owned() }, names);
+            self.event(now, Event::Stage { stage: stage.to_owned() }, names);
         }
     }
 
@@ -153,7 +153,7 @@
     }
 
     /// A call was refused for being behind.
-    pub fn refused(&mut self, now: Millis) {
+    pub fn call_rejected(&mut self, now: Millis) {
         self.refused += 1;
         self.at(now);
     }
@@ -166,25 +166,25 @@
     }
 
     /// One act that is rare or may be disputed.
-    pub fn one(&mut self, now: Millis, act: Act, names: &impl NameResolver) {
+    pub fn event(&mut self, now: Millis, act: Event, names: &impl NameResolver) {
         self.close(names);
         let view = self.view.as_ref().map_or(0, |(number, _)| *number);
-        self.line((now, now), What::One { view, act });
+        self.line((now, now), EntryKind::Event { view, event: act });
     }
 
     /// An exchange with the administration.
-    pub fn heard(&mut self, (asked, answered): (Millis, Millis), by: u64, at: Millis) {
-        self.line((asked, answered), What::Heard { by, at });
+    pub fn clock_exchange(&mut self, (asked, answered): (Millis, Millis), by: u64, at: Millis) {
+        self.line((asked, answered), EntryKind::ClockExchange { leader: by, leader_time: at });
     }
 
     /// A change was taken, or is in force everywhere: the administration's own lines.
-    pub fn said(&mut self, now: Millis, what: What) {
+    pub fn append(&mut self, now: Millis, what: EntryKind) {
         self.line((now, now), what);
     }
 
     /// An interval that has become long is closed. To be called as events come.
     pub fn tick(&mut self, now: Millis, names: &impl NameResolver) {
-        if self.open.is_some_and(|(from, _)| now >= from + MOST_SPAN) {
+        if self.open.is_some_and(|(from, _)| now >= from + MAX_INTERVAL) {
             self.close(names);
         }
     }
@@ -195,7 +195,7 @@
         if self.calls.is_empty() && self.attempts.is_empty() && self.orders.is_empty() && self.refused == 0 {
             return;
         }
-        let what = What::Did {
+        let what = EntryKind::Activity {
             view: self.view.as_ref().map_or(0, |(number, _)| *number),
             stage: self.stage.to_owned(),
             calls: self.calls.take(|id| names.tenant(id)),
@@ -206,8 +206,8 @@
         self.line(span, what);
     }
 
-    fn line(&mut self, (from, to): (Millis, Millis), what: What) {
-        if self.waiting.len() >= MOST_WAITING {
+    fn line(&mut self, (from, to): (Millis, Millis), what: EntryKind) {
+        if self.waiting.len() >= MAX_WAITING {
             self.missing += 1;
             return;
         }
@@ -215,16 +215,23 @@
             let lines = std::mem::take(&mut self.missing);
             self.push(
                 (from, from),
-                What::Gap { lines, why: "the disk did not take lines fast enough".to_owned() },
+                EntryKind::Gap { lines, why: "the disk did not take lines fast enough".to_owned() },
             );
         }
         self.push((from, to), what);
     }
 
-    fn push(&mut self, (from, to): (Millis, Millis), what: What) {
-        self.n += 1;
-        let line = Line { n: self.n, life: self.life, from, to, prev: self.prev.clone(), what };
-        let text = line.text();
+    fn push(&mut self, (from, to): (Millis, Millis), what: EntryKind) {
+        self.last_number += 1;
+        let line = Entry {
+            number: self.last_number,
+            incarnation: self.incarnation,
+            from,
+            to,
+            prev: self.prev.clone(),
+            kind: what,
+        };
+        let text = line.to_json();
         self.prev = hash(&text);
         self.waiting.push_back(text);
     }
--- a/crates/audit-log/tests/golden.rs
+++ b/crates/audit-log/tests/golden.rs
@@ -1,8 +1,8 @@
 //! Entries of the audit log as earlier versions wrote them: each kind is read, and written again byte by byte.
 
-use nettleferry_audit_log::Line;
-use nettleferry_audit_log::audit::{
-    Actor, Certainty, Fork, Gap, Incarnation, LateCalls, Report, StaleActivity,
+use nettleferry_audit_log::Entry;
+use nettleferry_audit_log::findings::{
+    Actor, CallCount, Certainty, Fork, Gap, Incarnation, LateCalls, Report, StaleActivity,
 };
 
 const ENTRIES: [&str; 15] = [
@@ -26,40 +26,43 @@
 #[test]
 fn entries_of_earlier_versions_are_read_and_written_alike() {
     for text in ENTRIES {
-        let entry = Line::read(text).unwrap_or_else(|error| panic!("{error}: {text}"));
-        assert_eq!(entry.text(), text);
+        let entry = Entry::from_json(text).unwrap_or_else(|error| panic!("{error}: {text}"));
+        assert_eq!(entry.to_json(), text);
     }
 }
 
 #[test]
 fn reports_keep_their_fields() {
-    let who = Incarnation { controller: 2, life: 9 };
-    let elsewhere = Incarnation { controller: 1, life: 8 };
+    let who = Incarnation { controller: 2, incarnation: 9 };
+    let elsewhere = Incarnation { controller: 1, incarnation: 8 };
     let report = Report {
-        actors: vec![Actor { who, book: (1, 4), from: Some(-3), to: None, calls: 7 }],
-        behind: vec![StaleActivity {
-            who,
-            book: (1, 4),
-            newer: (1, 5),
+        actors: vec![Actor { incarnation: who, version: (1, 4).into(), from: Some(-3), to: None, calls: 7 }],
+        stale_activity: vec![StaleActivity {
+            incarnation: who,
+            version: (1, 4).into(),
+            newer: (1, 5).into(),
             elsewhere,
-            sure: Certainty::Certain,
+            certainty: Certainty::Certain,
             least_ms: 10,
             most_ms: 30,
-            calls: [("morava".to_owned(), (1, 2))].into(),
+            calls: [("morava".to_owned(), CallCount { certain: 1, possible: 2 })].into(),
             why: "w".to_owned(),
         }],
-        after: vec![LateCalls {
-            who,
+        late_calls: vec![LateCalls {
+            incarnation: who,
             tenant: "morava".to_owned(),
-            change: (1, 5),
+            change: (1, 5).into(),
             action: "suspend".to_owned(),
-            sure: Certainty::Doubtful,
-            calls: (0, 2),
+            certainty: Certainty::Doubtful,
+            calls: CallCount { certain: 0, possible: 2 },
             why: "w".to_owned(),
         }],
         forks: vec![Fork { epochs: vec![1, 2], sides: vec![elsewhere, who] }],
-        gaps: vec![Gap { who: None, what: "a".to_owned() }, Gap { who: Some(who), what: "b".to_owned() }],
-        more: 6,
+        gaps: vec![
+            Gap { incarnation: None, reason: "a".to_owned() },
+            Gap { incarnation: Some(who), reason: "b".to_owned() },
+        ],
+        omitted: 6,
     };
     let two = r#"{"controller":2,"life":9}"#;
     let one = r#"{"controller":1,"life":8}"#;
--- a/crates/audit-log/tests/truth.rs
+++ b/crates/audit-log/tests/truth.rs
@@ -4,11 +4,12 @@
 
 use std::collections::BTreeMap;
 
-use nettleferry_audit_log::audit::{Audit, Certainty, Incarnation};
+use nettleferry_audit_log::Audit;
 use nettleferry_audit_log::chain::check;
-use nettleferry_audit_log::line::What;
+use nettleferry_audit_log::entry::EntryKind;
+use nettleferry_audit_log::findings::{Certainty, Incarnation};
 use nettleferry_audit_log::recorder::{NameResolver, Recorder};
-use nettleferry_audit_log::{Millis, View};
+use nettleferry_audit_log::{Millis, Version, View};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -89,7 +90,7 @@
     let (mut cut, mut still) = (vec![0.0; CONTROLLERS], vec![0.0; CONTROLLERS]);
     let mut open: Vec<(u64, u64)> = Vec::new();
     for (n, recorder) in recorders.iter_mut().enumerate() {
-        recorder.acts_on(clocks[n].read(0.0), view(0), &Plain);
+        recorder.view_applied(clocks[n].read(0.0), view(0), &Plain);
     }
     for tick in 1..LENGTH / 10 {
         let now = tick as f64 * 10.0;
@@ -98,8 +99,9 @@
             let (tenant, suspends) = (random.random_range(0..TENANTS), random.random_bool(0.5));
             let action = if suspends { "suspend" } else { "resume" }.to_owned();
             let tenant_name = Plain.tenant(tenant);
-            let what = What::Accepted { epoch: 1, revision, tenant: tenant_name, action, binds: suspends };
-            own.said(ours.read(now), what);
+            let what =
+                EntryKind::Accepted { epoch: 1, revision, tenant: tenant_name, action, restricts: suspends };
+            own.append(ours.read(now), what);
             if suspends {
                 open.push((revision, tenant));
             }
@@ -119,10 +121,10 @@
                 // An exchange: the answer is on its way for up to 200 ms, and was true when it left.
                 let (there, back) = (random.random_range(0.0..200.0), random.random_range(0.0..200.0));
                 let asked = clocks[n].read(now - there - back);
-                recorders[n].heard((asked, read), ADMINISTRATION, ours.read(now - back));
+                recorders[n].clock_exchange((asked, read), ADMINISTRATION, ours.read(now - back));
                 if revisions[n] < revision && random.random_bool(0.7) {
                     revisions[n] = revision;
-                    recorders[n].acts_on(read, view(revision), &Plain);
+                    recorders[n].view_applied(read, view(revision), &Plain);
                     played.came[n].insert(revision, now);
                 }
             }
@@ -140,7 +142,7 @@
             let all = revisions.iter().all(|r| r >= of);
             let done = all || random.random_bool(0.01);
             if done {
-                own.said(ours.read(now), What::Everywhere { epoch: 1, revision: *of });
+                own.append(ours.read(now), EntryKind::InForce { epoch: 1, revision: *of });
                 played.acknowledged.push((*of, *tenant, now));
             }
             !done
@@ -158,18 +160,18 @@
 fn audit(played: &Played) -> Audit {
     let mut audit = Audit::default();
     let own = check(played.own.iter().map(String::as_str));
-    assert_eq!(own.faults, vec![]);
-    audit.administration(ADMINISTRATION, &own.lines);
+    assert_eq!(own.errors, vec![]);
+    audit.add_leader(ADMINISTRATION, &own.entries);
     for record in &played.records {
         let checked = check(record.iter().map(String::as_str));
-        assert_eq!(checked.faults, vec![]);
-        audit.controller(ADMINISTRATION, &checked.lines, false);
+        assert_eq!(checked.errors, vec![]);
+        audit.add_controller(ADMINISTRATION, &checked.entries, false);
     }
     audit
 }
 
 fn who(n: usize) -> Incarnation {
-    Incarnation { controller: n as u32 + 1, life: n as u64 + 1 }
+    Incarnation { controller: n as u32 + 1, incarnation: n as u64 + 1 }
 }
 
 #[test]
@@ -179,22 +181,30 @@
         let played = play(seed);
         let report = audit(&played).report();
         assert_eq!(report.gaps, vec![], "seed {seed}");
-        assert_eq!(report.more, 0, "seed {seed}: {} {}", report.behind.len(), report.after.len());
+        assert_eq!(
+            report.omitted,
+            0,
+            "seed {seed}: {} {}",
+            report.stale_activity.len(),
+            report.late_calls.len()
+        );
         // Calls after an acknowledgement.
         for (revision, tenant, at) in &played.acknowledged {
             for n in 0..CONTROLLERS {
                 let truly =
                     |c: &&Call| c.who == n && c.tenant == *tenant && c.revision < *revision && c.at > *at;
                 let truth = played.calls.iter().filter(truly).count() as u64;
-                let found = report.after.iter().find(|a| {
-                    a.who == who(n) && a.change == (1, *revision) && a.tenant == format!("t{tenant}")
+                let found = report.late_calls.iter().find(|a| {
+                    a.incarnation == who(n)
+                        && a.change == Version { epoch: 1, revision: *revision }
+                        && a.tenant == format!("t{tenant}")
                 });
-                let (least, most) = found.map_or((0, 0), |a| a.calls);
+                let (least, most) = found.map_or((0, 0), |a| a.calls.into());
                 assert!(
                     least <= truth && truth <= most,
                     "seed {seed}, controller {n}, revision {revision}: {truth} in truth, told {least} to {most}"
                 );
-                match found.map(|a| a.sure) {
+                match found.map(|a| a.certainty) {
                     Some(Certainty::Certain) => certain += 1,
                     Some(Certainty::Doubtful) => doubtful += 1,
                     None => {}
@@ -213,14 +223,17 @@
                 let truly =
                     |c: &&Call| c.who == n && c.revision == book && since.is_some_and(|since| c.at > since);
                 let truth = played.calls.iter().filter(truly).count() as u64;
-                let found = report.behind.iter().find(|b| b.who == who(n) && b.book == (1, book));
-                let least: u64 = found.map_or(0, |b| b.calls.values().map(|c| c.0).sum());
-                let most: u64 = found.map_or(0, |b| b.calls.values().map(|c| c.1).sum());
+                let found = report
+                    .stale_activity
+                    .iter()
+                    .find(|b| b.incarnation == who(n) && b.version == Version { epoch: 1, revision: book });
+                let least: u64 = found.map_or(0, |b| b.calls.values().map(|c| c.certain).sum());
+                let most: u64 = found.map_or(0, |b| b.calls.values().map(|c| c.possible).sum());
                 assert!(
                     least <= truth && truth <= most,
                     "seed {seed}, controller {n}, book {book}: {truth} in truth, told {least} to {most}"
                 );
-                if let Some(found) = found.filter(|b| b.sure == Certainty::Certain) {
+                if let Some(found) = found.filter(|b| b.certainty == Certainty::Certain) {
                     assert!(truth > 0, "seed {seed}: certain, and false: {found:?}");
                 }
             }
@@ -245,7 +258,7 @@
         bytes[at] = if bytes[at] == b'9' { b'3' } else { bytes[at] + 1 };
         altered[place] = String::from_utf8(bytes).expect("ASCII");
         let checked = check(altered.iter().map(String::as_str));
-        assert!(!checked.faults.is_empty(), "line {place}: {}", altered[place]);
+        assert!(!checked.errors.is_empty(), "line {place}: {}", altered[place]);
     }
 }
 
@@ -255,17 +268,17 @@
     for n in 0..2u64 {
         let mut recorder = Recorder::new(0, n + 1, n as u32 + 1, "1.0", None);
         for at in (0..10_000).step_by(100) {
-            recorder.heard((at, at + 2), ADMINISTRATION, at + 1);
-            recorder.acts_on(at, View { epoch: 3 + n, revision: 5, ..View::default() }, &Plain);
+            recorder.clock_exchange((at, at + 2), ADMINISTRATION, at + 1);
+            recorder.view_applied(at, View { epoch: 3 + n, revision: 5, ..View::default() }, &Plain);
             recorder.call(at, 1);
             recorder.tick(at, &Plain);
         }
         recorder.close(&Plain);
         let texts: Vec<String> = recorder.take(usize::MAX).collect();
-        audit.controller(ADMINISTRATION, &check(texts.iter().map(String::as_str)).lines, false);
+        audit.add_controller(ADMINISTRATION, &check(texts.iter().map(String::as_str)).entries, false);
     }
     let report = audit.report();
     assert_eq!(report.forks.len(), 1, "{:?}", report.forks);
     assert_eq!((report.forks[0].epochs.clone(), report.forks[0].sides.len()), (vec![3, 4], 2));
-    assert_eq!(report.behind.len(), 1, "the one on the older epoch is behind");
+    assert_eq!(report.stale_activity.len(), 1, "the one on the older epoch is behind");
 }
--- a/crates/durable/src/lib.rs
+++ b/crates/durable/src/lib.rs
@@ -10,7 +10,7 @@
 mod writer;
 
 pub use memory::{Loss, MemoryStorage};
-pub use record::{MOST_BYTES, Record, RecordError, decode, encode};
+pub use record::{MAX_BYTES, Record, RecordError, decode, encode};
 pub use record_file::{Found, RecordFile};
 pub use storage::{FileSystem, Storage};
 pub use writer::{Counters, RecordWriter};
--- a/crates/durable/src/memory.rs
+++ b/crates/durable/src/memory.rs
@@ -10,11 +10,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Loss {
     /// None of them are there: the file is empty.
-    Gone,
+    Lost,
     /// The first half.
     Torn,
     /// They were on the disk all the same.
-    Whole,
+    Survived,
 }
 
 #[derive(Clone, Debug)]
@@ -34,7 +34,7 @@
     /// Nothing can be changed.
     pub read_only: bool,
     /// Bytes that fit in one file.
-    pub room: Option<usize>,
+    pub capacity: Option<usize>,
     /// Bytes of a write that the power cut through.
     cut: Option<(PathBuf, Vec<u8>)>,
 }
@@ -58,9 +58,9 @@
         self.pending.iter().take(names).for_each(|step| apply(&mut files, step));
         if let Some((path, bytes)) = self.cut.as_ref().filter(|_| names >= self.pending.len()) {
             let kept = match loss {
-                Loss::Gone => Vec::new(),
+                Loss::Lost => Vec::new(),
                 Loss::Torn => bytes[..bytes.len() / 2].to_vec(),
-                Loss::Whole => bytes.clone(),
+                Loss::Survived => bytes.clone(),
             };
             files.insert(path.clone(), kept);
         }
@@ -112,7 +112,7 @@
             }
             return Err(error);
         }
-        if self.room.is_some_and(|room| bytes.len() > room) {
+        if self.capacity.is_some_and(|room| bytes.len() > room) {
             return Err(io::ErrorKind::StorageFull.into());
         }
         self.pending.push(Naming::Made(path.to_owned(), bytes.to_vec()));
--- a/crates/durable/src/record/tests.rs
+++ b/crates/durable/src/record/tests.rs
@@ -16,6 +16,6 @@
         }
         assert!(decode(&sealed[..at]).is_err(), "cut at {at}");
     }
-    assert_eq!(decode(b"(worker w1)"), Err(RecordError::Unsealed));
+    assert_eq!(decode(b"(worker w1)"), Err(RecordError::Unframed));
     assert_eq!(decode(b";nettleferry-keep 9 1 0 00000000\n"), Err(RecordError::Format(9)));
 }
--- a/crates/durable/src/record_file.rs
+++ b/crates/durable/src/record_file.rs
@@ -7,23 +7,23 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-use crate::record::{MOST_BYTES, Record, RecordError, decode, encode};
+use crate::record::{MAX_BYTES, Record, RecordError, decode, encode};
 use crate::storage::Storage;
 
 /// What a place holds.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Found {
     /// The newest version.
-    Sound(Record),
+    Intact(Record),
     /// The newest can't be used; this is the one before it.
     Older {
         /// The one before.
         record: Record,
         /// What is wrong with the newest.
-        flaw: RecordError,
+        error: RecordError,
     },
     /// It was written without a encode, by an earlier version of the program: whole or not, nobody knows.
-    Unsealed(Vec<u8>),
+    Unframed(Vec<u8>),
     /// Something is there and nothing of it can be used.
     Damaged(RecordError),
     /// Nothing was kept.
@@ -32,11 +32,11 @@
 
 impl Found {
     /// A word for logs and figures.
-    pub fn word(&self) -> &'static str {
+    pub fn as_str(&self) -> &'static str {
         match self {
-            Self::Sound(_) => "sound",
+            Self::Intact(_) => "sound",
             Self::Older { .. } => "older",
-            Self::Unsealed(_) => "unsealed",
+            Self::Unframed(_) => "unsealed",
             Self::Damaged(_) => "damaged",
             Self::Absent => "absent",
         }
@@ -68,21 +68,21 @@
         let look = |path: &Path| files.read(path).map(|bytes| bytes.map(|b| (decode(&b), b)));
         let mut stray = None;
         let found = match look(path)? {
-            Some((Ok(record), _)) => Found::Sound(record),
-            Some((Err(RecordError::Unsealed), bytes)) => Found::Unsealed(bytes),
+            Some((Ok(record), _)) => Found::Intact(record),
+            Some((Err(RecordError::Unframed), bytes)) => Found::Unframed(bytes),
             Some((Err(flaw), _)) => match look(&before)? {
-                Some((Ok(record), _)) => Found::Older { record, flaw },
+                Some((Ok(record), _)) => Found::Older { record, error: flaw },
                 _ => Found::Damaged(flaw),
             },
             // The power went between the two renames: what was written last is durable under its first name.
             None => match (look(&new)?, look(&before)?) {
                 (Some((Ok(record), _)), _) => {
                     stray = Some(new.clone());
-                    Found::Sound(record)
+                    Found::Intact(record)
                 }
                 (_, Some((Ok(record), _))) => {
                     stray = Some(before.clone());
-                    Found::Sound(record)
+                    Found::Intact(record)
                 }
                 (_, Some((Err(flaw), _))) => Found::Damaged(flaw),
                 // A first write that never came to its end was never acknowledged.
@@ -90,12 +90,12 @@
             },
         };
         let version = match &found {
-            Found::Sound(record) => record.version,
+            Found::Intact(record) => record.version,
             // The damaged one may have been the next.
             Found::Older { record, .. } => record.version + 1,
             _ => 0,
         };
-        let good = matches!(found, Found::Sound(_) | Found::Unsealed(_));
+        let good = matches!(found, Found::Intact(_) | Found::Unframed(_));
         Ok((Self { path: path.to_owned(), new, before, version, good, stray }, found))
     }
 
@@ -106,7 +106,7 @@
 
     /// Writes the next version; it is durable when this returns.
     pub fn write(&mut self, files: &mut impl Storage, payload: &[u8]) -> io::Result<u64> {
-        if payload.len() > MOST_BYTES {
+        if payload.len() > MAX_BYTES {
             return Err(io::Error::new(io::ErrorKind::FileTooLarge, "a record is longer than is kept"));
         }
         let version = self.version + 1;
--- a/crates/durable/src/storage.rs
+++ b/crates/durable/src/storage.rs
@@ -4,7 +4,7 @@
 use std::io::{self, Read, Write};
 use std::path::{Path, PathBuf};
 
-use crate::record::MOST_BYTES;
+use crate::record::MAX_BYTES;
 
 /// Storage by path. Each call may wait for the disk.
 pub trait Storage: Send {
@@ -31,7 +31,7 @@
         };
         // A file that has grown out of all bounds is not read into memory: its length tells that it is damaged.
         let mut bytes = Vec::new();
-        file.take(MOST_BYTES as u64 + 4096).read_to_end(&mut bytes)?;
+        file.take(MAX_BYTES as u64 + 4096).read_to_end(&mut bytes)?;
         Ok(Some(bytes))
     }
 
--- a/crates/durable/src/writer.rs
+++ b/crates/durable/src/writer.rs
@@ -15,7 +15,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
     /// Records put.
-    pub put: u64,
+    pub submitted: u64,
     /// Written and durable.
     pub written: u64,
     /// Never written, as a newer one came first.
@@ -111,10 +111,10 @@
     }
 
     /// Keeps these bytes, in time. Never waits for a disk. Which put this is, for [`RecordWriter::durable`].
-    pub fn put(&self, payload: Vec<u8>) -> u64 {
+    pub fn submit(&self, payload: Vec<u8>) -> u64 {
         let mut queue = self.shared.lock();
-        queue.counters.put += 1;
-        let put = queue.counters.put;
+        queue.counters.submitted += 1;
+        let put = queue.counters.submitted;
         if queue.waiting.replace(payload).is_some() {
             queue.counters.superseded += 1;
         }
@@ -149,11 +149,11 @@
 }
 
 /// An ordered end waits so long for a disk, and then leaves the thread to it.
-const FAREWELL: Duration = Duration::from_secs(2);
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(2);
 
 impl Drop for RecordWriter {
     fn drop(&mut self) {
-        let settled = self.flush(FAREWELL);
+        let settled = self.flush(SHUTDOWN_TIMEOUT);
         self.shared.lock().ended = true;
         self.shared.bell.notify_one();
         if let Some(thread) = self.thread.take().filter(|_| settled) {
@@ -169,7 +169,7 @@
     loop {
         if let Some(newest) = queue.waiting.take() {
             queue.busy = true;
-            queue.writing = queue.counters.put;
+            queue.writing = queue.counters.submitted;
             return Some(newest);
         }
         shared.rest.notify_all();
--- a/crates/durable/tests/power.rs
+++ b/crates/durable/tests/power_loss.rs
@@ -4,7 +4,7 @@
 
 use nettleferry_durable::{Found, Loss, MemoryStorage, RecordFile, Storage};
 
-const LOSSES: [Loss; 3] = [Loss::Gone, Loss::Torn, Loss::Whole];
+const LOSSES: [Loss; 3] = [Loss::Lost, Loss::Torn, Loss::Survived];
 
 /// All disks that may be found when the power goes at any step of the next write.
 fn after_each_kill(disk: &MemoryStorage, path: &Path, payload: &[u8]) -> Vec<(MemoryStorage, bool)> {
@@ -28,7 +28,7 @@
 
 fn payload(found: &Found) -> Option<&[u8]> {
     match found {
-        Found::Sound(record) => Some(&record.payload),
+        Found::Intact(record) => Some(&record.payload),
         _ => None,
     }
 }
@@ -86,9 +86,9 @@
     let mut disk = MemoryStorage::default();
     let (mut keep, _) = RecordFile::open(&disk, path).expect("readable");
     keep.write(&mut disk, b"one").expect("room");
-    disk.room = Some(8);
+    disk.capacity = Some(8);
     assert!(keep.write(&mut disk, b"a longer one").is_err());
-    (disk.room, disk.read_only) = (None, true);
+    (disk.capacity, disk.read_only) = (None, true);
     assert!(keep.write(&mut disk, b"two").is_err());
     disk.read_only = false;
     let (_, found) = RecordFile::open(&disk, path).expect("readable");
--- a/crates/durable/tests/keeper.rs
+++ b/crates/durable/tests/writer.rs
@@ -45,10 +45,10 @@
     .expect("started");
     let found = keeper.found(PATIENCE).expect("readable").expect("in time");
     assert_eq!(found, Found::Absent);
-    keeper.put(b"0".to_vec());
+    keeper.submit(b"0".to_vec());
     begins.recv_timeout(PATIENCE).expect("the first write has begun and stands");
     for n in 1..=1000 {
-        keeper.put(format!("{n}").into_bytes());
+        keeper.submit(format!("{n}").into_bytes());
     }
     assert!(!keeper.flush(Duration::ZERO));
     assert_eq!(keeper.counters().superseded, 999);
@@ -58,5 +58,5 @@
     assert_eq!(told.recv_timeout(PATIENCE), Ok(Some(2)));
     assert!(keeper.flush(PATIENCE));
     let counted = keeper.counters();
-    assert_eq!((counted.put, counted.written, counted.failed), (1001, 2, 0));
+    assert_eq!((counted.submitted, counted.written, counted.failed), (1001, 2, 0));
 }
--- a/crates/gateway/src/admin/desk.rs
+++ b/crates/gateway/src/admin/desk.rs
@@ -13,7 +13,7 @@
 use nettleferry_admin::api::{Api, Holds, Keep, Live, MOST_BODY, Running, Usage, Worker};
 use nettleferry_admin::{Answer, Problem, Request};
 use nettleferry_audit_log::recorder::Recorder;
-use nettleferry_audit_log::{What, chain};
+use nettleferry_audit_log::{EntryKind, chain};
 use nettleferry_config::settings::AdminKey;
 use nettleferry_fleet::authority::{Authority, Duty, Step};
 use nettleferry_fleet::lease::{MAX_SPAN, ends, error_of};
@@ -24,7 +24,7 @@
 use nettleferry_net::clock;
 use nettleferry_net::http1::{self, Http1, Http1Limits, Stop, Turn};
 use nettleferry_net::patience::Patience;
-use nettleferry_tenancy::{Book, Entry, Once, Revision, Tenant};
+use nettleferry_tenancy::{Entry, IdempotentResponse, Revision, Tenant, TenantSnapshot};
 use nettleferry_tenant_store::{Origin, Snapshot, Store, StoreError};
 use serde_json::{Value, json};
 use tracing::{error, info, warn};
@@ -98,7 +98,7 @@
         Err(why) => {
             error!(%why, "the tenant store can't be used: the last good snapshot serves, changes are refused");
             let book = match Snapshot::read(&beside) {
-                Ok(snapshot) => Some(snapshot.book()),
+                Ok(snapshot) => Some(snapshot.tenant_snapshot()),
                 Err(none) => {
                     error!(%none, "there is no good snapshot either: no tenant is known until a book is taken over");
                     None
@@ -218,23 +218,23 @@
 const STORE_PATIENCE: Patience = Patience { span: Duration::from_secs(5), pause: Duration::from_millis(100) };
 
 /// Opens the store, again while its file fails: that passes, and is no damage.
-fn open_patiently(path: &Path) -> Result<(Store, Book), StoreError> {
+fn open_patiently(path: &Path) -> Result<(Store, TenantSnapshot), StoreError> {
     let held_up = |why: &StoreError| warn!(%why, "the tenant store can't be opened yet: tried again");
-    STORE_PATIENCE.until(|| Store::open(path), StoreError::passes, held_up)
+    STORE_PATIENCE.until(|| Store::open(path), StoreError::is_transient, held_up)
 }
 
 /// The store, or none where it is damaged.
 struct Kept(Option<Store>);
 
 impl Keep for Kept {
-    fn commit(&mut self, entry: &Entry, once: Option<(&str, &Once)>) -> Result<(), String> {
+    fn commit(&mut self, entry: &Entry, once: Option<(&str, &IdempotentResponse)>) -> Result<(), String> {
         let store = self.0.as_mut().ok_or("the tenant store can't be used")?;
         store.commit(entry, once).map_err(|e| e.to_string())
     }
 
-    fn once(&self, key: &str) -> Result<Option<Once>, String> {
+    fn once(&self, key: &str) -> Result<Option<IdempotentResponse>, String> {
         let Some(store) = &self.0 else { return Ok(None) };
-        store.once(key).map_err(|e| e.to_string())
+        store.idempotent_response(key).map_err(|e| e.to_string())
     }
 
     fn audit(&self, after: Revision, most: usize, of: Option<&str>) -> Result<Vec<Entry>, String> {
@@ -254,7 +254,7 @@
     /// Books that peers gave, while it is open which one stands: by the peer's number. As many as there are peers.
     offers: BTreeMap<u32, Whole>,
     /// The book that is to stand, by agreement or by an operator's word: to be taken over after the answer.
-    decided: Option<(Book, Origin)>,
+    decided: Option<(TenantSnapshot, Origin)>,
     /// The epoch of the book that stands, and its revision.
     epoch: u64,
     book: Revision,
@@ -291,8 +291,8 @@
         gathered
     }
 
-    fn said(&mut self, now: u64, what: What) {
-        self.own.said(now, what);
+    fn said(&mut self, now: u64, what: EntryKind) {
+        self.own.append(now, what);
         self.settle();
     }
 
@@ -417,7 +417,13 @@
         (self.life, self.now())
     }
 
-    fn loans(&mut self, book: &Book, controller: u32, life: u64, report: Value) -> Result<Value, Problem> {
+    fn loans(
+        &mut self,
+        book: &TenantSnapshot,
+        controller: u32,
+        life: u64,
+        report: Value,
+    ) -> Result<Value, Problem> {
         let none =
             || Problem::new(409, "not-lent", "limits are not lent here: see (loans ...) in the settings");
         let (now, who) = (self.now(), Incarnation { controller, incarnation: life });
@@ -502,7 +508,7 @@
         })
     }
 
-    fn recover(&mut self, mine: &Book, take: &str, dry_run: bool) -> Result<Value, Problem> {
+    fn recover(&mut self, mine: &TenantSnapshot, take: &str, dry_run: bool) -> Result<Value, Problem> {
         let unknown = |what: String| Problem::field("take", what);
         let (book, from) = match take {
             "own" if self.authority.own().is_none() && mine.revision() == 0 => {
@@ -559,16 +565,24 @@
         let (now, epoch) = (self.now(), self.epoch);
         let Some(records) = &mut self.records else { return };
         let action = serde_json::to_value(entry.action).ok().and_then(|a| a.as_str().map(str::to_owned));
-        let (revision, tenant, binds) = (entry.revision, entry.tenant.clone(), entry.binds());
-        records
-            .said(now, What::Accepted { epoch, revision, tenant, action: action.unwrap_or_default(), binds });
+        let (revision, tenant, binds) = (entry.revision, entry.tenant.clone(), entry.restricts());
+        records.said(
+            now,
+            EntryKind::Accepted {
+                epoch,
+                revision,
+                tenant,
+                action: action.unwrap_or_default(),
+                restricts: binds,
+            },
+        );
     }
 
     /// It was said to those who asked that this change is in force everywhere.
     fn everywhere(&mut self, at: Version) {
         let now = self.now();
         if let Some(records) = &mut self.records {
-            records.said(now, What::Everywhere { epoch: at.epoch, revision: at.revision });
+            records.said(now, EntryKind::InForce { epoch: at.epoch, revision: at.revision });
         }
     }
 
@@ -606,7 +620,7 @@
 }
 
 /// What the others would give up, or get, if this book stands.
-fn difference(number: u32, taken: &Book, other: &Book) -> Value {
+fn difference(number: u32, taken: &TenantSnapshot, other: &TenantSnapshot) -> Value {
     let mut names: Vec<Value> = Vec::new();
     let mut count = 0;
     let mut say = |tenant: &str, what: &str| {
@@ -770,7 +784,7 @@
         match self.api.entries(self.told) {
             Ok(entries) => {
                 for entry in entries {
-                    info!(revision = entry.revision, who = %entry.who, action = ?entry.action, tenant = %entry.tenant, "tenants changed");
+                    info!(revision = entry.revision, who = %entry.actor, action = ?entry.action, tenant = %entry.tenant, "tenants changed");
                     self.told = entry.revision;
                     self.around.accepted(&entry);
                     self.around.tell(Told::Changed(Box::new(entry)));
@@ -790,7 +804,7 @@
         self.recover();
         // A store whose file has failed is opened again, so that it can be read though nothing is changed.
         if let Some(store) = &mut self.api.keep().0
-            && let Err(why) = store.heal()
+            && let Err(why) = store.reopen()
         {
             warn!(%why, "the tenant store can't be used yet");
         }
@@ -802,7 +816,8 @@
         if self.write_at.is_some_and(|at| at <= Instant::now()) {
             self.write_snapshot();
         }
-        let grace = self.api.book().next_due().map(|at| Duration::from_millis(at.saturating_sub(now).max(1)));
+        let grace =
+            self.api.book().next_removal().map(|at| Duration::from_millis(at.saturating_sub(now).max(1)));
         let grace = grace.filter(|_| self.around.authority.duty().0 == Duty::Serving);
         let write = self.write_at.map(|at| at.saturating_duration_since(Instant::now()));
         let ask = self.ask_peers();
@@ -896,7 +911,7 @@
     }
 
     /// Durable when this returns. A store that can't be used is put aside, and a new one made.
-    fn adopt(&mut self, book: &Book, origin: &Origin) -> Result<(), String> {
+    fn adopt(&mut self, book: &TenantSnapshot, origin: &Origin) -> Result<(), String> {
         let mut store = match self.api.keep().0.take() {
             Some(store) => store,
             None => {
@@ -908,7 +923,7 @@
                 Store::open(&self.path).map_err(|e| e.to_string())?.0
             }
         };
-        let kept = store.adopt(book, origin).map_err(|e| e.to_string());
+        let kept = store.install(book, origin).map_err(|e| e.to_string());
         if let Err(why) = kept {
             self.api.keep().0 = Some(store);
             return Err(why);
@@ -926,7 +941,7 @@
         }
         let (store, epoch) = self.api.store();
         let origin = Origin { store: store.to_owned(), epoch };
-        match Snapshot::of(book, Some(origin)).write(&self.beside) {
+        match Snapshot::from_tenants(book, Some(origin)).write(&self.beside) {
             Ok(()) => self.written = book.revision(),
             Err(error) => warn!(%error, "the snapshot beside the store can't be written"),
         }
--- a/crates/gateway/src/admin/follow.rs
+++ b/crates/gateway/src/admin/follow.rs
@@ -21,7 +21,7 @@
 use nettleferry_net::clock;
 use nettleferry_net::post::{Answer, PostError, Poster};
 use nettleferry_tenancy::Entry;
-use nettleferry_tenancy::follow::{Ask, Follower, Heard, News};
+use nettleferry_tenancy::replication::{Follower, ReplicationRequest, ReplicationResponse, Update};
 use serde::Deserialize;
 use tracing::{info, warn};
 
@@ -142,7 +142,7 @@
             .unwrap_or_default();
         *mirror.lock().unwrap_or_else(PoisonError::into_inner) = held.clone().map(Arc::new);
         let follower = Follower::new(held.map(|whole| (whole.store, whole.book)), rand::random());
-        let (revision, tenants) = (follower.book().revision(), follower.book().tenants().len());
+        let (revision, tenants) = (follower.snapshot().revision(), follower.snapshot().tenants().len());
         info!(revision, tenants, epoch, to = %whom.to, "tenants as they were kept; following the administration");
         let peers = Peers::new(whom.peers, &token, number)?;
         Ok(Self {
@@ -178,7 +178,7 @@
 
     /// The book that was kept.
     pub fn book(&self) -> Option<Whole> {
-        let (store, book) = (self.follower.store().to_owned(), self.follower.book().clone());
+        let (store, book) = (self.follower.store().to_owned(), self.follower.snapshot().clone());
         self.epoch.map(|epoch| Whole { controller: None, store, epoch, book })
     }
 
@@ -199,7 +199,7 @@
     }
 
     fn stamp(&self) -> Option<SnapshotVersion> {
-        Some(stamp(self.follower.store(), self.epoch?, self.follower.book()))
+        Some(stamp(self.follower.store(), self.epoch?, self.follower.snapshot()))
     }
 
     /// Runs until it is ended.
@@ -364,7 +364,7 @@
 
     /// What is held.
     fn at(&self) -> Version {
-        Version { epoch: self.epoch.unwrap_or(0), revision: self.follower.book().revision() }
+        Version { epoch: self.epoch.unwrap_or(0), revision: self.follower.snapshot().revision() }
     }
 
     /// What is on the disk.
@@ -380,7 +380,7 @@
     }
 
     /// Asks the administration, telling it what is held. `None`: the end came first.
-    fn ask(&mut self, ask: &Ask) -> io::Result<Option<Result<Answer, PostError>>> {
+    fn ask(&mut self, ask: &ReplicationRequest) -> io::Result<Option<Result<Answer, PostError>>> {
         let stamp = self.stamp();
         let (in_force, kept, epoch) = (self.marks.in_force(), self.kept_at(), self.epoch.unwrap_or(0));
         // Of another epoch it has nothing.
@@ -396,8 +396,10 @@
         };
         let timing = self.span.timing(self.is_behind());
         let (poster, patience, target) = match ask {
-            Ask::Snapshot => (&mut self.snapshots, SNAPSHOT_TIMEOUT, report.snapshot_target()),
-            Ask::Watch { .. } => (&mut self.watches, timing.timeout, report.watch_target(timing.wait)),
+            ReplicationRequest::Snapshot => (&mut self.snapshots, SNAPSHOT_TIMEOUT, report.snapshot_target()),
+            ReplicationRequest::Watch { .. } => {
+                (&mut self.watches, timing.timeout, report.watch_target(timing.wait))
+            }
         };
         poster.patience(patience);
         poster.send(0, "GET", &target, &[("Authorization", &format!("Bearer {}", self.token))], b"");
@@ -409,7 +411,7 @@
     }
 
     /// Nothing is to be asked of the administration before this span is over: one without a book asks peers.
-    fn rest(&mut self, wait: u64, news: &mut Vec<News>) -> io::Result<()> {
+    fn rest(&mut self, wait: u64, news: &mut Vec<Update>) -> io::Result<()> {
         let mut wait = wait;
         if self.epoch.is_none() {
             match self.seeker.next(self.now()) {
@@ -427,7 +429,11 @@
                         let Whole { store, book, epoch, .. } = whole;
                         info!(peer, %store, epoch, revision = book.revision(), "a peer's book is taken, as none was held and the administration is silent");
                         self.epoch = Some(epoch);
-                        self.follower.heard(self.now(), Heard::Snapshot { store, book }, news);
+                        self.follower.response_received(
+                            self.now(),
+                            ReplicationResponse::Snapshot { store, snapshot: book },
+                            news,
+                        );
                     }
                     return Ok(());
                 }
@@ -457,9 +463,9 @@
     /// Takes an answer in. `Some`: it told all that holds, and what it said of a lease.
     fn heard(
         &mut self,
-        ask: &Ask,
+        ask: &ReplicationRequest,
         answer: &Result<Answer, PostError>,
-        news: &mut Vec<News>,
+        news: &mut Vec<Update>,
     ) -> Option<Lease> {
         if answer.as_ref().is_ok_and(is_fenced) && !self.fenced {
             warn!("this life was shut out: it takes no call any more, and is let in again as another life");
@@ -468,16 +474,16 @@
         }
         let meaning = match answer {
             Ok(answer) => meaning(ask, answer),
-            Err(_) => Meaning::Heard(Heard::Failed),
+            Err(_) => Meaning::Heard(ReplicationResponse::Failed),
         };
         let (heard, lease) = match meaning {
             Meaning::Heard(heard) => (heard, None),
-            Meaning::Page(entries, lease) => (Heard::Entries(entries), Some(lease)),
+            Meaning::Page(entries, lease) => (ReplicationResponse::Entries(entries), Some(lease)),
             Meaning::Given(whole, lease) => (self.given_book(whole), Some(lease)),
         };
-        let taken = matches!(heard, Heard::Entries(_) | Heard::Snapshot { .. });
+        let taken = matches!(heard, ReplicationResponse::Entries(_) | ReplicationResponse::Snapshot { .. });
         let before = self.follower.failures();
-        self.follower.heard(self.now(), heard, news);
+        self.follower.response_received(self.now(), heard, news);
         match (before, self.follower.failures()) {
             (0, 1) if self.refused.is_none() => {
                 let why = match answer {
@@ -490,18 +496,22 @@
             _ => {}
         }
         // A page that did not follow on the book leads to a snapshot: it gives no lease.
-        let follows = taken && !matches!((ask, self.follower.next().0), (Ask::Watch { .. }, Ask::Snapshot));
+        let follows = taken
+            && !matches!(
+                (ask, self.follower.next().0),
+                (ReplicationRequest::Watch { .. }, ReplicationRequest::Snapshot)
+            );
         lease.filter(|_| follows)
     }
 
     /// The administration gave its whole book: is it one to take?
-    fn given_book(&mut self, whole: Whole) -> Heard {
+    fn given_book(&mut self, whole: Whole) -> ReplicationResponse {
         let (given, held) = (whole.stamp(), self.stamp());
         match bootstrap::should_replace(held.as_ref(), &given) {
             Ok(_) => {
                 self.refused = None;
                 self.epoch = Some(whole.epoch);
-                Heard::Snapshot { store: whole.store, book: whole.book }
+                ReplicationResponse::Snapshot { store: whole.store, snapshot: whole.book }
             }
             Err(standing) => {
                 let held = held.map(|s| s.to_string()).unwrap_or_default();
@@ -509,17 +519,17 @@
                     warn!(%given, held, standing = standing.as_str(), "the administration's book is not taken: the one that is held stands until it has caught up or an operator has decided");
                     self.refused = Some((given, standing));
                 }
-                Heard::Failed
+                ReplicationResponse::Failed
             }
         }
     }
 
-    fn put_in_force(&mut self, news: &mut Vec<News>) {
+    fn put_in_force(&mut self, news: &mut Vec<Update>) {
         let any = !news.is_empty();
         for one in news.drain(..) {
             (self.tell)(match one {
-                News::Changed(entry) => Told::Changed(entry),
-                News::Began(book) => {
+                Update::Changed(entry) => Told::Changed(entry),
+                Update::Replaced(book) => {
                     let (store, epoch) = (self.follower.store().to_owned(), self.epoch.unwrap_or(0));
                     Told::Began(Box::new(Whole { controller: None, store, epoch, book }))
                 }
@@ -536,7 +546,7 @@
     /// What is held is shown to peers, and kept, once it is another: also where the epoch alone has changed.
     fn show_and_keep(&mut self) {
         let Some(epoch) = self.epoch else { return };
-        let (store, book) = (self.follower.store(), self.follower.book());
+        let (store, book) = (self.follower.store(), self.follower.snapshot());
         let mut shown = self.mirror.lock().unwrap_or_else(PoisonError::into_inner);
         let same =
             |w: &Arc<Whole>| w.epoch == epoch && w.store == store && w.book.revision() == book.revision();
@@ -553,7 +563,7 @@
                 if self.puts.len() >= MOST_PUTS {
                     self.puts.pop_back();
                 }
-                self.puts.push_back((put, Version { epoch, revision: self.follower.book().revision() }));
+                self.puts.push_back((put, Version { epoch, revision: self.follower.snapshot().revision() }));
             }
             Err(error) => warn!(%error, "the tenants can't be kept for the next start"),
         }
@@ -579,7 +589,7 @@
 }
 
 enum Meaning {
-    Heard(Heard),
+    Heard(ReplicationResponse),
     Page(Vec<Entry>, Lease),
     Given(Whole, Lease),
 }
@@ -587,21 +597,21 @@
 /// What is no book or no page to this version of the program is not half taken: it stays on what it has.
 fn unknown(error: &serde_json::Error) -> Meaning {
     warn!(%error, "what the administration gave can't be taken: is it of a newer version of the program? What is held stands");
-    Meaning::Heard(Heard::Failed)
+    Meaning::Heard(ReplicationResponse::Failed)
 }
 
-fn meaning(ask: &Ask, answer: &Answer) -> Meaning {
+fn meaning(ask: &ReplicationRequest, answer: &Answer) -> Meaning {
     Meaning::Heard(match (answer.status, ask) {
-        (200, Ask::Snapshot) => {
+        (200, ReplicationRequest::Snapshot) => {
             let lease = serde_json::from_slice::<Beside>(&answer.body).map(|b| b.lease).unwrap_or_default();
             let whole = serde_json::from_slice::<Whole>(&answer.body);
             return whole.map_or_else(|error| unknown(&error), |whole| Meaning::Given(whole, lease));
         }
-        (200, Ask::Watch { .. }) => {
+        (200, ReplicationRequest::Watch { .. }) => {
             let page = serde_json::from_slice::<Page>(&answer.body);
             return page.map_or_else(|error| unknown(&error), |page| Meaning::Page(page.entries, page.lease));
         }
-        (409 | 410, _) => Heard::Elsewhere,
-        _ => Heard::Failed,
+        (409 | 410, _) => ReplicationResponse::Diverged,
+        _ => ReplicationResponse::Failed,
     })
 }
--- a/crates/gateway/src/admin/lending.rs
+++ b/crates/gateway/src/admin/lending.rs
@@ -6,7 +6,7 @@
 use nettleferry_fleet::Millis;
 use nettleferry_fleet::loans::{Kind, Lender, LoanConfig, UsageReport};
 use nettleferry_fleet::membership::Incarnation;
-use nettleferry_tenancy::{Book, Revision, Tenant};
+use nettleferry_tenancy::{Revision, Tenant, TenantSnapshot};
 use serde::{Deserialize, Serialize};
 
 /// Rows of a report at the most; tenants beyond keep their reserves.
@@ -80,7 +80,7 @@
     pub fn report(
         &mut self,
         (now, until): (Millis, Millis),
-        book: &Book,
+        book: &TenantSnapshot,
         who: Incarnation,
         rows: &[Demand],
     ) -> Vec<Lent> {
--- a/crates/gateway/src/admin/mirror.rs
+++ b/crates/gateway/src/admin/mirror.rs
@@ -32,7 +32,7 @@
     let held = mirror.lock().unwrap_or_else(PoisonError::into_inner).clone();
     match (request.method, path, held) {
         ("GET", "/v1/snapshot", Some(whole)) => {
-            let sum = whole.book.sum();
+            let sum = whole.book.checksum();
             let body = json!({ "controller": number, "store": whole.store, "epoch": whole.epoch, "sum": sum, "book": whole.book });
             json_reply(200, &body)
         }
--- a/crates/gateway/src/admin/peers.rs
+++ b/crates/gateway/src/admin/peers.rs
@@ -9,7 +9,7 @@
 
 use nettleferry_fleet::snapshot_version::SnapshotVersion;
 use nettleferry_net::post::{Answer, Poster};
-use nettleferry_tenancy::Book;
+use nettleferry_tenancy::TenantSnapshot;
 use serde::{Deserialize, Serialize};
 
 /// A peer has so long to answer.
@@ -29,7 +29,7 @@
     #[serde(default = "first_epoch")]
     pub epoch: u64,
     /// The book.
-    pub book: Book,
+    pub book: TenantSnapshot,
 }
 
 fn first_epoch() -> u64 {
@@ -44,8 +44,8 @@
 }
 
 /// The stamp of a book of this store and epoch.
-pub fn stamp(store: &str, epoch: u64, book: &Book) -> SnapshotVersion {
-    SnapshotVersion { store: store.to_owned(), epoch, revision: book.revision(), checksum: book.sum() }
+pub fn stamp(store: &str, epoch: u64, book: &TenantSnapshot) -> SnapshotVersion {
+    SnapshotVersion { store: store.to_owned(), epoch, revision: book.revision(), checksum: book.checksum() }
 }
 
 /// Who a peer is and what it holds.
--- a/crates/gateway/src/admin/records.rs
+++ b/crates/gateway/src/admin/records.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::path::PathBuf;
 
-use nettleferry_audit_log::Line;
+use nettleferry_audit_log::Entry;
 use nettleferry_wal::{DirectoryStorage, Limits, WalError, WriteAheadLog};
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
@@ -65,16 +65,16 @@
     }
 
     fn hold(&mut self, of: &str, text: String) -> bool {
-        let Ok(line) = Line::read(&text) else { return false };
+        let Ok(line) = Entry::from_json(&text) else { return false };
         if !self.records.contains_key(of) && self.records.len() >= MOST_RECORDS {
             return false;
         }
         let record = self.records.entry(of.to_owned()).or_default();
         // One that was delivered before, or a record that began anew on an empty disk.
-        if line.n <= record.last && line.n > 1 {
+        if line.number <= record.last && line.number > 1 {
             return false;
         }
-        record.last = line.n;
+        record.last = line.number;
         record.lines.push_back(text);
         while record.lines.len() > MOST_LINES {
             record.lines.pop_front();
--- a/crates/gateway/src/commands/audit.rs
+++ b/crates/gateway/src/commands/audit.rs
@@ -3,8 +3,9 @@
 
 use std::path::{Path, PathBuf};
 
-use nettleferry_audit_log::audit::{Actor, Audit, Certainty, Incarnation, Report};
-use nettleferry_audit_log::chain::{self, Checked};
+use nettleferry_audit_log::chain::{self, CheckedLog};
+use nettleferry_audit_log::findings::{Actor, CallCount, Certainty, Incarnation, Report};
+use nettleferry_audit_log::{Audit, Version};
 use plotters::prelude::*;
 use serde_json::{Value, json};
 
@@ -20,7 +21,7 @@
     /// The administration's life, on whose clock all is told.
     pub by: u64,
     /// Records by whose they are.
-    pub records: Vec<(String, Checked)>,
+    pub records: Vec<(String, CheckedLog)>,
 }
 
 /// Fetches all records, page by page.
@@ -49,19 +50,19 @@
     let mut audit = Audit::default();
     for (of, checked) in &gathered.records {
         if of == ADMINISTRATION {
-            audit.administration(gathered.by, &checked.lines);
+            audit.add_leader(gathered.by, &checked.entries);
         } else {
-            audit.controller(gathered.by, &checked.lines, false);
+            audit.add_controller(gathered.by, &checked.entries, false);
         }
-        for fault in &checked.faults {
-            audit.fault(None, format!("record of {of}: {fault}"));
+        for fault in &checked.errors {
+            audit.add_fault(None, format!("record of {of}: {fault}"));
         }
     }
     audit.report()
 }
 
 fn life(who: Incarnation) -> String {
-    format!("controller {} (life {:08x})", who.controller, who.life >> 32)
+    format!("controller {} (life {:08x})", who.controller, who.incarnation >> 32)
 }
 
 fn sure(sure: Certainty) -> &'static str {
@@ -71,8 +72,9 @@
     }
 }
 
-fn between((least, most): (u64, u64)) -> String {
-    if least == most { least.to_string() } else { format!("{least} to {most}") }
+fn between(calls: CallCount) -> String {
+    let CallCount { certain, possible } = calls;
+    if certain == possible { certain.to_string() } else { format!("{certain} to {possible}") }
 }
 
 fn moment(at: Option<i64>) -> String {
@@ -82,26 +84,27 @@
 /// For people.
 pub fn lines(report: &Report, tenant: Option<&str>, revision: Option<u64>) -> Vec<String> {
     let mut lines = vec!["Who acted on what (times since the administration's start):".to_owned()];
-    let of = |book: (u64, u64)| revision.is_none_or(|r| r == book.1);
-    for Actor { who, book, from, to, calls } in report.actors.iter().filter(|a| of(a.book)) {
+    let of = |version: Version| revision.is_none_or(|revision| revision == version.revision);
+    for Actor { incarnation: who, version, from, to, calls } in report.actors.iter().filter(|a| of(a.version))
+    {
         let (from, to) = (moment(*from), moment(*to));
         lines.push(format!(
             "  epoch {} revision {}: {}, {from} to {to}, {calls} calls",
-            book.0,
-            book.1,
+            version.epoch,
+            version.revision,
             life(*who)
         ));
     }
     lines.push("On an older version while a newer one was in force elsewhere:".to_owned());
     let named = |name: &str| tenant.is_none_or(|tenant| tenant == name);
-    for found in report.behind.iter().filter(|b| of(b.book) && b.calls.keys().any(|t| named(t))) {
+    for found in report.stale_activity.iter().filter(|b| of(b.version) && b.calls.keys().any(|t| named(t))) {
         let (least, most) = (found.least_ms.max(0), found.most_ms.max(0));
         lines.push(format!(
             "  {}: {} on revision {}, {} was in force at {}, for {least} to {most} ms: {}",
-            sure(found.sure),
-            life(found.who),
-            found.book.1,
-            found.newer.1,
+            sure(found.certainty),
+            life(found.incarnation),
+            found.version.revision,
+            found.newer.revision,
             life(found.elsewhere),
             found.why
         ));
@@ -110,15 +113,15 @@
         }
     }
     lines.push("Calls taken after a change was said to be in force everywhere:".to_owned());
-    for found in report.after.iter().filter(|a| of(a.change) && named(&a.tenant)) {
+    for found in report.late_calls.iter().filter(|a| of(a.change) && named(&a.tenant)) {
         lines.push(format!(
             "  {}: {} calls of {} at {} after {} (revision {}): {}",
-            sure(found.sure),
+            sure(found.certainty),
             between(found.calls),
             found.tenant,
-            life(found.who),
+            life(found.incarnation),
             found.action,
-            found.change.1,
+            found.change.revision,
             found.why
         ));
     }
@@ -132,11 +135,11 @@
     }
     lines.push("Where nothing can be said:".to_owned());
     for gap in &report.gaps {
-        let who = gap.who.map_or_else(String::new, |who| format!("{}: ", life(who)));
-        lines.push(format!("  {who}{}", gap.what));
+        let who = gap.incarnation.map_or_else(String::new, |who| format!("{}: ", life(who)));
+        lines.push(format!("  {who}{}", gap.reason));
     }
-    if report.more > 0 {
-        lines.push(format!("{} further findings found no room", report.more));
+    if report.omitted > 0 {
+        lines.push(format!("{} further findings found no room", report.omitted));
     }
     lines
 }
@@ -149,7 +152,7 @@
         .iter()
         .filter_map(|a| Some((a, a.from? as f64 / 1000.0, a.to? as f64 / 1000.0)))
         .collect();
-    let mut lives: Vec<Incarnation> = known.iter().map(|(a, ..)| a.who).collect();
+    let mut lives: Vec<Incarnation> = known.iter().map(|(a, ..)| a.incarnation).collect();
     lives.sort();
     lives.dedup();
     let least = known.iter().map(|k| k.1).fold(f64::INFINITY, f64::min).min(0.0);
@@ -174,19 +177,21 @@
             .x_desc("seconds of the administration")
             .draw()?;
         for (actor, from, to) in &known {
-            let place = lives.iter().position(|who| *who == actor.who).unwrap_or(0) as f64;
-            let colour = Palette99::pick(actor.book.1 as usize).mix(0.7);
+            let place = lives.iter().position(|who| *who == actor.incarnation).unwrap_or(0) as f64;
+            let colour = Palette99::pick(actor.version.revision as usize).mix(0.7);
             let bar = [(*from, place + 0.2), ((*to).max(from + most * 0.002), place + 0.8)];
             chart.draw_series([Rectangle::new(bar, colour.filled())])?;
-            let text = Text::new(actor.book.1.to_string(), (*from, place + 0.62), ("sans-serif", 11));
+            let text =
+                Text::new(actor.version.revision.to_string(), (*from, place + 0.62), ("sans-serif", 11));
             chart.draw_series([text])?;
         }
-        for found in &report.behind {
-            let actor = known.iter().find(|(a, ..)| a.who == found.who && a.book == found.book);
+        for found in &report.stale_activity {
+            let actor =
+                known.iter().find(|(a, ..)| a.incarnation == found.incarnation && a.version == found.version);
             let Some((_, from, to)) = actor else { continue };
-            let place = lives.iter().position(|who| *who == found.who).unwrap_or(0) as f64;
+            let place = lives.iter().position(|who| *who == found.incarnation).unwrap_or(0) as f64;
             let since = (to - found.most_ms as f64 / 1000.0).max(*from);
-            let style = if found.sure == Certainty::Certain { RED.mix(0.5) } else { RED.mix(0.2) };
+            let style = if found.certainty == Certainty::Certain { RED.mix(0.5) } else { RED.mix(0.2) };
             chart.draw_series([Rectangle::new(
                 [(since, place + 0.05), (*to, place + 0.95)],
                 style.filled(),
@@ -213,13 +218,13 @@
     let (mut lines, mut rows, mut sound) = (Vec::new(), Vec::new(), true);
     for (of, checked) in &records {
         // The oldest lines go by the bound: that is no damage.
-        let bad = checked.faults.iter().filter(|f| !matches!(f, chain::ChainError::Begins { .. })).count();
+        let bad = checked.errors.iter().filter(|f| !matches!(f, chain::ChainError::Truncated { .. })).count();
         sound &= bad == 0;
         let word = if bad == 0 { "whole" } else { "NOT whole" };
-        lines.push(format!("record of {of}: {} lines, {word}", checked.lines.len()));
-        lines.extend(checked.faults.iter().map(|fault| format!("  {fault}")));
-        let faults: Vec<String> = checked.faults.iter().map(ToString::to_string).collect();
-        rows.push(json!({ "of": of, "lines": checked.lines.len(), "whole": bad == 0, "faults": faults }));
+        lines.push(format!("record of {of}: {} lines, {word}", checked.entries.len()));
+        lines.extend(checked.errors.iter().map(|fault| format!("  {fault}")));
+        let faults: Vec<String> = checked.errors.iter().map(ToString::to_string).collect();
+        rows.push(json!({ "of": of, "lines": checked.entries.len(), "whole": bad == 0, "faults": faults }));
     }
     Ok((json!(rows), lines, sound))
 }
--- a/crates/gateway/src/controller.rs
+++ b/crates/gateway/src/controller.rs
@@ -9,7 +9,7 @@
 
 use mio::Interest;
 use nettleferry::{ListForm, Micros, WorkerState};
-use nettleferry_audit_log::{Act, Recorder, View};
+use nettleferry_audit_log::{Event as AuditEvent, Recorder, View};
 use nettleferry_config::settings::{Admin, GateWhen};
 use nettleferry_config::{Config, Worker};
 use nettleferry_engine::{Command, Engine, EngineLimits, Event};
@@ -403,7 +403,7 @@
             settings: self.config.sum,
             program: env!("CARGO_PKG_VERSION").to_owned(),
         };
-        self.record(|recorder, now, known| recorder.acts_on(now, view, known));
+        self.record(|recorder, now, known| recorder.view_applied(now, view, known));
     }
 
     /// Tells admission what became of calls.
@@ -448,7 +448,7 @@
                     self.view();
                     self.record(|recorder, now, known| {
                         if let Some(act) = tenant_act(&entry) {
-                            recorder.one(now, act, known);
+                            recorder.event(now, act, known);
                         }
                     });
                 }
@@ -461,7 +461,7 @@
                 }
                 Told::Heard { asked, answered, by, at } => {
                     let span = (self.clock.at(asked) / 1000, self.clock.at(answered).div_ceil(1000));
-                    self.record(|recorder, _, _| recorder.heard(span, by, at));
+                    self.record(|recorder, _, _| recorder.clock_exchange(span, by, at));
                 }
                 Told::Mark(mark) => self.desk.iter().for_each(|desk| desk.applied(mark)),
                 Told::Leased { until, place } => {
@@ -487,14 +487,15 @@
                     if let Some(holder) = &mut self.lease {
                         holder.fence();
                     }
-                    self.record(|recorder, now, known| recorder.one(now, Act::Fenced, known));
+                    self.record(|recorder, now, known| recorder.event(now, AuditEvent::Fenced, known));
                 }
                 Told::Drained(drained) => {
                     for worker in self.drained.symmetric_difference(&drained) {
-                        let act = Act::Drained { worker: worker.clone(), drained: drained.contains(worker) };
+                        let act =
+                            AuditEvent::Drained { worker: worker.clone(), drained: drained.contains(worker) };
                         if let Some((recorder, _)) = &mut self.trail {
                             let known = Known { tenants: self.tenants.as_ref(), engine: &self.engine };
-                            recorder.one(self.clock.now() / 1000, act, &known);
+                            recorder.event(self.clock.now() / 1000, act, &known);
                         }
                     }
                     self.drained = drained;
@@ -561,7 +562,9 @@
                     "calls were taken while the lease ran out: this process stood still"
                 );
                 let stood_ms = (after - now) / 1000;
-                self.record(|recorder, now, known| recorder.one(now, Act::Doubtful { stood_ms }, known));
+                self.record(|recorder, now, known| {
+                    recorder.event(now, AuditEvent::LeaseEndedMeanwhile { stalled_ms: stood_ms }, known)
+                });
             }
         }
         done
@@ -731,11 +734,11 @@
 }
 
 /// What a change does to a tenant, for the record; changes of limits are in its views.
-fn tenant_act(entry: &nettleferry_tenancy::Entry) -> Option<Act> {
+fn tenant_act(entry: &nettleferry_tenancy::Entry) -> Option<AuditEvent> {
     let state = |t: &nettleferry_tenancy::Tenant| format!("{:?}", t.state).to_lowercase();
     let (before, after) = (entry.before.as_ref().map(state), entry.after.as_ref().map(state));
     let state = after.clone().unwrap_or_else(|| "gone".to_owned());
-    (before != after).then(|| Act::Tenant { tenant: entry.tenant.clone(), state })
+    (before != after).then(|| AuditEvent::Tenant { tenant: entry.tenant.clone(), state })
 }
 
 /// The lease of one that follows; its own administration's book always holds.
--- a/crates/gateway/src/front/mod.rs
+++ b/crates/gateway/src/front/mod.rs
@@ -387,7 +387,7 @@
             let known = Known { tenants: around.tenants.as_deref(), engine: around.engine };
             trail.stage(around.now / 1000, stage.as_str(), &known);
             if !stage.accepts_calls() {
-                trail.refused(around.now / 1000);
+                trail.call_rejected(around.now / 1000);
             }
         }
         if stage.accepts_calls() {
--- a/crates/gateway/src/kept.rs
+++ b/crates/gateway/src/kept.rs
@@ -64,15 +64,15 @@
     ) -> Option<Vec<u8>> {
         let (file, what) = (self.file.display(), self.what);
         let found = std::mem::replace(&mut self.found, Found::Absent);
-        let word = found.word();
+        let word = found.as_str();
         let payload = match found {
-            Found::Sound(record) => Some(record.payload),
-            Found::Older { record, flaw } => {
+            Found::Intact(record) => Some(record.payload),
+            Found::Older { record, error: flaw } => {
                 warn!(%file, %flaw, "the kept {what} is damaged: the one before it is looked at");
                 Some(record.payload)
             }
             // Of an earlier version of the program: whole or not, its owner finds out.
-            Found::Unsealed(bytes) => Some(bytes),
+            Found::Unframed(bytes) => Some(bytes),
             Found::Damaged(flaw) => {
                 warn!(%file, %flaw, "the kept {what} is damaged");
                 None
@@ -98,7 +98,7 @@
 
     /// Keeps this for the next start. Never waits for a disk. Which put this is; 0: it can't be kept.
     pub fn put(&self, payload: Vec<u8>) -> u64 {
-        self.writer.as_ref().map_or(0, |writer| writer.put(payload))
+        self.writer.as_ref().map_or(0, |writer| writer.submit(payload))
     }
 
     /// The last put that is durable.
--- a/crates/gateway/src/tenants.rs
+++ b/crates/gateway/src/tenants.rs
@@ -11,7 +11,7 @@
 use nettleferry_admission::{Admission, Policy, Verdict, Why};
 use nettleferry_engine::{EndKind, Phase, Step};
 use nettleferry_fleet::loans::{Kind, LoanConfig};
-use nettleferry_tenancy::{Book, Entry, Revision, Spec, State, Tenant};
+use nettleferry_tenancy::{Entry, Revision, Spec, State, Tenant, TenantSnapshot};
 use slab::Slab;
 
 use crate::admin::{Demand, Lent, MOST_DEMANDS};
@@ -156,7 +156,7 @@
     }
 
     /// Begins with a book.
-    pub fn begin(&mut self, book: &Book) {
+    pub fn begin(&mut self, book: &TenantSnapshot) {
         for tenant in book.tenants() {
             self.put(tenant);
         }
@@ -179,7 +179,7 @@
 
     /// Puts a whole book in force. Those that are not in it, or are others of the same name, are gone: see
     /// [`Tenants::apply`].
-    pub fn begin_anew(&mut self, book: &Book) -> Vec<TenantId> {
+    pub fn begin_anew(&mut self, book: &TenantSnapshot) -> Vec<TenantId> {
         let stays = |name: &str, uid| book.get(name).is_some_and(|t| t.uid == uid);
         let gone: Vec<(Arc<str>, usize)> = self
             .names
--- a/crates/gateway/src/trail.rs
+++ b/crates/gateway/src/trail.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use nettleferry::{TenantId, WorkerId};
-use nettleferry_audit_log::chain::{self, Checked};
+use nettleferry_audit_log::chain::{self, CheckedLog};
 use nettleferry_audit_log::recorder::{NameResolver, Recorder, Tail};
 use nettleferry_engine::Engine;
 use nettleferry_wal::{DirectoryStorage, Limits, WalError, WriteAheadLog};
@@ -84,7 +84,7 @@
 }
 
 /// A log opened for reading by hand, whole.
-pub fn read(folder: PathBuf) -> Result<Checked, WalError> {
+pub fn read(folder: PathBuf) -> Result<CheckedLog, WalError> {
     let (_, found) =
         WriteAheadLog::open(DirectoryStorage::open(folder).map_err(WalError::from)?, Limits::default())?;
     let texts: Vec<String> =
@@ -141,8 +141,8 @@
 fn hold(held: &Shared, batch: Vec<String>) {
     let mut held = lock(held);
     for text in batch {
-        if let Ok(line) = nettleferry_audit_log::Line::read(&text) {
-            held.push(line.n, text);
+        if let Ok(line) = nettleferry_audit_log::Entry::from_json(&text) {
+            held.push(line.number, text);
         }
     }
 }
@@ -158,10 +158,10 @@
     let texts: Vec<String> =
         found.records.into_iter().filter_map(|(_, b)| String::from_utf8(b).ok()).collect();
     let checked = chain::check(texts.iter().map(String::as_str));
-    for fault in &checked.faults {
+    for fault in &checked.errors {
         warn!(%fault, "the record of before is not whole");
     }
-    info!(lines = checked.lines.len(), faults = checked.faults.len(), "the record of acts");
+    info!(lines = checked.entries.len(), faults = checked.errors.len(), "the record of acts");
     hold(held, texts);
     Ok((spool, checked.tail))
 }
--- a/crates/gateway/src/trail/tests.rs
+++ b/crates/gateway/src/trail/tests.rs
@@ -29,10 +29,10 @@
     let mut last = 0;
     for life in 1..=3 {
         let (log, tail) = Log::start(dir.path().to_owned(), 64 << 10).expect("a thread");
-        assert_eq!(tail.as_ref().map_or(0, |t| t.n), last, "behind what the life before wrote");
+        assert_eq!(tail.as_ref().map_or(0, |t| t.number), last, "behind what the life before wrote");
         let mut recorder = Recorder::new(0, life, 1, "1.0", tail);
         for revision in 0..400 {
-            recorder.acts_on(revision, View { revision, ..View::default() }, &Plain);
+            recorder.view_applied(revision, View { revision, ..View::default() }, &Plain);
             recorder.call(revision, 1);
         }
         while recorder.waiting() > 0 {
@@ -45,6 +45,6 @@
         assert_eq!(lock(&log.held).after(last - 10, 1).len(), 1, "one at the least");
     }
     let checked = read(dir.path().to_owned()).expect("it can be read");
-    assert!(matches!(&checked.faults[..], [chain::ChainError::Begins { .. }]), "{:?}", checked.faults);
-    assert_eq!(checked.tail.map(|t| t.n), Some(last));
+    assert!(matches!(&checked.errors[..], [chain::ChainError::Truncated { .. }]), "{:?}", checked.errors);
+    assert_eq!(checked.tail.map(|t| t.number), Some(last));
 }
--- a/crates/gateway/tests/stored_data.rs
+++ b/crates/gateway/tests/stored_data.rs
@@ -34,7 +34,7 @@
 
 fn record(path: &Path) -> Vec<u8> {
     match RecordFile::open(&FileSystem, path).expect("read").1 {
-        Found::Sound(record) => record.payload,
+        Found::Intact(record) => record.payload,
         found => panic!("{}: {found:?}", path.display()),
     }
 }
@@ -54,7 +54,7 @@
     let (store, book) = Store::open(&dir.path().join("tenants.redb")).expect("opened");
     assert_eq!(book.tenants().cloned().collect::<Vec<_>>(), tenants());
     assert_eq!(store.audit(0, 1_000, None).expect("read"), entries());
-    let once = store.once("ada/once-1").expect("read").expect("kept");
+    let once = store.idempotent_response("ada/once-1").expect("read").expect("kept");
     assert_eq!((once.status, once.revision), (201, 1));
     let created: Tenant = serde_json::from_str(&once.body).expect("a tenant");
     assert_eq!(created.name, "kalahari");
@@ -137,9 +137,10 @@
             .map(|b| String::from_utf8(b).expect("text"))
             .collect();
         let checked = chain::check(texts.iter().map(String::as_str));
-        assert_eq!(checked.faults, []);
+        assert_eq!(checked.errors, []);
         assert_eq!(json!(texts), told()["trail"][of]);
-        let rewritten: Vec<String> = checked.lines.iter().map(nettleferry_audit_log::Line::text).collect();
+        let rewritten: Vec<String> =
+            checked.entries.iter().map(nettleferry_audit_log::Entry::to_json).collect();
         assert_eq!(rewritten, texts, "they are written as they were");
     }
 }
--- a/crates/hollow/src/followers/answer.rs
+++ b/crates/hollow/src/followers/answer.rs
@@ -2,7 +2,7 @@
 //! stamp, and the lease beside them.
 
 use nettleferry_net::http1_client::Answer;
-use nettleferry_tenancy::{Book, Entry, Revision};
+use nettleferry_tenancy::{Entry, Revision, TenantSnapshot};
 use serde::Deserialize;
 
 /// A lease, as an answer tells it.
@@ -64,7 +64,7 @@
 /// The book of a snapshot, whole.
 #[derive(Deserialize)]
 struct WholeBook {
-    book: Book,
+    book: TenantSnapshot,
 }
 
 /// The changes of a page, to be applied to a book.
@@ -73,7 +73,7 @@
 }
 
 /// The book of a snapshot.
-pub fn book(answer: &Answer) -> Option<Book> {
+pub fn book(answer: &Answer) -> Option<TenantSnapshot> {
     serde_json::from_slice::<WholeBook>(&answer.body).ok().map(|whole| whole.book)
 }
 
--- a/crates/hollow/src/followers/book.rs
+++ b/crates/hollow/src/followers/book.rs
@@ -5,7 +5,7 @@
 
 use nettleferry_fleet::snapshot_version::SnapshotVersion;
 use nettleferry_net::http1_client::Answer;
-use nettleferry_tenancy::{Book, Revision};
+use nettleferry_tenancy::{Revision, TenantSnapshot};
 
 use super::answer::{self, Snapshot};
 
@@ -17,7 +17,7 @@
 pub struct SharedBook {
     store: String,
     epoch: u64,
-    book: Book,
+    book: TenantSnapshot,
     sums: BTreeMap<Revision, u32>,
 }
 
@@ -59,10 +59,10 @@
             if entry.revision <= self.book.revision() {
                 continue;
             }
-            if self.book.take(&entry).is_err() {
+            if self.book.apply(&entry).is_err() {
                 return false;
             }
-            self.keep(entry.revision, self.book.sum());
+            self.keep(entry.revision, self.book.checksum());
         }
         true
     }
--- a/crates/hollow/src/followers/follower.rs
+++ b/crates/hollow/src/followers/follower.rs
@@ -9,7 +9,7 @@
 use nettleferry_fleet::snapshot_version::SnapshotVersion;
 use nettleferry_net::http1_client::{Answer, PostError};
 use nettleferry_tenancy::Revision;
-use nettleferry_tenancy::follow::Backoff;
+use nettleferry_tenancy::replication::Backoff;
 
 use super::answer::{self, Change, Lease, Page, Snapshot};
 use super::book::SharedBook;
--- a/crates/hollow/tests/followers.rs
+++ b/crates/hollow/tests/followers.rs
@@ -8,7 +8,7 @@
 use nettleferry_hollow::followers::spread::Spread;
 use nettleferry_hollow::process::Machine;
 use nettleferry_net::http1_client::{Answer, PostError};
-use nettleferry_tenancy::{Book, Change, Condition, Entry};
+use nettleferry_tenancy::{Change, Condition, Entry, TenantSnapshot};
 use proptest::prelude::*;
 use serde_json::{Value, json};
 
@@ -17,21 +17,21 @@
 /// An administration's book, and its answers.
 #[derive(Default)]
 struct Administration {
-    book: Book,
+    book: TenantSnapshot,
     entries: Vec<Entry>,
 }
 
 impl Administration {
     fn create(&mut self, name: &str) {
         let change = Change::Create { name: name.to_owned(), spec: json!({ "note": "n" }) };
-        let applied = self.book.judge(&change, Condition::Any, "ada", 1_000).expect("sound");
+        let applied = self.book.evaluate(&change, Condition::Any, "ada", 1_000).expect("sound");
         let entry = applied.entry.expect("a change");
-        self.book.take(&entry).expect("it follows");
+        self.book.apply(&entry).expect("it follows");
         self.entries.push(entry);
     }
 
     fn snapshot(&self) -> Result<Answer, PostError> {
-        let (book, sum) = (&self.book, self.book.sum());
+        let (book, sum) = (&self.book, self.book.checksum());
         answer(200, json!({ "store": "s", "epoch": 1, "sum": sum, "book": book, "lease_ms": SPAN }))
     }
 
@@ -94,7 +94,7 @@
     let outcome = rig.hears(page);
     assert_eq!(outcome.meaning, Meaning::Page);
     assert_eq!(outcome.changes.iter().map(|c| (c.revision, c.at_ms)).collect::<Vec<_>>(), [(2, 1_000)]);
-    let sum = rig.administration.book.sum();
+    let sum = rig.administration.book.checksum();
     let expected = format!(
         "/v1/watch?controller=3&life=77&in_force=2&kept=2&ends=1&ended=0\
          &store=s&epoch=1&after=2&sum={sum}&limit=1000&wait_ms=1500"
--- a/crates/simulation/src/follow.rs
+++ b/crates/simulation/src/follow.rs
@@ -4,7 +4,7 @@
 use hdrhistogram::Histogram;
 use nettleferry_fleet::lease::{self, HEARTBEATS_PER_SPAN, Holder, LeasePolicy};
 use nettleferry_fleet::membership::{Incarnation, MemberState, Membership, Version};
-use nettleferry_tenancy::follow::{WAIT_FIRST, WAIT_MOST};
+use nettleferry_tenancy::replication::{MAX_BACKOFF, MIN_BACKOFF};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use serde::Serialize;
@@ -230,7 +230,7 @@
                 }
                 one.serial += 1;
                 one.failures += 1;
-                let most = (WAIT_FIRST << (one.failures - 1).min(16)).min(WAIT_MOST);
+                let most = (MIN_BACKOFF << (one.failures - 1).min(16)).min(MAX_BACKOFF);
                 let wait = self.random.random_range(most / 2..=most);
                 self.events.at(now + wait * 1000, Event::Ask(who));
             }
--- a/crates/tenancy/src/audit.rs
+++ b/crates/tenancy/src/audit.rs
@@ -31,7 +31,8 @@
     /// When, by the administrator's clock: it may step, revisions do not.
     pub at_ms: Millis,
     /// Who: the name of the key that was shown; the program itself for [`Action::Gone`].
-    pub who: String,
+    #[serde(rename = "who")]
+    pub actor: String,
     /// What.
     pub action: Action,
     /// Which tenant.
@@ -47,7 +48,7 @@
 impl Entry {
     /// Does it take something away, so that it counts only when nobody acts on what was before? A suspension, a
     /// removal, a right withdrawn, a limit lowered.
-    pub fn binds(&self) -> bool {
+    pub fn restricts(&self) -> bool {
         let Some(before) = &self.before else { return false };
         let Some(after) = &self.after else { return true };
         let class = |t: &Tenant, name: &str| t.spec.classes.get(name).cloned().unwrap_or_default();
--- a/crates/tenancy/src/audit/tests.rs
+++ b/crates/tenancy/src/audit/tests.rs
@@ -11,7 +11,7 @@
 
 fn binds(before: Option<Tenant>, after: Option<Tenant>) -> bool {
     let (who, action, tenant) = (String::new(), Action::Change, "a".to_owned());
-    Entry { revision: 2, at_ms: 0, who, action, tenant, before, after }.binds()
+    Entry { revision: 2, at_ms: 0, actor: who, action, tenant, before, after }.restricts()
 }
 
 #[test]
--- a/crates/tenancy/src/once.rs
+++ b/crates/tenancy/src/idempotency.rs
@@ -6,7 +6,7 @@
 
 /// An answer that is given again to a request that comes again under the same key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Once {
+pub struct IdempotentResponse {
     /// Of the request: another one under the same key is refused.
     pub fingerprint: u64,
     /// The status of the answer.
--- a/crates/tenancy/src/lib.rs
+++ b/crates/tenancy/src/lib.rs
@@ -12,17 +12,17 @@
 #![deny(missing_docs)]
 
 pub mod audit;
-pub mod book;
-pub mod check;
-pub mod follow;
+pub mod idempotency;
 pub mod model;
-pub mod once;
+pub mod replication;
+pub mod snapshot;
+pub mod validation;
 
 pub use audit::{Action, Entry};
-pub use book::{Applied, Book, Change, Condition, Denied};
-pub use check::Fault;
+pub use idempotency::IdempotentResponse;
 pub use model::{ClassLimits, Limits, Spec, State, Tenant};
-pub use once::Once;
+pub use snapshot::{Applied, Change, Condition, Denied, TenantSnapshot};
+pub use validation::FieldError;
 
 /// A revision: each change has the next one. 0: nothing was changed yet.
 pub type Revision = u64;
--- a/crates/tenancy/src/follow.rs
+++ b/crates/tenancy/src/replication.rs
@@ -2,17 +2,17 @@
 //! order, all of one or nothing; what does not follow on the book leads to a snapshot, never to a guess.
 
 use crate::audit::Entry;
-use crate::book::Book;
+use crate::snapshot::TenantSnapshot;
 use crate::{Millis, Revision};
 
 /// First wait after a failure, milliseconds; it doubles.
-pub const WAIT_FIRST: Millis = 100;
+pub const MIN_BACKOFF: Millis = 100;
 /// Longest wait.
-pub const WAIT_MOST: Millis = 10_000;
+pub const MAX_BACKOFF: Millis = 10_000;
 
 /// What is to be asked.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Ask {
+pub enum ReplicationRequest {
     /// All of it.
     Snapshot,
     /// What comes after this revision of this store; the answer may wait for it.
@@ -26,29 +26,29 @@
 
 /// What came of it.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Heard {
+pub enum ReplicationResponse {
     /// All of it, of this store.
     Snapshot {
         /// The store.
         store: String,
         /// Its book.
-        book: Book,
+        snapshot: TenantSnapshot,
     },
     /// Entries after the revision asked for, in order; none: nothing has changed.
     Entries(Vec<Entry>),
     /// The other is another store, does not have what comes after that revision any more, or has not come so far.
-    Elsewhere,
+    Diverged,
     /// No answer, or one that is none.
     Failed,
 }
 
 /// What is to be put in force, in order.
 #[derive(Clone, Debug, PartialEq)]
-pub enum News {
+pub enum Update {
     /// A change.
     Changed(Box<Entry>),
     /// Everything: what is not in it is gone.
-    Began(Book),
+    Replaced(TenantSnapshot),
 }
 
 /// Waits after failures in a row: each up to twice as long as the one before, half of it by chance.
@@ -72,7 +72,7 @@
     /// It failed once more; how long to wait now.
     pub fn failed(&mut self) -> Millis {
         self.failures = self.failures.saturating_add(1);
-        let most = WAIT_FIRST.saturating_mul(1 << (self.failures - 1).min(16)).min(WAIT_MOST);
+        let most = MIN_BACKOFF.saturating_mul(1 << (self.failures - 1).min(16)).min(MAX_BACKOFF);
         // Xorshift: followers that lost the same peer come back apart.
         self.random ^= self.random << 13;
         self.random ^= self.random >> 7;
@@ -89,24 +89,24 @@
 /// A book that follows.
 #[derive(Clone, Debug)]
 pub struct Follower {
-    book: Book,
+    snapshot: TenantSnapshot,
     store: String,
-    whole: bool,
+    needs_snapshot: bool,
     backoff: Backoff,
     not_before: Millis,
 }
 
 impl Follower {
     /// Begins with the book of a store that was kept, where there is one. `seed`: for the jitter of waits.
-    pub fn new(kept: Option<(String, Book)>, seed: u64) -> Self {
+    pub fn new(kept: Option<(String, TenantSnapshot)>, seed: u64) -> Self {
         let whole = kept.is_none();
         let (store, book) = kept.unwrap_or_default();
-        Self { book, store, whole, backoff: Backoff::new(seed), not_before: 0 }
+        Self { snapshot: book, store, needs_snapshot: whole, backoff: Backoff::new(seed), not_before: 0 }
     }
 
     /// The book as it stands.
-    pub fn book(&self) -> &Book {
-        &self.book
+    pub fn snapshot(&self) -> &TenantSnapshot {
+        &self.snapshot
     }
 
     /// The store that it follows.
@@ -115,11 +115,14 @@
     }
 
     /// What is to be asked, and not before which time.
-    pub fn next(&self) -> (Ask, Millis) {
-        if self.whole {
-            return (Ask::Snapshot, self.not_before);
+    pub fn next(&self) -> (ReplicationRequest, Millis) {
+        if self.needs_snapshot {
+            return (ReplicationRequest::Snapshot, self.not_before);
         }
-        (Ask::Watch { store: self.store.clone(), after: self.book.revision() }, self.not_before)
+        (
+            ReplicationRequest::Watch { store: self.store.clone(), after: self.snapshot.revision() },
+            self.not_before,
+        )
     }
 
     /// How often in a row no answer came.
@@ -128,38 +131,38 @@
     }
 
     /// Takes an answer in; what is to be put in force is appended to `news`.
-    pub fn heard(&mut self, now: Millis, heard: Heard, news: &mut Vec<News>) {
+    pub fn response_received(&mut self, now: Millis, heard: ReplicationResponse, news: &mut Vec<Update>) {
         match heard {
-            Heard::Snapshot { store, book } => {
+            ReplicationResponse::Snapshot { store, snapshot: book } => {
                 self.store = store;
-                self.whole = false;
+                self.needs_snapshot = false;
                 self.backoff.succeeded();
-                if book != self.book {
-                    self.book = book.clone();
-                    news.push(News::Began(book));
+                if book != self.snapshot {
+                    self.snapshot = book.clone();
+                    news.push(Update::Replaced(book));
                 }
             }
-            Heard::Entries(entries) => {
+            ReplicationResponse::Entries(entries) => {
                 self.backoff.succeeded();
                 for entry in entries {
                     // One that was taken before says nothing new.
-                    if entry.revision <= self.book.revision() {
+                    if entry.revision <= self.snapshot.revision() {
                         continue;
                     }
                     // An equal book gives an equal tenant: one that differs was changed by nobody we know.
-                    let follows = entry.before.as_ref() == self.book.get(&entry.tenant);
-                    if !follows || self.book.take(&entry).is_err() {
-                        self.whole = true;
+                    let follows = entry.before.as_ref() == self.snapshot.get(&entry.tenant);
+                    if !follows || self.snapshot.apply(&entry).is_err() {
+                        self.needs_snapshot = true;
                         return;
                     }
-                    news.push(News::Changed(Box::new(entry)));
+                    news.push(Update::Changed(Box::new(entry)));
                 }
             }
-            Heard::Elsewhere => {
-                self.whole = true;
+            ReplicationResponse::Diverged => {
+                self.needs_snapshot = true;
                 self.wait(now);
             }
-            Heard::Failed => self.wait(now),
+            ReplicationResponse::Failed => self.wait(now),
         }
     }
 
--- a/crates/tenancy/src/book.rs
+++ b/crates/tenancy/src/snapshot.rs
@@ -8,8 +8,8 @@
 use serde_json::Value;
 
 use crate::audit::{Action, Entry};
-use crate::check::{self, Fault};
 use crate::model::{Spec, State, Tenant};
+use crate::validation::{self, FieldError};
 use crate::{Millis, Revision};
 
 /// Who the program is, in the audit trail.
@@ -83,21 +83,21 @@
     #[error("there is a tenant {0} already")]
     Exists(String),
     /// It was changed meanwhile.
-    #[error("tenant {name} is at revision {is}, not {told}")]
+    #[error("tenant {name} is at revision {current}, not {expected}")]
     Stale {
         /// Which.
         name: String,
         /// Its revision.
-        is: Revision,
+        current: Revision,
         /// The one told.
-        told: Revision,
+        expected: Revision,
     },
     /// It is being removed: nothing of it changes any more.
     #[error("tenant {0} is being removed")]
     Removing(String),
     /// A value is not sound.
     #[error("{0}")]
-    Unsound(#[from] Fault),
+    Invalid(#[from] FieldError),
     /// There is no room for one more.
     #[error("there are {0} tenants, as many as are kept")]
     Full(usize),
@@ -114,32 +114,32 @@
 
 /// An entry that does not follow on the book.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("an entry of revision {entry} does not follow on revision {book}")]
-pub struct Gap {
+#[error("an entry of revision {entry} does not follow on revision {snapshot}")]
+pub struct RevisionGap {
     /// The book's.
-    pub book: Revision,
+    pub snapshot: Revision,
     /// The entry's.
     pub entry: Revision,
 }
 
 /// All tenants. Serialized, it is a snapshot.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Book {
+pub struct TenantSnapshot {
     revision: Revision,
     tenants: BTreeMap<String, Tenant>,
 }
 
 /// Most tenants of a book.
-pub const MOST_TENANTS: usize = 20_000;
+pub const MAX_TENANTS: usize = 20_000;
 
-impl Book {
+impl TenantSnapshot {
     /// Its checksum: CRC-32 of its JSON, in which tenants stand by name.
-    pub fn sum(&self) -> u32 {
+    pub fn checksum(&self) -> u32 {
         crc32fast::hash(&serde_json::to_vec(self).unwrap_or_default())
     }
 
     /// A book of what a store holds.
-    pub fn of(revision: Revision, tenants: impl IntoIterator<Item = Tenant>) -> Self {
+    pub fn from_tenants(revision: Revision, tenants: impl IntoIterator<Item = Tenant>) -> Self {
         Self { revision, tenants: tenants.into_iter().map(|t| (t.name.clone(), t)).collect() }
     }
 
@@ -166,7 +166,7 @@
     }
 
     /// What a change would do; the book stays as it is.
-    pub fn judge(
+    pub fn evaluate(
         &self,
         change: &Change,
         condition: Condition,
@@ -181,7 +181,7 @@
         if let Condition::Is(told) = condition
             && told != before.revision
         {
-            return Err(Denied::Stale { name: name.to_owned(), is: before.revision, told });
+            return Err(Denied::Stale { name: name.to_owned(), current: before.revision, expected: told });
         }
         let mut after = before.clone();
         let action = match change {
@@ -214,12 +214,12 @@
     }
 
     fn create(&self, name: &str, spec: &Value, who: &str, now: Millis) -> Result<Applied, Denied> {
-        check::name(name)?;
+        validation::name(name)?;
         if self.tenants.contains_key(name) {
             return Err(Denied::Exists(name.to_owned()));
         }
-        if self.tenants.len() >= MOST_TENANTS {
-            return Err(Denied::Full(MOST_TENANTS));
+        if self.tenants.len() >= MAX_TENANTS {
+            return Err(Denied::Full(MAX_TENANTS));
         }
         let revision = self.revision + 1;
         let tenant = Tenant {
@@ -229,7 +229,7 @@
             state: State::Active,
             gone_at_ms: None,
             created_ms: now,
-            spec: check::spec(spec.clone())?,
+            spec: validation::spec(spec.clone())?,
         };
         Ok(self.entry(Action::Create, who, now, None, Some(tenant)))
     }
@@ -248,27 +248,27 @@
         }
         let name = after.as_ref().or(before.as_ref()).map(|t| t.name.clone()).unwrap_or_default();
         let tenant = after.clone();
-        let entry = Entry { revision, at_ms, who: who.to_owned(), action, tenant: name, before, after };
+        let entry = Entry { revision, at_ms, actor: who.to_owned(), action, tenant: name, before, after };
         Applied { tenant, entry: Some(entry) }
     }
 
     /// The next tenant whose grace is over, as an entry to be taken. The clock may step: a grace is never over
     /// before it was told to be by some clock.
-    pub fn due(&self, now: Millis) -> Option<Entry> {
+    pub fn due_removal(&self, now: Millis) -> Option<Entry> {
         let over = |t: &&Tenant| t.gone_at_ms.is_some_and(|at| at <= now);
         let tenant = self.tenants.values().find(over)?.clone();
         self.entry(Action::Gone, PROGRAM, now, Some(tenant), None).entry
     }
 
     /// When [`Book::due`] has something next.
-    pub fn next_due(&self) -> Option<Millis> {
+    pub fn next_removal(&self) -> Option<Millis> {
         self.tenants.values().filter_map(|t| t.gone_at_ms).min()
     }
 
     /// Takes an entry: the one that [`Book::judge`] or [`Book::due`] gave, or the next of a book that is followed.
-    pub fn take(&mut self, entry: &Entry) -> Result<(), Gap> {
+    pub fn apply(&mut self, entry: &Entry) -> Result<(), RevisionGap> {
         if entry.revision != self.revision + 1 {
-            return Err(Gap { book: self.revision, entry: entry.revision });
+            return Err(RevisionGap { snapshot: self.revision, entry: entry.revision });
         }
         match &entry.after {
             Some(tenant) => _ = self.tenants.insert(entry.tenant.clone(), tenant.clone()),
@@ -282,9 +282,9 @@
 /// What is said of a tenant with a merge patch applied.
 fn patched(spec: &Spec, patch: &Value) -> Result<Spec, Denied> {
     if !patch.is_object() {
-        return Err(Fault::new("the body", "a merge patch is a JSON object").into());
+        return Err(FieldError::new("the body", "a merge patch is a JSON object").into());
     }
-    let mut document = serde_json::to_value(spec).map_err(|e| Fault::new("the body", e.to_string()))?;
+    let mut document = serde_json::to_value(spec).map_err(|e| FieldError::new("the body", e.to_string()))?;
     json_patch::merge(&mut document, patch);
-    Ok(check::spec(document)?)
+    Ok(validation::spec(document)?)
 }
--- a/crates/tenancy/tests/follow.rs
+++ b/crates/tenancy/tests/replication.rs
@@ -1,7 +1,9 @@
 //! Followers that lose answers, come late, or whose peer begins anew.
 
-use nettleferry_tenancy::follow::{Ask, Follower, Heard, News, WAIT_MOST};
-use nettleferry_tenancy::{Book, Change, Condition, Entry};
+use nettleferry_tenancy::replication::{
+    Follower, MAX_BACKOFF, ReplicationRequest, ReplicationResponse, Update,
+};
+use nettleferry_tenancy::{Change, Condition, Entry, TenantSnapshot};
 use proptest::prelude::*;
 use serde_json::json;
 
@@ -9,7 +11,7 @@
 #[derive(Default)]
 struct Peer {
     store: &'static str,
-    book: Book,
+    book: TenantSnapshot,
     trail: Vec<Entry>,
 }
 
@@ -22,36 +24,40 @@
             2 => Change::Suspend { name },
             _ => Change::Remove { name, grace_ms: 0 },
         };
-        if let Ok(applied) = self.book.judge(&change, Condition::Any, "p", n)
+        if let Ok(applied) = self.book.evaluate(&change, Condition::Any, "p", n)
             && let Some(entry) = applied.entry
         {
-            self.book.take(&entry).expect("the next");
+            self.book.apply(&entry).expect("the next");
             self.trail.push(entry);
         }
-        while let Some(entry) = self.book.due(n) {
-            self.book.take(&entry).expect("the next");
+        while let Some(entry) = self.book.due_removal(n) {
+            self.book.apply(&entry).expect("the next");
             self.trail.push(entry);
         }
     }
 
-    fn answer(&self, ask: Ask, most: usize) -> Heard {
+    fn answer(&self, ask: ReplicationRequest, most: usize) -> ReplicationResponse {
         match ask {
-            Ask::Snapshot => Heard::Snapshot { store: self.store.to_owned(), book: self.book.clone() },
-            Ask::Watch { store, .. } if store != self.store => Heard::Elsewhere,
-            Ask::Watch { after, .. } if after > self.book.revision() => Heard::Elsewhere,
-            Ask::Watch { after, .. } => {
-                Heard::Entries(self.trail.iter().filter(|e| e.revision > after).take(most).cloned().collect())
+            ReplicationRequest::Snapshot => {
+                ReplicationResponse::Snapshot { store: self.store.to_owned(), snapshot: self.book.clone() }
             }
+            ReplicationRequest::Watch { store, .. } if store != self.store => ReplicationResponse::Diverged,
+            ReplicationRequest::Watch { after, .. } if after > self.book.revision() => {
+                ReplicationResponse::Diverged
+            }
+            ReplicationRequest::Watch { after, .. } => ReplicationResponse::Entries(
+                self.trail.iter().filter(|e| e.revision > after).take(most).cloned().collect(),
+            ),
         }
     }
 }
 
 /// What is in force, by the news alone.
-fn put(force: &mut Book, news: &mut Vec<News>) {
+fn put(force: &mut TenantSnapshot, news: &mut Vec<Update>) {
     for one in news.drain(..) {
         match one {
-            News::Changed(entry) => force.take(&entry).expect("in order, none left out"),
-            News::Began(book) => *force = book,
+            Update::Changed(entry) => force.apply(&entry).expect("in order, none left out"),
+            Update::Replaced(book) => *force = book,
         }
     }
 }
@@ -61,28 +67,28 @@
     let mut peer = Peer::default();
     (0..30).for_each(|n| peer.change(n));
     let mut follower = Follower::new(None, 7);
-    let (mut news, mut force) = (Vec::new(), Book::default());
-    assert_eq!(follower.next(), (Ask::Snapshot, 0));
-    follower.heard(0, peer.answer(Ask::Snapshot, 9), &mut news);
+    let (mut news, mut force) = (Vec::new(), TenantSnapshot::default());
+    assert_eq!(follower.next(), (ReplicationRequest::Snapshot, 0));
+    follower.response_received(0, peer.answer(ReplicationRequest::Snapshot, 9), &mut news);
     put(&mut force, &mut news);
     assert_eq!(force, peer.book);
     let mut waits = Vec::new();
     for _ in 0..12 {
-        follower.heard(1_000, Heard::Failed, &mut news);
+        follower.response_received(1_000, ReplicationResponse::Failed, &mut news);
         waits.push(follower.next().1 - 1_000);
     }
     assert!(
-        waits[0] <= 100 && waits.iter().all(|w| *w <= WAIT_MOST) && waits[11] >= WAIT_MOST / 2,
+        waits[0] <= 100 && waits.iter().all(|w| *w <= MAX_BACKOFF) && waits[11] >= MAX_BACKOFF / 2,
         "{waits:?}"
     );
     // Its store was restored to an earlier revision, and changed since: another truth under the same numbers.
     let mut other = Peer { store: "restored", ..Peer::default() };
     (0..20).for_each(|n| other.change(n * 3));
     let (ask, _) = follower.next();
-    follower.heard(2_000, other.answer(ask, 9), &mut news);
+    follower.response_received(2_000, other.answer(ask, 9), &mut news);
     for _ in 0..3 {
         let (ask, _) = follower.next();
-        follower.heard(3_000, other.answer(ask, 9), &mut news);
+        follower.response_received(3_000, other.answer(ask, 9), &mut news);
     }
     put(&mut force, &mut news);
     assert_eq!(force, other.book);
@@ -96,26 +102,26 @@
         let mut peer = Peer::default();
         peer.change(0);
         let mut follower = Follower::new(kept.then(|| (String::new(), peer.book.clone())), 3);
-        let mut force = follower.book().clone();
+        let mut force = follower.snapshot().clone();
         let mut news = Vec::new();
         for (what, n, most) in steps {
             let (ask, _) = follower.next();
             match what {
                 0 | 1 => peer.change(n),
-                2 => follower.heard(n, Heard::Failed, &mut news),
+                2 => follower.response_received(n, ReplicationResponse::Failed, &mut news),
                 3 => {
                     // An answer to an earlier question comes again.
-                    follower.heard(n, peer.answer(Ask::Watch { store: String::new(), after: 0 }, most), &mut news);
+                    follower.response_received(n, peer.answer(ReplicationRequest::Watch { store: String::new(), after: 0 }, most), &mut news);
                 }
-                _ => follower.heard(n, peer.answer(ask, most), &mut news),
+                _ => follower.response_received(n, peer.answer(ask, most), &mut news),
             }
             put(&mut force, &mut news);
-            prop_assert_eq!(&force, follower.book());
+            prop_assert_eq!(&force, follower.snapshot());
             prop_assert!(force.revision() <= peer.book.revision());
         }
         for _ in 0..400 {
             let (ask, _) = follower.next();
-            follower.heard(0, peer.answer(ask, 2), &mut news);
+            follower.response_received(0, peer.answer(ask, 2), &mut news);
         }
         put(&mut force, &mut news);
         prop_assert_eq!(&force, &peer.book);
--- a/crates/tenancy/tests/book.rs
+++ b/crates/tenancy/tests/snapshot.rs
@@ -4,25 +4,25 @@
 use proptest::prelude::*;
 use serde_json::{Value, json};
 
-fn make(book: &mut Book, change: Change, condition: Condition) -> Result<Applied, Denied> {
-    let applied = book.judge(&change, condition, "ada", 1_000)?;
+fn make(book: &mut TenantSnapshot, change: Change, condition: Condition) -> Result<Applied, Denied> {
+    let applied = book.evaluate(&change, condition, "ada", 1_000)?;
     if let Some(entry) = &applied.entry {
-        book.take(entry).expect("the next");
+        book.apply(entry).expect("the next");
     }
     Ok(applied)
 }
 
-fn create(book: &mut Book, name: &str, spec: Value) -> Result<Applied, Denied> {
+fn create(book: &mut TenantSnapshot, name: &str, spec: Value) -> Result<Applied, Denied> {
     make(book, Change::Create { name: name.to_owned(), spec }, Condition::Any)
 }
 
-fn patch(book: &mut Book, name: &str, patch: Value) -> Result<Applied, Denied> {
+fn patch(book: &mut TenantSnapshot, name: &str, patch: Value) -> Result<Applied, Denied> {
     make(book, Change::Patch { name: name.to_owned(), patch }, Condition::Any)
 }
 
 #[test]
 fn a_merge_patch_changes_what_it_names_and_null_takes_away() {
-    let mut book = Book::default();
+    let mut book = TenantSnapshot::default();
     create(&mut book, "a", json!({"limits": {"rate_per_second": 5, "open_calls": 9}, "models": ["x*"]}))
         .expect("sound");
     let after =
@@ -38,10 +38,10 @@
 
 #[test]
 fn a_fault_names_its_field() {
-    let mut book = Book::default();
+    let mut book = TenantSnapshot::default();
     create(&mut book, "a", json!({})).expect("sound");
     let told = |denied: Result<Applied, Denied>| match denied {
-        Err(Denied::Unsound(fault)) => fault.field,
+        Err(Denied::Invalid(fault)) => fault.field,
         other => panic!("{other:?}"),
     };
     assert_eq!(told(patch(&mut book, "a", json!({"limits": {"open_calls": "many"}}))), "limits.open_calls");
@@ -57,7 +57,7 @@
 
 #[test]
 fn conditions_and_states_are_kept() {
-    let mut book = Book::default();
+    let mut book = TenantSnapshot::default();
     create(&mut book, "a", json!({})).expect("sound");
     assert_eq!(create(&mut book, "a", json!({})), Err(Denied::Exists("a".to_owned())));
     assert_eq!(patch(&mut book, "b", json!({})), Err(Denied::Unknown("b".to_owned())));
@@ -65,24 +65,24 @@
     assert!(make(&mut book, suspend(), Condition::Is(1)).is_ok());
     assert_eq!(
         make(&mut book, Change::Resume { name: "a".to_owned() }, Condition::Is(1)),
-        Err(Denied::Stale { name: "a".to_owned(), is: 2, told: 1 })
+        Err(Denied::Stale { name: "a".to_owned(), current: 2, expected: 1 })
     );
     let remove = || Change::Remove { name: "a".to_owned(), grace_ms: 500 };
     let gone = make(&mut book, remove(), Condition::Any).expect("sound").tenant.expect("still there");
     assert_eq!((gone.state, gone.gone_at_ms), (State::Removing, Some(1_500)));
     assert_eq!(make(&mut book, remove(), Condition::Any).expect("asked twice").entry, None);
     assert_eq!(make(&mut book, suspend(), Condition::Any), Err(Denied::Removing("a".to_owned())));
-    assert_eq!((book.due(1_499), book.next_due()), (None, Some(1_500)));
-    let entry = book.due(1_500).expect("due");
-    book.take(&entry).expect("the next");
-    assert_eq!((entry.action, book.get("a"), book.next_due()), (Action::Gone, None, None));
+    assert_eq!((book.due_removal(1_499), book.next_removal()), (None, Some(1_500)));
+    let entry = book.due_removal(1_500).expect("due");
+    book.apply(&entry).expect("the next");
+    assert_eq!((entry.action, book.get("a"), book.next_removal()), (Action::Gone, None, None));
     let again = create(&mut book, "a", json!({})).expect("its name is free").tenant.expect("there");
     assert_eq!(again.uid, 5, "another tenant");
 }
 
 #[test]
 fn pages_follow_names() {
-    let mut book = Book::default();
+    let mut book = TenantSnapshot::default();
     for name in ["c", "a", "d", "b"] {
         create(&mut book, name, json!({})).expect("sound");
     }
@@ -106,20 +106,20 @@
 proptest! {
     #[test]
     fn entries_replayed_give_the_same_book(changes in prop::collection::vec((change(), 0u64..4), 1..80)) {
-        let (mut book, mut entries, mut now) = (Book::default(), Vec::new(), 0);
+        let (mut book, mut entries, mut now) = (TenantSnapshot::default(), Vec::new(), 0);
         for ((change, condition), gap) in changes {
             now += gap;
-            while let Some(entry) = book.due(now) {
-                book.take(&entry).expect("the next");
+            while let Some(entry) = book.due_removal(now) {
+                book.apply(&entry).expect("the next");
                 entries.push(entry);
             }
             let condition = condition.map_or(Condition::Any, Condition::Is);
             let before = book.clone();
-            match book.judge(&change, condition, "p", now) {
+            match book.evaluate(&change, condition, "p", now) {
                 Ok(applied) => {
                     prop_assert_eq!(&book, &before, "judging changes nothing");
                     if let Some(entry) = applied.entry {
-                        book.take(&entry).expect("the next");
+                        book.apply(&entry).expect("the next");
                         prop_assert_eq!(entry.before.as_ref(), before.get(&entry.tenant));
                         entries.push(entry);
                     }
@@ -128,14 +128,14 @@
                 Err(_) => prop_assert_eq!(&book, &before),
             }
         }
-        let mut replayed = Book::default();
+        let mut replayed = TenantSnapshot::default();
         for entry in &entries {
-            replayed.take(entry).expect("the next");
-            prop_assert!(replayed.take(entry).is_err(), "none twice");
+            replayed.apply(entry).expect("the next");
+            prop_assert!(replayed.apply(entry).is_err(), "none twice");
         }
         prop_assert_eq!(&replayed, &book);
         let text = serde_json::to_string(&book).expect("json");
-        let back: Book = serde_json::from_str(&text).expect("json");
+        let back: TenantSnapshot = serde_json::from_str(&text).expect("json");
         prop_assert_eq!(back, book);
     }
 }
--- a/crates/tenant-store/src/cell.rs
+++ b/crates/tenant-store/src/cell.rs
@@ -16,7 +16,7 @@
 }
 
 /// Encodes a value.
-pub fn write(value: &impl Serialize) -> Result<Vec<u8>, serde_json::Error> {
+pub fn encode(value: &impl Serialize) -> Result<Vec<u8>, serde_json::Error> {
     let json = serde_json::to_vec(value)?;
     let mut out = Vec::with_capacity(4 + json.len());
     out.extend_from_slice(&crc32fast::hash(&json).to_le_bytes());
@@ -25,7 +25,7 @@
 }
 
 /// Reads one.
-pub fn read<T: DeserializeOwned>(table: &'static str, key: &str, bytes: &[u8]) -> Result<T, Damaged> {
+pub fn decode<T: DeserializeOwned>(table: &'static str, key: &str, bytes: &[u8]) -> Result<T, Damaged> {
     let damaged = |what: String| Damaged { table, key: key.to_owned(), what };
     let Some((sum, json)) = bytes.split_first_chunk::<4>() else {
         return Err(damaged(format!("{} bytes", bytes.len())));
--- a/crates/tenant-store/src/snapshot.rs
+++ b/crates/tenant-store/src/snapshot.rs
@@ -6,7 +6,7 @@
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 
-use nettleferry_tenancy::{Book, Entry, Revision, Tenant};
+use nettleferry_tenancy::{Entry, Revision, Tenant, TenantSnapshot};
 use serde::{Deserialize, Serialize};
 
 use crate::origin::Origin;
@@ -41,7 +41,7 @@
     },
     /// It is not what was written.
     #[error("the snapshot {path}, line {line}: {what}")]
-    Unsound {
+    Invalid {
         /// The file.
         path: PathBuf,
         /// The line, from 1.
@@ -69,14 +69,14 @@
 
 impl Snapshot {
     /// A book without its audit trail: what a controller needs to go on.
-    pub fn of(book: &Book, origin: Option<Origin>) -> Self {
+    pub fn from_tenants(book: &TenantSnapshot, origin: Option<Origin>) -> Self {
         let tenants = book.tenants().cloned().collect();
         Self { revision: book.revision(), tenants, audit: Vec::new(), origin }
     }
 
     /// As a book.
-    pub fn book(&self) -> Book {
-        Book::of(self.revision, self.tenants.iter().cloned())
+    pub fn tenant_snapshot(&self) -> TenantSnapshot {
+        TenantSnapshot::from_tenants(self.revision, self.tenants.iter().cloned())
     }
 
     /// Writes it.
@@ -107,7 +107,7 @@
     pub fn read(path: &Path) -> Result<Self, SnapshotError> {
         let text =
             fs::read_to_string(path).map_err(|source| SnapshotError::Io { path: path.to_owned(), source })?;
-        let unsound = |line: usize, what: String| SnapshotError::Unsound {
+        let unsound = |line: usize, what: String| SnapshotError::Invalid {
             path: path.to_owned(),
             line: line + 1,
             what,
--- a/crates/tenant-store/src/store.rs
+++ b/crates/tenant-store/src/store.rs
@@ -6,7 +6,7 @@
 use crate::cell::{self, Damaged};
 use crate::origin::Origin;
 use crate::snapshot::Snapshot;
-use nettleferry_tenancy::{Book, Entry, Once, Revision, Tenant};
+use nettleferry_tenancy::{Entry, IdempotentResponse, Revision, Tenant, TenantSnapshot};
 use redb::{
     Database, ReadableDatabase, ReadableTable, ReadableTableMetadata, StorageBackend, TableDefinition,
 };
@@ -14,7 +14,7 @@
 /// The format that is written. 1 had values without checksums.
 pub const FORMAT: u64 = 2;
 /// Answers that are kept to be given again; the oldest go first.
-pub const MOST_ONCE: u64 = 10_000;
+pub const MAX_IDEMPOTENT_RESPONSES: u64 = 10_000;
 
 const META: TableDefinition<&str, u64> = TableDefinition::new("meta");
 const TENANTS: TableDefinition<&str, &[u8]> = TableDefinition::new("tenants");
@@ -68,7 +68,7 @@
 
 impl StoreError {
     /// May it pass, as the file could not be read or written just now? Else the file is not what it should be.
-    pub fn passes(&self) -> bool {
+    pub fn is_transient(&self) -> bool {
         match self {
             Self::Database { source, .. } => matches!(**source, redb::Error::Io(_) | redb::Error::PreviousIo),
             Self::File { .. } | Self::Unavailable => true,
@@ -103,7 +103,7 @@
 impl Store {
     /// Opens a file, or makes it, and reads what is there. A file that can't be trusted is an error, and is left
     /// as it is.
-    pub fn open(path: &Path) -> Result<(Self, Book), StoreError> {
+    pub fn open(path: &Path) -> Result<(Self, TenantSnapshot), StoreError> {
         let file = |source| StoreError::File { path: path.to_owned(), source };
         if let Some(folder) = path.parent().filter(|p| !p.as_os_str().is_empty()) {
             std::fs::create_dir_all(folder).map_err(file)?;
@@ -117,7 +117,7 @@
     }
 
     /// The same on any storage: for tests that fail it.
-    pub fn on(backend: impl StorageBackend + Clone) -> Result<(Self, Book), StoreError> {
+    pub fn on(backend: impl StorageBackend + Clone) -> Result<(Self, TenantSnapshot), StoreError> {
         let open = move || {
             let opened = Database::builder().create_with_backend(backend.clone());
             checked(opened.map_err(database(OPENING))?)
@@ -125,7 +125,7 @@
         Self::start(Box::new(open))
     }
 
-    fn start(opener: Opener) -> Result<(Self, Book), StoreError> {
+    fn start(opener: Opener) -> Result<(Self, TenantSnapshot), StoreError> {
         let database = Some(opener()?);
         let mut store = Self { database, opener, failed: false, doubtful: None };
         store.migrate()?;
@@ -139,7 +139,7 @@
 
     /// Opens the database again after a failure of its file, and takes back what the failed change may have left
     /// there: it was told as not kept. Does nothing where nothing has failed.
-    pub fn heal(&mut self) -> Result<(), StoreError> {
+    pub fn reopen(&mut self) -> Result<(), StoreError> {
         if !self.failed && self.database.is_some() {
             return Ok(());
         }
@@ -147,13 +147,13 @@
         drop(self.database.take());
         self.database = Some((self.opener)()?);
         if let Some(doubtful) = &self.doubtful {
-            self.take_back(doubtful)?;
+            self.undo(doubtful)?;
         }
         (self.failed, self.doubtful) = (false, None);
         Ok(())
     }
 
-    fn take_back(&self, doubtful: &Doubtful) -> Result<(), StoreError> {
+    fn undo(&self, doubtful: &Doubtful) -> Result<(), StoreError> {
         let Doubtful { entry, once } = doubtful;
         let fail = || database::<redb::TableError>("a change that failed can't be taken back");
         let storage = || database::<redb::StorageError>("a change that failed can't be taken back");
@@ -170,7 +170,7 @@
             let mut tenants = write.open_table(TENANTS).map_err(fail())?;
             match &entry.before {
                 Some(tenant) => {
-                    let value = cell::write(tenant)?;
+                    let value = cell::encode(tenant)?;
                     tenants.insert(entry.tenant.as_str(), value.as_slice()).map_err(storage())?;
                 }
                 None => _ = tenants.remove(entry.tenant.as_str()).map_err(storage())?,
@@ -208,7 +208,7 @@
                     };
                     for (key, json) in old {
                         let tenant: Tenant = serde_json::from_slice(&json)?;
-                        tenants.insert(key.as_str(), cell::write(&tenant)?.as_slice()).map_err(storage())?;
+                        tenants.insert(key.as_str(), cell::encode(&tenant)?.as_slice()).map_err(storage())?;
                     }
                     let old: Vec<(u64, Vec<u8>)> = {
                         let all = audit.iter().map_err(storage())?;
@@ -219,7 +219,7 @@
                     };
                     for (key, json) in old {
                         let entry: Entry = serde_json::from_slice(&json)?;
-                        audit.insert(key, cell::write(&entry)?.as_slice()).map_err(storage())?;
+                        audit.insert(key, cell::encode(&entry)?.as_slice()).map_err(storage())?;
                     }
                 }
                 None => {}
@@ -249,7 +249,7 @@
 
     /// Puts a book in the place of all that is there, in one transaction: the audit trail and the answers that were
     /// kept go with it. For a book that was taken over from elsewhere.
-    pub fn adopt(&mut self, book: &Book, origin: &Origin) -> Result<(), StoreError> {
+    pub fn install(&mut self, book: &TenantSnapshot, origin: &Origin) -> Result<(), StoreError> {
         let fail = || database::<redb::TableError>("the book can't be kept");
         let storage = || database::<redb::StorageError>("the book can't be kept");
         let write = self.database()?.begin_write().map_err(database("the book can't be kept"))?;
@@ -260,7 +260,7 @@
             write.open_table(ONCE).map_err(fail())?.retain(|_, _| false).map_err(storage())?;
             write.open_table(ONCE_ORDER).map_err(fail())?.retain(|_, _| false).map_err(storage())?;
             for tenant in book.tenants() {
-                tenants.insert(tenant.name.as_str(), cell::write(tenant)?.as_slice()).map_err(storage())?;
+                tenants.insert(tenant.name.as_str(), cell::encode(tenant)?.as_slice()).map_err(storage())?;
             }
             let mut meta = write.open_table(META).map_err(fail())?;
             meta.insert("revision", book.revision()).map_err(storage())?;
@@ -270,7 +270,7 @@
         write.commit().map_err(database("the book can't be kept"))
     }
 
-    fn book(&self) -> Result<Book, StoreError> {
+    fn book(&self) -> Result<TenantSnapshot, StoreError> {
         let read = self.database()?.begin_read().map_err(database("the tenant store can't be read"))?;
         let fail = || database::<redb::TableError>("the tenant store can't be read");
         let storage = || database::<redb::StorageError>("the tenant store can't be read");
@@ -279,7 +279,7 @@
         let mut all: Vec<Tenant> = Vec::new();
         for row in read.open_table(TENANTS).map_err(fail())?.iter().map_err(storage())? {
             let (key, value) = row.map_err(storage())?;
-            let tenant: Tenant = cell::read("tenants", key.value(), value.value())?;
+            let tenant: Tenant = cell::decode("tenants", key.value(), value.value())?;
             if tenant.name != key.value() || tenant.revision > revision {
                 let what = format!("tenant {} at revision {} of {revision}", tenant.name, tenant.revision);
                 return Err(StoreError::Inconsistent(what));
@@ -294,29 +294,33 @@
             let what = format!("the audit trail ends at {last}, the tenants at {revision}");
             return Err(StoreError::Inconsistent(what));
         }
-        Ok(Book::of(revision, all))
+        Ok(TenantSnapshot::from_tenants(revision, all))
     }
 
     /// Keeps a change, and the answer under its key where it has one. Durable when this returns; on an error nothing of
     /// it is there, or it is taken back before anything else is kept. What fails for a moment is tried once more.
-    pub fn commit(&mut self, entry: &Entry, once: Option<(&str, &Once)>) -> Result<(), StoreError> {
-        self.heal()?;
+    pub fn commit(
+        &mut self,
+        entry: &Entry,
+        once: Option<(&str, &IdempotentResponse)>,
+    ) -> Result<(), StoreError> {
+        self.reopen()?;
         match self.put(entry, once) {
-            Err(why) if why.passes() => {}
+            Err(why) if why.is_transient() => {}
             done => return done,
         }
         let key = once.map(|(key, _)| key.to_owned());
         (self.failed, self.doubtful) = (true, Some(Doubtful { entry: entry.clone(), once: key }));
-        self.heal()?;
+        self.reopen()?;
         let kept = self.put(entry, once);
-        if kept.as_ref().is_err_and(StoreError::passes) {
+        if kept.as_ref().is_err_and(StoreError::is_transient) {
             let key = once.map(|(key, _)| key.to_owned());
             (self.failed, self.doubtful) = (true, Some(Doubtful { entry: entry.clone(), once: key }));
         }
         kept
     }
 
-    fn put(&mut self, entry: &Entry, once: Option<(&str, &Once)>) -> Result<(), StoreError> {
+    fn put(&mut self, entry: &Entry, once: Option<(&str, &IdempotentResponse)>) -> Result<(), StoreError> {
         let fail = || database::<redb::TableError>("the change can't be kept");
         let storage = || database::<redb::StorageError>("the change can't be kept");
         let write = self.database()?.begin_write().map_err(database("the change can't be kept"))?;
@@ -332,19 +336,19 @@
             match &entry.after {
                 Some(tenant) => {
                     tenants
-                        .insert(entry.tenant.as_str(), cell::write(tenant)?.as_slice())
+                        .insert(entry.tenant.as_str(), cell::encode(tenant)?.as_slice())
                         .map_err(storage())?;
                 }
                 None => _ = tenants.remove(entry.tenant.as_str()).map_err(storage())?,
             }
             let mut audit = write.open_table(AUDIT).map_err(fail())?;
-            audit.insert(entry.revision, cell::write(entry)?.as_slice()).map_err(storage())?;
+            audit.insert(entry.revision, cell::encode(entry)?.as_slice()).map_err(storage())?;
             if let Some((key, answer)) = once {
                 let mut answers = write.open_table(ONCE).map_err(fail())?;
                 let mut order = write.open_table(ONCE_ORDER).map_err(fail())?;
-                answers.insert(key, cell::write(answer)?.as_slice()).map_err(storage())?;
+                answers.insert(key, cell::encode(answer)?.as_slice()).map_err(storage())?;
                 order.insert(entry.revision, key).map_err(storage())?;
-                if order.len().map_err(storage())? > MOST_ONCE {
+                if order.len().map_err(storage())? > MAX_IDEMPOTENT_RESPONSES {
                     let oldest = order.pop_first().map_err(storage())?.map(|(_, k)| k.value().to_owned());
                     if let Some(oldest) = oldest {
                         answers.remove(oldest.as_str()).map_err(storage())?;
@@ -356,11 +360,11 @@
     }
 
     /// The answer kept under a key.
-    pub fn once(&self, key: &str) -> Result<Option<Once>, StoreError> {
+    pub fn idempotent_response(&self, key: &str) -> Result<Option<IdempotentResponse>, StoreError> {
         let read = self.database()?.begin_read().map_err(database("the tenant store can't be read"))?;
         let answers = read.open_table(ONCE).map_err(database("the tenant store can't be read"))?;
         let found = answers.get(key).map_err(database("the tenant store can't be read"))?;
-        found.map(|bytes| Ok(cell::read("once", key, bytes.value())?)).transpose()
+        found.map(|bytes| Ok(cell::decode("once", key, bytes.value())?)).transpose()
     }
 
     /// At most `most` entries of the audit trail after a revision, in order; of one tenant, where told.
@@ -374,7 +378,7 @@
                 break;
             }
             let (key, value) = row.map_err(storage())?;
-            let entry: Entry = cell::read("audit", &key.value().to_string(), value.value())?;
+            let entry: Entry = cell::decode("audit", &key.value().to_string(), value.value())?;
             if of.is_none_or(|name| entry.tenant == name) {
                 all.push(entry);
             }
@@ -413,11 +417,11 @@
             }
             let mut tenants = write.open_table(TENANTS).map_err(fail())?;
             for tenant in &snapshot.tenants {
-                tenants.insert(tenant.name.as_str(), cell::write(tenant)?.as_slice()).map_err(storage())?;
+                tenants.insert(tenant.name.as_str(), cell::encode(tenant)?.as_slice()).map_err(storage())?;
             }
             let mut audit = write.open_table(AUDIT).map_err(fail())?;
             for entry in &snapshot.audit {
-                audit.insert(entry.revision, cell::write(entry)?.as_slice()).map_err(storage())?;
+                audit.insert(entry.revision, cell::encode(entry)?.as_slice()).map_err(storage())?;
             }
         }
         write.commit().map_err(database("the snapshot can't be kept"))
--- a/crates/tenant-store/tests/crash.rs
+++ b/crates/tenant-store/tests/crash.rs
@@ -4,7 +4,7 @@
 use std::io;
 use std::sync::{Arc, Mutex};
 
-use nettleferry_tenancy::{Book, Change, Condition, Entry, Once};
+use nettleferry_tenancy::{Change, Condition, Entry, IdempotentResponse, TenantSnapshot};
 use nettleferry_tenant_store::{Snapshot, Store};
 use redb::StorageBackend;
 use serde_json::json;
@@ -76,16 +76,16 @@
     }
 }
 
-fn entry(book: &Book, change: &Change) -> Entry {
-    book.judge(change, Condition::Any, "ada", 1_000).expect("sound").entry.expect("a change")
+fn entry(book: &TenantSnapshot, change: &Change) -> Entry {
+    book.evaluate(change, Condition::Any, "ada", 1_000).expect("sound").entry.expect("a change")
 }
 
-fn create(book: &Book, name: &str) -> Entry {
+fn create(book: &TenantSnapshot, name: &str) -> Entry {
     entry(book, &Change::Create { name: name.to_owned(), spec: json!({"limits": {"open_calls": 5}}) })
 }
 
-fn once(revision: u64) -> Once {
-    Once { fingerprint: 7, status: 201, revision, body: "{}".to_owned(), at_ms: 1 }
+fn once(revision: u64) -> IdempotentResponse {
+    IdempotentResponse { fingerprint: 7, status: 201, revision, body: "{}".to_owned(), at_ms: 1 }
 }
 
 #[test]
@@ -95,7 +95,7 @@
     for name in ["a", "b", "c"] {
         let entry = create(&book, name);
         store.commit(&entry, None).expect("kept");
-        book.take(&entry).expect("the next");
+        book.apply(&entry).expect("the next");
     }
     drop(store);
     let base = disk.inner().now.clone();
@@ -109,7 +109,7 @@
     for change in changes {
         let next = entry(&book, &change);
         let mut after = book.clone();
-        after.take(&next).expect("the next");
+        after.apply(&next).expect("the next");
         for dies_at in 0.. {
             let disk = Disk::holding(base.clone(), None);
             let Ok((mut store, _)) = Store::on(disk.clone()) else { panic!("it opens") };
@@ -126,7 +126,7 @@
             };
             for left in left {
                 let (store, found) = Store::on(Disk::holding(left, None)).expect("it opens again");
-                let answer = store.once("k").expect("readable");
+                let answer = store.idempotent_response("k").expect("readable");
                 if found == after {
                     whole += 1;
                     assert_eq!(answer, Some(once(next.revision)), "its answer is there with it");
@@ -161,7 +161,7 @@
         if !left.is_empty()
             && let Ok((_, book)) = Store::on(Disk::holding(left, None))
         {
-            assert_eq!(book, Book::default());
+            assert_eq!(book, TenantSnapshot::default());
         }
     }
 }
@@ -174,7 +174,7 @@
     for n in 0..40 {
         let entry = create(&book, &format!("tenant-{n}"));
         store.commit(&entry, None).expect("kept");
-        book.take(&entry).expect("the next");
+        book.apply(&entry).expect("the next");
     }
     drop(store);
     let bytes = std::fs::read(&path).expect("readable");
@@ -201,13 +201,13 @@
     for name in ["a", "b"] {
         let entry = create(&book, name);
         store.commit(&entry, None).expect("kept");
-        book.take(&entry).expect("the next");
+        book.apply(&entry).expect("the next");
     }
     let file = dir.path().join("s.snapshot");
     store.snapshot().expect("read").write(&file).expect("written");
     let back = Snapshot::read(&file).expect("sound");
     let (mut other, empty) = Store::open(&dir.path().join("b.redb")).expect("opens");
-    assert_eq!(empty, Book::default());
+    assert_eq!(empty, TenantSnapshot::default());
     other.restore(&back, 5).expect("kept");
     let now = other.snapshot().expect("read");
     let (was, is) = (back.origin.clone().expect("told"), now.origin.clone().expect("told"));
@@ -232,7 +232,7 @@
     const AUDIT: TableDefinition<u64, &[u8]> = TableDefinition::new("audit");
     let dir = tempfile::tempdir().expect("a folder");
     let path = dir.path().join("old.redb");
-    let entry = create(&Book::default(), "a");
+    let entry = create(&TenantSnapshot::default(), "a");
     let format = |number: u64| {
         let database = Database::create(&path).expect("made");
         let write = database.begin_write().expect("begins");
@@ -267,7 +267,7 @@
             let (mut store, mut book) = Store::on(disk.clone()).expect("opens");
             let first = create(&book, "a");
             store.commit(&first, None).expect("kept");
-            book.take(&first).expect("the next");
+            book.apply(&first).expect("the next");
             {
                 let mut inner = disk.inner();
                 let from = inner.operations + fails_at;
@@ -277,7 +277,7 @@
             match store.commit(&doubtful, Some(("k", &once(doubtful.revision)))) {
                 Ok(()) => {
                     kept_at_once += 1;
-                    book.take(&doubtful).expect("the next");
+                    book.apply(&doubtful).expect("the next");
                 }
                 Err(_) => refused += 1,
             }
@@ -285,8 +285,8 @@
             (disk.inner().dies_at, disk.inner().well_at) = (None, None);
             let later = create(&book, "c");
             store.commit(&later, None).unwrap_or_else(|e| panic!("span {span}, fails at {fails_at}: {e}"));
-            book.take(&later).expect("the next");
-            let answered = store.once("k").expect("readable").is_some();
+            book.apply(&later).expect("the next");
+            let answered = store.idempotent_response("k").expect("readable").is_some();
             drop(store);
             let (store, found) = Store::on(disk.clone()).expect("opens again");
             assert_eq!(found, book, "span {span}, fails at {fails_at}");
