--- a/crates/gateway/src/commands/fleet/audit.rs
+++ b/crates/gateway/src/commands/fleet/audit.rs
@@ -4,8 +4,8 @@
 use std::path::Path;
 
 use nettleferry_administration::ADMINISTRATION;
-use nettleferry_audit_log::audit::{Audit, Report};
-use nettleferry_audit_log::chain::{self, ChainError, Checked};
+use nettleferry_audit_log::chain::{self, ChainError, CheckedLog};
+use nettleferry_audit_log::{Audit, Report};
 use serde_json::{Value, json};
 
 use super::super::admin::{Api, Client, escaped};
@@ -21,7 +21,7 @@
 struct FetchedLog {
     /// Whose it is: a controller as the leader names it, or a folder.
     source: String,
-    checked: Checked,
+    checked: CheckedLog,
 }
 
 /// The audit logs that the leader has.
@@ -64,12 +64,12 @@
     let mut audit = Audit::default();
     for FetchedLog { source, checked } in &fetched.logs {
         if source == ADMINISTRATION {
-            audit.administration(fetched.leader, &checked.lines);
+            audit.add_leader(fetched.leader, &checked.entries);
         } else {
-            audit.controller(fetched.leader, &checked.lines, false);
+            audit.add_controller(fetched.leader, &checked.entries, false);
         }
-        for fault in &checked.faults {
-            audit.fault(None, format!("record of {source}: {fault}"));
+        for fault in &checked.errors {
+            audit.add_fault(None, format!("record of {source}: {fault}"));
         }
     }
     audit.report()
@@ -94,7 +94,7 @@
     let mut verified = Verified { output: Output { json: json!([]), lines: Vec::new() }, complete: true };
     let mut rows = Vec::new();
     for log in &logs {
-        let complete = log.checked.faults.iter().all(is_expected);
+        let complete = log.checked.errors.iter().all(is_expected);
         verified.complete &= complete;
         verified.output.lines.extend(log_lines(log, complete));
         rows.push(log_row(log, complete));
@@ -105,19 +105,19 @@
 
 /// The oldest entries go by the log's bound: a log that begins later is not damaged.
 fn is_expected(fault: &ChainError) -> bool {
-    matches!(fault, ChainError::Begins { .. })
+    matches!(fault, ChainError::Truncated { .. })
 }
 
 fn log_lines(log: &FetchedLog, complete: bool) -> Vec<String> {
     let state = if complete { "whole" } else { "NOT whole" };
     let FetchedLog { source, checked } = log;
-    let mut lines = vec![format!("record of {source}: {} lines, {state}", checked.lines.len())];
-    lines.extend(checked.faults.iter().map(|fault| format!("  {fault}")));
+    let mut lines = vec![format!("record of {source}: {} lines, {state}", checked.entries.len())];
+    lines.extend(checked.errors.iter().map(|fault| format!("  {fault}")));
     lines
 }
 
 fn log_row(log: &FetchedLog, complete: bool) -> Value {
     let FetchedLog { source, checked } = log;
-    let faults: Vec<String> = checked.faults.iter().map(ToString::to_string).collect();
-    json!({ "of": source, "lines": checked.lines.len(), "whole": complete, "faults": faults })
+    let faults: Vec<String> = checked.errors.iter().map(ToString::to_string).collect();
+    json!({ "of": source, "lines": checked.entries.len(), "whole": complete, "faults": faults })
 }
--- a/crates/gateway/src/commands/fleet/timeline.rs
+++ b/crates/gateway/src/commands/fleet/timeline.rs
@@ -2,7 +2,7 @@
 
 use std::path::Path;
 
-use nettleferry_audit_log::audit::{Actor, Certainty, Incarnation, Report};
+use nettleferry_audit_log::findings::{Actor, Certainty, Incarnation, Report};
 use plotters::coord::Shift;
 use plotters::coord::types::RangedCoordf64;
 use plotters::prelude::*;
@@ -50,7 +50,7 @@
             .iter()
             .filter_map(|actor| Some(Bar { actor, from: seconds(actor.from?), to: seconds(actor.to?) }))
             .collect();
-        let mut rows: Vec<Incarnation> = bars.iter().map(|bar| bar.actor.who).collect();
+        let mut rows: Vec<Incarnation> = bars.iter().map(|bar| bar.actor.incarnation).collect();
         rows.sort();
         rows.dedup();
         let begin = bars.iter().map(|bar| bar.from).fold(f64::INFINITY, f64::min).min(0.0);
@@ -87,23 +87,24 @@
 
     fn draw_bars(&self, chart: &mut Chart) -> Result<(), PlotError> {
         for Bar { actor, from, to } in &self.bars {
-            let row = self.row(actor.who);
-            let colour = Palette99::pick(actor.book.1 as usize).mix(0.7);
+            let row = self.row(actor.incarnation);
+            let colour = Palette99::pick(actor.version.revision as usize).mix(0.7);
             let corners = [(*from, row + 0.2), (to.max(from + self.end * SHORTEST_BAR), row + 0.8)];
             chart.draw_series([Rectangle::new(corners, colour.filled())])?;
-            let text = Text::new(actor.book.1.to_string(), (*from, row + 0.62), ("sans-serif", 11));
+            let text = Text::new(actor.version.revision.to_string(), (*from, row + 0.62), ("sans-serif", 11));
             chart.draw_series([text])?;
         }
         Ok(())
     }
 
     fn draw_stale(&self, chart: &mut Chart) -> Result<(), PlotError> {
-        for found in &self.report.behind {
-            let matches = |bar: &&Bar| bar.actor.who == found.who && bar.actor.book == found.book;
+        for found in &self.report.stale_activity {
+            let matches =
+                |bar: &&Bar| bar.actor.incarnation == found.incarnation && bar.actor.version == found.version;
             let Some(bar) = self.bars.iter().find(matches) else { continue };
-            let row = self.row(found.who);
+            let row = self.row(found.incarnation);
             let since = (bar.to - found.most_ms as f64 / 1000.0).max(bar.from);
-            let colour = if found.sure == Certainty::Certain { RED.mix(0.5) } else { RED.mix(0.2) };
+            let colour = if found.certainty == Certainty::Certain { RED.mix(0.5) } else { RED.mix(0.2) };
             let corners = [(since, row + 0.05), (bar.to, row + 0.95)];
             chart.draw_series([Rectangle::new(corners, colour.filled())])?;
         }
--- a/crates/gateway/src/controller/audit.rs
+++ b/crates/gateway/src/controller/audit.rs
@@ -1,6 +1,6 @@
 //! What the controller enters into its audit log, where it has one.
 
-use nettleferry_audit_log::{Act, Recorder, View};
+use nettleferry_audit_log::{Event, Recorder, View};
 use nettleferry_tenancy::{Entry, Tenant};
 
 use super::{AuditLog, Controller};
@@ -38,15 +38,15 @@
             settings: self.config.sum,
             program: env!("CARGO_PKG_VERSION").to_owned(),
         };
-        self.record(|recorder, now, names| recorder.acts_on(now, view, names));
+        self.record(|recorder, now, names| recorder.view_applied(now, view, names));
     }
 }
 
 /// The event of a change of a tenant's state; changes of limits show in the views.
-pub(super) fn tenant_event(change: &Entry) -> Option<Act> {
+pub(super) fn tenant_event(change: &Entry) -> Option<Event> {
     let state_name = |tenant: &Tenant| format!("{:?}", tenant.state).to_lowercase();
     let before = change.before.as_ref().map(state_name);
     let after = change.after.as_ref().map(state_name);
     let state = after.clone().unwrap_or_else(|| "gone".to_owned());
-    (before != after).then(|| Act::Tenant { tenant: change.tenant.clone(), state })
+    (before != after).then(|| Event::Tenant { tenant: change.tenant.clone(), state })
 }
--- a/crates/gateway/src/controller/commands.rs
+++ b/crates/gateway/src/controller/commands.rs
@@ -1,7 +1,7 @@
 //! Execution of the engine's commands, until none is left.
 
 use nettleferry::Micros;
-use nettleferry_audit_log::Act;
+use nettleferry_audit_log::Event as AuditEvent;
 use nettleferry_engine::{AttemptEnd, Command, Event};
 use tracing::{debug, warn};
 
@@ -106,8 +106,8 @@
         if lease.action_finished(started_at / 1000, now / 1000) {
             let paused_us = now - started_at;
             warn!(paused_us, "lease expired while calls were being accepted: the process was paused");
-            let event = Act::Doubtful { stood_ms: paused_us / 1000 };
-            self.record(|recorder, now, names| recorder.one(now, event, names));
+            let event = AuditEvent::LeaseEndedMeanwhile { stalled_ms: paused_us / 1000 };
+            self.record(|recorder, now, names| recorder.event(now, event, names));
         }
     }
 }
--- a/crates/gateway/src/front/accept.rs
+++ b/crates/gateway/src/front/accept.rs
@@ -167,7 +167,7 @@
             let names = Known { tenants: context.tenants.as_deref(), engine: context.engine };
             recorder.stage(now, stage.as_str(), &names);
             if !stage.accepts_calls() {
-                recorder.refused(now);
+                recorder.call_rejected(now);
             }
         }
         if stage.accepts_calls() {
