--- /dev/null
+++ b/crates/gateway/src/controller/commands.rs
@@ -0,0 +1,113 @@
+//! Execution of the engine's commands, until none is left.
+
+use nettleferry::Micros;
+use nettleferry_audit_log::Event as AuditEvent;
+use nettleferry_engine::{AttemptEnd, Command, Event};
+use tracing::{debug, warn};
+
+use super::Controller;
+use crate::front::{Front, FrontContext};
+use crate::worker_links::LoadOrder;
+
+impl Controller {
+    /// Executes what the engine commands, and what it commands in return, until nothing is left.
+    pub(super) fn execute_commands(&mut self) {
+        while !self.commands.is_empty() {
+            for command in std::mem::take(&mut self.commands) {
+                if let Some(event) = self.execute(command) {
+                    self.notify_engine(event);
+                }
+            }
+        }
+    }
+
+    /// Executes one command. `Some`: what it began has ended at once.
+    fn execute(&mut self, command: Command) -> Option<Event> {
+        let hub = &mut self.hub;
+        match command {
+            Command::Start { attempt, worker, streamed, time_left, body } => {
+                if let Some((worker, model)) = self.engine.describe(attempt) {
+                    debug!(call = attempt.call.0, attempt = attempt.number, %worker, model = %model.name, "attempt started");
+                }
+                if let Some(audit_log) = &mut self.audit_log {
+                    audit_log.recorder.attempt(self.clock.now_ms(), worker.0);
+                }
+                return self.worker_links.start_attempt(hub, attempt, worker, streamed, time_left, body);
+            }
+            Command::Cancel { attempt } | Command::Abandon { attempt } => {
+                self.worker_links.cancel(hub, attempt)
+            }
+            // Its stream is open, so the client has disconnected already.
+            Command::CancelLoad { .. } => {}
+            Command::Pause { attempt } => self.worker_links.pause(hub, attempt),
+            Command::Resume { attempt } => self.worker_links.resume(hub, attempt),
+            Command::ResponsePart { front, payload, .. } => {
+                self.with_front(|handler, context| handler.send_part(context, front, payload));
+            }
+            Command::Answer { call, front, answer } => {
+                debug!(call = call.0, ?answer, "final answer");
+                self.with_front(|handler, context| handler.answer(context, call, front, answer));
+            }
+            Command::Load { request_id, worker, model, version, copies } => {
+                debug!(worker = %self.engine.names().worker_name(worker), %model, copies, "load ordered");
+                let memory_bytes = self.config.models.find(&model).and_then(|model| model.memory);
+                if let Some(audit_log) = &mut self.audit_log {
+                    audit_log.recorder.order(self.clock.now_ms(), worker.0);
+                }
+                let order = LoadOrder { model: &model, version: &version, memory_bytes, replicas: copies };
+                return self.worker_links.load(hub, request_id, worker, &order);
+            }
+            Command::Unload { worker, model, .. } => self.worker_links.unload(hub, worker, &model),
+            Command::Probe { request_id, worker } => return self.worker_links.probe(hub, request_id, worker),
+            Command::ForgetControlRequest { request_id } => {
+                self.worker_links.cancel_control_request(hub, request_id)
+            }
+            Command::WatchList | Command::FetchList => self.list_watcher.request_update(),
+            Command::Log(line) => warn!("{line}"),
+        }
+        None
+    }
+
+    /// Gives an event to the engine.
+    pub(super) fn notify_engine(&mut self, event: Event) {
+        if let Event::AttemptEnded { attempt, end, .. } = &event
+            && *end != AttemptEnd::Served
+            && let Some((worker, model)) = self.engine.describe(*attempt)
+        {
+            debug!(call = attempt.call.0, attempt = attempt.number, %worker, model = %model.name, %end, "attempt ended");
+        }
+        self.engine.handle(self.clock.now(), event, &mut self.commands);
+    }
+
+    /// Lets the front handle something, and checks that the lease still held when it had accepted a call.
+    pub(super) fn with_front<T>(&mut self, handle: impl FnOnce(&mut Front, &mut FrontContext) -> T) -> T {
+        let (now, opened_before) = (self.clock.now(), self.front.opened);
+        let mut context = FrontContext {
+            hub: &mut self.hub,
+            engine: &mut self.engine,
+            commands: &mut self.commands,
+            tenants: self.tenants.as_mut(),
+            limiter: self.restart_admission.limiter.as_mut(),
+            lease: self.lease.as_mut(),
+            recorder: self.audit_log.as_mut().map(|audit_log| &mut audit_log.recorder),
+            now,
+        };
+        let result = handle(&mut self.front, &mut context);
+        if self.front.opened != opened_before {
+            self.check_lease_after_accepting(now);
+        }
+        result
+    }
+
+    /// A process that was paused between reading the clock and accepting a call may have outlived its lease.
+    fn check_lease_after_accepting(&mut self, started_at: Micros) {
+        let Some(lease) = &mut self.lease else { return };
+        let now = self.clock.now();
+        if lease.action_finished(started_at / 1000, now / 1000) {
+            let paused_us = now - started_at;
+            warn!(paused_us, "lease expired while calls were being accepted: the process was paused");
+            let event = AuditEvent::LeaseEndedMeanwhile { stalled_ms: paused_us / 1000 };
+            self.record(|recorder, now, names| recorder.event(now, event, names));
+        }
+    }
+}
--- a/crates/node/src/reasons.rs
+++ b/crates/node/src/reasons.rs
@@ -1,7 +1,7 @@
-//! Why requests ended as they did, why they were sent again, and why clients' connections were closed: counters by
-//! reason, and the words for the log.
+//! Why requests ended as they did, why they were retried, and why clients' connections were closed: counters by reason,
+//! and their names for the log.
 
-use nettleferry_engine::{Cause, End, Ended, Refusal};
+use nettleferry_engine::{AttemptEnd, Cause, FinalAnswer, Refusal};
 
 /// How a request ended, and why.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -18,11 +18,11 @@
     TooManyOpen,
     /// Refused: no time was left when it was opened.
     NoTime,
-    /// Refused: its client's side had ended before it was opened.
+    /// Refused: its client had disconnected before it was opened.
     ClientEnded,
-    /// Failed: its time was over.
+    /// Failed: its deadline passed.
     Deadline,
-    /// Failed: a worker failed it.
+    /// Failed: a worker returned an error.
     WorkerFailed,
     /// Failed: its attempt was lost.
     AttemptLost,
@@ -32,24 +32,24 @@
     const COUNT: usize = 10;
 
     /// Of a final answer.
-    pub fn of(end: &End) -> Self {
-        match end {
-            End::Served { .. } => Self::Served,
-            End::Rejected { .. } => Self::Rejected,
-            End::Refused { why: Refusal::NoRoom, .. } => Self::NoRoom,
-            End::Refused { why: Refusal::NoWorker, .. } => Self::NoWorker,
-            End::Refused { why: Refusal::ClientLeft, .. } => Self::ClientEnded,
-            End::Refused { .. } => Self::TooManyOpen,
-            End::Failed { cause: Cause::Deadline, .. } => Self::Deadline,
-            End::Failed { cause: Cause::Internal, .. } => Self::WorkerFailed,
-            End::Failed { .. } => Self::AttemptLost,
+    pub fn of(answer: &FinalAnswer) -> Self {
+        match answer {
+            FinalAnswer::Served { .. } => Self::Served,
+            FinalAnswer::Rejected { .. } => Self::Rejected,
+            FinalAnswer::Refused { reason: Refusal::NoRoom, .. } => Self::NoRoom,
+            FinalAnswer::Refused { reason: Refusal::NoWorker, .. } => Self::NoWorker,
+            FinalAnswer::Refused { reason: Refusal::ClientDisconnected, .. } => Self::ClientEnded,
+            FinalAnswer::Refused { .. } => Self::TooManyOpen,
+            FinalAnswer::Failed { cause: Cause::Deadline, .. } => Self::Deadline,
+            FinalAnswer::Failed { cause: Cause::Internal, .. } => Self::WorkerFailed,
+            FinalAnswer::Failed { .. } => Self::AttemptLost,
         }
     }
 }
 
-/// How an attempt ended after which its request was sent again.
+/// How an attempt ended after which its request was retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum RepeatReason {
+pub enum RetryReason {
     /// No connection came about.
     NotConnected,
     /// Its connection ended before it had left.
@@ -62,23 +62,28 @@
     WorkerFailed,
     /// Its connection broke.
     Broken,
-    /// It was withdrawn: its answer was late.
-    Withdrawn,
+    /// It was cancelled: its response was late.
+    Cancelled,
 }
 
-impl RepeatReason {
+impl RetryReason {
     const COUNT: usize = 7;
 
     /// Of the end of an attempt.
-    pub fn of(how: &Ended) -> Self {
-        match how {
-            Ended::NotConnected => Self::NotConnected,
-            Ended::NotWritten => Self::NotWritten,
-            Ended::NoRoom | Ended::RefusedStream | Ended::GoneAway | Ended::MarkedFull => Self::Full,
-            Ended::MarkedMiss | Ended::MarkedLoadFailed | Ended::Unwanted => Self::Miss,
-            Ended::Status { .. } | Ended::Reset | Ended::Rejected(_) | Ended::Served => Self::WorkerFailed,
-            Ended::Broken => Self::Broken,
-            Ended::TimedOut | Ended::Cancelled => Self::Withdrawn,
+    pub fn of(end: &AttemptEnd) -> Self {
+        match end {
+            AttemptEnd::NotConnected => Self::NotConnected,
+            AttemptEnd::NotWritten => Self::NotWritten,
+            AttemptEnd::NoRoom
+            | AttemptEnd::RefusedStream
+            | AttemptEnd::GoneAway
+            | AttemptEnd::MarkedFull => Self::Full,
+            AttemptEnd::MarkedMiss | AttemptEnd::MarkedLoadFailed | AttemptEnd::Unwanted => Self::Miss,
+            AttemptEnd::Status { .. } | AttemptEnd::Reset | AttemptEnd::Rejected(_) | AttemptEnd::Served => {
+                Self::WorkerFailed
+            }
+            AttemptEnd::Broken => Self::Broken,
+            AttemptEnd::TimedOut | AttemptEnd::Cancelled => Self::Cancelled,
         }
     }
 }
@@ -90,14 +95,14 @@
     ClientEnded,
     /// It broke.
     Broken,
-    /// It rested for too long.
+    /// It was idle for too long.
     Idle,
-    /// Nothing whole came in time.
-    Silent,
+    /// No complete frame arrived in time.
+    Unresponsive,
     /// It sent what can't be used.
     Faults,
-    /// It made room for a new one.
-    Room,
+    /// It was evicted for a new one.
+    Evicted,
     /// There was no room for it.
     NoRoom,
 }
@@ -106,42 +111,42 @@
     const COUNT: usize = 7;
 }
 
-/// How often each reason stood.
+/// How often each reason occurred.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Reasons {
     ends: [u64; EndReason::COUNT],
-    repeats: [u64; RepeatReason::COUNT],
+    retries: [u64; RetryReason::COUNT],
     closes: [u64; CloseReason::COUNT],
 }
 
 impl Reasons {
     /// A request has ended.
-    pub fn ended(&mut self, why: EndReason) {
-        self.ends[why as usize] += 1;
+    pub fn ended(&mut self, reason: EndReason) {
+        self.ends[reason as usize] += 1;
     }
 
-    /// A request is sent again.
-    pub fn repeated(&mut self, why: RepeatReason) {
-        self.repeats[why as usize] += 1;
+    /// A request is retried.
+    pub fn retried(&mut self, reason: RetryReason) {
+        self.retries[reason as usize] += 1;
     }
 
     /// A client's connection has ended.
-    pub fn closed(&mut self, why: CloseReason) {
-        self.closes[why as usize] += 1;
+    pub fn closed(&mut self, reason: CloseReason) {
+        self.closes[reason as usize] += 1;
     }
 
-    /// Requests that ended so.
-    pub fn ends(&self, why: EndReason) -> u64 {
-        self.ends[why as usize]
+    /// Requests that ended for this reason.
+    pub fn ends(&self, reason: EndReason) -> u64 {
+        self.ends[reason as usize]
     }
 
-    /// Requests that were sent again after that.
-    pub fn repeats(&self, why: RepeatReason) -> u64 {
-        self.repeats[why as usize]
+    /// Requests that were retried after such an end.
+    pub fn retries(&self, reason: RetryReason) -> u64 {
+        self.retries[reason as usize]
     }
 
-    /// Connections of clients that ended so.
-    pub fn closes(&self, why: CloseReason) -> u64 {
-        self.closes[why as usize]
+    /// Connections of clients that ended for this reason.
+    pub fn closes(&self, reason: CloseReason) -> u64 {
+        self.closes[reason as usize]
     }
 }
