--- a/crates/administration/src/follow.rs
+++ b/crates/administration/src/follow.rs
@@ -241,7 +241,7 @@
         self.snapshots.send(0, "GET", &target, &[("Authorization", &bearer)], b"");
         let (mut heard, until) = (Vec::new(), Instant::now() + DEREGISTRATION_TIMEOUT);
         while heard.is_empty() && Instant::now() < until {
-            self.snapshots.turn(Some(DEREGISTRATION_TIMEOUT), &mut heard)?;
+            self.snapshots.poll(Some(DEREGISTRATION_TIMEOUT), &mut heard)?;
         }
         Ok(())
     }
@@ -281,7 +281,7 @@
         self.snapshots.send(0, "POST", target, &headers, body);
         let mut heard = Vec::new();
         while heard.is_empty() && !self.ended.load(Ordering::Acquire) {
-            self.snapshots.turn(Some(SNAPSHOT_TIMEOUT), &mut heard)?;
+            self.snapshots.poll(Some(SNAPSHOT_TIMEOUT), &mut heard)?;
         }
         Ok(heard.pop().and_then(|(_, answer)| answer.ok()))
     }
@@ -352,7 +352,7 @@
             if left.is_zero() {
                 break;
             }
-            self.watches.turn(Some(left), &mut Vec::new())?;
+            self.watches.poll(Some(left), &mut Vec::new())?;
         }
         Ok(())
     }
@@ -403,7 +403,7 @@
         poster.send(0, "GET", &target, &[("Authorization", &format!("Bearer {}", self.token))], b"");
         let mut heard = Vec::new();
         while heard.is_empty() && !self.ended.load(Ordering::Acquire) {
-            poster.turn(Some(patience), &mut heard)?;
+            poster.poll(Some(patience), &mut heard)?;
         }
         Ok(heard.pop().map(|(_, answer)| answer))
     }
@@ -433,7 +433,7 @@
                 }
             }
         }
-        self.watches.turn(Some(Duration::from_millis(wait.max(1))), &mut Vec::new())
+        self.watches.poll(Some(Duration::from_millis(wait.max(1))), &mut Vec::new())
     }
 
     fn ask_peer(&mut self, peer: usize) {
--- a/crates/administration/src/peers.rs
+++ b/crates/administration/src/peers.rs
@@ -85,7 +85,7 @@
         poster.send(0, "GET", &self.target, &[("Authorization", &self.bearer)], b"");
         let mut heard = Vec::new();
         while heard.is_empty() {
-            if let Err(error) = poster.turn(Some(PATIENCE), &mut heard) {
+            if let Err(error) = poster.poll(Some(PATIENCE), &mut heard) {
                 return nothing(error.to_string());
             }
         }
--- a/crates/gateway/benches/measure.rs
+++ b/crates/gateway/benches/measure.rs
@@ -343,7 +343,7 @@
         let mut open: std::collections::HashSet<u64> = (0..64).map(|_| caller.ask(request.clone())).collect();
         let (begun, mut calls, mut heard) = (Instant::now(), 0u64, Vec::new());
         while begun.elapsed() < Duration::from_secs(3) {
-            caller.client.turn(Some(Duration::from_millis(50)), &mut heard).expect("polls");
+            caller.client.poll(Some(Duration::from_millis(50)), &mut heard).expect("polls");
             for what in heard.drain(..) {
                 if let Heard::End { rpc, .. } = what
                     && open.remove(&rpc)
@@ -397,7 +397,7 @@
         poster.send(0, method, target, &headers, body.as_bytes());
         let mut heard = Vec::new();
         while heard.is_empty() {
-            poster.turn(Some(Duration::from_secs(10)), &mut heard).expect("polls");
+            poster.poll(Some(Duration::from_secs(10)), &mut heard).expect("polls");
         }
         serde_json::from_slice(&heard.remove(0).1.expect("an answer").body).expect("json")
     };
@@ -536,13 +536,13 @@
         };
         finals.insert(client.call(gateway.address, ask).expect("begun"), 0);
         if n % 50 == 0 {
-            client.turn(Some(Duration::ZERO), &mut heard).expect("polls");
+            client.poll(Some(Duration::ZERO), &mut heard).expect("polls");
         }
     }
     let mut reasons: BTreeMap<String, u64> = BTreeMap::new();
     let (mut killed, mut peak) = (false, 0);
     while ended.len() < STREAMS && begun.elapsed() < deadline + Duration::from_secs(5) {
-        client.turn(Some(Duration::from_millis(50)), &mut heard).expect("polls");
+        client.poll(Some(Duration::from_millis(50)), &mut heard).expect("polls");
         if begun.elapsed() > Duration::from_secs(4) && !killed {
             killed = true;
             peak = gateway.resident();
--- a/crates/gateway/src/commands/admin/client.rs
+++ b/crates/gateway/src/commands/admin/client.rs
@@ -108,7 +108,7 @@
         let mut responses = Vec::new();
         loop {
             self.poster
-                .turn(Some(RESPONSE_TIMEOUT), &mut responses)
+                .poll(Some(RESPONSE_TIMEOUT), &mut responses)
                 .map_err(CommandError::system("can't poll"))?;
             if let Some((_, response)) = responses.pop() {
                 let no_response = |error| ApiError::NoResponse { address: self.address, error };
--- a/crates/gateway/src/commands/call.rs
+++ b/crates/gateway/src/commands/call.rs
@@ -92,7 +92,7 @@
         let mut events = Vec::new();
         let mut served = true;
         while Instant::now() < until {
-            client.turn(Some(until - Instant::now()), &mut events).map_err(failed())?;
+            client.poll(Some(until - Instant::now()), &mut events).map_err(failed())?;
             for event in events.drain(..) {
                 match event {
                     Heard::Message { payload, .. } => served &= self.print_message(payload)?,
--- a/crates/gateway/src/commands/load.rs
+++ b/crates/gateway/src/commands/load.rs
@@ -176,7 +176,7 @@
         }
         let mut events = Vec::new();
         while !open.is_empty() {
-            client.turn(Some(MAX_WAIT), &mut events).map_err(failed())?;
+            client.poll(Some(MAX_WAIT), &mut events).map_err(failed())?;
             let now = Instant::now();
             for event in events.drain(..) {
                 let Heard::End { rpc, status, .. } = event else { continue };
--- a/crates/gateway/src/controller/mod.rs
+++ b/crates/gateway/src/controller/mod.rs
@@ -173,7 +173,7 @@
                 return Ok(self.finish(shutdown));
             }
             let timeout = self.time_to_next_timer();
-            self.hub.turn(Some(timeout), &mut events)?;
+            self.hub.poll(Some(timeout), &mut events)?;
             for event in events.drain(..) {
                 if let ControlFlow::Break(shutdown) = self.dispatch(event) {
                     return Ok(self.finish(shutdown));
--- a/crates/gateway/src/push.rs
+++ b/crates/gateway/src/push.rs
@@ -461,7 +461,7 @@
         let now = self.clock.now();
         let next = self.queue.next(now).map_or(until, |at| at.min(until));
         let wait = Duration::from_micros(next.saturating_sub(now));
-        self.poster.turn(Some(wait), heard)?;
+        self.poster.poll(Some(wait), heard)?;
         for (lane, answer) in heard.drain(..) {
             self.answered(lane, answer);
         }
--- a/crates/gateway/tests/common/mod.rs
+++ b/crates/gateway/tests/common/mod.rs
@@ -276,7 +276,7 @@
                 return found;
             }
             assert!(Instant::now() < until, "never heard: {what}; heard: {:?}", self.heard);
-            self.client.turn(Some(Duration::from_millis(20)), &mut self.heard).expect("polls");
+            self.client.poll(Some(Duration::from_millis(20)), &mut self.heard).expect("polls");
         }
     }
 
@@ -312,7 +312,7 @@
 
     /// Turns once, for hearing what should not come.
     pub fn turn(&mut self) {
-        self.client.turn(Some(Duration::from_millis(5)), &mut self.heard).expect("polls");
+        self.client.poll(Some(Duration::from_millis(5)), &mut self.heard).expect("polls");
     }
 
     /// Turns until something holds elsewhere.
--- a/crates/gateway/tests/loans.rs
+++ b/crates/gateway/tests/loans.rs
@@ -44,7 +44,7 @@
                     out += 1;
                 }
                 // A process that was killed answers nothing: it is asked again when it is back, not at once.
-                client.turn(Some(Duration::from_millis(5)), &mut heard).expect("polls");
+                client.poll(Some(Duration::from_millis(5)), &mut heard).expect("polls");
                 out -= heard.drain(..).filter(|h| matches!(h, Heard::End { .. })).count();
             }
         });
--- a/crates/hollow/src/controllers/run.rs
+++ b/crates/hollow/src/controllers/run.rs
@@ -141,7 +141,7 @@
             let wakes = [Some(self.second.at + A_SECOND), self.timers.next(), control.until()];
             let wait = wakes.into_iter().flatten().min();
             let wait = wait.map(|at| at.saturating_duration_since(Instant::now()));
-            self.hub.turn(wait, &mut events)?;
+            self.hub.poll(wait, &mut events)?;
             events.drain(..).for_each(|event| self.event(event));
         }
         let summary = self.summary(Instant::now());
--- a/crates/hollow/src/followers/run.rs
+++ b/crates/hollow/src/followers/run.rs
@@ -247,7 +247,7 @@
         let (n, lane) = (token / CONNECTIONS, token % CONNECTIONS);
         let Some(peer) = self.peers.get_mut(n) else { return Ok(()) };
         let now = Instant::now();
-        let Some(answer) = peer.connections[lane].turn(now) else { return Ok(()) };
+        let Some(answer) = peer.connections[lane].poll(now) else { return Ok(()) };
         let Phase::Asks(Asked { ask, since, until }) = peer.phase else { return Ok(()) };
         let exchange = Exchange { ask, asked: since, now };
         let way = peer.link.way();
@@ -377,7 +377,7 @@
             let now = Instant::now();
             let waits = |peer: &mut Peer| {
                 let connection = &mut peer.connections[SNAPSHOTS];
-                connection.until().is_some() && connection.turn(now).is_none()
+                connection.until().is_some() && connection.poll(now).is_none()
             };
             let waiting = self.peers.iter_mut().map(waits).filter(|waits| *waits).count();
             if waiting == 0 {
--- a/crates/net/src/http1_client.rs
+++ b/crates/net/src/http1_client.rs
@@ -112,7 +112,7 @@
     }
 
     /// Writes and reads as far as it goes; the end of the request that is out, once it has come.
-    pub fn turn(&mut self, now: Instant) -> Option<Result<Answer, PostError>> {
+    pub fn poll(&mut self, now: Instant) -> Option<Result<Answer, PostError>> {
         let until = self.until?;
         let done = match self.exchange() {
             Ok(None) if now >= until => Err(PostError::Late),
--- a/crates/net/src/hub/mod.rs
+++ b/crates/net/src/hub/mod.rs
@@ -1,6 +1,6 @@
 //! Connections and streams under one mio poll.
 //!
-//! The owner opens streams, queues messages and calls [`Hub::turn`] in a loop; what happened comes out as
+//! The owner opens streams, queues messages and calls [`Hub::poll`] in a loop; what happened comes out as
 //! [`NetEvent`]s. Equal for fronts (accepted connections) and links (made ones): a stream is one gRPC call in
 //! either role.
 //!
@@ -256,7 +256,7 @@
         })
     }
 
-    /// Wakes [`Hub::turn`] from another thread.
+    /// Wakes [`Hub::poll`] from another thread.
     pub fn waker(&self) -> Arc<mio::Waker> {
         Arc::clone(&self.waker)
     }
@@ -500,7 +500,7 @@
 
     /// One round: what is due is polled, the kernel is asked, what came is polled. Waits at most `wait`
     /// (`None`: without end) where nothing is due, and appends what happened to `out`.
-    pub fn turn(&mut self, wait: Option<Duration>, out: &mut Vec<NetEvent>) -> io::Result<()> {
+    pub fn poll(&mut self, wait: Option<Duration>, out: &mut Vec<NetEvent>) -> io::Result<()> {
         self.now = Instant::now();
         self.run_due();
         let busy = !self.out.is_empty() || !self.due.is_empty();
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -4,7 +4,7 @@
 //! workers, decisions.
 //!
 //! There is no async runtime. The `h2` crate gives the HTTP/2 state machine; each connection and each stream
-//! has a [`std::task::Waker`] that puts its key on a queue, and [`Hub::turn`] polls what stands there. What
+//! has a [`std::task::Waker`] that puts its key on a queue, and [`Hub::poll`] polls what stands there. What
 //! happened comes out as [`NetEvent`]s.
 //!
 //! * [`hub`]: connections and streams. [`io`]: a mio socket as `AsyncRead`/`AsyncWrite`.
--- a/crates/net/src/post.rs
+++ b/crates/net/src/post.rs
@@ -31,7 +31,7 @@
         Ok(Self { poll, waker, to, lanes, patience })
     }
 
-    /// Ends the wait of [`Poster::turn`] from another thread.
+    /// Ends the wait of [`Poster::poll`] from another thread.
     pub fn waker(&self) -> Arc<Waker> {
         Arc::clone(&self.waker)
     }
@@ -55,7 +55,7 @@
     }
 
     /// One round, waiting at most `wait` where nothing has come; answers are appended with their lanes.
-    pub fn turn(
+    pub fn poll(
         &mut self,
         wait: Option<Duration>,
         out: &mut Vec<(usize, Result<Answer, PostError>)>,
@@ -81,7 +81,7 @@
 
     fn work(&mut self, out: &mut Vec<(usize, Result<Answer, PostError>)>) {
         let now = Instant::now();
-        let done = |(n, lane): (usize, &mut ClientConnection)| Some((n, lane.turn(now)?));
+        let done = |(n, lane): (usize, &mut ClientConnection)| Some((n, lane.poll(now)?));
         out.extend(self.lanes.iter_mut().enumerate().filter_map(done));
     }
 }
--- a/crates/net/src/post/tests.rs
+++ b/crates/net/src/post/tests.rs
@@ -8,7 +8,7 @@
     let (mut out, until) = (Vec::new(), Instant::now() + Duration::from_secs(30));
     while out.is_empty() {
         assert!(Instant::now() < until, "no end came");
-        poster.turn(Some(Duration::from_millis(50)), &mut out).expect("polls");
+        poster.poll(Some(Duration::from_millis(50)), &mut out).expect("polls");
     }
     out.remove(0).1
 }
--- a/crates/net/tests/hub.rs
+++ b/crates/net/tests/hub.rs
@@ -43,7 +43,7 @@
                 return found;
             }
             assert!(Instant::now() < until, "nothing answered; seen: {:?}", self.events);
-            self.hub.turn(Some(Duration::from_millis(50)), &mut self.events).expect("polls");
+            self.hub.poll(Some(Duration::from_millis(50)), &mut self.events).expect("polls");
         }
     }
 
@@ -112,7 +112,7 @@
     let stream = hub.open(conn, Request::post("http://w/x").body(()).expect("sound")).expect("waits");
     let (mut events, until) = (Vec::new(), Instant::now() + PATIENCE);
     while Instant::now() < until {
-        hub.turn(Some(Duration::from_millis(50)), &mut events).expect("polls");
+        hub.poll(Some(Duration::from_millis(50)), &mut events).expect("polls");
         let told = events.iter().find_map(|e| match e {
             NetEvent::Failed { stream: s, why } if *s == stream => Some(why.clone()),
             _ => None,
@@ -146,8 +146,8 @@
     // The server's side is not read again before it leaves: the second stream is on its way unseen.
     pair.hub.freeze(pair.server, true);
     let unseen = pair.open();
-    pair.hub.turn(Some(Duration::ZERO), &mut pair.events).expect("polls");
-    pair.hub.turn(Some(Duration::ZERO), &mut pair.events).expect("polls");
+    pair.hub.poll(Some(Duration::ZERO), &mut pair.events).expect("polls");
+    pair.hub.poll(Some(Duration::ZERO), &mut pair.events).expect("polls");
     pair.hub.go_away_abruptly(pair.server, h2::Reason::NO_ERROR);
     pair.hub.freeze(pair.server, false);
     assert_eq!(pair.failure(unseen), StreamError::GoneAway);
@@ -163,10 +163,10 @@
 fn what_was_never_written_is_known_and_what_may_have_been_is_not() {
     let mut pair = Pair::new(NetLimits::default());
     pair.wait(|e| matches!(e, NetEvent::Connected { .. }).then_some(()));
-    while pair.hub.turn(Some(Duration::ZERO), &mut pair.events).is_ok() && !pair.hub.can_open(pair.conn) {}
+    while pair.hub.poll(Some(Duration::ZERO), &mut pair.events).is_ok() && !pair.hub.can_open(pair.conn) {}
     pair.hub.freeze(pair.conn, true);
     let unwritten = pair.open();
-    pair.hub.turn(Some(Duration::ZERO), &mut pair.events).expect("polls");
+    pair.hub.poll(Some(Duration::ZERO), &mut pair.events).expect("polls");
     pair.hub.close(pair.conn);
     assert_eq!(pair.failure(unwritten), StreamError::NotWritten);
 }
@@ -247,10 +247,10 @@
     for _ in 0..60 {
         let key = pair.open();
         pair.hub.freeze(pair.server, true);
-        pair.hub.turn(Some(Duration::ZERO), &mut pair.events).expect("polls");
+        pair.hub.poll(Some(Duration::ZERO), &mut pair.events).expect("polls");
         pair.hub.reset(key, h2::Reason::CANCEL);
     }
-    pair.hub.turn(Some(Duration::ZERO), &mut pair.events).expect("polls");
+    pair.hub.poll(Some(Duration::ZERO), &mut pair.events).expect("polls");
     pair.hub.freeze(pair.server, false);
     let server = pair.server;
     let why = pair.wait(|e| match e {
@@ -276,7 +276,7 @@
     let (mut events, until) = (Vec::new(), Instant::now() + PATIENCE);
     while hub.counters().handshake_timeouts == 0 {
         assert!(Instant::now() < until);
-        hub.turn(Some(Duration::from_millis(50)), &mut events).expect("polls");
+        hub.poll(Some(Duration::from_millis(50)), &mut events).expect("polls");
     }
     assert_eq!(hub.open_connections(), 0);
     drop(mute);
@@ -291,7 +291,7 @@
     let began = Instant::now();
     loop {
         let before = Instant::now();
-        pair.hub.turn(Some(Duration::from_millis(400)), &mut pair.events).expect("polls");
+        pair.hub.poll(Some(Duration::from_millis(400)), &mut pair.events).expect("polls");
         last += 1;
         if before.elapsed() >= Duration::from_millis(400) {
             break;
--- a/crates/net/tests/tcp.rs
+++ b/crates/net/tests/tcp.rs
@@ -13,7 +13,7 @@
 fn until<T>(tcp: &mut Tcp, mut wanted: impl FnMut(&mut Tcp, TcpEvent) -> Option<T>) -> T {
     let (end, mut out) = (std::time::Instant::now() + PATIENCE, Vec::new());
     while std::time::Instant::now() < end {
-        tcp.turn(Some(Duration::from_millis(20)), &mut out).expect("a turn");
+        tcp.poll(Some(Duration::from_millis(20)), &mut out).expect("polls");
         for event in std::mem::take(&mut out) {
             if let Some(found) = wanted(tcp, event) {
                 return found;
@@ -45,7 +45,7 @@
     });
     let mut out = Vec::new();
     while !reader.is_finished() {
-        tcp.turn(Some(Duration::from_millis(5)), &mut out).expect("a turn");
+        tcp.poll(Some(Duration::from_millis(5)), &mut out).expect("polls");
     }
     assert_eq!(reader.join().expect("no panic").expect("ended in order"), most);
     assert_eq!(out, [], "no event follows");
@@ -86,7 +86,7 @@
     tcp.finish(key);
     let (end, mut turns, mut out) = (std::time::Instant::now() + Duration::from_millis(300), 0, Vec::new());
     while std::time::Instant::now() < end {
-        tcp.turn(Some(Duration::from_millis(50)), &mut out).expect("a turn");
+        tcp.poll(Some(Duration::from_millis(50)), &mut out).expect("polls");
         turns += 1;
     }
     assert!(turns < 30, "{turns} turns in 300 ms");
@@ -115,7 +115,7 @@
     let mut second = TcpStream::connect(address).expect("it listens");
     let mut out = Vec::new();
     while tcp.counters().over_accepted == 0 {
-        tcp.turn(Some(Duration::from_millis(5)), &mut out).expect("a turn");
+        tcp.poll(Some(Duration::from_millis(5)), &mut out).expect("polls");
     }
     assert_eq!(second.read(&mut [0; 1]).expect("closed in order"), 0);
     assert_eq!(tcp.send(key, b"more than ten"), None);
@@ -131,11 +131,11 @@
     let key = accepted(&mut tcp);
     let mut out = Vec::new();
     // The first event of a connection, which only tells that it may be written to, is behind us.
-    tcp.turn(Some(Duration::ZERO), &mut out).expect("a turn");
+    tcp.poll(Some(Duration::ZERO), &mut out).expect("polls");
     client.write_all(b"last").expect("written");
     client.shutdown(Shutdown::Write).expect("open");
     out.clear();
-    tcp.turn(Some(Duration::ZERO), &mut out).expect("a turn");
+    tcp.poll(Some(Duration::ZERO), &mut out).expect("polls");
     assert_eq!(out, [TcpEvent::Data(key), TcpEvent::Ended(key)]);
 }
 
@@ -148,7 +148,7 @@
     tcp.alarm(key, Some(std::time::Instant::now()));
     client.write_all(b"request").expect("written");
     let mut out = Vec::new();
-    tcp.turn(Some(Duration::ZERO), &mut out).expect("a turn");
+    tcp.poll(Some(Duration::ZERO), &mut out).expect("polls");
     assert_eq!(out, [TcpEvent::Data(key), TcpEvent::Alarm(key)]);
 }
 
@@ -158,16 +158,16 @@
     let address = tcp.listen("127.0.0.1:0".parse().expect("an address")).expect("a port");
     let mut client = TcpStream::connect(address).expect("it listens");
     let key = accepted(&mut tcp);
-    assert!(tcp.silent(key));
+    assert!(tcp.confirm_idle(key));
     client.set_nodelay(true).expect("set");
     client.write_all(b"request").expect("written");
-    assert!(!tcp.silent(key), "it is there, though no turn has told of it");
+    assert!(!tcp.confirm_idle(key), "it is there, though no turn has told of it");
     let told = until(&mut tcp, |_, event| if let TcpEvent::Data(key) = event { Some(key) } else { None });
     assert_eq!(told, key);
     assert_eq!(&tcp.input(key).expect("open")[..], b"request");
-    assert!(tcp.silent(key), "what was told before is not new");
+    assert!(tcp.confirm_idle(key), "what was told before is not new");
     client.shutdown(Shutdown::Write).expect("open");
-    assert!(!tcp.silent(key), "its end is there");
+    assert!(!tcp.confirm_idle(key), "its end is there");
 }
 
 #[test]
@@ -205,7 +205,7 @@
         });
         tcp.finish(key);
     }
-    assert_eq!((tcp.counters().over_accepted, tcp.counters().linger_cut), (0, 0));
+    assert_eq!((tcp.counters().over_accepted, tcp.counters().lingering_evicted), (0, 0));
 }
 
 #[test]
@@ -220,7 +220,7 @@
     // The old one has not ended its side: it lingers.
     let _new = TcpStream::connect(address).expect("it listens");
     accepted(&mut tcp);
-    assert_eq!((tcp.counters().over_accepted, tcp.counters().linger_cut), (0, 1));
+    assert_eq!((tcp.counters().over_accepted, tcp.counters().lingering_evicted), (0, 1));
     let mut words = Vec::new();
     old.read_to_end(&mut words).expect("ended in order");
     assert_eq!(words, b"last words");
@@ -239,7 +239,7 @@
     tcp.finish(key);
     let (finished, mut out) = (std::time::Instant::now(), Vec::new());
     while finished.elapsed() < Duration::from_millis(20) {
-        tcp.turn(Some(Duration::from_millis(1)), &mut out).expect("a turn");
+        tcp.poll(Some(Duration::from_millis(1)), &mut out).expect("polls");
     }
     assert!(tcp.unsent_to_peers() > 0, "the peer has not read");
     let reader = std::thread::spawn(move || {
@@ -247,7 +247,7 @@
         client.read_to_end(&mut all).map(|_| all.len())
     });
     while !reader.is_finished() {
-        tcp.turn(Some(Duration::from_millis(5)), &mut out).expect("a turn");
+        tcp.poll(Some(Duration::from_millis(5)), &mut out).expect("polls");
     }
     assert_eq!(reader.join().expect("no panic").expect("ended in order"), most);
 }
@@ -263,12 +263,12 @@
     let written = std::time::Instant::now();
     let (mut seen, mut reads, mut out) = (0, 0, Vec::new());
     while seen < 4 << 10 {
-        tcp.turn(Some(Duration::ZERO), &mut out).expect("a turn");
+        tcp.poll(Some(Duration::ZERO), &mut out).expect("polls");
         for event in out.drain(..) {
             if matches!(event, TcpEvent::Data(_)) {
                 seen += tcp.input(key).expect("open").split().len();
                 reads += 1;
-                assert!(tcp.came(key) <= written, "the last of it had come as well");
+                assert!(tcp.earliest_arrival(key) <= written, "the last of it had come as well");
             }
         }
     }
@@ -277,7 +277,7 @@
 
 #[test]
 fn a_crowd_waits_until_the_owner_has_made_room() {
-    let limits = TcpLimits { accepted: 3, accepted_a_turn: 1, ..TcpLimits::default() };
+    let limits = TcpLimits { accepted: 3, accepts_per_poll: 1, ..TcpLimits::default() };
     let mut tcp = Tcp::new(limits).expect("a poll");
     let address = tcp.listen("127.0.0.1:0".parse().expect("an address")).expect("a port");
     let crowd: Vec<TcpStream> = (0..20).map(|_| TcpStream::connect(address).expect("it listens")).collect();
--- a/crates/node/src/front/closing.rs
+++ b/crates/node/src/front/closing.rs
@@ -147,7 +147,7 @@
             client.streams.is_empty() && client.frame_began.is_none() && now >= client.idle_since + self.idle;
         if !(slow || unresponsive || idle) {
             self.set_alarm(tcp, key);
-        } else if !tcp.silent(key) {
+        } else if !tcp.confirm_idle(key) {
             // It is read in the next iteration, and judged again after it.
             tcp.alarm(key, Some(now + RECHECK_DELAY));
         } else if slow || unresponsive {
--- a/crates/node/src/front/eviction.rs
+++ b/crates/node/src/front/eviction.rs
@@ -38,7 +38,7 @@
                     matches!(rank.order, EvictionOrder::StalledFrame | EvictionOrder::WithinFrame);
                 let unread = !within_frame && tcp.input(*key).is_some_and(|input| !input.is_empty());
                 let answers_taken = tcp.flush(*key);
-                answers_taken && !unread && tcp.silent(*key)
+                answers_taken && !unread && tcp.confirm_idle(*key)
             })
             .map(|candidate| candidate.key)
     }
--- a/crates/node/src/front/input.rs
+++ b/crates/node/src/front/input.rs
@@ -109,7 +109,7 @@
             self.send_answer(tcp, key, stream, Code::Refused, b"more than 32 requests are open");
             return self.count_fault(tcp, key, events, counters);
         }
-        let origin = RequestOrigin { connection: key, stream, arrived: tcp.came(key) };
+        let origin = RequestOrigin { connection: key, stream, arrived: tcp.earliest_arrival(key) };
         match self.accept_request(origin, payload, counters) {
             Ok(request) => {
                 counters.requests += 1;
--- a/crates/node/src/front/tests.rs
+++ b/crates/node/src/front/tests.rs
@@ -42,7 +42,7 @@
 
     fn turn(&mut self) {
         let mut happened = Vec::new();
-        self.tcp.turn(Some(Duration::from_millis(1)), &mut happened).expect("a turn");
+        self.tcp.poll(Some(Duration::from_millis(1)), &mut happened).expect("polls");
         for event in happened {
             match event {
                 TcpEvent::Accepted(key) => {
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -147,7 +147,7 @@
 
     fn poll(&mut self, wait: Duration) -> Result<Vec<TcpEvent>, NodeError> {
         let mut events = std::mem::take(&mut self.tcp_events);
-        self.tcp.turn(Some(wait), &mut events).map_err(NodeError::system("the poll"))?;
+        self.tcp.poll(Some(wait), &mut events).map_err(NodeError::system("the poll"))?;
         Ok(events)
     }
 
--- a/crates/node/src/node/lifecycle.rs
+++ b/crates/node/src/node/lifecycle.rs
@@ -121,7 +121,7 @@
     }
 
     pub(super) fn log_counters(&self) {
-        let (clients, invoker_connections) = (self.front.clients(), self.tcp.made());
+        let (clients, invoker_connections) = (self.front.clients(), self.tcp.outgoing());
         let (open_calls, waiting_calls) = (self.engine.open_calls(), self.engine.waiting_calls());
         info!(clients, invoker_connections, open_calls, waiting_calls, "current load");
         info!(engine = ?self.engine.counters(), "engine counters");
--- a/crates/node/src/node/startup.rs
+++ b/crates/node/src/node/startup.rs
@@ -121,7 +121,7 @@
     TcpLimits {
         // The front evicts a connection for each new one: a burst waits in the system until it has.
         accepted: bounds.clients + ACCEPTS_PER_ITERATION,
-        accepted_a_turn: ACCEPTS_PER_ITERATION,
+        accepts_per_poll: ACCEPTS_PER_ITERATION,
         made: bounds.pool_connections,
         input: (MOST_PAYLOAD + FRAME_OVERHEAD).max(MOST_BODY + RESPONSE_WORDS * MOST_WORD),
         connect_timeout: spans.connect_timeout,
--- a/crates/node/src/pools/selection.rs
+++ b/crates/node/src/pools/selection.rs
@@ -62,7 +62,7 @@
         if let Some(key) = pool.connections.iter().filter(has_room).find(idle) {
             return Ok(*key);
         }
-        let full = pool.connections.len() >= share || tcp.made() >= self.bounds.pool_connections;
+        let full = pool.connections.len() >= share || tcp.outgoing() >= self.bounds.pool_connections;
         if full && let Some(key) = pool.connections.iter().filter(has_room).min_by_key(load) {
             return Ok(*key);
         }
--- a/crates/node/src/pools/tests.rs
+++ b/crates/node/src/pools/tests.rs
@@ -67,7 +67,7 @@
 
     fn turn(&mut self) {
         let mut events = Vec::new();
-        self.tcp.turn(Some(Duration::from_millis(1)), &mut events).expect("a poll");
+        self.tcp.poll(Some(Duration::from_millis(1)), &mut events).expect("a poll");
         for event in events {
             if let TcpEvent::Connected(key) = event {
                 let counters = &mut self.counters;
@@ -245,7 +245,7 @@
     rig.sockets[0].write_all(&answer).expect("written");
     while rig.pools.connections[&key].idle_since.is_none() {
         let mut events = Vec::new();
-        rig.tcp.turn(Some(Duration::from_millis(1)), &mut events).expect("a poll");
+        rig.tcp.poll(Some(Duration::from_millis(1)), &mut events).expect("a poll");
         if events.contains(&TcpEvent::Data(key)) {
             rig.pools.data(&mut rig.tcp, key, &mut rig.events, &mut rig.counters);
         }
--- a/crates/node/tests/common/hand.rs
+++ b/crates/node/tests/common/hand.rs
@@ -83,7 +83,7 @@
 
     /// One turn with what stands in the sockets now.
     pub(crate) fn turn(&mut self) {
-        self.node.iterate(Some(Duration::ZERO)).expect("a turn");
+        self.node.iterate(Some(Duration::ZERO)).expect("polls");
         for invoker in &mut self.invokers {
             invoker.look();
         }
@@ -93,7 +93,7 @@
     pub(crate) fn until<T>(&mut self, what: &str, mut holds: impl FnMut(&mut Self) -> Option<T>) -> T {
         let end = Instant::now() + PATIENCE;
         while Instant::now() < end {
-            self.node.iterate(Some(Duration::from_millis(1))).expect("a turn");
+            self.node.iterate(Some(Duration::from_millis(1))).expect("polls");
             for invoker in &mut self.invokers {
                 invoker.look();
             }
@@ -126,7 +126,7 @@
     pub(crate) fn unread_at(&mut self, invoker: usize, id: u64) -> usize {
         let (end, wanted) = (Instant::now() + PATIENCE, name(id).into_bytes());
         while Instant::now() < end {
-            self.node.iterate(Some(Duration::from_millis(1))).expect("a turn");
+            self.node.iterate(Some(Duration::from_millis(1))).expect("polls");
             self.invokers[invoker].accept();
             let mut buffer = [0; 4096];
             let found = self.invokers[invoker].conns.iter().position(|conn| {
--- a/crates/node/tests/common/mod.rs
+++ b/crates/node/tests/common/mod.rs
@@ -271,7 +271,7 @@
             let mut node = Node::new(path, false).expect("sound");
             tell.send(node.local_addr()).expect("the test waits");
             while !node.is_done() && !stopped.load(Ordering::Acquire) {
-                node.iterate(Some(Duration::from_millis(5))).expect("a turn");
+                node.iterate(Some(Duration::from_millis(5))).expect("polls");
                 if leaving.swap(false, Ordering::AcqRel) {
                     node.begin_shutdown();
                 }
--- a/crates/node/tests/floods.rs
+++ b/crates/node/tests/floods.rs
@@ -72,7 +72,7 @@
 #[test]
 fn a_flood_on_one_connection_holds_up_no_sound_client_on_another() {
     // So many fit into what a turn reads of one connection: its last piece may go beyond the bound.
-    let most = (TcpLimits::default().turn * 5 / 4 / withdrawn(1).len()) as u64 + 1;
+    let most = (TcpLimits::default().read_quota * 5 / 4 / withdrawn(1).len()) as u64 + 1;
     for kind in [withdrawn as Kind, questions, long] {
         let mut hand = Hand::start(1, |_| ());
         let mut sound = hand.client();
--- a/crates/node/tests/shared.rs
+++ b/crates/node/tests/shared.rs
@@ -182,7 +182,7 @@
             while !out.is_empty() {
                 match socket.write(&out) {
                     Ok(n) => drop(out.drain(..n)),
-                    Err(_) => hand.node.iterate(Some(Duration::ZERO)).expect("a turn"),
+                    Err(_) => hand.node.iterate(Some(Duration::ZERO)).expect("polls"),
                 }
             }
         }
--- a/crates/scale/src/measure/administration/api.rs
+++ b/crates/scale/src/measure/administration/api.rs
@@ -93,7 +93,7 @@
         self.poster.send(0, method, target, &headers, body);
         let mut heard = Vec::new();
         loop {
-            let turned = self.poster.turn(Some(LOOK_EVERY), &mut heard);
+            let turned = self.poster.poll(Some(LOOK_EVERY), &mut heard);
             turned.map_err(MeasureError::system("a client's poll"))?;
             if let Some((_, answer)) = heard.pop() {
                 return Ok(answer);
--- a/crates/scale/src/measure/list/calls.rs
+++ b/crates/scale/src/measure/list/calls.rs
@@ -112,7 +112,7 @@
                 self.begin(now)?;
             }
             let wait = next.saturating_duration_since(Instant::now()).min(LOOK_EVERY);
-            self.client.turn(Some(wait), &mut self.heard)?;
+            self.client.poll(Some(wait), &mut self.heard)?;
             self.ended();
         }
         Ok(())
--- a/crates/scenario/src/client.rs
+++ b/crates/scenario/src/client.rs
@@ -157,15 +157,15 @@
         }
     }
 
-    /// Another thread's handle to end [`Client::turn`]'s wait.
+    /// Another thread's handle to end [`Client::poll`]'s wait.
     pub fn waker(&self) -> std::sync::Arc<mio::Waker> {
         self.hub.waker()
     }
 
     /// One round.
-    pub fn turn(&mut self, wait: Option<Duration>, heard: &mut Vec<Heard>) -> io::Result<()> {
+    pub fn poll(&mut self, wait: Option<Duration>, heard: &mut Vec<Heard>) -> io::Result<()> {
         let mut events = std::mem::take(&mut self.events);
-        self.hub.turn(wait, &mut events)?;
+        self.hub.poll(wait, &mut events)?;
         for event in events.drain(..) {
             self.event(event, heard);
         }
--- a/crates/scenario/src/traffic.rs
+++ b/crates/scenario/src/traffic.rs
@@ -170,7 +170,7 @@
             let later = self.later.first().map(|(at, _)| *at);
             let next = next.chain(later).min().unwrap_or(now + 50_000).min(now + 50_000);
             let wait = Duration::from_micros(next.saturating_sub(self.now()));
-            self.client.turn(Some(wait), &mut heard)?;
+            self.client.poll(Some(wait), &mut heard)?;
             for what in heard.drain(..) {
                 self.hear(what);
             }
--- a/crates/test-servers/src/server/mod.rs
+++ b/crates/test-servers/src/server/mod.rs
@@ -249,7 +249,7 @@
             let thaw = self.thaw.front().map(|(at, ..)| *at);
             let next = if self.mended { Some(now) } else { [next, thaw].into_iter().flatten().min() };
             let wait = next.map(|at| Duration::from_micros(at.saturating_sub(now)));
-            self.hub.turn(wait, &mut events)?;
+            self.hub.poll(wait, &mut events)?;
             while let Ok(fault) = self.told.try_recv() {
                 if fault == Fault::Stop {
                     return Ok(());
