--- a/crates/administration/src/desk.rs
+++ b/crates/administration/src/desk.rs
@@ -16,7 +16,7 @@
 };
 use nettleferry_admin::{Answer, Problem, Request};
 use nettleferry_audit_log::recorder::Recorder;
-use nettleferry_audit_log::{What, chain};
+use nettleferry_audit_log::{EntryKind, chain};
 use nettleferry_config::settings::AdminKey;
 use nettleferry_fleet::authority::{Authority, Duty, Step};
 use nettleferry_fleet::lease::{MAX_SPAN, ends, error_of};
@@ -27,7 +27,7 @@
 use nettleferry_net::clock;
 use nettleferry_net::http1::{self, Http1, Http1Limits, Stop, Turn};
 use nettleferry_net::retry::{RetryPolicy, is_transient, retry_startup};
-use nettleferry_tenancy::{Book, Entry, Once, Revision, Tenant};
+use nettleferry_tenancy::{Entry, IdempotentResponse, Revision, Tenant, TenantSnapshot};
 use nettleferry_tenant_store::{Origin, Snapshot, Store, StoreError};
 use serde_json::{Value, json};
 use tracing::{error, info, warn};
@@ -101,7 +101,7 @@
         Err(why) => {
             error!(%why, "the tenant store can't be used: the last good snapshot serves, changes are refused");
             let book = match Snapshot::read(&beside) {
-                Ok(snapshot) => Some(snapshot.book()),
+                Ok(snapshot) => Some(snapshot.tenant_snapshot()),
                 Err(none) => {
                     error!(%none, "there is no good snapshot either: no tenant is known until a book is taken over");
                     None
@@ -222,9 +222,9 @@
     RetryPolicy { timeout: Duration::from_secs(5), pause: Duration::from_millis(100) };
 
 /// Opens the store, again while its file fails: that passes, and is no damage.
-fn open_patiently(path: &Path) -> Result<(Store, Book), StoreError> {
+fn open_patiently(path: &Path) -> Result<(Store, TenantSnapshot), StoreError> {
     let held_up = |why: &StoreError| warn!(%why, "the tenant store can't be opened yet: tried again");
-    STORE_RETRY.run(|| Store::open(path), StoreError::passes, held_up)
+    STORE_RETRY.run(|| Store::open(path), StoreError::is_transient, held_up)
 }
 
 /// The store, or none where it is damaged.
@@ -241,14 +241,18 @@
 }
 
 impl ChangeStore for Kept {
-    fn commit(&mut self, entry: &Entry, idempotent: Option<(&str, &Once)>) -> Result<(), ChangeStoreError> {
+    fn commit(
+        &mut self,
+        entry: &Entry,
+        idempotent: Option<(&str, &IdempotentResponse)>,
+    ) -> Result<(), ChangeStoreError> {
         let store = self.0.as_mut().ok_or(ChangeStoreError::Unavailable)?;
         store.commit(entry, idempotent).map_err(failed)
     }
 
-    fn stored_response(&self, key: &str) -> Result<Option<Once>, ChangeStoreError> {
+    fn stored_response(&self, key: &str) -> Result<Option<IdempotentResponse>, ChangeStoreError> {
         let Some(store) = &self.0 else { return Ok(None) };
-        store.once(key).map_err(failed)
+        store.idempotent_response(key).map_err(failed)
     }
 
     fn entries(
@@ -277,7 +281,7 @@
     /// Books that peers gave, while it is open which one stands: by the peer's number. As many as there are peers.
     offers: BTreeMap<u32, Whole>,
     /// The book that is to stand, by agreement or by an operator's word: to be taken over after the answer.
-    decided: Option<(Book, Origin)>,
+    decided: Option<(TenantSnapshot, Origin)>,
     /// The epoch of the book that stands, and its revision.
     epoch: u64,
     book: Revision,
@@ -314,8 +318,8 @@
         gathered
     }
 
-    fn said(&mut self, now: u64, what: What) {
-        self.own.said(now, what);
+    fn said(&mut self, now: u64, what: EntryKind) {
+        self.own.append(now, what);
         self.settle();
     }
 
@@ -445,7 +449,7 @@
 
     fn grant_loans(
         &mut self,
-        snapshot: &Book,
+        snapshot: &TenantSnapshot,
         controller: u32,
         incarnation: u64,
         report: Value,
@@ -532,7 +536,7 @@
         })
     }
 
-    fn recover(&mut self, mine: &Book, take: &str, dry_run: bool) -> Result<Value, Problem> {
+    fn recover(&mut self, mine: &TenantSnapshot, take: &str, dry_run: bool) -> Result<Value, Problem> {
         let unknown = |what: String| Problem::field("take", what);
         let (book, from) = match take {
             "own" if self.authority.own().is_none() && mine.revision() == 0 => {
@@ -589,16 +593,24 @@
         let (now, epoch) = (self.now(), self.epoch);
         let Some(records) = &mut self.records else { return };
         let action = serde_json::to_value(entry.action).ok().and_then(|a| a.as_str().map(str::to_owned));
-        let (revision, tenant, binds) = (entry.revision, entry.tenant.clone(), entry.binds());
-        records
-            .said(now, What::Accepted { epoch, revision, tenant, action: action.unwrap_or_default(), binds });
+        let (revision, tenant, binds) = (entry.revision, entry.tenant.clone(), entry.restricts());
+        records.said(
+            now,
+            EntryKind::Accepted {
+                epoch,
+                revision,
+                tenant,
+                action: action.unwrap_or_default(),
+                restricts: binds,
+            },
+        );
     }
 
     /// It was said to those who asked that this change is in force everywhere.
     fn everywhere(&mut self, at: Version) {
         let now = self.now();
         if let Some(records) = &mut self.records {
-            records.said(now, What::Everywhere { epoch: at.epoch, revision: at.revision });
+            records.said(now, EntryKind::InForce { epoch: at.epoch, revision: at.revision });
         }
     }
 
@@ -636,7 +648,7 @@
 }
 
 /// What the others would give up, or get, if this book stands.
-fn difference(number: u32, taken: &Book, other: &Book) -> Value {
+fn difference(number: u32, taken: &TenantSnapshot, other: &TenantSnapshot) -> Value {
     let mut names: Vec<Value> = Vec::new();
     let mut count = 0;
     let mut say = |tenant: &str, what: &str| {
@@ -800,7 +812,7 @@
         match self.api.entries(self.told) {
             Ok(entries) => {
                 for entry in entries {
-                    info!(revision = entry.revision, who = %entry.who, action = ?entry.action, tenant = %entry.tenant, "tenants changed");
+                    info!(revision = entry.revision, who = %entry.actor, action = ?entry.action, tenant = %entry.tenant, "tenants changed");
                     self.told = entry.revision;
                     self.around.accepted(&entry);
                     self.around.tell(Told::Changed(Box::new(entry)));
@@ -820,7 +832,7 @@
         self.recover();
         // A store whose file has failed is opened again, so that it can be read though nothing is changed.
         if let Some(store) = &mut self.api.store().0
-            && let Err(why) = store.heal()
+            && let Err(why) = store.reopen()
         {
             warn!(%why, "the tenant store can't be used yet");
         }
@@ -833,7 +845,7 @@
             self.write_snapshot();
         }
         let grace =
-            self.api.snapshot().next_due().map(|at| Duration::from_millis(at.saturating_sub(now).max(1)));
+            self.api.snapshot().next_removal().map(|at| Duration::from_millis(at.saturating_sub(now).max(1)));
         let grace = grace.filter(|_| self.around.authority.duty().0 == Duty::Serving);
         let write = self.write_at.map(|at| at.saturating_duration_since(Instant::now()));
         let ask = self.ask_peers();
@@ -927,7 +939,7 @@
     }
 
     /// Durable when this returns. A store that can't be used is put aside, and a new one made.
-    fn adopt(&mut self, book: &Book, origin: &Origin) -> Result<(), String> {
+    fn adopt(&mut self, book: &TenantSnapshot, origin: &Origin) -> Result<(), String> {
         let mut store = match self.api.store().0.take() {
             Some(store) => store,
             None => {
@@ -939,7 +951,7 @@
                 Store::open(&self.path).map_err(|e| e.to_string())?.0
             }
         };
-        let kept = store.adopt(book, origin).map_err(|e| e.to_string());
+        let kept = store.install(book, origin).map_err(|e| e.to_string());
         if let Err(why) = kept {
             self.api.store().0 = Some(store);
             return Err(why);
@@ -957,7 +969,7 @@
         }
         let StoreIdentity { name: store, epoch } = self.api.identity();
         let origin = Origin { store: store.to_owned(), epoch: *epoch };
-        match Snapshot::of(book, Some(origin)).write(&self.beside) {
+        match Snapshot::from_tenants(book, Some(origin)).write(&self.beside) {
             Ok(()) => self.written = book.revision(),
             Err(error) => warn!(%error, "the snapshot beside the store can't be written"),
         }
