--- a/crates/net/src/hub/conn.rs
+++ b/crates/net/src/hub/conn.rs
@@ -13,42 +13,60 @@
 use mio::net::TcpStream;
 use slab::Slab;
 
-use super::stream::{Stream, classify};
-use super::{Closing, ConnKey, ListenerKey, StreamError, StreamKey};
+use super::events::{Closing, ConnKey, ListenerKey, StreamError, StreamKey};
+use super::stream::{Stream, error_of};
 use crate::io::{Io, Shared};
 use crate::limits::NetLimits;
 
-type ClientShake = Pin<
-    Box<dyn Future<Output = Result<(client::SendRequest<Bytes>, client::Connection<Io, Bytes>), h2::Error>>>,
->;
+type ClientHalves = (client::SendRequest<Bytes>, client::Connection<Io, Bytes>);
+type ClientHandshake = Pin<Box<dyn Future<Output = Result<ClientHalves, h2::Error>>>>;
 
-enum Side {
-    /// TCP is on its way.
+/// How far a connection has come.
+enum State {
+    /// TCP is being established.
     Connecting(Io),
-    ClientShake(ClientShake),
+    ClientHandshake(ClientHandshake),
     Client(client::SendRequest<Bytes>, client::Connection<Io, Bytes>),
-    ServerShake(server::Handshake<Io, Bytes>),
+    ServerHandshake(server::Handshake<Io, Bytes>),
     Server(Box<server::Connection<Io, Bytes>>),
     Gone,
 }
 
+/// What a step of [`Conn::poll`] has come to.
+enum Progress {
+    /// The connection is in another state, which is to be polled as well.
+    NextState,
+    Pending,
+    Ended(Closing),
+}
+
+/// A stream that a peer opened.
+pub(super) struct AcceptedStream {
+    pub(super) request: http::Request<RecvStream>,
+    pub(super) response: server::SendResponse<Bytes>,
+}
+
 pub(super) struct Conn {
     pub(super) key: ConnKey,
     pub(super) peer: SocketAddr,
+    /// Where it was accepted; `None`: it is outgoing.
     pub(super) listener: Option<ListenerKey>,
     pub(super) shared: Rc<Shared>,
     pub(super) waker: Waker,
+    /// When its handshake or its idle time is over.
     pub(super) alarm: Instant,
     pub(super) streams: BTreeSet<StreamKey>,
+    /// Streams of ours that were not started yet, in order.
     pub(super) waiting: VecDeque<StreamKey>,
     pub(super) just_established: bool,
-    pub(super) came: Vec<(http::Request<RecvStream>, server::SendResponse<Bytes>)>,
+    /// Opened by the peer since the last poll.
+    pub(super) accepted_streams: Vec<AcceptedStream>,
+    /// Could not be started since the last poll.
     pub(super) failed: Vec<(StreamKey, StreamError)>,
-    side: Side,
+    state: State,
     limits: NetLimits,
-    /// We sent GOAWAY.
-    leaving: bool,
-    /// The peer takes no new streams.
+    goaway_sent: bool,
+    /// The peer accepts no new streams.
     pub(super) closed_to_new: bool,
 }
 
@@ -63,22 +81,12 @@
         limits: &NetLimits,
     ) -> Self {
         let (io, shared) = Io::new(socket);
-        let side = if listener.is_some() {
-            Side::ServerShake(
-                server::Builder::new()
-                    .max_concurrent_streams(limits.streams_per_connection)
-                    .max_header_list_size(limits.header_bytes)
-                    .initial_window_size(limits.stream_window)
-                    .initial_connection_window_size(limits.connection_window)
-                    .max_pending_accept_reset_streams(limits.reset_streams)
-                    .max_concurrent_reset_streams(limits.reset_streams)
-                    .max_send_buffer_size(limits.send_queue_bytes.max(16 << 10))
-                    .handshake(io),
-            )
+        let state = if listener.is_some() {
+            State::ServerHandshake(server_builder(limits).handshake(io))
         } else {
-            // Writable tells that it stands.
+            // It is established when it becomes writable.
             shared.writable.set(false);
-            Side::Connecting(io)
+            State::Connecting(io)
         };
         waker.wake_by_ref();
         Self {
@@ -91,30 +99,30 @@
             streams: BTreeSet::new(),
             waiting: VecDeque::new(),
             just_established: false,
-            came: Vec::new(),
+            accepted_streams: Vec::new(),
             failed: Vec::new(),
-            side,
+            state,
             limits: limits.clone(),
-            leaving: false,
+            goaway_sent: false,
             closed_to_new: false,
         }
     }
 
     pub(super) fn established(&self) -> bool {
-        matches!(self.side, Side::Client(..) | Side::Server(_))
+        matches!(self.state, State::Client(..) | State::Server(_))
     }
 
     pub(super) fn can_open(&mut self) -> bool {
         if self.closed_to_new {
             return false;
         }
-        match &mut self.side {
-            Side::Connecting(_) | Side::ClientShake(_) => true,
-            Side::Client(send, _) => {
+        match &mut self.state {
+            State::Connecting(_) | State::ClientHandshake(_) => true,
+            State::Client(send, _) => {
                 let mut cx = Context::from_waker(&self.waker);
-                let taken = self.streams.len() >= send.current_max_send_streams();
+                let is_at_limit = self.streams.len() >= send.current_max_send_streams();
                 match send.poll_ready(&mut cx) {
-                    Poll::Ready(Ok(())) => !taken,
+                    Poll::Ready(Ok(())) => !is_at_limit,
                     Poll::Ready(Err(_)) => {
                         self.closed_to_new = true;
                         false
@@ -127,18 +135,18 @@
     }
 
     pub(super) fn go_away(&mut self) {
-        if let Side::Server(conn) = &mut self.side {
+        if let State::Server(conn) = &mut self.state {
             conn.graceful_shutdown();
         }
-        self.leaving = true;
+        self.goaway_sent = true;
         self.waker.wake_by_ref();
     }
 
     pub(super) fn go_away_abruptly(&mut self, reason: Reason) {
-        if let Side::Server(conn) = &mut self.side {
+        if let State::Server(conn) = &mut self.state {
             conn.abrupt_shutdown(reason);
         }
-        self.leaving = true;
+        self.goaway_sent = true;
         self.waker.wake_by_ref();
     }
 
@@ -147,87 +155,117 @@
         let waker = self.waker.clone();
         let mut cx = Context::from_waker(&waker);
         loop {
-            match std::mem::replace(&mut self.side, Side::Gone) {
-                Side::Connecting(io) => {
-                    if let Ok(Some(_)) = self.shared.socket.take_error() {
-                        return Some(Closing::NotConnected);
-                    }
-                    if !self.shared.writable.get() {
-                        self.side = Side::Connecting(io);
-                        return None;
-                    }
-                    if self.shared.socket.peer_addr().is_err() {
-                        // Not yet: the event was for something else.
-                        self.shared.writable.set(false);
-                        self.side = Side::Connecting(io);
-                        return None;
-                    }
-                    let _ = self.shared.socket.set_nodelay(true);
-                    let limits = &self.limits;
-                    let mut builder = client::Builder::new();
-                    builder
-                        .enable_push(false)
-                        .max_header_list_size(limits.header_bytes)
-                        .initial_window_size(limits.stream_window)
-                        .initial_connection_window_size(limits.connection_window)
-                        .max_concurrent_reset_streams(limits.reset_streams)
-                        .max_send_buffer_size(limits.send_queue_bytes.max(16 << 10));
-                    self.side = Side::ClientShake(Box::pin(async move { builder.handshake(io).await }));
-                }
-                Side::ClientShake(mut shake) => match shake.as_mut().poll(&mut cx) {
-                    Poll::Pending => {
-                        self.side = Side::ClientShake(shake);
-                        return None;
-                    }
-                    Poll::Ready(Ok((send, conn))) => {
-                        self.side = Side::Client(send, conn);
-                        self.just_established = true;
-                    }
-                    Poll::Ready(Err(_)) => return Some(Closing::Ended),
-                },
-                Side::Client(mut send, mut conn) => {
-                    self.depart(&mut send, &mut cx, streams);
-                    let done = Pin::new(&mut conn).poll(&mut cx);
-                    self.side = Side::Client(send, conn);
-                    return match done {
-                        Poll::Pending => None,
-                        Poll::Ready(Ok(())) => Some(Closing::Ended),
-                        Poll::Ready(Err(e)) => Some(ending(&e)),
-                    };
-                }
-                Side::ServerShake(mut shake) => match Pin::new(&mut shake).poll(&mut cx) {
-                    Poll::Pending => {
-                        self.side = Side::ServerShake(shake);
-                        return None;
-                    }
-                    Poll::Ready(Ok(mut conn)) => {
-                        if self.leaving {
-                            conn.graceful_shutdown();
-                        }
-                        self.side = Side::Server(Box::new(conn));
-                        self.just_established = true;
-                    }
-                    Poll::Ready(Err(e)) => return Some(ending(&e)),
-                },
-                Side::Server(mut conn) => {
-                    let done = loop {
-                        match conn.poll_accept(&mut cx) {
-                            Poll::Pending => break None,
-                            Poll::Ready(Some(Ok(came))) => self.came.push(came),
-                            Poll::Ready(Some(Err(e))) => break Some(ending(&e)),
-                            Poll::Ready(None) => break Some(Closing::Ended),
-                        }
-                    };
-                    self.side = Side::Server(conn);
-                    return done;
+            let progress = match std::mem::replace(&mut self.state, State::Gone) {
+                State::Connecting(io) => self.poll_connecting(io),
+                State::ClientHandshake(handshake) => self.poll_client_handshake(handshake, &mut cx),
+                State::Client(send, connection) => self.poll_client(send, connection, &mut cx, streams),
+                State::ServerHandshake(handshake) => self.poll_server_handshake(handshake, &mut cx),
+                State::Server(connection) => self.poll_server(connection, &mut cx),
+                State::Gone => Progress::Ended(Closing::Ended),
+            };
+            match progress {
+                Progress::NextState => {}
+                Progress::Pending => return None,
+                Progress::Ended(why) => return Some(why),
+            }
+        }
+    }
+
+    fn poll_connecting(&mut self, io: Io) -> Progress {
+        if let Ok(Some(_)) = self.shared.socket.take_error() {
+            return Progress::Ended(Closing::NotConnected);
+        }
+        if !self.shared.writable.get() {
+            self.state = State::Connecting(io);
+            return Progress::Pending;
+        }
+        if self.shared.socket.peer_addr().is_err() {
+            // Not yet: the event was for something else.
+            self.shared.writable.set(false);
+            self.state = State::Connecting(io);
+            return Progress::Pending;
+        }
+        let _ = self.shared.socket.set_nodelay(true);
+        let builder = client_builder(&self.limits);
+        self.state = State::ClientHandshake(Box::pin(async move { builder.handshake(io).await }));
+        Progress::NextState
+    }
+
+    fn poll_client_handshake(&mut self, mut handshake: ClientHandshake, cx: &mut Context<'_>) -> Progress {
+        match handshake.as_mut().poll(cx) {
+            Poll::Pending => {
+                self.state = State::ClientHandshake(handshake);
+                Progress::Pending
+            }
+            Poll::Ready(Ok((send, connection))) => {
+                self.state = State::Client(send, connection);
+                self.just_established = true;
+                Progress::NextState
+            }
+            Poll::Ready(Err(_)) => Progress::Ended(Closing::Ended),
+        }
+    }
+
+    fn poll_client(
+        &mut self,
+        mut send: client::SendRequest<Bytes>,
+        mut connection: client::Connection<Io, Bytes>,
+        cx: &mut Context<'_>,
+        streams: &mut Slab<Stream>,
+    ) -> Progress {
+        self.start_waiting(&mut send, cx, streams);
+        let result = Pin::new(&mut connection).poll(cx);
+        self.state = State::Client(send, connection);
+        match result {
+            Poll::Pending => Progress::Pending,
+            Poll::Ready(Ok(())) => Progress::Ended(Closing::Ended),
+            Poll::Ready(Err(error)) => Progress::Ended(closing_of(&error)),
+        }
+    }
+
+    fn poll_server_handshake(
+        &mut self,
+        mut handshake: server::Handshake<Io, Bytes>,
+        cx: &mut Context<'_>,
+    ) -> Progress {
+        match Pin::new(&mut handshake).poll(cx) {
+            Poll::Pending => {
+                self.state = State::ServerHandshake(handshake);
+                Progress::Pending
+            }
+            Poll::Ready(Ok(mut connection)) => {
+                if self.goaway_sent {
+                    connection.graceful_shutdown();
                 }
-                Side::Gone => return Some(Closing::Ended),
+                self.state = State::Server(Box::new(connection));
+                self.just_established = true;
+                Progress::NextState
             }
+            Poll::Ready(Err(error)) => Progress::Ended(closing_of(&error)),
         }
     }
 
-    /// Streams that wait leave as the peer's limit allows.
-    fn depart(
+    fn poll_server(
+        &mut self,
+        mut connection: Box<server::Connection<Io, Bytes>>,
+        cx: &mut Context<'_>,
+    ) -> Progress {
+        let progress = loop {
+            match connection.poll_accept(cx) {
+                Poll::Pending => break Progress::Pending,
+                Poll::Ready(Some(Ok((request, response)))) => {
+                    self.accepted_streams.push(AcceptedStream { request, response });
+                }
+                Poll::Ready(Some(Err(error))) => break Progress::Ended(closing_of(&error)),
+                Poll::Ready(None) => break Progress::Ended(Closing::Ended),
+            }
+        };
+        self.state = State::Server(connection);
+        progress
+    }
+
+    /// Starts waiting streams, as far as the peer's limit allows.
+    fn start_waiting(
         &mut self,
         send: &mut client::SendRequest<Bytes>,
         cx: &mut Context<'_>,
@@ -246,22 +284,51 @@
                     let Some(stream) = streams.get_mut(key.index()).filter(|s| s.key == key) else {
                         continue;
                     };
-                    if let Err(error) = stream.depart(send, self.shared.written.get()) {
-                        self.failed.push((key, classify(&error, true)));
+                    if let Err(error) = stream.start(send, self.shared.written.get()) {
+                        self.failed.push((key, error_of(&error, true)));
                     }
                 }
             }
         }
     }
 
-    /// Lets go of the socket. Bytes already given to the kernel still leave.
-    pub(super) fn shut(&mut self) {
-        self.side = Side::Gone;
+    /// Closes the socket. Bytes that the system has taken are still sent.
+    pub(super) fn close(&mut self) {
+        self.state = State::Gone;
         let _ = self.shared.socket.shutdown(Shutdown::Both);
     }
 }
 
-fn ending(error: &h2::Error) -> Closing {
+/// Bytes that HTTP/2 may buffer for sending on a stream, at the least.
+const MIN_SEND_BUFFER: usize = 16 << 10;
+
+fn server_builder(limits: &NetLimits) -> server::Builder {
+    let mut builder = server::Builder::new();
+    builder
+        .max_concurrent_streams(limits.streams_per_connection)
+        .max_header_list_size(limits.header_bytes)
+        .initial_window_size(limits.stream_window)
+        .initial_connection_window_size(limits.connection_window)
+        .max_pending_accept_reset_streams(limits.reset_streams)
+        .max_concurrent_reset_streams(limits.reset_streams)
+        .max_send_buffer_size(limits.send_queue_bytes.max(MIN_SEND_BUFFER));
+    builder
+}
+
+fn client_builder(limits: &NetLimits) -> client::Builder {
+    let mut builder = client::Builder::new();
+    builder
+        .enable_push(false)
+        .max_header_list_size(limits.header_bytes)
+        .initial_window_size(limits.stream_window)
+        .initial_connection_window_size(limits.connection_window)
+        .max_concurrent_reset_streams(limits.reset_streams)
+        .max_send_buffer_size(limits.send_queue_bytes.max(MIN_SEND_BUFFER));
+    builder
+}
+
+/// Why a connection is closed that has ended with an error.
+fn closing_of(error: &h2::Error) -> Closing {
     if error.is_io() || error.is_remote() || error.reason() == Some(Reason::NO_ERROR) {
         Closing::Ended
     } else {
--- /dev/null
+++ b/crates/net/src/hub/poll.rs
@@ -0,0 +1,203 @@
+//! One iteration of the event loop: poll, read events, run what is due, alarms.
+
+use std::io;
+use std::time::{Duration, Instant};
+
+use super::conn::AcceptedStream;
+use super::stream::Stream;
+use super::{Closing, ConnKey, Hub, LISTENERS, NetEvent, SOURCES, StreamError, StreamKey, WAKE};
+use crate::clock::shorter;
+use crate::wake::Due;
+
+/// Rounds of one poll through what is due, so that two peers that wake each other can't keep the loop from its timers.
+const MAX_ROUNDS: usize = 64;
+
+impl Hub {
+    /// One iteration: runs what is due, polls (for at most `timeout`, and less where something is due), and runs what has
+    /// become due. Appends what happened to `out`.
+    pub fn poll(&mut self, timeout: Option<Duration>, out: &mut Vec<NetEvent>) -> io::Result<()> {
+        self.now = Instant::now();
+        self.run_due();
+        let busy = !self.out.is_empty() || !self.due.is_empty();
+        let alarm = self.alarms.first().map(|(at, _)| *at);
+        let wait =
+            if busy { Some(Duration::ZERO) } else { shorter(timeout, self.now, &[alarm, self.accept_at]) };
+        match self.poll.poll(&mut self.events, wait) {
+            Err(e) if e.kind() != io::ErrorKind::Interrupted => return Err(e),
+            _ => {}
+        }
+        self.counters.wakeups += 1;
+        self.now = Instant::now();
+        self.read_events();
+        self.fire_alarms();
+        self.run_due();
+        out.append(&mut self.out);
+        Ok(())
+    }
+
+    pub(super) fn read_events(&mut self) {
+        let mut accept = Vec::new();
+        for event in &self.events {
+            let token = event.token().0;
+            if event.token() == WAKE {
+                self.out.push(NetEvent::Woken);
+            } else if token >= SOURCES {
+                self.out.push(NetEvent::Source(token - SOURCES));
+            } else if token >= LISTENERS {
+                accept.push(token - LISTENERS);
+            } else if let Some(conn) = self.conns.get(token) {
+                // A token of an older connection with this index wakes the new one once in vain.
+                if event.is_readable() || event.is_read_closed() || event.is_error() {
+                    conn.shared.readable.set(true);
+                }
+                if event.is_writable() || event.is_write_closed() || event.is_error() {
+                    conn.shared.writable.set(true);
+                }
+                conn.waker.wake_by_ref();
+            }
+        }
+        for index in accept {
+            self.accept(index);
+        }
+        if self.accept_at.is_some_and(|at| at <= self.now) {
+            self.accept_at = None;
+            for index in 0..self.listeners.len() {
+                self.accept(index);
+            }
+        }
+    }
+
+    pub(super) fn run_due(&mut self) {
+        for _ in 0..MAX_ROUNDS {
+            let mut taken = std::mem::take(&mut self.taken);
+            self.due.take(&mut taken);
+            if taken.is_empty() {
+                self.taken = taken;
+                return;
+            }
+            for due in taken.drain(..) {
+                match due {
+                    Due::Stream(key) => self.poll_stream(StreamKey(key)),
+                    Due::Conn(key) => self.poll_conn(ConnKey(key)),
+                }
+            }
+            self.taken = taken;
+        }
+    }
+
+    pub(super) fn poll_stream(&mut self, key: StreamKey) {
+        let Some(stream) = self.streams.get_mut(key.index()).filter(|s| s.key == key) else { return };
+        let written = self.conns.get(stream.conn.index()).map_or(0, |c| c.shared.written.get());
+        let has_ended = stream.poll(written, &self.limits, &mut self.counters, &mut self.out);
+        if has_ended {
+            let stream = self.streams.remove(key.index());
+            self.unlink(&stream);
+        }
+    }
+
+    /// Removes a stream that has ended from its connection.
+    pub(super) fn unlink(&mut self, stream: &Stream) {
+        let Some(conn) = self.conns.get_mut(stream.conn.index()).filter(|c| c.key == stream.conn) else {
+            return;
+        };
+        conn.streams.remove(&stream.key);
+        if stream.is_waiting() {
+            conn.waiting.retain(|k| *k != stream.key);
+        }
+        if conn.streams.is_empty() && conn.established() {
+            self.alarms.remove(&(conn.alarm, conn.key));
+            conn.alarm = self.now + self.limits.idle;
+            self.alarms.insert((conn.alarm, conn.key));
+        }
+    }
+
+    pub(super) fn poll_conn(&mut self, key: ConnKey) {
+        let Some(conn) = self.conns.get_mut(key.index()).filter(|c| c.key == key) else { return };
+        let ended = conn.poll(&mut self.streams);
+        if conn.just_established {
+            conn.just_established = false;
+            self.alarms.remove(&(conn.alarm, key));
+            conn.alarm = self.now + self.limits.idle;
+            self.alarms.insert((conn.alarm, key));
+            if conn.listener.is_none() {
+                self.out.push(NetEvent::Connected { conn: key });
+            }
+        }
+        let accepted_streams = std::mem::take(&mut conn.accepted_streams);
+        let failed = std::mem::take(&mut conn.failed);
+        for AcceptedStream { request, response } in accepted_streams {
+            self.generation = self.generation.wrapping_add(1);
+            let entry = self.streams.vacant_entry();
+            let stream = StreamKey::new(self.generation, entry.key());
+            let waker = self.due.waker(Due::Stream(stream.0));
+            let (head, body) = request.into_parts();
+            entry.insert(Stream::incoming(stream, key, waker, body, response, &self.limits));
+            conn.streams.insert(stream);
+            self.counters.streams += 1;
+            self.out.push(NetEvent::Request { conn: key, stream, head });
+            if let Some(s) = self.streams.get(stream.index()) {
+                s.waker.wake_by_ref();
+            }
+        }
+        for (stream, why) in failed {
+            if self.is_open(stream) {
+                let gone = self.streams.remove(stream.index());
+                self.unlink(&gone);
+                self.out.push(NetEvent::Failed { stream, why });
+            }
+        }
+        if let Some(why) = ended {
+            self.close_conn(key, why);
+        }
+    }
+
+    pub(super) fn close_conn(&mut self, key: ConnKey, why: Closing) {
+        // What has arrived for its streams is reported first, and how each of them ended.
+        let streams: Vec<StreamKey> = self.conns[key.index()].streams.iter().copied().collect();
+        for stream in streams.iter().copied() {
+            self.poll_stream(stream);
+        }
+        let mut conn = self.conns.remove(key.index());
+        self.alarms.remove(&(conn.alarm, key));
+        match why {
+            Closing::NotConnected => self.counters.connect_failures += 1,
+            Closing::Protocol => self.counters.protocol_errors += 1,
+            Closing::Handshake => self.counters.handshake_timeouts += 1,
+            Closing::Idle => self.counters.idle_closed += 1,
+            Closing::Ended => {}
+        }
+        let written = conn.shared.written.get();
+        for stream in streams {
+            if self.is_open(stream) {
+                let gone = self.streams.remove(stream.index());
+                let why = if why == Closing::NotConnected && gone.is_waiting() {
+                    StreamError::NotConnected
+                } else if gone.is_unwritten(written) {
+                    StreamError::NotWritten
+                } else {
+                    StreamError::Broken
+                };
+                self.out.push(NetEvent::Failed { stream, why });
+            }
+        }
+        conn.close();
+        self.out.push(NetEvent::Closed { conn: key, why });
+    }
+
+    pub(super) fn fire_alarms(&mut self) {
+        while let Some(&(at, key)) = self.alarms.first() {
+            if at > self.now {
+                return;
+            }
+            self.alarms.pop_first();
+            let Some(conn) = self.conns.get(key.index()).filter(|c| c.key == key) else { continue };
+            if !conn.established() {
+                let why = if conn.listener.is_some() { Closing::Handshake } else { Closing::NotConnected };
+                self.close_conn(key, why);
+            } else if conn.streams.is_empty() {
+                self.close_conn(key, Closing::Idle);
+            }
+            // With streams its alarm is set again when the last of them ends.
+        }
+    }
+}
--- a/crates/net/src/hub/stream.rs
+++ b/crates/net/src/hub/stream.rs
@@ -11,10 +11,16 @@
 use h2::{Reason, RecvStream, SendStream};
 use http::HeaderMap;
 
-use super::{ConnKey, FAIR, NetEvent, StreamError, StreamKey};
+use super::events::{ConnKey, NetEvent, StreamError, StreamKey};
 use crate::framing::{Decoder, prefix};
 use crate::limits::{NetCounters, NetLimits};
 
+/// Messages that one poll takes from a stream; the others wait for the next.
+const MAX_MESSAGES_PER_POLL: usize = 64;
+/// Bytes of send capacity that are reserved at once.
+const MAX_RESERVED_CAPACITY: usize = 1 << 20;
+
+/// One stream, of either side.
 pub(super) struct Stream {
     pub(super) key: StreamKey,
     pub(super) conn: ConnKey,
@@ -22,7 +28,7 @@
     pub(super) decoder: Decoder,
     pub(super) paused: bool,
     pub(super) out_bytes: usize,
-    /// Ours, not yet on the wire.
+    /// The request of a stream that was not started yet.
     request: Option<http::Request<()>>,
     response: Option<ResponseFuture>,
     answer: Option<SendResponse<Bytes>>,
@@ -33,9 +39,9 @@
     sent: bool,
     was_full: bool,
     /// The peer opened it.
-    theirs: bool,
+    is_incoming: bool,
     /// Bytes written on the connection when the request was queued.
-    mark: u64,
+    written_before: u64,
 }
 
 impl Stream {
@@ -56,12 +62,13 @@
             end: None,
             sent: false,
             was_full: false,
-            theirs: false,
-            mark: 0,
+            is_incoming: false,
+            written_before: 0,
         }
     }
 
-    pub(super) fn ours(
+    /// A stream of ours; it waits until its connection can start it.
+    pub(super) fn outgoing(
         key: StreamKey,
         conn: ConnKey,
         waker: Waker,
@@ -71,7 +78,8 @@
         Self { request: Some(request), ..Self::new(key, conn, waker, limits) }
     }
 
-    pub(super) fn theirs(
+    /// A stream that a peer opened.
+    pub(super) fn incoming(
         key: StreamKey,
         conn: ConnKey,
         waker: Waker,
@@ -79,22 +87,28 @@
         answer: SendResponse<Bytes>,
         limits: &NetLimits,
     ) -> Self {
-        Self { recv: Some(recv), answer: Some(answer), theirs: true, ..Self::new(key, conn, waker, limits) }
+        Self {
+            recv: Some(recv),
+            answer: Some(answer),
+            is_incoming: true,
+            ..Self::new(key, conn, waker, limits)
+        }
     }
 
-    /// Has it not left yet?
-    pub(super) fn waits(&self) -> bool {
+    /// Whether it was not started yet.
+    pub(super) fn is_waiting(&self) -> bool {
         self.request.is_some()
     }
 
-    /// Was nothing written on the connection since the request was queued?
-    pub(super) fn unwritten(&self, written: u64) -> bool {
-        !self.theirs && (self.waits() || written == self.mark)
+    /// Whether nothing was written on the connection since the request was queued.
+    pub(super) fn is_unwritten(&self, written: u64) -> bool {
+        !self.is_incoming && (self.is_waiting() || written == self.written_before)
     }
 
-    pub(super) fn depart(&mut self, send: &mut SendRequest<Bytes>, written: u64) -> Result<(), h2::Error> {
+    /// Hands the request to HTTP/2. `written`: bytes written on the connection so far.
+    pub(super) fn start(&mut self, send: &mut SendRequest<Bytes>, written: u64) -> Result<(), h2::Error> {
         let Some(request) = self.request.take() else { return Ok(()) };
-        self.mark = written;
+        self.written_before = written;
         let (response, body) = send.send_request(request, false)?;
         self.response = Some(response);
         self.send = Some(body);
@@ -138,8 +152,8 @@
         }
     }
 
-    pub(super) fn full(&mut self, most: usize) -> bool {
-        self.was_full |= self.out_bytes > most;
+    pub(super) fn is_full(&mut self, limit: usize) -> bool {
+        self.was_full |= self.out_bytes > limit;
         self.was_full
     }
 
@@ -151,7 +165,7 @@
         }
     }
 
-    /// Polls both directions. True: the stream has ended and its last event is out.
+    /// Polls both directions. True: the stream has ended, and its last event was reported.
     pub(super) fn poll(
         &mut self,
         written: u64,
@@ -168,8 +182,8 @@
             return done;
         }
         if let Err(error) = self.poll_send(&mut cx) {
-            // An answer may stand complete although the request was not wanted to its end.
-            if self.theirs || self.recv.is_none() && self.response.is_none() {
+            // An answer may be complete although the peer did not want all of the request.
+            if self.is_incoming || self.recv.is_none() && self.response.is_none() {
                 return self.fail(&error, written, out);
             }
         }
@@ -177,7 +191,7 @@
             self.was_full = false;
             out.push(NetEvent::Drained { stream: self.key });
         }
-        if !self.theirs {
+        if !self.is_incoming {
             return false;
         }
         if self.sent {
@@ -193,7 +207,7 @@
         match reset {
             Poll::Pending => false,
             Poll::Ready(Ok(reason)) => {
-                out.push(NetEvent::Failed { stream: self.key, why: by_reason(reason) });
+                out.push(NetEvent::Failed { stream: self.key, why: error_of_reason(reason) });
                 true
             }
             Poll::Ready(Err(error)) => self.fail(&error, written, out),
@@ -201,7 +215,7 @@
     }
 
     fn fail(&self, error: &h2::Error, written: u64, out: &mut Vec<NetEvent>) -> bool {
-        let why = classify(error, self.unwritten(written));
+        let why = error_of(error, self.is_unwritten(written));
         out.push(NetEvent::Failed { stream: self.key, why });
         true
     }
@@ -236,7 +250,7 @@
         counters: &mut NetCounters,
         out: &mut Vec<NetEvent>,
     ) -> Option<bool> {
-        let mut budget = FAIR;
+        let mut budget = MAX_MESSAGES_PER_POLL;
         while self.recv.is_some() && !self.paused {
             match self.decoder.next_message() {
                 Ok(Some(payload)) => {
@@ -255,7 +269,7 @@
             match recv.poll_data(cx) {
                 Poll::Pending => return None,
                 Poll::Ready(Some(Ok(chunk))) => {
-                    // What is read is let go at once: a paused stream is not read, so that its window closes.
+                    // What is read frees its window at once; a paused stream is not read, so that its window closes.
                     let _ = recv.flow_control().release_capacity(chunk.len());
                     self.decoder.push(chunk);
                 }
@@ -270,7 +284,7 @@
                         return self.malformed(error, counters, out);
                     }
                     self.recv = None;
-                    if self.theirs {
+                    if self.is_incoming {
                         out.push(NetEvent::HalfClosed { stream: self.key });
                         return None;
                     }
@@ -290,7 +304,7 @@
     ) -> Option<bool> {
         counters.bad_messages += 1;
         self.recv = None;
-        if self.theirs {
+        if self.is_incoming {
             out.push(NetEvent::Malformed { stream: self.key, error });
             return None;
         }
@@ -306,7 +320,7 @@
         }
         while let Some(front) = self.out.front_mut() {
             if send.capacity() == 0 {
-                send.reserve_capacity(self.out_bytes.min(1 << 20));
+                send.reserve_capacity(self.out_bytes.min(MAX_RESERVED_CAPACITY));
                 match send.poll_capacity(cx) {
                     Poll::Pending => return Ok(()),
                     Poll::Ready(None) => return Ok(()),
@@ -338,7 +352,7 @@
     }
 }
 
-fn by_reason(reason: Reason) -> StreamError {
+fn error_of_reason(reason: Reason) -> StreamError {
     if reason == Reason::REFUSED_STREAM {
         StreamError::Refused
     } else {
@@ -346,13 +360,13 @@
     }
 }
 
-/// What an error of `h2` says of a stream of ours. `unwritten`: nothing left since it was queued.
-pub(super) fn classify(error: &h2::Error, unwritten: bool) -> StreamError {
+/// What an error of `h2` means for a stream. `unwritten`: nothing was written since it was queued.
+pub(super) fn error_of(error: &h2::Error, unwritten: bool) -> StreamError {
     if error.is_remote() && error.is_go_away() {
         // `h2` gives this to streams above the last id alone; those below it break with the connection.
         StreamError::GoneAway
     } else if error.is_remote() && error.is_reset() {
-        error.reason().map_or(StreamError::Broken, by_reason)
+        error.reason().map_or(StreamError::Broken, error_of_reason)
     } else if unwritten {
         StreamError::NotWritten
     } else if error.is_io() {
