--- a/crates/administration/src/desk.rs
+++ b/crates/administration/src/desk.rs
@@ -514,9 +514,10 @@
         let rows: Vec<Value> = self
             .authority
             .reports()
-            .map(|(controller, stamp, at)| {
-                let standing = stamp.zip(own).map(|(told, own)| told.compare(own).as_str());
-                json!({ "controller": controller, "holds": stamp, "standing": standing, "seen_ms_ago": now.saturating_sub(at) })
+            .map(|report| {
+                let order = report.version.zip(own).map(|(theirs, own)| theirs.compare(own).as_str());
+                let age = now.saturating_sub(report.received_at);
+                json!({ "controller": report.controller, "holds": report.version, "standing": order, "seen_ms_ago": age })
             })
             .collect();
         let (step, cause) = match duty {
@@ -642,8 +643,8 @@
 
     /// Under which store and epoch a book stands above all that are held.
     fn above_all(&self) -> Option<Origin> {
-        let (store, least) = self.authority.superseding_origin()?;
-        Some(Origin { store, epoch: least.max(clock::wall() / 1000) })
+        let least = self.authority.superseding_origin()?;
+        Some(Origin { store: least.store, epoch: least.epoch.max(clock::wall() / 1000) })
     }
 }
 
--- a/crates/administration/src/lending.rs
+++ b/crates/administration/src/lending.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 use nettleferry_fleet::Millis;
-use nettleferry_fleet::loans::{Kind, Lender, LoanConfig, UsageReport};
+use nettleferry_fleet::loans::{Kind, Lender, LoanConfig, LoanRequest, UsageReport};
 use nettleferry_fleet::membership::Incarnation;
 use nettleferry_tenancy::{Revision, Tenant, TenantSnapshot};
 use serde::{Deserialize, Serialize};
@@ -92,8 +92,9 @@
             let acts_on = if row.by == self.by { row.acts_on } else { 0 };
             // What calls hold stays in use for as long as they may take.
             let over = if row.kind == Kind::Rate { until } else { until + self.longest };
-            let word = UsageReport { demand: row.demand, in_use: row.in_use, applied_loan: acts_on };
-            let loan = lender.report((now, over), (self.terms, limit), who, word, &mut self.next);
+            let usage = UsageReport { demand: row.demand, in_use: row.in_use, applied_loan: acts_on };
+            let request = LoanRequest { borrower: who, usage, config: self.terms, limit, now, until: over };
+            let loan = lender.report(request, &mut self.next);
             let (number, amount) = (loan.number, loan.amount);
             all.push(Lent { uid: row.uid, kind: row.kind, limit, number, by: self.by, amount });
         }
--- a/crates/fleet/src/authority.rs
+++ b/crates/fleet/src/authority.rs
@@ -1,41 +1,43 @@
-//! The administration after a loss: may it give its book and take changes, or do its followers hold a newer one?
+//! The leader after a loss: may it serve its snapshot and accept changes, or do its followers have a newer one?
 //!
-//! It serves no change and gives no book while its own is damaged, missing or behind. It takes a follower's book by
-//! itself only when every controller that is expected has told which one it holds, so that no acknowledged change
-//! is given up that any disk still holds; else an operator decides. Followers go on serving meanwhile.
+//! It accepts no change and serves no snapshot while its own is damaged, missing or behind. It installs a follower's
+//! snapshot by itself only when every expected controller has reported which one it has, so that no acknowledged
+//! change is given up that any disk still holds; else an operator decides. Followers continue to serve meanwhile.
+//!
+//! Fetching, storing and serving snapshots is left to the caller.
 
 use std::collections::BTreeMap;
 
 use crate::Millis;
 use crate::snapshot_version::{SnapshotVersion, VersionOrder};
 
-/// Controllers whose word is remembered; beyond them the one heard longest ago is forgotten.
+/// Controllers whose report is remembered; beyond them the oldest report is forgotten.
 pub const MAX_REPORTS: usize = 1_024;
 
-/// What it may do.
+/// What the leader may do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Duty {
-    /// All of it.
+    /// Accept changes and serve its snapshot.
     Serving,
-    /// Neither changes nor books, until it has caught up or an operator has decided.
+    /// Neither, until it has caught up or an operator has decided.
     Waiting(Cause),
 }
 
-/// Why it waits.
+/// Why the leader waits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Cause {
-    /// Its own book can't be read.
+    /// Its own snapshot can't be read.
     Damaged,
-    /// Its own book holds nothing: it is new, or its disk was lost.
+    /// Its own snapshot has no changes: the store is new, or its disk was lost.
     Empty,
-    /// A follower holds a newer one than it has.
+    /// A follower has a newer snapshot.
     Behind,
-    /// There are different books of one revision, or of different stores.
+    /// There are different snapshots of one revision, or of different stores.
     Disagreed,
 }
 
 impl Cause {
-    /// A word for logs, figures and the API.
+    /// Its name in logs, metrics and the API.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Damaged => "damaged",
@@ -46,37 +48,56 @@
     }
 }
 
-/// What is to be done after a controller has told what it holds.
+/// What is to be done after a controller has reported.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
     /// Nothing.
     None,
-    /// The book of this stamp, which this controller holds, is to be taken.
+    /// Fetch this snapshot from this controller, and install it.
     Install(u32, SnapshotVersion),
 }
 
-/// What an operator decides.
+/// What a controller reported last.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+struct Report {
+    version: Option<SnapshotVersion>,
+    received_at: Millis,
+}
+
+/// A controller, and the snapshot that it reported last.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum OperatorChoice {
-    /// Its own book stands, whatever others hold.
-    Own,
-    /// This controller's.
-    Of(u32),
+pub struct ReportedSnapshot<'a> {
+    /// The controller's number.
+    pub controller: u32,
+    /// Its snapshot; `None`: it has none.
+    pub version: Option<&'a SnapshotVersion>,
+    /// When it reported.
+    pub received_at: Millis,
 }
 
-/// The administration's state.
+/// The store and epoch under which a snapshot supersedes all that are known.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct SupersedingOrigin {
+    /// The store that the known snapshots are of: controllers install no other store's snapshot.
+    pub store: String,
+    /// The least epoch above all of theirs.
+    pub epoch: u64,
+}
+
+/// The leader's own snapshot, what the others reported, and what follows.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Authority {
     own: Option<SnapshotVersion>,
     duty: Duty,
-    /// How many controllers are to be heard before a book is taken without an operator.
+    /// Other controllers that must have reported before a snapshot is installed without an operator.
     expected: usize,
-    reports: BTreeMap<u32, (Option<SnapshotVersion>, Millis)>,
+    reports: BTreeMap<u32, Report>,
     since: Millis,
 }
 
 impl Authority {
-    /// With its own book, where that is sound, among so many other controllers whose word is awaited.
+    /// At the start of the leader. `own`: its snapshot, where that is intact. `expected`: other controllers that must
+    /// have reported before a snapshot is installed without an operator.
     pub fn new(now: Millis, own: Option<SnapshotVersion>, expected: usize) -> Self {
         let duty = match &own {
             None => Duty::Waiting(Cause::Damaged),
@@ -86,27 +107,32 @@
         Self { own, duty, expected, reports: BTreeMap::new(), since: now }
     }
 
-    /// What it may do, and since when.
+    /// What the leader may do, and since when.
     pub fn duty(&self) -> (Duty, Millis) {
         (self.duty, self.since)
     }
 
-    /// Its own book's.
+    /// Its own snapshot; `None`: it is damaged.
     pub fn own(&self) -> Option<&SnapshotVersion> {
         self.own.as_ref()
     }
 
-    /// Controllers and what they hold, with when they told it.
-    pub fn reports(&self) -> impl Iterator<Item = (u32, Option<&SnapshotVersion>, Millis)> {
-        self.reports.iter().map(|(who, (stamp, at))| (*who, stamp.as_ref(), *at))
+    /// What the other controllers reported, by controller.
+    pub fn reports(&self) -> impl Iterator<Item = ReportedSnapshot<'_>> {
+        self.reports.iter().map(|(controller, report)| ReportedSnapshot {
+            controller: *controller,
+            version: report.version.as_ref(),
+            received_at: report.received_at,
+        })
     }
 
-    /// How many are to be heard before a book is taken without an operator.
+    /// How many others must have reported before a snapshot is installed without an operator.
     pub fn expected(&self) -> usize {
         self.expected
     }
 
-    /// Its own book is this one now: by a change that it took, or as it took another's over.
+    /// Its own snapshot has changed: by an accepted change, or as another was installed. `decided`: an operator or the
+    /// reports of all have decided for it, so that it is served from now on.
     pub fn set_own(&mut self, now: Millis, own: SnapshotVersion, decided: bool) {
         self.own = Some(own);
         if decided {
@@ -120,21 +146,21 @@
         }
     }
 
-    /// A controller has told which book it holds, or that it holds none.
-    pub fn report_received(&mut self, now: Millis, who: u32, stamp: Option<SnapshotVersion>) -> Step {
-        if self.reports.len() >= MAX_REPORTS
-            && !self.reports.contains_key(&who)
-            && let Some(oldest) = self.reports.iter().min_by_key(|(_, (_, at))| *at).map(|(who, _)| *who)
-        {
-            self.reports.remove(&oldest);
-        }
-        let standing = stamp.as_ref().zip(self.own.as_ref()).map(|(told, own)| told.compare(own));
-        self.reports.insert(who, (stamp, now));
+    /// A controller has reported which snapshot it has, or that it has none.
+    pub fn report_received(
+        &mut self,
+        now: Millis,
+        controller: u32,
+        version: Option<SnapshotVersion>,
+    ) -> Step {
+        self.make_room(controller);
+        let order = version.as_ref().zip(self.own.as_ref()).map(|(reported, own)| reported.compare(own));
+        self.reports.insert(controller, Report { version, received_at: now });
         if self.duty == Duty::Serving {
-            match standing {
+            match order {
                 Some(VersionOrder::Ahead) => self.transition(now, Duty::Waiting(Cause::Behind)),
                 // One of the two is broken, and which one is not for this program to guess. A controller with
-                // another store's book follows somebody else: its book is not this fleet's.
+                // another store's snapshot follows another leader: its snapshot is not this fleet's.
                 Some(VersionOrder::Forked) => self.transition(now, Duty::Waiting(Cause::Disagreed)),
                 _ => return Step::None,
             }
@@ -142,46 +168,61 @@
         self.choose(now)
     }
 
-    /// The newest of all, where all agree on what it is and all who are expected were heard.
+    fn make_room(&mut self, controller: u32) {
+        if self.reports.len() < MAX_REPORTS || self.reports.contains_key(&controller) {
+            return;
+        }
+        let oldest = self.reports.iter().min_by_key(|(_, report)| report.received_at);
+        if let Some(oldest) = oldest.map(|(controller, _)| *controller) {
+            self.reports.remove(&oldest);
+        }
+    }
+
+    fn reported_versions(&self) -> impl Iterator<Item = &SnapshotVersion> {
+        self.reports.values().filter_map(|report| report.version.as_ref())
+    }
+
+    /// Chooses the newest snapshot of all, where all agree on what it is and all that are expected have reported.
     fn choose(&mut self, now: Millis) -> Step {
-        // A book that holds nothing is nobody's newest.
+        // A snapshot without changes is nobody's newest.
         let own = self.own.as_ref().filter(|own| own.revision > 0);
-        let newest = self.reports.values().filter_map(|(stamp, _)| stamp.as_ref()).chain(own).max().cloned();
-        let all_heard = self.reports.len() >= self.expected.max(1);
+        let newest = self.reported_versions().chain(own).max().cloned();
+        let all_reported = self.reports.len() >= self.expected.max(1);
         let Some(newest) = newest else {
-            // Nobody has any: an installation begins, where its own is sound.
-            if all_heard && self.own.is_some() {
+            // Nobody has any: this is a new installation, where its own snapshot is intact.
+            if all_reported && self.own.is_some() {
                 self.transition(now, Duty::Serving);
             }
             return Step::None;
         };
-        let mut all = self.reports.values().filter_map(|(stamp, _)| stamp.as_ref()).chain(own);
-        if all.any(|s| matches!(s.compare(&newest), VersionOrder::Forked | VersionOrder::Foreign)) {
+        let disagrees = |version: &SnapshotVersion| {
+            matches!(version.compare(&newest), VersionOrder::Forked | VersionOrder::Foreign)
+        };
+        if self.reported_versions().chain(own).any(disagrees) {
             self.transition(now, Duty::Waiting(Cause::Disagreed));
             return Step::None;
         }
         if own.is_some_and(|own| own.compare(&newest) == VersionOrder::Same) {
-            // Whoever was ahead has told otherwise since.
+            // Whoever was ahead has reported otherwise since.
             self.transition(now, Duty::Serving);
             return Step::None;
         }
         if self.duty == Duty::Waiting(Cause::Disagreed) {
-            self.transition(now, Duty::Waiting(if own.is_some() { Cause::Behind } else { Cause::Damaged }));
+            let cause = if own.is_some() { Cause::Behind } else { Cause::Damaged };
+            self.transition(now, Duty::Waiting(cause));
         }
-        if !all_heard {
+        if !all_reported {
             return Step::None;
         }
-        let holder = self.reports.iter().find(|(_, (stamp, _))| stamp.as_ref() == Some(&newest));
-        holder.map_or(Step::None, |(who, _)| Step::Install(*who, newest.clone()))
+        let holder = self.reports.iter().find(|(_, report)| report.version.as_ref() == Some(&newest));
+        holder.map_or(Step::None, |(controller, _)| Step::Install(*controller, newest.clone()))
     }
 
-    /// The store's name and the least epoch under which a decided book is taken by all who hold another.
-    pub fn superseding_origin(&self) -> Option<(String, u64)> {
-        let all = || self.reports.values().filter_map(|(stamp, _)| stamp.as_ref()).chain(self.own.as_ref());
-        let epoch = all().map(|s| s.epoch).max()?;
-        // Controllers take no other store's book: the name is that of what they hold.
-        let held =
-            self.reports.values().filter_map(|(stamp, _)| stamp.as_ref()).max().or(self.own.as_ref())?;
-        Some((held.store.clone(), epoch.saturating_add(1)))
+    /// The store and epoch under which a chosen snapshot is installed by all that have another; `None`: no snapshot
+    /// is known.
+    pub fn superseding_origin(&self) -> Option<SupersedingOrigin> {
+        let epoch = self.reported_versions().chain(self.own.as_ref()).map(|version| version.epoch).max()?;
+        let held = self.reported_versions().max().or(self.own.as_ref())?;
+        Some(SupersedingOrigin { store: held.store.clone(), epoch: epoch.saturating_add(1) })
     }
 }
--- a/crates/fleet/src/bootstrap.rs
+++ b/crates/fleet/src/bootstrap.rs
@@ -1,7 +1,8 @@
-//! A controller that follows: whom it asks for the book, and which book it takes.
+//! A follower without a snapshot: which peers it asks for one, when, and which it installs.
 //!
-//! What is asked never waits for what the asked one waits for: a peer answers at once with the book that it has in
-//! force, or that it has none. So nobody waits in a circle, and one that hears nobody serves on what it has.
+//! A peer answers at once with the snapshot that it has in force, or that it has none, and never waits for what it is
+//! waiting for itself. So there is no circular wait, and a follower whose peers don't answer serves what it has.
+//! Sending the requests is left to the caller.
 
 use rand::seq::index;
 use rand::{RngExt, SeedableRng};
@@ -10,115 +11,137 @@
 use crate::Millis;
 use crate::snapshot_version::{SnapshotVersion, VersionOrder};
 
-/// Peers that one without a book asks in a round, at the most.
+/// Peers that are asked in one round, at the most.
 pub const MAX_PEERS_PER_ROUND: usize = 3;
-/// The administration has so long to answer before peers are asked.
+/// The leader has this long to answer before peers are asked, milliseconds.
 pub const LEADER_HEAD_START: Millis = 500;
-/// Between two rounds of peers, at first; doubled up to the most.
+/// Wait between the first two rounds, milliseconds; doubled with each round.
 pub const MIN_ROUND_INTERVAL: Millis = 500;
-/// See [`MIN_ROUND_INTERVAL`].
+/// Longest wait between two rounds, milliseconds.
 pub const MAX_ROUND_INTERVAL: Millis = 10_000;
 
-/// Is a book that was given to be taken in place of the one that is held?
-pub fn should_replace(held: Option<&SnapshotVersion>, given: &SnapshotVersion) -> Result<bool, VersionOrder> {
-    let Some(held) = held else { return Ok(true) };
-    match given.compare(held) {
+/// Is an offered snapshot to replace the current one? `Ok(false)`: it is the same.
+///
+/// # Errors
+/// How it compares, where it is behind, forked or of another store: it is not to be installed.
+pub fn should_replace(
+    current: Option<&SnapshotVersion>,
+    offered: &SnapshotVersion,
+) -> Result<bool, VersionOrder> {
+    let Some(current) = current else { return Ok(true) };
+    match offered.compare(current) {
         VersionOrder::Ahead => Ok(true),
         VersionOrder::Same => Ok(false),
-        refused => Err(refused),
+        rejected => Err(rejected),
     }
 }
 
-/// One without a book, among peers.
+/// A snapshot that a peer offered in this round.
+#[derive(Clone, Debug)]
+struct Offer {
+    peer: usize,
+    version: SnapshotVersion,
+}
+
+/// A follower without a snapshot, among its peers.
 #[derive(Clone, Debug)]
 pub struct Bootstrap {
     peers: usize,
     /// Peers of this round that are still to be asked.
-    left: Vec<usize>,
-    asked: bool,
-    /// The best of this round, and who gave it.
-    best: Option<(usize, SnapshotVersion)>,
-    /// Two of one revision that differ: neither is guessed at.
+    remaining: Vec<usize>,
+    /// A round is under way.
+    in_round: bool,
+    /// The newest snapshot that was offered in this round.
+    newest: Option<Offer>,
+    /// Two snapshots of one revision that differ were offered in this round: neither is chosen.
     forked: bool,
-    begun: Option<Millis>,
+    started_at: Option<Millis>,
     not_before: Millis,
-    wait: Millis,
+    interval: Millis,
     random: ChaCha8Rng,
 }
 
 /// What a peer answered.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PeerResponse {
-    /// It has this book.
+    /// It has this snapshot.
     Snapshot(SnapshotVersion),
-    /// It has none, or gave no answer.
+    /// It has none, or did not answer.
     NoSnapshot,
 }
 
-/// What is to be done.
+/// What is to be done next.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
     /// Nothing before this time.
     Wait(Millis),
-    /// Ask this peer.
+    /// Ask this peer for its snapshot.
     Request(usize),
-    /// Take the book that this peer gave in this round.
+    /// Install the snapshot that this peer offered in this round.
     Install(usize),
-    /// Peers disagree about one revision: none of their books is taken. Said once a round.
+    /// Peers disagree about one revision: none of their snapshots is installed. Reported once a round.
     Forked,
 }
 
 impl Bootstrap {
-    /// Among so many peers. `seed`: which of them are asked.
+    /// Among so many peers. `seed`: for the choice of peers and the jitter of waits.
     pub fn new(peers: usize, seed: u64) -> Self {
         Self {
             peers,
-            left: Vec::new(),
-            asked: false,
-            best: None,
+            remaining: Vec::new(),
+            in_round: false,
+            newest: None,
             forked: false,
-            begun: None,
+            started_at: None,
             not_before: 0,
-            wait: MIN_ROUND_INTERVAL,
+            interval: MIN_ROUND_INTERVAL,
             random: ChaCha8Rng::seed_from_u64(seed),
         }
     }
 
-    /// What is next, for one that has no book and has not heard the administration.
+    /// What is next, while there is no snapshot and no response of the leader.
     pub fn next(&mut self, now: Millis) -> Step {
-        let begun = *self.begun.get_or_insert(now);
-        let from = self.not_before.max(begun + LEADER_HEAD_START);
+        let started_at = *self.started_at.get_or_insert(now);
+        let from = self.not_before.max(started_at + LEADER_HEAD_START);
         if self.peers == 0 || now < from {
             return Step::Wait(if self.peers == 0 { Millis::MAX } else { from });
         }
-        if !self.asked {
-            self.asked = true;
-            (self.best, self.forked) = (None, false);
-            // Controllers that lost power together ask different peers.
-            self.left =
-                index::sample(&mut self.random, self.peers, self.peers.min(MAX_PEERS_PER_ROUND)).into_vec();
+        if !self.in_round {
+            self.begin_round();
         }
-        match self.left.pop() {
+        match self.remaining.pop() {
             Some(peer) => Step::Request(peer),
-            None => {
-                // The round is over; the next one comes later, and apart from those of others.
-                self.asked = false;
-                self.not_before = now + self.random.random_range(self.wait / 2..=self.wait);
-                self.wait = (self.wait * 2).min(MAX_ROUND_INTERVAL);
-                match (&self.best, self.forked) {
-                    (_, true) => Step::Forked,
-                    (Some((peer, _)), false) => Step::Install(*peer),
-                    (None, false) => Step::Wait(self.not_before),
-                }
-            }
+            None => self.end_round(now),
+        }
+    }
+
+    fn begin_round(&mut self) {
+        self.in_round = true;
+        (self.newest, self.forked) = (None, false);
+        // Controllers that lost power together ask different peers.
+        let count = self.peers.min(MAX_PEERS_PER_ROUND);
+        self.remaining = index::sample(&mut self.random, self.peers, count).into_vec();
+    }
+
+    /// Schedules the next round, apart from those of other controllers, and says what came of this one.
+    fn end_round(&mut self, now: Millis) -> Step {
+        self.in_round = false;
+        self.not_before = now + self.random.random_range(self.interval / 2..=self.interval);
+        self.interval = (self.interval * 2).min(MAX_ROUND_INTERVAL);
+        match &self.newest {
+            _ if self.forked => Step::Forked,
+            Some(offer) => Step::Install(offer.peer),
+            None => Step::Wait(self.not_before),
         }
     }
 
     /// A peer has answered, or did not.
-    pub fn peer_responded(&mut self, peer: usize, heard: PeerResponse) {
-        let PeerResponse::Snapshot(stamp) = heard else { return };
-        match self.best.as_ref().map(|(_, best)| stamp.compare(best)) {
-            None | Some(VersionOrder::Ahead) => (self.best, self.forked) = (Some((peer, stamp)), false),
+    pub fn peer_responded(&mut self, peer: usize, response: PeerResponse) {
+        let PeerResponse::Snapshot(version) = response else { return };
+        match self.newest.as_ref().map(|newest| version.compare(&newest.version)) {
+            None | Some(VersionOrder::Ahead) => {
+                (self.newest, self.forked) = (Some(Offer { peer, version }), false);
+            }
             Some(VersionOrder::Same | VersionOrder::Behind) => {}
             Some(VersionOrder::Forked | VersionOrder::Foreign) => self.forked = true,
         }
--- a/crates/fleet/src/follower_requests.rs
+++ b/crates/fleet/src/follower_requests.rs
@@ -1,5 +1,5 @@
-//! The asks of a follower: what it tells its administration with each, how long a watch may wait there for a change,
-//! and how long its answer may take.
+//! A follower's requests to its leader: what it reports with each, how long a watch may wait there for a change, and
+//! how long its response may take. Sending them is left to the caller.
 
 use std::fmt;
 use std::time::Duration;
@@ -7,45 +7,45 @@
 use crate::lease::HEARTBEATS_PER_SPAN;
 use crate::snapshot_version::SnapshotVersion;
 
-/// How long a watch may wait for a change where no leases are given.
+/// How long a watch may wait for a change where no leases are granted.
 const WAIT_WITHOUT_LEASES: Duration = Duration::from_secs(20);
-/// How long the answer to such a watch may take.
+/// How long the response to such a watch may take.
 const TIMEOUT_WITHOUT_LEASES: Duration = Duration::from_secs(30);
-/// Where leases are given, a watch waits for a part of one, and its answer may take as long again, but not less than
-/// this: a silent link is found well within a lease.
+/// Where leases are granted, a watch waits for a part of a span, and its response may take as long again, but not
+/// less than this: a dead link is found well within a lease.
 const MIN_WATCH_TIMEOUT: Duration = Duration::from_millis(250);
-/// While what was taken is not yet in force and on the disk, the administration is asked again after so long.
+/// Wait of a watch while what was received is not yet in force and persisted.
 const WAIT_WHILE_BEHIND: Duration = Duration::from_millis(50);
-/// A snapshot is there at once or not at all.
+/// How long the response with a snapshot may take: a leader sends it at once or not at all.
 pub const SNAPSHOT_TIMEOUT: Duration = Duration::from_secs(2);
-/// A follower that ends in order tries so long to say that it takes no calls any more.
+/// How long a follower that shuts down tries to notify its leader that it accepts no calls any more.
 pub const DEREGISTRATION_TIMEOUT: Duration = Duration::from_millis(300);
 /// Entries of a page that a follower asks for.
 const PAGE_ENTRIES: u32 = 1_000;
 
-/// What a follower knows of its administration's leases.
+/// What a follower knows of its leader's leases.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LeaseSpan {
-    /// Nothing yet: the first answer is to tell.
+    /// Nothing yet: the first response will tell.
     #[default]
     Unknown,
-    /// None are given.
+    /// None are granted.
     NoLeases,
-    /// They are given for this span.
+    /// They are granted for this span.
     Granted(Duration),
 }
 
-/// How a watch is asked.
+/// The times of a watch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timing {
-    /// The administration may hold it for so long.
+    /// The leader may hold it for so long.
     pub wait: Duration,
-    /// Its answer may take so long.
+    /// Its response may take so long.
     pub timeout: Duration,
 }
 
 impl LeaseSpan {
-    /// How the next watch is asked. `behind`: what was taken is not yet in force and on the disk.
+    /// The times of the next watch. `behind`: what was received is not yet in force and persisted.
     pub fn timing(self, behind: bool) -> Timing {
         match self {
             Self::Unknown => Timing { wait: Duration::ZERO, timeout: SNAPSHOT_TIMEOUT },
@@ -62,34 +62,34 @@
     }
 }
 
-/// What a follower tells with each ask; written as the query of its request.
+/// What a follower reports with each request, written as the request's query.
 #[derive(Clone, Copy, Debug)]
 pub struct Heartbeat<'a> {
     /// The controller's number.
     pub controller: u32,
-    /// Its life.
+    /// Its incarnation.
     pub incarnation: u64,
     /// The revision that its calls act on.
     pub in_force: u64,
     /// The revision that is synced to its disk.
     pub persisted: u64,
-    /// It takes no call without a lease.
+    /// It accepts no call without a lease.
     pub requires_lease: bool,
-    /// It has heard that it is shut out.
+    /// It was notified that it is fenced.
     pub fenced: bool,
-    /// The book that it holds.
+    /// The snapshot that it has.
     pub snapshot: Option<&'a SnapshotVersion>,
 }
 
 impl fmt::Display for Heartbeat<'_> {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Self { controller, incarnation: life, in_force, persisted: kept, .. } = self;
+        let Self { controller, incarnation, in_force, persisted, .. } = self;
         let (ends, ended) = (u8::from(self.requires_lease), u8::from(self.fenced));
-        write!(out, "controller={controller}&life={life}&in_force={in_force}&kept={kept}")?;
+        write!(out, "controller={controller}&life={incarnation}&in_force={in_force}&kept={persisted}")?;
         write!(out, "&ends={ends}&ended={ended}")?;
         match self.snapshot {
-            Some(SnapshotVersion { store, epoch, revision, checksum: sum }) => {
-                write!(out, "&store={store}&epoch={epoch}&after={revision}&sum={sum}")
+            Some(SnapshotVersion { store, epoch, revision, checksum }) => {
+                write!(out, "&store={store}&epoch={epoch}&after={revision}&sum={checksum}")
             }
             None => Ok(()),
         }
@@ -97,7 +97,7 @@
 }
 
 impl Heartbeat<'_> {
-    /// The target of a request for the whole book.
+    /// The target of a request for the complete snapshot.
     pub fn snapshot_target(&self) -> String {
         format!("/v1/snapshot?{self}")
     }
@@ -108,9 +108,9 @@
     }
 }
 
-/// The target of the last request of a follower that ends in order.
-pub fn deregistration_target(controller: u32, life: u64) -> String {
-    format!("/v1/watch?controller={controller}&life={life}&ended=1&wait_ms=0")
+/// The target of the last request of a follower that shuts down.
+pub fn deregistration_target(controller: u32, incarnation: u64) -> String {
+    format!("/v1/watch?controller={controller}&life={incarnation}&ended=1&wait_ms=0")
 }
 
 #[cfg(test)]
--- a/crates/fleet/src/follower_requests/tests.rs
+++ b/crates/fleet/src/follower_requests/tests.rs
@@ -1,9 +1,9 @@
-//! Unit tests of `watch`.
+//! Unit tests of `follower_requests`.
 
 use super::*;
 
 #[test]
-fn four_asks_fit_into_a_span_and_their_answers_into_half_of_one() {
+fn four_heartbeats_fit_into_a_span_and_their_responses_into_half_of_one() {
     let timing = LeaseSpan::Granted(Duration::from_secs(6)).timing(false);
     assert_eq!(timing.wait, Duration::from_millis(1_500));
     assert_eq!(timing.timeout, Duration::from_secs(3));
@@ -15,8 +15,8 @@
 }
 
 #[test]
-fn an_ask_tells_what_is_held_and_in_force() {
-    let stamp = SnapshotVersion { store: "s".to_owned(), epoch: 3, revision: 9, checksum: 5 };
+fn heartbeat_reports_what_is_persisted_and_in_force() {
+    let snapshot = SnapshotVersion { store: "s".to_owned(), epoch: 3, revision: 9, checksum: 5 };
     let report = Heartbeat {
         controller: 1,
         incarnation: 7,
@@ -24,7 +24,7 @@
         persisted: 6,
         requires_lease: true,
         fenced: false,
-        snapshot: Some(&stamp),
+        snapshot: Some(&snapshot),
     };
     assert_eq!(
         report.watch_target(Duration::from_millis(1_500)),
--- a/crates/fleet/src/gate/tests.rs
+++ b/crates/fleet/src/gate/tests.rs
@@ -10,7 +10,7 @@
     model: 1,
 };
 
-fn taken(verdict: Verdict) -> bool {
+fn admitted(verdict: Verdict) -> bool {
     verdict == Verdict::Admit
 }
 
@@ -21,73 +21,73 @@
 }
 
 #[test]
-fn nothing_is_taken_without_a_list_and_nothing_careful_on_an_earlier_life_s() {
+fn no_call_is_admitted_without_a_list_and_no_non_idempotent_one_with_a_persisted_list() {
     let mut gate = Gate::new(GateConfig::default(), 0);
-    assert!(!taken(gate.admit(0, &CALL, 7)));
+    assert!(!admitted(gate.admit(0, &CALL, 7)));
     gate.list_applied(10, 2, false);
-    assert!(taken(gate.admit(10, &CALL, 7)));
-    let careful = CallInfo { non_idempotent: true, ..CALL };
-    assert!(!taken(gate.admit(10, &careful, 7)));
+    assert!(admitted(gate.admit(10, &CALL, 7)));
+    let non_idempotent = CallInfo { non_idempotent: true, ..CALL };
+    assert!(!admitted(gate.admit(10, &non_idempotent, 7)));
     gate.list_applied(20, 2, true);
-    assert!(taken(gate.admit(20, &careful, 7)));
+    assert!(admitted(gate.admit(20, &non_idempotent, 7)));
     assert_eq!(gate.counters(), Counters { no_list: 1, crowded: 0, unproven: 1 });
 }
 
 #[test]
-fn a_model_that_is_not_served_holds_up_its_own_calls_alone() {
+fn unserved_model_holds_up_only_its_own_calls() {
     let mut gate = open(0);
     gate.waiting(0, 1, CALL.model);
-    assert!(taken(gate.admit(299, &CALL, 7)));
-    assert!(!taken(gate.admit(300, &CALL, 7)), "the oldest has waited for half of the wanted time");
-    assert!(taken(gate.admit(300, &CallInfo { model: 2, ..CALL }, 7)), "another model's first is taken");
+    assert!(admitted(gate.admit(299, &CALL, 7)));
+    assert!(!admitted(gate.admit(300, &CALL, 7)), "the oldest has waited for half of the wanted time");
+    assert!(admitted(gate.admit(300, &CallInfo { model: 2, ..CALL }, 7)), "another model's first is taken");
     assert!(
-        !taken(gate.admit(150, &CallInfo { priority_weight: 0.5, ..CALL }, 7)),
+        !admitted(gate.admit(150, &CallInfo { priority_weight: 0.5, ..CALL }, 7)),
         "what is worth less leaves earlier"
     );
     gate.ended(1);
-    assert!(taken(gate.admit(400, &CALL, 7)), "a worker has it: nothing of the model waits");
+    assert!(admitted(gate.admit(400, &CALL, 7)), "a worker has it: nothing of the model waits");
 }
 
 #[test]
-fn a_call_that_comes_back_from_a_worker_waits_anew() {
+fn call_returned_by_a_worker_waits_again() {
     let mut gate = open(0);
     gate.waiting(0, 1, 9);
     gate.has_worker(1);
-    assert_eq!((gate.waiting_calls(), gate.age(400, 9)), (0, 0));
+    assert_eq!((gate.waiting_calls(), gate.oldest_age(400, 9)), (0, 0));
     gate.returned_by_worker(500, 1);
     gate.returned_by_worker(600, 1);
-    assert_eq!((gate.waiting_calls(), gate.age(600, 9)), (1, 100));
+    assert_eq!((gate.waiting_calls(), gate.oldest_age(600, 9)), (1, 100));
     gate.ended(1);
     gate.returned_by_worker(700, 1);
-    assert_eq!(gate.waiting_calls(), 0, "it has had its end");
+    assert_eq!(gate.waiting_calls(), 0, "it has ended");
 }
 
 #[test]
-fn a_gate_that_refuses_nothing_for_a_while_is_whole_and_holds_nothing() {
+fn gate_is_complete_after_a_quiet_period_and_tracks_nothing() {
     let mut gate = open(0);
     gate.waiting(0, 1, 1);
-    assert!(!taken(gate.admit(500, &CALL, 7)));
+    assert!(!admitted(gate.admit(500, &CALL, 7)));
     gate.advance(1_499, 5);
     assert_eq!(gate.step().0, Step::Partial);
     gate.advance(1_500, 5);
     assert_eq!((gate.step(), gate.waiting_calls()), ((Step::Complete, 1_500), 0));
-    assert!(taken(gate.admit(9_000, &CALL, 7)));
+    assert!(admitted(gate.admit(9_000, &CALL, 7)));
 }
 
 #[test]
-fn a_gate_that_has_seen_no_answer_is_not_whole() {
+fn gate_is_not_complete_before_the_first_answer() {
     let mut gate = open(0);
     gate.advance(60_000, 0);
     assert_eq!(gate.step().0, Step::Partial);
 }
 
 #[test]
-fn clients_that_are_refused_come_back_apart_and_never_later_than_told() {
+fn retry_delays_are_spread_and_bounded() {
     let mut gate = open(0);
     gate.waiting(0, 1, 1);
     let mut waits = std::collections::BTreeSet::new();
-    for chance in 0..2_000u64 {
-        if let Verdict::Reject(wait) = gate.admit(900, &CALL, chance.wrapping_mul(0x9e37_79b9)) {
+    for random in 0..2_000u64 {
+        if let Verdict::Reject(wait) = gate.admit(900, &CALL, random.wrapping_mul(0x9e37_79b9)) {
             assert!((1..=GateConfig::default().max_retry_after).contains(&wait));
             waits.insert(wait);
         }
@@ -96,11 +96,11 @@
 }
 
 #[test]
-fn what_is_followed_is_bounded() {
+fn tracked_calls_are_bounded() {
     let mut gate = open(0);
     for call in 0..MAX_WAITING as u64 + 9 {
         gate.waiting(0, call, call);
     }
     assert_eq!(gate.waiting_calls(), MAX_WAITING);
-    assert!(!taken(gate.admit(1, &CallInfo { model: u64::MAX, ..CALL }, 7)));
+    assert!(!admitted(gate.admit(1, &CallInfo { model: u64::MAX, ..CALL }, 7)));
 }
--- a/crates/fleet/src/lease.rs
+++ b/crates/fleet/src/lease.rs
@@ -1,59 +1,61 @@
-//! A controller's lease: until when it may act on what it last heard, and what it does afterwards.
+//! A controller's lease: until when it may act on the snapshot that it last received, and what it does afterwards.
 //!
-//! The span is counted from the moment at which it *asked*, by its own clock and shortened by what two clocks may
-//! differ; the administration counts the same span from its *answer*, lengthened by as much (see [`crate::membership`]).
-//! So a holder's lease is over before the administration takes it for over, however long the answer was on its way,
-//! and whatever stalled in between: nothing is sent to a holder to end its lease.
+//! The holder counts the span from the moment at which it sent its *request*, by its own clock, and shortens it by
+//! what two clocks may differ; the leader counts the same span from its *response*, and lengthens it by as much (see
+//! [`crate::membership`]). So a lease is over for its holder before the leader takes it for over, however long the
+//! response was on its way and whatever stalled in between: nothing has to be sent to a holder to end its lease.
+//!
+//! Requests, and what a stage means for a call, are left to the caller.
 
 use crate::Millis;
 
 /// What a clock may gain or lose, in thousandths of a span: five in a thousand is fifty times a bad crystal.
 pub const CLOCK_ERROR_PER_MILLE: Millis = 5;
-/// Longest span of a lease; a new administration that does not know what an earlier one gave takes it for given.
+/// Longest span of a lease, milliseconds. A leader that does not know what an earlier one granted assumes this.
 pub const MAX_SPAN: Millis = 60_000;
-/// Shortest: below it, the exchange itself would take a good part of it.
+/// Shortest span of a lease, milliseconds: below it, the exchange itself would take a good part of it.
 pub const MIN_SPAN: Millis = 200;
-/// A follower asks again after this part of a span, so that one lost exchange costs no lease.
+/// Heartbeats that a follower sends in one span, so that one lost exchange costs no lease.
 pub const HEARTBEATS_PER_SPAN: Millis = 4;
 
-/// What a clock of this fleet may have made of a span, at the most.
+/// The most that two clocks of a fleet may differ over a span.
 pub fn error_of(span: Millis) -> Millis {
     // Two clocks, each off its own way; rounded up, so that it is never too small.
     (span * 2 * CLOCK_ERROR_PER_MILLE).div_ceil(1000)
 }
 
-/// When a lease of this span ends by the holder's clock, which read `asked` when the ask left.
-pub fn ends(asked: Millis, span: Millis) -> Millis {
+/// When a lease of this span ends by the holder's clock, which read `sent` when the request was sent.
+pub fn ends(sent: Millis, span: Millis) -> Millis {
     let span = span.min(MAX_SPAN);
-    asked + span.saturating_sub(error_of(span))
+    sent + span.saturating_sub(error_of(span))
 }
 
 /// What a controller does while it has no lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct LeasePolicy {
-    /// It refuses calls; else it goes on with what it last heard, and no bound is promised of it.
+    /// It rejects calls. Else it continues with what it last received, and nothing bounds how old that is.
     pub rejects: bool,
-    /// It says that it is not ready once it had none for so long, so that front ends take it out.
+    /// It reports that it is not ready after so long without a lease, so that load balancers take it out.
     pub not_ready_after: Option<Millis>,
 }
 
-/// What it may do now.
+/// What a controller may do now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Stage {
-    /// It knows what holds, or its administration gives no leases.
+    /// It has a lease, or its leader grants none.
     Current,
-    /// It knows no more, and goes on with what it last heard.
+    /// It has no lease, and continues with what it last received.
     Unleased,
-    /// It takes no new calls, and says when to come back.
+    /// It accepts no new calls, and tells clients when to retry.
     Rejecting,
     /// The same, and it is not ready.
     NotReady,
-    /// It was shut out: this life takes no calls any more.
+    /// It was fenced: this incarnation accepts no calls any more.
     Fenced,
 }
 
 impl Stage {
-    /// A word for logs, figures and the API.
+    /// Its name in logs, metrics and the API.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Current => "current",
@@ -64,60 +66,66 @@
         }
     }
 
-    /// Are new calls taken?
+    /// Are new calls accepted?
     pub fn accepts_calls(self) -> bool {
         matches!(self, Self::Current | Self::Unleased)
     }
 
-    /// Is it to be called by front ends?
+    /// Is it to be reported as ready?
     pub fn is_ready(self) -> bool {
         !matches!(self, Self::NotReady | Self::Fenced)
     }
 }
 
-/// What was counted.
+/// Totals since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Leases had, renewals among them.
+    /// Leases received, renewals included.
     pub leases: u64,
-    /// Leases that ran out before the next one came.
+    /// Leases that ended before they were renewed.
     pub expiries: u64,
-    /// Calls refused for want of one.
+    /// Calls rejected for want of a lease.
     pub rejected: u64,
-    /// Acts that were begun within a lease and done after its end: the process stood still in between.
+    /// Actions that began within a lease and finished after its end, as the process stood still in between.
     pub doubtful: u64,
 }
 
-/// A holder.
+/// A controller that holds leases.
 #[derive(Clone, Debug)]
 pub struct Holder {
     policy: LeasePolicy,
-    /// Since when it has none, where it has none: its own start, at first.
+    /// Since when it has no lease: its start, or the end of its last lease, which may lie in the future.
     since: Millis,
     until: Option<Millis>,
     fenced: bool,
-    /// The end of a lease that was counted as run out.
+    /// The end of the last lease that was counted as expired.
     counted_expiry: Option<Millis>,
     counters: Counters,
 }
 
 impl Holder {
-    /// One that starts, and has heard nothing yet.
+    /// A controller that starts, and has received nothing yet.
     pub fn new(now: Millis, policy: LeasePolicy) -> Self {
-        let counters = Counters::default();
-        Self { policy, since: now, until: None, fenced: false, counted_expiry: None, counters }
+        Self {
+            policy,
+            since: now,
+            until: None,
+            fenced: false,
+            counted_expiry: None,
+            counters: Counters::default(),
+        }
     }
 
-    /// It is told that it may act until then, by its own clock: see [`ends`]. Never shortens what it has.
+    /// It has received a lease until then, by its own clock: see [`ends`]. Never shortens the one that it has.
     pub fn renewed(&mut self, until: Millis) {
         self.counters.leases += 1;
-        if self.until.is_none_or(|had| had < until) {
+        if self.until.is_none_or(|current| current < until) {
             self.until = Some(until);
             self.since = until;
         }
     }
 
-    /// It is shut out for good: only another life is let in again.
+    /// It is fenced for good: only another incarnation may act again.
     pub fn fence(&mut self) {
         self.fenced = true;
     }
@@ -137,7 +145,7 @@
         if self.policy.rejects { Stage::Rejecting } else { Stage::Unleased }
     }
 
-    /// May a new call be taken? What is not is counted, and so is a lease that has run out.
+    /// The stage at which a new call is judged. Counts a rejected call, and a lease that has expired.
     pub fn check_call(&mut self, now: Millis) -> Stage {
         let stage = self.stage(now);
         if !stage.accepts_calls() {
@@ -150,7 +158,7 @@
         stage
     }
 
-    /// An act that was judged at `from` is done now. True: the lease ran out meanwhile, so that others may have
+    /// An action that was judged at `from` has finished now. True: the lease ended meanwhile, so that others may have
     /// taken it for over already.
     pub fn action_finished(&mut self, from: Millis, now: Millis) -> bool {
         let doubtful = self.stage(from) == Stage::Current && self.stage(now) != Stage::Current;
@@ -158,18 +166,18 @@
         doubtful
     }
 
-    /// What is left of the lease.
+    /// What remains of the lease; `None`: it has none.
     pub fn remaining(&self, now: Millis) -> Option<Millis> {
-        Some(self.until?.saturating_sub(now)).filter(|left| *left > 0)
+        Some(self.until?.saturating_sub(now)).filter(|remaining| *remaining > 0)
     }
 
-    /// When its stage changes by itself next, where it does.
+    /// When its stage changes next if no lease is received; `None`: it does not.
     pub fn next_change(&self, now: Millis) -> Option<Millis> {
-        let leaves = self.policy.not_ready_after.map(|after| self.since + after);
-        [self.until, leaves].into_iter().flatten().filter(|at| *at > now).min()
+        let not_ready = self.policy.not_ready_after.map(|after| self.since + after);
+        [self.until, not_ready].into_iter().flatten().filter(|at| *at > now).min()
     }
 
-    /// What was counted.
+    /// Totals since the start.
     pub fn counters(&self) -> Counters {
         self.counters
     }
--- a/crates/fleet/src/lease/tests.rs
+++ b/crates/fleet/src/lease/tests.rs
@@ -5,7 +5,7 @@
 const REFUSES: LeasePolicy = LeasePolicy { rejects: true, not_ready_after: Some(500) };
 
 #[test]
-fn a_life_begins_without_one_and_narrows_as_it_is_told_to() {
+fn holder_starts_without_a_lease_and_restricts_itself_by_its_policy() {
     let mut holder = Holder::new(100, REFUSES);
     assert_eq!(holder.check_call(100), Stage::Rejecting);
     holder.renewed(ends(120, 1_000));
@@ -24,20 +24,20 @@
 }
 
 #[test]
-fn an_answer_that_came_late_or_twice_lengthens_nothing() {
+fn late_or_repeated_response_extends_no_lease() {
     let mut holder = Holder::new(0, REFUSES);
     holder.renewed(ends(5_000, 1_000));
     holder.renewed(ends(1_000, 1_000));
-    assert_eq!(holder.remaining(5_000), Some(990), "an older ask's answer takes nothing away");
+    assert_eq!(holder.remaining(5_000), Some(990), "the response to an older request shortens nothing");
     assert_eq!(Holder::new(0, REFUSES).remaining(0), None);
-    // An answer five seconds late brings a lease that is over.
+    // A response five seconds late brings a lease that is over.
     let mut late = Holder::new(0, REFUSES);
     late.renewed(ends(0, 1_000));
     assert_eq!(late.check_call(5_000), Stage::NotReady);
 }
 
 #[test]
-fn an_act_across_the_end_is_told_as_doubtful() {
+fn action_across_the_end_of_a_lease_is_doubtful() {
     let mut holder = Holder::new(0, REFUSES);
     holder.renewed(ends(0, 1_000));
     assert!(!holder.action_finished(980, 989));
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn the_error_of_two_clocks_is_never_rounded_away() {
+fn clock_error_is_never_rounded_away() {
     assert_eq!((error_of(1), error_of(1_000), error_of(60_000)), (1, 10, 600));
     assert_eq!(ends(7, MAX_SPAN * 9), 7 + MAX_SPAN - error_of(MAX_SPAN));
 }
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,9 +1,16 @@
-//! Decisions of a fleet whose members may all have lost power in one second: what each believes of before
-//! ([`trust`]), which book of tenants stands ([`stamp`], [`authority`], [`seek`]), and how many calls are taken
-//! while little can be served ([`gate`]); and of a fleet of which some stand behind: until when each may act on what
-//! it last heard ([`lease`]), how it asks ([`watch`]), and when a change is in force everywhere ([`roll`]).
+//! Decisions of a fleet of controllers.
 //!
-//! No I/O, clock or chance of its own: times are milliseconds that are passed in, chance is a number that is.
+//! After a loss of power: how far state from before a restart is used ([`recovery_policy`]), which snapshot of the
+//! tenants is in force ([`snapshot_version`], [`authority`], [`bootstrap`]), and how many calls are accepted while
+//! little can be served ([`gate`]).
+//!
+//! While some controllers are behind: until when each may act on what it last received ([`lease`]), its requests to
+//! the leader ([`follower_requests`]), when a change is in force everywhere ([`membership`]), and how a limit is
+//! divided ([`loans`]).
+//!
+//! No I/O, clock or randomness of its own: times are milliseconds that are passed in, random numbers and seeds too.
+
+#![forbid(unsafe_code)]
 
 pub mod authority;
 pub mod bootstrap;
@@ -15,5 +22,5 @@
 pub mod recovery_policy;
 pub mod snapshot_version;
 
-/// Milliseconds of whatever clock the owner has.
+/// Milliseconds of whatever clock the caller has.
 pub type Millis = u64;
--- a/crates/fleet/src/loans/tests.rs
+++ b/crates/fleet/src/loans/tests.rs
@@ -3,51 +3,60 @@
 use super::*;
 use proptest::prelude::*;
 
-const TERMS: LoanConfig = LoanConfig { controllers: 4, reserve: 0.2 };
+const CONFIG: LoanConfig = LoanConfig { controllers: 4, reserve: 0.2 };
 
 fn who(number: u32) -> Incarnation {
     Incarnation { controller: number, incarnation: 1 }
 }
 
+/// The request of a controller at `now` for a share of a limit.
+struct Request {
+    config: LoanConfig,
+    limit: f64,
+    controller: u32,
+    now: Millis,
+    until: Millis,
+}
+
+impl Request {
+    /// Of a limit of 100, with a lease of one second.
+    fn of(controller: u32, now: Millis) -> Self {
+        Self { config: CONFIG, limit: 100.0, controller, now, until: now + 1_000 }
+    }
+
+    fn send(self, lender: &mut Lender, usage: UsageReport, last_number: &mut u64) -> Loan {
+        let Self { config, limit, controller, now, until } = self;
+        let request = LoanRequest { borrower: who(controller), usage, config, limit, now, until };
+        lender.report(request, last_number)
+    }
+}
+
 #[test]
-fn the_rest_follows_demand_and_a_smaller_loan_frees_nothing_before_it_is_known_to_be_acted_on() {
+fn a_smaller_loan_frees_nothing_before_the_borrower_has_applied_it() {
     let mut lender = Lender::default();
     let mut next = 0;
-    let mut ask = |lender: &mut Lender, now: Millis, n, demand, acts_on| {
-        lender.report(
-            (now, now + 1_000),
-            (TERMS, 100.0),
-            who(n),
-            UsageReport { demand, in_use: 0.0, applied_loan: acts_on },
-            &mut next,
-        )
+    let mut ask = |lender: &mut Lender, now: Millis, n, demand, applied_loan| {
+        Request::of(n, now).send(lender, UsageReport { demand, in_use: 0.0, applied_loan }, &mut next)
     };
-    assert_eq!(TERMS.reserve_of(100.0), 5.0);
+    assert_eq!(CONFIG.reserve_of(100.0), 5.0);
     let first = ask(&mut lender, 0, 1, 1_000.0, 0);
     assert_eq!(first.amount, 80.0, "alone, it gets all that is lent");
     assert_eq!(ask(&mut lender, 10, 2, 1_000.0, 0).amount, 0.0, "nothing is free");
     let smaller = ask(&mut lender, 20, 1, 1_000.0, first.number);
     assert_eq!(smaller.amount, 40.0);
-    assert_eq!(ask(&mut lender, 30, 2, 1_000.0, 2).amount, 0.0, "it may not have heard of it");
+    assert_eq!(ask(&mut lender, 30, 2, 1_000.0, 2).amount, 0.0, "it may not have received it");
     ask(&mut lender, 40, 1, 1_000.0, smaller.number);
     assert_eq!(ask(&mut lender, 50, 2, 1_000.0, 4).amount, 40.0);
     assert_eq!(lender.outstanding(60), 80.0);
 }
 
 #[test]
-fn what_a_dead_or_ended_life_had_comes_back() {
+fn dead_or_ended_incarnation_returns_its_loans() {
     let mut lender = Lender::default();
     let mut next = 0;
     let mut ask = |lender: &mut Lender, now, n| {
-        lender
-            .report(
-                (now, now + 1_000),
-                (TERMS, 100.0),
-                who(n),
-                UsageReport { demand: 1_000.0, in_use: 0.0, applied_loan: 0 },
-                &mut next,
-            )
-            .amount
+        let usage = UsageReport { demand: 1_000.0, in_use: 0.0, applied_loan: 0 };
+        Request::of(n, now).send(lender, usage, &mut next).amount
     };
     assert_eq!(ask(&mut lender, 0, 1), 80.0);
     assert_eq!((ask(&mut lender, 999, 2), ask(&mut lender, 1_000, 2)), (0.0, 80.0));
@@ -57,23 +66,23 @@
 }
 
 #[test]
-fn calls_in_hand_count_until_they_have_ended() {
+fn calls_in_flight_count_until_they_have_ended() {
     let (mut lender, mut next) = (Lender::default(), 0);
-    let mut word = |lender: &mut Lender, now: Millis, n, in_use, acts_on| {
-        let word = UsageReport { demand: 1_000.0, in_use, applied_loan: acts_on };
-        lender.report((now, now + 1_000), (TERMS, 100.0), who(n), word, &mut next).amount
+    let mut report = |lender: &mut Lender, now: Millis, n, in_use, applied_loan| {
+        let usage = UsageReport { demand: 1_000.0, in_use, applied_loan };
+        Request::of(n, now).send(lender, usage, &mut next).amount
     };
-    assert_eq!(word(&mut lender, 0, 1, 0.0, 0), 80.0);
-    assert_eq!(word(&mut lender, 10, 2, 0.0, 0), 0.0);
-    assert_eq!(word(&mut lender, 20, 1, 85.0, 1), 40.0);
-    // It acts on the smaller part, and has 60 calls in hand still.
-    word(&mut lender, 30, 1, 60.0, 3);
-    assert_eq!(word(&mut lender, 40, 2, 0.0, 2), 25.0, "80 less 55 beyond its reserve");
-    word(&mut lender, 50, 1, 30.0, 4);
-    assert_eq!(word(&mut lender, 60, 2, 0.0, 5), 40.0);
+    assert_eq!(report(&mut lender, 0, 1, 0.0, 0), 80.0);
+    assert_eq!(report(&mut lender, 10, 2, 0.0, 0), 0.0);
+    assert_eq!(report(&mut lender, 20, 1, 85.0, 1), 40.0);
+    // It acts on the smaller part, and has 60 calls in flight still.
+    report(&mut lender, 30, 1, 60.0, 3);
+    assert_eq!(report(&mut lender, 40, 2, 0.0, 2), 25.0, "80 less 55 beyond its reserve");
+    report(&mut lender, 50, 1, 30.0, 4);
+    assert_eq!(report(&mut lender, 60, 2, 0.0, 5), 40.0);
 }
 
-/// A borrower as the program has it: it acts on the last loan that it heard, until its own clock says it is over.
+/// A borrower as the program has it: it acts on the last loan that it received, until its own clock says it is over.
 #[derive(Clone, Copy, Default)]
 struct Acts {
     number: u64,
@@ -83,41 +92,43 @@
 
 proptest! {
     #[test]
-    fn parts_in_use_never_add_up_to_more_than_the_limit(
+    fn amounts_in_use_never_exceed_the_limit(
         reserve in 0.0f64..=1.0,
         steps in prop::collection::vec((0u32..6, 0.0f64..3_000.0, 0u64..700, 0u8..4, any::<bool>()), 1..400),
     ) {
-        let (terms, limit, span) = (LoanConfig { controllers: 6, reserve }, 1_000.0, 2_000);
+        let (config, limit, span) = (LoanConfig { controllers: 6, reserve }, 1_000.0, 2_000);
         let mut lender = Lender::default();
         let mut acts = [Acts::default(); 6];
-        // What each told at some time before: words are measured now and then, and may be old.
-        let mut told = [0u64; 6];
+        // The loan that each applied at some earlier time: a report may be old.
+        let mut reported = [0u64; 6];
         let (mut now, mut next) = (0, 0);
         for (n, demand, gap, lost, restarts) in steps {
             now += gap;
-            // The word may be as old as it likes, or none at all.
+            // A report may be of any age, or missing.
             if restarts {
-                told[n as usize] = acts[n as usize].number;
+                reported[n as usize] = acts[n as usize].number;
             }
-            let known = if lost == 3 { 0 } else { told[n as usize] };
+            let known = if lost == 3 { 0 } else { reported[n as usize] };
             let until = now + span + crate::lease::error_of(span);
-            let loan = lender.report((now, until), (terms, limit), who(n), UsageReport { demand, in_use: 0.0, applied_loan: known }, &mut next);
+            let usage = UsageReport { demand, in_use: 0.0, applied_loan: known };
+            let request = Request { config, limit, controller: n, now, until };
+            let loan = request.send(&mut lender, usage, &mut next);
             if lost != 0 {
                 let over = crate::lease::ends(now, span);
                 acts[n as usize] = Acts { number: loan.number, amount: loan.amount, until: over };
             }
             let used: f64 = acts.iter().filter(|a| now < a.until).map(|a| a.amount).sum();
-            prop_assert!(used + 6.0 * terms.reserve_of(limit) <= limit + 1e-6, "{used} lent of {limit}");
+            prop_assert!(used + 6.0 * config.reserve_of(limit) <= limit + 1e-6, "{used} lent of {limit}");
         }
     }
 }
 
 #[test]
-fn all_of_a_limit_passes_under_twice_its_demand() {
+fn loans_use_over_nine_tenths_of_a_limit_under_twice_its_demand() {
     for controllers in [2u32, 8, 64, 1_000] {
-        let (terms, limit) = (LoanConfig { controllers, reserve: 0.2 }, 1_000.0);
+        let (config, limit) = (LoanConfig { controllers, reserve: 0.2 }, 1_000.0);
         let mut lender = Lender::default();
-        let mut has = vec![(0u64, 0.0f64); controllers as usize];
+        let mut loans = vec![Loan { number: 0, amount: 0.0 }; controllers as usize];
         let mut next = 0;
         let weight = |rank: u32| 1.0 / f64::from(rank + 1);
         let all: f64 = (0..controllers).map(weight).sum();
@@ -128,17 +139,12 @@
                 // Zipf's law, and the ranks move every twenty reports.
                 let rank = (n + (round / 20) as u32 * 3) % controllers;
                 let demand = 2.0 * limit * weight(rank) / all;
-                now += demand.min(terms.reserve_of(limit) + has[n as usize].1);
+                now += demand.min(config.reserve_of(limit) + loans[n as usize].amount);
                 of_static += demand.min(limit / f64::from(controllers));
                 let at = round * 1_500;
-                let loan = lender.report(
-                    (at, at + 6_060),
-                    (terms, limit),
-                    who(n),
-                    UsageReport { demand, in_use: 0.0, applied_loan: has[n as usize].0 },
-                    &mut next,
-                );
-                has[n as usize] = (loan.number, loan.amount);
+                let usage = UsageReport { demand, in_use: 0.0, applied_loan: loans[n as usize].number };
+                let request = Request { config, limit, controller: n, now: at, until: at + 6_060 };
+                loans[n as usize] = request.send(&mut lender, usage, &mut next);
             }
             assert!(now <= limit + 1e-6, "{controllers}: {now}");
             // The first rounds and those after a move are the price of lending.
--- a/crates/fleet/src/membership.rs
+++ b/crates/fleet/src/membership.rs
@@ -217,14 +217,14 @@
     pub fn grant(
         &mut self,
         now: Millis,
-        who: Incarnation,
+        incarnation: Incarnation,
         version: Version,
     ) -> Result<Option<Millis>, LeaseDenied> {
-        if self.fenced.contains(&who) {
+        if self.fenced.contains(&incarnation) {
             return Err(LeaseDenied::Fenced);
         }
         let Some(span) = self.span else { return Ok(None) };
-        let member = self.members.get_mut(&who).ok_or(LeaseDenied::Full)?;
+        let member = self.members.get_mut(&incarnation).ok_or(LeaseDenied::Full)?;
         let over = lease_over(now, span);
         member.lease_over = Some(member.lease_over.map_or(over, |before| before.max(over)));
         member.leases.retain(|lease| now < lease.over);
--- a/crates/fleet/src/recovery_policy.rs
+++ b/crates/fleet/src/recovery_policy.rs
@@ -1,35 +1,35 @@
-//! What is remembered over a loss of power, and how far it is believed. One table: each row says what harm a
-//! wrong belief does, and what is assumed in its place.
+//! What a controller persists over a restart or a loss of power, and how far it is used afterwards. One table: each
+//! rule says what harm wrong state does, and what is assumed in its place. Reading the state is left to its owner.
 
 use crate::Millis;
 
-/// A thing that a life may find from the one before.
+/// A kind of state that an incarnation may find from the one before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum PersistedState {
-    /// The tenants' book.
+    /// The snapshot of the tenants.
     Snapshot,
     /// The worker list.
     WorkerList,
     /// The settings file.
     Settings,
-    /// Load orders given within the ration's window.
+    /// Load orders sent within the rate limit's window.
     LoadOrders,
     /// When workers were seen to start.
     WorkerStarts,
-    /// Windows of keyed calls that may have run.
+    /// Windows of calls with an idempotency key that may have run.
     KeyedWindows,
     /// What tenants have used of their rates.
     RatesUsed,
-    /// The longest span for which an administration gave leases.
+    /// The longest span for which a leader granted leases.
     LongestLease,
 }
 
-/// How far it is believed.
+/// How far state is used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Trust {
-    /// As it stands.
+    /// As it is.
     Full,
-    /// Until something newer is told, and never against something newer.
+    /// Until something newer is received, and never in place of something newer.
     UntilNewer,
     /// It says where to look first, and proves nothing.
     Hint,
@@ -40,15 +40,15 @@
 /// A row of the table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Rule {
-    /// What.
+    /// The kind of state.
     pub state: PersistedState,
-    /// How far.
-    pub trust: Trust,
-    /// Older than this it is not believed; `None`: of any age.
+    /// How far it is used.
+    pub level: Trust,
+    /// State that is older than this is not used, milliseconds; `None`: of any age.
     pub max_age_ms: Option<Millis>,
-    /// Harm of a wrong belief.
+    /// The harm that wrong state does.
     pub harm: &'static str,
-    /// What is assumed where it is not believed.
+    /// What is assumed where it is not used.
     pub fallback: &'static str,
 }
 
@@ -58,107 +58,109 @@
 pub const RULES: [Rule; 8] = [
     Rule {
         state: PersistedState::Snapshot,
-        trust: Trust::UntilNewer,
+        level: Trust::UntilNewer,
         max_age_ms: None,
-        harm: "a tenant who was suspended or removed since is served until the administration is heard",
-        fallback: "no tenant is served until the administration or a peer gives its book",
+        harm: "a tenant who was suspended or removed since is served until the leader is heard",
+        fallback: "no tenant is served until the leader or a peer sends its snapshot",
     },
     Rule {
         state: PersistedState::WorkerList,
-        trust: Trust::UntilNewer,
+        level: Trust::UntilNewer,
         max_age_ms: Some(HOUR),
         harm: "calls, loads and connections go to addresses that others have by now",
-        fallback: "no worker is known until the list is read: calls are refused at once",
+        fallback: "no worker is known until the list is read: calls are rejected at once",
     },
     Rule {
         state: PersistedState::Settings,
-        trust: Trust::Full,
+        level: Trust::Full,
         max_age_ms: None,
-        harm: "none that the operator did not write: the file is his own word",
-        fallback: "the program does not start, and says what is wrong",
+        harm: "none that the operator did not write",
+        fallback: "the program does not start, and reports what is wrong",
     },
     Rule {
         state: PersistedState::LoadOrders,
-        trust: Trust::Never,
+        level: Trust::Never,
         max_age_ms: None,
-        harm: "the ration of load orders is exceeded across the loss",
-        fallback: "the free orders of the window count as given; calls taken in this life alone earn further ones",
+        harm: "the rate limit of load orders is exceeded across the restart",
+        fallback: "the free orders of the window count as sent; only calls accepted since the start earn further ones",
     },
     Rule {
         state: PersistedState::WorkerStarts,
-        trust: Trust::Never,
+        level: Trust::Never,
         max_age_ms: None,
-        harm: "a cold worker is taken for warm and pushed over",
-        fallback: "what the list tells; the module's share of a cold worker counts from its start",
+        harm: "a worker that is warming up is taken for a warm one and overloaded",
+        fallback: "what the list states; the warm-up ramp counts from the controller's start",
     },
     Rule {
         state: PersistedState::KeyedWindows,
-        trust: Trust::Never,
+        level: Trust::Never,
         max_age_ms: None,
-        harm: "a keyed call is repeated outside its group or window",
-        fallback: "calls of an earlier life are their clients' to repeat: none is repeated by this one",
+        harm: "a call with an idempotency key is repeated outside its group or window",
+        fallback: "calls of an earlier incarnation are their clients' to retry: none is retried by this one",
     },
     Rule {
         state: PersistedState::RatesUsed,
-        trust: Trust::Never,
+        level: Trust::Never,
         max_age_ms: None,
         harm: "a tenant gets a second burst",
         fallback: "bursts are taken as used up, and rates go on",
     },
     Rule {
         state: PersistedState::LongestLease,
-        trust: Trust::Full,
+        level: Trust::Full,
         max_age_ms: None,
-        harm: "a change is said to be in force everywhere while a lease of before still runs",
-        fallback: "leases of the longest span there is run since the start",
+        harm: "a change is acknowledged as in force everywhere while an earlier lease still runs",
+        fallback: "leases of the longest possible span are assumed to run since the start",
     },
 ];
 
-/// The row of a thing.
-pub fn rule(thing: PersistedState) -> &'static Rule {
-    // Each thing has its row: the test below holds the table against the list.
-    RULES.iter().find(|row| row.state == thing).unwrap_or(&RULES[0])
+/// The rule for a kind of state.
+pub fn rule(state: PersistedState) -> &'static Rule {
+    // Each kind has its rule: a test compares the table with the list of kinds.
+    RULES.iter().find(|rule| rule.state == state).unwrap_or(&RULES[0])
 }
 
-/// What was found of a thing.
+/// State that was found after a restart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StoredState {
     /// Something is there that can be read.
     pub readable: bool,
-    /// When it was kept, by the wall clock; `None`: nobody knows.
+    /// When it was persisted, by the wall clock; `None`: unknown.
     pub saved_at_ms: Option<Millis>,
 }
 
-/// What becomes of it.
+/// What becomes of state that was found.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It is put in force so far.
+    /// It is used so far.
     Use(Trust),
-    /// It is not, for this reason.
+    /// It is not used, for this reason.
     Discard(&'static str),
 }
 
-/// The wall clock may have been set back by so much between two lives without harm.
+/// The wall clock may have been set back by so much between two incarnations without harm, milliseconds.
 pub const CLOCK_SLACK: Millis = 60_000;
 
-/// Is it believed, at this time of the wall clock?
-pub fn judge(thing: PersistedState, held: &StoredState, now_ms: Millis) -> Verdict {
-    let row = rule(thing);
-    if !held.readable {
-        return Verdict::Discard("there is none that is sound");
+/// Is state that was found to be used, at this time of the wall clock?
+pub fn judge(state: PersistedState, found: &StoredState, now_ms: Millis) -> Verdict {
+    let rule = rule(state);
+    if !found.readable {
+        return Verdict::Discard("there is none that can be read");
     }
-    if row.trust == Trust::Never {
-        return Verdict::Discard("a life does not believe it of another");
+    if rule.level == Trust::Never {
+        return Verdict::Discard("an incarnation does not use it of an earlier one");
     }
-    match (row.max_age_ms, held.saved_at_ms) {
-        (None, _) => Verdict::Use(row.trust),
-        (Some(_), None) => Verdict::Discard("nobody knows how old it is"),
+    match (rule.max_age_ms, found.saved_at_ms) {
+        (None, _) => Verdict::Use(rule.level),
+        (Some(_), None) => Verdict::Discard("its age is unknown"),
         // Of the future: the clock was set back, and ages by it say nothing.
-        (Some(_), Some(at)) if at > now_ms.saturating_add(CLOCK_SLACK) => {
+        (Some(_), Some(saved_at)) if saved_at > now_ms.saturating_add(CLOCK_SLACK) => {
             Verdict::Discard("it is younger than the clock: the clock was set back")
         }
-        (Some(most), Some(at)) if now_ms.saturating_sub(at) > most => Verdict::Discard("it is too old"),
-        (Some(_), Some(_)) => Verdict::Use(row.trust),
+        (Some(max_age), Some(saved_at)) if now_ms.saturating_sub(saved_at) > max_age => {
+            Verdict::Discard("it is too old")
+        }
+        (Some(_), Some(_)) => Verdict::Use(rule.level),
     }
 }
 
--- a/crates/fleet/src/recovery_policy/tests.rs
+++ b/crates/fleet/src/recovery_policy/tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of `trust`.
+//! Unit tests of `recovery_policy`.
 
 use super::*;
 
@@ -14,19 +14,19 @@
 ];
 
 #[test]
-fn each_thing_has_one_row_and_what_a_life_cannot_know_is_never_believed() {
-    for thing in ALL {
-        assert_eq!(RULES.iter().filter(|row| row.state == thing).count(), 1, "{thing:?}");
-        assert_eq!(rule(thing).state, thing);
+fn each_kind_of_state_has_one_rule_and_unknowable_state_is_never_used() {
+    for state in ALL {
+        assert_eq!(RULES.iter().filter(|rule| rule.state == state).count(), 1, "{state:?}");
+        assert_eq!(rule(state).state, state);
     }
-    let held = StoredState { readable: true, saved_at_ms: Some(5) };
-    for thing in [
+    let found = StoredState { readable: true, saved_at_ms: Some(5) };
+    for state in [
         PersistedState::LoadOrders,
         PersistedState::WorkerStarts,
         PersistedState::KeyedWindows,
         PersistedState::RatesUsed,
     ] {
-        assert!(matches!(judge(thing, &held, 5), Verdict::Discard(_)), "{thing:?}");
+        assert!(matches!(judge(state, &found, 5), Verdict::Discard(_)), "{state:?}");
     }
 }
 
--- a/crates/fleet/src/snapshot_version.rs
+++ b/crates/fleet/src/snapshot_version.rs
@@ -1,41 +1,43 @@
-//! Which book it is: the store it came from, how often that store was restored, its revision and its checksum.
+//! Which snapshot of the tenants it is: the store that it came from, how often that store was restored, its revision
+//! and its checksum. What follows from a comparison is left to [`crate::authority`] and [`crate::bootstrap`].
 
+use std::cmp::Ordering;
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// A book's stamp.
+/// Identifies a snapshot. The derived order is that of [`SnapshotVersion::compare`] within one store.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct SnapshotVersion {
-    /// The store, by the name that it got when it was made and that its restores keep.
+    /// The store's name: chosen when the store was created, and kept by its restores.
     pub store: String,
-    /// Raised by each restore: what an earlier epoch holds beyond it was given up by an operator.
+    /// Raised by each restore: an operator gave up what an earlier epoch has beyond it.
     #[serde(default)]
     pub epoch: u64,
-    /// The last change.
+    /// The number of the last change.
     pub revision: u64,
-    /// The book's checksum (CRC-32 of its JSON): two books of one revision are equal, or one of them is broken.
+    /// CRC-32 of the snapshot's JSON: two snapshots of one revision are equal, or one of them is broken.
     #[serde(default, rename = "sum")]
     pub checksum: u32,
 }
 
-/// How one book stands to another.
+/// How one snapshot compares to another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum VersionOrder {
-    /// The same.
+    /// It is the same.
     Same,
-    /// It holds all of the other, and more; or a restore has put it in the other's place.
+    /// It has all changes of the other and more, or a restore has superseded the other.
     Ahead,
-    /// The other way round.
+    /// The other is ahead.
     Behind,
-    /// One epoch and revision, and not the same: one of them is broken or forged.
+    /// Epoch and revision are equal, and the content is not: one of them is broken or forged.
     Forked,
-    /// Another store's.
+    /// The other is of another store.
     Foreign,
 }
 
 impl VersionOrder {
-    /// A word for logs, figures and the API.
+    /// Its name in logs, metrics and the API.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Same => "same",
@@ -48,16 +50,16 @@
 }
 
 impl SnapshotVersion {
-    /// How this one stands to another.
+    /// How this snapshot compares to another.
     pub fn compare(&self, other: &Self) -> VersionOrder {
         if self.store != other.store {
             return VersionOrder::Foreign;
         }
         match (self.epoch, self.revision).cmp(&(other.epoch, other.revision)) {
-            std::cmp::Ordering::Less => VersionOrder::Behind,
-            std::cmp::Ordering::Greater => VersionOrder::Ahead,
-            std::cmp::Ordering::Equal if self.checksum == other.checksum => VersionOrder::Same,
-            std::cmp::Ordering::Equal => VersionOrder::Forked,
+            Ordering::Less => VersionOrder::Behind,
+            Ordering::Greater => VersionOrder::Ahead,
+            Ordering::Equal if self.checksum == other.checksum => VersionOrder::Same,
+            Ordering::Equal => VersionOrder::Forked,
         }
     }
 }
--- a/crates/fleet/tests/lease_model.rs
+++ b/crates/fleet/tests/lease_model.rs
@@ -1,5 +1,5 @@
 //! Every order of asks, answers, losses, stalls, a change, an administration that starts again and clocks that run
-//! apart, with the real leases and the real roll: nobody acts without a change that was acknowledged as in force.
+//! apart, with the real leases and the real membership: nobody acts without a change that was acknowledged as in force.
 //! Mutants of the decisions are each found.
 
 use nettleferry_fleet::Millis;
@@ -56,7 +56,7 @@
     ticks: u64,
     /// Whose clocks are fast: the administration's, then the holders'.
     fast: [bool; HOLDERS + 1],
-    roll: Membership,
+    membership: Membership,
     book: Version,
     holders: Vec<One>,
     /// When the change was made, by the administration's clock.
@@ -113,7 +113,7 @@
         if self.book == CHANGE && !self.acknowledged {
             // Without the allowance for clocks, leases are out that much earlier.
             let early = if mutant == Mutant::ClocksAgree { lease::error_of(SPAN) } else { 0 };
-            let progress = self.roll.progress(self.now() + early, CHANGE, 0);
+            let progress = self.membership.progress(self.now() + early, CHANGE, 0);
             self.acknowledged = mutant == Mutant::AcknowledgedAtOnce || progress.is_in_force();
         }
         let behind = |n: usize| self.holders[n].in_force < CHANGE && self.acts(n);
@@ -132,7 +132,7 @@
             .map(|bits| State {
                 ticks: 0,
                 fast: std::array::from_fn(|n| bits >> n.min(1) & 1 == 1),
-                roll: span(0),
+                membership: span(0),
                 book: BEFORE,
                 holders: vec![
                     One {
@@ -203,7 +203,7 @@
             Act::Restart => {
                 next.restarted = true;
                 let before = (self.0 != Mutant::ForgetsLeases).then_some(SPAN);
-                next.roll = Membership::new(now, Some(SPAN), before, 0);
+                next.membership = Membership::new(now, Some(SPAN), before, 0);
             }
             Act::Ask(n) => {
                 let clock = state.clock(n);
@@ -213,12 +213,12 @@
             }
             Act::Arrives(n) => {
                 let (asked, in_force) = next.holders[n].ask.take()?;
-                next.roll.heartbeat(
+                next.membership.heartbeat(
                     now,
                     who(n),
                     MemberState { in_force, persisted: in_force, requires_lease: true },
                 );
-                next.roll.grant(now, who(n), state.book).ok()?;
+                next.membership.grant(now, who(n), state.book).ok()?;
                 next.holders[n].answer = Some((asked, state.book));
             }
             Act::AskLost(n) => next.holders[n].ask = None,
@@ -254,7 +254,8 @@
         vec![
             Property::always("nobody acts without what was acknowledged", |_, s: &State| !s.wrong),
             Property::always("a change is acknowledged within a span, whatever is lost", |_, s: &State| {
-                let bound = (s.changed + SPAN + lease::error_of(SPAN)).max(s.roll.earlier_leases_over());
+                let bound =
+                    (s.changed + SPAN + lease::error_of(SPAN)).max(s.membership.earlier_leases_over());
                 s.acknowledged || s.book == BEFORE || s.now() < bound
             }),
             Property::sometimes("one that never heard of it is waited out", |_, s: &State| {
@@ -265,7 +266,7 @@
 }
 
 #[test]
-fn nobody_acts_without_what_was_acknowledged() {
+fn nobody_acts_without_an_acknowledged_change() {
     let threads = std::thread::available_parallelism().map_or(2, usize::from);
     let checked = Fleet(Mutant::None).checker().threads(threads).spawn_bfs().join();
     println!("{} states, {} unique", checked.state_count(), checked.unique_state_count());
--- a/crates/fleet/tests/loss.rs
+++ b/crates/fleet/tests/loss.rs
@@ -5,36 +5,36 @@
 use nettleferry_fleet::snapshot_version::{SnapshotVersion, VersionOrder};
 use proptest::prelude::*;
 
-fn stamp(epoch: u64, revision: u64) -> SnapshotVersion {
+fn version(epoch: u64, revision: u64) -> SnapshotVersion {
     SnapshotVersion { store: "s".to_owned(), epoch, revision, checksum: (epoch * 1000 + revision) as u32 }
 }
 
 #[test]
-fn a_damaged_book_is_replaced_only_when_all_have_told_theirs() {
+fn damaged_snapshot_is_replaced_only_when_all_have_reported() {
     let mut a = Authority::new(0, None, 3);
     assert_eq!(a.duty().0, Duty::Waiting(Cause::Damaged));
-    assert_eq!(a.report_received(1, 1, Some(stamp(1, 7))), Step::None);
+    assert_eq!(a.report_received(1, 1, Some(version(1, 7))), Step::None);
     assert_eq!(a.report_received(2, 2, None), Step::None);
     // The third holds the newest: had the first been taken, an acknowledged change would be gone.
-    assert_eq!(a.report_received(3, 3, Some(stamp(1, 9))), Step::Install(3, stamp(1, 9)));
-    a.set_own(4, stamp(2, 9), true);
+    assert_eq!(a.report_received(3, 3, Some(version(1, 9))), Step::Install(3, version(1, 9)));
+    a.set_own(4, version(2, 9), true);
     assert_eq!(a.duty().0, Duty::Serving);
-    assert_eq!(a.report_received(5, 1, Some(stamp(1, 7))), Step::None);
+    assert_eq!(a.report_received(5, 1, Some(version(1, 7))), Step::None);
     assert_eq!(a.duty().0, Duty::Serving, "who is behind follows");
 }
 
 #[test]
-fn an_older_book_is_not_served_and_an_empty_one_is_nobody_s_truth() {
-    let mut older = Authority::new(0, Some(stamp(1, 5)), 2);
+fn older_snapshot_is_not_served_and_an_empty_one_is_never_the_newest() {
+    let mut older = Authority::new(0, Some(version(1, 5)), 2);
     assert_eq!(older.duty().0, Duty::Serving, "until it is told otherwise");
-    assert_eq!(older.report_received(1, 1, Some(stamp(1, 6))), Step::None);
+    assert_eq!(older.report_received(1, 1, Some(version(1, 6))), Step::None);
     assert_eq!(older.duty().0, Duty::Waiting(Cause::Behind));
-    assert_eq!(older.report_received(2, 2, Some(stamp(1, 5))), Step::Install(1, stamp(1, 6)));
+    assert_eq!(older.report_received(2, 2, Some(version(1, 5))), Step::Install(1, version(1, 6)));
     let empty = SnapshotVersion { store: "new".to_owned(), epoch: 1, revision: 0, checksum: 0 };
     let mut emptied = Authority::new(0, Some(empty.clone()), 2);
     assert_eq!(emptied.duty().0, Duty::Waiting(Cause::Empty));
-    assert_eq!(emptied.report_received(1, 1, Some(stamp(1, 6))), Step::None);
-    assert_eq!(emptied.report_received(2, 2, Some(stamp(1, 6))), Step::Install(1, stamp(1, 6)));
+    assert_eq!(emptied.report_received(1, 1, Some(version(1, 6))), Step::None);
+    assert_eq!(emptied.report_received(2, 2, Some(version(1, 6))), Step::Install(1, version(1, 6)));
     let mut first = Authority::new(0, Some(empty), 2);
     first.report_received(1, 1, None);
     assert_eq!(first.duty().0, Duty::Waiting(Cause::Empty));
@@ -43,31 +43,31 @@
 }
 
 #[test]
-fn two_books_of_one_revision_are_not_guessed_at() {
-    let forged = SnapshotVersion { checksum: 99, ..stamp(1, 6) };
+fn forked_snapshots_wait_for_an_operator() {
+    let forged = SnapshotVersion { checksum: 99, ..version(1, 6) };
     let mut a = Authority::new(0, None, 2);
-    a.report_received(1, 1, Some(stamp(1, 6)));
+    a.report_received(1, 1, Some(version(1, 6)));
     assert_eq!(a.report_received(2, 2, Some(forged.clone())), Step::None);
     assert_eq!(a.duty().0, Duty::Waiting(Cause::Disagreed));
     // The word of an operator stands above both.
-    let (store, epoch) = a.superseding_origin().expect("books are known");
-    let decided = SnapshotVersion { store, epoch, ..stamp(0, 6) };
+    let origin = a.superseding_origin().expect("snapshots are known");
+    let decided = SnapshotVersion { store: origin.store, epoch: origin.epoch, ..version(0, 6) };
     assert_eq!(
-        (decided.compare(&forged), decided.compare(&stamp(1, 6))),
+        (decided.compare(&forged), decided.compare(&version(1, 6))),
         (VersionOrder::Ahead, VersionOrder::Ahead)
     );
     // One that told its book anew agrees, and the fleet goes on without an operator.
-    assert_eq!(a.report_received(3, 2, Some(stamp(1, 6))), Step::Install(1, stamp(1, 6)));
+    assert_eq!(a.report_received(3, 2, Some(version(1, 6))), Step::Install(1, version(1, 6)));
 }
 
 #[test]
-fn a_follower_takes_nothing_older_nothing_forked_and_no_other_store_s() {
-    let held = stamp(2, 6);
+fn follower_rejects_older_forked_and_foreign_snapshots() {
+    let held = version(2, 6);
     assert_eq!(bootstrap::should_replace(None, &held), Ok(true));
     assert_eq!(bootstrap::should_replace(Some(&held), &held), Ok(false));
-    assert_eq!(bootstrap::should_replace(Some(&held), &stamp(3, 4)), Ok(true), "a restore is above");
-    assert_eq!(bootstrap::should_replace(Some(&held), &stamp(2, 5)), Err(VersionOrder::Behind));
-    assert_eq!(bootstrap::should_replace(Some(&held), &stamp(1, 9)), Err(VersionOrder::Behind));
+    assert_eq!(bootstrap::should_replace(Some(&held), &version(3, 4)), Ok(true), "a restore is above");
+    assert_eq!(bootstrap::should_replace(Some(&held), &version(2, 5)), Err(VersionOrder::Behind));
+    assert_eq!(bootstrap::should_replace(Some(&held), &version(1, 9)), Err(VersionOrder::Behind));
     assert_eq!(
         bootstrap::should_replace(Some(&held), &SnapshotVersion { checksum: 1, ..held.clone() }),
         Err(VersionOrder::Forked)
@@ -77,16 +77,16 @@
 }
 
 #[test]
-fn one_without_a_book_asks_a_bounded_number_of_peers_and_takes_the_newest() {
-    let mut seeker = Bootstrap::new(200, 9);
+fn bootstrap_asks_a_bounded_number_of_peers_and_installs_the_newest() {
+    let mut bootstrap = Bootstrap::new(200, 9);
     let (mut now, mut asked, mut taken) = (0, Vec::new(), None);
     while taken.is_none() && now < 60_000 {
-        match seeker.next(now) {
+        match bootstrap.next(now) {
             bootstrap::Step::Wait(until) => now = until.max(now + 1),
             bootstrap::Step::Request(peer) => {
                 asked.push(peer);
-                let holds = PeerResponse::Snapshot(stamp(1, peer as u64 % 7));
-                seeker.peer_responded(peer, if peer % 3 == 0 { PeerResponse::NoSnapshot } else { holds });
+                let holds = PeerResponse::Snapshot(version(1, peer as u64 % 7));
+                bootstrap.peer_responded(peer, if peer % 3 == 0 { PeerResponse::NoSnapshot } else { holds });
             }
             bootstrap::Step::Install(peer) => taken = Some(peer),
             bootstrap::Step::Forked => panic!("all are of one store"),
@@ -107,12 +107,12 @@
         held in proptest::collection::vec(proptest::option::of(1u64..6), 1..5),
         order in proptest::collection::vec(0usize..5, 1..30),
     ) {
-        let mut a = Authority::new(0, own.map(|r| stamp(1, r)), held.len());
+        let mut a = Authority::new(0, own.map(|r| version(1, r)), held.len());
         let newest = held.iter().flatten().copied().chain(own).max().unwrap_or(0);
         let mut serving = own;
         for (now, who) in order.iter().enumerate() {
             let who = who % held.len();
-            let step = a.report_received(now as u64, who as u32, held[who].map(|r| stamp(1, r)));
+            let step = a.report_received(now as u64, who as u32, held[who].map(|r| version(1, r)));
             if let Step::Install(from, stamp) = step {
                 prop_assert_eq!(stamp.revision, newest, "the newest of all disks");
                 prop_assert_eq!(held[from as usize], Some(newest), "from one that holds it");
--- a/crates/fleet/tests/model.rs
+++ b/crates/fleet/tests/model.rs
@@ -109,6 +109,7 @@
         }
     }
 
+    #[expect(clippy::too_many_lines, reason = "the transitions of the model are read as one table")]
     fn next_state(&self, state: &State, act: Act) -> Option<State> {
         let mut next = state.clone();
         match act {
@@ -180,9 +181,9 @@
             Property::always("no follower goes back", |_, s: &State| !s.back),
             Property::always("whoever waits has somebody to hear", |_, s: &State| {
                 // All were heard, all agree and some disk has a book: then it does not wait.
-                let heard: Vec<_> = s.authority.reports().collect();
-                let all = heard.len() >= FOLLOWERS;
-                let current = heard.iter().all(|(who, told, _)| *told == s.disks[*who as usize].as_ref());
+                let reports: Vec<_> = s.authority.reports().collect();
+                let all = reports.len() >= FOLLOWERS;
+                let current = reports.iter().all(|r| r.version == s.disks[r.controller as usize].as_ref());
                 let books: Vec<_> = s.disks.iter().flatten().collect();
                 let forked = books
                     .iter()
@@ -200,7 +201,7 @@
 }
 
 #[test]
-fn no_order_of_losses_gives_up_what_a_disk_holds() {
+fn no_order_of_losses_gives_up_a_change_that_a_disk_has() {
     let checked = Fleet(Mutant::None).checker().spawn_bfs().join();
     println!("{} states, {} unique", checked.state_count(), checked.unique_state_count());
     assert!(checked.unique_state_count() > 1_000);
