--- a/crates/engine/src/engine/attempts.rs
+++ b/crates/engine/src/engine/attempts.rs
@@ -60,7 +60,7 @@
             finished: true,
             elapsed: 0,
             note: None,
-            crowd: None,
+            concurrent_calls: None,
             report: None,
         });
     }
@@ -113,7 +113,7 @@
             finished: settled,
             elapsed: self.now.saturating_sub(in_flight.sent_at),
             note: report.load_note,
-            crowd: report.queue_depth,
+            concurrent_calls: report.queue_depth,
             report: report.load_report,
         });
         if settled {
--- a/crates/gateway/src/front/accept.rs
+++ b/crates/gateway/src/front/accept.rs
@@ -144,12 +144,13 @@
         let limiter = context.limiter.as_mut()?;
         let classes = &self.config.settings.classes;
         let class = classes.get(class.0)?;
-        let highest_weight = classes.iter().map(|class| class.worth).fold(f64::MIN_POSITIVE, f64::max);
+        let highest_weight =
+            classes.iter().map(|class| class.priority_weight).fold(f64::MIN_POSITIVE, f64::max);
         let call = CallInfo {
             remaining: time_left / 1000,
-            latency_objective: class.aim / 1000,
-            priority_weight: class.worth / highest_weight,
-            non_idempotent: class.effect != Effect::Safe,
+            latency_objective: class.latency_objective / 1000,
+            priority_weight: class.priority_weight / highest_weight,
+            non_idempotent: class.effect != Effect::Idempotent,
             model: model_number(&head.model),
         };
         match limiter.admit(now, &call, rand::random()) {
