--- a/crates/gateway/src/commands/node.rs
+++ b/crates/gateway/src/commands/node.rs
@@ -23,7 +23,7 @@
     pub(crate) fn run(self) -> Result<u8, CommandError> {
         let mut node = Node::new(self.config, true)?;
         // Clients know the address from elsewhere, so a closed standard output doesn't prevent the start.
-        if let Err(error) = announce(&format!("listening frames {}", node.local())) {
+        if let Err(error) = announce(&format!("listening frames {}", node.local_addr())) {
             warn!(%error, "listening address not announced");
         }
         node.run()?;
--- a/crates/gateway/src/controller/administration.rs
+++ b/crates/gateway/src/controller/administration.rs
@@ -11,7 +11,7 @@
 
 use super::audit::tenant_event;
 use super::{Controller, SnapshotSource};
-use crate::list::News;
+use crate::worker_list::ListUpdate;
 
 impl Controller {
     /// Applies what the administration has sent since the last time.
@@ -81,7 +81,7 @@
     /// `fencing_token`: 0 where the leader gave none.
     fn renew_lease(&mut self, until: Instant, fencing_token: u64) {
         if fencing_token > 0 {
-            self.links.fence(fencing_token);
+            self.worker_links.set_fencing_token(fencing_token);
         }
         // Our clock is read first: what passes between the two readings shortens the lease.
         let now = self.clock.now_ms();
@@ -109,6 +109,6 @@
             self.record(|recorder, now, names| recorder.event(now, event, names));
         }
         let workers = self.listed_workers.clone();
-        self.apply_list(News { form: ListForm::Complete, workers });
+        self.apply_list(ListUpdate { form: ListForm::Complete, workers });
     }
 }
--- a/crates/gateway/src/observe.rs
+++ b/crates/gateway/src/observe.rs
@@ -52,7 +52,7 @@
         let admission = RejectReason::ALL.into_iter().map(RejectReason::label);
         let limits: Vec<&str> = LIMITS.into_iter().chain(admission).collect();
         let figures = Arc::new(Figures::new(slots, &limits));
-        let aims = config.settings.classes.iter().map(|c| c.aim).collect();
+        let aims = config.settings.classes.iter().map(|c| c.latency_objective).collect();
         Self { figures, aims, counts: config.figures.count }
     }
 
@@ -95,7 +95,7 @@
             Measurement::LoadSent => self.figures.order_sent(),
             Measurement::LoadEnded(outcome) => self.figures.order(match outcome {
                 Outcome::Ok => 0,
-                Outcome::Full => 1,
+                Outcome::Rejected => 1,
                 Outcome::Timeout => 3,
                 _ => 2,
             }),
@@ -107,7 +107,7 @@
     pub fn refresh(&self, engine: &Engine, net: &NetCounters, front: &FrontCounters, no_room: u64) {
         let mut workers = [0; 4];
         for health in engine.health() {
-            let at = match (health.state, health.down, health.barred) {
+            let at = match (health.state, health.down, health.ejected) {
                 (WorkerState::Draining, _, _) => 1,
                 (_, true, _) => 3,
                 (_, _, true) => 2,
@@ -176,13 +176,13 @@
     match after {
         None | Some(Outcome::Ok) => 0,
         Some(Outcome::Error) => 1,
-        Some(Outcome::Full) => 2,
+        Some(Outcome::Rejected) => 2,
         Some(Outcome::Timeout) => 3,
-        Some(Outcome::ConnectFailed | Outcome::Unsent) => 4,
+        Some(Outcome::ConnectFailed | Outcome::PartlySent) => 4,
         Some(Outcome::Reset) => 5,
         Some(Outcome::Cancelled) => 6,
-        Some(Outcome::Moot) => 7,
-        Some(Outcome::Miss) => 8,
+        Some(Outcome::NeverSent) => 7,
+        Some(Outcome::NotLoaded) => 8,
     }
 }
 
