--- a/crates/gateway/src/controller/startup.rs
+++ b/crates/gateway/src/controller/startup.rs
@@ -154,7 +154,7 @@
     };
     let seed = config.seed.unwrap_or_else(rand::random);
     let mut settings = config.settings.clone();
-    settings.loading.spent = restarted;
+    settings.loading.unknown_prior_orders = restarted;
     Engine::new(settings, config.zone.as_deref(), limits, seed)
 }
 
--- a/crates/node/src/guard.rs
+++ b/crates/node/src/guard.rs
@@ -104,7 +104,7 @@
         if self.in_flight {
             return Err(Violation::OverlappingAttempt);
         }
-        if self.may_have_run && self.effect == Effect::Unsafe {
+        if self.may_have_run && self.effect == Effect::NonIdempotent {
             return Err(Violation::RetryAfterEffect);
         }
         Ok(())
@@ -153,7 +153,10 @@
 ///
 /// It may have run, and a second run is not harmless.
 pub fn may_refuse(may_have_run: bool, effect: Effect) -> Result<(), Violation> {
-    let harmless = matches!(effect, Effect::Safe | Effect::Keyed { group: nettleferry::Group::All, .. });
+    let harmless = matches!(
+        effect,
+        Effect::Idempotent | Effect::IdempotencyKey { scope: nettleferry::KeyScope::All, .. }
+    );
     if may_have_run && !harmless { Err(Violation::RefusedAfterEffect) } else { Ok(()) }
 }
 
