--- a/src/decision/outlier_ejection.rs
+++ b/src/decision/outlier_ejection.rs
@@ -45,9 +45,9 @@
 impl fmt::Display for EjectionReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Self::Failures => "it fails",
-            Self::Down => "it is down",
-            Self::Unresponsive => "it is silent",
+            Self::Failures => "too many failures",
+            Self::Down => "process down",
+            Self::Unresponsive => "unresponsive",
         })
     }
 }
@@ -113,7 +113,7 @@
         if worker.ejected && worker.failure_rate < RETURN_FAILURE_RATE {
             worker.ejected = false;
             worker.next_ejection = EJECTION_FIRST;
-            self.actions.push(Action::Log(format!("worker {} serves again", id.0)));
+            self.actions.push(Action::Log(format!("worker {} returned to service", id.0)));
             return;
         }
         let over_limit =
@@ -128,7 +128,7 @@
     pub(super) fn eject(&mut self, id: WorkerId, reason: EjectionReason) {
         let Some(worker) = self.workers.get_mut(&id) else { return };
         if !worker.ejected {
-            self.actions.push(Action::Log(format!("worker {} barred: {reason}", id.0)));
+            self.actions.push(Action::Log(format!("worker {} ejected: {reason}", id.0)));
         }
         worker.ejected = true;
         worker.down |= reason != EjectionReason::Failures && self.settings.limits.probes;
