--- a/adapter/tests/malformed.rs
+++ b/adapter/tests/malformed.rs
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn what_is_malformed_is_named_with_its_line() {
+fn a_malformed_line_is_reported_with_its_number() {
     let good = "{\"t_ms\":1.5,\"turn\":1,\"input\":[]}\n";
     for (bad, word) in [
         ("{nonsense", "not JSON"),
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -1,4 +1,4 @@
-//! The state of one controller, and what an owner may ask of it for metrics.
+//! The state of one controller, and what an owner may read of it for metrics.
 //!
 //! Events come in by [`Controller::handle`], which is with the decisions in [`crate::decision`]; the records
 //! that the state is made of are in [`crate::state`].
@@ -27,7 +27,7 @@
     pub(crate) fleet: Fleet,
     /// Workers that are gone from the list and still known.
     pub(crate) gone_workers: BTreeSet<WorkerId>,
-    /// Per class, the workers that are open to its calls, where this event asked for them.
+    /// Per class, the workers that are open to its calls, where this event needed them.
     pub(crate) candidates: Vec<OnceCell<Candidates>>,
     pub(crate) functions: BTreeMap<FunctionId, Function>,
     /// The replicas and pending loads of all functions, by worker.
@@ -41,7 +41,7 @@
     /// The attempts in flight.
     pub(crate) attempts: BTreeMap<AttemptId, Attempt>,
     pub(crate) timers: BTreeSet<Timer>,
-    /// When the timer that was asked of the embedding program comes due.
+    /// When the timer that the embedding program has set comes due.
     pub(crate) armed_for: Option<Micros>,
     /// A timer to look at held calls is set.
     pub(crate) release_timer_set: bool,
--- a/src/decision/arrivals.rs
+++ b/src/decision/arrivals.rs
@@ -1,4 +1,4 @@
-//! Decides what a call is worth in the hold queue as it arrives: recent calls of its function times their
+//! Decides a call's priority in the hold queue as it arrives: recent calls of its function times their
 //! mean latency, fixed from then on.
 //!
 //! Leaves its worker to `placement`. Guards: a tenant beyond this controller's part of its quota waits behind
@@ -10,7 +10,7 @@
 
 /// The span over which a function's arrivals count towards its priority: the design page's.
 pub(super) const ARRIVAL_WINDOW: Micros = 10_000_000;
-/// The span over which a tenant's calls count towards its quota, which is told by the second.
+/// The span over which a tenant's calls count towards its quota, which is given by the second.
 const QUOTA_WINDOW: Micros = 1_000_000;
 /// The least weight of calls over their quota: their priority is divided by it.
 const OVER_QUOTA_WEIGHT_MIN: f64 = 0.01;
@@ -26,7 +26,7 @@
         let over_quota = self.over_quota(request.tenant);
         let mut recent_work = self.count_arrival(&request);
         if over_quota {
-            // Behind the others, by what its calls are still worth.
+            // Behind the others, by the weight that its calls still have.
             recent_work = (recent_work + 1.0) / self.settings.over_quota_worth.max(OVER_QUOTA_WEIGHT_MIN);
         }
         self.sequence += 1;
--- a/src/decision/events.rs
+++ b/src/decision/events.rs
@@ -1,4 +1,4 @@
-//! Takes in one event at a time and leads it to the decision that it asks for.
+//! Takes in one event at a time and dispatches it to the decision that it needs.
 //!
 //! Leaves every decision to the other files here. Guards against settings that no controller can work with.
 
--- a/src/decision/health_check.rs
+++ b/src/decision/health_check.rs
@@ -2,8 +2,8 @@
 //!
 //! Leaves the time at which responses are overdue to `response_timeout`, ejection itself to
 //! `outlier_ejection`. Guards: a connection that broke may have failed alone, so nothing new goes there
-//! until a probe has told (half- dead links, resets); two probes must fail before silence ejects (one lost
-//! connection); a probe that times out in a queue shows a crowd and no death (slow workers ejected). Harm
+//! until a probe has ended (half-dead links, resets); two probes must fail before silence ejects (one lost
+//! connection); a probe that times out in a queue shows load and no death (slow workers ejected). Harm
 //! of each: `docs/design.md`.
 
 use super::worker_load::PRESSURE_FULL;
@@ -16,7 +16,7 @@
 
 impl Controller {
     /// A connection that broke, or is silent, may have failed alone: nothing new goes there until a probe has
-    /// told. What breaks together counts once: true for the first.
+    /// ended. What breaks together counts once: true for the first.
     pub(super) fn suspect_connection(&mut self, id: WorkerId) -> bool {
         let Some(worker) = self.workers.get_mut(&id) else { return false };
         let first = !std::mem::replace(&mut worker.connection_suspect, true);
@@ -78,7 +78,7 @@
     fn probe_failed(&mut self, id: WorkerId, outcome: Outcome, probe: EndedProbe) {
         let broke = matches!(outcome, Outcome::Reset | Outcome::PartlySent);
         if !broke {
-            // One that waits in a queue and times out shows a crowd; silence is shown by what is pending.
+            // One that waits in a queue and times out shows load; silence is shown by what is pending.
             self.record_pressure(id, PRESSURE_FULL);
         }
         let worker = &self.workers[&id];
--- a/src/decision/hold_queue.rs
+++ b/src/decision/hold_queue.rs
@@ -6,7 +6,7 @@
 //!
 //! Leaves the worker to `placement` and the final answer to `retry`. Guards: calls that can't meet their
 //! objective any more wait behind those that can (overload, retry storms); a call that is held where its
-//! replica stands asks whether that worker idles (a bound filled by others).
+//! replica stands has that worker probed for idle cores (a bound filled by others).
 
 use std::collections::BTreeSet;
 
@@ -45,7 +45,7 @@
         self.hold_queue.insert(call.priority, id);
         let Some(function) = self.functions.get_mut(&call.function) else { return };
         function.held_calls += 1;
-        // Others' calls fill the bound where its replica stands: asked whether the cores are idle.
+        // Others' calls fill the bound where its replica stands: probed for idle cores.
         let full = |w: &Worker| {
             let outdated = w.last_report.is_some_and(|r| r.at + objective < self.now);
             w.warm_in_flight >= function.lanes && outdated
--- a/src/decision/outlier_ejection.rs
+++ b/src/decision/outlier_ejection.rs
@@ -5,7 +5,7 @@
 //! trial doubles the next ejection. Leaves silence to `response_timeout` and `health_check`. Guards:
 //!
 //! * fast failures, crashes, flapping: the rate itself;
-//! * errors of a function that no worker ever served count against no worker (clients that ask for what
+//! * errors of a function that no worker ever served count against no worker (clients that call what
 //!   does not exist);
 //! * connections that broke while the process lived count half (spoilt answers, resets, half-dead links);
 //! * a worker that is down is tried by probes alone (hundreds of controllers trying it by calls as it
--- a/src/decision/placement.rs
+++ b/src/decision/placement.rs
@@ -132,7 +132,7 @@
         first.find(|w| pressure(*w) < PRESSURE_LIMIT).or_else(|| order().find(|w| usable(w)))
     }
 
-    /// The first sound worker of the function's order that did not have too little room too often.
+    /// The first worker of the function's order that is open to it and did not lack room too often in a row.
     fn home(&self, call: &Call, function: &Function) -> Option<WorkerId> {
         let gave_up = |w: &WorkerId| function.avoided.get(w).is_some_and(|a| a.rejections >= MAX_REJECTIONS);
         let open = |w: &WorkerId| {
--- a/src/decision/replicas.rs
+++ b/src/decision/replicas.rs
@@ -1,6 +1,6 @@
 //! Keeps the index of replicas: which are known warm, which are loading, by function and by worker.
 //!
-//! Decides nothing; what is found, ordered or missing is told by `attempts`, `replica_loading` and
+//! Decides nothing; what is found, ordered or missing is reported by `attempts`, `replica_loading` and
 //! `endpoint_list`. Found by worker, a worker that goes costs what it held, not a pass over all functions.
 
 use crate::controller::Controller;
--- a/src/decision/retention.rs
+++ b/src/decision/retention.rs
@@ -118,7 +118,7 @@
             return;
         }
         self.apply_sweep(id);
-        let (crowded, swept, kept) =
+        let (crowded, swept, retention) =
             (self.functions.len() > FUNCTIONS_WITH_HOMES, self.swept_at, self.retention());
         let Some(function) = self.functions.get_mut(&id) else { return };
         let rests = function.last_call + RETENTION_WINDOWS * ARRIVAL_WINDOW;
@@ -129,7 +129,7 @@
             function.homes = Homes::default();
         }
         function.compact(swept);
-        let forgotten = function.last_call + kept;
+        let forgotten = function.last_call + retention;
         self.schedule_idle_sweep(id, forgotten.max(swept + IDLE_BUCKET));
     }
 
--- a/src/decision/worker_load.rs
+++ b/src/decision/worker_load.rs
@@ -6,8 +6,8 @@
 //! [`PRESSURE_MAX`] it is left alone.
 //!
 //! Leaves what follows to `placement` and `replica_loading`. Guards: a worker whose load is not known is
-//! probed before a call goes there (controllers too quiet to notice a crowd); a report of idle cores lifts
-//! the lanes bound (functions of few lanes behind those of many).
+//! probed before a call goes there (controllers too quiet to notice others' load); a report of idle cores
+//! lifts the lanes bound (functions of few lanes behind those of many).
 
 use crate::controller::Controller;
 use crate::interface::*;
@@ -22,11 +22,11 @@
 /// Pressure of a worker that had no room, or whose probe is late.
 pub(super) const PRESSURE_FULL: f64 = 3.0;
 /// A worker not heard from for so many objectives is probed before a call goes there: most controllers call
-/// it too seldom to know of a crowd.
+/// it too seldom to know of its load.
 const REPORT_MAX_AGE: f64 = 1.0;
 /// Workers probed for one call.
 const LOAD_PROBES_PER_CALL: u32 = 2;
-/// A probe late by this share of an objective shows a crowd.
+/// A probe late by this share of an objective shows that the worker is loaded.
 pub(super) const LOAD_PROBE_WAIT: f64 = 0.1;
 /// Cores in use below this share leave room, whatever a worker holds.
 const IDLE_UTILIZATION: f64 = 0.85;
--- a/src/interface/actions.rs
+++ b/src/interface/actions.rs
@@ -14,7 +14,7 @@
         /// Time-out; `None`: until the client gives up.
         timeout: Option<Micros>,
     },
-    /// Stop waiting on an attempt.
+    /// Cancel an attempt in flight.
     Cancel {
         /// The request.
         request: RequestId,
@@ -33,16 +33,16 @@
         /// The request.
         request: RequestId,
     },
-    /// Order a worker to hold at least `count` copies; 0 only asks.
+    /// Order a worker to hold at least `count` replicas; 0 only queries.
     Load {
         /// The worker.
         worker: WorkerId,
         /// The function.
         function: FunctionId,
-        /// Copies wanted, up to 16.
+        /// Replicas wanted, up to 16.
         count: u32,
     },
-    /// A load that was ordered is not wanted any more: an order that has not left need not leave, and is
+    /// A load that was ordered is not needed any more: an order that has not left need not leave, and is
     /// answered [`Outcome::Cancelled`] then; one that has left goes on.
     CancelLoad {
         /// Where.
@@ -50,7 +50,7 @@
         /// Of what.
         function: FunctionId,
     },
-    /// Unload the idle copies of a function.
+    /// Unload the idle replicas of a function.
     Unload {
         /// The worker.
         worker: WorkerId,
--- a/src/interface/events.rs
+++ b/src/interface/events.rs
@@ -11,7 +11,7 @@
     Ok,
     /// The worker failed it; it may have run.
     Error,
-    /// Turned away unseen.
+    /// Rejected by the worker before it was looked at.
     Rejected,
     /// No answer in time; it may have run.
     Timeout,
@@ -21,7 +21,7 @@
     PartlySent,
     /// The connection broke; it may have run.
     Reset,
-    /// Withdrawn; it may have run.
+    /// Cancelled; it may have run.
     Cancelled,
     /// Never sent.
     NeverSent,
@@ -29,10 +29,10 @@
     NotLoaded,
 }
 
-/// What an outcome tells of loaded copies.
+/// What an outcome reports of loaded replicas.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadNote {
-    /// A copy stood loaded.
+    /// A replica was loaded already.
     Warm,
     /// This request began a load.
     Began,
@@ -55,9 +55,9 @@
     pub function: FunctionId,
     /// Time until the client gives up.
     pub left: Micros,
-    /// Work it is thought to need on a standard core.
+    /// Time that it is thought to need on a standard core.
     pub cpu_time_hint: Option<Micros>,
-    /// Calls one copy runs at once.
+    /// Calls that one replica runs at once.
     pub lanes: u32,
     /// Usual time of a load.
     pub load_time: Option<Micros>,
@@ -70,7 +70,7 @@
 pub enum Event {
     /// The worker list changed.
     Workers {
-        /// What kind of news it is.
+        /// What kind of update it is.
         form: ListForm,
         /// Its lines.
         entries: Vec<WorkerEntry>,
@@ -87,13 +87,13 @@
         worker: WorkerId,
         /// How it ended.
         outcome: Outcome,
-        /// The request is finished: nothing more is owed.
+        /// The request is finished: the client is owed nothing more.
         finished: bool,
         /// Time since it was sent.
         elapsed: Micros,
-        /// What it tells of loaded copies.
+        /// What it reports of loaded replicas.
         note: Option<LoadNote>,
-        /// Calls of the function the worker held, where told.
+        /// Calls of the function that the worker held, where reported.
         concurrent_calls: Option<u32>,
         /// Load report, where attached.
         report: Option<Report>,
@@ -105,7 +105,7 @@
         /// Number of the attempt.
         attempt: u32,
     },
-    /// An order to load, or a question, was answered.
+    /// An order to load, or a query, was answered.
     Loaded {
         /// The worker.
         worker: WorkerId,
@@ -113,7 +113,7 @@
         function: FunctionId,
         /// How it ended.
         outcome: Outcome,
-        /// Copies that stand there.
+        /// Replicas that are loaded there.
         copies: u32,
         /// Time since the order.
         elapsed: Micros,
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -34,15 +34,15 @@
 /// A request class.
 #[derive(Clone, Debug)]
 pub struct Class {
-    /// An answer within this span has its full worth.
+    /// An answer within this span has its full priority weight.
     pub latency_objective: Micros,
-    /// How long a client waits over all its tries.
+    /// How long a client waits over all its attempts.
     pub deadline: Micros,
     /// What a repeat may do.
     pub effect: Effect,
-    /// Worth of one request.
+    /// Priority weight of one request.
     pub priority_weight: f64,
-    /// Share of the worth left after the aim.
+    /// Share of the weight that is left after the objective.
     pub late_share: f64,
     /// The answer is streamed: [`Event::Started`] precedes its end.
     pub stream: bool,
@@ -55,10 +55,10 @@
     pub quota_per_s: Option<f64>,
 }
 
-/// How the worker list is learnt.
+/// How the worker list is received.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Discovery {
-    /// Changes come unasked.
+    /// Changes come by themselves.
     #[default]
     Push,
     /// Changes come only after [`Action::Watch`] or [`Action::Fetch`].
@@ -91,7 +91,7 @@
     Live,
 }
 
-/// What a worker does with a call of a function it has no copy of.
+/// What a worker does with a call of a function it has no replica of.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum WhenAbsent {
     /// Loads it while the call waits there.
@@ -106,7 +106,7 @@
 pub struct Loading {
     /// What a call of an absent function meets.
     pub when_absent: WhenAbsent,
-    /// An idle copy stays at least this long unless its room is needed.
+    /// An idle replica stays at least this long unless its room is needed.
     pub keep_alive: Micros,
     /// [`Action::Load`] and [`Action::Unload`] are permitted.
     pub orders: bool,
@@ -114,17 +114,17 @@
     pub order_timeout: Micros,
     /// Outcomes carry a [`LoadNote`].
     pub notes: bool,
-    /// Outcomes tell how many calls of the function the worker held.
+    /// Outcomes report how many calls of the function the worker held.
     pub reports_concurrency: bool,
     /// Span over which orders are rationed; 0: they are not.
     pub ration_window: Micros,
     /// Orders free in each window.
     pub ration_floor: f64,
-    /// An earlier life of this controller may have given orders within the window before the start.
+    /// An earlier incarnation of this controller may have given orders within the window before the start.
     pub unknown_prior_orders: bool,
     /// Further orders, per request taken in the window.
     pub ration_share: f64,
-    /// Points that a full memory of idle and loading copies would cost.
+    /// Points that a full memory of idle and loading replicas would cost.
     pub memory_price: f64,
 }
 
@@ -150,13 +150,13 @@
 pub struct Rules {
     /// A final answer is in time until this long after the client's deadline.
     pub answer_grace: Micros,
-    /// Span after word of a drain within which sends must stop.
+    /// Span after the notice of a drain within which sends must stop.
     pub drain_grace: Micros,
-    /// With [`Discovery::Poll`]: unasked for this long, a controller is deemed told.
+    /// With [`Discovery::Poll`]: a controller that has not polled for this long is deemed notified.
     pub must_poll_within: Micros,
     /// A started worker has at least this share of its capacity.
     pub start_capacity: f64,
-    /// It is warm after this span at the latest.
+    /// It is warmed up after this span at the latest.
     pub warm_up: Micros,
     /// Sent more than this multiple of its present capacity ...
     pub overload_factor: f64,
@@ -164,7 +164,7 @@
     pub overload_span: Micros,
 }
 
-/// What a controller is told when it starts.
+/// What a controller is given when it starts.
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
     /// This controller's number, from 0.
@@ -177,9 +177,9 @@
     pub classes: Vec<Class>,
     /// The tenants; may be none.
     pub tenants: Vec<Tenant>,
-    /// Worth of a request over its tenant's quota, as a share of its class's.
+    /// Priority weight of a request over its tenant's quota, as a share of its class's.
     pub over_quota_worth: f64,
-    /// How the worker list is learnt.
+    /// How the worker list is received.
     pub discovery: Discovery,
     /// How load is reported.
     pub reports: Reports,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -32,7 +32,7 @@
 //! };
 //! settings.limits.max_attempts = 3;
 //! settings.loading.keep_alive = 8_000_000;
-//! let mut controller = Controller::new(settings, 42).expect("the settings are sound");
+//! let mut controller = Controller::new(settings, 42).expect("the settings are valid");
 //!
 //! let on = WorkerState::On;
 //! let entry = WorkerEntry { worker: WorkerId(7), weight: 1.0, state: on, ..WorkerEntry::default() };
--- a/src/rendezvous.rs
+++ b/src/rendezvous.rs
@@ -1,10 +1,11 @@
 //! The rendezvous order of a function over the workers in service, found only as far as it is needed.
 //!
-//! Every worker has a score for every function, by a hash of both and the worker's weight; a function's order
-//! is its workers by rising score, equal scores by id. [`Fleet`] is the list of workers in service, one for
-//! all functions, with a bounded log of its latest changes. [`Homes`] is what one function keeps: the first
-//! workers of its order, mended from that log when the function is next used, and made anew by one pass over
-//! the list where the log does not reach back. The rest of an order is computed on demand, and not kept.
+//! Every worker has a score for every function, by a hash of both and the worker's weight; a function's
+//! order is its workers by rising score, equal scores by id. [`Fleet`] is the list of workers in service,
+//! one for all functions, with a bounded log of its latest changes. [`Homes`] is what one function keeps:
+//! the first workers of its order, repaired from that log when the function is next used, and computed
+//! again by one pass over the list where the log does not reach back. The rest of an order is computed on
+//! demand, and not kept.
 //!
 //! Nothing here decides anything, and how much is kept never changes an order.
 
@@ -24,11 +25,12 @@
 const HOMES: usize = 24;
 /// Homes that a pass over a longer list looks for: a few more than are kept, as their number is random.
 const TARGET_HOMES: f64 = 36.0;
-/// With fewer homes than this left, they are made anew.
+/// With fewer homes than this left, they are computed again.
 const MIN_HOMES: usize = 8;
 /// Changes of the list that are remembered.
 const CHANGE_LOG: usize = 1_024;
-/// A function that missed more than the list's length divided by this makes its homes anew: that is cheaper.
+/// A function that missed more than the list's length divided by this computes its homes again: that is
+/// cheaper.
 const REPAIR_RATIO: usize = 16;
 /// Each pass that goes further looks for scores up to this many times as high.
 const SCORE_STEP: f64 = 16.0;
@@ -255,8 +257,8 @@
             return;
         }
         let missed = (now - self.changes_applied) as usize;
-        let worth = missed <= fleet.changed.len() && missed <= fleet.all.workers.len() / REPAIR_RATIO;
-        if self.changes_applied == 0 || !worth || !self.repair(function, fleet, missed) {
+        let repairable = missed <= fleet.changed.len() && missed <= fleet.all.workers.len() / REPAIR_RATIO;
+        if self.changes_applied == 0 || !repairable || !self.repair(function, fleet, missed) {
             self.compute(function, fleet);
         }
         self.changes_applied = now;
--- a/src/state.rs
+++ b/src/state.rs
@@ -214,7 +214,7 @@
 pub(crate) struct AttemptEnd {
     /// How it ended.
     pub(crate) outcome: Outcome,
-    /// The call is finished: nothing more is owed.
+    /// The call is finished: the client is owed nothing more.
     pub(crate) finished: bool,
     /// Time since it was sent.
     pub(crate) elapsed: Micros,
--- a/tests/any_order.rs
+++ b/tests/any_order.rs
@@ -35,7 +35,7 @@
     settings.loading.ration_floor = 3.0;
     settings.loading.ration_share = 0.1;
     let mut chance = Chance(seed);
-    let mut stand = Stand::new(settings.clone(), 6);
+    let mut harness = Harness::new(settings.clone(), 6);
     let mut seen: BTreeMap<u64, Seen> = BTreeMap::new();
     let mut state: BTreeMap<u64, WorkerState> = (1..=6).map(|w| (w, WorkerState::On)).collect();
     let mut owed: Vec<(u64, u64)> = Vec::new();
@@ -44,7 +44,7 @@
     let (mut next, mut answered) = (1, 0);
     for step in 0..4_000 {
         seen.retain(|_, s| !s.over || s.attempts.iter().any(|a| a.2.is_none()));
-        stand.now += chance.below(6) * MS;
+        harness.now += chance.below(6) * MS;
         let open: Vec<(u64, u32)> = seen
             .iter()
             .flat_map(|(id, s)| s.attempts.iter().enumerate().map(move |(n, a)| (*id, n as u32, a.2)))
@@ -55,12 +55,12 @@
         let actions = if pick < 3 && step < 3_500 {
             let class = chance.below(3) as usize;
             let left = (50 + chance.below(3_000)) * MS;
-            seen.insert(next, Seen { class, due: stand.now + left, attempts: vec![], over: false });
-            taken.push(stand.now);
+            seen.insert(next, Seen { class, due: harness.now + left, attempts: vec![], over: false });
+            taken.push(harness.now);
             next += 1;
             let asked =
                 Request { left, ..request(next - 1, class, chance.below(12), 1 + chance.below(3) as u32) };
-            stand.feed(Event::Request(asked))
+            harness.handle(Event::Request(asked))
         } else if pick < 7 && !open.is_empty() {
             let (id, n) = open[chance.below(open.len() as u64) as usize];
             let ends = [
@@ -91,11 +91,11 @@
                 concurrent_calls: None,
                 report: None,
             };
-            stand.feed(event)
+            harness.handle(event)
         } else if pick == 7 && !owed.is_empty() {
             let (worker, function) = owed.swap_remove(chance.below(owed.len() as u64) as usize);
             let outcome = [Outcome::Ok, Outcome::Rejected, Outcome::Timeout][chance.below(3) as usize];
-            stand.feed(Event::Loaded {
+            harness.handle(Event::Loaded {
                 worker: WorkerId(worker),
                 function: FunctionId(function),
                 outcome,
@@ -105,11 +105,11 @@
         } else if pick == 8 && chance.below(20) == 0 {
             let worker = 1 + chance.below(6);
             let to = [WorkerState::On, WorkerState::On, WorkerState::Draining][chance.below(3) as usize];
-            let born = Some(stand.now).filter(|_| chance.below(2) == 0);
+            let born = Some(harness.now).filter(|_| chance.below(2) == 0);
             state.insert(worker, to);
-            stand.change(worker, to, born)
+            harness.update_worker(worker, to, born)
         } else {
-            stand.feed(Event::Timer { tag: 1 })
+            harness.handle(Event::Timer { tag: 1 })
         };
         for action in &actions {
             match action {
@@ -121,10 +121,10 @@
                     if let Some((first, since, _)) = call.attempts.iter().find(|a| !proven(a.2.unwrap())) {
                         assert_ne!(call.class, 1, "an unsafe call that may have run is not repeated");
                         if call.class == 2 {
-                            assert!(stand.now < since + 2 * S && worker.0 % 2 == first % 2);
+                            assert!(harness.now < since + 2 * S && worker.0 % 2 == first % 2);
                         }
                     }
-                    call.attempts.push((worker.0, stand.now, None));
+                    call.attempts.push((worker.0, harness.now, None));
                     assert!(call.attempts.len() <= 3);
                 }
                 Action::Refuse { request, .. } => {
@@ -141,8 +141,8 @@
                 }
                 Action::Load { worker, function, .. } => {
                     assert_eq!(state[&worker.0], WorkerState::On, "drains are kept");
-                    loads.push(stand.now);
-                    let inside = |t: &&Micros| **t + S >= stand.now;
+                    loads.push(harness.now);
+                    let inside = |t: &&Micros| **t + S >= harness.now;
                     let asked = taken.iter().filter(inside).count() as f64;
                     assert!(
                         loads.iter().filter(inside).count() as f64 <= 3.0 + 0.1 * asked,
@@ -153,10 +153,10 @@
                 _ => {}
             }
         }
-        let late = seen.values().filter(|s| !s.over && s.due + 8 * MS < stand.now).count();
+        let late = seen.values().filter(|s| !s.over && s.due + 8 * MS < harness.now).count();
         assert_eq!(late, 0, "every call is answered in time");
     }
-    stand.pass(4 * S);
+    harness.advance(4 * S);
     assert!(answered > 300, "{answered}");
 }
 
--- a/tests/call_cost.rs
+++ b/tests/call_cost.rs
@@ -15,47 +15,47 @@
 }
 
 struct Calls {
-    stand: Stand,
+    harness: Harness,
     next: u64,
 }
 
 impl Calls {
     fn new(workers: u64) -> Self {
-        Self { stand: Stand::new(settings(), workers), next: 0 }
+        Self { harness: Harness::new(settings(), workers), next: 0 }
     }
 
     /// A call that is answered by the worker it was sent to.
     fn answered(&mut self, function: u64) {
         self.next += 1;
-        let actions = self.stand.ask(self.next, 0, function, 2);
+        let actions = self.harness.call(self.next, 0, function, 2);
         let to = actions.iter().find_map(|action| match action {
             Action::Send { worker, .. } => Some(worker.0),
             _ => None,
         });
-        self.stand.end(self.next, 0, to.expect("there is room"), Outcome::Ok, None);
+        self.harness.end_attempt(self.next, 0, to.expect("there is room"), Outcome::Ok, None);
     }
 
     /// One call of each function, with a worker replaced now and then. The hashes of a call.
     fn round(&mut self, replaced: std::ops::Range<u64>) -> f64 {
-        let before = self.stand.controller.hashes();
+        let before = self.harness.controller.hashes();
         for function in 0..FUNCTIONS {
             if function % 20 == 0 && !replaced.is_empty() {
                 let worker = replaced.start + function / 20;
                 let gone = WorkerEntry { state: WorkerState::Gone, ..entry(worker) };
                 let entries = vec![gone, entry(1_000_000 + worker)];
-                self.stand.feed(Event::Workers { form: ListForm::Changes, entries });
+                self.harness.handle(Event::Workers { form: ListForm::Changes, entries });
             }
             self.answered(function);
         }
-        (self.stand.controller.hashes() - before) as f64 / FUNCTIONS as f64
+        (self.harness.controller.hashes() - before) as f64 / FUNCTIONS as f64
     }
 }
 
 fn cost(workers: u64) -> Cost {
     let mut calls = Calls::new(workers);
-    let empty = calls.stand.controller.remembered();
+    let empty = calls.harness.controller.remembered();
     let first = calls.round(0..0);
-    let state = (calls.stand.controller.remembered() - empty) as f64 / FUNCTIONS as f64;
+    let state = (calls.harness.controller.remembered() - empty) as f64 / FUNCTIONS as f64;
     let seen = calls.round(1..11);
     Cost { first, seen, state }
 }
@@ -78,12 +78,12 @@
     let mut calls = Calls::new(300);
     let mut most_at_once = vec![0; 6];
     for function in 0..30_000 {
-        calls.stand.now += 4_091;
+        calls.harness.now += 4_091;
         calls.answered(1_000 + function);
         if function % 100 == 0 {
             // Sweeps come each ten seconds: what counts is the most within twenty.
             let most = &mut most_at_once[function as usize / 5_000];
-            *most = calls.stand.controller.remembered().max(*most);
+            *most = calls.harness.controller.remembered().max(*most);
         }
     }
     let (least, most) = (most_at_once[3..].iter().min().unwrap(), most_at_once[3..].iter().max().unwrap());
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A small stand for one controller: settings, and short ways to feed events and read actions.
+//! A test harness for one controller: settings, and short ways to give it events and to read its actions.
 #![allow(dead_code, reason = "each test file uses a part of this one")]
 
 use nettleferry::*;
@@ -64,7 +64,7 @@
     }
 }
 
-pub(crate) struct Stand {
+pub(crate) struct Harness {
     pub(crate) controller: Controller,
     pub(crate) now: Micros,
     pub(crate) workers: Vec<WorkerEntry>,
@@ -82,39 +82,39 @@
     }
 }
 
-impl Stand {
+impl Harness {
     /// A controller told of `n` workers, at 100 s on its clock.
     pub(crate) fn new(settings: Settings, n: u64) -> Self {
         let controller = Controller::new(settings, 7).expect("settings are sound");
         let workers = (1..=n).map(entry).collect();
-        let mut stand = Self { controller, now: 100 * S, workers };
-        let entries = stand.workers.clone();
-        stand.feed(Event::Workers { form: ListForm::Restored, entries });
-        stand
+        let mut harness = Self { controller, now: 100 * S, workers };
+        let entries = harness.workers.clone();
+        harness.handle(Event::Workers { form: ListForm::Restored, entries });
+        harness
     }
 
-    pub(crate) fn feed(&mut self, event: Event) -> Vec<Action> {
+    pub(crate) fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.controller.handle(self.now, event, &mut actions);
         actions
     }
 
     /// Lets time pass in steps, with the timer event that a set timer would bring.
-    pub(crate) fn pass(&mut self, span: Micros) -> Vec<Action> {
+    pub(crate) fn advance(&mut self, span: Micros) -> Vec<Action> {
         let end = self.now + span;
         let mut all = Vec::new();
         while self.now < end {
             self.now = (self.now + 2 * MS).min(end);
-            all.extend(self.feed(Event::Timer { tag: 1 }));
+            all.extend(self.handle(Event::Timer { tag: 1 }));
         }
         all
     }
 
-    pub(crate) fn ask(&mut self, id: u64, class: usize, function: u64, lanes: u32) -> Vec<Action> {
-        self.feed(Event::Request(request(id, class, function, lanes)))
+    pub(crate) fn call(&mut self, id: u64, class: usize, function: u64, lanes: u32) -> Vec<Action> {
+        self.handle(Event::Request(request(id, class, function, lanes)))
     }
 
-    pub(crate) fn end(
+    pub(crate) fn end_attempt(
         &mut self,
         id: u64,
         attempt: u32,
@@ -122,10 +122,10 @@
         outcome: Outcome,
         note: Option<LoadNote>,
     ) -> Vec<Action> {
-        self.ended(id, attempt, worker, outcome, note, 50 * MS)
+        self.end_attempt_after(id, attempt, worker, outcome, note, 50 * MS)
     }
 
-    pub(crate) fn ended(
+    pub(crate) fn end_attempt_after(
         &mut self,
         id: u64,
         attempt: u32,
@@ -134,7 +134,7 @@
         note: Option<LoadNote>,
         elapsed: Micros,
     ) -> Vec<Action> {
-        self.feed(Event::Outcome {
+        self.handle(Event::Outcome {
             request: RequestId(id),
             attempt,
             worker: WorkerId(worker),
@@ -148,15 +148,15 @@
     }
 
     /// Has one call of the function served warm, so that the worker it went to is last warm. Tells that worker.
-    pub(crate) fn warm(&mut self, id: u64, function: u64, lanes: u32) -> u64 {
-        let worker = sent(&self.ask(id, 0, function, lanes)).expect("a first call is sent");
-        self.end(id, 0, worker, Outcome::Ok, Some(LoadNote::Warm));
+    pub(crate) fn serve_warm(&mut self, id: u64, function: u64, lanes: u32) -> u64 {
+        let worker = sent(&self.call(id, 0, function, lanes)).expect("a first call is sent");
+        self.end_attempt(id, 0, worker, Outcome::Ok, Some(LoadNote::Warm));
         worker
     }
 
-    pub(crate) fn change(&mut self, id: u64, state: WorkerState, born: Option<Micros>) -> Vec<Action> {
+    pub(crate) fn update_worker(&mut self, id: u64, state: WorkerState, born: Option<Micros>) -> Vec<Action> {
         let changed = WorkerEntry { state, started_at: born, ..entry(id) };
-        self.feed(Event::Workers { form: ListForm::Changes, entries: vec![changed] })
+        self.handle(Event::Workers { form: ListForm::Changes, entries: vec![changed] })
     }
 }
 
--- a/tests/order.rs
+++ b/tests/order.rs
@@ -30,40 +30,41 @@
     x ^ (x >> 31)
 }
 
-/// A controller, and the list as it was told.
-struct Told {
-    stand: Stand,
+/// A controller, and the list as it was received.
+struct ListedController {
+    harness: Harness,
     listed: BTreeMap<u64, WorkerEntry>,
     sized: bool,
     calls: u64,
 }
 
-impl Told {
+impl ListedController {
     fn new(settings: Settings, entries: Vec<WorkerEntry>) -> Self {
         let sized = matches!(settings.weights, Weights::Nominal | Weights::Rough);
-        let mut told = Self { stand: Stand::new(settings, 0), listed: BTreeMap::new(), sized, calls: 0 };
-        told.tell(ListForm::Complete, entries);
-        told
+        let mut controller =
+            Self { harness: Harness::new(settings, 0), listed: BTreeMap::new(), sized, calls: 0 };
+        controller.update(ListForm::Complete, entries);
+        controller
     }
 
-    fn tell(&mut self, form: ListForm, entries: Vec<WorkerEntry>) {
+    fn update(&mut self, form: ListForm, entries: Vec<WorkerEntry>) {
         if form == ListForm::Complete {
             self.listed.clear();
         }
         for entry in &entries {
             self.listed.insert(entry.worker.0, entry.clone());
         }
-        self.stand.feed(Event::Workers { form, entries });
+        self.harness.handle(Event::Workers { form, entries });
     }
 
-    /// Where a call of the function goes; it is withdrawn at once and leaves no copy.
+    /// Where a call of the function goes; it is withdrawn at once and leaves no replica.
     fn first(&mut self, function: u64) -> Option<u64> {
         self.calls += 1;
         let id = self.calls;
-        let to = sent(&self.stand.ask(id, 0, function, 2), id);
-        self.stand.feed(Event::ClientGone { request: RequestId(id) });
+        let to = sent(&self.harness.call(id, 0, function, 2), id);
+        self.harness.handle(Event::ClientGone { request: RequestId(id) });
         if let Some(worker) = to {
-            self.stand.end(id, 0, worker, Outcome::Cancelled, None);
+            self.harness.end_attempt(id, 0, worker, Outcome::Cancelled, None);
         }
         to
     }
@@ -79,11 +80,12 @@
     fn follow(&mut self, function: u64, outcome: Outcome, attempts: u32) -> Vec<u64> {
         self.calls += 1;
         let id = self.calls;
-        let mut to = sent(&self.stand.ask(id, 0, function, 2), id);
+        let mut to = sent(&self.harness.call(id, 0, function, 2), id);
         let mut path = Vec::new();
         while let Some(worker) = to.filter(|_| path.len() < attempts as usize) {
             path.push(worker);
-            let actions = self.stand.ended(id, path.len() as u32 - 1, worker, outcome, None, MS);
+            let actions =
+                self.harness.end_attempt_after(id, path.len() as u32 - 1, worker, outcome, None, MS);
             to = sent(&actions, id);
         }
         path
@@ -106,25 +108,25 @@
 }
 
 #[test]
-fn a_list_replaced_whole_leaves_nothing_of_the_old_order() {
-    let mut told = Told::new(settings(), entries(1..1_000));
-    told.check(0..100);
-    told.tell(ListForm::Complete, entries(5_000..6_000));
-    told.check(0..200);
-    told.tell(ListForm::Complete, entries(1..1_000));
-    told.check(0..200);
+fn a_completely_replaced_list_leaves_nothing_of_the_old_order() {
+    let mut controller = ListedController::new(settings(), entries(1..1_000));
+    controller.check(0..100);
+    controller.update(ListForm::Complete, entries(5_000..6_000));
+    controller.check(0..200);
+    controller.update(ListForm::Complete, entries(1..1_000));
+    controller.check(0..200);
 }
 
 #[test]
-fn two_thousand_workers_that_go_at_once_and_return_have_their_old_places() {
-    let mut told = Told::new(settings(), entries(1..4_001));
-    told.check(0..50);
+fn two_thousand_workers_that_go_at_once_and_return_have_their_old_positions() {
+    let mut controller = ListedController::new(settings(), entries(1..4_001));
+    controller.check(0..50);
     let half = |state| (1..4_001).step_by(2).map(|worker| changed(worker, state)).collect::<Vec<_>>();
-    told.tell(ListForm::Changes, half(WorkerState::Gone));
-    told.check(0..100);
-    told.stand.pass(5 * S);
-    told.tell(ListForm::Changes, half(WorkerState::On));
-    told.check(0..100);
+    controller.update(ListForm::Changes, half(WorkerState::Gone));
+    controller.check(0..100);
+    controller.harness.advance(5 * S);
+    controller.update(ListForm::Changes, half(WorkerState::On));
+    controller.check(0..100);
 }
 
 #[test]
@@ -134,67 +136,72 @@
         let weight = move |worker| 0.1 + shift + worker as f64 / 100.0;
         entries(1..800).into_iter().map(move |e| WorkerEntry { weight: weight(e.worker.0), ..e })
     };
-    let mut told = Told::new(sized, weighed(0.0).collect());
-    told.check(0..200);
-    told.tell(ListForm::Changes, weighed(3.0).step_by(50).collect());
-    told.check(0..200);
-    told.tell(ListForm::Complete, weighed(1.5).collect());
-    told.check(0..200);
+    let mut controller = ListedController::new(sized, weighed(0.0).collect());
+    controller.check(0..200);
+    controller.update(ListForm::Changes, weighed(3.0).step_by(50).collect());
+    controller.check(0..200);
+    controller.update(ListForm::Complete, weighed(1.5).collect());
+    controller.check(0..200);
     let odd = [0.0, -1.0, f64::NAN, f64::INFINITY, 1e300, 1e-300];
     let odd = odd.iter().zip(10..).map(|(weight, worker)| WorkerEntry { weight: *weight, ..entry(worker) });
-    told.tell(ListForm::Changes, odd.collect());
-    told.check(0..200);
+    controller.update(ListForm::Changes, odd.collect());
+    controller.check(0..200);
 }
 
 #[test]
 fn beyond_thirty_homes_that_drain_the_order_goes_on() {
     for function in 0..20 {
-        let mut told = Told::new(settings(), entries(1..600));
-        told.check(function..function + 1);
-        let order = reference(function, &told.listed, false);
+        let mut controller = ListedController::new(settings(), entries(1..600));
+        controller.check(function..function + 1);
+        let order = reference(function, &controller.listed, false);
         // One after another: the function's homes are mended, and made anew when few are left.
         for (gone, next) in order.iter().zip(&order[1..]).take(40) {
-            told.tell(ListForm::Changes, vec![changed(*gone, WorkerState::Draining)]);
-            assert_eq!(told.first(function), Some(*next));
+            controller.update(ListForm::Changes, vec![changed(*gone, WorkerState::Draining)]);
+            assert_eq!(controller.first(function), Some(*next));
         }
     }
 }
 
 #[test]
-fn beyond_thirty_homes_that_are_full_or_barred_the_order_goes_on() {
+fn beyond_thirty_homes_that_are_full_or_ejected_the_order_goes_on() {
     for (size, function) in [(60, 1), (600, 2), (600, 3), (3_000, 4)] {
         for outcome in [Outcome::Rejected, Outcome::ConnectFailed] {
             let mut many = settings();
             many.limits.max_attempts = 50;
-            let mut told = Told::new(many, entries(1..size + 1));
-            let order = reference(function, &told.listed, false);
-            assert_eq!(told.follow(function, outcome, 50), &order[..50], "{outcome:?} at {size} workers");
+            let mut controller = ListedController::new(many, entries(1..size + 1));
+            let order = reference(function, &controller.listed, false);
+            assert_eq!(
+                controller.follow(function, outcome, 50),
+                &order[..50],
+                "{outcome:?} at {size} workers"
+            );
         }
     }
 }
 
 #[test]
-fn a_worker_that_is_back_under_its_id_has_its_old_place_and_no_copies() {
-    let mut told = Told::new(settings(), entries(1..500));
-    let order = reference(9, &told.listed, false);
+fn a_worker_that_is_back_under_its_id_has_its_old_position_and_no_replicas() {
+    let mut controller = ListedController::new(settings(), entries(1..500));
+    let order = reference(9, &controller.listed, false);
     let home = order[0];
-    told.stand.ask(1_000_000, 0, 9, 2);
-    told.stand.end(1_000_000, 0, home, Outcome::Ok, None);
+    controller.harness.call(1_000_000, 0, 9, 2);
+    controller.harness.end_attempt(1_000_000, 0, home, Outcome::Ok, None);
     for _ in 0..3 {
-        told.tell(ListForm::Changes, vec![changed(home, WorkerState::Gone)]);
-        assert_eq!(told.first(9), Some(order[1]));
-        let born = Some(told.stand.now - 60 * S);
-        told.tell(ListForm::Changes, vec![WorkerEntry { started_at: born, ..entry(home) }]);
-        assert_eq!(told.first(9), Some(home));
+        controller.update(ListForm::Changes, vec![changed(home, WorkerState::Gone)]);
+        assert_eq!(controller.first(9), Some(order[1]));
+        let born = Some(controller.harness.now - 60 * S);
+        controller.update(ListForm::Changes, vec![WorkerEntry { started_at: born, ..entry(home) }]);
+        assert_eq!(controller.first(9), Some(home));
     }
 }
 
 /// One hears every change by itself and calls in between; one hears them in groups of lines that undo each
 /// other; one hears only whole lists.
 #[test]
-fn controllers_that_heard_the_same_in_other_groups_end_with_the_same_order() {
+fn controllers_that_received_the_same_changes_in_other_batches_have_the_same_order() {
     let all = entries(1..1_000);
-    let mut told: Vec<Told> = (0..3).map(|_| Told::new(settings(), all.clone())).collect();
+    let mut controller: Vec<ListedController> =
+        (0..3).map(|_| ListedController::new(settings(), all.clone())).collect();
     let mut state = 11;
     for _ in 0..30 {
         let mut group = Vec::new();
@@ -204,17 +211,20 @@
             group.push(changed(1 + state % 1_100, to));
         }
         for (change, line) in group.iter().enumerate() {
-            told[0].tell(ListForm::Changes, vec![line.clone()]);
+            controller[0].update(ListForm::Changes, vec![line.clone()]);
             let function = change as u64;
-            told[0].check(function..function + 1);
+            controller[0].check(function..function + 1);
         }
-        told[1].tell(ListForm::Changes, group);
+        controller[1].update(ListForm::Changes, group);
     }
-    let listed: Vec<WorkerEntry> = told[0].listed.values().cloned().collect();
-    told[2].tell(ListForm::Complete, listed);
+    let listed: Vec<WorkerEntry> = controller[0].listed.values().cloned().collect();
+    controller[2].update(ListForm::Complete, listed);
     for function in 0..300 {
-        let first = told[0].first(function);
+        let first = controller[0].first(function);
         assert!(first.is_some());
-        assert!(told.iter_mut().all(|told| told.first(function) == first), "function {function}");
+        assert!(
+            controller.iter_mut().all(|controller| controller.first(function) == first),
+            "function {function}"
+        );
     }
 }
--- a/tests/ordinary_path.rs
+++ b/tests/ordinary_path.rs
@@ -6,51 +6,51 @@
 
 #[test]
 fn a_call_goes_where_its_function_was_last_found_warm() {
-    let mut stand = Stand::new(settings(), 6);
-    let home = stand.warm(1, 9, 2);
-    assert_eq!(sent(&stand.ask(2, 0, 9, 2)), Some(home));
+    let mut harness = Harness::new(settings(), 6);
+    let home = harness.serve_warm(1, 9, 2);
+    assert_eq!(sent(&harness.call(2, 0, 9, 2)), Some(home));
 }
 
 #[test]
-fn last_warm_is_the_answer_s_worker_even_if_it_is_not_first_in_order() {
-    let mut stand = Stand::new(settings(), 6);
-    let home = stand.warm(1, 9, 2);
+fn the_last_warm_worker_is_the_one_that_answered_even_if_not_first_in_order() {
+    let mut harness = Harness::new(settings(), 6);
+    let home = harness.serve_warm(1, 9, 2);
     // The home worker turns the next call away; it is served elsewhere, and that is now last warm.
-    let second = sent(&stand.ask(2, 0, 9, 2)).unwrap();
+    let second = sent(&harness.call(2, 0, 9, 2)).unwrap();
     assert_eq!(second, home);
-    stand.change(home, WorkerState::Draining, None);
-    let other = sent(&stand.end(2, 0, home, Outcome::Rejected, None)).unwrap();
+    harness.update_worker(home, WorkerState::Draining, None);
+    let other = sent(&harness.end_attempt(2, 0, home, Outcome::Rejected, None)).unwrap();
     assert_ne!(other, home);
-    stand.end(2, 1, other, Outcome::Ok, Some(LoadNote::Began));
-    stand.change(home, WorkerState::On, None);
-    stand.pass(100 * MS);
-    assert_eq!(sent(&stand.ask(3, 0, 9, 2)), Some(other));
+    harness.end_attempt(2, 1, other, Outcome::Ok, Some(LoadNote::Began));
+    harness.update_worker(home, WorkerState::On, None);
+    harness.advance(100 * MS);
+    assert_eq!(sent(&harness.call(3, 0, 9, 2)), Some(other));
 }
 
 #[test]
-fn last_warm_is_forgotten_after_the_told_keep_alive() {
-    let mut stand = Stand::new(settings(), 6);
-    let home = stand.warm(1, 9, 2);
-    stand.change(home, WorkerState::Draining, None);
-    stand.pass(2 * MS);
-    let other = sent(&stand.ask(2, 0, 9, 2)).unwrap();
-    stand.end(2, 0, other, Outcome::Ok, Some(LoadNote::Began));
-    stand.change(home, WorkerState::On, None);
-    stand.pass(9 * S);
-    assert_eq!(sent(&stand.ask(3, 0, 9, 2)), Some(other));
-    stand.end(3, 0, other, Outcome::Ok, Some(LoadNote::Warm));
-    stand.pass(11 * S);
-    assert_eq!(sent(&stand.ask(4, 0, 9, 2)), Some(home), "back to the first of the shared order");
+fn the_last_warm_worker_is_forgotten_after_the_keep_alive() {
+    let mut harness = Harness::new(settings(), 6);
+    let home = harness.serve_warm(1, 9, 2);
+    harness.update_worker(home, WorkerState::Draining, None);
+    harness.advance(2 * MS);
+    let other = sent(&harness.call(2, 0, 9, 2)).unwrap();
+    harness.end_attempt(2, 0, other, Outcome::Ok, Some(LoadNote::Began));
+    harness.update_worker(home, WorkerState::On, None);
+    harness.advance(9 * S);
+    assert_eq!(sent(&harness.call(3, 0, 9, 2)), Some(other));
+    harness.end_attempt(3, 0, other, Outcome::Ok, Some(LoadNote::Warm));
+    harness.advance(11 * S);
+    assert_eq!(sent(&harness.call(4, 0, 9, 2)), Some(home), "back to the first of the shared order");
 }
 
 #[test]
 fn all_controllers_share_the_order() {
     let first = |me: u32, seed: u64| {
         let controller = Controller::new(Settings { me, ..settings() }, seed).unwrap();
-        let mut stand = Stand { controller, now: 50 * S, workers: vec![] };
+        let mut harness = Harness { controller, now: 50 * S, workers: vec![] };
         let entries: Vec<WorkerEntry> = (1..=9).map(entry).collect();
-        stand.feed(Event::Workers { form: ListForm::Restored, entries });
-        (0..20).map(|f| stand.warm(f, f, 2)).collect::<Vec<_>>()
+        harness.handle(Event::Workers { form: ListForm::Restored, entries });
+        (0..20).map(|f| harness.serve_warm(f, f, 2)).collect::<Vec<_>>()
     };
     let one = first(0, 1);
     assert_eq!(one, first(2, 99));
@@ -59,26 +59,26 @@
 
 #[test]
 fn calls_under_the_lanes_are_sent_and_the_next_is_held_until_an_answer() {
-    let mut stand = Stand::new(settings(), 1);
-    stand.warm(1, 9, 2);
-    assert_eq!(sent(&stand.ask(2, 0, 9, 2)), Some(1));
-    assert_eq!(sent(&stand.ask(3, 0, 9, 2)), Some(1));
-    assert_eq!(sent(&stand.ask(4, 0, 9, 2)), None);
-    assert_eq!(sends(&stand.end(2, 0, 1, Outcome::Ok, Some(LoadNote::Warm))), vec![(4, 1)]);
+    let mut harness = Harness::new(settings(), 1);
+    harness.serve_warm(1, 9, 2);
+    assert_eq!(sent(&harness.call(2, 0, 9, 2)), Some(1));
+    assert_eq!(sent(&harness.call(3, 0, 9, 2)), Some(1));
+    assert_eq!(sent(&harness.call(4, 0, 9, 2)), None);
+    assert_eq!(sends(&harness.end_attempt(2, 0, 1, Outcome::Ok, Some(LoadNote::Warm))), vec![(4, 1)]);
 }
 
 #[test]
 fn the_lowest_count_times_mean_leaves_first() {
-    let mut stand = Stand::new(settings(), 1);
+    let mut harness = Harness::new(settings(), 1);
     // Function 8 is served in 200 ms, function 9 in 10 ms; both are warm.
     for (id, function, elapsed) in [(1, 8, 200 * MS), (2, 9, 10 * MS)] {
-        stand.ask(id, 0, function, 1);
-        stand.ended(id, 0, 1, Outcome::Ok, Some(LoadNote::Warm), elapsed);
+        harness.call(id, 0, function, 1);
+        harness.end_attempt_after(id, 0, 1, Outcome::Ok, Some(LoadNote::Warm), elapsed);
     }
-    stand.ask(3, 0, 8, 1);
-    assert!(sends(&stand.ask(4, 0, 8, 1)).is_empty());
-    assert!(sends(&stand.ask(5, 0, 9, 1)).is_empty());
-    let freed = sends(&stand.end(3, 0, 1, Outcome::Ok, Some(LoadNote::Warm)));
+    harness.call(3, 0, 8, 1);
+    assert!(sends(&harness.call(4, 0, 8, 1)).is_empty());
+    assert!(sends(&harness.call(5, 0, 9, 1)).is_empty());
+    let freed = sends(&harness.end_attempt(3, 0, 1, Outcome::Ok, Some(LoadNote::Warm)));
     assert_eq!(freed, vec![(5, 1)], "the light function's call overtakes");
 }
 
@@ -86,14 +86,14 @@
 fn served_latencies_that_hold_a_load_do_not_enter_the_mean() {
     // Both functions wait for the one worker; function 8 loaded for 3 s but its mean stays unseen, so its
     // held call has priority zero and leaves before that of function 9.
-    let mut stand = Stand::new(settings(), 1);
-    stand.ask(1, 0, 8, 1);
-    stand.ended(1, 0, 1, Outcome::Ok, Some(LoadNote::Began), 3 * S);
-    stand.warm(2, 9, 1);
-    stand.ask(3, 0, 9, 1);
-    assert!(sends(&stand.ask(4, 0, 9, 1)).is_empty());
-    assert!(sends(&stand.ask(5, 0, 8, 1)).is_empty());
-    let first = sends(&stand.end(3, 0, 1, Outcome::Ok, Some(LoadNote::Warm)));
+    let mut harness = Harness::new(settings(), 1);
+    harness.call(1, 0, 8, 1);
+    harness.end_attempt_after(1, 0, 1, Outcome::Ok, Some(LoadNote::Began), 3 * S);
+    harness.serve_warm(2, 9, 1);
+    harness.call(3, 0, 9, 1);
+    assert!(sends(&harness.call(4, 0, 9, 1)).is_empty());
+    assert!(sends(&harness.call(5, 0, 8, 1)).is_empty());
+    let first = sends(&harness.end_attempt(3, 0, 1, Outcome::Ok, Some(LoadNote::Warm)));
     assert_eq!(first, vec![(5, 1)]);
 }
 
@@ -104,15 +104,15 @@
 }
 
 #[test]
-fn a_miss_orders_one_copy_there_and_the_call_goes_once_it_stands() {
-    let mut stand = Stand::new(missing(), 4);
-    let at = sent(&stand.ask(1, 0, 9, 2)).unwrap();
-    let after = stand.end(1, 0, at, Outcome::NotLoaded, None);
+fn a_miss_orders_one_replica_there_and_the_call_is_sent_once_it_is_loaded() {
+    let mut harness = Harness::new(missing(), 4);
+    let at = sent(&harness.call(1, 0, 9, 2)).unwrap();
+    let after = harness.end_attempt(1, 0, at, Outcome::NotLoaded, None);
     assert!(after.contains(&Action::Load { worker: WorkerId(at), function: FunctionId(9), count: 1 }));
     assert_eq!(loads(&after), 1);
     assert_eq!(sent(&after), None, "a send could overtake the order");
-    assert_eq!(sent(&stand.ask(2, 0, 9, 2)), None, "no second load elsewhere");
-    let loaded = stand.feed(Event::Loaded {
+    assert_eq!(sent(&harness.call(2, 0, 9, 2)), None, "no second load elsewhere");
+    let loaded = harness.handle(Event::Loaded {
         worker: WorkerId(at),
         function: FunctionId(9),
         outcome: Outcome::Ok,
@@ -123,51 +123,51 @@
 }
 
 /// Answers the order that follows a miss of function 9 at this worker.
-fn order_ends(stand: &mut Stand, id: u64, attempt: u32, at: u64, outcome: Outcome) -> Vec<Action> {
-    let after = stand.end(id, attempt, at, Outcome::NotLoaded, None);
+fn order_ends(harness: &mut Harness, id: u64, attempt: u32, at: u64, outcome: Outcome) -> Vec<Action> {
+    let after = harness.end_attempt(id, attempt, at, Outcome::NotLoaded, None);
     assert_eq!(loads(&after), 1);
     let (worker, function) = (WorkerId(at), FunctionId(9));
-    stand.feed(Event::Loaded { worker, function, outcome, copies: 0, elapsed: 5 * MS })
+    harness.handle(Event::Loaded { worker, function, outcome, copies: 0, elapsed: 5 * MS })
 }
 
 #[test]
-fn a_failed_order_lets_the_call_go_elsewhere() {
-    let mut stand = Stand::new(missing(), 4);
-    let at = sent(&stand.ask(1, 0, 9, 2)).unwrap();
-    let after = order_ends(&mut stand, 1, 0, at, Outcome::Error);
+fn after_a_failed_order_the_call_is_sent_elsewhere() {
+    let mut harness = Harness::new(missing(), 4);
+    let at = sent(&harness.call(1, 0, 9, 2)).unwrap();
+    let after = order_ends(&mut harness, 1, 0, at, Outcome::Error);
     assert_ne!(sent(&after).expect("resent"), at);
 }
 
 #[test]
-fn a_home_without_room_is_waited_for_and_given_up_when_it_stays_full() {
-    let mut stand = Stand::new(missing(), 4);
-    let home = sent(&stand.ask(1, 0, 9, 2)).unwrap();
+fn a_call_waits_for_a_home_without_room_and_gives_up_when_it_stays_full() {
+    let mut harness = Harness::new(missing(), 4);
+    let home = sent(&harness.call(1, 0, 9, 2)).unwrap();
     // A load of ours is under way there all the while: it fills home, and it ends.
     let fills = (100..200).find(|f| {
-        let at = sent(&stand.ask(*f, 0, *f, 2)).unwrap();
-        at == home && loads(&stand.end(*f, 0, at, Outcome::NotLoaded, None)) == 1
+        let at = sent(&harness.call(*f, 0, *f, 2)).unwrap();
+        at == home && loads(&harness.end_attempt(*f, 0, at, Outcome::NotLoaded, None)) == 1
     });
     assert!(fills.is_some());
-    let mut after = order_ends(&mut stand, 1, 0, home, Outcome::Rejected);
+    let mut after = order_ends(&mut harness, 1, 0, home, Outcome::Rejected);
     for id in 2..4 {
-        assert_eq!(sent(&after), None, "a copy elsewhere would be one load more");
-        stand.feed(Event::ClientGone { request: RequestId(id - 1) });
-        stand.pass(600 * MS);
-        assert_eq!(sent(&stand.ask(id, 0, 9, 2)), Some(home));
-        after = order_ends(&mut stand, id, 0, home, Outcome::Rejected);
+        assert_eq!(sent(&after), None, "a replica elsewhere would be one load more");
+        harness.handle(Event::ClientGone { request: RequestId(id - 1) });
+        harness.advance(600 * MS);
+        assert_eq!(sent(&harness.call(id, 0, 9, 2)), Some(home));
+        after = order_ends(&mut harness, id, 0, home, Outcome::Rejected);
     }
     assert_ne!(sent(&after).expect("it stays full"), home);
 }
 
 #[test]
 fn an_absent_function_is_loaded_by_one_call_and_the_others_wait() {
-    let mut stand = Stand::new(settings(), 4);
-    let at = sent(&stand.ask(1, 0, 9, 4)).unwrap();
+    let mut harness = Harness::new(settings(), 4);
+    let at = sent(&harness.call(1, 0, 9, 4)).unwrap();
     assert!(
-        sends(&stand.ask(2, 0, 9, 4)).is_empty(),
+        sends(&harness.call(2, 0, 9, 4)).is_empty(),
         "it waits here, not in the worker's slots or elsewhere"
     );
-    let after = stand.end(1, 0, at, Outcome::Ok, Some(LoadNote::Began));
+    let after = harness.end_attempt(1, 0, at, Outcome::Ok, Some(LoadNote::Began));
     assert_eq!(sends(&after), vec![(2, at)]);
 }
 
