--- /dev/null
+++ b/adapter/src/wire/events.rs
@@ -0,0 +1,143 @@
+//! Events of the wire as the library's.
+
+use nettleferry::*;
+use serde_json::Value;
+
+use super::error::{EventError, FieldError};
+use super::{Fields, Names};
+
+/// Bit of a request's flags: the size hint holds.
+const FLAG_SIZE_HINT: u64 = 1;
+/// Bit of a request's flags: the client marked it as a repeat.
+const FLAG_REPEAT: u64 = 2;
+/// Most calls that one replica runs at once, and most replicas, as taken from the wire.
+const COUNT_MAX: u64 = 1 << 20;
+/// The lower part of a verdict's detail is the load note, the rest the calls that the worker held.
+const DETAIL_NOTES: u64 = 8;
+/// Most calls that a verdict reports as held.
+const HELD_CALLS_MAX: u64 = 30;
+
+/// One event of the wire as the library's.
+pub(crate) fn read_event(fields: &Fields, names: &mut Names) -> Result<Event, EventError> {
+    Ok(match fields.name {
+        "TOPOLOGY" => worker_list(fields, names)?,
+        "INBOUND" => Event::Request(request(fields, names)?),
+        "VERDICT" => outcome(fields)?,
+        "FIRST" => Event::Started { request: fields.ticket()?, attempt: fields.integer(4, "leg")? as u32 },
+        "BROUGHT_UP" => Event::Loaded {
+            worker: WorkerId(fields.integer(2, "invoker")?),
+            outcome: fields.outcome(3)?,
+            elapsed: fields.time(4, "rtt_ms")?,
+            function: FunctionId(fields.integer(5, "fn")?),
+            copies: fields.optional_integer(6, "number")?.unwrap_or(0).min(COUNT_MAX) as u32,
+        },
+        "CHECK_RESULT" => Event::Probed {
+            worker: WorkerId(fields.integer(2, "invoker")?),
+            outcome: fields.outcome(3)?,
+            report: fields.report(5)?,
+        },
+        "WAKE" => Event::Timer { tag: fields.integer(2, "tag")? },
+        "TIMED_OUT_CLIENT" => Event::ClientGone { request: fields.ticket()? },
+        "FROM_PEER" => {
+            let bytes = hex(fields.text(3, "content")?)
+                .ok_or_else(|| fields.error("content", FieldError::NotA("hex")))?;
+            Event::Message { from: PeerId(fields.integer(2, "origin_peer")?), bytes }
+        }
+        other => return Err(EventError::UnknownEvent(other.to_string())),
+    })
+}
+
+fn worker_list(fields: &Fields, names: &mut Names) -> Result<Event, EventError> {
+    let form = match fields.text(2, "form")? {
+        "diff" => ListForm::Changes,
+        "snapshot" => ListForm::Complete,
+        "disk" => ListForm::Restored,
+        "error" => ListForm::Failed,
+        _ => return Err(fields.error("form", FieldError::UnknownWord)),
+    };
+    let items = match fields.get(4, "items")? {
+        Value::Array(items) => items.as_slice(),
+        Value::Null => &[],
+        _ => return Err(fields.error("items", FieldError::NotA("an array"))),
+    };
+    let entries: Result<Vec<_>, FieldError> = items.iter().map(|item| entry(item, names)).collect();
+    Ok(Event::Workers { form, entries: entries.map_err(|error| fields.error("items", error))? })
+}
+
+fn entry(item: &Value, names: &mut Names) -> Result<WorkerEntry, FieldError> {
+    let parts = item.as_array().ok_or(FieldError::EntryNotAnArray)?;
+    let fields = Fields { name: "entry", parts };
+    entry_of(&fields, names).map_err(|error| FieldError::Entry(Box::new(error)))
+}
+
+fn entry_of(fields: &Fields, names: &mut Names) -> Result<WorkerEntry, EventError> {
+    let zone = fields.text(0, "failure_domain")?;
+    let kind = fields.text(2, "kind")?;
+    Ok(WorkerEntry {
+        zone: names.zone(zone),
+        worker: WorkerId(fields.integer(1, "invoker")?),
+        kind: names.kind(kind),
+        weight: fields.get(3, "weight")?.as_f64().unwrap_or(1.0),
+        cell: CellId(fields.optional_integer(4, "pod")?.unwrap_or(0)),
+        state: match fields.text(5, "state")? {
+            "on" => WorkerState::On,
+            "fading" => WorkerState::Draining,
+            "off" => WorkerState::Gone,
+            _ => return Err(fields.error("state", FieldError::UnknownWord)),
+        },
+        started_at: fields.optional_time(6, "born_ms")?.filter(|&started_at| started_at > 0),
+    })
+}
+
+fn request(fields: &Fields, names: &Names) -> Result<Request, EventError> {
+    let class = fields.text(3, "kind")?;
+    let class = names.class(class).ok_or_else(|| fields.error("kind", FieldError::UnknownClass))?;
+    let tenant = match fields.get(4, "user_group")? {
+        Value::String(name) => names.tenant(name),
+        _ => None,
+    };
+    let flags = fields.optional_integer(11, "flags")?.unwrap_or(0);
+    Ok(Request {
+        id: fields.ticket()?,
+        class,
+        tenant,
+        function: FunctionId(fields.integer(5, "fn")?),
+        left: fields.time(6, "left_ms")?,
+        cpu_time_hint: fields.optional_time(7, "size_hint_ms")?.filter(|_| flags & FLAG_SIZE_HINT != 0),
+        lanes: fields.optional_integer(9, "concurrency")?.unwrap_or(1).clamp(1, COUNT_MAX) as u32,
+        load_time: fields.optional_time(10, "start_ms")?,
+        repeat: flags & FLAG_REPEAT != 0,
+    })
+}
+
+fn outcome(fields: &Fields) -> Result<Event, EventError> {
+    let detail = fields.optional_integer(5, "detail")?.unwrap_or(0);
+    let outcome = fields.outcome(7)?;
+    let reports_held = matches!(outcome, Outcome::Ok | Outcome::Rejected);
+    Ok(Event::Outcome {
+        request: fields.ticket()?,
+        finished: fields.boolean(3, "over")?,
+        worker: WorkerId(fields.integer(4, "invoker")?),
+        attempt: fields.integer(6, "leg")? as u32,
+        outcome,
+        elapsed: fields.time(8, "rtt_ms")?,
+        note: match detail % DETAIL_NOTES {
+            1 => Some(LoadNote::Warm),
+            2 => Some(LoadNote::Began),
+            3 => Some(LoadNote::Waited),
+            4 => Some(LoadNote::Failed),
+            _ => None,
+        },
+        concurrent_calls: reports_held.then_some((detail / DETAIL_NOTES).min(HELD_CALLS_MAX) as u32),
+        report: fields.report(9)?,
+    })
+}
+
+/// Bytes from pairs of hexadecimal digits.
+fn hex(text: &str) -> Option<Vec<u8>> {
+    let byte = |pair: &[u8]| {
+        let pair = std::str::from_utf8(pair).ok().filter(|p| p.len() == 2)?;
+        u8::from_str_radix(pair, 16).ok()
+    };
+    text.as_bytes().chunks(2).map(byte).collect()
+}
--- a/adapter/tests/malformed.rs
+++ b/adapter/tests/malformed.rs
@@ -10,7 +10,7 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("the adapter starts");
-    // It may end before all is read; what it says is what counts.
+    // It may end before all is read; what it prints is what counts.
     let _ = child.stdin.take().expect("piped").write_all(input.as_bytes());
     let out = child.wait_with_output().expect("the adapter ends");
     let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
@@ -33,9 +33,9 @@
         ("{\"t_ms\":2,\"turn\":2,\"input\":[[\"WAKE\",1]]}", "too short"),
         ("{\"t_ms\":2,\"turn\":2,\"input\":[[\"ENLIST\",1,2,{}]]}", "no request class"),
     ] {
-        let (ok, _, said) = run(&format!("{good}{bad}\n"));
+        let (ok, _, stderr) = run(&format!("{good}{bad}\n"));
         assert!(!ok, "{bad}");
-        assert!(said.contains("line 2") && said.contains(word), "{said}");
-        assert!(!said.contains("panicked"), "{said}");
+        assert!(stderr.contains("line 2") && stderr.contains(word), "{stderr}");
+        assert!(!stderr.contains("panicked"), "{stderr}");
     }
 }
