--- a/crates/gateway/benches/measure.rs
+++ b/crates/gateway/benches/measure.rs
@@ -19,7 +19,7 @@
 use nettleferry_net::NetLimits;
 use nettleferry_net::grpc::Code;
 use nettleferry_proto::inference::ModelStreamInferResponse;
-use nettleferry_scenario::client::{Ask, Client, Heard};
+use nettleferry_scenario::client::{Client, ClientEvent, ClientRequest};
 use nettleferry_test_servers::Fault;
 use prost::Message;
 use stats_alloc::{INSTRUMENTED_SYSTEM, Region, StatsAlloc};
@@ -343,9 +343,9 @@
         let mut open: std::collections::HashSet<u64> = (0..64).map(|_| caller.ask(request.clone())).collect();
         let (begun, mut calls, mut heard) = (Instant::now(), 0u64, Vec::new());
         while begun.elapsed() < Duration::from_secs(3) {
-            caller.client.turn(Some(Duration::from_millis(50)), &mut heard).expect("polls");
+            caller.client.poll(Some(Duration::from_millis(50)), &mut heard).expect("polls");
             for what in heard.drain(..) {
-                if let Heard::End { rpc, .. } = what
+                if let ClientEvent::End { rpc, .. } = what
                     && open.remove(&rpc)
                 {
                     calls += 1;
@@ -528,21 +528,21 @@
     let (mut parts, mut served, mut failed) = (0u64, 0u64, 0u64);
     for n in 0..STREAMS {
         let request = climb(&models[n % models.len()], &n.to_string(), 8);
-        let ask = Ask {
+        let ask = ClientRequest {
             method: "ModelStreamInfer",
             messages: vec![request.encode_to_vec().into()],
             timeout: Some(deadline),
-            ..Ask::default()
+            ..ClientRequest::default()
         };
         finals.insert(client.call(gateway.address, ask).expect("begun"), 0);
         if n % 50 == 0 {
-            client.turn(Some(Duration::ZERO), &mut heard).expect("polls");
+            client.poll(Some(Duration::ZERO), &mut heard).expect("polls");
         }
     }
     let mut reasons: BTreeMap<String, u64> = BTreeMap::new();
     let (mut killed, mut peak) = (false, 0);
     while ended.len() < STREAMS && begun.elapsed() < deadline + Duration::from_secs(5) {
-        client.turn(Some(Duration::from_millis(50)), &mut heard).expect("polls");
+        client.poll(Some(Duration::from_millis(50)), &mut heard).expect("polls");
         if begun.elapsed() > Duration::from_secs(4) && !killed {
             killed = true;
             peak = gateway.resident();
@@ -552,7 +552,7 @@
         }
         for what in heard.drain(..) {
             match what {
-                Heard::Message { rpc, payload } => {
+                ClientEvent::Message { rpc, payload } => {
                     parts += 1;
                     let response = ModelStreamInferResponse::decode(payload).expect("sound");
                     if is_final(&response) {
@@ -565,7 +565,7 @@
                         }
                     }
                 }
-                Heard::End { rpc, .. } => {
+                ClientEvent::End { rpc, .. } => {
                     ended.insert(rpc, begun.elapsed());
                 }
             }
--- a/crates/gateway/src/commands/call.rs
+++ b/crates/gateway/src/commands/call.rs
@@ -11,7 +11,7 @@
 use nettleferry_proto::inference::model_infer_request::InferInputTensor;
 use nettleferry_proto::inference::model_infer_response::InferOutputTensor;
 use nettleferry_proto::inference::{ModelInferRequest, ModelInferResponse, ModelStreamInferResponse};
-use nettleferry_scenario::client::{Ask, Client, Heard};
+use nettleferry_scenario::client::{Client, ClientEvent, ClientRequest};
 use prost::Message;
 
 use super::console::announce;
@@ -92,11 +92,11 @@
         let mut events = Vec::new();
         let mut served = true;
         while Instant::now() < until {
-            client.turn(Some(until - Instant::now()), &mut events).map_err(failed())?;
+            client.poll(Some(until - Instant::now()), &mut events).map_err(failed())?;
             for event in events.drain(..) {
                 match event {
-                    Heard::Message { payload, .. } => served &= self.print_message(payload)?,
-                    Heard::End { status: Ok(status), trailers, .. } => {
+                    ClientEvent::Message { payload, .. } => served &= self.print_message(payload)?,
+                    ClientEvent::End { status: Ok(status), trailers, .. } => {
                         if status.code == Code::Ok {
                             return Ok(exit_code::of_check(served));
                         }
@@ -104,7 +104,7 @@
                         eprintln!("{}: {}{advice}", status.code.name(), status.message);
                         return Ok(exit_code::FAILED);
                     }
-                    Heard::End { status: Err(error), .. } => {
+                    ClientEvent::End { status: Err(error), .. } => {
                         eprintln!("{}: {error}", self.address);
                         return Ok(exit_code::FAILED);
                     }
@@ -115,16 +115,16 @@
         Ok(exit_code::FAILED)
     }
 
-    fn client_request(&self, request: &ModelInferRequest, timeout: Duration) -> Ask {
+    fn client_request(&self, request: &ModelInferRequest, timeout: Duration) -> ClientRequest {
         let tenant = self.tenant.iter();
-        Ask {
+        ClientRequest {
             method: if self.stream { "ModelStreamInfer" } else { "ModelInfer" },
             messages: vec![request.encode_to_vec().into()],
             timeout: Some(timeout),
             headers: tenant
                 .map(|tenant| (nettleferry_proto::marks::TENANT.to_owned(), tenant.clone()))
                 .collect(),
-            ..Ask::default()
+            ..ClientRequest::default()
         }
     }
 
--- a/crates/gateway/src/commands/error.rs
+++ b/crates/gateway/src/commands/error.rs
@@ -7,7 +7,7 @@
 use nettleferry_alerts::rules::RuleError;
 use nettleferry_net::post::PostError;
 use nettleferry_node::NodeError;
-use nettleferry_scenario::run::DayError;
+use nettleferry_scenario::run::ScenarioError;
 use nettleferry_soak::SoakError;
 use nettleferry_tenant_store::{SnapshotError, StoreError};
 use nettleferry_wal::WalError;
@@ -73,7 +73,7 @@
     Node(#[from] NodeError),
     /// A scenario could not be run.
     #[error("{0}")]
-    Scenario(DayError),
+    Scenario(ScenarioError),
     /// A soak run could not be played.
     #[error("{0}")]
     Soak(#[from] SoakError),
--- a/crates/gateway/src/commands/load.rs
+++ b/crates/gateway/src/commands/load.rs
@@ -10,7 +10,7 @@
 use hdrhistogram::Histogram;
 use nettleferry_net::NetLimits;
 use nettleferry_net::grpc::Code;
-use nettleferry_scenario::client::{Ask, Client, Heard};
+use nettleferry_scenario::client::{Client, ClientEvent, ClientRequest};
 use nettleferry_test_servers::models::climb_request;
 use prost::Message;
 
@@ -138,7 +138,8 @@
 
     /// Says whether the workers bound the rate through the gateway: one round of calls that it answers by itself.
     fn compare_with_own_answers(&self, through: f64) -> Result<(), CommandError> {
-        let live = Ask { method: "ServerLive", messages: vec![Bytes::new()], ..Ask::default() };
+        let live =
+            ClientRequest { method: "ServerLive", messages: vec![Bytes::new()], ..ClientRequest::default() };
         let own = self.round(self.address, &live)?.calls_per_second();
         announce(&format!("the gateway's own answers (ServerLive): {own:.0} a second at the same load"))?;
         if through < own * WORKERS_BOUND {
@@ -150,7 +151,7 @@
         Ok(())
     }
 
-    fn request(&self) -> Ask {
+    fn request(&self) -> ClientRequest {
         let body = if self.model.starts_with("climb") {
             climb_request(&self.model, "1", &[1.0; CLIMB_HEIGHTS], CLIMB_SEGMENTS)
         } else {
@@ -159,11 +160,11 @@
             body
         };
         let method = if self.stream { "ModelStreamInfer" } else { "ModelInfer" };
-        Ask { method, messages: vec![body.encode_to_vec().into()], ..Ask::default() }
+        ClientRequest { method, messages: vec![body.encode_to_vec().into()], ..ClientRequest::default() }
     }
 
     /// Keeps `open` calls open until the round's end, and waits for the last ones.
-    fn round(&self, address: SocketAddr, request: &Ask) -> Result<Round, CommandError> {
+    fn round(&self, address: SocketAddr, request: &ClientRequest) -> Result<Round, CommandError> {
         let failed = || CommandError::system("the client failed");
         let limits = NetLimits { connect_timeout: CONNECT_TIMEOUT, ..NetLimits::default() };
         let mut client = Client::new(self.connections as usize, limits).map_err(failed())?;
@@ -176,10 +177,10 @@
         }
         let mut events = Vec::new();
         while !open.is_empty() {
-            client.turn(Some(MAX_WAIT), &mut events).map_err(failed())?;
+            client.poll(Some(MAX_WAIT), &mut events).map_err(failed())?;
             let now = Instant::now();
             for event in events.drain(..) {
-                let Heard::End { rpc, status, .. } = event else { continue };
+                let ClientEvent::End { rpc, status, .. } = event else { continue };
                 let Some(since) = open.remove(&rpc) else { continue };
                 if status.is_ok_and(|status| status.code == Code::Ok) {
                     round.served += 1;
--- a/crates/gateway/src/commands/scenario.rs
+++ b/crates/gateway/src/commands/scenario.rs
@@ -35,7 +35,7 @@
             script::read(&self.file.display().to_string(), &text).map_err(CommandError::InvalidFile)?;
         let played = self.play(&script, log)?;
         if let Some(folder) = &self.keep {
-            std::fs::write(folder.join("evidence.txt"), story::whole(&played.evidence))
+            std::fs::write(folder.join("evidence.txt"), story::all(&played.evidence))
                 .map_err(CommandError::system("can't write evidence.txt"))?;
         }
         announce(report::summary(&played.evidence).trim_end())?;
@@ -58,13 +58,13 @@
     fn play(&self, script: &Script, log: &str) -> Result<run::Played, CommandError> {
         let program = std::env::current_exe().map_err(CommandError::system("can't find this program"))?;
         let dir = self.keep.clone().unwrap_or_else(run::folder);
-        let beside = self.file.parent().unwrap_or(Path::new(""));
-        let played = run::play(script, &run::Stage { program: &program, dir: &dir, beside, log });
+        let script_folder = self.file.parent().unwrap_or(Path::new(""));
+        let played = run::play(script, &run::Stage { program: &program, dir: &dir, script_folder, log });
         if self.keep.is_none() {
             let _ = std::fs::remove_dir_all(&dir);
         }
         played.map_err(|error| match error {
-            run::DayError::Settings(errors) => CommandError::InvalidFile(errors),
+            run::ScenarioError::Settings(errors) => CommandError::InvalidFile(errors),
             other => CommandError::Scenario(other),
         })
     }
@@ -87,7 +87,7 @@
 }
 
 /// Prints the alerts that fired; gives the expectations that were not met.
-fn print_alerts(watch: &Watch, seen: &alerting::Seen) -> Result<Vec<String>, CommandError> {
+fn print_alerts(watch: &Watch, seen: &alerting::ReceiverReport) -> Result<Vec<String>, CommandError> {
     let seconds = |at_us: u64| at_us as f64 / 1e6;
     for alert in &seen.alerts {
         let to = alert.to.map_or("the end".to_owned(), |to| format!("{:.1} s", seconds(to)));
--- a/crates/gateway/tests/admin.rs
+++ b/crates/gateway/tests/admin.rs
@@ -59,7 +59,7 @@
     // In flight: it hangs. Held: its model's load never ends, so that the second of it has no worker.
     fleet.handles[0].tell(Fault::Hang(Some("echo-".to_owned())));
     let headers = || vec![("nettleferry-tenant".to_owned(), "a".to_owned())];
-    let stream = caller.ask(nettleferry_scenario::client::Ask {
+    let stream = caller.ask(nettleferry_scenario::client::ClientRequest {
         headers: headers(),
         ..ask("ModelStreamInfer", &climb("climb", "s", 50))
     });
--- a/crates/gateway/tests/common/desk.rs
+++ b/crates/gateway/tests/common/desk.rs
@@ -110,7 +110,8 @@
 
 pub fn call(caller: &mut Caller, tenant: Option<&str>, model: &str) -> u64 {
     let headers = tenant.map(|t| ("nettleferry-tenant".to_owned(), t.to_owned())).into_iter().collect();
-    let ask = nettleferry_scenario::client::Ask { headers, ..ask("ModelInfer", &echo(model, "u", 64)) };
+    let ask =
+        nettleferry_scenario::client::ClientRequest { headers, ..ask("ModelInfer", &echo(model, "u", 64)) };
     caller.ask(ask)
 }
 
--- a/crates/gateway/tests/common/mod.rs
+++ b/crates/gateway/tests/common/mod.rs
@@ -20,7 +20,7 @@
 use nettleferry_net::grpc::Status;
 use nettleferry_net::{NetLimits, StreamError};
 use nettleferry_proto::inference::*;
-use nettleferry_scenario::client::{Ask, Client, Heard};
+use nettleferry_scenario::client::{Client, ClientEvent, ClientRequest};
 use nettleferry_test_servers::models::climb_request;
 use nettleferry_test_servers::{Handle, Options, Record, Seen, Spec, Store, spawn, spec};
 use prost::Message;
@@ -245,7 +245,7 @@
 pub struct Caller {
     pub client: Client,
     pub to: SocketAddr,
-    heard: Vec<Heard>,
+    heard: Vec<ClientEvent>,
 }
 
 pub type Ended = (Result<Status, StreamError>, HeaderMap);
@@ -256,7 +256,7 @@
         Self { client: Client::new(1, limits).expect("a hub"), to, heard: Vec::new() }
     }
 
-    pub fn ask(&mut self, ask: Ask) -> u64 {
+    pub fn ask(&mut self, ask: ClientRequest) -> u64 {
         self.client.call(self.to, ask).expect("begun")
     }
 
@@ -266,7 +266,7 @@
 
     /// Waits for what answers `pick`; what else is heard is kept.
     #[track_caller]
-    pub fn wait<T>(&mut self, what: &str, mut pick: impl FnMut(&Heard) -> Option<T>) -> T {
+    pub fn wait<T>(&mut self, what: &str, mut pick: impl FnMut(&ClientEvent) -> Option<T>) -> T {
         let until = Instant::now() + PATIENCE;
         loop {
             if let Some((at, found)) =
@@ -276,7 +276,7 @@
                 return found;
             }
             assert!(Instant::now() < until, "never heard: {what}; heard: {:?}", self.heard);
-            self.client.turn(Some(Duration::from_millis(20)), &mut self.heard).expect("polls");
+            self.client.poll(Some(Duration::from_millis(20)), &mut self.heard).expect("polls");
         }
     }
 
@@ -284,7 +284,7 @@
     #[track_caller]
     pub fn message(&mut self, of: u64) -> Bytes {
         self.wait("a message", |h| match h {
-            Heard::Message { rpc, payload } if *rpc == of => Some(payload.clone()),
+            ClientEvent::Message { rpc, payload } if *rpc == of => Some(payload.clone()),
             _ => None,
         })
     }
@@ -299,7 +299,9 @@
     #[track_caller]
     pub fn end(&mut self, of: u64) -> Ended {
         self.wait("an end", |h| match h {
-            Heard::End { rpc, status, trailers } if *rpc == of => Some((status.clone(), trailers.clone())),
+            ClientEvent::End { rpc, status, trailers } if *rpc == of => {
+                Some((status.clone(), trailers.clone()))
+            }
             _ => None,
         })
     }
@@ -312,7 +314,7 @@
 
     /// Turns once, for hearing what should not come.
     pub fn turn(&mut self) {
-        self.client.turn(Some(Duration::from_millis(5)), &mut self.heard).expect("polls");
+        self.client.poll(Some(Duration::from_millis(5)), &mut self.heard).expect("polls");
     }
 
     /// Turns until something holds elsewhere.
@@ -324,13 +326,13 @@
         });
     }
 
-    pub fn heard(&self) -> &[Heard] {
+    pub fn heard(&self) -> &[ClientEvent] {
         &self.heard
     }
 }
 
-pub fn ask(method: &'static str, request: &ModelInferRequest) -> Ask {
-    Ask { method, messages: vec![request.encode_to_vec().into()], ..Ask::default() }
+pub fn ask(method: &'static str, request: &ModelInferRequest) -> ClientRequest {
+    ClientRequest { method, messages: vec![request.encode_to_vec().into()], ..ClientRequest::default() }
 }
 
 pub fn echo(model: &str, id: &str, bytes: usize) -> ModelInferRequest {
--- a/crates/gateway/tests/limits.rs
+++ b/crates/gateway/tests/limits.rs
@@ -10,7 +10,7 @@
 use bytes::Bytes;
 use nettleferry_net::grpc::Code;
 use nettleferry_proto::inference::*;
-use nettleferry_scenario::client::Ask;
+use nettleferry_scenario::client::ClientRequest;
 use nettleferry_test_servers::{Fault, Seen};
 use prost::Message;
 
@@ -35,7 +35,7 @@
     let fleet = Fleet::new(1, SPEC);
     let gateway = serve(SETTINGS, &fleet.list());
     let mut caller = Caller::new(gateway.address);
-    let code = |caller: &mut Caller, ask: Ask| {
+    let code = |caller: &mut Caller, ask: ClientRequest| {
         let rpc = caller.ask(ask);
         let (status, _) = caller.status(rpc);
         (status.code, status.message)
@@ -46,17 +46,20 @@
         ask.headers.push((name.to_owned(), value.to_owned()));
         ask
     };
-    assert_eq!(code(&mut caller, Ask { method: "Fly", ..ask("x", &good) }).0, Code::Unimplemented);
+    assert_eq!(code(&mut caller, ClientRequest { method: "Fly", ..ask("x", &good) }).0, Code::Unimplemented);
     assert_eq!(code(&mut caller, ask("ModelInfer", &echo("zebra", "1", 8))).0, Code::NotFound);
     let mut version = climb("climb", "1", 1);
     version.model_version = "7".into();
     assert_eq!(code(&mut caller, ask("ModelInfer", &version)).0, Code::NotFound);
     assert_eq!(code(&mut caller, with("grpc-timeout", "soon")).0, Code::InvalidArgument);
     assert_eq!(code(&mut caller, with("grpc-encoding", "snappy")).0, Code::Unimplemented);
-    let noise =
-        Ask { method: "ModelInfer", messages: vec![Bytes::from_static(&[0x0a, 0xff])], ..Ask::default() };
+    let noise = ClientRequest {
+        method: "ModelInfer",
+        messages: vec![Bytes::from_static(&[0x0a, 0xff])],
+        ..ClientRequest::default()
+    };
     assert_eq!(code(&mut caller, noise).0, Code::InvalidArgument);
-    let empty = Ask { method: "ModelInfer", ..Ask::default() };
+    let empty = ClientRequest { method: "ModelInfer", ..ClientRequest::default() };
     assert_eq!(code(&mut caller, empty).0, Code::InvalidArgument);
     let (wrong, words) = code(&mut caller, ask("ModelInfer", &climb_with(5)));
     assert_eq!(wrong, Code::InvalidArgument, "the worker's own word about the call: {words}");
@@ -80,7 +83,8 @@
     assert_eq!(status.code, Code::ResourceExhausted);
     assert!(status.message.contains("at most 65536"), "{}", status.message);
     // One that claims 1 GiB is refused by its prefix.
-    let giant = caller.ask(Ask { method: "ModelStreamInfer", keep_open: true, ..Ask::default() });
+    let giant =
+        caller.ask(ClientRequest { method: "ModelStreamInfer", keep_open: true, ..ClientRequest::default() });
     caller.client.raw(giant, Bytes::from_static(&[0, 0x40, 0, 0, 0, 1, 2, 3]));
     assert_eq!(caller.status(giant).0.code, Code::ResourceExhausted);
     served(&mut caller);
@@ -181,7 +185,11 @@
         let rpc = caller.unary("echo-once");
         caller.status(rpc).0.code == Code::Unavailable
     });
-    let ready = caller.ask(Ask { method: "ServerReady", messages: vec![Bytes::new()], ..Ask::default() });
+    let ready = caller.ask(ClientRequest {
+        method: "ServerReady",
+        messages: vec![Bytes::new()],
+        ..ClientRequest::default()
+    });
     let message = ServerReadyResponse::decode(caller.message(ready)).expect("sound");
     assert!(!message.ready);
     // A list that is not sound changes nothing.
@@ -198,7 +206,11 @@
     let gateway = serve_in(dir, SETTINGS, Some(24));
     let mut caller = Caller::new(gateway.address);
     // Its connection stands before the handles are gone.
-    let live = caller.ask(Ask { method: "ServerLive", messages: vec![Bytes::new()], ..Ask::default() });
+    let live = caller.ask(ClientRequest {
+        method: "ServerLive",
+        messages: vec![Bytes::new()],
+        ..ClientRequest::default()
+    });
     assert_eq!(caller.status(live).0.code, Code::Ok);
     let mut greedy = Vec::new();
     let mut closed = 0;
--- a/crates/gateway/tests/loans.rs
+++ b/crates/gateway/tests/loans.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 
 use nettleferry_net::grpc::Code;
-use nettleferry_scenario::client::Heard;
+use nettleferry_scenario::client::ClientEvent;
 use nettleferry_test_servers::Seen;
 use serde_json::json;
 
@@ -34,7 +34,7 @@
             let limits = nettleferry_net::NetLimits { connect_timeout: PATIENCE, ..Default::default() };
             let mut client = nettleferry_scenario::client::Client::new(1, limits).expect("a hub");
             let headers = vec![("nettleferry-tenant".to_owned(), "kalahari".to_owned())];
-            let one = || nettleferry_scenario::client::Ask {
+            let one = || nettleferry_scenario::client::ClientRequest {
                 headers: headers.clone(),
                 ..ask("ModelInfer", &echo("echo", "u", 64))
             };
@@ -44,8 +44,8 @@
                     out += 1;
                 }
                 // A process that was killed answers nothing: it is asked again when it is back, not at once.
-                client.turn(Some(Duration::from_millis(5)), &mut heard).expect("polls");
-                out -= heard.drain(..).filter(|h| matches!(h, Heard::End { .. })).count();
+                client.poll(Some(Duration::from_millis(5)), &mut heard).expect("polls");
+                out -= heard.drain(..).filter(|h| matches!(h, ClientEvent::End { .. })).count();
             }
         });
         Self { stop, thread: Some(thread) }
--- a/crates/gateway/tests/stragglers.rs
+++ b/crates/gateway/tests/stragglers.rs
@@ -182,7 +182,7 @@
 }
 
 fn ready(caller: &mut Caller) -> bool {
-    let rpc = caller.ask(nettleferry_scenario::client::Ask {
+    let rpc = caller.ask(nettleferry_scenario::client::ClientRequest {
         method: "ServerReady",
         messages: vec![bytes::Bytes::new()],
         ..Default::default()
--- a/crates/gateway/tests/streams.rs
+++ b/crates/gateway/tests/streams.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use nettleferry_net::grpc::Code;
-use nettleferry_scenario::client::{Ask, Heard};
+use nettleferry_scenario::client::{ClientEvent, ClientRequest};
 use nettleferry_test_servers::{Fault, Seen};
 use prost::Message;
 
@@ -50,7 +50,7 @@
     let next = caller.ask(ask("ModelStreamInfer", &climb("climb", "d", 1)));
     assert!(is_final(&caller.response(next)));
     assert_eq!(fleet.count(attempts), 2);
-    assert!(caller.heard().iter().all(|h| !matches!(h, Heard::Message { rpc: r, .. } if *r == rpc)));
+    assert!(caller.heard().iter().all(|h| !matches!(h, ClientEvent::Message { rpc: r, .. } if *r == rpc)));
 }
 
 #[test]
@@ -61,7 +61,7 @@
     let bad = climb("nobody", "bad", 1);
     let messages = [climb("climb", "a", 3), bad, climb("climb", "b", 2), echo("echo", "e", 9)];
     let messages: Vec<Bytes> = messages.iter().map(|m| m.encode_to_vec().into()).collect();
-    let rpc = caller.ask(Ask { method: "ModelStreamInfer", messages, ..Ask::default() });
+    let rpc = caller.ask(ClientRequest { method: "ModelStreamInfer", messages, ..ClientRequest::default() });
     let mut finals = std::collections::BTreeMap::new();
     let mut parts = std::collections::BTreeMap::new();
     while finals.len() < 4 {
@@ -87,7 +87,13 @@
     let mut caller = Caller::new(gateway.address);
     let messages = vec![climb("climb", "a", 4).encode_to_vec().into()];
     let headers = vec![("triton_grpc_error".to_owned(), "true".to_owned())];
-    let ask = Ask { method: "ModelStreamInfer", messages, headers, keep_open: true, ..Ask::default() };
+    let ask = ClientRequest {
+        method: "ModelStreamInfer",
+        messages,
+        headers,
+        keep_open: true,
+        ..ClientRequest::default()
+    };
     let rpc = caller.ask(ask);
     caller.response(rpc);
     caller.client.more(rpc, climb("nobody", "bad", 1).encode_to_vec().into());
@@ -140,7 +146,7 @@
     let gateway = serve(&format!("{SETTINGS}(limits (calls-per-stream 2))"), &fleet.list());
     let mut caller = Caller::new(gateway.address);
     let messages = (0..40).map(|n| echo("echo", &n.to_string(), 9).encode_to_vec().into()).collect();
-    let rpc = caller.ask(Ask { method: "ModelStreamInfer", messages, ..Ask::default() });
+    let rpc = caller.ask(ClientRequest { method: "ModelStreamInfer", messages, ..ClientRequest::default() });
     for _ in 0..40 {
         assert!(is_final(&caller.response(rpc)));
     }
@@ -166,12 +172,12 @@
     while ends < 60 {
         let heard = caller.wait("an end or a message", |h| Some(h.clone()));
         match heard {
-            Heard::Message { rpc, payload } => {
+            ClientEvent::Message { rpc, payload } => {
                 let response =
                     nettleferry_proto::inference::ModelStreamInferResponse::decode(payload).expect("sound");
                 *open.get_mut(&rpc).expect("open") += u32::from(is_final(&response));
             }
-            Heard::End { rpc, status, .. } => {
+            ClientEvent::End { rpc, status, .. } => {
                 ends += 1;
                 assert_eq!(open[&rpc], 1, "one final answer");
                 assert_eq!(status.expect("a status").code, Code::Ok);
--- a/crates/scale/src/measure/list/calls.rs
+++ b/crates/scale/src/measure/list/calls.rs
@@ -11,7 +11,7 @@
 use hdrhistogram::Histogram;
 use nettleferry_net::NetLimits;
 use nettleferry_net::grpc::Code;
-use nettleferry_scenario::client::{Ask, Client, Heard};
+use nettleferry_scenario::client::{Client, ClientEvent, ClientRequest};
 use nettleferry_test_servers::models::climb_request;
 use prost::Message;
 
@@ -56,8 +56,11 @@
         let stop = Arc::new(AtomicBool::new(false));
         let mut request = climb_request(model, "1", &[], 1);
         request.raw_input_contents = vec![vec![7; CALL_BYTES].into()];
-        let ask =
-            Ask { method: "ModelInfer", messages: vec![request.encode_to_vec().into()], ..Ask::default() };
+        let ask = ClientRequest {
+            method: "ModelInfer",
+            messages: vec![request.encode_to_vec().into()],
+            ..ClientRequest::default()
+        };
         let every = Duration::from_secs_f64(1.0 / rate);
         let (told, stopped) = (Arc::clone(&stretch), Arc::clone(&stop));
         let work = move || {
@@ -90,15 +93,20 @@
 struct Caller {
     client: Client,
     to: SocketAddr,
-    ask: Ask,
+    ask: ClientRequest,
     every: Duration,
     begun: HashMap<u64, Instant>,
-    heard: Vec<Heard>,
+    heard: Vec<ClientEvent>,
     stretch: Arc<Mutex<Stretch>>,
 }
 
 impl Caller {
-    fn new(to: SocketAddr, ask: Ask, every: Duration, stretch: Arc<Mutex<Stretch>>) -> io::Result<Self> {
+    fn new(
+        to: SocketAddr,
+        ask: ClientRequest,
+        every: Duration,
+        stretch: Arc<Mutex<Stretch>>,
+    ) -> io::Result<Self> {
         let client = Client::new(1, NetLimits::default())?;
         Ok(Self { client, to, ask, every, begun: HashMap::new(), heard: Vec::new(), stretch })
     }
@@ -112,7 +120,7 @@
                 self.begin(now)?;
             }
             let wait = next.saturating_duration_since(Instant::now()).min(LOOK_EVERY);
-            self.client.turn(Some(wait), &mut self.heard)?;
+            self.client.poll(Some(wait), &mut self.heard)?;
             self.ended();
         }
         Ok(())
@@ -132,7 +140,7 @@
         let now = Instant::now();
         let mut stretch = self.stretch.lock().unwrap_or_else(PoisonError::into_inner);
         for heard in self.heard.drain(..) {
-            let Heard::End { rpc, status, .. } = heard else { continue };
+            let ClientEvent::End { rpc, status, .. } = heard else { continue };
             let Some(began) = self.begun.remove(&rpc) else { continue };
             if status.is_ok_and(|status| status.code == Code::Ok) {
                 stretch.latency.saturating_record((now - began).as_micros() as u64);
--- a/crates/scenario/src/alerting.rs
+++ b/crates/scenario/src/alerting.rs
@@ -1,4 +1,4 @@
-//! What fired on the receiver's clock, held against what a day expects.
+//! Which alerts fired at the receiver, compared with what the scenario expects.
 
 use std::fmt::Write;
 
@@ -7,14 +7,14 @@
 
 use crate::script::Watch;
 
-/// What a day's receiver has seen, times on the day's clock.
+/// What the receiver has seen, in the time of the run.
 #[derive(Clone, Debug, Default)]
-pub struct Seen {
-    /// What fired.
+pub struct ReceiverReport {
+    /// Alerts that fired.
     pub alerts: Vec<Fired>,
-    /// What a sender should not do, and rules that could not be evaluated.
+    /// Errors of senders, and rules that could not be evaluated.
     pub faults: Vec<String>,
-    /// Samples taken.
+    /// Samples received.
     pub samples: usize,
 }
 
@@ -25,14 +25,14 @@
     pub alert: String,
     /// Its labels, for people.
     pub labels: String,
-    /// From then on.
+    /// When it began to fire.
     pub from: Micros,
-    /// Until then; `None`: to the end.
+    /// When it ended; `None`: not before the end of the run.
     pub to: Option<Micros>,
 }
 
 impl Fired {
-    /// An episode, by a receiver's clock on which the day began at `base_ms`.
+    /// An episode on the receiver's clock, on which the run began at `base_ms`.
     pub fn new(episode: &Episode, base_ms: i64) -> Self {
         let at = |ms: i64| u64::try_from(ms - base_ms).unwrap_or(0) * 1000;
         let mut labels = String::new();
@@ -48,41 +48,45 @@
     }
 }
 
-/// What did not come as expected.
-pub fn judge(watch: &Watch, seen: &Seen) -> Vec<String> {
+/// The expectations that were not met.
+pub fn judge(watch: &Watch, seen: &ReceiverReport) -> Vec<String> {
     let seconds = |at: Micros| at as f64 / 1e6;
-    let mut wrong = seen.faults.clone();
+    let mut unmet = seen.faults.clone();
     if seen.samples == 0 {
-        wrong.push("no sample reached the receiver".to_owned());
+        unmet.push("no sample reached the receiver".to_owned());
     }
-    for want in &watch.fires {
-        let Some(first) = seen.alerts.iter().find(|f| f.alert == want.alert) else {
-            wrong.push(format!("{} did not fire", want.alert));
+    for expected in &watch.alerts {
+        let Some(first) = seen.alerts.iter().find(|f| f.alert == expected.alert) else {
+            unmet.push(format!("{} did not fire", expected.alert));
             continue;
         };
         let from = first.from;
-        if from < want.after || from > want.after + want.within {
-            wrong.push(format!(
+        if from < expected.after || from > expected.after + expected.within {
+            unmet.push(format!(
                 "{} fired at {:.1} s, wanted from {:.1} to {:.1} s",
-                want.alert,
+                expected.alert,
                 seconds(from),
-                seconds(want.after),
-                seconds(want.after + want.within)
+                seconds(expected.after),
+                seconds(expected.after + expected.within)
             ));
         }
-        for late in seen.alerts.iter().filter(|f| f.alert == want.alert) {
-            if late.to.is_none_or(|to| to > want.clear_by) {
-                wrong.push(format!("{} was not clear at {:.1} s", want.alert, seconds(want.clear_by)));
+        for late in seen.alerts.iter().filter(|f| f.alert == expected.alert) {
+            if late.to.is_none_or(|to| to > expected.clear_by) {
+                unmet.push(format!(
+                    "{} was not clear at {:.1} s",
+                    expected.alert,
+                    seconds(expected.clear_by)
+                ));
             }
         }
     }
     for other in &seen.alerts {
-        if !watch.fires.iter().any(|want| want.alert == other.alert) {
+        if !watch.alerts.iter().any(|expected| expected.alert == other.alert) {
             let at = seconds(other.from);
-            wrong.push(format!("{} fired at {at:.1} s and was not to:{}", other.alert, other.labels));
+            unmet.push(format!("{} fired at {at:.1} s and was not to:{}", other.alert, other.labels));
         }
     }
-    wrong
+    unmet
 }
 
 #[cfg(test)]
--- a/crates/scenario/src/alerting/tests.rs
+++ b/crates/scenario/src/alerting/tests.rs
@@ -1,17 +1,17 @@
 //! Unit tests of `alerting`.
 
 use super::*;
-use crate::script::Fires;
+use crate::script::ExpectedAlert;
 
 #[test]
-fn what_is_late_missing_or_too_much_is_told() {
+fn late_missing_and_unexpected_alerts_are_reported() {
     let s = 1_000_000;
-    let fires = vec![Fires { alert: "A".into(), after: 10 * s, within: 5 * s, clear_by: 40 * s }];
-    let watch = Watch { rules: String::new(), every: s, speed: 1, fires };
+    let alerts = vec![ExpectedAlert { alert: "A".into(), after: 10 * s, within: 5 * s, clear_by: 40 * s }];
+    let watch = Watch { rules: String::new(), every: s, speed: 1, alerts };
     let fired = |alert: &str, from, to| Fired { alert: alert.into(), labels: String::new(), from, to };
-    let seen = |alerts| Seen { alerts, faults: vec![], samples: 1 };
+    let seen = |alerts| ReceiverReport { alerts, faults: vec![], samples: 1 };
     assert!(judge(&watch, &seen(vec![fired("A", 12 * s, Some(30 * s))])).is_empty());
-    for (alerts, told) in [
+    for (alerts, reported) in [
         (vec![], "A did not fire"),
         (vec![fired("A", 9 * s, Some(30 * s))], "fired at 9.0 s"),
         (vec![fired("A", 16 * s, Some(30 * s))], "fired at 16.0 s"),
@@ -19,7 +19,7 @@
         (vec![fired("A", 12 * s, Some(20 * s)), fired("B", 1, None)], "B fired"),
     ] {
         let wrong = judge(&watch, &seen(alerts));
-        assert!(wrong.len() == 1 && wrong[0].contains(told), "{wrong:?}");
+        assert!(wrong.len() == 1 && wrong[0].contains(reported), "{wrong:?}");
     }
-    assert_eq!(judge(&watch, &Seen::default()).len(), 2);
+    assert_eq!(judge(&watch, &ReceiverReport::default()).len(), 2);
 }
--- a/crates/scenario/src/attempts.rs
+++ b/crates/scenario/src/attempts.rs
@@ -10,7 +10,7 @@
 use nettleferry::Micros;
 use nettleferry_test_servers::Seen;
 
-use crate::evidence::{During, Evidence};
+use crate::evidence::{Cut, Evidence, Interval};
 
 /// An attempt as a worker saw it.
 #[derive(Clone, Debug)]
@@ -19,22 +19,22 @@
     pub(crate) controller: usize,
     /// As its header said.
     pub(crate) number: Option<u32>,
-    pub(crate) came: Micros,
+    pub(crate) arrived: Micros,
     pub(crate) ran: bool,
-    pub(crate) over: Option<Over>,
+    pub(crate) end: Option<AttemptEnd>,
 }
 
 /// The end of an attempt at the worker's socket.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Over {
+pub(crate) struct AttemptEnd {
     pub(crate) at: Micros,
-    pub(crate) how: How,
+    pub(crate) kind: EndKind,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum How {
+pub(crate) enum EndKind {
     /// Withdrawn, or its connection or worker is gone.
-    Left,
+    Withdrawn,
     /// Answered.
     Answered,
     /// Answered with proof that it never ran.
@@ -44,7 +44,7 @@
 impl Attempt {
     /// May it have run, as far as its controller can know?
     pub(crate) fn may_have_run(&self) -> bool {
-        self.ran || !self.over.is_some_and(|over| over.how == How::NeverRan)
+        self.ran || !self.end.is_some_and(|end| end.kind == EndKind::NeverRan)
     }
 }
 
@@ -56,9 +56,9 @@
     let mut open: BTreeMap<(&str, u64), usize> = BTreeMap::new();
     for record in records {
         let worker = record.worker.as_str();
-        let mut end = |stream: u64, how| {
+        let mut close = |stream: u64, kind| {
             if let Some(at) = open.remove(&(worker, stream)) {
-                all[at].1.over = Some(Over { at: record.at, how });
+                all[at].1.end = Some(AttemptEnd { at: record.at, kind });
             }
         };
         match &record.seen {
@@ -68,9 +68,9 @@
                     worker: worker.to_owned(),
                     controller: controller.parse().unwrap_or(usize::MAX),
                     number: *attempt,
-                    came: record.at,
+                    arrived: record.at,
                     ran: false,
-                    over: None,
+                    end: None,
                 };
                 all.push((id.clone(), attempt));
             }
@@ -79,15 +79,15 @@
                     all[*at].1.ran = true;
                 }
             }
-            Seen::Gone { stream } => end(*stream, How::Left),
+            Seen::Gone { stream } => close(*stream, EndKind::Withdrawn),
             Seen::Answered { stream, never_ran, .. } => {
-                end(*stream, if *never_ran { How::NeverRan } else { How::Answered });
+                close(*stream, if *never_ran { EndKind::NeverRan } else { EndKind::Answered });
             }
             Seen::Down | Seen::Fell => {
                 let had: Vec<u64> = open.keys().filter(|(w, _)| *w == worker).map(|(_, s)| *s).collect();
                 for stream in had {
                     if let Some(at) = open.remove(&(worker, stream)) {
-                        all[at].1.over = Some(Over { at: record.at, how: How::Left });
+                        all[at].1.end = Some(AttemptEnd { at: record.at, kind: EndKind::Withdrawn });
                     }
                 }
             }
@@ -98,15 +98,15 @@
     for (id, attempt) in all {
         by_call.entry(id).or_default().push(attempt);
     }
-    for tries in by_call.values_mut() {
-        tries.sort_by_key(|a| (a.number, a.came));
+    for attempts in by_call.values_mut() {
+        attempts.sort_by_key(|a| (a.number, a.arrived));
     }
     by_call
 }
 
-/// How soon a worker has read what stood in a socket when its link was mended. Its one thread reads all that
-/// the kernel holds before it answers anything more; what is left is the tail that a full socket kept back.
-const TAIL: Micros = 100_000;
+/// How soon a worker has read what was in a socket when its link was mended. Its one thread reads all that the kernel
+/// holds before it answers anything more; what is left is what a full socket held back.
+const READ_DELAY: Micros = 100_000;
 
 /// Links between controllers and workers, with the spans in which they were cut.
 pub(crate) struct Links<'a> {
@@ -119,16 +119,16 @@
         Self { evidence, slack }
     }
 
-    fn cuts(&self, worker: &str, controller: usize) -> impl Iterator<Item = During> {
+    fn cuts(&self, worker: &str, controller: usize) -> impl Iterator<Item = Interval> {
         let zones: Vec<&str> = self
             .evidence
-            .lives
+            .controller_runs
             .iter()
             .filter(|l| l.controller == controller)
             .map(|l| l.zone.as_str())
             .collect();
-        let ours = move |w: &str, door: &str| w == worker && zones.contains(&door);
-        self.evidence.cuts.iter().filter(move |(w, door, _)| ours(w, door)).map(|(_, _, span)| *span)
+        let concerned = move |cut: &&Cut| cut.worker == worker && zones.contains(&cut.zone.as_str());
+        self.evidence.cuts.iter().filter(concerned).map(|cut| cut.interval)
     }
 
     /// What a worker's socket saw at `at` left the controller at this time at the earliest: while a link is cut
@@ -146,31 +146,31 @@
 
     /// The attempt left the controller at this time at the earliest.
     pub(crate) fn sent(&self, attempt: &Attempt) -> Micros {
-        self.left_by(&attempt.worker, attempt.controller, attempt.came)
+        self.left_by(&attempt.worker, attempt.controller, attempt.arrived)
     }
 
-    /// The attempt was over for its controller at this time at the earliest: it had its answer then, or had
+    /// The attempt was end for its controller at this time at the earliest: it had its answer then, or had
     /// withdrawn it.
     pub(crate) fn ended(&self, attempt: &Attempt) -> Micros {
-        let Some(over) = attempt.over else {
+        let Some(end) = attempt.end else {
             return self.left_by(&attempt.worker, attempt.controller, self.evidence.until);
         };
-        if over.how == How::Left {
-            return self.left_by(&attempt.worker, attempt.controller, over.at);
+        if end.kind == EndKind::Withdrawn {
+            return self.left_by(&attempt.worker, attempt.controller, end.at);
         }
         // It was answered: a withdrawal had not been read by then. One that was sent while the link was cut is
         // read with the rest as soon as the link is mended.
         let hidden = self.cuts(&attempt.worker, attempt.controller).find(|cut| {
-            let read = if attempt.came > cut.to && attempt.came - cut.to <= self.slack {
-                attempt.came
+            let read = if attempt.arrived > cut.to && attempt.arrived - cut.to <= self.slack {
+                attempt.arrived
             } else {
                 cut.to
             };
-            cut.from < over.at && over.at <= read.saturating_add(TAIL)
+            cut.from < end.at && end.at <= read.saturating_add(READ_DELAY)
         });
         match hidden {
             Some(cut) => self.left_by(&attempt.worker, attempt.controller, cut.from),
-            None => over.at.saturating_sub(self.slack),
+            None => end.at.saturating_sub(self.slack),
         }
     }
 }
--- a/crates/scenario/src/audit.rs
+++ b/crates/scenario/src/audit.rs
@@ -1,9 +1,9 @@
 //! The five rules, judged from the evidence alone. Each finding names the call or the worker, the time, and
 //! what was seen.
 //!
-//! Clocks: clients, stand-ins and the day share one process and one clock. Two observers of one moment can
-//! differ by how long a thread waits for a core; [`Slack`] is that, and no more. It is never given to what
-//! needs no clock: runs are counted, answers are counted.
+//! Clocks: clients, test workers and the run share one process and one clock. Two observers of one moment can differ by
+//! how long a thread waits for a core; [`Slack`] is that, and no more. It is not used where no clock is needed: runs and
+//! answers are counted.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -12,9 +12,9 @@
 use nettleferry_test_servers::Seen;
 
 use crate::attempts::{Attempt, Links, attempts};
-use crate::evidence::{ClientSaw, Evidence, Final, Life, Told};
+use crate::evidence::{ClientObservation, ControllerRun, Evidence, Final, ListedWorker};
 
-/// How far two observers of one moment may differ. What a cut link adds is not in it: see `attempts.rs`.
+/// How far two observers of one moment may differ. The delay of a cut link is not in it: see `attempts.rs`.
 #[derive(Clone, Copy, Debug)]
 pub struct Slack(pub Micros);
 
@@ -24,14 +24,14 @@
     }
 }
 
-/// A rule that broke.
+/// A broken rule.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Breach {
     /// Which, 1 to 5.
     pub rule: u8,
     /// When.
     pub at: Micros,
-    /// Of which call, where it is of one: its records tell the story.
+    /// The call that it is about, if any.
     pub call: Option<String>,
     /// What was seen.
     pub what: String,
@@ -43,6 +43,13 @@
     }
 }
 
+/// A final answer, and when it came.
+#[derive(Clone, Copy)]
+struct FinalAnswer {
+    at: Micros,
+    kind: Final,
+}
+
 /// A call as its client saw it.
 struct Call<'a> {
     controller: usize,
@@ -50,159 +57,203 @@
     deadline: Micros,
     effect: &'a Effect,
     slow: bool,
-    finals: Vec<(Micros, Final)>,
+    finals: Vec<FinalAnswer>,
     cancelled: Option<Micros>,
     lost: Option<Micros>,
     last_part: Option<Micros>,
 }
 
-/// Judges the evidence.
+/// A load order, and when it left the controller at the earliest.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct LoadOrder {
+    arrived: Micros,
+    left: Micros,
+}
+
+/// What reached a worker.
+struct Arrival<'a> {
+    worker: &'a str,
+    controller: usize,
+    at: Micros,
+    call: Option<&'a str>,
+    what: String,
+}
+
+/// Judges the evidence; breaches are in the order of rules, and of time.
 pub fn audit(evidence: &Evidence, slack: Slack) -> Vec<Breach> {
     let calls = calls(evidence);
     let attempts = attempts(evidence);
-    let links = Links::new(evidence, slack.0);
-    let mut found = Vec::new();
+    let mut judge =
+        Judge { evidence, links: Links::new(evidence, slack.0), slack: slack.0, breaches: Vec::new() };
     for (id, call) in &calls {
-        let none = Vec::new();
-        let tries = attempts.get(*id).unwrap_or(&none);
-        answers(evidence, &links, id, call, tries, slack, &mut found);
-        effects(evidence, &links, id, call, tries, &mut found);
+        let attempts = attempts.get(*id).map_or(&[][..], Vec::as_slice);
+        judge.check_answers(id, call, attempts);
+        judge.check_effects(id, call, attempts);
     }
-    drains(evidence, &links, &attempts, slack, &mut found);
-    cold(evidence, &mut found);
-    ration(evidence, &links, slack, &mut found);
-    found.sort_by_key(|b| (b.rule, b.at));
-    found
+    judge.check_drains(&attempts);
+    judge.check_overload();
+    judge.check_load_orders();
+    judge.breaches.sort_by_key(|breach| (breach.rule, breach.at));
+    judge.breaches
 }
 
 fn calls(evidence: &Evidence) -> BTreeMap<&str, Call<'_>> {
     let mut calls: BTreeMap<&str, Call<'_>> = BTreeMap::new();
     for record in &evidence.clients {
-        if let ClientSaw::Sent { controller, deadline, effect, slow, .. } = &record.what {
-            calls.insert(
-                &record.id,
-                Call {
-                    controller: *controller,
-                    sent: record.at,
-                    deadline: *deadline,
-                    effect,
-                    slow: *slow,
-                    finals: Vec::new(),
-                    cancelled: None,
-                    lost: None,
-                    last_part: None,
-                },
-            );
+        if let ClientObservation::Sent { controller, deadline, effect, slow, .. } = &record.what {
+            let call = Call {
+                controller: *controller,
+                sent: record.at,
+                deadline: *deadline,
+                effect,
+                slow: *slow,
+                finals: Vec::new(),
+                cancelled: None,
+                lost: None,
+                last_part: None,
+            };
+            calls.insert(&record.id, call);
         }
         let Some(call) = calls.get_mut(record.id.as_str()) else { continue };
         match &record.what {
-            ClientSaw::Sent { .. } => {}
-            ClientSaw::Part => call.last_part = Some(record.at),
-            ClientSaw::Final(end) => call.finals.push((record.at, *end)),
-            ClientSaw::Cancelled => call.cancelled = Some(record.at),
-            ClientSaw::Lost => call.lost = Some(record.at),
+            ClientObservation::Sent { .. } => {}
+            ClientObservation::Part => call.last_part = Some(record.at),
+            ClientObservation::Final(kind) => {
+                call.finals.push(FinalAnswer { at: record.at, kind: *kind });
+            }
+            ClientObservation::Cancelled => call.cancelled = Some(record.at),
+            ClientObservation::Lost => call.lost = Some(record.at),
         }
     }
     calls
 }
 
-fn of_call(rule: u8, at: Micros, id: &str, what: &str) -> Breach {
-    Breach { rule, at, call: Some(id.to_owned()), what: format!("call {id}: {what}") }
+struct Judge<'a> {
+    evidence: &'a Evidence,
+    links: Links<'a>,
+    slack: Micros,
+    breaches: Vec<Breach>,
 }
 
-fn life(evidence: &Evidence, controller: usize, at: Micros) -> Option<&Life> {
-    evidence
-        .lives
-        .iter()
-        .find(|l| l.controller == controller && l.from <= at && l.to.is_none_or(|to| at < to))
-}
+impl Judge<'_> {
+    fn call_breach(&mut self, rule: u8, at: Micros, id: &str, what: &str) {
+        let what = format!("call {id}: {what}");
+        self.breaches.push(Breach { rule, at, call: Some(id.to_owned()), what });
+    }
 
-fn stalled(evidence: &Evidence, controller: usize, from: Micros, to: Micros) -> bool {
-    evidence.stalls.iter().any(|(c, span)| *c == controller && span.meets(from, to))
-}
+    /// The incarnation of a controller that ran at a time.
+    fn controller_run(&self, controller: usize, at: Micros) -> Option<&ControllerRun> {
+        self.evidence
+            .controller_runs
+            .iter()
+            .find(|run| run.controller == controller && run.from <= at && run.to.is_none_or(|to| at < to))
+    }
 
-/// Rule 1: exactly one final answer before the deadline, nothing after it.
-fn answers(
-    evidence: &Evidence,
-    links: &Links<'_>,
-    id: &str,
-    call: &Call<'_>,
-    tries: &[Attempt],
-    slack: Slack,
-    found: &mut Vec<Breach>,
-) {
-    let mut breach = |at, what: String| found.push(of_call(1, at, id, &what));
-    if call.finals.len() > 1 {
-        breach(call.finals[1].0, format!("{} final answers", call.finals.len()));
+    /// Whether a controller was stopped for a part of an interval.
+    fn stalled(&self, controller: usize, from: Micros, to: Micros) -> bool {
+        let mut stalls = self.evidence.stalls.iter();
+        stalls.any(|stall| stall.controller == controller && stall.interval.overlaps(from, to))
     }
-    if let (Some(last), Some((at, _))) = (call.last_part, call.finals.first())
-        && last > *at
-    {
-        breach(last, "a part after the final answer".to_owned());
+
+    /// Whether the controller that a call was sent to must answer it: a killed one need not, one that got SIGTERM
+    /// answers what it had accepted before.
+    fn must_answer(&self, call: &Call) -> bool {
+        self.controller_run(call.controller, call.sent).is_some_and(|run| match run.ending {
+            Some(ending) => call.sent + self.slack <= ending,
+            None => run.to.is_none_or(|to| to > call.deadline.min(self.evidence.until)),
+        })
     }
-    // A controller that was killed owes nothing; one that was told to end owes what it had taken by then.
-    let lived = life(evidence, call.controller, call.sent).is_some_and(|l| match l.ending {
-        Some(ending) => call.sent + slack.0 <= ending,
-        None => l.to.is_none_or(|to| to > call.deadline.min(evidence.until)),
-    });
-    let stood = !stalled(evidence, call.controller, call.sent, call.deadline);
-    let over = call.cancelled.is_some();
-    match call.finals.first() {
-        None if lived && stood && !over => {
-            let lost = if call.lost.is_some() { " (its connection broke)" } else { "" };
-            breach(call.deadline, format!("no final answer{lost}"));
+
+    /// Rule 1: exactly one final answer before the deadline, nothing after it.
+    fn check_answers(&mut self, id: &str, call: &Call, attempts: &[Attempt]) {
+        let first = call.finals.first().copied();
+        if call.finals.len() > 1 {
+            let what = format!("{} final answers", call.finals.len());
+            self.call_breach(1, call.finals[1].at, id, &what);
         }
-        Some((at, _)) if stood && !call.slow && *at > call.deadline => {
-            breach(*at, format!("answered {} ms after its deadline", (at - call.deadline) / 1000));
+        if let (Some(part), Some(answer)) = (call.last_part, first)
+            && part > answer.at
+        {
+            self.call_breach(1, part, id, "a part after the final answer");
         }
-        _ => {}
-    }
-    let ended = call.finals.first().map(|f| f.0).or(call.cancelled);
-    for attempt in tries {
-        // What was on its way when the answer was given is not new.
-        if stood && ended.is_some_and(|at| links.sent(attempt) > at) {
-            breach(attempt.came, format!("an attempt reached {} after the call had ended", attempt.worker));
+        if self.stalled(call.controller, call.sent, call.deadline) {
+            return;
+        }
+        match first {
+            None if self.must_answer(call) && call.cancelled.is_none() => {
+                let cause = if call.lost.is_some() { " (its connection broke)" } else { "" };
+                self.call_breach(1, call.deadline, id, &format!("no final answer{cause}"));
+            }
+            Some(answer) if !call.slow && answer.at > call.deadline => {
+                let late_ms = (answer.at - call.deadline) / 1000;
+                self.call_breach(1, answer.at, id, &format!("answered {late_ms} ms after its deadline"));
+            }
+            _ => {}
+        }
+        let Some(ended) = first.map(|answer| answer.at).or(call.cancelled) else { return };
+        for attempt in attempts {
+            // What was on its way when the answer was given is not new.
+            if self.links.sent(attempt) > ended {
+                let what = format!("an attempt reached {} after the call had ended", attempt.worker);
+                self.call_breach(1, attempt.arrived, id, &what);
+            }
         }
     }
-}
 
-/// Rule 2: no effect twice, no overlap, no refusal of what has run.
-fn effects(
-    evidence: &Evidence,
-    links: &Links<'_>,
-    id: &str,
-    call: &Call<'_>,
-    tries: &[Attempt],
-    found: &mut Vec<Breach>,
-) {
-    let mut breach = |at, what: String| found.push(of_call(2, at, id, &what));
-    let runs: Vec<&Attempt> = tries.iter().filter(|a| a.ran).collect();
-    if *call.effect == Effect::Unsafe && runs.len() > 1 {
-        breach(runs[1].came, format!("unsafe, and ran at {} and at {}", runs[0].worker, runs[1].worker));
-    }
-    let harmless = matches!(call.effect, Effect::Safe | Effect::Keyed { group: Group::All, .. });
-    if let Some((at, Final::Refused)) = call.finals.first()
-        && !harmless
-        && let Some(ran) = runs.first()
-    {
-        breach(*at, format!("refused, and ran at {}", ran.worker));
+    /// Rule 2: no effect twice, no overlap, no refusal of what has run.
+    fn check_effects(&mut self, id: &str, call: &Call, attempts: &[Attempt]) {
+        let runs: Vec<&Attempt> = attempts.iter().filter(|attempt| attempt.ran).collect();
+        if *call.effect == Effect::Unsafe && runs.len() > 1 {
+            let what = format!("unsafe, and ran at {} and at {}", runs[0].worker, runs[1].worker);
+            self.call_breach(2, runs[1].arrived, id, &what);
+        }
+        let harmless = matches!(call.effect, Effect::Safe | Effect::Keyed { group: Group::All, .. });
+        if let Some(FinalAnswer { at, kind: Final::Refused }) = call.finals.first()
+            && !harmless
+            && let Some(run) = runs.first()
+        {
+            self.call_breach(2, *at, id, &format!("refused, and ran at {}", run.worker));
+        }
+        self.check_attempt_numbers(id, attempts);
+        if let Effect::Keyed { group, window } = call.effect {
+            self.check_keyed(id, *group, *window, attempts);
+        }
+        for (index, later) in attempts.iter().enumerate() {
+            for earlier in &attempts[..index] {
+                if self.links.ended(earlier) > later.arrived {
+                    let what = format!(
+                        "an attempt at {} began while one at {} was open",
+                        later.worker, earlier.worker
+                    );
+                    self.call_breach(2, later.arrived, id, &what);
+                }
+            }
+        }
     }
-    for (n, attempt) in tries.iter().enumerate() {
-        let twice = n > 0 && attempt.number == tries[n - 1].number;
-        if attempt.number.is_none() || twice {
-            let told = attempt.number.map_or("no number".to_owned(), |n| format!("number {n} again"));
-            breach(attempt.came, format!("an attempt at {} with {told}", attempt.worker));
+
+    fn check_attempt_numbers(&mut self, id: &str, attempts: &[Attempt]) {
+        for (index, attempt) in attempts.iter().enumerate() {
+            let repeated = index > 0 && attempt.number == attempts[index - 1].number;
+            if attempt.number.is_none() || repeated {
+                let number =
+                    attempt.number.map_or("no number".to_owned(), |number| format!("number {number} again"));
+                let what = format!("an attempt at {} with {number}", attempt.worker);
+                self.call_breach(2, attempt.arrived, id, &what);
+            }
         }
     }
-    // The first attempt that may have run binds a keyed call to its group and window.
-    let maybe = tries.iter().position(Attempt::may_have_run);
-    if let (Effect::Keyed { group, window }, Some(first)) = (call.effect, maybe) {
-        let place = |worker: &str| evidence.places.get(worker).cloned().unwrap_or_default();
-        let (bound, home) = (&tries[first].worker, place(&tries[first].worker));
-        // It had left when the next one came, however late it arrived itself.
-        let left = tries[first..].iter().map(|a| a.came).min().unwrap_or(0);
-        for later in &tries[first + 1..] {
-            let there = place(&later.worker);
+
+    /// The first attempt that may have run binds a call with an idempotency key to its group and window.
+    fn check_keyed(&mut self, id: &str, group: Group, window: Micros, attempts: &[Attempt]) {
+        let Some(first) = attempts.iter().position(Attempt::may_have_run) else { return };
+        let location = |worker: &str| self.evidence.locations.get(worker).cloned().unwrap_or_default();
+        let bound = &attempts[first].worker;
+        let home = location(bound);
+        // It had left when the next one arrived, however late it arrived itself.
+        let left = attempts[first..].iter().map(|attempt| attempt.arrived).min().unwrap_or(0);
+        let mut found = Vec::new();
+        for later in &attempts[first + 1..] {
+            let there = location(&later.worker);
             let within = match group {
                 Group::All => true,
                 Group::Zone => there.zone == home.zone,
@@ -210,127 +261,150 @@
             };
             if !within {
                 let what = format!("keyed, repeated at {} outside the group of {bound}", later.worker);
-                breach(later.came, what);
+                found.push((later.arrived, what));
             }
-            if links.sent(later) > left + window {
-                breach(later.came, "keyed, repeated after its window".to_owned());
+            if self.links.sent(later) > left + window {
+                found.push((later.arrived, "keyed, repeated after its window".to_owned()));
             }
         }
+        for (at, what) in found {
+            self.call_breach(2, at, id, &what);
+        }
     }
-    for (n, two) in tries.iter().enumerate() {
-        for one in &tries[..n] {
-            if links.ended(one) > two.came {
-                breach(
-                    two.came,
-                    format!("an attempt at {} began while one at {} was open", two.worker, one.worker),
-                );
+
+    /// Rule 3: nothing new reaches a worker after its drain grace.
+    fn check_drains(&mut self, attempts: &BTreeMap<String, Vec<Attempt>>) {
+        for (id, attempts) in attempts {
+            for attempt in attempts {
+                self.check_drained(Arrival {
+                    worker: &attempt.worker,
+                    controller: attempt.controller,
+                    at: attempt.arrived,
+                    call: Some(id),
+                    what: format!("call {id}"),
+                });
+            }
+        }
+        for record in &self.evidence.workers {
+            if let Seen::Order { controller, model, .. } = &record.seen {
+                self.check_drained(Arrival {
+                    worker: &record.worker,
+                    controller: controller.parse().unwrap_or(usize::MAX),
+                    at: record.at,
+                    call: None,
+                    what: format!("an order to load {model}"),
+                });
             }
         }
     }
-}
 
-/// Rule 3: nothing new after the drain grace.
-fn drains(
-    evidence: &Evidence,
-    links: &Links<'_>,
-    attempts: &BTreeMap<String, Vec<Attempt>>,
-    slack: Slack,
-    found: &mut Vec<Breach>,
-) {
-    let grace = evidence.figures.drain_grace + evidence.figures.list_check;
-    // The last word of the list on a worker before a time.
-    let told = |worker: &str, at: Micros| {
-        evidence.told.iter().filter(|t| t.worker == worker && t.at <= at).max_by_key(|t| t.at)
-    };
-    let mut judge = |worker: &str, controller: usize, came: Micros, call: Option<&str>, what: &str| {
-        // It may have left at any moment between these two.
-        let at = links.left_by(worker, controller, came);
-        let on = |t: &Told| t.worker == worker && t.state == WorkerState::On && t.at > at && t.at <= came;
-        let Some(word) = told(worker, at) else { return };
-        if word.state == WorkerState::On || at <= word.at + grace || evidence.told.iter().any(on) {
+    fn check_drained(&mut self, arrival: Arrival) {
+        let Arrival { worker, controller, at, call, what } = arrival;
+        let grace = self.evidence.parameters.drain_grace + self.evidence.parameters.list_check;
+        // It may have left at any moment from then until it arrived.
+        let left = self.links.left_by(worker, controller, at);
+        let Some(listed) = self.last_listed(worker, left) else { return };
+        let on_meanwhile = |change: &ListedWorker| {
+            change.worker == worker && change.state == WorkerState::On && change.at > left && change.at <= at
+        };
+        if listed.state == WorkerState::On
+            || left <= listed.at + grace
+            || self.evidence.listed.iter().any(on_meanwhile)
+        {
             return;
         }
-        // A controller that stood still, or was not there, is told when it looks again.
-        let since = life(evidence, controller, came).map_or(came, |l| l.from);
-        if stalled(evidence, controller, word.at, came) || since + grace + slack.0 > came {
+        // A controller that was stopped, or did not run, knows of it when it reads the list again.
+        let started = self.controller_run(controller, at).map_or(at, |run| run.from);
+        if self.stalled(controller, listed.at, at) || started + grace + self.slack > at {
             return;
         }
-        let (at, late) = (came, (came - word.at) / 1000);
-        found.push(Breach {
-            rule: 3,
-            at,
-            call: call.map(str::to_owned),
-            what: format!("{what} reached {worker} {late} ms after word of its drain"),
-        });
-    };
-    for (id, tries) in attempts {
-        for attempt in tries {
-            judge(&attempt.worker, attempt.controller, attempt.came, Some(id), &format!("call {id}"));
+        let late_ms = (at - listed.at) / 1000;
+        let what = format!("{what} reached {worker} {late_ms} ms after word of its drain");
+        self.breaches.push(Breach { rule: 3, at, call: call.map(str::to_owned), what });
+    }
+
+    /// The last change of a worker's line at a time.
+    fn last_listed(&self, worker: &str, at: Micros) -> Option<&ListedWorker> {
+        let changes = self.evidence.listed.iter();
+        changes.filter(|change| change.worker == worker && change.at <= at).max_by_key(|change| change.at)
+    }
+
+    /// Rule 4: no worker that is warming up is overloaded.
+    fn check_overload(&mut self) {
+        for record in self.evidence.workers.iter().filter(|record| record.seen == Seen::Fell) {
+            let what = format!("{} was pushed over while cold", record.worker);
+            self.breaches.push(Breach { rule: 4, at: record.at, call: None, what });
         }
     }
-    for record in &evidence.workers {
-        if let Seen::Order { controller, model, .. } = &record.seen {
-            let controller = controller.parse().unwrap_or(usize::MAX);
-            judge(&record.worker, controller, record.at, None, &format!("an order to load {model}"));
+
+    /// Rule 5: load orders keep their limit, over all incarnations of a controller: a restart gives no second one.
+    fn check_load_orders(&mut self) {
+        if self.evidence.parameters.ration_window == 0 {
+            return;
+        }
+        let controllers: BTreeSet<usize> =
+            self.evidence.controller_runs.iter().map(|run| run.controller).collect();
+        for controller in controllers {
+            self.check_controller_orders(controller);
         }
     }
-}
 
-/// Rule 4: no cold worker is pushed over.
-fn cold(evidence: &Evidence, found: &mut Vec<Breach>) {
-    for record in evidence.workers.iter().filter(|r| r.seen == Seen::Fell) {
-        let what = format!("{} was pushed over while cold", record.worker);
-        found.push(Breach { rule: 4, at: record.at, call: None, what });
+    fn check_controller_orders(&mut self, controller: usize) {
+        let parameters = &self.evidence.parameters;
+        let orders = self.load_orders(controller);
+        let calls = self.calls_sent(controller);
+        let mut found = Vec::new();
+        for (index, order) in orders.iter().enumerate() {
+            // Only orders that must have left within a window count; calls sent a little earlier do as well.
+            let from = order.arrived.saturating_sub(parameters.ration_window);
+            let count = orders[..index].iter().filter(|earlier| earlier.left > from).count() + 1;
+            let since = order.left.saturating_sub(parameters.ration_window);
+            let accepted = calls.iter().filter(|sent| **sent >= since && **sent <= order.arrived).count();
+            let permitted = parameters.ration_floor + parameters.ration_share * accepted as f64;
+            if count as f64 > permitted {
+                let what = format!(
+                    "controller {controller}: {count} load orders in the window, {permitted:.1} permitted by {accepted} calls"
+                );
+                found.push(Breach { rule: 5, at: order.arrived, call: None, what });
+            }
+        }
+        self.breaches.extend(found);
     }
-}
 
-/// Rule 5: load orders within the ration, over all lives of a controller: a restart gives no second one.
-fn ration(evidence: &Evidence, links: &Links<'_>, slack: Slack, found: &mut Vec<Breach>) {
-    let figures = &evidence.figures;
-    if figures.ration_window == 0 {
-        return;
+    /// Whether a controller ran at a time.
+    fn ran(&self, controller: usize, at: Micros) -> bool {
+        let mut runs = self.evidence.controller_runs.iter().filter(|run| run.controller == controller);
+        runs.any(|run| at >= run.from && run.to.is_none_or(|to| at < to))
     }
-    let numbers: BTreeSet<usize> = evidence.lives.iter().map(|life| life.controller).collect();
-    for number in numbers {
-        let lives = || evidence.lives.iter().filter(|life| life.controller == number);
-        let lived = |at: Micros| lives().any(|life| at >= life.from && life.to.is_none_or(|to| at < to));
-        // When each came, and when it left at the earliest.
-        let mut orders: Vec<(Micros, Micros)> = Vec::new();
-        for record in &evidence.workers {
+
+    fn load_orders(&self, number: usize) -> Vec<LoadOrder> {
+        let mut orders = Vec::new();
+        for record in &self.evidence.workers {
             if let Seen::Order { controller, .. } = &record.seen
                 && controller.parse() == Ok(number)
             {
-                let left = links.left_by(&record.worker, number, record.at);
-                if lived(record.at) && lived(left + slack.0) {
-                    orders.push((record.at, left));
+                let left = self.links.left_by(&record.worker, number, record.at);
+                if self.ran(number, record.at) && self.ran(number, left + self.slack) {
+                    orders.push(LoadOrder { arrived: record.at, left });
                 }
             }
         }
         orders.sort_unstable();
-        let mut calls: Vec<Micros> = Vec::new();
-        for record in &evidence.clients {
-            if let ClientSaw::Sent { controller, .. } = record.what
+        orders
+    }
+
+    /// When calls were sent to a controller.
+    fn calls_sent(&self, number: usize) -> Vec<Micros> {
+        let mut calls = Vec::new();
+        for record in &self.evidence.clients {
+            if let ClientObservation::Sent { controller, .. } = record.what
                 && controller == number
-                && lived(record.at)
+                && self.ran(number, record.at)
             {
                 calls.push(record.at);
             }
         }
         calls.sort_unstable();
-        for (n, (at, left)) in orders.iter().enumerate() {
-            // Only orders that must have left within a window count; calls sent a little earlier do as well.
-            let from = at.saturating_sub(figures.ration_window);
-            let window = orders[..n].iter().filter(|(_, left)| *left > from).count() + 1;
-            let since = left.saturating_sub(figures.ration_window);
-            let taken = calls.iter().filter(|c| **c >= since && **c <= *at).count();
-            let most = figures.ration_floor + figures.ration_share * taken as f64;
-            if window as f64 > most {
-                let what = format!(
-                    "controller {}: {window} load orders in the window, {most:.1} permitted by {taken} calls",
-                    number
-                );
-                found.push(Breach { rule: 5, at: *at, call: None, what });
-            }
-        }
+        calls
     }
 }
--- a/crates/scenario/src/client.rs
+++ b/crates/scenario/src/client.rs
@@ -1,4 +1,4 @@
-//! Clients of the protocol: calls over sockets, answers as they come. For the day, for load and for people.
+//! A client of the Open Inference Protocol: calls over sockets, and their answers as events.
 
 use std::collections::HashMap;
 use std::io;
@@ -11,9 +11,9 @@
 use nettleferry_net::{ConnKey, Hub, NetEvent, NetLimits, StreamError, StreamKey};
 use nettleferry_proto::inference::SERVICE;
 
-/// What a client hears of an RPC, by the number it was given.
+/// What happens to an RPC, by its number.
 #[derive(Clone, Debug)]
-pub enum Heard {
+pub enum ClientEvent {
     /// A message.
     Message {
         /// The RPC.
@@ -32,14 +32,14 @@
     },
 }
 
-/// What to call.
+/// One RPC to open.
 #[derive(Clone, Debug, Default)]
-pub struct Ask {
+pub struct ClientRequest {
     /// The method's name.
     pub method: &'static str,
     /// Messages to send.
     pub messages: Vec<Bytes>,
-    /// The client sends more later: see [`Client::more`].
+    /// The client sends further messages later: see [`Client::more`].
     pub keep_open: bool,
     /// `grpc-timeout`.
     pub timeout: Option<Duration>,
@@ -47,12 +47,27 @@
     pub headers: Vec<(String, String)>,
 }
 
-/// A client with its connections: `width` to each address, used in turn.
+/// Connections to one address.
+#[derive(Default)]
+struct Connections {
+    keys: Vec<ConnKey>,
+    /// Counts calls: the next connection in turn.
+    next: usize,
+}
+
+/// An open RPC.
+struct Rpc {
+    number: u64,
+    /// The HTTP status was not 200.
+    wrong_status: bool,
+}
+
+/// A client with `width` connections to each address, used in turn.
 pub struct Client {
     hub: Hub,
     width: usize,
-    conns: HashMap<SocketAddr, (Vec<ConnKey>, usize)>,
-    rpcs: HashMap<StreamKey, (u64, bool)>,
+    connections: HashMap<SocketAddr, Connections>,
+    rpcs: HashMap<StreamKey, Rpc>,
     streams: HashMap<u64, StreamKey>,
     next: u64,
     events: Vec<NetEvent>,
@@ -64,7 +79,7 @@
         Ok(Self {
             hub: Hub::new(limits)?,
             width: width.max(1),
-            conns: HashMap::new(),
+            connections: HashMap::new(),
             rpcs: HashMap::new(),
             streams: HashMap::new(),
             next: 0,
@@ -77,47 +92,59 @@
         self.rpcs.len()
     }
 
-    /// Begins an RPC; its end is heard of, whatever happens.
-    pub fn call(&mut self, to: SocketAddr, ask: Ask) -> io::Result<u64> {
-        let (conns, turn) = self.conns.entry(to).or_default();
-        if conns.len() < self.width {
-            conns.push(self.hub.connect(to)?);
-        }
-        *turn += 1;
-        let at = *turn % conns.len();
-        let mut request = Request::post(format!("http://{to}{SERVICE}{}", ask.method))
+    /// Opens an RPC and gives its number. It ends with one [`ClientEvent::End`], unless it is cancelled.
+    ///
+    /// # Errors
+    /// The system refuses a socket, or a header is not valid.
+    pub fn call(&mut self, to: SocketAddr, request: ClientRequest) -> io::Result<u64> {
+        self.prepare_connection(to)?;
+        let mut head = Request::post(format!("http://{to}{SERVICE}{}", request.method))
             .header("content-type", "application/grpc")
             .header("te", "trailers");
-        if let Some(span) = ask.timeout {
-            request = request.header("grpc-timeout", write_timeout(span));
+        if let Some(timeout) = request.timeout {
+            head = head.header("grpc-timeout", write_timeout(timeout));
         }
-        for (name, value) in &ask.headers {
-            request = request.header(name, value);
+        for (name, value) in &request.headers {
+            head = head.header(name, value);
         }
-        let build = || request.body(()).map_err(|e| io::Error::new(io::ErrorKind::InvalidInput, e));
-        let request = build()?;
-        let stream = match self.hub.open(conns[at], request.clone()) {
-            Some(stream) => stream,
-            None => {
-                conns[at] = self.hub.connect(to)?;
-                self.hub
-                    .open(conns[at], request)
-                    .ok_or_else(|| io::Error::other("a new connection is gone"))?
-            }
-        };
+        let head = head.body(()).map_err(|error| io::Error::new(io::ErrorKind::InvalidInput, error))?;
+        let stream = self.open_stream(to, head)?;
         self.next += 1;
         let rpc = self.next;
-        self.rpcs.insert(stream, (rpc, false));
+        self.rpcs.insert(stream, Rpc { number: rpc, wrong_status: false });
         self.streams.insert(rpc, stream);
-        for message in ask.messages {
+        for message in request.messages {
             self.hub.send(stream, message);
         }
-        if !ask.keep_open {
+        if !request.keep_open {
             self.hub.finish(stream, None);
         }
         Ok(rpc)
     }
 
+    /// Opens a connection where there are fewer than `width`, and chooses the next one.
+    fn prepare_connection(&mut self, to: SocketAddr) -> io::Result<()> {
+        let connections = self.connections.entry(to).or_default();
+        if connections.keys.len() < self.width {
+            connections.keys.push(self.hub.connect(to)?);
+        }
+        connections.next += 1;
+        Ok(())
+    }
+
+    /// Opens a stream on the chosen connection; a connection that is gone is replaced.
+    fn open_stream(&mut self, to: SocketAddr, head: Request<()>) -> io::Result<StreamKey> {
+        let connections = self.connections.entry(to).or_default();
+        let index = connections.next % connections.keys.len().max(1);
+        let connection = &mut connections.keys[index];
+        if let Some(stream) = self.hub.open(*connection, head.clone()) {
+            return Ok(stream);
+        }
+        *connection = self.hub.connect(to)?;
+        let opened = self.hub.open(*connection, head);
+        opened.ok_or_else(|| io::Error::other("a new connection is gone"))
+    }
+
     /// Sends a further message on an RPC that was kept open.
     pub fn more(&mut self, rpc: u64, message: Bytes) {
         if let Some(stream) = self.streams.get(&rpc) {
@@ -139,7 +166,7 @@
         }
     }
 
-    /// Cancels an RPC: nothing more is heard of it.
+    /// Cancels an RPC: it has no further event.
     pub fn cancel(&mut self, rpc: u64) {
         if let Some(stream) = self.streams.remove(&rpc) {
             self.rpcs.remove(&stream);
@@ -147,7 +174,7 @@
         }
     }
 
-    /// Reads nothing more of an RPC, or reads on.
+    /// Stops reading from an RPC, or resumes.
     pub fn read(&mut self, rpc: u64, on: bool) {
         let Some(stream) = self.streams.get(&rpc) else { return };
         if on {
@@ -157,52 +184,55 @@
         }
     }
 
-    /// Another thread's handle to end [`Client::turn`]'s wait.
+    /// By this another thread ends the wait of [`Client::poll`].
     pub fn waker(&self) -> std::sync::Arc<mio::Waker> {
         self.hub.waker()
     }
 
-    /// One round.
-    pub fn turn(&mut self, wait: Option<Duration>, heard: &mut Vec<Heard>) -> io::Result<()> {
+    /// Waits for events, `wait` at the most, and appends them.
+    pub fn poll(&mut self, wait: Option<Duration>, out: &mut Vec<ClientEvent>) -> io::Result<()> {
         let mut events = std::mem::take(&mut self.events);
         self.hub.turn(wait, &mut events)?;
         for event in events.drain(..) {
-            self.event(event, heard);
+            self.event(event, out);
         }
         self.events = events;
         Ok(())
     }
 
-    fn event(&mut self, event: NetEvent, heard: &mut Vec<Heard>) {
+    fn event(&mut self, event: NetEvent, out: &mut Vec<ClientEvent>) {
         match event {
             NetEvent::Message { stream, payload } => {
-                if let Some((rpc, _)) = self.rpcs.get(&stream) {
-                    heard.push(Heard::Message { rpc: *rpc, payload });
+                if let Some(rpc) = self.rpcs.get(&stream) {
+                    out.push(ClientEvent::Message { rpc: rpc.number, payload });
                 }
             }
             NetEvent::Head { stream, head } if head.status != http::StatusCode::OK => {
                 if let Some(rpc) = self.rpcs.get_mut(&stream) {
-                    rpc.1 = true;
+                    rpc.wrong_status = true;
                 }
             }
             NetEvent::Trailers { stream, trailers } => {
-                if let Some((rpc, odd)) = self.rpcs.remove(&stream) {
+                if let Some(Rpc { number: rpc, wrong_status }) = self.rpcs.remove(&stream) {
                     self.streams.remove(&rpc);
-                    let none =
-                        if odd { "the answer is no gRPC: another HTTP status" } else { "no status came" };
+                    let none = if wrong_status {
+                        "the answer is no gRPC: another HTTP status"
+                    } else {
+                        "no status came"
+                    };
                     let status = Status::read(&trailers).unwrap_or_else(|| Status::new(Code::Unknown, none));
-                    heard.push(Heard::End { rpc, status: Ok(status), trailers });
+                    out.push(ClientEvent::End { rpc, status: Ok(status), trailers });
                 }
             }
             NetEvent::Failed { stream, why } => {
-                if let Some((rpc, _)) = self.rpcs.remove(&stream) {
+                if let Some(Rpc { number: rpc, .. }) = self.rpcs.remove(&stream) {
                     self.streams.remove(&rpc);
-                    heard.push(Heard::End { rpc, status: Err(why), trailers: HeaderMap::new() });
+                    out.push(ClientEvent::End { rpc, status: Err(why), trailers: HeaderMap::new() });
                 }
             }
             NetEvent::Closed { conn, .. } => {
-                for (conns, _) in self.conns.values_mut() {
-                    conns.retain(|c| *c != conn);
+                for connections in self.connections.values_mut() {
+                    connections.keys.retain(|key| *key != conn);
                 }
             }
             _ => {}
--- a/crates/scenario/src/evidence.rs
+++ b/crates/scenario/src/evidence.rs
@@ -1,5 +1,5 @@
-//! What was seen at the sockets of a day: by clients, by stand-ins, and what the day itself did. The
-//! controllers' own records are not among it.
+//! What was seen at the sockets of a run: by clients, by test workers, and what the run itself did. The controllers' own
+//! records are not among it.
 
 use std::collections::BTreeMap;
 
@@ -14,27 +14,27 @@
     /// The call.
     pub id: String,
     /// What.
-    pub what: ClientSaw,
+    pub what: ClientObservation,
 }
 
 /// What a client did or saw.
 #[derive(Clone, Debug, PartialEq)]
-pub enum ClientSaw {
+pub enum ClientObservation {
     /// It sent the call.
     Sent {
         /// To this controller.
         controller: usize,
         /// For this model.
         model: String,
-        /// It gives up then.
+        /// When it gives up.
         deadline: Micros,
-        /// What a repeat may do.
+        /// Whether a retry may repeat its effect.
         effect: Effect,
         /// Its class.
         class: String,
-        /// An answer within this span has its full worth.
-        aim: Micros,
-        /// The client reads slowly: when it has its answer says nothing of when it was given.
+        /// The time in which its class wants its answer.
+        latency_objective: Micros,
+        /// The client reads slowly: the time at which it has its answer is not the time at which it was sent.
         slow: bool,
     },
     /// A part of the answer.
@@ -43,7 +43,7 @@
     Final(Final),
     /// It cancelled.
     Cancelled,
-    /// Its connection broke, or none came about.
+    /// Its connection broke, or none could be opened.
     Lost,
 }
 
@@ -52,46 +52,74 @@
 pub enum Final {
     /// OK.
     Served,
-    /// UNAVAILABLE with leave to try again.
+    /// UNAVAILABLE, with the permission to retry.
     Refused,
     /// Any other status.
     Failed,
 }
 
-/// A controller's life.
+/// One incarnation of a controller: one run of its process.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Life {
+pub struct ControllerRun {
     /// Which.
     pub controller: usize,
     /// Its zone.
     pub zone: String,
-    /// It listened from then on.
+    /// When it began to listen.
     pub from: Micros,
-    /// It was told to end then (SIGTERM): it owes answers to what it had taken.
+    /// When it got SIGTERM: it still answers the calls that it had accepted.
     pub ending: Option<Micros>,
-    /// Its process was gone then.
+    /// When its process had ended.
     pub to: Option<Micros>,
 }
 
-/// A span in which something held.
+/// A time interval; both ends belong to it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct During {
+pub struct Interval {
     /// From.
     pub from: Micros,
     /// To.
     pub to: Micros,
 }
 
-impl During {
-    /// Do they touch?
-    pub fn meets(&self, from: Micros, to: Micros) -> bool {
+impl Interval {
+    /// Whether it touches the interval from `from` to `to`.
+    pub fn overlaps(&self, from: Micros, to: Micros) -> bool {
         self.from <= to && from <= self.to
     }
 }
 
-/// A line of the list, as written for a zone's controllers.
+/// A controller that did not run for a while.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Told {
+pub struct Stall {
+    /// The controller.
+    pub controller: usize,
+    /// When.
+    pub interval: Interval,
+}
+
+/// Links between a worker and a zone's controllers that were cut.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Cut {
+    /// The worker.
+    pub worker: String,
+    /// The zone of the controllers.
+    pub zone: String,
+    /// When.
+    pub interval: Interval,
+}
+
+/// A worker's address, or one connection to it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct Link<'a> {
+    worker: &'a str,
+    door: usize,
+    conn: Option<u64>,
+}
+
+/// A change of a worker's line in the worker list.
+#[derive(Clone, Debug, PartialEq)]
+pub struct ListedWorker {
     /// When the file was written.
     pub at: Micros,
     /// The worker.
@@ -100,71 +128,71 @@
     pub state: WorkerState,
 }
 
-/// The figures of the rules, as the controllers are told them.
+/// The parameters of the rules, as the controllers have them in their settings.
 #[derive(Clone, Debug, Default)]
-pub struct Figures {
-    /// Nothing new so long after word of a drain.
+pub struct RuleParameters {
+    /// A worker gets nothing new when this has passed since the list said that it drains.
     pub drain_grace: Micros,
-    /// How long a list file may stand unread.
+    /// How often controllers read the list.
     pub list_check: Micros,
-    /// Span of the ration of load orders; 0: none.
+    /// The window of the limit on load orders; 0: no limit.
     pub ration_window: Micros,
-    /// Orders free in it.
+    /// Load orders that are always permitted in it.
     pub ration_floor: f64,
-    /// Further orders per call.
+    /// Further load orders for each call.
     pub ration_share: f64,
 }
 
-/// A worker's place.
+/// Where a worker is.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Place {
+pub struct Location {
     /// Its zone.
     pub zone: String,
     /// Its cell.
     pub cell: String,
 }
 
-/// All of it.
+/// All that was seen.
 #[derive(Clone, Debug, Default)]
 pub struct Evidence {
     /// By clients.
     pub clients: Vec<ClientRecord>,
     /// By workers.
     pub workers: Vec<Record>,
-    /// List lines as they changed.
-    pub told: Vec<Told>,
-    /// Controllers' lives.
-    pub lives: Vec<Life>,
-    /// Spans in which a controller stood still.
-    pub stalls: Vec<(usize, During)>,
-    /// Spans in which a worker's sockets for a zone were cut, as its own thread saw them: [`cuts`].
-    pub cuts: Vec<(String, String, During)>,
-    /// Figures.
-    pub figures: Figures,
+    /// Changes of the worker list.
+    pub listed: Vec<ListedWorker>,
+    /// Controllers' controller_runs.
+    pub controller_runs: Vec<ControllerRun>,
+    /// When controllers were stopped by SIGSTOP.
+    pub stalls: Vec<Stall>,
+    /// When links were cut, as the workers' own threads saw it: [`cuts`].
+    pub cuts: Vec<Cut>,
+    /// Parameters of the rules.
+    pub parameters: RuleParameters,
     /// Where workers are.
-    pub places: BTreeMap<String, Place>,
-    /// Everything was over.
+    pub locations: BTreeMap<String, Location>,
+    /// When the run was over.
     pub until: Micros,
 }
 
-/// Spans in which workers' doors, or connections at them, were cut; `zones` has the zone of each door.
-pub fn cuts(workers: &[Record], zones: &[String]) -> Vec<(String, String, During)> {
-    let mut open: BTreeMap<(&str, usize, Option<u64>), Micros> = BTreeMap::new();
+/// Intervals in which workers' addresses, or connections to them, were cut; `zones` has the zone of each address.
+pub fn cuts(workers: &[Record], zones: &[String]) -> Vec<Cut> {
+    let mut open: BTreeMap<Link, Micros> = BTreeMap::new();
     let mut cuts = Vec::new();
     let mut add = |worker: &str, door: usize, from, to| {
         let zone = zones.get(door).cloned().unwrap_or_default();
-        cuts.push((worker.to_owned(), zone, During { from, to }));
+        cuts.push(Cut { worker: worker.to_owned(), zone, interval: Interval { from, to } });
     };
     for record in workers {
         let Seen::Link { door, conn, cut } = record.seen else { continue };
-        let link = (record.worker.as_str(), door, conn);
+        let link = Link { worker: &record.worker, door, conn };
         if cut {
             open.entry(link).or_insert(record.at);
         } else if let Some(from) = open.remove(&link) {
             add(&record.worker, door, from, record.at);
         }
     }
-    for ((worker, door, _), from) in open {
+    for (Link { worker, door, .. }, from) in open {
         add(worker, door, from, Micros::MAX);
     }
     cuts
--- a/crates/scenario/src/fleet.rs
+++ b/crates/scenario/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The day's controllers as processes, and the list files that it writes for them.
+//! Controllers as processes, and the worker lists that a run writes for them.
 
 use std::fs::File;
 use std::io::{self, BufRead, BufReader};
@@ -12,7 +12,7 @@
 use nettleferry_config::{Worker, workers};
 use rustix::process::{Pid, Signal, kill_process};
 
-use crate::evidence::Told;
+use crate::evidence::ListedWorker;
 
 /// How long a controller may take to listen.
 const START_LIMIT: Duration = Duration::from_secs(20);
@@ -23,7 +23,7 @@
     pub number: usize,
     /// Its zone.
     pub zone: String,
-    /// Where it listens: the same in every life.
+    /// Where it listens: the same in every incarnation.
     pub address: Option<SocketAddr>,
     settings: PathBuf,
     log: PathBuf,
@@ -32,12 +32,15 @@
 }
 
 impl Controller {
-    /// A controller that is not started. It logs to `log`, as `level` says.
+    /// A controller that is not started. It appends to the file `log`, filtered by `level`.
     pub fn new(number: usize, zone: String, settings: PathBuf, log: PathBuf, level: String) -> Self {
         Self { number, zone, address: None, settings, log, level, child: None }
     }
 
     /// Starts its process; it listens when this returns.
+    ///
+    /// # Errors
+    /// The process can't be started, or does not listen in time.
     pub fn start(&mut self, program: &Path) -> io::Result<()> {
         let log = File::options().create(true).append(true).open(&self.log)?;
         let mut command = Command::new(program);
@@ -47,13 +50,13 @@
         }
         let mut child = command.stdin(Stdio::null()).stdout(Stdio::piped()).stderr(log).spawn()?;
         let out = child.stdout.take().ok_or_else(|| io::Error::other("no standard output"))?;
-        let (said, says) = channel();
+        let (sender, lines) = channel();
         std::thread::spawn(move || {
             for line in BufReader::new(out).lines().map_while(Result::ok) {
-                let _ = said.send(line);
+                let _ = sender.send(line);
             }
         });
-        let first = says.recv_timeout(START_LIMIT);
+        let first = lines.recv_timeout(START_LIMIT);
         let address = first.ok().and_then(|l| l.strip_prefix("listening grpc ").and_then(|a| a.parse().ok()));
         self.child = Some(child);
         match address {
@@ -73,7 +76,7 @@
         }
     }
 
-    /// Does its process run?
+    /// Whether its process runs.
     pub fn runs(&self) -> bool {
         self.child.is_some()
     }
@@ -85,12 +88,12 @@
         }
     }
 
-    /// Stands still, or goes on.
-    pub fn stall(&self, still: bool) {
-        self.signal(if still { Signal::STOP } else { Signal::CONT });
+    /// Stops its process (SIGSTOP), or continues it.
+    pub fn stall(&self, stalled: bool) {
+        self.signal(if stalled { Signal::STOP } else { Signal::CONT });
     }
 
-    /// Kills it outright.
+    /// Kills its process.
     pub fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
             let _ = child.kill();
@@ -98,7 +101,7 @@
         }
     }
 
-    /// Tells it to end.
+    /// Sends SIGTERM.
     pub fn terminate(&self) {
         self.signal(Signal::TERM);
     }
@@ -122,7 +125,7 @@
         }
     }
 
-    /// Has it ended by itself? Its exit code.
+    /// The exit code of a process that has ended by itself; the inner `None`: a signal ended it.
     pub fn ended(&mut self) -> Option<Option<i32>> {
         let status = self.child.as_mut()?.try_wait().ok()??;
         self.child = None;
@@ -132,28 +135,35 @@
 
 impl Drop for Controller {
     fn drop(&mut self) {
-        // One that stands still must go on to be killed; killing does both.
+        // Also a stopped process ends by SIGKILL.
         self.kill();
     }
 }
 
-/// The list files, one for each zone of controllers, and what they told.
+/// A worker's line of the list.
+pub struct WorkerLine {
+    /// Its addresses: one for each zone of controllers.
+    pub addresses: Vec<SocketAddr>,
+    /// The line; its address is replaced by that of the list's zone.
+    pub worker: Worker,
+}
+
+/// The worker lists, one file for each zone of controllers, and the changes that were written.
 pub struct Lists {
     dir: PathBuf,
-    /// Zones of controllers, in the order of doors.
+    /// Zones of controllers, in the order of the workers' addresses.
     pub zones: Vec<String>,
-    /// Doors of each worker, in the same order, and its line.
-    lines: Vec<(Vec<SocketAddr>, Worker)>,
-    /// Not written until then.
+    lines: Vec<WorkerLine>,
+    /// Nothing is written while this is set.
     pub stale: bool,
-    /// What was told.
-    pub told: Vec<Told>,
+    /// The changes.
+    pub listed: Vec<ListedWorker>,
 }
 
 impl Lists {
     /// Lists of workers that are all on.
-    pub fn new(dir: PathBuf, zones: Vec<String>, lines: Vec<(Vec<SocketAddr>, Worker)>) -> Self {
-        Self { dir, zones, lines, stale: false, told: Vec::new() }
+    pub fn new(dir: PathBuf, zones: Vec<String>, lines: Vec<WorkerLine>) -> Self {
+        Self { dir, zones, lines, stale: false, listed: Vec::new() }
     }
 
     /// The file of a zone's controllers.
@@ -161,11 +171,12 @@
         format!("workers-{zone}.sexp")
     }
 
-    /// Changes a worker's line; it is told when written.
+    /// Changes a worker's line; [`Lists::write`] writes it.
     pub fn change(&mut self, name: &str, state: WorkerState, born: Option<Micros>) {
-        if let Some((_, line)) = self.lines.iter_mut().find(|(_, w)| w.name == name) {
-            line.state = state;
-            line.born = born.or(line.born);
+        let mut workers = self.lines.iter_mut().map(|line| &mut line.worker);
+        if let Some(worker) = workers.find(|worker| worker.name == name) {
+            worker.state = state;
+            worker.born = born.or(worker.born);
         }
     }
 
@@ -174,18 +185,22 @@
         if self.stale {
             return Ok(());
         }
-        for (door, zone) in self.zones.iter().enumerate() {
-            let list: Vec<Worker> =
-                self.lines.iter().map(|(doors, w)| Worker { address: doors[door], ..w.clone() }).collect();
+        for (index, zone) in self.zones.iter().enumerate() {
+            let list: Vec<Worker> = self
+                .lines
+                .iter()
+                .map(|line| Worker { address: line.addresses[index], ..line.worker.clone() })
+                .collect();
             let path = self.dir.join(Self::file(zone));
-            let beside = path.with_extension("new");
-            std::fs::write(&beside, workers::write(&list))?;
-            std::fs::rename(&beside, &path)?;
+            let temporary = path.with_extension("new");
+            std::fs::write(&temporary, workers::write(&list))?;
+            std::fs::rename(&temporary, &path)?;
         }
-        for (_, w) in &self.lines {
-            let last = self.told.iter().rev().find(|t| t.worker == w.name).map(|t| t.state);
-            if last != Some(w.state) {
-                self.told.push(Told { at: now, worker: w.name.clone(), state: w.state });
+        for WorkerLine { worker, .. } in &self.lines {
+            let last = self.listed.iter().rev().find(|listed| listed.worker == worker.name);
+            if last.map(|listed| listed.state) != Some(worker.state) {
+                let (worker, state) = (worker.name.clone(), worker.state);
+                self.listed.push(ListedWorker { at: now, worker, state });
             }
         }
         Ok(())
--- a/crates/scenario/src/lib.rs
+++ b/crates/scenario/src/lib.rs
@@ -1,12 +1,14 @@
-//! Scripted days and the audit of the five rules from the bytes at the sockets.
+//! Scripted scenarios of faults against controller processes, and the audit of the five rules from the bytes at the
+//! sockets.
 //!
-//! May know: the wire, the stand-ins, the settings' text. Must not know: the gateway's insides; a controller is
-//! a process with an address.
-
-//! * [`script`]: a day as text. [`run`]: plays it. [`fleet`]: controllers and list files. [`traffic`]: clients.
-//! * [`evidence`]: what was seen. [`audit`]: the rules, judged from it. [`report`]: what it came to.
-//!   [`story`]: it as lines for people. [`alerting`]: what the rules of a receiver did.
-//! * [`client`]: a client of the protocol, also for load and for people.
+//! It knows the wire, the test servers and the text of settings. It knows nothing of the gateway's insides: a controller
+//! is a process with an address.
+//!
+//! * [`script`]: a scenario as text. [`run`]: runs it; `setup` starts its parts, `timeline` orders its faults.
+//! * [`fleet`]: controller processes and worker lists. [`traffic`]: clients.
+//! * [`evidence`]: what was seen. [`audit`]: the rules, judged from it. [`report`]: sums. [`story`]: all of it as lines.
+//! * [`alerting`]: which alert rules fired at a remote-write receiver.
+//! * [`client`]: a client of the protocol, also for measurements and the command line.
 
 #![forbid(unsafe_code)]
 
@@ -14,10 +16,13 @@
 mod attempts;
 pub mod audit;
 pub mod client;
+mod error;
 pub mod evidence;
 pub mod fleet;
 pub mod report;
 pub mod run;
 pub mod script;
+mod setup;
 pub mod story;
+mod timeline;
 pub mod traffic;
--- a/crates/scenario/src/report.rs
+++ b/crates/scenario/src/report.rs
@@ -1,4 +1,4 @@
-//! What a day came to, in lines for people.
+//! Sums over a run, in lines for people.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -7,7 +7,10 @@
 use nettleferry::Micros;
 use nettleferry_test_servers::Seen;
 
-use crate::evidence::{ClientSaw, Evidence, Final};
+use crate::evidence::{ClientObservation, Evidence, Final};
+
+/// Latencies above this are counted as this.
+const MAX_LATENCY: Micros = 600_000_000;
 
 #[derive(Default)]
 struct Class {
@@ -21,44 +24,56 @@
     latencies: Vec<Micros>,
 }
 
-/// Calls by class, attempts, orders and workers' fates.
-pub fn summary(evidence: &Evidence) -> String {
-    let mut calls: BTreeMap<&str, (&str, Micros, Micros)> = BTreeMap::new();
+/// A call whose end is awaited.
+struct SentCall<'a> {
+    class: &'a str,
+    at: Micros,
+    latency_objective: Micros,
+}
+
+fn classes(evidence: &Evidence) -> BTreeMap<&str, Class> {
+    let mut calls: BTreeMap<&str, SentCall> = BTreeMap::new();
     let mut classes: BTreeMap<&str, Class> = BTreeMap::new();
     for record in &evidence.clients {
-        if let ClientSaw::Sent { class, aim, .. } = &record.what {
-            calls.insert(&record.id, (class, record.at, *aim));
+        if let ClientObservation::Sent { class, latency_objective, .. } = &record.what {
+            let latency_objective = *latency_objective;
+            calls.insert(&record.id, SentCall { class, at: record.at, latency_objective });
             classes.entry(class).or_default().sent += 1;
             continue;
         }
-        let Some((class, sent, aim)) = calls.get(record.id.as_str()) else { continue };
-        let class = classes.entry(class).or_default();
-        let took = record.at.saturating_sub(*sent);
+        let Some(call) = calls.get(record.id.as_str()) else { continue };
+        let class = classes.entry(call.class).or_default();
+        let latency = record.at.saturating_sub(call.at);
         match record.what {
-            ClientSaw::Final(Final::Served) => {
-                class.latencies.push(took);
-                if took <= *aim { class.in_time += 1 } else { class.late += 1 }
+            ClientObservation::Final(Final::Served) => {
+                class.latencies.push(latency);
+                if latency <= call.latency_objective { class.in_time += 1 } else { class.late += 1 }
             }
-            ClientSaw::Final(Final::Refused) => class.refused += 1,
-            ClientSaw::Final(Final::Failed) => class.failed += 1,
-            ClientSaw::Cancelled => class.cancelled += 1,
-            ClientSaw::Lost => class.lost += 1,
-            ClientSaw::Part | ClientSaw::Sent { .. } => {}
+            ClientObservation::Final(Final::Refused) => class.refused += 1,
+            ClientObservation::Final(Final::Failed) => class.failed += 1,
+            ClientObservation::Cancelled => class.cancelled += 1,
+            ClientObservation::Lost => class.lost += 1,
+            ClientObservation::Part | ClientObservation::Sent { .. } => {}
         }
     }
+    classes
+}
+
+/// Calls by class; attempts, load orders, probes and deaths of workers.
+pub fn summary(evidence: &Evidence) -> String {
     let mut out = String::new();
-    for (name, class) in classes {
+    for (name, class) in classes(evidence) {
         let _ = write!(
             out,
             "class {name}: {} sent, {} served in time, {} late, {} refused, {} failed, {} cancelled, {} lost with a controller",
             class.sent, class.in_time, class.late, class.refused, class.failed, class.cancelled, class.lost
         );
-        if let Ok(mut histogram) = Histogram::<u64>::new_with_bounds(1, 600_000_000, 3) {
-            for took in class.latencies {
-                histogram.saturating_record(took);
+        if let Ok(mut histogram) = Histogram::<u64>::new_with_bounds(1, MAX_LATENCY, 3) {
+            for latency in class.latencies {
+                histogram.saturating_record(latency);
             }
-            let at = |q| histogram.value_at_quantile(q) as f64 / 1e3;
-            let _ = write!(out, "; p50 {:.0} ms, p99 {:.0} ms", at(0.5), at(0.99));
+            let ms = |quantile| histogram.value_at_quantile(quantile) as f64 / 1e3;
+            let _ = write!(out, "; p50 {:.0} ms, p99 {:.0} ms", ms(0.5), ms(0.99));
         }
         out.push('\n');
     }
--- a/crates/scenario/src/run.rs
+++ b/crates/scenario/src/run.rs
@@ -1,478 +1,296 @@
-//! Runs a day: stand-ins in threads, controllers as processes, clients in a thread, troubles by the clock.
+//! Runs a scenario: test workers in threads, controllers as processes, clients in a thread, faults by the clock.
 
 use std::collections::BTreeMap;
-use std::io;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::sync::mpsc::{Sender, channel};
 use std::sync::{Arc, Mutex, PoisonError};
-use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
+use std::time::{Duration, Instant};
 
-use nettleferry::{Micros, WorkerState};
-use nettleferry_config::{Worker, settings};
-use nettleferry_test_servers::receiver::{Mode, Receiver};
-use nettleferry_test_servers::{Fault, Handle, Options, Store, spawn};
+use nettleferry::Micros;
+use nettleferry_config::Config;
+use nettleferry_test_servers::receiver::Receiver;
+use nettleferry_test_servers::{Fault, Handle, Record, Store};
 
 use crate::alerting;
-use crate::evidence::{self, During, Evidence, Figures, Life, Place};
+use crate::error::system;
+use crate::evidence::{
+    self, ClientRecord, ControllerRun, Evidence, Interval, Location, RuleParameters, Stall,
+};
 use crate::fleet::{Controller, Lists};
-use crate::script::{Kind, Script, Trouble, Watch};
-use crate::traffic::{self, Addresses, Tell};
+use crate::script::{FaultKind, Script, ScriptedFault};
+use crate::setup::{self, WorkerContext, unix_time};
+use crate::timeline::{Action, Timeline};
+use crate::traffic::{self, Addresses, ClientCommand};
 
-/// Why a day could not be played.
-#[derive(Debug, thiserror::Error)]
-pub enum DayError {
-    /// The settings in it are not sound.
-    #[error("the day's (settings ...) with what the day fills in: {0}")]
-    Settings(nettleferry_config::Errors),
-    /// The receiver's rule file is not sound.
-    #[error("the day's rules: {0}")]
-    Rules(#[from] nettleferry_alerts::rules::RuleError),
-    /// The system refused something.
-    #[error("{what}: {source}")]
-    System {
-        /// What was tried.
-        what: &'static str,
-        /// Why.
-        source: io::Error,
-    },
-    /// The clients' thread ended.
-    #[error("the clients failed")]
-    Clients,
-}
+pub use crate::error::ScenarioError;
 
-fn system(what: &'static str) -> impl FnOnce(io::Error) -> DayError {
-    move |source| DayError::System { what, source }
-}
+/// How long after the traffic's end controllers may take to end.
+const END_LIMIT: Duration = Duration::from_secs(20);
+/// A listening address of a controller that starts again may be taken for a moment: so many attempts, so far apart.
+const START_ATTEMPTS: u32 = 50;
+const START_PAUSE: Duration = Duration::from_millis(100);
+/// How often the clock is read.
+const TICK: Duration = Duration::from_millis(2);
+/// When a start is tried again that found its earlier process still running.
+const RESTART_PAUSE: Micros = 50_000;
 
-/// What came of a day.
+/// What a run gave.
 pub struct Played {
     /// What was seen.
     pub evidence: Evidence,
-    /// Controllers that ended otherwise than told.
+    /// Controllers that ended otherwise than they were told to.
     pub odd_ends: Vec<String>,
-    /// What the receiver saw, where the day has one.
-    pub alerts: Option<alerting::Seen>,
+    /// What the receiver saw, where the scenario has one.
+    pub alerts: Option<alerting::ReceiverReport>,
 }
 
-/// One thing to do at a time.
-#[derive(Clone, Debug)]
-enum Act {
-    Fault(String, Fault),
-    List(String, WorkerState, bool),
-    Stale(bool),
-    Kill(usize),
-    Terminate(usize),
-    Start(usize),
-    Stall(usize, bool),
-    Slowness(f64),
-    OneOff(f64, Micros),
-    CutZone(String, bool),
+/// Where a scenario runs.
+pub struct Stage<'a> {
+    /// The controllers' program.
+    pub program: &'a Path,
+    /// The folder of the run's files.
+    pub dir: &'a Path,
+    /// The folder from which files that the scenario names are found.
+    pub script_folder: &'a Path,
+    /// What the controllers log.
+    pub log: &'a str,
 }
 
-struct Day<'a> {
+/// A run in progress.
+struct Run<'a> {
     script: &'a Script,
     program: &'a Path,
     epoch: Instant,
     handles: Vec<Handle>,
-    places: BTreeMap<String, Place>,
+    locations: BTreeMap<String, Location>,
     lists: Lists,
     controllers: Vec<Controller>,
     addresses: Addresses,
     store: Arc<Mutex<Store>>,
-    clients: Sender<Tell>,
-    lives: Vec<Life>,
-    stalls: Vec<(usize, During)>,
+    clients: Sender<ClientCommand>,
+    controller_runs: Vec<ControllerRun>,
+    stalls: Vec<Stall>,
     odd_ends: Vec<String>,
-    acts: BTreeMap<(Micros, u64), Act>,
-    next: u64,
+    timeline: Timeline,
 }
 
-/// How long after the traffic's end controllers may take to end.
-const END_LIMIT: Duration = Duration::from_secs(20);
-/// A listening address of a worker or controller that comes back may be taken for a moment.
-const TRIES: u32 = 50;
-
-/// Where a day is played.
-pub struct Stage<'a> {
-    /// The controllers' program.
-    pub program: &'a Path,
-    /// Files of the day go there.
-    pub dir: &'a Path,
-    /// Files that the day names are seen from there.
-    pub beside: &'a Path,
-    /// What the controllers log.
-    pub log: &'a str,
-}
-
-/// A receiver with the rules of the day, where it has one.
-fn receiver(script: &Script, beside: &Path) -> Result<Option<Receiver>, DayError> {
-    let Some(watch) = &script.watch else { return Ok(None) };
-    let path = beside.join(&watch.rules);
-    let text = std::fs::read_to_string(&path).map_err(system("can't read the day's rule file"))?;
-    let rules = nettleferry_alerts::rules::read(&path.display().to_string(), &text)?;
-    let mut receiver = Receiver::start(Mode::Take).map_err(system("can't start a receiver"))?;
-    receiver.watch(rules, watch.speed).map_err(system("can't start a thread"))?;
-    Ok(Some(receiver))
+/// A folder for a run's files.
+pub fn folder() -> PathBuf {
+    std::env::temp_dir().join(format!("nettleferry-day-{}", std::process::id()))
 }
 
-/// Plays a day.
-pub fn play(script: &Script, stage: &Stage<'_>) -> Result<Played, DayError> {
-    let Stage { program, dir, beside, log } = *stage;
-    std::fs::create_dir_all(dir).map_err(system("can't make the day's folder"))?;
-    let receiver = receiver(script, beside)?;
+/// Runs a scenario.
+///
+/// # Errors
+/// The settings or alert rules in it are not valid, or the system refuses a file, a thread, a process or an address.
+pub fn play(script: &Script, stage: &Stage<'_>) -> Result<Played, ScenarioError> {
+    std::fs::create_dir_all(stage.dir).map_err(system("can't make the day's folder"))?;
+    let receiver = setup::start_receiver(script, stage.script_folder)?;
     let epoch = Instant::now();
-    let epoch_ms = i64::try_from(unix() / 1000).unwrap_or(0);
-    let mut zones: Vec<String> = Vec::new();
-    for zone in &script.controllers.1 {
-        if !zones.contains(zone) {
-            zones.push(zone.clone());
-        }
-    }
-    let store = Arc::new(Mutex::new(Store::new(script.store.0, script.store.1)));
-    let (records, seen) = channel();
-    let (mut handles, mut lines, mut places) = (Vec::new(), Vec::new(), BTreeMap::new());
-    for n in 0..script.workers.0 {
-        let zone = script.workers.1[n % script.workers.1.len()].clone();
-        let handle = spawn(Options {
-            name: format!("w{}", n + 1),
-            doors: vec![SocketAddr::from(([127, 0, 0, 1], 0)); zones.len()],
-            spec: script.spec.clone(),
-            store: Arc::clone(&store),
-            epoch,
-            records: Some(records.clone()),
-            cold: script.cold,
-            seed: script.seed.wrapping_add(n as u64),
-        })
-        .map_err(system("can't start a stand-in worker"))?;
-        let line = Worker {
-            name: handle.name.clone(),
-            address: handle.doors[0],
-            zone: zone.clone(),
-            kind: "stand-in".to_owned(),
-            weight: 1.0,
-            cell: handle.name.clone(),
-            state: WorkerState::On,
-            born: script.cold.then(unix),
-        };
-        places.insert(handle.name.clone(), Place { zone, cell: handle.name.clone() });
-        lines.push((handle.doors.clone(), line));
-        handles.push(handle);
-    }
-    drop(records);
-    let mut lists = Lists::new(dir.to_owned(), zones, lines);
+    let epoch_ms = i64::try_from(unix_time() / 1000).unwrap_or(0);
+    let zones = setup::distinct(&script.controllers.zones);
+    let store = Arc::new(Mutex::new(Store::new(script.store.at_speed, script.store.most)));
+    let (records, observed) = channel();
+    let context = WorkerContext { zones: zones.clone(), store: Arc::clone(&store), epoch, records };
+    let workers = setup::start_workers(script, context)?;
+    let mut lists = Lists::new(stage.dir.to_owned(), zones, workers.lines);
     lists.write(0).map_err(system("can't write the worker list"))?;
-    let mut controllers = Vec::new();
-    let mut config = None;
-    for n in 0..script.controllers.0 {
-        let zone = script.controllers.1[n % script.controllers.1.len()].clone();
-        let mut text = controller_settings(script, n, &zone);
-        if let (Some(watch), Some(receiver)) = (&script.watch, &receiver) {
-            text.push_str(&pushing(watch, receiver, n));
-        }
-        let name = format!("controller-{n}.sexp");
-        config = Some(settings::read(&name, &text).map_err(DayError::Settings)?);
-        let path = dir.join(name);
-        std::fs::write(&path, text).map_err(system("can't write a controller's settings"))?;
-        let told = dir.join(format!("controller-{n}.log"));
-        controllers.push(Controller::new(n, zone, path, told, log.to_owned()));
-    }
-    let config = config.ok_or(DayError::Clients)?;
-    let figures = Figures {
-        drain_grace: config.settings.rules.drain_grace,
-        list_check: config.workers_check,
-        ration_window: config.settings.loading.ration_window,
-        ration_floor: config.settings.loading.ration_floor,
-        ration_share: config.settings.loading.ration_share,
-    };
-    let addresses: Addresses = Arc::new(Mutex::new(vec![None; controllers.len()]));
-    let (clients, told) = channel();
-    let mut day = Day {
+    let prepared = setup::prepare_controllers(script, stage, receiver.as_ref())?;
+    let parameters = rule_parameters(&prepared.config);
+    let (clients, commands) = channel();
+    let mut run = Run {
         script,
-        program,
+        program: stage.program,
         epoch,
-        handles,
-        places,
+        handles: workers.handles,
+        locations: workers.locations,
         lists,
-        controllers,
-        addresses: Arc::clone(&addresses),
+        addresses: Arc::new(Mutex::new(vec![None; prepared.controllers.len()])),
+        controllers: prepared.controllers,
         store,
         clients,
-        lives: Vec::new(),
+        controller_runs: Vec::new(),
         stalls: Vec::new(),
         odd_ends: Vec::new(),
-        acts: BTreeMap::new(),
-        next: 0,
-    };
-    for n in 0..script.controllers.0 {
-        day.start(n)?;
-    }
-    let begin = day.now();
-    let until = begin + script.length;
-    let plan = traffic::Plan {
-        traffic: script.traffic.clone(),
-        config,
-        addresses,
-        epoch,
-        until,
-        seed: script.seed,
-        told,
+        timeline: Timeline::new(script.list_lag),
     };
-    let clients = std::thread::Builder::new().name("clients".to_owned()).spawn(move || traffic::run(plan));
-    let clients = clients.map_err(system("can't start a thread"))?;
-    for (at, trouble) in &script.troubles {
-        day.plan(begin + at, trouble);
-    }
-    while !clients.is_finished() || !day.acts.is_empty() {
-        day.act_due()?;
-        std::thread::sleep(Duration::from_millis(2));
-    }
-    let seen_by_clients =
-        clients.join().map_err(|_| DayError::Clients)?.map_err(system("the clients failed"))?;
-    day.stop_all();
-    let until = day.now();
-    let Day { handles, lives, stalls, odd_ends, lists, places, .. } = day;
-    for handle in handles {
-        handle.stop();
-    }
-    let workers: Vec<_> = seen.into_iter().collect();
-    let cuts = evidence::cuts(&workers, &lists.zones);
-    let told = lists.told;
-    let clients = seen_by_clients;
-    let evidence = Evidence { clients, workers, told, lives, stalls, cuts, figures, places, until };
-    let alerts = receiver.map(|receiver| {
-        let kept = receiver.kept();
-        let watch = kept.watch.as_ref();
-        let episodes = watch.map_or(&[][..], |w| w.episodes());
-        let mut faults = kept.faults.clone();
-        faults.extend(watch.into_iter().flat_map(|w| w.faults.iter().cloned()));
-        let alerts = episodes.iter().map(|e| alerting::Fired::new(e, epoch_ms)).collect();
-        alerting::Seen { alerts, faults, samples: kept.series.values().map(Vec::len).sum() }
-    });
+    let client_records = run.run_clients(prepared.config, commands)?;
+    run.stop_controllers();
+    let observed = observed.into_iter();
+    let (evidence, odd_ends) = run.finish(client_records, observed, parameters);
+    let alerts = receiver.map(|receiver| receiver_report(&receiver, epoch_ms));
     Ok(Played { evidence, odd_ends, alerts })
 }
 
-fn unix() -> Micros {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as Micros
-}
-
-/// Settings that push a controller's figures to the day's receiver.
-fn pushing(watch: &Watch, receiver: &Receiver, number: usize) -> String {
-    format!(
-        "(figures (push (to \"{}\") (every {}us) (batch-age 20ms) (spool \"spool-{number}\") (label instance \"c{number}\")))\n",
-        receiver.address, watch.every
-    )
+fn rule_parameters(config: &Config) -> RuleParameters {
+    RuleParameters {
+        drain_grace: config.settings.rules.drain_grace,
+        list_check: config.workers_check,
+        ration_window: config.settings.loading.ration_window,
+        ration_floor: config.settings.loading.ration_floor,
+        ration_share: config.settings.loading.ration_share,
+    }
 }
 
-fn controller_settings(script: &Script, number: usize, zone: &str) -> String {
-    format!(
-        "(listen (grpc \"127.0.0.1:0\"))\n(controller (number {number}) (of {}) (zone \"{zone}\") (seed {}))\n\
-         (workers (file \"{}\") (check-every 50ms) (kept \"kept-{number}.sexp\"))\n{}\n",
-        script.controllers.0,
-        script.seed.wrapping_add(number as u64) % (1 << 32),
-        Lists::file(zone),
-        script.settings,
-    )
+fn receiver_report(receiver: &Receiver, epoch_ms: i64) -> alerting::ReceiverReport {
+    let data = receiver.kept();
+    let watch = data.watch.as_ref();
+    let episodes = watch.map_or(&[][..], |watch| watch.episodes());
+    let mut faults = data.faults.clone();
+    faults.extend(watch.into_iter().flat_map(|watch| watch.faults.iter().cloned()));
+    let alerts = episodes.iter().map(|episode| alerting::Fired::new(episode, epoch_ms)).collect();
+    alerting::ReceiverReport { alerts, faults, samples: data.series.values().map(Vec::len).sum() }
 }
 
-impl Day<'_> {
+impl Run<'_> {
     fn now(&self) -> Micros {
         self.epoch.elapsed().as_micros() as Micros
     }
 
-    fn at(&mut self, when: Micros, act: Act) {
-        self.next += 1;
-        self.acts.insert((when, self.next), act);
-    }
-
-    fn workers(&self, named: &[String]) -> Vec<String> {
-        if named.is_empty() { self.handles.iter().map(|h| h.name.clone()).collect() } else { named.to_vec() }
+    /// Starts the controllers and the clients, and acts until both the traffic and the timeline are over.
+    fn run_clients(
+        &mut self,
+        config: Config,
+        commands: std::sync::mpsc::Receiver<ClientCommand>,
+    ) -> Result<Vec<ClientRecord>, ScenarioError> {
+        for number in 0..self.controllers.len() {
+            self.start(number)?;
+        }
+        let begin = self.now();
+        let plan = traffic::Plan {
+            traffic: self.script.traffic.clone(),
+            config,
+            addresses: Arc::clone(&self.addresses),
+            epoch: self.epoch,
+            until: begin + self.script.length,
+            seed: self.script.seed,
+            commands,
+        };
+        let thread = std::thread::Builder::new().name("clients".to_owned());
+        let clients = thread.spawn(move || traffic::run(plan)).map_err(system("can't start a thread"))?;
+        for fault in &self.script.faults {
+            self.add_fault(begin, fault);
+        }
+        while !clients.is_finished() || !self.timeline.is_empty() {
+            self.act_due()?;
+            std::thread::sleep(TICK);
+        }
+        clients.join().map_err(|_| ScenarioError::Clients)?.map_err(system("the clients failed"))
     }
 
-    /// Lays a trouble out on the clock: its beginning and its end.
-    fn plan(&mut self, at: Micros, trouble: &Trouble) {
-        let end = at + trouble.span;
-        let lag = self.script.list_lag;
-        let workers = self.workers(&trouble.workers);
-        let controllers: Vec<usize> = if trouble.controllers.is_empty() {
-            (0..self.controllers.len()).collect()
+    fn add_fault(&mut self, begin: Micros, fault: &ScriptedFault) {
+        let workers: Vec<String> = if fault.workers.is_empty() {
+            self.handles.iter().map(|handle| handle.name.clone()).collect()
         } else {
-            trouble.controllers.clone()
+            fault.workers.clone()
         };
-        let both = |day: &mut Self, on: Fault, off: Fault| {
-            for worker in &workers {
-                day.at(at, Act::Fault(worker.clone(), on.clone()));
-                day.at(end, Act::Fault(worker.clone(), off.clone()));
-            }
+        let controllers: Vec<usize> = if fault.controllers.is_empty() {
+            (0..self.controllers.len()).collect()
+        } else {
+            fault.controllers.clone()
         };
-        match &trouble.kind {
-            Kind::Crash => {
-                for worker in &workers {
-                    self.at(at, Act::Fault(worker.clone(), Fault::Die));
-                    self.at(at + lag, Act::List(worker.clone(), WorkerState::Gone, false));
-                    self.come_back(end, worker);
-                }
-            }
-            Kind::Silence => {
-                for worker in &workers {
-                    self.at(at, Act::Fault(worker.clone(), Fault::Silent(true)));
-                    self.at(end, Act::Fault(worker.clone(), Fault::Die));
-                    self.come_back(end + 50_000, worker);
-                }
-            }
-            Kind::FastErrors(share) => both(self, Fault::FailFast(*share), Fault::FailFast(0.0)),
-            Kind::Slow(factor) => both(self, Fault::Slow(*factor), Fault::Slow(1.0)),
-            Kind::LateReports(late) => both(self, Fault::LateReports(*late), Fault::LateReports(0)),
-            Kind::Hang(models) => both(self, Fault::Hang(Some(models.clone())), Fault::Hang(None)),
-            Kind::Refuse => both(self, Fault::Refuse(true), Fault::Refuse(false)),
-            Kind::SlowHandshakes(delay) => both(self, Fault::SlowHandshake(*delay), Fault::SlowHandshake(0)),
-            Kind::GoAway => self.each(at, &workers, &Fault::GoAway),
-            Kind::CutAfter(messages) => self.each(at, &workers, &Fault::CutAfter(Some(*messages))),
-            Kind::HalfFrame => self.each(at, &workers, &Fault::HalfFrame),
-            Kind::Release(models) => self.each(at, &workers, &Fault::Void(models.clone())),
-            Kind::Cut(zone) => {
-                self.at(at, Act::CutZone(zone.clone(), true));
-                self.at(end, Act::CutZone(zone.clone(), false));
-            }
-            Kind::Roll(each) => {
-                for (n, worker) in workers.iter().enumerate() {
-                    let from = at + each * n as Micros;
-                    self.at(from, Act::List(worker.clone(), WorkerState::Draining, false));
-                    self.at(from + each * 6 / 10, Act::Fault(worker.clone(), Fault::Die));
-                    self.at(from + each * 6 / 10, Act::List(worker.clone(), WorkerState::Gone, false));
-                    self.come_back(from + each * 8 / 10, worker);
-                }
-            }
-            Kind::StaleList => {
-                self.at(at, Act::Stale(true));
-                self.at(end, Act::Stale(false));
-            }
-            Kind::Kill => {
-                for number in controllers {
-                    self.at(at, Act::Kill(number));
-                    self.at(end, Act::Start(number));
-                }
-            }
-            Kind::Stop => {
-                for number in controllers {
-                    self.at(at, Act::Terminate(number));
-                    self.at(end, Act::Start(number));
-                }
-            }
-            Kind::Stall => {
-                for number in controllers {
-                    self.at(at, Act::Stall(number, true));
-                    self.at(end, Act::Stall(number, false));
-                    self.stalls.push((number, During { from: at, to: end }));
-                }
-            }
-            Kind::SlowStore(factor) => {
-                self.at(at, Act::Slowness(*factor));
-                self.at(end, Act::Slowness(1.0));
-            }
-            Kind::OneOff(rate) => self.at(at, Act::OneOff(*rate, end)),
-        }
-    }
-
-    fn each(&mut self, at: Micros, workers: &[String], fault: &Fault) {
-        for worker in workers {
-            self.at(at, Act::Fault(worker.clone(), fault.clone()));
+        if fault.kind == FaultKind::Stall {
+            let from = begin + fault.at;
+            let interval = Interval { from, to: from + fault.span };
+            self.stalls.extend(controllers.iter().map(|&controller| Stall { controller, interval }));
         }
+        self.timeline.add_fault(begin, fault, &workers, &controllers);
     }
 
-    fn come_back(&mut self, at: Micros, worker: &str) {
-        self.at(at, Act::Fault(worker.to_owned(), Fault::Rise));
-        self.at(at + self.script.list_lag, Act::List(worker.to_owned(), WorkerState::On, true));
-    }
-
-    fn act_due(&mut self) -> Result<(), DayError> {
-        while let Some((&key, _)) = self.acts.first_key_value() {
-            if key.0 > self.now() {
-                break;
-            }
-            if let Some(act) = self.acts.remove(&key) {
-                self.act(act)?;
-            }
+    fn act_due(&mut self) -> Result<(), ScenarioError> {
+        while let Some(action) = self.timeline.take_due(self.now()) {
+            self.act(action)?;
         }
         for number in 0..self.controllers.len() {
             if let Some(code) = self.controllers[number].ended() {
-                let now = self.now();
-                let told = self.lives.iter_mut().rev().find(|l| l.controller == number && l.to.is_none());
-                let ending = told.and_then(|life| {
-                    life.to = Some(now);
-                    life.ending
-                });
-                if ending.is_none() || code != Some(0) {
-                    let told = if ending.is_some() { "told to end" } else { "not told to end" };
-                    self.odd_ends.push(format!("controller {number}, {told}, ended with {code:?}"));
-                }
-                self.address(number, None);
+                self.record_end(number, code);
+                self.set_address(number, None);
             }
         }
         Ok(())
     }
 
-    fn act(&mut self, act: Act) -> Result<(), DayError> {
-        match act {
-            Act::Fault(worker, fault) => {
-                if let Some(handle) = self.handles.iter().find(|h| h.name == worker) {
+    /// A controller's process has ended by itself.
+    fn record_end(&mut self, number: usize, code: Option<i32>) {
+        let now = self.now();
+        let runs = self.controller_runs.iter_mut().rev();
+        let run = runs.into_iter().find(|run| run.controller == number && run.to.is_none());
+        let ending = run.and_then(|run| {
+            run.to = Some(now);
+            run.ending
+        });
+        if ending.is_none() || code != Some(0) {
+            let told = if ending.is_some() { "told to end" } else { "not told to end" };
+            self.odd_ends.push(format!("controller {number}, {told}, ended with {code:?}"));
+        }
+    }
+
+    fn act(&mut self, action: Action) -> Result<(), ScenarioError> {
+        match action {
+            Action::Fault { worker, fault } => {
+                if let Some(handle) = self.handles.iter().find(|handle| handle.name == worker) {
                     handle.tell(fault);
                 }
             }
-            Act::List(worker, state, anew) => {
-                // The list has what the system knows of the start: a moment before the word of it.
-                let born = anew.then(|| unix() - self.script.list_lag);
+            Action::List { worker, state, restarted } => {
+                // The list has the time of the start itself, which is earlier than the list's change.
+                let born = restarted.then(|| unix_time() - self.script.list_lag);
                 self.lists.change(&worker, state, born);
                 self.write_lists()?;
             }
-            Act::Stale(stale) => {
+            Action::StaleList(stale) => {
                 self.lists.stale = stale;
                 self.write_lists()?;
             }
-            Act::Kill(number) => {
-                self.address(number, None);
+            Action::Kill(number) => {
+                self.set_address(number, None);
                 self.controllers[number].kill();
                 let now = self.now();
-                if let Some(life) = self.lives.iter_mut().rev().find(|l| l.controller == number) {
-                    life.to = Some(now);
+                if let Some(run) = self.last_run(number) {
+                    run.to = Some(now);
                 }
             }
-            Act::Terminate(number) => {
-                self.address(number, None);
+            Action::Terminate(number) => {
+                self.set_address(number, None);
                 let now = self.now();
-                if let Some(life) = self.lives.iter_mut().rev().find(|l| l.controller == number) {
-                    life.ending = Some(now);
+                if let Some(run) = self.last_run(number) {
+                    run.ending = Some(now);
                 }
                 self.controllers[number].terminate();
             }
-            Act::Start(number) if self.controllers[number].runs() => {
-                // It was told to end and still answers: it is started once it is gone.
-                let again = self.now() + 50_000;
-                self.at(again, Act::Start(number));
+            Action::Start(number) if self.controllers[number].runs() => {
+                // It was told to end and still answers: it is started once its process is gone.
+                let later = self.now() + RESTART_PAUSE;
+                self.timeline.add(later, Action::Start(number));
             }
-            Act::Start(number) => self.start(number)?,
-            Act::Stall(number, still) => self.controllers[number].stall(still),
-            Act::Slowness(factor) => {
+            Action::Start(number) => self.start(number)?,
+            Action::Stall { controller, stalled } => self.controllers[controller].stall(stalled),
+            Action::StoreSlowness(factor) => {
                 self.store.lock().unwrap_or_else(PoisonError::into_inner).slowness = factor;
             }
-            Act::OneOff(rate, until) => {
-                // Clients that have ended want nothing more.
-                let _ = self.clients.send(Tell::OneOff { rate, until });
+            Action::OneOff { rate, until } => {
+                // Clients that have ended need no command.
+                let _ = self.clients.send(ClientCommand::OneOff { rate, until });
             }
-            Act::CutZone(zone, cut) => self.cut(&zone, cut),
+            Action::CutZone { zone, cut } => self.cut(&zone, cut),
         }
         Ok(())
     }
 
-    fn write_lists(&mut self) -> Result<(), DayError> {
+    fn last_run(&mut self, number: usize) -> Option<&mut ControllerRun> {
+        self.controller_runs.iter_mut().rev().find(|run| run.controller == number)
+    }
+
+    fn write_lists(&mut self) -> Result<(), ScenarioError> {
         let now = self.now();
         self.lists.write(now).map_err(system("can't write the worker list"))
     }
 
-    /// Links between a zone and all others.
+    /// Cuts or mends the links between a zone and all others.
     fn cut(&self, zone: &str, cut: bool) {
         for handle in &self.handles {
-            let home = self.places.get(&handle.name).map_or("", |p| p.zone.as_str());
+            let home = self.locations.get(&handle.name).map_or("", |location| location.zone.as_str());
             for (door, from) in self.lists.zones.iter().enumerate() {
                 if (home == zone) != (from == zone) {
                     handle.tell(Fault::Cut { door, cut });
@@ -481,31 +299,35 @@
         }
     }
 
-    fn address(&self, number: usize, address: Option<SocketAddr>) {
+    fn set_address(&self, number: usize, address: Option<SocketAddr>) {
         self.addresses.lock().unwrap_or_else(PoisonError::into_inner)[number] = address;
     }
 
-    fn start(&mut self, number: usize) -> Result<(), DayError> {
-        let mut tries = 0;
+    fn start(&mut self, number: usize) -> Result<(), ScenarioError> {
+        let mut attempts = 0;
         loop {
             match self.controllers[number].start(self.program) {
                 Ok(()) => break,
-                Err(_) if tries < TRIES && self.controllers[number].address.is_some() => {
-                    tries += 1;
-                    std::thread::sleep(Duration::from_millis(100));
+                Err(_) if attempts < START_ATTEMPTS && self.controllers[number].address.is_some() => {
+                    attempts += 1;
+                    std::thread::sleep(START_PAUSE);
+                }
+                Err(source) => {
+                    return Err(ScenarioError::System { what: "can't start a controller", source });
                 }
-                Err(source) => return Err(DayError::System { what: "can't start a controller", source }),
             }
         }
         let zone = self.controllers[number].zone.clone();
-        self.lives.push(Life { controller: number, zone, from: self.now(), ending: None, to: None });
-        self.address(number, self.controllers[number].address);
+        let from = self.now();
+        self.controller_runs.push(ControllerRun { controller: number, zone, from, ending: None, to: None });
+        self.set_address(number, self.controllers[number].address);
         Ok(())
     }
 
-    fn stop_all(&mut self) {
+    /// Ends all controllers that still run.
+    fn stop_controllers(&mut self) {
         for number in 0..self.controllers.len() {
-            self.address(number, None);
+            self.set_address(number, None);
             self.controllers[number].stall(false);
             self.controllers[number].terminate();
         }
@@ -518,9 +340,31 @@
             }
         }
     }
-}
 
-/// A folder for a day's files.
-pub fn folder() -> PathBuf {
-    std::env::temp_dir().join(format!("nettleferry-day-{}", std::process::id()))
+    /// Ends the workers and gathers what was seen; also the odd ends of controllers.
+    fn finish(
+        self,
+        clients: Vec<ClientRecord>,
+        observed: impl Iterator<Item = Record>,
+        parameters: RuleParameters,
+    ) -> (Evidence, Vec<String>) {
+        let until = self.now();
+        for handle in self.handles {
+            handle.stop();
+        }
+        // Ends when the last worker's thread has ended.
+        let workers: Vec<Record> = observed.collect();
+        let evidence = Evidence {
+            cuts: evidence::cuts(&workers, &self.lists.zones),
+            clients,
+            workers,
+            listed: self.lists.listed,
+            controller_runs: self.controller_runs,
+            stalls: self.stalls,
+            parameters,
+            locations: self.locations,
+            until,
+        };
+        (evidence, self.odd_ends)
+    }
 }
--- a/crates/scenario/src/script.rs
+++ b/crates/scenario/src/script.rs
@@ -1,63 +1,88 @@
-//! A day file: workers, controllers, traffic, and troubles on a timeline. See `days/` for one of each kind.
+//! A scenario file: workers, controllers, traffic, and faults on a timeline. `days/` has one of each kind.
 
 use nettleferry::Micros;
 use nettleferry_config::form::{Errors, Form, Source, TimeSpan};
 use nettleferry_test_servers::Spec;
 
-/// A scripted day.
+/// A scenario.
 #[derive(Clone, Debug)]
 pub struct Script {
     /// Its name.
     pub name: String,
     /// How long traffic runs.
     pub length: Micros,
-    /// For all chance of the day.
+    /// Seed of all random numbers.
     pub seed: u64,
-    /// How many controllers, and their zones in turn.
-    pub controllers: (usize, Vec<String>),
-    /// How many workers, and their zones in turn.
-    pub workers: (usize, Vec<String>),
+    /// The controllers.
+    pub controllers: Zoned,
+    /// The workers.
+    pub workers: Zoned,
     /// What each worker is.
     pub spec: Spec,
     /// Workers start cold.
     pub cold: bool,
-    /// The shared store: fetches at full speed, and at most.
-    pub store: (u32, u32),
-    /// A change reaches the list after this span.
+    /// The model store that all workers share.
+    pub store: StoreLimits,
+    /// After this time a change of a worker is in the list.
     pub list_lag: Micros,
-    /// Settings of the controllers, but for what the day fills in.
+    /// Settings of the controllers, without what the run adds.
     pub settings: String,
     /// Traffic.
     pub traffic: Vec<Traffic>,
-    /// Troubles, by time.
-    pub troubles: Vec<(Micros, Trouble)>,
+    /// Faults, in order of time.
+    pub faults: Vec<ScriptedFault>,
     /// A remote-write receiver that evaluates alert rules, where wanted.
     pub watch: Option<Watch>,
 }
 
-/// A receiver of the controllers' figures, and what its rules are expected to do.
+/// Processes or threads that are spread over zones.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Zoned {
+    /// How many.
+    pub count: usize,
+    /// Their zones, in turn; at least one.
+    pub zones: Vec<String>,
+}
+
+impl Zoned {
+    /// The zone of one of them, by its index.
+    pub fn zone(&self, index: usize) -> &str {
+        &self.zones[index % self.zones.len()]
+    }
+}
+
+/// How many models the store serves at once.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct StoreLimits {
+    /// Fetches at full speed.
+    pub at_speed: u32,
+    /// Fetches at the most.
+    pub most: u32,
+}
+
+/// A receiver of the controllers' metrics, and the alerts that are expected there.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Watch {
-    /// The rule file, seen from the day file's folder.
+    /// The rule file; a relative path starts from the scenario file's folder.
     pub rules: String,
     /// How often controllers push.
     pub every: Micros,
-    /// A second of the day is so many of the rules': their minutes pass sooner.
+    /// Seconds of the rules' clock in one second of the run.
     pub speed: u32,
     /// Alerts that are to fire; no other may.
-    pub fires: Vec<Fires>,
+    pub alerts: Vec<ExpectedAlert>,
 }
 
-/// An alert that is to fire. Times are the day's.
+/// An alert that is to fire. Times are those of the run.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Fires {
+pub struct ExpectedAlert {
     /// Its name.
     pub alert: String,
-    /// Not before.
+    /// It fires at this time at the earliest.
     pub after: Micros,
-    /// So long after that at the latest.
+    /// It fires so much later at the latest.
     pub within: Micros,
-    /// It is over by then.
+    /// It has ended at this time.
     pub clear_by: Micros,
 }
 
@@ -86,11 +111,13 @@
     pub slow: f64,
 }
 
-/// A trouble.
+/// A fault on the timeline.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Trouble {
+pub struct ScriptedFault {
+    /// When it begins, since the start of the traffic.
+    pub at: Micros,
     /// What it is.
-    pub kind: Kind,
+    pub kind: FaultKind,
     /// Workers it is for; empty: all.
     pub workers: Vec<String>,
     /// Controllers it is for; empty: all.
@@ -99,40 +126,40 @@
     pub span: Micros,
 }
 
-/// Kinds of trouble.
+/// Kinds of faults.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Kind {
-    /// Workers die and come back cold.
+pub enum FaultKind {
+    /// Workers die and start again, with a part of their capacity.
     Crash,
-    /// Workers read and answer nothing, then die and come back cold.
-    Silence,
-    /// Workers run a share of their calls and fail them at once.
+    /// Workers read and answer nothing, then die and start again.
+    Unresponsive,
+    /// Workers fail this share of their calls at once, after they have run.
     FastErrors(f64),
-    /// Calls take this many times their work.
+    /// Calls take this many times as long.
     Slow(f64),
     /// Load reports are this old.
-    LateReports(Micros),
+    StaleReports(Micros),
     /// A zone is cut off from the others.
     Cut(String),
-    /// Every worker in turn drains, dies, and is replaced by a cold one; the step between two.
-    Roll(Micros),
+    /// Every worker in turn drains, dies and starts again; the time between two.
+    RollingRestart(Micros),
     /// The list is not written.
     StaleList,
-    /// Controllers are killed and come back with their kept list.
+    /// Controllers are killed and start again with their persisted list.
     Kill,
-    /// Controllers are told to end (SIGTERM) and come back.
+    /// Controllers get SIGTERM and start again.
     Stop,
-    /// Controllers stand still.
+    /// Controllers are stopped (SIGSTOP) and continued.
     Stall,
     /// The store is slower by this factor.
     SlowStore(f64),
-    /// Models that begin so are released anew: all copies go void.
+    /// Models with this prefix get a new release: all their replicas become invalid.
     Release(String),
-    /// Calls for models that are wanted once, so many a second.
+    /// Calls for models that are wanted once; calls a second.
     OneOff(f64),
-    /// Calls of models that begin so are never answered.
+    /// Calls of models with this prefix are never answered.
     Hang(String),
-    /// New connections say nothing for so long.
+    /// Nothing is sent on new connections for this time.
     SlowHandshakes(Micros),
     /// Workers refuse every stream.
     Refuse,
@@ -144,36 +171,49 @@
     HalfFrame,
 }
 
-/// Longest day.
-pub const MOST_LENGTH: Micros = 600_000_000;
-/// Most workers and controllers of a day.
-pub const MOST_WORKERS: u64 = 64;
-/// See [`MOST_WORKERS`].
-pub const MOST_CONTROLLERS: u64 = 16;
-/// Most calls a second of one stream of traffic.
-pub const MOST_RATE: f64 = 5_000.0;
+/// Longest run.
+pub const MAX_LENGTH: Micros = 600_000_000;
+/// Workers of a scenario, at the most.
+pub const MAX_WORKERS: u64 = 64;
+/// Controllers of a scenario, at the most.
+pub const MAX_CONTROLLERS: u64 = 16;
+/// Calls a second of one stream of traffic, at the most.
+pub const MAX_RATE: f64 = 5_000.0;
+const DEFAULT_LIST_LAG: Micros = 200_000;
+
+/// The first form of a scenario file.
+struct Header {
+    name: String,
+    length: Micros,
+    seed: u64,
+}
+
+/// What each worker is.
+struct WorkerOptions {
+    spec: Spec,
+    cold: bool,
+}
 
-/// Reads a day file.
+/// Reads a scenario file; all that is wrong with it is reported together.
+///
+/// # Errors
+/// The text is not a valid scenario.
 pub fn read(file: &str, text: &str) -> Result<Script, Errors> {
     let (source, mut top) = Source::open(file, text);
-    let head = top.need("day").map(|mut form| {
-        let name = form.or_name();
-        let length = form.must::<TimeSpan>("length").map_or(1, |s| s.0);
-        if length == 0 || length > MOST_LENGTH {
-            form.fault(format!("(length ...): more than 0, at most {}s", MOST_LENGTH / 1_000_000));
-        }
-        let seed = form.or("seed", 1u64);
-        form.end();
-        (name, length.clamp(1, MOST_LENGTH), seed)
+    let script = script(&mut top);
+    top.end();
+    source.finish(script)
+}
+
+fn script(top: &mut Form) -> Option<Script> {
+    let header = top.need("day").map(header);
+    let controllers = zoned(top, "controllers", MAX_CONTROLLERS, |_| ());
+    let mut options = None;
+    let workers = zoned(top, "workers", MAX_WORKERS, |form| {
+        options = Some(WorkerOptions { spec: Spec::read(form), cold: form.or("start-cold", false) });
     });
-    let controllers = many(&mut top, "controllers", MOST_CONTROLLERS, |_| ());
-    let workers =
-        many(&mut top, "workers", MOST_WORKERS, |form| (Spec::read(form), form.or("start-cold", false)));
-    let mut store = top.group("store");
-    let at_speed = store.or("at-speed", 8u32);
-    let most = store.or("most", 32u32);
-    store.end();
-    let list_lag = top.span_or("list-lag", 200_000);
+    let store = store_limits(top);
+    let list_lag = top.span_or("list-lag", DEFAULT_LIST_LAG);
     let settings = top.need("settings").map(|form| {
         let text = form.text().to_owned();
         form.hand_on();
@@ -183,41 +223,56 @@
     if traffic.is_empty() {
         top.fault("the day has no (traffic ...)");
     }
-    let mut troubles = Vec::new();
-    for mut at in top.all("at") {
-        let when = at.want::<TimeSpan>("when it begins").map_or(0, |s| s.0);
-        for form in at.rest() {
-            let count = workers.as_ref().map_or(0, |w| w.0);
-            if let Some(found) = trouble(form, count, controllers.as_ref().map_or(0, |c| c.0)) {
-                troubles.push((when, found));
-            }
-        }
-        at.end();
-    }
-    troubles.sort_by_key(|t| t.0);
+    let count = |zoned: &Option<Zoned>| zoned.as_ref().map_or(0, |zoned| zoned.count);
+    let faults = faults(top, count(&workers), count(&controllers));
     let watch = top.sub("receiver").map(watch);
-    top.end();
-    let value = (|| {
-        let (name, length, seed) = head?;
-        let (count, zones, (spec, cold)) = workers?;
-        let (controllers, controller_zones, ()) = controllers?;
-        Some(Script {
-            name,
-            length,
-            seed,
-            controllers: (controllers, controller_zones),
-            workers: (count, zones),
-            spec,
-            cold,
-            store: (at_speed, most),
-            list_lag,
-            settings: settings?,
-            traffic,
-            troubles,
-            watch,
-        })
-    })();
-    source.finish(value)
+    let Header { name, length, seed } = header?;
+    let WorkerOptions { spec, cold } = options?;
+    Some(Script {
+        name,
+        length,
+        seed,
+        controllers: controllers?,
+        workers: workers?,
+        spec,
+        cold,
+        store,
+        list_lag,
+        settings: settings?,
+        traffic,
+        faults,
+        watch,
+    })
+}
+
+fn header(mut form: Form) -> Header {
+    let name = form.name_argument();
+    let length = form.must::<TimeSpan>("length").map_or(1, |span| span.0);
+    if length == 0 || length > MAX_LENGTH {
+        form.fault(format!("(length ...): more than 0, at most {}s", MAX_LENGTH / 1_000_000));
+    }
+    let seed = form.or("seed", 1u64);
+    form.end();
+    Header { name, length: length.clamp(1, MAX_LENGTH), seed }
+}
+
+fn store_limits(top: &mut Form) -> StoreLimits {
+    let mut form = top.group("store");
+    let limits = StoreLimits { at_speed: form.or("at-speed", 8u32), most: form.or("most", 32u32) };
+    form.end();
+    limits
+}
+
+fn faults(top: &mut Form, workers: usize, controllers: usize) -> Vec<ScriptedFault> {
+    let mut faults = Vec::new();
+    for mut form in top.all("at") {
+        let at = form.want::<TimeSpan>("when it begins").map_or(0, |span| span.0);
+        let listed = form.rest().into_iter();
+        faults.extend(listed.filter_map(|fault| scripted_fault(at, fault, workers, controllers)));
+        form.end();
+    }
+    faults.sort_by_key(|fault| fault.at);
+    faults
 }
 
 fn watch(mut form: Form) -> Watch {
@@ -228,33 +283,29 @@
     if speed == 0 || speed > 100 {
         form.fault(format!("(speed {speed}): from 1 to 100"));
     }
-    let mut fires = Vec::new();
+    let mut alerts = Vec::new();
     for mut one in form.all("fires") {
-        let alert = one.or_name();
+        let alert = one.name_argument();
         let (after, within) = (span(&mut one, "after"), span(&mut one, "within"));
-        fires.push(Fires { alert, after, within, clear_by: span(&mut one, "clear-by") });
+        alerts.push(ExpectedAlert { alert, after, within, clear_by: span(&mut one, "clear-by") });
         one.end();
     }
     form.end();
-    Watch { rules, every, speed, fires }
+    Watch { rules, every, speed, alerts }
 }
 
-trait OrName {
-    fn or_name(&mut self) -> String;
+trait ParseByName {
+    fn name_argument(&mut self) -> String;
 }
 
-impl OrName for Form {
-    fn or_name(&mut self) -> String {
+impl ParseByName for Form {
+    fn name_argument(&mut self) -> String {
         self.want::<String>("its name").unwrap_or_default()
     }
 }
 
-fn many<T>(
-    top: &mut Form,
-    key: &'static str,
-    most: u64,
-    read: impl FnOnce(&mut Form) -> T,
-) -> Option<(usize, Vec<String>, T)> {
+/// Reads `(key COUNT (zones ...) ...)`; `read` takes what else is in it.
+fn zoned(top: &mut Form, key: &'static str, most: u64, read: impl FnOnce(&mut Form)) -> Option<Zoned> {
     let mut form = top.need(key)?;
     let count = form.want::<u64>("how many")?;
     if count == 0 || count > most {
@@ -262,9 +313,9 @@
     }
     let zones = words(&mut form, "zones");
     let zones = if zones.is_empty() { vec!["a".to_owned()] } else { zones };
-    let rest = read(&mut form);
+    read(&mut form);
     form.end();
-    Some((count.clamp(1, most) as usize, zones, rest))
+    Some(Zoned { count: count.clamp(1, most) as usize, zones })
 }
 
 fn words(form: &mut Form, key: &'static str) -> Vec<String> {
@@ -286,18 +337,18 @@
 }
 
 fn traffic(mut form: Form) -> Traffic {
-    let name = form.or_name();
+    let name = form.name_argument();
     if !nettleferry_test_servers::models::exists(&name) {
         form.fault(format!("traffic {name}: the stand-ins' models are echo, echo-*, climb and climb-*"));
     }
     let rate = form.must("rate").unwrap_or(1.0);
-    if rate > MOST_RATE {
-        form.fault(format!("(rate {rate}): at most {MOST_RATE}"));
+    if rate > MAX_RATE {
+        form.fault(format!("(rate {rate}): at most {MAX_RATE}"));
     }
     let traffic = Traffic {
         name,
         models: form.or("models", 1u32).max(1),
-        rate: rate.min(MOST_RATE),
+        rate: rate.min(MAX_RATE),
         streamed: form.or("streamed", false),
         shared: form.or("shared", false),
         segments: form.or("segments", 1i64).clamp(1, 1000),
@@ -313,80 +364,103 @@
     traffic
 }
 
-fn trouble(mut form: Form, workers: usize, controllers: usize) -> Option<Trouble> {
-    let span = |form: &mut Form, key| form.must::<TimeSpan>(key).map(|s| s.0);
-    let kind = match form.name() {
-        "crash" => Kind::Crash,
-        "silence" => Kind::Silence,
-        "fast-errors" => Kind::FastErrors(form.must::<f64>("share")?.min(1.0)),
-        "slow" => Kind::Slow(form.must::<f64>("factor")?.clamp(0.01, 1e4)),
-        "late-reports" => Kind::LateReports(span(&mut form, "late")?),
-        "cut" => Kind::Cut(form.must("zone")?),
-        "roll" => Kind::Roll(span(&mut form, "each")?),
-        "stale-list" => Kind::StaleList,
-        "kill" => Kind::Kill,
-        "stop" => Kind::Stop,
-        "stall" => Kind::Stall,
-        "slow-store" => Kind::SlowStore(form.must::<f64>("factor")?.max(0.01)),
-        "release" => Kind::Release(form.must("models")?),
-        "one-off" => Kind::OneOff(form.must::<f64>("rate")?.min(MOST_RATE)),
-        "hang" => Kind::Hang(form.must("models")?),
-        "slow-handshakes" => Kind::SlowHandshakes(span(&mut form, "delay")?),
-        "refuse" => Kind::Refuse,
-        "goaway" => Kind::GoAway,
-        "cut-after" => Kind::CutAfter(form.must("messages")?),
-        "half-frame" => Kind::HalfFrame,
+/// Names of all kinds of faults, for suggestions.
+const FAULT_NAMES: [&str; 20] = [
+    "crash",
+    "silence",
+    "fast-errors",
+    "slow",
+    "late-reports",
+    "cut",
+    "roll",
+    "stale-list",
+    "kill",
+    "stop",
+    "stall",
+    "slow-store",
+    "release",
+    "one-off",
+    "hang",
+    "slow-handshakes",
+    "refuse",
+    "goaway",
+    "cut-after",
+    "half-frame",
+];
+
+fn scripted_fault(at: Micros, mut form: Form, workers: usize, controllers: usize) -> Option<ScriptedFault> {
+    let kind = fault_kind(&mut form)?;
+    let momentary = matches!(
+        kind,
+        FaultKind::Release(_)
+            | FaultKind::GoAway
+            | FaultKind::CutAfter(_)
+            | FaultKind::HalfFrame
+            | FaultKind::RollingRestart(_)
+    );
+    let span = if momentary { 0 } else { form.must::<TimeSpan>("for")?.0 };
+    let workers = worker_names(&mut form, workers);
+    let controllers = controller_numbers(&mut form, controllers);
+    form.end();
+    Some(ScriptedFault { at, kind, workers, controllers, span })
+}
+
+fn fault_kind(form: &mut Form) -> Option<FaultKind> {
+    let span = |form: &mut Form, key| form.must::<TimeSpan>(key).map(|span| span.0);
+    Some(match form.name() {
+        "crash" => FaultKind::Crash,
+        "silence" => FaultKind::Unresponsive,
+        "fast-errors" => FaultKind::FastErrors(form.must::<f64>("share")?.min(1.0)),
+        "slow" => FaultKind::Slow(form.must::<f64>("factor")?.clamp(0.01, 1e4)),
+        "late-reports" => FaultKind::StaleReports(span(form, "late")?),
+        "cut" => FaultKind::Cut(form.must("zone")?),
+        "roll" => FaultKind::RollingRestart(span(form, "each")?),
+        "stale-list" => FaultKind::StaleList,
+        "kill" => FaultKind::Kill,
+        "stop" => FaultKind::Stop,
+        "stall" => FaultKind::Stall,
+        "slow-store" => FaultKind::SlowStore(form.must::<f64>("factor")?.max(0.01)),
+        "release" => FaultKind::Release(form.must("models")?),
+        "one-off" => FaultKind::OneOff(form.must::<f64>("rate")?.min(MAX_RATE)),
+        "hang" => FaultKind::Hang(form.must("models")?),
+        "slow-handshakes" => FaultKind::SlowHandshakes(span(form, "delay")?),
+        "refuse" => FaultKind::Refuse,
+        "goaway" => FaultKind::GoAway,
+        "cut-after" => FaultKind::CutAfter(form.must("messages")?),
+        "half-frame" => FaultKind::HalfFrame,
         other => {
-            let known = [
-                "crash",
-                "silence",
-                "fast-errors",
-                "slow",
-                "late-reports",
-                "cut",
-                "roll",
-                "stale-list",
-                "kill",
-                "stop",
-                "stall",
-                "slow-store",
-                "release",
-                "one-off",
-                "hang",
-                "slow-handshakes",
-                "refuse",
-                "goaway",
-                "cut-after",
-                "half-frame",
-            ];
-            let hint = nettleferry_config::form::nearest(other, known.into_iter());
+            let hint = nettleferry_config::form::nearest(other, FAULT_NAMES.into_iter());
             form.fault(format!("there is no trouble {other}{hint}"));
             return None;
         }
-    };
-    let lasts = !matches!(
-        kind,
-        Kind::Release(_) | Kind::GoAway | Kind::CutAfter(_) | Kind::HalfFrame | Kind::Roll(_)
-    );
-    let length = if lasts { span(&mut form, "for")? } else { 0 };
-    let names = words(&mut form, "workers");
+    })
+}
+
+fn worker_names(form: &mut Form, workers: usize) -> Vec<String> {
+    let names = words(form, "workers");
     for name in &names {
-        let known = name.strip_prefix('w').and_then(|n| n.parse::<usize>().ok());
-        if !known.is_some_and(|n| (1..=workers).contains(&n)) {
+        let number = name.strip_prefix('w').and_then(|number| number.parse::<usize>().ok());
+        if !number.is_some_and(|number| (1..=workers).contains(&number)) {
             form.fault(format!("there is no worker {name}: they are w1 to w{workers}"));
         }
     }
+    names
+}
+
+fn controller_numbers(form: &mut Form, controllers: usize) -> Vec<usize> {
     let mut numbers = Vec::new();
-    for word in words(&mut form, "controllers") {
-        match word.parse::<usize>().ok().filter(|n| *n < controllers) {
-            Some(n) => numbers.push(n),
+    for text in words(form, "controllers") {
+        match text.parse::<usize>().ok().filter(|number| *number < controllers) {
+            Some(number) => numbers.push(number),
             None => {
-                form.fault(format!("there is no controller {word}: they are 0 to {}", controllers.max(1) - 1))
+                form.fault(format!(
+                    "there is no controller {text}: they are 0 to {}",
+                    controllers.max(1) - 1
+                ));
             }
         }
     }
-    form.end();
-    Some(Trouble { kind, workers: names, controllers: numbers, span: length })
+    numbers
 }
 
 #[cfg(test)]
--- /dev/null
+++ b/crates/scenario/src/setup.rs
@@ -0,0 +1,144 @@
+//! What a run starts with: test workers, the worker list, controllers with their settings, the receiver.
+
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+use std::path::Path;
+use std::sync::mpsc::Sender;
+use std::sync::{Arc, Mutex};
+use std::time::{Instant, SystemTime, UNIX_EPOCH};
+
+use nettleferry::{Micros, WorkerState};
+use nettleferry_config::{Config, Worker, settings};
+use nettleferry_test_servers::receiver::{Mode, Receiver};
+use nettleferry_test_servers::{Handle, Options, Record, Store, spawn};
+
+use crate::error::{ScenarioError, system};
+use crate::evidence::Location;
+use crate::fleet::{Controller, Lists, WorkerLine};
+use crate::run::Stage;
+use crate::script::{Script, Watch};
+
+/// Test workers, with their lines of the list.
+pub(crate) struct Workers {
+    pub(crate) handles: Vec<Handle>,
+    pub(crate) lines: Vec<WorkerLine>,
+    pub(crate) locations: BTreeMap<String, Location>,
+}
+
+/// What all workers of a run share.
+pub(crate) struct WorkerContext {
+    /// Zones of controllers: each worker has an address for each.
+    pub(crate) zones: Vec<String>,
+    pub(crate) store: Arc<Mutex<Store>>,
+    pub(crate) epoch: Instant,
+    pub(crate) records: Sender<Record>,
+}
+
+/// Controllers that are not started, and the last one's settings.
+pub(crate) struct Controllers {
+    pub(crate) controllers: Vec<Controller>,
+    pub(crate) config: Config,
+}
+
+/// The wall clock.
+pub(crate) fn unix_time() -> Micros {
+    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as Micros
+}
+
+/// Zones without repetitions, in the order in which they are first named.
+pub(crate) fn distinct(zones: &[String]) -> Vec<String> {
+    let mut distinct: Vec<String> = Vec::new();
+    for zone in zones {
+        if !distinct.contains(zone) {
+            distinct.push(zone.clone());
+        }
+    }
+    distinct
+}
+
+/// A receiver with the scenario's alert rules, where it has one.
+pub(crate) fn start_receiver(script: &Script, folder: &Path) -> Result<Option<Receiver>, ScenarioError> {
+    let Some(watch) = &script.watch else { return Ok(None) };
+    let path = folder.join(&watch.rules);
+    let text = std::fs::read_to_string(&path).map_err(system("can't read the day's rule file"))?;
+    let rules = nettleferry_alerts::rules::read(&path.display().to_string(), &text)?;
+    let mut receiver = Receiver::start(Mode::Take).map_err(system("can't start a receiver"))?;
+    receiver.watch(rules, watch.speed).map_err(system("can't start a thread"))?;
+    Ok(Some(receiver))
+}
+
+/// Starts the workers. Each reports what its sockets see until its thread ends.
+pub(crate) fn start_workers(script: &Script, context: WorkerContext) -> Result<Workers, ScenarioError> {
+    let mut workers = Workers { handles: Vec::new(), lines: Vec::new(), locations: BTreeMap::new() };
+    for index in 0..script.workers.count {
+        let zone = script.workers.zone(index).to_owned();
+        let handle = spawn(Options {
+            name: format!("w{}", index + 1),
+            doors: vec![SocketAddr::from(([127, 0, 0, 1], 0)); context.zones.len()],
+            spec: script.spec.clone(),
+            store: Arc::clone(&context.store),
+            epoch: context.epoch,
+            records: Some(context.records.clone()),
+            cold: script.cold,
+            seed: script.seed.wrapping_add(index as u64),
+        })
+        .map_err(system("can't start a stand-in worker"))?;
+        let worker = Worker {
+            name: handle.name.clone(),
+            address: handle.doors[0],
+            zone: zone.clone(),
+            kind: "stand-in".to_owned(),
+            weight: 1.0,
+            cell: handle.name.clone(),
+            state: WorkerState::On,
+            born: script.cold.then(unix_time),
+        };
+        workers.locations.insert(handle.name.clone(), Location { zone, cell: handle.name.clone() });
+        workers.lines.push(WorkerLine { addresses: handle.doors.clone(), worker });
+        workers.handles.push(handle);
+    }
+    Ok(workers)
+}
+
+/// Writes the controllers' settings files.
+pub(crate) fn prepare_controllers(
+    script: &Script,
+    stage: &Stage,
+    receiver: Option<&Receiver>,
+) -> Result<Controllers, ScenarioError> {
+    let mut controllers = Vec::new();
+    let mut config = None;
+    for number in 0..script.controllers.count {
+        let zone = script.controllers.zone(number).to_owned();
+        let mut text = controller_settings(script, number, &zone);
+        if let (Some(watch), Some(receiver)) = (&script.watch, receiver) {
+            text.push_str(&push_settings(watch, receiver, number));
+        }
+        let name = format!("controller-{number}.sexp");
+        config = Some(settings::read(&name, &text).map_err(ScenarioError::Settings)?);
+        let path = stage.dir.join(name);
+        std::fs::write(&path, text).map_err(system("can't write a controller's settings"))?;
+        let log = stage.dir.join(format!("controller-{number}.log"));
+        controllers.push(Controller::new(number, zone, path, log, stage.log.to_owned()));
+    }
+    Ok(Controllers { controllers, config: config.ok_or(ScenarioError::Clients)? })
+}
+
+/// Settings that push a controller's metrics to the receiver.
+fn push_settings(watch: &Watch, receiver: &Receiver, number: usize) -> String {
+    format!(
+        "(figures (push (to \"{}\") (every {}us) (batch-age 20ms) (spool \"spool-{number}\") (label instance \"c{number}\")))\n",
+        receiver.address, watch.every
+    )
+}
+
+fn controller_settings(script: &Script, number: usize, zone: &str) -> String {
+    format!(
+        "(listen (grpc \"127.0.0.1:0\"))\n(controller (number {number}) (of {}) (zone \"{zone}\") (seed {}))\n\
+         (workers (file \"{}\") (check-every 50ms) (kept \"kept-{number}.sexp\"))\n{}\n",
+        script.controllers.count,
+        script.seed.wrapping_add(number as u64) % (1 << 32),
+        Lists::file(zone),
+        script.settings,
+    )
+}
--- a/crates/scenario/src/story.rs
+++ b/crates/scenario/src/story.rs
@@ -1,4 +1,4 @@
-//! The evidence as lines for people: all of it for a file, or one call's story.
+//! The evidence as lines for people: all of it for a file, or what concerns one call.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -6,98 +6,123 @@
 use nettleferry::Micros;
 use nettleferry_test_servers::Seen;
 
-use crate::evidence::{ClientSaw, Evidence};
+use crate::evidence::{ClientObservation, Evidence};
 
-/// One record: when, by whom, what, and of which call.
+/// How long before a call the lines about it look for what happened to the workers and the controller that it met.
+const BEFORE: Micros = 5_000_000;
+
+/// One event: when, seen by whom, and of which call.
 struct Line {
     at: Micros,
-    who: String,
+    observer: String,
     what: String,
     call: Option<String>,
 }
 
 fn lines(evidence: &Evidence) -> Vec<Line> {
-    let mut lines = Vec::new();
-    let mut add = |at, who: String, what: String, call: Option<&str>| {
-        lines.push(Line { at, who, what, call: call.map(str::to_owned) });
-    };
-    for record in &evidence.clients {
+    let mut lines = client_lines(evidence);
+    lines.extend(worker_lines(evidence));
+    lines.extend(evidence.listed.iter().map(|change| Line {
+        at: change.at,
+        observer: "list".to_owned(),
+        what: format!("{} is {:?}", change.worker, change.state),
+        call: None,
+    }));
+    lines.extend(controller_lines(evidence));
+    lines.sort_by_key(|line| line.at);
+    lines
+}
+
+fn client_lines(evidence: &Evidence) -> Vec<Line> {
+    let records = evidence.clients.iter();
+    let lines = records.map(|record| {
         let what = match &record.what {
-            ClientSaw::Sent { controller, model, deadline, effect, class, .. } => format!(
+            ClientObservation::Sent { controller, model, deadline, effect, class, .. } => format!(
                 "sent to controller {controller}: {model}, class {class}, {effect:?}, gives up at {:.3}",
                 *deadline as f64 / 1e6
             ),
-            ClientSaw::Part => "a part of the answer".to_owned(),
-            ClientSaw::Final(end) => format!("final answer: {end:?}"),
-            ClientSaw::Cancelled => "cancelled by the client".to_owned(),
-            ClientSaw::Lost => "the client's connection broke".to_owned(),
+            ClientObservation::Part => "a part of the answer".to_owned(),
+            ClientObservation::Final(end) => format!("final answer: {end:?}"),
+            ClientObservation::Cancelled => "cancelled by the client".to_owned(),
+            ClientObservation::Lost => "the client's connection broke".to_owned(),
         };
-        add(record.at, "client".to_owned(), what, Some(&record.id));
-    }
+        Line { at: record.at, observer: "client".to_owned(), what, call: Some(record.id.clone()) }
+    });
+    lines.collect()
+}
+
+fn worker_lines(evidence: &Evidence) -> Vec<Line> {
+    let mut lines = Vec::new();
     let mut streams: BTreeMap<(&str, u64), &str> = BTreeMap::new();
     for record in &evidence.workers {
         let worker = record.worker.as_str();
-        let of = |stream: &u64| streams.get(&(worker, *stream)).copied();
+        let call_of = |stream: &u64| streams.get(&(worker, *stream)).copied();
         let (what, call) = match &record.seen {
             Seen::Call { stream, id, model, controller, attempt, .. } => {
                 streams.insert((worker, *stream), id);
-                let number = attempt.map_or("without a number".to_owned(), |n| n.to_string());
+                let number = attempt.map_or("without a number".to_owned(), |number| number.to_string());
                 (format!("attempt {number} comes from controller {controller}: {model}"), Some(id.as_str()))
             }
-            Seen::Runs { stream } => ("the attempt runs".to_owned(), of(stream)),
+            Seen::Runs { stream } => ("the attempt runs".to_owned(), call_of(stream)),
             Seen::Gone { stream } => {
-                ("the attempt is withdrawn or its connection gone".to_owned(), of(stream))
+                ("the attempt is withdrawn or its connection gone".to_owned(), call_of(stream))
             }
             Seen::Answered { stream, served, never_ran } => {
-                let how = match (served, never_ran) {
+                let outcome = match (served, never_ran) {
                     (true, _) => "served",
                     (_, true) => "never ran",
                     _ => "failed",
                 };
-                (format!("the attempt is answered: {how}"), of(stream))
+                (format!("the attempt is answered: {outcome}"), call_of(stream))
             }
             Seen::Link { door, conn, cut } => {
-                let zone = evidence
-                    .cuts
-                    .iter()
-                    .find(|(w, _, span)| w == worker && (span.from == record.at || span.to == record.at));
-                let from = zone.map_or(format!("door {door}"), |(_, zone, _)| format!("zone {zone}"));
+                let from = link_origin(evidence, worker, *door, record.at);
                 let part = if conn.is_some() { "one connection" } else { "the link" };
                 (format!("{part} from {from} is {}", if *cut { "cut" } else { "mended" }), None)
             }
             other => (format!("{other:?}"), None),
         };
-        add(record.at, worker.to_owned(), what, call);
+        let call = call.map(str::to_owned);
+        lines.push(Line { at: record.at, observer: worker.to_owned(), what, call });
     }
-    for told in &evidence.told {
-        add(told.at, "list".to_owned(), format!("{} is {:?}", told.worker, told.state), None);
-    }
-    for life in &evidence.lives {
-        let who = || format!("controller {}", life.controller);
-        add(life.from, who(), format!("listens, zone {}", life.zone), None);
-        if let Some(at) = life.ending {
-            add(at, who(), "is told to end".to_owned(), None);
+    lines
+}
+
+/// The zone from which a link comes that was cut or mended at a time.
+fn link_origin(evidence: &Evidence, worker: &str, door: usize, at: Micros) -> String {
+    let mut cuts = evidence.cuts.iter();
+    let cut = cuts.find(|cut| cut.worker == worker && (cut.interval.from == at || cut.interval.to == at));
+    cut.map_or(format!("door {door}"), |cut| format!("zone {}", cut.zone))
+}
+
+fn controller_lines(evidence: &Evidence) -> Vec<Line> {
+    let mut lines = Vec::new();
+    let mut add = |at, controller: usize, what: String| {
+        lines.push(Line { at, observer: format!("controller {controller}"), what, call: None });
+    };
+    for run in &evidence.controller_runs {
+        add(run.from, run.controller, format!("listens, zone {}", run.zone));
+        if let Some(at) = run.ending {
+            add(at, run.controller, "is told to end".to_owned());
         }
-        if let Some(at) = life.to {
-            add(at, who(), "is gone".to_owned(), None);
+        if let Some(at) = run.to {
+            add(at, run.controller, "is gone".to_owned());
         }
     }
-    for (controller, span) in &evidence.stalls {
-        let who = || format!("controller {controller}");
-        add(span.from, who(), "stands still".to_owned(), None);
-        add(span.to, who(), "goes on".to_owned(), None);
+    for stall in &evidence.stalls {
+        add(stall.interval.from, stall.controller, "stands still".to_owned());
+        add(stall.interval.to, stall.controller, "goes on".to_owned());
     }
-    lines.sort_by_key(|line| line.at);
     lines
 }
 
 fn write(out: &mut String, line: &Line) {
     let call = line.call.as_ref().map_or(String::new(), |id| format!("call {id}: "));
-    let _ = writeln!(out, "{:10.6} s  {:12}  {call}{}", line.at as f64 / 1e6, line.who, line.what);
+    let _ = writeln!(out, "{:10.6} s  {:12}  {call}{}", line.at as f64 / 1e6, line.observer, line.what);
 }
 
-/// All evidence, a line each, in order of time.
-pub fn whole(evidence: &Evidence) -> String {
+/// All evidence, a line for each event, in order of time.
+pub fn all(evidence: &Evidence) -> String {
     let mut out = String::new();
     for line in lines(evidence) {
         write(&mut out, &line);
@@ -105,33 +130,32 @@
     out
 }
 
-/// A call's records, and between its first and last what befell the workers and the controller it met.
+/// All lines of a call, and what happened meanwhile to the workers and the controller that it met.
 pub fn of_call(evidence: &Evidence, id: &str) -> String {
     let lines = lines(evidence);
-    let ours = || lines.iter().filter(|l| l.call.as_deref() == Some(id));
-    let mut met: Vec<String> = ours().map(|l| l.who.clone()).collect();
-    for record in evidence.clients.iter().filter(|r| r.id == id) {
-        if let ClientSaw::Sent { controller, .. } = &record.what {
+    let of_this_call = |line: &Line| line.call.as_deref() == Some(id);
+    let own = || lines.iter().filter(|line| of_this_call(line));
+    let mut met: Vec<String> = own().map(|line| line.observer.clone()).collect();
+    for record in evidence.clients.iter().filter(|record| record.id == id) {
+        if let ClientObservation::Sent { controller, .. } = &record.what {
             met.push(format!("controller {controller}"));
         }
     }
-    let (from, to) = (ours().map(|l| l.at).min().unwrap_or(0), ours().map(|l| l.at).max().unwrap_or(0));
-    // A cut that began before the call is part of its story.
-    let around = from.saturating_sub(BEFORE)..=to;
+    let from = own().map(|line| line.at).min().unwrap_or(0);
+    let to = own().map(|line| line.at).max().unwrap_or(0);
+    // A cut that began before the call may explain what it met.
+    let interval = from.saturating_sub(BEFORE)..=to;
     let mut out = String::new();
     for line in &lines {
-        let fate = line.call.is_none()
-            && around.contains(&line.at)
-            && met.contains(&line.who)
+        let concerns = line.call.is_none()
+            && interval.contains(&line.at)
+            && met.contains(&line.observer)
             && !line.what.starts_with("Probe")
             && !line.what.starts_with("Order");
-        if line.call.as_deref() == Some(id) || fate {
+        if of_this_call(line) || concerns {
             out.push_str("    ");
             write(&mut out, line);
         }
     }
     out
 }
-
-/// How long before a call its story looks for what befell those it met.
-const BEFORE: Micros = 5_000_000;
--- /dev/null
+++ b/crates/scenario/src/timeline.rs
@@ -0,0 +1,222 @@
+//! The timeline of a run: scripted faults as single actions, in order of time.
+
+use std::collections::BTreeMap;
+
+use nettleferry::{Micros, WorkerState};
+use nettleferry_test_servers::Fault;
+
+use crate::script::{FaultKind, ScriptedFault};
+
+/// How long after its end an unresponsive worker stays down before it starts again.
+const DOWN_FOR: Micros = 50_000;
+
+/// One thing to do at one time.
+#[derive(Clone, Debug)]
+pub(crate) enum Action {
+    /// A worker gets a fault.
+    Fault { worker: String, fault: Fault },
+    /// A worker's line of the list changes.
+    List { worker: String, state: WorkerState, restarted: bool },
+    /// The list is not written any more, or again.
+    StaleList(bool),
+    /// A controller is killed.
+    Kill(usize),
+    /// A controller gets SIGTERM.
+    Terminate(usize),
+    /// A controller starts.
+    Start(usize),
+    /// A controller gets SIGSTOP, or SIGCONT.
+    Stall { controller: usize, stalled: bool },
+    /// The model store is slower by this factor.
+    StoreSlowness(f64),
+    /// Calls for models that are wanted once.
+    OneOff { rate: f64, until: Micros },
+    /// A zone is cut off from the others, or connected again.
+    CutZone { zone: String, cut: bool },
+}
+
+/// Whom a fault is for, and from when to when.
+struct Scope<'a> {
+    from: Micros,
+    to: Micros,
+    workers: &'a [String],
+    controllers: &'a [usize],
+}
+
+/// A worker's fault that begins and ends.
+struct Toggle {
+    on: Fault,
+    off: Fault,
+}
+
+/// Actions in order of time; those of one moment in the order in which they were added.
+pub(crate) struct Timeline {
+    actions: BTreeMap<(Micros, u64), Action>,
+    added: u64,
+    list_lag: Micros,
+}
+
+impl Timeline {
+    /// An empty timeline. A change of a worker reaches the list after `list_lag`.
+    pub(crate) fn new(list_lag: Micros) -> Self {
+        Self { actions: BTreeMap::new(), added: 0, list_lag }
+    }
+
+    /// Whether everything was done.
+    pub(crate) fn is_empty(&self) -> bool {
+        self.actions.is_empty()
+    }
+
+    /// Takes the next action that is due.
+    pub(crate) fn take_due(&mut self, now: Micros) -> Option<Action> {
+        let first = self.actions.first_entry()?;
+        if first.key().0 > now { None } else { Some(first.remove()) }
+    }
+
+    /// Adds an action.
+    pub(crate) fn add(&mut self, when: Micros, action: Action) {
+        self.added += 1;
+        self.actions.insert((when, self.added), action);
+    }
+
+    /// Adds a scripted fault: its beginning and its end. `begin`: the start of the run.
+    pub(crate) fn add_fault(
+        &mut self,
+        begin: Micros,
+        fault: &ScriptedFault,
+        workers: &[String],
+        controllers: &[usize],
+    ) {
+        let from = begin + fault.at;
+        let scope = Scope { from, to: from + fault.span, workers, controllers };
+        if let Some(Toggle { on, off }) = toggle(&fault.kind) {
+            for worker in workers {
+                self.add_worker_fault(scope.from, worker, on.clone());
+                self.add_worker_fault(scope.to, worker, off.clone());
+            }
+        } else if let Some(fault) = momentary(&fault.kind) {
+            for worker in workers {
+                self.add_worker_fault(scope.from, worker, fault.clone());
+            }
+        } else {
+            self.add_sequence(&fault.kind, &scope);
+        }
+    }
+
+    /// Adds a fault of several steps, or one that is not a worker's.
+    fn add_sequence(&mut self, kind: &FaultKind, scope: &Scope) {
+        match kind {
+            FaultKind::Crash => self.add_crash(scope),
+            FaultKind::Unresponsive => {
+                for worker in scope.workers {
+                    self.add_worker_fault(scope.from, worker, Fault::Silent(true));
+                    self.add_worker_fault(scope.to, worker, Fault::Die);
+                    self.add_restart(scope.to + DOWN_FOR, worker);
+                }
+            }
+            FaultKind::RollingRestart(step) => self.add_rolling_restart(*step, scope),
+            FaultKind::Cut(zone) => {
+                self.add(scope.from, Action::CutZone { zone: zone.clone(), cut: true });
+                self.add(scope.to, Action::CutZone { zone: zone.clone(), cut: false });
+            }
+            FaultKind::StaleList => {
+                self.add(scope.from, Action::StaleList(true));
+                self.add(scope.to, Action::StaleList(false));
+            }
+            FaultKind::Kill => self.add_controller_actions(scope, Action::Kill, Action::Start),
+            FaultKind::Stop => self.add_controller_actions(scope, Action::Terminate, Action::Start),
+            FaultKind::Stall => {
+                let stall = |stalled| move |controller| Action::Stall { controller, stalled };
+                self.add_controller_actions(scope, stall(true), stall(false));
+            }
+            FaultKind::SlowStore(factor) => {
+                self.add(scope.from, Action::StoreSlowness(*factor));
+                self.add(scope.to, Action::StoreSlowness(1.0));
+            }
+            FaultKind::OneOff(rate) => {
+                self.add(scope.from, Action::OneOff { rate: *rate, until: scope.to });
+            }
+            // Faults of single workers: see `toggle` and `momentary`.
+            FaultKind::FastErrors(_)
+            | FaultKind::Slow(_)
+            | FaultKind::StaleReports(_)
+            | FaultKind::Hang(_)
+            | FaultKind::Refuse
+            | FaultKind::SlowHandshakes(_)
+            | FaultKind::GoAway
+            | FaultKind::CutAfter(_)
+            | FaultKind::HalfFrame
+            | FaultKind::Release(_) => {}
+        }
+    }
+
+    fn add_crash(&mut self, scope: &Scope) {
+        for worker in scope.workers {
+            self.add_worker_fault(scope.from, worker, Fault::Die);
+            self.add_list_change(scope.from + self.list_lag, worker, WorkerState::Gone);
+            self.add_restart(scope.to, worker);
+        }
+    }
+
+    /// Every worker in turn drains, dies and starts again, one `step` after the other.
+    fn add_rolling_restart(&mut self, step: Micros, scope: &Scope) {
+        for (index, worker) in scope.workers.iter().enumerate() {
+            let from = scope.from + step * index as Micros;
+            let down = from + step * 6 / 10;
+            self.add_list_change(from, worker, WorkerState::Draining);
+            self.add_worker_fault(down, worker, Fault::Die);
+            self.add_list_change(down, worker, WorkerState::Gone);
+            self.add_restart(from + step * 8 / 10, worker);
+        }
+    }
+
+    fn add_controller_actions(
+        &mut self,
+        scope: &Scope,
+        first: impl Fn(usize) -> Action,
+        last: impl Fn(usize) -> Action,
+    ) {
+        for &controller in scope.controllers {
+            self.add(scope.from, first(controller));
+            self.add(scope.to, last(controller));
+        }
+    }
+
+    fn add_worker_fault(&mut self, when: Micros, worker: &str, fault: Fault) {
+        self.add(when, Action::Fault { worker: worker.to_owned(), fault });
+    }
+
+    fn add_list_change(&mut self, when: Micros, worker: &str, state: WorkerState) {
+        self.add(when, Action::List { worker: worker.to_owned(), state, restarted: false });
+    }
+
+    fn add_restart(&mut self, when: Micros, worker: &str) {
+        self.add_worker_fault(when, worker, Fault::Rise);
+        let state = WorkerState::On;
+        let listed = Action::List { worker: worker.to_owned(), state, restarted: true };
+        self.add(when + self.list_lag, listed);
+    }
+}
+
+fn toggle(kind: &FaultKind) -> Option<Toggle> {
+    let (on, off) = match kind {
+        FaultKind::FastErrors(share) => (Fault::FailFast(*share), Fault::FailFast(0.0)),
+        FaultKind::Slow(factor) => (Fault::Slow(*factor), Fault::Slow(1.0)),
+        FaultKind::StaleReports(age) => (Fault::LateReports(*age), Fault::LateReports(0)),
+        FaultKind::Hang(models) => (Fault::Hang(Some(models.clone())), Fault::Hang(None)),
+        FaultKind::Refuse => (Fault::Refuse(true), Fault::Refuse(false)),
+        FaultKind::SlowHandshakes(delay) => (Fault::SlowHandshake(*delay), Fault::SlowHandshake(0)),
+        _ => return None,
+    };
+    Some(Toggle { on, off })
+}
+
+fn momentary(kind: &FaultKind) -> Option<Fault> {
+    match kind {
+        FaultKind::GoAway => Some(Fault::GoAway),
+        FaultKind::CutAfter(messages) => Some(Fault::CutAfter(Some(*messages))),
+        FaultKind::HalfFrame => Some(Fault::HalfFrame),
+        FaultKind::Release(models) => Some(Fault::Void(models.clone())),
+        _ => None,
+    }
+}
--- a/crates/scenario/tests/audit.rs
+++ b/crates/scenario/tests/audit.rs
@@ -1,4 +1,4 @@
-//! The audit on doctored records: a sound day has no finding, and each way to break a rule has its own.
+//! The audit on altered records: a valid run has no breach, and each way to break a rule is found.
 
 use nettleferry::{Effect, Group, WorkerState};
 use nettleferry_scenario::audit::{Breach, Slack, audit};
@@ -8,25 +8,31 @@
 const MS: u64 = 1_000;
 const S: u64 = 1_000_000;
 
-/// A day of one controller and two workers in two zones, with nothing in it.
+/// A run of one controller and two workers in two zones, without events.
 fn empty() -> Evidence {
-    let place = |zone: &str, cell: &str| Place { zone: zone.into(), cell: cell.into() };
+    let location = |zone: &str, cell: &str| Location { zone: zone.into(), cell: cell.into() };
     Evidence {
-        lives: vec![Life { controller: 0, zone: "a".into(), from: 0, ending: None, to: None }],
-        figures: Figures {
+        controller_runs: vec![ControllerRun {
+            controller: 0,
+            zone: "a".into(),
+            from: 0,
+            ending: None,
+            to: None,
+        }],
+        parameters: RuleParameters {
             drain_grace: 500 * MS,
             list_check: 50 * MS,
             ration_window: 2 * S,
             ration_floor: 1.0,
             ration_share: 0.5,
         },
-        places: [("w1".to_owned(), place("a", "c1")), ("w2".to_owned(), place("b", "c2"))].into(),
+        locations: [("w1".to_owned(), location("a", "c1")), ("w2".to_owned(), location("b", "c2"))].into(),
         until: 60 * S,
         ..Evidence::default()
     }
 }
 
-fn client(e: &mut Evidence, at: u64, id: &str, what: ClientSaw) {
+fn client(e: &mut Evidence, at: u64, id: &str, what: ClientObservation) {
     e.clients.push(ClientRecord { at, id: id.into(), what });
 }
 
@@ -35,20 +41,20 @@
 }
 
 fn sent(e: &mut Evidence, at: u64, id: &str, effect: Effect) {
-    let what = ClientSaw::Sent {
+    let what = ClientObservation::Sent {
         controller: 0,
         model: "echo".into(),
         deadline: at + 3 * S,
         effect,
         class: "c".into(),
-        aim: S,
+        latency_objective: S,
         slow: false,
     };
     client(e, at, id, what);
 }
 
-/// The call's next attempt comes: numbers are in the order of these lines.
-fn came(e: &mut Evidence, at: u64, name: &str, stream: u64, id: &str) {
+/// The call's next attempt arrives: numbers are in the order of these lines.
+fn arrive(e: &mut Evidence, at: u64, name: &str, stream: u64, id: &str) {
     let before = |r: &&Record| matches!(&r.seen, Seen::Call { id: other, .. } if other == id);
     let attempt = Some(e.workers.iter().filter(before).count() as u32);
     let (id, model, controller) = (id.into(), "echo".into(), "0".into());
@@ -56,7 +62,7 @@
 }
 
 fn cut(e: &mut Evidence, name: &str, from: u64, to: u64) {
-    e.cuts.push((name.into(), "a".into(), During { from, to }));
+    e.cuts.push(Cut { worker: name.into(), zone: "a".into(), interval: Interval { from, to } });
 }
 
 fn gone(e: &mut Evidence, at: u64, name: &str, stream: u64) {
@@ -71,11 +77,11 @@
 fn served(effect: Effect) -> Evidence {
     let mut e = empty();
     sent(&mut e, S, "x", effect);
-    came(&mut e, S + 10 * MS, "w1", 1, "x");
+    arrive(&mut e, S + 10 * MS, "w1", 1, "x");
     worker(&mut e, S + 11 * MS, "w1", Seen::Runs { stream: 1 });
-    client(&mut e, S + 19 * MS, "x", ClientSaw::Part);
+    client(&mut e, S + 19 * MS, "x", ClientObservation::Part);
     answered(&mut e, S + 20 * MS, "w1", 1, false);
-    client(&mut e, S + 21 * MS, "x", ClientSaw::Final(Final::Served));
+    client(&mut e, S + 21 * MS, "x", ClientObservation::Final(Final::Served));
     e
 }
 
@@ -93,61 +99,61 @@
 const KEYED: Effect = Effect::Keyed { group: Group::Zone, window: 2 * S };
 
 #[test]
-fn a_sound_day_has_no_finding() {
+fn valid_run_has_no_breach() {
     for effect in [Effect::Safe, Effect::Unsafe, KEYED] {
         assert_eq!(findings(&served(effect)), vec![]);
     }
 }
 
 #[test]
-fn rule_1_a_call_without_an_answer() {
+fn rule_1_call_without_answer() {
     let mut e = empty();
     sent(&mut e, S, "x", Effect::Safe);
     breaks(&e, 1, "no final answer");
-    client(&mut e, S + 5, "x", ClientSaw::Lost);
+    client(&mut e, S + 5, "x", ClientObservation::Lost);
     breaks(&e, 1, "its connection broke");
     // What a killed controller held is its client's to retry; what one that ends had taken is owed.
-    e.lives[0].to = Some(2 * S);
+    e.controller_runs[0].to = Some(2 * S);
     assert_eq!(findings(&e), vec![]);
-    (e.lives[0].ending, e.lives[0].to) = (Some(2 * S), Some(2 * S + 1));
+    (e.controller_runs[0].ending, e.controller_runs[0].to) = (Some(2 * S), Some(2 * S + 1));
     breaks(&e, 1, "no final answer");
 }
 
 #[test]
-fn rule_1_two_answers_a_late_one_and_a_part_after_it() {
+fn rule_1_second_answer_late_answer_and_part_after_it() {
     let mut twice = served(Effect::Safe);
-    client(&mut twice, S + 30 * MS, "x", ClientSaw::Final(Final::Refused));
+    client(&mut twice, S + 30 * MS, "x", ClientObservation::Final(Final::Refused));
     breaks(&twice, 1, "2 final answers");
     let mut late = empty();
     sent(&mut late, S, "x", Effect::Safe);
-    client(&mut late, 4 * S + 5 * MS, "x", ClientSaw::Final(Final::Failed));
+    client(&mut late, 4 * S + 5 * MS, "x", ClientObservation::Final(Final::Failed));
     breaks(&late, 1, "5 ms after its deadline");
-    late.stalls.push((0, During { from: 2 * S, to: 4 * S }));
+    late.stalls.push(Stall { controller: 0, interval: Interval { from: 2 * S, to: 4 * S } });
     assert_eq!(findings(&late), vec![], "it stood still");
     let mut part = served(Effect::Safe);
-    client(&mut part, S + 40 * MS, "x", ClientSaw::Part);
+    client(&mut part, S + 40 * MS, "x", ClientObservation::Part);
     breaks(&part, 1, "a part after the final answer");
 }
 
 #[test]
-fn rule_1_an_attempt_after_the_end() {
+fn rule_1_attempt_after_the_call_ended() {
     let mut e = served(Effect::Safe);
-    came(&mut e, 2 * S, "w2", 1, "x");
+    arrive(&mut e, 2 * S, "w2", 1, "x");
     answered(&mut e, 2 * S + 1, "w2", 1, true);
     breaks(&e, 1, "reached w2 after the call had ended");
     let mut cancelled = empty();
     sent(&mut cancelled, S, "x", Effect::Safe);
-    client(&mut cancelled, S + 1, "x", ClientSaw::Cancelled);
+    client(&mut cancelled, S + 1, "x", ClientObservation::Cancelled);
     assert_eq!(findings(&cancelled), vec![]);
-    came(&mut cancelled, 2 * S, "w2", 1, "x");
+    arrive(&mut cancelled, 2 * S, "w2", 1, "x");
     answered(&mut cancelled, 2 * S + 1, "w2", 1, true);
     breaks(&cancelled, 1, "reached w2 after the call had ended");
 }
 
 #[test]
-fn rule_2_an_unsafe_call_runs_twice() {
+fn rule_2_unsafe_call_runs_twice() {
     let mut e = served(Effect::Unsafe);
-    came(&mut e, S + 20 * MS, "w2", 1, "x");
+    arrive(&mut e, S + 20 * MS, "w2", 1, "x");
     answered(&mut e, S + 20 * MS, "w2", 1, true);
     assert_eq!(findings(&e), vec![], "sent twice, ran once");
     worker(&mut e, S + 20 * MS, "w2", Seen::Runs { stream: 1 });
@@ -158,11 +164,11 @@
 }
 
 #[test]
-fn rule_2_a_refusal_of_what_ran() {
+fn rule_2_refusal_of_a_call_that_ran() {
     let refused = |effect| {
         let mut e = served(effect);
         e.clients.pop();
-        client(&mut e, S + 30 * MS, "x", ClientSaw::Final(Final::Refused));
+        client(&mut e, S + 30 * MS, "x", ClientObservation::Final(Final::Refused));
         e
     };
     breaks(&refused(Effect::Unsafe), 2, "refused, and ran at w1");
@@ -172,15 +178,15 @@
 }
 
 #[test]
-fn rule_2_a_keyed_call_leaves_its_group_or_its_window() {
+fn rule_2_keyed_call_leaves_its_group_or_window() {
     let repeat = |worker: &str, at: u64, proof: bool| {
         let mut e = empty();
         sent(&mut e, S, "x", KEYED);
-        came(&mut e, S, "w1", 1, "x");
+        arrive(&mut e, S, "w1", 1, "x");
         answered(&mut e, S + 1, "w1", 1, proof);
-        came(&mut e, at, worker, 2, "x");
+        arrive(&mut e, at, worker, 2, "x");
         answered(&mut e, at + 1, worker, 2, false);
-        client(&mut e, at + 2, "x", ClientSaw::Final(Final::Served));
+        client(&mut e, at + 2, "x", ClientObservation::Final(Final::Served));
         e
     };
     assert_eq!(findings(&repeat("w1", 2 * S, false)), vec![]);
@@ -193,10 +199,10 @@
 fn rule_2_attempts_overlap() {
     let mut e = empty();
     sent(&mut e, S, "x", Effect::Safe);
-    came(&mut e, S, "w1", 1, "x");
-    came(&mut e, 2 * S, "w2", 1, "x");
+    arrive(&mut e, S, "w1", 1, "x");
+    arrive(&mut e, 2 * S, "w2", 1, "x");
     answered(&mut e, 2 * S + 1, "w2", 1, false);
-    client(&mut e, 2 * S + 2, "x", ClientSaw::Final(Final::Served));
+    client(&mut e, 2 * S + 2, "x", ClientObservation::Final(Final::Served));
     breaks(&e, 2, "began while one at w1 was open");
     let mut left = e.clone();
     worker(&mut left, 2 * S - 1, "w1", Seen::Gone { stream: 1 });
@@ -216,26 +222,26 @@
     let mut e = empty();
     sent(&mut e, S, "x", effect);
     cut(&mut e, "w2", S - 500 * MS, 3 * S);
-    came(&mut e, 3 * S + 12 * MS, "w2", 1, "x");
+    arrive(&mut e, 3 * S + 12 * MS, "w2", 1, "x");
     gone(&mut e, 3 * S + 13 * MS, "w2", 1);
-    came(&mut e, 2 * S, "w1", 1, "x");
+    arrive(&mut e, 2 * S, "w1", 1, "x");
     worker(&mut e, 2 * S + 1, "w1", Seen::Runs { stream: 1 });
     answered(&mut e, 2 * S + 500 * MS, "w1", 1, false);
-    client(&mut e, 2 * S + 501 * MS, "x", ClientSaw::Final(Final::Served));
+    client(&mut e, 2 * S + 501 * MS, "x", ClientObservation::Final(Final::Served));
     e
 }
 
-/// The last record of a kind at a worker, to be doctored.
+/// The last record of a kind at a worker, to be altered.
 fn record<'a>(e: &'a mut Evidence, name: &str, is: fn(&Seen) -> bool) -> &'a mut Record {
     e.workers.iter_mut().rev().find(|r| r.worker == name && is(&r.seen)).expect("there")
 }
 
 #[test]
-fn an_attempt_that_a_cut_link_held_back_is_judged_by_its_number_and_its_link() {
+fn attempt_delayed_by_a_cut_link_is_judged_by_number_and_link() {
     for effect in [Effect::Safe, KEYED] {
         let mut e = overtaken(effect);
         if effect == KEYED {
-            e.places.get_mut("w2").expect("there").zone = "a".into();
+            e.locations.get_mut("w2").expect("there").zone = "a".into();
         }
         assert_eq!(findings(&e), vec![], "sound: {effect:?}");
     }
@@ -261,22 +267,22 @@
     assert!(found.iter().any(|b| b.rule == 1 && b.what.contains("reached w2 after the call had ended")));
     // A cut of another link excuses nothing.
     let mut other = overtaken(Effect::Safe);
-    other.cuts[0].0 = "w3".into();
+    other.cuts[0].worker = "w3".into();
     assert_eq!(findings(&other), found);
 }
 
 #[test]
-fn a_real_overlap_behind_a_cut_link_is_found() {
+fn overlap_behind_a_cut_link_is_found() {
     // Open at w1 before its link is cut; the second begins at w2 in the meantime; no withdrawal comes with the
     // healing, and w1 works on.
     let overlap = |over: Seen, at: u64| {
         let mut e = empty();
         sent(&mut e, S, "x", Effect::Safe);
-        came(&mut e, S + 1, "w1", 1, "x");
+        arrive(&mut e, S + 1, "w1", 1, "x");
         cut(&mut e, "w1", S + 100 * MS, 2 * S);
-        came(&mut e, S + 500 * MS, "w2", 1, "x");
+        arrive(&mut e, S + 500 * MS, "w2", 1, "x");
         answered(&mut e, S + 600 * MS, "w2", 1, false);
-        client(&mut e, S + 601 * MS, "x", ClientSaw::Final(Final::Served));
+        client(&mut e, S + 601 * MS, "x", ClientObservation::Final(Final::Served));
         worker(&mut e, at, "w1", over);
         e
     };
@@ -290,18 +296,18 @@
     let mut again = overlap(withdrawn(), 3 * S);
     cut(&mut again, "w1", 2 * S + 10 * MS, 3 * S - 5 * MS);
     assert_eq!(findings(&again), vec![]);
-    again.cuts[1].2.from = 2 * S + 900 * MS;
+    again.cuts[1].interval.from = 2 * S + 900 * MS;
     breaks(&again, 2, "began while one at w1 was open");
     // Not neighbours: the first and the third.
     let mut third = overlap(withdrawn(), 4 * S);
-    came(&mut third, S + 550 * MS, "w3", 1, "x");
+    arrive(&mut third, S + 550 * MS, "w3", 1, "x");
     answered(&mut third, S + 560 * MS, "w3", 1, false);
     let found = findings(&third);
     assert!(found.iter().filter(|b| b.what.contains("while one at w1 was open")).count() == 2, "{found:?}");
 }
 
 #[test]
-fn an_unsafe_call_repeated_behind_a_cut_link_is_found_when_it_runs() {
+fn unsafe_call_retried_behind_a_cut_link_is_found_when_it_runs() {
     let mut e = overtaken(Effect::Unsafe);
     assert_eq!(findings(&e), vec![], "it was withdrawn before it ran");
     worker(&mut e, 3 * S + 12 * MS + 500, "w2", Seen::Runs { stream: 1 });
@@ -309,20 +315,20 @@
 }
 
 #[test]
-fn a_keyed_call_is_bound_by_the_first_by_number_whatever_arrives_first() {
+fn keyed_call_is_bound_by_its_lowest_attempt_number() {
     // The first went to zone b and came last; what came first, by arrival, was the repeat in zone a.
     let e = overtaken(KEYED);
     breaks(&e, 2, "keyed, repeated at w1 outside the group of w2");
     // Its window began when it left, which was before the repeat came: not when it arrived itself.
     let mut late = overtaken(KEYED);
-    late.places.get_mut("w2").expect("there").zone = "a".into();
-    came(&mut late, 4 * S + 600 * MS, "w1", 2, "x");
+    late.locations.get_mut("w2").expect("there").zone = "a".into();
+    arrive(&mut late, 4 * S + 600 * MS, "w1", 2, "x");
     answered(&mut late, 4 * S + 601 * MS, "w1", 2, false);
     late.clients.pop();
-    client(&mut late, 4 * S - 1, "y", ClientSaw::Lost);
-    client(&mut late, 4 * S + 700 * MS, "x", ClientSaw::Final(Final::Served));
+    client(&mut late, 4 * S - 1, "y", ClientObservation::Lost);
+    client(&mut late, 4 * S + 700 * MS, "x", ClientObservation::Final(Final::Served));
     late.clients.iter_mut().for_each(|r| {
-        if let ClientSaw::Sent { deadline, .. } = &mut r.what {
+        if let ClientObservation::Sent { deadline, .. } = &mut r.what {
             *deadline = 9 * S;
         }
     });
@@ -330,7 +336,7 @@
 }
 
 #[test]
-fn attempts_carry_a_number_each_its_own() {
+fn attempt_numbers_are_present_and_distinct() {
     let mut e = overtaken(Effect::Safe);
     if let Seen::Call { attempt, .. } = &mut record(&mut e, "w1", |s| matches!(s, Seen::Call { .. })).seen {
         *attempt = Some(0);
@@ -343,7 +349,7 @@
 }
 
 #[test]
-fn cuts_are_read_off_the_workers_own_records() {
+fn cuts_are_derived_from_worker_records() {
     let mut e = empty();
     let link = |door, conn, cut| Seen::Link { door, conn, cut };
     worker(&mut e, S, "w1", link(1, None, true));
@@ -352,36 +358,39 @@
     worker(&mut e, 2 * S, "w1", link(1, None, false));
     worker(&mut e, 3 * S, "w2", link(0, None, true));
     let zones = ["a".to_owned(), "b".to_owned()];
-    let span = |w: &str, z: &str, from, to| (w.to_owned(), z.to_owned(), During { from, to });
+    let cut = |worker: &str, zone: &str, from, to| {
+        let interval = Interval { from, to };
+        Cut { worker: worker.to_owned(), zone: zone.to_owned(), interval }
+    };
     assert_eq!(
         cuts(&e.workers, &zones),
-        [span("w1", "a", S + 1, S + 2), span("w1", "b", S, 2 * S), span("w2", "a", 3 * S, u64::MAX)]
+        [cut("w1", "a", S + 1, S + 2), cut("w1", "b", S, 2 * S), cut("w2", "a", 3 * S, u64::MAX)]
     );
 }
 
 #[test]
-fn rule_3_something_new_after_the_drain_grace() {
+fn rule_3_new_attempt_after_the_drain_grace() {
     let told = |at: u64| {
         let mut e = served(Effect::Safe);
-        e.told.push(Told { at, worker: "w1".into(), state: WorkerState::Draining });
+        e.listed.push(ListedWorker { at, worker: "w1".into(), state: WorkerState::Draining });
         e
     };
     assert_eq!(findings(&told(S)), vec![], "within the grace");
     breaks(&told(10 * MS), 3, "call x reached w1");
     let mut back = told(10 * MS);
-    back.told.push(Told { at: 20 * MS, worker: "w1".into(), state: WorkerState::On });
+    back.listed.push(ListedWorker { at: 20 * MS, worker: "w1".into(), state: WorkerState::On });
     assert_eq!(findings(&back), vec![], "it is on again");
     let mut order = empty();
-    order.told.push(Told { at: S, worker: "w1".into(), state: WorkerState::Gone });
+    order.listed.push(ListedWorker { at: S, worker: "w1".into(), state: WorkerState::Gone });
     sent(&mut order, 3 * S, "y", Effect::Safe);
-    client(&mut order, 3 * S + 1, "y", ClientSaw::Final(Final::Refused));
+    client(&mut order, 3 * S + 1, "y", ClientObservation::Final(Final::Refused));
     let seen = Seen::Order { controller: "0".into(), model: "echo".into(), copies: 1 };
     worker(&mut order, 3 * S, "w1", seen);
     breaks(&order, 3, "an order to load echo reached w1");
 }
 
 #[test]
-fn rule_4_a_cold_worker_falls_over() {
+fn rule_4_warming_worker_is_overloaded() {
     let mut e = empty();
     worker(&mut e, S, "w1", Seen::Up { cold: true });
     assert_eq!(findings(&e), vec![]);
@@ -390,12 +399,12 @@
 }
 
 #[test]
-fn rule_5_orders_beyond_the_ration() {
+fn rule_5_load_orders_beyond_the_limit() {
     let orders = |times: &[u64], calls: u64| {
         let mut e = empty();
         for n in 0..calls {
             sent(&mut e, S + n, &format!("c{n}"), Effect::Safe);
-            client(&mut e, S + n + 1, &format!("c{n}"), ClientSaw::Final(Final::Served));
+            client(&mut e, S + n + 1, &format!("c{n}"), ClientObservation::Final(Final::Served));
         }
         for at in times {
             let seen = Seen::Order { controller: "0".into(), model: "echo".into(), copies: 1 };
@@ -407,10 +416,16 @@
     assert_eq!(findings(&orders(&[2 * S, 2 * S + 1], 2)), vec![]);
     breaks(&orders(&[2 * S, 2 * S + 1, 2 * S + 2], 2), 5, "3 load orders in the window, 2.0 permitted");
     assert_eq!(findings(&orders(&[2 * S, 5 * S, 8 * S], 0)), vec![], "a window each");
-    let mut lives = orders(&[2 * S, 2 * S + 10], 0);
-    lives.lives[0].to = Some(2 * S + 5);
-    lives.lives.push(Life { controller: 0, zone: "a".into(), from: 2 * S + 6, ending: None, to: None });
-    breaks(&lives, 5, "2 load orders in the window");
-    lives.workers[1].at = 5 * S;
-    assert_eq!(findings(&lives), vec![], "a window after the other life's last one");
+    let mut controller_runs = orders(&[2 * S, 2 * S + 10], 0);
+    controller_runs.controller_runs[0].to = Some(2 * S + 5);
+    controller_runs.controller_runs.push(ControllerRun {
+        controller: 0,
+        zone: "a".into(),
+        from: 2 * S + 6,
+        ending: None,
+        to: None,
+    });
+    breaks(&controller_runs, 5, "2 load orders in the window");
+    controller_runs.workers[1].at = 5 * S;
+    assert_eq!(findings(&controller_runs), vec![], "a window after the other life's last one");
 }
