--- a/crates/admin/src/api/changes.rs
+++ b/crates/admin/src/api/changes.rs
@@ -1,6 +1,6 @@
 //! Changes of tenants: under the condition of If-Match, and once for each idempotency key.
 
-use nettleferry_tenancy::{Applied, Change, Condition, Once};
+use nettleferry_tenancy::{Applied, Change, Condition, IdempotentResponse};
 use serde_json::Value;
 
 use crate::message::{Answer, Request, Response};
@@ -86,7 +86,7 @@
             return repeated_response(before, fingerprint);
         }
         let Applied { tenant: after, entry } =
-            self.snapshot.judge(change, condition, &call.caller.name, call.now)?;
+            self.snapshot.evaluate(change, condition, &call.caller.name, call.now)?;
         let after = after.ok_or_else(|| internal("a change left no tenant"))?;
         let response = tenant_response(call.route.status, &after)?;
         if dry_run {
@@ -98,14 +98,14 @@
         };
         let once = key.as_ref().map(|key| {
             let (status, body, revision) = (response.status, response.body.clone(), after.revision);
-            (key.as_str(), Once { fingerprint, status, revision, body, at_ms: call.now })
+            (key.as_str(), IdempotentResponse { fingerprint, status, revision, body, at_ms: call.now })
         });
         let committed = self.store.commit(&entry, once.as_ref().map(|(key, once)| (*key, once)));
         committed.map_err(|error| {
             Problem::new(503, "not-kept", format!("the change was not kept, and has not happened: {error}"))
         })?;
-        self.snapshot.take(&entry).map_err(internal)?;
-        Ok(Answer::Committed { response, revision: entry.revision, restricts: entry.binds() })
+        self.snapshot.apply(&entry).map_err(internal)?;
+        Ok(Answer::Committed { response, revision: entry.revision, restricts: entry.restricts() })
     }
 }
 
@@ -128,7 +128,7 @@
 }
 
 /// The response that was given to the same request before.
-fn repeated_response(before: Once, fingerprint: u64) -> Result<Answer, Problem> {
+fn repeated_response(before: IdempotentResponse, fingerprint: u64) -> Result<Answer, Problem> {
     if before.fingerprint != fingerprint {
         let detail = "this Idempotency-Key came before with another body";
         return Err(Problem {
--- a/crates/admin/src/api/ports.rs
+++ b/crates/admin/src/api/ports.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::error::Error;
 
-use nettleferry_tenancy::{Book, Entry, Once, Revision, Tenant};
+use nettleferry_tenancy::{Entry, IdempotentResponse, Revision, Tenant, TenantSnapshot};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
@@ -24,9 +24,13 @@
 /// Where changes of tenants are committed, and read again.
 pub trait ChangeStore {
     /// Writes a change, with the response to repeat for an idempotency key; durable when it returns.
-    fn commit(&mut self, entry: &Entry, idempotent: Option<(&str, &Once)>) -> Result<(), ChangeStoreError>;
+    fn commit(
+        &mut self,
+        entry: &Entry,
+        idempotent: Option<(&str, &IdempotentResponse)>,
+    ) -> Result<(), ChangeStoreError>;
     /// The response that was stored under an idempotency key.
-    fn stored_response(&self, key: &str) -> Result<Option<Once>, ChangeStoreError>;
+    fn stored_response(&self, key: &str) -> Result<Option<IdempotentResponse>, ChangeStoreError>;
     /// At most `limit` changes after a revision, in order; of one tenant, where one is named.
     fn entries(
         &self,
@@ -176,7 +180,7 @@
     /// A problem where loans are off, the report is malformed, or the incarnation has no lease.
     fn grant_loans(
         &mut self,
-        snapshot: &Book,
+        snapshot: &TenantSnapshot,
         controller: u32,
         incarnation: u64,
         report: Value,
@@ -204,5 +208,5 @@
     ///
     /// # Errors
     /// A problem where there is no such snapshot.
-    fn recover(&mut self, own: &Book, take: &str, dry_run: bool) -> Result<Value, Problem>;
+    fn recover(&mut self, own: &TenantSnapshot, take: &str, dry_run: bool) -> Result<Value, Problem>;
 }
--- a/crates/gateway/src/controller/audit.rs
+++ b/crates/gateway/src/controller/audit.rs
@@ -1,19 +1,12 @@
 //! What the controller enters into its audit log, where it has one.
 
-use nettleferry_administration::trail::Log;
-use nettleferry_audit_log::{Act, Recorder, View};
+use nettleferry_audit_log::{Event, Recorder, View};
 use nettleferry_tenancy::{Entry, Tenant};
 
-use super::Controller;
+use super::{AuditLog, Controller};
 use crate::audit_log::Known;
 use crate::tenants::Tenants;
 
-/// The recorder of entries, and the log that writes them.
-pub(super) struct AuditLog {
-    pub(super) recorder: Recorder,
-    pub(super) log: Log,
-}
-
 impl Controller {
     /// Enters something into the audit log. `entry` gets the recorder, the time in milliseconds, and names for numbers.
     pub(super) fn record(&mut self, entry: impl FnOnce(&mut Recorder, u64, &Known)) {
@@ -45,15 +38,15 @@
             settings: self.config.sum,
             program: env!("CARGO_PKG_VERSION").to_owned(),
         };
-        self.record(|recorder, now, names| recorder.acts_on(now, view, names));
+        self.record(|recorder, now, names| recorder.view_applied(now, view, names));
     }
 }
 
 /// The event of a change of a tenant's state; changes of limits show in the views.
-pub(super) fn tenant_event(change: &Entry) -> Option<Act> {
+pub(super) fn tenant_event(change: &Entry) -> Option<Event> {
     let state_name = |tenant: &Tenant| format!("{:?}", tenant.state).to_lowercase();
     let before = change.before.as_ref().map(state_name);
     let after = change.after.as_ref().map(state_name);
     let state = after.clone().unwrap_or_else(|| "gone".to_owned());
-    (before != after).then(|| Act::Tenant { tenant: change.tenant.clone(), state })
+    (before != after).then(|| Event::Tenant { tenant: change.tenant.clone(), state })
 }
--- a/crates/gateway/src/controller/commands.rs
+++ b/crates/gateway/src/controller/commands.rs
@@ -1,12 +1,13 @@
 //! Execution of the engine's commands, until none is left.
 
 use nettleferry::Micros;
-use nettleferry_audit_log::Act;
+use nettleferry_audit_log::Event as AuditEvent;
 use nettleferry_engine::{AttemptEnd, Command, Event};
 use tracing::{debug, warn};
 
 use super::Controller;
-use crate::front::{Around, Front};
+use crate::front::{Front, FrontContext};
+use crate::worker_links::LoadOrder;
 
 impl Controller {
     /// Executes what the engine commands, and what it commands in return, until nothing is left.
@@ -31,32 +32,37 @@
                 if let Some(audit_log) = &mut self.audit_log {
                     audit_log.recorder.attempt(self.clock.now_ms(), worker.0);
                 }
-                return self.links.start(hub, attempt, worker, streamed, time_left, body);
+                return self.worker_links.start_attempt(hub, attempt, worker, streamed, time_left, body);
+            }
+            Command::Cancel { attempt } | Command::Abandon { attempt } => {
+                self.worker_links.cancel(hub, attempt)
             }
-            Command::Cancel { attempt } | Command::Abandon { attempt } => self.links.withdraw(hub, attempt),
             // Its stream is open, so the client has disconnected already.
             Command::CancelLoad { .. } => {}
-            Command::Pause { attempt } => self.links.flow(hub, attempt, true),
-            Command::Resume { attempt } => self.links.flow(hub, attempt, false),
+            Command::Pause { attempt } => self.worker_links.pause(hub, attempt),
+            Command::Resume { attempt } => self.worker_links.resume(hub, attempt),
             Command::ResponsePart { front, payload, .. } => {
-                self.with_front(|handler, context| handler.part(context, front, payload));
+                self.with_front(|handler, context| handler.send_part(context, front, payload));
             }
             Command::Answer { call, front, answer } => {
                 debug!(call = call.0, ?answer, "final answer");
-                self.with_front(|handler, context| handler.end(context, call, front, answer));
+                self.with_front(|handler, context| handler.answer(context, call, front, answer));
             }
             Command::Load { request_id, worker, model, version, copies } => {
                 debug!(worker = %self.engine.names().worker_name(worker), %model, copies, "load ordered");
-                let memory = self.config.models.find(&model).and_then(|m| m.memory);
+                let memory_bytes = self.config.models.find(&model).and_then(|model| model.memory);
                 if let Some(audit_log) = &mut self.audit_log {
                     audit_log.recorder.order(self.clock.now_ms(), worker.0);
                 }
-                return self.links.load(hub, request_id, worker, (&model, &version, memory), copies);
+                let order = LoadOrder { model: &model, version: &version, memory_bytes, replicas: copies };
+                return self.worker_links.load(hub, request_id, worker, &order);
+            }
+            Command::Unload { worker, model, .. } => self.worker_links.unload(hub, worker, &model),
+            Command::Probe { request_id, worker } => return self.worker_links.probe(hub, request_id, worker),
+            Command::ForgetControlRequest { request_id } => {
+                self.worker_links.cancel_control_request(hub, request_id)
             }
-            Command::Unload { worker, model, .. } => self.links.unload(hub, worker, &model),
-            Command::Probe { request_id, worker } => return self.links.probe(hub, request_id, worker),
-            Command::ForgetControlRequest { request_id } => self.links.forget(hub, request_id),
-            Command::WatchList | Command::FetchList => self.lists.ask(),
+            Command::WatchList | Command::FetchList => self.list_watcher.request_update(),
             Command::Log(line) => warn!("{line}"),
         }
         None
@@ -74,16 +80,16 @@
     }
 
     /// Lets the front handle something, and checks that the lease still held when it had accepted a call.
-    pub(super) fn with_front<T>(&mut self, handle: impl FnOnce(&mut Front, &mut Around) -> T) -> T {
+    pub(super) fn with_front<T>(&mut self, handle: impl FnOnce(&mut Front, &mut FrontContext) -> T) -> T {
         let (now, opened_before) = (self.clock.now(), self.front.opened);
-        let mut context = Around {
+        let mut context = FrontContext {
             hub: &mut self.hub,
             engine: &mut self.engine,
             commands: &mut self.commands,
             tenants: self.tenants.as_mut(),
-            gate: self.restart_admission.limiter.as_mut(),
+            limiter: self.restart_admission.limiter.as_mut(),
             lease: self.lease.as_mut(),
-            trail: self.audit_log.as_mut().map(|audit_log| &mut audit_log.recorder),
+            recorder: self.audit_log.as_mut().map(|audit_log| &mut audit_log.recorder),
             now,
         };
         let result = handle(&mut self.front, &mut context);
@@ -100,8 +106,8 @@
         if lease.action_finished(started_at / 1000, now / 1000) {
             let paused_us = now - started_at;
             warn!(paused_us, "lease expired while calls were being accepted: the process was paused");
-            let event = Act::Doubtful { stood_ms: paused_us / 1000 };
-            self.record(|recorder, now, names| recorder.one(now, event, names));
+            let event = AuditEvent::LeaseEndedMeanwhile { stalled_ms: paused_us / 1000 };
+            self.record(|recorder, now, names| recorder.event(now, event, names));
         }
     }
 }
