--- a/crates/scenario/src/audit.rs
+++ b/crates/scenario/src/audit.rs
@@ -8,7 +8,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-use nettleferry::{Effect, Group, Micros, WorkerState};
+use nettleferry::{Effect, KeyScope, Micros, WorkerState};
 use nettleferry_test_servers::Seen;
 
 use crate::attempts::{Attempt, Links, attempts};
@@ -203,11 +203,12 @@
     /// Rule 2: no effect twice, no overlap, no refusal of what has run.
     fn check_effects(&mut self, id: &str, call: &Call, attempts: &[Attempt]) {
         let runs: Vec<&Attempt> = attempts.iter().filter(|attempt| attempt.ran).collect();
-        if *call.effect == Effect::Unsafe && runs.len() > 1 {
+        if *call.effect == Effect::NonIdempotent && runs.len() > 1 {
             let what = format!("unsafe, and ran at {} and at {}", runs[0].worker, runs[1].worker);
             self.call_breach(2, runs[1].arrived, id, &what);
         }
-        let harmless = matches!(call.effect, Effect::Safe | Effect::Keyed { group: Group::All, .. });
+        let harmless =
+            matches!(call.effect, Effect::Idempotent | Effect::IdempotencyKey { scope: KeyScope::All, .. });
         if let Some(FinalAnswer { at, kind: Final::Refused }) = call.finals.first()
             && !harmless
             && let Some(run) = runs.first()
@@ -215,8 +216,8 @@
             self.call_breach(2, *at, id, &format!("refused, and ran at {}", run.worker));
         }
         self.check_attempt_numbers(id, attempts);
-        if let Effect::Keyed { group, window } = call.effect {
-            self.check_keyed(id, *group, *window, attempts);
+        if let Effect::IdempotencyKey { scope, window } = call.effect {
+            self.check_keyed(id, *scope, *window, attempts);
         }
         for (index, later) in attempts.iter().enumerate() {
             for earlier in &attempts[..index] {
@@ -244,7 +245,7 @@
     }
 
     /// The first attempt that may have run binds a call with an idempotency key to its group and window.
-    fn check_keyed(&mut self, id: &str, group: Group, window: Micros, attempts: &[Attempt]) {
+    fn check_keyed(&mut self, id: &str, scope: KeyScope, window: Micros, attempts: &[Attempt]) {
         let Some(first) = attempts.iter().position(Attempt::may_have_run) else { return };
         let location = |worker: &str| self.evidence.locations.get(worker).cloned().unwrap_or_default();
         let bound = &attempts[first].worker;
@@ -254,10 +255,10 @@
         let mut found = Vec::new();
         for later in &attempts[first + 1..] {
             let there = location(&later.worker);
-            let within = match group {
-                Group::All => true,
-                Group::Zone => there.zone == home.zone,
-                Group::Cell => there.cell == home.cell,
+            let within = match scope {
+                KeyScope::All => true,
+                KeyScope::Zone => there.zone == home.zone,
+                KeyScope::Cell => there.cell == home.cell,
             };
             if !within {
                 let what = format!("keyed, repeated at {} outside the group of {bound}", later.worker);
--- a/crates/scenario/src/story.rs
+++ b/crates/scenario/src/story.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-use nettleferry::Micros;
+use nettleferry::{Effect, KeyScope, Micros, WorkerState};
 use nettleferry_test_servers::Seen;
 
 use crate::evidence::{ClientObservation, Evidence};
@@ -25,7 +25,7 @@
     lines.extend(evidence.listed.iter().map(|change| Line {
         at: change.at,
         observer: "list".to_owned(),
-        what: format!("{} is {:?}", change.worker, change.state),
+        what: format!("{} is {}", change.worker, state_text(change.state)),
         call: None,
     }));
     lines.extend(controller_lines(evidence));
@@ -38,7 +38,8 @@
     let lines = records.map(|record| {
         let what = match &record.what {
             ClientObservation::Sent { controller, model, deadline, effect, class, .. } => format!(
-                "sent to controller {controller}: {model}, class {class}, {effect:?}, gives up at {:.3}",
+                "sent to controller {controller}: {model}, class {class}, {}, gives up at {:.3}",
+                effect_text(*effect),
                 *deadline as f64 / 1e6
             ),
             ClientObservation::Part => "a part of the answer".to_owned(),
@@ -88,6 +89,30 @@
     lines
 }
 
+/// What a retry of a call may do. The spelling is that of earlier evidence files.
+fn effect_text(effect: Effect) -> String {
+    match effect {
+        Effect::Idempotent => "Safe".to_owned(),
+        Effect::NonIdempotent => "Unsafe".to_owned(),
+        Effect::IdempotencyKey { scope, window } => {
+            let group = match scope {
+                KeyScope::All => "All",
+                KeyScope::Zone => "Zone",
+                KeyScope::Cell => "Cell",
+            };
+            format!("Keyed {{ group: {group}, window: {window} }}")
+        }
+    }
+}
+
+fn state_text(state: WorkerState) -> &'static str {
+    match state {
+        WorkerState::On => "On",
+        WorkerState::Draining => "Draining",
+        WorkerState::Gone => "Gone",
+    }
+}
+
 /// The zone from which a link comes that was cut or mended at a time.
 fn link_origin(evidence: &Evidence, worker: &str, door: usize, at: Micros) -> String {
     let mut cuts = evidence.cuts.iter();
--- a/crates/scenario/src/traffic.rs
+++ b/crates/scenario/src/traffic.rs
@@ -228,7 +228,7 @@
             deadline,
             effect: settings.effect,
             class: self.plan.config.classes[class].clone(),
-            latency_objective: settings.aim,
+            latency_objective: settings.latency_objective,
             slow,
         };
         self.record(&id, sent);
