--- a/crates/administration/src/lib.rs
+++ b/crates/administration/src/lib.rs
@@ -27,7 +27,9 @@
 
 use nettleferry_admin::Response;
 use nettleferry_admin::api::{Usage, Worker};
-use nettleferry_config::settings::{Admin, AdminKey, Desk as Whose};
+use nettleferry_config::settings::{
+    AdminKey, AdminSettings, Administration, FollowerSettings, LeaderSettings, SnapshotServer,
+};
 use nettleferry_fleet::loans::LoanConfig;
 use nettleferry_net::http1::{Reply, Stop};
 use nettleferry_tenancy::{Entry, Revision};
@@ -125,14 +127,22 @@
 impl Desk {
     /// Starts what the settings say.
     pub fn start(
-        admin: &Admin,
+        admin: &AdminSettings,
         (number, of, longest): (u32, u32, u64),
         waker: Arc<mio::Waker>,
         held: Option<crate::trail::Shared>,
     ) -> io::Result<Self> {
-        match &admin.desk {
-            Whose::Own { listen, store, keys, peers, peer_key, lease, held_by } => {
-                let (peer_key, held_by) = (peer_key.as_deref(), *held_by);
+        match &admin.administration {
+            Administration::Leader(LeaderSettings {
+                listen,
+                store,
+                keys,
+                peers,
+                peer_key,
+                lease,
+                required_replicas,
+            }) => {
+                let (peer_key, held_by) = (peer_key.as_deref(), *required_replicas);
                 let lease = lease.map(|span| span / 1000);
                 let records = held.is_some();
                 let terms = LoanConfig { controllers: of, reserve: admin.reserve };
@@ -150,19 +160,27 @@
                 };
                 Self::own(*listen, store, keys, around)
             }
-            Whose::Follow { to, key_file, kept, window, peers, straggler } => {
-                let ends = straggler.refuses;
+            Administration::Follower(FollowerSettings {
+                leader,
+                key_file,
+                snapshot_file,
+                snapshot_server,
+                peers,
+                without_lease,
+            }) => {
+                let ends = without_lease.rejects;
                 let shown = Arc::default();
                 let borrows = (admin.reserve < 1.0).then(|| Arc::clone(&shown));
-                let whom = follow::Whom { to: *to, key_file, kept, peers, ends, held, borrows };
-                Self::follow(&whom, window.as_ref(), number, waker, shown)
+                let whom =
+                    follow::Whom { to: *leader, key_file, kept: snapshot_file, peers, ends, held, borrows };
+                Self::follow(&whom, snapshot_server.as_ref(), number, waker, shown)
             }
         }
     }
 
     fn follow(
         whom: &follow::Whom,
-        window: Option<&(SocketAddr, Vec<AdminKey>)>,
+        window: Option<&SnapshotServer>,
         number: u32,
         waker: Arc<mio::Waker>,
         shown: Arc<Mutex<Shown>>,
@@ -174,7 +192,9 @@
         };
         let mirror = peers::Mirror::default();
         let mut work = follow::Follow::new(whom, number, Arc::clone(&mirror), tell)?;
-        let window = window.map(|(listen, keys)| mirror::start(*listen, keys, number, mirror)).transpose()?;
+        let window = window
+            .map(|SnapshotServer { listen, keys }| mirror::start(*listen, keys, number, mirror))
+            .transpose()?;
         let (book, local) = (work.book(), window.as_ref().map(|window| window.local));
         let (ender, applied) = (Ender::Follow(work.ended(), work.waker()), work.applied());
         let thread = std::thread::Builder::new().name("follow".to_owned()).spawn(move || {
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,5 +1,5 @@
-//! Text to checked settings: S-expressions, all errors of a file at once, each with file, line, column, the
-//! offending text and what to write instead.
+//! Checked settings from S-expressions: all errors of a file at once, each with file, line, column, the wrong text and
+//! what to write instead.
 //!
 //! May know: text, and the types that the checked values become. Must not know: who uses them, sockets, files
 //! (callers read files and hand over their text).
@@ -14,6 +14,6 @@
 pub mod syntax;
 pub mod workers;
 
-pub use form::{Errors, Fault};
+pub use form::{Diagnostic, Errors};
 pub use settings::{Config, Model};
 pub use workers::Worker;
--- a/crates/config/src/settings/classes.rs
+++ b/crates/config/src/settings/classes.rs
@@ -7,78 +7,98 @@
 use crate::form::{Form, TimeSpan};
 
 /// Most classes of a file.
-pub const MOST_CLASSES: usize = 256;
+pub const MAX_CLASSES: usize = 256;
 
 /// Most tenants of a file.
-pub const MOST_TENANTS: usize = 10_000;
+pub const MAX_TENANTS: usize = 10_000;
 
-/// Reads all `(class NAME ...)`: the classes, and their names in the same order.
-pub(super) fn classes(top: &mut Form) -> (Vec<Class>, Vec<String>) {
+/// The classes of a file, and their names in the same order.
+pub(super) struct Classes {
+    pub(super) classes: Vec<Class>,
+    pub(super) names: Vec<String>,
+}
+
+/// Reads all `(class NAME ...)`.
+pub(super) fn classes(top: &mut Form) -> Classes {
     let (mut classes, mut names) = (Vec::new(), Vec::<String>::new());
-    for mut form in top.all("class") {
-        let name: String = form.want("its name").unwrap_or_default();
+    for mut form in top.lists("class") {
+        let name: String = form.required_item("its name").unwrap_or_default();
         if names.contains(&name) {
-            form.fault(format!("class {name} stands twice: names are unique"));
+            form.error(format!("class {name} stands twice: names are unique"));
         }
-        let aim = form.must::<TimeSpan>("aim").map_or(1, |s| s.0);
-        let deadline = form.must::<TimeSpan>("deadline").map_or(aim, |s| s.0);
+        let aim = form.required::<TimeSpan>("aim").map_or(1, |s| s.0);
+        let deadline = form.required::<TimeSpan>("deadline").map_or(aim, |s| s.0);
         if deadline < aim || aim == 0 {
-            form.fault(format!("class {name}: the aim is above zero and not longer than the deadline"));
+            form.error(format!("class {name}: the aim is above zero and not longer than the deadline"));
         }
-        let late_share = form.or("late-share", 0.0);
+        let late_share = form.value_or("late-share", 0.0);
         if late_share > 1.0 {
-            form.fault(format!("class {name}: (late-share ...) is a share, from 0 to 1"));
+            form.error(format!("class {name}: (late-share ...) is a share, from 0 to 1"));
         }
         classes.push(Class {
             aim,
             deadline,
             effect: effect(&mut form).unwrap_or(Effect::Unsafe),
-            worth: form.or("worth", 1.0),
+            worth: form.value_or("worth", 1.0),
             late_share,
-            stream: form.or("stream", false),
+            stream: form.value_or("stream", false),
         });
         names.push(name);
-        form.end();
+        form.finish();
     }
     if classes.is_empty() {
-        top.fault("the settings name no (class ...): write at least one, with effect, aim and deadline");
-    } else if classes.len() > MOST_CLASSES {
-        top.fault(format!("{} classes; at most {MOST_CLASSES} are taken", classes.len()));
+        top.error("the settings name no (class ...): write at least one, with effect, aim and deadline");
+    } else if classes.len() > MAX_CLASSES {
+        top.error(format!("{} classes; at most {MAX_CLASSES} are taken", classes.len()));
     }
-    (classes, names)
+    Classes { classes, names }
+}
+
+/// The keyword of an effect.
+#[derive(Clone, Copy)]
+enum EffectKind {
+    Safe,
+    Keyed,
+    Unsafe,
 }
 
 /// Reads `(effect ...)`.
 fn effect(form: &mut Form) -> Option<Effect> {
-    let mut form = form.need("effect")?;
-    let word = form.word("effect", &[("safe", 0), ("keyed", 1), ("unsafe", 2)])?;
-    let effect = match word {
-        0 => Effect::Safe,
-        1 => {
+    let mut form = form.required_list("effect")?;
+    let kinds = [("safe", EffectKind::Safe), ("keyed", EffectKind::Keyed), ("unsafe", EffectKind::Unsafe)];
+    let effect = match form.keyword("effect", &kinds)? {
+        EffectKind::Safe => Effect::Safe,
+        EffectKind::Keyed => {
             let group = [("all", Group::All), ("zone", Group::Zone), ("cell", Group::Cell)];
-            let group = form.word("the group that drops repeats", &group);
-            let window: Option<TimeSpan> = form.want("the window in which repeats are dropped");
+            let group = form.keyword("the group that drops repeats", &group);
+            let window: Option<TimeSpan> = form.required_item("the window in which repeats are dropped");
             Effect::Keyed { group: group?, window: window?.0 }
         }
-        _ => Effect::Unsafe,
+        EffectKind::Unsafe => Effect::Unsafe,
     };
-    form.end();
+    form.finish();
     Some(effect)
 }
 
-/// Reads all `(tenant NAME ...)`: the tenants, and their places by name.
-pub(super) fn tenants(top: &mut Form) -> (Vec<Tenant>, HashMap<String, TenantId>) {
-    let (mut tenants, mut names) = (Vec::new(), HashMap::new());
-    for mut form in top.all("tenant") {
-        let name: String = form.want("its name").unwrap_or_default();
-        if names.insert(name.clone(), TenantId(tenants.len())).is_some() {
-            form.fault(format!("tenant {name} stands twice: names are unique"));
+/// The tenants of a file, and their numbers by name.
+pub(super) struct Tenants {
+    pub(super) tenants: Vec<Tenant>,
+    pub(super) ids: HashMap<String, TenantId>,
+}
+
+/// Reads all `(tenant NAME ...)`.
+pub(super) fn tenants(top: &mut Form) -> Tenants {
+    let (mut tenants, mut ids) = (Vec::new(), HashMap::new());
+    for mut form in top.lists("tenant") {
+        let name: String = form.required_item("its name").unwrap_or_default();
+        if ids.insert(name.clone(), TenantId(tenants.len())).is_some() {
+            form.error(format!("tenant {name} stands twice: names are unique"));
         }
-        tenants.push(Tenant { quota_per_s: form.get("quota-per-second") });
-        form.end();
+        tenants.push(Tenant { quota_per_s: form.optional("quota-per-second") });
+        form.finish();
     }
-    if tenants.len() > MOST_TENANTS {
-        top.fault(format!("{} tenants; at most {MOST_TENANTS} are taken", tenants.len()));
+    if tenants.len() > MAX_TENANTS {
+        top.error(format!("{} tenants; at most {MAX_TENANTS} are taken", tenants.len()));
     }
-    (tenants, names)
+    Tenants { tenants, ids }
 }
--- a/crates/config/src/settings/limits.rs
+++ b/crates/config/src/settings/limits.rs
@@ -1,21 +1,21 @@
-//! Bounds: those of the decision module and those at the edge, which stand in one form.
+//! Limits of the decision module and of the gateway's edge, which are in one list.
 
 use nettleferry::{Limits, Micros};
 
 use crate::form::{Bytes, Form, TimeSpan};
 
-/// Bounds and spans at the edge; each is told in the settings' page.
+/// Limits and timeouts at the edge; docs/settings and the example describe each.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Edge {
+pub struct EdgeLimits {
     /// Calls open at once.
     pub open_calls: usize,
     /// Models remembered by name.
     pub models: usize,
-    /// An answer is given this long before the client's deadline.
+    /// A response is given this long before the client's deadline.
     pub answer_margin: Micros,
-    /// A probe without an answer ends.
+    /// Timeout of a probe.
     pub probe_timeout: Micros,
-    /// Advice in a refusal where the module gives none.
+    /// Retry advice in a rejection where the decision module gives none.
     pub pushback: Micros,
     /// Bytes of one message.
     pub message_bytes: usize,
@@ -31,42 +31,45 @@
     pub worker_connections: usize,
     /// Streams on one connection to a worker.
     pub worker_streams: usize,
-    /// Bytes queued for one client's stream before its worker is made to wait.
+    /// Bytes queued for one client's stream before backpressure is put on its worker.
     pub send_queue: usize,
     /// Receive window of a stream.
     pub stream_window: u32,
-    /// Streams reset before they were looked at, on one connection.
+    /// Streams of one connection that are reset before they were handled.
     pub reset_streams: usize,
-    /// A connection without calls is closed.
+    /// After how long a connection without calls is closed.
     pub idle: Micros,
-    /// An accepted connection must speak HTTP/2 within this span.
+    /// Within how long an accepted connection must complete the HTTP/2 handshake.
     pub handshake_timeout: Micros,
-    /// At SIGTERM, open calls have this long.
+    /// How long open calls may go on after SIGTERM.
     pub drain: Micros,
 }
 
 /// Reads `(limits ...)`.
-pub(super) fn limits(top: &mut Form) -> (Limits, Edge) {
-    let mut form = top.group("limits");
-    let mut whole = |key, default: u64, least: u64| {
-        let n = form.or(key, default);
-        if n < least {
-            form.fault(format!("({key} {n}): {least} at the least"));
+pub(super) fn limits(top: &mut Form) -> (Limits, EdgeLimits) {
+    let mut form = top.list_or_empty("limits");
+    let mut integer = |key, default: u64, min: u64| {
+        let n = form.value_or(key, default);
+        if n < min {
+            form.error(format!("({key} {n}): {min} at the least"));
         }
-        usize::try_from(n.max(least)).unwrap_or(usize::MAX)
+        usize::try_from(n.max(min)).unwrap_or(usize::MAX)
     };
-    let (attempts, open_calls, models) =
-        (whole("attempts", 3, 1), whole("open-calls", 20_000, 1), whole("models-remembered", 65_536, 1));
-    let (connections, streams) = (whole("connections", 4096, 1), whole("streams-per-connection", 16_384, 1));
-    let (calls, reset) = (whole("calls-per-stream", 1024, 1), whole("reset-streams", 64, 1));
-    let (worker_connections, worker_streams) =
-        (whole("worker-connections", 4, 1), whole("worker-streams", 1000, 1));
-    let mut size = |key, default: u64, least: u64, most: u64| {
-        let n = form.or(key, Bytes(default)).0;
-        if n < least || n > most {
-            form.fault(format!("({key} ...): from {least}B to {most}B"));
+    let attempts = integer("attempts", 3, 1);
+    let open_calls = integer("open-calls", 20_000, 1);
+    let models = integer("models-remembered", 65_536, 1);
+    let connections = integer("connections", 4096, 1);
+    let streams = integer("streams-per-connection", 16_384, 1);
+    let calls = integer("calls-per-stream", 1024, 1);
+    let reset = integer("reset-streams", 64, 1);
+    let worker_connections = integer("worker-connections", 4, 1);
+    let worker_streams = integer("worker-streams", 1000, 1);
+    let mut size = |key, default: u64, min: u64, max: u64| {
+        let n = form.value_or(key, Bytes(default)).0;
+        if n < min || n > max {
+            form.error(format!("({key} ...): from {min}B to {max}B"));
         }
-        n.clamp(least, most)
+        n.clamp(min, max)
     };
     let message = size("message-size", 64 << 20, 1 << 10, 2 << 30);
     let header = size("header-size", 16 << 10, 4 << 10, 1 << 20);
@@ -75,17 +78,17 @@
     let limits = Limits {
         max_attempts: u32::try_from(attempts).unwrap_or(u32::MAX),
         parallel: false,
-        probes: form.or("probes", true),
+        probes: form.value_or("probes", true),
         cancel: true,
-        retry_after: form.get::<TimeSpan>("retry-after").map(|s| s.0),
-        connect_timeout: form.span_or("connect-timeout", 250_000),
+        retry_after: form.optional::<TimeSpan>("retry-after").map(|s| s.0),
+        connect_timeout: form.micros_or("connect-timeout", 250_000),
     };
-    let edge = Edge {
+    let edge = EdgeLimits {
         open_calls,
         models,
-        answer_margin: form.span_or("answer-margin", 10_000),
-        probe_timeout: form.span_or("probe-timeout", 1_000_000),
-        pushback: form.span_or("pushback", 100_000),
+        answer_margin: form.micros_or("answer-margin", 10_000),
+        probe_timeout: form.micros_or("probe-timeout", 1_000_000),
+        pushback: form.micros_or("pushback", 100_000),
         message_bytes: message as usize,
         header_bytes: header as u32,
         connections,
@@ -96,10 +99,10 @@
         send_queue: queue as usize,
         stream_window: window as u32,
         reset_streams: reset,
-        idle: form.span_or("idle", 30_000_000),
-        handshake_timeout: form.span_or("handshake-timeout", 5_000_000),
-        drain: form.span_or("drain", 30_000_000),
+        idle: form.micros_or("idle", 30_000_000),
+        handshake_timeout: form.micros_or("handshake-timeout", 5_000_000),
+        drain: form.micros_or("drain", 30_000_000),
     };
-    form.end();
+    form.finish();
     (limits, edge)
 }
--- a/crates/config/src/settings/mod.rs
+++ b/crates/config/src/settings/mod.rs
@@ -1,6 +1,6 @@
 //! A controller's settings file. `examples/nettleferry.sexp` shows every key with its meaning and default.
 //!
-//! This module reads the file as a whole; each part of it is read in a module of its own: [`classes`], [`models`],
+//! This module reads the file; each part of it is read in a module of its own: [`classes`], [`models`],
 //! [`policy`], [`limits`], [`metrics`], [`admin`], [`recovery`].
 
 mod admin;
@@ -19,53 +19,58 @@
 
 use nettleferry::{Micros, Settings, TenantId};
 
-use crate::form::{Errors, Form, Source};
-pub use admin::{Admin, AdminKey, Desk, Straggler, Trail};
-pub use classes::{MOST_CLASSES, MOST_TENANTS};
-pub use limits::Edge;
-pub use metrics::{Figures, MOST_SERIES, Push};
-pub use models::{MOST_MODELS, Model, Models, Tensor};
-pub use recovery::{GateWhen, Recovery};
+use crate::form::{Errors, Form};
+pub use admin::{
+    AdminKey, AdminSettings, Administration, AuditLog, FollowerSettings, LeaderSettings, LeaselessPolicy,
+    SnapshotServer,
+};
+use classes::{Classes, Tenants};
+pub use classes::{MAX_CLASSES, MAX_TENANTS};
+pub use limits::EdgeLimits;
+pub use metrics::{Label, MAX_SERIES, MetricsSettings, RemoteWriteSettings};
+pub use models::{MAX_MODELS, Model, Models, Tensor};
+pub use recovery::{GatePolicy, Recovery};
 
-/// The decision module's step where not told, microseconds.
-const STEP: Micros = 1_000;
-/// How often the worker list is looked at where not told, and at the most, microseconds.
-const CHECK_EVERY: Micros = 200_000;
-const LEAST_CHECK_EVERY: Micros = 1_000;
+/// Default of the decision module's step, microseconds.
+const DEFAULT_STEP: Micros = 1_000;
+/// Default interval of checks of the worker list, microseconds.
+const DEFAULT_CHECK_INTERVAL: Micros = 200_000;
+/// Shortest interval of checks of the worker list, microseconds.
+const MIN_CHECK_INTERVAL: Micros = 1_000;
 
-/// Checked settings.
+/// The checked settings of a controller.
 #[derive(Clone, Debug)]
 pub struct Config {
     /// Where the gRPC front listens.
     pub grpc: SocketAddr,
     /// This controller's zone.
     pub zone: Option<String>,
-    /// Seed of the module's chance; `None`: from the system at start.
+    /// Seed of the decision module's random numbers; `None`: chosen at start.
     pub seed: Option<u64>,
     /// The worker list's file.
-    pub workers: PathBuf,
-    /// How often the file is looked at.
-    pub workers_check: Micros,
-    /// Where the last list is kept for the next start; `None`: it is not.
-    pub workers_kept: Option<PathBuf>,
+    pub workers_file: PathBuf,
+    /// Interval of checks of that file.
+    pub workers_check_interval: Micros,
+    /// Where the last list is persisted for the next start; `None`: nowhere.
+    pub persisted_workers_file: Option<PathBuf>,
     /// For the decision module. The zone is filled in by the engine.
     pub settings: Settings,
     /// Names of the classes, by [`ClassId`].
     pub classes: Vec<String>,
-    /// Tenants by name.
+    /// Numbers of the tenants by name.
     pub tenants: HashMap<String, TenantId>,
     /// The models.
     pub models: Models,
-    /// Bounds at the edge.
-    pub edge: Edge,
-    /// Figures.
-    pub figures: Figures,
-    /// Administration; `None`: tenants are those of the settings, and nothing listens.
-    pub admin: Option<Admin>,
-    /// What is done first after a restart.
+    /// Limits at the edge.
+    pub edge: EdgeLimits,
+    /// Export of metrics.
+    pub metrics: MetricsSettings,
+    /// Administration; `None`: the tenants are those of the settings, and no API is served.
+    pub admin: Option<AdminSettings>,
+    /// Behaviour after a restart.
     pub recovery: Recovery,
-    /// A checksum of the file's text, so that controllers can be told apart by their settings.
-    pub sum: u64,
+    /// CRC-32 of the file's text, by which controllers with other settings can be found.
+    pub checksum: u64,
 }
 
 /// Which controller of how many this is.
@@ -81,31 +86,34 @@
 /// The worker list's file.
 struct WorkerList {
     file: Option<PathBuf>,
-    check_every: Micros,
-    kept: Option<PathBuf>,
+    check_interval: Micros,
+    persisted: Option<PathBuf>,
 }
 
-/// Reads a settings file.
+/// Parses a settings file. `file`: its name, for errors.
+///
+/// # Errors
+/// All errors of the file.
 pub fn read(file: &str, text: &str) -> Result<Config, Errors> {
-    let (source, mut top) = Source::open(file, text);
+    let (source, mut top) = Form::parse(file, text);
     let grpc = listen(&mut top);
     let identity = identity(&mut top);
     let list = worker_list(&mut top);
-    let (classes, class_names) = classes::classes(&mut top);
-    let (tenants, tenant_names) = classes::tenants(&mut top);
-    let over_quota_worth = top.or("over-quota-worth", 1.0);
+    let Classes { classes, names: class_names } = classes::classes(&mut top);
+    let Tenants { tenants, ids: tenant_ids } = classes::tenants(&mut top);
+    let over_quota_worth = top.value_or("over-quota-worth", 1.0);
     let models = models::models(&mut top, &class_names);
     let discovery = policy::discovery(&mut top);
     let reports = policy::reports(&mut top);
     let weights = policy::weights(&mut top);
     let loading = policy::loading(&mut top);
     let rules = policy::rules(&mut top);
-    let step = top.span_or("step", STEP);
+    let step = top.micros_or("step", DEFAULT_STEP);
     let (limits, edge) = limits::limits(&mut top);
-    let figures = metrics::figures(&mut top);
-    let admin = top.sub("admin").and_then(admin::admin);
+    let metrics = metrics::metrics(&mut top);
+    let admin = top.optional_list("admin").and_then(admin::admin);
     let recovery = recovery::recovery(&mut top);
-    top.end();
+    top.finish();
     let settings = Settings {
         me: identity.number,
         controllers: identity.controllers,
@@ -121,63 +129,63 @@
         rules,
         step,
     };
-    let value = grpc.zip(list.file).map(|(grpc, workers)| Config {
+    let value = grpc.zip(list.file).map(|(grpc, workers_file)| Config {
         grpc,
         zone: identity.zone,
         seed: identity.seed,
-        workers,
-        workers_check: list.check_every,
-        workers_kept: list.kept,
+        workers_file,
+        workers_check_interval: list.check_interval,
+        persisted_workers_file: list.persisted,
         settings,
         classes: class_names,
-        tenants: tenant_names,
+        tenants: tenant_ids,
         models,
         edge,
-        figures,
+        metrics,
         admin,
         recovery,
-        sum: u64::from(crc32fast::hash(text.as_bytes())),
+        checksum: u64::from(crc32fast::hash(text.as_bytes())),
     });
-    source.finish(value)
+    source.into_result(value)
 }
 
 /// Reads `(listen ...)`.
 fn listen(top: &mut Form) -> Option<SocketAddr> {
-    let mut form = top.need("listen")?;
-    let grpc = form.must("grpc");
-    form.end();
+    let mut form = top.required_list("listen")?;
+    let grpc = form.required("grpc");
+    form.finish();
     grpc
 }
 
 /// Reads `(controller ...)`.
 fn identity(top: &mut Form) -> Identity {
-    let mut form = top.group("controller");
-    let (number, controllers) = (form.or("number", 0), form.or("of", 1u32));
+    let mut form = top.list_or_empty("controller");
+    let (number, controllers) = (form.value_or("number", 0), form.value_or("of", 1u32));
     if controllers == 0 {
-        form.fault("(of 0): there is at least this controller");
+        form.error("(of 0): there is at least this controller");
     } else if number >= controllers {
-        form.fault(format!("(number {number}): numbers go from 0 to {}", controllers - 1));
+        form.error(format!("(number {number}): numbers go from 0 to {}", controllers - 1));
     }
-    let (zone, seed) = (form.get("zone"), form.get("seed"));
-    form.end();
+    let (zone, seed) = (form.optional("zone"), form.optional("seed"));
+    form.finish();
     Identity { number, controllers, zone, seed }
 }
 
 /// Reads `(workers ...)`.
 fn worker_list(top: &mut Form) -> WorkerList {
-    let Some(mut form) = top.need("workers") else {
-        return WorkerList { file: None, check_every: 0, kept: None };
+    let Some(mut form) = top.required_list("workers") else {
+        return WorkerList { file: None, check_interval: 0, persisted: None };
     };
-    let file: Option<String> = form.must("file");
-    let check_every = form.span_or("check-every", CHECK_EVERY);
-    if check_every < LEAST_CHECK_EVERY {
-        form.fault("(check-every ...): 1ms at the least");
+    let file: Option<String> = form.required("file");
+    let check_interval = form.micros_or("check-every", DEFAULT_CHECK_INTERVAL);
+    if check_interval < MIN_CHECK_INTERVAL {
+        form.error("(check-every ...): 1ms at the least");
     }
-    let kept: Option<String> = form.get("kept");
-    form.end();
+    let persisted: Option<String> = form.optional("kept");
+    form.finish();
     WorkerList {
         file: file.map(PathBuf::from),
-        check_every: check_every.max(LEAST_CHECK_EVERY),
-        kept: kept.map(PathBuf::from),
+        check_interval: check_interval.max(MIN_CHECK_INTERVAL),
+        persisted: persisted.map(PathBuf::from),
     }
 }
--- a/crates/config/src/settings/models.rs
+++ b/crates/config/src/settings/models.rs
@@ -1,4 +1,4 @@
-//! The models that are served: by name, or by the beginning of their names.
+//! The models that are served, by name or by a prefix of their names.
 
 use std::collections::HashMap;
 
@@ -7,7 +7,7 @@
 use crate::form::{Bytes, Form, TimeSpan, nearest};
 
 /// Most models of a file.
-pub const MOST_MODELS: usize = 100_000;
+pub const MAX_MODELS: usize = 100_000;
 
 /// A tensor, for ModelMetadata.
 #[derive(Clone, Debug, PartialEq)]
@@ -20,21 +20,21 @@
     pub shape: Vec<i64>,
 }
 
-/// A model, or all whose names begin alike.
+/// A model, or all models whose names have a prefix.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Model {
-    /// Its place among the settings' models, for figures.
+    /// Its number among the settings' models, for metrics.
     pub group: u32,
     /// Its class.
     pub class: ClassId,
-    /// Calls that one copy runs at once.
+    /// Calls that one replica runs at once.
     pub lanes: u32,
-    /// Memory of a copy, bytes.
+    /// Memory of a replica, bytes.
     pub memory: Option<u64>,
-    /// Usual time of a load.
+    /// Typical time of a load.
     pub load_time: Option<Micros>,
-    /// Usual work of a call.
-    pub work: Option<Micros>,
+    /// Typical service time of a call.
+    pub service_time: Option<Micros>,
     /// Versions served; empty: any.
     pub versions: Vec<String>,
     /// Its platform, for ModelMetadata.
@@ -45,12 +45,12 @@
     pub outputs: Vec<Tensor>,
 }
 
-/// Models by name or by the longest beginning of it.
+/// Models by name or by its longest prefix.
 #[derive(Clone, Debug, Default)]
 pub struct Models {
     exact: HashMap<String, Model>,
     prefixes: HashMap<String, Model>,
-    longest: usize,
+    longest_prefix: usize,
     groups: Vec<String>,
 }
 
@@ -73,9 +73,9 @@
         if let Some(model) = self.exact.get(name) {
             return Some(model);
         }
-        // Longest first, and no longer than the longest that is told: the work is bounded by the settings.
-        let most = name.len().min(self.longest);
-        (0..=most).rev().filter_map(|n| name.get(..n)).find_map(|prefix| self.prefixes.get(prefix))
+        // Longest first, and no longer than the longest in the settings, which bounds the loop.
+        let longest = name.len().min(self.longest_prefix);
+        (0..=longest).rev().filter_map(|n| name.get(..n)).find_map(|prefix| self.prefixes.get(prefix))
     }
 }
 
@@ -83,40 +83,41 @@
 pub(super) fn models(top: &mut Form, classes: &[String]) -> Models {
     let mut models = Models::default();
     let mut count: u32 = 0;
-    for mut form in top.all("model") {
+    for mut form in top.lists("model") {
         count += 1;
-        let name: String = form.want("its name, or the beginning of names and a *").unwrap_or_default();
+        let name: String =
+            form.required_item("its name, or the beginning of names and a *").unwrap_or_default();
         let class = class_of(&mut form, &name, classes);
         let versions = versions(&mut form);
         models.groups.push(name.clone());
         let model = Model {
             group: count - 1,
             class,
-            lanes: form.or("lanes", 1u32).max(1),
-            memory: form.get::<Bytes>("memory").map(|b| b.0),
-            load_time: form.get::<TimeSpan>("load-time").map(|s| s.0),
-            work: form.get::<TimeSpan>("work").map(|s| s.0),
+            lanes: form.value_or("lanes", 1u32).max(1),
+            memory: form.optional::<Bytes>("memory").map(|b| b.0),
+            load_time: form.optional::<TimeSpan>("load-time").map(|s| s.0),
+            service_time: form.optional::<TimeSpan>("work").map(|s| s.0),
             versions,
-            platform: form.or("platform", "nettleferry".to_owned()),
+            platform: form.value_or("platform", "nettleferry".to_owned()),
             inputs: tensors(&mut form, "input"),
             outputs: tensors(&mut form, "output"),
         };
         let old = match name.strip_suffix('*') {
             Some(prefix) => {
-                models.longest = models.longest.max(prefix.len());
+                models.longest_prefix = models.longest_prefix.max(prefix.len());
                 models.prefixes.insert(prefix.to_owned(), model)
             }
             None => models.exact.insert(name.clone(), model),
         };
         if old.is_some() {
-            form.fault(format!("model {name} stands twice: keep one"));
+            form.error(format!("model {name} stands twice: keep one"));
         }
-        form.end();
+        form.finish();
     }
     if count == 0 {
-        top.fault("the settings name no (model ...): every call would be NOT_FOUND; write (model \"*\" (class ...))");
-    } else if count as usize > MOST_MODELS {
-        top.fault(format!("{count} models; at most {MOST_MODELS} are taken"));
+        top.error("the settings name no (model ...): every call would be NOT_FOUND; write (model \"*\" (class ...))");
+    } else if count as usize > MAX_MODELS {
+        top.error(format!("{count} models; at most {MAX_MODELS} are taken"));
     }
     models
 }
@@ -124,14 +125,14 @@
 /// Reads all tensors under a key.
 fn tensors(form: &mut Form, key: &'static str) -> Vec<Tensor> {
     let mut all = Vec::new();
-    for mut tensor in form.all(key) {
-        let name = tensor.want("its name");
-        let datatype = tensor.want("its datatype, such as FP32");
+    for mut tensor in form.lists(key) {
+        let name = tensor.required_item("its name");
+        let datatype = tensor.required_item("its datatype, such as FP32");
         let mut shape = Vec::new();
-        while let Some(size) = tensor.take() {
+        while let Some(size) = tensor.next_item() {
             shape.push(size);
         }
-        tensor.end();
+        tensor.finish();
         if let (Some(name), Some(datatype)) = (name, datatype) {
             all.push(Tensor { name, datatype, shape });
         }
@@ -141,11 +142,11 @@
 
 /// Reads the class of a model; the first one where what is written is no class, which is a fault.
 fn class_of(form: &mut Form, model: &str, classes: &[String]) -> ClassId {
-    let class: Option<String> = form.must("class");
+    let class: Option<String> = form.required("class");
     let found = class.as_ref().and_then(|class| classes.iter().position(|known| known == class));
     if let (Some(class), None) = (&class, found) {
         let hint = nearest(class, classes.iter().map(String::as_str));
-        form.fault(format!("model {model}: there is no class {class}{hint}"));
+        form.error(format!("model {model}: there is no class {class}{hint}"));
     }
     ClassId(found.unwrap_or(0))
 }
@@ -153,11 +154,11 @@
 /// Reads `(versions ...)`.
 fn versions(form: &mut Form) -> Vec<String> {
     let mut versions = Vec::new();
-    if let Some(mut list) = form.sub("versions") {
-        while let Some(version) = list.take() {
+    if let Some(mut list) = form.optional_list("versions") {
+        while let Some(version) = list.next_item() {
             versions.push(version);
         }
-        list.end();
+        list.finish();
     }
     versions
 }
--- a/crates/config/src/settings/recovery.rs
+++ b/crates/config/src/settings/recovery.rs
@@ -1,20 +1,20 @@
-//! What is done first after a restart.
+//! Behaviour after a restart.
 
 use crate::form::Form;
 
-/// What is done first after a restart.
+/// Behaviour after a restart.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Recovery {
-    /// When calls that can't be answered in time are refused as they come.
-    pub gate: GateWhen,
+    /// When calls that can't be answered in time are rejected on arrival.
+    pub gate: GatePolicy,
 }
 
-/// When the gate judges calls.
+/// When calls are judged on arrival.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum GateWhen {
+pub enum GatePolicy {
     /// Never.
     Never,
-    /// After a start that found an earlier life's worker list.
+    /// After a start that found the worker list of an earlier incarnation.
     #[default]
     Restart,
     /// After every start.
@@ -23,9 +23,10 @@
 
 /// Reads `(recovery ...)`.
 pub(super) fn recovery(top: &mut Form) -> Recovery {
-    let mut form = top.group("recovery");
-    let words = [("never", GateWhen::Never), ("restart", GateWhen::Restart), ("always", GateWhen::Always)];
-    let gate = form.word_or("gate", &words, GateWhen::Restart);
-    form.end();
+    let mut form = top.list_or_empty("recovery");
+    let words =
+        [("never", GatePolicy::Never), ("restart", GatePolicy::Restart), ("always", GatePolicy::Always)];
+    let gate = form.keyword_or("gate", &words, GatePolicy::Restart);
+    form.finish();
     Recovery { gate }
 }
--- a/crates/config/src/settings/tests.rs
+++ b/crates/config/src/settings/tests.rs
@@ -1,4 +1,4 @@
-//! The example, suggestions and faults.
+//! The example file, suggestions and errors.
 
 use nettleferry::{Effect, Group};
 
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn the_example_is_sound_and_tells_every_setting() {
+fn example_file_is_valid() {
     let text = include_str!("../../../../examples/nettleferry.sexp");
     let config = read("examples/nettleferry.sexp", text).unwrap_or_else(|e| panic!("{e}"));
     assert_eq!(config.classes, ["quick", "keyed", "once"]);
@@ -22,12 +22,12 @@
 }
 
 #[test]
-fn the_longest_beginning_wins() {
+fn longest_prefix_wins() {
     let text = format!(
         "{SMALL} (model \"*\" (class c)) (model \"echo-*\" (class c) (lanes 2))
          (model \"echo-big-*\" (class c) (lanes 3)) (model echo-big-1 (class c) (lanes 4))"
     );
-    let models = read("n", &text).expect("sound").models;
+    let models = read("n", &text).expect("valid settings").models;
     let lanes = |name| models.find(name).expect("all match").lanes;
     assert_eq!(
         ["echo-big-1", "echo-big-2", "echo-c", "echo-", "echo", "zebra"].map(lanes),
@@ -36,24 +36,24 @@
 }
 
 #[test]
-fn what_is_missing_is_told_with_the_fix() {
-    let told = errors("");
+fn missing_lists_are_reported_with_the_fix() {
+    let report = errors("");
     for part in ["lacks (listen ...)", "lacks (workers ...)", "no (class ...)", "no (model ...)"] {
-        assert!(told.contains(part), "{part} in {told}");
+        assert!(report.contains(part), "{part} in {report}");
     }
 }
 
 #[test]
-fn a_class_that_is_not_there_gets_a_suggestion() {
-    let told = errors(&format!(
+fn unknown_class_gets_a_suggestion() {
+    let report = errors(&format!(
         "{SMALL} (class credit (effect unsafe) (aim 1s) (deadline 2s)) (model m (class credti))"
     ));
-    assert!(told.contains("there is no class credti: did you mean credit?"), "{told}");
+    assert!(report.contains("there is no class credti: did you mean credit?"), "{report}");
 }
 
 #[test]
-fn what_can_never_work_is_refused() {
-    let told = errors(&format!(
+fn contradictory_settings_are_rejected() {
+    let report = errors(&format!(
         "{SMALL} (model m (class c)) (class d (effect (keyed zone)) (aim 5s) (deadline 4s))
          (loading (when-absent miss) (orders no)) (controller (number 3) (of 3)) (limits (attempts 0) (idle 30))"
     ));
@@ -64,6 +64,6 @@
         "(attempts 0): 1 at the least",
         "(idle ...): write a span with its unit",
     ] {
-        assert!(told.contains(part), "{part} in {told}");
+        assert!(report.contains(part), "{part} in {report}");
     }
 }
--- a/crates/config/src/syntax.rs
+++ b/crates/config/src/syntax.rs
@@ -1,5 +1,5 @@
 //! S-expressions: atoms, "strings" with `\"`, `\\`, `\n` and `\t`, lists in parentheses, comments from `;` to
-//! the line's end. What is broken is reported and passed over, so that one file shows all its errors at once.
+//! the line's end. What is broken is reported and skipped, so that one file shows all its errors at once.
 
 use winnow::Parser;
 use winnow::ascii::multispace1;
@@ -8,10 +8,10 @@
 use winnow::stream::{LocatingSlice, Location, Stream};
 use winnow::token::{any, none_of, take_till, take_while};
 
-/// Longest text taken, in bytes.
-pub const MOST_TEXT: usize = 16 << 20;
-/// Deepest nesting taken.
-pub const MOST_DEPTH: usize = 32;
+/// Longest text that is read, in bytes.
+pub const MAX_TEXT_BYTES: usize = 16 << 20;
+/// Deepest nesting of lists.
+pub const MAX_DEPTH: usize = 32;
 
 /// A place in a text: byte offsets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -42,7 +42,7 @@
 }
 
 impl Node {
-    /// Where it stands.
+    /// Its place in the text.
     pub fn span(&self) -> Span {
         match self {
             Self::Atom { span, .. } | Self::List { span, .. } => *span,
@@ -59,6 +59,7 @@
 
 type Input<'a> = LocatingSlice<&'a str>;
 
+/// A string in quotes, without the quotes and escapes.
 fn string(input: &mut Input<'_>) -> Result<Token, ContextError> {
     let escaped = preceded(
         '\\',
@@ -76,6 +77,7 @@
     delimited('"', content, '"').map(Token::Atom).parse_next(input)
 }
 
+/// The next token; blanks and comments are one.
 fn token(input: &mut Input<'_>) -> Result<Token, ContextError> {
     alt((
         multispace1.map(|_| Token::Blank),
@@ -89,69 +91,118 @@
     .parse_next(input)
 }
 
-/// Reads a text into its values, and what is wrong with it.
-pub fn read(text: &str) -> (Vec<Node>, Vec<(Span, String)>) {
-    let mut errors = Vec::new();
-    if text.len() > MOST_TEXT {
-        errors.push((
-            Span { from: 0, to: 0 },
-            format!("the text has {} bytes; at most {MOST_TEXT} are read", text.len()),
-        ));
-        return (Vec::new(), errors);
+/// An error at a place of the text.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct SyntaxError {
+    /// Where.
+    pub span: Span,
+    /// What is wrong and what to write instead.
+    pub message: String,
+}
+
+/// What a text was parsed to.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct Syntax {
+    /// Its values.
+    pub nodes: Vec<Node>,
+    /// Its errors; what is broken is not among the values.
+    pub errors: Vec<SyntaxError>,
+}
+
+/// Parses a text.
+pub fn parse(text: &str) -> Syntax {
+    let mut parser = SyntaxParser { text, open: Vec::new(), syntax: Syntax::default() };
+    if text.len() > MAX_TEXT_BYTES {
+        let message = format!("the text has {} bytes; at most {MAX_TEXT_BYTES} are read", text.len());
+        parser.error(Span { from: 0, to: 0 }, message);
+        return parser.syntax;
     }
-    let mut input = LocatingSlice::new(text);
-    // Lists that are open: where each began, and what it holds so far.
-    let mut open: Vec<(usize, Vec<Node>)> = Vec::new();
-    let mut done: Vec<Node> = Vec::new();
-    while !input.is_empty() {
-        let from = input.current_token_start();
-        let before = input.checkpoint();
-        let found = token(&mut input);
-        let span = Span { from, to: input.current_token_start() };
-        let node = match found {
-            Ok(Token::Blank) => continue,
-            Ok(Token::Open) => {
-                if open.len() == MOST_DEPTH {
-                    errors.push((span, format!("lists are nested deeper than {MOST_DEPTH}")));
-                    return (done, errors);
+    if parser.read_tokens() {
+        parser.close_open_lists();
+    }
+    parser.syntax
+}
+
+/// A list whose parenthesis is not closed yet.
+struct OpenList {
+    from: usize,
+    items: Vec<Node>,
+}
+
+struct SyntaxParser<'a> {
+    text: &'a str,
+    /// From the outermost to the innermost.
+    open: Vec<OpenList>,
+    syntax: Syntax,
+}
+
+impl SyntaxParser<'_> {
+    fn error(&mut self, span: Span, message: impl Into<String>) {
+        self.syntax.errors.push(SyntaxError { span, message: message.into() });
+    }
+
+    /// Adds a complete value to the innermost open list.
+    fn push(&mut self, node: Node) {
+        match self.open.last_mut() {
+            Some(list) => list.items.push(node),
+            None => self.syntax.nodes.push(node),
+        }
+    }
+
+    /// Reads to the end of the text. False: lists are nested too deep, and reading stopped there.
+    fn read_tokens(&mut self) -> bool {
+        let mut input = LocatingSlice::new(self.text);
+        while !input.is_empty() {
+            let from = input.current_token_start();
+            let before = input.checkpoint();
+            let found = token(&mut input);
+            let span = Span { from, to: input.current_token_start() };
+            match found {
+                Ok(Token::Blank) => {}
+                Ok(Token::Open) if self.open.len() == MAX_DEPTH => {
+                    self.error(span, format!("lists are nested deeper than {MAX_DEPTH}"));
+                    return false;
                 }
-                open.push((from, Vec::new()));
-                continue;
-            }
-            Ok(Token::Close) => match open.pop() {
-                Some((began, items)) => Node::List { items, span: Span { from: began, to: span.to } },
-                None => {
-                    errors.push((
-                        span,
-                        "this ) closes nothing: remove it, or add the ( it belongs to".to_owned(),
-                    ));
-                    continue;
+                Ok(Token::Open) => self.open.push(OpenList { from, items: Vec::new() }),
+                Ok(Token::Close) => self.close(span),
+                Ok(Token::Atom(text)) => self.push(Node::Atom { text, span }),
+                Err(_) => {
+                    input.reset(&before);
+                    let skipped = self.broken_string(from);
+                    input.next_slice(skipped);
                 }
-            },
-            Ok(Token::Atom(text)) => Node::Atom { text, span },
-            Err(_) => {
-                // Only a string can fail: its quote is passed over with its line.
-                input.reset(&before);
-                let rest = &text[from..];
-                let line = rest.find('\n').unwrap_or(rest.len());
-                let what =
-                    "this string has no closing quote on its line, or an escape other than \\\" \\\\ \\n \\t";
-                errors.push((Span { from, to: from + line }, what.to_owned()));
-                input.next_slice(line.max(1));
-                continue;
             }
-        };
-        match open.last_mut() {
-            Some((_, items)) => items.push(node),
-            None => done.push(node),
         }
+        true
+    }
+
+    fn close(&mut self, span: Span) {
+        match self.open.pop() {
+            Some(OpenList { from, items }) => {
+                self.push(Node::List { items, span: Span { from, to: span.to } })
+            }
+            None => self.error(span, "this ) closes nothing: remove it, or add the ( it belongs to"),
+        }
+    }
+
+    /// Only a string can fail: the rest of its line is skipped. Returns how many bytes that are.
+    fn broken_string(&mut self, from: usize) -> usize {
+        let rest = &self.text[from..];
+        let line = rest.find('\n').unwrap_or(rest.len());
+        let message =
+            "this string has no closing quote on its line, or an escape other than \\\" \\\\ \\n \\t";
+        self.error(Span { from, to: from + line }, message);
+        line.max(1)
     }
-    for (began, items) in open.into_iter().rev() {
-        let span = Span { from: began, to: began + 1 };
-        errors.push((span, "this ( is never closed: add a )".to_owned()));
-        done.push(Node::List { items, span });
+
+    /// At the end of the text, from the innermost list on.
+    fn close_open_lists(&mut self) {
+        for OpenList { from, items } in std::mem::take(&mut self.open).into_iter().rev() {
+            let span = Span { from, to: from + 1 };
+            self.error(span, "this ( is never closed: add a )");
+            self.syntax.nodes.push(Node::List { items, span });
+        }
     }
-    (done, errors)
 }
 
 #[cfg(test)]
--- a/crates/config/src/workers.rs
+++ b/crates/config/src/workers.rs
@@ -1,29 +1,29 @@
-//! The worker list: a file, taken whole or not at all.
+//! The worker list: a file, which is taken complete or not at all.
 //!
 //! ```text
 //! (worker w1 (address "127.0.0.1:9001") (zone room-a) (kind std-2c) (weight 1) (cell c1) (state on)
 //!            (born 1764590000.250s))
 //! ```
 //!
-//! Only the address must stand. `state` is `on`, `draining` or `gone`; `born` is when its process last
-//! started, as time since 1970-01-01 UTC: absent means long ago.
+//! Only the address is required. `state` is `on`, `draining` or `gone`; `born` is when its process last
+//! started, as time since 1970-01-01 UTC: without it, long ago.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
 use nettleferry::{Micros, WorkerState};
 
-use crate::form::{Errors, Form, Source, TimeSpan};
+use crate::form::{Errors, Form, TimeSpan};
 
 /// Most workers of a list.
-pub const MOST_WORKERS: usize = 100_000;
+pub const MAX_WORKERS: usize = 100_000;
 
 /// A worker of the list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Worker {
     /// Its name: it keeps it when its process restarts.
     pub name: String,
-    /// Where it serves.
+    /// The address that it serves on.
     pub address: SocketAddr,
     /// Its zone.
     pub zone: String,
@@ -31,7 +31,7 @@
     pub kind: String,
     /// Its weight.
     pub weight: f64,
-    /// Its cell; its own name where none is told.
+    /// Its cell; its own name where none is given.
     pub cell: String,
     /// Its state.
     pub state: WorkerState,
@@ -39,48 +39,52 @@
     pub born: Option<Micros>,
 }
 
-/// Reads a worker list.
+/// Parses a worker list. `file`: its name, for errors.
+///
+/// # Errors
+/// All errors of the list.
 pub fn read(file: &str, text: &str) -> Result<Vec<Worker>, Errors> {
-    let (source, mut top) = Source::open(file, text);
+    let (source, mut top) = Form::parse(file, text);
     let mut names = BTreeSet::new();
     let mut workers = Vec::new();
-    for mut form in top.all("worker") {
+    for mut form in top.lists("worker") {
         let worker = worker(&mut form);
         if let Some(worker) = worker {
             if !names.insert(worker.name.clone()) {
-                form.fault(format!("worker {} stands twice: names are unique", worker.name));
+                form.error(format!("worker {} stands twice: names are unique", worker.name));
             }
             workers.push(worker);
         }
-        form.end();
+        form.finish();
     }
-    if workers.len() > MOST_WORKERS {
-        top.fault(format!("{} workers; at most {MOST_WORKERS} are taken", workers.len()));
+    if workers.len() > MAX_WORKERS {
+        top.error(format!("{} workers; at most {MAX_WORKERS} are taken", workers.len()));
     }
-    top.end();
-    source.finish(Some(workers))
+    top.finish();
+    source.into_result(Some(workers))
 }
 
+/// Reads `(worker ...)`.
 fn worker(form: &mut Form) -> Option<Worker> {
-    let name: Option<String> = form.want("its name");
-    let address: Option<SocketAddr> = form.must("address");
+    let name: Option<String> = form.required_item("its name");
+    let address: Option<SocketAddr> = form.required("address");
     let states = [("on", WorkerState::On), ("draining", WorkerState::Draining), ("gone", WorkerState::Gone)];
-    let cell: Option<String> = form.get("cell");
-    let rest = Worker {
+    let cell: Option<String> = form.optional("cell");
+    let defaults = Worker {
         name: String::new(),
         address: SocketAddr::from(([0, 0, 0, 0], 0)),
-        zone: form.or("zone", "default".to_owned()),
-        kind: form.or("kind", "default".to_owned()),
-        weight: form.or("weight", 1.0),
+        zone: form.value_or("zone", "default".to_owned()),
+        kind: form.value_or("kind", "default".to_owned()),
+        weight: form.value_or("weight", 1.0),
         cell: String::new(),
-        state: form.word_or("state", &states, WorkerState::On),
-        born: form.get::<TimeSpan>("born").map(|span| span.0),
+        state: form.keyword_or("state", &states, WorkerState::On),
+        born: form.optional::<TimeSpan>("born").map(|span| span.0),
     };
     let (name, address) = (name?, address?);
-    Some(Worker { cell: cell.unwrap_or_else(|| name.clone()), name, address, ..rest })
+    Some(Worker { cell: cell.unwrap_or_else(|| name.clone()), name, address, ..defaults })
 }
 
-/// Writes a list that [`read`] gives back.
+/// The text of a list, which [`read`] parses to the same list.
 pub fn write(workers: &[Worker]) -> String {
     use std::fmt::Write;
     let mut out = String::new();
@@ -105,6 +109,7 @@
     out
 }
 
+/// A string with quotes and escapes.
 fn quoted(text: &str) -> String {
     let mut out = String::from("\"");
     for c in text.chars() {
--- a/crates/config/src/workers/tests.rs
+++ b/crates/config/src/workers/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn what_is_written_is_read_again() {
+fn written_list_is_read_again() {
     let text =
         "(worker w1 (address \"127.0.0.1:9001\") (zone \"room \\\"a\\\"\") (state draining) (born 1.5s))
                     (worker w2 (address \"[::1]:9\") (weight 2.5) (cell pod-3))";
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn a_list_with_one_bad_line_is_not_taken_at_all() {
+fn list_with_one_bad_line_is_rejected() {
     let text = "(worker w1 (address \"127.0.0.1:9001\"))\n(worker w1 (address \"127.0.0.1\") (stat on))";
     let errors = read("workers.sexp", text).expect_err("two faults").to_string();
     assert!(errors.contains("workers.sexp:2:21: (address ...): write an address and port"), "{errors}");
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_name_may_stand_once() {
+fn duplicate_name_is_rejected() {
     let line = "(worker w1 (address \"127.0.0.1:9001\"))\n";
     assert!(
         read("w", &line.repeat(2))
--- a/crates/gateway/src/commands/demo.rs
+++ b/crates/gateway/src/commands/demo.rs
@@ -87,7 +87,7 @@
         written.map_err(CommandError::system("can't write the worker list"))?;
         let mut config = settings::read("demo", SETTINGS).map_err(CommandError::Unsound)?;
         config.grpc = self.listen;
-        config.workers = file;
+        config.workers_file = file;
         let ended = serve::run(config);
         let _ = std::fs::remove_dir_all(&dir);
         ended
--- a/crates/gateway/src/commands/serve.rs
+++ b/crates/gateway/src/commands/serve.rs
@@ -4,7 +4,7 @@
 use std::path::{Path, PathBuf};
 
 use clap::Args;
-use nettleferry_config::settings::Desk;
+use nettleferry_config::settings::Administration;
 use nettleferry_config::{Config, settings};
 
 use super::{CommandError, announce, read};
@@ -32,22 +32,23 @@
     let text = read(path)?;
     let mut config = settings::read(&path.display().to_string(), &text).map_err(CommandError::Unsound)?;
     let beside = path.parent().unwrap_or(Path::new(""));
-    config.workers = beside.join(&config.workers);
-    config.workers_kept = config.workers_kept.map(|kept| beside.join(kept));
-    if let Some(push) = &mut config.figures.push {
-        push.spool = beside.join(&push.spool);
+    config.workers_file = beside.join(&config.workers_file);
+    config.persisted_workers_file = config.persisted_workers_file.map(|file| beside.join(file));
+    if let Some(remote_write) = &mut config.metrics.remote_write {
+        remote_write.wal_folder = beside.join(&remote_write.wal_folder);
     }
     if let Some(admin) = &mut config.admin {
-        if let Some(trail) = &mut admin.trail {
-            trail.folder = beside.join(&trail.folder);
+        if let Some(audit_log) = &mut admin.audit_log {
+            audit_log.folder = beside.join(&audit_log.folder);
         }
-        match &mut admin.desk {
-            Desk::Own { store, peer_key, .. } => {
-                *store = beside.join(&*store);
-                *peer_key = peer_key.take().map(|file| beside.join(file));
+        match &mut admin.administration {
+            Administration::Leader(leader) => {
+                leader.store = beside.join(&leader.store);
+                leader.peer_key = leader.peer_key.take().map(|file| beside.join(file));
             }
-            Desk::Follow { key_file, kept, .. } => {
-                (*key_file, *kept) = (beside.join(&*key_file), beside.join(&*kept));
+            Administration::Follower(follower) => {
+                follower.key_file = beside.join(&follower.key_file);
+                follower.snapshot_file = beside.join(&follower.snapshot_file);
             }
         }
     }
--- a/crates/gateway/src/commands/simulate.rs
+++ b/crates/gateway/src/commands/simulate.rs
@@ -8,7 +8,7 @@
 
 use clap::Args;
 use indicatif::{ProgressBar, ProgressStyle};
-use nettleferry_config::form::{Bytes, Errors, Form, Source, TimeSpan};
+use nettleferry_config::form::{Bytes, Errors, Form, TimeSpan};
 use nettleferry_simulation::network::Network;
 use nettleferry_simulation::{follow, power};
 use plotters::prelude::*;
@@ -43,11 +43,11 @@
 /// Values of `(key VALUE ...)`.
 fn numbers<T: std::str::FromStr>(form: &mut Form, key: &'static str, usual: &[&str]) -> Vec<T> {
     let mut texts: Vec<String> = Vec::new();
-    if let Some(mut list) = form.sub(key) {
-        while let Some(text) = list.take::<String>() {
+    if let Some(mut list) = form.optional_list(key) {
+        while let Some(text) = list.next_item::<String>() {
             texts.push(text);
         }
-        list.end();
+        list.finish();
     }
     if texts.is_empty() {
         texts = usual.iter().map(|text| (*text).to_owned()).collect();
@@ -56,7 +56,7 @@
     for text in texts {
         match text.parse() {
             Ok(value) => all.push(value),
-            Err(_) => form.fault(format!("({key} {text}): numbers are wanted")),
+            Err(_) => form.error(format!("({key} {text}): numbers are wanted")),
         }
     }
     all
@@ -65,7 +65,7 @@
 fn sizes(form: &mut Form) -> Vec<u32> {
     let sizes = numbers(form, "controllers", &["3", "30", "300"]);
     if sizes.iter().any(|n| !(2..=MOST_CONTROLLERS).contains(n)) {
-        form.fault(format!("(controllers ...): 2 to {MOST_CONTROLLERS}"));
+        form.error(format!("(controllers ...): 2 to {MOST_CONTROLLERS}"));
     }
     sizes
 }
@@ -73,50 +73,50 @@
 fn losses(form: &mut Form) -> Vec<f64> {
     let losses: Vec<f64> = numbers(form, "loss", &["0"]);
     if losses.iter().any(|l| !(0.0..=0.5).contains(l)) {
-        form.fault("(loss ...): parts of the packets, 0 to 0.5");
+        form.error("(loss ...): parts of the packets, 0 to 0.5");
     }
     losses
 }
 
 fn network(form: &mut Form) -> impl Fn(f64) -> Network + use<> {
-    let delay = form.span_or("delay", 2_000).max(2);
-    let bandwidth = form.get::<Bytes>("bandwidth").map_or(100 << 20, |b| b.0).max(1) as f64;
+    let delay = form.micros_or("delay", 2_000).max(2);
+    let bandwidth = form.optional::<Bytes>("bandwidth").map_or(100 << 20, |b| b.0).max(1) as f64;
     move |loss| Network { loss, delay, bandwidth }
 }
 
 fn length(form: &mut Form) -> u64 {
-    let length = form.span_or("length", 30_000_000);
+    let length = form.micros_or("length", 30_000_000);
     if !(1_000_000..=MOST_LENGTH).contains(&length) {
-        form.fault("(length ...): 1s to 1h");
+        form.error("(length ...): 1s to 1h");
     }
     length.clamp(1_000_000, MOST_LENGTH)
 }
 
 fn plays(file: &str, text: &str) -> Result<Vec<Play>, Errors> {
-    let (source, mut top) = Source::open(file, text);
+    let (source, mut top) = Form::parse(file, text);
     let seeds: Vec<u64> = numbers(&mut top, "seeds", &["1"]);
     let mut all = Vec::new();
-    for mut form in top.all("follow") {
+    for mut form in top.lists("follow") {
         let (sizes, losses, network) = (sizes(&mut form), losses(&mut form), network(&mut form));
-        let lease_ms = form.span_or("lease", 6_000_000) / 1000;
+        let lease_ms = form.micros_or("lease", 6_000_000) / 1000;
         if !(200..=60_000).contains(&lease_ms) {
-            form.fault("(lease ...): 200ms to 60s");
+            form.error("(lease ...): 200ms to 60s");
         }
-        let changes: f64 = form.or("changes-per-second", 0.5);
+        let changes: f64 = form.value_or("changes-per-second", 0.5);
         if !(0.001..=1_000.0).contains(&changes) {
-            form.fault("(changes-per-second ...): 0.001 to 1000");
+            form.error("(changes-per-second ...): 0.001 to 1000");
         }
         let length = length(&mut form);
-        form.end();
+        form.finish();
         for (controllers, loss, seed) in grid(&sizes, &losses, &seeds) {
             let network = network(loss);
             all.push(Play::Follow(follow::Plan { controllers, network, lease_ms, changes, length, seed }));
         }
     }
-    for mut form in top.all("power") {
+    for mut form in top.lists("power") {
         let (sizes, losses, network) = (sizes(&mut form), losses(&mut form), network(&mut form));
-        let back = form.get::<TimeSpan>("administration-after").map(|span| span.0);
-        let administration = match (form.or("administration", true), back) {
+        let back = form.optional::<TimeSpan>("administration-after").map(|span| span.0);
+        let administration = match (form.value_or("administration", true), back) {
             (false, _) => power::Back::Never,
             (true, Some(after)) => power::Back::After(after),
             (true, None) => power::Back::First,
@@ -125,26 +125,26 @@
             controllers: 0,
             network: network(0.0),
             administration,
-            lost_books: form.or("lost-books", 0.1f64).clamp(0.0, 1.0),
-            tenants: form.or("tenants", 500u64).min(20_000),
-            calls: form.or("calls-per-second", 70.0f64).clamp(0.1, 10_000.0),
-            capacity: form.or("capacity", 131.0f64).clamp(0.1, 100_000.0),
-            cold_part: form.or("cold-part", 0.25f64).clamp(0.01, 1.0),
-            cold: form.span_or("cold", 4_000_000),
-            wait: form.span_or("wait", 1_000_000),
-            models: form.or("models", 26u32).clamp(1, 10_000),
-            load: form.span_or("load-time", 300_000).max(1),
-            store: form.or("store", 64u32).max(1),
-            aim: form.span_or("aim", 600_000),
-            deadline: form.span_or("deadline", 3_000_000),
+            lost_books: form.value_or("lost-books", 0.1f64).clamp(0.0, 1.0),
+            tenants: form.value_or("tenants", 500u64).min(20_000),
+            calls: form.value_or("calls-per-second", 70.0f64).clamp(0.1, 10_000.0),
+            capacity: form.value_or("capacity", 131.0f64).clamp(0.1, 100_000.0),
+            cold_part: form.value_or("cold-part", 0.25f64).clamp(0.01, 1.0),
+            cold: form.micros_or("cold", 4_000_000),
+            wait: form.micros_or("wait", 1_000_000),
+            models: form.value_or("models", 26u32).clamp(1, 10_000),
+            load: form.micros_or("load-time", 300_000).max(1),
+            store: form.value_or("store", 64u32).max(1),
+            aim: form.micros_or("aim", 600_000),
+            deadline: form.micros_or("deadline", 3_000_000),
             gate: true,
             length: length(&mut form),
             seed: 0,
         };
         if plan.deadline >= plan.length {
-            form.fault("(deadline ...): shorter than the length");
+            form.error("(deadline ...): shorter than the length");
         }
-        form.end();
+        form.finish();
         for (controllers, loss, seed) in grid(&sizes, &losses, &seeds) {
             for gate in [false, true] {
                 let network = network(loss);
@@ -153,12 +153,12 @@
         }
     }
     if all.is_empty() {
-        top.fault("nothing is played: write (follow ...) or (power ...)");
+        top.error("nothing is played: write (follow ...) or (power ...)");
     } else if all.len() > MOST_PLAYS {
-        top.fault(format!("{} plays: at most {MOST_PLAYS}", all.len()));
+        top.error(format!("{} plays: at most {MOST_PLAYS}", all.len()));
     }
-    top.end();
-    source.finish(Some(all))
+    top.finish();
+    source.into_result(Some(all))
 }
 
 fn grid<'a>(
--- a/crates/gateway/src/controller/audit.rs
+++ b/crates/gateway/src/controller/audit.rs
@@ -42,7 +42,7 @@
             epoch: self.snapshot_source.epoch,
             revision: self.tenants.as_ref().map_or(0, Tenants::revision),
             list: self.list_version,
-            settings: self.config.sum,
+            settings: self.config.checksum,
             program: env!("CARGO_PKG_VERSION").to_owned(),
         };
         self.record(|recorder, now, names| recorder.acts_on(now, view, names));
--- a/crates/gateway/src/controller/startup.rs
+++ b/crates/gateway/src/controller/startup.rs
@@ -14,7 +14,7 @@
 use nettleferry_administration::trail::Log;
 use nettleferry_audit_log::Recorder;
 use nettleferry_config::Config;
-use nettleferry_config::settings::{self, Admin, GateWhen};
+use nettleferry_config::settings::{self, AdminSettings, GatePolicy};
 use nettleferry_engine::{Engine, EngineLimits};
 use nettleferry_fleet::gate::{Gate, GateConfig};
 use nettleferry_fleet::lease::{Holder, LeasePolicy};
@@ -47,9 +47,13 @@
         let signals = signals.transpose()?;
         let observer = Observer::new(&config);
         let metrics_endpoint = start_metrics_endpoint(&config, &observer)?;
-        let pusher =
-            config.figures.push.clone().map(|push| Pusher::start(push, observer.figures())).transpose()?;
-        if config.figures.count {
+        let pusher = config
+            .metrics
+            .remote_write
+            .clone()
+            .map(|push| Pusher::start(push, observer.figures()))
+            .transpose()?;
+        if config.metrics.count_calls {
             engine.record_measurements();
         }
         let clock = Clock::start();
@@ -96,9 +100,9 @@
     /// Limits how many calls are accepted after a restart, where the settings want that.
     fn start_restart_admission(&mut self, restarted: bool) {
         let limited = match self.config.recovery.gate {
-            GateWhen::Never => false,
-            GateWhen::Restart => restarted,
-            GateWhen::Always => true,
+            GatePolicy::Never => false,
+            GatePolicy::Restart => restarted,
+            GatePolicy::Always => true,
         };
         if limited {
             self.restart_admission.limiter = Some(Gate::new(GateConfig::default(), self.clock.now_ms()));
@@ -138,7 +142,12 @@
 fn watch_worker_list(config: &Config, hub: &Hub) -> io::Result<Lists> {
     let waker = hub.waker();
     let wake = move || _ = waker.wake();
-    Lists::start(config.workers.clone(), config.workers_kept.clone(), config.workers_check, wake)
+    Lists::start(
+        config.workers_file.clone(),
+        config.persisted_workers_file.clone(),
+        config.workers_check_interval,
+        wake,
+    )
 }
 
 fn create_engine(config: &Config, restarted: bool) -> Result<Engine, nettleferry::SettingsError> {
@@ -165,7 +174,7 @@
 }
 
 fn start_metrics_endpoint(config: &Config, observer: &Observer) -> Result<Option<Endpoint>, ControllerError> {
-    let Some(address) = config.figures.scrape else { return Ok(None) };
+    let Some(address) = config.metrics.scrape else { return Ok(None) };
     retry_startup("metrics listener", || observe::scrape(address, observer.figures()), is_transient)
         .map(Some)
         .map_err(|source| ControllerError::Listen { address, source })
@@ -182,7 +191,7 @@
 }
 
 impl Administration {
-    fn start(config: &Config, admin: &Admin, clock: Clock, hub: &Hub) -> io::Result<Self> {
+    fn start(config: &Config, admin: &AdminSettings, clock: Clock, hub: &Hub) -> io::Result<Self> {
         let audit_log = start_audit_log(config, admin, clock)?;
         let server = start_admin_server(config, admin, hub, audit_log.as_ref())?;
         let snapshot = server.book.as_ref();
@@ -196,8 +205,8 @@
     }
 }
 
-fn start_audit_log(config: &Config, admin: &Admin, clock: Clock) -> io::Result<Option<AuditLog>> {
-    let Some(settings) = &admin.trail else { return Ok(None) };
+fn start_audit_log(config: &Config, admin: &AdminSettings, clock: Clock) -> io::Result<Option<AuditLog>> {
+    let Some(settings) = &admin.audit_log else { return Ok(None) };
     let (log, tail) = Log::start(settings.folder.clone(), settings.bytes)?;
     // 0 means that there is no incarnation.
     let incarnation = rand::random::<u64>().max(1);
@@ -208,7 +217,7 @@
 
 fn start_admin_server(
     config: &Config,
-    admin: &Admin,
+    admin: &AdminSettings,
     hub: &Hub,
     audit_log: Option<&AuditLog>,
 ) -> io::Result<Desk> {
@@ -219,10 +228,11 @@
     Desk::start(admin, identity, hub.waker(), held)
 }
 
-fn create_tenants(config: &Config, admin: &Admin, clock: Clock, server: &Desk) -> Tenants {
+fn create_tenants(config: &Config, admin: &AdminSettings, clock: Clock, server: &Desk) -> Tenants {
     let loan_terms = LoanConfig { controllers: config.settings.controllers.max(1), reserve: admin.reserve };
     let first_id = config.tenants.len();
-    let mut tenants = Tenants::new(first_id, &config.classes, admin.anonymous, admin.places, loan_terms);
+    let mut tenants =
+        Tenants::new(first_id, &config.classes, admin.anonymous, admin.queue_length, loan_terms);
     match &server.book {
         Some(snapshot) => {
             tenants.begin(&snapshot.book);
@@ -234,8 +244,9 @@
 }
 
 /// The lease of a follower; a leader needs none.
-fn create_lease(admin: &Admin, now: Micros) -> Option<Holder> {
-    let settings::Desk::Follow { straggler, .. } = &admin.desk else { return None };
-    let not_ready_after = straggler.leaves_after.map(|span| span / 1000);
-    Some(Holder::new(now / 1000, LeasePolicy { rejects: straggler.refuses, not_ready_after }))
+fn create_lease(admin: &AdminSettings, now: Micros) -> Option<Holder> {
+    let settings::Administration::Follower(follower) = &admin.administration else { return None };
+    let policy = &follower.without_lease;
+    let not_ready_after = policy.not_ready_after.map(|span| span / 1000);
+    Some(Holder::new(now / 1000, LeasePolicy { rejects: policy.rejects, not_ready_after }))
 }
--- a/crates/gateway/src/front/mod.rs
+++ b/crates/gateway/src/front/mod.rs
@@ -325,7 +325,7 @@
             model: name,
             version: head.version.into(),
             time_left: left,
-            cost_hint: model.work,
+            cost_hint: model.service_time,
             lanes: model.lanes,
             load_time: model.load_time,
             repeat: rpc.repeat,
--- a/crates/gateway/src/observe.rs
+++ b/crates/gateway/src/observe.rs
@@ -47,13 +47,13 @@
         tenants.sort_by_key(|t| t.1);
         let tenants: Vec<String> = tenants.into_iter().map(|t| t.0.clone()).collect();
         let slots =
-            Slots::new(config.classes.clone(), &tenants, config.models.groups(), config.figures.series);
+            Slots::new(config.classes.clone(), &tenants, config.models.groups(), config.metrics.max_series);
         // Reasons of admission stand behind the other limits.
         let admission = RejectReason::ALL.into_iter().map(RejectReason::label);
         let limits: Vec<&str> = LIMITS.into_iter().chain(admission).collect();
         let figures = Arc::new(Figures::new(slots, &limits));
         let aims = config.settings.classes.iter().map(|c| c.aim).collect();
-        Self { figures, aims, counts: config.figures.count }
+        Self { figures, aims, counts: config.metrics.count_calls }
     }
 
     /// The figures, for whoever serves them.
--- a/crates/gateway/src/push.rs
+++ b/crates/gateway/src/push.rs
@@ -17,7 +17,7 @@
 use std::time::{Duration, SystemTime};
 
 use nettleferry::Micros;
-use nettleferry_config::settings::Push;
+use nettleferry_config::settings::RemoteWriteSettings;
 use nettleferry_metrics::{Figures, LATENCY, sample};
 use nettleferry_net::post::{Answer as Heard, PostError, Poster};
 use nettleferry_proto::remote_write::{self, Kind, Native, Series, Version};
@@ -65,7 +65,7 @@
 
 impl Pusher {
     /// Starts it. A spool that can't be opened is an error: the operator told us to keep samples there.
-    pub fn start(settings: Push, figures: Arc<Figures>) -> io::Result<Self> {
+    pub fn start(settings: RemoteWriteSettings, figures: Arc<Figures>) -> io::Result<Self> {
         let mut work = Work::new(settings, figures)?;
         let (told, abandoned) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicBool::new(false)));
         let waker = work.poster.waker();
@@ -104,7 +104,7 @@
 }
 
 struct Work {
-    settings: Push,
+    settings: RemoteWriteSettings,
     figures: Arc<Figures>,
     clock: Clock,
     poster: Poster,
@@ -128,12 +128,10 @@
 }
 
 impl Work {
-    fn new(settings: Push, figures: Arc<Figures>) -> io::Result<Self> {
-        let limits = WalLimits {
-            bytes: settings.spool_bytes,
-            segment_bytes: (settings.spool_bytes / 16).max(1 << 16),
-        };
-        let disk = DirectoryStorage::open(settings.spool.clone())?;
+    fn new(settings: RemoteWriteSettings, figures: Arc<Figures>) -> io::Result<Self> {
+        let limits =
+            WalLimits { bytes: settings.wal_bytes, segment_bytes: (settings.wal_bytes / 16).max(1 << 16) };
+        let disk = DirectoryStorage::open(settings.wal_folder.clone())?;
         let (spool, found) = WriteAheadLog::open(disk, limits).map_err(|e| match e {
             WalError::Io(error) => error,
             other => io::Error::other(other.to_string()),
@@ -142,16 +140,17 @@
         let queue = Queue::new(
             Limits {
                 shards: settings.shards,
-                batch_samples: settings.batch,
+                batch_samples: settings.batch_samples,
                 batch_age: settings.batch_age,
                 bytes: settings.queue_bytes,
-                age: settings.age,
+                age: settings.max_sample_age,
                 ..Limits::default()
             },
             rand::random(),
         );
-        let poster = Poster::new(settings.to, settings.shards, Duration::from_micros(settings.timeout))?;
-        let ask_again = settings.ask_again;
+        let poster =
+            Poster::new(settings.receiver, settings.shards, Duration::from_micros(settings.timeout))?;
+        let ask_again = settings.renegotiate_after;
         let mut work = Self {
             settings,
             figures,
@@ -390,7 +389,7 @@
 
     /// The number of a series of ours, with the labels of the settings.
     fn labelled(&mut self, mut labels: Vec<(String, String)>, kind: Kind) -> u64 {
-        labels.extend(self.settings.labels.iter().cloned());
+        labels.extend(self.settings.labels.iter().map(|label| (label.name.clone(), label.value.clone())));
         labels.sort();
         self.number(&labels, kind)
     }
@@ -427,7 +426,7 @@
             self.short,
             self.sample_clock.ahead() as f64 / 1e6,
         );
-        self.figures.spool(self.spool.bytes(), self.settings.spool_bytes, self.spool_failures);
+        self.figures.spool(self.spool.bytes(), self.settings.wal_bytes, self.spool_failures);
     }
 
     fn run(&mut self, stop: &AtomicBool) -> io::Result<()> {
@@ -439,7 +438,7 @@
             if now >= round {
                 self.round(std::mem::take(&mut first));
                 // Rounds missed while the machine slept are not made up for.
-                round = round.saturating_add(self.settings.every).max(now);
+                round = round.saturating_add(self.settings.sample_interval).max(now);
             }
             self.step(round, &mut due, &mut heard)?;
         }
@@ -480,7 +479,7 @@
                 self.disk(|spool| spool.acknowledge(roster));
             }
             self.queue.flush();
-            let until = self.clock.now() + self.settings.farewell;
+            let until = self.clock.now() + self.settings.flush_timeout;
             let (mut heard, mut due) = (Vec::new(), Vec::new());
             while self.queue.kept() > 0 && self.clock.now() < until && !abandoned.load(Ordering::Acquire) {
                 self.step(until, &mut due, &mut heard)?;
--- a/crates/scale/src/measure/administration/mod.rs
+++ b/crates/scale/src/measure/administration/mod.rs
@@ -38,30 +38,30 @@
 pub fn read(form: &mut Form) -> Option<Box<dyn Measure>> {
     let sizes = Sizes::read(form, "followers");
     let script = Script {
-        real: form.or("real", 1),
-        lease: form.span_or("lease", 6_000_000),
-        tenants: form.or("tenants", 100),
-        rate: form.or("changes-per-second", 5.0),
-        interval: form.span_or("interval", 6_000_000),
+        real: form.value_or("real", 1),
+        lease: form.micros_or("lease", 6_000_000),
+        tenants: form.value_or("tenants", 100),
+        rate: form.value_or("changes-per-second", 5.0),
+        interval: form.micros_or("interval", 6_000_000),
     };
     if script.real > MOST_REAL {
-        form.fault(format!("(real ...): write 0 to {MOST_REAL}"));
+        form.error(format!("(real ...): write 0 to {MOST_REAL}"));
     }
     if !(MIN_SPAN * 1_000..=MAX_SPAN * 1_000).contains(&script.lease) {
-        form.fault("(lease ...): write 200ms to 60s");
+        form.error("(lease ...): write 200ms to 60s");
     }
     if !(1..=MOST_TENANTS).contains(&script.tenants) {
-        form.fault(format!("(tenants ...): write 1 to {MOST_TENANTS}"));
+        form.error(format!("(tenants ...): write 1 to {MOST_TENANTS}"));
     }
     if !(0.01..=MOST_RATE).contains(&script.rate) {
-        form.fault(format!("(changes-per-second ...): write 0.01 to {MOST_RATE}"));
+        form.error(format!("(changes-per-second ...): write 0.01 to {MOST_RATE}"));
     }
     if !(100_000..=LONGEST_INTERVAL).contains(&script.interval) {
-        form.fault("(interval ...): write 100ms to 2min");
+        form.error("(interval ...): write 100ms to 2min");
     }
     let most = (MAX_INCARNATIONS as u64).saturating_sub(u64::from(script.real));
     if let Some(size) = sizes.as_ref().and_then(|sizes| sizes.values.iter().find(|size| **size > most)) {
-        form.fault(format!(
+        form.error(format!(
             "followers {size}: an administration gives leases to {MAX_INCARNATIONS} lives; write at most {most}"
         ));
     }
--- a/crates/scale/src/measure/list/mod.rs
+++ b/crates/scale/src/measure/list/mod.rs
@@ -64,22 +64,22 @@
 /// Reads `(list ...)`.
 pub fn read(form: &mut Form) -> Option<Box<dyn Measure>> {
     let sizes = Sizes::read(form, "workers");
-    let changes = form.or("changes", 5u64);
+    let changes = form.value_or("changes", 5u64);
     if !(1..=MOST_CHANGES).contains(&changes) {
-        form.fault(format!("(changes ...): write 1 to {MOST_CHANGES}"));
+        form.error(format!("(changes ...): write 1 to {MOST_CHANGES}"));
     }
-    let rate: f64 = form.or("calls-per-second", 200.0);
+    let rate: f64 = form.value_or("calls-per-second", 200.0);
     if !(1.0..=MOST_RATE).contains(&rate) {
-        form.fault(format!("(calls-per-second ...): write 1 to {MOST_RATE}"));
+        form.error(format!("(calls-per-second ...): write 1 to {MOST_RATE}"));
     }
-    let rest = form.span_or("rest", 1_000_000);
-    let settle = form.span_or("settle", 400_000);
+    let rest = form.micros_or("rest", 1_000_000);
+    let settle = form.micros_or("settle", 400_000);
     if !(10_000..=60_000_000).contains(&rest) || !(10_000..=60_000_000).contains(&settle) {
-        form.fault("(rest ...) and (settle ...): write 10ms to 1min");
+        form.error("(rest ...) and (settle ...): write 10ms to 1min");
     }
     let sizes = sizes?;
-    if sizes.values.iter().any(|size| *size > workers::MOST_WORKERS as u64) {
-        form.fault(format!("(workers ...): a list holds at most {}", workers::MOST_WORKERS));
+    if sizes.values.iter().any(|size| *size > workers::MAX_WORKERS as u64) {
+        form.error(format!("(workers ...): a list holds at most {}", workers::MAX_WORKERS));
     }
     Some(Box::new(List {
         sizes,
--- a/crates/scale/src/measure/mod.rs
+++ b/crates/scale/src/measure/mod.rs
@@ -148,22 +148,22 @@
 impl Sizes {
     /// Reads `(of SIZE SIZE ...)`, which must stand in the measure's list.
     pub fn read(form: &mut Form, of: &'static str) -> Option<Self> {
-        let mut list = form.need(of)?;
+        let mut list = form.required_list(of)?;
         let span = list.span();
         let mut values: Vec<u64> = Vec::new();
-        while let Some(size) = list.take::<u64>() {
+        while let Some(size) = list.next_item::<u64>() {
             values.push(size);
         }
         if values.is_empty() || values.len() > MOST_SIZES {
-            list.fault(format!("({of} ...): write 1 to {MOST_SIZES} sizes; a fit needs at least 4"));
+            list.error(format!("({of} ...): write 1 to {MOST_SIZES} sizes; a fit needs at least 4"));
         }
         if values.contains(&0) {
-            list.fault(format!("({of} ...): a size is at least 1"));
+            list.error(format!("({of} ...): a size is at least 1"));
         }
         if values.windows(2).any(|pair| pair[0] >= pair[1]) {
-            list.fault(format!("({of} ...): write each size once, the smallest first"));
+            list.error(format!("({of} ...): write each size once, the smallest first"));
         }
-        list.end();
+        list.finish();
         Some(Self { of, values, span })
     }
 }
--- a/crates/scale/src/measure/module/mod.rs
+++ b/crates/scale/src/measure/module/mod.rs
@@ -38,30 +38,30 @@
     let functions = whole(form, "functions", 10_000, MOST_FUNCTIONS);
     let calls = whole(form, "calls", 20_000, MOST_CALLS);
     let again = whole(form, "again", 2_000, MOST_CALLS);
-    let rate: f64 = form.or("calls-per-second", 125.0);
+    let rate: f64 = form.value_or("calls-per-second", 125.0);
     if !(0.001..=MOST_RATE).contains(&rate) {
-        form.fault(format!("(calls-per-second ...): write 0.001 to {MOST_RATE}"));
+        form.error(format!("(calls-per-second ...): write 0.001 to {MOST_RATE}"));
     }
     let script = Script {
         functions,
         calls,
         again,
         call_every: (1e6 / rate.clamp(0.001, MOST_RATE)) as Micros,
-        replace_every: form.span_or("replace-every", 20_000_000),
-        answer_after: form.span_or("answer-after", 20_000),
-        keep_alive: form.span_or("keep-alive", 8_000_000),
-        probes: form.or("probes", true),
+        replace_every: form.micros_or("replace-every", 20_000_000),
+        answer_after: form.micros_or("answer-after", 20_000),
+        keep_alive: form.micros_or("keep-alive", 8_000_000),
+        probes: form.value_or("probes", true),
     };
     if script.answer_after >= 1_000_000 {
-        form.fault("(answer-after ...): write less than 1s");
+        form.error("(answer-after ...): write less than 1s");
     }
     Some(Box::new(Module { sizes: sizes?, script, held: Vec::new() }))
 }
 
 fn whole(form: &mut Form, key: &'static str, usual: u64, most: u64) -> u64 {
-    let value = form.or(key, usual);
+    let value = form.value_or(key, usual);
     if !(1..=most).contains(&value) {
-        form.fault(format!("({key} ...): write 1 to {most}"));
+        form.error(format!("({key} ...): write 1 to {most}"));
     }
     value.clamp(1, most)
 }
--- a/crates/scale/src/measure/worker/mod.rs
+++ b/crates/scale/src/measure/worker/mod.rs
@@ -42,16 +42,16 @@
 pub fn read(form: &mut Form) -> Option<Box<dyn Measure>> {
     let sizes = Sizes::read(form, "controllers");
     let script = Script {
-        calls: form.or("calls-per-second", 1_000.0),
-        probes: form.or("probes-per-second", 0.0),
-        interval: form.span_or("interval", 3_000_000),
+        calls: form.value_or("calls-per-second", 1_000.0),
+        probes: form.value_or("probes-per-second", 0.0),
+        interval: form.micros_or("interval", 3_000_000),
     };
     let sound = |rate: f64| (0.0..=MOST_RATE).contains(&rate);
     if !sound(script.calls) || !sound(script.probes) || script.calls <= 0.0 {
-        form.fault(format!("(calls-per-second ...), (probes-per-second ...): write up to {MOST_RATE}"));
+        form.error(format!("(calls-per-second ...), (probes-per-second ...): write up to {MOST_RATE}"));
     }
     if !(100_000..=LONGEST_INTERVAL).contains(&script.interval) {
-        form.fault("(interval ...): write 100ms to 2min");
+        form.error("(interval ...): write 100ms to 2min");
     }
     Some(Box::new(Worker { sizes: sizes?, script }))
 }
--- a/crates/scale/src/settings.rs
+++ b/crates/scale/src/settings.rs
@@ -30,9 +30,9 @@
 
 /// Reads a file; sizes that do not fit into `room` are refused, with what would fit.
 pub fn read(file: &str, text: &str, room: &Room) -> Result<Settings, Errors> {
-    let (source, mut top) = Source::open(file, text);
-    let seed = top.or("seed", 1);
-    let deadline = top.sub("deadline");
+    let (source, mut top) = Form::parse(file, text);
+    let seed = top.value_or("seed", 1);
+    let deadline = top.optional_list("deadline");
     let (span, deadline) = match deadline {
         Some(form) => (form.span(), read_deadline(form)),
         None => (top.span(), USUAL_DEADLINE),
@@ -41,18 +41,18 @@
     let measures = read_measures(&mut top);
     check_sizes(&source, &measures, room);
     check_time(&source, &measures, (span, deadline));
-    let bounds = top.sub("bounds").map_or_else(Vec::new, |form| read_bounds(form, &measures));
-    let budgets = top.sub("target").map_or_else(Vec::new, |form| read_target(form, &measures));
-    top.end();
-    source.finish(Some(Settings { seed, deadline, measures, bounds, budgets }))
+    let bounds = top.optional_list("bounds").map_or_else(Vec::new, |form| read_bounds(form, &measures));
+    let budgets = top.optional_list("target").map_or_else(Vec::new, |form| read_target(form, &measures));
+    top.finish();
+    source.into_result(Some(Settings { seed, deadline, measures, bounds, budgets }))
 }
 
 fn read_deadline(mut form: Form) -> u64 {
-    let span = form.want::<TimeSpan>("its span").map_or(USUAL_DEADLINE, |span| span.0);
+    let span = form.required_item::<TimeSpan>("its span").map_or(USUAL_DEADLINE, |span| span.0);
     if !(1_000_000..=LONGEST_DEADLINE).contains(&span) {
-        form.fault("(deadline ...): write 1s to 30min");
+        form.error("(deadline ...): write 1s to 30min");
     }
-    form.end();
+    form.finish();
     span
 }
 
@@ -60,15 +60,15 @@
     let mut measures = Vec::new();
     let mut named = false;
     for kind in KINDS {
-        if let Some(mut form) = top.sub(kind.name) {
+        if let Some(mut form) = top.optional_list(kind.name) {
             named = true;
             measures.extend((kind.read)(&mut form));
-            form.end();
+            form.finish();
         }
     }
     if !named {
         let names: Vec<String> = KINDS.iter().map(|kind| format!("({} ...)", kind.name)).collect();
-        top.fault(format!("nothing is measured: write {}", names.join(" or ")));
+        top.error(format!("nothing is measured: write {}", names.join(" or ")));
     }
     measures
 }
@@ -81,7 +81,7 @@
             let Some(short) = room.shortage(&measure.needs(*size)) else { continue };
             let fits = room.largest_fit(*size, |size| measure.needs(size));
             let what = format!("{} {size} can't fit: needs {short}; write at most {fits}", sizes.of);
-            source.fault(sizes.span, what);
+            source.error(sizes.span, what);
             break;
         }
     }
@@ -102,7 +102,7 @@
     if needed > deadline {
         let seconds = needed.as_secs_f64().ceil();
         let parts = parts.join(", ");
-        source.fault(
+        source.error(
             span,
             format!("the run may take {seconds} s ({parts}): write (deadline {seconds}s), or smaller or fewer sizes"),
         );
@@ -111,19 +111,19 @@
 
 fn read_bounds(mut form: Form, measures: &[Box<dyn Measure>]) -> Vec<Bound> {
     let mut bounds = Vec::new();
-    for mut at_most in form.all("at-most") {
+    for mut at_most in form.lists("at-most") {
         bounds.extend(read_subject(&mut at_most, measures, SubjectKind::At));
-        at_most.end();
+        at_most.finish();
     }
-    for mut ratio in form.all("ratio") {
+    for mut ratio in form.lists("ratio") {
         bounds.extend(read_subject(&mut ratio, measures, SubjectKind::Ratio));
-        ratio.end();
+        ratio.finish();
     }
-    for mut exponent in form.all("exponent") {
+    for mut exponent in form.lists("exponent") {
         bounds.extend(read_subject(&mut exponent, measures, SubjectKind::Exponent));
-        exponent.end();
+        exponent.finish();
     }
-    form.end();
+    form.finish();
     bounds
 }
 
@@ -138,10 +138,12 @@
 fn read_subject(form: &mut Form, measures: &[Box<dyn Measure>], kind: SubjectKind) -> Option<Bound> {
     let most = match kind {
         SubjectKind::At => None,
-        SubjectKind::Ratio | SubjectKind::Exponent => Some(form.want::<f64>("what is at most allowed")),
+        SubjectKind::Ratio | SubjectKind::Exponent => {
+            Some(form.required_item::<f64>("what is at most allowed"))
+        }
     };
     let Some((mut subject, measure, of)) = read_figure(form, measures) else {
-        let _ = form.take::<String>();
+        let _ = form.next_item::<String>();
         return None;
     };
     let bound = match kind {
@@ -160,7 +162,7 @@
             most.flatten().map(|most| Bound { subject: Subject::Exponent { of }, most })
         }
     };
-    subject.end();
+    subject.finish();
     bound
 }
 
@@ -169,32 +171,32 @@
     form: &mut Form,
     measures: &'m [Box<dyn Measure>],
 ) -> Option<(Form, &'m dyn Measure, FigureOf)> {
-    let mut lists = form.rest().into_iter();
+    let mut lists = form.remaining_lists().into_iter();
     let Some(mut subject) = lists.next() else {
-        form.fault(format!("({} ...) lacks its figure: write (MEASURE FIGURE ...)", form.name()));
+        form.error(format!("({} ...) lacks its figure: write (MEASURE FIGURE ...)", form.name()));
         return None;
     };
     for more in lists {
-        more.fault("one figure a bound: write another bound for this one");
+        more.error("one figure a bound: write another bound for this one");
     }
     let Some(measure) = measures.iter().find(|measure| measure.name() == subject.name()) else {
         let names = || measures.iter().map(|measure| measure.name());
         let hint = nearest(subject.name(), names());
         let all = names().collect::<Vec<_>>().join(", ");
-        subject.fault(format!("this file measures {all}, not {}{hint}", subject.name()));
+        subject.error(format!("this file measures {all}, not {}{hint}", subject.name()));
         return None;
     };
     let words: Vec<(&str, &'static Figure)> = measure.figures().iter().map(|f| (f.name, *f)).collect();
-    let figure = subject.word("the figure", &words)?;
+    let figure = subject.keyword("the figure", &words)?;
     Some((subject, &**measure, FigureOf { measure: measure.name(), figure }))
 }
 
 fn read_size(subject: &mut Form, measure: &dyn Measure) -> Option<u64> {
-    let size = subject.want::<u64>("a size")?;
+    let size = subject.required_item::<u64>("a size")?;
     let sizes = measure.sizes();
     if !sizes.values.contains(&size) {
         let all: Vec<String> = sizes.values.iter().map(u64::to_string).collect();
-        subject.fault(format!("size {size} is not measured: write one of {}", all.join(", ")));
+        subject.error(format!("size {size} is not measured: write one of {}", all.join(", ")));
         return None;
     }
     Some(size)
@@ -203,9 +205,11 @@
 /// An amount in a figure's unit.
 fn read_amount(form: &mut Form, figure: &Figure) -> Option<f64> {
     let amount = match figure.unit {
-        Unit::Microseconds => form.want::<TimeSpan>("what is at most allowed")?.0 as f64,
-        Unit::Bytes | Unit::BytesPerSecond => form.want::<Bytes>("what is at most allowed")?.0 as f64,
-        Unit::Count | Unit::Cores => form.want::<f64>("what is at most allowed")?,
+        Unit::Microseconds => form.required_item::<TimeSpan>("what is at most allowed")?.0 as f64,
+        Unit::Bytes | Unit::BytesPerSecond => {
+            form.required_item::<Bytes>("what is at most allowed")?.0 as f64
+        }
+        Unit::Count | Unit::Cores => form.required_item::<f64>("what is at most allowed")?,
     };
     Some(amount)
 }
@@ -213,7 +217,7 @@
 fn enough_sizes(subject: &Form, measure: &dyn Measure, what: &str) {
     let sizes = measure.sizes();
     if sizes.values.len() < FEWEST_SIZES {
-        subject.fault(format!(
+        subject.error(format!(
             "{what} needs a fit over at least {FEWEST_SIZES} sizes; ({} ({} ...)) has {}",
             measure.name(),
             sizes.of,
@@ -228,25 +232,25 @@
     for measure in measures {
         let of = measure.sizes().of;
         if !sizes.iter().any(|(known, _)| *known == of) {
-            sizes.extend(form.get::<u64>(of).map(|size| (of, size)));
+            sizes.extend(form.optional::<u64>(of).map(|size| (of, size)));
         }
     }
     let mut budgets = Vec::new();
-    for mut budget in form.all("budget") {
+    for mut budget in form.lists("budget") {
         if let Some((subject, measure, of)) = read_figure(&mut budget, measures) {
             let target = sizes.iter().find(|(known, _)| *known == measure.sizes().of).map(|(_, size)| *size);
             if target.is_none() {
-                subject.fault(format!("the target lacks ({} SIZE)", measure.sizes().of));
+                subject.error(format!("the target lacks ({} SIZE)", measure.sizes().of));
             }
             enough_sizes(&subject, measure, "a target");
             let most = read_amount(&mut budget, of.figure).filter(|most| *most > 0.0);
             budgets.extend(target.zip(most).map(|(size, most)| Budget { of, size, most }));
-            subject.end();
+            subject.finish();
         } else {
-            let _ = budget.take::<String>();
+            let _ = budget.next_item::<String>();
         }
-        budget.end();
+        budget.finish();
     }
-    form.end();
+    form.finish();
     budgets
 }
--- a/crates/scenario/src/run.rs
+++ b/crates/scenario/src/run.rs
@@ -180,7 +180,7 @@
     let config = config.ok_or(DayError::Clients)?;
     let figures = Figures {
         drain_grace: config.settings.rules.drain_grace,
-        list_check: config.workers_check,
+        list_check: config.workers_check_interval,
         ration_window: config.settings.loading.ration_window,
         ration_floor: config.settings.loading.ration_floor,
         ration_share: config.settings.loading.ration_share,
--- a/crates/scenario/src/script.rs
+++ b/crates/scenario/src/script.rs
@@ -1,7 +1,7 @@
 //! A day file: workers, controllers, traffic, and troubles on a timeline. See `days/` for one of each kind.
 
 use nettleferry::Micros;
-use nettleferry_config::form::{Errors, Form, Source, TimeSpan};
+use nettleferry_config::form::{Errors, Form, TimeSpan};
 use nettleferry_test_servers::Spec;
 
 /// A scripted day.
@@ -155,48 +155,49 @@
 
 /// Reads a day file.
 pub fn read(file: &str, text: &str) -> Result<Script, Errors> {
-    let (source, mut top) = Source::open(file, text);
-    let head = top.need("day").map(|mut form| {
+    let (source, mut top) = Form::parse(file, text);
+    let head = top.required_list("day").map(|mut form| {
         let name = form.or_name();
-        let length = form.must::<TimeSpan>("length").map_or(1, |s| s.0);
+        let length = form.required::<TimeSpan>("length").map_or(1, |s| s.0);
         if length == 0 || length > MOST_LENGTH {
-            form.fault(format!("(length ...): more than 0, at most {}s", MOST_LENGTH / 1_000_000));
+            form.error(format!("(length ...): more than 0, at most {}s", MOST_LENGTH / 1_000_000));
         }
-        let seed = form.or("seed", 1u64);
-        form.end();
+        let seed = form.value_or("seed", 1u64);
+        form.finish();
         (name, length.clamp(1, MOST_LENGTH), seed)
     });
     let controllers = many(&mut top, "controllers", MOST_CONTROLLERS, |_| ());
-    let workers =
-        many(&mut top, "workers", MOST_WORKERS, |form| (Spec::read(form), form.or("start-cold", false)));
-    let mut store = top.group("store");
-    let at_speed = store.or("at-speed", 8u32);
-    let most = store.or("most", 32u32);
-    store.end();
-    let list_lag = top.span_or("list-lag", 200_000);
-    let settings = top.need("settings").map(|form| {
+    let workers = many(&mut top, "workers", MOST_WORKERS, |form| {
+        (Spec::read(form), form.value_or("start-cold", false))
+    });
+    let mut store = top.list_or_empty("store");
+    let at_speed = store.value_or("at-speed", 8u32);
+    let most = store.value_or("most", 32u32);
+    store.finish();
+    let list_lag = top.micros_or("list-lag", 200_000);
+    let settings = top.required_list("settings").map(|form| {
         let text = form.text().to_owned();
-        form.hand_on();
+        form.discard();
         text
     });
-    let traffic: Vec<Traffic> = top.all("traffic").into_iter().map(traffic).collect();
+    let traffic: Vec<Traffic> = top.lists("traffic").into_iter().map(traffic).collect();
     if traffic.is_empty() {
-        top.fault("the day has no (traffic ...)");
+        top.error("the day has no (traffic ...)");
     }
     let mut troubles = Vec::new();
-    for mut at in top.all("at") {
-        let when = at.want::<TimeSpan>("when it begins").map_or(0, |s| s.0);
-        for form in at.rest() {
+    for mut at in top.lists("at") {
+        let when = at.required_item::<TimeSpan>("when it begins").map_or(0, |s| s.0);
+        for form in at.remaining_lists() {
             let count = workers.as_ref().map_or(0, |w| w.0);
             if let Some(found) = trouble(form, count, controllers.as_ref().map_or(0, |c| c.0)) {
                 troubles.push((when, found));
             }
         }
-        at.end();
+        at.finish();
     }
     troubles.sort_by_key(|t| t.0);
-    let watch = top.sub("receiver").map(watch);
-    top.end();
+    let watch = top.optional_list("receiver").map(watch);
+    top.finish();
     let value = (|| {
         let (name, length, seed) = head?;
         let (count, zones, (spec, cold)) = workers?;
@@ -217,25 +218,25 @@
             watch,
         })
     })();
-    source.finish(value)
+    source.into_result(value)
 }
 
 fn watch(mut form: Form) -> Watch {
-    let span = |form: &mut Form, key| form.must::<TimeSpan>(key).map_or(0, |s| s.0);
-    let rules = form.must("rules").unwrap_or_default();
-    let every = form.span_or("every", 1_000_000).max(10_000);
-    let speed = form.or("speed", 1u32);
+    let span = |form: &mut Form, key| form.required::<TimeSpan>(key).map_or(0, |s| s.0);
+    let rules = form.required("rules").unwrap_or_default();
+    let every = form.micros_or("every", 1_000_000).max(10_000);
+    let speed = form.value_or("speed", 1u32);
     if speed == 0 || speed > 100 {
-        form.fault(format!("(speed {speed}): from 1 to 100"));
+        form.error(format!("(speed {speed}): from 1 to 100"));
     }
     let mut fires = Vec::new();
-    for mut one in form.all("fires") {
+    for mut one in form.lists("fires") {
         let alert = one.or_name();
         let (after, within) = (span(&mut one, "after"), span(&mut one, "within"));
         fires.push(Fires { alert, after, within, clear_by: span(&mut one, "clear-by") });
-        one.end();
+        one.finish();
     }
-    form.end();
+    form.finish();
     Watch { rules, every, speed, fires }
 }
 
@@ -245,7 +246,7 @@
 
 impl OrName for Form {
     fn or_name(&mut self) -> String {
-        self.want::<String>("its name").unwrap_or_default()
+        self.required_item::<String>("its name").unwrap_or_default()
     }
 }
 
@@ -255,32 +256,32 @@
     most: u64,
     read: impl FnOnce(&mut Form) -> T,
 ) -> Option<(usize, Vec<String>, T)> {
-    let mut form = top.need(key)?;
-    let count = form.want::<u64>("how many")?;
+    let mut form = top.required_list(key)?;
+    let count = form.required_item::<u64>("how many")?;
     if count == 0 || count > most {
-        form.fault(format!("({key} {count}): from 1 to {most}"));
+        form.error(format!("({key} {count}): from 1 to {most}"));
     }
     let zones = words(&mut form, "zones");
     let zones = if zones.is_empty() { vec!["a".to_owned()] } else { zones };
     let rest = read(&mut form);
-    form.end();
+    form.finish();
     Some((count.clamp(1, most) as usize, zones, rest))
 }
 
 fn words(form: &mut Form, key: &'static str) -> Vec<String> {
-    let Some(mut list) = form.sub(key) else { return Vec::new() };
+    let Some(mut list) = form.optional_list(key) else { return Vec::new() };
     let mut all = Vec::new();
-    while let Some(word) = list.take() {
+    while let Some(word) = list.next_item() {
         all.push(word);
     }
-    list.end();
+    list.finish();
     all
 }
 
 fn share(form: &mut Form, key: &'static str) -> f64 {
-    let share = form.or(key, 0.0);
+    let share = form.value_or(key, 0.0);
     if share > 1.0 {
-        form.fault(format!("({key} ...) is a share, from 0 to 1"));
+        form.error(format!("({key} ...) is a share, from 0 to 1"));
     }
     share.min(1.0)
 }
@@ -288,53 +289,53 @@
 fn traffic(mut form: Form) -> Traffic {
     let name = form.or_name();
     if !nettleferry_test_servers::models::exists(&name) {
-        form.fault(format!("traffic {name}: the stand-ins' models are echo, echo-*, climb and climb-*"));
+        form.error(format!("traffic {name}: the stand-ins' models are echo, echo-*, climb and climb-*"));
     }
-    let rate = form.must("rate").unwrap_or(1.0);
+    let rate = form.required("rate").unwrap_or(1.0);
     if rate > MOST_RATE {
-        form.fault(format!("(rate {rate}): at most {MOST_RATE}"));
+        form.error(format!("(rate {rate}): at most {MOST_RATE}"));
     }
     let traffic = Traffic {
         name,
-        models: form.or("models", 1u32).max(1),
+        models: form.value_or("models", 1u32).max(1),
         rate: rate.min(MOST_RATE),
-        streamed: form.or("streamed", false),
-        shared: form.or("shared", false),
-        segments: form.or("segments", 1i64).clamp(1, 1000),
-        bytes: form.or("bytes", 64u64).min(16 << 20) as usize,
-        deadline: form.get::<TimeSpan>("deadline").map(|s| s.0),
+        streamed: form.value_or("streamed", false),
+        shared: form.value_or("shared", false),
+        segments: form.value_or("segments", 1i64).clamp(1, 1000),
+        bytes: form.value_or("bytes", 64u64).min(16 << 20) as usize,
+        deadline: form.optional::<TimeSpan>("deadline").map(|s| s.0),
         cancel: share(&mut form, "cancel"),
         slow: share(&mut form, "slow"),
     };
     if traffic.shared && !traffic.streamed {
-        form.fault("(shared yes) goes with (streamed yes)");
+        form.error("(shared yes) goes with (streamed yes)");
     }
-    form.end();
+    form.finish();
     traffic
 }
 
 fn trouble(mut form: Form, workers: usize, controllers: usize) -> Option<Trouble> {
-    let span = |form: &mut Form, key| form.must::<TimeSpan>(key).map(|s| s.0);
+    let span = |form: &mut Form, key| form.required::<TimeSpan>(key).map(|s| s.0);
     let kind = match form.name() {
         "crash" => Kind::Crash,
         "silence" => Kind::Silence,
-        "fast-errors" => Kind::FastErrors(form.must::<f64>("share")?.min(1.0)),
-        "slow" => Kind::Slow(form.must::<f64>("factor")?.clamp(0.01, 1e4)),
+        "fast-errors" => Kind::FastErrors(form.required::<f64>("share")?.min(1.0)),
+        "slow" => Kind::Slow(form.required::<f64>("factor")?.clamp(0.01, 1e4)),
         "late-reports" => Kind::LateReports(span(&mut form, "late")?),
-        "cut" => Kind::Cut(form.must("zone")?),
+        "cut" => Kind::Cut(form.required("zone")?),
         "roll" => Kind::Roll(span(&mut form, "each")?),
         "stale-list" => Kind::StaleList,
         "kill" => Kind::Kill,
         "stop" => Kind::Stop,
         "stall" => Kind::Stall,
-        "slow-store" => Kind::SlowStore(form.must::<f64>("factor")?.max(0.01)),
-        "release" => Kind::Release(form.must("models")?),
-        "one-off" => Kind::OneOff(form.must::<f64>("rate")?.min(MOST_RATE)),
-        "hang" => Kind::Hang(form.must("models")?),
+        "slow-store" => Kind::SlowStore(form.required::<f64>("factor")?.max(0.01)),
+        "release" => Kind::Release(form.required("models")?),
+        "one-off" => Kind::OneOff(form.required::<f64>("rate")?.min(MOST_RATE)),
+        "hang" => Kind::Hang(form.required("models")?),
         "slow-handshakes" => Kind::SlowHandshakes(span(&mut form, "delay")?),
         "refuse" => Kind::Refuse,
         "goaway" => Kind::GoAway,
-        "cut-after" => Kind::CutAfter(form.must("messages")?),
+        "cut-after" => Kind::CutAfter(form.required("messages")?),
         "half-frame" => Kind::HalfFrame,
         other => {
             let known = [
@@ -360,7 +361,7 @@
                 "half-frame",
             ];
             let hint = nettleferry_config::form::nearest(other, known.into_iter());
-            form.fault(format!("there is no trouble {other}{hint}"));
+            form.error(format!("there is no trouble {other}{hint}"));
             return None;
         }
     };
@@ -373,7 +374,7 @@
     for name in &names {
         let known = name.strip_prefix('w').and_then(|n| n.parse::<usize>().ok());
         if !known.is_some_and(|n| (1..=workers).contains(&n)) {
-            form.fault(format!("there is no worker {name}: they are w1 to w{workers}"));
+            form.error(format!("there is no worker {name}: they are w1 to w{workers}"));
         }
     }
     let mut numbers = Vec::new();
@@ -381,11 +382,11 @@
         match word.parse::<usize>().ok().filter(|n| *n < controllers) {
             Some(n) => numbers.push(n),
             None => {
-                form.fault(format!("there is no controller {word}: they are 0 to {}", controllers.max(1) - 1))
+                form.error(format!("there is no controller {word}: they are 0 to {}", controllers.max(1) - 1))
             }
         }
     }
-    form.end();
+    form.finish();
     Some(Trouble { kind, workers: names, controllers: numbers, span: length })
 }
 
--- a/crates/test-servers/src/spec.rs
+++ b/crates/test-servers/src/spec.rs
@@ -10,7 +10,7 @@
 
 use std::net::SocketAddr;
 
-use nettleferry_config::form::{Bytes, Errors, Form, Source, TimeSpan};
+use nettleferry_config::form::{Bytes, Errors, Form, TimeSpan};
 
 use crate::store::Micros;
 
@@ -104,23 +104,23 @@
     pub fn read(form: &mut Form) -> Self {
         let base = Self::default();
         let mut spec = Self {
-            cores: form.or("cores", base.cores).max(0.01),
-            memory: form.or("memory", Bytes(base.memory)).0,
-            queue: form.or("queue", base.queue as u64) as usize,
-            loads_at_once: (form.or("loads-at-once", base.loads_at_once as u64) as usize).max(1),
-            keep_alive: form.span_or("keep-alive", base.keep_alive),
-            load_when_absent: form.word_or("when-absent", &[("load", true), ("miss", false)], true),
-            own_copies: form.or("own-copies", true),
+            cores: form.value_or("cores", base.cores).max(0.01),
+            memory: form.value_or("memory", Bytes(base.memory)).0,
+            queue: form.value_or("queue", base.queue as u64) as usize,
+            loads_at_once: (form.value_or("loads-at-once", base.loads_at_once as u64) as usize).max(1),
+            keep_alive: form.micros_or("keep-alive", base.keep_alive),
+            load_when_absent: form.keyword_or("when-absent", &[("load", true), ("miss", false)], true),
+            own_copies: form.value_or("own-copies", true),
             ..base
         };
-        if let Some(mut cold) = form.sub("cold") {
-            spec.cold = cold.want::<TimeSpan>("how long it is cold").map_or(0, |s| s.0);
-            spec.start_capacity = cold.or("start-capacity", 0.2).clamp(0.01, 1.0);
-            spec.overload_factor = cold.or("overload-factor", 2.0);
-            spec.fall = cold.span_or("fall", spec.fall);
-            cold.end();
+        if let Some(mut cold) = form.optional_list("cold") {
+            spec.cold = cold.required_item::<TimeSpan>("how long it is cold").map_or(0, |s| s.0);
+            spec.start_capacity = cold.value_or("start-capacity", 0.2).clamp(0.01, 1.0);
+            spec.overload_factor = cold.value_or("overload-factor", 2.0);
+            spec.fall = cold.micros_or("fall", spec.fall);
+            cold.finish();
         }
-        let models = form.all("model");
+        let models = form.lists("model");
         if !models.is_empty() {
             spec.models = models.into_iter().map(model).collect();
         }
@@ -130,30 +130,30 @@
 
 fn model(mut form: Form) -> ModelSpec {
     let base = ModelSpec::any();
-    let name: String = form.want("the beginning of its names and a *").unwrap_or_default();
-    let fetch_share = form.or("fetch-share", base.fetch_share);
+    let name: String = form.required_item("the beginning of its names and a *").unwrap_or_default();
+    let fetch_share = form.value_or("fetch-share", base.fetch_share);
     if fetch_share > 1.0 {
-        form.fault("(fetch-share ...) is a share, from 0 to 1");
+        form.error("(fetch-share ...) is a share, from 0 to 1");
     }
     let spec = ModelSpec {
         prefix: name.trim_end_matches('*').to_owned(),
-        lanes: form.or("lanes", base.lanes).max(1),
-        memory: form.or("memory", Bytes(base.memory)).0,
-        load_time: form.span_or("load-time", base.load_time),
+        lanes: form.value_or("lanes", base.lanes).max(1),
+        memory: form.value_or("memory", Bytes(base.memory)).0,
+        load_time: form.micros_or("load-time", base.load_time),
         fetch_share: fetch_share.min(1.0),
-        work: form.span_or("work", base.work),
+        work: form.micros_or("work", base.work),
     };
-    form.end();
+    form.finish();
     spec
 }
 
 /// Reads a file for one worker: where it listens, and what it is.
 pub fn read_file(file: &str, text: &str) -> Result<(SocketAddr, Spec), Errors> {
-    let (source, mut top) = Source::open(file, text);
-    let listen = top.must("listen");
+    let (source, mut top) = Form::parse(file, text);
+    let listen = top.required("listen");
     let spec = Spec::read(&mut top);
-    top.end();
-    source.finish(listen.map(|listen| (listen, spec)))
+    top.finish();
+    source.into_result(listen.map(|listen| (listen, spec)))
 }
 
 #[cfg(test)]
