--- a/crates/node/src/directory.rs
+++ b/crates/node/src/directory.rs
@@ -7,7 +7,7 @@
 
 use mio::net::UdpSocket;
 use mio::{Interest, Registry, Token};
-use nettleferry_platform::directory::{self, List, ListError, MOST_ANSWER};
+use nettleferry_platform::directory::{self, List, ListError, MAX_RESPONSE_BYTES};
 use rand::RngExt;
 use tracing::{debug, info};
 
@@ -63,9 +63,9 @@
         };
         let query = self.queries[at];
         let newest = at + 1 == self.queries.len();
-        let answer = match directory::answer(query, bytes) {
+        let answer = match directory::parse_response(query, bytes) {
             Ok(list) => Answer::List(list),
-            Err(ListError::Other) => Answer::Foreign,
+            Err(ListError::Unexpected) => Answer::Foreign,
             Err(error) => {
                 debug!(%error, "directory answer is unusable");
                 Answer::Unusable
@@ -128,7 +128,7 @@
             received: ReceivedLists::default(),
             unsent: 0,
             has_more: false,
-            buffer: vec![0; MOST_ANSWER + 1],
+            buffer: vec![0; MAX_RESPONSE_BYTES + 1],
         }
     }
 
@@ -209,7 +209,7 @@
 
     fn send(&mut self, registry: &Registry) -> io::Result<()> {
         let id: u16 = rand::rng().random();
-        let query = directory::query(id).map_err(io::Error::other)?;
+        let query = directory::build_query(id).map_err(io::Error::other)?;
         let socket = match &mut self.socket {
             Some(socket) => socket,
             none => none.insert(ResolverSocket::open(registry, self.token, self.resolver)?),
--- a/crates/node/src/error.rs
+++ b/crates/node/src/error.rs
@@ -6,7 +6,7 @@
 use nettleferry::SettingsError;
 use nettleferry_platform::config::ConfigError;
 use nettleferry_platform::directory::ListError;
-use nettleferry_platform_settings::SettingsFault;
+use nettleferry_platform_settings::FieldError;
 
 /// Why a node can't start or go on.
 #[derive(Debug, thiserror::Error)]
@@ -24,7 +24,7 @@
     Config(#[from] ConfigError),
     /// Its settings are not valid.
     #[error("the settings: {0}")]
-    Settings(#[from] SettingsFault),
+    Settings(#[from] FieldError),
     /// The decision module can't work with the settings.
     #[error("the settings: field {field}: {0}", field = module_field(.0))]
     Module(#[from] SettingsError),
--- a/crates/node/src/front/input.rs
+++ b/crates/node/src/front/input.rs
@@ -36,7 +36,7 @@
                     self.frame(tcp, key, frame, events, counters);
                 }
                 Ok(None) => {
-                    let within = client.reader.within(input);
+                    let within = client.reader.is_mid_frame(input);
                     client.frame_began =
                         if within { client.frame_began.or_else(|| Some(Instant::now())) } else { None };
                     return self.set_alarm(tcp, key);
@@ -59,17 +59,17 @@
     ) {
         let Some(client) = self.clients.get_mut(&key) else { return };
         match frame {
-            Frame::Whole { kind: kind::REQUEST, stream, payload } => {
+            Frame::Complete { kind: kind::REQUEST, stream, payload } => {
                 self.request(tcp, key, stream, &payload, events, counters);
             }
-            Frame::Whole { kind: kind::CANCEL, stream, .. } => {
+            Frame::Complete { kind: kind::CANCEL, stream, .. } => {
                 if let Some(token) = client.streams.remove(&stream) {
                     debug!(conn = ?key, stream, "request cancelled by its client");
                     client.active = true;
                     events.extend(self.close_call(token).map(ClientEvent::cancelled));
                 }
             }
-            Frame::Whole { kind: kind::READY, stream, .. } => {
+            Frame::Complete { kind: kind::READY, stream, .. } => {
                 client.active = true;
                 self.buffer.clear();
                 frames::ready(&mut self.buffer, stream, !self.draining);
@@ -81,7 +81,7 @@
                 self.send_answer(tcp, key, stream, Code::Failed, b"a request is too long");
                 self.count_fault(tcp, key, events, counters);
             }
-            Frame::Whole { .. } | Frame::TooLong { .. } => {
+            Frame::Complete { .. } | Frame::TooLong { .. } => {
                 counters.bad_frames += 1;
                 self.send_answer(tcp, key, 0, Code::Failed, b"a client sends no such frame");
                 self.count_fault(tcp, key, events, counters);
--- a/crates/node/src/front/validation.rs
+++ b/crates/node/src/front/validation.rs
@@ -71,7 +71,7 @@
         payload: &[u8],
         counters: &mut Counters,
     ) -> Result<IncomingRequest, RequestRejected> {
-        let checked = Request::read(payload).map_err(RequestRejected::from);
+        let checked = Request::parse(payload).map_err(RequestRejected::from);
         let checked = checked.and_then(|request| Ok((self.validate(&request, counters)?, request)));
         match checked {
             Ok((valid, request)) => Ok(self.register(origin, &valid, &request)),
@@ -83,18 +83,18 @@
     }
 
     fn validate(&self, request: &Request, counters: &mut Counters) -> Result<ValidRequest, RequestRejected> {
-        let class = self.classes.get(request.op).copied().ok_or(RequestRejected::UnknownClass)?;
-        if !is_plain(request.op) || !request.dedupe.is_none_or(is_plain) {
+        let class = self.classes.get(request.class).copied().ok_or(RequestRejected::UnknownClass)?;
+        if !is_plain(request.class) || !request.idempotency_key.is_none_or(is_plain) {
             return Err(RequestRejected::NotForwardable);
         }
         // A client counts from its own clock, and one that sends early has longer than its class: it is no worse a client
         // for it. Rejected, such requests failed untried, and nine of them ended their connection under all others.
         let deadline = self.deadlines.get(class.0).copied().unwrap_or(0.0);
-        if request.ttl_ms > deadline * MAX_TTL_FACTOR {
+        if request.timeout_ms > deadline * MAX_TTL_FACTOR {
             return Err(RequestRejected::TtlTooLong);
         }
-        counters.over_deadline += u64::from(request.ttl_ms > deadline);
-        let id = u64::from_str_radix(request.call, 16)?;
+        counters.over_deadline += u64::from(request.timeout_ms > deadline);
+        let id = u64::from_str_radix(request.id, 16)?;
         if self.ids.contains(&id) {
             return Err(RequestRejected::DuplicateId);
         }
@@ -102,12 +102,12 @@
         if self.body_bytes + request.body.len() > self.bounds.body_bytes {
             return Err(RequestRejected::TooManyBytes);
         }
-        Ok(ValidRequest { class, tenant, id, ttl_ms: request.ttl_ms.min(deadline) })
+        Ok(ValidRequest { class, tenant, id, ttl_ms: request.timeout_ms.min(deadline) })
     }
 
     /// Where there are tenants, one that the settings do not know is no customer of this controller.
     fn tenant_of(&self, request: &Request) -> Result<Option<TenantId>, RequestRejected> {
-        let Some(org) = request.org.filter(|_| !self.tenants.is_empty()) else { return Ok(None) };
+        let Some(org) = request.tenant.filter(|_| !self.tenants.is_empty()) else { return Ok(None) };
         let tenant = self.tenants.get(org).copied();
         tenant.map(Some).ok_or(RequestRejected::UnknownTenant)
     }
@@ -125,26 +125,26 @@
             conn = ?connection,
             stream,
             waited = ?arrived.elapsed(),
-            id = request.call,
-            op = request.op,
-            function = request.row,
-            ttl = request.ttl_ms,
+            id = request.id,
+            op = request.class,
+            function = request.function,
+            ttl = request.timeout_ms,
             bytes = request.body.len(),
             "request accepted"
         );
         self.ids.insert(valid.id);
         self.body_bytes += request.body.len();
-        let function: Arc<str> = request.row.into();
+        let function: Arc<str> = request.function.into();
         let call = Call {
             connection,
             stream,
             id: valid.id,
             body_bytes: request.body.len(),
             engine_id: None,
-            name: request.call.into(),
+            name: request.id.into(),
             class: valid.class,
             function: Arc::clone(&function),
-            key: request.dedupe.map(Arc::from),
+            key: request.idempotency_key.map(Arc::from),
             attempts: AttemptHistory::default(),
             last_end: None,
         };
@@ -159,7 +159,7 @@
             function,
             tenant: valid.tenant,
             repeat: request.repeat,
-            cost_hint: request.work_ms.map(microseconds),
+            cost_hint: request.service_time_ms.map(microseconds),
             arrived,
             time_left: microseconds(valid.ttl_ms),
             lanes: request.lanes.unwrap_or(1),
--- a/crates/node/src/node/startup.rs
+++ b/crates/node/src/node/startup.rs
@@ -12,9 +12,9 @@
 use nettleferry_net::retry::retry_startup;
 use nettleferry_net::tcp::{Tcp, TcpLimits};
 use nettleferry_platform::config::Config;
-use nettleferry_platform::frames::MOST_PAYLOAD;
-use nettleferry_platform::resp::{MOST_BODY, MOST_WORD};
-use nettleferry_platform_settings::Site;
+use nettleferry_platform::frames::MAX_PAYLOAD_BYTES;
+use nettleferry_platform::resp::{MAX_BODY_BYTES, MAX_TEXT_BYTES};
+use nettleferry_platform_settings::PlatformSettings;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook_mio::v1_0::Signals;
 
@@ -42,7 +42,7 @@
 }
 
 impl Spans {
-    fn of(site: &Site) -> Self {
+    fn of(site: &PlatformSettings) -> Self {
         let stated = site.settings.limits.connect_timeout;
         let connect_timeout =
             if stated > 0 { Duration::from_micros(stated) } else { TcpLimits::default().connect_timeout };
@@ -74,7 +74,7 @@
         let pools = build_pools(&site, bounds);
         let classes = class_infos(&site);
         let discovery_token = sockets.tcp.source_token(DIRECTORY);
-        let discovery = DiscoveryClient::new(config.resolver, discovery_token, config.known.pos);
+        let discovery = DiscoveryClient::new(config.resolver, discovery_token, config.known_events.number);
         let engine = build_engine(site, config.seed_number(), &spans, &bounds)?;
         let now = Instant::now();
         let mut node = Self {
@@ -103,7 +103,7 @@
             engine_events: Vec::new(),
             commands: Vec::new(),
         };
-        node.apply_list(ListForm::Restored, &config.known.list()?);
+        node.apply_list(ListForm::Restored, &config.known_events.list()?);
         Ok(node)
     }
 }
@@ -123,7 +123,7 @@
         accepted: bounds.clients + ACCEPTS_PER_ITERATION,
         accepted_a_turn: ACCEPTS_PER_ITERATION,
         made: bounds.pool_connections,
-        input: (MOST_PAYLOAD + FRAME_OVERHEAD).max(MOST_BODY + RESPONSE_WORDS * MOST_WORD),
+        input: (MAX_PAYLOAD_BYTES + FRAME_OVERHEAD).max(MAX_BODY_BYTES + RESPONSE_WORDS * MAX_TEXT_BYTES),
         connect_timeout: spans.connect_timeout,
         // Beyond that nobody waits for an answer.
         drain: Duration::from_micros(spans.longest_deadline),
@@ -131,23 +131,28 @@
     }
 }
 
-fn build_front(site: &Site, bounds: Bounds) -> Front {
+fn build_front(site: &PlatformSettings, bounds: Bounds) -> Front {
     let deadlines_ms = site.settings.classes.iter().map(|class| class.deadline as f64 / 1000.0).collect();
     Front::new(&site.classes, &site.tenants, deadlines_ms, bounds)
 }
 
-fn build_pools(site: &Site, bounds: Bounds) -> ConnectionPools {
-    let idle = (site.idle > 0).then(|| Duration::from_micros(site.idle));
+fn build_pools(site: &PlatformSettings, bounds: Bounds) -> ConnectionPools {
+    let idle = (site.idle_timeout > 0).then(|| Duration::from_micros(site.idle_timeout));
     let reports = site.settings.reports != Reports::None;
     ConnectionPools::new(bounds, site.streams as usize, idle, reports)
 }
 
-fn class_infos(site: &Site) -> Vec<ClassInfo> {
+fn class_infos(site: &PlatformSettings) -> Vec<ClassInfo> {
     let classes = site.classes.iter().zip(&site.settings.classes);
     classes.map(|(name, class)| ClassInfo::new(name, class)).collect()
 }
 
-fn build_engine(site: Site, seed: u64, spans: &Spans, bounds: &Bounds) -> Result<Engine, SettingsError> {
+fn build_engine(
+    site: PlatformSettings,
+    seed: u64,
+    spans: &Spans,
+    bounds: &Bounds,
+) -> Result<Engine, SettingsError> {
     let limits = EngineLimits {
         open_calls: bounds.open_calls,
         models: bounds.functions,
@@ -163,7 +168,7 @@
 pub(super) fn read_config(path: &Path) -> Result<Config, NodeError> {
     let text = std::fs::read_to_string(path);
     let text = text.map_err(|source| NodeError::Read { path: path.to_owned(), source })?;
-    Ok(Config::read(&text)?)
+    Ok(Config::parse(&text)?)
 }
 
 /// Reads the configuration, again while the system fails to read a file that is there.
--- a/crates/node/src/pools/responses.rs
+++ b/crates/node/src/pools/responses.rs
@@ -6,7 +6,7 @@
 use nettleferry::{LoadNote, WorkerId};
 use nettleferry_engine::{AttemptEnd, AttemptReport, Event};
 use nettleferry_net::tcp::{Gone, Tcp, TcpKey};
-use nettleferry_platform::answer::{Told, Word};
+use nettleferry_platform::answer::{AnswerFields, AnswerKind};
 use nettleferry_platform::resp::{self, Answer};
 use tracing::debug;
 
@@ -58,7 +58,8 @@
         if connection.partial_since.take().is_some() {
             tcp.alarm(key, None);
         }
-        let Some((kind, fields)) = Word::read(&answer.word).zip(Told::read(&answer.fields)) else {
+        let Some((kind, fields)) = AnswerKind::parse(&answer.kind).zip(AnswerFields::parse(&answer.fields))
+        else {
             self.close_for_bad_response(tcp, key, out, counters);
             return false;
         };
@@ -103,15 +104,15 @@
     fn deliver(
         &mut self,
         response: PendingResponse,
-        kind: Word,
-        fields: &Told,
+        kind: AnswerKind,
+        fields: &AnswerFields,
         body: Bytes,
         out: &mut Vec<Event>,
     ) {
         self.pending.remove(&response);
         match response {
             PendingResponse::Attempt(attempt) => {
-                if kind == Word::Served {
+                if kind == AnswerKind::Served {
                     out.push(Event::ResponsePart { attempt, payload: body, last: true });
                 }
                 let report =
@@ -123,7 +124,7 @@
                 out.push(Event::LoadEnded { request_id, end: attempt_end(kind, fields), copies });
             }
             PendingResponse::Probe(request_id) => {
-                let healthy = kind == Word::Green;
+                let healthy = kind == AnswerKind::InService;
                 let end = if healthy { AttemptEnd::Served } else { attempt_end(kind, fields) };
                 out.push(Event::ProbeEnded { request_id, end, load_report: fields.report });
             }
@@ -189,14 +190,16 @@
 }
 
 /// What an answer proves of a request; see the engine's table.
-fn attempt_end(kind: Word, fields: &Told) -> AttemptEnd {
+fn attempt_end(kind: AnswerKind, fields: &AnswerFields) -> AttemptEnd {
     match kind {
-        Word::Served => AttemptEnd::Served,
-        Word::NotHere if fields.note == Some(LoadNote::Failed) => AttemptEnd::MarkedLoadFailed,
-        Word::NotHere => AttemptEnd::MarkedMiss,
-        Word::Overload => AttemptEnd::MarkedFull,
-        Word::Crashed => AttemptEnd::Status { message: "the invoker failed it".to_owned() },
-        Word::Nobody => AttemptEnd::Unwanted,
-        Word::Green | Word::Red => AttemptEnd::Status { message: "the invoker is not in service".to_owned() },
+        AnswerKind::Served => AttemptEnd::Served,
+        AnswerKind::NotLoaded if fields.note == Some(LoadNote::Failed) => AttemptEnd::MarkedLoadFailed,
+        AnswerKind::NotLoaded => AttemptEnd::MarkedMiss,
+        AnswerKind::Overloaded => AttemptEnd::MarkedFull,
+        AnswerKind::Crashed => AttemptEnd::Status { message: "the invoker failed it".to_owned() },
+        AnswerKind::AlreadyEnded => AttemptEnd::Unwanted,
+        AnswerKind::InService | AnswerKind::OutOfService => {
+            AttemptEnd::Status { message: "the invoker is not in service".to_owned() }
+        }
     }
 }
--- a/crates/platform-settings/src/lib.rs
+++ b/crates/platform-settings/src/lib.rs
@@ -1,24 +1,23 @@
-//! The platform's JSON settings, as the module's [`Settings`]: the one reader that the simulator's adapter and the
-//! real controller share.
+//! The platform's JSON settings as the decision module's [`Settings`]: one reader, which the simulator's adapter and the
+//! controller share.
 //!
-//! May know: the module's types. Must not know: sockets, the clock, decisions. A value that is absent takes its
-//! documented meaning; one that is there and is not what it must be is refused by its field's name; nothing here is tuned.
+//! May know: the module's types. Must not know: sockets, the clock, decisions. An absent value takes its documented
+//! meaning; a value of the wrong kind is an error that names its field; nothing here is tuned.
 
 #![forbid(unsafe_code)]
-#![deny(missing_docs)]
 
 mod fields;
 
 use nettleferry::*;
 use serde_json::Value;
 
+pub use fields::FieldError;
 use fields::Fields;
-pub use fields::SettingsFault;
 
-/// Settings, with the names whose places the module's types use.
+/// The settings of a controller, with the names for the numbers in the module's types.
 #[derive(Clone, Debug)]
-pub struct Site {
-    /// The module's; the zone is left to the reader's own numbers.
+pub struct PlatformSettings {
+    /// The decision module's settings, without the zone: its number is the caller's.
     pub settings: Settings,
     /// Names of the classes, in order.
     pub classes: Vec<String>,
@@ -26,60 +25,63 @@
     pub tenants: Vec<String>,
     /// This controller's zone.
     pub zone: Option<String>,
-    /// Attempts that one connection to a worker carries at once.
+    /// Most attempts in flight on one connection to a worker.
     pub streams: u32,
-    /// An idle connection to a worker is closed after this span; 0: not told.
-    pub idle: Micros,
-    /// Requests that a controller may hold open.
+    /// After how long an idle connection to a worker is closed; 0: not given.
+    pub idle_timeout: Micros,
+    /// Most open requests of a controller.
     pub open_calls: Option<u64>,
 }
 
-/// Milliseconds to whole microseconds; `None`: no time.
+/// Milliseconds as microseconds; `None`: the value is no time.
 pub fn micros(value: &Value) -> Option<Micros> {
     let ms = value.as_f64()?;
-    (ms.is_finite() && ms < LONGEST_MS).then(|| (ms.max(0.0) * 1000.0).round() as Micros)
+    (ms.is_finite() && ms < MAX_MS).then(|| (ms.max(0.0) * 1000.0).round() as Micros)
 }
 
-/// Times of so many milliseconds or more are none.
-const LONGEST_MS: f64 = 1e15;
+/// A time is shorter than this many milliseconds.
+const MAX_MS: f64 = 1e15;
 
-/// The settings object of an instance's first message. What is absent takes its documented meaning.
-pub fn read(info: &Value) -> Result<Site, SettingsFault> {
+/// Reads the settings object of an instance's first message.
+///
+/// # Errors
+/// The first field that is missing or of the wrong kind.
+pub fn read(info: &Value) -> Result<PlatformSettings, FieldError> {
     let fields = Fields::of(info)?;
-    let (class_names, classes) = classes(&fields)?;
-    let (tenant_names, tenants) = tenants(&fields)?;
+    let classes = classes(&fields)?;
+    let tenants = tenants(&fields)?;
     let stats = fields.object("stats")?;
     let limits = fields.object("limits")?;
     let settings = Settings {
-        me: fields.small("me")?.unwrap_or(0),
-        controllers: fields.small("n_instances")?.unwrap_or(1),
+        me: fields.integer_u32("me")?.unwrap_or(0),
+        controllers: fields.integer_u32("n_instances")?.unwrap_or(1),
         zone: None,
-        classes,
-        tenants,
-        over_quota_worth: fields.real("over_share_worth")?.unwrap_or(1.0),
+        classes: classes.items,
+        tenants: tenants.items,
+        over_quota_worth: fields.number("over_share_worth")?.unwrap_or(1.0),
         discovery: fields
-            .word("discovery", &[("push", Discovery::Push), ("ask", Discovery::Ask)])?
+            .keyword("discovery", &[("push", Discovery::Push), ("ask", Discovery::Ask)])?
             .unwrap_or(Discovery::Push),
         reports: stats
-            .word(
+            .keyword(
                 "how",
                 &[("none", Reports::None), ("answers", Reports::Answers), ("probe", Reports::Probe)],
             )?
             .unwrap_or(Reports::None),
-        weights: fields.word("weights", &WEIGHTS)?.unwrap_or(Weights::None),
+        weights: fields.keyword("weights", &WEIGHTS)?.unwrap_or(Weights::None),
         loading: loading(&fields.object("family_info")?)?,
         limits: self::limits(&limits)?,
         rules: rules(&fields.object("obligations")?)?,
-        step: fields.span("step_ms")?.unwrap_or(0),
+        step: fields.duration("step_ms")?.unwrap_or(0),
     };
-    Ok(Site {
+    Ok(PlatformSettings {
         settings,
-        classes: class_names,
-        tenants: tenant_names,
+        classes: classes.names,
+        tenants: tenants.names,
         zone: fields.text("zone")?.map(str::to_owned),
-        streams: limits.small("max_streams")?.unwrap_or(1).max(1),
-        idle: limits.span("conn_idle_ms")?.unwrap_or(0),
-        open_calls: limits.whole("max_open")?,
+        streams: limits.integer_u32("max_streams")?.unwrap_or(1).max(1),
+        idle_timeout: limits.duration("conn_idle_ms")?.unwrap_or(0),
+        open_calls: limits.integer("max_open")?,
     })
 }
 
@@ -90,90 +92,96 @@
     ("live", Weights::Live),
 ];
 
-fn classes(fields: &Fields) -> Result<(Vec<String>, Vec<Class>), SettingsFault> {
+/// Items of a list and their names, in the same order.
+struct Named<T> {
+    names: Vec<String>,
+    items: Vec<T>,
+}
+
+fn classes(fields: &Fields) -> Result<Named<Class>, FieldError> {
     let (mut names, mut classes) = (Vec::new(), Vec::new());
     for class in fields.list("classes")? {
         let name = class.text("name")?.ok_or_else(|| class.missing("name"))?;
         if names.iter().any(|known| known == name) {
-            return Err(class.fault("name", "stands twice"));
+            return Err(class.error("name", "stands twice"));
         }
         names.push(name.to_owned());
-        let deadline = class.span("deadline_ms")?.ok_or_else(|| class.missing("deadline_ms"))?;
+        let deadline = class.duration("deadline_ms")?.ok_or_else(|| class.missing("deadline_ms"))?;
         if deadline == 0 {
-            return Err(class.fault("deadline_ms", "is no time"));
+            return Err(class.error("deadline_ms", "is no time"));
         }
         classes.push(Class {
-            aim: class.span("goal_time_ms")?.unwrap_or(deadline),
+            aim: class.duration("goal_time_ms")?.unwrap_or(deadline),
             deadline,
             effect: effect(&class)?,
-            worth: class.real("points")?.unwrap_or(1.0),
-            late_share: class.real("late_share")?.unwrap_or(0.0),
-            stream: class.yes("stream")?,
+            worth: class.number("points")?.unwrap_or(1.0),
+            late_share: class.number("late_share")?.unwrap_or(0.0),
+            stream: class.boolean("stream")?,
         });
     }
-    Ok((names, classes))
+    Ok(Named { names, items: classes })
 }
 
-/// What a repeat of a class may do; where nothing is told, it may do anything.
-fn effect(class: &Fields) -> Result<Effect, SettingsFault> {
+/// The effect of repeating a call of a class; by default, that it must not be repeated.
+fn effect(class: &Fields) -> Result<Effect, FieldError> {
     let groups = [("all", Group::All), ("zone", Group::Zone), ("cell", Group::Cell)];
-    let group = class.word("key_scope", &groups)?.unwrap_or(Group::All);
-    let window = class.span("repeat_window_ms")?.unwrap_or(0);
+    let group = class.keyword("key_scope", &groups)?.unwrap_or(Group::All);
+    let window = class.duration("repeat_window_ms")?.unwrap_or(0);
     let effects = [
         ("free", Effect::Safe),
         ("guarded", Effect::Keyed { group, window }),
         ("single_shot", Effect::Unsafe),
     ];
-    Ok(class.word("effect", &effects)?.unwrap_or(Effect::Unsafe))
+    Ok(class.keyword("effect", &effects)?.unwrap_or(Effect::Unsafe))
 }
 
-fn tenants(fields: &Fields) -> Result<(Vec<String>, Vec<Tenant>), SettingsFault> {
+fn tenants(fields: &Fields) -> Result<Named<Tenant>, FieldError> {
     let (mut names, mut tenants) = (Vec::new(), Vec::new());
     for tenant in fields.list("accounts")? {
         let name = tenant.text("name")?.ok_or_else(|| tenant.missing("name"))?;
         names.push(name.to_owned());
-        tenants.push(Tenant { quota_per_s: tenant.real("quota_per_s")? });
+        tenants.push(Tenant { quota_per_s: tenant.number("quota_per_s")? });
     }
-    Ok((names, tenants))
+    Ok(Named { names, items: tenants })
 }
 
-fn loading(family: &Fields) -> Result<Loading, SettingsFault> {
+fn loading(family: &Fields) -> Result<Loading, FieldError> {
     let absent = [("load", WhenAbsent::Load), ("miss", WhenAbsent::Miss)];
     Ok(Loading {
-        when_absent: family.word("when_absent", &absent)?.unwrap_or(WhenAbsent::Load),
-        keep_alive: family.span("linger_idle_ms")?.unwrap_or(0),
-        orders: family.yes("orders")?,
-        order_timeout: family.span("order_timeout_ms")?.unwrap_or(0),
-        notes: family.yes("warm_notes")?,
-        crowd: family.yes("counts_alike")?,
-        ration_window: family.span("load_period_ms")?.unwrap_or(0),
-        ration_floor: family.real("load_floor")?.unwrap_or(0.0),
-        ration_share: family.real("load_share")?.unwrap_or(0.0),
+        when_absent: family.keyword("when_absent", &absent)?.unwrap_or(WhenAbsent::Load),
+        keep_alive: family.duration("linger_idle_ms")?.unwrap_or(0),
+        orders: family.boolean("orders")?,
+        order_timeout: family.duration("order_timeout_ms")?.unwrap_or(0),
+        notes: family.boolean("warm_notes")?,
+        crowd: family.boolean("counts_alike")?,
+        ration_window: family.duration("load_period_ms")?.unwrap_or(0),
+        ration_floor: family.number("load_floor")?.unwrap_or(0.0),
+        ration_share: family.number("load_share")?.unwrap_or(0.0),
         spent: false,
-        memory_price: family.real("memory_price")?.unwrap_or(0.0),
+        memory_price: family.number("memory_price")?.unwrap_or(0.0),
     })
 }
 
-fn limits(limits: &Fields) -> Result<Limits, SettingsFault> {
-    let retry_after = limits.span("max_retry_after_ms")?.unwrap_or(0);
+fn limits(limits: &Fields) -> Result<Limits, FieldError> {
+    let retry_after = limits.duration("max_retry_after_ms")?.unwrap_or(0);
     Ok(Limits {
-        max_attempts: limits.small("max_attempts")?.unwrap_or(u32::MAX),
-        parallel: limits.yes("parallel_tries")?,
-        probes: limits.yes("probes")?,
-        cancel: limits.yes("cancel")?,
-        retry_after: limits.yes("retry_after")?.then_some(retry_after),
-        connect_timeout: limits.span("connect_timeout_ms")?.unwrap_or(0),
+        max_attempts: limits.integer_u32("max_attempts")?.unwrap_or(u32::MAX),
+        parallel: limits.boolean("parallel_tries")?,
+        probes: limits.boolean("probes")?,
+        cancel: limits.boolean("cancel")?,
+        retry_after: limits.boolean("retry_after")?.then_some(retry_after),
+        connect_timeout: limits.duration("connect_timeout_ms")?.unwrap_or(0),
     })
 }
 
-fn rules(obligations: &Fields) -> Result<Rules, SettingsFault> {
+fn rules(obligations: &Fields) -> Result<Rules, FieldError> {
     Ok(Rules {
-        answer_grace: obligations.span("grace_to_answer_ms")?.unwrap_or(0),
-        drain_grace: obligations.span("stop_sending_within_ms")?.unwrap_or(0),
-        must_ask_in: obligations.span("must_ask_in_ms")?.unwrap_or(0),
-        start_capacity: obligations.real("start_capacity")?.unwrap_or(1.0),
-        cold: obligations.span("cold_ms")?.unwrap_or(0),
-        overload_factor: obligations.real("overload_factor")?.unwrap_or(1.0),
-        fall: obligations.span("fall_ms")?.unwrap_or(0),
+        answer_grace: obligations.duration("grace_to_answer_ms")?.unwrap_or(0),
+        drain_grace: obligations.duration("stop_sending_within_ms")?.unwrap_or(0),
+        must_ask_in: obligations.duration("must_ask_in_ms")?.unwrap_or(0),
+        start_capacity: obligations.number("start_capacity")?.unwrap_or(1.0),
+        cold: obligations.duration("cold_ms")?.unwrap_or(0),
+        overload_factor: obligations.number("overload_factor")?.unwrap_or(1.0),
+        fall: obligations.duration("fall_ms")?.unwrap_or(0),
     })
 }
--- a/crates/platform-settings/tests/faults.rs
+++ b/crates/platform-settings/tests/faults.rs
@@ -1,10 +1,10 @@
-//! Settings that are spoilt are refused by the path of the field; what is absent, or at its bound, is not.
+//! Wrong settings are rejected with the path of the field; absent ones, and those at their bounds, are accepted.
 
 use nettleferry::{Effect, Group, Weights};
 use nettleferry_platform_settings::read;
 use serde_json::{Value, json};
 
-fn sound() -> Value {
+fn valid() -> Value {
     json!({
         "classes": [
             {"name": "a", "deadline_ms": 4000.0, "effect": "free"},
@@ -20,16 +20,16 @@
 
 /// The settings with one field set.
 fn with(path: &str, value: Value) -> Value {
-    let mut settings = sound();
+    let mut settings = valid();
     *settings.pointer_mut(path).unwrap_or_else(|| panic!("{path} is there")) = value;
     settings
 }
 
 #[test]
-fn what_is_absent_or_at_its_bound_is_read() {
-    let site = read(&sound()).expect("sound");
+fn absent_and_extreme_values_are_accepted() {
+    let site = read(&valid()).expect("valid settings");
     assert_eq!((site.settings.controllers, site.settings.limits.max_attempts), (3, 3), "3.0 is 3");
-    assert_eq!((site.streams, site.open_calls), (u32::MAX, Some(1 << 32)), "no more than fits");
+    assert_eq!((site.streams, site.open_calls), (u32::MAX, Some(1 << 32)), "the greatest value that fits");
     assert_eq!(site.settings.weights, Weights::Live);
     let keyed = Effect::Keyed { group: Group::Cell, window: 0 };
     assert_eq!((site.settings.classes[0].effect, site.settings.classes[1].effect), (Effect::Safe, keyed));
@@ -38,8 +38,8 @@
 }
 
 #[test]
-fn a_field_that_is_not_what_it_must_be_is_named() {
-    let spoilt = [
+fn wrong_field_is_named() {
+    let wrong = [
         ("/classes", json!({}), "classes"),
         ("/classes/1", json!(7), "classes[1]"),
         ("/classes/1/name", json!("a"), "classes[1].name"),
@@ -66,10 +66,10 @@
         ("/obligations/start_capacity", json!(-0.1), "obligations.start_capacity"),
         ("/family_info/load_share", json!("a quarter"), "family_info.load_share"),
     ];
-    for (path, value, named) in spoilt {
-        let fault = read(&with(path, value.clone())).expect_err(path);
-        assert_eq!(fault.path, named, "{value}");
-        assert!(fault.to_string().contains(named), "{fault}");
+    for (path, value, named) in wrong {
+        let error = read(&with(path, value.clone())).expect_err(path);
+        assert_eq!(error.path, named, "{value}");
+        assert!(error.to_string().contains(named), "{error}");
     }
     for value in [json!(null), json!([]), json!("settings")] {
         assert_eq!(read(&value).expect_err("no object").path, "settings");
--- a/crates/platform/src/answer.rs
+++ b/crates/platform/src/answer.rs
@@ -1,37 +1,37 @@
-//! What an invoker's answer says: its word, its note, its report.
+//! The content of an invoker's answer: its kind, and its fields with the load note and the load report.
 
 use nettleferry::{LoadNote, Report};
 
-/// Words of answers.
+/// The keyword of an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Word {
-    /// Ok.
+pub enum AnswerKind {
+    /// The request was served.
     Served,
-    /// The function is not loaded there: it never ran.
-    NotHere,
-    /// Full: it never ran.
-    Overload,
-    /// An error: it may have run.
+    /// The function is not loaded there: the request did not run.
+    NotLoaded,
+    /// The invoker is full: the request did not run.
+    Overloaded,
+    /// An error: the request may have run.
     Crashed,
-    /// The request was over already: it never ran.
-    Nobody,
-    /// A probe's: in service.
-    Green,
-    /// A probe's: not in service.
-    Red,
+    /// The request had ended already: it did not run.
+    AlreadyEnded,
+    /// To a probe: in service.
+    InService,
+    /// To a probe: not in service.
+    OutOfService,
 }
 
-impl Word {
-    /// Reads one.
-    pub fn read(text: &str) -> Option<Self> {
+impl AnswerKind {
+    /// Parses it; `None`: it is unknown.
+    pub fn parse(text: &str) -> Option<Self> {
         Some(match text {
             "served" => Self::Served,
-            "not_here" => Self::NotHere,
-            "overload" => Self::Overload,
+            "not_here" => Self::NotLoaded,
+            "overload" => Self::Overloaded,
             "crashed" => Self::Crashed,
-            "nobody" => Self::Nobody,
-            "green" => Self::Green,
-            "red" => Self::Red,
+            "nobody" => Self::AlreadyEnded,
+            "green" => Self::InService,
+            "red" => Self::OutOfService,
             _ => return None,
         })
     }
@@ -39,27 +39,27 @@
 
 /// An answer's fields.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Told {
-    /// Of loaded copies.
+pub struct AnswerFields {
+    /// Whether a replica was loaded.
     pub note: Option<LoadNote>,
-    /// Copies that stand, after an order.
+    /// Loaded replicas, after a load order.
     pub instances: Option<u32>,
     /// The load report.
     pub report: Option<Report>,
 }
 
-impl Told {
-    /// Reads `name=value,name=value`, or `-` for none. What is unknown is left out; `None`: it is no such list.
-    pub fn read(fields: &str) -> Option<Self> {
-        let mut told = Self::default();
+impl AnswerFields {
+    /// Parses `name=value,name=value`, or `-` for none. Unknown names are ignored; `None`: it is no such list.
+    pub fn parse(fields: &str) -> Option<Self> {
+        let mut parsed = Self::default();
         if fields == "-" || fields.is_empty() {
-            return Some(told);
+            return Some(parsed);
         }
         for field in fields.split(',') {
             let (name, value) = field.split_once('=')?;
             match name {
                 "n" => {
-                    told.note = Some(match value {
+                    parsed.note = Some(match value {
                         "w" => LoadNote::Warm,
                         "c" => LoadNote::Began,
                         "j" => LoadNote::Waited,
@@ -67,16 +67,16 @@
                         _ => return None,
                     });
                 }
-                "instances" => told.instances = Some(value.parse().ok()?),
-                "l" => told.report = Some(report(value)?),
+                "instances" => parsed.instances = Some(value.parse().ok()?),
+                "l" => parsed.report = Some(report(value)?),
                 _ => {}
             }
         }
-        Some(told)
+        Some(parsed)
     }
 }
 
-/// Reads `inflight:7;util:0.61`. The settings' own names for these values count as well.
+/// Parses `inflight:7;util:0.61`. The settings' names of these values are accepted as well.
 fn report(text: &str) -> Option<Report> {
     let mut report = Report::default();
     for part in text.split(';').filter(|part| !part.is_empty()) {
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -1,29 +1,29 @@
-//! `PROXY_CONFIG`: what a controller is told when it starts.
+//! `PROXY_CONFIG`: the configuration that a controller gets at its start.
 
 use std::net::SocketAddr;
 
 use serde::Deserialize;
 
-use crate::directory::Known;
+use crate::directory::KnownEvents;
 
-/// The configuration. What a controller does not use is not read.
+/// The configuration; fields that a controller does not use are ignored.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Where clients connect.
+    /// The address for clients.
     pub listen: SocketAddr,
     /// Seed for random numbers: hex digits, new with each start.
     pub seed: String,
-    /// What the machine gives.
+    /// The limits of the machine.
     pub limits: Limits,
     /// The directory's address.
     pub resolver: SocketAddr,
-    /// The events of the directory so far.
-    pub known: Known,
+    /// The directory's events so far.
+    pub known_events: KnownEvents,
     /// The settings of the simulator's first message.
     pub settings: serde_json::Value,
 }
 
-/// What the machine gives.
+/// The limits of the machine.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(default)]
 pub struct Limits {
@@ -34,7 +34,7 @@
 }
 
 impl Default for Limits {
-    /// The least that the platform speaks of.
+    /// The smallest machine that the platform documents.
     fn default() -> Self {
         Self { memory_mb: 32, sockets: 256 }
     }
@@ -46,7 +46,7 @@
     /// It is no JSON object.
     #[error("the configuration: {0}")]
     Json(#[from] serde_json::Error),
-    /// A field is not what it must be.
+    /// A field has the wrong kind.
     #[error("the configuration: field {name}: {source}")]
     Field {
         /// Its name.
@@ -61,7 +61,7 @@
 
 type Object = serde_json::Map<String, serde_json::Value>;
 
-/// A field by name, where it is there.
+/// A field by name; `None`: it is absent.
 fn field<T: serde::de::DeserializeOwned>(
     object: &mut Object,
     name: &'static str,
@@ -71,22 +71,25 @@
 }
 
 impl Config {
-    /// Reads one.
-    pub fn read(text: &str) -> Result<Self, ConfigError> {
+    /// Parses a configuration.
+    ///
+    /// # Errors
+    /// Where it is no JSON object, or a field is missing or wrong.
+    pub fn parse(text: &str) -> Result<Self, ConfigError> {
         let mut object: Object = serde_json::from_str(text)?;
         Ok(Self {
             listen: field(&mut object, "listen")?.ok_or(ConfigError::Missing("listen"))?,
             seed: field(&mut object, "seed")?.unwrap_or_default(),
             limits: field(&mut object, "limits")?.unwrap_or_default(),
             resolver: field(&mut object, "resolver")?.ok_or(ConfigError::Missing("resolver"))?,
-            known: field(&mut object, "known")?.unwrap_or_default(),
+            known_events: field(&mut object, "known")?.unwrap_or_default(),
             settings: object.remove("settings").ok_or(ConfigError::Missing("settings"))?,
         })
     }
 
-    /// The seed as a number; one that is no hex figure is taken by its bytes.
+    /// The seed as a number; one that is not hexadecimal is hashed by its bytes.
     pub fn seed_number(&self) -> u64 {
-        let folded = || self.seed.bytes().fold(0u64, |n, b| n.wrapping_mul(257).wrapping_add(u64::from(b)));
-        u64::from_str_radix(&self.seed, 16).unwrap_or_else(|_| folded())
+        let hashed = || self.seed.bytes().fold(0u64, |n, b| n.wrapping_mul(257).wrapping_add(u64::from(b)));
+        u64::from_str_radix(&self.seed, 16).unwrap_or_else(|_| hashed())
     }
 }
--- a/crates/platform/src/frames.rs
+++ b/crates/platform/src/frames.rs
@@ -2,15 +2,15 @@
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 
-/// The least and the greatest length that the protocol knows: of all that follows the length itself.
-pub const LENGTHS: std::ops::RangeInclusive<u32> = 5..=262_144;
-/// Bytes of a request's body.
-pub const MOST_BODY: usize = 16 << 10;
-/// Bytes of a frame's payload that are kept; a longer one is skipped as it comes. A request's fields take some
-/// hundred bytes beside its body.
-pub const MOST_PAYLOAD: usize = MOST_BODY + (8 << 10);
-/// Bytes before the payload.
-const HEAD: usize = 9;
+/// Lengths that the protocol allows: of all that follows the length itself.
+pub const FRAME_LENGTHS: std::ops::RangeInclusive<u32> = 5..=262_144;
+/// Most bytes of a request's body.
+pub const MAX_BODY_BYTES: usize = 16 << 10;
+/// Most bytes of a frame's payload; a longer one is skipped as it arrives. A request's fields take some hundred bytes
+/// besides its body.
+pub const MAX_PAYLOAD_BYTES: usize = MAX_BODY_BYTES + (8 << 10);
+/// Bytes before the payload: length, type and stream.
+const HEADER_BYTES: usize = 9;
 
 /// Frame types.
 pub mod kind {
@@ -18,13 +18,13 @@
     pub const REQUEST: u8 = 7;
     /// The answer to a request; on stream 0 an error that belongs to none.
     pub const ANSWER: u8 = 8;
-    /// The client waits no longer.
+    /// The client has cancelled the request.
     pub const CANCEL: u8 = 9;
-    /// Is the controller ready?
+    /// Asks whether the controller is ready.
     pub const READY: u8 = 1;
-    /// Its answer.
+    /// The answer to that.
     pub const READY_ANSWER: u8 = 2;
-    /// No new request on this connection.
+    /// No new request is accepted on this connection.
     pub const GO_AWAY: u8 = 3;
 }
 
@@ -33,14 +33,14 @@
 pub enum Code {
     /// Served; ready.
     Served,
-    /// Refused: a new try does no harm.
+    /// Rejected: a retry does no harm.
     Refused,
-    /// Failed: nothing is promised.
+    /// Failed: the request may have run.
     Failed,
 }
 
 impl Code {
-    /// As it stands on the wire.
+    /// Its byte on the wire.
     pub fn byte(self) -> u8 {
         match self {
             Self::Served => 79,
@@ -50,11 +50,11 @@
     }
 }
 
-/// A frame as it came.
+/// A received frame.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Frame {
-    /// A whole frame.
-    Whole {
+    /// A frame with its payload.
+    Complete {
         /// Its type; may be unknown.
         kind: u8,
         /// Its stream.
@@ -62,7 +62,7 @@
         /// Its payload.
         payload: Bytes,
     },
-    /// A frame over [`MOST_PAYLOAD`]: its payload is skipped.
+    /// A frame over [`MAX_PAYLOAD_BYTES`]: its payload is skipped.
     TooLong {
         /// Its type.
         kind: u8,
@@ -71,57 +71,61 @@
     },
 }
 
-/// What makes a connection unreadable: where the next frame begins is not known.
+/// Why a connection can't be read any more: the start of the next frame is not known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
-    /// A length outside [`LENGTHS`].
+    /// A length outside [`FRAME_LENGTHS`].
     #[error("a frame's length of {0} is outside 5 to 262144")]
     Length(u32),
 }
 
-/// Takes frames off a connection's input.
+/// Takes frames from a connection's input.
 #[derive(Debug, Default)]
 pub struct Reader {
+    /// Bytes that are left of a payload that is skipped.
     skip: usize,
 }
 
 impl Reader {
-    /// The next frame. `Ok(None)`: more must come; at most [`MOST_PAYLOAD`] and the head stand in `input` then.
+    /// The next frame. `Ok(None)`: it is not complete; `input` holds at most [`MAX_PAYLOAD_BYTES`] and the header then.
+    ///
+    /// # Errors
+    /// A length that the protocol does not allow.
     pub fn next(&mut self, input: &mut BytesMut) -> Result<Option<Frame>, FrameError> {
         if self.skip > 0 {
-            let gone = self.skip.min(input.len());
-            input.advance(gone);
-            self.skip -= gone;
+            let skipped = self.skip.min(input.len());
+            input.advance(skipped);
+            self.skip -= skipped;
         }
         if self.skip > 0 || input.len() < 4 {
             return Ok(None);
         }
         let length = u32::from_be_bytes([input[0], input[1], input[2], input[3]]);
-        if !LENGTHS.contains(&length) {
+        if !FRAME_LENGTHS.contains(&length) {
             return Err(FrameError::Length(length));
         }
-        if input.len() < HEAD {
+        if input.len() < HEADER_BYTES {
             return Ok(None);
         }
         let (kind, stream) = (input[4], u32::from_be_bytes([input[5], input[6], input[7], input[8]]));
-        let payload = length as usize - (HEAD - 4);
-        if payload > MOST_PAYLOAD {
-            input.advance(HEAD);
+        let payload = length as usize - (HEADER_BYTES - 4);
+        if payload > MAX_PAYLOAD_BYTES {
+            input.advance(HEADER_BYTES);
             self.skip = payload;
             return Ok(Some(Frame::TooLong { kind, stream }));
         }
-        if input.len() < HEAD + payload {
+        if input.len() < HEADER_BYTES + payload {
             return Ok(None);
         }
-        input.advance(HEAD);
-        // A copy of its own: a slice would keep alive all that was read with it.
-        let whole = Bytes::copy_from_slice(&input[..payload]);
+        input.advance(HEADER_BYTES);
+        // A copy: a slice would keep the whole read buffer alive.
+        let content = Bytes::copy_from_slice(&input[..payload]);
         input.advance(payload);
-        Ok(Some(Frame::Whole { kind, stream, payload: whole }))
+        Ok(Some(Frame::Complete { kind, stream, payload: content }))
     }
 
-    /// Has a frame begun that has not come whole?
-    pub fn within(&self, input: &BytesMut) -> bool {
+    /// Whether a frame has begun that is not complete.
+    pub fn is_mid_frame(&self, input: &BytesMut) -> bool {
         self.skip > 0 || !input.is_empty()
     }
 }
@@ -135,9 +139,9 @@
     /// A name or a value is no text.
     #[error("a field is not UTF-8")]
     NotText,
-    /// A name stands twice.
+    /// A name occurs twice.
     #[error("a field stands twice")]
-    Twice,
+    Duplicate,
 }
 
 /// Fields: `count:1`, then for each `size:1 name size:2 value`.
@@ -145,7 +149,10 @@
 pub struct Fields<'a>(Vec<(&'a str, &'a str)>);
 
 impl<'a> Fields<'a> {
-    /// Reads them off the front of a payload; what is left is the body.
+    /// Parses them from the front of a payload; what is left is the body.
+    ///
+    /// # Errors
+    /// Where they are cut short, no text, or occur twice.
     pub fn read(payload: &'a [u8]) -> Result<(Self, &'a [u8]), FieldsError> {
         let (&count, mut rest) = payload.split_first().ok_or(FieldsError::Short)?;
         let mut fields: Vec<(&str, &str)> = Vec::new();
@@ -158,7 +165,7 @@
             let text = |bytes| std::str::from_utf8(bytes).map_err(|_| FieldsError::NotText);
             let name = text(name)?;
             if fields.iter().any(|(known, _)| *known == name) {
-                return Err(FieldsError::Twice);
+                return Err(FieldsError::Duplicate);
             }
             fields.push((name, text(value)?));
             rest = after;
@@ -174,25 +181,25 @@
 
 /// Appends an answer without fields.
 pub fn answer(out: &mut Vec<u8>, stream: u32, code: Code, body: &[u8]) {
-    head(out, kind::ANSWER, stream, 2 + body.len());
+    header(out, kind::ANSWER, stream, 2 + body.len());
     out.put_u8(code.byte());
     out.put_u8(0);
     out.put_slice(body);
 }
 
-/// Appends the answer on whether the controller is ready.
+/// Appends the answer to a readiness query.
 pub fn ready(out: &mut Vec<u8>, stream: u32, yes: bool) {
-    head(out, kind::READY_ANSWER, stream, 2);
+    header(out, kind::READY_ANSWER, stream, 2);
     out.put_u8(if yes { Code::Served } else { Code::Refused }.byte());
     out.put_u8(0);
 }
 
-/// Appends word that no new request is taken on this connection.
+/// Appends the notice that no new request is accepted on this connection.
 pub fn go_away(out: &mut Vec<u8>) {
-    head(out, kind::GO_AWAY, 0, 0);
+    header(out, kind::GO_AWAY, 0, 0);
 }
 
-/// Appends a request: for stand-in clients.
+/// Appends a request, for test clients.
 pub fn request(out: &mut Vec<u8>, stream: u32, fields: &[(&str, &str)], body: &[u8]) {
     let mut payload = vec![fields.len().min(255) as u8];
     for (name, value) in fields.iter().take(255) {
@@ -203,17 +210,18 @@
         payload.put_slice(&value.as_bytes()[..size]);
     }
     payload.put_slice(body);
-    head(out, kind::REQUEST, stream, payload.len());
+    header(out, kind::REQUEST, stream, payload.len());
     out.put_slice(&payload);
 }
 
-/// Appends a frame without a payload: for stand-in clients.
+/// Appends a frame without a payload, for test clients.
 pub fn bare(out: &mut Vec<u8>, kind: u8, stream: u32) {
-    head(out, kind, stream, 0);
+    header(out, kind, stream, 0);
 }
 
-fn head(out: &mut Vec<u8>, kind: u8, stream: u32, payload: usize) {
-    out.put_u32((HEAD - 4 + payload) as u32);
+/// Appends the header of a frame.
+fn header(out: &mut Vec<u8>, kind: u8, stream: u32, payload: usize) {
+    out.put_u32((HEADER_BYTES - 4 + payload) as u32);
     out.put_u8(kind);
     out.put_u32(stream);
 }
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -2,15 +2,14 @@
 //!
 //! May know: bytes, the module's types. Must not know: sockets, the clock, the engine, decisions.
 //!
-//! * [`frames`]: what clients and controllers say to each other. [`request`]: a request's fields, checked.
-//! * [`resp`]: commands to invokers and their answers. [`answer`]: an answer's fields.
-//! * [`directory`]: the list of invokers, by DNS and as events. [`config`]: what a controller is told when it starts.
+//! * [`frames`]: frames between clients and controllers. [`request`]: a request's fields, checked.
+//! * [`resp`]: commands to invokers and their answers. [`answer`]: an answer's kind and fields.
+//! * [`directory`]: the list of invokers, by DNS and as events. [`config`]: the configuration of a controller.
 //!
-//! Input is bounded before it is kept: a length over its bound is an error (or is skipped) when its figure has
-//! been read, not when its bytes have come.
+//! Input is bounded before it is buffered: a length over its bound is an error, or its payload is skipped, as soon as the
+//! length is known.
 
 #![forbid(unsafe_code)]
-#![deny(missing_docs)]
 
 pub mod answer;
 pub mod config;
--- a/crates/platform/src/resp.rs
+++ b/crates/platform/src/resp.rs
@@ -1,32 +1,34 @@
 //! RESP arrays of bulk strings (`*N\r\n$LEN\r\n...\r\n`): commands to invokers, and their answers.
 
+use std::ops::Range;
+
 use bytes::{Buf, Bytes, BytesMut};
 
-/// Parts of an answer: id, word, fields, body.
+/// Parts of an answer: id, kind, fields, body.
 pub const PARTS: usize = 4;
-/// Bytes of an answer's body; an answer that tells of more is not read.
-pub const MOST_BODY: usize = 64 << 10;
-/// Bytes of an id, a word or fields.
-pub const MOST_WORD: usize = 1 << 10;
-/// Bytes of a line that holds a count or a length, without its end.
-const MOST_LINE: usize = 12;
+/// Most bytes of an answer's body; a longer one is not read.
+pub const MAX_BODY_BYTES: usize = 64 << 10;
+/// Most bytes of an id, a kind or fields.
+pub const MAX_TEXT_BYTES: usize = 1 << 10;
+/// Most bytes of a line with a count or a length, without its end.
+const MAX_LINE_BYTES: usize = 12;
 
-/// Why what came is no answer. Where the next one begins is not known: the connection is of no further use.
+/// Why the input is no answer. The start of the next one is not known: the connection can't be used any more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RespError {
-    /// A line does not begin as it must, or is no figure.
+    /// A line does not begin as it must, or is no number.
     #[error("a count or a length can't be read")]
-    Line,
+    MalformedLine,
     /// An array of other than [`PARTS`].
     #[error("an answer of {0} parts")]
-    Parts(u32),
+    PartCount(u32),
     /// A part over its bound.
     #[error("a part of {0} bytes")]
-    Long(u64),
+    PartTooLong(u64),
     /// A part does not end where its length says.
     #[error("a part does not end where its length says")]
-    End,
-    /// An id, a word or fields are no text.
+    MissingTerminator,
+    /// An id, a kind or fields are no text.
     #[error("a part is not UTF-8")]
     NotText,
 }
@@ -34,68 +36,79 @@
 /// An answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Answer {
-    /// The id or the tag.
+    /// The id or the tag of the request.
     pub id: String,
-    /// What came of it.
-    pub word: String,
+    /// Its kind, which [`crate::answer::AnswerKind`] parses.
+    pub kind: String,
     /// Its fields, or `-`.
     pub fields: String,
     /// Its body.
     pub body: Bytes,
 }
 
-/// Takes the next answer off the front of `input`. `Ok(None)`: more must come; what stands is bounded by the
+/// Takes the next answer from the front of `input`. `Ok(None)`: it is not complete; what is buffered is bounded by the
 /// bounds of its parts.
+///
+/// # Errors
+/// Where the input is no answer.
 pub fn next(input: &mut BytesMut) -> Result<Option<Answer>, RespError> {
-    let Some((count, mut at)) = line(input, 0, b'*')? else { return Ok(None) };
+    let Some(Line { value: count, end: mut at }) = line(input, 0, b'*')? else { return Ok(None) };
     if count != PARTS as u64 {
-        return Err(RespError::Parts(count.min(u64::from(u32::MAX)) as u32));
+        return Err(RespError::PartCount(count.min(u64::from(u32::MAX)) as u32));
     }
-    let mut parts = [(0, 0); PARTS];
+    let mut parts = [const { 0..0 }; PARTS];
     for (number, part) in parts.iter_mut().enumerate() {
-        let Some((length, from)) = line(input, at, b'$')? else { return Ok(None) };
-        let most = if number + 1 == PARTS { MOST_BODY } else { MOST_WORD };
-        if length > most as u64 {
-            return Err(RespError::Long(length));
+        let Some(Line { value: length, end: from }) = line(input, at, b'$')? else { return Ok(None) };
+        let max = if number + 1 == PARTS { MAX_BODY_BYTES } else { MAX_TEXT_BYTES };
+        if length > max as u64 {
+            return Err(RespError::PartTooLong(length));
         }
         let to = from + length as usize;
         for (place, want) in [(to, b'\r'), (to + 1, b'\n')] {
             if input.get(place).is_some_and(|b| *b != want) {
-                return Err(RespError::End);
+                return Err(RespError::MissingTerminator);
             }
         }
         if input.len() < to + 2 {
             return Ok(None);
         }
-        *part = (from, to);
+        *part = from..to;
         at = to + 2;
     }
-    let text = |(from, to): (usize, usize)| {
-        std::str::from_utf8(&input[from..to]).map(str::to_owned).map_err(|_| RespError::NotText)
+    let text = |part: Range<usize>| {
+        std::str::from_utf8(&input[part]).map(str::to_owned).map_err(|_| RespError::NotText)
     };
-    let body = Bytes::copy_from_slice(&input[parts[3].0..parts[3].1]);
-    let answer = Answer { id: text(parts[0])?, word: text(parts[1])?, fields: text(parts[2])?, body };
+    let [id, kind, fields, body] = parts;
+    let body = Bytes::copy_from_slice(&input[body]);
+    let answer = Answer { id: text(id)?, kind: text(kind)?, fields: text(fields)?, body };
     input.advance(at);
     Ok(Some(answer))
 }
 
-/// A count or a length at `from`, and where what follows begins.
-fn line(input: &BytesMut, from: usize, mark: u8) -> Result<Option<(u64, usize)>, RespError> {
+/// A line with a count or a length.
+struct Line {
+    value: u64,
+    /// Where what follows begins.
+    end: usize,
+}
+
+/// The line at `from`; `None`: it is not complete.
+fn line(input: &BytesMut, from: usize, prefix: u8) -> Result<Option<Line>, RespError> {
     let Some(rest) = input.get(from..) else { return Ok(None) };
     let Some((first, rest)) = rest.split_first() else { return Ok(None) };
-    if *first != mark {
-        return Err(RespError::Line);
+    if *first != prefix {
+        return Err(RespError::MalformedLine);
     }
-    let digits = rest.iter().take(MOST_LINE).take_while(|b| b.is_ascii_digit()).count();
+    let digits = rest.iter().take(MAX_LINE_BYTES).take_while(|b| b.is_ascii_digit()).count();
     let end = rest.get(digits..).unwrap_or(&[]);
     match end {
         [b'\r', b'\n', ..] if digits > 0 => {
-            let figure = rest[..digits].iter().fold(0, |n: u64, b| n * 10 + u64::from(b - b'0'));
-            Ok(Some((figure, from + 1 + digits + 2)))
+            let value = rest[..digits].iter().fold(0, |n: u64, b| n * 10 + u64::from(b - b'0'));
+            Ok(Some(Line { value, end: from + 1 + digits + 2 }))
         }
-        [] if digits < MOST_LINE => Ok(None),
+        [] if digits < MAX_LINE_BYTES => Ok(None),
         [b'\r'] if digits > 0 => Ok(None),
-        _ => Err(RespError::Line),
+        _ => Err(RespError::MalformedLine),
     }
 }
 
@@ -109,17 +122,17 @@
     }
 }
 
-/// Appends `CALL ID FIELDS BODY`; `key`: by what the invoker drops repeats.
+/// Appends `CALL ID FIELDS BODY`; `key`: the idempotency key, by which the invoker drops repeats.
 pub fn call(
     out: &mut Vec<u8>,
     id: &str,
     sort: &str,
     asset: &str,
     key: Option<&str>,
-    patience_ms: u64,
+    timeout_ms: u64,
     body: &[u8],
 ) {
-    let mut fields = format!("sort={sort},asset={asset},patience={patience_ms}");
+    let mut fields = format!("sort={sort},asset={asset},patience={timeout_ms}");
     if let Some(key) = key {
         fields.push_str(",op=");
         fields.push_str(key);
--- a/crates/platform/tests/codecs.rs
+++ b/crates/platform/tests/codecs.rs
@@ -1,11 +1,11 @@
-//! The codecs against whatever may come: any bytes, in any pieces, never panic and stay within their bounds.
+//! The codecs on arbitrary input: any bytes, split in any way, never panic and stay within their bounds.
 
 use bytes::BytesMut;
 use nettleferry::LoadNote;
-use nettleferry_platform::answer::{Told, Word};
+use nettleferry_platform::answer::{AnswerFields, AnswerKind};
 use nettleferry_platform::config::Config;
 use nettleferry_platform::directory::{self, ListError, State};
-use nettleferry_platform::frames::{self, Code, Frame, FrameError, MOST_PAYLOAD, Reader, kind};
+use nettleferry_platform::frames::{self, Code, Frame, FrameError, MAX_PAYLOAD_BYTES, Reader, kind};
 use nettleferry_platform::request::{Request, RequestError};
 use nettleferry_platform::resp::{self, RespError};
 use proptest::prelude::*;
@@ -13,7 +13,7 @@
 use simple_dns::{CLASS, Name, Packet, PacketFlag, ResourceRecord};
 
 /// All frames of a stream that comes in pieces of these sizes.
-fn frames_of(bytes: &[u8], pieces: &[usize]) -> Result<Vec<Frame>, FrameError> {
+fn read_frames(bytes: &[u8], pieces: &[usize]) -> Result<Vec<Frame>, FrameError> {
     let (mut reader, mut input, mut out) = (Reader::default(), BytesMut::new(), Vec::new());
     let (mut rest, mut sizes) = (bytes, pieces.iter().cycle());
     while !rest.is_empty() {
@@ -23,12 +23,12 @@
         while let Some(frame) = reader.next(&mut input)? {
             out.push(frame);
         }
-        assert!(input.len() <= MOST_PAYLOAD + 9, "{} bytes are kept", input.len());
+        assert!(input.len() <= MAX_PAYLOAD_BYTES + 9, "{} bytes are buffered", input.len());
     }
     Ok(out)
 }
 
-fn answers_of(bytes: &[u8], pieces: &[usize]) -> Result<Vec<resp::Answer>, RespError> {
+fn read_answers(bytes: &[u8], pieces: &[usize]) -> Result<Vec<resp::Answer>, RespError> {
     let (mut input, mut out) = (BytesMut::new(), Vec::new());
     let (mut rest, mut sizes) = (bytes, pieces.iter().cycle());
     while !rest.is_empty() {
@@ -38,35 +38,35 @@
         while let Some(answer) = resp::next(&mut input)? {
             out.push(answer);
         }
-        assert!(input.len() <= resp::MOST_BODY + 3 * resp::MOST_WORD + 128);
+        assert!(input.len() <= resp::MAX_BODY_BYTES + 3 * resp::MAX_TEXT_BYTES + 128);
     }
     Ok(out)
 }
 
 proptest! {
     #[test]
-    fn any_bytes_in_any_pieces_give_the_same_frames(bytes in prop::collection::vec(any::<u8>(), 0..400), pieces in prop::collection::vec(1usize..40, 1..6)) {
-        prop_assert_eq!(frames_of(&bytes, &pieces).ok(), frames_of(&bytes, &[bytes.len().max(1)]).ok());
-        let _ = Request::read(&bytes);
-        let _ = answers_of(&bytes, &pieces);
-        let _ = directory::answer(7, &bytes);
+    fn frames_do_not_depend_on_how_bytes_are_split(bytes in prop::collection::vec(any::<u8>(), 0..400), pieces in prop::collection::vec(1usize..40, 1..6)) {
+        prop_assert_eq!(read_frames(&bytes, &pieces).ok(), read_frames(&bytes, &[bytes.len().max(1)]).ok());
+        let _ = Request::parse(&bytes);
+        let _ = read_answers(&bytes, &pieces);
+        let _ = directory::parse_response(7, &bytes);
     }
 
     #[test]
-    fn sound_frames_come_whole_and_long_ones_are_skipped(bodies in prop::collection::vec(0usize..40_000, 1..6), pieces in prop::collection::vec(1usize..9_000, 1..6)) {
+    fn valid_frames_are_complete_and_long_ones_are_skipped(bodies in prop::collection::vec(0usize..40_000, 1..6), pieces in prop::collection::vec(1usize..9_000, 1..6)) {
         let mut wire = Vec::new();
         for (at, size) in bodies.iter().enumerate() {
             frames::request(&mut wire, at as u32 + 1, &[("op", "a")], &vec![7; *size]);
         }
-        let frames = frames_of(&wire, &pieces).expect("sound");
+        let frames = read_frames(&wire, &pieces).expect("valid");
         prop_assert_eq!(frames.len(), bodies.len());
         for (at, (frame, size)) in frames.iter().zip(&bodies).enumerate() {
             match frame {
-                Frame::Whole { kind: kind::REQUEST, stream, payload } => {
+                Frame::Complete { kind: kind::REQUEST, stream, payload } => {
                     prop_assert_eq!((*stream, payload.len()), (at as u32 + 1, size + 7));
                 }
                 Frame::TooLong { stream, .. } => {
-                    prop_assert!(*stream == at as u32 + 1 && size + 7 > MOST_PAYLOAD);
+                    prop_assert!(*stream == at as u32 + 1 && size + 7 > MAX_PAYLOAD_BYTES);
                 }
                 other => prop_assert!(false, "{:?}", other),
             }
@@ -74,43 +74,43 @@
     }
 
     #[test]
-    fn answers_come_back_as_they_were_written(id in "[0-9a-f]{16}", body in prop::collection::vec(any::<u8>(), 0..3_000), pieces in prop::collection::vec(1usize..500, 1..6)) {
+    fn written_answers_are_read_again(id in "[0-9a-f]{16}", body in prop::collection::vec(any::<u8>(), 0..3_000), pieces in prop::collection::vec(1usize..500, 1..6)) {
         let mut wire = Vec::new();
         resp::command(&mut wire, &[id.as_bytes(), b"served", b"n=w", &body]);
         resp::command(&mut wire, &[id.as_bytes(), b"not_here", b"-", b""]);
-        let answers = answers_of(&wire, &pieces).expect("sound");
+        let answers = read_answers(&wire, &pieces).expect("valid");
         prop_assert_eq!(answers.len(), 2);
         prop_assert_eq!(&answers[0].id, &id);
         prop_assert_eq!(&answers[0].body[..], &body[..]);
-        prop_assert_eq!(answers[1].word.as_str(), "not_here");
+        prop_assert_eq!(answers[1].kind.as_str(), "not_here");
     }
 
     #[test]
-    fn a_sound_answer_with_one_byte_changed_never_panics(at in 0usize..60, byte in any::<u8>()) {
+    fn corrupted_answer_never_panics(at in 0usize..60, byte in any::<u8>()) {
         let mut wire = Vec::new();
         resp::command(&mut wire, &[b"0123456789abcdef", b"served", b"n=w,l=inflight:7;util:0.61", b"body"]);
         let at = at % wire.len();
         wire[at] = byte;
-        for answer in answers_of(&wire, &[wire.len()]).unwrap_or_default() {
-            let _ = (Word::read(&answer.word), Told::read(&answer.fields));
+        for answer in read_answers(&wire, &[wire.len()]).unwrap_or_default() {
+            let _ = (AnswerKind::parse(&answer.kind), AnswerFields::parse(&answer.fields));
         }
     }
 }
 
 #[test]
-fn lengths_out_of_bounds_are_told_before_their_bytes_come() {
+fn excessive_lengths_are_rejected_before_their_bytes_arrive() {
     for length in [0u32, 4, 262_145, 60_000_000, 4_000_000_000, u32::MAX] {
-        assert_eq!(frames_of(&length.to_be_bytes(), &[4]), Err(FrameError::Length(length)));
+        assert_eq!(read_frames(&length.to_be_bytes(), &[4]), Err(FrameError::Length(length)));
     }
-    let told = |text: &str| answers_of(text.as_bytes(), &[3]);
+    let read = |text: &str| read_answers(text.as_bytes(), &[3]);
     assert_eq!(
-        told("*4\r\n$16\r\n0123456789abcdef\r\n$6\r\nserved\r\n$1\r\n-\r\n$3000000000\r\n"),
-        Err(RespError::Long(3_000_000_000))
+        read("*4\r\n$16\r\n0123456789abcdef\r\n$6\r\nserved\r\n$1\r\n-\r\n$3000000000\r\n"),
+        Err(RespError::PartTooLong(3_000_000_000))
     );
-    assert_eq!(told("*1000000000\r\n"), Err(RespError::Parts(1_000_000_000)));
-    assert_eq!(told("*4\r\n$99999999999999999999"), Err(RespError::Line), "a line without an end");
-    assert_eq!(told("*4\r\n$-1\r\n"), Err(RespError::Line));
-    assert_eq!(told("*4\r\n$2\r\nabc\r\n"), Err(RespError::End));
+    assert_eq!(read("*1000000000\r\n"), Err(RespError::PartCount(1_000_000_000)));
+    assert_eq!(read("*4\r\n$99999999999999999999"), Err(RespError::MalformedLine), "a line without an end");
+    assert_eq!(read("*4\r\n$-1\r\n"), Err(RespError::MalformedLine));
+    assert_eq!(read("*4\r\n$2\r\nabc\r\n"), Err(RespError::MissingTerminator));
 }
 
 fn request(fields: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
@@ -121,7 +121,7 @@
 
 #[test]
 fn requests_are_checked_field_by_field() {
-    let sound = [
+    let valid = [
         ("op", "usage"),
         ("call", "9b1f03aa5c7e2d41"),
         ("ttl", "1500"),
@@ -130,27 +130,27 @@
     ];
     let with = |name: &str, value: &str| {
         let fields: Vec<_> =
-            sound.iter().map(|(n, v)| if *n == name { (*n, value) } else { (*n, *v) }).collect();
+            valid.iter().map(|(n, v)| if *n == name { (*n, value) } else { (*n, *v) }).collect();
         let payload = request(&fields, b"body");
-        Request::read(&payload).map(|r| (r.ttl_ms, r.lanes, r.load_ms, r.body.len()))
+        Request::parse(&payload).map(|r| (r.timeout_ms, r.lanes, r.load_ms, r.body.len()))
     };
     assert_eq!(with("", ""), Ok((1500.0, Some(2), Some(640.0), 4)));
     for ttl in ["", "-5", "0", "nan", "inf", "1e3", "99999999999", "15 00", "0x10"] {
-        assert_eq!(with("ttl", ttl), Err(RequestError::Figure("ttl")), "{ttl}");
+        assert_eq!(with("ttl", ttl), Err(RequestError::InvalidNumber("ttl")), "{ttl}");
     }
     for id in ["", "9b1f03aa5c7e2d4", "9b1f03aa5c7e2d411", "9b1f03aa5c7e2dzz", "9B1F03AA5C7E2D41"] {
-        assert_eq!(with("call", id), Err(RequestError::NotId("call")), "{id}");
-        assert_eq!(with("row", id), Err(RequestError::NotId("row")), "{id}");
+        assert_eq!(with("call", id), Err(RequestError::InvalidId("call")), "{id}");
+        assert_eq!(with("row", id), Err(RequestError::InvalidId("row")), "{id}");
     }
     for tags in ["lanes:0", "lanes:two", "lanes:4294967297", "lanes", "memory_mb:-1", "load_ms:NaN"] {
-        assert!(matches!(with("tags", tags), Err(RequestError::Figure(_))), "{tags}");
+        assert!(matches!(with("tags", tags), Err(RequestError::InvalidNumber(_))), "{tags}");
     }
-    let without = request(&sound[..3], b"");
-    assert_eq!(Request::read(&without), Err(RequestError::Missing("row")));
-    let long = request(&sound, &[0; 16_385]);
-    assert_eq!(Request::read(&long), Err(RequestError::Body));
+    let without = request(&valid[..3], b"");
+    assert_eq!(Request::parse(&without), Err(RequestError::Missing("row")));
+    let long = request(&valid, &[0; 16_385]);
+    assert_eq!(Request::parse(&long), Err(RequestError::BodyTooLong));
     let twice = request(&[("op", "a"), ("op", "b")], b"");
-    assert!(matches!(Request::read(&twice), Err(RequestError::Fields(_))));
+    assert!(matches!(Request::parse(&twice), Err(RequestError::Fields(_))));
 }
 
 #[test]
@@ -162,18 +162,18 @@
 }
 
 #[test]
-fn fields_of_answers_tell_note_copies_and_report() {
-    let told = Told::read("n=j,instances=2,l=inflight:7;util:0.61").expect("sound");
-    assert_eq!((told.note, told.instances), (Some(LoadNote::Waited), Some(2)));
-    let report = told.report.expect("told");
+fn answer_fields_hold_note_replicas_and_report() {
+    let fields = AnswerFields::parse("n=j,instances=2,l=inflight:7;util:0.61").expect("valid");
+    assert_eq!((fields.note, fields.instances), (Some(LoadNote::Waited), Some(2)));
+    let report = fields.report.expect("a report");
     assert_eq!((report.inflight, report.util), (Some(7.0), Some(0.61)));
-    assert_eq!(Told::read("-"), Some(Told::default()));
+    assert_eq!(AnswerFields::parse("-"), Some(AnswerFields::default()));
     for bad in ["n=x", "n", "l=inflight", "l=inflight:-1", "l=util:nan", "instances=many"] {
-        assert_eq!(Told::read(bad), None, "{bad}");
+        assert_eq!(AnswerFields::parse(bad), None, "{bad}");
     }
 }
 
-/// An answer of the directory with these invokers: id, priority.
+/// A response of the directory with these invokers: id, priority.
 fn listing(id: u16, serial: u32, invokers: &[(&str, u16)], change: impl Fn(&mut Packet)) -> Vec<u8> {
     let mut packet = Packet::new_reply(id);
     let targets: Vec<String> = invokers.iter().map(|(id, _)| format!("{id}.east.hosts")).collect();
@@ -197,8 +197,9 @@
 }
 
 #[test]
-fn the_list_is_read_whole_or_not_at_all() {
-    let list = directory::answer(9, &listing(9, 41, &[("s-2", 1), ("s-1", 0)], |_| {})).expect("sound");
+fn list_is_complete_or_rejected() {
+    let list =
+        directory::parse_response(9, &listing(9, 41, &[("s-2", 1), ("s-1", 0)], |_| {})).expect("valid");
     assert_eq!(list.serial, 41);
     let shown: Vec<_> = list.invokers.iter().map(|i| (i.id.as_str(), i.state, i.weight)).collect();
     assert_eq!(shown, [("s-1", State::Up, 4.0), ("s-2", State::Draining, 4.0)]);
@@ -210,23 +211,26 @@
     );
 
     let one = [("s-1", 0)];
-    let told = |bytes: &[u8]| directory::answer(9, bytes);
-    assert_eq!(told(&listing(8, 1, &one, |_| {})), Err(ListError::Other), "another id");
-    assert_eq!(told(&directory::query(9).expect("a query")), Err(ListError::Other), "a query");
-    assert_eq!(told(&listing(9, 1, &one, |p| p.set_flags(PacketFlag::TRUNCATION))), Err(ListError::Cut));
+    let read = |bytes: &[u8]| directory::parse_response(9, bytes);
+    assert_eq!(read(&listing(8, 1, &one, |_| {})), Err(ListError::Unexpected), "another id");
+    assert_eq!(read(&directory::build_query(9).expect("a query")), Err(ListError::Unexpected), "a query");
+    assert_eq!(
+        read(&listing(9, 1, &one, |p| p.set_flags(PacketFlag::TRUNCATION))),
+        Err(ListError::Truncated)
+    );
     assert!(matches!(
-        told(&listing(9, 1, &one, |p| p.additional_records.clear())),
+        read(&listing(9, 1, &one, |p| p.additional_records.clear())),
         Err(ListError::Record(_))
     ));
-    assert!(matches!(told(&listing(9, 1, &one, |p| p.name_servers.clear())), Err(ListError::Record(_))));
+    assert!(matches!(read(&listing(9, 1, &one, |p| p.name_servers.clear())), Err(ListError::Record(_))));
     let whole = listing(9, 1, &one, |_| {});
     for cut in 0..whole.len() {
-        assert!(told(&whole[..cut]).is_err(), "cut at {cut}");
+        assert!(read(&whole[..cut]).is_err(), "cut at {cut}");
     }
 }
 
 #[test]
-fn the_events_of_the_start_add_up() {
+fn events_of_the_configuration_add_up() {
     let text = r#"{"name":"n3","listen":"127.0.0.4:8443","seed":"8c1f30d27a5be964","resolver":"127.2.0.1:8600",
         "limits":{"cores":1.0,"memory_mb":48,"sockets":384},"settings":{},"more":1,
         "known":{"pos":3,"entries":[
@@ -236,11 +240,11 @@
         {"pos":2,"hosts":{"generation":2,"reset":false,"instances":[{"instanceId":"a","lifecycle":"removed"}]}},
         {"pos":3,"hosts":{"generation":3,"reset":false,"instances":[
           {"instanceId":"b","hostPort":"10.1.0.8:8443","zone":"west","machineType":"std","cell":3,"lifecycle":"draining","weight":4,"startedAtMs":7000}]}}]}}"#;
-    let config = Config::read(text).expect("sound");
+    let config = Config::parse(text).expect("valid");
     assert_eq!((config.seed_number(), config.limits.sockets), (0x8c1f_30d2_7a5b_e964, 384));
-    let list = config.known.list().expect("sound");
+    let list = config.known_events.list().expect("valid");
     assert_eq!((list.serial, list.invokers.len()), (3, 1));
     let b = &list.invokers[0];
     assert_eq!((b.id.as_str(), b.state, b.cell.as_str(), b.started_ms), ("b", State::Draining, "3", 7000));
-    assert!(Config::read("{}").is_err());
+    assert!(Config::parse("{}").is_err());
 }
