--- a/crates/admin/src/api/mod.rs
+++ b/crates/admin/src/api/mod.rs
@@ -15,7 +15,7 @@
 
 use std::time::Duration;
 
-use nettleferry_tenancy::{Book, Entry, Millis, Revision};
+use nettleferry_tenancy::{Entry, Millis, Revision, TenantSnapshot};
 use serde_json::json;
 
 use crate::message::{Answer, Caller, Request};
@@ -36,7 +36,7 @@
 
 /// The API over a snapshot of the tenants and the store that it was read from.
 pub struct Api<S> {
-    snapshot: Book,
+    snapshot: TenantSnapshot,
     store: S,
     identity: StoreIdentity,
     /// Why nothing may be changed: the store is damaged.
@@ -45,17 +45,22 @@
 
 impl<S: ChangeStore> Api<S> {
     /// An API over a store's snapshot. `read_only`: why nothing may be changed.
-    pub fn new(snapshot: Book, store: S, identity: StoreIdentity, read_only: Option<String>) -> Self {
+    pub fn new(
+        snapshot: TenantSnapshot,
+        store: S,
+        identity: StoreIdentity,
+        read_only: Option<String>,
+    ) -> Self {
         Self { snapshot, store, identity, read_only }
     }
 
     /// The newest snapshot.
-    pub fn snapshot(&self) -> &Book {
+    pub fn snapshot(&self) -> &TenantSnapshot {
         &self.snapshot
     }
 
     /// Replaces the snapshot and the store.
-    pub fn replace(&mut self, snapshot: Book, store: S, identity: StoreIdentity) {
+    pub fn replace(&mut self, snapshot: TenantSnapshot, store: S, identity: StoreIdentity) {
         *self = Self::new(snapshot, store, identity, None);
     }
 
@@ -81,9 +86,9 @@
     pub fn remove_expired(&mut self, now: Millis) -> Vec<Entry> {
         let mut all = Vec::new();
         while self.read_only.is_none()
-            && let Some(entry) = self.snapshot.due(now)
+            && let Some(entry) = self.snapshot.due_removal(now)
             && self.store.commit(&entry, None).is_ok()
-            && self.snapshot.take(&entry).is_ok()
+            && self.snapshot.apply(&entry).is_ok()
         {
             all.push(entry);
         }
--- a/crates/config/src/settings/classes.rs
+++ b/crates/config/src/settings/classes.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use nettleferry::{Class, Effect, Group, Tenant, TenantId};
+use nettleferry::{Class, Effect, KeyScope, Tenant, TenantId};
 
 use crate::form::{Form, TimeSpan};
 
@@ -36,10 +36,10 @@
             form.error(format!("class {name}: (late-share ...) is a share, from 0 to 1"));
         }
         classes.push(Class {
-            aim,
+            latency_objective: aim,
             deadline,
-            effect: effect(&mut form).unwrap_or(Effect::Unsafe),
-            worth: form.value_or("worth", 1.0),
+            effect: effect(&mut form).unwrap_or(Effect::NonIdempotent),
+            priority_weight: form.value_or("worth", 1.0),
             late_share,
             stream: form.value_or("stream", false),
         });
@@ -67,14 +67,14 @@
     let mut form = form.required_list("effect")?;
     let kinds = [("safe", EffectKind::Safe), ("keyed", EffectKind::Keyed), ("unsafe", EffectKind::Unsafe)];
     let effect = match form.keyword("effect", &kinds)? {
-        EffectKind::Safe => Effect::Safe,
+        EffectKind::Safe => Effect::Idempotent,
         EffectKind::Keyed => {
-            let group = [("all", Group::All), ("zone", Group::Zone), ("cell", Group::Cell)];
+            let group = [("all", KeyScope::All), ("zone", KeyScope::Zone), ("cell", KeyScope::Cell)];
             let group = form.keyword("the group that drops repeats", &group);
             let window: Option<TimeSpan> = form.required_item("the window in which repeats are dropped");
-            Effect::Keyed { group: group?, window: window?.0 }
+            Effect::IdempotencyKey { scope: group?, window: window?.0 }
         }
-        EffectKind::Unsafe => Effect::Unsafe,
+        EffectKind::Unsafe => Effect::NonIdempotent,
     };
     form.finish();
     Some(effect)
--- a/crates/config/src/settings/policy.rs
+++ b/crates/config/src/settings/policy.rs
@@ -6,7 +6,7 @@
 
 /// Reads how workers are discovered.
 pub(super) fn discovery(top: &mut Form) -> Discovery {
-    let words = [("push", Discovery::Push), ("ask", Discovery::Ask)];
+    let words = [("push", Discovery::Push), ("ask", Discovery::Poll)];
     top.keyword_or("discovery", &words, Discovery::Push)
 }
 
@@ -45,11 +45,11 @@
         orders: form.value_or("orders", true),
         order_timeout: form.micros_or("order-timeout", 10_000_000),
         notes: form.value_or("notes", true),
-        crowd: form.value_or("crowd", true),
+        reports_concurrency: form.value_or("crowd", true),
         ration_window: window,
         ration_floor: floor,
         ration_share: share,
-        spent: false,
+        unknown_prior_orders: false,
         memory_price: form.value_or("memory-price", 0.0),
     };
     if loading.when_absent == WhenAbsent::Miss && !loading.orders {
@@ -66,11 +66,11 @@
         // Answers are due before the deadline: see (limits (answer-margin ...)).
         answer_grace: 0,
         drain_grace: form.micros_or("drain-grace", 500_000),
-        must_ask_in: form.micros_or("must-ask-in", 10_000_000),
+        must_poll_within: form.micros_or("must-ask-in", 10_000_000),
         start_capacity: form.value_or("start-capacity", 1.0),
-        cold: form.micros_or("cold", 0),
+        warm_up: form.micros_or("cold", 0),
         overload_factor: form.value_or("overload-factor", 1.0),
-        fall: form.micros_or("fall", 0),
+        overload_span: form.micros_or("fall", 0),
     };
     if rules.start_capacity <= 0.0 || rules.start_capacity > 1.0 {
         form.error("(start-capacity ...): a share above 0, at most 1");
--- a/crates/engine/src/engine/actions.rs
+++ b/crates/engine/src/engine/actions.rs
@@ -21,7 +21,7 @@
             Action::Refuse { request, retry_after } => self.refuse(CallId(request.0), retry_after),
             Action::Fail { request } => self.fail(CallId(request.0)),
             Action::Load { worker, function, count } => self.order_load(worker, function, count),
-            Action::Unwanted { worker, function } => self.cancel_load(worker, function),
+            Action::CancelLoad { worker, function } => self.cancel_load(worker, function),
             Action::Unload { worker, function } => self.unload(worker, function),
             Action::Probe { worker } => self.probe(worker),
             Action::SetTimer { after, tag } => self.timers.insert(self.now + after, Timer::Module(tag)),
--- a/crates/engine/src/engine/calls.rs
+++ b/crates/engine/src/engine/calls.rs
@@ -79,7 +79,7 @@
             tenant: new_call.tenant,
             function,
             left: time_left,
-            work_hint: new_call.cost_hint,
+            cpu_time_hint: new_call.cost_hint,
             lanes: new_call.lanes.max(1),
             load_time: new_call.load_time,
             repeat: new_call.repeat,
--- a/crates/gateway/src/commands/fleet/audit_text.rs
+++ b/crates/gateway/src/commands/fleet/audit_text.rs
@@ -1,7 +1,8 @@
 //! The audit's report as lines for people.
 
-use nettleferry_audit_log::audit::{
-    Actor, Book, Certainty, Fork, Gap, Incarnation, LateCalls, Report, StaleActivity,
+use nettleferry_audit_log::Version;
+use nettleferry_audit_log::findings::{
+    Actor, CallCount, Certainty, Fork, Gap, Incarnation, LateCalls, Report, StaleActivity,
 };
 
 /// Which findings are shown.
@@ -13,8 +14,8 @@
 }
 
 impl Filter {
-    fn shows_version(&self, version: Book) -> bool {
-        self.revision.is_none_or(|revision| revision == version.1)
+    fn shows_version(&self, version: Version) -> bool {
+        self.revision.is_none_or(|revision| revision == version.revision)
     }
 
     fn shows_tenant(&self, name: &str) -> bool {
@@ -25,21 +26,21 @@
 /// The report, section by section.
 pub(super) fn lines(report: &Report, filter: &Filter) -> Vec<String> {
     let mut lines = vec!["Who acted on what (times since the administration's start):".to_owned()];
-    let actors = report.actors.iter().filter(|actor| filter.shows_version(actor.book));
+    let actors = report.actors.iter().filter(|actor| filter.shows_version(actor.version));
     lines.extend(actors.map(actor_line));
     lines.push("On an older version while a newer one was in force elsewhere:".to_owned());
-    let stale = report.behind.iter().filter(|found| filter.shows_version(found.book));
+    let stale = report.stale_activity.iter().filter(|found| filter.shows_version(found.version));
     for found in stale.filter(|found| found.calls.keys().any(|tenant| filter.shows_tenant(tenant))) {
         lines.extend(stale_lines(found, filter));
     }
     lines.push("Calls taken after a change was said to be in force everywhere:".to_owned());
-    let late = report.after.iter().filter(|found| filter.shows_version(found.change));
+    let late = report.late_calls.iter().filter(|found| filter.shows_version(found.change));
     lines.extend(late.filter(|found| filter.shows_tenant(&found.tenant)).map(late_line));
     lines.extend(report.forks.iter().map(fork_line));
     lines.push("Where nothing can be said:".to_owned());
     lines.extend(report.gaps.iter().map(gap_line));
-    if report.more > 0 {
-        lines.push(format!("{} further findings found no room", report.more));
+    if report.omitted > 0 {
+        lines.push(format!("{} further findings found no room", report.omitted));
     }
     lines
 }
@@ -47,9 +48,9 @@
 fn actor_line(actor: &Actor) -> String {
     format!(
         "  epoch {} revision {}: {}, {} to {}, {} calls",
-        actor.book.0,
-        actor.book.1,
-        incarnation(actor.who),
+        actor.version.epoch,
+        actor.version.revision,
+        incarnation(actor.incarnation),
         seconds(actor.from),
         seconds(actor.to),
         actor.calls
@@ -60,29 +61,27 @@
     let (least, most) = (found.least_ms.max(0), found.most_ms.max(0));
     let mut lines = vec![format!(
         "  {}: {} on revision {}, {} was in force at {}, for {least} to {most} ms: {}",
-        certainty(found.sure),
-        incarnation(found.who),
-        found.book.1,
-        found.newer.1,
+        certainty(found.certainty),
+        incarnation(found.incarnation),
+        found.version.revision,
+        found.newer.revision,
         incarnation(found.elsewhere),
         found.why
     )];
     let calls = found.calls.iter().filter(|(tenant, _)| filter.shows_tenant(tenant));
-    lines.extend(
-        calls.map(|(tenant, &(least, most))| format!("    {} calls of {tenant}", range(least, most))),
-    );
+    lines.extend(calls.map(|(tenant, count)| format!("    {} calls of {tenant}", range(*count))));
     lines
 }
 
 fn late_line(found: &LateCalls) -> String {
     format!(
         "  {}: {} calls of {} at {} after {} (revision {}): {}",
-        certainty(found.sure),
-        range(found.calls.0, found.calls.1),
+        certainty(found.certainty),
+        range(found.calls),
         found.tenant,
-        incarnation(found.who),
+        incarnation(found.incarnation),
         found.action,
-        found.change.1,
+        found.change.revision,
         found.why
     )
 }
@@ -93,13 +92,13 @@
 }
 
 fn gap_line(gap: &Gap) -> String {
-    let prefix = gap.who.map_or_else(String::new, |who| format!("{}: ", incarnation(who)));
-    format!("  {prefix}{}", gap.what)
+    let prefix = gap.incarnation.map_or_else(String::new, |who| format!("{}: ", incarnation(who)));
+    format!("  {prefix}{}", gap.reason)
 }
 
 /// An incarnation by its controller's number and the upper half of its random number.
 pub(super) fn incarnation(who: Incarnation) -> String {
-    format!("controller {} (life {:08x})", who.controller, who.life >> 32)
+    format!("controller {} (life {:08x})", who.controller, who.incarnation >> 32)
 }
 
 fn certainty(certainty: Certainty) -> &'static str {
@@ -109,8 +108,9 @@
     }
 }
 
-fn range(least: u64, most: u64) -> String {
-    if least == most { least.to_string() } else { format!("{least} to {most}") }
+fn range(count: CallCount) -> String {
+    let CallCount { certain, possible } = count;
+    if certain == possible { certain.to_string() } else { format!("{certain} to {possible}") }
 }
 
 fn seconds(at_ms: Option<i64>) -> String {
--- a/crates/gateway/src/controller/administration.rs
+++ b/crates/gateway/src/controller/administration.rs
@@ -5,13 +5,13 @@
 
 use nettleferry::{ListForm, TenantId};
 use nettleferry_administration::{Lent, Told, Whole};
-use nettleferry_audit_log::Act;
+use nettleferry_audit_log::Event as AuditEvent;
 use nettleferry_engine::Event;
 use nettleferry_tenancy::Entry;
 
 use super::audit::tenant_event;
 use super::{Controller, SnapshotSource};
-use crate::list::News;
+use crate::worker_list::ListUpdate;
 
 impl Controller {
     /// Applies what the administration has sent since the last time.
@@ -31,7 +31,7 @@
             Told::Began(snapshot) => self.apply_snapshot(*snapshot),
             Told::Heard { asked, answered, by, at } => {
                 let span = (self.clock.at(asked) / 1000, self.clock.at(answered).div_ceil(1000));
-                self.record(|recorder, _, _| recorder.heard(span, by, at));
+                self.record(|recorder, _, _| recorder.clock_exchange(span, by, at));
             }
             Told::Mark(mark) => self.admin_server.iter().for_each(|server| server.applied(mark)),
             Told::Leased { until, place } => self.renew_lease(until, place),
@@ -40,7 +40,7 @@
                 if let Some(lease) = &mut self.lease {
                     lease.fence();
                 }
-                self.record(|recorder, now, names| recorder.one(now, Act::Fenced, names));
+                self.record(|recorder, now, names| recorder.event(now, AuditEvent::Fenced, names));
             }
             Told::Drained(workers) => self.apply_drained_workers(workers),
         }
@@ -53,7 +53,7 @@
         self.record_view();
         self.record(|recorder, now, names| {
             if let Some(event) = tenant_event(change) {
-                recorder.one(now, event, names);
+                recorder.event(now, event, names);
             }
         });
     }
@@ -81,7 +81,7 @@
     /// `fencing_token`: 0 where the leader gave none.
     fn renew_lease(&mut self, until: Instant, fencing_token: u64) {
         if fencing_token > 0 {
-            self.links.fence(fencing_token);
+            self.worker_links.set_fencing_token(fencing_token);
         }
         // Our clock is read first: what passes between the two readings shortens the lease.
         let now = self.clock.now_ms();
@@ -105,10 +105,10 @@
         let changed: Vec<String> = before.symmetric_difference(&self.drained_workers).cloned().collect();
         for worker in changed {
             let drained = self.drained_workers.contains(&worker);
-            let event = Act::Drained { worker, drained };
-            self.record(|recorder, now, names| recorder.one(now, event, names));
+            let event = AuditEvent::Drained { worker, drained };
+            self.record(|recorder, now, names| recorder.event(now, event, names));
         }
         let workers = self.listed_workers.clone();
-        self.apply_list(News { form: ListForm::Complete, workers });
+        self.apply_list(ListUpdate { form: ListForm::Complete, workers });
     }
 }
--- a/crates/node/src/class.rs
+++ b/crates/node/src/class.rs
@@ -17,7 +17,7 @@
 impl ClassInfo {
     pub(crate) fn new(name: &str, class: &Class) -> Self {
         let window = match class.effect {
-            Effect::Keyed { window, .. } => Some(Duration::from_micros(window)),
+            Effect::IdempotencyKey { window, .. } => Some(Duration::from_micros(window)),
             _ => None,
         };
         Self { name: Arc::from(name), effect: class.effect, window }
--- a/crates/platform-settings/src/lib.rs
+++ b/crates/platform-settings/src/lib.rs
@@ -60,7 +60,7 @@
         tenants: tenants.items,
         over_quota_worth: fields.number("over_share_worth")?.unwrap_or(1.0),
         discovery: fields
-            .keyword("discovery", &[("push", Discovery::Push), ("ask", Discovery::Ask)])?
+            .keyword("discovery", &[("push", Discovery::Push), ("ask", Discovery::Poll)])?
             .unwrap_or(Discovery::Push),
         reports: stats
             .keyword(
@@ -111,10 +111,10 @@
             return Err(class.error("deadline_ms", "is no time"));
         }
         classes.push(Class {
-            aim: class.duration("goal_time_ms")?.unwrap_or(deadline),
+            latency_objective: class.duration("goal_time_ms")?.unwrap_or(deadline),
             deadline,
             effect: effect(&class)?,
-            worth: class.number("points")?.unwrap_or(1.0),
+            priority_weight: class.number("points")?.unwrap_or(1.0),
             late_share: class.number("late_share")?.unwrap_or(0.0),
             stream: class.boolean("stream")?,
         });
@@ -124,15 +124,15 @@
 
 /// The effect of repeating a call of a class; by default, that it must not be repeated.
 fn effect(class: &Fields) -> Result<Effect, FieldError> {
-    let groups = [("all", Group::All), ("zone", Group::Zone), ("cell", Group::Cell)];
-    let group = class.keyword("key_scope", &groups)?.unwrap_or(Group::All);
+    let groups = [("all", KeyScope::All), ("zone", KeyScope::Zone), ("cell", KeyScope::Cell)];
+    let group = class.keyword("key_scope", &groups)?.unwrap_or(KeyScope::All);
     let window = class.duration("repeat_window_ms")?.unwrap_or(0);
     let effects = [
-        ("free", Effect::Safe),
-        ("guarded", Effect::Keyed { group, window }),
-        ("single_shot", Effect::Unsafe),
+        ("free", Effect::Idempotent),
+        ("guarded", Effect::IdempotencyKey { scope: group, window }),
+        ("single_shot", Effect::NonIdempotent),
     ];
-    Ok(class.keyword("effect", &effects)?.unwrap_or(Effect::Unsafe))
+    Ok(class.keyword("effect", &effects)?.unwrap_or(Effect::NonIdempotent))
 }
 
 fn tenants(fields: &Fields) -> Result<Named<Tenant>, FieldError> {
@@ -153,11 +153,11 @@
         orders: family.boolean("orders")?,
         order_timeout: family.duration("order_timeout_ms")?.unwrap_or(0),
         notes: family.boolean("warm_notes")?,
-        crowd: family.boolean("counts_alike")?,
+        reports_concurrency: family.boolean("counts_alike")?,
         ration_window: family.duration("load_period_ms")?.unwrap_or(0),
         ration_floor: family.number("load_floor")?.unwrap_or(0.0),
         ration_share: family.number("load_share")?.unwrap_or(0.0),
-        spent: false,
+        unknown_prior_orders: false,
         memory_price: family.number("memory_price")?.unwrap_or(0.0),
     })
 }
@@ -178,10 +178,10 @@
     Ok(Rules {
         answer_grace: obligations.duration("grace_to_answer_ms")?.unwrap_or(0),
         drain_grace: obligations.duration("stop_sending_within_ms")?.unwrap_or(0),
-        must_ask_in: obligations.duration("must_ask_in_ms")?.unwrap_or(0),
+        must_poll_within: obligations.duration("must_ask_in_ms")?.unwrap_or(0),
         start_capacity: obligations.number("start_capacity")?.unwrap_or(1.0),
-        cold: obligations.duration("cold_ms")?.unwrap_or(0),
+        warm_up: obligations.duration("cold_ms")?.unwrap_or(0),
         overload_factor: obligations.number("overload_factor")?.unwrap_or(1.0),
-        fall: obligations.duration("fall_ms")?.unwrap_or(0),
+        overload_span: obligations.duration("fall_ms")?.unwrap_or(0),
     })
 }
--- a/crates/platform-settings/tests/faults.rs
+++ b/crates/platform-settings/tests/faults.rs
@@ -1,6 +1,6 @@
 //! Wrong settings are rejected with the path of the field; absent ones, and those at their bounds, are accepted.
 
-use nettleferry::{Effect, Group, Weights};
+use nettleferry::{Effect, KeyScope, Weights};
 use nettleferry_platform_settings::read;
 use serde_json::{Value, json};
 
@@ -31,8 +31,11 @@
     assert_eq!((site.settings.controllers, site.settings.limits.max_attempts), (3, 3), "3.0 is 3");
     assert_eq!((site.streams, site.open_calls), (u32::MAX, Some(1 << 32)), "the greatest value that fits");
     assert_eq!(site.settings.weights, Weights::Live);
-    let keyed = Effect::Keyed { group: Group::Cell, window: 0 };
-    assert_eq!((site.settings.classes[0].effect, site.settings.classes[1].effect), (Effect::Safe, keyed));
+    let keyed = Effect::IdempotencyKey { scope: KeyScope::Cell, window: 0 };
+    assert_eq!(
+        (site.settings.classes[0].effect, site.settings.classes[1].effect),
+        (Effect::Idempotent, keyed)
+    );
     assert_eq!(site.settings.tenants[0].quota_per_s, None);
     assert!(!site.settings.limits.cancel, "null is absent");
 }
