--- a/crates/audit-log/src/audit.rs
+++ b/crates/audit-log/src/audit.rs
@@ -8,7 +8,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::clock::{ClockBounds, TimeBounds};
+use crate::clock::{ClockBounds, ClockExchange, TimeBounds};
 use crate::entry::{Entry, EntryKind, Event};
 use crate::findings::{
     Actor, CallCount, Certainty, Fork, Gap, Incarnation, LateCalls, Report, StaleActivity,
@@ -259,9 +259,8 @@
         }
         for ((who, version), intervals) in all {
             let Some(newer) = self.first_newer(who, version) else { continue };
-            if let Some(found) = self.stale_activity(&intervals, newer) {
-                push_bounded(&mut report.stale_activity, found, &mut report.omitted);
-            }
+            let found = self.stale_activity(&intervals, newer);
+            report.omitted += extend_bounded(&mut report.stale_activity, found);
         }
     }
 
@@ -309,9 +308,8 @@
             if !matches!(change.action.as_str(), "suspend" | "remove") {
                 continue;
             }
-            for found in self.late_calls(*version, *acknowledged, change) {
-                push_bounded(&mut report.late_calls, found, &mut report.omitted);
-            }
+            let found = self.late_calls(*version, *acknowledged, change);
+            report.omitted += extend_bounded(&mut report.late_calls, found);
         }
     }
 
@@ -379,7 +377,11 @@
         if let EntryKind::ClockExchange { leader: by, leader_time } = &entry.kind
             && *by == leader
         {
-            clock.add_exchange(entry.from, entry.to, *leader_time);
+            clock.add_exchange(ClockExchange {
+                sent: entry.from,
+                received: entry.to,
+                leader_time: *leader_time,
+            });
         }
     }
     clock
@@ -395,10 +397,15 @@
     }
 }
 
-fn push_bounded<T>(all: &mut Vec<T>, found: T, omitted: &mut u64) {
-    if all.len() < MAX_FINDINGS {
-        all.push(found);
-    } else {
-        *omitted += 1;
+/// Lists findings up to the bound; how many were left out.
+fn extend_bounded<T>(all: &mut Vec<T>, found: impl IntoIterator<Item = T>) -> u64 {
+    let mut omitted = 0;
+    for finding in found {
+        if all.len() < MAX_FINDINGS {
+            all.push(finding);
+        } else {
+            omitted += 1;
+        }
     }
+    omitted
 }
--- a/crates/audit-log/src/clock/tests.rs
+++ b/crates/audit-log/src/clock/tests.rs
@@ -2,33 +2,37 @@
 
 use super::*;
 
+fn exchange(sent: Millis, received: Millis, leader_time: Millis) -> ClockExchange {
+    ClockExchange { sent, received, leader_time }
+}
+
 #[test]
-fn exchanges_bound_the_difference_and_the_bound_widens_away_from_them() {
+fn exchanges_bound_the_difference_and_the_bounds_widen_away_from_them() {
     let mut clock = ClockBounds::default();
     assert_eq!(clock.bounds_of(5), None);
-    clock.add_exchange(1_000, 1_010, 50_000);
+    clock.add_exchange(exchange(1_000, 1_010, 50_000));
     assert_eq!(clock.bounds_of(1_005), Some(TimeBounds { earliest: 49_994, latest: 50_006 }));
     let later = clock.bounds_of(11_000).expect("known");
     assert_eq!((later.earliest, later.latest), (59_890, 60_100));
     // A slow exchange says less, and takes nothing away.
-    clock.add_exchange(10_000, 15_000, 60_500);
+    clock.add_exchange(exchange(10_000, 15_000, 60_500));
     let now = clock.bounds_of(11_000).expect("known");
     assert!(now.earliest >= 59_890 && now.latest <= 60_100, "{now:?}");
 }
 
 #[test]
-fn a_clock_that_did_what_no_clock_may_places_nothing() {
+fn contradicting_exchanges_bound_nothing() {
     let mut clock = ClockBounds::default();
-    clock.add_exchange(0, 1, 1_000);
-    clock.add_exchange(2, 3, 90_000);
+    clock.add_exchange(exchange(0, 1, 1_000));
+    clock.add_exchange(exchange(2, 3, 90_000));
     assert_eq!(clock.bounds_of(2), None);
 }
 
 #[test]
-fn many_exchanges_take_bounded_room() {
+fn remembered_exchanges_are_bounded() {
     let mut clock = ClockBounds::default();
     for n in 0..100_000 {
-        clock.add_exchange(n * 10, n * 10 + 2, n * 10 + 70_001);
+        clock.add_exchange(exchange(n * 10, n * 10 + 2, n * 10 + 70_001));
     }
     assert!(clock.exchanges.len() <= MAX_EXCHANGES);
     let span = clock.bounds_of(500_000).expect("known");
--- a/crates/audit-log/src/entry.rs
+++ b/crates/audit-log/src/entry.rs
@@ -1,5 +1,5 @@
-//! A line of the record: one JSON text. Its `prev` is the hash of the text before it, so that a line that was lost or
-//! altered is found by the next one.
+//! An entry of the audit log: one JSON text. Its `prev` is the hash of the text before it, so that the next entry
+//! shows whether one was lost or altered. The spelling of the JSON is that of earlier versions.
 
 use std::collections::BTreeMap;
 
@@ -10,44 +10,44 @@
 use crate::Millis;
 use crate::view::View;
 
-/// A hash, as it stands in a line.
+/// A hash as it is written in an entry: hexadecimal digits.
 pub type Hash = String;
 
-/// The hash before the first line.
+/// The hash before the first entry.
 pub const GENESIS_HASH: &str = "00000000000000000000000000000000";
 
-/// The hash of a line's text: BLAKE2s, 16 bytes, in hexadecimal digits.
+/// The hash of an entry's text: BLAKE2s, 16 bytes.
 pub fn hash(text: &str) -> Hash {
     let mut hasher = Blake2s::<U16>::new();
     hasher.update(text.as_bytes());
     hasher.finalize().iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// A line.
+/// An entry.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Its number: one more than the line before, over all lives of a disk.
+    /// One more than the entry before, over all incarnations that wrote to this disk.
     #[serde(rename = "n")]
     pub number: u64,
-    /// The life that wrote it, as [`What::Began`] tells it.
+    /// The random number of the incarnation that wrote it; see [`EntryKind::Started`].
     #[serde(rename = "life")]
     pub incarnation: u64,
-    /// From when to when, by the clock of that life.
+    /// When what it tells of began, by the clock of that incarnation.
     pub from: Millis,
-    /// See `from`.
+    /// When what it tells of ended.
     pub to: Millis,
-    /// The hash of the line before.
+    /// The hash of the entry before.
     pub prev: Hash,
-    /// What was so.
+    /// What it tells.
     #[serde(flatten)]
     pub kind: EntryKind,
 }
 
-/// What a line says.
+/// What an entry tells.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "what", rename_all = "snake_case")]
 pub enum EntryKind {
-    /// A life began.
+    /// An incarnation started.
     #[serde(rename = "began")]
     Started {
         /// The controller's number.
@@ -55,131 +55,134 @@
         /// The program's version.
         program: String,
     },
-    /// It acts on this from now on.
+    /// The controller acts on this view from now on.
     View {
-        /// Its number in this life.
+        /// Its number in this incarnation.
         view: u32,
         /// Its parts.
         parts: View,
     },
-    /// So many acts of each kind, all under one view and at one stage of its lease.
+    /// How many acts of each kind there were, all under one view and at one stage of the lease.
     #[serde(rename = "did")]
     Activity {
-        /// The view.
+        /// The number of the view.
         view: u32,
-        /// The stage of its lease.
+        /// The stage of the lease.
         stage: String,
-        /// Calls taken, by tenant.
+        /// Calls accepted, by tenant.
         #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
         calls: BTreeMap<String, u64>,
-        /// Attempts begun, by worker.
+        /// Attempts sent, by worker.
         #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
         attempts: BTreeMap<String, u64>,
-        /// Load orders given, by worker.
+        /// Load orders sent, by worker.
         #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
         orders: BTreeMap<String, u64>,
-        /// Calls refused for being behind.
+        /// Calls rejected for want of a lease.
         #[serde(default, skip_serializing_if = "is_zero")]
         refused: u64,
     },
-    /// One act that is rare or may be disputed.
+    /// An act that is rare or may be disputed.
     #[serde(rename = "one")]
     Event {
-        /// The view.
+        /// The number of the view.
         view: u32,
-        /// What.
+        /// The act.
         #[serde(rename = "act")]
         event: Event,
     },
-    /// An exchange with the administration: between `from`, when it was asked, and `to`, when it had answered, its
-    /// clock read `at`.
+    /// An exchange with the leader: between `from`, when the request was sent, and `to`, when the response had come,
+    /// its clock read `leader_time`.
     #[serde(rename = "heard")]
     ClockExchange {
-        /// The administration's life.
+        /// The leader's incarnation.
         #[serde(rename = "by")]
         leader: u64,
-        /// Its clock.
+        /// What its clock read.
         #[serde(rename = "at")]
         leader_time: Millis,
     },
-    /// Lines are missing here.
+    /// Entries are missing here.
     Gap {
-        /// How many, where it is known.
+        /// How many.
         lines: u64,
         /// Why.
         why: String,
     },
-    /// The administration took a change.
+    /// The leader accepted a change.
     Accepted {
         /// The store's epoch.
         epoch: u64,
-        /// The change.
+        /// The number of the change.
         revision: u64,
-        /// Whose it is.
+        /// The tenant that was changed.
         tenant: String,
-        /// What was done.
+        /// What was done to it.
         action: String,
         /// It takes something away.
         #[serde(rename = "binds")]
         restricts: bool,
     },
-    /// The administration said that a change is in force everywhere.
+    /// The leader acknowledged that a change is in force everywhere.
     #[serde(rename = "everywhere")]
     InForce {
         /// The store's epoch.
         epoch: u64,
-        /// The change.
+        /// The number of the change.
         revision: u64,
     },
 }
 
-/// One act.
+/// An act that is rare or may be disputed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "act", rename_all = "snake_case")]
 pub enum Event {
-    /// A tenant's state became another, as this controller acts on it.
+    /// This controller acts on another state of a tenant from now on.
     Tenant {
-        /// Whose.
+        /// The tenant.
         tenant: String,
         /// Its state: active, suspended, removing, gone.
         state: String,
     },
-    /// A worker is drained by hand, or not any more.
+    /// An operator drained a worker, or ended that.
     Drained {
-        /// Which.
+        /// The worker.
         worker: String,
-        /// Whether.
+        /// True: it is drained.
         drained: bool,
     },
-    /// The stage of the lease became another.
+    /// The lease came to another stage.
     Stage {
-        /// Which.
+        /// The stage.
         stage: String,
     },
-    /// Calls were taken while the lease ran out, as the process stood still.
+    /// Calls were accepted while the lease ended, as the process stood still.
     #[serde(rename = "doubtful")]
     LeaseEndedMeanwhile {
-        /// For so long, milliseconds.
+        /// For how long it stood still, milliseconds.
         #[serde(rename = "stood_ms")]
         stalled_ms: Millis,
     },
-    /// This life was shut out.
+    /// This incarnation was fenced.
     Fenced,
 }
 
-#[allow(clippy::trivially_copy_pass_by_ref)]
-fn is_zero(n: &u64) -> bool {
-    *n == 0
+/// As serde asks: by reference.
+fn is_zero(count: &u64) -> bool {
+    *count == 0
 }
 
 impl Entry {
-    /// As it is written and hashed.
+    /// Its text, as it is written and hashed.
     pub fn to_json(&self) -> String {
-        // Every part of a line can be written as JSON: its maps have strings for keys.
+        // Every part of an entry can be written as JSON: its maps have strings for keys.
         serde_json::to_string(self).unwrap_or_default()
     }
 
-    /// From a text.
+    /// Reads an entry from its text.
+    ///
+    /// # Errors
+    /// Where the text is no entry.
     pub fn from_json(text: &str) -> Result<Self, serde_json::Error> {
         serde_json::from_str(text)
     }
--- a/crates/audit-log/src/recorder.rs
+++ b/crates/audit-log/src/recorder.rs
@@ -1,22 +1,26 @@
-//! A controller's own record. On the ordinary path an act is a counter: no allocation once a name was seen, no
-//! clock of its own, no disk. Lines come at a change of view or stage, and when an interval has become long; they
-//! wait in a bounded queue for whoever writes them, and what finds no room is said to be missing.
+//! A controller's own audit log. On the ordinary path an act is a counter: no allocation once a name was seen, no
+//! clock of its own, no disk. Entries come at a change of view or stage, and when an interval has become long; they
+//! wait in a bounded queue for whoever writes them, and what finds no room there is declared as missing.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
 use crate::Millis;
+use crate::clock::ClockExchange;
 use crate::entry::{Entry, EntryKind, Event, GENESIS_HASH, Hash, hash};
 use crate::view::View;
 
-/// An interval is closed after so long at the latest, where anything happens: the finer, the fewer doubtful cases.
+/// An interval with acts is closed after so many milliseconds at the latest: the shorter, the fewer doubtful findings.
 pub const MAX_INTERVAL: Millis = 1_000;
-/// Lines that wait to be written at the most.
+/// Entries that wait to be written at the most.
 pub const MAX_WAITING: usize = 4_096;
 /// Names counted in one interval at the most; acts beyond them are counted together, under [`OTHERS`].
 pub const MAX_NAMES: usize = 4_096;
-/// See [`MAX_NAMES`].
+/// The name under which acts beyond [`MAX_NAMES`] are counted.
 pub const OTHERS: &str = "(others)";
 
+/// The stage of the lease at the start, as entries spell it.
+const FIRST_STAGE: &str = "current";
+
 /// What an interval counts by name.
 #[derive(Clone, Debug, Default)]
 struct Tally {
@@ -35,6 +39,7 @@
         }
     }
 
+    /// Takes all counts, by name.
     fn take(&mut self, name: impl Fn(u64) -> String) -> BTreeMap<String, u64> {
         let mut all = BTreeMap::new();
         for (id, count) in self.counts.drain() {
@@ -52,80 +57,98 @@
     }
 }
 
-/// Who is who, for the lines.
+/// Names for the numbers under which acts are counted.
 pub trait NameResolver {
-    /// A tenant's name, by the number under which its calls were counted.
+    /// A tenant's name.
     fn tenant(&self, id: u64) -> String;
-    /// A worker's.
+    /// A worker's name.
     fn worker(&self, id: u64) -> String;
 }
 
-/// The end of a record that another life left.
+/// The end of a log, on which the next entry follows.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Tail {
-    /// Its last line's number.
+    /// The last entry's number.
     pub number: u64,
-    /// Its hash.
+    /// The last entry's hash.
     pub hash: Hash,
 }
 
-/// The record.
+/// The times of an entry.
+#[derive(Clone, Copy, Debug)]
+struct Interval {
+    from: Millis,
+    to: Millis,
+}
+
+impl Interval {
+    fn at(moment: Millis) -> Self {
+        Self { from: moment, to: moment }
+    }
+}
+
+/// A view with its number in this incarnation.
+#[derive(Clone, Debug)]
+struct NumberedView {
+    number: u32,
+    view: View,
+}
+
+/// A controller's audit log as it is written.
 #[derive(Clone, Debug)]
 pub struct Recorder {
     incarnation: u64,
-    last_number: u64,
-    prev: Hash,
-    view: Option<(u32, View)>,
+    tail: Tail,
+    view: Option<NumberedView>,
     stage: &'static str,
     calls: Tally,
     attempts: Tally,
     orders: Tally,
-    refused: u64,
-    /// The open interval: its first act, and its last one.
-    open: Option<(Millis, Millis)>,
+    rejected: u64,
+    /// The open interval: from its first act to its last one.
+    open: Option<Interval>,
     waiting: VecDeque<String>,
+    /// Entries that found no room since the last one that did.
     missing: u64,
 }
 
 impl Recorder {
-    /// A life begins, behind what others left on this disk.
-    pub fn new(now: Millis, life: u64, controller: u32, program: &str, left: Option<Tail>) -> Self {
-        let (n, prev) = left.map_or((0, GENESIS_HASH.to_owned()), |tail| (tail.number, tail.hash));
+    /// An incarnation starts. `tail`: the end of the log that earlier ones left on this disk.
+    pub fn new(now: Millis, incarnation: u64, controller: u32, program: &str, tail: Option<Tail>) -> Self {
         let mut recorder = Self {
-            incarnation: life,
-            last_number: n,
-            prev,
+            incarnation,
+            tail: tail.unwrap_or_else(|| Tail { number: 0, hash: GENESIS_HASH.to_owned() }),
             view: None,
-            stage: "current",
+            stage: FIRST_STAGE,
             calls: Tally::default(),
             attempts: Tally::default(),
             orders: Tally::default(),
-            refused: 0,
+            rejected: 0,
             open: None,
             waiting: VecDeque::new(),
             missing: 0,
         };
-        recorder.line((now, now), EntryKind::Started { controller, program: program.to_owned() });
+        recorder.append(now, EntryKind::Started { controller, program: program.to_owned() });
         recorder
     }
 
-    /// The view in force, by its number.
-    pub fn view(&self) -> Option<(u32, &View)> {
-        self.view.as_ref().map(|(number, view)| (*number, view))
+    /// The number of the view in force; 0: none.
+    fn view_number(&self) -> u32 {
+        self.view.as_ref().map_or(0, |view| view.number)
     }
 
-    /// From now on this is acted on: what was done before is closed under the view before.
+    /// From now on the controller acts on this view: what was done before is closed under the one before.
     pub fn view_applied(&mut self, now: Millis, view: View, names: &impl NameResolver) {
-        if self.view.as_ref().is_some_and(|(_, before)| *before == view) {
+        if self.view.as_ref().is_some_and(|before| before.view == view) {
             return;
         }
         self.close(names);
-        let number = self.view.as_ref().map_or(1, |(number, _)| number + 1);
-        self.line((now, now), EntryKind::View { view: number, parts: view.clone() });
-        self.view = Some((number, view));
+        let number = self.view_number() + 1;
+        self.append(now, EntryKind::View { view: number, parts: view.clone() });
+        self.view = Some(NumberedView { number, view });
     }
 
-    /// The stage of its lease is this one.
+    /// The stage of the controller's lease.
     pub fn stage(&mut self, now: Millis, stage: &'static str, names: &impl NameResolver) {
         if self.stage != stage {
             self.close(names);
@@ -134,122 +157,124 @@
         }
     }
 
-    /// A call of this tenant was taken.
+    /// A call of this tenant was accepted.
     pub fn call(&mut self, now: Millis, tenant: u64) {
         self.calls.add(tenant);
-        self.at(now);
+        self.extend(now);
     }
 
-    /// An attempt was begun there.
+    /// An attempt was sent to this worker.
     pub fn attempt(&mut self, now: Millis, worker: u64) {
         self.attempts.add(worker);
-        self.at(now);
+        self.extend(now);
     }
 
-    /// A load order was given there.
+    /// A load order was sent to this worker.
     pub fn order(&mut self, now: Millis, worker: u64) {
         self.orders.add(worker);
-        self.at(now);
+        self.extend(now);
     }
 
-    /// A call was refused for being behind.
+    /// A call was rejected for want of a lease.
     pub fn call_rejected(&mut self, now: Millis) {
-        self.refused += 1;
-        self.at(now);
+        self.rejected += 1;
+        self.extend(now);
     }
 
-    fn at(&mut self, now: Millis) {
+    /// Extends the open interval to now, or opens one.
+    fn extend(&mut self, now: Millis) {
         match &mut self.open {
-            Some((_, to)) => *to = now,
-            None => self.open = Some((now, now)),
+            Some(interval) => interval.to = now,
+            None => self.open = Some(Interval::at(now)),
         }
     }
 
-    /// One act that is rare or may be disputed.
-    pub fn event(&mut self, now: Millis, act: Event, names: &impl NameResolver) {
+    /// An act that is rare or may be disputed.
+    pub fn event(&mut self, now: Millis, event: Event, names: &impl NameResolver) {
         self.close(names);
-        let view = self.view.as_ref().map_or(0, |(number, _)| *number);
-        self.line((now, now), EntryKind::Event { view, event: act });
+        self.append(now, EntryKind::Event { view: self.view_number(), event });
     }
 
-    /// An exchange with the administration.
-    pub fn clock_exchange(&mut self, (asked, answered): (Millis, Millis), by: u64, at: Millis) {
-        self.line((asked, answered), EntryKind::ClockExchange { leader: by, leader_time: at });
+    /// An exchange with this incarnation of the leader.
+    pub fn clock_exchange(&mut self, leader: u64, exchange: ClockExchange) {
+        let interval = Interval { from: exchange.sent, to: exchange.received };
+        let leader_time = exchange.leader_time;
+        self.append_interval(interval, EntryKind::ClockExchange { leader, leader_time });
     }
 
-    /// A change was taken, or is in force everywhere: the administration's own lines.
-    pub fn append(&mut self, now: Millis, what: EntryKind) {
-        self.line((now, now), what);
+    /// An entry of one moment: a change was accepted, or is in force everywhere.
+    pub fn append(&mut self, now: Millis, kind: EntryKind) {
+        self.append_interval(Interval::at(now), kind);
     }
 
-    /// An interval that has become long is closed. To be called as events come.
+    /// Closes an interval that has become long. To be called as events come.
     pub fn tick(&mut self, now: Millis, names: &impl NameResolver) {
-        if self.open.is_some_and(|(from, _)| now >= from + MAX_INTERVAL) {
+        if self.open.is_some_and(|interval| now >= interval.from + MAX_INTERVAL) {
             self.close(names);
         }
     }
 
-    /// The open interval becomes a line.
+    /// Closes the open interval: its counts become an entry.
     pub fn close(&mut self, names: &impl NameResolver) {
-        let Some(span) = self.open.take() else { return };
-        if self.calls.is_empty() && self.attempts.is_empty() && self.orders.is_empty() && self.refused == 0 {
+        let Some(interval) = self.open.take() else { return };
+        let counted_nothing = self.calls.is_empty() && self.attempts.is_empty() && self.orders.is_empty();
+        if counted_nothing && self.rejected == 0 {
             return;
         }
-        let what = EntryKind::Activity {
-            view: self.view.as_ref().map_or(0, |(number, _)| *number),
+        let kind = EntryKind::Activity {
+            view: self.view_number(),
             stage: self.stage.to_owned(),
             calls: self.calls.take(|id| names.tenant(id)),
             attempts: self.attempts.take(|id| names.worker(id)),
             orders: self.orders.take(|id| names.worker(id)),
-            refused: std::mem::take(&mut self.refused),
+            refused: std::mem::take(&mut self.rejected),
         };
-        self.line(span, what);
+        self.append_interval(interval, kind);
     }
 
-    fn line(&mut self, (from, to): (Millis, Millis), what: EntryKind) {
+    /// Queues an entry, behind one that declares those that found no room before.
+    fn append_interval(&mut self, interval: Interval, kind: EntryKind) {
         if self.waiting.len() >= MAX_WAITING {
             self.missing += 1;
             return;
         }
         if self.missing > 0 {
             let lines = std::mem::take(&mut self.missing);
-            self.push(
-                (from, from),
-                EntryKind::Gap { lines, why: "the disk did not take lines fast enough".to_owned() },
-            );
+            let why = "the disk did not take lines fast enough".to_owned();
+            self.push(Interval::at(interval.from), EntryKind::Gap { lines, why });
         }
-        self.push((from, to), what);
+        self.push(interval, kind);
     }
 
-    fn push(&mut self, (from, to): (Millis, Millis), what: EntryKind) {
-        self.last_number += 1;
-        let line = Entry {
-            number: self.last_number,
+    fn push(&mut self, interval: Interval, kind: EntryKind) {
+        let number = self.tail.number + 1;
+        let entry = Entry {
+            number,
             incarnation: self.incarnation,
-            from,
-            to,
-            prev: self.prev.clone(),
-            kind: what,
+            from: interval.from,
+            to: interval.to,
+            prev: self.tail.hash.clone(),
+            kind,
         };
-        let text = line.to_json();
-        self.prev = hash(&text);
+        let text = entry.to_json();
+        self.tail = Tail { number, hash: hash(&text) };
         self.waiting.push_back(text);
     }
 
-    /// Lines that wait to be written, the oldest first, so many at the most.
+    /// Takes entries that wait to be written, the oldest first, so many at the most.
     pub fn take(&mut self, most: usize) -> impl Iterator<Item = String> + '_ {
         let count = most.min(self.waiting.len());
         self.waiting.drain(..count)
     }
 
-    /// Lines that were taken and could not be written go back to the front.
-    pub fn put_back(&mut self, lines: Vec<String>) {
-        for line in lines.into_iter().rev() {
-            self.waiting.push_front(line);
+    /// Puts entries that were taken and could not be written back to the front, the oldest first.
+    pub fn put_back(&mut self, entries: Vec<String>) {
+        for entry in entries.into_iter().rev() {
+            self.waiting.push_front(entry);
         }
     }
 
-    /// How many lines wait.
+    /// How many entries wait to be written.
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
--- a/crates/audit-log/src/view.rs
+++ b/crates/audit-log/src/view.rs
@@ -24,17 +24,17 @@
     }
 }
 
-/// The parts. Two views that differ in one of them are two; a controller numbers its own in the order in which it
-/// came to them.
+/// All that a controller's decisions depend on. Two views that differ in one part are different; a controller numbers
+/// its own in the order in which it came to them.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct View {
-    /// The store of the tenants' book; empty: none is held.
+    /// The store of the tenants' snapshot; empty: there is no snapshot.
     pub store: String,
     /// The store's epoch.
     pub epoch: u64,
-    /// The book's last change.
+    /// The number of the snapshot's last change.
     pub revision: u64,
-    /// Which version of the worker list of this life, from 1; 0: none.
+    /// Which version of the worker list this incarnation has, from 1; 0: none.
     pub list: u64,
     /// A checksum of the settings.
     pub settings: u64,
@@ -43,7 +43,7 @@
 }
 
 impl View {
-    /// Which book it is, for comparing: epoch, then revision.
+    /// The version of its snapshot.
     pub fn version(&self) -> Version {
         Version { epoch: self.epoch, revision: self.revision }
     }
--- a/crates/audit-log/tests/truth.rs
+++ b/crates/audit-log/tests/truth.rs
@@ -1,11 +1,12 @@
 //! The audit against the truth: fleets whose clocks differ and drift, whose news are late, lost or come at once, and
-//! whose processes stand still, played in made-up time from a seed. What the audit calls certain must be so, and
+//! whose processes stand still, simulated in made-up time from a seed. What the audit calls certain must be so, and
 //! what was so must be told, at least as doubtful.
 
 use std::collections::BTreeMap;
 
 use nettleferry_audit_log::Audit;
 use nettleferry_audit_log::chain::check;
+use nettleferry_audit_log::clock::ClockExchange;
 use nettleferry_audit_log::entry::EntryKind;
 use nettleferry_audit_log::findings::{Certainty, Incarnation};
 use nettleferry_audit_log::recorder::{NameResolver, Recorder};
@@ -16,11 +17,11 @@
 const CONTROLLERS: usize = 5;
 const LENGTH: Millis = 60_000;
 const TENANTS: u64 = 3;
-const ADMINISTRATION: u64 = 99;
+const LEADER: u64 = 99;
 
-struct Plain;
+struct NumberedNames;
 
-impl NameResolver for Plain {
+impl NameResolver for NumberedNames {
     fn tenant(&self, id: u64) -> String {
         format!("t{id}")
     }
@@ -32,12 +33,12 @@
 
 /// A clock that began at some moment of true time and runs a little fast or slow.
 #[derive(Clone, Copy)]
-struct Wrong {
+struct SkewedClock {
     began: f64,
     rate: f64,
 }
 
-impl Wrong {
+impl SkewedClock {
     fn read(self, truth: f64) -> Millis {
         ((truth - self.began) * self.rate).max(0.0) as Millis
     }
@@ -51,12 +52,12 @@
     revision: u64,
 }
 
-struct Played {
-    records: Vec<Vec<String>>,
+struct Simulated {
+    logs: Vec<Vec<String>>,
     own: Vec<String>,
     calls: Vec<Call>,
     /// When each revision came into force at each controller.
-    came: Vec<BTreeMap<u64, f64>>,
+    arrivals: Vec<BTreeMap<u64, f64>>,
     /// Suspensions: revision, tenant, and when it was acknowledged.
     acknowledged: Vec<(u64, u64, f64)>,
 }
@@ -65,24 +66,27 @@
     View { epoch: 1, revision, ..View::default() }
 }
 
-fn play(seed: u64) -> Played {
+#[expect(clippy::too_many_lines, reason = "one simulated fleet, step by step")]
+fn simulate(seed: u64) -> Simulated {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     // Clocks lie minutes apart, and each is off by up to four in a thousand.
-    let mut clock =
-        || Wrong { began: -random.random_range(0.0..600_000.0), rate: random.random_range(0.996..1.004) };
-    let ours = Wrong { began: 0.0, rate: 1.0 };
-    let clocks: Vec<Wrong> = (0..CONTROLLERS).map(|_| clock()).collect();
+    let mut clock = || SkewedClock {
+        began: -random.random_range(0.0..600_000.0),
+        rate: random.random_range(0.996..1.004),
+    };
+    let ours = SkewedClock { began: 0.0, rate: 1.0 };
+    let clocks: Vec<SkewedClock> = (0..CONTROLLERS).map(|_| clock()).collect();
     let mut recorders: Vec<Recorder> = clocks
         .iter()
         .enumerate()
         .map(|(n, c)| Recorder::new(c.read(0.0), n as u64 + 1, n as u32 + 1, "1.0", None))
         .collect();
-    let mut own = Recorder::new(0, ADMINISTRATION, 0, "1.0", None);
-    let mut played = Played {
-        records: vec![Vec::new(); CONTROLLERS],
+    let mut own = Recorder::new(0, LEADER, 0, "1.0", None);
+    let mut simulated = Simulated {
+        logs: vec![Vec::new(); CONTROLLERS],
         own: Vec::new(),
         calls: Vec::new(),
-        came: vec![BTreeMap::from([(0, 0.0)]); CONTROLLERS],
+        arrivals: vec![BTreeMap::from([(0, 0.0)]); CONTROLLERS],
         acknowledged: Vec::new(),
     };
     let (mut revision, mut revisions) = (0, vec![0; CONTROLLERS]);
@@ -90,7 +94,7 @@
     let (mut cut, mut still) = (vec![0.0; CONTROLLERS], vec![0.0; CONTROLLERS]);
     let mut open: Vec<(u64, u64)> = Vec::new();
     for (n, recorder) in recorders.iter_mut().enumerate() {
-        recorder.view_applied(clocks[n].read(0.0), view(0), &Plain);
+        recorder.view_applied(clocks[n].read(0.0), view(0), &NumberedNames);
     }
     for tick in 1..LENGTH / 10 {
         let now = tick as f64 * 10.0;
@@ -98,7 +102,7 @@
             revision += 1;
             let (tenant, suspends) = (random.random_range(0..TENANTS), random.random_bool(0.5));
             let action = if suspends { "suspend" } else { "resume" }.to_owned();
-            let tenant_name = Plain.tenant(tenant);
+            let tenant_name = NumberedNames.tenant(tenant);
             let what =
                 EntryKind::Accepted { epoch: 1, revision, tenant: tenant_name, action, restricts: suspends };
             own.append(ours.read(now), what);
@@ -121,21 +125,23 @@
                 // An exchange: the answer is on its way for up to 200 ms, and was true when it left.
                 let (there, back) = (random.random_range(0.0..200.0), random.random_range(0.0..200.0));
                 let asked = clocks[n].read(now - there - back);
-                recorders[n].clock_exchange((asked, read), ADMINISTRATION, ours.read(now - back));
+                let leader_time = ours.read(now - back);
+                let exchange = ClockExchange { sent: asked, received: read, leader_time };
+                recorders[n].clock_exchange(LEADER, exchange);
                 if revisions[n] < revision && random.random_bool(0.7) {
                     revisions[n] = revision;
-                    recorders[n].view_applied(read, view(revision), &Plain);
-                    played.came[n].insert(revision, now);
+                    recorders[n].view_applied(read, view(revision), &NumberedNames);
+                    simulated.arrivals[n].insert(revision, now);
                 }
             }
             if random.random_bool(0.3) {
                 let tenant = random.random_range(0..TENANTS);
                 recorders[n].call(read, tenant);
-                played.calls.push(Call { who: n, at: now, tenant, revision: revisions[n] });
+                simulated.calls.push(Call { who: n, at: now, tenant, revision: revisions[n] });
             }
-            recorders[n].tick(read, &Plain);
+            recorders[n].tick(read, &NumberedNames);
             let texts: Vec<String> = recorders[n].take(usize::MAX).collect();
-            played.records[n].extend(texts);
+            simulated.logs[n].extend(texts);
         }
         // Acknowledged too early now and then: that is what an audit is for.
         open.retain(|(of, tenant)| {
@@ -143,29 +149,29 @@
             let done = all || random.random_bool(0.01);
             if done {
                 own.append(ours.read(now), EntryKind::InForce { epoch: 1, revision: *of });
-                played.acknowledged.push((*of, *tenant, now));
+                simulated.acknowledged.push((*of, *tenant, now));
             }
             !done
         });
     }
     for (n, recorder) in recorders.iter_mut().enumerate() {
-        recorder.close(&Plain);
+        recorder.close(&NumberedNames);
         let texts: Vec<String> = recorder.take(usize::MAX).collect();
-        played.records[n].extend(texts);
+        simulated.logs[n].extend(texts);
     }
-    played.own.extend(own.take(usize::MAX));
-    played
+    simulated.own.extend(own.take(usize::MAX));
+    simulated
 }
 
-fn audit(played: &Played) -> Audit {
+fn audit(simulated: &Simulated) -> Audit {
     let mut audit = Audit::default();
-    let own = check(played.own.iter().map(String::as_str));
+    let own = check(simulated.own.iter().map(String::as_str));
     assert_eq!(own.errors, vec![]);
-    audit.add_leader(ADMINISTRATION, &own.entries);
-    for record in &played.records {
+    audit.add_leader(LEADER, &own.entries);
+    for record in &simulated.logs {
         let checked = check(record.iter().map(String::as_str));
         assert_eq!(checked.errors, vec![]);
-        audit.add_controller(ADMINISTRATION, &checked.entries, false);
+        audit.add_controller(LEADER, &checked.entries, false);
     }
     audit
 }
@@ -175,11 +181,12 @@
 }
 
 #[test]
-fn no_accusation_is_false_and_none_is_missing_over_200_seeds() {
+#[expect(clippy::too_many_lines, reason = "one comparison of every finding with the truth")]
+fn no_finding_is_false_and_none_is_missing_over_200_seeds() {
     let (mut certain, mut doubtful) = (0, 0);
     for seed in 0..200 {
-        let played = play(seed);
-        let report = audit(&played).report();
+        let simulated = simulate(seed);
+        let report = audit(&simulated).report();
         assert_eq!(report.gaps, vec![], "seed {seed}");
         assert_eq!(
             report.omitted,
@@ -189,11 +196,11 @@
             report.late_calls.len()
         );
         // Calls after an acknowledgement.
-        for (revision, tenant, at) in &played.acknowledged {
+        for (revision, tenant, at) in &simulated.acknowledged {
             for n in 0..CONTROLLERS {
                 let truly =
                     |c: &&Call| c.who == n && c.tenant == *tenant && c.revision < *revision && c.at > *at;
-                let truth = played.calls.iter().filter(truly).count() as u64;
+                let truth = simulated.calls.iter().filter(truly).count() as u64;
                 let found = report.late_calls.iter().find(|a| {
                     a.incarnation == who(n)
                         && a.change == Version { epoch: 1, revision: *revision }
@@ -213,16 +220,16 @@
         }
         // Acts on a version when a newer one was in force elsewhere.
         for n in 0..CONTROLLERS {
-            for book in 0..=*played.came[n].keys().max().expect("0 at the least") {
+            for book in 0..=*simulated.arrivals[n].keys().max().expect("0 at the least") {
                 let elsewhere = (0..CONTROLLERS).filter(|o| *o != n);
                 let newer = elsewhere.filter_map(|o| {
-                    let first = played.came[o].range(book + 1..).map(|(_, at)| *at);
+                    let first = simulated.arrivals[o].range(book + 1..).map(|(_, at)| *at);
                     first.min_by(f64::total_cmp)
                 });
                 let since = newer.min_by(f64::total_cmp);
                 let truly =
                     |c: &&Call| c.who == n && c.revision == book && since.is_some_and(|since| c.at > since);
-                let truth = played.calls.iter().filter(truly).count() as u64;
+                let truth = simulated.calls.iter().filter(truly).count() as u64;
                 let found = report
                     .stale_activity
                     .iter()
@@ -245,9 +252,9 @@
 }
 
 #[test]
-fn a_flipped_digit_anywhere_is_found_or_changes_nothing_that_is_told() {
-    let played = play(7);
-    let whole = &played.records[0];
+fn flipped_digit_is_found_or_changes_no_finding() {
+    let simulated = simulate(7);
+    let whole = &simulated.logs[0];
     let mut random = ChaCha8Rng::seed_from_u64(1);
     for _ in 0..300 {
         let place = random.random_range(0..whole.len() - 1);
@@ -268,14 +275,15 @@
     for n in 0..2u64 {
         let mut recorder = Recorder::new(0, n + 1, n as u32 + 1, "1.0", None);
         for at in (0..10_000).step_by(100) {
-            recorder.clock_exchange((at, at + 2), ADMINISTRATION, at + 1);
-            recorder.view_applied(at, View { epoch: 3 + n, revision: 5, ..View::default() }, &Plain);
+            let exchange = ClockExchange { sent: at, received: at + 2, leader_time: at + 1 };
+            recorder.clock_exchange(LEADER, exchange);
+            recorder.view_applied(at, View { epoch: 3 + n, revision: 5, ..View::default() }, &NumberedNames);
             recorder.call(at, 1);
-            recorder.tick(at, &Plain);
+            recorder.tick(at, &NumberedNames);
         }
-        recorder.close(&Plain);
+        recorder.close(&NumberedNames);
         let texts: Vec<String> = recorder.take(usize::MAX).collect();
-        audit.add_controller(ADMINISTRATION, &check(texts.iter().map(String::as_str)).entries, false);
+        audit.add_controller(LEADER, &check(texts.iter().map(String::as_str)).entries, false);
     }
     let report = audit.report();
     assert_eq!(report.forks.len(), 1, "{:?}", report.forks);
--- a/crates/gateway/src/controller/administration.rs
+++ b/crates/gateway/src/controller/administration.rs
@@ -6,6 +6,7 @@
 use nettleferry::{ListForm, TenantId};
 use nettleferry_administration::{Lent, Told, Whole};
 use nettleferry_audit_log::Event as AuditEvent;
+use nettleferry_audit_log::clock::ClockExchange;
 use nettleferry_engine::Event;
 use nettleferry_tenancy::Entry;
 
@@ -30,8 +31,12 @@
             Told::Changed(change) => self.apply_tenant_change(&change),
             Told::Began(snapshot) => self.apply_snapshot(*snapshot),
             Told::Heard { asked, answered, by, at } => {
-                let span = (self.clock.at(asked) / 1000, self.clock.at(answered).div_ceil(1000));
-                self.record(|recorder, _, _| recorder.clock_exchange(span, by, at));
+                let exchange = ClockExchange {
+                    sent: self.clock.at(asked) / 1000,
+                    received: self.clock.at(answered).div_ceil(1000),
+                    leader_time: at,
+                };
+                self.record(|recorder, _, _| recorder.clock_exchange(by, exchange));
             }
             Told::Mark(mark) => self.admin_server.iter().for_each(|server| server.applied(mark)),
             Told::Leased { until, place } => self.renew_lease(until, place),
