--- a/crates/administration/src/desk.rs
+++ b/crates/administration/src/desk.rs
@@ -25,7 +25,7 @@
 use nettleferry_fleet::recovery_policy::PersistedState;
 use nettleferry_fleet::snapshot_version::SnapshotVersion;
 use nettleferry_net::clock;
-use nettleferry_net::http1::{self, Http1, Http1Limits, Stop, Turn};
+use nettleferry_net::http1::{self, Disposition, Http1, Http1Limits, Stop};
 use nettleferry_net::retry::{RetryPolicy, is_transient, retry_startup};
 use nettleferry_tenancy::{Entry, IdempotentResponse, Revision, Tenant, TenantSnapshot};
 use nettleferry_tenant_store::{Origin, Snapshot, Store, StoreError};
@@ -671,10 +671,10 @@
     json!({ "controller": number, "revision": other.revision(), "differences": count, "tenants": names })
 }
 
-fn turn(told: changes::Told) -> Turn {
+fn turn(told: changes::Told) -> Disposition {
     match told {
-        changes::Told::Answer(response) => Turn::Reply(reply(response)),
-        changes::Told::Waits(span, ticket) => Turn::Park(Duration::from_millis(span), ticket),
+        changes::Told::Answer(response) => Disposition::Reply(reply(response)),
+        changes::Told::Waits(span, ticket) => Disposition::Park(Duration::from_millis(span), ticket),
     }
 }
 
@@ -711,15 +711,15 @@
 }
 
 impl Work {
-    fn answer(&mut self, request: &http1::Request<'_>, waited: Duration) -> Turn {
+    fn answer(&mut self, request: &http1::Request<'_>, waited: Duration) -> Disposition {
         let caller = match self.keys.prove(request.header("authorization")) {
             Ok(caller) => caller,
-            Err(problem) => return Turn::Reply(reply(problem.response())),
+            Err(problem) => return Disposition::Reply(reply(problem.response())),
         };
         self.around.own = self.marks.in_force();
         if let Some(ticket) = request.ticket {
             let told = self.changes.again(&self.around.here(), ticket);
-            let told = told.map_or_else(|| Turn::Reply(reply(lost().response())), turn);
+            let told = told.map_or_else(|| Disposition::Reply(reply(lost().response())), turn);
             self.acknowledged();
             return told;
         }
@@ -739,8 +739,8 @@
         self.spread();
         self.wake_changes();
         match answer {
-            Answer::Ready(response) => Turn::Reply(reply(response)),
-            Answer::Wait(span) => Turn::Wait(span),
+            Answer::Ready(response) => Disposition::Reply(reply(response)),
+            Answer::Wait(span) => Disposition::Wait(span),
             Answer::Committed { response, revision, restricts } => {
                 let at = Version { epoch: self.around.epoch, revision };
                 self.around.own = self.marks.in_force();
--- a/crates/administration/src/follow.rs
+++ b/crates/administration/src/follow.rs
@@ -237,7 +237,7 @@
         }
         let target = deregistration_target(self.number, self.life);
         let bearer = format!("Bearer {}", self.token);
-        self.snapshots.patience(DEREGISTRATION_TIMEOUT);
+        self.snapshots.set_timeout(DEREGISTRATION_TIMEOUT);
         self.snapshots.send(0, "GET", &target, &[("Authorization", &bearer)], b"");
         let (mut heard, until) = (Vec::new(), Instant::now() + DEREGISTRATION_TIMEOUT);
         while heard.is_empty() && Instant::now() < until {
@@ -277,7 +277,7 @@
     fn post(&mut self, target: &str, body: &[u8]) -> io::Result<Option<Answer>> {
         let bearer = format!("Bearer {}", self.token);
         let headers = [("Authorization", bearer.as_str()), ("Content-Type", "application/json")];
-        self.snapshots.patience(SNAPSHOT_TIMEOUT);
+        self.snapshots.set_timeout(SNAPSHOT_TIMEOUT);
         self.snapshots.send(0, "POST", target, &headers, body);
         let mut heard = Vec::new();
         while heard.is_empty() && !self.ended.load(Ordering::Acquire) {
@@ -401,7 +401,7 @@
                 (&mut self.watches, timing.timeout, report.watch_target(timing.wait))
             }
         };
-        poster.patience(patience);
+        poster.set_timeout(patience);
         poster.send(0, "GET", &target, &[("Authorization", &format!("Bearer {}", self.token))], b"");
         let mut heard = Vec::new();
         while heard.is_empty() && !self.ended.load(Ordering::Acquire) {
--- a/crates/hollow/src/followers/follower.rs
+++ b/crates/hollow/src/followers/follower.rs
@@ -251,7 +251,7 @@
     ) -> Outcome {
         let before = self.revision().unwrap_or(0);
         let (meaning, lease, mut changes) = match answer {
-            Err(PostError::Late) => (Meaning::Late, None, Vec::new()),
+            Err(PostError::Timeout) => (Meaning::Late, None, Vec::new()),
             Err(PostError::Broken(_)) => (Meaning::Broken, None, Vec::new()),
             Err(PostError::Malformed) => (Meaning::Malformed, None, Vec::new()),
             Ok(answer) => self.answered(exchange.ask, answer, book),
--- a/crates/hollow/src/followers/run.rs
+++ b/crates/hollow/src/followers/run.rs
@@ -256,7 +256,7 @@
         }
         let comes = now + way;
         let in_time = comes < until;
-        let answer = if in_time { answer } else { Err(PostError::Late) };
+        let answer = if in_time { answer } else { Err(PostError::Timeout) };
         if !in_time {
             peer.connections[lane].close();
         }
@@ -377,7 +377,7 @@
             let now = Instant::now();
             let waits = |peer: &mut Peer| {
                 let connection = &mut peer.connections[SNAPSHOTS];
-                connection.until().is_some() && connection.poll(now).is_none()
+                connection.deadline().is_some() && connection.poll(now).is_none()
             };
             let waiting = self.peers.iter_mut().map(waits).filter(|waits| *waits).count();
             if waiting == 0 {
--- a/crates/hollow/tests/followers.rs
+++ b/crates/hollow/tests/followers.rs
@@ -144,7 +144,7 @@
 fn failures_are_waited_out_ever_longer_and_a_fence_is_told_on() {
     let mut rig = Rig::begun();
     let mut waits = Vec::new();
-    for failure in [Err(PostError::Late), Err(PostError::Broken(String::new())), answer(503, json!({}))] {
+    for failure in [Err(PostError::Timeout), Err(PostError::Broken(String::new())), answer(503, json!({}))] {
         let outcome = rig.hears(failure);
         waits.push(outcome.ask_again - rig.now);
     }
--- a/crates/net/src/grpc.rs
+++ b/crates/net/src/grpc.rs
@@ -10,24 +10,40 @@
 
 /// gRPC status codes, by their published numbers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-#[allow(missing_docs)]
 pub enum Code {
+    /// Success.
     Ok = 0,
+    /// Cancelled, usually by the caller.
     Cancelled = 1,
+    /// An error without a known code.
     Unknown = 2,
+    /// The request itself is wrong.
     InvalidArgument = 3,
+    /// The deadline has passed.
     DeadlineExceeded = 4,
+    /// There is no such thing.
     NotFound = 5,
+    /// It is there already.
     AlreadyExists = 6,
+    /// The caller has no right to it.
     PermissionDenied = 7,
+    /// A quota or another resource is used up.
     ResourceExhausted = 8,
+    /// The state of the system does not allow it.
     FailedPrecondition = 9,
+    /// Aborted, as by a conflict.
     Aborted = 10,
+    /// Beyond the valid range.
     OutOfRange = 11,
+    /// There is no such method.
     Unimplemented = 12,
+    /// An error of the server.
     Internal = 13,
+    /// The service is unavailable; a retry may help.
     Unavailable = 14,
+    /// Data is lost or corrupt.
     DataLoss = 15,
+    /// The caller has no valid credentials.
     Unauthenticated = 16,
 }
 
@@ -121,11 +137,11 @@
 const MESSAGE: &AsciiSet = &CONTROLS.add(b'%');
 
 /// Longest `grpc-message` sent, in bytes before encoding: header lists are bounded at the other side too.
-pub const MOST_MESSAGE: usize = 1024;
+pub const MAX_MESSAGE_BYTES: usize = 1024;
 
-/// Percent-encodes a `grpc-message`, cut at a character to [`MOST_MESSAGE`] bytes.
+/// Percent-encodes a `grpc-message`, cut at a character to [`MAX_MESSAGE_BYTES`] bytes.
 pub fn encode_message(message: &str) -> String {
-    let mut end = message.len().min(MOST_MESSAGE);
+    let mut end = message.len().min(MAX_MESSAGE_BYTES);
     while !message.is_char_boundary(end) {
         end -= 1;
     }
@@ -152,14 +168,14 @@
 
 /// Writes a `grpc-timeout` in the finest unit that eight digits hold, rounded down.
 pub fn write_timeout(span: Duration) -> String {
-    const MOST: u128 = 99_999_999;
+    const MAX: u128 = 99_999_999;
     for (unit, value) in [("u", span.as_micros()), ("m", span.as_millis()), ("S", u128::from(span.as_secs()))]
     {
-        if value <= MOST {
+        if value <= MAX {
             return format!("{value}{unit}");
         }
     }
-    format!("{}H", (u128::from(span.as_secs()) / 3600).min(MOST))
+    format!("{}H", (u128::from(span.as_secs()) / 3600).min(MAX))
 }
 
 /// A `-bin` header value.
--- a/crates/net/src/http1/tests.rs
+++ b/crates/net/src/http1/tests.rs
@@ -1,5 +1,7 @@
 //! Unit tests of `http1`.
 
+use std::io::{Read, Write};
+
 use super::*;
 use std::net::TcpStream as Plain;
 
@@ -19,27 +21,27 @@
             break;
         }
     }
-    let mut told = Vec::new();
-    let _ = socket.read_to_end(&mut told);
+    let mut response = Vec::new();
+    let _ = socket.read_to_end(&mut response);
     stop.stop();
     thread.join().expect("ends").expect("served");
-    String::from_utf8_lossy(&told).into_owned()
+    String::from_utf8_lossy(&response).into_owned()
 }
 
 #[test]
-fn requests_are_answered_in_order_however_they_come() {
+fn requests_are_answered_in_order_in_whatever_pieces_they_arrive() {
     let bytes = b"GET /a HTTP/1.1\r\nHost: x\r\n\r\nPOST /b HTTP/1.1\r\nContent-Length: 3\r\n\r\nxyz\
                       GET /c HTTP/1.1\r\nConnection: close\r\n\r\n";
     for piece in [1, 7, 1000] {
-        let told = talk(bytes, piece);
+        let response = talk(bytes, piece);
         let bodies: Vec<&str> =
-            told.lines().filter(|l| l.contains(" /")).filter(|l| !l.starts_with("HTTP")).collect();
-        assert_eq!(bodies, ["GET /a 0", "POST /b 3", "GET /c 0"], "{told}");
+            response.lines().filter(|l| l.contains(" /")).filter(|l| !l.starts_with("HTTP")).collect();
+        assert_eq!(bodies, ["GET /a 0", "POST /b 3", "GET /c 0"], "{response}");
     }
 }
 
 #[test]
-fn what_is_malformed_or_too_large_is_told_and_ends() {
+fn malformed_and_too_large_requests_are_answered_and_end_the_connection() {
     let status = |bytes: &[u8]| talk(bytes, 4096).split(' ').nth(1).unwrap_or("").to_owned();
     assert_eq!(status(b"nonsense\r\n\r\n"), "400");
     assert_eq!(status(b"POST / HTTP/1.1\r\nContent-Length: 11\r\n\r\n"), "413");
--- a/crates/net/src/http1_client.rs
+++ b/crates/net/src/http1_client.rs
@@ -1,5 +1,5 @@
-//! One connection of an HTTP/1.1 client on a poll of its owner: one request at a time, each answer read whole, the
-//! connection kept between requests where the server wishes.
+//! One connection of an HTTP/1.1 client on a poll of its owner: one request at a time, each answer read completely,
+//! the connection kept between requests where the server wishes.
 
 use std::io::{self, Read, Write};
 use std::net::SocketAddr;
@@ -15,7 +15,7 @@
     pub status: u16,
     /// Headers, names in lower case.
     pub headers: Vec<(String, String)>,
-    /// The body, where it came whole.
+    /// The body, where it was received completely.
     pub body: Vec<u8>,
 }
 
@@ -26,7 +26,7 @@
     }
 }
 
-/// Why no answer came.
+/// Why a request has no answer.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PostError {
     /// No connection, or it broke.
@@ -34,18 +34,18 @@
     Broken(String),
     /// No answer in time.
     #[error("no answer in time")]
-    Late,
-    /// What came is no HTTP/1.1 answer.
+    Timeout,
+    /// What was received is no HTTP/1.1 answer.
     #[error("what came is no HTTP/1.1 answer")]
     Malformed,
 }
 
-/// Bytes of an answer's head at the most.
-const MOST_HEAD: usize = 16 << 10;
-/// Bytes of an answer's body that are read at the most; a longer one ends the connection.
-const MOST_BODY: usize = 4 << 20;
+/// Bytes of an answer's head; more is malformed.
+const MAX_HEAD_BYTES: usize = 16 << 10;
+/// Bytes of an answer's body that are read; a longer one is dropped and ends the connection.
+const MAX_BODY_BYTES: usize = 4 << 20;
 /// Bytes of buffer that a connection keeps between requests.
-const KEPT_BUFFER: usize = 16 << 10;
+const RETAINED_BUFFER: usize = 16 << 10;
 
 /// The bytes of a request with its body.
 pub fn request(to: SocketAddr, method: &str, target: &str, headers: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
@@ -65,28 +65,30 @@
     socket: Option<TcpStream>,
     out: Vec<u8>,
     sent: usize,
-    came: Vec<u8>,
+    /// What was received of the answer.
+    answer: Vec<u8>,
+    /// Bytes received for the last request.
     received: usize,
-    /// A request is out until then.
-    until: Option<Instant>,
+    /// Deadline of the request that is in flight; `None`: there is none.
+    deadline: Option<Instant>,
 }
 
 impl ClientConnection {
-    /// Begins a request where none is out; an answer after `until` is [`PostError::Late`]. A failure to connect is
-    /// told by the next turn.
+    /// Sends a request where none is in flight; after `deadline` it ends with [`PostError::Timeout`]. A failure to connect is
+    /// reported by the next poll.
     pub fn send(
         &mut self,
         registry: &Registry,
         token: Token,
         to: SocketAddr,
         request: Vec<u8>,
-        until: Instant,
+        deadline: Instant,
     ) {
         self.out = request;
         self.sent = 0;
-        self.came.clear();
+        self.answer.clear();
         self.received = 0;
-        self.until = Some(until);
+        self.deadline = Some(deadline);
         if self.socket.is_none()
             && let Ok(mut socket) = TcpStream::connect(to)
             && registry.register(&mut socket, token, Interest::READABLE | Interest::WRITABLE).is_ok()
@@ -95,9 +97,9 @@
         }
     }
 
-    /// When the request that is out is given up; `None`: none is out.
-    pub fn until(&self) -> Option<Instant> {
-        self.until
+    /// The deadline of the request that is in flight; `None`: there is none.
+    pub fn deadline(&self) -> Option<Instant> {
+        self.deadline
     }
 
     /// Bytes received for the last request.
@@ -108,34 +110,33 @@
     /// Closes the connection and gives up its request.
     pub fn close(&mut self) {
         self.socket = None;
-        self.until = None;
+        self.deadline = None;
     }
 
-    /// Writes and reads as far as it goes; the end of the request that is out, once it has come.
+    /// Writes and reads as far as it goes. `Some`: the request that was in flight has ended.
     pub fn poll(&mut self, now: Instant) -> Option<Result<Answer, PostError>> {
-        let until = self.until?;
-        let done = match self.exchange() {
-            Ok(None) if now >= until => Err(PostError::Late),
+        let deadline = self.deadline?;
+        let result = match self.exchange() {
+            Ok(None) if now >= deadline => Err(PostError::Timeout),
             Ok(None) => return None,
-            Ok(Some((answer, keep))) => {
-                if !keep {
+            Ok(Some(ParsedAnswer { answer, keep_alive })) => {
+                if !keep_alive {
                     self.socket = None;
                 }
                 Ok(answer)
             }
             Err(error) => Err(error),
         };
-        self.until = None;
-        if done.is_err() {
+        self.deadline = None;
+        if result.is_err() {
             self.socket = None;
         }
-        self.came.clear();
-        self.came.shrink_to(KEPT_BUFFER);
-        Some(done)
+        self.answer.clear();
+        self.answer.shrink_to(RETAINED_BUFFER);
+        Some(result)
     }
 
-    /// An answer comes with whether the connection may be kept.
-    fn exchange(&mut self) -> Result<Option<(Answer, bool)>, PostError> {
+    fn exchange(&mut self) -> Result<Option<ParsedAnswer>, PostError> {
         let Some(socket) = &mut self.socket else {
             return Err(PostError::Broken("no connection".to_owned()));
         };
@@ -145,7 +146,7 @@
         while self.sent < self.out.len() {
             match socket.write(&self.out[self.sent..]) {
                 Ok(n) => self.sent += n,
-                Err(e) if is_not_now(&e) => break,
+                Err(e) if would_block(&e) => break,
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                 Err(e) => return Err(broken(e)),
             }
@@ -155,18 +156,18 @@
             match socket.read(&mut chunk) {
                 Ok(0) => return Err(PostError::Broken("closed".to_owned())),
                 Ok(n) => {
-                    self.came.extend_from_slice(&chunk[..n]);
+                    self.answer.extend_from_slice(&chunk[..n]);
                     self.received += n;
                 }
-                Err(e) if is_not_now(&e) => break,
+                Err(e) if would_block(&e) => break,
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                 Err(e) => return Err(broken(e)),
             }
-            if self.came.len() > MOST_HEAD + MOST_BODY {
+            if self.answer.len() > MAX_HEAD_BYTES + MAX_BODY_BYTES {
                 break;
             }
         }
-        read(&self.came)
+        parse(&self.answer)
     }
 }
 
@@ -174,18 +175,25 @@
     PostError::Broken(error.to_string())
 }
 
-/// The socket has nothing to give or take now, or is not connected yet.
-fn is_not_now(error: &io::Error) -> bool {
+/// Whether the socket can't be read or written now, or is not connected yet.
+fn would_block(error: &io::Error) -> bool {
     matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::NotConnected)
 }
 
-/// What stands in the bytes that came: nothing whole yet, or an answer and whether the connection may be kept.
-pub(crate) fn read(came: &[u8]) -> Result<Option<(Answer, bool)>, PostError> {
+/// An answer, and whether its connection may be kept.
+#[derive(Debug, PartialEq, Eq)]
+pub(crate) struct ParsedAnswer {
+    pub(crate) answer: Answer,
+    pub(crate) keep_alive: bool,
+}
+
+/// Parses an answer. `None`: it is not complete.
+pub(crate) fn parse(received: &[u8]) -> Result<Option<ParsedAnswer>, PostError> {
     let mut headers = [httparse::EMPTY_HEADER; 64];
     let mut head = httparse::Response::new(&mut headers);
-    let used = match head.parse(came) {
+    let used = match head.parse(received) {
         Ok(httparse::Status::Complete(used)) => used,
-        Ok(httparse::Status::Partial) if came.len() <= MOST_HEAD => return Ok(None),
+        Ok(httparse::Status::Partial) if received.len() <= MAX_HEAD_BYTES => return Ok(None),
         _ => return Err(PostError::Malformed),
     };
     let text = |v: &[u8]| String::from_utf8_lossy(v).into_owned();
@@ -194,15 +202,15 @@
     let length = answer.header("content-length").and_then(|v| v.trim().parse::<usize>().ok());
     let empty = matches!(answer.status, 204 | 304);
     match if empty { Some(0) } else { length } {
-        Some(length) if length <= MOST_BODY => {
-            if came.len() < used + length {
+        Some(length) if length <= MAX_BODY_BYTES => {
+            if received.len() < used + length {
                 return Ok(None);
             }
-            answer.body = came[used..used + length].to_vec();
-            let keep = answer.header("connection").is_none_or(|c| !c.eq_ignore_ascii_case("close"));
-            Ok(Some((answer, keep)))
+            answer.body = received[used..used + length].to_vec();
+            let keep_alive = answer.header("connection").is_none_or(|c| !c.eq_ignore_ascii_case("close"));
+            Ok(Some(ParsedAnswer { answer, keep_alive }))
         }
         // Without a length, or with too long a body, the status is enough; the connection is not kept.
-        _ => Ok(Some((answer, false))),
+        _ => Ok(Some(ParsedAnswer { answer, keep_alive: false })),
     }
 }
--- a/crates/net/src/post.rs
+++ b/crates/net/src/post.rs
@@ -1,5 +1,5 @@
-//! An HTTP/1.1 client for POSTs on a mio poll of its own: some lanes to one address, one request on each at a
-//! time. For pushing, in a thread of its own.
+//! An HTTP/1.1 client on a mio poll of its own: some connections to one address, one request on each at a time. It runs in
+//! its owner's thread.
 
 use std::io;
 use std::net::SocketAddr;
@@ -18,17 +18,17 @@
     poll: Poll,
     waker: Arc<Waker>,
     to: SocketAddr,
-    lanes: Vec<ClientConnection>,
-    patience: Duration,
+    connections: Vec<ClientConnection>,
+    timeout: Duration,
 }
 
 impl Poster {
-    /// A client with so many lanes; an answer that takes longer than `patience` is [`PostError::Late`].
-    pub fn new(to: SocketAddr, lanes: usize, patience: Duration) -> io::Result<Self> {
+    /// A client with so many connections; a request without an answer after `timeout` ends with [`PostError::Timeout`].
+    pub fn new(to: SocketAddr, connections: usize, timeout: Duration) -> io::Result<Self> {
         let poll = Poll::new()?;
         let waker = Arc::new(Waker::new(poll.registry(), WAKE)?);
-        let lanes = (0..lanes).map(|_| ClientConnection::default()).collect();
-        Ok(Self { poll, waker, to, lanes, patience })
+        let connections = (0..connections).map(|_| ClientConnection::default()).collect();
+        Ok(Self { poll, waker, to, connections, timeout })
     }
 
     /// Ends the wait of [`Poster::poll`] from another thread.
@@ -36,53 +36,62 @@
         Arc::clone(&self.waker)
     }
 
-    /// What is sent from now on has so long to be answered.
-    pub fn patience(&mut self, patience: Duration) {
-        self.patience = patience;
+    /// Sets the timeout of requests that are sent from now on.
+    pub fn set_timeout(&mut self, timeout: Duration) {
+        self.timeout = timeout;
     }
 
-    /// Begins a POST on a lane that has none out.
-    pub fn post(&mut self, lane: usize, path: &str, headers: &[(&str, &str)], body: &[u8]) {
-        self.send(lane, "POST", path, headers, body);
+    /// Sends a POST on a connection that has no request in flight.
+    pub fn post(&mut self, connection: usize, path: &str, headers: &[(&str, &str)], body: &[u8]) {
+        self.send(connection, "POST", path, headers, body);
     }
 
-    /// Begins a request on a lane that has none out.
-    pub fn send(&mut self, lane: usize, method: &str, path: &str, headers: &[(&str, &str)], body: &[u8]) {
-        let Some(connection) = self.lanes.get_mut(lane) else { return };
+    /// Sends a request on a connection that has none in flight.
+    pub fn send(
+        &mut self,
+        connection: usize,
+        method: &str,
+        path: &str,
+        headers: &[(&str, &str)],
+        body: &[u8],
+    ) {
+        let token = Token(connection);
+        let Some(connection) = self.connections.get_mut(connection) else { return };
         let request = request(self.to, method, path, headers, body);
-        let until = Instant::now() + self.patience;
-        connection.send(self.poll.registry(), Token(lane), self.to, request, until);
+        let deadline = Instant::now() + self.timeout;
+        connection.send(self.poll.registry(), token, self.to, request, deadline);
     }
 
-    /// One round, waiting at most `wait` where nothing has come; answers are appended with their lanes.
+    /// One iteration, for at most `timeout` where nothing has ended; ends of requests are appended with their connections.
     pub fn poll(
         &mut self,
-        wait: Option<Duration>,
+        timeout: Option<Duration>,
         out: &mut Vec<(usize, Result<Answer, PostError>)>,
     ) -> io::Result<()> {
-        self.work(out);
+        self.poll_connections(out);
         let now = Instant::now();
         let next = self
-            .lanes
+            .connections
             .iter()
-            .filter_map(ClientConnection::until)
+            .filter_map(ClientConnection::deadline)
             .min()
             .map(|at| at.saturating_duration_since(now));
         let wait =
-            if out.is_empty() { [wait, next].into_iter().flatten().min() } else { Some(Duration::ZERO) };
+            if out.is_empty() { [timeout, next].into_iter().flatten().min() } else { Some(Duration::ZERO) };
         let mut events = Events::with_capacity(64);
         match self.poll.poll(&mut events, wait) {
             Err(e) if e.kind() != io::ErrorKind::Interrupted => return Err(e),
             _ => {}
         }
-        self.work(out);
+        self.poll_connections(out);
         Ok(())
     }
 
-    fn work(&mut self, out: &mut Vec<(usize, Result<Answer, PostError>)>) {
+    fn poll_connections(&mut self, out: &mut Vec<(usize, Result<Answer, PostError>)>) {
         let now = Instant::now();
-        let done = |(n, lane): (usize, &mut ClientConnection)| Some((n, lane.poll(now)?));
-        out.extend(self.lanes.iter_mut().enumerate().filter_map(done));
+        let ended =
+            |(index, connection): (usize, &mut ClientConnection)| Some((index, connection.poll(now)?));
+        out.extend(self.connections.iter_mut().enumerate().filter_map(ended));
     }
 }
 
--- a/crates/net/src/post/tests.rs
+++ b/crates/net/src/post/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::http1::{Http1, Http1Limits, Reply};
-use crate::http1_client::read;
+use crate::http1_client::parse;
 
 fn wait(poster: &mut Poster) -> Result<Answer, PostError> {
     let (mut out, until) = (Vec::new(), Instant::now() + Duration::from_secs(30));
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn answers_come_with_their_heads_and_connections_are_kept() {
+fn answers_have_their_headers_and_connections_are_kept() {
     let mut server =
         Http1::bind("127.0.0.1:0".parse().expect("sound"), Http1Limits::default()).expect("a port");
     let (address, stop) = (server.local().expect("bound"), server.stop());
@@ -41,12 +41,12 @@
 }
 
 #[test]
-fn a_silent_or_garbled_receiver_is_told() {
-    let silent = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
+fn a_server_without_answers_or_with_malformed_ones_is_an_error() {
+    let unresponsive = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let mut poster =
-        Poster::new(silent.local_addr().expect("bound"), 1, Duration::from_millis(40)).expect("a poll");
+        Poster::new(unresponsive.local_addr().expect("bound"), 1, Duration::from_millis(40)).expect("a poll");
     poster.post(0, "/", &[], b"x");
-    assert_eq!(wait(&mut poster), Err(PostError::Late));
-    assert_eq!(read(b"HELO\r\n\r\n"), Err(PostError::Malformed));
-    assert_eq!(read(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nabc"), Ok(None));
+    assert_eq!(wait(&mut poster), Err(PostError::Timeout));
+    assert_eq!(parse(b"HELO\r\n\r\n"), Err(PostError::Malformed));
+    assert_eq!(parse(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nabc"), Ok(None));
 }
