--- a/crates/administration/src/follow.rs
+++ b/crates/administration/src/follow.rs
@@ -237,11 +237,11 @@
         }
         let target = deregistration_target(self.number, self.life);
         let bearer = format!("Bearer {}", self.token);
-        self.snapshots.patience(DEREGISTRATION_TIMEOUT);
+        self.snapshots.set_timeout(DEREGISTRATION_TIMEOUT);
         self.snapshots.send(0, "GET", &target, &[("Authorization", &bearer)], b"");
         let (mut heard, until) = (Vec::new(), Instant::now() + DEREGISTRATION_TIMEOUT);
         while heard.is_empty() && Instant::now() < until {
-            self.snapshots.turn(Some(DEREGISTRATION_TIMEOUT), &mut heard)?;
+            self.snapshots.poll(Some(DEREGISTRATION_TIMEOUT), &mut heard)?;
         }
         Ok(())
     }
@@ -277,11 +277,11 @@
     fn post(&mut self, target: &str, body: &[u8]) -> io::Result<Option<Answer>> {
         let bearer = format!("Bearer {}", self.token);
         let headers = [("Authorization", bearer.as_str()), ("Content-Type", "application/json")];
-        self.snapshots.patience(SNAPSHOT_TIMEOUT);
+        self.snapshots.set_timeout(SNAPSHOT_TIMEOUT);
         self.snapshots.send(0, "POST", target, &headers, body);
         let mut heard = Vec::new();
         while heard.is_empty() && !self.ended.load(Ordering::Acquire) {
-            self.snapshots.turn(Some(SNAPSHOT_TIMEOUT), &mut heard)?;
+            self.snapshots.poll(Some(SNAPSHOT_TIMEOUT), &mut heard)?;
         }
         Ok(heard.pop().and_then(|(_, answer)| answer.ok()))
     }
@@ -352,7 +352,7 @@
             if left.is_zero() {
                 break;
             }
-            self.watches.turn(Some(left), &mut Vec::new())?;
+            self.watches.poll(Some(left), &mut Vec::new())?;
         }
         Ok(())
     }
@@ -401,11 +401,11 @@
                 (&mut self.watches, timing.timeout, report.watch_target(timing.wait))
             }
         };
-        poster.patience(patience);
+        poster.set_timeout(patience);
         poster.send(0, "GET", &target, &[("Authorization", &format!("Bearer {}", self.token))], b"");
         let mut heard = Vec::new();
         while heard.is_empty() && !self.ended.load(Ordering::Acquire) {
-            poster.turn(Some(patience), &mut heard)?;
+            poster.poll(Some(patience), &mut heard)?;
         }
         Ok(heard.pop().map(|(_, answer)| answer))
     }
@@ -439,7 +439,7 @@
                 }
             }
         }
-        self.watches.turn(Some(Duration::from_millis(wait.max(1))), &mut Vec::new())
+        self.watches.poll(Some(Duration::from_millis(wait.max(1))), &mut Vec::new())
     }
 
     fn ask_peer(&mut self, peer: usize) {
--- a/crates/gateway/benches/measure.rs
+++ b/crates/gateway/benches/measure.rs
@@ -397,7 +397,7 @@
         poster.send(0, method, target, &headers, body.as_bytes());
         let mut heard = Vec::new();
         while heard.is_empty() {
-            poster.turn(Some(Duration::from_secs(10)), &mut heard).expect("polls");
+            poster.poll(Some(Duration::from_secs(10)), &mut heard).expect("polls");
         }
         serde_json::from_slice(&heard.remove(0).1.expect("an answer").body).expect("json")
     };
--- a/crates/gateway/src/front/accept.rs
+++ b/crates/gateway/src/front/accept.rs
@@ -86,7 +86,7 @@
             model: head.model.as_str().into(),
             version: head.version.as_str().into(),
             time_left,
-            cost_hint: model.work,
+            cost_hint: model.service_time,
             lanes: model.lanes,
             load_time: model.load_time,
             repeat: rpc.headers.is_retry,
--- a/crates/scenario/src/client.rs
+++ b/crates/scenario/src/client.rs
@@ -192,7 +192,7 @@
     /// Waits for events, `wait` at the most, and appends them.
     pub fn poll(&mut self, wait: Option<Duration>, out: &mut Vec<ClientEvent>) -> io::Result<()> {
         let mut events = std::mem::take(&mut self.events);
-        self.hub.turn(wait, &mut events)?;
+        self.hub.poll(wait, &mut events)?;
         for event in events.drain(..) {
             self.event(event, out);
         }
--- a/crates/scenario/src/run.rs
+++ b/crates/scenario/src/run.rs
@@ -126,7 +126,7 @@
 fn rule_parameters(config: &Config) -> RuleParameters {
     RuleParameters {
         drain_grace: config.settings.rules.drain_grace,
-        list_check: config.workers_check,
+        list_check: config.workers_check_interval,
         ration_window: config.settings.loading.ration_window,
         ration_floor: config.settings.loading.ration_floor,
         ration_share: config.settings.loading.ration_share,
--- a/crates/scenario/src/script.rs
+++ b/crates/scenario/src/script.rs
@@ -1,7 +1,7 @@
 //! A scenario file: workers, controllers, traffic, and faults on a timeline. `days/` has one of each kind.
 
 use nettleferry::Micros;
-use nettleferry_config::form::{Errors, Form, Source, TimeSpan};
+use nettleferry_config::form::{Errors, Form, TimeSpan};
 use nettleferry_test_servers::Spec;
 
 /// A scenario.
@@ -199,33 +199,33 @@
 /// # Errors
 /// The text is not a valid scenario.
 pub fn read(file: &str, text: &str) -> Result<Script, Errors> {
-    let (source, mut top) = Source::open(file, text);
+    let (source, mut top) = Form::parse(file, text);
     let script = script(&mut top);
-    top.end();
-    source.finish(script)
+    top.finish();
+    source.into_result(script)
 }
 
 fn script(top: &mut Form) -> Option<Script> {
-    let header = top.need("day").map(header);
+    let header = top.required_list("day").map(header);
     let controllers = zoned(top, "controllers", MAX_CONTROLLERS, |_| ());
     let mut options = None;
     let workers = zoned(top, "workers", MAX_WORKERS, |form| {
-        options = Some(WorkerOptions { spec: Spec::read(form), cold: form.or("start-cold", false) });
+        options = Some(WorkerOptions { spec: Spec::read(form), cold: form.value_or("start-cold", false) });
     });
     let store = store_limits(top);
-    let list_lag = top.span_or("list-lag", DEFAULT_LIST_LAG);
-    let settings = top.need("settings").map(|form| {
+    let list_lag = top.micros_or("list-lag", DEFAULT_LIST_LAG);
+    let settings = top.required_list("settings").map(|form| {
         let text = form.text().to_owned();
-        form.hand_on();
+        form.discard();
         text
     });
-    let traffic: Vec<Traffic> = top.all("traffic").into_iter().map(traffic).collect();
+    let traffic: Vec<Traffic> = top.lists("traffic").into_iter().map(traffic).collect();
     if traffic.is_empty() {
-        top.fault("the day has no (traffic ...)");
+        top.error("the day has no (traffic ...)");
     }
     let count = |zoned: &Option<Zoned>| zoned.as_ref().map_or(0, |zoned| zoned.count);
     let faults = faults(top, count(&workers), count(&controllers));
-    let watch = top.sub("receiver").map(watch);
+    let watch = top.optional_list("receiver").map(watch);
     let Header { name, length, seed } = header?;
     let WorkerOptions { spec, cold } = options?;
     Some(Script {
@@ -247,50 +247,51 @@
 
 fn header(mut form: Form) -> Header {
     let name = form.name_argument();
-    let length = form.must::<TimeSpan>("length").map_or(1, |span| span.0);
+    let length = form.required::<TimeSpan>("length").map_or(1, |span| span.0);
     if length == 0 || length > MAX_LENGTH {
-        form.fault(format!("(length ...): more than 0, at most {}s", MAX_LENGTH / 1_000_000));
+        form.error(format!("(length ...): more than 0, at most {}s", MAX_LENGTH / 1_000_000));
     }
-    let seed = form.or("seed", 1u64);
-    form.end();
+    let seed = form.value_or("seed", 1u64);
+    form.finish();
     Header { name, length: length.clamp(1, MAX_LENGTH), seed }
 }
 
 fn store_limits(top: &mut Form) -> StoreLimits {
-    let mut form = top.group("store");
-    let limits = StoreLimits { at_speed: form.or("at-speed", 8u32), most: form.or("most", 32u32) };
-    form.end();
+    let mut form = top.list_or_empty("store");
+    let limits =
+        StoreLimits { at_speed: form.value_or("at-speed", 8u32), most: form.value_or("most", 32u32) };
+    form.finish();
     limits
 }
 
 fn faults(top: &mut Form, workers: usize, controllers: usize) -> Vec<ScriptedFault> {
     let mut faults = Vec::new();
-    for mut form in top.all("at") {
-        let at = form.want::<TimeSpan>("when it begins").map_or(0, |span| span.0);
-        let listed = form.rest().into_iter();
+    for mut form in top.lists("at") {
+        let at = form.required_item::<TimeSpan>("when it begins").map_or(0, |span| span.0);
+        let listed = form.remaining_lists().into_iter();
         faults.extend(listed.filter_map(|fault| scripted_fault(at, fault, workers, controllers)));
-        form.end();
+        form.finish();
     }
     faults.sort_by_key(|fault| fault.at);
     faults
 }
 
 fn watch(mut form: Form) -> Watch {
-    let span = |form: &mut Form, key| form.must::<TimeSpan>(key).map_or(0, |s| s.0);
-    let rules = form.must("rules").unwrap_or_default();
-    let every = form.span_or("every", 1_000_000).max(10_000);
-    let speed = form.or("speed", 1u32);
+    let span = |form: &mut Form, key| form.required::<TimeSpan>(key).map_or(0, |s| s.0);
+    let rules = form.required("rules").unwrap_or_default();
+    let every = form.micros_or("every", 1_000_000).max(10_000);
+    let speed = form.value_or("speed", 1u32);
     if speed == 0 || speed > 100 {
-        form.fault(format!("(speed {speed}): from 1 to 100"));
+        form.error(format!("(speed {speed}): from 1 to 100"));
     }
     let mut alerts = Vec::new();
-    for mut one in form.all("fires") {
+    for mut one in form.lists("fires") {
         let alert = one.name_argument();
         let (after, within) = (span(&mut one, "after"), span(&mut one, "within"));
         alerts.push(ExpectedAlert { alert, after, within, clear_by: span(&mut one, "clear-by") });
-        one.end();
+        one.finish();
     }
-    form.end();
+    form.finish();
     Watch { rules, every, speed, alerts }
 }
 
@@ -300,38 +301,38 @@
 
 impl ParseByName for Form {
     fn name_argument(&mut self) -> String {
-        self.want::<String>("its name").unwrap_or_default()
+        self.required_item::<String>("its name").unwrap_or_default()
     }
 }
 
 /// Reads `(key COUNT (zones ...) ...)`; `read` takes what else is in it.
 fn zoned(top: &mut Form, key: &'static str, most: u64, read: impl FnOnce(&mut Form)) -> Option<Zoned> {
-    let mut form = top.need(key)?;
-    let count = form.want::<u64>("how many")?;
+    let mut form = top.required_list(key)?;
+    let count = form.required_item::<u64>("how many")?;
     if count == 0 || count > most {
-        form.fault(format!("({key} {count}): from 1 to {most}"));
+        form.error(format!("({key} {count}): from 1 to {most}"));
     }
     let zones = words(&mut form, "zones");
     let zones = if zones.is_empty() { vec!["a".to_owned()] } else { zones };
     read(&mut form);
-    form.end();
+    form.finish();
     Some(Zoned { count: count.clamp(1, most) as usize, zones })
 }
 
 fn words(form: &mut Form, key: &'static str) -> Vec<String> {
-    let Some(mut list) = form.sub(key) else { return Vec::new() };
+    let Some(mut list) = form.optional_list(key) else { return Vec::new() };
     let mut all = Vec::new();
-    while let Some(word) = list.take() {
+    while let Some(word) = list.next_item() {
         all.push(word);
     }
-    list.end();
+    list.finish();
     all
 }
 
 fn share(form: &mut Form, key: &'static str) -> f64 {
-    let share = form.or(key, 0.0);
+    let share = form.value_or(key, 0.0);
     if share > 1.0 {
-        form.fault(format!("({key} ...) is a share, from 0 to 1"));
+        form.error(format!("({key} ...) is a share, from 0 to 1"));
     }
     share.min(1.0)
 }
@@ -339,28 +340,28 @@
 fn traffic(mut form: Form) -> Traffic {
     let name = form.name_argument();
     if !nettleferry_test_servers::models::exists(&name) {
-        form.fault(format!("traffic {name}: the stand-ins' models are echo, echo-*, climb and climb-*"));
+        form.error(format!("traffic {name}: the stand-ins' models are echo, echo-*, climb and climb-*"));
     }
-    let rate = form.must("rate").unwrap_or(1.0);
+    let rate = form.required("rate").unwrap_or(1.0);
     if rate > MAX_RATE {
-        form.fault(format!("(rate {rate}): at most {MAX_RATE}"));
+        form.error(format!("(rate {rate}): at most {MAX_RATE}"));
     }
     let traffic = Traffic {
         name,
-        models: form.or("models", 1u32).max(1),
+        models: form.value_or("models", 1u32).max(1),
         rate: rate.min(MAX_RATE),
-        streamed: form.or("streamed", false),
-        shared: form.or("shared", false),
-        segments: form.or("segments", 1i64).clamp(1, 1000),
-        bytes: form.or("bytes", 64u64).min(16 << 20) as usize,
-        deadline: form.get::<TimeSpan>("deadline").map(|s| s.0),
+        streamed: form.value_or("streamed", false),
+        shared: form.value_or("shared", false),
+        segments: form.value_or("segments", 1i64).clamp(1, 1000),
+        bytes: form.value_or("bytes", 64u64).min(16 << 20) as usize,
+        deadline: form.optional::<TimeSpan>("deadline").map(|s| s.0),
         cancel: share(&mut form, "cancel"),
         slow: share(&mut form, "slow"),
     };
     if traffic.shared && !traffic.streamed {
-        form.fault("(shared yes) goes with (streamed yes)");
+        form.error("(shared yes) goes with (streamed yes)");
     }
-    form.end();
+    form.finish();
     traffic
 }
 
@@ -398,39 +399,39 @@
             | FaultKind::HalfFrame
             | FaultKind::RollingRestart(_)
     );
-    let span = if momentary { 0 } else { form.must::<TimeSpan>("for")?.0 };
+    let span = if momentary { 0 } else { form.required::<TimeSpan>("for")?.0 };
     let workers = worker_names(&mut form, workers);
     let controllers = controller_numbers(&mut form, controllers);
-    form.end();
+    form.finish();
     Some(ScriptedFault { at, kind, workers, controllers, span })
 }
 
 fn fault_kind(form: &mut Form) -> Option<FaultKind> {
-    let span = |form: &mut Form, key| form.must::<TimeSpan>(key).map(|span| span.0);
+    let span = |form: &mut Form, key| form.required::<TimeSpan>(key).map(|span| span.0);
     Some(match form.name() {
         "crash" => FaultKind::Crash,
         "silence" => FaultKind::Unresponsive,
-        "fast-errors" => FaultKind::FastErrors(form.must::<f64>("share")?.min(1.0)),
-        "slow" => FaultKind::Slow(form.must::<f64>("factor")?.clamp(0.01, 1e4)),
+        "fast-errors" => FaultKind::FastErrors(form.required::<f64>("share")?.min(1.0)),
+        "slow" => FaultKind::Slow(form.required::<f64>("factor")?.clamp(0.01, 1e4)),
         "late-reports" => FaultKind::StaleReports(span(form, "late")?),
-        "cut" => FaultKind::Cut(form.must("zone")?),
+        "cut" => FaultKind::Cut(form.required("zone")?),
         "roll" => FaultKind::RollingRestart(span(form, "each")?),
         "stale-list" => FaultKind::StaleList,
         "kill" => FaultKind::Kill,
         "stop" => FaultKind::Stop,
         "stall" => FaultKind::Stall,
-        "slow-store" => FaultKind::SlowStore(form.must::<f64>("factor")?.max(0.01)),
-        "release" => FaultKind::Release(form.must("models")?),
-        "one-off" => FaultKind::OneOff(form.must::<f64>("rate")?.min(MAX_RATE)),
-        "hang" => FaultKind::Hang(form.must("models")?),
+        "slow-store" => FaultKind::SlowStore(form.required::<f64>("factor")?.max(0.01)),
+        "release" => FaultKind::Release(form.required("models")?),
+        "one-off" => FaultKind::OneOff(form.required::<f64>("rate")?.min(MAX_RATE)),
+        "hang" => FaultKind::Hang(form.required("models")?),
         "slow-handshakes" => FaultKind::SlowHandshakes(span(form, "delay")?),
         "refuse" => FaultKind::Refuse,
         "goaway" => FaultKind::GoAway,
-        "cut-after" => FaultKind::CutAfter(form.must("messages")?),
+        "cut-after" => FaultKind::CutAfter(form.required("messages")?),
         "half-frame" => FaultKind::HalfFrame,
         other => {
             let hint = nettleferry_config::form::nearest(other, FAULT_NAMES.into_iter());
-            form.fault(format!("there is no trouble {other}{hint}"));
+            form.error(format!("there is no trouble {other}{hint}"));
             return None;
         }
     })
@@ -441,7 +442,7 @@
     for name in &names {
         let number = name.strip_prefix('w').and_then(|number| number.parse::<usize>().ok());
         if !number.is_some_and(|number| (1..=workers).contains(&number)) {
-            form.fault(format!("there is no worker {name}: they are w1 to w{workers}"));
+            form.error(format!("there is no worker {name}: they are w1 to w{workers}"));
         }
     }
     names
@@ -453,7 +454,7 @@
         match text.parse::<usize>().ok().filter(|number| *number < controllers) {
             Some(number) => numbers.push(number),
             None => {
-                form.fault(format!(
+                form.error(format!(
                     "there is no controller {text}: they are 0 to {}",
                     controllers.max(1) - 1
                 ));
