--- a/crates/gateway/src/commands/demo.rs
+++ b/crates/gateway/src/commands/demo.rs
@@ -97,7 +97,7 @@
             .map_err(CommandError::system("can't write the worker list"))?;
         let mut config = settings::read("demo", SETTINGS).map_err(CommandError::InvalidFile)?;
         config.grpc = self.listen;
-        config.workers = file;
+        config.workers_file = file;
         let exit_code = serve::run_controller(config);
         let _ = std::fs::remove_dir_all(&folder);
         exit_code
