--- a/adapter/src/wire/error.rs
+++ b/adapter/src/wire/error.rs
@@ -1,7 +1,7 @@
 //! What makes a line of the wire unusable.
 
 use nettleferry::SettingsError;
-use nettleferry_platform_settings::SettingsFault;
+use nettleferry_platform_settings::FieldError as SettingsFieldError;
 
 /// Why a line has no reply.
 #[derive(Debug, thiserror::Error)]
@@ -42,7 +42,7 @@
     NoInfo,
     /// A controller's settings can't be read.
     #[error("ENLIST: {0}")]
-    Settings(#[from] SettingsFault),
+    Settings(#[from] SettingsFieldError),
     /// No controller can work with the settings.
     #[error("ENLIST: {0}")]
     Controller(#[from] SettingsError),
@@ -67,9 +67,9 @@
     /// It is of another kind than this.
     #[error("is not {0}")]
     NotA(&'static str),
-    /// It is a word that the wire does not have.
+    /// It is a keyword that the wire does not have.
     #[error("is unknown")]
-    UnknownWord,
+    UnknownKeyword,
     /// It is a number that the wire does not have.
     #[error("{0} is unknown")]
     UnknownNumber(u64),
--- a/adapter/src/wire/events.rs
+++ b/adapter/src/wire/events.rs
@@ -53,7 +53,7 @@
         "snapshot" => ListForm::Complete,
         "disk" => ListForm::Restored,
         "error" => ListForm::Failed,
-        _ => return Err(fields.error("form", FieldError::UnknownWord)),
+        _ => return Err(fields.error("form", FieldError::UnknownKeyword)),
     };
     let items = match fields.get(4, "items")? {
         Value::Array(items) => items.as_slice(),
@@ -83,7 +83,7 @@
             "on" => WorkerState::On,
             "fading" => WorkerState::Draining,
             "off" => WorkerState::Gone,
-            _ => return Err(fields.error("state", FieldError::UnknownWord)),
+            _ => return Err(fields.error("state", FieldError::UnknownKeyword)),
         },
         started_at: fields.optional_time(6, "born_ms")?.filter(|&started_at| started_at > 0),
     })
--- a/adapter/src/wire/names.rs
+++ b/adapter/src/wire/names.rs
@@ -26,14 +26,14 @@
 
     /// Reads a controller's settings; its zone is numbered among the list's.
     pub(crate) fn settings(&mut self, info: &Value) -> Result<Settings, EventError> {
-        let site = nettleferry_platform_settings::read(info)?;
+        let platform = nettleferry_platform_settings::read(info)?;
         let indexed = |names: Vec<String>| {
             let numbered = names.into_iter().enumerate();
             numbered.map(|(index, name)| (name, index)).collect()
         };
-        (self.classes, self.tenants) = (indexed(site.classes), indexed(site.tenants));
-        let zone = site.zone.map(|zone| self.zone(&zone));
-        Ok(Settings { zone, ..site.settings })
+        (self.classes, self.tenants) = (indexed(platform.classes), indexed(platform.tenants));
+        let zone = platform.zone.map(|zone| self.zone(&zone));
+        Ok(Settings { zone, ..platform.settings })
     }
 
     /// A class by its name.
--- a/src/decision/hold_queue.rs
+++ b/src/decision/hold_queue.rs
@@ -20,7 +20,7 @@
 /// Held calls are looked at without an answer after so many steps, as room comes with time ...
 const RELEASE_INTERVAL_STEPS: Micros = 4;
 /// ... and no more often than this.
-pub(super) const RELEASE_INTERVAL_MIN: Micros = 20_000;
+const RELEASE_INTERVAL_MIN: Micros = 20_000;
 
 impl Controller {
     pub(super) fn hold(&mut self, id: RequestId) {
--- a/src/decision/replica_loading.rs
+++ b/src/decision/replica_loading.rs
@@ -6,7 +6,6 @@
 //! further replica where all are under pressure (hot functions under many controllers); an order that was
 //! lost with its connection is given again (connections cut under long loads).
 
-use super::hold_queue::RELEASE_INTERVAL_MIN;
 use super::worker_load::PRESSURE_LIMIT;
 use crate::controller::Controller;
 use crate::interface::*;
@@ -20,6 +19,8 @@
 const MAX_LOADS_PER_WORKER: usize = 2;
 /// Weight of one load in a load's usual time.
 const LOAD_TIME_WEIGHT: f64 = 0.3;
+/// An order answered within this time found a replica that was loaded already: no load.
+const ALREADY_LOADED: Micros = 20_000;
 /// A worker where a load failed or found no room is left alone by that function for this share of a load.
 const AVOID_LOADS: f64 = 0.5;
 /// A worker without room this often in a row is no home for a while; a load that failed counts as so many.
@@ -106,8 +107,7 @@
         if outcome == Outcome::Ok || copies > 0 {
             self.replica_found(replica);
             self.functions.get_mut(&id).expect("just seen").avoided.remove(&at);
-            if elapsed > RELEASE_INTERVAL_MIN {
-                // One answered at once found a replica that stood: no load.
+            if elapsed > ALREADY_LOADED {
                 self.learn_load_time(id, elapsed as f64);
             }
         } else if outcome != Outcome::Cancelled {
--- a/tests/guards.rs
+++ b/tests/guards.rs
@@ -573,3 +573,56 @@
     assert_eq!(sent(&harness.call(2, 0, 9, 4)), None, "it waits for the replica");
     assert!(unwanted(&harness.handle(Event::ClientGone { request: RequestId(2) })));
 }
+
+/// The log lines among the actions.
+fn logged(actions: &[Action]) -> Vec<&str> {
+    actions
+        .iter()
+        .filter_map(|a| if let Action::Log(line) = a { Some(line.as_str()) } else { None })
+        .collect()
+}
+
+#[test]
+fn ejection_and_return_are_logged_with_their_reason() {
+    let mut harness = Harness::new(settings(), 1);
+    for id in 0..3 {
+        harness.serve_warm(id, 9, 4);
+    }
+    for id in 10..13 {
+        assert_eq!(sent(&harness.call(id, 1, 9, 4)), Some(1));
+    }
+    assert!(logged(&harness.end_attempt(10, 0, 1, Outcome::Error, None)).is_empty());
+    let ejected = harness.end_attempt(11, 0, 1, Outcome::Error, None);
+    assert_eq!(logged(&ejected), ["worker 1 ejected: too many failures"]);
+    let mut returned = Vec::new();
+    for id in 20..40 {
+        harness.advance(5 * S);
+        if sent(&harness.call(id, 0, 9, 4)).is_some() {
+            returned.extend(harness.end_attempt(id, 0, 1, Outcome::Ok, Some(LoadNote::Warm)));
+        }
+    }
+    assert_eq!(logged(&returned), ["worker 1 returned to service"]);
+}
+
+#[test]
+fn the_ejection_of_a_worker_that_is_down_is_logged() {
+    let mut harness = Harness::new(settings(), 2);
+    let home = harness.serve_warm(1, 9, 4);
+    harness.call(2, 1, 9, 4);
+    harness.end_attempt(2, 0, home, Outcome::Reset, None);
+    let refused = Event::Probed { worker: WorkerId(home), outcome: Outcome::ConnectFailed, report: None };
+    let expected = format!("worker {home} ejected: process down");
+    assert_eq!(logged(&harness.handle(refused)), [expected.as_str()]);
+}
+
+#[test]
+fn the_ejection_of_an_unresponsive_worker_is_logged() {
+    let mut harness = Harness::new(settings(), 2);
+    let home = harness.serve_warm(1, 9, 4);
+    harness.call(2, 0, 9, 4);
+    harness.advance(700 * MS);
+    let silent = Event::Probed { worker: WorkerId(home), outcome: Outcome::Timeout, report: None };
+    harness.handle(silent.clone());
+    let expected = format!("worker {home} ejected: unresponsive");
+    assert_eq!(logged(&harness.handle(silent)), [expected.as_str()]);
+}
