--- a/crates/durable/src/lib.rs
+++ b/crates/durable/src/lib.rs
@@ -1,7 +1,11 @@
-//! Small records that survive a loss of power: each whole under a version and a checksum, the good one before
-//! held beside, and read back as sound, older, unsealed, damaged or absent. What is in them is the owner's.
+//! Small records that survive a loss of power: each is written completely, with a version and a checksum, beside the
+//! intact one before it, and read back as intact, older, unframed, damaged or absent. What a record contains is left
+//! to its owner.
 //!
-//! [`RecordFile`] writes and waits for the disk; [`RecordWriter`] is the thread that does so for those who may not wait.
+//! [`RecordFile`] writes and waits for the disk; [`RecordWriter`] is the thread that does so for threads that must not
+//! wait.
+
+#![forbid(unsafe_code)]
 
 mod memory;
 mod record;
--- a/crates/durable/src/record.rs
+++ b/crates/durable/src/record.rs
@@ -1,44 +1,45 @@
-//! A record as bytes: one line of head, `;nettleferry-keep FORMAT VERSION LENGTH CRC32`, and the payload. The
-//! head is a comment to S-expressions, so that a kept list stays a file that people can read.
+//! A record as bytes: one line of header, `;nettleferry-keep FORMAT VERSION LENGTH CRC32`, and the payload. The header
+//! is a comment to S-expressions, so that a persisted worker list stays a file that people can read. Where the bytes
+//! are stored is left to [`crate::RecordFile`].
 
-/// Longest payload, bytes. A longer one is not written, and a head that tells of one is not believed.
+/// Longest payload, bytes. A longer one is not written, and a header that states one is invalid.
 pub const MAX_BYTES: usize = 64 << 20;
 
 const MAGIC: &str = ";nettleferry-keep";
 const FORMAT: u32 = 1;
-/// Longest head: the magic, four numbers and what stands between.
-const MAX_HEADER: usize = 96;
+/// Longest header, bytes: the magic, four numbers and the spaces between.
+const MAX_HEADER_BYTES: usize = 96;
 
-/// A sound record.
+/// An intact record.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Record {
-    /// Counted up by each write of its place.
+    /// One more with each write of its file.
     pub version: u64,
-    /// What was kept.
+    /// Its content.
     pub payload: Vec<u8>,
 }
 
 /// Why bytes are no record.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RecordError {
-    /// There is no head: another program wrote it, or an earlier version of this one.
+    /// There is no header: another program wrote it, or an early version of this one.
     #[error("it has no seal")]
     Unframed,
-    /// Nothing is in it.
+    /// There are no bytes.
     #[error("it is empty")]
     Empty,
-    /// The head can't be read.
+    /// The header can't be read.
     #[error("its head can't be read")]
     Header,
     /// A format that this version does not know.
     #[error("its format is {0}, and {FORMAT} is the newest that is known here")]
     Format(u32),
-    /// It is longer or shorter than its head tells.
+    /// It is longer or shorter than its header states.
     #[error("it holds {found} bytes, and its head tells of {expected}")]
     Length {
         /// Bytes that are there.
         found: usize,
-        /// Bytes that the head tells of.
+        /// Bytes that the header states.
         expected: usize,
     },
     /// The checksum is another.
@@ -46,23 +47,26 @@
     Checksum,
 }
 
-fn sum(version: u64, payload: &[u8]) -> u32 {
+fn checksum(version: u64, payload: &[u8]) -> u32 {
     let mut hasher = crc32fast::Hasher::new();
     hasher.update(&version.to_le_bytes());
     hasher.update(payload);
     hasher.finalize()
 }
 
-/// The bytes of a record.
+/// A record's bytes.
 pub fn encode(version: u64, payload: &[u8]) -> Vec<u8> {
-    let head = format!("{MAGIC} {FORMAT} {version} {} {:08x}\n", payload.len(), sum(version, payload));
-    let mut out = Vec::with_capacity(head.len() + payload.len());
-    out.extend_from_slice(head.as_bytes());
+    let header = format!("{MAGIC} {FORMAT} {version} {} {:08x}\n", payload.len(), checksum(version, payload));
+    let mut out = Vec::with_capacity(header.len() + payload.len());
+    out.extend_from_slice(header.as_bytes());
     out.extend_from_slice(payload);
     out
 }
 
 /// Reads a record.
+///
+/// # Errors
+/// Why the bytes are no intact record.
 pub fn decode(bytes: &[u8]) -> Result<Record, RecordError> {
     if bytes.is_empty() {
         return Err(RecordError::Empty);
@@ -71,22 +75,22 @@
     if bytes[..seen] != MAGIC.as_bytes()[..seen] {
         return Err(RecordError::Unframed);
     }
-    let end = bytes.iter().take(MAX_HEADER).position(|&b| b == b'\n').ok_or(RecordError::Header)?;
-    let head = std::str::from_utf8(&bytes[MAGIC.len().min(end)..end]).map_err(|_| RecordError::Header)?;
-    let mut words = head.split_ascii_whitespace();
-    let mut word = || words.next().ok_or(RecordError::Header);
-    let format: u32 = word()?.parse().map_err(|_| RecordError::Header)?;
+    let end = bytes.iter().take(MAX_HEADER_BYTES).position(|&b| b == b'\n').ok_or(RecordError::Header)?;
+    let header = std::str::from_utf8(&bytes[MAGIC.len().min(end)..end]).map_err(|_| RecordError::Header)?;
+    let mut fields = header.split_ascii_whitespace();
+    let mut field = || fields.next().ok_or(RecordError::Header);
+    let format: u32 = field()?.parse().map_err(|_| RecordError::Header)?;
     if format != FORMAT {
         return Err(RecordError::Format(format));
     }
-    let version: u64 = word()?.parse().map_err(|_| RecordError::Header)?;
-    let told: usize = word()?.parse().map_err(|_| RecordError::Header)?;
-    let crc = u32::from_str_radix(word()?, 16).map_err(|_| RecordError::Header)?;
+    let version: u64 = field()?.parse().map_err(|_| RecordError::Header)?;
+    let expected: usize = field()?.parse().map_err(|_| RecordError::Header)?;
+    let crc = u32::from_str_radix(field()?, 16).map_err(|_| RecordError::Header)?;
     let payload = &bytes[end + 1..];
-    if payload.len() != told || told > MAX_BYTES {
-        return Err(RecordError::Length { found: payload.len(), expected: told });
+    if payload.len() != expected || expected > MAX_BYTES {
+        return Err(RecordError::Length { found: payload.len(), expected });
     }
-    if sum(version, payload) != crc {
+    if checksum(version, payload) != crc {
         return Err(RecordError::Checksum);
     }
     Ok(Record { version, payload: payload.to_vec() })
--- a/crates/durable/src/record_file.rs
+++ b/crates/durable/src/record_file.rs
@@ -1,8 +1,8 @@
-//! One place: a record, and the good one before beside it.
+//! One record's file, with the intact version before it beside it.
 //!
-//! A write makes `NAME.new` durable, moves a good `NAME` to `NAME.before`, `NAME.new` to `NAME`, and makes the
-//! names durable. Whatever of it a loss of power leaves, one whole version is there: the last that was
-//! acknowledged, or the one that was being written.
+//! A write makes `NAME.new` durable, moves an intact `NAME` to `NAME.before`, `NAME.new` to `NAME`, and makes the names
+//! durable. Whatever of it a loss of power leaves, one complete version is there: the last that was acknowledged, or
+//! the one that was being written. What the payload means is left to the caller.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -10,28 +10,28 @@
 use crate::record::{MAX_BYTES, Record, RecordError, decode, encode};
 use crate::storage::Storage;
 
-/// What a place holds.
+/// What a record's file contains.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Found {
     /// The newest version.
     Intact(Record),
-    /// The newest can't be used; this is the one before it.
+    /// The newest version is damaged; this is the one before it.
     Older {
-        /// The one before.
+        /// The version before.
         record: Record,
-        /// What is wrong with the newest.
+        /// What is wrong with the newest version.
         error: RecordError,
     },
-    /// It was written without a encode, by an earlier version of the program: whole or not, nobody knows.
+    /// It has no header, as an early version of the program wrote it: whether it is complete is unknown.
     Unframed(Vec<u8>),
-    /// Something is there and nothing of it can be used.
+    /// No version of it can be used.
     Damaged(RecordError),
-    /// Nothing was kept.
+    /// There is none.
     Absent,
 }
 
 impl Found {
-    /// A word for logs and figures.
+    /// Its name in logs and metrics.
     pub fn as_str(&self) -> &'static str {
         match self {
             Self::Intact(_) => "sound",
@@ -43,39 +43,42 @@
     }
 }
 
-/// A place for a record.
+/// A record's file.
 #[derive(Debug)]
 pub struct RecordFile {
     path: PathBuf,
     new: PathBuf,
     before: PathBuf,
     version: u64,
-    /// What stands under the name is good, and worth keeping beside the next.
-    good: bool,
-    /// Nothing stands under the name, and the only good version under this one.
+    /// The file of this name is intact, and to be kept beside the next version.
+    intact: bool,
+    /// There is no file of this name, and the only intact version has this other name.
     stray: Option<PathBuf>,
 }
 
 impl RecordFile {
-    /// A place, with what it holds.
+    /// Opens a record's file, and reads what it contains.
+    ///
+    /// # Errors
+    /// Where the storage can't be read.
     pub fn open(files: &impl Storage, path: &Path) -> io::Result<(Self, Found)> {
-        let beside = |word: &str| {
+        let beside = |suffix: &str| {
             let mut name = path.file_name().unwrap_or_default().to_owned();
-            name.push(word);
+            name.push(suffix);
             path.with_file_name(name)
         };
         let (new, before) = (beside(".new"), beside(".before"));
-        let look = |path: &Path| files.read(path).map(|bytes| bytes.map(|b| (decode(&b), b)));
+        let read = |path: &Path| files.read(path).map(|bytes| bytes.map(|b| (decode(&b), b)));
         let mut stray = None;
-        let found = match look(path)? {
+        let found = match read(path)? {
             Some((Ok(record), _)) => Found::Intact(record),
             Some((Err(RecordError::Unframed), bytes)) => Found::Unframed(bytes),
-            Some((Err(flaw), _)) => match look(&before)? {
-                Some((Ok(record), _)) => Found::Older { record, error: flaw },
-                _ => Found::Damaged(flaw),
+            Some((Err(error), _)) => match read(&before)? {
+                Some((Ok(record), _)) => Found::Older { record, error },
+                _ => Found::Damaged(error),
             },
-            // The power went between the two renames: what was written last is durable under its first name.
-            None => match (look(&new)?, look(&before)?) {
+            // Power was lost between the two renames: what was written last is durable under its first name.
+            None => match (read(&new)?, read(&before)?) {
                 (Some((Ok(record), _)), _) => {
                     stray = Some(new.clone());
                     Found::Intact(record)
@@ -84,7 +87,7 @@
                     stray = Some(before.clone());
                     Found::Intact(record)
                 }
-                (_, Some((Err(flaw), _))) => Found::Damaged(flaw),
+                (_, Some((Err(error), _))) => Found::Damaged(error),
                 // A first write that never came to its end was never acknowledged.
                 (_, None) => Found::Absent,
             },
@@ -95,8 +98,8 @@
             Found::Older { record, .. } => record.version + 1,
             _ => 0,
         };
-        let good = matches!(found, Found::Intact(_) | Found::Unframed(_));
-        Ok((Self { path: path.to_owned(), new, before, version, good, stray }, found))
+        let intact = matches!(found, Found::Intact(_) | Found::Unframed(_));
+        Ok((Self { path: path.to_owned(), new, before, version, intact, stray }, found))
     }
 
     /// The file.
@@ -104,29 +107,32 @@
         &self.path
     }
 
-    /// Writes the next version; it is durable when this returns.
+    /// Writes the next version; it is durable when this returns. Its version.
+    ///
+    /// # Errors
+    /// Where the payload is longer than [`MAX_BYTES`], or the storage fails: the version before stays.
     pub fn write(&mut self, files: &mut impl Storage, payload: &[u8]) -> io::Result<u64> {
         if payload.len() > MAX_BYTES {
             return Err(io::Error::new(io::ErrorKind::FileTooLarge, "a record is longer than is kept"));
         }
         let version = self.version + 1;
         if let Some(stray) = &self.stray {
-            // The next write would begin over it, or leave it for the second place.
+            // The next write would begin over it, or leave it as the version before.
             files.rename(stray, &self.path)?;
             files.sync_names(&self.path)?;
             self.stray = None;
         }
         files.write(&self.new, &encode(version, payload))?;
-        if self.good {
+        if self.intact {
             match files.rename(&self.path, &self.before) {
-                // It has its name still under `.new` or `.before`: nothing good is lost.
+                // It was never renamed from `.new` or `.before`: nothing intact is lost.
                 Err(error) if error.kind() == io::ErrorKind::NotFound => {}
                 result => result?,
             }
         }
         files.rename(&self.new, &self.path)?;
         files.sync_names(&self.path)?;
-        (self.version, self.good) = (version, true);
+        (self.version, self.intact) = (version, true);
         Ok(version)
     }
 }
--- a/crates/durable/src/storage.rs
+++ b/crates/durable/src/storage.rs
@@ -1,4 +1,4 @@
-//! What a keep wants of a file system.
+//! The file operations that a record's file needs. Which files there are is left to [`crate::RecordFile`].
 
 use std::fs::{self, File};
 use std::io::{self, Read, Write};
@@ -6,19 +6,34 @@
 
 use crate::record::MAX_BYTES;
 
-/// Storage by path. Each call may wait for the disk.
+/// Files by path. Each call may wait for the disk.
 pub trait Storage: Send {
     /// All bytes of a file; `None`: there is none.
+    ///
+    /// # Errors
+    /// Where it can't be read.
     fn read(&self, path: &Path) -> io::Result<Option<Vec<u8>>>;
-    /// Writes a file whole; its content is durable after this, its name need not be.
+    /// Writes a complete file; its content is durable after this, its name need not be.
+    ///
+    /// # Errors
+    /// Where it can't be written; parts of it may be there.
     fn write(&mut self, path: &Path, bytes: &[u8]) -> io::Result<()>;
-    /// Gives a file another name, in place of what had it.
+    /// Renames a file, and replaces what has the new name.
+    ///
+    /// # Errors
+    /// `NotFound` where there is no such file, or why it can't be renamed.
     fn rename(&mut self, from: &Path, to: &Path) -> io::Result<()>;
-    /// The names in the folder of this file are durable after this.
+    /// Makes the names in this file's directory durable.
+    ///
+    /// # Errors
+    /// Where the directory can't be synced.
     fn sync_names(&mut self, path: &Path) -> io::Result<()>;
 }
 
-/// The system's files.
+/// Bytes beyond the longest payload that are read of a file: more than any header.
+const HEADER_ALLOWANCE_BYTES: u64 = 4096;
+
+/// The operating system's files.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct FileSystem;
 
@@ -29,9 +44,9 @@
             Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(None),
             Err(error) => return Err(error),
         };
-        // A file that has grown out of all bounds is not read into memory: its length tells that it is damaged.
+        // A file far beyond the bound is not read into memory: its length already shows that it is damaged.
         let mut bytes = Vec::new();
-        file.take(MAX_BYTES as u64 + 4096).read_to_end(&mut bytes)?;
+        file.take(MAX_BYTES as u64 + HEADER_ALLOWANCE_BYTES).read_to_end(&mut bytes)?;
         Ok(Some(bytes))
     }
 
@@ -46,8 +61,8 @@
     }
 
     fn sync_names(&mut self, path: &Path) -> io::Result<()> {
-        let folder =
+        let directory =
             path.parent().filter(|p| !p.as_os_str().is_empty()).map_or(PathBuf::from("."), Path::to_owned);
-        File::open(folder)?.sync_all()
+        File::open(directory)?.sync_all()
     }
 }
--- a/crates/durable/src/writer.rs
+++ b/crates/durable/src/writer.rs
@@ -1,5 +1,5 @@
-//! The thread that keeps for those who may not wait for a disk. Only the newest version matters: what is put while
-//! an older one waits takes its place, so that one record waits at the most.
+//! The thread that writes for threads that must not wait for a disk. Only the newest version matters: what is submitted
+//! while an older one waits takes its place, so that one record waits at the most.
 
 use std::io;
 use std::path::Path;
@@ -11,16 +11,16 @@
 use crate::record_file::{Found, RecordFile};
 use crate::storage::Storage;
 
-/// What came of what was put.
+/// What became of submitted records.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Records put.
+    /// Records submitted.
     pub submitted: u64,
     /// Written and durable.
     pub written: u64,
-    /// Never written, as a newer one came first.
+    /// Never written, as a newer one was there first.
     pub superseded: u64,
-    /// The disk refused them.
+    /// Writing them failed.
     pub failed: u64,
 }
 
@@ -30,28 +30,29 @@
     busy: bool,
     ended: bool,
     counters: Counters,
-    /// Which put is being written, and the last one that is durable, as [`Counters::put`] counts them.
+    /// The submission that is being written, as [`Counters::submitted`] counts them.
     writing: u64,
+    /// The last submission that is durable.
     durable: u64,
 }
 
 #[derive(Default)]
 struct Shared {
     queue: Mutex<Queue>,
-    /// Something was put, or the end is wanted.
-    bell: Condvar,
+    /// Something was submitted, or the thread is to end.
+    wake: Condvar,
     /// Nothing waits and nothing is being written.
-    rest: Condvar,
+    idle: Condvar,
 }
 
 impl Shared {
-    // Held for a few moves of memory, never over a disk: to wait for it is not to wait for a disk.
+    /// Held for a few moves of memory, never over I/O: waiting for it is not waiting for a disk.
     fn lock(&self) -> MutexGuard<'_, Queue> {
         self.queue.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// The thread.
+/// The writing thread of one record's file.
 pub struct RecordWriter {
     shared: Arc<Shared>,
     found: Receiver<io::Result<Found>>,
@@ -59,34 +60,37 @@
 }
 
 impl RecordWriter {
-    /// Starts the thread, which opens the place. `told` hears, on the keeper's thread, what became of each write.
+    /// Starts the thread, which opens the file. `written` is called on that thread with the result of each write.
+    ///
+    /// # Errors
+    /// Where the thread can't be started.
     pub fn start<F: Storage + 'static>(
         mut files: F,
         path: &Path,
-        told: impl Fn(io::Result<u64>) + Send + 'static,
+        written: impl Fn(io::Result<u64>) + Send + 'static,
     ) -> io::Result<Self> {
         let shared = Arc::new(Shared::default());
-        let (ours, path) = (Arc::clone(&shared), path.to_owned());
-        let (finding, found) = channel();
+        let (thread_shared, path) = (Arc::clone(&shared), path.to_owned());
+        let (found_sender, found) = channel();
         let work = move || {
-            // Whoever did not wait for what was found wants it no more.
-            let mut keep = match RecordFile::open(&files, &path) {
-                Ok((keep, held)) => {
-                    let _ = finding.send(Ok(held));
-                    Some(keep)
+            // The receiver is gone where nobody waited for what was found.
+            let mut file = match RecordFile::open(&files, &path) {
+                Ok((file, contents)) => {
+                    let _ = found_sender.send(Ok(contents));
+                    Some(file)
                 }
                 Err(error) => {
-                    let _ = finding.send(Err(error));
+                    let _ = found_sender.send(Err(error));
                     None
                 }
             };
-            while let Some(payload) = next(&ours) {
-                let result = match &mut keep {
-                    Some(keep) => keep.write(&mut files, &payload),
-                    None => Err(io::Error::other("the place could not be opened")),
+            while let Some(payload) = next(&thread_shared) {
+                let result = match &mut file {
+                    Some(file) => file.write(&mut files, &payload),
+                    None => Err(io::Error::other("the file could not be opened")),
                 };
                 {
-                    let mut queue = ours.lock();
+                    let mut queue = thread_shared.lock();
                     match &result {
                         Ok(_) => {
                             queue.counters.written += 1;
@@ -95,74 +99,78 @@
                         Err(_) => queue.counters.failed += 1,
                     }
                 }
-                told(result);
+                written(result);
             }
         };
         let thread = std::thread::Builder::new().name("keeper".to_owned()).spawn(work)?;
         Ok(Self { shared, found, thread: Some(thread) })
     }
 
-    /// What the place held at the start. Waits so long for the disk: `Ok(None)`.
-    pub fn found(&self, most: Duration) -> io::Result<Option<Found>> {
-        match self.found.recv_timeout(most) {
+    /// What the file contained at the start; `None`: the disk has not answered within `timeout`. To be called once.
+    ///
+    /// # Errors
+    /// Where the file can't be read.
+    pub fn found(&self, timeout: Duration) -> io::Result<Option<Found>> {
+        match self.found.recv_timeout(timeout) {
             Ok(found) => found.map(Some),
             Err(_) => Ok(None),
         }
     }
 
-    /// Keeps these bytes, in time. Never waits for a disk. Which put this is, for [`RecordWriter::durable`].
+    /// Submits a payload to be written. Never waits for a disk. The number of the submission, for
+    /// [`RecordWriter::durable`].
     pub fn submit(&self, payload: Vec<u8>) -> u64 {
         let mut queue = self.shared.lock();
         queue.counters.submitted += 1;
-        let put = queue.counters.submitted;
+        let number = queue.counters.submitted;
         if queue.waiting.replace(payload).is_some() {
             queue.counters.superseded += 1;
         }
         drop(queue);
-        self.shared.bell.notify_one();
-        put
+        self.shared.wake.notify_one();
+        number
     }
 
-    /// The last put that is durable: it, or a newer one in its place. 0: none.
+    /// The last submission that is durable, itself or by a newer one in its place; 0: none.
     pub fn durable(&self) -> u64 {
         self.shared.lock().durable
     }
 
-    /// What came of what was put.
+    /// What became of submitted records.
     pub fn counters(&self) -> Counters {
         self.shared.lock().counters
     }
 
-    /// Waits until all that was put is durable, or the span is over: false.
-    pub fn flush(&self, most: Duration) -> bool {
-        let until = Instant::now() + most;
+    /// Waits until nothing is to be written any more. False: `timeout` was over first.
+    pub fn flush(&self, timeout: Duration) -> bool {
+        let until = Instant::now() + timeout;
         let mut queue = self.shared.lock();
         while queue.busy || queue.waiting.is_some() {
-            let left = until.saturating_duration_since(Instant::now());
-            if left.is_zero() {
+            let remaining = until.saturating_duration_since(Instant::now());
+            if remaining.is_zero() {
                 return false;
             }
-            queue = self.shared.rest.wait_timeout(queue, left).unwrap_or_else(PoisonError::into_inner).0;
+            queue = self.shared.idle.wait_timeout(queue, remaining).unwrap_or_else(PoisonError::into_inner).0;
         }
         true
     }
 }
 
-/// An ordered end waits so long for a disk, and then leaves the thread to it.
+/// How long a shutdown waits for the disk before it abandons the thread.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(2);
 
 impl Drop for RecordWriter {
     fn drop(&mut self) {
-        let settled = self.flush(SHUTDOWN_TIMEOUT);
+        let flushed = self.flush(SHUTDOWN_TIMEOUT);
         self.shared.lock().ended = true;
-        self.shared.bell.notify_one();
-        if let Some(thread) = self.thread.take().filter(|_| settled) {
+        self.shared.wake.notify_one();
+        if let Some(thread) = self.thread.take().filter(|_| flushed) {
             let _ = thread.join();
         }
     }
 }
 
-/// What is to be written next; `None`: the end.
+/// Waits for what is to be written next; `None`: the thread is to end.
 fn next(shared: &Shared) -> Option<Vec<u8>> {
     let mut queue = shared.lock();
     queue.busy = false;
@@ -172,10 +180,10 @@
             queue.writing = queue.counters.submitted;
             return Some(newest);
         }
-        shared.rest.notify_all();
+        shared.idle.notify_all();
         if queue.ended {
             return None;
         }
-        queue = shared.bell.wait(queue).unwrap_or_else(PoisonError::into_inner);
+        queue = shared.wake.wait(queue).unwrap_or_else(PoisonError::into_inner);
     }
 }
--- a/crates/durable/tests/power_loss.rs
+++ b/crates/durable/tests/power_loss.rs
@@ -7,13 +7,13 @@
 const LOSSES: [Loss; 3] = [Loss::Lost, Loss::Torn, Loss::Survived];
 
 /// All disks that may be found when the power goes at any step of the next write.
-fn after_each_kill(disk: &MemoryStorage, path: &Path, payload: &[u8]) -> Vec<(MemoryStorage, bool)> {
+fn after_each_power_loss(disk: &MemoryStorage, path: &Path, payload: &[u8]) -> Vec<(MemoryStorage, bool)> {
     let mut found = Vec::new();
     for steps in 0..=8 {
         let mut disk = disk.clone();
-        let (mut keep, _) = RecordFile::open(&disk, path).expect("a disk in memory can be read");
+        let (mut file, _) = RecordFile::open(&disk, path).expect("a disk in memory can be read");
         disk.steps_left = Some(steps);
-        let done = keep.write(&mut disk, payload).is_ok();
+        let done = file.write(&mut disk, payload).is_ok();
         for names in 0..=disk.pending() {
             for loss in LOSSES {
                 found.push((disk.lose_power(names, loss), done));
@@ -34,20 +34,20 @@
 }
 
 #[test]
-fn a_kill_at_any_step_leaves_the_old_or_the_new_and_an_acknowledged_write_stays() {
+fn power_loss_at_any_step_leaves_the_old_or_the_new_version() {
     let path = Path::new("folder/kept");
     let mut seen = 0;
-    // Three lives: each begins with every disk that the one before may have left.
+    // Three incarnations: each begins with every disk that the one before may have left.
     let mut disks = vec![(MemoryStorage::default(), None::<Vec<u8>>)];
-    for life in [b"one".to_vec(), b"two".to_vec(), b"three".to_vec()] {
+    for written in [b"one".to_vec(), b"two".to_vec(), b"three".to_vec()] {
         let mut next = Vec::new();
         for (disk, held) in &disks {
-            for (left, done) in after_each_kill(disk, path, &life) {
+            for (left, done) in after_each_power_loss(disk, path, &written) {
                 seen += 1;
                 let (_, found) = RecordFile::open(&left, path).expect("readable");
                 let now = payload(&found).map(<[u8]>::to_vec);
-                let whole = now == Some(life.clone()) || !done && now == *held;
-                assert!(whole, "held {held:?}, wrote {life:?}, done {done}, found {found:?}");
+                let whole = now == Some(written.clone()) || !done && now == *held;
+                assert!(whole, "held {held:?}, wrote {written:?}, done {done}, found {found:?}");
                 if !next.iter().any(|(_, n): &(MemoryStorage, Option<Vec<u8>>)| *n == now) || next.len() < 12
                 {
                     next.push((left, now));
@@ -60,38 +60,38 @@
 }
 
 #[test]
-fn a_damaged_newest_gives_the_one_before_and_says_so() {
+fn damaged_newest_version_is_replaced_by_the_one_before() {
     let path = Path::new("kept");
     let mut disk = MemoryStorage::default();
-    let (mut keep, found) = RecordFile::open(&disk, path).expect("readable");
+    let (mut file, found) = RecordFile::open(&disk, path).expect("readable");
     assert_eq!(found, Found::Absent);
-    keep.write(&mut disk, b"one").expect("room");
-    keep.write(&mut disk, b"two").expect("room");
+    file.write(&mut disk, b"one").expect("room");
+    file.write(&mut disk, b"two").expect("room");
     let mut bytes = disk.read(path).expect("readable").expect("there");
     let last = bytes.len() - 1;
     bytes[last] ^= 1;
     disk.put(path, &bytes);
-    let (mut keep, found) = RecordFile::open(&disk, path).expect("readable");
+    let (mut file, found) = RecordFile::open(&disk, path).expect("readable");
     assert!(matches!(&found, Found::Older { record, .. } if record.payload == b"one"), "{found:?}");
     // The next write does not put the damaged one in the good one's place.
-    keep.write(&mut disk, b"three").expect("room");
+    file.write(&mut disk, b"three").expect("room");
     disk.put(path, b"");
     let (_, found) = RecordFile::open(&disk, path).expect("readable");
     assert!(matches!(&found, Found::Older { record, .. } if record.payload == b"one"), "{found:?}");
 }
 
 #[test]
-fn a_full_or_read_only_disk_leaves_what_was_kept() {
+fn full_or_read_only_disk_leaves_the_last_version() {
     let path = Path::new("kept");
     let mut disk = MemoryStorage::default();
-    let (mut keep, _) = RecordFile::open(&disk, path).expect("readable");
-    keep.write(&mut disk, b"one").expect("room");
+    let (mut file, _) = RecordFile::open(&disk, path).expect("readable");
+    file.write(&mut disk, b"one").expect("room");
     disk.capacity = Some(8);
-    assert!(keep.write(&mut disk, b"a longer one").is_err());
+    assert!(file.write(&mut disk, b"a longer one").is_err());
     (disk.capacity, disk.read_only) = (None, true);
-    assert!(keep.write(&mut disk, b"two").is_err());
+    assert!(file.write(&mut disk, b"two").is_err());
     disk.read_only = false;
     let (_, found) = RecordFile::open(&disk, path).expect("readable");
     assert_eq!(payload(&found), Some(&b"one"[..]));
-    assert_eq!(keep.write(&mut disk, b"two").expect("room again"), 2, "a failed write uses up no version");
+    assert_eq!(file.write(&mut disk, b"two").expect("room again"), 2, "a failed write uses up no version");
 }
--- a/crates/durable/tests/writer.rs
+++ b/crates/durable/tests/writer.rs
@@ -1,4 +1,4 @@
-//! A disk that stands still holds up nobody, and only the newest version is written when it moves again.
+//! A stalled disk holds up nobody, and only the newest version is written when it works again.
 
 use std::io;
 use std::path::Path;
@@ -8,13 +8,13 @@
 use nettleferry_durable::{Found, MemoryStorage, RecordWriter, Storage};
 
 /// A disk whose writes wait until they are let through.
-struct Still {
+struct StalledDisk {
     disk: MemoryStorage,
     began: Sender<()>,
     go: Receiver<()>,
 }
 
-impl Storage for Still {
+impl Storage for StalledDisk {
     fn read(&self, path: &Path) -> io::Result<Option<Vec<u8>>> {
         self.disk.read(path)
     }
@@ -32,31 +32,31 @@
     }
 }
 
-const PATIENCE: Duration = Duration::from_secs(30);
+const TIMEOUT: Duration = Duration::from_secs(30);
 
 #[test]
-fn a_disk_that_stands_still_is_waited_for_by_the_keeper_alone() {
+fn stalled_disk_holds_up_only_the_writer_thread() {
     let ((began, begins), (go, gone)) = (channel(), channel());
     let (tell, told) = channel();
-    let still = Still { disk: MemoryStorage::default(), began, go: gone };
-    let keeper = RecordWriter::start(still, Path::new("kept"), move |result| {
+    let still = StalledDisk { disk: MemoryStorage::default(), began, go: gone };
+    let writer = RecordWriter::start(still, Path::new("kept"), move |result| {
         let _ = tell.send(result.ok());
     })
     .expect("started");
-    let found = keeper.found(PATIENCE).expect("readable").expect("in time");
+    let found = writer.found(TIMEOUT).expect("readable").expect("in time");
     assert_eq!(found, Found::Absent);
-    keeper.submit(b"0".to_vec());
-    begins.recv_timeout(PATIENCE).expect("the first write has begun and stands");
+    writer.submit(b"0".to_vec());
+    begins.recv_timeout(TIMEOUT).expect("the first write has begun and stands");
     for n in 1..=1000 {
-        keeper.submit(format!("{n}").into_bytes());
+        writer.submit(format!("{n}").into_bytes());
     }
-    assert!(!keeper.flush(Duration::ZERO));
-    assert_eq!(keeper.counters().superseded, 999);
-    go.send(()).expect("the keeper waits");
-    assert_eq!(told.recv_timeout(PATIENCE), Ok(Some(1)));
-    go.send(()).expect("the keeper waits");
-    assert_eq!(told.recv_timeout(PATIENCE), Ok(Some(2)));
-    assert!(keeper.flush(PATIENCE));
-    let counted = keeper.counters();
+    assert!(!writer.flush(Duration::ZERO));
+    assert_eq!(writer.counters().superseded, 999);
+    go.send(()).expect("the writer waits");
+    assert_eq!(told.recv_timeout(TIMEOUT), Ok(Some(1)));
+    go.send(()).expect("the writer waits");
+    assert_eq!(told.recv_timeout(TIMEOUT), Ok(Some(2)));
+    assert!(writer.flush(TIMEOUT));
+    let counted = writer.counters();
     assert_eq!((counted.submitted, counted.written, counted.failed), (1001, 2, 0));
 }
--- a/crates/tenancy/src/idempotency.rs
+++ b/crates/tenancy/src/idempotency.rs
@@ -1,20 +1,21 @@
-//! Answers that are given again: a request under a key that came before has the same answer, and happens once.
+//! Responses that are repeated: a request with an idempotency key that was used before gets the same response, and
+//! takes effect once. Keeping and bounding them is left to the store.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{Millis, Revision};
 
-/// An answer that is given again to a request that comes again under the same key.
+/// The response to a request with an idempotency key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct IdempotentResponse {
-    /// Of the request: another one under the same key is refused.
+    /// Identifies the request's body: another body under the same key is rejected.
     pub fingerprint: u64,
-    /// The status of the answer.
+    /// The response's HTTP status.
     pub status: u16,
     /// The revision that the request made.
     pub revision: Revision,
-    /// The answer's body.
+    /// The response's body.
     pub body: String,
-    /// When.
+    /// When the request was accepted.
     pub at_ms: Millis,
 }
--- a/crates/tenancy/src/lib.rs
+++ b/crates/tenancy/src/lib.rs
@@ -1,15 +1,15 @@
 //! Tenants as state: what they may do, how that is changed, and what a change leaves behind.
 //!
-//! May know: tenants, changes, who asks, times as values. Must not know: files, sockets, HTTP, clocks, calls.
+//! May know: tenants, changes, who requests them, times as values. Must not know: files, sockets, HTTP, clocks, calls.
 //!
-//! * [`model`]: a tenant, its limits and rights, as they are stored and shown. [`check`]: what is sound, each
-//!   fault with the field that holds it.
-//! * [`book`]: all tenants under one revision: a change is taken whole or refused, and names what it changed.
-//! * [`follow`]: a book that follows another one.
-//! * [`once`]: answers to be given again. [`audit`]: who changed what, when, before and after.
+//! * [`model`]: a tenant, its limits and rights, as they are stored and shown. [`validation`]: which values are valid;
+//!   each error names its field.
+//! * [`snapshot`]: all tenants at one revision; a change is applied completely or rejected.
+//! * [`replication`]: a snapshot that follows another controller's.
+//! * [`idempotency`]: responses that are repeated. [`audit`]: who changed what and when, with the state before and
+//!   after.
 
 #![forbid(unsafe_code)]
-#![deny(missing_docs)]
 
 pub mod audit;
 pub mod idempotency;
@@ -24,7 +24,7 @@
 pub use snapshot::{Applied, Change, Condition, Denied, TenantSnapshot};
 pub use validation::FieldError;
 
-/// A revision: each change has the next one. 0: nothing was changed yet.
+/// The number of a change: each change has the next one. 0: nothing was changed yet.
 pub type Revision = u64;
-/// Milliseconds since 1970, as the administrator's clock told them.
+/// Milliseconds since 1970 by the leader's wall clock, which may step.
 pub type Millis = u64;
--- a/crates/tenancy/src/snapshot.rs
+++ b/crates/tenancy/src/snapshot.rs
@@ -1,6 +1,6 @@
-//! All tenants under one revision. A change is judged against the book as it stands and taken whole, or it is
-//! refused and nothing has happened. What it did is one [`Entry`]; entries applied in order to an equal book
-//! give an equal book, which is how controllers follow.
+//! All tenants at one revision. A change is evaluated against the snapshot and applied completely, or rejected without
+//! an effect. What it did is one [`Entry`]; entries applied in order to equal snapshots give equal snapshots, which is
+//! how controllers replicate. Storing and sending them is left to the caller.
 
 use std::collections::BTreeMap;
 
@@ -12,47 +12,47 @@
 use crate::validation::{self, FieldError};
 use crate::{Millis, Revision};
 
-/// Who the program is, in the audit trail.
+/// The program's own name in the audit trail.
 pub const PROGRAM: &str = "nettleferry";
 
-/// What is to be changed.
+/// A requested change.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
-    /// A new tenant; `spec` as JSON.
+    /// Create a tenant.
     Create {
-        /// Its name.
+        /// The tenant's name.
         name: String,
-        /// What is said of it.
+        /// What is configured of it, as JSON.
         spec: Value,
     },
-    /// A merge patch (RFC 7396) of what is said of a tenant.
+    /// Change what is configured of a tenant by a merge patch (RFC 7396).
     Patch {
-        /// Which.
+        /// The tenant's name.
         name: String,
-        /// The patch: a member of null goes back to what holds where nothing is said.
+        /// The patch: a member that is null returns to its default.
         patch: Value,
     },
-    /// New calls are turned away.
+    /// Reject new calls.
     Suspend {
-        /// Which.
+        /// The tenant's name.
         name: String,
     },
-    /// New calls are taken again.
+    /// Accept new calls again.
     Resume {
-        /// Which.
+        /// The tenant's name.
         name: String,
     },
-    /// New calls are turned away, open ones ended after the grace, and then it is gone.
+    /// Reject new calls, end open ones after a grace period, and then remove the tenant.
     Remove {
-        /// Which.
+        /// The tenant's name.
         name: String,
-        /// Milliseconds.
+        /// The grace period, milliseconds.
         grace_ms: Millis,
     },
 }
 
 impl Change {
-    /// The tenant it is about.
+    /// The name of the tenant that it is about.
     pub fn tenant(&self) -> &str {
         match self {
             Self::Create { name, .. }
@@ -64,96 +64,96 @@
     }
 }
 
-/// Of which revision the administrator believes the tenant to be.
+/// Which revision of the tenant a change is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Condition {
-    /// Whatever it is.
+    /// Any.
     Any,
-    /// It must be this one.
+    /// This one: another change must not have come in between.
     Is(Revision),
 }
 
-/// Why a change was refused. Nothing has happened.
+/// Why a change was rejected. It had no effect.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Denied {
     /// There is no such tenant.
     #[error("there is no tenant {0}")]
     Unknown(String),
-    /// There is one already.
+    /// There is one of this name already.
     #[error("there is a tenant {0} already")]
     Exists(String),
-    /// It was changed meanwhile.
+    /// It was changed in between.
     #[error("tenant {name} is at revision {current}, not {expected}")]
     Stale {
-        /// Which.
+        /// The tenant's name.
         name: String,
-        /// Its revision.
+        /// The tenant's revision.
         current: Revision,
-        /// The one told.
+        /// The one that the change is for.
         expected: Revision,
     },
-    /// It is being removed: nothing of it changes any more.
+    /// It is being removed, and can't be changed any more.
     #[error("tenant {0} is being removed")]
     Removing(String),
-    /// A value is not sound.
+    /// A value is not valid.
     #[error("{0}")]
     Invalid(#[from] FieldError),
-    /// There is no room for one more.
+    /// There are as many tenants as there may be.
     #[error("there are {0} tenants, as many as are kept")]
     Full(usize),
 }
 
-/// What a change did.
+/// The effect of a change.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Applied {
-    /// The tenant as it is now; none: it is gone.
+    /// The tenant after it; `None`: it is gone.
     pub tenant: Option<Tenant>,
-    /// For the audit trail and for those who follow. None: nothing had to be changed.
+    /// The entry for the audit trail and the followers; `None`: nothing had to be changed.
     pub entry: Option<Entry>,
 }
 
-/// An entry that does not follow on the book.
+/// An entry does not follow on the snapshot.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("an entry of revision {entry} does not follow on revision {snapshot}")]
 pub struct RevisionGap {
-    /// The book's.
+    /// The snapshot's revision.
     pub snapshot: Revision,
-    /// The entry's.
+    /// The entry's revision.
     pub entry: Revision,
 }
 
-/// All tenants. Serialized, it is a snapshot.
+/// All tenants at one revision.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct TenantSnapshot {
     revision: Revision,
     tenants: BTreeMap<String, Tenant>,
 }
 
-/// Most tenants of a book.
+/// Tenants at the most.
 pub const MAX_TENANTS: usize = 20_000;
 
 impl TenantSnapshot {
-    /// Its checksum: CRC-32 of its JSON, in which tenants stand by name.
+    /// Its checksum: CRC-32 of its JSON, in which tenants are sorted by name.
     pub fn checksum(&self) -> u32 {
         crc32fast::hash(&serde_json::to_vec(self).unwrap_or_default())
     }
 
-    /// A book of what a store holds.
+    /// The snapshot of these tenants, as a store has them.
     pub fn from_tenants(revision: Revision, tenants: impl IntoIterator<Item = Tenant>) -> Self {
         Self { revision, tenants: tenants.into_iter().map(|t| (t.name.clone(), t)).collect() }
     }
 
-    /// The last change's revision.
+    /// The number of the last change.
     pub fn revision(&self) -> Revision {
         self.revision
     }
 
-    /// A tenant.
+    /// The tenant of this name.
     pub fn get(&self, name: &str) -> Option<&Tenant> {
         self.tenants.get(name)
     }
 
-    /// All, by name.
+    /// All tenants, by name.
     pub fn tenants(&self) -> impl ExactSizeIterator<Item = &Tenant> {
         self.tenants.values()
     }
@@ -165,28 +165,31 @@
         self.tenants.range::<str, _>(range).map(|(_, t)| t).take(most).collect()
     }
 
-    /// What a change would do; the book stays as it is.
+    /// What a change would do; the snapshot stays as it is. `actor`: who requests it.
+    ///
+    /// # Errors
+    /// Why the change is rejected.
     pub fn evaluate(
         &self,
         change: &Change,
         condition: Condition,
-        who: &str,
+        actor: &str,
         now: Millis,
     ) -> Result<Applied, Denied> {
         if let Change::Create { name, spec } = change {
-            return self.create(name, spec, who, now);
+            return self.create(name, spec, actor, now);
         }
         let name = change.tenant();
         let before = self.tenants.get(name).ok_or_else(|| Denied::Unknown(name.to_owned()))?;
-        if let Condition::Is(told) = condition
-            && told != before.revision
+        if let Condition::Is(expected) = condition
+            && expected != before.revision
         {
-            return Err(Denied::Stale { name: name.to_owned(), current: before.revision, expected: told });
+            return Err(Denied::Stale { name: name.to_owned(), current: before.revision, expected });
         }
         let mut after = before.clone();
         let action = match change {
             Change::Create { .. } => Action::Create,
-            // A second removal asks for what is under way.
+            // A second removal requests what is under way already.
             Change::Remove { .. } if before.state == State::Removing => Action::Remove,
             _ if before.state == State::Removing => return Err(Denied::Removing(name.to_owned())),
             Change::Patch { patch, .. } => {
@@ -210,10 +213,10 @@
         if after == *before {
             return Ok(Applied { tenant: Some(after), entry: None });
         }
-        Ok(self.entry(action, who, now, Some(before.clone()), Some(after)))
+        Ok(self.entry(action, actor, now, Some(before.clone()), Some(after)))
     }
 
-    fn create(&self, name: &str, spec: &Value, who: &str, now: Millis) -> Result<Applied, Denied> {
+    fn create(&self, name: &str, spec: &Value, actor: &str, now: Millis) -> Result<Applied, Denied> {
         validation::name(name)?;
         if self.tenants.contains_key(name) {
             return Err(Denied::Exists(name.to_owned()));
@@ -231,13 +234,13 @@
             created_ms: now,
             spec: validation::spec(spec.clone())?,
         };
-        Ok(self.entry(Action::Create, who, now, None, Some(tenant)))
+        Ok(self.entry(Action::Create, actor, now, None, Some(tenant)))
     }
 
     fn entry(
         &self,
         action: Action,
-        who: &str,
+        actor: &str,
         at_ms: Millis,
         before: Option<Tenant>,
         mut after: Option<Tenant>,
@@ -248,24 +251,28 @@
         }
         let name = after.as_ref().or(before.as_ref()).map(|t| t.name.clone()).unwrap_or_default();
         let tenant = after.clone();
-        let entry = Entry { revision, at_ms, actor: who.to_owned(), action, tenant: name, before, after };
+        let entry = Entry { revision, at_ms, actor: actor.to_owned(), action, tenant: name, before, after };
         Applied { tenant, entry: Some(entry) }
     }
 
-    /// The next tenant whose grace is over, as an entry to be taken. The clock may step: a grace is never over
-    /// before it was told to be by some clock.
+    /// The entry that removes the next tenant whose grace period is over, to be applied by the caller. The clock may
+    /// step: a grace period never ends before the clock has read its end.
     pub fn due_removal(&self, now: Millis) -> Option<Entry> {
         let over = |t: &&Tenant| t.gone_at_ms.is_some_and(|at| at <= now);
         let tenant = self.tenants.values().find(over)?.clone();
         self.entry(Action::Gone, PROGRAM, now, Some(tenant), None).entry
     }
 
-    /// When [`Book::due`] has something next.
+    /// When the next grace period is over; `None`: no tenant is being removed.
     pub fn next_removal(&self) -> Option<Millis> {
         self.tenants.values().filter_map(|t| t.gone_at_ms).min()
     }
 
-    /// Takes an entry: the one that [`Book::judge`] or [`Book::due`] gave, or the next of a book that is followed.
+    /// Applies an entry: the one of [`TenantSnapshot::evaluate`] or [`TenantSnapshot::due_removal`], or the next one of
+    /// a snapshot that is followed.
+    ///
+    /// # Errors
+    /// Where its revision is not the next one; nothing is changed then.
     pub fn apply(&mut self, entry: &Entry) -> Result<(), RevisionGap> {
         if entry.revision != self.revision + 1 {
             return Err(RevisionGap { snapshot: self.revision, entry: entry.revision });
@@ -279,7 +286,7 @@
     }
 }
 
-/// What is said of a tenant with a merge patch applied.
+/// What is configured of a tenant, with a merge patch applied.
 fn patched(spec: &Spec, patch: &Value) -> Result<Spec, Denied> {
     if !patch.is_object() {
         return Err(FieldError::new("the body", "a merge patch is a JSON object").into());
--- a/crates/tenancy/src/validation.rs
+++ b/crates/tenancy/src/validation.rs
@@ -1,4 +1,4 @@
-//! What is sound. Each fault names its field, so that the answer to a bad request says what to mend.
+//! Which values are valid. Each error names its field, so that the response to a bad request says what to correct.
 
 use serde_json::Value;
 
@@ -14,46 +14,52 @@
 pub const MAX_MODEL_LENGTH: usize = 256;
 /// Most characters of a note.
 pub const MAX_NOTE_LENGTH: usize = 1_000;
-/// Highest rate that can be told, calls a second.
+/// Highest rate that can be configured, calls a second.
 pub const MAX_RATE: f64 = 1e7;
 /// Highest weight; the lowest is its inverse.
 pub const MAX_WEIGHT: f64 = 1_000.0;
 
-/// What is wrong with a value.
+/// An invalid value.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{field}: {what}")]
 pub struct FieldError {
-    /// Where: names and places from the outermost on, with dots between.
+    /// The path of the field: names and indexes from the outermost on, with dots between.
     pub field: String,
-    /// What is wrong, and what would do.
+    /// What is wrong, and what would be valid.
     pub what: String,
 }
 
 impl FieldError {
-    /// A fault of a field.
+    /// An error about a field.
     pub fn new(field: impl Into<String>, what: impl Into<String>) -> Self {
         Self { field: field.into(), what: what.into() }
     }
 }
 
-/// A name: a letter or digit, then letters, digits, `-`, `_` and `.`.
+/// Checks a tenant's name: a letter or digit, then letters, digits, `-`, `_` and `.`.
+///
+/// # Errors
+/// Where it is no such name, or longer than [`MAX_NAME_LENGTH`].
 pub fn name(name: &str) -> Result<(), FieldError> {
-    let sound = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
-    let first = name.starts_with(|c: char| c.is_ascii_alphanumeric());
-    if first && name.len() <= MAX_NAME_LENGTH && name.chars().all(sound) {
+    let valid = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
+    let valid_first = name.starts_with(|c: char| c.is_ascii_alphanumeric());
+    if valid_first && name.len() <= MAX_NAME_LENGTH && name.chars().all(valid) {
         return Ok(());
     }
     let what = format!("1 to {MAX_NAME_LENGTH} letters, digits, '-', '_' and '.', a letter or digit first");
     Err(FieldError::new("name", what))
 }
 
-/// Reads what an administrator says of a tenant: unknown fields and wrong types are faults.
+/// Reads what an administrator configures of a tenant.
+///
+/// # Errors
+/// For an unknown field, a wrong type or a value out of bounds.
 pub fn spec(value: Value) -> Result<Spec, FieldError> {
     let spec: Spec = serde_path_to_error::deserialize(value).map_err(|error| {
         let path = error.path().to_string();
         FieldError::new(if path == "." { "the body".to_owned() } else { path }, error.inner().to_string())
     })?;
-    sound(&spec)?;
+    check(&spec)?;
     Ok(spec)
 }
 
@@ -73,7 +79,7 @@
     Ok(())
 }
 
-fn sound(spec: &Spec) -> Result<(), FieldError> {
+fn check(spec: &Spec) -> Result<(), FieldError> {
     rate("limits", spec.limits.rate_per_second, spec.limits.burst)?;
     if spec.limits.fleet_share.is_some_and(|s| !(s > 0.0 && s <= 1.0)) {
         return Err(FieldError::new("limits.fleet_share", "above 0, at most 1"));
@@ -94,11 +100,15 @@
     if models.len() > MAX_MODELS {
         return Err(FieldError::new("models", format!("at most {MAX_MODELS}")));
     }
-    for (place, model) in models.iter().enumerate() {
-        let stars = model.strip_suffix('*').unwrap_or(model).contains('*');
-        if model.is_empty() || model.len() > MAX_MODEL_LENGTH || stars || model.contains(char::is_control) {
+    for (index, model) in models.iter().enumerate() {
+        let inner_star = model.strip_suffix('*').unwrap_or(model).contains('*');
+        if model.is_empty()
+            || model.len() > MAX_MODEL_LENGTH
+            || inner_star
+            || model.contains(char::is_control)
+        {
             let what = format!("1 to {MAX_MODEL_LENGTH} characters, with * at the end alone");
-            return Err(FieldError::new(format!("models[{place}]"), what));
+            return Err(FieldError::new(format!("models[{index}]"), what));
         }
     }
     Ok(())
--- a/crates/tenancy/tests/replication.rs
+++ b/crates/tenancy/tests/replication.rs
@@ -1,4 +1,4 @@
-//! Followers that lose answers, come late, or whose peer begins anew.
+//! Followers whose responses are lost or late, or whose peer restarts with another store.
 
 use nettleferry_tenancy::replication::{
     Follower, MAX_BACKOFF, ReplicationRequest, ReplicationResponse, Update,
@@ -7,12 +7,12 @@
 use proptest::prelude::*;
 use serde_json::json;
 
-/// A peer with its trail.
+/// A peer with its audit trail.
 #[derive(Default)]
 struct Peer {
     store: &'static str,
-    book: TenantSnapshot,
-    trail: Vec<Entry>,
+    snapshot: TenantSnapshot,
+    audit_trail: Vec<Entry>,
 }
 
 impl Peer {
@@ -24,57 +24,58 @@
             2 => Change::Suspend { name },
             _ => Change::Remove { name, grace_ms: 0 },
         };
-        if let Ok(applied) = self.book.evaluate(&change, Condition::Any, "p", n)
+        if let Ok(applied) = self.snapshot.evaluate(&change, Condition::Any, "p", n)
             && let Some(entry) = applied.entry
         {
-            self.book.apply(&entry).expect("the next");
-            self.trail.push(entry);
+            self.snapshot.apply(&entry).expect("the next");
+            self.audit_trail.push(entry);
         }
-        while let Some(entry) = self.book.due_removal(n) {
-            self.book.apply(&entry).expect("the next");
-            self.trail.push(entry);
+        while let Some(entry) = self.snapshot.due_removal(n) {
+            self.snapshot.apply(&entry).expect("the next");
+            self.audit_trail.push(entry);
         }
     }
 
-    fn answer(&self, ask: ReplicationRequest, most: usize) -> ReplicationResponse {
-        match ask {
-            ReplicationRequest::Snapshot => {
-                ReplicationResponse::Snapshot { store: self.store.to_owned(), snapshot: self.book.clone() }
-            }
+    fn answer(&self, request: ReplicationRequest, most: usize) -> ReplicationResponse {
+        match request {
+            ReplicationRequest::Snapshot => ReplicationResponse::Snapshot {
+                store: self.store.to_owned(),
+                snapshot: self.snapshot.clone(),
+            },
             ReplicationRequest::Watch { store, .. } if store != self.store => ReplicationResponse::Diverged,
-            ReplicationRequest::Watch { after, .. } if after > self.book.revision() => {
+            ReplicationRequest::Watch { after, .. } if after > self.snapshot.revision() => {
                 ReplicationResponse::Diverged
             }
             ReplicationRequest::Watch { after, .. } => ReplicationResponse::Entries(
-                self.trail.iter().filter(|e| e.revision > after).take(most).cloned().collect(),
+                self.audit_trail.iter().filter(|e| e.revision > after).take(most).cloned().collect(),
             ),
         }
     }
 }
 
-/// What is in force, by the news alone.
-fn put(force: &mut TenantSnapshot, news: &mut Vec<Update>) {
-    for one in news.drain(..) {
+/// Applies updates to what is in force.
+fn apply(force: &mut TenantSnapshot, updates: &mut Vec<Update>) {
+    for one in updates.drain(..) {
         match one {
             Update::Changed(entry) => force.apply(&entry).expect("in order, none left out"),
-            Update::Replaced(book) => *force = book,
+            Update::Replaced(snapshot) => *force = snapshot,
         }
     }
 }
 
 #[test]
-fn a_peer_that_began_anew_is_taken_whole_and_waits_grow() {
+fn restarted_peer_is_replicated_from_a_snapshot_and_waits_grow() {
     let mut peer = Peer::default();
     (0..30).for_each(|n| peer.change(n));
     let mut follower = Follower::new(None, 7);
-    let (mut news, mut force) = (Vec::new(), TenantSnapshot::default());
+    let (mut updates, mut force) = (Vec::new(), TenantSnapshot::default());
     assert_eq!(follower.next(), (ReplicationRequest::Snapshot, 0));
-    follower.response_received(0, peer.answer(ReplicationRequest::Snapshot, 9), &mut news);
-    put(&mut force, &mut news);
-    assert_eq!(force, peer.book);
+    follower.response_received(0, peer.answer(ReplicationRequest::Snapshot, 9), &mut updates);
+    apply(&mut force, &mut updates);
+    assert_eq!(force, peer.snapshot);
     let mut waits = Vec::new();
     for _ in 0..12 {
-        follower.response_received(1_000, ReplicationResponse::Failed, &mut news);
+        follower.response_received(1_000, ReplicationResponse::Failed, &mut updates);
         waits.push(follower.next().1 - 1_000);
     }
     assert!(
@@ -84,46 +85,46 @@
     // Its store was restored to an earlier revision, and changed since: another truth under the same numbers.
     let mut other = Peer { store: "restored", ..Peer::default() };
     (0..20).for_each(|n| other.change(n * 3));
-    let (ask, _) = follower.next();
-    follower.response_received(2_000, other.answer(ask, 9), &mut news);
+    let (request, _) = follower.next();
+    follower.response_received(2_000, other.answer(request, 9), &mut updates);
     for _ in 0..3 {
-        let (ask, _) = follower.next();
-        follower.response_received(3_000, other.answer(ask, 9), &mut news);
+        let (request, _) = follower.next();
+        follower.response_received(3_000, other.answer(request, 9), &mut updates);
     }
-    put(&mut force, &mut news);
-    assert_eq!(force, other.book);
+    apply(&mut force, &mut updates);
+    assert_eq!(force, other.snapshot);
 }
 
 proptest! {
     #[test]
-    fn a_follower_ends_with_its_peer_s_book_whatever_is_lost(
+    fn follower_ends_with_its_peers_snapshot_whatever_is_lost(
         steps in prop::collection::vec((0u8..6, 0u64..200, 1usize..4), 1..200), kept in any::<bool>(),
     ) {
         let mut peer = Peer::default();
         peer.change(0);
-        let mut follower = Follower::new(kept.then(|| (String::new(), peer.book.clone())), 3);
+        let mut follower = Follower::new(kept.then(|| (String::new(), peer.snapshot.clone())), 3);
         let mut force = follower.snapshot().clone();
-        let mut news = Vec::new();
+        let mut updates = Vec::new();
         for (what, n, most) in steps {
-            let (ask, _) = follower.next();
+            let (request, _) = follower.next();
             match what {
                 0 | 1 => peer.change(n),
-                2 => follower.response_received(n, ReplicationResponse::Failed, &mut news),
+                2 => follower.response_received(n, ReplicationResponse::Failed, &mut updates),
                 3 => {
                     // An answer to an earlier question comes again.
-                    follower.response_received(n, peer.answer(ReplicationRequest::Watch { store: String::new(), after: 0 }, most), &mut news);
+                    follower.response_received(n, peer.answer(ReplicationRequest::Watch { store: String::new(), after: 0 }, most), &mut updates);
                 }
-                _ => follower.response_received(n, peer.answer(ask, most), &mut news),
+                _ => follower.response_received(n, peer.answer(request, most), &mut updates),
             }
-            put(&mut force, &mut news);
+            apply(&mut force, &mut updates);
             prop_assert_eq!(&force, follower.snapshot());
-            prop_assert!(force.revision() <= peer.book.revision());
+            prop_assert!(force.revision() <= peer.snapshot.revision());
         }
         for _ in 0..400 {
-            let (ask, _) = follower.next();
-            follower.response_received(0, peer.answer(ask, 2), &mut news);
+            let (request, _) = follower.next();
+            follower.response_received(0, peer.answer(request, 2), &mut updates);
         }
-        put(&mut force, &mut news);
-        prop_assert_eq!(&force, &peer.book);
+        apply(&mut force, &mut updates);
+        prop_assert_eq!(&force, &peer.snapshot);
     }
 }
--- a/crates/tenancy/tests/snapshot.rs
+++ b/crates/tenancy/tests/snapshot.rs
@@ -1,92 +1,96 @@
-//! The book: conditions, patches, removal, and that entries replayed give the same book.
+//! The snapshot: conditions, patches, removal, and that replayed entries give an equal snapshot.
 
 use nettleferry_tenancy::*;
 use proptest::prelude::*;
 use serde_json::{Value, json};
 
-fn make(book: &mut TenantSnapshot, change: Change, condition: Condition) -> Result<Applied, Denied> {
-    let applied = book.evaluate(&change, condition, "ada", 1_000)?;
+fn make(snapshot: &mut TenantSnapshot, change: Change, condition: Condition) -> Result<Applied, Denied> {
+    let applied = snapshot.evaluate(&change, condition, "ada", 1_000)?;
     if let Some(entry) = &applied.entry {
-        book.apply(entry).expect("the next");
+        snapshot.apply(entry).expect("the next");
     }
     Ok(applied)
 }
 
-fn create(book: &mut TenantSnapshot, name: &str, spec: Value) -> Result<Applied, Denied> {
-    make(book, Change::Create { name: name.to_owned(), spec }, Condition::Any)
+fn create(snapshot: &mut TenantSnapshot, name: &str, spec: Value) -> Result<Applied, Denied> {
+    make(snapshot, Change::Create { name: name.to_owned(), spec }, Condition::Any)
 }
 
-fn patch(book: &mut TenantSnapshot, name: &str, patch: Value) -> Result<Applied, Denied> {
-    make(book, Change::Patch { name: name.to_owned(), patch }, Condition::Any)
+fn patch(snapshot: &mut TenantSnapshot, name: &str, patch: Value) -> Result<Applied, Denied> {
+    make(snapshot, Change::Patch { name: name.to_owned(), patch }, Condition::Any)
 }
 
 #[test]
-fn a_merge_patch_changes_what_it_names_and_null_takes_away() {
-    let mut book = TenantSnapshot::default();
-    create(&mut book, "a", json!({"limits": {"rate_per_second": 5, "open_calls": 9}, "models": ["x*"]}))
+fn merge_patch_changes_the_members_it_names_and_null_removes_one() {
+    let mut snapshot = TenantSnapshot::default();
+    create(&mut snapshot, "a", json!({"limits": {"rate_per_second": 5, "open_calls": 9}, "models": ["x*"]}))
+        .expect("sound");
+    let after = patch(&mut snapshot, "a", json!({"limits": {"rate_per_second": null, "held_calls": 2}}))
         .expect("sound");
-    let after =
-        patch(&mut book, "a", json!({"limits": {"rate_per_second": null, "held_calls": 2}})).expect("sound");
     let tenant = after.tenant.expect("there");
     assert_eq!((tenant.spec.limits.rate_per_second, tenant.spec.limits.open_calls), (None, Some(9)));
     assert_eq!((tenant.spec.limits.held_calls, tenant.revision, tenant.uid), (Some(2), 2, 1));
     assert!(tenant.spec.may_call("xyz") && !tenant.spec.may_call("y"));
     // What changes nothing makes no revision.
-    let same = patch(&mut book, "a", json!({"limits": {"held_calls": 2}})).expect("sound");
-    assert_eq!((same.entry, book.revision()), (None, 2));
+    let same = patch(&mut snapshot, "a", json!({"limits": {"held_calls": 2}})).expect("sound");
+    assert_eq!((same.entry, snapshot.revision()), (None, 2));
 }
 
 #[test]
-fn a_fault_names_its_field() {
-    let mut book = TenantSnapshot::default();
-    create(&mut book, "a", json!({})).expect("sound");
+fn validation_error_names_its_field() {
+    let mut snapshot = TenantSnapshot::default();
+    create(&mut snapshot, "a", json!({})).expect("sound");
     let told = |denied: Result<Applied, Denied>| match denied {
         Err(Denied::Invalid(fault)) => fault.field,
         other => panic!("{other:?}"),
     };
-    assert_eq!(told(patch(&mut book, "a", json!({"limits": {"open_calls": "many"}}))), "limits.open_calls");
-    assert_eq!(told(patch(&mut book, "a", json!({"limits": {"open": 3}}))), "limits.open");
-    assert_eq!(told(patch(&mut book, "a", json!({"limits": {"open_calls": -1}}))), "limits.open_calls");
-    assert_eq!(told(patch(&mut book, "a", json!({"classes": {"q": {"burst": 3}}}))), "classes.q.burst");
-    assert_eq!(told(patch(&mut book, "a", json!({"models": ["a", "b*c"]}))), "models[1]");
-    assert_eq!(told(patch(&mut book, "a", json!({"weight": 0}))), "weight");
-    assert_eq!(told(patch(&mut book, "a", json!([1]))), "the body");
-    assert_eq!(told(create(&mut book, "b d", json!({}))), "name");
-    assert_eq!(book.revision(), 1, "nothing has happened");
+    assert_eq!(
+        told(patch(&mut snapshot, "a", json!({"limits": {"open_calls": "many"}}))),
+        "limits.open_calls"
+    );
+    assert_eq!(told(patch(&mut snapshot, "a", json!({"limits": {"open": 3}}))), "limits.open");
+    assert_eq!(told(patch(&mut snapshot, "a", json!({"limits": {"open_calls": -1}}))), "limits.open_calls");
+    assert_eq!(told(patch(&mut snapshot, "a", json!({"classes": {"q": {"burst": 3}}}))), "classes.q.burst");
+    assert_eq!(told(patch(&mut snapshot, "a", json!({"models": ["a", "b*c"]}))), "models[1]");
+    assert_eq!(told(patch(&mut snapshot, "a", json!({"weight": 0}))), "weight");
+    assert_eq!(told(patch(&mut snapshot, "a", json!([1]))), "the body");
+    assert_eq!(told(create(&mut snapshot, "b d", json!({}))), "name");
+    assert_eq!(snapshot.revision(), 1, "nothing has happened");
 }
 
 #[test]
-fn conditions_and_states_are_kept() {
-    let mut book = TenantSnapshot::default();
-    create(&mut book, "a", json!({})).expect("sound");
-    assert_eq!(create(&mut book, "a", json!({})), Err(Denied::Exists("a".to_owned())));
-    assert_eq!(patch(&mut book, "b", json!({})), Err(Denied::Unknown("b".to_owned())));
+fn conditions_and_states_are_enforced() {
+    let mut snapshot = TenantSnapshot::default();
+    create(&mut snapshot, "a", json!({})).expect("sound");
+    assert_eq!(create(&mut snapshot, "a", json!({})), Err(Denied::Exists("a".to_owned())));
+    assert_eq!(patch(&mut snapshot, "b", json!({})), Err(Denied::Unknown("b".to_owned())));
     let suspend = || Change::Suspend { name: "a".to_owned() };
-    assert!(make(&mut book, suspend(), Condition::Is(1)).is_ok());
+    assert!(make(&mut snapshot, suspend(), Condition::Is(1)).is_ok());
     assert_eq!(
-        make(&mut book, Change::Resume { name: "a".to_owned() }, Condition::Is(1)),
+        make(&mut snapshot, Change::Resume { name: "a".to_owned() }, Condition::Is(1)),
         Err(Denied::Stale { name: "a".to_owned(), current: 2, expected: 1 })
     );
     let remove = || Change::Remove { name: "a".to_owned(), grace_ms: 500 };
-    let gone = make(&mut book, remove(), Condition::Any).expect("sound").tenant.expect("still there");
+    let gone = make(&mut snapshot, remove(), Condition::Any).expect("sound").tenant.expect("still there");
     assert_eq!((gone.state, gone.gone_at_ms), (State::Removing, Some(1_500)));
-    assert_eq!(make(&mut book, remove(), Condition::Any).expect("asked twice").entry, None);
-    assert_eq!(make(&mut book, suspend(), Condition::Any), Err(Denied::Removing("a".to_owned())));
-    assert_eq!((book.due_removal(1_499), book.next_removal()), (None, Some(1_500)));
-    let entry = book.due_removal(1_500).expect("due");
-    book.apply(&entry).expect("the next");
-    assert_eq!((entry.action, book.get("a"), book.next_removal()), (Action::Gone, None, None));
-    let again = create(&mut book, "a", json!({})).expect("its name is free").tenant.expect("there");
+    assert_eq!(make(&mut snapshot, remove(), Condition::Any).expect("asked twice").entry, None);
+    assert_eq!(make(&mut snapshot, suspend(), Condition::Any), Err(Denied::Removing("a".to_owned())));
+    assert_eq!((snapshot.due_removal(1_499), snapshot.next_removal()), (None, Some(1_500)));
+    let entry = snapshot.due_removal(1_500).expect("due");
+    snapshot.apply(&entry).expect("the next");
+    assert_eq!((entry.action, snapshot.get("a"), snapshot.next_removal()), (Action::Gone, None, None));
+    let again = create(&mut snapshot, "a", json!({})).expect("its name is free").tenant.expect("there");
     assert_eq!(again.uid, 5, "another tenant");
 }
 
 #[test]
-fn pages_follow_names() {
-    let mut book = TenantSnapshot::default();
+fn pages_are_sorted_by_name() {
+    let mut snapshot = TenantSnapshot::default();
     for name in ["c", "a", "d", "b"] {
-        create(&mut book, name, json!({})).expect("sound");
+        create(&mut snapshot, name, json!({})).expect("sound");
     }
-    let names = |after, most| book.page(after, most).into_iter().map(|t| t.name.as_str()).collect::<Vec<_>>();
+    let names =
+        |after, most| snapshot.page(after, most).into_iter().map(|t| t.name.as_str()).collect::<Vec<_>>();
     assert_eq!((names("", 3), names("c", 3), names("x", 3)), (vec!["a", "b", "c"], vec!["d"], vec![]));
 }
 
@@ -105,27 +109,27 @@
 
 proptest! {
     #[test]
-    fn entries_replayed_give_the_same_book(changes in prop::collection::vec((change(), 0u64..4), 1..80)) {
-        let (mut book, mut entries, mut now) = (TenantSnapshot::default(), Vec::new(), 0);
+    fn replayed_entries_give_an_equal_snapshot(changes in prop::collection::vec((change(), 0u64..4), 1..80)) {
+        let (mut snapshot, mut entries, mut now) = (TenantSnapshot::default(), Vec::new(), 0);
         for ((change, condition), gap) in changes {
             now += gap;
-            while let Some(entry) = book.due_removal(now) {
-                book.apply(&entry).expect("the next");
+            while let Some(entry) = snapshot.due_removal(now) {
+                snapshot.apply(&entry).expect("the next");
                 entries.push(entry);
             }
             let condition = condition.map_or(Condition::Any, Condition::Is);
-            let before = book.clone();
-            match book.evaluate(&change, condition, "p", now) {
+            let before = snapshot.clone();
+            match snapshot.evaluate(&change, condition, "p", now) {
                 Ok(applied) => {
-                    prop_assert_eq!(&book, &before, "judging changes nothing");
+                    prop_assert_eq!(&snapshot, &before, "judging changes nothing");
                     if let Some(entry) = applied.entry {
-                        book.apply(&entry).expect("the next");
+                        snapshot.apply(&entry).expect("the next");
                         prop_assert_eq!(entry.before.as_ref(), before.get(&entry.tenant));
                         entries.push(entry);
                     }
-                    prop_assert_eq!(applied.tenant.as_ref(), book.get(change.tenant()));
+                    prop_assert_eq!(applied.tenant.as_ref(), snapshot.get(change.tenant()));
                 }
-                Err(_) => prop_assert_eq!(&book, &before),
+                Err(_) => prop_assert_eq!(&snapshot, &before),
             }
         }
         let mut replayed = TenantSnapshot::default();
@@ -133,9 +137,9 @@
             replayed.apply(entry).expect("the next");
             prop_assert!(replayed.apply(entry).is_err(), "none twice");
         }
-        prop_assert_eq!(&replayed, &book);
-        let text = serde_json::to_string(&book).expect("json");
+        prop_assert_eq!(&replayed, &snapshot);
+        let text = serde_json::to_string(&snapshot).expect("json");
         let back: TenantSnapshot = serde_json::from_str(&text).expect("json");
-        prop_assert_eq!(back, book);
+        prop_assert_eq!(back, snapshot);
     }
 }
