--- a/crates/tenant-store/tests/crash.rs
+++ b/crates/tenant-store/tests/crash.rs
@@ -1,5 +1,5 @@
-//! Kill points: the disk fails at each operation of a change, and what is read afterwards has it whole or not at
-//! all; an acknowledged change is always there.
+//! The disk fails at each operation of a change: what is read afterwards has all of the change or nothing of it, and
+//! an acknowledged change is always there.
 
 use std::io;
 use std::sync::{Arc, Mutex};
@@ -9,8 +9,8 @@
 use redb::StorageBackend;
 use serde_json::json;
 
-/// A disk in memory that dies at an operation. What was written since the last sync may or may not have
-/// reached it: `late` says that it has.
+/// A disk in memory that fails from an operation on. What was written since the last sync may or may not have
+/// reached it.
 #[derive(Clone, Debug, Default)]
 struct Disk(Arc<Mutex<Inner>>);
 
@@ -19,14 +19,14 @@
     now: Vec<u8>,
     synced: Vec<u8>,
     operations: u64,
-    dies_at: Option<u64>,
-    /// It is well again from this operation on.
-    well_at: Option<u64>,
+    fails_at: Option<u64>,
+    /// It works again from this operation on.
+    works_at: Option<u64>,
 }
 
 impl Disk {
-    fn holding(bytes: Vec<u8>, dies_at: Option<u64>) -> Self {
-        let inner = Inner { now: bytes.clone(), synced: bytes, operations: 0, dies_at, well_at: None };
+    fn holding(bytes: Vec<u8>, fails_at: Option<u64>) -> Self {
+        let inner = Inner { now: bytes.clone(), synced: bytes, operations: 0, fails_at, works_at: None };
         Self(Arc::new(Mutex::new(inner)))
     }
 
@@ -37,8 +37,8 @@
     fn operate(&self) -> io::Result<std::sync::MutexGuard<'_, Inner>> {
         let mut inner = self.inner();
         inner.operations += 1;
-        let well = inner.well_at.is_some_and(|at| inner.operations > at);
-        if inner.dies_at.is_some_and(|at| inner.operations > at) && !well {
+        let well = inner.works_at.is_some_and(|at| inner.operations > at);
+        if inner.fails_at.is_some_and(|at| inner.operations > at) && !well {
             return Err(io::Error::other("the disk is gone"));
         }
         Ok(inner)
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn a_change_is_there_whole_or_not_at_all_wherever_the_disk_dies() {
+fn change_is_complete_or_absent_wherever_the_disk_fails() {
     let disk = Disk::default();
     let (mut store, mut book) = Store::on(disk.clone()).expect("opens");
     for name in ["a", "b", "c"] {
@@ -110,14 +110,14 @@
         let next = entry(&book, &change);
         let mut after = book.clone();
         after.apply(&next).expect("the next");
-        for dies_at in 0.. {
+        for fails_at in 0.. {
             let disk = Disk::holding(base.clone(), None);
             let Ok((mut store, _)) = Store::on(disk.clone()) else { panic!("it opens") };
             let begun = disk.inner().operations;
-            disk.inner().dies_at = Some(begun + dies_at);
+            disk.inner().fails_at = Some(begun + fails_at);
             let kept = store.commit(&next, Some(("k", &once(next.revision))));
             // Dropping it may write no more than a dead process.
-            disk.inner().dies_at = Some(0);
+            disk.inner().fails_at = Some(0);
             drop(store);
             points += 1;
             let left = {
@@ -133,8 +133,8 @@
                     assert_eq!(store.audit(3, 9, None).expect("readable"), std::slice::from_ref(&next));
                 } else {
                     none += 1;
-                    assert_eq!((&found, &answer), (&book, &None), "died at {dies_at}");
-                    assert!(kept.is_err(), "acknowledged, and gone: died at {dies_at}");
+                    assert_eq!((&found, &answer), (&book, &None), "died at {fails_at}");
+                    assert!(kept.is_err(), "acknowledged, and gone: died at {fails_at}");
                 }
             }
             if kept.is_ok() {
@@ -147,12 +147,12 @@
 }
 
 #[test]
-fn a_store_that_dies_while_it_is_made_is_made_anew() {
-    for dies_at in 0.. {
+fn store_that_fails_while_it_is_created_is_created_again() {
+    for fails_at in 0.. {
         let disk = Disk::default();
-        disk.inner().dies_at = Some(dies_at);
+        disk.inner().fails_at = Some(fails_at);
         let made = Store::on(disk.clone()).is_ok();
-        disk.inner().dies_at = Some(0);
+        disk.inner().fails_at = Some(0);
         let left = disk.inner().synced.clone();
         if made {
             break;
@@ -167,7 +167,7 @@
 }
 
 #[test]
-fn a_flipped_byte_is_an_error_or_changes_nothing_and_never_panics() {
+fn flipped_byte_is_an_error_or_changes_nothing_and_never_panics() {
     let dir = tempfile::tempdir().expect("a folder");
     let path = dir.path().join("tenants.redb");
     let (mut store, mut book) = Store::open(&path).expect("opens");
@@ -195,7 +195,7 @@
 }
 
 #[test]
-fn a_snapshot_gives_the_store_back_and_a_damaged_one_is_told_with_its_line() {
+fn snapshot_restores_the_store_and_a_damaged_one_names_its_line() {
     let dir = tempfile::tempdir().expect("a folder");
     let (mut store, mut book) = Store::open(&dir.path().join("a.redb")).expect("opens");
     for name in ["a", "b"] {
@@ -225,7 +225,7 @@
 }
 
 #[test]
-fn a_store_of_the_first_format_is_migrated_and_a_later_one_is_refused() {
+fn store_of_the_first_format_is_migrated_and_a_later_one_is_rejected() {
     use redb::{Database, TableDefinition};
     const META: TableDefinition<&str, u64> = TableDefinition::new("meta");
     const TENANTS: TableDefinition<&str, &[u8]> = TableDefinition::new("tenants");
@@ -259,7 +259,7 @@
 }
 
 #[test]
-fn after_a_disk_that_fails_for_a_while_changes_are_kept_again_and_none_is_there_that_was_refused() {
+fn failed_change_is_undone_once_the_disk_works_again() {
     let (mut kept_at_once, mut refused) = (0, 0);
     for span in [1, 3, 12] {
         for fails_at in 0..40 {
@@ -271,7 +271,7 @@
             {
                 let mut inner = disk.inner();
                 let from = inner.operations + fails_at;
-                (inner.dies_at, inner.well_at) = (Some(from), Some(from + span));
+                (inner.fails_at, inner.works_at) = (Some(from), Some(from + span));
             }
             let doubtful = create(&book, "b");
             match store.commit(&doubtful, Some(("k", &once(doubtful.revision)))) {
@@ -282,7 +282,7 @@
                 Err(_) => refused += 1,
             }
             // The disk is well again.
-            (disk.inner().dies_at, disk.inner().well_at) = (None, None);
+            (disk.inner().fails_at, disk.inner().works_at) = (None, None);
             let later = create(&book, "c");
             store.commit(&later, None).unwrap_or_else(|e| panic!("span {span}, fails at {fails_at}: {e}"));
             book.apply(&later).expect("the next");
