--- a/crates/engine/src/names/tests.rs
+++ b/crates/engine/src/names/tests.rs
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn two_controllers_number_alike() {
+fn controllers_assign_equal_numbers() {
     let (mut one, mut two) = (Names::default(), Names::default());
     two.open(model("other"), 9);
     two.worker("w0");
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn the_longest_unused_is_forgotten_and_one_in_use_never() {
+fn least_recently_used_model_is_forgotten_and_one_in_use_never() {
     let mut names = Names::default();
     let a = names.open(model("a"), 2).expect("room");
     let b = names.open(model("b"), 2).expect("room");
--- a/crates/engine/src/outcome/tests.rs
+++ b/crates/engine/src/outcome/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn each_end_proves_what_it_proves_and_no_more() {
+fn attempt_ends_map_to_outcomes_and_proofs() {
     let status = |m: &str| AttemptEnd::Status { message: m.to_owned() };
     let table = [
         (AttemptEnd::Served, Outcome::Ok, false),
--- a/crates/engine/tests/soak.rs
+++ b/crates/engine/tests/soak.rs
@@ -1,5 +1,6 @@
-//! Five minutes of made-up time in which all is always new: calls, functions, workers at other workers' places.
-//! What is remembered must not grow with it.
+//! Five minutes of simulated time in which calls, functions and workers are always new: what is remembered must not grow.
+
+use std::collections::BTreeMap;
 
 use bytes::Bytes;
 use nettleferry::{
@@ -50,39 +51,70 @@
     (*state >> 33) % sides
 }
 
-#[test]
-fn what_is_remembered_stays_flat_when_all_is_always_new() {
-    let limits = EngineLimits { models: 500, ..EngineLimits::default() };
-    let mut engine = Engine::new(settings(), None, limits, 7).expect("sound settings");
-    let (mut now, mut seed, mut out) = (100 * S, 11, Vec::new());
-    let mut pending: std::collections::BTreeMap<(Micros, u64), Event> = Default::default();
-    let (mut sequence, mut ends, mut samples) = (0, 0u64, Vec::new());
-    for round in 0..15_000u64 {
-        now += 20 * MS;
-        if round % 250 == 0 {
-            // Six workers; every five seconds the oldest is replaced by one with a new name.
-            let member = |n: u64| Member {
-                name: format!("s-{n}"),
-                zone: "east".into(),
-                kind: "std".into(),
-                weight: 1.0,
-                cell: format!("c-{}", n % 3),
-                state: WorkerState::On,
-                born: (round > 0).then_some(now),
-            };
-            let oldest = round / 250;
-            let members = (oldest..oldest + 6).map(member).collect();
-            engine.handle(now, Event::Workers { form: ListForm::Complete, members }, &mut out);
+const ROUNDS: u64 = 15_000;
+const ROUND: Micros = 20 * MS;
+/// Rounds after which the oldest worker is replaced by one with a new name.
+const ROUNDS_PER_WORKER: u64 = 250;
+const ROUNDS_PER_SAMPLE: u64 = 500;
+
+/// Events that are due at a time, in the order in which they were scheduled.
+type Schedule = BTreeMap<(Micros, u64), Event>;
+
+/// The engine with workers that answer at random.
+struct Soak {
+    engine: Engine,
+    now: Micros,
+    seed: u64,
+    commands: Vec<Command>,
+    pending: Schedule,
+    sequence: u64,
+    answers: u64,
+}
+
+impl Soak {
+    fn new() -> Self {
+        let limits = EngineLimits { models: 500, ..EngineLimits::default() };
+        Self {
+            engine: Engine::new(settings(), None, limits, 7).expect("sound settings"),
+            now: 100 * S,
+            seed: 11,
+            commands: Vec::new(),
+            pending: BTreeMap::new(),
+            sequence: 0,
+            answers: 0,
         }
-        // One call in three is for a function that was never called before.
-        let model = if dice(&mut seed, 3) == 0 {
+    }
+
+    fn handle(&mut self, event: Event) {
+        self.engine.handle(self.now, event, &mut self.commands);
+    }
+
+    /// Six workers, beginning with this number.
+    fn list_workers(&mut self, oldest: u64) {
+        let born = (oldest > 0).then_some(self.now);
+        let member = |n: u64| Member {
+            name: format!("s-{n}"),
+            zone: "east".into(),
+            kind: "std".into(),
+            weight: 1.0,
+            cell: format!("c-{}", n % 3),
+            state: WorkerState::On,
+            born,
+        };
+        let members = (oldest..oldest + 6).map(member).collect();
+        self.handle(Event::Workers { form: ListForm::Complete, members });
+    }
+
+    /// One call in three is for a function that was never called before.
+    fn open_call(&mut self, round: u64) {
+        let model = if dice(&mut self.seed, 3) == 0 {
             format!("new-{round}")
         } else {
-            format!("f-{}", dice(&mut seed, 40))
+            format!("f-{}", dice(&mut self.seed, 40))
         };
-        let open = NewCall {
+        let new_call = NewCall {
             front: round,
-            class: ClassId(dice(&mut seed, 2) as usize),
+            class: ClassId(dice(&mut self.seed, 2) as usize),
             tenant: None,
             model: model.as_str().into(),
             version: "".into(),
@@ -95,64 +127,84 @@
             streamed: false,
             body: Bytes::from_static(b"x"),
         };
-        engine.open(now, open, &mut out);
+        self.engine.open(self.now, new_call, &mut self.commands);
+    }
+
+    fn schedule(&mut self, after: Micros, event: Event) {
+        self.sequence += 1;
+        self.pending.insert((self.now + after, self.sequence), event);
+    }
+
+    /// Executes commands and handles events that are due, until nothing is left.
+    fn settle(&mut self) {
         loop {
-            for command in std::mem::take(&mut out) {
-                let (after, event) = match command {
-                    Command::Start { attempt, .. } => {
-                        // Answers, misses, errors, broken connections; some never come.
-                        let how = match dice(&mut seed, 20) {
-                            0 => continue,
-                            1 => AttemptEnd::Broken,
-                            2 => AttemptEnd::Status { message: String::new() },
-                            3 => AttemptEnd::MarkedFull,
-                            4..=6 => AttemptEnd::MarkedMiss,
-                            _ => AttemptEnd::Served,
-                        };
-                        if how == AttemptEnd::Served {
-                            let payload = Bytes::from_static(b"y");
-                            engine.handle(
-                                now,
-                                Event::ResponsePart { attempt, payload, last: true },
-                                &mut out,
-                            );
-                        }
-                        let news =
-                            AttemptReport { load_note: Some(LoadNote::Warm), ..AttemptReport::default() };
-                        (60 * MS, Event::AttemptEnded { attempt, end: how, report: news })
-                    }
-                    Command::Load { request_id, .. } => {
-                        let how =
-                            if dice(&mut seed, 8) == 0 { AttemptEnd::Broken } else { AttemptEnd::Served };
-                        (300 * MS, Event::LoadEnded { request_id, end: how, copies: 1 })
-                    }
-                    Command::Probe { request_id, .. } => {
-                        (2 * MS, Event::ProbeEnded { request_id, end: AttemptEnd::Served, load_report: None })
-                    }
-                    Command::Answer { .. } => {
-                        ends += 1;
-                        continue;
-                    }
-                    _ => continue,
-                };
-                sequence += 1;
-                pending.insert((now + after, sequence), event);
+            for command in std::mem::take(&mut self.commands) {
+                self.execute(command);
             }
-            match pending.first_key_value() {
-                Some((&(at, _), _)) if at <= now => {
-                    let Some((_, event)) = pending.pop_first() else { break };
-                    engine.handle(now, event, &mut out);
+            match self.pending.first_key_value() {
+                Some((&(at, _), _)) if at <= self.now => {
+                    let Some((_, event)) = self.pending.pop_first() else { break };
+                    self.handle(event);
                 }
-                _ if out.is_empty() => break,
+                _ if self.commands.is_empty() => break,
                 _ => {}
             }
         }
-        engine.handle(now, Event::Tick, &mut out);
-        if round % 500 == 499 {
-            samples.push(engine.remembered());
+    }
+
+    fn execute(&mut self, command: Command) {
+        match command {
+            Command::Start { attempt, .. } => self.execute_attempt(attempt),
+            Command::Load { request_id, .. } => {
+                let failed = dice(&mut self.seed, 8) == 0;
+                let end = if failed { AttemptEnd::Broken } else { AttemptEnd::Served };
+                self.schedule(300 * MS, Event::LoadEnded { request_id, end, copies: 1 });
+            }
+            Command::Probe { request_id, .. } => {
+                let end = AttemptEnd::Served;
+                self.schedule(2 * MS, Event::ProbeEnded { request_id, end, load_report: None });
+            }
+            Command::Answer { .. } => self.answers += 1,
+            _ => {}
+        }
+    }
+
+    /// Answers, misses, errors, broken connections; some never end.
+    fn execute_attempt(&mut self, attempt: AttemptId) {
+        let end = match dice(&mut self.seed, 20) {
+            0 => return,
+            1 => AttemptEnd::Broken,
+            2 => AttemptEnd::Status { message: String::new() },
+            3 => AttemptEnd::MarkedFull,
+            4..=6 => AttemptEnd::MarkedMiss,
+            _ => AttemptEnd::Served,
+        };
+        if end == AttemptEnd::Served {
+            let payload = Bytes::from_static(b"y");
+            self.handle(Event::ResponsePart { attempt, payload, last: true });
+        }
+        let report = AttemptReport { load_note: Some(LoadNote::Warm), ..AttemptReport::default() };
+        self.schedule(60 * MS, Event::AttemptEnded { attempt, end, report });
+    }
+}
+
+#[test]
+fn memory_stays_bounded_when_every_call_is_new() {
+    let mut soak = Soak::new();
+    let mut samples = Vec::new();
+    for round in 0..ROUNDS {
+        soak.now += ROUND;
+        if round % ROUNDS_PER_WORKER == 0 {
+            soak.list_workers(round / ROUNDS_PER_WORKER);
+        }
+        soak.open_call(round);
+        soak.settle();
+        soak.handle(Event::Tick);
+        if round % ROUNDS_PER_SAMPLE == ROUNDS_PER_SAMPLE - 1 {
+            samples.push(soak.engine.remembered());
         }
     }
-    assert_eq!(ends + engine.open_calls() as u64, 15_000, "one end a call");
+    assert_eq!(soak.answers + soak.engine.open_calls() as u64, ROUNDS, "one answer a call");
     let (first, last) = samples.split_at(samples.len() / 2);
     let most = |half: &[usize]| half.iter().copied().max().unwrap_or(0);
     assert!(most(last) <= most(first) * 11 / 10, "{samples:?}");
--- a/crates/node/src/front/tests.rs
+++ b/crates/node/src/front/tests.rs
@@ -9,10 +9,10 @@
 use super::*;
 
 /// No wait of these tests is longer; each is for an event.
-const PATIENCE: Duration = Duration::from_secs(20);
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// A front that acts on what its connections tell.
-struct Stand {
+struct FrontHarness {
     tcp: Tcp,
     front: Front,
     client: TcpStream,
@@ -21,7 +21,7 @@
     counters: Counters,
 }
 
-impl Stand {
+impl FrontHarness {
     /// One with a client that was answered and is idle.
     fn new() -> Self {
         let mut tcp = Tcp::new(TcpLimits::default()).expect("a poll");
@@ -30,17 +30,17 @@
         let front = Front::new(&["safe".to_owned()], &[], vec![4_000.0], bounds);
         let client = TcpStream::connect(address).expect("it listens");
         client.set_nodelay(true).expect("set");
-        client.set_read_timeout(Some(PATIENCE)).expect("set");
+        client.set_read_timeout(Some(TEST_TIMEOUT)).expect("set");
         let (events, counters) = (Vec::new(), Counters::default());
-        let mut stand = Self { tcp, front, client, key: None, events, counters };
+        let mut harness = Self { tcp, front, client, key: None, events, counters };
         let mut ready = Vec::new();
         frames::bare(&mut ready, kind::READY, 0);
-        stand.client.write_all(&ready).expect("written");
-        stand.until(|stand| stand.key.is_some_and(|key| stand.front.clients[&key].active));
-        stand
+        harness.client.write_all(&ready).expect("written");
+        harness.until(|harness| harness.key.is_some_and(|key| harness.front.clients[&key].active));
+        harness
     }
 
-    fn turn(&mut self) {
+    fn iterate(&mut self) {
         let mut happened = Vec::new();
         self.tcp.turn(Some(Duration::from_millis(1)), &mut happened).expect("a turn");
         for event in happened {
@@ -64,10 +64,10 @@
     }
 
     fn until(&mut self, holds: impl Fn(&Self) -> bool) {
-        let end = Instant::now() + PATIENCE;
+        let end = Instant::now() + TEST_TIMEOUT;
         while !holds(self) {
             assert!(Instant::now() < end, "it did not come");
-            self.turn();
+            self.iterate();
         }
     }
 
@@ -88,59 +88,61 @@
 }
 
 #[test]
-fn a_connection_without_a_request_is_closed_when_its_idle_time_is_over() {
-    let mut stand = Stand::new();
-    stand.idle_for(Duration::from_millis(10));
-    stand.until(|stand| stand.counters.closed_idle == 1);
-    stand.tcp.flush_all();
+fn connection_without_a_request_is_closed_after_its_idle_time() {
+    let mut harness = FrontHarness::new();
+    harness.idle_for(Duration::from_millis(10));
+    harness.until(|harness| harness.counters.closed_idle == 1);
+    harness.tcp.flush_all();
     let mut rest = Vec::new();
-    stand.client.read_to_end(&mut rest).expect("ended in order");
-    assert_eq!(stand.front.clients(), 0);
+    harness.client.read_to_end(&mut rest).expect("ended in order");
+    assert_eq!(harness.front.clients(), 0);
 }
 
 #[test]
-fn half_a_request_is_no_idleness_though_its_connection_s_idle_time_is_over() {
-    let mut stand = Stand::new();
+fn connection_within_a_frame_is_not_closed_as_idle() {
+    let mut harness = FrontHarness::new();
     let whole = request();
     let (half, rest) = whole.split_at(whole.len() / 2);
-    stand.client.write_all(half).expect("written");
-    stand.until(|stand| stand.front.clients[&stand.key.expect("connected")].frame_began.is_some());
+    harness.client.write_all(half).expect("written");
+    harness.until(|harness| harness.front.clients[&harness.key.expect("connected")].frame_began.is_some());
     // By this clock it has been idle for long.
-    stand.idle_for(Duration::ZERO);
-    let key = stand.key.expect("connected");
-    stand.front.alarm_due(&mut stand.tcp, key, &mut stand.events, &mut stand.counters);
-    stand.turn();
-    stand.client.write_all(rest).expect("still open");
-    stand.until(|stand| !stand.events.is_empty());
-    assert!(matches!(stand.events[..], [ClientEvent::Request(_)]));
-    assert_eq!((stand.counters.closed_idle, stand.counters.closed_for_silence), (0, 0));
+    harness.idle_for(Duration::ZERO);
+    let key = harness.key.expect("connected");
+    harness.front.alarm_due(&mut harness.tcp, key, &mut harness.events, &mut harness.counters);
+    harness.iterate();
+    harness.client.write_all(rest).expect("still open");
+    harness.until(|harness| !harness.events.is_empty());
+    assert!(matches!(harness.events[..], [ClientEvent::Request(_)]));
+    assert_eq!((harness.counters.closed_idle, harness.counters.closed_for_silence), (0, 0));
 }
 
 #[test]
-fn a_request_that_crosses_the_end_of_its_connection_s_idle_time_is_taken() {
-    let mut stand = Stand::new();
-    stand.idle_for(Duration::ZERO);
-    stand.client.write_all(&request()).expect("written");
+fn request_that_crosses_the_end_of_the_idle_time_is_accepted() {
+    let mut harness = FrontHarness::new();
+    harness.idle_for(Duration::ZERO);
+    harness.client.write_all(&request()).expect("written");
     // Its alarm is acted on before a turn has told of the request: a last look finds it.
-    let key = stand.key.expect("connected");
-    stand.front.alarm_due(&mut stand.tcp, key, &mut stand.events, &mut stand.counters);
-    stand.until(|stand| !stand.events.is_empty());
-    assert!(matches!(stand.events[..], [ClientEvent::Request(_)]));
-    assert_eq!(stand.counters.closed_idle, 0);
+    let key = harness.key.expect("connected");
+    harness.front.alarm_due(&mut harness.tcp, key, &mut harness.events, &mut harness.counters);
+    harness.until(|harness| !harness.events.is_empty());
+    assert!(matches!(harness.events[..], [ClientEvent::Request(_)]));
+    assert_eq!(harness.counters.closed_idle, 0);
 }
 
 #[test]
-fn a_connection_that_has_not_taken_its_answers_makes_no_room() {
-    let mut stand = Stand::new();
-    let key = stand.key.expect("connected");
-    let idle = |stand: &mut Stand| stand.front.eviction_candidate(&mut stand.tcp, EvictionOrder::WithinFrame);
-    assert_eq!(idle(&mut stand), Some(key), "it is idle");
+fn connection_with_unsent_answers_is_not_evicted() {
+    let mut harness = FrontHarness::new();
+    let key = harness.key.expect("connected");
+    let idle = |harness: &mut FrontHarness| {
+        harness.front.eviction_candidate(&mut harness.tcp, EvictionOrder::WithinFrame)
+    };
+    assert_eq!(idle(&mut harness), Some(key), "it is idle");
     // Until the system takes no more of what its client does not read.
     let answer = vec![0; 256 << 10];
-    while stand.tcp.unsent(key) == 0 {
-        stand.tcp.send(key, &answer).expect("there is room");
-        stand.tcp.flush(key);
+    while harness.tcp.unsent(key) == 0 {
+        harness.tcp.send(key, &answer).expect("there is room");
+        harness.tcp.flush(key);
     }
-    assert_eq!(idle(&mut stand), None);
-    assert_eq!(stand.counters.violations.total(), 0);
+    assert_eq!(idle(&mut harness), None);
+    assert_eq!(harness.counters.violations.total(), 0);
 }
--- a/crates/node/src/pools/tests.rs
+++ b/crates/node/src/pools/tests.rs
@@ -16,7 +16,7 @@
 const W: WorkerId = WorkerId(7);
 
 /// Pools with one invoker that accepts and reads nothing, over one or two connections.
-struct Rig {
+struct PoolHarness {
     tcp: Tcp,
     pools: ConnectionPools,
     peer: TcpListener,
@@ -27,7 +27,7 @@
     time_left: Duration,
 }
 
-impl Rig {
+impl PoolHarness {
     fn new() -> Self {
         let peer = TcpListener::bind("127.0.0.1:0").expect("a port");
         let mut tcp = Tcp::new(TcpLimits::default()).expect("a poll");
@@ -65,7 +65,7 @@
         id
     }
 
-    fn turn(&mut self) {
+    fn iterate(&mut self) {
         let mut events = Vec::new();
         self.tcp.turn(Some(Duration::from_millis(1)), &mut events).expect("a poll");
         for event in events {
@@ -99,58 +99,58 @@
 }
 
 #[test]
-fn the_word_that_ends_an_attempt_leaves_before_anything_that_follows() {
-    let mut rig = Rig::new();
+fn cancellation_is_written_before_anything_that_follows() {
+    let mut harness = PoolHarness::new();
     // Three on two connections: one of them carries two.
-    let all: Vec<AttemptId> = (0..3).map(|_| rig.start(10)).collect();
-    while !all.iter().all(|id| rig.is_written(*id)) {
-        rig.turn();
+    let all: Vec<AttemptId> = (0..3).map(|_| harness.start(10)).collect();
+    while !all.iter().all(|id| harness.is_written(*id)) {
+        harness.iterate();
     }
     let shared = all
         .iter()
-        .find(|id| rig.pools.connections[&rig.connection_of(**id)].open.len() == 2)
+        .find(|id| harness.pools.connections[&harness.connection_of(**id)].open.len() == 2)
         .expect("shared");
-    let key = rig.connection_of(*shared);
-    let before = rig.tcp.written(key);
-    rig.cancel(*shared);
-    assert!(rig.tcp.written(key) > before, "it has left, without a turn");
+    let key = harness.connection_of(*shared);
+    let before = harness.tcp.written(key);
+    harness.cancel(*shared);
+    assert!(harness.tcp.written(key) > before, "it has left, without a turn");
     assert_eq!(
-        (rig.counters.cut_to_withdraw, rig.events.len()),
+        (harness.counters.cut_to_withdraw, harness.events.len()),
         (0, 0),
         "what shares its connection goes on"
     );
 }
 
 #[test]
-fn where_an_attempt_s_end_can_t_be_told_its_connection_ends_before_its_call_goes_on() {
-    let mut rig = Rig::new();
-    let first = rig.start(10);
-    while !rig.is_written(first) {
-        rig.turn();
+fn connection_that_cannot_take_a_cancellation_is_closed_first() {
+    let mut harness = PoolHarness::new();
+    let first = harness.start(10);
+    while !harness.is_written(first) {
+        harness.iterate();
     }
-    let key = rig.connection_of(first);
+    let key = harness.connection_of(first);
     let mut there = vec![first];
     // Until the system takes no more of what is sent there.
     for _ in 0..20_000 {
-        let id = rig.start(16 << 10);
-        if rig.connection_of(id) == key {
+        let id = harness.start(16 << 10);
+        if harness.connection_of(id) == key {
             there.push(id);
         }
-        rig.turn();
-        if !there.iter().all(|id| rig.is_written(*id)) {
+        harness.iterate();
+        if !there.iter().all(|id| harness.is_written(*id)) {
             break;
         }
     }
-    let unsent: Vec<AttemptId> = there.iter().copied().filter(|id| !rig.is_written(*id)).collect();
+    let unsent: Vec<AttemptId> = there.iter().copied().filter(|id| !harness.is_written(*id)).collect();
     assert!(
-        !unsent.is_empty() && rig.is_written(first),
+        !unsent.is_empty() && harness.is_written(first),
         "the connection takes no more, and the first has left"
     );
-    rig.cancel(first);
-    assert_eq!(rig.counters.cut_to_withdraw, 1);
-    assert!(!rig.pools.owns(key) && rig.tcp.input(key).is_none(), "the connection is gone at once");
+    harness.cancel(first);
+    assert_eq!(harness.counters.cut_to_withdraw, 1);
+    assert!(!harness.pools.owns(key) && harness.tcp.input(key).is_none(), "the connection is gone at once");
     let mut ends = BTreeMap::new();
-    for event in &rig.events {
+    for event in &harness.events {
         if let Event::AttemptEnded { attempt, end: how, .. } = event {
             assert!(ends.insert(*attempt, how.clone()).is_none(), "one end each");
         }
@@ -162,45 +162,45 @@
     }
     // Its invoker sees the end as soon as it looks.
     let mut seen = Vec::new();
-    let _ = rig.sockets[0].read_to_end(&mut seen);
+    let _ = harness.sockets[0].read_to_end(&mut seen);
     assert!(!seen.is_empty());
 }
 
 #[test]
-fn what_has_not_begun_to_leave_is_taken_back_whole() {
-    let mut rig = Rig::new();
-    let first = rig.start(10);
-    while !rig.is_written(first) {
-        rig.turn();
+fn unwritten_request_is_taken_back() {
+    let mut harness = PoolHarness::new();
+    let first = harness.start(10);
+    while !harness.is_written(first) {
+        harness.iterate();
     }
     // Its connection is the only one that the bound allows besides the first's: they share them from here on.
-    let second = rig.start(10);
-    while !rig.is_written(second) {
-        rig.turn();
+    let second = harness.start(10);
+    while !harness.is_written(second) {
+        harness.iterate();
     }
     // Queued in one turn behind each other, none of them handed to the system.
-    let (third, fourth, fifth) = (rig.start(20), rig.start(30), rig.start(40));
-    let shared = [third, fourth, fifth].map(|id| rig.connection_of(id));
+    let (third, fourth, fifth) = (harness.start(20), harness.start(30), harness.start(40));
+    let shared = [third, fourth, fifth].map(|id| harness.connection_of(id));
     assert!(shared[0] == shared[2], "the third and the fifth share one: {shared:?}");
     let key = shared[0];
-    let written = rig.tcp.written(key);
-    rig.cancel(third);
+    let written = harness.tcp.written(key);
+    harness.cancel(third);
     assert_eq!(
-        (rig.tcp.written(key), rig.events.len()),
+        (harness.tcp.written(key), harness.events.len()),
         (written, 0),
         "nothing leaves for it, and nobody is hurt"
     );
-    while !(rig.is_written(fourth) && rig.is_written(fifth)) {
-        rig.turn();
+    while !(harness.is_written(fourth) && harness.is_written(fifth)) {
+        harness.iterate();
     }
     assert_eq!(
-        rig.location(fifth).1.map(|output| output.end),
-        Some(rig.tcp.written(key)),
+        harness.location(fifth).1.map(|output| output.end),
+        Some(harness.tcp.written(key)),
         "what stood behind it has moved up"
     );
     let mut seen = vec![0; 4096];
     let mut all = String::new();
-    for socket in &mut rig.sockets {
+    for socket in &mut harness.sockets {
         let n = socket.read(&mut seen).expect("something came");
         all.push_str(&String::from_utf8_lossy(&seen[..n]));
     }
@@ -209,52 +209,52 @@
 }
 
 #[test]
-fn what_waited_for_its_connection_beyond_its_time_is_not_written() {
-    let mut rig = Rig::new();
-    rig.time_left = Duration::ZERO;
-    let late = rig.start(10);
-    rig.time_left = Duration::from_secs(60);
-    while rig.events.is_empty() {
-        rig.turn();
+fn request_expired_while_connecting_is_not_written() {
+    let mut harness = PoolHarness::new();
+    harness.time_left = Duration::ZERO;
+    let late = harness.start(10);
+    harness.time_left = Duration::from_secs(60);
+    while harness.events.is_empty() {
+        harness.iterate();
     }
-    let Some(Event::AttemptEnded { attempt, end: how, .. }) = rig.events.first() else {
-        panic!("{:?}", rig.events)
+    let Some(Event::AttemptEnded { attempt, end: how, .. }) = harness.events.first() else {
+        panic!("{:?}", harness.events)
     };
     assert_eq!((attempt, how), (&late, &AttemptEnd::NotWritten), "proven not to have left");
-    let next = rig.start(10);
-    while !rig.is_written(next) {
-        rig.turn();
+    let next = harness.start(10);
+    while !harness.is_written(next) {
+        harness.iterate();
     }
     let mut seen = vec![0; 4096];
-    let n = rig.sockets[0].read(&mut seen).expect("something came");
+    let n = harness.sockets[0].read(&mut seen).expect("something came");
     let seen = String::from_utf8_lossy(&seen[..n]);
     assert!(seen.contains(&format!("{:016x}", 2)) && !seen.contains(&format!("{:016x}", 1)), "{seen}");
 }
 
 #[test]
-fn a_connection_whose_idle_time_is_over_is_not_chosen_before_its_alarm() {
-    let mut rig = Rig::new();
-    rig.pools.idle = Some(Duration::from_millis(1));
-    let first = rig.start(10);
-    while !rig.is_written(first) {
-        rig.turn();
+fn connection_past_its_idle_time_is_not_chosen() {
+    let mut harness = PoolHarness::new();
+    harness.pools.idle = Some(Duration::from_millis(1));
+    let first = harness.start(10);
+    while !harness.is_written(first) {
+        harness.iterate();
     }
-    let key = rig.connection_of(first);
+    let key = harness.connection_of(first);
     let mut answer = Vec::new();
     resp::command(&mut answer, &[format!("{:016x}", 1).as_bytes(), b"served", b"-", b"x"]);
-    rig.sockets[0].write_all(&answer).expect("written");
-    while rig.pools.connections[&key].idle_since.is_none() {
+    harness.sockets[0].write_all(&answer).expect("written");
+    while harness.pools.connections[&key].idle_since.is_none() {
         let mut events = Vec::new();
-        rig.tcp.turn(Some(Duration::from_millis(1)), &mut events).expect("a poll");
+        harness.tcp.turn(Some(Duration::from_millis(1)), &mut events).expect("a poll");
         if events.contains(&TcpEvent::Data(key)) {
-            rig.pools.data(&mut rig.tcp, key, &mut rig.events, &mut rig.counters);
+            harness.pools.data(&mut harness.tcp, key, &mut harness.events, &mut harness.counters);
         }
     }
     // No turn comes between the end of its idle time and the next command.
-    let over = rig.pools.connections[&key].idle_since.expect("just seen") + Duration::from_millis(1);
+    let over = harness.pools.connections[&key].idle_since.expect("just seen") + Duration::from_millis(1);
     while Instant::now() < over {
         std::thread::yield_now();
     }
-    let second = rig.start(10);
-    assert_ne!(rig.connection_of(second), key);
+    let second = harness.start(10);
+    assert_ne!(harness.connection_of(second), key);
 }
--- a/crates/node/tests/bounds.rs
+++ b/crates/node/tests/bounds.rs
@@ -6,7 +6,7 @@
 use nettleferry_platform::config::Limits;
 
 #[test]
-fn what_comes_late_after_the_word_to_end_has_its_answer_before_the_kill() {
+fn late_request_during_shutdown_is_answered_before_the_kill() {
     let since = Instant::now();
     let (short, long) = (Duration::from_millis(400), Duration::from_secs(12));
     let micros = |span: Duration| span.as_micros() as u64;
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn clients_and_links_never_take_what_the_process_itself_needs() {
+fn clients_and_pools_leave_the_reserved_descriptors() {
     for sockets in (0..300).chain([512, 1_024, 65_536]) {
         let bounds = Bounds::of(&Limits { sockets, ..Limits::default() }, None);
         // The least that a node is made for is 64.
--- a/crates/node/tests/common/hand.rs
+++ b/crates/node/tests/common/harness.rs
@@ -1,4 +1,4 @@
-//! A node whose loop the test turns by hand, with sockets of the test at every end: what is written before a turn is
+//! A node whose loop the test turns by the test, with sockets of the test at every end: what is written before a turn is
 //! there in that turn, so that two events fall into one by construction.
 
 use std::io::{ErrorKind, Read, Write};
@@ -8,10 +8,10 @@
 use nettleferry_node::Node;
 use nettleferry_platform::{frames, resp};
 
-use super::{PATIENCE, command, config, reply, reply_with};
+use super::{ListedInvoker, TEST_TIMEOUT, command, config, reply, reply_with};
 
 /// A node, its directory and its invokers.
-pub(crate) struct Hand {
+pub(crate) struct NodeHarness {
     pub(crate) node: Node,
     pub(crate) directory: UdpSocket,
     pub(crate) invokers: Vec<Invoker>,
@@ -55,7 +55,7 @@
     }
 }
 
-impl Hand {
+impl NodeHarness {
     /// A node with so many invokers; `change` may alter its configuration.
     pub(crate) fn start(invokers: usize, change: impl FnOnce(&mut serde_json::Value)) -> Self {
         let invokers: Vec<Invoker> = (0..invokers)
@@ -66,11 +66,11 @@
             })
             .collect();
         let directory = UdpSocket::bind("127.0.0.1:0").expect("a port");
-        directory.set_read_timeout(Some(PATIENCE)).expect("set");
+        directory.set_read_timeout(Some(TEST_TIMEOUT)).expect("set");
         let listed: Vec<_> = invokers
             .iter()
             .enumerate()
-            .map(|(at, i)| (format!("s-{at}"), i.listener.local_addr().expect("bound"), false))
+            .map(|(at, i)| ListedInvoker::new(at, i.listener.local_addr().expect("bound")))
             .collect();
         let mut config = config(directory.local_addr().expect("bound"), &listed);
         change(&mut config);
@@ -91,7 +91,7 @@
 
     /// Turns until something holds.
     pub(crate) fn until<T>(&mut self, what: &str, mut holds: impl FnMut(&mut Self) -> Option<T>) -> T {
-        let end = Instant::now() + PATIENCE;
+        let end = Instant::now() + TEST_TIMEOUT;
         while Instant::now() < end {
             self.node.iterate(Some(Duration::from_millis(1))).expect("a turn");
             for invoker in &mut self.invokers {
@@ -106,7 +106,7 @@
 
     /// Looks at the invokers, without a turn, until something holds.
     pub(crate) fn until_looked<T>(&mut self, what: &str, mut holds: impl FnMut(&mut Self) -> Option<T>) -> T {
-        let end = Instant::now() + PATIENCE;
+        let end = Instant::now() + TEST_TIMEOUT;
         while Instant::now() < end {
             self.invokers.iter_mut().for_each(Invoker::look);
             if let Some(found) = holds(self) {
@@ -119,12 +119,12 @@
 
     /// Turns until an invoker has a command with this word and id; gives its connection.
     pub(crate) fn at(&mut self, invoker: usize, word: &str, id: &str) -> usize {
-        self.until(&format!("{word} {id} at {invoker}"), |hand| hand.invokers[invoker].find(word, id))
+        self.until(&format!("{word} {id} at {invoker}"), |harness| harness.invokers[invoker].find(word, id))
     }
 
     /// Turns until a request stands unread at an invoker; gives its connection. To drop that socket resets it.
     pub(crate) fn unread_at(&mut self, invoker: usize, id: u64) -> usize {
-        let (end, wanted) = (Instant::now() + PATIENCE, name(id).into_bytes());
+        let (end, wanted) = (Instant::now() + TEST_TIMEOUT, name(id).into_bytes());
         while Instant::now() < end {
             self.node.iterate(Some(Duration::from_millis(1))).expect("a turn");
             self.invokers[invoker].accept();
@@ -162,11 +162,11 @@
     /// Takes the next query of the node to its directory.
     pub(crate) fn query(&mut self) -> (u16, SocketAddr) {
         self.directory.set_nonblocking(true).expect("set");
-        self.until("a query", |hand| {
+        self.until("a query", |harness| {
             let mut buffer = [0; 2048];
-            let (length, from) = hand.directory.recv_from(&mut buffer).ok()?;
+            let (length, from) = harness.directory.recv_from(&mut buffer).ok()?;
             let id = u16::from_be_bytes([buffer[0], buffer[1]]);
-            hand.last = Some((id, from));
+            harness.last = Some((id, from));
             (length > 2).then_some((id, from))
         })
     }
@@ -177,7 +177,7 @@
             .iter()
             .map(|(at, draining)| {
                 let address = self.invokers[*at].listener.local_addr().expect("bound");
-                (format!("s-{at}"), address, *draining)
+                ListedInvoker { draining: *draining, ..ListedInvoker::new(*at, address) }
             })
             .collect();
         self.directory.send_to(&reply(id, serial, &lines), from).expect("sent");
@@ -187,14 +187,21 @@
     pub(crate) fn answer_born(&self, (id, from): (u16, SocketAddr), serial: u32, at: usize, born_ms: u64) {
         let address = self.invokers[at].listener.local_addr().expect("bound");
         let started = format!("started={born_ms}");
-        let lines = [(format!("s-{at}"), address, false)];
+        let lines = [ListedInvoker::new(at, address)];
         self.directory.send_to(&reply_with(id, serial, &lines, &[&started]), from).expect("sent");
     }
 
     /// Answers a query: these names at the addresses of these invokers.
     pub(crate) fn answer_named(&self, (id, from): (u16, SocketAddr), serial: u32, list: &[(&str, usize)]) {
         let address = |at: usize| self.invokers[at].listener.local_addr().expect("bound");
-        let lines: Vec<_> = list.iter().map(|(name, at)| ((*name).to_owned(), address(*at), false)).collect();
+        let lines: Vec<_> = list
+            .iter()
+            .map(|(name, at)| ListedInvoker {
+                id: (*name).to_owned(),
+                address: address(*at),
+                draining: false,
+            })
+            .collect();
         self.directory.send_to(&reply(id, serial, &lines), from).expect("sent");
     }
 
@@ -203,10 +210,10 @@
         let mut other = self.client();
         let name = format!("{id:016x}");
         other.ask(1, "safe", id, 0xfe0ce, b"fence");
-        self.until("the fence", |hand| {
-            for at in 0..hand.invokers.len() {
-                hand.invokers[at].serve(|got| got[1] == name || got[0] == "PING");
-                hand.invokers[at].load(|fields| fields.contains("fe0ce"));
+        self.until("the fence", |harness| {
+            for at in 0..harness.invokers.len() {
+                harness.invokers[at].serve(|got| got[1] == name || got[0] == "PING");
+                harness.invokers[at].load(|fields| fields.contains("fe0ce"));
             }
             other
                 .frames()
@@ -257,7 +264,12 @@
             for got in conn.got.iter_mut().filter(|got| matches!(got[0].as_str(), "CALL" | "PING")) {
                 if wanted(got) {
                     let word = if got[0] == "PING" { "green" } else { "served" };
-                    say(&mut conn.socket, &got[1], word, if word == "green" { "-" } else { "n=w" });
+                    write_response(
+                        &mut conn.socket,
+                        &got[1],
+                        word,
+                        if word == "green" { "-" } else { "n=w" },
+                    );
                     got[0].push_str(" served");
                 }
             }
@@ -269,7 +281,7 @@
         for conn in &mut self.conns {
             for got in conn.got.iter_mut().filter(|got| got[0] == "LOAD") {
                 if wanted(&got[2]) {
-                    say(&mut conn.socket, &got[1], "served", "instances=1");
+                    write_response(&mut conn.socket, &got[1], "served", "instances=1");
                     got[0].push_str(" served");
                 }
             }
@@ -283,7 +295,7 @@
 }
 
 /// Writes an answer of an invoker.
-pub(crate) fn say(socket: &mut TcpStream, id: &str, word: &str, fields: &str) {
+pub(crate) fn write_response(socket: &mut TcpStream, id: &str, word: &str, fields: &str) {
     let mut out = Vec::new();
     resp::command(&mut out, &[id.as_bytes(), word.as_bytes(), fields.as_bytes(), b"x"]);
     socket.write_all(&out).expect("written");
--- a/crates/node/tests/common/mod.rs
+++ b/crates/node/tests/common/mod.rs
@@ -1,8 +1,8 @@
 //! A node in a thread, with a stand-in directory and stand-in invokers, on loopback.
 #![allow(dead_code)]
 
-pub(crate) mod hand;
-pub(crate) mod leaving;
+pub(crate) mod disconnect;
+pub(crate) mod harness;
 
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -20,28 +20,28 @@
 use simple_dns::{CLASS, Name, Packet, ResourceRecord};
 
 /// No wait of these tests is longer; each is for an event.
-pub(crate) const PATIENCE: Duration = Duration::from_secs(20);
+pub(crate) const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// What a stand-in does with a command.
-pub(crate) enum Does {
+pub(crate) enum Reaction {
     /// Answers: word, fields, body.
-    Says(&'static str, &'static str, Vec<u8>),
+    Answer(&'static str, &'static str, Vec<u8>),
     /// Writes these bytes.
-    Writes(Vec<u8>),
+    Write(Vec<u8>),
     /// Writes nothing.
-    Nothing,
+    Ignore,
     /// Closes the connection.
-    Closes,
+    Close,
 }
 
 /// A command as an invoker gets it: its parts, and the number of the connection.
-pub(crate) struct Told<'a> {
+pub(crate) struct ReceivedCommand<'a> {
     pub(crate) parts: &'a [Vec<u8>],
     pub(crate) connection: usize,
 }
 
-impl Told<'_> {
-    pub(crate) fn word(&self) -> &str {
+impl ReceivedCommand<'_> {
+    pub(crate) fn keyword(&self) -> &str {
         std::str::from_utf8(&self.parts[0]).unwrap_or("")
     }
     pub(crate) fn id(&self) -> &str {
@@ -56,7 +56,7 @@
 }
 
 impl Invoker {
-    pub(crate) fn start(does: impl Fn(&Told) -> Does + Send + Sync + 'static) -> Self {
+    pub(crate) fn start(does: impl Fn(&ReceivedCommand) -> Reaction + Send + Sync + 'static) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
         let got = Arc::new(Mutex::new(Vec::new()));
@@ -77,22 +77,27 @@
     }
 }
 
-fn serve(mut socket: TcpStream, connection: usize, does: &dyn Fn(&Told) -> Does, log: &Mutex<Vec<String>>) {
+fn serve(
+    mut socket: TcpStream,
+    connection: usize,
+    does: &dyn Fn(&ReceivedCommand) -> Reaction,
+    log: &Mutex<Vec<String>>,
+) {
     let mut reader = BufReader::new(socket.try_clone().expect("a handle"));
     while let Some(parts) = command(&mut reader) {
-        let told = Told { parts: &parts, connection };
-        log.lock().expect("no panic holds it").push(format!("{} {}", told.word(), told.id()));
-        match does(&told) {
-            Does::Says(word, fields, body) => {
+        let received = ReceivedCommand { parts: &parts, connection };
+        log.lock().expect("no panic holds it").push(format!("{} {}", received.keyword(), received.id()));
+        match does(&received) {
+            Reaction::Answer(word, fields, body) => {
                 let mut out = Vec::new();
                 resp::command(&mut out, &[&parts[1], word.as_bytes(), fields.as_bytes(), &body]);
                 let _ = socket.write_all(&out);
             }
-            Does::Writes(bytes) => {
+            Reaction::Write(bytes) => {
                 let _ = socket.write_all(&bytes);
             }
-            Does::Nothing => {}
-            Does::Closes => {
+            Reaction::Ignore => {}
+            Reaction::Close => {
                 let _ = socket.shutdown(std::net::Shutdown::Both);
                 return;
             }
@@ -117,17 +122,29 @@
     Some(parts)
 }
 
-/// Lines of the list: id, address, draining.
-pub(crate) type Lines = Vec<(String, SocketAddr, bool)>;
+/// An invoker as the directory lists it.
+#[derive(Clone, Debug)]
+pub(crate) struct ListedInvoker {
+    pub(crate) id: String,
+    pub(crate) address: SocketAddr,
+    pub(crate) draining: bool,
+}
+
+impl ListedInvoker {
+    /// The invoker `s-NUMBER`, in service.
+    pub(crate) fn new(number: usize, address: SocketAddr) -> Self {
+        Self { id: format!("s-{number}"), address, draining: false }
+    }
+}
 
 /// A directory whose list can be changed.
 pub(crate) struct Directory {
     pub(crate) address: SocketAddr,
-    list: Arc<Mutex<(u32, Lines)>>,
+    list: Arc<Mutex<(u32, Vec<ListedInvoker>)>>,
 }
 
 impl Directory {
-    pub(crate) fn start(list: Lines) -> Self {
+    pub(crate) fn start(list: Vec<ListedInvoker>) -> Self {
         let socket = UdpSocket::bind("127.0.0.1:0").expect("a port");
         let address = socket.local_addr().expect("an address");
         let list = Arc::new(Mutex::new((1, list)));
@@ -144,23 +161,18 @@
     }
 
     /// The next event: the list is this now.
-    pub(crate) fn change(&self, list: Lines) {
+    pub(crate) fn change(&self, list: Vec<ListedInvoker>) {
         let mut held = self.list.lock().expect("no panic holds it");
         *held = (held.0 + 1, list);
     }
 }
 
-pub(crate) fn reply(id: u16, serial: u32, invokers: &[(String, SocketAddr, bool)]) -> Vec<u8> {
+pub(crate) fn reply(id: u16, serial: u32, invokers: &[ListedInvoker]) -> Vec<u8> {
     reply_with(id, serial, invokers, &[])
 }
 
 /// A list in which each invoker has these words besides.
-pub(crate) fn reply_with(
-    id: u16,
-    serial: u32,
-    invokers: &[(String, SocketAddr, bool)],
-    words: &[&str],
-) -> Vec<u8> {
+pub(crate) fn reply_with(id: u16, serial: u32, invokers: &[ListedInvoker], words: &[&str]) -> Vec<u8> {
     reply_changed(id, serial, invokers, words, |_| ())
 }
 
@@ -168,7 +180,7 @@
 pub(crate) struct Reply {
     pub(crate) id: u16,
     pub(crate) serial: u32,
-    pub(crate) list: Lines,
+    pub(crate) list: Vec<ListedInvoker>,
 }
 
 impl Reply {
@@ -181,13 +193,13 @@
 fn reply_changed(
     id: u16,
     serial: u32,
-    invokers: &[(String, SocketAddr, bool)],
+    invokers: &[ListedInvoker],
     words: &[&str],
     change: impl Fn(&mut Packet),
 ) -> Vec<u8> {
     let mut packet = Packet::new_reply(id);
-    let targets: Vec<String> = invokers.iter().map(|(id, ..)| format!("{id}.east.hosts")).collect();
-    for ((_, address, draining), target) in invokers.iter().zip(&targets) {
+    let targets: Vec<String> = invokers.iter().map(|invoker| format!("{}.east.hosts", invoker.id)).collect();
+    for (ListedInvoker { address, draining, .. }, target) in invokers.iter().zip(&targets) {
         let name = Name::new(target).expect("a name");
         let srv =
             SRV { priority: u16::from(*draining), weight: 10, port: address.port(), target: name.clone() };
@@ -209,10 +221,10 @@
 }
 
 /// The configuration of a node that knows these invokers from the start.
-pub(crate) fn config(directory: SocketAddr, listed: &[(String, SocketAddr, bool)]) -> serde_json::Value {
+pub(crate) fn config(directory: SocketAddr, listed: &[ListedInvoker]) -> serde_json::Value {
     let instances: Vec<_> = listed
         .iter()
-        .map(|(id, address, _)| {
+        .map(|ListedInvoker { id, address, .. }| {
             serde_json::json!({"instanceId": id, "hostPort": address.to_string(), "zone": "east",
                 "machineType": "std", "cell": 1, "lifecycle": "up", "weight": 1, "startedAtMs": 0})
         })
@@ -239,16 +251,16 @@
 }
 
 /// A node in its thread.
-pub(crate) struct Rig {
+pub(crate) struct RunningNode {
     pub(crate) address: SocketAddr,
     pub(crate) directory: Directory,
     stop: Arc<AtomicBool>,
-    leave: Arc<AtomicBool>,
+    shutdown: Arc<AtomicBool>,
     thread: Option<JoinHandle<Counters>>,
     _dir: tempfile::TempDir,
 }
 
-impl Rig {
+impl RunningNode {
     /// A node with these invokers, known from the start.
     pub(crate) fn start(invokers: &[&Invoker]) -> Self {
         Self::start_with(invokers, |_| ())
@@ -256,35 +268,38 @@
 
     /// The same, with a configuration changed by the test.
     pub(crate) fn start_with(invokers: &[&Invoker], change: impl FnOnce(&mut serde_json::Value)) -> Self {
-        let listed: Vec<_> =
-            invokers.iter().enumerate().map(|(at, i)| (format!("s-{at}"), i.address, false)).collect();
+        let listed: Vec<_> = invokers
+            .iter()
+            .enumerate()
+            .map(|(at, invoker)| ListedInvoker::new(at, invoker.address))
+            .collect();
         let directory = Directory::start(listed.clone());
         let mut config = config(directory.address, &listed);
         change(&mut config);
         let dir = tempfile::tempdir().expect("a directory");
         let path = dir.path().join("config.json");
         std::fs::write(&path, config.to_string()).expect("written");
-        let (stop, leave) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicBool::new(false)));
-        let (tell, told) = mpsc::channel();
-        let (stopped, leaving) = (Arc::clone(&stop), Arc::clone(&leave));
+        let (stop, shutdown) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicBool::new(false)));
+        let (ready, address) = mpsc::channel();
+        let (stopped, shutdown_requested) = (Arc::clone(&stop), Arc::clone(&shutdown));
         let thread = std::thread::spawn(move || {
             let mut node = Node::new(path, false).expect("sound");
-            tell.send(node.local_addr()).expect("the test waits");
+            ready.send(node.local_addr()).expect("the test waits");
             while !node.is_done() && !stopped.load(Ordering::Acquire) {
                 node.iterate(Some(Duration::from_millis(5))).expect("a turn");
-                if leaving.swap(false, Ordering::AcqRel) {
+                if shutdown_requested.swap(false, Ordering::AcqRel) {
                     node.begin_shutdown();
                 }
             }
             node.counters()
         });
-        let address = told.recv_timeout(PATIENCE).expect("it listens");
-        Self { address, directory, stop, leave, thread: Some(thread), _dir: dir }
+        let address = address.recv_timeout(TEST_TIMEOUT).expect("it listens");
+        Self { address, directory, stop, shutdown, thread: Some(thread), _dir: dir }
     }
 
     /// As SIGTERM does.
-    pub(crate) fn leave(&self) {
-        self.leave.store(true, Ordering::Release);
+    pub(crate) fn begin_shutdown(&self) {
+        self.shutdown.store(true, Ordering::Release);
     }
 
     /// Waits until it has ended by itself.
@@ -303,7 +318,7 @@
     }
 }
 
-impl Drop for Rig {
+impl Drop for RunningNode {
     fn drop(&mut self) {
         self.stop.store(true, Ordering::Release);
         if let Some(thread) = self.thread.take() {
@@ -326,7 +341,7 @@
 impl Client {
     pub(crate) fn connect(address: SocketAddr) -> Self {
         let socket = TcpStream::connect(address).expect("it listens");
-        socket.set_read_timeout(Some(PATIENCE)).expect("set");
+        socket.set_read_timeout(Some(TEST_TIMEOUT)).expect("set");
         Self { socket, next: 0, answers: BTreeMap::new() }
     }
 
--- a/crates/node/tests/whole.rs
+++ b/crates/node/tests/end_to_end.rs
@@ -9,12 +9,12 @@
 use nettleferry_platform::{frames, resp};
 
 /// Holds every function, serves every call with its body turned round.
-fn good(told: &Told) -> Does {
-    match told.word() {
-        "CALL" => Does::Says("served", "n=w", told.parts[3].iter().rev().copied().collect()),
-        "PING" | "STATS" => Does::Says("green", "-", vec![]),
-        "LOAD" => Does::Says("served", "instances=1", vec![]),
-        _ => Does::Nothing,
+fn good(received: &ReceivedCommand) -> Reaction {
+    match received.keyword() {
+        "CALL" => Reaction::Answer("served", "n=w", received.parts[3].iter().rev().copied().collect()),
+        "PING" | "STATS" => Reaction::Answer("green", "-", vec![]),
+        "LOAD" => Reaction::Answer("served", "instances=1", vec![]),
+        _ => Reaction::Ignore,
     }
 }
 
@@ -22,20 +22,20 @@
 fn gated() -> (Invoker, mpsc::Sender<()>) {
     let (release, wait) = mpsc::channel::<()>();
     let wait = std::sync::Mutex::new(wait);
-    let invoker = Invoker::start(move |told| {
-        if told.word() == "CALL" && told.parts[3] == b"slow" {
-            wait.lock().expect("no panic holds it").recv_timeout(PATIENCE).expect("released");
+    let invoker = Invoker::start(move |received| {
+        if received.keyword() == "CALL" && received.parts[3] == b"slow" {
+            wait.lock().expect("no panic holds it").recv_timeout(TEST_TIMEOUT).expect("released");
         }
-        good(told)
+        good(received)
     });
     (invoker, release)
 }
 
 #[test]
-fn a_call_comes_back_with_the_body_that_the_invoker_gave() {
+fn call_returns_the_body_of_the_invoker() {
     let invoker = Invoker::start(good);
-    let rig = Rig::start(&[&invoker]);
-    let mut client = rig.client();
+    let node = RunningNode::start(&[&invoker]);
+    let mut client = node.client();
     let mut word = Vec::new();
     frames::bare(&mut word, frames::kind::READY, 0);
     client.socket.write_all(&word).expect("written");
@@ -47,19 +47,19 @@
 }
 
 #[test]
-fn a_miss_is_followed_by_an_order_and_the_call_is_served_then() {
+fn miss_is_followed_by_a_load_order_and_the_call_is_served() {
     let loaded = Arc::new(AtomicBool::new(false));
     let held = Arc::clone(&loaded);
-    let invoker = Invoker::start(move |told| match told.word() {
-        "CALL" if !held.load(Ordering::Acquire) => Does::Says("not_here", "-", vec![]),
+    let invoker = Invoker::start(move |received| match received.keyword() {
+        "CALL" if !held.load(Ordering::Acquire) => Reaction::Answer("not_here", "-", vec![]),
         "LOAD" => {
             held.store(true, Ordering::Release);
-            Does::Says("served", "instances=1", vec![])
+            Reaction::Answer("served", "instances=1", vec![])
         }
-        _ => good(told),
+        _ => good(received),
     });
-    let rig = Rig::start(&[&invoker]);
-    let mut client = rig.client();
+    let node = RunningNode::start(&[&invoker]);
+    let mut client = node.client();
     let stream = client.ask("once", 7, 9, b"ab");
     assert_eq!(client.answer(stream), (SERVED, b"ba".to_vec()));
     let got = invoker.got();
@@ -68,14 +68,14 @@
 }
 
 #[test]
-fn a_connection_that_breaks_alone_costs_an_unsafe_call_only_its_own_answer() {
+fn broken_connection_fails_only_its_own_unsafe_call() {
     let broke = AtomicBool::new(false);
-    let invoker = Invoker::start(move |told| match told.word() {
-        "CALL" if told.parts[3] == b"break" && !broke.swap(true, Ordering::AcqRel) => Does::Closes,
-        _ => good(told),
+    let invoker = Invoker::start(move |received| match received.keyword() {
+        "CALL" if received.parts[3] == b"break" && !broke.swap(true, Ordering::AcqRel) => Reaction::Close,
+        _ => good(received),
     });
-    let rig = Rig::start(&[&invoker]);
-    let mut client = rig.client();
+    let node = RunningNode::start(&[&invoker]);
+    let mut client = node.client();
     let first = client.ask("once", 1, 9, b"fine");
     assert_eq!(client.answer(first).0, SERVED);
     let lost = client.ask("once", 2, 9, b"break");
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn spoilt_answers_are_never_passed_on_and_safe_calls_are_tried_again() {
+fn invalid_responses_are_not_forwarded_and_safe_calls_are_retried() {
     let spoils: Vec<Vec<u8>> = vec![
         b"HTTP/1.1 200 OK\r\n\r\n".to_vec(),
         b"*1000000000\r\n".to_vec(),
@@ -101,38 +101,38 @@
     ];
     let count = spoils.len() as u64;
     let spoilt = AtomicUsize::new(0);
-    let invoker = Invoker::start(move |told| {
-        let spoil = told.word() == "CALL" && told.parts[3] == b"spoil";
+    let invoker = Invoker::start(move |received| {
+        let spoil = received.keyword() == "CALL" && received.parts[3] == b"spoil";
         match spoil.then(|| spoilt.fetch_add(1, Ordering::AcqRel)) {
             // Every second one: a try that follows is served.
-            Some(n) if n % 2 == 0 => Does::Writes(spoils[n / 2 % spoils.len()].clone()),
-            _ => good(told),
+            Some(n) if n % 2 == 0 => Reaction::Write(spoils[n / 2 % spoils.len()].clone()),
+            _ => good(received),
         }
     });
-    let mut rig = Rig::start(&[&invoker]);
-    let mut client = rig.client();
+    let mut node = RunningNode::start(&[&invoker]);
+    let mut client = node.client();
     for id in 1..=count {
         let stream = client.ask("safe", id, 9, b"spoil");
         assert_eq!(client.answer(stream), (SERVED, b"liops".to_vec()));
     }
-    assert_eq!(rig.stop().bad_answers, count);
+    assert_eq!(node.stop().bad_answers, count);
 }
 
 #[test]
-fn answers_that_carry_more_than_is_theirs_are_not_taken_for_others() {
-    let invoker = Invoker::start(|told| match told.word() {
+fn surplus_responses_are_not_matched_to_other_requests() {
+    let invoker = Invoker::start(|received| match received.keyword() {
         "CALL" => {
             let mut out = Vec::new();
             resp::command(&mut out, &[b"ffffffffffffffff", b"served", b"-", b"of nobody"]);
             for _ in 0..2 {
-                resp::command(&mut out, &[&told.parts[1], b"served", b"n=w", &told.parts[3]]);
+                resp::command(&mut out, &[&received.parts[1], b"served", b"n=w", &received.parts[3]]);
             }
-            Does::Writes(out)
+            Reaction::Write(out)
         }
-        _ => good(told),
+        _ => good(received),
     });
-    let rig = Rig::start(&[&invoker]);
-    let mut client = rig.client();
+    let node = RunningNode::start(&[&invoker]);
+    let mut client = node.client();
     for id in 1..30 {
         let stream = client.ask("safe", id, 9, &[id as u8]);
         assert_eq!(client.answer(stream), (SERVED, vec![id as u8]));
@@ -140,17 +140,20 @@
 }
 
 #[test]
-fn a_connection_that_is_silent_under_a_probe_answered_elsewhere_is_given_up() {
+fn unresponsive_connection_is_closed_when_a_probe_is_answered_elsewhere() {
     // The connection on which the body "hang" came says nothing any more; others do.
     let hung = Arc::new(AtomicUsize::new(usize::MAX));
-    let invoker = Invoker::start(move |told| {
-        if told.word() == "CALL" && told.parts[3] == b"hang" && hung.load(Ordering::Acquire) == usize::MAX {
-            hung.store(told.connection, Ordering::Release);
+    let invoker = Invoker::start(move |received| {
+        if received.keyword() == "CALL"
+            && received.parts[3] == b"hang"
+            && hung.load(Ordering::Acquire) == usize::MAX
+        {
+            hung.store(received.connection, Ordering::Release);
         }
-        if hung.load(Ordering::Acquire) == told.connection { Does::Nothing } else { good(told) }
+        if hung.load(Ordering::Acquire) == received.connection { Reaction::Ignore } else { good(received) }
     });
-    let rig = Rig::start(&[&invoker]);
-    let mut client = rig.client();
+    let node = RunningNode::start(&[&invoker]);
+    let mut client = node.client();
     let first = client.ask("safe", 1, 9, b"fine");
     assert_eq!(client.answer(first).0, SERVED);
     let stream = client.ask("safe", 2, 9, b"hang");
@@ -158,10 +161,10 @@
 }
 
 #[test]
-fn what_a_client_sends_amiss_is_answered_or_closed_and_hurts_nobody_else() {
+fn invalid_client_input_is_answered_or_closed_and_affects_no_other_client() {
     let invoker = Invoker::start(good);
-    let mut rig = Rig::start(&[&invoker]);
-    let mut sound = rig.client();
+    let mut node = RunningNode::start(&[&invoker]);
+    let mut sound = node.client();
     let stream = sound.ask("safe", 4, 2, b"ab");
     assert_eq!(sound.answer(stream).0, SERVED);
     let id = "00000000000000aa";
@@ -172,7 +175,7 @@
         &[("op", "safe"), ("call", id), ("ttl", "100000"), ("row", id)],
         &[("op", "safe"), ("call", id), ("ttl", "100"), ("row", id), ("tags", "lanes:x")],
     ];
-    let mut client = rig.client();
+    let mut client = node.client();
     for fields in bad {
         let stream = client.ask_with(fields, b"");
         assert_eq!(client.answer(stream).0, FAILED, "{fields:?}");
@@ -183,7 +186,7 @@
     assert_eq!(client.answer(after), (SERVED, b"ba".to_vec()), "and what follows is read");
 
     for length in [0u32, 4, 60_000_000, u32::MAX] {
-        let mut client = rig.client();
+        let mut client = node.client();
         client.socket.write_all(&length.to_be_bytes()).expect("written");
         assert!(matches!(client.frame(), Some((frames::kind::ANSWER, 0, _))));
         assert_eq!(client.frame(), None, "closed");
@@ -193,37 +196,37 @@
     for _ in 0..2 {
         frames::request(&mut twice, 1, &[("op", "safe")], b"");
     }
-    let mut client = rig.client();
+    let mut client = node.client();
     client.socket.write_all(&twice).expect("written");
     assert!(matches!(client.frame(), Some((frames::kind::ANSWER, 1, _))));
     assert!(matches!(client.frame(), Some((frames::kind::ANSWER, 0, _))));
     assert_eq!(client.frame(), None);
     // One that ends its side after a whole request has one answer, at once, and the end: what becomes of its request
     // is in `crossings.rs`, where the turn in which the end is seen is the test's.
-    let mut halved = rig.client();
+    let mut halved = node.client();
     let stream = halved.ask("safe", 6, 2, b"ab");
     halved.socket.shutdown(std::net::Shutdown::Write).expect("open");
     let (kind, on, _) = halved.frame().expect("its answer");
     assert_eq!((kind, on), (frames::kind::ANSWER, stream));
     assert_eq!(halved.frame(), None, "closed after the last answer");
     // One that sends nothing, and one that stops within a frame.
-    let mut silent = rig.client();
-    let mut halfway = rig.client();
+    let mut silent = node.client();
+    let mut halfway = node.client();
     halfway.socket.write_all(&[0, 0, 1]).expect("written");
     assert!(matches!(silent.frame(), Some((frames::kind::ANSWER, 0, _))));
     assert!(matches!(halfway.frame(), Some((frames::kind::ANSWER, 0, _))));
 
     let stream = sound.ask("safe", 5, 2, b"ab");
     assert_eq!(sound.answer(stream).0, SERVED);
-    let count = rig.stop();
+    let count = node.stop();
     assert_eq!((count.bad_requests, count.closed_for_faults, count.closed_for_silence), (7, 5, 2));
 }
 
 #[test]
-fn more_than_may_be_open_is_refused_and_the_open_ones_are_answered_at_once() {
+fn requests_over_the_bound_are_refused_and_open_ones_answered() {
     let (invoker, release) = gated();
-    let rig = Rig::start(&[&invoker]);
-    let mut client = rig.client();
+    let node = RunningNode::start(&[&invoker]);
+    let mut client = node.client();
     let streams: Vec<u32> = (1..=32).map(|id| client.ask("safe", id, id, b"slow")).collect();
     for id in 33..=50 {
         let stream = client.ask("safe", id, id, b"slow");
@@ -245,10 +248,10 @@
 }
 
 #[test]
-fn what_is_withdrawn_with_the_bytes_that_bring_it_never_starts() {
+fn request_cancelled_in_the_same_bytes_never_starts() {
     let invoker = Invoker::start(good);
-    let rig = Rig::start(&[&invoker]);
-    let mut client = rig.client();
+    let node = RunningNode::start(&[&invoker]);
+    let mut client = node.client();
     let mut both = Vec::new();
     let fields = [("op", "safe"), ("call", "00000000000000aa"), ("ttl", "3000"), ("row", "0000000000000009")];
     for stream in 1..=20 {
@@ -262,32 +265,34 @@
 }
 
 #[test]
-fn a_stray_answer_in_two_pieces_does_not_end_its_connection() {
+fn stray_response_in_two_parts_does_not_end_its_connection() {
     let mut stray = Vec::new();
     resp::command(&mut stray, &[b"ffffffffffffffff", b"served", b"-", b"of nobody"]);
     let (first, rest) = (stray[..20].to_vec(), stray[20..].to_vec());
-    let invoker = Invoker::start(move |told| {
+    let invoker = Invoker::start(move |received| {
         let mut out = Vec::new();
-        match (told.word(), told.parts.get(3).map(Vec::as_slice)) {
+        match (received.keyword(), received.parts.get(3).map(Vec::as_slice)) {
             ("CALL", Some(b"split")) => {
-                resp::command(&mut out, &[&told.parts[1], b"served", b"n=w", b"1"]);
+                resp::command(&mut out, &[&received.parts[1], b"served", b"n=w", b"1"]);
                 out.extend_from_slice(&first);
-                Does::Writes(out)
+                Reaction::Write(out)
             }
             ("CALL", Some(b"rest")) => {
                 out.extend_from_slice(&rest);
                 resp::command(
                     &mut out,
-                    &[&told.parts[1], b"served", b"n=w", told.connection.to_string().as_bytes()],
+                    &[&received.parts[1], b"served", b"n=w", received.connection.to_string().as_bytes()],
                 );
-                Does::Writes(out)
+                Reaction::Write(out)
             }
-            ("CALL", Some(b"late")) => Does::Says("served", "n=w", told.connection.to_string().into_bytes()),
-            _ => good(told),
+            ("CALL", Some(b"late")) => {
+                Reaction::Answer("served", "n=w", received.connection.to_string().into_bytes())
+            }
+            _ => good(received),
         }
     });
-    let mut rig = Rig::start(&[&invoker]);
-    let mut client = rig.client();
+    let mut node = RunningNode::start(&[&invoker]);
+    let mut client = node.client();
     let split = client.ask("safe", 1, 9, b"split");
     assert_eq!(client.answer(split).0, SERVED);
     let rest = client.ask("safe", 2, 9, b"rest");
@@ -300,39 +305,42 @@
         assert_eq!(client.answer(late), (SERVED, one.clone()), "on the same connection");
         id += 1;
     }
-    assert_eq!(rig.stop().bad_answers, 0);
+    assert_eq!(node.stop().bad_answers, 0);
 }
 
 #[test]
-fn the_last_answers_leave_before_the_end() {
+fn last_answers_are_sent_before_the_process_ends() {
     let (invoker, release) = gated();
-    let mut rig = Rig::start(&[&invoker]);
-    let mut client = rig.client();
+    let mut node = RunningNode::start(&[&invoker]);
+    let mut client = node.client();
     let first = client.ask("safe", 1, 9, b"fine");
     assert_eq!(client.answer(first).0, SERVED);
     let slow = client.ask("safe", 2, 9, b"slow");
     while !invoker.got().iter().any(|g| g.ends_with('2')) {
         std::thread::yield_now();
     }
-    rig.leave();
+    node.begin_shutdown();
     assert_eq!(client.frame(), Some((frames::kind::GO_AWAY, 0, vec![])));
     // What comes on a new connection is served all the same.
-    let mut late = rig.client();
+    let mut late = node.client();
     let stream = late.ask("safe", 3, 9, b"ab");
     assert_eq!(late.answer(stream).0, SERVED);
     release.send(()).expect("it waits");
     assert_eq!(client.answer(slow), (SERVED, b"wols".to_vec()));
-    assert_eq!(rig.ended().requests, 3);
+    assert_eq!(node.ended().requests, 3);
 }
 
 #[test]
-fn the_list_is_followed_and_a_drained_invoker_gets_nothing_new() {
+fn draining_invoker_gets_no_new_requests() {
     let (one, two) = (Invoker::start(good), Invoker::start(good));
-    let rig = Rig::start(&[&one]);
-    let mut client = rig.client();
+    let node = RunningNode::start(&[&one]);
+    let mut client = node.client();
     let first = client.ask("safe", 1, 9, b"ab");
     assert_eq!(client.answer(first).0, SERVED);
-    rig.directory.change(vec![("s-0".to_owned(), one.address, true), ("s-1".to_owned(), two.address, false)]);
+    node.directory.change(vec![
+        ListedInvoker { draining: true, ..ListedInvoker::new(0, one.address) },
+        ListedInvoker::new(1, two.address),
+    ]);
     let mut id = 1;
     while two.got().is_empty() {
         id += 1;
--- a/crates/node/tests/floods.rs
+++ b/crates/node/tests/floods.rs
@@ -5,8 +5,8 @@
 use std::io::{ErrorKind, Write};
 
 use common::SERVED;
-use common::hand::{Client, Hand, name, request};
-use common::leaving::served;
+use common::disconnect::served;
+use common::harness::{Client, NodeHarness, name, request};
 use nettleferry_net::tcp::TcpLimits;
 use nettleferry_platform::frames;
 
@@ -70,40 +70,40 @@
 }
 
 #[test]
-fn a_flood_on_one_connection_holds_up_no_sound_client_on_another() {
+fn flood_on_one_connection_does_not_delay_other_clients() {
     // So many fit into what a turn reads of one connection: its last piece may go beyond the bound.
     let most = (TcpLimits::default().turn * 5 / 4 / withdrawn(1).len()) as u64 + 1;
     for kind in [withdrawn as Kind, questions, long] {
-        let mut hand = Hand::start(1, |_| ());
-        let mut sound = hand.client();
-        served(&mut hand, &mut sound, 77, ROW);
-        let client = hand.client();
-        hand.turn();
-        hand.turn();
+        let mut harness = NodeHarness::start(1, |_| ());
+        let mut sound = harness.client();
+        served(&mut harness, &mut sound, 77, ROW);
+        let client = harness.client();
+        harness.turn();
+        harness.turn();
         let mut flood = Flood { client, kind, queued: Vec::new(), next: 0, written: 0 };
         for id in 100..108 {
             flood.pour();
             sound.ask(id as u32, "safe", id, ROW, b"");
             // The turn that finds it there reads so much of the flood, and no more.
-            let before = hand.node.counters().requests;
-            hand.turn();
-            let taken = hand.node.counters().requests - before;
+            let before = harness.node.counters().requests;
+            harness.turn();
+            let taken = harness.node.counters().requests - before;
             assert!(taken <= most, "{taken} requests in one turn, {most} at the most");
-            assert!(hand.node.engine_counters().opened >= id - 98, "{id}: in the turn that finds it");
+            assert!(harness.node.engine_counters().opened >= id - 98, "{id}: in the turn that finds it");
             let mut turns = 0;
             while sound.codes(id as u32).is_empty() {
                 turns += 1;
                 assert!(turns < 100, "{id} is not served beside the flood");
                 flood.pour();
-                hand.turn();
-                hand.invokers[0].serve(|got| got[1] == name(id));
+                harness.turn();
+                harness.invokers[0].serve(|got| got[1] == name(id));
             }
             assert_eq!(sound.codes(id as u32), [SERVED]);
         }
         assert!(flood.written > 1 << 20, "{} bytes are no flood", flood.written);
-        let sent = hand.invokers[0].conns.iter().flat_map(|c| &c.got);
+        let sent = harness.invokers[0].conns.iter().flat_map(|c| &c.got);
         let flooded = sent.filter(|got| got[0].starts_with("CALL") && got[1].starts_with("00000100"));
         assert_eq!(flooded.count(), 0, "what is withdrawn with its bytes is not sent on");
-        assert_eq!(hand.node.engine_counters().opened, 9, "nor opened");
+        assert_eq!(harness.node.engine_counters().opened, 9, "nor opened");
     }
 }
--- a/crates/node/tests/pieces.rs
+++ b/crates/node/tests/partial_data.rs
@@ -6,8 +6,8 @@
 use std::net::Shutdown;
 use std::time::{Duration, Instant};
 
-use common::hand::{Client, Hand, name, request};
-use common::leaving::{served, with_something_unread};
+use common::disconnect::{served, with_something_unread};
+use common::harness::{Client, NodeHarness, name, request};
 use common::{FAILED, SERVED};
 use nettleferry_platform::resp;
 
@@ -16,32 +16,32 @@
 const TTL: u64 = 3_000;
 
 /// Writes bytes one at a time, each read in a turn of its own.
-fn byte_by_byte(hand: &mut Hand, client: &mut Client, bytes: &[u8]) {
+fn byte_by_byte(harness: &mut NodeHarness, client: &mut Client, bytes: &[u8]) {
     for byte in bytes {
         client.socket.write_all(&[*byte]).expect("open");
-        hand.turn();
+        harness.turn();
     }
 }
 
 #[test]
-fn a_request_that_comes_byte_by_byte_is_opened_with_its_last_byte_and_has_all_its_time() {
-    let mut hand = Hand::start(1, |_| ());
-    let mut client = hand.client();
+fn request_received_byte_by_byte_is_opened_with_its_last_byte() {
+    let mut harness = NodeHarness::start(1, |_| ());
+    let mut client = harness.client();
     let bytes = request(1, "safe", 5, ROW, b"body");
     let (last, first) = bytes.split_last().expect("some");
-    byte_by_byte(&mut hand, &mut client, first);
-    assert_eq!((hand.node.counters().requests, hand.node.engine_counters().opened), (0, 0));
+    byte_by_byte(&mut harness, &mut client, first);
+    assert_eq!((harness.node.counters().requests, harness.node.engine_counters().opened), (0, 0));
     let before = Instant::now();
     client.socket.write_all(&[*last]).expect("open");
-    let conn = hand.at(0, "CALL", &name(5));
+    let conn = harness.at(0, "CALL", &name(5));
     let took = before.elapsed();
-    let got = hand.invokers[0].conns[conn].got[0].clone();
+    let got = harness.invokers[0].conns[conn].got[0].clone();
     let told = got[2].split(',').find_map(|field| field.strip_prefix("patience=")).expect("told");
     let told = Duration::from_millis(told.parse().expect("a number"));
     assert!(told + took + Duration::from_millis(1) >= Duration::from_millis(TTL), "{told:?} after {took:?}");
     assert_eq!(got[3], "body");
-    hand.invokers[0].serve(|_| true);
-    let codes = hand.until("its answer", |_| Some(client.codes(1)).filter(|codes| !codes.is_empty()));
+    harness.invokers[0].serve(|_| true);
+    let codes = harness.until("its answer", |_| Some(client.codes(1)).filter(|codes| !codes.is_empty()));
     assert_eq!(codes, [SERVED]);
 }
 
@@ -54,17 +54,17 @@
 }
 
 #[test]
-fn a_request_whose_client_goes_before_its_last_byte_is_never_opened_and_holds_nothing() {
+fn request_whose_client_disconnects_before_its_last_byte_is_not_opened() {
     for goes in [Goes::EndsItsSide, Goes::Closes, Goes::Resets] {
-        let mut hand = Hand::start(1, |_| ());
-        let mut sound = hand.client();
-        served(&mut hand, &mut sound, 77, ROW);
+        let mut harness = NodeHarness::start(1, |_| ());
+        let mut sound = harness.client();
+        served(&mut harness, &mut sound, 77, ROW);
         let mut client = match goes {
-            Goes::Resets => with_something_unread(&mut hand),
-            _ => hand.client(),
+            Goes::Resets => with_something_unread(&mut harness),
+            _ => harness.client(),
         };
         let bytes = request(1, "safe", 5, ROW, b"body");
-        byte_by_byte(&mut hand, &mut client, &bytes[..bytes.len() - 1]);
+        byte_by_byte(&mut harness, &mut client, &bytes[..bytes.len() - 1]);
         let kept = match goes {
             Goes::EndsItsSide => {
                 client.socket.shutdown(Shutdown::Write).expect("open");
@@ -75,18 +75,18 @@
                 None
             }
         };
-        hand.turn();
+        harness.turn();
         // The very request comes anew over another connection: nothing of the half one stands in its way.
-        let mut again = hand.client();
+        let mut again = harness.client();
         again.ask(1, "safe", 5, ROW, b"body");
-        hand.at(0, "CALL", &name(5));
-        hand.invokers[0].serve(|_| true);
-        let codes = hand.until("its answer", |_| Some(again.codes(1)).filter(|codes| !codes.is_empty()));
+        harness.at(0, "CALL", &name(5));
+        harness.invokers[0].serve(|_| true);
+        let codes = harness.until("its answer", |_| Some(again.codes(1)).filter(|codes| !codes.is_empty()));
         assert_eq!(codes, [SERVED], "{goes:?}");
-        assert_eq!(hand.sends(&name(5)), 1, "{goes:?}");
-        assert_eq!(hand.node.counters().requests, 2, "{goes:?}: the half one is none");
+        assert_eq!(harness.sends(&name(5)), 1, "{goes:?}");
+        assert_eq!(harness.node.counters().requests, 2, "{goes:?}: the half one is none");
         if let Some(mut client) = kept {
-            hand.until("its connection ends", |_| client.ended().then_some(()));
+            harness.until("its connection ends", |_| client.ended().then_some(()));
             assert_eq!(client.frames(), [], "nothing is owed for half a request");
         }
     }
@@ -102,18 +102,18 @@
 }
 
 #[test]
-fn an_answer_that_is_cut_anywhere_fails_its_own_request_alone() {
-    let mut hand = Hand::start(1, |_| ());
-    let mut client = hand.client();
-    served(&mut hand, &mut client, 77, ROW);
+fn truncated_response_fails_only_its_own_request() {
+    let mut harness = NodeHarness::start(1, |_| ());
+    let mut client = harness.client();
+    served(&mut harness, &mut client, 77, ROW);
     let whole = |id: u64| {
         let mut answer = Vec::new();
         resp::command(&mut answer, &[name(id).as_bytes(), b"served", b"n=w", b"whole"]);
         answer
     };
-    let answered = |hand: &mut Hand, client: &mut Client, id: u64| {
-        hand.until("its answer", |hand| {
-            hand.invokers[0].serve(|got| got[0] == "PING" || got[1] == name(id));
+    let answered = |harness: &mut NodeHarness, client: &mut Client, id: u64| {
+        harness.until("its answer", |harness| {
+            harness.invokers[0].serve(|got| got[0] == "PING" || got[1] == name(id));
             Some(client.codes(1)).filter(|codes| !codes.is_empty())
         })
     };
@@ -121,29 +121,29 @@
     for (cut, how) in (1..whole(id).len()).flat_map(|cut| [(cut, Cut::Ends), (cut, Cut::Resets)]) {
         // Its attempt may have run, and its class may not be repeated.
         id += 1;
-        let mut client = hand.client();
+        let mut client = harness.client();
         client.ask(1, "once", id, ROW, b"");
         match how {
             Cut::Ends => {
-                let conn = hand.at(0, "CALL", &name(id));
-                let socket = &mut hand.invokers[0].conns[conn].socket;
+                let conn = harness.at(0, "CALL", &name(id));
+                let socket = &mut harness.invokers[0].conns[conn].socket;
                 socket.write_all(&whole(id)[..cut]).expect("open");
                 socket.shutdown(Shutdown::Write).expect("open");
             }
             Cut::Resets => {
-                let conn = hand.unread_at(0, id);
-                let mut gone = hand.invokers[0].conns.remove(conn);
+                let conn = harness.unread_at(0, id);
+                let mut gone = harness.invokers[0].conns.remove(conn);
                 gone.socket.write_all(&whole(id)[..cut]).expect("open");
             }
         }
-        assert_eq!(answered(&mut hand, &mut client, 0), [FAILED], "{how:?} after {cut} bytes");
+        assert_eq!(answered(&mut harness, &mut client, 0), [FAILED], "{how:?} after {cut} bytes");
         // Its invoker serves others at once, over another connection.
         id += 1;
-        let mut other = hand.client();
+        let mut other = harness.client();
         other.ask(1, "once", id, ROW, b"");
-        assert_eq!(answered(&mut hand, &mut other, id), [SERVED], "{how:?} after {cut} bytes");
-        assert!(hand.sends(&name(id - 1)) <= 1, "never again");
+        assert_eq!(answered(&mut harness, &mut other, id), [SERVED], "{how:?} after {cut} bytes");
+        assert!(harness.sends(&name(id - 1)) <= 1, "never again");
     }
-    let count = hand.node.counters();
+    let count = harness.node.counters();
     assert_eq!((count.stray_answers, count.bad_answers), (0, 0), "each was cut, none spoilt");
 }
--- a/crates/node/tests/windows.rs
+++ b/crates/node/tests/retry_windows.rs
@@ -5,7 +5,7 @@
 use std::net::Shutdown;
 use std::time::{Duration, Instant};
 
-use common::hand::{Client, Hand, name};
+use common::harness::{Client, NodeHarness, name};
 use common::{FAILED, REFUSED, SERVED};
 use nettleferry_platform::frames;
 
@@ -40,31 +40,31 @@
 }
 
 /// Turns until a request's next attempt has come; gives where: invoker and connection.
-fn attempt(hand: &mut Hand, id: u64, number: usize) -> (usize, usize) {
-    hand.until("its attempt", |hand| {
+fn attempt(harness: &mut NodeHarness, id: u64, number: usize) -> (usize, usize) {
+    harness.until("its attempt", |harness| {
         // Probes are answered: whose connection broke is alive.
-        hand.invokers.iter_mut().for_each(|invoker| invoker.serve(|got| got[0] == "PING"));
-        let sent = |conn: &common::hand::Conn| {
+        harness.invokers.iter_mut().for_each(|invoker| invoker.serve(|got| got[0] == "PING"));
+        let sent = |conn: &common::harness::Conn| {
             conn.got.iter().any(|got| got[0] == "CALL" && got[1] == name(id)) && !conn.ended
         };
-        let at = hand
+        let at = harness
             .invokers
             .iter()
             .enumerate()
             .find_map(|(at, invoker)| Some((at, invoker.conns.iter().position(sent)?)));
-        at.filter(|_| hand.sends(&name(id)) == number)
+        at.filter(|_| harness.sends(&name(id)) == number)
     })
 }
 
 /// Ends a connection at an invoker: what is open on it may have run.
-fn break_at(hand: &mut Hand, (invoker, conn): (usize, usize)) {
-    let conn = &mut hand.invokers[invoker].conns[conn];
+fn break_at(harness: &mut NodeHarness, (invoker, conn): (usize, usize)) {
+    let conn = &mut harness.invokers[invoker].conns[conn];
     conn.socket.shutdown(Shutdown::Both).expect("open");
     conn.ended = true;
 }
 
-fn codes(hand: &mut Hand, client: &mut Client, stream: u32) -> Vec<u8> {
-    hand.until("its answer", |_| Some(client.codes(stream)).filter(|codes| !codes.is_empty()))
+fn codes(harness: &mut NodeHarness, client: &mut Client, stream: u32) -> Vec<u8> {
+    harness.until("its answer", |_| Some(client.codes(stream)).filter(|codes| !codes.is_empty()))
 }
 
 /// Waits, without a turn, until it is so late.
@@ -75,49 +75,49 @@
 }
 
 #[test]
-fn a_connection_that_comes_up_after_its_request_s_time_takes_nothing() {
-    let mut hand = Hand::start(1, |config| keyed(config, "all"));
-    let mut client = hand.client();
+fn connection_established_after_the_deadline_carries_nothing() {
+    let mut harness = NodeHarness::start(1, |config| keyed(config, "all"));
+    let mut client = harness.client();
     ask(&mut client, 1, 5, 150);
-    hand.until("it is taken", |hand| (hand.node.counters().requests == 1).then_some(()));
+    harness.until("it is taken", |harness| (harness.node.counters().requests == 1).then_some(()));
     let taken = Instant::now();
-    hand.until_looked("it connects", |hand| (!hand.invokers[0].conns.is_empty()).then_some(()));
+    harness.until_looked("it connects", |harness| (!harness.invokers[0].conns.is_empty()).then_some(()));
     // Its connection is up only now, as far as this process sees.
     wait_until(taken + Duration::from_millis(150));
-    assert_eq!(codes(&mut hand, &mut client, 1), [REFUSED], "nothing ran");
-    hand.fence(500);
-    assert_eq!(hand.sends(&name(5)), 0);
+    assert_eq!(codes(&mut harness, &mut client, 1), [REFUSED], "nothing ran");
+    harness.fence(500);
+    assert_eq!(harness.sends(&name(5)), 0);
 }
 
 #[test]
-fn a_repeat_whose_connection_comes_up_after_the_window_does_not_leave() {
+fn retry_whose_connection_is_established_after_the_window_is_not_sent() {
     // Repeats are dropped at all invokers, or at those of one zone: then a refusal would promise too much.
     for (scope, code) in [("all", REFUSED), ("zone", FAILED)] {
-        let mut hand = Hand::start(2, |config| keyed(config, scope));
-        let mut client = hand.client();
+        let mut harness = NodeHarness::start(2, |config| keyed(config, scope));
+        let mut client = harness.client();
         ask(&mut client, 1, 5, 6_000);
         let begun = Instant::now();
-        let first = attempt(&mut hand, 5, 1);
+        let first = attempt(&mut harness, 5, 1);
         let seen = Instant::now();
         // It may have run, and within the window it goes to the other one, over a new connection.
-        break_at(&mut hand, first);
-        hand.until("the connection for its repeat", |hand| {
-            (!hand.invokers[1 - first.0].conns.is_empty()).then_some(())
+        break_at(&mut harness, first);
+        harness.until("the connection for its repeat", |harness| {
+            (!harness.invokers[1 - first.0].conns.is_empty()).then_some(())
         });
         assert!(begun.elapsed() < WINDOW, "the machine was held up: the test shows nothing");
         // It is up only now, as far as this process sees: the window is over.
         wait_until(seen + WINDOW);
-        assert_eq!(codes(&mut hand, &mut client, 1), [code], "{scope}");
-        assert_eq!(hand.sends(&name(5)), 1, "{scope}: its repeat would not be dropped");
+        assert_eq!(codes(&mut harness, &mut client, 1), [code], "{scope}");
+        assert_eq!(harness.sends(&name(5)), 1, "{scope}: its repeat would not be dropped");
     }
 }
 
 #[test]
-fn repeats_at_two_controllers_within_and_just_after_a_short_window() {
-    let mut first = Hand::start(2, |config| keyed(config, "all"));
+fn retries_at_two_controllers_around_a_short_window() {
+    let mut first = NodeHarness::start(2, |config| keyed(config, "all"));
     let known = first.config["known"].clone();
     // Another controller, of the same invokers.
-    let mut second = Hand::start(0, |config| {
+    let mut second = NodeHarness::start(0, |config| {
         keyed(config, "all");
         config["known"] = known;
     });
@@ -130,7 +130,7 @@
     // Within the window it goes out again here; its client comes to the other controller with the same key.
     let two = attempt(&mut first, 1, 2);
     assert!(begun.elapsed() < WINDOW, "the machine was held up: the test shows nothing");
-    let mut repeat = |first: &mut Hand, stream: u32, id: u64| {
+    let mut repeat = |first: &mut NodeHarness, stream: u32, id: u64| {
         ask(&mut there, stream, id, 6_000);
         first.until("it is served", |first| {
             second.turn();
--- a/crates/node/tests/shared.rs
+++ b/crates/node/tests/shared_connections.rs
@@ -6,7 +6,7 @@
 use std::io::Write;
 use std::time::{Duration, Instant};
 
-use common::hand::{Client, Hand, name};
+use common::harness::{Client, NodeHarness, name};
 use common::{FAILED, REFUSED, SERVED};
 use nettleferry_node::limits::{
     CONSECUTIVE_FAULTS, OPENS_PER_ITERATION, SHORT_ANSWER_BYTES, STREAMS_PER_CLIENT,
@@ -39,90 +39,91 @@
 }
 
 /// What an invoker was told of a request's time, milliseconds.
-fn patience(hand: &mut Hand, id: u64) -> u64 {
-    let conn = hand.at(0, "CALL", &name(id));
-    let got = hand.invokers[0].conns[conn].got.iter().find(|got| got[1] == name(id)).expect("found").clone();
+fn patience(harness: &mut NodeHarness, id: u64) -> u64 {
+    let conn = harness.at(0, "CALL", &name(id));
+    let got =
+        harness.invokers[0].conns[conn].got.iter().find(|got| got[1] == name(id)).expect("found").clone();
     let told = got[2].split(',').find_map(|field| field.strip_prefix("patience=")).expect("told");
     told.parse().expect("a number")
 }
 
 /// Turns until a stream has its answers; their codes.
-fn answers(hand: &mut Hand, client: &mut Client, stream: u32) -> Vec<u8> {
-    hand.until("its answer", |hand| {
-        hand.invokers[0].serve(|_| true);
+fn answers(harness: &mut NodeHarness, client: &mut Client, stream: u32) -> Vec<u8> {
+    harness.until("its answer", |harness| {
+        harness.invokers[0].serve(|_| true);
         Some(client.codes(stream)).filter(|codes| !codes.is_empty())
     })
 }
 
 #[test]
-fn a_request_that_was_sent_early_is_served_within_its_class_s_time() {
-    let mut hand = Hand::start(1, |_| ());
-    let mut client = hand.client();
+fn ttl_above_the_class_deadline_is_limited_to_it() {
+    let mut harness = NodeHarness::start(1, |_| ());
+    let mut client = harness.client();
     // Its client counts its time from a moment that is still to come.
     ask(&mut client, 1, 1, DEADLINE + 14);
-    assert!(patience(&mut hand, 1) <= DEADLINE);
-    assert_eq!(answers(&mut hand, &mut client, 1), [SERVED]);
-    let count = hand.node.counters();
+    assert!(patience(&mut harness, 1) <= DEADLINE);
+    assert_eq!(answers(&mut harness, &mut client, 1), [SERVED]);
+    let count = harness.node.counters();
     assert_eq!((count.over_deadline, count.bad_requests), (1, 0));
 }
 
 #[test]
-fn requests_that_can_t_be_used_cost_no_other_on_their_connection_its_answer() {
-    let mut hand = Hand::start(1, |_| ());
-    let mut client = hand.client();
+fn unusable_requests_do_not_affect_others_on_their_connection() {
+    let mut harness = NodeHarness::start(1, |_| ());
+    let mut client = harness.client();
     // The copy is found by a call that is served.
     ask(&mut client, 1, 1_000, DEADLINE);
-    assert_eq!(answers(&mut hand, &mut client, 1), [SERVED]);
+    assert_eq!(answers(&mut harness, &mut client, 1), [SERVED]);
     // NewCall all the while.
     ask(&mut client, 2, 1, DEADLINE);
-    hand.at(0, "CALL", &name(1));
+    harness.at(0, "CALL", &name(1));
     let amiss = 3 * CONSECUTIVE_FAULTS;
     for n in 1..=amiss {
         let (bad, sound) = (2 * n + 1, 2 * n + 2);
         ask(&mut client, bad, u64::from(bad), DEADLINE * 1_000);
         ask(&mut client, sound, u64::from(sound), DEADLINE);
-        hand.at(0, "CALL", &name(u64::from(sound)));
-        hand.invokers[0].serve(|got| got[1] == name(u64::from(sound)));
+        harness.at(0, "CALL", &name(u64::from(sound)));
+        harness.invokers[0].serve(|got| got[1] == name(u64::from(sound)));
         let codes = |client: &mut Client| (client.codes(bad), client.codes(sound));
-        let both = hand.until("both", |_| Some(codes(&mut client)).filter(|(_, sound)| !sound.is_empty()));
+        let both = harness.until("both", |_| Some(codes(&mut client)).filter(|(_, sound)| !sound.is_empty()));
         assert_eq!(both, (vec![FAILED], vec![SERVED]));
     }
-    assert_eq!(answers(&mut hand, &mut client, 2), [SERVED]);
-    let count = hand.node.counters();
+    assert_eq!(answers(&mut harness, &mut client, 2), [SERVED]);
+    let count = harness.node.counters();
     assert_eq!((count.bad_requests, count.closed_for_faults), (u64::from(amiss), 0));
 }
 
 #[test]
-fn the_time_that_a_request_waited_unread_is_its_client_s() {
-    let mut hand = Hand::start(1, |_| ());
-    let mut client = hand.client();
+fn time_that_a_request_waited_unread_counts_against_its_deadline() {
+    let mut harness = NodeHarness::start(1, |_| ());
+    let mut client = harness.client();
     ask(&mut client, 1, 1, DEADLINE);
-    assert_eq!(answers(&mut hand, &mut client, 1), [SERVED]);
-    hand.turn();
+    assert_eq!(answers(&mut harness, &mut client, 1), [SERVED]);
+    harness.turn();
     ask(&mut client, 2, 2, DEADLINE);
     let asked = Instant::now();
     // This process is not run for a while.
     std::thread::sleep(Duration::from_millis(150));
     let stopped = asked.elapsed().as_millis() as u64;
-    hand.turn();
-    let told = patience(&mut hand, 2);
+    harness.turn();
+    let told = patience(&mut harness, 2);
     assert!(told <= DEADLINE - stopped, "{told} ms after {stopped} ms");
-    assert!(hand.node.counters().longest_read_delay >= stopped * 1_000);
+    assert!(harness.node.counters().longest_read_delay >= stopped * 1_000);
 }
 
 #[test]
-fn a_turn_opens_so_many_requests_and_looks_at_clients_again() {
-    let mut hand = Hand::start(1, |_| ());
-    let mut clients: Vec<Client> = (0..3).map(|_| hand.client()).collect();
-    hand.turn();
-    hand.turn();
+fn iteration_opens_a_bounded_number_of_requests() {
+    let mut harness = NodeHarness::start(1, |_| ());
+    let mut clients: Vec<Client> = (0..3).map(|_| harness.client()).collect();
+    harness.turn();
+    harness.turn();
     let all = clients.len() * STREAMS_PER_CLIENT;
     assert!(all > OPENS_PER_ITERATION);
     for (at, client) in clients.iter_mut().enumerate() {
         crowd(client, 100 * at as u64);
     }
-    hand.turn();
-    assert_eq!(hand.node.engine_counters().opened, OPENS_PER_ITERATION as u64);
+    harness.turn();
+    assert_eq!(harness.node.engine_counters().opened, OPENS_PER_ITERATION as u64);
     // All leave now: of what was not opened, nothing ever is.
     for client in &mut clients {
         // In one piece: the system holds back small ones until the first of them are acknowledged.
@@ -131,43 +132,43 @@
             .for_each(|stream| frames::bare(&mut out, frames::kind::CANCEL, stream as u32));
         client.socket.write_all(&out).expect("written");
     }
-    hand.turn();
-    hand.fence(5_000);
+    harness.turn();
+    harness.fence(5_000);
     assert_eq!(
-        hand.node.engine_counters().opened,
+        harness.node.engine_counters().opened,
         OPENS_PER_ITERATION as u64 + 1,
         "the fence's is the other one"
     );
 }
 
 #[test]
-fn an_answer_that_is_due_leaves_before_what_came_is_sent_on() {
-    let mut hand = Hand::start(1, |_| ());
-    let mut client = hand.client();
+fn due_answer_is_sent_before_new_requests_are_forwarded() {
+    let mut harness = NodeHarness::start(1, |_| ());
+    let mut client = harness.client();
     ask(&mut client, 1, 1, 100);
     let came = Instant::now();
-    hand.at(0, "CALL", &name(1));
-    let mut other = hand.client();
-    hand.turn();
-    hand.turn();
+    harness.at(0, "CALL", &name(1));
+    let mut other = harness.client();
+    harness.turn();
+    harness.turn();
     // Its time is over, and a crowd is there.
     std::thread::sleep(Duration::from_millis(100).saturating_sub(came.elapsed()));
     crowd(&mut other, 100);
     assert!(client.codes(1).is_empty());
-    hand.turn();
+    harness.turn();
     // It may have run, and a new try of its class does no harm.
     assert_eq!(client.codes(1), [REFUSED], "in that very turn");
-    assert_eq!(hand.node.engine_counters().opened, 1 + STREAMS_PER_CLIENT as u64);
+    assert_eq!(harness.node.engine_counters().opened, 1 + STREAMS_PER_CLIENT as u64);
 }
 
 #[test]
-fn answers_that_a_client_takes_too_slowly_cost_no_other_on_its_connection_its_own() {
-    let mut hand = Hand::start(1, |_| ());
-    let mut client = hand.client();
+fn answer_over_the_output_bound_fails_alone() {
+    let mut harness = NodeHarness::start(1, |_| ());
+    let mut client = harness.client();
     let big = vec![b'b'; 60 << 10];
     let mut asked: u32 = 0;
     // It reads nothing, until the system and the bound on our side hold no more.
-    while hand.node.counters().over_answers == 0 {
+    while harness.node.counters().over_answers == 0 {
         assert!(asked < 4_096, "the bound was never hit");
         let streams = asked + 1..=asked + 16;
         asked += 16;
@@ -175,24 +176,24 @@
             ask(&mut client, stream, u64::from(stream), DEADLINE);
         }
         for stream in streams {
-            let conn = hand.at(0, "CALL", &name(u64::from(stream)));
+            let conn = harness.at(0, "CALL", &name(u64::from(stream)));
             let mut out = Vec::new();
             resp::command(&mut out, &[name(u64::from(stream)).as_bytes(), b"served", b"n=w", &big]);
-            let socket = &mut hand.invokers[0].conns[conn].socket;
+            let socket = &mut harness.invokers[0].conns[conn].socket;
             while !out.is_empty() {
                 match socket.write(&out) {
                     Ok(n) => drop(out.drain(..n)),
-                    Err(_) => hand.node.iterate(Some(Duration::ZERO)).expect("a turn"),
+                    Err(_) => harness.node.iterate(Some(Duration::ZERO)).expect("a turn"),
                 }
             }
         }
-        hand.until("all have ended", |hand| {
-            let ended = hand.node.engine_counters();
+        harness.until("all have ended", |harness| {
+            let ended = harness.node.engine_counters();
             (ended.served + ended.failed + ended.refused == u64::from(asked)).then_some(())
         });
     }
     // It reads at last: each request has its one whole answer, and the connection goes on.
-    let frames = hand.until("all answers", |_| {
+    let frames = harness.until("all answers", |_| {
         let frames = client.frames();
         (frames.len() >= asked as usize).then_some(frames)
     });
@@ -204,75 +205,75 @@
         assert!(whole || payload[0] == FAILED && payload.len() < SHORT_ANSWER_BYTES, "stream {stream}");
     }
     ask(&mut client, asked + 1, u64::from(asked + 1), DEADLINE);
-    assert_eq!(answers(&mut hand, &mut client, asked + 1), [SERVED]);
+    assert_eq!(answers(&mut harness, &mut client, asked + 1), [SERVED]);
 }
 
 #[test]
-fn a_crowd_of_connections_that_ask_nothing_costs_no_request_its_answer() {
+fn burst_of_silent_connections_costs_no_request_its_answer() {
     // Half of 64 descriptors are clients'.
-    let mut hand = Hand::start(1, |config| config["limits"]["sockets"] = 64.into());
-    let crowd: Vec<Client> = (0..40).map(|_| hand.client()).collect();
-    hand.until("the bound is hit", |hand| (hand.node.counters().over_clients > 0).then_some(()));
+    let mut harness = NodeHarness::start(1, |config| config["limits"]["sockets"] = 64.into());
+    let crowd: Vec<Client> = (0..40).map(|_| harness.client()).collect();
+    harness.until("the bound is hit", |harness| (harness.node.counters().over_clients > 0).then_some(()));
     // All at once, in the backlog before one turn.
-    let mut clients: Vec<Client> = (0..30).map(|_| hand.client()).collect();
+    let mut clients: Vec<Client> = (0..30).map(|_| harness.client()).collect();
     for (at, client) in clients.iter_mut().enumerate() {
         ask(client, 1, 1 + at as u64, DEADLINE);
     }
     for client in &mut clients {
-        assert_eq!(answers(&mut hand, client, 1), [SERVED]);
+        assert_eq!(answers(&mut harness, client, 1), [SERVED]);
     }
-    assert_eq!(hand.node.tcp_counters().over_accepted, 0);
+    assert_eq!(harness.node.tcp_counters().over_accepted, 0);
     drop(crowd);
 }
 
 #[test]
-fn one_that_has_just_come_is_not_pushed_out_by_the_next() {
+fn newly_accepted_connection_is_not_evicted_by_the_next() {
     // All room that clients have is taken by connections that asked once and stay.
-    let mut hand = Hand::start(1, |config| config["limits"]["sockets"] = 64.into());
-    let mut stay: Vec<Client> = (0..32).map(|_| hand.client()).collect();
+    let mut harness = NodeHarness::start(1, |config| config["limits"]["sockets"] = 64.into());
+    let mut stay: Vec<Client> = (0..32).map(|_| harness.client()).collect();
     let mut word = Vec::new();
     frames::bare(&mut word, frames::kind::READY, 0);
     for client in &mut stay {
         client.socket.write_all(&word).expect("written");
     }
-    hand.until("they are answered", |_| stay.iter_mut().all(|c| !c.frames().is_empty()).then_some(()));
+    harness.until("they are answered", |_| stay.iter_mut().all(|c| !c.frames().is_empty()).then_some(()));
     // Each of these has its turn before it sends what it came for.
     let mut clients = Vec::new();
     for _ in 0..22 {
-        clients.push(hand.client());
-        hand.turn();
+        clients.push(harness.client());
+        harness.turn();
     }
     for (at, client) in clients.iter_mut().enumerate() {
         ask(client, 1, 1 + at as u64, DEADLINE);
     }
     for client in &mut clients {
-        assert_eq!(answers(&mut hand, client, 1), [SERVED]);
+        assert_eq!(answers(&mut harness, client, 1), [SERVED]);
     }
-    assert!(hand.node.counters().made_room >= 16, "idle ones went for them");
+    assert!(harness.node.counters().made_room >= 16, "idle ones went for them");
 }
 
 #[test]
-fn idle_connections_leave_room_in_what_clients_may_hold_and_open_requests_stay() {
+fn idle_connections_are_evicted_and_open_requests_stay() {
     // Clients may hold a third of 96 descriptors.
-    let mut hand = Hand::start(1, |config| config["limits"]["sockets"] = 96.into());
-    let mut busy: Vec<Client> = (0..3).map(|_| hand.client()).collect();
+    let mut harness = NodeHarness::start(1, |config| config["limits"]["sockets"] = 96.into());
+    let mut busy: Vec<Client> = (0..3).map(|_| harness.client()).collect();
     for (at, client) in busy.iter_mut().enumerate() {
         ask(client, 1, 1 + at as u64, DEADLINE);
     }
-    hand.at(0, "CALL", &name(1));
+    harness.at(0, "CALL", &name(1));
     let mut word = Vec::new();
     frames::bare(&mut word, frames::kind::READY, 0);
     let mut stay: Vec<Client> = Vec::new();
     for _ in 0..60 {
-        let mut client = hand.client();
+        let mut client = harness.client();
         client.socket.write_all(&word).expect("written");
-        hand.until("it is answered", |_| (!client.frames().is_empty()).then_some(()));
+        harness.until("it is answered", |_| (!client.frames().is_empty()).then_some(()));
         stay.push(client);
     }
     let ended = |client: &Client| matches!(client.socket.peek(&mut [0; 1]), Ok(0));
     let held = stay.iter().filter(|client| !ended(client)).count() + busy.len();
     assert!(held < 96 / 3, "{held} are held");
     for client in &mut busy {
-        assert_eq!(answers(&mut hand, client, 1), [SERVED]);
+        assert_eq!(answers(&mut harness, client, 1), [SERVED]);
     }
 }
--- a/crates/node/tests/start_times.rs
+++ b/crates/node/tests/start_times.rs
@@ -4,7 +4,7 @@
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
-use common::hand::{Client, Hand, name};
+use common::harness::{Client, NodeHarness, name};
 use common::{REFUSED, SERVED};
 
 /// A step of a wall clock.
@@ -18,45 +18,45 @@
 }
 
 /// A node that hears in its second list that its one worker started then.
-fn told_of_a_start(started_ms: u64) -> (Hand, Client) {
-    let mut hand = Hand::start(1, |config| {
+fn told_of_a_start(started_ms: u64) -> (NodeHarness, Client) {
+    let mut harness = NodeHarness::start(1, |config| {
         for class in config["settings"]["classes"].as_array_mut().expect("classes") {
             class["goal_time_ms"] = AIM_MS.into();
         }
     });
-    let query = hand.query();
-    hand.answer(query, 1, &[(0, false)]);
-    let query = hand.query();
-    hand.answer_born(query, 2, 0, started_ms);
+    let query = harness.query();
+    harness.answer(query, 1, &[(0, false)]);
+    let query = harness.query();
+    harness.answer_born(query, 2, 0, started_ms);
     // The list is in force once the node asks again.
-    hand.query();
-    let mut client = hand.client();
+    harness.query();
+    let mut client = harness.client();
     client.ask(1, "safe", CALL, 9, b"ab");
-    (hand, client)
+    (harness, client)
 }
 
 /// Serves what comes until the call has its answer.
-fn answer(hand: &mut Hand, client: &mut Client) -> u8 {
-    hand.until("an answer", |hand| {
-        hand.invokers[0].serve(|_| true);
-        hand.invokers[0].load(|_| true);
+fn answer(harness: &mut NodeHarness, client: &mut Client) -> u8 {
+    harness.until("an answer", |harness| {
+        harness.invokers[0].serve(|_| true);
+        harness.invokers[0].load(|_| true);
         client.codes(1).first().copied()
     })
 }
 
 #[test]
-fn a_start_that_our_clock_has_not_reached_is_one_of_now() {
-    let (mut hand, mut client) = told_of_a_start(unix_ms() + HOUR_MS);
-    let code = answer(&mut hand, &mut client);
+fn start_time_in_the_future_is_taken_as_now() {
+    let (mut harness, mut client) = told_of_a_start(unix_ms() + HOUR_MS);
+    let code = answer(&mut harness, &mut client);
     assert_ne!(code, REFUSED, "a worker is not cold for an hour");
     assert_eq!(code, SERVED);
 }
 
 #[test]
-fn a_start_that_is_news_is_not_taken_for_an_old_one() {
-    let (mut hand, mut client) = told_of_a_start(unix_ms() - HOUR_MS);
+fn new_start_time_is_not_taken_for_an_old_one() {
+    let (mut harness, mut client) = told_of_a_start(unix_ms() - HOUR_MS);
     // A warm worker would have it long before the node asks its directory again.
-    hand.query();
-    assert_eq!(hand.sends(&name(CALL)), 0, "it is as cold as one that has just started");
-    assert_eq!(answer(&mut hand, &mut client), SERVED);
+    harness.query();
+    assert_eq!(harness.sends(&name(CALL)), 0, "it is as cold as one that has just started");
+    assert_eq!(answer(&mut harness, &mut client), SERVED);
 }
--- a/crates/node/tests/versions.rs
+++ b/crates/node/tests/versions.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Mutex};
 
-use common::{Does, Invoker, Rig, SERVED, Told};
+use common::{Invoker, Reaction, ReceivedCommand, RunningNode, SERVED};
 
 const FUNCTIONS: u64 = 6;
 const CONTROLLERS: usize = 4;
@@ -27,30 +27,30 @@
 
 fn invoker(number: usize, world: &Arc<Mutex<World>>) -> Invoker {
     let world = Arc::clone(world);
-    Invoker::start(move |told: &Told| {
-        let fields = || String::from_utf8_lossy(&told.parts[2]).into_owned();
+    Invoker::start(move |received: &ReceivedCommand| {
+        let fields = || String::from_utf8_lossy(&received.parts[2]).into_owned();
         let mut world = world.lock().expect("no panic holds it");
-        match told.word() {
+        match received.keyword() {
             "CALL" if world.copies.contains(&(number, field(&fields(), "asset"))) => {
-                *world.ran.entry(told.id().to_owned()).or_default() += 1;
-                Does::Says("served", "n=w", vec![])
+                *world.ran.entry(received.id().to_owned()).or_default() += 1;
+                Reaction::Answer("served", "n=w", vec![])
             }
-            "CALL" => Does::Says("not_here", "-", vec![]),
+            "CALL" => Reaction::Answer("not_here", "-", vec![]),
             "LOAD" => {
                 let copy = (number, field(&fields(), "asset"));
                 world.orders.push(copy.clone());
                 world.copies.insert(copy);
-                Does::Says("served", "instances=1", vec![])
+                Reaction::Answer("served", "instances=1", vec![])
             }
-            _ => Does::Says("green", "-", vec![]),
+            _ => Reaction::Answer("green", "-", vec![]),
         }
     })
 }
 
 /// Each of these controllers calls each function, safe and unsafe, all of them at the same time; all are served.
-fn call_all(rigs: &[Rig], first_id: u64) {
+fn call_all(nodes: &[RunningNode], first_id: u64) {
     let mut id = first_id;
-    let mut clients: Vec<_> = rigs.iter().map(Rig::client).collect();
+    let mut clients: Vec<_> = nodes.iter().map(RunningNode::client).collect();
     for row in 1..=FUNCTIONS {
         for class in ["safe", "once"] {
             let ask = |client: &mut common::Client| {
@@ -65,12 +65,12 @@
     }
 }
 
-fn start(change: impl Fn(&mut serde_json::Value)) -> (Arc<Mutex<World>>, Vec<Rig>) {
+fn start(change: impl Fn(&mut serde_json::Value)) -> (Arc<Mutex<World>>, Vec<RunningNode>) {
     let world = Arc::new(Mutex::new(World::default()));
     let invokers: Vec<Invoker> = (0..3).map(|number| invoker(number, &world)).collect();
     let all: Vec<&Invoker> = invokers.iter().collect();
-    let rigs = (0..CONTROLLERS).map(|_| Rig::start_with(&all, &change)).collect();
-    (world, rigs)
+    let nodes = (0..CONTROLLERS).map(|_| RunningNode::start_with(&all, &change)).collect();
+    (world, nodes)
 }
 
 /// The new versions: all copies are void. Gives the orders so far, which are forgotten.
@@ -81,39 +81,39 @@
 }
 
 #[test]
-fn the_first_controller_that_misses_brings_a_copy_back_for_all() {
-    let (world, rigs) = start(|_| ());
-    call_all(&rigs, 0);
+fn first_miss_reloads_a_replica_for_all_controllers() {
+    let (world, nodes) = start(|_| ());
+    call_all(&nodes, 0);
     renew(&world);
-    call_all(&rigs[..1], 1_000);
+    call_all(&nodes[..1], 1_000);
     let brought = world.lock().expect("no panic holds it").orders.len();
     assert_eq!(brought, FUNCTIONS as usize, "one order a function");
-    call_all(&rigs[1..], 2_000);
+    call_all(&nodes[1..], 2_000);
     let world = world.lock().expect("no panic holds it");
     assert_eq!(world.orders.len(), brought, "the others find what stands");
     assert!(world.ran.values().all(|runs| *runs == 1), "nothing ran twice");
 }
 
 #[test]
-fn all_at_once_no_controller_orders_every_copy_and_none_beyond_its_ration() {
-    let (world, rigs) = start(|_| ());
-    call_all(&rigs, 0);
+fn simultaneous_misses_order_no_more_than_the_ration() {
+    let (world, nodes) = start(|_| ());
+    call_all(&nodes, 0);
     renew(&world);
-    call_all(&rigs, 1_000);
+    call_all(&nodes, 1_000);
     let orders = renew(&world);
     assert!(orders <= CONTROLLERS * FUNCTIONS as usize, "{orders} orders");
     assert!(orders >= FUNCTIONS as usize);
 
     // With a ration: eight in ten seconds, and a quarter of the requests.
-    let (world, rigs) = start(|config| {
+    let (world, nodes) = start(|config| {
         let family = &mut config["settings"]["family_info"];
         family["load_period_ms"] = 10_000.into();
         family["load_floor"] = 8.into();
         family["load_share"] = 0.25.into();
     });
-    call_all(&rigs[..1], 0);
+    call_all(&nodes[..1], 0);
     renew(&world);
-    call_all(&rigs[..1], 1_000);
+    call_all(&nodes[..1], 1_000);
     // One controller, 24 requests in all within the window.
     let world = world.lock().expect("no panic holds it");
     assert!(world.orders.len() <= 8 + 24 / 4, "{:?}", world.orders);
