--- a/crates/gateway/tests/descriptors.rs
+++ b/crates/gateway/tests/descriptors.rs
@@ -13,7 +13,9 @@
 use std::sync::{Arc, mpsc};
 use std::time::{Duration, Instant};
 
-use common::{Client, Directory, Does, Invoker, PATIENCE, SERVED, Told, config};
+use common::{
+    Client, Directory, Invoker, ListedInvoker, Reaction, ReceivedCommand, SERVED, TEST_TIMEOUT, config,
+};
 use nettleferry_platform::frames::{self, kind};
 use process::Node;
 
@@ -22,12 +24,12 @@
 /// The platform's term for a process that was started anew.
 const READY_WITHIN: Duration = Duration::from_secs(10);
 
-fn good(told: &Told) -> Does {
-    match told.word() {
-        "CALL" => Does::Says("served", "n=w", told.parts[3].clone()),
-        "PING" | "STATS" => Does::Says("green", "-", vec![]),
-        "LOAD" => Does::Says("served", "instances=1", vec![]),
-        _ => Does::Nothing,
+fn good(told: &ReceivedCommand) -> Reaction {
+    match told.keyword() {
+        "CALL" => Reaction::Answer("served", "n=w", told.parts[3].clone()),
+        "PING" | "STATS" => Reaction::Answer("green", "-", vec![]),
+        "LOAD" => Reaction::Answer("served", "instances=1", vec![]),
+        _ => Reaction::Ignore,
     }
 }
 
@@ -75,14 +77,14 @@
     let (release, held) = mpsc::channel::<()>();
     let held = std::sync::Mutex::new(held);
     let first = Invoker::start(move |told| {
-        if told.word() == "CALL" && told.parts[3] == b"long" {
-            held.lock().expect("no panic holds it").recv_timeout(PATIENCE).expect("released");
+        if told.keyword() == "CALL" && told.parts[3] == b"long" {
+            held.lock().expect("no panic holds it").recv_timeout(TEST_TIMEOUT).expect("released");
         }
         good(told)
     });
     let second = Invoker::start(good);
     let listed = |all: &[&Invoker]| -> Vec<_> {
-        all.iter().map(|i| (format!("s-{}", i.address.port()), i.address, false)).collect()
+        all.iter().map(|i| ListedInvoker::new(i.address.port().into(), i.address)).collect()
     };
     let (_quiet, nowhere) = silent();
     let mut told = config(nowhere, &listed(&[&first]));
@@ -122,7 +124,7 @@
     told["resolver"] = directory.address.to_string().into();
     std::fs::write(&path, told.to_string()).expect("written");
     node.signal("HUP");
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + TEST_TIMEOUT;
     while !second.got().iter().any(|got| got.starts_with("CALL")) {
         assert!(Instant::now() < end, "the new list is heard");
         served("the directory has moved");
@@ -146,11 +148,14 @@
 fn processes_that_start_all_at_once_are_ready_in_their_time_whatever_the_directory_does() {
     let invoker = Invoker::start(good);
     // A long list, which each of them reads at its start.
-    let mut listed: Vec<_> = (0..400).map(|at| (format!("s-{at:08x}"), invoker.address, true)).collect();
-    listed.push(("s-ready".to_owned(), invoker.address, false));
+    let mut listed: Vec<_> = (0..400)
+        .map(|at| ListedInvoker { id: format!("s-{at:08x}"), address: invoker.address, draining: true })
+        .collect();
+    let ready = ListedInvoker { id: "s-ready".to_owned(), address: invoker.address, draining: false };
+    listed.push(ready.clone());
     let (_quiet, nowhere) = silent();
     let gone = silent().1;
-    let up = Directory::start(vec![("s-ready".to_owned(), invoker.address, false)]);
+    let up = Directory::start(vec![ready]);
     let dir = tempfile::tempdir().expect("a folder");
     let configs: Vec<_> = (0..30)
         .map(|at| {
--- a/crates/gateway/tests/faults.rs
+++ b/crates/gateway/tests/faults.rs
@@ -9,7 +9,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use common::{Client, Directory, Does, Invoker, SERVED, Told, config};
+use common::{Client, Directory, Invoker, ListedInvoker, Reaction, ReceivedCommand, SERVED, config};
 use nettleferry_soak::shim::{self, Faults};
 
 /// A process under faults; ends with the test, whatever comes.
@@ -33,7 +33,7 @@
     ) -> Self {
         let dir = tempfile::tempdir().expect("a folder");
         let library = shim::compile(dir.path()).expect("a C compiler");
-        let listed = vec![("s-0".to_owned(), invoker.address, false)];
+        let listed = vec![ListedInvoker::new(0, invoker.address)];
         let directory = Directory::start(listed.clone());
         let mut told = config(directory.address, &listed);
         change(&mut told);
@@ -71,7 +71,7 @@
     /// Asks it to end, and gives its exit code.
     fn ended(&mut self) -> Option<i32> {
         self.signal("TERM");
-        let end = Instant::now() + common::PATIENCE;
+        let end = Instant::now() + common::TEST_TIMEOUT;
         loop {
             if let Some(status) = self.child.try_wait().expect("ours") {
                 return status.code();
@@ -96,10 +96,10 @@
 
 /// One that holds every function.
 fn invoker() -> Invoker {
-    Invoker::start(|told: &Told| match told.word() {
-        "CALL" => Does::Says("served", "n=w", told.parts[3].clone()),
-        "LOAD" => Does::Says("served", "instances=1", vec![]),
-        _ => Does::Says("green", "-", vec![]),
+    Invoker::start(|told: &ReceivedCommand| match told.keyword() {
+        "CALL" => Reaction::Answer("served", "n=w", told.parts[3].clone()),
+        "LOAD" => Reaction::Answer("served", "instances=1", vec![]),
+        _ => Reaction::Answer("green", "-", vec![]),
     })
 }
 
@@ -126,13 +126,13 @@
 fn what_came_while_the_process_was_stopped_in_its_wait_has_less_time_left() {
     let told = Arc::new(Mutex::new(Vec::new()));
     let patience = Arc::clone(&told);
-    let invoker = Invoker::start(move |told: &Told| match told.word() {
+    let invoker = Invoker::start(move |told: &ReceivedCommand| match told.keyword() {
         "CALL" => {
             let fields = String::from_utf8_lossy(&told.parts[2]).into_owned();
             patience.lock().expect("no panic holds it").push(fields);
-            Does::Says("served", "n=w", told.parts[3].clone())
+            Reaction::Answer("served", "n=w", told.parts[3].clone())
         }
-        _ => Does::Says("green", "-", vec![]),
+        _ => Reaction::Answer("green", "-", vec![]),
     });
     let mut node = Node::start(&invoker, Faults::default(), |_| ());
     let mut client = node.client();
@@ -216,7 +216,7 @@
     let on_full = |node: &mut Command| _ = node.stdout(full()).stderr(full());
     let fixed = |config: &mut serde_json::Value| config["listen"] = address.to_string().into();
     let mut node = Node::start_with(&invoker, Faults::default(), fixed, on_full);
-    let end = Instant::now() + common::PATIENCE;
+    let end = Instant::now() + common::TEST_TIMEOUT;
     while std::net::TcpStream::connect(address).is_err() {
         assert!(Instant::now() < end && node.child.try_wait().expect("ours").is_none(), "it listens");
         std::thread::yield_now();
--- a/crates/gateway/tests/kill.rs
+++ b/crates/gateway/tests/kill.rs
@@ -10,7 +10,7 @@
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
-use common::{Client, Does, Invoker, PATIENCE, SERVED, Told, config};
+use common::{Client, Invoker, ListedInvoker, Reaction, ReceivedCommand, SERVED, TEST_TIMEOUT, config};
 use nettleferry_platform::frames::{self, kind};
 use process::Node;
 
@@ -31,14 +31,14 @@
 
 impl Place {
     fn new() -> Self {
-        let invoker = Invoker::start(|told: &Told| match told.word() {
-            "CALL" => Does::Says("served", "n=w", long(told.id())),
-            "PING" | "STATS" => Does::Says("green", "-", vec![]),
-            "LOAD" => Does::Says("served", "instances=1", vec![]),
-            _ => Does::Nothing,
+        let invoker = Invoker::start(|told: &ReceivedCommand| match told.keyword() {
+            "CALL" => Reaction::Answer("served", "n=w", long(told.id())),
+            "PING" | "STATS" => Reaction::Answer("green", "-", vec![]),
+            "LOAD" => Reaction::Answer("served", "instances=1", vec![]),
+            _ => Reaction::Ignore,
         });
         let silent = UdpSocket::bind("127.0.0.1:0").expect("a port");
-        let listed = vec![("s-0".to_owned(), invoker.address, false)];
+        let listed = vec![ListedInvoker::new(0, invoker.address)];
         let mut told = config(silent.local_addr().expect("bound"), &listed);
         // An address that its later lives have as well.
         let address = TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a port");
@@ -98,7 +98,7 @@
             asked += 1;
             client.ask("safe", asked, 9, b"ab");
         }
-        let end = Instant::now() + PATIENCE;
+        let end = Instant::now() + TEST_TIMEOUT;
         while (place.invoker.got().iter().filter(|got| got.starts_with("CALL")).count() as u64) < asked {
             assert!(Instant::now() < end, "{asked} are sent on");
             std::thread::yield_now();
--- a/crates/gateway/tests/leaving.rs
+++ b/crates/gateway/tests/leaving.rs
@@ -10,7 +10,9 @@
 use std::sync::{Arc, Condvar, Mutex};
 use std::time::Instant;
 
-use common::{Client, Directory, Does, Invoker, PATIENCE, SERVED, Told, config};
+use common::{
+    Client, Directory, Invoker, ListedInvoker, Reaction, ReceivedCommand, SERVED, TEST_TIMEOUT, config,
+};
 use nettleferry_platform::frames::{self, kind};
 use process::Node;
 
@@ -34,7 +36,7 @@
     }
     fn wait(&self) {
         let closed = self.0.lock().expect("no panic holds it");
-        drop(self.1.wait_timeout_while(closed, PATIENCE, |open| !*open).expect("no panic holds it"));
+        drop(self.1.wait_timeout_while(closed, TEST_TIMEOUT, |open| !*open).expect("no panic holds it"));
     }
 }
 
@@ -46,7 +48,7 @@
 }
 
 fn until(what: &str, mut holds: impl FnMut() -> bool) {
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + TEST_TIMEOUT;
     while !holds() {
         assert!(Instant::now() < end, "{what}");
         std::thread::yield_now();
@@ -58,18 +60,18 @@
     for way in [Leaves::Withdraws, Leaves::HalfCloses, Leaves::Closes, Leaves::Resets] {
         let gate = Arc::new(Gate::default());
         let held = Arc::clone(&gate);
-        let invoker = Invoker::start(move |told: &Told| match told.word() {
+        let invoker = Invoker::start(move |told: &ReceivedCommand| match told.keyword() {
             "CALL" => {
                 if told.parts[3] == b"hold" {
                     held.wait();
                 }
-                Does::Says("served", "n=w", told.parts[3].clone())
+                Reaction::Answer("served", "n=w", told.parts[3].clone())
             }
-            "PING" | "STATS" => Does::Says("green", "-", vec![]),
-            "LOAD" => Does::Says("served", "instances=1", vec![]),
-            _ => Does::Nothing,
+            "PING" | "STATS" => Reaction::Answer("green", "-", vec![]),
+            "LOAD" => Reaction::Answer("served", "instances=1", vec![]),
+            _ => Reaction::Ignore,
         });
-        let listed = vec![("s-0".to_owned(), invoker.address, false)];
+        let listed = vec![ListedInvoker::new(0, invoker.address)];
         let directory = Directory::start(listed.clone());
         let dir = tempfile::tempdir().expect("a folder");
         let path = dir.path().join("config.json");
--- a/crates/gateway/tests/one_process.rs
+++ b/crates/gateway/tests/one_process.rs
@@ -8,7 +8,7 @@
 
 use std::net::UdpSocket;
 
-use common::{Client, Does, Invoker, SERVED, Told, config};
+use common::{Client, Invoker, ListedInvoker, Reaction, ReceivedCommand, SERVED, config};
 use process::Node;
 
 /// The system's loader, which a program that is linked dynamically names.
@@ -19,13 +19,13 @@
     let program = std::fs::read(env!("CARGO_BIN_EXE_nettleferry")).expect("the program is there");
     assert!(program.windows(LOADER.len()).any(|bytes| bytes == LOADER), "it names the system's loader");
 
-    let invoker = Invoker::start(|told: &Told| match told.word() {
-        "CALL" => Does::Says("served", "n=w", told.parts[3].clone()),
-        _ => Does::Says("green", "-", vec![]),
+    let invoker = Invoker::start(|told: &ReceivedCommand| match told.keyword() {
+        "CALL" => Reaction::Answer("served", "n=w", told.parts[3].clone()),
+        _ => Reaction::Answer("green", "-", vec![]),
     });
     let silent = UdpSocket::bind("127.0.0.1:0").expect("a port");
     let peer = UdpSocket::bind("127.0.0.1:0").expect("a port");
-    let listed = vec![("s-0".to_owned(), invoker.address, false)];
+    let listed = vec![ListedInvoker::new(0, invoker.address)];
     let mut told = config(silent.local_addr().expect("bound"), &listed);
     told["peers"] = serde_json::json!([peer.local_addr().expect("bound").to_string()]);
     told["peers_all"] = peer.local_addr().expect("bound").to_string().into();
--- a/crates/gateway/tests/signals.rs
+++ b/crates/gateway/tests/signals.rs
@@ -9,7 +9,9 @@
 use std::sync::{Arc, Condvar, Mutex};
 use std::time::Instant;
 
-use common::{Client, Directory, Does, Invoker, PATIENCE, SERVED, Told, config};
+use common::{
+    Client, Directory, Invoker, ListedInvoker, Reaction, ReceivedCommand, SERVED, TEST_TIMEOUT, config,
+};
 use nettleferry_platform::frames::kind;
 use process::Node;
 
@@ -44,23 +46,23 @@
     }
     fn wait(&self) {
         let closed = self.0.lock().expect("no panic holds it");
-        drop(self.1.wait_timeout_while(closed, PATIENCE, |open| !*open).expect("no panic holds it"));
+        drop(self.1.wait_timeout_while(closed, TEST_TIMEOUT, |open| !*open).expect("no panic holds it"));
     }
 }
 
 /// An invoker that serves with the body that it got, and holds what says so until the gate opens.
 fn invoker(gate: &Arc<Gate>) -> Invoker {
     let gate = Arc::clone(gate);
-    Invoker::start(move |told: &Told| match told.word() {
+    Invoker::start(move |told: &ReceivedCommand| match told.keyword() {
         "CALL" => {
             if told.parts[3] == b"hold" {
                 gate.wait();
             }
-            Does::Says("served", "n=w", told.parts[3].clone())
+            Reaction::Answer("served", "n=w", told.parts[3].clone())
         }
-        "PING" | "STATS" => Does::Says("green", "-", vec![]),
-        "LOAD" => Does::Says("served", "instances=1", vec![]),
-        _ => Does::Nothing,
+        "PING" | "STATS" => Reaction::Answer("green", "-", vec![]),
+        "LOAD" => Reaction::Answer("served", "instances=1", vec![]),
+        _ => Reaction::Ignore,
     })
 }
 
@@ -71,7 +73,7 @@
 fn plays(order: [Word; 3]) {
     let gate = Arc::new(Gate::default());
     let (old, new) = (invoker(&gate), invoker(&gate));
-    let at_first = vec![("s-0".to_owned(), old.address, false)];
+    let at_first = vec![ListedInvoker::new(0, old.address)];
     let (here, there) = (Directory::start(at_first.clone()), Directory::start(at_first.clone()));
     let dir = tempfile::tempdir().expect("a folder");
     let path = dir.path().join("config.json");
@@ -80,14 +82,17 @@
     let mut node = Node::of(Node::spawn(&path, 256));
     let mut client = Client::connect(node.address);
     let held = client.ask("once", 1, 9, b"hold");
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + TEST_TIMEOUT;
     while calls(&old) == 0 {
         assert!(Instant::now() < end, "{order:?}: it runs");
         std::thread::yield_now();
     }
     told["resolver"] = there.address.to_string().into();
     std::fs::write(&path, told.to_string()).expect("written");
-    let list = vec![("s-0".to_owned(), old.address, true), ("s-1".to_owned(), new.address, false)];
+    let list = vec![
+        ListedInvoker { draining: true, ..ListedInvoker::new(0, old.address) },
+        ListedInvoker::new(1, new.address),
+    ];
     let (began, mut reloaded) = (Instant::now(), false);
     for word in order {
         match word {
