--- a/crates/admin/src/api/replication.rs
+++ b/crates/admin/src/api/replication.rs
@@ -32,7 +32,7 @@
         let body = json!({
             "store": name,
             "epoch": epoch,
-            "sum": self.snapshot.sum(),
+            "sum": self.snapshot.checksum(),
             "book": self.snapshot,
             "lease_ms": lease.map(|lease| lease.duration_ms),
             "place": lease.map(|lease| lease.fencing_token),
--- a/crates/admin/tests/api.rs
+++ b/crates/admin/tests/api.rs
@@ -7,18 +7,22 @@
     RecoveryPending, Runtime, StoreIdentity, Usage, Worker,
 };
 use nettleferry_admin::{Answer, Caller, Problem, Request, Response, Role, openapi, routes};
-use nettleferry_tenancy::{Book, Entry, Once, Revision, Tenant};
+use nettleferry_tenancy::{Entry, IdempotentResponse, Revision, Tenant, TenantSnapshot};
 use serde_json::{Value, json};
 
 #[derive(Default)]
 struct MemoryStore {
     entries: Vec<Entry>,
-    responses: Vec<(String, Once)>,
+    responses: Vec<(String, IdempotentResponse)>,
     fails: bool,
 }
 
 impl ChangeStore for MemoryStore {
-    fn commit(&mut self, entry: &Entry, idempotent: Option<(&str, &Once)>) -> Result<(), ChangeStoreError> {
+    fn commit(
+        &mut self,
+        entry: &Entry,
+        idempotent: Option<(&str, &IdempotentResponse)>,
+    ) -> Result<(), ChangeStoreError> {
         if self.fails {
             return Err(ChangeStoreError::Failed("the disk is full".into()));
         }
@@ -27,7 +31,7 @@
         Ok(())
     }
 
-    fn stored_response(&self, key: &str) -> Result<Option<Once>, ChangeStoreError> {
+    fn stored_response(&self, key: &str) -> Result<Option<IdempotentResponse>, ChangeStoreError> {
         Ok(self.responses.iter().find(|(k, _)| k == key).map(|(_, response)| response.clone()))
     }
 
@@ -96,7 +100,7 @@
 
     fn grant_loans(
         &mut self,
-        _: &Book,
+        _: &TenantSnapshot,
         controller: u32,
         incarnation: u64,
         report: Value,
@@ -124,7 +128,7 @@
         json!({ "controllers": [] })
     }
 
-    fn recover(&mut self, _: &Book, take: &str, _: bool) -> Result<Value, Problem> {
+    fn recover(&mut self, _: &TenantSnapshot, take: &str, _: bool) -> Result<Value, Problem> {
         Ok(json!({ "take": take }))
     }
 }
@@ -144,7 +148,7 @@
 impl Fixture {
     fn new() -> Self {
         Self {
-            api: Api::new(Book::default(), MemoryStore::default(), test_store(), None),
+            api: Api::new(TenantSnapshot::default(), MemoryStore::default(), test_store(), None),
             runtime: TestRuntime::default(),
             role: Role::Admin,
         }
@@ -305,13 +309,13 @@
 fn uncommitted_change_has_no_effect_and_damaged_store_is_read_only() {
     let mut fixture = Fixture::new();
     let failing = MemoryStore { fails: true, ..MemoryStore::default() };
-    fixture.api = Api::new(Book::default(), failing, test_store(), None);
+    fixture.api = Api::new(TenantSnapshot::default(), failing, test_store(), None);
     assert_eq!(
         (fixture.create(json!({"name": "a"}), None).status, fixture.api.snapshot().revision()),
         (503, 0)
     );
     fixture.api = Api::new(
-        Book::default(),
+        TenantSnapshot::default(),
         MemoryStore::default(),
         test_store(),
         Some("the tenant store is damaged".to_owned()),
@@ -359,12 +363,12 @@
     };
     assert_eq!(read(&empty).1["entries"], json!([]));
     assert_eq!(fixture.get("/v1/watch?after=9").0, 409);
-    let mut follower = Book::default();
+    let mut follower = TenantSnapshot::default();
     let (_, changes) = fixture.get("/v1/watch?after=0");
     let entries: Vec<Entry> = serde_json::from_value(changes["entries"].clone()).expect("entries");
-    entries.iter().for_each(|entry| follower.take(entry).expect("the next entry"));
+    entries.iter().for_each(|entry| follower.apply(entry).expect("the next entry"));
     assert_eq!(&follower, fixture.api.snapshot());
-    let snapshot: Book =
+    let snapshot: TenantSnapshot =
         serde_json::from_value(fixture.get("/v1/snapshot").1["book"].clone()).expect("a snapshot");
     assert_eq!(
         (fixture.get("/v1/watch?store=s2&after=1").0, fixture.get("/v1/watch?store=s1&after=1").0),
--- a/crates/gateway/src/controller/worker_list.rs
+++ b/crates/gateway/src/controller/worker_list.rs
@@ -7,11 +7,11 @@
 use nettleferry_engine::{Event, Member};
 
 use super::Controller;
-use crate::list::{News, members};
+use crate::worker_list::{ListUpdate, members};
 
 impl Controller {
     /// Applies an update of the worker list.
-    pub(super) fn apply_list(&mut self, mut update: News) {
+    pub(super) fn apply_list(&mut self, mut update: ListUpdate) {
         let now = self.clock.now();
         if update.form == ListForm::Failed {
             return self.notify_engine_of_list(now, update.form, Vec::new());
@@ -26,7 +26,7 @@
             .filter(|worker| worker.state != WorkerState::Gone)
             .map(|worker| (self.engine.worker_id(&worker.name), worker.address))
             .collect();
-        self.links.listed(&addresses);
+        self.worker_links.update_workers(&addresses);
         let in_service = update.workers.iter().filter(|worker| worker.state == WorkerState::On).count();
         if let Some(limiter) = &mut self.restart_admission.limiter {
             limiter.list_applied(now / 1000, in_service as u32, update.form != ListForm::Restored);
--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -3,8 +3,8 @@
 //! It may use every other package. It decides nothing: decisions come from the decision module through the engine.
 //! `docs/ARCHITECTURE.md` shows how the parts work together.
 //!
-//! * [`controller`]: the event loop. [`front`]: connections to clients. [`links`]: connections to workers. [`list`]: the
-//!   worker list.
+//! * [`controller`]: the event loop. [`front`]: connections to clients. [`worker_links`]: connections to workers.
+//!   [`worker_list`]: the worker list. [`call_steps`]: what has become of open calls.
 //! * [`tenants`]: admission control for the front. [`audit_log`]: names in the audit log.
 //! * [`commands`]: a module for each subcommand. [`observe`]: metrics. [`push`]: remote write. [`logs`]: logging.
 
@@ -15,12 +15,12 @@
 mod commands;
 mod controller;
 mod front;
-mod links;
-mod list;
 mod logs;
 mod observe;
 mod push;
 mod tenants;
+mod worker_links;
+mod worker_list;
 
 use std::process::ExitCode;
 
