--- a/crates/node/src/front.rs
+++ b/crates/node/src/front.rs
@@ -9,6 +9,7 @@
 mod call;
 mod client;
 mod closing;
+mod context;
 mod eviction;
 mod input;
 mod validation;
@@ -25,6 +26,7 @@
 
 pub use self::call::{Call, ClientEvent, IncomingRequest};
 use self::client::{Client, EvictionOrder};
+pub use self::context::FrontContext;
 use crate::limits::{
     Bounds, CLIENT_IDLE, Counters, FIRST_FRAME_TIMEOUT, SHORT_ANSWER_BYTES, STREAMS_PER_CLIENT,
 };
--- a/crates/node/src/front/closing.rs
+++ b/crates/node/src/front/closing.rs
@@ -9,83 +9,58 @@
 
 use super::Front;
 use super::call::ClientEvent;
+use super::context::FrontContext;
 use crate::limits::{CONSECUTIVE_FAULTS, Counters, FIRST_FRAME_TIMEOUT, FRAME_TIMEOUT, RECHECK_DELAY};
 use crate::reasons::{CloseReason, EndReason};
 
 impl Front {
     /// Counts an unusable request or frame, and closes the connection after too many in a row.
-    pub(super) fn count_fault(
-        &mut self,
-        tcp: &mut Tcp,
-        key: TcpKey,
-        events: &mut Vec<ClientEvent>,
-        counters: &mut Counters,
-    ) {
+    pub(super) fn count_fault(&mut self, context: &mut FrontContext, key: TcpKey) {
         let Some(client) = self.clients.get_mut(&key) else { return };
         client.faults += 1;
         if client.faults > CONSECUTIVE_FAULTS {
-            self.close_for_fault(tcp, key, "too much that can't be used", events, counters);
+            self.close_for_fault(context, key, "too much that can't be used");
         }
     }
 
     /// Reports the fault on stream 0, reads nothing more and closes: open requests get their final answers at once.
-    pub(super) fn close_for_fault(
-        &mut self,
-        tcp: &mut Tcp,
-        key: TcpKey,
-        fault: &str,
-        events: &mut Vec<ClientEvent>,
-        counters: &mut Counters,
-    ) {
-        counters.closed_for_faults += 1;
+    pub(super) fn close_for_fault(&mut self, context: &mut FrontContext, key: TcpKey, fault: &str) {
+        context.counters.closed_for_faults += 1;
         debug!(conn = ?key, fault, "client connection closed for a fault");
-        self.send_answer(tcp, key, 0, Code::Failed, fault.as_bytes());
-        self.close_after_answers(tcp, key, CloseReason::Faults, events, counters);
+        self.send_answer(context.tcp, key, 0, Code::Failed, fault.as_bytes());
+        self.close_after_answers(context, key, CloseReason::Faults);
     }
 
     /// Nothing more arrives from a client, or nothing more is read: it can't cancel any more, and has most likely
     /// left. So its open requests get their final answers at once, which is never wrong, and nothing of them is
     /// forwarded; the connection closes after the last answer.
-    pub fn close_after_answers(
-        &mut self,
-        tcp: &mut Tcp,
-        key: TcpKey,
-        reason: CloseReason,
-        events: &mut Vec<ClientEvent>,
-        counters: &mut Counters,
-    ) {
+    pub fn close_after_answers(&mut self, context: &mut FrontContext, key: TcpKey, reason: CloseReason) {
         let Some(client) = self.clients.get_mut(&key) else { return };
         if !client.closing {
             debug!(conn = ?key, ?reason, open = client.streams.len(), "client connection closing");
-            counters.reasons.closed(reason);
+            context.counters.reasons.closed(reason);
         }
         client.closing = true;
         client.frame_began = None;
-        tcp.alarm(key, None);
-        self.client_disconnecting(tcp, key, events, counters);
+        context.tcp.alarm(key, None);
+        self.client_disconnecting(context, key);
         if self.clients.get(&key).is_some_and(|client| client.streams.is_empty()) {
             self.clients.remove(&key);
-            tcp.finish(key);
+            context.tcp.finish(key);
         }
     }
 
     /// A client's side has ended: its open requests get their final answers at once.
-    pub(super) fn client_disconnecting(
-        &mut self,
-        tcp: &mut Tcp,
-        key: TcpKey,
-        events: &mut Vec<ClientEvent>,
-        counters: &mut Counters,
-    ) {
+    pub(super) fn client_disconnecting(&mut self, context: &mut FrontContext, key: TcpKey) {
         let Some(client) = self.clients.get_mut(&key).filter(|client| !client.disconnecting) else { return };
         client.disconnecting = true;
         debug!(conn = ?key, open = client.streams.len(), "client disconnecting");
         for (stream, token) in client.streams.clone() {
             match self.calls.get(&token).and_then(|call| call.engine_id) {
                 Some(call) => {
-                    events.push(ClientEvent::Disconnected(ClientDisconnect { call, answered: true }))
+                    context.events.push(ClientEvent::Disconnected(ClientDisconnect { call, answered: true }))
                 }
-                None => self.refuse_unopened(tcp, key, stream, token, counters),
+                None => self.refuse_unopened(context.tcp, key, stream, token, context.counters),
             }
         }
     }
@@ -109,14 +84,14 @@
     }
 
     /// A client's connection broke: nobody waits for its requests.
-    pub fn connection_closed(&mut self, key: TcpKey, events: &mut Vec<ClientEvent>, counters: &mut Counters) {
+    pub fn connection_closed(&mut self, context: &mut FrontContext, key: TcpKey) {
         let Some(client) = self.clients.remove(&key) else { return };
         debug!(conn = ?key, open = client.streams.len(), "client connection broke");
         if !client.closing {
-            counters.reasons.closed(CloseReason::Broken);
+            context.counters.reasons.closed(CloseReason::Broken);
         }
         for token in client.streams.into_values() {
-            events.extend(self.close_call(token).map(ClientEvent::cancelled));
+            context.events.extend(self.close_call(token).map(ClientEvent::cancelled));
         }
     }
 
@@ -132,13 +107,7 @@
 
     /// A connection's alarm fired. What has arrived by now was read before; what arrives at this very moment is found
     /// by a last check.
-    pub fn alarm_due(
-        &mut self,
-        tcp: &mut Tcp,
-        key: TcpKey,
-        events: &mut Vec<ClientEvent>,
-        counters: &mut Counters,
-    ) {
+    pub fn alarm_due(&mut self, context: &mut FrontContext, key: TcpKey) {
         let Some(client) = self.clients.get(&key).filter(|c| !c.closing) else { return };
         let now = Instant::now();
         let slow = client.frame_began.is_some_and(|began| now >= began + FRAME_TIMEOUT);
@@ -146,17 +115,17 @@
         let idle =
             client.streams.is_empty() && client.frame_began.is_none() && now >= client.idle_since + self.idle;
         if !(slow || unresponsive || idle) {
-            self.set_alarm(tcp, key);
-        } else if !tcp.silent(key) {
+            self.set_alarm(context.tcp, key);
+        } else if !context.tcp.silent(key) {
             // It is read in the next iteration, and judged again after it.
-            tcp.alarm(key, Some(now + RECHECK_DELAY));
+            context.tcp.alarm(key, Some(now + RECHECK_DELAY));
         } else if slow || unresponsive {
-            counters.closed_for_silence += 1;
-            self.send_answer(tcp, key, 0, Code::Failed, b"nothing whole came in time");
-            self.close_after_answers(tcp, key, CloseReason::Unresponsive, events, counters);
+            context.counters.closed_for_silence += 1;
+            self.send_answer(context.tcp, key, 0, Code::Failed, b"nothing whole came in time");
+            self.close_after_answers(context, key, CloseReason::Unresponsive);
         } else {
-            counters.closed_idle += 1;
-            self.close_after_answers(tcp, key, CloseReason::Idle, events, counters);
+            context.counters.closed_idle += 1;
+            self.close_after_answers(context, key, CloseReason::Idle);
         }
     }
 
--- a/crates/node/src/front/input.rs
+++ b/crates/node/src/front/input.rs
@@ -2,30 +2,25 @@
 
 use std::time::Instant;
 
-use nettleferry_net::tcp::{Tcp, TcpKey};
+use nettleferry_net::tcp::TcpKey;
 use nettleferry_platform::frames::{self, Code, Frame, kind};
 use tracing::debug;
 
 use super::Front;
 use super::call::{ClientEvent, RequestOrigin};
-use crate::limits::{Counters, STREAMS_PER_CLIENT};
+use super::context::FrontContext;
+use crate::limits::STREAMS_PER_CLIENT;
 
 impl Front {
     /// Bytes arrived from a client.
-    pub fn data(
-        &mut self,
-        tcp: &mut Tcp,
-        key: TcpKey,
-        events: &mut Vec<ClientEvent>,
-        counters: &mut Counters,
-    ) {
+    pub fn data(&mut self, context: &mut FrontContext, key: TcpKey) {
         // Its end stands behind bytes that take more than one iteration to read: it has left all the same.
-        if tcp.ending(key) {
-            self.client_disconnecting(tcp, key, events, counters);
+        if context.tcp.ending(key) {
+            self.client_disconnecting(context, key);
         }
         loop {
             let Some(client) = self.clients.get_mut(&key) else { return };
-            let Some(input) = tcp.input(key) else { return };
+            let Some(input) = context.tcp.input(key) else { return };
             if client.closing {
                 return input.clear();
             }
@@ -33,101 +28,92 @@
                 Ok(Some(frame)) => {
                     client.frame_began = None;
                     client.idle_since = Instant::now();
-                    self.frame(tcp, key, frame, events, counters);
+                    self.frame(context, key, frame);
                 }
                 Ok(None) => {
                     let within = client.reader.within(input);
                     client.frame_began =
                         if within { client.frame_began.or_else(|| Some(Instant::now())) } else { None };
-                    return self.set_alarm(tcp, key);
+                    return self.set_alarm(context.tcp, key);
                 }
                 Err(error) => {
-                    counters.bad_frames += 1;
-                    return self.close_for_fault(tcp, key, &error.to_string(), events, counters);
+                    context.counters.bad_frames += 1;
+                    return self.close_for_fault(context, key, &error.to_string());
                 }
             }
         }
     }
 
-    fn frame(
-        &mut self,
-        tcp: &mut Tcp,
-        key: TcpKey,
-        frame: Frame,
-        events: &mut Vec<ClientEvent>,
-        counters: &mut Counters,
-    ) {
+    fn frame(&mut self, context: &mut FrontContext, key: TcpKey, frame: Frame) {
         let Some(client) = self.clients.get_mut(&key) else { return };
         match frame {
             Frame::Whole { kind: kind::REQUEST, stream, payload } => {
-                self.request(tcp, key, stream, &payload, events, counters);
+                self.request(context, key, stream, &payload);
             }
             Frame::Whole { kind: kind::CANCEL, stream, .. } => {
                 if let Some(token) = client.streams.remove(&stream) {
                     debug!(conn = ?key, stream, "request cancelled by its client");
                     client.active = true;
-                    events.extend(self.close_call(token).map(ClientEvent::cancelled));
+                    context.events.extend(self.close_call(token).map(ClientEvent::cancelled));
                 }
             }
             Frame::Whole { kind: kind::READY, stream, .. } => {
                 client.active = true;
                 self.buffer.clear();
                 frames::ready(&mut self.buffer, stream, !self.draining);
-                tcp.send(key, &self.buffer);
+                context.tcp.send(key, &self.buffer);
             }
             Frame::TooLong { kind: kind::REQUEST, stream } => {
                 client.last_stream = client.last_stream.max(stream);
-                counters.bad_requests += 1;
-                self.send_answer(tcp, key, stream, Code::Failed, b"a request is too long");
-                self.count_fault(tcp, key, events, counters);
+                context.counters.bad_requests += 1;
+                self.send_answer(context.tcp, key, stream, Code::Failed, b"a request is too long");
+                self.count_fault(context, key);
             }
             Frame::Whole { .. } | Frame::TooLong { .. } => {
-                counters.bad_frames += 1;
-                self.send_answer(tcp, key, 0, Code::Failed, b"a client sends no such frame");
-                self.count_fault(tcp, key, events, counters);
+                context.counters.bad_frames += 1;
+                self.send_answer(context.tcp, key, 0, Code::Failed, b"a client sends no such frame");
+                self.count_fault(context, key);
             }
         }
     }
 
-    fn request(
-        &mut self,
-        tcp: &mut Tcp,
-        key: TcpKey,
-        stream: u32,
-        payload: &[u8],
-        events: &mut Vec<ClientEvent>,
-        counters: &mut Counters,
-    ) {
+    fn request(&mut self, context: &mut FrontContext, key: TcpKey, stream: u32, payload: &[u8]) {
         let Some(client) = self.clients.get_mut(&key) else { return };
         if stream == 0 || stream <= client.last_stream {
-            counters.bad_frames += 1;
-            return self.close_for_fault(tcp, key, "a request's stream is not new", events, counters);
+            context.counters.bad_frames += 1;
+            return self.close_for_fault(context, key, "a request's stream is not new");
         }
         client.last_stream = stream;
         if client.streams.len() >= STREAMS_PER_CLIENT {
-            counters.bad_requests += 1;
-            self.send_answer(tcp, key, stream, Code::Refused, b"more than 32 requests are open");
-            return self.count_fault(tcp, key, events, counters);
+            context.counters.bad_requests += 1;
+            self.send_answer(context.tcp, key, stream, Code::Refused, b"more than 32 requests are open");
+            return self.count_fault(context, key);
         }
-        let origin = RequestOrigin { connection: key, stream, arrived: tcp.came(key) };
-        match self.accept_request(origin, payload, counters) {
+        let origin = RequestOrigin { connection: key, stream, arrived: context.tcp.came(key) };
+        match self.accept_request(origin, payload, context.counters) {
             Ok(request) => {
-                counters.requests += 1;
+                context.counters.requests += 1;
                 if let Some(client) = self.clients.get_mut(&key) {
                     client.faults = 0;
                     if client.disconnecting {
-                        return self.refuse_unopened(tcp, key, stream, request.token, counters);
+                        return self.refuse_unopened(
+                            context.tcp,
+                            key,
+                            stream,
+                            request.token,
+                            context.counters,
+                        );
                     }
                 }
-                events.push(ClientEvent::Request(request));
+                context.events.push(ClientEvent::Request(request));
                 // A connection accepted while draining is asked for no more once its first request has arrived.
-                self.send_go_away(tcp, key);
+                self.send_go_away(context.tcp, key);
             }
             Err(rejected) => {
                 let message = rejected.to_string();
                 debug!(conn = ?key, stream, message, "request rejected as unusable");
-                self.send_answer(tcp, key, stream, rejected.code(), message.as_bytes());
-                self.count_fault(tcp, key, events, counters);
+                self.send_answer(context.tcp, key, stream, rejected.code(), message.as_bytes());
+                self.count_fault(context, key);
             }
         }
     }
--- a/crates/node/src/front/tests.rs
+++ b/crates/node/src/front/tests.rs
@@ -40,6 +40,11 @@
         harness
     }
 
+    fn with_context(&mut self, act: impl FnOnce(&mut Front, &mut FrontContext)) {
+        let (tcp, events, counters) = (&mut self.tcp, &mut self.events, &mut self.counters);
+        act(&mut self.front, &mut FrontContext { tcp, events, counters });
+    }
+
     fn iterate(&mut self) {
         let mut happened = Vec::new();
         self.tcp.turn(Some(Duration::from_millis(1)), &mut happened).expect("a turn");
@@ -50,13 +55,13 @@
                     self.key = Some(key);
                 }
                 TcpEvent::Data(key) => {
-                    self.front.data(&mut self.tcp, key, &mut self.events, &mut self.counters);
+                    self.with_context(|front, context| front.data(context, key));
                 }
                 TcpEvent::Alarm(key) => {
-                    self.front.alarm_due(&mut self.tcp, key, &mut self.events, &mut self.counters);
+                    self.with_context(|front, context| front.alarm_due(context, key));
                 }
                 TcpEvent::Closed(key, _) => {
-                    self.front.connection_closed(key, &mut self.events, &mut self.counters)
+                    self.with_context(|front, context| front.connection_closed(context, key))
                 }
                 _ => {}
             }
@@ -108,7 +113,7 @@
     // By this clock it has been idle for long.
     harness.idle_for(Duration::ZERO);
     let key = harness.key.expect("connected");
-    harness.front.alarm_due(&mut harness.tcp, key, &mut harness.events, &mut harness.counters);
+    harness.with_context(|front, context| front.alarm_due(context, key));
     harness.iterate();
     harness.client.write_all(rest).expect("still open");
     harness.until(|harness| !harness.events.is_empty());
@@ -123,7 +128,7 @@
     harness.client.write_all(&request()).expect("written");
     // Its alarm is acted on before a turn has told of the request: a last look finds it.
     let key = harness.key.expect("connected");
-    harness.front.alarm_due(&mut harness.tcp, key, &mut harness.events, &mut harness.counters);
+    harness.with_context(|front, context| front.alarm_due(context, key));
     harness.until(|harness| !harness.events.is_empty());
     assert!(matches!(harness.events[..], [ClientEvent::Request(_)]));
     assert_eq!(harness.counters.closed_idle, 0);
--- a/crates/node/src/node/dispatch.rs
+++ b/crates/node/src/node/dispatch.rs
@@ -10,8 +10,9 @@
 use tracing::info;
 
 use super::{Node, PendingEvents, SIGNALS};
-use crate::front::{ClientEvent, IncomingRequest};
+use crate::front::{ClientEvent, FrontContext, IncomingRequest};
 use crate::limits::{OPENS_PER_ITERATION, time_before_kill};
+use crate::pools::PoolContext;
 use crate::reasons::{CloseReason, EndReason};
 
 /// The answer of a request that arrived with no time left.
@@ -35,31 +36,46 @@
     }
 
     fn read_event(&mut self, event: TcpEvent, pending: &mut PendingEvents) {
-        let (tcp, counters) = (&mut self.tcp, &mut self.counters);
-        let (client_events, engine_events) = (&mut self.client_events, &mut self.engine_events);
         let client = event.key().is_some_and(|key| self.front.owns(key));
         if client && matches!(event, TcpEvent::Data(_)) || matches!(event, TcpEvent::Accepted(_)) {
             self.last_client_activity = Instant::now();
         }
         match event {
-            TcpEvent::Accepted(key) => self.front.accepted(tcp, key, counters),
-            TcpEvent::Data(key) if client => self.front.data(tcp, key, client_events, counters),
-            TcpEvent::Alarm(key) if client => self.front.alarm_due(tcp, key, client_events, counters),
-            TcpEvent::Ended(key) if client => {
-                let reason = CloseReason::ClientEnded;
-                self.front.close_after_answers(tcp, key, reason, client_events, counters);
-            }
-            TcpEvent::Closed(key, _) if client => self.front.connection_closed(key, client_events, counters),
+            TcpEvent::Accepted(key) => self.front.accepted(&mut self.tcp, key, &mut self.counters),
             TcpEvent::Connected(key) => pending.connected.push(key),
-            TcpEvent::Data(key) => self.pools.data(tcp, key, engine_events, counters),
-            TcpEvent::Alarm(key) => self.pools.alarm_due(tcp, key, engine_events, counters),
-            TcpEvent::Ended(key) => {
-                self.pools.connection_closed(tcp, key, Gone::Broken, engine_events);
-                tcp.close(key);
-            }
-            TcpEvent::Closed(key, reason) => self.pools.connection_closed(tcp, key, reason, engine_events),
             TcpEvent::Source(SIGNALS) => self.handle_signals(),
             TcpEvent::Source(_) => pending.list = true,
+            event if client => self.read_client_event(event),
+            event => self.read_invoker_event(event),
+        }
+    }
+
+    fn read_client_event(&mut self, event: TcpEvent) {
+        let (tcp, events, counters) = (&mut self.tcp, &mut self.client_events, &mut self.counters);
+        let context = &mut FrontContext { tcp, events, counters };
+        match event {
+            TcpEvent::Data(key) => self.front.data(context, key),
+            TcpEvent::Alarm(key) => self.front.alarm_due(context, key),
+            TcpEvent::Ended(key) => {
+                self.front.close_after_answers(context, key, CloseReason::ClientEnded);
+            }
+            TcpEvent::Closed(key, _) => self.front.connection_closed(context, key),
+            TcpEvent::Accepted(_) | TcpEvent::Connected(_) | TcpEvent::Source(_) => {}
+        }
+    }
+
+    fn read_invoker_event(&mut self, event: TcpEvent) {
+        let (tcp, events, counters) = (&mut self.tcp, &mut self.engine_events, &mut self.counters);
+        let context = &mut PoolContext { tcp, events, counters };
+        match event {
+            TcpEvent::Data(key) => self.pools.data(context, key),
+            TcpEvent::Alarm(key) => self.pools.alarm_due(context, key),
+            TcpEvent::Ended(key) => {
+                self.pools.connection_closed(context, key, Gone::Broken);
+                context.tcp.close(key);
+            }
+            TcpEvent::Closed(key, reason) => self.pools.connection_closed(context, key, reason),
+            TcpEvent::Accepted(_) | TcpEvent::Connected(_) | TcpEvent::Source(_) => {}
         }
     }
 
@@ -72,8 +88,9 @@
         self.run_engine();
         for key in pending.connected {
             let (is_awaited, now) = (|call| self.front.is_awaited(call), self.clock.now());
-            let (events, counters) = (&mut self.engine_events, &mut self.counters);
-            self.pools.connected(&mut self.tcp, key, now, is_awaited, events, counters);
+            let (tcp, events, counters) = (&mut self.tcp, &mut self.engine_events, &mut self.counters);
+            let context = &mut PoolContext { tcp, events, counters };
+            self.pools.connected(context, key, now, is_awaited);
             self.run_engine();
         }
         if !self.requests.is_empty() {
--- a/crates/node/src/node/execute.rs
+++ b/crates/node/src/node/execute.rs
@@ -10,7 +10,7 @@
 
 use super::Node;
 use crate::guard::{self, AttemptCheck, Violation};
-use crate::pools::{Attempt, LoadOrder};
+use crate::pools::{Attempt, LoadOrder, PoolContext};
 use crate::reasons::RetryReason;
 
 impl Node {
@@ -25,11 +25,12 @@
 
     fn execute(&mut self, command: Command) {
         let (tcp, events, counters) = (&mut self.tcp, &mut self.engine_events, &mut self.counters);
+        let context = &mut PoolContext { tcp, events, counters };
         match command {
             Command::Start { attempt, worker, time_left, body, .. } => {
                 self.start_attempt(attempt, worker, Duration::from_micros(time_left), body);
             }
-            Command::Abandon { attempt } => self.pools.abandon(tcp, attempt),
+            Command::Abandon { attempt } => self.pools.abandon(context.tcp, attempt),
             Command::Cancel { attempt } => self.cancel_attempt(attempt),
             Command::Answer { front, answer, .. } => {
                 let answer = self.checked_answer(front, answer);
@@ -37,14 +38,12 @@
             }
             Command::Load { request_id, worker, model, copies, .. } => {
                 let order = LoadOrder { id: request_id, function: &model, replicas: copies };
-                self.pools.load(tcp, worker, order, events, counters);
+                self.pools.load(context, worker, order);
             }
-            Command::CancelLoad { request_id } => self.pools.cancel_load(tcp, request_id, events),
-            Command::Unload { worker, model, .. } => self.pools.unload(tcp, worker, &model),
-            Command::Probe { request_id, worker } => {
-                self.pools.probe(tcp, worker, request_id, events, counters);
-            }
-            Command::ForgetControlRequest { request_id } => self.pools.forget(tcp, request_id),
+            Command::CancelLoad { request_id } => self.pools.cancel_load(context, request_id),
+            Command::Unload { worker, model, .. } => self.pools.unload(context.tcp, worker, &model),
+            Command::Probe { request_id, worker } => self.pools.probe(context, worker, request_id),
+            Command::ForgetControlRequest { request_id } => self.pools.forget(context.tcp, request_id),
             Command::WatchList | Command::FetchList => self.discovery.query_now(),
             Command::Log(line) => info!("{line}"),
             // Answers here arrive complete: no parts, nothing to hold back.
@@ -84,8 +83,8 @@
             send_by: call.attempts.start(now, class.window),
             body,
         };
-        let (events, counters) = (&mut self.engine_events, &mut self.counters);
-        self.pools.start(&mut self.tcp, worker, attempt, events, counters);
+        let (tcp, events, counters) = (&mut self.tcp, &mut self.engine_events, &mut self.counters);
+        self.pools.start(&mut PoolContext { tcp, events, counters }, worker, attempt);
     }
 
     fn attempt_not_started(&mut self, attempt: AttemptId) {
@@ -98,7 +97,8 @@
             call.attempts.ended(false);
             call.last_end = Some(RetryReason::Cancelled);
         }
-        self.pools.cancel(&mut self.tcp, attempt, &mut self.engine_events, &mut self.counters);
+        let (tcp, events, counters) = (&mut self.tcp, &mut self.engine_events, &mut self.counters);
+        self.pools.cancel(&mut PoolContext { tcp, events, counters }, attempt);
     }
 
     /// Keeps the history of a call's attempts, before the engine learns that one has ended.
--- a/crates/node/src/pools.rs
+++ b/crates/node/src/pools.rs
@@ -7,6 +7,7 @@
 
 mod cancellation;
 mod connection;
+mod context;
 mod pending;
 mod requests;
 mod responses;
@@ -22,6 +23,7 @@
 use nettleferry_net::tcp::{Tcp, TcpKey};
 
 use self::connection::Connection;
+pub use self::context::PoolContext;
 use self::pending::{PendingResponse, ResponseLocation};
 pub use self::requests::LoadOrder;
 pub use self::wire_command::Attempt;
--- a/crates/node/src/pools/cancellation.rs
+++ b/crates/node/src/pools/cancellation.rs
@@ -7,49 +7,43 @@
 use tracing::debug;
 
 use super::ConnectionPools;
+use super::context::PoolContext;
 use super::pending::{OutputRange, PendingResponse, ResponseLocation};
-use crate::limits::Counters;
 
 impl ConnectionPools {
     /// Cancels an attempt; no event about it follows. Its call may be sent elsewhere with the next bytes that are
     /// written: so the cancellation is written first, or its connection is closed now, with all that is open there.
-    pub fn cancel(
-        &mut self,
-        tcp: &mut Tcp,
-        attempt: AttemptId,
-        out: &mut Vec<Event>,
-        counters: &mut Counters,
-    ) {
+    pub fn cancel(&mut self, context: &mut PoolContext, attempt: AttemptId) {
         let Some(location) = self.pending.remove(&PendingResponse::Attempt(attempt)) else { return };
         let ResponseLocation { connection: key, tag } = location;
         // What has not begun to leave never does, and its connection is as good as before.
-        if self.take_back(tcp, key, &tag) {
+        if self.take_back(context.tcp, key, &tag) {
             if let Some(connection) = self.connections.get_mut(&key) {
                 connection.open.remove(&tag);
             }
-            return self.retire_if_unused(tcp, key);
+            return self.retire_if_unused(context.tcp, key);
         }
         let Some(connection) = self.connections.get_mut(&key) else { return };
         if connection.open.remove(&tag).is_some() {
             let mut bytes = Vec::new();
             resp::cancel(&mut bytes, &tag);
-            if tcp.send(key, &bytes).is_none() || !tcp.flush(key) {
+            if context.tcp.send(key, &bytes).is_none() || !context.tcp.flush(key) {
                 let worker = connection.worker.0;
                 debug!(worker, tag, conn = ?key, "connection closed: a cancellation can't be written");
-                return self.close_to_cancel(tcp, key, out, counters);
+                return self.close_to_cancel(context, key);
             }
             // Its response was awaited and did not arrive: whether any other would is not known.
             connection.draining = true;
         }
         connection.remember_finished(tag);
-        self.retire_if_unused(tcp, key);
+        self.retire_if_unused(context.tcp, key);
     }
 
-    fn close_to_cancel(&mut self, tcp: &mut Tcp, key: TcpKey, out: &mut Vec<Event>, counters: &mut Counters) {
-        counters.cut_to_withdraw += 1;
-        let written = tcp.written(key);
-        tcp.close(key);
-        self.remove_connection(key, out, |request| match request.output {
+    fn close_to_cancel(&mut self, context: &mut PoolContext, key: TcpKey) {
+        context.counters.cut_to_withdraw += 1;
+        let written = context.tcp.written(key);
+        context.tcp.close(key);
+        self.remove_connection(key, context.events, |request| match request.output {
             Some(output) if output.end <= written => AttemptEnd::Broken,
             _ => AttemptEnd::NotWritten,
         });
@@ -67,18 +61,18 @@
     }
 
     /// Takes back a load order that is not needed any more, if it has not been written.
-    pub fn cancel_load(&mut self, tcp: &mut Tcp, id: ControlRequestId, out: &mut Vec<Event>) {
+    pub fn cancel_load(&mut self, context: &mut PoolContext, id: ControlRequestId) {
         let response = PendingResponse::Load(id);
         let Some(ResponseLocation { connection: key, tag }) = self.pending.get(&response).cloned() else {
             return;
         };
-        if self.take_back(tcp, key, &tag) {
+        if self.take_back(context.tcp, key, &tag) {
             self.pending.remove(&response);
             if let Some(connection) = self.connections.get_mut(&key) {
                 connection.open.remove(&tag);
             }
-            out.push(response.ended(AttemptEnd::Cancelled));
-            self.retire_if_unused(tcp, key);
+            context.events.push(response.ended(AttemptEnd::Cancelled));
+            self.retire_if_unused(context.tcp, key);
         }
     }
 
--- a/crates/node/src/pools/requests.rs
+++ b/crates/node/src/pools/requests.rs
@@ -4,17 +4,17 @@
 use std::time::Instant;
 
 use nettleferry::{Micros, WorkerId};
-use nettleferry_engine::{AttemptEnd, CallId, ControlRequestId, Event};
+use nettleferry_engine::{AttemptEnd, CallId, ControlRequestId};
 use nettleferry_net::tcp::{Tcp, TcpKey};
 use nettleferry_platform::resp;
 use tracing::debug;
 
 use super::ConnectionPools;
 use super::connection::WaitingCommand;
+use super::context::PoolContext;
 use super::pending::{OpenRequest, OutputRange, PendingResponse, ResponseLocation};
 use super::wire_command::{Attempt, OutboundRequest, WireCommand};
 use crate::guard::Violation;
-use crate::limits::Counters;
 
 /// An order to load replicas of a function.
 #[derive(Clone, Copy, Debug)]
@@ -29,37 +29,23 @@
 
 impl ConnectionPools {
     /// Starts an attempt.
-    pub fn start(
-        &mut self,
-        tcp: &mut Tcp,
-        worker: WorkerId,
-        attempt: Attempt,
-        out: &mut Vec<Event>,
-        counters: &mut Counters,
-    ) {
+    pub fn start(&mut self, context: &mut PoolContext, worker: WorkerId, attempt: Attempt) {
         let response = PendingResponse::Attempt(attempt.id);
         let tag = Arc::clone(&attempt.call_id);
-        let connection = self.choose_connection(tcp, worker, &tag, counters);
+        let connection = self.choose_connection(context.tcp, worker, &tag, context.counters);
         let command = WireCommand::Attempt(attempt);
         let request = OutboundRequest { tag: tag.to_string(), response, command };
-        self.send_request(tcp, connection, request, out, counters);
+        self.send_request(context, connection, request);
     }
 
     /// Sends a load order.
-    pub fn load(
-        &mut self,
-        tcp: &mut Tcp,
-        worker: WorkerId,
-        order: LoadOrder,
-        out: &mut Vec<Event>,
-        counters: &mut Counters,
-    ) {
+    pub fn load(&mut self, context: &mut PoolContext, worker: WorkerId, order: LoadOrder) {
         let tag = format!("o{}", order.id.0);
         let mut bytes = Vec::new();
         resp::load(&mut bytes, &tag, order.function, order.replicas);
-        let connection = self.choose_connection(tcp, worker, &tag, counters);
+        let connection = self.choose_connection(context.tcp, worker, &tag, context.counters);
         let (response, command) = (PendingResponse::Load(order.id), WireCommand::Control(bytes));
-        self.send_request(tcp, connection, OutboundRequest { tag, response, command }, out, counters);
+        self.send_request(context, connection, OutboundRequest { tag, response, command });
     }
 
     /// Sends an order to unload; it has no response.
@@ -74,35 +60,26 @@
     }
 
     /// Sends a health check.
-    pub fn probe(
-        &mut self,
-        tcp: &mut Tcp,
-        worker: WorkerId,
-        id: ControlRequestId,
-        out: &mut Vec<Event>,
-        counters: &mut Counters,
-    ) {
+    pub fn probe(&mut self, context: &mut PoolContext, worker: WorkerId, id: ControlRequestId) {
         let tag = format!("p{}", id.0);
         let mut bytes = Vec::new();
         resp::probe(&mut bytes, &tag, self.reports);
-        let connection = self.choose_for_probe(tcp, worker, &tag, counters);
+        let connection = self.choose_for_probe(context.tcp, worker, &tag, context.counters);
         let (response, command) = (PendingResponse::Probe(id), WireCommand::Control(bytes));
-        self.send_request(tcp, connection, OutboundRequest { tag, response, command }, out, counters);
+        self.send_request(context, connection, OutboundRequest { tag, response, command });
     }
 
     /// Sends a request on the connection that was chosen, or reports why there is none.
     fn send_request(
         &mut self,
-        tcp: &mut Tcp,
+        context: &mut PoolContext,
         connection: Result<TcpKey, AttemptEnd>,
         request: OutboundRequest,
-        out: &mut Vec<Event>,
-        counters: &mut Counters,
     ) {
         let OutboundRequest { tag, response, command } = request;
         let key = match connection {
             Ok(key) => key,
-            Err(end) => return out.push(response.ended(end)),
+            Err(end) => return context.events.push(response.ended(end)),
         };
         // What waits for its connection is checked when that is established. Here its client waits: the engine asks in
         // this step.
@@ -110,8 +87,8 @@
         if let Err(violation) = self.check_write(key, &command, |_| true)
             && established
         {
-            counters.violations.report(violation, &tag);
-            return out.push(response.ended(AttemptEnd::NotWritten));
+            context.counters.violations.report(violation, &tag);
+            return context.events.push(response.ended(AttemptEnd::NotWritten));
         }
         let Some(connection) = self.connections.get_mut(&key) else { return };
         debug!(worker = connection.worker.0, tag, request = ?response, conn = ?key, "request to an invoker begun");
@@ -119,10 +96,10 @@
         let now = Instant::now();
         let output = if connection.established {
             if connection.partial_since.is_none() {
-                tcp.alarm(key, None);
+                context.tcp.alarm(key, None);
             }
             command.write(&mut self.buffer, now);
-            Some(queue(tcp, key, &self.buffer))
+            Some(queue(context.tcp, key, &self.buffer))
         } else {
             connection.waiting.push_back(WaitingCommand { tag: tag.clone(), command });
             None
@@ -147,12 +124,10 @@
     /// waits for this call; `at`: now, on the engine's clock.
     pub fn connected(
         &mut self,
-        tcp: &mut Tcp,
+        context: &mut PoolContext,
         key: TcpKey,
         at: Micros,
         awaited: impl Fn(CallId) -> bool,
-        out: &mut Vec<Event>,
-        counters: &mut Counters,
     ) {
         let Some(connection) = self.connections.get_mut(&key) else { return };
         let now = Instant::now();
@@ -166,18 +141,18 @@
                 if let Err(violation) = allowed
                     && !expired
                 {
-                    counters.violations.report(violation, &tag);
+                    context.counters.violations.report(violation, &tag);
                 }
                 if let Some(request) = connection.open.remove(&tag) {
                     self.pending.remove(&request.response);
-                    out.push(request.response.ended(AttemptEnd::NotWritten));
+                    context.events.push(request.response.ended(AttemptEnd::NotWritten));
                 }
             } else if let Some(request) = connection.open.get_mut(&tag) {
                 command.write(&mut self.buffer, now);
-                request.output = Some(queue(tcp, key, &self.buffer));
+                request.output = Some(queue(context.tcp, key, &self.buffer));
             }
         }
-        self.retire_if_unused(tcp, key);
+        self.retire_if_unused(context.tcp, key);
     }
 }
 
--- a/crates/node/src/pools/responses.rs
+++ b/crates/node/src/pools/responses.rs
@@ -5,26 +5,27 @@
 use bytes::Bytes;
 use nettleferry::{LoadNote, WorkerId};
 use nettleferry_engine::{AttemptEnd, AttemptReport, Event};
-use nettleferry_net::tcp::{Gone, Tcp, TcpKey};
+use nettleferry_net::tcp::{Gone, TcpKey};
 use nettleferry_platform::answer::{Told, Word};
 use nettleferry_platform::resp::{self, Answer};
 use tracing::debug;
 
 use super::ConnectionPools;
+use super::context::PoolContext;
 use super::pending::{OpenRequest, PendingResponse};
-use crate::limits::{Counters, RESPONSE_TIMEOUT};
+use crate::limits::RESPONSE_TIMEOUT;
 
 impl ConnectionPools {
     /// Bytes arrived from an invoker.
-    pub fn data(&mut self, tcp: &mut Tcp, key: TcpKey, out: &mut Vec<Event>, counters: &mut Counters) {
+    pub fn data(&mut self, context: &mut PoolContext, key: TcpKey) {
         if let Some(connection) = self.connections.get_mut(&key) {
             connection.suspect = false;
         }
         loop {
-            let Some(input) = tcp.input(key) else { return };
+            let Some(input) = context.tcp.input(key) else { return };
             match resp::next(input) {
                 Ok(Some(answer)) => {
-                    if !self.response(tcp, key, answer, out, counters) {
+                    if !self.response(context, key, answer) {
                         return;
                     }
                 }
@@ -32,38 +33,31 @@
                 Ok(None) => {
                     let Some(connection) = self.connections.get_mut(&key) else { return };
                     let since = *connection.partial_since.get_or_insert_with(Instant::now);
-                    tcp.alarm(key, Some(since + RESPONSE_TIMEOUT));
+                    context.tcp.alarm(key, Some(since + RESPONSE_TIMEOUT));
                     return;
                 }
                 Err(error) => {
                     debug!(conn = ?key, %error, "response of an invoker is unreadable");
-                    return self.close_for_bad_response(tcp, key, out, counters);
+                    return self.close_for_bad_response(context, key);
                 }
             }
         }
-        self.retire_if_unused(tcp, key);
+        self.retire_if_unused(context.tcp, key);
     }
 
     /// Handles a complete response. False: its connection is gone.
-    fn response(
-        &mut self,
-        tcp: &mut Tcp,
-        key: TcpKey,
-        answer: Answer,
-        out: &mut Vec<Event>,
-        counters: &mut Counters,
-    ) -> bool {
+    fn response(&mut self, context: &mut PoolContext, key: TcpKey, answer: Answer) -> bool {
         let Some(connection) = self.connections.get_mut(&key) else { return false };
         // It is complete, whichever request it belongs to.
         if connection.partial_since.take().is_some() {
-            tcp.alarm(key, None);
+            context.tcp.alarm(key, None);
         }
         let Some((kind, fields)) = Word::read(&answer.word).zip(Told::read(&answer.fields)) else {
-            self.close_for_bad_response(tcp, key, out, counters);
+            self.close_for_bad_response(context, key);
             return false;
         };
         let Some(request) = connection.open.remove(&answer.id) else {
-            counters.stray_answers += 1;
+            context.counters.stray_answers += 1;
             return true;
         };
         let worker = connection.worker;
@@ -71,31 +65,25 @@
         debug!(worker = worker.0, tag = answer.id, ?kind, fields = answer.fields, ?age, "response received");
         connection.remember_finished(answer.id);
         if request.response.is_probe() {
-            self.close_suspects(tcp, worker, out);
+            self.close_suspects(context, worker);
         }
-        self.deliver(request.response, kind, &fields, answer.body, out);
+        self.deliver(request.response, kind, &fields, answer.body, context.events);
         true
     }
 
-    fn close_for_bad_response(
-        &mut self,
-        tcp: &mut Tcp,
-        key: TcpKey,
-        out: &mut Vec<Event>,
-        counters: &mut Counters,
-    ) {
-        counters.bad_answers += 1;
-        tcp.close(key);
-        self.remove_connection(key, out, |_| AttemptEnd::Broken);
+    fn close_for_bad_response(&mut self, context: &mut PoolContext, key: TcpKey) {
+        context.counters.bad_answers += 1;
+        context.tcp.close(key);
+        self.remove_connection(key, context.events, |_| AttemptEnd::Broken);
     }
 
     /// The invoker has answered a health check: connections on which it did not answer one before are of no further use.
-    fn close_suspects(&mut self, tcp: &mut Tcp, worker: WorkerId, out: &mut Vec<Event>) {
+    fn close_suspects(&mut self, context: &mut PoolContext, worker: WorkerId) {
         let keys = self.pools.get(&worker).map(|pool| pool.connections.clone()).unwrap_or_default();
         for key in keys {
             if self.connections.get(&key).is_some_and(|connection| connection.suspect) {
-                tcp.close(key);
-                self.remove_connection(key, out, |_| AttemptEnd::TimedOut);
+                context.tcp.close(key);
+                self.remove_connection(key, context.events, |_| AttemptEnd::TimedOut);
             }
         }
     }
@@ -131,9 +119,9 @@
     }
 
     /// A connection is gone: its open requests have ended, as far as they were written.
-    pub fn connection_closed(&mut self, tcp: &Tcp, key: TcpKey, reason: Gone, out: &mut Vec<Event>) {
-        let written = tcp.written(key);
-        self.remove_connection(key, out, |request| match (reason, request.output) {
+    pub fn connection_closed(&mut self, context: &mut PoolContext, key: TcpKey, reason: Gone) {
+        let written = context.tcp.written(key);
+        self.remove_connection(key, context.events, |request| match (reason, request.output) {
             (Gone::Refused | Gone::NotConnected, _) => AttemptEnd::NotConnected,
             (_, None) => AttemptEnd::NotWritten,
             (Gone::Slow, _) => AttemptEnd::Broken,
@@ -173,17 +161,17 @@
     }
 
     /// A connection's alarm fired: it was idle, or a response did not arrive completely.
-    pub fn alarm_due(&mut self, tcp: &mut Tcp, key: TcpKey, out: &mut Vec<Event>, counters: &mut Counters) {
+    pub fn alarm_due(&mut self, context: &mut PoolContext, key: TcpKey) {
         let Some(connection) = self.connections.get(&key) else { return };
         let is_over =
             |since: Option<Instant>, span| since.is_some_and(|since| Instant::now() >= since + span);
         if is_over(connection.partial_since, RESPONSE_TIMEOUT) {
             debug!(worker = connection.worker.0, conn = ?key, "response of an invoker is incomplete");
-            self.close_for_bad_response(tcp, key, out, counters);
+            self.close_for_bad_response(context, key);
         } else if connection.open.is_empty()
             && self.idle.is_some_and(|idle| is_over(connection.idle_since, idle))
         {
-            self.close_connection(tcp, key);
+            self.close_connection(context.tcp, key);
         }
     }
 }
--- a/crates/node/src/pools/tests.rs
+++ b/crates/node/src/pools/tests.rs
@@ -61,17 +61,21 @@
         let deadline = Instant::now() + self.time_left;
         let (call_id, class, function) = (Arc::from(call_id), Arc::from("safe"), Arc::from("f"));
         let attempt = Attempt { id, call_id, class, function, key: None, deadline, send_by: None, body };
-        self.pools.start(&mut self.tcp, W, attempt, &mut self.events, &mut self.counters);
+        self.with_context(|pools, context| pools.start(context, W, attempt));
         id
     }
 
+    fn with_context(&mut self, act: impl FnOnce(&mut ConnectionPools, &mut PoolContext)) {
+        let (tcp, events, counters) = (&mut self.tcp, &mut self.events, &mut self.counters);
+        act(&mut self.pools, &mut PoolContext { tcp, events, counters });
+    }
+
     fn iterate(&mut self) {
         let mut events = Vec::new();
         self.tcp.turn(Some(Duration::from_millis(1)), &mut events).expect("a poll");
         for event in events {
             if let TcpEvent::Connected(key) = event {
-                let counters = &mut self.counters;
-                self.pools.connected(&mut self.tcp, key, 0, |_| true, &mut self.events, counters);
+                self.with_context(|pools, context| pools.connected(context, key, 0, |_| true));
                 self.sockets.push(self.peer.accept().expect("connected").0);
             }
         }
@@ -94,7 +98,7 @@
     }
 
     fn cancel(&mut self, id: AttemptId) {
-        self.pools.cancel(&mut self.tcp, id, &mut self.events, &mut self.counters);
+        self.with_context(|pools, context| pools.cancel(context, id));
     }
 }
 
@@ -247,7 +251,7 @@
         let mut events = Vec::new();
         harness.tcp.turn(Some(Duration::from_millis(1)), &mut events).expect("a poll");
         if events.contains(&TcpEvent::Data(key)) {
-            harness.pools.data(&mut harness.tcp, key, &mut harness.events, &mut harness.counters);
+            harness.with_context(|pools, context| pools.data(context, key));
         }
     }
     // No turn comes between the end of its idle time and the next command.
