--- a/crates/node/src/node/execute.rs
+++ b/crates/node/src/node/execute.rs
@@ -117,7 +117,7 @@
             self.counters.violations.report(Violation::AnswerWithoutRequest, &token);
             return answer;
         };
-        let effect = self.classes.get(call.class.0).map_or(Effect::Unsafe, |class| class.effect);
+        let effect = self.classes.get(call.class.0).map_or(Effect::NonIdempotent, |class| class.effect);
         let refused = matches!(answer, FinalAnswer::Refused { .. });
         match guard::may_refuse(call.attempts.may_have_run(), effect) {
             Err(violation) if refused => {
