--- a/crates/engine/src/engine/attempts.rs
+++ b/crates/engine/src/engine/attempts.rs
@@ -17,7 +17,7 @@
     /// Starts an attempt, as the decision module asks.
     pub(super) fn start_attempt(&mut self, id: CallId, worker: WorkerId, timeout: Option<Micros>) {
         let Some(call) = self.calls.get_mut(&id) else {
-            // It has ended while the module did not know yet: told so, or it would count this attempt for ever.
+            // It ended before the module learned of it: without a report it would count this attempt for ever.
             return self.attempt_never_started(id, worker);
         };
         let attempt = AttemptId { call: id, number: call.attempts };
@@ -131,8 +131,8 @@
         }
     }
 
-    /// Does this end of an attempt end its call, so that no retry can follow? An answer that has begun and breaks does:
-    /// nobody can begin it again.
+    /// Whether this end of an attempt ends its call, so that no retry can follow. An answer that was begun and is cut off
+    /// does: its first parts are delivered.
     fn settles_call(&self, call: CallId, end: &AttemptEnd) -> bool {
         let served = matches!(end, AttemptEnd::Served | AttemptEnd::Rejected(_));
         served || self.calls.get(&call).is_none_or(|call| call.started)
--- a/crates/engine/src/engine/control_requests.rs
+++ b/crates/engine/src/engine/control_requests.rs
@@ -15,7 +15,7 @@
     /// Sends a load order.
     pub(super) fn order_load(&mut self, worker: WorkerId, function: FunctionId, copies: u32) {
         let Some(Model { name, version }) = self.names.model(function).cloned() else {
-            // Forgotten since: nobody waits for it.
+            // The model was forgotten since: no call waits for it.
             let outcome = Outcome::Error;
             let failed = ModuleEvent::Loaded { worker, function, outcome, copies: 0, elapsed: 0 };
             return self.module_events.push_back(failed);
--- a/crates/engine/src/names.rs
+++ b/crates/engine/src/names.rs
@@ -1,8 +1,8 @@
-//! Models, workers, zones and kinds as the module's numbers, and back.
+//! Models, workers, zones and kinds as the decision module's numbers, and back.
 //!
-//! Models and workers are numbered by a hash of their names (XXH3, 64 bits): the module's order of workers for
-//! a function is then the same at every controller, although they share nothing. Two names of one hash are
-//! told apart by the next free number, at the price of another order for the later one.
+//! Models and workers are numbered by a hash of their names (XXH3, 64 bits): the decision module's order of workers for
+//! a function is then the same at every controller, although they share no state. Of two names with one hash the later
+//! one gets the next free number, at the price of another order.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
@@ -55,6 +55,16 @@
     pub forgotten: u64,
 }
 
+/// The first number from `hash` on that is not taken.
+fn free_number(hash: u64, is_taken: impl Fn(u64) -> bool) -> u64 {
+    let mut number = hash;
+    while is_taken(number) {
+        number = number.wrapping_add(1);
+    }
+    number
+}
+
+/// The number of a name, the next one for a new name.
 fn number(map: &mut BTreeMap<String, u32>, name: &str) -> u32 {
     if let Some(&known) = map.get(name) {
         return known;
@@ -65,7 +75,8 @@
 }
 
 impl Names {
-    /// The number of a model for which a call is opened. `None`: `most` models have open calls, so that none can be forgotten.
+    /// The number of a model for which a call is opened. `None`: `most` models have open calls, so that none can be
+    /// forgotten.
     pub fn open(&mut self, model: Model, most: usize) -> Option<FunctionId> {
         self.clock += 1;
         if let Some(known) = self.models.get_mut(&model) {
@@ -82,10 +93,7 @@
                 self.forgotten += 1;
             }
         }
-        let mut id = FunctionId(model.hash());
-        while self.by_id.contains_key(&id) {
-            id.0 = id.0.wrapping_add(1);
-        }
+        let id = FunctionId(free_number(model.hash(), |number| self.by_id.contains_key(&FunctionId(number))));
         self.by_id.insert(id, model.clone());
         self.models.insert(model, RegisteredModel { id, open: 1, used: 0 });
         Some(id)
@@ -117,10 +125,8 @@
         if let Some(&known) = self.worker_ids.get(name) {
             return known;
         }
-        let mut id = WorkerId(xxh3_64(name.as_bytes()));
-        while self.workers.contains_key(&id) {
-            id.0 = id.0.wrapping_add(1);
-        }
+        let hash = xxh3_64(name.as_bytes());
+        let id = WorkerId(free_number(hash, |number| self.workers.contains_key(&WorkerId(number))));
         let name: Arc<str> = name.into();
         self.workers.insert(id, Arc::clone(&name));
         self.worker_ids.insert(name, id);
--- a/crates/engine/src/outcome.rs
+++ b/crates/engine/src/outcome.rs
@@ -1,5 +1,4 @@
-//! What each end of an attempt proves: the one place in which facts of the wire become the module's
-//! [`Outcome`].
+//! What each end of an attempt proves: the one place in which observed facts become the decision module's [`Outcome`].
 
 use std::fmt;
 
@@ -29,7 +28,8 @@
     MarkedMiss,
     /// The worker's trailers state that the load it waited for failed.
     MarkedLoadFailed,
-    /// The worker answered that the request had expired or was cancelled when it arrived: it never ran (the platform's `nobody`).
+    /// The worker answered that the request had expired or was cancelled when it arrived: it never ran (the platform's
+    /// `nobody`).
     Unwanted,
     /// Any other failing status.
     Status {
--- a/crates/node/src/front.rs
+++ b/crates/node/src/front.rs
@@ -24,7 +24,7 @@
 use nettleferry_platform::frames::{self, Code};
 use tracing::debug;
 
-pub use self::call::{Call, ClientEvent, IncomingRequest};
+pub use self::call::{Call, ClientEvent, IncomingRequest, RequestToken};
 use self::client::{Client, EvictionOrder};
 pub use self::context::FrontContext;
 use crate::limits::{
@@ -43,8 +43,8 @@
     idle: Duration,
     clients: BTreeMap<TcpKey, Client>,
     /// Open requests by token.
-    calls: BTreeMap<u64, Call>,
-    tokens: BTreeMap<CallId, u64>,
+    calls: BTreeMap<RequestToken, Call>,
+    tokens: BTreeMap<CallId, RequestToken>,
     /// Ids of the open requests, as their clients gave them.
     ids: HashSet<u64>,
     /// Bytes of the bodies of the open requests.
@@ -108,12 +108,12 @@
     }
 
     /// Whether a client still waits for it. One may cancel with the very bytes that bring its request.
-    pub fn is_waiting(&self, token: u64) -> bool {
+    pub fn is_waiting(&self, token: RequestToken) -> bool {
         self.calls.contains_key(&token)
     }
 
     /// A request was opened as this call of the engine.
-    pub fn opened(&mut self, token: u64, id: CallId) {
+    pub fn opened(&mut self, token: RequestToken, id: CallId) {
         if let Some(call) = self.calls.get_mut(&token) {
             call.engine_id = Some(id);
             self.tokens.insert(id, token);
@@ -126,7 +126,7 @@
     }
 
     /// The call of a token, while its client waits.
-    pub fn call_by_token(&self, token: u64) -> Option<&Call> {
+    pub fn call_by_token(&self, token: RequestToken) -> Option<&Call> {
         self.calls.get(&token)
     }
 
@@ -136,7 +136,13 @@
     }
 
     /// Gives a call its final answer.
-    pub fn answer(&mut self, tcp: &mut Tcp, token: u64, answer: &FinalAnswer, counters: &mut Counters) {
+    pub fn answer(
+        &mut self,
+        tcp: &mut Tcp,
+        token: RequestToken,
+        answer: &FinalAnswer,
+        counters: &mut Counters,
+    ) {
         self.answer_with_reason(tcp, token, answer, EndReason::of(answer), counters);
     }
 
@@ -144,7 +150,7 @@
     pub fn answer_with_reason(
         &mut self,
         tcp: &mut Tcp,
-        token: u64,
+        token: RequestToken,
         answer: &FinalAnswer,
         reason: EndReason,
         counters: &mut Counters,
@@ -198,7 +204,7 @@
     }
 
     /// Forgets an open request; the engine's number, where it was opened there.
-    fn close_call(&mut self, token: u64) -> Option<CallId> {
+    fn close_call(&mut self, token: RequestToken) -> Option<CallId> {
         let call = self.calls.remove(&token)?;
         self.ids.remove(&call.id);
         self.body_bytes -= call.body_bytes;
--- a/crates/node/src/front/call.rs
+++ b/crates/node/src/front/call.rs
@@ -11,10 +11,14 @@
 use crate::attempt_history::AttemptHistory;
 use crate::reasons::RetryReason;
 
+/// The front's number of an open request, unique within one run of the process. The engine returns it with its commands.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct RequestToken(pub u64);
+
 /// A valid request that is to be opened at the engine.
 pub struct IncomingRequest {
-    /// The front's token of the request.
-    pub token: u64,
+    /// Its token.
+    pub token: RequestToken,
     /// Its class.
     pub class: ClassId,
     /// Its function.
--- a/crates/node/src/front/client.rs
+++ b/crates/node/src/front/client.rs
@@ -5,13 +5,14 @@
 
 use nettleferry_platform::frames::Reader;
 
+use super::call::RequestToken;
 use crate::limits::{FIRST_BYTES_GRACE, STALLED_FRAME};
 
 /// A client's connection.
 pub(super) struct Client {
     pub(super) reader: Reader,
     /// Open streams and the tokens of their calls.
-    pub(super) streams: BTreeMap<u32, u64>,
+    pub(super) streams: BTreeMap<u32, RequestToken>,
     /// The newest stream that the client has opened.
     pub(super) last_stream: u32,
     /// Unusable requests and frames since the last usable request.
--- a/crates/node/src/front/closing.rs
+++ b/crates/node/src/front/closing.rs
@@ -8,7 +8,7 @@
 use tracing::debug;
 
 use super::Front;
-use super::call::ClientEvent;
+use super::call::{ClientEvent, RequestToken};
 use super::context::FrontContext;
 use crate::limits::{CONSECUTIVE_FAULTS, Counters, FIRST_FRAME_TIMEOUT, FRAME_TIMEOUT, RECHECK_DELAY};
 use crate::reasons::{CloseReason, EndReason};
@@ -71,7 +71,7 @@
         tcp: &mut Tcp,
         key: TcpKey,
         stream: u32,
-        token: u64,
+        token: RequestToken,
         counters: &mut Counters,
     ) {
         self.close_call(token);
--- a/crates/node/src/front/validation.rs
+++ b/crates/node/src/front/validation.rs
@@ -10,7 +10,7 @@
 use tracing::debug;
 
 use super::Front;
-use super::call::{Call, IncomingRequest, RequestOrigin};
+use super::call::{Call, IncomingRequest, RequestOrigin, RequestToken};
 use crate::attempt_history::AttemptHistory;
 use crate::limits::{Counters, MAX_TTL_FACTOR};
 
@@ -120,7 +120,7 @@
     ) -> IncomingRequest {
         let RequestOrigin { connection, stream, arrived } = origin;
         self.last_token += 1;
-        let token = self.last_token;
+        let token = RequestToken(self.last_token);
         debug!(
             conn = ?connection,
             stream,
--- a/crates/node/src/node/execute.rs
+++ b/crates/node/src/node/execute.rs
@@ -9,6 +9,7 @@
 use tracing::{debug, info};
 
 use super::Node;
+use crate::front::RequestToken;
 use crate::guard::{self, AttemptCheck, Violation};
 use crate::pools::{Attempt, LoadOrder, PoolContext};
 use crate::reasons::RetryReason;
@@ -33,8 +34,9 @@
             Command::Abandon { attempt } => self.pools.abandon(context.tcp, attempt),
             Command::Cancel { attempt } => self.cancel_attempt(attempt),
             Command::Answer { front, answer, .. } => {
-                let answer = self.checked_answer(front, answer);
-                self.front.answer(&mut self.tcp, front, &answer, &mut self.counters);
+                let token = RequestToken(front);
+                let answer = self.checked_answer(token, answer);
+                self.front.answer(&mut self.tcp, token, &answer, &mut self.counters);
             }
             Command::Load { request_id, worker, model, copies, .. } => {
                 let order = LoadOrder { id: request_id, function: &model, replicas: copies };
@@ -112,9 +114,9 @@
     }
 
     /// The final answer of a request: one that may have run, and must not run twice, is never refused.
-    fn checked_answer(&mut self, token: u64, answer: FinalAnswer) -> FinalAnswer {
+    fn checked_answer(&mut self, token: RequestToken, answer: FinalAnswer) -> FinalAnswer {
         let Some(call) = self.front.call_by_token(token) else {
-            self.counters.violations.report(Violation::AnswerWithoutRequest, &token);
+            self.counters.violations.report(Violation::AnswerWithoutRequest, &token.0);
             return answer;
         };
         let effect = self.classes.get(call.class.0).map_or(Effect::NonIdempotent, |class| class.effect);
--- a/crates/node/src/node/startup.rs
+++ b/crates/node/src/node/startup.rs
@@ -1,5 +1,6 @@
 //! Builds a node from its configuration, step by step.
 
+use std::collections::VecDeque;
 use std::io;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -99,7 +100,7 @@
             next_signal_check: now,
             tcp_events: Vec::new(),
             client_events: Vec::new(),
-            requests: Default::default(),
+            requests: VecDeque::new(),
             engine_events: Vec::new(),
             commands: Vec::new(),
         };
