--- a/crates/administration/src/desk.rs
+++ b/crates/administration/src/desk.rs
@@ -25,7 +25,7 @@
 use nettleferry_fleet::recovery_policy::PersistedState;
 use nettleferry_fleet::snapshot_version::SnapshotVersion;
 use nettleferry_net::clock;
-use nettleferry_net::http1::{self, Http1, Http1Limits, Stop, Turn};
+use nettleferry_net::http1::{self, Disposition, Http1, Http1Limits, Stop};
 use nettleferry_net::retry::{RetryPolicy, is_transient, retry_startup};
 use nettleferry_tenancy::{Entry, IdempotentResponse, Revision, Tenant, TenantSnapshot};
 use nettleferry_tenant_store::{Origin, Snapshot, Store, StoreError};
@@ -514,9 +514,10 @@
         let rows: Vec<Value> = self
             .authority
             .reports()
-            .map(|(controller, stamp, at)| {
-                let standing = stamp.zip(own).map(|(told, own)| told.compare(own).as_str());
-                json!({ "controller": controller, "holds": stamp, "standing": standing, "seen_ms_ago": now.saturating_sub(at) })
+            .map(|report| {
+                let order = report.version.zip(own).map(|(theirs, own)| theirs.compare(own).as_str());
+                let age = now.saturating_sub(report.received_at);
+                json!({ "controller": report.controller, "holds": report.version, "standing": order, "seen_ms_ago": age })
             })
             .collect();
         let (step, cause) = match duty {
@@ -642,8 +643,8 @@
 
     /// Under which store and epoch a book stands above all that are held.
     fn above_all(&self) -> Option<Origin> {
-        let (store, least) = self.authority.superseding_origin()?;
-        Some(Origin { store, epoch: least.max(clock::wall() / 1000) })
+        let least = self.authority.superseding_origin()?;
+        Some(Origin { store: least.store, epoch: least.epoch.max(clock::wall() / 1000) })
     }
 }
 
@@ -670,10 +671,10 @@
     json!({ "controller": number, "revision": other.revision(), "differences": count, "tenants": names })
 }
 
-fn turn(told: changes::Told) -> Turn {
+fn turn(told: changes::Told) -> Disposition {
     match told {
-        changes::Told::Answer(response) => Turn::Reply(reply(response)),
-        changes::Told::Waits(span, ticket) => Turn::Park(Duration::from_millis(span), ticket),
+        changes::Told::Answer(response) => Disposition::Reply(reply(response)),
+        changes::Told::Waits(span, ticket) => Disposition::Park(Duration::from_millis(span), ticket),
     }
 }
 
@@ -710,15 +711,15 @@
 }
 
 impl Work {
-    fn answer(&mut self, request: &http1::Request<'_>, waited: Duration) -> Turn {
+    fn answer(&mut self, request: &http1::Request<'_>, waited: Duration) -> Disposition {
         let caller = match self.keys.prove(request.header("authorization")) {
             Ok(caller) => caller,
-            Err(problem) => return Turn::Reply(reply(problem.response())),
+            Err(problem) => return Disposition::Reply(reply(problem.response())),
         };
         self.around.own = self.marks.in_force();
         if let Some(ticket) = request.ticket {
             let told = self.changes.again(&self.around.here(), ticket);
-            let told = told.map_or_else(|| Turn::Reply(reply(lost().response())), turn);
+            let told = told.map_or_else(|| Disposition::Reply(reply(lost().response())), turn);
             self.acknowledged();
             return told;
         }
@@ -738,8 +739,8 @@
         self.spread();
         self.wake_changes();
         match answer {
-            Answer::Ready(response) => Turn::Reply(reply(response)),
-            Answer::Wait(span) => Turn::Wait(span),
+            Answer::Ready(response) => Disposition::Reply(reply(response)),
+            Answer::Wait(span) => Disposition::Wait(span),
             Answer::Committed { response, revision, restricts } => {
                 let at = Version { epoch: self.around.epoch, revision };
                 self.around.own = self.marks.in_force();
--- a/crates/gateway/src/commands/settings_file.rs
+++ b/crates/gateway/src/commands/settings_file.rs
@@ -2,7 +2,7 @@
 
 use std::path::Path;
 
-use nettleferry_config::settings::Desk;
+use nettleferry_config::settings::Administration;
 use nettleferry_config::{Config, settings};
 
 use super::console::read_file;
@@ -17,22 +17,23 @@
 }
 
 fn resolve_paths(config: &mut Config, folder: &Path) {
-    config.workers = folder.join(&config.workers);
-    config.workers_kept = config.workers_kept.take().map(|kept| folder.join(kept));
-    if let Some(push) = &mut config.figures.push {
-        push.spool = folder.join(&push.spool);
+    config.workers_file = folder.join(&config.workers_file);
+    config.persisted_workers_file = config.persisted_workers_file.take().map(|file| folder.join(file));
+    if let Some(remote_write) = &mut config.metrics.remote_write {
+        remote_write.wal_folder = folder.join(&remote_write.wal_folder);
     }
     let Some(admin) = &mut config.admin else { return };
-    if let Some(trail) = &mut admin.trail {
-        trail.folder = folder.join(&trail.folder);
+    if let Some(audit_log) = &mut admin.audit_log {
+        audit_log.folder = folder.join(&audit_log.folder);
     }
-    match &mut admin.desk {
-        Desk::Own { store, peer_key, .. } => {
-            *store = folder.join(&*store);
-            *peer_key = peer_key.take().map(|file| folder.join(file));
+    match &mut admin.administration {
+        Administration::Leader(leader) => {
+            leader.store = folder.join(&leader.store);
+            leader.peer_key = leader.peer_key.take().map(|file| folder.join(file));
         }
-        Desk::Follow { key_file, kept, .. } => {
-            (*key_file, *kept) = (folder.join(&*key_file), folder.join(&*kept));
+        Administration::Follower(follower) => {
+            follower.key_file = folder.join(&follower.key_file);
+            follower.snapshot_file = folder.join(&follower.snapshot_file);
         }
     }
 }
--- a/crates/node/src/front/closing.rs
+++ b/crates/node/src/front/closing.rs
@@ -116,7 +116,7 @@
             client.streams.is_empty() && client.frame_began.is_none() && now >= client.idle_since + self.idle;
         if !(slow || unresponsive || idle) {
             self.set_alarm(context.tcp, key);
-        } else if !context.tcp.silent(key) {
+        } else if !context.tcp.confirm_idle(key) {
             // It is read in the next iteration, and judged again after it.
             context.tcp.alarm(key, Some(now + RECHECK_DELAY));
         } else if slow || unresponsive {
--- a/crates/node/src/front/input.rs
+++ b/crates/node/src/front/input.rs
@@ -31,7 +31,7 @@
                     self.frame(context, key, frame);
                 }
                 Ok(None) => {
-                    let within = client.reader.within(input);
+                    let within = client.reader.is_mid_frame(input);
                     client.frame_began =
                         if within { client.frame_began.or_else(|| Some(Instant::now())) } else { None };
                     return self.set_alarm(context.tcp, key);
@@ -47,17 +47,17 @@
     fn frame(&mut self, context: &mut FrontContext, key: TcpKey, frame: Frame) {
         let Some(client) = self.clients.get_mut(&key) else { return };
         match frame {
-            Frame::Whole { kind: kind::REQUEST, stream, payload } => {
+            Frame::Complete { kind: kind::REQUEST, stream, payload } => {
                 self.request(context, key, stream, &payload);
             }
-            Frame::Whole { kind: kind::CANCEL, stream, .. } => {
+            Frame::Complete { kind: kind::CANCEL, stream, .. } => {
                 if let Some(token) = client.streams.remove(&stream) {
                     debug!(conn = ?key, stream, "request cancelled by its client");
                     client.active = true;
                     context.events.extend(self.close_call(token).map(ClientEvent::cancelled));
                 }
             }
-            Frame::Whole { kind: kind::READY, stream, .. } => {
+            Frame::Complete { kind: kind::READY, stream, .. } => {
                 client.active = true;
                 self.buffer.clear();
                 frames::ready(&mut self.buffer, stream, !self.draining);
@@ -69,7 +69,7 @@
                 self.send_answer(context.tcp, key, stream, Code::Failed, b"a request is too long");
                 self.count_fault(context, key);
             }
-            Frame::Whole { .. } | Frame::TooLong { .. } => {
+            Frame::Complete { .. } | Frame::TooLong { .. } => {
                 context.counters.bad_frames += 1;
                 self.send_answer(context.tcp, key, 0, Code::Failed, b"a client sends no such frame");
                 self.count_fault(context, key);
@@ -89,7 +89,7 @@
             self.send_answer(context.tcp, key, stream, Code::Refused, b"more than 32 requests are open");
             return self.count_fault(context, key);
         }
-        let origin = RequestOrigin { connection: key, stream, arrived: context.tcp.came(key) };
+        let origin = RequestOrigin { connection: key, stream, arrived: context.tcp.earliest_arrival(key) };
         match self.accept_request(origin, payload, context.counters) {
             Ok(request) => {
                 context.counters.requests += 1;
--- a/crates/node/src/pools/tests.rs
+++ b/crates/node/src/pools/tests.rs
@@ -72,7 +72,7 @@
 
     fn iterate(&mut self) {
         let mut events = Vec::new();
-        self.tcp.turn(Some(Duration::from_millis(1)), &mut events).expect("a poll");
+        self.tcp.poll(Some(Duration::from_millis(1)), &mut events).expect("a poll");
         for event in events {
             if let TcpEvent::Connected(key) = event {
                 self.with_context(|pools, context| pools.connected(context, key, 0, |_| true));
@@ -249,7 +249,7 @@
     harness.sockets[0].write_all(&answer).expect("written");
     while harness.pools.connections[&key].idle_since.is_none() {
         let mut events = Vec::new();
-        harness.tcp.turn(Some(Duration::from_millis(1)), &mut events).expect("a poll");
+        harness.tcp.poll(Some(Duration::from_millis(1)), &mut events).expect("a poll");
         if events.contains(&TcpEvent::Data(key)) {
             harness.with_context(|pools, context| pools.data(context, key));
         }
--- a/crates/node/tests/common/mod.rs
+++ b/crates/node/tests/common/mod.rs
@@ -286,7 +286,7 @@
             let mut node = Node::new(path, false).expect("sound");
             ready.send(node.local_addr()).expect("the test waits");
             while !node.is_done() && !stopped.load(Ordering::Acquire) {
-                node.iterate(Some(Duration::from_millis(5))).expect("a turn");
+                node.iterate(Some(Duration::from_millis(5))).expect("polls");
                 if shutdown_requested.swap(false, Ordering::AcqRel) {
                     node.begin_shutdown();
                 }
--- a/crates/node/tests/shared_connections.rs
+++ b/crates/node/tests/shared_connections.rs
@@ -183,7 +183,7 @@
             while !out.is_empty() {
                 match socket.write(&out) {
                     Ok(n) => drop(out.drain(..n)),
-                    Err(_) => harness.node.iterate(Some(Duration::ZERO)).expect("a turn"),
+                    Err(_) => harness.node.iterate(Some(Duration::ZERO)).expect("polls"),
                 }
             }
         }
