--- /dev/null
+++ b/crates/administration/src/admin_server.rs
@@ -0,0 +1,198 @@
+//! The administration's thread as the controller sees it: a leader that owns the tenants, or a follower that replicates
+//! another's. It starts with the controller, sends it events, and is stopped and joined with it.
+
+use std::io;
+use std::net::SocketAddr;
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::sync::mpsc::{Receiver, channel};
+use std::sync::{Arc, MutexGuard};
+use std::thread::JoinHandle;
+
+use nettleferry_config::settings::{
+    AdminSettings, Administration, FollowerSettings, LeaderSettings, SnapshotServer,
+};
+use nettleferry_fleet::loans::LoanConfig;
+use nettleferry_net::http1::Stop;
+use tracing::warn;
+
+use crate::applied_versions::AcknowledgedCheckpoint;
+use crate::audit_log_writer::SharedEntries;
+use crate::controller_link::{ControllerLink, SharedStatus, lock};
+use crate::endpoint::Endpoint;
+use crate::follower::{Follower, FollowerConfig};
+use crate::leader::{self, LeaderConfig};
+use crate::messages::{AdminEvent, ControllerStatus};
+use crate::snapshot_document::{SharedSnapshot, SnapshotDocument};
+use crate::snapshot_listener;
+
+/// What the administration has to know of the controller that starts it.
+pub struct ControllerContext {
+    /// The controller's number.
+    pub number: u32,
+    /// The number of controllers in the fleet.
+    pub controllers: u32,
+    /// The longest deadline of a class of calls, in milliseconds.
+    pub max_deadline_ms: u64,
+    /// Wakes the controller's thread.
+    pub waker: Arc<mio::Waker>,
+    /// The newest entries of the controller's audit log, where it has one.
+    pub audit_entries: Option<SharedEntries>,
+}
+
+/// The administration's thread. Dropping this stops and joins it; a leader then has written its last snapshot, and a
+/// follower has said that it ends.
+pub struct AdminServer {
+    /// The address that it listens on; `None`: it has no listener.
+    pub local: Option<SocketAddr>,
+    /// The snapshot to start with; `None`: no tenant is known yet.
+    pub snapshot: Option<SnapshotDocument>,
+    events: Receiver<AdminEvent>,
+    status: SharedStatus,
+    acknowledged: AcknowledgedCheckpoint,
+    stopper: Stopper,
+    thread: Option<JoinHandle<()>>,
+    _snapshot_listener: Option<Endpoint>,
+}
+
+/// Stops and wakes the thread.
+enum Stopper {
+    Leader(Stop),
+    Follower { stopped: Arc<AtomicBool>, waker: Arc<mio::Waker> },
+}
+
+impl Stopper {
+    fn wake(&self) {
+        match self {
+            Self::Leader(stop) => stop.wake(),
+            Self::Follower { waker, .. } => _ = waker.wake(),
+        }
+    }
+
+    fn stop(&self) {
+        match self {
+            Self::Leader(stop) => stop.stop(),
+            Self::Follower { stopped, waker } => {
+                stopped.store(true, Ordering::Release);
+                let _ = waker.wake();
+            }
+        }
+    }
+}
+
+impl AdminServer {
+    /// Starts what the settings say.
+    ///
+    /// # Errors
+    /// A listener, a file or a thread that is needed cannot be had.
+    pub fn start(admin: &AdminSettings, controller: ControllerContext) -> io::Result<Self> {
+        match &admin.administration {
+            Administration::Leader(leader) => {
+                let LeaderSettings { listen, store, keys, peers, peer_key, lease, required_replicas } =
+                    leader;
+                Self::start_leader(LeaderConfig {
+                    listen: *listen,
+                    store,
+                    keys,
+                    peers,
+                    peer_key: peer_key.as_deref(),
+                    lease_ms: lease.map(|span| span / 1000),
+                    required_copies: *required_replicas,
+                    loans: LoanConfig { controllers: controller.controllers, reserve: admin.reserve },
+                    controller,
+                })
+            }
+            Administration::Follower(follower) => {
+                let FollowerSettings {
+                    leader,
+                    key_file,
+                    snapshot_file,
+                    snapshot_server,
+                    peers,
+                    without_lease,
+                } = follower;
+                let config = FollowerConfig {
+                    leader: *leader,
+                    key_file,
+                    snapshot_file,
+                    peers,
+                    requires_lease: without_lease.rejects,
+                    borrows: admin.reserve < 1.0,
+                    controller,
+                };
+                Self::start_follower(config, snapshot_server.as_ref())
+            }
+        }
+    }
+
+    fn start_leader(config: LeaderConfig) -> io::Result<Self> {
+        let (sender, events) = channel();
+        let status = SharedStatus::default();
+        let link = ControllerLink::new(Arc::clone(&status), sender, Arc::clone(&config.controller.waker));
+        let started = leader::start(config, link)?;
+        Ok(Self {
+            local: Some(started.local),
+            snapshot: started.snapshot,
+            events,
+            status,
+            acknowledged: started.acknowledged,
+            stopper: Stopper::Leader(started.stop),
+            thread: Some(started.thread),
+            _snapshot_listener: None,
+        })
+    }
+
+    fn start_follower(config: FollowerConfig, snapshot_server: Option<&SnapshotServer>) -> io::Result<Self> {
+        let (sender, events) = channel();
+        let status = SharedStatus::default();
+        let link = ControllerLink::new(Arc::clone(&status), sender, Arc::clone(&config.controller.waker));
+        let number = config.controller.number;
+        let shared = SharedSnapshot::default();
+        let mut follower = Follower::new(&config, Arc::clone(&shared), link)?;
+        let listener = snapshot_server
+            .map(|SnapshotServer { listen, keys }| snapshot_listener::start(*listen, keys, number, shared))
+            .transpose()?;
+        let (snapshot, local) = (follower.document(), listener.as_ref().map(|listener| listener.local));
+        let stopper = Stopper::Follower { stopped: follower.stopped(), waker: follower.waker() };
+        let acknowledged = follower.acknowledged();
+        let thread = std::thread::Builder::new().name("follow".to_owned()).spawn(move || {
+            if let Err(error) = follower.run() {
+                warn!(%error, "replication failed, tenants stay as they are until a restart");
+            }
+        })?;
+        Ok(Self {
+            local,
+            snapshot,
+            events,
+            status,
+            acknowledged,
+            stopper,
+            thread: Some(thread),
+            _snapshot_listener: listener,
+        })
+    }
+
+    /// The events that were sent since the last time, in order.
+    pub fn events(&self) -> impl Iterator<Item = AdminEvent> + '_ {
+        self.events.try_iter()
+    }
+
+    /// All events before this checkpoint are in force.
+    pub fn acknowledge(&self, checkpoint: u64) {
+        self.acknowledged.store(checkpoint, Ordering::Release);
+        self.stopper.wake();
+    }
+
+    /// The controller's status, for the controller to update.
+    pub fn status(&self) -> MutexGuard<'_, ControllerStatus> {
+        lock(&self.status)
+    }
+}
+
+impl Drop for AdminServer {
+    fn drop(&mut self) {
+        self.stopper.stop();
+        if let Some(thread) = self.thread.take() {
+            let _ = thread.join();
+        }
+    }
+}
--- a/crates/administration/src/endpoint.rs
+++ b/crates/administration/src/endpoint.rs
@@ -1,21 +1,26 @@
-//! A small HTTP/1.1 listener on a thread of its own, for what is answered from memory at once.
+//! A small HTTP/1.1 listener with a thread of its own, for requests that are answered from memory at once.
 
 use std::io;
 use std::net::SocketAddr;
 use std::thread::JoinHandle;
 
 use nettleferry_net::http1::{Http1, Http1Limits, Reply, Request, Stop};
+use tracing::warn;
 
-/// The listener; it ends when this is dropped.
+/// The listener. Its thread is stopped and joined when this is dropped.
 pub struct Endpoint {
-    /// Where it listens.
+    /// The address that it listens on.
     pub local: SocketAddr,
     stop: Stop,
     thread: Option<JoinHandle<()>>,
 }
 
 impl Endpoint {
-    /// Listens; requests with a longer body are refused. `name`: the thread's, and the log's.
+    /// Listens, and answers each request by `answer`. A request whose body is longer than `body_bytes` is rejected.
+    /// `name` is that of the thread, and of the endpoint in the log.
+    ///
+    /// # Errors
+    /// The address cannot be listened on, or the thread cannot be started.
     pub fn start(
         listen: SocketAddr,
         body_bytes: usize,
@@ -26,7 +31,7 @@
         let (local, stop) = (server.local()?, server.stop());
         let thread = std::thread::Builder::new().name(name.to_owned()).spawn(move || {
             if let Err(error) = server.run(answer) {
-                tracing::warn!(%error, "the {name} endpoint has ended");
+                warn!(name, %error, "HTTP endpoint failed");
             }
         })?;
         Ok(Self { local, stop, thread: Some(thread) })
--- a/crates/administration/src/keys.rs
+++ b/crates/administration/src/keys.rs
@@ -1,5 +1,5 @@
-//! Bearer keys: a name and a secret, `NAME.SECRET`; the settings hold the secret's argon2 hash. A proof costs
-//! milliseconds, so that a secret that held is remembered, in memory alone, and those that fail are rationed.
+//! Bearer keys of the API: a name and a secret, `NAME.SECRET`. The settings hold the secret's argon2 hash. Verifying it
+//! costs milliseconds: a secret that was verified is remembered in memory, and attempts that fail are rate-limited.
 
 use std::collections::BTreeMap;
 use std::time::Instant;
@@ -11,76 +11,108 @@
 use nettleferry_config::settings::AdminKey;
 use rand::RngExt;
 
-/// Proofs that may fail in a second, and at once.
-const FAILURES: RateLimit = RateLimit { per_second: 2.0, burst: 20 };
-/// Characters of a secret: 190 bits.
-const SECRET: usize = 32;
+/// Failed verifications that are let through.
+const FAILURE_LIMIT: RateLimit = RateLimit { per_second: 2.0, burst: 20 };
+/// Characters of a generated secret: 190 bits.
+const SECRET_LENGTH: usize = 32;
+/// Characters that a generated secret consists of.
+const SECRET_CHARACTERS: &[u8] = b"abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789";
+const MICROS_PER_SECOND: u64 = 1_000_000;
 
-/// All keys.
-pub struct Keys {
+/// The keys of an API, and which secrets were verified.
+pub struct KeyRing {
     keys: BTreeMap<String, AdminKey>,
-    /// The secret that proved a key last.
-    proven: BTreeMap<String, String>,
+    /// By key name: the secret that was verified last.
+    verified: BTreeMap<String, String>,
     failures: Gcra,
     start: Instant,
 }
 
-impl Keys {
-    /// Keys of the settings.
+impl KeyRing {
+    /// The keys of the settings.
     pub fn new(keys: &[AdminKey]) -> Self {
-        let keys = keys.iter().map(|k| (k.name.clone(), k.clone())).collect();
-        let (proven, failures) = (BTreeMap::new(), Gcra::new(FAILURES));
-        Self { keys, proven, failures, start: Instant::now() }
+        Self {
+            keys: keys.iter().map(|key| (key.name.clone(), key.clone())).collect(),
+            verified: BTreeMap::new(),
+            failures: Gcra::new(FAILURE_LIMIT),
+            start: Instant::now(),
+        }
     }
 
-    /// Who sends this Authorization header.
-    pub fn prove(&mut self, authorization: Option<&str>) -> Result<Caller, Problem> {
-        let wrong = |what: &str| Problem::new(401, "unauthorized", what);
-        let Some(told) = authorization else {
-            return Err(wrong("send Authorization: Bearer NAME.SECRET"));
-        };
-        let token =
-            told.strip_prefix("Bearer ").ok_or_else(|| wrong("Authorization is to be Bearer NAME.SECRET"))?;
-        let (name, secret) = token.rsplit_once('.').ok_or_else(|| wrong("a key is NAME.SECRET"))?;
-        let now = self.start.elapsed().as_micros() as u64;
-        if self.proven.get(name).is_none_or(|proven| !same(proven, secret)) {
-            if let Err(exceeded) = self.failures.check(now) {
-                let seconds = exceeded.retry_after.map(|us| us.div_ceil(1_000_000));
-                let what = "too many keys were wrong; wait a moment";
-                return Err(Problem {
-                    retry_after: seconds,
-                    ..Problem::new(429, "too-many-wrong-keys", what)
-                });
-            }
-            let sound = self.keys.get(name).is_some_and(|key| {
-                PasswordHash::new(&key.hash)
-                    .is_ok_and(|hash| Argon2::default().verify_password(secret.as_bytes(), &hash).is_ok())
-            });
-            if !sound {
-                self.failures.record();
-                return Err(wrong("there is no such key"));
-            }
-            self.proven.insert(name.to_owned(), secret.to_owned());
+    /// The caller whom this `Authorization` header names.
+    ///
+    /// # Errors
+    /// 401: there is no such key; 429: too many attempts have failed lately.
+    pub fn authenticate(&mut self, authorization: Option<&str>) -> Result<Caller, Problem> {
+        let (name, secret) = credentials(authorization)?;
+        if self.verified.get(name).is_none_or(|verified| !equal_in_constant_time(verified, secret)) {
+            self.verify(name, secret)?;
         }
-        let role = self.keys.get(name).and_then(|k| Role::named(&k.role));
-        let role = role.ok_or_else(|| wrong("there is no such key"))?;
+        let role = self.keys.get(name).and_then(|key| Role::named(&key.role)).ok_or_else(no_such_key)?;
         Ok(Caller { name: name.to_owned(), role })
     }
+
+    fn verify(&mut self, name: &str, secret: &str) -> Result<(), Problem> {
+        let now = self.start.elapsed().as_micros() as u64;
+        if let Err(exceeded) = self.failures.check(now) {
+            let retry_after = exceeded.retry_after.map(|us| us.div_ceil(MICROS_PER_SECOND));
+            let problem = Problem::new(429, "too-many-wrong-keys", "too many keys were wrong; wait a moment");
+            return Err(Problem { retry_after, ..problem });
+        }
+        let matches = |key: &AdminKey| {
+            PasswordHash::new(&key.hash)
+                .is_ok_and(|hash| Argon2::default().verify_password(secret.as_bytes(), &hash).is_ok())
+        };
+        if !self.keys.get(name).is_some_and(matches) {
+            self.failures.record();
+            return Err(no_such_key());
+        }
+        self.verified.insert(name.to_owned(), secret.to_owned());
+        Ok(())
+    }
+}
+
+/// Key name and secret of an `Authorization` header.
+fn credentials(authorization: Option<&str>) -> Result<(&str, &str), Problem> {
+    let header = authorization.ok_or_else(|| unauthorized("send Authorization: Bearer NAME.SECRET"))?;
+    let token = header
+        .strip_prefix("Bearer ")
+        .ok_or_else(|| unauthorized("Authorization is to be Bearer NAME.SECRET"))?;
+    token.rsplit_once('.').ok_or_else(|| unauthorized("a key is NAME.SECRET"))
+}
+
+fn unauthorized(detail: &str) -> Problem {
+    Problem::new(401, "unauthorized", detail)
+}
+
+fn no_such_key() -> Problem {
+    unauthorized("there is no such key")
+}
+
+/// Compares in a time that does not tell where two secrets of one length differ.
+fn equal_in_constant_time(a: &str, b: &str) -> bool {
+    a.len() == b.len() && a.bytes().zip(b.bytes()).fold(0, |difference, (x, y)| difference | (x ^ y)) == 0
 }
 
-/// Compares without telling by its time where they differ.
-fn same(a: &str, b: &str) -> bool {
-    a.len() == b.len() && a.bytes().zip(b.bytes()).fold(0, |sum, (x, y)| sum | (x ^ y)) == 0
+/// A new key.
+#[derive(Clone, Debug)]
+pub struct GeneratedKey {
+    /// What its holder sends: `NAME.SECRET`.
+    pub token: String,
+    /// The secret's argon2 hash, for the settings.
+    pub hash: String,
 }
 
-/// A new key: the token for its holder, and the hash for the settings.
-pub fn make(name: &str) -> Result<(String, String), String> {
-    const LETTERS: &[u8] = b"abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789";
+/// Generates a key of this name.
+///
+/// # Errors
+/// The secret cannot be hashed.
+pub fn generate(name: &str) -> Result<GeneratedKey, argon2::password_hash::Error> {
     let mut random = rand::rng();
-    let secret: String =
-        (0..SECRET).map(|_| char::from(LETTERS[random.random_range(0..LETTERS.len())])).collect();
-    let hash = Argon2::default().hash_password(secret.as_bytes()).map_err(|e| e.to_string())?;
-    Ok((format!("{name}.{secret}"), hash.to_string()))
+    let mut character = || char::from(SECRET_CHARACTERS[random.random_range(0..SECRET_CHARACTERS.len())]);
+    let secret: String = (0..SECRET_LENGTH).map(|_| character()).collect();
+    let hash = Argon2::default().hash_password(secret.as_bytes())?;
+    Ok(GeneratedKey { token: format!("{name}.{secret}"), hash: hash.to_string() })
 }
 
 #[cfg(test)]
--- /dev/null
+++ b/crates/administration/src/leader/server_loop.rs
@@ -0,0 +1,306 @@
+//! The leader's server loop: answers the API's requests, and does what is due between them. The order matters: a change
+//! is durable before it is sent to the controller, and sent before its response; what a response confirms is logged
+//! before the response leaves.
+
+use std::path::PathBuf;
+use std::time::{Duration, Instant};
+
+use nettleferry_admin::api::{Api, StoreIdentity};
+use nettleferry_admin::{Answer, Caller, Problem, Request};
+use nettleferry_fleet::Millis;
+use nettleferry_fleet::lease::ends;
+use nettleferry_fleet::membership::Version;
+use nettleferry_net::http1::{self, Disposition, Stop};
+use nettleferry_tenancy::Revision;
+use tracing::{error, info, warn};
+
+use super::context::LeaderContext;
+use super::lease_span::LeaseSpanFile;
+use super::peer_polling::PeerPolling;
+use super::recovery::Decision;
+use super::snapshot_writer::SnapshotWriter;
+use super::store::{StoreHandle, identity, wall_ms};
+use crate::applied_versions::AppliedVersions;
+use crate::http_reply::{problem_reply, reply};
+use crate::keys::KeyRing;
+use crate::messages::AdminEvent;
+use crate::pending_changes::{ChangeResponse, CommittedChange, PendingChanges};
+use crate::snapshot_document::{SnapshotDocument, version_of};
+
+/// The leader's own controller borrows at most this often, in milliseconds.
+const OWN_LOAN_INTERVAL: Millis = 500;
+/// The leader's own controller gets a reading of the leader's clock at most this often, in milliseconds.
+const OWN_CLOCK_INTERVAL: Millis = 1_000;
+
+/// The state of the leader's thread.
+pub(super) struct Leader {
+    pub(super) api: Api<StoreHandle>,
+    pub(super) keys: KeyRing,
+    pub(super) context: LeaderContext,
+    pub(super) versions: AppliedVersions,
+    pub(super) changes: PendingChanges,
+    pub(super) lease_span: LeaseSpanFile,
+    pub(super) store_path: PathBuf,
+    pub(super) snapshot_writer: SnapshotWriter,
+    /// The revision that was sent to the controller.
+    pub(super) sent_revision: Revision,
+    /// When the controller got a reading of the leader's clock last; 0: never.
+    pub(super) clock_sent_at: Millis,
+    /// When the controller borrowed last.
+    pub(super) own_loans_at: Millis,
+    /// Wakes requests that wait.
+    pub(super) wake: Stop,
+    pub(super) peers: PeerPolling,
+}
+
+impl Leader {
+    /// Answers a request. `waited`: how long it has waited already.
+    pub(super) fn handle(&mut self, request: &http1::Request<'_>, waited: Duration) -> Disposition {
+        let caller = match self.keys.authenticate(request.header("authorization")) {
+            Ok(caller) => caller,
+            Err(problem) => return Disposition::Reply(problem_reply(&problem)),
+        };
+        self.update_own_in_force();
+        match request.ticket {
+            Some(ticket) => self.resume_change(ticket),
+            None => self.handle_new(request, &caller, waited),
+        }
+    }
+
+    fn handle_new(&mut self, request: &http1::Request<'_>, caller: &Caller, waited: Duration) -> Disposition {
+        let request = api_request(request);
+        let now = wall_ms();
+        self.context.served.revision = self.api.snapshot().revision();
+        let answer = self.api.answer(&request, caller, &mut self.context, now, waited);
+        self.install_decision();
+        self.publish_changes();
+        self.wake_ready_changes();
+        match answer {
+            Answer::Ready(response) => Disposition::Reply(reply(response)),
+            Answer::Wait(span) => Disposition::Wait(span),
+            Answer::Committed { response, revision, restricts } => {
+                let version = Version { epoch: self.context.served.epoch, revision };
+                self.update_own_in_force();
+                let fleet = self.context.members.fleet_state(self.context.now());
+                let change = CommittedChange { response, version, restricts };
+                let turn = into_reply(self.changes.committed(&fleet, change));
+                self.log_confirmed_changes();
+                turn
+            }
+        }
+    }
+
+    fn resume_change(&mut self, ticket: u64) -> Disposition {
+        let fleet = self.context.members.fleet_state(self.context.now());
+        let response = self.changes.resume(&fleet, ticket);
+        let turn = response.map_or_else(|| Disposition::Reply(problem_reply(&abandoned())), into_reply);
+        self.log_confirmed_changes();
+        turn
+    }
+
+    /// Logs the changes that a response confirms to be in force everywhere, before the response leaves.
+    fn log_confirmed_changes(&mut self) {
+        for version in self.changes.take_confirmed() {
+            let now = self.context.now();
+            if let Some(audit) = &mut self.context.audit {
+                audit.change_in_force_everywhere(now, version);
+            }
+        }
+    }
+
+    fn update_own_in_force(&mut self) {
+        let in_force = self.versions.in_force();
+        self.context.members.set_own_in_force(in_force);
+    }
+
+    /// Asks again for responses that wait, as soon as one is ready.
+    fn wake_ready_changes(&mut self) {
+        self.update_own_in_force();
+        if self.changes.is_any_ready(&self.context.members.fleet_state(self.context.now())) {
+            self.wake.wake();
+        }
+    }
+
+    /// Does what is due. Returns how long until something will be.
+    pub(super) fn tick(&mut self) -> Option<Duration> {
+        let wall = wall_ms();
+        self.take_peer_responses();
+        self.install_decision();
+        if let Err(error) = self.api.store().heal() {
+            warn!(%error, "tenant store can't be used yet");
+        }
+        // Removals become due only where the snapshot may change.
+        if self.context.recovery.is_serving() {
+            self.api.remove_expired(wall);
+        }
+        self.publish_changes();
+        if self.snapshot_writer.is_due() {
+            self.write_snapshot();
+        }
+        let removal = self.next_removal(wall);
+        let write = self.snapshot_writer.time_left();
+        let round = if self.context.recovery.is_serving() { None } else { self.peers.poll() };
+        let now = self.context.now();
+        self.changes.remove_abandoned(now);
+        self.context.publish_counts(now);
+        self.grant_own_loans(now);
+        self.collect_audit_entries(now);
+        self.wake_ready_changes();
+        let change = self.changes.next_due(&self.context.members.fleet_state(self.context.now()));
+        let lease_span = self.lease_span.write_own_span(now, self.context.members.earlier_leases_over());
+        let wait_until = |at: Millis| Duration::from_millis(at.saturating_sub(now).max(1));
+        let due = [change, lease_span].into_iter().flatten().map(wait_until);
+        [removal, write, round].into_iter().flatten().chain(due).min()
+    }
+
+    /// How long until a tenant's removal is due.
+    fn next_removal(&self, wall: Millis) -> Option<Duration> {
+        let due = self.api.snapshot().next_removal()?;
+        let wait = Duration::from_millis(due.saturating_sub(wall).max(1));
+        Some(wait).filter(|_| self.context.recovery.is_serving())
+    }
+
+    /// Sends the changes since the last time to the controller, and wakes those who wait for one.
+    fn publish_changes(&mut self) {
+        let snapshot = self.api.snapshot();
+        if self.sent_revision == snapshot.revision() {
+            return;
+        }
+        let StoreIdentity { name, epoch } = self.api.identity();
+        let now = self.context.now();
+        self.context.recovery.own_changed(now, version_of(name, *epoch, snapshot));
+        match self.api.entries(self.sent_revision) {
+            Ok(entries) => {
+                for entry in entries {
+                    info!(revision = entry.revision, who = %entry.actor, action = ?entry.action, tenant = %entry.tenant, "tenant changed");
+                    self.sent_revision = entry.revision;
+                    let (now, epoch) = (self.context.now(), self.context.served.epoch);
+                    if let Some(audit) = &mut self.context.audit {
+                        audit.change_accepted(now, epoch, &entry);
+                    }
+                    self.context.link.send(AdminEvent::TenantChanged(Box::new(entry)));
+                }
+            }
+            Err(error) => warn!(%error, "changes can't be read back"),
+        }
+        self.send_checkpoint(Version { epoch: self.context.served.epoch, revision: self.sent_revision });
+        self.wake.wake();
+        self.snapshot_writer.schedule();
+    }
+
+    /// The controller acknowledges this once it has all that was sent in force.
+    fn send_checkpoint(&mut self, version: Version) {
+        let checkpoint = self.versions.sent(version);
+        self.context.link.send(AdminEvent::Checkpoint(checkpoint));
+    }
+
+    /// The leader's own controller borrows like any other, without a network between.
+    fn grant_own_loans(&mut self, now: Millis) {
+        let borrower = self.context.own_incarnation();
+        let span = self.context.members.lease_span();
+        let (Some(loans), Some(span)) = (&mut self.context.loans, span) else { return };
+        if now < self.own_loans_at + OWN_LOAN_INTERVAL {
+            return;
+        }
+        self.own_loans_at = now;
+        loans.remove_unused(now);
+        let demands = self.context.link.status().recent_demands();
+        if demands.is_empty() {
+            return;
+        }
+        let asked = Instant::now();
+        let period = LeaderContext::loan_period(now, span);
+        let loans = loans.grant(period, self.api.snapshot(), borrower, &demands);
+        let until = asked + Duration::from_millis(ends(0, span));
+        self.context.link.send(AdminEvent::LoansGranted { until, loans });
+    }
+
+    /// Collects new audit entries, and sends the controller a reading of this clock now and then.
+    fn collect_audit_entries(&mut self, now: Millis) {
+        let earliest = Instant::now();
+        let Some(audit) = &mut self.context.audit else { return };
+        audit.collect();
+        if now >= self.clock_sent_at + OWN_CLOCK_INTERVAL || self.clock_sent_at == 0 {
+            self.clock_sent_at = now.max(1);
+            let (latest, incarnation) = (Instant::now(), self.context.identity.incarnation);
+            self.context.link.send(AdminEvent::LeaderClock { earliest, latest, incarnation, at_ms: now });
+        }
+    }
+
+    fn take_peer_responses(&mut self) {
+        for state in self.peers.responses() {
+            let Some(controller) = state.controller else { continue };
+            let now = self.context.now();
+            match state.snapshot {
+                Ok(Some(document)) => self.context.recovery.snapshot_offered(now, controller, document),
+                Ok(None) => self.context.recovery.version_reported(now, controller, None),
+                Err(_) => {}
+            }
+        }
+    }
+
+    /// Installs the snapshot that all agree on, or that an operator has decided on.
+    fn install_decision(&mut self) {
+        if let Some(decision) = self.context.recovery.take_decision() {
+            self.install(decision);
+        }
+        self.log_duty();
+    }
+
+    /// Logs whether a snapshot counts, and wakes those who wait for that.
+    pub(super) fn log_duty(&mut self) {
+        if self.context.recovery.log_duty() {
+            self.wake.wake();
+        }
+    }
+
+    fn install(&mut self, Decision { snapshot, origin }: Decision) {
+        if let Err(error) = self.api.store().install(&self.store_path, &snapshot, &origin) {
+            error!(%error, "snapshot that was decided on can't be stored and is not installed");
+            return;
+        }
+        let store = self.api.store().take();
+        self.api.replace(snapshot.clone(), store, identity(&origin));
+        let (now, revision, epoch) = (self.context.now(), snapshot.revision(), origin.epoch);
+        info!(revision, epoch, store = %origin.store, "snapshot installed, it is authoritative now");
+        self.context.recovery.installed(now, version_of(&origin.store, epoch, &snapshot));
+        self.sent_revision = revision;
+        self.context.served.epoch = epoch;
+        let document = SnapshotDocument { controller: None, store: origin.store, epoch, snapshot };
+        self.context.link.send(AdminEvent::SnapshotReplaced(Box::new(document)));
+        self.send_checkpoint(Version { epoch, revision });
+        self.snapshot_writer.schedule_now();
+        self.wake.wake();
+    }
+
+    /// Writes the snapshot beside the store, unless it was written already.
+    pub(super) fn write_snapshot(&mut self) {
+        let owns_store = self.context.recovery.owns_snapshot();
+        self.snapshot_writer.write(self.api.snapshot(), self.api.identity(), owns_store);
+    }
+}
+
+/// The API's view of an HTTP request.
+fn api_request<'a>(request: &'a http1::Request<'_>) -> Request<'a> {
+    let content_type = request.header("content-type").map(|kind| kind.split(';').next().unwrap_or("").trim());
+    Request {
+        method: request.method,
+        target: request.target,
+        content_type,
+        if_match: request.header("if-match"),
+        idempotency_key: request.header("idempotency-key"),
+        body: request.body,
+    }
+}
+
+fn into_reply(response: ChangeResponse) -> Disposition {
+    match response {
+        ChangeResponse::Ready(response) => Disposition::Reply(reply(response)),
+        ChangeResponse::Wait { timeout, ticket } => Disposition::Park(Duration::from_millis(timeout), ticket),
+    }
+}
+
+/// The response was given up before it was asked for.
+fn abandoned() -> Problem {
+    Problem::new(503, "not-told", "the change was made; what became of it is at GET /v1/fleet/change")
+}
--- a/crates/gateway/benches/measure.rs
+++ b/crates/gateway/benches/measure.rs
@@ -7,7 +7,7 @@
 mod isolation;
 #[path = "outage.rs"]
 mod outage;
-use common::desk::{Http, code, key};
+use common::admin_client::{AdminClient, code, key};
 use common::*;
 
 use std::alloc::System;
@@ -313,16 +313,16 @@
         let admin = format!(
             "(admin (listen \"127.0.0.1:0\") (store \"tenants.redb\") (lease {lease}) {line} {fleet_line})"
         );
-        let desk = serve(&format!("{SETTINGS}{admin}"), "");
-        let api = desk.line("listening admin ");
-        let http = Http { api, token };
+        let leader = serve(&format!("{SETTINGS}{admin}"), "");
+        let api = leader.line("listening admin ");
+        let http = AdminClient { api, token };
         let (status, told) = http.ask("POST", "/v1/tenants", "", "{\"name\":\"a\"}");
         assert_eq!(status, 201, "{told}");
         let dir = tempfile::tempdir().expect("a folder");
         std::fs::write(dir.path().join("workers.sexp"), fleet.list()).expect("written");
         std::fs::write(dir.path().join("key"), &fleet_token).expect("written");
         let admin = format!("(admin (follow \"{api}\") (key-file \"key\") (kept \"kept.json\") {trail})");
-        (desk, serve_in(dir, &format!("{settings}{admin}(controller (number 1) (of 2))"), None))
+        (leader, serve_in(dir, &format!("{settings}{admin}(controller (number 1) (of 2))"), None))
     };
     let (_one, with) = follower("6s", "(without-lease refuse) (trail (folder \"trail\"))");
     let (_two, without) = follower("0s", "");
@@ -377,8 +377,8 @@
     };
     let ((token, line), (fleet_token, fleet_line)) = (key("ada", "admin"), key("fleet", "controller"));
     let admin = format!("(admin (listen \"127.0.0.1:0\") (store \"tenants.redb\") {line} {fleet_line})");
-    let desk = serve(&format!("{SETTINGS}{admin}"), "");
-    let api = desk.line("listening admin ");
+    let leader = serve(&format!("{SETTINGS}{admin}"), "");
+    let api = leader.line("listening admin ");
     let all: Vec<Program> = (1..=followers)
         .map(|n| {
             let dir = tempfile::tempdir().expect("a folder");
--- a/crates/gateway/src/audit_log.rs
+++ b/crates/gateway/src/audit_log.rs
@@ -1,4 +1,4 @@
-//! Names for the numbers of the audit log at this controller.
+//! Names for the numbers that the audit log counts by at this controller.
 
 use nettleferry::{TenantId, WorkerId};
 use nettleferry_audit_log::recorder::NameResolver;
@@ -6,18 +6,20 @@
 
 use crate::tenants::Tenants;
 
-/// Calls that name no tenant are counted under this number.
-pub const NOBODY: u64 = u64::MAX;
+/// The tenant number under which calls without a tenant are counted.
+pub(crate) const NO_TENANT: u64 = u64::MAX;
 
-/// Who is who at this controller.
-pub struct Known<'a> {
-    pub tenants: Option<&'a Tenants>,
-    pub engine: &'a Engine,
+/// The names of tenants and workers.
+pub(crate) struct ControllerNames<'a> {
+    /// The administration's tenants; `None`: there is no administration.
+    pub(crate) tenants: Option<&'a Tenants>,
+    /// Knows the workers.
+    pub(crate) engine: &'a Engine,
 }
 
-impl NameResolver for Known<'_> {
+impl NameResolver for ControllerNames<'_> {
     fn tenant(&self, id: u64) -> String {
-        if id == NOBODY {
+        if id == NO_TENANT {
             return "(none)".to_owned();
         }
         let name = self.tenants.and_then(|tenants| tenants.name(TenantId(id as usize)));
--- a/crates/gateway/src/call_steps.rs
+++ b/crates/gateway/src/call_steps.rs
@@ -18,7 +18,7 @@
             count_for_limiter(limiter, now, &phase);
         }
         if let Some(tenants) = &mut tenants {
-            tenants.step(now, phase);
+            tenants.record_step(now, phase);
         }
     }
 }
--- a/crates/gateway/src/commands/admin/mod.rs
+++ b/crates/gateway/src/commands/admin/mod.rs
@@ -11,6 +11,7 @@
 mod table;
 
 use clap::Args;
+use nettleferry_administration::keys::{self, GeneratedKey};
 
 use super::console::announce;
 use super::error::CommandError;
@@ -49,7 +50,8 @@
 }
 
 fn make_key(name: &str, role: &str) -> Result<(), CommandError> {
-    let (token, hash) = nettleferry_administration::make_key(name).map_err(CommandError::KeyHash)?;
+    let GeneratedKey { token, hash } =
+        keys::generate(name).map_err(|error| CommandError::KeyHash(error.to_string()))?;
     announce(&format!("token: {token}"))?;
     announce(&format!("settings: (key {name} {role} \"{hash}\")"))
 }
--- a/crates/gateway/src/commands/fleet/audit.rs
+++ b/crates/gateway/src/commands/fleet/audit.rs
@@ -3,7 +3,7 @@
 
 use std::path::Path;
 
-use nettleferry_administration::ADMINISTRATION;
+use nettleferry_administration::{ADMINISTRATION_LOG, audit_log_writer};
 use nettleferry_audit_log::chain::{self, ChainError, CheckedLog};
 use nettleferry_audit_log::{Audit, Report};
 use serde_json::{Value, json};
@@ -63,7 +63,7 @@
 pub(super) fn report(fetched: &FetchedLogs) -> Report {
     let mut audit = Audit::default();
     for FetchedLog { source, checked } in &fetched.logs {
-        if source == ADMINISTRATION {
+        if source == ADMINISTRATION_LOG {
             audit.add_leader(fetched.leader, &checked.entries);
         } else {
             audit.add_controller(fetched.leader, &checked.entries, false);
@@ -86,7 +86,7 @@
 pub(super) fn verify(folder: Option<&Path>, api: &Api) -> Result<Verified, CommandError> {
     let logs = match folder {
         Some(folder) => {
-            let checked = nettleferry_administration::trail::read(folder.to_owned())?;
+            let checked = audit_log_writer::read(folder.to_owned())?;
             vec![FetchedLog { source: folder.display().to_string(), checked }]
         }
         None => fetch(&mut Client::new(api)?)?.logs,
--- a/crates/gateway/src/controller/administration.rs
+++ b/crates/gateway/src/controller/administration.rs
@@ -4,7 +4,7 @@
 use std::time::Instant;
 
 use nettleferry::{ListForm, TenantId};
-use nettleferry_administration::{Lent, Told, Whole};
+use nettleferry_administration::{AdminEvent, LoanGrant, SnapshotDocument};
 use nettleferry_audit_log::Event as AuditEvent;
 use nettleferry_audit_log::clock::ClockExchange;
 use nettleferry_engine::Event;
@@ -18,7 +18,7 @@
     /// Applies what the administration has sent since the last time.
     pub(super) fn handle_admin_events(&mut self) {
         let Some(server) = &self.admin_server else { return };
-        let events: Vec<Told> = server.told().collect();
+        let events: Vec<AdminEvent> = server.events().collect();
         for event in events {
             self.handle_admin_event(event);
         }
@@ -26,28 +26,30 @@
         self.refresh();
     }
 
-    fn handle_admin_event(&mut self, event: Told) {
+    fn handle_admin_event(&mut self, event: AdminEvent) {
         match event {
-            Told::Changed(change) => self.apply_tenant_change(&change),
-            Told::Began(snapshot) => self.apply_snapshot(*snapshot),
-            Told::Heard { asked, answered, by, at } => {
+            AdminEvent::TenantChanged(change) => self.apply_tenant_change(&change),
+            AdminEvent::SnapshotReplaced(document) => self.apply_snapshot(*document),
+            AdminEvent::LeaderClock { earliest, latest, incarnation, at_ms } => {
                 let exchange = ClockExchange {
-                    sent: self.clock.at(asked) / 1000,
-                    received: self.clock.at(answered).div_ceil(1000),
-                    leader_time: at,
+                    sent: self.clock.at(earliest) / 1000,
+                    received: self.clock.at(latest).div_ceil(1000),
+                    leader_time: at_ms,
                 };
-                self.record(|recorder, _, _| recorder.clock_exchange(by, exchange));
+                self.record(|recorder, _, _| recorder.clock_exchange(incarnation, exchange));
             }
-            Told::Mark(mark) => self.admin_server.iter().for_each(|server| server.applied(mark)),
-            Told::Leased { until, place } => self.renew_lease(until, place),
-            Told::Lent { until, loans } => self.apply_loans(until, loans),
-            Told::Fenced => {
+            AdminEvent::Checkpoint(checkpoint) => {
+                self.admin_server.iter().for_each(|server| server.acknowledge(checkpoint));
+            }
+            AdminEvent::LeaseRenewed { until, fencing_token } => self.renew_lease(until, fencing_token),
+            AdminEvent::LoansGranted { until, loans } => self.apply_loans(until, loans),
+            AdminEvent::Fenced => {
                 if let Some(lease) = &mut self.lease {
                     lease.fence();
                 }
                 self.record(|recorder, now, names| recorder.event(now, AuditEvent::Fenced, names));
             }
-            Told::Drained(workers) => self.apply_drained_workers(workers),
+            AdminEvent::WorkersDrained(workers) => self.apply_drained_workers(workers),
         }
     }
 
@@ -63,11 +65,11 @@
         });
     }
 
-    fn apply_snapshot(&mut self, snapshot: Whole) {
+    fn apply_snapshot(&mut self, document: SnapshotDocument) {
         self.close_audit_entry();
-        let removed = self.tenants.as_mut().map(|tenants| tenants.begin_anew(&snapshot.book));
+        let removed = self.tenants.as_mut().map(|tenants| tenants.replace(&document.snapshot));
         self.remove_tenants(removed.into_iter().flatten());
-        self.snapshot_source = SnapshotSource { store: snapshot.store, epoch: snapshot.epoch };
+        self.snapshot_source = SnapshotSource { store: document.store, epoch: document.epoch };
         self.record_view();
     }
 
@@ -96,12 +98,12 @@
         }
     }
 
-    fn apply_loans(&mut self, until: Instant, loans: Vec<Lent>) {
+    fn apply_loans(&mut self, until: Instant, loans: Vec<LoanGrant>) {
         // Our clock is read first, as for leases.
         let now = self.clock.now();
         let remaining = until.saturating_duration_since(Instant::now()).as_micros() as u64;
         if let Some(tenants) = &mut self.tenants {
-            tenants.lend(now, now + remaining, loans);
+            tenants.grant_loans(now, now + remaining, loans);
         }
     }
 
--- a/crates/gateway/src/controller/audit.rs
+++ b/crates/gateway/src/controller/audit.rs
@@ -4,14 +4,14 @@
 use nettleferry_tenancy::{Entry, Tenant};
 
 use super::{AuditLog, Controller};
-use crate::audit_log::Known;
+use crate::audit_log::ControllerNames;
 use crate::tenants::Tenants;
 
 impl Controller {
     /// Enters something into the audit log. `entry` gets the recorder, the time in milliseconds, and names for numbers.
-    pub(super) fn record(&mut self, entry: impl FnOnce(&mut Recorder, u64, &Known)) {
+    pub(super) fn record(&mut self, entry: impl FnOnce(&mut Recorder, u64, &ControllerNames)) {
         if let Some(audit_log) = &mut self.audit_log {
-            let names = Known { tenants: self.tenants.as_ref(), engine: &self.engine };
+            let names = ControllerNames { tenants: self.tenants.as_ref(), engine: &self.engine };
             entry(&mut audit_log.recorder, self.clock.now_ms(), &names);
         }
     }
@@ -23,8 +23,8 @@
 
     /// Hands recorded entries to the thread that writes them.
     pub(super) fn write_audit_log(&mut self) {
-        if let Some(AuditLog { recorder, log }) = &mut self.audit_log {
-            log.hand_on(recorder);
+        if let Some(AuditLog { recorder, writer }) = &mut self.audit_log {
+            writer.submit(recorder);
         }
     }
 
--- a/crates/gateway/src/controller/mod.rs
+++ b/crates/gateway/src/controller/mod.rs
@@ -25,9 +25,9 @@
 use std::time::Duration;
 
 use nettleferry::Micros;
-use nettleferry_administration::Desk;
+use nettleferry_administration::AdminServer;
+use nettleferry_administration::audit_log_writer::AuditLogWriter;
 use nettleferry_administration::endpoint::Endpoint;
-use nettleferry_administration::trail::Log;
 use nettleferry_audit_log::Recorder;
 use nettleferry_config::{Config, Worker};
 use nettleferry_engine::{Command, Engine, Event};
@@ -101,10 +101,10 @@
     final_counters: gate::Counters,
 }
 
-/// The recorder of entries of the audit log, and the log that writes them.
+/// The recorder of entries of the audit log, and their writer.
 struct AuditLog {
     recorder: Recorder,
-    log: Log,
+    writer: AuditLogWriter,
 }
 
 /// A controller of the gateway.
@@ -130,7 +130,7 @@
     /// How many worker lists were applied.
     list_version: u64,
     tenants: Option<Tenants>,
-    admin_server: Option<Desk>,
+    admin_server: Option<AdminServer>,
     /// Names of the workers that are drained through the administration.
     drained_workers: BTreeSet<String>,
     /// The newest worker list, as its source gave it.
--- a/crates/gateway/src/controller/startup.rs
+++ b/crates/gateway/src/controller/startup.rs
@@ -9,9 +9,9 @@
 
 use mio::Interest;
 use nettleferry::{ListForm, Micros};
-use nettleferry_administration::Desk;
+use nettleferry_administration::audit_log_writer::AuditLogWriter;
 use nettleferry_administration::endpoint::Endpoint;
-use nettleferry_administration::trail::Log;
+use nettleferry_administration::{AdminServer, ControllerContext};
 use nettleferry_audit_log::Recorder;
 use nettleferry_config::Config;
 use nettleferry_config::settings::{self, AdminSettings, GatePolicy};
@@ -186,14 +186,14 @@
     audit_log: Option<AuditLog>,
     snapshot_source: SnapshotSource,
     tenants: Option<Tenants>,
-    server: Option<Desk>,
+    server: Option<AdminServer>,
 }
 
 impl Administration {
     fn start(config: &Config, admin: &AdminSettings, clock: Clock, hub: &Hub) -> io::Result<Self> {
         let audit_log = start_audit_log(config, admin, clock)?;
         let server = start_admin_server(config, admin, hub, audit_log.as_ref())?;
-        let snapshot = server.book.as_ref();
+        let snapshot = server.snapshot.as_ref();
         let snapshot_source = snapshot.map_or_else(SnapshotSource::default, |snapshot| SnapshotSource {
             store: snapshot.store.clone(),
             epoch: snapshot.epoch,
@@ -206,12 +206,12 @@
 
 fn start_audit_log(config: &Config, admin: &AdminSettings, clock: Clock) -> io::Result<Option<AuditLog>> {
     let Some(settings) = &admin.audit_log else { return Ok(None) };
-    let (log, tail) = Log::start(settings.folder.clone(), settings.bytes)?;
+    let (writer, tail) = AuditLogWriter::start(settings.folder.clone(), settings.bytes)?;
     // 0 means that there is no incarnation.
     let incarnation = rand::random::<u64>().max(1);
     let program = env!("CARGO_PKG_VERSION");
     let recorder = Recorder::new(clock.now_ms(), incarnation, config.settings.me, program, tail);
-    Ok(Some(AuditLog { recorder, log }))
+    Ok(Some(AuditLog { recorder, writer }))
 }
 
 fn start_admin_server(
@@ -219,25 +219,29 @@
     admin: &AdminSettings,
     hub: &Hub,
     audit_log: Option<&AuditLog>,
-) -> io::Result<Desk> {
-    let held = audit_log.map(|audit_log| audit_log.log.held());
-    let longest_deadline_ms =
-        config.settings.classes.iter().map(|class| class.deadline / 1000).max().unwrap_or(0);
-    let identity = (config.settings.me, config.settings.controllers, longest_deadline_ms);
-    Desk::start(admin, identity, hub.waker(), held)
+) -> io::Result<AdminServer> {
+    let deadlines_ms = config.settings.classes.iter().map(|class| class.deadline / 1000);
+    let controller = ControllerContext {
+        number: config.settings.me,
+        controllers: config.settings.controllers,
+        max_deadline_ms: deadlines_ms.max().unwrap_or(0),
+        waker: hub.waker(),
+        audit_entries: audit_log.map(|audit_log| audit_log.writer.recent()),
+    };
+    AdminServer::start(admin, controller)
 }
 
-fn create_tenants(config: &Config, admin: &AdminSettings, clock: Clock, server: &Desk) -> Tenants {
+fn create_tenants(config: &Config, admin: &AdminSettings, clock: Clock, server: &AdminServer) -> Tenants {
     let loan_terms = LoanConfig { controllers: config.settings.controllers.max(1), reserve: admin.reserve };
     let first_id = config.tenants.len();
     let mut tenants =
         Tenants::new(first_id, &config.classes, admin.anonymous, admin.queue_length, loan_terms);
-    match &server.book {
+    match &server.snapshot {
         Some(snapshot) => {
-            tenants.begin(&snapshot.book);
-            tenants.spend(clock.now());
+            tenants.load(&snapshot.snapshot);
+            tenants.exhaust_rates(clock.now());
         }
-        None => tenants.blind(),
+        None => tenants.set_without_snapshot(),
     }
     tenants
 }
--- a/crates/gateway/src/controller/status.rs
+++ b/crates/gateway/src/controller/status.rs
@@ -45,16 +45,18 @@
 
     fn publish_status(&mut self) {
         let (Some(tenants), Some(server)) = (&mut self.tenants, &self.admin_server) else { return };
-        self.observer.turned(tenants.turned());
-        let mut status = server.shown();
-        if tenants.lends()
-            && let Some(demands) = tenants.demands(self.clock.now())
+        self.observer.turned(tenants.rejections());
+        let mut status = server.status();
+        if tenants.uses_loans()
+            && let Some(demands) = tenants.measure_demands(self.clock.now())
         {
-            (status.demands, status.measured) = (demands, Some(Instant::now()));
+            status.demands = demands;
+            status.demands_measured_at = Some(Instant::now());
         }
         status.revision = tenants.revision();
-        self.observer.lives(status.lives_behind, status.lives_fenced, status.book_waits);
-        tenants.show(&mut status.usage);
+        let fleet = status.fleet;
+        self.observer.lives(fleet.incarnations_behind, fleet.incarnations_fenced, fleet.recovery_pending);
+        tenants.publish_usage(&mut status.usage);
         if std::mem::take(&mut self.list_changed) {
             let worker = |worker| published_worker(worker, &self.drained_workers);
             status.workers = self.listed_workers.iter().map(worker).collect();
--- a/crates/gateway/src/front/accept.rs
+++ b/crates/gateway/src/front/accept.rs
@@ -16,9 +16,9 @@
 
 use super::failure::Failure;
 use super::{Front, FrontContext, Method, OpenCall, Rpc};
-use crate::audit_log::{Known, NOBODY};
+use crate::audit_log::{ControllerNames, NO_TENANT};
 use crate::call_steps::count_call_steps;
-use crate::tenants::{Turned, model_number};
+use crate::tenants::{CallRejection, TenantCall, model_number};
 
 /// Clients that are rejected for want of a lease retry within this span beyond the usual advice, so that they don't all
 /// come at once. Milliseconds.
@@ -104,7 +104,7 @@
         self.opened += 1;
         let now = context.now_ms();
         if let Some(recorder) = &mut context.recorder {
-            recorder.call(now, new_call.tenant.map_or(NOBODY, |tenant| tenant.0 as u64));
+            recorder.call(now, new_call.tenant.map_or(NO_TENANT, |tenant| tenant.0 as u64));
         }
         if let Some(limiter) = &mut context.limiter {
             limiter.waiting(now, number, model_number(&new_call.model));
@@ -165,7 +165,7 @@
         let now = context.now_ms();
         let stage = context.lease.as_mut()?.check_call(now);
         if let Some(recorder) = &mut context.recorder {
-            let names = Known { tenants: context.tenants.as_deref(), engine: context.engine };
+            let names = ControllerNames { tenants: context.tenants.as_deref(), engine: context.engine };
             recorder.stage(now, stage.as_str(), &names);
             if !stage.accepts_calls() {
                 recorder.call_rejected(now);
@@ -190,22 +190,29 @@
         rpc: &Rpc,
         head: &InferHead,
         model: &Model,
-    ) -> Result<Option<TenantId>, Turned> {
+    ) -> Result<Option<TenantId>, CallRejection> {
         let name = rpc.headers.tenant.as_deref();
         let Some(tenants) = &mut context.tenants else {
             return Ok(name.and_then(|name| self.config.tenants.get(name).copied()));
         };
         // Admission is to know what has become of other calls by now.
         count_call_steps(context.now, context.engine, context.limiter.as_deref_mut(), Some(&mut **tenants));
-        tenants.ask(context.now, number, name, model.class.0, (head.model.as_str(), model.memory))
+        let call = TenantCall {
+            front: number,
+            tenant: name,
+            class: model.class.0,
+            model: &head.model,
+            memory_bytes: model.memory,
+        };
+        tenants.admit(context.now, &call)
     }
 
     /// Over a limit: a retry after a while does no harm. Without a right: no retry helps.
-    fn admission_failure(&self, rejection: &Turned) -> Failure {
+    fn admission_failure(&self, rejection: &CallRejection) -> Failure {
         if rejection.denied {
             return Failure::new(Code::PermissionDenied, rejection.message.clone());
         }
-        let wait = rejection.wait.map_or(self.pushback(), Duration::from_micros);
+        let wait = rejection.retry_after.map_or(self.pushback(), Duration::from_micros);
         let failure = Failure::refused(rejection.message.clone(), wait.max(Duration::from_millis(1)));
         Failure { status: Status::new(Code::ResourceExhausted, rejection.message.clone()), ..failure }
     }
--- /dev/null
+++ b/crates/gateway/src/tenants/rejection.rs
@@ -0,0 +1,71 @@
+//! Why a tenant's call is rejected, as a front says it to the client.
+
+use nettleferry::Micros;
+use nettleferry_admission::{RejectReason, Rejection};
+
+/// Where no snapshot is there yet, a client is to retry after this time.
+const RETRY_WITHOUT_SNAPSHOT: Micros = 500_000;
+
+/// A rejected call.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub(crate) struct CallRejection {
+    /// The caller has no right to make it, and no retry helps; otherwise it is over a limit.
+    pub(crate) denied: bool,
+    /// A sentence for people.
+    pub(crate) message: String,
+    /// The time after which a retry may succeed, where it is known.
+    pub(crate) retry_after: Option<Micros>,
+}
+
+impl CallRejection {
+    /// The call names no tenant, and anonymous calls are off.
+    pub(super) fn no_tenant() -> Self {
+        Self::denied("this call names no tenant: send the metadata nettleferry-tenant".to_owned())
+    }
+
+    /// There is no tenant of that name.
+    pub(super) fn unknown_tenant(name: &str) -> Self {
+        Self::denied(message(RejectReason::UnknownTenant, name))
+    }
+
+    /// The tenant may not call that model.
+    pub(super) fn model_denied(name: &str, model: &str) -> Self {
+        Self::denied(format!("tenant {name} has no right to call {model}"))
+    }
+
+    /// Which tenants there are is not known here yet.
+    pub(super) fn without_snapshot() -> Self {
+        let message = "which tenants there are is not known here yet: try again".to_owned();
+        Self { denied: false, message, retry_after: Some(RETRY_WITHOUT_SNAPSHOT) }
+    }
+
+    /// Admission control rejected the call of this tenant.
+    pub(super) fn by_admission(rejection: &Rejection, name: &str) -> Self {
+        Self {
+            denied: rejection.reason == RejectReason::InactiveTenant,
+            message: message(rejection.reason, name),
+            retry_after: rejection.retry_after,
+        }
+    }
+
+    fn denied(message: String) -> Self {
+        Self { denied: true, message, retry_after: None }
+    }
+}
+
+fn message(reason: RejectReason, name: &str) -> String {
+    match reason {
+        RejectReason::UnknownTenant => format!("there is no tenant {name}"),
+        RejectReason::InactiveTenant => format!("tenant {name} is suspended or being removed"),
+        RejectReason::TenantRate => format!("tenant {name} is over its rate"),
+        RejectReason::ClassRate => format!("tenant {name} is over its rate in this class"),
+        RejectReason::TenantOpenCalls => format!("tenant {name} has as many open calls as it may"),
+        RejectReason::ClassOpenCalls => {
+            format!("tenant {name} has as many open calls in this class as it may")
+        }
+        RejectReason::TenantHeldCalls => format!("tenant {name} has as many calls waiting as it may"),
+        RejectReason::TenantMemory => format!("tenant {name} uses as much memory of models as it may"),
+        RejectReason::FleetShare => format!("tenant {name} has its part of the fleet, and others wait"),
+        RejectReason::FairShare => format!("many calls wait, and tenant {name} has its part of the places"),
+    }
+}
--- a/crates/gateway/src/worker_list/file.rs
+++ b/crates/gateway/src/worker_list/file.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use nettleferry::ListForm;
-use nettleferry_administration::kept::Kept;
+use nettleferry_administration::persisted_file::PersistedFile;
 use nettleferry_config::{Worker, workers};
 use nettleferry_fleet::recovery_policy::PersistedState;
 use nettleferry_net::clock;
@@ -23,7 +23,7 @@
 /// A list file.
 pub(super) struct ListFile {
     path: PathBuf,
-    persisted: Option<Kept>,
+    persisted: Option<PersistedFile>,
     /// The text that was read last; empty where the file could not be read.
     last_text: Option<String>,
     rejected: Arc<AtomicU64>,
@@ -32,18 +32,18 @@
 impl ListFile {
     /// A file that was not read yet. `rejected` counts versions that can't be taken.
     pub(super) fn new(path: PathBuf, persisted: Option<PathBuf>, rejected: Arc<AtomicU64>) -> Self {
-        let persisted = persisted.map(|file| Kept::open(file, "worker list", RESTORE_TIMEOUT));
+        let persisted = persisted.map(|file| PersistedFile::open(file, "worker list", RESTORE_TIMEOUT));
         Self { path, persisted, last_text: None, rejected }
     }
 
     /// The list of the incarnation before, where one was persisted, is valid and recent enough.
     pub(super) fn restore(&mut self, now_ms: u64) -> Option<ListUpdate> {
         let persisted = self.persisted.as_mut()?;
-        let payload = persisted.take(PersistedState::WorkerList, now_ms, saved_at)?;
+        let payload = persisted.read_trusted(PersistedState::WorkerList, now_ms, saved_at)?;
         match workers::read("the kept list", &String::from_utf8_lossy(&payload)) {
             Ok(workers) => Some(ListUpdate { form: ListForm::Restored, workers }),
             Err(errors) => {
-                persisted.unusable(&errors);
+                persisted.log_invalid(&errors);
                 None
             }
         }
@@ -94,7 +94,7 @@
     fn persist(&self, workers: &[Worker]) {
         let Some(persisted) = &self.persisted else { return };
         let text = format!("{SAVED_AT_PREFIX}{}\n{}", clock::wall() / 1000, workers::write(workers));
-        persisted.put(text.into_bytes());
+        persisted.write(text.into_bytes());
     }
 }
 
--- a/crates/gateway/tests/admin.rs
+++ b/crates/gateway/tests/admin.rs
@@ -1,7 +1,7 @@
 //! Tenants on whole paths: the administration over HTTP while calls flow.
 
 mod common;
-use common::desk::*;
+use common::admin_client::*;
 use common::*;
 
 use std::io::Write;
@@ -13,13 +13,13 @@
 use serde_json::{Value, json};
 
 #[test]
-fn a_tenant_s_rights_limits_and_states_hold_from_the_next_call_on() {
+fn tenant_changes_apply_from_the_next_call() {
     let fleet = Fleet::new(2, SPEC);
-    let desk = desk(&fleet);
-    let mut caller = Caller::new(desk.program.address);
+    let leader = leader(&fleet);
+    let mut caller = Caller::new(leader.program.address);
     assert_eq!(code(&mut caller, None, "echo").0, Code::PermissionDenied, "a call names its tenant");
     assert_eq!(code(&mut caller, Some("kalahari"), "echo").0, Code::PermissionDenied);
-    desk.create(
+    leader.create(
         json!({"name": "kalahari", "models": ["echo*"], "limits": {"rate_per_second": 0.01, "burst": 2}}),
     );
     assert_eq!(code(&mut caller, Some("kalahari"), "climb").0, Code::PermissionDenied, "no right to it");
@@ -28,15 +28,15 @@
     let (over, pushback) = code(&mut caller, Some("kalahari"), "echo");
     assert_eq!(over, Code::ResourceExhausted);
     assert!(pushback.parse::<u64>().is_ok_and(|ms| ms > 50_000), "the wait that is needed: {pushback} ms");
-    desk.change("PATCH", "/v1/tenants/kalahari", r#"{"limits":{"rate_per_second":null,"burst":null}}"#);
+    leader.change("PATCH", "/v1/tenants/kalahari", r#"{"limits":{"rate_per_second":null,"burst":null}}"#);
     assert_eq!(code(&mut caller, Some("kalahari"), "echo").0, Code::Ok);
-    desk.change("POST", "/v1/tenants/kalahari/suspend", "");
+    leader.change("POST", "/v1/tenants/kalahari/suspend", "");
     assert_eq!(code(&mut caller, Some("kalahari"), "echo").0, Code::PermissionDenied);
-    desk.change("POST", "/v1/tenants/kalahari/resume", "");
+    leader.change("POST", "/v1/tenants/kalahari/resume", "");
     assert_eq!(code(&mut caller, Some("kalahari"), "echo").0, Code::Ok);
-    desk.change("PATCH", "/v1/tenants/kalahari", r#"{"limits":{"open_calls":0}}"#);
+    leader.change("PATCH", "/v1/tenants/kalahari", r#"{"limits":{"open_calls":0}}"#);
     assert_eq!(code(&mut caller, Some("kalahari"), "echo").0, Code::ResourceExhausted, "set to nought");
-    let usage = || desk.get("/v1/tenants/kalahari/usage");
+    let usage = || leader.get("/v1/tenants/kalahari/usage");
     // Shown a moment later; what is counted never goes back.
     eventually("the usage is the truth", || {
         let told = usage();
@@ -46,15 +46,15 @@
 }
 
 #[test]
-fn a_tenant_is_removed_while_its_calls_are_held_in_flight_and_mid_stream() {
+fn removing_a_tenant_ends_its_held_running_and_streaming_calls() {
     let mut fleet = Fleet::new(
         1,
         "(listen \"127.0.0.1:0\") (cores 8) (queue 100) (model \"\" (lanes 64) (load-time 1ms) (work 600ms))",
     );
-    let desk = desk(&fleet);
-    desk.create(json!({"name": "a"}));
-    desk.create(json!({"name": "b"}));
-    let mut caller = Caller::new(desk.program.address);
+    let leader = leader(&fleet);
+    leader.create(json!({"name": "a"}));
+    leader.create(json!({"name": "b"}));
+    let mut caller = Caller::new(leader.program.address);
     assert_eq!(code(&mut caller, Some("b"), "echo").0, Code::Ok);
     // In flight: it hangs. Held: its model's load never ends, so that the second of it has no worker.
     fleet.handles[0].tell(Fault::Hang(Some("echo-".to_owned())));
@@ -68,8 +68,8 @@
     let held: Vec<u64> = (0..4).map(|_| call(&mut caller, Some("a"), "echo-x")).collect();
     let bystander = call(&mut caller, Some("b"), "echo");
     caller.until("it is out", || fleet.any(|s| matches!(s, Seen::Call { model, .. } if model == "echo-x")));
-    eventually("all are open", || desk.get("/v1/tenants/a/usage")["open_calls"] == 6);
-    desk.change("DELETE", "/v1/tenants/a?grace_ms=400", "");
+    eventually("all are open", || leader.get("/v1/tenants/a/usage")["open_calls"] == 6);
+    leader.change("DELETE", "/v1/tenants/a?grace_ms=400", "");
     assert_eq!(code(&mut caller, Some("a"), "echo").0, Code::PermissionDenied, "refused promptly");
     let mut refused = 0;
     for rpc in held {
@@ -83,33 +83,33 @@
     let (status, _) = caller.end(stream);
     assert!(status.is_ok(), "a stream ends in order");
     assert_eq!(caller.status(bystander).0.code, Code::Ok, "nobody else is hurt");
-    eventually("it is gone", || desk.ask("GET", "/v1/tenants/a", "", "").0 == 404);
+    eventually("it is gone", || leader.ask("GET", "/v1/tenants/a", "", "").0 == 404);
     // The next of the same name, in the same place, begins at nought.
     fleet.handles[0].tell(Fault::Hang(None));
-    desk.create(json!({"name": "a"}));
-    let usage = desk.get("/v1/tenants/a/usage");
+    leader.create(json!({"name": "a"}));
+    let usage = leader.get("/v1/tenants/a/usage");
     assert_eq!((usage["admitted"].clone(), usage["ends"].clone()), (json!(0), json!({})));
     assert_eq!(code(&mut caller, Some("a"), "echo").0, Code::Ok);
-    let audit = desk.get("/v1/audit?tenant=a");
+    let audit = leader.get("/v1/audit?tenant=a");
     let actions: Vec<&str> =
         audit["entries"].as_array().expect("rows").iter().filter_map(|e| e["action"].as_str()).collect();
     assert_eq!(actions, ["create", "remove", "gone", "create"]);
 }
 
 #[test]
-fn two_administrators_change_the_same_tenant_a_hundred_times_and_one_truth_is_left() {
+fn concurrent_changes_of_one_tenant_are_serialized() {
     let fleet = Fleet::new(1, SPEC);
-    let desk = desk(&fleet);
-    desk.create(json!({"name": "a"}));
-    let http = &desk.http;
+    let leader = leader(&fleet);
+    leader.create(json!({"name": "a"}));
+    let http = &leader.http;
     let work = |number: u64| {
-        let desk = http;
+        let leader = http;
         let mut accepted = 0;
         for n in 0..100u64 {
-            let now = desk.get("/v1/tenants/a")["revision"].as_u64().expect("a revision");
+            let now = leader.get("/v1/tenants/a")["revision"].as_u64().expect("a revision");
             let body = json!({"note": format!("{number}-{n}")}).to_string();
             let (status, told) =
-                desk.ask("PATCH", "/v1/tenants/a", &format!("If-Match: \"{now}\"\r\n"), &body);
+                leader.ask("PATCH", "/v1/tenants/a", &format!("If-Match: \"{now}\"\r\n"), &body);
             match status {
                 200 => {
                     assert_eq!(told["revision"], now + 1);
@@ -125,68 +125,68 @@
         let both = [scope.spawn(|| work(1)), scope.spawn(|| work(2))];
         both.into_iter().map(|t| t.join().expect("as expected")).sum()
     });
-    let audit = desk.get("/v1/audit?limit=1000");
+    let audit = leader.get("/v1/audit?limit=1000");
     let entries = audit["entries"].as_array().expect("rows");
     assert_eq!(entries.len() as u64, 1 + accepted, "the trail has exactly these");
     assert!(accepted >= 100, "one of two succeeds");
     for pair in entries.windows(2) {
         assert_eq!(pair[1]["before"], pair[0]["after"], "each follows on the one before");
     }
-    assert_eq!(entries.last().expect("some")["after"], desk.get("/v1/tenants/a"));
+    assert_eq!(entries.last().expect("some")["after"], leader.get("/v1/tenants/a"));
 }
 
 #[test]
-fn an_acknowledged_change_survives_a_kill_and_a_damaged_store_serves_the_last_good_snapshot() {
+fn acknowledged_change_survives_a_kill_and_a_damaged_store_serves_its_snapshot() {
     let fleet = Fleet::new(1, SPEC);
-    let desk = desk(&fleet);
-    desk.create(json!({"name": "a"}));
-    desk.create(json!({"name": "b", "note": "kept"}));
-    desk.program.signal("KILL");
-    let (token, dir) = (desk.token.clone(), tempfile::tempdir().expect("a folder"));
+    let leader = leader(&fleet);
+    leader.create(json!({"name": "a"}));
+    leader.create(json!({"name": "b", "note": "kept"}));
+    leader.program.signal("KILL");
+    let (token, dir) = (leader.token.clone(), tempfile::tempdir().expect("a folder"));
     for name in ["tenants.redb", "tenants.lease", "workers.sexp", "key"] {
-        std::fs::copy(desk.program.dir.path().join(name), dir.path().join(name)).expect("copied");
+        std::fs::copy(leader.program.dir.path().join(name), dir.path().join(name)).expect("copied");
     }
-    drop(desk);
+    drop(leader);
     let line = std::fs::read_to_string(dir.path().join("key")).expect("text");
-    let mut desk = start(dir, token.clone(), &line);
-    assert_eq!(desk.get("/v1/tenants/b")["note"], "kept");
-    desk.change("POST", "/v1/tenants/b/suspend", "");
+    let mut leader = start(dir, token.clone(), &line);
+    assert_eq!(leader.get("/v1/tenants/b")["note"], "kept");
+    leader.change("POST", "/v1/tenants/b/suspend", "");
     // An ordered end writes the snapshot at the latest.
-    desk.program.signal("TERM");
-    assert!(desk.program.wait().success());
+    leader.program.signal("TERM");
+    assert!(leader.program.wait().success());
     let dir = tempfile::tempdir().expect("a folder");
     for name in ["workers.sexp", "tenants.lease", "tenants.snapshot"] {
-        std::fs::copy(desk.program.dir.path().join(name), dir.path().join(name)).expect("copied");
+        std::fs::copy(leader.program.dir.path().join(name), dir.path().join(name)).expect("copied");
     }
     std::fs::write(dir.path().join("tenants.redb"), vec![7; 20_000]).expect("written");
-    drop(desk);
-    let desk = start(dir, token, &line);
-    assert_eq!(desk.get("/v1/tenants/b")["state"], "suspended");
-    let (status, told) = desk.ask("POST", "/v1/tenants/b/resume", "If-Match: *\r\n", "");
+    drop(leader);
+    let leader = start(dir, token, &line);
+    assert_eq!(leader.get("/v1/tenants/b")["state"], "suspended");
+    let (status, told) = leader.ask("POST", "/v1/tenants/b/resume", "If-Match: *\r\n", "");
     assert!(
         status == 503 && told["detail"].as_str().is_some_and(|d| d.contains("nothing can be changed")),
         "{told}"
     );
-    let mut caller = Caller::new(desk.program.address);
+    let mut caller = Caller::new(leader.program.address);
     assert_eq!(code(&mut caller, Some("a"), "echo").0, Code::Ok, "calls flow");
     assert_eq!(code(&mut caller, Some("b"), "echo").0, Code::PermissionDenied);
 }
 
 #[test]
-fn bad_requests_get_a_problem_and_hurt_nobody() {
+fn invalid_requests_get_a_problem_and_change_nothing() {
     let fleet = Fleet::new(1, SPEC);
-    let desk = desk(&fleet);
-    desk.create(json!({"name": "a"}));
-    let mut caller = Caller::new(desk.program.address);
+    let leader = leader(&fleet);
+    leader.create(json!({"name": "a"}));
+    let mut caller = Caller::new(leader.program.address);
     // Slow heads and bodies without end, left open.
     let mut slow: Vec<TcpStream> = Vec::new();
     for part in ["POST /v1/tenants HT", "POST /v1/tenants HTTP/1.1\r\nContent-Length: 900000\r\n\r\n{\"a\":"]
     {
-        let mut socket = TcpStream::connect(desk.api).expect("connects");
+        let mut socket = TcpStream::connect(leader.api).expect("connects");
         socket.write_all(part.as_bytes()).expect("sent");
         slow.push(socket);
     }
-    let auth = format!("Authorization: Bearer {}\r\nConnection: close\r\n", desk.token);
+    let auth = format!("Authorization: Bearer {}\r\nConnection: close\r\n", leader.token);
     for (request, status, words) in [
         ("GET /v1/tenants HTTP/1.1\r\nConnection: close\r\n\r\n".to_owned(), 401, "NAME.SECRET"),
         (
@@ -217,13 +217,13 @@
             "nme",
         ),
     ] {
-        let (got, head, body) = desk.raw(&request);
+        let (got, head, body) = leader.raw(&request);
         assert_eq!(got, status, "{head}\n{body}");
         assert!(body.contains(words), "{words} in {body}");
     }
     // Two requests at once are answered in order.
-    let plain = format!("Authorization: Bearer {}\r\n", desk.token);
-    let (_, _, both) = desk.raw(&format!(
+    let plain = format!("Authorization: Bearer {}\r\n", leader.token);
+    let (_, _, both) = leader.raw(&format!(
         "GET /v1/tenants/a HTTP/1.1\r\n{plain}\r\nGET /v1/tenants/none HTTP/1.1\r\n{auth}\r\n"
     ));
     assert!(both.contains("HTTP/1.1 404") && both.contains("\"name\":\"a\""), "{both}");
@@ -234,16 +234,16 @@
 }
 
 #[test]
-fn a_worker_drained_by_hand_gets_nothing_new_until_the_list_decides_again() {
+fn manually_drained_worker_gets_no_new_calls_until_undrained() {
     let mut fleet = Fleet::new(2, SPEC);
-    let desk = desk(&fleet);
-    desk.create(json!({"name": "a"}));
-    let mut caller = Caller::new(desk.program.address);
+    let leader = leader(&fleet);
+    leader.create(json!({"name": "a"}));
+    let mut caller = Caller::new(leader.program.address);
     eventually("workers are known", || {
-        desk.get("/v1/workers")["workers"].as_array().map(Vec::len) == Some(2)
+        leader.get("/v1/workers")["workers"].as_array().map(Vec::len) == Some(2)
     });
-    desk.change("POST", "/v1/workers/w1/drain", "");
-    let told = desk.get("/v1/workers");
+    leader.change("POST", "/v1/workers/w1/drain", "");
+    let told = leader.get("/v1/workers");
     assert_eq!(
         (told["workers"][0]["drained"].clone(), told["workers"][0]["listed"].clone()),
         (json!(true), json!("on"))
@@ -255,39 +255,39 @@
         fleet.look().iter().filter(|r| r.worker == name && matches!(r.seen, Seen::Call { .. })).count()
     };
     assert_eq!((at(&mut fleet, "w1"), at(&mut fleet, "w2")), (0, 20));
-    desk.change("POST", "/v1/workers/w1/undrain", "");
+    leader.change("POST", "/v1/workers/w1/undrain", "");
     eventually("it is used again", || {
         let n = fleet.look().len();
         code(&mut caller, Some("a"), &format!("echo-{n}"));
         at(&mut fleet, "w1") > 0
     });
-    assert_eq!(desk.ask("POST", "/v1/workers/w9/drain", "", "").0, 404);
+    assert_eq!(leader.ask("POST", "/v1/workers/w9/drain", "", "").0, 404);
 }
 
 #[test]
-fn a_watch_is_answered_when_something_changes() {
+fn watch_responds_when_a_tenant_changes() {
     let fleet = Fleet::new(1, SPEC);
-    let desk = desk(&fleet);
-    desk.create(json!({"name": "a"}));
-    let http = &desk.http;
+    let leader = leader(&fleet);
+    leader.create(json!({"name": "a"}));
+    let http = &leader.http;
     std::thread::scope(|scope| {
         let waiting = scope.spawn(|| http.get("/v1/watch?after=1&wait_ms=20000"));
-        desk.create(json!({"name": "b"}));
+        leader.create(json!({"name": "b"}));
         let told = waiting.join().expect("answered");
         assert_eq!(told["entries"][0]["tenant"], "b", "{told}");
     });
 }
 
 #[test]
-fn the_command_line_administers_with_tables_json_conditions_and_dry_runs() {
+fn command_line_supports_tables_json_conditions_and_dry_runs() {
     let fleet = Fleet::new(1, SPEC);
-    let desk = desk(&fleet);
+    let leader = leader(&fleet);
     let run = |arguments: &[&str]| {
         let mut command = Command::new(PROGRAM);
         command
-            .args(["admin", "--api", &desk.api.to_string()])
+            .args(["admin", "--api", &leader.api.to_string()])
             .args(arguments)
-            .env("NETTLEFERRY_KEY", &desk.token);
+            .env("NETTLEFERRY_KEY", &leader.token);
         let out = command.output().expect("it runs");
         let text = String::from_utf8_lossy(&out.stdout).into_owned() + &String::from_utf8_lossy(&out.stderr);
         (out.status.code().expect("it ended by itself"), text)
@@ -304,7 +304,7 @@
         code == 0 && told.contains("- limits.open_calls: 5") && told.contains("+ limits.open_calls: 9"),
         "{told}"
     );
-    assert_eq!(desk.get("/v1/tenants/a")["limits"]["open_calls"], 5);
+    assert_eq!(leader.get("/v1/tenants/a")["limits"]["open_calls"], 5);
     let (code, told) = run(&["limits", "a", r#"{"weight":2}"#, "--if-revision", "7"]);
     assert!(code == 1 && told.contains("412") && told.contains("is at revision 1, not 7"), "{told}");
     let (code, told) = run(&["limits", "a", r#"{"wieght":2}"#]);
@@ -319,10 +319,11 @@
     assert_eq!(run(&["tenants", "remove", "a", "--grace-ms", "0"]).0, 0);
     assert_eq!(run(&["tenants", "show", "none"]).0, 1);
     // A snapshot of a store that nobody has open, and back.
-    let (store, dir) = (desk.program.dir.path().join("tenants.redb"), tempfile::tempdir().expect("a folder"));
-    let mut desk = desk;
-    desk.program.signal("TERM");
-    assert!(desk.program.wait().success());
+    let (store, dir) =
+        (leader.program.dir.path().join("tenants.redb"), tempfile::tempdir().expect("a folder"));
+    let mut leader = leader;
+    leader.program.signal("TERM");
+    assert!(leader.program.wait().success());
     let path = |p: &std::path::Path| p.display().to_string();
     let (file, other) = (dir.path().join("s.snapshot"), dir.path().join("b.redb"));
     let offline = |arguments: &[&str]| {
@@ -334,7 +335,7 @@
 }
 
 #[test]
-fn controllers_that_follow_have_each_change_and_go_on_alone() {
+fn followers_replicate_each_change_and_continue_without_the_leader() {
     let fleet = Fleet::new(1, SPEC);
     let (token, line) = key("ada", "admin");
     let (follow_token, follow_line) = key("fleet", "controller");
@@ -342,40 +343,44 @@
     let dir = tempfile::tempdir().expect("a folder");
     std::fs::write(dir.path().join("workers.sexp"), fleet.list()).expect("written");
     // An address of its own: no other test's port can take this one's while it is away.
-    let desk = start_at("127.0.0.2:0", dir, token.clone(), &keys);
-    desk.create(json!({"name": "early"}));
+    let leader = start_at("127.0.0.2:0", dir, token.clone(), &keys);
+    leader.create(json!({"name": "early"}));
     let follower = |dir: tempfile::TempDir, number: u32| {
         std::fs::write(dir.path().join("workers.sexp"), fleet.list()).expect("written");
         std::fs::write(dir.path().join("key"), &follow_token).expect("written");
-        let admin = format!("(admin (follow \"{}\") (key-file \"key\") (kept \"kept.json\"))", desk.api);
+        let admin = format!("(admin (follow \"{}\") (key-file \"key\") (kept \"kept.json\"))", leader.api);
         let settings = format!("{SETTINGS}{admin}(controller (number {number}) (of 3))");
         serve_in(dir, &settings, None)
     };
     let one = follower(tempfile::tempdir().expect("a folder"), 1);
     let two = follower(tempfile::tempdir().expect("a folder"), 2);
-    let takes = |program: &Program, tenant: &str| {
+    let call_status = |program: &Program, tenant: &str| {
         let mut caller = Caller::new(program.address);
         code(&mut caller, Some(tenant), "echo").0
     };
     for program in [&one, &two] {
-        eventually("a late one has the snapshot", || takes(program, "early") == Code::Ok);
+        eventually("a late one has the snapshot", || call_status(program, "early") == Code::Ok);
     }
-    desk.create(json!({"name": "later"}));
-    eventually("both have the change", || [&one, &two].iter().all(|p| takes(p, "later") == Code::Ok));
+    leader.create(json!({"name": "later"}));
+    eventually("both have the change", || [&one, &two].iter().all(|p| call_status(p, "later") == Code::Ok));
     eventually("each says what it runs", || {
-        let told = desk.get("/v1/controllers");
+        let told = leader.get("/v1/controllers");
         let all = told["controllers"].as_array().expect("rows");
         all.len() == 3 && all.iter().all(|c| c["revision"] == told["revision"])
     });
-    let (status, told) =
-        Http { token: follow_token.clone(), ..desk.http.clone() }.ask("POST", "/v1/tenants", "", "{}");
+    let (status, told) = AdminClient { token: follow_token.clone(), ..leader.http.clone() }.ask(
+        "POST",
+        "/v1/tenants",
+        "",
+        "{}",
+    );
     assert_eq!(status, 403, "a controller's key changes nothing: {told}");
     // The administration is away: they go on, and one that starts has what it kept.
-    desk.program.signal("KILL");
-    let api = desk.api.to_string();
-    let Desk { program, .. } = desk;
+    leader.program.signal("KILL");
+    let api = leader.api.to_string();
+    let Leader { program, .. } = leader;
     let store = left(program, &["tenants.redb", "tenants.lease", "workers.sexp", "key"]);
-    assert_eq!(takes(&one, "later"), Code::Ok);
+    assert_eq!(call_status(&one, "later"), Code::Ok);
     two.signal("KILL");
     let kept = left(two, &["kept.json"]);
     let settings_dir = kept;
@@ -384,30 +389,32 @@
     let admin = format!("(admin (follow \"{api}\") (key-file \"key\") (kept \"kept.json\"))");
     let settings = format!("{SETTINGS}{admin}(controller (number 2) (of 3))");
     let two = serve_in(settings_dir, &settings, None);
-    assert_eq!(takes(&two, "early"), Code::Ok, "from the first call on");
-    assert_eq!(takes(&two, "none"), Code::PermissionDenied);
+    assert_eq!(call_status(&two, "early"), Code::Ok, "from the first call on");
+    assert_eq!(call_status(&two, "none"), Code::PermissionDenied);
     // It is back, with a change that neither has seen.
-    let desk = start_at(&api, store, token.clone(), &keys);
-    desk.change("POST", "/v1/tenants/later/suspend", "");
-    eventually("both catch up", || [&one, &two].iter().all(|p| takes(p, "later") == Code::PermissionDenied));
+    let leader = start_at(&api, store, token.clone(), &keys);
+    leader.change("POST", "/v1/tenants/later/suspend", "");
+    eventually("both catch up", || {
+        [&one, &two].iter().all(|p| call_status(p, "later") == Code::PermissionDenied)
+    });
     // It begins anew with another store: that is nobody's truth until an operator says so.
-    desk.program.signal("KILL");
-    let Desk { program, .. } = desk;
+    leader.program.signal("KILL");
+    let Leader { program, .. } = leader;
     let anew = left(program, &["tenants.lease", "workers.sexp", "key"]);
-    let desk = start_at(&api, anew, token, &keys);
-    desk.create(json!({"name": "other"}));
+    let leader = start_at(&api, anew, token, &keys);
+    leader.create(json!({"name": "other"}));
     eventually("both say that they hold another store's book", || {
-        let fleet = desk.get("/v1/fleet");
+        let fleet = leader.get("/v1/fleet");
         let rows = fleet["controllers"].as_array().expect("rows").clone();
         rows.len() == 2 && rows.iter().all(|row| row["standing"] == "foreign")
     });
-    assert!([&one, &two].iter().all(|p| takes(p, "early") == Code::Ok));
-    let (status, shown) = desk.ask("POST", "/v1/fleet/recover?take=own&dry_run=true", "", "");
+    assert!([&one, &two].iter().all(|p| call_status(p, "early") == Code::Ok));
+    let (status, shown) = leader.ask("POST", "/v1/fleet/recover?take=own&dry_run=true", "", "");
     assert_eq!((status, &shown["done"]), (200, &json!(false)), "{shown}");
-    assert_eq!(desk.ask("POST", "/v1/fleet/recover?take=own", "", "").0, 200);
+    assert_eq!(leader.ask("POST", "/v1/fleet/recover?take=own", "", "").0, 200);
     eventually("they follow the new store", || {
         [&one, &two]
             .iter()
-            .all(|p| takes(p, "other") == Code::Ok && takes(p, "early") == Code::PermissionDenied)
+            .all(|p| call_status(p, "other") == Code::Ok && call_status(p, "early") == Code::PermissionDenied)
     });
 }
--- a/crates/gateway/tests/audit.rs
+++ b/crates/gateway/tests/audit.rs
@@ -2,9 +2,9 @@
 //! calls on which version, and no accusation that the clients' own clocks don't bear out.
 
 mod common;
-use common::desk::*;
+use common::admin_client::*;
+use common::cluster::*;
 use common::link::Does;
-use common::rig::*;
 use common::*;
 
 use std::net::SocketAddr;
@@ -17,12 +17,18 @@
 
 const ADMINISTRATION: &str = "(lease 1s) (trail (folder \"trail\"))";
 
-fn follower(rig: &Rig, dir: tempfile::TempDir, number: u32, through: SocketAddr, then: &str) -> Program {
-    rig.follower(dir, number, through, &format!("(without-lease {then}) (trail (folder \"trail\"))"))
+fn follower(
+    cluster: &Cluster,
+    dir: tempfile::TempDir,
+    number: u32,
+    through: SocketAddr,
+    then: &str,
+) -> Program {
+    cluster.follower(dir, number, through, &format!("(without-lease {then}) (trail (folder \"trail\"))"))
 }
 
-fn audit(rig: &Rig) -> Value {
-    let (_, told) = rig.run(&["audit", "--json"]);
+fn audit(cluster: &Cluster) -> Value {
+    let (_, told) = cluster.run(&["audit", "--json"]);
     serde_json::from_str(&told).unwrap_or_else(|e| panic!("{e}: {told}"))
 }
 
@@ -52,26 +58,26 @@
 }
 
 #[test]
-fn the_audit_names_the_straggler_and_its_calls_as_the_clients_saw_them() {
-    let rig = Rig::new("127.0.9.1", 4);
-    let desk = rig.administration(rig.dir(), ADMINISTRATION);
-    let link = rig.link();
-    desk.create(json!({"name": "kalahari"}));
+fn audit_reports_a_stale_controller_and_its_calls_as_clients_saw_them() {
+    let cluster = Cluster::new("127.0.9.1", 4);
+    let leader = cluster.administration(cluster.dir(), ADMINISTRATION);
+    let link = cluster.link();
+    leader.create(json!({"name": "kalahari"}));
     // One that hears all, and one that goes on with what it last heard.
-    let good = follower(&rig, rig.dir(), 1, rig.api, "refuse");
-    let late = follower(&rig, rig.dir(), 2, link.address, "serve");
+    let good = follower(&cluster, cluster.dir(), 1, cluster.api, "refuse");
+    let late = follower(&cluster, cluster.dir(), 2, link.address, "serve");
     for program in [&good, &late] {
-        eventually("it serves", || takes(program, "kalahari") == Code::Ok);
+        eventually("it serves", || call_status(program, "kalahari") == Code::Ok);
     }
     let stop = Arc::new(AtomicBool::new(false));
     let seen: Vec<_> = [&good, &late].iter().map(|p| calls("kalahari", p.address, &stop)).collect();
     link.set(Does::Silent);
     let made = Instant::now();
-    let (status, _) = desk.ask("POST", "/v1/tenants/kalahari/suspend", "If-Match: *\r\n", "");
+    let (status, _) = leader.ask("POST", "/v1/tenants/kalahari/suspend", "If-Match: *\r\n", "");
     assert_eq!(status, 202, "one of them has no bound");
     // By now it is in force at the other one for sure: what the late one serves from here on is behind.
     let in_force = Instant::now();
-    assert_eq!(takes(&good, "kalahari"), Code::PermissionDenied);
+    assert_eq!(call_status(&good, "kalahari"), Code::PermissionDenied);
     let mut caller = Caller::new(late.address);
     for _ in 0..300 {
         assert_eq!(code(&mut caller, Some("kalahari"), "echo").0, Code::Ok, "it goes on");
@@ -80,14 +86,14 @@
     let mut asked = 0;
     eventually("it has heard", || {
         asked += 1;
-        takes(&late, "kalahari") == Code::PermissionDenied
+        call_status(&late, "kalahari") == Code::PermissionDenied
     });
     stop.store(true, Ordering::Release);
     let mut seen: Vec<_> = seen.into_iter().map(|t| t.join().expect("each call has its answer")).collect();
     // The records are whole by what has been delivered: a last round after the last act.
     let mut report = Value::Null;
     eventually("both records are delivered to their ends", || {
-        report = audit(&rig);
+        report = audit(&cluster);
         let behind = report["behind"].as_array().cloned().unwrap_or_default();
         behind.iter().any(|b| b["who"]["controller"] == 2 && sum(b, 1) >= 300)
             && report["actors"].as_array().is_some_and(|a| a.iter().any(|a| a["who"]["controller"] == 1))
@@ -113,34 +119,34 @@
     assert!(most >= surely, "none is missing: {surely} in truth, told {least} to {most}");
     assert!(least <= all && most <= all, "no more than there were: {all}, told {least} to {most}");
     // For people, as a picture, and checked.
-    let svg = desk.program.dir.path().join("fleet.svg");
-    let (done, told) = rig.run(&["audit", "--tenant", "kalahari", "--svg", &svg.display().to_string()]);
+    let svg = leader.program.dir.path().join("fleet.svg");
+    let (done, told) = cluster.run(&["audit", "--tenant", "kalahari", "--svg", &svg.display().to_string()]);
     assert!(done == Some(0) && told.contains("certain: controller 2"), "{told}");
     assert!(
         std::fs::read_to_string(&svg)
             .is_ok_and(|text| text.contains("<svg") && text.contains("controller 2"))
     );
-    let (done, told) = rig.run(&["verify"]);
+    let (done, told) = cluster.run(&["verify"]);
     assert!(done == Some(0) && told.contains("record of administration") && told.contains("whole"), "{told}");
 }
 
 #[test]
-fn a_record_with_a_flipped_bit_a_torn_tail_or_no_file_is_named_and_the_controller_goes_on() {
-    let rig = Rig::new("127.0.9.2", 4);
-    let desk = rig.administration(rig.dir(), ADMINISTRATION);
-    desk.create(json!({"name": "kalahari"}));
+fn damaged_audit_logs_are_reported_and_the_controller_continues() {
+    let cluster = Cluster::new("127.0.9.2", 4);
+    let leader = cluster.administration(cluster.dir(), ADMINISTRATION);
+    leader.create(json!({"name": "kalahari"}));
     let segments = |dir: &std::path::Path| -> Vec<std::path::PathBuf> {
         let all = std::fs::read_dir(dir.join("trail")).expect("a folder");
         let mut all: Vec<_> = all.map(|e| e.expect("an entry").path()).collect();
         all.sort();
         all
     };
-    let first = follower(&rig, rig.dir(), 1, rig.api, "serve");
-    eventually("it serves", || takes(&first, "kalahari") == Code::Ok);
+    let first = follower(&cluster, cluster.dir(), 1, cluster.api, "serve");
+    eventually("it serves", || call_status(&first, "kalahari") == Code::Ok);
     for n in 0..30 {
-        desk.create(json!({ "name": format!("t{n}") }));
+        leader.create(json!({ "name": format!("t{n}") }));
     }
-    eventually("it has them", || takes(&first, "t29") == Code::Ok);
+    eventually("it has them", || call_status(&first, "t29") == Code::Ok);
     let written = |dir: &std::path::Path| {
         segments(dir).iter().map(|f| std::fs::metadata(f).map_or(0, |m| m.len())).sum::<u64>()
     };
@@ -159,13 +165,13 @@
         ("an empty file", Vec::clear),
     ];
     for (what, spoil) in spoils {
-        let dir = rig.dir();
+        let dir = cluster.dir();
         std::fs::create_dir(dir.path().join("trail")).expect("made");
         let mut spoilt = bytes.clone();
         spoil(&mut spoilt);
         std::fs::write(dir.path().join("trail").join("00000000000000000001.spool"), spoilt).expect("written");
         let folder = dir.path().join("trail").display().to_string();
-        let (done, told) = rig.run(&["verify", &folder]);
+        let (done, told) = cluster.run(&["verify", &folder]);
         if what == "a flipped bit" {
             assert!(
                 done == Some(1) && told.contains("NOT whole") && told.contains("missing"),
@@ -174,16 +180,16 @@
         } else {
             assert!(done == Some(0), "{what}: what was never synced is no damage: {told}");
         }
-        let again = follower(&rig, dir, 1, rig.api, "serve");
-        eventually("it goes on", || takes(&again, "kalahari") == Code::Ok);
+        let again = follower(&cluster, dir, 1, cluster.api, "serve");
+        eventually("it goes on", || call_status(&again, "kalahari") == Code::Ok);
     }
     // A folder that can't be one: the record is held in memory, and calls flow.
-    let dir = rig.dir();
+    let dir = cluster.dir();
     std::fs::write(dir.path().join("trail"), "no folder").expect("written");
-    let again = follower(&rig, dir, 3, rig.api, "serve");
-    eventually("it goes on without a disk", || takes(&again, "kalahari") == Code::Ok);
+    let again = follower(&cluster, dir, 3, cluster.api, "serve");
+    eventually("it goes on without a disk", || call_status(&again, "kalahari") == Code::Ok);
     eventually("and its record is delivered from memory", || {
-        let told = desk.get("/v1/fleet/records");
+        let told = leader.get("/v1/fleet/records");
         told["records"]
             .as_array()
             .is_some_and(|all| all.iter().any(|r| r["of"] == "3" && r["lines"].as_u64() > Some(0)))
@@ -191,21 +197,21 @@
 }
 
 #[test]
-fn workers_turn_an_earlier_life_of_a_controller_away_once_a_later_one_was_seen() {
-    let rig = Rig::new("127.0.9.3", 4);
-    let desk = rig.administration(rig.dir(), ADMINISTRATION);
-    let link = rig.link();
-    desk.create(json!({"name": "kalahari"}));
+fn workers_reject_an_earlier_incarnation_once_a_later_one_was_seen() {
+    let cluster = Cluster::new("127.0.9.3", 4);
+    let leader = cluster.administration(cluster.dir(), ADMINISTRATION);
+    let link = cluster.link();
+    leader.create(json!({"name": "kalahari"}));
     // Two lives of one number: the earlier one is cut off and goes on.
-    let earlier = follower(&rig, rig.dir(), 1, link.address, "serve");
-    eventually("it serves", || takes(&earlier, "kalahari") == Code::Ok);
+    let earlier = follower(&cluster, cluster.dir(), 1, link.address, "serve");
+    eventually("it serves", || call_status(&earlier, "kalahari") == Code::Ok);
     link.set(Does::Silent);
-    let later = follower(&rig, rig.dir(), 1, rig.api, "serve");
-    eventually("the later one has its lease", || lives(&desk).len() == 2);
-    eventually("it serves", || takes(&later, "kalahari") == Code::Ok);
+    let later = follower(&cluster, cluster.dir(), 1, cluster.api, "serve");
+    eventually("the later one has its lease", || incarnations(&leader).len() == 2);
+    eventually("it serves", || call_status(&later, "kalahari") == Code::Ok);
     eventually("workers turn the earlier one away, with proof that nothing ran", || {
-        takes(&earlier, "kalahari") == Code::Unavailable
+        call_status(&earlier, "kalahari") == Code::Unavailable
     });
-    assert_eq!(takes(&later, "kalahari"), Code::Ok);
+    assert_eq!(call_status(&later, "kalahari"), Code::Ok);
     drop(earlier);
 }
--- a/crates/gateway/tests/common/desk.rs
+++ b/crates/gateway/tests/common/admin_client.rs
@@ -19,44 +19,44 @@
 
 /// The administration as a client sees it.
 #[derive(Clone)]
-pub struct Http {
+pub struct AdminClient {
     pub api: SocketAddr,
     pub token: String,
 }
 
-pub struct Desk {
+pub struct Leader {
     pub program: Program,
-    pub http: Http,
+    pub http: AdminClient,
 }
 
-impl std::ops::Deref for Desk {
-    type Target = Http;
+impl std::ops::Deref for Leader {
+    type Target = AdminClient;
 
-    fn deref(&self) -> &Http {
+    fn deref(&self) -> &AdminClient {
         &self.http
     }
 }
 
-pub fn desk(fleet: &Fleet) -> Desk {
+pub fn leader(fleet: &Fleet) -> Leader {
     let dir = tempfile::tempdir().expect("a folder");
     std::fs::write(dir.path().join("workers.sexp"), fleet.list()).expect("written");
     let (token, line) = key("ada", "admin");
     start(dir, token, &line)
 }
 
-pub fn start(dir: tempfile::TempDir, token: String, key: &str) -> Desk {
+pub fn start(dir: tempfile::TempDir, token: String, key: &str) -> Leader {
     start_at("127.0.0.1:0", dir, token, key)
 }
 
-pub fn start_at(listen: &str, dir: tempfile::TempDir, token: String, key: &str) -> Desk {
+pub fn start_at(listen: &str, dir: tempfile::TempDir, token: String, key: &str) -> Leader {
     std::fs::write(dir.path().join("key"), key).expect("written");
     let settings = format!("{SETTINGS}(admin (listen \"{listen}\") (store \"tenants.redb\") {key})");
     let program = serve_in(dir, &settings, None);
     let api = program.line("listening admin ");
-    Desk { program, http: Http { api, token } }
+    Leader { program, http: AdminClient { api, token } }
 }
 
-impl Http {
+impl AdminClient {
     pub fn raw(&self, request: &str) -> (u16, String, String) {
         let mut socket = TcpStream::connect(self.api).expect("connects");
         socket.set_read_timeout(Some(PATIENCE)).expect("set");
--- a/crates/gateway/tests/common/rig.rs
+++ b/crates/gateway/tests/common/cluster.rs
@@ -5,20 +5,20 @@
 use nettleferry_net::grpc::Code;
 use serde_json::Value;
 
-use super::desk::*;
+use super::admin_client::*;
 use super::link::Link;
 use super::*;
 
 /// A port that is free now, on an address that no other test has.
-pub fn place(host: &str) -> SocketAddr {
+pub fn free_address(host: &str) -> SocketAddr {
     TcpListener::bind(format!("{host}:0")).and_then(|l| l.local_addr()).expect("a port")
 }
 
-pub fn takes(program: &Program, tenant: &str) -> Code {
+pub fn call_status(program: &Program, tenant: &str) -> Code {
     code(&mut Caller::new(program.address), Some(tenant), "echo").0
 }
 
-pub struct Rig {
+pub struct Cluster {
     pub fleet: Fleet,
     pub host: &'static str,
     pub token: String,
@@ -30,7 +30,7 @@
     pub settings: String,
 }
 
-impl Rig {
+impl Cluster {
     pub fn new(host: &'static str, of: u32) -> Self {
         Self::with(host, of, Fleet::new(1, SPEC), SETTINGS)
     }
@@ -39,7 +39,7 @@
         let (token, line) = key("ada", "admin");
         let (key, fleet_line) = key("fleet", "controller");
         let (keys, settings) = (format!("{line} {fleet_line}"), settings.to_owned());
-        Self { fleet, host, token, keys, key, api: place(host), of, settings }
+        Self { fleet, host, token, keys, key, api: free_address(host), of, settings }
     }
 
     pub fn dir(&self) -> tempfile::TempDir {
@@ -50,16 +50,16 @@
     }
 
     /// The administration, with further settings.
-    pub fn administration(&self, dir: tempfile::TempDir, more: &str) -> Desk {
+    pub fn administration(&self, dir: tempfile::TempDir, more: &str) -> Leader {
         self.administration_at(self.api, dir, more)
     }
 
-    pub fn administration_at(&self, api: SocketAddr, dir: tempfile::TempDir, more: &str) -> Desk {
+    pub fn administration_at(&self, api: SocketAddr, dir: tempfile::TempDir, more: &str) -> Leader {
         let admin = format!("(admin (listen \"{api}\") (store \"tenants.redb\") {} {more})", self.keys);
         let settings = format!("{}{admin}(controller (number 0) (of {}))", self.settings, self.of);
         let program = serve_by(&program_of("NETTLEFERRY_ADMINISTRATION"), dir, &settings, None);
         assert_eq!(program.line("listening admin "), api);
-        Desk { program, http: Http { api, token: self.token.clone() } }
+        Leader { program, http: AdminClient { api, token: self.token.clone() } }
     }
 
     /// A follower of this number through this address, with further settings.
@@ -87,6 +87,6 @@
 }
 
 /// Lives on the administration's roll.
-pub fn lives(http: &Http) -> Vec<Value> {
+pub fn incarnations(http: &AdminClient) -> Vec<Value> {
     http.get("/v1/fleet")["lives"].as_array().cloned().unwrap_or_default()
 }
--- a/crates/gateway/tests/common/mod.rs
+++ b/crates/gateway/tests/common/mod.rs
@@ -2,11 +2,11 @@
 //! proof; what is waited for is waited for with a generous limit.
 #![allow(dead_code)]
 
-pub mod desk;
+pub mod admin_client;
+pub mod cluster;
 pub mod golden;
 pub mod link;
 pub mod recorder;
-pub mod rig;
 
 use std::io::{BufRead, BufReader, Read};
 use std::net::SocketAddr;
--- a/crates/gateway/tests/exchanged_json.rs
+++ b/crates/gateway/tests/exchanged_json.rs
@@ -3,9 +3,9 @@
 //! enumerations. Controllers of different versions run in one fleet, so that a name that changes here breaks one.
 
 mod common;
+use common::cluster::*;
 use common::golden;
 use common::recorder::Recorder;
-use common::rig::*;
 use common::*;
 
 use std::collections::BTreeSet;
@@ -82,33 +82,33 @@
 
 #[test]
 fn a_follower_and_its_administration_speak_as_earlier_versions_do() {
-    let rig = Rig::new("127.0.51.1", 2);
-    let desk = rig.administration(rig.dir(), LEADER);
-    let recorder = Recorder::to(rig.api, &format!("{}:0", rig.host));
-    let mut follower = rig.follower(rig.dir(), 1, recorder.address, FOLLOWER);
+    let cluster = Cluster::new("127.0.51.1", 2);
+    let leader = cluster.administration(cluster.dir(), LEADER);
+    let recorder = Recorder::to(cluster.api, &format!("{}:0", cluster.host));
+    let mut follower = cluster.follower(cluster.dir(), 1, recorder.address, FOLLOWER);
     let limits = json!({
         "rate_per_second": 500.0, "burst": 70, "open_calls": 200, "held_calls": 20, "loaded_memory_bytes": 1u64 << 33,
         "fleet_share": 0.5,
     });
     let class = json!({ "rate_per_second": 400.0, "burst": 40, "open_calls": 100 });
-    desk.create(json!({
+    leader.create(json!({
         "name": "kalahari", "limits": limits, "classes": { "quick": class }, "weight": 2.0, "models": ["echo*"],
         "note": "all fields",
     }));
-    desk.create(json!({ "name": "morava" }));
-    desk.create(json!({ "name": "taymyr" }));
+    leader.create(json!({ "name": "morava" }));
+    leader.create(json!({ "name": "taymyr" }));
     for tenant in ["kalahari", "morava"] {
-        eventually("it follows", || takes(&follower, tenant) == Code::Ok);
+        eventually("it follows", || call_status(&follower, tenant) == Code::Ok);
     }
-    desk.change("PATCH", "/v1/tenants/kalahari", "{\"limits\":{\"open_calls\":150}}");
-    desk.change("POST", "/v1/tenants/morava/suspend", "");
-    eventually("it is suspended", || takes(&follower, "morava") == Code::PermissionDenied);
-    desk.change("POST", "/v1/tenants/morava/resume", "");
-    eventually("it is resumed", || takes(&follower, "morava") == Code::Ok);
-    desk.change("DELETE", "/v1/tenants/taymyr?grace_ms=1", "");
-    eventually("it is gone", || desk.ask("GET", "/v1/tenants/taymyr", "", "").0 == 404);
+    leader.change("PATCH", "/v1/tenants/kalahari", "{\"limits\":{\"open_calls\":150}}");
+    leader.change("POST", "/v1/tenants/morava/suspend", "");
+    eventually("it is suspended", || call_status(&follower, "morava") == Code::PermissionDenied);
+    leader.change("POST", "/v1/tenants/morava/resume", "");
+    eventually("it is resumed", || call_status(&follower, "morava") == Code::Ok);
+    leader.change("DELETE", "/v1/tenants/taymyr?grace_ms=1", "");
+    eventually("it is gone", || leader.ask("GET", "/v1/tenants/taymyr", "", "").0 == 404);
     // One that begins with nothing is given all tenants by the snapshot.
-    let _second = rig.follower(rig.dir(), 1, recorder.address, FOLLOWER);
+    let _second = cluster.follower(cluster.dir(), 1, recorder.address, FOLLOWER);
     let wanted: BTreeSet<String> = std::fs::read_to_string(golden::path("exchanged.txt"))
         .unwrap_or_default()
         .lines()
@@ -116,11 +116,11 @@
         .map(str::to_owned)
         .collect();
     eventually("all kinds of messages have passed", || {
-        takes(&follower, "kalahari");
+        call_status(&follower, "kalahari");
         let seen = exchanged(&recorder);
         wanted.is_subset(&seen) && seen.len() > 150
     });
-    let (status, _) = desk.ask("POST", "/v1/fleet/fence?controller=1", "", "");
+    let (status, _) = leader.ask("POST", "/v1/fleet/fence?controller=1", "", "");
     assert_eq!(status, 200);
     eventually("it was told that it is shut out", || {
         exchanged(&recorder).iter().any(|line| line.contains(" 403 response.type = "))
--- a/crates/gateway/tests/golden_lists.rs
+++ b/crates/gateway/tests/golden_lists.rs
@@ -3,7 +3,7 @@
 //! A deliberate change is written into the list by running these tests with `UPDATE_GOLDEN=1`.
 
 mod common;
-use common::desk::*;
+use common::admin_client::*;
 use common::golden;
 use common::*;
 
--- a/crates/gateway/tests/herd.rs
+++ b/crates/gateway/tests/herd.rs
@@ -1,7 +1,7 @@
 //! A hundred processes of the program on one machine, back at once after a loss of power.
 
 mod common;
-use common::desk::*;
+use common::admin_client::*;
 use common::*;
 
 use std::net::TcpListener;
@@ -34,7 +34,7 @@
         let program =
             serve_in(dir, &format!("{SETTINGS}{admin}(controller (number 0) (of {}))", many + 1), None);
         assert_eq!(program.line("listening admin "), api);
-        Desk { program, http: Http { api, token: token.clone() } }
+        Leader { program, http: AdminClient { api, token: token.clone() } }
     };
     let follower = |dir, number: u32| {
         let admin = format!(
@@ -42,22 +42,22 @@
         );
         serve_in(dir, &format!("{SETTINGS}{admin}(controller (number {number}) (of {}))", many + 1), None)
     };
-    let desk = administration(dir());
+    let leader = administration(dir());
     for n in 0..20 {
         let spec = json!({ "name": format!("t{n}"), "note": "x".repeat(500) });
-        desk.create(spec);
+        leader.create(spec);
     }
-    let all = |desk: &Desk, what: &str| {
+    let all = |leader: &Leader, what: &str| {
         let begun = Instant::now();
-        eventually(what, || desk.get("/v1/fleet")["leases"] == many);
+        eventually(what, || leader.get("/v1/fleet")["leases"] == many);
         begun.elapsed()
     };
     let programs: Vec<Program> = (1..=many).map(|n| follower(dir(), n)).collect();
-    let first = all(&desk, "each has its lease");
+    let first = all(&leader, "each has its lease");
     // A change reaches all, and is told to be everywhere.
     let begun = Instant::now();
-    desk.change("POST", "/v1/tenants/t3/suspend", "");
-    assert_eq!(desk.get("/v1/fleet/change")["everywhere"], true);
+    leader.change("POST", "/v1/tenants/t3/suspend", "");
+    assert_eq!(leader.get("/v1/fleet/change")["everywhere"], true);
     let change = begun.elapsed();
     // Power is lost everywhere, and is back everywhere; the administration last.
     let kept: Vec<tempfile::TempDir> = programs
@@ -67,8 +67,8 @@
             left(program, &["kept.json", "workers.sexp", "key"])
         })
         .collect();
-    desk.program.signal("KILL");
-    let store = left(desk.program, &["tenants.redb", "tenants.lease", "workers.sexp", "key"]);
+    leader.program.signal("KILL");
+    let store = left(leader.program, &["tenants.redb", "tenants.lease", "workers.sexp", "key"]);
     let begun = Instant::now();
     let programs: Vec<Program> = std::thread::scope(|scope| {
         let follower = &follower;
@@ -76,8 +76,8 @@
             (1..=many).zip(kept).map(|(n, dir)| scope.spawn(move || follower(dir, n))).collect();
         threads.into_iter().map(|t| t.join().expect("it starts")).collect()
     });
-    let desk = administration(store);
-    let again = all(&desk, "each has its lease again");
+    let leader = administration(store);
+    let again = all(&leader, "each has its lease again");
     let whole = begun.elapsed();
     for program in &programs {
         let mut caller = Caller::new(program.address);
--- a/crates/gateway/tests/hollow.rs
+++ b/crates/gateway/tests/hollow.rs
@@ -1,8 +1,8 @@
 //! Hollow followers beside real processes: an administration and a follower of the program, over loopback.
 
 mod common;
-use common::desk::*;
-use common::rig::*;
+use common::admin_client::*;
+use common::cluster::*;
 use common::*;
 
 use std::io::{BufRead, BufReader, Write};
@@ -24,9 +24,9 @@
 }
 
 impl Hollow {
-    fn followers(rig: &Rig, more: &[&str]) -> Self {
-        let (api, count) = (rig.api.to_string(), HOLLOW.to_string());
-        let words = ["followers", "--administration", &api, "--key", &rig.key, "--count", &count];
+    fn followers(cluster: &Cluster, more: &[&str]) -> Self {
+        let (api, count) = (cluster.api.to_string(), HOLLOW.to_string());
+        let words = ["followers", "--administration", &api, "--key", &cluster.key, "--count", &count];
         Self::run(&[&words[..], &["--first-number", "2"], more].concat())
     }
 
@@ -114,9 +114,9 @@
 /// Suspends a tenant or lets it in again, and waits until that is in force everywhere: its revision. The answer to
 /// what takes something away says so itself.
 #[track_caller]
-fn change_everywhere(desk: &Desk, what: &str) -> u64 {
-    let token = &desk.http.token;
-    let (status, head, body) = desk.raw(&format!(
+fn change_everywhere(leader: &Leader, what: &str) -> u64 {
+    let token = &leader.http.token;
+    let (status, head, body) = leader.raw(&format!(
         "POST /v1/tenants/t0/{what} HTTP/1.1\r\nHost: x\r\nConnection: close\r\nAuthorization: Bearer {token}\r\n\
          If-Match: *\r\nContent-Length: 0\r\n\r\n"
     ));
@@ -124,56 +124,56 @@
     if what == "suspend" {
         assert!(head.lines().any(|line| line == "Nettleferry-In-Force: everywhere"), "{head}");
     }
-    eventually("it is in force everywhere", || desk.get("/v1/fleet/change")["everywhere"] == true);
+    eventually("it is in force everywhere", || leader.get("/v1/fleet/change")["everywhere"] == true);
     let told: serde_json::Value = serde_json::from_str(&body).expect("a tenant");
     told["revision"].as_u64().expect("a revision")
 }
 
 #[test]
 fn hollow_followers_take_each_change_and_come_back_to_another_life_of_the_administration() {
-    let rig = Rig::new("127.0.42.1", HOLLOW + 2);
+    let cluster = Cluster::new("127.0.42.1", HOLLOW + 2);
     let lease = "(lease 2s)";
-    let desk = rig.administration(rig.dir(), lease);
-    desk.create(json!({ "name": "t0" }));
-    let real = rig.follower(rig.dir(), 1, rig.api, "(without-lease refuse)");
-    let mut hollow = Hollow::followers(&rig, &["--begin-within", "300"]);
+    let leader = cluster.administration(cluster.dir(), lease);
+    leader.create(json!({ "name": "t0" }));
+    let real = cluster.follower(cluster.dir(), 1, cluster.api, "(without-lease refuse)");
+    let mut hollow = Hollow::followers(&cluster, &["--begin-within", "300"]);
     let all = u64::from(HOLLOW) + 1;
-    let leases = |desk: &Desk| desk.get("/v1/fleet")["leases"] == all;
-    eventually("each has a lease", || leases(&desk));
+    let leases = |leader: &Leader| leader.get("/v1/fleet")["leases"] == all;
+    eventually("each has a lease", || leases(&leader));
     for what in ["suspend", "resume", "suspend"] {
-        let revision = change_everywhere(&desk, what);
+        let revision = change_everywhere(&leader, what);
         assert_eq!(hollow.change(revision).followers, u64::from(HOLLOW));
     }
     eventually("the real one follows too", || {
-        takes(&real, "t0") == nettleferry_net::grpc::Code::PermissionDenied
+        call_status(&real, "t0") == nettleferry_net::grpc::Code::PermissionDenied
     });
     let before = hollow.interval();
     assert_eq!((before.lapses, before.change_to_last.count, before.changes_incomplete), (0, 3, 0));
     // The administration is lost, and back with its store.
-    desk.program.signal("KILL");
-    let store = left(desk.program, &["tenants.redb", "tenants.lease", "workers.sexp", "key"]);
+    leader.program.signal("KILL");
+    let store = left(leader.program, &["tenants.redb", "tenants.lease", "workers.sexp", "key"]);
     hollow.second("none has a lease", |second| second.leased == 0);
-    let desk = rig.administration(store, lease);
-    eventually("each has a lease again", || leases(&desk));
+    let leader = cluster.administration(store, lease);
+    eventually("each has a lease again", || leases(&leader));
     hollow.second("as they see it", |second| second.leased == u64::from(HOLLOW));
-    let revision = change_everywhere(&desk, "resume");
+    let revision = change_everywhere(&leader, "resume");
     assert_eq!(hollow.change(revision).followers, u64::from(HOLLOW));
     let summary = hollow.summary(true);
     assert_eq!((summary.followers, summary.never_leased), (u64::from(HOLLOW), 0));
     assert_eq!(summary.lapses, u64::from(HOLLOW), "one for each, while the administration was gone");
     assert_eq!(summary.change_to_last.count, 1, "those of the interval alone");
     assert_eq!((summary.counts.malformed, summary.counts.fenced), (0, 0));
-    eventually("they said that they ended", || desk.get("/v1/fleet")["leases"] == 1);
+    eventually("they said that they ended", || leader.get("/v1/fleet")["leases"] == 1);
 }
 
 #[test]
 fn hollow_followers_on_a_slow_lossy_link_keep_their_leases_and_end_by_their_time() {
-    let rig = Rig::new("127.0.42.2", HOLLOW + 2);
-    let desk = rig.administration(rig.dir(), "(lease 4s)");
-    desk.create(json!({ "name": "t0" }));
-    let hollow = Hollow::followers(&rig, &["--loss", "0.05", "--delay", "20", "--seconds", "6"]);
+    let cluster = Cluster::new("127.0.42.2", HOLLOW + 2);
+    let leader = cluster.administration(cluster.dir(), "(lease 4s)");
+    leader.create(json!({ "name": "t0" }));
+    let hollow = Hollow::followers(&cluster, &["--loss", "0.05", "--delay", "20", "--seconds", "6"]);
     hollow.second("each has a lease", |second| second.leased == u64::from(HOLLOW));
-    let revision = change_everywhere(&desk, "suspend");
+    let revision = change_everywhere(&leader, "suspend");
     let change = hollow.change(revision);
     assert_eq!(change.followers, u64::from(HOLLOW));
     assert!(change.p50_ms >= 20, "one way takes so long: {change:?}");
@@ -214,7 +214,7 @@
 
 #[test]
 fn hollow_controllers_say_when_a_worker_is_not_there() {
-    let nobody = place("127.0.42.4").to_string();
+    let nobody = free_address("127.0.42.4").to_string();
     let words = ["controllers", "--worker", &nobody, "--count", "5", "--begin-within", "0", "--seconds", "1"];
     let hollow = Hollow::run(&words);
     let summary = hollow.wait("a summary", |line| match line {
--- a/crates/gateway/tests/loans.rs
+++ b/crates/gateway/tests/loans.rs
@@ -2,8 +2,8 @@
 //! tenant's calls at once than his limit, whoever is cut off, stands still or dies.
 
 mod common;
+use common::cluster::*;
 use common::link::{Does, Link};
-use common::rig::*;
 use common::*;
 
 use std::collections::BTreeSet;
@@ -87,25 +87,25 @@
 }
 
 #[test]
-fn what_is_lent_is_never_more_than_the_limit_whoever_is_cut_off_stopped_or_killed() {
+fn loans_never_exceed_the_limit_under_partitions_pauses_and_kills() {
     let settings = SETTINGS.replace("(lanes 64)", "(lanes 512)");
-    let mut rig = Rig::with("127.0.11.1", 4, Fleet::new(1, WORKERS), &settings);
-    let desk = rig.administration(rig.dir(), "(lease 1s) (loans (reserve 0.2))");
-    desk.create(json!({ "name": "kalahari", "limits": { "open_calls": LIMIT } }));
-    let links: Vec<Link> = (0..3).map(|_| rig.link()).collect();
-    let follower = |rig: &Rig, number: usize| {
+    let mut cluster = Cluster::with("127.0.11.1", 4, Fleet::new(1, WORKERS), &settings);
+    let leader = cluster.administration(cluster.dir(), "(lease 1s) (loans (reserve 0.2))");
+    leader.create(json!({ "name": "kalahari", "limits": { "open_calls": LIMIT } }));
+    let links: Vec<Link> = (0..3).map(|_| cluster.link()).collect();
+    let follower = |cluster: &Cluster, number: usize| {
         let more = "(without-lease refuse) (loans (reserve 0.2))";
-        rig.follower(rig.dir(), number as u32 + 1, links[number].address, more)
+        cluster.follower(cluster.dir(), number as u32 + 1, links[number].address, more)
     };
-    let mut all: Vec<Program> = (0..3).map(|n| follower(&rig, n)).collect();
+    let mut all: Vec<Program> = (0..3).map(|n| follower(&cluster, n)).collect();
     for program in &all {
-        eventually("it serves", || takes(program, "kalahari") == Code::Ok);
+        eventually("it serves", || call_status(program, "kalahari") == Code::Ok);
     }
     let mut truth = Truth { open: BTreeSet::new(), seen: 0, most: 0 };
     // Where the traffic is the limit is: all but the others' reserves, 2 each; by parts it would be 10.
     for one in [0, 1] {
         let _flood = Flood::at(all[one].address, 60);
-        eventually("the limit follows the traffic", || truth.look(&mut rig.fleet) >= LIMIT - 3 * 2 - 1);
+        eventually("the limit follows the traffic", || truth.look(&mut cluster.fleet) >= LIMIT - 3 * 2 - 1);
     }
     assert!(truth.most <= LIMIT, "{} at once", truth.most);
     // Faults under traffic everywhere, each longer than a lease.
@@ -118,39 +118,39 @@
         });
         assert!(truth.most <= LIMIT, "{} at once", truth.most);
     };
-    cycles(&mut truth, &mut rig.fleet, 300);
+    cycles(&mut truth, &mut cluster.fleet, 300);
     for does in [Does::Silent, Does::AsksOnly, Does::AnswersOnly, Does::Cut] {
         links[0].set(does);
-        cycles(&mut truth, &mut rig.fleet, 400);
+        cycles(&mut truth, &mut cluster.fleet, 400);
         links[0].set(Does::Passes);
-        cycles(&mut truth, &mut rig.fleet, 200);
+        cycles(&mut truth, &mut cluster.fleet, 200);
     }
     all[1].signal("STOP");
-    cycles(&mut truth, &mut rig.fleet, 400);
+    cycles(&mut truth, &mut cluster.fleet, 400);
     all[1].signal("CONT");
-    cycles(&mut truth, &mut rig.fleet, 200);
+    cycles(&mut truth, &mut cluster.fleet, 200);
     all[2].signal("KILL");
-    cycles(&mut truth, &mut rig.fleet, 300);
+    cycles(&mut truth, &mut cluster.fleet, 300);
     drop(floods);
-    all[2] = follower(&rig, 2);
+    all[2] = follower(&cluster, 2);
     let floods: Vec<Flood> = all.iter().map(|p| Flood::at(p.address, 30)).collect();
-    cycles(&mut truth, &mut rig.fleet, 300);
+    cycles(&mut truth, &mut cluster.fleet, 300);
     // One leaves in order: what it had is others' at once, and not when its lease is over.
     all[0].signal("TERM");
     eventually("it has said that it ended", || {
-        lives(&desk).iter().any(|l| l["controller"] == 1 && l["lease_left_ms"].is_null())
+        incarnations(&leader).iter().any(|l| l["controller"] == 1 && l["lease_left_ms"].is_null())
     });
-    cycles(&mut truth, &mut rig.fleet, 200);
+    cycles(&mut truth, &mut cluster.fleet, 200);
     // The limit is lowered to a fifth while all is lent out: once that is said to be in force, no more are begun.
     let (status, told) =
-        desk.ask("PATCH", "/v1/tenants/kalahari", "If-Match: *\r\n", "{\"limits\":{\"open_calls\":8}}");
+        leader.ask("PATCH", "/v1/tenants/kalahari", "If-Match: *\r\n", "{\"limits\":{\"open_calls\":8}}");
     assert_eq!(status, 200, "{told}");
-    eventually("those that were open have ended", || truth.look(&mut rig.fleet) <= 8);
+    eventually("those that were open have ended", || truth.look(&mut cluster.fleet) <= 8);
     truth.most = 0;
-    let from = rig.fleet.look().len();
+    let from = cluster.fleet.look().len();
     eventually("calls flow", || {
-        truth.look(&mut rig.fleet);
-        rig.fleet.look()[from..].iter().filter(|r| matches!(r.seen, Seen::Answered { .. })).count() >= 100
+        truth.look(&mut cluster.fleet);
+        cluster.fleet.look()[from..].iter().filter(|r| matches!(r.seen, Seen::Answered { .. })).count() >= 100
     });
     assert!(truth.most <= 8, "{} at once", truth.most);
     drop(floods);
--- a/crates/gateway/tests/recovery.rs
+++ b/crates/gateway/tests/recovery.rs
@@ -2,7 +2,7 @@
 //! between them that are cut or silent.
 
 mod common;
-use common::desk::*;
+use common::admin_client::*;
 use common::link::{Does, Link};
 use common::*;
 
@@ -15,17 +15,17 @@
 use serde_json::{Value, json};
 
 /// A port that is free now, on an address that no other test has.
-fn place(host: &str) -> SocketAddr {
+fn free_address(host: &str) -> SocketAddr {
     let listener = TcpListener::bind(format!("{host}:0")).expect("a port");
     listener.local_addr().expect("bound")
 }
 
-fn takes(program: &Program, tenant: &str) -> Code {
+fn call_status(program: &Program, tenant: &str) -> Code {
     code(&mut Caller::new(program.address), Some(tenant), "echo").0
 }
 
 /// An administration and two controllers that follow it, each of which can be killed and started again.
-struct Rig {
+struct Cluster {
     fleet: Fleet,
     host: String,
     token: String,
@@ -34,15 +34,15 @@
     api: SocketAddr,
     /// What followers are told is the administration.
     through: SocketAddr,
-    windows: Vec<SocketAddr>,
+    snapshot_listeners: Vec<SocketAddr>,
 }
 
-impl Rig {
+impl Cluster {
     fn new(host: &str) -> Self {
         let (token, line) = key("ada", "admin");
         let (key, fleet_line) = key("fleet", "controller");
-        let api = place(host);
-        let windows = (0..2).map(|_| place(host)).collect();
+        let api = free_address(host);
+        let snapshot_listeners = (0..2).map(|_| free_address(host)).collect();
         let keys = format!("{line} {fleet_line}");
         Self {
             fleet: Fleet::new(1, SPEC),
@@ -52,7 +52,7 @@
             key,
             api,
             through: api,
-            windows,
+            snapshot_listeners,
         }
     }
 
@@ -64,18 +64,18 @@
     }
 
     fn peers(&self, but: Option<usize>) -> String {
-        let all = self.windows.iter().enumerate().filter(|(n, _)| Some(*n) != but);
+        let all = self.snapshot_listeners.iter().enumerate().filter(|(n, _)| Some(*n) != but);
         all.map(|(_, at)| format!("(peer \"{at}\")")).collect()
     }
 
-    fn administration(&self, dir: tempfile::TempDir, peers: bool) -> Desk {
+    fn administration(&self, dir: tempfile::TempDir, peers: bool) -> Leader {
         let peers =
             if peers { format!("{} (peer-key-file \"key\")", self.peers(None)) } else { String::new() };
         let admin =
             format!("(admin (listen \"{}\") (store \"tenants.redb\") {} {peers})", self.api, self.keys);
         let program = serve_in(dir, &format!("{SETTINGS}{admin}(controller (number 0) (of 3))"), None);
         assert_eq!(program.line("listening admin "), self.api);
-        Desk { program, http: Http { api: self.api, token: self.token.clone() } }
+        Leader { program, http: AdminClient { api: self.api, token: self.token.clone() } }
     }
 
     /// The follower of this number, from 0.
@@ -83,7 +83,7 @@
         let admin = format!(
             "(admin (follow \"{}\") (key-file \"key\") (kept \"kept.json\") (listen \"{}\") {} {})",
             self.through,
-            self.windows[number],
+            self.snapshot_listeners[number],
             self.keys,
             self.peers(Some(number))
         );
@@ -96,22 +96,22 @@
     }
 
     /// An administration with peers, its followers, and these tenants in force everywhere and kept.
-    fn begun(&self, tenants: &[Value]) -> (Desk, Vec<Program>) {
-        let desk = self.administration(self.dir(), true);
+    fn started(&self, tenants: &[Value]) -> (Leader, Vec<Program>) {
+        let leader = self.administration(self.dir(), true);
         let followers = self.followers();
         eventually("nobody holds any book: the first may be made", || step(&self.http()).0 == "serving");
-        tenants.iter().for_each(|tenant| desk.create(tenant.clone()));
+        tenants.iter().for_each(|tenant| leader.create(tenant.clone()));
         let last = tenants.last().and_then(|t| t["name"].as_str()).expect("a tenant with a name");
         for program in &followers {
-            eventually("it follows", || takes(program, last) == Code::Ok);
+            eventually("it follows", || call_status(program, last) == Code::Ok);
             kept(program, tenants.len() as u64);
         }
-        (desk, followers)
+        (leader, followers)
     }
 
     /// Followers that lost power and have what they kept.
-    fn lost_power(&self, followers: Vec<Program>) -> Vec<tempfile::TempDir> {
-        followers.into_iter().map(|p| self.again(p, &["kept.json"])).collect()
+    fn stop_with_files(&self, followers: Vec<Program>) -> Vec<tempfile::TempDir> {
+        followers.into_iter().map(|p| self.kill_keeping(p, &["kept.json"])).collect()
     }
 
     /// And are back.
@@ -120,7 +120,7 @@
     }
 
     /// The folder of one that was killed, with what is named.
-    fn again(&self, program: Program, files: &[&str]) -> tempfile::TempDir {
+    fn kill_keeping(&self, program: Program, files: &[&str]) -> tempfile::TempDir {
         program.signal("KILL");
         let dir = self.dir();
         // What is told of leases is on a disk that stands.
@@ -134,8 +134,8 @@
         dir
     }
 
-    fn http(&self) -> Http {
-        Http { api: self.api, token: self.token.clone() }
+    fn http(&self) -> AdminClient {
+        AdminClient { api: self.api, token: self.token.clone() }
     }
 }
 
@@ -146,7 +146,7 @@
     eventually("it is kept", || std::fs::read_to_string(&file).is_ok_and(|text| text.contains(&mark)));
 }
 
-fn step(http: &Http) -> (Value, Value) {
+fn step(http: &AdminClient) -> (Value, Value) {
     let told = http.get("/v1/fleet");
     (told["step"].clone(), told["cause"].clone())
 }
@@ -156,7 +156,7 @@
 }
 
 #[test]
-fn a_disk_that_stands_still_holds_up_no_call() {
+fn stalled_disk_delays_no_call() {
     let mut fleet = Fleet::new(2, SPEC);
     let dir = tempfile::tempdir().expect("a folder");
     // The kept list is written to a pipe that nobody reads: whoever opens it waits for ever.
@@ -198,134 +198,140 @@
 }
 
 #[test]
-fn one_bad_disk_does_not_empty_the_fleet_and_the_fleet_makes_it_good() {
-    let rig = Rig::new("127.0.7.1");
-    let (desk, followers) = rig.begun(&[json!({"name": "kalahari"}), json!({"name": "morava"})]);
+fn leader_restores_a_damaged_store_from_its_followers() {
+    let cluster = Cluster::new("127.0.7.1");
+    let (leader, followers) = cluster.started(&[json!({"name": "kalahari"}), json!({"name": "morava"})]);
     // Power is lost everywhere; the store and its snapshot are spoilt.
-    let dir = rig.again(desk.program, &[]);
+    let dir = cluster.kill_keeping(leader.program, &[]);
     std::fs::write(dir.path().join("tenants.redb"), vec![7; 20_000]).expect("written");
-    let dirs = rig.lost_power(followers);
-    let desk = rig.administration(dir, true);
-    assert_eq!(step(&desk), (json!("waiting"), json!("damaged")));
-    let refused = desk.ask("POST", "/v1/tenants", "", "{\"name\":\"new\"}");
+    let dirs = cluster.stop_with_files(followers);
+    let leader = cluster.administration(dir, true);
+    assert_eq!(step(&leader), (json!("waiting"), json!("damaged")));
+    let refused = leader.ask("POST", "/v1/tenants", "", "{\"name\":\"new\"}");
     assert_eq!(refused.0, 503, "{}", refused.1);
-    let (given, told) = desk.ask("GET", "/v1/snapshot", "", "");
+    let (given, told) = leader.ask("GET", "/v1/snapshot", "", "");
     assert_eq!(given, 503, "an empty book is not given: {told}");
     // Its own clients are refused, and not denied: nobody knows who they are.
     assert_eq!(
-        code(&mut Caller::new(desk.program.address), Some("kalahari"), "echo").0,
+        code(&mut Caller::new(leader.program.address), Some("kalahari"), "echo").0,
         Code::ResourceExhausted
     );
-    let followers = rig.back(dirs);
+    let followers = cluster.back(dirs);
     for program in &followers {
-        assert_eq!(takes(program, "kalahari"), Code::Ok, "from the first call on");
+        assert_eq!(call_status(program, "kalahari"), Code::Ok, "from the first call on");
     }
-    eventually("the administration has caught up", || step(&desk).0 == "serving");
-    assert_eq!(desk.get("/v1/tenants")["tenants"].as_array().map(Vec::len), Some(2));
-    assert_eq!(code(&mut Caller::new(desk.program.address), Some("kalahari"), "echo").0, Code::Ok);
-    desk.change("POST", "/v1/tenants/kalahari/suspend", "");
+    eventually("the administration has caught up", || step(&leader).0 == "serving");
+    assert_eq!(leader.get("/v1/tenants")["tenants"].as_array().map(Vec::len), Some(2));
+    assert_eq!(code(&mut Caller::new(leader.program.address), Some("kalahari"), "echo").0, Code::Ok);
+    leader.change("POST", "/v1/tenants/kalahari/suspend", "");
     for program in &followers {
-        eventually("changes flow again", || takes(program, "kalahari") == Code::PermissionDenied);
+        eventually("changes flow again", || call_status(program, "kalahari") == Code::PermissionDenied);
     }
     // What was taken over is durable.
-    let dir = rig.again(desk.program, &["tenants.redb"]);
-    let desk = rig.administration(dir, true);
-    eventually("it serves what it took over", || step(&desk).0 == "serving");
-    assert_eq!(desk.get("/v1/tenants/kalahari")["state"], "suspended");
+    let dir = cluster.kill_keeping(leader.program, &["tenants.redb"]);
+    let leader = cluster.administration(dir, true);
+    eventually("it serves what it took over", || step(&leader).0 == "serving");
+    assert_eq!(leader.get("/v1/tenants/kalahari")["state"], "suspended");
 }
 
 #[test]
-fn a_store_that_comes_back_older_undoes_no_acknowledged_change() {
-    let rig = Rig::new("127.0.7.2");
-    let (desk, followers) = rig.begun(&[json!({"name": "kalahari"})]);
+fn older_store_undoes_no_acknowledged_change() {
+    let cluster = Cluster::new("127.0.7.2");
+    let (leader, followers) = cluster.started(&[json!({"name": "kalahari"})]);
     // The disk as it was before the suspension: taken from a store at rest.
-    let older = rig.again(desk.program, &["tenants.redb"]);
-    let now = rig.dir();
+    let older = cluster.kill_keeping(leader.program, &["tenants.redb"]);
+    let now = cluster.dir();
     std::fs::copy(older.path().join("tenants.redb"), now.path().join("tenants.redb")).expect("copied");
-    let desk = rig.administration(now, true);
-    desk.change("POST", "/v1/tenants/kalahari/suspend", "");
+    let leader = cluster.administration(now, true);
+    leader.change("POST", "/v1/tenants/kalahari/suspend", "");
     for program in &followers {
-        eventually("it is suspended", || takes(program, "kalahari") == Code::PermissionDenied);
+        eventually("it is suspended", || call_status(program, "kalahari") == Code::PermissionDenied);
         kept(program, 2);
     }
-    desk.program.signal("KILL");
-    drop(desk);
-    let dirs = rig.lost_power(followers);
-    let desk = rig.administration(older, true);
-    let followers = rig.back(dirs);
+    leader.program.signal("KILL");
+    drop(leader);
+    let dirs = cluster.stop_with_files(followers);
+    let leader = cluster.administration(older, true);
+    let followers = cluster.back(dirs);
     eventually("the administration has what its followers hold", || {
         assert!(
-            followers.iter().all(|p| takes(p, "kalahari") == Code::PermissionDenied),
+            followers.iter().all(|p| call_status(p, "kalahari") == Code::PermissionDenied),
             "never served again"
         );
-        step(&desk).0 == "serving" && desk.get("/v1/tenants/kalahari")["state"] == "suspended"
+        step(&leader).0 == "serving" && leader.get("/v1/tenants/kalahari")["state"] == "suspended"
     });
     assert_eq!(
-        code(&mut Caller::new(desk.program.address), Some("kalahari"), "echo").0,
+        code(&mut Caller::new(leader.program.address), Some("kalahari"), "echo").0,
         Code::PermissionDenied
     );
-    let Desk { mut program, .. } = desk;
+    let Leader { mut program, .. } = leader;
     program.signal("TERM");
     assert!(program.wait().success());
     let log = program.log();
-    let line = log.lines().find(|l| l.contains("it is open which book stands"));
-    assert!(line.is_some_and(|l| l.contains("behind")), "a book that went back is told of: {log}");
-    assert!(log.contains("a book was taken over"), "{log}");
+    let line = log.lines().find(|l| l.contains("recovery pending"));
+    assert!(line.is_some_and(|l| l.contains("behind")), "a store that went back is logged: {log}");
+    assert!(log.contains("snapshot installed, it is authoritative now"), "{log}");
 }
 
 #[test]
-fn a_follower_without_a_book_has_it_from_its_peers_while_the_administration_is_silent() {
-    let mut rig = Rig::new("127.0.7.3");
-    let link = Link::to(rig.api, &format!("{}:0", rig.host));
-    rig.through = link.address;
-    let desk = rig.administration(rig.dir(), false);
-    desk.create(json!({"name": "kalahari"}));
-    let mut followers = rig.followers();
+fn follower_without_a_snapshot_bootstraps_from_its_peers() {
+    let mut cluster = Cluster::new("127.0.7.3");
+    let link = Link::to(cluster.api, &format!("{}:0", cluster.host));
+    cluster.through = link.address;
+    let leader = cluster.administration(cluster.dir(), false);
+    leader.create(json!({"name": "kalahari"}));
+    let mut followers = cluster.followers();
     for program in &followers {
-        eventually("it follows", || takes(program, "kalahari") == Code::Ok);
+        eventually("it follows", || call_status(program, "kalahari") == Code::Ok);
         kept(program, 1);
     }
     for does in [Does::Silent, Does::AsksOnly, Does::Cut] {
         link.set(does);
         // Its disk is lost; the other one stands.
-        let dir = rig.again(followers.remove(0), &[]);
+        let dir = cluster.kill_keeping(followers.remove(0), &[]);
         std::fs::write(dir.path().join("kept.json"), "").expect("an empty file");
-        followers.insert(0, rig.follower(dir, 0));
+        followers.insert(0, cluster.follower(dir, 0));
         assert_eq!(
-            takes(&followers[0], "kalahari"),
+            call_status(&followers[0], "kalahari"),
             Code::ResourceExhausted,
             "refused, not denied, until it knows"
         );
-        eventually("it has the book of its peer", || takes(&followers[0], "kalahari") == Code::Ok);
-        assert_eq!(takes(&followers[0], "nobody"), Code::PermissionDenied);
+        eventually("it has the book of its peer", || call_status(&followers[0], "kalahari") == Code::Ok);
+        assert_eq!(call_status(&followers[0], "nobody"), Code::PermissionDenied);
         kept(&followers[0], 1);
     }
     link.set(Does::Passes);
-    desk.create(json!({"name": "later"}));
+    leader.create(json!({"name": "later"}));
     for program in &followers {
-        eventually("the administration is followed again", || takes(program, "later") == Code::Ok);
+        eventually("the administration is followed again", || call_status(program, "later") == Code::Ok);
     }
 }
 
 #[test]
-fn two_books_of_one_revision_are_left_to_an_operator() {
-    let rig = Rig::new("127.0.7.4");
-    let (desk, followers) =
-        rig.begun(&[json!({"name": "kalahari"}), json!({"name": "morava", "note": "as it was"})]);
-    let dir = rig.again(desk.program, &[]);
-    let dirs = rig.lost_power(followers);
+fn diverged_snapshots_of_one_revision_wait_for_an_operator() {
+    let cluster = Cluster::new("127.0.7.4");
+    let (leader, followers) =
+        cluster.started(&[json!({"name": "kalahari"}), json!({"name": "morava", "note": "as it was"})]);
+    let dir = cluster.kill_keeping(leader.program, &[]);
+    let dirs = cluster.stop_with_files(followers);
     // One of them is forged: its text was changed, and its seal taken off as an earlier version would leave it.
     let file = dirs[1].path().join("kept.json");
     let text = std::fs::read_to_string(&file).expect("text");
     let (_, json) = text.split_once('\n').expect("a head");
     std::fs::write(&file, json.replace("as it was", "as forged")).expect("written");
-    let desk = rig.administration(dir, true);
-    let followers = rig.back(dirs);
-    eventually("it is open which book stands", || step(&desk) == (json!("waiting"), json!("disagreed")));
-    assert!(followers.iter().all(|p| takes(p, "kalahari") == Code::Ok), "both go on with what they hold");
+    let leader = cluster.administration(dir, true);
+    let followers = cluster.back(dirs);
+    eventually("it is open which book stands", || step(&leader) == (json!("waiting"), json!("disagreed")));
+    assert!(
+        followers.iter().all(|p| call_status(p, "kalahari") == Code::Ok),
+        "both go on with what they hold"
+    );
     let run = |words: &[&str]| {
         let mut command = Command::new(PROGRAM);
-        command.args(["fleet", "--api", &rig.api.to_string()]).args(words).env("NETTLEFERRY_KEY", &rig.token);
+        command
+            .args(["fleet", "--api", &cluster.api.to_string()])
+            .args(words)
+            .env("NETTLEFERRY_KEY", &cluster.token);
         let out = command.output().expect("it runs");
         (
             out.status.code(),
@@ -342,14 +348,14 @@
         done == Some(0) && told.contains("nothing was done") && told.contains("morava would be another"),
         "{told}"
     );
-    assert_eq!(step(&desk).0, "waiting");
+    assert_eq!(step(&leader).0, "waiting");
     let (done, told) = run(&["recover", "--take", "1", "--yes"]);
     assert!(done == Some(0) && told.contains("stands now"), "{told}");
-    eventually("the word of the operator stands", || step(&desk).0 == "serving");
-    assert_eq!(desk.get("/v1/tenants/morava")["note"], "as it was");
-    desk.change("POST", "/v1/tenants/morava/suspend", "");
+    eventually("the word of the operator stands", || step(&leader).0 == "serving");
+    assert_eq!(leader.get("/v1/tenants/morava")["note"], "as it was");
+    leader.change("POST", "/v1/tenants/morava/suspend", "");
     for program in &followers {
-        eventually("both follow it", || takes(program, "morava") == Code::PermissionDenied);
+        eventually("both follow it", || call_status(program, "morava") == Code::PermissionDenied);
     }
     let (done, told) = run(&["recover", "--take", "9", "--yes"]);
     assert!(done == Some(1) && told.contains("has given no book"), "{told}");
--- a/crates/gateway/tests/stored_data.rs
+++ b/crates/gateway/tests/stored_data.rs
@@ -3,7 +3,7 @@
 //! lease span, write-ahead log segments, audit logs and delivered records.
 
 mod common;
-use common::desk::*;
+use common::admin_client::*;
 use common::golden;
 use common::*;
 
@@ -171,7 +171,7 @@
     std::fs::write(dir.path().join("workers.sexp"), "").expect("written");
     let program = serve_in(dir, &settings, None);
     let api = program.line("listening admin ");
-    let http = Http { api, token };
+    let http = AdminClient { api, token };
     assert_eq!(http.get("/v1/tenants"), told()["tenants"]);
     assert_eq!(http.get("/v1/audit?limit=100"), told()["audit"]);
     for of in ["1", "administration"] {
--- a/crates/gateway/tests/stragglers.rs
+++ b/crates/gateway/tests/stragglers.rs
@@ -3,9 +3,9 @@
 //! an acknowledged change forbids.
 
 mod common;
-use common::desk::*;
+use common::admin_client::*;
+use common::cluster::*;
 use common::link::{Does, Link};
-use common::rig::*;
 use common::*;
 
 use std::net::SocketAddr;
@@ -23,9 +23,14 @@
 const SERVED_WITHIN: Duration = Duration::from_secs(20);
 
 /// Its life on the administration's roll.
-fn row(http: &Http, number: u32) -> Value {
+fn row(http: &AdminClient, number: u32) -> Value {
     let of = |l: &&Value| l["controller"] == number;
-    lives(http).iter().filter(of).min_by_key(|l| l["seen_ms_ago"].as_u64()).cloned().unwrap_or(Value::Null)
+    incarnations(http)
+        .iter()
+        .filter(of)
+        .min_by_key(|l| l["seen_ms_ago"].as_u64())
+        .cloned()
+        .unwrap_or(Value::Null)
 }
 
 /// Calls of a tenant at a controller in a row, from a thread of its own: when each was sent and how it ended.
@@ -69,7 +74,7 @@
     }
 }
 
-fn suspend(http: &Http, tenant: &str) -> (u16, String) {
+fn suspend(http: &AdminClient, tenant: &str) -> (u16, String) {
     let request = format!(
         "POST /v1/tenants/{tenant}/suspend HTTP/1.1\r\nHost: x\r\nConnection: close\r\nAuthorization: Bearer {}\r\nIf-Match: *\r\nContent-Length: 0\r\n\r\n",
         http.token
@@ -79,19 +84,19 @@
 }
 
 #[test]
-fn a_suspension_is_acknowledged_when_no_straggler_can_act_without_it() {
-    let rig = Rig::new("127.0.8.1", 4);
-    let desk = rig.administration(rig.dir(), LEASE_SETTING);
-    let links: Vec<Link> = (0..3).map(|_| rig.link()).collect();
+fn suspension_is_acknowledged_once_no_stale_controller_can_act() {
+    let cluster = Cluster::new("127.0.8.1", 4);
+    let leader = cluster.administration(cluster.dir(), LEASE_SETTING);
+    let links: Vec<Link> = (0..3).map(|_| cluster.link()).collect();
     let refuse = "(without-lease refuse)";
     let followers: Vec<Program> =
-        links.iter().zip(1..).map(|(l, n)| rig.follower(rig.dir(), n, l.address, refuse)).collect();
+        links.iter().zip(1..).map(|(l, n)| cluster.follower(cluster.dir(), n, l.address, refuse)).collect();
     for (round, does) in [Does::Silent, Does::AsksOnly, Does::AnswersOnly, Does::Cut].into_iter().enumerate()
     {
         let tenant: &'static str = ["kalahari", "morava", "sava", "drina"][round];
-        desk.create(json!({ "name": tenant }));
+        leader.create(json!({ "name": tenant }));
         for program in &followers {
-            eventually("it serves", || takes(program, tenant) == Code::Ok);
+            eventually("it serves", || call_status(program, tenant) == Code::Ok);
         }
         // The first hears all; two stand behind.
         let calls: Vec<Calls> = followers.iter().map(|p| Calls::of(tenant, p.address)).collect();
@@ -99,7 +104,7 @@
         links[1].set(does);
         links[2].set(does);
         let asked = Instant::now();
-        let (status, head) = suspend(&desk, tenant);
+        let (status, head) = suspend(&leader, tenant);
         let told = Instant::now();
         assert_eq!(status, 200, "{does:?}: {head}");
         assert!(head.contains("Nettleferry-In-Force: everywhere"), "{does:?}: {head}");
@@ -119,25 +124,25 @@
         links[1].set(Does::Passes);
         links[2].set(Does::Passes);
         for program in &followers {
-            eventually("all are back and have it", || takes(program, tenant) == Code::PermissionDenied);
+            eventually("all are back and have it", || call_status(program, tenant) == Code::PermissionDenied);
         }
     }
 }
 
 #[test]
-fn a_process_that_stood_still_checks_its_lease_before_its_first_act() {
-    let rig = Rig::new("127.0.8.2", 4);
-    let desk = rig.administration(rig.dir(), LEASE_SETTING);
-    desk.create(json!({"name": "kalahari"}));
-    let mut one = rig.follower(rig.dir(), 1, rig.api, "(without-lease refuse)");
-    eventually("it serves", || takes(&one, "kalahari") == Code::Ok);
+fn paused_process_checks_its_lease_before_it_acts() {
+    let cluster = Cluster::new("127.0.8.2", 4);
+    let leader = cluster.administration(cluster.dir(), LEASE_SETTING);
+    leader.create(json!({"name": "kalahari"}));
+    let mut one = cluster.follower(cluster.dir(), 1, cluster.api, "(without-lease refuse)");
+    eventually("it serves", || call_status(&one, "kalahari") == Code::Ok);
     let mut caller = Caller::new(one.address);
     let rpc = call(&mut caller, Some("kalahari"), "echo");
     assert_eq!(caller.status(rpc).0.code, Code::Ok);
     one.signal("STOP");
     // Calls wait in its sockets while it stands still.
     let waiting: Vec<u64> = (0..10).map(|_| call(&mut caller, Some("kalahari"), "echo")).collect();
-    let (status, head) = suspend(&desk, "kalahari");
+    let (status, head) = suspend(&leader, "kalahari");
     assert!(status == 200 && head.contains("In-Force: everywhere"), "{head}");
     one.signal("CONT");
     for rpc in waiting {
@@ -147,38 +152,38 @@
             assert!(trailers.contains_key("grpc-retry-pushback-ms"), "refused with a time to come back");
         }
     }
-    eventually("it hears of it", || takes(&one, "kalahari") == Code::PermissionDenied);
+    eventually("it hears of it", || call_status(&one, "kalahari") == Code::PermissionDenied);
     one.signal("TERM");
     assert!(one.wait().success());
     assert!(one.log().contains("lease is not current"), "logged");
 }
 
 #[test]
-fn one_that_comes_back_from_its_disk_takes_no_call_before_it_has_heard() {
-    let rig = Rig::new("127.0.8.3", 4);
-    let link = rig.link();
-    let desk = rig.administration(rig.dir(), LEASE_SETTING);
-    desk.create(json!({"name": "kalahari"}));
+fn restarted_follower_accepts_no_call_before_its_first_lease() {
+    let cluster = Cluster::new("127.0.8.3", 4);
+    let link = cluster.link();
+    let leader = cluster.administration(cluster.dir(), LEASE_SETTING);
+    leader.create(json!({"name": "kalahari"}));
     let more = "(without-lease refuse) (leave-after 300ms)";
-    let one = rig.follower(rig.dir(), 1, link.address, more);
-    eventually("it serves", || takes(&one, "kalahari") == Code::Ok);
-    eventually("it is on its disk", || row(&desk, 1)["kept"] == 1);
+    let one = cluster.follower(cluster.dir(), 1, link.address, more);
+    eventually("it serves", || call_status(&one, "kalahari") == Code::Ok);
+    eventually("it is on its disk", || row(&leader, 1)["kept"] == 1);
     one.signal("KILL");
     link.set(Does::Silent);
-    let (status, head) = suspend(&desk, "kalahari");
+    let (status, head) = suspend(&leader, "kalahari");
     assert!(status == 200 && head.contains("In-Force: everywhere"), "{head}");
-    let dir = rig.dir();
+    let dir = cluster.dir();
     std::fs::copy(one.dir.path().join("kept.json"), dir.path().join("kept.json")).expect("copied");
     drop(one);
-    let again = rig.follower(dir, 1, link.address, more);
-    assert_eq!(takes(&again, "kalahari"), Code::Unavailable, "what it kept says that he may call");
+    let again = cluster.follower(dir, 1, link.address, more);
+    assert_eq!(call_status(&again, "kalahari"), Code::Unavailable, "what it kept says that he may call");
     let mut caller = Caller::new(again.address);
     eventually("it leaves: front ends are told that it is not ready", || !ready(&mut caller));
     link.set(Does::Passes);
-    eventually("it has heard", || takes(&again, "kalahari") == Code::PermissionDenied);
+    eventually("it has heard", || call_status(&again, "kalahari") == Code::PermissionDenied);
     eventually("and is ready", || ready(&mut caller));
     // Two lives of one number were two.
-    assert_eq!(lives(&desk).len(), 2);
+    assert_eq!(incarnations(&leader).len(), 2);
 }
 
 fn ready(caller: &mut Caller) -> bool {
@@ -196,29 +201,29 @@
 use prost::Message;
 
 #[test]
-fn an_administration_killed_before_its_answer_waits_out_the_leases_it_gave() {
-    let rig = Rig::new("127.0.8.4", 4);
-    let link = rig.link();
-    let desk = rig.administration(rig.dir(), LEASE_SETTING);
-    desk.create(json!({"name": "kalahari"}));
-    let one = rig.follower(rig.dir(), 1, link.address, "(without-lease refuse)");
-    eventually("it serves", || takes(&one, "kalahari") == Code::Ok);
+fn restarted_leader_waits_for_the_leases_of_its_earlier_incarnation() {
+    let cluster = Cluster::new("127.0.8.4", 4);
+    let link = cluster.link();
+    let leader = cluster.administration(cluster.dir(), LEASE_SETTING);
+    leader.create(json!({"name": "kalahari"}));
+    let one = cluster.follower(cluster.dir(), 1, link.address, "(without-lease refuse)");
+    eventually("it serves", || call_status(&one, "kalahari") == Code::Ok);
     let calls = Calls::of("kalahari", one.address);
     // It stands behind, the change is committed, and the administration dies before the answer.
     link.set(Does::Silent);
-    let http = desk.http.clone();
+    let http = leader.http.clone();
     let unanswered = std::thread::spawn(move || suspend(&http, "kalahari"));
-    eventually("committed", || desk.get("/v1/tenants/kalahari")["state"] == "suspended");
-    desk.program.signal("KILL");
+    eventually("committed", || leader.get("/v1/tenants/kalahari")["state"] == "suspended");
+    leader.program.signal("KILL");
     assert_eq!(unanswered.join().expect("it ended").0, 0, "no word came");
-    let dir = rig.dir();
+    let dir = cluster.dir();
     for name in ["tenants.redb", "tenants.lease"] {
-        std::fs::copy(desk.program.dir.path().join(name), dir.path().join(name)).expect("copied");
+        std::fs::copy(leader.program.dir.path().join(name), dir.path().join(name)).expect("copied");
     }
-    drop(desk);
+    drop(leader);
     // Asked again, it acknowledges when the lease of before must be out, though it knows of none.
-    let desk = rig.administration(dir, LEASE_SETTING);
-    let (status, head) = suspend(&desk, "kalahari");
+    let leader = cluster.administration(dir, LEASE_SETTING);
+    let (status, head) = suspend(&leader, "kalahari");
     let told = Instant::now();
     assert!(status == 200 && head.contains("In-Force: everywhere"), "{head}");
     let mut caller = Caller::new(one.address);
@@ -228,14 +233,15 @@
 }
 
 #[test]
-fn a_change_is_acknowledged_when_another_disk_holds_it() {
-    let rig = Rig::new("127.0.8.5", 4);
-    let desk = rig.administration(rig.dir(), &format!("{LEASE_SETTING}(held-by 2)"));
-    let followers: Vec<Program> = (1..=2).map(|n| rig.follower(rig.dir(), n, rig.api, "")).collect();
-    eventually("both have leases", || desk.get("/v1/fleet")["leases"] == 2);
+fn change_is_acknowledged_once_another_controller_persisted_it() {
+    let cluster = Cluster::new("127.0.8.5", 4);
+    let leader = cluster.administration(cluster.dir(), &format!("{LEASE_SETTING}(held-by 2)"));
+    let followers: Vec<Program> =
+        (1..=2).map(|n| cluster.follower(cluster.dir(), n, cluster.api, "")).collect();
+    eventually("both have leases", || leader.get("/v1/fleet")["leases"] == 2);
     for n in 0..20 {
         let (status, told) =
-            desk.ask("POST", "/v1/tenants", "", &json!({ "name": format!("t{n}") }).to_string());
+            leader.ask("POST", "/v1/tenants", "", &json!({ "name": format!("t{n}") }).to_string());
         assert_eq!(status, 201, "{told}");
         // Power is lost everywhere at this moment: each of them has it.
         for program in &followers {
@@ -244,7 +250,7 @@
         }
     }
     // One whose disk stands still: the change is made and not acknowledged as held.
-    let dir = rig.dir();
+    let dir = cluster.dir();
     assert!(
         std::process::Command::new("mkfifo")
             .arg(dir.path().join("kept.json.new"))
@@ -253,59 +259,60 @@
             .success()
     );
     drop(followers);
-    eventually("their leases are out", || desk.get("/v1/fleet")["leases"] == 0);
-    let stuck = rig.follower(dir, 3, rig.api, "");
-    eventually("it has a lease", || desk.get("/v1/fleet")["leases"] == 1);
-    let (status, told) = desk.ask("POST", "/v1/tenants", "", "{\"name\":\"late\"}");
+    eventually("their leases are out", || leader.get("/v1/fleet")["leases"] == 0);
+    let stuck = cluster.follower(dir, 3, cluster.api, "");
+    eventually("it has a lease", || leader.get("/v1/fleet")["leases"] == 1);
+    let (status, told) = leader.ask("POST", "/v1/tenants", "", "{\"name\":\"late\"}");
     assert_eq!((status, &told["type"]), (503, &json!("/problems/not-held")), "{told}");
-    assert_eq!(desk.get("/v1/tenants/late")["state"], "active", "it was made");
-    eventually("and goes out", || takes(&stuck, "late") == Code::Ok);
+    assert_eq!(leader.get("/v1/tenants/late")["state"], "active", "it was made");
+    eventually("and goes out", || call_status(&stuck, "late") == Code::Ok);
 }
 
 #[test]
-fn a_straggler_that_goes_on_is_told_to_have_no_bound() {
-    let rig = Rig::new("127.0.8.6", 4);
-    let link = rig.link();
-    let desk = rig.administration(rig.dir(), LEASE_SETTING);
-    desk.create(json!({"name": "kalahari"}));
-    let one = rig.follower(rig.dir(), 1, link.address, "(without-lease serve)");
-    eventually("it serves", || takes(&one, "kalahari") == Code::Ok);
+fn stale_controller_that_continues_is_reported_as_unbounded() {
+    let cluster = Cluster::new("127.0.8.6", 4);
+    let link = cluster.link();
+    let leader = cluster.administration(cluster.dir(), LEASE_SETTING);
+    leader.create(json!({"name": "kalahari"}));
+    let one = cluster.follower(cluster.dir(), 1, link.address, "(without-lease serve)");
+    eventually("it serves", || call_status(&one, "kalahari") == Code::Ok);
     link.set(Does::Silent);
-    let (status, head) = suspend(&desk, "kalahari");
+    let (status, head) = suspend(&leader, "kalahari");
     assert!(status == 202 && head.contains("not everywhere: 1 may act without it"), "{status} {head}");
-    let told = desk.get("/v1/fleet/change");
+    let told = leader.get("/v1/fleet/change");
     assert!(told["within_ms"].is_null() && told["everywhere"] == false, "{told}");
     assert_eq!(told["waits"][0]["controller"], 1);
-    assert_eq!(takes(&one, "kalahari"), Code::Ok, "its settings say so");
+    assert_eq!(call_status(&one, "kalahari"), Code::Ok, "its settings say so");
     link.set(Does::Passes);
-    eventually("it is everywhere", || desk.get("/v1/fleet/change")["everywhere"] == true);
+    eventually("it is everywhere", || leader.get("/v1/fleet/change")["everywhere"] == true);
 }
 
 #[test]
-fn a_fenced_life_takes_no_call_and_comes_back_as_another() {
-    let rig = Rig::new("127.0.8.7", 4);
-    let desk = rig.administration(rig.dir(), LEASE_SETTING);
-    desk.create(json!({"name": "kalahari"}));
-    let followers: Vec<Program> = (1..=2).map(|n| rig.follower(rig.dir(), n, rig.api, "")).collect();
+fn fenced_incarnation_accepts_no_call_and_returns_as_another() {
+    let cluster = Cluster::new("127.0.8.7", 4);
+    let leader = cluster.administration(cluster.dir(), LEASE_SETTING);
+    leader.create(json!({"name": "kalahari"}));
+    let followers: Vec<Program> =
+        (1..=2).map(|n| cluster.follower(cluster.dir(), n, cluster.api, "")).collect();
     for program in &followers {
-        eventually("it serves", || takes(program, "kalahari") == Code::Ok);
+        eventually("it serves", || call_status(program, "kalahari") == Code::Ok);
     }
-    let run = |words: &[&str]| rig.run(words).1;
+    let run = |words: &[&str]| cluster.run(words).1;
     let told = run(&["fence", "1"]);
     assert!(told.contains("controller 1: 1 life shut out"), "{told}");
-    eventually("it takes no call", || takes(&followers[0], "kalahari") == Code::Unavailable);
+    eventually("it takes no call", || call_status(&followers[0], "kalahari") == Code::Unavailable);
     assert!(!ready(&mut Caller::new(followers[0].address)));
-    assert_eq!(takes(&followers[1], "kalahari"), Code::Ok, "the other one is none of it");
+    assert_eq!(call_status(&followers[1], "kalahari"), Code::Ok, "the other one is none of it");
     eventually("it has said that it ended", || {
-        row(&desk, 1)["fenced"] == true && row(&desk, 1)["lease_left_ms"].is_null()
+        row(&leader, 1)["fenced"] == true && row(&leader, 1)["lease_left_ms"].is_null()
     });
     let told = run(&["status"]);
     assert!(told.contains("fenced"), "{told}");
     // The same life is not let in by asking on; another one is.
     let mut followers = followers;
     drop(followers.remove(0));
-    let again = rig.follower(rig.dir(), 1, rig.api, "");
-    eventually("another life serves", || takes(&again, "kalahari") == Code::Ok);
+    let again = cluster.follower(cluster.dir(), 1, cluster.api, "");
+    eventually("another life serves", || call_status(&again, "kalahari") == Code::Ok);
     let told = run(&["admit", "1"]);
     assert!(told.contains("controller 1: 1 life let in"), "{told}");
 }
--- a/crates/gateway/tests/upkeep.rs
+++ b/crates/gateway/tests/upkeep.rs
@@ -1,9 +1,9 @@
 //! Followers that are cut off while changes go on, and come back at once; two administrations after a restore.
 
 mod common;
-use common::desk::*;
+use common::admin_client::*;
+use common::cluster::*;
 use common::link::{Does, Link};
-use common::rig::*;
 use common::*;
 
 use nettleferry_net::grpc::Code;
@@ -13,10 +13,10 @@
 const FOLLOWER: &str = "(trail (folder \"trail\"))";
 
 /// Revisions that a controller acted on, in the order of its delivered record.
-fn acted(desk: &Http, number: usize) -> Vec<(u64, u64)> {
+fn acted(leader: &AdminClient, number: usize) -> Vec<(u64, u64)> {
     let (mut all, mut from) = (Vec::new(), Some(0));
     while let Some(place) = from {
-        let page = desk.get(&format!("/v1/fleet/records?of={number}&from={place}&limit=1000"));
+        let page = leader.get(&format!("/v1/fleet/records?of={number}&from={place}&limit=1000"));
         for line in page["lines"].as_array().into_iter().flatten().filter_map(Value::as_str) {
             let line: Value = serde_json::from_str(line).expect("json");
             if line["what"] == "view" {
@@ -30,37 +30,37 @@
 }
 
 #[test]
-fn followers_that_were_cut_off_skip_double_and_reorder_nothing() {
-    let rig = Rig::new("127.0.12.1", 9);
-    let desk = rig.administration(rig.dir(), ADMINISTRATION);
-    desk.create(json!({"name": "kalahari"}));
-    let links: Vec<Link> = (0..8).map(|_| rig.link()).collect();
+fn reconnected_followers_apply_each_change_once_in_order() {
+    let cluster = Cluster::new("127.0.12.1", 9);
+    let leader = cluster.administration(cluster.dir(), ADMINISTRATION);
+    leader.create(json!({"name": "kalahari"}));
+    let links: Vec<Link> = (0..8).map(|_| cluster.link()).collect();
     let all: Vec<Program> =
-        links.iter().zip(1..).map(|(l, n)| rig.follower(rig.dir(), n, l.address, FOLLOWER)).collect();
+        links.iter().zip(1..).map(|(l, n)| cluster.follower(cluster.dir(), n, l.address, FOLLOWER)).collect();
     for program in &all {
-        eventually("it serves", || takes(program, "kalahari") == Code::Ok);
+        eventually("it serves", || call_status(program, "kalahari") == Code::Ok);
     }
     // Five of eight hear nothing, while two hundred changes are made; calls of all flow.
     let kinds = [Does::Cut, Does::Silent, Does::AsksOnly, Does::AnswersOnly, Does::Cut];
     links.iter().zip(kinds).for_each(|(link, does)| link.set(does));
     for n in 0..200 {
         let body = json!({ "note": n.to_string() }).to_string();
-        let (status, told) = desk.ask("PATCH", "/v1/tenants/kalahari", "If-Match: *\r\n", &body);
+        let (status, told) = leader.ask("PATCH", "/v1/tenants/kalahari", "If-Match: *\r\n", &body);
         assert_eq!(status, 200, "{told}");
         if n % 20 == 0 {
-            all.iter().for_each(|program| assert_eq!(takes(program, "kalahari"), Code::Ok));
+            all.iter().for_each(|program| assert_eq!(call_status(program, "kalahari"), Code::Ok));
         }
     }
-    let last = desk.get("/v1/controllers")["revision"].as_u64().expect("told");
+    let last = leader.get("/v1/controllers")["revision"].as_u64().expect("told");
     links.iter().for_each(|link| link.set(Does::Passes));
     eventually("all act on the last one", || {
-        lives(&desk).iter().filter(|l| l["in_force"] == last).count() == 8
+        incarnations(&leader).iter().filter(|l| l["in_force"] == last).count() == 8
     });
     for number in 1..=8 {
         eventually("its record is delivered", || {
-            acted(&desk, number).last().is_some_and(|(_, r)| *r == last)
+            acted(&leader, number).last().is_some_and(|(_, r)| *r == last)
         });
-        let acted = acted(&desk, number);
+        let acted = acted(&leader, number);
         // By log each change is a view of its own; by snapshot some are passed over. None comes twice or too late.
         assert!(acted.windows(2).all(|pair| pair[0] <= pair[1]), "controller {number}: {acted:?}");
         let mut once = acted.clone();
@@ -73,48 +73,51 @@
 }
 
 #[test]
-fn two_administrations_after_a_restore_are_a_fork_that_is_told() {
-    let rig = Rig::new("127.0.12.2", 9);
-    let desk = rig.administration(rig.dir(), ADMINISTRATION);
-    desk.create(json!({"name": "kalahari"}));
-    let link = rig.link();
-    let all: Vec<Program> = (1..=2).map(|n| rig.follower(rig.dir(), n, link.address, FOLLOWER)).collect();
+fn forked_leaders_after_a_restore_are_reported() {
+    let cluster = Cluster::new("127.0.12.2", 9);
+    let leader = cluster.administration(cluster.dir(), ADMINISTRATION);
+    leader.create(json!({"name": "kalahari"}));
+    let link = cluster.link();
+    let all: Vec<Program> =
+        (1..=2).map(|n| cluster.follower(cluster.dir(), n, link.address, FOLLOWER)).collect();
     for program in &all {
-        eventually("it serves", || takes(program, "kalahari") == Code::Ok);
+        eventually("it serves", || call_status(program, "kalahari") == Code::Ok);
     }
     // A snapshot is restored elsewhere, by hand, while the first goes on: two administrations of one store.
-    let snapshot = desk.program.dir.path().join("tenants.snapshot");
+    let snapshot = leader.program.dir.path().join("tenants.snapshot");
     eventually("the snapshot is written", || snapshot.exists());
-    let dir = rig.dir();
+    let dir = cluster.dir();
     let store = dir.path().join("tenants.redb");
     let run =
         std::process::Command::new(PROGRAM).args(["admin", "restore"]).args([&snapshot, &store]).output();
     assert!(run.expect("it runs").status.success());
-    let other = place(rig.host);
-    let second = rig.administration_at(other, dir, ADMINISTRATION);
+    let other = free_address(cluster.host);
+    let second = cluster.administration_at(other, dir, ADMINISTRATION);
     second.change("POST", "/v1/tenants/kalahari/suspend", "");
-    let third = rig.follower(rig.dir(), 3, other, FOLLOWER);
-    eventually("it follows the second", || takes(&third, "kalahari") == Code::PermissionDenied);
+    let third = cluster.follower(cluster.dir(), 3, other, FOLLOWER);
+    eventually("it follows the second", || call_status(&third, "kalahari") == Code::PermissionDenied);
     // One of the first's is pointed at the second by its settings, and back: it takes the later epoch, and never the
     // earlier one again.
     let moved = &all[0];
-    assert_eq!(takes(moved, "kalahari"), Code::Ok);
+    assert_eq!(call_status(moved, "kalahari"), Code::Ok);
     let mut all = all;
     let moved = all.remove(0);
     moved.signal("KILL");
-    let kept = rig.dir();
+    let kept = cluster.dir();
     std::fs::copy(moved.dir.path().join("kept.json"), kept.path().join("kept.json")).expect("copied");
     drop(moved);
-    let moved = rig.follower(kept, 1, other, FOLLOWER);
-    eventually("it takes the later epoch", || takes(&moved, "kalahari") == Code::PermissionDenied);
+    let moved = cluster.follower(kept, 1, other, FOLLOWER);
+    eventually("it takes the later epoch", || call_status(&moved, "kalahari") == Code::PermissionDenied);
     moved.signal("KILL");
-    let kept = rig.dir();
+    let kept = cluster.dir();
     std::fs::copy(moved.dir.path().join("kept.json"), kept.path().join("kept.json")).expect("copied");
     drop(moved);
-    let back = rig.follower(kept, 1, rig.api, FOLLOWER);
-    eventually("the first is told that another one is ahead", || desk.get("/v1/fleet")["cause"] == "behind");
-    assert_eq!(takes(&back, "kalahari"), Code::PermissionDenied, "it goes back to no earlier epoch");
-    assert_eq!(takes(&all[0], "kalahari"), Code::Ok, "the other one stands where it was");
-    let (status, told) = desk.ask("POST", "/v1/tenants", "", "{\"name\":\"new\"}");
+    let back = cluster.follower(kept, 1, cluster.api, FOLLOWER);
+    eventually("the first is told that another one is ahead", || {
+        leader.get("/v1/fleet")["cause"] == "behind"
+    });
+    assert_eq!(call_status(&back, "kalahari"), Code::PermissionDenied, "it goes back to no earlier epoch");
+    assert_eq!(call_status(&all[0], "kalahari"), Code::Ok, "the other one stands where it was");
+    let (status, told) = leader.ask("POST", "/v1/tenants", "", "{\"name\":\"new\"}");
     assert_eq!(status, 503, "no change until it is decided which one stands: {told}");
 }
