--- a/crates/gateway/src/worker_list/mod.rs
+++ b/crates/gateway/src/worker_list/mod.rs
@@ -1,7 +1,7 @@
 //! The worker list, watched by a thread of its own: the thread that answers calls waits for no disk. Another source of
 //! workers would give [`ListUpdate`]s as well.
 //!
-//! * [`file`]: the list's file, and the persisted list of the incarnation before.
+//! * [`mod@file`]: the list's file, and the persisted list of the incarnation before.
 
 mod file;
 
--- a/crates/gateway/tests/cut.rs
+++ b/crates/gateway/tests/cut.rs
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn an_unsafe_call_is_never_repeated_or_refused_behind_a_cut_link() {
+fn non_idempotent_call_is_neither_retried_nor_refused_behind_a_cut_link() {
     let mut fleet = Fleet::new(3, SPEC);
     let program = serve(SETTINGS, &fleet.list());
     let mut caller = Caller::new(program.address);
--- a/crates/gateway/tests/descriptors.rs
+++ b/crates/gateway/tests/descriptors.rs
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn clients_that_take_every_descriptor_while_the_directory_is_silent_hold_up_nothing() {
+fn clients_that_take_every_descriptor_during_a_directory_outage_delay_nothing() {
     let (release, held) = mpsc::channel::<()>();
     let held = std::sync::Mutex::new(held);
     let first = Invoker::start(move |told| {
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn processes_that_start_all_at_once_are_ready_in_their_time_whatever_the_directory_does() {
+fn processes_that_start_together_are_ready_in_time_whatever_the_directory_does() {
     let invoker = Invoker::start(good);
     // A long list, which each of them reads at its start.
     let mut listed: Vec<_> = (0..400).map(|at| (format!("s-{at:08x}"), invoker.address, true)).collect();
--- a/crates/gateway/tests/faults.rs
+++ b/crates/gateway/tests/faults.rs
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn reads_that_take_less_than_there_is_leave_no_request_unanswered() {
+fn short_reads_leave_no_request_unanswered() {
     let invoker = invoker();
     let mut node = Node::start(&invoker, Faults { short: 1_000, ..Faults::default() }, |_| ());
     let mut client = node.client();
@@ -123,7 +123,7 @@
 const TTL: Duration = Duration::from_millis(3_000);
 
 #[test]
-fn what_came_while_the_process_was_stopped_in_its_wait_has_less_time_left() {
+fn requests_that_arrived_during_a_stop_have_less_time_left() {
     let told = Arc::new(Mutex::new(Vec::new()));
     let patience = Arc::clone(&told);
     let invoker = Invoker::start(move |told: &Told| match told.word() {
@@ -155,7 +155,7 @@
 }
 
 #[test]
-fn a_connect_that_fails_for_a_moment_costs_no_call_and_no_worker() {
+fn transient_connect_failures_cost_no_call_and_no_worker() {
     let invoker = invoker();
     let faults = Faults { first_connects: 3, ..Faults::default() };
     // One attempt a call: what fails for a moment at this end must not end it.
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn a_start_waits_out_faults_that_pass() {
+fn startup_retries_transient_faults() {
     let invoker = invoker();
     let mut node = Node::start(&invoker, Faults { start: 9, ..Faults::default() }, |_| ());
     let mut client = node.client();
@@ -192,7 +192,7 @@
 }
 
 #[test]
-fn a_log_that_can_t_be_written_costs_no_call() {
+fn unwritable_log_costs_no_call() {
     let invoker = invoker();
     let faults = Faults { log: 1_000, ..Faults::default() };
     let mut node = Node::start_with(&invoker, faults, |_| (), |node| _ = node.env("RUST_LOG", "debug"));
@@ -200,7 +200,7 @@
 }
 
 #[test]
-fn a_log_that_nobody_reads_costs_no_call() {
+fn unread_log_costs_no_call() {
     let invoker = invoker();
     // More than a pipe holds is logged, and nobody takes it.
     let unread = |node: &mut Command| _ = node.env("RUST_LOG", "debug").stderr(Stdio::piped());
@@ -209,7 +209,7 @@
 }
 
 #[test]
-fn a_full_disk_under_standard_output_and_the_log_holds_up_no_start() {
+fn full_disk_under_stdout_and_log_does_not_delay_startup() {
     let invoker = invoker();
     let address = std::net::TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a port");
     let full = || std::fs::File::options().write(true).open("/dev/full").expect("the system has it");
@@ -234,7 +234,7 @@
 "#;
 
 #[test]
-fn a_start_of_serve_waits_out_faults_that_pass() {
+fn serve_startup_retries_transient_faults() {
     let dir = tempfile::tempdir().expect("a folder");
     let library = shim::compile(dir.path()).expect("a C compiler");
     std::fs::write(dir.path().join("settings.sexp"), SERVE_SETTINGS).expect("written");
@@ -253,7 +253,7 @@
 }
 
 #[test]
-fn a_signal_whose_wake_up_is_lost_is_heard_all_the_same() {
+fn signal_with_a_lost_wake_up_is_still_handled() {
     let invoker = invoker();
     let mut node = Node::start(&invoker, Faults { signal: 1_000, ..Faults::default() }, |_| ());
     serves(&mut node.client(), 1..3);
--- a/crates/gateway/tests/herd.rs
+++ b/crates/gateway/tests/herd.rs
@@ -13,7 +13,7 @@
 const MANY: u32 = 100;
 
 #[test]
-fn a_hundred_processes_come_back_at_once() {
+fn hundred_followers_restart_at_once() {
     let cores = std::thread::available_parallelism().map_or(1, usize::from);
     // Fewer where the machine is small, and said: so many processes would test its scheduler.
     let many = if cores < 4 { 12 } else { MANY };
--- a/crates/gateway/tests/kill.rs
+++ b/crates/gateway/tests/kill.rs
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn one_that_is_killed_before_it_is_ready_leaves_nothing_in_the_way_of_its_next_life() {
+fn node_killed_before_it_is_ready_can_be_restarted() {
     let place = Place::new();
     for life in 0..LIVES {
         let mut child = Node::spawn(&place.path, 256);
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn one_that_is_killed_in_the_middle_of_an_answer_leaves_none_that_could_be_taken_for_whole() {
+fn node_killed_during_an_answer_leaves_no_answer_that_looks_complete() {
     let place = Place::new();
     let node = place.ready();
     let mut client = Client::connect(node.address);
--- a/crates/gateway/tests/leaving.rs
+++ b/crates/gateway/tests/leaving.rs
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn who_left_while_the_process_was_stopped_is_not_sent_on_when_it_goes_on() {
+fn calls_of_clients_that_left_during_a_stop_are_not_forwarded() {
     for way in [Leaves::Withdraws, Leaves::HalfCloses, Leaves::Closes, Leaves::Resets] {
         let gate = Arc::new(Gate::default());
         let held = Arc::clone(&gate);
--- a/crates/gateway/tests/life.rs
+++ b/crates/gateway/tests/life.rs
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn the_demo_serves_and_ends_cleanly_on_either_signal() {
+fn demo_serves_and_ends_cleanly_on_either_signal() {
     for signal in ["TERM", "INT"] {
         let mut demo = demo();
         let address = demo.address.to_string();
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn words_that_are_wrong_get_a_suggestion_and_a_code() {
+fn wrong_arguments_get_a_suggestion_and_an_exit_code() {
     let (code, _, err) = output(&["srve", "x"]);
     assert!(code == 2 && err.contains("serve"), "{err}");
     let (code, _, err) = output(&["serve", "/nonexistent/x.sexp"]);
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn check_tells_all_that_is_wrong_with_its_place() {
+fn check_reports_every_error_with_its_position() {
     let dir = tempfile::tempdir().expect("a folder");
     let file = dir.path().join("s.sexp");
     std::fs::write(&file, SETTINGS.replace("(aim 1s)", "(aim 1)")).expect("written");
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn an_address_that_is_taken_is_told() {
+fn address_in_use_is_reported() {
     let taken = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = taken.local_addr().expect("bound").to_string();
     let (code, _, err) = output(&["demo", "--listen", &address]);
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn at_sigterm_open_calls_have_their_answers_and_new_ones_are_refused() {
+fn sigterm_answers_open_calls_and_refuses_new_connections() {
     let mut fleet =
         Fleet::new(1, "(listen \"127.0.0.1:0\") (model \"\" (lanes 64) (load-time 1ms) (work 600ms))");
     let mut gateway = serve(SETTINGS, &fleet.list());
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn a_second_signal_ends_it_at_once() {
+fn second_signal_stops_at_once() {
     let mut fleet = Fleet::new(1, SPEC);
     fleet.handles[0].tell(Fault::Hang(Some("echo".into())));
     let mut gateway = serve(SETTINGS, &fleet.list());
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn the_kept_list_serves_when_the_list_is_gone() {
+fn persisted_list_is_used_when_the_list_is_missing() {
     let fleet = Fleet::new(1, SPEC);
     let settings = SETTINGS.replace("(check-every 5ms)", "(check-every 5ms) (kept \"kept.sexp\")");
     let dir = tempfile::tempdir().expect("a folder");
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn an_unsafe_call_at_a_silent_worker_fails_in_time_and_runs_once() {
+fn non_idempotent_call_at_an_unresponsive_worker_fails_in_time_and_runs_once() {
     let mut fleet = Fleet::new(2, SPEC);
     let settings =
         SETTINGS.replace("(effect unsafe) (aim 1s) (deadline 20s)", "(effect unsafe) (aim 1s) (deadline 1s)");
--- a/crates/gateway/tests/limits.rs
+++ b/crates/gateway/tests/limits.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn what_is_no_call_is_told_what_it_is() {
+fn requests_that_are_no_calls_get_the_matching_status() {
     let fleet = Fleet::new(1, SPEC);
     let gateway = serve(SETTINGS, &fleet.list());
     let mut caller = Caller::new(gateway.address);
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn a_message_over_the_limit_is_resource_exhausted() {
+fn message_over_the_limit_is_resource_exhausted() {
     let fleet = Fleet::new(1, SPEC);
     let gateway = serve(&format!("{SETTINGS}(limits (message-size 64KiB))"), &fleet.list());
     let mut caller = Caller::new(gateway.address);
@@ -90,7 +90,7 @@
 const PREFACE: &[u8] = b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n\0\0\0\x04\0\0\0\0\0";
 
 #[test]
-fn a_header_block_without_end_ends_that_connection_alone() {
+fn endless_header_block_ends_only_its_connection() {
     let fleet = Fleet::new(1, SPEC);
     let gateway = serve(SETTINGS, &fleet.list());
     let mut caller = Caller::new(gateway.address);
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn streams_opened_and_reset_at_once_end_that_connection_alone() {
+fn rapid_resets_end_only_their_connection() {
     let fleet = Fleet::new(1, SPEC);
     let gateway = serve(&format!("{SETTINGS}(limits (reset-streams 32))"), &fleet.list());
     let mut caller = Caller::new(gateway.address);
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn too_many_open_calls_are_refused_at_once() {
+fn calls_over_the_open_limit_are_refused_at_once() {
     let mut fleet = Fleet::new(1, SPEC);
     fleet.handles[0].tell(Fault::Hang(Some("echo-hang".into())));
     let gateway = serve(&format!("{SETTINGS}(limits (open-calls 3))"), &fleet.list());
@@ -163,7 +163,7 @@
 }
 
 #[test]
-fn no_worker_and_a_fleet_that_drains_are_refusals_at_once() {
+fn without_workers_or_with_draining_ones_calls_are_refused_at_once() {
     let fleet = Fleet::new(2, SPEC);
     let gateway = serve(SETTINGS, "");
     let mut caller = Caller::new(gateway.address);
@@ -191,7 +191,7 @@
 }
 
 #[test]
-fn without_file_handles_clients_are_closed_and_calls_refused_never_silent() {
+fn without_descriptors_connections_are_closed_and_calls_refused() {
     let fleet = Fleet::new(1, SPEC);
     let dir = tempfile::tempdir().expect("a folder");
     std::fs::write(dir.path().join("workers.sexp"), fleet.list()).expect("written");
@@ -223,7 +223,7 @@
 }
 
 #[test]
-fn a_handle_that_the_list_s_reader_took_is_had_again_before_anybody_is_accepted() {
+fn spare_descriptor_taken_by_another_thread_is_replaced_before_accepting() {
     let fleet = Fleet::new(1, SPEC);
     let dir = tempfile::tempdir().expect("a folder");
     std::fs::write(dir.path().join("workers.sexp"), fleet.list()).expect("written");
--- a/crates/gateway/tests/node.rs
+++ b/crates/gateway/tests/node.rs
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_configuration_that_cannot_be_used_is_one_line_and_exit_code_2() {
+fn unusable_configuration_gives_one_line_and_exit_code_2() {
     let dir = tempfile::tempdir().expect("a folder");
     let path = dir.path().join("config.json");
     let spoilt = |name: &str, value: serde_json::Value| {
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn sighup_moves_to_another_directory_once_its_file_is_whole_and_sigterm_ends_in_order() {
+fn sighup_switches_directory_once_its_file_is_complete_and_sigterm_drains() {
     let dir = tempfile::tempdir().expect("a folder");
     let path = dir.path().join("config.json");
     let ((first, one), (second, two)) = (directory(), directory());
--- a/crates/gateway/tests/one_process.rs
+++ b/crates/gateway/tests/one_process.rs
@@ -15,7 +15,7 @@
 const LOADER: &[u8] = b"ld-linux";
 
 #[test]
-fn a_controller_is_one_process_with_one_thread_that_is_linked_dynamically() {
+fn node_is_one_dynamically_linked_process_with_one_thread() {
     let program = std::fs::read(env!("CARGO_BIN_EXE_nettleferry")).expect("the program is there");
     assert!(program.windows(LOADER.len()).any(|bytes| bytes == LOADER), "it names the system's loader");
 
--- a/crates/gateway/tests/signals.rs
+++ b/crates/gateway/tests/signals.rs
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn reload_drain_and_end_within_50_ms_in_every_order_lose_nothing() {
+fn reload_drain_and_stop_within_50_ms_in_every_order_lose_no_call() {
     let plays = ORDERS.map(|order| std::thread::spawn(move || plays(order)));
     for play in plays {
         play.join().expect("no panic");
--- a/crates/gateway/tests/streams.rs
+++ b/crates/gateway/tests/streams.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn a_worker_dies_after_the_third_segment() {
+fn worker_that_dies_after_the_third_segment_aborts_the_call() {
     let mut fleet = Fleet::new(2, SLOW);
     let gateway = serve(SETTINGS, &fleet.list());
     for handle in &fleet.handles {
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn a_cancel_reaches_the_worker_and_nothing_follows() {
+fn cancel_reaches_the_worker_and_nothing_follows() {
     let mut fleet = Fleet::new(2, SLOW);
     let gateway = serve(SETTINGS, &fleet.list());
     let mut caller = Caller::new(gateway.address);
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn calls_of_one_stream_end_each_for_itself() {
+fn calls_of_one_stream_end_independently() {
     let mut fleet = Fleet::new(2, SPEC);
     let gateway = serve(SETTINGS, &fleet.list());
     let mut caller = Caller::new(gateway.address);
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn a_slow_reader_holds_its_worker_and_nobody_else() {
+fn slow_reader_delays_only_its_own_worker() {
     let quick = "(listen \"127.0.0.1:0\") (cores 8) (model \"\" (lanes 64) (load-time 1ms) (work 1ms))";
     let mut fleet = Fleet::new(1, quick);
     let small = "(limits (send-queue 16KiB) (stream-window 64KiB))";
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn more_calls_than_a_stream_may_have_wait_unread() {
+fn calls_over_the_stream_limit_stay_unread() {
     let fleet = Fleet::new(1, SPEC);
     let gateway = serve(&format!("{SETTINGS}(limits (calls-per-stream 2))"), &fleet.list());
     let mut caller = Caller::new(gateway.address);
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn deadline_and_segments_meet_and_one_end_stands() {
+fn deadline_during_segments_gives_one_final_answer() {
     let mut fleet = Fleet::new(
         2,
         "(listen \"127.0.0.1:0\") (cores 64) (model \"\" (lanes 64) (load-time 1ms) (work 200ms))",
--- a/crates/net/src/clock.rs
+++ b/crates/net/src/clock.rs
@@ -1,9 +1,9 @@
-//! The program's clock: microseconds since 1970 at the start, monotonic from there on, so that times told by
-//! others and our own can be compared and no step of the wall clock reaches a decision.
+//! The program's clock: microseconds since 1970 at the start, monotonic from there on, so that times of other processes can
+//! be compared with ours, and no step of the wall clock reaches a decision.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// The clock.
+/// A clock that began with the wall clock and is monotonic since.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     base: u64,
@@ -32,12 +32,12 @@
     }
 }
 
-/// The wall clock as it stands, in microseconds: it may step.
+/// The wall clock in microseconds since 1970: it may step.
 pub fn wall() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or(Duration::ZERO).as_micros() as u64
 }
 
-/// The shorter of a wait and of what is left until the first of these times; `None`: without end.
+/// The shorter of a timeout and of the time until the first of these moments; `None`: without end.
 pub(crate) fn shorter(wait: Option<Duration>, now: Instant, next: &[Option<Instant>]) -> Option<Duration> {
     let next = next.iter().flatten().min().map(|at| at.saturating_duration_since(now));
     match (wait, next) {
--- a/crates/net/src/framing.rs
+++ b/crates/net/src/framing.rs
@@ -1,17 +1,17 @@
-//! Length-prefixed gRPC messages ("gRPC over HTTP2", Length-Prefixed-Message): one byte that tells of
+//! Length-prefixed gRPC messages ("gRPC over HTTP2", Length-Prefixed-Message): one byte that flags
 //! compression, four of length, big-endian, then the message.
 
 use std::io::Read;
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 
-/// A message that can't be taken.
+/// Why a message can't be read.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
-    /// Over the limit, as told by its prefix or found while decompressing.
+    /// Over the limit, by its prefix or found while decompressing.
     #[error("a message of {got} bytes or more; at most {most} are taken")]
     TooLarge {
-        /// Bytes told, or seen so far.
+        /// Bytes by its prefix, or decompressed so far.
         got: u64,
         /// The limit.
         most: usize,
@@ -19,7 +19,7 @@
     /// The first byte is neither 0 nor 1.
     #[error("compressed flag {0} is neither 0 nor 1")]
     BadFlag(u8),
-    /// Marked compressed, but no `grpc-encoding` was told.
+    /// Marked as compressed without a `grpc-encoding`.
     #[error("a message is marked compressed, but grpc-encoding names no compression")]
     NoEncoding,
     /// The gzip data is damaged.
@@ -30,23 +30,24 @@
     CutShort(usize),
 }
 
-const PREFIX: usize = 5;
+/// Bytes before a message: the flag and the length.
+const PREFIX_BYTES: usize = 5;
 
-/// Collects bytes and gives messages.
+/// Collects bytes and splits them into messages.
 #[derive(Debug)]
 pub struct Decoder {
     buffer: BytesMut,
-    most: usize,
+    max_bytes: usize,
     gzip: bool,
 }
 
 impl Decoder {
-    /// A decoder that takes messages of at most `most` bytes, and compressed ones where `gzip`.
-    pub fn new(most: usize, gzip: bool) -> Self {
-        Self { buffer: BytesMut::new(), most, gzip }
+    /// A decoder for messages of at most `max_bytes`, and for compressed ones where `gzip`.
+    pub fn new(max_bytes: usize, gzip: bool) -> Self {
+        Self { buffer: BytesMut::new(), max_bytes, gzip }
     }
 
-    /// Adds what came. A chunk that begins a message is kept without a copy when it is whole.
+    /// Adds received bytes. A chunk that begins a message is not copied where nothing else shares it.
     pub fn push(&mut self, chunk: Bytes) {
         if self.buffer.is_empty() {
             match chunk.try_into_mut() {
@@ -58,14 +59,14 @@
         }
     }
 
-    /// Takes compressed messages from now on.
+    /// Accepts compressed messages from now on.
     pub fn allow_gzip(&mut self) {
         self.gzip = true;
     }
 
-    /// The next whole message. A length over the limit is an error as soon as the prefix is there.
+    /// The next complete message. A length over the limit is an error as soon as the prefix is there.
     pub fn next_message(&mut self) -> Result<Option<Bytes>, FrameError> {
-        if self.buffer.len() < PREFIX {
+        if self.buffer.len() < PREFIX_BYTES {
             return Ok(None);
         }
         let flag = self.buffer[0];
@@ -74,14 +75,14 @@
         if flag > 1 {
             return Err(FrameError::BadFlag(flag));
         }
-        if length > self.most {
-            return Err(FrameError::TooLarge { got: length as u64, most: self.most });
+        if length > self.max_bytes {
+            return Err(FrameError::TooLarge { got: length as u64, most: self.max_bytes });
         }
-        if self.buffer.len() < PREFIX + length {
-            self.buffer.reserve(PREFIX + length - self.buffer.len());
+        if self.buffer.len() < PREFIX_BYTES + length {
+            self.buffer.reserve(PREFIX_BYTES + length - self.buffer.len());
             return Ok(None);
         }
-        self.buffer.advance(PREFIX);
+        self.buffer.advance(PREFIX_BYTES);
         let message = self.buffer.split_to(length).freeze();
         if flag == 0 {
             return Ok(Some(message));
@@ -95,15 +96,15 @@
     fn inflate(&self, message: &Bytes) -> Result<Bytes, FrameError> {
         // One byte more than allowed is read, so that a bomb is seen before it is unpacked.
         let mut out = Vec::new();
-        let mut reader = flate2::read::GzDecoder::new(&message[..]).take(self.most as u64 + 1);
+        let mut reader = flate2::read::GzDecoder::new(&message[..]).take(self.max_bytes as u64 + 1);
         reader.read_to_end(&mut out).map_err(|_| FrameError::BadGzip)?;
-        if out.len() > self.most {
-            return Err(FrameError::TooLarge { got: out.len() as u64, most: self.most });
+        if out.len() > self.max_bytes {
+            return Err(FrameError::TooLarge { got: out.len() as u64, most: self.max_bytes });
         }
         Ok(out.into())
     }
 
-    /// The stream has ended: nothing may be left.
+    /// Checks at the end of a stream that no part of a message is left.
     pub fn end(&self) -> Result<(), FrameError> {
         if self.buffer.is_empty() { Ok(()) } else { Err(FrameError::CutShort(self.buffer.len())) }
     }
@@ -111,7 +112,7 @@
 
 /// The prefix of an uncompressed message; the message itself is sent as it is.
 pub fn prefix(message: &Bytes) -> Bytes {
-    let mut out = BytesMut::with_capacity(PREFIX);
+    let mut out = BytesMut::with_capacity(PREFIX_BYTES);
     out.put_u8(0);
     out.put_u32(message.len() as u32);
     out.freeze()
--- a/crates/net/src/http1/mod.rs
+++ b/crates/net/src/http1/mod.rs
@@ -4,7 +4,7 @@
 //! Requests have a body by Content-Length or none; chunked bodies are answered 411. Connections are kept as the client
 //! wishes, requests on one connection are answered in order.
 //!
-//! * [`message`]: requests, replies, bounds. [`parse`]: bytes to requests. [`connection`]: one connection.
+//! * `message`: requests, replies, bounds. `parse`: bytes to requests. `connection`: one connection.
 
 mod connection;
 mod message;
--- a/crates/net/src/hub/mod.rs
+++ b/crates/net/src/hub/mod.rs
@@ -9,8 +9,8 @@
 //!
 //! After [`Hub::reset`] neither follows.
 //!
-//! * [`events`]: what the owner learns. [`streams`]: what it does with a stream. [`accept`]: how connections begin.
-//! * [`poll`]: one iteration. [`conn`], [`stream`]: one connection, one stream. [`faults`]: for test servers.
+//! * `events`: what the owner learns. `streams`: what it does with a stream. `accept`: how connections begin.
+//! * `poll`: one iteration. `conn`, `stream`: one connection, one stream. `faults`: for test servers.
 
 mod accept;
 mod conn;
--- a/crates/net/src/io.rs
+++ b/crates/net/src/io.rs
@@ -1,5 +1,5 @@
-//! A mio TCP socket with the I/O traits that `h2` wants, and the handles by which the hub and the faults of a
-//! stand-in reach it while `h2` owns it.
+//! A mio TCP socket with the I/O traits that `h2` needs, and the state by which the hub, and the faults of test servers,
+//! reach it while `h2` owns it.
 
 use std::cell::Cell;
 use std::io::{self, Read, Write};
@@ -18,11 +18,11 @@
     // mio is edge-triggered: each flag is set by an event and cleared by WouldBlock.
     pub(crate) readable: Cell<bool>,
     pub(crate) writable: Cell<bool>,
-    /// Bytes handed to the kernel. Zero since a request was queued proves that nothing of it was written.
+    /// Bytes that the system has taken. While it has not changed since a request was queued, nothing of it was written.
     pub(crate) written: Cell<u64>,
-    /// Neither reads nor writes: a cut link or a silent machine, for stand-ins.
+    /// Neither reads nor writes: a cut link or an unresponsive machine, for test servers.
     pub(crate) frozen: Cell<bool>,
-    /// Breaks the connection once so many bytes have been written: half-written frames, for stand-ins.
+    /// Breaks the connection once so many bytes were written: half-written frames, for test servers.
     pub(crate) cut_at: Cell<Option<u64>>,
 }
 
@@ -50,14 +50,14 @@
         if !shared.readable.get() || shared.frozen.get() {
             return Poll::Pending;
         }
-        tried(&shared.readable, || (&shared.socket).read(buf.initialize_unfilled())).map_ok(|n| {
+        poll_io(&shared.readable, || (&shared.socket).read(buf.initialize_unfilled())).map_ok(|n| {
             buf.advance(n);
         })
     }
 }
 
-/// Tries a system call until it says something; WouldBlock clears its flag until the next event.
-fn tried(ready: &Cell<bool>, mut call: impl FnMut() -> io::Result<usize>) -> Poll<io::Result<usize>> {
+/// Repeats an interrupted system call; WouldBlock clears its flag until the next event.
+fn poll_io(ready: &Cell<bool>, mut call: impl FnMut() -> io::Result<usize>) -> Poll<io::Result<usize>> {
     loop {
         return match call() {
             Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
@@ -76,7 +76,7 @@
         if !shared.writable.get() || shared.frozen.get() {
             return Poll::Pending;
         }
-        tried(&shared.writable, call).map_ok(|n| {
+        poll_io(&shared.writable, call).map_ok(|n| {
             shared.written.set(shared.written.get() + n as u64);
             n
         })
--- a/crates/net/src/limits.rs
+++ b/crates/net/src/limits.rs
@@ -1,4 +1,4 @@
-//! Every bound of the reactor by name, and the counter that tells when it was hit.
+//! Bounds of the hub, and the counters that tell when they were hit.
 
 use std::time::Duration;
 
@@ -20,11 +20,11 @@
     pub connection_window: u32,
     /// Bytes queued for sending on a stream from which on [`super::Hub::is_full`] holds.
     pub send_queue_bytes: usize,
-    /// Streams reset by a peer before we looked at them, at once on a connection.
+    /// Streams that a peer has reset before they were handled, at once on a connection.
     pub reset_streams: usize,
     /// A TCP connection not established within this span has failed.
     pub connect_timeout: Duration,
-    /// An accepted connection whose HTTP/2 preface has not come within this span is closed.
+    /// An accepted connection whose HTTP/2 preface is not received within this span is closed.
     pub handshake_timeout: Duration,
     /// A connection without streams is closed after this span.
     pub idle: Duration,
@@ -48,14 +48,14 @@
     }
 }
 
-/// How often each bound was hit, and what came and went.
+/// Counts of connections and streams, and of bounds that were hit.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct NetCounters {
     /// Connections accepted.
     pub accepted: u64,
     /// Connections closed at once: [`NetLimits::connections`].
     pub over_connections: u64,
-    /// Connections closed at once: the process had no file handle left.
+    /// Connections closed at once: the process had no descriptor left.
     pub over_handles: u64,
     /// [`NetLimits::handshake_timeout`].
     pub handshake_timeouts: u64,
@@ -69,6 +69,6 @@
     pub protocol_errors: u64,
     /// Streams opened by either side.
     pub streams: u64,
-    /// Returns of the poll call.
+    /// Returns of the poll's system call.
     pub wakeups: u64,
 }
--- a/crates/net/src/tcp/connect.rs
+++ b/crates/net/src/tcp/connect.rs
@@ -11,7 +11,7 @@
 use mio::{Interest, Token};
 
 use super::connection::{ConnectAttempt, Stage};
-use super::{Gone, Tcp, TcpEvent, TcpKey};
+use super::{ConnectionFailure, Tcp, TcpEvent, TcpKey};
 
 /// Pause before a connect is retried: doubled from the first up to the longest.
 const MIN_PAUSE: Duration = Duration::from_millis(5);
@@ -75,7 +75,7 @@
                 Err(error) if is_transient(&error) => self.schedule_retry(key),
                 Err(_) => {
                     self.counters.connect_failures += 1;
-                    self.remove(key, Some(Gone::Refused));
+                    self.remove(key, Some(ConnectionFailure::Refused));
                 }
             }
         }
@@ -113,7 +113,7 @@
                 }
                 self.out.push(TcpEvent::Connected(key));
             }
-            Err(Gone::NotConnected) => self.schedule_retry(key),
+            Err(ConnectionFailure::NotConnected) => self.schedule_retry(key),
             Err(gone) => {
                 self.counters.connect_failures += 1;
                 self.remove(key, Some(gone));
@@ -132,13 +132,13 @@
 }
 
 /// Whether a connection is established. One that was reset had been: somebody listens there.
-fn established(socket: &TcpStream) -> Result<bool, Gone> {
+fn established(socket: &TcpStream) -> Result<bool, ConnectionFailure> {
     let gone = |e: io::Error| match e.kind() {
-        io::ErrorKind::ConnectionRefused => Gone::Refused,
+        io::ErrorKind::ConnectionRefused => ConnectionFailure::Refused,
         io::ErrorKind::ConnectionReset | io::ErrorKind::ConnectionAborted | io::ErrorKind::BrokenPipe => {
-            Gone::Broken
+            ConnectionFailure::Broken
         }
-        _ => Gone::NotConnected,
+        _ => ConnectionFailure::NotConnected,
     };
     match socket.take_error() {
         Ok(Some(e)) | Err(e) => return Err(gone(e)),
--- a/crates/net/src/tcp/events.rs
+++ b/crates/net/src/tcp/events.rs
@@ -13,16 +13,16 @@
     }
 }
 
-/// Why a connection is gone.
+/// Why a connection was closed by anything but its owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Gone {
+pub enum ConnectionFailure {
     /// Nobody listens there.
     Refused,
     /// It was never established: unreachable, or not in time.
     NotConnected,
     /// It was reset or broke.
     Broken,
-    /// [`TcpLimits::output`].
+    /// Its peer takes too little: [`super::TcpLimits::output`].
     Slow,
 }
 
@@ -41,7 +41,7 @@
     /// connection.
     Ended(TcpKey),
     /// It is gone. What it had received was reported before.
-    Closed(TcpKey, Gone),
+    Closed(TcpKey, ConnectionFailure),
     /// A source that the owner registered under [`super::Tcp::source_token`] is ready.
     Source(usize),
 }
--- a/crates/net/src/tcp/input.rs
+++ b/crates/net/src/tcp/input.rs
@@ -5,7 +5,7 @@
 use bytes::BytesMut;
 
 use super::connection::{Conn, ReadOutcome, Stage, flush, read};
-use super::{Gone, Tcp, TcpEvent, TcpKey};
+use super::{ConnectionFailure, Tcp, TcpEvent, TcpKey};
 
 impl Tcp {
     /// Bytes that were read; the owner takes what it has handled off the front.
@@ -70,7 +70,7 @@
             ReadOutcome::More => self.make_ready(key.index()),
             ReadOutcome::Ended if is_open => self.out.push(TcpEvent::Ended(key)),
             ReadOutcome::Broken if is_open => {
-                self.out.push(TcpEvent::Closed(key, Gone::Broken));
+                self.out.push(TcpEvent::Closed(key, ConnectionFailure::Broken));
                 self.to_remove.push(key);
             }
             ReadOutcome::Ended | ReadOutcome::Broken => self.to_remove.push(key),
--- a/crates/net/src/tcp/mod.rs
+++ b/crates/net/src/tcp/mod.rs
@@ -4,9 +4,9 @@
 //! Nothing here knows a protocol. A connection ends with exactly one [`TcpEvent::Closed`], unless its owner closed it
 //! with [`Tcp::close`].
 //!
-//! * [`events`], [`limits`]: what the owner learns and sets. [`connection`]: the state of one connection.
-//! * [`poll`]: one iteration. [`accept`], [`connect`]: how connections come about. [`linger`]: how their owner ends them.
-//! * [`input`], [`output`]: their bytes. [`last_poll`]: when they may have come.
+//! * `events`, `limits`: what the owner learns and sets. `connection`: the state of one connection.
+//! * `poll`: one iteration. `accept`, `connect`: how connections come about. `linger`: how their owner ends them.
+//! * `input`, `output`: their bytes. `last_poll`: when they may have come.
 
 mod accept;
 mod connect;
@@ -29,7 +29,7 @@
 use slab::Slab;
 
 use connection::{Conn, ConnectAttempt, Stage};
-pub use events::{Gone, TcpEvent, TcpKey};
+pub use events::{ConnectionFailure, TcpEvent, TcpKey};
 use last_poll::LastPoll;
 pub use limits::{TcpCounters, TcpLimits};
 
@@ -210,7 +210,7 @@
         self.remove(key, None);
     }
 
-    fn remove(&mut self, key: TcpKey, why: Option<Gone>) {
+    fn remove(&mut self, key: TcpKey, failure: Option<ConnectionFailure>) {
         if self.get(key).is_none() {
             return;
         }
@@ -227,8 +227,8 @@
         if conn.accepted {
             self.accepted -= 1;
         }
-        if let Some(why) = why.filter(|_| conn.stage != Stage::Lingering) {
-            self.out.push(TcpEvent::Closed(key, why));
+        if let Some(failure) = failure.filter(|_| conn.stage != Stage::Lingering) {
+            self.out.push(TcpEvent::Closed(key, failure));
         }
     }
 
--- a/crates/net/src/tcp/output.rs
+++ b/crates/net/src/tcp/output.rs
@@ -1,7 +1,7 @@
 //! Bytes that leave: queued by the owner, handed to the system at the end of a poll or at once.
 
 use super::connection::{Stage, flush};
-use super::{Gone, Tcp, TcpKey};
+use super::{ConnectionFailure, Tcp, TcpKey};
 
 impl Tcp {
     /// How many bytes may still be queued there; `None`: the connection takes nothing.
@@ -11,13 +11,13 @@
     }
 
     /// Queues bytes; they are sent when the next poll begins. Returns the offset of their end among all bytes queued there,
-    /// to be compared with [`Tcp::written`]. `None`: the connection is gone, or is closed as [`Gone::Slow`].
+    /// to be compared with [`Tcp::written`]. `None`: the connection is gone, or is closed as [`ConnectionFailure::Slow`].
     pub fn send(&mut self, key: TcpKey, bytes: &[u8]) -> Option<u64> {
         let max_output = self.limits.output;
         let conn = self.get_mut(key).filter(|c| c.stage != Stage::Lingering && !c.is_broken)?;
         if conn.output.len() + bytes.len() > max_output {
             self.counters.over_output += 1;
-            self.remove(key, Some(Gone::Slow));
+            self.remove(key, Some(ConnectionFailure::Slow));
             return None;
         }
         conn.output.extend_from_slice(bytes);
--- a/crates/net/src/tcp/poll.rs
+++ b/crates/net/src/tcp/poll.rs
@@ -5,7 +5,7 @@
 
 use super::connection::Stage;
 use super::last_poll::PollResult;
-use super::{Gone, LISTENERS, SOURCES, Tcp, TcpEvent};
+use super::{ConnectionFailure, LISTENERS, SOURCES, Tcp, TcpEvent};
 use crate::clock::shorter;
 
 impl Tcp {
@@ -97,7 +97,7 @@
                 conn.deadline = None;
                 if conn.stage == Stage::Connecting {
                     self.counters.connect_failures += 1;
-                    self.remove(key, Some(Gone::NotConnected));
+                    self.remove(key, Some(ConnectionFailure::NotConnected));
                 } else if conn.stage == Stage::Lingering {
                     self.remove(key, None);
                 }
--- a/crates/net/src/wake.rs
+++ b/crates/net/src/wake.rs
@@ -1,9 +1,10 @@
-//! The queue of what is due to be polled: wakers put keys on it, the hub takes them off.
+//! The queue of connections and streams to be polled: wakers put their keys on it, the hub takes them off.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::task::{Wake, Waker};
 
+/// A stream or a connection that is to be polled, by the number of its key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Due {
     Stream(u64),
@@ -46,7 +47,7 @@
 
 impl DueQueue {
     fn lock(&self) -> MutexGuard<'_, Queues> {
-        // Nothing that holds the lock can leave the vectors half changed.
+        // No panic under the lock can leave the vectors half changed.
         self.queues.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
--- a/crates/net/tests/hub.rs
+++ b/crates/net/tests/hub.rs
@@ -16,7 +16,7 @@
     events: Vec<NetEvent>,
 }
 
-const PATIENCE: Duration = Duration::from_secs(20);
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 impl Pair {
     fn new(limits: NetLimits) -> Self {
@@ -34,7 +34,7 @@
 
     /// Turns until an event answers; that event is taken out, others stay.
     fn wait<T>(&mut self, mut pick: impl FnMut(&NetEvent) -> Option<T>) -> T {
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + TEST_TIMEOUT;
         loop {
             if let Some((at, found)) =
                 self.events.iter().enumerate().find_map(|(i, e)| pick(e).map(|v| (i, v)))
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn a_call_goes_there_and_back_with_its_status() {
+fn call_is_answered_with_its_status() {
     let mut pair = Pair::new(NetLimits::default());
     let ours = pair.open();
     pair.hub.send(ours, Bytes::from_static(b"tensors"));
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn a_refused_port_is_no_connection() {
+fn refused_port_is_not_connected() {
     let mut hub = Hub::new(NetLimits::default()).expect("a hub");
     // A port that was ours a moment ago and is closed now.
     let address = {
@@ -110,7 +110,7 @@
     };
     let conn = hub.connect(address).expect("begun");
     let stream = hub.open(conn, Request::post("http://w/x").body(()).expect("sound")).expect("waits");
-    let (mut events, until) = (Vec::new(), Instant::now() + PATIENCE);
+    let (mut events, until) = (Vec::new(), Instant::now() + TEST_TIMEOUT);
     while Instant::now() < until {
         hub.poll(Some(Duration::from_millis(50)), &mut events).expect("polls");
         let told = events.iter().find_map(|e| match e {
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn refused_reset_and_broken_are_told_apart() {
+fn refused_reset_and_broken_streams_are_distinguished() {
     let mut pair = Pair::new(NetLimits::default());
     let (a, b, c) = (pair.open(), pair.open(), pair.open());
     let (sa, sb, _sc) = (pair.request(), pair.request(), pair.request());
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn a_goaway_proves_only_for_streams_above_its_last_id() {
+fn goaway_applies_only_to_streams_above_its_last_id() {
     let mut pair = Pair::new(NetLimits::default());
     let seen = pair.open();
     pair.request();
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn what_was_never_written_is_known_and_what_may_have_been_is_not() {
+fn only_requests_that_were_never_written_are_reported_as_not_written() {
     let mut pair = Pair::new(NetLimits::default());
     pair.wait(|e| matches!(e, NetEvent::Connected { .. }).then_some(()));
     while pair.hub.poll(Some(Duration::ZERO), &mut pair.events).is_ok() && !pair.hub.can_open(pair.conn) {}
@@ -172,7 +172,7 @@
 }
 
 #[test]
-fn a_break_inside_a_frame_is_a_break() {
+fn connection_cut_inside_a_frame_is_broken() {
     let mut pair = Pair::new(NetLimits::default());
     let ours = pair.open();
     let theirs = pair.request();
@@ -184,7 +184,7 @@
 }
 
 #[test]
-fn a_paused_reader_stops_the_writer_and_others_go_on() {
+fn paused_reader_stops_its_writer_and_no_other() {
     let limits = NetLimits { stream_window: 64 << 10, send_queue_bytes: 32 << 10, ..NetLimits::default() };
     let mut pair = Pair::new(limits);
     let (slow, quick) = (pair.open(), pair.open());
@@ -208,7 +208,7 @@
 }
 
 #[test]
-fn a_message_over_the_limit_leaves_the_stream_answerable() {
+fn stream_with_too_large_a_message_can_still_be_answered() {
     let mut pair = Pair::new(NetLimits { message_bytes: 1000, ..NetLimits::default() });
     let ours = pair.open();
     pair.hub.send(ours, Bytes::from(vec![0; 1001]));
@@ -227,7 +227,7 @@
 }
 
 #[test]
-fn a_clients_cancel_is_seen_after_it_sent_everything() {
+fn cancel_is_reported_after_the_client_has_sent_everything() {
     let mut pair = Pair::new(NetLimits::default());
     let ours = pair.open();
     pair.hub.send(ours, Bytes::from_static(b"x"));
@@ -239,7 +239,7 @@
 }
 
 #[test]
-fn streams_opened_and_reset_at_once_end_that_connection_alone() {
+fn rapid_resets_end_only_their_connection() {
     let mut pair = Pair::new(NetLimits { reset_streams: 20, ..NetLimits::default() });
     let other = pair.hub.connect(pair.hub.peer(pair.conn).expect("stands")).expect("begun");
     // All are opened and reset before the server looks.
@@ -268,12 +268,12 @@
 }
 
 #[test]
-fn a_connection_that_never_speaks_is_closed() {
+fn connection_without_a_preface_is_closed() {
     let limits = NetLimits { handshake_timeout: Duration::from_millis(30), ..NetLimits::default() };
     let mut hub = Hub::new(limits).expect("a hub");
     let (_, address) = hub.listen("127.0.0.1:0".parse().expect("sound")).expect("a port");
     let mute = std::net::TcpStream::connect(address).expect("connects");
-    let (mut events, until) = (Vec::new(), Instant::now() + PATIENCE);
+    let (mut events, until) = (Vec::new(), Instant::now() + TEST_TIMEOUT);
     while hub.counters().handshake_timeouts == 0 {
         assert!(Instant::now() < until);
         hub.poll(Some(Duration::from_millis(50)), &mut events).expect("polls");
@@ -283,7 +283,7 @@
 }
 
 #[test]
-fn an_idle_hub_does_not_wake() {
+fn idle_hub_does_not_wake() {
     let mut pair = Pair::new(NetLimits::default());
     pair.wait(|e| matches!(e, NetEvent::Connected { .. }).then_some(()));
     // Settings and acknowledgements go to and fro until nothing is left to say.
@@ -296,7 +296,7 @@
         if before.elapsed() >= Duration::from_millis(400) {
             break;
         }
-        assert!(began.elapsed() < PATIENCE, "woken {last} times for nothing");
+        assert!(began.elapsed() < TEST_TIMEOUT, "woken {last} times for nothing");
     }
     assert_eq!(pair.hub.counters().wakeups, last);
     assert_eq!(pair.hub.accepted_at(pair.listener).len(), 1);
--- a/crates/net/tests/tcp.rs
+++ b/crates/net/tests/tcp.rs
@@ -4,14 +4,14 @@
 use std::net::{Shutdown, TcpStream};
 use std::time::Duration;
 
-use nettleferry_net::tcp::{Gone, Tcp, TcpEvent, TcpKey, TcpLimits};
+use nettleferry_net::tcp::{ConnectionFailure, Tcp, TcpEvent, TcpKey, TcpLimits};
 
-/// No wait of these tests is longer; each is for an event.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Longest wait for an event.
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Turns until an event is one that is wanted.
-fn until<T>(tcp: &mut Tcp, mut wanted: impl FnMut(&mut Tcp, TcpEvent) -> Option<T>) -> T {
-    let (end, mut out) = (std::time::Instant::now() + PATIENCE, Vec::new());
+/// Polls until an event is one that is wanted.
+fn poll_until<T>(tcp: &mut Tcp, mut wanted: impl FnMut(&mut Tcp, TcpEvent) -> Option<T>) -> T {
+    let (end, mut out) = (std::time::Instant::now() + TEST_TIMEOUT, Vec::new());
     while std::time::Instant::now() < end {
         tcp.poll(Some(Duration::from_millis(20)), &mut out).expect("polls");
         for event in std::mem::take(&mut out) {
@@ -20,18 +20,18 @@
             }
         }
     }
-    panic!("the event did not come");
+    panic!("the event did not happen");
 }
 
 fn accepted(tcp: &mut Tcp) -> TcpKey {
-    until(tcp, |_, event| if let TcpEvent::Accepted(key) = event { Some(key) } else { None })
+    poll_until(tcp, |_, event| if let TcpEvent::Accepted(key) = event { Some(key) } else { None })
 }
 
 #[test]
-fn all_that_is_queued_leaves_before_our_side_ends() {
+fn queued_bytes_are_sent_before_our_side_ends() {
     // More than the system's buffers hold at once.
     let most = 64 << 20;
-    let limits = TcpLimits { output: most, linger: PATIENCE, ..TcpLimits::default() };
+    let limits = TcpLimits { output: most, linger: TEST_TIMEOUT, ..TcpLimits::default() };
     let mut tcp = Tcp::new(limits).expect("a poll");
     let address = tcp.listen("127.0.0.1:0".parse().expect("an address")).expect("a port");
     let mut client = TcpStream::connect(address).expect("it listens");
@@ -52,14 +52,14 @@
 }
 
 #[test]
-fn a_peer_that_ends_its_side_is_told_after_its_last_bytes_and_still_takes_answers() {
+fn half_close_is_reported_after_the_last_bytes_and_answers_still_arrive() {
     let mut tcp = Tcp::new(TcpLimits::default()).expect("a poll");
     let address = tcp.listen("127.0.0.1:0".parse().expect("an address")).expect("a port");
     let mut client = TcpStream::connect(address).expect("it listens");
     client.write_all(b"last").expect("written");
     client.shutdown(Shutdown::Write).expect("open");
     let mut seen = Vec::new();
-    let key = until(&mut tcp, |tcp, event| match event {
+    let key = poll_until(&mut tcp, |tcp, event| match event {
         TcpEvent::Data(key) => {
             seen.extend_from_slice(&tcp.input(key).expect("open").split());
             None
@@ -77,8 +77,8 @@
 }
 
 #[test]
-fn a_lingering_connection_does_not_keep_the_poll_awake() {
-    let limits = TcpLimits { linger: PATIENCE, ..TcpLimits::default() };
+fn lingering_connection_does_not_wake_the_poll() {
+    let limits = TcpLimits { linger: TEST_TIMEOUT, ..TcpLimits::default() };
     let mut tcp = Tcp::new(limits).expect("a poll");
     let address = tcp.listen("127.0.0.1:0".parse().expect("an address")).expect("a port");
     let _client = TcpStream::connect(address).expect("it listens");
@@ -93,20 +93,20 @@
 }
 
 #[test]
-fn a_refused_connection_is_told_from_others() {
+fn refused_connection_is_distinguished_from_other_failures() {
     let free = std::net::TcpListener::bind("127.0.0.1:0").expect("a port").local_addr().expect("an address");
     let mut tcp = Tcp::new(TcpLimits::default()).expect("a poll");
     let key = tcp.connect(free).expect("tried");
-    let why = until(&mut tcp, |_, event| match event {
+    let why = poll_until(&mut tcp, |_, event| match event {
         TcpEvent::Closed(closed, why) if closed == key => Some(why),
         _ => None,
     });
-    assert_eq!(why, Gone::Refused);
+    assert_eq!(why, ConnectionFailure::Refused);
     assert_eq!(tcp.written(key), 0);
 }
 
 #[test]
-fn bounds_are_counted_when_they_are_hit() {
+fn reached_bounds_are_counted() {
     let limits = TcpLimits { accepted: 1, output: 10, ..TcpLimits::default() };
     let mut tcp = Tcp::new(limits).expect("a poll");
     let address = tcp.listen("127.0.0.1:0".parse().expect("an address")).expect("a port");
@@ -119,12 +119,16 @@
     }
     assert_eq!(second.read(&mut [0; 1]).expect("closed in order"), 0);
     assert_eq!(tcp.send(key, b"more than ten"), None);
-    let why = until(&mut tcp, |_, event| if let TcpEvent::Closed(_, why) = event { Some(why) } else { None });
-    assert_eq!((why, tcp.counters().over_output, tcp.counters().over_accepted), (Gone::Slow, 1, 1));
+    let why =
+        poll_until(&mut tcp, |_, event| if let TcpEvent::Closed(_, why) = event { Some(why) } else { None });
+    assert_eq!(
+        (why, tcp.counters().over_output, tcp.counters().over_accepted),
+        (ConnectionFailure::Slow, 1, 1)
+    );
 }
 
 #[test]
-fn an_end_that_comes_with_the_last_bytes_in_one_turn_is_told_in_that_turn() {
+fn end_is_reported_in_the_same_poll_as_the_last_bytes() {
     let mut tcp = Tcp::new(TcpLimits::default()).expect("a poll");
     let address = tcp.listen("127.0.0.1:0".parse().expect("an address")).expect("a port");
     let mut client = TcpStream::connect(address).expect("it listens");
@@ -140,7 +144,7 @@
 }
 
 #[test]
-fn what_came_is_told_before_an_alarm_of_the_same_turn() {
+fn data_is_reported_before_an_alarm_of_the_same_poll() {
     let mut tcp = Tcp::new(TcpLimits::default()).expect("a poll");
     let address = tcp.listen("127.0.0.1:0".parse().expect("an address")).expect("a port");
     let mut client = TcpStream::connect(address).expect("it listens");
@@ -153,7 +157,7 @@
 }
 
 #[test]
-fn a_last_look_finds_what_came_after_the_turn() {
+fn confirm_idle_finds_what_arrived_after_the_poll() {
     let mut tcp = Tcp::new(TcpLimits::default()).expect("a poll");
     let address = tcp.listen("127.0.0.1:0".parse().expect("an address")).expect("a port");
     let mut client = TcpStream::connect(address).expect("it listens");
@@ -162,7 +166,8 @@
     client.set_nodelay(true).expect("set");
     client.write_all(b"request").expect("written");
     assert!(!tcp.confirm_idle(key), "it is there, though no turn has told of it");
-    let told = until(&mut tcp, |_, event| if let TcpEvent::Data(key) = event { Some(key) } else { None });
+    let told =
+        poll_until(&mut tcp, |_, event| if let TcpEvent::Data(key) = event { Some(key) } else { None });
     assert_eq!(told, key);
     assert_eq!(&tcp.input(key).expect("open")[..], b"request");
     assert!(tcp.confirm_idle(key), "what was told before is not new");
@@ -171,7 +176,7 @@
 }
 
 #[test]
-fn what_was_queued_can_be_taken_back_until_it_begins_to_leave() {
+fn queued_bytes_can_be_removed_until_they_are_sent() {
     let mut tcp = Tcp::new(TcpLimits::default()).expect("a poll");
     let address = tcp.listen("127.0.0.1:0".parse().expect("an address")).expect("a port");
     let mut client = TcpStream::connect(address).expect("it listens");
@@ -191,15 +196,15 @@
 }
 
 #[test]
-fn a_finished_connection_whose_peer_has_ended_holds_no_handle() {
-    let limits = TcpLimits { accepted: 1, linger: PATIENCE, ..TcpLimits::default() };
+fn finished_connection_whose_peer_has_ended_frees_its_descriptor() {
+    let limits = TcpLimits { accepted: 1, linger: TEST_TIMEOUT, ..TcpLimits::default() };
     let mut tcp = Tcp::new(limits).expect("a poll");
     let address = tcp.listen("127.0.0.1:0".parse().expect("an address")).expect("a port");
     for _ in 0..3 {
         let client = TcpStream::connect(address).expect("it listens");
         accepted(&mut tcp);
         drop(client);
-        let key = until(&mut tcp, |_, event| match event {
+        let key = poll_until(&mut tcp, |_, event| match event {
             TcpEvent::Ended(key) => Some(key),
             _ => None,
         });
@@ -209,8 +214,8 @@
 }
 
 #[test]
-fn at_the_bound_one_that_lingers_goes_for_a_new_one() {
-    let limits = TcpLimits { accepted: 1, linger: PATIENCE, ..TcpLimits::default() };
+fn at_the_bound_a_lingering_connection_is_closed_for_a_new_one() {
+    let limits = TcpLimits { accepted: 1, linger: TEST_TIMEOUT, ..TcpLimits::default() };
     let mut tcp = Tcp::new(limits).expect("a poll");
     let address = tcp.listen("127.0.0.1:0".parse().expect("an address")).expect("a port");
     let mut old = TcpStream::connect(address).expect("it listens");
@@ -227,7 +232,7 @@
 }
 
 #[test]
-fn the_linger_begins_when_the_last_bytes_have_left() {
+fn linger_begins_when_the_last_bytes_were_sent() {
     // More than the system's buffers hold at once, and a peer that begins to read when a linger would be over.
     let most = 32 << 20;
     let limits = TcpLimits { output: most, linger: Duration::from_millis(1), ..TcpLimits::default() };
@@ -253,7 +258,7 @@
 }
 
 #[test]
-fn what_is_read_in_a_later_turn_came_when_its_first_bytes_did() {
+fn bytes_read_by_a_later_poll_keep_their_first_arrival_time() {
     let limits = TcpLimits { input: 1 << 10, ..TcpLimits::default() };
     let mut tcp = Tcp::new(limits).expect("a poll");
     let address = tcp.listen("127.0.0.1:0".parse().expect("an address")).expect("a port");
@@ -276,7 +281,7 @@
 }
 
 #[test]
-fn a_crowd_waits_until_the_owner_has_made_room() {
+fn accepts_per_poll_are_bounded_so_that_the_owner_can_make_room() {
     let limits = TcpLimits { accepted: 3, accepts_per_poll: 1, ..TcpLimits::default() };
     let mut tcp = Tcp::new(limits).expect("a poll");
     let address = tcp.listen("127.0.0.1:0".parse().expect("an address")).expect("a port");
--- a/crates/node/src/node/dispatch.rs
+++ b/crates/node/src/node/dispatch.rs
@@ -6,7 +6,7 @@
 
 use nettleferry::ListForm;
 use nettleferry_engine::{ClientDisconnect, Event, FinalAnswer, NewCall, Refusal};
-use nettleferry_net::tcp::{Gone, TcpEvent, TcpKey};
+use nettleferry_net::tcp::{ConnectionFailure, TcpEvent, TcpKey};
 use tracing::info;
 
 use super::{Node, PendingEvents, SIGNALS};
@@ -54,7 +54,7 @@
             TcpEvent::Data(key) => self.pools.data(tcp, key, engine_events, counters),
             TcpEvent::Alarm(key) => self.pools.alarm_due(tcp, key, engine_events, counters),
             TcpEvent::Ended(key) => {
-                self.pools.connection_closed(tcp, key, Gone::Broken, engine_events);
+                self.pools.connection_closed(tcp, key, ConnectionFailure::Broken, engine_events);
                 tcp.close(key);
             }
             TcpEvent::Closed(key, reason) => self.pools.connection_closed(tcp, key, reason, engine_events),
--- a/crates/node/src/pools/responses.rs
+++ b/crates/node/src/pools/responses.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use nettleferry::{LoadNote, WorkerId};
 use nettleferry_engine::{AttemptEnd, AttemptReport, Event};
-use nettleferry_net::tcp::{Gone, Tcp, TcpKey};
+use nettleferry_net::tcp::{ConnectionFailure, Tcp, TcpKey};
 use nettleferry_platform::answer::{Told, Word};
 use nettleferry_platform::resp::{self, Answer};
 use tracing::debug;
@@ -131,12 +131,18 @@
     }
 
     /// A connection is gone: its open requests have ended, as far as they were written.
-    pub fn connection_closed(&mut self, tcp: &Tcp, key: TcpKey, reason: Gone, out: &mut Vec<Event>) {
+    pub fn connection_closed(
+        &mut self,
+        tcp: &Tcp,
+        key: TcpKey,
+        reason: ConnectionFailure,
+        out: &mut Vec<Event>,
+    ) {
         let written = tcp.written(key);
         self.remove_connection(key, out, |request| match (reason, request.output) {
-            (Gone::Refused | Gone::NotConnected, _) => AttemptEnd::NotConnected,
+            (ConnectionFailure::Refused | ConnectionFailure::NotConnected, _) => AttemptEnd::NotConnected,
             (_, None) => AttemptEnd::NotWritten,
-            (Gone::Slow, _) => AttemptEnd::Broken,
+            (ConnectionFailure::Slow, _) => AttemptEnd::Broken,
             (_, Some(output)) if output.end > written => AttemptEnd::NotWritten,
             _ => AttemptEnd::Broken,
         });
