--- a/crates/gateway/src/controller/startup.rs
+++ b/crates/gateway/src/controller/startup.rs
@@ -46,12 +46,8 @@
         let signals = signals.transpose()?;
         let observer = Observer::new(&config);
         let metrics_endpoint = start_metrics_endpoint(&config, &observer)?;
-        let pusher = config
-            .metrics
-            .remote_write
-            .clone()
-            .map(|push| Pusher::start(push, observer.figures()))
-            .transpose()?;
+        let remote_write = config.metrics.remote_write.clone();
+        let pusher = remote_write.map(|push| Pusher::start(push, observer.figures())).transpose()?;
         if config.metrics.count_calls {
             engine.record_measurements();
         }
