--- a/adapter/src/wire/error.rs
+++ b/adapter/src/wire/error.rs
@@ -1,7 +1,7 @@
 //! What makes a line of the wire unusable.
 
 use nettleferry::SettingsError;
-use nettleferry_platform_settings::FieldError;
+use nettleferry_platform_settings::FieldError as SettingsFieldError;
 
 /// Why a line has no reply.
 #[derive(Debug, thiserror::Error)]
@@ -42,7 +42,7 @@
     NoInfo,
     /// A controller's settings can't be read.
     #[error("ENLIST: {0}")]
-    Settings(#[from] FieldError),
+    Settings(#[from] SettingsFieldError),
     /// No controller can work with the settings.
     #[error("ENLIST: {0}")]
     Controller(#[from] SettingsError),
