--- a/crates/gateway/benches/measure.rs
+++ b/crates/gateway/benches/measure.rs
@@ -212,27 +212,35 @@
 
 /// What figures cost: bytes on the wire, and how fast a backlog goes through queue and encoder on one thread.
 fn figures() {
-    use nettleferry_metrics::{End, Figures, Slots, sample};
+    use nettleferry_metrics::{
+        AttemptCause, CallEnd, CallRecord, Metrics, ReplicaNote, SeriesLayout, sample,
+    };
     use nettleferry_proto::remote_write::{Kind, Series, Version, write};
     use nettleferry_remote_write::{Answer, Limits, Queue, Sample};
     let names = |p: &str, n: usize| (0..n).map(|i| format!("{p}-{i}")).collect::<Vec<_>>();
-    let figures =
-        Figures::new(Slots::new(names("class", 3), &names("tenant", 6), &names("model", 8), 5_000), &["a"]);
+    let layout = SeriesLayout::new(names("class", 3), &names("tenant", 6), &names("model", 8), 5_000);
+    let metrics = Metrics::new(layout, &["a"]);
     const CALLS: u32 = 2_000_000;
     let region = Region::new(ALLOCATOR);
     let begun = Instant::now();
     for n in 0..CALLS {
-        figures.attempt(0);
-        figures.note(0);
-        figures.call((n % 3) as usize, End::InTime, Some((n % 6) as usize), (n % 8) as usize, 20_000);
-        figures.in_hand(7, 0);
+        metrics.record_attempt(AttemptCause::First);
+        metrics.record_replica_note(ReplicaNote::Warm);
+        metrics.record_call(&CallRecord {
+            class: (n % 3) as usize,
+            end: CallEnd::ServedInTime,
+            tenant: Some((n % 6) as usize),
+            group: (n % 8) as usize,
+            latency_micros: 20_000,
+        });
+        metrics.set_calls(7, 0);
     }
     let (took, allocations) = (begun.elapsed(), region.change().allocations);
     println!("figures: {:.0} ns to count a call", took.as_secs_f64() * 1e9 / f64::from(CALLS));
     println!("figures: {allocations} allocations while {CALLS} calls are counted");
-    let text = figures.text().expect("text");
+    let text = metrics.text().expect("text");
     let begun = Instant::now();
-    let series: Vec<Series> = sample::read(&text)
+    let series: Vec<Series> = sample::parse(&text)
         .into_iter()
         .map(|s| Series {
             natives: Vec::new(),
--- a/crates/gateway/src/commands/alerts.rs
+++ b/crates/gateway/src/commands/alerts.rs
@@ -10,7 +10,7 @@
 use super::console::{announce, read_file};
 use super::error::CommandError;
 use super::{exit_code, settings_file};
-use crate::observe::Observer;
+use crate::metrics::MetricsRecorder;
 
 /// Check alert rules against the registry, or run rule unit tests.
 #[derive(Args)]
@@ -75,9 +75,9 @@
 
 /// Metrics and labels of a controller with these settings.
 fn catalog(config: &Config) -> Result<check::Catalog, CommandError> {
-    let text = Observer::new(config).figures().text().map_err(CommandError::MetricsText)?;
+    let text = MetricsRecorder::new(config).metrics().text().map_err(CommandError::MetricsText)?;
     let mut catalog = check::Catalog::new(&TARGET_LABELS);
-    for series in sample::read(&text) {
+    for series in sample::parse(&text) {
         catalog.add(&series.labels);
     }
     Ok(catalog)
--- a/crates/gateway/src/controller/mod.rs
+++ b/crates/gateway/src/controller/mod.rs
@@ -38,7 +38,7 @@
 use signal_hook_mio::v1_0::Signals;
 
 use crate::front::Front;
-use crate::observe::Observer;
+use crate::metrics::MetricsRecorder;
 use crate::push::Pusher;
 use crate::tenants::Tenants;
 use crate::worker_links::WorkerLinks;
@@ -117,7 +117,7 @@
     worker_links: WorkerLinks,
     list_watcher: ListWatcher,
     signals: Option<Signals>,
-    observer: Observer,
+    metrics: MetricsRecorder,
     metrics_endpoint: Option<Endpoint>,
     /// Remote write; dropping it sends the last samples.
     pusher: Option<Pusher>,
--- a/crates/gateway/src/controller/shutdown.rs
+++ b/crates/gateway/src/controller/shutdown.rs
@@ -64,7 +64,7 @@
         self.close_audit_entry();
         self.write_audit_log();
         // The last push is to have what was counted last.
-        self.observer.count(&mut self.engine);
+        self.metrics.record_measurements(&mut self.engine);
         self.refresh();
         match (shutdown, self.pusher.take()) {
             (Shutdown::Forced, Some(pusher)) => pusher.abandon(),
--- a/crates/gateway/src/controller/startup.rs
+++ b/crates/gateway/src/controller/startup.rs
@@ -26,7 +26,7 @@
 
 use super::{AuditLog, Controller, ControllerError, RestartAdmission, SIGNAL_SOURCE, SnapshotSource};
 use crate::front::Front;
-use crate::observe::{self, Observer};
+use crate::metrics::{self, MetricsRecorder};
 use crate::push::Pusher;
 use crate::tenants::Tenants;
 use crate::worker_links::{PoolLimits, WorkerLinks};
@@ -44,13 +44,13 @@
         let mut engine = create_engine(&config, restarted)?;
         let signals = with_signals.then(|| retry_startup("signals", || watch_signals(&hub), is_transient));
         let signals = signals.transpose()?;
-        let observer = Observer::new(&config);
-        let metrics_endpoint = start_metrics_endpoint(&config, &observer)?;
+        let metrics = MetricsRecorder::new(&config);
+        let metrics_endpoint = start_metrics_endpoint(&config, &metrics)?;
         let pusher = config
             .metrics
             .remote_write
             .clone()
-            .map(|push| Pusher::start(push, observer.figures()))
+            .map(|push| Pusher::start(push, metrics.metrics()))
             .transpose()?;
         if config.metrics.count_calls {
             engine.record_measurements();
@@ -71,7 +71,7 @@
             worker_links: WorkerLinks::new(pool_limits(&config), config.settings.me),
             list_watcher,
             signals,
-            observer,
+            metrics,
             metrics_endpoint,
             pusher,
             restart_admission: RestartAdmission::default(),
@@ -172,9 +172,12 @@
     Ok(signals)
 }
 
-fn start_metrics_endpoint(config: &Config, observer: &Observer) -> Result<Option<Endpoint>, ControllerError> {
+fn start_metrics_endpoint(
+    config: &Config,
+    recorder: &MetricsRecorder,
+) -> Result<Option<Endpoint>, ControllerError> {
     let Some(address) = config.metrics.scrape else { return Ok(None) };
-    retry_startup("metrics listener", || observe::scrape(address, observer.figures()), is_transient)
+    retry_startup("metrics listener", || metrics::serve(address, recorder.metrics()), is_transient)
         .map(Some)
         .map_err(|source| ControllerError::Listen { address, source })
 }
--- a/crates/gateway/src/controller/status.rs
+++ b/crates/gateway/src/controller/status.rs
@@ -8,6 +8,7 @@
 use nettleferry_config::Worker;
 use nettleferry_fleet::gate::Step;
 use nettleferry_fleet::lease::Stage;
+use nettleferry_metrics::FleetState;
 use tracing::{info, warn};
 
 use super::Controller;
@@ -22,7 +23,7 @@
         self.count_call_steps();
         self.record(|recorder, now, names| recorder.tick(now, names));
         self.write_audit_log();
-        self.observer.count(&mut self.engine);
+        self.metrics.record_measurements(&mut self.engine);
         let now = self.clock.now();
         if now >= self.refresh_at {
             self.refresh_at = now + REFRESH_INTERVAL;
@@ -35,17 +36,18 @@
         self.log_restart_admission();
         self.log_lease_stage();
         let (net, front) = (self.hub.counters(), self.front.counters());
-        self.observer.refresh(&self.engine, &net, &front, self.worker_links.no_room);
+        self.metrics.update_slow(&self.engine, &net, &front, self.worker_links.no_room);
         let now = self.clock.now_ms();
         let lease = self.lease.as_ref().map(|lease| (lease.stage(now), lease.counters()));
         let admission = &self.restart_admission;
-        self.observer.fleet(admission.limiter.as_ref(), admission.final_counters, front.without_lease, lease);
+        self.metrics.set_recovery(admission.limiter.as_ref(), admission.final_counters, front.without_lease);
+        self.metrics.set_lease(lease);
         self.publish_status();
     }
 
     fn publish_status(&mut self) {
         let (Some(tenants), Some(server)) = (&mut self.tenants, &self.admin_server) else { return };
-        self.observer.turned(tenants.turned());
+        self.metrics.set_rejections(tenants.turned());
         let mut status = server.shown();
         if tenants.lends()
             && let Some(demands) = tenants.demands(self.clock.now())
@@ -53,7 +55,11 @@
             (status.demands, status.measured) = (demands, Some(Instant::now()));
         }
         status.revision = tenants.revision();
-        self.observer.lives(status.lives_behind, status.lives_fenced, status.book_waits);
+        self.metrics.set_fleet(&FleetState {
+            stale_incarnations: status.lives_behind,
+            fenced_incarnations: status.lives_fenced,
+            recovery_pending: status.book_waits,
+        });
         tenants.show(&mut status.usage);
         if std::mem::take(&mut self.list_changed) {
             let worker = |worker| published_worker(worker, &self.drained_workers);
--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -6,7 +6,7 @@
 //! * [`controller`]: the event loop. [`front`]: connections to clients. [`worker_links`]: connections to workers.
 //!   [`worker_list`]: the worker list. [`call_steps`]: what has become of open calls.
 //! * [`tenants`]: admission control for the front. [`audit_log`]: names in the audit log.
-//! * [`commands`]: a module for each subcommand. [`observe`]: metrics. [`push`]: remote write. [`logs`]: logging.
+//! * [`commands`]: a module for each subcommand. [`metrics`]: metrics. [`push`]: remote write. [`logs`]: logging.
 
 #![forbid(unsafe_code)]
 
@@ -16,7 +16,7 @@
 mod controller;
 mod front;
 mod logs;
-mod observe;
+mod metrics;
 mod push;
 mod tenants;
 mod worker_links;
--- a/crates/gateway/src/push.rs
+++ b/crates/gateway/src/push.rs
@@ -18,7 +18,7 @@
 
 use nettleferry::Micros;
 use nettleferry_config::settings::RemoteWriteSettings;
-use nettleferry_metrics::{Figures, LATENCY, sample};
+use nettleferry_metrics::{LATENCY_NAME, Metrics, RemoteWriteState, WalState, sample};
 use nettleferry_net::post::{Answer as Heard, PostError, Poster};
 use nettleferry_proto::remote_write::{self, Kind, Native, Series, Version};
 use nettleferry_remote_write::{
@@ -65,8 +65,8 @@
 
 impl Pusher {
     /// Starts it. A spool that can't be opened is an error: the operator told us to keep samples there.
-    pub fn start(settings: RemoteWriteSettings, figures: Arc<Figures>) -> io::Result<Self> {
-        let mut work = Work::new(settings, figures)?;
+    pub fn start(settings: RemoteWriteSettings, metrics: Arc<Metrics>) -> io::Result<Self> {
+        let mut work = Work::new(settings, metrics)?;
         let (told, abandoned) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicBool::new(false)));
         let waker = work.poster.waker();
         let (stop, at_once) = (Arc::clone(&told), Arc::clone(&abandoned));
@@ -105,7 +105,7 @@
 
 struct Work {
     settings: RemoteWriteSettings,
-    figures: Arc<Figures>,
+    metrics: Arc<Metrics>,
     clock: Clock,
     poster: Poster,
     queue: Queue<Value>,
@@ -128,7 +128,7 @@
 }
 
 impl Work {
-    fn new(settings: RemoteWriteSettings, figures: Arc<Figures>) -> io::Result<Self> {
+    fn new(settings: RemoteWriteSettings, metrics: Arc<Metrics>) -> io::Result<Self> {
         let limits =
             WalLimits { bytes: settings.wal_bytes, segment_bytes: (settings.wal_bytes / 16).max(1 << 16) };
         let disk = DirectoryStorage::open(settings.wal_folder.clone())?;
@@ -153,7 +153,7 @@
         let ask_again = settings.renegotiate_after;
         let mut work = Self {
             settings,
-            figures,
+            metrics,
             clock,
             poster,
             queue,
@@ -245,7 +245,7 @@
         let end = |series: u64| {
             let native = self.series.get(series as usize).is_some_and(|known| known.native);
             let value = if native {
-                Value::Native(Arc::new(Native::ended(nettleferry_metrics::latency::SCHEMA)))
+                Value::Native(Arc::new(Native::ended(nettleferry_metrics::NATIVE_SCHEMA)))
             } else {
                 Value::Number(remote_write::stale())
             };
@@ -267,7 +267,8 @@
             return *number;
         }
         let number = self.series.len() as u64;
-        let native = kind == Kind::Histogram && labels.iter().any(|(n, v)| n == "__name__" && v == LATENCY);
+        let native =
+            kind == Kind::Histogram && labels.iter().any(|(n, v)| n == "__name__" && v == LATENCY_NAME);
         self.series.push(Known { labels: labels.to_vec(), kind, native, before: Vec::new() });
         self.numbers.insert(labels.to_vec(), number);
         number
@@ -355,26 +356,26 @@
 
     fn round(&mut self, first: bool) {
         self.tell();
-        let Ok(text) = self.figures.text() else { return };
+        let Ok(text) = self.metrics.text() else { return };
         let at_ms = self.time();
         let mut samples = Vec::new();
-        for s in sample::read(&text) {
+        for s in sample::parse(&text) {
             let kind = match s.kind {
-                sample::Kind::Counter => Kind::Counter,
-                sample::Kind::Gauge => Kind::Gauge,
-                sample::Kind::Histogram => Kind::Histogram,
+                sample::SeriesKind::Counter => Kind::Counter,
+                sample::SeriesKind::Gauge => Kind::Gauge,
+                sample::SeriesKind::Histogram => Kind::Histogram,
             };
             let series = self.labelled(s.labels, kind);
             samples.push(Sample { series, at_ms, value: Value::Number(s.value) });
         }
         // The plain version carries classic buckets alone.
         if self.negotiation.form() == ProtocolVersion::Preferred {
-            let figures = Arc::clone(&self.figures);
-            for (class, told) in figures.natives() {
-                let labels = [("__name__", LATENCY), ("class", class)];
+            let metrics = Arc::clone(&self.metrics);
+            for (class, told) in metrics.native_histograms() {
+                let labels = [("__name__", LATENCY_NAME), ("class", class)];
                 let labels = labels.map(|(n, v)| (n.to_owned(), v.to_owned())).to_vec();
                 let series = self.labelled(labels, Kind::Histogram);
-                let nettleferry_metrics::Native { schema, count, sum, buckets } = told;
+                let nettleferry_metrics::NativeHistogram { schema, count, sum, buckets } = told;
                 let native = Native { schema, count, sum, buckets };
                 samples.push(Sample { series, at_ms, value: Value::Native(Arc::new(native)) });
             }
@@ -417,16 +418,21 @@
     /// The push's own figures.
     fn tell(&self) {
         let c = self.queue.counters();
-        let totals = [c.taken, c.refused, c.dropped_full, c.dropped_old, c.dropped_order, c.dropped_series];
-        let oldest = self.queue.oldest(self.clock.now()) / 1_000_000;
-        self.figures.push(totals, c.retries, self.queue.kept(), oldest);
-        self.figures.receiver(
-            self.negotiation.changes(),
-            c.splits,
-            self.short,
-            self.sample_clock.ahead() as f64 / 1e6,
-        );
-        self.figures.spool(self.spool.bytes(), self.settings.wal_bytes, self.spool_failures);
+        self.metrics.set_remote_write(&RemoteWriteState {
+            samples: [c.taken, c.refused, c.dropped_full, c.dropped_old, c.dropped_order, c.dropped_series],
+            retries: c.retries,
+            waiting_samples: self.queue.kept(),
+            oldest_age_seconds: self.queue.oldest(self.clock.now()) / 1_000_000,
+            version_changes: self.negotiation.changes(),
+            splits: c.splits,
+            short_writes: self.short,
+            clock_offset_seconds: self.sample_clock.ahead() as f64 / 1e6,
+        });
+        self.metrics.set_wal(&WalState {
+            bytes: self.spool.bytes(),
+            limit_bytes: self.settings.wal_bytes,
+            failures: self.spool_failures,
+        });
     }
 
     fn run(&mut self, stop: &AtomicBool) -> io::Result<()> {
--- a/crates/metrics/src/groups.rs
+++ b/crates/metrics/src/groups.rs
@@ -10,16 +10,26 @@
 use prometheus_client::registry::{Registry, Unit};
 
 use crate::labels::{
-    CallLabels, ClassLabels, ENDS, EndLabels, HEALTH, HealthLabels, LimitLabels, NOTES, NoteLabels, ORDERS,
-    PUSHED, REASONS, RECOVERY, RETURN, ReasonLabels, STAGES, StageLabels, StepLabels,
+    AttemptCause, CallEnd, CallLabels, ClassLabels, EndLabels, HealthLabels, LeaseStage, LimitLabels,
+    LoadOrderEnd, NoteLabels, ProbeEnd, ReasonLabels, RecoveryRejection, RecoveryStep, ReplicaNote,
+    SampleEnd, StageLabels, StepLabels, WorkerHealth,
 };
-use crate::{Latency, Slots};
+use crate::latency::LatencyHistogram;
+use crate::layout::SeriesLayout;
 
-/// Label sets that a registry takes.
+/// A set of labels that the registry accepts.
 trait Labels: Clone + Hash + Eq + EncodeLabelSet + std::fmt::Debug + Send + Sync + 'static {}
 
 impl<L: Clone + Hash + Eq + EncodeLabelSet + std::fmt::Debug + Send + Sync + 'static> Labels for L {}
 
+/// The label values of an enum.
+fn labels<T: Copy + 'static>(
+    values: &'static [T],
+    label: fn(T) -> &'static str,
+) -> impl Iterator<Item = &'static str> {
+    values.iter().copied().map(label)
+}
+
 /// Registers one counter.
 fn counter(registry: &mut Registry, name: &str, help: &str) -> Counter {
     let counter = Counter::default();
@@ -46,12 +56,12 @@
     registry: &mut Registry,
     name: &str,
     help: &str,
-    values: &[&str],
-    labels: impl Fn(String) -> L,
+    values: impl IntoIterator<Item = &'static str>,
+    label_set: impl Fn(String) -> L,
 ) -> Vec<Counter> {
     let family = Family::<L, Counter>::default();
     let handles =
-        values.iter().map(|value| family.get_or_create_owned(&labels((*value).to_owned()))).collect();
+        values.into_iter().map(|value| family.get_or_create_owned(&label_set(value.to_owned()))).collect();
     registry.register(name, help, family);
     handles
 }
@@ -61,36 +71,36 @@
     registry: &mut Registry,
     name: &str,
     help: &str,
-    values: &[&str],
-    labels: impl Fn(String) -> L,
+    values: impl IntoIterator<Item = &'static str>,
+    label_set: impl Fn(String) -> L,
 ) -> Vec<Gauge> {
     let family = Family::<L, Gauge>::default();
     let handles =
-        values.iter().map(|value| family.get_or_create_owned(&labels((*value).to_owned()))).collect();
+        values.into_iter().map(|value| family.get_or_create_owned(&label_set(value.to_owned()))).collect();
     registry.register(name, help, family);
     handles
 }
 
-/// Calls with their final answers.
+/// Calls by their final answer, and their latency.
 pub(crate) struct CallSeries {
-    /// By the places of [`Slots`].
+    /// By the indices of [`SeriesLayout`].
     pub(crate) calls: Vec<Counter>,
     /// By class.
-    pub(crate) latency: Vec<Latency>,
+    pub(crate) latency: Vec<LatencyHistogram>,
 }
 
 impl CallSeries {
     /// Registers them.
-    pub(crate) fn register(registry: &mut Registry, slots: &Slots) -> Self {
+    pub(crate) fn register(registry: &mut Registry, layout: &SeriesLayout) -> Self {
         let calls = Family::<CallLabels, Counter>::default();
-        let mut call_handles = Vec::with_capacity(slots.series());
-        for class in slots.classes() {
-            for (_, end) in ENDS {
-                for tenant in slots.tenants() {
-                    for group in slots.groups() {
+        let mut call_handles = Vec::with_capacity(layout.series_count());
+        for class in layout.classes() {
+            for end in CallEnd::ALL {
+                for tenant in layout.tenants() {
+                    for group in layout.groups() {
                         call_handles.push(calls.get_or_create_owned(&CallLabels {
                             class: class.clone(),
-                            end: end.to_owned(),
+                            end: end.label().to_owned(),
                             tenant: tenant.clone(),
                             model_group: group.clone(),
                         }));
@@ -99,74 +109,104 @@
             }
         }
         registry.register("calls", "Calls with their one final answer", calls);
-        let latency = Family::<ClassLabels, Latency>::default();
+        let latency = Family::<ClassLabels, LatencyHistogram>::default();
         let class_latency =
             |class: &String| latency.get_or_create_owned(&ClassLabels { class: class.clone() });
-        let latency_handles = slots.classes().iter().map(class_latency).collect();
+        let latency_handles = layout.classes().iter().map(class_latency).collect();
         let help = "From a call's coming to its answer, served calls alone";
         registry.register_with_unit("call_duration", help, Unit::Seconds, latency);
         Self { calls: call_handles, latency: latency_handles }
     }
 }
 
-/// Dealings with workers, and bounds of the controller.
+/// Attempts, load orders and probes at workers, and limits of the controller.
 pub(crate) struct WorkerSeries {
     pub(crate) attempts: Vec<Counter>,
-    pub(crate) notes: Vec<Counter>,
-    pub(crate) orders_sent: Counter,
-    pub(crate) orders: Vec<Counter>,
-    /// Answered, failed.
+    pub(crate) replica_notes: Vec<Counter>,
+    pub(crate) load_orders_sent: Counter,
+    pub(crate) load_orders: Vec<Counter>,
     pub(crate) probes: Vec<Counter>,
-    pub(crate) backstop: Counter,
-    pub(crate) open: Gauge,
-    pub(crate) held: Gauge,
+    pub(crate) backstop_ends: Counter,
+    pub(crate) open_calls: Gauge,
+    pub(crate) held_calls: Gauge,
     pub(crate) health: Vec<Gauge>,
-    pub(crate) limits: Vec<Counter>,
+    pub(crate) limit_hits: Vec<Counter>,
 }
 
 impl WorkerSeries {
-    /// Registers them; `limits`: names of the bounds whose hits are counted.
-    pub(crate) fn register(registry: &mut Registry, limits: &[&str]) -> Self {
+    /// Registers them. `limits`: names of the limits whose hits are counted.
+    pub(crate) fn register(registry: &mut Registry, limits: &[&'static str]) -> Self {
         let reason = |reason| ReasonLabels { reason };
         let note = |note| NoteLabels { note };
         let end = |end| EndLabels { end };
         let health = |health| HealthLabels { health };
         let limit = |limit| LimitLabels { limit };
         let attempts_help = "Attempts, and how the one before ended";
+        let notes_help = "Answers by what they told of loaded copies";
         let backstop_help = "Calls that the engine had to end in the module's place";
         let health_help = "Listed workers by health, as the module sees it";
-        // Fields are registered in the order in which they stand here.
+        // The order of the fields is the order of the series in the text.
         Self {
-            attempts: counters(registry, "attempts", attempts_help, &REASONS, reason),
-            notes: counters(
+            attempts: counters(
+                registry,
+                "attempts",
+                attempts_help,
+                labels(AttemptCause::ALL, AttemptCause::label),
+                reason,
+            ),
+            replica_notes: counters(
                 registry,
                 "answers_by_copy",
-                "Answers by what they told of loaded copies",
-                &NOTES,
+                notes_help,
+                labels(ReplicaNote::ALL, ReplicaNote::label),
                 note,
             ),
-            orders_sent: counter(registry, "load_orders_sent", "Load orders sent to workers"),
-            orders: counters(registry, "load_orders", "Load orders by their end", &ORDERS, end),
-            probes: counters(registry, "probes", "Probes by their end", &["answered", "failed"], end),
-            backstop: counter(registry, "backstop_ends", backstop_help),
-            open: gauge(registry, "open_calls", "Calls without a final answer"),
-            held: gauge(registry, "held_calls", "Open calls that no worker has"),
-            health: gauges(registry, "workers", health_help, &HEALTH, health),
-            limits: counters(registry, "limit_hits", "How often a named limit was hit", limits, limit),
+            load_orders_sent: counter(registry, "load_orders_sent", "Load orders sent to workers"),
+            load_orders: counters(
+                registry,
+                "load_orders",
+                "Load orders by their end",
+                labels(LoadOrderEnd::ALL, LoadOrderEnd::label),
+                end,
+            ),
+            probes: counters(
+                registry,
+                "probes",
+                "Probes by their end",
+                labels(ProbeEnd::ALL, ProbeEnd::label),
+                end,
+            ),
+            backstop_ends: counter(registry, "backstop_ends", backstop_help),
+            open_calls: gauge(registry, "open_calls", "Calls without a final answer"),
+            held_calls: gauge(registry, "held_calls", "Open calls that no worker has"),
+            health: gauges(
+                registry,
+                "workers",
+                health_help,
+                labels(WorkerHealth::ALL, WorkerHealth::label),
+                health,
+            ),
+            limit_hits: counters(
+                registry,
+                "limit_hits",
+                "How often a named limit was hit",
+                limits.iter().copied(),
+                limit,
+            ),
         }
     }
 }
 
-/// The return from a restart, the lease, and what the administration knows of the fleet.
+/// The return from a restart, the lease, and what the leader knows of the fleet.
 pub(crate) struct FleetSeries {
-    pub(crate) steps: Vec<Gauge>,
-    pub(crate) at_return: Vec<Counter>,
-    pub(crate) stages: Vec<Gauge>,
-    pub(crate) lapses: Counter,
-    pub(crate) doubtful: Counter,
-    pub(crate) lives_behind: Gauge,
-    pub(crate) lives_fenced: Gauge,
-    pub(crate) book_waits: Gauge,
+    pub(crate) recovery_steps: Vec<Gauge>,
+    pub(crate) recovery_rejections: Vec<Counter>,
+    pub(crate) lease_stages: Vec<Gauge>,
+    pub(crate) lease_expiries: Counter,
+    pub(crate) doubtful_acts: Counter,
+    pub(crate) stale_incarnations: Gauge,
+    pub(crate) fenced_incarnations: Gauge,
+    pub(crate) recovery_pending: Gauge,
 }
 
 impl FleetSeries {
@@ -180,36 +220,58 @@
         let waits_help = "1 while it is open which book of tenants stands, at the administration";
         let (step, reason) = (|step| StepLabels { step }, |reason| ReasonLabels { reason });
         let stage = |stage| StageLabels { stage };
-        // Fields are registered in the order in which they stand here.
+        // The order of the fields is the order of the series in the text.
         Self {
-            steps: gauges(registry, "return_step", step_help, &RETURN, step),
-            at_return: counters(registry, "recovery_refusals", refusals_help, &RECOVERY, reason),
-            stages: gauges(registry, "lease_stage", stage_help, &STAGES, stage),
-            lapses: counter(registry, "lease_lapses", "Leases that ran out before the next one came"),
-            doubtful: counter(registry, "lease_doubtful_acts", doubtful_help),
-            lives_behind: gauge(registry, "lives_behind", behind_help),
-            lives_fenced: gauge(registry, "lives_fenced", "Lives that are shut out and were heard lately"),
-            book_waits: gauge(registry, "book_waits", waits_help),
+            recovery_steps: gauges(
+                registry,
+                "return_step",
+                step_help,
+                labels(RecoveryStep::ALL, RecoveryStep::label),
+                step,
+            ),
+            recovery_rejections: counters(
+                registry,
+                "recovery_refusals",
+                refusals_help,
+                labels(RecoveryRejection::ALL, RecoveryRejection::label),
+                reason,
+            ),
+            lease_stages: gauges(
+                registry,
+                "lease_stage",
+                stage_help,
+                labels(LeaseStage::ALL, LeaseStage::label),
+                stage,
+            ),
+            lease_expiries: counter(registry, "lease_lapses", "Leases that ran out before the next one came"),
+            doubtful_acts: counter(registry, "lease_doubtful_acts", doubtful_help),
+            stale_incarnations: gauge(registry, "lives_behind", behind_help),
+            fenced_incarnations: gauge(
+                registry,
+                "lives_fenced",
+                "Lives that are shut out and were heard lately",
+            ),
+            recovery_pending: gauge(registry, "book_waits", waits_help),
         }
     }
 }
 
 /// Remote write and its write-ahead log.
-pub(crate) struct PushSeries {
+pub(crate) struct RemoteWriteSeries {
     pub(crate) samples: Vec<Counter>,
-    pub(crate) changes: Counter,
+    pub(crate) version_changes: Counter,
     pub(crate) splits: Counter,
-    pub(crate) short: Counter,
-    pub(crate) ahead: Gauge<f64, AtomicU64>,
+    pub(crate) short_writes: Counter,
+    pub(crate) clock_offset: Gauge<f64, AtomicU64>,
     pub(crate) retries: Counter,
-    pub(crate) spool_failed: Counter,
-    pub(crate) waiting: Gauge,
-    pub(crate) oldest: Gauge,
-    pub(crate) spool_bytes: Gauge,
-    pub(crate) spool_limit: Gauge,
+    pub(crate) wal_failures: Counter,
+    pub(crate) waiting_samples: Gauge,
+    pub(crate) oldest_age: Gauge,
+    pub(crate) wal_bytes: Gauge,
+    pub(crate) wal_limit: Gauge,
 }
 
-impl PushSeries {
+impl RemoteWriteSeries {
     /// Registers them.
     pub(crate) fn register(registry: &mut Registry) -> Self {
         let samples_help = "Samples to be pushed, by what became of them";
@@ -220,19 +282,25 @@
         let waiting_help = "Samples that wait to be pushed";
         let oldest_help = "Age of the oldest sample that waits";
         let end = |end| EndLabels { end };
-        // Fields are registered in the order in which they stand here.
+        // The order of the fields is the order of the series in the text.
         Self {
-            samples: counters(registry, "push_samples", samples_help, &PUSHED, end),
-            changes: counter(registry, "push_version_changes", changes_help),
+            samples: counters(
+                registry,
+                "push_samples",
+                samples_help,
+                labels(SampleEnd::ALL, SampleEnd::label),
+                end,
+            ),
+            version_changes: counter(registry, "push_version_changes", changes_help),
             splits: counter(registry, "push_splits", splits_help),
-            short: counter(registry, "push_short_writes", short_help),
-            ahead: clock_offset(registry),
+            short_writes: counter(registry, "push_short_writes", short_help),
+            clock_offset: clock_offset(registry),
             retries: counter(registry, "push_retries", "Batches pushed again"),
-            spool_failed: counter(registry, "spool_failures", failed_help),
-            waiting: gauge(registry, "push_waiting_samples", waiting_help),
-            oldest: gauge_with_unit(registry, "push_oldest_age", oldest_help, Unit::Seconds),
-            spool_bytes: gauge_with_unit(registry, "spool", "Size of the spool on disk", Unit::Bytes),
-            spool_limit: gauge_with_unit(registry, "spool_limit", "Bound of the spool on disk", Unit::Bytes),
+            wal_failures: counter(registry, "spool_failures", failed_help),
+            waiting_samples: gauge(registry, "push_waiting_samples", waiting_help),
+            oldest_age: gauge_with_unit(registry, "push_oldest_age", oldest_help, Unit::Seconds),
+            wal_bytes: gauge_with_unit(registry, "spool", "Size of the spool on disk", Unit::Bytes),
+            wal_limit: gauge_with_unit(registry, "spool_limit", "Bound of the spool on disk", Unit::Bytes),
         }
     }
 }
--- a/crates/metrics/src/labels.rs
+++ b/crates/metrics/src/labels.rs
@@ -2,58 +2,166 @@
 
 use prometheus_client::encoding::EncodeLabelSet;
 
-/// Ends of calls, with their label values.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
-    /// Served within the class's aim.
-    InTime,
-    /// Served after it.
-    Late,
-    /// Refused: another try is harmless.
-    Refused,
-    /// Failed: nothing promised.
-    Failed,
-    /// The worker found the call itself wrong.
-    Rejected,
-    /// The client left first.
-    Cancelled,
+/// Defines the values of a label as an enum, whose numbers are the places in `ALL`.
+macro_rules! label_values {
+    ($($(#[$doc:meta])* $name:ident { $($(#[$variant_doc:meta])* $variant:ident => $label:literal),* $(,)? })*) => {
+        $(
+            $(#[$doc])*
+            #[derive(Clone, Copy, Debug, PartialEq, Eq)]
+            pub enum $name { $($(#[$variant_doc])* $variant),* }
+
+            impl $name {
+                /// All values, in the order of their numbers.
+                pub const ALL: &[Self] = &[$(Self::$variant),*];
+                /// How many values there are.
+                pub const COUNT: usize = Self::ALL.len();
+
+                /// The label value.
+                pub const fn label(self) -> &'static str {
+                    match self { $(Self::$variant => $label),* }
+                }
+            }
+        )*
+    };
 }
 
-/// All ends, in the order of their places.
-pub const ENDS: [(End, &str); 6] = [
-    (End::InTime, "served_in_time"),
-    (End::Late, "served_late"),
-    (End::Refused, "refused"),
-    (End::Failed, "failed"),
-    (End::Rejected, "rejected"),
-    (End::Cancelled, "cancelled"),
-];
+label_values! {
+    /// How a call ended.
+    CallEnd {
+        /// Served within the latency objective of its class.
+        ServedInTime => "served_in_time",
+        /// Served after it.
+        ServedLate => "served_late",
+        /// Rejected: a retry does no harm.
+        Refused => "refused",
+        /// Failed: it may have run.
+        Failed => "failed",
+        /// The worker found the call itself wrong.
+        Rejected => "rejected",
+        /// The client left first.
+        Cancelled => "cancelled",
+    }
 
-/// Why an attempt was made: it was the first, or how the one before it ended.
-pub const REASONS: [&str; 9] =
-    ["first", "error", "full", "timeout", "connect_failed", "reset", "cancelled", "moot", "miss"];
+    /// Why an attempt was made: it was the first, or how the one before it ended.
+    AttemptCause {
+        /// The first attempt.
+        First => "first",
+        /// The worker reported an error.
+        Error => "error",
+        /// The worker was full.
+        Full => "full",
+        /// No response came in time.
+        Timeout => "timeout",
+        /// The connection failed before the request was sent.
+        ConnectFailed => "connect_failed",
+        /// The connection was reset.
+        Reset => "reset",
+        /// It was cancelled.
+        Cancelled => "cancelled",
+        /// It was never sent.
+        NeverSent => "moot",
+        /// The model was not loaded.
+        NotLoaded => "miss",
+    }
 
-/// What an answer told of loaded copies.
-pub const NOTES: [&str; 4] = ["warm", "began", "waited", "failed"];
+    /// What a response says of the replica that served it.
+    ReplicaNote {
+        /// It was loaded.
+        Warm => "warm",
+        /// The call began its load.
+        LoadBegan => "began",
+        /// The call waited for its load.
+        LoadWaited => "waited",
+        /// Its load failed.
+        LoadFailed => "failed",
+    }
 
-/// How load orders ended.
-pub const ORDERS: [&str; 4] = ["stand", "full", "failed", "timeout"];
+    /// How a load order ended.
+    LoadOrderEnd {
+        /// The replicas are loaded.
+        Loaded => "stand",
+        /// The worker has no room.
+        Full => "full",
+        /// It failed.
+        Failed => "failed",
+        /// No response came in time.
+        Timeout => "timeout",
+    }
 
-/// Health of workers as the module sees it.
-pub const HEALTH: [&str; 4] = ["serving", "draining", "barred", "down"];
+    /// Health of a worker, as the decision module sees it.
+    WorkerHealth {
+        /// In service.
+        Serving => "serving",
+        /// Draining.
+        Draining => "draining",
+        /// Ejected as an outlier.
+        Ejected => "barred",
+        /// Unreachable.
+        Down => "down",
+    }
 
-/// Steps of a controller's return from a restart: none is judged, and those of the gate.
-pub const RETURN: [&str; 4] = ["none", "no-list", "part", "whole"];
+    /// Step of a controller's return from a restart.
+    RecoveryStep {
+        /// Calls are not limited.
+        None => "none",
+        /// There is no worker list yet.
+        NoList => "no-list",
+        /// A part of the workers is known.
+        Partial => "part",
+        /// All workers are known.
+        Complete => "whole",
+    }
 
-/// Why a call was refused by a controller that has come back, or does not know whether its book still holds.
-pub const RECOVERY: [&str; 4] = ["no-list", "crowded", "unproven", "without-lease"];
+    /// Why a controller rejected a call after a restart, or without a lease.
+    RecoveryRejection {
+        /// There is no worker list yet.
+        NoList => "no-list",
+        /// Too many calls wait.
+        Crowded => "crowded",
+        /// The model's class has not been served yet.
+        Unproven => "unproven",
+        /// The controller has no lease.
+        WithoutLease => "without-lease",
+    }
 
-/// Stages of a controller's lease.
-pub const STAGES: [&str; 5] = ["current", "goes-on", "refuses", "leaves", "fenced"];
+    /// Stage of a follower's lease.
+    LeaseStage {
+        /// It holds a lease.
+        Current => "current",
+        /// The lease has expired, and it goes on.
+        Unleased => "goes-on",
+        /// The lease has expired, and it rejects calls.
+        Rejecting => "refuses",
+        /// It reports that it is not ready.
+        NotReady => "leaves",
+        /// It is fenced.
+        Fenced => "fenced",
+    }
 
-/// What became of samples that are pushed.
-pub const PUSHED: [&str; 6] =
-    ["taken", "refused", "dropped_full", "dropped_old", "dropped_order", "dropped_series"];
+    /// What became of a sample of remote write.
+    SampleEnd {
+        /// The receiver accepted it.
+        Accepted => "taken",
+        /// The receiver rejected it for good.
+        Rejected => "refused",
+        /// Dropped because the queue was full.
+        DroppedFull => "dropped_full",
+        /// Dropped because it was too old.
+        DroppedOld => "dropped_old",
+        /// Dropped because its series had a later one.
+        DroppedOrder => "dropped_order",
+        /// Dropped because there are too many series.
+        DroppedSeries => "dropped_series",
+    }
+
+    /// How a probe ended.
+    ProbeEnd {
+        /// With a response.
+        Answered => "answered",
+        /// Without one.
+        Failed => "failed",
+    }
+}
 
 macro_rules! labels {
     ($($(#[$doc:meta])* $name:ident { $($field:ident),* })*) => {
@@ -76,8 +184,8 @@
 }
 
 /// Upper bounds of the classic latency buckets, seconds.
-pub const BUCKETS: [f64; 14] =
+pub const LATENCY_BUCKETS: [f64; 14] =
     [0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 0.75, 1.0, 1.5, 2.5, 5.0, 10.0, 30.0];
 
-/// The latency's name, as it stands in the registry.
-pub const LATENCY: &str = "nettleferry_call_duration_seconds";
+/// The name of the latency's series in the text.
+pub const LATENCY_NAME: &str = "nettleferry_call_duration_seconds";
--- a/crates/metrics/src/latency/tests.rs
+++ b/crates/metrics/src/latency/tests.rs
@@ -4,28 +4,34 @@
 use proptest::prelude::*;
 
 #[test]
-fn classic_buckets_hold_their_bounds_and_the_rest_is_in_the_last() {
-    let latency = Latency::default();
+fn classic_buckets_include_their_bounds() {
+    let latency = LatencyHistogram::default();
     for micros in [1, 5_000, 5_001, 30_000_000, 30_000_001, u64::MAX] {
         latency.observe(micros);
     }
-    let inner = latency.lock();
-    assert_eq!((inner.classic[0], inner.classic[1], inner.classic[13]), (2, 1, 1));
-    assert_eq!((inner.all.len(), inner.classic.iter().sum::<u64>()), (6, 4));
+    let observations = latency.lock();
+    assert_eq!(
+        (observations.classic_buckets[0], observations.classic_buckets[1], observations.classic_buckets[13]),
+        (2, 1, 1)
+    );
+    assert_eq!((observations.histogram.len(), observations.classic_buckets.iter().sum::<u64>()), (6, 4));
 }
 
 #[test]
-fn an_index_is_the_one_of_the_specification() {
+fn native_index_follows_the_specification() {
     // Upper bounds: 2^(i/8). One second is the bound of bucket 0.
-    assert_eq!((index(1_000_000), index(1_000_001), index(2_000_000), index(500_000)), (0, 1, 8, -8));
+    assert_eq!(
+        (native_index(1_000_000), native_index(1_000_001), native_index(2_000_000), native_index(500_000)),
+        (0, 1, 8, -8)
+    );
 }
 
 proptest! {
     #[test]
-    fn native_buckets_hold_every_observation_near_its_place_and_only_grow(
+    fn native_buckets_hold_every_observation_and_only_grow(
         some in prop::collection::vec(1u64..600_000_000, 1..200),
     ) {
-        let latency = Latency::default();
+        let latency = LatencyHistogram::default();
         let mut before = latency.native();
         for micros in &some {
             latency.observe(*micros);
@@ -36,8 +42,8 @@
                 prop_assert!(now.buckets.iter().any(|(i, c)| i == index && c >= count));
             }
             // At most one bucket up: the HdrHistogram is within 1 %.
-            let place = index(*micros);
-            prop_assert!(now.buckets.iter().any(|(i, _)| *i == place || *i == place + 1));
+            let expected = native_index(*micros);
+            prop_assert!(now.buckets.iter().any(|(i, _)| *i == expected || *i == expected + 1));
             before = now;
         }
         let sum: u64 = some.iter().sum();
--- a/crates/metrics/src/slots.rs
+++ b/crates/metrics/src/layout.rs
@@ -1,31 +1,31 @@
-//! Which tenants and model groups have series of their own. The first ones of the settings have; the rest
-//! share `other`. Calls that name no tenant are `none`.
+//! Which tenants and model groups have series of their own: the first ones of the settings, while the rest share
+//! `other`. Calls that name no tenant are `none`.
 
-use crate::ENDS;
+use crate::labels::CallEnd;
 
 /// Label value of all that have no series of their own.
 pub const OTHER: &str = "other";
 /// Label value of calls that name no tenant.
 pub const NONE: &str = "none";
 
-/// Places of series.
+/// The layout of the series of calls, by class, end, tenant and model group.
 #[derive(Clone, Debug)]
-pub struct Slots {
+pub struct SeriesLayout {
     classes: Vec<String>,
     tenants: Vec<String>,
     groups: Vec<String>,
 }
 
-impl Slots {
-    /// As many tenants and groups as keep the product within `most` series; every class has its own.
-    pub fn new(classes: Vec<String>, tenants: &[String], groups: &[String], most: usize) -> Self {
-        // A tenant or group that is itself called so must not split the shared series in two.
+impl SeriesLayout {
+    /// Series for as many tenants and groups as fit in `max_series`; every class has its own.
+    pub fn new(classes: Vec<String>, tenants: &[String], groups: &[String], max_series: usize) -> Self {
+        // A name that is itself `other` or `none` must not mix with the shared series.
         let own = |names: &[String]| -> Vec<String> {
             names.iter().map(|n| if n == OTHER || n == NONE { format!("{n}_") } else { n.clone() }).collect()
         };
-        let base = classes.len().max(1) * ENDS.len();
+        let base = classes.len().max(1) * CallEnd::COUNT;
         let (mut own_tenants, mut own_groups) = (tenants.len(), groups.len());
-        while base.saturating_mul(own_tenants + 2).saturating_mul(own_groups + 1) > most
+        while base.saturating_mul(own_tenants + 2).saturating_mul(own_groups + 1) > max_series
             && own_tenants + own_groups > 0
         {
             if own_groups >= own_tenants { own_groups -= 1 } else { own_tenants -= 1 }
@@ -37,7 +37,7 @@
         Self { classes, tenants, groups }
     }
 
-    /// Classes, by place.
+    /// Classes, by number.
     pub fn classes(&self) -> &[String] {
         &self.classes
     }
@@ -52,20 +52,23 @@
         &self.groups
     }
 
-    /// Series of calls in all.
-    pub fn series(&self) -> usize {
-        self.classes.len() * ENDS.len() * self.tenants.len() * self.groups.len()
+    /// The number of all series of calls.
+    pub fn series_count(&self) -> usize {
+        self.classes.len() * CallEnd::COUNT * self.tenants.len() * self.groups.len()
     }
 
-    /// The place of a call's series.
-    pub fn place(&self, class: usize, end: usize, tenant: Option<usize>, group: usize) -> Option<usize> {
-        if class >= self.classes.len() || end >= ENDS.len() {
+    /// The index of a call's series; `None`: there is no such class.
+    pub fn index(&self, class: usize, end: CallEnd, tenant: Option<usize>, group: usize) -> Option<usize> {
+        if class >= self.classes.len() {
             return None;
         }
         let other = self.tenants.len() - 2;
         let tenant = tenant.map_or(other + 1, |t| t.min(other));
         let group = group.min(self.groups.len() - 1);
-        Some(((class * ENDS.len() + end) * self.tenants.len() + tenant) * self.groups.len() + group)
+        Some(
+            ((class * CallEnd::COUNT + end as usize) * self.tenants.len() + tenant) * self.groups.len()
+                + group,
+        )
     }
 }
 
--- /dev/null
+++ b/crates/metrics/src/registry.rs
@@ -0,0 +1,188 @@
+//! The registry of all series, and their handles.
+
+use std::fmt;
+
+use prometheus_client::encoding::text;
+use prometheus_client::metrics::counter::Counter;
+use prometheus_client::metrics::gauge::Gauge;
+use prometheus_client::registry::Registry;
+
+use crate::groups::{CallSeries, FleetSeries, RemoteWriteSeries, WorkerSeries};
+use crate::labels::{AttemptCause, CallEnd, LoadOrderEnd, ProbeEnd, ReplicaNote, WorkerHealth};
+use crate::latency::{LatencyHistogram, NativeHistogram};
+use crate::layout::SeriesLayout;
+use crate::updates::{CallRecord, FleetState, LeaseState, RecoveryState, RemoteWriteState, WalState};
+
+/// Handles of all series, and the registry that holds them.
+pub struct Metrics {
+    registry: Registry,
+    layout: SeriesLayout,
+    calls: CallSeries,
+    workers: WorkerSeries,
+    fleet: FleetSeries,
+    remote_write: RemoteWriteSeries,
+}
+
+impl Metrics {
+    /// All series at zero. `limits`: names of the limits whose hits are counted.
+    pub fn new(layout: SeriesLayout, limits: &[&'static str]) -> Self {
+        let mut registry = Registry::with_prefix("nettleferry");
+        let calls = CallSeries::register(&mut registry, &layout);
+        let workers = WorkerSeries::register(&mut registry, limits);
+        let fleet = FleetSeries::register(&mut registry);
+        let remote_write = RemoteWriteSeries::register(&mut registry);
+        Self { registry, layout, calls, workers, fleet, remote_write }
+    }
+
+    /// Counts a call that has ended.
+    pub fn record_call(&self, call: &CallRecord) {
+        let CallRecord { class, end, tenant, group, latency_micros } = *call;
+        let index = self.layout.index(class, end, tenant, group);
+        if let Some(counter) = index.and_then(|index| self.calls.calls.get(index)) {
+            counter.inc();
+        }
+        if matches!(end, CallEnd::ServedInTime | CallEnd::ServedLate)
+            && let Some(histogram) = self.calls.latency.get(class)
+        {
+            histogram.observe(latency_micros);
+        }
+    }
+
+    /// Counts an attempt.
+    pub fn record_attempt(&self, cause: AttemptCause) {
+        increment(&self.workers.attempts, cause as usize);
+    }
+
+    /// Counts a response by what it says of its replica.
+    pub fn record_replica_note(&self, note: ReplicaNote) {
+        increment(&self.workers.replica_notes, note as usize);
+    }
+
+    /// Counts a load order that was sent.
+    pub fn record_load_order_sent(&self) {
+        self.workers.load_orders_sent.inc();
+    }
+
+    /// Counts a load order that has ended.
+    pub fn record_load_order_end(&self, end: LoadOrderEnd) {
+        increment(&self.workers.load_orders, end as usize);
+    }
+
+    /// Counts a probe that has ended.
+    pub fn record_probe_end(&self, end: ProbeEnd) {
+        increment(&self.workers.probes, end as usize);
+    }
+
+    /// Raises the count of calls that the engine ended in the decision module's place to a total.
+    pub fn set_backstop_ends(&self, total: u64) {
+        raise(&self.workers.backstop_ends, total);
+    }
+
+    /// Sets the numbers of open calls and of those that no worker has.
+    pub fn set_calls(&self, open: usize, held: usize) {
+        self.workers.open_calls.set(gauge_value(open));
+        self.workers.held_calls.set(gauge_value(held));
+    }
+
+    /// Sets the numbers of workers, in the order of [`WorkerHealth::ALL`].
+    pub fn set_workers(&self, counts: [usize; WorkerHealth::COUNT]) {
+        for (gauge, count) in self.workers.health.iter().zip(counts) {
+            gauge.set(gauge_value(count));
+        }
+    }
+
+    /// Raises the count of a limit's hits to a total. `limit`: its number among the names given at the start.
+    pub fn set_limit_hits(&self, limit: usize, total: u64) {
+        if let Some(counter) = self.workers.limit_hits.get(limit) {
+            raise(counter, total);
+        }
+    }
+
+    /// Sets the state of the return from a restart.
+    pub fn set_recovery(&self, state: &RecoveryState) {
+        select(&self.fleet.recovery_steps, state.step as usize);
+        for (counter, total) in self.fleet.recovery_rejections.iter().zip(state.rejections) {
+            raise(counter, total);
+        }
+    }
+
+    /// Sets the state of the lease.
+    pub fn set_lease(&self, state: &LeaseState) {
+        select(&self.fleet.lease_stages, state.stage as usize);
+        raise(&self.fleet.lease_expiries, state.expiries);
+        raise(&self.fleet.doubtful_acts, state.doubtful_acts);
+    }
+
+    /// Sets what the leader knows of the fleet.
+    pub fn set_fleet(&self, state: &FleetState) {
+        self.fleet.stale_incarnations.set(gauge_value(state.stale_incarnations));
+        self.fleet.fenced_incarnations.set(gauge_value(state.fenced_incarnations));
+        self.fleet.recovery_pending.set(i64::from(state.recovery_pending));
+    }
+
+    /// Sets the state of remote write.
+    pub fn set_remote_write(&self, state: &RemoteWriteState) {
+        let series = &self.remote_write;
+        for (counter, total) in series.samples.iter().zip(state.samples) {
+            raise(counter, total);
+        }
+        raise(&series.retries, state.retries);
+        series.waiting_samples.set(gauge_value(state.waiting_samples));
+        series.oldest_age.set(gauge_value(state.oldest_age_seconds));
+        raise(&series.version_changes, state.version_changes);
+        raise(&series.splits, state.splits);
+        raise(&series.short_writes, state.short_writes);
+        series.clock_offset.set(state.clock_offset_seconds);
+    }
+
+    /// Sets the state of remote write's log.
+    pub fn set_wal(&self, state: &WalState) {
+        self.remote_write.wal_bytes.set(gauge_value(state.bytes));
+        self.remote_write.wal_limit.set(gauge_value(state.limit_bytes));
+        raise(&self.remote_write.wal_failures, state.failures);
+    }
+
+    /// The latency of each class, by its name, as a native histogram.
+    pub fn native_histograms(&self) -> impl Iterator<Item = (&str, NativeHistogram)> {
+        let histograms = self.calls.latency.iter().map(LatencyHistogram::native);
+        self.layout.classes().iter().map(String::as_str).zip(histograms)
+    }
+
+    /// All series in the OpenMetrics text format.
+    ///
+    /// # Errors
+    /// Where the text can't be formatted.
+    pub fn text(&self) -> Result<String, fmt::Error> {
+        let mut out = String::new();
+        text::encode(&mut out, &self.registry)?;
+        Ok(out)
+    }
+}
+
+/// Sets one gauge to 1, and the others to 0.
+fn select(gauges: &[Gauge], selected: usize) {
+    for (index, gauge) in gauges.iter().enumerate() {
+        gauge.set(i64::from(index == selected));
+    }
+}
+
+fn gauge_value(value: impl TryInto<i64>) -> i64 {
+    value.try_into().unwrap_or(i64::MAX)
+}
+
+fn increment(counters: &[Counter], index: usize) {
+    if let Some(counter) = counters.get(index) {
+        counter.inc();
+    }
+}
+
+/// Raises a counter to a total; it never falls.
+fn raise(counter: &Counter, total: u64) {
+    let current = counter.get();
+    if total > current {
+        counter.inc_by(total - current);
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/metrics/src/tests.rs
+++ b/crates/metrics/src/registry/tests.rs
@@ -6,14 +6,19 @@
     (0..count).map(|n| format!("{prefix}{n}")).collect()
 }
 
+/// A call that took 0.3 s.
+fn call(class: usize, end: CallEnd, tenant: Option<usize>, group: usize) -> CallRecord {
+    CallRecord { class, end, tenant, group, latency_micros: 300_000 }
+}
+
 #[test]
-fn everything_is_at_zero_from_the_start() {
-    let slots = Slots::new(names("c", 2), &names("t", 1), &names("m", 1), 1000);
-    let text = Figures::new(slots, &["open_calls"]).text().expect("text");
+fn all_series_are_zero_from_the_start() {
+    let layout = SeriesLayout::new(names("c", 2), &names("t", 1), &names("m", 1), 1000);
+    let text = Metrics::new(layout, &["open_calls"]).text().expect("text");
     let series = |name: &str| text.lines().filter(|l| l.starts_with(name)).count();
     // Two classes, six ends, t0 / other / none, m0 / other.
     assert_eq!(series("nettleferry_calls_total"), 2 * 6 * 3 * 2);
-    assert_eq!(series("nettleferry_attempts_total"), REASONS.len());
+    assert_eq!(series("nettleferry_attempts_total"), AttemptCause::COUNT);
     assert_eq!(series("nettleferry_call_duration_seconds_count"), 2);
     assert!(text.contains("nettleferry_limit_hits_total{limit=\"open_calls\"} 0"));
     assert!(text.ends_with("# EOF\n"));
@@ -22,13 +27,13 @@
 }
 
 #[test]
-fn what_is_counted_is_found_in_its_series_alone() {
-    let slots = Slots::new(names("c", 2), &names("t", 2), &names("m", 2), 1000);
-    let figures = Figures::new(slots, &[]);
-    figures.call(1, End::Late, Some(1), 0, 300_000);
-    figures.call(0, End::Refused, None, 9, 0);
-    figures.attempt(2);
-    let text = figures.text().expect("text");
+fn count_appears_in_its_series_alone() {
+    let layout = SeriesLayout::new(names("c", 2), &names("t", 2), &names("m", 2), 1000);
+    let metrics = Metrics::new(layout, &[]);
+    metrics.record_call(&call(1, CallEnd::ServedLate, Some(1), 0));
+    metrics.record_call(&call(0, CallEnd::Refused, None, 9));
+    metrics.record_attempt(AttemptCause::Full);
+    let text = metrics.text().expect("text");
     let counted: Vec<&str> =
         text.lines().filter(|l| l.starts_with("nettleferry_calls_total") && !l.ends_with(" 0")).collect();
     assert_eq!(counted.len(), 2, "{counted:?}");
@@ -43,14 +48,14 @@
 }
 
 #[test]
-fn ten_thousand_tenants_and_models_stay_in_their_bound() {
-    let slots = Slots::new(names("c", 3), &names("t", 10_000), &names("m", 10_000), 2_000);
-    assert!(slots.series() <= 2_000);
-    let figures = Figures::new(slots, &[]);
+fn many_tenants_and_models_stay_within_the_bound() {
+    let layout = SeriesLayout::new(names("c", 3), &names("t", 10_000), &names("m", 10_000), 2_000);
+    assert!(layout.series_count() <= 2_000);
+    let metrics = Metrics::new(layout, &[]);
     for n in 0..10_000 {
-        figures.call(n % 3, End::InTime, Some(n), n, 10_000);
+        metrics.record_call(&call(n % 3, CallEnd::ServedInTime, Some(n), n));
     }
-    let text = figures.text().expect("text");
+    let text = metrics.text().expect("text");
     let series: Vec<&str> = text.lines().filter(|l| l.starts_with("nettleferry_calls_total")).collect();
     assert!(series.len() <= 2_000, "{}", series.len());
     let sum: u64 = series.iter().filter_map(|l| l.rsplit(' ').next()?.parse::<u64>().ok()).sum();
--- a/crates/metrics/src/sample.rs
+++ b/crates/metrics/src/sample.rs
@@ -1,8 +1,8 @@
-//! The registry's text as single samples: what is pushed is what is scraped.
+//! The registry's text as single samples: remote write sends what is scraped.
 
-/// What a series is, by its TYPE line.
+/// The type of a series, by its TYPE line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum SeriesKind {
     /// Only grows.
     Counter,
     /// Goes up and down.
@@ -11,56 +11,57 @@
     Histogram,
 }
 
-/// A series and its value.
+/// A sample of the text.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Sampled {
-    /// The series as it stands in the text: name and labels.
+pub struct ParsedSample {
+    /// The series as the text writes it: name and labels.
     pub key: String,
     /// Its labels, `__name__` first.
     pub labels: Vec<(String, String)>,
     /// Its value.
     pub value: f64,
-    /// What it is.
-    pub kind: Kind,
+    /// The type of the series.
+    pub kind: SeriesKind,
 }
 
-/// Reads the OpenMetrics text that [`crate::Figures::text`] gives. Lines that are no samples are passed over.
-pub fn read(text: &str) -> Vec<Sampled> {
-    let mut kind = Kind::Gauge;
+/// Parses the OpenMetrics text of [`crate::Metrics::text`]. Lines that are no samples are ignored.
+pub fn parse(text: &str) -> Vec<ParsedSample> {
+    let mut kind = SeriesKind::Gauge;
     let mut all = Vec::new();
     for line in text.lines() {
-        if let Some(told) = line.strip_prefix("# TYPE ") {
-            kind = match told.rsplit(' ').next() {
-                Some("counter") => Kind::Counter,
-                Some("histogram") => Kind::Histogram,
-                _ => Kind::Gauge,
+        if let Some(declaration) = line.strip_prefix("# TYPE ") {
+            kind = match declaration.rsplit(' ').next() {
+                Some("counter") => SeriesKind::Counter,
+                Some("histogram") => SeriesKind::Histogram,
+                _ => SeriesKind::Gauge,
             };
         } else if !line.starts_with('#')
-            && let Some(sampled) = sample(line, kind)
+            && let Some(sample) = parse_sample(line, kind)
         {
-            all.push(sampled);
+            all.push(sample);
         }
     }
     all
 }
 
-fn sample(line: &str, kind: Kind) -> Option<Sampled> {
+/// The sample of a line, of a series of this type.
+fn parse_sample(line: &str, kind: SeriesKind) -> Option<ParsedSample> {
     let (key, value) = line.rsplit_once(' ')?;
     let value = value.parse().ok()?;
-    let (name, rest) = key.split_once('{').unwrap_or((key, ""));
+    let (name, labels_text) = key.split_once('{').unwrap_or((key, ""));
     let mut labels = vec![("__name__".to_owned(), name.to_owned())];
-    let mut rest = rest.strip_suffix('}').unwrap_or(rest);
+    let mut rest = labels_text.strip_suffix('}').unwrap_or(labels_text);
     while !rest.is_empty() {
         let (label, after) = rest.split_once("=\"")?;
-        let (content, after) = quoted(after)?;
+        let (content, after) = unquote(after)?;
         labels.push((label.to_owned(), content));
         rest = after.strip_prefix(',').unwrap_or(after);
     }
-    Some(Sampled { key: key.to_owned(), labels, value, kind })
+    Some(ParsedSample { key: key.to_owned(), labels, value, kind })
 }
 
 /// The content up to the closing quote, and what follows it.
-fn quoted(text: &str) -> Option<(String, &str)> {
+fn unquote(text: &str) -> Option<(String, &str)> {
     let mut content = String::new();
     let mut chars = text.char_indices();
     while let Some((at, c)) = chars.next() {
