--- a/crates/gateway/benches/measure.rs
+++ b/crates/gateway/benches/measure.rs
@@ -216,7 +216,7 @@
         AttemptCause, CallEnd, CallRecord, Metrics, ReplicaNote, SeriesLayout, sample,
     };
     use nettleferry_proto::remote_write::{Kind, Series, Version, write};
-    use nettleferry_remote_write::{Answer, Limits, Queue, Sample};
+    use nettleferry_remote_write::{Limits, Queue, Response, Sample};
     let names = |p: &str, n: usize| (0..n).map(|i| format!("{p}-{i}")).collect::<Vec<_>>();
     let layout = SeriesLayout::new(names("class", 3), &names("tenant", 6), &names("model", 8), 5_000);
     let metrics = Metrics::new(layout, &["a"]);
@@ -266,7 +266,7 @@
     // batches and encodes them.
     let rounds = 480;
     let fresh = series.len() as f64 / 15.0;
-    let limits = Limits { bytes: 1 << 30, age: u64::MAX / 2, ..Limits::default() };
+    let limits = Limits { bytes: 1 << 30, max_age: u64::MAX / 2, ..Limits::default() };
     let mut queue = Queue::new(limits, 1);
     for round in 0..rounds {
         for n in 0..series.len() {
@@ -290,7 +290,7 @@
             let all: Vec<Series> = by.into_values().collect();
             std::hint::black_box(write(Version::Two, &all).expect("encodes"));
             taken += batch.samples.len();
-            queue.answered(3_600_000_000, batch.shard, batch.number, Answer::Taken);
+            queue.handle_response(3_600_000_000, batch.shard, batch.number, Response::Accepted);
         }
     }
     let rate = taken as f64 / begun.elapsed().as_secs_f64();
--- a/crates/gateway/benches/outage.rs
+++ b/crates/gateway/benches/outage.rs
@@ -6,7 +6,7 @@
 use std::time::Instant;
 
 use nettleferry_proto::remote_write::{Kind, Series, Version, write};
-use nettleferry_remote_write::{Answer, Batch, Limits, Queue, RecordTracker, Sample};
+use nettleferry_remote_write::{Batch, Limits, Queue, RecordTracker, Response, Sample};
 use nettleferry_wal::{DirectoryStorage, Limits as WalLimits, Position, WriteAheadLog};
 use plotters::prelude::*;
 
@@ -39,7 +39,7 @@
             (0..SERIES).map(|series| Sample { series, at_ms, value: (second * series) as f64 }).collect();
         for part in samples.chunks(RECORD) {
             let position = self.spool.append(&self.body(part)).expect("the disk takes it");
-            self.record_tracker.began(at_ms, position, part.len());
+            self.record_tracker.add(at_ms, position, part.len());
         }
         for sample in samples {
             self.queue.offer(second * S, sample);
@@ -48,8 +48,8 @@
     }
 
     fn let_go(&mut self) {
-        for at_ms in self.queue.gone().collect::<Vec<_>>() {
-            for position in self.record_tracker.gone(at_ms) {
+        for at_ms in self.queue.drain_completed().collect::<Vec<_>>() {
+            for position in self.record_tracker.complete_sample(at_ms) {
                 self.spool.acknowledge(position).expect("the disk takes it");
             }
         }
@@ -87,17 +87,22 @@
         let mut now = second * S;
         let begun = Instant::now();
         if second <= AWAY {
-            while let Some(next) = push.queue.next(now).filter(|at| *at < (second + 1) * S) {
+            while let Some(next) = push.queue.next_due(now).filter(|at| *at < (second + 1) * S) {
                 now = next.max(now + 1);
                 push.queue.due(now, &mut due);
                 for batch in due.drain(..) {
                     tries += 1;
-                    push.queue.answered(now, batch.shard, batch.number, Answer::NotNow { retry_after: None });
+                    push.queue.handle_response(
+                        now,
+                        batch.shard,
+                        batch.number,
+                        Response::Unavailable { retry_after: None },
+                    );
                 }
             }
         } else if back.is_none() {
             // As much as one thread encodes in this second, each answer after a millisecond.
-            while begun.elapsed().as_secs_f64() < 1.0 && push.queue.kept() > 0 {
+            while begun.elapsed().as_secs_f64() < 1.0 && push.queue.len() > 0 {
                 push.queue.due(now, &mut due);
                 if due.is_empty() {
                     break;
@@ -106,11 +111,11 @@
                 for batch in due.drain(..) {
                     std::hint::black_box(push.body(&batch.samples));
                     drained.0 += batch.samples.len() as u64;
-                    push.queue.answered(now, batch.shard, batch.number, Answer::Taken);
+                    push.queue.handle_response(now, batch.shard, batch.number, Response::Accepted);
                 }
             }
             drained.1 += begun.elapsed().as_secs_f64();
-            if push.queue.kept() < SERIES as usize {
+            if push.queue.len() < SERIES as usize {
                 back = Some(second - AWAY);
             }
         }
@@ -146,11 +151,11 @@
         drained.0 as f64 / drained.1,
         drained.0 as f64 / drained.1 / SERIES as f64,
         c.offered,
-        c.taken,
+        c.accepted,
         c.dropped_full,
-        push.queue.kept()
+        push.queue.len()
     );
-    assert_eq!(c.offered, c.taken + c.dropped_full + c.dropped_old + push.queue.kept() as u64);
+    assert_eq!(c.offered, c.accepted + c.dropped_full + c.dropped_old + push.queue.len() as u64);
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs/plots/outage.svg");
     draw(&file, &plot).expect("the plot is written");
 }
--- a/crates/gateway/src/push.rs
+++ b/crates/gateway/src/push.rs
@@ -22,7 +22,7 @@
 use nettleferry_net::post::{Answer as Heard, PostError, Poster};
 use nettleferry_proto::remote_write::{self, Kind, Native, Series, Version};
 use nettleferry_remote_write::{
-    Acceptance, Answer, Backoff, HeapSize, Limits, Negotiation, ProtocolVersion, Queue, RecordTracker,
+    Acceptance, Backoff, HeapSize, Limits, Negotiation, ProtocolVersion, Queue, RecordTracker, Response,
     SampleClock,
 };
 use nettleferry_wal::{DirectoryStorage, Limits as WalLimits, Position, WalError, WriteAheadLog};
@@ -143,7 +143,7 @@
                 batch_samples: settings.batch_samples,
                 batch_age: settings.batch_age,
                 bytes: settings.queue_bytes,
-                age: settings.max_sample_age,
+                max_age: settings.max_sample_age,
                 ..Limits::default()
             },
             rand::random(),
@@ -165,7 +165,7 @@
             created_ms: i64::MAX,
             last_ms: i64::MIN,
             sample_clock: SampleClock::new(clock.now(), wall(), 0),
-            negotiation: Negotiation::new(Backoff { first: ask_again, most: ask_again.saturating_mul(12) }),
+            negotiation: Negotiation::new(Backoff { first: ask_again, max: ask_again.saturating_mul(12) }),
             out: BTreeMap::new(),
             short: 0,
             spool_ails: false,
@@ -205,7 +205,7 @@
                 }
             }
             for (at_ms, count) in times {
-                self.record_tracker.began(at_ms, position, count);
+                self.record_tracker.add(at_ms, position, count);
             }
             for s in series {
                 let number = self.number(&s.labels, s.kind);
@@ -303,7 +303,7 @@
             let series = self.described(part);
             let Ok(record) = remote_write::write(Version::Two, &series) else { continue };
             if let Some(position) = self.disk(|spool| spool.append(&record)) {
-                self.record_tracker.began(part[0].at_ms, position, part.len());
+                self.record_tracker.add(part[0].at_ms, position, part.len());
             }
         }
         self.disk(WriteAheadLog::sync);
@@ -346,9 +346,9 @@
 
     /// Records whose samples are gone are acknowledged.
     fn let_go(&mut self) {
-        let gone: Vec<i64> = self.queue.gone().collect();
+        let gone: Vec<i64> = self.queue.drain_completed().collect();
         for at_ms in gone {
-            for position in self.record_tracker.gone(at_ms) {
+            for position in self.record_tracker.complete_sample(at_ms) {
                 self.disk(|spool| spool.acknowledge(position));
             }
         }
@@ -369,7 +369,7 @@
             samples.push(Sample { series, at_ms, value: Value::Number(s.value) });
         }
         // The plain version carries classic buckets alone.
-        if self.negotiation.form() == ProtocolVersion::Preferred {
+        if self.negotiation.version() == ProtocolVersion::Preferred {
             let metrics = Arc::clone(&self.metrics);
             for (class, told) in metrics.native_histograms() {
                 let labels = [("__name__", LATENCY_NAME), ("class", class)];
@@ -419,14 +419,21 @@
     fn tell(&self) {
         let c = self.queue.counters();
         self.metrics.set_remote_write(&RemoteWriteState {
-            samples: [c.taken, c.refused, c.dropped_full, c.dropped_old, c.dropped_order, c.dropped_series],
+            samples: [
+                c.accepted,
+                c.rejected,
+                c.dropped_full,
+                c.dropped_old,
+                c.dropped_order,
+                c.dropped_series,
+            ],
             retries: c.retries,
-            waiting_samples: self.queue.kept(),
-            oldest_age_seconds: self.queue.oldest(self.clock.now()) / 1_000_000,
+            waiting_samples: self.queue.len(),
+            oldest_age_seconds: self.queue.oldest_age(self.clock.now()) / 1_000_000,
             version_changes: self.negotiation.changes(),
             splits: c.splits,
             short_writes: self.short,
-            clock_offset_seconds: self.sample_clock.ahead() as f64 / 1e6,
+            clock_offset_seconds: self.sample_clock.offset() as f64 / 1e6,
         });
         self.metrics.set_wal(&WalState {
             bytes: self.spool.bytes(),
@@ -464,7 +471,7 @@
         }
         self.let_go();
         let now = self.clock.now();
-        let next = self.queue.next(now).map_or(until, |at| at.min(until));
+        let next = self.queue.next_due(now).map_or(until, |at| at.min(until));
         let wait = Duration::from_micros(next.saturating_sub(now));
         self.poster.poll(Some(wait), heard)?;
         for (lane, answer) in heard.drain(..) {
@@ -487,11 +494,11 @@
             self.queue.flush();
             let until = self.clock.now() + self.settings.flush_timeout;
             let (mut heard, mut due) = (Vec::new(), Vec::new());
-            while self.queue.kept() > 0 && self.clock.now() < until && !abandoned.load(Ordering::Acquire) {
+            while self.queue.len() > 0 && self.clock.now() < until && !abandoned.load(Ordering::Acquire) {
                 self.step(until, &mut due, &mut heard)?;
             }
-            if self.queue.kept() > 0 {
-                info!(samples = self.queue.kept(), "not delivered: the next life sends them");
+            if self.queue.len() > 0 {
+                info!(samples = self.queue.len(), "not delivered: the next life sends them");
             }
         }
         self.disk(WriteAheadLog::sync);
@@ -500,7 +507,7 @@
 
     fn send(&mut self, batch: Batch) {
         let lane = batch.shard;
-        let version = match self.negotiation.next(self.clock.now(), lane) {
+        let version = match self.negotiation.next_version(self.clock.now(), lane) {
             ProtocolVersion::Preferred => Version::Two,
             ProtocolVersion::Plain => Version::One,
         };
@@ -508,7 +515,9 @@
         let empty = version == Version::One && series.iter().all(|s| s.samples.is_empty());
         match remote_write::write(version, &series) {
             // Native histograms of an earlier version 2.0, whose classic buckets have gone by themselves.
-            Ok(_) if empty => self.queue.answered(self.clock.now(), lane, batch.number, Answer::Taken),
+            Ok(_) if empty => {
+                self.queue.handle_response(self.clock.now(), lane, batch.number, Response::Accepted)
+            }
             Ok(body) => {
                 let headers = [
                     ("Content-Type", version.content_type()),
@@ -522,8 +531,8 @@
             // What can't be written can't be written later.
             Err(_) => {
                 let now = self.clock.now();
-                self.negotiation.told(now, lane, Acceptance::Untold);
-                self.queue.answered(now, lane, batch.number, Answer::Refused);
+                self.negotiation.handle_response(now, lane, Acceptance::Unknown);
+                self.queue.handle_response(now, lane, batch.number, Response::Rejected);
             }
         }
     }
@@ -533,11 +542,11 @@
         let now = self.clock.now();
         let (answer, understood) = match &heard {
             Ok(heard) => self.meaning(&batch, version, heard),
-            Err(_) => (Answer::NotNow { retry_after: None }, Acceptance::Untold),
+            Err(_) => (Response::Unavailable { retry_after: None }, Acceptance::Unknown),
         };
-        let before = self.negotiation.form();
-        self.negotiation.told(now, lane, understood);
-        match (before, self.negotiation.form()) {
+        let before = self.negotiation.version();
+        self.negotiation.handle_response(now, lane, understood);
+        match (before, self.negotiation.version()) {
             (ProtocolVersion::Preferred, ProtocolVersion::Plain) => {
                 info!("the receiver does not speak remote write 2.0: 1.0 for now")
             }
@@ -546,9 +555,9 @@
             }
             _ => {}
         }
-        self.queue.answered(now, lane, batch.number, answer);
+        self.queue.handle_response(now, lane, batch.number, answer);
         if let Ok(heard) = &heard
-            && matches!(answer, Answer::Refused | Answer::Bad)
+            && matches!(answer, Response::Rejected | Response::Invalid)
         {
             let (status, samples) = (heard.status, batch.samples.len());
             let series = batch.samples.first().and_then(|s| self.series.get(s.series as usize));
@@ -560,15 +569,15 @@
     /// a receiver of 1.0 that does not look at the content type reads nothing in it. 415: this version is not
     /// spoken there. 429 and 5xx: not now. 400, 413 and 422: something in it is bad. Any other: refused for
     /// good.
-    fn meaning(&mut self, batch: &Batch, version: Version, heard: &Heard) -> (Answer, Acceptance) {
-        let not_now = |retry_after| Answer::NotNow { retry_after };
+    fn meaning(&mut self, batch: &Batch, version: Version, heard: &Heard) -> (Response, Acceptance) {
+        let not_now = |retry_after| Response::Unavailable { retry_after };
         let written = |kind: &str| -> Option<usize> {
             heard.header(&format!("x-prometheus-remote-write-{kind}-written"))?.trim().parse().ok()
         };
         match (heard.status, version) {
-            (200..300, Version::One) => (Answer::Taken, Acceptance::Untold),
+            (200..300, Version::One) => (Response::Accepted, Acceptance::Unknown),
             (200..300, Version::Two) => match written("samples") {
-                None => (not_now(None), Acceptance::No),
+                None => (not_now(None), Acceptance::NotUnderstood),
                 Some(numbers) => {
                     let sent = batch.samples.iter().filter(|s| matches!(s.value, Value::Number(_))).count();
                     let natives = written("histograms").unwrap_or(0);
@@ -576,13 +585,13 @@
                         self.short += 1;
                         warn!(numbers, sent, natives, "the receiver wrote less than it took");
                     }
-                    (Answer::Taken, Acceptance::Yes)
+                    (Response::Accepted, Acceptance::Understood)
                 }
             },
-            (415, Version::Two) => (not_now(None), Acceptance::No),
-            (429 | 500..600, _) => (not_now(retry_after(heard)), Acceptance::Untold),
-            (400 | 413 | 422, _) => (Answer::Bad, Acceptance::Untold),
-            _ => (Answer::Refused, Acceptance::Untold),
+            (415, Version::Two) => (not_now(None), Acceptance::NotUnderstood),
+            (429 | 500..600, _) => (not_now(retry_after(heard)), Acceptance::Unknown),
+            (400 | 413 | 422, _) => (Response::Invalid, Acceptance::Unknown),
+            _ => (Response::Rejected, Acceptance::Unknown),
         }
     }
 }
--- a/crates/remote-write/src/negotiation.rs
+++ b/crates/remote-write/src/negotiation.rs
@@ -1,17 +1,17 @@
-//! Which of two protocol versions a receiver gets: the preferred one until it answers that it does not understand
-//! it, then the plain one; and the preferred one is tried again now and then, by one batch at a time, because
-//! receivers are upgraded and replaced.
+//! Which of two protocol versions a receiver gets: the preferred one until a response shows that it was not understood,
+//! then the plain one; the preferred one is tried again now and then, by one batch at a time, because receivers are
+//! upgraded and replaced.
 
 use std::collections::BTreeSet;
 
-use crate::queue::Micros;
+use crate::Micros;
 
 /// A version of the messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProtocolVersion {
-    /// The one that tells more.
+    /// The newer one, which carries more.
     Preferred,
-    /// The one that every receiver understands.
+    /// The older one, which every receiver understands.
     Plain,
 }
 
@@ -19,86 +19,96 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Acceptance {
     /// It was understood.
-    Yes,
-    /// It was not, or was taken for something else: nothing of it was kept.
-    No,
-    /// The answer, or that none came, says nothing of it.
-    Untold,
+    Understood,
+    /// It was not, or was read as something else: nothing of it was stored.
+    NotUnderstood,
+    /// The response, or its absence, does not show it.
+    Unknown,
 }
 
-/// Backoff before the preferred form is tried again.
+/// Backoff before the preferred version is tried again.
 #[derive(Clone, Copy, Debug)]
 pub struct Backoff {
     /// After the first time that it was not understood.
     pub first: Micros,
     /// It doubles up to this.
-    pub most: Micros,
+    pub max: Micros,
 }
 
 impl Default for Backoff {
     fn default() -> Self {
-        Self { first: 300_000_000, most: 3_600_000_000 }
+        Self { first: 300_000_000, max: 3_600_000_000 }
     }
 }
 
+/// The receiver gets the plain version for now.
+#[derive(Clone, Copy, Debug)]
+struct Fallback {
+    backoff: Micros,
+    /// When the preferred version is tried again.
+    retry_at: Micros,
+}
+
 /// The version in use.
 #[derive(Clone, Debug)]
 pub struct Negotiation {
-    waits: Backoff,
-    /// Spoken plainly: the wait, and when the preferred form is tried again.
-    plain: Option<(Micros, Micros)>,
-    /// Lanes whose message is out in the preferred form.
-    out: BTreeSet<usize>,
+    backoff: Backoff,
+    fallback: Option<Fallback>,
+    /// Lanes whose message is in flight in the preferred version.
+    preferred_lanes: BTreeSet<usize>,
     changes: u64,
 }
 
 impl Negotiation {
-    /// The preferred form, until told otherwise.
-    pub fn new(waits: Backoff) -> Self {
-        Self { waits, plain: None, out: BTreeSet::new(), changes: 0 }
+    /// Begins with the preferred version.
+    pub fn new(backoff: Backoff) -> Self {
+        Self { backoff, fallback: None, preferred_lanes: BTreeSet::new(), changes: 0 }
     }
 
-    /// The form of the next message on a lane; [`Negotiation::told`] is to follow.
-    pub fn next(&mut self, now: Micros, lane: usize) -> ProtocolVersion {
-        // While it is spoken plainly one message at a time asks.
-        let ask = self.plain.is_none_or(|(_, at)| now >= at && self.out.is_empty());
-        if ask {
-            self.out.insert(lane);
+    /// The version of the next message on a lane; [`Negotiation::handle_response`] is to follow.
+    pub fn next_version(&mut self, now: Micros, lane: usize) -> ProtocolVersion {
+        // In fallback one message at a time tries the preferred version.
+        let preferred = self.fallback.is_none_or(|f| now >= f.retry_at && self.preferred_lanes.is_empty());
+        if preferred {
+            self.preferred_lanes.insert(lane);
             return ProtocolVersion::Preferred;
         }
         ProtocolVersion::Plain
     }
 
-    /// What the answer to a lane's message says of its form.
-    pub fn told(&mut self, now: Micros, lane: usize, understood: Acceptance) {
-        if !self.out.remove(&lane) {
+    /// Handles what the response to a lane's message says of its version.
+    pub fn handle_response(&mut self, now: Micros, lane: usize, acceptance: Acceptance) {
+        if !self.preferred_lanes.remove(&lane) {
             return;
         }
-        match (understood, self.plain) {
-            (Acceptance::Untold, _) | (Acceptance::Yes, None) => {}
-            (Acceptance::Yes, Some(_)) => {
-                self.plain = None;
+        match (acceptance, self.fallback) {
+            (Acceptance::Unknown, _) | (Acceptance::Understood, None) => {}
+            (Acceptance::Understood, Some(_)) => {
+                self.fallback = None;
                 self.changes += 1;
             }
-            (Acceptance::No, None) => {
-                self.plain = Some((self.waits.first, now.saturating_add(self.waits.first)));
+            (Acceptance::NotUnderstood, None) => {
+                self.fall_back(now, self.backoff.first);
                 self.changes += 1;
             }
-            // Further messages that were out when the first was not understood say nothing new.
-            (Acceptance::No, Some((_, at))) if now < at => {}
-            (Acceptance::No, Some((wait, _))) => {
-                let wait = wait.saturating_mul(2).min(self.waits.most);
-                self.plain = Some((wait, now.saturating_add(wait)));
+            // Other messages that were in flight when the first was not understood say nothing new.
+            (Acceptance::NotUnderstood, Some(fallback)) if now < fallback.retry_at => {}
+            (Acceptance::NotUnderstood, Some(fallback)) => {
+                self.fall_back(now, fallback.backoff.saturating_mul(2).min(self.backoff.max));
             }
         }
     }
 
-    /// The form in use but for asking.
-    pub fn form(&self) -> ProtocolVersion {
-        if self.plain.is_some() { ProtocolVersion::Plain } else { ProtocolVersion::Preferred }
+    fn fall_back(&mut self, now: Micros, backoff: Micros) {
+        self.fallback = Some(Fallback { backoff, retry_at: now.saturating_add(backoff) });
+    }
+
+    /// The version in use, apart from tries of the preferred one.
+    pub fn version(&self) -> ProtocolVersion {
+        if self.fallback.is_some() { ProtocolVersion::Plain } else { ProtocolVersion::Preferred }
     }
 
-    /// How often it changed.
+    /// How often the version in use has changed.
     pub fn changes(&self) -> u64 {
         self.changes
     }
--- a/crates/remote-write/src/negotiation/tests.rs
+++ b/crates/remote-write/src/negotiation/tests.rs
@@ -5,53 +5,53 @@
 const S: Micros = 1_000_000;
 
 #[test]
-fn a_receiver_that_was_upgraded_is_asked_again_by_one_message_at_a_time() {
-    let mut negotiation = Negotiation::new(Backoff { first: 10 * S, most: 30 * S });
+fn preferred_version_is_retried_by_one_message_at_a_time() {
+    let mut negotiation = Negotiation::new(Backoff { first: 10 * S, max: 30 * S });
     assert_eq!(
-        (negotiation.next(0, 0), negotiation.next(0, 1)),
+        (negotiation.next_version(0, 0), negotiation.next_version(0, 1)),
         (ProtocolVersion::Preferred, ProtocolVersion::Preferred)
     );
-    negotiation.told(S, 0, Acceptance::No);
-    negotiation.told(2 * S, 1, Acceptance::No);
-    assert_eq!((negotiation.form(), negotiation.changes()), (ProtocolVersion::Plain, 1));
-    assert_eq!(negotiation.next(10 * S, 0), ProtocolVersion::Plain);
-    negotiation.told(10 * S, 0, Acceptance::Yes);
+    negotiation.handle_response(S, 0, Acceptance::NotUnderstood);
+    negotiation.handle_response(2 * S, 1, Acceptance::NotUnderstood);
+    assert_eq!((negotiation.version(), negotiation.changes()), (ProtocolVersion::Plain, 1));
+    assert_eq!(negotiation.next_version(10 * S, 0), ProtocolVersion::Plain);
+    negotiation.handle_response(10 * S, 0, Acceptance::Understood);
     assert_eq!(
-        negotiation.form(),
+        negotiation.version(),
         ProtocolVersion::Plain,
-        "an answer to the plain form says nothing of the other"
+        "a response to the plain version says nothing of the other"
     );
     assert_eq!(
-        (negotiation.next(11 * S, 0), negotiation.next(11 * S, 1)),
+        (negotiation.next_version(11 * S, 0), negotiation.next_version(11 * S, 1)),
         (ProtocolVersion::Preferred, ProtocolVersion::Plain)
     );
-    negotiation.told(11 * S, 0, Acceptance::No);
-    let asked = |negotiation: &mut Negotiation, at| {
-        let form = negotiation.next(at, 0);
-        negotiation.told(at, 0, Acceptance::No);
-        form
+    negotiation.handle_response(11 * S, 0, Acceptance::NotUnderstood);
+    let retry = |negotiation: &mut Negotiation, at| {
+        let version = negotiation.next_version(at, 0);
+        negotiation.handle_response(at, 0, Acceptance::NotUnderstood);
+        version
     };
-    assert_eq!(asked(&mut negotiation, 30 * S), ProtocolVersion::Plain, "the wait has doubled");
-    assert_eq!(asked(&mut negotiation, 31 * S), ProtocolVersion::Preferred);
-    assert_eq!(asked(&mut negotiation, 60 * S), ProtocolVersion::Plain, "and is at its most");
-    assert_eq!(negotiation.next(61 * S, 0), ProtocolVersion::Preferred);
-    negotiation.told(61 * S, 0, Acceptance::Yes);
-    assert_eq!((negotiation.form(), negotiation.changes()), (ProtocolVersion::Preferred, 2));
+    assert_eq!(retry(&mut negotiation, 30 * S), ProtocolVersion::Plain, "the wait has doubled");
+    assert_eq!(retry(&mut negotiation, 31 * S), ProtocolVersion::Preferred);
+    assert_eq!(retry(&mut negotiation, 60 * S), ProtocolVersion::Plain, "and is at its most");
+    assert_eq!(negotiation.next_version(61 * S, 0), ProtocolVersion::Preferred);
+    negotiation.handle_response(61 * S, 0, Acceptance::Understood);
+    assert_eq!((negotiation.version(), negotiation.changes()), (ProtocolVersion::Preferred, 2));
     // Replaced by one that is older: from the beginning.
-    assert_eq!(asked(&mut negotiation, 70 * S), ProtocolVersion::Preferred);
-    assert_eq!(asked(&mut negotiation, 79 * S), ProtocolVersion::Plain);
-    assert_eq!(negotiation.next(80 * S, 0), ProtocolVersion::Preferred);
+    assert_eq!(retry(&mut negotiation, 70 * S), ProtocolVersion::Preferred);
+    assert_eq!(retry(&mut negotiation, 79 * S), ProtocolVersion::Plain);
+    assert_eq!(negotiation.next_version(80 * S, 0), ProtocolVersion::Preferred);
 }
 
 #[test]
-fn a_question_without_an_answer_is_asked_again() {
-    let mut negotiation = Negotiation::new(Backoff { first: S, most: S });
-    negotiation.next(0, 0);
-    negotiation.told(0, 0, Acceptance::No);
-    assert_eq!(negotiation.next(S, 0), ProtocolVersion::Preferred);
-    negotiation.told(S, 0, Acceptance::Untold);
+fn retry_without_a_result_is_repeated() {
+    let mut negotiation = Negotiation::new(Backoff { first: S, max: S });
+    negotiation.next_version(0, 0);
+    negotiation.handle_response(0, 0, Acceptance::NotUnderstood);
+    assert_eq!(negotiation.next_version(S, 0), ProtocolVersion::Preferred);
+    negotiation.handle_response(S, 0, Acceptance::Unknown);
     assert_eq!(
-        (negotiation.form(), negotiation.next(S, 1)),
+        (negotiation.version(), negotiation.next_version(S, 1)),
         (ProtocolVersion::Plain, ProtocolVersion::Preferred)
     );
 }
--- a/crates/remote-write/src/record_tracker.rs
+++ b/crates/remote-write/src/record_tracker.rs
@@ -1,12 +1,19 @@
-//! Which record of the spool holds which samples: a record is done when the last of its samples is gone.
+//! Which record of the log holds which samples: a record may be acknowledged when its last sample has left the queue.
 
 use std::collections::BTreeMap;
 
-/// Records with samples that are not gone. `P` names a record.
+/// Records written at one time.
+#[derive(Debug)]
+struct OpenRound<P> {
+    records: Vec<P>,
+    samples_left: usize,
+}
+
+/// Records with samples that are still queued. `P` names a record.
 #[derive(Debug)]
 pub struct RecordTracker<P> {
     /// By the time of their samples: a round has one time and, as a rule, one record.
-    open: BTreeMap<i64, (Vec<P>, usize)>,
+    open: BTreeMap<i64, OpenRound<P>>,
 }
 
 impl<P> Default for RecordTracker<P> {
@@ -16,25 +23,26 @@
 }
 
 impl<P> RecordTracker<P> {
-    /// A record holds so many samples of this time.
-    pub fn began(&mut self, at_ms: i64, record: P, samples: usize) {
-        let (records, left) = self.open.entry(at_ms).or_default();
-        records.push(record);
-        *left += samples;
+    /// Adds a record that holds so many samples of this time.
+    pub fn add(&mut self, at_ms: i64, record: P, samples: usize) {
+        let empty = || OpenRound { records: Vec::new(), samples_left: 0 };
+        let round = self.open.entry(at_ms).or_insert_with(empty);
+        round.records.push(record);
+        round.samples_left += samples;
     }
 
-    /// A sample of this time is gone: taken, refused or dropped. The records that are done with it.
-    pub fn gone(&mut self, at_ms: i64) -> Vec<P> {
-        let Some((_, left)) = self.open.get_mut(&at_ms) else { return Vec::new() };
-        *left = left.saturating_sub(1);
-        if *left > 0 {
+    /// A sample of this time has left the queue. Returns the records that are complete with it.
+    pub fn complete_sample(&mut self, at_ms: i64) -> Vec<P> {
+        let Some(round) = self.open.get_mut(&at_ms) else { return Vec::new() };
+        round.samples_left = round.samples_left.saturating_sub(1);
+        if round.samples_left > 0 {
             return Vec::new();
         }
-        self.open.remove(&at_ms).map(|(records, _)| records).unwrap_or_default()
+        self.open.remove(&at_ms).map(|round| round.records).unwrap_or_default()
     }
 
-    /// Rounds with samples that are not gone.
-    pub fn rounds(&self) -> usize {
+    /// Rounds with samples that are still queued.
+    pub fn open_rounds(&self) -> usize {
         self.open.len()
     }
 }
--- a/crates/remote-write/src/sample_clock.rs
+++ b/crates/remote-write/src/sample_clock.rs
@@ -1,71 +1,71 @@
-//! The time of samples: near the wall's, never back, whatever the wall does.
+//! The time of samples: near the wall clock, and never back, whatever the wall clock does.
 //!
-//! It runs with the monotonic clock and is drawn towards the wall: slowed to half speed at the most while it is
-//! ahead (the wall stepped back), quickened by a twentieth at the most while it is behind. A wall that is far
-//! ahead for [`SETTLE`] is believed at once: a step forward leaves a gap, which is true, and no back-dated
-//! sample. Over weeks the receiver's clock and ours stay together as far as both follow the same wall.
+//! It runs with the monotonic clock and is slewed towards the wall clock: slowed to half speed at most while it is ahead
+//! (the wall clock stepped back), quickened by a twentieth at most while it is behind. A wall clock that is far ahead for
+//! [`STEP_CONFIRMATION`] is followed at once: a step forward leaves a gap, which is true, and no back-dated sample. Over
+//! weeks the receiver's clock and this one stay together as far as both follow the same wall clock.
 
-use crate::queue::Micros;
+use crate::Micros;
 
-/// Ahead of us by more than this is a step, not drift.
+/// A wall clock that is ahead by more than this has stepped, and not drifted.
 pub const STEP: Micros = 5_000_000;
-/// A step forward has to last so long: a wall that jumps and returns is not followed.
-pub const SETTLE: Micros = 60_000_000;
-/// Part of the time that passes by which we quicken at the most: 1 in this.
-const QUICKEN: Micros = 20;
-/// The same for slowing.
-const SLOW: Micros = 2;
+/// A step forward is followed after it has lasted this long: a wall clock that jumps and returns is not followed.
+pub const STEP_CONFIRMATION: Micros = 60_000_000;
+/// The clock gains at most 1 microsecond in this many.
+const MAX_GAIN_DIVISOR: Micros = 20;
+/// The clock loses at most 1 microsecond in this many.
+const MAX_LOSS_DIVISOR: Micros = 2;
 
-/// The clock of samples. Times are microseconds: `steady` on any clock that never goes back, `wall` since 1970.
+/// The clock of samples. Times are microseconds: `monotonic` on any clock that never goes back, `wall` since 1970.
 #[derive(Clone, Debug)]
 pub struct SampleClock {
-    steady: Micros,
+    monotonic: Micros,
     time: Micros,
-    /// The wall has been ahead by a step since then.
+    /// Since when the wall clock has been ahead by a step.
     ahead_since: Option<Micros>,
-    /// How far the wall was ahead of us when last asked.
-    ahead: i64,
-    steps: u64,
+    /// How far the wall clock was ahead at the last reading.
+    offset: i64,
+    steps_forward: u64,
 }
 
 impl SampleClock {
-    /// Starts at the wall's time, but after `last`: what was told before must stay before.
-    pub fn new(steady: Micros, wall: Micros, last: Micros) -> Self {
-        Self { steady, time: wall.max(last), ahead_since: None, ahead: 0, steps: 0 }
+    /// Starts at the wall clock's time, but not before `last`, the time of the last sample of an earlier incarnation.
+    pub fn new(monotonic: Micros, wall: Micros, last: Micros) -> Self {
+        Self { monotonic, time: wall.max(last), ahead_since: None, offset: 0, steps_forward: 0 }
     }
 
-    /// The time now. It is later than the last one, unless no steady time has passed.
-    pub fn now(&mut self, steady: Micros, wall: Micros) -> Micros {
-        let passed = steady.saturating_sub(self.steady);
-        self.steady = self.steady.max(steady);
+    /// The time now. It is later than at the last reading, unless no time has passed on the monotonic clock.
+    pub fn now(&mut self, monotonic: Micros, wall: Micros) -> Micros {
+        let passed = monotonic.saturating_sub(self.monotonic);
+        self.monotonic = self.monotonic.max(monotonic);
         let free = self.time.saturating_add(passed);
         let ahead = wall.saturating_sub(free);
         if ahead > STEP {
-            let since = *self.ahead_since.get_or_insert(steady);
-            if steady.saturating_sub(since) >= SETTLE {
+            let since = *self.ahead_since.get_or_insert(monotonic);
+            if monotonic.saturating_sub(since) >= STEP_CONFIRMATION {
                 self.ahead_since = None;
-                self.steps += 1;
+                self.steps_forward += 1;
                 self.time = wall;
-                self.ahead = 0;
+                self.offset = 0;
                 return self.time;
             }
         } else {
             self.ahead_since = None;
         }
         let behind = free.saturating_sub(wall);
-        self.time = free + ahead.min(passed / QUICKEN) - behind.min(passed / SLOW);
-        self.ahead = signed(wall) - signed(self.time);
+        self.time = free + ahead.min(passed / MAX_GAIN_DIVISOR) - behind.min(passed / MAX_LOSS_DIVISOR);
+        self.offset = signed(wall) - signed(self.time);
         self.time
     }
 
-    /// How far the wall was ahead when last asked, microseconds; below zero: behind.
-    pub fn ahead(&self) -> i64 {
-        self.ahead
+    /// How far the wall clock was ahead at the last reading, microseconds; negative: behind.
+    pub fn offset(&self) -> i64 {
+        self.offset
     }
 
-    /// Steps forward that were taken.
-    pub fn steps(&self) -> u64 {
-        self.steps
+    /// How many steps forward were followed.
+    pub fn steps_forward(&self) -> u64 {
+        self.steps_forward
     }
 }
 
