--- a/crates/administration/src/records.rs
+++ b/crates/administration/src/records.rs
@@ -5,7 +5,7 @@
 use std::path::PathBuf;
 
 use nettleferry_audit_log::Entry;
-use nettleferry_wal::{DirectoryStorage, Limits, WalError, WriteAheadLog};
+use nettleferry_wal::{DirectoryStorage, Limits, RecoveredRecord, WalError, WriteAheadLog};
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
 use tracing::{info, warn};
@@ -51,7 +51,7 @@
         let mut all = Self { spool: None, records: BTreeMap::new(), unkept: 0 };
         match opened {
             Ok((spool, found)) => {
-                for (_, bytes) in found.records {
+                for RecoveredRecord { payload: bytes, .. } in found.records {
                     if let Ok(kept) = serde_json::from_slice::<Kept>(&bytes) {
                         all.hold(&kept.of, kept.text);
                     }
--- a/crates/administration/src/trail.rs
+++ b/crates/administration/src/trail.rs
@@ -81,7 +81,7 @@
     let (_, found) =
         WriteAheadLog::open(DirectoryStorage::open(folder).map_err(WalError::from)?, Limits::default())?;
     let texts: Vec<String> =
-        found.records.into_iter().filter_map(|(_, b)| String::from_utf8(b).ok()).collect();
+        found.records.into_iter().filter_map(|record| String::from_utf8(record.payload).ok()).collect();
     Ok(chain::check(texts.iter().map(String::as_str)))
 }
 
@@ -149,7 +149,7 @@
     let (spool, found) =
         WriteAheadLog::open(DirectoryStorage::open(folder).map_err(WalError::from)?, limits)?;
     let texts: Vec<String> =
-        found.records.into_iter().filter_map(|(_, b)| String::from_utf8(b).ok()).collect();
+        found.records.into_iter().filter_map(|record| String::from_utf8(record.payload).ok()).collect();
     let checked = chain::check(texts.iter().map(String::as_str));
     for fault in &checked.errors {
         warn!(%fault, "the record of before is not whole");
--- a/crates/gateway/src/push.rs
+++ b/crates/gateway/src/push.rs
@@ -25,7 +25,9 @@
     Acceptance, Backoff, HeapSize, Limits, Negotiation, ProtocolVersion, Queue, RecordTracker, Response,
     SampleClock,
 };
-use nettleferry_wal::{DirectoryStorage, Limits as WalLimits, Position, WalError, WriteAheadLog};
+use nettleferry_wal::{
+    DirectoryStorage, Limits as WalLimits, Position, RecoveredRecord, WalError, WriteAheadLog,
+};
 use tracing::{info, warn};
 
 use nettleferry_net::clock::{Clock, wall};
@@ -177,11 +179,11 @@
     }
 
     /// What the last life left.
-    fn restore(&mut self, records: Vec<(Position, Vec<u8>)>) {
+    fn restore(&mut self, records: Vec<RecoveredRecord>) {
         let now = self.clock.now();
         let (mut rosters, mut samples) = (Vec::new(), 0);
         let mut ended: Vec<u64> = Vec::new();
-        for (position, bytes) in records {
+        for RecoveredRecord { position, payload: bytes } in records {
             let Ok(series) = remote_write::read(Version::Two, &bytes, MOST_RECORD) else {
                 // Its sum is right, so that it is not ours: another version's spool.
                 warn!("a record of the spool can't be read and is let go");
@@ -382,7 +384,7 @@
         }
         // It goes on to a new segment, or was let go with its old one when the spool was full.
         let newest = self.spool.newest();
-        if first || self.roster.iter().any(|p| p.segment < newest || !self.spool.holds(*p)) {
+        if first || self.roster.iter().any(|p| p.segment < newest || !self.spool.contains(*p)) {
             self.write_roster(&samples);
         }
         self.keep(samples);
--- a/crates/gateway/tests/stored_data.rs
+++ b/crates/gateway/tests/stored_data.rs
@@ -45,7 +45,7 @@
     let (log, found) = WriteAheadLog::open(storage, Limits::default()).expect("opened");
     let counters = log.counters();
     assert_eq!((counters.damaged, counters.torn_bytes, counters.lost_bytes), (0, 0, 0));
-    found.records.into_iter().map(|(_, bytes)| bytes).collect()
+    found.records.into_iter().map(|record| record.payload).collect()
 }
 
 #[test]
--- a/crates/wal/src/error.rs
+++ b/crates/wal/src/error.rs
@@ -1,20 +1,20 @@
-//! Why a record is not kept.
+//! Errors of the log.
 
 use std::io;
 
 /// Longest payload of a record, bytes.
-pub const MOST_PAYLOAD: usize = 1 << 20;
+pub const MAX_PAYLOAD_BYTES: usize = 1 << 20;
 
-/// Why a record was not kept.
+/// Why a record was not appended, or the log could not be opened.
 #[derive(Debug, thiserror::Error)]
 pub enum WalError {
-    /// It is longer than any may be.
-    #[error("a record of {bytes} bytes; at most {} are kept", MOST_PAYLOAD)]
+    /// The record is longer than [`MAX_PAYLOAD_BYTES`].
+    #[error("a record of {bytes} bytes; at most {} are kept", MAX_PAYLOAD_BYTES)]
     TooLong {
         /// Its length.
         bytes: usize,
     },
-    /// The disk refused.
-    #[error("the spool's disk: {0}")]
+    /// The storage failed.
+    #[error("the storage of the write-ahead log: {0}")]
     Io(#[from] io::Error),
 }
--- a/crates/wal/src/lib.rs
+++ b/crates/wal/src/lib.rs
@@ -1,18 +1,17 @@
-//! Records that survive a crash until they are acknowledged: a segmented log with a bound on disk.
+//! A write-ahead log: records that survive a crash until they are acknowledged, in segments of bounded total size.
 //!
 //! May know: bytes. Must not know: what they mean, sockets, clocks. Files are reached through [`SegmentStorage`] alone, so
-//! that a full, read-only or lying disk can be played in tests.
+//! that a full, read-only or lying disk can be simulated in tests.
 //!
-//! * [`record`]: the encoding of a record, and the reader that never believes one.
-//! * [`storage`]: what is wanted of files; [`DirectoryStorage`] for a folder, [`MemoryStorage`] for tests.
+//! * [`record`]: the encoding of a record, and the reader, which checks all that it reads.
+//! * [`storage`]: the file operations; [`DirectoryStorage`] for a directory, [`MemoryStorage`] for tests.
 //! * [`wal`]: segments, acknowledgements, recovery, the bound.
 //!
-//! Durable at which step: a record is when [`WriteAheadLog::append`] has returned and [`WriteAheadLog::sync`] after it; an
-//! acknowledgement likewise. One that was not synced may come back after a crash: its record is then given
-//! again, with the same bytes.
+//! Durability: a record is durable when [`WriteAheadLog::append`] has returned and [`WriteAheadLog::sync`] after it; an
+//! acknowledgement likewise. One that was not synced may be lost in a crash: its record is recovered once more then, with
+//! the same bytes.
 
 #![forbid(unsafe_code)]
-#![deny(missing_docs)]
 
 pub mod error;
 pub mod record;
@@ -21,4 +20,4 @@
 
 pub use error::WalError;
 pub use storage::{DirectoryStorage, MemoryStorage, SegmentStorage};
-pub use wal::{Counters, Limits, Position, Recovered, WriteAheadLog};
+pub use wal::{Counters, Limits, Position, Recovered, RecoveredRecord, WriteAheadLog};
--- a/crates/wal/src/storage.rs
+++ b/crates/wal/src/storage.rs
@@ -5,30 +5,39 @@
 use std::io::{self, Write};
 use std::path::PathBuf;
 
-/// Files by number.
+/// Segment files by number.
 pub trait SegmentStorage {
-    /// Numbers of the files that are there, in order.
+    /// Numbers of the files, in order.
     fn list(&self) -> io::Result<Vec<u64>>;
     /// All bytes of a file.
     fn read(&self, number: u64) -> io::Result<Vec<u8>>;
-    /// Adds bytes to the end of a file, which is made where it is not there.
+    /// Appends bytes to a file, which is created where it does not exist.
     fn append(&mut self, number: u64, bytes: &[u8]) -> io::Result<()>;
-    /// Cuts a file to a length.
-    fn cut(&mut self, number: u64, length: u64) -> io::Result<()>;
+    /// Truncates a file to a length.
+    fn truncate(&mut self, number: u64, length: u64) -> io::Result<()>;
     /// Removes a file.
     fn remove(&mut self, number: u64) -> io::Result<()>;
-    /// What was added to a file is durable after this.
+    /// Makes durable what was appended to a file.
     fn sync(&mut self, number: u64) -> io::Result<()>;
 }
 
-/// Files `NUMBER.spool` of a folder. The last one written is kept open.
+/// The segment file that is written to.
+struct OpenFile {
+    number: u64,
+    file: File,
+}
+
+/// Files `NUMBER.spool` of a directory. The last one written stays open.
 pub struct DirectoryStorage {
     folder: PathBuf,
-    open: Option<(u64, File)>,
+    open: Option<OpenFile>,
 }
 
 impl DirectoryStorage {
-    /// A folder, made where it is not there.
+    /// A directory, which is created where it does not exist.
+    ///
+    /// # Errors
+    /// Where it can't be created.
     pub fn open(folder: PathBuf) -> io::Result<Self> {
         fs::create_dir_all(&folder)?;
         Ok(Self { folder, open: None })
@@ -39,11 +48,14 @@
     }
 
     fn file(&mut self, number: u64) -> io::Result<&mut File> {
-        if self.open.as_ref().is_none_or(|(n, _)| *n != number) {
+        if self.open.as_ref().is_none_or(|open| open.number != number) {
             let file = OpenOptions::new().create(true).append(true).open(self.path(number))?;
-            self.open = Some((number, file));
+            self.open = Some(OpenFile { number, file });
         }
-        self.open.as_mut().map(|(_, file)| file).ok_or_else(|| io::Error::other("the file was just opened"))
+        self.open
+            .as_mut()
+            .map(|open| &mut open.file)
+            .ok_or_else(|| io::Error::other("the file was just opened"))
     }
 }
 
@@ -52,7 +64,7 @@
         let mut numbers = Vec::new();
         for entry in fs::read_dir(&self.folder)? {
             let name = entry?.file_name();
-            // Other files are not ours.
+            // Files with other names belong to others.
             let number: Option<u64> =
                 name.to_str().and_then(|n| n.strip_suffix(".spool")).and_then(|n| n.parse().ok());
             numbers.extend(number);
@@ -69,12 +81,12 @@
         self.file(number)?.write_all(bytes)
     }
 
-    fn cut(&mut self, number: u64, length: u64) -> io::Result<()> {
+    fn truncate(&mut self, number: u64, length: u64) -> io::Result<()> {
         OpenOptions::new().write(true).open(self.path(number))?.set_len(length)
     }
 
     fn remove(&mut self, number: u64) -> io::Result<()> {
-        if self.open.as_ref().is_some_and(|(n, _)| *n == number) {
+        if self.open.as_ref().is_some_and(|open| open.number == number) {
             self.open = None;
         }
         fs::remove_file(self.path(number))
@@ -85,19 +97,19 @@
     }
 }
 
-/// Files in memory, for tests: with a room, and a will to fail.
+/// Files in memory, for tests, which may be full or fail.
 #[derive(Clone, Debug, Default)]
 pub struct MemoryStorage {
-    /// Files.
+    /// The files by number.
     pub files: BTreeMap<u64, Vec<u8>>,
-    /// Bytes that fit in all; none: any. What does not fit is written in part, as disks do.
-    pub room: Option<usize>,
-    /// Every change fails.
+    /// Bytes that fit in all; `None`: no bound. What does not fit is written in part, as disks do.
+    pub capacity: Option<usize>,
+    /// Whether every change fails.
     pub read_only: bool,
 }
 
 impl MemoryStorage {
-    fn may(&self) -> io::Result<()> {
+    fn check_writable(&self) -> io::Result<()> {
         if self.read_only { Err(io::ErrorKind::ReadOnlyFilesystem.into()) } else { Ok(()) }
     }
 }
@@ -112,27 +124,28 @@
     }
 
     fn append(&mut self, number: u64, bytes: &[u8]) -> io::Result<()> {
-        self.may()?;
+        self.check_writable()?;
         let used: usize = self.files.values().map(Vec::len).sum();
-        let fits = self.room.map_or(bytes.len(), |room| room.saturating_sub(used).min(bytes.len()));
+        let fits =
+            self.capacity.map_or(bytes.len(), |capacity| capacity.saturating_sub(used).min(bytes.len()));
         self.files.entry(number).or_default().extend_from_slice(&bytes[..fits]);
         if fits < bytes.len() { Err(io::ErrorKind::StorageFull.into()) } else { Ok(()) }
     }
 
-    fn cut(&mut self, number: u64, length: u64) -> io::Result<()> {
-        self.may()?;
+    fn truncate(&mut self, number: u64, length: u64) -> io::Result<()> {
+        self.check_writable()?;
         let file = self.files.get_mut(&number).ok_or(io::ErrorKind::NotFound)?;
         file.truncate(length as usize);
         Ok(())
     }
 
     fn remove(&mut self, number: u64) -> io::Result<()> {
-        self.may()?;
+        self.check_writable()?;
         self.files.remove(&number);
         Ok(())
     }
 
     fn sync(&mut self, _: u64) -> io::Result<()> {
-        self.may()
+        self.check_writable()
     }
 }
--- a/crates/wal/src/wal.rs
+++ b/crates/wal/src/wal.rs
@@ -1,17 +1,17 @@
-//! Segments, acknowledgements, recovery, the bound.
+//! The log: segments, acknowledgements, recovery, the bound.
 //!
-//! Segments go in order, the oldest first: one is removed when all its records are acknowledged and no older
-//! one is left. Acknowledgements are records themselves, written to the newest segment; since they speak of
-//! their own segment or of older ones, none outlives its use or is removed before it.
+//! Segments are removed in order, the oldest first: one is removed when all its records are acknowledged and no older one
+//! is left. Acknowledgements are records themselves, written to the newest segment; since they refer to their own segment
+//! or to older ones, none outlives its use or is removed before it.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
 
 use crate::error::WalError;
-use crate::record::{self, Found, Kind};
+use crate::record::{self, ReadOutcome, RecordKind};
 use crate::storage::SegmentStorage;
 
-/// Where a record stands: its name until it is acknowledged.
+/// The place of a record, which identifies it until it is acknowledged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Position {
     /// Its segment.
@@ -20,12 +20,12 @@
     pub offset: u64,
 }
 
-/// Bounds.
+/// Bounds of a log.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Bytes of all segments at the most; the oldest segment goes first.
+    /// Most bytes of all segments; the oldest segment is dropped first.
     pub bytes: u64,
-    /// A segment of so many bytes is closed and another begun.
+    /// A segment that has so many bytes is closed, and another one begun.
     pub segment_bytes: u64,
 }
 
@@ -35,30 +35,39 @@
     }
 }
 
-/// What was lost or let go, and why.
+/// What became of records and bytes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
     /// Records appended.
     pub appended: u64,
     /// Records acknowledged.
     pub acknowledged: u64,
-    /// Records let go unacknowledged because of [`Limits::bytes`].
+    /// Records dropped unacknowledged because of [`Limits::bytes`].
     pub dropped_full: u64,
     /// Records found damaged.
     pub damaged: u64,
-    /// Bytes cut off as a torn tail.
+    /// Bytes truncated as a torn tail.
     pub torn_bytes: u64,
     /// Bytes that could not be read past damage.
     pub lost_bytes: u64,
-    /// Appends that the disk refused.
+    /// Appends that the storage failed.
     pub failed: u64,
 }
 
-/// What a start finds.
+/// A record that was not acknowledged.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct RecoveredRecord {
+    /// Its place.
+    pub position: Position,
+    /// Its payload.
+    pub payload: Vec<u8>,
+}
+
+/// What opening a log has recovered.
 #[derive(Debug, Default)]
 pub struct Recovered {
     /// Records that were not acknowledged, in the order in which they were appended.
-    pub records: Vec<(Position, Vec<u8>)>,
+    pub records: Vec<RecoveredRecord>,
 }
 
 #[derive(Default)]
@@ -68,9 +77,9 @@
     open: BTreeSet<u64>,
 }
 
-/// The log.
-pub struct WriteAheadLog<D> {
-    disk: D,
+/// The log, over its storage.
+pub struct WriteAheadLog<S> {
+    storage: S,
     limits: Limits,
     segments: BTreeMap<u64, Segment>,
     /// The newest segment, written to.
@@ -80,13 +89,15 @@
     dirty: bool,
 }
 
-impl<D: SegmentStorage> WriteAheadLog<D> {
-    /// Opens what is there: a torn tail is cut off at the last good record, damage in the middle is passed over
-    /// and counted.
-    pub fn open(disk: D, limits: Limits) -> Result<(Self, Recovered), WalError> {
-        let numbers = disk.list()?;
+impl<S: SegmentStorage> WriteAheadLog<S> {
+    /// Opens a log: a torn tail is truncated after the last valid record, damage in the middle is skipped and counted.
+    ///
+    /// # Errors
+    /// Where the storage fails.
+    pub fn open(storage: S, limits: Limits) -> Result<(Self, Recovered), WalError> {
+        let numbers = storage.list()?;
         let mut log = Self {
-            disk,
+            storage,
             limits,
             segments: BTreeMap::new(),
             last: 0,
@@ -94,8 +105,8 @@
             dirty: false,
         };
         let mut records: BTreeMap<Position, Vec<u8>> = BTreeMap::new();
-        for (place, number) in numbers.iter().copied().enumerate() {
-            let newest = place + 1 == numbers.len();
+        for (index, number) in numbers.iter().copied().enumerate() {
+            let newest = index + 1 == numbers.len();
             log.scan(number, newest, &mut records)?;
             log.last = number;
         }
@@ -104,45 +115,47 @@
                 segment.open.insert(position.offset);
             }
         }
-        // A new life writes to a segment of its own: what it finds is never written behind.
+        // Each incarnation begins a new segment: recovered segments are never appended to.
         log.last += 1;
-        log.sweep()?;
-        Ok((log, Recovered { records: records.into_iter().collect() }))
+        log.remove_acknowledged_segments()?;
+        let recovered = records.into_iter().map(|(position, payload)| RecoveredRecord { position, payload });
+        Ok((log, Recovered { records: recovered.collect() }))
     }
 
+    /// Reads a segment: data is added to the records, and acknowledged records are removed.
     fn scan(
         &mut self,
         number: u64,
         newest: bool,
         records: &mut BTreeMap<Position, Vec<u8>>,
     ) -> Result<(), WalError> {
-        let bytes = self.disk.read(number)?;
-        let (mut at, mut end) = (0, bytes.len());
+        let bytes = self.storage.read(number)?;
+        let (mut offset, mut end) = (0, bytes.len());
         loop {
-            match record::read(&bytes, at) {
-                Found::End => break,
-                Found::Sound { kind: Kind::Data, payload, next } => {
-                    records.insert(Position { segment: number, offset: at as u64 }, payload.to_vec());
-                    at = next;
+            match record::decode(&bytes, offset) {
+                ReadOutcome::End => break,
+                ReadOutcome::Valid { kind: RecordKind::Data, payload, next } => {
+                    records.insert(Position { segment: number, offset: offset as u64 }, payload.to_vec());
+                    offset = next;
                 }
-                Found::Sound { kind: Kind::Ack, payload, next } => {
+                ReadOutcome::Valid { kind: RecordKind::Ack, payload, next } => {
                     if let Some(position) = read_position(payload) {
                         records.remove(&position);
                     }
-                    at = next;
+                    offset = next;
                 }
-                // The last record of the newest segment with a bad sum: written in part.
-                Found::Damaged { next } if !(newest && next == bytes.len()) => {
+                // At the end of the newest segment it would be a torn tail, which is handled below.
+                ReadOutcome::Damaged { next } if !(newest && next == bytes.len()) => {
                     self.counters.damaged += 1;
-                    at = next;
+                    offset = next;
                 }
-                Found::Damaged { .. } | Found::Torn => {
-                    let rest = (bytes.len() - at) as u64;
+                ReadOutcome::Damaged { .. } | ReadOutcome::Torn => {
+                    let rest = (bytes.len() - offset) as u64;
                     if newest {
                         self.counters.torn_bytes += rest;
-                        // A disk that can't be written keeps its tail; it is cut off again next time.
-                        if self.disk.cut(number, at as u64).is_ok() {
-                            end = at;
+                        // A storage that can't be written keeps its tail; it is truncated next time.
+                        if self.storage.truncate(number, offset as u64).is_ok() {
+                            end = offset;
                         }
                     } else {
                         self.counters.lost_bytes += rest;
@@ -155,18 +168,18 @@
         Ok(())
     }
 
-    /// What was lost or let go.
+    /// What became of records and bytes.
     pub fn counters(&self) -> Counters {
         self.counters
     }
 
-    /// Bytes on disk.
+    /// Bytes in the storage.
     pub fn bytes(&self) -> u64 {
         self.segments.values().map(|s| s.bytes).sum()
     }
 
-    /// The segment that is written to. A record in an older one that is long kept holds back the segments after
-    /// it: its owner writes it anew and acknowledges the old one.
+    /// The segment that is written to. A record that stays in an older one holds back the segments after it: its owner
+    /// appends it again and acknowledges the old one.
     pub fn newest(&self) -> u64 {
         self.last
     }
@@ -176,24 +189,27 @@
         self.segments.values().map(|s| s.open.len()).sum()
     }
 
-    /// Is this record kept, and not acknowledged?
-    pub fn holds(&self, position: Position) -> bool {
+    /// Whether a record is in the log, and not acknowledged.
+    pub fn contains(&self, position: Position) -> bool {
         self.segments.get(&position.segment).is_some_and(|s| s.open.contains(&position.offset))
     }
 
-    /// The disk: for tests, and to look at.
-    pub fn disk(&mut self) -> &mut D {
-        &mut self.disk
+    /// The storage, for tests.
+    pub fn storage(&mut self) -> &mut S {
+        &mut self.storage
     }
 
-    /// Ends the log and gives its storage back.
-    pub fn into_disk(self) -> D {
-        self.disk
+    /// Ends the log and returns its storage.
+    pub fn into_storage(self) -> S {
+        self.storage
     }
 
-    /// Appends a record. On an error nothing of it stays.
+    /// Appends a record.
+    ///
+    /// # Errors
+    /// Where it is too long or the storage fails: nothing of it stays then.
     pub fn append(&mut self, payload: &[u8]) -> Result<Position, WalError> {
-        let position = self.write(Kind::Data, payload)?;
+        let position = self.write(RecordKind::Data, payload)?;
         self.counters.appended += 1;
         if let Some(segment) = self.segments.get_mut(&position.segment) {
             segment.open.insert(position.offset);
@@ -201,7 +217,10 @@
         Ok(position)
     }
 
-    /// Acknowledges a record; one that is acknowledged or gone is nothing.
+    /// Acknowledges a record; one that is acknowledged or dropped is ignored.
+    ///
+    /// # Errors
+    /// Where the storage fails.
     pub fn acknowledge(&mut self, position: Position) -> Result<(), WalError> {
         let known = self.segments.get_mut(&position.segment).is_some_and(|s| s.open.remove(&position.offset));
         if !known {
@@ -211,59 +230,66 @@
         let mut payload = [0; 16];
         payload[..8].copy_from_slice(&position.segment.to_le_bytes());
         payload[8..].copy_from_slice(&position.offset.to_le_bytes());
-        // Where the last open record of all goes, its segment goes as well: no word of it is needed.
-        let written =
-            if self.unacknowledged() == 0 { Ok(()) } else { self.write(Kind::Ack, &payload).map(|_| ()) };
-        self.sweep()?;
+        // With the last open record all segments are removed: no acknowledgement need be written.
+        let written = if self.unacknowledged() == 0 {
+            Ok(())
+        } else {
+            self.write(RecordKind::Ack, &payload).map(|_| ())
+        };
+        self.remove_acknowledged_segments()?;
         written
     }
 
-    /// What was appended and acknowledged before is durable after this.
+    /// Makes durable what was appended and acknowledged before.
+    ///
+    /// # Errors
+    /// Where the storage fails.
     pub fn sync(&mut self) -> Result<(), WalError> {
         if self.segments.contains_key(&self.last) {
-            self.disk.sync(self.last)?;
+            self.storage.sync(self.last)?;
         }
         Ok(())
     }
 
-    fn write(&mut self, kind: Kind, payload: &[u8]) -> Result<Position, WalError> {
-        let bytes = record::write(kind, payload)?;
+    /// Appends a record of a kind to the newest segment.
+    fn write(&mut self, kind: RecordKind, payload: &[u8]) -> Result<Position, WalError> {
+        let bytes = record::encode(kind, payload)?;
         let full = self.segments.get(&self.last).is_some_and(|s| s.bytes >= self.limits.segment_bytes);
-        if full || self.dirty && !self.clean() {
-            // A tail that can't be cut is left behind in a closed segment, where it is passed over.
+        if full || self.dirty && !self.truncate_failed_append() {
+            // A tail that can't be truncated is left in a closed segment, where it is skipped.
             self.last += 1;
             self.dirty = false;
         }
         self.make_room(bytes.len() as u64)?;
         let segment = self.last;
         let offset = self.segments.get(&segment).map_or(0, |s| s.bytes);
-        if let Err(error) = self.disk.append(segment, &bytes) {
+        if let Err(error) = self.storage.append(segment, &bytes) {
             self.counters.failed += 1;
             self.segments.entry(segment).or_default();
             self.dirty = true;
-            self.clean();
+            self.truncate_failed_append();
             return Err(error.into());
         }
         self.segments.entry(segment).or_default().bytes += bytes.len() as u64;
         Ok(Position { segment, offset })
     }
 
-    /// Cuts off what a failed append left.
-    fn clean(&mut self) -> bool {
+    /// Truncates what a failed append left; false: it could not.
+    fn truncate_failed_append(&mut self) -> bool {
         let length = self.segments.get(&self.last).map_or(0, |s| s.bytes);
-        let cut = self.disk.cut(self.last, length);
-        if cut.is_ok() || matches!(&cut, Err(e) if e.kind() == io::ErrorKind::NotFound) {
+        let truncated = self.storage.truncate(self.last, length);
+        if truncated.is_ok() || matches!(&truncated, Err(e) if e.kind() == io::ErrorKind::NotFound) {
             self.dirty = false;
         }
         !self.dirty
     }
 
-    /// The oldest segments go until `more` bytes fit.
-    fn make_room(&mut self, more: u64) -> Result<(), WalError> {
-        while self.bytes() + more > self.limits.bytes {
+    /// Drops the oldest segments until `additional` bytes fit.
+    fn make_room(&mut self, additional: u64) -> Result<(), WalError> {
+        while self.bytes() + additional > self.limits.bytes {
             let Some((&oldest, segment)) = self.segments.first_key_value() else { break };
             self.counters.dropped_full += segment.open.len() as u64;
-            self.discard(oldest)?;
+            self.remove_file(oldest)?;
             self.segments.remove(&oldest);
             if oldest == self.last {
                 self.last += 1;
@@ -273,21 +299,21 @@
         Ok(())
     }
 
-    /// A file that is gone already, or never came about because the disk refused it, is as good as removed.
-    fn discard(&mut self, segment: u64) -> io::Result<()> {
-        match self.disk.remove(segment) {
+    /// Removes a segment's file, which may not exist where its first append failed.
+    fn remove_file(&mut self, segment: u64) -> io::Result<()> {
+        match self.storage.remove(segment) {
             Err(error) if error.kind() == io::ErrorKind::NotFound => Ok(()),
             other => other,
         }
     }
 
-    /// Removes segments that are of no use any more, the oldest first.
-    fn sweep(&mut self) -> Result<(), WalError> {
+    /// Removes segments without open records, the oldest first.
+    fn remove_acknowledged_segments(&mut self) -> Result<(), WalError> {
         while let Some((&oldest, segment)) = self.segments.first_key_value() {
             if !segment.open.is_empty() {
                 break;
             }
-            self.discard(oldest)?;
+            self.remove_file(oldest)?;
             self.segments.remove(&oldest);
             if oldest == self.last {
                 self.last += 1;
@@ -297,6 +323,7 @@
     }
 }
 
+/// The position that an acknowledgement refers to.
 fn read_position(payload: &[u8]) -> Option<Position> {
     let segment = u64::from_le_bytes(payload.get(..8)?.try_into().ok()?);
     let offset = u64::from_le_bytes(payload.get(8..16)?.try_into().ok()?);
--- /dev/null
+++ b/crates/wal/tests/wal.rs
@@ -0,0 +1,210 @@
+//! The log against crashes and storage that fails.
+
+use std::collections::BTreeMap;
+
+use nettleferry_wal::*;
+use proptest::prelude::*;
+
+fn limits() -> Limits {
+    Limits { bytes: 4_000, segment_bytes: 300 }
+}
+
+fn open(storage: MemoryStorage) -> (WriteAheadLog<MemoryStorage>, Vec<RecoveredRecord>) {
+    let (log, found) = WriteAheadLog::open(storage, limits()).expect("opens");
+    (log, found.records)
+}
+
+fn payloads(records: &[RecoveredRecord]) -> Vec<u8> {
+    records.iter().map(|record| record.payload[0]).collect()
+}
+
+/// Ten records of 100 bytes, numbered by their bytes.
+fn ten() -> (WriteAheadLog<MemoryStorage>, Vec<Position>) {
+    let (mut log, _) = open(MemoryStorage::default());
+    let positions = (0..10).map(|n| log.append(&[n; 100]).expect("appended")).collect();
+    (log, positions)
+}
+
+#[test]
+fn unacknowledged_records_are_recovered_in_order() {
+    let (mut log, positions) = ten();
+    for n in [0, 1, 4, 7] {
+        log.acknowledge(positions[n]).expect("appended");
+    }
+    let (log, found) = open(log.into_storage());
+    assert_eq!(payloads(&found), [2, 3, 5, 6, 8, 9]);
+    assert!(found.iter().all(|record| record.payload.len() == 100));
+    assert_eq!(log.unacknowledged(), 6);
+}
+
+#[test]
+fn acknowledged_segments_are_removed() {
+    let (mut log, positions) = ten();
+    for position in &positions {
+        log.acknowledge(*position).expect("appended");
+        log.acknowledge(*position).expect("a second acknowledgement is ignored");
+    }
+    assert_eq!((log.bytes(), log.unacknowledged(), log.counters().acknowledged), (0, 0, 10));
+    assert!(log.storage().files.is_empty());
+    let (_, found) = open(log.into_storage());
+    assert!(found.is_empty());
+}
+
+#[test]
+fn size_limit_drops_the_oldest_records_and_counts_them() {
+    let (mut log, _) = open(MemoryStorage::default());
+    for n in 0..100 {
+        log.append(&[n; 100]).expect("appended");
+        assert!(log.bytes() <= limits().bytes);
+    }
+    let dropped = log.counters().dropped_full;
+    let (_, found) = open(log.into_storage());
+    assert_eq!(found.len() as u64 + dropped, 100);
+    assert_eq!(found.last().map(|record| record.payload[0]), Some(99));
+    assert_eq!(payloads(&found)[0] as u64, dropped);
+}
+
+#[test]
+fn torn_tail_is_truncated_after_the_last_valid_record() {
+    let (log, _) = ten();
+    let intact = log.into_storage();
+    let newest = *intact.files.keys().last().expect("there");
+    let length = intact.files[&newest].len();
+    for cut in 1..109 {
+        let mut storage = intact.clone();
+        storage.files.get_mut(&newest).expect("there").truncate(length - cut);
+        let (mut log, found) = open(storage);
+        assert_eq!(payloads(&found), (0..9).collect::<Vec<u8>>(), "cut {cut}");
+        assert_eq!(log.counters().torn_bytes, 109 - cut as u64);
+        // The next incarnation goes on, and nothing of the tail is recovered.
+        log.append(&[42; 100]).expect("appended");
+        let (_, found) = open(log.into_storage());
+        assert_eq!(found.len(), 10);
+        assert_eq!(found[9].payload[0], 42);
+    }
+}
+
+#[test]
+fn full_storage_keeps_its_records_and_accepts_more_later() {
+    let (mut log, positions) = ten();
+    let used: usize = log.storage().files.values().map(Vec::len).sum();
+    log.storage().capacity = Some(used + 50);
+    assert!(matches!(log.append(&[77; 100]), Err(WalError::Io(_))));
+    assert_eq!(log.counters().failed, 1);
+    log.storage().capacity = None;
+    log.append(&[78; 100]).expect("appended");
+    log.acknowledge(positions[0]).expect("appended");
+    let (log, found) = open(log.into_storage());
+    assert_eq!(payloads(&found), [1, 2, 3, 4, 5, 6, 7, 8, 9, 78], "nothing of the failed record stays");
+    assert_eq!(log.counters(), Counters::default(), "and nothing is damaged");
+}
+
+#[test]
+fn read_only_storage_is_recovered() {
+    let (log, _) = ten();
+    let mut storage = log.into_storage();
+    storage.read_only = true;
+    let (mut log, found) = open(storage);
+    assert_eq!(found.len(), 10);
+    assert!(log.append(&[1; 10]).is_err());
+    assert!(log.acknowledge(found[0].position).is_err());
+}
+
+#[test]
+fn directory_storage_persists_records() {
+    let folder = tempfile::tempdir().expect("a folder");
+    let open = || {
+        WriteAheadLog::open(DirectoryStorage::open(folder.path().join("spool")).expect("made"), limits())
+            .expect("opens")
+    };
+    let (mut log, _) = open();
+    let first = log.append(b"one").expect("appended");
+    log.append(b"two").expect("appended");
+    log.acknowledge(first).expect("appended");
+    log.sync().expect("durable");
+    drop(log);
+    std::fs::write(folder.path().join("spool/notes.txt"), "not ours").expect("written");
+    let (_, found) = open();
+    assert_eq!(
+        found.records.iter().map(|record| record.payload.clone()).collect::<Vec<_>>(),
+        [b"two".to_vec()]
+    );
+}
+
+#[test]
+fn oversized_record_is_rejected() {
+    let (mut log, _) = open(MemoryStorage::default());
+    let error = log.append(&vec![0; record::MAX_PAYLOAD_BYTES + 1]).expect_err("too long").to_string();
+    assert!(error.contains("at most 1048576"), "{error}");
+}
+
+proptest! {
+    #[test]
+    fn flipped_bit_never_yields_a_wrong_record(at in any::<prop::sample::Index>(), bit in 0u8..8) {
+        let (log, _) = ten();
+        let mut storage = log.into_storage();
+        let sizes: Vec<(u64, usize)> = storage.files.iter().map(|(n, f)| (*n, f.len())).collect();
+        let mut position = at.index(sizes.iter().map(|s| s.1).sum());
+        for (number, size) in sizes {
+            if position < size {
+                storage.files.get_mut(&number).expect("there")[position] ^= 1 << bit;
+                break;
+            }
+            position -= size;
+        }
+        let (log, found) = open(storage);
+        let c = log.counters();
+        prop_assert!(found.len() < 10 && found.len() >= 7, "{} are left", found.len());
+        prop_assert!(c.damaged + c.torn_bytes + c.lost_bytes > 0, "what is lost is counted");
+        for RecoveredRecord { payload, .. } in &found {
+            prop_assert!(payload.len() == 100 && payload.iter().all(|b| *b == payload[0]));
+        }
+        prop_assert!(payloads(&found).windows(2).all(|w| w[0] < w[1]));
+    }
+
+    #[test]
+    fn noise_never_panics(files in prop::collection::btree_map(0u64..5, prop::collection::vec(any::<u8>(), 0..300), 0..4)) {
+        let (mut log, _) = open(MemoryStorage { files, ..MemoryStorage::default() });
+        log.append(b"x").expect("appended");
+    }
+
+    #[test]
+    fn reopened_log_matches_a_plain_model(
+        steps in prop::collection::vec((0u8..10, any::<prop::sample::Index>()), 1..120),
+    ) {
+        let (mut log, _) = open(MemoryStorage::default());
+        let mut model: BTreeMap<Position, Vec<u8>> = BTreeMap::new();
+        let mut count = 0u32;
+        for (action, pick) in steps {
+            match action {
+                0..6 => {
+                    count += 1;
+                    let payload = count.to_le_bytes().to_vec();
+                    let before = log.counters().dropped_full;
+                    let position = log.append(&payload).expect("appended");
+                    // The bound drops the oldest records.
+                    for _ in before..log.counters().dropped_full {
+                        model.pop_first();
+                    }
+                    model.insert(position, payload);
+                }
+                6..9 if !model.is_empty() => {
+                    let position = *model.keys().nth(pick.index(model.len())).expect("there");
+                    let before = log.counters().dropped_full;
+                    log.acknowledge(position).expect("appended");
+                    model.remove(&position);
+                    for _ in before..log.counters().dropped_full {
+                        model.pop_first();
+                    }
+                }
+                _ => {
+                    let (next, found) = open(log.into_storage());
+                    log = next;
+                    prop_assert_eq!(&found.into_iter().map(|record| (record.position, record.payload)).collect::<BTreeMap<_, _>>(), &model);
+                }
+            }
+            prop_assert_eq!(log.unacknowledged(), model.len());
+            prop_assert!(log.bytes() <= limits().bytes);
+        }
+    }
+}
