--- a/crates/gateway/src/controller/status.rs
+++ b/crates/gateway/src/controller/status.rs
@@ -47,20 +47,22 @@
 
     fn publish_status(&mut self) {
         let (Some(tenants), Some(server)) = (&mut self.tenants, &self.admin_server) else { return };
-        self.metrics.set_rejections(tenants.turned());
-        let mut status = server.shown();
-        if tenants.lends()
-            && let Some(demands) = tenants.demands(self.clock.now())
+        self.metrics.set_rejections(tenants.rejections());
+        let mut status = server.status();
+        if tenants.uses_loans()
+            && let Some(demands) = tenants.measure_demands(self.clock.now())
         {
-            (status.demands, status.measured) = (demands, Some(Instant::now()));
+            status.demands = demands;
+            status.demands_measured_at = Some(Instant::now());
         }
         status.revision = tenants.revision();
+        let fleet = status.fleet;
         self.metrics.set_fleet(&FleetState {
-            stale_incarnations: status.lives_behind,
-            fenced_incarnations: status.lives_fenced,
-            recovery_pending: status.book_waits,
+            stale_incarnations: fleet.incarnations_behind,
+            fenced_incarnations: fleet.incarnations_fenced,
+            recovery_pending: fleet.recovery_pending,
         });
-        tenants.show(&mut status.usage);
+        tenants.publish_usage(&mut status.usage);
         if std::mem::take(&mut self.list_changed) {
             let worker = |worker| published_worker(worker, &self.drained_workers);
             status.workers = self.listed_workers.iter().map(worker).collect();
