--- a/crates/gateway/benches/measure.rs
+++ b/crates/gateway/benches/measure.rs
@@ -7,7 +7,7 @@
 mod isolation;
 #[path = "outage.rs"]
 mod outage;
-use common::desk::{Http, code, key};
+use common::admin_client::{AdminClient, code, key};
 use common::*;
 
 use std::alloc::System;
@@ -212,27 +212,35 @@
 
 /// What figures cost: bytes on the wire, and how fast a backlog goes through queue and encoder on one thread.
 fn figures() {
-    use nettleferry_metrics::{End, Figures, Slots, sample};
+    use nettleferry_metrics::{
+        AttemptCause, CallEnd, CallRecord, Metrics, ReplicaNote, SeriesLayout, sample,
+    };
     use nettleferry_proto::remote_write::{Kind, Series, Version, write};
-    use nettleferry_remote_write::{Answer, Limits, Queue, Sample};
+    use nettleferry_remote_write::{Limits, Queue, Response, Sample};
     let names = |p: &str, n: usize| (0..n).map(|i| format!("{p}-{i}")).collect::<Vec<_>>();
-    let figures =
-        Figures::new(Slots::new(names("class", 3), &names("tenant", 6), &names("model", 8), 5_000), &["a"]);
+    let layout = SeriesLayout::new(names("class", 3), &names("tenant", 6), &names("model", 8), 5_000);
+    let metrics = Metrics::new(layout, &["a"]);
     const CALLS: u32 = 2_000_000;
     let region = Region::new(ALLOCATOR);
     let begun = Instant::now();
     for n in 0..CALLS {
-        figures.attempt(0);
-        figures.note(0);
-        figures.call((n % 3) as usize, End::InTime, Some((n % 6) as usize), (n % 8) as usize, 20_000);
-        figures.in_hand(7, 0);
+        metrics.record_attempt(AttemptCause::First);
+        metrics.record_replica_note(ReplicaNote::Warm);
+        metrics.record_call(&CallRecord {
+            class: (n % 3) as usize,
+            end: CallEnd::ServedInTime,
+            tenant: Some((n % 6) as usize),
+            group: (n % 8) as usize,
+            latency_micros: 20_000,
+        });
+        metrics.set_calls(7, 0);
     }
     let (took, allocations) = (begun.elapsed(), region.change().allocations);
     println!("figures: {:.0} ns to count a call", took.as_secs_f64() * 1e9 / f64::from(CALLS));
     println!("figures: {allocations} allocations while {CALLS} calls are counted");
-    let text = figures.text().expect("text");
+    let text = metrics.text().expect("text");
     let begun = Instant::now();
-    let series: Vec<Series> = sample::read(&text)
+    let series: Vec<Series> = sample::parse(&text)
         .into_iter()
         .map(|s| Series {
             natives: Vec::new(),
@@ -258,7 +266,7 @@
     // batches and encodes them.
     let rounds = 480;
     let fresh = series.len() as f64 / 15.0;
-    let limits = Limits { bytes: 1 << 30, age: u64::MAX / 2, ..Limits::default() };
+    let limits = Limits { bytes: 1 << 30, max_age: u64::MAX / 2, ..Limits::default() };
     let mut queue = Queue::new(limits, 1);
     for round in 0..rounds {
         for n in 0..series.len() {
@@ -282,7 +290,7 @@
             let all: Vec<Series> = by.into_values().collect();
             std::hint::black_box(write(Version::Two, &all).expect("encodes"));
             taken += batch.samples.len();
-            queue.answered(3_600_000_000, batch.shard, batch.number, Answer::Taken);
+            queue.handle_response(3_600_000_000, batch.shard, batch.number, Response::Accepted);
         }
     }
     let rate = taken as f64 / begun.elapsed().as_secs_f64();
@@ -313,16 +321,16 @@
         let admin = format!(
             "(admin (listen \"127.0.0.1:0\") (store \"tenants.redb\") (lease {lease}) {line} {fleet_line})"
         );
-        let desk = serve(&format!("{SETTINGS}{admin}"), "");
-        let api = desk.line("listening admin ");
-        let http = Http { api, token };
+        let leader = serve(&format!("{SETTINGS}{admin}"), "");
+        let api = leader.line("listening admin ");
+        let http = AdminClient { api, token };
         let (status, told) = http.ask("POST", "/v1/tenants", "", "{\"name\":\"a\"}");
         assert_eq!(status, 201, "{told}");
         let dir = tempfile::tempdir().expect("a folder");
         std::fs::write(dir.path().join("workers.sexp"), fleet.list()).expect("written");
         std::fs::write(dir.path().join("key"), &fleet_token).expect("written");
         let admin = format!("(admin (follow \"{api}\") (key-file \"key\") (kept \"kept.json\") {trail})");
-        (desk, serve_in(dir, &format!("{settings}{admin}(controller (number 1) (of 2))"), None))
+        (leader, serve_in(dir, &format!("{settings}{admin}(controller (number 1) (of 2))"), None))
     };
     let (_one, with) = follower("6s", "(without-lease refuse) (trail (folder \"trail\"))");
     let (_two, without) = follower("0s", "");
@@ -377,8 +385,8 @@
     };
     let ((token, line), (fleet_token, fleet_line)) = (key("ada", "admin"), key("fleet", "controller"));
     let admin = format!("(admin (listen \"127.0.0.1:0\") (store \"tenants.redb\") {line} {fleet_line})");
-    let desk = serve(&format!("{SETTINGS}{admin}"), "");
-    let api = desk.line("listening admin ");
+    let leader = serve(&format!("{SETTINGS}{admin}"), "");
+    let api = leader.line("listening admin ");
     let all: Vec<Program> = (1..=followers)
         .map(|n| {
             let dir = tempfile::tempdir().expect("a folder");
--- a/crates/gateway/tests/faults.rs
+++ b/crates/gateway/tests/faults.rs
@@ -9,7 +9,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use common::{Client, Directory, Does, Invoker, SERVED, Told, config};
+use common::{Client, Directory, Invoker, ListedInvoker, Reaction, ReceivedCommand, SERVED, config};
 use nettleferry_soak::shim::{self, Faults};
 
 /// A process under faults; ends with the test, whatever comes.
@@ -33,7 +33,7 @@
     ) -> Self {
         let dir = tempfile::tempdir().expect("a folder");
         let library = shim::compile(dir.path()).expect("a C compiler");
-        let listed = vec![("s-0".to_owned(), invoker.address, false)];
+        let listed = vec![ListedInvoker::new(0, invoker.address)];
         let directory = Directory::start(listed.clone());
         let mut told = config(directory.address, &listed);
         change(&mut told);
@@ -71,7 +71,7 @@
     /// Asks it to end, and gives its exit code.
     fn ended(&mut self) -> Option<i32> {
         self.signal("TERM");
-        let end = Instant::now() + common::PATIENCE;
+        let end = Instant::now() + common::TEST_TIMEOUT;
         loop {
             if let Some(status) = self.child.try_wait().expect("ours") {
                 return status.code();
@@ -96,15 +96,15 @@
 
 /// One that holds every function.
 fn invoker() -> Invoker {
-    Invoker::start(|told: &Told| match told.word() {
-        "CALL" => Does::Says("served", "n=w", told.parts[3].clone()),
-        "LOAD" => Does::Says("served", "instances=1", vec![]),
-        _ => Does::Says("green", "-", vec![]),
+    Invoker::start(|told: &ReceivedCommand| match told.keyword() {
+        "CALL" => Reaction::Answer("served", "n=w", told.parts[3].clone()),
+        "LOAD" => Reaction::Answer("served", "instances=1", vec![]),
+        _ => Reaction::Answer("green", "-", vec![]),
     })
 }
 
 #[test]
-fn reads_that_take_less_than_there_is_leave_no_request_unanswered() {
+fn short_reads_leave_no_request_unanswered() {
     let invoker = invoker();
     let mut node = Node::start(&invoker, Faults { short: 1_000, ..Faults::default() }, |_| ());
     let mut client = node.client();
@@ -123,16 +123,16 @@
 const TTL: Duration = Duration::from_millis(3_000);
 
 #[test]
-fn what_came_while_the_process_was_stopped_in_its_wait_has_less_time_left() {
+fn requests_that_arrived_during_a_stop_have_less_time_left() {
     let told = Arc::new(Mutex::new(Vec::new()));
     let patience = Arc::clone(&told);
-    let invoker = Invoker::start(move |told: &Told| match told.word() {
+    let invoker = Invoker::start(move |told: &ReceivedCommand| match told.keyword() {
         "CALL" => {
             let fields = String::from_utf8_lossy(&told.parts[2]).into_owned();
             patience.lock().expect("no panic holds it").push(fields);
-            Does::Says("served", "n=w", told.parts[3].clone())
+            Reaction::Answer("served", "n=w", told.parts[3].clone())
         }
-        _ => Does::Says("green", "-", vec![]),
+        _ => Reaction::Answer("green", "-", vec![]),
     });
     let mut node = Node::start(&invoker, Faults::default(), |_| ());
     let mut client = node.client();
@@ -155,7 +155,7 @@
 }
 
 #[test]
-fn a_connect_that_fails_for_a_moment_costs_no_call_and_no_worker() {
+fn transient_connect_failures_cost_no_call_and_no_worker() {
     let invoker = invoker();
     let faults = Faults { first_connects: 3, ..Faults::default() };
     // One attempt a call: what fails for a moment at this end must not end it.
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn a_start_waits_out_faults_that_pass() {
+fn startup_retries_transient_faults() {
     let invoker = invoker();
     let mut node = Node::start(&invoker, Faults { start: 9, ..Faults::default() }, |_| ());
     let mut client = node.client();
@@ -192,7 +192,7 @@
 }
 
 #[test]
-fn a_log_that_can_t_be_written_costs_no_call() {
+fn unwritable_log_costs_no_call() {
     let invoker = invoker();
     let faults = Faults { log: 1_000, ..Faults::default() };
     let mut node = Node::start_with(&invoker, faults, |_| (), |node| _ = node.env("RUST_LOG", "debug"));
@@ -200,7 +200,7 @@
 }
 
 #[test]
-fn a_log_that_nobody_reads_costs_no_call() {
+fn unread_log_costs_no_call() {
     let invoker = invoker();
     // More than a pipe holds is logged, and nobody takes it.
     let unread = |node: &mut Command| _ = node.env("RUST_LOG", "debug").stderr(Stdio::piped());
@@ -209,14 +209,14 @@
 }
 
 #[test]
-fn a_full_disk_under_standard_output_and_the_log_holds_up_no_start() {
+fn full_disk_under_stdout_and_log_does_not_delay_startup() {
     let invoker = invoker();
     let address = std::net::TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a port");
     let full = || std::fs::File::options().write(true).open("/dev/full").expect("the system has it");
     let on_full = |node: &mut Command| _ = node.stdout(full()).stderr(full());
     let fixed = |config: &mut serde_json::Value| config["listen"] = address.to_string().into();
     let mut node = Node::start_with(&invoker, Faults::default(), fixed, on_full);
-    let end = Instant::now() + common::PATIENCE;
+    let end = Instant::now() + common::TEST_TIMEOUT;
     while std::net::TcpStream::connect(address).is_err() {
         assert!(Instant::now() < end && node.child.try_wait().expect("ours").is_none(), "it listens");
         std::thread::yield_now();
@@ -234,7 +234,7 @@
 "#;
 
 #[test]
-fn a_start_of_serve_waits_out_faults_that_pass() {
+fn serve_startup_retries_transient_faults() {
     let dir = tempfile::tempdir().expect("a folder");
     let library = shim::compile(dir.path()).expect("a C compiler");
     std::fs::write(dir.path().join("settings.sexp"), SERVE_SETTINGS).expect("written");
@@ -253,7 +253,7 @@
 }
 
 #[test]
-fn a_signal_whose_wake_up_is_lost_is_heard_all_the_same() {
+fn signal_with_a_lost_wake_up_is_still_handled() {
     let invoker = invoker();
     let mut node = Node::start(&invoker, Faults { signal: 1_000, ..Faults::default() }, |_| ());
     serves(&mut node.client(), 1..3);
