--- a/tests/any_order.rs
+++ b/tests/any_order.rs
@@ -6,164 +6,229 @@
 use common::*;
 use nettleferry::*;
 
-struct Chance(u64);
+/// A generator of its own, so that the draws are the same wherever the tests run.
+struct Random(u64);
 
-impl Chance {
+impl Random {
     fn below(&mut self, n: u64) -> u64 {
         self.0 = self.0.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
         (self.0 >> 33) % n
     }
 }
 
-struct Seen {
+/// An attempt as the test saw it.
+struct SeenAttempt {
+    worker: u64,
+    sent: Micros,
+    end: Option<Outcome>,
+}
+
+/// A call as the test saw it.
+struct SeenCall {
     class: usize,
     due: Micros,
-    /// Where and when an attempt went, and how it ended.
-    attempts: Vec<(u64, Micros, Option<Outcome>)>,
-    over: bool,
+    attempts: Vec<SeenAttempt>,
+    answered: bool,
 }
 
-fn proven(outcome: Outcome) -> bool {
+fn proven_not_run(outcome: Outcome) -> bool {
     matches!(outcome, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NeverSent | Outcome::NotLoaded)
 }
 
-#[expect(clippy::too_many_lines, reason = "one random scenario and the checks of each step")]
-fn run(when_absent: WhenAbsent, seed: u64) {
-    let mut settings = settings();
-    settings.loading.when_absent = when_absent;
-    settings.loading.ration_window = S;
-    settings.loading.ration_floor = 3.0;
-    settings.loading.ration_share = 0.1;
-    let mut chance = Chance(seed);
-    let mut harness = Harness::new(settings.clone(), 6);
-    let mut seen: BTreeMap<u64, Seen> = BTreeMap::new();
-    let mut state: BTreeMap<u64, WorkerState> = (1..=6).map(|w| (w, WorkerState::On)).collect();
-    let mut owed: Vec<(u64, u64)> = Vec::new();
-    let mut loads: Vec<Micros> = Vec::new();
-    let mut taken: Vec<Micros> = Vec::new();
-    let (mut next, mut answered) = (1, 0);
-    for step in 0..4_000 {
-        seen.retain(|_, s| !s.over || s.attempts.iter().any(|a| a.2.is_none()));
-        harness.now += chance.below(6) * MS;
-        let open: Vec<(u64, u32)> = seen
+/// Ends of attempts, to draw from.
+const ENDS: [Outcome; 9] = [
+    Outcome::Ok,
+    Outcome::Ok,
+    Outcome::Ok,
+    Outcome::Error,
+    Outcome::Rejected,
+    Outcome::Timeout,
+    Outcome::ConnectFailed,
+    Outcome::Reset,
+    Outcome::NotLoaded,
+];
+
+struct Run {
+    random: Random,
+    harness: Harness,
+    calls: BTreeMap<u64, SeenCall>,
+    states: BTreeMap<u64, WorkerState>,
+    /// Load orders without an answer: worker and function.
+    pending_orders: Vec<(u64, u64)>,
+    orders: Vec<Micros>,
+    arrivals: Vec<Micros>,
+    last_id: u64,
+    answered: usize,
+}
+
+impl Run {
+    fn new(when_absent: WhenAbsent, seed: u64) -> Self {
+        let mut settings = settings();
+        settings.loading.when_absent = when_absent;
+        settings.loading.ration_window = S;
+        settings.loading.ration_floor = 3.0;
+        settings.loading.ration_share = 0.1;
+        Self {
+            random: Random(seed),
+            harness: Harness::new(settings, 6),
+            calls: BTreeMap::new(),
+            states: (1..=6).map(|w| (w, WorkerState::On)).collect(),
+            pending_orders: Vec::new(),
+            orders: Vec::new(),
+            arrivals: Vec::new(),
+            last_id: 0,
+            answered: 0,
+        }
+    }
+
+    fn run(mut self) {
+        for step in 0..4_000 {
+            self.calls.retain(|_, call| !call.answered || call.attempts.iter().any(|a| a.end.is_none()));
+            self.harness.now += self.random.below(6) * MS;
+            for action in &self.next_event(step) {
+                self.check(action);
+            }
+            let now = self.harness.now;
+            let late = self.calls.values().filter(|call| !call.answered && call.due + 8 * MS < now).count();
+            assert_eq!(late, 0, "every call is answered in time");
+        }
+        self.harness.advance(4 * S);
+        let answered = self.answered;
+        assert!(answered > 300, "{answered}");
+    }
+
+    /// Draws an event that is legal now.
+    fn next_event(&mut self, step: u32) -> Vec<Action> {
+        let in_flight: Vec<(u64, u32)> = self
+            .calls
             .iter()
-            .flat_map(|(id, s)| s.attempts.iter().enumerate().map(move |(n, a)| (*id, n as u32, a.2)))
-            .filter(|(_, _, end)| end.is_none())
+            .flat_map(|(id, call)| call.attempts.iter().enumerate().map(move |(n, a)| (*id, n as u32, a)))
+            .filter(|(_, _, attempt)| attempt.end.is_none())
             .map(|(id, n, _)| (id, n))
             .collect();
-        let pick = chance.below(10);
-        let actions = if pick < 3 && step < 3_500 {
-            let class = chance.below(3) as usize;
-            let left = (50 + chance.below(3_000)) * MS;
-            seen.insert(next, Seen { class, due: harness.now + left, attempts: vec![], over: false });
-            taken.push(harness.now);
-            next += 1;
-            let asked =
-                Request { left, ..request(next - 1, class, chance.below(12), 1 + chance.below(3) as u32) };
-            harness.handle(Event::Request(asked))
-        } else if pick < 7 && !open.is_empty() {
-            let (id, n) = open[chance.below(open.len() as u64) as usize];
-            let ends = [
-                Outcome::Ok,
-                Outcome::Ok,
-                Outcome::Ok,
-                Outcome::Error,
-                Outcome::Rejected,
-                Outcome::Timeout,
-                Outcome::ConnectFailed,
-                Outcome::Reset,
-                Outcome::NotLoaded,
-            ];
-            let outcome = ends[chance.below(9) as usize];
-            let call = seen.get_mut(&id).unwrap();
-            call.attempts[n as usize].2 = Some(outcome);
-            let was_over = call.over;
-            call.over |= outcome == Outcome::Ok;
-            answered += usize::from(call.over && !was_over);
-            let event = Event::Outcome {
-                request: RequestId(id),
-                attempt: n,
-                worker: WorkerId(call.attempts[n as usize].0),
-                outcome,
-                finished: call.over,
-                elapsed: chance.below(200) * MS,
-                note: Some(LoadNote::Warm).filter(|_| outcome == Outcome::Ok),
-                concurrent_calls: None,
-                report: None,
-            };
-            harness.handle(event)
-        } else if pick == 7 && !owed.is_empty() {
-            let (worker, function) = owed.swap_remove(chance.below(owed.len() as u64) as usize);
-            let outcome = [Outcome::Ok, Outcome::Rejected, Outcome::Timeout][chance.below(3) as usize];
-            harness.handle(Event::Loaded {
-                worker: WorkerId(worker),
-                function: FunctionId(function),
-                outcome,
-                copies: u32::from(outcome == Outcome::Ok),
-                elapsed: 400 * MS,
-            })
-        } else if pick == 8 && chance.below(20) == 0 {
-            let worker = 1 + chance.below(6);
-            let to = [WorkerState::On, WorkerState::On, WorkerState::Draining][chance.below(3) as usize];
-            let born = Some(harness.now).filter(|_| chance.below(2) == 0);
-            state.insert(worker, to);
-            harness.update_worker(worker, to, born)
+        let pick = self.random.below(10);
+        if pick < 3 && step < 3_500 {
+            self.arrive()
+        } else if pick < 7 && !in_flight.is_empty() {
+            let (id, number) = in_flight[self.random.below(in_flight.len() as u64) as usize];
+            self.end_attempt(id, number)
+        } else if pick == 7 && !self.pending_orders.is_empty() {
+            self.end_order()
+        } else if pick == 8 && self.random.below(20) == 0 {
+            self.change_worker()
         } else {
-            harness.handle(Event::Timer { tag: 1 })
-        };
-        for action in &actions {
-            match action {
-                Action::Send { request, worker, .. } => {
-                    let call = seen.get_mut(&request.0).expect("nothing is sent for a call that is over");
-                    assert!(!call.over, "nothing is sent after the answer");
-                    assert!(call.attempts.iter().all(|a| a.2.is_some()), "one attempt at a time");
-                    assert_eq!(state[&worker.0], WorkerState::On, "drains are kept");
-                    if let Some((first, since, _)) = call.attempts.iter().find(|a| !proven(a.2.unwrap())) {
-                        assert_ne!(call.class, 1, "an unsafe call that may have run is not repeated");
-                        if call.class == 2 {
-                            assert!(harness.now < since + 2 * S && worker.0 % 2 == first % 2);
-                        }
-                    }
-                    call.attempts.push((worker.0, harness.now, None));
-                    assert!(call.attempts.len() <= 3);
-                }
-                Action::Refuse { request, .. } => {
-                    let call = seen.get_mut(&request.0).unwrap();
-                    let clean = call.attempts.iter().all(|a| a.2.is_some_and(proven));
-                    assert!(clean || call.class == 0, "refused though it may have run");
-                    assert!(!std::mem::replace(&mut call.over, true), "answered once");
-                    answered += 1;
-                }
-                Action::Fail { request } => {
-                    let call = seen.get_mut(&request.0).unwrap();
-                    assert!(!std::mem::replace(&mut call.over, true), "answered once");
-                    answered += 1;
-                }
-                Action::Load { worker, function, .. } => {
-                    assert_eq!(state[&worker.0], WorkerState::On, "drains are kept");
-                    loads.push(harness.now);
-                    let inside = |t: &&Micros| **t + S >= harness.now;
-                    let asked = taken.iter().filter(inside).count() as f64;
-                    assert!(
-                        loads.iter().filter(inside).count() as f64 <= 3.0 + 0.1 * asked,
-                        "the ration is kept"
-                    );
-                    owed.push((worker.0, function.0));
-                }
-                _ => {}
+            self.harness.handle(Event::Timer { tag: 1 })
+        }
+    }
+
+    fn arrive(&mut self) -> Vec<Action> {
+        let class = self.random.below(3) as usize;
+        let left = (50 + self.random.below(3_000)) * MS;
+        let now = self.harness.now;
+        self.last_id += 1;
+        let call = SeenCall { class, due: now + left, attempts: vec![], answered: false };
+        self.calls.insert(self.last_id, call);
+        self.arrivals.push(now);
+        let function = self.random.below(12);
+        let lanes = 1 + self.random.below(3) as u32;
+        self.harness.handle(Event::Request(Request { left, ..request(self.last_id, class, function, lanes) }))
+    }
+
+    fn end_attempt(&mut self, id: u64, number: u32) -> Vec<Action> {
+        let outcome = ENDS[self.random.below(9) as usize];
+        let call = self.calls.get_mut(&id).unwrap();
+        let attempt = &mut call.attempts[number as usize];
+        attempt.end = Some(outcome);
+        let was_answered = call.answered;
+        call.answered |= outcome == Outcome::Ok;
+        self.answered += usize::from(call.answered && !was_answered);
+        self.harness.handle(Event::Outcome {
+            request: RequestId(id),
+            attempt: number,
+            worker: WorkerId(attempt.worker),
+            outcome,
+            finished: call.answered,
+            elapsed: self.random.below(200) * MS,
+            note: Some(LoadNote::Warm).filter(|_| outcome == Outcome::Ok),
+            concurrent_calls: None,
+            report: None,
+        })
+    }
+
+    fn end_order(&mut self) -> Vec<Action> {
+        let index = self.random.below(self.pending_orders.len() as u64) as usize;
+        let (worker, function) = self.pending_orders.swap_remove(index);
+        let outcome = [Outcome::Ok, Outcome::Rejected, Outcome::Timeout][self.random.below(3) as usize];
+        self.harness.handle(Event::Loaded {
+            worker: WorkerId(worker),
+            function: FunctionId(function),
+            outcome,
+            copies: u32::from(outcome == Outcome::Ok),
+            elapsed: 400 * MS,
+        })
+    }
+
+    fn change_worker(&mut self) -> Vec<Action> {
+        let worker = 1 + self.random.below(6);
+        let states = [WorkerState::On, WorkerState::On, WorkerState::Draining];
+        let state = states[self.random.below(3) as usize];
+        let now = self.harness.now;
+        let started_at = Some(now).filter(|_| self.random.below(2) == 0);
+        self.states.insert(worker, state);
+        self.harness.update_worker(worker, state, started_at)
+    }
+
+    /// The rules, at each action.
+    fn check(&mut self, action: &Action) {
+        match action {
+            Action::Send { request, worker, .. } => self.check_send(request.0, worker.0),
+            Action::Refuse { request, .. } => {
+                let call = self.calls.get_mut(&request.0).unwrap();
+                let clean = call.attempts.iter().all(|a| a.end.is_some_and(proven_not_run));
+                assert!(clean || call.class == 0, "refused though it may have run");
+                assert!(!std::mem::replace(&mut call.answered, true), "answered once");
+                self.answered += 1;
+            }
+            Action::Fail { request } => {
+                let call = self.calls.get_mut(&request.0).unwrap();
+                assert!(!std::mem::replace(&mut call.answered, true), "answered once");
+                self.answered += 1;
+            }
+            Action::Load { worker, function, .. } => {
+                let now = self.harness.now;
+                assert_eq!(self.states[&worker.0], WorkerState::On, "drains are kept");
+                self.orders.push(now);
+                let inside = |t: &&Micros| **t + S >= now;
+                let arrived = self.arrivals.iter().filter(inside).count() as f64;
+                let ordered = self.orders.iter().filter(inside).count() as f64;
+                assert!(ordered <= 3.0 + 0.1 * arrived, "the ration is kept");
+                self.pending_orders.push((worker.0, function.0));
+            }
+            _ => {}
+        }
+    }
+
+    fn check_send(&mut self, id: u64, worker: u64) {
+        let now = self.harness.now;
+        let call = self.calls.get_mut(&id).expect("nothing is sent for a call that is over");
+        assert!(!call.answered, "nothing is sent after the answer");
+        assert!(call.attempts.iter().all(|a| a.end.is_some()), "one attempt at a time");
+        assert_eq!(self.states[&worker], WorkerState::On, "drains are kept");
+        if let Some(first) = call.attempts.iter().find(|a| !proven_not_run(a.end.unwrap())) {
+            assert_ne!(call.class, 1, "a non-idempotent call that may have run is not repeated");
+            if call.class == 2 {
+                assert!(now < first.sent + 2 * S && worker % 2 == first.worker % 2);
             }
         }
-        let late = seen.values().filter(|s| !s.over && s.due + 8 * MS < harness.now).count();
-        assert_eq!(late, 0, "every call is answered in time");
+        call.attempts.push(SeenAttempt { worker, sent: now, end: None });
+        assert!(call.attempts.len() <= 3);
     }
-    harness.advance(4 * S);
-    assert!(answered > 300, "{answered}");
 }
 
 #[test]
 fn the_rules_hold_in_any_order_of_events() {
     for seed in 1..=4 {
-        run(WhenAbsent::Load, seed);
-        run(WhenAbsent::Miss, seed + 100);
+        Run::new(WhenAbsent::Load, seed).run();
+        Run::new(WhenAbsent::Miss, seed + 100).run();
     }
 }
