--- a/src/interface/actions.rs
+++ b/src/interface/actions.rs
@@ -43,7 +43,7 @@
         count: u32,
     },
     /// A load that was ordered is not needed any more: an order that has not left need not leave, and is
-    /// answered [`Outcome::Cancelled`] then; one that has left goes on.
+    /// answered [`Outcome::Cancelled`](crate::Outcome::Cancelled) then; one that has left goes on.
     CancelLoad {
         /// Where.
         worker: WorkerId,
@@ -62,7 +62,7 @@
         /// The worker.
         worker: WorkerId,
     },
-    /// Deliver [`Event::Timer`] with this tag after a span.
+    /// Deliver [`Event::Timer`](crate::Event::Timer) with this tag after a span.
     SetTimer {
         /// From now.
         after: Micros,
--- a/src/interface/ids.rs
+++ b/src/interface/ids.rs
@@ -21,10 +21,10 @@
     /// A function: the program a call needs loaded.
     FunctionId, u64);
 id!(
-    /// A request class, as its place in [`Settings::classes`].
+    /// A request class, as its place in [`Settings::classes`](crate::Settings::classes).
     ClassId, usize);
 id!(
-    /// A tenant, as its place in [`Settings::tenants`].
+    /// A tenant, as its place in [`Settings::tenants`](crate::Settings::tenants).
     TenantId, usize);
 id!(
     /// A zone: workers and controllers in one zone share their fate and are near each other.
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -44,7 +44,7 @@
     pub priority_weight: f64,
     /// Share of the weight that is left after the objective.
     pub late_share: f64,
-    /// The answer is streamed: [`Event::Started`] precedes its end.
+    /// The answer is streamed: [`Event::Started`](crate::Event::Started) precedes its end.
     pub stream: bool,
 }
 
@@ -61,7 +61,8 @@
     /// Changes come by themselves.
     #[default]
     Push,
-    /// Changes come only after [`Action::Watch`] or [`Action::Fetch`].
+    /// Changes come only after [`Action::Watch`](crate::Action::Watch) or
+    /// [`Action::Fetch`](crate::Action::Fetch).
     Poll,
 }
 
@@ -97,7 +98,8 @@
     /// Loads it while the call waits there.
     #[default]
     Load,
-    /// Answers [`Outcome::NotLoaded`]; only [`Action::Load`] brings the function.
+    /// Answers [`Outcome::NotLoaded`](crate::Outcome::NotLoaded); only
+    /// [`Action::Load`](crate::Action::Load) brings the function.
     Miss,
 }
 
@@ -108,11 +110,11 @@
     pub when_absent: WhenAbsent,
     /// An idle replica stays at least this long unless its room is needed.
     pub keep_alive: Micros,
-    /// [`Action::Load`] and [`Action::Unload`] are permitted.
+    /// [`Action::Load`](crate::Action::Load) and [`Action::Unload`](crate::Action::Unload) are permitted.
     pub orders: bool,
     /// An order without an answer ends after this span.
     pub order_timeout: Micros,
-    /// Outcomes carry a [`LoadNote`].
+    /// Outcomes carry a [`LoadNote`](crate::LoadNote).
     pub notes: bool,
     /// Outcomes report how many calls of the function the worker held.
     pub reports_concurrency: bool,
@@ -135,9 +137,9 @@
     pub max_attempts: u32,
     /// A request may have two attempts out at once.
     pub parallel: bool,
-    /// [`Action::Probe`] is permitted.
+    /// [`Action::Probe`](crate::Action::Probe) is permitted.
     pub probes: bool,
-    /// [`Action::Cancel`] is permitted.
+    /// [`Action::Cancel`](crate::Action::Cancel) is permitted.
     pub cancel: bool,
     /// Longest advice to stay away that clients heed; `None`: advice reaches nobody.
     pub retry_after: Option<Micros>,
--- a/src/interface/workers.rs
+++ b/src/interface/workers.rs
@@ -23,7 +23,7 @@
     pub zone: ZoneId,
     /// Its machine kind.
     pub kind: KindId,
-    /// Its weight; see [`Settings::weights`].
+    /// Its weight; see [`Settings::weights`](crate::Settings::weights).
     pub weight: f64,
     /// Its cell.
     pub cell: CellId,
