--- a/crates/administration/src/audit_log_writer.rs
+++ b/crates/administration/src/audit_log_writer.rs
@@ -158,7 +158,8 @@
 fn open_log(folder: PathBuf, limits: Limits) -> Result<(Wal, Vec<String>), WalError> {
     let storage = DirectoryStorage::open(folder).map_err(WalError::from)?;
     let (wal, found) = WriteAheadLog::open(storage, limits)?;
-    let texts = found.records.into_iter().filter_map(|(_, bytes)| String::from_utf8(bytes).ok()).collect();
+    let texts =
+        found.records.into_iter().filter_map(|record| String::from_utf8(record.payload).ok()).collect();
     Ok((wal, texts))
 }
 
--- a/crates/administration/src/collected_logs.rs
+++ b/crates/administration/src/collected_logs.rs
@@ -6,7 +6,7 @@
 use std::path::PathBuf;
 
 use nettleferry_audit_log::Entry;
-use nettleferry_wal::{DirectoryStorage, Limits, WalError, WriteAheadLog};
+use nettleferry_wal::{DirectoryStorage, Limits, RecoveredRecord, WalError, WriteAheadLog};
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
 use tracing::{info, warn};
@@ -65,7 +65,7 @@
         let mut collected = Self { wal: None, logs: BTreeMap::new(), unpersisted: 0 };
         match opened {
             Ok((wal, found)) => {
-                for (_, bytes) in found.records {
+                for RecoveredRecord { payload: bytes, .. } in found.records {
                     if let Ok(stored) = serde_json::from_slice::<StoredEntry>(&bytes) {
                         collected.insert(&stored.owner, stored.text);
                     }
