--- a/crates/gateway/src/call_steps.rs
+++ b/crates/gateway/src/call_steps.rs
@@ -7,7 +7,7 @@
 use crate::tenants::Tenants;
 
 /// Counts the steps of calls since the last time: for the limiter after a restart, then for the tenants' limits.
-pub fn count_call_steps(
+pub(crate) fn count_call_steps(
     now: Micros,
     engine: &mut Engine,
     mut limiter: Option<&mut Gate>,
--- a/crates/gateway/src/controller/mod.rs
+++ b/crates/gateway/src/controller/mod.rs
@@ -46,7 +46,7 @@
 
 /// Why a controller could not start or go on.
 #[derive(Debug, thiserror::Error)]
-pub enum ControllerError {
+pub(crate) enum ControllerError {
     /// The decision module rejects the settings.
     #[error("the settings can't work: {0}")]
     Settings(#[from] nettleferry::SettingsError),
@@ -76,7 +76,7 @@
 
 /// How a controller ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Shutdown {
+pub(crate) enum Shutdown {
     /// All open calls had their answers.
     Graceful,
     /// A second signal came, or the drain timed out with calls open.
@@ -108,7 +108,7 @@
 }
 
 /// A controller of the gateway.
-pub struct Controller {
+pub(crate) struct Controller {
     config: Arc<Config>,
     clock: Clock,
     hub: Hub,
@@ -149,23 +149,23 @@
 
 impl Controller {
     /// The address of the gRPC listener.
-    pub fn grpc_address(&self) -> SocketAddr {
+    pub(crate) fn grpc_address(&self) -> SocketAddr {
         self.grpc_address
     }
 
     /// The address at which metrics can be scraped.
-    pub fn metrics_address(&self) -> Option<SocketAddr> {
+    pub(crate) fn metrics_address(&self) -> Option<SocketAddr> {
         self.metrics_endpoint.as_ref().map(|endpoint| endpoint.local)
     }
 
     /// The address of the administration's listener.
-    pub fn admin_address(&self) -> Option<SocketAddr> {
+    pub(crate) fn admin_address(&self) -> Option<SocketAddr> {
         self.admin_server.as_ref().and_then(|server| server.local)
     }
 
     /// Runs until a signal stops it. Each iteration fires due timers, polls the network until the next of them,
     /// dispatches what came with the commands that follow from it, and updates metrics.
-    pub fn run(&mut self) -> Result<Shutdown, ControllerError> {
+    pub(crate) fn run(&mut self) -> Result<Shutdown, ControllerError> {
         let mut events = Vec::new();
         loop {
             self.fire_timers();
--- a/crates/gateway/src/controller/startup.rs
+++ b/crates/gateway/src/controller/startup.rs
@@ -34,7 +34,7 @@
 
 impl Controller {
     /// Opens the listeners and restores the last worker list. `with_signals`: SIGTERM and SIGINT drain it.
-    pub fn new(config: Config, with_signals: bool) -> Result<Self, ControllerError> {
+    pub(crate) fn new(config: Config, with_signals: bool) -> Result<Self, ControllerError> {
         let mut hub = retry_startup("reactor", || Hub::new(net_limits(&config)), is_transient)?;
         let grpc_address = listen_grpc(&mut hub, config.grpc)?;
         let list_watcher = watch_worker_list(&config, &hub)?;
--- a/crates/gateway/src/front/context.rs
+++ b/crates/gateway/src/front/context.rs
@@ -10,7 +10,7 @@
 use crate::tenants::Tenants;
 
 /// What the front needs of the controller for one event.
-pub struct FrontContext<'a> {
+pub(crate) struct FrontContext<'a> {
     /// The connections.
     pub hub: &'a mut Hub,
     /// The engine.
@@ -31,7 +31,7 @@
 
 impl FrontContext<'_> {
     /// The time in milliseconds.
-    pub fn now_ms(&self) -> u64 {
+    pub(crate) fn now_ms(&self) -> u64 {
         self.now / 1000
     }
 }
--- a/crates/gateway/src/front/failure.rs
+++ b/crates/gateway/src/front/failure.rs
@@ -15,11 +15,11 @@
 use prost::Message;
 
 /// The metadata key of the advice when to retry (gRFC A6).
-pub const PUSHBACK: &str = "grpc-retry-pushback-ms";
+pub(super) const PUSHBACK: &str = "grpc-retry-pushback-ms";
 
 /// A final answer that is no success, as gRPC has it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Failure {
+pub(super) struct Failure {
     /// Code and message.
     pub status: Status,
     /// When to retry, in milliseconds; negative: do not retry; `None`: no advice.
@@ -28,18 +28,18 @@
 
 impl Failure {
     /// A failure of the call itself, without advice on retries.
-    pub fn new(code: Code, message: impl Into<String>) -> Self {
+    pub(super) fn new(code: Code, message: impl Into<String>) -> Self {
         Self { status: Status::new(code, message), pushback_ms: None }
     }
 
     /// A call that was not run, or may be repeated: a retry after a while does no harm.
-    pub fn refused(message: impl Into<String>, after: Duration) -> Self {
+    pub(super) fn refused(message: impl Into<String>, after: Duration) -> Self {
         let ms = i64::try_from(after.as_millis()).unwrap_or(i64::MAX);
         Self { status: Status::new(Code::Unavailable, message), pushback_ms: Some(ms) }
     }
 
     /// The trailers of an RPC that ends with it.
-    pub fn trailers(&self) -> HeaderMap {
+    pub(super) fn trailers(&self) -> HeaderMap {
         let mut map = self.status.trailers();
         if let Some(ms) = self.pushback_ms {
             map.insert(PUSHBACK, HeaderValue::from(ms));
@@ -55,7 +55,7 @@
     }
 
     /// One message of a stream: `error_message`, and the call's `id`.
-    pub fn message(&self, id: &str) -> Bytes {
+    pub(super) fn message(&self, id: &str) -> Bytes {
         let mut response = ModelInferResponse { id: id.to_owned(), ..Default::default() };
         let text = |s: &str| InferParameter {
             parameter_choice: Some(
@@ -73,7 +73,7 @@
 }
 
 /// The failure that a final answer is; `None`: it is a success.
-pub fn of_answer(answer: &FinalAnswer, pushback: Duration) -> Option<Failure> {
+pub(super) fn of_answer(answer: &FinalAnswer, pushback: Duration) -> Option<Failure> {
     Some(match answer {
         FinalAnswer::Served { .. } => return None,
         FinalAnswer::Rejected { message } => Failure::new(Code::InvalidArgument, message.clone()),
@@ -102,7 +102,7 @@
 }
 
 /// The last message of a stream whose worker sent none that was marked.
-pub fn empty_final(id: &str, model: &str) -> Bytes {
+pub(super) fn empty_final(id: &str, model: &str) -> Bytes {
     let mut response =
         ModelInferResponse { id: id.to_owned(), model_name: model.to_owned(), ..Default::default() };
     response.parameters.insert(FINAL.to_owned(), true.into());
--- a/crates/gateway/src/front/headers.rs
+++ b/crates/gateway/src/front/headers.rs
@@ -9,7 +9,7 @@
 
 /// What is read of the headers.
 #[derive(Debug)]
-pub struct RequestHeaders {
+pub(super) struct RequestHeaders {
     /// The client's deadline, on the controller's clock.
     pub deadline: Option<Micros>,
     /// Messages may be compressed with gzip.
@@ -24,7 +24,7 @@
 
 /// Checks that it is a gRPC request. Else it is to be answered with this HTTP status ("gRPC over HTTP2": 415 for another
 /// content type).
-pub fn check_grpc(head: &request::Parts) -> Result<(), StatusCode> {
+pub(super) fn check_grpc(head: &request::Parts) -> Result<(), StatusCode> {
     if head.method != Method::POST {
         return Err(StatusCode::METHOD_NOT_ALLOWED);
     }
@@ -39,7 +39,7 @@
 }
 
 /// Reads deadline, encoding and metadata.
-pub fn read(head: &request::Parts, now: Micros) -> Result<RequestHeaders, Failure> {
+pub(super) fn read(head: &request::Parts, now: Micros) -> Result<RequestHeaders, Failure> {
     let text = |name: &str| head.headers.get(name).map(|v| v.to_str().unwrap_or("\u{fffd}"));
     let deadline = match text("grpc-timeout") {
         None => None,
--- a/crates/gateway/src/front/info_methods.rs
+++ b/crates/gateway/src/front/info_methods.rs
@@ -12,7 +12,7 @@
 
 /// A method that is no call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum InfoMethod {
+pub(super) enum InfoMethod {
     ServerLive,
     ServerReady,
     ModelReady,
@@ -22,7 +22,7 @@
 
 impl InfoMethod {
     /// The method of a published name.
-    pub fn from_name(name: &str) -> Option<Self> {
+    pub(super) fn from_name(name: &str) -> Option<Self> {
         Some(match name {
             "ServerLive" => Self::ServerLive,
             "ServerReady" => Self::ServerReady,
@@ -35,7 +35,12 @@
 }
 
 /// The response to it. `ready`: a worker is in service and calls are accepted.
-pub fn answer(method: InfoMethod, request: Bytes, config: &Config, ready: bool) -> Result<Bytes, Failure> {
+pub(super) fn answer(
+    method: InfoMethod,
+    request: Bytes,
+    config: &Config,
+    ready: bool,
+) -> Result<Bytes, Failure> {
     let malformed = |error: prost::DecodeError| {
         Failure::new(Code::InvalidArgument, format!("malformed request: {error}"))
     };
--- a/crates/gateway/src/front/mod.rs
+++ b/crates/gateway/src/front/mod.rs
@@ -29,7 +29,7 @@
 use nettleferry_net::{NetEvent, StreamKey};
 use nettleferry_proto::inference::SERVICE;
 
-pub use context::FrontContext;
+pub(crate) use context::FrontContext;
 use failure::Failure;
 use headers::RequestHeaders;
 use info_methods::InfoMethod;
@@ -87,7 +87,7 @@
 
 /// What the front counts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct FrontCounters {
+pub(crate) struct FrontCounters {
     /// RPCs received.
     pub rpcs: u64,
     /// RPCs and calls rejected as malformed: content type, encoding, timeout, message.
@@ -107,7 +107,7 @@
 }
 
 /// The front.
-pub struct Front {
+pub(crate) struct Front {
     config: Arc<Config>,
     rpcs: HashMap<StreamKey, Rpc>,
     calls: HashMap<u64, OpenCall>,
@@ -123,7 +123,7 @@
 
 impl Front {
     /// A front without clients.
-    pub fn new(config: Arc<Config>) -> Self {
+    pub(crate) fn new(config: Arc<Config>) -> Self {
         Self {
             config,
             rpcs: HashMap::new(),
@@ -137,7 +137,7 @@
     }
 
     /// What it has counted so far.
-    pub fn counters(&self) -> FrontCounters {
+    pub(crate) fn counters(&self) -> FrontCounters {
         self.counters
     }
 
@@ -147,7 +147,7 @@
     }
 
     /// Accepts no new calls from now on; streams without open calls end.
-    pub fn drain(&mut self, context: &mut FrontContext) {
+    pub(crate) fn drain(&mut self, context: &mut FrontContext) {
         self.draining = true;
         let is_idle = |rpc: &Rpc| rpc.calls.is_empty() && rpc.has_request;
         let idle: Vec<StreamKey> =
@@ -162,7 +162,7 @@
     }
 
     /// Handles an event on a stream that a client opened.
-    pub fn event(&mut self, context: &mut FrontContext, event: NetEvent) {
+    pub(crate) fn event(&mut self, context: &mut FrontContext, event: NetEvent) {
         match event {
             NetEvent::Request { stream, head, .. } => self.request(context, stream, &head),
             NetEvent::Message { stream, payload } => self.message(context, stream, payload),
--- a/crates/gateway/src/front/respond.rs
+++ b/crates/gateway/src/front/respond.rs
@@ -11,13 +11,19 @@
 
 impl Front {
     /// Sends a part of an answer as it came. `number`: the front's number of the call.
-    pub fn send_part(&mut self, context: &mut FrontContext, number: u64, payload: Bytes) {
+    pub(crate) fn send_part(&mut self, context: &mut FrontContext, number: u64, payload: Bytes) {
         let Some(stream) = self.calls.get(&number).map(|call| call.stream) else { return };
         self.send(context, stream, payload);
     }
 
     /// Sends a call's final answer. `number`: the front's number of the call.
-    pub fn answer(&mut self, context: &mut FrontContext, id: CallId, number: u64, answer: FinalAnswer) {
+    pub(crate) fn answer(
+        &mut self,
+        context: &mut FrontContext,
+        id: CallId,
+        number: u64,
+        answer: FinalAnswer,
+    ) {
         let Some(call) = self.calls.remove(&number) else { return };
         let pushback = self.pushback();
         let Some(rpc) = self.rpcs.get_mut(&call.stream) else { return };
--- a/crates/gateway/src/worker_links/mod.rs
+++ b/crates/gateway/src/worker_links/mod.rs
@@ -21,8 +21,8 @@
 use nettleferry_proto::{marks, peek};
 
 use pool::ConnectionPool;
-pub use pool::PoolLimits;
-pub use requests::LoadOrder;
+pub(crate) use pool::PoolLimits;
+pub(crate) use requests::LoadOrder;
 
 /// What an RPC is for.
 #[derive(Clone, Copy)]
@@ -54,7 +54,7 @@
 }
 
 /// The links to all workers.
-pub struct WorkerLinks {
+pub(crate) struct WorkerLinks {
     limits: PoolLimits,
     controller: HeaderValue,
     /// The fencing token of this incarnation, once the leader has given one.
@@ -69,7 +69,7 @@
 
 impl WorkerLinks {
     /// No links yet. `controller`: the controller's number, which workers are told.
-    pub fn new(limits: PoolLimits, controller: u32) -> Self {
+    pub(crate) fn new(limits: PoolLimits, controller: u32) -> Self {
         Self {
             limits,
             controller: HeaderValue::from(controller),
@@ -83,12 +83,12 @@
     }
 
     /// Requests carry this token from now on: workers that have seen a higher one reject them.
-    pub fn set_fencing_token(&mut self, token: u64) {
+    pub(crate) fn set_fencing_token(&mut self, token: u64) {
         self.fencing_token = Some(HeaderValue::from(token));
     }
 
     /// Takes a new worker list. Workers that are not in it are forgotten; RPCs that run there go on.
-    pub fn update_workers(&mut self, workers: &HashMap<WorkerId, SocketAddr>) {
+    pub(crate) fn update_workers(&mut self, workers: &HashMap<WorkerId, SocketAddr>) {
         self.pools.retain(|id, pool| workers.get(id) == Some(&pool.address));
         for (id, address) in workers {
             self.pools.entry(*id).or_insert_with(|| ConnectionPool::new(*address));
@@ -96,7 +96,7 @@
     }
 
     /// Starts an attempt. `Some`: it has ended at once.
-    pub fn start_attempt(
+    pub(crate) fn start_attempt(
         &mut self,
         hub: &mut Hub,
         attempt: AttemptId,
@@ -118,7 +118,7 @@
     }
 
     /// Orders replicas of a model. `Some`: the order has ended at once.
-    pub fn load(
+    pub(crate) fn load(
         &mut self,
         hub: &mut Hub,
         request_id: ControlRequestId,
@@ -137,14 +137,19 @@
     }
 
     /// Unloads idle replicas; nothing waits for the answer.
-    pub fn unload(&mut self, hub: &mut Hub, worker: WorkerId, model: &str) {
+    pub(crate) fn unload(&mut self, hub: &mut Hub, worker: WorkerId, model: &str) {
         let request =
             RpcRequest { method: "RepositoryModelUnload", attempt: None, body: requests::unload(model) };
         let _ = self.start_rpc(hub, worker, request, Purpose::Unload);
     }
 
     /// Probes a worker. `Some`: the probe has ended at once.
-    pub fn probe(&mut self, hub: &mut Hub, request_id: ControlRequestId, worker: WorkerId) -> Option<Event> {
+    pub(crate) fn probe(
+        &mut self,
+        hub: &mut Hub,
+        request_id: ControlRequestId,
+        worker: WorkerId,
+    ) -> Option<Event> {
         let request = RpcRequest { method: "ServerReady", attempt: None, body: requests::probe() };
         match self.start_rpc(hub, worker, request, Purpose::Probe(request_id)) {
             Ok(stream) => {
@@ -198,7 +203,7 @@
     }
 
     /// Cancels an attempt: RST_STREAM with CANCEL. No event follows.
-    pub fn cancel(&mut self, hub: &mut Hub, attempt: AttemptId) {
+    pub(crate) fn cancel(&mut self, hub: &mut Hub, attempt: AttemptId) {
         if let Some(stream) = self.attempts.remove(&attempt) {
             self.rpcs.remove(&stream);
             hub.reset(stream, h2::Reason::CANCEL);
@@ -206,7 +211,7 @@
     }
 
     /// Cancels a load order or a probe. No event follows.
-    pub fn cancel_control_request(&mut self, hub: &mut Hub, request_id: ControlRequestId) {
+    pub(crate) fn cancel_control_request(&mut self, hub: &mut Hub, request_id: ControlRequestId) {
         if let Some(stream) = self.control_requests.remove(&request_id) {
             self.rpcs.remove(&stream);
             hub.reset(stream, h2::Reason::CANCEL);
@@ -214,33 +219,33 @@
     }
 
     /// Takes no more of an attempt's answer for now.
-    pub fn pause(&mut self, hub: &mut Hub, attempt: AttemptId) {
+    pub(crate) fn pause(&mut self, hub: &mut Hub, attempt: AttemptId) {
         if let Some(stream) = self.attempts.get(&attempt) {
             hub.pause(*stream);
         }
     }
 
     /// Takes an attempt's answer again.
-    pub fn resume(&mut self, hub: &mut Hub, attempt: AttemptId) {
+    pub(crate) fn resume(&mut self, hub: &mut Hub, attempt: AttemptId) {
         if let Some(stream) = self.attempts.get(&attempt) {
             hub.resume(*stream);
         }
     }
 
     /// Whether a stream is an RPC to a worker.
-    pub fn owns(&self, stream: StreamKey) -> bool {
+    pub(crate) fn owns(&self, stream: StreamKey) -> bool {
         self.rpcs.contains_key(&stream)
     }
 
     /// A connection is closed; it may be a client's.
-    pub fn connection_closed(&mut self, closed: ConnKey) {
+    pub(crate) fn connection_closed(&mut self, closed: ConnKey) {
         for pool in self.pools.values_mut() {
             pool.remove(closed);
         }
     }
 
     /// Handles an event on a stream to a worker. `Some`: what follows for the engine.
-    pub fn event(&mut self, hub: &mut Hub, event: NetEvent) -> Option<Event> {
+    pub(crate) fn event(&mut self, hub: &mut Hub, event: NetEvent) -> Option<Event> {
         match event {
             NetEvent::Head { stream, head } => {
                 self.rpcs.get_mut(&stream)?.http_status = head.status;
--- a/crates/gateway/src/worker_links/pool.rs
+++ b/crates/gateway/src/worker_links/pool.rs
@@ -7,7 +7,7 @@
 
 /// Bounds of the connections to one worker.
 #[derive(Clone, Copy, Debug)]
-pub struct PoolLimits {
+pub(crate) struct PoolLimits {
     /// Connections at once.
     pub connections: usize,
     /// Streams on each of them at once.
--- a/crates/gateway/src/worker_links/requests.rs
+++ b/crates/gateway/src/worker_links/requests.rs
@@ -10,7 +10,7 @@
 
 /// An order to a worker to load a model.
 #[derive(Clone, Copy, Debug)]
-pub struct LoadOrder<'a> {
+pub(crate) struct LoadOrder<'a> {
     /// The model's name.
     pub model: &'a str,
     /// The model's version; empty: the worker's choice.
--- a/crates/gateway/src/worker_list/mod.rs
+++ b/crates/gateway/src/worker_list/mod.rs
@@ -23,7 +23,7 @@
 
 /// A new worker list.
 #[derive(Debug)]
-pub struct ListUpdate {
+pub(crate) struct ListUpdate {
     /// Where it is from, and whether it is complete; without workers where the list can't be read.
     pub form: ListForm,
     /// The workers.
@@ -32,7 +32,7 @@
 
 /// Where the worker list is, and how often it is checked.
 #[derive(Debug)]
-pub struct ListSource {
+pub(crate) struct ListSource {
     /// The list's file.
     pub path: PathBuf,
     /// Where the list is persisted for the next start.
@@ -53,7 +53,7 @@
 }
 
 /// Watches the worker list. Its thread ends when this is dropped.
-pub struct ListWatcher {
+pub(crate) struct ListWatcher {
     events: Receiver<WatchEvent>,
     requests: Sender<()>,
     rejected: Arc<AtomicU64>,
@@ -61,7 +61,7 @@
 
 impl ListWatcher {
     /// Starts the thread, which calls `wake` after each update.
-    pub fn start(source: ListSource, wake: impl Fn() + Send + 'static) -> io::Result<Self> {
+    pub(crate) fn start(source: ListSource, wake: impl Fn() + Send + 'static) -> io::Result<Self> {
         let (event_sender, events) = sync_channel(PENDING_UPDATES);
         let (requests, request_receiver) = channel();
         let rejected = Arc::new(AtomicU64::new(0));
@@ -76,7 +76,7 @@
     }
 
     /// Updates since the last call, in order.
-    pub fn updates(&self) -> Vec<ListUpdate> {
+    pub(crate) fn updates(&self) -> Vec<ListUpdate> {
         let update = |event| match event {
             WatchEvent::Update(update) => Some(update),
             WatchEvent::FirstRead => None,
@@ -85,7 +85,7 @@
     }
 
     /// Waits for the first read of the list, up to a timeout, and returns the updates until then.
-    pub fn initial_updates(&self) -> Vec<ListUpdate> {
+    pub(crate) fn initial_updates(&self) -> Vec<ListUpdate> {
         let deadline = Instant::now() + FIRST_READ_TIMEOUT;
         let mut updates = Vec::new();
         loop {
@@ -101,13 +101,13 @@
     }
 
     /// Requests an update with the complete list, changed or not, or with [`ListForm::Failed`].
-    pub fn request_update(&self) {
+    pub(crate) fn request_update(&self) {
         // A watcher that has ended can't be asked: the last list stays in force.
         let _ = self.requests.send(());
     }
 
     /// How many versions of the file were rejected.
-    pub fn rejected(&self) -> u64 {
+    pub(crate) fn rejected(&self) -> u64 {
         self.rejected.load(Ordering::Relaxed)
     }
 }
@@ -149,7 +149,7 @@
 }
 
 /// The list as the engine has it. A worker that is listed twice is in it once, as its last line says.
-pub fn members(workers: &[Worker]) -> Vec<Member> {
+pub(crate) fn members(workers: &[Worker]) -> Vec<Member> {
     let by_name: BTreeMap<&str, &Worker> =
         workers.iter().map(|worker| (worker.name.as_str(), worker)).collect();
     by_name.into_values().filter(|worker| worker.state != WorkerState::Gone).map(member).collect()
