--- a/crates/gateway/benches/measure.rs
+++ b/crates/gateway/benches/measure.rs
@@ -215,7 +215,7 @@
     use nettleferry_metrics::{
         AttemptCause, CallEnd, CallRecord, Metrics, ReplicaNote, SeriesLayout, sample,
     };
-    use nettleferry_proto::remote_write::{Kind, Series, Version, write};
+    use nettleferry_proto::remote_write::{Series, SeriesKind, Version, encode};
     use nettleferry_remote_write::{Limits, Queue, Response, Sample};
     let names = |p: &str, n: usize| (0..n).map(|i| format!("{p}-{i}")).collect::<Vec<_>>();
     let layout = SeriesLayout::new(names("class", 3), &names("tenant", 6), &names("model", 8), 5_000);
@@ -246,7 +246,7 @@
             natives: Vec::new(),
             labels: s.labels,
             samples: vec![(1_764_590_000_000, s.value)],
-            kind: Kind::Counter,
+            kind: SeriesKind::Counter,
             created_ms: Some(1),
         })
         .collect();
@@ -256,7 +256,7 @@
         begun.elapsed().as_secs_f64() * 1e3
     );
     for (name, version) in [("1.0", Version::One), ("2.0", Version::Two)] {
-        let body = write(version, &series).expect("encodes");
+        let body = encode(version, &series).expect("encodes");
         println!(
             "figures: {:.2} bytes a sample on the wire by {name}, one sample a series",
             body.len() as f64 / series.len() as f64
@@ -288,7 +288,7 @@
                 entry.samples.push((s.at_ms, s.value));
             }
             let all: Vec<Series> = by.into_values().collect();
-            std::hint::black_box(write(Version::Two, &all).expect("encodes"));
+            std::hint::black_box(encode(Version::Two, &all).expect("encodes"));
             taken += batch.samples.len();
             queue.handle_response(3_600_000_000, batch.shard, batch.number, Response::Accepted);
         }
--- a/crates/gateway/benches/outage.rs
+++ b/crates/gateway/benches/outage.rs
@@ -5,7 +5,7 @@
 use std::path::Path;
 use std::time::Instant;
 
-use nettleferry_proto::remote_write::{Kind, Series, Version, write};
+use nettleferry_proto::remote_write::{Series, SeriesKind, Version, encode};
 use nettleferry_remote_write::{Batch, Limits, Queue, RecordTracker, Response, Sample};
 use nettleferry_wal::{DirectoryStorage, Limits as WalLimits, Position, WriteAheadLog};
 use plotters::prelude::*;
@@ -30,7 +30,7 @@
             ..self.labels[s.series as usize].clone()
         };
         let all: Vec<Series> = samples.iter().map(one).collect();
-        write(Version::Two, &all).expect("encodes")
+        encode(Version::Two, &all).expect("encodes")
     }
 
     fn round(&mut self, second: u64) {
@@ -74,7 +74,7 @@
         labels: vec![label("__name__", format!("metric_{}", n % 50)), label("slot", format!("s{}", n / 50))],
         samples: Vec::new(),
         natives: Vec::new(),
-        kind: Kind::Counter,
+        kind: SeriesKind::Counter,
         created_ms: Some(1),
     });
     let queue = Queue::new(limits, 1);
--- a/crates/gateway/src/commands/call.rs
+++ b/crates/gateway/src/commands/call.rs
@@ -122,7 +122,7 @@
             messages: vec![request.encode_to_vec().into()],
             timeout: Some(timeout),
             headers: tenant
-                .map(|tenant| (nettleferry_proto::marks::TENANT.to_owned(), tenant.clone()))
+                .map(|tenant| (nettleferry_proto::metadata::TENANT.to_owned(), tenant.clone()))
                 .collect(),
             ..ClientRequest::default()
         }
--- a/crates/gateway/src/front/headers.rs
+++ b/crates/gateway/src/front/headers.rs
@@ -3,7 +3,7 @@
 use http::{Method, StatusCode, request};
 use nettleferry::Micros;
 use nettleferry_net::grpc::{Code, read_timeout};
-use nettleferry_proto::marks;
+use nettleferry_proto::metadata;
 
 use super::failure::Failure;
 
@@ -62,8 +62,8 @@
     Ok(RequestHeaders {
         deadline,
         gzip,
-        tenant: text(marks::TENANT).map(str::to_owned),
-        errors_end_stream: text(marks::GRPC_ERROR) == Some("true"),
+        tenant: text(metadata::TENANT).map(str::to_owned),
+        errors_end_stream: text(metadata::GRPC_ERROR) == Some("true"),
         is_retry: text("grpc-previous-rpc-attempts").is_some(),
     })
 }
--- a/crates/gateway/src/push.rs
+++ b/crates/gateway/src/push.rs
@@ -20,7 +20,7 @@
 use nettleferry_config::settings::RemoteWriteSettings;
 use nettleferry_metrics::{LATENCY_NAME, Metrics, RemoteWriteState, WalState, sample};
 use nettleferry_net::post::{Answer as Heard, PostError, Poster};
-use nettleferry_proto::remote_write::{self, Kind, Native, Series, Version};
+use nettleferry_proto::remote_write::{self, NativeHistogram, Series, SeriesKind, Version};
 use nettleferry_remote_write::{
     Acceptance, Backoff, HeapSize, Limits, Negotiation, ProtocolVersion, Queue, RecordTracker, Response,
     SampleClock,
@@ -44,14 +44,16 @@
 #[derive(Clone, Debug)]
 enum Value {
     Number(f64),
-    Native(Arc<Native>),
+    Native(Arc<NativeHistogram>),
 }
 
 impl HeapSize for Value {
     fn heap_size(&self) -> usize {
         match self {
             Self::Number(_) => 0,
-            Self::Native(native) => size_of::<Native>() + native.buckets.len() * size_of::<(i32, u64)>(),
+            Self::Native(native) => {
+                size_of::<NativeHistogram>() + native.buckets.len() * size_of::<(i32, u64)>()
+            }
         }
     }
 }
@@ -98,7 +100,7 @@
 
 struct Known {
     labels: Vec<(String, String)>,
-    kind: Kind,
+    kind: SeriesKind,
     /// A series of native histograms.
     native: bool,
     /// Created timestamps of earlier lives of which samples are kept, in order.
@@ -184,7 +186,7 @@
         let (mut rosters, mut samples) = (Vec::new(), 0);
         let mut ended: Vec<u64> = Vec::new();
         for RecoveredRecord { position, payload: bytes } in records {
-            let Ok(series) = remote_write::read(Version::Two, &bytes, MOST_RECORD) else {
+            let Ok(series) = remote_write::decode(Version::Two, &bytes, MOST_RECORD) else {
                 // Its sum is right, so that it is not ours: another version's spool.
                 warn!("a record of the spool can't be read and is let go");
                 let _ = self.spool.acknowledge(position);
@@ -247,7 +249,7 @@
         let end = |series: u64| {
             let native = self.series.get(series as usize).is_some_and(|known| known.native);
             let value = if native {
-                Value::Native(Arc::new(Native::ended(nettleferry_metrics::NATIVE_SCHEMA)))
+                Value::Native(Arc::new(NativeHistogram::stale(nettleferry_metrics::NATIVE_SCHEMA)))
             } else {
                 Value::Number(remote_write::stale())
             };
@@ -264,13 +266,13 @@
         self.last_ms
     }
 
-    fn number(&mut self, labels: &[(String, String)], kind: Kind) -> u64 {
+    fn number(&mut self, labels: &[(String, String)], kind: SeriesKind) -> u64 {
         if let Some(number) = self.numbers.get(labels) {
             return *number;
         }
         let number = self.series.len() as u64;
         let native =
-            kind == Kind::Histogram && labels.iter().any(|(n, v)| n == "__name__" && v == LATENCY_NAME);
+            kind == SeriesKind::Histogram && labels.iter().any(|(n, v)| n == "__name__" && v == LATENCY_NAME);
         self.series.push(Known { labels: labels.to_vec(), kind, native, before: Vec::new() });
         self.numbers.insert(labels.to_vec(), number);
         number
@@ -303,7 +305,7 @@
         let now = self.clock.now();
         for part in samples.chunks(RECORD_SERIES) {
             let series = self.described(part);
-            let Ok(record) = remote_write::write(Version::Two, &series) else { continue };
+            let Ok(record) = remote_write::encode(Version::Two, &series) else { continue };
             if let Some(position) = self.disk(|spool| spool.append(&record)) {
                 self.record_tracker.add(part[0].at_ms, position, part.len());
             }
@@ -327,7 +329,7 @@
             } else {
                 known.before.iter().rev().find(|created| **created <= s.at_ms).copied()
             };
-            let created_ms = created.filter(|_| known.kind != Kind::Gauge);
+            let created_ms = created.filter(|_| known.kind != SeriesKind::Gauge);
             let at = *places.entry((s.series, created_ms)).or_insert_with(|| {
                 all.push(Series {
                     labels: known.labels.clone(),
@@ -340,7 +342,7 @@
             });
             match &s.value {
                 Value::Number(value) => all[at].samples.push((s.at_ms, *value)),
-                Value::Native(native) => all[at].natives.push((s.at_ms, Native::clone(native))),
+                Value::Native(native) => all[at].natives.push((s.at_ms, NativeHistogram::clone(native))),
             }
         }
         all
@@ -363,9 +365,9 @@
         let mut samples = Vec::new();
         for s in sample::parse(&text) {
             let kind = match s.kind {
-                sample::SeriesKind::Counter => Kind::Counter,
-                sample::SeriesKind::Gauge => Kind::Gauge,
-                sample::SeriesKind::Histogram => Kind::Histogram,
+                sample::SeriesKind::Counter => SeriesKind::Counter,
+                sample::SeriesKind::Gauge => SeriesKind::Gauge,
+                sample::SeriesKind::Histogram => SeriesKind::Histogram,
             };
             let series = self.labelled(s.labels, kind);
             samples.push(Sample { series, at_ms, value: Value::Number(s.value) });
@@ -376,9 +378,9 @@
             for (class, told) in metrics.native_histograms() {
                 let labels = [("__name__", LATENCY_NAME), ("class", class)];
                 let labels = labels.map(|(n, v)| (n.to_owned(), v.to_owned())).to_vec();
-                let series = self.labelled(labels, Kind::Histogram);
+                let series = self.labelled(labels, SeriesKind::Histogram);
                 let nettleferry_metrics::NativeHistogram { schema, count, sum, buckets } = told;
-                let native = Native { schema, count, sum, buckets };
+                let native = NativeHistogram { schema, count, sum, buckets };
                 samples.push(Sample { series, at_ms, value: Value::Native(Arc::new(native)) });
             }
         }
@@ -391,7 +393,7 @@
     }
 
     /// The number of a series of ours, with the labels of the settings.
-    fn labelled(&mut self, mut labels: Vec<(String, String)>, kind: Kind) -> u64 {
+    fn labelled(&mut self, mut labels: Vec<(String, String)>, kind: SeriesKind) -> u64 {
         labels.extend(self.settings.labels.iter().map(|label| (label.name.clone(), label.value.clone())));
         labels.sort();
         self.number(&labels, kind)
@@ -407,7 +409,7 @@
         }
         let mut written = Vec::new();
         for part in series.chunks(RECORD_SERIES) {
-            let Ok(record) = remote_write::write(Version::Two, part) else { continue };
+            let Ok(record) = remote_write::encode(Version::Two, part) else { continue };
             written.extend(self.disk(|spool| spool.append(&record)));
         }
         if !written.is_empty() {
@@ -515,7 +517,7 @@
         };
         let series = self.described(&batch.samples);
         let empty = version == Version::One && series.iter().all(|s| s.samples.is_empty());
-        match remote_write::write(version, &series) {
+        match remote_write::encode(version, &series) {
             // Native histograms of an earlier version 2.0, whose classic buckets have gone by themselves.
             Ok(_) if empty => {
                 self.queue.handle_response(self.clock.now(), lane, batch.number, Response::Accepted)
--- a/crates/gateway/src/worker_links/mod.rs
+++ b/crates/gateway/src/worker_links/mod.rs
@@ -18,7 +18,7 @@
 use nettleferry_engine::{AttemptEnd, AttemptId, AttemptReport, ControlRequestId, Event};
 use nettleferry_net::{ConnKey, Hub, NetEvent, StreamKey, grpc};
 use nettleferry_proto::inference::SERVICE;
-use nettleferry_proto::{marks, peek};
+use nettleferry_proto::{metadata, peek};
 
 use pool::ConnectionPool;
 pub use pool::PoolLimits;
@@ -185,13 +185,13 @@
             .header("content-type", "application/grpc")
             .header("te", "trailers")
             .header("user-agent", concat!("nettleferry/", env!("CARGO_PKG_VERSION")))
-            .header(marks::CONTROLLER, self.controller.clone());
+            .header(metadata::CONTROLLER, self.controller.clone());
         if let Some(token) = &self.fencing_token {
-            head = head.header(marks::FENCE, token.clone());
+            head = head.header(metadata::FENCE, token.clone());
         }
         if let Some(attempt) = &request.attempt {
             head = head
-                .header(marks::ATTEMPT, attempt.number)
+                .header(metadata::ATTEMPT, attempt.number)
                 .header("grpc-timeout", grpc::write_timeout(attempt.timeout));
         }
         head.body(()).map_err(|_| AttemptEnd::NotWritten)
@@ -267,7 +267,7 @@
         }
         let message = match peek::stream_response(&payload) {
             Ok(head) if head.error.is_empty() => {
-                return Some(Event::ResponsePart { attempt, payload, last: head.last });
+                return Some(Event::ResponsePart { attempt, payload, last: head.is_final });
             }
             // An error inside the stream: as far as is known the call ran.
             Ok(head) => head.error,
--- a/crates/gateway/src/worker_links/requests.rs
+++ b/crates/gateway/src/worker_links/requests.rs
@@ -2,10 +2,10 @@
 
 use bytes::Bytes;
 use nettleferry_proto::inference::{
-    COPIES, ModelRepositoryParameter, RepositoryModelLoadRequest, RepositoryModelUnloadRequest,
+    ModelRepositoryParameter, REPLICAS, RepositoryModelLoadRequest, RepositoryModelUnloadRequest,
     ServerReadyRequest, model_repository_parameter::ParameterChoice,
 };
-use nettleferry_proto::marks;
+use nettleferry_proto::metadata;
 use prost::Message;
 
 /// An order to a worker to load a model.
@@ -27,10 +27,10 @@
         let parameter = ModelRepositoryParameter { parameter_choice: Some(value) };
         request.parameters.insert(name.to_owned(), parameter);
     };
-    insert(COPIES, ParameterChoice::Int64Param(i64::from(order.replicas)));
+    insert(REPLICAS, ParameterChoice::Int64Param(i64::from(order.replicas)));
     if let Some(bytes) = order.memory_bytes {
         let bytes = i64::try_from(bytes).unwrap_or(i64::MAX);
-        insert(marks::MEMORY, ParameterChoice::Int64Param(bytes));
+        insert(metadata::MEMORY, ParameterChoice::Int64Param(bytes));
     }
     if !order.version.is_empty() {
         insert("version", ParameterChoice::StringParam(order.version.to_owned()));
--- a/crates/gateway/src/worker_links/trailers.rs
+++ b/crates/gateway/src/worker_links/trailers.rs
@@ -6,7 +6,7 @@
 use nettleferry_engine::{AttemptEnd, AttemptReport};
 use nettleferry_net::StreamError;
 use nettleferry_net::grpc::{Code, Status, read_binary};
-use nettleferry_proto::{marks, orca};
+use nettleferry_proto::{metadata, orca};
 use prost::Message;
 
 /// The end of an RPC with trailers.
@@ -14,13 +14,13 @@
     if http != StatusCode::OK {
         return AttemptEnd::Status { message: format!("HTTP {}", http.as_u16()) };
     }
-    let mark = trailers.get(marks::NEVER_RAN).and_then(|v| v.to_str().ok());
+    let mark = trailers.get(metadata::NEVER_RAN).and_then(|v| v.to_str().ok());
     match (Status::read(trailers), mark) {
         (Some(Status { code: Code::Ok, .. }), _) => AttemptEnd::Served,
         // Only the worker's mark proves that the call did not run; no failing status does.
-        (Some(_), Some(marks::FULL | marks::FENCED)) => AttemptEnd::MarkedFull,
-        (Some(_), Some(marks::MISS)) => AttemptEnd::MarkedMiss,
-        (Some(_), Some(marks::LOAD_FAILED)) => AttemptEnd::MarkedLoadFailed,
+        (Some(_), Some(metadata::FULL | metadata::FENCED)) => AttemptEnd::MarkedFull,
+        (Some(_), Some(metadata::MISS)) => AttemptEnd::MarkedMiss,
+        (Some(_), Some(metadata::LOAD_FAILED)) => AttemptEnd::MarkedLoadFailed,
         (Some(Status { code: Code::InvalidArgument, message }), _) => AttemptEnd::Rejected(message),
         (Some(Status { code, message }), _) => {
             AttemptEnd::Status { message: format!("{}: {message}", code.name()) }
@@ -67,7 +67,7 @@
 pub(super) fn attempt_report(trailers: &HeaderMap) -> AttemptReport {
     let Some(report) = orca_report(trailers) else { return AttemptReport::default() };
     let named = |name: &str| report.named_metrics.get(name).copied();
-    let note = named(orca::NOTE).and_then(|n| match n as i64 {
+    let note = named(orca::LOAD_NOTE).and_then(|n| match n as i64 {
         1 => Some(LoadNote::Warm),
         2 => Some(LoadNote::Began),
         3 => Some(LoadNote::Waited),
@@ -76,7 +76,7 @@
     });
     AttemptReport {
         load_note: note,
-        queue_depth: named(orca::CROWD).map(|n| n.clamp(0.0, 1e6) as u32),
+        queue_depth: named(orca::SAME_MODEL_CALLS).map(|n| n.clamp(0.0, 1e6) as u32),
         load_report: Some(load_report(&report)),
     }
 }
@@ -84,7 +84,7 @@
 /// How many replicas are loaded, by the answer to a load order.
 pub(super) fn loaded_replicas(trailers: &HeaderMap) -> u32 {
     orca_report(trailers)
-        .and_then(|r| r.named_metrics.get(orca::STANDING).copied())
+        .and_then(|r| r.named_metrics.get(orca::LOADED_REPLICAS).copied())
         .map_or(0, |n| n.clamp(0.0, 1e6) as u32)
 }
 
--- a/crates/gateway/src/worker_links/trailers/tests.rs
+++ b/crates/gateway/src/worker_links/trailers/tests.rs
@@ -8,7 +8,7 @@
 fn trailers(code: Code, mark: Option<&'static str>) -> HeaderMap {
     let mut map = Status::new(code, "words").trailers();
     if let Some(mark) = mark {
-        map.insert(marks::NEVER_RAN, HeaderValue::from_static(mark));
+        map.insert(metadata::NEVER_RAN, HeaderValue::from_static(mark));
     }
     map
 }
@@ -59,8 +59,8 @@
 fn load_reports_are_read_and_damaged_ones_ignored() {
     let mut report =
         orca::OrcaLoadReport { cpu_utilization: 0.5, mem_utilization: f64::NAN, ..Default::default() };
-    report.named_metrics.insert(orca::NOTE.to_owned(), 2.0);
-    report.named_metrics.insert(orca::CROWD.to_owned(), 5.0);
+    report.named_metrics.insert(orca::LOAD_NOTE.to_owned(), 2.0);
+    report.named_metrics.insert(orca::SAME_MODEL_CALLS.to_owned(), 5.0);
     report.named_metrics.insert(orca::QUEUE.to_owned(), -1.0);
     let mut map = HeaderMap::new();
     map.insert(orca::TRAILER, write_binary(&report.encode_to_vec()).expect("ascii"));
--- a/crates/gateway/tests/common/mod.rs
+++ b/crates/gateway/tests/common/mod.rs
@@ -348,5 +348,5 @@
 
 pub fn is_final(response: &ModelStreamInferResponse) -> bool {
     let response = response.infer_response.as_ref();
-    response.is_some_and(|r| r.parameters.get(FINAL).and_then(InferParameter::truth) == Some(true))
+    response.is_some_and(|r| r.parameters.get(FINAL).and_then(InferParameter::boolean) == Some(true))
 }
--- a/crates/hollow/src/controllers/run.rs
+++ b/crates/hollow/src/controllers/run.rs
@@ -10,7 +10,7 @@
 use nettleferry_net::grpc::{Code, Status, write_timeout};
 use nettleferry_net::{Closing, ConnKey, Hub, NetEvent, NetLimits, StreamKey};
 use nettleferry_proto::inference::{ModelInferRequest, SERVICE, ServerReadyRequest};
-use nettleferry_proto::marks;
+use nettleferry_proto::metadata;
 use prost::Message;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -295,9 +295,9 @@
         .header("content-type", "application/grpc")
         .header("te", "trailers")
         .header("user-agent", concat!("nettleferry/", env!("CARGO_PKG_VERSION")))
-        .header(marks::CONTROLLER, controller);
+        .header(metadata::CONTROLLER, controller);
     if asked == Asked::Call {
-        request = request.header(marks::ATTEMPT, 1).header("grpc-timeout", write_timeout(deadline));
+        request = request.header(metadata::ATTEMPT, 1).header("grpc-timeout", write_timeout(deadline));
     }
     request.body(()).ok()
 }
--- a/crates/proto/build.rs
+++ b/crates/proto/build.rs
@@ -12,7 +12,13 @@
         println!("cargo::rerun-if-changed={file}");
     }
     let set = protox::compile(files, ["proto"])?;
-    // Ordered maps, so that equal messages have equal bytes.
-    prost_build::Config::new().btree_map(["."]).bytes(["."]).compile_fds(set)?;
+    // Ordered maps, so that equal messages have equal bytes. The published definitions document the messages; the
+    // generated documentation only refers to them.
+    prost_build::Config::new()
+        .btree_map(["."])
+        .bytes(["."])
+        .type_attribute(".", "#[doc = \"Of the published definition.\"]")
+        .field_attribute(".", "#[doc = \"Of the published definition.\"]")
+        .compile_fds(set)?;
     Ok(())
 }
--- a/crates/proto/src/lib.rs
+++ b/crates/proto/src/lib.rs
@@ -1,4 +1,4 @@
-//! The published messages that nettleferry speaks, and the two readings of them that touch no tensor.
+//! The published messages that nettleferry exchanges, and readers of their heads that touch no tensor.
 //!
 //! May know: field names and numbers as published. Must not know: what a call, a worker or a decision is.
 //!
@@ -21,8 +21,8 @@
     pub const SERVICE: &str = "/inference.GRPCInferenceService/";
     /// Name of the boolean parameter that marks the last response of a call on a stream.
     pub const FINAL: &str = "triton_final_response";
-    /// Parameter of `RepositoryModelLoad` that tells how many copies are wanted (int64; 0 only asks).
-    pub const COPIES: &str = "copies";
+    /// Parameter of `RepositoryModelLoad`: how many replicas are wanted (int64; 0: only a question).
+    pub const REPLICAS: &str = "copies";
 
     impl From<bool> for InferParameter {
         fn from(value: bool) -> Self {
@@ -37,15 +37,16 @@
     }
 
     impl InferParameter {
-        /// The value, where it is a whole number.
+        /// The value, where it is an integer.
         pub fn int64(&self) -> Option<i64> {
             match self.parameter_choice {
                 Some(infer_parameter::ParameterChoice::Int64Param(n)) => Some(n),
                 _ => None,
             }
         }
-        /// The value, where it is a truth value.
-        pub fn truth(&self) -> Option<bool> {
+
+        /// The value, where it is a boolean.
+        pub fn boolean(&self) -> Option<bool> {
             match self.parameter_choice {
                 Some(infer_parameter::ParameterChoice::BoolParam(b)) => Some(b),
                 _ => None,
@@ -60,13 +61,13 @@
 
     /// The trailer that carries a report, base64 (gRFC A51).
     pub const TRAILER: &str = "endpoint-load-metrics-bin";
-    /// Named metric: 1 a copy stood loaded, 2 this call began a load, 3 it waited for one, 4 the load failed.
-    pub const NOTE: &str = "nettleferry.copy_note";
-    /// Named metric: calls of the same model the worker held when this one came.
-    pub const CROWD: &str = "nettleferry.same_model_calls";
-    /// Named metric: copies that stand loaded, in the answer to a load order.
-    pub const STANDING: &str = "nettleferry.copies";
-    /// Named metric: calls in work.
+    /// Named metric: 1 a replica was loaded, 2 this call began its load, 3 it waited for the load, 4 the load failed.
+    pub const LOAD_NOTE: &str = "nettleferry.copy_note";
+    /// Named metric: calls of the same model that the worker had when this one arrived.
+    pub const SAME_MODEL_CALLS: &str = "nettleferry.same_model_calls";
+    /// Named metric: loaded replicas, in the response to a load order.
+    pub const LOADED_REPLICAS: &str = "nettleferry.copies";
+    /// Named metric: calls that run.
     pub const INFLIGHT: &str = "nettleferry.inflight";
     /// Named metric: calls waiting.
     pub const QUEUE: &str = "nettleferry.queue";
@@ -74,20 +75,20 @@
     pub const LOADS: &str = "nettleferry.loads";
 }
 
-/// Marks of ours in headers and trailers.
-pub mod marks {
+/// Headers, trailers and parameters of nettleferry's own.
+pub mod metadata {
     /// Trailer of a worker that proves that the call never ran: [`FULL`], [`MISS`], [`LOAD_FAILED`] or [`FENCED`].
     pub const NEVER_RAN: &str = "nettleferry-never-ran";
-    /// Turned away unseen.
+    /// The worker is full, and rejected the call unread.
     pub const FULL: &str = "full";
     /// The model is not loaded and no load is under way.
     pub const MISS: &str = "miss";
     /// The load that the call waited for failed.
     pub const LOAD_FAILED: &str = "load-failed";
-    /// A later life of the same controller was seen: see [`FENCE`].
+    /// A later incarnation of the same controller was seen: see [`FENCE`].
     pub const FENCED: &str = "fenced";
-    /// Header to workers: which life of the controller sends this; of two, the later one has the higher number. A
-    /// worker that has seen a higher one from a controller turns the lower away, unseen.
+    /// Header to workers: the fencing token of the controller's incarnation; a later incarnation has a higher one. A worker
+    /// that has seen a higher one from a controller rejects the lower one unread.
     pub const FENCE: &str = "nettleferry-fence";
     /// Header to workers: the controller's number.
     pub const CONTROLLER: &str = "nettleferry-controller";
@@ -97,7 +98,7 @@
     pub const TENANT: &str = "nettleferry-tenant";
     /// Header of clients: a stream's first failing call ends it with its status.
     pub const GRPC_ERROR: &str = "triton_grpc_error";
-    /// Parameter of load orders: memory of a copy, bytes (int64).
+    /// Parameter of load orders: memory of a replica, bytes (int64).
     pub const MEMORY: &str = "memory_bytes";
 }
 
@@ -110,7 +111,7 @@
     /// Type URL of [`RetryInfo`] in a `google.protobuf.Any`.
     pub const RETRY_INFO: &str = "type.googleapis.com/google.rpc.RetryInfo";
 
-    /// A status whose one detail says when to try again.
+    /// An encoded status whose one detail says when to retry.
     pub fn status_with_retry(code: i32, message: &str, after: std::time::Duration) -> Vec<u8> {
         let retry = RetryInfo {
             retry_delay: Some(prost_types::Duration {
--- a/crates/proto/src/peek.rs
+++ b/crates/proto/src/peek.rs
@@ -1,12 +1,12 @@
-//! Reads what a gateway needs of a message and leaves the tensors alone: a walk over the top-level fields of
-//! the protobuf encoding, without copies.
+//! Reads what a gateway needs of a message and leaves the tensors alone: it goes over the top-level fields of the
+//! protobuf encoding, without copies.
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use prost::encoding::{WireType, decode_key, decode_varint, encode_key, encode_varint};
 
 use crate::inference::{FINAL, InferParameter};
 
-/// A message that is no protobuf, or whose head is not what the protocol says.
+/// Why the head of a message can't be read.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PeekError {
     /// The bytes end inside a field, or a key or length is malformed.
@@ -18,23 +18,23 @@
     /// A parameter is malformed.
     #[error("a parameter is malformed")]
     Parameter,
-    /// A head field is longer than any name may be.
-    #[error("field {field} has {length} bytes; at most {MOST_NAME} are taken")]
+    /// A name, version or id is too long.
+    #[error("field {field} has {length} bytes; at most {MAX_NAME_BYTES} are taken")]
     TooLong {
         /// Its number.
         field: u32,
         /// Its length.
         length: usize,
     },
-    /// More parameters than are taken.
-    #[error("more than {MOST_PARAMETERS} parameters")]
-    TooMany,
+    /// More parameters than are accepted.
+    #[error("more than {MAX_PARAMETERS} parameters")]
+    TooManyParameters,
 }
 
 /// Longest model name, version or id, in bytes.
-pub const MOST_NAME: usize = 1024;
+pub const MAX_NAME_BYTES: usize = 1024;
 /// Most request parameters.
-pub const MOST_PARAMETERS: usize = 256;
+pub const MAX_PARAMETERS: usize = 256;
 
 /// What the gateway reads of a `ModelInferRequest`.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -55,75 +55,82 @@
     /// `error_message`; empty: no error.
     pub error: String,
     /// `infer_response.parameters["triton_final_response"]`.
-    pub last: bool,
-    /// There is an `infer_response`.
-    pub answered: bool,
+    pub is_final: bool,
+    /// Whether there is an `infer_response`.
+    pub has_response: bool,
 }
 
-enum Value {
+/// The content of a field, where it is length-delimited.
+enum FieldValue {
     Bytes(Bytes),
     Other,
 }
 
-/// The top-level fields of a message, in order.
-struct Walk {
-    rest: Bytes,
-    whole: usize,
+/// A field of a message.
+struct Field {
+    number: u32,
+    value: FieldValue,
 }
 
-impl Walk {
+/// Reads the top-level fields of a message, in order.
+struct FieldReader {
+    remaining: Bytes,
+    message_bytes: usize,
+}
+
+impl FieldReader {
     fn new(message: &Bytes) -> Self {
-        Self { rest: message.clone(), whole: message.len() }
+        Self { remaining: message.clone(), message_bytes: message.len() }
     }
 
     fn malformed(&self) -> PeekError {
-        PeekError::Malformed(self.whole - self.rest.len())
+        PeekError::Malformed(self.message_bytes - self.remaining.len())
     }
 
     fn skip(&mut self, n: usize) -> Result<Bytes, PeekError> {
-        if self.rest.len() < n {
+        if self.remaining.len() < n {
             return Err(self.malformed());
         }
-        Ok(self.rest.split_to(n))
+        Ok(self.remaining.split_to(n))
     }
 
-    fn next(&mut self) -> Result<Option<(u32, Value)>, PeekError> {
-        if !self.rest.has_remaining() {
+    fn next(&mut self) -> Result<Option<Field>, PeekError> {
+        if !self.remaining.has_remaining() {
             return Ok(None);
         }
-        let (field, wire) = decode_key(&mut self.rest).map_err(|_| self.malformed())?;
+        let (number, wire) = decode_key(&mut self.remaining).map_err(|_| self.malformed())?;
         let value = match wire {
             WireType::Varint => {
-                decode_varint(&mut self.rest).map_err(|_| self.malformed())?;
-                Value::Other
+                decode_varint(&mut self.remaining).map_err(|_| self.malformed())?;
+                FieldValue::Other
             }
-            WireType::SixtyFourBit => self.skip(8).map(|_| Value::Other)?,
-            WireType::ThirtyTwoBit => self.skip(4).map(|_| Value::Other)?,
+            WireType::SixtyFourBit => self.skip(8).map(|_| FieldValue::Other)?,
+            WireType::ThirtyTwoBit => self.skip(4).map(|_| FieldValue::Other)?,
             WireType::LengthDelimited => {
-                let length = decode_varint(&mut self.rest).map_err(|_| self.malformed())?;
+                let length = decode_varint(&mut self.remaining).map_err(|_| self.malformed())?;
                 let length = usize::try_from(length).map_err(|_| self.malformed())?;
-                Value::Bytes(self.skip(length)?)
+                FieldValue::Bytes(self.skip(length)?)
             }
             WireType::StartGroup | WireType::EndGroup => return Err(self.malformed()),
         };
-        Ok(Some((field, value)))
+        Ok(Some(Field { number, value }))
     }
 }
 
 fn text(field: u32, bytes: &Bytes) -> Result<String, PeekError> {
-    if bytes.len() > MOST_NAME {
+    if bytes.len() > MAX_NAME_BYTES {
         return Err(PeekError::TooLong { field, length: bytes.len() });
     }
     std::str::from_utf8(bytes).map(str::to_owned).map_err(|_| PeekError::NotText(field))
 }
 
 fn parameter(entry: &Bytes) -> Result<(String, InferParameter), PeekError> {
-    let mut walk = Walk::new(entry);
+    let mut fields = FieldReader::new(entry);
     let (mut key, mut value) = (String::new(), InferParameter::default());
-    while let Some((field, content)) = walk.next()? {
-        match (field, content) {
-            (1, Value::Bytes(bytes)) => key = text(4, &bytes)?,
-            (2, Value::Bytes(bytes)) => {
+    while let Some(Field { number, value: content }) = fields.next()? {
+        match (number, content) {
+            (1, FieldValue::Bytes(bytes)) => key = text(4, &bytes)?,
+            (2, FieldValue::Bytes(bytes)) => {
                 value = prost::Message::decode(bytes).map_err(|_| PeekError::Parameter)?
             }
             _ => {}
@@ -133,17 +140,20 @@
 }
 
 /// Reads the head of a `ModelInferRequest` (fields 1 to 4); tensors are skipped, not decoded.
+///
+/// # Errors
+/// Where the message is malformed or its head too long.
 pub fn infer_request(message: &Bytes) -> Result<InferHead, PeekError> {
     let mut head = InferHead::default();
-    let mut walk = Walk::new(message);
-    while let Some((field, value)) = walk.next()? {
-        match (field, value) {
-            (1, Value::Bytes(bytes)) => head.model = text(1, &bytes)?,
-            (2, Value::Bytes(bytes)) => head.version = text(2, &bytes)?,
-            (3, Value::Bytes(bytes)) => head.id = text(3, &bytes)?,
-            (4, Value::Bytes(bytes)) => {
-                if head.parameters.len() == MOST_PARAMETERS {
-                    return Err(PeekError::TooMany);
+    let mut fields = FieldReader::new(message);
+    while let Some(Field { number, value }) = fields.next()? {
+        match (number, value) {
+            (1, FieldValue::Bytes(bytes)) => head.model = text(1, &bytes)?,
+            (2, FieldValue::Bytes(bytes)) => head.version = text(2, &bytes)?,
+            (3, FieldValue::Bytes(bytes)) => head.id = text(3, &bytes)?,
+            (4, FieldValue::Bytes(bytes)) => {
+                if head.parameters.len() == MAX_PARAMETERS {
+                    return Err(PeekError::TooManyParameters);
                 }
                 head.parameters.push(parameter(&bytes)?);
             }
@@ -154,24 +164,27 @@
 }
 
 /// Reads the head of a `ModelStreamInferResponse`.
+///
+/// # Errors
+/// Where the message is malformed.
 pub fn stream_response(message: &Bytes) -> Result<ResponseHead, PeekError> {
     let mut head = ResponseHead::default();
-    let mut walk = Walk::new(message);
-    while let Some((field, value)) = walk.next()? {
-        match (field, value) {
-            (1, Value::Bytes(bytes)) => {
-                // An error's text is cut, not refused: it is for people.
-                let most = bytes.len().min(MOST_NAME);
-                head.error = String::from_utf8_lossy(&bytes[..most]).into_owned();
+    let mut fields = FieldReader::new(message);
+    while let Some(Field { number, value }) = fields.next()? {
+        match (number, value) {
+            (1, FieldValue::Bytes(bytes)) => {
+                // The text of an error is truncated, not rejected: it is for people.
+                let length = bytes.len().min(MAX_NAME_BYTES);
+                head.error = String::from_utf8_lossy(&bytes[..length]).into_owned();
             }
-            (2, Value::Bytes(bytes)) => {
-                head.answered = true;
-                let mut inner = Walk::new(&bytes);
-                while let Some((field, value)) = inner.next()? {
-                    if let (4, Value::Bytes(entry)) = (field, value) {
+            (2, FieldValue::Bytes(bytes)) => {
+                head.has_response = true;
+                let mut response_fields = FieldReader::new(&bytes);
+                while let Some(Field { number, value }) = response_fields.next()? {
+                    if let (4, FieldValue::Bytes(entry)) = (number, value) {
                         let (key, value) = parameter(&entry)?;
                         if key == FINAL {
-                            head.last = value.truth() == Some(true);
+                            head.is_final = value.boolean() == Some(true);
                         }
                     }
                 }
@@ -191,7 +204,7 @@
 /// The bytes of `infer_response { parameters { triton_final_response: true } }`. Appended to an encoded
 /// `ModelStreamInferResponse` they mark it as the last: protobuf merges an embedded message that comes twice
 /// ("Last One Wins", protocol buffers encoding), so that the tensors before them stay as they are.
-pub fn final_mark() -> Bytes {
+pub fn final_marker() -> Bytes {
     let mut value = BytesMut::new();
     encode_key(1, WireType::Varint, &mut value);
     encode_varint(1, &mut value);
@@ -206,11 +219,11 @@
 }
 
 /// Marks an encoded `ModelStreamInferResponse` as the last one of its call.
-pub fn marked_final(message: &Bytes) -> Bytes {
-    let mark = final_mark();
-    let mut out = BytesMut::with_capacity(message.len() + mark.len());
+pub fn with_final_marker(message: &Bytes) -> Bytes {
+    let marker = final_marker();
+    let mut out = BytesMut::with_capacity(message.len() + marker.len());
     out.put_slice(message);
-    out.put_slice(&mark);
+    out.put_slice(&marker);
     out.freeze()
 }
 
--- a/crates/proto/src/remote_write.rs
+++ b/crates/proto/src/remote_write.rs
@@ -45,9 +45,9 @@
     }
 }
 
-/// What a series is.
+/// The type of a series.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum SeriesKind {
     /// Only grows.
     Counter,
     /// Goes up and down.
@@ -63,35 +63,35 @@
     pub labels: Vec<(String, String)>,
     /// Time and value.
     pub samples: Vec<(i64, f64)>,
-    /// Time and native histogram; carried by version 2.0 alone.
-    pub natives: Vec<(i64, Native)>,
-    /// What it is; told by version 2.0 alone.
-    pub kind: Kind,
-    /// When its counter began; told by version 2.0 alone.
+    /// Time and native histogram; only version 2.0 carries them.
+    pub natives: Vec<(i64, NativeHistogram)>,
+    /// Its type; only version 2.0 carries it.
+    pub kind: SeriesKind,
+    /// When its counter began, milliseconds since 1970; only version 2.0 carries it.
     pub created_ms: Option<i64>,
 }
 
-/// A native histogram of whole counts with positive exponential buckets: bucket `i` holds values up to
+/// A native histogram of integer counts with positive exponential buckets: bucket `i` holds values up to
 /// `2^(i / 2^schema)`.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Native {
+pub struct NativeHistogram {
     /// From -4 to 8.
     pub schema: i32,
     /// Observations.
     pub count: u64,
     /// Their sum. A staleness marker here ends the series.
     pub sum: f64,
-    /// Buckets by index, each with its own count.
+    /// Buckets by index, each with its count.
     pub buckets: Vec<(i32, u64)>,
 }
 
-impl Native {
-    /// The end of a series.
-    pub fn ended(schema: i32) -> Self {
+impl NativeHistogram {
+    /// The staleness marker of a series.
+    pub fn stale(schema: i32) -> Self {
         Self { schema, count: 0, sum: stale(), buckets: Vec::new() }
     }
 
-    fn write(&self, timestamp: i64) -> v2::Histogram {
+    fn encode(&self, timestamp: i64) -> v2::Histogram {
         let (mut spans, mut deltas): (Vec<v2::BucketSpan>, Vec<i64>) = Default::default();
         let (mut next, mut before) = (0, 0);
         for (index, count) in &self.buckets {
@@ -117,11 +117,11 @@
     }
 
     /// `None`: its buckets do not add up, or are of a kind that is not read here.
-    fn read(told: &v2::Histogram) -> Option<(i64, Self)> {
-        let Some(v2::histogram::Count::CountInt(count)) = told.count else { return None };
-        let (mut buckets, mut deltas) = (Vec::new(), told.positive_deltas.iter());
+    fn decode(message: &v2::Histogram) -> Option<(i64, Self)> {
+        let Some(v2::histogram::Count::CountInt(count)) = message.count else { return None };
+        let (mut buckets, mut deltas) = (Vec::new(), message.positive_deltas.iter());
         let (mut next, mut before) = (0i32, 0i64);
-        for span in &told.positive_spans {
+        for span in &message.positive_spans {
             next = next.checked_add(span.offset)?;
             for _ in 0..span.length {
                 before = before.checked_add(*deltas.next()?)?;
@@ -130,36 +130,37 @@
             }
         }
         let sum = buckets.iter().try_fold(0u64, |sum, (_, n)| sum.checked_add(*n))?;
-        let plain =
-            deltas.next().is_none() && told.negative_spans.is_empty() && told.custom_values.is_empty();
-        let sound = plain && sum == count && (-4..=8).contains(&told.schema);
-        sound.then_some((told.timestamp, Self { schema: told.schema, count, sum: told.sum, buckets }))
+        let supported =
+            deltas.next().is_none() && message.negative_spans.is_empty() && message.custom_values.is_empty();
+        let valid = supported && sum == count && (-4..=8).contains(&message.schema);
+        valid
+            .then_some((message.timestamp, Self { schema: message.schema, count, sum: message.sum, buckets }))
     }
 }
 
-/// The value of a staleness marker: "this series has ended". A NaN with these bits, and no other NaN.
-pub const STALE: u64 = 0x7ff0_0000_0000_0002;
+/// The bits of a staleness marker's value, which says that the series has ended: this NaN, and no other.
+pub const STALE_BITS: u64 = 0x7ff0_0000_0000_0002;
 
 /// A staleness marker.
 pub fn stale() -> f64 {
-    f64::from_bits(STALE)
+    f64::from_bits(STALE_BITS)
 }
 
-/// Is it a staleness marker?
+/// Whether a value is a staleness marker.
 pub fn is_stale(value: f64) -> bool {
-    value.to_bits() == STALE
+    value.to_bits() == STALE_BITS
 }
 
-/// A body that can't be read.
+/// Why a body can't be encoded or decoded.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum BodyError {
-    /// It would unpack to more than is taken.
-    #[error("the body unpacks to {got} bytes; at most {most} are taken")]
+    /// It would decompress to too many bytes.
+    #[error("the body unpacks to {got} bytes; at most {max} are taken")]
     TooLarge {
-        /// Bytes told.
+        /// Bytes message.
         got: usize,
         /// The limit.
-        most: usize,
+        max: usize,
     },
     /// It is no snappy block.
     #[error("the body is not sound snappy: {0}")]
@@ -172,35 +173,42 @@
         "series {series}: a native histogram is not sound, or not of whole counts in exponential buckets"
     )]
     Histogram {
-        /// Its place.
+        /// The index of the series.
         series: usize,
     },
     /// A reference to a symbol that is not there, or half a label.
     #[error("series {series}: a label refers to what is not in the symbols")]
     Symbol {
-        /// Its place.
+        /// The index of the series.
         series: usize,
     },
 }
 
 /// Encodes series as a compressed body.
-pub fn write(version: Version, series: &[Series]) -> Result<Vec<u8>, BodyError> {
+///
+/// # Errors
+/// Where compression fails.
+pub fn encode(version: Version, series: &[Series]) -> Result<Vec<u8>, BodyError> {
     let message = match version {
-        Version::One => write_one(series).encode_to_vec(),
-        Version::Two => write_two(series).encode_to_vec(),
+        Version::One => encode_v1(series).encode_to_vec(),
+        Version::Two => encode_v2(series).encode_to_vec(),
     };
     snap::raw::Encoder::new().compress_vec(&message).map_err(|e| BodyError::Snappy(e.to_string()))
 }
 
-fn sorted(series: &Series) -> Vec<&(String, String)> {
+/// The labels of a series, sorted by name.
+fn sorted_labels(series: &Series) -> Vec<&(String, String)> {
     let mut labels: Vec<_> = series.labels.iter().collect();
     labels.sort();
     labels
 }
 
-fn write_one(series: &[Series]) -> v1::WriteRequest {
+fn encode_v1(series: &[Series]) -> v1::WriteRequest {
     let one = |s: &Series| v1::TimeSeries {
-        labels: sorted(s).into_iter().map(|(n, v)| v1::Label { name: n.clone(), value: v.clone() }).collect(),
+        labels: sorted_labels(s)
+            .into_iter()
+            .map(|(n, v)| v1::Label { name: n.clone(), value: v.clone() })
+            .collect(),
         samples: s
             .samples
             .iter()
@@ -211,31 +219,31 @@
     v1::WriteRequest { timeseries: series.iter().filter(|s| !s.samples.is_empty()).map(one).collect() }
 }
 
-fn write_two(series: &[Series]) -> v2::Request {
+fn encode_v2(series: &[Series]) -> v2::Request {
     // The first symbol is the empty one, as the specification wants.
     let mut symbols = vec![String::new()];
-    let mut places: HashMap<String, u32> = HashMap::from([(String::new(), 0)]);
+    let mut indices: HashMap<String, u32> = HashMap::from([(String::new(), 0)]);
     let mut timeseries = Vec::with_capacity(series.len());
     for s in series {
         let mut labels_refs = Vec::with_capacity(s.labels.len() * 2);
-        for (name, value) in sorted(s) {
+        for (name, value) in sorted_labels(s) {
             for text in [name, value] {
-                let place = match places.get(text.as_str()) {
-                    Some(place) => *place,
+                let index = match indices.get(text.as_str()) {
+                    Some(index) => *index,
                     None => {
-                        let place = symbols.len() as u32;
+                        let index = symbols.len() as u32;
                         symbols.push(text.clone());
-                        places.insert(text.clone(), place);
-                        place
+                        indices.insert(text.clone(), index);
+                        index
                     }
                 };
-                labels_refs.push(place);
+                labels_refs.push(index);
             }
         }
         let kind = match s.kind {
-            Kind::Counter => v2::metadata::MetricType::Counter,
-            Kind::Gauge => v2::metadata::MetricType::Gauge,
-            Kind::Histogram => v2::metadata::MetricType::Histogram,
+            SeriesKind::Counter => v2::metadata::MetricType::Counter,
+            SeriesKind::Gauge => v2::metadata::MetricType::Gauge,
+            SeriesKind::Histogram => v2::metadata::MetricType::Histogram,
         };
         timeseries.push(v2::TimeSeries {
             labels_refs,
@@ -244,7 +252,7 @@
                 .iter()
                 .map(|(timestamp, value)| v2::Sample { value: *value, timestamp: *timestamp })
                 .collect(),
-            histograms: s.natives.iter().map(|(at, native)| native.write(*at)).collect(),
+            histograms: s.natives.iter().map(|(at, native)| native.encode(*at)).collect(),
             metadata: Some(v2::Metadata { r#type: kind.into(), ..Default::default() }),
             created_timestamp: s.created_ms.unwrap_or(0),
             ..Default::default()
@@ -253,11 +261,14 @@
     v2::Request { symbols, timeseries }
 }
 
-/// Reads a compressed body that unpacks to at most `most` bytes.
-pub fn read(version: Version, body: &[u8], most: usize) -> Result<Vec<Series>, BodyError> {
+/// Decodes a compressed body that decompresses to at most `max_bytes` bytes.
+///
+/// # Errors
+/// Where the body is malformed or too large.
+pub fn decode(version: Version, body: &[u8], max_bytes: usize) -> Result<Vec<Series>, BodyError> {
     let got = snap::raw::decompress_len(body).map_err(|e| BodyError::Snappy(e.to_string()))?;
-    if got > most {
-        return Err(BodyError::TooLarge { got, most });
+    if got > max_bytes {
+        return Err(BodyError::TooLarge { got, max: max_bytes });
     }
     let message =
         snap::raw::Decoder::new().decompress_vec(body).map_err(|e| BodyError::Snappy(e.to_string()))?;
@@ -269,33 +280,33 @@
                 labels: s.labels.into_iter().map(|l| (l.name, l.value)).collect(),
                 samples: s.samples.into_iter().map(|s| (s.timestamp, s.value)).collect(),
                 natives: Vec::new(),
-                kind: Kind::Gauge,
+                kind: SeriesKind::Gauge,
                 created_ms: None,
             });
             Ok(series.collect())
         }
         Version::Two => {
             let request = v2::Request::decode(&message[..]).map_err(malformed)?;
-            let one = |(place, s): (usize, v2::TimeSeries)| read_two(place, s, &request.symbols);
+            let one = |(index, s): (usize, v2::TimeSeries)| decode_v2_series(index, s, &request.symbols);
             request.timeseries.iter().cloned().enumerate().map(one).collect()
         }
     }
 }
 
-fn read_two(place: usize, s: v2::TimeSeries, symbols: &[String]) -> Result<Series, BodyError> {
-    let symbol = |at: u32| symbols.get(at as usize).cloned().ok_or(BodyError::Symbol { series: place });
+fn decode_v2_series(index: usize, s: v2::TimeSeries, symbols: &[String]) -> Result<Series, BodyError> {
+    let symbol = |at: u32| symbols.get(at as usize).cloned().ok_or(BodyError::Symbol { series: index });
     if !s.labels_refs.len().is_multiple_of(2) {
-        return Err(BodyError::Symbol { series: place });
+        return Err(BodyError::Symbol { series: index });
     }
     let labels = s.labels_refs.chunks(2).map(|pair| Ok((symbol(pair[0])?, symbol(pair[1])?)));
     let kind = match s.metadata.map(|m| m.r#type()) {
-        Some(v2::metadata::MetricType::Counter) => Kind::Counter,
-        Some(v2::metadata::MetricType::Histogram) => Kind::Histogram,
-        _ => Kind::Gauge,
+        Some(v2::metadata::MetricType::Counter) => SeriesKind::Counter,
+        Some(v2::metadata::MetricType::Histogram) => SeriesKind::Histogram,
+        _ => SeriesKind::Gauge,
     };
-    let natives = s.histograms.iter().map(Native::read).collect::<Option<_>>();
+    let natives = s.histograms.iter().map(NativeHistogram::decode).collect::<Option<_>>();
     Ok(Series {
-        natives: natives.ok_or(BodyError::Histogram { series: place })?,
+        natives: natives.ok_or(BodyError::Histogram { series: index })?,
         labels: labels.collect::<Result<_, _>>()?,
         samples: s.samples.into_iter().map(|s| (s.timestamp, s.value)).collect(),
         kind,
--- a/crates/scenario/src/traffic.rs
+++ b/crates/scenario/src/traffic.rs
@@ -373,7 +373,7 @@
                 |p| matches!(&p.parameter_choice, Some(ParameterChoice::StringParam(s)) if s == "UNAVAILABLE"),
             );
             self.end(&id, if refused { Final::Refused } else { Final::Failed });
-        } else if response.parameters.get(FINAL).and_then(InferParameter::truth) == Some(true) {
+        } else if response.parameters.get(FINAL).and_then(InferParameter::boolean) == Some(true) {
             self.end(&id, Final::Served);
         } else {
             self.record(&id, ClientObservation::Part);
--- a/crates/test-servers/src/models/tests.rs
+++ b/crates/test-servers/src/models/tests.rs
@@ -9,8 +9,8 @@
     // 7 steps: 3, 2, 2.
     let Answer::Climb { segments, .. } = &answer else { panic!("climb") };
     assert_eq!(segments, &[(3.0, 1.0), (0.5, 2.0), (8.5, 0.0)]);
-    assert_eq!(answer.part(0).parameters[FINAL].truth(), Some(false));
-    assert_eq!(answer.part(2).parameters[FINAL].truth(), Some(true));
+    assert_eq!(answer.part(0).parameters[FINAL].boolean(), Some(false));
+    assert_eq!(answer.part(2).parameters[FINAL].boolean(), Some(true));
     assert_eq!(answer.whole().outputs[0].shape, [3]);
 }
 
--- a/crates/test-servers/src/receiver.rs
+++ b/crates/test-servers/src/receiver.rs
@@ -11,7 +11,7 @@
 
 use nettleferry_alerts::rules::Rule;
 use nettleferry_net::http1::{Http1, Http1Limits, Reply, Request, Stop};
-use nettleferry_proto::remote_write::{self, Kind, Native, Series, Version};
+use nettleferry_proto::remote_write::{self, NativeHistogram, Series, SeriesKind, Version};
 
 use crate::watch::Watch;
 
@@ -58,7 +58,7 @@
     /// Samples by series, in the order in which they came, repeats left out.
     pub series: BTreeMap<SeriesLabels, Vec<Taken>>,
     /// Native histograms by series, likewise.
-    pub natives: BTreeMap<SeriesLabels, Vec<(i64, Native)>>,
+    pub natives: BTreeMap<SeriesLabels, Vec<(i64, NativeHistogram)>>,
     /// Requests by version: 2.0, 1.0.
     pub requests: [u64; 2],
     /// Requests that it did not take.
@@ -108,7 +108,7 @@
         if !series.natives.is_empty() {
             let taken = self.natives.entry(series.labels.clone()).or_default();
             for (at_ms, native) in series.natives {
-                let same = |old: &Native| {
+                let same = |old: &NativeHistogram| {
                     old.sum.to_bits() == native.sum.to_bits()
                         && (old.count, &old.buckets) == (native.count, &native.buckets)
                 };
@@ -132,7 +132,7 @@
                 }
                 None => {
                     let one = Taken { at_ms, value, created_ms: series.created_ms };
-                    let counter = series.kind == Kind::Counter && series.created_ms.is_some();
+                    let counter = series.kind == SeriesKind::Counter && series.created_ms.is_some();
                     if counter && let Some(last) = taken.last().filter(|l| l.created_ms == one.created_ms) {
                         if remote_write::is_stale(last.value) {
                             self.faults.push(format!("{name} at {at_ms}: its life had ended"));
@@ -260,7 +260,7 @@
     if request.header("content-encoding") != Some("snappy") {
         return Reply::text(415, "snappy alone\n");
     }
-    let series = match remote_write::read(version, request.body, MOST_BODY) {
+    let series = match remote_write::decode(version, request.body, MOST_BODY) {
         Ok(series) => series,
         Err(error) => return Reply::text(400, format!("{error}\n")),
     };
--- a/crates/test-servers/src/server/request.rs
+++ b/crates/test-servers/src/server/request.rs
@@ -6,7 +6,7 @@
 use nettleferry_net::grpc::{Code, Status};
 use nettleferry_net::{ConnKey, ListenerKey, NetEvent, StreamKey};
 use nettleferry_proto::inference::*;
-use nettleferry_proto::marks;
+use nettleferry_proto::metadata;
 use prost::Message;
 use rand::RngExt;
 use std::sync::Arc;
@@ -67,9 +67,9 @@
         if header("grpc-encoding") == "gzip" {
             self.hub.allow_gzip(stream);
         }
-        let controller = header(marks::CONTROLLER);
-        let attempt = header(marks::ATTEMPT).parse().ok();
-        let fenced = self.is_fenced(&controller, header(marks::FENCE).parse().ok());
+        let controller = header(metadata::CONTROLLER);
+        let attempt = header(metadata::ATTEMPT).parse().ok();
+        let fenced = self.is_fenced(&controller, header(metadata::FENCE).parse().ok());
         let rpc = Rpc {
             conn,
             method,
@@ -129,7 +129,7 @@
         };
         if fenced && matches!(method.as_str(), "ModelInfer" | "ModelStreamInfer" | "RepositoryModelLoad") {
             let mut trailers = HeaderMap::new();
-            trailers.insert(marks::NEVER_RAN, HeaderValue::from_static(marks::FENCED));
+            trailers.insert(metadata::NEVER_RAN, HeaderValue::from_static(metadata::FENCED));
             let words = "a later life of this controller was seen";
             return self.finish(stream, Status::new(Code::Unavailable, words), trailers);
         }
@@ -240,7 +240,7 @@
     /// Takes a load order.
     fn load(&mut self, stream: StreamKey, payload: Bytes) {
         let Some(request) = self.decoded::<RepositoryModelLoadRequest>(stream, payload) else { return };
-        let copies = request.parameters.get(COPIES).and_then(|p| match p.parameter_choice {
+        let copies = request.parameters.get(REPLICAS).and_then(|p| match p.parameter_choice {
             Some(model_repository_parameter::ParameterChoice::Int64Param(n)) => u32::try_from(n).ok(),
             _ => None,
         });
--- a/crates/test-servers/src/server/response.rs
+++ b/crates/test-servers/src/server/response.rs
@@ -5,7 +5,7 @@
 use nettleferry_net::StreamKey;
 use nettleferry_net::grpc::{Code, Status, write_binary};
 use nettleferry_proto::inference::*;
-use nettleferry_proto::{marks, orca};
+use nettleferry_proto::{metadata, orca};
 use prost::Message;
 
 use super::{Seen, Server};
@@ -42,18 +42,18 @@
         let Some(call) = self.calls.remove(&no) else { return };
         let note = self.worker.as_mut().and_then(|w| w.note(no));
         let (mark, words) = match why {
-            Away::Full => (marks::FULL, "no room"),
-            Away::Miss => (marks::MISS, "the model is not loaded"),
-            Away::LoadFailed => (marks::LOAD_FAILED, "the load failed"),
+            Away::Full => (metadata::FULL, "no room"),
+            Away::Miss => (metadata::MISS, "the model is not loaded"),
+            Away::LoadFailed => (metadata::LOAD_FAILED, "the load failed"),
         };
         let mut trailers = HeaderMap::new();
-        trailers.insert(marks::NEVER_RAN, HeaderValue::from_static(mark));
+        trailers.insert(metadata::NEVER_RAN, HeaderValue::from_static(mark));
         let mut report = self.report();
         if let Some((_, crowd)) = note {
-            report.named_metrics.insert(orca::CROWD.to_owned(), f64::from(crowd));
+            report.named_metrics.insert(orca::SAME_MODEL_CALLS.to_owned(), f64::from(crowd));
         }
         if why == Away::LoadFailed {
-            report.named_metrics.insert(orca::NOTE.to_owned(), 4.0);
+            report.named_metrics.insert(orca::LOAD_NOTE.to_owned(), 4.0);
         }
         put(&mut trailers, &report);
         self.finish(call.stream, Status::new(Code::Unavailable, words), trailers);
@@ -63,7 +63,7 @@
     fn ordered(&mut self, no: u64, copies: u32, stand: bool) {
         let Some(stream) = self.orders.remove(&no) else { return };
         let mut report = self.report();
-        report.named_metrics.insert(orca::STANDING.to_owned(), f64::from(copies));
+        report.named_metrics.insert(orca::LOADED_REPLICAS.to_owned(), f64::from(copies));
         let mut trailers = HeaderMap::new();
         put(&mut trailers, &report);
         if stand {
@@ -72,7 +72,7 @@
             let status = Status::new(Code::Ok, "").trailers();
             self.hub.finish(stream, Some(merged(status, trailers)));
         } else {
-            trailers.insert(marks::NEVER_RAN, HeaderValue::from_static(marks::FULL));
+            trailers.insert(metadata::NEVER_RAN, HeaderValue::from_static(metadata::FULL));
             self.finish(stream, Status::new(Code::Unavailable, "no room, or the load failed"), trailers);
         }
     }
@@ -135,8 +135,8 @@
         let note = self.worker.as_mut().and_then(|w| w.note(no));
         let mut report = self.report();
         if let Some((note, crowd)) = note {
-            report.named_metrics.insert(orca::NOTE.to_owned(), f64::from(note as u8));
-            report.named_metrics.insert(orca::CROWD.to_owned(), f64::from(crowd));
+            report.named_metrics.insert(orca::LOAD_NOTE.to_owned(), f64::from(note as u8));
+            report.named_metrics.insert(orca::SAME_MODEL_CALLS.to_owned(), f64::from(crowd));
         }
         let mut trailers = HeaderMap::new();
         put(&mut trailers, &report);
@@ -161,7 +161,7 @@
         let Some(rpc) = self.rpcs.get(&stream) else { return };
         if rpc.method.ends_with("Infer") {
             let served = status.code == Code::Ok;
-            let never_ran = more.contains_key(marks::NEVER_RAN);
+            let never_ran = more.contains_key(metadata::NEVER_RAN);
             self.see(Seen::Answered { stream: stream.number(), served, never_ran });
         }
         let trailers = merged(status.trailers(), more);
