--- a/crates/gateway/src/controller/startup.rs
+++ b/crates/gateway/src/controller/startup.rs
@@ -46,12 +46,8 @@
         let signals = signals.transpose()?;
         let metrics = MetricsRecorder::new(&config);
         let metrics_endpoint = start_metrics_endpoint(&config, &metrics)?;
-        let pusher = config
-            .metrics
-            .remote_write
-            .clone()
-            .map(|push| Pusher::start(push, metrics.metrics()))
-            .transpose()?;
+        let remote_write = config.metrics.remote_write.clone();
+        let pusher = remote_write.map(|push| Pusher::start(push, metrics.metrics())).transpose()?;
         if config.metrics.count_calls {
             engine.record_measurements();
         }
--- a/crates/node/src/node/dispatch.rs
+++ b/crates/node/src/node/dispatch.rs
@@ -6,7 +6,7 @@
 
 use nettleferry::ListForm;
 use nettleferry_engine::{ClientDisconnect, Event, FinalAnswer, NewCall, Refusal};
-use nettleferry_net::tcp::{Gone, TcpEvent, TcpKey};
+use nettleferry_net::tcp::{ConnectionFailure, TcpEvent, TcpKey};
 use tracing::info;
 
 use super::{Node, PendingEvents, SIGNALS};
@@ -71,7 +71,7 @@
             TcpEvent::Data(key) => self.pools.data(context, key),
             TcpEvent::Alarm(key) => self.pools.alarm_due(context, key),
             TcpEvent::Ended(key) => {
-                self.pools.connection_closed(context, key, Gone::Broken);
+                self.pools.connection_closed(context, key, ConnectionFailure::Broken);
                 context.tcp.close(key);
             }
             TcpEvent::Closed(key, reason) => self.pools.connection_closed(context, key, reason),
--- a/crates/node/src/pools/responses.rs
+++ b/crates/node/src/pools/responses.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use nettleferry::{LoadNote, WorkerId};
 use nettleferry_engine::{AttemptEnd, AttemptReport, Event};
-use nettleferry_net::tcp::{Gone, TcpKey};
+use nettleferry_net::tcp::{ConnectionFailure, TcpKey};
 use nettleferry_platform::answer::{AnswerFields, AnswerKind};
 use nettleferry_platform::resp::{self, Answer};
 use tracing::debug;
@@ -120,12 +120,12 @@
     }
 
     /// A connection is gone: its open requests have ended, as far as they were written.
-    pub fn connection_closed(&mut self, context: &mut PoolContext, key: TcpKey, reason: Gone) {
+    pub fn connection_closed(&mut self, context: &mut PoolContext, key: TcpKey, reason: ConnectionFailure) {
         let written = context.tcp.written(key);
         self.remove_connection(key, context.events, |request| match (reason, request.output) {
-            (Gone::Refused | Gone::NotConnected, _) => AttemptEnd::NotConnected,
+            (ConnectionFailure::Refused | ConnectionFailure::NotConnected, _) => AttemptEnd::NotConnected,
             (_, None) => AttemptEnd::NotWritten,
-            (Gone::Slow, _) => AttemptEnd::Broken,
+            (ConnectionFailure::Slow, _) => AttemptEnd::Broken,
             (_, Some(output)) if output.end > written => AttemptEnd::NotWritten,
             _ => AttemptEnd::Broken,
         });
