--- a/crates/administration/src/follower/responses.rs
+++ b/crates/administration/src/follower/responses.rs
@@ -125,3 +125,6 @@
 fn failed() -> Meaning {
     Meaning::Other(ReplicationResponse::Failed)
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/administration/src/leader/snapshot_writer.rs
+++ b/crates/administration/src/leader/snapshot_writer.rs
@@ -67,3 +67,6 @@
 pub(super) fn snapshot_file(store: &Path) -> PathBuf {
     store.with_extension("snapshot")
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/administration/src/loan_service.rs
+++ b/crates/administration/src/loan_service.rs
@@ -109,3 +109,6 @@
         Kind::Memory => limits.loaded_memory_bytes.map(|bytes| bytes as f64),
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/administration/src/pending_changes.rs
+++ b/crates/administration/src/pending_changes.rs
@@ -187,3 +187,6 @@
     );
     Problem::new(503, "not-held", detail)
 }
+
+#[cfg(test)]
+mod tests;
