--- a/crates/gateway/tests/common/mod.rs
+++ b/crates/gateway/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! The program as a process, stand-ins in threads, a client: whole paths over loopback. Nothing sleeps as a
-//! proof; what is waited for is waited for with a generous limit.
+//! The program as a process, test servers in threads, and a client: complete paths over loopback. No test relies on a sleep:
+//! conditions are awaited, with a generous timeout.
 #![allow(dead_code)]
 
 pub mod admin_client;
@@ -25,6 +25,7 @@
 use nettleferry_test_servers::{Handle, Options, Record, Seen, Spec, Store, spawn, spec};
 use prost::Message;
 
+/// How long a test waits for a condition.
 pub const PATIENCE: Duration = Duration::from_secs(30);
 
 /// Waits until something holds.
@@ -46,29 +47,29 @@
 }
 
 impl Program {
-    /// Runs a prepared command until it says where it listens.
+    /// Runs a prepared command until it reports where it listens.
     pub fn run(mut command: Command, dir: tempfile::TempDir) -> Self {
         let child = command.stdin(Stdio::null()).stdout(Stdio::piped()).stderr(Stdio::piped()).spawn();
         let mut child = child.expect("it starts");
         let out = child.stdout.take().expect("piped");
-        let (said, lines) = channel();
+        let (line_sender, lines) = channel();
         std::thread::spawn(move || {
             for line in BufReader::new(out).lines().map_while(Result::ok) {
-                let _ = said.send(line);
+                let _ = line_sender.send(line);
             }
         });
         let first = lines.recv_timeout(PATIENCE).unwrap_or_else(|_| {
             let _ = child.kill();
-            let mut told = String::new();
-            let _ = child.stderr.take().expect("piped").read_to_string(&mut told);
-            panic!("it never listened: {told}")
+            let mut log = String::new();
+            let _ = child.stderr.take().expect("piped").read_to_string(&mut log);
+            panic!("it never listened: {log}")
         });
         let address =
             first.strip_prefix("listening grpc ").expect("the first line").parse().expect("an address");
         Self { child, lines, address, dir }
     }
 
-    /// Where figures can be scraped: its second line.
+    /// Where metrics can be scraped: its second line.
     pub fn scrape(&self) -> SocketAddr {
         self.line("listening scrape ")
     }
@@ -101,9 +102,9 @@
 
     /// What it logged, once it has ended.
     pub fn log(&mut self) -> String {
-        let mut told = String::new();
-        self.child.stderr.take().expect("piped").read_to_string(&mut told).expect("text");
-        told
+        let mut log = String::new();
+        self.child.stderr.take().expect("piped").read_to_string(&mut log).expect("text");
+        log
     }
 
     /// Resident memory, KiB.
@@ -151,7 +152,7 @@
     serve_in(dir, settings, None)
 }
 
-/// `serve` in a folder that stands; with so many file handles, where told.
+/// `serve` in an existing folder, with a limit of open files where one is given.
 pub fn serve_in(dir: tempfile::TempDir, settings: &str, handles: Option<u32>) -> Program {
     serve_by(PROGRAM, dir, settings, handles)
 }
@@ -178,7 +179,7 @@
     Program::run(command, dir)
 }
 
-/// Stand-ins and what they see.
+/// Test servers and what they observe.
 pub struct Fleet {
     pub handles: Vec<Handle>,
     seen: Receiver<Record>,
@@ -221,7 +222,7 @@
         self.handles.iter().map(line).collect()
     }
 
-    /// What was seen so far.
+    /// What was observed so far.
     pub fn look(&mut self) -> &[Record] {
         self.records.extend(self.seen.try_iter());
         &self.records
@@ -241,7 +242,7 @@
     }
 }
 
-/// A client with what it has heard.
+/// A client, and the events that it has received.
 pub struct Caller {
     pub client: Client,
     pub to: SocketAddr,
@@ -264,7 +265,7 @@
         self.ask(ask("ModelInfer", &echo(model, "u", 64)))
     }
 
-    /// Waits for what answers `pick`; what else is heard is kept.
+    /// Waits for the event that `pick` selects; other events stay for later.
     #[track_caller]
     pub fn wait<T>(&mut self, what: &str, mut pick: impl FnMut(&ClientEvent) -> Option<T>) -> T {
         let until = Instant::now() + PATIENCE;
@@ -275,7 +276,7 @@
                 self.heard.remove(at);
                 return found;
             }
-            assert!(Instant::now() < until, "never heard: {what}; heard: {:?}", self.heard);
+            assert!(Instant::now() < until, "not received: {what}; received: {:?}", self.heard);
             self.client.poll(Some(Duration::from_millis(20)), &mut self.heard).expect("polls");
         }
     }
@@ -312,12 +313,12 @@
         (status.expect("a status"), trailers)
     }
 
-    /// Turns once, for hearing what should not come.
+    /// Polls once, to receive what should not be sent.
     pub fn turn(&mut self) {
         self.client.poll(Some(Duration::from_millis(5)), &mut self.heard).expect("polls");
     }
 
-    /// Turns until something holds elsewhere.
+    /// Polls until a condition holds elsewhere.
     #[track_caller]
     pub fn until(&mut self, what: &str, mut holds: impl FnMut() -> bool) {
         eventually(what, || {
--- a/crates/gateway/tests/common/process.rs
+++ b/crates/gateway/tests/common/process.rs
@@ -87,7 +87,7 @@
         let proc = Path::new("/proc").join(self.child.id().to_string());
         let files = std::fs::read_dir(proc.join("fd")).expect("ours").count();
         let status = std::fs::read_to_string(proc.join("status")).expect("ours");
-        let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:")).expect("told");
+        let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:")).expect("its memory");
         (files, line.trim().trim_end_matches(" kB").parse().expect("a number"))
     }
 }
--- a/crates/gateway/tests/descriptors.rs
+++ b/crates/gateway/tests/descriptors.rs
@@ -24,9 +24,9 @@
 /// The platform's term for a process that was started anew.
 const READY_WITHIN: Duration = Duration::from_secs(10);
 
-fn good(told: &ReceivedCommand) -> Reaction {
-    match told.keyword() {
-        "CALL" => Reaction::Answer("served", "n=w", told.parts[3].clone()),
+fn good(command: &ReceivedCommand) -> Reaction {
+    match command.keyword() {
+        "CALL" => Reaction::Answer("served", "n=w", command.parts[3].clone()),
         "PING" | "STATS" => Reaction::Answer("green", "-", vec![]),
         "LOAD" => Reaction::Answer("served", "instances=1", vec![]),
         _ => Reaction::Ignore,
@@ -76,26 +76,26 @@
 fn clients_that_take_every_descriptor_during_a_directory_outage_delay_nothing() {
     let (release, held) = mpsc::channel::<()>();
     let held = std::sync::Mutex::new(held);
-    let first = Invoker::start(move |told| {
-        if told.keyword() == "CALL" && told.parts[3] == b"long" {
+    let first = Invoker::start(move |command| {
+        if command.keyword() == "CALL" && command.parts[3] == b"long" {
             held.lock().expect("no panic holds it").recv_timeout(TEST_TIMEOUT).expect("released");
         }
-        good(told)
+        good(command)
     });
     let second = Invoker::start(good);
     let listed = |all: &[&Invoker]| -> Vec<_> {
         all.iter().map(|i| ListedInvoker::new(i.address.port().into(), i.address)).collect()
     };
     let (_quiet, nowhere) = silent();
-    let mut told = config(nowhere, &listed(&[&first]));
-    told["limits"]["sockets"] = DESCRIPTORS.into();
+    let mut configuration = config(nowhere, &listed(&[&first]));
+    configuration["limits"]["sockets"] = DESCRIPTORS.into();
     // Its long call is no longer than its time, and its silence no reason to look elsewhere.
-    for class in told["settings"]["classes"].as_array_mut().expect("classes") {
+    for class in configuration["settings"]["classes"].as_array_mut().expect("classes") {
         (class["deadline_ms"], class["goal_time_ms"]) = (60_000.into(), 30_000.into());
     }
     let dir = tempfile::tempdir().expect("a folder");
     let path = dir.path().join("config.json");
-    std::fs::write(&path, told.to_string()).expect("written");
+    std::fs::write(&path, configuration.to_string()).expect("written");
     let node = Node::of(Node::spawn(&path, DESCRIPTORS));
     let fields = |id: &'static str| {
         let tags = "memory_mb:9;lanes:4;load_ms:50";
@@ -121,8 +121,8 @@
     // Moved: what it says there is heard.
     let directory = Directory::start(listed(&[&first, &second]));
     directory.change(listed(&[&second]));
-    told["resolver"] = directory.address.to_string().into();
-    std::fs::write(&path, told.to_string()).expect("written");
+    configuration["resolver"] = directory.address.to_string().into();
+    std::fs::write(&path, configuration.to_string()).expect("written");
     node.signal("HUP");
     let end = Instant::now() + TEST_TIMEOUT;
     while !second.got().iter().any(|got| got.starts_with("CALL")) {
@@ -160,8 +160,8 @@
     let configs: Vec<_> = (0..30)
         .map(|at| {
             let path = dir.path().join(format!("{at}.json"));
-            let told = config([nowhere, gone, up.address][at % 3], &listed);
-            std::fs::write(&path, told.to_string()).expect("written");
+            let configuration = config([nowhere, gone, up.address][at % 3], &listed);
+            std::fs::write(&path, configuration.to_string()).expect("written");
             path
         })
         .collect();
--- a/crates/gateway/tests/faults.rs
+++ b/crates/gateway/tests/faults.rs
@@ -35,10 +35,10 @@
         let library = shim::compile(dir.path()).expect("a C compiler");
         let listed = vec![ListedInvoker::new(0, invoker.address)];
         let directory = Directory::start(listed.clone());
-        let mut told = config(directory.address, &listed);
-        change(&mut told);
+        let mut configuration = config(directory.address, &listed);
+        change(&mut configuration);
         let path = dir.path().join("config.json");
-        std::fs::write(&path, told.to_string()).expect("written");
+        std::fs::write(&path, configuration.to_string()).expect("written");
         let mut node = Command::new(env!("CARGO_BIN_EXE_nettleferry"));
         node.arg("node").env("PROXY_CONFIG", &path).env_remove("RUST_LOG");
         node.envs(faults.environment(&library, 1))
@@ -96,8 +96,8 @@
 
 /// One that holds every function.
 fn invoker() -> Invoker {
-    Invoker::start(|told: &ReceivedCommand| match told.keyword() {
-        "CALL" => Reaction::Answer("served", "n=w", told.parts[3].clone()),
+    Invoker::start(|command: &ReceivedCommand| match command.keyword() {
+        "CALL" => Reaction::Answer("served", "n=w", command.parts[3].clone()),
         "LOAD" => Reaction::Answer("served", "instances=1", vec![]),
         _ => Reaction::Answer("green", "-", vec![]),
     })
@@ -117,20 +117,20 @@
 
 /// How long a process is stopped: more than the slack on a deadline.
 const STOPPED: Duration = Duration::from_millis(400);
-/// A worker may be told so much more time than the client has left.
+/// The deadline that a worker gets may exceed what the client has left by this much.
 const DEADLINE_SLACK: Duration = Duration::from_millis(150);
 /// What a client of these tests waits.
 const TTL: Duration = Duration::from_millis(3_000);
 
 #[test]
 fn requests_that_arrived_during_a_stop_have_less_time_left() {
-    let told = Arc::new(Mutex::new(Vec::new()));
-    let patience = Arc::clone(&told);
-    let invoker = Invoker::start(move |told: &ReceivedCommand| match told.keyword() {
+    let received_fields = Arc::new(Mutex::new(Vec::new()));
+    let recorder = Arc::clone(&received_fields);
+    let invoker = Invoker::start(move |command: &ReceivedCommand| match command.keyword() {
         "CALL" => {
-            let fields = String::from_utf8_lossy(&told.parts[2]).into_owned();
-            patience.lock().expect("no panic holds it").push(fields);
-            Reaction::Answer("served", "n=w", told.parts[3].clone())
+            let fields = String::from_utf8_lossy(&command.parts[2]).into_owned();
+            recorder.lock().expect("no panic holds it").push(fields);
+            Reaction::Answer("served", "n=w", command.parts[3].clone())
         }
         _ => Reaction::Answer("green", "-", vec![]),
     });
@@ -147,10 +147,11 @@
         let waited = sent.elapsed();
         node.signal("CONT");
         assert_eq!(client.answer(stream), (SERVED, b"ab".to_vec()));
-        let fields = told.lock().expect("no panic holds it").last().cloned().expect("it was sent");
-        let patience = fields.split(',').find_map(|field| field.strip_prefix("patience=")).expect("told");
+        let fields = received_fields.lock().expect("no panic holds it").last().cloned().expect("it was sent");
+        let patience =
+            fields.split(',').find_map(|field| field.strip_prefix("patience=")).expect("the field");
         let patience = Duration::from_millis(patience.parse().expect("a number"));
-        assert!(patience + waited <= TTL + DEADLINE_SLACK, "told {patience:?}, {waited:?} had passed");
+        assert!(patience + waited <= TTL + DEADLINE_SLACK, "sent {patience:?}, {waited:?} had passed");
     }
 }
 
--- a/crates/gateway/tests/herd.rs
+++ b/crates/gateway/tests/herd.rs
@@ -54,7 +54,7 @@
     };
     let programs: Vec<Program> = (1..=many).map(|n| follower(dir(), n)).collect();
     let first = all(&leader, "each has its lease");
-    // A change reaches all, and is told to be everywhere.
+    // A change reaches all, and is reported to be in force everywhere.
     let begun = Instant::now();
     leader.change("POST", "/v1/tenants/t3/suspend", "");
     assert_eq!(leader.get("/v1/fleet/change")["everywhere"], true);
--- a/crates/gateway/tests/kill.rs
+++ b/crates/gateway/tests/kill.rs
@@ -31,21 +31,21 @@
 
 impl Place {
     fn new() -> Self {
-        let invoker = Invoker::start(|told: &ReceivedCommand| match told.keyword() {
-            "CALL" => Reaction::Answer("served", "n=w", long(told.id())),
+        let invoker = Invoker::start(|command: &ReceivedCommand| match command.keyword() {
+            "CALL" => Reaction::Answer("served", "n=w", long(command.id())),
             "PING" | "STATS" => Reaction::Answer("green", "-", vec![]),
             "LOAD" => Reaction::Answer("served", "instances=1", vec![]),
             _ => Reaction::Ignore,
         });
         let silent = UdpSocket::bind("127.0.0.1:0").expect("a port");
         let listed = vec![ListedInvoker::new(0, invoker.address)];
-        let mut told = config(silent.local_addr().expect("bound"), &listed);
+        let mut configuration = config(silent.local_addr().expect("bound"), &listed);
         // An address that its later lives have as well.
         let address = TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a port");
-        told["listen"] = address.to_string().into();
+        configuration["listen"] = address.to_string().into();
         let dir = tempfile::tempdir().expect("a folder");
         let path = dir.path().join("config.json");
-        std::fs::write(&path, told.to_string()).expect("written");
+        std::fs::write(&path, configuration.to_string()).expect("written");
         Self { invoker, address, path, _dir: dir, _silent: silent }
     }
 
--- a/crates/gateway/tests/leaving.rs
+++ b/crates/gateway/tests/leaving.rs
@@ -60,12 +60,12 @@
     for way in [Leaves::Withdraws, Leaves::HalfCloses, Leaves::Closes, Leaves::Resets] {
         let gate = Arc::new(Gate::default());
         let held = Arc::clone(&gate);
-        let invoker = Invoker::start(move |told: &ReceivedCommand| match told.keyword() {
+        let invoker = Invoker::start(move |command: &ReceivedCommand| match command.keyword() {
             "CALL" => {
-                if told.parts[3] == b"hold" {
+                if command.parts[3] == b"hold" {
                     held.wait();
                 }
-                Reaction::Answer("served", "n=w", told.parts[3].clone())
+                Reaction::Answer("served", "n=w", command.parts[3].clone())
             }
             "PING" | "STATS" => Reaction::Answer("green", "-", vec![]),
             "LOAD" => Reaction::Answer("served", "instances=1", vec![]),
--- a/crates/gateway/tests/limits.rs
+++ b/crates/gateway/tests/limits.rs
@@ -181,7 +181,7 @@
         caller.status(rpc).0.code == Code::Ok
     });
     gateway.write_list(&fleet.list().replace("))", ") (state draining))"));
-    eventually("the drain is told", || {
+    eventually("the drain is in force", || {
         let rpc = caller.unary("echo-once");
         caller.status(rpc).0.code == Code::Unavailable
     });
@@ -223,7 +223,7 @@
             _ => greedy.push(raw),
         }
     }
-    assert!(closed > 20, "{closed} were told at once");
+    assert!(closed > 20, "{closed} were closed at once");
     // No handle is left for a connection to the worker: proven not run, so refused, at once.
     let rpc = caller.unary("echo-once");
     refused(&mut caller, rpc);
@@ -247,7 +247,10 @@
     let mut closed = 0;
     let end = std::time::Instant::now() + Duration::from_secs(20);
     while closed < 40 {
-        assert!(std::time::Instant::now() < end, "{closed} were told at once, then all wait in silence");
+        assert!(
+            std::time::Instant::now() < end,
+            "{closed} were closed at once, then all wait without an answer"
+        );
         let mut raw = TcpStream::connect(gateway.address).expect("the kernel completes it");
         raw.set_read_timeout(Some(Duration::from_millis(100))).expect("set");
         match raw.read(&mut [0; 1]) {
--- a/crates/gateway/tests/node.rs
+++ b/crates/gateway/tests/node.rs
@@ -82,7 +82,7 @@
         (Some("{\"listen\":".to_owned()), ""),
         (Some("{}".to_owned()), "listen"),
         (Some("[]".to_owned()), ""),
-        // What is wrong in a field is told with its name.
+        // An error in a field is reported with its name.
         (Some(spoilt("resolver", 5.into())), "resolver"),
         (Some(spoilt("limits", "many".into())), "limits"),
         (Some(spoilt("known", serde_json::json!({"pos": -1}))), "known"),
@@ -163,7 +163,7 @@
     node.signal("TERM");
     node.signal("HUP");
     let mut answer = [0; 9];
-    client.read_exact(&mut answer).expect("told");
+    client.read_exact(&mut answer).expect("an answer");
     assert_eq!(answer[4], kind::GO_AWAY);
     // Its pipe is read to the end, so that it is never held up by its own log.
     let mut rest = Vec::new();
--- a/crates/gateway/tests/one_process.rs
+++ b/crates/gateway/tests/one_process.rs
@@ -19,19 +19,19 @@
     let program = std::fs::read(env!("CARGO_BIN_EXE_nettleferry")).expect("the program is there");
     assert!(program.windows(LOADER.len()).any(|bytes| bytes == LOADER), "it names the system's loader");
 
-    let invoker = Invoker::start(|told: &ReceivedCommand| match told.keyword() {
-        "CALL" => Reaction::Answer("served", "n=w", told.parts[3].clone()),
+    let invoker = Invoker::start(|command: &ReceivedCommand| match command.keyword() {
+        "CALL" => Reaction::Answer("served", "n=w", command.parts[3].clone()),
         _ => Reaction::Answer("green", "-", vec![]),
     });
     let silent = UdpSocket::bind("127.0.0.1:0").expect("a port");
     let peer = UdpSocket::bind("127.0.0.1:0").expect("a port");
     let listed = vec![ListedInvoker::new(0, invoker.address)];
-    let mut told = config(silent.local_addr().expect("bound"), &listed);
-    told["peers"] = serde_json::json!([peer.local_addr().expect("bound").to_string()]);
-    told["peers_all"] = peer.local_addr().expect("bound").to_string().into();
+    let mut configuration = config(silent.local_addr().expect("bound"), &listed);
+    configuration["peers"] = serde_json::json!([peer.local_addr().expect("bound").to_string()]);
+    configuration["peers_all"] = peer.local_addr().expect("bound").to_string().into();
     let dir = tempfile::tempdir().expect("a folder");
     let path = dir.path().join("config.json");
-    std::fs::write(&path, told.to_string()).expect("written");
+    std::fs::write(&path, configuration.to_string()).expect("written");
     let node = Node::of(Node::spawn(&path, 256));
     let mut client = Client::connect(node.address);
     for id in 1..20 {
--- a/crates/gateway/tests/signals.rs
+++ b/crates/gateway/tests/signals.rs
@@ -53,12 +53,12 @@
 /// An invoker that serves with the body that it got, and holds what says so until the gate opens.
 fn invoker(gate: &Arc<Gate>) -> Invoker {
     let gate = Arc::clone(gate);
-    Invoker::start(move |told: &ReceivedCommand| match told.keyword() {
+    Invoker::start(move |command: &ReceivedCommand| match command.keyword() {
         "CALL" => {
-            if told.parts[3] == b"hold" {
+            if command.parts[3] == b"hold" {
                 gate.wait();
             }
-            Reaction::Answer("served", "n=w", told.parts[3].clone())
+            Reaction::Answer("served", "n=w", command.parts[3].clone())
         }
         "PING" | "STATS" => Reaction::Answer("green", "-", vec![]),
         "LOAD" => Reaction::Answer("served", "instances=1", vec![]),
@@ -77,8 +77,8 @@
     let (here, there) = (Directory::start(at_first.clone()), Directory::start(at_first.clone()));
     let dir = tempfile::tempdir().expect("a folder");
     let path = dir.path().join("config.json");
-    let mut told = config(here.address, &at_first);
-    std::fs::write(&path, told.to_string()).expect("written");
+    let mut configuration = config(here.address, &at_first);
+    std::fs::write(&path, configuration.to_string()).expect("written");
     let mut node = Node::of(Node::spawn(&path, 256));
     let mut client = Client::connect(node.address);
     let held = client.ask("once", 1, 9, b"hold");
@@ -87,8 +87,8 @@
         assert!(Instant::now() < end, "{order:?}: it runs");
         std::thread::yield_now();
     }
-    told["resolver"] = there.address.to_string().into();
-    std::fs::write(&path, told.to_string()).expect("written");
+    configuration["resolver"] = there.address.to_string().into();
+    std::fs::write(&path, configuration.to_string()).expect("written");
     let list = vec![
         ListedInvoker { draining: true, ..ListedInvoker::new(0, old.address) },
         ListedInvoker::new(1, new.address),
