--- a/crates/audit-log/src/audit.rs
+++ b/crates/audit-log/src/audit.rs
@@ -137,7 +137,7 @@
             _ => None,
         });
         let Some(controller) = started else {
-            let reason = format!("life {incarnation:016x} does not say whose it is");
+            let reason = format!("incarnation {incarnation:016x} has no entry that names its controller");
             self.gaps.push(Gap { incarnation: None, reason });
             return;
         };
@@ -165,7 +165,7 @@
                     }),
                     None => {
                         let number = entry.number;
-                        let reason = format!("line {number} acts on view {view}, whose line is missing");
+                        let reason = format!("entry {number} refers to view {view}, whose entry is missing");
                         self.add_fault(Some(who), reason);
                     }
                 },
@@ -173,7 +173,7 @@
             }
         }
         if !own && bounds(entries.last().map_or(0, |entry| entry.to)).is_none() {
-            let reason = "its clock is not known: it exchanged nothing with this life of the administration";
+            let reason = "its clock is not known: it exchanged nothing with this incarnation of the leader";
             self.add_fault(Some(who), reason.to_owned());
         }
     }
@@ -182,13 +182,16 @@
     fn add_explanation(&mut self, who: Incarnation, entry: &Entry) {
         match &entry.kind {
             EntryKind::Event { event: Event::LeaseEndedMeanwhile { stalled_ms }, .. } => {
-                self.explain(who, format!("it stood still for {stalled_ms} ms while its lease ran out"));
+                self.explain(
+                    who,
+                    format!("its process was paused for {stalled_ms} ms while its lease expired"),
+                );
             }
             EntryKind::Event { event: Event::Fenced, .. } => {
-                self.explain(who, "it was shut out".to_owned());
+                self.explain(who, "it was fenced".to_owned());
             }
             EntryKind::Gap { lines, why } => {
-                let reason = format!("{lines} lines before line {} are missing: {why}", entry.number);
+                let reason = format!("{lines} entries before entry {} are missing: {why}", entry.number);
                 self.add_fault(Some(who), reason);
             }
             _ => {}
@@ -208,9 +211,9 @@
     fn explanation(&self, who: Incarnation, stage: &str) -> String {
         let mut all: Vec<String> = self.explanations.get(&who).into_iter().flatten().cloned().collect();
         if stage != STAGE_CURRENT {
-            all.push(format!("it had no lease ({stage}): it heard nothing of the administration"));
+            all.push(format!("it had no lease ({stage}): no response of the leader reached it"));
         } else if all.is_empty() {
-            all.push("it had a lease: the news were on their way".to_owned());
+            all.push("it had a lease: the change was on its way".to_owned());
         }
         all.join("; ")
     }
--- a/crates/audit-log/src/chain.rs
+++ b/crates/audit-log/src/chain.rs
@@ -8,13 +8,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ChainError {
     /// A text is no entry.
-    #[error("text {index} is no line: it was altered")]
+    #[error("text {index} is no entry: it was altered")]
     Unreadable {
         /// Its index among the texts, from 0.
         index: usize,
     },
     /// Entries between these two numbers are missing.
-    #[error("lines {} to {} are missing", after + 1, before - 1)]
+    #[error("entries {} to {} are missing", after + 1, before - 1)]
     Missing {
         /// The last entry before the gap.
         after: u64,
@@ -22,13 +22,13 @@
         before: u64,
     },
     /// An entry does not follow on the text before it: one of the two was altered.
-    #[error("line {number} does not follow on the one before: one of them was altered")]
+    #[error("entry {number} does not follow on the one before: one of them was altered")]
     Altered {
         /// The entry that does not follow.
         number: u64,
     },
     /// The log itself says that entries are missing.
-    #[error("line {number} says that {entries} lines are missing: {why}")]
+    #[error("entry {number} says that {entries} entries are missing: {why}")]
     DeclaredGap {
         /// The entry that says so.
         number: u64,
@@ -38,7 +38,7 @@
         why: String,
     },
     /// The log does not begin with its first entry: the oldest were deleted to bound its size.
-    #[error("it begins with line {first}: the oldest were let go")]
+    #[error("it begins with entry {first}: the oldest were deleted")]
     Truncated {
         /// The oldest entry that is there.
         first: u64,
--- a/crates/audit-log/src/entry.rs
+++ b/crates/audit-log/src/entry.rs
@@ -32,18 +32,18 @@
     /// The random number of the incarnation that wrote it; see [`EntryKind::Started`].
     #[serde(rename = "life")]
     pub incarnation: u64,
-    /// When what it tells of began, by the clock of that incarnation.
+    /// When what it states began, by the clock of that incarnation.
     pub from: Millis,
-    /// When what it tells of ended.
+    /// When what it states ended.
     pub to: Millis,
     /// The hash of the entry before.
     pub prev: Hash,
-    /// What it tells.
+    /// What it states.
     #[serde(flatten)]
     pub kind: EntryKind,
 }
 
-/// What an entry tells.
+/// What an entry states.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "what", rename_all = "snake_case")]
 pub enum EntryKind {
@@ -167,7 +167,7 @@
     Fenced,
 }
 
-/// As serde asks: by reference.
+/// By reference, as serde calls it.
 fn is_zero(count: &u64) -> bool {
     *count == 0
 }
--- a/crates/audit-log/src/findings.rs
+++ b/crates/audit-log/src/findings.rs
@@ -92,7 +92,7 @@
     pub most_ms: i64,
     /// Calls accepted after the newer version was in force, by tenant.
     pub calls: BTreeMap<String, CallCount>,
-    /// Why, as far as the audit log tells.
+    /// Why, as far as the audit log shows.
     pub why: String,
 }
 
@@ -113,7 +113,7 @@
     pub certainty: Certainty,
     /// How many.
     pub calls: CallCount,
-    /// Why, as far as the audit log tells.
+    /// Why, as far as the audit log shows.
     pub why: String,
 }
 
--- a/crates/durable/src/record.rs
+++ b/crates/durable/src/record.rs
@@ -23,19 +23,19 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RecordError {
     /// There is no header: another program wrote it, or an early version of this one.
-    #[error("it has no seal")]
+    #[error("it has no header")]
     Unframed,
     /// There are no bytes.
     #[error("it is empty")]
     Empty,
     /// The header can't be read.
-    #[error("its head can't be read")]
+    #[error("its header can't be read")]
     Header,
     /// A format that this version does not know.
     #[error("its format is {0}, and {FORMAT} is the newest that is known here")]
     Format(u32),
     /// It is longer or shorter than its header states.
-    #[error("it holds {found} bytes, and its head tells of {expected}")]
+    #[error("it has {found} bytes, and its header states {expected}")]
     Length {
         /// Bytes that are there.
         found: usize,
@@ -43,7 +43,7 @@
         expected: usize,
     },
     /// The checksum is another.
-    #[error("its checksum is another: it was damaged or changed")]
+    #[error("its checksum does not match: it was damaged or changed")]
     Checksum,
 }
 
--- a/crates/durable/src/writer.rs
+++ b/crates/durable/src/writer.rs
@@ -102,7 +102,7 @@
                 written(result);
             }
         };
-        let thread = std::thread::Builder::new().name("keeper".to_owned()).spawn(work)?;
+        let thread = std::thread::Builder::new().name(THREAD_NAME.to_owned()).spawn(work)?;
         Ok(Self { shared, found, thread: Some(thread) })
     }
 
@@ -156,6 +156,9 @@
     }
 }
 
+/// The name by which the operating system shows the thread.
+const THREAD_NAME: &str = "keeper";
+
 /// How long a shutdown waits for the disk before it abandons the thread.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(2);
 
--- a/crates/fleet/src/recovery_policy.rs
+++ b/crates/fleet/src/recovery_policy.rs
@@ -60,7 +60,7 @@
         state: PersistedState::Snapshot,
         level: Trust::UntilNewer,
         max_age_ms: None,
-        harm: "a tenant who was suspended or removed since is served until the leader is heard",
+        harm: "a tenant who was suspended or removed since is served until the leader responds",
         fallback: "no tenant is served until the leader or a peer sends its snapshot",
     },
     Rule {
--- a/crates/tenant-store/src/cell.rs
+++ b/crates/tenant-store/src/cell.rs
@@ -39,7 +39,7 @@
         return Err(damaged(format!("{} bytes", bytes.len())));
     };
     if crc32fast::hash(json) != u32::from_le_bytes(*checksum) {
-        return Err(damaged("its checksum is another".to_owned()));
+        return Err(damaged("its checksum does not match".to_owned()));
     }
     serde_json::from_slice(json).map_err(|e| damaged(e.to_string()))
 }
--- a/crates/tenant-store/src/migration.rs
+++ b/crates/tenant-store/src/migration.rs
@@ -10,7 +10,7 @@
 use crate::error::{DatabaseResult, StoreError};
 use crate::schema::{AUDIT, FORMAT, META, META_FORMAT, META_STORE, RESPONSE_ORDER, RESPONSES, TENANTS};
 
-const CREATING: &str = "the tenant store's tables can't be made";
+const CREATING: &str = "the tenant store's tables can't be created";
 const MIGRATING: &str = "the tenant store can't be migrated";
 
 /// Creates what is missing, and migrates what is of an earlier format, in one transaction.
--- a/crates/tenant-store/src/snapshot.rs
+++ b/crates/tenant-store/src/snapshot.rs
@@ -128,7 +128,10 @@
             .map_err(|_| invalid(end, "the last line is no checksum: the file is cut off".to_owned()))?;
         let checked_bytes = text.len() - footer.len() - usize::from(text.ends_with('\n'));
         if crc32fast::hash(&text.as_bytes()[..checked_bytes]) != checksum.crc32 {
-            return Err(invalid(end, "the checksum is another: the file was changed or damaged".to_owned()));
+            return Err(invalid(
+                end,
+                "the checksum does not match: the file was changed or damaged".to_owned(),
+            ));
         }
         let read = |at: usize| body.get(at).copied().unwrap_or("");
         let header: Header = serde_json::from_str(read(0)).map_err(|e| invalid(0, e.to_string()))?;
--- a/crates/tenant-store/src/store.rs
+++ b/crates/tenant-store/src/store.rs
@@ -195,7 +195,7 @@
 fn checked(mut opened: Database) -> Result<Database, StoreError> {
     let intact = opened.check_integrity().during("the tenant store can't be checked")?;
     if !intact {
-        return Err(StoreError::Inconsistent("its pages were not what their checksums say".to_owned()));
+        return Err(StoreError::Inconsistent("its pages do not match their checksums".to_owned()));
     }
     Ok(opened)
 }
@@ -205,6 +205,6 @@
     std::panic::catch_unwind(open).unwrap_or_else(|panic| {
         let message = panic.downcast_ref::<&str>().map(|text| (*text).to_owned());
         let message = message.or_else(|| panic.downcast_ref::<String>().cloned());
-        Err(StoreError::Unreadable(message.unwrap_or_else(|| "its pages make no sense".to_owned())))
+        Err(StoreError::Unreadable(message.unwrap_or_else(|| "its pages can't be interpreted".to_owned())))
     })
 }
--- a/crates/tenant-store/src/writer.rs
+++ b/crates/tenant-store/src/writer.rs
@@ -14,10 +14,10 @@
 /// Responses that are stored to be repeated; the oldest are deleted first.
 pub(crate) const MAX_IDEMPOTENT_RESPONSES: u64 = 10_000;
 
-const COMMITTING: &str = "the change can't be kept";
-const UNDOING: &str = "a change that failed can't be taken back";
-const INSTALLING: &str = "the book can't be kept";
-const RESTORING: &str = "the snapshot can't be kept";
+const COMMITTING: &str = "the change can't be committed";
+const UNDOING: &str = "a change that failed can't be undone";
+const INSTALLING: &str = "the snapshot can't be installed";
+const RESTORING: &str = "the snapshot can't be restored";
 
 /// A response and the idempotency key that it is stored under.
 pub(crate) type KeyedResponse<'a> = (&'a str, &'a IdempotentResponse);
@@ -148,7 +148,7 @@
 fn fill(write: &WriteTransaction, snapshot: &Snapshot, now_ms: u64) -> Result<(), StoreError> {
     let mut meta = write.open_table(META).during(RESTORING)?;
     if meta.get(META_REVISION).during(RESTORING)?.is_some() {
-        let what = "a snapshot is restored into an empty store alone";
+        let what = "a snapshot can be restored only into an empty store";
         return Err(StoreError::Inconsistent(what.to_owned()));
     }
     meta.insert(META_REVISION, snapshot.revision).during(RESTORING)?;
