--- a/tests/guards.rs
+++ b/tests/guards.rs
@@ -32,7 +32,7 @@
         }
     }
     harness.advance(600 * MS);
-    assert_ne!(sent(&harness.call(20, 1, 9, 4)), Some(home), "no unsafe call is a trial");
+    assert_ne!(sent(&harness.call(20, 1, 9, 4)), Some(home), "no non-idempotent call is a trial");
     harness.end_attempt(20, 0, 3 - home, Outcome::Ok, Some(LoadNote::Warm));
     harness.update_worker(3 - home, WorkerState::Draining, None);
     assert_eq!(sent(&harness.call(21, 0, 9, 4)), Some(home));
@@ -163,7 +163,7 @@
 }
 
 /// Serves one call of function 9 and tells how many of its calls the worker held.
-fn crowded(harness: &mut Harness, id: u64, at: u64, crowd: u32) -> Vec<Action> {
+fn served_with_concurrency(harness: &mut Harness, id: u64, at: u64, concurrent_calls: u32) -> Vec<Action> {
     harness.handle(Event::Outcome {
         request: RequestId(id),
         attempt: 0,
@@ -172,7 +172,7 @@
         finished: true,
         elapsed: 50 * MS,
         note: Some(LoadNote::Warm),
-        concurrent_calls: Some(crowd),
+        concurrent_calls: Some(concurrent_calls),
         report: None,
     })
 }
@@ -181,7 +181,7 @@
 fn calls_of_other_controllers_count_and_a_replica_is_ordered_at_the_next_worker() {
     let mut harness = Harness::new(settings(), 4);
     let home = sent(&harness.call(1, 0, 9, 2)).unwrap();
-    crowded(&mut harness, 1, home, 6);
+    served_with_concurrency(&mut harness, 1, home, 6);
     let next = harness.call(2, 0, 9, 2);
     assert_eq!(loads(&next), 1, "all replicas are under pressure: {next:?}");
     let at = next.iter().find_map(|a| if let Action::Load { worker, .. } = a { Some(*worker) } else { None });
@@ -195,7 +195,7 @@
     });
     harness.advance(100 * MS);
     assert_eq!(sent(&harness.call(3, 0, 9, 2)).map(WorkerId), at, "the replica found there is used");
-    crowded(&mut harness, 3, at.unwrap().0, 0);
+    served_with_concurrency(&mut harness, 3, at.unwrap().0, 0);
     harness.advance(3 * S);
     assert_eq!(loads(&harness.call(4, 0, 9, 2)), 0, "pressure fades");
 }
@@ -210,11 +210,11 @@
     let worker = WorkerId(home);
     harness.handle(Event::Probed { worker, outcome: Outcome::ConnectFailed, report: None });
     let mut there = 0;
-    let mut asked = 0;
+    let mut probed = 0;
     for id in 10..60 {
         let mut seen = harness.call(id, 0, 9, 4);
         seen.extend(harness.advance(50 * MS));
-        asked += probes(&seen);
+        probed += probes(&seen);
         for (request, at) in sends(&seen) {
             there += usize::from(at == home);
             harness.end_attempt(request, 0, at, Outcome::Ok, Some(LoadNote::Warm));
@@ -225,7 +225,7 @@
         }
     }
     assert_eq!(there, 0, "no call goes to a worker that is down");
-    assert!(asked >= 2, "probes try it");
+    assert!(probed >= 2, "probes try it");
 }
 
 #[test]
@@ -253,11 +253,11 @@
     let home = harness.serve_warm(1, 9, 4);
     harness.call(2, 1, 9, 4);
     let broke = Event::Probed { worker: WorkerId(home), outcome: Outcome::Reset, report: None };
-    let mut asked = probes(&harness.end_attempt(2, 0, home, Outcome::Reset, None));
+    let mut probed = probes(&harness.end_attempt(2, 0, home, Outcome::Reset, None));
     for _ in 0..10 {
-        asked += probes(&harness.handle(broke.clone()));
+        probed += probes(&harness.handle(broke.clone()));
     }
-    assert_eq!(asked, 1);
+    assert_eq!(probed, 1);
 }
 
 #[test]
@@ -277,14 +277,14 @@
     set.reports = Reports::Probe;
     let mut harness = Harness::new(set, 3);
     let first = harness.call(1, 0, 9, 2);
-    let asked = |actions: &[Action]| {
+    let probed_worker = |actions: &[Action]| {
         actions.iter().find_map(|a| if let Action::Probe { worker } = a { Some(*worker) } else { None })
     };
-    let worker = asked(&first).expect("a probe goes first");
+    let worker = probed_worker(&first).expect("a probe goes first");
     assert!(sends(&first).is_empty());
     let report = Some(Report { inflight: Some(60.0), ..Report::default() });
     let then = harness.handle(Event::Probed { worker, outcome: Outcome::Ok, report });
-    let other = asked(&then).expect("the next is probed");
+    let other = probed_worker(&then).expect("the next is probed");
     let report = Some(Report { inflight: Some(0.0), ..Report::default() });
     let last = harness.handle(Event::Probed { worker: other, outcome: Outcome::Ok, report });
     assert_eq!(sends(&last), vec![(1, other.0)]);
@@ -301,8 +301,8 @@
     harness.end_attempt(1, 0, home, Outcome::Ok, Some(LoadNote::Warm));
     harness.advance(S);
     let known = harness.call(2, 0, 9, 2);
-    assert!(probes(&known) == 1 && sends(&known).is_empty(), "where its replica stands, news are asked for");
-    // Its home drains: a further replica is a choice, and the next worker is asked before it is made.
+    assert!(probes(&known) == 1 && sends(&known).is_empty(), "where its replica stands, its load is probed");
+    // Its home drains: an additional replica is a choice, and the next worker is probed before it is made.
     let next = harness.update_worker(home, WorkerState::Draining, None);
     assert!(probes(&next) == 1 && sends(&next).is_empty(), "a replica is known elsewhere");
 }
@@ -324,9 +324,13 @@
     for id in 10..16 {
         assert_eq!(sent(&harness.call(id, 0, 8, 8)), Some(1));
     }
-    let mut asked = harness.advance(700 * MS);
-    asked.extend(harness.call(20, 0, 9, 4));
-    assert_eq!((sent(&asked), probes(&asked)), (None, 1), "six are out, over its four lanes: {asked:?}");
+    let mut actions = harness.advance(700 * MS);
+    actions.extend(harness.call(20, 0, 9, 4));
+    assert_eq!(
+        (sent(&actions), probes(&actions)),
+        (None, 1),
+        "six are out, over its four lanes: {actions:?}"
+    );
     assert_eq!(sent(&report(&mut harness, 0.95)), None, "crowded");
     harness.advance(700 * MS);
     harness.call(21, 0, 9, 4);
@@ -410,11 +414,11 @@
     let mut gaps = Vec::new();
     for _ in 0..8 {
         harness.handle(Event::Workers { form: ListForm::Failed, entries: vec![] });
-        let asked = harness.now;
+        let failed_at = harness.now;
         while !harness.advance(2 * MS).contains(&Action::Watch) {
-            assert!(harness.now < asked + 10 * S, "polled again before it is deemed notified");
+            assert!(harness.now < failed_at + 10 * S, "polled again before it is deemed notified");
         }
-        gaps.push(harness.now - asked);
+        gaps.push(harness.now - failed_at);
     }
     assert!(gaps[7] > gaps[0]);
 }
--- a/tests/order.rs
+++ b/tests/order.rs
@@ -1,4 +1,4 @@
-//! The shared order of workers, as calls follow it, held against the order sorted whole in the test.
+//! The shared order of workers, as calls follow it, held against the order sorted completely in the test.
 
 mod common;
 use std::collections::BTreeMap;
@@ -196,7 +196,7 @@
 }
 
 /// One hears every change by itself and calls in between; one hears them in groups of lines that undo each
-/// other; one hears only whole lists.
+/// other; one receives only complete lists.
 #[test]
 fn controllers_that_received_the_same_changes_in_other_batches_have_the_same_order() {
     let all = entries(1..1_000);
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -165,8 +165,8 @@
 fn a_restarted_controller_counts_what_its_earlier_incarnation_may_have_sent() {
     let controller = Controller::new(settings(), 3).unwrap();
     let mut harness = Harness { controller, now: 100 * S, workers: vec![] };
-    let cold = WorkerEntry { started_at: Some(99 * S), ..entry(1) };
-    harness.handle(Event::Workers { form: ListForm::Restored, entries: vec![cold] });
+    let warming = WorkerEntry { started_at: Some(99 * S), ..entry(1) };
+    harness.handle(Event::Workers { form: ListForm::Restored, entries: vec![warming] });
     assert!(sends(&harness.call(1, SAFE, 9, 2)).is_empty());
     assert!(sends(&harness.advance(1900 * MS)).is_empty());
     assert_eq!(sends(&harness.advance(S)).len(), 1, "after a fall span it takes calls again");
@@ -220,7 +220,7 @@
                 given += loads(&harness.end_attempt(request, 0, at, Outcome::NotLoaded, None));
             }
         }
-        assert_eq!(given, least + 2, "a window after the start the ration is whole");
+        assert_eq!(given, least + 2, "a window after the start the complete ration is available");
     }
 }
 
