--- a/crates/gateway/src/front/headers.rs
+++ b/crates/gateway/src/front/headers.rs
@@ -3,13 +3,13 @@
 use http::{Method, StatusCode, request};
 use nettleferry::Micros;
 use nettleferry_net::grpc::{Code, read_timeout};
-use nettleferry_proto::marks;
+use nettleferry_proto::metadata;
 
 use super::failure::Failure;
 
 /// What is read of the headers.
 #[derive(Debug)]
-pub struct RequestHeaders {
+pub(super) struct RequestHeaders {
     /// The client's deadline, on the controller's clock.
     pub deadline: Option<Micros>,
     /// Messages may be compressed with gzip.
@@ -24,7 +24,7 @@
 
 /// Checks that it is a gRPC request. Else it is to be answered with this HTTP status ("gRPC over HTTP2": 415 for another
 /// content type).
-pub fn check_grpc(head: &request::Parts) -> Result<(), StatusCode> {
+pub(super) fn check_grpc(head: &request::Parts) -> Result<(), StatusCode> {
     if head.method != Method::POST {
         return Err(StatusCode::METHOD_NOT_ALLOWED);
     }
@@ -39,7 +39,7 @@
 }
 
 /// Reads deadline, encoding and metadata.
-pub fn read(head: &request::Parts, now: Micros) -> Result<RequestHeaders, Failure> {
+pub(super) fn read(head: &request::Parts, now: Micros) -> Result<RequestHeaders, Failure> {
     let text = |name: &str| head.headers.get(name).map(|v| v.to_str().unwrap_or("\u{fffd}"));
     let deadline = match text("grpc-timeout") {
         None => None,
@@ -62,8 +62,8 @@
     Ok(RequestHeaders {
         deadline,
         gzip,
-        tenant: text(marks::TENANT).map(str::to_owned),
-        errors_end_stream: text(marks::GRPC_ERROR) == Some("true"),
+        tenant: text(metadata::TENANT).map(str::to_owned),
+        errors_end_stream: text(metadata::GRPC_ERROR) == Some("true"),
         is_retry: text("grpc-previous-rpc-attempts").is_some(),
     })
 }
