--- a/crates/gateway/tests/cut.rs
+++ b/crates/gateway/tests/cut.rs
@@ -33,32 +33,38 @@
     for handle in fleet.handles.iter().filter(|h| CUT.contains(&h.name.as_str())) {
         handle.tell(Fault::Cut { door: 0, cut });
     }
-    eventually("the links are told", || {
+    eventually("the links are cut or restored", || {
         fleet.count(|s| matches!(s, Seen::Link { cut: c, .. } if *c == cut)) == CUT.len()
     });
 }
 
-/// A call's attempts as they arrived: worker, number, whether it ran.
-type Arrived = BTreeMap<String, Vec<(String, Option<u32>, bool)>>;
+/// An attempt that arrived at a worker.
+#[derive(Debug)]
+struct Attempt {
+    worker: String,
+    number: Option<u32>,
+    ran: bool,
+}
 
-fn arrived(records: &[Record]) -> Arrived {
+/// The attempts that arrived, in order, by the id of their call.
+fn arrived_attempts(records: &[Record]) -> BTreeMap<String, Vec<Attempt>> {
     let mut streams = BTreeMap::new();
-    let mut arrived = Arrived::new();
+    let mut attempts: BTreeMap<String, Vec<Attempt>> = BTreeMap::new();
     for Record { worker, seen, .. } in records {
         match seen {
             Seen::Call { stream, id, attempt, .. } => {
-                let tries = arrived.entry(id.clone()).or_default();
-                streams.insert((worker, *stream), (id.clone(), tries.len()));
-                tries.push((worker.clone(), *attempt, false));
+                let of_call = attempts.entry(id.clone()).or_default();
+                streams.insert((worker, *stream), (id.clone(), of_call.len()));
+                of_call.push(Attempt { worker: worker.clone(), number: *attempt, ran: false });
             }
             Seen::Runs { stream } => {
-                let (id, at) = &streams[&(worker, *stream)];
-                arrived.get_mut(id).expect("it came")[*at].2 = true;
+                let (id, index) = &streams[&(worker, *stream)];
+                attempts.get_mut(id).expect("it arrived")[*index].ran = true;
             }
             _ => {}
         }
     }
-    arrived
+    attempts
 }
 
 #[test]
@@ -109,19 +115,23 @@
             ours.skip_while(|r| !matches!(r.seen, Seen::Link { cut: false, .. })).any(newer)
         })
     });
-    let arrived = arrived(fleet.look());
+    let arrived = arrived_attempts(fleet.look());
     let kind = |id: &str| KINDS.into_iter().find(|kind| id.starts_with(kind));
-    let unsafe_ones = |id: &str| matches!(kind(id), Some("echo-once" | "echo-patient"));
-    let behind = |tries: &[(String, Option<u32>, bool)]| tries.iter().any(|t| CUT.contains(&t.0.as_str()));
-    let held_back = arrived.iter().filter(|(id, tries)| unsafe_ones(id) && behind(tries)).count();
+    let is_non_idempotent = |id: &str| matches!(kind(id), Some("echo-once" | "echo-patient"));
+    let behind_a_cut =
+        |attempts: &[Attempt]| attempts.iter().any(|attempt| CUT.contains(&attempt.worker.as_str()));
+    let held_back =
+        arrived.iter().filter(|(id, attempts)| is_non_idempotent(id) && behind_a_cut(attempts)).count();
     assert!(held_back > 0, "the cut holds requests back");
-    let again = arrived.iter().filter(|(id, tries)| {
-        kind(id) == Some("echo-safe") && behind(tries) && tries.iter().any(|t| t.1 > Some(0))
+    let retried = arrived.iter().filter(|(id, attempts)| {
+        kind(id) == Some("echo-safe")
+            && behind_a_cut(attempts)
+            && attempts.iter().any(|attempt| attempt.number > Some(0))
     });
-    assert!(again.count() > 0, "safe ones are repeated elsewhere");
-    for (id, tries) in arrived.iter().filter(|(id, _)| unsafe_ones(id)) {
+    assert!(retried.count() > 0, "idempotent calls are retried elsewhere");
+    for (id, attempts) in arrived.iter().filter(|(id, _)| is_non_idempotent(id)) {
         // No proof can come through a cut link, so there is one attempt and no more.
-        assert!(tries.len() == 1 && tries[0].1 == Some(0), "{id}: {tries:?}");
-        assert!(!refused.contains(id), "{id} was refused and arrived: {tries:?}");
+        assert!(attempts.len() == 1 && attempts[0].number == Some(0), "{id}: {attempts:?}");
+        assert!(!refused.contains(id), "{id} was refused and arrived: {attempts:?}");
     }
 }
