--- a/adapter/src/wire/error.rs
+++ b/adapter/src/wire/error.rs
@@ -67,9 +67,9 @@
     /// It is of another kind than this.
     #[error("is not {0}")]
     NotA(&'static str),
-    /// It is a word that the wire does not have.
+    /// It is a keyword that the wire does not have.
     #[error("is unknown")]
-    UnknownWord,
+    UnknownKeyword,
     /// It is a number that the wire does not have.
     #[error("{0} is unknown")]
     UnknownNumber(u64),
