--- a/crates/fleet/tests/lease_model.rs
+++ b/crates/fleet/tests/lease_model.rs
@@ -1,4 +1,4 @@
-//! Every order of asks, answers, losses, stalls, a change, an administration that starts again and clocks that run
+//! Every order of requests, responses, losses, stalls, a change, a leader that starts again and clocks that run
 //! apart, with the real leases and the real membership: nobody acts without a change that was acknowledged as in force.
 //! Mutants of the decisions are each found.
 
@@ -9,11 +9,11 @@
 
 const HOLDERS: usize = 2;
 /// Steps of true time, and what one of them is.
-const MOST_TICKS: u64 = 4;
+const MAX_TICKS: u64 = 4;
 const TICK: Millis = 1_000;
 const SPAN: Millis = 2 * TICK;
 /// Exchanges of each holder at the most.
-const MOST_ASKS: [u8; HOLDERS] = [2, 1];
+const MAX_REQUESTS: [u8; HOLDERS] = [2, 1];
 const CHANGE: Version = Version { epoch: 1, revision: 2 };
 const BEFORE: Version = Version { epoch: 1, revision: 1 };
 
@@ -24,10 +24,10 @@
     WakesUnchecked,
     /// Acknowledged when it is committed.
     AcknowledgedAtOnce,
-    /// A new administration believes that nobody has a lease.
+    /// A new leader believes that nobody has a lease.
     ForgetsLeases,
-    /// A lease is counted from when its answer came.
-    CountedFromAnswer,
+    /// A lease is counted from when its response came.
+    CountedFromResponse,
     /// Clocks are taken to agree.
     ClocksAgree,
 }
@@ -38,14 +38,14 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct One {
+struct HolderState {
     in_force: Version,
     until: Option<Millis>,
-    asks: u8,
-    /// An ask on its way: when it left, by its own clock, and what it told.
-    ask: Option<(Millis, Version)>,
-    /// An answer on its way: to an ask of then, with this book.
-    answer: Option<(Millis, Version)>,
+    requests: u8,
+    /// A request on its way: when it left, by its own clock, and what it reported.
+    request: Option<(Millis, Version)>,
+    /// A response on its way: to a request of then, with this snapshot.
+    response: Option<(Millis, Version)>,
     stalled: bool,
     /// It had a lease when it was stopped.
     checked: bool,
@@ -54,29 +54,29 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
     ticks: u64,
-    /// Whose clocks are fast: the administration's, then the holders'.
+    /// Whose clocks are fast: the leader's, then the holders'.
     fast: [bool; HOLDERS + 1],
     membership: Membership,
-    book: Version,
-    holders: Vec<One>,
-    /// When the change was made, by the administration's clock.
+    snapshot: Version,
+    holders: Vec<HolderState>,
+    /// When the change was made, by the leader's clock.
     changed: Millis,
     acknowledged: bool,
     restarted: bool,
     /// A holder acted without a change that was acknowledged.
-    wrong: bool,
+    violated: bool,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-enum Act {
+enum Step {
     Tick,
     Change,
     Restart,
-    Ask(usize),
+    Request(usize),
     Arrives(usize),
-    AskLost(usize),
-    Answered(usize),
-    AnswerLost(usize),
+    RequestLost(usize),
+    Responded(usize),
+    ResponseLost(usize),
     Stalls(usize),
     Wakes(usize),
 }
@@ -87,7 +87,7 @@
     Incarnation { controller: n as u32, incarnation: 1 }
 }
 
-fn holder(one: &One) -> Holder {
+fn holder(one: &HolderState) -> Holder {
     let mut holder = Holder::new(0, LeasePolicy { rejects: true, not_ready_after: None });
     if let Some(until) = one.until {
         holder.renewed(until);
@@ -110,37 +110,37 @@
 
     /// Whoever may act does so in every state: it must have what was acknowledged.
     fn settle(&mut self, mutant: Mutant) {
-        if self.book == CHANGE && !self.acknowledged {
+        if self.snapshot == CHANGE && !self.acknowledged {
             // Without the allowance for clocks, leases are out that much earlier.
             let early = if mutant == Mutant::ClocksAgree { lease::error_of(SPAN) } else { 0 };
             let progress = self.membership.progress(self.now() + early, CHANGE, 0);
             self.acknowledged = mutant == Mutant::AcknowledgedAtOnce || progress.is_in_force();
         }
         let behind = |n: usize| self.holders[n].in_force < CHANGE && self.acts(n);
-        self.wrong |= self.acknowledged && (0..HOLDERS).any(behind);
+        self.violated |= self.acknowledged && (0..HOLDERS).any(behind);
     }
 }
 
 impl Model for Fleet {
     type State = State;
-    type Action = Act;
+    type Action = Step;
 
     fn init_states(&self) -> Vec<State> {
         let span = |now| Membership::new(now, Some(SPAN), None, 0);
-        // The administration's clock, and those of the holders.
+        // The leader's clock, and those of the holders.
         (0..4u32)
             .map(|bits| State {
                 ticks: 0,
                 fast: std::array::from_fn(|n| bits >> n.min(1) & 1 == 1),
                 membership: span(0),
-                book: BEFORE,
+                snapshot: BEFORE,
                 holders: vec![
-                    One {
+                    HolderState {
                         in_force: BEFORE,
                         until: None,
-                        asks: 0,
-                        ask: None,
-                        answer: None,
+                        requests: 0,
+                        request: None,
+                        response: None,
                         stalled: false,
                         checked: false
                     };
@@ -149,100 +149,104 @@
                 changed: 0,
                 acknowledged: false,
                 restarted: false,
-                wrong: false,
+                violated: false,
             })
             .collect()
     }
 
-    fn actions(&self, state: &State, out: &mut Vec<Act>) {
-        if state.wrong {
-            // What follows on a wrong act shows nothing more.
+    fn actions(&self, state: &State, out: &mut Vec<Step>) {
+        if state.violated {
+            // What follows on a violation shows nothing more.
             return;
         }
-        if state.ticks < MOST_TICKS {
-            out.push(Act::Tick);
+        if state.ticks < MAX_TICKS {
+            out.push(Step::Tick);
         }
-        if state.book == BEFORE {
-            out.push(Act::Change);
+        if state.snapshot == BEFORE {
+            out.push(Step::Change);
         }
         if !state.restarted && state.ticks > 0 {
-            out.push(Act::Restart);
+            out.push(Step::Restart);
         }
         for (n, one) in state.holders.iter().enumerate() {
-            if one.asks < MOST_ASKS[n] && one.ask.is_none() && one.answer.is_none() && !one.stalled {
-                out.push(Act::Ask(n));
+            if one.requests < MAX_REQUESTS[n]
+                && one.request.is_none()
+                && one.response.is_none()
+                && !one.stalled
+            {
+                out.push(Step::Request(n));
             }
-            if one.ask.is_some() {
-                out.push(Act::Arrives(n));
+            if one.request.is_some() {
+                out.push(Step::Arrives(n));
             }
-            if one.answer.is_some() && !one.stalled {
-                out.push(Act::Answered(n));
+            if one.response.is_some() && !one.stalled {
+                out.push(Step::Responded(n));
             }
-            // One of them stands still, and loses what it could ask again for; what others lose just never comes.
+            // One of them stalls and loses messages for which it can send another request; what others lose just never comes.
             if n == 0 {
-                if one.ask.is_some() {
-                    out.push(Act::AskLost(n));
+                if one.request.is_some() {
+                    out.push(Step::RequestLost(n));
                 }
-                if one.answer.is_some() {
-                    out.push(Act::AnswerLost(n));
+                if one.response.is_some() {
+                    out.push(Step::ResponseLost(n));
                 }
-                out.push(if one.stalled { Act::Wakes(n) } else { Act::Stalls(n) });
+                out.push(if one.stalled { Step::Wakes(n) } else { Step::Stalls(n) });
             }
         }
     }
 
-    fn next_state(&self, state: &State, act: Act) -> Option<State> {
+    fn next_state(&self, state: &State, act: Step) -> Option<State> {
         let mut next = state.clone();
         let now = state.now();
         match act {
-            Act::Tick => next.ticks += 1,
-            Act::Change => {
-                next.book = CHANGE;
+            Step::Tick => next.ticks += 1,
+            Step::Change => {
+                next.snapshot = CHANGE;
                 next.changed = now;
             }
-            Act::Restart => {
+            Step::Restart => {
                 next.restarted = true;
                 let before = (self.0 != Mutant::ForgetsLeases).then_some(SPAN);
                 next.membership = Membership::new(now, Some(SPAN), before, 0);
             }
-            Act::Ask(n) => {
+            Step::Request(n) => {
                 let clock = state.clock(n);
                 let one = &mut next.holders[n];
-                one.asks += 1;
-                one.ask = Some((clock, one.in_force));
+                one.requests += 1;
+                one.request = Some((clock, one.in_force));
             }
-            Act::Arrives(n) => {
-                let (asked, in_force) = next.holders[n].ask.take()?;
+            Step::Arrives(n) => {
+                let (asked, in_force) = next.holders[n].request.take()?;
                 next.membership.heartbeat(
                     now,
                     who(n),
                     MemberState { in_force, persisted: in_force, requires_lease: true },
                 );
-                next.membership.grant(now, who(n), state.book).ok()?;
-                next.holders[n].answer = Some((asked, state.book));
+                next.membership.grant(now, who(n), state.snapshot).ok()?;
+                next.holders[n].response = Some((asked, state.snapshot));
             }
-            Act::AskLost(n) => next.holders[n].ask = None,
-            Act::Answered(n) => {
+            Step::RequestLost(n) => next.holders[n].request = None,
+            Step::Responded(n) => {
                 let clock = state.clock(n);
                 let one = &mut next.holders[n];
-                let (asked, book) = one.answer.take()?;
-                let asked = if self.0 == Mutant::CountedFromAnswer { clock } else { asked };
+                let (asked, snapshot) = one.response.take()?;
+                let asked = if self.0 == Mutant::CountedFromResponse { clock } else { asked };
                 let until = match self.0 {
                     Mutant::ClocksAgree => asked + SPAN,
                     _ => lease::ends(asked, SPAN),
                 };
-                one.in_force = book;
+                one.in_force = snapshot;
                 one.until = one.until.max(Some(until));
             }
-            Act::AnswerLost(n) => next.holders[n].answer = None,
-            Act::Stalls(n) => {
+            Step::ResponseLost(n) => next.holders[n].response = None,
+            Step::Stalls(n) => {
                 next.holders[n].checked = state.acts(n);
                 next.holders[n].stalled = true;
             }
-            Act::Wakes(n) => {
+            Step::Wakes(n) => {
                 next.holders[n].stalled = false;
                 let unchecked = self.0 == Mutant::WakesUnchecked && next.holders[n].checked;
-                next.wrong |= unchecked && next.acknowledged && next.holders[n].in_force < CHANGE;
+                next.violated |= unchecked && next.acknowledged && next.holders[n].in_force < CHANGE;
                 next.holders[n].checked = false;
             }
         }
@@ -252,11 +256,11 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("nobody acts without what was acknowledged", |_, s: &State| !s.wrong),
+            Property::always("nobody acts without what was acknowledged", |_, s: &State| !s.violated),
             Property::always("a change is acknowledged within a span, whatever is lost", |_, s: &State| {
                 let bound =
                     (s.changed + SPAN + lease::error_of(SPAN)).max(s.membership.earlier_leases_over());
-                s.acknowledged || s.book == BEFORE || s.now() < bound
+                s.acknowledged || s.snapshot == BEFORE || s.now() < bound
             }),
             Property::sometimes("one that never heard of it is waited out", |_, s: &State| {
                 s.acknowledged && s.holders.iter().any(|h| h.until.is_some() && h.in_force == BEFORE)
@@ -280,7 +284,7 @@
         Mutant::WakesUnchecked,
         Mutant::AcknowledgedAtOnce,
         Mutant::ForgetsLeases,
-        Mutant::CountedFromAnswer,
+        Mutant::CountedFromResponse,
         Mutant::ClocksAgree,
     ] {
         let checked = Fleet(mutant).checker().finish_when(HasDiscoveries::AnyFailures).spawn_bfs().join();
--- a/crates/fleet/tests/loss.rs
+++ b/crates/fleet/tests/loss.rs
@@ -1,4 +1,4 @@
-//! Which book stands after a loss: random losses and returns, with what must never come of them.
+//! Which snapshot is in force after a loss: random losses and returns, with what must never come of them.
 
 use nettleferry_fleet::authority::{Authority, Cause, Duty, Step};
 use nettleferry_fleet::bootstrap::{self, Bootstrap, PeerResponse};
@@ -20,13 +20,13 @@
     a.set_own(4, version(2, 9), true);
     assert_eq!(a.duty().0, Duty::Serving);
     assert_eq!(a.report_received(5, 1, Some(version(1, 7))), Step::None);
-    assert_eq!(a.duty().0, Duty::Serving, "who is behind follows");
+    assert_eq!(a.duty().0, Duty::Serving, "a controller that is behind follows");
 }
 
 #[test]
 fn older_snapshot_is_not_served_and_an_empty_one_is_never_the_newest() {
     let mut older = Authority::new(0, Some(version(1, 5)), 2);
-    assert_eq!(older.duty().0, Duty::Serving, "until it is told otherwise");
+    assert_eq!(older.duty().0, Duty::Serving, "until a report says otherwise");
     assert_eq!(older.report_received(1, 1, Some(version(1, 6))), Step::None);
     assert_eq!(older.duty().0, Duty::Waiting(Cause::Behind));
     assert_eq!(older.report_received(2, 2, Some(version(1, 5))), Step::Install(1, version(1, 6)));
@@ -39,7 +39,7 @@
     first.report_received(1, 1, None);
     assert_eq!(first.duty().0, Duty::Waiting(Cause::Empty));
     first.report_received(2, 2, None);
-    assert_eq!(first.duty().0, Duty::Serving, "nobody holds any: an installation begins");
+    assert_eq!(first.duty().0, Duty::Serving, "nobody has any: a new installation");
 }
 
 #[test]
@@ -49,14 +49,14 @@
     a.report_received(1, 1, Some(version(1, 6)));
     assert_eq!(a.report_received(2, 2, Some(forged.clone())), Step::None);
     assert_eq!(a.duty().0, Duty::Waiting(Cause::Disagreed));
-    // The word of an operator stands above both.
+    // An operator's decision supersedes both.
     let origin = a.superseding_origin().expect("snapshots are known");
     let decided = SnapshotVersion { store: origin.store, epoch: origin.epoch, ..version(0, 6) };
     assert_eq!(
         (decided.compare(&forged), decided.compare(&version(1, 6))),
         (VersionOrder::Ahead, VersionOrder::Ahead)
     );
-    // One that told its book anew agrees, and the fleet goes on without an operator.
+    // One that reported again agrees, and the fleet goes on without an operator.
     assert_eq!(a.report_received(3, 2, Some(version(1, 6))), Step::Install(1, version(1, 6)));
 }
 
@@ -92,15 +92,15 @@
             bootstrap::Step::Forked => panic!("all are of one store"),
         }
     }
-    let taken = taken.expect("one of them has a book");
+    let taken = taken.expect("one of them has a snapshot");
     assert!(asked.len() <= bootstrap::MAX_PEERS_PER_ROUND, "{asked:?}");
     let newest = asked.iter().filter(|p| **p % 3 != 0).map(|p| p % 7).max();
     assert_eq!(newest, Some(taken % 7));
-    assert!(now >= bootstrap::LEADER_HEAD_START, "the administration is asked first");
+    assert!(now >= bootstrap::LEADER_HEAD_START, "the leader is asked first");
 }
 
 proptest! {
-    /// Whoever is heard in whichever order, with whatever kept: nothing that any disk holds is given up.
+    /// Whatever the order of reports and the snapshots on disks: no change that any disk has is given up.
     #[test]
     fn no_acknowledged_change_is_given_up(
         own in proptest::option::of(0u64..6),
@@ -113,11 +113,11 @@
         for (now, who) in order.iter().enumerate() {
             let who = who % held.len();
             let step = a.report_received(now as u64, who as u32, held[who].map(|r| version(1, r)));
-            if let Step::Install(from, stamp) = step {
-                prop_assert_eq!(stamp.revision, newest, "the newest of all disks");
-                prop_assert_eq!(held[from as usize], Some(newest), "from one that holds it");
-                serving = Some(stamp.revision);
-                a.set_own(now as u64, SnapshotVersion { epoch: 2, ..stamp }, true);
+            if let Step::Install(from, version) = step {
+                prop_assert_eq!(version.revision, newest, "the newest of all disks");
+                prop_assert_eq!(held[from as usize], Some(newest), "from one that has it");
+                serving = Some(version.revision);
+                a.set_own(now as u64, SnapshotVersion { epoch: 2, ..version }, true);
                 break;
             }
         }
--- a/crates/fleet/tests/model.rs
+++ b/crates/fleet/tests/model.rs
@@ -1,34 +1,34 @@
-//! Every order of changes, followers' asks, losses of disks and losses of power, with the real decisions: an
-//! administration and two controllers that follow. Mutants of the decisions are each found.
+//! Every order of changes, followers' heartbeats, losses of disks and losses of power, with the real decisions: an
+//! leader and two controllers that follow. Mutants of the decisions are each found.
 
-use nettleferry_fleet::authority::{Authority, Duty, Step};
+use nettleferry_fleet::authority::{Authority, Duty, Step as NextStep};
 use nettleferry_fleet::bootstrap;
 use nettleferry_fleet::snapshot_version::SnapshotVersion;
 use stateright::{Checker, Model, Property};
 
-/// Followers; the administration's disk is the first.
+/// Followers; the leader's disk is the first.
 const FOLLOWERS: usize = 2;
-const MOST_CHANGES: u64 = 2;
-const MOST_LOSSES: u8 = 2;
-const MOST_POWER: u8 = 2;
+const MAX_CHANGES: u64 = 2;
+const MAX_LOSSES: u8 = 2;
+const MAX_POWER: u8 = 2;
 
 /// What is wrong in a model that must be found wrong.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Mutant {
     None,
-    /// A follower tells nothing of its book and takes whatever it is given.
-    AsBefore,
-    /// The administration takes the first book that it hears of.
-    TakesFirst,
-    /// A book that can't be read is an empty one, and served.
+    /// A follower reports no snapshot and installs whatever it gets.
+    WithoutVersions,
+    /// The leader installs the first snapshot that is reported.
+    InstallsFirst,
+    /// A snapshot that can't be read is an empty one, and served.
     UnreadIsEmpty,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
-    /// Books on disks: the administration's, then the followers'. `None`: lost.
+    /// Snapshots on disks: the leader's, then the followers'. `None`: lost.
     disks: Vec<Option<SnapshotVersion>>,
-    /// The administration's disk as it was one change before.
+    /// The leader's disk as it was one change before.
     older: Option<SnapshotVersion>,
     authority: Authority,
     changes: u64,
@@ -36,21 +36,21 @@
     power: u8,
     /// A change that a disk still held was given up.
     undone: bool,
-    /// A follower served from a book that is behind what it held.
+    /// A follower served from a snapshot that is behind what it held.
     back: bool,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-enum Act {
+enum Step {
     Change,
-    /// A follower asks: it tells what it holds, and is given a book where the administration serves.
-    Asks(usize),
+    /// A follower reports its snapshot, and gets the leader's where it serves.
+    Heartbeat(usize),
     /// The disk is lost; its process goes with it and is back without.
-    Loses(usize),
-    /// The administration's disk comes back as it was a change before.
+    DiskLost(usize),
+    /// The leader's disk comes back as it was a change before.
     Older,
     /// Everything starts again from its disk.
-    Power,
+    PowerLost,
 }
 
 struct Fleet(Mutant);
@@ -61,13 +61,13 @@
 
 impl Fleet {
     fn start(&self, disks: &[Option<SnapshotVersion>]) -> Authority {
-        let expected = if self.0 == Mutant::TakesFirst { 1 } else { FOLLOWERS };
+        let expected = if self.0 == Mutant::InstallsFirst { 1 } else { FOLLOWERS };
         let own = match (&disks[0], self.0) {
             (None, Mutant::UnreadIsEmpty) => Some(SnapshotVersion { revision: 0, checksum: 0, ..first() }),
             (own, _) => own.clone(),
         };
         match self.0 {
-            // An empty book that nobody doubts.
+            // An empty snapshot that nobody doubts.
             Mutant::UnreadIsEmpty => Authority::new(0, own, 0),
             _ => Authority::new(0, own, expected),
         }
@@ -76,7 +76,7 @@
 
 impl Model for Fleet {
     type State = State;
-    type Action = Act;
+    type Action = Step;
 
     fn init_states(&self) -> Vec<State> {
         let disks = vec![Some(first()); FOLLOWERS + 1];
@@ -93,30 +93,30 @@
         }]
     }
 
-    fn actions(&self, state: &State, out: &mut Vec<Act>) {
-        if state.authority.duty().0 == Duty::Serving && state.changes < MOST_CHANGES {
-            out.push(Act::Change);
+    fn actions(&self, state: &State, out: &mut Vec<Step>) {
+        if state.authority.duty().0 == Duty::Serving && state.changes < MAX_CHANGES {
+            out.push(Step::Change);
         }
-        out.extend((1..=FOLLOWERS).map(Act::Asks));
-        if state.losses < MOST_LOSSES {
-            out.extend((0..=FOLLOWERS).map(Act::Loses));
+        out.extend((1..=FOLLOWERS).map(Step::Heartbeat));
+        if state.losses < MAX_LOSSES {
+            out.extend((0..=FOLLOWERS).map(Step::DiskLost));
             if state.older.is_some() {
-                out.push(Act::Older);
+                out.push(Step::Older);
             }
         }
-        if state.power < MOST_POWER {
-            out.push(Act::Power);
+        if state.power < MAX_POWER {
+            out.push(Step::PowerLost);
         }
     }
 
     #[expect(clippy::too_many_lines, reason = "the transitions of the model are read as one table")]
-    fn next_state(&self, state: &State, act: Act) -> Option<State> {
+    fn next_state(&self, state: &State, act: Step) -> Option<State> {
         let mut next = state.clone();
         match act {
-            Act::Change => {
+            Step::Change => {
                 let own = next.authority.own()?.clone();
                 let revision = own.revision + 1;
-                // The checksum is the history: two books of one revision that came about apart differ.
+                // The checksum is the history: two snapshots of one revision that came about apart differ.
                 let changed = SnapshotVersion {
                     revision,
                     checksum: own.checksum * 7 + own.epoch as u32,
@@ -127,11 +127,11 @@
                 next.authority.set_own(0, changed, false);
                 next.changes += 1;
             }
-            Act::Asks(who) => {
+            Step::Heartbeat(who) => {
                 let held = next.disks[who].clone();
-                let told = (self.0 != Mutant::AsBefore)
+                let step = (self.0 != Mutant::WithoutVersions)
                     .then(|| next.authority.report_received(0, who as u32, held.clone()));
-                if let Some(Step::Install(_, taken)) = told {
+                if let Some(NextStep::Install(_, taken)) = step {
                     let newest = next.disks.iter().flatten().max().cloned();
                     next.undone |=
                         newest.is_some_and(|n| n.revision > taken.revision && n.epoch >= taken.epoch);
@@ -143,7 +143,7 @@
                 if next.authority.duty().0 == Duty::Serving {
                     let given = next.authority.own()?.clone();
                     let takes = match self.0 {
-                        Mutant::AsBefore | Mutant::UnreadIsEmpty => true,
+                        Mutant::WithoutVersions | Mutant::UnreadIsEmpty => true,
                         _ => bootstrap::should_replace(held.as_ref(), &given) == Ok(true),
                     };
                     if takes {
@@ -155,19 +155,19 @@
                     }
                 }
             }
-            Act::Loses(which) => {
+            Step::DiskLost(which) => {
                 next.losses += 1;
                 next.disks[which] = None;
                 if which == 0 {
                     next.authority = self.start(&next.disks);
                 }
             }
-            Act::Older => {
+            Step::Older => {
                 next.losses += 1;
                 next.disks[0] = next.older.take();
                 next.authority = self.start(&next.disks);
             }
-            Act::Power => {
+            Step::PowerLost => {
                 next.power += 1;
                 next.authority = self.start(&next.disks);
             }
@@ -179,19 +179,19 @@
         vec![
             Property::always("no change that any disk holds is given up", |_, s: &State| !s.undone),
             Property::always("no follower goes back", |_, s: &State| !s.back),
-            Property::always("whoever waits has somebody to hear", |_, s: &State| {
-                // All were heard, all agree and some disk has a book: then it does not wait.
+            Property::always("a leader waits only for a report", |_, s: &State| {
+                // All have reported, all agree and some disk has a snapshot: then it does not wait.
                 let reports: Vec<_> = s.authority.reports().collect();
                 let all = reports.len() >= FOLLOWERS;
                 let current = reports.iter().all(|r| r.version == s.disks[r.controller as usize].as_ref());
-                let books: Vec<_> = s.disks.iter().flatten().collect();
-                let forked = books
-                    .iter()
-                    .any(|a| books.iter().any(|b| a.revision == b.revision && a.epoch == b.epoch && a != b));
-                let open = !all || !current || forked || books.is_empty();
+                let snapshots: Vec<_> = s.disks.iter().flatten().collect();
+                let forked = snapshots.iter().any(|a| {
+                    snapshots.iter().any(|b| a.revision == b.revision && a.epoch == b.epoch && a != b)
+                });
+                let open = !all || !current || forked || snapshots.is_empty();
                 open || s.authority.duty().0 == Duty::Serving
             }),
-            Property::sometimes("a lost book is made good", |_, s: &State| {
+            Property::sometimes("a lost snapshot is replaced", |_, s: &State| {
                 s.losses > 0
                     && s.disks.iter().all(Option::is_some)
                     && s.disks[0].as_ref().is_some_and(|d| d.epoch > 1)
@@ -210,7 +210,7 @@
 
 #[test]
 fn each_mutant_is_found() {
-    for mutant in [Mutant::AsBefore, Mutant::TakesFirst, Mutant::UnreadIsEmpty] {
+    for mutant in [Mutant::WithoutVersions, Mutant::InstallsFirst, Mutant::UnreadIsEmpty] {
         let checked = Fleet(mutant).checker().spawn_bfs().join();
         let found = checked.discoveries();
         let broken = ["no change that any disk holds is given up", "no follower goes back"];
