--- a/crates/gateway/src/tenants/borrowed.rs
+++ b/crates/gateway/src/tenants/borrowed.rs
@@ -99,3 +99,6 @@
         limit / f64::from(self.config.controllers.max(1))
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/gateway/src/tenants/policy.rs
+++ b/crates/gateway/src/tenants/policy.rs
@@ -69,3 +69,6 @@
 fn count(limit: u32, share: f64) -> u32 {
     if limit == 0 { 0 } else { (share as u32).max(1) }
 }
+
+#[cfg(test)]
+mod tests;
