--- a/crates/alerts/src/check/tests.rs
+++ b/crates/alerts/src/check/tests.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn what_exists_passes_and_what_does_not_is_named() {
+fn unknown_metrics_and_labels_are_named() {
     assert!(told("sum by (class, instance) (rate(calls_total{end=\"refused\"}[5m])) > 1").is_empty());
     assert_eq!(told("sum(call_total) > 1"), ["there is no metric call_total"]);
     assert_eq!(told("sum by (klass) (calls_total) > 1"), ["no metric of it has the label klass"]);
--- /dev/null
+++ b/crates/alerts/src/eval/aggregation.rs
@@ -0,0 +1,47 @@
+//! Aggregations: `sum`, `max`, `min`, `avg` and `count`, by labels.
+
+use std::collections::BTreeMap;
+
+use promql_parser::parser::{AggregateExpr, LabelModifier};
+
+use super::eval;
+use super::store::{Labels, Store};
+use super::value::{UnsupportedExpression, Value, nameless};
+use crate::rules::Millis;
+
+/// Evaluates an aggregation.
+pub(super) fn aggregate(
+    a: &AggregateExpr,
+    store: &Store,
+    at: Millis,
+) -> Result<Value, UnsupportedExpression> {
+    let Value::Vector(all) = eval(&a.expr, store, at)? else {
+        return Err(UnsupportedExpression(a.to_string()));
+    };
+    let key = |labels: &Labels| -> Labels {
+        match &a.modifier {
+            None => Labels::new(),
+            Some(LabelModifier::Include(by)) => {
+                by.labels.iter().filter_map(|l| Some((l.clone(), labels.get(l)?.clone()))).collect()
+            }
+            Some(LabelModifier::Exclude(without)) => {
+                let mut remaining = nameless(labels.clone());
+                remaining.retain(|l, _| !without.labels.contains(l));
+                remaining
+            }
+        }
+    };
+    let mut groups: BTreeMap<Labels, Vec<f64>> = BTreeMap::new();
+    for (labels, value) in all {
+        groups.entry(key(&labels)).or_default().push(value);
+    }
+    let work: fn(&[f64]) -> f64 = match a.op.to_string().as_str() {
+        "sum" => |v| v.iter().sum(),
+        "max" => |v| v.iter().copied().fold(f64::NEG_INFINITY, f64::max),
+        "min" => |v| v.iter().copied().fold(f64::INFINITY, f64::min),
+        "avg" => |v| v.iter().sum::<f64>() / v.len() as f64,
+        "count" => |v| v.len() as f64,
+        other => return Err(UnsupportedExpression(format!("the aggregation {other}"))),
+    };
+    Ok(Value::Vector(groups.into_iter().map(|(l, v)| (l, work(&v))).collect()))
+}
--- /dev/null
+++ b/crates/alerts/src/eval/binary.rs
@@ -0,0 +1,172 @@
+//! Binary operators, between numbers, vectors, or both.
+
+use promql_parser::parser::{BinaryExpr, LabelModifier, VectorMatchCardinality};
+
+use super::eval;
+use super::store::{Labels, Store};
+use super::value::{UnsupportedExpression, Value, nameless};
+use crate::rules::Millis;
+
+type Vector = Vec<(Labels, f64)>;
+
+/// The result of an arithmetic operator; `None`: it is none.
+fn arithmetic(op: &str, a: f64, b: f64) -> Option<f64> {
+    Some(match op {
+        "+" => a + b,
+        "-" => a - b,
+        "*" => a * b,
+        "/" => a / b,
+        "%" => a % b,
+        "^" => a.powf(b),
+        _ => return None,
+    })
+}
+
+/// The result of a comparison; `None`: it is none.
+fn compare(op: &str, a: f64, b: f64) -> Option<bool> {
+    Some(match op {
+        "==" => a == b,
+        "!=" => a != b,
+        ">" => a > b,
+        "<" => a < b,
+        ">=" => a >= b,
+        "<=" => a <= b,
+        _ => return None,
+    })
+}
+
+/// The labels by which two sides are matched.
+fn matching(b: &BinaryExpr, labels: &Labels) -> Labels {
+    let mut remaining = nameless(labels.clone());
+    match b.modifier.as_ref().and_then(|m| m.matching.as_ref()) {
+        Some(LabelModifier::Include(on)) => remaining.retain(|l, _| on.labels.contains(l)),
+        Some(LabelModifier::Exclude(ignoring)) => remaining.retain(|l, _| !ignoring.labels.contains(l)),
+        None => {}
+    }
+    remaining
+}
+
+/// Evaluates a binary operator.
+pub(super) fn binary(expr: &BinaryExpr, store: &Store, at: Millis) -> Result<Value, UnsupportedExpression> {
+    let (lhs, rhs) = (eval(&expr.lhs, store, at)?, eval(&expr.rhs, store, at)?);
+    let operation = Operation::new(expr);
+    match (lhs, rhs) {
+        (Value::Scalar(x), Value::Scalar(y)) => operation.scalars(x, y).map(Value::Scalar),
+        (Value::Vector(left), Value::Scalar(y)) => {
+            let mut out = Vector::new();
+            for (labels, x) in left {
+                out.extend(operation.pair(x, y, x)?.map(|value| (operation.result_labels(labels), value)));
+            }
+            Ok(Value::Vector(out))
+        }
+        (Value::Scalar(x), Value::Vector(right)) => {
+            let mut out = Vector::new();
+            for (labels, y) in right {
+                out.extend(operation.pair(x, y, y)?.map(|value| (operation.result_labels(labels), value)));
+            }
+            Ok(Value::Vector(out))
+        }
+        (Value::Vector(left), Value::Vector(right)) => operation.vectors(left, right).map(Value::Vector),
+    }
+}
+
+/// An operator with its modifiers.
+struct Operation<'a> {
+    expr: &'a BinaryExpr,
+    operator: String,
+    /// A comparison with the modifier `bool`.
+    as_bool: bool,
+    /// A comparison without it: it filters, and keeps labels as they are, while arithmetic drops the name.
+    filters: bool,
+}
+
+impl<'a> Operation<'a> {
+    fn new(expr: &'a BinaryExpr) -> Self {
+        let operator = expr.op.to_string();
+        let as_bool = expr.modifier.as_ref().is_some_and(|modifier| modifier.return_bool);
+        let filters = compare(&operator, 0.0, 0.0).is_some() && !as_bool;
+        Self { expr, operator, as_bool, filters }
+    }
+
+    fn compare(&self, x: f64, y: f64) -> Result<bool, UnsupportedExpression> {
+        compare(&self.operator, x, y)
+            .ok_or_else(|| UnsupportedExpression(format!("{} between these sides", self.operator)))
+    }
+
+    fn scalars(&self, x: f64, y: f64) -> Result<f64, UnsupportedExpression> {
+        match arithmetic(&self.operator, x, y) {
+            Some(value) => Ok(value),
+            None => Ok(f64::from(u8::from(self.compare(x, y)?))),
+        }
+    }
+
+    /// The value of a pair; `None`: a comparison filters it out. `passed`: the value that passes a filter.
+    fn pair(&self, x: f64, y: f64, passed: f64) -> Result<Option<f64>, UnsupportedExpression> {
+        if let Some(value) = arithmetic(&self.operator, x, y) {
+            return Ok(Some(value));
+        }
+        let holds = self.compare(x, y)?;
+        Ok(if self.as_bool { Some(f64::from(u8::from(holds))) } else { holds.then_some(passed) })
+    }
+
+    fn result_labels(&self, labels: Labels) -> Labels {
+        if self.filters { labels } else { nameless(labels) }
+    }
+
+    fn vectors(&self, left: Vector, right: Vector) -> Result<Vector, UnsupportedExpression> {
+        match self.operator.as_str() {
+            "and" => Ok(self.filter_by_match(left, &right, true)),
+            "unless" => Ok(self.filter_by_match(left, &right, false)),
+            "or" => Ok(self.union(left, right)),
+            _ => self.match_vectors(left, &right),
+        }
+    }
+
+    /// The series on the left that have a match on the right, or those that have none.
+    fn filter_by_match(&self, left: Vector, right: &Vector, matched: bool) -> Vector {
+        let keys: Vec<Labels> = right.iter().map(|(labels, _)| matching(self.expr, labels)).collect();
+        left.into_iter()
+            .filter(|(labels, _)| keys.contains(&matching(self.expr, labels)) == matched)
+            .collect()
+    }
+
+    /// All series on the left, and those on the right without a match there.
+    fn union(&self, left: Vector, right: Vector) -> Vector {
+        let keys: Vec<Labels> = left.iter().map(|(labels, _)| matching(self.expr, labels)).collect();
+        let mut all = left;
+        all.extend(right.into_iter().filter(|(labels, _)| !keys.contains(&matching(self.expr, labels))));
+        all
+    }
+
+    /// Whether several series on the left may have one match on the right.
+    fn is_many_to_one(&self) -> Result<bool, UnsupportedExpression> {
+        match self.expr.modifier.as_ref().map(|modifier| &modifier.card) {
+            None | Some(VectorMatchCardinality::OneToOne) => Ok(false),
+            Some(VectorMatchCardinality::ManyToOne(extra)) if extra.labels.is_empty() => Ok(true),
+            Some(_) => Err(UnsupportedExpression("group_right, or group_left with labels".to_owned())),
+        }
+    }
+
+    /// Pairs of the series on both sides with the same labels.
+    fn match_vectors(&self, left: Vector, right: &Vector) -> Result<Vector, UnsupportedExpression> {
+        let operator = &self.operator;
+        let keys: Vec<Labels> = right.iter().map(|(labels, _)| matching(self.expr, labels)).collect();
+        let many = self.is_many_to_one()?;
+        let mut out = Vector::new();
+        for (labels, x) in left {
+            let key = matching(self.expr, &labels);
+            let mut matches = right.iter().zip(&keys).filter(|(_, k)| **k == key).map(|((_, y), _)| *y);
+            let Some(y) = matches.next() else { continue };
+            if matches.next().is_some() {
+                let what = format!("{operator}: several partners on the right for {labels:?}");
+                return Err(UnsupportedExpression(what));
+            }
+            let result = if many || self.filters { self.result_labels(labels) } else { key };
+            if !many && out.iter().any(|(labels, _)| *labels == result) {
+                return Err(UnsupportedExpression(format!("{operator}: several on the left for {result:?}")));
+            }
+            out.extend(self.pair(x, y, x)?.map(|value| (result, value)));
+        }
+        Ok(out)
+    }
+}
--- /dev/null
+++ b/crates/alerts/src/eval/functions.rs
@@ -0,0 +1,96 @@
+//! Functions.
+
+use promql_parser::parser::Call;
+
+use super::eval;
+use super::selector::{RangeVector, range};
+use super::store::{Labels, Sample, Store};
+use super::value::{UnsupportedExpression, Value, nameless};
+use crate::rules::Millis;
+
+/// `increase` as Prometheus extrapolates it: to the range's edges, unless a series begins or ends well within
+/// it, and never below zero.
+fn increase(samples: &[Sample], from: Millis, to: Millis) -> Option<f64> {
+    let (first, last) = (samples.first()?, samples.last()?);
+    if samples.len() < 2 {
+        return None;
+    }
+    let mut sum = last.value - first.value;
+    for pair in samples.windows(2) {
+        if pair[1].value < pair[0].value {
+            sum += pair[0].value;
+        }
+    }
+    let span = (last.at - first.at) as f64;
+    let between = span / (samples.len() - 1) as f64;
+    let (mut before, mut after) = ((first.at - from) as f64, (to - last.at) as f64);
+    if sum > 0.0 && first.value >= 0.0 {
+        // A counter was not below zero.
+        before = before.min(span * first.value / sum);
+    }
+    if before > between * 1.1 {
+        before = between / 2.0;
+    }
+    if after > between * 1.1 {
+        after = between / 2.0;
+    }
+    Some(sum * (span + before + after) / span)
+}
+
+/// Computes a value of the samples of a range with its beginning and end.
+type RangeFunction = dyn Fn(&[Sample], Millis, Millis) -> Option<f64>;
+
+/// Evaluates a function call.
+pub(super) fn call(c: &Call, store: &Store, at: Millis) -> Result<Value, UnsupportedExpression> {
+    let arg = |n: usize| c.args.args.get(n).map(|a| &**a);
+    let over = |work: &RangeFunction| -> Result<Value, UnsupportedExpression> {
+        let RangeVector { series, from, to } = range(arg(0), store, at)?;
+        let values = series
+            .into_iter()
+            .filter_map(|series| Some((nameless(series.labels), work(&series.samples, from, to)?)));
+        Ok(Value::Vector(values.collect()))
+    };
+    let each = |work: &dyn Fn(f64) -> f64| -> Result<Value, UnsupportedExpression> {
+        let Some(inner) = arg(0) else { return Err(UnsupportedExpression(c.to_string())) };
+        Ok(match eval(inner, store, at)? {
+            Value::Scalar(x) => Value::Scalar(work(x)),
+            Value::Vector(all) => {
+                Value::Vector(all.into_iter().map(|(l, x)| (nameless(l), work(x))).collect())
+            }
+        })
+    };
+    let number = |n: usize| match arg(n).map(|a| eval(a, store, at)) {
+        Some(Ok(Value::Scalar(x))) => Ok(x),
+        _ => Err(UnsupportedExpression(c.to_string())),
+    };
+    match c.func.name {
+        "rate" => over(&|s, from, to| Some(increase(s, from, to)? / ((to - from) as f64 / 1000.0))),
+        "increase" => over(&increase),
+        "max_over_time" => over(&|s, _, _| s.iter().map(|sample| sample.value).reduce(f64::max)),
+        "min_over_time" => over(&|s, _, _| s.iter().map(|sample| sample.value).reduce(f64::min)),
+        "avg_over_time" => {
+            over(&|s, _, _| Some(s.iter().map(|sample| sample.value).sum::<f64>() / s.len() as f64))
+        }
+        "count_over_time" => over(&|s, _, _| Some(s.len() as f64)),
+        "absent_over_time" => {
+            let range = range(arg(0), store, at)?;
+            Ok(Value::Vector(if range.series.is_empty() { vec![(Labels::new(), 1.0)] } else { Vec::new() }))
+        }
+        "absent" => match arg(0).map(|a| eval(a, store, at)).transpose()? {
+            Some(Value::Vector(all)) if all.is_empty() => Ok(Value::Vector(vec![(Labels::new(), 1.0)])),
+            _ => Ok(Value::Vector(Vec::new())),
+        },
+        "clamp_min" => {
+            let min = number(1)?;
+            each(&|x| x.max(min))
+        }
+        "clamp_max" => {
+            let max = number(1)?;
+            each(&|x| x.min(max))
+        }
+        "abs" => each(&f64::abs),
+        "time" => Ok(Value::Scalar(at as f64 / 1000.0)),
+        "vector" => Ok(Value::Vector(vec![(Labels::new(), number(0)?)])),
+        other => Err(UnsupportedExpression(format!("the function {other}"))),
+    }
+}
--- /dev/null
+++ b/crates/alerts/src/eval/selector.rs
@@ -0,0 +1,98 @@
+//! Selectors: which series and samples an expression selects at a time.
+
+use promql_parser::parser::{Expr, Offset, VectorSelector};
+
+use super::store::{LOOKBACK, Labels, Sample, Store, is_stale};
+use super::value::UnsupportedExpression;
+use crate::rules::Millis;
+
+/// A series that a selector matches.
+struct SelectedSeries<'a> {
+    labels: &'a Labels,
+    samples: &'a [Sample],
+}
+
+fn select<'a>(
+    vs: &VectorSelector,
+    store: &'a Store,
+) -> Result<Vec<SelectedSeries<'a>>, UnsupportedExpression> {
+    if vs.at.is_some() {
+        return Err(UnsupportedExpression("the @ modifier".to_owned()));
+    }
+    if !vs.matchers.or_matchers.is_empty() {
+        return Err(UnsupportedExpression("or between matchers".to_owned()));
+    }
+    let empty = String::new();
+    let matches = |labels: &Labels| {
+        vs.name.as_ref().is_none_or(|name| labels.get("__name__") == Some(name))
+            && vs.matchers.matchers.iter().all(|m| m.is_match(labels.get(&m.name).unwrap_or(&empty)))
+    };
+    let selected = store.series.iter().filter(|(labels, _)| matches(labels));
+    Ok(selected.map(|(labels, samples)| SelectedSeries { labels, samples }).collect())
+}
+
+/// A time with the offset of a selector.
+fn with_offset(at: Millis, offset: Option<&Offset>) -> Millis {
+    match offset {
+        None => at,
+        Some(Offset::Pos(span)) => at - span.as_millis() as Millis,
+        Some(Offset::Neg(span)) => at + span.as_millis() as Millis,
+    }
+}
+
+/// The newest values of a selector at a time.
+pub(super) fn instant(
+    vs: &VectorSelector,
+    store: &Store,
+    at: Millis,
+) -> Result<Vec<(Labels, f64)>, UnsupportedExpression> {
+    let at = with_offset(at, vs.offset.as_ref());
+    let mut all = Vec::new();
+    for SelectedSeries { labels, samples } in select(vs, store)? {
+        let end = samples.partition_point(|sample| sample.at <= at);
+        let Some(newest) = samples[..end].last() else { continue };
+        if newest.at > at - LOOKBACK && !is_stale(newest.value) {
+            all.push((labels.clone(), newest.value));
+        }
+    }
+    Ok(all)
+}
+
+/// The samples of a series in a range.
+pub(super) struct SeriesRange {
+    pub(super) labels: Labels,
+    pub(super) samples: Vec<Sample>,
+}
+
+/// The series of a range selector that have samples in it.
+pub(super) struct RangeVector {
+    pub(super) series: Vec<SeriesRange>,
+    /// The beginning of the range, which is outside, as in Prometheus 3.
+    pub(super) from: Millis,
+    /// The end of the range, which is inside.
+    pub(super) to: Millis,
+}
+
+/// The range that an argument selects at a time.
+pub(super) fn range(
+    arg: Option<&Expr>,
+    store: &Store,
+    at: Millis,
+) -> Result<RangeVector, UnsupportedExpression> {
+    let Some(Expr::MatrixSelector(ms)) = arg else {
+        return Err(UnsupportedExpression("a range other than of a selector".to_owned()));
+    };
+    let to = with_offset(at, ms.vs.offset.as_ref());
+    let from = to - ms.range.as_millis() as Millis;
+    let mut series = Vec::new();
+    for SelectedSeries { labels, samples } in select(&ms.vs, store)? {
+        let first = samples.partition_point(|sample| sample.at <= from);
+        let end = samples.partition_point(|sample| sample.at <= to);
+        let samples: Vec<Sample> =
+            samples[first..end].iter().copied().filter(|sample| !is_stale(sample.value)).collect();
+        if !samples.is_empty() {
+            series.push(SeriesRange { labels: labels.clone(), samples });
+        }
+    }
+    Ok(RangeVector { series, from, to })
+}
--- a/crates/alerts/src/eval/tests.rs
+++ b/crates/alerts/src/eval/tests.rs
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_counter_that_begins_anew_does_not_fall() {
+fn counter_reset_is_no_decrease() {
     let mut store = Store::default();
     let labels: Labels = [("__name__".to_owned(), "x".to_owned())].into();
     for (n, v) in [10.0, 20.0, 0.0, 10.0].into_iter().enumerate() {
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn zero_by_zero_is_no_alert() {
+fn zero_divided_by_zero_is_no_alert() {
     assert_eq!(value("rate(calls{class=\"c\"}[5m]) / rate(calls{class=\"c\"}[5m]) > 0.1", 1_200_000), []);
 }
 
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn what_is_outside_is_told() {
+fn unsupported_expressions_are_named() {
     let told =
         |expr: &str| eval(&parse(expr).expect("PromQL"), &store(), 0).expect_err("outside").to_string();
     assert!(told("deriv(calls[5m])").contains("deriv"));
--- a/crates/alerts/src/lib.rs
+++ b/crates/alerts/src/lib.rs
@@ -1,9 +1,9 @@
-//! Alert rules: Prometheus rule files read, held against the registry, and evaluated over given series.
+//! Alert rules: Prometheus rule files, checked against the registry and evaluated over given series.
 //!
 //! May know: rules, series, times as values. Must not know: files, sockets, clocks, where series come from.
 //!
 //! * [`rules`]: the rule-file format. [`check`]: every metric and label that a rule names exists.
-//! * [`eval`]: the subset of PromQL that the shipped rules use; what is outside it is told, never guessed.
+//! * [`eval`]: the subset of PromQL that the shipped rules use; what is outside it is an error.
 //! * [`state`]: pending, firing, `for` and `keep_firing_for`. [`unit`]: rule unit tests as files.
 
 #![forbid(unsafe_code)]
--- a/crates/alerts/src/rules.rs
+++ b/crates/alerts/src/rules.rs
@@ -1,5 +1,5 @@
-//! The Prometheus rule-file format, as far as alerts go. Unknown keys are errors: a misspelt `for` would make
-//! an alert that fires at once.
+//! The Prometheus rule-file format, as far as alerts use it. Unknown keys are errors: with a misspelt `for` an alert
+//! would fire at once.
 
 use std::collections::BTreeMap;
 
@@ -26,7 +26,7 @@
         /// The file.
         file: String,
     },
-    /// An expression is no PromQL.
+    /// An expression is not PromQL.
     #[error("{file}: alert {alert}: {what}")]
     Expression {
         /// The file.
@@ -36,14 +36,14 @@
         /// What is wrong.
         what: String,
     },
-    /// A span is none.
+    /// A duration is malformed.
     #[error("{file}: alert {alert}: {text:?} is no duration, such as 30s, 5m or 1h30m")]
     Duration {
         /// The file.
         file: String,
         /// The alert.
         alert: String,
-        /// What stands there.
+        /// Its text.
         text: String,
     },
 }
@@ -69,7 +69,7 @@
     alert: String,
     expr: String,
     #[serde(rename = "for", default)]
-    wait: Option<String>,
+    pending_for: Option<String>,
     #[serde(default)]
     keep_firing_for: Option<String>,
     #[serde(default)]
@@ -87,19 +87,19 @@
     pub alert: String,
     /// Its expression.
     pub expr: Expr,
-    /// It must hold so long before it fires.
-    pub wait: Millis,
-    /// It fires so long after it held last.
-    pub keep: Millis,
+    /// How long its expression must be true before it fires.
+    pub pending_for: Millis,
+    /// How long it fires after its expression was true last.
+    pub keep_firing_for: Millis,
     /// Labels added.
     pub labels: BTreeMap<String, String>,
     /// Annotations, as written.
     pub annotations: BTreeMap<String, String>,
-    /// How often its group is evaluated, where told.
+    /// How often its group is evaluated, where the group says so.
     pub interval: Option<Millis>,
 }
 
-/// Reads a Prometheus duration: `1h30m`, `90s`, `500ms`, `0`.
+/// Parses a Prometheus duration: `1h30m`, `90s`, `500ms`, `0`.
 pub fn duration(text: &str) -> Option<Millis> {
     if text == "0" {
         return Some(0);
@@ -119,19 +119,22 @@
     (!text.is_empty()).then_some(sum)
 }
 
-/// Reads a rule file.
+/// Parses a rule file. `file`: its name, for errors.
+///
+/// # Errors
+/// Where it is no rule file, or an expression or a duration is malformed.
 pub fn read(file: &str, text: &str) -> Result<Vec<Rule>, RuleError> {
     let format = |e: serde_yaml_ng::Error| RuleError::Format { file: file.to_owned(), what: e.to_string() };
-    // Before the strict reading, whose words would be about a field that no rule file has.
+    // Before the strict parsing, whose error would be about a field that no rule file has.
     let tests =
         |value: &serde_yaml_ng::Value| value.get("rule_files").is_some() && value.get("groups").is_none();
     if serde_yaml_ng::from_str::<serde_yaml_ng::Value>(text).is_ok_and(|value| tests(&value)) {
         return Err(RuleError::Tests { file: file.to_owned() });
     }
-    let read: File = serde_yaml_ng::from_str(text).map_err(format)?;
+    let file_content: File = serde_yaml_ng::from_str(text).map_err(format)?;
     let mut rules = Vec::new();
-    for group in read.groups {
-        let span = |alert: &str, told: Option<&String>| match told {
+    for group in file_content.groups {
+        let span = |alert: &str, text: Option<&String>| match text {
             None => Ok(None),
             Some(text) => duration(text).map(Some).ok_or_else(|| RuleError::Duration {
                 file: file.to_owned(),
@@ -147,8 +150,8 @@
                 what,
             })?;
             rules.push(Rule {
-                wait: span(&entry.alert, entry.wait.as_ref())?.unwrap_or(0),
-                keep: span(&entry.alert, entry.keep_firing_for.as_ref())?.unwrap_or(0),
+                pending_for: span(&entry.alert, entry.pending_for.as_ref())?.unwrap_or(0),
+                keep_firing_for: span(&entry.alert, entry.keep_firing_for.as_ref())?.unwrap_or(0),
                 group: group.name.clone(),
                 alert: entry.alert,
                 expr,
--- a/crates/alerts/src/rules/tests.rs
+++ b/crates/alerts/src/rules/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn durations_are_prometheus_s() {
+fn durations_follow_prometheus() {
     assert_eq!(duration("1h30m"), Some(5_400_000));
     assert_eq!(duration("500ms"), Some(500));
     for bad in ["", "5", "m", "5x", "-1s", "1.5s", "99999999999999999999s", "9223372036854775807w"] {
@@ -12,11 +12,11 @@
 }
 
 #[test]
-fn what_is_wrong_is_told_with_its_place() {
+fn errors_name_their_place() {
     let rule = |body: &str| read("a.yml", &format!("groups:\n- name: g\n  rules:\n  - {body}"));
     let told = |body: &str| rule(body).expect_err("wrong").to_string();
     assert!(told("{alert: A, expr: up, fro: 5m}").contains("fro"));
     assert!(told("{alert: A, expr: 'sum by (', for: 5m}").contains("alert A"));
     assert!(told("{alert: A, expr: up, for: 5 minutes}").contains("no duration"));
-    assert_eq!(rule("{alert: A, expr: up, for: 5m}").expect("sound")[0].wait, 300_000);
+    assert_eq!(rule("{alert: A, expr: up, for: 5m}").expect("sound")[0].pending_for, 300_000);
 }
--- a/crates/alerts/src/state/tests.rs
+++ b/crates/alerts/src/state/tests.rs
@@ -4,7 +4,7 @@
 use crate::rules;
 
 #[test]
-fn it_waits_fires_and_is_kept() {
+fn alert_is_pending_then_firing_then_kept_firing() {
     let text = "groups: [{name: g, rules: [{alert: A, expr: x > 0, for: 2m, keep_firing_for: 3m}]}]";
     let rule = rules::read("a", text).expect("sound").remove(0);
     let labels: Labels = [("__name__".to_owned(), "x".to_owned())].into();
@@ -16,7 +16,7 @@
     let mut alerts = Alerts::new(rule);
     let mut firing = Vec::new();
     for minute in 0..12 {
-        alerts.step(&store, minute * 60_000).expect("in the subset");
+        alerts.evaluate(&store, minute * 60_000).expect("in the subset");
         if !alerts.firing().is_empty() {
             firing.push(minute);
         }
--- a/crates/alerts/src/unit.rs
+++ b/crates/alerts/src/unit.rs
@@ -1,5 +1,4 @@
-//! Rule unit tests as files, in the manner of `promtool test rules`: series in its notation, and what fires
-//! when.
+//! Rule unit tests as files, as `promtool test rules` has them: series in its notation, and which alerts fire when.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -53,41 +52,61 @@
     exp_labels: BTreeMap<String, String>,
 }
 
-/// A test file, read.
+/// A parsed test file.
 pub struct UnitTests {
-    /// The rule files it names.
+    /// The rule files that it names.
     pub rule_files: Vec<String>,
     interval: Millis,
     tests: Vec<Test>,
 }
 
 /// Most samples of one series of a test.
-const MOST_SAMPLES: usize = 100_000;
+const MAX_SAMPLES: usize = 100_000;
+
+/// Why a test file can't be used.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("{file}: {message}")]
+pub struct UnitTestError {
+    /// The file.
+    pub file: String,
+    /// What is wrong.
+    pub message: String,
+}
 
-/// Reads a test file.
-pub fn read(file: &str, text: &str) -> Result<UnitTests, String> {
-    let read: File = serde_yaml_ng::from_str(text).map_err(|e| format!("{file}: {e}"))?;
-    let interval = read.evaluation_interval.as_deref().unwrap_or("1m");
+/// Parses a test file. `file`: its name, for errors.
+///
+/// # Errors
+/// Where it is no test file.
+pub fn read(file: &str, text: &str) -> Result<UnitTests, UnitTestError> {
+    let error = |message: String| UnitTestError { file: file.to_owned(), message };
+    let content: File = serde_yaml_ng::from_str(text).map_err(|e| error(e.to_string()))?;
+    let interval = content.evaluation_interval.as_deref().unwrap_or("1m");
     let interval = duration(interval)
         .filter(|ms| *ms > 0)
-        .ok_or_else(|| format!("{file}: evaluation_interval {interval:?}"))?;
-    Ok(UnitTests { rule_files: read.rule_files, interval, tests: read.tests })
+        .ok_or_else(|| error(format!("evaluation_interval {interval:?}")))?;
+    Ok(UnitTests { rule_files: content.rule_files, interval, tests: content.tests })
 }
 
 impl UnitTests {
-    /// Runs the tests against rules; what did not come out as expected.
+    /// Runs the tests with these rules. Returns the expectations that were not met.
     pub fn run(&self, rules: &[Rule]) -> Vec<String> {
-        let mut wrong = Vec::new();
+        let mut unmet = Vec::new();
         for (n, test) in self.tests.iter().enumerate() {
             let name = if test.name.is_empty() { format!("test {}", n + 1) } else { test.name.clone() };
-            if let Err(what) = self.one(test, rules, &name, &mut wrong) {
-                wrong.push(format!("{name}: {what}"));
+            if let Err(what) = self.run_test(test, rules, &name, &mut unmet) {
+                unmet.push(format!("{name}: {what}"));
             }
         }
-        wrong
+        unmet
     }
 
-    fn one(&self, test: &Test, rules: &[Rule], name: &str, wrong: &mut Vec<String>) -> Result<(), String> {
+    fn run_test(
+        &self,
+        test: &Test,
+        rules: &[Rule],
+        name: &str,
+        unmet: &mut Vec<String>,
+    ) -> Result<(), String> {
         let interval =
             duration(&test.interval).filter(|ms| *ms > 0).ok_or(format!("interval {:?}", test.interval))?;
         let mut store = Store::default();
@@ -112,17 +131,17 @@
         let mut at = 0;
         while at <= last {
             for a in &mut alerts {
-                a.step(&store, at).map_err(|e| format!("alert {}: {e}", a.rule().alert))?;
+                a.evaluate(&store, at).map_err(|e| format!("alert {}: {e}", a.rule().alert))?;
             }
             // Expectations between two evaluations see the earlier one.
             for (when, all) in expected.range(at..at + self.interval) {
                 for e in all {
                     let want: BTreeSet<Labels> =
-                        e.exp_alerts.iter().map(|a| full(&a.exp_labels, &e.alertname)).collect();
+                        e.exp_alerts.iter().map(|a| expected_labels(&a.exp_labels, &e.alertname)).collect();
                     let ours = alerts.iter().filter(|a| a.rule().alert == e.alertname);
                     let got: BTreeSet<Labels> = ours.flat_map(|a| a.firing()).cloned().collect();
                     if want != got {
-                        wrong.push(format!(
+                        unmet.push(format!(
                             "{name}: {} at {} s: expected {want:?}, got {got:?}",
                             e.alertname,
                             when / 1000
@@ -136,7 +155,8 @@
     }
 }
 
-fn full(labels: &BTreeMap<String, String>, alert: &str) -> Labels {
+/// The labels of an expected alert.
+fn expected_labels(labels: &BTreeMap<String, String>, alert: &str) -> Labels {
     let mut all = labels.clone();
     all.insert("alertname".to_owned(), alert.to_owned());
     all
@@ -162,8 +182,8 @@
             None => (word, None),
         };
         let count = times.unwrap_or(0);
-        if all.len() + count >= MOST_SAMPLES {
-            return Err(format!("more than {MOST_SAMPLES} values"));
+        if all.len() + count >= MAX_SAMPLES {
+            return Err(format!("more than {MAX_SAMPLES} values"));
         }
         if head == "_" {
             all.extend(std::iter::repeat_n(None, times.unwrap_or(1)));
--- a/crates/alerts/src/unit/tests.rs
+++ b/crates/alerts/src/unit/tests.rs
@@ -4,7 +4,7 @@
 use crate::rules;
 
 #[test]
-fn values_are_promtool_s() {
+fn values_follow_the_notation_of_promtool() {
     let some = |all: &[f64]| all.iter().map(|x| Some(*x)).collect::<Vec<_>>();
     assert_eq!(values("0+10x2 5").expect("sound"), some(&[0.0, 10.0, 20.0, 5.0]));
     assert_eq!(values("-2-3x1").expect("sound"), some(&[-2.0, -5.0]));
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn a_wrong_expectation_is_told() {
+fn unmet_expectation_is_reported() {
     let rules =
         rules::read("r", "groups: [{name: g, rules: [{alert: A, expr: x > 5, for: 1m}]}]").expect("sound");
     let file = |time: &str, fires: &str| {
--- a/crates/gateway/src/commands/alerts.rs
+++ b/crates/gateway/src/commands/alerts.rs
@@ -85,7 +85,7 @@
 
 fn run_tests(file: &Path) -> Result<u8, CommandError> {
     let text = read_file(file)?;
-    let tests = unit::read(&file.display().to_string(), &text).map_err(CommandError::AlertTests)?;
+    let tests = unit::read(&file.display().to_string(), &text)?;
     let folder = file.parent().unwrap_or(Path::new(""));
     let mut rules = Vec::new();
     for name in &tests.rule_files {
--- a/crates/gateway/src/commands/error.rs
+++ b/crates/gateway/src/commands/error.rs
@@ -5,6 +5,7 @@
 use std::path::{Path, PathBuf};
 
 use nettleferry_alerts::rules::RuleError;
+use nettleferry_alerts::unit::UnitTestError;
 use nettleferry_net::post::PostError;
 use nettleferry_node::NodeError;
 use nettleferry_scenario::run::ScenarioError;
@@ -37,8 +38,8 @@
     #[error("{0}")]
     AlertRules(#[from] RuleError),
     /// A file of alert rule unit tests is not valid.
-    #[error("{0}")]
-    AlertTests(String),
+    #[error(transparent)]
+    AlertTests(#[from] UnitTestError),
     /// The metrics registry can't be written as text.
     #[error("the registry can't be written as text")]
     MetricsText(#[source] std::fmt::Error),
--- a/crates/gateway/src/push.rs
+++ b/crates/gateway/src/push.rs
@@ -498,10 +498,10 @@
             self.queue.flush();
             let until = self.clock.now() + self.settings.flush_timeout;
             let (mut heard, mut due) = (Vec::new(), Vec::new());
-            while self.queue.len() > 0 && self.clock.now() < until && !abandoned.load(Ordering::Acquire) {
+            while !self.queue.is_empty() && self.clock.now() < until && !abandoned.load(Ordering::Acquire) {
                 self.step(until, &mut due, &mut heard)?;
             }
-            if self.queue.len() > 0 {
+            if !self.queue.is_empty() {
                 info!(samples = self.queue.len(), "not delivered: the next life sends them");
             }
         }
--- a/crates/test-servers/src/watch.rs
+++ b/crates/test-servers/src/watch.rs
@@ -63,7 +63,7 @@
                 while *next <= theirs {
                     *next += every;
                 }
-                if let Err(what) = alerts.step(&self.store, theirs) {
+                if let Err(what) = alerts.evaluate(&self.store, theirs) {
                     self.faults.push(format!("{}: {what}", alerts.rule().alert));
                 }
             }
