--- a/crates/gateway/src/controller/mod.rs
+++ b/crates/gateway/src/controller/mod.rs
@@ -39,7 +39,7 @@
 
 use crate::front::Front;
 use crate::metrics::MetricsRecorder;
-use crate::push::Pusher;
+use crate::remote_write::RemoteWriter;
 use crate::tenants::Tenants;
 use crate::worker_links::WorkerLinks;
 use crate::worker_list::ListWatcher;
@@ -120,7 +120,7 @@
     metrics: MetricsRecorder,
     metrics_endpoint: Option<Endpoint>,
     /// Remote write; dropping it sends the last samples.
-    pusher: Option<Pusher>,
+    remote_writer: Option<RemoteWriter>,
     restart_admission: RestartAdmission,
     /// The lease of a controller that follows another's administration.
     lease: Option<Holder>,
--- a/crates/gateway/src/controller/shutdown.rs
+++ b/crates/gateway/src/controller/shutdown.rs
@@ -66,9 +66,9 @@
         // The last push is to have what was counted last.
         self.metrics.record_measurements(&mut self.engine);
         self.refresh();
-        match (shutdown, self.pusher.take()) {
-            (Shutdown::Forced, Some(pusher)) => pusher.abandon(),
-            (_, pusher) => drop(pusher),
+        match (shutdown, self.remote_writer.take()) {
+            (Shutdown::Forced, Some(writer)) => writer.abandon(),
+            (_, writer) => drop(writer),
         }
         let (engine, net, front) = (self.engine.counters(), self.hub.counters(), self.front.counters());
         let (no_room, lists_rejected) = (self.worker_links.no_room, self.list_watcher.rejected());
--- a/crates/gateway/src/controller/startup.rs
+++ b/crates/gateway/src/controller/startup.rs
@@ -27,7 +27,7 @@
 use super::{AuditLog, Controller, ControllerError, RestartAdmission, SIGNAL_SOURCE, SnapshotSource};
 use crate::front::Front;
 use crate::metrics::{self, MetricsRecorder};
-use crate::push::Pusher;
+use crate::remote_write::RemoteWriter;
 use crate::tenants::Tenants;
 use crate::worker_links::{PoolLimits, WorkerLinks};
 use crate::worker_list::{ListSource, ListWatcher};
@@ -47,7 +47,8 @@
         let metrics = MetricsRecorder::new(&config);
         let metrics_endpoint = start_metrics_endpoint(&config, &metrics)?;
         let remote_write = config.metrics.remote_write.clone();
-        let pusher = remote_write.map(|push| Pusher::start(push, metrics.metrics())).transpose()?;
+        let remote_writer =
+            remote_write.map(|settings| RemoteWriter::start(settings, metrics.metrics())).transpose()?;
         if config.metrics.count_calls {
             engine.record_measurements();
         }
@@ -69,7 +70,7 @@
             signals,
             metrics,
             metrics_endpoint,
-            pusher,
+            remote_writer,
             restart_admission: RestartAdmission::default(),
             lease: administration.lease,
             logged_lease_stage: None,
--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -6,7 +6,7 @@
 //! * [`controller`]: the event loop. [`front`]: connections to clients. [`worker_links`]: connections to workers.
 //!   [`worker_list`]: the worker list. [`call_steps`]: what has become of open calls.
 //! * [`tenants`]: admission control for the front. [`audit_log`]: names in the audit log.
-//! * [`commands`]: a module for each subcommand. [`metrics`]: metrics. [`push`]: remote write. [`logs`]: logging.
+//! * [`commands`]: a module for each subcommand. [`metrics`]: metrics. [`remote_write`]: remote write. [`logs`]: logging.
 
 #![forbid(unsafe_code)]
 
@@ -17,7 +17,7 @@
 mod front;
 mod logs;
 mod metrics;
-mod push;
+mod remote_write;
 mod tenants;
 mod worker_links;
 mod worker_list;
