--- a/crates/gateway/tests/alerts.rs
+++ b/crates/gateway/tests/alerts.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn the_shipped_rules_name_what_exists() {
+fn shipped_rules_name_existing_series() {
     let (code, told) = run(&["check"]);
     assert_eq!(code, 0, "{told}");
     let (code, told) = run(&["check", "--settings", "examples/nettleferry.sexp"]);
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn the_shipped_rules_pass_their_tests_and_each_has_one() {
+fn shipped_rules_pass_their_unit_tests() {
     let (code, told) = run(&["test", "alerts/tests.yml"]);
     assert_eq!(code, 0, "{told}");
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_rule_on_what_is_not_there_is_a_finding() {
+fn rule_on_an_unknown_series_is_a_finding() {
     let dir = tempfile::tempdir().expect("a folder");
     let file = dir.path().join("r.yml");
     let text = "groups: [{name: g, rules: [{alert: A, expr: 'nettleferry_call_total{end=\"late\"} > 0'}]}]";
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_file_of_tests_is_told_from_a_file_of_rules() {
+fn unit_test_file_is_distinguished_from_a_rule_file() {
     let (code, told) = run(&["check", "alerts/tests.yml"]);
     assert!(code == 3 && told.contains("run it with nettleferry alerts test alerts/tests.yml"), "{told}");
 }
--- a/crates/gateway/tests/figures.rs
+++ b/crates/gateway/tests/metrics.rs
@@ -1,4 +1,4 @@
-//! Figures as a scraper sees them.
+//! Metrics as a scraper reads them.
 
 mod common;
 use common::*;
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn a_quiet_controller_has_the_series_of_a_busy_one_and_calls_are_counted_once() {
+fn idle_controller_has_all_series_and_calls_are_counted_once() {
     let fleet = Fleet::new(1, SPEC);
     let settings = format!("{SETTINGS}(tenant kalahari) (figures (scrape \"127.0.0.1:0\"))");
     let gateway = serve(&settings, &fleet.list());
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn what_is_no_scrape_is_told() {
+fn other_requests_than_scrapes_are_rejected() {
     let gateway = serve(&format!("{SETTINGS}(figures (scrape \"127.0.0.1:0\"))"), "");
     let address = gateway.scrape();
     let status = |request: &str| {
--- a/crates/gateway/tests/push.rs
+++ b/crates/gateway/tests/remote_write.rs
@@ -1,5 +1,5 @@
-//! Remote write on whole paths: a receiver that takes, speaks 1.0 alone, is away, forgets; a controller that is
-//! killed in between.
+//! Remote write from a controller to a receiver that accepts, understands 1.0 alone, is away or forgets, and from a
+//! controller that is killed in between.
 
 mod common;
 use common::*;
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn figures_arrive_in_order_with_their_created_timestamps() {
+fn samples_arrive_in_order_with_their_created_timestamps() {
     let fleet = Fleet::new(1, SPEC);
     let receiver = Receiver::start(Mode::Take).expect("listens");
     let gateway = serve(&settings(&receiver), &fleet.list());
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_receiver_of_version_one_is_spoken_to_in_it() {
+fn receiver_of_version_one_gets_version_one() {
     let fleet = Fleet::new(1, SPEC);
     let receiver = Receiver::start(Mode::OnlyOne).expect("listens");
     let gateway = serve(&settings(&receiver), &fleet.list());
@@ -61,7 +61,7 @@
 
 /// The last round before an end, with all that was counted, and a marker on each series.
 #[test]
-fn a_controller_that_ends_in_order_has_the_last_word_and_closes_its_series() {
+fn graceful_shutdown_flushes_samples_and_closes_series() {
     let fleet = Fleet::new(1, SPEC);
     let receiver = Receiver::start(Mode::Take).expect("listens");
     // A round an hour: all that arrives after the first is the last words.
@@ -84,12 +84,12 @@
     let quick = kept.natives.iter().find(|(l, _)| l.iter().any(|(_, v)| v == "quick")).expect("native");
     assert_eq!((quick.1[0].1.count, quick.1[1].1.count), (0, 9));
     assert_eq!(quick.1[1].1.buckets.iter().map(|b| b.1).sum::<u64>(), 9);
-    // Nothing is left for the next life to say.
+    // Nothing is left for the next incarnation to send.
     let dir = tempfile::tempdir().expect("a folder");
-    std::fs::rename(gateway.dir.path().join("spool"), dir.path().join("spool")).expect("the spool stands");
+    std::fs::rename(gateway.dir.path().join("spool"), dir.path().join("spool")).expect("the log exists");
     std::fs::write(dir.path().join("workers.sexp"), fleet.list()).expect("written");
     let _next = serve_in(dir, &settings, None);
-    eventually("the next life's first round", || served(&receiver.kept()) == 0.0);
+    eventually("the next incarnation's first round", || served(&receiver.kept()) == 0.0);
     let kept = receiver.kept();
     let all = kept.find(CALLS, &SERVED);
     assert_eq!((all.len(), kept.repeated, kept.faults), (4, 0, Vec::new()), "no second marker");
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn last_words_that_find_no_receiver_are_bounded_and_said_by_the_next_life() {
+fn unsent_flush_is_bounded_and_repeated_by_the_next_incarnation() {
     let fleet = Fleet::new(1, SPEC);
     let receiver = Receiver::start(Mode::Take).expect("listens");
     let settings = settings(&receiver).replace("(every 40ms)", "(every 1h) (farewell 300ms)");
@@ -109,18 +109,18 @@
     assert!(gateway.wait().success(), "it ends all the same");
     receiver.be(Mode::Take);
     let dir = tempfile::tempdir().expect("a folder");
-    std::fs::rename(gateway.dir.path().join("spool"), dir.path().join("spool")).expect("the spool stands");
+    std::fs::rename(gateway.dir.path().join("spool"), dir.path().join("spool")).expect("the log exists");
     std::fs::write(dir.path().join("workers.sexp"), fleet.list()).expect("written");
     let _next = serve_in(dir, &settings, None);
     let values = || receiver.kept().find(CALLS, &SERVED).iter().map(|t| t.value).collect::<Vec<_>>();
-    eventually("last words and a new life", || values().len() == 4);
+    eventually("the flush and a new incarnation", || values().len() == 4);
     let all = values();
     assert!(all[..2] == [0.0, 3.0] && is_stale(all[2]) && all[3] == 0.0, "{all:?}");
     assert_eq!(receiver.kept().faults, Vec::<String>::new());
 }
 
 #[test]
-fn a_receiver_that_is_replaced_is_asked_again_for_version_two() {
+fn replaced_receiver_is_tried_again_with_version_two() {
     let fleet = Fleet::new(1, SPEC);
     let receiver = Receiver::start(Mode::OnlyOne).expect("listens");
     let settings = settings(&receiver).replace("(every 40ms)", "(every 40ms) (ask-again 200ms)");
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn one_bad_series_costs_itself_alone() {
+fn one_invalid_series_costs_itself_alone() {
     let fleet = Fleet::new(1, SPEC);
     let receiver =
         Receiver::start(Mode::Bad("nettleferry_load_orders_sent_total".to_owned())).expect("listens");
@@ -150,7 +150,7 @@
     call(&gateway, 6);
     eventually("its neighbours arrive", || served(&receiver.kept()) == 6.0);
     let refused = || receiver.kept().find("nettleferry_push_samples_total", &[("end", "refused")]);
-    eventually("what it cost is told", || refused().last().is_some_and(|t| t.value > 0.0));
+    eventually("the rejected samples are counted", || refused().last().is_some_and(|t| t.value > 0.0));
     let kept = receiver.kept();
     assert!(kept.find("nettleferry_load_orders_sent_total", &[]).is_empty());
     assert_eq!(kept.faults, Vec::<String>::new());
@@ -159,7 +159,7 @@
 }
 
 #[test]
-fn a_receiver_that_is_slow_or_cuts_requests_and_answers_gets_every_round_once() {
+fn slow_or_faulty_receiver_gets_every_round_once() {
     let fleet = Fleet::new(1, SPEC);
     let receiver = Receiver::start(Mode::CutRequest(2_000)).expect("listens");
     let settings = settings(&receiver).replace("(every 40ms)", "(every 200ms) (timeout 2s)");
@@ -180,16 +180,16 @@
     let then = rounds().len();
     eventually("a slow one takes them", || rounds().len() > then + 3);
     receiver.be(Mode::Take);
-    eventually("all calls are told", || served(&receiver.kept()) == 22.0);
-    eventually("that batches were sent again is told", || retries(&receiver.kept()) > 0.0);
+    eventually("all calls have arrived", || served(&receiver.kept()) == 22.0);
+    eventually("retries are counted", || retries(&receiver.kept()) > 0.0);
     let kept = receiver.kept();
     assert_eq!(kept.faults, Vec::<String>::new());
     assert!(rounds().windows(2).all(|w| w[0].at_ms < w[1].at_ms));
 }
 
-/// A spool whose folder is gone: pushing goes on from memory, and the failure is told in a series that arrives.
+/// A write-ahead log whose folder is gone: samples are sent from memory, and the failures are counted.
 #[test]
-fn a_spool_that_fails_under_way_is_told_and_stops_nothing() {
+fn failing_write_ahead_log_is_reported_and_stops_nothing() {
     let fleet = Fleet::new(1, SPEC);
     let receiver = Receiver::start(Mode::Take).expect("listens");
     let gateway = serve(
@@ -199,34 +199,34 @@
     );
     eventually("the first round arrives", || served(&receiver.kept()) == 0.0);
     // A file in the folder's place: nothing can be opened, made or removed there.
-    let spool = gateway.dir.path().join("spool");
-    std::fs::rename(&spool, gateway.dir.path().join("away")).expect("renamed");
-    std::fs::write(&spool, "").expect("written");
+    let log_folder = gateway.dir.path().join("spool");
+    std::fs::rename(&log_folder, gateway.dir.path().join("away")).expect("renamed");
+    std::fs::write(&log_folder, "").expect("written");
     call(&gateway, 4);
     eventually("calls arrive all the same", || served(&receiver.kept()) == 4.0);
     let failed = || receiver.kept().find("nettleferry_spool_failures_total", &[]);
-    eventually("the failure is told", || failed().last().is_some_and(|t| t.value > 0.0));
-    std::fs::remove_file(&spool).expect("removed");
-    std::fs::rename(gateway.dir.path().join("away"), &spool).expect("renamed");
-    let told = failed().last().map_or(0.0, |t| t.value);
+    eventually("the failure is counted", || failed().last().is_some_and(|t| t.value > 0.0));
+    std::fs::remove_file(&log_folder).expect("removed");
+    std::fs::rename(gateway.dir.path().join("away"), &log_folder).expect("renamed");
+    let failures = failed().last().map_or(0.0, |t| t.value);
     let then = failed().len();
     eventually("rounds go on", || failed().len() > then + 8);
     eventually("it works again", || {
         let all = failed();
         all.len() > 4
-            && all[all.len() - 4..].iter().all(|t| t.value == all[all.len() - 1].value && t.value >= told)
+            && all[all.len() - 4..].iter().all(|t| t.value == all[all.len() - 1].value && t.value >= failures)
     });
     assert_eq!(receiver.kept().faults, Vec::<String>::new());
 }
 
-/// A spool damaged while the controller was away: what is sound is sent, what is not is never made up.
+/// A log damaged while the controller was away: valid records are sent, and nothing else.
 #[test]
-fn a_damaged_spool_gives_what_is_sound_and_nothing_else() {
+fn damaged_write_ahead_log_yields_valid_records_alone() {
     let fleet = Fleet::new(1, SPEC);
     let receiver = Receiver::start(Mode::Answer(503, None)).expect("listens");
     let gateway = serve(&settings(&receiver), &fleet.list());
     call(&gateway, 5);
-    // Counted by the spool itself: tries that were turned away may be several for one round.
+    // Counted by the log itself: one round may have several rejected attempts.
     let kept = || {
         let files = std::fs::read_dir(gateway.dir.path().join("spool")).into_iter().flatten().flatten();
         files.filter_map(|file| file.metadata().ok()).map(|m| m.len()).sum::<u64>()
@@ -236,12 +236,12 @@
     eventually("a dozen rounds are kept", || kept() > first * 12);
     gateway.signal("KILL");
     let dir = tempfile::tempdir().expect("a folder");
-    let spool = dir.path().join("spool");
-    std::fs::rename(gateway.dir.path().join("spool"), &spool).expect("the spool stands");
+    let log_folder = dir.path().join("spool");
+    std::fs::rename(gateway.dir.path().join("spool"), &log_folder).expect("the log exists");
     std::fs::write(dir.path().join("workers.sexp"), fleet.list()).expect("written");
     drop(gateway);
     let mut files: Vec<_> =
-        std::fs::read_dir(&spool).expect("there").map(|e| e.expect("readable").path()).collect();
+        std::fs::read_dir(&log_folder).expect("there").map(|e| e.expect("readable").path()).collect();
     files.sort();
     let mut bytes = std::fs::read(&files[0]).expect("readable");
     let (middle, tail) = (bytes.len() / 2, bytes.len() - 7);
@@ -251,7 +251,7 @@
     receiver.be(Mode::Take);
     let _next = serve_in(dir, &settings(&receiver), None);
     let rounds = || receiver.kept().find(CALLS, &SERVED);
-    eventually("the new life's rounds arrive", || {
+    eventually("rounds of the new incarnation arrive", || {
         let all = rounds();
         all.iter().position(|t| is_stale(t.value)).is_some_and(|at| at + 2 < all.len())
     });
@@ -259,12 +259,12 @@
     assert_eq!(kept.faults, Vec::<String>::new());
     let all = rounds();
     let marker = all.iter().position(|t| is_stale(t.value)).expect("just seen");
-    assert!(marker > 2, "sound rounds of the old life are there");
+    assert!(marker > 2, "valid rounds of the old incarnation are there");
     assert!(all[..marker].iter().all(|t| (0.0..=5.0).contains(&t.value)), "{all:?}");
 }
 
 #[test]
-fn what_was_kept_while_the_receiver_was_away_arrives_in_order() {
+fn samples_queued_during_an_outage_arrive_in_order() {
     let fleet = Fleet::new(1, SPEC);
     let receiver = Receiver::start(Mode::Answer(503, None)).expect("listens");
     let gateway = serve(&settings(&receiver), &fleet.list());
@@ -285,7 +285,7 @@
 }
 
 #[test]
-fn a_lost_acknowledgement_repeats_the_same_values_and_a_refusal_repeats_nothing() {
+fn lost_response_repeats_the_same_values_and_rejection_repeats_nothing() {
     let fleet = Fleet::new(1, SPEC);
     let receiver = Receiver::start(Mode::Forget).expect("listens");
     let gateway = serve(&settings(&receiver), &fleet.list());
@@ -299,19 +299,19 @@
     let kept = receiver.kept();
     assert_eq!(kept.faults, Vec::<String>::new());
     let refused = || receiver.kept().find("nettleferry_push_samples_total", &[("end", "refused")]);
-    eventually("the refusal is told in a series that arrives", || {
+    eventually("the rejection is counted in a series that arrives", || {
         refused().last().is_some_and(|t| t.value > 0.0)
     });
 }
 
 #[test]
-fn a_killed_controller_s_samples_are_sent_by_its_next_life() {
+fn samples_of_a_killed_controller_are_sent_by_its_next_incarnation() {
     let fleet = Fleet::new(1, SPEC);
     let receiver = Receiver::start(Mode::Take).expect("listens");
     let gateway = serve(&settings(&receiver), &fleet.list());
     call(&gateway, 4);
     eventually("four calls arrive", || served(&receiver.kept()) == 4.0);
-    // From here on nothing is acknowledged; two more calls are seen by samples that only the spool has.
+    // From here on nothing is acknowledged; two more calls are in samples that only the log has.
     receiver.be(Mode::Answer(503, None));
     let away = receiver.kept().find("nettleferry_open_calls", &[]).len();
     call(&gateway, 2);
@@ -319,7 +319,7 @@
     eventually("rounds pass", || receiver.kept().turned_away > before + 6);
     gateway.signal("KILL");
     let dir = tempfile::tempdir().expect("a folder");
-    std::fs::rename(gateway.dir.path().join("spool"), dir.path().join("spool")).expect("the spool stands");
+    std::fs::rename(gateway.dir.path().join("spool"), dir.path().join("spool")).expect("the log exists");
     std::fs::write(dir.path().join("workers.sexp"), fleet.list()).expect("written");
     drop(gateway);
     receiver.be(Mode::Take);
@@ -343,7 +343,7 @@
 
 /// The receiver has written what it never acknowledged; the next life sends it again, with the same values.
 #[test]
-fn a_kill_between_write_and_acknowledgement_repeats_and_changes_nothing() {
+fn kill_between_write_and_acknowledgement_repeats_unchanged_samples() {
     let fleet = Fleet::new(1, SPEC);
     let receiver = Receiver::start(Mode::Forget).expect("listens");
     let gateway = serve(&settings(&receiver), &fleet.list());
@@ -351,7 +351,7 @@
     eventually("it is written and not acknowledged", || served(&receiver.kept()) >= 0.0);
     gateway.signal("KILL");
     let dir = tempfile::tempdir().expect("a folder");
-    std::fs::rename(gateway.dir.path().join("spool"), dir.path().join("spool")).expect("the spool stands");
+    std::fs::rename(gateway.dir.path().join("spool"), dir.path().join("spool")).expect("the log exists");
     std::fs::write(dir.path().join("workers.sexp"), fleet.list()).expect("written");
     drop(gateway);
     let before = receiver.kept().repeated;
