--- a/crates/admin/src/api/ports.rs
+++ b/crates/admin/src/api/ports.rs
@@ -142,7 +142,7 @@
 /// Why no snapshot may be given or changed: the fleet has not agreed yet on the one that counts.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error(
-    "it is open which book stands ({cause}; {responded} controllers heard, {expected} awaited): see GET /v1/fleet"
+    "the fleet has not agreed on a snapshot yet ({cause}; {responded} controllers have responded, {expected} are expected): see GET /v1/fleet"
 )]
 pub struct RecoveryPending {
     /// A word for the cause: damaged, empty, behind or disagreed.
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -37,7 +37,7 @@
 ];
 
 /// Updates the metrics.
-pub struct MetricsRecorder {
+pub(crate) struct MetricsRecorder {
     metrics: Arc<Metrics>,
     /// Latency objectives by class.
     objectives: Vec<Micros>,
@@ -46,7 +46,7 @@
 
 impl MetricsRecorder {
     /// All series at zero.
-    pub fn new(config: &Config) -> Self {
+    pub(crate) fn new(config: &Config) -> Self {
         let mut tenants: Vec<(&String, usize)> =
             config.tenants.iter().map(|(name, id)| (name, id.0)).collect();
         tenants.sort_by_key(|(_, number)| *number);
@@ -62,12 +62,12 @@
     }
 
     /// The metrics, for scraping and remote write.
-    pub fn metrics(&self) -> Arc<Metrics> {
+    pub(crate) fn metrics(&self) -> Arc<Metrics> {
         Arc::clone(&self.metrics)
     }
 
     /// Counts what the engine has measured, and sets the numbers of its calls.
-    pub fn record_measurements(&self, engine: &mut Engine) {
+    pub(crate) fn record_measurements(&self, engine: &mut Engine) {
         if self.count_calls {
             for measurement in engine.drain_measurements() {
                 self.record(measurement);
@@ -99,7 +99,13 @@
     }
 
     /// Updates what is slower to read: workers and limits. `links_full`: how often no connection to a worker was left.
-    pub fn update_slow(&self, engine: &Engine, net: &NetCounters, front: &FrontCounters, links_full: u64) {
+    pub(crate) fn update_slow(
+        &self,
+        engine: &Engine,
+        net: &NetCounters,
+        front: &FrontCounters,
+        links_full: u64,
+    ) {
         let mut workers = [0; WorkerHealth::COUNT];
         for health in engine.health() {
             let health = match (health.state, health.down, health.ejected) {
@@ -119,7 +125,7 @@
     }
 
     /// Sets the return from a restart. `final_counters`: those of the gate when it opened, where there is none any more.
-    pub fn set_recovery(&self, gate: Option<&Gate>, final_counters: GateCounters, without_lease: u64) {
+    pub(crate) fn set_recovery(&self, gate: Option<&Gate>, final_counters: GateCounters, without_lease: u64) {
         let step = gate.map_or(RecoveryStep::None, |gate| match gate.step().0 {
             Step::NoList => RecoveryStep::NoList,
             Step::Partial => RecoveryStep::Partial,
@@ -131,7 +137,7 @@
     }
 
     /// Sets the lease of a follower; a controller without one counts as one that holds it.
-    pub fn set_lease(&self, lease: Option<(Stage, LeaseCounters)>) {
+    pub(crate) fn set_lease(&self, lease: Option<(Stage, LeaseCounters)>) {
         let (stage, counters) = lease.unwrap_or((Stage::Current, LeaseCounters::default()));
         let stage = match stage {
             Stage::Current => LeaseStage::Current,
@@ -145,12 +151,12 @@
     }
 
     /// Sets what the leader knows of the fleet.
-    pub fn set_fleet(&self, state: &FleetState) {
+    pub(crate) fn set_fleet(&self, state: &FleetState) {
         self.metrics.set_fleet(state);
     }
 
     /// Sets the calls that admission control rejected, by reason.
-    pub fn set_rejections(&self, totals: &[u64]) {
+    pub(crate) fn set_rejections(&self, totals: &[u64]) {
         for (reason, total) in totals.iter().enumerate() {
             self.metrics.set_limit_hits(LIMITS.len() + reason, *total);
         }
@@ -223,7 +229,7 @@
 }
 
 /// Serves the metrics at `/metrics`.
-pub fn serve(address: SocketAddr, metrics: Arc<Metrics>) -> io::Result<Endpoint> {
+pub(crate) fn serve(address: SocketAddr, metrics: Arc<Metrics>) -> io::Result<Endpoint> {
     Endpoint::start(address, 0, "scrape", move |request| respond(request, &metrics))
 }
 
--- a/crates/gateway/src/remote_write/mod.rs
+++ b/crates/gateway/src/remote_write/mod.rs
@@ -30,7 +30,7 @@
 use self::worker::Worker;
 
 /// The thread of remote write. Dropped, it shuts down gracefully; see [`RemoteWriter::abandon`].
-pub struct RemoteWriter {
+pub(crate) struct RemoteWriter {
     stop: Arc<AtomicBool>,
     /// Nothing is flushed at the end.
     abandoned: Arc<AtomicBool>,
@@ -43,7 +43,7 @@
     ///
     /// # Errors
     /// Where the write-ahead log can't be opened: the settings ask for samples to survive a crash.
-    pub fn start(settings: RemoteWriteSettings, metrics: Arc<Metrics>) -> io::Result<Self> {
+    pub(crate) fn start(settings: RemoteWriteSettings, metrics: Arc<Metrics>) -> io::Result<Self> {
         let mut worker = Worker::new(settings, metrics)?;
         let (stop, abandoned) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicBool::new(false)));
         let waker = worker.waker();
@@ -57,7 +57,7 @@
     }
 
     /// Ends without a flush: the next incarnation sends what is not acknowledged, and closes the series.
-    pub fn abandon(self) {
+    pub(crate) fn abandon(self) {
         self.abandoned.store(true, Ordering::Release);
     }
 }
