--- a/crates/gateway/benches/measure.rs
+++ b/crates/gateway/benches/measure.rs
@@ -547,8 +547,8 @@
             killed = true;
             peak = gateway.resident();
             println!("streams: {} open when two of six workers die", STREAMS - ended.len());
-            fleet.handles[0].tell(Fault::Die);
-            fleet.handles[1].tell(Fault::Die);
+            fleet.handles[0].inject(Fault::Die);
+            fleet.handles[1].inject(Fault::Die);
         }
         for what in heard.drain(..) {
             match what {
--- a/crates/gateway/src/commands/demo.rs
+++ b/crates/gateway/src/commands/demo.rs
@@ -107,6 +107,11 @@
 /// All models of a test worker, and one that answers at once: load on it shows the gateway's own limits.
 fn worker_spec() -> Spec {
     let mut spec = Spec { queue: WORKER_QUEUE, ..Spec::default() };
-    spec.models.push(ModelSpec { prefix: "echo-now".to_owned(), lanes: 256, work: 0, ..ModelSpec::any() });
+    spec.models.push(ModelSpec {
+        prefix: "echo-now".to_owned(),
+        lanes: 256,
+        core_time: 0,
+        ..ModelSpec::any()
+    });
     spec
 }
--- a/crates/gateway/src/commands/worker.rs
+++ b/crates/gateway/src/commands/worker.rs
@@ -32,7 +32,7 @@
         let worker = spawn(Options {
             name: self.name,
             doors: vec![listen],
-            cold: spec.cold > 0,
+            cold: spec.warm_up > 0,
             spec,
             store: Arc::new(Mutex::new(Store::default())),
             epoch: Instant::now(),
--- a/crates/gateway/tests/admin.rs
+++ b/crates/gateway/tests/admin.rs
@@ -9,7 +9,7 @@
 use std::process::Command;
 
 use nettleferry_net::grpc::Code;
-use nettleferry_test_servers::{Fault, Seen};
+use nettleferry_test_servers::{Fault, ObservationKind};
 use serde_json::{Value, json};
 
 #[test]
@@ -57,7 +57,7 @@
     let mut caller = Caller::new(desk.program.address);
     assert_eq!(code(&mut caller, Some("b"), "echo").0, Code::Ok);
     // In flight: it hangs. Held: its model's load never ends, so that the second of it has no worker.
-    fleet.handles[0].tell(Fault::Hang(Some("echo-".to_owned())));
+    fleet.handles[0].inject(Fault::Hang(Some("echo-".to_owned())));
     let headers = || vec![("nettleferry-tenant".to_owned(), "a".to_owned())];
     let stream = caller.ask(nettleferry_scenario::client::ClientRequest {
         headers: headers(),
@@ -67,7 +67,9 @@
     let flight = call(&mut caller, Some("a"), "echo-x");
     let held: Vec<u64> = (0..4).map(|_| call(&mut caller, Some("a"), "echo-x")).collect();
     let bystander = call(&mut caller, Some("b"), "echo");
-    caller.until("it is out", || fleet.any(|s| matches!(s, Seen::Call { model, .. } if model == "echo-x")));
+    caller.until("it is out", || {
+        fleet.any(|s| matches!(s, ObservationKind::Call { model, .. } if model == "echo-x"))
+    });
     eventually("all are open", || desk.get("/v1/tenants/a/usage")["open_calls"] == 6);
     desk.change("DELETE", "/v1/tenants/a?grace_ms=400", "");
     assert_eq!(code(&mut caller, Some("a"), "echo").0, Code::PermissionDenied, "refused promptly");
@@ -85,7 +87,7 @@
     assert_eq!(caller.status(bystander).0.code, Code::Ok, "nobody else is hurt");
     eventually("it is gone", || desk.ask("GET", "/v1/tenants/a", "", "").0 == 404);
     // The next of the same name, in the same place, begins at nought.
-    fleet.handles[0].tell(Fault::Hang(None));
+    fleet.handles[0].inject(Fault::Hang(None));
     desk.create(json!({"name": "a"}));
     let usage = desk.get("/v1/tenants/a/usage");
     assert_eq!((usage["admitted"].clone(), usage["ends"].clone()), (json!(0), json!({})));
@@ -252,7 +254,11 @@
         assert_eq!(code(&mut caller, Some("a"), &format!("echo-{n}")).0, Code::Ok);
     }
     let at = |fleet: &mut Fleet, name: &str| {
-        fleet.look().iter().filter(|r| r.worker == name && matches!(r.seen, Seen::Call { .. })).count()
+        fleet
+            .look()
+            .iter()
+            .filter(|r| r.worker == name && matches!(r.seen, ObservationKind::Call { .. }))
+            .count()
     };
     assert_eq!((at(&mut fleet, "w1"), at(&mut fleet, "w2")), (0, 20));
     desk.change("POST", "/v1/workers/w1/undrain", "");
--- a/crates/gateway/tests/common/mod.rs
+++ b/crates/gateway/tests/common/mod.rs
@@ -22,7 +22,7 @@
 use nettleferry_proto::inference::*;
 use nettleferry_scenario::client::{Client, ClientEvent, ClientRequest};
 use nettleferry_test_servers::models::climb_request;
-use nettleferry_test_servers::{Handle, Options, Record, Seen, Spec, Store, spawn, spec};
+use nettleferry_test_servers::{Handle, Observation, ObservationKind, Options, Spec, Store, spawn, spec};
 use prost::Message;
 
 pub const PATIENCE: Duration = Duration::from_secs(30);
@@ -181,8 +181,8 @@
 /// Stand-ins and what they see.
 pub struct Fleet {
     pub handles: Vec<Handle>,
-    seen: Receiver<Record>,
-    pub records: Vec<Record>,
+    seen: Receiver<Observation>,
+    pub records: Vec<Observation>,
 }
 
 pub const SPEC: &str =
@@ -222,21 +222,21 @@
     }
 
     /// What was seen so far.
-    pub fn look(&mut self) -> &[Record] {
+    pub fn look(&mut self) -> &[Observation] {
         self.records.extend(self.seen.try_iter());
         &self.records
     }
 
-    pub fn any(&mut self, pick: impl Fn(&Seen) -> bool) -> bool {
+    pub fn any(&mut self, pick: impl Fn(&ObservationKind) -> bool) -> bool {
         self.count(pick) > 0
     }
 
-    pub fn count(&mut self, pick: impl Fn(&Seen) -> bool) -> usize {
+    pub fn count(&mut self, pick: impl Fn(&ObservationKind) -> bool) -> usize {
         self.look().iter().filter(|r| pick(&r.seen)).count()
     }
 
     #[track_caller]
-    pub fn wait_for(&mut self, what: &str, pick: impl Fn(&Seen) -> bool) {
+    pub fn wait_for(&mut self, what: &str, pick: impl Fn(&ObservationKind) -> bool) {
         eventually(what, || self.count(&pick) > 0);
     }
 }
--- a/crates/gateway/tests/cut.rs
+++ b/crates/gateway/tests/cut.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 
 use nettleferry_net::grpc::Code;
-use nettleferry_test_servers::{Fault, Record, Seen};
+use nettleferry_test_servers::{Fault, Observation, ObservationKind};
 
 const SETTINGS: &str = r#"
 (listen (grpc "127.0.0.1:0"))
@@ -31,27 +31,27 @@
 
 fn cut(fleet: &mut Fleet, cut: bool) {
     for handle in fleet.handles.iter().filter(|h| CUT.contains(&h.name.as_str())) {
-        handle.tell(Fault::Cut { door: 0, cut });
+        handle.inject(Fault::Cut { door: 0, cut });
     }
     eventually("the links are told", || {
-        fleet.count(|s| matches!(s, Seen::Link { cut: c, .. } if *c == cut)) == CUT.len()
+        fleet.count(|s| matches!(s, ObservationKind::Link { cut: c, .. } if *c == cut)) == CUT.len()
     });
 }
 
 /// A call's attempts as they arrived: worker, number, whether it ran.
 type Arrived = BTreeMap<String, Vec<(String, Option<u32>, bool)>>;
 
-fn arrived(records: &[Record]) -> Arrived {
+fn arrived(records: &[Observation]) -> Arrived {
     let mut streams = BTreeMap::new();
     let mut arrived = Arrived::new();
-    for Record { worker, seen, .. } in records {
+    for Observation { worker, seen, .. } in records {
         match seen {
-            Seen::Call { stream, id, attempt, .. } => {
+            ObservationKind::Call { stream, id, attempt, .. } => {
                 let tries = arrived.entry(id.clone()).or_default();
                 streams.insert((worker, *stream), (id.clone(), tries.len()));
                 tries.push((worker.clone(), *attempt, false));
             }
-            Seen::Runs { stream } => {
+            ObservationKind::Runs { stream } => {
                 let (id, at) = &streams[&(worker, *stream)];
                 arrived.get_mut(id).expect("it came")[*at].2 = true;
             }
@@ -105,8 +105,9 @@
         let records = fleet.look();
         CUT.iter().all(|name| {
             let ours = records.iter().filter(|r| r.worker == *name);
-            let newer = |r: &Record| matches!(&r.seen, Seen::Call { id, .. } if id == "after");
-            ours.skip_while(|r| !matches!(r.seen, Seen::Link { cut: false, .. })).any(newer)
+            let newer =
+                |r: &Observation| matches!(&r.seen, ObservationKind::Call { id, .. } if id == "after");
+            ours.skip_while(|r| !matches!(r.seen, ObservationKind::Link { cut: false, .. })).any(newer)
         })
     });
     let arrived = arrived(fleet.look());
--- a/crates/gateway/tests/hollow.rs
+++ b/crates/gateway/tests/hollow.rs
@@ -11,7 +11,7 @@
 
 use nettleferry_hollow::followers::report::{Change, Second, Summary};
 use nettleferry_hollow::report::Line;
-use nettleferry_test_servers::Seen;
+use nettleferry_test_servers::ObservationKind;
 use serde_json::json;
 
 const HOLLOW: u32 = 50;
@@ -196,8 +196,7 @@
         _ => None,
     };
     hollow.wait("a connection for each, and calls on them", all);
-    let of_the_last =
-        |seen: &Seen| matches!(seen, Seen::Call { controller, attempt: Some(1), .. } if controller == "100");
+    let of_the_last = |seen: &ObservationKind| matches!(seen, ObservationKind::Call { controller, attempt: Some(1), .. } if controller == "100");
     fleet.wait_for("a call of the last controller at the worker", of_the_last);
     hollow.input = None;
     let summary = hollow.wait("a summary", |line| match line {
--- a/crates/gateway/tests/life.rs
+++ b/crates/gateway/tests/life.rs
@@ -6,7 +6,7 @@
 use std::process::Command;
 
 use nettleferry_net::grpc::Code;
-use nettleferry_test_servers::{Fault, Seen};
+use nettleferry_test_servers::{Fault, ObservationKind};
 
 fn output(arguments: &[&str]) -> (i32, String, String) {
     let out = Command::new(PROGRAM).args(arguments).output().expect("it runs");
@@ -83,7 +83,7 @@
     let mut gateway = serve(SETTINGS, &fleet.list());
     let mut caller = Caller::new(gateway.address);
     let open = caller.unary("echo-once");
-    caller.until("it runs", || fleet.any(|s| matches!(s, Seen::Runs { .. })));
+    caller.until("it runs", || fleet.any(|s| matches!(s, ObservationKind::Runs { .. })));
     gateway.signal("TERM");
     // New connections are not taken any more.
     eventually("it listens no more", || std::net::TcpStream::connect(gateway.address).is_err());
@@ -96,11 +96,11 @@
 #[test]
 fn a_second_signal_ends_it_at_once() {
     let mut fleet = Fleet::new(1, SPEC);
-    fleet.handles[0].tell(Fault::Hang(Some("echo".into())));
+    fleet.handles[0].inject(Fault::Hang(Some("echo".into())));
     let mut gateway = serve(SETTINGS, &fleet.list());
     let mut caller = Caller::new(gateway.address);
     caller.unary("echo-once");
-    caller.until("it is out", || fleet.any(|s| matches!(s, Seen::Call { .. })));
+    caller.until("it is out", || fleet.any(|s| matches!(s, ObservationKind::Call { .. })));
     gateway.signal("TERM");
     eventually("it drains", || std::net::TcpStream::connect(gateway.address).is_err());
     gateway.signal("TERM");
@@ -137,7 +137,7 @@
     let first = caller.unary("echo-once");
     assert_eq!(caller.status(first).0.code, Code::Ok);
     for handle in &fleet.handles {
-        handle.tell(Fault::Silent(true));
+        handle.inject(Fault::Unresponsive(true));
     }
     let began = std::time::Instant::now();
     let rpc = caller.unary("echo-once");
@@ -145,5 +145,5 @@
     assert_eq!(status.code, Code::DeadlineExceeded, "{}", status.message);
     assert_eq!(trailers["grpc-retry-pushback-ms"], "-1");
     assert!(began.elapsed() > std::time::Duration::from_millis(900), "it was waited for");
-    assert_eq!(fleet.count(|s| matches!(s, Seen::Call { .. })), 2, "each was sent once");
+    assert_eq!(fleet.count(|s| matches!(s, ObservationKind::Call { .. })), 2, "each was sent once");
 }
--- a/crates/gateway/tests/limits.rs
+++ b/crates/gateway/tests/limits.rs
@@ -11,7 +11,7 @@
 use nettleferry_net::grpc::Code;
 use nettleferry_proto::inference::*;
 use nettleferry_scenario::client::ClientRequest;
-use nettleferry_test_servers::{Fault, Seen};
+use nettleferry_test_servers::{Fault, ObservationKind};
 use prost::Message;
 
 #[track_caller]
@@ -155,13 +155,13 @@
 #[test]
 fn too_many_open_calls_are_refused_at_once() {
     let mut fleet = Fleet::new(1, SPEC);
-    fleet.handles[0].tell(Fault::Hang(Some("echo-hang".into())));
+    fleet.handles[0].inject(Fault::Hang(Some("echo-hang".into())));
     let gateway = serve(&format!("{SETTINGS}(limits (open-calls 3))"), &fleet.list());
     let mut caller = Caller::new(gateway.address);
     for _ in 0..3 {
         caller.unary("echo-hang");
     }
-    caller.until("they are out", || fleet.any(|s| matches!(s, Seen::Call { .. })));
+    caller.until("they are out", || fleet.any(|s| matches!(s, ObservationKind::Call { .. })));
     let over = caller.unary("echo-hang");
     refused(&mut caller, over);
 }
--- a/crates/gateway/tests/loans.rs
+++ b/crates/gateway/tests/loans.rs
@@ -14,7 +14,7 @@
 
 use nettleferry_net::grpc::Code;
 use nettleferry_scenario::client::ClientEvent;
-use nettleferry_test_servers::Seen;
+use nettleferry_test_servers::ObservationKind;
 use serde_json::json;
 
 const LIMIT: usize = 40;
@@ -73,8 +73,10 @@
         let records = fleet.look();
         for record in &records[self.seen..] {
             match &record.seen {
-                Seen::Call { stream, .. } => _ = self.open.insert((record.worker.clone(), *stream)),
-                Seen::Gone { stream } | Seen::Answered { stream, .. } => {
+                ObservationKind::Call { stream, .. } => {
+                    _ = self.open.insert((record.worker.clone(), *stream))
+                }
+                ObservationKind::Gone { stream } | ObservationKind::Answered { stream, .. } => {
                     self.open.remove(&(record.worker.clone(), *stream));
                 }
                 _ => {}
@@ -114,7 +116,8 @@
         let from = fleet.look().len();
         eventually("calls flow", || {
             truth.look(fleet);
-            fleet.look()[from..].iter().filter(|r| matches!(r.seen, Seen::Answered { .. })).count() >= count
+            fleet.look()[from..].iter().filter(|r| matches!(r.seen, ObservationKind::Answered { .. })).count()
+                >= count
         });
         assert!(truth.most <= LIMIT, "{} at once", truth.most);
     };
@@ -150,7 +153,8 @@
     let from = rig.fleet.look().len();
     eventually("calls flow", || {
         truth.look(&mut rig.fleet);
-        rig.fleet.look()[from..].iter().filter(|r| matches!(r.seen, Seen::Answered { .. })).count() >= 100
+        rig.fleet.look()[from..].iter().filter(|r| matches!(r.seen, ObservationKind::Answered { .. })).count()
+            >= 100
     });
     assert!(truth.most <= 8, "{} at once", truth.most);
     drop(floods);
--- a/crates/gateway/tests/push.rs
+++ b/crates/gateway/tests/push.rs
@@ -6,7 +6,7 @@
 
 use nettleferry_net::grpc::Code;
 use nettleferry_proto::remote_write::is_stale;
-use nettleferry_test_servers::receiver::{Kept, Mode, Receiver};
+use nettleferry_test_servers::receiver::{Mode, ReceivedData, Receiver};
 
 const CALLS: &str = "nettleferry_calls_total";
 const SERVED: [(&str, &str); 4] =
@@ -20,7 +20,7 @@
 }
 
 /// The served calls of the last sample.
-fn served(kept: &Kept) -> f64 {
+fn served(kept: &ReceivedData) -> f64 {
     kept.find(CALLS, &SERVED).last().map_or(-1.0, |t| t.value)
 }
 
@@ -37,10 +37,10 @@
     let fleet = Fleet::new(1, SPEC);
     let receiver = Receiver::start(Mode::Take).expect("listens");
     let gateway = serve(&settings(&receiver), &fleet.list());
-    eventually("zeros arrive before any call", || served(&receiver.kept()) == 0.0);
+    eventually("zeros arrive before any call", || served(&receiver.data()) == 0.0);
     call(&gateway, 7);
-    eventually("seven calls arrive", || served(&receiver.kept()) == 7.0);
-    let kept = receiver.kept();
+    eventually("seven calls arrive", || served(&receiver.data()) == 7.0);
+    let kept = receiver.data();
     assert_eq!(kept.faults, Vec::<String>::new());
     assert!(kept.requests[0] > 0 && kept.requests[1] == 0, "version 2.0");
     let samples = kept.find(CALLS, &[("instance", "c0"), SERVED[0], SERVED[1], SERVED[2], SERVED[3]]);
@@ -54,9 +54,9 @@
     let receiver = Receiver::start(Mode::OnlyOne).expect("listens");
     let gateway = serve(&settings(&receiver), &fleet.list());
     call(&gateway, 3);
-    eventually("three calls arrive", || served(&receiver.kept()) == 3.0);
-    let kept = receiver.kept();
-    assert!(kept.faults.is_empty() && kept.requests[0] == 0 && kept.turned_away >= 1, "{:?}", kept.faults);
+    eventually("three calls arrive", || served(&receiver.data()) == 3.0);
+    let kept = receiver.data();
+    assert!(kept.faults.is_empty() && kept.requests[0] == 0 && kept.rejected >= 1, "{:?}", kept.faults);
 }
 
 /// The last round before an end, with all that was counted, and a marker on each series.
@@ -67,11 +67,11 @@
     // A round an hour: all that arrives after the first is the last words.
     let settings = settings(&receiver).replace("(every 40ms)", "(every 1h)");
     let mut gateway = serve(&settings, &fleet.list());
-    eventually("the first round arrives", || served(&receiver.kept()) == 0.0);
+    eventually("the first round arrives", || served(&receiver.data()) == 0.0);
     call(&gateway, 9);
     gateway.signal("TERM");
     assert!(gateway.wait().success());
-    let kept = receiver.kept();
+    let kept = receiver.data();
     assert_eq!(kept.faults, Vec::<String>::new());
     let all = kept.find(CALLS, &SERVED);
     assert_eq!(all.iter().map(|t| t.value).take(2).collect::<Vec<_>>(), [0.0, 9.0]);
@@ -89,8 +89,8 @@
     std::fs::rename(gateway.dir.path().join("spool"), dir.path().join("spool")).expect("the spool stands");
     std::fs::write(dir.path().join("workers.sexp"), fleet.list()).expect("written");
     let _next = serve_in(dir, &settings, None);
-    eventually("the next life's first round", || served(&receiver.kept()) == 0.0);
-    let kept = receiver.kept();
+    eventually("the next life's first round", || served(&receiver.data()) == 0.0);
+    let kept = receiver.data();
     let all = kept.find(CALLS, &SERVED);
     assert_eq!((all.len(), kept.repeated, kept.faults), (4, 0, Vec::new()), "no second marker");
     assert!(all[3].created_ms > all[2].created_ms);
@@ -102,21 +102,21 @@
     let receiver = Receiver::start(Mode::Take).expect("listens");
     let settings = settings(&receiver).replace("(every 40ms)", "(every 1h) (farewell 300ms)");
     let mut gateway = serve(&settings, &fleet.list());
-    eventually("the first round arrives", || served(&receiver.kept()) == 0.0);
-    receiver.be(Mode::Answer(503, Some(3600)));
+    eventually("the first round arrives", || served(&receiver.data()) == 0.0);
+    receiver.set_mode(Mode::Answer(503, Some(3600)));
     call(&gateway, 3);
     gateway.signal("TERM");
     assert!(gateway.wait().success(), "it ends all the same");
-    receiver.be(Mode::Take);
+    receiver.set_mode(Mode::Take);
     let dir = tempfile::tempdir().expect("a folder");
     std::fs::rename(gateway.dir.path().join("spool"), dir.path().join("spool")).expect("the spool stands");
     std::fs::write(dir.path().join("workers.sexp"), fleet.list()).expect("written");
     let _next = serve_in(dir, &settings, None);
-    let values = || receiver.kept().find(CALLS, &SERVED).iter().map(|t| t.value).collect::<Vec<_>>();
+    let values = || receiver.data().find(CALLS, &SERVED).iter().map(|t| t.value).collect::<Vec<_>>();
     eventually("last words and a new life", || values().len() == 4);
     let all = values();
     assert!(all[..2] == [0.0, 3.0] && is_stale(all[2]) && all[3] == 0.0, "{all:?}");
-    assert_eq!(receiver.kept().faults, Vec::<String>::new());
+    assert_eq!(receiver.data().faults, Vec::<String>::new());
 }
 
 #[test]
@@ -125,17 +125,17 @@
     let receiver = Receiver::start(Mode::OnlyOne).expect("listens");
     let settings = settings(&receiver).replace("(every 40ms)", "(every 40ms) (ask-again 200ms)");
     let _gateway = serve(&settings, &fleet.list());
-    eventually("1.0 is spoken", || receiver.kept().requests[1] > 3);
-    receiver.be(Mode::Take);
-    eventually("2.0 is spoken again", || receiver.kept().requests[0] > 3);
-    eventually("native histograms arrive", || !receiver.kept().natives.is_empty());
+    eventually("1.0 is spoken", || receiver.data().requests[1] > 3);
+    receiver.set_mode(Mode::Take);
+    eventually("2.0 is spoken again", || receiver.data().requests[0] > 3);
+    eventually("native histograms arrive", || !receiver.data().natives.is_empty());
     // One that takes 2.0 for 1.0 and answers 204 has read nothing: its answer does not say what it wrote.
-    let before = receiver.kept().find("nettleferry_open_calls", &[]).len();
-    receiver.be(Mode::Blind);
-    eventually("1.0 again", || receiver.kept().find("nettleferry_open_calls", &[]).len() > before + 3);
-    let changes = || receiver.kept().find("nettleferry_push_version_changes_total", &[]);
+    let before = receiver.data().find("nettleferry_open_calls", &[]).len();
+    receiver.set_mode(Mode::Blind);
+    eventually("1.0 again", || receiver.data().find("nettleferry_open_calls", &[]).len() > before + 3);
+    let changes = || receiver.data().find("nettleferry_push_version_changes_total", &[]);
     eventually("each change is counted", || changes().last().is_some_and(|t| t.value >= 3.0));
-    let kept = receiver.kept();
+    let kept = receiver.data();
     assert_eq!(kept.faults, Vec::<String>::new());
     let rounds = kept.find("nettleferry_open_calls", &[]);
     assert!(rounds.windows(2).all(|w| w[0].at_ms < w[1].at_ms));
@@ -148,10 +148,10 @@
         Receiver::start(Mode::Bad("nettleferry_load_orders_sent_total".to_owned())).expect("listens");
     let gateway = serve(&settings(&receiver), &fleet.list());
     call(&gateway, 6);
-    eventually("its neighbours arrive", || served(&receiver.kept()) == 6.0);
-    let refused = || receiver.kept().find("nettleferry_push_samples_total", &[("end", "refused")]);
+    eventually("its neighbours arrive", || served(&receiver.data()) == 6.0);
+    let refused = || receiver.data().find("nettleferry_push_samples_total", &[("end", "refused")]);
     eventually("what it cost is told", || refused().last().is_some_and(|t| t.value > 0.0));
-    let kept = receiver.kept();
+    let kept = receiver.data();
     assert!(kept.find("nettleferry_load_orders_sent_total", &[]).is_empty());
     assert_eq!(kept.faults, Vec::<String>::new());
     // All other series of the registry are there.
@@ -165,24 +165,25 @@
     let settings = settings(&receiver).replace("(every 40ms)", "(every 200ms) (timeout 2s)");
     let gateway = serve(&settings, &fleet.list());
     call(&gateway, 2);
-    let retries =
-        |kept: &Kept| kept.find("nettleferry_push_retries_total", &[]).last().map_or(0.0, |t| t.value);
-    let rounds = || receiver.kept().find("nettleferry_open_calls", &[]);
+    let retries = |kept: &ReceivedData| {
+        kept.find("nettleferry_push_retries_total", &[]).last().map_or(0.0, |t| t.value)
+    };
+    let rounds = || receiver.data().find("nettleferry_open_calls", &[]);
     // Half a request is no request.
     let mut caller = Caller::new(gateway.address);
     for _ in 0..20 {
         let rpc = caller.unary("echo");
         assert_eq!(caller.status(rpc).0.code, Code::Ok);
     }
-    receiver.be(Mode::CutAnswer);
-    eventually("batches come again", || receiver.kept().repeated > 0);
-    receiver.be(Mode::Slow(std::time::Duration::from_millis(300)));
+    receiver.set_mode(Mode::CutAnswer);
+    eventually("batches come again", || receiver.data().repeated > 0);
+    receiver.set_mode(Mode::Slow(std::time::Duration::from_millis(300)));
     let then = rounds().len();
     eventually("a slow one takes them", || rounds().len() > then + 3);
-    receiver.be(Mode::Take);
-    eventually("all calls are told", || served(&receiver.kept()) == 22.0);
-    eventually("that batches were sent again is told", || retries(&receiver.kept()) > 0.0);
-    let kept = receiver.kept();
+    receiver.set_mode(Mode::Take);
+    eventually("all calls are told", || served(&receiver.data()) == 22.0);
+    eventually("that batches were sent again is told", || retries(&receiver.data()) > 0.0);
+    let kept = receiver.data();
     assert_eq!(kept.faults, Vec::<String>::new());
     assert!(rounds().windows(2).all(|w| w[0].at_ms < w[1].at_ms));
 }
@@ -197,14 +198,14 @@
         &settings(&receiver).replace("(every 40ms)", "(every 40ms) (spool-size 1MiB)"),
         &fleet.list(),
     );
-    eventually("the first round arrives", || served(&receiver.kept()) == 0.0);
+    eventually("the first round arrives", || served(&receiver.data()) == 0.0);
     // A file in the folder's place: nothing can be opened, made or removed there.
     let spool = gateway.dir.path().join("spool");
     std::fs::rename(&spool, gateway.dir.path().join("away")).expect("renamed");
     std::fs::write(&spool, "").expect("written");
     call(&gateway, 4);
-    eventually("calls arrive all the same", || served(&receiver.kept()) == 4.0);
-    let failed = || receiver.kept().find("nettleferry_spool_failures_total", &[]);
+    eventually("calls arrive all the same", || served(&receiver.data()) == 4.0);
+    let failed = || receiver.data().find("nettleferry_spool_failures_total", &[]);
     eventually("the failure is told", || failed().last().is_some_and(|t| t.value > 0.0));
     std::fs::remove_file(&spool).expect("removed");
     std::fs::rename(gateway.dir.path().join("away"), &spool).expect("renamed");
@@ -216,7 +217,7 @@
         all.len() > 4
             && all[all.len() - 4..].iter().all(|t| t.value == all[all.len() - 1].value && t.value >= told)
     });
-    assert_eq!(receiver.kept().faults, Vec::<String>::new());
+    assert_eq!(receiver.data().faults, Vec::<String>::new());
 }
 
 /// A spool damaged while the controller was away: what is sound is sent, what is not is never made up.
@@ -248,14 +249,14 @@
     bytes[middle] ^= 0x10;
     bytes.truncate(tail);
     std::fs::write(&files[0], bytes).expect("written");
-    receiver.be(Mode::Take);
+    receiver.set_mode(Mode::Take);
     let _next = serve_in(dir, &settings(&receiver), None);
-    let rounds = || receiver.kept().find(CALLS, &SERVED);
+    let rounds = || receiver.data().find(CALLS, &SERVED);
     eventually("the new life's rounds arrive", || {
         let all = rounds();
         all.iter().position(|t| is_stale(t.value)).is_some_and(|at| at + 2 < all.len())
     });
-    let kept = receiver.kept();
+    let kept = receiver.data();
     assert_eq!(kept.faults, Vec::<String>::new());
     let all = rounds();
     let marker = all.iter().position(|t| is_stale(t.value)).expect("just seen");
@@ -269,15 +270,15 @@
     let receiver = Receiver::start(Mode::Answer(503, None)).expect("listens");
     let gateway = serve(&settings(&receiver), &fleet.list());
     call(&gateway, 5);
-    eventually("it is tried again and again", || receiver.kept().turned_away > 5);
+    eventually("it is tried again and again", || receiver.data().rejected > 5);
     let back =
         std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).expect("after 1970").as_millis();
-    receiver.be(Mode::Take);
-    eventually("five calls arrive", || served(&receiver.kept()) == 5.0);
+    receiver.set_mode(Mode::Take);
+    eventually("five calls arrive", || served(&receiver.data()) == 5.0);
     // Series of other shards come by batches of their own.
-    let rounds = || receiver.kept().find("nettleferry_open_calls", &[]);
+    let rounds = || receiver.data().find("nettleferry_open_calls", &[]);
     eventually("later rounds arrive", || rounds().last().is_some_and(|t| t.at_ms > back as i64));
-    let kept = receiver.kept();
+    let kept = receiver.data();
     assert_eq!((kept.faults, kept.repeated), (Vec::new(), 0));
     let rounds = rounds();
     assert!(rounds[0].at_ms < back as i64, "rounds of the time away are there");
@@ -289,16 +290,16 @@
     let fleet = Fleet::new(1, SPEC);
     let receiver = Receiver::start(Mode::Forget).expect("listens");
     let gateway = serve(&settings(&receiver), &fleet.list());
-    eventually("batches come again", || receiver.kept().repeated > 0);
+    eventually("batches come again", || receiver.data().repeated > 0);
     // Refused whatever is in it: a 400 would be searched for what is bad.
-    receiver.be(Mode::Answer(403, None));
-    eventually("batches are refused", || receiver.kept().turned_away > 2);
-    receiver.be(Mode::Take);
+    receiver.set_mode(Mode::Answer(403, None));
+    eventually("batches are refused", || receiver.data().rejected > 2);
+    receiver.set_mode(Mode::Take);
     call(&gateway, 2);
-    eventually("later ones arrive", || served(&receiver.kept()) == 2.0);
-    let kept = receiver.kept();
+    eventually("later ones arrive", || served(&receiver.data()) == 2.0);
+    let kept = receiver.data();
     assert_eq!(kept.faults, Vec::<String>::new());
-    let refused = || receiver.kept().find("nettleferry_push_samples_total", &[("end", "refused")]);
+    let refused = || receiver.data().find("nettleferry_push_samples_total", &[("end", "refused")]);
     eventually("the refusal is told in a series that arrives", || {
         refused().last().is_some_and(|t| t.value > 0.0)
     });
@@ -310,27 +311,27 @@
     let receiver = Receiver::start(Mode::Take).expect("listens");
     let gateway = serve(&settings(&receiver), &fleet.list());
     call(&gateway, 4);
-    eventually("four calls arrive", || served(&receiver.kept()) == 4.0);
+    eventually("four calls arrive", || served(&receiver.data()) == 4.0);
     // From here on nothing is acknowledged; two more calls are seen by samples that only the spool has.
-    receiver.be(Mode::Answer(503, None));
-    let away = receiver.kept().find("nettleferry_open_calls", &[]).len();
+    receiver.set_mode(Mode::Answer(503, None));
+    let away = receiver.data().find("nettleferry_open_calls", &[]).len();
     call(&gateway, 2);
-    let before = receiver.kept().turned_away;
-    eventually("rounds pass", || receiver.kept().turned_away > before + 6);
+    let before = receiver.data().rejected;
+    eventually("rounds pass", || receiver.data().rejected > before + 6);
     gateway.signal("KILL");
     let dir = tempfile::tempdir().expect("a folder");
     std::fs::rename(gateway.dir.path().join("spool"), dir.path().join("spool")).expect("the spool stands");
     std::fs::write(dir.path().join("workers.sexp"), fleet.list()).expect("written");
     drop(gateway);
-    receiver.be(Mode::Take);
+    receiver.set_mode(Mode::Take);
     let _next = serve_in(dir, &settings(&receiver), None);
-    let samples = || receiver.kept().find(CALLS, &SERVED);
+    let samples = || receiver.data().find(CALLS, &SERVED);
     eventually("the next life's own samples arrive", || {
         let all = samples();
         let marker = all.iter().position(|t| is_stale(t.value));
         marker.is_some_and(|at| at + 1 < all.len())
     });
-    let kept = receiver.kept();
+    let kept = receiver.data();
     assert_eq!(kept.faults, Vec::<String>::new());
     let all = samples();
     let marker = all.iter().position(|t| is_stale(t.value)).expect("just seen");
@@ -348,20 +349,20 @@
     let receiver = Receiver::start(Mode::Forget).expect("listens");
     let gateway = serve(&settings(&receiver), &fleet.list());
     call(&gateway, 3);
-    eventually("it is written and not acknowledged", || served(&receiver.kept()) >= 0.0);
+    eventually("it is written and not acknowledged", || served(&receiver.data()) >= 0.0);
     gateway.signal("KILL");
     let dir = tempfile::tempdir().expect("a folder");
     std::fs::rename(gateway.dir.path().join("spool"), dir.path().join("spool")).expect("the spool stands");
     std::fs::write(dir.path().join("workers.sexp"), fleet.list()).expect("written");
     drop(gateway);
-    let before = receiver.kept().repeated;
-    receiver.be(Mode::Take);
+    let before = receiver.data().repeated;
+    receiver.set_mode(Mode::Take);
     let _next = serve_in(dir, &settings(&receiver), None);
     eventually("a marker and a new life", || {
-        let all = receiver.kept().find(CALLS, &SERVED);
+        let all = receiver.data().find(CALLS, &SERVED);
         all.iter().position(|t| is_stale(t.value)).is_some_and(|at| at + 1 < all.len())
     });
-    let kept = receiver.kept();
+    let kept = receiver.data();
     assert_eq!(kept.faults, Vec::<String>::new());
     assert!(kept.repeated > before, "what it had is sent again, the same");
 }
--- a/crates/gateway/tests/streams.rs
+++ b/crates/gateway/tests/streams.rs
@@ -6,14 +6,14 @@
 use bytes::Bytes;
 use nettleferry_net::grpc::Code;
 use nettleferry_scenario::client::{ClientEvent, ClientRequest};
-use nettleferry_test_servers::{Fault, Seen};
+use nettleferry_test_servers::{Fault, ObservationKind};
 use prost::Message;
 
 /// Four segments of 40 ms each, so that there is a middle.
 const SLOW: &str = "(listen \"127.0.0.1:0\") (cores 8) (model \"\" (lanes 64) (load-time 1ms) (work 160ms))";
 
-fn attempts(seen: &Seen) -> bool {
-    matches!(seen, Seen::Call { .. })
+fn attempts(seen: &ObservationKind) -> bool {
+    matches!(seen, ObservationKind::Call { .. })
 }
 
 #[test]
@@ -21,7 +21,7 @@
     let mut fleet = Fleet::new(2, SLOW);
     let gateway = serve(SETTINGS, &fleet.list());
     for handle in &fleet.handles {
-        handle.tell(Fault::CutAfter(Some(3)));
+        handle.inject(Fault::CutAfter(Some(3)));
     }
     let mut caller = Caller::new(gateway.address);
     let rpc = caller.ask(ask("ModelStreamInfer", &climb("climb", "c", 6)));
@@ -45,7 +45,7 @@
     let rpc = caller.ask(ask("ModelStreamInfer", &climb("climb", "c", 4)));
     caller.response(rpc);
     caller.client.cancel(rpc);
-    caller.until("the worker sees the cancel", || fleet.any(|s| matches!(s, Seen::Gone { .. })));
+    caller.until("the worker sees the cancel", || fleet.any(|s| matches!(s, ObservationKind::Gone { .. })));
     // A later call on the same path has its answer; the cancelled one is not tried again.
     let next = caller.ask(ask("ModelStreamInfer", &climb("climb", "d", 1)));
     assert!(is_final(&caller.response(next)));
@@ -99,7 +99,8 @@
     caller.client.more(rpc, climb("nobody", "bad", 1).encode_to_vec().into());
     let (status, _) = caller.status(rpc);
     assert_eq!(status.code, Code::NotFound);
-    caller.until("the other call lost its client", || fleet.any(|s| matches!(s, Seen::Gone { .. })));
+    caller
+        .until("the other call lost its client", || fleet.any(|s| matches!(s, ObservationKind::Gone { .. })));
 }
 
 #[test]
@@ -117,13 +118,15 @@
     let mut slow = Caller::new(gateway.address);
     let rpc = slow.ask(ask("ModelStreamInfer", &climb("climb", "s", segments)));
     slow.client.read(rpc, false);
-    slow.until("it runs", || fleet.any(|s| matches!(s, Seen::Call { model, .. } if model == "climb")));
+    slow.until("it runs", || {
+        fleet.any(|s| matches!(s, ObservationKind::Call { model, .. } if model == "climb"))
+    });
     for _ in 0..200 {
         let rpc = other.unary("echo");
         assert_eq!(other.status(rpc).0.code, Code::Ok);
         slow.turn();
     }
-    let served = fleet.count(|s| matches!(s, Seen::Answered { served: true, .. }));
+    let served = fleet.count(|s| matches!(s, ObservationKind::Answered { served: true, .. }));
     assert_eq!(served, 201, "the long answer waits at its worker");
     let grown = gateway.resident().saturating_sub(before);
     assert!(grown < 20 << 10, "{grown} KiB for an answer that nobody reads");
@@ -193,12 +196,14 @@
         let ended: std::collections::HashSet<(&str, u64)> = seen
             .iter()
             .filter_map(|r| match &r.seen {
-                Seen::Gone { stream } | Seen::Answered { stream, .. } => Some((r.worker.as_str(), *stream)),
+                ObservationKind::Gone { stream } | ObservationKind::Answered { stream, .. } => {
+                    Some((r.worker.as_str(), *stream))
+                }
                 _ => None,
             })
             .collect();
-        let call = |r: &nettleferry_test_servers::Record| match &r.seen {
-            Seen::Call { stream, .. } => Some((r.worker.clone(), *stream)),
+        let call = |r: &nettleferry_test_servers::Observation| match &r.seen {
+            ObservationKind::Call { stream, .. } => Some((r.worker.clone(), *stream)),
             _ => None,
         };
         seen.iter().filter_map(call).all(|(worker, stream)| ended.contains(&(worker.as_str(), stream)))
--- a/crates/scale/src/measure/list/calls.rs
+++ b/crates/scale/src/measure/list/calls.rs
@@ -66,7 +66,7 @@
         let work = move || {
             let ended = Caller::new(to, ask, every, told).and_then(|mut caller| caller.run(&stopped));
             if let Err(error) = ended {
-                // Seen by whoever takes the stretch: no call of it was served.
+                // ObservationKind by whoever takes the stretch: no call of it was served.
                 eprintln!("calls of the scale run ended: {error}");
             }
         };
--- a/crates/scenario/src/attempts.rs
+++ b/crates/scenario/src/attempts.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 
 use nettleferry::Micros;
-use nettleferry_test_servers::Seen;
+use nettleferry_test_servers::ObservationKind;
 
 use crate::evidence::{Cut, Evidence, Interval};
 
@@ -62,7 +62,7 @@
             }
         };
         match &record.seen {
-            Seen::Call { stream, id, controller, attempt, .. } => {
+            ObservationKind::Call { stream, id, controller, attempt, .. } => {
                 open.insert((worker, *stream), all.len());
                 let attempt = Attempt {
                     worker: worker.to_owned(),
@@ -74,16 +74,16 @@
                 };
                 all.push((id.clone(), attempt));
             }
-            Seen::Runs { stream } => {
+            ObservationKind::Runs { stream } => {
                 if let Some(at) = open.get(&(worker, *stream)) {
                     all[*at].1.ran = true;
                 }
             }
-            Seen::Gone { stream } => close(*stream, EndKind::Withdrawn),
-            Seen::Answered { stream, never_ran, .. } => {
+            ObservationKind::Gone { stream } => close(*stream, EndKind::Withdrawn),
+            ObservationKind::Answered { stream, never_ran, .. } => {
                 close(*stream, if *never_ran { EndKind::NeverRan } else { EndKind::Answered });
             }
-            Seen::Down | Seen::Fell => {
+            ObservationKind::Down | ObservationKind::Fell => {
                 let had: Vec<u64> = open.keys().filter(|(w, _)| *w == worker).map(|(_, s)| *s).collect();
                 for stream in had {
                     if let Some(at) = open.remove(&(worker, stream)) {
@@ -91,7 +91,10 @@
                     }
                 }
             }
-            Seen::Up { .. } | Seen::Order { .. } | Seen::Probe | Seen::Link { .. } => {}
+            ObservationKind::Up { .. }
+            | ObservationKind::Order { .. }
+            | ObservationKind::Probe
+            | ObservationKind::Link { .. } => {}
         }
     }
     let mut by_call: BTreeMap<String, Vec<Attempt>> = BTreeMap::new();
--- a/crates/scenario/src/audit.rs
+++ b/crates/scenario/src/audit.rs
@@ -9,7 +9,7 @@
 use std::fmt;
 
 use nettleferry::{Effect, KeyScope, Micros, WorkerState};
-use nettleferry_test_servers::Seen;
+use nettleferry_test_servers::ObservationKind;
 
 use crate::attempts::{Attempt, Links, attempts};
 use crate::evidence::{ClientObservation, ControllerRun, Evidence, Final, ListedWorker};
@@ -287,7 +287,7 @@
             }
         }
         for record in &self.evidence.workers {
-            if let Seen::Order { controller, model, .. } = &record.seen {
+            if let ObservationKind::Order { controller, model, .. } = &record.seen {
                 self.check_drained(Arrival {
                     worker: &record.worker,
                     controller: controller.parse().unwrap_or(usize::MAX),
@@ -332,7 +332,7 @@
 
     /// Rule 4: no worker that is warming up is overloaded.
     fn check_overload(&mut self) {
-        for record in self.evidence.workers.iter().filter(|record| record.seen == Seen::Fell) {
+        for record in self.evidence.workers.iter().filter(|record| record.seen == ObservationKind::Fell) {
             let what = format!("{} was pushed over while cold", record.worker);
             self.breaches.push(Breach { rule: 4, at: record.at, call: None, what });
         }
@@ -381,7 +381,7 @@
     fn load_orders(&self, number: usize) -> Vec<LoadOrder> {
         let mut orders = Vec::new();
         for record in &self.evidence.workers {
-            if let Seen::Order { controller, .. } = &record.seen
+            if let ObservationKind::Order { controller, .. } = &record.seen
                 && controller.parse() == Ok(number)
             {
                 let left = self.links.left_by(&record.worker, number, record.at);
--- a/crates/scenario/src/evidence.rs
+++ b/crates/scenario/src/evidence.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 use nettleferry::{Effect, Micros, WorkerState};
-use nettleferry_test_servers::{Record, Seen};
+use nettleferry_test_servers::{Observation, ObservationKind};
 
 /// What a client saw of a call.
 #[derive(Clone, Debug, PartialEq)]
@@ -158,7 +158,7 @@
     /// By clients.
     pub clients: Vec<ClientRecord>,
     /// By workers.
-    pub workers: Vec<Record>,
+    pub workers: Vec<Observation>,
     /// Changes of the worker list.
     pub listed: Vec<ListedWorker>,
     /// Controllers' controller_runs.
@@ -176,7 +176,7 @@
 }
 
 /// Intervals in which workers' addresses, or connections to them, were cut; `zones` has the zone of each address.
-pub fn cuts(workers: &[Record], zones: &[String]) -> Vec<Cut> {
+pub fn cuts(workers: &[Observation], zones: &[String]) -> Vec<Cut> {
     let mut open: BTreeMap<Link, Micros> = BTreeMap::new();
     let mut cuts = Vec::new();
     let mut add = |worker: &str, door: usize, from, to| {
@@ -184,7 +184,7 @@
         cuts.push(Cut { worker: worker.to_owned(), zone, interval: Interval { from, to } });
     };
     for record in workers {
-        let Seen::Link { door, conn, cut } = record.seen else { continue };
+        let ObservationKind::Link { door, conn, cut } = record.seen else { continue };
         let link = Link { worker: &record.worker, door, conn };
         if cut {
             open.entry(link).or_insert(record.at);
--- a/crates/scenario/src/report.rs
+++ b/crates/scenario/src/report.rs
@@ -5,7 +5,7 @@
 
 use hdrhistogram::Histogram;
 use nettleferry::Micros;
-use nettleferry_test_servers::Seen;
+use nettleferry_test_servers::ObservationKind;
 
 use crate::evidence::{ClientObservation, Evidence, Final};
 
@@ -77,16 +77,17 @@
         }
         out.push('\n');
     }
-    let count = |pick: fn(&Seen) -> bool| evidence.workers.iter().filter(|r| pick(&r.seen)).count();
+    let count =
+        |pick: fn(&ObservationKind) -> bool| evidence.workers.iter().filter(|r| pick(&r.seen)).count();
     let _ = writeln!(
         out,
         "workers: {} attempts, {} ran, {} load orders, {} probes, {} deaths, {} fell over",
-        count(|s| matches!(s, Seen::Call { .. })),
-        count(|s| matches!(s, Seen::Runs { .. })),
-        count(|s| matches!(s, Seen::Order { .. })),
-        count(|s| matches!(s, Seen::Probe)),
-        count(|s| matches!(s, Seen::Down)),
-        count(|s| matches!(s, Seen::Fell)),
+        count(|s| matches!(s, ObservationKind::Call { .. })),
+        count(|s| matches!(s, ObservationKind::Runs { .. })),
+        count(|s| matches!(s, ObservationKind::Order { .. })),
+        count(|s| matches!(s, ObservationKind::Probe)),
+        count(|s| matches!(s, ObservationKind::Down)),
+        count(|s| matches!(s, ObservationKind::Fell)),
     );
     out
 }
--- a/crates/scenario/src/run.rs
+++ b/crates/scenario/src/run.rs
@@ -10,7 +10,7 @@
 use nettleferry::Micros;
 use nettleferry_config::Config;
 use nettleferry_test_servers::receiver::Receiver;
-use nettleferry_test_servers::{Fault, Handle, Record, Store};
+use nettleferry_test_servers::{Fault, Handle, Observation, Store};
 
 use crate::alerting;
 use crate::error::system;
@@ -134,7 +134,7 @@
 }
 
 fn receiver_report(receiver: &Receiver, epoch_ms: i64) -> alerting::ReceiverReport {
-    let data = receiver.kept();
+    let data = receiver.data();
     let watch = data.watch.as_ref();
     let episodes = watch.map_or(&[][..], |watch| watch.episodes());
     let mut faults = data.faults.clone();
@@ -230,7 +230,7 @@
         match action {
             Action::Fault { worker, fault } => {
                 if let Some(handle) = self.handles.iter().find(|handle| handle.name == worker) {
-                    handle.tell(fault);
+                    handle.inject(fault);
                 }
             }
             Action::List { worker, state, restarted } => {
@@ -293,7 +293,7 @@
             let home = self.locations.get(&handle.name).map_or("", |location| location.zone.as_str());
             for (door, from) in self.lists.zones.iter().enumerate() {
                 if (home == zone) != (from == zone) {
-                    handle.tell(Fault::Cut { door, cut });
+                    handle.inject(Fault::Cut { door, cut });
                 }
             }
         }
@@ -345,7 +345,7 @@
     fn finish(
         self,
         clients: Vec<ClientRecord>,
-        observed: impl Iterator<Item = Record>,
+        observed: impl Iterator<Item = Observation>,
         parameters: RuleParameters,
     ) -> (Evidence, Vec<String>) {
         let until = self.now();
@@ -353,7 +353,7 @@
             handle.stop();
         }
         // Ends when the last worker's thread has ended.
-        let workers: Vec<Record> = observed.collect();
+        let workers: Vec<Observation> = observed.collect();
         let evidence = Evidence {
             cuts: evidence::cuts(&workers, &self.lists.zones),
             clients,
--- a/crates/scenario/src/setup.rs
+++ b/crates/scenario/src/setup.rs
@@ -10,7 +10,7 @@
 use nettleferry::{Micros, WorkerState};
 use nettleferry_config::{Config, Worker, settings};
 use nettleferry_test_servers::receiver::{Mode, Receiver};
-use nettleferry_test_servers::{Handle, Options, Record, Store, spawn};
+use nettleferry_test_servers::{Handle, Observation, Options, Store, spawn};
 
 use crate::error::{ScenarioError, system};
 use crate::evidence::Location;
@@ -31,7 +31,7 @@
     pub(crate) zones: Vec<String>,
     pub(crate) store: Arc<Mutex<Store>>,
     pub(crate) epoch: Instant,
-    pub(crate) records: Sender<Record>,
+    pub(crate) records: Sender<Observation>,
 }
 
 /// Controllers that are not started, and the last one's settings.
--- a/crates/scenario/src/story.rs
+++ b/crates/scenario/src/story.rs
@@ -4,7 +4,7 @@
 use std::fmt::Write;
 
 use nettleferry::{Effect, KeyScope, Micros, WorkerState};
-use nettleferry_test_servers::Seen;
+use nettleferry_test_servers::ObservationKind;
 
 use crate::evidence::{ClientObservation, Evidence};
 
@@ -59,16 +59,16 @@
         let worker = record.worker.as_str();
         let call_of = |stream: &u64| streams.get(&(worker, *stream)).copied();
         let (what, call) = match &record.seen {
-            Seen::Call { stream, id, model, controller, attempt, .. } => {
+            ObservationKind::Call { stream, id, model, controller, attempt, .. } => {
                 streams.insert((worker, *stream), id);
                 let number = attempt.map_or("without a number".to_owned(), |number| number.to_string());
                 (format!("attempt {number} comes from controller {controller}: {model}"), Some(id.as_str()))
             }
-            Seen::Runs { stream } => ("the attempt runs".to_owned(), call_of(stream)),
-            Seen::Gone { stream } => {
+            ObservationKind::Runs { stream } => ("the attempt runs".to_owned(), call_of(stream)),
+            ObservationKind::Gone { stream } => {
                 ("the attempt is withdrawn or its connection gone".to_owned(), call_of(stream))
             }
-            Seen::Answered { stream, served, never_ran } => {
+            ObservationKind::Answered { stream, served, never_ran } => {
                 let outcome = match (served, never_ran) {
                     (true, _) => "served",
                     (_, true) => "never ran",
@@ -76,7 +76,7 @@
                 };
                 (format!("the attempt is answered: {outcome}"), call_of(stream))
             }
-            Seen::Link { door, conn, cut } => {
+            ObservationKind::Link { door, conn, cut } => {
                 let from = link_origin(evidence, worker, *door, record.at);
                 let part = if conn.is_some() { "one connection" } else { "the link" };
                 (format!("{part} from {from} is {}", if *cut { "cut" } else { "mended" }), None)
--- a/crates/scenario/src/timeline.rs
+++ b/crates/scenario/src/timeline.rs
@@ -109,7 +109,7 @@
             FaultKind::Crash => self.add_crash(scope),
             FaultKind::Unresponsive => {
                 for worker in scope.workers {
-                    self.add_worker_fault(scope.from, worker, Fault::Silent(true));
+                    self.add_worker_fault(scope.from, worker, Fault::Unresponsive(true));
                     self.add_worker_fault(scope.to, worker, Fault::Die);
                     self.add_restart(scope.to + DOWN_FOR, worker);
                 }
@@ -191,7 +191,7 @@
     }
 
     fn add_restart(&mut self, when: Micros, worker: &str) {
-        self.add_worker_fault(when, worker, Fault::Rise);
+        self.add_worker_fault(when, worker, Fault::Restart);
         let state = WorkerState::On;
         let listed = Action::List { worker: worker.to_owned(), state, restarted: true };
         self.add(when + self.list_lag, listed);
@@ -202,7 +202,7 @@
     let (on, off) = match kind {
         FaultKind::FastErrors(share) => (Fault::FailFast(*share), Fault::FailFast(0.0)),
         FaultKind::Slow(factor) => (Fault::Slow(*factor), Fault::Slow(1.0)),
-        FaultKind::StaleReports(age) => (Fault::LateReports(*age), Fault::LateReports(0)),
+        FaultKind::StaleReports(age) => (Fault::StaleReports(*age), Fault::StaleReports(0)),
         FaultKind::Hang(models) => (Fault::Hang(Some(models.clone())), Fault::Hang(None)),
         FaultKind::Refuse => (Fault::Refuse(true), Fault::Refuse(false)),
         FaultKind::SlowHandshakes(delay) => (Fault::SlowHandshake(*delay), Fault::SlowHandshake(0)),
@@ -216,7 +216,7 @@
         FaultKind::GoAway => Some(Fault::GoAway),
         FaultKind::CutAfter(messages) => Some(Fault::CutAfter(Some(*messages))),
         FaultKind::HalfFrame => Some(Fault::HalfFrame),
-        FaultKind::Release(models) => Some(Fault::Void(models.clone())),
+        FaultKind::Release(models) => Some(Fault::InvalidateReplicas(models.clone())),
         _ => None,
     }
 }
--- a/crates/scenario/tests/audit.rs
+++ b/crates/scenario/tests/audit.rs
@@ -3,7 +3,7 @@
 use nettleferry::{Effect, KeyScope, WorkerState};
 use nettleferry_scenario::audit::{Breach, Slack, audit};
 use nettleferry_scenario::evidence::*;
-use nettleferry_test_servers::{Record, Seen};
+use nettleferry_test_servers::{Observation, ObservationKind};
 
 const MS: u64 = 1_000;
 const S: u64 = 1_000_000;
@@ -36,8 +36,8 @@
     e.clients.push(ClientRecord { at, id: id.into(), what });
 }
 
-fn worker(e: &mut Evidence, at: u64, name: &str, seen: Seen) {
-    e.workers.push(Record { at, worker: name.into(), seen });
+fn worker(e: &mut Evidence, at: u64, name: &str, seen: ObservationKind) {
+    e.workers.push(Observation { at, worker: name.into(), seen });
 }
 
 fn sent(e: &mut Evidence, at: u64, id: &str, effect: Effect) {
@@ -55,10 +55,10 @@
 
 /// The call's next attempt arrives: numbers are in the order of these lines.
 fn arrive(e: &mut Evidence, at: u64, name: &str, stream: u64, id: &str) {
-    let before = |r: &&Record| matches!(&r.seen, Seen::Call { id: other, .. } if other == id);
+    let before = |r: &&Observation| matches!(&r.seen, ObservationKind::Call { id: other, .. } if other == id);
     let attempt = Some(e.workers.iter().filter(before).count() as u32);
     let (id, model, controller) = (id.into(), "echo".into(), "0".into());
-    worker(e, at, name, Seen::Call { stream, id, model, controller, attempt, work: 1000 });
+    worker(e, at, name, ObservationKind::Call { stream, id, model, controller, attempt, core_time: 1000 });
 }
 
 fn cut(e: &mut Evidence, name: &str, from: u64, to: u64) {
@@ -66,11 +66,11 @@
 }
 
 fn gone(e: &mut Evidence, at: u64, name: &str, stream: u64) {
-    worker(e, at, name, Seen::Gone { stream });
+    worker(e, at, name, ObservationKind::Gone { stream });
 }
 
 fn answered(e: &mut Evidence, at: u64, name: &str, stream: u64, never_ran: bool) {
-    worker(e, at, name, Seen::Answered { stream, served: !never_ran, never_ran });
+    worker(e, at, name, ObservationKind::Answered { stream, served: !never_ran, never_ran });
 }
 
 /// A call of that effect that ran at w1 and was served.
@@ -78,7 +78,7 @@
     let mut e = empty();
     sent(&mut e, S, "x", effect);
     arrive(&mut e, S + 10 * MS, "w1", 1, "x");
-    worker(&mut e, S + 11 * MS, "w1", Seen::Runs { stream: 1 });
+    worker(&mut e, S + 11 * MS, "w1", ObservationKind::Runs { stream: 1 });
     client(&mut e, S + 19 * MS, "x", ClientObservation::Part);
     answered(&mut e, S + 20 * MS, "w1", 1, false);
     client(&mut e, S + 21 * MS, "x", ClientObservation::Final(Final::Served));
@@ -156,7 +156,7 @@
     arrive(&mut e, S + 20 * MS, "w2", 1, "x");
     answered(&mut e, S + 20 * MS, "w2", 1, true);
     assert_eq!(findings(&e), vec![], "sent twice, ran once");
-    worker(&mut e, S + 20 * MS, "w2", Seen::Runs { stream: 1 });
+    worker(&mut e, S + 20 * MS, "w2", ObservationKind::Runs { stream: 1 });
     // Records are judged by their times, whatever their order.
     let at = e.workers.len() - 2;
     e.workers.swap(at, at + 1);
@@ -205,10 +205,10 @@
     client(&mut e, 2 * S + 2, "x", ClientObservation::Final(Final::Served));
     breaks(&e, 2, "began while one at w1 was open");
     let mut left = e.clone();
-    worker(&mut left, 2 * S - 1, "w1", Seen::Gone { stream: 1 });
+    worker(&mut left, 2 * S - 1, "w1", ObservationKind::Gone { stream: 1 });
     assert_eq!(findings(&left), vec![]);
     let mut died = e.clone();
-    worker(&mut died, 2 * S - 1, "w1", Seen::Down);
+    worker(&mut died, 2 * S - 1, "w1", ObservationKind::Down);
     assert_eq!(findings(&died), vec![]);
     cut(&mut e, "w1", S + 1, 5 * S);
     breaks(&e, 2, "began while one at w1 was open");
@@ -225,14 +225,14 @@
     arrive(&mut e, 3 * S + 12 * MS, "w2", 1, "x");
     gone(&mut e, 3 * S + 13 * MS, "w2", 1);
     arrive(&mut e, 2 * S, "w1", 1, "x");
-    worker(&mut e, 2 * S + 1, "w1", Seen::Runs { stream: 1 });
+    worker(&mut e, 2 * S + 1, "w1", ObservationKind::Runs { stream: 1 });
     answered(&mut e, 2 * S + 500 * MS, "w1", 1, false);
     client(&mut e, 2 * S + 501 * MS, "x", ClientObservation::Final(Final::Served));
     e
 }
 
 /// The last record of a kind at a worker, to be altered.
-fn record<'a>(e: &'a mut Evidence, name: &str, is: fn(&Seen) -> bool) -> &'a mut Record {
+fn record<'a>(e: &'a mut Evidence, name: &str, is: fn(&ObservationKind) -> bool) -> &'a mut Observation {
     e.workers.iter_mut().rev().find(|r| r.worker == name && is(&r.seen)).expect("there")
 }
 
@@ -247,10 +247,10 @@
     }
     // It ran on after the link had healed: it had not been withdrawn.
     let mut ran = overtaken(Effect::Idempotent);
-    record(&mut ran, "w2", |s| matches!(s, Seen::Gone { .. })).seen =
-        Seen::Answered { stream: 1, served: true, never_ran: false };
+    record(&mut ran, "w2", |s| matches!(s, ObservationKind::Gone { .. })).seen =
+        ObservationKind::Answered { stream: 1, served: true, never_ran: false };
     assert_eq!(findings(&ran), vec![], "answered in the moment of reading");
-    record(&mut ran, "w2", |s| matches!(s, Seen::Answered { .. })).at = 3 * S + 300 * MS;
+    record(&mut ran, "w2", |s| matches!(s, ObservationKind::Answered { .. })).at = 3 * S + 300 * MS;
     let found = findings(&ran);
     assert!(
         found.iter().any(|b| b.rule == 2 && b.what.contains("began while one at w2 was open")),
@@ -258,7 +258,7 @@
     );
     // Withdrawn long after the link had healed.
     let mut late = overtaken(Effect::Idempotent);
-    record(&mut late, "w2", |s| matches!(s, Seen::Gone { .. })).at = 4 * S;
+    record(&mut late, "w2", |s| matches!(s, ObservationKind::Gone { .. })).at = 4 * S;
     breaks(&late, 2, "began while one at w2 was open");
     // The link was whole: its coming late is a late sending, after the call's end.
     let mut whole = overtaken(Effect::Idempotent);
@@ -275,7 +275,7 @@
 fn overlap_behind_a_cut_link_is_found() {
     // Open at w1 before its link is cut; the second begins at w2 in the meantime; no withdrawal comes with the
     // healing, and w1 works on.
-    let overlap = |over: Seen, at: u64| {
+    let overlap = |over: ObservationKind, at: u64| {
         let mut e = empty();
         sent(&mut e, S, "x", Effect::Idempotent);
         arrive(&mut e, S + 1, "w1", 1, "x");
@@ -286,8 +286,8 @@
         worker(&mut e, at, "w1", over);
         e
     };
-    let withdrawn = || Seen::Gone { stream: 1 };
-    let told = || Seen::Answered { stream: 1, served: true, never_ran: false };
+    let withdrawn = || ObservationKind::Gone { stream: 1 };
+    let told = || ObservationKind::Answered { stream: 1, served: true, never_ran: false };
     assert_eq!(findings(&overlap(withdrawn(), 2 * S + 5 * MS)), vec![], "withdrawn while it was cut");
     assert_eq!(findings(&overlap(told(), 2 * S - 5 * MS)), vec![], "answered while it was cut");
     breaks(&overlap(told(), 2 * S + 200 * MS), 2, "began while one at w1 was open");
@@ -310,7 +310,7 @@
 fn unsafe_call_retried_behind_a_cut_link_is_found_when_it_runs() {
     let mut e = overtaken(Effect::NonIdempotent);
     assert_eq!(findings(&e), vec![], "it was withdrawn before it ran");
-    worker(&mut e, 3 * S + 12 * MS + 500, "w2", Seen::Runs { stream: 1 });
+    worker(&mut e, 3 * S + 12 * MS + 500, "w2", ObservationKind::Runs { stream: 1 });
     breaks(&e, 2, "unsafe, and ran at w2 and at w1");
 }
 
@@ -338,11 +338,15 @@
 #[test]
 fn attempt_numbers_are_present_and_distinct() {
     let mut e = overtaken(Effect::Idempotent);
-    if let Seen::Call { attempt, .. } = &mut record(&mut e, "w1", |s| matches!(s, Seen::Call { .. })).seen {
+    if let ObservationKind::Call { attempt, .. } =
+        &mut record(&mut e, "w1", |s| matches!(s, ObservationKind::Call { .. })).seen
+    {
         *attempt = Some(0);
     }
     breaks(&e, 2, "with number 0 again");
-    if let Seen::Call { attempt, .. } = &mut record(&mut e, "w1", |s| matches!(s, Seen::Call { .. })).seen {
+    if let ObservationKind::Call { attempt, .. } =
+        &mut record(&mut e, "w1", |s| matches!(s, ObservationKind::Call { .. })).seen
+    {
         *attempt = None;
     }
     breaks(&e, 2, "with no number");
@@ -351,7 +355,7 @@
 #[test]
 fn cuts_are_derived_from_worker_records() {
     let mut e = empty();
-    let link = |door, conn, cut| Seen::Link { door, conn, cut };
+    let link = |door, conn, cut| ObservationKind::Link { door, conn, cut };
     worker(&mut e, S, "w1", link(1, None, true));
     worker(&mut e, S + 1, "w1", link(0, Some(7), true));
     worker(&mut e, S + 2, "w1", link(0, Some(7), false));
@@ -384,7 +388,7 @@
     order.listed.push(ListedWorker { at: S, worker: "w1".into(), state: WorkerState::Gone });
     sent(&mut order, 3 * S, "y", Effect::Idempotent);
     client(&mut order, 3 * S + 1, "y", ClientObservation::Final(Final::Refused));
-    let seen = Seen::Order { controller: "0".into(), model: "echo".into(), copies: 1 };
+    let seen = ObservationKind::Order { controller: "0".into(), model: "echo".into(), copies: 1 };
     worker(&mut order, 3 * S, "w1", seen);
     breaks(&order, 3, "an order to load echo reached w1");
 }
@@ -392,9 +396,9 @@
 #[test]
 fn rule_4_warming_worker_is_overloaded() {
     let mut e = empty();
-    worker(&mut e, S, "w1", Seen::Up { cold: true });
+    worker(&mut e, S, "w1", ObservationKind::Up { cold: true });
     assert_eq!(findings(&e), vec![]);
-    worker(&mut e, 2 * S, "w1", Seen::Fell);
+    worker(&mut e, 2 * S, "w1", ObservationKind::Fell);
     breaks(&e, 4, "w1 was pushed over while cold");
 }
 
@@ -407,7 +411,7 @@
             client(&mut e, S + n + 1, &format!("c{n}"), ClientObservation::Final(Final::Served));
         }
         for at in times {
-            let seen = Seen::Order { controller: "0".into(), model: "echo".into(), copies: 1 };
+            let seen = ObservationKind::Order { controller: "0".into(), model: "echo".into(), copies: 1 };
             worker(&mut e, *at, "w1", seen);
         }
         e
--- a/crates/test-servers/src/lib.rs
+++ b/crates/test-servers/src/lib.rs
@@ -1,13 +1,14 @@
-//! Stand-in workers: they play what real ones do, on real sockets, from the public protocol alone.
+//! Test servers: workers that behave as real ones do, on real sockets, from the public protocol alone, and a remote-write
+//! receiver.
 //!
-//! May know: the wire and the worker model. Must not know: the gateway's insides.
+//! They know the wire and the worker model. They know nothing of the gateway's insides.
 //!
-//! * [`worker`]: the worker model without I/O and clock: cores, lanes, queue, copies and memory, loads, cold
-//!   starts, falling over. [`store`]: the one store that all share.
+//! * [`worker`]: the worker model without I/O and clock: cores, lanes, queue, replicas and memory, loads, warm-up,
+//!   overload. [`store`]: the model store that all workers share.
 //! * [`models`]: what `echo` and `climb` answer. [`spec`]: a worker's description as text.
-//! * [`receiver`]: a remote-write receiver that is away, slow, strict or forgetful as told.
-//!   [`watch`]: alert rules on its clock.
-//! * [`server`]: the wire around it, in a thread of its own; faults are told to it, and what it sees is recorded.
+//! * [`server`]: the wire around the worker model, in a thread of its own, with faults and a record of what it sees.
+//! * [`receiver`]: a remote-write receiver that is unavailable, slow, strict or forgetful on demand. [`watch`]: alert rules
+//!   on its clock.
 
 #![forbid(unsafe_code)]
 
@@ -19,6 +20,6 @@
 pub mod watch;
 pub mod worker;
 
-pub use server::{Fault, Handle, Options, Record, Seen, spawn};
+pub use server::{Fault, Handle, Observation, ObservationKind, Options, spawn};
 pub use spec::Spec;
 pub use store::Store;
--- a/crates/test-servers/src/models.rs
+++ b/crates/test-servers/src/models.rs
@@ -136,7 +136,7 @@
     /// One part; the last has the final mark.
     pub fn part(&self, n: usize) -> ModelInferResponse {
         let mut response = match self {
-            Self::Echo(whole) => (**whole).clone(),
+            Self::Echo(response) => (**response).clone(),
             Self::Climb { model, id, segments, raw } => {
                 let pair = segments.get(n..=n).unwrap_or_default();
                 climbed(model, id, pair, *raw)
@@ -146,10 +146,10 @@
         response
     }
 
-    /// The whole as one.
-    pub fn whole(&self) -> ModelInferResponse {
+    /// All parts as one.
+    pub fn complete(&self) -> ModelInferResponse {
         match self {
-            Self::Echo(whole) => (**whole).clone(),
+            Self::Echo(response) => (**response).clone(),
             Self::Climb { model, id, segments, raw } => climbed(model, id, segments, *raw),
         }
     }
--- a/crates/test-servers/src/models/tests.rs
+++ b/crates/test-servers/src/models/tests.rs
@@ -11,17 +11,17 @@
     assert_eq!(segments, &[(3.0, 1.0), (0.5, 2.0), (8.5, 0.0)]);
     assert_eq!(answer.part(0).parameters[FINAL].truth(), Some(false));
     assert_eq!(answer.part(2).parameters[FINAL].truth(), Some(true));
-    assert_eq!(answer.whole().outputs[0].shape, [3]);
+    assert_eq!(answer.complete().outputs[0].shape, [3]);
 }
 
 #[test]
 fn heights_are_read_typed_or_raw_and_answered_alike() {
     let mut typed = climb_request("climb", "", &[1.0, 2.0], 1);
-    let raw = answer(&typed).expect("sound").whole();
+    let raw = answer(&typed).expect("sound").complete();
     typed.raw_input_contents.clear();
     typed.inputs[0].contents =
         Some(InferTensorContents { fp32_contents: vec![1.0, 2.0], ..Default::default() });
-    let typed = answer(&typed).expect("sound").whole();
+    let typed = answer(&typed).expect("sound").complete();
     assert_eq!(raw.raw_output_contents[0], Bytes::from_static(&[0, 0, 128, 63]));
     assert_eq!(typed.outputs[0].contents.as_ref().map(|c| c.fp32_contents[0]), Some(1.0));
     assert!(typed.raw_output_contents.is_empty());
--- a/crates/test-servers/src/receiver.rs
+++ b/crates/test-servers/src/receiver.rs
@@ -1,5 +1,5 @@
-//! A stand-in for a Prometheus remote-write receiver, versions 1.0 and 2.0: it keeps what it takes, judges it,
-//! and is away, strict or forgetful as told.
+//! A Prometheus remote-write receiver for tests, versions 1.0 and 2.0: it stores what it receives, checks it, and is
+//! unavailable, strict or forgetful on demand.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -38,9 +38,9 @@
     Blind,
 }
 
-/// A sample as it was taken.
+/// A sample as it was received.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Taken {
+pub struct ReceivedSample {
     /// Its time.
     pub at_ms: i64,
     /// Its value.
@@ -52,17 +52,17 @@
 /// Labels of a series, in order.
 pub type SeriesLabels = Vec<(String, String)>;
 
-/// What it has taken and found.
+/// What it has received and found.
 #[derive(Clone, Debug, Default)]
-pub struct Kept {
+pub struct ReceivedData {
     /// Samples by series, in the order in which they came, repeats left out.
-    pub series: BTreeMap<SeriesLabels, Vec<Taken>>,
+    pub series: BTreeMap<SeriesLabels, Vec<ReceivedSample>>,
     /// Native histograms by series, likewise.
     pub natives: BTreeMap<SeriesLabels, Vec<(i64, Native)>>,
     /// Requests by version: 2.0, 1.0.
     pub requests: [u64; 2],
-    /// Requests that it did not take.
-    pub turned_away: u64,
+    /// Requests that it rejected.
+    pub rejected: u64,
     /// Samples that came again with the same value.
     pub repeated: u64,
     /// What no sender should do: another value for a time, a time before the last, labels out of order; and what
@@ -80,9 +80,9 @@
     i64::try_from(since.as_millis()).unwrap_or(i64::MAX)
 }
 
-impl Kept {
+impl ReceivedData {
     /// Samples of the series of a name whose labels hold all of these, in order.
-    pub fn find(&self, name: &str, labels: &[(&str, &str)]) -> Vec<Taken> {
+    pub fn find(&self, name: &str, labels: &[(&str, &str)]) -> Vec<ReceivedSample> {
         let is = |all: &[(String, String)], name: &str, value: &str| {
             all.iter().any(|(n, v)| n == name && v == value)
         };
@@ -93,7 +93,7 @@
         ours.flat_map(|(_, taken)| taken.iter().copied()).collect()
     }
 
-    fn take(&mut self, series: Series) {
+    fn receive(&mut self, series: Series) {
         let name = format!("{:?}", series.labels);
         if !series.labels.windows(2).all(|w| w[0].0 < w[1].0) {
             self.faults.push(format!("labels out of order: {name}"));
@@ -131,7 +131,7 @@
                     self.faults.push(format!("{name}: {at_ms} came after a later one"));
                 }
                 None => {
-                    let one = Taken { at_ms, value, created_ms: series.created_ms };
+                    let one = ReceivedSample { at_ms, value, created_ms: series.created_ms };
                     let counter = series.kind == Kind::Counter && series.created_ms.is_some();
                     if counter && let Some(last) = taken.last().filter(|l| l.created_ms == one.created_ms) {
                         if remote_write::is_stale(last.value) {
@@ -155,7 +155,7 @@
     /// Where it listens.
     pub address: SocketAddr,
     mode: Arc<Mutex<Mode>>,
-    kept: Arc<Mutex<Kept>>,
+    data: Arc<Mutex<ReceivedData>>,
     cut: Arc<AtomicUsize>,
     stop: Stop,
     ended: Arc<AtomicBool>,
@@ -166,18 +166,21 @@
 const TICK: Duration = Duration::from_millis(20);
 
 /// Bytes that a body may unpack to.
-const MOST_BODY: usize = 64 << 20;
+const MAX_BODY_BYTES: usize = 64 << 20;
 
 impl Receiver {
-    /// Starts one.
+    /// Starts a receiver on a free port.
+    ///
+    /// # Errors
+    /// The system refuses a socket or a thread.
     pub fn start(mode: Mode) -> io::Result<Self> {
         let limits = Http1Limits { body_bytes: 16 << 20, ..Http1Limits::default() };
         let mut server = Http1::bind(SocketAddr::from(([127, 0, 0, 1], 0)), limits)?;
         let (address, stop, cut) = (server.local()?, server.stop(), server.cut_requests());
-        cut.store(most_of(&mode), Ordering::Relaxed);
+        cut.store(request_limit(&mode), Ordering::Relaxed);
         let mode = Arc::new(Mutex::new(mode));
-        let kept = Arc::new(Mutex::new(Kept::default()));
-        let (m, k) = (Arc::clone(&mode), Arc::clone(&kept));
+        let data = Arc::new(Mutex::new(ReceivedData::default()));
+        let (m, k) = (Arc::clone(&mode), Arc::clone(&data));
         let thread = std::thread::Builder::new().name("receiver".to_owned()).spawn(move || {
             let ended = server.run(|request| {
                 let mode = lock(&m).clone();
@@ -190,16 +193,16 @@
                 eprintln!("stand-in receiver: {error}");
             }
         })?;
-        Ok(Self { address, mode, kept, cut, stop, ended: Arc::default(), threads: vec![thread] })
+        Ok(Self { address, mode, data, cut, stop, ended: Arc::default(), threads: vec![thread] })
     }
 
     /// Evaluates rules from now on, on its own clock, by which a second is `speed` seconds of theirs.
     pub fn watch(&mut self, rules: Vec<Rule>, speed: u32) -> io::Result<()> {
-        lock(&self.kept).watch = Some(Watch::new(rules, now_ms(), speed));
-        let (kept, ended) = (Arc::clone(&self.kept), Arc::clone(&self.ended));
+        lock(&self.data).watch = Some(Watch::new(rules, now_ms(), speed));
+        let (data, ended) = (Arc::clone(&self.data), Arc::clone(&self.ended));
         let thread = std::thread::Builder::new().name("rules".to_owned()).spawn(move || {
             while !ended.load(Ordering::Acquire) {
-                if let Some(watch) = &mut lock(&kept).watch {
+                if let Some(watch) = &mut lock(&data).watch {
                     watch.tick(now_ms());
                 }
                 std::thread::sleep(TICK);
@@ -209,15 +212,15 @@
         Ok(())
     }
 
-    /// Tells it to behave otherwise from now on.
-    pub fn be(&self, mode: Mode) {
-        self.cut.store(most_of(&mode), Ordering::Relaxed);
+    /// Changes its behaviour from now on.
+    pub fn set_mode(&self, mode: Mode) {
+        self.cut.store(request_limit(&mode), Ordering::Relaxed);
         *lock(&self.mode) = mode;
     }
 
-    /// What it has taken and found.
-    pub fn kept(&self) -> Kept {
-        lock(&self.kept).clone()
+    /// What it has received and found.
+    pub fn data(&self) -> ReceivedData {
+        lock(&self.data).clone()
     }
 }
 
@@ -235,13 +238,13 @@
     what.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-fn most_of(mode: &Mode) -> usize {
+fn request_limit(mode: &Mode) -> usize {
     if let Mode::CutRequest(bytes) = mode { *bytes } else { usize::MAX }
 }
 
-fn reply(request: &Request<'_>, mode: &Mode, kept: &mut Kept) -> Reply {
+fn reply(request: &Request<'_>, mode: &Mode, data: &mut ReceivedData) -> Reply {
     if let Mode::Answer(status, after) = *mode {
-        kept.turned_away += 1;
+        data.rejected += 1;
         let headers = after.map(|s| ("Retry-After", s.to_string())).into_iter().collect();
         return Reply { headers, ..Reply::text(status, "as told\n") };
     }
@@ -254,27 +257,27 @@
     let blind = *mode == Mode::Blind;
     let version = if blind { Version::One } else { version };
     if version == Version::Two && *mode == Mode::OnlyOne {
-        kept.turned_away += 1;
+        data.rejected += 1;
         return Reply::text(415, "version 1.0 alone\n");
     }
     if request.header("content-encoding") != Some("snappy") {
         return Reply::text(415, "snappy alone\n");
     }
-    let series = match remote_write::read(version, request.body, MOST_BODY) {
+    let series = match remote_write::read(version, request.body, MAX_BODY_BYTES) {
         Ok(series) => series,
         Err(error) => return Reply::text(400, format!("{error}\n")),
     };
     if let Mode::Bad(value) = mode
         && let Some(bad) = series.iter().find(|s| s.labels.iter().any(|(_, v)| v == value))
     {
-        kept.turned_away += 1;
+        data.rejected += 1;
         return Reply::text(400, format!("bad series {:?}\n", bad.labels));
     }
-    kept.requests[usize::from(version == Version::One)] += 1;
+    data.requests[usize::from(version == Version::One)] += 1;
     let samples: usize = series.iter().map(|s| s.samples.len()).sum();
     let natives: usize = series.iter().map(|s| s.natives.len()).sum();
     for s in series {
-        kept.take(s);
+        data.receive(s);
     }
     match mode {
         Mode::Forget => return Reply::text(500, "forgotten\n"),
--- a/crates/test-servers/src/server/fault.rs
+++ b/crates/test-servers/src/server/fault.rs
@@ -1,68 +1,68 @@
-//! Faults that a test worker is told to suffer, and what each does to it.
+//! Faults that are injected into a test worker, and what each does.
 
-use super::{Seen, Server};
+use super::{ObservationKind, Server};
 use crate::store::Micros;
 use std::io;
 
-/// What a worker is told to suffer.
+/// A fault to inject.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
     /// Its process dies: sockets close, all is lost.
     Die,
-    /// It comes back, empty and cold, at the same addresses.
-    Rise,
+    /// It starts again at the same addresses, without replicas and warming up.
+    Restart,
     /// It reads and answers nothing.
-    Silent(bool),
-    /// It refuses every stream unseen.
+    Unresponsive(bool),
+    /// It refuses every stream before it reads it.
     Refuse(bool),
     /// It runs this share of its calls and fails them at once.
     FailFast(f64),
-    /// Calls of models that begin so are never answered; `None`: none hang.
+    /// Calls of models with this prefix are never answered; `None`: all are.
     Hang(Option<String>),
     /// Calls take this many times their work.
     Slow(f64),
     /// Its load reports are this old.
-    LateReports(Micros),
+    StaleReports(Micros),
     /// It breaks the connection after so many messages of an answer.
     CutAfter(Option<u32>),
     /// It breaks the next answer off inside a frame.
     HalfFrame,
     /// It sends GOAWAY in the middle of things: streams not yet seen never run, the rest break.
     GoAway,
-    /// A door neither accepts, reads nor writes: a cut link.
+    /// One of its addresses neither accepts, reads nor writes: a cut link.
     Cut {
         /// Which of its addresses.
         door: usize,
         /// Cut or mended.
         cut: bool,
     },
-    /// New connections say nothing for so long.
+    /// Nothing is read from new connections for this time.
     SlowHandshake(Micros),
-    /// Copies of models that begin so go void.
-    Void(String),
+    /// Replicas of models with this prefix become invalid.
+    InvalidateReplicas(String),
     /// The thread ends.
     Stop,
 }
 
 impl Server {
     /// Applies a fault.
-    pub(super) fn suffer(&mut self, fault: Fault) -> io::Result<()> {
+    pub(super) fn inject(&mut self, fault: Fault) -> io::Result<()> {
         match fault {
-            Fault::Die => self.die(Seen::Down),
-            Fault::Rise if self.worker.is_none() => self.rise(true)?,
-            Fault::Rise | Fault::Stop => {}
-            Fault::Silent(on) => self.silent = on,
+            Fault::Die => self.die(ObservationKind::Down),
+            Fault::Restart if self.worker.is_none() => self.restart(true)?,
+            Fault::Restart | Fault::Stop => {}
+            Fault::Unresponsive(on) => self.unresponsive = on,
             Fault::Refuse(on) => self.refuse = on,
             Fault::FailFast(share) => self.fail_fast = share,
             Fault::Hang(models) => self.hang = models,
             Fault::Slow(factor) => self.slow = factor,
-            Fault::LateReports(late) => self.late = late,
+            Fault::StaleReports(age) => self.report_delay = age,
             Fault::CutAfter(n) => self.cut_after = n,
             Fault::HalfFrame => self.half_frame = true,
             Fault::SlowHandshake(span) => self.slow_handshake = span,
-            Fault::Void(prefix) => {
+            Fault::InvalidateReplicas(prefix) => {
                 if let Some(worker) = &mut self.worker {
-                    worker.void(&prefix);
+                    worker.invalidate(&prefix);
                 }
             }
             Fault::GoAway => self.go_away(),
@@ -87,7 +87,7 @@
         for conn in self.hub.accepted_at(listener) {
             self.hub.freeze(conn, cut);
         }
-        self.see(Seen::Link { door, conn: None, cut });
+        self.see(ObservationKind::Link { door, conn: None, cut });
         self.mended |= !cut;
     }
 }
--- a/crates/test-servers/src/server/mod.rs
+++ b/crates/test-servers/src/server/mod.rs
@@ -1,5 +1,5 @@
-//! A stand-in worker on sockets: the published service around the worker model, in a thread of its own. Faults
-//! are told to it; what its sockets see is recorded.
+//! A test worker on sockets: the published service around the worker model, in a thread of its own. Faults are injected
+//! into it; what its sockets see is recorded.
 //!
 //! * [`fault`]: faults and what they do. [`observation`]: what is recorded. [`request`]: what comes in.
 //!   [`response`]: what goes out.
@@ -24,34 +24,34 @@
 use crate::models::Answer;
 use crate::spec::Spec;
 use crate::store::{Micros, Store};
-use crate::worker::{CallNo, Load, Worker};
+use crate::worker::{CallNumber, LoadReport, OrderNumber, Worker};
 pub use fault::Fault;
-pub use observation::{Record, Seen};
+pub use observation::{Observation, ObservationKind};
 
-/// Most past loads kept for late reports.
-const MOST_HISTORY: usize = 4096;
+/// Past loads that are remembered for stale reports, at the most.
+const MAX_HISTORY: usize = 4096;
 
-/// How a stand-in starts.
+/// How a test worker starts.
 pub struct Options {
     /// Its name.
     pub name: String,
-    /// Where it listens; more than one door lets links be cut.
+    /// Where it listens; several addresses allow links to be cut one by one.
     pub doors: Vec<SocketAddr>,
     /// What it is.
     pub spec: Spec,
-    /// The store it shares.
+    /// The model store that it shares with others.
     pub store: Arc<Mutex<Store>>,
     /// Zero of the records' clock.
     pub epoch: Instant,
     /// Where records go.
-    pub records: Option<Sender<Record>>,
-    /// It starts cold.
+    pub records: Option<Sender<Observation>>,
+    /// It warms up after the start.
     pub cold: bool,
-    /// For its chance.
+    /// Seed of its random numbers.
     pub seed: u64,
 }
 
-/// A running stand-in.
+/// A running test worker; it ends when this is dropped.
 pub struct Handle {
     /// Its name.
     pub name: String,
@@ -63,9 +63,9 @@
 }
 
 impl Handle {
-    /// Tells it a fault.
-    pub fn tell(&self, fault: Fault) {
-        // A thread that has ended suffers nothing more.
+    /// Injects a fault.
+    pub fn inject(&self, fault: Fault) {
+        // A thread that has ended needs no fault.
         let _ = self.faults.send(fault);
         let _ = self.waker.wake();
     }
@@ -76,7 +76,7 @@
     }
 
     fn end(&mut self) {
-        self.tell(Fault::Stop);
+        self.inject(Fault::Stop);
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
         }
@@ -89,14 +89,17 @@
     }
 }
 
-/// Starts a stand-in in a thread of its own; it listens when this returns.
+/// Starts a test worker in a thread of its own; it listens when this returns.
+///
+/// # Errors
+/// An address can't be listened on, or the system refuses a thread.
 pub fn spawn(options: Options) -> io::Result<Handle> {
-    let (faults, told) = channel();
-    let (ready, answer) = channel();
+    let (faults, fault_receiver) = channel();
+    let (ready, started) = channel();
     let name = options.name.clone();
     // Connections live where they are polled: the hub is made in its thread.
     let thread = std::thread::Builder::new().name(name.clone()).spawn(move || {
-        let mut server = match Server::new(options, told) {
+        let mut server = match Server::new(options, fault_receiver) {
             Ok(server) => server,
             Err(error) => {
                 let _ = ready.send(Err(error));
@@ -108,15 +111,28 @@
             eprintln!("stand-in {}: {error}", server.options.name);
         }
     })?;
-    let (doors, waker) = answer.recv().map_err(|_| io::Error::other("the stand-in's thread ended"))??;
+    let (doors, waker) = started.recv().map_err(|_| io::Error::other("the stand-in's thread ended"))??;
     Ok(Handle { name, doors, faults, waker, thread: Some(thread) })
 }
 
+/// A connection from which nothing is read yet.
+struct DelayedConnection {
+    until: Micros,
+    conn: ConnKey,
+    door: usize,
+}
+
+/// The load at a past time.
+struct PastLoad {
+    at: Micros,
+    load: LoadReport,
+}
+
 struct Rpc {
     conn: ConnKey,
     method: String,
     controller: String,
-    /// A later life of its controller was seen before it came.
+    /// A later incarnation of its controller was seen before it arrived.
     fenced: bool,
     attempt: Option<u32>,
     answered: bool,
@@ -129,7 +145,7 @@
     stream: StreamKey,
     answer: Answer,
     streamed: bool,
-    /// Parts that are worked out, and parts that are sent.
+    /// Parts that are complete, and parts that are sent.
     ready: usize,
     sent: usize,
 }
@@ -139,23 +155,24 @@
     hub: Hub,
     addresses: Vec<SocketAddr>,
     listeners: Vec<ListenerKey>,
-    told: Receiver<Fault>,
+    faults: Receiver<Fault>,
     worker: Option<Worker>,
     random: ChaCha8Rng,
     rpcs: BTreeMap<StreamKey, Rpc>,
-    /// The latest life seen of each controller.
+    /// The newest fencing token seen of each controller.
     fences: BTreeMap<String, u64>,
-    calls: BTreeMap<CallNo, Call>,
-    orders: BTreeMap<u64, StreamKey>,
+    calls: BTreeMap<CallNumber, Call>,
+    orders: BTreeMap<OrderNumber, StreamKey>,
     next: u64,
-    history: VecDeque<(Micros, Load)>,
-    thaw: VecDeque<(Micros, ConnKey, usize)>,
-    silent: bool,
+    history: VecDeque<PastLoad>,
+    delayed: VecDeque<DelayedConnection>,
+    unresponsive: bool,
     refuse: bool,
     fail_fast: f64,
     hang: Option<String>,
     slow: f64,
-    late: Micros,
+    /// How old load reports are.
+    report_delay: Micros,
     cut_after: Option<u32>,
     half_frame: bool,
     slow_handshake: Micros,
@@ -163,13 +180,13 @@
 }
 
 impl Server {
-    fn new(options: Options, told: Receiver<Fault>) -> io::Result<Self> {
+    fn new(options: Options, faults: Receiver<Fault>) -> io::Result<Self> {
         let limits = NetLimits { idle: Duration::from_secs(300), ..NetLimits::default() };
         let mut server = Self {
             hub: Hub::new(limits)?,
             addresses: options.doors.clone(),
             listeners: Vec::new(),
-            told,
+            faults,
             worker: None,
             random: ChaCha8Rng::seed_from_u64(options.seed),
             rpcs: BTreeMap::new(),
@@ -178,13 +195,13 @@
             orders: BTreeMap::new(),
             next: 0,
             history: VecDeque::new(),
-            thaw: VecDeque::new(),
-            silent: false,
+            delayed: VecDeque::new(),
+            unresponsive: false,
             refuse: false,
             fail_fast: 0.0,
             hang: None,
             slow: 1.0,
-            late: 0,
+            report_delay: 0,
             cut_after: None,
             half_frame: false,
             slow_handshake: 0,
@@ -192,7 +209,7 @@
             options,
         };
         let cold = server.options.cold;
-        server.rise(cold)?;
+        server.restart(cold)?;
         Ok(server)
     }
 
@@ -202,14 +219,14 @@
     }
 
     /// Records an observation.
-    fn see(&self, seen: Seen) {
+    fn see(&self, seen: ObservationKind) {
         if let Some(records) = &self.options.records {
-            let _ = records.send(Record { at: self.now(), worker: self.options.name.clone(), seen });
+            let _ = records.send(Observation { at: self.now(), worker: self.options.name.clone(), seen });
         }
     }
 
     /// Starts listening, with an empty worker model.
-    fn rise(&mut self, cold: bool) -> io::Result<()> {
+    fn restart(&mut self, cold: bool) -> io::Result<()> {
         self.listeners.clear();
         for address in &mut self.addresses {
             let (key, local) = self.hub.listen(*address)?;
@@ -217,16 +234,16 @@
             self.listeners.push(key);
         }
         self.worker = Some(Worker::new(self.options.spec.clone(), self.now(), cold));
-        self.see(Seen::Up { cold });
+        self.see(ObservationKind::Up { cold });
         Ok(())
     }
 
     /// Closes all sockets and loses all state, as a process that dies.
-    fn die(&mut self, seen: Seen) {
+    fn die(&mut self, seen: ObservationKind) {
         self.see(seen);
         let store = Arc::clone(&self.options.store);
         if let Some(mut worker) = self.worker.take() {
-            worker.let_go(&mut lock(&store));
+            worker.release_store(&mut lock(&store));
         }
         for listener in std::mem::take(&mut self.listeners) {
             for conn in self.hub.accepted_at(listener) {
@@ -237,7 +254,7 @@
         self.calls.clear();
         self.orders.clear();
         self.history.clear();
-        self.silent = false;
+        self.unresponsive = false;
     }
 
     /// Handles events and faults until it is told to stop.
@@ -245,58 +262,58 @@
         let mut events = Vec::new();
         loop {
             let now = self.now();
-            let next = self.worker.as_ref().filter(|_| !self.silent).and_then(Worker::next);
-            let thaw = self.thaw.front().map(|(at, ..)| *at);
+            let next = self.worker.as_ref().filter(|_| !self.unresponsive).and_then(Worker::next_event);
+            let thaw = self.delayed.front().map(|delayed| delayed.until);
             let next = if self.mended { Some(now) } else { [next, thaw].into_iter().flatten().min() };
             let wait = next.map(|at| Duration::from_micros(at.saturating_sub(now)));
             self.hub.poll(wait, &mut events)?;
-            while let Ok(fault) = self.told.try_recv() {
+            while let Ok(fault) = self.faults.try_recv() {
                 if fault == Fault::Stop {
                     return Ok(());
                 }
-                self.suffer(fault)?;
+                self.inject(fault)?;
             }
             for event in events.drain(..) {
                 self.event(event);
             }
-            self.thaw_due();
-            // What a link that was mended holds is read before anything more is worked out or answered: the
-            // order at the socket is the order sent.
+            self.thaw_delayed();
+            // What a mended link holds is read before anything more is computed or answered: the order at the
+            // socket is the order in which it was sent.
             if !std::mem::take(&mut self.mended) {
-                self.pass();
+                self.advance_worker();
             }
         }
     }
 
     /// Lets the worker model go on to the present.
-    fn pass(&mut self) {
+    fn advance_worker(&mut self) {
         let now = self.now();
         let store = Arc::clone(&self.options.store);
-        let Some(worker) = self.worker.as_mut().filter(|_| !self.silent) else { return };
-        let mut done = Vec::new();
-        worker.pass(now, &mut lock(&store), &mut done);
-        if self.late > 0 {
-            self.history.push_back((now, worker.load()));
-            if self.history.len() > MOST_HISTORY {
+        let Some(worker) = self.worker.as_mut().filter(|_| !self.unresponsive) else { return };
+        let mut events = Vec::new();
+        worker.advance_to(now, &mut lock(&store), &mut events);
+        if self.report_delay > 0 {
+            self.history.push_back(PastLoad { at: now, load: worker.load_report() });
+            if self.history.len() > MAX_HISTORY {
                 self.history.pop_front();
             }
         }
-        self.done(done);
+        self.handle_worker_events(events);
     }
 
     /// Reads again from connections whose handshake was delayed for long enough.
-    fn thaw_due(&mut self) {
+    fn thaw_delayed(&mut self) {
         let now = self.now();
-        while let Some((_, conn, door)) = self.thaw.front().copied().filter(|(at, ..)| *at <= now) {
-            self.thaw.pop_front();
+        while let Some(delayed) = self.delayed.pop_front_if(|delayed| delayed.until <= now) {
+            let DelayedConnection { conn, door, .. } = delayed;
             self.hub.freeze(conn, false);
-            self.see(Seen::Link { door, conn: Some(conn.number()), cut: false });
+            self.see(ObservationKind::Link { door, conn: Some(conn.number()), cut: false });
             self.mended = true;
         }
     }
 }
 
 fn lock(store: &Mutex<Store>) -> MutexGuard<'_, Store> {
-    // A store is whole between any two statements of its methods.
+    // A store is consistent between any two statements of its methods.
     store.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/test-servers/src/server/observation.rs
+++ b/crates/test-servers/src/server/observation.rs
@@ -4,18 +4,18 @@
 
 /// What was seen, and when.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Record {
+pub struct Observation {
     /// Since the epoch given.
     pub at: Micros,
     /// By whom.
     pub worker: String,
     /// What.
-    pub seen: Seen,
+    pub seen: ObservationKind,
 }
 
 /// What a worker's sockets see.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Seen {
+pub enum ObservationKind {
     /// It listens.
     Up {
         /// With a part of its capacity.
@@ -37,8 +37,8 @@
         controller: String,
         /// The attempt's number, as its header says; `None`: none that can be read.
         attempt: Option<u32>,
-        /// Its work.
-        work: Micros,
+        /// Its core time.
+        core_time: Micros,
     },
     /// A door, or one connection at it, was cut off or mended: what was sent meanwhile is read from then on.
     Link {
--- a/crates/test-servers/src/server/request.rs
+++ b/crates/test-servers/src/server/request.rs
@@ -11,13 +11,13 @@
 use rand::RngExt;
 use std::sync::Arc;
 
-use super::{Call, Rpc, Seen, Server, lock};
+use super::{Call, DelayedConnection, ObservationKind, Rpc, Server, lock};
 use crate::models;
 use crate::store::Micros;
-use crate::worker::{Asked, CallNo};
+use crate::worker::{CallNumber, IncomingCall};
 
 impl Server {
-    /// Takes an event of the connections.
+    /// Handles an event of the connections.
     pub(super) fn event(&mut self, event: NetEvent) {
         match event {
             NetEvent::Accepted { conn, listener, .. } if self.slow_handshake > 0 => {
@@ -34,15 +34,15 @@
                 );
             }
             NetEvent::Failed { stream, .. } if self.rpcs.remove(&stream).is_some() => {
-                self.see(Seen::Gone { stream: stream.number() });
+                self.see(ObservationKind::Gone { stream: stream.number() });
                 self.withdraw(stream);
             }
             NetEvent::Sent { stream } => {
                 self.rpcs.remove(&stream);
             }
             NetEvent::Drained { stream } => {
-                for no in self.calls_of(stream) {
-                    self.send_parts(no);
+                for call in self.calls_of(stream) {
+                    self.send_parts(call);
                 }
             }
             _ => {}
@@ -52,8 +52,12 @@
     /// Leaves a new connection unread for as long as the fault says.
     fn delay_handshake(&mut self, conn: ConnKey, listener: ListenerKey) {
         self.hub.freeze(conn, true);
-        self.thaw.push_back((self.now() + self.slow_handshake, conn, listener.0));
-        self.see(Seen::Link { door: listener.0, conn: Some(conn.number()), cut: true });
+        self.delayed.push_back(DelayedConnection {
+            until: self.now() + self.slow_handshake,
+            conn,
+            door: listener.0,
+        });
+        self.see(ObservationKind::Link { door: listener.0, conn: Some(conn.number()), cut: true });
     }
 
     /// A stream has opened.
@@ -86,42 +90,42 @@
 
     /// The client sends nothing more on a stream.
     fn half_closed(&mut self, stream: StreamKey) {
-        let silent = self.silent;
+        let unresponsive = self.unresponsive;
         let Some(rpc) = self.rpcs.get_mut(&stream) else { return };
         rpc.half_closed = true;
-        if rpc.method == "ModelStreamInfer" && rpc.pending == 0 && !silent {
+        if rpc.method == "ModelStreamInfer" && rpc.pending == 0 && !unresponsive {
             self.finish(stream, Status::new(Code::Ok, ""), HeaderMap::new());
         }
     }
 
     /// Calls of a stream without their whole answer.
-    fn calls_of(&self, stream: StreamKey) -> Vec<CallNo> {
-        self.calls.iter().filter(|(_, call)| call.stream == stream).map(|(no, _)| *no).collect()
+    fn calls_of(&self, stream: StreamKey) -> Vec<CallNumber> {
+        self.calls.iter().filter(|(_, call)| call.stream == stream).map(|(number, _)| *number).collect()
     }
 
     /// Cancels the calls of a stream that is gone.
     fn withdraw(&mut self, stream: StreamKey) {
         let gone = self.calls_of(stream);
         let (now, store) = (self.now(), Arc::clone(&self.options.store));
-        for no in gone {
-            self.calls.remove(&no);
-            if let Some(worker) = self.worker.as_mut().filter(|_| !self.silent) {
-                let mut done = Vec::new();
-                worker.cancel(now, no, &mut lock(&store), &mut done);
-                self.done(done);
+        for call in gone {
+            self.calls.remove(&call);
+            if let Some(worker) = self.worker.as_mut().filter(|_| !self.unresponsive) {
+                let mut events = Vec::new();
+                worker.cancel(now, call, &mut lock(&store), &mut events);
+                self.handle_worker_events(events);
             }
         }
     }
 
-    /// Has a later life of this controller been seen? What tells no life is heeded as it is.
-    fn is_fenced(&mut self, controller: &str, life: Option<u64>) -> bool {
-        let Some(life) = life else { return false };
-        let seen = self.fences.entry(controller.to_owned()).or_default();
-        *seen = (*seen).max(life);
-        life < *seen
+    /// Whether a later incarnation of this controller was seen. A request without a fencing token is never fenced.
+    fn is_fenced(&mut self, controller: &str, token: Option<u64>) -> bool {
+        let Some(token) = token else { return false };
+        let newest = self.fences.entry(controller.to_owned()).or_default();
+        *newest = (*newest).max(token);
+        token < *newest
     }
 
-    /// Takes a whole message of a stream.
+    /// Handles a complete message of a stream.
     fn message(&mut self, stream: StreamKey, payload: Bytes) {
         let Some((method, fenced)) = self.rpcs.get(&stream).map(|rpc| (rpc.method.clone(), rpc.fenced))
         else {
@@ -136,9 +140,9 @@
         match method.as_str() {
             "ModelInfer" => self.infer(stream, payload, false),
             "ModelStreamInfer" => self.infer(stream, payload, true),
-            _ if self.silent => {}
+            _ if self.unresponsive => {}
             "ServerReady" => {
-                self.see(Seen::Probe);
+                self.see(ObservationKind::Probe);
                 self.reply(stream, &ServerReadyResponse { ready: true });
             }
             "ServerLive" => self.reply(stream, &ServerLiveResponse { live: true }),
@@ -183,20 +187,21 @@
     fn infer(&mut self, stream: StreamKey, payload: Bytes, streamed: bool) {
         let Some(request) = self.decoded::<ModelInferRequest>(stream, payload) else { return };
         let model = request.model_name.clone();
-        let work = (self.options.spec.model(&model).work as f64 * self.slow) as Micros;
-        let rpc = self.rpcs.get(&stream).map(|rpc| (rpc.controller.clone(), rpc.attempt));
-        let (controller, attempt) = rpc.unwrap_or_default();
+        let core_time = (self.options.spec.model(&model).core_time as f64 * self.slow) as Micros;
+        let rpc = self.rpcs.get(&stream);
+        let controller = rpc.map(|rpc| rpc.controller.clone()).unwrap_or_default();
+        let attempt = rpc.and_then(|rpc| rpc.attempt);
         let number = stream.number();
-        self.see(Seen::Call {
+        self.see(ObservationKind::Call {
             stream: number,
             id: request.id.clone(),
             model: model.clone(),
             controller,
             attempt,
-            work,
+            core_time,
         });
-        if self.silent || self.hang.as_ref().is_some_and(|prefix| model.starts_with(prefix)) {
-            // It is owed for ever: the end of the client's side must not end the stream.
+        if self.unresponsive || self.hang.as_ref().is_some_and(|prefix| model.starts_with(prefix)) {
+            // It is never answered: the end of the client's side must not end the stream.
             if let Some(rpc) = self.rpcs.get_mut(&stream) {
                 rpc.pending += 1;
             }
@@ -204,40 +209,40 @@
         }
         let answer = match models::answer(&request) {
             Ok(answer) => answer,
-            Err(error) => return self.mistake(stream, &request.id, streamed, error.to_string()),
+            Err(error) => return self.reject_invalid(stream, &request.id, streamed, error.to_string()),
         };
         if self.fail_fast > 0.0 && self.random.random::<f64>() < self.fail_fast {
-            self.see(Seen::Runs { stream: number });
+            self.see(ObservationKind::Runs { stream: number });
             return self.finish(stream, Status::new(Code::Internal, "failing fast"), HeaderMap::new());
         }
         self.next += 1;
-        let no = self.next;
-        let steps = if streamed { answer.parts() as u32 } else { 1 };
+        let call = self.next;
+        let parts = if streamed { answer.parts() as u32 } else { 1 };
         if let Some(rpc) = self.rpcs.get_mut(&stream) {
             rpc.pending += 1;
         }
-        self.calls.insert(no, Call { stream, answer, streamed, ready: 0, sent: 0 });
+        self.calls.insert(call, Call { stream, answer, streamed, ready: 0, sent: 0 });
         let (now, store) = (self.now(), Arc::clone(&self.options.store));
         let Some(worker) = &mut self.worker else { return };
-        let mut done = Vec::new();
-        let asked = Asked { no, model: &model, work, steps };
-        worker.call(now, asked, &mut lock(&store), &mut done);
-        self.done(done);
+        let mut events = Vec::new();
+        let call = IncomingCall { number: call, model: &model, core_time, parts };
+        worker.call(now, call, &mut lock(&store), &mut events);
+        self.handle_worker_events(events);
     }
 
-    /// The caller's mistake. On a stream with other calls it ends that call alone.
-    fn mistake(&mut self, stream: StreamKey, id: &str, streamed: bool, message: String) {
+    /// Answers a request that is not valid. On a stream with other calls only that call ends.
+    fn reject_invalid(&mut self, stream: StreamKey, id: &str, streamed: bool, message: String) {
         let alone = self.rpcs.get(&stream).is_none_or(|rpc| rpc.pending == 0 && rpc.sent == 0);
         if streamed && !alone {
             let response = ModelInferResponse { id: id.to_owned(), ..Default::default() };
-            let whole = ModelStreamInferResponse { error_message: message, infer_response: Some(response) };
-            self.hub.send(stream, whole.encode_to_vec().into());
+            let message = ModelStreamInferResponse { error_message: message, infer_response: Some(response) };
+            self.hub.send(stream, message.encode_to_vec().into());
         } else {
             self.finish(stream, Status::new(Code::InvalidArgument, message), HeaderMap::new());
         }
     }
 
-    /// Takes a load order.
+    /// Handles a load order.
     fn load(&mut self, stream: StreamKey, payload: Bytes) {
         let Some(request) = self.decoded::<RepositoryModelLoadRequest>(stream, payload) else { return };
         let copies = request.parameters.get(COPIES).and_then(|p| match p.parameter_choice {
@@ -248,15 +253,15 @@
         let controller = self.rpcs.get(&stream).map(|rpc| rpc.controller.clone()).unwrap_or_default();
         let model = request.model_name;
         if copies > 0 {
-            self.see(Seen::Order { controller, model: model.clone(), copies });
+            self.see(ObservationKind::Order { controller, model: model.clone(), copies });
         }
         self.next += 1;
-        let no = self.next;
-        self.orders.insert(no, stream);
+        let order = self.next;
+        self.orders.insert(order, stream);
         let (now, store) = (self.now(), Arc::clone(&self.options.store));
         let Some(worker) = &mut self.worker else { return };
-        let mut done = Vec::new();
-        worker.order(now, no, &model, copies, &mut lock(&store), &mut done);
-        self.done(done);
+        let mut events = Vec::new();
+        worker.order(now, order, &model, copies, &mut lock(&store), &mut events);
+        self.handle_worker_events(events);
     }
 }
--- a/crates/test-servers/src/server/response.rs
+++ b/crates/test-servers/src/server/response.rs
@@ -8,65 +8,69 @@
 use nettleferry_proto::{marks, orca};
 use prost::Message;
 
-use super::{Seen, Server};
-use crate::worker::{Away, CallNo, Done, Worker};
+use super::{ObservationKind, Server};
+use crate::worker::{CallNumber, OrderNumber, Rejection, Worker, WorkerEvent};
 
+/// The note of a call whose load failed; the others are those of the worker model's `ReplicaNote`.
+const LOAD_FAILED_NOTE: f64 = 4.0;
 /// Room for frame heads of what is queued when a connection is to be cut after it.
 const CUT_SLACK: u64 = 64;
 
 impl Server {
-    /// Passes on what the worker model has done.
-    pub(super) fn done(&mut self, done: Vec<Done>) {
-        for what in done {
-            match what {
-                Done::Runs(no) => {
-                    if let Some(call) = self.calls.get(&no) {
-                        self.see(Seen::Runs { stream: call.stream.number() });
+    /// Passes on what the worker model did.
+    pub(super) fn handle_worker_events(&mut self, events: Vec<WorkerEvent>) {
+        for event in events {
+            match event {
+                WorkerEvent::Runs(call) => {
+                    if let Some(call) = self.calls.get(&call) {
+                        self.see(ObservationKind::Runs { stream: call.stream.number() });
                     }
                 }
-                Done::Step(no, step) => {
-                    if let Some(call) = self.calls.get_mut(&no) {
-                        call.ready = step as usize + 1;
-                        self.send_parts(no);
+                WorkerEvent::PartComplete { call: number, part } => {
+                    if let Some(call) = self.calls.get_mut(&number) {
+                        call.ready = part as usize + 1;
+                        self.send_parts(number);
                     }
                 }
-                Done::Away(no, why) => self.away(no, why),
-                Done::Order(no, copies, stand) => self.ordered(no, copies, stand),
-                Done::Fell => self.die(Seen::Fell),
+                WorkerEvent::Rejected { call, reason } => self.reject(call, reason),
+                WorkerEvent::OrderAnswered { order, loaded, complete } => {
+                    self.answer_order(order, loaded, complete);
+                }
+                WorkerEvent::Fell => self.die(ObservationKind::Fell),
             }
         }
     }
 
-    /// Rejects a call unseen.
-    fn away(&mut self, no: CallNo, why: Away) {
-        let Some(call) = self.calls.remove(&no) else { return };
-        let note = self.worker.as_mut().and_then(|w| w.note(no));
-        let (mark, words) = match why {
-            Away::Full => (marks::FULL, "no room"),
-            Away::Miss => (marks::MISS, "the model is not loaded"),
-            Away::LoadFailed => (marks::LOAD_FAILED, "the load failed"),
+    /// Rejects a call that did not run.
+    fn reject(&mut self, number: CallNumber, reason: Rejection) {
+        let Some(call) = self.calls.remove(&number) else { return };
+        let note = self.worker.as_mut().and_then(|worker| worker.take_note(number));
+        let (mark, message) = match reason {
+            Rejection::Full => (marks::FULL, "no room"),
+            Rejection::Miss => (marks::MISS, "the model is not loaded"),
+            Rejection::LoadFailed => (marks::LOAD_FAILED, "the load failed"),
         };
         let mut trailers = HeaderMap::new();
         trailers.insert(marks::NEVER_RAN, HeaderValue::from_static(mark));
         let mut report = self.report();
-        if let Some((_, crowd)) = note {
-            report.named_metrics.insert(orca::CROWD.to_owned(), f64::from(crowd));
+        if let Some(note) = note {
+            report.named_metrics.insert(orca::CROWD.to_owned(), f64::from(note.same_model_calls));
         }
-        if why == Away::LoadFailed {
-            report.named_metrics.insert(orca::NOTE.to_owned(), 4.0);
+        if reason == Rejection::LoadFailed {
+            report.named_metrics.insert(orca::NOTE.to_owned(), LOAD_FAILED_NOTE);
         }
         put(&mut trailers, &report);
-        self.finish(call.stream, Status::new(Code::Unavailable, words), trailers);
+        self.finish(call.stream, Status::new(Code::Unavailable, message), trailers);
     }
 
     /// Answers a load order.
-    fn ordered(&mut self, no: u64, copies: u32, stand: bool) {
-        let Some(stream) = self.orders.remove(&no) else { return };
+    fn answer_order(&mut self, order: OrderNumber, loaded: u32, complete: bool) {
+        let Some(stream) = self.orders.remove(&order) else { return };
         let mut report = self.report();
-        report.named_metrics.insert(orca::STANDING.to_owned(), f64::from(copies));
+        report.named_metrics.insert(orca::STANDING.to_owned(), f64::from(loaded));
         let mut trailers = HeaderMap::new();
         put(&mut trailers, &report);
-        if stand {
+        if complete {
             self.hub.respond(stream, grpc_head());
             self.hub.send(stream, Bytes::new());
             let status = Status::new(Code::Ok, "").trailers();
@@ -78,9 +82,9 @@
     }
 
     /// Sends what is worked out, as far as the caller takes it.
-    pub(super) fn send_parts(&mut self, no: CallNo) {
+    pub(super) fn send_parts(&mut self, number: CallNumber) {
         loop {
-            let Some(call) = self.calls.get_mut(&no) else { return };
+            let Some(call) = self.calls.get_mut(&number) else { return };
             let parts = if call.streamed { call.answer.parts() } else { 1 };
             if call.sent == call.ready || self.hub.is_full(call.stream) {
                 return;
@@ -93,12 +97,12 @@
                 ModelStreamInferResponse { error_message: String::new(), infer_response: response }
                     .encode_to_vec()
             } else {
-                call.answer.whole().encode_to_vec()
+                call.answer.complete().encode_to_vec()
             };
             self.answer_part(stream, payload.into());
             if last {
-                self.calls.remove(&no);
-                self.answered(no, stream);
+                self.calls.remove(&number);
+                self.answered(number, stream);
             }
         }
     }
@@ -131,12 +135,12 @@
     }
 
     /// A call's last part is sent: its note and the load go with the trailers.
-    fn answered(&mut self, no: CallNo, stream: StreamKey) {
-        let note = self.worker.as_mut().and_then(|w| w.note(no));
+    fn answered(&mut self, number: CallNumber, stream: StreamKey) {
+        let note = self.worker.as_mut().and_then(|worker| worker.take_note(number));
         let mut report = self.report();
-        if let Some((note, crowd)) = note {
-            report.named_metrics.insert(orca::NOTE.to_owned(), f64::from(note as u8));
-            report.named_metrics.insert(orca::CROWD.to_owned(), f64::from(crowd));
+        if let Some(note) = note {
+            report.named_metrics.insert(orca::NOTE.to_owned(), f64::from(note.replica as u8));
+            report.named_metrics.insert(orca::CROWD.to_owned(), f64::from(note.same_model_calls));
         }
         let mut trailers = HeaderMap::new();
         put(&mut trailers, &report);
@@ -162,7 +166,7 @@
         if rpc.method.ends_with("Infer") {
             let served = status.code == Code::Ok;
             let never_ran = more.contains_key(marks::NEVER_RAN);
-            self.see(Seen::Answered { stream: stream.number(), served, never_ran });
+            self.see(ObservationKind::Answered { stream: stream.number(), served, never_ran });
         }
         let trailers = merged(status.trailers(), more);
         if rpc.answered {
@@ -177,10 +181,11 @@
     /// The load, as old as the fault says.
     fn report(&self) -> orca::OrcaLoadReport {
         let now = self.now();
-        let past = self.history.iter().rev().find(|(at, _)| at + self.late <= now).map(|(_, load)| *load);
-        let load = match (self.late > 0, past) {
+        let past =
+            self.history.iter().rev().find(|past| past.at + self.report_delay <= now).map(|past| past.load);
+        let load = match (self.report_delay > 0, past) {
             (true, Some(past)) => past,
-            _ => self.worker.as_ref().map(Worker::load).unwrap_or_default(),
+            _ => self.worker.as_ref().map(Worker::load_report).unwrap_or_default(),
         };
         let named = [
             (orca::INFLIGHT, load.inflight as f64),
--- a/crates/test-servers/src/spec.rs
+++ b/crates/test-servers/src/spec.rs
@@ -1,4 +1,4 @@
-//! A stand-in worker's description. As text:
+//! A test worker's description. As text:
 //!
 //! ```text
 //! (listen "127.0.0.1:9001")
@@ -19,25 +19,25 @@
 pub struct Spec {
     /// Its cores.
     pub cores: f64,
-    /// Bytes of memory for copies.
+    /// Bytes of memory for replicas.
     pub memory: u64,
     /// Calls that may wait.
     pub queue: usize,
     /// Loads at once.
     pub loads_at_once: usize,
-    /// An idle copy is unloaded after this span.
+    /// An idle replica is unloaded after this time.
     pub keep_alive: Micros,
-    /// A call of an absent model begins a load; else it is a miss.
+    /// A call of a model without a replica starts a load; else it is rejected.
     pub load_when_absent: bool,
-    /// It starts a further copy by itself when all lanes of a model are taken.
+    /// It loads a further replica by itself when all lanes of a model are taken.
     pub own_copies: bool,
-    /// It is warm after this span.
-    pub cold: Micros,
+    /// How long it warms up; 0: not at all.
+    pub warm_up: Micros,
     /// Share of its capacity at its start.
     pub start_capacity: f64,
-    /// Sent more than this multiple of its capacity ...
+    /// While it warms up, it falls over and stays down when it is sent more than this multiple of its capacity.
     pub overload_factor: f64,
-    /// ... over this span while cold, it falls over and stays down.
+    /// The time over which that is counted.
     pub fall: Micros,
     /// Models by the beginning of their names; the longest wins.
     pub models: Vec<ModelSpec>,
@@ -48,16 +48,16 @@
 pub struct ModelSpec {
     /// The beginning of its name.
     pub prefix: String,
-    /// Calls that one copy runs at once.
+    /// Calls that one replica runs at once.
     pub lanes: u32,
-    /// Bytes of a copy.
+    /// Bytes of a replica.
     pub memory: u64,
-    /// A load alone.
+    /// How long a load takes while the store is not crowded.
     pub load_time: Micros,
     /// Share of it that is the fetch from the store.
     pub fetch_share: f64,
-    /// Work of a call on a core.
-    pub work: Micros,
+    /// Core time of a call.
+    pub core_time: Micros,
 }
 
 impl Default for Spec {
@@ -70,7 +70,7 @@
             keep_alive: 8_000_000,
             load_when_absent: true,
             own_copies: true,
-            cold: 0,
+            warm_up: 0,
             start_capacity: 1.0,
             overload_factor: 2.0,
             fall: 1_000_000,
@@ -88,7 +88,7 @@
             memory: 512 << 20,
             load_time: 200_000,
             fetch_share: 0.6,
-            work: 5_000,
+            core_time: 5_000,
         }
     }
 }
@@ -114,7 +114,7 @@
             ..base
         };
         if let Some(mut cold) = form.optional_list("cold") {
-            spec.cold = cold.required_item::<TimeSpan>("how long it is cold").map_or(0, |s| s.0);
+            spec.warm_up = cold.required_item::<TimeSpan>("how long it is cold").map_or(0, |s| s.0);
             spec.start_capacity = cold.value_or("start-capacity", 0.2).clamp(0.01, 1.0);
             spec.overload_factor = cold.value_or("overload-factor", 2.0);
             spec.fall = cold.micros_or("fall", spec.fall);
@@ -141,7 +141,7 @@
         memory: form.value_or("memory", Bytes(base.memory)).0,
         load_time: form.micros_or("load-time", base.load_time),
         fetch_share: fetch_share.min(1.0),
-        work: form.micros_or("work", base.work),
+        core_time: form.micros_or("work", base.core_time),
     };
     form.finish();
     spec
--- a/crates/test-servers/src/worker.rs
+++ b/crates/test-servers/src/worker.rs
@@ -1,28 +1,36 @@
-//! The worker model: no I/O, no clock. Running calls share the cores; a cold worker has a part of them, grows
-//! warm, and falls over when it is sent too much before that. Equal inputs give equal outputs.
+//! The worker model, without I/O and clock. Running calls share the cores. A worker that warms up has a part of them, and
+//! falls over when it is sent too much. Equal inputs give equal outputs.
+//!
+//! This file has calls and capacity; [`replicas`] has loads, memory and eviction of replicas.
+
+mod replicas;
 
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::spec::Spec;
 use crate::store::{Micros, Store};
+use replicas::ReplicaSet;
+
+/// The number of a call at this worker.
+pub type CallNumber = u64;
 
-/// A call at this worker.
-pub type CallNo = u64;
+/// The number of a load order at this worker.
+pub type OrderNumber = u64;
 
-/// What is told of copies, with the published numbers of the note.
+/// What a call found, with the published numbers of load reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Note {
-    /// A copy stood loaded.
+pub enum ReplicaNote {
+    /// A replica was loaded.
     Warm = 1,
-    /// The call began a load.
+    /// The call started a load.
     Began = 2,
-    /// It waited for one.
+    /// It waited for a load.
     Waited = 3,
 }
 
-/// Why a call is turned away unseen.
+/// Why a call is rejected before it runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Away {
+pub enum Rejection {
     /// Queue or memory is full.
     Full,
     /// The model is not loaded, and calls load none here.
@@ -31,114 +39,140 @@
     LoadFailed,
 }
 
-/// What the worker does.
+/// What the worker did.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Done {
-    /// A call begins to run: from here on it has an effect.
-    Runs(CallNo),
-    /// One more share of its work is done; the last one is its end.
-    Step(CallNo, u32),
-    /// A call is turned away.
-    Away(CallNo, Away),
-    /// An order is answered: copies that stand, and whether the wanted ones do.
-    Order(u64, u32, bool),
-    /// It fell over: too much while cold.
+pub enum WorkerEvent {
+    /// A call began to run: from here on it has an effect.
+    Runs(CallNumber),
+    /// A part of a call's answer is complete; the last part ends it.
+    PartComplete {
+        /// The call.
+        call: CallNumber,
+        /// The part, from 0.
+        part: u32,
+    },
+    /// A call is rejected.
+    Rejected {
+        /// The call.
+        call: CallNumber,
+        /// Why.
+        reason: Rejection,
+    },
+    /// A load order is answered.
+    OrderAnswered {
+        /// The order.
+        order: OrderNumber,
+        /// Replicas that are loaded.
+        loaded: u32,
+        /// Whether they are as many as were ordered.
+        complete: bool,
+    },
+    /// It fell over: it was sent too much while it warmed up.
     Fell,
 }
 
 /// A load report.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Load {
+pub struct LoadReport {
     /// Share of the cores in use.
     pub util: f64,
     /// Calls running.
     pub inflight: usize,
     /// Calls waiting.
     pub queue: usize,
-    /// Share of memory that running or loading copies hold.
+    /// Share of memory that working or loading replicas hold.
     pub memory_held: f64,
-    /// Loads under way or waiting.
+    /// Loads in progress or waiting.
     pub loads: usize,
 }
 
-/// A call that comes: `steps` parts, of `work` in all.
+/// A call that arrives.
 #[derive(Clone, Copy, Debug)]
-pub struct Asked<'a> {
+pub struct IncomingCall<'a> {
     /// Its number.
-    pub no: CallNo,
+    pub number: CallNumber,
     /// Its model.
     pub model: &'a str,
     /// Core time of all parts.
-    pub work: Micros,
-    /// Parts.
-    pub steps: u32,
+    pub core_time: Micros,
+    /// Parts of its answer.
+    pub parts: u32,
 }
 
 struct Running {
     model: String,
-    step: u32,
-    steps: u32,
-    /// Core time per step, and left of the present one.
-    each: f64,
-    left: f64,
+    /// Complete parts, of so many.
+    complete: u32,
+    parts: u32,
+    /// Core time of a part.
+    part_time: f64,
+    /// What is left of the present part.
+    remaining: f64,
 }
 
 struct Waiting {
-    no: CallNo,
+    number: CallNumber,
     model: String,
-    steps: u32,
-    work: Micros,
+    parts: u32,
+    core_time: Micros,
+}
+
+/// A load order that waits for its replicas.
+struct PendingOrder {
+    number: OrderNumber,
+    model: String,
+    replicas: u32,
+}
+
+/// Work that arrived while the worker warmed up.
+struct Arrival {
+    at: Micros,
+    core_time: f64,
 }
 
-#[derive(Default)]
-struct Copies {
-    standing: u32,
-    running: u32,
-    /// Ends of loads under way: when the fetch ends (the store is free then) and when the copy stands.
-    loading: Vec<(Micros, Micros, bool)>,
-    /// Loads that wait for their turn.
-    wanted: u32,
-    used: Micros,
-    memory: u64,
-    lanes: u32,
+/// What the answer to a call reports of replicas.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct CallNote {
+    /// What the call found.
+    pub replica: ReplicaNote,
+    /// Other calls of its model that were here.
+    pub same_model_calls: u32,
 }
 
 /// A worker.
 pub struct Worker {
     spec: Spec,
-    /// When it started cold; `None`: long ago.
-    born: Option<Micros>,
+    /// When it began to warm up; `None`: it is warm.
+    started: Option<Micros>,
     now: Micros,
-    running: BTreeMap<CallNo, Running>,
+    running: BTreeMap<CallNumber, Running>,
     waiting: VecDeque<Waiting>,
-    copies: BTreeMap<String, Copies>,
-    orders: Vec<(u64, String, u32)>,
-    /// Work that came while cold: when, and how much.
-    came: VecDeque<(Micros, f64)>,
-    notes: BTreeMap<CallNo, (Note, u32)>,
+    replicas: BTreeMap<String, ReplicaSet>,
+    orders: Vec<PendingOrder>,
+    arrivals: VecDeque<Arrival>,
+    notes: BTreeMap<CallNumber, CallNote>,
     down: bool,
-    out: Vec<Done>,
+    events: Vec<WorkerEvent>,
 }
 
-/// Most work events remembered for falling over.
-const MOST_CAME: usize = 100_000;
+/// Arrivals that are remembered at the most.
+const MAX_ARRIVALS: usize = 100_000;
 
 impl Worker {
     /// A worker that starts now; `cold`: with a part of its capacity.
     pub fn new(spec: Spec, now: Micros, cold: bool) -> Self {
-        let born = cold.then_some(now);
         Self {
             spec,
-            born,
+            started: cold.then_some(now),
             now,
             running: BTreeMap::new(),
             waiting: VecDeque::new(),
-            copies: BTreeMap::new(),
+            replicas: BTreeMap::new(),
             orders: Vec::new(),
-            came: VecDeque::new(),
+            arrivals: VecDeque::new(),
             notes: BTreeMap::new(),
             down: false,
-            out: Vec::new(),
+            events: Vec::new(),
         }
     }
 
@@ -147,360 +181,202 @@
         &self.spec
     }
 
-    fn share(&self) -> f64 {
-        let Some(born) = self.born else { return 1.0 };
-        let age = self.now.saturating_sub(born) as f64;
-        if self.spec.cold == 0 || age >= self.spec.cold as f64 {
+    /// The part of its capacity that it has now.
+    fn capacity(&self) -> f64 {
+        let Some(started) = self.started else { return 1.0 };
+        let age = self.now.saturating_sub(started) as f64;
+        if self.spec.warm_up == 0 || age >= self.spec.warm_up as f64 {
             return 1.0;
         }
-        self.spec.start_capacity + (1.0 - self.spec.start_capacity) * age / self.spec.cold as f64
+        self.spec.start_capacity + (1.0 - self.spec.start_capacity) * age / self.spec.warm_up as f64
     }
 
     /// Core time that a running call gets per microsecond.
     fn speed(&self) -> f64 {
-        let cores = self.spec.cores * self.share();
+        let cores = self.spec.cores * self.capacity();
         (cores / self.running.len().max(1) as f64).min(1.0)
     }
 
-    /// When [`Worker::pass`] is wanted next.
-    pub fn next(&self) -> Option<Micros> {
+    /// When [`Worker::advance_to`] is to be called next.
+    pub fn next_event(&self) -> Option<Micros> {
         let speed = self.speed();
-        let steps = self.running.values().map(|r| self.now + (r.left / speed).ceil().max(1.0) as Micros);
-        let loads = self
-            .copies
-            .values()
-            .flat_map(|c| &c.loading)
-            .map(|(fetch, stand, fetched)| if *fetched { *stand } else { (*fetch).min(*stand) });
-        let idle = self.copies.values().filter(|c| c.standing > 0 && c.running == 0);
-        let idle = idle.map(|c| c.used + self.spec.keep_alive);
-        steps.chain(loads).chain(idle).min().map(|at| at.max(self.now + 1))
+        let parts =
+            self.running.values().map(|run| self.now + (run.remaining / speed).ceil().max(1.0) as Micros);
+        let loads = self.replicas.values().filter_map(ReplicaSet::next_load_event);
+        let idle = self.replicas.values().filter(|set| set.loaded > 0 && set.running == 0);
+        let idle = idle.map(|set| set.last_used + self.spec.keep_alive);
+        parts.chain(loads).chain(idle).min().map(|at| at.max(self.now + 1))
     }
 
-    /// Lets time pass.
-    pub fn pass(&mut self, now: Micros, store: &mut Store, out: &mut Vec<Done>) {
-        while let Some(at) = self.next().filter(|at| *at <= now) {
+    /// Lets time pass until `now`.
+    pub fn advance_to(&mut self, now: Micros, store: &mut Store, out: &mut Vec<WorkerEvent>) {
+        while let Some(at) = self.next_event().filter(|at| *at <= now) {
             self.advance(at);
-            self.loads_end(store);
-            self.idle_go();
-            self.start(store);
+            self.finish_loads(store);
+            self.unload_idle();
+            self.start_calls(store);
         }
         self.advance(now);
-        out.append(&mut self.out);
+        out.append(&mut self.events);
     }
 
     fn advance(&mut self, now: Micros) {
         let passed = now.saturating_sub(self.now) as f64 * self.speed();
         self.now = now.max(self.now);
-        let mut over = Vec::new();
-        for (no, run) in &mut self.running {
-            run.left -= passed;
-            while run.left <= 0.5 && run.step < run.steps {
-                self.out.push(Done::Step(*no, run.step));
-                run.step += 1;
-                run.left += run.each;
+        let mut ended = Vec::new();
+        for (number, run) in &mut self.running {
+            run.remaining -= passed;
+            while run.remaining <= 0.5 && run.complete < run.parts {
+                self.events.push(WorkerEvent::PartComplete { call: *number, part: run.complete });
+                run.complete += 1;
+                run.remaining += run.part_time;
             }
-            if run.step == run.steps {
-                over.push(*no);
+            if run.complete == run.parts {
+                ended.push(*number);
             }
         }
-        for no in over {
-            self.stop(no);
+        for number in ended {
+            self.end_call(number);
         }
     }
 
-    fn stop(&mut self, no: CallNo) {
-        if let Some(run) = self.running.remove(&no)
-            && let Some(copies) = self.copies.get_mut(&run.model)
+    fn end_call(&mut self, number: CallNumber) {
+        if let Some(run) = self.running.remove(&number)
+            && let Some(set) = self.replicas.get_mut(&run.model)
         {
-            copies.running = copies.running.saturating_sub(1);
-            copies.used = self.now;
+            set.running = set.running.saturating_sub(1);
+            set.last_used = self.now;
         }
     }
 
-    /// A call comes.
-    pub fn call(&mut self, now: Micros, asked: Asked, store: &mut Store, out: &mut Vec<Done>) {
-        let Asked { no, model, work, steps } = asked;
-        self.pass(now, store, out);
-        self.pressed(work as f64);
+    /// A call arrives.
+    pub fn call(&mut self, now: Micros, call: IncomingCall, store: &mut Store, out: &mut Vec<WorkerEvent>) {
+        let IncomingCall { number, model, core_time, parts } = call;
+        self.advance_to(now, store, out);
+        self.check_overload(core_time as f64);
         if self.down {
-            out.append(&mut self.out);
+            out.append(&mut self.events);
             return;
         }
-        let crowd = self.held(model);
-        let stands = self.copies.get(model).is_some_and(|c| c.standing > 0);
-        let loads = self.copies.get(model).is_some_and(|c| !c.loading.is_empty() || c.wanted > 0);
-        let note = match (stands, loads) {
-            (true, _) => Note::Warm,
-            (false, true) => Note::Waited,
-            (false, false) => Note::Began,
-        };
-        self.notes.insert(no, (note, crowd));
-        let away = if self.waiting.len() >= self.spec.queue {
-            Some(Away::Full)
-        } else if note == Note::Began && !self.spec.load_when_absent {
-            Some(Away::Miss)
-        } else if note == Note::Began && !self.want(model, 1) {
-            Some(Away::Full)
-        } else {
-            None
-        };
-        if let Some(away) = away {
-            self.out.push(Done::Away(no, away));
+        let replica = self.replica_note(model);
+        self.notes.insert(number, CallNote { replica, same_model_calls: self.calls_of(model) });
+        if let Some(reason) = self.rejection(model, replica) {
+            self.events.push(WorkerEvent::Rejected { call: number, reason });
         } else {
-            let model = model.to_owned();
-            self.waiting.push_back(Waiting { no, model, steps: steps.max(1), work });
-            self.start(store);
+            let (model, parts) = (model.to_owned(), parts.max(1));
+            self.waiting.push_back(Waiting { number, model, parts, core_time });
+            self.start_calls(store);
         }
-        out.append(&mut self.out);
-    }
-
-    /// What the answer to a call tells of copies: taken once.
-    pub fn note(&mut self, no: CallNo) -> Option<(Note, u32)> {
-        self.notes.remove(&no)
+        out.append(&mut self.events);
     }
 
-    /// Work that comes presses a cold worker, also what it turns away.
-    fn pressed(&mut self, work: f64) {
-        if self.share() >= 1.0 {
-            self.came.clear();
-            return;
-        }
-        self.came.push_back((self.now, work));
-        if self.came.len() > MOST_CAME {
-            self.came.pop_front();
-        }
-        let span = self.spec.fall;
-        while self.came.front().is_some_and(|(at, _)| at + span < self.now) {
-            self.came.pop_front();
+    fn replica_note(&self, model: &str) -> ReplicaNote {
+        match self.replicas.get(model) {
+            Some(set) if set.loaded > 0 => ReplicaNote::Warm,
+            Some(set) if !set.is_quiet() => ReplicaNote::Waited,
+            _ => ReplicaNote::Began,
         }
-        let sent: f64 = self.came.iter().map(|(_, work)| work).sum();
-        let can = self.spec.cores * self.share() * span as f64;
-        // A little slack for chance: one call is never too much.
-        if sent > self.spec.overload_factor * can + work {
-            self.down = true;
-            self.out.push(Done::Fell);
-        }
-    }
-
-    fn held(&self, model: &str) -> u32 {
-        let running = self.copies.get(model).map_or(0, |c| c.running);
-        running + self.waiting.iter().filter(|w| w.model == model).count() as u32
     }
 
-    /// The caller lost interest: a call that waits is dropped, a running one goes on to its end.
-    pub fn cancel(&mut self, now: Micros, no: CallNo, store: &mut Store, out: &mut Vec<Done>) {
-        self.pass(now, store, out);
-        self.waiting.retain(|w| w.no != no);
-        self.notes.remove(&no);
-    }
-
-    /// An order to hold at least `copies`; 0 asks.
-    pub fn order(
-        &mut self,
-        now: Micros,
-        no: u64,
-        model: &str,
-        copies: u32,
-        store: &mut Store,
-        out: &mut Vec<Done>,
-    ) {
-        self.pass(now, store, out);
-        let have = self.copies.get(model).map_or(0, |c| c.standing + c.loading.len() as u32 + c.wanted);
-        let stands = self.copies.get(model).map_or(0, |c| c.standing);
-        if let Some(c) = self.copies.get_mut(model) {
-            c.used = self.now;
-        }
-        if copies <= stands {
-            self.out.push(Done::Order(no, stands, true));
-        } else if copies > have && !self.want(model, copies - have) {
-            self.out.push(Done::Order(no, stands, false));
-        } else {
-            self.orders.push((no, model.to_owned(), copies));
-            self.start(store);
+    /// Why a call is rejected. Where it starts a load, the load is queued.
+    fn rejection(&mut self, model: &str, replica: ReplicaNote) -> Option<Rejection> {
+        if self.waiting.len() >= self.spec.queue {
+            return Some(Rejection::Full);
         }
-        out.append(&mut self.out);
-    }
-
-    /// Unloads the idle copies of a model.
-    pub fn unload(&mut self, model: &str) {
-        if let Some(c) = self.copies.get_mut(model) {
-            c.standing = c.running.div_ceil(c.lanes.max(1));
+        if replica != ReplicaNote::Began {
+            return None;
         }
-    }
-
-    /// Its load now.
-    pub fn load(&self) -> Load {
-        let busy = self.running.len() as f64 / (self.spec.cores * self.share());
-        let loading: usize = self.copies.values().map(|c| c.loading.len() + c.wanted as usize).sum();
-        let held = self.copies.values().map(|c| {
-            let work = u64::from(c.running.div_ceil(c.lanes.max(1)));
-            (work + c.loading.len() as u64) * c.memory
-        });
-        Load {
-            util: busy.min(1.0),
-            inflight: self.running.len(),
-            queue: self.waiting.len(),
-            memory_held: held.sum::<u64>() as f64 / self.spec.memory.max(1) as f64,
-            loads: loading,
+        if !self.spec.load_when_absent {
+            return Some(Rejection::Miss);
         }
+        if self.queue_loads(model, 1) { None } else { Some(Rejection::Full) }
     }
 
-    /// Copies of a model that stand.
-    pub fn standing(&self, model: &str) -> u32 {
-        self.copies.get(model).map_or(0, |c| c.standing)
+    /// What the answer to a call reports of replicas: taken once.
+    pub fn take_note(&mut self, call: CallNumber) -> Option<CallNote> {
+        self.notes.remove(&call)
     }
 
-    /// All copies of models that begin so go void: they were released anew.
-    pub fn void(&mut self, prefix: &str) {
-        for (_, c) in self.copies.iter_mut().filter(|(model, _)| model.starts_with(prefix)) {
-            c.standing = c.running.div_ceil(c.lanes.max(1));
+    /// Counts work that arrives while the worker warms up, also work that it rejects, and falls over by too much.
+    fn check_overload(&mut self, core_time: f64) {
+        if self.capacity() >= 1.0 {
+            self.arrivals.clear();
+            return;
         }
-    }
-
-    /// Gives back what it holds of the store, when it dies.
-    pub fn let_go(&mut self, store: &mut Store) {
-        for copies in self.copies.values_mut() {
-            for (_, _, fetched) in copies.loading.drain(..) {
-                if !fetched {
-                    store.end();
-                }
-            }
+        self.arrivals.push_back(Arrival { at: self.now, core_time });
+        if self.arrivals.len() > MAX_ARRIVALS {
+            self.arrivals.pop_front();
         }
-    }
-
-    // ---- loads ----
-
-    /// Makes room for `count` copies more and queues their loads. False: there is no room.
-    fn want(&mut self, model: &str, count: u32) -> bool {
-        let told = self.spec.model(model);
-        let need = told.memory * u64::from(count);
-        let held = |c: &Copies| (u64::from(c.standing + c.wanted) + c.loading.len() as u64) * c.memory;
-        let mut free = self.spec.memory.saturating_sub(self.copies.values().map(held).sum());
-        while free < need {
-            // Idle copies of other models give way, the longest unused first.
-            let idle = self.copies.iter_mut().filter(|(name, c)| {
-                name.as_str() != model && c.standing > c.running.div_ceil(c.lanes.max(1))
-            });
-            let Some((_, oldest)) = idle.min_by_key(|(_, c)| c.used) else { return false };
-            oldest.standing -= 1;
-            free += oldest.memory;
+        let window = self.spec.fall;
+        while self.arrivals.front().is_some_and(|arrival| arrival.at + window < self.now) {
+            self.arrivals.pop_front();
         }
-        let copies = self.copies.entry(model.to_owned()).or_default();
-        (copies.memory, copies.lanes, copies.used) = (told.memory, told.lanes, self.now);
-        copies.wanted += count;
-        true
-    }
-
-    fn begin_loads(&mut self, store: &mut Store) {
-        let mut loading: usize = self.copies.values().map(|c| c.loading.len()).sum();
-        let models: Vec<String> =
-            self.copies.iter().filter(|(_, c)| c.wanted > 0).map(|(name, _)| name.clone()).collect();
-        for model in models {
-            while loading < self.spec.loads_at_once && self.copies[&model].wanted > 0 {
-                let told = self.spec.model(&model);
-                let alone = (told.load_time as f64 * told.fetch_share) as Micros;
-                let start = told.load_time - alone;
-                let fetch = store.begin(alone);
-                let Some(copies) = self.copies.get_mut(&model) else { break };
-                copies.wanted -= 1;
-                match fetch {
-                    Some(span) => {
-                        copies.loading.push((self.now + span, self.now + span + start, false));
-                        loading += 1;
-                    }
-                    None => self.load_failed(&model),
-                }
-            }
+        let sent: f64 = self.arrivals.iter().map(|arrival| arrival.core_time).sum();
+        let possible = self.spec.cores * self.capacity() * window as f64;
+        // One call more is tolerated: a single one is never too much.
+        if sent > self.spec.overload_factor * possible + core_time {
+            self.down = true;
+            self.events.push(WorkerEvent::Fell);
         }
     }
 
-    fn load_failed(&mut self, model: &str) {
-        let Some(c) = self.copies.get(model) else { return };
-        if c.standing > 0 || !c.loading.is_empty() || c.wanted > 0 {
-            return;
-        }
-        let gone: Vec<CallNo> = self.waiting.iter().filter(|w| w.model == model).map(|w| w.no).collect();
-        self.waiting.retain(|w| w.model != model);
-        self.out.extend(gone.into_iter().map(|no| Done::Away(no, Away::LoadFailed)));
-        let orders: Vec<u64> = self.orders.iter().filter(|o| o.1 == model).map(|o| o.0).collect();
-        self.orders.retain(|o| o.1 != model);
-        self.out.extend(orders.into_iter().map(|no| Done::Order(no, 0, false)));
+    /// Calls of a model that run or wait.
+    fn calls_of(&self, model: &str) -> u32 {
+        let running = self.replicas.get(model).map_or(0, |set| set.running);
+        running + self.waiting.iter().filter(|waiting| waiting.model == model).count() as u32
     }
 
-    fn loads_end(&mut self, store: &mut Store) {
-        for c in self.copies.values_mut() {
-            for (fetch, _, fetched) in &mut c.loading {
-                if !*fetched && *fetch <= self.now {
-                    *fetched = true;
-                    store.end();
-                }
-            }
-            let before = c.loading.len();
-            c.loading.retain(|(_, stand, _)| *stand > self.now);
-            let stood = (before - c.loading.len()) as u32;
-            if stood > 0 {
-                c.standing += stood;
-                c.used = self.now;
-            }
-        }
-        let copies = &self.copies;
-        let out = &mut self.out;
-        self.orders.retain(|(no, model, wanted)| {
-            let stands = copies.get(model).map_or(0, |c| c.standing);
-            if stands >= *wanted {
-                out.push(Done::Order(*no, stands, true));
-            }
-            stands < *wanted
-        });
+    /// Its caller cancelled a call: one that waits is dropped, a running one goes on to its end.
+    pub fn cancel(&mut self, now: Micros, call: CallNumber, store: &mut Store, out: &mut Vec<WorkerEvent>) {
+        self.advance_to(now, store, out);
+        self.waiting.retain(|waiting| waiting.number != call);
+        self.notes.remove(&call);
     }
 
-    fn idle_go(&mut self) {
-        let keep = self.spec.keep_alive;
-        for c in self.copies.values_mut() {
-            if c.running == 0 && c.used + keep <= self.now {
-                c.standing = 0;
-            }
+    /// The load now.
+    pub fn load_report(&self) -> LoadReport {
+        let busy = self.running.len() as f64 / (self.spec.cores * self.capacity());
+        let loads = self.replicas.values().map(|set| set.loading.len() + set.queued as usize).sum();
+        let held: u64 = self.replicas.values().map(ReplicaSet::memory_in_use).sum();
+        LoadReport {
+            util: busy.min(1.0),
+            inflight: self.running.len(),
+            queue: self.waiting.len(),
+            memory_held: held as f64 / self.spec.memory.max(1) as f64,
+            loads,
         }
-        let waiting = &self.waiting;
-        self.copies.retain(|name, c| {
-            let wanted = c.standing > 0 || c.wanted > 0 || !c.loading.is_empty() || c.running > 0;
-            wanted || waiting.iter().any(|w| w.model == *name)
-        });
     }
 
-    /// Calls that have a lane begin, in order of arrival; loads begin as there is room.
-    fn start(&mut self, store: &mut Store) {
-        let mut crowded: Vec<String> = Vec::new();
-        let mut kept = VecDeque::new();
-        while let Some(w) = self.waiting.pop_front() {
-            let room = self.copies.get(&w.model).is_some_and(|c| c.running < c.standing * c.lanes);
-            if room && let Some(c) = self.copies.get_mut(&w.model) {
-                c.running += 1;
-                c.used = self.now;
-                let each = (w.work as f64 / f64::from(w.steps)).max(1.0);
-                let run = Running { model: w.model, step: 0, steps: w.steps, each, left: each };
-                self.running.insert(w.no, run);
-                self.out.push(Done::Runs(w.no));
+    /// Starts the calls that have a lane, in order of arrival, and loads for the models of those that wait.
+    fn start_calls(&mut self, store: &mut Store) {
+        let mut short: Vec<String> = Vec::new();
+        let mut still_waiting = VecDeque::new();
+        while let Some(call) = self.waiting.pop_front() {
+            let set = self.replicas.get_mut(&call.model);
+            if let Some(set) = set.filter(|set| set.running < set.loaded * set.lanes) {
+                set.running += 1;
+                set.last_used = self.now;
+                self.run_call(call);
             } else {
-                if !crowded.contains(&w.model) {
-                    crowded.push(w.model.clone());
+                if !short.contains(&call.model) {
+                    short.push(call.model.clone());
                 }
-                kept.push_back(w);
+                still_waiting.push_back(call);
             }
         }
-        self.waiting = kept;
-        for model in crowded {
-            let quiet = self.copies.get(&model).is_none_or(|c| c.loading.is_empty() && c.wanted == 0);
-            let gone = self.copies.get(&model).is_none_or(|c| c.standing == 0);
-            // The last copy may have been unloaded while its calls waited: it is brought back.
-            if quiet && (gone || self.spec.own_copies) {
-                let room = self.want(&model, 1);
-                if gone && !room {
-                    self.load_failed(&model);
-                }
-            }
+        self.waiting = still_waiting;
+        for model in short {
+            self.load_for_waiting(&model);
         }
-        self.begin_loads(store);
+        self.start_loads(store);
+    }
+
+    fn run_call(&mut self, call: Waiting) {
+        let part_time = (call.core_time as f64 / f64::from(call.parts)).max(1.0);
+        let (model, parts) = (call.model, call.parts);
+        let run = Running { model, complete: 0, parts, part_time, remaining: part_time };
+        self.running.insert(call.number, run);
+        self.events.push(WorkerEvent::Runs(call.number));
     }
 }
 
