--- a/crates/gateway/src/controller/mod.rs
+++ b/crates/gateway/src/controller/mod.rs
@@ -25,9 +25,9 @@
 use std::time::Duration;
 
 use nettleferry::Micros;
-use nettleferry_administration::Desk;
+use nettleferry_administration::AdminServer;
+use nettleferry_administration::audit_log_writer::AuditLogWriter;
 use nettleferry_administration::endpoint::Endpoint;
-use nettleferry_administration::trail::Log;
 use nettleferry_audit_log::Recorder;
 use nettleferry_config::{Config, Worker};
 use nettleferry_engine::{Command, Engine, Event};
@@ -38,7 +38,7 @@
 use signal_hook_mio::v1_0::Signals;
 
 use crate::front::Front;
-use crate::observe::Observer;
+use crate::metrics::MetricsRecorder;
 use crate::push::Pusher;
 use crate::tenants::Tenants;
 use crate::worker_links::WorkerLinks;
@@ -46,7 +46,7 @@
 
 /// Why a controller could not start or go on.
 #[derive(Debug, thiserror::Error)]
-pub enum ControllerError {
+pub(crate) enum ControllerError {
     /// The decision module rejects the settings.
     #[error("the settings can't work: {0}")]
     Settings(#[from] nettleferry::SettingsError),
@@ -76,7 +76,7 @@
 
 /// How a controller ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Shutdown {
+pub(crate) enum Shutdown {
     /// All open calls had their answers.
     Graceful,
     /// A second signal came, or the drain timed out with calls open.
@@ -101,14 +101,14 @@
     final_counters: gate::Counters,
 }
 
-/// The recorder of entries of the audit log, and the log that writes them.
+/// The recorder of entries of the audit log, and their writer.
 struct AuditLog {
     recorder: Recorder,
-    log: Log,
+    writer: AuditLogWriter,
 }
 
 /// A controller of the gateway.
-pub struct Controller {
+pub(crate) struct Controller {
     config: Arc<Config>,
     clock: Clock,
     hub: Hub,
@@ -117,7 +117,7 @@
     worker_links: WorkerLinks,
     list_watcher: ListWatcher,
     signals: Option<Signals>,
-    observer: Observer,
+    metrics: MetricsRecorder,
     metrics_endpoint: Option<Endpoint>,
     /// Remote write; dropping it sends the last samples.
     pusher: Option<Pusher>,
@@ -130,7 +130,7 @@
     /// How many worker lists were applied.
     list_version: u64,
     tenants: Option<Tenants>,
-    admin_server: Option<Desk>,
+    admin_server: Option<AdminServer>,
     /// Names of the workers that are drained through the administration.
     drained_workers: BTreeSet<String>,
     /// The newest worker list, as its source gave it.
@@ -149,23 +149,23 @@
 
 impl Controller {
     /// The address of the gRPC listener.
-    pub fn grpc_address(&self) -> SocketAddr {
+    pub(crate) fn grpc_address(&self) -> SocketAddr {
         self.grpc_address
     }
 
     /// The address at which metrics can be scraped.
-    pub fn metrics_address(&self) -> Option<SocketAddr> {
+    pub(crate) fn metrics_address(&self) -> Option<SocketAddr> {
         self.metrics_endpoint.as_ref().map(|endpoint| endpoint.local)
     }
 
     /// The address of the administration's listener.
-    pub fn admin_address(&self) -> Option<SocketAddr> {
+    pub(crate) fn admin_address(&self) -> Option<SocketAddr> {
         self.admin_server.as_ref().and_then(|server| server.local)
     }
 
     /// Runs until a signal stops it. Each iteration fires due timers, polls the network until the next of them,
     /// dispatches what came with the commands that follow from it, and updates metrics.
-    pub fn run(&mut self) -> Result<Shutdown, ControllerError> {
+    pub(crate) fn run(&mut self) -> Result<Shutdown, ControllerError> {
         let mut events = Vec::new();
         loop {
             self.fire_timers();
--- a/crates/gateway/src/controller/startup.rs
+++ b/crates/gateway/src/controller/startup.rs
@@ -9,9 +9,9 @@
 
 use mio::Interest;
 use nettleferry::{ListForm, Micros};
-use nettleferry_administration::Desk;
+use nettleferry_administration::audit_log_writer::AuditLogWriter;
 use nettleferry_administration::endpoint::Endpoint;
-use nettleferry_administration::trail::Log;
+use nettleferry_administration::{AdminServer, ControllerContext};
 use nettleferry_audit_log::Recorder;
 use nettleferry_config::Config;
 use nettleferry_config::settings::{self, AdminSettings, GatePolicy};
@@ -26,7 +26,7 @@
 
 use super::{AuditLog, Controller, ControllerError, RestartAdmission, SIGNAL_SOURCE, SnapshotSource};
 use crate::front::Front;
-use crate::observe::{self, Observer};
+use crate::metrics::{self, MetricsRecorder};
 use crate::push::Pusher;
 use crate::tenants::Tenants;
 use crate::worker_links::{PoolLimits, WorkerLinks};
@@ -34,7 +34,7 @@
 
 impl Controller {
     /// Opens the listeners and restores the last worker list. `with_signals`: SIGTERM and SIGINT drain it.
-    pub fn new(config: Config, with_signals: bool) -> Result<Self, ControllerError> {
+    pub(crate) fn new(config: Config, with_signals: bool) -> Result<Self, ControllerError> {
         let mut hub = retry_startup("reactor", || Hub::new(net_limits(&config)), is_transient)?;
         let grpc_address = listen_grpc(&mut hub, config.grpc)?;
         let list_watcher = watch_worker_list(&config, &hub)?;
@@ -44,14 +44,10 @@
         let mut engine = create_engine(&config, restarted)?;
         let signals = with_signals.then(|| retry_startup("signals", || watch_signals(&hub), is_transient));
         let signals = signals.transpose()?;
-        let observer = Observer::new(&config);
-        let metrics_endpoint = start_metrics_endpoint(&config, &observer)?;
-        let pusher = config
-            .metrics
-            .remote_write
-            .clone()
-            .map(|push| Pusher::start(push, observer.figures()))
-            .transpose()?;
+        let metrics = MetricsRecorder::new(&config);
+        let metrics_endpoint = start_metrics_endpoint(&config, &metrics)?;
+        let remote_write = config.metrics.remote_write.clone();
+        let pusher = remote_write.map(|push| Pusher::start(push, metrics.metrics())).transpose()?;
         if config.metrics.count_calls {
             engine.record_measurements();
         }
@@ -71,7 +67,7 @@
             worker_links: WorkerLinks::new(pool_limits(&config), config.settings.me),
             list_watcher,
             signals,
-            observer,
+            metrics,
             metrics_endpoint,
             pusher,
             restart_admission: RestartAdmission::default(),
@@ -172,9 +168,12 @@
     Ok(signals)
 }
 
-fn start_metrics_endpoint(config: &Config, observer: &Observer) -> Result<Option<Endpoint>, ControllerError> {
+fn start_metrics_endpoint(
+    config: &Config,
+    recorder: &MetricsRecorder,
+) -> Result<Option<Endpoint>, ControllerError> {
     let Some(address) = config.metrics.scrape else { return Ok(None) };
-    retry_startup("metrics listener", || observe::scrape(address, observer.figures()), is_transient)
+    retry_startup("metrics listener", || metrics::serve(address, recorder.metrics()), is_transient)
         .map(Some)
         .map_err(|source| ControllerError::Listen { address, source })
 }
@@ -186,14 +185,14 @@
     audit_log: Option<AuditLog>,
     snapshot_source: SnapshotSource,
     tenants: Option<Tenants>,
-    server: Option<Desk>,
+    server: Option<AdminServer>,
 }
 
 impl Administration {
     fn start(config: &Config, admin: &AdminSettings, clock: Clock, hub: &Hub) -> io::Result<Self> {
         let audit_log = start_audit_log(config, admin, clock)?;
         let server = start_admin_server(config, admin, hub, audit_log.as_ref())?;
-        let snapshot = server.book.as_ref();
+        let snapshot = server.snapshot.as_ref();
         let snapshot_source = snapshot.map_or_else(SnapshotSource::default, |snapshot| SnapshotSource {
             store: snapshot.store.clone(),
             epoch: snapshot.epoch,
@@ -206,12 +205,12 @@
 
 fn start_audit_log(config: &Config, admin: &AdminSettings, clock: Clock) -> io::Result<Option<AuditLog>> {
     let Some(settings) = &admin.audit_log else { return Ok(None) };
-    let (log, tail) = Log::start(settings.folder.clone(), settings.bytes)?;
+    let (writer, tail) = AuditLogWriter::start(settings.folder.clone(), settings.bytes)?;
     // 0 means that there is no incarnation.
     let incarnation = rand::random::<u64>().max(1);
     let program = env!("CARGO_PKG_VERSION");
     let recorder = Recorder::new(clock.now_ms(), incarnation, config.settings.me, program, tail);
-    Ok(Some(AuditLog { recorder, log }))
+    Ok(Some(AuditLog { recorder, writer }))
 }
 
 fn start_admin_server(
@@ -219,25 +218,29 @@
     admin: &AdminSettings,
     hub: &Hub,
     audit_log: Option<&AuditLog>,
-) -> io::Result<Desk> {
-    let held = audit_log.map(|audit_log| audit_log.log.held());
-    let longest_deadline_ms =
-        config.settings.classes.iter().map(|class| class.deadline / 1000).max().unwrap_or(0);
-    let identity = (config.settings.me, config.settings.controllers, longest_deadline_ms);
-    Desk::start(admin, identity, hub.waker(), held)
+) -> io::Result<AdminServer> {
+    let deadlines_ms = config.settings.classes.iter().map(|class| class.deadline / 1000);
+    let controller = ControllerContext {
+        number: config.settings.me,
+        controllers: config.settings.controllers,
+        max_deadline_ms: deadlines_ms.max().unwrap_or(0),
+        waker: hub.waker(),
+        audit_entries: audit_log.map(|audit_log| audit_log.writer.recent()),
+    };
+    AdminServer::start(admin, controller)
 }
 
-fn create_tenants(config: &Config, admin: &AdminSettings, clock: Clock, server: &Desk) -> Tenants {
+fn create_tenants(config: &Config, admin: &AdminSettings, clock: Clock, server: &AdminServer) -> Tenants {
     let loan_terms = LoanConfig { controllers: config.settings.controllers.max(1), reserve: admin.reserve };
     let first_id = config.tenants.len();
     let mut tenants =
         Tenants::new(first_id, &config.classes, admin.anonymous, admin.queue_length, loan_terms);
-    match &server.book {
+    match &server.snapshot {
         Some(snapshot) => {
-            tenants.begin(&snapshot.book);
-            tenants.spend(clock.now());
+            tenants.load(&snapshot.snapshot);
+            tenants.exhaust_rates(clock.now());
         }
-        None => tenants.blind(),
+        None => tenants.set_without_snapshot(),
     }
     tenants
 }
--- a/crates/gateway/tests/faults.rs
+++ b/crates/gateway/tests/faults.rs
@@ -9,7 +9,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use common::{Client, Directory, Does, Invoker, SERVED, Told, config};
+use common::{Client, Directory, Invoker, ListedInvoker, Reaction, ReceivedCommand, SERVED, config};
 use nettleferry_soak::shim::{self, Faults};
 
 /// A process under faults; ends with the test, whatever comes.
@@ -33,12 +33,12 @@
     ) -> Self {
         let dir = tempfile::tempdir().expect("a folder");
         let library = shim::compile(dir.path()).expect("a C compiler");
-        let listed = vec![("s-0".to_owned(), invoker.address, false)];
+        let listed = vec![ListedInvoker::new(0, invoker.address)];
         let directory = Directory::start(listed.clone());
-        let mut told = config(directory.address, &listed);
-        change(&mut told);
+        let mut configuration = config(directory.address, &listed);
+        change(&mut configuration);
         let path = dir.path().join("config.json");
-        std::fs::write(&path, told.to_string()).expect("written");
+        std::fs::write(&path, configuration.to_string()).expect("written");
         let mut node = Command::new(env!("CARGO_BIN_EXE_nettleferry"));
         node.arg("node").env("PROXY_CONFIG", &path).env_remove("RUST_LOG");
         node.envs(faults.environment(&library, 1))
@@ -71,7 +71,7 @@
     /// Asks it to end, and gives its exit code.
     fn ended(&mut self) -> Option<i32> {
         self.signal("TERM");
-        let end = Instant::now() + common::PATIENCE;
+        let end = Instant::now() + common::TEST_TIMEOUT;
         loop {
             if let Some(status) = self.child.try_wait().expect("ours") {
                 return status.code();
@@ -96,15 +96,15 @@
 
 /// One that holds every function.
 fn invoker() -> Invoker {
-    Invoker::start(|told: &Told| match told.word() {
-        "CALL" => Does::Says("served", "n=w", told.parts[3].clone()),
-        "LOAD" => Does::Says("served", "instances=1", vec![]),
-        _ => Does::Says("green", "-", vec![]),
+    Invoker::start(|command: &ReceivedCommand| match command.keyword() {
+        "CALL" => Reaction::Answer("served", "n=w", command.parts[3].clone()),
+        "LOAD" => Reaction::Answer("served", "instances=1", vec![]),
+        _ => Reaction::Answer("green", "-", vec![]),
     })
 }
 
 #[test]
-fn reads_that_take_less_than_there_is_leave_no_request_unanswered() {
+fn short_reads_leave_no_request_unanswered() {
     let invoker = invoker();
     let mut node = Node::start(&invoker, Faults { short: 1_000, ..Faults::default() }, |_| ());
     let mut client = node.client();
@@ -117,22 +117,22 @@
 
 /// How long a process is stopped: more than the slack on a deadline.
 const STOPPED: Duration = Duration::from_millis(400);
-/// A worker may be told so much more time than the client has left.
+/// The deadline that a worker gets may exceed what the client has left by this much.
 const DEADLINE_SLACK: Duration = Duration::from_millis(150);
 /// What a client of these tests waits.
 const TTL: Duration = Duration::from_millis(3_000);
 
 #[test]
-fn what_came_while_the_process_was_stopped_in_its_wait_has_less_time_left() {
-    let told = Arc::new(Mutex::new(Vec::new()));
-    let patience = Arc::clone(&told);
-    let invoker = Invoker::start(move |told: &Told| match told.word() {
+fn requests_that_arrived_during_a_stop_have_less_time_left() {
+    let received_fields = Arc::new(Mutex::new(Vec::new()));
+    let recorder = Arc::clone(&received_fields);
+    let invoker = Invoker::start(move |command: &ReceivedCommand| match command.keyword() {
         "CALL" => {
-            let fields = String::from_utf8_lossy(&told.parts[2]).into_owned();
-            patience.lock().expect("no panic holds it").push(fields);
-            Does::Says("served", "n=w", told.parts[3].clone())
+            let fields = String::from_utf8_lossy(&command.parts[2]).into_owned();
+            recorder.lock().expect("no panic holds it").push(fields);
+            Reaction::Answer("served", "n=w", command.parts[3].clone())
         }
-        _ => Does::Says("green", "-", vec![]),
+        _ => Reaction::Answer("green", "-", vec![]),
     });
     let mut node = Node::start(&invoker, Faults::default(), |_| ());
     let mut client = node.client();
@@ -147,15 +147,16 @@
         let waited = sent.elapsed();
         node.signal("CONT");
         assert_eq!(client.answer(stream), (SERVED, b"ab".to_vec()));
-        let fields = told.lock().expect("no panic holds it").last().cloned().expect("it was sent");
-        let patience = fields.split(',').find_map(|field| field.strip_prefix("patience=")).expect("told");
+        let fields = received_fields.lock().expect("no panic holds it").last().cloned().expect("it was sent");
+        let patience =
+            fields.split(',').find_map(|field| field.strip_prefix("patience=")).expect("the field");
         let patience = Duration::from_millis(patience.parse().expect("a number"));
-        assert!(patience + waited <= TTL + DEADLINE_SLACK, "told {patience:?}, {waited:?} had passed");
+        assert!(patience + waited <= TTL + DEADLINE_SLACK, "sent {patience:?}, {waited:?} had passed");
     }
 }
 
 #[test]
-fn a_connect_that_fails_for_a_moment_costs_no_call_and_no_worker() {
+fn transient_connect_failures_cost_no_call_and_no_worker() {
     let invoker = invoker();
     let faults = Faults { first_connects: 3, ..Faults::default() };
     // One attempt a call: what fails for a moment at this end must not end it.
@@ -169,7 +170,7 @@
 }
 
 #[test]
-fn a_start_waits_out_faults_that_pass() {
+fn startup_retries_transient_faults() {
     let invoker = invoker();
     let mut node = Node::start(&invoker, Faults { start: 9, ..Faults::default() }, |_| ());
     let mut client = node.client();
@@ -192,7 +193,7 @@
 }
 
 #[test]
-fn a_log_that_can_t_be_written_costs_no_call() {
+fn unwritable_log_costs_no_call() {
     let invoker = invoker();
     let faults = Faults { log: 1_000, ..Faults::default() };
     let mut node = Node::start_with(&invoker, faults, |_| (), |node| _ = node.env("RUST_LOG", "debug"));
@@ -200,7 +201,7 @@
 }
 
 #[test]
-fn a_log_that_nobody_reads_costs_no_call() {
+fn unread_log_costs_no_call() {
     let invoker = invoker();
     // More than a pipe holds is logged, and nobody takes it.
     let unread = |node: &mut Command| _ = node.env("RUST_LOG", "debug").stderr(Stdio::piped());
@@ -209,14 +210,14 @@
 }
 
 #[test]
-fn a_full_disk_under_standard_output_and_the_log_holds_up_no_start() {
+fn full_disk_under_stdout_and_log_does_not_delay_startup() {
     let invoker = invoker();
     let address = std::net::TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a port");
     let full = || std::fs::File::options().write(true).open("/dev/full").expect("the system has it");
     let on_full = |node: &mut Command| _ = node.stdout(full()).stderr(full());
     let fixed = |config: &mut serde_json::Value| config["listen"] = address.to_string().into();
     let mut node = Node::start_with(&invoker, Faults::default(), fixed, on_full);
-    let end = Instant::now() + common::PATIENCE;
+    let end = Instant::now() + common::TEST_TIMEOUT;
     while std::net::TcpStream::connect(address).is_err() {
         assert!(Instant::now() < end && node.child.try_wait().expect("ours").is_none(), "it listens");
         std::thread::yield_now();
@@ -234,7 +235,7 @@
 "#;
 
 #[test]
-fn a_start_of_serve_waits_out_faults_that_pass() {
+fn serve_startup_retries_transient_faults() {
     let dir = tempfile::tempdir().expect("a folder");
     let library = shim::compile(dir.path()).expect("a C compiler");
     std::fs::write(dir.path().join("settings.sexp"), SERVE_SETTINGS).expect("written");
@@ -253,7 +254,7 @@
 }
 
 #[test]
-fn a_signal_whose_wake_up_is_lost_is_heard_all_the_same() {
+fn signal_with_a_lost_wake_up_is_still_handled() {
     let invoker = invoker();
     let mut node = Node::start(&invoker, Faults { signal: 1_000, ..Faults::default() }, |_| ());
     serves(&mut node.client(), 1..3);
--- a/crates/gateway/tests/node.rs
+++ b/crates/gateway/tests/node.rs
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_configuration_that_cannot_be_used_is_one_line_and_exit_code_2() {
+fn unusable_configuration_gives_one_line_and_exit_code_2() {
     let dir = tempfile::tempdir().expect("a folder");
     let path = dir.path().join("config.json");
     let spoilt = |name: &str, value: serde_json::Value| {
@@ -82,7 +82,7 @@
         (Some("{\"listen\":".to_owned()), ""),
         (Some("{}".to_owned()), "listen"),
         (Some("[]".to_owned()), ""),
-        // What is wrong in a field is told with its name.
+        // An error in a field is reported with its name.
         (Some(spoilt("resolver", 5.into())), "resolver"),
         (Some(spoilt("limits", "many".into())), "limits"),
         (Some(spoilt("known", serde_json::json!({"pos": -1}))), "known"),
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn sighup_moves_to_another_directory_once_its_file_is_whole_and_sigterm_ends_in_order() {
+fn sighup_switches_directory_once_its_file_is_complete_and_sigterm_drains() {
     let dir = tempfile::tempdir().expect("a folder");
     let path = dir.path().join("config.json");
     let ((first, one), (second, two)) = (directory(), directory());
@@ -163,7 +163,7 @@
     node.signal("TERM");
     node.signal("HUP");
     let mut answer = [0; 9];
-    client.read_exact(&mut answer).expect("told");
+    client.read_exact(&mut answer).expect("an answer");
     assert_eq!(answer[4], kind::GO_AWAY);
     // Its pipe is read to the end, so that it is never held up by its own log.
     let mut rest = Vec::new();
--- a/crates/test-servers/src/server/response.rs
+++ b/crates/test-servers/src/server/response.rs
@@ -5,7 +5,7 @@
 use nettleferry_net::StreamKey;
 use nettleferry_net::grpc::{Code, Status, write_binary};
 use nettleferry_proto::inference::*;
-use nettleferry_proto::{marks, orca};
+use nettleferry_proto::{metadata, orca};
 use prost::Message;
 
 use super::{ObservationKind, Server};
@@ -46,18 +46,18 @@
         let Some(call) = self.calls.remove(&number) else { return };
         let note = self.worker.as_mut().and_then(|worker| worker.take_note(number));
         let (mark, message) = match reason {
-            Rejection::Full => (marks::FULL, "no room"),
-            Rejection::Miss => (marks::MISS, "the model is not loaded"),
-            Rejection::LoadFailed => (marks::LOAD_FAILED, "the load failed"),
+            Rejection::Full => (metadata::FULL, "no room"),
+            Rejection::Miss => (metadata::MISS, "the model is not loaded"),
+            Rejection::LoadFailed => (metadata::LOAD_FAILED, "the load failed"),
         };
         let mut trailers = HeaderMap::new();
-        trailers.insert(marks::NEVER_RAN, HeaderValue::from_static(mark));
+        trailers.insert(metadata::NEVER_RAN, HeaderValue::from_static(mark));
         let mut report = self.report();
         if let Some(note) = note {
-            report.named_metrics.insert(orca::CROWD.to_owned(), f64::from(note.same_model_calls));
+            report.named_metrics.insert(orca::SAME_MODEL_CALLS.to_owned(), f64::from(note.same_model_calls));
         }
         if reason == Rejection::LoadFailed {
-            report.named_metrics.insert(orca::NOTE.to_owned(), LOAD_FAILED_NOTE);
+            report.named_metrics.insert(orca::LOAD_NOTE.to_owned(), LOAD_FAILED_NOTE);
         }
         put(&mut trailers, &report);
         self.finish(call.stream, Status::new(Code::Unavailable, message), trailers);
@@ -67,7 +67,7 @@
     fn answer_order(&mut self, order: OrderNumber, loaded: u32, complete: bool) {
         let Some(stream) = self.orders.remove(&order) else { return };
         let mut report = self.report();
-        report.named_metrics.insert(orca::STANDING.to_owned(), f64::from(loaded));
+        report.named_metrics.insert(orca::LOADED_REPLICAS.to_owned(), f64::from(loaded));
         let mut trailers = HeaderMap::new();
         put(&mut trailers, &report);
         if complete {
@@ -76,7 +76,7 @@
             let status = Status::new(Code::Ok, "").trailers();
             self.hub.finish(stream, Some(merged(status, trailers)));
         } else {
-            trailers.insert(marks::NEVER_RAN, HeaderValue::from_static(marks::FULL));
+            trailers.insert(metadata::NEVER_RAN, HeaderValue::from_static(metadata::FULL));
             self.finish(stream, Status::new(Code::Unavailable, "no room, or the load failed"), trailers);
         }
     }
@@ -139,8 +139,8 @@
         let note = self.worker.as_mut().and_then(|worker| worker.take_note(number));
         let mut report = self.report();
         if let Some(note) = note {
-            report.named_metrics.insert(orca::NOTE.to_owned(), f64::from(note.replica as u8));
-            report.named_metrics.insert(orca::CROWD.to_owned(), f64::from(note.same_model_calls));
+            report.named_metrics.insert(orca::LOAD_NOTE.to_owned(), f64::from(note.replica as u8));
+            report.named_metrics.insert(orca::SAME_MODEL_CALLS.to_owned(), f64::from(note.same_model_calls));
         }
         let mut trailers = HeaderMap::new();
         put(&mut trailers, &report);
@@ -165,7 +165,7 @@
         let Some(rpc) = self.rpcs.get(&stream) else { return };
         if rpc.method.ends_with("Infer") {
             let served = status.code == Code::Ok;
-            let never_ran = more.contains_key(marks::NEVER_RAN);
+            let never_ran = more.contains_key(metadata::NEVER_RAN);
             self.see(ObservationKind::Answered { stream: stream.number(), served, never_ran });
         }
         let trailers = merged(status.trailers(), more);
