--- a/crates/gateway/benches/outage.rs
+++ b/crates/gateway/benches/outage.rs
@@ -102,7 +102,7 @@
             }
         } else if back.is_none() {
             // As much as one thread encodes in this second, each answer after a millisecond.
-            while begun.elapsed().as_secs_f64() < 1.0 && push.queue.len() > 0 {
+            while begun.elapsed().as_secs_f64() < 1.0 && !push.queue.is_empty() {
                 push.queue.due(now, &mut due);
                 if due.is_empty() {
                     break;
--- a/crates/gateway/src/commands/fleet/timeline.rs
+++ b/crates/gateway/src/commands/fleet/timeline.rs
@@ -13,22 +13,22 @@
 const WIDTH_PIXELS: u32 = 1_000;
 const FRAME_PIXELS: u32 = 120;
 const ROW_PIXELS: u32 = 28;
-/// A bar is drawn at least this part of the time line wide.
-const SHORTEST_BAR: f64 = 0.002;
+/// An activity is drawn at least this part of the time line wide.
+const SHORTEST_ACTIVITY: f64 = 0.002;
 
 type Chart<'a> = ChartContext<'a, SVGBackend<'a>, Cartesian2d<RangedCoordf64, RangedCoordf64>>;
 
-/// An actor whose begin and end are known, in seconds.
-struct Bar<'a> {
+/// What an incarnation did on one version, with its begin and end in seconds.
+struct Activity<'a> {
     actor: &'a Actor,
     from: f64,
     to: f64,
 }
 
-/// What is drawn: a row for each incarnation, and its bars.
+/// What is drawn: a row for each incarnation, with its activities as bars.
 struct Timeline<'a> {
     report: &'a Report,
-    bars: Vec<Bar<'a>>,
+    activities: Vec<Activity<'a>>,
     rows: Vec<Incarnation>,
     begin: f64,
     end: f64,
@@ -45,17 +45,18 @@
 impl<'a> Timeline<'a> {
     fn new(report: &'a Report) -> Self {
         let seconds = |ms: i64| ms as f64 / 1000.0;
-        let bars: Vec<Bar> = report
+        let activities: Vec<Activity> = report
             .actors
             .iter()
-            .filter_map(|actor| Some(Bar { actor, from: seconds(actor.from?), to: seconds(actor.to?) }))
+            .filter_map(|actor| Some(Activity { actor, from: seconds(actor.from?), to: seconds(actor.to?) }))
             .collect();
-        let mut rows: Vec<Incarnation> = bars.iter().map(|bar| bar.actor.incarnation).collect();
+        let mut rows: Vec<Incarnation> =
+            activities.iter().map(|activity| activity.actor.incarnation).collect();
         rows.sort();
         rows.dedup();
-        let begin = bars.iter().map(|bar| bar.from).fold(f64::INFINITY, f64::min).min(0.0);
-        let end = bars.iter().map(|bar| bar.to).fold(1.0, f64::max);
-        Self { report, bars, rows, begin, end }
+        let begin = activities.iter().map(|activity| activity.from).fold(f64::INFINITY, f64::min).min(0.0);
+        let end = activities.iter().map(|activity| activity.to).fold(1.0, f64::max);
+        Self { report, activities, rows, begin, end }
     }
 
     fn row(&self, who: Incarnation) -> f64 {
@@ -80,16 +81,16 @@
             .y_label_formatter(&label)
             .x_desc("seconds of the administration")
             .draw()?;
-        self.draw_bars(&mut chart)?;
+        self.draw_activities(&mut chart)?;
         self.draw_stale(&mut chart)?;
         area.present()
     }
 
-    fn draw_bars(&self, chart: &mut Chart) -> Result<(), PlotError> {
-        for Bar { actor, from, to } in &self.bars {
+    fn draw_activities(&self, chart: &mut Chart) -> Result<(), PlotError> {
+        for Activity { actor, from, to } in &self.activities {
             let row = self.row(actor.incarnation);
             let colour = Palette99::pick(actor.version.revision as usize).mix(0.7);
-            let corners = [(*from, row + 0.2), (to.max(from + self.end * SHORTEST_BAR), row + 0.8)];
+            let corners = [(*from, row + 0.2), (to.max(from + self.end * SHORTEST_ACTIVITY), row + 0.8)];
             chart.draw_series([Rectangle::new(corners, colour.filled())])?;
             let text = Text::new(actor.version.revision.to_string(), (*from, row + 0.62), ("sans-serif", 11));
             chart.draw_series([text])?;
@@ -99,13 +100,14 @@
 
     fn draw_stale(&self, chart: &mut Chart) -> Result<(), PlotError> {
         for found in &self.report.stale_activity {
-            let matches =
-                |bar: &&Bar| bar.actor.incarnation == found.incarnation && bar.actor.version == found.version;
-            let Some(bar) = self.bars.iter().find(matches) else { continue };
+            let matches = |activity: &&Activity| {
+                activity.actor.incarnation == found.incarnation && activity.actor.version == found.version
+            };
+            let Some(activity) = self.activities.iter().find(matches) else { continue };
             let row = self.row(found.incarnation);
-            let since = (bar.to - found.most_ms as f64 / 1000.0).max(bar.from);
+            let since = (activity.to - found.most_ms as f64 / 1000.0).max(activity.from);
             let colour = if found.certainty == Certainty::Certain { RED.mix(0.5) } else { RED.mix(0.2) };
-            let corners = [(since, row + 0.05), (bar.to, row + 0.95)];
+            let corners = [(since, row + 0.05), (activity.to, row + 0.95)];
             chart.draw_series([Rectangle::new(corners, colour.filled())])?;
         }
         Ok(())
--- a/crates/gateway/tests/days.rs
+++ b/crates/gateway/tests/days.rs
@@ -9,7 +9,7 @@
 use std::process::Command;
 
 #[test]
-fn no_rule_breaks_on_the_days_in_which_most_meets() {
+fn scenarios_with_most_faults_break_no_rule() {
     let days = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../days");
     for day in ["stop", "ration", "clients", "refuse", "bad"] {
         play(&days, day);
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn every_day_file_is_sound() {
+fn every_scenario_file_is_valid() {
     let days = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../days");
     let mut kinds = 0;
     for entry in std::fs::read_dir(days).expect("there") {
--- a/crates/gateway/tests/hollow.rs
+++ b/crates/gateway/tests/hollow.rs
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn hollow_followers_take_each_change_and_come_back_to_another_life_of_the_administration() {
+fn hollow_followers_apply_each_change_and_return_to_another_incarnation_of_the_leader() {
     let cluster = Cluster::new("127.0.42.1", HOLLOW + 2);
     let lease = "(lease 2s)";
     let leader = cluster.administration(cluster.dir(), lease);
@@ -167,7 +167,7 @@
 }
 
 #[test]
-fn hollow_followers_on_a_slow_lossy_link_keep_their_leases_and_end_by_their_time() {
+fn hollow_followers_on_a_slow_lossy_link_keep_their_leases_and_end_in_time() {
     let cluster = Cluster::new("127.0.42.2", HOLLOW + 2);
     let leader = cluster.administration(cluster.dir(), "(lease 4s)");
     leader.create(json!({ "name": "t0" }));
@@ -212,7 +212,7 @@
 }
 
 #[test]
-fn hollow_controllers_say_when_a_worker_is_not_there() {
+fn hollow_controllers_report_a_missing_worker() {
     let nobody = free_address("127.0.42.4").to_string();
     let words = ["controllers", "--worker", &nobody, "--count", "5", "--begin-within", "0", "--seconds", "1"];
     let hollow = Hollow::run(&words);
@@ -237,7 +237,7 @@
 }
 
 #[test]
-fn other_machines_and_what_does_not_fit_are_refused_before_anything_is_begun() {
+fn other_machines_and_too_many_peers_are_rejected_before_the_start() {
     let told = refused(&["--administration", "192.0.2.1:80", "--count", "5"]);
     assert!(told.contains("192.0.2.1:80 is no loopback address"), "{told}");
     let here = ["--administration", "127.0.42.3:9"];
@@ -263,7 +263,7 @@
 }
 
 #[test]
-fn a_scale_run_measures_an_administration_by_its_followers() {
+fn scale_run_measures_a_leader_by_its_followers() {
     let (code, lines, said) = scale(
         "(administration (followers 8 32) (real 1) (lease 1s) (tenants 3) (changes-per-second 10) (interval 1s))",
     );
@@ -285,14 +285,14 @@
 }
 
 #[test]
-fn a_scale_run_of_more_followers_than_leases_is_refused_with_what_fits() {
+fn scale_run_of_more_followers_than_leases_is_rejected_with_what_fits() {
     let (code, lines, said) = scale("(administration\n  (followers 64 1024)\n  (real 2))");
     assert_eq!((code, lines.len()), (Some(3), 0), "{said}");
     assert!(said.contains("1024 lives; write at most 1022"), "{said}");
 }
 
 #[test]
-fn a_scale_run_measures_a_worker_by_its_controllers() {
+fn scale_run_measures_a_worker_by_its_controllers() {
     let (code, lines, said) = scale("(worker (controllers 20 60) (calls-per-second 200) (interval 500ms))");
     assert_eq!(code, Some(0), "{said}");
     let value = |figure: &str, size: u64| {
--- a/crates/gateway/tests/scale.rs
+++ b/crates/gateway/tests/scale.rs
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn a_bound_that_breaks_is_exit_code_1() {
+fn broken_bound_is_exit_code_1() {
     let folder = tempfile::tempdir().expect("a folder");
     let file = write(
         folder.path(),
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn a_file_that_is_not_sound_is_refused_before_anything_starts() {
+fn invalid_file_is_rejected_before_anything_starts() {
     let folder = tempfile::tempdir().expect("a folder");
     let file = write(folder.path(), "(list\n  (workers 10 20000000))");
     let output = command(&file).output().expect("run");
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn an_interrupted_run_ends_its_children_and_says_what_it_had() {
+fn interrupted_run_ends_its_children_and_reports_what_it_measured() {
     let folder = tempfile::tempdir().expect("a folder");
     let file = write(
         folder.path(),
--- a/crates/gateway/tests/soak.rs
+++ b/crates/gateway/tests/soak.rs
@@ -15,11 +15,11 @@
 }
 
 #[test]
-fn overlapping_troubles_break_no_invariant() {
+fn overlapping_faults_break_no_invariant() {
     sound(1, false);
 }
 
 #[test]
-fn overlapping_troubles_with_faults_of_system_calls_break_no_invariant() {
+fn overlapping_faults_and_failing_system_calls_break_no_invariant() {
     sound(2, true);
 }
--- a/crates/test-servers/src/models.rs
+++ b/crates/test-servers/src/models.rs
@@ -1,4 +1,4 @@
-//! What the stand-in's models answer. `echo` and `echo-*` give the tensors back; `climb` and `climb-*` give
+//! What the models of a test worker answer. `echo` and `echo-*` give the tensors back; `climb` and `climb-*` give
 //! the rises and falls of a height profile, segment by segment.
 
 use bytes::Bytes;
@@ -17,12 +17,12 @@
     #[error("climb wants the input HEIGHT, FP32, one dimension, at least two values")]
     NoHeight,
     /// The shape and the content differ.
-    #[error("HEIGHT has {got} values, but its shape says {told}")]
+    #[error("HEIGHT has {got} values, but its shape says {stated}")]
     Length {
         /// Values given.
         got: usize,
-        /// Values told.
-        told: i64,
+        /// Values that the shape states.
+        stated: i64,
     },
     /// `segments` is out of range.
     #[error("segments is a whole number from 1 to the number of steps, {most}; given: {got}")]
@@ -99,7 +99,7 @@
         None => input.contents.as_ref().map(|c| c.fp32_contents.clone()).unwrap_or_default(),
     };
     if heights.len() as i64 != input.shape[0] {
-        return Err(BadInput::Length { got: heights.len(), told: input.shape[0] });
+        return Err(BadInput::Length { got: heights.len(), stated: input.shape[0] });
     }
     let steps = heights.len().checked_sub(1).filter(|n| *n > 0).ok_or(BadInput::NoHeight)?;
     let wanted = request.parameters.get("segments").map_or(Some(1), InferParameter::int64).unwrap_or(0);
--- a/crates/test-servers/src/models/tests.rs
+++ b/crates/test-servers/src/models/tests.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn heights_are_read_typed_or_raw_and_answered_alike() {
+fn typed_and_raw_heights_give_the_same_answer() {
     let mut typed = climb_request("climb", "", &[1.0, 2.0], 1);
     let raw = answer(&typed).expect("sound").complete();
     typed.raw_input_contents.clear();
@@ -28,14 +28,14 @@
 }
 
 #[test]
-fn mistakes_are_told() {
+fn invalid_inputs_are_reported() {
     let of = |heights: &[f32], n| answer(&climb_request("climb", "", heights, n)).expect_err("wrong");
     assert_eq!(of(&[1.0, 2.0], 2), BadInput::Segments { got: 2, most: 1 });
     assert_eq!(of(&[1.0, 2.0], 0), BadInput::Segments { got: 0, most: 1 });
     assert_eq!(of(&[1.0], 1), BadInput::NoHeight);
     let mut short = climb_request("climb", "", &[1.0, 2.0], 1);
     short.inputs[0].shape = vec![i64::MAX];
-    assert_eq!(answer(&short), Err(BadInput::Length { got: 2, told: i64::MAX }));
+    assert_eq!(answer(&short), Err(BadInput::Length { got: 2, stated: i64::MAX }));
     assert!(matches!(answer(&ModelInferRequest::default()), Err(BadInput::NoModel(_))));
     assert!(exists("echo-a") && !exists("echoes"));
 }
--- a/crates/test-servers/src/receiver.rs
+++ b/crates/test-servers/src/receiver.rs
@@ -22,7 +22,7 @@
     Take,
     /// It takes version 1.0 alone.
     OnlyOne,
-    /// It answers with this status and takes nothing; with Retry-After, seconds, where told.
+    /// It answers with this status and receives nothing; with Retry-After, seconds, where given.
     Answer(u16, Option<u32>),
     /// It takes what comes and answers 500: the acknowledgement is lost.
     Forget,
@@ -45,7 +45,7 @@
     pub at_ms: i64,
     /// Its value.
     pub value: f64,
-    /// Its series' created timestamp as told with it.
+    /// Its series' created timestamp as sent with it.
     pub created_ms: Option<i64>,
 }
 
@@ -190,7 +190,7 @@
                 reply(request, &mode, &mut lock(&k))
             });
             if let Err(error) = ended {
-                eprintln!("stand-in receiver: {error}");
+                eprintln!("test receiver: {error}");
             }
         })?;
         Ok(Self { address, mode, data, cut, stop, ended: Arc::default(), threads: vec![thread] })
--- a/crates/test-servers/src/server/mod.rs
+++ b/crates/test-servers/src/server/mod.rs
@@ -108,10 +108,10 @@
         };
         let _ = ready.send(Ok((server.addresses.clone(), server.hub.waker())));
         if let Err(error) = server.run() {
-            eprintln!("stand-in {}: {error}", server.options.name);
+            eprintln!("test worker {}: {error}", server.options.name);
         }
     })?;
-    let (doors, waker) = started.recv().map_err(|_| io::Error::other("the stand-in's thread ended"))??;
+    let (doors, waker) = started.recv().map_err(|_| io::Error::other("the test worker's thread ended"))??;
     Ok(Handle { name, doors, faults, waker, thread: Some(thread) })
 }
 
@@ -257,7 +257,7 @@
         self.unresponsive = false;
     }
 
-    /// Handles events and faults until it is told to stop.
+    /// Handles events and faults until it is stopped.
     fn run(&mut self) -> io::Result<()> {
         let mut events = Vec::new();
         loop {
--- a/crates/test-servers/src/spec/tests.rs
+++ b/crates/test-servers/src/spec/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn a_file_is_read_with_its_units() {
+fn file_is_parsed_with_its_units() {
     let text = "(listen \"127.0.0.1:0\") (cores 2) (cold 5s (start-capacity 0.3)) (model echo-* (lanes 3) (work 20ms))";
     let (_, spec) = read_file("w.sexp", text).expect("sound");
     assert_eq!(
--- a/crates/test-servers/src/store/tests.rs
+++ b/crates/test-servers/src/store/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn a_crowd_slows_it_and_a_limit_refuses() {
+fn concurrent_fetches_are_slower_and_limited() {
     let mut store = Store::new(2, 3);
     assert_eq!((store.begin(100), store.begin(100)), (Some(100), Some(100)));
     assert_eq!(store.begin(100), Some(150));
--- a/crates/test-servers/src/watch/tests.rs
+++ b/crates/test-servers/src/watch/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn an_alert_fires_and_clears_on_a_clock_ten_times_as_fast() {
+fn alert_fires_and_clears_on_an_accelerated_clock() {
     let text = "groups: [{name: g, interval: 10s, rules: [{alert: A, expr: x > 0, for: 20s}]}]";
     let rules = nettleferry_alerts::rules::read("r", text).expect("sound");
     let mut watch = Watch::new(rules, 1_000_000, 10);
