--- a/crates/gateway/src/commands/admin/mod.rs
+++ b/crates/gateway/src/commands/admin/mod.rs
@@ -50,8 +50,7 @@
 }
 
 fn make_key(name: &str, role: &str) -> Result<(), CommandError> {
-    let GeneratedKey { token, hash } =
-        keys::generate(name).map_err(|error| CommandError::KeyHash(error.to_string()))?;
+    let GeneratedKey { token, hash } = keys::generate(name)?;
     announce(&format!("token: {token}"))?;
     announce(&format!("settings: (key {name} {role} \"{hash}\")"))
 }
