--- a/crates/gateway/src/commands/error.rs
+++ b/crates/gateway/src/commands/error.rs
@@ -45,7 +45,7 @@
     MetricsText(#[source] std::fmt::Error),
     /// An API key can't be hashed.
     #[error("{0}")]
-    KeyHash(String),
+    KeyHash(#[from] argon2::password_hash::Error),
     /// The tenant store can't be used.
     #[error("{0}")]
     Store(#[from] StoreError),
--- a/crates/gateway/tests/admin.rs
+++ b/crates/gateway/tests/admin.rs
@@ -9,7 +9,7 @@
 use std::process::Command;
 
 use nettleferry_net::grpc::Code;
-use nettleferry_test_servers::{Fault, Seen};
+use nettleferry_test_servers::{Fault, ObservationKind};
 use serde_json::{Value, json};
 
 #[test]
@@ -57,7 +57,7 @@
     let mut caller = Caller::new(leader.program.address);
     assert_eq!(code(&mut caller, Some("b"), "echo").0, Code::Ok);
     // In flight: it hangs. Held: its model's load never ends, so that the second of it has no worker.
-    fleet.handles[0].tell(Fault::Hang(Some("echo-".to_owned())));
+    fleet.handles[0].inject(Fault::Hang(Some("echo-".to_owned())));
     let headers = || vec![("nettleferry-tenant".to_owned(), "a".to_owned())];
     let stream = caller.ask(nettleferry_scenario::client::ClientRequest {
         headers: headers(),
@@ -67,7 +67,9 @@
     let flight = call(&mut caller, Some("a"), "echo-x");
     let held: Vec<u64> = (0..4).map(|_| call(&mut caller, Some("a"), "echo-x")).collect();
     let bystander = call(&mut caller, Some("b"), "echo");
-    caller.until("it is out", || fleet.any(|s| matches!(s, Seen::Call { model, .. } if model == "echo-x")));
+    caller.until("it is out", || {
+        fleet.any(|s| matches!(s, ObservationKind::Call { model, .. } if model == "echo-x"))
+    });
     eventually("all are open", || leader.get("/v1/tenants/a/usage")["open_calls"] == 6);
     leader.change("DELETE", "/v1/tenants/a?grace_ms=400", "");
     assert_eq!(code(&mut caller, Some("a"), "echo").0, Code::PermissionDenied, "refused promptly");
@@ -85,7 +87,7 @@
     assert_eq!(caller.status(bystander).0.code, Code::Ok, "nobody else is hurt");
     eventually("it is gone", || leader.ask("GET", "/v1/tenants/a", "", "").0 == 404);
     // The next of the same name, in the same place, begins at nought.
-    fleet.handles[0].tell(Fault::Hang(None));
+    fleet.handles[0].inject(Fault::Hang(None));
     leader.create(json!({"name": "a"}));
     let usage = leader.get("/v1/tenants/a/usage");
     assert_eq!((usage["admitted"].clone(), usage["ends"].clone()), (json!(0), json!({})));
@@ -252,7 +254,11 @@
         assert_eq!(code(&mut caller, Some("a"), &format!("echo-{n}")).0, Code::Ok);
     }
     let at = |fleet: &mut Fleet, name: &str| {
-        fleet.look().iter().filter(|r| r.worker == name && matches!(r.seen, Seen::Call { .. })).count()
+        fleet
+            .look()
+            .iter()
+            .filter(|r| r.worker == name && matches!(r.seen, ObservationKind::Call { .. }))
+            .count()
     };
     assert_eq!((at(&mut fleet, "w1"), at(&mut fleet, "w2")), (0, 20));
     leader.change("POST", "/v1/workers/w1/undrain", "");
--- a/crates/gateway/tests/cut.rs
+++ b/crates/gateway/tests/cut.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 
 use nettleferry_net::grpc::Code;
-use nettleferry_test_servers::{Fault, Record, Seen};
+use nettleferry_test_servers::{Fault, Observation, ObservationKind};
 
 const SETTINGS: &str = r#"
 (listen (grpc "127.0.0.1:0"))
@@ -31,10 +31,10 @@
 
 fn cut(fleet: &mut Fleet, cut: bool) {
     for handle in fleet.handles.iter().filter(|h| CUT.contains(&h.name.as_str())) {
-        handle.tell(Fault::Cut { door: 0, cut });
+        handle.inject(Fault::Cut { door: 0, cut });
     }
     eventually("the links are cut or restored", || {
-        fleet.count(|s| matches!(s, Seen::Link { cut: c, .. } if *c == cut)) == CUT.len()
+        fleet.count(|s| matches!(s, ObservationKind::Link { cut: c, .. } if *c == cut)) == CUT.len()
     });
 }
 
@@ -47,17 +47,17 @@
 }
 
 /// The attempts that arrived, in order, by the id of their call.
-fn arrived_attempts(records: &[Record]) -> BTreeMap<String, Vec<Attempt>> {
+fn arrived_attempts(records: &[Observation]) -> BTreeMap<String, Vec<Attempt>> {
     let mut streams = BTreeMap::new();
     let mut attempts: BTreeMap<String, Vec<Attempt>> = BTreeMap::new();
-    for Record { worker, seen, .. } in records {
+    for Observation { worker, seen, .. } in records {
         match seen {
-            Seen::Call { stream, id, attempt, .. } => {
+            ObservationKind::Call { stream, id, attempt, .. } => {
                 let of_call = attempts.entry(id.clone()).or_default();
                 streams.insert((worker, *stream), (id.clone(), of_call.len()));
                 of_call.push(Attempt { worker: worker.clone(), number: *attempt, ran: false });
             }
-            Seen::Runs { stream } => {
+            ObservationKind::Runs { stream } => {
                 let (id, index) = &streams[&(worker, *stream)];
                 attempts.get_mut(id).expect("it arrived")[*index].ran = true;
             }
@@ -111,8 +111,9 @@
         let records = fleet.look();
         CUT.iter().all(|name| {
             let ours = records.iter().filter(|r| r.worker == *name);
-            let newer = |r: &Record| matches!(&r.seen, Seen::Call { id, .. } if id == "after");
-            ours.skip_while(|r| !matches!(r.seen, Seen::Link { cut: false, .. })).any(newer)
+            let newer =
+                |r: &Observation| matches!(&r.seen, ObservationKind::Call { id, .. } if id == "after");
+            ours.skip_while(|r| !matches!(r.seen, ObservationKind::Link { cut: false, .. })).any(newer)
         })
     });
     let arrived = arrived_attempts(fleet.look());
