--- a/crates/admin/src/api/changes.rs
+++ b/crates/admin/src/api/changes.rs
@@ -154,7 +154,7 @@
     let number = tag.trim().strip_prefix('"').and_then(|t| t.strip_suffix('"')).and_then(|t| t.parse().ok());
     let one =
         || Problem { status: 400, ..Problem::field("If-Match", "one ETag in quotes, such as \"17\", or *") };
-    number.map(Condition::Is).ok_or_else(one)
+    number.map(Condition::AtRevision).ok_or_else(one)
 }
 
 /// The name and the settings of the tenant that a body describes.
--- a/crates/administration/src/follower/deliveries.rs
+++ b/crates/administration/src/follower/deliveries.rs
@@ -48,7 +48,7 @@
         let Some(response) = client.post(&target, &body)? else { return Ok(()) };
         match (response.status, serde_json::from_slice::<GrantedLoans>(&response.body)) {
             (200, Ok(GrantedLoans { span_ms, loans })) => {
-                let until = asked + Duration::from_millis(lease::ends(0, span_ms));
+                let until = asked + Duration::from_millis(lease::expires_at(0, span_ms));
                 link.send(AdminEvent::LoansGranted { until, loans });
             }
             (404 | 405, _) => self.enabled = false,
--- a/crates/administration/src/follower/replica.rs
+++ b/crates/administration/src/follower/replica.rs
@@ -276,7 +276,8 @@
     fn send_leader_clock(&self, asked: Instant, response: &Result<Answer, PostError>) {
         let Some(clock) = response.as_ref().ok().and_then(responses::leader_clock) else { return };
         // The leader held the request for so long by its own clock, which may be a little fast.
-        let held = Duration::from_millis(clock.held_ms.saturating_sub(lease::error_of(clock.held_ms)));
+        let held =
+            Duration::from_millis(clock.held_ms.saturating_sub(lease::max_clock_difference(clock.held_ms)));
         let latest = Instant::now();
         let earliest = (asked + held).min(latest);
         let (incarnation, at_ms) = (clock.incarnation, clock.at_ms);
@@ -374,7 +375,7 @@
             self.lease_span = span;
         }
         if let Some(span_ms) = span_ms {
-            let until = asked + Duration::from_millis(lease::ends(0, span_ms));
+            let until = asked + Duration::from_millis(lease::expires_at(0, span_ms));
             let fencing_token = fencing_token.unwrap_or(0);
             self.link.send(AdminEvent::LeaseRenewed { until, fencing_token });
         }
--- a/crates/administration/src/leader/context.rs
+++ b/crates/administration/src/leader/context.rs
@@ -63,7 +63,7 @@
 
     /// The period of loans that are granted now for a lease of this span.
     pub(super) fn loan_period(now: Millis, span: Millis) -> LoanPeriod {
-        LoanPeriod { now, until: now + span + nettleferry_fleet::lease::error_of(span) }
+        LoanPeriod { now, until: now + span + nettleferry_fleet::lease::max_clock_difference(span) }
     }
 
     /// Shows the fleet in numbers to the controller, for its metrics.
--- a/crates/administration/src/leader/server_loop.rs
+++ b/crates/administration/src/leader/server_loop.rs
@@ -8,7 +8,7 @@
 use nettleferry_admin::api::{Api, StoreIdentity};
 use nettleferry_admin::{Answer, Caller, Problem, Request};
 use nettleferry_fleet::Millis;
-use nettleferry_fleet::lease::ends;
+use nettleferry_fleet::lease::expires_at;
 use nettleferry_fleet::membership::Version;
 use nettleferry_net::http1::{self, Disposition, Stop};
 use nettleferry_tenancy::Revision;
@@ -218,7 +218,7 @@
         let asked = Instant::now();
         let period = LeaderContext::loan_period(now, span);
         let loans = loans.grant(period, self.api.snapshot(), borrower, &demands);
-        let until = asked + Duration::from_millis(ends(0, span));
+        let until = asked + Duration::from_millis(expires_at(0, span));
         self.context.link.send(AdminEvent::LoansGranted { until, loans });
     }
 
--- a/crates/administration/src/persisted_file.rs
+++ b/crates/administration/src/persisted_file.rs
@@ -7,7 +7,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use nettleferry_durable::{FileSystem, Found, RecordWriter};
+use nettleferry_durable::{FileContents, FileSystem, RecordWriter};
 use nettleferry_fleet::Millis;
 use nettleferry_fleet::recovery_policy::{self, PersistedState, StoredState, Verdict};
 use tracing::{info, warn};
@@ -16,7 +16,7 @@
 pub struct PersistedFile {
     /// `None`: nothing can be persisted, which was logged.
     writer: Option<RecordWriter>,
-    found: Found,
+    found: FileContents,
     file: PathBuf,
     /// What the file holds, for the log.
     content: &'static str,
@@ -43,16 +43,16 @@
             written();
         };
         let opened = RecordWriter::start(FileSystem, &file, write_ended)
-            .and_then(|writer| writer.found(timeout).map(|found| (writer, found)));
+            .and_then(|writer| writer.initial_contents(timeout).map(|found| (writer, found)));
         let (writer, found) = match opened {
             Ok((writer, Some(found))) => (Some(writer), found),
             Ok((writer, None)) => {
                 warn!(file = %file.display(), content, "persisted file can't be read in time and is not used");
-                (Some(writer), Found::Absent)
+                (Some(writer), FileContents::Absent)
             }
             Err(error) => {
                 warn!(file = %file.display(), content, %error, "nothing can be persisted");
-                (None, Found::Absent)
+                (None, FileContents::Absent)
             }
         };
         Self { writer, found, file, content }
@@ -67,21 +67,21 @@
         written_at: impl FnOnce(&[u8]) -> Option<Millis>,
     ) -> Option<Vec<u8>> {
         let (file, content) = (self.file.display(), self.content);
-        let found = std::mem::replace(&mut self.found, Found::Absent);
+        let found = std::mem::replace(&mut self.found, FileContents::Absent);
         let condition = found.as_str();
         let payload = match found {
-            Found::Intact(record) => Some(record.payload),
-            Found::Older { record, error } => {
+            FileContents::Intact(record) => Some(record.payload),
+            FileContents::Older { record, error } => {
                 warn!(%file, content, %error, "persisted file is damaged: its previous version is read");
                 Some(record.payload)
             }
             // Written by an earlier version of the program, without a checksum: its owner finds out whether it is valid.
-            Found::Unframed(bytes) => Some(bytes),
-            Found::Damaged(error) => {
+            FileContents::Unframed(bytes) => Some(bytes),
+            FileContents::Damaged(error) => {
                 warn!(%file, content, %error, "persisted file is damaged");
                 None
             }
-            Found::Absent => return None,
+            FileContents::Absent => return None,
         };
         let stored =
             StoredState { readable: payload.is_some(), saved_at_ms: payload.as_deref().and_then(written_at) };
--- a/crates/durable/src/lib.rs
+++ b/crates/durable/src/lib.rs
@@ -14,7 +14,7 @@
 mod writer;
 
 pub use memory::{Loss, MemoryStorage};
-pub use record::{MAX_BYTES, Record, RecordError, decode, encode};
-pub use record_file::{Found, RecordFile};
+pub use record::{MAX_PAYLOAD_BYTES, Record, RecordError, decode, encode};
+pub use record_file::{FileContents, RecordFile};
 pub use storage::{FileSystem, Storage};
 pub use writer::{Counters, RecordWriter};
--- a/crates/durable/src/memory.rs
+++ b/crates/durable/src/memory.rs
@@ -31,7 +31,7 @@
     /// Changes since names were last made durable.
     pending: Vec<NameChange>,
     /// Operations that still succeed; power is lost at the next. `None`: it stays.
-    pub steps_left: Option<usize>,
+    pub operations_left: Option<usize>,
     /// Nothing can be changed.
     pub read_only: bool,
     /// Bytes that fit in one file.
@@ -78,7 +78,7 @@
         if self.read_only {
             return Err(io::ErrorKind::ReadOnlyFilesystem.into());
         }
-        match &mut self.steps_left {
+        match &mut self.operations_left {
             Some(0) => Err(io::Error::other("the power is gone")),
             Some(left) => {
                 *left -= 1;
--- a/crates/durable/src/record.rs
+++ b/crates/durable/src/record.rs
@@ -3,7 +3,7 @@
 //! are stored is left to [`crate::RecordFile`].
 
 /// Longest payload, bytes. A longer one is not written, and a header that states one is invalid.
-pub const MAX_BYTES: usize = 64 << 20;
+pub const MAX_PAYLOAD_BYTES: usize = 64 << 20;
 
 const MAGIC: &str = ";nettleferry-keep";
 const FORMAT: u32 = 1;
@@ -87,7 +87,7 @@
     let expected: usize = field()?.parse().map_err(|_| RecordError::Header)?;
     let crc = u32::from_str_radix(field()?, 16).map_err(|_| RecordError::Header)?;
     let payload = &bytes[end + 1..];
-    if payload.len() != expected || expected > MAX_BYTES {
+    if payload.len() != expected || expected > MAX_PAYLOAD_BYTES {
         return Err(RecordError::Length { found: payload.len(), expected });
     }
     if checksum(version, payload) != crc {
--- a/crates/durable/src/record_file.rs
+++ b/crates/durable/src/record_file.rs
@@ -7,12 +7,12 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-use crate::record::{MAX_BYTES, Record, RecordError, decode, encode};
+use crate::record::{MAX_PAYLOAD_BYTES, Record, RecordError, decode, encode};
 use crate::storage::Storage;
 
 /// What a record's file contains.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Found {
+pub enum FileContents {
     /// The newest version.
     Intact(Record),
     /// The newest version is damaged; this is the one before it.
@@ -30,7 +30,7 @@
     Absent,
 }
 
-impl Found {
+impl FileContents {
     /// Its name in logs and metrics.
     pub fn as_str(&self) -> &'static str {
         match self {
@@ -61,7 +61,7 @@
     ///
     /// # Errors
     /// Where the storage can't be read.
-    pub fn open(files: &impl Storage, path: &Path) -> io::Result<(Self, Found)> {
+    pub fn open(files: &impl Storage, path: &Path) -> io::Result<(Self, FileContents)> {
         let beside = |suffix: &str| {
             let mut name = path.file_name().unwrap_or_default().to_owned();
             name.push(suffix);
@@ -71,34 +71,34 @@
         let read = |path: &Path| files.read(path).map(|bytes| bytes.map(|b| (decode(&b), b)));
         let mut stray = None;
         let found = match read(path)? {
-            Some((Ok(record), _)) => Found::Intact(record),
-            Some((Err(RecordError::Unframed), bytes)) => Found::Unframed(bytes),
+            Some((Ok(record), _)) => FileContents::Intact(record),
+            Some((Err(RecordError::Unframed), bytes)) => FileContents::Unframed(bytes),
             Some((Err(error), _)) => match read(&before)? {
-                Some((Ok(record), _)) => Found::Older { record, error },
-                _ => Found::Damaged(error),
+                Some((Ok(record), _)) => FileContents::Older { record, error },
+                _ => FileContents::Damaged(error),
             },
             // Power was lost between the two renames: what was written last is durable under its first name.
             None => match (read(&new)?, read(&before)?) {
                 (Some((Ok(record), _)), _) => {
                     stray = Some(new.clone());
-                    Found::Intact(record)
+                    FileContents::Intact(record)
                 }
                 (_, Some((Ok(record), _))) => {
                     stray = Some(before.clone());
-                    Found::Intact(record)
+                    FileContents::Intact(record)
                 }
-                (_, Some((Err(error), _))) => Found::Damaged(error),
+                (_, Some((Err(error), _))) => FileContents::Damaged(error),
                 // A first write that never came to its end was never acknowledged.
-                (_, None) => Found::Absent,
+                (_, None) => FileContents::Absent,
             },
         };
         let version = match &found {
-            Found::Intact(record) => record.version,
+            FileContents::Intact(record) => record.version,
             // The damaged one may have been the next.
-            Found::Older { record, .. } => record.version + 1,
+            FileContents::Older { record, .. } => record.version + 1,
             _ => 0,
         };
-        let intact = matches!(found, Found::Intact(_) | Found::Unframed(_));
+        let intact = matches!(found, FileContents::Intact(_) | FileContents::Unframed(_));
         Ok((Self { path: path.to_owned(), new, before, version, intact, stray }, found))
     }
 
@@ -110,9 +110,9 @@
     /// Writes the next version; it is durable when this returns. Its version.
     ///
     /// # Errors
-    /// Where the payload is longer than [`MAX_BYTES`], or the storage fails: the version before stays.
+    /// Where the payload is longer than [`MAX_PAYLOAD_BYTES`], or the storage fails: the version before stays.
     pub fn write(&mut self, files: &mut impl Storage, payload: &[u8]) -> io::Result<u64> {
-        if payload.len() > MAX_BYTES {
+        if payload.len() > MAX_PAYLOAD_BYTES {
             return Err(io::Error::new(io::ErrorKind::FileTooLarge, "a record is longer than is kept"));
         }
         let version = self.version + 1;
--- a/crates/durable/src/storage.rs
+++ b/crates/durable/src/storage.rs
@@ -4,7 +4,7 @@
 use std::io::{self, Read, Write};
 use std::path::{Path, PathBuf};
 
-use crate::record::MAX_BYTES;
+use crate::record::MAX_PAYLOAD_BYTES;
 
 /// Files by path. Each call may wait for the disk.
 pub trait Storage: Send {
@@ -46,7 +46,7 @@
         };
         // A file far beyond the bound is not read into memory: its length already shows that it is damaged.
         let mut bytes = Vec::new();
-        file.take(MAX_BYTES as u64 + HEADER_ALLOWANCE_BYTES).read_to_end(&mut bytes)?;
+        file.take(MAX_PAYLOAD_BYTES as u64 + HEADER_ALLOWANCE_BYTES).read_to_end(&mut bytes)?;
         Ok(Some(bytes))
     }
 
--- a/crates/durable/src/writer.rs
+++ b/crates/durable/src/writer.rs
@@ -8,7 +8,7 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-use crate::record_file::{Found, RecordFile};
+use crate::record_file::{FileContents, RecordFile};
 use crate::storage::Storage;
 
 /// What became of submitted records.
@@ -55,7 +55,7 @@
 /// The writing thread of one record's file.
 pub struct RecordWriter {
     shared: Arc<Shared>,
-    found: Receiver<io::Result<Found>>,
+    found: Receiver<io::Result<FileContents>>,
     thread: Option<JoinHandle<()>>,
 }
 
@@ -110,7 +110,7 @@
     ///
     /// # Errors
     /// Where the file can't be read.
-    pub fn found(&self, timeout: Duration) -> io::Result<Option<Found>> {
+    pub fn initial_contents(&self, timeout: Duration) -> io::Result<Option<FileContents>> {
         match self.found.recv_timeout(timeout) {
             Ok(found) => found.map(Some),
             Err(_) => Ok(None),
--- a/crates/durable/tests/power_loss.rs
+++ b/crates/durable/tests/power_loss.rs
@@ -2,7 +2,7 @@
 
 use std::path::Path;
 
-use nettleferry_durable::{Found, Loss, MemoryStorage, RecordFile, Storage};
+use nettleferry_durable::{FileContents, Loss, MemoryStorage, RecordFile, Storage};
 
 const LOSSES: [Loss; 3] = [Loss::Lost, Loss::Torn, Loss::Survived];
 
@@ -12,7 +12,7 @@
     for steps in 0..=8 {
         let mut disk = disk.clone();
         let (mut file, _) = RecordFile::open(&disk, path).expect("a disk in memory can be read");
-        disk.steps_left = Some(steps);
+        disk.operations_left = Some(steps);
         let done = file.write(&mut disk, payload).is_ok();
         for names in 0..=disk.pending() {
             for loss in LOSSES {
@@ -26,9 +26,9 @@
     found
 }
 
-fn payload(found: &Found) -> Option<&[u8]> {
+fn payload(found: &FileContents) -> Option<&[u8]> {
     match found {
-        Found::Intact(record) => Some(&record.payload),
+        FileContents::Intact(record) => Some(&record.payload),
         _ => None,
     }
 }
@@ -64,7 +64,7 @@
     let path = Path::new("kept");
     let mut disk = MemoryStorage::default();
     let (mut file, found) = RecordFile::open(&disk, path).expect("readable");
-    assert_eq!(found, Found::Absent);
+    assert_eq!(found, FileContents::Absent);
     file.write(&mut disk, b"one").expect("room");
     file.write(&mut disk, b"two").expect("room");
     let mut bytes = disk.read(path).expect("readable").expect("there");
@@ -72,12 +72,12 @@
     bytes[last] ^= 1;
     disk.put(path, &bytes);
     let (mut file, found) = RecordFile::open(&disk, path).expect("readable");
-    assert!(matches!(&found, Found::Older { record, .. } if record.payload == b"one"), "{found:?}");
+    assert!(matches!(&found, FileContents::Older { record, .. } if record.payload == b"one"), "{found:?}");
     // The next write does not put the damaged one in the good one's place.
     file.write(&mut disk, b"three").expect("room");
     disk.put(path, b"");
     let (_, found) = RecordFile::open(&disk, path).expect("readable");
-    assert!(matches!(&found, Found::Older { record, .. } if record.payload == b"one"), "{found:?}");
+    assert!(matches!(&found, FileContents::Older { record, .. } if record.payload == b"one"), "{found:?}");
 }
 
 #[test]
--- a/crates/durable/tests/writer.rs
+++ b/crates/durable/tests/writer.rs
@@ -5,7 +5,7 @@
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::time::Duration;
 
-use nettleferry_durable::{Found, MemoryStorage, RecordWriter, Storage};
+use nettleferry_durable::{FileContents, MemoryStorage, RecordWriter, Storage};
 
 /// A disk whose writes wait until they are let through.
 struct StalledDisk {
@@ -43,8 +43,8 @@
         let _ = tell.send(result.ok());
     })
     .expect("started");
-    let found = writer.found(TIMEOUT).expect("readable").expect("in time");
-    assert_eq!(found, Found::Absent);
+    let found = writer.initial_contents(TIMEOUT).expect("readable").expect("in time");
+    assert_eq!(found, FileContents::Absent);
     writer.submit(b"0".to_vec());
     begins.recv_timeout(TIMEOUT).expect("the first write has begun and stands");
     for n in 1..=1000 {
--- a/crates/fleet/src/gate.rs
+++ b/crates/fleet/src/gate.rs
@@ -207,7 +207,7 @@
     }
 
     /// A call was admitted: it waits for a worker.
-    pub fn waiting(&mut self, now: Millis, call: u64, model: u64) {
+    pub fn call_admitted(&mut self, now: Millis, call: u64, model: u64) {
         if self.step == Step::Complete || self.waiting.len() >= MAX_WAITING {
             return;
         }
@@ -217,21 +217,21 @@
     }
 
     /// A worker has this call: it waits no more, and is tracked until its end.
-    pub fn has_worker(&mut self, call: u64) {
+    pub fn call_assigned(&mut self, call: u64) {
         if let Some(model) = self.remove_waiting(call) {
             self.at_workers.insert(call, model);
         }
     }
 
     /// A worker has returned this call unanswered: it waits again.
-    pub fn returned_by_worker(&mut self, now: Millis, call: u64) {
+    pub fn call_returned(&mut self, now: Millis, call: u64) {
         if let Some(model) = self.at_workers.remove(&call) {
-            self.waiting(now, call, model);
+            self.call_admitted(now, call, model);
         }
     }
 
     /// A call has ended.
-    pub fn ended(&mut self, call: u64) {
+    pub fn call_ended(&mut self, call: u64) {
         self.remove_waiting(call);
         self.at_workers.remove(&call);
     }
--- a/crates/fleet/src/gate/tests.rs
+++ b/crates/fleet/src/gate/tests.rs
@@ -36,7 +36,7 @@
 #[test]
 fn unserved_model_holds_up_only_its_own_calls() {
     let mut gate = open(0);
-    gate.waiting(0, 1, CALL.model);
+    gate.call_admitted(0, 1, CALL.model);
     assert!(admitted(gate.admit(299, &CALL, 7)));
     assert!(!admitted(gate.admit(300, &CALL, 7)), "the oldest has waited for half of the wanted time");
     assert!(admitted(gate.admit(300, &CallInfo { model: 2, ..CALL }, 7)), "another model's first is taken");
@@ -44,28 +44,28 @@
         !admitted(gate.admit(150, &CallInfo { priority_weight: 0.5, ..CALL }, 7)),
         "what is worth less leaves earlier"
     );
-    gate.ended(1);
+    gate.call_ended(1);
     assert!(admitted(gate.admit(400, &CALL, 7)), "a worker has it: nothing of the model waits");
 }
 
 #[test]
 fn call_returned_by_a_worker_waits_again() {
     let mut gate = open(0);
-    gate.waiting(0, 1, 9);
-    gate.has_worker(1);
+    gate.call_admitted(0, 1, 9);
+    gate.call_assigned(1);
     assert_eq!((gate.waiting_calls(), gate.oldest_age(400, 9)), (0, 0));
-    gate.returned_by_worker(500, 1);
-    gate.returned_by_worker(600, 1);
+    gate.call_returned(500, 1);
+    gate.call_returned(600, 1);
     assert_eq!((gate.waiting_calls(), gate.oldest_age(600, 9)), (1, 100));
-    gate.ended(1);
-    gate.returned_by_worker(700, 1);
+    gate.call_ended(1);
+    gate.call_returned(700, 1);
     assert_eq!(gate.waiting_calls(), 0, "it has ended");
 }
 
 #[test]
 fn gate_is_complete_after_a_quiet_period_and_tracks_nothing() {
     let mut gate = open(0);
-    gate.waiting(0, 1, 1);
+    gate.call_admitted(0, 1, 1);
     assert!(!admitted(gate.admit(500, &CALL, 7)));
     gate.advance(1_499, 5);
     assert_eq!(gate.step().0, Step::Partial);
@@ -84,7 +84,7 @@
 #[test]
 fn retry_delays_are_spread_and_bounded() {
     let mut gate = open(0);
-    gate.waiting(0, 1, 1);
+    gate.call_admitted(0, 1, 1);
     let mut waits = std::collections::BTreeSet::new();
     for random in 0..2_000u64 {
         if let Verdict::Reject(wait) = gate.admit(900, &CALL, random.wrapping_mul(0x9e37_79b9)) {
@@ -99,7 +99,7 @@
 fn tracked_calls_are_bounded() {
     let mut gate = open(0);
     for call in 0..MAX_WAITING as u64 + 9 {
-        gate.waiting(0, call, call);
+        gate.call_admitted(0, call, call);
     }
     assert_eq!(gate.waiting_calls(), MAX_WAITING);
     assert!(!admitted(gate.admit(1, &CallInfo { model: u64::MAX, ..CALL }, 7)));
--- a/crates/fleet/src/lease.rs
+++ b/crates/fleet/src/lease.rs
@@ -19,15 +19,15 @@
 pub const HEARTBEATS_PER_SPAN: Millis = 4;
 
 /// The most that two clocks of a fleet may differ over a span.
-pub fn error_of(span: Millis) -> Millis {
+pub fn max_clock_difference(span: Millis) -> Millis {
     // Two clocks, each off its own way; rounded up, so that it is never too small.
     (span * 2 * CLOCK_ERROR_PER_MILLE).div_ceil(1000)
 }
 
 /// When a lease of this span ends by the holder's clock, which read `sent` when the request was sent.
-pub fn ends(sent: Millis, span: Millis) -> Millis {
+pub fn expires_at(sent: Millis, span: Millis) -> Millis {
     let span = span.min(MAX_SPAN);
-    sent + span.saturating_sub(error_of(span))
+    sent + span.saturating_sub(max_clock_difference(span))
 }
 
 /// What a controller does while it has no lease.
@@ -116,7 +116,7 @@
         }
     }
 
-    /// It has received a lease until then, by its own clock: see [`ends`]. Never shortens the one that it has.
+    /// It has received a lease until then, by its own clock: see [`expires_at`]. Never shortens the one that it has.
     pub fn renewed(&mut self, until: Millis) {
         self.counters.leases += 1;
         if self.until.is_none_or(|current| current < until) {
--- a/crates/fleet/src/lease/tests.rs
+++ b/crates/fleet/src/lease/tests.rs
@@ -8,14 +8,14 @@
 fn holder_starts_without_a_lease_and_restricts_itself_by_its_policy() {
     let mut holder = Holder::new(100, REFUSES);
     assert_eq!(holder.check_call(100), Stage::Rejecting);
-    holder.renewed(ends(120, 1_000));
+    holder.renewed(expires_at(120, 1_000));
     assert_eq!(holder.remaining(120), Some(990));
     assert_eq!((holder.check_call(1_109), holder.check_call(1_110)), (Stage::Current, Stage::Rejecting));
     assert_eq!((holder.check_call(1_609), holder.check_call(1_610)), (Stage::Rejecting, Stage::NotReady));
     assert_eq!(holder.next_change(1_200), Some(1_610));
     let counted = holder.counters();
     assert_eq!((counted.leases, counted.expiries, counted.rejected), (1, 1, 4));
-    holder.renewed(ends(1_700, 1_000));
+    holder.renewed(expires_at(1_700, 1_000));
     assert!(holder.check_call(1_700).accepts_calls(), "heard again, it is back");
     holder.fence();
     assert_eq!(holder.check_call(1_701), Stage::Fenced);
@@ -26,20 +26,20 @@
 #[test]
 fn late_or_repeated_response_extends_no_lease() {
     let mut holder = Holder::new(0, REFUSES);
-    holder.renewed(ends(5_000, 1_000));
-    holder.renewed(ends(1_000, 1_000));
+    holder.renewed(expires_at(5_000, 1_000));
+    holder.renewed(expires_at(1_000, 1_000));
     assert_eq!(holder.remaining(5_000), Some(990), "the response to an older request shortens nothing");
     assert_eq!(Holder::new(0, REFUSES).remaining(0), None);
     // A response five seconds late brings a lease that is over.
     let mut late = Holder::new(0, REFUSES);
-    late.renewed(ends(0, 1_000));
+    late.renewed(expires_at(0, 1_000));
     assert_eq!(late.check_call(5_000), Stage::NotReady);
 }
 
 #[test]
 fn action_across_the_end_of_a_lease_is_doubtful() {
     let mut holder = Holder::new(0, REFUSES);
-    holder.renewed(ends(0, 1_000));
+    holder.renewed(expires_at(0, 1_000));
     assert!(!holder.action_finished(980, 989));
     assert!(holder.action_finished(989, 4_000));
     assert!(!holder.action_finished(4_000, 4_001), "it had none at all");
@@ -48,6 +48,9 @@
 
 #[test]
 fn clock_error_is_never_rounded_away() {
-    assert_eq!((error_of(1), error_of(1_000), error_of(60_000)), (1, 10, 600));
-    assert_eq!(ends(7, MAX_SPAN * 9), 7 + MAX_SPAN - error_of(MAX_SPAN));
+    assert_eq!(
+        (max_clock_difference(1), max_clock_difference(1_000), max_clock_difference(60_000)),
+        (1, 10, 600)
+    );
+    assert_eq!(expires_at(7, MAX_SPAN * 9), 7 + MAX_SPAN - max_clock_difference(MAX_SPAN));
 }
--- a/crates/fleet/src/loans/tests.rs
+++ b/crates/fleet/src/loans/tests.rs
@@ -109,12 +109,12 @@
                 reported[n as usize] = acts[n as usize].number;
             }
             let known = if lost == 3 { 0 } else { reported[n as usize] };
-            let until = now + span + crate::lease::error_of(span);
+            let until = now + span + crate::lease::max_clock_difference(span);
             let usage = UsageReport { demand, in_use: 0.0, applied_loan: known };
             let request = Request { config, limit, controller: n, now, until };
             let loan = request.send(&mut lender, usage, &mut next);
             if lost != 0 {
-                let over = crate::lease::ends(now, span);
+                let over = crate::lease::expires_at(now, span);
                 acts[n as usize] = Acts { number: loan.number, amount: loan.amount, until: over };
             }
             let used: f64 = acts.iter().filter(|a| now < a.until).map(|a| a.amount).sum();
--- a/crates/fleet/src/membership.rs
+++ b/crates/fleet/src/membership.rs
@@ -13,7 +13,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::Millis;
-use crate::lease::{MAX_SPAN, error_of};
+use crate::lease::{MAX_SPAN, max_clock_difference};
 
 /// Leases that are tracked for one member; beyond them two neighbours are merged, with the older version.
 const MAX_TRACKED_LEASES: usize = 32;
@@ -377,7 +377,7 @@
 
 /// When a lease of this span, granted now, is over by every clock.
 fn lease_over(now: Millis, span: Millis) -> Millis {
-    now + span + error_of(span)
+    now + span + max_clock_difference(span)
 }
 
 #[cfg(test)]
--- a/crates/fleet/src/recovery_policy.rs
+++ b/crates/fleet/src/recovery_policy.rs
@@ -43,7 +43,7 @@
     /// The kind of state.
     pub state: PersistedState,
     /// How far it is used.
-    pub level: Trust,
+    pub trust: Trust,
     /// State that is older than this is not used, milliseconds; `None`: of any age.
     pub max_age_ms: Option<Millis>,
     /// The harm that wrong state does.
@@ -58,56 +58,56 @@
 pub const RULES: [Rule; 8] = [
     Rule {
         state: PersistedState::Snapshot,
-        level: Trust::UntilNewer,
+        trust: Trust::UntilNewer,
         max_age_ms: None,
         harm: "a tenant who was suspended or removed since is served until the leader responds",
         fallback: "no tenant is served until the leader or a peer sends its snapshot",
     },
     Rule {
         state: PersistedState::WorkerList,
-        level: Trust::UntilNewer,
+        trust: Trust::UntilNewer,
         max_age_ms: Some(HOUR),
         harm: "calls, loads and connections go to addresses that others have by now",
         fallback: "no worker is known until the list is read: calls are rejected at once",
     },
     Rule {
         state: PersistedState::Settings,
-        level: Trust::Full,
+        trust: Trust::Full,
         max_age_ms: None,
         harm: "none that the operator did not write",
         fallback: "the program does not start, and reports what is wrong",
     },
     Rule {
         state: PersistedState::LoadOrders,
-        level: Trust::Never,
+        trust: Trust::Never,
         max_age_ms: None,
         harm: "the rate limit of load orders is exceeded across the restart",
         fallback: "the free orders of the window count as sent; only calls accepted since the start earn further ones",
     },
     Rule {
         state: PersistedState::WorkerStarts,
-        level: Trust::Never,
+        trust: Trust::Never,
         max_age_ms: None,
         harm: "a worker that is warming up is taken for a warm one and overloaded",
         fallback: "what the list states; the warm-up ramp counts from the controller's start",
     },
     Rule {
         state: PersistedState::KeyedWindows,
-        level: Trust::Never,
+        trust: Trust::Never,
         max_age_ms: None,
         harm: "a call with an idempotency key is repeated outside its group or window",
         fallback: "calls of an earlier incarnation are their clients' to retry: none is retried by this one",
     },
     Rule {
         state: PersistedState::RatesUsed,
-        level: Trust::Never,
+        trust: Trust::Never,
         max_age_ms: None,
         harm: "a tenant gets a second burst",
         fallback: "bursts are taken as used up, and rates go on",
     },
     Rule {
         state: PersistedState::LongestLease,
-        level: Trust::Full,
+        trust: Trust::Full,
         max_age_ms: None,
         harm: "a change is acknowledged as in force everywhere while an earlier lease still runs",
         fallback: "leases of the longest possible span are assumed to run since the start",
@@ -147,11 +147,11 @@
     if !found.readable {
         return Verdict::Discard("there is none that can be read");
     }
-    if rule.level == Trust::Never {
+    if rule.trust == Trust::Never {
         return Verdict::Discard("an incarnation does not use it of an earlier one");
     }
     match (rule.max_age_ms, found.saved_at_ms) {
-        (None, _) => Verdict::Use(rule.level),
+        (None, _) => Verdict::Use(rule.trust),
         (Some(_), None) => Verdict::Discard("its age is unknown"),
         // Of the future: the clock was set back, and ages by it say nothing.
         (Some(_), Some(saved_at)) if saved_at > now_ms.saturating_add(CLOCK_SLACK) => {
@@ -160,7 +160,7 @@
         (Some(max_age), Some(saved_at)) if now_ms.saturating_sub(saved_at) > max_age => {
             Verdict::Discard("it is too old")
         }
-        (Some(_), Some(_)) => Verdict::Use(rule.level),
+        (Some(_), Some(_)) => Verdict::Use(rule.trust),
     }
 }
 
--- a/crates/fleet/tests/lease_model.rs
+++ b/crates/fleet/tests/lease_model.rs
@@ -112,7 +112,7 @@
     fn settle(&mut self, mutant: Mutant) {
         if self.snapshot == CHANGE && !self.acknowledged {
             // Without the allowance for clocks, leases are out that much earlier.
-            let early = if mutant == Mutant::ClocksAgree { lease::error_of(SPAN) } else { 0 };
+            let early = if mutant == Mutant::ClocksAgree { lease::max_clock_difference(SPAN) } else { 0 };
             let progress = self.membership.progress(self.now() + early, CHANGE, 0);
             self.acknowledged = mutant == Mutant::AcknowledgedAtOnce || progress.is_in_force();
         }
@@ -233,7 +233,7 @@
                 let asked = if self.0 == Mutant::CountedFromResponse { clock } else { asked };
                 let until = match self.0 {
                     Mutant::ClocksAgree => asked + SPAN,
-                    _ => lease::ends(asked, SPAN),
+                    _ => lease::expires_at(asked, SPAN),
                 };
                 one.in_force = snapshot;
                 one.until = one.until.max(Some(until));
@@ -258,8 +258,8 @@
         vec![
             Property::always("nobody acts without what was acknowledged", |_, s: &State| !s.violated),
             Property::always("a change is acknowledged within a span, whatever is lost", |_, s: &State| {
-                let bound =
-                    (s.changed + SPAN + lease::error_of(SPAN)).max(s.membership.earlier_leases_over());
+                let bound = (s.changed + SPAN + lease::max_clock_difference(SPAN))
+                    .max(s.membership.earlier_leases_over());
                 s.acknowledged || s.snapshot == BEFORE || s.now() < bound
             }),
             Property::sometimes("one that never heard of it is waited out", |_, s: &State| {
--- a/crates/gateway/src/front/accept.rs
+++ b/crates/gateway/src/front/accept.rs
@@ -107,7 +107,7 @@
             recorder.call(now, new_call.tenant.map_or(NO_TENANT, |tenant| tenant.0 as u64));
         }
         if let Some(limiter) = &mut context.limiter {
-            limiter.waiting(now, number, model_number(&new_call.model));
+            limiter.call_admitted(now, number, model_number(&new_call.model));
         }
         let commands_before = context.commands.len();
         let id = context.engine.open(context.now, new_call, context.commands);
--- a/crates/gateway/tests/stored_data.rs
+++ b/crates/gateway/tests/stored_data.rs
@@ -11,7 +11,7 @@
 
 use nettleferry_audit_log::chain;
 use nettleferry_config::workers;
-use nettleferry_durable::{FileSystem, Found, RecordFile};
+use nettleferry_durable::{FileContents, FileSystem, RecordFile};
 use nettleferry_net::grpc::Code;
 use nettleferry_tenancy::{Entry, Tenant};
 use nettleferry_tenant_store::{Snapshot, Store};
@@ -34,7 +34,7 @@
 
 fn record(path: &Path) -> Vec<u8> {
     match RecordFile::open(&FileSystem, path).expect("read").1 {
-        Found::Intact(record) => record.payload,
+        FileContents::Intact(record) => record.payload,
         found => panic!("{}: {found:?}", path.display()),
     }
 }
--- a/crates/hollow/src/followers/follower.rs
+++ b/crates/hollow/src/followers/follower.rs
@@ -353,7 +353,7 @@
         let given = |ms: u64| LeaseSpan::Granted(Duration::from_millis(ms.clamp(MIN_SPAN, MAX_SPAN)));
         self.span = lease.lease_ms.map_or(LeaseSpan::NoLeases, given);
         if let Some(span) = lease.lease_ms {
-            let until = exchange.asked + Duration::from_millis(lease::ends(0, span));
+            let until = exchange.asked + Duration::from_millis(lease::expires_at(0, span));
             self.leases.given(exchange.now, until);
         }
     }
--- a/crates/simulation/src/follow.rs
+++ b/crates/simulation/src/follow.rs
@@ -338,7 +338,7 @@
         follower.lease_ms = response.lease_ms.or(follower.lease_ms);
         follower.revision = follower.revision.max(response.revision);
         if let Some(span) = response.lease_ms {
-            follower.lease.renewed(lease::ends(ms(response.sent), span));
+            follower.lease.renewed(lease::expires_at(ms(response.sent), span));
         }
         self.send_heartbeat(now, response.follower);
     }
--- a/crates/simulation/src/power/calls.rs
+++ b/crates/simulation/src/power/calls.rs
@@ -28,7 +28,7 @@
                 if !state.replicas.contains_key(&model) && !state.missing.contains(&model) {
                     state.missing.push_back(model);
                 }
-                state.admission.waiting(ms(now), number, u64::from(model));
+                state.admission.call_admitted(ms(now), number, u64::from(model));
                 state.queue.push_back(QueuedCall { first, model, number });
                 self.order_loads(now, controller);
                 self.serve(now, controller);
@@ -107,7 +107,7 @@
         let Some(position) = controller.queue.iter().position(is_ready) else { return };
         controller.serving = controller.queue.remove(position);
         if let Some(call) = &controller.serving {
-            controller.admission.ended(call.number);
+            controller.admission.call_ended(call.number);
         }
         let warmed_up = (now as f64 / plan.warm_up.max(1) as f64).min(1.0);
         let capacity = plan.capacity * (plan.initial_capacity + (1.0 - plan.initial_capacity) * warmed_up);
@@ -122,7 +122,7 @@
             let Some(call) = controller.queue.pop_front_if(|call| call.first + deadline <= now) else {
                 return;
             };
-            controller.admission.ended(call.number);
+            controller.admission.call_ended(call.number);
             self.end_call(call.first, CallEnd::Abandoned);
         }
     }
--- a/crates/tenancy/src/snapshot.rs
+++ b/crates/tenancy/src/snapshot.rs
@@ -13,7 +13,7 @@
 use crate::{Millis, Revision};
 
 /// The program's own name in the audit trail.
-pub const PROGRAM: &str = "nettleferry";
+pub const PROGRAM_ACTOR: &str = "nettleferry";
 
 /// A requested change.
 #[derive(Clone, Debug, PartialEq)]
@@ -70,7 +70,7 @@
     /// Any.
     Any,
     /// This one: another change must not have come in between.
-    Is(Revision),
+    AtRevision(Revision),
 }
 
 /// Why a change was rejected. It had no effect.
@@ -181,7 +181,7 @@
         }
         let name = change.tenant();
         let before = self.tenants.get(name).ok_or_else(|| Denied::Unknown(name.to_owned()))?;
-        if let Condition::Is(expected) = condition
+        if let Condition::AtRevision(expected) = condition
             && expected != before.revision
         {
             return Err(Denied::Stale { name: name.to_owned(), current: before.revision, expected });
@@ -260,7 +260,7 @@
     pub fn due_removal(&self, now: Millis) -> Option<Entry> {
         let over = |t: &&Tenant| t.gone_at_ms.is_some_and(|at| at <= now);
         let tenant = self.tenants.values().find(over)?.clone();
-        self.entry(Action::Gone, PROGRAM, now, Some(tenant), None).entry
+        self.entry(Action::Gone, PROGRAM_ACTOR, now, Some(tenant), None).entry
     }
 
     /// When the next grace period is over; `None`: no tenant is being removed.
--- a/crates/tenancy/src/validation.rs
+++ b/crates/tenancy/src/validation.rs
@@ -21,18 +21,18 @@
 
 /// An invalid value.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("{field}: {what}")]
+#[error("{field}: {message}")]
 pub struct FieldError {
     /// The path of the field: names and indexes from the outermost on, with dots between.
     pub field: String,
     /// What is wrong, and what would be valid.
-    pub what: String,
+    pub message: String,
 }
 
 impl FieldError {
     /// An error about a field.
-    pub fn new(field: impl Into<String>, what: impl Into<String>) -> Self {
-        Self { field: field.into(), what: what.into() }
+    pub fn new(field: impl Into<String>, message: impl Into<String>) -> Self {
+        Self { field: field.into(), message: message.into() }
     }
 }
 
--- a/crates/tenancy/tests/snapshot.rs
+++ b/crates/tenancy/tests/snapshot.rs
@@ -65,9 +65,9 @@
     assert_eq!(create(&mut snapshot, "a", json!({})), Err(Denied::Exists("a".to_owned())));
     assert_eq!(patch(&mut snapshot, "b", json!({})), Err(Denied::Unknown("b".to_owned())));
     let suspend = || Change::Suspend { name: "a".to_owned() };
-    assert!(make(&mut snapshot, suspend(), Condition::Is(1)).is_ok());
+    assert!(make(&mut snapshot, suspend(), Condition::AtRevision(1)).is_ok());
     assert_eq!(
-        make(&mut snapshot, Change::Resume { name: "a".to_owned() }, Condition::Is(1)),
+        make(&mut snapshot, Change::Resume { name: "a".to_owned() }, Condition::AtRevision(1)),
         Err(Denied::Stale { name: "a".to_owned(), current: 2, expected: 1 })
     );
     let remove = || Change::Remove { name: "a".to_owned(), grace_ms: 500 };
@@ -117,7 +117,7 @@
                 snapshot.apply(&entry).expect("the next");
                 entries.push(entry);
             }
-            let condition = condition.map_or(Condition::Any, Condition::Is);
+            let condition = condition.map_or(Condition::Any, Condition::AtRevision);
             let before = snapshot.clone();
             match snapshot.evaluate(&change, condition, "p", now) {
                 Ok(applied) => {
