--- a/crates/administration/src/leader/membership_service.rs
+++ b/crates/administration/src/leader/membership_service.rs
@@ -55,7 +55,7 @@
 
     /// When leases of earlier leaders are over.
     pub(super) fn earlier_leases_over(&self) -> Millis {
-        self.membership.earlier_leases_over()
+        self.membership.earlier_leases_expire_at()
     }
 
     /// The leader's own controller has this version in force.
@@ -183,7 +183,7 @@
 
     /// Incarnations that got no lease for want of room.
     pub(super) fn rejected(&self) -> u64 {
-        self.membership.rejected()
+        self.membership.rejected_heartbeats()
     }
 
     /// The known incarnations, for the API. `own_revision`: that of the leader's snapshot, where it is known.
@@ -206,11 +206,11 @@
             "behind": own_revision.map(|own| own.saturating_sub(in_force.revision)),
             "ends": member.state.requires_lease, "fenced": self.membership.is_fenced(id),
             "seen_ms_ago": now.saturating_sub(member.last_heartbeat),
-            "lease_left_ms": member.lease_over.map(|over| over.saturating_sub(now)),
+            "lease_left_ms": member.lease_expires_at.map(|over| over.saturating_sub(now)),
         })
     }
 }
 
 fn is_leased(member: &Member, now: Millis) -> bool {
-    member.lease_over.is_some_and(|over| now < over)
+    member.lease_expires_at.is_some_and(|over| now < over)
 }
--- a/crates/administration/src/loan_service.rs
+++ b/crates/administration/src/loan_service.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 use nettleferry_fleet::Millis;
-use nettleferry_fleet::loans::{Kind, Lender, LoanConfig, LoanRequest, UsageReport};
+use nettleferry_fleet::loans::{Lender, LimitKind, LoanConfig, LoanRequest, UsageReport};
 use nettleferry_fleet::membership::Incarnation;
 use nettleferry_tenancy::{Revision, Tenant, TenantSnapshot};
 
@@ -39,7 +39,7 @@
     max_call: Millis,
     /// The number of the last loan of any limit, so that no number is used again after a limit or borrower is forgotten.
     last_number: u64,
-    lenders: BTreeMap<(Revision, Kind), Lender>,
+    lenders: BTreeMap<(Revision, LimitKind), Lender>,
 }
 
 impl LoanService {
@@ -74,7 +74,7 @@
         let known = demand.leader_incarnation == self.leader_incarnation;
         let applied_loan = if known { demand.applied_loan } else { 0 };
         // What calls hold stays in use for as long as they may take.
-        let over = if kind == Kind::Rate { until } else { until + self.max_call };
+        let over = if kind == LimitKind::Rate { until } else { until + self.max_call };
         let usage = UsageReport { demand: demand.demand, in_use: demand.in_use, applied_loan };
         let request = LoanRequest { borrower, usage, config: self.config, limit, now, until: over };
         let loan = lender.report(request, &mut self.last_number);
@@ -100,13 +100,13 @@
 }
 
 /// A tenant's limit of a kind.
-fn limit_of(tenant: &Tenant, kind: Kind) -> Option<f64> {
+fn limit_of(tenant: &Tenant, kind: LimitKind) -> Option<f64> {
     let limits = &tenant.spec.limits;
     match kind {
-        Kind::Rate => limits.rate_per_second,
-        Kind::Open => limits.open_calls.map(f64::from),
-        Kind::Held => limits.held_calls.map(f64::from),
-        Kind::Memory => limits.loaded_memory_bytes.map(|bytes| bytes as f64),
+        LimitKind::Rate => limits.rate_per_second,
+        LimitKind::Open => limits.open_calls.map(f64::from),
+        LimitKind::Held => limits.held_calls.map(f64::from),
+        LimitKind::Memory => limits.loaded_memory_bytes.map(|bytes| bytes as f64),
     }
 }
 
--- a/crates/administration/src/loan_service/tests.rs
+++ b/crates/administration/src/loan_service/tests.rs
@@ -22,7 +22,7 @@
     TenantSnapshot::from_tenants(1, [tenant])
 }
 
-fn demand(kind: Kind) -> LimitDemand {
+fn demand(kind: LimitKind) -> LimitDemand {
     LimitDemand {
         tenant: "kalahari".to_owned(),
         uid: 1,
@@ -41,12 +41,16 @@
 #[test]
 fn loans_are_granted_for_known_limits_only() {
     let mut service = service();
-    let stranger = LimitDemand { uid: 2, ..demand(Kind::Open) };
-    let granted =
-        service.grant(PERIOD, &snapshot(), BORROWER, &[demand(Kind::Open), demand(Kind::Rate), stranger]);
+    let stranger = LimitDemand { uid: 2, ..demand(LimitKind::Open) };
+    let granted = service.grant(
+        PERIOD,
+        &snapshot(),
+        BORROWER,
+        &[demand(LimitKind::Open), demand(LimitKind::Rate), stranger],
+    );
     assert_eq!(granted.len(), 1, "{granted:?}");
     let loan = &granted[0];
-    assert_eq!((loan.uid, loan.kind, loan.limit), (1, Kind::Open, 10.0));
+    assert_eq!((loan.uid, loan.kind, loan.limit), (1, LimitKind::Open, 10.0));
     assert_eq!((loan.number, loan.leader_incarnation), (1, LEADER));
     assert!(loan.amount > 0.0);
 }
@@ -54,19 +58,19 @@
 #[test]
 fn ended_borrower_leaves_nothing_lent_and_numbers_go_on() {
     let mut service = service();
-    service.grant(PERIOD, &snapshot(), BORROWER, &[demand(Kind::Open)]);
+    service.grant(PERIOD, &snapshot(), BORROWER, &[demand(LimitKind::Open)]);
     let counts = service.counts(0);
     assert_eq!((counts.limits, counts.borrowers), (1, 1));
     service.ended(BORROWER);
     service.remove_unused(0);
     assert_eq!(service.counts(0).limits, 0);
-    let granted = service.grant(PERIOD, &snapshot(), BORROWER, &[demand(Kind::Open)]);
+    let granted = service.grant(PERIOD, &snapshot(), BORROWER, &[demand(LimitKind::Open)]);
     assert_eq!(granted[0].number, 2, "a forgotten limit's numbers are not used again");
 }
 
 #[test]
 fn reports_are_bounded() {
     let mut service = service();
-    let demands = vec![demand(Kind::Open); MAX_DEMANDS + 5];
+    let demands = vec![demand(LimitKind::Open); MAX_DEMANDS + 5];
     assert_eq!(service.grant(PERIOD, &snapshot(), BORROWER, &demands).len(), MAX_DEMANDS);
 }
--- a/crates/administration/src/messages.rs
+++ b/crates/administration/src/messages.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use nettleferry_admin::api::{Usage, Worker};
-use nettleferry_fleet::loans::Kind;
+use nettleferry_fleet::loans::LimitKind;
 use nettleferry_tenancy::{Entry, Revision};
 use serde::{Deserialize, Serialize};
 
@@ -104,7 +104,7 @@
     /// The tenant's uid, as a removed tenant's name may be used again.
     pub uid: Revision,
     /// The kind of limit.
-    pub kind: Kind,
+    pub kind: LimitKind,
     /// How much calls could use, in all.
     pub demand: f64,
     /// How much open calls use; always 0 for a rate.
@@ -123,7 +123,7 @@
     /// The tenant's uid.
     pub uid: Revision,
     /// The kind of limit.
-    pub kind: Kind,
+    pub kind: LimitKind,
     /// The limit that this is a part of. If the limit changes, the loan no longer holds.
     pub limit: f64,
     /// The loan's number; later loans have higher ones.
--- a/crates/administration/src/pending_changes.rs
+++ b/crates/administration/src/pending_changes.rs
@@ -80,7 +80,7 @@
                 json!({
                     "controller": member.incarnation.map(|id| id.controller),
                     "life": member.incarnation.map(|id| format!("{:016x}", id.incarnation)),
-                    "within_ms": member.lease_over.map(|over| over.saturating_sub(self.now)),
+                    "within_ms": member.lease_expires_at.map(|over| over.saturating_sub(self.now)),
                 })
             })
             .collect();
--- a/crates/fleet/src/loans.rs
+++ b/crates/fleet/src/loans.rs
@@ -50,7 +50,7 @@
 /// What a limit bounds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Kind {
+pub enum LimitKind {
     /// Calls a second.
     Rate,
     /// Open calls.
--- a/crates/fleet/src/membership.rs
+++ b/crates/fleet/src/membership.rs
@@ -66,7 +66,7 @@
     /// The snapshot that it was sent with.
     version: Version,
     /// When the last lease with this snapshot is over by every clock.
-    over: Millis,
+    expires_at: Millis,
 }
 
 /// An incarnation that the leader knows.
@@ -77,7 +77,7 @@
     /// When its last heartbeat came.
     pub last_heartbeat: Millis,
     /// When its last lease is over by every clock; `None`: this leader granted it none.
-    pub lease_over: Option<Millis>,
+    pub lease_expires_at: Option<Millis>,
     /// Leases that may run, in the order in which they were granted.
     leases: Vec<IssuedLease>,
     /// Grows with each incarnation of the fleet. Workers reject requests of an earlier incarnation of a controller
@@ -104,7 +104,7 @@
     /// Which one; `None`: incarnations that an earlier leader may have granted a lease.
     pub incarnation: Option<Incarnation>,
     /// When its last lease without the change is over; `None`: it continues without a lease, and there is no bound.
-    pub lease_over: Option<Millis>,
+    pub lease_expires_at: Option<Millis>,
 }
 
 /// How far a change has come.
@@ -132,7 +132,7 @@
     /// When it will be in force everywhere at the latest; `now` where it already is. `None`: there is no bound, as a
     /// member continues without a lease.
     pub fn bound(&self, now: Millis) -> Option<Millis> {
-        self.pending.iter().try_fold(now, |latest, member| Some(latest.max(member.lease_over?)))
+        self.pending.iter().try_fold(now, |latest, member| Some(latest.max(member.lease_expires_at?)))
     }
 }
 
@@ -153,9 +153,9 @@
     members: BTreeMap<Incarnation, Member>,
     fenced: BTreeSet<Incarnation>,
     /// When the leases of an earlier leader are over by every clock.
-    earlier_leases_over: Millis,
+    earlier_leases_expire_at: Millis,
     /// Heartbeats for which there was no room.
-    rejected: u64,
+    rejected_heartbeats: u64,
     /// The newest incarnation's token.
     last_token: u64,
 }
@@ -169,8 +169,8 @@
             span: span.map(|span| span.min(MAX_SPAN)),
             members: BTreeMap::new(),
             fenced: BTreeSet::new(),
-            earlier_leases_over: earlier_span.map_or(now, |span| lease_over(now, span.min(MAX_SPAN))),
-            rejected: 0,
+            earlier_leases_expire_at: earlier_span.map_or(now, |span| lease_expiry(now, span.min(MAX_SPAN))),
+            rejected_heartbeats: 0,
             last_token,
         }
     }
@@ -191,7 +191,7 @@
             Member {
                 state,
                 last_heartbeat: now,
-                lease_over: None,
+                lease_expires_at: None,
                 leases: Vec::new(),
                 fencing_token: *last_token,
                 ended: false,
@@ -211,7 +211,7 @@
 
     /// Forgets members that may be forgotten. False: there is no room for one more.
     fn make_room(&mut self, now: Millis) -> bool {
-        let idle = |m: &Member| m.lease_over.is_none_or(|over| over <= now);
+        let idle = |m: &Member| m.lease_expires_at.is_none_or(|expires_at| expires_at <= now);
         self.members.retain(|_, m| !idle(m) || m.last_heartbeat + FORGOTTEN_AFTER > now);
         if self.members.len() < MAX_INCARNATIONS {
             return true;
@@ -221,7 +221,7 @@
             self.members.remove(&who);
             return true;
         }
-        self.rejected += 1;
+        self.rejected_heartbeats += 1;
         false
     }
 
@@ -241,17 +241,18 @@
         if member.ended {
             return Err(LeaseDenied::Ended);
         }
-        let over = lease_over(now, span);
-        member.lease_over = Some(member.lease_over.map_or(over, |before| before.max(over)));
-        member.leases.retain(|lease| now < lease.over);
+        let expires_at = lease_expiry(now, span);
+        member.lease_expires_at =
+            Some(member.lease_expires_at.map_or(expires_at, |before| before.max(expires_at)));
+        member.leases.retain(|lease| now < lease.expires_at);
         match member.leases.last_mut() {
-            Some(last) if last.version >= version => last.over = over,
-            _ => member.leases.push(IssuedLease { version, over }),
+            Some(last) if last.version >= version => last.expires_at = expires_at,
+            _ => member.leases.push(IssuedLease { version, expires_at }),
         }
         if member.leases.len() > MAX_TRACKED_LEASES {
             // The older version with the later end: never too early.
             let second = member.leases.remove(1);
-            member.leases[0].over = member.leases[0].over.max(second.over);
+            member.leases[0].expires_at = member.leases[0].expires_at.max(second.expires_at);
         }
         Ok(Some(span))
     }
@@ -263,21 +264,23 @@
         let reachable = self.members.values().filter(|m| self.is_reachable(now, m)).count();
         let behind = self.members.iter().filter(|(_, m)| m.state.in_force < change);
         let members = behind.filter_map(|(who, member)| {
-            let lease_over = match self.staleness(now, member, change)? {
-                Staleness::Until(over) => Some(over),
+            let lease_expires_at = match self.staleness(now, member, change)? {
+                Staleness::Until(expires_at) => Some(expires_at),
                 Staleness::Unbounded => None,
             };
-            Some(PendingMember { incarnation: Some(*who), lease_over })
+            Some(PendingMember { incarnation: Some(*who), lease_expires_at })
+        });
+        let earlier = (now < self.earlier_leases_expire_at).then_some(PendingMember {
+            incarnation: None,
+            lease_expires_at: Some(self.earlier_leases_expire_at),
         });
-        let earlier = (now < self.earlier_leases_over)
-            .then_some(PendingMember { incarnation: None, lease_over: Some(self.earlier_leases_over) });
         Progress { persisted, required: copies.min(reachable), pending: members.chain(earlier).collect() }
     }
 
     /// Is this member expected to apply and persist changes?
     fn is_reachable(&self, now: Millis, member: &Member) -> bool {
         match self.span {
-            Some(_) => member.lease_over.is_some_and(|over| now < over),
+            Some(_) => member.lease_expires_at.is_some_and(|expires_at| now < expires_at),
             None => member.last_heartbeat + UNRESPONSIVE_AFTER > now,
         }
     }
@@ -285,8 +288,9 @@
     /// Until when a member may act without this change, for all that is known; `None`: it may not.
     fn staleness(&self, now: Millis, member: &Member, change: Version) -> Option<Staleness> {
         if member.state.requires_lease && self.span.is_some() {
-            let without = member.leases.iter().filter(|lease| lease.version < change && now < lease.over);
-            return without.map(|lease| lease.over).max().map(Staleness::Until);
+            let without =
+                member.leases.iter().filter(|lease| lease.version < change && now < lease.expires_at);
+            return without.map(|lease| lease.expires_at).max().map(Staleness::Until);
         }
         // A member that continues without a lease may act for as long as its process runs. It is forgotten when it
         // was silent long enough to be dead.
@@ -336,7 +340,7 @@
     /// that back.
     pub fn ended(&mut self, who: Incarnation) {
         if let Some(member) = self.members.get_mut(&who) {
-            member.lease_over = None;
+            member.lease_expires_at = None;
             member.leases.clear();
             member.state.requires_lease = true;
             member.ended = who.incarnation != UNREPORTED_INCARNATION;
@@ -355,28 +359,31 @@
 
     /// How many members hold a lease now.
     pub fn lease_holders(&self, now: Millis) -> usize {
-        self.members.values().filter(|m| m.lease_over.is_some_and(|over| now < over)).count()
+        self.members
+            .values()
+            .filter(|m| m.lease_expires_at.is_some_and(|expires_at| now < expires_at))
+            .count()
     }
 
     /// When the leases of an earlier leader are over by every clock.
-    pub fn earlier_leases_over(&self) -> Millis {
-        self.earlier_leases_over
+    pub fn earlier_leases_expire_at(&self) -> Millis {
+        self.earlier_leases_expire_at
     }
 
     /// Heartbeats of incarnations for which there was no room.
-    pub fn rejected(&self) -> u64 {
-        self.rejected
+    pub fn rejected_heartbeats(&self) -> u64 {
+        self.rejected_heartbeats
     }
 
     /// When the next lease is over, for those who wait for a change to be in force.
     pub fn next_expiry(&self, now: Millis) -> Option<Millis> {
-        let leases = self.members.values().flat_map(|m| m.leases.iter().map(|lease| lease.over));
-        leases.chain([self.earlier_leases_over]).filter(|over| *over > now).min()
+        let leases = self.members.values().flat_map(|m| m.leases.iter().map(|lease| lease.expires_at));
+        leases.chain([self.earlier_leases_expire_at]).filter(|expires_at| *expires_at > now).min()
     }
 }
 
 /// When a lease of this span, granted now, is over by every clock.
-fn lease_over(now: Millis, span: Millis) -> Millis {
+fn lease_expiry(now: Millis, span: Millis) -> Millis {
     now + span + max_clock_difference(span)
 }
 
--- a/crates/fleet/src/membership/tests.rs
+++ b/crates/fleet/src/membership/tests.rs
@@ -51,7 +51,10 @@
 fn leases_of_an_earlier_leader_are_waited_out() {
     let membership = Membership::new(100, Some(1_000), Some(3_000), 0);
     let progress = membership.progress(200, version(5), 1);
-    assert_eq!(progress.pending, [PendingMember { incarnation: None, lease_over: Some(100 + 3_000 + 30) }]);
+    assert_eq!(
+        progress.pending,
+        [PendingMember { incarnation: None, lease_expires_at: Some(100 + 3_000 + 30) }]
+    );
     assert!(progress.is_persisted(), "but they are nobody to count on");
     assert!(membership.progress(3_130, version(5), 1).is_in_force());
 }
@@ -81,7 +84,10 @@
         membership.grant(0, who, version(4)).expect("room");
     }
     membership.heartbeat(10, TWO, state(4, true));
-    assert_eq!((membership.grant(10, TWO, version(4)), membership.rejected()), (Err(LeaseDenied::Full), 1));
+    assert_eq!(
+        (membership.grant(10, TWO, version(4)), membership.rejected_heartbeats()),
+        (Err(LeaseDenied::Full), 1)
+    );
     membership.heartbeat(1_010, TWO, state(4, true));
     assert_eq!(
         membership.grant(1_010, TWO, version(4)),
--- a/crates/fleet/tests/golden.rs
+++ b/crates/fleet/tests/golden.rs
@@ -4,7 +4,7 @@
 use nettleferry_fleet::follower_requests::{Heartbeat, deregistration_target};
 use nettleferry_fleet::gate::Step;
 use nettleferry_fleet::lease::Stage;
-use nettleferry_fleet::loans::{Kind, Loan};
+use nettleferry_fleet::loans::{LimitKind, Loan};
 use nettleferry_fleet::snapshot_version::{SnapshotVersion, VersionOrder};
 
 #[test]
@@ -20,7 +20,7 @@
 
 #[test]
 fn words_keep_their_spelling() {
-    let kinds = [Kind::Rate, Kind::Open, Kind::Held, Kind::Memory];
+    let kinds = [LimitKind::Rate, LimitKind::Open, LimitKind::Held, LimitKind::Memory];
     assert_eq!(serde_json::to_string(&kinds).expect("written"), r#"["rate","open","held","memory"]"#);
     let loan = Loan { number: 3, amount: 2.5 };
     assert_eq!(serde_json::to_string(&loan).expect("written"), r#"{"number":3,"amount":2.5}"#);
--- a/crates/fleet/tests/lease_model.rs
+++ b/crates/fleet/tests/lease_model.rs
@@ -259,7 +259,7 @@
             Property::always("nobody acts without what was acknowledged", |_, s: &State| !s.violated),
             Property::always("a change is acknowledged within a span, whatever is lost", |_, s: &State| {
                 let bound = (s.changed + SPAN + lease::max_clock_difference(SPAN))
-                    .max(s.membership.earlier_leases_over());
+                    .max(s.membership.earlier_leases_expire_at());
                 s.acknowledged || s.snapshot == BEFORE || s.now() < bound
             }),
             Property::sometimes("one that never heard of it is waited out", |_, s: &State| {
--- a/crates/gateway/src/tenants/borrowed.rs
+++ b/crates/gateway/src/tenants/borrowed.rs
@@ -4,7 +4,7 @@
 
 use nettleferry::Micros;
 use nettleferry_administration::LoanGrant;
-use nettleferry_fleet::loans::{Kind, LoanConfig};
+use nettleferry_fleet::loans::{LimitKind, LoanConfig};
 use nettleferry_tenancy::Revision;
 
 /// A loan, as a demand reports it.
@@ -28,7 +28,7 @@
 /// The loans, by tenant and kind of limit.
 pub(super) struct BorrowedLimits {
     config: LoanConfig,
-    loans: HashMap<(Revision, Kind), Loan>,
+    loans: HashMap<(Revision, LimitKind), Loan>,
     /// When the first of them is over.
     next_expiry: Micros,
 }
@@ -79,12 +79,12 @@
     }
 
     /// The loan of a tenant's limit.
-    pub(super) fn applied(&self, uid: Revision, kind: Kind) -> AppliedLoan {
+    pub(super) fn applied(&self, uid: Revision, kind: LimitKind) -> AppliedLoan {
         self.loans.get(&(uid, kind)).map_or_else(AppliedLoan::default, |loan| loan.applied)
     }
 
     /// This controller's share of a limit: its reserve, and what it borrowed of this very limit.
-    pub(super) fn share(&self, uid: Revision, kind: Kind, limit: f64) -> f64 {
+    pub(super) fn share(&self, uid: Revision, kind: LimitKind, limit: f64) -> f64 {
         let loan = self.loans.get(&(uid, kind)).filter(|loan| loan.limit == limit);
         self.reserve(limit) + loan.map_or(0.0, |loan| loan.amount)
     }
--- a/crates/gateway/src/tenants/local_tenant.rs
+++ b/crates/gateway/src/tenants/local_tenant.rs
@@ -6,7 +6,7 @@
 use nettleferry::Micros;
 use nettleferry_admission::{Counters, RejectReason};
 use nettleferry_engine::CallOutcome;
-use nettleferry_fleet::loans::Kind;
+use nettleferry_fleet::loans::LimitKind;
 use nettleferry_tenancy::{Revision, Spec, State, Tenant};
 
 const MICROS_PER_SECOND: f64 = 1e6;
@@ -14,7 +14,7 @@
 /// What calls could use of one limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct KindDemand {
-    pub(super) kind: Kind,
+    pub(super) kind: LimitKind,
     /// How much they could use, in all.
     pub(super) demand: f64,
     /// How much open calls use; 0 for a rate.
@@ -95,10 +95,10 @@
         let (open, held) = (f64::from(counters.open), f64::from(counters.open - counters.running));
         let row = |kind, is_set: bool, demand, in_use| is_set.then_some(KindDemand { kind, demand, in_use });
         let demands = [
-            row(Kind::Rate, limits.rate_per_second.is_some(), arrivals.rate, 0.0),
-            row(Kind::Open, limits.open_calls.is_some(), open + f64::from(arrivals.open_rejected), open),
-            row(Kind::Held, limits.held_calls.is_some(), held + f64::from(arrivals.held_rejected), held),
-            row(Kind::Memory, limits.loaded_memory_bytes.is_some(), memory, counters.memory as f64),
+            row(LimitKind::Rate, limits.rate_per_second.is_some(), arrivals.rate, 0.0),
+            row(LimitKind::Open, limits.open_calls.is_some(), open + f64::from(arrivals.open_rejected), open),
+            row(LimitKind::Held, limits.held_calls.is_some(), held + f64::from(arrivals.held_rejected), held),
+            row(LimitKind::Memory, limits.loaded_memory_bytes.is_some(), memory, counters.memory as f64),
         ];
         *arrivals = Arrivals { rate: arrivals.rate, ..Arrivals::default() };
         demands
--- a/crates/gateway/src/tenants/policy.rs
+++ b/crates/gateway/src/tenants/policy.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 
 use nettleferry_admission::{Limits, Policy, RateLimit};
-use nettleferry_fleet::loans::Kind;
+use nettleferry_fleet::loans::LimitKind;
 use nettleferry_tenancy::{ClassLimits, Revision, Spec, State};
 
 use super::borrowed::BorrowedLimits;
@@ -27,21 +27,21 @@
         active: state == State::Active,
         limits: Limits {
             rate: limits.rate_per_second.map(|per_second| RateLimit {
-                per_second: share(Kind::Rate, per_second),
+                per_second: share(LimitKind::Rate, per_second),
                 burst: burst(per_second, limits.burst, reserve),
             }),
-            open: share_of_count(Kind::Open, limits.open_calls),
+            open: share_of_count(LimitKind::Open, limits.open_calls),
         },
         classes: spec
             .classes
             .iter()
             .filter_map(|(name, class)| Some((*classes.get(name)?, class_limits(class, borrowed))))
             .collect(),
-        held: share_of_count(Kind::Held, limits.held_calls),
+        held: share_of_count(LimitKind::Held, limits.held_calls),
         // Memory is the fleet's. Without loans each controller sees its own calls' models alone, which may be the same;
         // with them each has its share, and counts what others count as well.
         memory: limits.loaded_memory_bytes.map(|bytes| {
-            if borrowed.is_enabled() { share(Kind::Memory, bytes as f64) as u64 } else { bytes }
+            if borrowed.is_enabled() { share(LimitKind::Memory, bytes as f64) as u64 } else { bytes }
         }),
         share: limits.fleet_share,
         weight: spec.weight.unwrap_or(1.0),
