--- a/crates/durable/src/lib.rs
+++ b/crates/durable/src/lib.rs
@@ -1,9 +1,9 @@
-//! Small records that survive a loss of power: each is written completely, with a version and a checksum, beside the
-//! intact one before it, and read back as intact, older, unframed, damaged or absent. What a record contains is left
-//! to its owner.
+//! Crash-safe storage of small records, one per file. Each write stores a version number and a checksum with the
+//! payload and keeps the previous intact version in a second file. Reading a file reports whether its record is
+//! intact, recovered from the previous version, unframed, damaged or absent. The payload is opaque to this crate.
 //!
-//! [`RecordFile`] writes and waits for the disk; [`RecordWriter`] is the thread that does so for threads that must not
-//! wait.
+//! [`RecordFile`] writes synchronously. [`RecordWriter`] writes on a background thread, for callers that must not
+//! block on the disk.
 
 #![forbid(unsafe_code)]
 
--- a/crates/durable/src/memory.rs
+++ b/crates/durable/src/memory.rs
@@ -1,5 +1,5 @@
-//! Files in memory that lose unsynced data on a simulated power loss, fill up or reject writes: for tests and
-//! simulations.
+//! An in-memory [`Storage`] for tests and simulations. It can lose unsynced data in a simulated power loss, run out of
+//! space or reject writes.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -7,53 +7,56 @@
 
 use crate::storage::Storage;
 
-/// What becomes of bytes that were not durable when power was lost.
+/// How much of an interrupted write survives a simulated power loss.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Loss {
-    /// None of them survive: the file is empty.
+    /// No byte survives: the file is empty.
     Lost,
-    /// The first half survives.
+    /// The first half of the bytes survives.
     Torn,
-    /// All of them survive.
+    /// All bytes survive.
     Survived,
 }
 
+/// A change of a directory entry. It may be lost in a power loss until the directory is synced.
 #[derive(Clone, Debug)]
 enum NameChange {
     Created(PathBuf, Vec<u8>),
     Renamed(PathBuf, PathBuf),
 }
 
-/// The files. Names change in order, and the changes since the last sync may be lost from the end.
+/// Files in memory, with the durable state and the unsynced changes kept apart. A power loss keeps a prefix of the
+/// unsynced changes.
 #[derive(Clone, Debug, Default)]
 pub struct MemoryStorage {
     durable: BTreeMap<PathBuf, Vec<u8>>,
-    /// Changes since names were last made durable.
+    /// Changes of directory entries since the last [`Storage::sync_names`], in order.
     pending: Vec<NameChange>,
-    /// Operations that still succeed; power is lost at the next. `None`: it stays.
+    /// Number of further operations that succeed before power is lost; `None` for no power loss.
     pub operations_left: Option<usize>,
-    /// Nothing can be changed.
+    /// Whether every operation that changes a file fails.
     pub read_only: bool,
-    /// Bytes that fit in one file.
+    /// Maximum size of a file in bytes; `None` for no maximum.
     pub capacity: Option<usize>,
-    /// The write that was interrupted by the loss of power.
+    /// Path and content of the write that the power loss interrupted.
     interrupted: Option<(PathBuf, Vec<u8>)>,
 }
 
 impl MemoryStorage {
-    /// The files as they are seen before a loss of power.
+    /// Returns the files as a running program sees them, with all pending changes applied.
     fn visible(&self) -> BTreeMap<PathBuf, Vec<u8>> {
         let mut files = self.durable.clone();
         self.pending.iter().for_each(|change| apply(&mut files, change));
         files
     }
 
-    /// How many changes of names are not durable.
+    /// Returns the number of changes of directory entries that are not durable yet.
     pub fn pending(&self) -> usize {
         self.pending.len()
     }
 
-    /// The files as they are found after a loss of power, which the first `names` of the pending changes survive.
+    /// Returns the storage as it is after a power loss. The first `names` pending changes survive. If all of them do,
+    /// `loss` determines the content of a write that was in progress; otherwise that write has no effect.
     pub fn lose_power(&self, names: usize, loss: Loss) -> Self {
         let mut files = self.durable.clone();
         self.pending.iter().take(names).for_each(|change| apply(&mut files, change));
@@ -68,18 +71,19 @@
         Self { durable: files, ..Self::default() }
     }
 
-    /// Replaces a file from outside, durably.
+    /// Replaces the durable content of a file without a write operation, for example to damage it in a test.
     pub fn put(&mut self, path: &Path, bytes: &[u8]) {
         self.durable.insert(path.to_owned(), bytes.to_vec());
     }
 
-    /// Counts one operation; fails where power is lost or nothing can be written.
+    /// Counts one operation against [`MemoryStorage::operations_left`]. Fails if power is lost or the storage is
+    /// read-only.
     fn begin_operation(&mut self) -> io::Result<()> {
         if self.read_only {
             return Err(io::ErrorKind::ReadOnlyFilesystem.into());
         }
         match &mut self.operations_left {
-            Some(0) => Err(io::Error::other("the power is gone")),
+            Some(0) => Err(io::Error::other("simulated power loss")),
             Some(left) => {
                 *left -= 1;
                 Ok(())
--- a/crates/durable/src/record.rs
+++ b/crates/durable/src/record.rs
@@ -1,49 +1,50 @@
-//! A record as bytes: one line of header, `;nettleferry-keep FORMAT VERSION LENGTH CRC32`, and the payload. The header
-//! is a comment to S-expressions, so that a persisted worker list stays a file that people can read. Where the bytes
-//! are stored is left to [`crate::RecordFile`].
+//! The encoding of a record: a header line, `;nettleferry-keep FORMAT VERSION LENGTH CRC32`, followed by the payload.
+//! The header is a comment in S-expression syntax, so a persisted worker list remains a valid S-expression file that
+//! people can read. [`crate::RecordFile`] stores the bytes.
 
-/// Longest payload, bytes. A longer one is not written, and a header that states one is invalid.
+/// Maximum length of a payload in bytes. A longer payload is not written, and a header that states one is invalid.
 pub const MAX_PAYLOAD_BYTES: usize = 64 << 20;
 
 const MAGIC: &str = ";nettleferry-keep";
 const FORMAT: u32 = 1;
-/// Longest header, bytes: the magic, four numbers and the spaces between.
+/// Upper bound of the header's length in bytes: the magic, four numbers and the separators.
 const MAX_HEADER_BYTES: usize = 96;
 
-/// An intact record.
+/// A record that was decoded without errors.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Record {
-    /// One more with each write of its file.
+    /// Version number, incremented with each write to the record's file.
     pub version: u64,
-    /// Its content.
+    /// Content, as it was passed to the write.
     pub payload: Vec<u8>,
 }
 
-/// Why bytes are no record.
+/// Why bytes could not be decoded as a record.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RecordError {
-    /// There is no header: another program wrote it, or an early version of this one.
-    #[error("it has no header")]
+    /// The bytes do not begin with a header: another program wrote them, or a version of this program from before the
+    /// header was introduced.
+    #[error("the record has no header")]
     Unframed,
     /// There are no bytes.
-    #[error("it is empty")]
+    #[error("the record is empty")]
     Empty,
-    /// The header can't be read.
-    #[error("its header can't be read")]
+    /// The header is malformed or truncated.
+    #[error("the record header is malformed")]
     Header,
-    /// A format that this version does not know.
-    #[error("its format is {0}, and {FORMAT} is the newest that is known here")]
+    /// The header states a format that this version of the program does not support.
+    #[error("the record format is {0}, the newest supported format is {FORMAT}")]
     Format(u32),
-    /// It is longer or shorter than its header states.
-    #[error("it has {found} bytes, and its header states {expected}")]
+    /// The payload's length differs from the one in the header, or exceeds [`MAX_PAYLOAD_BYTES`].
+    #[error("the record payload has {found} bytes, its header states {expected}")]
     Length {
-        /// Bytes that are there.
+        /// Length of the payload in bytes.
         found: usize,
-        /// Bytes that the header states.
+        /// Length stated in the header, in bytes.
         expected: usize,
     },
-    /// The checksum is another.
-    #[error("its checksum does not match: it was damaged or changed")]
+    /// The checksum in the header does not match the version and the payload.
+    #[error("the record checksum does not match: the file was damaged or modified")]
     Checksum,
 }
 
@@ -54,7 +55,7 @@
     hasher.finalize()
 }
 
-/// A record's bytes.
+/// Encodes a record: the header line followed by the payload.
 pub fn encode(version: u64, payload: &[u8]) -> Vec<u8> {
     let header = format!("{MAGIC} {FORMAT} {version} {} {:08x}\n", payload.len(), checksum(version, payload));
     let mut out = Vec::with_capacity(header.len() + payload.len());
@@ -63,10 +64,10 @@
     out
 }
 
-/// Reads a record.
+/// Decodes a record and verifies its length and checksum.
 ///
 /// # Errors
-/// Why the bytes are no intact record.
+/// Returns the reason why the bytes are not an intact record.
 pub fn decode(bytes: &[u8]) -> Result<Record, RecordError> {
     if bytes.is_empty() {
         return Err(RecordError::Empty);
--- a/crates/durable/src/record_file.rs
+++ b/crates/durable/src/record_file.rs
@@ -1,8 +1,8 @@
-//! One record's file, with the intact version before it beside it.
+//! The file of a record, together with the previous intact version in a second file.
 //!
-//! A write makes `NAME.new` durable, moves an intact `NAME` to `NAME.before`, `NAME.new` to `NAME`, and makes the names
-//! durable. Whatever of it a loss of power leaves, one complete version is there: the last that was acknowledged, or
-//! the one that was being written. What the payload means is left to the caller.
+//! A write syncs `NAME.new`, renames an intact `NAME` to `NAME.before`, renames `NAME.new` to `NAME`, and syncs the
+//! directory. A power loss at any step leaves at least one complete version: the last acknowledged one, or the one that
+//! was being written. The payload is opaque to this module.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -10,28 +10,29 @@
 use crate::record::{MAX_PAYLOAD_BYTES, Record, RecordError, decode, encode};
 use crate::storage::Storage;
 
-/// What a record's file contains.
+/// What was found in a record's file when it was opened.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FileContents {
     /// The newest version.
     Intact(Record),
-    /// The newest version is damaged; this is the one before it.
+    /// The newest version is damaged, and the previous one is intact.
     Older {
-        /// The version before.
+        /// The previous version.
         record: Record,
-        /// What is wrong with the newest version.
+        /// Why the newest version could not be decoded.
         error: RecordError,
     },
-    /// It has no header, as an early version of the program wrote it: whether it is complete is unknown.
+    /// The whole file, which has no header: a version of the program from before the header was introduced wrote it.
+    /// Whether it is complete is unknown.
     Unframed(Vec<u8>),
-    /// No version of it can be used.
+    /// Neither the newest nor the previous version can be decoded.
     Damaged(RecordError),
-    /// There is none.
+    /// No version exists.
     Absent,
 }
 
 impl FileContents {
-    /// Its name in logs and metrics.
+    /// Returns the name of the variant used in logs and metrics.
     pub fn as_str(&self) -> &'static str {
         match self {
             Self::Intact(_) => "sound",
@@ -43,24 +44,24 @@
     }
 }
 
-/// A record's file.
+/// Writes the versions of one record to its file.
 #[derive(Debug)]
 pub struct RecordFile {
     path: PathBuf,
     new: PathBuf,
     before: PathBuf,
     version: u64,
-    /// The file of this name is intact, and to be kept beside the next version.
+    /// Whether the file at `path` is usable, so that the next write keeps it as the previous version.
     intact: bool,
-    /// There is no file of this name, and the only intact version has this other name.
+    /// Set if an interrupted write left no file at `path`: the file that has the newest intact version.
     stray: Option<PathBuf>,
 }
 
 impl RecordFile {
-    /// Opens a record's file, and reads what it contains.
+    /// Opens the file of a record and reads its newest usable version.
     ///
     /// # Errors
-    /// Where the storage can't be read.
+    /// Returns an error if the storage can't be read.
     pub fn open(files: &impl Storage, path: &Path) -> io::Result<(Self, FileContents)> {
         let beside = |suffix: &str| {
             let mut name = path.file_name().unwrap_or_default().to_owned();
@@ -77,7 +78,7 @@
                 Some((Ok(record), _)) => FileContents::Older { record, error },
                 _ => FileContents::Damaged(error),
             },
-            // Power was lost between the two renames: what was written last is durable under its first name.
+            // Power was lost between the two renames: the newest version is still in the `.new` file.
             None => match (read(&new)?, read(&before)?) {
                 (Some((Ok(record), _)), _) => {
                     stray = Some(new.clone());
@@ -88,13 +89,13 @@
                     FileContents::Intact(record)
                 }
                 (_, Some((Err(error), _))) => FileContents::Damaged(error),
-                // A first write that never came to its end was never acknowledged.
+                // The first write was interrupted, so it was never acknowledged.
                 (_, None) => FileContents::Absent,
             },
         };
         let version = match &found {
             FileContents::Intact(record) => record.version,
-            // The damaged one may have been the next.
+            // The damaged file may have had the next version number, which is not reused.
             FileContents::Older { record, .. } => record.version + 1,
             _ => 0,
         };
@@ -102,22 +103,26 @@
         Ok((Self { path: path.to_owned(), new, before, version, intact, stray }, found))
     }
 
-    /// The file.
+    /// Returns the path of the newest version.
     pub fn path(&self) -> &Path {
         &self.path
     }
 
-    /// Writes the next version; it is durable when this returns. Its version.
+    /// Writes the next version and returns its number. The version is durable when this returns.
     ///
     /// # Errors
-    /// Where the payload is longer than [`MAX_PAYLOAD_BYTES`], or the storage fails: the version before stays.
+    /// Returns an error if the payload is longer than [`MAX_PAYLOAD_BYTES`] or the storage fails. The last version is
+    /// kept, and the failed write uses up no version number.
     pub fn write(&mut self, files: &mut impl Storage, payload: &[u8]) -> io::Result<u64> {
         if payload.len() > MAX_PAYLOAD_BYTES {
-            return Err(io::Error::new(io::ErrorKind::FileTooLarge, "a record is longer than is kept"));
+            return Err(io::Error::new(
+                io::ErrorKind::FileTooLarge,
+                format!("the payload has {} bytes, the maximum is {MAX_PAYLOAD_BYTES}", payload.len()),
+            ));
         }
         let version = self.version + 1;
         if let Some(stray) = &self.stray {
-            // The next write would begin over it, or leave it as the version before.
+            // The write would otherwise overwrite it in `.new`, or leave it as the previous version in `.before`.
             files.rename(stray, &self.path)?;
             files.sync_names(&self.path)?;
             self.stray = None;
@@ -125,7 +130,7 @@
         files.write(&self.new, &encode(version, payload))?;
         if self.intact {
             match files.rename(&self.path, &self.before) {
-                // It was never renamed from `.new` or `.before`: nothing intact is lost.
+                // No file exists at `path`, so there is no previous version to keep.
                 Err(error) if error.kind() == io::ErrorKind::NotFound => {}
                 result => result?,
             }
--- a/crates/durable/src/storage.rs
+++ b/crates/durable/src/storage.rs
@@ -1,4 +1,4 @@
-//! The file operations that a record's file needs. Which files there are is left to [`crate::RecordFile`].
+//! The file operations that [`crate::RecordFile`] needs, and their implementation by the operating system.
 
 use std::fs::{self, File};
 use std::io::{self, Read, Write};
@@ -6,34 +6,35 @@
 
 use crate::record::MAX_PAYLOAD_BYTES;
 
-/// Files by path. Each call may wait for the disk.
+/// File operations by path. Every operation may block on the disk.
 pub trait Storage: Send {
-    /// All bytes of a file; `None`: there is none.
+    /// Reads a whole file; returns `None` if it does not exist.
     ///
     /// # Errors
-    /// Where it can't be read.
+    /// Returns an error if the file can't be read.
     fn read(&self, path: &Path) -> io::Result<Option<Vec<u8>>>;
-    /// Writes a complete file; its content is durable after this, its name need not be.
+    /// Creates or overwrites a file and syncs its content. Its directory entry becomes durable only with
+    /// [`Storage::sync_names`].
     ///
     /// # Errors
-    /// Where it can't be written; parts of it may be there.
+    /// Returns an error if the file can't be written; a part of it may exist then.
     fn write(&mut self, path: &Path, bytes: &[u8]) -> io::Result<()>;
-    /// Renames a file, and replaces what has the new name.
+    /// Renames a file and replaces an existing file of the new name.
     ///
     /// # Errors
-    /// `NotFound` where there is no such file, or why it can't be renamed.
+    /// Returns `NotFound` if the file does not exist, or the error of the operating system.
     fn rename(&mut self, from: &Path, to: &Path) -> io::Result<()>;
-    /// Makes the names in this file's directory durable.
+    /// Syncs the directory of this file, so that files created and renamed in it survive a power loss.
     ///
     /// # Errors
-    /// Where the directory can't be synced.
+    /// Returns an error if the directory can't be synced.
     fn sync_names(&mut self, path: &Path) -> io::Result<()>;
 }
 
-/// Bytes beyond the longest payload that are read of a file: more than any header.
+/// How far beyond the maximum payload a file is read, in bytes; larger than any header.
 const HEADER_ALLOWANCE_BYTES: u64 = 4096;
 
-/// The operating system's files.
+/// [`Storage`] in the file system of the operating system.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct FileSystem;
 
@@ -44,7 +45,7 @@
             Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(None),
             Err(error) => return Err(error),
         };
-        // A file far beyond the bound is not read into memory: its length already shows that it is damaged.
+        // A file beyond the bound is not read completely: its length alone shows that it is damaged.
         let mut bytes = Vec::new();
         file.take(MAX_PAYLOAD_BYTES as u64 + HEADER_ALLOWANCE_BYTES).read_to_end(&mut bytes)?;
         Ok(Some(bytes))
--- a/crates/durable/src/writer.rs
+++ b/crates/durable/src/writer.rs
@@ -1,5 +1,5 @@
-//! The thread that writes for threads that must not wait for a disk. Only the newest version matters: what is submitted
-//! while an older one waits takes its place, so that one record waits at the most.
+//! Writes a record on a background thread, for callers that must not block on the disk. Only the newest version
+//! matters: a submitted payload replaces one that is still queued, so the queue holds at most one payload.
 
 use std::io;
 use std::path::Path;
@@ -11,16 +11,16 @@
 use crate::record_file::{FileContents, RecordFile};
 use crate::storage::Storage;
 
-/// What became of submitted records.
+/// Totals of submitted payloads by outcome, since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Records submitted.
+    /// Payloads submitted.
     pub submitted: u64,
-    /// Written and durable.
+    /// Payloads that were written and are durable.
     pub written: u64,
-    /// Never written, as a newer one was there first.
+    /// Payloads that were replaced in the queue by a newer one and never written.
     pub superseded: u64,
-    /// Writing them failed.
+    /// Payloads whose write failed.
     pub failed: u64,
 }
 
@@ -30,29 +30,30 @@
     busy: bool,
     ended: bool,
     counters: Counters,
-    /// The submission that is being written, as [`Counters::submitted`] counts them.
+    /// Number of the submission that is being written, counted by [`Counters::submitted`].
     writing: u64,
-    /// The last submission that is durable.
+    /// Number of the last submission that is durable.
     durable: u64,
 }
 
 #[derive(Default)]
 struct Shared {
     queue: Mutex<Queue>,
-    /// Something was submitted, or the thread is to end.
+    /// Notified when a payload is submitted or the thread is to stop.
     wake: Condvar,
-    /// Nothing waits and nothing is being written.
+    /// Notified when nothing is queued or being written.
     idle: Condvar,
 }
 
 impl Shared {
-    /// Held for a few moves of memory, never over I/O: waiting for it is not waiting for a disk.
+    /// Locks the queue. The lock is never held during I/O, so callers do not block on the disk.
     fn lock(&self) -> MutexGuard<'_, Queue> {
         self.queue.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// The writing thread of one record's file.
+/// Handle of the background thread that writes the file of one record. Dropping it flushes the queue and stops the
+/// thread, or abandons the thread if the disk does not respond in time.
 pub struct RecordWriter {
     shared: Arc<Shared>,
     found: Receiver<io::Result<FileContents>>,
@@ -60,10 +61,11 @@
 }
 
 impl RecordWriter {
-    /// Starts the thread, which opens the file. `written` is called on that thread with the result of each write.
+    /// Starts the thread, which opens the file. `written` is called on that thread with the result of each write: the
+    /// version that was written, or the error.
     ///
     /// # Errors
-    /// Where the thread can't be started.
+    /// Returns an error if the thread can't be started.
     pub fn start<F: Storage + 'static>(
         mut files: F,
         path: &Path,
@@ -73,7 +75,7 @@
         let (thread_shared, path) = (Arc::clone(&shared), path.to_owned());
         let (found_sender, found) = channel();
         let work = move || {
-            // The receiver is gone where nobody waited for what was found.
+            // Sending fails if the handle was dropped meanwhile; nobody needs the contents then.
             let mut file = match RecordFile::open(&files, &path) {
                 Ok((file, contents)) => {
                     let _ = found_sender.send(Ok(contents));
@@ -106,10 +108,11 @@
         Ok(Self { shared, found, thread: Some(thread) })
     }
 
-    /// What the file contained at the start; `None`: the disk has not answered within `timeout`. To be called once.
+    /// Returns what the file contained at the start, or `None` if it could not be read within `timeout`. The contents
+    /// are returned once: a second call returns `None`.
     ///
     /// # Errors
-    /// Where the file can't be read.
+    /// Returns an error if the file can't be read.
     pub fn initial_contents(&self, timeout: Duration) -> io::Result<Option<FileContents>> {
         match self.found.recv_timeout(timeout) {
             Ok(found) => found.map(Some),
@@ -117,8 +120,8 @@
         }
     }
 
-    /// Submits a payload to be written. Never waits for a disk. The number of the submission, for
-    /// [`RecordWriter::durable`].
+    /// Queues a payload to be written, without blocking on the disk. Returns the number of the submission, to be
+    /// compared with [`RecordWriter::durable`].
     pub fn submit(&self, payload: Vec<u8>) -> u64 {
         let mut queue = self.shared.lock();
         queue.counters.submitted += 1;
@@ -131,17 +134,18 @@
         number
     }
 
-    /// The last submission that is durable, itself or by a newer one in its place; 0: none.
+    /// Returns the number of the last submission that is durable, 0 if there is none. Submissions of lower numbers are
+    /// durable or replaced by it.
     pub fn durable(&self) -> u64 {
         self.shared.lock().durable
     }
 
-    /// What became of submitted records.
+    /// Returns the totals of submitted payloads by outcome.
     pub fn counters(&self) -> Counters {
         self.shared.lock().counters
     }
 
-    /// Waits until nothing is to be written any more. False: `timeout` was over first.
+    /// Blocks until nothing is queued or being written. Returns false if `timeout` elapsed first.
     pub fn flush(&self, timeout: Duration) -> bool {
         let until = Instant::now() + timeout;
         let mut queue = self.shared.lock();
@@ -156,10 +160,10 @@
     }
 }
 
-/// The name by which the operating system shows the thread.
+/// The thread's name, as the operating system shows it.
 const THREAD_NAME: &str = "keeper";
 
-/// How long a shutdown waits for the disk before it abandons the thread.
+/// How long dropping a writer waits for the disk before it abandons the thread.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(2);
 
 impl Drop for RecordWriter {
@@ -173,7 +177,7 @@
     }
 }
 
-/// Waits for what is to be written next; `None`: the thread is to end.
+/// Waits for the next payload to write; returns `None` if the thread is to stop.
 fn next(shared: &Shared) -> Option<Vec<u8>> {
     let mut queue = shared.lock();
     queue.busy = false;
--- a/crates/durable/tests/writer.rs
+++ b/crates/durable/tests/writer.rs
@@ -1,4 +1,4 @@
-//! A stalled disk holds up nobody, and only the newest version is written when it works again.
+//! A stalled disk blocks no caller of the writer, and once it recovers only the newest payload is written.
 
 use std::io;
 use std::path::Path;
@@ -7,11 +7,11 @@
 
 use nettleferry_durable::{FileContents, MemoryStorage, RecordWriter, Storage};
 
-/// A disk whose writes wait until they are let through.
+/// A disk that announces each write and blocks it until the test releases it.
 struct StalledDisk {
     disk: MemoryStorage,
     began: Sender<()>,
-    go: Receiver<()>,
+    release: Receiver<()>,
 }
 
 impl Storage for StalledDisk {
@@ -20,8 +20,8 @@
     }
     fn write(&mut self, path: &Path, bytes: &[u8]) -> io::Result<()> {
         let _ = self.began.send(());
-        // The test has ended: so does the wait.
-        let _ = self.go.recv();
+        // Receiving fails if the test has ended; the write then continues.
+        let _ = self.release.recv();
         self.disk.write(path, bytes)
     }
     fn rename(&mut self, from: &Path, to: &Path) -> io::Result<()> {
@@ -35,28 +35,29 @@
 const TIMEOUT: Duration = Duration::from_secs(30);
 
 #[test]
-fn stalled_disk_holds_up_only_the_writer_thread() {
-    let ((began, begins), (go, gone)) = (channel(), channel());
-    let (tell, told) = channel();
-    let still = StalledDisk { disk: MemoryStorage::default(), began, go: gone };
-    let writer = RecordWriter::start(still, Path::new("kept"), move |result| {
-        let _ = tell.send(result.ok());
+fn stalled_disk_blocks_only_the_writer_thread() {
+    let ((began_sender, began), (release, release_receiver)) = (channel(), channel());
+    let (result_sender, results) = channel();
+    let stalled =
+        StalledDisk { disk: MemoryStorage::default(), began: began_sender, release: release_receiver };
+    let writer = RecordWriter::start(stalled, Path::new("kept"), move |result| {
+        let _ = result_sender.send(result.ok());
     })
     .expect("started");
     let found = writer.initial_contents(TIMEOUT).expect("readable").expect("in time");
     assert_eq!(found, FileContents::Absent);
     writer.submit(b"0".to_vec());
-    begins.recv_timeout(TIMEOUT).expect("the first write has begun and stands");
+    began.recv_timeout(TIMEOUT).expect("the first write has begun and is stalled");
     for n in 1..=1000 {
         writer.submit(format!("{n}").into_bytes());
     }
     assert!(!writer.flush(Duration::ZERO));
     assert_eq!(writer.counters().superseded, 999);
-    go.send(()).expect("the writer waits");
-    assert_eq!(told.recv_timeout(TIMEOUT), Ok(Some(1)));
-    go.send(()).expect("the writer waits");
-    assert_eq!(told.recv_timeout(TIMEOUT), Ok(Some(2)));
+    release.send(()).expect("the writer thread waits");
+    assert_eq!(results.recv_timeout(TIMEOUT), Ok(Some(1)));
+    release.send(()).expect("the writer thread waits");
+    assert_eq!(results.recv_timeout(TIMEOUT), Ok(Some(2)));
     assert!(writer.flush(TIMEOUT));
-    let counted = writer.counters();
-    assert_eq!((counted.submitted, counted.written, counted.failed), (1001, 2, 0));
+    let counters = writer.counters();
+    assert_eq!((counters.submitted, counters.written, counters.failed), (1001, 2, 0));
 }
