--- a/crates/tenancy/src/audit.rs
+++ b/crates/tenancy/src/audit.rs
@@ -1,53 +1,53 @@
-//! The audit trail's entries: one for each change, never altered. Storing them is left to the store.
+//! Entries of the audit trail: one for each change, immutable once written. The tenant store persists them.
 
 use serde::{Deserialize, Serialize};
 
 use crate::model::{ClassLimits, Limits, State, Tenant};
 use crate::{Millis, Revision};
 
-/// What a change did to a tenant.
+/// The kind of a change to a tenant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Action {
-    /// Created it.
+    /// The tenant was created.
     Create,
-    /// Changed limits, rights, weight or note.
+    /// Limits, rights, weight or note of the tenant were changed.
     Change,
-    /// Suspended it.
+    /// The tenant was suspended.
     Suspend,
-    /// Resumed it.
+    /// The tenant was resumed.
     Resume,
-    /// Began its removal.
+    /// The removal of the tenant was requested; its grace period began.
     Remove,
-    /// Removed it, as its grace period was over.
+    /// The tenant was removed at the end of its grace period.
     Gone,
 }
 
 /// One change, with the tenant before and after it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Entry {
-    /// The revision that it made.
+    /// Revision of the snapshot after the change.
     pub revision: Revision,
-    /// When, by the leader's wall clock: it may step, revisions do not.
+    /// Time of the change by the leader's wall clock, which may step. Only revisions order the entries.
     pub at_ms: Millis,
-    /// Who made it: the name of the API key; the program itself for [`Action::Gone`].
+    /// Name of the API key that requested the change, or [`crate::snapshot::PROGRAM_ACTOR`] for [`Action::Gone`].
     #[serde(rename = "who")]
     pub actor: String,
-    /// What it did.
+    /// Kind of the change.
     pub action: Action,
-    /// The tenant's name.
+    /// Name of the tenant.
     pub tenant: String,
-    /// The tenant before; `None`: there was none.
+    /// The tenant before the change; `None` if it was created.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub before: Option<Tenant>,
-    /// The tenant after; `None`: it is gone.
+    /// The tenant after the change; `None` if it was removed.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub after: Option<Tenant>,
 }
 
 impl Entry {
-    /// Does it take something away, so that it is acknowledged only when nobody acts on the state before? True for a
-    /// suspension, a removal, a right withdrawn and a limit lowered.
+    /// Returns whether the change restricts the tenant: a suspension, a removal, a withdrawn right or a lowered limit.
+    /// Such a change is acknowledged only when no controller acts on the previous state any more.
     pub fn restricts(&self) -> bool {
         let Some(before) = &self.before else { return false };
         let Some(after) = &self.after else { return true };
@@ -61,7 +61,7 @@
     }
 }
 
-/// Is a limit lowered? `None` is no limit.
+/// Returns whether a limit was lowered or introduced. `None` stands for no limit.
 fn lowered<T: PartialOrd>(before: Option<T>, after: Option<T>) -> bool {
     after.is_some_and(|after| before.is_none_or(|before| after < before))
 }
@@ -81,7 +81,7 @@
         || lowered(before.open_calls, after.open_calls)
 }
 
-/// Is a right of before not covered by one of after? `None`: the right to every model.
+/// Returns whether a right in `before` is not covered by a right in `after`. `None` stands for the right to all models.
 fn rights_withdrawn(before: Option<&[String]>, after: Option<&[String]>) -> bool {
     let Some(after) = after else { return false };
     let Some(before) = before else { return true };
--- a/crates/tenancy/src/idempotency.rs
+++ b/crates/tenancy/src/idempotency.rs
@@ -1,5 +1,5 @@
-//! Responses that are repeated: a request with an idempotency key that was used before gets the same response, and
-//! takes effect once. Keeping and bounding them is left to the store.
+//! Stored responses to requests with an idempotency key. A request that repeats a key gets the stored response and has
+//! no further effect. The tenant store persists the responses and bounds their number.
 
 use serde::{Deserialize, Serialize};
 
@@ -8,14 +8,14 @@
 /// The response to a request with an idempotency key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct IdempotentResponse {
-    /// Identifies the request's body: another body under the same key is rejected.
+    /// Hash of the request's body. A request with the same key and another fingerprint is rejected.
     pub fingerprint: u64,
-    /// The response's HTTP status.
+    /// HTTP status of the response.
     pub status: u16,
-    /// The revision that the request made.
+    /// Revision of the snapshot after the request.
     pub revision: Revision,
-    /// The response's body.
+    /// Body of the response.
     pub body: String,
-    /// When the request was accepted.
+    /// Time at which the request was accepted.
     pub at_ms: Millis,
 }
--- a/crates/tenancy/src/lib.rs
+++ b/crates/tenancy/src/lib.rs
@@ -1,13 +1,14 @@
-//! Tenants as state: what they may do, how that is changed, and what a change leaves behind.
+//! The tenant model: limits and rights of tenants, changes to them, and the audit trail of these changes.
 //!
-//! May know: tenants, changes, who requests them, times as values. Must not know: files, sockets, HTTP, clocks, calls.
+//! This crate does no I/O and reads no clock; times are passed in as values. It does not depend on files, sockets,
+//! HTTP or the handling of calls.
 //!
-//! * [`model`]: a tenant, its limits and rights, as they are stored and shown. [`validation`]: which values are valid;
-//!   each error names its field.
-//! * [`snapshot`]: all tenants at one revision; a change is applied completely or rejected.
-//! * [`replication`]: a snapshot that follows another controller's.
-//! * [`idempotency`]: responses that are repeated. [`audit`]: who changed what and when, with the state before and
-//!   after.
+//! * [`model`]: a tenant with its limits and rights, as it is stored and sent.
+//! * [`validation`]: the bounds of configured values. Each error names its field.
+//! * [`snapshot`]: all tenants at one revision. A change is applied completely or rejected.
+//! * [`replication`]: a snapshot that follows the one of another controller.
+//! * [`idempotency`]: stored responses to requests with an idempotency key.
+//! * [`audit`]: who changed what and when, with the tenant before and after the change.
 
 #![forbid(unsafe_code)]
 
@@ -24,7 +25,7 @@
 pub use snapshot::{Applied, Change, Condition, Denied, TenantSnapshot};
 pub use validation::FieldError;
 
-/// The number of a change: each change has the next one. 0: nothing was changed yet.
+/// The sequence number of a change, incremented by one with each change; 0 before the first.
 pub type Revision = u64;
-/// Milliseconds since 1970 by the leader's wall clock, which may step.
+/// Milliseconds since the Unix epoch by the leader's wall clock, which may step.
 pub type Millis = u64;
--- a/crates/tenancy/src/model.rs
+++ b/crates/tenancy/src/model.rs
@@ -1,4 +1,5 @@
-//! A tenant as it is stored, sent and shown: JSON with these names. Which values are valid: [`crate::validation`].
+//! A tenant as it is stored, sent to followers and returned by the API: JSON with these field names. The bounds of the
+//! values are in [`crate::validation`].
 
 use std::collections::BTreeMap;
 
@@ -6,99 +7,99 @@
 
 use crate::{Millis, Revision};
 
-/// What an administrator configures of a tenant. A limit that is `None` is no limit.
+/// The part of a tenant that an administrator configures. A limit that is `None` is not enforced.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Spec {
-    /// Limits over all classes.
+    /// Limits of all calls of the tenant together.
     pub limits: Limits,
-    /// Further limits by class; a call has to keep within both.
+    /// Additional limits by class name. A call must satisfy these and `limits`.
     pub classes: BTreeMap<String, ClassLimits>,
-    /// Weight against other tenants when calls have to wait; 1 by default.
+    /// Weight relative to other tenants in the scheduling of held calls; `None` stands for 1.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub weight: Option<f64>,
-    /// Models that it may call: names, or prefixes followed by `*`. `None`: all models.
+    /// Models that the tenant may call: names, or prefixes followed by `*`. `None` allows all models.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub models: Option<Vec<String>>,
-    /// A note for people.
+    /// Free text for administrators.
     #[serde(skip_serializing_if = "String::is_empty")]
     pub note: String,
 }
 
-/// Limits of a tenant, for the whole installation.
+/// Limits of a tenant over all classes, for the whole installation.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limits {
-    /// Calls a second.
+    /// Accepted calls per second.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub rate_per_second: Option<f64>,
-    /// Calls that may come at once beyond the rate; by default a tenth of a second's calls, at least 1.
+    /// Calls accepted at once beyond the rate. The default is the calls of a tenth of a second, at least 1.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub burst: Option<u32>,
-    /// Calls without a final answer at one time.
+    /// Concurrent calls without a final answer.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub open_calls: Option<u32>,
-    /// Open calls that no worker has.
+    /// Concurrent open calls that are not assigned to a worker.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub held_calls: Option<u32>,
-    /// Bytes of the models in use: those with an open call, or called within the last minute.
+    /// Total memory in bytes of the models in use: those with an open call or a call within the last minute.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub loaded_memory_bytes: Option<u64>,
-    /// Share of the fleet's running calls that may be this tenant's while others wait, from 0 to 1.
+    /// Maximum share of the fleet's running calls while calls of other tenants are held, above 0 and at most 1.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub fleet_share: Option<f64>,
 }
 
-/// Limits of a tenant in one class.
+/// Limits of a tenant's calls of one class, for the whole installation.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ClassLimits {
-    /// Calls a second.
+    /// Accepted calls per second.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub rate_per_second: Option<f64>,
-    /// Calls that may come at once beyond the rate.
+    /// Calls accepted at once beyond the rate, with the default of [`Limits::burst`].
     #[serde(skip_serializing_if = "Option::is_none")]
     pub burst: Option<u32>,
-    /// Calls without a final answer at one time.
+    /// Concurrent calls without a final answer.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub open_calls: Option<u32>,
 }
 
-/// What a tenant may do now.
+/// The state of a tenant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum State {
-    /// It may call.
+    /// New calls are accepted.
     Active,
-    /// New calls are rejected; open ones go on.
+    /// New calls are rejected; open calls continue.
     Suspended,
-    /// New calls are rejected; open ones are ended when its grace period is over, and then it is gone.
+    /// New calls are rejected. When the grace period ends, open calls are ended and the tenant is removed.
     Removing,
 }
 
-/// A tenant with its state.
+/// A tenant: its configuration and its state.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Tenant {
-    /// Its name; unique among the tenants that exist.
+    /// Name, unique among the existing tenants.
     pub name: String,
-    /// The revision that created it: another tenant of the same name has another.
+    /// Revision that created the tenant. It distinguishes the tenant from a removed one of the same name.
     pub uid: Revision,
-    /// The last revision that changed it.
+    /// Revision of the last change to the tenant.
     pub revision: Revision,
-    /// What it may do now.
+    /// Whether calls are accepted, and whether the tenant is being removed.
     pub state: State,
-    /// When its grace period is over, while it is being removed.
+    /// End of the grace period; set while the tenant is being removed.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub gone_at_ms: Option<Millis>,
-    /// When it was created.
+    /// Time of creation.
     pub created_ms: Millis,
-    /// What its administrator configured.
+    /// Limits, rights, weight and note.
     #[serde(flatten)]
     pub spec: Spec,
 }
 
 impl Spec {
-    /// May it call this model?
+    /// Returns whether the tenant has the right to call this model.
     pub fn may_call(&self, model: &str) -> bool {
         let matches = |right: &String| match right.strip_suffix('*') {
             Some(prefix) => model.starts_with(prefix),
--- a/crates/tenancy/src/replication.rs
+++ b/crates/tenancy/src/replication.rs
@@ -1,58 +1,60 @@
-//! A snapshot that follows another controller's: what is requested next and when, and what a response means. Entries
-//! are applied in order, each completely or not at all; an entry that does not follow on the snapshot leads to a
-//! request for all of it, never to a guess. Sending the requests is left to the caller.
+//! Replication of the tenant snapshot of another controller: which request is sent next and when, and how a response
+//! changes the replica. Entries are applied in order, each completely or not at all. If an entry does not follow the
+//! replica's revision, the complete snapshot is requested. The caller sends the requests.
 
 use crate::audit::Entry;
 use crate::snapshot::TenantSnapshot;
 use crate::{Millis, Revision};
 
-/// Upper bound of the first wait after a failure, milliseconds; doubled with each further one.
+/// Upper bound of the delay after the first failure, in milliseconds. It doubles with each further failure.
 pub const MIN_BACKOFF: Millis = 100;
-/// Longest wait, milliseconds.
+/// Maximum delay after a failure, in milliseconds.
 pub const MAX_BACKOFF: Millis = 10_000;
 
-/// What is to be requested.
+/// A request to the controller whose snapshot is replicated.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ReplicationRequest {
-    /// The complete snapshot.
+    /// Requests the complete snapshot.
     Snapshot,
-    /// The entries after a revision; the response may wait for one.
+    /// Requests the entries after a revision. The other controller may delay the response until there is one.
     Watch {
-        /// The store: one that was restored is another, and its revisions mean something else.
+        /// Name of the store that the revision belongs to. A store that was created anew has another name, and its
+        /// revisions can't be compared with those of the former one.
         store: String,
-        /// The revision.
+        /// Revision of the replica.
         after: Revision,
     },
 }
 
-/// What came of a request.
+/// The result of a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ReplicationResponse {
     /// The complete snapshot.
     Snapshot {
-        /// The store that it is of.
+        /// Name of the store that the snapshot belongs to.
         store: String,
         /// All tenants.
         snapshot: TenantSnapshot,
     },
-    /// The entries after the requested revision, in order; none: nothing has changed.
+    /// The entries after the requested revision, in order. An empty list means that nothing has changed.
     Entries(Vec<Entry>),
-    /// The other is another store, has deleted what comes after that revision, or has not come so far.
+    /// The other controller cannot send the entries: it has another store, has deleted them already, or is at an
+    /// earlier revision.
     Diverged,
-    /// There was no response, or none that can be read.
+    /// No response was received, or an invalid one.
     Failed,
 }
 
-/// What is to be put in force, in order.
+/// A change of the replica that the caller has to put in force, in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Update {
-    /// One change.
+    /// One tenant changed.
     Changed(Box<Entry>),
-    /// All tenants: those that are not in it are gone.
+    /// All tenants were replaced. Tenants that are not in the snapshot are removed.
     Replaced(TenantSnapshot),
 }
 
-/// Waits after failures in a row: the bound doubles, and half of a wait is random.
+/// Exponential backoff: the bound of the delay doubles with each consecutive failure, and half of a delay is random.
 #[derive(Clone, Debug)]
 pub struct Backoff {
     failures: u32,
@@ -60,24 +62,24 @@
 }
 
 impl Backoff {
-    /// Without a failure. `seed`: for the jitter.
+    /// Creates a backoff without failures. `seed` determines the jitter.
     pub fn new(seed: u64) -> Self {
         Self { failures: 0, random: seed | 1 }
     }
 
-    /// Failures in a row.
+    /// Returns the number of consecutive failures.
     pub fn failures(&self) -> u32 {
         self.failures
     }
 
-    /// Counts one more failure; how long to wait now.
+    /// Counts a failure and returns the delay before the next attempt, in milliseconds.
     pub fn failed(&mut self) -> Millis {
         self.failures = self.failures.saturating_add(1);
         let bound = MIN_BACKOFF.saturating_mul(1 << (self.failures - 1).min(16)).min(MAX_BACKOFF);
         bound / 2 + self.next_random() % (bound / 2 + 1)
     }
 
-    /// Xorshift: followers that lost the same peer retry at different times.
+    /// Xorshift generator. The jitter spreads the retries of followers that lost the same peer.
     fn next_random(&mut self) -> u64 {
         self.random ^= self.random << 13;
         self.random ^= self.random >> 7;
@@ -85,42 +87,43 @@
         self.random
     }
 
-    /// Ends the row of failures.
+    /// Resets the number of consecutive failures.
     pub fn succeeded(&mut self) {
         self.failures = 0;
     }
 }
 
-/// A snapshot that follows another.
+/// A replica of the tenant snapshot of another controller.
 #[derive(Clone, Debug)]
 pub struct Follower {
     snapshot: TenantSnapshot,
     store: String,
-    /// The next request is for the complete snapshot.
+    /// Whether the next request is for the complete snapshot.
     needs_snapshot: bool,
     backoff: Backoff,
     not_before: Millis,
 }
 
 impl Follower {
-    /// Begins with the persisted snapshot of a store, where there is one. `seed`: for the jitter of waits.
+    /// Creates a replica from a persisted snapshot and the name of its store, or an empty one. `seed` determines the
+    /// jitter of the backoff.
     pub fn new(persisted: Option<(String, TenantSnapshot)>, seed: u64) -> Self {
         let needs_snapshot = persisted.is_none();
         let (store, snapshot) = persisted.unwrap_or_default();
         Self { snapshot, store, needs_snapshot, backoff: Backoff::new(seed), not_before: 0 }
     }
 
-    /// The snapshot as far as it has followed.
+    /// Returns the replica with all entries received so far applied.
     pub fn snapshot(&self) -> &TenantSnapshot {
         &self.snapshot
     }
 
-    /// The store that it follows.
+    /// Returns the name of the store that is replicated; empty before the first snapshot.
     pub fn store(&self) -> &str {
         &self.store
     }
 
-    /// The next request, and the time before which it is not to be sent.
+    /// Returns the next request and the earliest time at which to send it.
     pub fn next(&self) -> (ReplicationRequest, Millis) {
         if self.needs_snapshot {
             return (ReplicationRequest::Snapshot, self.not_before);
@@ -130,12 +133,12 @@
         (request, self.not_before)
     }
 
-    /// Failures in a row.
+    /// Returns the number of consecutive failures.
     pub fn failures(&self) -> u32 {
         self.backoff.failures()
     }
 
-    /// Takes in a response; what is to be put in force is appended to `updates`.
+    /// Applies a response to the replica and appends the resulting changes to `updates`.
     pub fn response_received(
         &mut self,
         now: Millis,
@@ -164,14 +167,14 @@
         }
     }
 
-    /// Applies entries up to the first that does not follow on the snapshot.
+    /// Applies entries up to the first that does not follow the replica's revision.
     fn apply(&mut self, entries: Vec<Entry>, updates: &mut Vec<Update>) {
         for entry in entries {
-            // One that was applied before brings nothing new.
+            // A repeated or late response contains entries that were applied before.
             if entry.revision <= self.snapshot.revision() {
                 continue;
             }
-            // Equal snapshots have equal tenants: one that differs was changed by something else.
+            // A tenant that differs from the entry's `before` shows that the replica has diverged.
             let follows = entry.before.as_ref() == self.snapshot.get(&entry.tenant);
             if !follows || self.snapshot.apply(&entry).is_err() {
                 self.needs_snapshot = true;
--- a/crates/tenancy/src/snapshot.rs
+++ b/crates/tenancy/src/snapshot.rs
@@ -1,6 +1,6 @@
-//! All tenants at one revision. A change is evaluated against the snapshot and applied completely, or rejected without
-//! an effect. What it did is one [`Entry`]; entries applied in order to equal snapshots give equal snapshots, which is
-//! how controllers replicate. Storing and sending them is left to the caller.
+//! All tenants at one revision. A change is evaluated against the snapshot and either applied completely or rejected
+//! without effect. An applied change is described by one [`Entry`]. Applying the same entries in order to equal
+//! snapshots yields equal snapshots, which is how controllers replicate. The caller stores and sends the entries.
 
 use std::collections::BTreeMap;
 
@@ -12,47 +12,47 @@
 use crate::validation::{self, FieldError};
 use crate::{Millis, Revision};
 
-/// The program's own name in the audit trail.
+/// The actor of changes that the program itself makes, as it appears in the audit trail.
 pub const PROGRAM_ACTOR: &str = "nettleferry";
 
-/// A requested change.
+/// A change requested by an administrator.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
-    /// Create a tenant.
+    /// Creates a tenant.
     Create {
-        /// The tenant's name.
+        /// Name of the tenant.
         name: String,
-        /// What is configured of it, as JSON.
+        /// A [`Spec`] as JSON.
         spec: Value,
     },
-    /// Change what is configured of a tenant by a merge patch (RFC 7396).
+    /// Changes the [`Spec`] of a tenant by a JSON merge patch (RFC 7396).
     Patch {
-        /// The tenant's name.
+        /// Name of the tenant.
         name: String,
-        /// The patch: a member that is null returns to its default.
+        /// The merge patch. A member that is null resets the field to its default.
         patch: Value,
     },
-    /// Reject new calls.
+    /// Suspends a tenant: its new calls are rejected.
     Suspend {
-        /// The tenant's name.
+        /// Name of the tenant.
         name: String,
     },
-    /// Accept new calls again.
+    /// Resumes a suspended tenant.
     Resume {
-        /// The tenant's name.
+        /// Name of the tenant.
         name: String,
     },
-    /// Reject new calls, end open ones after a grace period, and then remove the tenant.
+    /// Rejects new calls of a tenant, ends its open calls after a grace period, and then removes the tenant.
     Remove {
-        /// The tenant's name.
+        /// Name of the tenant.
         name: String,
-        /// The grace period, milliseconds.
+        /// Length of the grace period in milliseconds.
         grace_ms: Millis,
     },
 }
 
 impl Change {
-    /// The name of the tenant that it is about.
+    /// Returns the name of the tenant that is changed.
     pub fn tenant(&self) -> &str {
         match self {
             Self::Create { name, .. }
@@ -64,61 +64,61 @@
     }
 }
 
-/// Which revision of the tenant a change is for.
+/// A precondition on the revision of the tenant that is changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Condition {
-    /// Any.
+    /// The change applies to any revision.
     Any,
-    /// This one: another change must not have come in between.
+    /// The change applies only if the tenant's last change has this revision.
     AtRevision(Revision),
 }
 
-/// Why a change was rejected. It had no effect.
+/// Why a change was rejected. A rejected change has no effect.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Denied {
-    /// There is no such tenant.
+    /// No tenant of this name exists.
     #[error("there is no tenant {0}")]
     Unknown(String),
-    /// There is one of this name already.
+    /// A tenant of this name exists already.
     #[error("there is a tenant {0} already")]
     Exists(String),
-    /// It was changed in between.
+    /// The tenant is not at the revision that [`Condition::AtRevision`] requires.
     #[error("tenant {name} is at revision {current}, not {expected}")]
     Stale {
-        /// The tenant's name.
+        /// Name of the tenant.
         name: String,
-        /// The tenant's revision.
+        /// Current revision of the tenant.
         current: Revision,
-        /// The one that the change is for.
+        /// Revision that the request requires.
         expected: Revision,
     },
-    /// It is being removed, and can't be changed any more.
+    /// The tenant is being removed and can't be changed any more.
     #[error("tenant {0} is being removed")]
     Removing(String),
-    /// A value is not valid.
+    /// A value of the configuration is invalid.
     #[error("{0}")]
     Invalid(#[from] FieldError),
-    /// There are as many tenants as there may be.
+    /// The maximum number of tenants, [`MAX_TENANTS`], is reached.
     #[error("there are {0} tenants, as many as are kept")]
     Full(usize),
 }
 
-/// The effect of a change.
+/// The outcome of a change that was not rejected.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Applied {
-    /// The tenant after it; `None`: it is gone.
+    /// The tenant after the change; `None` if it was removed.
     pub tenant: Option<Tenant>,
-    /// The entry for the audit trail and the followers; `None`: nothing had to be changed.
+    /// The entry for the audit trail and the followers; `None` if the change made no difference.
     pub entry: Option<Entry>,
 }
 
-/// An entry does not follow on the snapshot.
+/// An entry can't be applied because its revision is not the next one of the snapshot.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("an entry of revision {entry} does not follow on revision {snapshot}")]
 pub struct RevisionGap {
-    /// The snapshot's revision.
+    /// Revision of the snapshot.
     pub snapshot: Revision,
-    /// The entry's revision.
+    /// Revision of the entry.
     pub entry: Revision,
 }
 
@@ -129,46 +129,48 @@
     tenants: BTreeMap<String, Tenant>,
 }
 
-/// Tenants at the most.
+/// Maximum number of tenants, including those that are being removed.
 pub const MAX_TENANTS: usize = 20_000;
 
 impl TenantSnapshot {
-    /// Its checksum: CRC-32 of its JSON, in which tenants are sorted by name.
+    /// Returns the CRC-32 of the snapshot's JSON, in which tenants are sorted by name.
     pub fn checksum(&self) -> u32 {
         crc32fast::hash(&serde_json::to_vec(self).unwrap_or_default())
     }
 
-    /// The snapshot of these tenants, as a store has them.
+    /// Creates the snapshot of these tenants at this revision, as they were read from the tenant store.
     pub fn from_tenants(revision: Revision, tenants: impl IntoIterator<Item = Tenant>) -> Self {
         Self { revision, tenants: tenants.into_iter().map(|t| (t.name.clone(), t)).collect() }
     }
 
-    /// The number of the last change.
+    /// Returns the revision of the last change.
     pub fn revision(&self) -> Revision {
         self.revision
     }
 
-    /// The tenant of this name.
+    /// Returns the tenant of this name.
     pub fn get(&self, name: &str) -> Option<&Tenant> {
         self.tenants.get(name)
     }
 
-    /// All tenants, by name.
+    /// Returns all tenants, sorted by name.
     pub fn tenants(&self) -> impl ExactSizeIterator<Item = &Tenant> {
         self.tenants.values()
     }
 
-    /// At most `most` tenants whose names come after `after`.
-    pub fn page(&self, after: &str, most: usize) -> Vec<&Tenant> {
+    /// Returns up to `limit` tenants, sorted by name, whose names sort after `after`. An empty `after` starts at the
+    /// first tenant.
+    pub fn page(&self, after: &str, limit: usize) -> Vec<&Tenant> {
         use std::ops::Bound::{Excluded, Unbounded};
         let range = (if after.is_empty() { Unbounded } else { Excluded(after) }, Unbounded);
-        self.tenants.range::<str, _>(range).map(|(_, t)| t).take(most).collect()
+        self.tenants.range::<str, _>(range).map(|(_, t)| t).take(limit).collect()
     }
 
-    /// What a change would do; the snapshot stays as it is. `actor`: who requests it.
+    /// Determines the effect of a change without changing the snapshot. `actor` is the name of the API key that
+    /// requests the change. The caller persists the returned entry and then passes it to [`TenantSnapshot::apply`].
     ///
     /// # Errors
-    /// Why the change is rejected.
+    /// Returns the reason if the change is rejected.
     pub fn evaluate(
         &self,
         change: &Change,
@@ -189,7 +191,7 @@
         let mut after = before.clone();
         let action = match change {
             Change::Create { .. } => Action::Create,
-            // A second removal requests what is under way already.
+            // A repeated removal makes no difference: the first one's grace period stays.
             Change::Remove { .. } if before.state == State::Removing => Action::Remove,
             _ if before.state == State::Removing => return Err(Denied::Removing(name.to_owned())),
             Change::Patch { patch, .. } => {
@@ -255,24 +257,24 @@
         Applied { tenant, entry: Some(entry) }
     }
 
-    /// The entry that removes the next tenant whose grace period is over, to be applied by the caller. The clock may
-    /// step: a grace period never ends before the clock has read its end.
+    /// Returns the entry that removes a tenant whose grace period has ended, to be applied by the caller; `None` if
+    /// there is none. If the wall clock steps, a grace period still ends only once the clock reads its end or later.
     pub fn due_removal(&self, now: Millis) -> Option<Entry> {
         let over = |t: &&Tenant| t.gone_at_ms.is_some_and(|at| at <= now);
         let tenant = self.tenants.values().find(over)?.clone();
         self.entry(Action::Gone, PROGRAM_ACTOR, now, Some(tenant), None).entry
     }
 
-    /// When the next grace period is over; `None`: no tenant is being removed.
+    /// Returns the time at which the next grace period ends; `None` if no tenant is being removed.
     pub fn next_removal(&self) -> Option<Millis> {
         self.tenants.values().filter_map(|t| t.gone_at_ms).min()
     }
 
-    /// Applies an entry: the one of [`TenantSnapshot::evaluate`] or [`TenantSnapshot::due_removal`], or the next one of
-    /// a snapshot that is followed.
+    /// Applies an entry that [`TenantSnapshot::evaluate`] or [`TenantSnapshot::due_removal`] returned, or the next
+    /// entry of a replicated snapshot.
     ///
     /// # Errors
-    /// Where its revision is not the next one; nothing is changed then.
+    /// Returns an error and changes nothing if the entry's revision is not the next one.
     pub fn apply(&mut self, entry: &Entry) -> Result<(), RevisionGap> {
         if entry.revision != self.revision + 1 {
             return Err(RevisionGap { snapshot: self.revision, entry: entry.revision });
@@ -286,7 +288,7 @@
     }
 }
 
-/// What is configured of a tenant, with a merge patch applied.
+/// Applies a merge patch to the configuration of a tenant and validates the result.
 fn patched(spec: &Spec, patch: &Value) -> Result<Spec, Denied> {
     if !patch.is_object() {
         return Err(FieldError::new("the body", "a merge patch is a JSON object").into());
--- a/crates/tenancy/src/validation.rs
+++ b/crates/tenancy/src/validation.rs
@@ -1,45 +1,45 @@
-//! Which values are valid. Each error names its field, so that the response to a bad request says what to correct.
+//! Validation of configured values. Each error names its field, so that an API client learns what to correct.
 
 use serde_json::Value;
 
 use crate::model::Spec;
 
-/// Most characters of a tenant's name.
+/// Maximum length of a tenant's name in characters.
 pub const MAX_NAME_LENGTH: usize = 63;
-/// Most classes with limits of their own.
+/// Maximum number of classes for which a tenant has limits.
 pub const MAX_CLASSES: usize = 64;
-/// Most models that a tenant's rights may name.
+/// Maximum number of names and prefixes in a tenant's list of models.
 pub const MAX_MODELS: usize = 10_000;
-/// Most characters of a model's name.
+/// Maximum length of a model's name or prefix in bytes.
 pub const MAX_MODEL_LENGTH: usize = 256;
-/// Most characters of a note.
+/// Maximum length of a note in characters.
 pub const MAX_NOTE_LENGTH: usize = 1_000;
-/// Highest rate that can be configured, calls a second.
+/// Maximum rate in calls per second.
 pub const MAX_RATE: f64 = 1e7;
-/// Highest weight; the lowest is its inverse.
+/// Maximum weight. The minimum is its reciprocal.
 pub const MAX_WEIGHT: f64 = 1_000.0;
 
-/// An invalid value.
+/// A field with an invalid value.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{field}: {message}")]
 pub struct FieldError {
-    /// The path of the field: names and indexes from the outermost on, with dots between.
+    /// Path of the field from the outermost object, such as `limits.burst` or `models[2]`.
     pub field: String,
-    /// What is wrong, and what would be valid.
+    /// What is wrong with the value, or which values are valid.
     pub message: String,
 }
 
 impl FieldError {
-    /// An error about a field.
+    /// Creates an error for the field at this path.
     pub fn new(field: impl Into<String>, message: impl Into<String>) -> Self {
         Self { field: field.into(), message: message.into() }
     }
 }
 
-/// Checks a tenant's name: a letter or digit, then letters, digits, `-`, `_` and `.`.
+/// Validates the name of a tenant: an ASCII letter or digit, followed by ASCII letters, digits, `-`, `_` and `.`.
 ///
 /// # Errors
-/// Where it is no such name, or longer than [`MAX_NAME_LENGTH`].
+/// Returns an error if the name has another form or is longer than [`MAX_NAME_LENGTH`].
 pub fn name(name: &str) -> Result<(), FieldError> {
     let valid = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
     let valid_first = name.starts_with(|c: char| c.is_ascii_alphanumeric());
@@ -50,10 +50,10 @@
     Err(FieldError::new("name", what))
 }
 
-/// Reads what an administrator configures of a tenant.
+/// Deserializes and validates the configuration of a tenant.
 ///
 /// # Errors
-/// For an unknown field, a wrong type or a value out of bounds.
+/// Returns an error for an unknown field, a wrong type or a value out of bounds.
 pub fn spec(value: Value) -> Result<Spec, FieldError> {
     let spec: Spec = serde_path_to_error::deserialize(value).map_err(|error| {
         let path = error.path().to_string();
--- a/crates/tenancy/tests/golden.rs
+++ b/crates/tenancy/tests/golden.rs
@@ -1,4 +1,4 @@
-//! Tenants and entries of the audit trail as earlier versions store and send them.
+//! The JSON of tenants and audit entries is the same as that of earlier versions, which store and exchange it.
 
 use nettleferry_tenancy::{Entry, Tenant};
 
--- a/crates/tenancy/tests/replication.rs
+++ b/crates/tenancy/tests/replication.rs
@@ -1,4 +1,4 @@
-//! Followers whose responses are lost or late, or whose peer restarts with another store.
+//! Replication with lost, late and repeated responses, and with a peer that restarts with another store.
 
 use nettleferry_tenancy::replication::{
     Follower, MAX_BACKOFF, ReplicationRequest, ReplicationResponse, Update,
@@ -7,7 +7,7 @@
 use proptest::prelude::*;
 use serde_json::json;
 
-/// A peer with its audit trail.
+/// The controller that is replicated, with its audit trail.
 #[derive(Default)]
 struct Peer {
     store: &'static str,
@@ -27,16 +27,16 @@
         if let Ok(applied) = self.snapshot.evaluate(&change, Condition::Any, "p", n)
             && let Some(entry) = applied.entry
         {
-            self.snapshot.apply(&entry).expect("the next");
+            self.snapshot.apply(&entry).expect("the entry is the next");
             self.audit_trail.push(entry);
         }
         while let Some(entry) = self.snapshot.due_removal(n) {
-            self.snapshot.apply(&entry).expect("the next");
+            self.snapshot.apply(&entry).expect("the entry is the next");
             self.audit_trail.push(entry);
         }
     }
 
-    fn answer(&self, request: ReplicationRequest, most: usize) -> ReplicationResponse {
+    fn response(&self, request: ReplicationRequest, limit: usize) -> ReplicationResponse {
         match request {
             ReplicationRequest::Snapshot => ReplicationResponse::Snapshot {
                 store: self.store.to_owned(),
@@ -47,18 +47,18 @@
                 ReplicationResponse::Diverged
             }
             ReplicationRequest::Watch { after, .. } => ReplicationResponse::Entries(
-                self.audit_trail.iter().filter(|e| e.revision > after).take(most).cloned().collect(),
+                self.audit_trail.iter().filter(|e| e.revision > after).take(limit).cloned().collect(),
             ),
         }
     }
 }
 
-/// Applies updates to what is in force.
-fn apply(force: &mut TenantSnapshot, updates: &mut Vec<Update>) {
-    for one in updates.drain(..) {
-        match one {
-            Update::Changed(entry) => force.apply(&entry).expect("in order, none left out"),
-            Update::Replaced(snapshot) => *force = snapshot,
+/// Applies the follower's updates to the snapshot that is in force.
+fn apply(in_force: &mut TenantSnapshot, updates: &mut Vec<Update>) {
+    for update in updates.drain(..) {
+        match update {
+            Update::Changed(entry) => in_force.apply(&entry).expect("in order, none left out"),
+            Update::Replaced(snapshot) => *in_force = snapshot,
         }
     }
 }
@@ -68,11 +68,11 @@
     let mut peer = Peer::default();
     (0..30).for_each(|n| peer.change(n));
     let mut follower = Follower::new(None, 7);
-    let (mut updates, mut force) = (Vec::new(), TenantSnapshot::default());
+    let (mut updates, mut in_force) = (Vec::new(), TenantSnapshot::default());
     assert_eq!(follower.next(), (ReplicationRequest::Snapshot, 0));
-    follower.response_received(0, peer.answer(ReplicationRequest::Snapshot, 9), &mut updates);
-    apply(&mut force, &mut updates);
-    assert_eq!(force, peer.snapshot);
+    follower.response_received(0, peer.response(ReplicationRequest::Snapshot, 9), &mut updates);
+    apply(&mut in_force, &mut updates);
+    assert_eq!(in_force, peer.snapshot);
     let mut waits = Vec::new();
     for _ in 0..12 {
         follower.response_received(1_000, ReplicationResponse::Failed, &mut updates);
@@ -82,49 +82,49 @@
         waits[0] <= 100 && waits.iter().all(|w| *w <= MAX_BACKOFF) && waits[11] >= MAX_BACKOFF / 2,
         "{waits:?}"
     );
-    // Its store was restored to an earlier revision, and changed since: another truth under the same numbers.
+    // The peer has another store, whose changes have the same revision numbers as those that were replicated.
     let mut other = Peer { store: "restored", ..Peer::default() };
     (0..20).for_each(|n| other.change(n * 3));
     let (request, _) = follower.next();
-    follower.response_received(2_000, other.answer(request, 9), &mut updates);
+    follower.response_received(2_000, other.response(request, 9), &mut updates);
     for _ in 0..3 {
         let (request, _) = follower.next();
-        follower.response_received(3_000, other.answer(request, 9), &mut updates);
+        follower.response_received(3_000, other.response(request, 9), &mut updates);
     }
-    apply(&mut force, &mut updates);
-    assert_eq!(force, other.snapshot);
+    apply(&mut in_force, &mut updates);
+    assert_eq!(in_force, other.snapshot);
 }
 
 proptest! {
     #[test]
-    fn follower_ends_with_its_peers_snapshot_whatever_is_lost(
-        steps in prop::collection::vec((0u8..6, 0u64..200, 1usize..4), 1..200), kept in any::<bool>(),
+    fn follower_converges_to_the_snapshot_of_its_peer(
+        steps in prop::collection::vec((0u8..6, 0u64..200, 1usize..4), 1..200), persisted in any::<bool>(),
     ) {
         let mut peer = Peer::default();
         peer.change(0);
-        let mut follower = Follower::new(kept.then(|| (String::new(), peer.snapshot.clone())), 3);
-        let mut force = follower.snapshot().clone();
+        let mut follower = Follower::new(persisted.then(|| (String::new(), peer.snapshot.clone())), 3);
+        let mut in_force = follower.snapshot().clone();
         let mut updates = Vec::new();
-        for (what, n, most) in steps {
+        for (step, n, limit) in steps {
             let (request, _) = follower.next();
-            match what {
+            match step {
                 0 | 1 => peer.change(n),
                 2 => follower.response_received(n, ReplicationResponse::Failed, &mut updates),
                 3 => {
-                    // An answer to an earlier question comes again.
-                    follower.response_received(n, peer.answer(ReplicationRequest::Watch { store: String::new(), after: 0 }, most), &mut updates);
+                    // The response to an earlier request is received again.
+                    follower.response_received(n, peer.response(ReplicationRequest::Watch { store: String::new(), after: 0 }, limit), &mut updates);
                 }
-                _ => follower.response_received(n, peer.answer(request, most), &mut updates),
+                _ => follower.response_received(n, peer.response(request, limit), &mut updates),
             }
-            apply(&mut force, &mut updates);
-            prop_assert_eq!(&force, follower.snapshot());
-            prop_assert!(force.revision() <= peer.snapshot.revision());
+            apply(&mut in_force, &mut updates);
+            prop_assert_eq!(&in_force, follower.snapshot());
+            prop_assert!(in_force.revision() <= peer.snapshot.revision());
         }
         for _ in 0..400 {
             let (request, _) = follower.next();
-            follower.response_received(0, peer.answer(request, 2), &mut updates);
+            follower.response_received(0, peer.response(request, 2), &mut updates);
         }
-        apply(&mut force, &mut updates);
-        prop_assert_eq!(&force, &peer.snapshot);
+        apply(&mut in_force, &mut updates);
+        prop_assert_eq!(&in_force, &peer.snapshot);
     }
 }
