--- a/crates/fleet/src/authority.rs
+++ b/crates/fleet/src/authority.rs
@@ -1,34 +1,35 @@
-//! The leader after a loss: may it serve its snapshot and accept changes, or do its followers have a newer one?
+//! Decides whether the leader may serve its snapshot and accept changes, or whether a follower has a newer snapshot.
 //!
-//! It accepts no change and serves no snapshot while its own is damaged, missing or behind. It installs a follower's
-//! snapshot by itself only when every expected controller has answered which one it has, so that no acknowledged
-//! change is given up that any disk still holds; else an operator decides. Followers continue to serve meanwhile.
+//! While the leader's own snapshot is damaged, missing or behind, the leader neither serves it nor accepts changes. It
+//! installs the snapshot of a follower without an operator only after every expected controller has answered which
+//! snapshot it has. Otherwise an acknowledged change that some disk still has could be lost. In all other cases an
+//! operator decides. Followers continue to serve their own snapshots meanwhile.
 //!
-//! Once a controller has reported a snapshot that is ahead, only a decision ends the wait: the snapshot is installed, or
-//! an operator has decided. Later reports do not take it back, whosoever they are: they may be late, of an incarnation
-//! that has died, or of a controller that has lost its disk, and what was acknowledged is not undone by them.
+//! Once a controller has reported a snapshot that is ahead of the leader's, the leader waits until a snapshot is
+//! installed or an operator decides. A later report does not end the wait: it may be delayed, or come from an
+//! incarnation that has ended or a controller that has lost its disk, and must not undo an acknowledged change.
 //!
-//! Fetching, storing and serving snapshots is left to the caller.
+//! The caller fetches, stores and serves the snapshots.
 
 use std::collections::BTreeMap;
 
 use crate::Millis;
 use crate::snapshot_version::{SnapshotVersion, VersionOrder};
 
-/// Controllers whose report is remembered; beyond them the oldest report is forgotten.
+/// Maximum number of controllers whose last report is stored. Beyond it the oldest report is evicted.
 pub const MAX_REPORTS: usize = 1_024;
 
-/// What the leader may do.
+/// Whether the leader serves its snapshot and accepts changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Duty {
-    /// Accept changes and serve its snapshot.
+    /// The leader serves its snapshot and accepts changes.
     Serving,
-    /// Neither, until it has caught up or an operator has decided.
+    /// The leader does neither until a snapshot is installed or an operator decides.
     Waiting(Cause),
 }
 
 impl Duty {
-    /// Its name in logs: `serving`, or why it waits.
+    /// Returns the name used in logs: `serving`, or the name of the cause.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Serving => "serving",
@@ -37,21 +38,21 @@
     }
 }
 
-/// Why the leader waits.
+/// Why the leader neither serves its snapshot nor accepts changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Cause {
-    /// Its own snapshot can't be read.
+    /// The leader's snapshot can't be read.
     Damaged,
-    /// Its own snapshot has no changes: the store is new, or its disk was lost.
+    /// The leader's snapshot has no changes: the store is new, or its disk was lost.
     Empty,
     /// A follower has a newer snapshot.
     Behind,
-    /// There are different snapshots of one revision, or of different stores.
+    /// The known snapshots include different ones of the same epoch and revision, or of different stores.
     Disagreed,
 }
 
 impl Cause {
-    /// Its name in logs, metrics and the API.
+    /// Returns the name used in logs, metrics and the API.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Damaged => "damaged",
@@ -62,62 +63,65 @@
     }
 }
 
-/// What is to be done after a controller has reported.
+/// The action that the caller has to take after a report.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Nothing.
+    /// No action.
     None,
-    /// Fetch this snapshot from this controller, and install it.
+    /// Fetch this snapshot from the controller of this number, and install it.
     Install(u32, SnapshotVersion),
 }
 
-/// What a controller reported last.
+/// The last report of a controller.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Report {
     version: Option<SnapshotVersion>,
     received_at: Millis,
 }
 
-/// A controller, and the snapshot that it reported last.
+/// The last report of a controller about its snapshot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReportedSnapshot<'a> {
-    /// The controller's number.
+    /// Number of the controller.
     pub controller: u32,
-    /// Its snapshot; `None`: it has none.
+    /// Version of its snapshot; `None` if it has no snapshot.
     pub version: Option<&'a SnapshotVersion>,
-    /// When it reported.
+    /// Time at which the report was received.
     pub received_at: Millis,
 }
 
-/// The store and epoch under which a snapshot supersedes all that are known.
+/// A store name and an epoch under which a snapshot supersedes all known snapshots.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SupersedingOrigin {
-    /// The store that the known snapshots are of: controllers install no other store's snapshot.
+    /// Name of the store of the known snapshots. Controllers reject snapshots of other stores.
     pub store: String,
-    /// The least epoch above all of theirs.
+    /// Lowest epoch above those of all known snapshots.
     pub epoch: u64,
 }
 
-/// The leader's own snapshot, what the others reported, and what follows.
+/// Compares the leader's snapshot with the reports of the other controllers and decides whether it may be served.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Authority {
     own: Option<SnapshotVersion>,
     duty: Duty,
     /// Other controllers that must have reported before a snapshot is installed without an operator.
     expected: usize,
-    /// What each controller reported last, asked or not.
+    /// The last report of each controller, solicited or not.
     reports: BTreeMap<u32, Report>,
-    /// What each controller answered last when the leader asked it: what it has, and not what it had.
+    /// The last answer of each controller to a query by the leader. Unlike a heartbeat, it shows what the controller
+    /// has now.
     answers: BTreeMap<u32, Option<SnapshotVersion>>,
-    /// The newest snapshot that was reported since the last decision, by whichever controller, whatever it reported
-    /// since.
+    /// The newest snapshot that any controller has reported since the last decision. A later report of an older
+    /// snapshot does not change it.
     newest_reported: Option<SnapshotVersion>,
+    /// When `duty` last changed.
     since: Millis,
 }
 
 impl Authority {
-    /// At the start of the leader. `own`: its snapshot, where that is intact. `expected`: other controllers that must
-    /// have reported before a snapshot is installed without an operator.
+    /// Creates the state at the start of the leader. `own` is the version of its snapshot, `None` if that is damaged.
+    /// `expected` is the number of other controllers that must have answered before a snapshot is installed without an
+    /// operator.
     pub fn new(now: Millis, own: Option<SnapshotVersion>, expected: usize) -> Self {
         let duty = match &own {
             None => Duty::Waiting(Cause::Damaged),
@@ -128,17 +132,17 @@
         Self { own, duty, expected, reports, answers, newest_reported: None, since: now }
     }
 
-    /// What the leader may do, and since when.
+    /// Returns the current duty and the time at which it began.
     pub fn duty(&self) -> (Duty, Millis) {
         (self.duty, self.since)
     }
 
-    /// Its own snapshot; `None`: it is damaged.
+    /// Returns the version of the leader's snapshot; `None` if that is damaged.
     pub fn own(&self) -> Option<&SnapshotVersion> {
         self.own.as_ref()
     }
 
-    /// What the other controllers reported, by controller.
+    /// Returns the last reports of the other controllers, sorted by controller.
     pub fn reports(&self) -> impl Iterator<Item = ReportedSnapshot<'_>> {
         self.reports.iter().map(|(controller, report)| ReportedSnapshot {
             controller: *controller,
@@ -147,18 +151,19 @@
         })
     }
 
-    /// How many others have answered which snapshot they have, since the start or the last decision.
+    /// Returns the number of other controllers that have answered a query since the start or the last decision.
     pub fn answered(&self) -> usize {
         self.answers.len()
     }
 
-    /// How many others must have answered before a snapshot is installed without an operator.
+    /// Returns the number of other controllers that must have answered before a snapshot is installed without an
+    /// operator.
     pub fn expected(&self) -> usize {
         self.expected
     }
 
-    /// Its own snapshot has changed: by an accepted change, or as another was installed. `decided`: an operator or the
-    /// reports of all have decided for it, so that it is served from now on.
+    /// Records a new version of the leader's snapshot, after an accepted change or an installation. `decided` means
+    /// that an operator or the answers of all expected controllers chose this snapshot: it is served from now on.
     pub fn set_own(&mut self, now: Millis, own: SnapshotVersion, decided: bool) {
         self.own = Some(own);
         if decided {
@@ -174,7 +179,7 @@
         }
     }
 
-    /// A controller was asked, and has reported which snapshot it has, or that it has none.
+    /// Records the answer of a controller to a query by the leader. `version` is `None` if it has no snapshot.
     pub fn report_received(
         &mut self,
         now: Millis,
@@ -187,34 +192,35 @@
         self.record(now, controller, version)
     }
 
-    /// A controller has reported by itself which snapshot it has. Such a report may be late, and of an incarnation that
-    /// is not there any more: it shows that a snapshot exists, and never that there is no newer one.
+    /// Records the snapshot version in a heartbeat, which the leader did not solicit. It may be delayed and come from
+    /// an incarnation that has ended. It shows that a snapshot existed, but not that there is no newer one.
     pub fn heartbeat_received(&mut self, now: Millis, controller: u32, version: SnapshotVersion) -> Step {
         if self.is_foreign(&version) {
-            // Its controller follows another leader, or this one's store began anew: that is shown, and decides nothing.
-            self.make_room(controller);
+            // The controller follows another leader, or this leader's store was created anew. The report is stored for
+            // operators and has no effect on the duty.
+            self.ensure_capacity(controller);
             self.reports.insert(controller, Report { version: Some(version), received_at: now });
             return Step::None;
         }
         self.record(now, controller, Some(version))
     }
 
-    /// Is it of another store than the leader's own, where that has changes?
+    /// Returns whether the snapshot belongs to another store than the leader's, given that the leader's has changes.
     pub fn is_foreign(&self, version: &SnapshotVersion) -> bool {
         let own = self.own.as_ref().filter(|own| own.revision > 0);
         own.is_some_and(|own| version.compare(own) == VersionOrder::Foreign)
     }
 
     fn record(&mut self, now: Millis, controller: u32, version: Option<SnapshotVersion>) -> Step {
-        self.make_room(controller);
+        self.ensure_capacity(controller);
         let order = version.as_ref().zip(self.own.as_ref()).map(|(reported, own)| reported.compare(own));
         self.remember_newest(version.as_ref());
         self.reports.insert(controller, Report { version, received_at: now });
         if self.duty == Duty::Serving {
             match order {
                 Some(VersionOrder::Ahead) => self.transition(now, Duty::Waiting(Cause::Behind)),
-                // One of the two is broken, and which one is not for this program to guess. A controller with
-                // another store's snapshot follows another leader: its snapshot is not this fleet's.
+                // One of the two snapshots is broken, and the program can't tell which. A snapshot of another store
+                // has no effect: its controller follows another leader.
                 Some(VersionOrder::Forked) => self.transition(now, Duty::Waiting(Cause::Disagreed)),
                 _ => return Step::None,
             }
@@ -222,8 +228,9 @@
         self.choose(now)
     }
 
-    /// A late report of an incarnation that a later one of the same controller has superseded: it does not replace the
-    /// later one's, but that a snapshot is ahead counts whoever has it.
+    /// Records a delayed report of an incarnation that a later one of the same controller has superseded. It does not
+    /// replace the report of the later incarnation. If its snapshot is ahead of the leader's, the leader waits all the
+    /// same.
     pub fn superseded_report_received(&mut self, now: Millis, version: &SnapshotVersion) {
         self.remember_newest(Some(version));
         let order = self.own.as_ref().map(|own| version.compare(own));
@@ -232,7 +239,7 @@
         }
     }
 
-    /// Another store's snapshot is not this fleet's, where this one has changes.
+    /// Updates `newest_reported`. Snapshots of another store than the leader's are ignored.
     fn remember_newest(&mut self, version: Option<&SnapshotVersion>) {
         let Some(version) = version else { return };
         let is_newer =
@@ -242,16 +249,16 @@
         }
     }
 
-    /// Whether a snapshot was reported that is newer than this one, the newest of those that are known to be there.
+    /// Returns whether a controller has reported a snapshot newer than `newest`, the newest of the current reports.
     fn is_superseded(&self, newest: &SnapshotVersion) -> bool {
         self.newest_reported.as_ref().is_some_and(|reported| reported.compare(newest) == VersionOrder::Ahead)
     }
 
-    fn make_room(&mut self, controller: u32) {
+    fn ensure_capacity(&mut self, controller: u32) {
         if self.reports.len() < MAX_REPORTS || self.reports.contains_key(&controller) {
             return;
         }
-        // Whoever has the newest is forgotten last: it is the one to fetch it from.
+        // The controller with the newest snapshot is evicted last, because the snapshot is fetched from it.
         let has_newest = |report: &Report| report.version.is_some() && report.version == self.newest_reported;
         let oldest = self.reports.iter().min_by_key(|(_, report)| (has_newest(report), report.received_at));
         if let Some(oldest) = oldest.map(|(controller, _)| *controller) {
@@ -263,14 +270,15 @@
         self.reports.values().filter_map(|report| report.version.as_ref())
     }
 
-    /// Chooses the newest snapshot of all, where all agree on what it is and all that are expected have answered.
+    /// Chooses the newest of all known snapshots, if there is no conflict between them and all expected controllers
+    /// have answered.
     fn choose(&mut self, now: Millis) -> Step {
-        // A snapshot without changes is nobody's newest.
+        // A snapshot without changes is never chosen.
         let own = self.own.as_ref().filter(|own| own.revision > 0);
         let newest = self.reported_versions().chain(own).max().cloned();
         let all_answered = self.answers.len() >= self.expected.max(1);
         let Some(newest) = newest else {
-            // Nobody has any: this is a new installation, where its own snapshot is intact.
+            // No controller has a snapshot with changes. If the leader's is intact, this is a new installation.
             if all_answered && self.own.is_some() && self.newest_reported.is_none() {
                 self.transition(now, Duty::Serving);
             }
@@ -285,7 +293,7 @@
         }
         let is_superseded = self.is_superseded(&newest);
         if !is_superseded && own.is_some_and(|own| own.compare(&newest) == VersionOrder::Same) {
-            // Whoever had another of this revision has reported this one since.
+            // A controller that had a conflicting snapshot has reported this one since.
             self.transition(now, Duty::Serving);
             return Step::None;
         }
@@ -293,7 +301,7 @@
             let cause = if own.is_some() { Cause::Behind } else { Cause::Damaged };
             self.transition(now, Duty::Waiting(cause));
         }
-        // What was ahead is on no disk that is known: what to do without it is an operator's decision.
+        // If no known disk has the newest reported snapshot any more, an operator has to decide.
         if is_superseded || !all_answered {
             return Step::None;
         }
@@ -301,8 +309,8 @@
         holder.map_or(Step::None, |(controller, _)| Step::Install(*controller, newest.clone()))
     }
 
-    /// The store and epoch under which a chosen snapshot is installed by all that have another; `None`: no snapshot
-    /// is known.
+    /// Returns a store name and an epoch under which all controllers install the snapshot that an operator chooses;
+    /// `None` if no snapshot is known.
     pub fn superseding_origin(&self) -> Option<SupersedingOrigin> {
         let known = self.reported_versions().chain(self.own.as_ref()).chain(self.newest_reported.as_ref());
         let epoch = known.map(|version| version.epoch).max()?;
--- a/crates/fleet/src/bootstrap.rs
+++ b/crates/fleet/src/bootstrap.rs
@@ -1,8 +1,8 @@
-//! A follower without a snapshot: which peers it asks for one, when, and which it installs.
+//! Bootstrap of a follower without a snapshot: which peers it asks, when, and whose snapshot it installs.
 //!
-//! A peer answers at once with the snapshot that it has in force, or that it has none, and never waits for what it is
-//! waiting for itself. So there is no circular wait, and a follower whose peers don't answer serves what it has.
-//! Sending the requests is left to the caller.
+//! A peer responds at once with the snapshot that it has in force, or that it has none. It never delays the response
+//! until it has received a snapshot itself, so peers that bootstrap at the same time do not deadlock. A follower whose
+//! peers do not respond continues with what it has. The caller sends the requests.
 
 use rand::seq::index;
 use rand::{RngExt, SeedableRng};
@@ -11,19 +11,19 @@
 use crate::Millis;
 use crate::snapshot_version::{SnapshotVersion, VersionOrder};
 
-/// Peers that are asked in one round, at the most.
+/// Maximum number of peers asked in one round.
 pub const MAX_PEERS_PER_ROUND: usize = 3;
-/// The leader has this long to answer before peers are asked, milliseconds.
+/// How long the leader has to respond before peers are asked, in milliseconds.
 pub const LEADER_HEAD_START: Millis = 500;
-/// Wait between the first two rounds, milliseconds; doubled with each round.
+/// Upper bound of the delay between the first two rounds, in milliseconds. It doubles with each round.
 pub const MIN_ROUND_INTERVAL: Millis = 500;
-/// Longest wait between two rounds, milliseconds.
+/// Upper bound of the delay between any two rounds, in milliseconds.
 pub const MAX_ROUND_INTERVAL: Millis = 10_000;
 
-/// Is an offered snapshot to replace the current one? `Ok(false)`: it is the same.
+/// Returns whether an offered snapshot is to replace the current one. `Ok(false)` means that they are the same.
 ///
 /// # Errors
-/// How it compares, where it is behind, forked or of another store: it is not to be installed.
+/// Returns how the offered snapshot compares if it must not be installed: it is behind, forked or of another store.
 pub fn should_replace(
     current: Option<&SnapshotVersion>,
     offered: &SnapshotVersion,
@@ -36,55 +36,56 @@
     }
 }
 
-/// A snapshot that a peer offered in this round.
+/// A snapshot that a peer offered in the current round.
 #[derive(Clone, Debug)]
 struct Offer {
     peer: usize,
     version: SnapshotVersion,
 }
 
-/// A follower without a snapshot, among its peers.
+/// The rounds of requests by which a follower without a snapshot looks for one.
 #[derive(Clone, Debug)]
 pub struct Bootstrap {
     peers: usize,
-    /// Peers of this round that are still to be asked.
+    /// Peers of the current round that are still to be asked.
     remaining: Vec<usize>,
-    /// A round is under way.
+    /// Whether a round is in progress.
     in_round: bool,
-    /// The newest snapshot that was offered in this round.
+    /// The newest snapshot offered in the current round.
     newest: Option<Offer>,
-    /// Two snapshots of one revision that differ were offered in this round: neither is chosen.
+    /// Whether conflicting snapshots were offered in the current round, so that none is chosen.
     forked: bool,
     started_at: Option<Millis>,
+    /// Earliest time of the next round.
     not_before: Millis,
     interval: Millis,
     random: ChaCha8Rng,
 }
 
-/// What a peer answered.
+/// The response of a peer to a request for its snapshot.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PeerResponse {
-    /// It has this snapshot.
+    /// The peer has a snapshot of this version.
     Snapshot(SnapshotVersion),
-    /// It has none, or did not answer.
+    /// The peer has no snapshot, or did not respond.
     NoSnapshot,
 }
 
-/// What is to be done next.
+/// The next action of the caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Nothing before this time.
+    /// Do nothing before this time.
     Wait(Millis),
-    /// Ask this peer for its snapshot.
+    /// Ask the peer of this index for its snapshot.
     Request(usize),
-    /// Install the snapshot that this peer offered in this round.
+    /// Install the snapshot that the peer of this index offered in the round that has ended.
     Install(usize),
-    /// Peers disagree about one revision: none of their snapshots is installed. Reported once a round.
+    /// Install nothing: peers offered conflicting snapshots in the round that has ended.
     Forked,
 }
 
 impl Bootstrap {
-    /// Among so many peers. `seed`: for the choice of peers and the jitter of waits.
+    /// Creates a bootstrap among `peers` peers. `seed` determines the choice of peers and the jitter of the delays.
     pub fn new(peers: usize, seed: u64) -> Self {
         Self {
             peers,
@@ -99,7 +100,7 @@
         }
     }
 
-    /// What is next, while there is no snapshot and no response of the leader.
+    /// Returns the next action. To be called while the follower has neither a snapshot nor a response of the leader.
     pub fn next(&mut self, now: Millis) -> Step {
         let started_at = *self.started_at.get_or_insert(now);
         let from = self.not_before.max(started_at + LEADER_HEAD_START);
@@ -118,12 +119,13 @@
     fn begin_round(&mut self) {
         self.in_round = true;
         (self.newest, self.forked) = (None, false);
-        // Controllers that lost power together ask different peers.
+        // The choice is random so that controllers that lost power together ask different peers.
         let count = self.peers.min(MAX_PEERS_PER_ROUND);
         self.remaining = index::sample(&mut self.random, self.peers, count).into_vec();
     }
 
-    /// Schedules the next round, apart from those of other controllers, and says what came of this one.
+    /// Ends the round and schedules the next one, with jitter that spreads the rounds of different controllers. Returns
+    /// the result of the round.
     fn end_round(&mut self, now: Millis) -> Step {
         self.in_round = false;
         self.not_before = now + self.random.random_range(self.interval / 2..=self.interval);
@@ -135,7 +137,7 @@
         }
     }
 
-    /// A peer has answered, or did not.
+    /// Records the response of a peer that [`Step::Request`] named.
     pub fn peer_responded(&mut self, peer: usize, response: PeerResponse) {
         let PeerResponse::Snapshot(version) = response else { return };
         match self.newest.as_ref().map(|newest| version.compare(&newest.version)) {
--- a/crates/fleet/src/follower_requests.rs
+++ b/crates/fleet/src/follower_requests.rs
@@ -1,5 +1,5 @@
-//! A follower's requests to its leader: what it reports with each, how long a watch may wait there for a change, and
-//! how long its response may take. Sending them is left to the caller.
+//! The requests of a follower to its leader: what each reports, how long the leader may delay the response to a watch
+//! until there is a change, and the timeouts. The caller sends the requests.
 
 use std::fmt;
 use std::time::Duration;
@@ -7,45 +7,46 @@
 use crate::lease::HEARTBEATS_PER_SPAN;
 use crate::snapshot_version::SnapshotVersion;
 
-/// How long a watch may wait for a change where no leases are granted.
+/// How long a watch waits for a change if no leases are granted.
 pub const WAIT_WITHOUT_LEASES: Duration = Duration::from_secs(20);
-/// How long the response to such a watch may take.
+/// Timeout of a watch if no leases are granted.
 const TIMEOUT_WITHOUT_LEASES: Duration = Duration::from_secs(30);
-/// Where leases are granted, a watch waits for a part of a span, and its response may take as long again, but not
-/// less than this: a dead link is found well within a lease.
+/// Minimum timeout of a watch if leases are granted. The timeout is otherwise twice the wait, so that a dead link is
+/// detected well before a lease expires.
 const MIN_WATCH_TIMEOUT: Duration = Duration::from_millis(250);
-/// Wait of a watch while what was received is not yet in force and persisted.
+/// How long a watch waits while changes that were received are not yet in force and persisted.
 const WAIT_WHILE_BEHIND: Duration = Duration::from_millis(50);
-/// How long the response with a snapshot may take: a leader sends it at once or not at all.
+/// Timeout of a request for the snapshot. A leader sends the snapshot at once or not at all.
 pub const SNAPSHOT_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long a follower that shuts down tries to notify its leader that it accepts no calls any more.
+/// Timeout of the last request of a follower, by which it notifies the leader that it accepts no calls any more.
 pub const DEREGISTRATION_TIMEOUT: Duration = Duration::from_millis(300);
-/// Entries of a page that a follower asks for.
+/// Maximum number of entries that a follower requests at once.
 const PAGE_ENTRIES: u32 = 1_000;
 
-/// What a follower knows of its leader's leases.
+/// What a follower knows about the leases of its leader.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LeaseSpan {
-    /// Nothing yet: the first response will tell.
+    /// No response of the leader was received yet.
     #[default]
     Unknown,
-    /// None are granted.
+    /// The leader grants no leases.
     NoLeases,
-    /// They are granted for this span.
+    /// The leader grants leases of this span.
     Granted(Duration),
 }
 
-/// The times of a watch.
+/// The wait and the timeout of a watch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timing {
-    /// The leader may hold it for so long.
+    /// How long the leader may delay the response until there is a change.
     pub wait: Duration,
-    /// Its response may take so long.
+    /// How long the follower waits for the response.
     pub timeout: Duration,
 }
 
 impl LeaseSpan {
-    /// The times of the next watch. `behind`: what was received is not yet in force and persisted.
+    /// Returns the timing of the next watch. `behind` means that changes that were received are not yet in force and
+    /// persisted, so that the follower has something to report soon.
     pub fn timing(self, behind: bool) -> Timing {
         match self {
             Self::Unknown => Timing { wait: Duration::ZERO, timeout: SNAPSHOT_TIMEOUT },
@@ -62,22 +63,22 @@
     }
 }
 
-/// What a follower reports with each request, written as the request's query.
+/// The state that a follower reports with each request. `Display` formats it as the query of the request.
 #[derive(Clone, Copy, Debug)]
 pub struct Heartbeat<'a> {
-    /// The controller's number.
+    /// Number of the controller.
     pub controller: u32,
-    /// Its incarnation.
+    /// Incarnation of the controller.
     pub incarnation: u64,
-    /// The revision that its calls act on.
+    /// Revision that is applied to the follower's calls.
     pub in_force: u64,
-    /// The revision that is synced to its disk.
+    /// Revision that is synced to the follower's disk.
     pub persisted: u64,
-    /// It accepts no call without a lease.
+    /// Whether the follower rejects calls while it has no lease.
     pub requires_lease: bool,
-    /// It was notified that it is fenced.
+    /// Whether the follower was notified that it is fenced.
     pub fenced: bool,
-    /// The snapshot that it has.
+    /// Version of the follower's snapshot; `None` if it has no snapshot.
     pub snapshot: Option<&'a SnapshotVersion>,
 }
 
@@ -97,18 +98,18 @@
 }
 
 impl Heartbeat<'_> {
-    /// The target of a request for the complete snapshot.
+    /// Returns the path and query of a request for the complete snapshot.
     pub fn snapshot_target(&self) -> String {
         format!("/v1/snapshot?{self}")
     }
 
-    /// The target of a request for changes, which may wait so long for one.
+    /// Returns the path and query of a request for changes that the leader may delay by `wait`.
     pub fn watch_target(&self, wait: Duration) -> String {
         format!("/v1/watch?{self}&limit={PAGE_ENTRIES}&wait_ms={}", wait.as_millis())
     }
 }
 
-/// The target of the last request of a follower that shuts down.
+/// Returns the path and query of the last request of a follower that shuts down.
 pub fn deregistration_target(controller: u32, incarnation: u64) -> String {
     format!("/v1/watch?controller={controller}&life={incarnation}&ended=1&wait_ms=0")
 }
--- a/crates/fleet/src/follower_requests/tests.rs
+++ b/crates/fleet/src/follower_requests/tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of `follower_requests`.
+//! Unit tests of the timing and the queries of a follower's requests.
 
 use super::*;
 
--- a/crates/fleet/src/gate.rs
+++ b/crates/fleet/src/gate.rs
@@ -1,32 +1,32 @@
-//! Admission control while little can be served: after a start, workers are warming up, replicas are missing and all
-//! clients return at once. A call that can't be answered in time is rejected on arrival, with a retry delay that
-//! spreads the clients; as many are admitted as the fleet has shown that it bears.
+//! Admission control while a fleet returns to service. After a start, workers warm up, replicas are missing and all
+//! clients reconnect at once. A call that can't be answered in time is rejected on arrival, with a retry delay that
+//! spreads the clients. The number of admitted calls adapts to what the fleet serves.
 //!
-//! The measure is the age of what waits: the longest that a call of the same model has waited without a worker. While
-//! that is short against the latency objective, one more is admitted. So a model that has a replica is not held up by
-//! one that has none, the first call of each model is always admitted (it is what causes a load), and where all of the
-//! fleet is too slow the calls of all models grow old. The gate judges no call that is in flight, and judges none at
-//! all once service is complete.
+//! A call waits while it is not assigned to a worker. A new call is admitted while the oldest waiting call of the same
+//! model has waited for less than a share of the latency objective. Therefore a model without a replica does not affect
+//! the calls of other models. The first call of each model is always admitted, because it is what causes a load order.
+//! If the whole fleet is too slow, the waiting calls of all models grow old and further calls are rejected. Calls in
+//! flight are not affected, and once service is complete all calls are admitted.
 //!
-//! Sending the rejection is left to the caller.
+//! The caller sends the rejections.
 
 use std::collections::{BTreeSet, HashMap};
 
 use crate::Millis;
 
-/// Steps of the return to service.
+/// The phases of the return to service, in order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Step {
-    /// No worker list is in force: nothing can be served.
+    /// No worker list is in force: all calls are rejected.
     NoList,
-    /// Calls are admitted in part.
+    /// Calls are admitted as far as they can be answered in time.
     Partial,
-    /// Service is complete: the gate judges nothing.
+    /// Service is complete: all calls are admitted.
     Complete,
 }
 
 impl Step {
-    /// Its name in logs, metrics and the API.
+    /// Returns the name used in logs, metrics and the API.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::NoList => "no-list",
@@ -36,14 +36,16 @@
     }
 }
 
-/// Tuned values of the gate. They suit every deployment: each is relative to what the call itself states.
+/// Parameters of the gate. They need no adjustment to a deployment, because calls are judged relative to their own
+/// latency objective.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct GateConfig {
-    /// A call is admitted while the oldest of its model has waited less than this share of its latency objective.
+    /// A call is admitted while the oldest waiting call of its model has waited less than this share of the call's
+    /// latency objective.
     pub age_share: f64,
-    /// Service is complete once nothing had to be rejected for this long, milliseconds.
+    /// Service is complete if no call was rejected for this long, in milliseconds.
     pub quiet_period: Millis,
-    /// Longest retry delay, milliseconds.
+    /// Maximum retry delay in milliseconds.
     pub max_retry_after: Millis,
 }
 
@@ -53,51 +55,53 @@
     }
 }
 
-/// What becomes of a call.
+/// Whether a call is admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It is admitted.
+    /// The call is admitted.
     Admit,
-    /// It is rejected at once; the client is to retry after this many milliseconds.
+    /// The call is rejected. The client is asked to retry after this many milliseconds.
     Reject(Millis),
 }
 
-/// A call as the gate sees it.
+/// The properties of a call that decide on its admission.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CallInfo {
-    /// Time until its client gives up, milliseconds.
+    /// Time until the deadline of the call, in milliseconds.
     pub remaining: Millis,
-    /// The time in which its class wants an answer, milliseconds.
+    /// Latency objective of the call's class, in milliseconds.
     pub latency_objective: Millis,
-    /// Its class's weight relative to the highest: above 0, at most 1.
+    /// Weight of the call's class relative to the highest one, above 0 and at most 1.
     pub priority_weight: f64,
-    /// A repeat of it could do harm.
+    /// Whether executing the call twice could do harm.
     pub non_idempotent: bool,
-    /// Its model, by any number that tells models apart.
+    /// A number that identifies the call's model.
     pub model: u64,
 }
 
-/// Rejected calls, by cause.
+/// Totals of rejected calls by cause, since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// No worker list was in force.
+    /// Calls rejected because no worker list was in force.
     pub no_list: u64,
-    /// What waits is too old for the call to be answered in time.
+    /// Calls rejected because waiting calls of the same model were too old, or too many calls were waiting.
     pub crowded: u64,
-    /// A repeat could do harm, and the worker list was persisted by an earlier incarnation.
+    /// Non-idempotent calls rejected because the worker list was persisted by an earlier incarnation and not read since
+    /// the start.
     pub unproven: u64,
 }
 
-/// Calls that are tracked at the most; one more is rejected as crowded.
+/// Maximum number of tracked waiting calls. Further calls are rejected as crowded.
 pub const MAX_WAITING: usize = 65_536;
-/// Longest retry delay where no list is in force, or none that was read since the start: the next read is near.
+/// Maximum retry delay in milliseconds while no worker list was read since the start. It is short because the next
+/// read is imminent.
 const NO_LIST_RETRY_AFTER: Millis = 500;
-/// Shortest retry delay, milliseconds.
+/// Minimum retry delay in milliseconds.
 const MIN_RETRY_AFTER: Millis = 50;
-/// The least weight that a call is judged with.
+/// Lower bound of the weight with which a call is judged.
 const MIN_WEIGHT: f64 = 0.1;
 
-/// A call that no worker has.
+/// A call that is not assigned to a worker.
 #[derive(Clone, Copy, Debug)]
 struct WaitingCall {
     model: u64,
@@ -110,19 +114,20 @@
     config: GateConfig,
     step: Step,
     since: Millis,
-    /// The list in force was read since the start.
+    /// Whether a worker list was read since the start.
     list_is_proven: bool,
+    /// Calls that are not assigned to a worker, by call.
     waiting: HashMap<u64, WaitingCall>,
-    /// Calls that a worker has, with their models.
+    /// Calls that are assigned to a worker, with their models.
     at_workers: HashMap<u64, u64>,
-    /// Waiting calls of each model, the oldest first: since when, and which call.
+    /// Waiting calls by model, each with the time at which it began to wait; the oldest is the first.
     by_model: HashMap<u64, BTreeSet<(Millis, u64)>>,
     last_rejection: Millis,
     counters: Counters,
 }
 
 impl Gate {
-    /// At the start of a controller.
+    /// Creates the gate of a controller that starts at `now`.
     pub fn new(config: GateConfig, now: Millis) -> Self {
         Self {
             config,
@@ -137,17 +142,17 @@
         }
     }
 
-    /// The step, and since when.
+    /// Returns the current step and the time at which it began.
     pub fn step(&self) -> (Step, Millis) {
         (self.step, self.since)
     }
 
-    /// Rejected calls since the start.
+    /// Returns the totals of rejected calls.
     pub fn counters(&self) -> Counters {
         self.counters
     }
 
-    /// How many calls wait for a worker.
+    /// Returns the number of tracked calls that are not assigned to a worker.
     pub fn waiting_calls(&self) -> usize {
         self.waiting.len()
     }
@@ -158,7 +163,8 @@
         }
     }
 
-    /// A worker list is in force, with so many workers. `proven`: it was read since the start.
+    /// Records that a list of `workers` workers is in force. `proven` means that it was read since the start, and not
+    /// persisted by an earlier incarnation.
     pub fn list_applied(&mut self, now: Millis, workers: u32, proven: bool) {
         self.list_is_proven |= proven;
         if self.step == Step::NoList && workers > 0 {
@@ -167,13 +173,13 @@
         }
     }
 
-    /// How long the oldest call of a model has waited for a worker.
+    /// Returns how long the oldest waiting call of a model has waited; 0 if none waits.
     fn oldest_age(&self, now: Millis, model: u64) -> Millis {
         let oldest = self.by_model.get(&model).and_then(BTreeSet::first);
         oldest.map_or(0, |(since, _)| now.saturating_sub(*since))
     }
 
-    /// A call has arrived. `random`: any number, by which retry delays are spread.
+    /// Decides whether a new call is admitted. `random` is a random number that spreads the retry delays.
     pub fn admit(&mut self, now: Millis, call: &CallInfo, random: u64) -> Verdict {
         match self.step {
             Step::Complete => return Verdict::Admit,
@@ -188,7 +194,8 @@
             Step::Partial => {}
         }
         let age = self.oldest_age(now, call.model);
-        // Calls of less weight leave the capacity to others, and no call is answered after its client has left.
+        // Calls of lower weight are rejected earlier, which leaves the capacity to others. The remaining time bounds
+        // the age so that no call is admitted that would be answered after its deadline.
         let weight = call.priority_weight.clamp(MIN_WEIGHT, 1.0);
         let tolerated = call.latency_objective.min(call.remaining) as f64 * self.config.age_share * weight;
         if (age as f64) < tolerated && self.waiting.len() < MAX_WAITING {
@@ -196,17 +203,17 @@
         }
         self.counters.crowded += 1;
         self.last_rejection = now;
-        // What waits now has waited for so long already: rejected clients return spread over as long again.
+        // The retry delays are spread over a time in proportion to how long the oldest call has waited.
         self.reject((age / 2).max(MIN_RETRY_AFTER), (age * 2).max(call.latency_objective), random)
     }
 
-    /// A rejection with a retry delay within these bounds.
+    /// Returns a rejection with a retry delay between `least` and `most`.
     fn reject(&self, least: Millis, most: Millis, random: u64) -> Verdict {
         let most = most.clamp(least, self.config.max_retry_after.max(least));
         Verdict::Reject(least + random % (most - least + 1))
     }
 
-    /// A call was admitted: it waits for a worker.
+    /// Tracks an admitted call as waiting for a worker. Does nothing if service is complete or too many calls wait.
     pub fn call_admitted(&mut self, now: Millis, call: u64, model: u64) {
         if self.step == Step::Complete || self.waiting.len() >= MAX_WAITING {
             return;
@@ -216,27 +223,27 @@
         self.by_model.entry(model).or_default().insert((now, call));
     }
 
-    /// A worker has this call: it waits no more, and is tracked until its end.
+    /// Records that a waiting call was assigned to a worker.
     pub fn call_assigned(&mut self, call: u64) {
         if let Some(model) = self.remove_waiting(call) {
             self.at_workers.insert(call, model);
         }
     }
 
-    /// A worker has returned this call unanswered: it waits again.
+    /// Records that a worker has returned a call unanswered, so that the call waits again.
     pub fn call_returned(&mut self, now: Millis, call: u64) {
         if let Some(model) = self.at_workers.remove(&call) {
             self.call_admitted(now, call, model);
         }
     }
 
-    /// A call has ended.
+    /// Stops tracking a call that has ended.
     pub fn call_ended(&mut self, call: u64) {
         self.remove_waiting(call);
         self.at_workers.remove(&call);
     }
 
-    /// Removes a waiting call; its model.
+    /// Removes a call from the waiting calls and returns its model; `None` if the call does not wait.
     fn remove_waiting(&mut self, call: u64) -> Option<u64> {
         let WaitingCall { model, since } = self.waiting.remove(&call)?;
         if let Some(calls) = self.by_model.get_mut(&model) {
@@ -248,7 +255,8 @@
         Some(model)
     }
 
-    /// Ends the gate's work once nothing was rejected for long enough. `answered`: calls answered since the start.
+    /// Completes the return to service after a quiet period without rejections, provided that at least one call was
+    /// answered. `answered` is the number of calls answered since the start.
     pub fn advance(&mut self, now: Millis, answered: u64) {
         let quiet = now.saturating_sub(self.last_rejection) >= self.config.quiet_period;
         if self.step == Step::Partial && quiet && answered > 0 {
--- a/crates/fleet/src/gate/tests.rs
+++ b/crates/fleet/src/gate/tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of `gate`.
+//! Unit tests of the admission gate.
 
 use super::*;
 
@@ -14,7 +14,7 @@
     verdict == Verdict::Admit
 }
 
-fn open(now: Millis) -> Gate {
+fn gate_with_list(now: Millis) -> Gate {
     let mut gate = Gate::new(GateConfig::default(), now);
     gate.list_applied(now, 1, true);
     gate
@@ -34,23 +34,29 @@
 }
 
 #[test]
-fn unserved_model_holds_up_only_its_own_calls() {
-    let mut gate = open(0);
+fn model_without_a_replica_delays_only_its_own_calls() {
+    let mut gate = gate_with_list(0);
     gate.call_admitted(0, 1, CALL.model);
     assert!(admitted(gate.admit(299, &CALL, 7)));
-    assert!(!admitted(gate.admit(300, &CALL, 7)), "the oldest has waited for half of the wanted time");
-    assert!(admitted(gate.admit(300, &CallInfo { model: 2, ..CALL }, 7)), "another model's first is taken");
+    assert!(
+        !admitted(gate.admit(300, &CALL, 7)),
+        "the oldest call has waited for half of the latency objective"
+    );
+    assert!(
+        admitted(gate.admit(300, &CallInfo { model: 2, ..CALL }, 7)),
+        "the first call of another model is admitted"
+    );
     assert!(
         !admitted(gate.admit(150, &CallInfo { priority_weight: 0.5, ..CALL }, 7)),
-        "what is worth less leaves earlier"
+        "a call of lower weight is rejected earlier"
     );
     gate.call_ended(1);
-    assert!(admitted(gate.admit(400, &CALL, 7)), "a worker has it: nothing of the model waits");
+    assert!(admitted(gate.admit(400, &CALL, 7)), "no call of the model waits any more");
 }
 
 #[test]
 fn call_returned_by_a_worker_waits_again() {
-    let mut gate = open(0);
+    let mut gate = gate_with_list(0);
     gate.call_admitted(0, 1, 9);
     gate.call_assigned(1);
     assert_eq!((gate.waiting_calls(), gate.oldest_age(400, 9)), (0, 0));
@@ -59,12 +65,12 @@
     assert_eq!((gate.waiting_calls(), gate.oldest_age(600, 9)), (1, 100));
     gate.call_ended(1);
     gate.call_returned(700, 1);
-    assert_eq!(gate.waiting_calls(), 0, "it has ended");
+    assert_eq!(gate.waiting_calls(), 0, "the call has ended");
 }
 
 #[test]
 fn gate_is_complete_after_a_quiet_period_and_tracks_nothing() {
-    let mut gate = open(0);
+    let mut gate = gate_with_list(0);
     gate.call_admitted(0, 1, 1);
     assert!(!admitted(gate.admit(500, &CALL, 7)));
     gate.advance(1_499, 5);
@@ -76,28 +82,28 @@
 
 #[test]
 fn gate_is_not_complete_before_the_first_answer() {
-    let mut gate = open(0);
+    let mut gate = gate_with_list(0);
     gate.advance(60_000, 0);
     assert_eq!(gate.step().0, Step::Partial);
 }
 
 #[test]
 fn retry_delays_are_spread_and_bounded() {
-    let mut gate = open(0);
+    let mut gate = gate_with_list(0);
     gate.call_admitted(0, 1, 1);
-    let mut waits = std::collections::BTreeSet::new();
+    let mut delays = std::collections::BTreeSet::new();
     for random in 0..2_000u64 {
-        if let Verdict::Reject(wait) = gate.admit(900, &CALL, random.wrapping_mul(0x9e37_79b9)) {
-            assert!((1..=GateConfig::default().max_retry_after).contains(&wait));
-            waits.insert(wait);
+        if let Verdict::Reject(delay) = gate.admit(900, &CALL, random.wrapping_mul(0x9e37_79b9)) {
+            assert!((1..=GateConfig::default().max_retry_after).contains(&delay));
+            delays.insert(delay);
         }
     }
-    assert!(waits.len() > 200, "{} different spans", waits.len());
+    assert!(delays.len() > 200, "{} different delays", delays.len());
 }
 
 #[test]
 fn tracked_calls_are_bounded() {
-    let mut gate = open(0);
+    let mut gate = gate_with_list(0);
     for call in 0..MAX_WAITING as u64 + 9 {
         gate.call_admitted(0, call, call);
     }
--- a/crates/fleet/src/lease.rs
+++ b/crates/fleet/src/lease.rs
@@ -1,61 +1,65 @@
-//! A controller's lease: until when it may act on the snapshot that it last received, and what it does afterwards.
+//! The lease of a controller: until when it may act on the snapshot that it last received, and what it does afterwards.
 //!
-//! The holder counts the span from the moment at which it sent its *request*, by its own clock, and shortens it by
-//! what two clocks may differ; the leader counts the same span from its *response*, and lengthens it by as much (see
-//! [`crate::membership`]). So a lease is over for its holder before the leader takes it for over, however long the
-//! response was on its way and whatever stalled in between: nothing has to be sent to a holder to end its lease.
+//! The holder measures the span by its own clock from the time at which it sent its *request*, and shortens the span by
+//! the maximum difference of two clocks. The leader measures the same span from the time of its *response*, and
+//! lengthens it by the same difference (see [`crate::membership`]). A lease therefore expires for its holder before it
+//! expires for the leader, no matter how long the response was delayed or which process stalled. A lease ends without
+//! any message to its holder.
 //!
-//! Requests, and what a stage means for a call, are left to the caller.
+//! The caller sends the requests and decides what a [`Stage`] means for a call.
 
 use crate::Millis;
 
-/// What a clock may gain or lose, in thousandths of a span: five in a thousand is fifty times a bad crystal.
+/// Maximum drift of a clock, in thousandths of the elapsed time. This is fifty times the drift of a poor crystal
+/// oscillator.
 pub const CLOCK_ERROR_PER_MILLE: Millis = 5;
-/// Longest span of a lease, milliseconds. A leader that does not know what an earlier one granted assumes this.
+/// Maximum span of a lease in milliseconds. A leader that does not know the span of earlier leases assumes this one.
 pub const MAX_SPAN: Millis = 60_000;
-/// Shortest span of a lease, milliseconds: below it, the exchange itself would take a good part of it.
+/// Minimum span of a lease in milliseconds. The exchange of a heartbeat would take a large part of a shorter one.
 pub const MIN_SPAN: Millis = 200;
-/// Heartbeats that a follower sends in one span, so that one lost exchange costs no lease.
+/// Number of heartbeats that a follower sends within one span, so that it keeps its lease if one of them is lost.
 pub const HEARTBEATS_PER_SPAN: Millis = 4;
 
-/// The most that two clocks of a fleet may differ over a span.
+/// Returns the maximum difference in milliseconds between the readings of two clocks after a span.
 pub fn max_clock_difference(span: Millis) -> Millis {
-    // Two clocks, each off its own way; rounded up, so that it is never too small.
+    // The two clocks may drift in opposite directions. Rounded up, so that the bound is never too small.
     (span * 2 * CLOCK_ERROR_PER_MILLE).div_ceil(1000)
 }
 
-/// When a lease of this span ends by the holder's clock, which read `sent` when the request was sent.
+/// Returns when a lease of this span expires by the holder's clock, which read `sent` when the request was sent.
 pub fn expires_at(sent: Millis, span: Millis) -> Millis {
     let span = span.min(MAX_SPAN);
     sent + span.saturating_sub(max_clock_difference(span))
 }
 
-/// What a controller does while it has no lease.
+/// How a controller behaves while it has no lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct LeasePolicy {
-    /// It rejects calls. Else it continues with what it last received, and nothing bounds how old that is.
+    /// Whether the controller rejects calls. If not, it continues with the snapshot that it last received, whose age is
+    /// then unbounded.
     pub rejects: bool,
-    /// It reports that it is not ready after so long without a lease, so that load balancers take it out.
+    /// Time without a lease after which the controller reports that it is not ready, so that load balancers stop
+    /// sending calls to it; `None` for never.
     pub not_ready_after: Option<Millis>,
 }
 
-/// What a controller may do now.
+/// What a controller may do at a given time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Stage {
-    /// It has a lease, or its leader grants none.
+    /// The controller has a lease, or its leader grants no leases.
     Current,
-    /// It has no lease, and continues with what it last received.
+    /// The controller has no lease and continues with the snapshot that it last received.
     Unleased,
-    /// It accepts no new calls, and tells clients when to retry.
+    /// The controller has no lease and rejects new calls with a retry delay.
     Rejecting,
-    /// The same, and it is not ready.
+    /// The controller rejects new calls and reports that it is not ready.
     NotReady,
-    /// It was fenced: this incarnation accepts no calls any more.
+    /// The controller was fenced: this incarnation never accepts a call again.
     Fenced,
 }
 
 impl Stage {
-    /// Its name in logs, metrics and the API.
+    /// Returns the name used in logs, metrics and the API.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Current => "current",
@@ -66,45 +70,47 @@
         }
     }
 
-    /// Are new calls accepted?
+    /// Returns whether new calls are accepted.
     pub fn accepts_calls(self) -> bool {
         matches!(self, Self::Current | Self::Unleased)
     }
 
-    /// Is it to be reported as ready?
+    /// Returns whether the controller reports that it is ready.
     pub fn is_ready(self) -> bool {
         !matches!(self, Self::NotReady | Self::Fenced)
     }
 }
 
-/// Totals since the start.
+/// Totals of a lease holder since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Leases received, renewals included.
+    /// Leases received, including renewals.
     pub leases: u64,
-    /// Leases that ended before they were renewed.
+    /// Leases that expired before they were renewed, counted at the next call.
     pub expiries: u64,
-    /// Calls rejected for want of a lease.
+    /// Calls rejected because the controller had no lease or was fenced.
     pub rejected: u64,
-    /// Actions that began within a lease and finished after its end, as the process stood still in between.
+    /// Actions that began within a lease and finished after it had expired, because the process stalled in between.
     pub doubtful: u64,
 }
 
-/// A controller that holds leases.
+/// The lease state of a controller.
 #[derive(Clone, Debug)]
 pub struct Holder {
     policy: LeasePolicy,
-    /// Since when it has no lease: its start, or the end of its last lease, which may lie in the future.
+    /// The start of the controller or the end of its last lease, which may be in the future. The time without a lease
+    /// is measured from here.
     since: Millis,
+    /// When the last lease expires; `None` before the first lease.
     until: Option<Millis>,
     fenced: bool,
-    /// The end of the last lease that was counted as expired.
+    /// Expiry time of the last lease that was counted as expired.
     counted_expiry: Option<Millis>,
     counters: Counters,
 }
 
 impl Holder {
-    /// A controller that starts, and has received nothing yet.
+    /// Creates the state of a controller that starts at `now` without a lease.
     pub fn new(now: Millis, policy: LeasePolicy) -> Self {
         Self {
             policy,
@@ -116,7 +122,8 @@
         }
     }
 
-    /// It has received a lease until then, by its own clock: see [`expires_at`]. Never shortens the one that it has.
+    /// Records a lease that expires at `until` by the holder's clock, as returned by [`expires_at`]. A lease that
+    /// expires earlier than the current one has no effect.
     pub fn renewed(&mut self, until: Millis) {
         self.counters.leases += 1;
         if self.until.is_none_or(|current| current < until) {
@@ -125,12 +132,12 @@
         }
     }
 
-    /// It is fenced for good: only another incarnation may act again.
+    /// Fences this incarnation permanently. Only another incarnation of the controller may act again.
     pub fn fence(&mut self) {
         self.fenced = true;
     }
 
-    /// What it may do at this time.
+    /// Returns what the controller may do at `now`.
     pub fn stage(&self, now: Millis) -> Stage {
         if self.fenced {
             return Stage::Fenced;
@@ -145,7 +152,8 @@
         if self.policy.rejects { Stage::Rejecting } else { Stage::Unleased }
     }
 
-    /// The stage at which a new call is judged. Counts a rejected call, and a lease that has expired.
+    /// Returns the stage that applies to a new call, and counts the call if it is rejected and the lease if it has
+    /// expired.
     pub fn check_call(&mut self, now: Millis) -> Stage {
         let stage = self.stage(now);
         if !stage.accepts_calls() {
@@ -158,26 +166,26 @@
         stage
     }
 
-    /// An action that was judged at `from` has finished now. True: the lease ended meanwhile, so that others may have
-    /// taken it for over already.
+    /// Checks an action that was allowed at `from` and has finished at `now`. Returns true and counts the action if the
+    /// lease expired in between, so that other controllers may already have relied on its expiry.
     pub fn action_finished(&mut self, from: Millis, now: Millis) -> bool {
         let doubtful = self.stage(from) == Stage::Current && self.stage(now) != Stage::Current;
         self.counters.doubtful += u64::from(doubtful);
         doubtful
     }
 
-    /// What remains of the lease; `None`: it has none.
+    /// Returns the remaining time of the lease; `None` if there is no lease.
     pub fn remaining(&self, now: Millis) -> Option<Millis> {
         Some(self.until?.saturating_sub(now)).filter(|remaining| *remaining > 0)
     }
 
-    /// When its stage changes next if no lease is received; `None`: it does not.
+    /// Returns when the stage changes next unless a lease is received; `None` if it does not change.
     pub fn next_change(&self, now: Millis) -> Option<Millis> {
         let not_ready = self.policy.not_ready_after.map(|after| self.since + after);
         [self.until, not_ready].into_iter().flatten().filter(|at| *at > now).min()
     }
 
-    /// Totals since the start.
+    /// Returns the totals since the start.
     pub fn counters(&self) -> Counters {
         self.counters
     }
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,14 +1,22 @@
-//! Decisions of a fleet of controllers.
+//! The decision logic of a fleet of controllers: one leader and its followers.
 //!
-//! After a loss of power: how far state from before a restart is used ([`recovery_policy`]), which snapshot of the
-//! tenants is in force ([`snapshot_version`], [`authority`], [`bootstrap`]), and how many calls are accepted while
-//! little can be served ([`gate`]).
+//! Recovery after a restart or a power loss:
 //!
-//! While some controllers are behind: until when each may act on what it last received ([`lease`]), its requests to
-//! the leader ([`follower_requests`]), when a change is in force everywhere ([`membership`]), and how a limit is
-//! divided ([`loans`]).
+//! * [`recovery_policy`]: how far state that an earlier incarnation persisted is used.
+//! * [`snapshot_version`]: how snapshots of the tenants compare.
+//! * [`authority`]: whether the leader may serve its snapshot and accept changes.
+//! * [`bootstrap`]: how a follower without a snapshot gets one from its peers.
+//! * [`gate`]: admission control until service is complete again.
 //!
-//! No I/O, clock or randomness of its own: times are milliseconds that are passed in, random numbers and seeds too.
+//! Consistency while some controllers lag behind the leader:
+//!
+//! * [`lease`]: until when a controller may act on the snapshot that it last received.
+//! * [`follower_requests`]: the requests of a follower to its leader.
+//! * [`membership`]: when a change is persisted often enough and in force everywhere.
+//! * [`loans`]: how a limit is divided among controllers.
+//!
+//! This crate does no I/O, reads no clock and has no source of randomness: times, random numbers and seeds are passed
+//! in.
 
 #![forbid(unsafe_code)]
 
@@ -22,5 +30,5 @@
 pub mod recovery_policy;
 pub mod snapshot_version;
 
-/// Milliseconds of whatever clock the caller has.
+/// A time or a duration in milliseconds, by a clock that the caller chooses.
 pub type Millis = u64;
--- a/crates/fleet/src/loans.rs
+++ b/crates/fleet/src/loans.rs
@@ -1,19 +1,20 @@
-//! Loans of a limit among controllers that see only their own calls: who may use how much of it, so that the amounts
-//! in use never add up to more than the limit, whichever controller is late, cut off, stalled or dead.
+//! Division of a limit among controllers that see only their own calls. The amounts in use never add up to more than
+//! the limit, even if controllers are delayed, partitioned, stalled or dead.
 //!
-//! Each controller of the installation has a reserve that needs no loan. The rest is lent by demand, to incarnations
-//! that hold leases, for the span of a lease: a borrower counts it from its request, the lender from its response,
-//! each with what clocks may err ([`crate::lease`]). A loan that is replaced by a smaller one counts as it was until
-//! the borrower has reported that it acts on the new one, or its span is over: a response that was lost frees nothing.
+//! Each controller of the installation has a reserve that needs no loan. The rest of the limit is lent according to
+//! demand to incarnations with a lease, for the span of a lease. The borrower measures the span from its request and
+//! the lender from its response, both with the allowance for clock drift of [`crate::lease`]. A loan that was replaced
+//! by a smaller one counts in full until the borrower has reported that it applies the new one, or until it expires.
+//! A lost response therefore frees nothing.
 //!
-//! Calls in flight stay open when an amount becomes smaller or a loan ends: an incarnation reports how much it has in
-//! use, and that counts as well. Of what calls occupy, the report of an incarnation that is silent since counts for
-//! the longest time that a call may take beyond its lease.
+//! Calls in flight continue when a loan shrinks or expires. For this reason an incarnation also reports how much its
+//! calls occupy, and the lender counts that amount too. For all limits but rates, the last report of an incarnation
+//! that has become silent counts until its lease has expired and the longest possible call has ended.
 //!
-//! So at every moment an incarnation may use at most the greatest of its loans that run and were not replaced for all
-//! it knows, and the lender keeps the sum of these under what it may lend.
+//! At any time, an incarnation may use at most the largest of its unexpired loans that it may still apply, and the
+//! lender keeps the sum of these amounts within what may be lent.
 //!
-//! Which limits there are, and when a lease is over, is left to the caller.
+//! The caller determines the limits and the expiry of leases.
 
 use std::collections::BTreeMap;
 
@@ -22,80 +23,81 @@
 use crate::Millis;
 use crate::membership::Incarnation;
 
-/// Loans of one incarnation that may be in use at once, at the most: one that sends reports and never receives a
-/// response keeps its greatest ones.
+/// Maximum number of loans tracked for one incarnation. Beyond it the two oldest are merged, which bounds the memory
+/// for an incarnation that sends reports but never receives a response.
 const MAX_OUTSTANDING: usize = 16;
 
 /// How a limit is divided.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LoanConfig {
-    /// Controllers of the installation.
+    /// Number of controllers of the installation.
     pub controllers: u32,
-    /// Part of a limit that is divided evenly for good, from 0 to 1. 1: nothing is lent.
+    /// Fraction of a limit that is divided evenly among the controllers and never lent, from 0 to 1.
     pub reserve: f64,
 }
 
 impl LoanConfig {
-    /// What a controller may use without any loan.
+    /// Returns the amount of a limit that each controller may use without a loan.
     pub fn reserve_of(&self, limit: f64) -> f64 {
         limit * self.reserve / f64::from(self.controllers.max(1))
     }
 
-    /// What may be lent in all.
+    /// Returns the amount of a limit that may be lent in total.
     pub fn lendable(&self, limit: f64) -> f64 {
         limit * (1.0 - self.reserve)
     }
 }
 
-/// What a limit bounds.
+/// The quantity that a limit bounds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LimitKind {
-    /// Calls a second.
+    /// Calls per second.
     Rate,
-    /// Open calls.
+    /// Concurrent open calls.
     Open,
-    /// Open calls that no worker has.
+    /// Concurrent open calls that are not assigned to a worker.
     Held,
-    /// Bytes of models in use.
+    /// Memory of the models in use, in bytes.
     Memory,
 }
 
 /// Demand and use of a limit, as a borrower reports them.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct UsageReport {
-    /// How much it could use, its reserve included.
+    /// Amount that the borrower could use, including its reserve.
     pub demand: f64,
-    /// How much calls in flight occupy, the reserve included; 0 for a rate.
+    /// Amount that calls in flight occupy, including the reserve; 0 for a rate.
     pub in_use: f64,
-    /// The number of the loan that it acts on; 0: none. Measured at the same moment as `in_use`.
+    /// Number of the loan that the borrower applied when it measured `in_use`; 0 if it had none.
     pub applied_loan: u64,
 }
 
-/// What a borrower may use beyond its reserve.
+/// An amount that a borrower may use beyond its reserve.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Loan {
-    /// A later loan has a higher number, and no lender assigns one twice: else an old report could be taken for one
-    /// about a loan that is in use.
+    /// Number of the loan, higher than that of any earlier one. Numbers are not reused: otherwise an old report could
+    /// be mistaken for one about a loan that is in use.
     pub number: u64,
-    /// How much.
+    /// Amount that is lent.
     pub amount: f64,
 }
 
-/// A borrower's report, and what its loan is to be based on.
+/// The report of a borrower with the parameters of the loan that it is to get.
 #[derive(Clone, Copy, Debug)]
 pub struct LoanRequest {
-    /// The borrower, which holds a lease.
+    /// The borrower, which has a lease.
     pub borrower: Incarnation,
-    /// What it reports.
+    /// Demand and use that the borrower reported.
     pub usage: UsageReport,
     /// How the limit is divided.
     pub config: LoanConfig,
-    /// The limit.
+    /// The limit to divide.
     pub limit: f64,
-    /// The present.
+    /// Current time.
     pub now: Millis,
-    /// When the lease that is sent with the loan is over by every clock.
+    /// Until when the loan counts as in use: the latest possible expiry of the lease that is granted with it, plus the
+    /// longest duration of a call if calls occupy the limit.
     pub until: Millis,
 }
 
@@ -104,7 +106,7 @@
 struct IssuedLoan {
     number: u64,
     amount: f64,
-    /// When it is over by every clock.
+    /// Until when the loan may be in use; see [`LoanRequest::until`].
     until: Millis,
 }
 
@@ -112,15 +114,16 @@
 struct Borrower {
     /// Demand beyond the reserve.
     demand: f64,
+    /// Loans that may be in use, oldest first.
     loans: Vec<IssuedLoan>,
-    /// In use beyond the reserve at its last report.
+    /// Amount in use beyond the reserve, from the last report.
     in_use: f64,
     /// Until when `in_use` counts.
     in_use_until: Millis,
 }
 
 impl Borrower {
-    /// The most that it may use beyond its reserve.
+    /// Returns the maximum amount that the borrower may use beyond its reserve.
     fn usable(&self, now: Millis) -> f64 {
         let in_use = if now < self.in_use_until { self.in_use } else { 0.0 };
         let running = self.loans.iter().filter(|loan| now < loan.until);
@@ -134,7 +137,7 @@
     fn add(&mut self, loan: IssuedLoan) {
         self.loans.push(loan);
         if self.loans.len() > MAX_OUTSTANDING {
-            // The two oldest become one that covers both.
+            // The two oldest are merged into one that covers both.
             let oldest = self.loans.remove(0);
             let next = &mut self.loans[0];
             next.amount = next.amount.max(oldest.amount);
@@ -143,31 +146,32 @@
     }
 }
 
-/// The loans of one limit.
+/// Lends one limit of one tenant to the incarnations of controllers.
 #[derive(Clone, Debug, Default)]
 pub struct Lender {
     borrowers: BTreeMap<Incarnation, Borrower>,
 }
 
 impl Lender {
-    /// The most that may be in use beyond the reserves.
+    /// Returns the maximum total amount that may be in use beyond the reserves.
     pub fn outstanding(&self, now: Millis) -> f64 {
         self.borrowers.values().map(|borrower| borrower.usable(now)).sum()
     }
 
-    /// Incarnations that may use some of it.
+    /// Returns the number of incarnations that may use more than their reserve.
     pub fn borrowers(&self, now: Millis) -> usize {
         self.borrowers.values().filter(|borrower| borrower.usable(now) > 0.0).count()
     }
 
-    /// Takes in a borrower's report, and lends it what it may use until the lease of this response is over.
-    /// `last_number`: the number of the last loan of any limit, which is counted on.
+    /// Records the report of a borrower and returns its new loan, valid for the lease that is granted with it.
+    /// `last_number` is the number of the last loan of any limit and is incremented.
     pub fn report(&mut self, request: LoanRequest, last_number: &mut u64) -> Loan {
-        let LoanRequest { borrower: who, usage, config, limit, now, until } = request;
-        // One that got an amount of 0 has a running loan all the same, and gets its part of what becomes free.
-        self.borrowers.retain(|other, borrower| *other == who || borrower.has_running_loan(now));
+        let LoanRequest { borrower: incarnation, usage, config, limit, now, until } = request;
+        // A borrower whose loan has an amount of 0 is kept until the loan expires, so that its demand counts in the
+        // division.
+        self.borrowers.retain(|other, borrower| *other == incarnation || borrower.has_running_loan(now));
         let reserve = config.reserve_of(limit);
-        let borrower = self.borrowers.entry(who).or_insert(Borrower {
+        let borrower = self.borrowers.entry(incarnation).or_insert(Borrower {
             demand: 0.0,
             loans: Vec::new(),
             in_use: 0.0,
@@ -176,28 +180,31 @@
         borrower.demand = if usage.demand.is_finite() { (usage.demand - reserve).max(0.0) } else { 0.0 };
         borrower.in_use = (usage.in_use - reserve).max(0.0);
         borrower.in_use_until = until;
-        // Who acts on a later loan acts on no earlier one any more. A number that was never assigned proves nothing.
+        // A borrower that has applied a loan applies no earlier one any more. A number that was never assigned is
+        // ignored.
         if usage.applied_loan <= *last_number {
             borrower.loans.retain(|loan| loan.number >= usage.applied_loan && now < loan.until);
         }
         let lendable = config.lendable(limit).max(0.0);
-        let others = self.borrowers.iter().filter(|(other, _)| **other != who);
+        let others = self.borrowers.iter().filter(|(other, _)| **other != incarnation);
         let used_by_others: f64 = others.map(|(_, borrower)| borrower.usable(now)).sum();
-        let amount = self.fair_part(lendable, who).min((lendable - used_by_others).max(0.0));
-        let Some(borrower) = self.borrowers.get_mut(&who) else { return Loan { number: 0, amount: 0.0 } };
+        let amount = self.fair_part(lendable, incarnation).min((lendable - used_by_others).max(0.0));
+        let Some(borrower) = self.borrowers.get_mut(&incarnation) else {
+            return Loan { number: 0, amount: 0.0 };
+        };
         *last_number += 1;
         borrower.add(IssuedLoan { number: *last_number, amount, until });
         Loan { number: *last_number, amount }
     }
 
-    /// An incarnation has ended, or reported that it accepts no calls any more: what it had is free at once.
-    pub fn ended(&mut self, who: Incarnation) {
-        self.borrowers.remove(&who);
+    /// Frees the loans of an incarnation that has ended or reported that it accepts no calls any more.
+    pub fn ended(&mut self, incarnation: Incarnation) {
+        self.borrowers.remove(&incarnation);
     }
 
-    /// A borrower's part by max-min fairness: nobody gets more than its demand, and what is left over goes to all in
-    /// equal parts, since demand may grow before the next report.
-    fn fair_part(&self, lendable: f64, who: Incarnation) -> f64 {
+    /// Returns the amount due to a borrower by max-min fairness. What remains once all demands are met is divided
+    /// evenly, since demand may grow before the next report.
+    fn fair_part(&self, lendable: f64, incarnation: Incarnation) -> f64 {
         let mut demands: Vec<(f64, Incarnation)> =
             self.borrowers.iter().map(|(other, borrower)| (borrower.demand, *other)).collect();
         demands.sort_by(|one, other| one.0.total_cmp(&other.0).then(one.1.cmp(&other.1)));
@@ -206,7 +213,7 @@
         for (index, (demand, borrower)) in demands.iter().enumerate() {
             let granted = demand.min(left / (count - index) as f64);
             left -= granted;
-            if *borrower == who {
+            if *borrower == incarnation {
                 part = granted;
             }
         }
--- a/crates/fleet/src/membership/tests.rs
+++ b/crates/fleet/src/membership/tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of `membership`.
+//! Unit tests of the membership.
 
 use super::*;
 use crate::follower_requests::WAIT_WITHOUT_LEASES;
@@ -10,8 +10,8 @@
     Version { epoch: 1, revision }
 }
 
-fn state(revision: u64, ends: bool) -> MemberState {
-    MemberState { in_force: version(revision), persisted: version(revision), requires_lease: ends }
+fn state(revision: u64, requires_lease: bool) -> MemberState {
+    MemberState { in_force: version(revision), persisted: version(revision), requires_lease }
 }
 
 #[test]
@@ -26,7 +26,11 @@
     membership.heartbeat(20, ONE, state(5, true));
     let progress = membership.progress(20, version(5), 1);
     assert!(progress.is_persisted() && !progress.is_in_force());
-    assert_eq!(progress.bound(20), Some(1_010), "the silent one's lease, by the slowest clock");
+    assert_eq!(
+        progress.bound(20),
+        Some(1_010),
+        "the lease of the silent member expires, by the slowest clock"
+    );
     assert!(!membership.progress(1_009, version(5), 1).is_in_force());
     assert!(membership.progress(1_010, version(5), 1).is_in_force());
     assert_eq!(membership.lease_holders(500), 2);
@@ -41,7 +45,7 @@
     assert_eq!(
         (progress.bound(5_000), progress.is_persisted()),
         (None, true),
-        "nobody is reachable to persist it"
+        "no member is reachable that could persist it"
     );
     membership.heartbeat(6_000, ONE, state(5, false));
     assert!(membership.progress(6_000, version(5), 1).is_in_force());
@@ -55,7 +59,7 @@
         progress.pending,
         [PendingMember { incarnation: None, lease_expires_at: Some(100 + 3_000 + 30) }]
     );
-    assert!(progress.is_persisted(), "but they are nobody to count on");
+    assert!(progress.is_persisted(), "earlier incarnations are not expected to persist it");
     assert!(membership.progress(3_130, version(5), 1).is_in_force());
 }
 
@@ -67,7 +71,10 @@
     membership.grant(0, ONE, version(4)).expect("a lease");
     assert_eq!(membership.fence(1), [ONE]);
     assert_eq!(membership.grant(10, ONE, version(4)), Err(LeaseDenied::Fenced));
-    assert!(!membership.progress(10, version(5), 0).is_in_force(), "its lease runs until it is notified");
+    assert!(
+        !membership.progress(10, version(5), 0).is_in_force(),
+        "its lease continues until it is notified"
+    );
     membership.ended(ONE);
     assert!(membership.progress(10, version(5), 0).is_in_force());
     membership.heartbeat(20, again, state(4, true));
@@ -81,7 +88,7 @@
     for incarnation in 0..MAX_INCARNATIONS as u64 {
         let who = Incarnation { controller: 1, incarnation };
         membership.heartbeat(0, who, state(4, true));
-        membership.grant(0, who, version(4)).expect("room");
+        membership.grant(0, who, version(4)).expect("the membership has capacity");
     }
     membership.heartbeat(10, TWO, state(4, true));
     assert_eq!(
@@ -92,7 +99,7 @@
     assert_eq!(
         membership.grant(1_010, TWO, version(4)),
         Ok(Some(1_000)),
-        "the leases of the others are over"
+        "the leases of the other members have expired"
     );
 }
 
@@ -101,13 +108,13 @@
     let mut membership = Membership::new(0, Some(1_000), None, 0);
     membership.heartbeat(0, ONE, state(4, true));
     membership.grant(0, ONE, version(4)).expect("a lease");
-    // The change is made at 10; heartbeats go on, and each gets a lease with the change.
+    // The change is made at 10. Further heartbeats are received, and each is granted a lease with the change.
     for now in (100..2_000).step_by(100) {
         membership.heartbeat(now, ONE, state(4, true));
         membership.grant(now, ONE, version(5)).expect("a lease");
         assert_eq!(membership.progress(now, version(5), 0).is_in_force(), now >= 1_010, "at {now}");
     }
-    // A hundred changes a second: what is remembered is bounded, and never too early.
+    // A thousand changes per second: the tracked leases are bounded, and no change is in force too early.
     for n in 0..500 {
         membership.heartbeat(2_000 + n, ONE, state(4, true));
         membership.grant(2_000 + n, ONE, version(6 + n)).expect("a lease");
@@ -120,7 +127,7 @@
 }
 
 #[test]
-fn old_heartbeat_takes_nothing_back() {
+fn out_of_order_heartbeat_does_not_decrease_versions() {
     let mut membership = Membership::new(0, None, None, 0);
     membership.heartbeat(0, ONE, state(5, false));
     membership.heartbeat(1, ONE, state(4, false));
@@ -135,13 +142,13 @@
     membership.heartbeat(0, ONE, state(4, false));
     membership.grant(0, ONE, version(4)).expect("a lease");
     membership.ended(ONE);
-    // Sent before its end, and late.
+    // A heartbeat that was sent before the incarnation ended is received afterwards.
     membership.heartbeat(10, ONE, state(5, false));
     assert_eq!(membership.grant(10, ONE, version(5)), Err(LeaseDenied::Ended));
     let progress = membership.progress(10, version(5), 1);
-    assert!(progress.is_in_force(), "nobody waits for it");
-    assert_eq!(progress.persisted, 0, "what it had at its end counts, and no more");
-    // Earlier versions of the program report no incarnation: the next run is the same to the leader.
+    assert!(progress.is_in_force(), "the change does not wait for it");
+    assert_eq!(progress.persisted, 0, "its state from before it ended counts");
+    // Earlier versions of the program report no incarnation, so the leader can't distinguish the next run.
     let unreported = Incarnation { incarnation: UNREPORTED_INCARNATION, ..ONE };
     membership.heartbeat(20, unreported, state(4, true));
     membership.ended(unreported);
@@ -150,24 +157,24 @@
 }
 
 #[test]
-fn incarnations_of_a_controller_supersede_each_other_as_they_were_heard() {
+fn incarnations_of_a_controller_supersede_each_other_in_order_of_first_heartbeat() {
     let mut membership = Membership::new(0, Some(1_000), None, 0);
     let later = Incarnation { incarnation: 3, ..ONE };
     for who in [ONE, TWO, later] {
-        assert!(!membership.is_superseded(who), "not heard");
+        assert!(!membership.is_superseded(who), "no heartbeat was received yet");
         membership.heartbeat(0, who, state(4, true));
     }
     assert!(membership.is_superseded(ONE) && !membership.is_superseded(later));
     assert!(!membership.is_superseded(TWO), "another controller");
 }
 
-/// Where no leases are granted, a follower is silent while its watch is held: it must count as one that is to persist a
-/// change for all that time, or the change is acknowledged with no copy.
+/// If no leases are granted, a follower sends nothing while the leader delays the response to its watch. It must count
+/// as reachable for all that time, or a change is acknowledged without a copy.
 #[test]
 fn follower_whose_watch_is_held_is_expected_to_persist_a_change() {
     let mut membership = Membership::new(0, None, None, 0);
     membership.heartbeat(0, ONE, state(4, false));
-    let held = WAIT_WITHOUT_LEASES.as_millis() as Millis;
-    let progress = membership.progress(held, version(5), 1);
+    let wait = WAIT_WITHOUT_LEASES.as_millis() as Millis;
+    let progress = membership.progress(wait, version(5), 1);
     assert_eq!((progress.required, progress.is_persisted()), (1, false));
 }
--- a/crates/fleet/src/recovery_policy.rs
+++ b/crates/fleet/src/recovery_policy.rs
@@ -1,9 +1,10 @@
-//! What a controller persists over a restart or a loss of power, and how far it is used afterwards. One table: each
-//! rule says what harm wrong state does, and what is assumed in its place. Reading the state is left to its owner.
+//! How far a controller uses state that it persisted before a restart or a power loss. A table has one rule for each
+//! kind of state, with the harm that wrong state can do and what is assumed if the state is not used. The owner of the
+//! state reads it.
 
 use crate::Millis;
 
-/// A kind of state that an incarnation may find from the one before.
+/// A kind of state that an earlier incarnation of the controller may have left.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum PersistedState {
     /// The snapshot of the tenants.
@@ -12,49 +13,49 @@
     WorkerList,
     /// The settings file.
     Settings,
-    /// Load orders sent within the rate limit's window.
+    /// Load orders sent within the window of their rate limit.
     LoadOrders,
-    /// When workers were seen to start.
+    /// Start times of workers, as the controller observed them.
     WorkerStarts,
-    /// Windows of calls with an idempotency key that may have run.
+    /// Retry windows of calls with an idempotency key that may have been executed.
     KeyedWindows,
-    /// What tenants have used of their rates.
+    /// How much of their rate limits tenants have used.
     RatesUsed,
     /// The longest span for which a leader granted leases.
     LongestLease,
 }
 
-/// How far state is used.
+/// How far persisted state is used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Trust {
-    /// As it is.
+    /// Without reservation.
     Full,
-    /// Until something newer is received, and never in place of something newer.
+    /// Until newer state is received. It never replaces newer state.
     UntilNewer,
-    /// It says where to look first, and proves nothing.
+    /// As a hint where to look first.
     Hint,
-    /// Not at all: the worst is assumed.
+    /// Not at all: the worst case is assumed.
     Never,
 }
 
-/// A row of the table.
+/// The rule for one kind of state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Rule {
-    /// The kind of state.
+    /// Kind of state that the rule is for.
     pub state: PersistedState,
-    /// How far it is used.
+    /// How far the state is used.
     pub trust: Trust,
-    /// State that is older than this is not used, milliseconds; `None`: of any age.
+    /// Maximum age of the state in milliseconds. Older state is not used. `None` for any age.
     pub max_age_ms: Option<Millis>,
-    /// The harm that wrong state does.
+    /// The harm that wrong state can do.
     pub harm: &'static str,
-    /// What is assumed where it is not used.
+    /// What is assumed if the state is not used.
     pub fallback: &'static str,
 }
 
 const HOUR: Millis = 3_600_000;
 
-/// The table.
+/// The rules, one for each kind of state.
 pub const RULES: [Rule; 8] = [
     Rule {
         state: PersistedState::Snapshot,
@@ -67,15 +68,15 @@
         state: PersistedState::WorkerList,
         trust: Trust::UntilNewer,
         max_age_ms: Some(HOUR),
-        harm: "calls, loads and connections go to addresses that others have by now",
+        harm: "calls, load orders and connections go to addresses that other processes use by now",
         fallback: "no worker is known until the list is read: calls are rejected at once",
     },
     Rule {
         state: PersistedState::Settings,
         trust: Trust::Full,
         max_age_ms: None,
-        harm: "none that the operator did not write",
-        fallback: "the program does not start, and reports what is wrong",
+        harm: "none: the operator maintains the file",
+        fallback: "the program does not start and reports what is wrong",
     },
     Rule {
         state: PersistedState::LoadOrders,
@@ -96,14 +97,14 @@
         trust: Trust::Never,
         max_age_ms: None,
         harm: "a call with an idempotency key is repeated outside its group or window",
-        fallback: "calls of an earlier incarnation are their clients' to retry: none is retried by this one",
+        fallback: "calls of an earlier incarnation are not retried; their clients may retry them",
     },
     Rule {
         state: PersistedState::RatesUsed,
         trust: Trust::Never,
         max_age_ms: None,
         harm: "a tenant gets a second burst",
-        fallback: "bursts are taken as used up, and rates go on",
+        fallback: "bursts count as used up, and rates apply from the start",
     },
     Rule {
         state: PersistedState::LongestLease,
@@ -114,51 +115,52 @@
     },
 ];
 
-/// The rule for a kind of state.
+/// Returns the rule for a kind of state.
 pub fn rule(state: PersistedState) -> &'static Rule {
-    // Each kind has its rule: a test compares the table with the list of kinds.
+    // Every kind has a rule, which a test verifies.
     RULES.iter().find(|rule| rule.state == state).unwrap_or(&RULES[0])
 }
 
-/// State that was found after a restart.
+/// Persisted state that was found after a restart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StoredState {
-    /// Something is there that can be read.
+    /// Whether the state exists and can be read.
     pub readable: bool,
-    /// When it was persisted, by the wall clock; `None`: unknown.
+    /// When the state was persisted, by the wall clock; `None` if unknown.
     pub saved_at_ms: Option<Millis>,
 }
 
-/// What becomes of state that was found.
+/// Whether state that was found is used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It is used so far.
+    /// The state is used to this extent.
     Use(Trust),
-    /// It is not used, for this reason.
+    /// The state is not used, for the given reason.
     Discard(&'static str),
 }
 
-/// The wall clock may have been set back by so much between two incarnations without harm, milliseconds.
+/// How far in the future persisted state may be dated, in milliseconds. It tolerates a wall clock that was set back by
+/// as much between two incarnations.
 pub const CLOCK_SLACK: Millis = 60_000;
 
-/// Is state that was found to be used, at this time of the wall clock?
+/// Decides whether state that was found is used. `now_ms` is the time of the wall clock.
 pub fn judge(state: PersistedState, found: &StoredState, now_ms: Millis) -> Verdict {
     let rule = rule(state);
     if !found.readable {
-        return Verdict::Discard("there is none that can be read");
+        return Verdict::Discard("the state can't be read");
     }
     if rule.trust == Trust::Never {
-        return Verdict::Discard("an incarnation does not use it of an earlier one");
+        return Verdict::Discard("state of this kind is not used after a restart");
     }
     match (rule.max_age_ms, found.saved_at_ms) {
         (None, _) => Verdict::Use(rule.trust),
-        (Some(_), None) => Verdict::Discard("its age is unknown"),
-        // Of the future: the clock was set back, and ages by it say nothing.
+        (Some(_), None) => Verdict::Discard("the age of the state is unknown"),
+        // The clock was set back, so the age can't be determined.
         (Some(_), Some(saved_at)) if saved_at > now_ms.saturating_add(CLOCK_SLACK) => {
-            Verdict::Discard("it is younger than the clock: the clock was set back")
+            Verdict::Discard("the state is dated in the future: the clock was set back")
         }
         (Some(max_age), Some(saved_at)) if now_ms.saturating_sub(saved_at) > max_age => {
-            Verdict::Discard("it is too old")
+            Verdict::Discard("the state is too old")
         }
         (Some(_), Some(_)) => Verdict::Use(rule.trust),
     }
--- a/crates/fleet/src/recovery_policy/tests.rs
+++ b/crates/fleet/src/recovery_policy/tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of `recovery_policy`.
+//! Unit tests of the recovery policy.
 
 use super::*;
 
@@ -32,14 +32,14 @@
 
 #[test]
 fn ages_are_judged_by_a_clock_that_may_have_stepped() {
-    let list = |sound, at_ms, now| {
-        judge(PersistedState::WorkerList, &StoredState { readable: sound, saved_at_ms: at_ms }, now)
+    let judge_list = |readable, saved_at_ms, now| {
+        judge(PersistedState::WorkerList, &StoredState { readable, saved_at_ms }, now)
     };
     let (at, most) = (10 * HOUR, HOUR);
-    assert_eq!(list(true, Some(at), at + most), Verdict::Use(Trust::UntilNewer));
-    assert_eq!(list(true, Some(at), at), Verdict::Use(Trust::UntilNewer));
-    assert!(matches!(list(true, Some(at), at + most + 1), Verdict::Discard(_)));
-    assert!(matches!(list(true, Some(at), at - CLOCK_SLACK - 1), Verdict::Discard(_)));
-    assert!(matches!(list(true, None, at), Verdict::Discard(_)));
-    assert!(matches!(list(false, Some(at), at), Verdict::Discard(_)));
+    assert_eq!(judge_list(true, Some(at), at + most), Verdict::Use(Trust::UntilNewer));
+    assert_eq!(judge_list(true, Some(at), at), Verdict::Use(Trust::UntilNewer));
+    assert!(matches!(judge_list(true, Some(at), at + most + 1), Verdict::Discard(_)));
+    assert!(matches!(judge_list(true, Some(at), at - CLOCK_SLACK - 1), Verdict::Discard(_)));
+    assert!(matches!(judge_list(true, None, at), Verdict::Discard(_)));
+    assert!(matches!(judge_list(false, Some(at), at), Verdict::Discard(_)));
 }
--- a/crates/fleet/src/snapshot_version.rs
+++ b/crates/fleet/src/snapshot_version.rs
@@ -1,5 +1,5 @@
-//! Which snapshot of the tenants it is: the store that it came from, how often that store was restored, its revision
-//! and its checksum. What follows from a comparison is left to [`crate::authority`] and [`crate::bootstrap`].
+//! The version of a tenant snapshot: its store, epoch, revision and checksum, and how two versions compare.
+//! [`crate::authority`] and [`crate::bootstrap`] decide what follows from a comparison.
 
 use std::cmp::Ordering;
 use std::fmt;
@@ -9,35 +9,36 @@
 /// Identifies a snapshot. The derived order is that of [`SnapshotVersion::compare`] within one store.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct SnapshotVersion {
-    /// The store's name: chosen when the store was created, and kept by its restores.
+    /// Name of the store. It is chosen when the store is created, and restores keep it.
     pub store: String,
-    /// Raised by each restore: an operator gave up what an earlier epoch has beyond it.
+    /// Increased by each restore. Changes that only a snapshot of an earlier epoch has are discarded, by the decision
+    /// of an operator.
     #[serde(default)]
     pub epoch: u64,
-    /// The number of the last change.
+    /// Revision of the last change.
     pub revision: u64,
-    /// CRC-32 of the snapshot's JSON: two snapshots of one revision are equal, or one of them is broken.
+    /// CRC-32 of the snapshot's JSON. If two snapshots of one epoch and revision differ in it, one of them is broken.
     #[serde(default, rename = "sum")]
     pub checksum: u32,
 }
 
-/// How one snapshot compares to another.
+/// The result of comparing a snapshot with another one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum VersionOrder {
-    /// It is the same.
+    /// Both are the same.
     Same,
-    /// It has all changes of the other and more, or a restore has superseded the other.
+    /// The snapshot has all changes of the other one and more, or a restore has superseded the other one.
     Ahead,
-    /// The other is ahead.
+    /// The other one is ahead.
     Behind,
-    /// Epoch and revision are equal, and the content is not: one of them is broken or forged.
+    /// Epoch and revision are equal, but the contents differ: one of the two is broken or forged.
     Forked,
-    /// The other is of another store.
+    /// The snapshots are of different stores.
     Foreign,
 }
 
 impl VersionOrder {
-    /// Its name in logs, metrics and the API.
+    /// Returns the name used in logs, metrics and the API.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Same => "same",
@@ -50,7 +51,7 @@
 }
 
 impl SnapshotVersion {
-    /// How this snapshot compares to another.
+    /// Compares this snapshot with another one.
     pub fn compare(&self, other: &Self) -> VersionOrder {
         if self.store != other.store {
             return VersionOrder::Foreign;
--- a/crates/fleet/tests/golden.rs
+++ b/crates/fleet/tests/golden.rs
@@ -1,4 +1,4 @@
-//! What controllers exchange of snapshots, loans and leases, as earlier versions write it.
+//! The data that controllers exchange about snapshots, loans and leases is the same as that of earlier versions.
 
 use nettleferry_fleet::authority::Cause;
 use nettleferry_fleet::follower_requests::{Heartbeat, deregistration_target};
@@ -13,18 +13,18 @@
     let version: SnapshotVersion = serde_json::from_str(text).expect("read");
     assert_eq!(serde_json::to_string(&version).expect("written"), text);
     assert_eq!(version.to_string(), "s1.2@9#0000004d");
-    let without: SnapshotVersion =
-        serde_json::from_str(r#"{"store":"s1","revision":9}"#).expect("of an earlier version");
+    let without: SnapshotVersion = serde_json::from_str(r#"{"store":"s1","revision":9}"#)
+        .expect("the JSON of an earlier version is read");
     assert_eq!((without.epoch, without.checksum), (0, 0));
 }
 
 #[test]
-fn words_keep_their_spelling() {
+fn names_in_logs_and_messages_are_stable() {
     let kinds = [LimitKind::Rate, LimitKind::Open, LimitKind::Held, LimitKind::Memory];
     assert_eq!(serde_json::to_string(&kinds).expect("written"), r#"["rate","open","held","memory"]"#);
     let loan = Loan { number: 3, amount: 2.5 };
     assert_eq!(serde_json::to_string(&loan).expect("written"), r#"{"number":3,"amount":2.5}"#);
-    let standings = [
+    let orders = [
         VersionOrder::Same,
         VersionOrder::Ahead,
         VersionOrder::Behind,
@@ -32,7 +32,7 @@
         VersionOrder::Foreign,
     ]
     .map(VersionOrder::as_str);
-    assert_eq!(standings, ["same", "ahead", "behind", "forked", "foreign"]);
+    assert_eq!(orders, ["same", "ahead", "behind", "forked", "foreign"]);
     let stages = [Stage::Current, Stage::Unleased, Stage::Rejecting, Stage::NotReady, Stage::Fenced]
         .map(Stage::as_str);
     assert_eq!(stages, ["current", "goes-on", "refuses", "leaves", "fenced"]);
@@ -43,22 +43,22 @@
 
 #[test]
 fn requests_of_a_follower_keep_their_parameters() {
-    let holds = SnapshotVersion { store: "s1".to_owned(), epoch: 2, revision: 9, checksum: 77 };
-    let report = Heartbeat {
+    let snapshot = SnapshotVersion { store: "s1".to_owned(), epoch: 2, revision: 9, checksum: 77 };
+    let heartbeat = Heartbeat {
         controller: 1,
         incarnation: 5,
         in_force: 8,
         persisted: 7,
         requires_lease: true,
         fenced: false,
-        snapshot: Some(&holds),
+        snapshot: Some(&snapshot),
     };
     assert_eq!(
-        report.snapshot_target(),
+        heartbeat.snapshot_target(),
         "/v1/snapshot?controller=1&life=5&in_force=8&kept=7&ends=1&ended=0&store=s1&epoch=2&after=9&sum=77"
     );
     assert_eq!(
-        Heartbeat { fenced: true, snapshot: None, ..report }
+        Heartbeat { fenced: true, snapshot: None, ..heartbeat }
             .watch_target(std::time::Duration::from_millis(1500)),
         "/v1/watch?controller=1&life=5&in_force=8&kept=7&ends=1&ended=1&limit=1000&wait_ms=1500"
     );
--- a/crates/fleet/tests/lease_model.rs
+++ b/crates/fleet/tests/lease_model.rs
@@ -1,6 +1,8 @@
-//! Every order of requests, responses, losses, stalls, a change, a leader that starts again and clocks that run
-//! apart, with the real leases and the real membership: nobody acts without a change that was acknowledged as in force.
-//! Mutants of the decisions are each found.
+//! Model checking of leases and membership. Property: no holder acts without a change that was acknowledged as in force.
+//!
+//! The model runs the production code for leases and membership through every order of requests, responses, message
+//! losses, stalls, a change and a restart of the leader, with clocks that drift apart. The checker must also detect
+//! each of a number of faulty variants (mutants).
 
 use nettleferry_fleet::Millis;
 use nettleferry_fleet::lease::{self, Holder, LeasePolicy};
@@ -8,31 +10,33 @@
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
 const HOLDERS: usize = 2;
-/// Steps of true time, and what one of them is.
+/// Maximum number of steps of true time.
 const MAX_TICKS: u64 = 4;
+/// Length of a step of true time in milliseconds.
 const TICK: Millis = 1_000;
 const SPAN: Millis = 2 * TICK;
-/// Exchanges of each holder at the most.
+/// Maximum number of requests of each holder.
 const MAX_REQUESTS: [u8; HOLDERS] = [2, 1];
 const CHANGE: Version = Version { epoch: 1, revision: 2 };
 const BEFORE: Version = Version { epoch: 1, revision: 1 };
 
+/// A fault that the checker must detect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Mutant {
     None,
-    /// A holder that wakes acts on a check from before it stood still.
+    /// After a stall a holder acts on a lease check from before the stall.
     WakesUnchecked,
-    /// Acknowledged when it is committed.
+    /// A change is acknowledged as soon as it is committed.
     AcknowledgedAtOnce,
-    /// A new leader believes that nobody has a lease.
+    /// A restarted leader assumes that no leases are running.
     ForgetsLeases,
-    /// A lease is counted from when its response came.
+    /// The span of a lease is measured from the receipt of the response.
     CountedFromResponse,
-    /// Clocks are taken to agree.
+    /// No allowance is made for clock drift.
     ClocksAgree,
 }
 
-/// A clock of a millisecond's resolution that loses or gains five in a thousand.
+/// Reads a clock of millisecond resolution that is fast or slow by five in a thousand.
 fn local(true_ms: Millis, fast: bool) -> Millis {
     if fast { true_ms * 1_005 / 1_000 } else { true_ms * 995 / 1_000 }
 }
@@ -42,28 +46,28 @@
     in_force: Version,
     until: Option<Millis>,
     requests: u8,
-    /// A request on its way: when it left, by its own clock, and what it reported.
+    /// A request in transit: when it was sent by the holder's clock, and the version that it reports.
     request: Option<(Millis, Version)>,
-    /// A response on its way: to a request of then, with this snapshot.
+    /// A response in transit: when its request was sent by the holder's clock, and the version of its snapshot.
     response: Option<(Millis, Version)>,
     stalled: bool,
-    /// It had a lease when it was stopped.
+    /// Whether the holder had a lease when it stalled.
     checked: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
     ticks: u64,
-    /// Whose clocks are fast: the leader's, then the holders'.
+    /// Whether each clock is fast: the leader's, then the holders'.
     fast: [bool; HOLDERS + 1],
     membership: Membership,
     snapshot: Version,
     holders: Vec<HolderState>,
-    /// When the change was made, by the leader's clock.
+    /// When the change was made by the leader's clock.
     changed: Millis,
     acknowledged: bool,
     restarted: bool,
-    /// A holder acted without a change that was acknowledged.
+    /// Whether a holder acted without a change that was acknowledged.
     violated: bool,
 }
 
@@ -73,9 +77,9 @@
     Change,
     Restart,
     Request(usize),
-    Arrives(usize),
+    RequestReceived(usize),
     RequestLost(usize),
-    Responded(usize),
+    ResponseReceived(usize),
     ResponseLost(usize),
     Stalls(usize),
     Wakes(usize),
@@ -87,9 +91,9 @@
     Incarnation { controller: n as u32, incarnation: 1 }
 }
 
-fn holder(one: &HolderState) -> Holder {
+fn lease_holder(state: &HolderState) -> Holder {
     let mut holder = Holder::new(0, LeasePolicy { rejects: true, not_ready_after: None });
-    if let Some(until) = one.until {
+    if let Some(until) = state.until {
         holder.renewed(until);
     }
     holder
@@ -105,13 +109,13 @@
     }
 
     fn acts(&self, n: usize) -> bool {
-        !self.holders[n].stalled && holder(&self.holders[n]).stage(self.clock(n)).accepts_calls()
+        !self.holders[n].stalled && lease_holder(&self.holders[n]).stage(self.clock(n)).accepts_calls()
     }
 
-    /// Whoever may act does so in every state: it must have what was acknowledged.
-    fn settle(&mut self, mutant: Mutant) {
+    /// Updates whether the change is acknowledged, and whether a holder that may act now lacks the acknowledged change.
+    fn update_acknowledgement(&mut self, mutant: Mutant) {
         if self.snapshot == CHANGE && !self.acknowledged {
-            // Without the allowance for clocks, leases are out that much earlier.
+            // Without the allowance for clock drift, leases expire earlier for the leader.
             let early = if mutant == Mutant::ClocksAgree { lease::max_clock_difference(SPAN) } else { 0 };
             let progress = self.membership.progress(self.now() + early, CHANGE, 0);
             self.acknowledged = mutant == Mutant::AcknowledgedAtOnce || progress.is_in_force();
@@ -126,13 +130,13 @@
     type Action = Step;
 
     fn init_states(&self) -> Vec<State> {
-        let span = |now| Membership::new(now, Some(SPAN), None, 0);
-        // The leader's clock, and those of the holders.
+        let membership = |now| Membership::new(now, Some(SPAN), None, 0);
+        // One bit for the leader's clock, and one for those of all holders.
         (0..4u32)
             .map(|bits| State {
                 ticks: 0,
                 fast: std::array::from_fn(|n| bits >> n.min(1) & 1 == 1),
-                membership: span(0),
+                membership: membership(0),
                 snapshot: BEFORE,
                 holders: vec![
                     HolderState {
@@ -156,7 +160,7 @@
 
     fn actions(&self, state: &State, out: &mut Vec<Step>) {
         if state.violated {
-            // What follows on a violation shows nothing more.
+            // States after a violation need not be explored.
             return;
         }
         if state.ticks < MAX_TICKS {
@@ -168,29 +172,30 @@
         if !state.restarted && state.ticks > 0 {
             out.push(Step::Restart);
         }
-        for (n, one) in state.holders.iter().enumerate() {
-            if one.requests < MAX_REQUESTS[n]
-                && one.request.is_none()
-                && one.response.is_none()
-                && !one.stalled
+        for (n, holder) in state.holders.iter().enumerate() {
+            if holder.requests < MAX_REQUESTS[n]
+                && holder.request.is_none()
+                && holder.response.is_none()
+                && !holder.stalled
             {
                 out.push(Step::Request(n));
             }
-            if one.request.is_some() {
-                out.push(Step::Arrives(n));
+            if holder.request.is_some() {
+                out.push(Step::RequestReceived(n));
             }
-            if one.response.is_some() && !one.stalled {
-                out.push(Step::Responded(n));
+            if holder.response.is_some() && !holder.stalled {
+                out.push(Step::ResponseReceived(n));
             }
-            // One of them stalls and loses messages for which it can send another request; what others lose just never comes.
+            // Only the first holder stalls and loses messages, since it can send a second request. For the others the
+            // loss of a message is covered by states in which it is never received.
             if n == 0 {
-                if one.request.is_some() {
+                if holder.request.is_some() {
                     out.push(Step::RequestLost(n));
                 }
-                if one.response.is_some() {
+                if holder.response.is_some() {
                     out.push(Step::ResponseLost(n));
                 }
-                out.push(if one.stalled { Step::Wakes(n) } else { Step::Stalls(n) });
+                out.push(if holder.stalled { Step::Wakes(n) } else { Step::Stalls(n) });
             }
         }
     }
@@ -211,32 +216,32 @@
             }
             Step::Request(n) => {
                 let clock = state.clock(n);
-                let one = &mut next.holders[n];
-                one.requests += 1;
-                one.request = Some((clock, one.in_force));
+                let holder = &mut next.holders[n];
+                holder.requests += 1;
+                holder.request = Some((clock, holder.in_force));
             }
-            Step::Arrives(n) => {
-                let (asked, in_force) = next.holders[n].request.take()?;
+            Step::RequestReceived(n) => {
+                let (sent_at, in_force) = next.holders[n].request.take()?;
                 next.membership.heartbeat(
                     now,
                     who(n),
                     MemberState { in_force, persisted: in_force, requires_lease: true },
                 );
                 next.membership.grant(now, who(n), state.snapshot).ok()?;
-                next.holders[n].response = Some((asked, state.snapshot));
+                next.holders[n].response = Some((sent_at, state.snapshot));
             }
             Step::RequestLost(n) => next.holders[n].request = None,
-            Step::Responded(n) => {
+            Step::ResponseReceived(n) => {
                 let clock = state.clock(n);
-                let one = &mut next.holders[n];
-                let (asked, snapshot) = one.response.take()?;
-                let asked = if self.0 == Mutant::CountedFromResponse { clock } else { asked };
+                let holder = &mut next.holders[n];
+                let (sent_at, snapshot) = holder.response.take()?;
+                let sent_at = if self.0 == Mutant::CountedFromResponse { clock } else { sent_at };
                 let until = match self.0 {
-                    Mutant::ClocksAgree => asked + SPAN,
-                    _ => lease::expires_at(asked, SPAN),
+                    Mutant::ClocksAgree => sent_at + SPAN,
+                    _ => lease::expires_at(sent_at, SPAN),
                 };
-                one.in_force = snapshot;
-                one.until = one.until.max(Some(until));
+                holder.in_force = snapshot;
+                holder.until = holder.until.max(Some(until));
             }
             Step::ResponseLost(n) => next.holders[n].response = None,
             Step::Stalls(n) => {
@@ -250,19 +255,19 @@
                 next.holders[n].checked = false;
             }
         }
-        next.settle(self.0);
+        next.update_acknowledgement(self.0);
         Some(next)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("nobody acts without what was acknowledged", |_, s: &State| !s.violated),
+            Property::always("no holder acts without an acknowledged change", |_, s: &State| !s.violated),
             Property::always("a change is acknowledged within a span, whatever is lost", |_, s: &State| {
                 let bound = (s.changed + SPAN + lease::max_clock_difference(SPAN))
                     .max(s.membership.earlier_leases_expire_at());
                 s.acknowledged || s.snapshot == BEFORE || s.now() < bound
             }),
-            Property::sometimes("one that never heard of it is waited out", |_, s: &State| {
+            Property::sometimes("the lease of a holder without the change is waited out", |_, s: &State| {
                 s.acknowledged && s.holders.iter().any(|h| h.until.is_some() && h.in_force == BEFORE)
             }),
         ]
@@ -289,6 +294,9 @@
     ] {
         let checked = Fleet(mutant).checker().finish_when(HasDiscoveries::AnyFailures).spawn_bfs().join();
         let found = checked.discoveries();
-        assert!(found.contains_key("nobody acts without what was acknowledged"), "{mutant:?} was not found");
+        assert!(
+            found.contains_key("no holder acts without an acknowledged change"),
+            "{mutant:?} was not found"
+        );
     }
 }
--- a/crates/fleet/tests/loss.rs
+++ b/crates/fleet/tests/loss.rs
@@ -1,4 +1,5 @@
-//! Which snapshot is in force after a loss: random losses and returns, with what must never come of them.
+//! Which snapshot is installed after disks were lost or damaged, and which one a follower without a snapshot gets. No
+//! acknowledged change that a disk still has may be lost.
 
 use nettleferry_fleet::authority::{Authority, Cause, Duty, MAX_REPORTS, Step};
 use nettleferry_fleet::bootstrap::{self, Bootstrap, PeerResponse};
@@ -15,12 +16,12 @@
     assert_eq!(a.duty().0, Duty::Waiting(Cause::Damaged));
     assert_eq!(a.report_received(1, 1, Some(version(1, 7))), Step::None);
     assert_eq!(a.report_received(2, 2, None), Step::None);
-    // The third holds the newest: had the first been taken, an acknowledged change would be gone.
+    // The third has the newest snapshot. Installing the first one's would have lost an acknowledged change.
     assert_eq!(a.report_received(3, 3, Some(version(1, 9))), Step::Install(3, version(1, 9)));
     a.set_own(4, version(2, 9), true);
     assert_eq!(a.duty().0, Duty::Serving);
     assert_eq!(a.report_received(5, 1, Some(version(1, 7))), Step::None);
-    assert_eq!(a.duty().0, Duty::Serving, "a controller that is behind follows");
+    assert_eq!(a.duty().0, Duty::Serving, "a controller that is behind has no effect");
 }
 
 #[test]
@@ -39,7 +40,7 @@
     first.report_received(1, 1, None);
     assert_eq!(first.duty().0, Duty::Waiting(Cause::Empty));
     first.report_received(2, 2, None);
-    assert_eq!(first.duty().0, Duty::Serving, "nobody has any: a new installation");
+    assert_eq!(first.duty().0, Duty::Serving, "no controller has a snapshot: a new installation");
 }
 
 #[test]
@@ -49,23 +50,23 @@
     a.report_received(1, 1, Some(version(1, 6)));
     assert_eq!(a.report_received(2, 2, Some(forged.clone())), Step::None);
     assert_eq!(a.duty().0, Duty::Waiting(Cause::Disagreed));
-    // An operator's decision supersedes both.
+    // The snapshot that an operator chooses supersedes both.
     let origin = a.superseding_origin().expect("snapshots are known");
     let decided = SnapshotVersion { store: origin.store, epoch: origin.epoch, ..version(0, 6) };
     assert_eq!(
         (decided.compare(&forged), decided.compare(&version(1, 6))),
         (VersionOrder::Ahead, VersionOrder::Ahead)
     );
-    // One that reported again agrees, and the fleet goes on without an operator.
+    // The second controller reports the same snapshot as the first, so no operator is needed any more.
     assert_eq!(a.report_received(3, 2, Some(version(1, 6))), Step::Install(1, version(1, 6)));
 }
 
 #[test]
-fn snapshot_that_was_ahead_is_taken_back_by_no_report() {
+fn reported_newer_snapshot_is_not_retracted_by_a_later_report() {
     let mut a = Authority::new(0, Some(version(1, 5)), 2);
     assert_eq!(a.report_received(1, 1, Some(version(1, 6))), Step::None);
     assert_eq!(a.duty().0, Duty::Waiting(Cause::Behind));
-    // The same controller: late, or with an older disk, or with none. And the other one agrees with the leader.
+    // The same controller reports an older snapshot or none, and the other one reports the leader's snapshot.
     for (now, reported) in [(2, Some(version(1, 5))), (3, None)] {
         assert_eq!(a.report_received(now, 1, reported), Step::None);
         assert_eq!(a.report_received(now, 2, Some(version(1, 5))), Step::None);
@@ -75,7 +76,7 @@
     a.set_own(4, SnapshotVersion { epoch: origin.epoch, ..version(1, 5) }, true);
     assert_eq!(a.duty().0, Duty::Serving, "an operator has decided");
     assert_eq!(a.report_received(5, 1, Some(version(1, 6))), Step::None);
-    assert_eq!(a.duty().0, Duty::Serving, "and that is above what was reported");
+    assert_eq!(a.duty().0, Duty::Serving, "the decided snapshot supersedes what was reported");
 }
 
 #[test]
@@ -88,7 +89,7 @@
     let mut empty = Authority::new(0, Some(SnapshotVersion { revision: 0, ..SnapshotVersion::default() }), 1);
     empty.report_received(1, 1, Some(version(1, 7)));
     empty.report_received(2, 1, None);
-    assert_eq!(empty.duty().0, Duty::Waiting(Cause::Empty), "this is no new installation");
+    assert_eq!(empty.duty().0, Duty::Waiting(Cause::Empty), "this is not a new installation");
 }
 
 #[test]
@@ -98,7 +99,11 @@
     a.report_received(1, 1, Some(forged));
     assert_eq!(a.duty().0, Duty::Waiting(Cause::Disagreed));
     a.superseded_report_received(2, &version(1, 5));
-    assert_eq!(a.duty().0, Duty::Waiting(Cause::Disagreed), "its controller's later report stands");
+    assert_eq!(
+        a.duty().0,
+        Duty::Waiting(Cause::Disagreed),
+        "the later report of its controller still applies"
+    );
     let mut b = Authority::new(0, Some(version(1, 5)), 2);
     b.superseded_report_received(1, &version(1, 5));
     assert_eq!(b.duty().0, Duty::Serving);
@@ -123,7 +128,11 @@
     let held = version(2, 6);
     assert_eq!(bootstrap::should_replace(None, &held), Ok(true));
     assert_eq!(bootstrap::should_replace(Some(&held), &held), Ok(false));
-    assert_eq!(bootstrap::should_replace(Some(&held), &version(3, 4)), Ok(true), "a restore is above");
+    assert_eq!(
+        bootstrap::should_replace(Some(&held), &version(3, 4)),
+        Ok(true),
+        "a restored snapshot supersedes it"
+    );
     assert_eq!(bootstrap::should_replace(Some(&held), &version(2, 5)), Err(VersionOrder::Behind));
     assert_eq!(bootstrap::should_replace(Some(&held), &version(1, 9)), Err(VersionOrder::Behind));
     assert_eq!(
@@ -137,28 +146,29 @@
 #[test]
 fn bootstrap_asks_a_bounded_number_of_peers_and_installs_the_newest() {
     let mut bootstrap = Bootstrap::new(200, 9);
-    let (mut now, mut asked, mut taken) = (0, Vec::new(), None);
-    while taken.is_none() && now < 60_000 {
+    let (mut now, mut asked, mut installed_from) = (0, Vec::new(), None);
+    while installed_from.is_none() && now < 60_000 {
         match bootstrap.next(now) {
             bootstrap::Step::Wait(until) => now = until.max(now + 1),
             bootstrap::Step::Request(peer) => {
                 asked.push(peer);
-                let holds = PeerResponse::Snapshot(version(1, peer as u64 % 7));
-                bootstrap.peer_responded(peer, if peer % 3 == 0 { PeerResponse::NoSnapshot } else { holds });
+                let offered = PeerResponse::Snapshot(version(1, peer as u64 % 7));
+                bootstrap
+                    .peer_responded(peer, if peer % 3 == 0 { PeerResponse::NoSnapshot } else { offered });
             }
-            bootstrap::Step::Install(peer) => taken = Some(peer),
-            bootstrap::Step::Forked => panic!("all are of one store"),
+            bootstrap::Step::Install(peer) => installed_from = Some(peer),
+            bootstrap::Step::Forked => panic!("all snapshots are of one store"),
         }
     }
-    let taken = taken.expect("one of them has a snapshot");
+    let installed_from = installed_from.expect("one of them has a snapshot");
     assert!(asked.len() <= bootstrap::MAX_PEERS_PER_ROUND, "{asked:?}");
     let newest = asked.iter().filter(|p| **p % 3 != 0).map(|p| p % 7).max();
-    assert_eq!(newest, Some(taken % 7));
+    assert_eq!(newest, Some(installed_from % 7));
     assert!(now >= bootstrap::LEADER_HEAD_START, "the leader is asked first");
 }
 
 proptest! {
-    /// Whatever the order of reports and the snapshots on disks: no change that any disk has is given up.
+    /// No change that any disk has is lost, for any snapshots on the disks and any order of reports.
     #[test]
     fn no_acknowledged_change_is_given_up(
         own in proptest::option::of(0u64..6),
@@ -173,7 +183,7 @@
             let step = a.report_received(now as u64, who as u32, held[who].map(|r| version(1, r)));
             if let Step::Install(from, version) = step {
                 prop_assert_eq!(version.revision, newest, "the newest of all disks");
-                prop_assert_eq!(held[from as usize], Some(newest), "from one that has it");
+                prop_assert_eq!(held[from as usize], Some(newest), "installed from a controller that has it");
                 serving = Some(version.revision);
                 a.set_own(now as u64, SnapshotVersion { epoch: 2, ..version }, true);
                 break;
--- a/crates/fleet/tests/model.rs
+++ b/crates/fleet/tests/model.rs
@@ -1,78 +1,81 @@
-//! Every order of changes, followers' heartbeats, losses of disks and losses of power, with the real decisions: an
-//! leader and two controllers that follow. Mutants of the decisions are each found.
+//! Model checking of the choice of a snapshot after losses. Properties: no change that a disk still has is lost, and no
+//! follower goes back to an older snapshot.
+//!
+//! The model runs the production code of a leader and two followers through every order of changes, heartbeats, disk
+//! losses and power losses. The checker must also detect each of a number of faulty variants (mutants).
 
 use nettleferry_fleet::authority::{Authority, Cause, Duty, Step as NextStep};
 use nettleferry_fleet::bootstrap;
 use nettleferry_fleet::snapshot_version::{SnapshotVersion, VersionOrder};
 use stateright::{Checker, Model, Property};
 
-/// Followers; the leader's disk is the first.
+/// Number of followers. Disk 0 is the leader's.
 const FOLLOWERS: usize = 2;
 const MAX_CHANGES: u64 = 2;
-const MAX_LOSSES: u8 = 2;
-const MAX_POWER: u8 = 2;
+const MAX_DISK_LOSSES: u8 = 2;
+const MAX_POWER_LOSSES: u8 = 2;
 
-/// What is wrong in a model that must be found wrong.
+/// A fault that the checker must detect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Mutant {
     None,
-    /// A follower reports no snapshot and installs whatever it gets.
+    /// A follower reports no version and installs any snapshot that it receives.
     WithoutVersions,
     /// The leader installs the first snapshot that is reported.
     InstallsFirst,
-    /// A snapshot that can't be read is an empty one, and served.
+    /// A snapshot that can't be read is treated as an empty one and served.
     UnreadIsEmpty,
-    /// A leader that was told of a later snapshot serves again when a report agrees with its own.
-    TakesBackAhead,
-    /// A late report counts as what its controller has.
+    /// A leader that received a report of a newer snapshot serves again once a later report matches its own snapshot.
+    RetractsAhead,
+    /// A delayed heartbeat counts as an answer to a query.
     LateCountsAsAnswer,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
-    /// Snapshots on disks: the leader's, then the followers'. `None`: lost.
+    /// Snapshots on the disks: the leader's, then the followers'. `None` if lost.
     disks: Vec<Option<SnapshotVersion>>,
-    /// The leader's disk as it was one change before.
-    older: Option<SnapshotVersion>,
+    /// The snapshot on the leader's disk before the last change.
+    previous: Option<SnapshotVersion>,
     authority: Authority,
     changes: u64,
-    losses: u8,
-    power: u8,
-    /// A change that a disk still held was given up.
-    undone: bool,
-    /// A follower served from a snapshot that is behind what it held.
-    back: bool,
-    /// The newest snapshot ahead of the leader's that was reported to it since its start and the last decision.
+    disk_losses: u8,
+    power_losses: u8,
+    /// Whether a change that a disk still had was lost.
+    change_lost: bool,
+    /// Whether a follower replaced its snapshot by an older one.
+    follower_regressed: bool,
+    /// The newest snapshot ahead of the leader's that was reported since the leader's start and the last decision.
     ahead: Option<SnapshotVersion>,
-    /// A change was accepted in spite of it.
+    /// Whether the leader accepted a change while `ahead` was set.
     accepted_behind: bool,
-    /// What followers reported one heartbeat before: such a request may come late.
+    /// The last report of each follower, which may be received again with a delay.
     earlier: Vec<Option<SnapshotVersion>>,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 enum Step {
     Change,
-    /// A follower reports its snapshot, and gets the leader's where it serves.
+    /// A follower reports its snapshot and receives the leader's if that is served.
     Heartbeat(usize),
-    /// A request of before comes late, or a held one is judged again, of an incarnation that the leader knows or not.
+    /// An earlier report is received with a delay, or the report of a held watch is evaluated again.
     LateReport {
         who: usize,
         superseded: bool,
     },
-    /// An operator decides for the newest snapshot that there is, where what was ahead is on no disk any more.
+    /// An operator chooses the newest snapshot on the disks, after the newest reported one was lost.
     Decide,
-    /// The disk is lost; its process goes with it and is back without.
+    /// A disk is lost, and its controller restarts without a snapshot.
     DiskLost(usize),
-    /// The leader's disk comes back as it was a change before.
-    Older,
-    /// Everything starts again from its disk.
+    /// The leader's disk is replaced by its state before the last change.
+    LeaderDiskRolledBack,
+    /// All controllers restart from their disks.
     PowerLost,
 }
 
 struct Fleet(Mutant);
 
-fn first() -> SnapshotVersion {
+fn initial_version() -> SnapshotVersion {
     SnapshotVersion { store: "s".to_owned(), epoch: 1, revision: 1, checksum: 1 }
 }
 
@@ -80,11 +83,13 @@
     fn start(&self, disks: &[Option<SnapshotVersion>]) -> Authority {
         let expected = if self.0 == Mutant::InstallsFirst { 1 } else { FOLLOWERS };
         let own = match (&disks[0], self.0) {
-            (None, Mutant::UnreadIsEmpty) => Some(SnapshotVersion { revision: 0, checksum: 0, ..first() }),
+            (None, Mutant::UnreadIsEmpty) => {
+                Some(SnapshotVersion { revision: 0, checksum: 0, ..initial_version() })
+            }
             (own, _) => own.clone(),
         };
         match self.0 {
-            // An empty snapshot that nobody doubts.
+            // With no expected controllers, the empty snapshot is served at once.
             Mutant::UnreadIsEmpty => Authority::new(0, own, 0),
             _ => Authority::new(0, own, expected),
         }
@@ -92,7 +97,7 @@
 }
 
 impl State {
-    /// A follower's report came: is it ahead of the leader's snapshot? It is where that can't be read.
+    /// Records a follower's report in `ahead` if it is ahead of the leader's snapshot or that can't be read.
     fn note_ahead(&mut self, reported: Option<&SnapshotVersion>) {
         let Some(reported) = reported else { return };
         let is_ahead = |own| reported.compare(own) == VersionOrder::Ahead;
@@ -101,18 +106,19 @@
         }
     }
 
-    /// What was ahead is on no disk any more.
+    /// Returns whether the newest reported snapshot is on no disk any more.
     fn is_ahead_lost(&self) -> bool {
         self.ahead.as_ref().is_some_and(|ahead| self.disks.iter().flatten().all(|disk| disk < ahead))
     }
 
-    /// The leader starts again, and knows nothing of what was reported.
+    /// Restarts the leader, which has no reports then.
     fn restart(&mut self, fleet: &Fleet) {
         self.authority = fleet.start(&self.disks);
         self.ahead = None;
     }
 
-    /// Nothing is installed for a report that nobody asked for: its controller may have another snapshot by now.
+    /// Passes a delayed heartbeat to the leader. Nothing is installed for it, because its controller may have another
+    /// snapshot by now.
     fn late_heartbeat(&mut self, mutant: Mutant, controller: u32, late: SnapshotVersion) {
         match mutant {
             Mutant::LateCountsAsAnswer => self.authority.report_received(0, controller, Some(late)),
@@ -120,10 +126,10 @@
         };
     }
 
-    fn take_back(&mut self, mutant: Mutant, reported: Option<&SnapshotVersion>) {
+    fn retract_ahead(&mut self, mutant: Mutant, reported: Option<&SnapshotVersion>) {
         let own = self.authority.own().cloned();
         let waits = self.authority.duty().0 == Duty::Waiting(Cause::Behind);
-        if mutant == Mutant::TakesBackAhead
+        if mutant == Mutant::RetractsAhead
             && waits
             && reported == own.as_ref()
             && let Some(own) = own
@@ -138,17 +144,17 @@
     type Action = Step;
 
     fn init_states(&self) -> Vec<State> {
-        let disks = vec![Some(first()); FOLLOWERS + 1];
+        let disks = vec![Some(initial_version()); FOLLOWERS + 1];
         let authority = self.start(&disks);
         vec![State {
             disks,
-            older: None,
+            previous: None,
             authority,
             changes: 0,
-            losses: 0,
-            power: 0,
-            undone: false,
-            back: false,
+            disk_losses: 0,
+            power_losses: 0,
+            change_lost: false,
+            follower_regressed: false,
             ahead: None,
             accepted_behind: false,
             earlier: vec![None; FOLLOWERS + 1],
@@ -165,13 +171,13 @@
         if state.is_ahead_lost() {
             out.push(Step::Decide);
         }
-        if state.losses < MAX_LOSSES {
+        if state.disk_losses < MAX_DISK_LOSSES {
             out.extend((0..=FOLLOWERS).map(Step::DiskLost));
-            if state.older.is_some() {
-                out.push(Step::Older);
+            if state.previous.is_some() {
+                out.push(Step::LeaderDiskRolledBack);
             }
         }
-        if state.power < MAX_POWER {
+        if state.power_losses < MAX_POWER_LOSSES {
             out.push(Step::PowerLost);
         }
     }
@@ -183,47 +189,48 @@
             Step::Change => {
                 let own = next.authority.own()?.clone();
                 let revision = own.revision + 1;
-                // The checksum is the history: two snapshots of one revision that came about apart differ.
+                // The checksum is derived from the history, so that snapshots of one revision with different histories
+                // differ.
                 let changed = SnapshotVersion {
                     revision,
                     checksum: own.checksum * 7 + own.epoch as u32,
                     ..own.clone()
                 };
                 next.accepted_behind |= next.ahead.is_some();
-                next.older = Some(own);
+                next.previous = Some(own);
                 next.disks[0] = Some(changed.clone());
                 next.authority.set_own(0, changed, false);
                 next.changes += 1;
             }
             Step::Heartbeat(who) => {
-                let held = next.disks[who].clone();
-                next.note_ahead(held.as_ref());
-                next.earlier[who] = held.clone();
+                let reported = next.disks[who].clone();
+                next.note_ahead(reported.as_ref());
+                next.earlier[who] = reported.clone();
                 let step = (self.0 != Mutant::WithoutVersions)
-                    .then(|| next.authority.report_received(0, who as u32, held.clone()));
-                if let Some(NextStep::Install(_, taken)) = step {
+                    .then(|| next.authority.report_received(0, who as u32, reported.clone()));
+                if let Some(NextStep::Install(_, chosen)) = step {
                     let newest = next.disks.iter().flatten().max().cloned();
-                    next.undone |=
-                        newest.is_some_and(|n| n.revision > taken.revision && n.epoch >= taken.epoch);
-                    let epoch = taken.epoch + 1;
-                    let stands = SnapshotVersion { epoch, ..taken };
-                    next.disks[0] = Some(stands.clone());
-                    next.authority.set_own(0, stands, true);
+                    next.change_lost |=
+                        newest.is_some_and(|n| n.revision > chosen.revision && n.epoch >= chosen.epoch);
+                    let epoch = chosen.epoch + 1;
+                    let installed = SnapshotVersion { epoch, ..chosen };
+                    next.disks[0] = Some(installed.clone());
+                    next.authority.set_own(0, installed, true);
                     next.ahead = None;
                 }
-                next.take_back(self.0, held.as_ref());
+                next.retract_ahead(self.0, reported.as_ref());
                 if next.authority.duty().0 == Duty::Serving {
-                    let given = next.authority.own()?.clone();
-                    let takes = match self.0 {
+                    let offered = next.authority.own()?.clone();
+                    let installs = match self.0 {
                         Mutant::WithoutVersions | Mutant::UnreadIsEmpty => true,
-                        _ => bootstrap::should_replace(held.as_ref(), &given) == Ok(true),
+                        _ => bootstrap::should_replace(reported.as_ref(), &offered) == Ok(true),
                     };
-                    if takes {
-                        let behind = held
+                    if installs {
+                        let behind = reported
                             .as_ref()
-                            .is_some_and(|h| (given.epoch, given.revision) < (h.epoch, h.revision));
-                        next.back |= behind;
-                        next.disks[who] = Some(given);
+                            .is_some_and(|h| (offered.epoch, offered.revision) < (h.epoch, h.revision));
+                        next.follower_regressed |= behind;
+                        next.disks[who] = Some(offered);
                     }
                 }
             }
@@ -235,30 +242,30 @@
                 } else {
                     next.late_heartbeat(self.0, who as u32, late.clone());
                 }
-                next.take_back(self.0, Some(&late));
+                next.retract_ahead(self.0, Some(&late));
             }
             Step::Decide => {
                 let chosen = next.disks.iter().flatten().max()?.clone();
                 let origin = next.authority.superseding_origin()?;
-                let stands = SnapshotVersion { epoch: origin.epoch, ..chosen };
-                next.disks[0] = Some(stands.clone());
-                next.authority.set_own(0, stands, true);
+                let installed = SnapshotVersion { epoch: origin.epoch, ..chosen };
+                next.disks[0] = Some(installed.clone());
+                next.authority.set_own(0, installed, true);
                 next.ahead = None;
             }
             Step::DiskLost(which) => {
-                next.losses += 1;
+                next.disk_losses += 1;
                 next.disks[which] = None;
                 if which == 0 {
                     next.restart(self);
                 }
             }
-            Step::Older => {
-                next.losses += 1;
-                next.disks[0] = next.older.take();
+            Step::LeaderDiskRolledBack => {
+                next.disk_losses += 1;
+                next.disks[0] = next.previous.take();
                 next.restart(self);
             }
             Step::PowerLost => {
-                next.power += 1;
+                next.power_losses += 1;
                 next.restart(self);
             }
         }
@@ -267,15 +274,15 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("no change that any disk holds is given up", |_, s: &State| !s.undone),
-            Property::always("no follower goes back", |_, s: &State| !s.back),
+            Property::always("no change that a disk has is lost", |_, s: &State| !s.change_lost),
+            Property::always("no follower installs an older snapshot", |_, s: &State| !s.follower_regressed),
             Property::always(
                 "no change is accepted between a report that is ahead and a decision",
                 |_, s: &State| !s.accepted_behind,
             ),
             Property::always("a leader waits only for a report, or for an operator", |_, s: &State| {
-                // All have answered, all agree and some disk has a snapshot: then it does not wait, unless what was
-                // reported is on none of them: going on without it is an operator's decision.
+                // The leader must serve if all controllers have answered, the snapshots do not conflict and a disk has
+                // one. The exception is that the newest reported snapshot is on no disk: then an operator has to decide.
                 let reports: Vec<_> = s.authority.reports().collect();
                 let all = s.authority.answered() >= FOLLOWERS;
                 let current = reports.iter().all(|r| r.version == s.disks[r.controller as usize].as_ref());
@@ -287,7 +294,7 @@
                 open || s.authority.duty().0 == Duty::Serving
             }),
             Property::sometimes("a lost snapshot is replaced", |_, s: &State| {
-                s.losses > 0
+                s.disk_losses > 0
                     && s.disks.iter().all(Option::is_some)
                     && s.disks[0].as_ref().is_some_and(|d| d.epoch > 1)
             }),
@@ -296,7 +303,7 @@
 }
 
 #[test]
-fn no_order_of_losses_gives_up_a_change_that_a_disk_has() {
+fn no_order_of_losses_loses_a_change_that_a_disk_has() {
     let checked = Fleet(Mutant::None).checker().spawn_bfs().join();
     println!("{} states, {} unique", checked.state_count(), checked.unique_state_count());
     assert!(checked.unique_state_count() > 1_000);
@@ -309,17 +316,17 @@
         Mutant::WithoutVersions,
         Mutant::InstallsFirst,
         Mutant::UnreadIsEmpty,
-        Mutant::TakesBackAhead,
+        Mutant::RetractsAhead,
         Mutant::LateCountsAsAnswer,
     ] {
         let checked = Fleet(mutant).checker().spawn_bfs().join();
         let found = checked.discoveries();
-        let broken = match mutant {
-            Mutant::TakesBackAhead => {
+        let violated = match mutant {
+            Mutant::RetractsAhead => {
                 vec!["no change is accepted between a report that is ahead and a decision"]
             }
-            _ => vec!["no change that any disk holds is given up", "no follower goes back"],
+            _ => vec!["no change that a disk has is lost", "no follower installs an older snapshot"],
         };
-        assert!(broken.iter().any(|name| found.contains_key(name)), "{mutant:?} was not found");
+        assert!(violated.iter().any(|name| found.contains_key(name)), "{mutant:?} was not found");
     }
 }
