--- a/crates/fleet/src/authority.rs
+++ b/crates/fleet/src/authority.rs
@@ -1,9 +1,9 @@
 //! Decides whether the leader may serve its snapshot and accept changes, or whether a follower has a newer snapshot.
 //!
-//! While the leader's own snapshot is damaged, missing or behind, the leader neither serves it nor accepts changes. It
-//! installs the snapshot of a follower without an operator only after every expected controller has answered which
-//! snapshot it has. Otherwise an acknowledged change that some disk still has could be lost. In all other cases an
-//! operator decides. Followers continue to serve their own snapshots meanwhile.
+//! While the leader's own snapshot is damaged, empty, behind or in conflict with another one, the leader neither serves
+//! it nor accepts changes. It installs the snapshot of a follower without an operator only after every expected
+//! controller has answered which snapshot it has. Otherwise an acknowledged change that some disk still has could be
+//! lost. In all other cases an operator decides. Followers continue to serve their own snapshots meanwhile.
 //!
 //! Once a controller has reported a snapshot that is ahead of the leader's, the leader waits until a snapshot is
 //! installed or an operator decides. A later report does not end the wait: it may be delayed, or come from an
@@ -24,7 +24,8 @@
 pub enum Duty {
     /// The leader serves its snapshot and accepts changes.
     Serving,
-    /// The leader does neither until a snapshot is installed or an operator decides.
+    /// The leader does neither, for this cause, until an operator or the reports of the other controllers determine
+    /// which snapshot is served.
     Waiting(Cause),
 }
 
@@ -104,7 +105,7 @@
 pub struct Authority {
     own: Option<SnapshotVersion>,
     duty: Duty,
-    /// Other controllers that must have reported before a snapshot is installed without an operator.
+    /// Number of other controllers that must have answered before a snapshot is installed without an operator.
     expected: usize,
     /// The last report of each controller, solicited or not.
     reports: BTreeMap<u32, Report>,
@@ -284,10 +285,10 @@
             }
             return Step::None;
         };
-        let disagrees = |version: &SnapshotVersion| {
+        let conflicts = |version: &SnapshotVersion| {
             matches!(version.compare(&newest), VersionOrder::Forked | VersionOrder::Foreign)
         };
-        if self.reported_versions().chain(own).any(disagrees) {
+        if self.reported_versions().chain(own).any(conflicts) {
             self.transition(now, Duty::Waiting(Cause::Disagreed));
             return Step::None;
         }
@@ -314,7 +315,7 @@
     pub fn superseding_origin(&self) -> Option<SupersedingOrigin> {
         let known = self.reported_versions().chain(self.own.as_ref()).chain(self.newest_reported.as_ref());
         let epoch = known.map(|version| version.epoch).max()?;
-        let held = self.reported_versions().max().or(self.own.as_ref())?;
-        Some(SupersedingOrigin { store: held.store.clone(), epoch: epoch.saturating_add(1) })
+        let newest = self.reported_versions().max().or(self.own.as_ref())?;
+        Some(SupersedingOrigin { store: newest.store.clone(), epoch: epoch.saturating_add(1) })
     }
 }
--- a/crates/fleet/src/gate.rs
+++ b/crates/fleet/src/gate.rs
@@ -207,10 +207,11 @@
         self.reject((age / 2).max(MIN_RETRY_AFTER), (age * 2).max(call.latency_objective), random)
     }
 
-    /// Returns a rejection with a retry delay between `least` and `most`.
-    fn reject(&self, least: Millis, most: Millis, random: u64) -> Verdict {
-        let most = most.clamp(least, self.config.max_retry_after.max(least));
-        Verdict::Reject(least + random % (most - least + 1))
+    /// Returns a rejection with a retry delay between these bounds, and at most [`GateConfig::max_retry_after`] unless
+    /// that is below the lower bound.
+    fn reject(&self, min_delay: Millis, max_delay: Millis, random: u64) -> Verdict {
+        let max_delay = max_delay.clamp(min_delay, self.config.max_retry_after.max(min_delay));
+        Verdict::Reject(min_delay + random % (max_delay - min_delay + 1))
     }
 
     /// Tracks an admitted call as waiting for a worker. Does nothing if service is complete or too many calls wait.
--- a/crates/fleet/src/loans/tests.rs
+++ b/crates/fleet/src/loans/tests.rs
@@ -40,11 +40,15 @@
     };
     assert_eq!(CONFIG.reserve_of(100.0), 5.0);
     let first = request_loan(&mut lender, 0, 1, 1_000.0, 0);
-    assert_eq!(first.amount, 80.0, "alone, it gets all that is lent");
+    assert_eq!(first.amount, 80.0, "a single borrower gets everything that may be lent");
     assert_eq!(request_loan(&mut lender, 10, 2, 1_000.0, 0).amount, 0.0, "nothing is free");
     let smaller = request_loan(&mut lender, 20, 1, 1_000.0, first.number);
     assert_eq!(smaller.amount, 40.0);
-    assert_eq!(request_loan(&mut lender, 30, 2, 1_000.0, 2).amount, 0.0, "it may not have received it");
+    assert_eq!(
+        request_loan(&mut lender, 30, 2, 1_000.0, 2).amount,
+        0.0,
+        "the first borrower may not have received the smaller loan"
+    );
     request_loan(&mut lender, 40, 1, 1_000.0, smaller.number);
     assert_eq!(request_loan(&mut lender, 50, 2, 1_000.0, 4).amount, 40.0);
     assert_eq!(lender.outstanding(60), 80.0);
--- a/crates/fleet/src/membership.rs
+++ b/crates/fleet/src/membership.rs
@@ -216,7 +216,8 @@
     }
 
     /// Removes members that have no lease and were silent for [`FORGOTTEN_AFTER`]. If the membership is still full,
-    /// removes the member without a lease that was silent for longest. Returns false if every member has a lease.
+    /// removes the member without a lease that was silent for longest. Returns false if it is full of members with
+    /// running leases.
     fn ensure_capacity(&mut self, now: Millis) -> bool {
         let idle = |m: &Member| m.lease_expires_at.is_none_or(|expires_at| expires_at <= now);
         self.members.retain(|_, m| !idle(m) || m.last_heartbeat + FORGOTTEN_AFTER > now);
--- a/crates/fleet/tests/lease_model.rs
+++ b/crates/fleet/tests/lease_model.rs
@@ -1,4 +1,5 @@
-//! Model checking of leases and membership. Property: no holder acts without a change that was acknowledged as in force.
+//! Model checking of leases and membership. Property: no holder acts without a change that was acknowledged as in
+//! force.
 //!
 //! The model runs the production code for leases and membership through every order of requests, responses, message
 //! losses, stalls, a change and a restart of the leader, with clocks that drift apart. The checker must also detect
--- a/crates/fleet/tests/model.rs
+++ b/crates/fleet/tests/model.rs
@@ -282,7 +282,7 @@
             ),
             Property::always("a leader waits only for a report, or for an operator", |_, s: &State| {
                 // The leader must serve if all controllers have answered, the snapshots do not conflict and a disk has
-                // one. The exception is that the newest reported snapshot is on no disk: then an operator has to decide.
+                // one. The exception is a newest reported snapshot that is on no disk: then an operator has to decide.
                 let reports: Vec<_> = s.authority.reports().collect();
                 let all = s.authority.answered() >= FOLLOWERS;
                 let current = reports.iter().all(|r| r.version == s.disks[r.controller as usize].as_ref());
