--- a/adapter/src/wire/events.rs
+++ b/adapter/src/wire/events.rs
@@ -29,7 +29,7 @@
             outcome: fields.outcome(3)?,
             elapsed: fields.time(4, "rtt_ms")?,
             function: FunctionId(fields.integer(5, "fn")?),
-            copies: fields.optional_integer(6, "number")?.unwrap_or(0).min(COUNT_MAX) as u32,
+            replicas: fields.optional_integer(6, "number")?.unwrap_or(0).min(COUNT_MAX) as u32,
         },
         "CHECK_RESULT" => Event::Probed {
             worker: WorkerId(fields.integer(2, "invoker")?),
@@ -102,7 +102,7 @@
         class,
         tenant,
         function: FunctionId(fields.integer(5, "fn")?),
-        left: fields.time(6, "left_ms")?,
+        time_left: fields.time(6, "left_ms")?,
         cpu_time_hint: fields.optional_time(7, "size_hint_ms")?.filter(|_| flags & FLAG_SIZE_HINT != 0),
         lanes: fields.optional_integer(9, "concurrency")?.unwrap_or(1).clamp(1, COUNT_MAX) as u32,
         load_time: fields.optional_time(10, "start_ms")?,
--- a/crates/config/src/settings/limits.rs
+++ b/crates/config/src/settings/limits.rs
@@ -77,7 +77,7 @@
     let window = size("stream-window", 1 << 20, 64 << 10, 64 << 20);
     let limits = Limits {
         max_attempts: u32::try_from(attempts).unwrap_or(u32::MAX),
-        parallel: false,
+        parallel_attempts: false,
         probes: form.value_or("probes", true),
         cancel: true,
         retry_after: form.optional::<TimeSpan>("retry-after").map(|s| s.0),
--- a/crates/config/src/settings/mod.rs
+++ b/crates/config/src/settings/mod.rs
@@ -101,7 +101,7 @@
     let list = worker_list(&mut top);
     let Classes { classes, names: class_names } = classes::classes(&mut top);
     let Tenants { tenants, ids: tenant_ids } = classes::tenants(&mut top);
-    let over_quota_worth = top.value_or("over-quota-worth", 1.0);
+    let over_quota_weight = top.value_or("over-quota-worth", 1.0);
     let models = models::models(&mut top, &class_names);
     let discovery = policy::discovery(&mut top);
     let reports = policy::reports(&mut top);
@@ -115,19 +115,19 @@
     let recovery = recovery::recovery(&mut top);
     top.finish();
     let settings = Settings {
-        me: identity.number,
+        controller_index: identity.number,
         controllers: identity.controllers,
         zone: None,
         classes,
         tenants,
-        over_quota_worth,
+        over_quota_weight,
         discovery,
         reports,
         weights,
         loading,
         limits,
         rules,
-        step,
+        event_interval: step,
     };
     let value = grpc.zip(list.file).map(|(grpc, workers_file)| Config {
         grpc,
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -155,7 +155,7 @@
     /// Entries remembered in total, by the decision module and here: does not grow with the engine's age.
     pub fn remembered(&self) -> usize {
         let own = self.calls.len() + self.attempts.len() + self.control_requests.len() + self.timers.len();
-        self.module.remembered() + own + self.workers.len() + self.names.models()
+        self.module.state_entries() + own + self.workers.len() + self.names.models()
     }
 
     /// Names and numbers of models and workers.
--- a/crates/engine/src/engine/calls.rs
+++ b/crates/engine/src/engine/calls.rs
@@ -78,7 +78,7 @@
             class: new_call.class,
             tenant: new_call.tenant,
             function,
-            left: time_left,
+            time_left,
             cpu_time_hint: new_call.cost_hint,
             lanes: new_call.lanes.max(1),
             load_time: new_call.load_time,
--- a/crates/engine/src/engine/control_requests.rs
+++ b/crates/engine/src/engine/control_requests.rs
@@ -17,7 +17,7 @@
         let Some(Model { name, version }) = self.names.model(function).cloned() else {
             // The model was forgotten since: no call waits for it.
             let outcome = Outcome::Error;
-            let failed = ModuleEvent::Loaded { worker, function, outcome, copies: 0, elapsed: 0 };
+            let failed = ModuleEvent::Loaded { worker, function, outcome, replicas: 0, elapsed: 0 };
             return self.module_events.push_back(failed);
         };
         self.counters.orders += 1;
@@ -80,7 +80,7 @@
             None => Measurement::ProbeEnded { answered: outcome == Outcome::Ok },
         });
         self.module_events.push_back(match request.function {
-            Some(function) => ModuleEvent::Loaded { worker, function, outcome, copies, elapsed },
+            Some(function) => ModuleEvent::Loaded { worker, function, outcome, replicas: copies, elapsed },
             None => ModuleEvent::Probed { worker, outcome, report: load_report },
         });
     }
--- a/crates/engine/tests/common/mod.rs
+++ b/crates/engine/tests/common/mod.rs
@@ -27,7 +27,7 @@
             class(Effect::IdempotencyKey { scope: KeyScope::Zone, window: 1_000 * MS }),
         ],
         reports: Reports::Answers,
-        step: MS,
+        event_interval: MS,
         ..Settings::default()
     };
     settings.limits = Limits {
--- a/crates/engine/tests/soak.rs
+++ b/crates/engine/tests/soak.rs
@@ -24,7 +24,7 @@
     Settings {
         controllers: 1,
         classes: vec![class(Effect::Idempotent), class(Effect::NonIdempotent)],
-        step: 4 * MS,
+        event_interval: 4 * MS,
         loading: Loading {
             when_absent: WhenAbsent::Miss,
             keep_alive: 10 * S,
--- a/crates/gateway/benches/measure.rs
+++ b/crates/gateway/benches/measure.rs
@@ -97,7 +97,8 @@
         late_share: 0.3,
         stream: false,
     };
-    let mut settings = Settings { controllers: 1, classes: vec![class], step: 1_000, ..Settings::default() };
+    let mut settings =
+        Settings { controllers: 1, classes: vec![class], event_interval: 1_000, ..Settings::default() };
     settings.limits.max_attempts = 3;
     settings.limits.cancel = true;
     settings.loading.keep_alive = 8_000_000;
@@ -178,7 +179,7 @@
             class: ClassId(0),
             tenant: None,
             function: FunctionId(n % 64),
-            left: 4_000_000,
+            time_left: 4_000_000,
             cpu_time_hint: None,
             lanes: 64,
             load_time: None,
--- a/crates/gateway/src/controller/startup.rs
+++ b/crates/gateway/src/controller/startup.rs
@@ -65,7 +65,7 @@
             hub,
             engine,
             front: Front::new(Arc::clone(&config)),
-            worker_links: WorkerLinks::new(pool_limits(&config), config.settings.me),
+            worker_links: WorkerLinks::new(pool_limits(&config), config.settings.controller_index),
             list_watcher,
             signals,
             metrics,
@@ -210,7 +210,8 @@
     // 0 means that there is no incarnation.
     let incarnation = rand::random::<u64>().max(1);
     let program = env!("CARGO_PKG_VERSION");
-    let recorder = Recorder::new(clock.now_ms(), incarnation, config.settings.me, program, tail);
+    let recorder =
+        Recorder::new(clock.now_ms(), incarnation, config.settings.controller_index, program, tail);
     Ok(Some(AuditLog { recorder, writer }))
 }
 
@@ -222,7 +223,7 @@
 ) -> io::Result<AdminServer> {
     let deadlines_ms = config.settings.classes.iter().map(|class| class.deadline / 1000);
     let controller = ControllerContext {
-        number: config.settings.me,
+        number: config.settings.controller_index,
         controllers: config.settings.controllers,
         max_deadline_ms: deadlines_ms.max().unwrap_or(0),
         waker: hub.waker(),
--- a/crates/node/src/error.rs
+++ b/crates/node/src/error.rs
@@ -52,7 +52,7 @@
     match error {
         SettingsError::NoClasses => "classes",
         SettingsError::NoControllers => "n_instances",
-        SettingsError::NotAmongControllers => "me",
+        SettingsError::ControllerIndexOutOfRange => "me",
         SettingsError::NoAttempts => "limits.max_attempts",
     }
 }
--- a/crates/platform-settings/src/lib.rs
+++ b/crates/platform-settings/src/lib.rs
@@ -53,12 +53,12 @@
     let stats = fields.object("stats")?;
     let limits = fields.object("limits")?;
     let settings = Settings {
-        me: fields.integer_u32("me")?.unwrap_or(0),
+        controller_index: fields.integer_u32("me")?.unwrap_or(0),
         controllers: fields.integer_u32("n_instances")?.unwrap_or(1),
         zone: None,
         classes: classes.items,
         tenants: tenants.items,
-        over_quota_worth: fields.number("over_share_worth")?.unwrap_or(1.0),
+        over_quota_weight: fields.number("over_share_worth")?.unwrap_or(1.0),
         discovery: fields
             .keyword("discovery", &[("push", Discovery::Push), ("ask", Discovery::Poll)])?
             .unwrap_or(Discovery::Push),
@@ -72,7 +72,7 @@
         loading: loading(&fields.object("family_info")?)?,
         limits: self::limits(&limits)?,
         rules: rules(&fields.object("obligations")?)?,
-        step: fields.duration("step_ms")?.unwrap_or(0),
+        event_interval: fields.duration("step_ms")?.unwrap_or(0),
     };
     Ok(PlatformSettings {
         settings,
@@ -166,7 +166,7 @@
     let retry_after = limits.duration("max_retry_after_ms")?.unwrap_or(0);
     Ok(Limits {
         max_attempts: limits.integer_u32("max_attempts")?.unwrap_or(u32::MAX),
-        parallel: limits.boolean("parallel_tries")?,
+        parallel_attempts: limits.boolean("parallel_tries")?,
         probes: limits.boolean("probes")?,
         cancel: limits.boolean("cancel")?,
         retry_after: limits.boolean("retry_after")?.then_some(retry_after),
--- a/crates/scale/src/measure/module/driver.rs
+++ b/crates/scale/src/measure/module/driver.rs
@@ -106,7 +106,7 @@
 
     /// Things that the module remembers.
     pub fn remembered(&self) -> usize {
-        self.controller.remembered()
+        self.controller.state_entries()
     }
 
     /// The controller, when it is driven no further.
@@ -134,7 +134,7 @@
             class: ClassId(0),
             tenant: None,
             function,
-            left: CLIENT_WAITS,
+            time_left: CLIENT_WAITS,
             cpu_time_hint: None,
             lanes: LANES,
             load_time: None,
@@ -196,8 +196,8 @@
                 self.schedule(PROBE_AFTER, Event::Probed { worker, outcome, report: Some(REPORT) });
             }
             Action::Load { worker, function, .. } => {
-                let (outcome, copies, elapsed) = (Outcome::Ok, 1, self.answer_after);
-                self.schedule(elapsed, Event::Loaded { worker, function, outcome, copies, elapsed });
+                let (outcome, replicas, elapsed) = (Outcome::Ok, 1, self.answer_after);
+                self.schedule(elapsed, Event::Loaded { worker, function, outcome, replicas, elapsed });
             }
             Action::SetTimer { after, tag } => self.schedule(after, Event::Timer { tag }),
             Action::Refuse { request, .. } | Action::Fail { request } => {
--- a/crates/scale/src/measure/module/mod.rs
+++ b/crates/scale/src/measure/module/mod.rs
@@ -91,13 +91,13 @@
         Settings {
             controllers: 1,
             classes: vec![class],
-            over_quota_worth: 1.0,
+            over_quota_weight: 1.0,
             discovery: Discovery::Push,
             reports: Reports::Answers,
             loading: Loading { keep_alive: self.keep_alive, notes: true, ..Loading::default() },
             limits: Limits { max_attempts: 3, probes: self.probes, ..Limits::default() },
             rules: Rules { start_capacity: 1.0, overload_factor: 1.0, ..Rules::default() },
-            step: 1_000,
+            event_interval: 1_000,
             ..Settings::default()
         }
     }
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -15,7 +15,7 @@
 pub struct Controller {
     pub(crate) settings: Settings,
     /// State of the random generator.
-    pub(crate) random: u64,
+    pub(crate) rng_state: u64,
     /// The time of the event in hand.
     pub(crate) now: Micros,
     /// What has been decided on the event in hand so far.
@@ -75,13 +75,13 @@
     }
 
     /// Rendezvous hashes computed so far: the cost that grows with the number of workers, for metrics.
-    pub fn hashes(&self) -> u64 {
-        self.fleet.hashes()
+    pub fn hashes_computed(&self) -> u64 {
+        self.fleet.hashes_computed()
     }
 
     /// Things remembered in all, so that an owner can show that they stay bounded.
-    pub fn remembered(&self) -> usize {
-        let functions: usize = self.functions.values().map(remembered_of).sum();
+    pub fn state_entries(&self) -> usize {
+        let functions: usize = self.functions.values().map(entries_of_function).sum();
         let workers: usize = self.workers.values().map(|w| 1 + w.lost_orders.len()).sum();
         let calls = self.calls.len() + self.hold_queue.len() + self.attempts.len() + self.timers.len();
         let tenants: usize = self.tenant_requests.values().map(VecDeque::len).sum();
@@ -100,7 +100,7 @@
 }
 
 /// Things remembered of one function.
-fn remembered_of(function: &Function) -> usize {
+fn entries_of_function(function: &Function) -> usize {
     let by_worker = function.warm_replicas.len()
         + function.pending_loads.len()
         + function.avoided.len()
--- a/src/decision/arrivals.rs
+++ b/src/decision/arrivals.rs
@@ -27,10 +27,10 @@
         let mut recent_work = self.count_arrival(&request);
         if over_quota {
             // Behind the others, by the weight that its calls still have.
-            recent_work = (recent_work + 1.0) / self.settings.over_quota_worth.max(OVER_QUOTA_WEIGHT_MIN);
+            recent_work = (recent_work + 1.0) / self.settings.over_quota_weight.max(OVER_QUOTA_WEIGHT_MIN);
         }
         self.sequence += 1;
-        let answer_by = self.now + request.left.saturating_sub(self.settings.step);
+        let answer_by = self.now + request.time_left.saturating_sub(self.settings.event_interval);
         let call = Call {
             class: request.class.0,
             function: request.function,
--- a/src/decision/attempts.rs
+++ b/src/decision/attempts.rs
@@ -17,7 +17,7 @@
 
 impl Controller {
     pub(super) fn send_attempt(&mut self, id: RequestId, to: WorkerId) {
-        self.leave_hold_queue(id);
+        self.dequeue_held(id);
         let Some(call) = self.calls.get_mut(&id) else { return };
         let number = call.attempts;
         call.attempts += 1;
@@ -129,7 +129,7 @@
         function.reported_pressure.insert(at, PressureSample { value, at: self.now });
         if note == Some(LoadNote::Began) && attempt.loading {
             let load_time = (elapsed - function.mean_latency()).max(0.0);
-            self.learn_load_time(attempt.function, load_time);
+            self.record_load_time(attempt.function, load_time);
         } else if !waited_for_load && (note.is_some() || !attempt.loading) {
             function.latencies.push_back(elapsed);
             if function.latencies.len() > LATENCY_SAMPLES {
@@ -160,7 +160,7 @@
         }
         self.load_finished(replica);
         self.replica_found(replica);
-        self.learn_load_time(replica.function, load_time);
+        self.record_load_time(replica.function, load_time);
         self.release_held(Some(replica.worker));
     }
 
--- a/src/decision/endpoint_list.rs
+++ b/src/decision/endpoint_list.rs
@@ -9,7 +9,7 @@
 
 use super::outlier_ejection::EJECTION_FIRST;
 use crate::controller::Controller;
-use crate::hash::mix;
+use crate::hash::splitmix64;
 use crate::interface::*;
 use crate::rendezvous::Candidates;
 use crate::state::{Timer, TimerKind, Worker};
@@ -36,11 +36,11 @@
         for entry in entries {
             self.update_worker(entry);
         }
-        self.forget_gone_workers();
+        self.remove_gone_workers();
         self.release_held(None);
         if self.no_worker_in_service() {
             for id in self.hold_queue.values().copied().collect::<Vec<_>>() {
-                self.give_final_answer(id);
+                self.send_final_answer(id);
             }
         }
     }
@@ -48,9 +48,9 @@
     /// The list is polled again after a wait that grows, never so long that the controller is deemed
     /// notified.
     fn schedule_poll(&mut self) {
-        self.random = mix(self.random);
+        self.rng_state = splitmix64(self.rng_state);
         let half = self.poll_backoff / 2;
-        let at = self.now + (half + self.random % half.max(1));
+        let at = self.now + (half + self.rng_state % half.max(1));
         self.timers.insert(Timer { at, kind: TimerKind::PollList });
         let longest = (self.settings.rules.must_poll_within / POLL_BACKOFF_SHARE).max(POLL_BACKOFF_FIRST);
         self.poll_backoff = (self.poll_backoff * 2).min(longest);
@@ -87,17 +87,17 @@
         let before_us = self.started_at.filter(|s| worker.entry.started_at < Some(*s));
         let budget_from = before_us.map(|s| s + self.settings.rules.overload_span);
         worker.restart(worker.entry.started_at, budget_from);
-        worker.forget_failures();
+        worker.reset_failures();
         if known {
-            self.forget_replicas(id);
+            self.remove_replicas(id);
         }
     }
 
     /// Workers that are gone hold no replicas, and are forgotten once nothing is in flight there. One that
     /// warms up may be back, as cold as it was.
-    fn forget_gone_workers(&mut self) {
+    fn remove_gone_workers(&mut self) {
         for id in self.gone_workers.clone() {
-            self.forget_replicas(id);
+            self.remove_replicas(id);
             let worker = &self.workers[&id];
             if worker.in_flight == 0 && !self.is_warming_up(worker) {
                 self.workers.remove(&id);
--- a/src/decision/events.rs
+++ b/src/decision/events.rs
@@ -21,7 +21,7 @@
         let class_cpu_time = vec![None; settings.classes.len()];
         let candidates = settings.classes.iter().map(|_| OnceCell::new()).collect();
         let poll_backoff = POLL_BACKOFF_FIRST;
-        Ok(Self { settings, random: seed, class_cpu_time, candidates, poll_backoff, ..Self::default() })
+        Ok(Self { settings, rng_state: seed, class_cpu_time, candidates, poll_backoff, ..Self::default() })
     }
 
     /// Takes in one event at the time `now`, and appends what is to be done to `actions`.
@@ -34,13 +34,13 @@
                 self.actions.push(Action::Watch);
             }
         }
-        self.decide(event);
+        self.dispatch_event(event);
         self.run_timers();
         self.arm_timer();
         actions.append(&mut self.actions);
     }
 
-    fn decide(&mut self, event: Event) {
+    fn dispatch_event(&mut self, event: Event) {
         match event {
             Event::Workers { form, entries } => self.update_endpoints(form, entries),
             Event::Request(request) => self.request_arrived(request),
@@ -62,9 +62,9 @@
                 self.attempt_ended(id, AttemptEnd { outcome, finished, elapsed, note, concurrent_calls });
             }
             Event::Started { request, .. } => self.stream_started(request),
-            Event::Loaded { worker, function, outcome, copies, elapsed } => {
+            Event::Loaded { worker, function, outcome, replicas, elapsed } => {
                 let replica = ReplicaKey { worker, function };
-                self.load_ended(replica, outcome, copies, elapsed);
+                self.load_ended(replica, outcome, replicas, elapsed);
             }
             Event::Probed { worker, outcome, report } => self.probe_ended(worker, outcome, report),
             Event::Timer { .. } | Event::Message { .. } => {}
--- a/src/decision/health_check.rs
+++ b/src/decision/health_check.rs
@@ -42,10 +42,10 @@
         let probe = EndedProbe {
             sent: worker.probe_sent.take(),
             was_suspect: std::mem::take(&mut worker.connection_suspect),
-            second: std::mem::take(&mut worker.probe_unanswered),
+            previous_unanswered: std::mem::take(&mut worker.probe_unanswered),
         };
-        let refused_by = self.settings.limits.connect_timeout / 2;
-        let quick = probe.sent.is_some_and(|sent| self.now < sent + refused_by);
+        let refusal_limit = self.settings.limits.connect_timeout / 2;
+        let quick = probe.sent.is_some_and(|sent| self.now < sent + refusal_limit);
         if outcome == Outcome::Ok {
             self.probe_answered(id);
         } else if outcome == Outcome::ConnectFailed && quick {
@@ -62,7 +62,7 @@
         let Some(worker) = self.workers.get_mut(&id) else { return };
         worker.last_response = self.now;
         if worker.down {
-            worker.forget_failures();
+            worker.reset_failures();
             if worker.started_at != worker.entry.started_at {
                 worker.restart(Some(self.now), None);
             }
@@ -76,22 +76,22 @@
 
     /// The probe had no answer, and its connection was not refused.
     fn probe_failed(&mut self, id: WorkerId, outcome: Outcome, probe: EndedProbe) {
-        let broke = matches!(outcome, Outcome::Reset | Outcome::PartlySent);
-        if !broke {
+        let connection_broke = matches!(outcome, Outcome::Reset | Outcome::PartlySent);
+        if !connection_broke {
             // One that waits in a queue and times out shows load; silence is shown by what is pending.
             self.record_pressure(id, PRESSURE_FULL);
         }
         let worker = &self.workers[&id];
-        let silent_since = probe.sent.is_some_and(|sent| worker.last_response <= sent);
-        let overdue = silent_since && self.attempts.values().any(|a| self.is_overdue(id, worker, a));
+        let silent = probe.sent.is_some_and(|sent| worker.last_response <= sent);
+        let overdue = silent && self.attempts.values().any(|a| self.is_overdue(id, worker, a));
         let late_attempt = self.attempts.values().any(|a| a.worker == id && a.probed);
-        if outcome == Outcome::ConnectFailed || worker.down || overdue && probe.second {
+        if outcome == Outcome::ConnectFailed || worker.down || overdue && probe.previous_unanswered {
             self.eject_unresponsive(id);
-        } else if broke {
+        } else if connection_broke {
             // It shows nothing: probed once more in a while.
             self.workers.get_mut(&id).expect("just seen").connection_suspect = true;
             self.set_timeout_check(id, self.now + SUSPECT_RETRY);
-        } else if (overdue || late_attempt || probe.was_suspect) && !probe.second {
+        } else if (overdue || late_attempt || probe.was_suspect) && !probe.previous_unanswered {
             // Its connection may have failed alone: probed at once on another.
             self.send_probe(id);
             let worker = self.workers.get_mut(&id).expect("just seen");
@@ -108,5 +108,5 @@
     /// It was sent because a connection broke.
     was_suspect: bool,
     /// The probe before was not answered either.
-    second: bool,
+    previous_unanswered: bool,
 }
--- a/src/decision/hold_queue.rs
+++ b/src/decision/hold_queue.rs
@@ -10,7 +10,7 @@
 
 use std::collections::BTreeSet;
 
-use super::placement::Ejected;
+use super::placement::EjectedWorkers;
 use crate::controller::Controller;
 use crate::interface::*;
 use crate::state::{Call, Function, Timer, TimerKind, Worker};
@@ -26,12 +26,12 @@
     pub(super) fn hold(&mut self, id: RequestId) {
         let Some(call) = self.calls.get(&id) else { return };
         if !call.held {
-            self.join_hold_queue(id);
+            self.enqueue_held(id);
         }
         self.set_release_timer();
     }
 
-    fn join_hold_queue(&mut self, id: RequestId) {
+    fn enqueue_held(&mut self, id: RequestId) {
         let may_probe = self.may_probe_load();
         let Some(call) = self.calls.get_mut(&id) else { return };
         let objective = self.settings.classes[call.class].latency_objective;
@@ -60,12 +60,12 @@
     /// A held call that can't meet its objective waits behind those that can: late answers make others late.
     pub(super) fn objective_passed(&mut self, id: RequestId) {
         if self.calls.get(&id).is_some_and(|call| call.held) {
-            self.leave_hold_queue(id);
+            self.dequeue_held(id);
             self.hold(id);
         }
     }
 
-    pub(super) fn leave_hold_queue(&mut self, id: RequestId) {
+    pub(super) fn dequeue_held(&mut self, id: RequestId) {
         let Some(call) = self.calls.get_mut(&id) else { return };
         if call.held {
             call.held = false;
@@ -78,22 +78,22 @@
 
     /// An answer of `at`, or a change anywhere: the lowest held that have room go, each along its own order.
     pub(super) fn release_held(&mut self, at: Option<WorkerId>) {
-        let mut without_room = BTreeSet::new();
+        let mut unplaceable = BTreeSet::new();
         for id in self.hold_queue.values().take(RELEASE_SCAN).copied().collect::<Vec<_>>() {
             // One whose deadline has passed while the process stood still is answered by its timer next.
             let in_time = |call: &&Call| self.now < call.answer_by;
             let Some(call) = self.calls.get(&id).filter(in_time) else { continue };
             // Calls that agree in these have the same workers open to them.
-            let alike = (call.function, call.class, call.failed_at, call.first_run);
-            if without_room.contains(&alike) {
+            let constraints = (call.function, call.class, call.failed_at, call.first_run);
+            if unplaceable.contains(&constraints) {
                 continue;
             }
             let Some(function) = self.functions.get(&call.function) else { continue };
-            let room = at.is_none_or(|w| self.may_take(w, call, function, Ejected::Excluded));
-            match if room { self.select_worker(id) } else { None } {
+            let eligible = at.is_none_or(|w| self.is_eligible(w, call, function, EjectedWorkers::Excluded));
+            match if eligible { self.select_worker(id) } else { None } {
                 Some(worker) if !self.ensure_recent_load(id, worker) => {}
                 Some(worker) => self.send_attempt(id, worker),
-                None => _ = without_room.insert(alike),
+                None => _ = unplaceable.insert(constraints),
             }
         }
     }
@@ -108,6 +108,6 @@
 
     /// How often held calls and pending responses are looked at without an answer.
     pub(super) fn release_interval(&self) -> Micros {
-        (self.settings.step * RELEASE_INTERVAL_STEPS).max(RELEASE_INTERVAL_MIN)
+        (self.settings.event_interval * RELEASE_INTERVAL_STEPS).max(RELEASE_INTERVAL_MIN)
     }
 }
--- a/src/decision/load_ration.rs
+++ b/src/decision/load_ration.rs
@@ -13,7 +13,7 @@
             return true;
         }
         // Orders count a step longer and requests a step shorter than notified: edges fall our way.
-        let step = self.settings.step;
+        let step = self.settings.event_interval;
         while self.recent_orders.front().is_some_and(|&t| t + loading.ration_window + step < self.now) {
             self.recent_orders.pop_front();
         }
@@ -23,8 +23,8 @@
         // What an earlier incarnation ordered within the window is not known: at its worst, all of the floor.
         let just_started = self.started_at.is_some_and(|s| self.now < s + loading.ration_window + step);
         let floor = if loading.unknown_prior_orders && just_started { 0.0 } else { loading.ration_floor };
-        let most = floor + loading.ration_share * self.recent_requests.len() as f64;
-        if (self.recent_orders.len() + 1) as f64 > most {
+        let limit = floor + loading.ration_share * self.recent_requests.len() as f64;
+        if (self.recent_orders.len() + 1) as f64 > limit {
             return false;
         }
         self.recent_orders.push_back(self.now);
--- a/src/decision/outlier_ejection.rs
+++ b/src/decision/outlier_ejection.rs
@@ -54,7 +54,7 @@
 
 impl Worker {
     /// Past failures say nothing of it any more.
-    pub(super) fn forget_failures(&mut self) {
+    pub(super) fn reset_failures(&mut self) {
         self.failure_rate = 0.0;
         self.ejected = false;
         self.next_ejection = EJECTION_FIRST;
@@ -96,7 +96,7 @@
     pub(super) fn process_died(&mut self, id: WorkerId) {
         let Some(worker) = self.workers.get_mut(&id) else { return };
         worker.restart(Some(self.now), None);
-        self.forget_replicas(id);
+        self.remove_replicas(id);
         self.eject(id, EjectionReason::Down);
     }
 
--- a/src/decision/placement.rs
+++ b/src/decision/placement.rs
@@ -28,7 +28,7 @@
 
 /// Whether ejected workers may be chosen.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub(super) enum Ejected {
+pub(super) enum EjectedWorkers {
     /// No, but for trials.
     Excluded,
     /// Yes: all are ejected.
@@ -39,7 +39,7 @@
     /// Sends the call now, holds it, or answers it where no worker is in service.
     pub(super) fn dispatch(&mut self, id: RequestId) {
         if self.no_worker_in_service() {
-            return self.give_final_answer(id);
+            return self.send_final_answer(id);
         }
         if let Some((function, class)) = self.calls.get(&id).map(|call| (call.function, call.class)) {
             self.order_additional_replica(function, class);
@@ -59,14 +59,14 @@
             return None;
         }
         // Last comes the worker that just failed this call.
-        let failed_again = |w: &WorkerId| {
+        let last_failed = |w: &WorkerId| {
             self.pressure(function, *w, call.class) < PRESSURE_MAX
-                && self.may_take(*w, call, function, Ejected::Excluded)
+                && self.is_eligible(*w, call, function, EjectedWorkers::Excluded)
         };
         let found = self
             .select_warm(call, function)
-            .or_else(|| self.select_absent(call, function))
-            .or_else(|| call.failed_at.filter(failed_again));
+            .or_else(|| self.select_without_replica(call, function))
+            .or_else(|| call.failed_at.filter(last_failed));
         let in_service = |w: &Worker| w.entry.state == WorkerState::On && !w.ejected;
         if found.is_some() || self.workers.values().any(in_service) {
             return found;
@@ -84,14 +84,14 @@
             .max_by_key(|(w, at)| (**at, **w))
             .map(|(w, _)| *w);
         let order = || self.walk_order(call.function, function, call.class, Some(&function.warm_replicas));
-        let may_take = |w: WorkerId| self.may_take(w, call, function, Ejected::Excluded);
+        let is_eligible = |w: WorkerId| self.is_eligible(w, call, function, EjectedWorkers::Excluded);
         let usable = || {
             let all = last_warm.into_iter().chain(order());
-            all.filter(|w| warm(w) && may_take(*w) && call.failed_at != Some(*w))
+            all.filter(|w| warm(w) && is_eligible(*w) && call.failed_at != Some(*w))
         };
         let pressure = |w: WorkerId| self.pressure(function, w, call.class);
-        if let Some(relaxed) = usable().find(|w| pressure(*w) < PRESSURE_LIMIT) {
-            return Some(relaxed);
+        if let Some(worker) = usable().find(|w| pressure(*w) < PRESSURE_LIMIT) {
+            return Some(worker);
         }
         let objective = self.settings.classes[call.class].latency_objective as f64;
         let wait = (objective * LOAD_PROBE_WAIT) as Micros;
@@ -101,7 +101,7 @@
     }
 
     /// Workers without a known replica, where one may be loaded or is loading.
-    fn select_absent(&self, call: &Call, function: &Function) -> Option<WorkerId> {
+    fn select_without_replica(&self, call: &Call, function: &Function) -> Option<WorkerId> {
         // Asked once for all workers: a healthy replica stands, so that none may be begun.
         let may_wait =
             self.settings.loading.when_absent == WhenAbsent::Load && !function.pending_loads.is_empty();
@@ -111,21 +111,22 @@
             return None;
         }
         // None may be begun: it may at most wait where one is under way.
-        let none_may_begin = healthy_replica || self.load_in_progress(function);
-        let under_way = Some(&function.pending_loads).filter(|_| none_may_begin);
+        let no_new_load = healthy_replica || self.load_in_progress(function);
+        let pending_only = Some(&function.pending_loads).filter(|_| no_new_load);
         let pressure = |w: WorkerId| self.pressure(function, w, call.class);
         let usable = |w: &WorkerId| {
             call.failed_at != Some(*w)
                 && !self.is_warm(function, *w)
                 && pressure(*w) < PRESSURE_MAX
-                && self.may_take(*w, call, function, Ejected::Excluded)
+                && self.is_eligible(*w, call, function, EjectedWorkers::Excluded)
         };
-        let order = || self.walk_order(call.function, function, call.class, under_way);
+        let order = || self.walk_order(call.function, function, call.class, pending_only);
         // Where only orders load, a full home is waited for: others would not look for a replica elsewhere.
-        let only_orders_load = self.settings.loading.when_absent == WhenAbsent::Miss && under_way.is_none();
+        let only_orders_load =
+            self.settings.loading.when_absent == WhenAbsent::Miss && pending_only.is_none();
         let home = if only_orders_load { self.home(call, function) } else { None };
-        let loads_there = |w: &WorkerId| self.workers.get(w).is_some_and(|w| w.pending_loads > 0);
-        if let Some(home) = home.filter(loads_there) {
+        let has_pending_loads = |w: &WorkerId| self.workers.get(w).is_some_and(|w| w.pending_loads > 0);
+        if let Some(home) = home.filter(has_pending_loads) {
             return Some(home).filter(usable);
         }
         let mut first = order().filter(|w| usable(w)).take(ABSENT_CANDIDATES);
@@ -134,27 +135,35 @@
 
     /// The first worker of the function's order that is open to it and did not lack room too often in a row.
     fn home(&self, call: &Call, function: &Function) -> Option<WorkerId> {
-        let gave_up = |w: &WorkerId| function.avoided.get(w).is_some_and(|a| a.rejections >= MAX_REJECTIONS);
+        let rejected_too_often =
+            |w: &WorkerId| function.avoided.get(w).is_some_and(|a| a.rejections >= MAX_REJECTIONS);
         let open = |w: &WorkerId| {
             self.workers.get(w).is_some_and(|w| !self.ejection_active(w) && !self.is_warming_up(w))
         };
-        self.walk_order(call.function, function, call.class, None)
-            .find(|w| open(w) && self.pressure(function, *w, call.class) < PRESSURE_MAX && !gave_up(w))
+        self.walk_order(call.function, function, call.class, None).find(|w| {
+            open(w) && self.pressure(function, *w, call.class) < PRESSURE_MAX && !rejected_too_often(w)
+        })
     }
 
     /// Never all ejected: with every worker suspect, the one that fails least takes the call.
     fn select_least_failing(&self, call: &Call, function: &Function) -> Option<WorkerId> {
-        let may_take = |w: &WorkerId| self.may_take(*w, call, function, Ejected::Permitted);
+        let is_eligible = |w: &WorkerId| self.is_eligible(*w, call, function, EjectedWorkers::Permitted);
         let failing = |w: &WorkerId| self.workers.get(w).map_or(1.0, |x| x.failure_rate);
         let score = |w: &WorkerId| self.fleet.position(call.function, *w).map_or(f64::INFINITY, |p| p.score);
         let better = |a: &WorkerId, b: &WorkerId| {
             failing(a).total_cmp(&failing(b)).then_with(|| score(a).total_cmp(&score(b)))
         };
-        self.workers.keys().copied().filter(may_take).min_by(better)
+        self.workers.keys().copied().filter(is_eligible).min_by(better)
     }
 
     /// May this worker take an attempt of the call now? All guards in one place.
-    pub(super) fn may_take(&self, id: WorkerId, call: &Call, function: &Function, ejected: Ejected) -> bool {
+    pub(super) fn is_eligible(
+        &self,
+        id: WorkerId,
+        call: &Call,
+        function: &Function,
+        ejected: EjectedWorkers,
+    ) -> bool {
         let Some(worker) = self.workers.get(&id) else { return false };
         let warm = self.is_warm(function, id);
         let in_flight = function.in_flight.get(&id).copied().unwrap_or(0);
@@ -169,7 +178,7 @@
         worker.entry.state == WorkerState::On
             && !worker.connection_suspect
             && self.idempotency_permits(call, worker)
-            && (!excluded || ejected == Ejected::Permitted)
+            && (!excluded || ejected == EjectedWorkers::Permitted)
             && !at_bound
             && in_flight < if warm { function.lanes } else { 1 }
             && function.avoided.get(&id).is_none_or(|avoided| self.now >= avoided.until)
--- a/src/decision/replica_loading.rs
+++ b/src/decision/replica_loading.rs
@@ -56,14 +56,18 @@
         self.update_homes(id);
         let Some(function) = self.functions.get(&id) else { return };
         let warm = |w: &WorkerId| self.is_warm(function, *w);
-        let relaxed =
+        let has_capacity =
             |w: &WorkerId| self.is_healthy(*w) && self.pressure(function, *w, class) < PRESSURE_LIMIT;
         let mut warm_workers = function.warm_replicas.keys().filter(|w| warm(w)).peekable();
-        if !function.pending_loads.is_empty() || warm_workers.peek().is_none() || warm_workers.any(relaxed) {
+        if !function.pending_loads.is_empty()
+            || warm_workers.peek().is_none()
+            || warm_workers.any(has_capacity)
+        {
             return;
         }
         let avoided = |w: &WorkerId| function.avoided.get(w).is_some_and(|avoided| avoided.until > self.now);
-        let next = self.walk_order(id, function, class, None).find(|w| !warm(w) && !avoided(w) && relaxed(w));
+        let next =
+            self.walk_order(id, function, class, None).find(|w| !warm(w) && !avoided(w) && has_capacity(w));
         if let Some(worker) = next {
             self.order_replica(ReplicaKey { worker, function: id });
         }
@@ -88,7 +92,13 @@
     }
 
     /// An order was answered, or ended without an answer.
-    pub(super) fn load_ended(&mut self, replica: ReplicaKey, outcome: Outcome, copies: u32, elapsed: Micros) {
+    pub(super) fn load_ended(
+        &mut self,
+        replica: ReplicaKey,
+        outcome: Outcome,
+        replicas: u32,
+        elapsed: Micros,
+    ) {
         let ReplicaKey { worker: at, function: id } = replica;
         if !self.functions.get(&id).is_some_and(|f| f.pending_loads.contains_key(&at)) {
             return;
@@ -104,11 +114,11 @@
             return;
         }
         self.load_finished(replica);
-        if outcome == Outcome::Ok || copies > 0 {
+        if outcome == Outcome::Ok || replicas > 0 {
             self.replica_found(replica);
             self.functions.get_mut(&id).expect("just seen").avoided.remove(&at);
             if elapsed > ALREADY_LOADED {
-                self.learn_load_time(id, elapsed as f64);
+                self.record_load_time(id, elapsed as f64);
             }
         } else if outcome != Outcome::Cancelled {
             self.avoid_worker(replica, if outcome == Outcome::Rejected { 1 } else { MAX_REJECTIONS });
@@ -127,7 +137,7 @@
     }
 
     /// Takes one load's time, microseconds, into the means.
-    pub(super) fn learn_load_time(&mut self, id: FunctionId, load_time: f64) {
+    pub(super) fn record_load_time(&mut self, id: FunctionId, load_time: f64) {
         if let Some(function) = self.functions.get_mut(&id) {
             update_mean(&mut function.load_time, load_time, LOAD_TIME_WEIGHT);
         }
--- a/src/decision/replicas.rs
+++ b/src/decision/replicas.rs
@@ -52,16 +52,16 @@
         let Some(function) = self.functions.get_mut(&replica.function) else { return };
         let loading = &function.pending_loads;
         function.warm_replicas.retain(|worker, found| {
-            let stands = *worker != replica.worker && since.is_none_or(|since| *found > since);
-            if !stands && !loading.contains_key(worker) {
+            let kept = *worker != replica.worker && since.is_none_or(|since| *found > since);
+            if !kept && !loading.contains_key(worker) {
                 self.replicas.remove(&ReplicaKey { worker: *worker, ..replica });
             }
-            stands
+            kept
         });
     }
 
     /// Forgets all replicas and loads at a worker.
-    pub(super) fn forget_replicas(&mut self, worker: WorkerId) {
+    pub(super) fn remove_replicas(&mut self, worker: WorkerId) {
         let first = ReplicaKey { worker, function: FunctionId(0) };
         let last = ReplicaKey { worker, function: FunctionId(u64::MAX) };
         for replica in self.replicas.range(first..=last).copied().collect::<Vec<_>>() {
--- a/src/decision/response_timeout.rs
+++ b/src/decision/response_timeout.rs
@@ -49,7 +49,7 @@
         let worker = &self.workers[&id];
         let (state, down, suspect) = (worker.entry.state, worker.down, worker.connection_suspect);
         let overdue = self.attempts.values().any(|a| self.is_overdue(id, worker, a));
-        let late_attempts = self.withdraw_lost_attempts(id);
+        let late_attempts = self.cancel_lost_attempts(id);
         if !down && !suspect && !overdue && !late_attempts {
             self.schedule_timeout_check(id);
         } else if self.settings.limits.probes && state == WorkerState::On {
@@ -62,16 +62,16 @@
 
     /// Marks the attempts that became overdue there, and withdraws those that are lost: others that went
     /// there were answered since, and it is not crowded. True: there were overdue ones.
-    fn withdraw_lost_attempts(&mut self, id: WorkerId) -> bool {
+    fn cancel_lost_attempts(&mut self, id: WorkerId) -> bool {
         let late = |a: &Attempt| a.worker == id && !a.probed && self.now >= a.sent + self.response_timeout(a);
         let late: Vec<_> = self.attempts.iter().filter(|(_, a)| late(a)).map(|(id, _)| *id).collect();
         for attempt_id in &late {
             self.attempts.get_mut(attempt_id).expect("just seen").probed = true;
             let attempt = &self.attempts[attempt_id];
             let function = self.functions.get(&attempt.function);
-            let relaxed = function.is_some_and(|f| self.pressure(f, id, attempt.class) < PRESSURE_LIMIT);
-            if attempt.sent < self.workers[&id].last_response && !attempt.loading && relaxed {
-                self.withdraw_attempt(*attempt_id);
+            let low_pressure = function.is_some_and(|f| self.pressure(f, id, attempt.class) < PRESSURE_LIMIT);
+            if attempt.sent < self.workers[&id].last_response && !attempt.loading && low_pressure {
+                self.cancel_if_idempotent(*attempt_id);
             }
         }
         !late.is_empty()
@@ -92,7 +92,7 @@
     }
 
     /// Withdraws an idempotent attempt, so that its call may go elsewhere. Harm: slow calls run twice.
-    fn withdraw_attempt(&mut self, id: AttemptId) {
+    fn cancel_if_idempotent(&mut self, id: AttemptId) {
         let AttemptId { request, number } = id;
         let Some(call) = self.calls.get(&request) else { return };
         let idempotent = self.settings.classes[call.class].effect == Effect::Idempotent;
@@ -108,7 +108,7 @@
         let Some(worker) = self.workers.get(&id) else { return };
         let overdue = self.attempts.iter().filter(|(_, a)| self.is_overdue(id, worker, a));
         for attempt in overdue.map(|(attempt, _)| *attempt).collect::<Vec<_>>() {
-            self.withdraw_attempt(attempt);
+            self.cancel_if_idempotent(attempt);
         }
         let worker = self.workers.get_mut(&id).expect("just seen");
         worker.failure_rate = worker.failure_rate.max(EJECTION_FAILURE_RATE);
--- a/src/decision/retention.rs
+++ b/src/decision/retention.rs
@@ -104,28 +104,28 @@
             if bucket.key() * IDLE_BUCKET > self.swept_at {
                 return;
             }
-            let until = *bucket.key();
+            let bucket_key = *bucket.key();
             match bucket.get_mut().pop() {
-                Some(id) => self.sweep_idle_function(id, until),
+                Some(id) => self.sweep_idle_function(id, bucket_key),
                 None => _ = bucket.remove(),
             }
         }
     }
 
-    fn sweep_idle_function(&mut self, id: FunctionId, until: Micros) {
-        if self.functions.get(&id).is_none_or(|f| f.idle_bucket != until) {
+    fn sweep_idle_function(&mut self, id: FunctionId, bucket_key: Micros) {
+        if self.functions.get(&id).is_none_or(|f| f.idle_bucket != bucket_key) {
             // Forgotten meanwhile, and perhaps called again since: that one has its own entry in the queue.
             return;
         }
         self.apply_sweep(id);
-        let (crowded, swept, retention) =
+        let (over_homes_limit, swept, retention) =
             (self.functions.len() > FUNCTIONS_WITH_HOMES, self.swept_at, self.retention());
         let Some(function) = self.functions.get_mut(&id) else { return };
-        let rests = function.last_call + RETENTION_WINDOWS * ARRIVAL_WINDOW;
-        if rests > swept {
-            return self.schedule_idle_sweep(id, rests);
+        let idle_from = function.last_call + RETENTION_WINDOWS * ARRIVAL_WINDOW;
+        if idle_from > swept {
+            return self.schedule_idle_sweep(id, idle_from);
         }
-        if crowded {
+        if over_homes_limit {
             function.homes = Homes::default();
         }
         function.compact(swept);
@@ -133,8 +133,8 @@
         self.schedule_idle_sweep(id, forgotten.max(swept + IDLE_BUCKET));
     }
 
-    fn schedule_idle_sweep(&mut self, id: FunctionId, until: Micros) {
-        let bucket = until.div_ceil(IDLE_BUCKET);
+    fn schedule_idle_sweep(&mut self, id: FunctionId, due: Micros) {
+        let bucket = due.div_ceil(IDLE_BUCKET);
         if let Some(function) = self.functions.get_mut(&id) {
             function.idle_bucket = bucket;
             self.idle_functions.entry(bucket).or_default().push(id);
--- a/src/decision/retry.rs
+++ b/src/decision/retry.rs
@@ -31,7 +31,9 @@
         match self.settings.classes[call.class].effect {
             Effect::Idempotent => true,
             Effect::NonIdempotent => false,
-            Effect::IdempotencyKey { window, .. } => self.now + self.settings.step < first.sent + window,
+            Effect::IdempotencyKey { window, .. } => {
+                self.now + self.settings.event_interval < first.sent + window
+            }
         }
     }
 
@@ -41,14 +43,14 @@
         let no_attempt_left =
             call.attempts >= self.settings.limits.max_attempts || outcome == Outcome::NeverSent;
         if no_attempt_left || !self.may_repeat(call) || self.now >= call.answer_by {
-            self.give_final_answer(id);
+            self.send_final_answer(id);
         } else {
             self.dispatch(id);
         }
     }
 
     /// The final answer by us: refused where a further try is harmless, else failed.
-    pub(super) fn give_final_answer(&mut self, id: RequestId) {
+    pub(super) fn send_final_answer(&mut self, id: RequestId) {
         let Some(call) = self.calls.get(&id) else { return };
         let never_ran = call.in_flight.is_none() && call.first_run.is_none();
         let effect = self.settings.classes[call.class].effect;
@@ -90,7 +92,7 @@
 
     /// Forgets a call.
     pub(super) fn finish_call(&mut self, id: RequestId) {
-        self.leave_hold_queue(id);
+        self.dequeue_held(id);
         if let Some(call) = self.calls.remove(&id) {
             self.timers.remove(&Timer { at: call.answer_by, kind: TimerKind::AnswerDeadline(id) });
         }
--- a/src/decision/slow_start.rs
+++ b/src/decision/slow_start.rs
@@ -8,7 +8,7 @@
 //! lose a worker for a moment.
 
 use crate::controller::Controller;
-use crate::hash::mix;
+use crate::hash::splitmix64;
 use crate::interface::*;
 use crate::state::Worker;
 
@@ -30,7 +30,7 @@
     /// Granted since the start.
     granted: f64,
     /// What the worker bears within one overload span.
-    per_span: f64,
+    per_overload_span: f64,
 }
 
 impl Controller {
@@ -48,18 +48,25 @@
 
     /// This controller's next slot at a worker that warms up.
     pub(super) fn slow_start_slot(&self, worker: &Worker, class: usize) -> SlowStartSlot {
-        let (cost, all) = (self.cpu_time(class).max(1.0), u64::from(self.settings.controllers));
+        let (cost, controllers) = (self.cpu_time(class).max(1.0), u64::from(self.settings.controllers));
         // Each worker begins with another controller.
-        let slot = (u64::from(self.settings.me) + mix(worker.entry.worker.0) % all) % all;
-        let (first, round) = (cost * (slot + 1) as f64, cost * all as f64);
-        let SlowStartBudget { granted, per_span } = self.slow_start_budget(worker, self.now);
+        let slot = (u64::from(self.settings.controller_index)
+            + splitmix64(worker.entry.worker.0) % controllers)
+            % controllers;
+        let (first_slot, round) = (cost * (slot + 1) as f64, cost * controllers as f64);
+        let SlowStartBudget { granted, per_overload_span } = self.slow_start_budget(worker, self.now);
         // What is not used expires, or all that had waited would send together: so much may be pending at
         // once.
-        let pending = (1.0 - BUDGET_GRANTED) * per_span + 2.0 * (per_span * cost).sqrt();
-        let before = worker.budget_from.map_or(0.0, |from| self.slow_start_budget(worker, from).granted);
-        let expired = ((granted - pending).max(before) - first) / round;
-        let next = (worker.budget_used / round - ROUNDING).ceil().max(expired.floor() + 1.0);
-        SlowStartSlot { due: next * round + first <= granted, used_after: (next + 1.0) * round }
+        let max_pending =
+            (1.0 - BUDGET_GRANTED) * per_overload_span + 2.0 * (per_overload_span * cost).sqrt();
+        let granted_before =
+            worker.budget_from.map_or(0.0, |from| self.slow_start_budget(worker, from).granted);
+        let expired_rounds = ((granted - max_pending).max(granted_before) - first_slot) / round;
+        let next_round = (worker.budget_used / round - ROUNDING).ceil().max(expired_rounds.floor() + 1.0);
+        SlowStartSlot {
+            due: next_round * round + first_slot <= granted,
+            used_after: (next_round + 1.0) * round,
+        }
     }
 
     /// The budget by a time: as of the overload span before, as it grows and no window may hold more than
@@ -69,12 +76,14 @@
         let age = by.saturating_sub(worker.started_at.unwrap_or(by));
         let span = rules.overload_span as f64;
         let after_first_span = age.saturating_sub(rules.overload_span) as f64;
-        let grown = after_first_span * (1.0 - rules.start_capacity) / rules.warm_up as f64;
-        let borne = |part: f64| rules.overload_factor * (rules.start_capacity + grown * part);
-        let granted = borne(0.0) * age as f64 + (borne(0.5) - borne(0.0)) * after_first_span;
+        let capacity_growth = after_first_span * (1.0 - rules.start_capacity) / rules.warm_up as f64;
+        let tolerated_load =
+            |part: f64| rules.overload_factor * (rules.start_capacity + capacity_growth * part);
+        let granted =
+            tolerated_load(0.0) * age as f64 + (tolerated_load(0.5) - tolerated_load(0.0)) * after_first_span;
         SlowStartBudget {
-            granted: BUDGET_GRANTED * granted + (1.0 - BUDGET_GRANTED) * borne(0.0) * span,
-            per_span: borne(1.0) * span,
+            granted: BUDGET_GRANTED * granted + (1.0 - BUDGET_GRANTED) * tolerated_load(0.0) * span,
+            per_overload_span: tolerated_load(1.0) * span,
         }
     }
 }
--- a/src/decision/timers.rs
+++ b/src/decision/timers.rs
@@ -19,7 +19,7 @@
             }
             self.timers.pop_first();
             match timer.kind {
-                TimerKind::AnswerDeadline(id) => self.give_final_answer(id),
+                TimerKind::AnswerDeadline(id) => self.send_final_answer(id),
                 TimerKind::ObjectivePassed(id) => self.objective_passed(id),
                 TimerKind::ResponseTimeout(id) => self.check_timeouts(id),
                 TimerKind::PollList => self.actions.push(Action::Watch),
--- a/src/decision/worker_load.rs
+++ b/src/decision/worker_load.rs
@@ -80,10 +80,10 @@
         }
         let of_report = worker.last_report.map_or(0.0, |received| {
             let utilization = received.report.util.unwrap_or(1.0);
-            let held = received.report.inflight.map_or(utilization, |n| {
+            let by_inflight = received.report.inflight.map_or(utilization, |n| {
                 (n + 1.0) * self.cpu_time(class) / ASSUMED_CORES / (objective * PRESSURE_OBJECTIVE)
             });
-            let value = if utilization < IDLE_UTILIZATION { utilization } else { held };
+            let value = if utilization < IDLE_UTILIZATION { utilization } else { by_inflight };
             aged(PressureSample { value, at: received.at })
         });
         aged(worker.last_pressure).max(of_function).max(of_report)
--- a/src/interface/events.rs
+++ b/src/interface/events.rs
@@ -54,7 +54,7 @@
     /// The function it calls.
     pub function: FunctionId,
     /// Time until the client gives up.
-    pub left: Micros,
+    pub time_left: Micros,
     /// Time that it is thought to need on a standard core.
     pub cpu_time_hint: Option<Micros>,
     /// Calls that one replica runs at once.
@@ -114,7 +114,7 @@
         /// How it ended.
         outcome: Outcome,
         /// Replicas that are loaded there.
-        copies: u32,
+        replicas: u32,
         /// Time since the order.
         elapsed: Micros,
     },
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -136,7 +136,7 @@
     /// Attempts per request.
     pub max_attempts: u32,
     /// A request may have two attempts out at once.
-    pub parallel: bool,
+    pub parallel_attempts: bool,
     /// [`Action::Probe`](crate::Action::Probe) is permitted.
     pub probes: bool,
     /// [`Action::Cancel`](crate::Action::Cancel) is permitted.
@@ -170,7 +170,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
     /// This controller's number, from 0.
-    pub me: u32,
+    pub controller_index: u32,
     /// How many controllers there are.
     pub controllers: u32,
     /// This controller's zone, where known.
@@ -180,7 +180,7 @@
     /// The tenants; may be none.
     pub tenants: Vec<Tenant>,
     /// Priority weight of a request over its tenant's quota, as a share of its class's.
-    pub over_quota_worth: f64,
+    pub over_quota_weight: f64,
     /// How the worker list is received.
     pub discovery: Discovery,
     /// How load is reported.
@@ -194,7 +194,7 @@
     /// The rules' figures.
     pub rules: Rules,
     /// Events come at most this often.
-    pub step: Micros,
+    pub event_interval: Micros,
 }
 
 /// Settings that no controller can work with.
@@ -204,8 +204,8 @@
     NoClasses,
     /// The number of controllers is zero.
     NoControllers,
-    /// `me` is not below the number of controllers.
-    NotAmongControllers,
+    /// `controller_index` is not below the number of controllers.
+    ControllerIndexOutOfRange,
     /// No attempt is permitted at all.
     NoAttempts,
 }
@@ -215,7 +215,7 @@
         f.write_str(match self {
             Self::NoClasses => "the settings name no request class",
             Self::NoControllers => "the number of controllers is zero",
-            Self::NotAmongControllers => "this controller's number is not below their count",
+            Self::ControllerIndexOutOfRange => "this controller's number is not below their count",
             Self::NoAttempts => "no attempt is permitted",
         })
     }
@@ -230,8 +230,8 @@
             Err(SettingsError::NoClasses)
         } else if self.controllers == 0 {
             Err(SettingsError::NoControllers)
-        } else if self.me >= self.controllers {
-            Err(SettingsError::NotAmongControllers)
+        } else if self.controller_index >= self.controllers {
+            Err(SettingsError::ControllerIndexOutOfRange)
         } else if self.limits.max_attempts == 0 {
             Err(SettingsError::NoAttempts)
         } else {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -27,7 +27,7 @@
 //!         late_share: 0.3,
 //!         stream: false,
 //!     }],
-//!     step: 1_000,
+//!     event_interval: 1_000,
 //!     ..Settings::default()
 //! };
 //! settings.limits.max_attempts = 3;
@@ -44,7 +44,7 @@
 //!     class: ClassId(0),
 //!     tenant: None,
 //!     function: FunctionId(99),
-//!     left: 4_000_000,
+//!     time_left: 4_000_000,
 //!     cpu_time_hint: None,
 //!     lanes: 2,
 //!     load_time: None,
--- a/src/rendezvous.rs
+++ b/src/rendezvous.rs
@@ -16,7 +16,7 @@
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, VecDeque};
 
-use crate::hash::mix;
+use crate::hash::splitmix64;
 use crate::interface::{FunctionId, WorkerId};
 
 /// Each function keeps the complete order of a list of at most this many workers.
@@ -63,11 +63,11 @@
 
 /// The part of a score's hash that depends on the worker alone.
 fn worker_hash(worker: WorkerId) -> u64 {
-    mix(worker.0.wrapping_mul(0x2545_f491_4f6c_dd1d))
+    splitmix64(worker.0.wrapping_mul(0x2545_f491_4f6c_dd1d))
 }
 
 fn score(function_hash: u64, worker_hash: u64, weight: f64) -> f64 {
-    let hash = mix(function_hash ^ worker_hash);
+    let hash = splitmix64(function_hash ^ worker_hash);
     let unit = ((hash >> 11) as f64 + 1.0) / (1u64 << 53) as f64;
     -unit.min(0.999_999_999).ln() / weight
 }
@@ -101,11 +101,11 @@
     /// complement is beyond `below * weight` (and a margin for rounding) has a score beyond `below`, and is
     /// left out.
     fn between(&self, function_hash: u64, from: Position, below: f64) -> Vec<Position> {
-        let reach = below * (1u64 << 53) as f64 * (1.0 + ROUNDING);
+        let max_complement = below * (1u64 << 53) as f64 * (1.0 + ROUNDING);
         let mut found = Vec::new();
         for (index, (worker_hash, weight)) in self.hashes.iter().zip(&self.weights).enumerate() {
-            let complement = !mix(function_hash ^ worker_hash) >> 11;
-            if complement as f64 > reach * weight {
+            let complement = !splitmix64(function_hash ^ worker_hash) >> 11;
+            if complement as f64 > max_complement * weight {
                 continue;
             }
             let score = score(function_hash, *worker_hash, *weight);
@@ -165,19 +165,19 @@
     }
 
     /// Hashes of a function with a worker computed so far: the work that a long list costs.
-    pub(crate) fn hashes(&self) -> u64 {
+    pub(crate) fn hashes_computed(&self) -> u64 {
         self.hashes.get()
     }
 
-    fn count(&self, hashes: usize) {
+    fn count_hashes(&self, hashes: usize) {
         self.hashes.set(self.hashes.get() + hashes as u64);
     }
 
     /// A worker's position in a function's order, where it is in service.
     pub(crate) fn position(&self, function: FunctionId, worker: WorkerId) -> Option<Position> {
         let index = *self.index.get(&worker)?;
-        self.count(1);
-        let score = score(mix(function.0), self.all.hashes[index], self.all.weights[index]);
+        self.count_hashes(1);
+        let score = score(splitmix64(function.0), self.all.hashes[index], self.all.weights[index]);
         Some(Position { score, worker })
     }
 
@@ -217,13 +217,13 @@
             return None;
         }
         let among = among.unwrap_or(&self.all);
-        self.count(among.workers.len());
-        let positions = among.between(mix(function.0), from, limit(part));
+        self.count_hashes(among.workers.len());
+        let positions = among.between(splitmix64(function.0), from, limit(part));
         Some(positions.into_iter().map(|position| position.worker).collect())
     }
 
     /// A score below which about `TARGET_HOMES` workers lie, where weights are alike.
-    fn likely_score_limit(&self) -> f64 {
+    fn estimate_score_limit(&self) -> f64 {
         let sum: f64 = self.all.weights.iter().filter(|w| w.is_finite()).sum();
         let limit = if sum > 0.0 { TARGET_HOMES / sum } else { 1.0 };
         limit.clamp(f64::MIN_POSITIVE, f64::MAX)
@@ -281,8 +281,8 @@
             let at = self.workers.partition_point(before);
             self.workers.insert(at, *worker);
         }
-        let most = if self.covers_all() { COMPLETE_LIST } else { 2 * HOMES };
-        if self.workers.len() > most {
+        let max_homes = if self.covers_all() { COMPLETE_LIST } else { 2 * HOMES };
+        if self.workers.len() > max_homes {
             self.end = fleet.position(function, self.workers[HOMES]);
             self.workers.truncate(HOMES);
         }
@@ -290,16 +290,16 @@
     }
 
     fn compute(&mut self, function: FunctionId, fleet: &mut Fleet) {
-        let (all, hash) = (fleet.all.workers.len(), mix(function.0));
+        let (all, hash) = (fleet.all.workers.len(), splitmix64(function.0));
         if fleet.score_limit == 0.0 {
-            fleet.score_limit = fleet.likely_score_limit();
+            fleet.score_limit = fleet.estimate_score_limit();
         }
         let (mut below, mut pass) = (fleet.score_limit, 1);
         let positions = loop {
             if all <= COMPLETE_LIST || pass > MAX_PASSES {
                 below = f64::INFINITY;
             }
-            fleet.count(all);
+            fleet.count_hashes(all);
             let positions = fleet.all.between(hash, Position::START, below);
             if positions.len() >= MIN_HOMES || below == f64::INFINITY {
                 break positions;
--- a/src/rendezvous/tests.rs
+++ b/src/rendezvous/tests.rs
@@ -8,7 +8,7 @@
 impl Draw {
     fn below(&mut self, n: u64) -> u64 {
         self.0 = self.0.wrapping_add(1);
-        mix(self.0) % n
+        splitmix64(self.0) % n
     }
 }
 
@@ -16,7 +16,8 @@
 fn reference(function: FunctionId, listed: &BTreeMap<WorkerId, f64>) -> Vec<WorkerId> {
     let mut scored: Vec<(f64, WorkerId)> = Vec::with_capacity(listed.len());
     for (worker, weight) in listed {
-        let hash = mix(mix(function.0) ^ mix(worker.0.wrapping_mul(0x2545_f491_4f6c_dd1d)));
+        let hash =
+            splitmix64(splitmix64(function.0) ^ splitmix64(worker.0.wrapping_mul(0x2545_f491_4f6c_dd1d)));
         let unit = ((hash >> 11) as f64 + 1.0) / (1u64 << 53) as f64;
         scored.push((-unit.min(0.999_999_999).ln() / weight, *worker));
     }
@@ -173,13 +174,13 @@
         let (mut fleet, mut homes) = (Fleet::default(), Homes::default());
         (0..size).for_each(|worker| fleet.set(WorkerId(worker), Some(1.0)));
         homes.update(FunctionId(1), &mut fleet);
-        let before = fleet.hashes();
+        let before = fleet.hashes_computed();
         for change in 0..100 {
             fleet.set(WorkerId(change), None);
             fleet.set(WorkerId(size + change), Some(1.0));
             homes.update(FunctionId(1), &mut fleet);
         }
-        fleet.hashes() - before
+        fleet.hashes_computed() - before
     };
     let (few, many) = (hashes(1_000), hashes(16_000));
     assert!(many <= 2 * few.max(200), "{few} hashes for 200 changes of 1,000 workers, {many} of 16,000");
--- a/src/worker_order.rs
+++ b/src/worker_order.rs
@@ -29,10 +29,10 @@
         only: Option<&'a BTreeMap<WorkerId, Micros>>,
     ) -> impl Iterator<Item = WorkerId> + 'a {
         let homes = &function.homes;
-        let few =
+        let ranked =
             only.filter(|_| !homes.covers_all()).map(|only| self.fleet.ranked(id, only.keys().copied()));
-        let all = few.is_none();
-        let further = (0..).map_while(move |part| {
+        let use_full_order = ranked.is_none();
+        let beyond_homes = (0..).map_while(move |part| {
             let candidates = &self.candidates[class];
             let candidates = if part == 0 {
                 candidates.get()
@@ -41,8 +41,8 @@
             };
             self.fleet.beyond_homes(id, homes, part, candidates)
         });
-        let order = homes.workers().iter().copied().chain(further.flatten());
-        few.into_iter().flatten().chain(all.then_some(order).into_iter().flatten())
+        let order = homes.workers().iter().copied().chain(beyond_homes.flatten());
+        ranked.into_iter().flatten().chain(use_full_order.then_some(order).into_iter().flatten())
     }
 
     /// Which workers are open may have changed: it is worked out again. Called as an event begins; what
--- a/tests/any_order.rs
+++ b/tests/any_order.rs
@@ -131,7 +131,10 @@
         self.arrivals.push(now);
         let function = self.random.below(12);
         let lanes = 1 + self.random.below(3) as u32;
-        self.harness.handle(Event::Request(Request { left, ..request(self.last_id, class, function, lanes) }))
+        self.harness.handle(Event::Request(Request {
+            time_left: left,
+            ..request(self.last_id, class, function, lanes)
+        }))
     }
 
     fn end_attempt(&mut self, id: u64, number: u32) -> Vec<Action> {
@@ -163,7 +166,7 @@
             worker: WorkerId(worker),
             function: FunctionId(function),
             outcome,
-            copies: u32::from(outcome == Outcome::Ok),
+            replicas: u32::from(outcome == Outcome::Ok),
             elapsed: 400 * MS,
         })
     }
--- a/tests/call_cost.rs
+++ b/tests/call_cost.rs
@@ -37,7 +37,7 @@
 
     /// One call of each function, with a worker replaced now and then. The hashes of a call.
     fn round(&mut self, replaced: std::ops::Range<u64>) -> f64 {
-        let before = self.harness.controller.hashes();
+        let before = self.harness.controller.hashes_computed();
         for function in 0..FUNCTIONS {
             if function % 20 == 0 && !replaced.is_empty() {
                 let worker = replaced.start + function / 20;
@@ -47,15 +47,15 @@
             }
             self.answered(function);
         }
-        (self.harness.controller.hashes() - before) as f64 / FUNCTIONS as f64
+        (self.harness.controller.hashes_computed() - before) as f64 / FUNCTIONS as f64
     }
 }
 
 fn cost(workers: u64) -> Cost {
     let mut calls = Calls::new(workers);
-    let empty = calls.harness.controller.remembered();
+    let empty = calls.harness.controller.state_entries();
     let first = calls.round(0..0);
-    let state = (calls.harness.controller.remembered() - empty) as f64 / FUNCTIONS as f64;
+    let state = (calls.harness.controller.state_entries() - empty) as f64 / FUNCTIONS as f64;
     let seen = calls.round(1..11);
     Cost { first, seen, state }
 }
@@ -83,7 +83,7 @@
         if function % 100 == 0 {
             // Sweeps come each ten seconds: what counts is the most within twenty.
             let most = &mut most_at_once[function as usize / 5_000];
-            *most = calls.harness.controller.remembered().max(*most);
+            *most = calls.harness.controller.state_entries().max(*most);
         }
     }
     let (least, most) = (most_at_once[3..].iter().min().unwrap(), most_at_once[3..].iter().max().unwrap());
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -17,7 +17,7 @@
         stream: false,
     };
     Settings {
-        me: 0,
+        controller_index: 0,
         controllers: 3,
         zone: Some(ZoneId(0)),
         classes: vec![
@@ -26,7 +26,7 @@
             class(Effect::IdempotencyKey { scope: KeyScope::Zone, window: 2 * S }),
         ],
         tenants: vec![],
-        over_quota_worth: 0.1,
+        over_quota_weight: 0.1,
         discovery: Discovery::Push,
         reports: Reports::None,
         weights: Weights::None,
@@ -45,7 +45,7 @@
         },
         limits: Limits {
             max_attempts: 3,
-            parallel: false,
+            parallel_attempts: false,
             probes: true,
             cancel: true,
             retry_after: None,
@@ -60,7 +60,7 @@
             overload_factor: 2.0,
             overload_span: 2 * S,
         },
-        step: 2 * MS,
+        event_interval: 2 * MS,
     }
 }
 
@@ -166,7 +166,7 @@
         class: ClassId(class),
         tenant: None,
         function: FunctionId(function),
-        left: 4 * S,
+        time_left: 4 * S,
         cpu_time_hint: None,
         lanes,
         load_time: None,
--- a/tests/guards.rs
+++ b/tests/guards.rs
@@ -81,7 +81,7 @@
             worker: WorkerId(home),
             function: FunctionId(9),
             outcome: Outcome::Rejected,
-            copies: 0,
+            replicas: 0,
             elapsed: MS,
         };
         let went = sends(&harness.handle(turned)).into_iter().find(|(id, _)| *id == 1);
@@ -190,7 +190,7 @@
         worker: at.unwrap(),
         function: FunctionId(9),
         outcome: Outcome::Ok,
-        copies: 1,
+        replicas: 1,
         elapsed: 4 * MS,
     });
     harness.advance(100 * MS);
@@ -524,7 +524,7 @@
         });
         if let Some(worker) = ordered {
             let (function, outcome) = (FunctionId(9), Outcome::Ok);
-            actions = harness.handle(Event::Loaded { worker, function, outcome, copies: 1, elapsed: MS });
+            actions = harness.handle(Event::Loaded { worker, function, outcome, replicas: 1, elapsed: MS });
         }
         let at = sent(&actions).expect("sent to a replica");
         harness.end_attempt(id, 0, at, Outcome::Ok, Some(LoadNote::Warm));
@@ -555,7 +555,7 @@
     assert_eq!(sent(&missed), None, "both wait for it");
     harness.now += 100 * MS;
     let (worker, function) = (WorkerId(at), FunctionId(9));
-    let loaded = Event::Loaded { worker, function, outcome: Outcome::Ok, copies: 1, elapsed: 100 * MS };
+    let loaded = Event::Loaded { worker, function, outcome: Outcome::Ok, replicas: 1, elapsed: 100 * MS };
     let loaded = harness.handle(loaded);
     assert!(sends(&loaded).contains(&(11, at)), "it goes to the replica that stands: {loaded:?}");
 }
--- a/tests/ordinary_path.rs
+++ b/tests/ordinary_path.rs
@@ -46,7 +46,7 @@
 #[test]
 fn all_controllers_share_the_order() {
     let first = |me: u32, seed: u64| {
-        let controller = Controller::new(Settings { me, ..settings() }, seed).unwrap();
+        let controller = Controller::new(Settings { controller_index: me, ..settings() }, seed).unwrap();
         let mut harness = Harness { controller, now: 50 * S, workers: vec![] };
         let entries: Vec<WorkerEntry> = (1..=9).map(entry).collect();
         harness.handle(Event::Workers { form: ListForm::Restored, entries });
@@ -116,7 +116,7 @@
         worker: WorkerId(at),
         function: FunctionId(9),
         outcome: Outcome::Ok,
-        copies: 1,
+        replicas: 1,
         elapsed: S,
     });
     assert_eq!(sends(&loaded), vec![(1, at), (2, at)]);
@@ -127,7 +127,7 @@
     let after = harness.end_attempt(id, attempt, at, Outcome::NotLoaded, None);
     assert_eq!(loads(&after), 1);
     let (worker, function) = (WorkerId(at), FunctionId(9));
-    harness.handle(Event::Loaded { worker, function, outcome, copies: 0, elapsed: 5 * MS })
+    harness.handle(Event::Loaded { worker, function, outcome, replicas: 0, elapsed: 5 * MS })
 }
 
 #[test]
@@ -177,6 +177,6 @@
     assert_eq!(Controller::new(none, 1).err(), Some(SettingsError::NoClasses));
     let zero = Settings { controllers: 0, ..settings() };
     assert_eq!(Controller::new(zero, 1).err(), Some(SettingsError::NoControllers));
-    let stranger = Settings { me: 3, ..settings() };
-    assert_eq!(Controller::new(stranger, 1).err(), Some(SettingsError::NotAmongControllers));
+    let stranger = Settings { controller_index: 3, ..settings() };
+    assert_eq!(Controller::new(stranger, 1).err(), Some(SettingsError::ControllerIndexOutOfRange));
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -160,7 +160,7 @@
     // So many that a share of a fall span is far less than a call: each begins in its turn.
     let mut first_after_start = Vec::new();
     for me in [0, 60, 120, 180] {
-        let mut harness = Harness::new(Settings { controllers: 200, me, ..settings() }, 1);
+        let mut harness = Harness::new(Settings { controllers: 200, controller_index: me, ..settings() }, 1);
         harness.serve_warm(1, 9, 8);
         harness.advance(10 * S);
         let born = harness.now;
@@ -271,7 +271,7 @@
             worker: WorkerId(99),
             function: FunctionId(5),
             outcome: Outcome::Ok,
-            copies: 1,
+            replicas: 1,
             elapsed: 1,
         },
     ] {
@@ -315,7 +315,7 @@
         worker: WorkerId(at),
         function: FunctionId(9),
         outcome: Outcome::Ok,
-        copies: 1,
+        replicas: 1,
         elapsed: S,
     };
     assert_eq!(sends(&harness.handle(stands)), vec![(1, at)]);
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -58,7 +58,7 @@
 
 impl Fleet {
     fn settings(case: Case, me: u32) -> Settings {
-        Settings { me, controllers: case.controllers, ..settings() }
+        Settings { controller_index: me, controllers: case.controllers, ..settings() }
     }
 
     fn new(case: Case, seed: u64) -> Self {
