--- a/src/controller.rs
+++ b/src/controller.rs
@@ -1,7 +1,7 @@
-//! The state of one controller, and what an owner may read of it for metrics.
+//! The state of one controller, and accessors for metrics.
 //!
-//! Events come in by [`Controller::handle`], which is with the decisions in [`crate::decision`]; the records
-//! that the state is made of are in [`crate::state`].
+//! Events are handled by [`Controller::handle`] in [`crate::decision`]; the records in the state are defined
+//! in [`crate::state`].
 
 use std::cell::OnceCell;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -10,61 +10,62 @@
 use crate::rendezvous::{Candidates, Fleet};
 use crate::state::*;
 
-/// One controller's decisions.
+/// A sans-I/O controller: it receives events and returns the actions to execute.
 #[derive(Default)]
 pub struct Controller {
     pub(crate) settings: Settings,
-    /// State of the random generator.
+    /// State of the random number generator.
     pub(crate) rng_state: u64,
-    /// The time of the event in hand.
+    /// Timestamp of the event being handled.
     pub(crate) now: Micros,
-    /// What has been decided on the event in hand so far.
+    /// Actions decided so far for the event being handled.
     pub(crate) actions: Vec<Action>,
-    /// When the first event came.
+    /// Timestamp of the first event.
     pub(crate) started_at: Option<Micros>,
     pub(crate) workers: BTreeMap<WorkerId, Worker>,
-    /// The workers in service, as the rendezvous orders need them.
+    /// The workers in service, with the data that rendezvous hashing needs.
     pub(crate) fleet: Fleet,
-    /// Workers that are gone from the list and still known.
+    /// Workers removed from the list whose state is still kept.
     pub(crate) gone_workers: BTreeSet<WorkerId>,
-    /// Per class, the workers that are open to its calls, where this event needed them.
+    /// Workers open to each class, computed lazily during the handling of one event.
     pub(crate) candidates: Vec<OnceCell<Candidates>>,
     pub(crate) functions: BTreeMap<FunctionId, Function>,
-    /// The replicas and pending loads of all functions, by worker.
+    /// Known and pending replicas of all functions, ordered by worker.
     pub(crate) replicas: BTreeSet<ReplicaKey>,
-    /// The functions with loads under way.
+    /// Functions with pending loads.
     pub(crate) loading_functions: BTreeSet<FunctionId>,
-    /// When each function is looked at next by a sweep, in spans of `IDLE_BUCKET`.
+    /// When each function is next swept, in buckets of `IDLE_BUCKET`.
     pub(crate) idle_functions: BTreeMap<Micros, Vec<FunctionId>>,
     pub(crate) calls: BTreeMap<RequestId, Call>,
     pub(crate) hold_queue: BTreeMap<Priority, RequestId>,
-    /// The attempts in flight.
+    /// Attempts in flight.
     pub(crate) attempts: BTreeMap<AttemptId, Attempt>,
     pub(crate) timers: BTreeSet<Timer>,
-    /// When the timer that the embedding program has set comes due.
+    /// When the last timer requested from the embedding program expires.
     pub(crate) armed_for: Option<Micros>,
-    /// A timer to look at held calls is set.
+    /// A `ReleaseHeld` timer is scheduled.
     pub(crate) release_timer_set: bool,
-    /// Calls that arrived so far.
+    /// Number of calls received so far.
     pub(crate) sequence: u64,
-    /// Mean latency per class at workers where we had nothing else in flight: near the core time itself.
+    /// Mean latency per class at workers with no other attempt of this controller in flight: an estimate of
+    /// the core time of a call.
     pub(crate) class_cpu_time: Vec<Option<f64>>,
-    /// Mean time of the loads seen, of all functions.
+    /// Mean time of the observed loads of all functions.
     pub(crate) mean_load_time: Option<f64>,
-    /// Load orders within the ration's window.
+    /// Times of the load orders within the ration window.
     pub(crate) recent_orders: VecDeque<Micros>,
-    /// Requests within the ration's window.
+    /// Times of the requests within the ration window.
     pub(crate) recent_requests: VecDeque<Micros>,
-    /// Each tenant's requests within the last second.
+    /// Times of each tenant's requests within the last second.
     pub(crate) tenant_requests: BTreeMap<TenantId, VecDeque<Micros>>,
-    /// The wait before the worker list is polled again after a failure.
+    /// Delay before the worker list is polled again after a failure.
     pub(crate) poll_backoff: Micros,
-    /// The time of the last sweep.
+    /// Time of the last sweep.
     pub(crate) swept_at: Micros,
 }
 
 impl Controller {
-    /// Health of the listed workers, as the events so far show it: for metrics.
+    /// Health of the listed workers as derived from the events so far, for metrics.
     pub fn health(&self) -> impl Iterator<Item = Health> + '_ {
         self.workers.iter().filter(|(_, w)| w.entry.state != WorkerState::Gone).map(|(id, w)| Health {
             worker: *id,
@@ -74,12 +75,14 @@
         })
     }
 
-    /// Rendezvous hashes computed so far: the cost that grows with the number of workers, for metrics.
+    /// Number of rendezvous hashes computed so far, for metrics: the part of the cost that grows with the
+    /// number of workers.
     pub fn hashes_computed(&self) -> u64 {
         self.fleet.hashes_computed()
     }
 
-    /// Things remembered in all, so that an owner can show that they stay bounded.
+    /// Total number of entries in the controller's state, so that the embedding program can verify that the
+    /// state stays bounded.
     pub fn state_entries(&self) -> usize {
         let functions: usize = self.functions.values().map(entries_of_function).sum();
         let workers: usize = self.workers.values().map(|w| 1 + w.lost_orders.len()).sum();
@@ -91,7 +94,7 @@
         functions + workers + calls + tenants + idle + replicas + ration
     }
 
-    /// The number of a call's newest attempt that is in flight, as counted here.
+    /// Number of the newest attempt in flight for a call, counted from 0; `None` if there is none.
     pub fn last_attempt(&self, request: RequestId) -> Option<u32> {
         let first = AttemptId { request, number: 0 };
         let last = AttemptId { request, number: u32::MAX };
@@ -99,7 +102,7 @@
     }
 }
 
-/// Things remembered of one function.
+/// Number of state entries that belong to one function.
 fn entries_of_function(function: &Function) -> usize {
     let by_worker = function.warm_replicas.len()
         + function.pending_loads.len()
--- a/src/decision/arrivals.rs
+++ b/src/decision/arrivals.rs
@@ -1,18 +1,22 @@
-//! Decides a call's priority in the hold queue as it arrives: recent calls of its function times their
-//! mean latency, fixed from then on.
+//! Accepts arriving calls and computes their priority in the hold queue: the number of recent calls of the
+//! function times its mean latency. The value does not change afterwards.
 //!
-//! Leaves its worker to `placement`. Guards: a tenant beyond this controller's part of its quota waits behind
-//! the others (one tenant's surge); a call of an unknown class or a known id is ignored (late duplicates).
+//! The worker is chosen in `placement`. Guards:
+//!
+//! * calls of a tenant over this controller's part of its quota are held behind the others (load spike of one
+//!   tenant);
+//! * a call with an unknown class or a known id is ignored (late duplicates).
 
 use crate::controller::Controller;
 use crate::interface::*;
 use crate::state::{Call, Priority, Timer, TimerKind};
 
-/// The span over which a function's arrivals count towards its priority: the design page's.
+/// Time over which the arrivals of a function count towards its priority, as specified in the design
+/// document.
 pub(super) const ARRIVAL_WINDOW: Micros = 10_000_000;
-/// The span over which a tenant's calls count towards its quota, which is given by the second.
+/// Time over which the calls of a tenant count towards its quota, which is given per second.
 const QUOTA_WINDOW: Micros = 1_000_000;
-/// The least weight of calls over their quota: their priority is divided by it.
+/// Lower bound of the weight of calls over the quota, which the priority value is divided by.
 const OVER_QUOTA_WEIGHT_MIN: f64 = 0.01;
 
 impl Controller {
@@ -26,7 +30,7 @@
         let over_quota = self.over_quota(request.tenant);
         let mut recent_work = self.count_arrival(&request);
         if over_quota {
-            // Behind the others, by the weight that its calls still have.
+            // A low weight moves the call behind those within their quota.
             recent_work = (recent_work + 1.0) / self.settings.over_quota_weight.max(OVER_QUOTA_WEIGHT_MIN);
         }
         self.sequence += 1;
@@ -48,7 +52,7 @@
         self.dispatch(request.id);
     }
 
-    /// Counts the call of its function: recent calls times mean latency, microseconds.
+    /// Records the arrival and returns the number of recent calls times the mean latency in microseconds.
     fn count_arrival(&mut self, request: &Request) -> f64 {
         let now = self.now;
         let function = self.function_mut(request.function);
@@ -62,7 +66,8 @@
         function.arrivals.len() as f64 * function.mean_latency()
     }
 
-    /// Counts a tenant's calls in the last second against this controller's part of its quota.
+    /// Records the tenant's call; returns whether its calls in the last second exceed this controller's part
+    /// of the quota.
     fn over_quota(&mut self, tenant: Option<TenantId>) -> bool {
         let Some(id) = tenant else { return false };
         let Some(quota) = self.settings.tenants.get(id.0).and_then(|t| t.quota_per_s) else { return false };
--- a/src/decision/attempts.rs
+++ b/src/decision/attempts.rs
@@ -1,18 +1,21 @@
-//! Decides what the begin and the end of an attempt show: of its worker, its function and its replica.
+//! Updates the state of worker, function and replica when an attempt starts or ends.
 //!
-//! Leaves the worker's health to `outlier_ejection`, a further attempt to `retry`, ordered replicas to
-//! `replica_loading`. Guards: a replica that is missing again after an order voids what was found before that
-//! order (a new version of the function); a stream that has begun shows its replica (long streams taken for
-//! loads, holding their function back).
+//! Worker health is evaluated in `outlier_ejection`, retries are decided in `retry`, and replicas are ordered
+//! in `replica_loading`. Guards:
+//!
+//! * if a replica is missing again after an order, replicas observed before that order are no longer trusted
+//!   (a new version of the function);
+//! * a stream that has started proves that its replica is loaded (a long stream would otherwise count as a
+//!   pending load and hold back the function's other calls).
 
 use super::worker_load::{PRESSURE_FULL, PRESSURE_OBJECTIVE};
 use crate::controller::Controller;
 use crate::interface::*;
 use crate::state::*;
 
-/// Served latencies kept per function: the design page's.
+/// Number of served latencies kept per function, as specified in the design document.
 const LATENCY_SAMPLES: usize = 10;
-/// Weight of one answer in a class's core time.
+/// Weight of one response in the mean core time of a class.
 const CPU_TIME_WEIGHT: f64 = 0.05;
 
 impl Controller {
@@ -63,14 +66,14 @@
         self.release_attempt_counts(&attempt);
         self.record_health(&attempt, end.outcome, end.elapsed);
         let replica = ReplicaKey { worker: attempt.worker, function: attempt.function };
-        // Where only orders load, what is under way there is an order, and ends with its own answer.
+        // Where only orders load functions, the pending load is an order, which ends with its own event.
         if self.settings.loading.when_absent == WhenAbsent::Load {
             self.load_finished(replica);
         }
         match end.outcome {
             Outcome::Ok => self.record_success(&attempt, &end),
             Outcome::NotLoaded => self.record_missing_replica(replica),
-            // No room for a replica says nothing of the cores: that function goes elsewhere for a while.
+            // A worker without memory for a replica may still have idle cores: only this function avoids it.
             Outcome::Rejected if attempt.loading => self.avoid_worker(replica, 1),
             Outcome::Rejected => self.record_pressure(attempt.worker, PRESSURE_FULL),
             _ => {}
@@ -83,8 +86,9 @@
         self.release_held(Some(attempt.worker));
     }
 
-    /// The replica has gone, or its load failed: nothing brings it back by itself. Missing again after an
-    /// order, it is a new version: what was found warm before that order is void as well.
+    /// Handles a replica that was unloaded or failed to load: it will not come back by itself. If it is
+    /// missing again after an order, the function has a new version, and replicas observed before that order
+    /// are invalid too.
     fn record_missing_replica(&mut self, replica: ReplicaKey) {
         let function = self.functions.get(&replica.function);
         let loading = function.is_some_and(|f| self.load_in_progress(f));
@@ -95,7 +99,7 @@
         }
     }
 
-    /// The call goes on after an attempt that was no answer.
+    /// Retries the call or sends its final answer, after an attempt that did not complete it.
     fn continue_call(&mut self, id: AttemptId, attempt: &Attempt, outcome: Outcome) {
         let Some(call) = self.calls.get_mut(&id.request) else { return };
         call.in_flight = call.in_flight.filter(|number| *number != id.number);
@@ -143,8 +147,9 @@
         self.record_pressure(at, pressure);
     }
 
-    /// An answer that has begun belongs to the client, and shows that its replica stands: taken for a load, a
-    /// long stream would hold others back. Harm: a load's time as learnt here holds the work up to a part.
+    /// Marks the call as streaming: it can't be retried, and its replica is loaded. If the stream still
+    /// counted as a load, a long one would hold back the function's other calls. Drawback: the load time
+    /// measured here includes the processing time up to the start of the stream.
     pub(super) fn stream_started(&mut self, id: RequestId) {
         let Some(call) = self.calls.get_mut(&id) else { return };
         call.streaming = true;
@@ -164,7 +169,7 @@
         self.release_held(Some(replica.worker));
     }
 
-    /// Takes an attempt that has ended out of the counts of its worker and its function.
+    /// Removes an ended attempt from the in-flight counters of its worker and function.
     fn release_attempt_counts(&mut self, attempt: &Attempt) {
         if let Some(worker) = self.workers.get_mut(&attempt.worker) {
             worker.in_flight = worker.in_flight.saturating_sub(1);
--- a/src/decision/endpoint_list.rs
+++ b/src/decision/endpoint_list.rs
@@ -1,9 +1,11 @@
-//! Decides which workers are in service, by the worker list, and when the list is polled.
+//! Applies the worker list: which workers are in service, and when the list is polled.
 //!
-//! Leaves a worker's health to `outlier_ejection`. Guards: draining workers and those missing from a
-//! complete list take nothing new (drains, removals); a restart empties a worker and begins its slow start;
-//! with no worker in service calls are answered at once (silence); a list that fails is polled after a
-//! growing wait (a list under load).
+//! Worker health is evaluated in `outlier_ejection`. Guards:
+//!
+//! * workers that are draining or missing from a complete list get no new calls or orders (drains, removals);
+//! * a restarted worker has no replicas and begins its slow start;
+//! * without any worker in service, calls are answered at once (calls without an answer);
+//! * a list that fails is polled with exponential backoff (overload of the list's server).
 
 use std::collections::BTreeSet;
 
@@ -14,9 +16,9 @@
 use crate::rendezvous::Candidates;
 use crate::state::{Timer, TimerKind, Worker};
 
-/// First wait before a list that failed is polled again, doubled up to a share of `must_poll_within`.
+/// First delay before a failed list is polled again; doubles up to a fraction of `must_poll_within`.
 pub(super) const POLL_BACKOFF_FIRST: Micros = 200_000;
-/// The longest wait is `must_poll_within` divided by this.
+/// Divisor of `must_poll_within` that gives the longest delay.
 const POLL_BACKOFF_SHARE: Micros = 4;
 
 impl Controller {
@@ -45,8 +47,8 @@
         }
     }
 
-    /// The list is polled again after a wait that grows, never so long that the controller is deemed
-    /// notified.
+    /// Schedules the next poll with exponential backoff and jitter. The longest delay is well below
+    /// `must_poll_within`, after which the controller would be assumed to know of all changes.
     fn schedule_poll(&mut self) {
         self.rng_state = splitmix64(self.rng_state);
         let half = self.poll_backoff / 2;
@@ -56,7 +58,7 @@
         self.poll_backoff = (self.poll_backoff * 2).min(longest);
     }
 
-    /// Workers that a complete list does not name are gone.
+    /// Marks the workers that are missing from a complete list as gone.
     fn remove_unlisted(&mut self, entries: &[WorkerEntry]) {
         let listed: BTreeSet<WorkerId> = entries.iter().map(|e| e.worker).collect();
         for (id, worker) in self.workers.iter_mut().filter(|(id, _)| !listed.contains(id)) {
@@ -82,8 +84,8 @@
         if !restarted {
             return;
         }
-        // It is empty and cold. What an earlier incarnation of ours sent it is not known: an overload span
-        // passes first.
+        // The worker is empty and cold. If it started before this controller, an earlier incarnation may have
+        // sent it an unknown number of calls; one overload span must pass first.
         let before_us = self.started_at.filter(|s| worker.entry.started_at < Some(*s));
         let budget_from = before_us.map(|s| s + self.settings.rules.overload_span);
         worker.restart(worker.entry.started_at, budget_from);
@@ -93,8 +95,8 @@
         }
     }
 
-    /// Workers that are gone hold no replicas, and are forgotten once nothing is in flight there. One that
-    /// warms up may be back, as cold as it was.
+    /// Removes the replicas of workers that are gone, and the workers themselves once they have no attempts
+    /// in flight. A worker in slow start is kept: if it comes back, it is still warming up.
     fn remove_gone_workers(&mut self) {
         for id in self.gone_workers.clone() {
             self.remove_replicas(id);
@@ -106,13 +108,15 @@
         }
     }
 
-    /// No worker is in service: waiting would be silence, so that calls are answered at once. Harm: where a
-    /// replacement leaves none in service for a moment, calls are refused that might have waited.
+    /// Whether no worker is in service. Calls are then answered at once, because held calls might never get
+    /// an answer. Drawback: if a rolling replacement leaves no worker for a moment, calls are refused that
+    /// could have waited.
     pub(super) fn no_worker_in_service(&self) -> bool {
         self.fleet.is_empty()
     }
 
-    /// Workers that calls of this class may go to, or be ordered at, as far as it depends on no function.
+    /// Workers that calls of this class may be sent to, or replicas ordered at, before any check that depends
+    /// on the function.
     pub(crate) fn open_to_class(&self, class: usize) -> Candidates {
         let mut open = Candidates::default();
         for (id, worker) in &self.workers {
@@ -125,7 +129,7 @@
     }
 }
 
-/// A worker's weight in the rendezvous orders; 1 where weights are no sizes.
+/// The worker's weight for rendezvous hashing; 1 if the weights in the list don't express its capacity.
 fn weight(settings: &Settings, entry: &WorkerEntry) -> f64 {
     let sized = matches!(settings.weights, Weights::Nominal | Weights::Rough);
     if sized && entry.weight > 0.0 { entry.weight } else { 1.0 }
--- a/src/decision/events.rs
+++ b/src/decision/events.rs
@@ -1,6 +1,6 @@
-//! Takes in one event at a time and dispatches it to the decision that it needs.
+//! Entry point of the controller: handles one event at a time by dispatching it to the responsible module.
 //!
-//! Leaves every decision to the other files here. Guards against settings that no controller can work with.
+//! Guards against settings that no controller can run with.
 
 use std::cell::OnceCell;
 
@@ -10,12 +10,12 @@
 use crate::state::{AttemptEnd, AttemptId, ReplicaKey};
 
 impl Controller {
-    /// A controller that has seen nothing yet. `seed` is its only source of randomness.
+    /// Creates a controller without any state. `seed` is its only source of randomness.
     ///
     /// # Errors
     ///
-    /// The settings name no class or no controller, count this controller beyond the others, or permit no
-    /// attempt.
+    /// Returns an error if the settings have no request class, no controller, a `controller_index` that is
+    /// not less than `controllers`, or no permitted attempt.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.check()?;
         let class_cpu_time = vec![None; settings.classes.len()];
@@ -24,7 +24,7 @@
         Ok(Self { settings, rng_state: seed, class_cpu_time, candidates, poll_backoff, ..Self::default() })
     }
 
-    /// Takes in one event at the time `now`, and appends what is to be done to `actions`.
+    /// Handles one event that occurred at `now` and appends the resulting actions to `actions`.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         self.now = now;
         self.clear_candidates();
--- a/src/decision/health_check.rs
+++ b/src/decision/health_check.rs
@@ -1,22 +1,27 @@
-//! Decides when a worker is probed and what the probe's end means.
+//! Sends health probes and interprets their results.
 //!
-//! Leaves the time at which responses are overdue to `response_timeout`, ejection itself to
-//! `outlier_ejection`. Guards: a connection that broke may have failed alone, so nothing new goes there
-//! until a probe has ended (half-dead links, resets); two probes must fail before silence ejects (one lost
-//! connection); a probe that times out in a queue shows load and no death (slow workers ejected). Harm
-//! of each: `docs/design.md`.
+//! `response_timeout` decides when a response is overdue, `outlier_ejection` ejects workers. Guards:
+//!
+//! * after a connection failure the worker gets no new calls until a probe ends, as only the connection may
+//!   have failed (half-open connections, resets);
+//! * an unresponsive worker is ejected only after two failed probes (a single lost connection);
+//! * a probe that times out in the worker's queue indicates load, not a dead process (ejection of slow
+//!   workers).
+//!
+//! `docs/design.md` describes the cost of each guard.
 
 use super::worker_load::PRESSURE_FULL;
 use crate::controller::Controller;
 use crate::interface::*;
 use crate::state::ReplicaKey;
 
-/// How long a suspect worker is left alone when the probe's connection broke as well.
+/// Delay before the next probe of a suspect worker if the connection of its last probe broke as well.
 const SUSPECT_RETRY: Micros = 100_000;
 
 impl Controller {
-    /// A connection that broke, or is silent, may have failed alone: nothing new goes there until a probe has
-    /// ended. What breaks together counts once: true for the first.
+    /// Marks the worker as suspect and probes it after a connection broke or became silent: it gets no new
+    /// calls until the probe ends. Connections that break together count as one failure; returns true for the
+    /// first.
     pub(super) fn suspect_connection(&mut self, id: WorkerId) -> bool {
         let Some(worker) = self.workers.get_mut(&id) else { return false };
         let first = !std::mem::replace(&mut worker.connection_suspect, true);
@@ -26,7 +31,7 @@
         first
     }
 
-    /// Probes a worker, unless a probe is in flight.
+    /// Sends a probe, unless one is already in flight.
     pub(super) fn send_probe(&mut self, id: WorkerId) {
         if let Some(worker) = self.workers.get_mut(&id).filter(|w| w.probe_sent.is_none()) {
             worker.probe_sent = Some(self.now);
@@ -57,7 +62,8 @@
         self.release_held(None);
     }
 
-    /// The worker lives: it is back if it was down, and its lost load orders are given again.
+    /// Handles an answered probe: a worker that was down returns to service, and its lost load orders are
+    /// sent again.
     fn probe_answered(&mut self, id: WorkerId) {
         let Some(worker) = self.workers.get_mut(&id) else { return };
         worker.last_response = self.now;
@@ -74,11 +80,12 @@
         }
     }
 
-    /// The probe had no answer, and its connection was not refused.
+    /// Handles a probe without an answer whose connection was not refused.
     fn probe_failed(&mut self, id: WorkerId, outcome: Outcome, probe: EndedProbe) {
         let connection_broke = matches!(outcome, Outcome::Reset | Outcome::PartlySent);
         if !connection_broke {
-            // One that waits in a queue and times out shows load; silence is shown by what is pending.
+            // A probe that times out in a queue indicates load; overdue responses show whether the worker is
+            // unresponsive.
             self.record_pressure(id, PRESSURE_FULL);
         }
         let worker = &self.workers[&id];
@@ -88,11 +95,11 @@
         if outcome == Outcome::ConnectFailed || worker.down || overdue && probe.previous_unanswered {
             self.eject_unresponsive(id);
         } else if connection_broke {
-            // It shows nothing: probed once more in a while.
+            // The result is inconclusive: probe again after a delay.
             self.workers.get_mut(&id).expect("just seen").connection_suspect = true;
             self.set_timeout_check(id, self.now + SUSPECT_RETRY);
         } else if (overdue || late_attempt || probe.was_suspect) && !probe.previous_unanswered {
-            // Its connection may have failed alone: probed at once on another.
+            // Only this connection may have failed: probe again at once on another one.
             self.send_probe(id);
             let worker = self.workers.get_mut(&id).expect("just seen");
             worker.probe_unanswered = true;
@@ -101,12 +108,12 @@
     }
 }
 
-/// What was known of a probe as it ended.
+/// The state of a probe when it ended.
 struct EndedProbe {
-    /// When it was sent; `None`: it was not ours.
+    /// Send time; `None` if this controller sent no probe.
     sent: Option<Micros>,
-    /// It was sent because a connection broke.
+    /// The probe was sent because a connection broke.
     was_suspect: bool,
-    /// The probe before was not answered either.
+    /// The previous probe got no answer either.
     previous_unanswered: bool,
 }
--- a/src/decision/hold_queue.rs
+++ b/src/decision/hold_queue.rs
@@ -1,12 +1,15 @@
-//! Decides the order in which held calls leave, and when they are looked at.
+//! Holds calls that no worker can take, and decides when and in which order they are released.
 //!
-//! A call is held when no worker may take it. Held calls leave lowest priority first: recent calls of the
-//! function times their mean latency, fixed at arrival (the study's Fair-Choice, section IV). Each answer
-//! releases the lowest that has room.
+//! Held calls are released in priority order: the number of recent calls of the function times its mean
+//! latency, computed at arrival, lowest first (Fair-Choice, section IV of the paper cited in [`super`]). Each
+//! response releases the first calls that a worker can take.
 //!
-//! Leaves the worker to `placement` and the final answer to `retry`. Guards: calls that can't meet their
-//! objective any more wait behind those that can (overload, retry storms); a call that is held where its
-//! replica stands has that worker probed for idle cores (a bound filled by others).
+//! The worker is chosen in `placement`, the final answer is sent in `retry`. Guards:
+//!
+//! * calls that can no longer meet their objective are released after those that can (overload, retry
+//!   storms);
+//! * if a call is held although its function has a replica, the worker of that replica is probed for idle
+//!   cores (lanes bound reached by calls of other functions).
 
 use std::collections::BTreeSet;
 
@@ -15,11 +18,12 @@
 use crate::interface::*;
 use crate::state::{Call, Function, Timer, TimerKind, Worker};
 
-/// Held calls looked at for one answer: bounds the time of an event.
+/// Held calls examined per response; bounds the time to handle an event.
 const RELEASE_SCAN: usize = 512;
-/// Held calls are looked at without an answer after so many steps, as room comes with time ...
+/// Held calls are also examined without a response, as capacity becomes free with time: after this many event
+/// intervals ...
 const RELEASE_INTERVAL_STEPS: Micros = 4;
-/// ... and no more often than this.
+/// ... but at most once in this time.
 const RELEASE_INTERVAL_MIN: Micros = 20_000;
 
 impl Controller {
@@ -45,7 +49,7 @@
         self.hold_queue.insert(call.priority, id);
         let Some(function) = self.functions.get_mut(&call.function) else { return };
         function.held_calls += 1;
-        // Others' calls fill the bound where its replica stands: probed for idle cores.
+        // Calls of other functions may fill the lanes bound at its replica's worker: probe it for idle cores.
         let full = |w: &Worker| {
             let outdated = w.last_report.is_some_and(|r| r.at + objective < self.now);
             w.warm_in_flight >= function.lanes && outdated
@@ -57,7 +61,8 @@
         }
     }
 
-    /// A held call that can't meet its objective waits behind those that can: late answers make others late.
+    /// Moves a held call that can no longer meet its objective behind those that can, so that it does not
+    /// delay them beyond theirs.
     pub(super) fn objective_passed(&mut self, id: RequestId) {
         if self.calls.get(&id).is_some_and(|call| call.held) {
             self.dequeue_held(id);
@@ -76,14 +81,15 @@
         }
     }
 
-    /// An answer of `at`, or a change anywhere: the lowest held that have room go, each along its own order.
+    /// Releases the first held calls that a worker can take, after a response of the worker `at` or, with
+    /// `None`, after any other change. Each call follows its own worker order.
     pub(super) fn release_held(&mut self, at: Option<WorkerId>) {
         let mut unplaceable = BTreeSet::new();
         for id in self.hold_queue.values().take(RELEASE_SCAN).copied().collect::<Vec<_>>() {
-            // One whose deadline has passed while the process stood still is answered by its timer next.
+            // After a pause of the process, a call may be past its deadline; its timer answers it next.
             let in_time = |call: &&Call| self.now < call.answer_by;
             let Some(call) = self.calls.get(&id).filter(in_time) else { continue };
-            // Calls that agree in these have the same workers open to them.
+            // Calls with the same values of these have the same eligible workers.
             let constraints = (call.function, call.class, call.failed_at, call.first_run);
             if unplaceable.contains(&constraints) {
                 continue;
@@ -106,7 +112,7 @@
         }
     }
 
-    /// How often held calls and pending responses are looked at without an answer.
+    /// Interval at which held calls and pending responses are checked if no response arrives.
     pub(super) fn release_interval(&self) -> Micros {
         (self.settings.event_interval * RELEASE_INTERVAL_STEPS).max(RELEASE_INTERVAL_MIN)
     }
--- a/src/decision/load_ration.rs
+++ b/src/decision/load_ration.rs
@@ -1,18 +1,19 @@
-//! Decides whether the ration permits one more load order now.
+//! Limits the rate of load orders to the ration of the site.
 //!
-//! Leaves the choice of the replica to `replica_loading`. Guards against breaking the site's ration at its
-//! edges and after a restart, when orders of an earlier incarnation may still count.
+//! The replica is chosen in `replica_loading`. Guards against exceeding the ration at the edges of its window
+//! and after a restart, when orders of an earlier incarnation may still count.
 
 use crate::controller::Controller;
 
 impl Controller {
-    /// May one more order be given? If so, it is counted.
+    /// Returns whether one more load order is permitted now, and if so counts it.
     pub(super) fn ration_permits_order(&mut self) -> bool {
         let loading = &self.settings.loading;
         if loading.ration_window == 0 {
             return true;
         }
-        // Orders count a step longer and requests a step shorter than notified: edges fall our way.
+        // Orders count one event interval longer and requests one shorter than the window, so that imprecise
+        // timestamps never exceed the ration.
         let step = self.settings.event_interval;
         while self.recent_orders.front().is_some_and(|&t| t + loading.ration_window + step < self.now) {
             self.recent_orders.pop_front();
@@ -20,7 +21,8 @@
         while self.recent_requests.front().is_some_and(|&t| t + loading.ration_window < self.now + step) {
             self.recent_requests.pop_front();
         }
-        // What an earlier incarnation ordered within the window is not known: at its worst, all of the floor.
+        // Orders of an earlier incarnation within the window are unknown; assume that it used the whole
+        // floor.
         let just_started = self.started_at.is_some_and(|s| self.now < s + loading.ration_window + step);
         let floor = if loading.unknown_prior_orders && just_started { 0.0 } else { loading.ration_floor };
         let limit = floor + loading.ration_share * self.recent_requests.len() as f64;
--- a/src/decision/outlier_ejection.rs
+++ b/src/decision/outlier_ejection.rs
@@ -1,15 +1,17 @@
-//! Decides which workers are ejected, for how long, and when they are back.
+//! Ejects workers with a high failure rate and returns them to service.
 //!
-//! A worker's failure rate is an exponentially weighted share of its recent outcomes that failed, whatever
-//! the way. At half it is ejected; once the ejection is over, one call at a time tries it, and each failed
-//! trial doubles the next ejection. Leaves silence to `response_timeout` and `health_check`. Guards:
+//! The failure rate of a worker is an exponentially weighted share of its failed outcomes of any kind. At one
+//! half the worker is ejected. After the ejection it gets one trial call at a time, and each failed trial
+//! doubles the next ejection. Unresponsive workers are detected in `response_timeout` and `health_check`.
+//! Guards:
 //!
-//! * fast failures, crashes, flapping: the rate itself;
-//! * errors of a function that no worker ever served count against no worker (clients that call what
-//!   does not exist);
-//! * connections that broke while the process lived count half (spoilt answers, resets, half-dead links);
-//! * a worker that is down is tried by probes alone (hundreds of controllers trying it by calls as it
-//!   returns).
+//! * the failure rate itself (fast failures, crashes, flapping);
+//! * errors of a function that no worker ever served are not counted (clients that call a function that does
+//!   not exist);
+//! * connections that broke while the process lived count half (corrupted responses, resets, half-open
+//!   connections);
+//! * a worker that is down is tried only with probes (trial calls from hundreds of controllers while it
+//!   restarts).
 
 use std::fmt;
 
@@ -17,28 +19,29 @@
 use crate::interface::*;
 use crate::state::{Attempt, Worker};
 
-/// Weight of one outcome in a worker's failure rate: two failures in a row eject it.
+/// Weight of one outcome in the failure rate: two failures in a row eject the worker.
 const FAILURE_WEIGHT: f64 = 0.3;
-/// Weight of a connection that broke while its worker's process lived: many, and none served between, eject
-/// it.
+/// Weight of a connection that broke although the process lived: only several in a row, without a served call
+/// in between, eject the worker.
 const BROKEN_CONNECTION_WEIGHT: f64 = 0.15;
-/// Failure rate from which a worker is ejected.
+/// Failure rate at which a worker is ejected.
 pub(super) const EJECTION_FAILURE_RATE: f64 = 0.5;
-/// Failure rate below which it returns, well below: one good answer of one that fails half is no recovery.
+/// Failure rate below which a worker returns. It is well below the ejection rate, so that a single success
+/// does not return a worker that fails every other call.
 const RETURN_FAILURE_RATE: f64 = EJECTION_FAILURE_RATE / 2.0;
-/// First ejection, doubled at each failed trial: a process restarts in seconds.
+/// Duration of the first ejection, doubled at each failed trial. A process restarts within seconds.
 pub(super) const EJECTION_FIRST: Micros = 500_000;
-/// Longest ejection.
+/// Upper bound of the duration of an ejection.
 const EJECTION_MAX: Micros = 4_000_000;
 
-/// Why a worker is ejected.
+/// The reason for an ejection.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum EjectionReason {
-    /// Its failure rate is too high.
+    /// The failure rate is too high.
     Failures,
-    /// Its process died.
+    /// The process died.
     Down,
-    /// It does not answer.
+    /// The worker does not respond.
     Unresponsive,
 }
 
@@ -53,7 +56,7 @@
 }
 
 impl Worker {
-    /// Past failures say nothing of it any more.
+    /// Resets the failure statistics, as past failures no longer apply.
     pub(super) fn reset_failures(&mut self) {
         self.failure_rate = 0.0;
         self.ejected = false;
@@ -63,7 +66,7 @@
 }
 
 impl Controller {
-    /// Takes the end of an attempt into its worker's health.
+    /// Records the outcome of an attempt in the health of its worker.
     pub(super) fn record_health(&mut self, attempt: &Attempt, outcome: Outcome, elapsed: Micros) {
         let Some(worker) = self.workers.get_mut(&attempt.worker) else { return };
         let refused = outcome == Outcome::ConnectFailed && elapsed < self.settings.limits.connect_timeout / 2;
@@ -71,7 +74,7 @@
             Outcome::Ok => self.record_outcome(attempt, None),
             Outcome::NotLoaded | Outcome::Rejected => worker.last_response = self.now,
             Outcome::Timeout | Outcome::Cancelled | Outcome::NeverSent => {}
-            // What no worker ever served may itself be at fault: its errors tell nothing of the worker.
+            // The function itself may be at fault if no worker ever served it.
             Outcome::Error if !self.ever_served(attempt.function) => {}
             Outcome::Reset | Outcome::PartlySent if self.settings.limits.probes => {
                 if self.suspect_connection(attempt.worker) {
@@ -87,12 +90,13 @@
         }
     }
 
-    /// Has any worker served this function, as far as is remembered?
+    /// Whether the remembered state shows that any worker served the function.
     fn ever_served(&self, id: FunctionId) -> bool {
         self.functions.get(&id).is_some_and(|f| !f.latencies.is_empty() || !f.warm_replicas.is_empty())
     }
 
-    /// Its process died: when it answers again it has restarted, whatever the list says.
+    /// Handles the death of a worker's process: once it responds again it has restarted, whatever the list
+    /// says.
     pub(super) fn process_died(&mut self, id: WorkerId) {
         let Some(worker) = self.workers.get_mut(&id) else { return };
         worker.restart(Some(self.now), None);
@@ -100,7 +104,7 @@
         self.eject(id, EjectionReason::Down);
     }
 
-    /// One outcome in a worker's failure rate: a failure of this weight, or `None`, an answer.
+    /// Updates the failure rate with one outcome: a failure of the given weight, or a success for `None`.
     fn record_outcome(&mut self, attempt: &Attempt, failure: Option<f64>) {
         let id = attempt.worker;
         let Some(worker) = self.workers.get_mut(&id) else { return };
@@ -123,8 +127,8 @@
         }
     }
 
-    /// Ejects a worker, or prolongs its ejection. One that is down is tried by probes: calls of hundreds
-    /// would push it over as it returns.
+    /// Ejects a worker or extends its ejection. A worker that is down is tried only with probes, as trial
+    /// calls from hundreds of controllers would overload it while it restarts.
     pub(super) fn eject(&mut self, id: WorkerId, reason: EjectionReason) {
         let Some(worker) = self.workers.get_mut(&id) else { return };
         if !worker.ejected {
@@ -140,7 +144,7 @@
         }
     }
 
-    /// Is the worker ejected and not to be tried by a call now?
+    /// Whether the worker is ejected and not available for a trial call now.
     pub(super) fn ejection_active(&self, worker: &Worker) -> bool {
         worker.ejected && (self.now < worker.ejected_until || worker.down || worker.trial_in_flight)
     }
--- a/src/decision/placement.rs
+++ b/src/decision/placement.rs
@@ -1,20 +1,22 @@
-//! Decides which worker takes a call: the ordinary path, and what keeps a worker from taking a call now.
+//! Chooses the worker of a call, or finds that no worker can take it now.
 //!
-//! The rule (design page; the study's section IV orders what waits): the worker last found warm for the
-//! function while our requests there are under its lanes, else the next worker under that bound along the
-//! function's rendezvous order, its hashed home first; else the call is held, lowest recent calls x mean
-//! latency first.
+//! The basic rule of the design document: a call goes to the worker where its function was last found warm,
+//! if this controller has fewer requests in flight there than the function has lanes; otherwise to the next
+//! worker below that bound in the function's rendezvous order, starting with its home. If there is none, the
+//! call is held.
 //!
-//! Leaves the wait to `hold_queue`, a worker's load to `worker_load`, its health to `outlier_ejection`, loads
-//! to `replica_loading`. Guards here, each with what it guards against:
+//! `hold_queue` holds calls, `worker_load` computes the pressure of a worker, `outlier_ejection` evaluates
+//! its health, and `replica_loading` orders replicas. Guards, with the failure that each prevents:
 //!
-//! * pressure: workers crowded by other controllers are passed over, the least loaded is taken where all are;
-//! * the first absent worker under pressure: one more is looked at (functions whose home is crowded);
-//! * a full home is waited for while our own loads fill it (replicas scattered over workers);
-//! * the worker that just failed the call comes last (spending all attempts on one fault);
-//! * idle cores lift the lanes bound (others' functions filling the bound of a worker that idles);
-//! * draining, suspect and ejected workers take nothing, but with all ejected the least failing takes it (a
-//!   false alarm everywhere).
+//! * workers under pressure are passed over; if all are, the one with the least pressure is taken (load from
+//!   other controllers);
+//! * if the first worker without a replica is under pressure, one more is considered (functions with an
+//!   overloaded home);
+//! * if loads of this controller fill the home, the call waits for it (replicas scattered over many workers);
+//! * the worker that just failed the call is tried last (all attempts spent on one fault);
+//! * a worker with idle cores may exceed the lanes bound (a bound filled by calls of other functions);
+//! * draining, suspect and ejected workers get no calls, but if all workers are ejected, the one with the
+//!   lowest failure rate does (false alarms at all workers at once).
 
 use super::replica_loading::MAX_REJECTIONS;
 use super::worker_load::{LOAD_PROBE_WAIT, PRESSURE_LIMIT, PRESSURE_MAX};
@@ -22,21 +24,21 @@
 use crate::interface::*;
 use crate::state::{Call, Function, Worker};
 
-/// Where no replica is known, a call looks at so many workers for one without pressure: memory holds no
-/// replica of all everywhere.
+/// Number of workers without a replica that are considered before pressure is ignored. It is small because
+/// the workers' memory can't hold a replica of each function everywhere.
 const ABSENT_CANDIDATES: usize = 2;
 
-/// Whether ejected workers may be chosen.
+/// Whether ejected workers are eligible.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum EjectedWorkers {
-    /// No, but for trials.
+    /// Not eligible, except for trials.
     Excluded,
-    /// Yes: all are ejected.
+    /// Eligible, because all workers are ejected.
     Permitted,
 }
 
 impl Controller {
-    /// Sends the call now, holds it, or answers it where no worker is in service.
+    /// Sends the call, holds it, or sends its final answer if no worker is in service.
     pub(super) fn dispatch(&mut self, id: RequestId) {
         if self.no_worker_in_service() {
             return self.send_final_answer(id);
@@ -50,7 +52,8 @@
         }
     }
 
-    /// The worker for a call: last warm, else the first along the shared order that may take it.
+    /// Returns the worker for a call: the last warm one, or else the first eligible one in the rendezvous
+    /// order.
     pub(super) fn select_worker(&mut self, id: RequestId) -> Option<WorkerId> {
         self.update_homes(self.calls.get(&id)?.function);
         let call = &self.calls[&id];
@@ -58,7 +61,7 @@
         if !self.may_repeat(call) {
             return None;
         }
-        // Last comes the worker that just failed this call.
+        // The worker that just failed the call is considered last.
         let last_failed = |w: &WorkerId| {
             self.pressure(function, *w, call.class) < PRESSURE_MAX
                 && self.is_eligible(*w, call, function, EjectedWorkers::Excluded)
@@ -74,7 +77,7 @@
         self.select_least_failing(call, function)
     }
 
-    /// Warm workers, by the order; where all are under pressure, the least so.
+    /// Selects among the warm workers in order; if all are under pressure, the one with the least pressure.
     fn select_warm(&self, call: &Call, function: &Function) -> Option<WorkerId> {
         let warm = |w: &WorkerId| self.is_warm(function, *w);
         let last_warm = function
@@ -100,9 +103,9 @@
         least.filter(|(pressure, _)| *pressure < PRESSURE_MAX && !just_ordered).map(|(_, w)| w)
     }
 
-    /// Workers without a known replica, where one may be loaded or is loading.
+    /// Selects among the workers without a known replica: one that may load it or is loading it.
     fn select_without_replica(&self, call: &Call, function: &Function) -> Option<WorkerId> {
-        // Asked once for all workers: a healthy replica stands, so that none may be begun.
+        // This check is the same for all workers: with a healthy replica, no other load may start.
         let may_wait =
             self.settings.loading.when_absent == WhenAbsent::Load && !function.pending_loads.is_empty();
         let healthy_replica =
@@ -110,7 +113,7 @@
         if !may_wait && healthy_replica {
             return None;
         }
-        // None may be begun: it may at most wait where one is under way.
+        // If no load may start, the call can only wait at a worker with a pending load.
         let no_new_load = healthy_replica || self.load_in_progress(function);
         let pending_only = Some(&function.pending_loads).filter(|_| no_new_load);
         let pressure = |w: WorkerId| self.pressure(function, w, call.class);
@@ -121,7 +124,8 @@
                 && self.is_eligible(*w, call, function, EjectedWorkers::Excluded)
         };
         let order = || self.walk_order(call.function, function, call.class, pending_only);
-        // Where only orders load, a full home is waited for: others would not look for a replica elsewhere.
+        // Where only orders load functions, wait for a full home: other controllers don't look for a replica
+        // elsewhere.
         let only_orders_load =
             self.settings.loading.when_absent == WhenAbsent::Miss && pending_only.is_none();
         let home = if only_orders_load { self.home(call, function) } else { None };
@@ -133,7 +137,7 @@
         first.find(|w| pressure(*w) < PRESSURE_LIMIT).or_else(|| order().find(|w| usable(w)))
     }
 
-    /// The first worker of the function's order that is open to it and did not lack room too often in a row.
+    /// The first worker in the function's order that is available and did not reject it too often in a row.
     fn home(&self, call: &Call, function: &Function) -> Option<WorkerId> {
         let rejected_too_often =
             |w: &WorkerId| function.avoided.get(w).is_some_and(|a| a.rejections >= MAX_REJECTIONS);
@@ -145,7 +149,8 @@
         })
     }
 
-    /// Never all ejected: with every worker suspect, the one that fails least takes the call.
+    /// Selects the worker with the lowest failure rate when all workers are ejected, so that calls are still
+    /// sent.
     fn select_least_failing(&self, call: &Call, function: &Function) -> Option<WorkerId> {
         let is_eligible = |w: &WorkerId| self.is_eligible(*w, call, function, EjectedWorkers::Permitted);
         let failing = |w: &WorkerId| self.workers.get(w).map_or(1.0, |x| x.failure_rate);
@@ -156,7 +161,7 @@
         self.workers.keys().copied().filter(is_eligible).min_by(better)
     }
 
-    /// May this worker take an attempt of the call now? All guards in one place.
+    /// Whether the worker may take an attempt of the call now. All guards are combined here.
     pub(super) fn is_eligible(
         &self,
         id: WorkerId,
@@ -167,14 +172,15 @@
         let Some(worker) = self.workers.get(&id) else { return false };
         let warm = self.is_warm(function, id);
         let in_flight = function.in_flight.get(&id).copied().unwrap_or(0);
-        // An ejected worker takes one trial at a time once its ejection is over, none of them non-idempotent.
+        // After its ejection, a worker gets one trial at a time, and no non-idempotent calls.
         let non_idempotent = self.settings.classes[call.class].effect == Effect::NonIdempotent;
         let excluded = self.ejection_active(worker) || worker.ejected && non_idempotent;
-        // The design's bound. Calls that wait for a load use no core: they count for their own function only.
-        // One call starts a load; the others wait here, not in the worker's slots.
+        // The lanes bound of the design. Calls that wait for a load use no core, so they count only for their
+        // own function. One call starts a load; the others are held by the controller and don't occupy slots
+        // of the worker.
         let at_bound =
             warm && worker.warm_in_flight >= function.lanes && !self.reports_idle_cores(worker, call.class);
-        // Drains: nothing new from the moment it is notified.
+        // A draining worker gets nothing new from the moment the drain is announced.
         worker.entry.state == WorkerState::On
             && !worker.connection_suspect
             && self.idempotency_permits(call, worker)
@@ -186,13 +192,13 @@
             && self.slow_start_permits(worker, call.class)
     }
 
-    /// Was a replica found there no longer ago than it stays at least?
+    /// Whether a replica was found at the worker within the keep-alive time, during which it stays loaded.
     pub(super) fn is_warm(&self, function: &Function, worker: WorkerId) -> bool {
         let found = function.warm_replicas.get(&worker);
         found.is_some_and(|&at| at + self.settings.loading.keep_alive > self.now)
     }
 
-    /// In service, not ejected and past its slow start.
+    /// Whether the worker is in service, not ejected and past its slow start.
     pub(super) fn is_healthy(&self, id: WorkerId) -> bool {
         let healthy = |w: &Worker| w.entry.state == WorkerState::On && !w.ejected && !self.is_warming_up(w);
         self.workers.get(&id).is_some_and(healthy)
--- a/src/decision/replica_loading.rs
+++ b/src/decision/replica_loading.rs
@@ -1,33 +1,39 @@
-//! Decides where a replica is ordered or may begin to load, and what the end of a load means.
+//! Orders replicas, decides where a load may start, and handles the end of loads.
 //!
-//! Leaves the count of orders to `load_ration` and the index of replicas to `replicas`. Guards: one load of
-//! a function at a time (load storms, evictions, a slow store), though a stuck one holds no other back; few
-//! loads at a worker; a worker without room is left alone for a while (full memory, failing loads); a
-//! further replica where all are under pressure (hot functions under many controllers); an order that was
-//! lost with its connection is given again (connections cut under long loads).
+//! `load_ration` limits the rate of orders, `replicas` keeps the index of replicas. Guards:
+//!
+//! * one load per function at a time, unless the load is stuck (load storms, evictions, a slow model store);
+//! * few loads per worker at a time;
+//! * a worker that rejected or failed a load is avoided for a while (full memory, failing loads);
+//! * an additional replica is ordered if all replicas are under pressure (hot functions under many
+//!   controllers);
+//! * an order that was lost with its connection is sent again (connections cut during long loads).
 
 use super::worker_load::PRESSURE_LIMIT;
 use crate::controller::Controller;
 use crate::interface::*;
 use crate::state::{Function, ReplicaKey, Worker, update_mean};
 
-/// A load's time before any was reported or seen, microseconds: that of a middling program.
+/// Assumed load time in microseconds before any was reported or measured: that of a medium-sized program.
 const DEFAULT_LOAD_TIME: f64 = 1_000_000.0;
-/// A load that has taken this many times what it should is taken for stuck: another may begin elsewhere.
+/// A load that takes this many times the expected time counts as stuck; another may start elsewhere.
 pub(super) const STUCK_LOAD_FACTOR: f64 = 3.0;
-/// Loads of ours waited for at one worker at once: workers run few at a time.
+/// Maximum number of pending loads of this controller per worker: workers run few loads concurrently.
 const MAX_LOADS_PER_WORKER: usize = 2;
-/// Weight of one load in a load's usual time.
+/// Weight of one sample in the mean load time.
 const LOAD_TIME_WEIGHT: f64 = 0.3;
-/// An order answered within this time found a replica that was loaded already: no load.
+/// An order answered within this time found a replica that was already loaded, so that it is no load time
+/// sample.
 const ALREADY_LOADED: Micros = 20_000;
-/// A worker where a load failed or found no room is left alone by that function for this share of a load.
+/// How long a function avoids a worker after a failed or rejected load, as a share of its load time.
 const AVOID_LOADS: f64 = 0.5;
-/// A worker without room this often in a row is no home for a while; a load that failed counts as so many.
+/// Number of consecutive rejections after which a worker is not used as a home for a while. A failed load
+/// counts as this many.
 pub(super) const MAX_REJECTIONS: u32 = 3;
 
 impl Controller {
-    /// May a replica be begun (or waited for) there? One load for a function at a time, few at a worker.
+    /// Whether a call may start a load at the worker or wait for one there. One load per function, few per
+    /// worker.
     pub(super) fn may_load(&self, id: WorkerId, worker: &Worker, function: &Function) -> bool {
         if function.pending_loads.contains_key(&id) {
             return self.settings.loading.when_absent == WhenAbsent::Load;
@@ -38,20 +44,20 @@
         !function.warm_replicas.keys().any(|w| self.is_warm(function, *w) && self.is_healthy(*w))
     }
 
-    /// Is a load of ours under way that is not taken for stuck?
+    /// Whether a load of this controller is pending that does not count as stuck.
     pub(super) fn load_in_progress(&self, function: &Function) -> bool {
         let stuck = (self.expected_load_time(function) * STUCK_LOAD_FACTOR) as Micros;
         function.pending_loads.values().any(|&since| self.now < since + stuck)
     }
 
-    /// A load's usual time, microseconds.
+    /// The expected load time in microseconds.
     pub(super) fn expected_load_time(&self, function: &Function) -> f64 {
         function.load_time.or(self.mean_load_time).unwrap_or(DEFAULT_LOAD_TIME)
     }
 
-    /// Where all workers known to hold the function are under pressure, a replica is ordered at the next of
-    /// the shared order, the same at every controller; one that stands there already is found by the same
-    /// order.
+    /// Orders an additional replica if all warm workers are under pressure. It is ordered at the next worker
+    /// in the rendezvous order, which is the same at every controller. If that worker already has a replica,
+    /// the order finds it.
     pub(super) fn order_additional_replica(&mut self, id: FunctionId, class: usize) {
         self.update_homes(id);
         let Some(function) = self.functions.get(&id) else { return };
@@ -73,7 +79,7 @@
         }
     }
 
-    /// Orders one replica there, within the ration.
+    /// Orders one replica, if the ration permits it.
     pub(super) fn order_replica(&mut self, replica: ReplicaKey) {
         let ReplicaKey { worker: at, function: id } = replica;
         self.apply_sweep(id);
@@ -91,7 +97,7 @@
         self.actions.push(Action::Load { worker: at, function: id, count: 1 });
     }
 
-    /// An order was answered, or ended without an answer.
+    /// Handles the end of a load order, with or without an answer.
     pub(super) fn load_ended(
         &mut self,
         replica: ReplicaKey,
@@ -108,7 +114,8 @@
             && elapsed < self.settings.loading.order_timeout;
         let lost = |w: &&mut Worker| connection_broke && w.entry.state == WorkerState::On;
         if let Some(worker) = self.workers.get_mut(&at).filter(lost) {
-            // It stands if it arrived complete: given again once a probe was answered.
+            // The order may have arrived before the connection broke. It is sent again after an answered
+            // probe.
             worker.lost_orders.insert(id);
             self.suspect_connection(at);
             return;
@@ -126,7 +133,7 @@
         self.release_held(None);
     }
 
-    /// The function leaves the worker alone for a while, and counts so many rejections.
+    /// Makes the function avoid the worker for a while, and adds to its number of rejections.
     pub(super) fn avoid_worker(&mut self, replica: ReplicaKey, rejections: u32) {
         let Some(function) = self.functions.get(&replica.function) else { return };
         let until = self.now + (self.expected_load_time(function) * AVOID_LOADS) as Micros;
@@ -136,7 +143,7 @@
         avoidance.rejections = avoidance.rejections.saturating_add(rejections);
     }
 
-    /// Takes one load's time, microseconds, into the means.
+    /// Adds a load time sample, in microseconds, to the means.
     pub(super) fn record_load_time(&mut self, id: FunctionId, load_time: f64) {
         if let Some(function) = self.functions.get_mut(&id) {
             update_mean(&mut function.load_time, load_time, LOAD_TIME_WEIGHT);
--- a/src/decision/replicas.rs
+++ b/src/decision/replicas.rs
@@ -1,14 +1,15 @@
-//! Keeps the index of replicas: which are known warm, which are loading, by function and by worker.
+//! Index of warm and loading replicas, by function and by worker.
 //!
-//! Decides nothing; what is found, ordered or missing is reported by `attempts`, `replica_loading` and
-//! `endpoint_list`. Found by worker, a worker that goes costs what it held, not a pass over all functions.
+//! Makes no decisions: `attempts`, `replica_loading` and `endpoint_list` report replicas that were found,
+//! ordered or lost. With the index by worker, the cost of removing a worker depends on the number of its
+//! replicas, not on the number of functions.
 
 use crate::controller::Controller;
 use crate::interface::{FunctionId, Micros, WorkerId};
 use crate::state::ReplicaKey;
 
 impl Controller {
-    /// A replica was found there.
+    /// Records a warm replica at the worker.
     pub(super) fn replica_found(&mut self, replica: ReplicaKey) {
         let now = self.now;
         if let Some(function) = self.functions.get_mut(&replica.function)
@@ -18,7 +19,7 @@
         }
     }
 
-    /// A load of ours begins there.
+    /// Records the start of a load by this controller.
     pub(super) fn load_started(&mut self, replica: ReplicaKey) {
         let now = self.now;
         let Some(function) = self.functions.get_mut(&replica.function) else { return };
@@ -30,7 +31,7 @@
         }
     }
 
-    /// The load there is over, however it ended.
+    /// Removes a pending load, whatever its result.
     pub(super) fn load_finished(&mut self, replica: ReplicaKey) {
         let Some(function) = self.functions.get_mut(&replica.function) else { return };
         if function.pending_loads.remove(&replica.worker).is_none() {
@@ -47,7 +48,7 @@
         }
     }
 
-    /// No replica stands there any more, nor any that was found before `since`, or just then.
+    /// Removes the replica, and all other replicas of the function that were last found at or before `since`.
     pub(super) fn replica_missing(&mut self, replica: ReplicaKey, since: Option<Micros>) {
         let Some(function) = self.functions.get_mut(&replica.function) else { return };
         let loading = &function.pending_loads;
@@ -60,7 +61,7 @@
         });
     }
 
-    /// Forgets all replicas and loads at a worker.
+    /// Removes all replicas and pending loads of a worker.
     pub(super) fn remove_replicas(&mut self, worker: WorkerId) {
         let first = ReplicaKey { worker, function: FunctionId(0) };
         let last = ReplicaKey { worker, function: FunctionId(u64::MAX) };
--- a/src/decision/response_timeout.rs
+++ b/src/decision/response_timeout.rs
@@ -1,8 +1,10 @@
-//! Decides when a pending response is overdue, and what follows for its worker and its call.
+//! Detects overdue responses and decides the consequences for the worker and the call.
 //!
-//! Leaves probes to `health_check` and ejection to `outlier_ejection`. Guards: a worker that owes answers
-//! and has sent nothing for long (silent machines, cut links, processes that hang); a single call that was
-//! lost while its worker answered others (answers that never come).
+//! `health_check` sends probes, `outlier_ejection` ejects workers. Guards:
+//!
+//! * a worker with pending responses that has sent nothing for a long time (unresponsive machines, broken
+//!   links, hanging processes);
+//! * a single call that was lost while its worker answered others (responses that never arrive).
 
 use super::outlier_ejection::{EJECTION_FAILURE_RATE, EjectionReason};
 use super::replica_loading::STUCK_LOAD_FACTOR;
@@ -11,15 +13,15 @@
 use crate::interface::*;
 use crate::state::{Attempt, AttemptId, Timer, TimerKind, Worker};
 
-/// A response pending for this many mean latencies ...
+/// A response is overdue after this multiple of the function's mean latency ...
 const TIMEOUT_LATENCIES: f64 = 6.0;
-/// ... and this share of a latency objective at the least is overdue.
+/// ... but not before this share of the latency objective.
 const TIMEOUT_OBJECTIVES: f64 = 0.5;
-/// The timeout of attempts of a forgotten function: never, with room to add to it.
+/// Timeout of the attempts of a function without state: never, but small enough to be added to a timestamp.
 const NO_TIMEOUT: Micros = Micros::MAX / 4;
 
 impl Controller {
-    /// Sets a check of the worker's pending responses, unless one is set that comes no later.
+    /// Schedules a check of the worker's pending responses, unless an earlier one is already scheduled.
     pub(super) fn schedule_timeout_check(&mut self, id: WorkerId) {
         let Some(worker) = self.workers.get(&id) else { return };
         let pending = self.attempts.values().filter(|a| a.worker == id);
@@ -32,7 +34,7 @@
         }
     }
 
-    /// Sets a worker's one timeout check, in place of one that is set.
+    /// Schedules the worker's timeout check, replacing the previous one.
     pub(super) fn set_timeout_check(&mut self, id: WorkerId, at: Micros) {
         let Some(worker) = self.workers.get_mut(&id) else { return };
         if let Some(set) = worker.timeout_check.replace(at) {
@@ -41,8 +43,8 @@
         self.timers.insert(Timer { at, kind: TimerKind::ResponseTimeout(id) });
     }
 
-    /// A worker that owes answers and has sent nothing for long is probed, or ejected where probes are not
-    /// permitted; idempotent calls lost there are withdrawn and go elsewhere.
+    /// Probes a worker with overdue responses, or ejects it if probes are not permitted. Lost idempotent
+    /// attempts are cancelled and retried elsewhere.
     pub(super) fn check_timeouts(&mut self, id: WorkerId) {
         let Some(worker) = self.workers.get_mut(&id) else { return };
         worker.timeout_check = None;
@@ -53,15 +55,15 @@
         if !down && !suspect && !overdue && !late_attempts {
             self.schedule_timeout_check(id);
         } else if self.settings.limits.probes && state == WorkerState::On {
-            // A probe tells a machine that is silent from one that is slow.
+            // A probe distinguishes an unresponsive machine from a slow one.
             self.send_probe(id);
         } else if self.workers[&id].probe_sent.is_none() && (down || overdue) {
             self.eject_unresponsive(id);
         }
     }
 
-    /// Marks the attempts that became overdue there, and withdraws those that are lost: others that went
-    /// there were answered since, and it is not crowded. True: there were overdue ones.
+    /// Marks newly overdue attempts, and cancels those that are lost: later responses arrived from the
+    /// worker, and it is not under pressure. Returns whether any attempt became overdue.
     fn cancel_lost_attempts(&mut self, id: WorkerId) -> bool {
         let late = |a: &Attempt| a.worker == id && !a.probed && self.now >= a.sent + self.response_timeout(a);
         let late: Vec<_> = self.attempts.iter().filter(|(_, a)| late(a)).map(|(id, _)| *id).collect();
@@ -77,7 +79,7 @@
         !late.is_empty()
     }
 
-    /// How long a response may be pending before it is overdue.
+    /// Time after which a pending response is overdue.
     fn response_timeout(&self, attempt: &Attempt) -> Micros {
         let Some(function) = self.functions.get(&attempt.function) else { return NO_TIMEOUT };
         let load = if attempt.loading { self.expected_load_time(function) * STUCK_LOAD_FACTOR } else { 0.0 };
@@ -85,13 +87,14 @@
         ((function.mean_latency() * TIMEOUT_LATENCIES).max(least) + load) as Micros
     }
 
-    /// Is the response overdue, and has the worker sent nothing else meanwhile?
+    /// Whether the response is overdue and the worker has sent no other response since.
     pub(super) fn is_overdue(&self, id: WorkerId, worker: &Worker, attempt: &Attempt) -> bool {
         let since = || attempt.sent.max(worker.last_response);
         attempt.worker == id && self.now >= since() + self.response_timeout(attempt)
     }
 
-    /// Withdraws an idempotent attempt, so that its call may go elsewhere. Harm: slow calls run twice.
+    /// Cancels an idempotent attempt so that the call can be retried elsewhere. Drawback: slow calls may run
+    /// twice.
     fn cancel_if_idempotent(&mut self, id: AttemptId) {
         let AttemptId { request, number } = id;
         let Some(call) = self.calls.get(&request) else { return };
@@ -103,7 +106,7 @@
         }
     }
 
-    /// Ejects a worker that does not answer; idempotent calls there are withdrawn.
+    /// Ejects an unresponsive worker and cancels its overdue idempotent attempts.
     pub(super) fn eject_unresponsive(&mut self, id: WorkerId) {
         let Some(worker) = self.workers.get(&id) else { return };
         let overdue = self.attempts.iter().filter(|(_, a)| self.is_overdue(id, worker, a));
--- a/src/decision/retention.rs
+++ b/src/decision/retention.rs
@@ -1,10 +1,10 @@
-//! Decides when functions are forgotten, in steps that stay short however many there are.
+//! Removes the state of functions that are no longer called, in steps of bounded cost.
 //!
-//! Every sweep has a time (`Controller::swept_at`), and what it forgets is set by the function's state at
-//! that time alone. Only functions with calls or loads are swept at once; the others go through the sweep
-//! when they are next called, or when a step of the queue `idle_functions` comes to them. As nothing
-//! touches them in between, no decision can tell the difference. Leaves replicas to `replicas`. Guards
-//! against memory that grows with the number of functions ever called.
+//! Each sweep has a timestamp (`Controller::swept_at`), and its effect on a function depends only on the
+//! function's state at that time. Only functions with calls or loads are swept immediately. The others are
+//! swept when they are next called, or when their turn in `idle_functions` comes. As nothing changes them in
+//! between, the delay affects no decision. Replicas are indexed in `replicas`. Guards against memory that
+//! grows with the number of functions ever called.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,19 +14,19 @@
 use crate::rendezvous::Homes;
 use crate::state::{Function, ReplicaKey};
 
-/// A function is remembered for so many arrival windows, or keep-alives where these are longer, after its
-/// last call.
+/// State of a function is kept after its last call for this many arrival windows, or keep-alive times if
+/// those are longer.
 const RETENTION_WINDOWS: Micros = 3;
-/// Idle functions are looked at in groups of this span.
+/// Size of the time buckets of `Controller::idle_functions`.
 const IDLE_BUCKET: Micros = ARRIVAL_WINDOW;
-/// How many idle functions are looked at for one event.
+/// Maximum number of idle functions swept per event.
 const IDLE_SWEEP_STEP: usize = 32;
-/// Beyond this many functions, idle ones keep no homes: a further call computes them again.
+/// With more functions than this, idle ones keep no homes; the next call computes them again.
 const FUNCTIONS_WITH_HOMES: usize = 65_536;
 
 impl Function {
-    /// Takes the function through the sweep of time `swept`; `retention` is how long functions are
-    /// remembered. False: it is forgotten.
+    /// Applies the sweep of time `swept`, where `retention` is how long functions are kept after their last
+    /// call. Returns false if the function is to be removed.
     fn apply_sweep(&mut self, swept: Micros, retention: Micros) -> bool {
         if self.swept_at == swept {
             return true;
@@ -40,7 +40,7 @@
             || !self.pending_loads.is_empty()
     }
 
-    /// Gives back the memory of what is empty or counts no more: a map that was emptied keeps a node.
+    /// Releases the memory of empty and expired collections. An emptied `BTreeMap` keeps a node allocated.
     fn compact(&mut self, swept: Micros) {
         fn drop_if_empty<K: Ord, V>(map: &mut BTreeMap<K, V>) {
             if map.is_empty() {
@@ -51,7 +51,7 @@
         drop_if_empty(&mut self.reported_pressure);
         drop_if_empty(&mut self.in_flight);
         drop_if_empty(&mut self.pending_loads);
-        // The next call drops these in any case.
+        // The next call would remove these arrivals anyway.
         self.arrivals.retain(|at| at + ARRIVAL_WINDOW >= swept);
         self.arrivals.shrink_to_fit();
         self.latencies.shrink_to_fit();
@@ -59,12 +59,12 @@
 }
 
 impl Controller {
-    /// How long functions are remembered after their last call.
+    /// How long the state of a function is kept after its last call.
     fn retention(&self) -> Micros {
         RETENTION_WINDOWS * ARRIVAL_WINDOW.max(self.settings.loading.keep_alive)
     }
 
-    /// The function's state, as the last sweep left it, created where there is none.
+    /// Returns the function's state after the last sweep, and creates it if there is none.
     pub(super) fn function_mut(&mut self, id: FunctionId) -> &mut Function {
         self.apply_sweep(id);
         if !self.functions.contains_key(&id) {
@@ -74,7 +74,7 @@
         self.functions.entry(id).or_default()
     }
 
-    /// Takes one function through the last sweep.
+    /// Applies the last sweep to one function.
     pub(super) fn apply_sweep(&mut self, id: FunctionId) {
         let retention = self.retention();
         if self.functions.get_mut(&id).is_some_and(|f| !f.apply_sweep(self.swept_at, retention))
@@ -86,7 +86,7 @@
         }
     }
 
-    /// A sweep at this time, for all functions with calls or loads.
+    /// Starts a sweep and applies it to all functions with calls or loads.
     pub(super) fn sweep(&mut self) {
         self.swept_at = self.now;
         let mut busy: BTreeSet<FunctionId> = self.loading_functions.clone();
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Takes some of the idle functions through the last sweep.
+    /// Applies the last sweep to a limited number of idle functions.
     pub(super) fn sweep_idle_functions(&mut self) {
         for _ in 0..IDLE_SWEEP_STEP {
             let Some(mut bucket) = self.idle_functions.first_entry() else { return };
@@ -114,7 +114,7 @@
 
     fn sweep_idle_function(&mut self, id: FunctionId, bucket_key: Micros) {
         if self.functions.get(&id).is_none_or(|f| f.idle_bucket != bucket_key) {
-            // Forgotten meanwhile, and perhaps called again since: that one has its own entry in the queue.
+            // A stale queue entry: the function was removed, and has a new entry if it was called again.
             return;
         }
         self.apply_sweep(id);
--- a/src/decision/retry.rs
+++ b/src/decision/retry.rs
@@ -1,15 +1,18 @@
-//! Decides whether a call gets a further attempt, where its effect permits one, and its final answer.
+//! Decides whether a call is retried, and sends final answers.
 //!
-//! Leaves the worker to `placement`. Guards: keyed and non-idempotent calls that may have run stay where,
-//! and while, a repeat is dropped (an effect that happens twice); a call is answered once, in time
-//! (silence), refused only where another try is harmless.
+//! The worker is chosen in `placement`. Guards:
+//!
+//! * keyed and non-idempotent calls that may have executed are repeated only where and while workers drop
+//!   duplicates (effects that happen twice);
+//! * each call gets exactly one answer, in time (calls without an answer);
+//! * a call is refused only if the client may safely retry it.
 
 use crate::controller::Controller;
 use crate::interface::*;
 use crate::state::{Call, Timer, TimerKind, Worker};
 
 impl Controller {
-    /// May the call go to this worker, given where it may have run?
+    /// Whether the call may be sent to this worker, given where it may already have executed.
     pub(super) fn idempotency_permits(&self, call: &Call, worker: &Worker) -> bool {
         let Some(first) = call.first_run else { return true };
         let first = self.workers.get(&first.worker).map(|w| &w.entry);
@@ -25,7 +28,8 @@
         in_scope && self.may_repeat(call)
     }
 
-    /// May this call be sent again, given what may have run? A window's last step may be over when it counts.
+    /// Whether the call may be sent again after an attempt that may have executed. The key window is
+    /// shortened by one event interval, as it may end before the attempt arrives.
     pub(super) fn may_repeat(&self, call: &Call) -> bool {
         let Some(first) = call.first_run else { return true };
         match self.settings.classes[call.class].effect {
@@ -37,7 +41,7 @@
         }
     }
 
-    /// Another attempt if the effect and the count permit, else the final answer.
+    /// Retries the call if its effect and the attempt limit permit it, otherwise sends its final answer.
     pub(super) fn retry_or_answer(&mut self, id: RequestId, outcome: Outcome) {
         let Some(call) = self.calls.get(&id) else { return };
         let no_attempt_left =
@@ -49,7 +53,8 @@
         }
     }
 
-    /// The final answer by us: refused where a further try is harmless, else failed.
+    /// Sends the final answer to an unserved call: a refusal if the client may safely retry, otherwise a
+    /// failure.
     pub(super) fn send_final_answer(&mut self, id: RequestId) {
         let Some(call) = self.calls.get(&id) else { return };
         let never_ran = call.in_flight.is_none() && call.first_run.is_none();
@@ -61,7 +66,8 @@
         } else {
             Action::Fail { request: id }
         });
-        // With one attempt permitted, a miss that ends its call orders a replica for the calls to come.
+        // With a single attempt permitted, a miss ends the call and orders a replica for later calls; that
+        // order must not be cancelled.
         if self.settings.limits.max_attempts > 1 {
             self.client_disconnected(id);
         } else {
@@ -69,7 +75,7 @@
         }
     }
 
-    /// Ends a call: what is in flight for it is stopped where that is permitted.
+    /// Ends a call and cancels its attempt in flight if that is permitted.
     fn close_call(&mut self, id: RequestId) {
         let Some(call) = self.calls.get(&id) else { return };
         if let Some(attempt) = call.in_flight.filter(|_| self.settings.limits.cancel && !call.streaming) {
@@ -78,8 +84,8 @@
         self.finish_call(id);
     }
 
-    /// Ends a call whose client is owed nothing more. A load that only this call waited for is cancelled,
-    /// where its order has not left.
+    /// Ends a call whose client expects no response any more. If no other call waits for the function, its
+    /// load orders are cancelled unless they have already been sent.
     pub(super) fn client_disconnected(&mut self, id: RequestId) {
         let Some(function) = self.calls.get(&id).map(|call| call.function) else { return };
         self.close_call(id);
@@ -90,7 +96,7 @@
         }
     }
 
-    /// Forgets a call.
+    /// Removes the state of a call.
     pub(super) fn finish_call(&mut self, id: RequestId) {
         self.dequeue_held(id);
         if let Some(call) = self.calls.remove(&id) {
--- a/src/decision/slow_start.rs
+++ b/src/decision/slow_start.rs
@@ -1,62 +1,63 @@
-//! Decides what a worker that warms up may be sent: a budget of core time, granted slot by slot to one
-//! controller after another.
+//! Limits the calls sent to a worker in slow start to a budget of core time, granted in slots to the
+//! controllers in turn.
 //!
-//! All controllers know when the worker started, their own number and how many they are, so each knows
-//! whose slot it is without hearing of the others. The bound on the sum over all controllers, and its
-//! proof, are in `docs/design.md`. Leaves the choice among workers to `placement`. Guards against the
-//! fourth rule's overload: bursts at a worker that has just started, late lists, an own restart, lists that
-//! lose a worker for a moment.
+//! Each controller knows the start time of the worker, its own number and the number of controllers, so that
+//! it can compute its slots without communication. `docs/design.md` has the bound on the sum over all
+//! controllers and its proof. The worker is chosen in `placement`. Guards against overload of a worker in
+//! slow start: bursts right after its start, late worker lists, a restart of this controller, and lists that
+//! lose the worker for a moment.
 
 use crate::controller::Controller;
 use crate::hash::splitmix64;
 use crate::interface::*;
 use crate::state::Worker;
 
-/// Share of the budget that is granted as time passes; the rest covers what is used late.
+/// Share of the budget that is granted as time passes; the rest covers slots that are used late.
 const BUDGET_GRANTED: f64 = 0.7;
-/// A slot counts as used from this share of a round on: rounding of the sums.
+/// Tolerance for rounding errors in the used budget, as a share of a round.
 const ROUNDING: f64 = 1e-6;
 
-/// One controller's slot in a worker's slow start.
+/// A slot of one controller in the slow start of a worker.
 pub(super) struct SlowStartSlot {
     /// A call may be sent now.
     due: bool,
-    /// Budget that will have been granted when this controller's next slot comes, should this one be used.
+    /// Value of `Worker::budget_used` once this slot is used: the budget granted by the controller's next
+    /// slot.
     pub(super) used_after: f64,
 }
 
-/// The slow-start budget of a worker at a time, in microseconds of core time, over all controllers.
+/// Slow-start budget of a worker at one time, in microseconds of core time, shared by all controllers.
 struct SlowStartBudget {
-    /// Granted since the start.
+    /// Budget granted since the start of the worker.
     granted: f64,
-    /// What the worker bears within one overload span.
+    /// Core time that the worker tolerates within one overload span.
     per_overload_span: f64,
 }
 
 impl Controller {
-    /// Did it start no longer ago than it takes to warm up?
+    /// Whether the worker is still in slow start.
     pub(super) fn is_warming_up(&self, worker: &Worker) -> bool {
         worker.started_at.is_some_and(|started| self.now < started + self.settings.rules.warm_up)
     }
 
-    /// May a call of the class be sent there now, as far as its slow start goes?
+    /// Whether the slow start of the worker permits a call of the class now.
     pub(super) fn slow_start_permits(&self, worker: &Worker, class: usize) -> bool {
         !self.is_warming_up(worker)
             || self.settings.rules.overload_span == 0
             || self.slow_start_slot(worker, class).due
     }
 
-    /// This controller's next slot at a worker that warms up.
+    /// Computes this controller's next slot at a worker in slow start.
     pub(super) fn slow_start_slot(&self, worker: &Worker, class: usize) -> SlowStartSlot {
         let (cost, controllers) = (self.cpu_time(class).max(1.0), u64::from(self.settings.controllers));
-        // Each worker begins with another controller.
+        // The order of controllers starts at a different one for each worker.
         let slot = (u64::from(self.settings.controller_index)
             + splitmix64(worker.entry.worker.0) % controllers)
             % controllers;
         let (first_slot, round) = (cost * (slot + 1) as f64, cost * controllers as f64);
         let SlowStartBudget { granted, per_overload_span } = self.slow_start_budget(worker, self.now);
-        // What is not used expires, or all that had waited would send together: so much may be pending at
-        // once.
+        // Unused slots expire; otherwise all controllers could use their saved budget at the same time. At
+        // most this much budget may be outstanding.
         let max_pending =
             (1.0 - BUDGET_GRANTED) * per_overload_span + 2.0 * (per_overload_span * cost).sqrt();
         let granted_before =
@@ -69,8 +70,9 @@
         }
     }
 
-    /// The budget by a time: as of the overload span before, as it grows and no window may hold more than
-    /// what the worker bore at its beginning.
+    /// Computes the budget granted by time `by`. It is based on the worker's capacity one overload span
+    /// earlier: the capacity grows during the span, but no window may exceed what the worker tolerates at its
+    /// start.
     fn slow_start_budget(&self, worker: &Worker, by: Micros) -> SlowStartBudget {
         let rules = &self.settings.rules;
         let age = by.saturating_sub(worker.started_at.unwrap_or(by));
--- a/src/decision/timers.rs
+++ b/src/decision/timers.rs
@@ -1,14 +1,14 @@
-//! Runs the timers that are due, and decides when the embedding program is to call again.
+//! Runs expired timers and requests timer events from the embedding program.
 //!
-//! Leaves what a timer means to the file that set it. Guards against held calls that nobody would answer:
-//! the next timer is always armed.
+//! The effect of a timer is defined in the module that schedules it. Guards against held calls without an
+//! answer: a timer event is always requested for the next timer.
 
 use super::arrivals::ARRIVAL_WINDOW;
 use crate::controller::Controller;
 use crate::interface::Action;
 use crate::state::TimerKind;
 
-/// The module sets its timers under one tag.
+/// Tag of all timer events that the controller requests.
 const TIMER_TAG: u64 = 1;
 
 impl Controller {
@@ -36,7 +36,7 @@
         self.sweep_idle_functions();
     }
 
-    /// Asks the embedding program for a timer event at the first timer, unless one comes no later.
+    /// Requests an event for the earliest timer, unless one is already due at that time or before.
     pub(super) fn arm_timer(&mut self) {
         if self.armed_for.is_some_and(|t| t <= self.now) {
             self.armed_for = None;
--- a/src/decision/worker_load.rs
+++ b/src/decision/worker_load.rs
@@ -1,49 +1,52 @@
-//! Decides how loaded a worker is by calls of other controllers and other functions: its *pressure*.
+//! Estimates how much load other controllers and functions put on a worker: its *pressure*.
 //!
-//! Pressure comes from three sources, the highest counts: calls of the function held there over its lanes,
-//! the last answer's latency over a share of its objective, and the worker's load report. It ages by one an
-//! objective. From [`PRESSURE_LIMIT`] the worker is passed over where another will do, from
-//! [`PRESSURE_MAX`] it is left alone.
+//! Pressure is the highest of three values: the concurrent calls of the function at the worker divided by its
+//! lanes, the latency of the last response relative to its objective, and the value derived from the worker's
+//! load report. Each value decays by 1 per latency objective. From [`PRESSURE_LIMIT`] on, the worker is
+//! avoided if another one can take the call; from [`PRESSURE_MAX`] on, it gets no calls.
 //!
-//! Leaves what follows to `placement` and `replica_loading`. Guards: a worker whose load is not known is
-//! probed before a call goes there (controllers too quiet to notice others' load); a report of idle cores
-//! lifts the lanes bound (functions of few lanes behind those of many).
+//! `placement` and `replica_loading` use the pressure. Guards:
+//!
+//! * a worker with unknown load is probed before a call is sent there (controllers that call too seldom to
+//!   notice the load of others);
+//! * a report of idle cores lifts the lanes bound (functions with few lanes blocked by functions with many).
 
 use crate::controller::Controller;
 use crate::interface::*;
 use crate::state::{Function, PressureSample, ReceivedReport, Worker};
 
-/// A latency of this share of its objective is a pressure of 1.
+/// Share of the latency objective at which a response's latency amounts to a pressure of 1.
 pub(super) const PRESSURE_OBJECTIVE: f64 = 0.6;
-/// Pressure at which a worker takes no more of our calls where another will do.
+/// Pressure at which a worker is avoided if another one can take the call.
 pub(super) const PRESSURE_LIMIT: f64 = 1.0;
-/// Pressure at which a worker is left alone.
+/// Pressure at which a worker gets no calls.
 pub(super) const PRESSURE_MAX: f64 = 2.5;
-/// Pressure of a worker that had no room, or whose probe is late.
+/// Pressure of a worker that rejected a call for lack of capacity, or whose probe is late.
 pub(super) const PRESSURE_FULL: f64 = 3.0;
-/// A worker not heard from for so many objectives is probed before a call goes there: most controllers call
-/// it too seldom to know of its load.
+/// Age, in latency objectives, from which a worker's load counts as unknown, so that it is probed before a
+/// call is sent there. Most controllers call a worker too seldom to know its load.
 const REPORT_MAX_AGE: f64 = 1.0;
-/// Workers probed for one call.
+/// Maximum number of load probes per call.
 const LOAD_PROBES_PER_CALL: u32 = 2;
-/// A probe late by this share of an objective shows that the worker is loaded.
+/// A probe that takes longer than this share of an objective indicates a loaded worker.
 pub(super) const LOAD_PROBE_WAIT: f64 = 0.1;
-/// Cores in use below this share leave room, whatever a worker holds.
+/// Core utilization below which a worker has free capacity, whatever its number of requests.
 const IDLE_UTILIZATION: f64 = 0.85;
-/// Cores that what a worker holds is spread over: their number is not reported, and the core time as learnt
-/// holds some of others' queueing.
+/// Number of cores that the requests at a worker are assumed to share. The real number is not reported, and
+/// the measured core time includes some queueing behind other calls.
 const ASSUMED_CORES: f64 = 8.0;
-/// Core time of a call before any was seen: its objective divided by this.
+/// Initial estimate of the core time of a call: its objective divided by this.
 const OBJECTIVE_PER_CPU_TIME: f64 = 4.0;
 
 impl Controller {
-    /// Is the worker's load known well enough to send the call there? If not, it is probed and the call
-    /// waits.
+    /// Whether the load of the worker is known well enough to send the call there. If not, the worker is
+    /// probed and the call is held.
     pub(super) fn ensure_recent_load(&mut self, id: RequestId, at: WorkerId) -> bool {
         let may_probe = self.may_probe_load();
         let Some(call) = self.calls.get_mut(&id) else { return true };
         let Some(worker) = self.workers.get_mut(&at) else { return true };
-        // Where only orders load and no replica is known, its worker says so at once, and costs no probe.
+        // Where only orders load functions, a worker without a replica answers at once, so that no probe is
+        // needed.
         let has_replica = |f: &Function| !f.warm_replicas.is_empty() || !f.pending_loads.is_empty();
         let will_miss = self.settings.loading.when_absent == WhenAbsent::Miss
             && !self.functions.get(&call.function).is_some_and(has_replica);
@@ -62,12 +65,12 @@
         worker.probe_sent.is_none_or(|since| (self.now - since) as f64 > objective * LOAD_PROBE_WAIT)
     }
 
-    /// Probes are permitted and bring load reports.
+    /// Whether probes are permitted and return load reports.
     pub(super) fn may_probe_load(&self) -> bool {
         self.settings.limits.probes && self.settings.reports != Reports::None
     }
 
-    /// Pressure at a worker for a function's calls of a class.
+    /// Pressure of a worker for calls of the function and class.
     pub(super) fn pressure(&self, function: &Function, id: WorkerId, class: usize) -> f64 {
         let objective = self.settings.classes[class].latency_objective.max(1) as f64;
         let aged =
@@ -89,20 +92,21 @@
         aged(worker.last_pressure).max(of_function).max(of_report)
     }
 
-    /// Its report, no older than an objective, shows idle cores: others' calls there do not fill the bound.
+    /// Whether the last load report, if not older than one objective, shows idle cores. The lanes bound is
+    /// then not filled by calls of others.
     pub(super) fn reports_idle_cores(&self, worker: &Worker, class: usize) -> bool {
         let since = self.now.saturating_sub(self.settings.classes[class].latency_objective);
         let idle = |r: &ReceivedReport| r.at >= since && r.report.util.is_some_and(|u| u < IDLE_UTILIZATION);
         worker.last_report.as_ref().is_some_and(idle)
     }
 
-    /// Core time of a call of this class, as far as seen, microseconds.
+    /// Estimated core time of a call of the class, in microseconds.
     pub(super) fn cpu_time(&self, class: usize) -> f64 {
         let objective = self.settings.classes[class].latency_objective as f64;
         self.class_cpu_time[class].unwrap_or(objective / OBJECTIVE_PER_CPU_TIME)
     }
 
-    /// Keeps a worker's report; what is no number counts as not reported.
+    /// Records a load report; values that are not valid numbers count as not reported.
     pub(super) fn record_report(&mut self, at: WorkerId, report: Report) {
         let valid = |x: Option<f64>| x.filter(|x| x.is_finite() && *x >= 0.0);
         let report = Report { inflight: valid(report.inflight), util: valid(report.util), ..report };
@@ -111,7 +115,7 @@
         }
     }
 
-    /// Keeps the pressure shown by a worker's answer.
+    /// Records the pressure derived from a response.
     pub(super) fn record_pressure(&mut self, at: WorkerId, value: f64) {
         if let Some(worker) = self.workers.get_mut(&at) {
             worker.last_pressure = PressureSample { value, at: self.now };
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,6 +1,6 @@
-//! The types a controller is built from and talks in: settings, events and actions.
+//! The public data types of a controller: settings, events and actions.
 //!
-//! Nothing here decides anything. Times and spans are whole microseconds.
+//! All times and durations are in whole microseconds.
 
 mod actions;
 mod events;
--- a/src/interface/actions.rs
+++ b/src/interface/actions.rs
@@ -1,78 +1,78 @@
-//! What the embedding program is to do.
+//! Actions that a controller asks the embedding program to execute.
 
 use super::{FunctionId, Micros, RequestId, WorkerId};
 
-/// Something the embedding program is to do, in the order given.
+/// An action for the embedding program; actions are executed in the order in which they are returned.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Begin an attempt; attempts of a request are numbered from 0 in this order.
+    /// Start an attempt. The attempts of a request are numbered from 0 in the order of these actions.
     Send {
-        /// The request.
+        /// The request to send.
         request: RequestId,
-        /// Where to.
+        /// The worker to send it to.
         worker: WorkerId,
-        /// Time-out; `None`: until the client gives up.
+        /// Timeout of the attempt; `None` means that it ends when the client gives up.
         timeout: Option<Micros>,
     },
     /// Cancel an attempt in flight.
     Cancel {
-        /// The request.
+        /// The request of the attempt.
         request: RequestId,
-        /// Number of the attempt.
+        /// Number of the attempt, from 0.
         attempt: u32,
     },
-    /// Final answer: not served, and another try is harmless.
+    /// Send the final answer: the request was not served and may safely be retried.
     Refuse {
-        /// The request.
+        /// The refused request.
         request: RequestId,
-        /// Advice to stay away this long.
+        /// How long the client is advised to wait before it retries.
         retry_after: Option<Micros>,
     },
-    /// Final answer: failed, nothing promised.
+    /// Send the final answer: the request failed, and it may or may not have executed.
     Fail {
-        /// The request.
+        /// The failed request.
         request: RequestId,
     },
-    /// Order a worker to hold at least `count` replicas; 0 only queries.
+    /// Order a worker to load a function until it has at least `count` replicas; 0 only queries the number.
     Load {
-        /// The worker.
+        /// The worker that is to load the function.
         worker: WorkerId,
-        /// The function.
+        /// The function to load.
         function: FunctionId,
-        /// Replicas wanted, up to 16.
+        /// Number of replicas wanted, at most 16.
         count: u32,
     },
-    /// A load that was ordered is not needed any more: an order that has not left need not leave, and is
-    /// answered [`Outcome::Cancelled`](crate::Outcome::Cancelled) then; one that has left goes on.
+    /// Cancel a load order that is no longer needed. An order that has not been sent yet is dropped and
+    /// answered with [`Outcome::Cancelled`](crate::Outcome::Cancelled); one that has been sent continues.
     CancelLoad {
-        /// Where.
+        /// The worker of the order.
         worker: WorkerId,
-        /// Of what.
+        /// The function of the order.
         function: FunctionId,
     },
     /// Unload the idle replicas of a function.
     Unload {
-        /// The worker.
+        /// The worker that holds the replicas.
         worker: WorkerId,
-        /// The function.
+        /// The function to unload.
         function: FunctionId,
     },
-    /// Probe a worker.
+    /// Send a health probe.
     Probe {
-        /// The worker.
+        /// The worker to probe.
         worker: WorkerId,
     },
-    /// Deliver [`Event::Timer`](crate::Event::Timer) with this tag after a span.
+    /// Start a timer that reports [`Event::Timer`](crate::Event::Timer) when it expires.
     SetTimer {
-        /// From now.
+        /// Delay from the time of the current event.
         after: Micros,
-        /// To be handed back.
+        /// Tag to return in the timer event.
         tag: u64,
     },
-    /// Subscribe to the worker list.
+    /// Subscribe to changes of the worker list.
     Watch,
-    /// Ask for the complete list once.
+    /// Fetch the complete worker list once.
     Fetch,
-    /// A line for the log.
+    /// Write a line to the log.
     Log(String),
 }
--- a/src/interface/events.rs
+++ b/src/interface/events.rs
@@ -1,145 +1,146 @@
-//! What a controller learns: requests, the ends of attempts, probes and loads, and timers.
+//! Events that the embedding program reports to a controller.
 
 use super::{
     ClassId, FunctionId, ListForm, Micros, PeerId, Report, RequestId, TenantId, WorkerEntry, WorkerId,
 };
 
-/// How an attempt, a probe or an order ended.
+/// The outcome of an attempt, a probe or a load order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served.
+    /// Served, or answered without an error.
     Ok,
-    /// The worker failed it; it may have run.
+    /// The worker returned an error; the request may have executed.
     Error,
-    /// Rejected by the worker before it was looked at.
+    /// Rejected by the worker before any processing.
     Rejected,
-    /// No answer in time; it may have run.
+    /// No response in time; the request may have executed.
     Timeout,
-    /// No connection came about.
+    /// The connection could not be established.
     ConnectFailed,
-    /// The connection came about but broke before all of it had left; it never ran.
+    /// The connection broke before the request was sent completely; it did not execute.
     PartlySent,
-    /// The connection broke; it may have run.
+    /// The connection broke; the request may have executed.
     Reset,
-    /// Cancelled; it may have run.
+    /// Cancelled; the request may have executed.
     Cancelled,
-    /// Never sent.
+    /// Not sent at all.
     NeverSent,
-    /// The function is not loaded there and no load is under way, or the load failed.
+    /// The function is not loaded and no load is pending there, or the load failed.
     NotLoaded,
 }
 
-/// What an outcome reports of loaded replicas.
+/// Replica state reported with an outcome.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadNote {
-    /// A replica was loaded already.
+    /// A replica was already loaded.
     Warm,
-    /// This request began a load.
+    /// The request triggered a load.
     Began,
-    /// It waited for a load begun before.
+    /// The request waited for a load that was already in progress.
     Waited,
     /// The load failed.
     Failed,
 }
 
-/// A call a client wants made.
+/// A call requested by a client.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Its id.
+    /// Unique id of the request.
     pub id: RequestId,
-    /// Its class.
+    /// Request class.
     pub class: ClassId,
-    /// Its tenant, where there are tenants.
+    /// Tenant of the client; `None` if it has none.
     pub tenant: Option<TenantId>,
-    /// The function it calls.
+    /// The function to call.
     pub function: FunctionId,
     /// Time until the client gives up.
     pub time_left: Micros,
-    /// Time that it is thought to need on a standard core.
+    /// Expected execution time on a standard core.
     pub cpu_time_hint: Option<Micros>,
-    /// Calls that one replica runs at once.
+    /// Number of calls that one replica runs concurrently.
     pub lanes: u32,
-    /// Usual time of a load.
+    /// Expected time to load the function.
     pub load_time: Option<Micros>,
-    /// The client marked it as a repeat.
+    /// The client marked the request as a retry.
     pub repeat: bool,
 }
 
-/// Something the controller learns.
+/// An observation reported to the controller.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The worker list changed.
+    /// The worker list was updated.
     Workers {
-        /// What kind of update it is.
+        /// The kind of update.
         form: ListForm,
-        /// Its lines.
+        /// The entries of the update.
         entries: Vec<WorkerEntry>,
     },
     /// A request arrived.
     Request(Request),
     /// An attempt ended.
     Outcome {
-        /// The request.
+        /// The request of the attempt.
         request: RequestId,
         /// Number of the attempt, from 0.
         attempt: u32,
-        /// The worker.
+        /// The worker that the attempt was sent to.
         worker: WorkerId,
-        /// How it ended.
+        /// The outcome of the attempt.
         outcome: Outcome,
-        /// The request is finished: the client is owed nothing more.
+        /// The request is complete: the client expects no further response.
         finished: bool,
-        /// Time since it was sent.
+        /// Time since the attempt was sent.
         elapsed: Micros,
-        /// What it reports of loaded replicas.
+        /// Replica state reported by the worker.
         note: Option<LoadNote>,
-        /// Calls of the function that the worker held, where reported.
+        /// Concurrent calls of the function at the worker, if reported.
         concurrent_calls: Option<u32>,
-        /// Load report, where attached.
+        /// Load report attached to the response.
         report: Option<Report>,
     },
-    /// The answer of a streamed request began; it now belongs to the client.
+    /// The response stream of a request started; it is forwarded to the client, so the request can't be
+    /// retried.
     Started {
-        /// The request.
+        /// The request of the attempt.
         request: RequestId,
-        /// Number of the attempt.
+        /// Number of the attempt, from 0.
         attempt: u32,
     },
-    /// An order to load, or a query, was answered.
+    /// A load order or a query was answered, or ended without an answer.
     Loaded {
-        /// The worker.
+        /// The worker of the order.
         worker: WorkerId,
-        /// The function.
+        /// The function of the order.
         function: FunctionId,
-        /// How it ended.
+        /// The outcome of the order.
         outcome: Outcome,
-        /// Replicas that are loaded there.
+        /// Number of replicas loaded at the worker.
         replicas: u32,
-        /// Time since the order.
+        /// Time since the order was sent.
         elapsed: Micros,
     },
-    /// A probe ended.
+    /// A health probe ended.
     Probed {
-        /// The worker.
+        /// The probed worker.
         worker: WorkerId,
-        /// How it ended.
+        /// The outcome of the probe.
         outcome: Outcome,
-        /// Load report, where attached.
+        /// Load report attached to the answer.
         report: Option<Report>,
     },
-    /// A timer came due.
+    /// A timer expired.
     Timer {
-        /// The tag given when it was set.
+        /// The tag of the [`Action::SetTimer`](crate::Action::SetTimer) that started it.
         tag: u64,
     },
-    /// The client left; the request is finished.
+    /// The client disconnected; the request needs no answer.
     ClientGone {
-        /// The request.
+        /// The request of the client.
         request: RequestId,
     },
-    /// Another controller sent a message.
+    /// A message from another controller arrived. Messages are currently ignored.
     Message {
-        /// The sender.
+        /// The sending controller.
         from: PeerId,
         /// The payload.
         bytes: Vec<u8>,
--- a/src/interface/ids.rs
+++ b/src/interface/ids.rs
@@ -1,6 +1,6 @@
-//! Times, and the numbers by which the module knows requests, workers and functions.
+//! Time and id types.
 
-/// A point in time or a span, in microseconds. The clock has no particular start.
+/// A point in time or a duration in microseconds. Timestamps count from an arbitrary origin.
 pub type Micros = u64;
 
 macro_rules! id {
@@ -12,29 +12,29 @@
 }
 
 id!(
-    /// A request, unique among all that a controller is ever given.
+    /// A request id, never reused within the lifetime of a controller.
     RequestId, u64);
 id!(
-    /// A worker; it keeps its id when its process restarts.
+    /// A worker id. It stays the same when the worker process restarts.
     WorkerId, u64);
 id!(
-    /// A function: the program a call needs loaded.
+    /// A function id: identifies the program that has to be loaded to serve a call.
     FunctionId, u64);
 id!(
-    /// A request class, as its place in [`Settings::classes`](crate::Settings::classes).
+    /// A request class: its index in [`Settings::classes`](crate::Settings::classes).
     ClassId, usize);
 id!(
-    /// A tenant, as its place in [`Settings::tenants`](crate::Settings::tenants).
+    /// A tenant: its index in [`Settings::tenants`](crate::Settings::tenants).
     TenantId, usize);
 id!(
-    /// A zone: workers and controllers in one zone share their fate and are near each other.
+    /// A zone: a failure domain with low latency between its workers and controllers.
     ZoneId, u32);
 id!(
-    /// A machine kind; workers of one kind are of like size.
+    /// A machine kind; workers of one kind have similar capacity.
     KindId, u32);
 id!(
-    /// A cell: workers that share which keys they have seen.
+    /// A cell: a group of workers that share their record of idempotency keys.
     CellId, u64);
 id!(
-    /// Another controller.
+    /// Another controller that exchanges messages with this one.
     PeerId, u64);
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -1,212 +1,215 @@
-//! What a controller is built from: classes, tenants, limits and rules of its site.
+//! Settings of a controller: request classes, tenants, limits and rules of the site.
 //!
-//! Leaves reading them from text to the embedding program. Spans are microseconds.
+//! Parsing settings files is up to the embedding program. All durations are in microseconds.
 
 use super::{Micros, ZoneId};
 
-/// Where repeats of a keyed request are recognised.
+/// The workers that recognise a repeated idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyScope {
-    /// By every worker.
+    /// All workers.
     All,
-    /// By the workers in the zone of the first attempt.
+    /// The workers in the zone of the first attempt.
     Zone,
-    /// By the workers in the cell of the first attempt.
+    /// The workers in the cell of the first attempt.
     Cell,
 }
 
-/// What a repeat of a request may do.
+/// Whether a request may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Repeats are harmless.
+    /// Repeated execution is harmless.
     Idempotent,
-    /// Repeats are dropped inside `scope` for `window` after the first attempt that may have run.
+    /// Workers within `scope` drop repeats for `window`, counted from the first attempt that may have
+    /// executed.
     IdempotencyKey {
-        /// Who recognises repeats.
+        /// The workers that recognise the key.
         scope: KeyScope,
-        /// For how long.
+        /// How long they recognise it.
         window: Micros,
     },
-    /// Must never run twice.
+    /// The request must not be executed twice.
     NonIdempotent,
 }
 
 /// A request class.
 #[derive(Clone, Debug)]
 pub struct Class {
-    /// An answer within this span has its full priority weight.
+    /// An answer within this time has its full priority weight.
     pub latency_objective: Micros,
-    /// How long a client waits over all its attempts.
+    /// How long a client waits, over all attempts.
     pub deadline: Micros,
-    /// What a repeat may do.
+    /// Whether a request may be executed more than once.
     pub effect: Effect,
-    /// Priority weight of one request.
+    /// Priority weight of a request that meets its objective.
     pub priority_weight: f64,
-    /// Share of the weight that is left after the objective.
+    /// Share of the weight that remains once the objective is missed.
     pub late_share: f64,
-    /// The answer is streamed: [`Event::Started`](crate::Event::Started) precedes its end.
+    /// The response is streamed: [`Event::Started`](crate::Event::Started) precedes the outcome.
     pub stream: bool,
 }
 
 /// A tenant and its quota.
 #[derive(Clone, Debug)]
 pub struct Tenant {
-    /// Requests a second over all controllers within its share; `None`: no quota.
+    /// Requests per second within the quota, over all controllers; `None` means no quota.
     pub quota_per_s: Option<f64>,
 }
 
-/// How the worker list is received.
+/// How the controller receives the worker list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Discovery {
-    /// Changes come by themselves.
+    /// Updates are pushed without a request.
     #[default]
     Push,
-    /// Changes come only after [`Action::Watch`](crate::Action::Watch) or
+    /// Updates are sent only in reply to [`Action::Watch`](crate::Action::Watch) or
     /// [`Action::Fetch`](crate::Action::Fetch).
     Poll,
 }
 
-/// How workers report their load.
+/// When workers report their load.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Reports {
     /// Never.
     #[default]
     None,
-    /// With probe results only.
+    /// With probe results.
     Probe,
-    /// With outcomes and probe results.
+    /// With the outcomes of attempts and with probe results.
     Answers,
 }
 
-/// What weights in the worker list mean.
+/// The meaning of the weights in the worker list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Weights {
-    /// All are one.
+    /// Weights are ignored; all workers count the same.
     #[default]
     None,
-    /// The registered size.
+    /// The registered capacity.
     Nominal,
-    /// The size, roughly.
+    /// An estimate of the capacity.
     Rough,
-    /// The size over the load some time ago: changes from list to list.
+    /// Capacity divided by a recent load; changes with every list.
     Live,
 }
 
-/// What a worker does with a call of a function it has no replica of.
+/// How a worker treats a call of a function that it has not loaded.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum WhenAbsent {
-    /// Loads it while the call waits there.
+    /// It loads the function while the call waits.
     #[default]
     Load,
-    /// Answers [`Outcome::NotLoaded`](crate::Outcome::NotLoaded); only
-    /// [`Action::Load`](crate::Action::Load) brings the function.
+    /// It answers [`Outcome::NotLoaded`](crate::Outcome::NotLoaded); functions are loaded only by
+    /// [`Action::Load`](crate::Action::Load).
     Miss,
 }
 
-/// How loading works here.
+/// Settings for loading functions.
 #[derive(Clone, Debug, Default)]
 pub struct Loading {
-    /// What a call of an absent function meets.
+    /// How a worker treats a call of a function that it has not loaded.
     pub when_absent: WhenAbsent,
-    /// An idle replica stays at least this long unless its room is needed.
+    /// Minimum time that an idle replica stays loaded, unless its memory is needed.
     pub keep_alive: Micros,
     /// [`Action::Load`](crate::Action::Load) and [`Action::Unload`](crate::Action::Unload) are permitted.
     pub orders: bool,
-    /// An order without an answer ends after this span.
+    /// A load order fails if it is not answered within this time.
     pub order_timeout: Micros,
     /// Outcomes carry a [`LoadNote`](crate::LoadNote).
     pub notes: bool,
-    /// Outcomes report how many calls of the function the worker held.
+    /// Outcomes report the number of concurrent calls of the function at the worker.
     pub reports_concurrency: bool,
-    /// Span over which orders are rationed; 0: they are not.
+    /// Window over which load orders are rationed; 0 means no ration.
     pub ration_window: Micros,
-    /// Orders free in each window.
+    /// Load orders permitted in each window regardless of the number of requests.
     pub ration_floor: f64,
-    /// An earlier incarnation of this controller may have given orders within the window before the start.
+    /// An earlier incarnation of this controller may have sent load orders within the window before the
+    /// start.
     pub unknown_prior_orders: bool,
-    /// Further orders, per request taken in the window.
+    /// Additional load orders permitted per request received in the window.
     pub ration_share: f64,
-    /// Points that a full memory of idle and loading replicas would cost.
+    /// Cost, in score points, of a memory that is filled with idle and loading replicas.
     pub memory_price: f64,
 }
 
-/// What the site permits.
+/// Limits and permissions of the site.
 #[derive(Clone, Debug, Default)]
 pub struct Limits {
-    /// Attempts per request.
+    /// Maximum number of attempts per request, including the first.
     pub max_attempts: u32,
-    /// A request may have two attempts out at once.
+    /// A request may have two attempts in flight.
     pub parallel_attempts: bool,
     /// [`Action::Probe`](crate::Action::Probe) is permitted.
     pub probes: bool,
     /// [`Action::Cancel`](crate::Action::Cancel) is permitted.
     pub cancel: bool,
-    /// Longest advice to stay away that clients heed; `None`: advice reaches nobody.
+    /// Longest retry advice that clients follow; `None` means that clients get no such advice.
     pub retry_after: Option<Micros>,
-    /// A connect attempt fails after this span.
+    /// Timeout for establishing a connection.
     pub connect_timeout: Micros,
 }
 
-/// Figures of the rules.
+/// Parameters of the site's rules.
 #[derive(Clone, Debug, Default)]
 pub struct Rules {
-    /// A final answer is in time until this long after the client's deadline.
+    /// A final answer counts as in time until this long after the client's deadline.
     pub answer_grace: Micros,
-    /// Span after the notice of a drain within which sends must stop.
+    /// Time after the notification of a drain within which sending must stop.
     pub drain_grace: Micros,
-    /// With [`Discovery::Poll`]: a controller that has not polled for this long is deemed notified.
+    /// With [`Discovery::Poll`]: longest time between polls. A controller that polls later than that is
+    /// assumed to know of all changes.
     pub must_poll_within: Micros,
-    /// A started worker has at least this share of its capacity.
+    /// Share of its capacity that a worker has right after its start.
     pub start_capacity: f64,
-    /// It is warmed up after this span at the latest.
+    /// A worker reaches its full capacity at most this long after its start.
     pub warm_up: Micros,
-    /// Sent more than this multiple of its present capacity ...
+    /// A worker that is sent more than this multiple of its current capacity ...
     pub overload_factor: f64,
-    /// ... for this long it falls over.
+    /// ... throughout this span becomes overloaded and fails.
     pub overload_span: Micros,
 }
 
-/// What a controller is given when it starts.
+/// Settings of one controller.
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
-    /// This controller's number, from 0.
+    /// Number of this controller, from 0.
     pub controller_index: u32,
-    /// How many controllers there are.
+    /// Total number of controllers.
     pub controllers: u32,
-    /// This controller's zone, where known.
+    /// Zone of this controller, if known.
     pub zone: Option<ZoneId>,
     /// The request classes.
     pub classes: Vec<Class>,
-    /// The tenants; may be none.
+    /// The tenants, if any.
     pub tenants: Vec<Tenant>,
-    /// Priority weight of a request over its tenant's quota, as a share of its class's.
+    /// Priority weight of a request over its tenant's quota, relative to the weight of its class.
     pub over_quota_weight: f64,
     /// How the worker list is received.
     pub discovery: Discovery,
-    /// How load is reported.
+    /// When workers report their load.
     pub reports: Reports,
-    /// What weights mean.
+    /// The meaning of the weights in the worker list.
     pub weights: Weights,
-    /// How loading works.
+    /// Settings for loading functions.
     pub loading: Loading,
-    /// What is permitted.
+    /// Limits and permissions.
     pub limits: Limits,
-    /// The rules' figures.
+    /// Parameters of the rules.
     pub rules: Rules,
-    /// Events come at most this often.
+    /// Shortest interval between two events; the time margin in deadline and window checks.
     pub event_interval: Micros,
 }
 
-/// Settings that no controller can work with.
+/// Why a controller can't run with the given settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SettingsError {
     /// There are no request classes.
     NoClasses,
     /// The number of controllers is zero.
     NoControllers,
-    /// `controller_index` is not below the number of controllers.
+    /// `controller_index` is not less than `controllers`.
     ControllerIndexOutOfRange,
-    /// No attempt is permitted at all.
+    /// `max_attempts` is zero.
     NoAttempts,
 }
 
@@ -215,7 +218,7 @@
         f.write_str(match self {
             Self::NoClasses => "the settings name no request class",
             Self::NoControllers => "the number of controllers is zero",
-            Self::ControllerIndexOutOfRange => "this controller's number is not below their count",
+            Self::ControllerIndexOutOfRange => "controller number is not below the number of controllers",
             Self::NoAttempts => "no attempt is permitted",
         })
     }
@@ -224,7 +227,7 @@
 impl std::error::Error for SettingsError {}
 
 impl Settings {
-    /// Can a controller work with these?
+    /// Validates the settings.
     pub(crate) fn check(&self) -> Result<(), SettingsError> {
         if self.classes.is_empty() {
             Err(SettingsError::NoClasses)
--- a/src/interface/workers.rs
+++ b/src/interface/workers.rs
@@ -1,75 +1,75 @@
-//! The worker list, load reports, and a worker's health as the module sees it.
+//! The worker list, load reports and worker health.
 
 use super::{CellId, KindId, Micros, WorkerId, ZoneId};
 
-/// State of a worker in the list.
+/// State of a worker in the worker list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum WorkerState {
-    /// Runs.
+    /// In service.
     On,
-    /// Finishes its work; nothing new may be sent.
+    /// Completes its running calls but must get no new ones.
     Draining,
-    /// Is gone.
+    /// Removed from service.
     #[default]
     Gone,
 }
 
-/// A line of the worker list.
+/// An entry of the worker list.
 #[derive(Clone, Debug, Default)]
 pub struct WorkerEntry {
-    /// The worker.
+    /// The id of the worker.
     pub worker: WorkerId,
-    /// Its zone.
+    /// The zone it runs in.
     pub zone: ZoneId,
     /// Its machine kind.
     pub kind: KindId,
-    /// Its weight; see [`Settings::weights`](crate::Settings::weights).
+    /// Weight; [`Settings::weights`](crate::Settings::weights) defines what it means.
     pub weight: f64,
-    /// Its cell.
+    /// The cell it belongs to.
     pub cell: CellId,
-    /// Its state.
+    /// State in the list.
     pub state: WorkerState,
-    /// When it last started; `None`: long ago.
+    /// When the process last started; `None` means long ago.
     pub started_at: Option<Micros>,
 }
 
-/// A listed worker's health, as the module sees it.
+/// Health of a listed worker as derived from events.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Health {
-    /// The worker.
+    /// The id of the worker.
     pub worker: WorkerId,
-    /// Its state in the list.
+    /// State in the worker list.
     pub state: WorkerState,
-    /// Its recent outcomes keep calls from it, but for trials.
+    /// Ejected for its failure rate or because it is down; it gets no calls except trials.
     pub ejected: bool,
-    /// Its process died or is silent.
+    /// The process is dead or unresponsive.
     pub down: bool,
 }
 
-/// What a worker list event brings.
+/// The kind of a worker list update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListForm {
-    /// Changed lines only.
+    /// Changed entries only.
     Changes,
     /// The complete list.
     Complete,
-    /// The complete list as last held before a restart; may be stale.
+    /// The last complete list known before a restart of the controller; may be stale.
     Restored,
-    /// A call failed or the subscription broke; no lines.
+    /// A request for the list failed or the subscription broke; there are no entries.
     Failed,
 }
 
-/// A load report. Late and noisy wherever it comes from.
+/// A load report of a worker. Reports are delayed and noisy.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Report {
-    /// Requests in work.
+    /// Number of requests being processed.
     pub inflight: Option<f64>,
-    /// Requests waiting.
+    /// Number of requests waiting.
     pub queue: Option<f64>,
     /// Share of the cores in use.
     pub util: Option<f64>,
     /// Share of memory that can't be freed.
     pub memory_held: Option<f64>,
-    /// Loads under way or waiting.
+    /// Number of loads in progress or queued.
     pub loads: Option<f64>,
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,18 +1,20 @@
-//! Decisions of a front end (a *controller*) that sends calls to *workers* which load programs on demand.
+//! Load balancing decisions of a front end (a *controller*) that sends calls to *workers*, which load
+//! functions on demand.
 //!
-//! The library does no input or output and reads no clock. A [`Controller`] is built from [`Settings`] and
-//! a seed; each thing the front end learns goes in as an [`Event`] with the time it was learnt, and what is
-//! to be done comes out as [`Action`]s, to be carried out in order. Equal events give equal actions.
+//! The library does no I/O and reads no clock. A [`Controller`] is built from [`Settings`] and a random seed.
+//! The embedding program reports everything it observes as an [`Event`] with a timestamp, and executes the
+//! returned [`Action`]s in order. The same settings, seed and events always produce the same actions.
 //!
-//! What the embedding program does:
+//! The embedding program:
 //!
-//! * numbers its workers, functions, classes and requests with the id types here;
-//! * gives the worker list it last held first ([`ListForm::Restored`]), then its changes;
-//! * begins an attempt for each [`Action::Send`] and hands back exactly one [`Event::Outcome`] for it;
-//! * sets a timer for each [`Action::SetTimer`] and hands back [`Event::Timer`]: held calls are answered in
-//!   time by these, so a timer that never comes breaks the first rule;
-//! * gives the client the final answer: the first [`Outcome::Ok`] by itself, or what [`Action::Refuse`] and
-//!   [`Action::Fail`] say. A refusal tells the client that another try is harmless.
+//! * assigns the ids of workers, functions, classes and requests;
+//! * passes the last known worker list first ([`ListForm::Restored`]), then every update;
+//! * starts an attempt for each [`Action::Send`] and reports exactly one [`Event::Outcome`] for it;
+//! * starts a timer for each [`Action::SetTimer`] and reports [`Event::Timer`] when it expires: held calls
+//!   are answered by timer, so a lost timer leaves calls without an answer;
+//! * sends the final response to the client: the first [`Outcome::Ok`] without any action, otherwise the one
+//!   that [`Action::Refuse`] or [`Action::Fail`] asks for. A refusal tells the client that it may safely
+//!   retry.
 //!
 //! ```
 //! use nettleferry::*;
--- a/src/rendezvous.rs
+++ b/src/rendezvous.rs
@@ -1,13 +1,13 @@
-//! The rendezvous order of a function over the workers in service, found only as far as it is needed.
+//! Rendezvous hashing of functions over the workers in service, computed lazily.
 //!
-//! Every worker has a score for every function, by a hash of both and the worker's weight; a function's
-//! order is its workers by rising score, equal scores by id. [`Fleet`] is the list of workers in service,
-//! one for all functions, with a bounded log of its latest changes. [`Homes`] is what one function keeps:
-//! the first workers of its order, repaired from that log when the function is next used, and computed
-//! again by one pass over the list where the log does not reach back. The rest of an order is computed on
-//! demand, and not kept.
+//! Each pair of function and worker has a score, derived from a hash of both ids and the weight of the
+//! worker. The order of a function is its workers by ascending score, ties broken by id. [`Fleet`] is the
+//! list of workers in service, shared by all functions, with a bounded log of recent changes. [`Homes`] holds
+//! the first workers of one function's order. They are repaired from the change log when the function is next
+//! used, or computed again in a pass over the list if the log does not reach back far enough. The rest of an
+//! order is computed on demand and not stored.
 //!
-//! Nothing here decides anything, and how much is kept never changes an order.
+//! How much of an order is stored does not affect the order itself.
 
 #[cfg(test)]
 mod tests;
@@ -19,39 +19,40 @@
 use crate::hash::splitmix64;
 use crate::interface::{FunctionId, WorkerId};
 
-/// Each function keeps the complete order of a list of at most this many workers.
+/// Up to this many workers, each function stores its complete order.
 const COMPLETE_LIST: usize = 64;
-/// Homes that a function keeps of a longer list.
+/// Number of homes stored per function for longer lists.
 const HOMES: usize = 24;
-/// Homes that a pass over a longer list looks for: a few more than are kept, as their number is random.
+/// Expected number of workers found by the first pass over a longer list: more than `HOMES`, as the actual
+/// number is random.
 const TARGET_HOMES: f64 = 36.0;
-/// With fewer homes than this left, they are computed again.
+/// The homes are computed again if fewer than this remain.
 const MIN_HOMES: usize = 8;
-/// Changes of the list that are remembered.
+/// Maximum length of the change log.
 const CHANGE_LOG: usize = 1_024;
-/// A function that missed more than the list's length divided by this computes its homes again: that is
-/// cheaper.
+/// If a function missed more changes than the length of the list divided by this, computing its homes again
+/// is cheaper than repairing them.
 const REPAIR_RATIO: usize = 16;
-/// Each pass that goes further looks for scores up to this many times as high.
+/// Factor by which the score limit grows from one pass to the next.
 const SCORE_STEP: f64 = 16.0;
-/// After so many passes that found too few, the whole list is sorted: weights are far apart.
+/// After this many passes that found too few workers, the whole list is sorted: the weights differ too much.
 const MAX_PASSES: u32 = 8;
-/// Relative error of a score that is provided for; it is a few units of the last place, near 1e-15.
+/// Margin for the relative error of a score, which is a few units in the last place (about 1e-15).
 const ROUNDING: f64 = 1e-9;
 
-/// A position in an order: by score, equal scores by the worker's id.
+/// A position in an order: by score, ties broken by worker id.
 #[derive(Clone, Copy)]
 pub(crate) struct Position {
-    /// The worker's score for the function, lowest first.
+    /// The worker's score for the function; the lowest comes first.
     pub(crate) score: f64,
     worker: WorkerId,
 }
 
 impl Position {
-    /// Before every worker.
+    /// The position before every worker.
     const START: Self = Self::from_score(f64::NEG_INFINITY);
 
-    /// Before every worker of this score.
+    /// The position before every worker with this score.
     const fn from_score(score: f64) -> Self {
         Self { score, worker: WorkerId(0) }
     }
@@ -61,7 +62,7 @@
     }
 }
 
-/// The part of a score's hash that depends on the worker alone.
+/// The part of the score hash that depends only on the worker.
 fn worker_hash(worker: WorkerId) -> u64 {
     splitmix64(worker.0.wrapping_mul(0x2545_f491_4f6c_dd1d))
 }
@@ -72,7 +73,7 @@
     -unit.min(0.999_999_999).ln() / weight
 }
 
-/// Some workers with what their scores are made from, side by side in memory.
+/// A set of workers with the inputs of their scores, in parallel arrays for fast iteration.
 #[derive(Default)]
 pub(crate) struct Candidates {
     workers: Vec<WorkerId>,
@@ -93,13 +94,13 @@
         self.weights.swap_remove(index);
     }
 
-    /// The candidates from position `from` on with a score below `below`, or all from there on where that is
-    /// infinite, in the function's order.
+    /// Returns the candidates from position `from` on with a score below `below`, in the function's order. An
+    /// infinite `below` means no limit.
     ///
-    /// The logarithm is computed only where it may matter: with `unit` in (0, 1], `-ln(unit) >= 1 - unit`,
-    /// and `1 - unit` is the complement of the hash's upper bits over 2^53, exactly. A worker whose
-    /// complement is beyond `below * weight` (and a margin for rounding) has a score beyond `below`, and is
-    /// left out.
+    /// The logarithm is computed only for scores that may be below the limit: with `unit` in (0, 1],
+    /// `-ln(unit) >= 1 - unit`, and `1 - unit` is exactly the complement of the hash's upper bits divided by
+    /// 2^53. A worker whose complement exceeds `below * weight`, plus a margin for rounding, has a score
+    /// above the limit and is skipped.
     fn between(&self, function_hash: u64, from: Position, below: f64) -> Vec<Position> {
         let max_complement = below * (1u64 << 53) as f64 * (1.0 + ROUNDING);
         let mut found = Vec::new();
@@ -120,15 +121,16 @@
     }
 }
 
-/// The workers in service, and the log of changes to them.
+/// The workers in service, with a log of changes.
 #[derive(Default)]
 pub(crate) struct Fleet {
     all: Candidates,
     index: BTreeMap<WorkerId, usize>,
     changed: VecDeque<WorkerId>,
-    /// Changes so far, the forgotten ones as well.
+    /// Total number of changes, including those no longer in the log.
     changes: u64,
-    /// The score below which a pass looks for homes; 0: to be worked out. It sets the cost, not the result.
+    /// Score limit of the first pass that computes homes; 0 if it has to be estimated. Affects only the cost,
+    /// not the result.
     score_limit: f64,
     hashes: Cell<u64>,
 }
@@ -138,7 +140,8 @@
         self.all.workers.is_empty()
     }
 
-    /// Puts a worker in service with this weight (positive, as the scores divide by it), or out of service.
+    /// Adds a worker with the given weight, which must be positive because scores are divided by it, or
+    /// removes it.
     pub(crate) fn set(&mut self, worker: WorkerId, weight: Option<f64>) {
         match (self.index.get(&worker).copied(), weight) {
             (None, None) => return,
@@ -164,7 +167,7 @@
         }
     }
 
-    /// Hashes of a function with a worker computed so far: the work that a long list costs.
+    /// Number of function and worker hashes computed so far, a measure of the cost of long lists.
     pub(crate) fn hashes_computed(&self) -> u64 {
         self.hashes.get()
     }
@@ -173,7 +176,7 @@
         self.hashes.set(self.hashes.get() + hashes as u64);
     }
 
-    /// A worker's position in a function's order, where it is in service.
+    /// Returns the worker's position in the function's order, or `None` if it is not in service.
     pub(crate) fn position(&self, function: FunctionId, worker: WorkerId) -> Option<Position> {
         let index = *self.index.get(&worker)?;
         self.count_hashes(1);
@@ -181,7 +184,7 @@
         Some(Position { score, worker })
     }
 
-    /// Those of some workers that are in service, in the function's order.
+    /// Returns those of the given workers that are in service, in the function's order.
     pub(crate) fn ranked(
         &self,
         function: FunctionId,
@@ -192,8 +195,8 @@
         positions.into_iter().map(|position| position.worker).collect()
     }
 
-    /// A part of a function's order beyond its homes, of all workers or of those in `among` alone: the parts
-    /// from 0 on, until `None`, give each worker once, in order.
+    /// Returns one part of the function's order beyond its homes, limited to the workers in `among` if given.
+    /// The parts, numbered from 0 until `None` is returned, contain each worker once, in order.
     pub(crate) fn beyond_homes(
         &self,
         function: FunctionId,
@@ -222,7 +225,7 @@
         Some(positions.into_iter().map(|position| position.worker).collect())
     }
 
-    /// A score below which about `TARGET_HOMES` workers lie, where weights are alike.
+    /// Estimates a score limit that about `TARGET_HOMES` workers are below, assuming similar weights.
     fn estimate_score_limit(&self) -> f64 {
         let sum: f64 = self.all.weights.iter().filter(|w| w.is_finite()).sum();
         let limit = if sum > 0.0 { TARGET_HOMES / sum } else { 1.0 };
@@ -234,9 +237,9 @@
 #[derive(Default)]
 pub(crate) struct Homes {
     workers: Vec<WorkerId>,
-    /// All workers before this position are kept, and no other; `None`: the order ends with them.
+    /// The homes are exactly the workers before this position; `None` if they are the complete order.
     end: Option<Position>,
-    /// Changes of the list taken in, and one; 0: nothing was computed yet.
+    /// Value of `Fleet::changes` at the last update plus 1, or 0 before the first update.
     changes_applied: u64,
 }
 
@@ -245,12 +248,12 @@
         &self.workers
     }
 
-    /// The order ends with the homes.
+    /// Whether the homes are the complete order.
     pub(crate) fn covers_all(&self) -> bool {
         self.end.is_none()
     }
 
-    /// Takes in what changed in the list since this was last called.
+    /// Applies the changes of the list since the last update.
     pub(crate) fn update(&mut self, function: FunctionId, fleet: &mut Fleet) {
         let now = fleet.changes + 1;
         if self.changes_applied == now {
@@ -264,7 +267,7 @@
         self.changes_applied = now;
     }
 
-    /// Takes in the latest changes one by one. False: too few homes are left.
+    /// Applies the latest changes one by one. Returns false if too few homes remain.
     fn repair(&mut self, function: FunctionId, fleet: &Fleet, missed: usize) -> bool {
         let changed = || fleet.changed.range(fleet.changed.len() - missed..);
         for worker in changed() {
--- a/src/rendezvous/tests.rs
+++ b/src/rendezvous/tests.rs
@@ -1,8 +1,8 @@
-//! The order found as far as needed, held against the whole order hashed and sorted anew, as it was before.
+//! Compares the lazily computed order with the complete list, hashed and sorted from scratch.
 
 use super::*;
 
-/// A generator of its own, so that the draws are the same wherever the tests run.
+/// A deterministic random generator, so that the tests use the same values on every platform.
 struct Draw(u64);
 
 impl Draw {
@@ -12,7 +12,7 @@
     }
 }
 
-/// The order as every function kept it before: all workers in service, hashed and sorted.
+/// The reference order: all workers in service, hashed and sorted.
 fn reference(function: FunctionId, listed: &BTreeMap<WorkerId, f64>) -> Vec<WorkerId> {
     let mut scored: Vec<(f64, WorkerId)> = Vec::with_capacity(listed.len());
     for (worker, weight) in listed {
@@ -25,7 +25,7 @@
     scored.iter().map(|(_, worker)| *worker).collect()
 }
 
-/// The whole order, as a walk that never ends early sees it.
+/// The complete order, as seen by an iteration that does not end early.
 fn walked(function: FunctionId, homes: &Homes, fleet: &Fleet, open: Option<&Candidates>) -> Vec<WorkerId> {
     let further = (0..).map_while(|part| fleet.beyond_homes(function, homes, part, open));
     homes.workers().iter().copied().chain(further.flatten()).collect()
@@ -57,7 +57,7 @@
         assert_eq!(walked(function, homes, &self.fleet, None), complete, "the order goes on");
     }
 
-    /// A walk over open workers alone sees those, and the homes, in the order's sequence.
+    /// Checks that an iteration over the open workers returns these and the homes, in order.
     fn check_open(&self, function: FunctionId, homes: &Homes, draw: &mut Draw) {
         let mut open = Candidates::default();
         for (worker, weight) in &self.listed {
@@ -80,7 +80,8 @@
     }
 }
 
-/// Sizes as a list may tell them: alike, all different, far apart, and at the edges of what a float holds.
+/// Weights as they may occur in a list: equal, all different, far apart, and at the limits of the float
+/// range.
 fn weight(draw: &mut Draw, kind: u64) -> f64 {
     let edges = [f64::INFINITY, f64::MAX, f64::MIN_POSITIVE, 5e-324, 1e9, 1e-9, 1.0];
     match kind {
@@ -110,7 +111,7 @@
                 let weight = Some(weight(&mut draw, kind)).filter(|_| draw.below(3) > 0);
                 pair.set(worker, weight);
             }
-            // Some functions are used after every change, others miss many.
+            // Some functions are updated after every change, others miss many.
             for (function, homes) in &mut functions {
                 if draw.below(3) == 0 {
                     pair.check(*function, homes);
@@ -147,7 +148,7 @@
     }
 }
 
-/// Groups: one change at a time; all at once; a few at a time with workers that come and go unseen.
+/// Changes are applied one at a time, all at once, or in groups between which workers come and go unseen.
 #[test]
 fn the_grouping_of_changes_makes_no_difference() {
     let function = FunctionId(3);
@@ -163,7 +164,7 @@
                 pair.check(function, &mut homes);
             }
         }
-        // The draws are the same for each grouping, and so is the list: all end with the reference's order.
+        // All groupings draw the same changes and therefore end with the same reference order.
         pair.check(function, &mut homes);
     }
 }
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,63 +1,63 @@
-//! What a controller remembers of workers, functions, calls and attempts, as plain records.
+//! Plain records of the controller's state: workers, functions, calls and attempts.
 //!
-//! Nothing here decides anything: the decisions are in [`crate::decision`], the whole state is the
-//! [`Controller`](crate::Controller)'s. Times and spans are microseconds.
+//! The decisions are in [`crate::decision`]; [`Controller`](crate::Controller) owns the records. All times
+//! and durations are in microseconds.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use crate::interface::*;
 use crate::rendezvous::Homes;
 
-/// What is known of one worker.
+/// State of one worker.
 #[derive(Default)]
 pub(crate) struct Worker {
-    /// Its line of the list.
+    /// The worker's entry in the worker list.
     pub(crate) entry: WorkerEntry,
     /// Attempts in flight.
     pub(crate) in_flight: u32,
-    /// Attempts in flight on replicas thought warm: the lanes bound counts these.
+    /// Attempts in flight on replicas that are presumed warm; the lanes bound applies to these.
     pub(crate) warm_in_flight: u32,
-    /// Loads of ours under way there.
+    /// Loads that this controller has pending at the worker.
     pub(crate) pending_loads: usize,
-    /// Exponentially weighted share of outcomes that failed, 0 to 1.
+    /// Exponentially weighted share of failed outcomes, from 0 to 1.
     pub(crate) failure_rate: f64,
-    /// It is ejected: calls stay away, but for trials.
+    /// The worker is ejected: it gets no calls except trials.
     pub(crate) ejected: bool,
-    /// No trial before this time.
+    /// Earliest time of the next trial.
     pub(crate) ejected_until: Micros,
-    /// Its process died or is unresponsive: probes tell when it is back.
+    /// The process is dead or unresponsive; probes detect when it is back.
     pub(crate) down: bool,
-    /// How long the next ejection lasts.
+    /// Duration of the next ejection.
     pub(crate) next_ejection: Micros,
-    /// A trial of the ejected worker is in flight.
+    /// A trial call is in flight at the ejected worker.
     pub(crate) trial_in_flight: bool,
-    /// When it last answered anything.
+    /// Time of the last response of any kind.
     pub(crate) last_response: Micros,
-    /// When its pending responses are checked for a timeout.
+    /// Time of the scheduled check for overdue responses.
     pub(crate) timeout_check: Option<Micros>,
-    /// When the probe that is in flight was sent.
+    /// Send time of the probe in flight.
     pub(crate) probe_sent: Option<Micros>,
-    /// A connection to it failed: the probe in flight tells whether its process did.
+    /// A connection to the worker failed; the probe in flight shows whether the process failed too.
     pub(crate) connection_suspect: bool,
-    /// The probe before the one in flight was not answered.
+    /// The previous probe got no answer.
     pub(crate) probe_unanswered: bool,
-    /// Functions whose load orders were lost with their connections.
+    /// Functions whose load orders were lost when a connection broke.
     pub(crate) lost_orders: BTreeSet<FunctionId>,
-    /// Load pressure shown by its last answer.
+    /// Load pressure derived from the last response.
     pub(crate) last_pressure: PressureSample,
-    /// Its last load report.
+    /// The last load report.
     pub(crate) last_report: Option<ReceivedReport>,
-    /// When it started, as far as known.
+    /// Start time of the worker process, if known.
     pub(crate) started_at: Option<Micros>,
-    /// Until then its slow-start slots belonged to an earlier incarnation of this controller.
+    /// Slow-start slots before this time may have been used by an earlier incarnation of this controller.
     pub(crate) budget_from: Option<Micros>,
-    /// Slow-start budget that will have been granted when this controller's next slot comes.
+    /// Slow-start budget that will have been granted by the time of this controller's next slot.
     pub(crate) budget_used: f64,
 }
 
 impl Worker {
-    /// It started at `started_at`; its slow-start slots until `budget_from` belonged to an earlier
-    /// incarnation.
+    /// Resets the slow start of a worker that started at `started_at`. Slots before `budget_from` belong to
+    /// an earlier incarnation of this controller.
     pub(crate) fn restart(&mut self, started_at: Option<Micros>, budget_from: Option<Micros>) {
         self.started_at = started_at;
         self.budget_from = budget_from;
@@ -65,199 +65,202 @@
     }
 }
 
-/// Load pressure at a worker as measured at one time; 1 is the most that is sent to by choice.
+/// Load pressure of a worker at one point in time; at 1 the worker is avoided if another one can take the
+/// call.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct PressureSample {
-    /// The pressure at that time.
+    /// The measured pressure.
     pub(crate) value: f64,
-    /// When it was measured.
+    /// Time of the measurement.
     pub(crate) at: Micros,
 }
 
-/// A load report and when it came.
+/// A load report with its time of receipt.
 #[derive(Clone, Copy)]
 pub(crate) struct ReceivedReport {
-    /// The report.
+    /// The content of the report.
     pub(crate) report: Report,
-    /// When it came.
+    /// Time of receipt.
     pub(crate) at: Micros,
 }
 
-/// What is known of one function.
+/// State of one function.
 #[derive(Default)]
 pub(crate) struct Function {
-    /// Latencies of its last served attempts, without those that waited for a load.
+    /// Latencies of the last served attempts, excluding those that waited for a load.
     pub(crate) latencies: VecDeque<f64>,
-    /// Its arrivals within the arrival window.
+    /// Arrival times within the arrival window.
     pub(crate) arrivals: VecDeque<Micros>,
-    /// Calls that one replica runs at once.
+    /// Number of calls that one replica runs concurrently.
     pub(crate) lanes: u32,
-    /// Its usual load time, where notified or learnt.
+    /// Expected load time in microseconds, if it was given with a request or measured.
     pub(crate) load_time: Option<f64>,
-    /// When a replica was last found, by worker.
+    /// When a replica was last observed, by worker.
     pub(crate) warm_replicas: BTreeMap<WorkerId, Micros>,
-    /// When our load under way began, by worker.
+    /// Start times of the loads that this controller has pending, by worker.
     pub(crate) pending_loads: BTreeMap<WorkerId, Micros>,
-    /// Workers that had no room for a replica, or failed to load it.
+    /// Workers that rejected a replica for lack of memory or failed to load it.
     pub(crate) avoided: BTreeMap<WorkerId, Avoidance>,
-    /// Attempts in flight, by worker.
+    /// Number of attempts in flight, by worker.
     pub(crate) in_flight: BTreeMap<WorkerId, u32>,
-    /// When a replica was last ordered: what was found before is not relied on after a further miss.
+    /// When a replica was last ordered. If a call misses after that, replicas observed before it are no
+    /// longer trusted.
     pub(crate) last_order: Option<Micros>,
-    /// Calls of it over its lanes, as last reported by each worker.
+    /// Concurrent calls of the function divided by its lanes, as last reported by each worker.
     pub(crate) reported_pressure: BTreeMap<WorkerId, PressureSample>,
-    /// Its calls in the hold queue.
+    /// Number of calls in the hold queue.
     pub(crate) held_calls: u32,
-    /// When it was last called.
+    /// Time of the last call.
     pub(crate) last_call: Micros,
-    /// The first workers of its rendezvous order.
+    /// The first workers in the function's rendezvous order.
     pub(crate) homes: Homes,
-    /// The sweep that it last went through, as in `Controller::swept_at`.
+    /// Time of the last sweep applied to the function (see `Controller::swept_at`).
     pub(crate) swept_at: Micros,
-    /// Its key in `Controller::idle_functions`.
+    /// The function's bucket in `Controller::idle_functions`.
     pub(crate) idle_bucket: Micros,
 }
 
 impl Function {
-    /// Mean of the latencies kept, microseconds; 0 where there are none.
+    /// Mean of the recorded latencies in microseconds, or 0 if there are none.
     pub(crate) fn mean_latency(&self) -> f64 {
         self.latencies.iter().sum::<f64>() / self.latencies.len().max(1) as f64
     }
 }
 
-/// A worker that one function leaves alone for a while.
+/// A worker that one function temporarily avoids.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct Avoidance {
-    /// Until when.
+    /// End of the avoidance.
     pub(crate) until: Micros,
-    /// How often in a row it had no room; a failed load counts as several.
+    /// Consecutive rejections for lack of memory; a failed load counts as several.
     pub(crate) rejections: u32,
 }
 
-/// The order of the hold queue, lowest first. The order of the fields is the order of comparison.
+/// Sort key of the hold queue, lowest first. The field order defines the comparison.
 #[derive(Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Priority {
-    /// The call can't meet its latency objective any more.
+    /// The call can no longer meet its latency objective.
     pub(crate) objective_missed: bool,
-    /// Recent arrivals of its function times their mean latency, fixed at arrival.
+    /// Recent arrivals of the function times its mean latency, computed when the call arrives.
     pub(crate) recent_work: u64,
-    /// Order of arrival.
+    /// Arrival sequence number; breaks ties.
     pub(crate) sequence: u64,
 }
 
-/// A call that has no final answer yet.
+/// A call without a final answer.
 #[derive(Default)]
 pub(crate) struct Call {
-    /// Its class, as the index in the settings.
+    /// Index of the class in the settings.
     pub(crate) class: usize,
-    /// The function that it calls.
+    /// The called function.
     pub(crate) function: FunctionId,
-    /// When it arrived.
+    /// Arrival time.
     pub(crate) arrived: Micros,
-    /// When it gets its final answer at the latest.
+    /// Latest time of the final answer.
     pub(crate) answer_by: Micros,
-    /// Its place in the hold queue.
+    /// Position in the hold queue.
     pub(crate) priority: Priority,
-    /// Attempts begun.
+    /// Number of attempts started.
     pub(crate) attempts: u32,
     /// Number of the attempt in flight.
     pub(crate) in_flight: Option<u32>,
-    /// It is in the hold queue.
+    /// The call is in the hold queue.
     pub(crate) held: bool,
-    /// The first attempt that may have run.
+    /// The first attempt that may have executed.
     pub(crate) first_run: Option<FirstRun>,
-    /// Where the last attempt failed: tried again only when nothing else will do.
+    /// The worker of the last failed attempt; it is retried only if no other worker is eligible.
     pub(crate) failed_at: Option<WorkerId>,
-    /// Workers probed for it.
+    /// Number of load probes sent on behalf of the call.
     pub(crate) probes: u32,
-    /// Its answer has begun and belongs to the client.
+    /// The response stream has started; the call can no longer be retried.
     pub(crate) streaming: bool,
 }
 
-/// The first attempt of a call that may have run.
+/// The first attempt of a call that may have executed.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct FirstRun {
-    /// Where.
+    /// The worker it was sent to.
     pub(crate) worker: WorkerId,
-    /// When it was sent.
+    /// Send time.
     pub(crate) sent: Micros,
 }
 
-/// One attempt of one call. The order of the fields is the order of comparison.
+/// Identifies one attempt of a call. The field order defines the comparison.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct AttemptId {
-    /// The call.
+    /// The id of the call.
     pub(crate) request: RequestId,
-    /// The attempt's number within the call, from 0.
+    /// Number of the attempt within the call, from 0.
     pub(crate) number: u32,
 }
 
 /// An attempt in flight.
 pub(crate) struct Attempt {
-    /// Where it was sent.
+    /// The worker it was sent to.
     pub(crate) worker: WorkerId,
-    /// Its call's function.
+    /// The function of the call.
     pub(crate) function: FunctionId,
-    /// Its call's class.
+    /// Index of the call's class.
     pub(crate) class: usize,
-    /// When it was sent.
+    /// Send time.
     pub(crate) sent: Micros,
-    /// No warm replica was known there: it may wait for a load.
+    /// No warm replica was known at the worker, so that the attempt may wait for a load.
     pub(crate) loading: bool,
-    /// It is the trial of an ejected worker.
+    /// The attempt is a trial of an ejected worker.
     pub(crate) trial: bool,
-    /// A probe was sent because its response is overdue.
+    /// A probe was sent because the response is overdue.
     pub(crate) probed: bool,
 }
 
-/// How an attempt ended, with what the answer reports besides.
+/// The end of an attempt, with the additional information in its response.
 pub(crate) struct AttemptEnd {
-    /// How it ended.
+    /// The outcome.
     pub(crate) outcome: Outcome,
-    /// The call is finished: the client is owed nothing more.
+    /// The call is complete: the client expects no further response.
     pub(crate) finished: bool,
-    /// Time since it was sent.
+    /// Time since the attempt was sent.
     pub(crate) elapsed: Micros,
-    /// What it reports of loaded replicas.
+    /// Replica state reported by the worker.
     pub(crate) note: Option<LoadNote>,
-    /// Calls of the function that the worker held, where reported.
+    /// Concurrent calls of the function at the worker, if reported.
     pub(crate) concurrent_calls: Option<u32>,
 }
 
-/// Something to do at a time. The order of the fields is the order in which timers run.
+/// A scheduled timer. The field order defines the order in which timers run.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Timer {
-    /// When.
+    /// Expiry time.
     pub(crate) at: Micros,
-    /// What.
+    /// What to do on expiry.
     pub(crate) kind: TimerKind,
 }
 
-/// What a timer is for. Timers of one time run in the order of the variants, then of the ids.
+/// The purpose of a timer. Timers that expire at the same time run in the order of the variants, then of the
+/// ids.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum TimerKind {
-    /// The call must have its final answer now.
+    /// The final answer of the call is due.
     AnswerDeadline(RequestId),
-    /// The held call can't meet its latency objective any more.
+    /// The held call can no longer meet its latency objective.
     ObjectivePassed(RequestId),
-    /// The worker's pending responses are checked.
+    /// Check the worker for overdue responses.
     ResponseTimeout(WorkerId),
-    /// Held calls are looked at without an answer.
+    /// Try to release held calls; runs even if no response arrives.
     ReleaseHeld,
-    /// The worker list is polled again.
+    /// Poll the worker list again.
     PollList,
 }
 
-/// A replica that is known or loading. The order of the fields keeps a worker's replicas together.
+/// Key of a known or pending replica. The field order keeps the replicas of one worker adjacent.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct ReplicaKey {
-    /// Where.
+    /// The worker of the replica.
     pub(crate) worker: WorkerId,
-    /// Of what.
+    /// The replicated function.
     pub(crate) function: FunctionId,
 }
 
-/// Moves an exponentially weighted mean by one sample; the first sample is taken as it is.
+/// Updates an exponentially weighted mean with one sample; the first sample becomes the mean.
 pub(crate) fn update_mean(mean: &mut Option<f64>, sample: f64, weight: f64) {
     *mean = Some(mean.map_or(sample, |m| m + (sample - m) * weight));
 }
--- a/src/worker_order.rs
+++ b/src/worker_order.rs
@@ -1,7 +1,6 @@
-//! Walks along a function's rendezvous order, as far as the caller looks.
+//! Iterates lazily over the rendezvous order of a function.
 //!
-//! Which worker of the order takes a call is decided by [`crate::decision`]; how an order is found is with
-//! [`crate::rendezvous`].
+//! [`crate::decision`] chooses a worker from the order; [`crate::rendezvous`] computes it.
 
 use std::collections::BTreeMap;
 
@@ -10,17 +9,17 @@
 use crate::state::Function;
 
 impl Controller {
-    /// Brings the function's homes up to date: the first workers of its rendezvous order, the same at every
-    /// controller that holds the same list.
+    /// Updates the function's homes, the first workers in its rendezvous order. Controllers with the same
+    /// worker list compute the same homes.
     pub(crate) fn update_homes(&mut self, id: FunctionId) {
         if let Some(function) = self.functions.get_mut(&id) {
             function.homes.update(id, &mut self.fleet);
         }
     }
 
-    /// The function's order, or of it at least those workers that hold one of these replicas. Beyond its
-    /// homes and the next few, workers are left out that are not open to the class: no walk takes one of
-    /// these.
+    /// Returns the rendezvous order of the function. If `only` is given, the result may be limited to the
+    /// workers in it. Beyond the homes and the first few workers after them, workers that are not open to the
+    /// class are skipped, as they could not be selected anyway.
     pub(crate) fn walk_order<'a>(
         &'a self,
         id: FunctionId,
@@ -45,9 +44,9 @@
         ranked.into_iter().flatten().chain(use_full_order.then_some(order).into_iter().flatten())
     }
 
-    /// Which workers are open may have changed: it is worked out again. Called as an event begins; what
-    /// opens a worker in an event does so before calls are placed or released, and placing calls opens
-    /// none.
+    /// Discards the cached candidates of all classes. Called at the start of each event, because events
+    /// change which workers are open. Within one event the cache stays valid: workers become open only before
+    /// calls are placed or released, and placing a call opens no worker.
     pub(crate) fn clear_candidates(&mut self) {
         for candidates in &mut self.candidates {
             candidates.take();
