--- a/adapter/src/controllers.rs
+++ b/adapter/src/controllers.rs
@@ -1,6 +1,6 @@
-//! The controllers of a simulation, by the simulator's number.
+//! The controllers of a simulation, by the id that the simulator assigned.
 //!
-//! Leaves the wire's words to [`crate::wire`].
+//! [`crate::wire`] parses events and formats actions.
 
 use std::collections::BTreeMap;
 
@@ -9,28 +9,32 @@
 
 use crate::wire::{self, EventError, Fields, Names, WireError};
 
-/// One controller with the names that its settings and events use.
+/// A controller with the name tables of its settings and events.
 struct Instance {
     controller: Controller,
     names: Names,
 }
 
-/// All controllers that the simulator has enlisted.
+/// All controllers that the simulator has started.
 #[derive(Default)]
 pub(crate) struct Controllers {
     instances: BTreeMap<u64, Instance>,
 }
 
 impl Controllers {
-    /// Takes one batch of events, and returns the reply line.
-    pub(crate) fn answer(&mut self, text: &str) -> Result<String, WireError> {
+    /// Handles one batch of events and returns the reply line.
+    pub(crate) fn handle_batch(&mut self, text: &str) -> Result<String, WireError> {
         let line: Value = serde_json::from_str(text).map_err(WireError::NotJson)?;
-        let time = line.get("t_ms").ok_or(WireError::Batch("no t_ms"))?;
+        let time = line.get("t_ms").ok_or(WireError::Batch("t_ms is missing"))?;
         let now = wire::micros(time).ok_or(WireError::Batch("t_ms is not a time"))?;
-        let turn =
-            line.get("turn").filter(|v| v.is_u64()).ok_or(WireError::Batch("no whole number in turn"))?;
-        let input =
-            line.get("input").and_then(Value::as_array).ok_or(WireError::Batch("no array in input"))?;
+        let turn = line
+            .get("turn")
+            .filter(|v| v.is_u64())
+            .ok_or(WireError::Batch("turn is missing or not a whole number"))?;
+        let input = line
+            .get("input")
+            .and_then(Value::as_array)
+            .ok_or(WireError::Batch("input is missing or not an array"))?;
         let mut outbox = String::new();
         for (index, event) in input.iter().enumerate() {
             self.handle(now, event, &mut outbox)
@@ -45,15 +49,15 @@
         let fields = Fields { name, parts };
         let id = fields.integer(1, "controller_id")?;
         match name {
-            "ENLIST" => self.enlist(id, &fields)?,
+            "ENLIST" => self.start_controller(id, &fields)?,
             "DESTROY" => _ = self.instances.remove(&id),
-            _ => self.pass_on(id, now, &fields, outbox)?,
+            _ => self.forward_event(id, now, &fields, outbox)?,
         }
         Ok(())
     }
 
-    /// Starts a controller.
-    fn enlist(&mut self, id: u64, fields: &Fields) -> Result<(), EventError> {
+    /// Creates a controller from the settings in the event.
+    fn start_controller(&mut self, id: u64, fields: &Fields) -> Result<(), EventError> {
         let seed = fields.integer(2, "salt")?;
         let info = fields.parts.get(3).filter(|v| v.is_object()).ok_or(EventError::NoInfo)?;
         let mut names = Names::default();
@@ -63,8 +67,8 @@
         Ok(())
     }
 
-    /// Passes an event on to its controller, and appends its actions to the outbox.
-    fn pass_on(
+    /// Passes an event to its controller and appends the resulting actions to the outbox.
+    fn forward_event(
         &mut self,
         id: u64,
         now: Micros,
@@ -72,7 +76,7 @@
         outbox: &mut String,
     ) -> Result<(), EventError> {
         let Some(instance) = self.instances.get_mut(&id) else {
-            // The event is read even for an instance that has gone, so that what is malformed always shows.
+            // Events for a removed controller are parsed too, so that malformed input is always reported.
             let mut names = Names::lenient();
             return wire::read_event(fields, &mut names).map(|_| ());
         };
--- a/adapter/src/main.rs
+++ b/adapter/src/main.rs
@@ -1,6 +1,7 @@
-//! Speaks the simulator's wire: turns its lines into the library's events and actions back into lines.
+//! Connects the library to the simulator: converts its input lines to events, and actions to output lines.
 //!
-//! Decides nothing. One line of standard input is one batch of events, one line of standard output the reply.
+//! Makes no decisions. Each line of standard input is a batch of events; each line of standard output is the
+//! reply to one batch.
 
 mod controllers;
 mod wire;
@@ -22,7 +23,7 @@
     }
 }
 
-/// Answers one line; an empty one has no answer.
+/// Handles one line and writes its reply; an empty line has none.
 fn answer_line(
     controllers: &mut Controllers,
     line: std::io::Result<String>,
@@ -32,7 +33,7 @@
     if line.trim().is_empty() {
         return Ok(());
     }
-    let reply = controllers.answer(&line)?;
+    let reply = controllers.handle_batch(&line)?;
     output.write_all(reply.as_bytes())?;
     output.flush()?;
     Ok(())
--- a/adapter/src/wire.rs
+++ b/adapter/src/wire.rs
@@ -1,4 +1,4 @@
-//! The wire's words and the library's, side by side.
+//! Conversion between the simulator's wire format and the library's types.
 
 mod actions;
 mod error;
--- a/adapter/src/wire/actions.rs
+++ b/adapter/src/wire/actions.rs
@@ -1,13 +1,13 @@
-//! The library's actions as those of the wire.
+//! Formats the library's actions in the wire format.
 
 use std::fmt::Write;
 
 use nettleferry::{Action, Micros};
 use serde_json::Value;
 
-/// Appends one action of a controller to the reply.
+/// Appends one action of the controller `id` to the outbox.
 pub(crate) fn write_action(id: u64, action: &Action, out: &mut String) {
-    // The simulator carries an order in the moment in which it is given: it has left.
+    // The simulator sends a load order at the moment it receives it, so that the order can't be cancelled.
     if matches!(action, Action::CancelLoad { .. }) {
         return;
     }
--- a/adapter/src/wire/error.rs
+++ b/adapter/src/wire/error.rs
@@ -1,26 +1,26 @@
-//! What makes a line of the wire unusable.
+//! Errors in the simulator's input.
 
 use nettleferry::SettingsError;
 use nettleferry_platform_settings::FieldError as SettingsFieldError;
 
-/// Why a line has no reply.
+/// Why a line can't be answered.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum WireError {
     /// Standard input or output failed.
     #[error(transparent)]
     Io(#[from] std::io::Error),
-    /// The line is no JSON.
+    /// The line is not valid JSON.
     #[error("not JSON: {0}")]
     NotJson(serde_json::Error),
-    /// The batch is incomplete.
+    /// A field of the batch is missing or invalid.
     #[error("{0}")]
     Batch(&'static str),
-    /// One of its events is malformed.
+    /// An event of the batch is malformed.
     #[error("event {number}: {error}")]
     Event {
         /// The event's number within the batch, from 1.
         number: usize,
-        /// What is wrong with it.
+        /// The error in the event.
         error: EventError,
     },
 }
@@ -28,55 +28,55 @@
 /// Why an event is malformed.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum EventError {
-    /// It is no array.
+    /// The event is not an array.
     #[error("not an array")]
     NotAnArray,
-    /// The array does not begin with a name.
-    #[error("no name")]
+    /// The first value of the array is not a string.
+    #[error("name is missing or not a string")]
     NoName,
-    /// The name is unknown.
+    /// There is no event of this name.
     #[error("{0}: no such event")]
     UnknownEvent(String),
-    /// A controller starts without settings.
+    /// The event that starts a controller has no settings object.
     #[error("ENLIST: no object in info")]
     NoInfo,
-    /// A controller's settings can't be read.
+    /// The settings of a controller can't be parsed.
     #[error("ENLIST: {0}")]
     Settings(#[from] SettingsFieldError),
-    /// No controller can work with the settings.
+    /// The settings of a controller are invalid.
     #[error("ENLIST: {0}")]
     Controller(#[from] SettingsError),
-    /// A field is missing or is not what it must be.
+    /// A field is missing or invalid.
     #[error("{event}: {field} {error}")]
     Field {
         /// The event's name.
         event: String,
         /// The field's name.
         field: &'static str,
-        /// What is wrong with it.
+        /// The error in the field.
         error: FieldError,
     },
 }
 
-/// Why a field can't be used.
+/// Why a field is invalid.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum FieldError {
-    /// The array ends before it.
+    /// The array ends before the field.
     #[error("is missing (the array is too short)")]
     Missing,
-    /// It is of another kind than this.
+    /// The value does not have the expected type, which is given here.
     #[error("is not {0}")]
     NotA(&'static str),
-    /// It is a keyword that the wire does not have.
+    /// The value is not a keyword of the wire format.
     #[error("is unknown")]
     UnknownKeyword,
-    /// It is a number that the wire does not have.
+    /// The value is not a number of the wire format.
     #[error("{0} is unknown")]
     UnknownNumber(u64),
-    /// It names a class that the settings do not have.
-    #[error("names no class")]
+    /// The settings have no request class of this name.
+    #[error("is not a known class")]
     UnknownClass,
-    /// An entry of the worker list is no array.
+    /// An entry of the worker list is not an array.
     #[error("hold an entry that is not an array")]
     EntryNotAnArray,
     /// An entry of the worker list is malformed.
--- a/adapter/src/wire/events.rs
+++ b/adapter/src/wire/events.rs
@@ -1,4 +1,4 @@
-//! Events of the wire as the library's.
+//! Parses events in the wire format.
 
 use nettleferry::*;
 use serde_json::Value;
@@ -6,24 +6,27 @@
 use super::error::{EventError, FieldError};
 use super::{Fields, Names};
 
-/// Bit of a request's flags: the size hint holds.
+/// Request flag: the size hint is valid.
 const FLAG_SIZE_HINT: u64 = 1;
-/// Bit of a request's flags: the client marked it as a repeat.
+/// Request flag: the client marked the request as a retry.
 const FLAG_REPEAT: u64 = 2;
-/// Most calls that one replica runs at once, and most replicas, as taken from the wire.
+/// Upper bound for lanes and replica counts; larger values are clamped.
 const COUNT_MAX: u64 = 1 << 20;
-/// The lower part of a verdict's detail is the load note, the rest the calls that the worker held.
-const DETAIL_NOTES: u64 = 8;
-/// Most calls that a verdict reports as held.
-const HELD_CALLS_MAX: u64 = 30;
+/// Modulus that separates the two parts of a verdict's detail: the remainder is the load note, the quotient
+/// the number of concurrent calls.
+const DETAIL_NOTE_MODULUS: u64 = 8;
+/// Upper bound for the concurrent calls of a verdict; larger values are clamped.
+const CONCURRENT_CALLS_MAX: u64 = 30;
 
-/// One event of the wire as the library's.
+/// Parses one event.
 pub(crate) fn read_event(fields: &Fields, names: &mut Names) -> Result<Event, EventError> {
     Ok(match fields.name {
         "TOPOLOGY" => worker_list(fields, names)?,
         "INBOUND" => Event::Request(request(fields, names)?),
         "VERDICT" => outcome(fields)?,
-        "FIRST" => Event::Started { request: fields.ticket()?, attempt: fields.integer(4, "leg")? as u32 },
+        "FIRST" => {
+            Event::Started { request: fields.request_id()?, attempt: fields.integer(4, "leg")? as u32 }
+        }
         "BROUGHT_UP" => Event::Loaded {
             worker: WorkerId(fields.integer(2, "invoker")?),
             outcome: fields.outcome(3)?,
@@ -37,7 +40,7 @@
             report: fields.report(5)?,
         },
         "WAKE" => Event::Timer { tag: fields.integer(2, "tag")? },
-        "TIMED_OUT_CLIENT" => Event::ClientGone { request: fields.ticket()? },
+        "TIMED_OUT_CLIENT" => Event::ClientGone { request: fields.request_id()? },
         "FROM_PEER" => {
             let bytes = hex(fields.text(3, "content")?)
                 .ok_or_else(|| fields.error("content", FieldError::NotA("hex")))?;
@@ -67,10 +70,10 @@
 fn entry(item: &Value, names: &mut Names) -> Result<WorkerEntry, FieldError> {
     let parts = item.as_array().ok_or(FieldError::EntryNotAnArray)?;
     let fields = Fields { name: "entry", parts };
-    entry_of(&fields, names).map_err(|error| FieldError::Entry(Box::new(error)))
+    parse_entry(&fields, names).map_err(|error| FieldError::Entry(Box::new(error)))
 }
 
-fn entry_of(fields: &Fields, names: &mut Names) -> Result<WorkerEntry, EventError> {
+fn parse_entry(fields: &Fields, names: &mut Names) -> Result<WorkerEntry, EventError> {
     let zone = fields.text(0, "failure_domain")?;
     let kind = fields.text(2, "kind")?;
     Ok(WorkerEntry {
@@ -98,7 +101,7 @@
     };
     let flags = fields.optional_integer(11, "flags")?.unwrap_or(0);
     Ok(Request {
-        id: fields.ticket()?,
+        id: fields.request_id()?,
         class,
         tenant,
         function: FunctionId(fields.integer(5, "fn")?),
@@ -113,27 +116,28 @@
 fn outcome(fields: &Fields) -> Result<Event, EventError> {
     let detail = fields.optional_integer(5, "detail")?.unwrap_or(0);
     let outcome = fields.outcome(7)?;
-    let reports_held = matches!(outcome, Outcome::Ok | Outcome::Rejected);
+    let reports_concurrency = matches!(outcome, Outcome::Ok | Outcome::Rejected);
     Ok(Event::Outcome {
-        request: fields.ticket()?,
+        request: fields.request_id()?,
         finished: fields.boolean(3, "over")?,
         worker: WorkerId(fields.integer(4, "invoker")?),
         attempt: fields.integer(6, "leg")? as u32,
         outcome,
         elapsed: fields.time(8, "rtt_ms")?,
-        note: match detail % DETAIL_NOTES {
+        note: match detail % DETAIL_NOTE_MODULUS {
             1 => Some(LoadNote::Warm),
             2 => Some(LoadNote::Began),
             3 => Some(LoadNote::Waited),
             4 => Some(LoadNote::Failed),
             _ => None,
         },
-        concurrent_calls: reports_held.then_some((detail / DETAIL_NOTES).min(HELD_CALLS_MAX) as u32),
+        concurrent_calls: reports_concurrency
+            .then_some((detail / DETAIL_NOTE_MODULUS).min(CONCURRENT_CALLS_MAX) as u32),
         report: fields.report(9)?,
     })
 }
 
-/// Bytes from pairs of hexadecimal digits.
+/// Decodes a string of hexadecimal digit pairs.
 fn hex(text: &str) -> Option<Vec<u8>> {
     let byte = |pair: &[u8]| {
         let pair = std::str::from_utf8(pair).ok().filter(|p| p.len() == 2)?;
--- a/adapter/src/wire/fields.rs
+++ b/adapter/src/wire/fields.rs
@@ -1,4 +1,4 @@
-//! The values of one event, by their index in the array.
+//! Typed access to the fields of an event by array index.
 
 use nettleferry::{Micros, Outcome, Report, RequestId};
 use serde_json::Value;
@@ -6,19 +6,19 @@
 use super::error::{EventError, FieldError};
 use super::micros;
 
-/// Hexadecimal digits of a request's id.
-const TICKET_DIGITS: usize = 16;
+/// Number of hexadecimal digits in a request id.
+const REQUEST_ID_DIGITS: usize = 16;
 
-/// The values of one event, or of one entry of the worker list.
+/// The fields of an event, or of an entry of the worker list.
 pub(crate) struct Fields<'a> {
-    /// Its name.
+    /// The name used in error messages.
     pub(crate) name: &'a str,
-    /// The complete array.
+    /// The complete array, including the event's name.
     pub(crate) parts: &'a [Value],
 }
 
 impl Fields<'_> {
-    /// What is wrong with a field of this event.
+    /// Creates an error for a field of this event.
     pub(super) fn error(&self, field: &'static str, error: FieldError) -> EventError {
         EventError::Field { event: self.name.to_string(), field, error }
     }
@@ -27,13 +27,13 @@
         self.parts.get(index).ok_or_else(|| self.error(field, FieldError::Missing))
     }
 
-    /// A whole number of at least 0.
+    /// Returns a non-negative integer.
     pub(crate) fn integer(&self, index: usize, field: &'static str) -> Result<u64, EventError> {
         let value = self.get(index, field)?;
         value.as_u64().ok_or_else(|| self.error(field, FieldError::NotA("a whole number")))
     }
 
-    /// A whole number of at least 0, or null.
+    /// Returns a non-negative integer, or `None` for null.
     pub(super) fn optional_integer(
         &self,
         index: usize,
@@ -53,12 +53,12 @@
         self.get(index, field)?.as_bool().ok_or_else(|| self.error(field, FieldError::NotA("true or false")))
     }
 
-    /// A time or span, on the wire in milliseconds.
+    /// Returns a time or duration, which the wire format has in milliseconds.
     pub(super) fn time(&self, index: usize, field: &'static str) -> Result<Micros, EventError> {
         micros(self.get(index, field)?).ok_or_else(|| self.error(field, FieldError::NotA("a time")))
     }
 
-    /// A time or span, or null.
+    /// Returns a time or duration, or `None` for null.
     pub(super) fn optional_time(
         &self,
         index: usize,
@@ -70,16 +70,16 @@
         }
     }
 
-    /// The request's id, the third field of all events of a request.
-    pub(super) fn ticket(&self) -> Result<RequestId, EventError> {
+    /// Returns the request id, which is the third value of every event about a request.
+    pub(super) fn request_id(&self) -> Result<RequestId, EventError> {
         let text = self.text(2, "ticket")?;
         let digit = |b: u8| b.is_ascii_digit() || (b'a'..=b'f').contains(&b);
-        let valid = text.len() == TICKET_DIGITS && text.bytes().all(digit);
+        let valid = text.len() == REQUEST_ID_DIGITS && text.bytes().all(digit);
         let id = if valid { u64::from_str_radix(text, 16).ok() } else { None };
         id.map(RequestId).ok_or_else(|| self.error("ticket", FieldError::NotA("16 hex digits")))
     }
 
-    /// A load report, or null.
+    /// Returns a load report, or `None` for null.
     pub(super) fn report(&self, index: usize) -> Result<Option<Report>, EventError> {
         let map = match self.get(index, "report")? {
             Value::Null => return Ok(None),
@@ -96,7 +96,7 @@
         }))
     }
 
-    /// How an attempt, a probe or an order ended.
+    /// Returns the outcome of an attempt, a probe or a load order.
     pub(super) fn outcome(&self, index: usize) -> Result<Outcome, EventError> {
         Ok(match self.integer(index, "verdict")? {
             1 => Outcome::Ok,
--- a/adapter/src/wire/names.rs
+++ b/adapter/src/wire/names.rs
@@ -1,4 +1,4 @@
-//! Names of the wire, as the small numbers that the library uses.
+//! Maps the names of the wire format to the numeric ids of the library.
 
 use std::collections::BTreeMap;
 
@@ -7,24 +7,24 @@
 
 use super::error::EventError;
 
-/// The names that one controller's settings and events use.
+/// The names used by the settings and events of one controller.
 #[derive(Default)]
 pub(crate) struct Names {
     classes: BTreeMap<String, usize>,
     tenants: BTreeMap<String, usize>,
     zones: BTreeMap<String, u32>,
     kinds: BTreeMap<String, u32>,
-    /// Unknown classes are let through: there is no controller to use them.
+    /// Unknown classes are accepted, as there is no controller to handle the event.
     lenient: bool,
 }
 
 impl Names {
-    /// Names that let unknown classes through.
+    /// Creates an empty table that accepts unknown classes.
     pub(crate) fn lenient() -> Self {
         Self { lenient: true, ..Self::default() }
     }
 
-    /// Reads a controller's settings; its zone is numbered among the list's.
+    /// Parses the settings of a controller. Its zone shares the numbering of the zones in the worker list.
     pub(crate) fn settings(&mut self, info: &Value) -> Result<Settings, EventError> {
         let platform = nettleferry_platform_settings::read(info)?;
         let indexed = |names: Vec<String>| {
@@ -36,29 +36,29 @@
         Ok(Settings { zone, ..platform.settings })
     }
 
-    /// A class by its name.
+    /// Returns the id of a class, or `None` if it is unknown.
     pub(super) fn class(&self, name: &str) -> Option<ClassId> {
         let index = self.classes.get(name).copied().or(if self.lenient { Some(0) } else { None });
         index.map(ClassId)
     }
 
-    /// A tenant by its name.
+    /// Returns the id of a tenant, or `None` if it is unknown.
     pub(super) fn tenant(&self, name: &str) -> Option<TenantId> {
         self.tenants.get(name).copied().map(TenantId)
     }
 
-    /// A zone's number; a new name gets the next.
+    /// Returns the id of a zone; a new name gets the next free id.
     pub(super) fn zone(&mut self, name: &str) -> ZoneId {
-        ZoneId(number(&mut self.zones, name))
+        ZoneId(id_of(&mut self.zones, name))
     }
 
-    /// A machine kind's number; a new name gets the next.
+    /// Returns the id of a machine kind; a new name gets the next free id.
     pub(super) fn kind(&mut self, name: &str) -> KindId {
-        KindId(number(&mut self.kinds, name))
+        KindId(id_of(&mut self.kinds, name))
     }
 }
 
-fn number(map: &mut BTreeMap<String, u32>, name: &str) -> u32 {
+fn id_of(map: &mut BTreeMap<String, u32>, name: &str) -> u32 {
     let next = map.len() as u32;
     *map.entry(name.to_string()).or_insert(next)
 }
--- a/adapter/tests/malformed.rs
+++ b/adapter/tests/malformed.rs
@@ -1,4 +1,4 @@
-//! Malformed input ends the adapter with a plain message and a non-zero code, never a panic.
+//! Malformed input must end the adapter with an error message and a non-zero exit code, never with a panic.
 
 use std::io::Write;
 use std::process::{Command, Stdio};
@@ -10,7 +10,7 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("the adapter starts");
-    // It may end before all is read; what it prints is what counts.
+    // The adapter may exit before it has read all input; only its output is checked.
     let _ = child.stdin.take().expect("piped").write_all(input.as_bytes());
     let out = child.wait_with_output().expect("the adapter ends");
     let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
--- a/src/decision/timers.rs
+++ b/src/decision/timers.rs
@@ -36,7 +36,7 @@
         self.sweep_idle_functions();
     }
 
-    /// Requests an event for the earliest timer, unless one is already due at that time or before.
+    /// Requests an event for the earliest timer, unless one is already requested for that time or earlier.
     pub(super) fn arm_timer(&mut self) {
         if self.armed_for.is_some_and(|t| t <= self.now) {
             self.armed_for = None;
--- a/src/interface/actions.rs
+++ b/src/interface/actions.rs
@@ -25,7 +25,7 @@
     Refuse {
         /// The refused request.
         request: RequestId,
-        /// How long the client is advised to wait before it retries.
+        /// How long the client is advised to wait before it retries; `None` for no advice.
         retry_after: Option<Micros>,
     },
     /// Send the final answer: the request failed, and it may or may not have executed.
--- a/src/rendezvous/tests.rs
+++ b/src/rendezvous/tests.rs
@@ -3,9 +3,9 @@
 use super::*;
 
 /// A deterministic random generator, so that the tests use the same values on every platform.
-struct Draw(u64);
+struct TestRng(u64);
 
-impl Draw {
+impl TestRng {
     fn below(&mut self, n: u64) -> u64 {
         self.0 = self.0.wrapping_add(1);
         splitmix64(self.0) % n
@@ -33,12 +33,12 @@
 
 /// A fleet, and the same list as a plain map.
 #[derive(Default)]
-struct Pair {
+struct FleetWithReference {
     fleet: Fleet,
     listed: BTreeMap<WorkerId, f64>,
 }
 
-impl Pair {
+impl FleetWithReference {
     fn set(&mut self, worker: u64, weight: Option<f64>) {
         self.fleet.set(WorkerId(worker), weight);
         match weight {
@@ -50,18 +50,26 @@
     fn check(&mut self, function: FunctionId, homes: &mut Homes) {
         homes.update(function, &mut self.fleet);
         let complete = reference(function, &self.listed);
-        assert_eq!(homes.workers(), &complete[..homes.workers().len()], "the homes are the order's first");
+        assert_eq!(
+            homes.workers(),
+            &complete[..homes.workers().len()],
+            "the homes are the first workers of the order"
+        );
         assert_eq!(homes.covers_all(), homes.workers().len() == complete.len() || complete.is_empty());
-        assert!(homes.workers().len() >= MIN_HOMES.min(complete.len()), "enough of them");
-        assert!(homes.workers().len() <= COMPLETE_LIST, "and not too many");
-        assert_eq!(walked(function, homes, &self.fleet, None), complete, "the order goes on");
+        assert!(homes.workers().len() >= MIN_HOMES.min(complete.len()), "the homes are not too few");
+        assert!(homes.workers().len() <= COMPLETE_LIST, "the homes are not too many");
+        assert_eq!(
+            walked(function, homes, &self.fleet, None),
+            complete,
+            "the order continues beyond the homes"
+        );
     }
 
     /// Checks that an iteration over the open workers returns these and the homes, in order.
-    fn check_open(&self, function: FunctionId, homes: &Homes, draw: &mut Draw) {
+    fn check_open(&self, function: FunctionId, homes: &Homes, rng: &mut TestRng) {
         let mut open = Candidates::default();
         for (worker, weight) in &self.listed {
-            if draw.below(5) == 0 {
+            if rng.below(5) == 0 {
                 open.push(*worker, *weight);
             }
         }
@@ -70,8 +78,8 @@
         assert_eq!(walked(function, homes, &self.fleet, Some(&open)), expected);
     }
 
-    fn check_ranked(&self, function: FunctionId, draw: &mut Draw) {
-        let some: Vec<WorkerId> = (0..9).map(|_| WorkerId(draw.below(900))).collect();
+    fn check_ranked(&self, function: FunctionId, rng: &mut TestRng) {
+        let some: Vec<WorkerId> = (0..9).map(|_| WorkerId(rng.below(900))).collect();
         let mut expected = reference(function, &self.listed);
         expected.retain(|w| some.contains(w));
         let mut ranked = self.fleet.ranked(function, some.into_iter());
@@ -82,41 +90,41 @@
 
 /// Weights as they may occur in a list: equal, all different, far apart, and at the limits of the float
 /// range.
-fn weight(draw: &mut Draw, kind: u64) -> f64 {
+fn weight(rng: &mut TestRng, kind: u64) -> f64 {
     let edges = [f64::INFINITY, f64::MAX, f64::MIN_POSITIVE, 5e-324, 1e9, 1e-9, 1.0];
     match kind {
         0 => 1.0,
-        1 => 0.25 * (1 + draw.below(16)) as f64,
-        2 => 0.1 + draw.below(1 << 40) as f64 / 1e11,
-        _ => edges[draw.below(edges.len() as u64) as usize],
+        1 => 0.25 * (1 + rng.below(16)) as f64,
+        2 => 0.1 + rng.below(1 << 40) as f64 / 1e11,
+        _ => edges[rng.below(edges.len() as u64) as usize],
     }
 }
 
 #[test]
 fn the_order_equals_that_of_sorting_all_workers() {
     for seed in 0..40 {
-        let mut draw = Draw(seed << 32);
-        let (size, kind) = ([1, 9, 70, 200, 700][seed as usize % 5], draw.below(4));
-        let mut pair = Pair::default();
+        let mut rng = TestRng(seed << 32);
+        let (size, kind) = ([1, 9, 70, 200, 700][seed as usize % 5], rng.below(4));
+        let mut fleet = FleetWithReference::default();
         for worker in 0..size {
-            let weight = weight(&mut draw, kind);
-            pair.set(worker, Some(weight));
+            let weight = weight(&mut rng, kind);
+            fleet.set(worker, Some(weight));
         }
         let mut functions: Vec<(FunctionId, Homes)> =
-            (0..6).map(|_| (FunctionId(draw.below(u64::MAX)), Homes::default())).collect();
+            (0..6).map(|_| (FunctionId(rng.below(u64::MAX)), Homes::default())).collect();
         for _ in 0..60 {
-            let most = [1, 3, 12, size][draw.below(4) as usize];
-            for _ in 0..1 + draw.below(most) {
-                let worker = draw.below(size + size / 4 + 1);
-                let weight = Some(weight(&mut draw, kind)).filter(|_| draw.below(3) > 0);
-                pair.set(worker, weight);
+            let most = [1, 3, 12, size][rng.below(4) as usize];
+            for _ in 0..1 + rng.below(most) {
+                let worker = rng.below(size + size / 4 + 1);
+                let weight = Some(weight(&mut rng, kind)).filter(|_| rng.below(3) > 0);
+                fleet.set(worker, weight);
             }
             // Some functions are updated after every change, others miss many.
             for (function, homes) in &mut functions {
-                if draw.below(3) == 0 {
-                    pair.check(*function, homes);
-                    pair.check_open(*function, homes, &mut draw);
-                    pair.check_ranked(*function, &mut draw);
+                if rng.below(3) == 0 {
+                    fleet.check(*function, homes);
+                    fleet.check_open(*function, homes, &mut rng);
+                    fleet.check_ranked(*function, &mut rng);
                 }
             }
         }
@@ -125,26 +133,26 @@
 
 #[test]
 fn homes_are_refilled_in_order_as_workers_leave_one_by_one() {
-    let mut pair = Pair::default();
-    (0..500).for_each(|worker| pair.set(worker, Some(1.0)));
+    let mut fleet = FleetWithReference::default();
+    (0..500).for_each(|worker| fleet.set(worker, Some(1.0)));
     let (function, mut homes) = (FunctionId(7), Homes::default());
-    pair.check(function, &mut homes);
+    fleet.check(function, &mut homes);
     for _ in 0..450 {
         let home = homes.workers()[0];
-        pair.set(home.0, None);
-        pair.check(function, &mut homes);
+        fleet.set(home.0, None);
+        fleet.check(function, &mut homes);
     }
 }
 
 #[test]
 fn a_completely_replaced_list_and_its_return_are_applied() {
-    let mut pair = Pair::default();
+    let mut fleet = FleetWithReference::default();
     let (function, mut homes) = (FunctionId(99), Homes::default());
     for round in 0..4 {
         let (from, other) = if round % 2 == 0 { (0, 10_000) } else { (10_000, 0) };
-        (0..1_500).for_each(|worker| pair.set(other + worker, None));
-        (0..1_500).for_each(|worker| pair.set(from + worker, Some(1.0)));
-        pair.check(function, &mut homes);
+        (0..1_500).for_each(|worker| fleet.set(other + worker, None));
+        (0..1_500).for_each(|worker| fleet.set(from + worker, Some(1.0)));
+        fleet.check(function, &mut homes);
     }
 }
 
@@ -153,19 +161,19 @@
 fn the_grouping_of_changes_makes_no_difference() {
     let function = FunctionId(3);
     for step in [1, 7, 40, 4_000] {
-        let (mut pair, mut homes, mut draw) = (Pair::default(), Homes::default(), Draw(5));
-        (0..300).for_each(|worker| pair.set(worker, Some(1.0)));
-        pair.check(function, &mut homes);
+        let (mut fleet, mut homes, mut rng) = (FleetWithReference::default(), Homes::default(), TestRng(5));
+        (0..300).for_each(|worker| fleet.set(worker, Some(1.0)));
+        fleet.check(function, &mut homes);
         for change in 0..3_000 {
-            let worker = draw.below(400);
-            let weight = Some(1.0).filter(|_| draw.below(4) > 0);
-            pair.set(worker, weight);
+            let worker = rng.below(400);
+            let weight = Some(1.0).filter(|_| rng.below(4) > 0);
+            fleet.set(worker, weight);
             if change % step == 0 {
-                pair.check(function, &mut homes);
+                fleet.check(function, &mut homes);
             }
         }
         // All groupings draw the same changes and therefore end with the same reference order.
-        pair.check(function, &mut homes);
+        fleet.check(function, &mut homes);
     }
 }
 
--- a/tests/any_order.rs
+++ b/tests/any_order.rs
@@ -1,4 +1,5 @@
-//! One property test: random but legal event orders from a fixed seed, with the rules asserted throughout.
+//! Property test: plays random but legal sequences of events from fixed seeds and checks the rules at every
+//! action.
 
 mod common;
 use std::collections::BTreeMap;
@@ -6,7 +7,7 @@
 use common::*;
 use nettleferry::*;
 
-/// A generator of its own, so that the draws are the same wherever the tests run.
+/// A deterministic random generator, so that the tests use the same values on every platform.
 struct Random(u64);
 
 impl Random {
@@ -16,14 +17,14 @@
     }
 }
 
-/// An attempt as the test saw it.
+/// An attempt as recorded by the test.
 struct SeenAttempt {
     worker: u64,
     sent: Micros,
     end: Option<Outcome>,
 }
 
-/// A call as the test saw it.
+/// A call as recorded by the test.
 struct SeenCall {
     class: usize,
     due: Micros,
@@ -35,7 +36,7 @@
     matches!(outcome, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NeverSent | Outcome::NotLoaded)
 }
 
-/// Ends of attempts, to draw from.
+/// Outcomes to draw from; repeated entries are more likely.
 const ENDS: [Outcome; 9] = [
     Outcome::Ok,
     Outcome::Ok,
@@ -53,7 +54,7 @@
     harness: Harness,
     calls: BTreeMap<u64, SeenCall>,
     states: BTreeMap<u64, WorkerState>,
-    /// Load orders without an answer: worker and function.
+    /// Unanswered load orders, as pairs of worker and function.
     pending_orders: Vec<(u64, u64)>,
     orders: Vec<Micros>,
     arrivals: Vec<Micros>,
@@ -97,7 +98,7 @@
         assert!(answered > 300, "{answered}");
     }
 
-    /// Draws an event that is legal now.
+    /// Generates a random event that is legal in the current state.
     fn next_event(&mut self, step: u32) -> Vec<Action> {
         let in_flight: Vec<(u64, u32)> = self
             .calls
@@ -181,7 +182,7 @@
         self.harness.update_worker(worker, state, started_at)
     }
 
-    /// The rules, at each action.
+    /// Checks the rules for one action.
     fn check(&mut self, action: &Action) {
         match action {
             Action::Send { request, worker, .. } => self.check_send(request.0, worker.0),
@@ -189,22 +190,22 @@
                 let call = self.calls.get_mut(&request.0).unwrap();
                 let clean = call.attempts.iter().all(|a| a.end.is_some_and(proven_not_run));
                 assert!(clean || call.class == 0, "refused though it may have run");
-                assert!(!std::mem::replace(&mut call.answered, true), "answered once");
+                assert!(!std::mem::replace(&mut call.answered, true), "each call is answered once");
                 self.answered += 1;
             }
             Action::Fail { request } => {
                 let call = self.calls.get_mut(&request.0).unwrap();
-                assert!(!std::mem::replace(&mut call.answered, true), "answered once");
+                assert!(!std::mem::replace(&mut call.answered, true), "each call is answered once");
                 self.answered += 1;
             }
             Action::Load { worker, function, .. } => {
                 let now = self.harness.now;
-                assert_eq!(self.states[&worker.0], WorkerState::On, "drains are kept");
+                assert_eq!(self.states[&worker.0], WorkerState::On, "nothing new goes to a draining worker");
                 self.orders.push(now);
                 let inside = |t: &&Micros| **t + S >= now;
                 let arrived = self.arrivals.iter().filter(inside).count() as f64;
                 let ordered = self.orders.iter().filter(inside).count() as f64;
-                assert!(ordered <= 3.0 + 0.1 * arrived, "the ration is kept");
+                assert!(ordered <= 3.0 + 0.1 * arrived, "orders stay within the ration");
                 self.pending_orders.push((worker.0, function.0));
             }
             _ => {}
@@ -213,10 +214,10 @@
 
     fn check_send(&mut self, id: u64, worker: u64) {
         let now = self.harness.now;
-        let call = self.calls.get_mut(&id).expect("nothing is sent for a call that is over");
+        let call = self.calls.get_mut(&id).expect("nothing is sent for a completed call");
         assert!(!call.answered, "nothing is sent after the answer");
         assert!(call.attempts.iter().all(|a| a.end.is_some()), "one attempt at a time");
-        assert_eq!(self.states[&worker], WorkerState::On, "drains are kept");
+        assert_eq!(self.states[&worker], WorkerState::On, "nothing new goes to a draining worker");
         if let Some(first) = call.attempts.iter().find(|a| !proven_not_run(a.end.unwrap())) {
             assert_ne!(call.class, 1, "a non-idempotent call that may have run is not repeated");
             if call.class == 2 {
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A test harness for one controller: settings, and short ways to give it events and to read its actions.
+//! Test harness for one controller: default settings, and helpers to send events and inspect actions.
 #![allow(dead_code, reason = "each test file uses a part of this one")]
 
 use nettleferry::*;
@@ -6,7 +6,8 @@
 pub(crate) const MS: Micros = 1_000;
 pub(crate) const S: Micros = 1_000_000;
 
-/// Three controllers, one safe, one unsafe and one keyed class, absent functions loaded by the call.
+/// Settings of three controllers with an idempotent, a non-idempotent and a keyed class; calls of absent
+/// functions load them.
 pub(crate) fn settings() -> Settings {
     let class = |effect| Class {
         latency_objective: 500 * MS,
@@ -83,9 +84,9 @@
 }
 
 impl Harness {
-    /// A controller told of `n` workers, at 100 s on its clock.
+    /// Creates a controller that has received a list of `n` workers, at time 100 s.
     pub(crate) fn new(settings: Settings, n: u64) -> Self {
-        let controller = Controller::new(settings, 7).expect("settings are sound");
+        let controller = Controller::new(settings, 7).expect("the settings are valid");
         let workers = (1..=n).map(entry).collect();
         let mut harness = Self { controller, now: 100 * S, workers };
         let entries = harness.workers.clone();
@@ -99,7 +100,7 @@
         actions
     }
 
-    /// Lets time pass in steps, with the timer event that a set timer would bring.
+    /// Advances the time in steps of one event interval, with a timer event in each.
     pub(crate) fn advance(&mut self, span: Micros) -> Vec<Action> {
         let end = self.now + span;
         let mut all = Vec::new();
@@ -147,15 +148,21 @@
         })
     }
 
-    /// Has one call of the function served warm, so that the worker it went to is last warm. Tells that worker.
+    /// Has one call of the function served without a load, so that its worker becomes the last warm one;
+    /// returns that worker.
     pub(crate) fn serve_warm(&mut self, id: u64, function: u64, lanes: u32) -> u64 {
         let worker = sent(&self.call(id, 0, function, lanes)).expect("a first call is sent");
         self.end_attempt(id, 0, worker, Outcome::Ok, Some(LoadNote::Warm));
         worker
     }
 
-    pub(crate) fn update_worker(&mut self, id: u64, state: WorkerState, born: Option<Micros>) -> Vec<Action> {
-        let changed = WorkerEntry { state, started_at: born, ..entry(id) };
+    pub(crate) fn update_worker(
+        &mut self,
+        id: u64,
+        state: WorkerState,
+        started_at: Option<Micros>,
+    ) -> Vec<Action> {
+        let changed = WorkerEntry { state, started_at, ..entry(id) };
         self.handle(Event::Workers { form: ListForm::Changes, entries: vec![changed] })
     }
 }
@@ -174,12 +181,12 @@
     }
 }
 
-/// The worker of the first send among the actions.
+/// Returns the worker of the first send among the actions.
 pub(crate) fn sent(actions: &[Action]) -> Option<u64> {
     actions.iter().find_map(|a| if let Action::Send { worker, .. } = a { Some(worker.0) } else { None })
 }
 
-/// All sends among the actions: request and worker.
+/// Returns all sends among the actions, as pairs of request and worker.
 pub(crate) fn sends(actions: &[Action]) -> Vec<(u64, u64)> {
     let pair = |a: &Action| {
         if let Action::Send { request, worker, .. } = a { Some((request.0, worker.0)) } else { None }
--- a/tests/guards.rs
+++ b/tests/guards.rs
@@ -1,4 +1,4 @@
-//! One test for each guard: the failure it was written for.
+//! Tests of the guards; each reproduces the failure that the guard prevents.
 
 mod common;
 use common::*;
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn an_ejected_worker_returns_by_a_trial_that_is_not_non_idempotent() {
+fn the_trial_of_an_ejected_worker_is_never_a_non_idempotent_call() {
     let mut harness = Harness::new(settings(), 2);
     let home = harness.serve_warm(1, 9, 4);
     for id in 10..13 {
@@ -50,7 +50,11 @@
         }
     }
     harness.advance(20 * S);
-    assert_eq!(sent(&harness.call(20, 0, 9, 4)), Some(home), "its replica is forgotten and its bar is over");
+    assert_eq!(
+        sent(&harness.call(20, 0, 9, 4)),
+        Some(home),
+        "its replica is forgotten and its ejection is over"
+    );
     assert_ne!(sent(&harness.call(21, 0, 8, 4)), Some(home), "one trial at a time");
 }
 
@@ -62,14 +66,14 @@
         let mut harness = Harness::new(set, 2);
         let home = sent(&harness.call(99, 0, 9, 4)).expect("sent");
         harness.end_attempt(99, 0, home, Outcome::Ok, Some(LoadNote::Warm));
-        // A function of the same home, whose load is under way there, where it is ours that fills it.
+        // Another function with the same home. A pending load of it fills the home in the first case.
         let other = (10..40).find(|f| {
             let at = sent(&harness.call(100 + f, 0, *f, 4)).expect("sent");
             harness.end_attempt(100 + f, 0, at, Outcome::Ok, Some(LoadNote::Warm));
             at == home
         });
         let other = other.expect("one of thirty has this home");
-        // All replicas have been idle for too long.
+        // Wait until all replicas have passed their keep-alive time.
         harness.advance(11 * S);
         assert_eq!(sent(&harness.call(1, 0, 9, 4)), Some(home));
         if ours {
@@ -77,15 +81,15 @@
             assert_eq!(loads(&harness.end_attempt(2, 0, home, Outcome::NotLoaded, None)), 1);
         }
         assert_eq!(loads(&harness.end_attempt(1, 0, home, Outcome::NotLoaded, None)), 1);
-        let turned = Event::Loaded {
+        let rejected = Event::Loaded {
             worker: WorkerId(home),
             function: FunctionId(9),
             outcome: Outcome::Rejected,
             replicas: 0,
             elapsed: MS,
         };
-        let went = sends(&harness.handle(turned)).into_iter().find(|(id, _)| *id == 1);
-        assert_eq!(went, (!ours).then_some((1, 3 - home)), "ours fill it: {ours}");
+        let resent = sends(&harness.handle(rejected)).into_iter().find(|(id, _)| *id == 1);
+        assert_eq!(resent, (!ours).then_some((1, 3 - home)), "own loads fill the home: {ours}");
     }
 }
 
@@ -101,7 +105,7 @@
         }
     }
     let now = harness.call(900, 0, 3, 2);
-    assert!(sent(&now).is_some(), "the least bad takes it");
+    assert!(sent(&now).is_some(), "the worker with the lowest failure rate takes it");
 }
 
 #[test]
@@ -162,7 +166,7 @@
     assert_eq!(sends(&harness.advance(200 * MS)), vec![(10, 1)], "and then it is tried again");
 }
 
-/// Serves one call of function 9 and tells how many of its calls the worker held.
+/// Answers a call of function 9 and reports the number of concurrent calls at the worker.
 fn served_with_concurrency(harness: &mut Harness, id: u64, at: u64, concurrent_calls: u32) -> Vec<Action> {
     harness.handle(Event::Outcome {
         request: RequestId(id),
@@ -296,13 +300,13 @@
     (set.reports, set.loading.when_absent) = (Reports::Probe, WhenAbsent::Miss);
     let mut harness = Harness::new(set, 3);
     let first = harness.call(1, 0, 9, 2);
-    let home = sent(&first).expect("it goes at once: a miss tells as much");
+    let home = sent(&first).expect("sent without a probe, as a miss is answered at once");
     assert_eq!(probes(&first), 0);
     harness.end_attempt(1, 0, home, Outcome::Ok, Some(LoadNote::Warm));
     harness.advance(S);
     let known = harness.call(2, 0, 9, 2);
     assert!(probes(&known) == 1 && sends(&known).is_empty(), "where its replica stands, its load is probed");
-    // Its home drains: an additional replica is a choice, and the next worker is probed before it is made.
+    // When the home drains, an additional replica may be loaded elsewhere, and that worker is probed first.
     let next = harness.update_worker(home, WorkerState::Draining, None);
     assert!(probes(&next) == 1 && sends(&next).is_empty(), "a replica is known elsewhere");
 }
@@ -331,25 +335,25 @@
         (None, 1),
         "six are out, over its four lanes: {actions:?}"
     );
-    assert_eq!(sent(&report(&mut harness, 0.95)), None, "crowded");
+    assert_eq!(sent(&report(&mut harness, 0.95)), None, "no idle cores");
     harness.advance(700 * MS);
     harness.call(21, 0, 9, 4);
     assert!(sends(&report(&mut harness, 0.2)).contains(&(20, 1)), "idle cores");
 }
 
 #[test]
-fn held_calls_do_not_begin_replicas_everywhere() {
+fn held_calls_start_no_loads_at_other_workers() {
     let mut harness = Harness::new(settings(), 8);
-    // Thirty functions with one home each, every lane taken: what is held waits for its warm replica.
+    // Thirty functions with all lanes of their homes in use: held calls must wait for their warm replicas.
     let homes: Vec<u64> = (0..30).map(|f| harness.serve_warm(f, f, 1)).collect();
-    let mut strangers = 0;
+    let mut elsewhere = 0;
     for round in 0..4 {
         for (f, home) in homes.iter().enumerate() {
             let id = 1000 + round * 100 + f as u64;
-            strangers += sends(&harness.call(id, 0, f as u64, 1)).iter().filter(|(_, w)| w != home).count();
+            elsewhere += sends(&harness.call(id, 0, f as u64, 1)).iter().filter(|(_, w)| w != home).count();
         }
     }
-    assert_eq!(strangers, 0);
+    assert_eq!(elsewhere, 0);
 }
 
 #[test]
@@ -361,7 +365,7 @@
         let mut queue = sends(&harness.call(id, 0, 9, 1));
         elsewhere += queue.iter().filter(|(_, w)| *w != home).count();
         harness.now += 30 * MS;
-        // The home worker answers one call in 60 ms.
+        // The home answers one call per 60 ms.
         if id % 2 == 0 {
             queue.truncate(1);
             let done = id - 1;
@@ -374,7 +378,7 @@
 #[test]
 fn a_call_past_its_objective_waits_behind_one_that_can_meet_it() {
     let mut harness = Harness::new(settings(), 1);
-    // Function 9 costs less than function 8, so its late call would leave first by priority alone.
+    // Function 9 is cheaper than function 8, so that its late call would be released first by priority alone.
     for (id, function, elapsed) in [(1, 9, 50 * MS), (2, 8, 100 * MS)] {
         harness.call(id, 0, function, 1);
         harness.end_attempt_after(id, 0, 1, Outcome::Ok, Some(LoadNote::Warm), elapsed);
@@ -404,9 +408,9 @@
 
 #[test]
 fn a_failed_list_is_polled_again_with_backoff() {
-    let mut asking = settings();
-    asking.discovery = Discovery::Poll;
-    let mut controller = Controller::new(asking, 5).unwrap();
+    let mut polling = settings();
+    polling.discovery = Discovery::Poll;
+    let mut controller = Controller::new(polling, 5).unwrap();
     let mut first = Vec::new();
     controller.handle(S, Event::Workers { form: ListForm::Restored, entries: vec![] }, &mut first);
     assert!(first.contains(&Action::Watch));
@@ -449,7 +453,7 @@
 }
 
 #[test]
-fn no_room_for_a_replica_does_not_keep_other_functions_away() {
+fn a_worker_without_memory_for_one_function_still_gets_calls_of_others() {
     let mut harness = Harness::new(settings(), 1);
     harness.serve_warm(1, 8, 4);
     harness.call(2, 0, 9, 4);
@@ -460,7 +464,7 @@
 }
 
 #[test]
-fn slow_answers_keep_calls_from_a_loaded_worker() {
+fn slow_responses_keep_calls_away_from_a_loaded_worker() {
     let mut harness = Harness::new(settings(), 1);
     for id in 1..9 {
         harness.serve_warm(id, 9, 8);
@@ -468,7 +472,8 @@
     for id in 10..14 {
         assert_eq!(sent(&harness.call(id, 0, 9, 8)), Some(1));
     }
-    // 50 ms of work came back after a second: of the four that were out, the window keeps fewer than three.
+    // A latency of one second against the usual 50 ms puts the worker under pressure; three calls are in
+    // flight.
     harness.end_attempt_after(10, 0, 1, Outcome::Ok, Some(LoadNote::Warm), S);
     assert_eq!(sent(&harness.call(20, 0, 9, 8)), None);
 }
@@ -482,7 +487,7 @@
     let actions = harness.update_worker(home, WorkerState::Draining, None);
     assert!(refused(&actions, 3), "nothing new may go to the only worker");
     assert!(refused(&harness.call(4, 1, 9, 1), 4));
-    // The one that runs there is not touched.
+    // The call in flight at the draining worker continues.
     assert!(!failed(&actions, 2) && !refused(&actions, 2));
     harness.end_attempt(2, 0, home, Outcome::Ok, Some(LoadNote::Warm));
     harness.update_worker(home, WorkerState::On, None);
@@ -490,7 +495,7 @@
 }
 
 #[test]
-fn a_stream_that_has_begun_shows_its_replica() {
+fn a_started_stream_proves_that_its_replica_is_loaded() {
     let mut harness = Harness::new(settings(), 2);
     let home = sent(&harness.call(1, 0, 9, 2)).expect("a first call is sent");
     assert!(sent(&harness.call(2, 0, 9, 2)).is_none(), "the replica is still loading");
@@ -498,7 +503,7 @@
     let begun = harness.handle(Event::Started { request: RequestId(1), attempt: 0 });
     assert_eq!(sends(&begun), [(2, home)], "the second lane is free while the first stream goes on");
     assert!(sent(&harness.call(3, 0, 9, 2)).is_none(), "both lanes are taken");
-    // Its end frees its lane, once.
+    // The end of the stream frees its lane exactly once.
     harness.now += S;
     let ended = harness.end_attempt_after(1, 0, home, Outcome::Ok, Some(LoadNote::Began), 1_300 * MS);
     assert_eq!(sends(&ended), [(3, home)]);
@@ -506,7 +511,8 @@
     assert_eq!(sends(&harness.end_attempt(2, 0, home, Outcome::Ok, Some(LoadNote::Warm))), [(4, home)]);
 }
 
-/// New versions of what is loaded: a replica is believed warm at three workers, and all three are void at once.
+/// After the deployment of a new version, replicas of the function are presumed warm at three workers, but
+/// none of them is valid any more.
 #[test]
 fn a_new_version_is_ordered_once_and_costs_a_call_at_most_one_retry() {
     let mut set = settings();
@@ -514,9 +520,9 @@
     set.loading.orders = true;
     set.limits.max_attempts = 3;
     let mut harness = Harness::new(set, 3);
-    let mut believed = Vec::new();
+    let mut presumed_warm = Vec::new();
     for id in 1..=3 {
-        // Sent where it is, or ordered first and sent when it stands.
+        // The call is either sent directly, or sent after a replica was ordered and loaded.
         let mut actions = harness.call(id, 0, 9, 4);
         let ordered = actions.iter().find_map(|action| match action {
             Action::Load { worker, .. } => Some(*worker),
@@ -528,15 +534,15 @@
         }
         let at = sent(&actions).expect("sent to a replica");
         harness.end_attempt(id, 0, at, Outcome::Ok, Some(LoadNote::Warm));
-        believed.push(at);
+        presumed_warm.push(at);
         harness.update_worker(at, WorkerState::Draining, None);
         harness.now += MS;
     }
-    for at in &believed {
+    for at in &presumed_warm {
         harness.update_worker(*at, WorkerState::On, None);
     }
     let (first, second) = (harness.call(11, 0, 9, 4), harness.call(12, 0, 9, 4));
-    let at = sent(&first).expect("sent to a replica that is believed");
+    let at = sent(&first).expect("sent to a replica that is presumed warm");
     assert_eq!(sent(&second), Some(at));
     harness.now += MS;
     let mut missed = harness.end_attempt(11, 0, at, Outcome::NotLoaded, None);
@@ -545,10 +551,10 @@
     while let Some((_, next)) = sends(&missed).into_iter().find(|(id, _)| *id == 11) {
         harness.now += MS;
         missed = harness.end_attempt(11, tries, next, Outcome::NotLoaded, None);
-        assert_eq!(loads(&missed), 0, "not every replica that was known is ordered");
+        assert_eq!(loads(&missed), 0, "only one replica is ordered");
         tries += 1;
     }
-    assert!(tries <= 2 && !refused(&missed, 11), "its last try is not spent on what is void as well");
+    assert!(tries <= 2 && !refused(&missed, 11), "its last attempt is not sent to another missing replica");
     harness.now += MS;
     let missed = harness.end_attempt(12, 0, at, Outcome::NotLoaded, None);
     assert_eq!(loads(&missed), 0, "the order is under way, whoever misses there");
@@ -571,14 +577,14 @@
     let missed = harness.end_attempt(1, 0, at, Outcome::NotLoaded, None);
     assert!(refused(&missed, 1), "it has no try left");
     assert_eq!(loads(&missed), 1, "a replica is ordered for the calls to come");
-    let unwanted = |actions: &[Action]| actions.iter().any(|a| matches!(a, Action::CancelLoad { .. }));
-    assert!(!unwanted(&missed), "and its order is not taken back in the same event: {missed:?}");
-    // A client that leaves while its call alone waits for the replica is another matter.
+    let cancels_load = |actions: &[Action]| actions.iter().any(|a| matches!(a, Action::CancelLoad { .. }));
+    assert!(!cancels_load(&missed), "the order is not cancelled in the same event: {missed:?}");
+    // The order is cancelled if the client of the only waiting call disconnects.
     assert_eq!(sent(&harness.call(2, 0, 9, 4)), None, "it waits for the replica");
-    assert!(unwanted(&harness.handle(Event::ClientGone { request: RequestId(2) })));
+    assert!(cancels_load(&harness.handle(Event::ClientGone { request: RequestId(2) })));
 }
 
-/// The log lines among the actions.
+/// Returns the log lines among the actions.
 fn logged(actions: &[Action]) -> Vec<&str> {
     actions
         .iter()
--- a/tests/order.rs
+++ b/tests/order.rs
@@ -1,4 +1,4 @@
-//! The shared order of workers, as calls follow it, held against the order sorted completely in the test.
+//! Compares the order in which calls use the workers with a complete sort of the list.
 
 mod common;
 use std::collections::BTreeMap;
@@ -6,7 +6,7 @@
 use common::*;
 use nettleferry::*;
 
-/// The workers in service by rising score, equal scores by id: the expression as it was when all were sorted.
+/// The reference order: workers in service by ascending score, ties broken by id.
 fn reference(function: u64, listed: &BTreeMap<u64, WorkerEntry>, sized: bool) -> Vec<u64> {
     let mut scored: Vec<(f64, u64)> = listed
         .values()
@@ -30,7 +30,7 @@
     x ^ (x >> 31)
 }
 
-/// A controller, and the list as it was received.
+/// A controller, and the worker list it received.
 struct ListedController {
     harness: Harness,
     listed: BTreeMap<u64, WorkerEntry>,
@@ -57,7 +57,8 @@
         self.harness.handle(Event::Workers { form, entries });
     }
 
-    /// Where a call of the function goes; it is withdrawn at once and leaves no replica.
+    /// Returns the worker that a call of the function is sent to. The call is cancelled at once, so that it
+    /// leaves no replica.
     fn first(&mut self, function: u64) -> Option<u64> {
         self.calls += 1;
         let id = self.calls;
@@ -76,7 +77,7 @@
         }
     }
 
-    /// One call whose attempts all end in this way goes along the function's order.
+    /// Ends all attempts of one call with the same outcome, and returns the workers it was sent to, in order.
     fn follow(&mut self, function: u64, outcome: Outcome, attempts: u32) -> Vec<u64> {
         self.calls += 1;
         let id = self.calls;
@@ -149,12 +150,12 @@
 }
 
 #[test]
-fn beyond_thirty_homes_that_drain_the_order_goes_on() {
+fn the_order_continues_after_forty_homes_have_drained() {
     for function in 0..20 {
         let mut controller = ListedController::new(settings(), entries(1..600));
         controller.check(function..function + 1);
         let order = reference(function, &controller.listed, false);
-        // One after another: the function's homes are mended, and made anew when few are left.
+        // The homes are repaired after each change, and computed again when few are left.
         for (gone, next) in order.iter().zip(&order[1..]).take(40) {
             controller.update(ListForm::Changes, vec![changed(*gone, WorkerState::Draining)]);
             assert_eq!(controller.first(function), Some(*next));
@@ -163,7 +164,7 @@
 }
 
 #[test]
-fn beyond_thirty_homes_that_are_full_or_ejected_the_order_goes_on() {
+fn the_order_continues_beyond_fifty_full_or_ejected_workers() {
     for (size, function) in [(60, 1), (600, 2), (600, 3), (3_000, 4)] {
         for outcome in [Outcome::Rejected, Outcome::ConnectFailed] {
             let mut many = settings();
@@ -189,14 +190,14 @@
     for _ in 0..3 {
         controller.update(ListForm::Changes, vec![changed(home, WorkerState::Gone)]);
         assert_eq!(controller.first(9), Some(order[1]));
-        let born = Some(controller.harness.now - 60 * S);
-        controller.update(ListForm::Changes, vec![WorkerEntry { started_at: born, ..entry(home) }]);
+        let started_at = Some(controller.harness.now - 60 * S);
+        controller.update(ListForm::Changes, vec![WorkerEntry { started_at, ..entry(home) }]);
         assert_eq!(controller.first(9), Some(home));
     }
 }
 
-/// One hears every change by itself and calls in between; one hears them in groups of lines that undo each
-/// other; one receives only complete lists.
+/// The first controller receives each change on its own, with calls in between; the second receives batches
+/// whose changes partly cancel out; the third receives only the complete list.
 #[test]
 fn controllers_that_received_the_same_changes_in_other_batches_have_the_same_order() {
     let all = entries(1..1_000);
--- a/tests/ordinary_path.rs
+++ b/tests/ordinary_path.rs
@@ -1,4 +1,4 @@
-//! Each step of the ordinary path, through the interface.
+//! Tests of each step of the basic algorithm through the public interface.
 
 mod common;
 use common::*;
@@ -15,7 +15,7 @@
 fn the_last_warm_worker_is_the_one_that_answered_even_if_not_first_in_order() {
     let mut harness = Harness::new(settings(), 6);
     let home = harness.serve_warm(1, 9, 2);
-    // The home worker turns the next call away; it is served elsewhere, and that is now last warm.
+    // The home rejects the second call. Another worker serves it and becomes the last warm worker.
     let second = sent(&harness.call(2, 0, 9, 2)).unwrap();
     assert_eq!(second, home);
     harness.update_worker(home, WorkerState::Draining, None);
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn calls_under_the_lanes_are_sent_and_the_next_is_held_until_an_answer() {
+fn calls_below_the_lanes_bound_are_sent_and_the_next_is_held_until_a_response() {
     let mut harness = Harness::new(settings(), 1);
     harness.serve_warm(1, 9, 2);
     assert_eq!(sent(&harness.call(2, 0, 9, 2)), Some(1));
@@ -68,9 +68,9 @@
 }
 
 #[test]
-fn the_lowest_count_times_mean_leaves_first() {
+fn the_held_call_with_the_lowest_calls_times_latency_is_released_first() {
     let mut harness = Harness::new(settings(), 1);
-    // Function 8 is served in 200 ms, function 9 in 10 ms; both are warm.
+    // Function 8 takes 200 ms, function 9 takes 10 ms; both are warm.
     for (id, function, elapsed) in [(1, 8, 200 * MS), (2, 9, 10 * MS)] {
         harness.call(id, 0, function, 1);
         harness.end_attempt_after(id, 0, 1, Outcome::Ok, Some(LoadNote::Warm), elapsed);
@@ -83,9 +83,9 @@
 }
 
 #[test]
-fn served_latencies_that_hold_a_load_do_not_enter_the_mean() {
-    // Both functions wait for the one worker; function 8 loaded for 3 s but its mean stays unseen, so its
-    // held call has priority zero and leaves before that of function 9.
+fn latencies_that_include_a_load_are_excluded_from_the_mean() {
+    // The only latency of function 8 includes a load of 3 s and is not recorded. Its held call therefore has
+    // priority value zero and is released before that of function 9.
     let mut harness = Harness::new(settings(), 1);
     harness.call(1, 0, 8, 1);
     harness.end_attempt_after(1, 0, 1, Outcome::Ok, Some(LoadNote::Began), 3 * S);
@@ -139,10 +139,10 @@
 }
 
 #[test]
-fn a_call_waits_for_a_home_without_room_and_gives_up_when_it_stays_full() {
+fn a_call_waits_for_a_full_home_and_is_sent_elsewhere_if_it_stays_full() {
     let mut harness = Harness::new(missing(), 4);
     let home = sent(&harness.call(1, 0, 9, 2)).unwrap();
-    // A load of ours is under way there all the while: it fills home, and it ends.
+    // A pending load of this controller fills the home throughout the test.
     let fills = (100..200).find(|f| {
         let at = sent(&harness.call(*f, 0, *f, 2)).unwrap();
         at == home && loads(&harness.end_attempt(*f, 0, at, Outcome::NotLoaded, None)) == 1
@@ -172,7 +172,7 @@
 }
 
 #[test]
-fn bad_settings_are_an_error() {
+fn invalid_settings_are_rejected() {
     let none = Settings { classes: vec![], ..settings() };
     assert_eq!(Controller::new(none, 1).err(), Some(SettingsError::NoClasses));
     let zero = Settings { controllers: 0, ..settings() };
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,35 +1,37 @@
-//! The five rules at their edges.
+//! Edge cases of the site's rules: answers in time, idempotency, drains, slow start, load order ration,
+//! attempt limit.
 
 mod common;
 use common::*;
 use nettleferry::*;
 
-const SAFE: usize = 0;
-const UNSAFE: usize = 1;
+const IDEMPOTENT: usize = 0;
+const NON_IDEMPOTENT: usize = 1;
 const KEYED: usize = 2;
 
 #[test]
 fn every_held_call_is_answered_in_time_without_workers() {
     let mut harness = Harness::new(settings(), 0);
-    let mut actions = harness.call(1, SAFE, 9, 2);
-    actions.extend(harness.call(2, UNSAFE, 9, 2));
+    let mut actions = harness.call(1, IDEMPOTENT, 9, 2);
+    actions.extend(harness.call(2, NON_IDEMPOTENT, 9, 2));
     assert!(refused(&actions, 1) && refused(&actions, 2), "nothing was ever sent: a further try is harmless");
-    // With one worker whose only lane is taken they are held, and answered in time all the same.
+    // With the only lane of the only worker in use, the calls are held, and must still be answered in time.
     let mut harness = Harness::new(settings(), 1);
     harness.serve_warm(3, 9, 1);
-    harness.call(4, SAFE, 9, 1);
-    harness.call(5, UNSAFE, 9, 1);
+    harness.call(4, IDEMPOTENT, 9, 1);
+    harness.call(5, NON_IDEMPOTENT, 9, 1);
     let actions = harness.advance(4 * S);
     assert!(refused(&actions, 5), "it was never sent");
 }
 
 #[test]
 fn a_held_call_whose_deadline_has_passed_is_answered_and_not_sent() {
-    // The process stood still: an answer that makes room is handled before the timer of the deadline.
+    // After a pause of the process, the response that frees the lane is handled before the timer of the
+    // deadline.
     let mut harness = Harness::new(settings(), 1);
     harness.serve_warm(3, 9, 1);
-    let at = sent(&harness.call(4, SAFE, 9, 1)).unwrap();
-    harness.call(5, SAFE, 9, 1);
+    let at = sent(&harness.call(4, IDEMPOTENT, 9, 1)).unwrap();
+    harness.call(5, IDEMPOTENT, 9, 1);
     harness.now += 4 * S;
     let mut actions = harness.end_attempt(4, 0, at, Outcome::Ok, None);
     actions.extend(harness.advance(2 * MS));
@@ -40,10 +42,10 @@
 #[test]
 fn a_deadline_with_an_attempt_out_is_answered_by_timer() {
     let mut harness = Harness::new(settings(), 1);
-    harness.call(1, UNSAFE, 9, 2);
+    harness.call(1, NON_IDEMPOTENT, 9, 2);
     let actions = harness.advance(4 * S);
     assert!(failed(&actions, 1) && !refused(&actions, 1), "it may have run");
-    // Its outcome comes late and changes nothing.
+    // The late outcome of the attempt must have no effect.
     let late = harness.end_attempt(1, 0, 1, Outcome::Error, None);
     assert!(!failed(&late, 1) && !refused(&late, 1) && sends(&late).is_empty());
 }
@@ -52,7 +54,7 @@
 fn a_non_idempotent_call_that_may_have_run_fails() {
     for outcome in [Outcome::Error, Outcome::Timeout, Outcome::Reset, Outcome::Cancelled] {
         let mut harness = Harness::new(settings(), 4);
-        let at = sent(&harness.call(1, UNSAFE, 9, 2)).unwrap();
+        let at = sent(&harness.call(1, NON_IDEMPOTENT, 9, 2)).unwrap();
         let after = harness.end_attempt(1, 0, at, outcome, None);
         assert!(failed(&after, 1), "{outcome:?}");
         assert!(!refused(&after, 1) && sends(&after).is_empty(), "{outcome:?}");
@@ -63,7 +65,7 @@
 fn a_non_idempotent_call_proven_not_run_is_retried() {
     for outcome in [Outcome::Rejected, Outcome::ConnectFailed] {
         let mut harness = Harness::new(settings(), 4);
-        let at = sent(&harness.call(1, UNSAFE, 9, 2)).unwrap();
+        let at = sent(&harness.call(1, NON_IDEMPOTENT, 9, 2)).unwrap();
         let mut after = harness.end_attempt(1, 0, at, outcome, None);
         after.extend(harness.advance(S));
         assert!(sent(&after).is_some() && !failed(&after, 1), "{outcome:?}");
@@ -73,7 +75,7 @@
 #[test]
 fn a_non_idempotent_call_that_was_never_sent_is_refused() {
     let mut harness = Harness::new(settings(), 4);
-    let at = sent(&harness.call(1, UNSAFE, 9, 2)).unwrap();
+    let at = sent(&harness.call(1, NON_IDEMPOTENT, 9, 2)).unwrap();
     let after = harness.end_attempt(1, 0, at, Outcome::NeverSent, None);
     assert!(refused(&after, 1));
 }
@@ -113,12 +115,12 @@
         settings.loading.when_absent = WhenAbsent::Miss;
         let mut harness = Harness::new(settings, 2);
         let home = harness.serve_warm(1, 9, 1);
-        assert_eq!(sent(&harness.call(2, SAFE, 9, 1)), Some(home));
+        assert_eq!(sent(&harness.call(2, IDEMPOTENT, 9, 1)), Some(home));
         harness.update_worker(home, state, None);
         let after = harness.end_attempt(2, 0, home, Outcome::NotLoaded, None);
         assert_eq!(loads(&after), 0);
         assert!(sends(&after).iter().all(|(_, w)| *w != home));
-        assert!(sends(&harness.call(3, SAFE, 9, 1)).iter().all(|(_, w)| *w != home));
+        assert!(sends(&harness.call(3, IDEMPOTENT, 9, 1)).iter().all(|(_, w)| *w != home));
     }
 }
 
@@ -128,23 +130,24 @@
     let home = harness.serve_warm(1, 9, 1);
     let left = vec![entry(3 - home)];
     harness.handle(Event::Workers { form: ListForm::Complete, entries: left });
-    assert_eq!(sent(&harness.call(2, SAFE, 9, 1)), Some(3 - home));
+    assert_eq!(sent(&harness.call(2, IDEMPOTENT, 9, 1)), Some(3 - home));
 }
 
 #[test]
 fn a_burst_at_a_worker_in_slow_start_stays_within_its_budget() {
-    // A fifth of one core, twice over, for 2 s, over three controllers: about 0.19 s of work at 50 ms a call.
+    // The worker tolerates twice a fifth of a core for 2 s: 0.8 s of work, of which
+    // 70 % are granted, about 0.19 s to each of three controllers; a call takes 50 ms.
     let mut harness = Harness::new(settings(), 1);
     for id in 0..40 {
-        harness.call(id, SAFE, 9, 8);
+        harness.call(id, IDEMPOTENT, 9, 8);
         harness.end_attempt(id, 0, 1, Outcome::Ok, Some(LoadNote::Warm));
     }
     harness.advance(2 * MS);
-    let born = Some(harness.now);
-    harness.update_worker(1, WorkerState::On, born);
+    let started_at = Some(harness.now);
+    harness.update_worker(1, WorkerState::On, started_at);
     let mut count = 0;
     for id in 100..200 {
-        let mut queue = sends(&harness.call(id, SAFE, 9, 8));
+        let mut queue = sends(&harness.call(id, IDEMPOTENT, 9, 8));
         while let Some((request, at)) = queue.pop() {
             count += 1;
             queue.extend(sends(&harness.end_attempt(request, 0, at, Outcome::Ok, Some(LoadNote::Warm))));
@@ -157,17 +160,18 @@
 
 #[test]
 fn a_controller_that_called_a_worker_before_its_restart_waits_for_its_slot() {
-    // So many that a share of a fall span is far less than a call: each begins in its turn.
+    // With this many controllers, one controller's share of an overload span is far less than a call, so that
+    // each has to wait for its slot.
     let mut first_after_start = Vec::new();
     for me in [0, 60, 120, 180] {
         let mut harness = Harness::new(Settings { controllers: 200, controller_index: me, ..settings() }, 1);
         harness.serve_warm(1, 9, 8);
         harness.advance(10 * S);
-        let born = harness.now;
-        harness.update_worker(1, WorkerState::On, Some(born));
-        let mut at = sent(&harness.call(2, SAFE, 9, 8)).map(|_| 0);
-        while at.is_none() && harness.now < born + 3 * S {
-            at = sent(&harness.advance(10 * MS)).map(|_| harness.now - born);
+        let started_at = harness.now;
+        harness.update_worker(1, WorkerState::On, Some(started_at));
+        let mut at = sent(&harness.call(2, IDEMPOTENT, 9, 8)).map(|_| 0);
+        while at.is_none() && harness.now < started_at + 3 * S {
+            at = sent(&harness.advance(10 * MS)).map(|_| harness.now - started_at);
         }
         first_after_start.push(at.unwrap_or(3 * S));
     }
@@ -181,13 +185,13 @@
     let mut harness = Harness { controller, now: 100 * S, workers: vec![] };
     let warming = WorkerEntry { started_at: Some(99 * S), ..entry(1) };
     harness.handle(Event::Workers { form: ListForm::Restored, entries: vec![warming] });
-    assert!(sends(&harness.call(1, SAFE, 9, 2)).is_empty());
+    assert!(sends(&harness.call(1, IDEMPOTENT, 9, 2)).is_empty());
     assert!(sends(&harness.advance(1900 * MS)).is_empty());
-    assert_eq!(sends(&harness.advance(S)).len(), 1, "after a fall span it takes calls again");
+    assert_eq!(sends(&harness.advance(S)).len(), 1, "after an overload span it takes calls again");
 }
 
 #[test]
-fn orders_to_load_keep_their_ration() {
+fn load_orders_stay_within_the_ration() {
     let mut settings = settings();
     settings.loading.when_absent = WhenAbsent::Miss;
     settings.loading.ration_window = S;
@@ -197,7 +201,7 @@
     let mut id = 0;
     for _ in 0..600 {
         id += 1;
-        let mut queue: Vec<(u64, u64)> = sends(&harness.call(id, SAFE, id, 2));
+        let mut queue: Vec<(u64, u64)> = sends(&harness.call(id, IDEMPOTENT, id, 2));
         while let Some((request, at)) = queue.pop() {
             let attempt = 0;
             let after = harness.end_attempt(request, attempt, at, Outcome::NotLoaded, None);
@@ -213,24 +217,24 @@
 }
 
 #[test]
-fn orders_of_an_earlier_incarnation_count_as_given() {
-    for (spent, least) in [(false, 2), (true, 0)] {
+fn orders_of_an_earlier_incarnation_count_towards_the_ration() {
+    for (unknown_prior_orders, least) in [(false, 2), (true, 0)] {
         let mut settings = settings();
         settings.loading.when_absent = WhenAbsent::Miss;
         settings.loading.ration_window = S;
         settings.loading.ration_floor = 2.0;
-        settings.loading.unknown_prior_orders = spent;
+        settings.loading.unknown_prior_orders = unknown_prior_orders;
         let mut harness = Harness::new(settings, 8);
         let mut given = 0;
         for id in 1..=20 {
-            for (request, at) in sends(&harness.call(id, SAFE, id, 2)) {
+            for (request, at) in sends(&harness.call(id, IDEMPOTENT, id, 2)) {
                 given += loads(&harness.end_attempt(request, 0, at, Outcome::NotLoaded, None));
             }
         }
-        assert_eq!(given, least, "spent: {spent}");
+        assert_eq!(given, least, "unknown_prior_orders: {unknown_prior_orders}");
         harness.now += S + 100 * MS;
         for id in 21..=40 {
-            for (request, at) in sends(&harness.call(id, SAFE, id, 2)) {
+            for (request, at) in sends(&harness.call(id, IDEMPOTENT, id, 2)) {
                 given += loads(&harness.end_attempt(request, 0, at, Outcome::NotLoaded, None));
             }
         }
@@ -239,9 +243,9 @@
 }
 
 #[test]
-fn attempts_are_not_exceeded() {
+fn the_attempt_limit_is_kept() {
     let mut harness = Harness::new(settings(), 8);
-    let mut queue = sends(&harness.call(1, SAFE, 9, 2));
+    let mut queue = sends(&harness.call(1, IDEMPOTENT, 9, 2));
     let mut count = 0;
     let mut over = false;
     while let Some((_, at)) = queue.pop() {
@@ -257,7 +261,7 @@
 #[test]
 fn late_duplicate_and_unknown_events_are_ignored() {
     let mut harness = Harness::new(settings(), 2);
-    let at = sent(&harness.call(1, SAFE, 9, 2)).unwrap();
+    let at = sent(&harness.call(1, IDEMPOTENT, 9, 2)).unwrap();
     harness.end_attempt(1, 0, at, Outcome::Ok, Some(LoadNote::Warm));
     for event in [
         Event::ClientGone { request: RequestId(1) },
@@ -286,7 +290,7 @@
     let mut settings = settings();
     settings.classes[0].stream = true;
     let mut harness = Harness::new(settings, 1);
-    harness.call(1, SAFE, 9, 2);
+    harness.call(1, IDEMPOTENT, 9, 2);
     harness.handle(Event::Started { request: RequestId(1), attempt: 0 });
     let actions = harness.advance(6 * S);
     assert!(!refused(&actions, 1) && !failed(&actions, 1) && !cancels(&actions, 1));
@@ -308,7 +312,7 @@
     let mut settings = settings();
     settings.loading.when_absent = WhenAbsent::Miss;
     let mut harness = Harness::new(settings, 2);
-    let at = sent(&harness.call(1, UNSAFE, 9, 2)).unwrap();
+    let at = sent(&harness.call(1, NON_IDEMPOTENT, 9, 2)).unwrap();
     let after = harness.end_attempt(1, 0, at, Outcome::NotLoaded, None);
     assert!(loads(&after) == 1 && !failed(&after, 1) && !refused(&after, 1));
     let stands = Event::Loaded {
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -1,5 +1,6 @@
-//! What all controllers together send a worker in slow start, in virtual time: in any window of the overload span, not only in
-//! aligned ones, and whichever of them started, restarted or was notified of it when.
+//! Simulates what all controllers together send to a worker in slow start. The budget must hold in every
+//! window of the overload span, aligned or not, regardless of when controllers start, restart or are notified
+//! of the worker.
 
 mod common;
 
@@ -13,22 +14,23 @@
 
 /// Core time of a call.
 const CPU_TIME: Micros = 50 * MS;
-/// When the worker starts; all controllers run since 100 s.
+/// Start time of the worker; the controllers run since 100 s.
 const WORKER_START: Micros = 120 * S;
 
-/// One worker in slow start, and who calls it.
+/// Load on one worker in slow start.
 #[derive(Clone, Copy, Debug)]
 struct Case {
     controllers: u32,
-    /// Calls a second that all controllers together would send there.
+    /// Calls per second offered by all controllers together.
     offered: f64,
-    /// No call comes before this age of the worker; then all at once hold so many calls each.
+    /// Age of the worker at which the calls begin, and number of calls that each controller then holds at
+    /// once.
     burst: Option<(Micros, usize)>,
-    /// The list that shows the start comes so much later at the most, to each at a time of its own.
+    /// Maximum delay until a controller receives the list with the started worker; random per controller.
     late: Micros,
-    /// One of so many controllers restarts while the worker warms up; 0: none.
+    /// One in this many controllers restarts during the warm-up; 0 means none.
     restarts: u32,
-    /// All see it gone and back this often in a row while it warms up.
+    /// Number of times in a row that the worker disappears from all lists and returns during the warm-up.
     flaps: u32,
 }
 
@@ -51,7 +53,7 @@
     due: BinaryHeap<Reverse<(Micros, u64, ScheduledEvent)>>,
     order: u64,
     next: u64,
-    /// Who has been notified of the start: what the others send counts against none.
+    /// Which controllers are notified of the start; sends of the others don't count.
     notified: Vec<bool>,
     sends: Vec<Micros>,
 }
@@ -62,7 +64,9 @@
     }
 
     fn new(case: Case, seed: u64) -> Self {
-        let start = |me| Controller::new(Self::settings(case, me), seed ^ u64::from(me)).expect("sound");
+        let start = |me| {
+            Controller::new(Self::settings(case, me), seed ^ u64::from(me)).expect("the settings are valid")
+        };
         let controllers = (0..case.controllers).map(start).collect();
         let rng = ChaCha8Rng::seed_from_u64(seed);
         let notified = vec![false; case.controllers as usize];
@@ -70,7 +74,7 @@
         let mut fleet = Self { case, rng, controllers, due, order: 0, next: 0, notified, sends: Vec::new() };
         for at in 0..fleet.controllers.len() {
             fleet.list(at, 100 * S, ListForm::Restored, None);
-            // Each learns the core time of a call of the class.
+            // Each controller measures the core time of the class.
             for n in 0..40 {
                 let now = 101 * S + n * S / 10;
                 let id = fleet.call(at, now);
@@ -104,9 +108,9 @@
         self.due.push(Reverse((when, self.order, what)));
     }
 
-    fn list(&mut self, at: usize, now: Micros, form: ListForm, born: Option<Micros>) {
-        self.notified[at] = born.is_some();
-        let entries = vec![WorkerEntry { started_at: born, ..entry(1) }];
+    fn list(&mut self, at: usize, now: Micros, form: ListForm, started_at: Option<Micros>) {
+        self.notified[at] = started_at.is_some();
+        let entries = vec![WorkerEntry { started_at, ..entry(1) }];
         self.handle(at, now, Event::Workers { form, entries });
     }
 
@@ -133,7 +137,7 @@
         }
     }
 
-    /// Runs until the worker has warmed up; returns when calls were sent to it.
+    /// Runs until the worker has warmed up; returns the send times of its calls.
     fn run(mut self) -> Vec<Micros> {
         let until = WORKER_START + settings().rules.warm_up;
         while let Some(Reverse((now, _, what))) = self.due.pop() {
@@ -147,14 +151,14 @@
                     self.handle(at, now, Event::Workers { form: ListForm::Complete, entries });
                 }
                 ScheduledEvent::ControllerRestarts(at) => {
-                    self.controllers[at] =
-                        Controller::new(Self::settings(self.case, at as u32), now).expect("sound");
+                    self.controllers[at] = Controller::new(Self::settings(self.case, at as u32), now)
+                        .expect("the settings are valid");
                     self.list(at, now, ListForm::Restored, Some(WORKER_START));
                 }
                 ScheduledEvent::CallArrives(at) => {
                     self.call(at, now);
                     if self.case.burst.is_none() {
-                        // Each by itself, at random.
+                        // Calls arrive as a Poisson process.
                         let mean = f64::from(self.case.controllers) / self.case.offered;
                         let wait = -self.rng.random_range(f64::EPSILON..1.0).ln() * mean * S as f64;
                         self.at(now + (wait as Micros).max(1), ScheduledEvent::CallArrives(at));
@@ -182,24 +186,24 @@
     }
 }
 
-/// Calls that a worker of this age may be sent in an overload span: the rule's N.
+/// Calls that a worker of this age may be sent in an overload span: N in the site's rule.
 fn budget(age: Micros) -> f64 {
     let rules = settings().rules;
     let share = rules.start_capacity + (1.0 - rules.start_capacity) * age as f64 / rules.warm_up as f64;
     rules.overload_factor * share.min(1.0) * rules.overload_span as f64 / CPU_TIME as f64
 }
 
-/// What was sent in one overload span.
+/// The calls sent in one overload span.
 struct Window {
-    /// Calls over the bound, N + 2 sqrt(N) + 2; below 0: under.
+    /// Calls above the bound of N + 2 sqrt(N) + 2; negative if below.
     over: f64,
-    /// Calls sent.
+    /// Number of calls sent.
     sent: usize,
-    /// N as of its beginning.
+    /// N at the start of the window.
     budget: f64,
 }
 
-/// The window that comes nearest to the bound.
+/// Returns the window that exceeds the bound most, or comes closest to it.
 fn worst_window(sends: &[Micros]) -> Window {
     let span = settings().rules.overload_span;
     let mut window = VecDeque::new();
@@ -218,8 +222,9 @@
     worst
 }
 
-/// Runs the case over seeds; the sum of all controllers must hold in every window, and at least this share of all that the rule allows over the
-/// warm-up must be used: a slow start that sends nothing is no solution.
+/// Runs the case with several seeds. All controllers together must stay within the bound in every window.
+/// They must also use at least the share `useful` of the calls that the rule permits over the warm-up, as a
+/// slow start that sends nothing is no solution.
 fn assert_budget_holds(case: Case, seeds: u64, useful: f64) {
     let rules = settings().rules;
     let all = budget(rules.warm_up / 2) * rules.warm_up as f64 / rules.overload_span as f64;
@@ -258,14 +263,14 @@
 }
 
 #[test]
-fn the_budget_holds_where_lists_lose_the_worker_and_find_it_again() {
+fn the_budget_holds_where_lists_lose_the_worker_for_a_moment() {
     for controllers in [1, 20, 300] {
         assert_budget_holds(Case { controllers, offered: 200.0, flaps: 10, ..PLAIN }, 2, 0.25);
     }
 }
 
 #[test]
-fn the_budget_holds_where_all_begin_to_call_at_once_long_after_the_start() {
+fn the_budget_holds_where_all_controllers_begin_to_call_at_once_long_after_the_start() {
     for controllers in [1, 3, 20, 30, 300] {
         for age in [S, 4 * S, 8 * S, 12 * S] {
             assert_budget_holds(Case { controllers, burst: Some((age, 8)), ..PLAIN }, 1, 0.0);
