--- a/src/decision/attempts.rs
+++ b/src/decision/attempts.rs
@@ -19,24 +19,25 @@
 const CPU_TIME_WEIGHT: f64 = 0.05;
 
 impl Controller {
-    pub(super) fn send_attempt(&mut self, id: RequestId, to: WorkerId) {
+    pub(super) fn send_attempt(&mut self, id: RequestId, worker_id: WorkerId) {
         self.dequeue_held(id);
         let Some(call) = self.calls.get_mut(&id) else { return };
         let number = call.attempts;
         call.attempts += 1;
         call.in_flight = Some(number);
         let (class, function_id) = (call.class, call.function);
-        let budget_used = self.workers.get(&to).map_or(0.0, |w| self.slow_start_slot(w, class).used_after);
+        let budget_used =
+            self.workers.get(&worker_id).map_or(0.0, |w| self.slow_start_slot(w, class).used_after);
         let Some(function) = self.functions.get(&function_id) else { return };
-        let warm = self.is_warm(function, to);
+        let warm = self.is_warm(function, worker_id);
         let loads = !warm && self.settings.loading.when_absent == WhenAbsent::Load;
-        let begins_load = loads && !function.pending_loads.contains_key(&to);
+        let begins_load = loads && !function.pending_loads.contains_key(&worker_id);
         let function = self.functions.get_mut(&function_id).expect("just seen");
-        *function.in_flight.entry(to).or_insert(0) += 1;
+        *function.in_flight.entry(worker_id).or_insert(0) += 1;
         if begins_load {
-            self.load_started(ReplicaKey { worker: to, function: function_id });
+            self.load_started(ReplicaKey { worker: worker_id, function: function_id });
         }
-        let Some(worker) = self.workers.get_mut(&to) else { return };
+        let Some(worker) = self.workers.get_mut(&worker_id) else { return };
         if worker.in_flight == 0 {
             worker.last_response = self.now;
         }
@@ -48,7 +49,7 @@
         worker.trial_in_flight |= trial;
         worker.budget_used = budget_used;
         let attempt = Attempt {
-            worker: to,
+            worker: worker_id,
             function: function_id,
             class,
             sent: self.now,
@@ -57,8 +58,8 @@
             probed: false,
         };
         self.attempts.insert(AttemptId { request: id, number }, attempt);
-        self.schedule_timeout_check(to);
-        self.actions.push(Action::Send { request: id, worker: to, timeout: None });
+        self.schedule_timeout_check(worker_id);
+        self.actions.push(Action::Send { request: id, worker: worker_id, timeout: None });
     }
 
     pub(super) fn attempt_ended(&mut self, id: AttemptId, end: AttemptEnd) {
@@ -122,15 +123,15 @@
     }
 
     fn record_success(&mut self, attempt: &Attempt, end: &AttemptEnd) {
-        let (at, elapsed, note) = (attempt.worker, end.elapsed as f64, end.note);
-        self.replica_found(ReplicaKey { worker: at, function: attempt.function });
+        let (worker_id, elapsed, note) = (attempt.worker, end.elapsed as f64, end.note);
+        self.replica_found(ReplicaKey { worker: worker_id, function: attempt.function });
         let Some(function) = self.functions.get_mut(&attempt.function) else { return };
         let waited_for_load = matches!(note, Some(LoadNote::Began | LoadNote::Waited));
         let objective = self.settings.classes[attempt.class].latency_objective.max(1) as f64;
-        let ours = function.in_flight.get(&at).copied().unwrap_or(0);
-        let there = end.concurrent_calls.unwrap_or(0).max(ours);
-        let value = f64::from(there) / f64::from(function.lanes.max(1));
-        function.reported_pressure.insert(at, PressureSample { value, at: self.now });
+        let own_in_flight = function.in_flight.get(&worker_id).copied().unwrap_or(0);
+        let concurrent_calls = end.concurrent_calls.unwrap_or(0).max(own_in_flight);
+        let value = f64::from(concurrent_calls) / f64::from(function.lanes.max(1));
+        function.reported_pressure.insert(worker_id, PressureSample { value, at: self.now });
         if note == Some(LoadNote::Began) && attempt.loading {
             let load_time = (elapsed - function.mean_latency()).max(0.0);
             self.record_load_time(attempt.function, load_time);
@@ -139,12 +140,12 @@
             if function.latencies.len() > LATENCY_SAMPLES {
                 function.latencies.pop_front();
             }
-            if self.workers.get(&at).is_some_and(|w| w.in_flight == 0) {
+            if self.workers.get(&worker_id).is_some_and(|w| w.in_flight == 0) {
                 update_mean(&mut self.class_cpu_time[attempt.class], elapsed, CPU_TIME_WEIGHT);
             }
         }
         let pressure = if waited_for_load { 0.0 } else { elapsed / (objective * PRESSURE_OBJECTIVE) };
-        self.record_pressure(at, pressure);
+        self.record_pressure(worker_id, pressure);
     }
 
     /// Marks the call as streaming: it can't be retried, and its replica is loaded. If the stream still
--- a/src/decision/hold_queue.rs
+++ b/src/decision/hold_queue.rs
@@ -61,8 +61,8 @@
         }
     }
 
-    /// Moves a held call that can no longer meet its objective behind those that can, so that it does not
-    /// delay them beyond theirs.
+    /// Moves a held call that can no longer meet its objective behind those that can, because serving it
+    /// first would delay them.
     pub(super) fn objective_passed(&mut self, id: RequestId) {
         if self.calls.get(&id).is_some_and(|call| call.held) {
             self.dequeue_held(id);
@@ -81,9 +81,9 @@
         }
     }
 
-    /// Releases the first held calls that a worker can take, after a response of the worker `at` or, with
+    /// Releases the first held calls that a worker can take, after a response of `responder` or, with
     /// `None`, after any other change. Each call follows its own worker order.
-    pub(super) fn release_held(&mut self, at: Option<WorkerId>) {
+    pub(super) fn release_held(&mut self, responder: Option<WorkerId>) {
         let mut unplaceable = BTreeSet::new();
         for id in self.hold_queue.values().take(RELEASE_SCAN).copied().collect::<Vec<_>>() {
             // After a pause of the process, a call may be past its deadline; its timer answers it next.
@@ -95,7 +95,8 @@
                 continue;
             }
             let Some(function) = self.functions.get(&call.function) else { continue };
-            let eligible = at.is_none_or(|w| self.is_eligible(w, call, function, EjectedWorkers::Excluded));
+            let eligible =
+                responder.is_none_or(|w| self.is_eligible(w, call, function, EjectedWorkers::Excluded));
             match if eligible { self.select_worker(id) } else { None } {
                 Some(worker) if !self.ensure_recent_load(id, worker) => {}
                 Some(worker) => self.send_attempt(id, worker),
--- a/src/decision/placement.rs
+++ b/src/decision/placement.rs
@@ -133,19 +133,19 @@
         if let Some(home) = home.filter(has_pending_loads) {
             return Some(home).filter(usable);
         }
-        let mut first = order().filter(|w| usable(w)).take(ABSENT_CANDIDATES);
-        first.find(|w| pressure(*w) < PRESSURE_LIMIT).or_else(|| order().find(|w| usable(w)))
+        let mut candidates = order().filter(|w| usable(w)).take(ABSENT_CANDIDATES);
+        candidates.find(|w| pressure(*w) < PRESSURE_LIMIT).or_else(|| order().find(|w| usable(w)))
     }
 
     /// The first worker in the function's order that is available and did not reject it too often in a row.
     fn home(&self, call: &Call, function: &Function) -> Option<WorkerId> {
         let rejected_too_often =
             |w: &WorkerId| function.avoided.get(w).is_some_and(|a| a.rejections >= MAX_REJECTIONS);
-        let open = |w: &WorkerId| {
+        let available = |w: &WorkerId| {
             self.workers.get(w).is_some_and(|w| !self.ejection_active(w) && !self.is_warming_up(w))
         };
         self.walk_order(call.function, function, call.class, None).find(|w| {
-            open(w) && self.pressure(function, *w, call.class) < PRESSURE_MAX && !rejected_too_often(w)
+            available(w) && self.pressure(function, *w, call.class) < PRESSURE_MAX && !rejected_too_often(w)
         })
     }
 
@@ -153,12 +153,12 @@
     /// sent.
     fn select_least_failing(&self, call: &Call, function: &Function) -> Option<WorkerId> {
         let is_eligible = |w: &WorkerId| self.is_eligible(*w, call, function, EjectedWorkers::Permitted);
-        let failing = |w: &WorkerId| self.workers.get(w).map_or(1.0, |x| x.failure_rate);
+        let failure_rate = |w: &WorkerId| self.workers.get(w).map_or(1.0, |x| x.failure_rate);
         let score = |w: &WorkerId| self.fleet.position(call.function, *w).map_or(f64::INFINITY, |p| p.score);
-        let better = |a: &WorkerId, b: &WorkerId| {
-            failing(a).total_cmp(&failing(b)).then_with(|| score(a).total_cmp(&score(b)))
+        let compare = |a: &WorkerId, b: &WorkerId| {
+            failure_rate(a).total_cmp(&failure_rate(b)).then_with(|| score(a).total_cmp(&score(b)))
         };
-        self.workers.keys().copied().filter(is_eligible).min_by(better)
+        self.workers.keys().copied().filter(is_eligible).min_by(compare)
     }
 
     /// Whether the worker may take an attempt of the call now. All guards are combined here.
--- a/src/decision/replica_loading.rs
+++ b/src/decision/replica_loading.rs
@@ -14,8 +14,8 @@
 use crate::interface::*;
 use crate::state::{Function, ReplicaKey, Worker, update_mean};
 
-/// Assumed load time in microseconds before any was reported or measured: that of a medium-sized program.
-const DEFAULT_LOAD_TIME: f64 = 1_000_000.0;
+/// Assumed load time before any was reported or measured: that of a medium-sized program.
+const DEFAULT_LOAD_TIME_US: f64 = 1_000_000.0;
 /// A load that takes this many times the expected time counts as stuck; another may start elsewhere.
 pub(super) const STUCK_LOAD_FACTOR: f64 = 3.0;
 /// Maximum number of pending loads of this controller per worker: workers run few loads concurrently.
@@ -52,7 +52,7 @@
 
     /// The expected load time in microseconds.
     pub(super) fn expected_load_time(&self, function: &Function) -> f64 {
-        function.load_time.or(self.mean_load_time).unwrap_or(DEFAULT_LOAD_TIME)
+        function.load_time.or(self.mean_load_time).unwrap_or(DEFAULT_LOAD_TIME_US)
     }
 
     /// Orders an additional replica if all warm workers are under pressure. It is ordered at the next worker
@@ -81,20 +81,21 @@
 
     /// Orders one replica, if the ration permits it.
     pub(super) fn order_replica(&mut self, replica: ReplicaKey) {
-        let ReplicaKey { worker: at, function: id } = replica;
-        self.apply_sweep(id);
-        let on = self.workers.get(&at).is_some_and(|w| w.entry.state == WorkerState::On);
-        let ordered = self.functions.get(&id).is_none_or(|f| f.pending_loads.contains_key(&at));
+        let ReplicaKey { worker: worker_id, function: function_id } = replica;
+        self.apply_sweep(function_id);
+        let on = self.workers.get(&worker_id).is_some_and(|w| w.entry.state == WorkerState::On);
+        let ordered =
+            self.functions.get(&function_id).is_none_or(|f| f.pending_loads.contains_key(&worker_id));
         if !on || !self.settings.loading.orders || ordered {
             return;
         }
         if !self.ration_permits_order() {
             return self.avoid_worker(replica, 1);
         }
-        let function = self.functions.get_mut(&id).expect("just seen");
+        let function = self.functions.get_mut(&function_id).expect("just seen");
         function.last_order = Some(self.now);
         self.load_started(replica);
-        self.actions.push(Action::Load { worker: at, function: id, count: 1 });
+        self.actions.push(Action::Load { worker: worker_id, function: function_id, count: 1 });
     }
 
     /// Handles the end of a load order, with or without an answer.
@@ -105,27 +106,27 @@
         replicas: u32,
         elapsed: Micros,
     ) {
-        let ReplicaKey { worker: at, function: id } = replica;
-        if !self.functions.get(&id).is_some_and(|f| f.pending_loads.contains_key(&at)) {
+        let ReplicaKey { worker: worker_id, function: function_id } = replica;
+        if !self.functions.get(&function_id).is_some_and(|f| f.pending_loads.contains_key(&worker_id)) {
             return;
         }
         let connection_broke = matches!(outcome, Outcome::Reset | Outcome::PartlySent | Outcome::Timeout)
             && self.settings.limits.probes
             && elapsed < self.settings.loading.order_timeout;
         let lost = |w: &&mut Worker| connection_broke && w.entry.state == WorkerState::On;
-        if let Some(worker) = self.workers.get_mut(&at).filter(lost) {
+        if let Some(worker) = self.workers.get_mut(&worker_id).filter(lost) {
             // The order may have arrived before the connection broke. It is sent again after an answered
             // probe.
-            worker.lost_orders.insert(id);
-            self.suspect_connection(at);
+            worker.lost_orders.insert(function_id);
+            self.suspect_connection(worker_id);
             return;
         }
         self.load_finished(replica);
         if outcome == Outcome::Ok || replicas > 0 {
             self.replica_found(replica);
-            self.functions.get_mut(&id).expect("just seen").avoided.remove(&at);
+            self.functions.get_mut(&function_id).expect("just seen").avoided.remove(&worker_id);
             if elapsed > ALREADY_LOADED {
-                self.record_load_time(id, elapsed as f64);
+                self.record_load_time(function_id, elapsed as f64);
             }
         } else if outcome != Outcome::Cancelled {
             self.avoid_worker(replica, if outcome == Outcome::Rejected { 1 } else { MAX_REJECTIONS });
--- a/src/decision/worker_load.rs
+++ b/src/decision/worker_load.rs
@@ -41,10 +41,10 @@
 impl Controller {
     /// Whether the load of the worker is known well enough to send the call there. If not, the worker is
     /// probed and the call is held.
-    pub(super) fn ensure_recent_load(&mut self, id: RequestId, at: WorkerId) -> bool {
+    pub(super) fn ensure_recent_load(&mut self, id: RequestId, worker_id: WorkerId) -> bool {
         let may_probe = self.may_probe_load();
         let Some(call) = self.calls.get_mut(&id) else { return true };
-        let Some(worker) = self.workers.get_mut(&at) else { return true };
+        let Some(worker) = self.workers.get_mut(&worker_id) else { return true };
         // Where only orders load functions, a worker without a replica answers at once, so that no probe is
         // needed.
         let has_replica = |f: &Function| !f.warm_replicas.is_empty() || !f.pending_loads.is_empty();
@@ -59,7 +59,7 @@
         }
         if worker.probe_sent.is_none() && call.probes < LOAD_PROBES_PER_CALL {
             call.probes += 1;
-            self.send_probe(at);
+            self.send_probe(worker_id);
             return false;
         }
         worker.probe_sent.is_none_or(|since| (self.now - since) as f64 > objective * LOAD_PROBE_WAIT)
@@ -73,23 +73,23 @@
     /// Pressure of a worker for calls of the function and class.
     pub(super) fn pressure(&self, function: &Function, id: WorkerId, class: usize) -> f64 {
         let objective = self.settings.classes[class].latency_objective.max(1) as f64;
-        let aged =
+        let decayed =
             |sample: PressureSample| sample.value - self.now.saturating_sub(sample.at) as f64 / objective;
-        let of_function = function.reported_pressure.get(&id).map_or(0.0, |sample| aged(*sample));
-        let Some(worker) = self.workers.get(&id) else { return of_function };
+        let function_pressure = function.reported_pressure.get(&id).map_or(0.0, |sample| decayed(*sample));
+        let Some(worker) = self.workers.get(&id) else { return function_pressure };
         let probe_late = |since| self.now.saturating_sub(since) as f64 > objective * LOAD_PROBE_WAIT;
         if worker.probe_sent.is_some_and(probe_late) {
             return PRESSURE_FULL;
         }
-        let of_report = worker.last_report.map_or(0.0, |received| {
+        let report_pressure = worker.last_report.map_or(0.0, |received| {
             let utilization = received.report.util.unwrap_or(1.0);
             let by_inflight = received.report.inflight.map_or(utilization, |n| {
                 (n + 1.0) * self.cpu_time(class) / ASSUMED_CORES / (objective * PRESSURE_OBJECTIVE)
             });
             let value = if utilization < IDLE_UTILIZATION { utilization } else { by_inflight };
-            aged(PressureSample { value, at: received.at })
+            decayed(PressureSample { value, at: received.at })
         });
-        aged(worker.last_pressure).max(of_function).max(of_report)
+        decayed(worker.last_pressure).max(function_pressure).max(report_pressure)
     }
 
     /// Whether the last load report, if not older than one objective, shows idle cores. The lanes bound is
@@ -107,17 +107,17 @@
     }
 
     /// Records a load report; values that are not valid numbers count as not reported.
-    pub(super) fn record_report(&mut self, at: WorkerId, report: Report) {
+    pub(super) fn record_report(&mut self, worker_id: WorkerId, report: Report) {
         let valid = |x: Option<f64>| x.filter(|x| x.is_finite() && *x >= 0.0);
         let report = Report { inflight: valid(report.inflight), util: valid(report.util), ..report };
-        if let Some(worker) = self.workers.get_mut(&at) {
+        if let Some(worker) = self.workers.get_mut(&worker_id) {
             worker.last_report = Some(ReceivedReport { report, at: self.now });
         }
     }
 
     /// Records the pressure derived from a response.
-    pub(super) fn record_pressure(&mut self, at: WorkerId, value: f64) {
-        if let Some(worker) = self.workers.get_mut(&at) {
+    pub(super) fn record_pressure(&mut self, worker_id: WorkerId, value: f64) {
+        if let Some(worker) = self.workers.get_mut(&worker_id) {
             worker.last_pressure = PressureSample { value, at: self.now };
         }
     }
