--- a/crates/administration/src/endpoint.rs
+++ b/crates/administration/src/endpoint.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::thread::JoinHandle;
 
-use nettleferry_net::http1::{Http1, Http1Limits, Reply, Request, Stop};
+use nettleferry_net::http1::{Http1Limits, Http1Server, Reply, Request, Stop};
 use tracing::warn;
 
 /// The listener. Its thread is stopped and joined when this is dropped.
@@ -27,8 +27,8 @@
         name: &'static str,
         answer: impl FnMut(&Request<'_>) -> Reply + Send + 'static,
     ) -> io::Result<Self> {
-        let mut server = Http1::bind(listen, Http1Limits { body_bytes, ..Http1Limits::default() })?;
-        let (local, stop) = (server.local()?, server.stop());
+        let mut server = Http1Server::bind(listen, Http1Limits { body_bytes, ..Http1Limits::default() })?;
+        let (local, stop) = (server.local_addr()?, server.stop());
         let thread = std::thread::Builder::new().name(name.to_owned()).spawn(move || {
             if let Err(error) = server.run(answer) {
                 warn!(name, %error, "HTTP endpoint failed");
--- a/crates/administration/src/follower/leader_client.rs
+++ b/crates/administration/src/follower/leader_client.rs
@@ -9,15 +9,15 @@
 use nettleferry_fleet::follower_requests::{
     DEREGISTRATION_TIMEOUT, Heartbeat, SNAPSHOT_TIMEOUT, Timing, deregistration_target,
 };
-use nettleferry_net::post::{Answer, PostError, Poster};
+use nettleferry_net::post::{Answer, Http1Client, Http1Error};
 use nettleferry_tenancy::replication::ReplicationRequest;
 
 /// The client.
 pub(super) struct LeaderClient {
     /// The connection for requests that wait for changes.
-    watches: Poster,
+    watches: Http1Client,
     /// The connection for all other requests.
-    snapshots: Poster,
+    snapshots: Http1Client,
     authorization: String,
     stopped: Arc<AtomicBool>,
 }
@@ -29,8 +29,8 @@
     /// The system gives no poll for a connection.
     pub(super) fn new(leader: SocketAddr, token: &str) -> io::Result<Self> {
         Ok(Self {
-            watches: Poster::new(leader, 1, SNAPSHOT_TIMEOUT)?,
-            snapshots: Poster::new(leader, 1, SNAPSHOT_TIMEOUT)?,
+            watches: Http1Client::new(leader, 1, SNAPSHOT_TIMEOUT)?,
+            snapshots: Http1Client::new(leader, 1, SNAPSHOT_TIMEOUT)?,
             authorization: format!("Bearer {token}"),
             stopped: Arc::default(),
         })
@@ -68,7 +68,7 @@
         request: &ReplicationRequest,
         heartbeat: &Heartbeat,
         timing: Timing,
-    ) -> io::Result<Option<Result<Answer, PostError>>> {
+    ) -> io::Result<Option<Result<Answer, Http1Error>>> {
         let (connection, timeout, target) = match request {
             ReplicationRequest::Snapshot => {
                 (&mut self.snapshots, SNAPSHOT_TIMEOUT, heartbeat.snapshot_target())
@@ -111,10 +111,10 @@
 }
 
 fn wait_for_response(
-    connection: &mut Poster,
+    connection: &mut Http1Client,
     timeout: Duration,
     stopped: &AtomicBool,
-) -> io::Result<Option<Result<Answer, PostError>>> {
+) -> io::Result<Option<Result<Answer, Http1Error>>> {
     let mut responses = Vec::new();
     while responses.is_empty() && !stopped.load(Ordering::Acquire) {
         connection.poll(Some(timeout), &mut responses)?;
--- a/crates/administration/src/follower/replica.rs
+++ b/crates/administration/src/follower/replica.rs
@@ -15,7 +15,7 @@
 use nettleferry_fleet::lease::{self, MAX_SPAN, MIN_SPAN};
 use nettleferry_fleet::membership::Version;
 use nettleferry_fleet::snapshot_version::{SnapshotVersion, VersionOrder};
-use nettleferry_net::post::{Answer, PostError};
+use nettleferry_net::post::{Answer, Http1Error};
 use nettleferry_tenancy::replication::{
     Follower as Replication, ReplicationRequest, ReplicationResponse, Update,
 };
@@ -206,7 +206,7 @@
     fn send_heartbeat(
         &mut self,
         request: &ReplicationRequest,
-    ) -> io::Result<Option<Result<Answer, PostError>>> {
+    ) -> io::Result<Option<Result<Answer, Http1Error>>> {
         let snapshot = self.snapshot_version();
         let (in_force, persisted) = (self.versions.in_force(), self.store.persisted());
         let epoch = self.epoch.unwrap_or(0);
@@ -273,7 +273,7 @@
     }
 
     /// A reading of the leader's clock is sent to the controller, with the moments of ours between which it was made.
-    fn send_leader_clock(&self, asked: Instant, response: &Result<Answer, PostError>) {
+    fn send_leader_clock(&self, asked: Instant, response: &Result<Answer, Http1Error>) {
         let Some(clock) = response.as_ref().ok().and_then(responses::leader_clock) else { return };
         // The leader held the request for so long by its own clock, which may be a little fast.
         let held = Duration::from_millis(clock.held_ms.saturating_sub(lease::error_of(clock.held_ms)));
@@ -287,7 +287,7 @@
     fn handle_response(
         &mut self,
         request: &ReplicationRequest,
-        response: &Result<Answer, PostError>,
+        response: &Result<Answer, Http1Error>,
         updates: &mut Vec<Update>,
     ) -> Option<Lease> {
         self.check_fenced(response);
@@ -313,7 +313,7 @@
         lease.filter(|_| is_data && !needs_snapshot)
     }
 
-    fn check_fenced(&mut self, response: &Result<Answer, PostError>) {
+    fn check_fenced(&mut self, response: &Result<Answer, Http1Error>) {
         if response.as_ref().is_ok_and(responses::is_fenced) && !self.fenced {
             warn!("incarnation fenced: no calls are accepted until a restart");
             self.fenced = true;
@@ -322,7 +322,7 @@
     }
 
     /// Logs the first of a row of failures, and the end of the row.
-    fn log_failures(&self, before: u32, response: &Result<Answer, PostError>) {
+    fn log_failures(&self, before: u32, response: &Result<Answer, Http1Error>) {
         match (before, self.replication.failures()) {
             (0, 1) if self.rejected.is_none() => {
                 let cause = match response {
--- a/crates/administration/src/http_reply.rs
+++ b/crates/administration/src/http_reply.rs
@@ -7,7 +7,7 @@
 /// A response of the API.
 pub(crate) fn reply(response: Response) -> Reply {
     let Response { status, content_type: kind, headers, body } = response;
-    Reply { status, kind, headers, body: body.into_bytes(), cut: None }
+    Reply { status, content_type: kind, headers, body: body.into_bytes(), cut: None }
 }
 
 /// A problem of the API.
@@ -19,7 +19,7 @@
 pub(crate) fn json_reply(status: u16, body: &Value) -> Reply {
     Reply {
         status,
-        kind: "application/json",
+        content_type: "application/json",
         headers: Vec::new(),
         body: body.to_string().into_bytes(),
         cut: None,
--- a/crates/administration/src/leader/start.rs
+++ b/crates/administration/src/leader/start.rs
@@ -12,7 +12,7 @@
 use nettleferry_fleet::authority::Authority;
 use nettleferry_fleet::loans::LoanConfig;
 use nettleferry_fleet::membership::{Membership, Version};
-use nettleferry_net::http1::{Http1, Http1Limits, Stop};
+use nettleferry_net::http1::{Http1Limits, Http1Server, Stop};
 use nettleferry_net::retry::{is_transient, retry_startup};
 use nettleferry_tenancy::TenantSnapshot;
 use nettleferry_tenant_store::{Origin, Snapshot};
@@ -131,7 +131,7 @@
     let (revision, epoch) = (snapshot.revision(), origin.epoch);
     info!(revision, tenants = snapshot.tenants().len(), epoch, "tenants loaded");
     let server = retry_startup("administration listener", || listen(config.listen), is_transient)?;
-    let (local, stop) = (server.local()?, server.stop());
+    let (local, stop) = (server.local_addr()?, server.stop());
     let peers = start_peer_poller(&config, &stop)?;
     let start = Instant::now();
     let peers = PeerPolling::new(peers, start);
@@ -182,9 +182,12 @@
     Some(AuditCollector::open(folder, *number, incarnation, entries))
 }
 
-fn listen(address: SocketAddr) -> io::Result<Http1> {
+fn listen(address: SocketAddr) -> io::Result<Http1Server> {
     let connections = CONNECTIONS_PER_FOLLOWER * MAX_FOLLOWERS + Http1Limits::default().connections;
-    Http1::bind(address, Http1Limits { body_bytes: MAX_BODY_BYTES, connections, ..Http1Limits::default() })
+    Http1Server::bind(
+        address,
+        Http1Limits { body_bytes: MAX_BODY_BYTES, connections, ..Http1Limits::default() },
+    )
 }
 
 fn start_peer_poller(config: &LeaderConfig, stop: &Stop) -> io::Result<PeerPoller> {
@@ -195,7 +198,7 @@
 }
 
 /// Starts the thread, which writes the last snapshot at its end.
-fn spawn(mut leader: Leader, mut server: Http1) -> io::Result<JoinHandle<()>> {
+fn spawn(mut leader: Leader, mut server: Http1Server) -> io::Result<JoinHandle<()>> {
     std::thread::Builder::new().name("admin".to_owned()).spawn(move || {
         let leader = RefCell::new(&mut leader);
         let ended = server.run_waiting(
--- a/crates/administration/src/peer_client.rs
+++ b/crates/administration/src/peer_client.rs
@@ -6,7 +6,7 @@
 use std::sync::mpsc::{Receiver, Sender, channel, sync_channel};
 use std::time::Duration;
 
-use nettleferry_net::post::{Answer, PostError, Poster};
+use nettleferry_net::post::{Answer, Http1Client, Http1Error};
 use serde::Deserialize;
 
 use crate::snapshot_document::SnapshotDocument;
@@ -27,7 +27,7 @@
     Io(#[from] io::Error),
     /// The exchange failed.
     #[error(transparent)]
-    Exchange(#[from] PostError),
+    Exchange(#[from] Http1Error),
     /// The response holds no valid snapshot.
     #[error("the response holds no snapshot: {0}")]
     Invalid(#[from] serde_json::Error),
@@ -72,7 +72,7 @@
 
 /// A client of the peers: asks one at a time, and waits for the response.
 pub(crate) struct PeerClient {
-    connections: Vec<Poster>,
+    connections: Vec<Http1Client>,
     authorization: String,
     target: String,
 }
@@ -83,7 +83,7 @@
     /// # Errors
     /// The system gives no poll for a connection.
     pub(crate) fn new(peers: &[SocketAddr], token: &str, controller: u32) -> io::Result<Self> {
-        let connect = |peer: &SocketAddr| Poster::new(*peer, 1, RESPONSE_TIMEOUT);
+        let connect = |peer: &SocketAddr| Http1Client::new(*peer, 1, RESPONSE_TIMEOUT);
         Ok(Self {
             connections: peers.iter().map(connect).collect::<io::Result<_>>()?,
             authorization: format!("Bearer {token}"),
--- a/crates/gateway/benches/measure.rs
+++ b/crates/gateway/benches/measure.rs
@@ -377,7 +377,7 @@
 
 /// From an accepted change to the moment at which each controller has said that it took it in.
 fn force(followers: u32) {
-    use nettleferry_net::post::Poster;
+    use nettleferry_net::post::Http1Client;
     let key = |name: &str, role: &str| {
         let out = Command::new(PROGRAM).args(["admin", "key", name, role]).output().expect("it runs");
         let text = String::from_utf8_lossy(&out.stdout).into_owned();
@@ -398,7 +398,7 @@
             serve_in(dir, &format!("{SETTINGS}{admin}{number}"), None)
         })
         .collect();
-    let mut poster = Poster::new(api, 1, Duration::from_secs(10)).expect("a poll");
+    let mut poster = Http1Client::new(api, 1, Duration::from_secs(10)).expect("a poll");
     let bearer = format!("Bearer {token}");
     let mut ask = |method: &str, target: &str, body: &str| -> serde_json::Value {
         let headers =
--- a/crates/gateway/src/commands/admin/client.rs
+++ b/crates/gateway/src/commands/admin/client.rs
@@ -6,7 +6,7 @@
 
 use clap::Args;
 use nettleferry_net::http1_client::Answer;
-use nettleferry_net::post::Poster;
+use nettleferry_net::post::Http1Client;
 use serde_json::Value;
 
 use super::super::console::read_file;
@@ -42,7 +42,7 @@
 
 /// The client.
 pub(crate) struct Client {
-    poster: Poster,
+    poster: Http1Client,
     address: SocketAddr,
     /// The value of the Authorization header.
     authorization: String,
@@ -51,7 +51,8 @@
 impl Client {
     /// A client that has no connection yet.
     pub(crate) fn new(api: &Api) -> Result<Self, CommandError> {
-        let poster = Poster::new(api.api, 1, RESPONSE_TIMEOUT).map_err(CommandError::system("can't poll"))?;
+        let poster =
+            Http1Client::new(api.api, 1, RESPONSE_TIMEOUT).map_err(CommandError::system("can't poll"))?;
         Ok(Self { poster, address: api.api, authorization: format!("Bearer {}", api.key()?) })
     }
 
--- a/crates/gateway/src/commands/error.rs
+++ b/crates/gateway/src/commands/error.rs
@@ -6,7 +6,7 @@
 
 use nettleferry_alerts::rules::RuleError;
 use nettleferry_alerts::unit::UnitTestError;
-use nettleferry_net::post::PostError;
+use nettleferry_net::post::Http1Error;
 use nettleferry_node::NodeError;
 use nettleferry_scenario::run::ScenarioError;
 use nettleferry_soak::SoakError;
@@ -113,7 +113,7 @@
         /// The API's address.
         address: SocketAddr,
         /// Why.
-        error: PostError,
+        error: Http1Error,
     },
     /// The response is a problem (RFC 9457).
     #[error("{status} {title}: {detail}")]
--- a/crates/gateway/src/front/mod.rs
+++ b/crates/gateway/src/front/mod.rs
@@ -291,7 +291,7 @@
 fn code_of(error: &FrameError) -> Code {
     match error {
         FrameError::TooLarge { .. } => Code::ResourceExhausted,
-        FrameError::CutShort(_) | FrameError::BadFlag(_) => Code::Internal,
+        FrameError::Truncated(_) | FrameError::BadFlag(_) => Code::Internal,
         FrameError::NoEncoding | FrameError::BadGzip => Code::InvalidArgument,
     }
 }
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -246,7 +246,7 @@
         return Reply { headers: allow, ..Reply::text(405, "GET alone is answered here\n") };
     }
     match metrics.text() {
-        Ok(text) => Reply { kind: OPENMETRICS, ..Reply::text(200, text) },
+        Ok(text) => Reply { content_type: OPENMETRICS, ..Reply::text(200, text) },
         Err(_) => Reply::text(500, "the figures could not be written\n"),
     }
 }
--- a/crates/gateway/src/remote_write/worker.rs
+++ b/crates/gateway/src/remote_write/worker.rs
@@ -10,7 +10,7 @@
 use nettleferry_config::settings::RemoteWriteSettings;
 use nettleferry_metrics::{LATENCY_NAME, Metrics, RemoteWriteState, sample};
 use nettleferry_net::clock::{Clock, wall};
-use nettleferry_net::post::{Answer, PostError, Poster};
+use nettleferry_net::post::{Answer, Http1Client, Http1Error};
 use nettleferry_proto::remote_write::{self, NativeHistogram, Series, SeriesKind, Version};
 use nettleferry_remote_write::{
     Acceptance, Backoff, Limits, Negotiation, ProtocolVersion, Queue, Response, SampleClock,
@@ -39,7 +39,7 @@
 #[derive(Default)]
 struct Buffers {
     due: Vec<Batch>,
-    ended: Vec<(usize, Result<Answer, PostError>)>,
+    ended: Vec<(usize, Result<Answer, Http1Error>)>,
 }
 
 /// The state of the thread.
@@ -47,7 +47,7 @@
     settings: RemoteWriteSettings,
     metrics: Arc<Metrics>,
     clock: Clock,
-    client: Poster,
+    client: Http1Client,
     queue: Queue<SampleValue>,
     log: SampleLog,
     series: SeriesTable,
@@ -76,7 +76,7 @@
         };
         let queue = Queue::new(limits, rand::random());
         let timeout = Duration::from_micros(settings.timeout);
-        let client = Poster::new(settings.receiver, settings.shards, timeout)?;
+        let client = Http1Client::new(settings.receiver, settings.shards, timeout)?;
         let first = settings.renegotiate_after;
         let backoff = Backoff { first, max: first.saturating_mul(MAX_RENEGOTIATION_FACTOR) };
         let mut worker = Self {
@@ -373,7 +373,7 @@
         }
     }
 
-    fn handle_result(&mut self, lane: usize, result: Result<Answer, PostError>) {
+    fn handle_result(&mut self, lane: usize, result: Result<Answer, Http1Error>) {
         let Some(PendingBatch { batch, version }) = self.pending_batches.remove(&lane) else { return };
         let now = self.clock.now();
         let meaning = match &result {
--- a/crates/gateway/src/worker_links/pool.rs
+++ b/crates/gateway/src/worker_links/pool.rs
@@ -34,7 +34,7 @@
             return Ok(least_used);
         }
         // A connection with GOAWAY does not count: it ends with its last stream.
-        let counted = self.connections.iter().filter(|key| !hub.is_leaving(**key)).count();
+        let counted = self.connections.iter().filter(|key| !hub.is_going_away(**key)).count();
         if counted >= limits.connections {
             return Err(AttemptEnd::NoRoom);
         }
--- a/crates/hollow/src/controllers/run.rs
+++ b/crates/hollow/src/controllers/run.rs
@@ -8,7 +8,7 @@
 use hdrhistogram::Histogram;
 use http::{HeaderMap, Request};
 use nettleferry_net::grpc::{Code, Status, write_timeout};
-use nettleferry_net::{Closing, ConnKey, Hub, NetEvent, NetLimits, StreamKey};
+use nettleferry_net::{CloseReason, ConnKey, Hub, NetEvent, NetLimits, StreamKey};
 use nettleferry_proto::inference::{ModelInferRequest, SERVICE, ServerReadyRequest};
 use nettleferry_proto::metadata;
 use prost::Message;
@@ -182,7 +182,7 @@
     /// Its connection, which is made where none stands.
     fn connection(&mut self, n: usize) -> Option<ConnKey> {
         let controller = &mut self.controllers[n];
-        if let Some(connection) = controller.connection.filter(|key| !self.hub.is_leaving(*key)) {
+        if let Some(connection) = controller.connection.filter(|key| !self.hub.is_going_away(*key)) {
             return Some(connection);
         }
         controller.connection = self.hub.connect(self.settings.worker).ok();
@@ -224,8 +224,8 @@
     fn event(&mut self, event: NetEvent) {
         match event {
             NetEvent::Connected { .. } => self.counts.connected += 1,
-            NetEvent::Closed { why: Closing::NotConnected, .. } => self.counts.not_connected += 1,
-            NetEvent::Closed { why: Closing::Idle, .. } => self.counts.idle += 1,
+            NetEvent::Closed { why: CloseReason::NotConnected, .. } => self.counts.not_connected += 1,
+            NetEvent::Closed { why: CloseReason::Idle, .. } => self.counts.idle += 1,
             NetEvent::Closed { .. } => self.counts.closed += 1,
             NetEvent::Trailers { stream, trailers } => self.answered(stream, &trailers),
             NetEvent::Failed { stream, .. } => {
--- a/crates/hollow/src/followers/follower.rs
+++ b/crates/hollow/src/followers/follower.rs
@@ -7,7 +7,7 @@
 use nettleferry_fleet::lease::{self, MAX_SPAN, MIN_SPAN};
 use nettleferry_fleet::membership::Version;
 use nettleferry_fleet::snapshot_version::SnapshotVersion;
-use nettleferry_net::http1_client::{Answer, PostError};
+use nettleferry_net::http1_client::{Answer, Http1Error};
 use nettleferry_tenancy::Revision;
 use nettleferry_tenancy::replication::Backoff;
 
@@ -246,14 +246,14 @@
     pub fn heard(
         &mut self,
         exchange: Exchange,
-        answer: &Result<Answer, PostError>,
+        answer: &Result<Answer, Http1Error>,
         book: &mut SharedBook,
     ) -> Outcome {
         let before = self.revision().unwrap_or(0);
         let (meaning, lease, mut changes) = match answer {
-            Err(PostError::Timeout) => (Meaning::Late, None, Vec::new()),
-            Err(PostError::Broken(_)) => (Meaning::Broken, None, Vec::new()),
-            Err(PostError::Malformed) => (Meaning::Malformed, None, Vec::new()),
+            Err(Http1Error::Timeout) => (Meaning::Late, None, Vec::new()),
+            Err(Http1Error::Broken(_)) => (Meaning::Broken, None, Vec::new()),
+            Err(Http1Error::Malformed) => (Meaning::Malformed, None, Vec::new()),
             Ok(answer) => self.answered(exchange.ask, answer, book),
         };
         let ask_again = match meaning {
--- a/crates/hollow/src/followers/run.rs
+++ b/crates/hollow/src/followers/run.rs
@@ -8,7 +8,7 @@
 use mio::{Events, Poll, Token, Waker};
 use nettleferry_fleet::follower_requests::{DEREGISTRATION_TIMEOUT, deregistration_target};
 use nettleferry_net::clock::wall;
-use nettleferry_net::http1_client::{Answer, ClientConnection, PostError, request};
+use nettleferry_net::http1_client::{Answer, ClientConnection, Http1Error, encode_request};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -42,7 +42,7 @@
     /// Its request is out.
     Asks(Asked),
     /// The answer is on the imitated way back.
-    Hears(Exchange, Result<Answer, PostError>),
+    Hears(Exchange, Result<Answer, Http1Error>),
 }
 
 /// A request that is out.
@@ -230,7 +230,7 @@
     ) -> io::Result<()> {
         let Request { ask, target, patience } = to_send;
         let to = self.settings.administration;
-        let bytes = request(to, "GET", &target, &[("Authorization", &self.authorization)], b"");
+        let bytes = encode_request(to, "GET", &target, &[("Authorization", &self.authorization)], b"");
         self.counts.asks += 1;
         self.counts.bytes_out += bytes.len() as u64;
         let (lane, until) = (connection_of(ask), since + patience);
@@ -256,7 +256,7 @@
         }
         let comes = now + way;
         let in_time = comes < until;
-        let answer = if in_time { answer } else { Err(PostError::Timeout) };
+        let answer = if in_time { answer } else { Err(Http1Error::Timeout) };
         if !in_time {
             peer.connections[lane].close();
         }
@@ -270,7 +270,7 @@
         &mut self,
         n: usize,
         exchange: Exchange,
-        answer: &Result<Answer, PostError>,
+        answer: &Result<Answer, Http1Error>,
         lines: &mut Lines<W>,
     ) -> io::Result<()> {
         let peer = &mut self.peers[n];
@@ -368,7 +368,7 @@
             }
             let (number, life) = peer.follower.who();
             let headers = [("Authorization", self.authorization.as_str())];
-            let bytes = request(to, "GET", &deregistration_target(number, life), &headers, b"");
+            let bytes = encode_request(to, "GET", &deregistration_target(number, life), &headers, b"");
             let token = Token(n * CONNECTIONS + SNAPSHOTS);
             peer.connections[SNAPSHOTS].send(self.poll.registry(), token, to, bytes, until);
         }
--- a/crates/hollow/tests/followers.rs
+++ b/crates/hollow/tests/followers.rs
@@ -7,7 +7,7 @@
 use nettleferry_hollow::followers::follower::{Ask, Exchange, Follower, Meaning, Outcome};
 use nettleferry_hollow::followers::spread::Spread;
 use nettleferry_hollow::process::Machine;
-use nettleferry_net::http1_client::{Answer, PostError};
+use nettleferry_net::http1_client::{Answer, Http1Error};
 use nettleferry_tenancy::{Change, Condition, Entry, TenantSnapshot};
 use proptest::prelude::*;
 use serde_json::{Value, json};
@@ -30,18 +30,18 @@
         self.entries.push(entry);
     }
 
-    fn snapshot(&self) -> Result<Answer, PostError> {
+    fn snapshot(&self) -> Result<Answer, Http1Error> {
         let (book, sum) = (&self.book, self.book.checksum());
         answer(200, json!({ "store": "s", "epoch": 1, "sum": sum, "book": book, "lease_ms": SPAN }))
     }
 
-    fn page(&self, after: u64) -> Result<Answer, PostError> {
+    fn page(&self, after: u64) -> Result<Answer, Http1Error> {
         let entries: Vec<&Entry> = self.entries.iter().filter(|e| e.revision > after).collect();
         answer(200, json!({ "entries": entries, "next": null, "lease_ms": SPAN, "place": 4 }))
     }
 }
 
-fn answer(status: u16, body: Value) -> Result<Answer, PostError> {
+fn answer(status: u16, body: Value) -> Result<Answer, Http1Error> {
     Ok(Answer { status, headers: Vec::new(), body: body.to_string().into_bytes() })
 }
 
@@ -66,7 +66,7 @@
         (request.ask, request.target)
     }
 
-    fn hears(&mut self, answer: Result<Answer, PostError>) -> Outcome {
+    fn hears(&mut self, answer: Result<Answer, Http1Error>) -> Outcome {
         let exchange = Exchange { ask: self.asks().0, asked: self.now, now: self.now };
         self.follower.heard(exchange, &answer, &mut self.book)
     }
@@ -144,7 +144,8 @@
 fn failures_are_waited_out_ever_longer_and_a_fence_is_told_on() {
     let mut rig = Rig::begun();
     let mut waits = Vec::new();
-    for failure in [Err(PostError::Timeout), Err(PostError::Broken(String::new())), answer(503, json!({}))] {
+    for failure in [Err(Http1Error::Timeout), Err(Http1Error::Broken(String::new())), answer(503, json!({}))]
+    {
         let outcome = rig.hears(failure);
         waits.push(outcome.ask_again - rig.now);
     }
--- a/crates/net/src/framing.rs
+++ b/crates/net/src/framing.rs
@@ -27,7 +27,7 @@
     BadGzip,
     /// The stream ended inside a message.
     #[error("the stream ended inside a message: {0} bytes of it had come")]
-    CutShort(usize),
+    Truncated(usize),
 }
 
 /// Bytes before a message: the flag and the length.
@@ -106,7 +106,7 @@
 
     /// Checks at the end of a stream that no part of a message is left.
     pub fn end(&self) -> Result<(), FrameError> {
-        if self.buffer.is_empty() { Ok(()) } else { Err(FrameError::CutShort(self.buffer.len())) }
+        if self.buffer.is_empty() { Ok(()) } else { Err(FrameError::Truncated(self.buffer.len())) }
     }
 }
 
--- a/crates/net/src/framing/tests.rs
+++ b/crates/net/src/framing/tests.rs
@@ -73,5 +73,5 @@
     let mut decoder = Decoder::new(100, false);
     decoder.push(Bytes::from_static(&[0, 0, 0, 0, 9, 1, 2]));
     assert_eq!(decoder.next_message(), Ok(None));
-    assert_eq!(decoder.end(), Err(FrameError::CutShort(7)));
+    assert_eq!(decoder.end(), Err(FrameError::Truncated(7)));
 }
--- a/crates/net/src/http1/connection.rs
+++ b/crates/net/src/http1/connection.rs
@@ -130,7 +130,7 @@
         let mut head = format!(
             "HTTP/1.1 {} {reason}\r\nContent-Type: {}\r\nContent-Length: {}\r\nConnection: {connection}\r\n",
             reply.status,
-            reply.kind,
+            reply.content_type,
             reply.body.len()
         );
         for (name, value) in &reply.headers {
--- a/crates/net/src/http1/message.rs
+++ b/crates/net/src/http1/message.rs
@@ -50,7 +50,7 @@
     /// The status.
     pub status: u16,
     /// Content-Type.
-    pub kind: &'static str,
+    pub content_type: &'static str,
     /// Further headers.
     pub headers: Vec<(&'static str, String)>,
     /// The body.
@@ -63,7 +63,7 @@
     /// A reply in plain text.
     pub fn text(status: u16, text: impl Into<String>) -> Self {
         let body = text.into().into_bytes();
-        Self { status, kind: "text/plain; charset=utf-8", headers: Vec::new(), body, cut: None }
+        Self { status, content_type: "text/plain; charset=utf-8", headers: Vec::new(), body, cut: None }
     }
 }
 
--- a/crates/net/src/http1/mod.rs
+++ b/crates/net/src/http1/mod.rs
@@ -44,7 +44,7 @@
 }
 
 /// A server.
-pub struct Http1 {
+pub struct Http1Server {
     poll: Poll,
     listener: TcpListener,
     connections: Slab<Connection>,
@@ -56,7 +56,7 @@
 const LISTEN: Token = Token(usize::MAX);
 const WAKE: Token = Token(usize::MAX - 1);
 
-impl Http1 {
+impl Http1Server {
     /// Listens.
     pub fn bind(address: SocketAddr, limits: Http1Limits) -> io::Result<Self> {
         let poll = Poll::new()?;
@@ -69,7 +69,7 @@
     }
 
     /// Where it listens.
-    pub fn local(&self) -> io::Result<SocketAddr> {
+    pub fn local_addr(&self) -> io::Result<SocketAddr> {
         self.listener.local_addr()
     }
 
--- a/crates/net/src/http1/tests.rs
+++ b/crates/net/src/http1/tests.rs
@@ -8,8 +8,8 @@
 /// What a server answers to bytes that come in pieces of a size.
 fn talk(bytes: &[u8], piece: usize) -> String {
     let limits = Http1Limits { head_bytes: 400, body_bytes: 10, ..Http1Limits::default() };
-    let mut server = Http1::bind("127.0.0.1:0".parse().expect("sound"), limits).expect("a port");
-    let (address, stop) = (server.local().expect("bound"), server.stop());
+    let mut server = Http1Server::bind("127.0.0.1:0".parse().expect("sound"), limits).expect("a port");
+    let (address, stop) = (server.local_addr().expect("bound"), server.stop());
     let thread = std::thread::spawn(move || {
         server.run(|r| Reply::text(200, format!("{} {} {}\n", r.method, r.target, r.body.len())))
     });
--- a/crates/net/src/http1_client.rs
+++ b/crates/net/src/http1_client.rs
@@ -28,7 +28,7 @@
 
 /// Why a request has no answer.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum PostError {
+pub enum Http1Error {
     /// No connection, or it broke.
     #[error("no answer: {0}")]
     Broken(String),
@@ -48,7 +48,13 @@
 const RETAINED_BUFFER: usize = 16 << 10;
 
 /// The bytes of a request with its body.
-pub fn request(to: SocketAddr, method: &str, target: &str, headers: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
+pub fn encode_request(
+    to: SocketAddr,
+    method: &str,
+    target: &str,
+    headers: &[(&str, &str)],
+    body: &[u8],
+) -> Vec<u8> {
     let mut head = format!("{method} {target} HTTP/1.1\r\nHost: {to}\r\nContent-Length: {}\r\n", body.len());
     for (name, value) in headers {
         head.push_str(&format!("{name}: {value}\r\n"));
@@ -74,7 +80,7 @@
 }
 
 impl ClientConnection {
-    /// Sends a request where none is in flight; after `deadline` it ends with [`PostError::Timeout`]. A failure to connect is
+    /// Sends a request where none is in flight; after `deadline` it ends with [`Http1Error::Timeout`]. A failure to connect is
     /// reported by the next poll.
     pub fn send(
         &mut self,
@@ -114,10 +120,10 @@
     }
 
     /// Writes and reads as far as it goes. `Some`: the request that was in flight has ended.
-    pub fn poll(&mut self, now: Instant) -> Option<Result<Answer, PostError>> {
+    pub fn poll(&mut self, now: Instant) -> Option<Result<Answer, Http1Error>> {
         let deadline = self.deadline?;
         let result = match self.exchange() {
-            Ok(None) if now >= deadline => Err(PostError::Timeout),
+            Ok(None) if now >= deadline => Err(Http1Error::Timeout),
             Ok(None) => return None,
             Ok(Some(ParsedAnswer { answer, keep_alive })) => {
                 if !keep_alive {
@@ -136,9 +142,9 @@
         Some(result)
     }
 
-    fn exchange(&mut self) -> Result<Option<ParsedAnswer>, PostError> {
+    fn exchange(&mut self) -> Result<Option<ParsedAnswer>, Http1Error> {
         let Some(socket) = &mut self.socket else {
-            return Err(PostError::Broken("no connection".to_owned()));
+            return Err(Http1Error::Broken("no connection".to_owned()));
         };
         if let Ok(Some(error)) = socket.take_error() {
             return Err(broken(error));
@@ -154,7 +160,7 @@
         let mut chunk = [0; 8 << 10];
         loop {
             match socket.read(&mut chunk) {
-                Ok(0) => return Err(PostError::Broken("closed".to_owned())),
+                Ok(0) => return Err(Http1Error::Broken("closed".to_owned())),
                 Ok(n) => {
                     self.answer.extend_from_slice(&chunk[..n]);
                     self.received += n;
@@ -171,8 +177,8 @@
     }
 }
 
-fn broken(error: io::Error) -> PostError {
-    PostError::Broken(error.to_string())
+fn broken(error: io::Error) -> Http1Error {
+    Http1Error::Broken(error.to_string())
 }
 
 /// Whether the socket can't be read or written now, or is not connected yet.
@@ -188,13 +194,13 @@
 }
 
 /// Parses an answer. `None`: it is not complete.
-pub(crate) fn parse(received: &[u8]) -> Result<Option<ParsedAnswer>, PostError> {
+pub(crate) fn parse(received: &[u8]) -> Result<Option<ParsedAnswer>, Http1Error> {
     let mut headers = [httparse::EMPTY_HEADER; 64];
     let mut head = httparse::Response::new(&mut headers);
     let used = match head.parse(received) {
         Ok(httparse::Status::Complete(used)) => used,
         Ok(httparse::Status::Partial) if received.len() <= MAX_HEAD_BYTES => return Ok(None),
-        _ => return Err(PostError::Malformed),
+        _ => return Err(Http1Error::Malformed),
     };
     let text = |v: &[u8]| String::from_utf8_lossy(v).into_owned();
     let headers = head.headers.iter().map(|h| (h.name.to_ascii_lowercase(), text(h.value))).collect();
--- a/crates/net/src/hub/conn.rs
+++ b/crates/net/src/hub/conn.rs
@@ -13,7 +13,7 @@
 use mio::net::TcpStream;
 use slab::Slab;
 
-use super::events::{Closing, ConnKey, ListenerKey, StreamError, StreamKey};
+use super::events::{CloseReason, ConnKey, ListenerKey, StreamError, StreamKey};
 use super::stream::{Stream, error_of};
 use crate::io::{Io, Shared};
 use crate::limits::NetLimits;
@@ -37,7 +37,7 @@
     /// The connection is in another state, which is to be polled as well.
     NextState,
     Pending,
-    Ended(Closing),
+    Ended(CloseReason),
 }
 
 /// A stream that a peer opened.
@@ -151,7 +151,7 @@
     }
 
     /// Lets HTTP/2 read and write. `Some`: the connection has ended.
-    pub(super) fn poll(&mut self, streams: &mut Slab<Stream>) -> Option<Closing> {
+    pub(super) fn poll(&mut self, streams: &mut Slab<Stream>) -> Option<CloseReason> {
         let waker = self.waker.clone();
         let mut cx = Context::from_waker(&waker);
         loop {
@@ -161,7 +161,7 @@
                 State::Client(send, connection) => self.poll_client(send, connection, &mut cx, streams),
                 State::ServerHandshake(handshake) => self.poll_server_handshake(handshake, &mut cx),
                 State::Server(connection) => self.poll_server(connection, &mut cx),
-                State::Gone => Progress::Ended(Closing::Ended),
+                State::Gone => Progress::Ended(CloseReason::Ended),
             };
             match progress {
                 Progress::NextState => {}
@@ -173,7 +173,7 @@
 
     fn poll_connecting(&mut self, io: Io) -> Progress {
         if let Ok(Some(_)) = self.shared.socket.take_error() {
-            return Progress::Ended(Closing::NotConnected);
+            return Progress::Ended(CloseReason::NotConnected);
         }
         if !self.shared.writable.get() {
             self.state = State::Connecting(io);
@@ -202,7 +202,7 @@
                 self.just_established = true;
                 Progress::NextState
             }
-            Poll::Ready(Err(_)) => Progress::Ended(Closing::Ended),
+            Poll::Ready(Err(_)) => Progress::Ended(CloseReason::Ended),
         }
     }
 
@@ -218,7 +218,7 @@
         self.state = State::Client(send, connection);
         match result {
             Poll::Pending => Progress::Pending,
-            Poll::Ready(Ok(())) => Progress::Ended(Closing::Ended),
+            Poll::Ready(Ok(())) => Progress::Ended(CloseReason::Ended),
             Poll::Ready(Err(error)) => Progress::Ended(closing_of(&error)),
         }
     }
@@ -257,7 +257,7 @@
                     self.accepted_streams.push(AcceptedStream { request, response });
                 }
                 Poll::Ready(Some(Err(error))) => break Progress::Ended(closing_of(&error)),
-                Poll::Ready(None) => break Progress::Ended(Closing::Ended),
+                Poll::Ready(None) => break Progress::Ended(CloseReason::Ended),
             }
         };
         self.state = State::Server(connection);
@@ -330,10 +330,10 @@
 }
 
 /// Why a connection is closed that has ended with an error.
-fn closing_of(error: &h2::Error) -> Closing {
+fn closing_of(error: &h2::Error) -> CloseReason {
     if error.is_io() || error.is_remote() || error.reason() == Some(Reason::NO_ERROR) {
-        Closing::Ended
+        CloseReason::Ended
     } else {
-        Closing::Protocol
+        CloseReason::Protocol
     }
 }
--- a/crates/net/src/hub/events.rs
+++ b/crates/net/src/hub/events.rs
@@ -70,7 +70,7 @@
 
 /// Why a connection is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Closing {
+pub enum CloseReason {
     /// It was never established.
     NotConnected,
     /// The peer closed it, or it broke.
@@ -105,7 +105,7 @@
         /// The connection.
         conn: ConnKey,
         /// Why.
-        why: Closing,
+        why: CloseReason,
     },
     /// A peer opened a stream.
     Request {
--- a/crates/net/src/hub/mod.rs
+++ b/crates/net/src/hub/mod.rs
@@ -33,7 +33,7 @@
 use crate::limits::{NetCounters, NetLimits};
 use crate::wake::{Due, DueQueue};
 use conn::Conn;
-pub use events::{Closing, ConnKey, ListenerKey, NetEvent, StreamError, StreamKey};
+pub use events::{CloseReason, ConnKey, ListenerKey, NetEvent, StreamError, StreamKey};
 use stream::Stream;
 
 /// A listening socket.
@@ -146,7 +146,7 @@
     }
 
     /// Whether the peer accepts no new streams there (GOAWAY), or the connection is gone. Open streams go on.
-    pub fn is_leaving(&self, conn: ConnKey) -> bool {
+    pub fn is_going_away(&self, conn: ConnKey) -> bool {
         self.conns.get(conn.index()).filter(|c| c.key == conn).is_none_or(|c| c.closed_to_new)
     }
 
@@ -168,7 +168,7 @@
     /// Closes a connection at once; its streams fail.
     pub fn close(&mut self, conn: ConnKey) {
         if self.conns.get(conn.index()).is_some_and(|c| c.key == conn) {
-            self.close_conn(conn, Closing::Ended);
+            self.close_conn(conn, CloseReason::Ended);
         }
     }
 
--- a/crates/net/src/hub/poll.rs
+++ b/crates/net/src/hub/poll.rs
@@ -5,7 +5,7 @@
 
 use super::conn::AcceptedStream;
 use super::stream::Stream;
-use super::{Closing, ConnKey, Hub, LISTENERS, NetEvent, SOURCES, StreamError, StreamKey, WAKE};
+use super::{CloseReason, ConnKey, Hub, LISTENERS, NetEvent, SOURCES, StreamError, StreamKey, WAKE};
 use crate::clock::shorter;
 use crate::wake::Due;
 
@@ -151,7 +151,7 @@
         }
     }
 
-    pub(super) fn close_conn(&mut self, key: ConnKey, why: Closing) {
+    pub(super) fn close_conn(&mut self, key: ConnKey, why: CloseReason) {
         // What has arrived for its streams is reported first, and how each of them ended.
         let streams: Vec<StreamKey> = self.conns[key.index()].streams.iter().copied().collect();
         for stream in streams.iter().copied() {
@@ -160,17 +160,17 @@
         let mut conn = self.conns.remove(key.index());
         self.alarms.remove(&(conn.alarm, key));
         match why {
-            Closing::NotConnected => self.counters.connect_failures += 1,
-            Closing::Protocol => self.counters.protocol_errors += 1,
-            Closing::Handshake => self.counters.handshake_timeouts += 1,
-            Closing::Idle => self.counters.idle_closed += 1,
-            Closing::Ended => {}
+            CloseReason::NotConnected => self.counters.connect_failures += 1,
+            CloseReason::Protocol => self.counters.protocol_errors += 1,
+            CloseReason::Handshake => self.counters.handshake_timeouts += 1,
+            CloseReason::Idle => self.counters.idle_closed += 1,
+            CloseReason::Ended => {}
         }
         let written = conn.shared.written.get();
         for stream in streams {
             if self.is_open(stream) {
                 let gone = self.streams.remove(stream.index());
-                let why = if why == Closing::NotConnected && gone.is_waiting() {
+                let why = if why == CloseReason::NotConnected && gone.is_waiting() {
                     StreamError::NotConnected
                 } else if gone.is_unwritten(written) {
                     StreamError::NotWritten
@@ -192,10 +192,11 @@
             self.alarms.pop_first();
             let Some(conn) = self.conns.get(key.index()).filter(|c| c.key == key) else { continue };
             if !conn.established() {
-                let why = if conn.listener.is_some() { Closing::Handshake } else { Closing::NotConnected };
+                let why =
+                    if conn.listener.is_some() { CloseReason::Handshake } else { CloseReason::NotConnected };
                 self.close_conn(key, why);
             } else if conn.streams.is_empty() {
-                self.close_conn(key, Closing::Idle);
+                self.close_conn(key, CloseReason::Idle);
             }
             // With streams its alarm is set again when the last of them ends.
         }
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -29,5 +29,5 @@
 pub mod tcp;
 mod wake;
 
-pub use hub::{Closing, ConnKey, Hub, ListenerKey, NetEvent, StreamError, StreamKey};
+pub use hub::{CloseReason, ConnKey, Hub, ListenerKey, NetEvent, StreamError, StreamKey};
 pub use limits::{NetCounters, NetLimits};
--- a/crates/net/src/post.rs
+++ b/crates/net/src/post.rs
@@ -8,13 +8,13 @@
 
 use mio::{Events, Poll, Token, Waker};
 
-pub use crate::http1_client::{Answer, PostError};
-use crate::http1_client::{ClientConnection, request};
+pub use crate::http1_client::{Answer, Http1Error};
+use crate::http1_client::{ClientConnection, encode_request};
 
 const WAKE: Token = Token(usize::MAX);
 
 /// The client.
-pub struct Poster {
+pub struct Http1Client {
     poll: Poll,
     waker: Arc<Waker>,
     to: SocketAddr,
@@ -22,8 +22,8 @@
     timeout: Duration,
 }
 
-impl Poster {
-    /// A client with so many connections; a request without an answer after `timeout` ends with [`PostError::Timeout`].
+impl Http1Client {
+    /// A client with so many connections; a request without an answer after `timeout` ends with [`Http1Error::Timeout`].
     pub fn new(to: SocketAddr, connections: usize, timeout: Duration) -> io::Result<Self> {
         let poll = Poll::new()?;
         let waker = Arc::new(Waker::new(poll.registry(), WAKE)?);
@@ -31,7 +31,7 @@
         Ok(Self { poll, waker, to, connections, timeout })
     }
 
-    /// Ends the wait of [`Poster::poll`] from another thread.
+    /// Ends the wait of [`Http1Client::poll`] from another thread.
     pub fn waker(&self) -> Arc<Waker> {
         Arc::clone(&self.waker)
     }
@@ -57,7 +57,7 @@
     ) {
         let token = Token(connection);
         let Some(connection) = self.connections.get_mut(connection) else { return };
-        let request = request(self.to, method, path, headers, body);
+        let request = encode_request(self.to, method, path, headers, body);
         let deadline = Instant::now() + self.timeout;
         connection.send(self.poll.registry(), token, self.to, request, deadline);
     }
@@ -66,7 +66,7 @@
     pub fn poll(
         &mut self,
         timeout: Option<Duration>,
-        out: &mut Vec<(usize, Result<Answer, PostError>)>,
+        out: &mut Vec<(usize, Result<Answer, Http1Error>)>,
     ) -> io::Result<()> {
         self.poll_connections(out);
         let now = Instant::now();
@@ -87,7 +87,7 @@
         Ok(())
     }
 
-    fn poll_connections(&mut self, out: &mut Vec<(usize, Result<Answer, PostError>)>) {
+    fn poll_connections(&mut self, out: &mut Vec<(usize, Result<Answer, Http1Error>)>) {
         let now = Instant::now();
         let ended =
             |(index, connection): (usize, &mut ClientConnection)| Some((index, connection.poll(now)?));
--- a/crates/net/src/post/tests.rs
+++ b/crates/net/src/post/tests.rs
@@ -1,14 +1,14 @@
 //! Unit tests of `post`.
 
 use super::*;
-use crate::http1::{Http1, Http1Limits, Reply};
+use crate::http1::{Http1Limits, Http1Server, Reply};
 use crate::http1_client::parse;
 
-fn wait(poster: &mut Poster) -> Result<Answer, PostError> {
+fn wait(client: &mut Http1Client) -> Result<Answer, Http1Error> {
     let (mut out, until) = (Vec::new(), Instant::now() + Duration::from_secs(30));
     while out.is_empty() {
         assert!(Instant::now() < until, "no end came");
-        poster.poll(Some(Duration::from_millis(50)), &mut out).expect("polls");
+        client.poll(Some(Duration::from_millis(50)), &mut out).expect("polls");
     }
     out.remove(0).1
 }
@@ -16,18 +16,18 @@
 #[test]
 fn answers_have_their_headers_and_connections_are_kept() {
     let mut server =
-        Http1::bind("127.0.0.1:0".parse().expect("sound"), Http1Limits::default()).expect("a port");
-    let (address, stop) = (server.local().expect("bound"), server.stop());
+        Http1Server::bind("127.0.0.1:0".parse().expect("sound"), Http1Limits::default()).expect("a port");
+    let (address, stop) = (server.local_addr().expect("bound"), server.stop());
     let thread = std::thread::spawn(move || {
         server.run(|r| Reply {
             headers: vec![("X-Got", format!("{} {}", r.target, r.body.len()))],
             ..Reply::text(if r.target == "/bad" { 400 } else { 200 }, "body")
         })
     });
-    let mut poster = Poster::new(address, 1, Duration::from_secs(20)).expect("a poll");
+    let mut client = Http1Client::new(address, 1, Duration::from_secs(20)).expect("a poll");
     for (path, status) in [("/a", 200), ("/bad", 400), ("/b", 200)] {
-        poster.post(0, path, &[("Content-Type", "x")], &vec![7; 300_000]);
-        let answer = wait(&mut poster).expect("an answer");
+        client.post(0, path, &[("Content-Type", "x")], &vec![7; 300_000]);
+        let answer = wait(&mut client).expect("an answer");
         assert_eq!(
             (answer.status, answer.header("x-got")),
             (status, Some(format!("{path} 300000").as_str()))
@@ -36,17 +36,18 @@
     stop.stop();
     thread.join().expect("ends").expect("served");
     // Its address listens no more.
-    poster.post(0, "/c", &[], b"x");
-    assert!(matches!(wait(&mut poster), Err(PostError::Broken(_))));
+    client.post(0, "/c", &[], b"x");
+    assert!(matches!(wait(&mut client), Err(Http1Error::Broken(_))));
 }
 
 #[test]
 fn a_server_without_answers_or_with_malformed_ones_is_an_error() {
     let unresponsive = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
-    let mut poster =
-        Poster::new(unresponsive.local_addr().expect("bound"), 1, Duration::from_millis(40)).expect("a poll");
-    poster.post(0, "/", &[], b"x");
-    assert_eq!(wait(&mut poster), Err(PostError::Timeout));
-    assert_eq!(parse(b"HELO\r\n\r\n"), Err(PostError::Malformed));
+    let mut client =
+        Http1Client::new(unresponsive.local_addr().expect("bound"), 1, Duration::from_millis(40))
+            .expect("a poll");
+    client.post(0, "/", &[], b"x");
+    assert_eq!(wait(&mut client), Err(Http1Error::Timeout));
+    assert_eq!(parse(b"HELO\r\n\r\n"), Err(Http1Error::Malformed));
     assert_eq!(parse(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nabc"), Ok(None));
 }
--- a/crates/net/src/tcp/connect.rs
+++ b/crates/net/src/tcp/connect.rs
@@ -18,10 +18,10 @@
 const MAX_PAUSE: Duration = Duration::from_millis(40);
 
 impl Tcp {
-    /// Begins to connect. `None`: [`super::TcpLimits::made`], or the peer has refused.
+    /// Begins to connect. `None`: [`super::TcpLimits::outgoing`], or the peer has refused.
     pub fn connect(&mut self, address: SocketAddr) -> Option<TcpKey> {
-        if self.outgoing() >= self.limits.made {
-            self.counters.over_made += 1;
+        if self.outgoing() >= self.limits.outgoing {
+            self.counters.over_outgoing += 1;
             return None;
         }
         let socket = match TcpStream::connect(address) {
@@ -32,7 +32,7 @@
                 return None;
             }
         };
-        self.counters.begun += 1;
+        self.counters.connects += 1;
         let attempt = ConnectAttempt { address, retry_at: None, pause: MIN_PAUSE };
         let is_begun = socket.is_some();
         let key = self.add(socket, Some(attempt))?;
--- a/crates/net/src/tcp/input.rs
+++ b/crates/net/src/tcp/input.rs
@@ -21,7 +21,7 @@
     }
 
     /// Whether the poll has reported the end of the peer's side; bytes that it sent before may still be unread.
-    pub fn ending(&self, key: TcpKey) -> bool {
+    pub fn is_read_closed(&self, key: TcpKey) -> bool {
         self.get(key).is_some_and(|conn| conn.read_closed || conn.input_ended)
     }
 
--- a/crates/net/src/tcp/limits.rs
+++ b/crates/net/src/tcp/limits.rs
@@ -10,8 +10,8 @@
     /// Connections accepted in one poll; the others wait in the system for the next, before which the owner may make
     /// room.
     pub accepts_per_poll: usize,
-    /// Outgoing connections at once; one more is not begun.
-    pub made: usize,
+    /// Outgoing connections at once; one more is not connects.
+    pub outgoing: usize,
     /// Bytes read from a connection and not yet taken by the owner; more waits in the kernel.
     pub input: usize,
     /// Bytes queued for a connection; one whose peer takes too little is closed.
@@ -32,7 +32,7 @@
         Self {
             accepted: 1024,
             accepts_per_poll: 64,
-            made: 256,
+            outgoing: 256,
             input: 64 << 10,
             output: 1 << 20,
             read_quota: 64 << 10,
@@ -48,12 +48,12 @@
 pub struct TcpCounters {
     /// Connections accepted.
     pub accepted: u64,
-    /// Connections begun by us.
-    pub begun: u64,
+    /// Outgoing connections begun.
+    pub connects: u64,
     /// [`TcpLimits::accepted`].
     pub over_accepted: u64,
-    /// [`TcpLimits::made`].
-    pub over_made: u64,
+    /// [`TcpLimits::outgoing`].
+    pub over_outgoing: u64,
     /// Accepting paused because the process had no descriptor left.
     pub over_handles: u64,
     /// Finished connections that were closed before their linger was over, for a new one.
--- a/crates/net/src/tcp/mod.rs
+++ b/crates/net/src/tcp/mod.rs
@@ -84,7 +84,7 @@
         Ok(Self {
             poll: Poll::new()?,
             // All that can be ready at once: of what one poll leaves behind the arrival would not be known.
-            events: Events::with_capacity((limits.accepted + limits.made + 64).min(MAX_EVENTS)),
+            events: Events::with_capacity((limits.accepted + limits.outgoing + 64).min(MAX_EVENTS)),
             conns: Slab::new(),
             accepted: 0,
             listeners: Vec::new(),
--- a/crates/net/src/tcp/output.rs
+++ b/crates/net/src/tcp/output.rs
@@ -5,7 +5,7 @@
 
 impl Tcp {
     /// How many bytes may still be queued there; `None`: the connection takes nothing.
-    pub fn room(&self, key: TcpKey) -> Option<usize> {
+    pub fn send_capacity(&self, key: TcpKey) -> Option<usize> {
         let conn = self.get(key).filter(|c| c.stage != Stage::Lingering && !c.is_broken)?;
         Some(self.limits.output.saturating_sub(conn.output.len()))
     }
@@ -47,7 +47,7 @@
 
     /// Removes a range of queued bytes, by their offsets among all bytes queued ([`Tcp::send`] returns the end's). False:
     /// some of them were sent, or are gone with the connection. The offsets of what follows shrink by its length.
-    pub fn unsend(&mut self, key: TcpKey, from: u64, to: u64) -> bool {
+    pub fn remove_queued(&mut self, key: TcpKey, from: u64, to: u64) -> bool {
         let Some(conn) = self.get_mut(key) else { return false };
         if from < conn.written || to > conn.queued || from > to {
             return false;
--- a/crates/net/tests/hub.rs
+++ b/crates/net/tests/hub.rs
@@ -291,7 +291,7 @@
         NetEvent::Closed { conn, why } if *conn == server => Some(*why),
         _ => None,
     });
-    assert_eq!(why, Closing::Protocol);
+    assert_eq!(why, CloseReason::Protocol);
     let kept = pair.hub.open(other, Request::post("http://w/x").body(()).expect("sound")).expect("stands");
     let theirs = pair.wait(|e| match e {
         NetEvent::Request { stream, conn, .. } if *conn != server => Some(*stream),
--- a/crates/net/tests/tcp.rs
+++ b/crates/net/tests/tcp.rs
@@ -185,11 +185,11 @@
     let two = tcp.send(key, b"two").expect("open");
     let three = tcp.send(key, b"three").expect("open");
     assert_eq!((one, two, three), (3, 6, 11));
-    assert!(tcp.unsend(key, one, two));
-    assert!(!tcp.unsend(key, one, three), "it ends behind what is queued now");
+    assert!(tcp.remove_queued(key, one, two));
+    assert!(!tcp.remove_queued(key, one, three), "it ends behind what is queued now");
     tcp.flush_all();
     assert_eq!(tcp.written(key), 8);
-    assert!(!tcp.unsend(key, 0, one), "it has left");
+    assert!(!tcp.remove_queued(key, 0, one), "it has left");
     let mut seen = [0; 8];
     client.read_exact(&mut seen).expect("sent");
     assert_eq!(&seen, b"onethree");
--- a/crates/node/src/front.rs
+++ b/crates/node/src/front.rs
@@ -235,7 +235,7 @@
 /// be open on it. Without that room the answer would end the connection, and all others on it.
 fn has_output_room(tcp: &mut Tcp, key: TcpKey, bytes: usize) -> bool {
     let wanted = bytes + STREAMS_PER_CLIENT * SHORT_ANSWER_BYTES;
-    let fits = |tcp: &Tcp| tcp.room(key).is_none_or(|room| wanted <= room);
+    let fits = |tcp: &Tcp| tcp.send_capacity(key).is_none_or(|room| wanted <= room);
     fits(tcp) || {
         tcp.flush(key);
         fits(tcp)
--- a/crates/node/src/front/input.rs
+++ b/crates/node/src/front/input.rs
@@ -15,7 +15,7 @@
     /// Bytes arrived from a client.
     pub fn data(&mut self, context: &mut FrontContext, key: TcpKey) {
         // Its end stands behind bytes that take more than one iteration to read: it has left all the same.
-        if context.tcp.ending(key) {
+        if context.tcp.is_read_closed(key) {
             self.client_disconnecting(context, key);
         }
         loop {
--- a/crates/node/src/node/startup.rs
+++ b/crates/node/src/node/startup.rs
@@ -136,7 +136,7 @@
         // The front evicts a connection for each new one: a burst waits in the system until it has.
         accepted: bounds.clients + ACCEPTS_PER_ITERATION,
         accepts_per_poll: ACCEPTS_PER_ITERATION,
-        made: bounds.pool_connections,
+        outgoing: bounds.pool_connections,
         input: (MAX_PAYLOAD_BYTES + FRAME_OVERHEAD).max(MAX_BODY_BYTES + RESPONSE_WORDS * MAX_TEXT_BYTES),
         connect_timeout: spans.connect_timeout,
         // Beyond that nobody waits for an answer.
--- a/crates/node/src/pools/selection.rs
+++ b/crates/node/src/pools/selection.rs
@@ -95,9 +95,9 @@
         counters: &mut Counters,
     ) -> Result<TcpKey, AttemptEnd> {
         let Some(pool) = self.pools.get_mut(&worker) else { return Err(AttemptEnd::NotConnected) };
-        let over_bound = tcp.counters().over_made;
+        let over_bound = tcp.counters().over_outgoing;
         let Some(key) = tcp.connect(pool.address) else {
-            if tcp.counters().over_made > over_bound {
+            if tcp.counters().over_outgoing > over_bound {
                 counters.over_links += 1;
                 return Err(AttemptEnd::NoRoom);
             }
--- a/crates/node/src/pools/writing.rs
+++ b/crates/node/src/pools/writing.rs
@@ -87,7 +87,7 @@
         }
         waiting.command.write(&mut self.buffer, now);
         let output = queue(tcp, key, &self.buffer);
-        if !tcp.flush(key) && tcp.unsend(key, output.start, output.end) {
+        if !tcp.flush(key) && tcp.remove_queued(key, output.start, output.end) {
             return false;
         }
         let connection = self.connections.get_mut(&key);
--- a/crates/scale/src/measure/administration/api.rs
+++ b/crates/scale/src/measure/administration/api.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use nettleferry_net::post::{Answer, PostError, Poster};
+use nettleferry_net::post::{Answer, Http1Client, Http1Error};
 use serde::Deserialize;
 use serde_json::json;
 
@@ -19,7 +19,7 @@
 
 /// A client with a key that may do all.
 pub struct Api {
-    poster: Poster,
+    poster: Http1Client,
     authorization: String,
     limit: u64,
 }
@@ -32,7 +32,8 @@
 impl Api {
     /// A client of the administration at this address.
     pub fn new(administration: SocketAddr, token: &str) -> Result<Self, MeasureError> {
-        let poster = Poster::new(administration, 1, PATIENCE).map_err(MeasureError::system("a client"))?;
+        let poster =
+            Http1Client::new(administration, 1, PATIENCE).map_err(MeasureError::system("a client"))?;
         Ok(Self { poster, authorization: format!("Bearer {token}"), limit: FIRST_LIMIT })
     }
 
@@ -74,7 +75,7 @@
     ) -> Result<Answer, MeasureError> {
         let first = self.exchange(method, target, kind, body, context)?;
         let answer = match first {
-            Err(PostError::Broken(_)) => self.exchange(method, target, kind, body, context)?,
+            Err(Http1Error::Broken(_)) => self.exchange(method, target, kind, body, context)?,
             done => done,
         };
         answer.map_err(|error| MeasureError::Unexpected(format!("{method} {target}: {error}")))
@@ -87,7 +88,7 @@
         kind: &str,
         body: &[u8],
         context: &mut Context<'_>,
-    ) -> Result<Result<Answer, PostError>, MeasureError> {
+    ) -> Result<Result<Answer, Http1Error>, MeasureError> {
         let headers =
             [("Authorization", self.authorization.as_str()), ("Content-Type", kind), ("If-Match", "*")];
         self.poster.send(0, method, target, &headers, body);
--- a/crates/test-servers/src/receiver.rs
+++ b/crates/test-servers/src/receiver.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use nettleferry_alerts::rules::Rule;
-use nettleferry_net::http1::{Http1, Http1Limits, Reply, Request, Stop};
+use nettleferry_net::http1::{Http1Limits, Http1Server, Reply, Request, Stop};
 use nettleferry_proto::remote_write::{self, NativeHistogram, Series, SeriesKind, Version};
 
 use crate::watch::Watch;
@@ -175,8 +175,8 @@
     /// The system refuses a socket or a thread.
     pub fn start(mode: Mode) -> io::Result<Self> {
         let limits = Http1Limits { body_bytes: 16 << 20, ..Http1Limits::default() };
-        let mut server = Http1::bind(SocketAddr::from(([127, 0, 0, 1], 0)), limits)?;
-        let (address, stop, cut) = (server.local()?, server.stop(), server.cut_requests());
+        let mut server = Http1Server::bind(SocketAddr::from(([127, 0, 0, 1], 0)), limits)?;
+        let (address, stop, cut) = (server.local_addr()?, server.stop(), server.cut_requests());
         cut.store(request_limit(&mode), Ordering::Relaxed);
         let mode = Arc::new(Mutex::new(mode));
         let data = Arc::new(Mutex::new(ReceivedData::default()));
