--- a/crates/net/src/clock.rs
+++ b/crates/net/src/clock.rs
@@ -1,44 +1,49 @@
-//! The program's clock: microseconds since 1970 at the start, monotonic from there on, so that times of other processes can
-//! be compared with ours, and no step of the wall clock reaches a decision.
+//! The process clock in microseconds since 1970. It is initialized from the wall clock, so that its times can be compared
+//! with those of other processes, and is monotonic afterwards, so that steps of the wall clock affect no decision.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// A clock that began with the wall clock and is monotonic since.
+/// A monotonic clock that starts at the wall-clock time.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
+    /// Wall-clock time at the start, in microseconds since 1970.
     base: u64,
     start: Instant,
 }
 
 impl Clock {
-    /// Starts it.
+    /// Reads the wall clock once and counts monotonically from there.
     pub fn start() -> Self {
         Self { base: wall(), start: Instant::now() }
     }
 
-    /// A moment, in microseconds.
+    /// The clock time of `moment` in microseconds since 1970; moments before the start are clamped to the start.
     pub fn at(&self, moment: Instant) -> u64 {
         self.base + moment.saturating_duration_since(self.start).as_micros() as u64
     }
 
-    /// Now, in microseconds.
+    /// The current time in microseconds since 1970.
     pub fn now(&self) -> u64 {
         self.base + self.start.elapsed().as_micros() as u64
     }
 
-    /// Now, in whole milliseconds.
+    /// The current time in whole milliseconds since 1970.
     pub fn now_ms(&self) -> u64 {
         self.now() / 1000
     }
 }
 
-/// The wall clock in microseconds since 1970: it may step.
+/// The wall-clock time in microseconds since 1970. It may jump in either direction.
 pub fn wall() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or(Duration::ZERO).as_micros() as u64
 }
 
-/// The shorter of a timeout and of the time until the first of these moments; `None`: without end.
-pub(crate) fn shorter(wait: Option<Duration>, now: Instant, next: &[Option<Instant>]) -> Option<Duration> {
+/// The shorter of the timeout `wait` and the time from `now` to the earliest of `next`; `None` means no timeout.
+pub(crate) fn shorter_timeout(
+    wait: Option<Duration>,
+    now: Instant,
+    next: &[Option<Instant>],
+) -> Option<Duration> {
     let next = next.iter().flatten().min().map(|at| at.saturating_duration_since(now));
     match (wait, next) {
         (Some(a), Some(b)) => Some(a.min(b)),
--- a/crates/net/src/framing.rs
+++ b/crates/net/src/framing.rs
@@ -1,39 +1,39 @@
-//! Length-prefixed gRPC messages ("gRPC over HTTP2", Length-Prefixed-Message): one byte that flags
-//! compression, four of length, big-endian, then the message.
+//! Length-prefixed gRPC messages ("gRPC over HTTP2", Length-Prefixed-Message): a compressed flag of one byte, the length
+//! as a big-endian 32-bit integer, and the message.
 
 use std::io::Read;
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 
-/// Why a message can't be read.
+/// Why a message can't be decoded.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
-    /// Over the limit, by its prefix or found while decompressing.
+    /// The message exceeds the limit, by its prefix or once decompressed.
     #[error("a message of {got} bytes or more; at most {most} are taken")]
     TooLarge {
-        /// Bytes by its prefix, or decompressed so far.
+        /// Length in the prefix, or bytes decompressed so far.
         got: u64,
-        /// The limit.
+        /// Maximum size of a message in bytes.
         most: usize,
     },
-    /// The first byte is neither 0 nor 1.
+    /// The compressed flag is neither 0 nor 1.
     #[error("compressed flag {0} is neither 0 nor 1")]
     BadFlag(u8),
-    /// Marked as compressed without a `grpc-encoding`.
+    /// The message is marked as compressed, but `grpc-encoding` names no compression.
     #[error("a message is marked compressed, but grpc-encoding names no compression")]
     NoEncoding,
-    /// The gzip data is damaged.
+    /// The gzip data is corrupt.
     #[error("a message is not sound gzip")]
     BadGzip,
-    /// The stream ended inside a message.
+    /// The stream ended inside a message; this many bytes of it were received.
     #[error("the stream ended inside a message: {0} bytes of it had come")]
     Truncated(usize),
 }
 
-/// Bytes before a message: the flag and the length.
+/// Bytes of the prefix: the flag and the length.
 const PREFIX_BYTES: usize = 5;
 
-/// Collects bytes and splits them into messages.
+/// Buffers received bytes and splits them into messages.
 #[derive(Debug)]
 pub struct Decoder {
     buffer: BytesMut,
@@ -42,12 +42,12 @@
 }
 
 impl Decoder {
-    /// A decoder for messages of at most `max_bytes`, and for compressed ones where `gzip`.
+    /// A decoder for messages of at most `max_bytes`; `gzip` allows compressed ones.
     pub fn new(max_bytes: usize, gzip: bool) -> Self {
         Self { buffer: BytesMut::new(), max_bytes, gzip }
     }
 
-    /// Adds received bytes. A chunk that begins a message is not copied where nothing else shares it.
+    /// Adds received bytes. A chunk that starts a message is not copied if it is not shared.
     pub fn push(&mut self, chunk: Bytes) {
         if self.buffer.is_empty() {
             match chunk.try_into_mut() {
@@ -64,7 +64,7 @@
         self.gzip = true;
     }
 
-    /// The next complete message. A length over the limit is an error as soon as the prefix is there.
+    /// The next complete message. A length over the limit is an error as soon as the prefix is received.
     pub fn next_message(&mut self) -> Result<Option<Bytes>, FrameError> {
         if self.buffer.len() < PREFIX_BYTES {
             return Ok(None);
@@ -94,7 +94,7 @@
     }
 
     fn inflate(&self, message: &Bytes) -> Result<Bytes, FrameError> {
-        // One byte more than allowed is read, so that a bomb is seen before it is unpacked.
+        // Reads at most one byte over the limit, so that a decompression bomb is detected without unpacking it.
         let mut out = Vec::new();
         let mut reader = flate2::read::GzDecoder::new(&message[..]).take(self.max_bytes as u64 + 1);
         reader.read_to_end(&mut out).map_err(|_| FrameError::BadGzip)?;
@@ -104,13 +104,13 @@
         Ok(out.into())
     }
 
-    /// Checks at the end of a stream that no part of a message is left.
+    /// Checks at the end of a stream that no incomplete message remains.
     pub fn end(&self) -> Result<(), FrameError> {
         if self.buffer.is_empty() { Ok(()) } else { Err(FrameError::Truncated(self.buffer.len())) }
     }
 }
 
-/// The prefix of an uncompressed message; the message itself is sent as it is.
+/// The prefix of an uncompressed message.
 pub fn prefix(message: &Bytes) -> Bytes {
     let mut out = BytesMut::with_capacity(PREFIX_BYTES);
     out.put_u8(0);
--- a/crates/net/src/framing/tests.rs
+++ b/crates/net/src/framing/tests.rs
@@ -16,15 +16,15 @@
 
 proptest! {
     #[test]
-    fn any_cut_gives_the_same_messages(
+    fn messages_do_not_depend_on_chunk_boundaries(
         messages in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..200), 0..8),
-        cut in 1usize..64,
+        chunk_bytes in 1usize..64,
     ) {
         let mut decoder = Decoder::new(200, false);
         let mut got = Vec::new();
-        for part in framed(&messages).chunks(cut) {
+        for part in framed(&messages).chunks(chunk_bytes) {
             decoder.push(Bytes::copy_from_slice(part));
-            while let Some(message) = decoder.next_message().expect("sound") {
+            while let Some(message) = decoder.next_message().expect("valid") {
                 got.push(message.to_vec());
             }
         }
@@ -33,7 +33,7 @@
     }
 
     #[test]
-    fn noise_never_panics(noise in prop::collection::vec(any::<u8>(), 0..300)) {
+    fn random_bytes_never_panic(noise in prop::collection::vec(any::<u8>(), 0..300)) {
         let mut decoder = Decoder::new(64, true);
         decoder.push(noise.into());
         while let Ok(Some(_)) = decoder.next_message() {}
@@ -41,14 +41,14 @@
 }
 
 #[test]
-fn a_gigabyte_is_refused_by_its_prefix_alone() {
+fn too_large_message_is_rejected_by_its_prefix() {
     let mut decoder = Decoder::new(1 << 20, false);
     decoder.push(Bytes::from_static(&[0, 0x40, 0, 0, 0]));
     assert_eq!(decoder.next_message(), Err(FrameError::TooLarge { got: 1 << 30, most: 1 << 20 }));
 }
 
 #[test]
-fn gzip_is_unpacked_and_a_bomb_is_not() {
+fn gzip_is_decompressed_up_to_the_limit() {
     let pack = |content: &[u8]| {
         let mut packer = flate2::write::GzEncoder::new(Vec::new(), flate2::Compression::best());
         packer.write_all(content).expect("memory");
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn a_stream_that_ends_inside_a_message_says_so() {
+fn stream_end_inside_a_message_is_an_error() {
     let mut decoder = Decoder::new(100, false);
     decoder.push(Bytes::from_static(&[0, 0, 0, 0, 9, 1, 2]));
     assert_eq!(decoder.next_message(), Ok(None));
--- a/crates/net/src/grpc.rs
+++ b/crates/net/src/grpc.rs
@@ -1,5 +1,5 @@
-//! Headers of the gRPC wire: status codes, `grpc-timeout`, percent-encoded `grpc-message`, `-bin` values.
-//! Source: "gRPC over HTTP2" and the status code page of gRPC.
+//! Encoding of gRPC headers and trailers: status codes, `grpc-timeout`, percent-encoded `grpc-message` and `-bin` values,
+//! as specified in "gRPC over HTTP2" and in the gRPC documentation of status codes.
 
 use std::time::Duration;
 
@@ -8,47 +8,47 @@
 use http::{HeaderMap, HeaderValue};
 use percent_encoding::{AsciiSet, CONTROLS, percent_decode_str, utf8_percent_encode};
 
-/// gRPC status codes, by their published numbers.
+/// gRPC status codes with their standard numbers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Code {
-    /// Success.
+    /// The call succeeded.
     Ok = 0,
-    /// Cancelled, usually by the caller.
+    /// The call was cancelled, usually by the caller.
     Cancelled = 1,
-    /// An error without a known code.
+    /// An error without a more specific or known code.
     Unknown = 2,
-    /// The request itself is wrong.
+    /// The request is invalid, whatever the state of the system.
     InvalidArgument = 3,
-    /// The deadline has passed.
+    /// The deadline expired before the call was completed.
     DeadlineExceeded = 4,
-    /// There is no such thing.
+    /// The requested entity does not exist.
     NotFound = 5,
-    /// It is there already.
+    /// The entity to be created exists already.
     AlreadyExists = 6,
-    /// The caller has no right to it.
+    /// The caller is not permitted to perform the call.
     PermissionDenied = 7,
-    /// A quota or another resource is used up.
+    /// A quota or another resource is exhausted.
     ResourceExhausted = 8,
-    /// The state of the system does not allow it.
+    /// The state of the system does not allow the call.
     FailedPrecondition = 9,
-    /// Aborted, as by a conflict.
+    /// The call was aborted, for instance by a concurrency conflict.
     Aborted = 10,
-    /// Beyond the valid range.
+    /// An argument is outside the valid range.
     OutOfRange = 11,
-    /// There is no such method.
+    /// The method is not implemented or not supported.
     Unimplemented = 12,
-    /// An error of the server.
+    /// An internal error of the server.
     Internal = 13,
     /// The service is unavailable; a retry may help.
     Unavailable = 14,
-    /// Data is lost or corrupt.
+    /// Data was lost or corrupted unrecoverably.
     DataLoss = 15,
     /// The caller has no valid credentials.
     Unauthenticated = 16,
 }
 
 impl Code {
-    /// The code of a number; what is none is `Unknown`, as the specification asks.
+    /// The code with this number; an unassigned number is [`Code::Unknown`], as the specification requires.
     pub fn from_number(number: i64) -> Self {
         use Code::*;
         match number {
@@ -72,7 +72,7 @@
         }
     }
 
-    /// The name as published.
+    /// The name in the gRPC documentation, such as `NOT_FOUND`.
     pub fn name(self) -> &'static str {
         use Code::*;
         match self {
@@ -97,22 +97,23 @@
     }
 }
 
-/// A status as it stands in trailers.
+/// The status of a call, as sent in trailers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Status {
-    /// `grpc-status`.
+    /// Value of `grpc-status`.
     pub code: Code,
-    /// `grpc-message`, decoded.
+    /// Value of `grpc-message`, percent-decoded.
     pub message: String,
 }
 
 impl Status {
-    /// A status with a message.
+    /// A status with a message, which may be empty.
     pub fn new(code: Code, message: impl Into<String>) -> Self {
         Self { code, message: message.into() }
     }
 
-    /// Reads the status of trailers, or of a trailers-only answer. None: there is no `grpc-status`.
+    /// Reads the status from trailers, or from the headers of a Trailers-Only response. `None` if there is no `grpc-status`;
+    /// one that is not a number is [`Code::Unknown`].
     pub fn read(trailers: &HeaderMap) -> Option<Self> {
         let number = trailers.get("grpc-status")?.to_str().ok()?.trim().parse::<i64>().unwrap_or(-1);
         let message = trailers.get("grpc-message").and_then(|v| v.to_str().ok()).unwrap_or("");
@@ -120,7 +121,7 @@
         Some(Self { code: Code::from_number(number), message })
     }
 
-    /// As trailers.
+    /// The trailers of this status; an empty message is omitted.
     pub fn trailers(&self) -> HeaderMap {
         let mut map = HeaderMap::with_capacity(4);
         map.insert("grpc-status", HeaderValue::from(self.code as u16));
@@ -133,13 +134,13 @@
     }
 }
 
-/// All but printable ASCII, and the percent sign.
+/// Characters to percent-encode in `grpc-message`: control characters and the percent sign; non-ASCII is always encoded.
 const MESSAGE: &AsciiSet = &CONTROLS.add(b'%');
 
-/// Longest `grpc-message` sent, in bytes before encoding: header lists are bounded at the other side too.
+/// Maximum size of a sent `grpc-message` in bytes before encoding, because peers limit the size of header lists.
 pub const MAX_MESSAGE_BYTES: usize = 1024;
 
-/// Percent-encodes a `grpc-message`, cut at a character to [`MAX_MESSAGE_BYTES`] bytes.
+/// Percent-encodes a `grpc-message`, truncated at a character boundary to at most [`MAX_MESSAGE_BYTES`] bytes.
 pub fn encode_message(message: &str) -> String {
     let mut end = message.len().min(MAX_MESSAGE_BYTES);
     while !message.is_char_boundary(end) {
@@ -148,7 +149,7 @@
     utf8_percent_encode(&message[..end], MESSAGE).to_string()
 }
 
-/// Reads a `grpc-timeout`: up to eight digits and a unit (H M S m u n).
+/// Parses a `grpc-timeout`: one to eight digits and a unit (H M S m u n). `None` if it is malformed.
 pub fn read_timeout(value: &str) -> Option<Duration> {
     let (digits, unit) = value.split_at_checked(value.len().checked_sub(1)?)?;
     if digits.is_empty() || digits.len() > 8 || !digits.bytes().all(|b| b.is_ascii_digit()) {
@@ -166,7 +167,7 @@
     })
 }
 
-/// Writes a `grpc-timeout` in the finest unit that eight digits hold, rounded down.
+/// Formats a `grpc-timeout` in the finest unit from microseconds on that fits into eight digits, rounded down.
 pub fn write_timeout(span: Duration) -> String {
     const MAX: u128 = 99_999_999;
     for (unit, value) in [("u", span.as_micros()), ("m", span.as_millis()), ("S", u128::from(span.as_secs()))]
@@ -178,12 +179,12 @@
     format!("{}H", (u128::from(span.as_secs()) / 3600).min(MAX))
 }
 
-/// A `-bin` header value.
+/// Encodes a `-bin` header value as unpadded base64.
 pub fn write_binary(bytes: &[u8]) -> Option<HeaderValue> {
     HeaderValue::from_str(&STANDARD_NO_PAD.encode(bytes)).ok()
 }
 
-/// Reads a `-bin` header value, padded or not.
+/// Decodes a `-bin` header value with or without padding. `None` if it is not valid base64.
 pub fn read_binary(value: &HeaderValue) -> Option<Vec<u8>> {
     let text = value.to_str().ok()?;
     STANDARD_NO_PAD.decode(text).or_else(|_| STANDARD.decode(text)).ok()
--- a/crates/net/src/http1/connection.rs
+++ b/crates/net/src/http1/connection.rs
@@ -1,4 +1,4 @@
-//! One connection of the server: requests are read, handled and answered in order.
+//! One connection of the server. Its requests are read, handled and answered in order.
 
 use std::io::{self, Read, Write};
 use std::time::{Duration, Instant};
@@ -8,46 +8,48 @@
 use super::message::{Disposition, Http1Limits, Reply, Request};
 use super::parse::{Parsed, parse};
 
-/// Bytes read at once.
+/// Maximum bytes of one read.
 const READ_BYTES: usize = 16 << 10;
 
-/// A request that waits for its reply.
+/// A request whose reply is deferred.
 #[derive(Clone, Copy)]
 pub(super) struct Waiting {
-    /// When it came.
+    /// When the request was first handled.
     since: Instant,
-    /// When it is handled again, at the latest.
+    /// When the request is handled again at the latest.
     pub(super) until: Instant,
-    /// The ticket under which it was parked.
+    /// Ticket of a parked request.
     ticket: Option<u64>,
 }
 
 pub(super) struct Connection {
     socket: TcpStream,
+    /// Bytes received and not handled yet.
     received: Vec<u8>,
-    out: Vec<u8>,
-    /// Bytes of `out` that were sent.
+    /// The reply that is being sent.
+    output: Vec<u8>,
+    /// Bytes of `output` that were sent.
     sent: usize,
-    /// It closes when `out` is sent.
-    closes: bool,
-    /// When it is closed, unless its request waits.
+    /// Whether the connection is closed once `output` is sent.
+    close_after_output: bool,
+    /// When the connection is closed, unless a request is waiting.
     pub(super) deadline: Instant,
     pub(super) waiting: Option<Waiting>,
 }
 
 impl Connection {
     pub(super) fn new(socket: TcpStream, deadline: Instant) -> Self {
-        let (received, out) = (Vec::new(), Vec::new());
-        Self { socket, received, out, sent: 0, closes: false, deadline, waiting: None }
+        let (received, output) = (Vec::new(), Vec::new());
+        Self { socket, received, output, sent: 0, close_after_output: false, deadline, waiting: None }
     }
 
-    /// When something is due there.
+    /// When the connection must be processed next: its deadline, or the time to handle a waiting request again.
     pub(super) fn due(&self) -> Instant {
         self.waiting.map_or(self.deadline, |waiting| waiting.until)
     }
 
-    /// Reads, handles and writes as far as it goes. `max_received`: a connection that has received more of one request is
-    /// closed. An error ends the connection.
+    /// Reads, handles and answers requests until the socket would block or a request has to wait. More than `max_received`
+    /// unhandled bytes are an error. An error ends the connection.
     pub(super) fn advance(
         &mut self,
         limits: &Http1Limits,
@@ -56,11 +58,11 @@
     ) -> io::Result<()> {
         loop {
             self.write()?;
-            // No more is read than one request and its reply take.
-            if self.sent < self.out.len() {
+            // The next request is read only after the reply to this one was sent, which bounds both buffers.
+            if self.sent < self.output.len() {
                 return Ok(());
             }
-            if self.closes {
+            if self.close_after_output {
                 return Err(io::ErrorKind::ConnectionAborted.into());
             }
             let waited = self.waiting.take();
@@ -69,19 +71,19 @@
             let held_for = waited.map(|waiting| waiting.since.elapsed());
             let mut handle_request = |request: &Request<'_>| handle(request, held_for);
             match parse(&self.received, limits, ticket, &mut handle_request) {
-                // No more is read meanwhile; a peer that has left is found when it is answered.
+                // Nothing is read while a request waits: a peer that has disconnected is detected when the reply is sent.
                 Parsed::Wait(span, ticket) => {
                     self.waiting = Some(Waiting { since, until: since + span, ticket });
                     return Ok(());
                 }
                 Parsed::Done { length, reply, keep_alive } => {
                     self.received.drain(..length);
-                    self.closes = !keep_alive;
+                    self.close_after_output = !keep_alive;
                     self.reply(&reply);
                     self.deadline = Instant::now() + limits.timeout;
                 }
                 Parsed::Bad(reply) => {
-                    self.closes = true;
+                    self.close_after_output = true;
                     self.reply(&reply);
                 }
                 Parsed::Partial => {
@@ -93,7 +95,7 @@
         }
     }
 
-    /// Reads some bytes. False: there are none now.
+    /// Reads once. False if the socket would block.
     fn read(&mut self, max_received: usize) -> io::Result<bool> {
         let mut chunk = [0; READ_BYTES];
         match self.socket.read(&mut chunk) {
@@ -109,24 +111,26 @@
         }
     }
 
+    /// Sends the output until the socket would block, and clears it once all of it was sent.
     fn write(&mut self) -> io::Result<()> {
-        while self.sent < self.out.len() {
-            match self.socket.write(&self.out[self.sent..]) {
+        while self.sent < self.output.len() {
+            match self.socket.write(&self.output[self.sent..]) {
                 Ok(n) => self.sent += n,
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return Ok(()),
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                 Err(e) => return Err(e),
             }
         }
-        self.out.clear();
+        self.output.clear();
         self.sent = 0;
         Ok(())
     }
 
+    /// Encodes a reply into the output.
     fn reply(&mut self, reply: &Reply) {
         let reason =
             http::StatusCode::from_u16(reply.status).ok().and_then(|s| s.canonical_reason()).unwrap_or("");
-        let connection = if self.closes { "close" } else { "keep-alive" };
+        let connection = if self.close_after_output { "close" } else { "keep-alive" };
         let mut head = format!(
             "HTTP/1.1 {} {reason}\r\nContent-Type: {}\r\nContent-Length: {}\r\nConnection: {connection}\r\n",
             reply.status,
@@ -137,11 +141,11 @@
             head.push_str(&format!("{name}: {value}\r\n"));
         }
         head.push_str("\r\n");
-        self.out.extend_from_slice(head.as_bytes());
-        self.out.extend_from_slice(&reply.body);
+        self.output.extend_from_slice(head.as_bytes());
+        self.output.extend_from_slice(&reply.body);
         if let Some(cut) = reply.cut {
-            self.out.truncate(cut);
-            self.closes = true;
+            self.output.truncate(cut);
+            self.close_after_output = true;
         }
     }
 }
--- a/crates/net/src/http1/message.rs
+++ b/crates/net/src/http1/message.rs
@@ -1,17 +1,18 @@
-//! Requests, replies and bounds of the server.
+//! Requests, replies and limits of the server.
 
 use std::time::Duration;
 
-/// Bounds of a server.
+/// Limits of a server.
 #[derive(Clone, Copy, Debug)]
 pub struct Http1Limits {
-    /// Connections at once; one more is closed at once.
+    /// Maximum open connections; further ones are closed immediately.
     pub connections: usize,
-    /// Bytes of a request's line and headers; more is 431.
+    /// Maximum size of a request line with its headers, in bytes; a larger one is answered with 431.
     pub head_bytes: usize,
-    /// Bytes of a request's body; more is 413.
+    /// Maximum size of a request body in bytes; a larger one is answered with 413.
     pub body_bytes: usize,
-    /// A connection that has not finished a request, or read its reply, within this span is closed.
+    /// Time in which a client must send a request, counted from the connection or its last reply, and read the reply; the
+    /// connection is closed afterwards.
     pub timeout: Duration,
 }
 
@@ -21,59 +22,60 @@
     }
 }
 
-/// A request.
+/// A request, as passed to the handler.
 #[derive(Debug)]
 pub struct Request<'a> {
-    /// `GET` and the like.
+    /// Method, such as `GET`.
     pub method: &'a str,
-    /// The target as sent: path and query.
+    /// Request target as sent: path and query.
     pub target: &'a str,
-    /// Headers in order; names as sent.
+    /// Headers in the order received, with names as sent.
     pub headers: Vec<(&'a str, &'a [u8])>,
-    /// The body.
+    /// The complete body; empty if there is none.
     pub body: &'a [u8],
-    /// The ticket under which it was parked: it is not handled again, its reply is due.
+    /// Ticket with which the handler parked this request. The request must not be processed again; only its reply is due.
     pub ticket: Option<u64>,
 }
 
 impl Request<'_> {
-    /// The first header of a name, whatever its case, where it is text.
+    /// The first header with this name, compared case-insensitively; `None` if it is missing or not UTF-8.
     pub fn header(&self, name: &str) -> Option<&str> {
         let found = self.headers.iter().find(|(n, _)| n.eq_ignore_ascii_case(name));
         found.and_then(|(_, value)| std::str::from_utf8(value).ok())
     }
 }
 
-/// A reply.
+/// A reply to a request.
 #[derive(Clone, Debug)]
 pub struct Reply {
-    /// The status.
+    /// Status code.
     pub status: u16,
-    /// Content-Type.
+    /// Value of the Content-Type header.
     pub content_type: &'static str,
-    /// Further headers.
+    /// Headers besides Content-Type, Content-Length and Connection.
     pub headers: Vec<(&'static str, String)>,
-    /// The body.
+    /// The body, sent with its Content-Length.
     pub body: Vec<u8>,
-    /// A fault, for test servers: only so many bytes of the reply are sent, then the connection closes.
+    /// An injected fault for test servers: only this many bytes of the reply are sent before the connection is closed.
     pub cut: Option<usize>,
 }
 
 impl Reply {
-    /// A reply in plain text.
+    /// A plain-text reply without further headers.
     pub fn text(status: u16, text: impl Into<String>) -> Self {
         let body = text.into().into_bytes();
         Self { status, content_type: "text/plain; charset=utf-8", headers: Vec::new(), body, cut: None }
     }
 }
 
-/// How a request was handled.
+/// The result of handling a request.
 #[derive(Clone, Debug)]
 pub enum Disposition {
-    /// It has its reply.
+    /// The request is answered.
     Reply(Reply),
-    /// It has no reply yet: it is handled again when the server is woken, and when so long has passed since it came.
+    /// The request is handled again when the server is woken, at the latest this long after it was first handled.
     Wait(Duration),
-    /// It was handled and its reply comes later, under this ticket: it is asked for as after a wait.
+    /// The request was processed, but its reply is not ready. The handler is called again as for [`Disposition::Wait`], with
+    /// this ticket in [`Request::ticket`].
     Park(Duration, u64),
 }
--- a/crates/net/src/http1/mod.rs
+++ b/crates/net/src/http1/mod.rs
@@ -1,10 +1,10 @@
-//! A small HTTP/1.1 server (RFC 9110, RFC 9112) on a mio poll of its own, for side listeners such as that of metrics. It
-//! runs in a thread of its own, and can delay nothing else.
+//! A small HTTP/1.1 server (RFC 9110, RFC 9112) for secondary listeners such as metrics. It has its own mio poll and runs
+//! in its own thread, so that it can't delay other work.
 //!
-//! Requests have a body by Content-Length or none; chunked bodies are answered 411. Connections are kept as the client
-//! wishes, requests on one connection are answered in order.
+//! A request body requires Content-Length; chunked bodies are rejected with 411. Connections are persistent unless the
+//! client asks to close them, and the requests of one connection are answered in order.
 //!
-//! * `message`: requests, replies, bounds. `parse`: bytes to requests. `connection`: one connection.
+//! * `message`: requests, replies and limits. `parse`: the request parser. `connection`: the state of one connection.
 
 mod connection;
 mod message;
@@ -23,7 +23,7 @@
 use connection::Connection;
 pub use message::{Disposition, Http1Limits, Reply, Request};
 
-/// Ends or wakes a server from another thread.
+/// A handle that stops or wakes a server from another thread.
 #[derive(Clone)]
 pub struct Stop {
     requested: Arc<AtomicBool>,
@@ -31,25 +31,26 @@
 }
 
 impl Stop {
-    /// Requests that wait are handled again.
+    /// Wakes the server, which calls the handler again for every waiting request.
     pub fn wake(&self) {
         let _ = self.waker.wake();
     }
 
-    /// Ends it.
+    /// Stops the server at its next iteration.
     pub fn stop(&self) {
         self.requested.store(true, Ordering::Release);
         let _ = self.waker.wake();
     }
 }
 
-/// A server.
+/// An HTTP/1.1 server with one listener.
 pub struct Http1Server {
     poll: Poll,
     listener: TcpListener,
     connections: Slab<Connection>,
     limits: Http1Limits,
     stop: Stop,
+    /// Injected fault: see [`Http1Server::cut_requests`].
     cut_requests: Arc<AtomicUsize>,
 }
 
@@ -57,7 +58,7 @@
 const WAKE: Token = Token(usize::MAX - 1);
 
 impl Http1Server {
-    /// Listens.
+    /// Creates a server that listens on `address`; connections are accepted once it runs.
     pub fn bind(address: SocketAddr, limits: Http1Limits) -> io::Result<Self> {
         let poll = Poll::new()?;
         let mut listener = TcpListener::bind(address)?;
@@ -68,29 +69,30 @@
         Ok(Self { poll, listener, connections: Slab::new(), limits, stop, cut_requests })
     }
 
-    /// Where it listens.
+    /// The address on which the server listens.
     pub fn local_addr(&self) -> io::Result<SocketAddr> {
         self.listener.local_addr()
     }
 
-    /// The handle that ends it.
+    /// A handle that stops or wakes the server.
     pub fn stop(&self) -> Stop {
         self.stop.clone()
     }
 
-    /// A fault, for test servers: a connection that has received more bytes than this of one request is closed.
+    /// An injected fault for test servers: a connection that has received more than this number of bytes of one request is
+    /// closed.
     pub fn cut_requests(&self) -> Arc<AtomicUsize> {
         Arc::clone(&self.cut_requests)
     }
 
-    /// Serves until stopped.
+    /// Serves requests until stopped. Each request is answered as soon as `handle` returns.
     pub fn run(&mut self, mut handle: impl FnMut(&Request<'_>) -> Reply) -> io::Result<()> {
         self.run_waiting(|request, _| Disposition::Reply(handle(request)), || None)
     }
 
-    /// Serves until stopped. A request may have to wait: it is handled again with how long it was held. `None`: it has
-    /// just come, and is handled for the first time. `tick` is called in every iteration, and returns when it wants the
-    /// next one at the latest.
+    /// Serves requests until stopped. `handle` may defer its reply and is then called again for the same request; its second
+    /// argument is how long the request has waited, or `None` on the first call. `tick` is called in every iteration, and
+    /// returns the maximum time until the next one.
     pub fn run_waiting(
         &mut self,
         mut handle: impl FnMut(&Request<'_>, Option<Duration>) -> Disposition,
@@ -130,6 +132,7 @@
         Ok(())
     }
 
+    /// Accepts all pending connections; those above the limit are closed immediately.
     fn accept(&mut self) {
         while let Ok((mut socket, _)) = self.listener.accept() {
             if self.connections.len() >= self.limits.connections {
@@ -143,6 +146,7 @@
         }
     }
 
+    /// Lets a connection make progress, and removes it if it has ended.
     fn advance(
         &mut self,
         index: usize,
--- a/crates/net/src/http1/parse.rs
+++ b/crates/net/src/http1/parse.rs
@@ -1,37 +1,39 @@
-//! Parses requests (RFC 9112) and has them handled.
+//! Parses requests (RFC 9112) and passes them to the handler.
 
 use std::time::Duration;
 
 use super::message::{Disposition, Http1Limits, Reply, Request};
 
-/// Headers of a request at the most; more are answered 431.
+/// Maximum number of headers of a request; more are answered with 431.
 const MAX_HEADERS: usize = 64;
 
-/// What is at the beginning of the bytes that were received.
+/// The result of parsing and handling the first request in the received bytes.
 pub(super) enum Parsed {
-    /// No complete request.
+    /// The request is incomplete.
     Partial,
-    /// The request waits until so long after it came, under a ticket where it was parked.
+    /// The reply is deferred until this long after the request was first handled; a parked request has a ticket.
     Wait(Duration, Option<u64>),
-    /// A request was handled.
+    /// The request was handled and has a reply.
     Done {
-        /// Its bytes.
+        /// Size of the request in bytes.
         length: usize,
         reply: Reply,
         keep_alive: bool,
     },
-    /// It is no request that can be handled.
+    /// The request is invalid or exceeds a limit; the connection is closed after this reply.
     Bad(Reply),
 }
 
-/// The head of a request, and its bytes.
+/// The request line and headers.
 struct Head<'a> {
+    /// The request without its body.
     request: Request<'a>,
+    /// Size of the head in bytes.
     length: usize,
     is_http11: bool,
 }
 
-/// Parses the first request and has it handled. `ticket`: it was parked under this ticket.
+/// Parses the first request and passes it to the handler, with the ticket if it was parked before.
 pub(super) fn parse(
     received: &[u8],
     limits: &Http1Limits,
@@ -59,7 +61,7 @@
     }
 }
 
-/// `None`: the head is not complete. `Err`: what to answer to a head that can't be read.
+/// Parses the head of a request. `None` if it is incomplete; `Err` is the reply to an invalid head.
 fn parse_head<'a>(
     received: &'a [u8],
     headers: &'a mut [httparse::Header<'a>],
@@ -86,12 +88,13 @@
     Ok(Some(Head { request, length, is_http11: head.version == Some(1) }))
 }
 
-/// `Err`: what to answer to a body that is not accepted.
+/// The length of the body by its headers. `Err` is the reply to a body that is not accepted.
 fn body_length(request: &Request<'_>, limits: &Http1Limits) -> Result<usize, Reply> {
     if request.header("transfer-encoding").is_some() {
         return Err(Reply::text(411, "chunked bodies are not taken: send Content-Length\n"));
     }
-    // Two lengths that differ are an attack on whoever stands between (RFC 9112, 6.3).
+    // Repeated Content-Length headers are rejected: they enable request smuggling through an intermediary (RFC 9112,
+    // section 6.3).
     let mut lengths = request.headers.iter().filter(|(name, _)| name.eq_ignore_ascii_case("content-length"));
     let length = match (lengths.next(), lengths.next()) {
         (None, _) => Some(0),
--- a/crates/net/src/http1_client.rs
+++ b/crates/net/src/http1_client.rs
@@ -1,5 +1,5 @@
-//! One connection of an HTTP/1.1 client on a poll of its owner: one request at a time, each answer read completely,
-//! the connection kept between requests where the server wishes.
+//! One connection of an HTTP/1.1 client, registered with the poll of its owner. It has one request in flight at a time,
+//! reads each response completely, and stays open between requests unless the server closes it.
 
 use std::io::{self, Read, Write};
 use std::net::SocketAddr;
@@ -8,46 +8,46 @@
 use mio::net::TcpStream;
 use mio::{Interest, Registry, Token};
 
-/// An answer.
+/// A response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Answer {
-    /// The status.
+    /// Status code.
     pub status: u16,
-    /// Headers, names in lower case.
+    /// Headers in the order received, with names in lower case.
     pub headers: Vec<(String, String)>,
-    /// The body, where it was received completely.
+    /// The body; empty if it has no Content-Length or is longer than the limit.
     pub body: Vec<u8>,
 }
 
 impl Answer {
-    /// A header by its name in lower case.
+    /// The first header with this name, which must be in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.iter().find(|(n, _)| n == name).map(|(_, v)| v.as_str())
     }
 }
 
-/// Why a request has no answer.
+/// Why a request has no response.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Http1Error {
-    /// No connection, or it broke.
+    /// The connection could not be established, or broke.
     #[error("no answer: {0}")]
     Broken(String),
-    /// No answer in time.
+    /// The response was not complete within the timeout.
     #[error("no answer in time")]
     Timeout,
-    /// What was received is no HTTP/1.1 answer.
-    #[error("what came is no HTTP/1.1 answer")]
+    /// The received bytes are not a valid HTTP/1.1 response.
+    #[error("the response is not valid HTTP/1.1")]
     Malformed,
 }
 
-/// Bytes of an answer's head; more is malformed.
+/// Maximum size of a response's status line and headers; a longer one is malformed.
 const MAX_HEAD_BYTES: usize = 16 << 10;
-/// Bytes of an answer's body that are read; a longer one is dropped and ends the connection.
+/// Maximum size of a response's body; a longer one is discarded and closes the connection.
 const MAX_BODY_BYTES: usize = 4 << 20;
-/// Bytes of buffer that a connection keeps between requests.
-const RETAINED_BUFFER: usize = 16 << 10;
+/// Capacity of the receive buffer that a connection retains between requests.
+const RETAINED_BUFFER_BYTES: usize = 16 << 10;
 
-/// The bytes of a request with its body.
+/// Encodes a request with its body. Host and Content-Length are added to `headers`.
 pub fn encode_request(
     to: SocketAddr,
     method: &str,
@@ -65,23 +65,25 @@
     bytes
 }
 
-/// The connection; it is opened by the first request.
+/// A client connection. It is established by the first request.
 #[derive(Debug, Default)]
 pub struct ClientConnection {
     socket: Option<TcpStream>,
-    out: Vec<u8>,
+    /// The request that is in flight.
+    request: Vec<u8>,
+    /// Bytes of `request` that were sent.
     sent: usize,
-    /// What was received of the answer.
-    answer: Vec<u8>,
-    /// Bytes received for the last request.
+    /// Bytes of the response received so far.
+    response: Vec<u8>,
+    /// Bytes received in response to the last request.
     received: usize,
-    /// Deadline of the request that is in flight; `None`: there is none.
+    /// Deadline of the request in flight; `None` if there is none.
     deadline: Option<Instant>,
 }
 
 impl ClientConnection {
-    /// Sends a request where none is in flight; after `deadline` it ends with [`Http1Error::Timeout`]. A failure to connect is
-    /// reported by the next poll.
+    /// Sends a request, connecting to `to` if necessary; no other request may be in flight. At `deadline` it ends with
+    /// [`Http1Error::Timeout`]. A failure to connect is reported by the next [`ClientConnection::poll`].
     pub fn send(
         &mut self,
         registry: &Registry,
@@ -90,9 +92,9 @@
         request: Vec<u8>,
         deadline: Instant,
     ) {
-        self.out = request;
+        self.request = request;
         self.sent = 0;
-        self.answer.clear();
+        self.response.clear();
         self.received = 0;
         self.deadline = Some(deadline);
         if self.socket.is_none()
@@ -103,23 +105,23 @@
         }
     }
 
-    /// The deadline of the request that is in flight; `None`: there is none.
+    /// Deadline of the request in flight; `None` if there is none.
     pub fn deadline(&self) -> Option<Instant> {
         self.deadline
     }
 
-    /// Bytes received for the last request.
+    /// Bytes received in response to the last request.
     pub fn received(&self) -> usize {
         self.received
     }
 
-    /// Closes the connection and gives up its request.
+    /// Closes the connection and abandons the request in flight.
     pub fn close(&mut self) {
         self.socket = None;
         self.deadline = None;
     }
 
-    /// Writes and reads as far as it goes. `Some`: the request that was in flight has ended.
+    /// Writes and reads as much as possible without blocking. Returns the result of the request in flight once it has ended.
     pub fn poll(&mut self, now: Instant) -> Option<Result<Answer, Http1Error>> {
         let deadline = self.deadline?;
         let result = match self.exchange() {
@@ -137,11 +139,12 @@
         if result.is_err() {
             self.socket = None;
         }
-        self.answer.clear();
-        self.answer.shrink_to(RETAINED_BUFFER);
+        self.response.clear();
+        self.response.shrink_to(RETAINED_BUFFER_BYTES);
         Some(result)
     }
 
+    /// Writes the request and reads the response until the socket would block. `None` if the response is incomplete.
     fn exchange(&mut self) -> Result<Option<ParsedAnswer>, Http1Error> {
         let Some(socket) = &mut self.socket else {
             return Err(Http1Error::Broken("no connection".to_owned()));
@@ -149,8 +152,8 @@
         if let Ok(Some(error)) = socket.take_error() {
             return Err(broken(error));
         }
-        while self.sent < self.out.len() {
-            match socket.write(&self.out[self.sent..]) {
+        while self.sent < self.request.len() {
+            match socket.write(&self.request[self.sent..]) {
                 Ok(n) => self.sent += n,
                 Err(e) if would_block(&e) => break,
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
@@ -162,18 +165,18 @@
             match socket.read(&mut chunk) {
                 Ok(0) => return Err(Http1Error::Broken("closed".to_owned())),
                 Ok(n) => {
-                    self.answer.extend_from_slice(&chunk[..n]);
+                    self.response.extend_from_slice(&chunk[..n]);
                     self.received += n;
                 }
                 Err(e) if would_block(&e) => break,
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                 Err(e) => return Err(broken(e)),
             }
-            if self.answer.len() > MAX_HEAD_BYTES + MAX_BODY_BYTES {
+            if self.response.len() > MAX_HEAD_BYTES + MAX_BODY_BYTES {
                 break;
             }
         }
-        parse(&self.answer)
+        parse(&self.response)
     }
 }
 
@@ -181,19 +184,19 @@
     Http1Error::Broken(error.to_string())
 }
 
-/// Whether the socket can't be read or written now, or is not connected yet.
+/// Whether an error means that the socket is not ready or not connected yet.
 fn would_block(error: &io::Error) -> bool {
     matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::NotConnected)
 }
 
-/// An answer, and whether its connection may be kept.
+/// A response, and whether its connection can be reused.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) struct ParsedAnswer {
     pub(crate) answer: Answer,
     pub(crate) keep_alive: bool,
 }
 
-/// Parses an answer. `None`: it is not complete.
+/// Parses a response. `None` if it is incomplete.
 pub(crate) fn parse(received: &[u8]) -> Result<Option<ParsedAnswer>, Http1Error> {
     let mut headers = [httparse::EMPTY_HEADER; 64];
     let mut head = httparse::Response::new(&mut headers);
@@ -216,7 +219,8 @@
             let keep_alive = answer.header("connection").is_none_or(|c| !c.eq_ignore_ascii_case("close"));
             Ok(Some(ParsedAnswer { answer, keep_alive }))
         }
-        // Without a length, or with too long a body, the status is enough; the connection is not kept.
+        // A body without Content-Length or over the limit is not read: only status and headers are returned, and the
+        // connection is closed.
         _ => Ok(Some(ParsedAnswer { answer, keep_alive: false })),
     }
 }
--- a/crates/net/src/hub/poll.rs
+++ b/crates/net/src/hub/poll.rs
@@ -6,7 +6,7 @@
 use super::conn::AcceptedStream;
 use super::stream::Stream;
 use super::{CloseReason, ConnKey, Hub, LISTENERS, NetEvent, SOURCES, StreamError, StreamKey, WAKE};
-use crate::clock::shorter;
+use crate::clock::shorter_timeout;
 use crate::wake::Due;
 
 /// Rounds of one poll through what is due, so that two peers that wake each other can't keep the loop from its timers.
@@ -20,8 +20,11 @@
         self.run_due();
         let busy = !self.out.is_empty() || !self.due.is_empty();
         let alarm = self.alarms.first().map(|(at, _)| *at);
-        let wait =
-            if busy { Some(Duration::ZERO) } else { shorter(timeout, self.now, &[alarm, self.accept_at]) };
+        let wait = if busy {
+            Some(Duration::ZERO)
+        } else {
+            shorter_timeout(timeout, self.now, &[alarm, self.accept_at])
+        };
         match self.poll.poll(&mut self.events, wait) {
             Err(e) if e.kind() != io::ErrorKind::Interrupted => return Err(e),
             _ => {}
--- a/crates/net/src/io.rs
+++ b/crates/net/src/io.rs
@@ -1,5 +1,5 @@
-//! A mio TCP socket with the I/O traits that `h2` needs, and the state by which the hub, and the faults of test servers,
-//! reach it while `h2` owns it.
+//! A mio TCP socket with the I/O traits that `h2` needs. The hub, and fault injection in test servers, access the socket
+//! through shared state while `h2` owns the I/O object.
 
 use std::cell::Cell;
 use std::io::{self, Read, Write};
@@ -11,22 +11,24 @@
 use mio::net::TcpStream;
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// What the hub and the owner of a connection share.
+/// The socket and its state, shared between the hub and the [`Io`] that `h2` owns.
 #[derive(Debug)]
 pub(crate) struct Shared {
     pub(crate) socket: TcpStream,
-    // mio is edge-triggered: each flag is set by an event and cleared by WouldBlock.
+    // mio is edge-triggered: an event sets each readiness flag, and `WouldBlock` clears it.
     pub(crate) readable: Cell<bool>,
     pub(crate) writable: Cell<bool>,
-    /// Bytes that the system has taken. While it has not changed since a request was queued, nothing of it was written.
+    /// Bytes that the kernel has accepted. If it has not changed since a request was queued, no byte of that request was
+    /// written.
     pub(crate) written: Cell<u64>,
-    /// Neither reads nor writes: a cut link or an unresponsive machine, for test servers.
+    /// Injected fault of test servers: the socket neither reads nor writes, as with a network partition or an unresponsive
+    /// machine.
     pub(crate) frozen: Cell<bool>,
-    /// Breaks the connection once so many bytes were written: half-written frames, for test servers.
+    /// Injected fault of test servers: the connection breaks once this many bytes were written, inside a frame.
     pub(crate) cut_at: Cell<Option<u64>>,
 }
 
-/// The socket as `h2` holds it.
+/// The I/O object that is passed to `h2`.
 #[derive(Debug)]
 pub(crate) struct Io(pub(crate) Rc<Shared>);
 
@@ -56,7 +58,7 @@
     }
 }
 
-/// Repeats an interrupted system call; WouldBlock clears its flag until the next event.
+/// Calls `call`, and again if the system call is interrupted. `WouldBlock` clears `ready` until the next event.
 fn poll_io(ready: &Cell<bool>, mut call: impl FnMut() -> io::Result<usize>) -> Poll<io::Result<usize>> {
     loop {
         return match call() {
@@ -71,7 +73,8 @@
 }
 
 impl Io {
-    fn put(&self, call: impl FnMut() -> io::Result<usize>) -> Poll<io::Result<usize>> {
+    /// Writes with `call` if the socket is writable, and counts the bytes written.
+    fn write_with(&self, call: impl FnMut() -> io::Result<usize>) -> Poll<io::Result<usize>> {
         let shared = &self.0;
         if !shared.writable.get() || shared.frozen.get() {
             return Poll::Pending;
@@ -82,6 +85,7 @@
         })
     }
 
+    /// Writes up to the injected fault [`Shared::cut_at`], and breaks the connection there.
     fn write(&self, bytes: &[u8]) -> Poll<io::Result<usize>> {
         let shared = &self.0;
         let mut bytes = bytes;
@@ -94,7 +98,7 @@
             let most = usize::try_from(left).unwrap_or(usize::MAX).min(bytes.len());
             bytes = &bytes[..most];
         }
-        self.put(|| (&shared.socket).write(bytes))
+        self.write_with(|| (&shared.socket).write(bytes))
     }
 }
 
@@ -113,7 +117,7 @@
             let first = parts.iter().find(|p| !p.is_empty()).map_or(&[][..], |p| p);
             return self.write(first);
         }
-        self.put(|| (&shared.socket).write_vectored(parts))
+        self.write_with(|| (&shared.socket).write_vectored(parts))
     }
 
     fn is_write_vectored(&self) -> bool {
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -1,18 +1,17 @@
-//! The reactor: one mio poll, HTTP/2 connections polled by hand, gRPC message framing, timers of connections.
+//! A single-threaded network reactor on mio: HTTP/2 connections, gRPC message framing and connection timers.
 //!
-//! May know: sockets, HTTP/2 (RFC 9113), the gRPC wire ("gRPC over HTTP2"). Must not know: calls, models,
-//! workers, decisions.
+//! This crate depends on sockets, HTTP/2 (RFC 9113) and the gRPC wire format ("gRPC over HTTP2") only. It must not depend
+//! on calls, models, workers or scheduling decisions.
 //!
-//! There is no async runtime. The `h2` crate is the HTTP/2 state machine; each connection and each stream has a
-//! [`std::task::Waker`] that puts its key on a queue, and [`Hub::poll`] polls what is queued. What happened comes out as
-//! [`NetEvent`]s.
+//! There is no async runtime. The `h2` crate is the HTTP/2 state machine. Each connection and each stream has a
+//! [`std::task::Waker`] that puts its key on a queue, and [`Hub::poll`] polls the queued ones and reports [`NetEvent`]s.
 //!
-//! * [`hub`]: connections and streams. [`io`]: a mio socket as `AsyncRead`/`AsyncWrite`.
-//! * [`http1`]: a small HTTP/1.1 server for side listeners.
-//! * [`post`]: an HTTP/1.1 client; [`http1_client`]: one connection of it.
-//! * [`framing`]: length-prefixed messages. [`grpc`]: status, timeouts, percent and base64 headers.
-//! * [`tcp`]: plain connections, for protocols other than HTTP/2. [`clock`]: the program's clock.
-//! * [`limits`]: bounds of the hub, and their counters. [`retry`]: retries of startup steps.
+//! * [`hub`]: HTTP/2 connections and streams. [`io`]: a mio socket as `AsyncRead`/`AsyncWrite`.
+//! * [`http1`]: a small HTTP/1.1 server, for instance for metrics.
+//! * [`post`]: an HTTP/1.1 client; [`http1_client`]: a single client connection.
+//! * [`framing`]: length-prefixed messages. [`grpc`]: status codes, timeouts, percent-encoded and binary headers.
+//! * [`tcp`]: plain TCP connections, for protocols other than HTTP/2. [`clock`]: the process clock.
+//! * [`limits`]: limits and counters of the hub. [`retry`]: retries of startup steps.
 
 #![forbid(unsafe_code)]
 
--- a/crates/net/src/limits.rs
+++ b/crates/net/src/limits.rs
@@ -1,32 +1,32 @@
-//! Bounds of the hub, and the counters that tell when they were hit.
+//! Limits of the hub, and the counters that record when they were reached.
 
 use std::time::Duration;
 
-/// Bounds of a hub.
+/// Limits of a [`crate::Hub`].
 #[derive(Clone, Debug)]
 pub struct NetLimits {
-    /// Connections accepted at once, over all listeners; one more is closed at once.
+    /// Open connections, accepted and outgoing, at which a newly accepted one is closed immediately.
     pub connections: usize,
-    /// Streams that a peer may have open on one connection (`SETTINGS_MAX_CONCURRENT_STREAMS`).
+    /// Maximum concurrent streams that a peer may open on one connection (`SETTINGS_MAX_CONCURRENT_STREAMS`).
     pub streams_per_connection: u32,
-    /// Bytes of one gRPC message, after decompression.
+    /// Maximum size of a gRPC message in bytes, after decompression.
     pub message_bytes: usize,
-    /// Bytes of a header list (`SETTINGS_MAX_HEADER_LIST_SIZE`); a longer one, or one without end, ends the
+    /// Maximum size of a header list in bytes (`SETTINGS_MAX_HEADER_LIST_SIZE`). A longer or never-ending one ends the
     /// stream or the connection.
     pub header_bytes: u32,
-    /// Receive window of a stream, bytes: what a peer may send unread.
+    /// Receive window of a stream in bytes: how much a peer may send before it is read.
     pub stream_window: u32,
-    /// Receive window of a connection, bytes.
+    /// Receive window of a connection in bytes.
     pub connection_window: u32,
-    /// Bytes queued for sending on a stream from which on [`super::Hub::is_full`] holds.
+    /// Send queue of a stream in bytes; above it [`super::Hub::is_full`] is true.
     pub send_queue_bytes: usize,
-    /// Streams that a peer has reset before they were handled, at once on a connection.
+    /// Maximum streams per connection that the peer has reset before they were handled; more is a protocol error.
     pub reset_streams: usize,
-    /// A TCP connection not established within this span has failed.
+    /// Time in which an outgoing TCP connection must be established.
     pub connect_timeout: Duration,
-    /// An accepted connection whose HTTP/2 preface is not received within this span is closed.
+    /// Time in which the HTTP/2 preface of an accepted connection must be received.
     pub handshake_timeout: Duration,
-    /// A connection without streams is closed after this span.
+    /// Time after which a connection without streams is closed.
     pub idle: Duration,
 }
 
@@ -48,27 +48,27 @@
     }
 }
 
-/// Counts of connections and streams, and of bounds that were hit.
+/// Counts of connections and streams, and of limits that were reached.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct NetCounters {
-    /// Connections accepted.
+    /// Connections accepted from peers.
     pub accepted: u64,
-    /// Connections closed at once: [`NetLimits::connections`].
+    /// Accepted connections closed immediately because of [`NetLimits::connections`].
     pub over_connections: u64,
-    /// Connections closed at once: the process had no descriptor left.
+    /// Times that accepting paused because no file descriptor or memory was left.
     pub over_handles: u64,
-    /// [`NetLimits::handshake_timeout`].
+    /// Accepted connections closed because of [`NetLimits::handshake_timeout`].
     pub handshake_timeouts: u64,
-    /// [`NetLimits::connect_timeout`], and connections refused.
+    /// Outgoing connections that were refused or exceeded [`NetLimits::connect_timeout`].
     pub connect_failures: u64,
-    /// Connections closed as [`NetLimits::idle`] says.
+    /// Connections closed because of [`NetLimits::idle`].
     pub idle_closed: u64,
-    /// [`NetLimits::message_bytes`], and malformed messages.
+    /// Messages that were malformed or exceeded [`NetLimits::message_bytes`].
     pub bad_messages: u64,
-    /// Connections that ended by a protocol error of the peer, among them floods of resets and of headers.
+    /// Connections ended by a protocol error of the peer, including floods of resets or headers.
     pub protocol_errors: u64,
-    /// Streams opened by either side.
+    /// Streams opened by this side or by peers.
     pub streams: u64,
-    /// Returns of the poll's system call.
+    /// Returns of the poll system call.
     pub wakeups: u64,
 }
--- a/crates/net/src/post.rs
+++ b/crates/net/src/post.rs
@@ -1,5 +1,5 @@
-//! An HTTP/1.1 client on a mio poll of its own: some connections to one address, one request on each at a time. It runs in
-//! its owner's thread.
+//! An HTTP/1.1 client on its own mio poll, with a fixed number of connections to one address and one request at a time on
+//! each. It runs in the thread of its owner.
 
 use std::io;
 use std::net::SocketAddr;
@@ -13,40 +13,42 @@
 
 const WAKE: Token = Token(usize::MAX);
 
-/// The client.
+/// An HTTP/1.1 client with a fixed number of connections to one address; they are established by their first request.
 pub struct Http1Client {
     poll: Poll,
     waker: Arc<Waker>,
-    to: SocketAddr,
+    address: SocketAddr,
     connections: Vec<ClientConnection>,
     timeout: Duration,
 }
 
 impl Http1Client {
-    /// A client with so many connections; a request without an answer after `timeout` ends with [`Http1Error::Timeout`].
-    pub fn new(to: SocketAddr, connections: usize, timeout: Duration) -> io::Result<Self> {
+    /// Creates a client with `connections` connections to `address`. A request without a complete response after `timeout`
+    /// ends with [`Http1Error::Timeout`].
+    pub fn new(address: SocketAddr, connections: usize, timeout: Duration) -> io::Result<Self> {
         let poll = Poll::new()?;
         let waker = Arc::new(Waker::new(poll.registry(), WAKE)?);
         let connections = (0..connections).map(|_| ClientConnection::default()).collect();
-        Ok(Self { poll, waker, to, connections, timeout })
+        Ok(Self { poll, waker, address, connections, timeout })
     }
 
-    /// Ends the wait of [`Http1Client::poll`] from another thread.
+    /// A waker that makes [`Http1Client::poll`] return, for use by other threads.
     pub fn waker(&self) -> Arc<Waker> {
         Arc::clone(&self.waker)
     }
 
-    /// Sets the timeout of requests that are sent from now on.
+    /// Sets the timeout of requests that are sent afterwards.
     pub fn set_timeout(&mut self, timeout: Duration) {
         self.timeout = timeout;
     }
 
-    /// Sends a POST on a connection that has no request in flight.
+    /// Sends a POST request on a connection by its index; the connection must have no request in flight.
     pub fn post(&mut self, connection: usize, path: &str, headers: &[(&str, &str)], body: &[u8]) {
         self.send(connection, "POST", path, headers, body);
     }
 
-    /// Sends a request on a connection that has none in flight.
+    /// Sends a request on a connection by its index; the connection must have no request in flight. An unknown index is
+    /// ignored.
     pub fn send(
         &mut self,
         connection: usize,
@@ -57,12 +59,13 @@
     ) {
         let token = Token(connection);
         let Some(connection) = self.connections.get_mut(connection) else { return };
-        let request = encode_request(self.to, method, path, headers, body);
+        let request = encode_request(self.address, method, path, headers, body);
         let deadline = Instant::now() + self.timeout;
-        connection.send(self.poll.registry(), token, self.to, request, deadline);
+        connection.send(self.poll.registry(), token, self.address, request, deadline);
     }
 
-    /// One iteration, for at most `timeout` where nothing has ended; ends of requests are appended with their connections.
+    /// Runs one iteration: waits for at most `timeout`, or not at all if a request has ended already, and appends the index of
+    /// each connection whose request has ended, with the result, to `out`.
     pub fn poll(
         &mut self,
         timeout: Option<Duration>,
--- a/crates/net/src/post/tests.rs
+++ b/crates/net/src/post/tests.rs
@@ -7,16 +7,16 @@
 fn wait(client: &mut Http1Client) -> Result<Answer, Http1Error> {
     let (mut out, until) = (Vec::new(), Instant::now() + Duration::from_secs(30));
     while out.is_empty() {
-        assert!(Instant::now() < until, "no end came");
+        assert!(Instant::now() < until, "the request did not end");
         client.poll(Some(Duration::from_millis(50)), &mut out).expect("polls");
     }
     out.remove(0).1
 }
 
 #[test]
-fn answers_have_their_headers_and_connections_are_kept() {
-    let mut server =
-        Http1Server::bind("127.0.0.1:0".parse().expect("sound"), Http1Limits::default()).expect("a port");
+fn responses_have_their_headers_and_connections_are_reused() {
+    let mut server = Http1Server::bind("127.0.0.1:0".parse().expect("an address"), Http1Limits::default())
+        .expect("a port");
     let (address, stop) = (server.local_addr().expect("bound"), server.stop());
     let thread = std::thread::spawn(move || {
         server.run(|r| Reply {
@@ -35,13 +35,13 @@
     }
     stop.stop();
     thread.join().expect("ends").expect("served");
-    // Its address listens no more.
+    // Nothing listens at the address any more.
     client.post(0, "/c", &[], b"x");
     assert!(matches!(wait(&mut client), Err(Http1Error::Broken(_))));
 }
 
 #[test]
-fn a_server_without_answers_or_with_malformed_ones_is_an_error() {
+fn missing_and_malformed_responses_are_errors() {
     let unresponsive = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let mut client =
         Http1Client::new(unresponsive.local_addr().expect("bound"), 1, Duration::from_millis(40))
--- a/crates/net/src/retry.rs
+++ b/crates/net/src/retry.rs
@@ -1,5 +1,5 @@
-//! Retries of operations that fail for a moment, by threads that have nothing better to do than wait: steps of a
-//! process's start. Retries of calls are decided elsewhere.
+//! Blocking retries of operations with transient errors, for the startup of a process. Retries of calls are not decided
+//! here.
 
 use std::fmt::Display;
 use std::io;
@@ -7,21 +7,21 @@
 
 use tracing::warn;
 
-/// For how long an operation is retried, and how often.
+/// How long, and at which interval, an operation is retried.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryPolicy {
-    /// Counted from the first attempt; an attempt that begins within it may end later.
+    /// Time from the first attempt after which none is started; one that is under way may end later.
     pub timeout: Duration,
-    /// The pause between two attempts.
+    /// Time to sleep between two attempts.
     pub pause: Duration,
 }
 
 impl RetryPolicy {
-    /// For steps of the start: a third of the 30 s in which the platform wants a process to be ready.
+    /// Policy of startup steps: a third of the 30 s within which the platform requires a process to be ready.
     pub const STARTUP: Self = Self { timeout: Duration::from_secs(10), pause: Duration::from_millis(50) };
 
-    /// Repeats `operation` until it succeeds, fails with an error that is not transient, or the timeout is over; its last
-    /// result is returned. `on_retry` gets each error after which another attempt follows. Blocks the thread.
+    /// Repeats `operation` until it succeeds, fails with an error that is not transient, or the timeout expires, and returns
+    /// its last result. `on_retry` is called with each error that is followed by another attempt. Blocks the thread.
     pub fn run<T, E>(
         &self,
         mut operation: impl FnMut() -> Result<T, E>,
@@ -39,7 +39,7 @@
     }
 }
 
-/// Runs one step of the start with [`RetryPolicy::STARTUP`], and logs each failure that is retried.
+/// Runs a startup step with [`RetryPolicy::STARTUP`], and logs each failure that is retried.
 pub fn retry_startup<T, E: Display>(
     step: &'static str,
     operation: impl FnMut() -> Result<T, E>,
@@ -49,8 +49,8 @@
     RetryPolicy::STARTUP.run(operation, is_transient, log_failure)
 }
 
-/// Whether a failure to open a listener or another resource of the system may pass by itself, as it does for want of a
-/// descriptor or of memory. An address that is taken or not ours stays so.
+/// Whether an error on opening a listener or another system resource is transient, such as a lack of file descriptors or
+/// memory. An address that is in use or not local, an invalid argument and missing permissions are permanent.
 pub fn is_transient(error: &io::Error) -> bool {
     use io::ErrorKind::{AddrInUse, AddrNotAvailable, InvalidInput, PermissionDenied};
     !matches!(error.kind(), AddrInUse | AddrNotAvailable | InvalidInput | PermissionDenied)
--- a/crates/net/src/tcp/poll.rs
+++ b/crates/net/src/tcp/poll.rs
@@ -6,7 +6,7 @@
 use super::connection::Stage;
 use super::last_poll::PollResult;
 use super::{ConnectionFailure, LISTENERS, SOURCES, Tcp, TcpEvent};
-use crate::clock::shorter;
+use crate::clock::shorter_timeout;
 
 /// A poll that was interrupted, or overslept, is followed by so many at the most that do not sleep: each may be interrupted
 /// in its turn.
@@ -25,7 +25,7 @@
         let alarm = self.alarms.first().map(|(at, _)| *at);
         let connect_retry = self.connect_retries.first().map(|(at, _)| *at);
         let due = [alarm, connect_retry, self.accept_at];
-        let wait = if busy { Some(Duration::ZERO) } else { shorter(timeout, self.now, &due) };
+        let wait = if busy { Some(Duration::ZERO) } else { shorter_timeout(timeout, self.now, &due) };
         let mut outdated = self.poll_once(wait)?;
         // Whoever acts on what is due acts on what has come by then, such as the end of a client.
         for _ in 0..MAX_SECOND_POLLS {
--- a/crates/net/src/wake.rs
+++ b/crates/net/src/wake.rs
@@ -1,10 +1,10 @@
-//! The queue of connections and streams to be polled: wakers put their keys on it, the hub takes them off.
+//! The queue of connections and streams to be polled: wakers enqueue their keys, and the hub dequeues them.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::task::{Wake, Waker};
 
-/// A stream or a connection that is to be polled, by the number of its key.
+/// A stream or a connection to be polled, by the number of its key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Due {
     Stream(u64),
@@ -13,16 +13,18 @@
 
 #[derive(Default)]
 struct Queues {
-    // Streams are polled before connections, so that what they queue leaves in one write.
+    // Streams are polled before connections, so that their queued data is sent in one write.
     streams: Vec<Arc<Slot>>,
     conns: Vec<Arc<Slot>>,
 }
 
+/// The queue; wakers may be called from any thread.
 #[derive(Default)]
 pub(crate) struct DueQueue {
     queues: Mutex<Queues>,
 }
 
+/// The state behind one waker: a key that is at most once in the queue.
 struct Slot {
     queue: Arc<DueQueue>,
     due: Due,
@@ -47,7 +49,7 @@
 
 impl DueQueue {
     fn lock(&self) -> MutexGuard<'_, Queues> {
-        // No panic under the lock can leave the vectors half changed.
+        // A panic while the lock is held can't leave the vectors in an inconsistent state.
         self.queues.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -55,7 +57,8 @@
         Waker::from(Arc::new(Slot { queue: Arc::clone(self), due, queued: AtomicBool::new(false) }))
     }
 
-    /// Takes all due streams, or where there are none all due connections. Each may be queued again from now.
+    /// Dequeues all due streams into `into`, or all due connections if no stream is due. Each may be enqueued again
+    /// afterwards.
     pub(crate) fn take(&self, into: &mut Vec<Due>) {
         let taken = {
             let mut queues = self.lock();
