--- a/crates/net/src/hub/accept.rs
+++ b/crates/net/src/hub/accept.rs
@@ -1,4 +1,4 @@
-//! Listeners, and the connections that peers make.
+//! Listeners, incoming connections, and the start of outgoing ones.
 
 use std::io;
 use std::net::SocketAddr;
@@ -11,11 +11,11 @@
 use super::{ConnKey, Hub, LISTENERS, Listener, ListenerKey, NetEvent, spare_descriptor};
 use crate::wake::Due;
 
-/// Pause of accepting after the system has refused a descriptor or memory for a connection.
+/// Time for which accepting pauses after `accept` has failed, usually for lack of file descriptors or memory.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(100);
 
 impl Hub {
-    /// Listens; port 0 lets the system choose.
+    /// Listens on `address` and returns the local address; port 0 lets the system choose a port.
     pub fn listen(&mut self, address: SocketAddr) -> io::Result<(ListenerKey, SocketAddr)> {
         let mut socket = TcpListener::bind(address)?;
         let local = socket.local_addr()?;
@@ -25,7 +25,7 @@
         Ok((ListenerKey(index), local))
     }
 
-    /// Closes all listening sockets: no new connections.
+    /// Closes all listening sockets; accepted connections stay open.
     pub fn stop_listening(&mut self) {
         for listener in &mut self.listeners {
             let _ = self.poll.registry().deregister(&mut listener.socket);
@@ -33,16 +33,17 @@
         self.listeners.clear();
     }
 
-    /// Begins to connect. `Err`: the address can't be connected to at all.
+    /// Starts to connect. An error means that the connect failed immediately; later failures are reported as
+    /// [`NetEvent::Closed`].
     pub fn connect(&mut self, address: SocketAddr) -> io::Result<ConnKey> {
         let socket = TcpStream::connect(address)?;
         self.add_conn(socket, address, None)
     }
 
-    /// Accepts all that waits at a listener.
+    /// Accepts all pending connections of a listener.
     pub(super) fn accept(&mut self, index: usize) {
-        // Another thread, such as the watcher of the worker list, may have taken the spare descriptor in the moment in which
-        // it was released. It is replaced before anything is accepted: without it clients could wait without end.
+        // Another thread, such as the watcher of the worker list, may have used the spare descriptor while it was released.
+        // It is replaced before accepting, as clients could otherwise wait forever once the descriptors run out.
         if self.spare_descriptor.is_none() {
             self.spare_descriptor = spare_descriptor();
         }
@@ -64,8 +65,8 @@
                 Err(e)
                     if matches!(e.kind(), io::ErrorKind::Interrupted | io::ErrorKind::ConnectionAborted) => {}
                 Err(_) => {
-                    // Out of descriptors or memory. With the spare one released the connection is accepted and closed,
-                    // so that the client learns of it at once; then accepting pauses.
+                    // Out of descriptors or memory. The spare descriptor is released, and the connection is accepted and
+                    // closed, so that the client fails immediately instead of waiting. Then accepting pauses.
                     self.counters.over_handles += 1;
                     if self.spare_descriptor.take().is_some() {
                         if let Some(listener) = self.listeners.get(index) {
@@ -80,7 +81,7 @@
         }
     }
 
-    /// Adds an accepted or an outgoing connection.
+    /// Adds an accepted connection, or an outgoing one if `listener` is `None`.
     pub(super) fn add_conn(
         &mut self,
         mut socket: TcpStream,
--- a/crates/net/src/hub/conn.rs
+++ b/crates/net/src/hub/conn.rs
@@ -1,4 +1,4 @@
-//! One connection: its HTTP/2 side, and the streams that wait to leave on it.
+//! One connection: its HTTP/2 state machine and the outgoing streams that wait to be started.
 
 use std::collections::{BTreeSet, VecDeque};
 use std::future::Future;
@@ -14,33 +14,33 @@
 use slab::Slab;
 
 use super::events::{CloseReason, ConnKey, ListenerKey, StreamError, StreamKey};
-use super::stream::{Stream, error_of};
+use super::stream::{Stream, stream_error};
 use crate::io::{Io, Shared};
 use crate::limits::NetLimits;
 
 type ClientHalves = (client::SendRequest<Bytes>, client::Connection<Io, Bytes>);
 type ClientHandshake = Pin<Box<dyn Future<Output = Result<ClientHalves, h2::Error>>>>;
 
-/// How far a connection has come.
+/// The state of a connection from connecting to closed.
 enum State {
-    /// TCP is being established.
+    /// The TCP connection is being established.
     Connecting(Io),
     ClientHandshake(ClientHandshake),
     Client(client::SendRequest<Bytes>, client::Connection<Io, Bytes>),
     ServerHandshake(server::Handshake<Io, Bytes>),
     Server(Box<server::Connection<Io, Bytes>>),
-    Gone,
+    Closed,
 }
 
-/// What a step of [`Conn::poll`] has come to.
+/// The result of one step of [`Conn::poll`].
 enum Progress {
-    /// The connection is in another state, which is to be polled as well.
+    /// The connection has entered another state, which must be polled as well.
     NextState,
     Pending,
     Ended(CloseReason),
 }
 
-/// A stream that a peer opened.
+/// A new stream that the peer opened.
 pub(super) struct AcceptedStream {
     pub(super) request: http::Request<RecvStream>,
     pub(super) response: server::SendResponse<Bytes>,
@@ -49,22 +49,23 @@
 pub(super) struct Conn {
     pub(super) key: ConnKey,
     pub(super) peer: SocketAddr,
-    /// Where it was accepted; `None`: it is outgoing.
+    /// The listener that accepted the connection; `None` for an outgoing one.
     pub(super) listener: Option<ListenerKey>,
     pub(super) shared: Rc<Shared>,
     pub(super) waker: Waker,
-    /// When its handshake or its idle time is over.
+    /// Deadline of the handshake, or end of the idle time.
     pub(super) alarm: Instant,
     pub(super) streams: BTreeSet<StreamKey>,
-    /// Streams of ours that were not started yet, in order.
+    /// Outgoing streams that are not started yet, in the order opened.
     pub(super) waiting: VecDeque<StreamKey>,
     pub(super) just_established: bool,
-    /// Opened by the peer since the last poll.
+    /// Streams opened by the peer since the last poll.
     pub(super) accepted_streams: Vec<AcceptedStream>,
-    /// Could not be started since the last poll.
+    /// Outgoing streams that could not be started since the last poll.
     pub(super) failed: Vec<(StreamKey, StreamError)>,
     state: State,
     limits: NetLimits,
+    /// GOAWAY was requested; it is sent after the handshake if that is not complete.
     goaway_sent: bool,
     /// The peer accepts no new streams.
     pub(super) closed_to_new: bool,
@@ -84,7 +85,7 @@
         let state = if listener.is_some() {
             State::ServerHandshake(server_builder(limits).handshake(io))
         } else {
-            // It is established when it becomes writable.
+            // The connection is established when the socket becomes writable.
             shared.writable.set(false);
             State::Connecting(io)
         };
@@ -108,10 +109,11 @@
         }
     }
 
-    pub(super) fn established(&self) -> bool {
+    pub(super) fn is_established(&self) -> bool {
         matches!(self.state, State::Client(..) | State::Server(_))
     }
 
+    /// See [`super::Hub::can_open`].
     pub(super) fn can_open(&mut self) -> bool {
         if self.closed_to_new {
             return false;
@@ -134,6 +136,7 @@
         }
     }
 
+    /// See [`super::Hub::go_away`].
     pub(super) fn go_away(&mut self) {
         if let State::Server(conn) = &mut self.state {
             conn.graceful_shutdown();
@@ -142,6 +145,7 @@
         self.waker.wake_by_ref();
     }
 
+    /// See [`super::Hub::go_away_abruptly`].
     pub(super) fn go_away_abruptly(&mut self, reason: Reason) {
         if let State::Server(conn) = &mut self.state {
             conn.abrupt_shutdown(reason);
@@ -150,18 +154,18 @@
         self.waker.wake_by_ref();
     }
 
-    /// Lets HTTP/2 read and write. `Some`: the connection has ended.
+    /// Lets HTTP/2 read and write. Returns the reason once the connection has ended.
     pub(super) fn poll(&mut self, streams: &mut Slab<Stream>) -> Option<CloseReason> {
         let waker = self.waker.clone();
         let mut cx = Context::from_waker(&waker);
         loop {
-            let progress = match std::mem::replace(&mut self.state, State::Gone) {
+            let progress = match std::mem::replace(&mut self.state, State::Closed) {
                 State::Connecting(io) => self.poll_connecting(io),
                 State::ClientHandshake(handshake) => self.poll_client_handshake(handshake, &mut cx),
                 State::Client(send, connection) => self.poll_client(send, connection, &mut cx, streams),
                 State::ServerHandshake(handshake) => self.poll_server_handshake(handshake, &mut cx),
                 State::Server(connection) => self.poll_server(connection, &mut cx),
-                State::Gone => Progress::Ended(CloseReason::Ended),
+                State::Closed => Progress::Ended(CloseReason::Ended),
             };
             match progress {
                 Progress::NextState => {}
@@ -180,7 +184,7 @@
             return Progress::Pending;
         }
         if self.shared.socket.peer_addr().is_err() {
-            // Not yet: the event was for something else.
+            // Not connected yet: the event had another cause.
             self.shared.writable.set(false);
             self.state = State::Connecting(io);
             return Progress::Pending;
@@ -219,7 +223,7 @@
         match result {
             Poll::Pending => Progress::Pending,
             Poll::Ready(Ok(())) => Progress::Ended(CloseReason::Ended),
-            Poll::Ready(Err(error)) => Progress::Ended(closing_of(&error)),
+            Poll::Ready(Err(error)) => Progress::Ended(close_reason(&error)),
         }
     }
 
@@ -241,7 +245,7 @@
                 self.just_established = true;
                 Progress::NextState
             }
-            Poll::Ready(Err(error)) => Progress::Ended(closing_of(&error)),
+            Poll::Ready(Err(error)) => Progress::Ended(close_reason(&error)),
         }
     }
 
@@ -256,7 +260,7 @@
                 Poll::Ready(Some(Ok((request, response)))) => {
                     self.accepted_streams.push(AcceptedStream { request, response });
                 }
-                Poll::Ready(Some(Err(error))) => break Progress::Ended(closing_of(&error)),
+                Poll::Ready(Some(Err(error))) => break Progress::Ended(close_reason(&error)),
                 Poll::Ready(None) => break Progress::Ended(CloseReason::Ended),
             }
         };
@@ -264,7 +268,7 @@
         progress
     }
 
-    /// Starts waiting streams, as far as the peer's limit allows.
+    /// Starts waiting streams up to the stream limit of the peer.
     fn start_waiting(
         &mut self,
         send: &mut client::SendRequest<Bytes>,
@@ -287,21 +291,21 @@
                     if stream.is_expired(Instant::now()) {
                         self.failed.push((key, StreamError::NotWritten));
                     } else if let Err(error) = stream.start(send, self.shared.written.get()) {
-                        self.failed.push((key, error_of(&error, true)));
+                        self.failed.push((key, stream_error(&error, true)));
                     }
                 }
             }
         }
     }
 
-    /// Closes the socket. Bytes that the system has taken are still sent.
+    /// Closes the socket. The kernel still sends the bytes that it has accepted.
     pub(super) fn close(&mut self) {
-        self.state = State::Gone;
+        self.state = State::Closed;
         let _ = self.shared.socket.shutdown(Shutdown::Both);
     }
 }
 
-/// Bytes that HTTP/2 may buffer for sending on a stream, at the least.
+/// Minimum size of the HTTP/2 send buffer of a stream in bytes.
 const MIN_SEND_BUFFER: usize = 16 << 10;
 
 fn server_builder(limits: &NetLimits) -> server::Builder {
@@ -329,8 +333,8 @@
     builder
 }
 
-/// Why a connection is closed that has ended with an error.
-fn closing_of(error: &h2::Error) -> CloseReason {
+/// The reason to report for a connection that ended with an error.
+fn close_reason(error: &h2::Error) -> CloseReason {
     if error.is_io() || error.is_remote() || error.reason() == Some(Reason::NO_ERROR) {
         CloseReason::Ended
     } else {
--- a/crates/net/src/hub/events.rs
+++ b/crates/net/src/hub/events.rs
@@ -1,4 +1,4 @@
-//! What the owner of a hub learns: keys of connections and streams, events, and how streams and connections end.
+//! Keys of connections and streams, events, and the reasons for which streams and connections end.
 
 use std::net::SocketAddr;
 
@@ -20,7 +20,7 @@
             pub(super) fn index(self) -> usize {
                 (self.0 & 0xffff_ffff) as usize
             }
-            /// The key as a number, unique within its hub until 2^32 keys were given.
+            /// The key as a number, unique within its hub until 2^32 keys were issued.
             pub fn number(self) -> u64 {
                 self.0
             }
@@ -29,68 +29,68 @@
 }
 
 key!(
-    /// A connection.
+    /// Key of a connection.
     ConnKey);
 key!(
-    /// A stream: one call.
+    /// Key of a stream, which is one call.
     StreamKey);
 
-/// A listening socket, by the order in which they were opened.
+/// Key of a listening socket: its index in the order in which the sockets were opened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ListenerKey(pub usize);
 
-/// How a stream failed, as the wire shows it. Whether its call may have run is decided elsewhere.
+/// How a stream failed, as observed on the connection. Whether its call may have run is not decided here.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StreamError {
-    /// No connection was established.
-    #[error("no connection came about")]
+    /// The connection was not established.
+    #[error("the connection was not established")]
     NotConnected,
-    /// Not one byte was written since the request was queued, or the connection accepted no new streams.
+    /// No byte was written after the request was queued, or the connection accepted no new streams.
     #[error("the request was not written")]
     NotWritten,
-    /// RST_STREAM with REFUSED_STREAM (RFC 9113, 8.7).
-    #[error("the peer refused the stream unseen")]
+    /// RST_STREAM with REFUSED_STREAM: the peer did not process the stream (RFC 9113, section 8.7).
+    #[error("the peer refused the stream without processing it")]
     Refused,
-    /// A GOAWAY whose last stream id is below this stream (RFC 9113, 6.8).
-    #[error("the peer went away before it looked at the stream")]
+    /// GOAWAY with a last stream id below this stream: the peer did not process the stream (RFC 9113, section 6.8).
+    #[error("the peer sent GOAWAY without processing the stream")]
     GoneAway,
-    /// RST_STREAM with another reason.
+    /// RST_STREAM with another error code.
     #[error("the peer reset the stream: {0}")]
     Reset(String),
-    /// The connection broke.
+    /// The connection broke while the stream was open.
     #[error("the connection broke")]
     Broken,
-    /// A message could not be read.
+    /// A received message could not be decoded.
     #[error("{0}")]
     Message(#[from] FrameError),
-    /// A protocol error.
+    /// An HTTP/2 protocol error.
     #[error("HTTP/2: {0}")]
     Protocol(String),
 }
 
-/// Why a connection is closed.
+/// Why a connection was closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
-    /// It was never established.
+    /// The connection was refused, or not established within [`crate::NetLimits::connect_timeout`].
     NotConnected,
-    /// The peer closed it, or it broke.
+    /// The owner or the peer closed the connection, or it broke.
     Ended,
-    /// A protocol error of the peer.
+    /// The peer violated the HTTP/2 protocol or exceeded a limit.
     Protocol,
-    /// The HTTP/2 preface was not received in time.
+    /// The HTTP/2 preface was not received within [`crate::NetLimits::handshake_timeout`].
     Handshake,
-    /// It had no streams for [`crate::NetLimits::idle`].
+    /// The connection had no streams for [`crate::NetLimits::idle`].
     Idle,
 }
 
-/// What happened.
+/// An event of a connection, of a stream or of a source, reported by [`super::Hub::poll`].
 #[derive(Debug)]
 pub enum NetEvent {
-    /// A peer connected.
+    /// An incoming connection was accepted.
     Accepted {
         /// The connection.
         conn: ConnKey,
-        /// Where it was accepted.
+        /// The listener that accepted it.
         listener: ListenerKey,
         /// The address of the peer.
         peer: SocketAddr,
@@ -100,73 +100,73 @@
         /// The connection.
         conn: ConnKey,
     },
-    /// A connection is gone; its streams have had their ends.
+    /// A connection was closed; the ends of its streams were reported before.
     Closed {
         /// The connection.
         conn: ConnKey,
-        /// Why.
+        /// Why it was closed.
         why: CloseReason,
     },
     /// A peer opened a stream.
     Request {
-        /// Its connection.
+        /// The connection of the stream.
         conn: ConnKey,
         /// The stream.
         stream: StreamKey,
         /// Method, path and headers.
         head: request::Parts,
     },
-    /// The headers of an answer.
+    /// The headers of a response were received.
     Head {
         /// The stream.
         stream: StreamKey,
         /// Status and headers.
         head: response::Parts,
     },
-    /// A complete message.
+    /// A complete message was received.
     Message {
         /// The stream.
         stream: StreamKey,
-        /// Its bytes, decompressed.
+        /// The decompressed message without its prefix.
         payload: Bytes,
     },
-    /// The peer that opened the stream sends no more.
+    /// The peer has sent the complete request of an incoming stream.
     HalfClosed {
         /// The stream.
         stream: StreamKey,
     },
-    /// A message of the peer that opened the stream can't be read; the stream still needs its answer.
+    /// A message of an incoming stream can't be decoded. The stream stays open for the response.
     Malformed {
         /// The stream.
         stream: StreamKey,
-        /// What is wrong.
+        /// Why the message can't be decoded.
         error: FrameError,
     },
-    /// The end of an answer on a stream that we opened.
+    /// The response of an outgoing stream has ended.
     Trailers {
         /// The stream.
         stream: StreamKey,
-        /// The trailers; empty where there were none.
+        /// The trailers; empty if there were none.
         trailers: HeaderMap,
     },
-    /// All of our answer was handed to HTTP/2.
+    /// The complete response of an incoming stream was passed to HTTP/2.
     Sent {
         /// The stream.
         stream: StreamKey,
     },
-    /// The stream ended otherwise.
+    /// The stream ended in another way.
     Failed {
         /// The stream.
         stream: StreamKey,
-        /// How.
+        /// How it failed.
         why: StreamError,
     },
-    /// A stream that was full has room again.
+    /// The send queue of a stream for which [`super::Hub::is_full`] was true has drained to half of its limit.
     Drained {
         /// The stream.
         stream: StreamKey,
     },
-    /// Another thread woke the hub.
+    /// Another thread woke the hub with [`super::Hub::waker`].
     Woken,
     /// A source that the owner registered with [`super::Hub::registry`] and [`super::Hub::source_token`] is ready.
     Source(usize),
--- a/crates/net/src/hub/mod.rs
+++ b/crates/net/src/hub/mod.rs
@@ -1,16 +1,16 @@
-//! Connections and streams under one mio poll.
+//! HTTP/2 connections and their streams on one mio poll.
 //!
-//! The owner opens streams, queues messages and calls [`Hub::poll`] in a loop; what happened comes out as [`NetEvent`]s.
-//! Accepted and outgoing connections are alike: a stream is one gRPC call in either role.
+//! The owner opens streams, queues messages and calls [`Hub::poll`] in a loop, which reports [`NetEvent`]s. A stream is one
+//! gRPC call, on accepted connections as well as on outgoing ones.
 //!
 //! A stream ends with exactly one event:
-//! * a stream that we opened: [`NetEvent::Trailers`] or [`NetEvent::Failed`];
-//! * a stream that a peer opened: [`NetEvent::Sent`] once all of ours was handed to HTTP/2, or [`NetEvent::Failed`].
+//! * an outgoing stream with [`NetEvent::Trailers`] or [`NetEvent::Failed`];
+//! * an incoming stream with [`NetEvent::Sent`] once its response was passed to HTTP/2, or with [`NetEvent::Failed`].
 //!
-//! After [`Hub::reset`] neither follows.
+//! A stream that the owner ends with [`Hub::reset`] reports neither.
 //!
-//! * `events`: what the owner learns. `streams`: what it does with a stream. `accept`: how connections begin.
-//! * `poll`: one iteration. `conn`, `stream`: one connection, one stream. `faults`: for test servers.
+//! * `events`: keys, events and errors. `streams`: operations on streams. `accept`: listening and connecting.
+//! * `poll`: the event loop. `conn`, `stream`: the state of one connection and one stream. `faults`: fault injection.
 
 mod accept;
 mod conn;
@@ -39,44 +39,44 @@
 /// A listening socket.
 struct Listener {
     socket: TcpListener,
-    /// Accepts nothing: a fault of test servers.
+    /// Injected fault of test servers: no connection is accepted.
     frozen: bool,
 }
 
-/// The token of the waker.
+/// Token of the waker.
 const WAKE: Token = Token(usize::MAX);
-/// Tokens of listeners begin here; those of connections are their indices.
+/// First token of listeners; the token of a connection is its index.
 const LISTENERS: usize = 1 << 40;
-/// Tokens of the owner's sources begin here.
+/// First token of event sources registered by the owner.
 const SOURCES: usize = 1 << 41;
 
-/// Owner of all connections.
+/// A set of HTTP/2 connections, streams and listeners with their poll.
 pub struct Hub {
     poll: Poll,
     events: Events,
     waker: Arc<mio::Waker>,
-    /// Connections and streams to be polled.
+    /// Queue of connections and streams to be polled.
     due: Arc<DueQueue>,
-    /// Reused for what is taken off the queue.
+    /// Reused buffer for keys dequeued from `due`.
     taken: Vec<Due>,
     conns: Slab<Conn>,
     streams: Slab<Stream>,
     listeners: Vec<Listener>,
     alarms: BTreeSet<(Instant, ConnKey)>,
-    /// When accepting goes on, while it pauses.
+    /// When accepting is resumed; `None` unless it is paused.
     accept_at: Option<Instant>,
-    /// Released when the system has no descriptor left: see [`Hub::accept`].
+    /// Descriptor that is released when no other is left: see [`Hub::accept`].
     spare_descriptor: Option<std::fs::File>,
     generation: u32,
     limits: NetLimits,
     counters: NetCounters,
-    /// What the next return of a poll reports.
+    /// Events that the next return of a poll reports.
     out: Vec<NetEvent>,
     now: Instant,
 }
 
 impl Hub {
-    /// A hub without connections.
+    /// Creates a hub without connections and listeners.
     pub fn new(limits: NetLimits) -> io::Result<Self> {
         let poll = Poll::new()?;
         let waker = Arc::new(mio::Waker::new(poll.registry(), WAKE)?);
@@ -100,80 +100,82 @@
         })
     }
 
-    /// Wakes [`Hub::poll`] from another thread.
+    /// A waker that makes [`Hub::poll`] return with [`NetEvent::Woken`], for use by other threads.
     pub fn waker(&self) -> Arc<mio::Waker> {
         Arc::clone(&self.waker)
     }
 
-    /// For sources of the owner, such as signals.
+    /// The registry for event sources of the owner, such as signals.
     pub fn registry(&self) -> &Registry {
         self.poll.registry()
     }
 
-    /// The token under which a source is reported as [`NetEvent::Source`].
+    /// The token with which the owner must register source `number` to have it reported as [`NetEvent::Source`].
     pub fn source_token(&self, number: usize) -> Token {
         Token(SOURCES + number)
     }
 
-    /// Counts of connections and streams, and of bounds that were hit.
+    /// Counts of connections and streams, and of limits that were reached.
     pub fn counters(&self) -> NetCounters {
         self.counters
     }
 
-    /// The bounds in force.
+    /// The limits of this hub.
     pub fn limits(&self) -> &NetLimits {
         &self.limits
     }
 
-    /// Connections that are established or being made.
+    /// Number of connections, established or connecting.
     pub fn open_connections(&self) -> usize {
         self.conns.len()
     }
 
-    /// Accepted connections that are open.
+    /// Number of open accepted connections.
     pub fn accepted_connections(&self) -> usize {
         self.conns.iter().filter(|(_, c)| c.listener.is_some()).count()
     }
 
-    /// Streams that have not ended.
+    /// Number of streams that have not ended.
     pub fn open_streams(&self) -> usize {
         self.streams.len()
     }
 
-    /// Whether a stream that is opened there starts at once, by the peer's limits and GOAWAY.
+    /// Whether a new stream on a connection may start without waiting for the stream limit of the peer; false after GOAWAY.
+    /// Always true while the connection is being established.
     pub fn can_open(&mut self, conn: ConnKey) -> bool {
         self.conns.get_mut(conn.index()).filter(|c| c.key == conn).is_some_and(Conn::can_open)
     }
 
-    /// Whether the peer accepts no new streams there (GOAWAY), or the connection is gone. Open streams go on.
+    /// Whether a connection accepts no new streams, because the peer sent GOAWAY or the connection no longer exists. Open
+    /// streams continue.
     pub fn is_going_away(&self, conn: ConnKey) -> bool {
         self.conns.get(conn.index()).filter(|c| c.key == conn).is_none_or(|c| c.closed_to_new)
     }
 
-    /// Streams open on a connection.
+    /// Number of open streams of a connection, including those that wait to be started.
     pub fn streams_on(&self, conn: ConnKey) -> usize {
         self.conns.get(conn.index()).filter(|c| c.key == conn).map_or(0, |c| c.streams.len())
     }
 
-    /// The other end's address.
+    /// The address of the peer; `None` if the connection no longer exists.
     pub fn peer(&self, conn: ConnKey) -> Option<SocketAddr> {
         self.conns.get(conn.index()).filter(|c| c.key == conn).map(|c| c.peer)
     }
 
-    /// Accepted connections, by the listener they came to.
+    /// Open connections that were accepted by a listener.
     pub fn accepted_at(&self, listener: ListenerKey) -> Vec<ConnKey> {
         self.conns.iter().filter(|(_, c)| c.listener == Some(listener)).map(|(_, c)| c.key).collect()
     }
 
-    /// Closes a connection at once; its streams fail.
+    /// Closes a connection immediately; its streams fail.
     pub fn close(&mut self, conn: ConnKey) {
         if self.conns.get(conn.index()).is_some_and(|c| c.key == conn) {
             self.close_conn(conn, CloseReason::Ended);
         }
     }
 
-    /// Sends GOAWAY on every accepted connection and accepts no new streams there; open ones go on, and each connection
-    /// closes after its last.
+    /// Shuts down all accepted connections gracefully: sends GOAWAY and accepts no new streams. Open streams continue, and
+    /// each connection is closed after its last one.
     pub fn go_away(&mut self) {
         for (_, conn) in self.conns.iter_mut() {
             conn.go_away();
@@ -181,7 +183,7 @@
     }
 }
 
-/// Opens a descriptor that is held in reserve.
+/// Opens the spare descriptor; `None` if no descriptor is left.
 fn spare_descriptor() -> Option<std::fs::File> {
     std::fs::File::open("/dev/null").ok()
 }
--- a/crates/net/src/hub/poll.rs
+++ b/crates/net/src/hub/poll.rs
@@ -1,4 +1,4 @@
-//! One iteration of the event loop: poll, read events, run what is due, alarms.
+//! One iteration of the event loop: poll, read events, fire alarms, and poll the connections and streams that are due.
 
 use std::io;
 use std::time::{Duration, Instant};
@@ -9,12 +9,12 @@
 use crate::clock::shorter_timeout;
 use crate::wake::Due;
 
-/// Rounds of one poll through what is due, so that two peers that wake each other can't keep the loop from its timers.
-const MAX_ROUNDS: usize = 64;
+/// Maximum passes through the due queue in one iteration, so that peers that keep waking each other can't starve the timers.
+const MAX_DUE_PASSES: usize = 64;
 
 impl Hub {
-    /// One iteration: runs what is due, polls (for at most `timeout`, and less where something is due), and runs what has
-    /// become due. Appends what happened to `out`.
+    /// Runs one iteration: polls due connections and streams, waits for socket events for at most `timeout` (less if anything
+    /// is due earlier), and polls those that have become due. Appends the events to `out`.
     pub fn poll(&mut self, timeout: Option<Duration>, out: &mut Vec<NetEvent>) -> io::Result<()> {
         self.now = Instant::now();
         self.run_due();
@@ -38,6 +38,7 @@
         Ok(())
     }
 
+    /// Records the readiness of the reported sockets, and accepts pending connections.
     pub(super) fn read_events(&mut self) {
         let mut accept = Vec::new();
         for event in &self.events {
@@ -49,7 +50,7 @@
             } else if token >= LISTENERS {
                 accept.push(token - LISTENERS);
             } else if let Some(conn) = self.conns.get(token) {
-                // A token of an older connection with this index wakes the new one once in vain.
+                // An event of a closed connection with the same index only causes a needless poll of the new one.
                 if event.is_readable() || event.is_read_closed() || event.is_error() {
                     conn.shared.readable.set(true);
                 }
@@ -70,8 +71,9 @@
         }
     }
 
+    /// Polls due connections and streams until the queue is empty or [`MAX_DUE_PASSES`] is reached.
     pub(super) fn run_due(&mut self) {
-        for _ in 0..MAX_ROUNDS {
+        for _ in 0..MAX_DUE_PASSES {
             let mut taken = std::mem::take(&mut self.taken);
             self.due.take(&mut taken);
             if taken.is_empty() {
@@ -88,6 +90,7 @@
         }
     }
 
+    /// Polls a stream, and removes it if it has ended.
     pub(super) fn poll_stream(&mut self, key: StreamKey) {
         let Some(stream) = self.streams.get_mut(key.index()).filter(|s| s.key == key) else { return };
         let written = self.conns.get(stream.conn.index()).map_or(0, |c| c.shared.written.get());
@@ -98,7 +101,7 @@
         }
     }
 
-    /// Removes a stream that has ended from its connection.
+    /// Removes a stream that has ended from its connection, whose idle time starts after the last one.
     pub(super) fn unlink(&mut self, stream: &Stream) {
         let Some(conn) = self.conns.get_mut(stream.conn.index()).filter(|c| c.key == stream.conn) else {
             return;
@@ -107,13 +110,14 @@
         if stream.is_waiting() {
             conn.waiting.retain(|k| *k != stream.key);
         }
-        if conn.streams.is_empty() && conn.established() {
+        if conn.streams.is_empty() && conn.is_established() {
             self.alarms.remove(&(conn.alarm, conn.key));
             conn.alarm = self.now + self.limits.idle;
             self.alarms.insert((conn.alarm, conn.key));
         }
     }
 
+    /// Polls a connection, and reports its establishment, new streams, streams that failed to start, and its end.
     pub(super) fn poll_conn(&mut self, key: ConnKey) {
         let Some(conn) = self.conns.get_mut(key.index()).filter(|c| c.key == key) else { return };
         let ended = conn.poll(&mut self.streams);
@@ -144,8 +148,8 @@
         }
         for (stream, why) in failed {
             if self.is_open(stream) {
-                let gone = self.streams.remove(stream.index());
-                self.unlink(&gone);
+                let failed_stream = self.streams.remove(stream.index());
+                self.unlink(&failed_stream);
                 self.out.push(NetEvent::Failed { stream, why });
             }
         }
@@ -154,8 +158,9 @@
         }
     }
 
+    /// Closes and removes a connection; its open streams fail.
     pub(super) fn close_conn(&mut self, key: ConnKey, why: CloseReason) {
-        // What has arrived for its streams is reported first, and how each of them ended.
+        // Data already received for its streams is reported first, as are streams that have ended by themselves.
         let streams: Vec<StreamKey> = self.conns[key.index()].streams.iter().copied().collect();
         for stream in streams.iter().copied() {
             self.poll_stream(stream);
@@ -172,10 +177,10 @@
         let written = conn.shared.written.get();
         for stream in streams {
             if self.is_open(stream) {
-                let gone = self.streams.remove(stream.index());
-                let why = if why == CloseReason::NotConnected && gone.is_waiting() {
+                let failed_stream = self.streams.remove(stream.index());
+                let why = if why == CloseReason::NotConnected && failed_stream.is_waiting() {
                     StreamError::NotConnected
-                } else if gone.is_unwritten(written) {
+                } else if failed_stream.is_unwritten(written) {
                     StreamError::NotWritten
                 } else {
                     StreamError::Broken
@@ -187,6 +192,7 @@
         self.out.push(NetEvent::Closed { conn: key, why });
     }
 
+    /// Closes connections whose handshake has timed out, and established ones that are idle.
     pub(super) fn fire_alarms(&mut self) {
         while let Some(&(at, key)) = self.alarms.first() {
             if at > self.now {
@@ -194,14 +200,14 @@
             }
             self.alarms.pop_first();
             let Some(conn) = self.conns.get(key.index()).filter(|c| c.key == key) else { continue };
-            if !conn.established() {
+            if !conn.is_established() {
                 let why =
                     if conn.listener.is_some() { CloseReason::Handshake } else { CloseReason::NotConnected };
                 self.close_conn(key, why);
             } else if conn.streams.is_empty() {
                 self.close_conn(key, CloseReason::Idle);
             }
-            // With streams its alarm is set again when the last of them ends.
+            // The alarm of a connection with open streams is set again when the last of them ends.
         }
     }
 }
--- a/crates/net/src/hub/stream.rs
+++ b/crates/net/src/hub/stream.rs
@@ -1,4 +1,4 @@
-//! One stream: messages in, messages out, its end.
+//! One stream: sent and received messages, flow control and the end of the stream.
 
 use std::collections::VecDeque;
 use std::future::Future;
@@ -17,20 +17,20 @@
 use crate::grpc::write_timeout;
 use crate::limits::{NetCounters, NetLimits};
 
-/// Messages that one poll takes from a stream; the others wait for the next.
+/// Maximum messages that one poll reports for a stream; further ones are left to the next poll.
 const MAX_MESSAGES_PER_POLL: usize = 64;
-/// Bytes of send capacity that are reserved at once.
+/// Maximum HTTP/2 send capacity that is reserved at a time, in bytes.
 const MAX_RESERVED_CAPACITY: usize = 1 << 20;
 
-/// A request of ours.
+/// A request to be sent on an outgoing stream.
 pub(super) struct OutgoingRequest {
     pub(super) head: http::Request<()>,
-    /// When its call is over, where it is one with a deadline.
+    /// Deadline of the call, if it has one.
     pub(super) deadline: Option<Instant>,
 }
 
 impl OutgoingRequest {
-    /// The head as it is sent now.
+    /// The head with `grpc-timeout` set to the time that is left at `now`.
     fn into_head(mut self, now: Instant) -> http::Request<()> {
         let left = self.deadline.map(|deadline| deadline.saturating_duration_since(now));
         let timeout = left.and_then(|left| HeaderValue::try_from(write_timeout(left)).ok());
@@ -41,27 +41,35 @@
     }
 }
 
-/// One stream, of either side.
+/// An outgoing or incoming stream.
 pub(super) struct Stream {
     pub(super) key: StreamKey,
     pub(super) conn: ConnKey,
     pub(super) waker: Waker,
     pub(super) decoder: Decoder,
+    /// Received data is not read, so that the receive window closes.
     pub(super) paused: bool,
+    /// Size of `out` in bytes.
     pub(super) out_bytes: usize,
-    /// The request of a stream that was not started yet.
+    /// The request of an outgoing stream that is not started yet.
     request: Option<OutgoingRequest>,
+    /// The response of an outgoing stream until its headers are received.
     response: Option<ResponseFuture>,
-    answer: Option<SendResponse<Bytes>>,
+    /// Sends the response of an incoming stream.
+    responder: Option<SendResponse<Bytes>>,
     send: Option<SendStream<Bytes>>,
     recv: Option<RecvStream>,
+    /// Queued body bytes.
     out: VecDeque<Bytes>,
+    /// The end of the sending direction once it is finished, with the trailers to send.
     end: Option<Option<HeaderMap>>,
+    /// All data and the end were passed to HTTP/2.
     sent: bool,
+    /// The send queue was full; [`NetEvent::Drained`] is due.
     was_full: bool,
-    /// The peer opened it.
+    /// The peer opened the stream.
     is_incoming: bool,
-    /// Bytes written on the connection when the request was queued.
+    /// Bytes written on the connection before the request was passed to HTTP/2.
     written_before: u64,
 }
 
@@ -76,7 +84,7 @@
             out_bytes: 0,
             request: None,
             response: None,
-            answer: None,
+            responder: None,
             send: None,
             recv: None,
             out: VecDeque::new(),
@@ -88,7 +96,7 @@
         }
     }
 
-    /// A stream of ours; it waits until its connection can start it.
+    /// An outgoing stream; it waits until its connection can start it.
     pub(super) fn outgoing(
         key: StreamKey,
         conn: ConnKey,
@@ -99,40 +107,40 @@
         Self { request: Some(request), ..Self::new(key, conn, waker, limits) }
     }
 
-    /// A stream that a peer opened.
+    /// An incoming stream, opened by the peer.
     pub(super) fn incoming(
         key: StreamKey,
         conn: ConnKey,
         waker: Waker,
         recv: RecvStream,
-        answer: SendResponse<Bytes>,
+        responder: SendResponse<Bytes>,
         limits: &NetLimits,
     ) -> Self {
         Self {
             recv: Some(recv),
-            answer: Some(answer),
+            responder: Some(responder),
             is_incoming: true,
             ..Self::new(key, conn, waker, limits)
         }
     }
 
-    /// Whether it was not started yet.
+    /// Whether the stream is outgoing and not started yet.
     pub(super) fn is_waiting(&self) -> bool {
         self.request.is_some()
     }
 
-    /// Whether it was not started yet and its call is over.
+    /// Whether the stream is not started yet and the deadline of its call has passed.
     pub(super) fn is_expired(&self, now: Instant) -> bool {
         let deadline = self.request.as_ref().and_then(|request| request.deadline);
         deadline.is_some_and(|deadline| deadline <= now)
     }
 
-    /// Whether nothing was written on the connection since the request was queued.
+    /// Whether no byte of the request was written. `written`: bytes written on the connection so far.
     pub(super) fn is_unwritten(&self, written: u64) -> bool {
         !self.is_incoming && (self.is_waiting() || written == self.written_before)
     }
 
-    /// Hands the request to HTTP/2. `written`: bytes written on the connection so far.
+    /// Passes the request to HTTP/2. `written`: bytes written on the connection so far.
     pub(super) fn start(&mut self, send: &mut SendRequest<Bytes>, written: u64) -> Result<(), h2::Error> {
         let Some(request) = self.request.take() else { return Ok(()) };
         self.written_before = written;
@@ -143,12 +151,13 @@
         Ok(())
     }
 
-    pub(super) fn respond(&mut self, head: http::Response<()>, only: bool) {
-        if let Some(answer) = &mut self.answer
-            && let Ok(send) = answer.send_response(head, only)
+    /// Sends the headers of the response. `headers_only`: the response ends with them, and queued data is dropped.
+    pub(super) fn respond(&mut self, head: http::Response<()>, headers_only: bool) {
+        if let Some(responder) = &mut self.responder
+            && let Ok(send) = responder.send_response(head, headers_only)
         {
             self.send = Some(send);
-            if only {
+            if headers_only {
                 (self.sent, self.end) = (true, Some(None));
                 self.out.clear();
             }
@@ -156,14 +165,16 @@
         self.waker.wake_by_ref();
     }
 
+    /// Queues a message with its prefix.
     pub(super) fn queue(&mut self, message: Bytes) {
-        let head = prefix(&message);
-        self.queue_raw(head);
+        let prefix = prefix(&message);
+        self.queue_raw(prefix);
         if !message.is_empty() {
             self.queue_raw(message);
         }
     }
 
+    /// Queues bytes, unless the sending direction is finished.
     pub(super) fn queue_raw(&mut self, bytes: Bytes) {
         if self.end.is_none() {
             self.out_bytes += bytes.len();
@@ -172,6 +183,7 @@
         }
     }
 
+    /// Finishes the sending direction after the queued bytes.
     pub(super) fn finish(&mut self, trailers: Option<HeaderMap>) {
         if self.end.is_none() {
             self.end = Some(trailers);
@@ -179,20 +191,22 @@
         }
     }
 
+    /// Whether more than `limit` bytes were queued, and [`NetEvent::Drained`] was not reported since.
     pub(super) fn is_full(&mut self, limit: usize) -> bool {
         self.was_full |= self.out_bytes > limit;
         self.was_full
     }
 
+    /// Sends RST_STREAM, if the stream was started.
     pub(super) fn reset(&mut self, reason: Reason) {
-        match (&mut self.send, &mut self.answer) {
+        match (&mut self.send, &mut self.responder) {
             (Some(send), _) => send.send_reset(reason),
-            (None, Some(answer)) => answer.send_reset(reason),
+            (None, Some(responder)) => responder.send_reset(reason),
             _ => {}
         }
     }
 
-    /// Polls both directions. True: the stream has ended, and its last event was reported.
+    /// Polls both directions. True once the stream has ended and its last event was reported.
     pub(super) fn poll(
         &mut self,
         written: u64,
@@ -202,14 +216,14 @@
     ) -> bool {
         let waker = self.waker.clone();
         let mut cx = Context::from_waker(&waker);
-        if let Some(done) = self.poll_head(&mut cx, written, out) {
-            return done;
+        if let Some(has_ended) = self.poll_head(&mut cx, written, out) {
+            return has_ended;
         }
-        if let Some(done) = self.poll_recv(&mut cx, written, counters, out) {
-            return done;
+        if let Some(has_ended) = self.poll_recv(&mut cx, written, counters, out) {
+            return has_ended;
         }
         if let Err(error) = self.poll_send(&mut cx) {
-            // An answer may be complete although the peer did not want all of the request.
+            // The peer may respond completely without reading the whole request.
             if self.is_incoming || self.recv.is_none() && self.response.is_none() {
                 return self.fail(&error, written, out);
             }
@@ -225,44 +239,46 @@
             out.push(NetEvent::Sent { stream: self.key });
             return true;
         }
-        // The client's cancel, also after it has sent everything.
-        let reset = match (&mut self.send, &mut self.answer) {
+        // The client may cancel the call even after it has sent its complete request.
+        let reset = match (&mut self.send, &mut self.responder) {
             (Some(send), _) => send.poll_reset(&mut cx),
-            (None, Some(answer)) => answer.poll_reset(&mut cx),
+            (None, Some(responder)) => responder.poll_reset(&mut cx),
             _ => Poll::Pending,
         };
         match reset {
             Poll::Pending => false,
             Poll::Ready(Ok(reason)) => {
-                out.push(NetEvent::Failed { stream: self.key, why: error_of_reason(reason) });
+                out.push(NetEvent::Failed { stream: self.key, why: reset_error(reason) });
                 true
             }
             Poll::Ready(Err(error)) => self.fail(&error, written, out),
         }
     }
 
+    /// Reports the failure of the stream. Always true: the stream has ended.
     fn fail(&self, error: &h2::Error, written: u64, out: &mut Vec<NetEvent>) -> bool {
-        let why = error_of(error, self.is_unwritten(written));
+        let why = stream_error(error, self.is_unwritten(written));
         out.push(NetEvent::Failed { stream: self.key, why });
         true
     }
 
+    /// Receives the headers of the response. `Some` ends the poll; true in it means that the stream has ended.
     fn poll_head(&mut self, cx: &mut Context<'_>, written: u64, out: &mut Vec<NetEvent>) -> Option<bool> {
         let response = self.response.as_mut()?;
         match Pin::new(response).poll(cx) {
             Poll::Pending => None,
             Poll::Ready(Err(error)) => Some(self.fail(&error, written, out)),
-            Poll::Ready(Ok(answer)) => {
+            Poll::Ready(Ok(response)) => {
                 self.response = None;
-                let (head, body) = answer.into_parts();
+                let (head, body) = response.into_parts();
                 if head.headers.get("grpc-encoding").is_some_and(|v| v == "gzip") {
                     self.decoder.allow_gzip();
                 }
-                let only = body.is_end_stream().then(|| head.headers.clone());
+                let trailers = body.is_end_stream().then(|| head.headers.clone());
                 self.recv = Some(body);
                 out.push(NetEvent::Head { stream: self.key, head });
-                // Trailers-Only: the headers are the trailers.
-                only.map(|trailers| {
+                // In a Trailers-Only response the headers are the trailers.
+                trailers.map(|trailers| {
                     out.push(NetEvent::Trailers { stream: self.key, trailers });
                     true
                 })
@@ -270,6 +286,8 @@
         }
     }
 
+    /// Receives messages and the end of the peer's direction. `Some` ends the poll; true in it means that the stream has
+    /// ended.
     fn poll_recv(
         &mut self,
         cx: &mut Context<'_>,
@@ -296,7 +314,7 @@
             match recv.poll_data(cx) {
                 Poll::Pending => return None,
                 Poll::Ready(Some(Ok(chunk))) => {
-                    // What is read frees its window at once; a paused stream is not read, so that its window closes.
+                    // The receive window is released as data is read; a paused stream is not read, so its window closes.
                     let _ = recv.flow_control().release_capacity(chunk.len());
                     self.decoder.push(chunk);
                 }
@@ -323,6 +341,7 @@
         None
     }
 
+    /// Reports a message that can't be decoded. An incoming stream stays open for its response; an outgoing one is reset.
     fn malformed(
         &mut self,
         error: crate::framing::FrameError,
@@ -340,6 +359,7 @@
         Some(true)
     }
 
+    /// Passes queued bytes, and the end of the stream, to HTTP/2 as far as flow control allows.
     fn poll_send(&mut self, cx: &mut Context<'_>) -> Result<(), h2::Error> {
         let Some(send) = &mut self.send else { return Ok(()) };
         if self.sent {
@@ -356,14 +376,14 @@
                     Poll::Ready(Some(Ok(_))) => {}
                 }
             }
-            let part = front.split_to(send.capacity().min(front.len()));
-            self.out_bytes -= part.len();
+            let chunk = front.split_to(send.capacity().min(front.len()));
+            self.out_bytes -= chunk.len();
             if front.is_empty() {
                 self.out.pop_front();
             }
-            let last = self.out.is_empty() && matches!(self.end, Some(None));
-            send.send_data(part, last)?;
-            self.sent |= last;
+            let is_last = self.out.is_empty() && matches!(self.end, Some(None));
+            send.send_data(chunk, is_last)?;
+            self.sent |= is_last;
         }
         if !self.sent
             && let Some(end) = self.end.take()
@@ -379,7 +399,8 @@
     }
 }
 
-fn error_of_reason(reason: Reason) -> StreamError {
+/// The error of a stream that the peer has reset.
+fn reset_error(reason: Reason) -> StreamError {
     if reason == Reason::REFUSED_STREAM {
         StreamError::Refused
     } else {
@@ -387,13 +408,13 @@
     }
 }
 
-/// What an error of `h2` means for a stream. `unwritten`: nothing was written since it was queued.
-pub(super) fn error_of(error: &h2::Error, unwritten: bool) -> StreamError {
+/// The error of a stream that failed with an error of `h2`. `unwritten`: no byte of its request was written.
+pub(super) fn stream_error(error: &h2::Error, unwritten: bool) -> StreamError {
     if error.is_remote() && error.is_go_away() {
-        // `h2` gives this to streams above the last id alone; those below it break with the connection.
+        // `h2` reports this only for streams above the last id; those below fail with the connection.
         StreamError::GoneAway
     } else if error.is_remote() && error.is_reset() {
-        error.reason().map_or(StreamError::Broken, error_of_reason)
+        error.reason().map_or(StreamError::Broken, reset_error)
     } else if unwritten {
         StreamError::NotWritten
     } else if error.is_io() {
--- a/crates/net/src/hub/streams.rs
+++ b/crates/net/src/hub/streams.rs
@@ -1,4 +1,4 @@
-//! The streams as the owner uses them: requests, answers, messages, flow control.
+//! Operations of the owner on streams: requests, responses, messages and flow control.
 
 use std::time::Instant;
 
@@ -11,13 +11,13 @@
 use crate::wake::Due;
 
 impl Hub {
-    /// Opens a stream on an outgoing connection, which may still be connecting. `None`: the connection is gone.
+    /// Opens a stream on an outgoing connection, which may still be connecting. `None` if the connection no longer exists.
     pub fn open(&mut self, conn: ConnKey, request: http::Request<()>) -> Option<StreamKey> {
         self.open_stream(conn, request, None)
     }
 
-    /// The same for a call that is over at `deadline`: its `grpc-timeout` is written when the connection starts the stream,
-    /// and states what is left then. One that is over by then fails as not written.
+    /// Like [`Hub::open`], for a call with a deadline. `grpc-timeout` is set to the time left when the connection starts the
+    /// stream. If the deadline has passed by then, the stream fails with [`super::StreamError::NotWritten`].
     pub fn open_until(
         &mut self,
         conn: ConnKey,
@@ -61,53 +61,54 @@
         self.streams.get(key.index()).is_some_and(|s| s.key == key)
     }
 
-    /// Sends the headers of an answer.
+    /// Sends the headers of the response on an incoming stream.
     pub fn respond(&mut self, key: StreamKey, head: http::Response<()>) {
         if let Some(stream) = self.stream(key) {
             stream.respond(head, false);
         }
     }
 
-    /// Answers with headers alone: status and headers are the end (gRPC's Trailers-Only).
+    /// Sends a response that consists of headers only (Trailers-Only in gRPC), which ends the stream.
     pub fn respond_only(&mut self, key: StreamKey, head: http::Response<()>) {
         if let Some(stream) = self.stream(key) {
             stream.respond(head, true);
         }
     }
 
-    /// Queues a message. The owner bounds the queue: see [`Hub::is_full`].
+    /// Queues a message. The queue is not bounded here: the owner must check [`Hub::is_full`].
     pub fn send(&mut self, key: StreamKey, message: Bytes) {
         if let Some(stream) = self.stream(key) {
             stream.queue(message);
         }
     }
 
-    /// Ends our side: with trailers (answers) or without (requests).
+    /// Finishes the sending direction: a response with trailers, a request without.
     pub fn finish(&mut self, key: StreamKey, trailers: Option<HeaderMap>) {
         if let Some(stream) = self.stream(key) {
             stream.finish(trailers);
         }
     }
 
-    /// Whether more is queued than [`crate::NetLimits::send_queue_bytes`]; [`super::NetEvent::Drained`] reports the end.
+    /// Whether the send queue has exceeded [`crate::NetLimits::send_queue_bytes`]. Once true, it stays so until
+    /// [`super::NetEvent::Drained`] is reported.
     pub fn is_full(&mut self, key: StreamKey) -> bool {
         let limit = self.limits.send_queue_bytes;
         self.stream(key).is_some_and(|s| s.is_full(limit))
     }
 
-    /// Bytes queued for sending.
+    /// Bytes queued on a stream and not passed to HTTP/2; 0 if it has ended.
     pub fn queued(&self, key: StreamKey) -> usize {
         self.streams.get(key.index()).filter(|s| s.key == key).map_or(0, |s| s.out_bytes)
     }
 
-    /// Takes no more messages: the peer's window closes, and it must wait.
+    /// Stops reading messages of a stream: its receive window closes, and the peer has to wait.
     pub fn pause(&mut self, key: StreamKey) {
         if let Some(stream) = self.stream(key) {
             stream.paused = true;
         }
     }
 
-    /// Takes messages again.
+    /// Resumes reading messages of a paused stream.
     pub fn resume(&mut self, key: StreamKey) {
         if let Some(stream) = self.stream(key)
             && stream.paused
@@ -117,14 +118,14 @@
         }
     }
 
-    /// Takes gzip messages on this stream (for `grpc-encoding: gzip`).
+    /// Accepts gzip-compressed messages on a stream, for requests with `grpc-encoding: gzip`.
     pub fn allow_gzip(&mut self, key: StreamKey) {
         if let Some(stream) = self.stream(key) {
             stream.decoder.allow_gzip();
         }
     }
 
-    /// Ends a stream at once with RST_STREAM. No event follows.
+    /// Ends a stream immediately with RST_STREAM. No event follows.
     pub fn reset(&mut self, key: StreamKey, reason: Reason) {
         if !self.is_open(key) {
             return;
--- a/crates/net/src/retry.rs
+++ b/crates/net/src/retry.rs
@@ -10,7 +10,7 @@
 /// How long, and at which interval, an operation is retried.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryPolicy {
-    /// Time from the first attempt after which none is started; one that is under way may end later.
+    /// Time from the first attempt in which failures are retried; the last attempt may end later.
     pub timeout: Duration,
     /// Time to sleep between two attempts.
     pub pause: Duration,
--- a/crates/net/src/tcp/accept.rs
+++ b/crates/net/src/tcp/accept.rs
@@ -1,4 +1,4 @@
-//! Listeners, and the connections that peers make.
+//! Listeners and incoming connections.
 
 use std::io;
 use std::net::SocketAddr;
@@ -9,11 +9,11 @@
 
 use super::{LISTENERS, Tcp, TcpEvent};
 
-/// Pause of accepting after the system has refused a descriptor or memory for a connection.
+/// Time for which accepting pauses after `accept` has failed, usually for lack of file descriptors or memory.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
 
 impl Tcp {
-    /// Listens; port 0 lets the system choose.
+    /// Listens on `address` and returns the local address; port 0 lets the system choose a port.
     pub fn listen(&mut self, address: SocketAddr) -> io::Result<SocketAddr> {
         let mut socket = TcpListener::bind(address)?;
         let local = socket.local_addr()?;
@@ -23,7 +23,7 @@
         Ok(local)
     }
 
-    /// Accepts what waits at a listener, within the bounds.
+    /// Accepts the pending connections of a listener within the limits.
     pub(super) fn accept(&mut self, index: usize) {
         let mut accepted = 0;
         loop {
@@ -48,7 +48,7 @@
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                 Err(e) if e.kind() == io::ErrorKind::ConnectionAborted => {}
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return,
-                // No descriptor is left: that of a finished connection will do.
+                // No descriptor is left: closing a finished connection frees one.
                 Err(_) if self.evict_lingering() => {}
                 Err(_) => {
                     self.counters.over_handles += 1;
--- a/crates/net/src/tcp/connect.rs
+++ b/crates/net/src/tcp/connect.rs
@@ -1,7 +1,7 @@
-//! Outgoing connections: begun, retried while the failure is on this side or on the way, and established.
+//! Outgoing connections: connecting, and retries of transient failures.
 //!
-//! Only a peer that refuses is given up. A socket or a connect that fails for a moment (no descriptor, no buffer, no local
-//! port, no route) says nothing of the peer: it is retried until [`super::TcpLimits::connect_timeout`].
+//! Only a refusal by the peer is final. Other failures (no descriptor, buffer space, local port or route) say nothing about
+//! the peer and are retried until [`super::TcpLimits::connect_timeout`].
 
 use std::io;
 use std::net::SocketAddr;
@@ -13,12 +13,14 @@
 use super::connection::{ConnectAttempt, Stage};
 use super::{ConnectionFailure, Tcp, TcpEvent, TcpKey};
 
-/// Pause before a connect is retried: doubled from the first up to the longest.
-const MIN_PAUSE: Duration = Duration::from_millis(5);
-const MAX_PAUSE: Duration = Duration::from_millis(40);
+/// Initial delay before a connect is retried; it doubles with each retry.
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(5);
+/// Maximum delay before a connect is retried.
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(40);
 
 impl Tcp {
-    /// Begins to connect. `None`: [`super::TcpLimits::outgoing`], or the peer has refused.
+    /// Starts to connect. `None` if [`super::TcpLimits::outgoing`] is reached or the connect failed permanently; later failures
+    /// are reported as [`TcpEvent::Closed`].
     pub fn connect(&mut self, address: SocketAddr) -> Option<TcpKey> {
         if self.outgoing() >= self.limits.outgoing {
             self.counters.over_outgoing += 1;
@@ -33,16 +35,16 @@
             }
         };
         self.counters.connects += 1;
-        let attempt = ConnectAttempt { address, retry_at: None, pause: MIN_PAUSE };
-        let is_begun = socket.is_some();
+        let attempt = ConnectAttempt { address, retry_at: None, delay: MIN_RETRY_DELAY };
+        let has_socket = socket.is_some();
         let key = self.add(socket, Some(attempt))?;
-        if !is_begun {
+        if !has_socket {
             self.schedule_retry(key);
         }
         Some(key)
     }
 
-    /// Drops the socket of a connect that has failed for a moment; it is retried after a pause.
+    /// Drops the socket of a connect that failed transiently, and schedules a retry.
     pub(super) fn schedule_retry(&mut self, key: TcpKey) {
         let now = self.now;
         let Some(conn) = self.conns.get_mut(key.index()).filter(|conn| conn.key == key) else { return };
@@ -51,14 +53,14 @@
         }
         (conn.readable, conn.writable, conn.read_closed) = (false, false, false);
         let Some(attempt) = &mut conn.connect_attempt else { return };
-        let at = now + attempt.pause;
+        let at = now + attempt.delay;
         attempt.retry_at = Some(at);
-        attempt.pause = (attempt.pause * 2).min(MAX_PAUSE);
+        attempt.delay = (attempt.delay * 2).min(MAX_RETRY_DELAY);
         self.counters.connect_retries += 1;
         self.connect_retries.insert((at, key));
     }
 
-    /// Retries the connects that are due.
+    /// Retries the connects whose delay is over.
     pub(super) fn retry_connects(&mut self) {
         while let Some(&(at, key)) = self.connect_retries.first() {
             if at > self.now {
@@ -71,7 +73,7 @@
             attempt.retry_at = None;
             let address = attempt.address;
             match TcpStream::connect(address) {
-                Ok(socket) => self.reconnecting(key, socket),
+                Ok(socket) => self.attach_socket(key, socket),
                 Err(error) if is_transient(&error) => self.schedule_retry(key),
                 Err(_) => {
                     self.counters.connect_failures += 1;
@@ -81,8 +83,8 @@
         }
     }
 
-    /// Takes the socket of a retried connect.
-    fn reconnecting(&mut self, key: TcpKey, mut socket: TcpStream) {
+    /// Registers the socket of a retried connect with its connection.
+    fn attach_socket(&mut self, key: TcpKey, mut socket: TcpStream) {
         let _ = socket.set_nodelay(true);
         let interest = Interest::READABLE | Interest::WRITABLE;
         let registered = self.poll.registry().register(&mut socket, Token(key.index()), interest);
@@ -94,14 +96,14 @@
         }
     }
 
-    /// Checks whether a connection is established, once its socket is writable.
+    /// Checks whether a connecting connection is established once its socket is writable, and reports the result.
     pub(super) fn check_connected(&mut self, key: TcpKey) {
         let Some(conn) = self.get_mut(key).filter(|conn| conn.stage == Stage::Connecting && conn.writable)
         else {
             return;
         };
         let Some(socket) = &conn.socket else { return };
-        match established(socket) {
+        match is_established(socket) {
             Ok(false) => conn.writable = false,
             Ok(true) => {
                 conn.stage = Stage::Open;
@@ -114,15 +116,15 @@
                 self.out.push(TcpEvent::Connected(key));
             }
             Err(ConnectionFailure::NotConnected) => self.schedule_retry(key),
-            Err(gone) => {
+            Err(failure) => {
                 self.counters.connect_failures += 1;
-                self.remove(key, Some(gone));
+                self.remove(key, Some(failure));
             }
         }
     }
 }
 
-/// Whether a failure of a connect is on this side or on the way, and not the peer's.
+/// Whether a failed connect may succeed later: neither refused by the peer nor invalid.
 fn is_transient(error: &io::Error) -> bool {
     let is_permanent = matches!(
         error.kind(),
@@ -131,9 +133,9 @@
     !is_permanent
 }
 
-/// Whether a connection is established. One that was reset had been: somebody listens there.
-fn established(socket: &TcpStream) -> Result<bool, ConnectionFailure> {
-    let gone = |e: io::Error| match e.kind() {
+/// Whether a connection is established. A reset is [`ConnectionFailure::Broken`]: the peer had accepted the connection.
+fn is_established(socket: &TcpStream) -> Result<bool, ConnectionFailure> {
+    let failure = |e: io::Error| match e.kind() {
         io::ErrorKind::ConnectionRefused => ConnectionFailure::Refused,
         io::ErrorKind::ConnectionReset | io::ErrorKind::ConnectionAborted | io::ErrorKind::BrokenPipe => {
             ConnectionFailure::Broken
@@ -141,12 +143,12 @@
         _ => ConnectionFailure::NotConnected,
     };
     match socket.take_error() {
-        Ok(Some(e)) | Err(e) => return Err(gone(e)),
+        Ok(Some(e)) | Err(e) => return Err(failure(e)),
         Ok(None) => {}
     }
     match socket.peer_addr() {
         Ok(_) => Ok(true),
         Err(e) if e.kind() == io::ErrorKind::NotConnected => Ok(false),
-        Err(e) => Err(gone(e)),
+        Err(e) => Err(failure(e)),
     }
 }
--- a/crates/net/src/tcp/connection.rs
+++ b/crates/net/src/tcp/connection.rs
@@ -1,4 +1,4 @@
-//! One plain connection: its socket, its buffers, and how far both sides have ended.
+//! The state of one plain connection: its socket, its buffers, and which directions are closed.
 
 use std::io::{self, Read, Write};
 use std::net::{Shutdown, SocketAddr};
@@ -9,70 +9,73 @@
 
 use super::events::TcpKey;
 
-/// Bytes of capacity that an empty buffer keeps: an idle connection holds next to none.
+/// Maximum capacity that an empty buffer retains, which limits the memory of idle connections.
 const RETAINED_BYTES: usize = 4 << 10;
 
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum Stage {
     Connecting,
     Open,
-    /// Our side is ended: input is thrown away.
+    /// The owner has finished the connection: output is still sent, and input is discarded.
     Lingering,
 }
 
-/// A connection that is being made.
+/// The state of an outgoing connection until it is established.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ConnectAttempt {
     pub(super) address: SocketAddr,
-    /// When it is tried again, while it has no socket.
+    /// When the connect is retried; `None` while an attempt is in progress.
     pub(super) retry_at: Option<Instant>,
-    pub(super) pause: Duration,
+    /// Delay before the next retry.
+    pub(super) delay: Duration,
 }
 
 pub(super) struct Conn {
     pub(super) key: TcpKey,
-    /// None while a connect that failed for a moment is to be tried again.
+    /// `None` between a failed connect and its retry.
     pub(super) socket: Option<TcpStream>,
     pub(super) connect_attempt: Option<ConnectAttempt>,
     pub(super) stage: Stage,
     pub(super) accepted: bool,
     pub(super) readable: bool,
     pub(super) writable: bool,
-    /// The poll has reported the end of the peer's side: it follows the bytes that are still to be read, and no
-    /// further event reports it.
+    /// The poll has reported that the peer closed its direction. Bytes sent before may still be unread; no further event
+    /// reports the end.
     pub(super) read_closed: bool,
-    /// The peer sends no more, and all that it sent was read.
+    /// The peer has closed its direction, and all of its bytes were read.
     pub(super) input_ended: bool,
-    /// Our side has ended.
+    /// This side has shut down its direction.
     pub(super) write_closed: bool,
-    /// What is queued has left and [`TcpLimits::linger`] runs.
+    /// All queued bytes were sent, and the time of [`super::TcpLimits::linger`] is running.
     pub(super) is_lingering: bool,
-    /// Since when the system may hold bytes that were not read yet: one poll reads only so much of each connection.
+    /// Since when the kernel may hold unread bytes, because one poll reads a limited amount from each connection.
     pub(super) unread_since: Option<Instant>,
-    /// The earliest moment at which what was read last may have arrived.
+    /// The earliest time at which the bytes read last may have arrived.
     pub(super) arrived_at: Instant,
-    /// A write failed.
+    /// A write has failed; the next read reports the error.
     pub(super) write_failed: bool,
-    /// It broke, and its owner was notified.
+    /// The connection broke; its owner was notified unless it had finished the connection.
     pub(super) is_broken: bool,
-    /// It is in the queue of connections to process.
+    /// The connection is in the queue of connections to process.
     pub(super) is_ready: bool,
     /// Bytes were queued since the last flush.
     pub(super) has_unflushed: bool,
-    /// Read and not taken by the owner.
+    /// Bytes that were read and not consumed by the owner.
     pub(super) input: BytesMut,
-    /// Queued and not taken by the system.
+    /// Queued bytes that the kernel has not accepted.
     pub(super) output: BytesMut,
-    /// Bytes queued so far.
+    /// Total bytes queued so far.
     pub(super) queued: u64,
-    /// Bytes that the system has taken so far.
+    /// Total bytes that the kernel has accepted so far.
     pub(super) written: u64,
+    /// Alarm set by the owner.
     pub(super) alarm: Option<Instant>,
-    /// Own deadline: for connecting and lingering.
+    /// Internal deadline for connecting, draining or lingering.
     pub(super) deadline: Option<Instant>,
 }
 
-/// Hands queued bytes to the system. An error is left for a read to find: what came before it is still to be read.
+/// Writes queued bytes to the socket. An error is reported by the next read, after the bytes received before it. Once all
+/// output of a finished connection was sent, shuts down the sending direction.
 pub(super) fn flush(conn: &mut Conn) {
     let Some(socket) = &mut conn.socket else { return };
     while conn.writable && !conn.output.is_empty() && conn.stage != Stage::Connecting {
@@ -93,31 +96,31 @@
     if conn.output.is_empty() && conn.output.capacity() > RETAINED_BYTES {
         conn.output = BytesMut::new();
     }
-    // Once: each shutdown wakes the poll, and would be followed by the next.
+    // Only once: each shutdown wakes the poll, which would call this function again.
     if conn.output.is_empty() && conn.stage == Stage::Lingering && !conn.write_closed {
         conn.write_closed = true;
         let _ = socket.shutdown(Shutdown::Write);
     }
 }
 
-/// How far a read of a connection went.
+/// The result of reading from a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ReadOutcome {
-    /// All that was there is read.
+    /// All available bytes were read.
     Drained,
-    /// A bound was reached: there may be more.
+    /// A limit was reached; there may be more bytes.
     More,
-    /// The peer sends no more.
+    /// The peer has closed its direction.
     Ended,
     /// The connection broke.
     Broken,
 }
 
-/// Reads what is there: at most `quota` bytes, and `max_input` that the owner has not taken.
+/// Reads the available bytes, but stops after about `quota` bytes, or when `max_input` bytes wait for the owner.
 pub(super) fn read(conn: &mut Conn, scratch: &mut [u8], max_input: usize, quota: usize) -> ReadOutcome {
     let Some(socket) = &mut conn.socket else { return ReadOutcome::Drained };
     if conn.input_ended {
-        // Nothing can come but an error.
+        // Only an error can still be received.
         let is_broken = conn.write_failed || conn.readable && !matches!(socket.take_error(), Ok(None));
         conn.readable = false;
         return if is_broken { ReadOutcome::Broken } else { ReadOutcome::Drained };
@@ -125,18 +128,18 @@
     if conn.input.is_empty() && conn.input.capacity() > RETAINED_BYTES {
         conn.input = BytesMut::new();
     }
-    let mut taken = 0;
+    let mut bytes_read = 0;
     while conn.readable {
         let is_discarded = conn.stage == Stage::Lingering;
-        let room = if is_discarded { scratch.len() } else { max_input.saturating_sub(conn.input.len()) };
-        let room = room.min(scratch.len());
-        if room == 0 || taken >= quota {
+        let free = if is_discarded { scratch.len() } else { max_input.saturating_sub(conn.input.len()) };
+        let max_read = free.min(scratch.len());
+        if max_read == 0 || bytes_read >= quota {
             return ReadOutcome::More;
         }
-        match socket.read(&mut scratch[..room]) {
+        match socket.read(&mut scratch[..max_read]) {
             Ok(0) => return ReadOutcome::Ended,
             Ok(n) => {
-                taken += n;
+                bytes_read += n;
                 if conn.stage == Stage::Open {
                     conn.input.extend_from_slice(&scratch[..n]);
                 }
--- a/crates/net/src/tcp/events.rs
+++ b/crates/net/src/tcp/events.rs
@@ -1,6 +1,6 @@
-//! What the owner of plain connections learns of them.
+//! Keys and events of plain connections.
 
-/// A plain connection, unique within its owner until 2^32 of them were made.
+/// Key of a plain connection, unique within its [`super::Tcp`] until 2^32 connections were added.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TcpKey(u64);
 
@@ -13,41 +13,41 @@
     }
 }
 
-/// Why a connection was closed by anything but its owner.
+/// Why a connection was closed other than by its owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionFailure {
-    /// Nobody listens there.
+    /// The peer refused the connection.
     Refused,
-    /// It was never established: unreachable, or not in time.
+    /// The connection was not established within [`super::TcpLimits::connect_timeout`].
     NotConnected,
-    /// It was reset or broke.
+    /// The connection was reset or broke.
     Broken,
-    /// Its peer takes too little: [`super::TcpLimits::output`].
+    /// The peer reads too slowly: the queued bytes exceeded [`super::TcpLimits::output`].
     Slow,
 }
 
-/// What happened.
+/// An event of a connection or of a source, reported by [`super::Tcp::poll`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TcpEvent {
-    /// A peer connected.
+    /// An incoming connection was accepted.
     Accepted(TcpKey),
     /// An outgoing connection is established.
     Connected(TcpKey),
-    /// There are bytes in its input.
+    /// The input of the connection contains bytes.
     Data(TcpKey),
-    /// An alarm came due.
+    /// The alarm of the connection has expired.
     Alarm(TcpKey),
-    /// The peer sends no more; what it sent was reported before. It may still take answers: the owner ends the
-    /// connection.
+    /// The peer has closed its direction; its bytes were reported before. It may still read, so the owner decides when to
+    /// close the connection.
     Ended(TcpKey),
-    /// It is gone. What it had received was reported before.
+    /// The connection has failed. Bytes received before were reported earlier.
     Closed(TcpKey, ConnectionFailure),
     /// A source that the owner registered under [`super::Tcp::source_token`] is ready.
     Source(usize),
 }
 
 impl TcpEvent {
-    /// The connection of the event; `None`: it is of a source.
+    /// The connection of the event; `None` for [`TcpEvent::Source`].
     pub fn key(&self) -> Option<TcpKey> {
         match self {
             Self::Accepted(key) | Self::Connected(key) | Self::Data(key) => Some(*key),
--- a/crates/net/src/tcp/input.rs
+++ b/crates/net/src/tcp/input.rs
@@ -1,4 +1,4 @@
-//! Bytes that come: read within bounds, and taken by the owner.
+//! Received bytes: read within the limits, and consumed by the owner.
 
 use std::time::Instant;
 
@@ -8,25 +8,26 @@
 use super::{ConnectionFailure, Tcp, TcpEvent, TcpKey};
 
 impl Tcp {
-    /// Bytes that were read; the owner takes what it has handled off the front.
+    /// Bytes that were received; the owner removes from the front those that it has handled. `None` if the connection is not
+    /// open.
     pub fn input(&mut self, key: TcpKey) -> Option<&mut BytesMut> {
         self.get_mut(key).filter(|c| c.stage == Stage::Open).map(|c| &mut c.input)
     }
 
-    /// The earliest moment at which what was read there last may have arrived: what a process reads late has waited in the
-    /// system, while its sender's time ran. It is the return of the poll before, when it was not there yet; a poll that
-    /// slept and returned within its timeout is taken to have reported it at once.
+    /// The earliest time at which the bytes read last may have arrived. A process that reads late leaves data waiting in the
+    /// kernel while timeouts of the sender are running. A poll that slept and returned within its timeout reports data as it
+    /// arrives; otherwise the data may have arrived since the poll before.
     pub fn earliest_arrival(&self, key: TcpKey) -> Instant {
         self.get(key).map_or(self.now, |conn| conn.arrived_at)
     }
 
-    /// Whether the poll has reported the end of the peer's side; bytes that it sent before may still be unread.
+    /// Whether the poll has reported that the peer closed its direction; bytes sent before may still be unread.
     pub fn is_read_closed(&self, key: TcpKey) -> bool {
         self.get(key).is_some_and(|conn| conn.read_closed || conn.input_ended)
     }
 
-    /// Reads once more, as an owner does before it closes an idle connection. True: nothing has arrived; else the next poll
-    /// reports it.
+    /// Reads once more, for an owner that is about to close an idle connection. True if nothing has arrived; otherwise the
+    /// next poll reports the data or the end.
     pub fn confirm_idle(&mut self, key: TcpKey) -> bool {
         let before = match self.get_mut(key) {
             Some(conn) if conn.stage == Stage::Open && !conn.input_ended => {
@@ -39,7 +40,7 @@
         self.get(key).is_some_and(|c| c.input.len() == before && !c.input_ended)
     }
 
-    /// Reads and writes a connection as far as it goes, and notifies its owner.
+    /// Checks whether a connection is established, writes and reads without blocking, and reports the resulting events.
     pub(super) fn process(&mut self, key: TcpKey) {
         let Some(conn) = self.get_mut(key) else { return };
         conn.is_ready = false;
@@ -49,6 +50,7 @@
         self.scratch = scratch;
     }
 
+    /// Flushes and reads a connection that is established and not broken, and reports the result.
     fn read_connection(&mut self, key: TcpKey, scratch: &mut [u8]) {
         let (max_input, quota) = (self.limits.input, self.limits.read_quota);
         let earliest_arrival = self.earliest_arrival;
@@ -64,7 +66,7 @@
         if is_open && !conn.input.is_empty() {
             self.out.push(TcpEvent::Data(key));
         }
-        // The owner takes the last bytes after this poll's events: a broken connection is removed by the next poll.
+        // A broken connection is removed only by the next poll, so that the owner can still read its last bytes.
         match outcome {
             ReadOutcome::Drained => {}
             ReadOutcome::More => self.make_ready(key.index()),
--- a/crates/net/src/tcp/last_poll.rs
+++ b/crates/net/src/tcp/last_poll.rs
@@ -1,65 +1,65 @@
-//! Since when what a poll reports may have been there: a process that is delayed, stopped or interrupted reads late, while
-//! its senders' time runs.
+//! Estimates the earliest arrival time of data that a poll reports. A process that is delayed, stopped or interrupted reads
+//! late, while timeouts of the senders are running.
 
 use std::time::{Duration, Instant};
 
-/// A poll that returns within this span has not slept.
+/// A poll that returns within this time is taken not to have slept.
 const AT_ONCE: Duration = Duration::from_millis(1);
-/// A process whose poll sleeps this much longer than its timeout was not running: timeouts are rounded up to whole
-/// milliseconds.
+/// Delay beyond the timeout of a poll from which on the process is taken not to have been running. Timeouts are rounded up
+/// to whole milliseconds.
 const OVERSLEPT: Duration = Duration::from_millis(3);
 
-/// One poll, as it returned.
+/// The times and the outcome of one poll.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PollResult {
-    /// When it was begun.
+    /// When the poll was called.
     pub(super) began: Instant,
-    /// When it had returned, as the process has read it: a process that was stopped reads it late.
+    /// When the poll returned, as read by the process, which may be late if the process was stopped in between.
     pub(super) returned: Instant,
-    /// Its timeout.
+    /// Timeout of the poll.
     pub(super) wait: Option<Duration>,
-    /// It was interrupted, and has reported nothing.
+    /// The poll was interrupted and reported nothing.
     pub(super) interrupted: bool,
 }
 
 impl PollResult {
-    /// It slept longer than its timeout: the process was not running for a part of it.
+    /// Whether the poll slept longer than its timeout, which means that the process was not running for some time.
     fn overslept(&self) -> bool {
         let slept = self.returned.saturating_duration_since(self.began);
         self.wait.is_some_and(|wait| slept > wait + OVERSLEPT)
     }
 
-    /// What has come by now may not be reported yet: the poll was interrupted, or looked before the process stood still.
-    /// Timers that act on it would not know that a client has left meanwhile.
+    /// Whether events that have occurred by now may be missing: the poll was interrupted, or the process was stopped after
+    /// the kernel had collected the events. A timer that fires now might miss, for instance, that a client has disconnected.
     pub(super) fn is_outdated(&self) -> bool {
         self.interrupted || self.overslept()
     }
 }
 
-/// When the sockets were last polled: what had arrived by then was reported.
+/// When the sockets were last polled; everything that had arrived by then was reported.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct LastPoll(Instant);
 
 impl LastPoll {
-    /// Nothing can have arrived before `now`.
+    /// Starts at `now`, before which nothing can have arrived.
     pub(super) fn new(now: Instant) -> Self {
         Self(now)
     }
 
-    /// Records a poll, and returns since when what it reported may have been there: since the poll before where it may have
-    /// been there when this one began, and where this one overslept, as the process was not running; and its own return
-    /// where it was woken in time.
+    /// Records a poll and returns the earliest time at which the reported data may have arrived. That is the return of this
+    /// poll if it slept and was woken in time. It is the poll before if this one did not sleep, as the data may have been
+    /// there already, or if this one overslept, as the process was not running.
     pub(super) fn record(&mut self, poll: PollResult) -> Instant {
         let before = self.0;
         if poll.interrupted {
-            // It has looked at nothing: a process that was stopped while it slept finds it interrupted, and what arrived
-            // meanwhile is reported by the next.
+            // An interrupted poll reports nothing. A process that was stopped during a poll finds it interrupted, and the
+            // next poll reports the data that arrived meanwhile.
             return before;
         }
         let slept = poll.returned.saturating_duration_since(poll.began);
         let at_once = slept < AT_ONCE || poll.wait == Some(Duration::ZERO);
         let overslept = poll.overslept();
-        // One that overslept may have looked when it began, and been stopped on its way back.
+        // A poll that overslept may have collected its events at its start, before the process was stopped.
         self.0 = if overslept { poll.began } else { poll.returned };
         if at_once || overslept { before } else { poll.returned }
     }
--- a/crates/net/src/tcp/last_poll/tests.rs
+++ b/crates/net/src/tcp/last_poll/tests.rs
@@ -6,45 +6,46 @@
 
 const WAIT: Duration = Duration::from_millis(50);
 
-fn poll_result(began: Instant, slept: u64, interrupted: bool) -> PollResult {
-    PollResult { began, returned: began + Duration::from_millis(slept), wait: Some(WAIT), interrupted }
+fn poll_result(began: Instant, slept_ms: u64, interrupted: bool) -> PollResult {
+    PollResult { began, returned: began + Duration::from_millis(slept_ms), wait: Some(WAIT), interrupted }
 }
 
 #[test]
-fn what_a_poll_reports_in_time_arrived_as_it_returned() {
+fn data_reported_within_the_timeout_arrived_when_the_poll_returned() {
     let start = Instant::now();
     let mut last = LastPoll::new(start);
     assert_eq!(last.record(poll_result(start, 20, false)), start + Duration::from_millis(20));
 }
 
 #[test]
-fn an_interrupted_poll_reports_nothing() {
+fn interrupted_poll_does_not_advance_the_last_poll() {
     let start = Instant::now();
     let mut last = LastPoll::new(start);
     assert_eq!(last.record(poll_result(start, 400, true)), start);
     let next = start + Duration::from_millis(400);
-    assert_eq!(last.record(poll_result(next, 0, false)), start, "it may have come in all that time");
+    assert_eq!(last.record(poll_result(next, 0, false)), start, "the data may have arrived since the start");
 }
 
 #[test]
-fn after_a_stop_within_a_poll_the_next_one_may_report_late() {
+fn data_reported_after_a_stop_may_have_arrived_during_the_stop() {
     let start = Instant::now();
     let mut last = LastPoll::new(start);
     let began = start + Duration::from_millis(10);
-    // It told of something that had come, and the process was stopped before it read the time.
+    // The poll reports data, and the process is stopped before it reads the time.
     assert_eq!(last.record(poll_result(began, 250, false)), start);
-    // What the next one finds at once may have come while it was stopped.
+    // Data that the next poll reports immediately may have arrived during the stop.
     let next = began + Duration::from_millis(251);
     assert_eq!(last.record(poll_result(next, 0, false)), began);
 }
 
-/// Seen by the soak (ClientGone): a stop interrupted the wait, its timers came due, and a call was retried 13 us later; the
-/// end of its client, which had come during the stop, was read 150 us after that.
+/// Guards against acting on outdated information after a stop, as seen in the soak (ClientGone): a stop interrupted the poll,
+/// timers expired, and a call was retried 13 us later. The disconnect of its client, which had arrived during the stop, was
+/// read only 150 us after that.
 #[test]
-fn what_an_interrupted_or_overslept_poll_reports_is_outdated() {
+fn interrupted_and_overslept_polls_are_outdated() {
     let start = Instant::now();
-    assert!(poll_result(start, 20, true).is_outdated(), "it has looked at nothing");
-    assert!(poll_result(start, 250, false).is_outdated(), "it may have looked before the stop");
+    assert!(poll_result(start, 20, true).is_outdated(), "it reported nothing");
+    assert!(poll_result(start, 250, false).is_outdated(), "it may have collected its events before the stop");
     assert!(!poll_result(start, 20, false).is_outdated());
     assert!(!poll_result(start, 51, false).is_outdated(), "timeouts are rounded up");
 }
--- a/crates/net/src/tcp/limits.rs
+++ b/crates/net/src/tcp/limits.rs
@@ -1,29 +1,30 @@
-//! Bounds of plain connections, and the counters that tell when they were hit.
+//! Limits of plain connections, and the counters that record when they were reached.
 
 use std::time::Duration;
 
-/// Bounds of plain connections.
+/// Limits of a [`super::Tcp`].
 #[derive(Clone, Debug)]
 pub struct TcpLimits {
-    /// Accepted connections at once; one more is closed at once.
+    /// Maximum accepted connections. A further one replaces a finished connection, or is closed immediately.
     pub accepted: usize,
-    /// Connections accepted in one poll; the others wait in the system for the next, before which the owner may make
-    /// room.
+    /// Maximum connections accepted from a listener in one poll. Further ones wait in the kernel until the next poll, before
+    /// which the owner may close other connections.
     pub accepts_per_poll: usize,
-    /// Outgoing connections at once; one more is not connects.
+    /// Maximum outgoing connections; further ones are not started.
     pub outgoing: usize,
-    /// Bytes read from a connection and not yet taken by the owner; more waits in the kernel.
+    /// Maximum bytes read from a connection and not consumed by the owner; more remains in the kernel.
     pub input: usize,
-    /// Bytes queued for a connection; one whose peer takes too little is closed.
+    /// Maximum bytes queued on a connection; when more is queued the connection is closed as [`super::ConnectionFailure::Slow`].
     pub output: usize,
-    /// Bytes read from one connection in one poll.
+    /// Bytes read from a connection in one poll, after which the rest is left to the next poll.
     pub read_quota: usize,
-    /// A connection that is not established within this span has failed.
+    /// Time in which an outgoing connection must be established, including retries.
     pub connect_timeout: Duration,
-    /// After [`super::Tcp::finish`] a peer has this long to take what is queued for it.
+    /// Time after [`super::Tcp::finish`] in which the queued bytes must be sent; the connection is closed afterwards.
     pub drain: Duration,
-    /// After that what still arrives is discarded for this long, so that the peer gets our last bytes rather than a reset; no
-    /// longer than until its side has ended as well.
+    /// Time after the last queued byte was sent for which received data is discarded before the socket is closed. Closing with
+    /// unread data would reset the connection, and the peer could lose the last bytes. It ends early when the peer closes its
+    /// direction.
     pub linger: Duration,
 }
 
@@ -43,25 +44,25 @@
     }
 }
 
-/// Counts of connections, and of bounds that were hit.
+/// Counts of connections, and of limits that were reached.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TcpCounters {
-    /// Connections accepted.
+    /// Incoming connections accepted.
     pub accepted: u64,
-    /// Outgoing connections begun.
+    /// Outgoing connections started.
     pub connects: u64,
-    /// [`TcpLimits::accepted`].
+    /// Incoming connections closed immediately because of [`TcpLimits::accepted`].
     pub over_accepted: u64,
-    /// [`TcpLimits::outgoing`].
+    /// Outgoing connections not started because of [`TcpLimits::outgoing`].
     pub over_outgoing: u64,
-    /// Accepting paused because the process had no descriptor left.
+    /// Times that accepting paused because no file descriptor or memory was left.
     pub over_handles: u64,
-    /// Finished connections that were closed before their linger was over, for a new one.
+    /// Finished connections closed early so that a new one could be accepted.
     pub lingering_evicted: u64,
-    /// [`TcpLimits::output`].
+    /// Connections closed because of [`TcpLimits::output`].
     pub over_output: u64,
-    /// [`TcpLimits::connect_timeout`], and connections refused.
+    /// Outgoing connections that were refused, broke while connecting or exceeded [`TcpLimits::connect_timeout`].
     pub connect_failures: u64,
-    /// Connects that failed for a reason on this side or on the way, and were retried.
+    /// Retries scheduled after a transient failure to connect.
     pub connect_retries: u64,
 }
--- a/crates/net/src/tcp/linger.rs
+++ b/crates/net/src/tcp/linger.rs
@@ -1,4 +1,5 @@
-//! The end of a connection by its owner: what is queued is sent, our side ends, and the peer has a moment to take it.
+//! Orderly close by the owner: queued bytes are sent, the sending direction is shut down, and the socket stays open while
+//! the peer reads.
 
 use bytes::BytesMut;
 
@@ -8,9 +9,9 @@
 use super::{Tcp, TcpKey};
 
 impl Tcp {
-    /// Sends what is queued, then ends our side, and discards what still arrives. The peer has [`TcpLimits::drain`] to take
-    /// it; then the connection closes as soon as the peer's side has ended, after [`TcpLimits::linger`] at the latest. No
-    /// event follows.
+    /// Sends the queued bytes, then shuts down the sending direction, and discards further input. The bytes must be sent
+    /// within [`TcpLimits::drain`]. The connection is then closed when the peer closes its direction, after
+    /// [`TcpLimits::linger`] at the latest. No event follows.
     pub fn finish(&mut self, key: TcpKey) {
         let until = self.now + self.limits.drain;
         self.alarm(key, None);
@@ -27,8 +28,8 @@
         self.start_linger(key);
     }
 
-    /// A finished connection whose last bytes were sent lingers for [`TcpLimits::linger`], or closes at once where its peer
-    /// has ended its side too: nothing can arrive any more, and its descriptor is needed.
+    /// Starts the time of [`TcpLimits::linger`] for a finished connection whose last bytes were sent. If the peer has closed
+    /// its direction, nothing can arrive any more: the connection is closed immediately, which frees its descriptor.
     pub(super) fn start_linger(&mut self, key: TcpKey) {
         let until = self.now + self.limits.linger;
         let Some(conn) = self.get_mut(key).filter(|c| c.write_closed && !c.is_lingering) else { return };
@@ -43,12 +44,12 @@
         self.alarms.insert((until, key));
     }
 
-    /// Closes the finished connection that matters least: the one whose last bytes were sent first, else the one that was
-    /// finished first. False: there is none.
+    /// Closes a finished connection to free its descriptor: the one whose last bytes were sent first, or else the one that
+    /// was finished first. False if there is none.
     pub(super) fn evict_lingering(&mut self) -> bool {
         let finished = self.conns.iter().map(|(_, c)| c).filter(|c| c.stage == Stage::Lingering);
-        let least = finished.map(|c| (!c.is_lingering, c.deadline, c.key)).min();
-        let Some((.., key)) = least else { return false };
+        let candidate = finished.map(|c| (!c.is_lingering, c.deadline, c.key)).min();
+        let Some((.., key)) = candidate else { return false };
         self.counters.lingering_evicted += 1;
         self.remove(key, None);
         true
--- a/crates/net/src/tcp/mod.rs
+++ b/crates/net/src/tcp/mod.rs
@@ -1,12 +1,12 @@
-//! Plain TCP connections under one mio poll: accept, connect, read, write, alarms; every buffer is bounded.
+//! Plain TCP connections on one mio poll, with bounded buffers and one alarm per connection. This module is independent of
+//! the protocol.
 //!
-//! The owner parses what is in a connection's input and queues bytes for it; what happened comes out as [`TcpEvent`]s.
-//! Nothing here knows a protocol. A connection ends with exactly one [`TcpEvent::Closed`], unless its owner closed it
-//! with [`Tcp::close`].
+//! The owner parses the input of each connection, queues output, and calls [`Tcp::poll`], which reports [`TcpEvent`]s. A
+//! connection ends with exactly one [`TcpEvent::Closed`], unless its owner ends it with [`Tcp::close`] or [`Tcp::finish`].
 //!
-//! * `events`, `limits`: what the owner learns and sets. `connection`: the state of one connection.
-//! * `poll`: one iteration. `accept`, `connect`: how connections come about. `linger`: how their owner ends them.
-//! * `input`, `output`: their bytes. `last_poll`: when they may have come.
+//! * `events`, `limits`: events, limits and counters. `connection`: the state of one connection.
+//! * `poll`: the event loop. `accept`, `connect`: incoming and outgoing connections. `linger`: orderly close by the owner.
+//! * `input`, `output`: received and queued bytes. `last_poll`: when received bytes may have arrived.
 
 mod accept;
 mod connect;
@@ -33,57 +33,57 @@
 use last_poll::LastPoll;
 pub use limits::{TcpCounters, TcpLimits};
 
-/// Tokens of listeners begin here; those of connections are their indices.
+/// First token of listeners; the token of a connection is its index.
 const LISTENERS: usize = 1 << 40;
-/// Tokens of the owner's sources begin here.
+/// First token of event sources registered by the owner.
 const SOURCES: usize = 1 << 41;
-/// Sockets reported by one poll at the most; the others are reported by the next.
+/// Maximum events of one poll; further ones are reported by the next poll.
 const MAX_EVENTS: usize = 8 << 10;
 
-/// Owner of plain connections.
+/// A set of plain TCP connections and listeners with their poll.
 pub struct Tcp {
     poll: Poll,
     events: Events,
     conns: Slab<Conn>,
-    /// How many of them were accepted.
+    /// Number of accepted connections in `conns`.
     accepted: usize,
     listeners: Vec<TcpListener>,
     alarms: BTreeSet<(Instant, TcpKey)>,
-    /// Connects to be retried, by the time of the retry.
+    /// Failed connects by the time of their retry.
     connect_retries: BTreeSet<(Instant, TcpKey)>,
-    /// To be processed by this poll or the next.
+    /// Connections to be processed by this poll or the next.
     ready: VecDeque<TcpKey>,
-    /// Bytes were queued there since the last flush.
+    /// Connections with bytes queued since the last flush.
     unflushed: Vec<TcpKey>,
-    /// Ended by their peers, and reported: to be removed by the next poll.
+    /// Connections whose end by the peer was reported; the next poll removes them.
     to_remove: Vec<TcpKey>,
-    /// When accepting goes on, while it pauses.
+    /// When accepting is resumed; `None` unless it is paused.
     accept_at: Option<Instant>,
-    /// Listeners with more to accept than one poll takes.
+    /// Listeners with more pending connections than one poll accepts.
     unfinished_accepts: Vec<usize>,
-    /// Since when connections may wait to be accepted.
+    /// Since when pending connections may have been waiting to be accepted.
     unaccepted_since: Option<Instant>,
     generation: u32,
     limits: TcpLimits,
     counters: TcpCounters,
-    /// What the next return of a poll reports.
+    /// Events that the next return of a poll reports.
     out: Vec<TcpEvent>,
-    /// Where bytes are read into.
+    /// Buffer that bytes are read into.
     scratch: Vec<u8>,
     now: Instant,
-    /// When the poll last returned: what had arrived by then was reported.
+    /// When the sockets were last polled; everything that had arrived by then was reported.
     last_poll: LastPoll,
-    /// Since when what this poll reads may have arrived.
+    /// The earliest time at which the data that this poll reads may have arrived.
     earliest_arrival: Instant,
 }
 
 impl Tcp {
-    /// An owner without connections.
+    /// Creates a set without connections and listeners.
     pub fn new(limits: TcpLimits) -> io::Result<Self> {
         let now = Instant::now();
         Ok(Self {
             poll: Poll::new()?,
-            // All that can be ready at once: of what one poll leaves behind the arrival would not be known.
+            // Large enough for all sockets at once: for an event left to the next poll, the arrival time would be unknown.
             events: Events::with_capacity((limits.accepted + limits.outgoing + 64).min(MAX_EVENTS)),
             conns: Slab::new(),
             accepted: 0,
@@ -107,27 +107,27 @@
         })
     }
 
-    /// For sources of the owner, such as signals and datagrams.
+    /// The registry for event sources of the owner, such as signals and datagrams.
     pub fn registry(&self) -> &Registry {
         self.poll.registry()
     }
 
-    /// The token under which a source is reported as [`TcpEvent::Source`].
+    /// The token with which the owner must register source `number` to have it reported as [`TcpEvent::Source`].
     pub fn source_token(&self, number: usize) -> Token {
         Token(SOURCES + number)
     }
 
-    /// Counts of connections, and of bounds that were hit.
+    /// Counts of connections, and of limits that were reached.
     pub fn counters(&self) -> TcpCounters {
         self.counters
     }
 
-    /// Outgoing connections that are established or being made.
+    /// Number of outgoing connections, established or connecting.
     pub fn outgoing(&self) -> usize {
         self.conns.len() - self.accepted
     }
 
-    /// Adds an accepted connection, or an outgoing one (with its `connect_attempt`), which may have no socket yet.
+    /// Adds an accepted connection, or an outgoing one with its `connect_attempt`, which may have no socket yet.
     fn add(
         &mut self,
         mut socket: Option<TcpStream>,
@@ -155,7 +155,7 @@
             input_ended: false,
             write_closed: false,
             is_lingering: false,
-            // What was accepted may have received something since it arrived.
+            // An accepted connection may have received data since it was established by the kernel.
             unread_since: accepted.then_some(self.earliest_arrival),
             arrived_at: self.earliest_arrival,
             write_failed: false,
@@ -187,18 +187,18 @@
         self.conns.get_mut(key.index()).filter(|c| c.key == key)
     }
 
-    /// When the poll last returned.
+    /// When the last poll returned.
     pub fn now(&self) -> Instant {
         self.now
     }
 
-    /// Since when what the last poll has reported may have been there: its own return, or that of the one before where the
-    /// process was delayed, stopped or interrupted.
+    /// The earliest time at which the events of the last poll may have occurred: the return of that poll, or of the one
+    /// before if the process was delayed, stopped or interrupted.
     pub fn reported_since(&self) -> Instant {
         self.earliest_arrival
     }
 
-    /// Sets the connection's one alarm, or removes it.
+    /// Sets the alarm of a connection, replacing an earlier one, or removes it if `at` is `None`.
     pub fn alarm(&mut self, key: TcpKey, at: Option<Instant>) {
         let Some(conn) = self.get_mut(key) else { return };
         let old = std::mem::replace(&mut conn.alarm, at);
@@ -211,11 +211,12 @@
         }
     }
 
-    /// Closes at once; what is queued is lost and no event follows.
+    /// Closes a connection immediately. Queued bytes are lost, and no event follows.
     pub fn close(&mut self, key: TcpKey) {
         self.remove(key, None);
     }
 
+    /// Removes a connection. A `failure` is reported unless its owner has finished the connection.
     fn remove(&mut self, key: TcpKey, failure: Option<ConnectionFailure>) {
         if self.get(key).is_none() {
             return;
@@ -238,6 +239,7 @@
         }
     }
 
+    /// Queues a connection for processing.
     fn make_ready(&mut self, index: usize) {
         if let Some(conn) = self.conns.get_mut(index).filter(|c| !c.is_ready) {
             conn.is_ready = true;
@@ -245,8 +247,8 @@
         }
     }
 
-    /// Whether the last poll has handled all that was there: no connection waits to be accepted for want of descriptors, and
-    /// none was left half read.
+    /// Whether the last poll left nothing unhandled: no pending connection because of a lack of descriptors or of a limit, no
+    /// unread data and no unreported event.
     pub fn caught_up(&self) -> bool {
         let accepted = self.accept_at.is_none() && self.unfinished_accepts.is_empty();
         accepted && self.ready.is_empty() && self.out.is_empty()
--- a/crates/net/src/tcp/output.rs
+++ b/crates/net/src/tcp/output.rs
@@ -1,17 +1,18 @@
-//! Bytes that leave: queued by the owner, handed to the system at the end of a poll or at once.
+//! Queued bytes: sent at the start of the next poll, or earlier by a flush.
 
 use super::connection::{Stage, flush};
 use super::{ConnectionFailure, Tcp, TcpKey};
 
 impl Tcp {
-    /// How many bytes may still be queued there; `None`: the connection takes nothing.
+    /// How many more bytes may be queued on a connection; `None` if it accepts no output.
     pub fn send_capacity(&self, key: TcpKey) -> Option<usize> {
         let conn = self.get(key).filter(|c| c.stage != Stage::Lingering && !c.is_broken)?;
         Some(self.limits.output.saturating_sub(conn.output.len()))
     }
 
-    /// Queues bytes; they are sent when the next poll begins. Returns the offset of their end among all bytes queued there,
-    /// to be compared with [`Tcp::written`]. `None`: the connection is gone, or is closed as [`ConnectionFailure::Slow`].
+    /// Queues bytes, which are sent at the start of the next poll. Returns the offset of their end among all bytes queued on
+    /// the connection, to be compared with [`Tcp::written`]. `None` if the connection accepts no output, or if it was closed
+    /// as [`ConnectionFailure::Slow`] because of [`super::TcpLimits::output`].
     pub fn send(&mut self, key: TcpKey, bytes: &[u8]) -> Option<u64> {
         let max_output = self.limits.output;
         let conn = self.get_mut(key).filter(|c| c.stage != Stage::Lingering && !c.is_broken)?;
@@ -30,23 +31,24 @@
         Some(queued)
     }
 
-    /// Bytes handed to the system so far.
+    /// Total bytes of a connection that the kernel has accepted; 0 for an unknown connection.
     pub fn written(&self, key: TcpKey) -> u64 {
         self.get(key).map_or(0, |c| c.written)
     }
 
-    /// Bytes queued there that the system has not taken.
+    /// Bytes queued on a connection that the kernel has not accepted.
     pub fn unsent(&self, key: TcpKey) -> usize {
         self.get(key).map_or(0, |conn| conn.output.len())
     }
 
-    /// Bytes queued for accepted connections that the system has not taken.
+    /// Bytes queued on all accepted connections that the kernel has not accepted.
     pub fn unsent_to_peers(&self) -> usize {
         self.conns.iter().filter(|(_, c)| c.accepted).map(|(_, c)| c.output.len()).sum()
     }
 
-    /// Removes a range of queued bytes, by their offsets among all bytes queued ([`Tcp::send`] returns the end's). False:
-    /// some of them were sent, or are gone with the connection. The offsets of what follows shrink by its length.
+    /// Removes the queued bytes between two offsets, as returned by [`Tcp::send`]. The offsets of the bytes behind them
+    /// decrease by the length of the range. False, and nothing is removed, if any of them was sent or is not queued, or the
+    /// connection does not exist.
     pub fn remove_queued(&mut self, key: TcpKey, from: u64, to: u64) -> bool {
         let Some(conn) = self.get_mut(key) else { return false };
         if from < conn.written || to > conn.queued || from > to {
@@ -60,19 +62,19 @@
         true
     }
 
-    /// Hands what is queued there to the system now. True: it has taken all of it.
+    /// Sends the queued bytes of a connection immediately. True if the kernel has accepted all of them.
     pub fn flush(&mut self, key: TcpKey) -> bool {
         let Some(conn) = self.get_mut(key) else { return false };
         flush(conn);
-        let all = conn.output.is_empty();
+        let is_flushed = conn.output.is_empty();
         if conn.readable {
             self.make_ready(key.index());
         }
         self.start_linger(key);
-        all
+        is_flushed
     }
 
-    /// Hands what is queued to the system now.
+    /// Sends the bytes queued on all connections since the last flush immediately.
     pub fn flush_all(&mut self) {
         for key in std::mem::take(&mut self.unflushed) {
             let Some(conn) = self.get_mut(key) else { continue };
--- a/crates/net/src/tcp/poll.rs
+++ b/crates/net/src/tcp/poll.rs
@@ -1,4 +1,4 @@
-//! One iteration of the event loop: flush, poll, read, and alarms.
+//! One iteration of the event loop: flush, poll, read, fire alarms.
 
 use std::io;
 use std::time::{Duration, Instant};
@@ -8,13 +8,13 @@
 use super::{ConnectionFailure, LISTENERS, SOURCES, Tcp, TcpEvent};
 use crate::clock::shorter_timeout;
 
-/// A poll that was interrupted, or overslept, is followed by so many at the most that do not sleep: each may be interrupted
-/// in its turn.
-const MAX_SECOND_POLLS: usize = 8;
+/// Maximum non-blocking polls after one that was interrupted or overslept. The limit is needed because each may be
+/// interrupted as well.
+const MAX_REPEATED_POLLS: usize = 8;
 
 impl Tcp {
-    /// One iteration: writes what is queued, polls (for at most `timeout`, and less where something is due), and reads what
-    /// has arrived. Appends what happened to `out`.
+    /// Runs one iteration: sends queued bytes, polls for at most `timeout` (less if an alarm, a retry or unfinished work is
+    /// due earlier), and reads received bytes. Appends the events to `out`.
     pub fn poll(&mut self, timeout: Option<Duration>, out: &mut Vec<TcpEvent>) -> io::Result<()> {
         self.now = Instant::now();
         for key in std::mem::take(&mut self.to_remove) {
@@ -27,14 +27,14 @@
         let due = [alarm, connect_retry, self.accept_at];
         let wait = if busy { Some(Duration::ZERO) } else { shorter_timeout(timeout, self.now, &due) };
         let mut outdated = self.poll_once(wait)?;
-        // Whoever acts on what is due acts on what has come by then, such as the end of a client.
-        for _ in 0..MAX_SECOND_POLLS {
+        // Timers must not act on outdated information, such as missing the end of a client that had already arrived.
+        for _ in 0..MAX_REPEATED_POLLS {
             if !outdated {
                 break;
             }
             let earliest_arrival = self.earliest_arrival;
             outdated = self.poll_once(Some(Duration::ZERO))?;
-            // What the polls before have reported is read with the rest.
+            // The events of the earlier polls are read together with those of this one.
             self.earliest_arrival = self.earliest_arrival.min(earliest_arrival);
         }
         self.retry_connects();
@@ -42,14 +42,14 @@
             let Some(key) = self.ready.pop_front() else { break };
             self.process(key);
         }
-        // Alarms come last: a request and the end of its connection's idle time may fall into one poll, and a connection
-        // may have been established in the poll in which its time is over.
+        // Alarms fire last, because one poll may report both a request and the idle timeout of its connection, or both an
+        // established connection and its connect timeout.
         self.fire_alarms();
         out.append(&mut self.out);
         Ok(())
     }
 
-    /// Polls once, and notes what is reported. Returns whether more may have come by the time of its return.
+    /// Polls once and records the reported events. Returns whether further events may have occurred by its return.
     fn poll_once(&mut self, wait: Option<Duration>) -> io::Result<bool> {
         let began = Instant::now();
         let interrupted = match self.poll.poll(&mut self.events, wait) {
@@ -66,6 +66,7 @@
         Ok(result.is_outdated())
     }
 
+    /// Records the readiness of the reported sockets, and accepts pending connections.
     fn read_events(&mut self) {
         let mut accept = std::mem::take(&mut self.unfinished_accepts);
         let mut ready = Vec::new();
@@ -91,7 +92,7 @@
             self.accept_at = None;
             accept = (0..self.listeners.len()).collect();
         }
-        // What waited to be accepted has waited since accepting was last left unfinished.
+        // Pending connections may have waited since accepting was last left unfinished.
         let earliest_arrival = self.earliest_arrival;
         self.earliest_arrival = self.unaccepted_since.map_or(earliest_arrival, |at| at.min(earliest_arrival));
         for index in accept {
@@ -103,6 +104,7 @@
         }
     }
 
+    /// Reports the alarms that have expired, and closes connections whose internal deadline is over.
     fn fire_alarms(&mut self) {
         while let Some(&(at, key)) = self.alarms.first() {
             if at > self.now {
--- a/crates/net/tests/hub.rs
+++ b/crates/net/tests/hub.rs
@@ -1,5 +1,5 @@
-//! Two ends in one hub over loopback: what each fact of the wire becomes. No test sleeps; each waits for its
-//! event with a generous limit.
+//! Tests of the hub with both ends of each connection in one hub over loopback: which event each situation on the
+//! connection is reported as. No test sleeps; each waits for its event with a generous timeout.
 
 use std::time::{Duration, Instant};
 
@@ -8,6 +8,7 @@
 use nettleferry_net::grpc::{Code, Status};
 use nettleferry_net::*;
 
+/// A hub with an outgoing connection `conn` to its own listener, accepted there as `server`.
 struct Pair {
     hub: Hub,
     conn: ConnKey,
@@ -21,8 +22,8 @@
 impl Pair {
     fn new(limits: NetLimits) -> Self {
         let mut hub = Hub::new(limits).expect("a hub");
-        let (listener, address) = hub.listen("127.0.0.1:0".parse().expect("sound")).expect("a port");
-        let conn = hub.connect(address).expect("begun");
+        let (listener, address) = hub.listen("127.0.0.1:0".parse().expect("an address")).expect("a port");
+        let conn = hub.connect(address).expect("started");
         let mut pair = Self { hub, conn, server: conn, listener, events: Vec::new() };
         let server = pair.wait(|e| match e {
             NetEvent::Accepted { conn, .. } => Some(*conn),
@@ -32,7 +33,7 @@
         pair
     }
 
-    /// Turns until an event answers; that event is taken out, others stay.
+    /// Polls until `pick` selects an event, which is removed from the pending events.
     fn wait<T>(&mut self, mut pick: impl FnMut(&NetEvent) -> Option<T>) -> T {
         let until = Instant::now() + TEST_TIMEOUT;
         loop {
@@ -42,15 +43,16 @@
                 self.events.remove(at);
                 return found;
             }
-            assert!(Instant::now() < until, "nothing answered; seen: {:?}", self.events);
+            assert!(Instant::now() < until, "the event did not happen; seen: {:?}", self.events);
             self.hub.poll(Some(Duration::from_millis(50)), &mut self.events).expect("polls");
         }
     }
 
     fn open(&mut self) -> StreamKey {
-        let request =
-            Request::post("http://worker/inference.GRPCInferenceService/ModelInfer").body(()).expect("sound");
-        self.hub.open(self.conn, request).expect("stands")
+        let request = Request::post("http://worker/inference.GRPCInferenceService/ModelInfer")
+            .body(())
+            .expect("a request");
+        self.hub.open(self.conn, request).expect("connection exists")
     }
 
     fn request(&mut self) -> StreamKey {
@@ -95,66 +97,72 @@
     pair.hub.send(theirs, Bytes::from(vec![7; 3 << 20]));
     pair.hub.finish(theirs, Some(Status::new(Code::Ok, "").trailers()));
     assert_eq!(pair.message(ours).len(), 3 << 20);
-    assert_eq!(Status::read(&pair.trailers(ours)).expect("told").code, Code::Ok);
+    assert_eq!(Status::read(&pair.trailers(ours)).expect("a status").code, Code::Ok);
     pair.wait(|e| matches!(e, NetEvent::Sent { stream } if *stream == theirs).then_some(()));
     assert_eq!(pair.hub.open_streams(), 0);
 }
 
 #[test]
-fn refused_port_is_not_connected() {
+fn refused_connection_fails_its_streams_as_not_connected() {
     let mut hub = Hub::new(NetLimits::default()).expect("a hub");
-    // A port that was ours a moment ago and is closed now.
+    // A port that was free a moment ago: nothing listens there.
     let address = {
-        let gone = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
-        gone.local_addr().expect("bound")
+        let closed = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
+        closed.local_addr().expect("bound")
     };
-    let conn = hub.connect(address).expect("begun");
-    let stream = hub.open(conn, Request::post("http://w/x").body(()).expect("sound")).expect("waits");
+    let conn = hub.connect(address).expect("started");
+    let stream =
+        hub.open(conn, Request::post("http://w/x").body(()).expect("a request")).expect("connection exists");
     let (mut events, until) = (Vec::new(), Instant::now() + TEST_TIMEOUT);
     while Instant::now() < until {
         hub.poll(Some(Duration::from_millis(50)), &mut events).expect("polls");
-        let told = events.iter().find_map(|e| match e {
+        let failure = events.iter().find_map(|e| match e {
             NetEvent::Failed { stream: s, why } if *s == stream => Some(why.clone()),
             _ => None,
         });
-        if let Some(why) = told {
+        if let Some(why) = failure {
             assert_eq!(why, StreamError::NotConnected);
             return;
         }
     }
-    panic!("no end came");
+    panic!("the stream did not end");
 }
 
 #[test]
 fn call_that_waits_for_its_connection_states_the_time_left_when_it_is_sent() {
-    // Guards against a timeout that is reckoned when a call is queued and is too long when its headers leave.
+    // Guards against a timeout that is computed when a call is queued and is too long when its headers are sent.
     let mut hub = Hub::new(NetLimits::default()).expect("a hub");
-    let (_, address) = hub.listen("127.0.0.1:0".parse().expect("sound")).expect("a port");
-    let conn = hub.connect(address).expect("begun");
-    let head = || Request::post("http://w/x").body(()).expect("sound");
+    let (_, address) = hub.listen("127.0.0.1:0".parse().expect("an address")).expect("a port");
+    let conn = hub.connect(address).expect("started");
+    let head = || Request::post("http://w/x").body(()).expect("a request");
     let (deadline, later) = (Instant::now() + TEST_TIMEOUT, Instant::now() + Duration::from_millis(200));
-    let expired = hub.open_until(conn, head(), later).expect("waits");
-    let waits = hub.open_until(conn, head(), deadline).expect("waits");
-    // Nothing leaves before the first poll.
+    let expired = hub.open_until(conn, head(), later).expect("connection exists");
+    let waits = hub.open_until(conn, head(), deadline).expect("connection exists");
+    // Nothing is sent before the first poll.
     while Instant::now() < later {
         std::thread::yield_now();
     }
     let left = deadline - Instant::now();
-    let (mut events, mut told, mut failed) = (Vec::new(), Vec::new(), Vec::new());
-    while told.is_empty() || failed.is_empty() {
+    let (mut events, mut timeouts, mut failed) = (Vec::new(), Vec::new(), Vec::new());
+    while timeouts.is_empty() || failed.is_empty() {
         assert!(Instant::now() < deadline, "{events:?}");
         hub.poll(Some(Duration::from_millis(50)), &mut events).expect("polls");
         for event in events.drain(..) {
             match event {
-                NetEvent::Request { head, .. } => told.push(head.headers["grpc-timeout"].clone()),
+                NetEvent::Request { head, .. } => timeouts.push(head.headers["grpc-timeout"].clone()),
                 NetEvent::Failed { stream, why } => failed.push((stream, why)),
                 _ => {}
             }
         }
     }
-    let told: Vec<_> =
-        told.iter().map(|told| grpc::read_timeout(told.to_str().expect("text")).expect("sound")).collect();
-    assert!(told.len() == 1 && told[0] <= left, "told {told:?}, {left:?} were left before it was sent");
+    let timeouts: Vec<_> = timeouts
+        .iter()
+        .map(|value| grpc::read_timeout(value.to_str().expect("text")).expect("a timeout"))
+        .collect();
+    assert!(
+        timeouts.len() == 1 && timeouts[0] <= left,
+        "sent {timeouts:?}, {left:?} were left before the request was sent"
+    );
     assert_eq!(failed, [(expired, StreamError::NotWritten)]);
     assert!(hub.is_open(waits));
 }
@@ -177,7 +185,7 @@
     let mut pair = Pair::new(NetLimits::default());
     let seen = pair.open();
     pair.request();
-    // The server's side is not read again before it leaves: the second stream is on its way unseen.
+    // The server is frozen until it sends GOAWAY: the second stream is sent, but not received.
     pair.hub.freeze(pair.server, true);
     let unseen = pair.open();
     pair.hub.poll(Some(Duration::ZERO), &mut pair.events).expect("polls");
@@ -218,7 +226,7 @@
 }
 
 #[test]
-fn paused_reader_stops_its_writer_and_no_other() {
+fn paused_reader_blocks_only_its_own_writer() {
     let limits = NetLimits { stream_window: 64 << 10, send_queue_bytes: 32 << 10, ..NetLimits::default() };
     let mut pair = Pair::new(limits);
     let (slow, quick) = (pair.open(), pair.open());
@@ -232,7 +240,7 @@
     assert!(pair.hub.is_full(to_slow));
     pair.hub.send(to_quick, Bytes::from_static(b"quick"));
     assert_eq!(pair.message(quick), Bytes::from_static(b"quick"));
-    // The window is all that left.
+    // No more than the window was sent.
     assert!(pair.hub.queued(to_slow) > 900 << 10, "{}", pair.hub.queued(to_slow));
     pair.hub.resume(slow);
     for _ in 0..64 {
@@ -256,7 +264,7 @@
     let mut head = Response::new(());
     *head.headers_mut() = status.trailers();
     pair.hub.respond_only(theirs, head);
-    assert_eq!(Status::read(&pair.trailers(ours)).expect("told"), status);
+    assert_eq!(Status::read(&pair.trailers(ours)).expect("a status"), status);
     assert_eq!(pair.hub.counters().bad_messages, 1);
 }
 
@@ -275,8 +283,8 @@
 #[test]
 fn rapid_resets_end_only_their_connection() {
     let mut pair = Pair::new(NetLimits { reset_streams: 20, ..NetLimits::default() });
-    let other = pair.hub.connect(pair.hub.peer(pair.conn).expect("stands")).expect("begun");
-    // All are opened and reset before the server looks.
+    let other = pair.hub.connect(pair.hub.peer(pair.conn).expect("connection exists")).expect("started");
+    // All streams are opened and reset before the server reads.
     pair.wait(|e| matches!(e, NetEvent::Connected { conn } if *conn == other).then_some(()));
     for _ in 0..60 {
         let key = pair.open();
@@ -292,46 +300,49 @@
         _ => None,
     });
     assert_eq!(why, CloseReason::Protocol);
-    let kept = pair.hub.open(other, Request::post("http://w/x").body(()).expect("sound")).expect("stands");
+    let other_stream = pair
+        .hub
+        .open(other, Request::post("http://w/x").body(()).expect("a request"))
+        .expect("connection exists");
     let theirs = pair.wait(|e| match e {
         NetEvent::Request { stream, conn, .. } if *conn != server => Some(*stream),
         _ => None,
     });
     pair.hub.respond_only(theirs, Response::new(()));
-    pair.trailers(kept);
+    pair.trailers(other_stream);
 }
 
 #[test]
 fn connection_without_a_preface_is_closed() {
     let limits = NetLimits { handshake_timeout: Duration::from_millis(30), ..NetLimits::default() };
     let mut hub = Hub::new(limits).expect("a hub");
-    let (_, address) = hub.listen("127.0.0.1:0".parse().expect("sound")).expect("a port");
-    let mute = std::net::TcpStream::connect(address).expect("connects");
+    let (_, address) = hub.listen("127.0.0.1:0".parse().expect("an address")).expect("a port");
+    let silent = std::net::TcpStream::connect(address).expect("connects");
     let (mut events, until) = (Vec::new(), Instant::now() + TEST_TIMEOUT);
     while hub.counters().handshake_timeouts == 0 {
         assert!(Instant::now() < until);
         hub.poll(Some(Duration::from_millis(50)), &mut events).expect("polls");
     }
     assert_eq!(hub.open_connections(), 0);
-    drop(mute);
+    drop(silent);
 }
 
 #[test]
 fn idle_hub_does_not_wake() {
     let mut pair = Pair::new(NetLimits::default());
     pair.wait(|e| matches!(e, NetEvent::Connected { .. }).then_some(()));
-    // Settings and acknowledgements go to and fro until nothing is left to say.
-    let mut last = pair.hub.counters().wakeups;
+    // Settings and acknowledgements are exchanged until both sides are idle.
+    let mut wakeups = pair.hub.counters().wakeups;
     let began = Instant::now();
     loop {
         let before = Instant::now();
         pair.hub.poll(Some(Duration::from_millis(400)), &mut pair.events).expect("polls");
-        last += 1;
+        wakeups += 1;
         if before.elapsed() >= Duration::from_millis(400) {
             break;
         }
-        assert!(began.elapsed() < TEST_TIMEOUT, "woken {last} times for nothing");
+        assert!(began.elapsed() < TEST_TIMEOUT, "{wakeups} wakeups without an event");
     }
-    assert_eq!(pair.hub.counters().wakeups, last);
+    assert_eq!(pair.hub.counters().wakeups, wakeups);
     assert_eq!(pair.hub.accepted_at(pair.listener).len(), 1);
 }
--- a/crates/net/tests/tcp.rs
+++ b/crates/net/tests/tcp.rs
@@ -1,4 +1,4 @@
-//! Plain TCP on loopback.
+//! Tests of plain TCP connections over loopback.
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, TcpStream};
@@ -6,10 +6,10 @@
 
 use nettleferry_net::tcp::{ConnectionFailure, Tcp, TcpEvent, TcpKey, TcpLimits};
 
-/// Longest wait for an event.
+/// Maximum wait for an event.
 const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Polls until an event is one that is wanted.
+/// Polls until `wanted` returns a value for an event.
 fn poll_until<T>(tcp: &mut Tcp, mut wanted: impl FnMut(&mut Tcp, TcpEvent) -> Option<T>) -> T {
     let (end, mut out) = (std::time::Instant::now() + TEST_TIMEOUT, Vec::new());
     while std::time::Instant::now() < end {
@@ -23,22 +23,23 @@
     panic!("the event did not happen");
 }
 
+/// Polls until a connection is accepted.
 fn accepted(tcp: &mut Tcp) -> TcpKey {
     poll_until(tcp, |_, event| if let TcpEvent::Accepted(key) = event { Some(key) } else { None })
 }
 
 #[test]
-fn queued_bytes_are_sent_before_our_side_ends() {
-    // More than the system's buffers hold at once.
-    let most = 64 << 20;
-    let limits = TcpLimits { output: most, linger: TEST_TIMEOUT, ..TcpLimits::default() };
+fn queued_bytes_are_sent_before_the_connection_is_shut_down() {
+    // More than the socket buffers hold at once.
+    let size = 64 << 20;
+    let limits = TcpLimits { output: size, linger: TEST_TIMEOUT, ..TcpLimits::default() };
     let mut tcp = Tcp::new(limits).expect("a poll");
     let address = tcp.listen("127.0.0.1:0".parse().expect("an address")).expect("a port");
     let mut client = TcpStream::connect(address).expect("it listens");
     let key = accepted(&mut tcp);
-    assert_eq!(tcp.send(key, &vec![7; most]), Some(most as u64));
+    assert_eq!(tcp.send(key, &vec![7; size]), Some(size as u64));
     tcp.finish(key);
-    assert!(tcp.unsent_to_peers() > 0, "the test wants more than the buffers hold");
+    assert!(tcp.unsent_to_peers() > 0, "the test requires more bytes than the socket buffers hold");
     let reader = std::thread::spawn(move || {
         let mut all = Vec::new();
         client.read_to_end(&mut all).map(|_| all.len())
@@ -47,7 +48,7 @@
     while !reader.is_finished() {
         tcp.poll(Some(Duration::from_millis(5)), &mut out).expect("polls");
     }
-    assert_eq!(reader.join().expect("no panic").expect("ended in order"), most);
+    assert_eq!(reader.join().expect("no panic").expect("ended in order"), size);
     assert_eq!(out, [], "no event follows");
 }
 
@@ -84,19 +85,19 @@
     let _client = TcpStream::connect(address).expect("it listens");
     let key = accepted(&mut tcp);
     tcp.finish(key);
-    let (end, mut turns, mut out) = (std::time::Instant::now() + Duration::from_millis(300), 0, Vec::new());
+    let (end, mut polls, mut out) = (std::time::Instant::now() + Duration::from_millis(300), 0, Vec::new());
     while std::time::Instant::now() < end {
         tcp.poll(Some(Duration::from_millis(50)), &mut out).expect("polls");
-        turns += 1;
+        polls += 1;
     }
-    assert!(turns < 30, "{turns} turns in 300 ms");
+    assert!(polls < 30, "{polls} polls in 300 ms");
 }
 
 #[test]
 fn refused_connection_is_distinguished_from_other_failures() {
     let free = std::net::TcpListener::bind("127.0.0.1:0").expect("a port").local_addr().expect("an address");
     let mut tcp = Tcp::new(TcpLimits::default()).expect("a poll");
-    let key = tcp.connect(free).expect("tried");
+    let key = tcp.connect(free).expect("started");
     let why = poll_until(&mut tcp, |_, event| match event {
         TcpEvent::Closed(closed, why) if closed == key => Some(why),
         _ => None,
@@ -106,7 +107,7 @@
 }
 
 #[test]
-fn reached_bounds_are_counted() {
+fn reached_limits_are_counted() {
     let limits = TcpLimits { accepted: 1, output: 10, ..TcpLimits::default() };
     let mut tcp = Tcp::new(limits).expect("a poll");
     let address = tcp.listen("127.0.0.1:0".parse().expect("an address")).expect("a port");
@@ -134,7 +135,7 @@
     let mut client = TcpStream::connect(address).expect("it listens");
     let key = accepted(&mut tcp);
     let mut out = Vec::new();
-    // The first event of a connection, which only tells that it may be written to, is behind us.
+    // Consumes the first event of the connection, which only reports that it is writable.
     tcp.poll(Some(Duration::ZERO), &mut out).expect("polls");
     client.write_all(b"last").expect("written");
     client.shutdown(Shutdown::Write).expect("open");
@@ -165,14 +166,14 @@
     assert!(tcp.confirm_idle(key));
     client.set_nodelay(true).expect("set");
     client.write_all(b"request").expect("written");
-    assert!(!tcp.confirm_idle(key), "it is there, though no turn has told of it");
-    let told =
+    assert!(!tcp.confirm_idle(key), "data has arrived that no poll has reported yet");
+    let reported =
         poll_until(&mut tcp, |_, event| if let TcpEvent::Data(key) = event { Some(key) } else { None });
-    assert_eq!(told, key);
+    assert_eq!(reported, key);
     assert_eq!(&tcp.input(key).expect("open")[..], b"request");
-    assert!(tcp.confirm_idle(key), "what was told before is not new");
+    assert!(tcp.confirm_idle(key), "data that was reported before is not new");
     client.shutdown(Shutdown::Write).expect("open");
-    assert!(!tcp.confirm_idle(key), "its end is there");
+    assert!(!tcp.confirm_idle(key), "the end of the connection has arrived");
 }
 
 #[test]
@@ -186,10 +187,10 @@
     let three = tcp.send(key, b"three").expect("open");
     assert_eq!((one, two, three), (3, 6, 11));
     assert!(tcp.remove_queued(key, one, two));
-    assert!(!tcp.remove_queued(key, one, three), "it ends behind what is queued now");
+    assert!(!tcp.remove_queued(key, one, three), "the range ends after the bytes queued now");
     tcp.flush_all();
     assert_eq!(tcp.written(key), 8);
-    assert!(!tcp.remove_queued(key, 0, one), "it has left");
+    assert!(!tcp.remove_queued(key, 0, one), "the bytes were sent");
     let mut seen = [0; 8];
     client.read_exact(&mut seen).expect("sent");
     assert_eq!(&seen, b"onethree");
@@ -214,7 +215,7 @@
 }
 
 #[test]
-fn at_the_bound_a_lingering_connection_is_closed_for_a_new_one() {
+fn lingering_connection_is_closed_for_a_new_one_at_the_limit() {
     let limits = TcpLimits { accepted: 1, linger: TEST_TIMEOUT, ..TcpLimits::default() };
     let mut tcp = Tcp::new(limits).expect("a poll");
     let address = tcp.listen("127.0.0.1:0".parse().expect("an address")).expect("a port");
@@ -222,25 +223,25 @@
     let key = accepted(&mut tcp);
     tcp.send(key, b"last words");
     tcp.finish(key);
-    // The old one has not ended its side: it lingers.
+    // The old client has not closed its direction, so that the connection lingers.
     let _new = TcpStream::connect(address).expect("it listens");
     accepted(&mut tcp);
     assert_eq!((tcp.counters().over_accepted, tcp.counters().lingering_evicted), (0, 1));
-    let mut words = Vec::new();
-    old.read_to_end(&mut words).expect("ended in order");
-    assert_eq!(words, b"last words");
+    let mut received = Vec::new();
+    old.read_to_end(&mut received).expect("ended in order");
+    assert_eq!(received, b"last words");
 }
 
 #[test]
 fn linger_begins_when_the_last_bytes_were_sent() {
-    // More than the system's buffers hold at once, and a peer that begins to read when a linger would be over.
-    let most = 32 << 20;
-    let limits = TcpLimits { output: most, linger: Duration::from_millis(1), ..TcpLimits::default() };
+    // More than the socket buffers hold at once, and a peer that starts to read only after the linger time.
+    let size = 32 << 20;
+    let limits = TcpLimits { output: size, linger: Duration::from_millis(1), ..TcpLimits::default() };
     let mut tcp = Tcp::new(limits).expect("a poll");
     let address = tcp.listen("127.0.0.1:0".parse().expect("an address")).expect("a port");
     let mut client = TcpStream::connect(address).expect("it listens");
     let key = accepted(&mut tcp);
-    tcp.send(key, &vec![7; most]);
+    tcp.send(key, &vec![7; size]);
     tcp.finish(key);
     let (finished, mut out) = (std::time::Instant::now(), Vec::new());
     while finished.elapsed() < Duration::from_millis(20) {
@@ -254,7 +255,7 @@
     while !reader.is_finished() {
         tcp.poll(Some(Duration::from_millis(5)), &mut out).expect("polls");
     }
-    assert_eq!(reader.join().expect("no panic").expect("ended in order"), most);
+    assert_eq!(reader.join().expect("no panic").expect("ended in order"), size);
 }
 
 #[test]
@@ -273,24 +274,24 @@
             if matches!(event, TcpEvent::Data(_)) {
                 seen += tcp.input(key).expect("open").split().len();
                 reads += 1;
-                assert!(tcp.earliest_arrival(key) <= written, "the last of it had come as well");
+                assert!(tcp.earliest_arrival(key) <= written, "the last bytes had arrived by then as well");
             }
         }
     }
-    assert!(reads > 1, "it was left half read");
+    assert!(reads > 1, "the input limit requires several reads");
 }
 
 #[test]
-fn accepts_per_poll_are_bounded_so_that_the_owner_can_make_room() {
+fn accepts_per_poll_are_limited_so_that_the_owner_can_close_connections() {
     let limits = TcpLimits { accepted: 3, accepts_per_poll: 1, ..TcpLimits::default() };
     let mut tcp = Tcp::new(limits).expect("a poll");
     let address = tcp.listen("127.0.0.1:0".parse().expect("an address")).expect("a port");
-    let crowd: Vec<TcpStream> = (0..20).map(|_| TcpStream::connect(address).expect("it listens")).collect();
-    let mut held = std::collections::VecDeque::new();
-    for _ in &crowd {
-        held.push_back(accepted(&mut tcp));
-        if held.len() > 2 {
-            tcp.close(held.pop_front().expect("one of three"));
+    let clients: Vec<TcpStream> = (0..20).map(|_| TcpStream::connect(address).expect("it listens")).collect();
+    let mut open = std::collections::VecDeque::new();
+    for _ in &clients {
+        open.push_back(accepted(&mut tcp));
+        if open.len() > 2 {
+            tcp.close(open.pop_front().expect("one of three"));
         }
     }
     assert_eq!((tcp.counters().accepted, tcp.counters().over_accepted), (20, 0));
