--- a/crates/proto/build.rs
+++ b/crates/proto/build.rs
@@ -1,4 +1,4 @@
-//! Compiles the project's .proto files with protox: no protoc is needed.
+//! Compiles the .proto files with protox, which needs no protoc.
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     let files = [
@@ -12,13 +12,13 @@
         println!("cargo::rerun-if-changed={file}");
     }
     let set = protox::compile(files, ["proto"])?;
-    // Ordered maps, so that equal messages have equal bytes. The published definitions document the messages; the
-    // generated documentation only refers to them.
+    // Ordered maps give equal messages equal encodings. The generated doc comments only refer to the published definitions,
+    // which document the messages.
     prost_build::Config::new()
         .btree_map(["."])
         .bytes(["."])
-        .type_attribute(".", "#[doc = \"Of the published definition.\"]")
-        .field_attribute(".", "#[doc = \"Of the published definition.\"]")
+        .type_attribute(".", "#[doc = \"Type of the published protocol definition.\"]")
+        .field_attribute(".", "#[doc = \"As in the published protocol definition.\"]")
         .compile_fds(set)?;
     Ok(())
 }
--- a/crates/proto/src/lib.rs
+++ b/crates/proto/src/lib.rs
@@ -1,27 +1,29 @@
-//! The published messages that nettleferry exchanges, and readers of their heads that touch no tensor.
+//! Protobuf messages of the published protocols that nettleferry uses, and readers that decode only the metadata of
+//! inference messages.
 //!
-//! May know: field names and numbers as published. Must not know: what a call, a worker or a decision is.
+//! This crate depends on the published field names and numbers only. It must not depend on calls, workers or decisions.
 //!
 //! * [`inference`]: the Open Inference Protocol v2 over gRPC with its model repository extension.
 //! * [`orca`]: `xds.data.orca.v3.OrcaLoadReport`, sent in the trailer [`orca::TRAILER`].
 //! * [`rpc`]: `google.rpc.Status` and `RetryInfo`, sent in `grpc-status-details-bin`.
-//! * [`remote_write`]: Prometheus remote write 1.0 and 2.0, snappy-compressed.
-//! * [`peek`]: reads the head of an inference request and of a stream response without decoding tensors.
+//! * [`metadata`]: names and values of headers, trailers and parameters defined by nettleferry.
+//! * [`remote_write`]: Prometheus remote write 1.0 and 2.0 with snappy compression.
+//! * [`peek`]: reads the metadata of inference requests and stream responses without decoding tensors.
 
 #![forbid(unsafe_code)]
 
 pub mod peek;
 pub mod remote_write;
 
-/// `inference.GRPCInferenceService`.
+/// Messages of the gRPC service `inference.GRPCInferenceService`.
 pub mod inference {
     include!(concat!(env!("OUT_DIR"), "/inference.rs"));
 
-    /// The service's path prefix: `/inference.GRPCInferenceService/Method`.
+    /// Prefix of the path of each method, such as `/inference.GRPCInferenceService/ModelInfer`.
     pub const SERVICE: &str = "/inference.GRPCInferenceService/";
-    /// Name of the boolean parameter that marks the last response of a call on a stream.
+    /// Boolean response parameter that marks the last response of a call on a stream.
     pub const FINAL: &str = "triton_final_response";
-    /// Parameter of `RepositoryModelLoad`: how many replicas are wanted (int64; 0: only a question).
+    /// Parameter of `RepositoryModelLoad` (int64): the desired number of replicas. 0 only queries the loaded ones.
     pub const REPLICAS: &str = "copies";
 
     impl From<bool> for InferParameter {
@@ -37,7 +39,7 @@
     }
 
     impl InferParameter {
-        /// The value, where it is an integer.
+        /// The value if it is an int64.
         pub fn int64(&self) -> Option<i64> {
             match self.parameter_choice {
                 Some(infer_parameter::ParameterChoice::Int64Param(n)) => Some(n),
@@ -45,7 +47,7 @@
             }
         }
 
-        /// The value, where it is a boolean.
+        /// The value if it is a boolean.
         pub fn boolean(&self) -> Option<bool> {
             match self.parameter_choice {
                 Some(infer_parameter::ParameterChoice::BoolParam(b)) => Some(b),
@@ -55,54 +57,56 @@
     }
 }
 
-/// ORCA load reports.
+/// ORCA load reports, which workers send in trailers.
 pub mod orca {
     include!(concat!(env!("OUT_DIR"), "/xds.data.orca.v3.rs"));
 
-    /// The trailer that carries a report, base64 (gRFC A51).
+    /// Trailer with a base64-encoded report (gRFC A51).
     pub const TRAILER: &str = "endpoint-load-metrics-bin";
-    /// Named metric: 1 a replica was loaded, 2 this call began its load, 3 it waited for the load, 4 the load failed.
+    /// Named metric: state of the replica for this call. 1: it was loaded; 2: the call started the load; 3: the call waited
+    /// for the load; 4: the load failed.
     pub const LOAD_NOTE: &str = "nettleferry.copy_note";
-    /// Named metric: calls of the same model that the worker had when this one arrived.
+    /// Named metric: calls of the same model at the worker when this call arrived.
     pub const SAME_MODEL_CALLS: &str = "nettleferry.same_model_calls";
-    /// Named metric: loaded replicas, in the response to a load order.
+    /// Named metric of the response to a load order: number of loaded replicas.
     pub const LOADED_REPLICAS: &str = "nettleferry.copies";
-    /// Named metric: calls that run.
+    /// Named metric: calls that are being executed.
     pub const INFLIGHT: &str = "nettleferry.inflight";
-    /// Named metric: calls waiting.
+    /// Named metric: calls that are queued.
     pub const QUEUE: &str = "nettleferry.queue";
-    /// Named metric: loads under way or waiting.
+    /// Named metric: loads that are in progress or queued.
     pub const LOADS: &str = "nettleferry.loads";
 }
 
-/// Headers, trailers and parameters of nettleferry's own.
+/// Names and values of headers, trailers and parameters that nettleferry defines.
 pub mod metadata {
-    /// Trailer of a worker that proves that the call never ran: [`FULL`], [`MISS`], [`LOAD_FAILED`] or [`FENCED`].
+    /// Trailer with which a worker guarantees that the call was not executed: [`FULL`], [`MISS`], [`LOAD_FAILED`] or
+    /// [`FENCED`].
     pub const NEVER_RAN: &str = "nettleferry-never-ran";
-    /// The worker is full, and rejected the call unread.
+    /// Value of [`NEVER_RAN`]: the worker was full and rejected the call without reading it.
     pub const FULL: &str = "full";
-    /// The model is not loaded and no load is under way.
+    /// Value of [`NEVER_RAN`]: the model is not loaded, and no load is in progress.
     pub const MISS: &str = "miss";
-    /// The load that the call waited for failed.
+    /// Value of [`NEVER_RAN`]: the load for which the call waited has failed.
     pub const LOAD_FAILED: &str = "load-failed";
-    /// A later incarnation of the same controller was seen: see [`FENCE`].
+    /// Value of [`NEVER_RAN`]: the worker has seen a later incarnation of the same controller, see [`FENCE`].
     pub const FENCED: &str = "fenced";
-    /// Header to workers: the fencing token of the controller's incarnation; a later incarnation has a higher one. A worker
-    /// that has seen a higher one from a controller rejects the lower one unread.
+    /// Header to workers: the fencing token of the controller's incarnation, which is higher for a later incarnation. A worker
+    /// that has seen a higher token of the same controller rejects the call without reading it.
     pub const FENCE: &str = "nettleferry-fence";
-    /// Header to workers: the controller's number.
+    /// Header to workers: the number of the controller.
     pub const CONTROLLER: &str = "nettleferry-controller";
-    /// Header to workers: the number of the attempt, from 0.
+    /// Header to workers: the number of the attempt, starting at 0.
     pub const ATTEMPT: &str = "nettleferry-attempt";
-    /// Header of clients: the tenant.
+    /// Header from clients: the tenant.
     pub const TENANT: &str = "nettleferry-tenant";
-    /// Header of clients: a stream's first failing call ends it with its status.
+    /// Header from clients: the first failed call of a stream ends the stream with the status of that call.
     pub const GRPC_ERROR: &str = "triton_grpc_error";
-    /// Parameter of load orders: memory of a replica, bytes (int64).
+    /// Parameter of load orders (int64): memory of a replica in bytes.
     pub const MEMORY: &str = "memory_bytes";
 }
 
-/// google.rpc error details.
+/// Status and error details of `google.rpc`.
 pub mod rpc {
     include!(concat!(env!("OUT_DIR"), "/google.rpc.rs"));
 
@@ -111,7 +115,7 @@
     /// Type URL of [`RetryInfo`] in a `google.protobuf.Any`.
     pub const RETRY_INFO: &str = "type.googleapis.com/google.rpc.RetryInfo";
 
-    /// An encoded status whose one detail says when to retry.
+    /// Encodes a status with a [`RetryInfo`] detail that asks the client to wait for `after` before a retry.
     pub fn status_with_retry(code: i32, message: &str, after: std::time::Duration) -> Vec<u8> {
         let retry = RetryInfo {
             retry_delay: Some(prost_types::Duration {
--- a/crates/proto/src/peek.rs
+++ b/crates/proto/src/peek.rs
@@ -1,78 +1,78 @@
-//! Reads what a gateway needs of a message and leaves the tensors alone: it goes over the top-level fields of the
-//! protobuf encoding, without copies.
+//! Reads the metadata of inference messages that a gateway needs, by iterating over the top-level fields of the protobuf
+//! encoding. Tensors are neither decoded nor copied.
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use prost::encoding::{WireType, decode_key, decode_varint, encode_key, encode_varint};
 
 use crate::inference::{FINAL, InferParameter};
 
-/// Why the head of a message can't be read.
+/// Why the metadata of a message can't be read.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PeekError {
-    /// The bytes end inside a field, or a key or length is malformed.
+    /// The message ends inside a field, or a key or length is malformed, at this byte offset.
     #[error("the message is cut short or malformed at byte {0}")]
     Malformed(usize),
-    /// A name is not UTF-8.
+    /// The field with this number is not valid UTF-8.
     #[error("field {0} is not UTF-8")]
     NotText(u32),
-    /// A parameter is malformed.
+    /// A parameter can't be decoded.
     #[error("a parameter is malformed")]
     Parameter,
-    /// A name, version or id is too long.
+    /// A model name, version, id or parameter name exceeds [`MAX_NAME_BYTES`].
     #[error("field {field} has {length} bytes; at most {MAX_NAME_BYTES} are taken")]
     TooLong {
-        /// Its number.
+        /// Field number.
         field: u32,
-        /// Its length.
+        /// Length in bytes.
         length: usize,
     },
-    /// More parameters than are accepted.
+    /// The request has more than [`MAX_PARAMETERS`] parameters.
     #[error("more than {MAX_PARAMETERS} parameters")]
     TooManyParameters,
 }
 
-/// Longest model name, version or id, in bytes.
+/// Maximum length of a model name, version, id or parameter name in bytes.
 pub const MAX_NAME_BYTES: usize = 1024;
-/// Most request parameters.
+/// Maximum number of parameters of a request.
 pub const MAX_PARAMETERS: usize = 256;
 
-/// What the gateway reads of a `ModelInferRequest`.
+/// The metadata of a `ModelInferRequest`.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct InferHead {
     /// `model_name`.
     pub model: String,
-    /// `model_version`; empty: the worker's choice.
+    /// `model_version`; if empty, the worker chooses one.
     pub version: String,
-    /// `id`, as the client gave it.
+    /// `id` chosen by the client.
     pub id: String,
-    /// `parameters`, in the order sent.
+    /// `parameters` with their names, in the order sent.
     pub parameters: Vec<(String, InferParameter)>,
 }
 
-/// What the gateway reads of a `ModelStreamInferResponse`.
+/// The metadata of a `ModelStreamInferResponse`.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ResponseHead {
-    /// `error_message`; empty: no error.
+    /// `error_message`, truncated to [`MAX_NAME_BYTES`]; empty if there is no error.
     pub error: String,
-    /// `infer_response.parameters["triton_final_response"]`.
+    /// Whether `infer_response.parameters["triton_final_response"]` is true.
     pub is_final: bool,
-    /// Whether there is an `infer_response`.
+    /// Whether the message contains an `infer_response`.
     pub has_response: bool,
 }
 
-/// The content of a field, where it is length-delimited.
+/// The value of a field; only length-delimited values are kept.
 enum FieldValue {
     Bytes(Bytes),
     Other,
 }
 
-/// A field of a message.
+/// A field of an encoded message.
 struct Field {
     number: u32,
     value: FieldValue,
 }
 
-/// Reads the top-level fields of a message, in order.
+/// Iterates over the top-level fields of an encoded message.
 struct FieldReader {
     remaining: Bytes,
     message_bytes: usize,
@@ -83,17 +83,19 @@
         Self { remaining: message.clone(), message_bytes: message.len() }
     }
 
+    /// An error at the current offset.
     fn malformed(&self) -> PeekError {
         PeekError::Malformed(self.message_bytes - self.remaining.len())
     }
 
-    fn skip(&mut self, n: usize) -> Result<Bytes, PeekError> {
+    fn split_bytes(&mut self, n: usize) -> Result<Bytes, PeekError> {
         if self.remaining.len() < n {
             return Err(self.malformed());
         }
         Ok(self.remaining.split_to(n))
     }
 
+    /// The next field; `None` at the end of the message.
     fn next(&mut self) -> Result<Option<Field>, PeekError> {
         if !self.remaining.has_remaining() {
             return Ok(None);
@@ -104,12 +106,12 @@
                 decode_varint(&mut self.remaining).map_err(|_| self.malformed())?;
                 FieldValue::Other
             }
-            WireType::SixtyFourBit => self.skip(8).map(|_| FieldValue::Other)?,
-            WireType::ThirtyTwoBit => self.skip(4).map(|_| FieldValue::Other)?,
+            WireType::SixtyFourBit => self.split_bytes(8).map(|_| FieldValue::Other)?,
+            WireType::ThirtyTwoBit => self.split_bytes(4).map(|_| FieldValue::Other)?,
             WireType::LengthDelimited => {
                 let length = decode_varint(&mut self.remaining).map_err(|_| self.malformed())?;
                 let length = usize::try_from(length).map_err(|_| self.malformed())?;
-                FieldValue::Bytes(self.skip(length)?)
+                FieldValue::Bytes(self.split_bytes(length)?)
             }
             WireType::StartGroup | WireType::EndGroup => return Err(self.malformed()),
         };
@@ -117,19 +119,21 @@
     }
 }
 
-fn text(field: u32, bytes: &Bytes) -> Result<String, PeekError> {
+/// Decodes a name of at most [`MAX_NAME_BYTES`]; `field` is the number reported in an error.
+fn decode_name(field: u32, bytes: &Bytes) -> Result<String, PeekError> {
     if bytes.len() > MAX_NAME_BYTES {
         return Err(PeekError::TooLong { field, length: bytes.len() });
     }
     std::str::from_utf8(bytes).map(str::to_owned).map_err(|_| PeekError::NotText(field))
 }
 
-fn parameter(entry: &Bytes) -> Result<(String, InferParameter), PeekError> {
+/// Decodes a map entry with the name and the value of a parameter.
+fn decode_parameter(entry: &Bytes) -> Result<(String, InferParameter), PeekError> {
     let mut fields = FieldReader::new(entry);
     let (mut key, mut value) = (String::new(), InferParameter::default());
     while let Some(Field { number, value: content }) = fields.next()? {
         match (number, content) {
-            (1, FieldValue::Bytes(bytes)) => key = text(4, &bytes)?,
+            (1, FieldValue::Bytes(bytes)) => key = decode_name(4, &bytes)?,
             (2, FieldValue::Bytes(bytes)) => {
                 value = prost::Message::decode(bytes).map_err(|_| PeekError::Parameter)?
             }
@@ -139,23 +143,23 @@
     Ok((key, value))
 }
 
-/// Reads the head of a `ModelInferRequest` (fields 1 to 4); tensors are skipped, not decoded.
+/// Reads the metadata of a `ModelInferRequest` (fields 1 to 4); tensors are skipped without decoding.
 ///
 /// # Errors
-/// Where the message is malformed or its head too long.
+/// If the message is malformed, or a name or the number of parameters exceeds its limit.
 pub fn infer_request(message: &Bytes) -> Result<InferHead, PeekError> {
     let mut head = InferHead::default();
     let mut fields = FieldReader::new(message);
     while let Some(Field { number, value }) = fields.next()? {
         match (number, value) {
-            (1, FieldValue::Bytes(bytes)) => head.model = text(1, &bytes)?,
-            (2, FieldValue::Bytes(bytes)) => head.version = text(2, &bytes)?,
-            (3, FieldValue::Bytes(bytes)) => head.id = text(3, &bytes)?,
+            (1, FieldValue::Bytes(bytes)) => head.model = decode_name(1, &bytes)?,
+            (2, FieldValue::Bytes(bytes)) => head.version = decode_name(2, &bytes)?,
+            (3, FieldValue::Bytes(bytes)) => head.id = decode_name(3, &bytes)?,
             (4, FieldValue::Bytes(bytes)) => {
                 if head.parameters.len() == MAX_PARAMETERS {
                     return Err(PeekError::TooManyParameters);
                 }
-                head.parameters.push(parameter(&bytes)?);
+                head.parameters.push(decode_parameter(&bytes)?);
             }
             _ => {}
         }
@@ -163,17 +167,17 @@
     Ok(head)
 }
 
-/// Reads the head of a `ModelStreamInferResponse`.
+/// Reads the metadata of a `ModelStreamInferResponse`; tensors are skipped without decoding.
 ///
 /// # Errors
-/// Where the message is malformed.
+/// If the message is malformed or the name of a parameter is too long.
 pub fn stream_response(message: &Bytes) -> Result<ResponseHead, PeekError> {
     let mut head = ResponseHead::default();
     let mut fields = FieldReader::new(message);
     while let Some(Field { number, value }) = fields.next()? {
         match (number, value) {
             (1, FieldValue::Bytes(bytes)) => {
-                // The text of an error is truncated, not rejected: it is for people.
+                // A long error text is truncated rather than rejected, as it is only meant for humans.
                 let length = bytes.len().min(MAX_NAME_BYTES);
                 head.error = String::from_utf8_lossy(&bytes[..length]).into_owned();
             }
@@ -182,7 +186,7 @@
                 let mut response_fields = FieldReader::new(&bytes);
                 while let Some(Field { number, value }) = response_fields.next()? {
                     if let (4, FieldValue::Bytes(entry)) = (number, value) {
-                        let (key, value) = parameter(&entry)?;
+                        let (key, value) = decode_parameter(&entry)?;
                         if key == FINAL {
                             head.is_final = value.boolean() == Some(true);
                         }
@@ -195,26 +199,26 @@
     Ok(head)
 }
 
-fn delimited(field: u32, content: &[u8], out: &mut BytesMut) {
+fn encode_delimited(field: u32, content: &[u8], out: &mut BytesMut) {
     encode_key(field, WireType::LengthDelimited, out);
     encode_varint(content.len() as u64, out);
     out.put_slice(content);
 }
 
-/// The bytes of `infer_response { parameters { triton_final_response: true } }`. Appended to an encoded
-/// `ModelStreamInferResponse` they mark it as the last: protobuf merges an embedded message that comes twice
-/// ("Last One Wins", protocol buffers encoding), so that the tensors before them stay as they are.
+/// The encoding of `infer_response { parameters { triton_final_response: true } }`. Appending it to an encoded
+/// `ModelStreamInferResponse` marks that as the last one: protobuf merges repeated occurrences of an embedded message
+/// ("Last One Wins" in the documentation of the encoding), so that the tensors before it are unchanged.
 pub fn final_marker() -> Bytes {
     let mut value = BytesMut::new();
     encode_key(1, WireType::Varint, &mut value);
     encode_varint(1, &mut value);
     let mut entry = BytesMut::new();
-    delimited(1, FINAL.as_bytes(), &mut entry);
-    delimited(2, &value, &mut entry);
+    encode_delimited(1, FINAL.as_bytes(), &mut entry);
+    encode_delimited(2, &value, &mut entry);
     let mut response = BytesMut::new();
-    delimited(4, &entry, &mut response);
+    encode_delimited(4, &entry, &mut response);
     let mut out = BytesMut::new();
-    delimited(2, &response, &mut out);
+    encode_delimited(2, &response, &mut out);
     out.freeze()
 }
 
--- a/crates/proto/src/peek/tests.rs
+++ b/crates/proto/src/peek/tests.rs
@@ -17,7 +17,7 @@
 
 #[test]
 fn head_is_read_past_large_tensors() {
-    let head = infer_request(&request().encode_to_vec().into()).expect("sound");
+    let head = infer_request(&request().encode_to_vec().into()).expect("valid");
     assert_eq!((head.model.as_str(), head.version.as_str(), head.id.as_str()), ("climb", "2", "r-1"));
     assert_eq!(head.parameters[0].1.int64(), Some(3));
 }
@@ -41,7 +41,7 @@
 
 #[test]
 fn final_marker_merges_and_keeps_the_tensors() {
-    let answer = ModelStreamInferResponse {
+    let response = ModelStreamInferResponse {
         error_message: String::new(),
         infer_response: Some(ModelInferResponse {
             id: "r-1".into(),
@@ -49,11 +49,11 @@
             ..Default::default()
         }),
     };
-    let bytes = Bytes::from(answer.encode_to_vec());
-    assert!(!stream_response(&bytes).expect("sound").is_final);
+    let bytes = Bytes::from(response.encode_to_vec());
+    assert!(!stream_response(&bytes).expect("valid").is_final);
     let marked = with_final_marker(&bytes);
-    assert!(stream_response(&marked).expect("sound").is_final);
-    let read = ModelStreamInferResponse::decode(marked).expect("sound").infer_response.expect("there");
+    assert!(stream_response(&marked).expect("valid").is_final);
+    let read = ModelStreamInferResponse::decode(marked).expect("valid").infer_response.expect("a response");
     assert_eq!(read.raw_output_contents, vec![Bytes::from_static(b"tensor")]);
     assert_eq!(read.parameters[FINAL].boolean(), Some(true));
     assert_eq!(read.id, "r-1");
--- a/crates/proto/src/remote_write.rs
+++ b/crates/proto/src/remote_write.rs
@@ -1,34 +1,33 @@
-//! Prometheus remote write, both versions: series to a compressed body and back.
+//! Prometheus remote write 1.0 and 2.0: encodes series to compressed request bodies, and decodes them.
 //!
-//! Source: "Prometheus Remote-Write Specification" 1.0 and 2.0. A body is one protobuf message in snappy's block
-//! format. Labels are sorted by name, the metric's name is the label `__name__`, times are milliseconds since
-//! 1970.
+//! Specified in "Prometheus Remote-Write Specification" 1.0 and 2.0. A body is one protobuf message in the snappy block
+//! format. Labels are sorted by name, the metric name is the label `__name__`, and timestamps are milliseconds since 1970.
 
 use std::collections::HashMap;
 
 use prost::Message;
 
-/// Messages of version 1.0.
+/// Messages of remote write 1.0.
 pub mod v1 {
     include!(concat!(env!("OUT_DIR"), "/prometheus.rs"));
 }
 
-/// Messages of version 2.0.
+/// Messages of remote write 2.0.
 pub mod v2 {
     include!(concat!(env!("OUT_DIR"), "/io.prometheus.write.v2.rs"));
 }
 
-/// The versions, in the order in which a sender prefers them.
+/// The protocol versions, in the order of preference of a sender.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Version {
-    /// `io.prometheus.write.v2.Request`.
+    /// Version 2.0, with the message `io.prometheus.write.v2.Request`.
     Two,
-    /// `prometheus.WriteRequest`.
+    /// Version 1.0, with the message `prometheus.WriteRequest`.
     One,
 }
 
 impl Version {
-    /// Content-Type of a body.
+    /// Content-Type header of a request.
     pub fn content_type(self) -> &'static str {
         match self {
             Self::Two => "application/x-protobuf;proto=io.prometheus.write.v2.Request",
@@ -36,7 +35,7 @@
         }
     }
 
-    /// `X-Prometheus-Remote-Write-Version`.
+    /// Value of the header `X-Prometheus-Remote-Write-Version`.
     pub fn header(self) -> &'static str {
         match self {
             Self::Two => "2.0.0",
@@ -45,48 +44,48 @@
     }
 }
 
-/// The type of a series.
+/// Metric type of a series.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SeriesKind {
-    /// Only grows.
+    /// A value that only increases, except for resets.
     Counter,
-    /// Goes up and down.
+    /// A value that may increase and decrease.
     Gauge,
-    /// A part of a classic histogram.
+    /// A series of a classic histogram, or a native histogram.
     Histogram,
 }
 
-/// A series with its samples in order of time.
+/// A series with its samples in the order of their timestamps.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Series {
-    /// Labels, `__name__` among them.
+    /// Names and values of the labels, including `__name__`.
     pub labels: Vec<(String, String)>,
-    /// Time and value.
+    /// Timestamps with values.
     pub samples: Vec<(i64, f64)>,
-    /// Time and native histogram; only version 2.0 carries them.
+    /// Timestamps with native histograms; not encoded in version 1.0.
     pub natives: Vec<(i64, NativeHistogram)>,
-    /// Its type; only version 2.0 carries it.
+    /// Metric type; not encoded in version 1.0, which decodes as a gauge.
     pub kind: SeriesKind,
-    /// When its counter began, milliseconds since 1970; only version 2.0 carries it.
+    /// Creation time of a counter in milliseconds since 1970; not encoded in version 1.0.
     pub created_ms: Option<i64>,
 }
 
-/// A native histogram of integer counts with positive exponential buckets: bucket `i` holds values up to
+/// A native histogram of integer counts with positive exponential buckets. The upper bound of bucket `i` is
 /// `2^(i / 2^schema)`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NativeHistogram {
-    /// From -4 to 8.
+    /// Resolution of the buckets, from -4 to 8.
     pub schema: i32,
-    /// Observations.
+    /// Number of observations.
     pub count: u64,
-    /// Their sum. A staleness marker here ends the series.
+    /// Sum of the observations. A staleness marker ends the series.
     pub sum: f64,
-    /// Buckets by index, each with its count.
+    /// Indices of the buckets in ascending order, with their counts.
     pub buckets: Vec<(i32, u64)>,
 }
 
 impl NativeHistogram {
-    /// The staleness marker of a series.
+    /// A staleness marker, which ends a series of native histograms.
     pub fn stale(schema: i32) -> Self {
         Self { schema, count: 0, sum: stale(), buckets: Vec::new() }
     }
@@ -116,7 +115,8 @@
         }
     }
 
-    /// `None`: its buckets do not add up, or are of a kind that is not read here.
+    /// Decodes a histogram with its timestamp. `None` if the bucket counts do not match the total count, or if it uses an
+    /// unsupported feature.
     fn decode(message: &v2::Histogram) -> Option<(i64, Self)> {
         let Some(v2::histogram::Count::CountInt(count)) = message.count else { return None };
         let (mut buckets, mut deltas) = (Vec::new(), message.positive_deltas.iter());
@@ -138,10 +138,11 @@
     }
 }
 
-/// The bits of a staleness marker's value, which says that the series has ended: this NaN, and no other.
+/// The bits of the NaN that serves as staleness marker, which states that a series has ended. Other NaNs are ordinary
+/// values.
 pub const STALE_BITS: u64 = 0x7ff0_0000_0000_0002;
 
-/// A staleness marker.
+/// The value of a staleness marker.
 pub fn stale() -> f64 {
     f64::from_bits(STALE_BITS)
 }
@@ -154,40 +155,40 @@
 /// Why a body can't be encoded or decoded.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum BodyError {
-    /// It would decompress to too many bytes.
+    /// The decompressed size exceeds the limit.
     #[error("the body unpacks to {got} bytes; at most {max} are taken")]
     TooLarge {
-        /// Bytes message.
+        /// Decompressed size in bytes.
         got: usize,
-        /// The limit.
+        /// Maximum decompressed size in bytes.
         max: usize,
     },
-    /// It is no snappy block.
+    /// The body is not a valid snappy block.
     #[error("the body is not sound snappy: {0}")]
     Snappy(String),
-    /// It is no message of its version.
+    /// The decompressed body is not a valid message of the version.
     #[error("the body is no message of its version: {0}")]
     Protobuf(String),
-    /// A native histogram whose buckets do not add up, or of a kind that is not read here.
+    /// The bucket counts of a native histogram do not match its total count, or it uses an unsupported feature.
     #[error(
         "series {series}: a native histogram is not sound, or not of whole counts in exponential buckets"
     )]
     Histogram {
-        /// The index of the series.
+        /// Index of the series in the request.
         series: usize,
     },
-    /// A reference to a symbol that is not there, or half a label.
+    /// A label refers to an undefined symbol, or has a name without a value.
     #[error("series {series}: a label refers to what is not in the symbols")]
     Symbol {
-        /// The index of the series.
+        /// Index of the series in the request.
         series: usize,
     },
 }
 
-/// Encodes series as a compressed body.
+/// Encodes series as a compressed request body.
 ///
 /// # Errors
-/// Where compression fails.
+/// If the compression fails.
 pub fn encode(version: Version, series: &[Series]) -> Result<Vec<u8>, BodyError> {
     let message = match version {
         Version::One => encode_v1(series).encode_to_vec(),
@@ -204,7 +205,7 @@
 }
 
 fn encode_v1(series: &[Series]) -> v1::WriteRequest {
-    let one = |s: &Series| v1::TimeSeries {
+    let encode_series = |s: &Series| v1::TimeSeries {
         labels: sorted_labels(s)
             .into_iter()
             .map(|(n, v)| v1::Label { name: n.clone(), value: v.clone() })
@@ -215,12 +216,14 @@
             .map(|(timestamp, value)| v1::Sample { value: *value, timestamp: *timestamp })
             .collect(),
     };
-    // A series of native histograms alone would come without samples.
-    v1::WriteRequest { timeseries: series.iter().filter(|s| !s.samples.is_empty()).map(one).collect() }
+    // A series that has only native histograms would be sent without samples.
+    v1::WriteRequest {
+        timeseries: series.iter().filter(|s| !s.samples.is_empty()).map(encode_series).collect(),
+    }
 }
 
 fn encode_v2(series: &[Series]) -> v2::Request {
-    // The first symbol is the empty one, as the specification wants.
+    // The specification requires the first symbol to be the empty string.
     let mut symbols = vec![String::new()];
     let mut indices: HashMap<String, u32> = HashMap::from([(String::new(), 0)]);
     let mut timeseries = Vec::with_capacity(series.len());
@@ -261,10 +264,10 @@
     v2::Request { symbols, timeseries }
 }
 
-/// Decodes a compressed body that decompresses to at most `max_bytes` bytes.
+/// Decodes a compressed request body of at most `max_bytes` after decompression.
 ///
 /// # Errors
-/// Where the body is malformed or too large.
+/// If the body is malformed, too large, or contains an unsupported histogram.
 pub fn decode(version: Version, body: &[u8], max_bytes: usize) -> Result<Vec<Series>, BodyError> {
     let got = snap::raw::decompress_len(body).map_err(|e| BodyError::Snappy(e.to_string()))?;
     if got > max_bytes {
@@ -287,8 +290,9 @@
         }
         Version::Two => {
             let request = v2::Request::decode(&message[..]).map_err(malformed)?;
-            let one = |(index, s): (usize, v2::TimeSeries)| decode_v2_series(index, s, &request.symbols);
-            request.timeseries.iter().cloned().enumerate().map(one).collect()
+            let decode_series =
+                |(index, s): (usize, v2::TimeSeries)| decode_v2_series(index, s, &request.symbols);
+            request.timeseries.iter().cloned().enumerate().map(decode_series).collect()
         }
     }
 }
--- a/crates/proto/src/remote_write/tests.rs
+++ b/crates/proto/src/remote_write/tests.rs
@@ -27,7 +27,7 @@
     let body = encode(Version::Two, &all).expect("encodes");
     assert_eq!(decode(Version::Two, &body, 1 << 20), Ok(all.clone()));
     let body = encode(Version::One, &all).expect("encodes");
-    let back = decode(Version::One, &body, 1 << 20).expect("sound");
+    let back = decode(Version::One, &body, 1 << 20).expect("valid");
     assert!(back.iter().zip(&all).all(|(a, b)| a.labels == b.labels && a.samples == b.samples));
 }
 
@@ -36,7 +36,7 @@
     let mut one = series(0);
     one.samples = vec![(1, stale()), (2, f64::NAN)];
     for version in [Version::One, Version::Two] {
-        let back = decode(version, &encode(version, &[one.clone()]).expect("encodes"), 1000).expect("sound");
+        let back = decode(version, &encode(version, &[one.clone()]).expect("encodes"), 1000).expect("valid");
         assert!(is_stale(back[0].samples[0].1) && !is_stale(back[0].samples[1].1));
     }
 }
@@ -47,10 +47,10 @@
     assert!(matches!(decode(Version::Two, &body, 100), Err(BodyError::TooLarge { max: 100, .. })));
     let mut request = encode_v2(&[series(0)]);
     request.timeseries[0].labels_refs[1] = 99;
-    let body = snap::raw::Encoder::new().compress_vec(&request.encode_to_vec()).expect("packs");
+    let body = snap::raw::Encoder::new().compress_vec(&request.encode_to_vec()).expect("compresses");
     assert_eq!(decode(Version::Two, &body, 1000), Err(BodyError::Symbol { series: 0 }));
     request.timeseries[0].labels_refs.pop();
-    let body = snap::raw::Encoder::new().compress_vec(&request.encode_to_vec()).expect("packs");
+    let body = snap::raw::Encoder::new().compress_vec(&request.encode_to_vec()).expect("compresses");
     assert_eq!(decode(Version::Two, &body, 1000), Err(BodyError::Symbol { series: 0 }));
 }
 
@@ -63,32 +63,32 @@
         vec![(7, native.clone()), (8, NativeHistogram { buckets: vec![], count: 0, ..native.clone() })];
     let body = encode(Version::Two, &[one.clone()]).expect("encodes");
     assert_eq!(decode(Version::Two, &body, 1000), Ok(vec![one.clone()]));
-    // A message that does not add up, and one whose spans promise what does not come.
+    // A message whose counts do not add up, and one whose spans have more buckets than there are deltas.
     let spans = native.encode(0).positive_spans;
     assert_eq!(spans[0], v2::BucketSpan { offset: -30, length: 2 });
-    for spoil in [
+    for corrupt in [
         |h: &mut v2::Histogram| h.positive_deltas[0] += 1,
         |h: &mut v2::Histogram| {
             h.positive_spans[0].length = u32::MAX;
         },
     ] {
         let mut request = encode_v2(&[one.clone()]);
-        spoil(&mut request.timeseries[0].histograms[0]);
-        let body = snap::raw::Encoder::new().compress_vec(&request.encode_to_vec()).expect("packs");
+        corrupt(&mut request.timeseries[0].histograms[0]);
+        let body = snap::raw::Encoder::new().compress_vec(&request.encode_to_vec()).expect("compresses");
         assert_eq!(decode(Version::Two, &body, 10_000), Err(BodyError::Histogram { series: 0 }));
     }
     let body = encode(Version::One, &[Series { samples: Vec::new(), ..one }]).expect("encodes");
-    assert_eq!(decode(Version::One, &body, 1000), Ok(Vec::new()), "1.0 does not carry them");
+    assert_eq!(decode(Version::One, &body, 1000), Ok(Vec::new()), "version 1.0 has no native histograms");
 }
 
 proptest! {
     #[test]
-    fn noise_never_panics(noise in prop::collection::vec(any::<u8>(), 0..200), two in any::<bool>()) {
+    fn random_bytes_never_panic(bytes in prop::collection::vec(any::<u8>(), 0..200), two in any::<bool>()) {
         let version = if two { Version::Two } else { Version::One };
-        let _ = decode(version, &noise, 10_000);
-        // Also behind sound snappy.
-        if let Ok(packed) = snap::raw::Encoder::new().compress_vec(&noise) {
-            let _ = decode(version, &packed, 10_000);
+        let _ = decode(version, &bytes, 10_000);
+        // Also as the content of a valid snappy block.
+        if let Ok(compressed) = snap::raw::Encoder::new().compress_vec(&bytes) {
+            let _ = decode(version, &compressed, 10_000);
         }
     }
 }
