--- a/crates/net/src/clock.rs
+++ b/crates/net/src/clock.rs
@@ -1,5 +1,6 @@
-//! The process clock in microseconds since 1970. It is initialized from the wall clock, so that its times can be compared
-//! with those of other processes, and is monotonic afterwards, so that steps of the wall clock affect no decision.
+//! The process clock in microseconds since 1970. It is initialized from the wall clock, so that its times can be
+//! compared with those of other processes, and is monotonic afterwards, so that steps of the wall clock affect no
+//! decision.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
--- a/crates/net/src/framing.rs
+++ b/crates/net/src/framing.rs
@@ -1,5 +1,5 @@
-//! Length-prefixed gRPC messages ("gRPC over HTTP2", Length-Prefixed-Message): a compressed flag of one byte, the length
-//! as a big-endian 32-bit integer, and the message.
+//! Length-prefixed gRPC messages ("gRPC over HTTP2", Length-Prefixed-Message): a compressed flag of one byte, the
+//! length as a big-endian 32-bit integer, and the message.
 
 use std::io::Read;
 
--- a/crates/net/src/grpc.rs
+++ b/crates/net/src/grpc.rs
@@ -1,5 +1,5 @@
-//! Encoding of gRPC headers and trailers: status codes, `grpc-timeout`, percent-encoded `grpc-message` and `-bin` values,
-//! as specified in "gRPC over HTTP2" and in the gRPC documentation of status codes.
+//! Encoding of gRPC headers and trailers: status codes, `grpc-timeout`, percent-encoded `grpc-message` and `-bin`
+//! values, as specified in "gRPC over HTTP2" and in the gRPC documentation of status codes.
 
 use std::time::Duration;
 
@@ -112,8 +112,8 @@
         Self { code, message: message.into() }
     }
 
-    /// Reads the status from trailers, or from the headers of a Trailers-Only response. `None` if there is no `grpc-status`;
-    /// one that is not a number is [`Code::Unknown`].
+    /// Reads the status from trailers, or from the headers of a Trailers-Only response. `None` if there is no
+    /// `grpc-status`; one that is not a number is [`Code::Unknown`].
     pub fn read(trailers: &HeaderMap) -> Option<Self> {
         let number = trailers.get("grpc-status")?.to_str().ok()?.trim().parse::<i64>().unwrap_or(-1);
         let message = trailers.get("grpc-message").and_then(|v| v.to_str().ok()).unwrap_or("");
@@ -134,7 +134,8 @@
     }
 }
 
-/// Characters to percent-encode in `grpc-message`: control characters and the percent sign; non-ASCII is always encoded.
+/// Characters to percent-encode in `grpc-message`: control characters and the percent sign; non-ASCII is always
+/// encoded.
 const MESSAGE: &AsciiSet = &CONTROLS.add(b'%');
 
 /// Maximum size of a sent `grpc-message` in bytes before encoding, because peers limit the size of header lists.
--- a/crates/net/src/http1/connection.rs
+++ b/crates/net/src/http1/connection.rs
@@ -48,8 +48,8 @@
         self.waiting.map_or(self.deadline, |waiting| waiting.until)
     }
 
-    /// Reads, handles and answers requests until the socket would block or a request has to wait. More than `max_received`
-    /// unhandled bytes are an error. An error ends the connection.
+    /// Reads, handles and answers requests until the socket would block or a request has to wait. More than
+    /// `max_received` unhandled bytes are an error. An error ends the connection.
     pub(super) fn advance(
         &mut self,
         limits: &Http1Limits,
@@ -71,7 +71,8 @@
             let held_for = waited.map(|waiting| waiting.since.elapsed());
             let mut handle_request = |request: &Request<'_>| handle(request, held_for);
             match parse(&self.received, limits, ticket, &mut handle_request) {
-                // Nothing is read while a request waits: a peer that has disconnected is detected when the reply is sent.
+                // Nothing is read while a request waits: a peer that has disconnected is detected when the reply is
+                // sent.
                 Parsed::Wait(span, ticket) => {
                     self.waiting = Some(Waiting { since, until: since + span, ticket });
                     return Ok(());
--- a/crates/net/src/http1_client.rs
+++ b/crates/net/src/http1_client.rs
@@ -121,7 +121,8 @@
         self.deadline = None;
     }
 
-    /// Writes and reads as much as possible without blocking. Returns the result of the request in flight once it has ended.
+    /// Writes and reads as much as possible without blocking. Returns the result of the request in flight once it has
+    /// ended.
     pub fn poll(&mut self, now: Instant) -> Option<Result<Answer, Http1Error>> {
         let deadline = self.deadline?;
         let result = match self.exchange() {
--- a/crates/net/src/hub/faults.rs
+++ b/crates/net/src/hub/faults.rs
@@ -13,8 +13,8 @@
         }
     }
 
-    /// Sends GOAWAY immediately on an accepted connection, with the id of the last stream received. Later streams are not
-    /// processed.
+    /// Sends GOAWAY immediately on an accepted connection, with the id of the last stream received. Later streams are
+    /// not processed.
     pub fn go_away_abruptly(&mut self, conn: ConnKey, reason: Reason) {
         if let Some(c) = self.conns.get_mut(conn.index()).filter(|c| c.key == conn) {
             c.go_away_abruptly(reason);
--- a/crates/net/src/hub/mod.rs
+++ b/crates/net/src/hub/mod.rs
@@ -1,7 +1,7 @@
 //! HTTP/2 connections and their streams on one mio poll.
 //!
-//! The owner opens streams, queues messages and calls [`Hub::poll`] in a loop, which reports [`NetEvent`]s. A stream is one
-//! gRPC call, on accepted connections as well as on outgoing ones.
+//! The owner opens streams, queues messages and calls [`Hub::poll`] in a loop, which reports [`NetEvent`]s. A stream is
+//! one gRPC call, on accepted connections as well as on outgoing ones.
 //!
 //! A stream ends with exactly one event:
 //! * an outgoing stream with [`NetEvent::Trailers`] or [`NetEvent::Failed`];
@@ -140,14 +140,14 @@
         self.streams.len()
     }
 
-    /// Whether a new stream on a connection may start without waiting for the stream limit of the peer; false after GOAWAY.
-    /// Always true while the connection is being established.
+    /// Whether a new stream on a connection may start without waiting for the stream limit of the peer; false after
+    /// GOAWAY. Always true while the connection is being established.
     pub fn can_open(&mut self, conn: ConnKey) -> bool {
         self.conns.get_mut(conn.index()).filter(|c| c.key == conn).is_some_and(Conn::can_open)
     }
 
-    /// Whether a connection accepts no new streams, because the peer sent GOAWAY or the connection no longer exists. Open
-    /// streams continue.
+    /// Whether a connection accepts no new streams, because the peer sent GOAWAY or the connection no longer exists.
+    /// Open streams continue.
     pub fn is_going_away(&self, conn: ConnKey) -> bool {
         self.conns.get(conn.index()).filter(|c| c.key == conn).is_none_or(|c| c.closed_to_new)
     }
@@ -174,8 +174,8 @@
         }
     }
 
-    /// Shuts down all accepted connections gracefully: sends GOAWAY and accepts no new streams. Open streams continue, and
-    /// each connection is closed after its last one.
+    /// Shuts down all accepted connections gracefully: sends GOAWAY and accepts no new streams. Open streams continue,
+    /// and each connection is closed after its last one.
     pub fn go_away(&mut self) {
         for (_, conn) in self.conns.iter_mut() {
             conn.go_away();
--- a/crates/net/src/hub/poll.rs
+++ b/crates/net/src/hub/poll.rs
@@ -9,12 +9,13 @@
 use crate::clock::shorter_timeout;
 use crate::wake::Due;
 
-/// Maximum passes through the due queue in one iteration, so that peers that keep waking each other can't starve the timers.
+/// Maximum passes through the due queue in one iteration, so that peers that keep waking each other can't starve the
+/// timers.
 const MAX_DUE_PASSES: usize = 64;
 
 impl Hub {
-    /// Runs one iteration: polls due connections and streams, waits for socket events for at most `timeout` (less if anything
-    /// is due earlier), and polls those that have become due. Appends the events to `out`.
+    /// Runs one iteration: polls due connections and streams, waits for socket events for at most `timeout` (less if
+    /// anything is due earlier), and polls those that have become due. Appends the events to `out`.
     pub fn poll(&mut self, timeout: Option<Duration>, out: &mut Vec<NetEvent>) -> io::Result<()> {
         self.now = Instant::now();
         self.run_due();
--- a/crates/net/src/hub/stream.rs
+++ b/crates/net/src/hub/stream.rs
@@ -286,8 +286,8 @@
         }
     }
 
-    /// Receives messages and the end of the peer's direction. `Some` ends the poll; true in it means that the stream has
-    /// ended.
+    /// Receives messages and the end of the peer's direction. `Some` ends the poll; true in it means that the stream
+    /// has ended.
     fn poll_recv(
         &mut self,
         cx: &mut Context<'_>,
@@ -314,7 +314,8 @@
             match recv.poll_data(cx) {
                 Poll::Pending => return None,
                 Poll::Ready(Some(Ok(chunk))) => {
-                    // The receive window is released as data is read; a paused stream is not read, so its window closes.
+                    // The receive window is released as data is read; a paused stream is not read, so its window
+                    // closes.
                     let _ = recv.flow_control().release_capacity(chunk.len());
                     self.decoder.push(chunk);
                 }
@@ -341,7 +342,8 @@
         None
     }
 
-    /// Reports a message that can't be decoded. An incoming stream stays open for its response; an outgoing one is reset.
+    /// Reports a message that can't be decoded. An incoming stream stays open for its response; an outgoing one is
+    /// reset.
     fn malformed(
         &mut self,
         error: crate::framing::FrameError,
--- a/crates/net/src/hub/streams.rs
+++ b/crates/net/src/hub/streams.rs
@@ -11,13 +11,14 @@
 use crate::wake::Due;
 
 impl Hub {
-    /// Opens a stream on an outgoing connection, which may still be connecting. `None` if the connection no longer exists.
+    /// Opens a stream on an outgoing connection, which may still be connecting. `None` if the connection no longer
+    /// exists.
     pub fn open(&mut self, conn: ConnKey, request: http::Request<()>) -> Option<StreamKey> {
         self.open_stream(conn, request, None)
     }
 
-    /// Like [`Hub::open`], for a call with a deadline. `grpc-timeout` is set to the time left when the connection starts the
-    /// stream. If the deadline has passed by then, the stream fails with [`super::StreamError::NotWritten`].
+    /// Like [`Hub::open`], for a call with a deadline. `grpc-timeout` is set to the time left when the connection
+    /// starts the stream. If the deadline has passed by then, the stream fails with [`super::StreamError::NotWritten`].
     pub fn open_until(
         &mut self,
         conn: ConnKey,
--- a/crates/net/src/tcp/connect.rs
+++ b/crates/net/src/tcp/connect.rs
@@ -1,7 +1,7 @@
 //! Outgoing connections: connecting, and retries of transient failures.
 //!
-//! Only a refusal by the peer is final. Other failures (no descriptor, buffer space, local port or route) say nothing about
-//! the peer and are retried until [`super::TcpLimits::connect_timeout`].
+//! Only a refusal by the peer is final. Other failures (no descriptor, buffer space, local port or route) say nothing
+//! about the peer and are retried until [`super::TcpLimits::connect_timeout`].
 
 use std::io;
 use std::net::SocketAddr;
@@ -19,8 +19,8 @@
 const MAX_RETRY_DELAY: Duration = Duration::from_millis(40);
 
 impl Tcp {
-    /// Starts to connect. `None` if [`super::TcpLimits::outgoing`] is reached or the connect failed permanently; later failures
-    /// are reported as [`TcpEvent::Closed`].
+    /// Starts to connect. `None` if [`super::TcpLimits::outgoing`] is reached or the connect failed permanently; later
+    /// failures are reported as [`TcpEvent::Closed`].
     pub fn connect(&mut self, address: SocketAddr) -> Option<TcpKey> {
         if self.outgoing() >= self.limits.outgoing {
             self.counters.over_outgoing += 1;
--- a/crates/net/src/tcp/connection.rs
+++ b/crates/net/src/tcp/connection.rs
@@ -12,6 +12,7 @@
 /// Maximum capacity that an empty buffer retains, which limits the memory of idle connections.
 const RETAINED_BYTES: usize = 4 << 10;
 
+/// The stage of a connection that has not failed.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum Stage {
     Connecting,
@@ -30,6 +31,7 @@
     pub(super) delay: Duration,
 }
 
+/// A plain connection with its buffers.
 pub(super) struct Conn {
     pub(super) key: TcpKey,
     /// `None` between a failed connect and its retry.
@@ -39,12 +41,12 @@
     pub(super) accepted: bool,
     pub(super) readable: bool,
     pub(super) writable: bool,
-    /// The poll has reported that the peer closed its direction. Bytes sent before may still be unread; no further event
-    /// reports the end.
+    /// The poll has reported that the peer closed its sending direction. Bytes sent before may still be unread; no
+    /// further event reports the end.
     pub(super) read_closed: bool,
-    /// The peer has closed its direction, and all of its bytes were read.
+    /// The peer has closed its sending direction, and all of its bytes were read.
     pub(super) input_ended: bool,
-    /// This side has shut down its direction.
+    /// The sending direction of this side is shut down.
     pub(super) write_closed: bool,
     /// All queued bytes were sent, and the time of [`super::TcpLimits::linger`] is running.
     pub(super) is_lingering: bool,
@@ -74,8 +76,8 @@
     pub(super) deadline: Option<Instant>,
 }
 
-/// Writes queued bytes to the socket. An error is reported by the next read, after the bytes received before it. Once all
-/// output of a finished connection was sent, shuts down the sending direction.
+/// Writes queued bytes to the socket. An error is reported by the next read, after the bytes received before it. Once
+/// all output of a finished connection was sent, shuts down the sending direction.
 pub(super) fn flush(conn: &mut Conn) {
     let Some(socket) = &mut conn.socket else { return };
     while conn.writable && !conn.output.is_empty() && conn.stage != Stage::Connecting {
@@ -110,7 +112,7 @@
     Drained,
     /// A limit was reached; there may be more bytes.
     More,
-    /// The peer has closed its direction.
+    /// The peer has closed its sending direction.
     Ended,
     /// The connection broke.
     Broken,
--- a/crates/net/src/tcp/input.rs
+++ b/crates/net/src/tcp/input.rs
@@ -8,26 +8,26 @@
 use super::{ConnectionFailure, Tcp, TcpEvent, TcpKey};
 
 impl Tcp {
-    /// Bytes that were received; the owner removes from the front those that it has handled. `None` if the connection is not
-    /// open.
+    /// Bytes that were received; the owner removes from the front those that it has handled. `None` if the connection
+    /// is not open.
     pub fn input(&mut self, key: TcpKey) -> Option<&mut BytesMut> {
         self.get_mut(key).filter(|c| c.stage == Stage::Open).map(|c| &mut c.input)
     }
 
-    /// The earliest time at which the bytes read last may have arrived. A process that reads late leaves data waiting in the
-    /// kernel while timeouts of the sender are running. A poll that slept and returned within its timeout reports data as it
-    /// arrives; otherwise the data may have arrived since the poll before.
+    /// The earliest time at which the bytes read last may have arrived. A process that reads late leaves data waiting
+    /// in the kernel while timeouts of the sender are running. A poll that slept and returned within its timeout
+    /// reports data as it arrives; otherwise the data may have arrived since the poll before.
     pub fn earliest_arrival(&self, key: TcpKey) -> Instant {
         self.get(key).map_or(self.now, |conn| conn.arrived_at)
     }
 
-    /// Whether the poll has reported that the peer closed its direction; bytes sent before may still be unread.
+    /// Whether the poll has reported that the peer closed its sending direction; bytes sent before may still be unread.
     pub fn is_read_closed(&self, key: TcpKey) -> bool {
         self.get(key).is_some_and(|conn| conn.read_closed || conn.input_ended)
     }
 
-    /// Reads once more, for an owner that is about to close an idle connection. True if nothing has arrived; otherwise the
-    /// next poll reports the data or the end.
+    /// Reads once more, for an owner that is about to close an idle connection. True if nothing has arrived; otherwise
+    /// the next poll reports the data or the end.
     pub fn confirm_idle(&mut self, key: TcpKey) -> bool {
         let before = match self.get_mut(key) {
             Some(conn) if conn.stage == Stage::Open && !conn.input_ended => {
--- a/crates/net/src/tcp/last_poll.rs
+++ b/crates/net/src/tcp/last_poll.rs
@@ -1,13 +1,13 @@
-//! Estimates the earliest arrival time of data that a poll reports. A process that is delayed, stopped or interrupted reads
-//! late, while timeouts of the senders are running.
+//! Estimates the earliest arrival time of data that a poll reports. A process that is delayed, stopped or interrupted
+//! reads late, while timeouts of the senders are running.
 
 use std::time::{Duration, Instant};
 
-/// A poll that returns within this time is taken not to have slept.
-const AT_ONCE: Duration = Duration::from_millis(1);
-/// Delay beyond the timeout of a poll from which on the process is taken not to have been running. Timeouts are rounded up
-/// to whole milliseconds.
-const OVERSLEPT: Duration = Duration::from_millis(3);
+/// A poll that returns earlier than this is assumed not to have slept.
+const MIN_SLEEP: Duration = Duration::from_millis(1);
+/// A poll that exceeds its timeout by more than this indicates that the process was not running. The tolerance is
+/// needed because timeouts are rounded up to whole milliseconds.
+const OVERSLEEP_TOLERANCE: Duration = Duration::from_millis(3);
 
 /// The times and the outcome of one poll.
 #[derive(Clone, Copy, Debug)]
@@ -17,7 +17,7 @@
     /// When the poll returned, as read by the process, which may be late if the process was stopped in between.
     pub(super) returned: Instant,
     /// Timeout of the poll.
-    pub(super) wait: Option<Duration>,
+    pub(super) timeout: Option<Duration>,
     /// The poll was interrupted and reported nothing.
     pub(super) interrupted: bool,
 }
@@ -26,11 +26,12 @@
     /// Whether the poll slept longer than its timeout, which means that the process was not running for some time.
     fn overslept(&self) -> bool {
         let slept = self.returned.saturating_duration_since(self.began);
-        self.wait.is_some_and(|wait| slept > wait + OVERSLEPT)
+        self.timeout.is_some_and(|timeout| slept > timeout + OVERSLEEP_TOLERANCE)
     }
 
-    /// Whether events that have occurred by now may be missing: the poll was interrupted, or the process was stopped after
-    /// the kernel had collected the events. A timer that fires now might miss, for instance, that a client has disconnected.
+    /// Whether events that have occurred by now may be missing: the poll was interrupted, or the process was stopped
+    /// after the kernel had collected the events. A timer that fires now might miss, for instance, that a client has
+    /// disconnected.
     pub(super) fn is_outdated(&self) -> bool {
         self.interrupted || self.overslept()
     }
@@ -46,22 +47,22 @@
         Self(now)
     }
 
-    /// Records a poll and returns the earliest time at which the reported data may have arrived. That is the return of this
-    /// poll if it slept and was woken in time. It is the poll before if this one did not sleep, as the data may have been
-    /// there already, or if this one overslept, as the process was not running.
+    /// Records a poll and returns the earliest time at which the reported data may have arrived. That is the return of
+    /// this poll if it slept and was woken in time. It is the poll before if this one did not sleep, as the data may
+    /// have been there already, or if this one overslept, as the process was not running.
     pub(super) fn record(&mut self, poll: PollResult) -> Instant {
-        let before = self.0;
+        let previous = self.0;
         if poll.interrupted {
-            // An interrupted poll reports nothing. A process that was stopped during a poll finds it interrupted, and the
-            // next poll reports the data that arrived meanwhile.
-            return before;
+            // An interrupted poll reports nothing. A process that was stopped during a poll finds it interrupted, and
+            // the next poll reports the data that arrived meanwhile.
+            return previous;
         }
         let slept = poll.returned.saturating_duration_since(poll.began);
-        let at_once = slept < AT_ONCE || poll.wait == Some(Duration::ZERO);
+        let has_not_slept = slept < MIN_SLEEP || poll.timeout == Some(Duration::ZERO);
         let overslept = poll.overslept();
         // A poll that overslept may have collected its events at its start, before the process was stopped.
         self.0 = if overslept { poll.began } else { poll.returned };
-        if at_once || overslept { before } else { poll.returned }
+        if has_not_slept || overslept { previous } else { poll.returned }
     }
 }
 
--- a/crates/net/src/tcp/limits.rs
+++ b/crates/net/src/tcp/limits.rs
@@ -7,14 +7,15 @@
 pub struct TcpLimits {
     /// Maximum accepted connections. A further one replaces a finished connection, or is closed immediately.
     pub accepted: usize,
-    /// Maximum connections accepted from a listener in one poll. Further ones wait in the kernel until the next poll, before
-    /// which the owner may close other connections.
+    /// Maximum connections accepted from a listener in one poll. Further ones wait in the kernel until the next poll,
+    /// before which the owner may close other connections.
     pub accepts_per_poll: usize,
     /// Maximum outgoing connections; further ones are not started.
     pub outgoing: usize,
     /// Maximum bytes read from a connection and not consumed by the owner; more remains in the kernel.
     pub input: usize,
-    /// Maximum bytes queued on a connection; when more is queued the connection is closed as [`super::ConnectionFailure::Slow`].
+    /// Maximum bytes queued on a connection; when more is queued the connection is closed as
+    /// [`super::ConnectionFailure::Slow`].
     pub output: usize,
     /// Bytes read from a connection in one poll, after which the rest is left to the next poll.
     pub read_quota: usize,
@@ -22,9 +23,9 @@
     pub connect_timeout: Duration,
     /// Time after [`super::Tcp::finish`] in which the queued bytes must be sent; the connection is closed afterwards.
     pub drain: Duration,
-    /// Time after the last queued byte was sent for which received data is discarded before the socket is closed. Closing with
-    /// unread data would reset the connection, and the peer could lose the last bytes. It ends early when the peer closes its
-    /// direction.
+    /// Time after the last queued byte was sent for which received data is discarded before the socket is closed.
+    /// Closing with unread data would reset the connection, and the peer could lose the last bytes. It ends early when
+    /// the peer closes its sending direction.
     pub linger: Duration,
 }
 
--- a/crates/net/src/tcp/mod.rs
+++ b/crates/net/src/tcp/mod.rs
@@ -1,11 +1,13 @@
-//! Plain TCP connections on one mio poll, with bounded buffers and one alarm per connection. This module is independent of
-//! the protocol.
+//! Plain TCP connections on one mio poll, with bounded buffers and one alarm per connection. This module is independent
+//! of the protocol.
 //!
-//! The owner parses the input of each connection, queues output, and calls [`Tcp::poll`], which reports [`TcpEvent`]s. A
-//! connection ends with exactly one [`TcpEvent::Closed`], unless its owner ends it with [`Tcp::close`] or [`Tcp::finish`].
+//! The owner parses the input of each connection, queues output, and calls [`Tcp::poll`], which reports [`TcpEvent`]s.
+//! A connection ends with exactly one [`TcpEvent::Closed`], unless its owner ends it with [`Tcp::close`] or
+//! [`Tcp::finish`].
 //!
 //! * `events`, `limits`: events, limits and counters. `connection`: the state of one connection.
-//! * `poll`: the event loop. `accept`, `connect`: incoming and outgoing connections. `linger`: orderly close by the owner.
+//! * `poll`: the event loop. `accept`, `connect`: incoming and outgoing connections. `linger`: orderly close by the
+//!   owner.
 //! * `input`, `output`: received and queued bytes. `last_poll`: when received bytes may have arrived.
 
 mod accept;
@@ -83,7 +85,8 @@
         let now = Instant::now();
         Ok(Self {
             poll: Poll::new()?,
-            // Large enough for all sockets at once: for an event left to the next poll, the arrival time would be unknown.
+            // Large enough for all sockets at once: for an event left to the next poll, the arrival time would be
+            // unknown.
             events: Events::with_capacity((limits.accepted + limits.outgoing + 64).min(MAX_EVENTS)),
             conns: Slab::new(),
             accepted: 0,
@@ -247,8 +250,8 @@
         }
     }
 
-    /// Whether the last poll left nothing unhandled: no pending connection because of a lack of descriptors or of a limit, no
-    /// unread data and no unreported event.
+    /// Whether the last poll left nothing unhandled: no pending connection because of a lack of descriptors or of a
+    /// limit, no unread data and no unreported event.
     pub fn caught_up(&self) -> bool {
         let accepted = self.accept_at.is_none() && self.unfinished_accepts.is_empty();
         accepted && self.ready.is_empty() && self.out.is_empty()
--- a/crates/net/src/tcp/poll.rs
+++ b/crates/net/src/tcp/poll.rs
@@ -8,13 +8,12 @@
 use super::{ConnectionFailure, LISTENERS, SOURCES, Tcp, TcpEvent};
 use crate::clock::shorter_timeout;
 
-/// Maximum non-blocking polls after one that was interrupted or overslept. The limit is needed because each may be
-/// interrupted as well.
+/// Maximum non-blocking polls after one that was interrupted or overslept, as each may be interrupted as well.
 const MAX_REPEATED_POLLS: usize = 8;
 
 impl Tcp {
-    /// Runs one iteration: sends queued bytes, polls for at most `timeout` (less if an alarm, a retry or unfinished work is
-    /// due earlier), and reads received bytes. Appends the events to `out`.
+    /// Runs one iteration: sends queued bytes, polls for at most `timeout` (less if an alarm, a retry or unfinished
+    /// work is due earlier), and reads received bytes. Appends the events to `out`.
     pub fn poll(&mut self, timeout: Option<Duration>, out: &mut Vec<TcpEvent>) -> io::Result<()> {
         self.now = Instant::now();
         for key in std::mem::take(&mut self.to_remove) {
@@ -42,23 +41,23 @@
             let Some(key) = self.ready.pop_front() else { break };
             self.process(key);
         }
-        // Alarms fire last, because one poll may report both a request and the idle timeout of its connection, or both an
-        // established connection and its connect timeout.
+        // Alarms fire last, because one poll may report both a request and the idle timeout of its connection, or both
+        // an established connection and its connect timeout.
         self.fire_alarms();
         out.append(&mut self.out);
         Ok(())
     }
 
     /// Polls once and records the reported events. Returns whether further events may have occurred by its return.
-    fn poll_once(&mut self, wait: Option<Duration>) -> io::Result<bool> {
+    fn poll_once(&mut self, timeout: Option<Duration>) -> io::Result<bool> {
         let began = Instant::now();
-        let interrupted = match self.poll.poll(&mut self.events, wait) {
+        let interrupted = match self.poll.poll(&mut self.events, timeout) {
             Ok(()) => false,
             Err(e) if e.kind() == io::ErrorKind::Interrupted => true,
             Err(e) => return Err(e),
         };
         self.now = Instant::now();
-        let result = PollResult { began, returned: self.now, wait, interrupted };
+        let result = PollResult { began, returned: self.now, timeout, interrupted };
         self.earliest_arrival = self.last_poll.record(result);
         if !interrupted {
             self.read_events();
--- a/crates/net/tests/hub.rs
+++ b/crates/net/tests/hub.rs
@@ -87,18 +87,18 @@
 #[test]
 fn call_is_answered_with_its_status() {
     let mut pair = Pair::new(NetLimits::default());
-    let ours = pair.open();
-    pair.hub.send(ours, Bytes::from_static(b"tensors"));
-    pair.hub.finish(ours, None);
-    let theirs = pair.request();
-    assert_eq!(pair.message(theirs), Bytes::from_static(b"tensors"));
-    pair.wait(|e| matches!(e, NetEvent::HalfClosed { stream } if *stream == theirs).then_some(()));
-    pair.hub.respond(theirs, Response::new(()));
-    pair.hub.send(theirs, Bytes::from(vec![7; 3 << 20]));
-    pair.hub.finish(theirs, Some(Status::new(Code::Ok, "").trailers()));
-    assert_eq!(pair.message(ours).len(), 3 << 20);
-    assert_eq!(Status::read(&pair.trailers(ours)).expect("a status").code, Code::Ok);
-    pair.wait(|e| matches!(e, NetEvent::Sent { stream } if *stream == theirs).then_some(()));
+    let client_stream = pair.open();
+    pair.hub.send(client_stream, Bytes::from_static(b"tensors"));
+    pair.hub.finish(client_stream, None);
+    let server_stream = pair.request();
+    assert_eq!(pair.message(server_stream), Bytes::from_static(b"tensors"));
+    pair.wait(|e| matches!(e, NetEvent::HalfClosed { stream } if *stream == server_stream).then_some(()));
+    pair.hub.respond(server_stream, Response::new(()));
+    pair.hub.send(server_stream, Bytes::from(vec![7; 3 << 20]));
+    pair.hub.finish(server_stream, Some(Status::new(Code::Ok, "").trailers()));
+    assert_eq!(pair.message(client_stream).len(), 3 << 20);
+    assert_eq!(Status::read(&pair.trailers(client_stream)).expect("a status").code, Code::Ok);
+    pair.wait(|e| matches!(e, NetEvent::Sent { stream } if *stream == server_stream).then_some(()));
     assert_eq!(pair.hub.open_streams(), 0);
 }
 
@@ -137,7 +137,7 @@
     let head = || Request::post("http://w/x").body(()).expect("a request");
     let (deadline, later) = (Instant::now() + TEST_TIMEOUT, Instant::now() + Duration::from_millis(200));
     let expired = hub.open_until(conn, head(), later).expect("connection exists");
-    let waits = hub.open_until(conn, head(), deadline).expect("connection exists");
+    let waiting = hub.open_until(conn, head(), deadline).expect("connection exists");
     // Nothing is sent before the first poll.
     while Instant::now() < later {
         std::thread::yield_now();
@@ -164,17 +164,17 @@
         "sent {timeouts:?}, {left:?} were left before the request was sent"
     );
     assert_eq!(failed, [(expired, StreamError::NotWritten)]);
-    assert!(hub.is_open(waits));
+    assert!(hub.is_open(waiting));
 }
 
 #[test]
 fn refused_reset_and_broken_streams_are_distinguished() {
     let mut pair = Pair::new(NetLimits::default());
     let (a, b, c) = (pair.open(), pair.open(), pair.open());
-    let (sa, sb, _sc) = (pair.request(), pair.request(), pair.request());
-    pair.hub.reset(sa, h2::Reason::REFUSED_STREAM);
+    let (server_a, server_b, _) = (pair.request(), pair.request(), pair.request());
+    pair.hub.reset(server_a, h2::Reason::REFUSED_STREAM);
     assert_eq!(pair.failure(a), StreamError::Refused);
-    pair.hub.reset(sb, h2::Reason::INTERNAL_ERROR);
+    pair.hub.reset(server_b, h2::Reason::INTERNAL_ERROR);
     assert!(matches!(pair.failure(b), StreamError::Reset(_)));
     pair.hub.close(pair.server);
     assert_eq!(pair.failure(c), StreamError::Broken);
@@ -216,13 +216,13 @@
 #[test]
 fn connection_cut_inside_a_frame_is_broken() {
     let mut pair = Pair::new(NetLimits::default());
-    let ours = pair.open();
-    let theirs = pair.request();
-    pair.hub.respond(theirs, Response::new(()));
+    let client_stream = pair.open();
+    let server_stream = pair.request();
+    pair.hub.respond(server_stream, Response::new(()));
     pair.wait(|e| matches!(e, NetEvent::Head { .. }).then_some(()));
     pair.hub.cut_after(pair.server, 40);
-    pair.hub.send(theirs, Bytes::from(vec![1; 1000]));
-    assert_eq!(pair.failure(ours), StreamError::Broken);
+    pair.hub.send(server_stream, Bytes::from(vec![1; 1000]));
+    assert_eq!(pair.failure(client_stream), StreamError::Broken);
 }
 
 #[test]
@@ -252,32 +252,32 @@
 #[test]
 fn stream_with_too_large_a_message_can_still_be_answered() {
     let mut pair = Pair::new(NetLimits { message_bytes: 1000, ..NetLimits::default() });
-    let ours = pair.open();
-    pair.hub.send(ours, Bytes::from(vec![0; 1001]));
-    let theirs = pair.request();
+    let client_stream = pair.open();
+    pair.hub.send(client_stream, Bytes::from(vec![0; 1001]));
+    let server_stream = pair.request();
     let error = pair.wait(|e| match e {
-        NetEvent::Malformed { stream, error } if *stream == theirs => Some(error.clone()),
+        NetEvent::Malformed { stream, error } if *stream == server_stream => Some(error.clone()),
         _ => None,
     });
     assert_eq!(error, framing::FrameError::TooLarge { got: 1001, most: 1000 });
     let status = Status::new(Code::ResourceExhausted, error.to_string());
     let mut head = Response::new(());
     *head.headers_mut() = status.trailers();
-    pair.hub.respond_only(theirs, head);
-    assert_eq!(Status::read(&pair.trailers(ours)).expect("a status"), status);
+    pair.hub.respond_only(server_stream, head);
+    assert_eq!(Status::read(&pair.trailers(client_stream)).expect("a status"), status);
     assert_eq!(pair.hub.counters().bad_messages, 1);
 }
 
 #[test]
 fn cancel_is_reported_after_the_client_has_sent_everything() {
     let mut pair = Pair::new(NetLimits::default());
-    let ours = pair.open();
-    pair.hub.send(ours, Bytes::from_static(b"x"));
-    pair.hub.finish(ours, None);
-    let theirs = pair.request();
-    pair.message(theirs);
-    pair.hub.reset(ours, h2::Reason::CANCEL);
-    assert!(matches!(pair.failure(theirs), StreamError::Reset(_)));
+    let client_stream = pair.open();
+    pair.hub.send(client_stream, Bytes::from_static(b"x"));
+    pair.hub.finish(client_stream, None);
+    let server_stream = pair.request();
+    pair.message(server_stream);
+    pair.hub.reset(client_stream, h2::Reason::CANCEL);
+    assert!(matches!(pair.failure(server_stream), StreamError::Reset(_)));
 }
 
 #[test]
@@ -304,11 +304,11 @@
         .hub
         .open(other, Request::post("http://w/x").body(()).expect("a request"))
         .expect("connection exists");
-    let theirs = pair.wait(|e| match e {
+    let server_stream = pair.wait(|e| match e {
         NetEvent::Request { stream, conn, .. } if *conn != server => Some(*stream),
         _ => None,
     });
-    pair.hub.respond_only(theirs, Response::new(()));
+    pair.hub.respond_only(server_stream, Response::new(()));
     pair.trailers(other_stream);
 }
 
--- a/crates/net/tests/tcp.rs
+++ b/crates/net/tests/tcp.rs
@@ -69,7 +69,7 @@
         _ => None,
     });
     assert_eq!(seen, b"last");
-    tcp.send(key, b"answer").expect("it takes answers");
+    tcp.send(key, b"answer").expect("the connection accepts output");
     tcp.finish(key);
     tcp.flush_all();
     let mut answer = Vec::new();
@@ -223,7 +223,7 @@
     let key = accepted(&mut tcp);
     tcp.send(key, b"last words");
     tcp.finish(key);
-    // The old client has not closed its direction, so that the connection lingers.
+    // The old client has not closed its sending direction, so that the connection lingers.
     let _new = TcpStream::connect(address).expect("it listens");
     accepted(&mut tcp);
     assert_eq!((tcp.counters().over_accepted, tcp.counters().lingering_evicted), (0, 1));
--- a/crates/proto/build.rs
+++ b/crates/proto/build.rs
@@ -12,8 +12,8 @@
         println!("cargo::rerun-if-changed={file}");
     }
     let set = protox::compile(files, ["proto"])?;
-    // Ordered maps give equal messages equal encodings. The generated doc comments only refer to the published definitions,
-    // which document the messages.
+    // Ordered maps give equal messages equal encodings. The generated doc comments only refer to the published
+    // definitions, which document the messages.
     prost_build::Config::new()
         .btree_map(["."])
         .bytes(["."])
--- a/crates/proto/src/lib.rs
+++ b/crates/proto/src/lib.rs
@@ -63,8 +63,8 @@
 
     /// Trailer with a base64-encoded report (gRFC A51).
     pub const TRAILER: &str = "endpoint-load-metrics-bin";
-    /// Named metric: state of the replica for this call. 1: it was loaded; 2: the call started the load; 3: the call waited
-    /// for the load; 4: the load failed.
+    /// Named metric: state of the replica for this call. 1: it was loaded; 2: the call started the load; 3: the call
+    /// waited for the load; 4: the load failed.
     pub const LOAD_NOTE: &str = "nettleferry.copy_note";
     /// Named metric: calls of the same model at the worker when this call arrived.
     pub const SAME_MODEL_CALLS: &str = "nettleferry.same_model_calls";
@@ -91,8 +91,8 @@
     pub const LOAD_FAILED: &str = "load-failed";
     /// Value of [`NEVER_RAN`]: the worker has seen a later incarnation of the same controller, see [`FENCE`].
     pub const FENCED: &str = "fenced";
-    /// Header to workers: the fencing token of the controller's incarnation, which is higher for a later incarnation. A worker
-    /// that has seen a higher token of the same controller rejects the call without reading it.
+    /// Header to workers: the fencing token of the controller's incarnation, which is higher for a later incarnation. A
+    /// worker that has seen a higher token of the same controller rejects the call without reading it.
     pub const FENCE: &str = "nettleferry-fence";
     /// Header to workers: the number of the controller.
     pub const CONTROLLER: &str = "nettleferry-controller";
--- a/crates/proto/src/peek.rs
+++ b/crates/proto/src/peek.rs
@@ -1,5 +1,5 @@
-//! Reads the metadata of inference messages that a gateway needs, by iterating over the top-level fields of the protobuf
-//! encoding. Tensors are neither decoded nor copied.
+//! Reads the metadata of inference messages that a gateway needs, by iterating over the top-level fields of the
+//! protobuf encoding. Tensors are neither decoded nor copied.
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use prost::encoding::{WireType, decode_key, decode_varint, encode_key, encode_varint};
--- a/crates/proto/src/remote_write.rs
+++ b/crates/proto/src/remote_write.rs
@@ -1,7 +1,8 @@
 //! Prometheus remote write 1.0 and 2.0: encodes series to compressed request bodies, and decodes them.
 //!
 //! Specified in "Prometheus Remote-Write Specification" 1.0 and 2.0. A body is one protobuf message in the snappy block
-//! format. Labels are sorted by name, the metric name is the label `__name__`, and timestamps are milliseconds since 1970.
+//! format. Labels are sorted by name, the metric name is the label `__name__`, and timestamps are milliseconds since
+//! 1970.
 
 use std::collections::HashMap;
 
@@ -115,8 +116,8 @@
         }
     }
 
-    /// Decodes a histogram with its timestamp. `None` if the bucket counts do not match the total count, or if it uses an
-    /// unsupported feature.
+    /// Decodes a histogram with its timestamp. `None` if the bucket counts do not match the total count, or if it uses
+    /// an unsupported feature.
     fn decode(message: &v2::Histogram) -> Option<(i64, Self)> {
         let Some(v2::histogram::Count::CountInt(count)) = message.count else { return None };
         let (mut buckets, mut deltas) = (Vec::new(), message.positive_deltas.iter());
