--- a/crates/administration/src/follower/leader_client.rs
+++ b/crates/administration/src/follower/leader_client.rs
@@ -9,7 +9,7 @@
 use nettleferry_fleet::follower_requests::{
     DEREGISTRATION_TIMEOUT, Heartbeat, SNAPSHOT_TIMEOUT, Timing, deregistration_target,
 };
-use nettleferry_net::post::{Answer, Http1Client, Http1Error};
+use nettleferry_net::http1_client::{Answer, Http1Client, Http1Error};
 use nettleferry_tenancy::replication::ReplicationRequest;
 
 /// The client.
--- a/crates/administration/src/follower/replica.rs
+++ b/crates/administration/src/follower/replica.rs
@@ -15,7 +15,7 @@
 use nettleferry_fleet::lease::{self, MAX_SPAN, MIN_SPAN};
 use nettleferry_fleet::membership::Version;
 use nettleferry_fleet::snapshot_version::{SnapshotVersion, VersionOrder};
-use nettleferry_net::post::{Answer, Http1Error};
+use nettleferry_net::http1_client::{Answer, Http1Error};
 use nettleferry_tenancy::replication::{
     Follower as Replication, ReplicationRequest, ReplicationResponse, Update,
 };
--- a/crates/administration/src/follower/responses.rs
+++ b/crates/administration/src/follower/responses.rs
@@ -1,6 +1,6 @@
 //! The leader's responses to a follower's requests, and what they mean.
 
-use nettleferry_net::post::Answer;
+use nettleferry_net::http1_client::Answer;
 use nettleferry_tenancy::Entry;
 use nettleferry_tenancy::replication::{ReplicationRequest, ReplicationResponse};
 use serde::Deserialize;
--- a/crates/administration/src/peer_client.rs
+++ b/crates/administration/src/peer_client.rs
@@ -6,7 +6,7 @@
 use std::sync::mpsc::{Receiver, Sender, channel, sync_channel};
 use std::time::Duration;
 
-use nettleferry_net::post::{Answer, Http1Client, Http1Error};
+use nettleferry_net::http1_client::{Answer, Http1Client, Http1Error};
 use serde::Deserialize;
 
 use crate::snapshot_document::SnapshotDocument;
--- a/crates/gateway/benches/measure.rs
+++ b/crates/gateway/benches/measure.rs
@@ -377,7 +377,7 @@
 
 /// From an accepted change to the moment at which each controller has said that it took it in.
 fn force(followers: u32) {
-    use nettleferry_net::post::Http1Client;
+    use nettleferry_net::http1_client::Http1Client;
     let key = |name: &str, role: &str| {
         let out = Command::new(PROGRAM).args(["admin", "key", name, role]).output().expect("it runs");
         let text = String::from_utf8_lossy(&out.stdout).into_owned();
--- a/crates/gateway/src/commands/admin/client.rs
+++ b/crates/gateway/src/commands/admin/client.rs
@@ -5,8 +5,7 @@
 use std::time::Duration;
 
 use clap::Args;
-use nettleferry_net::http1_client::Answer;
-use nettleferry_net::post::Http1Client;
+use nettleferry_net::http1_client::{Answer, Http1Client};
 use serde_json::Value;
 
 use super::super::console::read_file;
--- a/crates/gateway/src/commands/error.rs
+++ b/crates/gateway/src/commands/error.rs
@@ -6,7 +6,7 @@
 
 use nettleferry_alerts::rules::RuleError;
 use nettleferry_alerts::unit::UnitTestError;
-use nettleferry_net::post::Http1Error;
+use nettleferry_net::http1_client::Http1Error;
 use nettleferry_node::NodeError;
 use nettleferry_scenario::run::ScenarioError;
 use nettleferry_soak::SoakError;
--- a/crates/gateway/src/remote_write/response.rs
+++ b/crates/gateway/src/remote_write/response.rs
@@ -3,7 +3,7 @@
 use std::time::SystemTime;
 
 use nettleferry::Micros;
-use nettleferry_net::post::Answer;
+use nettleferry_net::http1_client::Answer;
 use nettleferry_proto::remote_write::Version;
 use nettleferry_remote_write::{Acceptance, Response};
 use tracing::warn;
--- a/crates/gateway/src/remote_write/worker.rs
+++ b/crates/gateway/src/remote_write/worker.rs
@@ -10,7 +10,7 @@
 use nettleferry_config::settings::RemoteWriteSettings;
 use nettleferry_metrics::{LATENCY_NAME, Metrics, RemoteWriteState, sample};
 use nettleferry_net::clock::{Clock, wall};
-use nettleferry_net::post::{Answer, Http1Client, Http1Error};
+use nettleferry_net::http1_client::{Answer, Http1Client, Http1Error};
 use nettleferry_proto::remote_write::{self, NativeHistogram, Series, SeriesKind, Version};
 use nettleferry_remote_write::{
     Acceptance, Backoff, Limits, Negotiation, ProtocolVersion, Queue, Response, SampleClock,
--- a/crates/hollow/src/followers/run.rs
+++ b/crates/hollow/src/followers/run.rs
@@ -8,7 +8,7 @@
 use mio::{Events, Poll, Token, Waker};
 use nettleferry_fleet::follower_requests::{DEREGISTRATION_TIMEOUT, deregistration_target};
 use nettleferry_net::clock::wall;
-use nettleferry_net::http1_client::{Answer, ClientConnection, Http1Error, encode_request};
+use nettleferry_net::http1_client_connection::{Answer, ClientConnection, Http1Error, encode_request};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
--- a/crates/net/src/post/tests.rs
+++ b/crates/net/src/http1_client/tests.rs
@@ -1,8 +1,8 @@
-//! Unit tests of `post`.
+//! Unit tests of `http1_client`.
 
 use super::*;
 use crate::http1::{Http1Limits, Http1Server, Reply};
-use crate::http1_client::parse;
+use crate::http1_client_connection::parse;
 
 fn wait(client: &mut Http1Client) -> Result<Answer, Http1Error> {
     let (mut out, until) = (Vec::new(), Instant::now() + Duration::from_secs(30));
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -9,7 +9,7 @@
 //!
 //! * [`hub`]: HTTP/2 connections and streams. [`io`]: a mio socket as `AsyncRead`/`AsyncWrite`.
 //! * [`http1`]: a small HTTP/1.1 server, for instance for metrics.
-//! * [`post`]: an HTTP/1.1 client; [`http1_client`]: a single client connection.
+//! * [`http1_client`]: an HTTP/1.1 client. [`http1_client_connection`]: one of its connections.
 //! * [`framing`]: length-prefixed messages. [`grpc`]: status codes, timeouts, percent-encoded and binary headers.
 //! * [`tcp`]: plain TCP connections, for protocols other than HTTP/2. [`clock`]: the process clock.
 //! * [`limits`]: limits and counters of the hub. [`retry`]: retries of startup steps.
@@ -21,10 +21,10 @@
 pub mod grpc;
 pub mod http1;
 pub mod http1_client;
+pub mod http1_client_connection;
 pub mod hub;
 pub mod io;
 pub mod limits;
-pub mod post;
 pub mod retry;
 pub mod tcp;
 mod wake;
--- a/crates/scale/src/measure/administration/api.rs
+++ b/crates/scale/src/measure/administration/api.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use nettleferry_net::post::{Answer, Http1Client, Http1Error};
+use nettleferry_net::http1_client::{Answer, Http1Client, Http1Error};
 use serde::Deserialize;
 use serde_json::json;
 
