--- a/tests/guards.rs
+++ b/tests/guards.rs
@@ -247,7 +247,7 @@
     assert_eq!(
         sent(&harness.call(7, 0, 9, 4)),
         Some(home),
-        "neither ejected nor in slow start, and its replica stands"
+        "neither ejected nor in slow start, and its replica is kept"
     );
 }
 
@@ -305,7 +305,10 @@
     harness.end_attempt(1, 0, home, Outcome::Ok, Some(LoadNote::Warm));
     harness.advance(S);
     let known = harness.call(2, 0, 9, 2);
-    assert!(probes(&known) == 1 && sends(&known).is_empty(), "where its replica stands, its load is probed");
+    assert!(
+        probes(&known) == 1 && sends(&known).is_empty(),
+        "the load of the worker with its replica is probed"
+    );
     // When the home drains, an additional replica may be loaded elsewhere, and that worker is probed first.
     let next = harness.update_worker(home, WorkerState::Draining, None);
     assert!(probes(&next) == 1 && sends(&next).is_empty(), "a replica is known elsewhere");
@@ -563,7 +566,7 @@
     let (worker, function) = (WorkerId(at), FunctionId(9));
     let loaded = Event::Loaded { worker, function, outcome: Outcome::Ok, replicas: 1, elapsed: 100 * MS };
     let loaded = harness.handle(loaded);
-    assert!(sends(&loaded).contains(&(11, at)), "it goes to the replica that stands: {loaded:?}");
+    assert!(sends(&loaded).contains(&(11, at)), "it is sent to the loaded replica: {loaded:?}");
 }
 
 #[test]
