--- a/crates/engine/src/commands.rs
+++ b/crates/engine/src/commands.rs
@@ -27,7 +27,7 @@
     /// No worker of the list accepts calls.
     NoWorker,
     /// No worker had capacity in time, or each attempt was rejected.
-    NoRoom,
+    NoCapacity,
     /// [`crate::Event::TenantRemoved`], and no attempt can have run.
     TenantRemoved,
     /// [`crate::Event::ClientsDisconnected`], and no attempt can have run.
--- a/crates/engine/src/engine/actions.rs
+++ b/crates/engine/src/engine/actions.rs
@@ -36,7 +36,7 @@
 
     fn refuse(&mut self, call: CallId, retry_after: Option<Micros>) {
         let in_service = self.workers.values().any(|state| *state == WorkerState::On);
-        let reason = if in_service { Refusal::NoRoom } else { Refusal::NoWorker };
+        let reason = if in_service { Refusal::NoCapacity } else { Refusal::NoWorker };
         self.answer(call, FinalAnswer::Refused { reason, retry_after });
     }
 
--- a/crates/engine/src/engine/calls.rs
+++ b/crates/engine/src/engine/calls.rs
@@ -119,7 +119,7 @@
             if !self.calls.contains_key(&client.call) {
                 continue;
             }
-            if client.answered {
+            if client.expects_answer {
                 let reason = Refusal::ClientDisconnected;
                 let may_have_run = self.may_have_run(client.call);
                 self.answer(client.call, unserved(may_have_run, reason, "its client's side ended"));
--- a/crates/engine/src/events.rs
+++ b/crates/engine/src/events.rs
@@ -55,7 +55,7 @@
     /// Its state.
     pub state: WorkerState,
     /// When its process started, on the engine's clock.
-    pub born: Option<Micros>,
+    pub started_at: Option<Micros>,
 }
 
 /// An event that the engine handles. Calls are opened with [`crate::Engine::open`].
@@ -140,7 +140,7 @@
     /// Its call.
     pub call: CallId,
     /// Its connection still takes an answer: the call gets its final answer at once.
-    pub answered: bool,
+    pub expects_answer: bool,
 }
 
 /// What the end of an attempt reports besides its result.
--- a/crates/engine/src/names.rs
+++ b/crates/engine/src/names.rs
@@ -155,7 +155,7 @@
             weight: member.weight,
             cell: CellId(u64::from(number(&mut self.cells, &member.cell))),
             state: member.state,
-            started_at: member.born,
+            started_at: member.started_at,
         }
     }
 
--- a/crates/engine/src/outcome.rs
+++ b/crates/engine/src/outcome.rs
@@ -17,7 +17,7 @@
     /// Nothing of the request was written before the connection ended.
     NotWritten,
     /// All connections or streams to the worker that the limits allow are in use.
-    NoRoom,
+    ConnectionsExhausted,
     /// RST_STREAM REFUSED_STREAM.
     RefusedStream,
     /// A GOAWAY whose last stream id is below the attempt's.
@@ -30,7 +30,7 @@
     MarkedLoadFailed,
     /// The worker answered that the request had expired or was cancelled when it arrived: it never ran (the platform's
     /// `nobody`).
-    Unwanted,
+    AlreadyEnded,
     /// Any other failing status.
     Status {
         /// The status and its message, for people.
@@ -56,9 +56,11 @@
             Self::Served | Self::Rejected(_) => Outcome::Ok,
             Self::NotConnected => Outcome::ConnectFailed,
             Self::NotWritten => Outcome::PartlySent,
-            Self::NoRoom | Self::RefusedStream | Self::GoneAway | Self::MarkedFull => Outcome::Rejected,
+            Self::ConnectionsExhausted | Self::RefusedStream | Self::GoneAway | Self::MarkedFull => {
+                Outcome::Rejected
+            }
             Self::MarkedMiss | Self::MarkedLoadFailed => Outcome::NotLoaded,
-            Self::Unwanted => Outcome::NeverSent,
+            Self::AlreadyEnded => Outcome::NeverSent,
             Self::Status { .. } | Self::Reset => Outcome::Error,
             Self::Broken => Outcome::Reset,
             Self::TimedOut => Outcome::Timeout,
@@ -87,13 +89,13 @@
             Self::Rejected(message) | Self::Status { message } => message,
             Self::NotConnected => "no connection to the worker came about",
             Self::NotWritten => "the connection ended before the request left",
-            Self::NoRoom => "all connections to the worker are in use",
+            Self::ConnectionsExhausted => "all connections to the worker are in use",
             Self::RefusedStream => "the worker refused the stream unseen",
             Self::GoneAway => "the worker went away before it saw the request",
             Self::MarkedFull => "the worker is full",
             Self::MarkedMiss => "the worker does not hold the model",
             Self::MarkedLoadFailed => "the worker could not load the model",
-            Self::Unwanted => "the request was over when the worker got it",
+            Self::AlreadyEnded => "the request was over when the worker got it",
             Self::Reset => "the worker reset the stream",
             Self::Broken => "the connection to the worker broke",
             Self::TimedOut => "the worker did not answer in time",
--- a/crates/engine/tests/common/mod.rs
+++ b/crates/engine/tests/common/mod.rs
@@ -62,7 +62,7 @@
         weight: 1.0,
         cell: "c".into(),
         state,
-        born: None,
+        started_at: None,
     }
 }
 
--- a/crates/engine/tests/ledger.rs
+++ b/crates/engine/tests/ledger.rs
@@ -149,7 +149,7 @@
 
 fn disconnect(calls: &[CallId]) -> Event {
     Event::ClientsDisconnected {
-        clients: calls.iter().map(|call| ClientDisconnect { call: *call, answered: false }).collect(),
+        clients: calls.iter().map(|call| ClientDisconnect { call: *call, expects_answer: false }).collect(),
     }
 }
 
@@ -170,7 +170,7 @@
 #[test]
 fn half_closed_client_gets_its_final_answer_at_once() {
     let (mut harness, calls, out) = two_run_and_two_wait(settings());
-    let all = calls.iter().map(|call| ClientDisconnect { call: *call, answered: true }).collect();
+    let all = calls.iter().map(|call| ClientDisconnect { call: *call, expects_answer: true }).collect();
     let done = harness.handle(Event::ClientsDisconnected { clients: all });
     for call in calls {
         let ends: Vec<&FinalAnswer> = done
--- a/crates/engine/tests/soak.rs
+++ b/crates/engine/tests/soak.rs
@@ -97,7 +97,7 @@
 
     /// Six workers, beginning with this number.
     fn list_workers(&mut self, oldest: u64) {
-        let born = (oldest > 0).then_some(self.now);
+        let started_at = (oldest > 0).then_some(self.now);
         let member = |n: u64| Member {
             name: format!("s-{n}"),
             zone: "east".into(),
@@ -105,7 +105,7 @@
             weight: 1.0,
             cell: format!("c-{}", n % 3),
             state: WorkerState::On,
-            born,
+            started_at,
         };
         let members = (oldest..oldest + 6).map(member).collect();
         self.handle(Event::Workers { form: ListForm::Complete, members });
--- a/crates/gateway/benches/measure.rs
+++ b/crates/gateway/benches/measure.rs
@@ -111,7 +111,7 @@
         weight: 1.0,
         cell: "c".into(),
         state: WorkerState::On,
-        born: None,
+        started_at: None,
     });
     engine.handle(0, Event::Workers { form: ListForm::Complete, members: members.collect() }, &mut out);
     let names: Vec<std::sync::Arc<str>> = (0..64).map(|n| format!("model-{n}").into()).collect();
--- a/crates/gateway/src/front/failure.rs
+++ b/crates/gateway/src/front/failure.rs
@@ -86,7 +86,7 @@
                 Refusal::ClientDisconnected => "its client left; it was not run",
                 Refusal::TooManyOpen => "too many open calls at this controller; it was not run",
                 Refusal::NoWorker => "no worker is in service; it was not run or may be repeated",
-                Refusal::NoRoom => "no worker had room in time; it was not run or may be repeated",
+                Refusal::NoCapacity => "no worker had room in time; it was not run or may be repeated",
             };
             Failure::refused(message, retry_after.map_or(pushback, Duration::from_micros))
         }
--- a/crates/gateway/src/front/failure/tests.rs
+++ b/crates/gateway/src/front/failure/tests.rs
@@ -6,7 +6,7 @@
 
 #[test]
 fn refusals_advise_when_to_retry_and_failures_advise_never_to() {
-    let refused = FinalAnswer::Refused { reason: Refusal::NoRoom, retry_after: None };
+    let refused = FinalAnswer::Refused { reason: Refusal::NoCapacity, retry_after: None };
     let map = of_answer(&refused, Duration::from_millis(70)).expect("no success").trailers();
     assert_eq!((map["grpc-status"].as_bytes(), map[PUSHBACK].as_bytes()), (&b"14"[..], &b"70"[..]));
     let details = read_binary(&map["grpc-status-details-bin"]).expect("base64");
--- a/crates/gateway/src/worker_links/mod.rs
+++ b/crates/gateway/src/worker_links/mod.rs
@@ -185,7 +185,7 @@
     fn connection(&mut self, hub: &mut Hub, worker: WorkerId) -> Result<ConnKey, AttemptEnd> {
         let pool = self.pools.get_mut(&worker).ok_or(AttemptEnd::NotConnected)?;
         let connection = pool.connection(hub, self.limits);
-        if matches!(connection, Err(AttemptEnd::NoRoom)) {
+        if matches!(connection, Err(AttemptEnd::ConnectionsExhausted)) {
             self.no_room += 1;
         }
         connection
--- a/crates/gateway/src/worker_links/pool.rs
+++ b/crates/gateway/src/worker_links/pool.rs
@@ -36,7 +36,7 @@
         // A connection with GOAWAY does not count: it ends with its last stream.
         let counted = self.connections.iter().filter(|key| !hub.is_leaving(**key)).count();
         if counted >= limits.connections {
-            return Err(AttemptEnd::NoRoom);
+            return Err(AttemptEnd::ConnectionsExhausted);
         }
         let key = hub.connect(self.address).map_err(|_| AttemptEnd::NotConnected)?;
         self.connections.push(key);
--- a/crates/node/src/front/call.rs
+++ b/crates/node/src/front/call.rs
@@ -52,7 +52,7 @@
 impl ClientEvent {
     /// The client of this call does not wait any more: it gets no answer.
     pub(super) fn cancelled(call: CallId) -> Self {
-        Self::Disconnected(ClientDisconnect { call, answered: false })
+        Self::Disconnected(ClientDisconnect { call, expects_answer: false })
     }
 }
 
--- a/crates/node/src/front/closing.rs
+++ b/crates/node/src/front/closing.rs
@@ -59,9 +59,9 @@
         debug!(conn = ?key, open = client.streams.len(), "client disconnecting");
         for (stream, token) in client.streams.clone() {
             match self.calls.get(&token).and_then(|call| call.engine_id) {
-                Some(call) => {
-                    context.events.push(ClientEvent::Disconnected(ClientDisconnect { call, answered: true }))
-                }
+                Some(call) => context
+                    .events
+                    .push(ClientEvent::Disconnected(ClientDisconnect { call, expects_answer: true })),
                 None => self.refuse_unopened(context.tcp, key, stream, token, context.counters),
             }
         }
--- a/crates/node/src/node/dispatch.rs
+++ b/crates/node/src/node/dispatch.rs
@@ -16,7 +16,7 @@
 use crate::reasons::{CloseReason, EndReason};
 
 /// The answer of a request that arrived with no time left.
-const NO_TIME_LEFT: FinalAnswer = FinalAnswer::Refused { reason: Refusal::NoRoom, retry_after: None };
+const NO_TIME_LEFT: FinalAnswer = FinalAnswer::Refused { reason: Refusal::NoCapacity, retry_after: None };
 
 impl Node {
     /// Reads what the events brought; nothing is decided or forwarded yet.
@@ -104,8 +104,8 @@
             match event {
                 // One whose connection broke since can't be answered.
                 ClientEvent::Disconnected(client) => {
-                    let answered = client.answered && self.front.is_awaited(client.call);
-                    clients.push(ClientDisconnect { answered, ..client });
+                    let expects_answer = client.expects_answer && self.front.is_awaited(client.call);
+                    clients.push(ClientDisconnect { expects_answer, ..client });
                 }
                 ClientEvent::Request(request) => self.requests.push_back(request),
             }
--- a/crates/node/src/node/worker_list.rs
+++ b/crates/node/src/node/worker_list.rs
@@ -34,7 +34,7 @@
                 weight: invoker.weight,
                 cell: invoker.cell.clone(),
                 state,
-                born: started,
+                started_at: started,
             });
         }
         let mut returned = Vec::new();
--- a/crates/node/src/pools/responses.rs
+++ b/crates/node/src/pools/responses.rs
@@ -185,7 +185,7 @@
         AnswerKind::NotLoaded => AttemptEnd::MarkedMiss,
         AnswerKind::Overloaded => AttemptEnd::MarkedFull,
         AnswerKind::Crashed => AttemptEnd::Status { message: "the invoker failed it".to_owned() },
-        AnswerKind::AlreadyEnded => AttemptEnd::Unwanted,
+        AnswerKind::AlreadyEnded => AttemptEnd::AlreadyEnded,
         AnswerKind::InService | AnswerKind::OutOfService => {
             AttemptEnd::Status { message: "the invoker is not in service".to_owned() }
         }
--- a/crates/node/src/pools/selection.rs
+++ b/crates/node/src/pools/selection.rs
@@ -68,7 +68,7 @@
         }
         if full {
             counters.over_links += 1;
-            return Err(AttemptEnd::NoRoom);
+            return Err(AttemptEnd::ConnectionsExhausted);
         }
         self.connect(tcp, worker, tag, counters)
     }
@@ -99,7 +99,7 @@
         let Some(key) = tcp.connect(pool.address) else {
             if tcp.counters().over_made > over_bound {
                 counters.over_links += 1;
-                return Err(AttemptEnd::NoRoom);
+                return Err(AttemptEnd::ConnectionsExhausted);
             }
             return Err(AttemptEnd::NotConnected);
         };
--- a/crates/node/src/reasons.rs
+++ b/crates/node/src/reasons.rs
@@ -36,7 +36,7 @@
         match answer {
             FinalAnswer::Served { .. } => Self::Served,
             FinalAnswer::Rejected { .. } => Self::Rejected,
-            FinalAnswer::Refused { reason: Refusal::NoRoom, .. } => Self::NoRoom,
+            FinalAnswer::Refused { reason: Refusal::NoCapacity, .. } => Self::NoRoom,
             FinalAnswer::Refused { reason: Refusal::NoWorker, .. } => Self::NoWorker,
             FinalAnswer::Refused { reason: Refusal::ClientDisconnected, .. } => Self::ClientEnded,
             FinalAnswer::Refused { .. } => Self::TooManyOpen,
@@ -74,11 +74,11 @@
         match end {
             AttemptEnd::NotConnected => Self::NotConnected,
             AttemptEnd::NotWritten => Self::NotWritten,
-            AttemptEnd::NoRoom
+            AttemptEnd::ConnectionsExhausted
             | AttemptEnd::RefusedStream
             | AttemptEnd::GoneAway
             | AttemptEnd::MarkedFull => Self::Full,
-            AttemptEnd::MarkedMiss | AttemptEnd::MarkedLoadFailed | AttemptEnd::Unwanted => Self::Miss,
+            AttemptEnd::MarkedMiss | AttemptEnd::MarkedLoadFailed | AttemptEnd::AlreadyEnded => Self::Miss,
             AttemptEnd::Status { .. } | AttemptEnd::Reset | AttemptEnd::Rejected(_) | AttemptEnd::Served => {
                 Self::WorkerFailed
             }
--- a/crates/platform/src/frames.rs
+++ b/crates/platform/src/frames.rs
@@ -135,10 +135,10 @@
 pub enum FieldsError {
     /// They end before their count or their sizes say.
     #[error("the fields are cut short")]
-    Short,
+    Truncated,
     /// A name or a value is no text.
     #[error("a field is not UTF-8")]
-    NotText,
+    InvalidUtf8,
     /// A name occurs twice.
     #[error("a field stands twice")]
     Duplicate,
@@ -154,15 +154,15 @@
     /// # Errors
     /// Where they are cut short, no text, or occur twice.
     pub fn read(payload: &'a [u8]) -> Result<(Self, &'a [u8]), FieldsError> {
-        let (&count, mut rest) = payload.split_first().ok_or(FieldsError::Short)?;
+        let (&count, mut rest) = payload.split_first().ok_or(FieldsError::Truncated)?;
         let mut fields: Vec<(&str, &str)> = Vec::new();
         for _ in 0..count {
-            let (&size, after) = rest.split_first().ok_or(FieldsError::Short)?;
-            let (name, after) = after.split_at_checked(usize::from(size)).ok_or(FieldsError::Short)?;
-            let (size, after) = after.split_first_chunk::<2>().ok_or(FieldsError::Short)?;
+            let (&size, after) = rest.split_first().ok_or(FieldsError::Truncated)?;
+            let (name, after) = after.split_at_checked(usize::from(size)).ok_or(FieldsError::Truncated)?;
+            let (size, after) = after.split_first_chunk::<2>().ok_or(FieldsError::Truncated)?;
             let size = usize::from(u16::from_be_bytes(*size));
-            let (value, after) = after.split_at_checked(size).ok_or(FieldsError::Short)?;
-            let text = |bytes| std::str::from_utf8(bytes).map_err(|_| FieldsError::NotText);
+            let (value, after) = after.split_at_checked(size).ok_or(FieldsError::Truncated)?;
+            let text = |bytes| std::str::from_utf8(bytes).map_err(|_| FieldsError::InvalidUtf8);
             let name = text(name)?;
             if fields.iter().any(|(known, _)| *known == name) {
                 return Err(FieldsError::Duplicate);
--- a/crates/platform/src/resp.rs
+++ b/crates/platform/src/resp.rs
@@ -5,7 +5,7 @@
 use bytes::{Buf, Bytes, BytesMut};
 
 /// Parts of an answer: id, kind, fields, body.
-pub const PARTS: usize = 4;
+pub const ANSWER_PARTS: usize = 4;
 /// Most bytes of an answer's body; a longer one is not read.
 pub const MAX_BODY_BYTES: usize = 64 << 10;
 /// Most bytes of an id, a kind or fields.
@@ -19,7 +19,7 @@
     /// A line does not begin as it must, or is no number.
     #[error("a count or a length can't be read")]
     MalformedLine,
-    /// An array of other than [`PARTS`].
+    /// An array of other than [`ANSWER_PARTS`].
     #[error("an answer of {0} parts")]
     PartCount(u32),
     /// A part over its bound.
@@ -30,7 +30,7 @@
     MissingTerminator,
     /// An id, a kind or fields are no text.
     #[error("a part is not UTF-8")]
-    NotText,
+    InvalidUtf8,
 }
 
 /// An answer.
@@ -53,13 +53,13 @@
 /// Where the input is no answer.
 pub fn next(input: &mut BytesMut) -> Result<Option<Answer>, RespError> {
     let Some(Line { value: count, end: mut at }) = line(input, 0, b'*')? else { return Ok(None) };
-    if count != PARTS as u64 {
+    if count != ANSWER_PARTS as u64 {
         return Err(RespError::PartCount(count.min(u64::from(u32::MAX)) as u32));
     }
-    let mut parts = [const { 0..0 }; PARTS];
+    let mut parts = [const { 0..0 }; ANSWER_PARTS];
     for (number, part) in parts.iter_mut().enumerate() {
         let Some(Line { value: length, end: from }) = line(input, at, b'$')? else { return Ok(None) };
-        let max = if number + 1 == PARTS { MAX_BODY_BYTES } else { MAX_TEXT_BYTES };
+        let max = if number + 1 == ANSWER_PARTS { MAX_BODY_BYTES } else { MAX_TEXT_BYTES };
         if length > max as u64 {
             return Err(RespError::PartTooLong(length));
         }
@@ -76,7 +76,7 @@
         at = to + 2;
     }
     let text = |part: Range<usize>| {
-        std::str::from_utf8(&input[part]).map(str::to_owned).map_err(|_| RespError::NotText)
+        std::str::from_utf8(&input[part]).map(str::to_owned).map_err(|_| RespError::InvalidUtf8)
     };
     let [id, kind, fields, body] = parts;
     let body = Bytes::copy_from_slice(&input[body]);
