--- a/crates/engine/src/commands.rs
+++ b/crates/engine/src/commands.rs
@@ -1,4 +1,5 @@
-//! Output of the engine: what the process has to do, and the final answers of calls. Spans are whole microseconds.
+//! Output of the engine: commands for the process to execute, and final answers of calls. Durations are in whole
+//! microseconds.
 
 use std::sync::Arc;
 
@@ -10,157 +11,158 @@
 /// Why a call failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cause {
-    /// An attempt was lost and may have run.
+    /// An attempt ended without a response and may have run, for example because its connection broke.
     Aborted,
     /// A worker returned an error.
     Internal,
-    /// Its deadline passed.
+    /// The call's deadline passed.
     Deadline,
 }
 
-/// Why a call was refused. Only the message to the client depends on it; every refusal states that the call did not
-/// take effect and may be retried.
+/// Why a call was refused. It determines only the message to the client. Every refusal states that a retry of the call
+/// is safe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
-    /// [`crate::EngineLimits::open_calls`] or [`crate::EngineLimits::models`] was reached.
+    /// The limit [`crate::EngineLimits::open_calls`] or [`crate::EngineLimits::models`] was reached.
     TooManyOpen,
-    /// No worker of the list accepts calls.
+    /// No listed worker accepts calls: all are draining or gone.
     NoWorker,
-    /// No worker had capacity in time, or each attempt was rejected.
+    /// No worker had free capacity in time, or the workers rejected all attempts.
     NoCapacity,
-    /// [`crate::Event::TenantRemoved`], and no attempt can have run.
+    /// The call's tenant was removed ([`crate::Event::TenantRemoved`]), and no attempt of the call can have run.
     TenantRemoved,
-    /// [`crate::Event::ClientsDisconnected`], and no attempt can have run.
+    /// The call's client disconnected ([`crate::Event::ClientsDisconnected`]), and no attempt of the call can have run.
     ClientDisconnected,
 }
 
 /// The one final answer of a call.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FinalAnswer {
-    /// Served.
+    /// A worker served the call.
     Served {
-        /// The last part, or the complete answer of a call that is not streamed.
+        /// The last part of a streamed answer, or the complete answer of a call that is not streamed.
         last: Option<Bytes>,
     },
-    /// The worker answered that the call itself is invalid.
+    /// A worker answered that the call itself is invalid.
     Rejected {
-        /// The worker's message.
+        /// The worker's error message.
         message: String,
     },
-    /// Not served, and a retry is harmless.
+    /// The call was not served, and the client may safely retry it.
     Refused {
-        /// Why.
+        /// Why the call was refused.
         reason: Refusal,
-        /// The span that the decision module advises to wait before a retry.
+        /// How long the client should wait before a retry, where the decision module gives advice.
         retry_after: Option<Micros>,
     },
-    /// Failed; the call may have run.
+    /// The call failed and may have run.
     Failed {
-        /// Why.
+        /// Why the call failed.
         cause: Cause,
-        /// What is known, for people.
+        /// Human-readable details.
         message: String,
     },
 }
 
-/// Something that the process has to do. Commands are executed in the order given.
+/// An operation that the process has to perform. Commands must be executed in the order in which they are returned.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
-    /// Start an attempt.
+    /// Start an attempt: send the call's request to a worker.
     Start {
-        /// The attempt.
+        /// The id of the new attempt.
         attempt: AttemptId,
-        /// The worker.
+        /// The worker that receives the request.
         worker: WorkerId,
-        /// The answer may arrive in parts.
+        /// Whether the answer may arrive in parts.
         streamed: bool,
-        /// Time until the client gives up.
+        /// Time until the client's deadline.
         time_left: Micros,
-        /// The request.
+        /// The request as received from the client.
         body: Bytes,
     },
-    /// Cancel an attempt; no event about it is expected any more.
+    /// Cancel an attempt. Later events about it are ignored.
     Cancel {
-        /// The attempt.
+        /// The attempt to cancel.
         attempt: AttemptId,
     },
-    /// Stop reading an attempt's answer for now.
+    /// Stop reading an attempt's answer until [`Command::Resume`], because the client does not read.
     Pause {
-        /// The attempt.
+        /// The attempt to pause.
         attempt: AttemptId,
     },
-    /// Read an attempt's answer again.
+    /// Continue to read the answer of a paused attempt.
     Resume {
-        /// The attempt.
+        /// The attempt to resume.
         attempt: AttemptId,
     },
-    /// Deliver a part of the answer to the client.
+    /// Deliver a part of a streamed answer to the client.
     ResponsePart {
-        /// The call.
+        /// The call that the part belongs to.
         call: CallId,
-        /// The front end's token.
+        /// The front end's token for the call ([`crate::NewCall::front`]).
         front: u64,
-        /// The part.
+        /// The part's bytes.
         payload: Bytes,
     },
-    /// Give the client its final answer. No command of the call follows.
+    /// Deliver the final answer to the client. No command for the call follows, except [`Command::Abandon`] for an
+    /// attempt that can't be cancelled.
     Answer {
-        /// The call.
+        /// The answered call.
         call: CallId,
-        /// The front end's token.
+        /// The front end's token for the call ([`crate::NewCall::front`]).
         front: u64,
-        /// The answer.
+        /// The final answer.
         answer: FinalAnswer,
     },
-    /// Order replicas; answered by [`crate::Event::LoadEnded`].
+    /// Send a load order. Its result is reported as [`crate::Event::LoadEnded`].
     Load {
-        /// The order.
+        /// The id of the load order.
         request_id: ControlRequestId,
-        /// The worker.
+        /// The worker that is to load the replicas.
         worker: WorkerId,
         /// The model's name.
         model: Arc<str>,
         /// The model's version.
         version: Arc<str>,
-        /// Replicas wanted.
+        /// Number of replicas that the worker should have loaded.
         copies: u32,
     },
-    /// Unload idle replicas. No answer is expected.
+    /// Tell a worker to unload its idle replicas of a model. No response is expected.
     Unload {
-        /// The worker.
+        /// The worker that is to unload them.
         worker: WorkerId,
         /// The model's name.
         model: Arc<str>,
         /// The model's version.
         version: Arc<str>,
     },
-    /// Send a health check; answered by [`crate::Event::ProbeEnded`].
+    /// Send a health check. Its result is reported as [`crate::Event::ProbeEnded`].
     Probe {
-        /// The health check.
+        /// The id of the health check.
         request_id: ControlRequestId,
-        /// The worker.
+        /// The worker to check.
         worker: WorkerId,
     },
-    /// A control request timed out; no event about it is expected any more.
+    /// Drop the state of a control request that timed out. Later events about it are ignored.
     ForgetControlRequest {
-        /// The control request.
+        /// The control request that timed out.
         request_id: ControlRequestId,
     },
-    /// A load order is not needed any more: where it has not been sent, it is answered by
-    /// [`crate::Event::LoadEnded`] with [`crate::AttemptEnd::Cancelled`]; where it has, it continues.
+    /// Cancel a load order that is no longer needed. An order that has not been sent ends with
+    /// [`crate::Event::LoadEnded`] and [`crate::AttemptEnd::Cancelled`]; one that has been sent continues.
     CancelLoad {
-        /// The order.
+        /// The load order to cancel.
         request_id: ControlRequestId,
     },
-    /// Stop waiting for an attempt that can't be cancelled: nothing is sent to the worker.
+    /// Stop waiting for an attempt that can't be cancelled. Nothing is sent to the worker.
     Abandon {
-        /// The attempt.
+        /// The attempt to abandon.
         attempt: AttemptId,
     },
-    /// Subscribe to the worker list.
+    /// Subscribe to updates of the worker list.
     WatchList,
     /// Fetch the complete worker list once.
     FetchList,
-    /// A message of the decision module for the log.
+    /// Write a message of the decision module to the log.
     Log(String),
 }
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -1,12 +1,12 @@
-//! The ledger of calls: each call's attempts, its timers and its one final answer.
+//! The call ledger: the attempts, the timers and the final answer of each call.
 //!
-//! This file holds the state and the cycle of each input: apply the event, run the decision module until it asks for
-//! nothing more, fire due timers. The files below it each add one concern:
+//! This module holds the engine's state and its main cycle: apply an event, run the decision module until it returns
+//! no more actions, fire due timers. Each submodule handles one concern:
 //!
-//! * `calls`: opening calls, clients, final answers. `attempts`: from start to end. `control_requests`: load orders and
-//!   health checks. `workers`: the worker list.
-//! * `actions`: executes what the decision module asks for.
-//! * `state`, `timers`, `answers`: types and rules that the others use.
+//! * `calls`: opening calls, client disconnects, final answers. `attempts`: the life cycle of attempts.
+//!   `control_requests`: load orders and health checks. `workers`: the worker list.
+//! * `actions`: execution of the decision module's actions.
+//! * `state`, `timers`, `answers`: shared types, and the construction of final answers.
 
 mod actions;
 mod answers;
@@ -35,29 +35,29 @@
 use crate::names::{Model, Names};
 use crate::outcome::AttemptEnd;
 
-/// Measurements that are held without growing the buffer.
+/// Initial capacity of the buffer of measurements.
 const MEASUREMENTS_BUFFER: usize = 1024;
-/// Phases that are held without growing the buffer.
+/// Initial capacity of the buffer of phases.
 const PHASES_BUFFER: usize = 256;
 
-/// The engine: see the crate's documentation.
+/// The call ledger around the decision module; see the documentation of the crate.
 pub struct Engine {
     module: Controller,
     names: Names,
     limits: EngineLimits,
     order_timeout: Micros,
-    /// Attempts may be cancelled.
+    /// Whether the settings allow attempts to be cancelled.
     cancel: bool,
     calls: BTreeMap<CallId, Call>,
     attempts: BTreeMap<AttemptId, InFlightAttempt>,
     control_requests: BTreeMap<ControlRequestId, ControlRequest>,
     workers: BTreeMap<WorkerId, WorkerState>,
     timers: TimerQueue,
-    /// Events that the decision module has not seen yet.
+    /// Events that are queued for the decision module.
     module_events: VecDeque<ModuleEvent>,
-    /// Kept between runs of the module for its allocation; empty in between.
+    /// Buffer for the decision module's actions, kept to reuse its allocation; empty between runs.
     actions: Vec<Action>,
-    /// Commands of the input that is being handled.
+    /// Commands produced so far by the input that is being handled.
     commands: Vec<Command>,
     last_id: u64,
     now: Micros,
@@ -67,12 +67,12 @@
 }
 
 impl Engine {
-    /// Creates an engine without calls. `seed` is the only source of randomness of the decision module; `zone` is this
-    /// controller's zone.
+    /// Creates an engine without calls. `zone` is this controller's zone. `seed` is the decision module's only source
+    /// of randomness.
     ///
     /// # Errors
     ///
-    /// The decision module can't work with these settings.
+    /// Returns an error if the decision module rejects the settings.
     pub fn new(
         mut settings: Settings,
         zone: Option<&str>,
@@ -105,82 +105,87 @@
         })
     }
 
-    /// Totals since the engine was created.
+    /// Event totals since the engine was created.
     pub fn counters(&self) -> EngineCounters {
         self.counters
     }
 
-    /// Starts to record measurements, for [`Engine::drain_measurements`].
+    /// Starts to record measurements; [`Engine::drain_measurements`] returns them.
     pub fn record_measurements(&mut self) {
         self.measurements = Some(Vec::with_capacity(MEASUREMENTS_BUFFER));
     }
 
-    /// Measurements since the last call. To be drained after each event: the buffer has no bound of its own.
+    /// Removes and returns the measurements recorded since the last call, in order. The buffer is unbounded, so drain
+    /// it after each event.
     pub fn drain_measurements(&mut self) -> Drain<'_, Measurement> {
         self.measurements.get_or_insert_default().drain(..)
     }
 
-    /// Starts to record the phases of calls, for [`Engine::drain_phases`].
+    /// Starts to record the phases of calls; [`Engine::drain_phases`] returns them.
     pub fn record_phases(&mut self) {
         self.phases = Some(Vec::with_capacity(PHASES_BUFFER));
     }
 
-    /// Stops recording phases: nobody drains them any more.
+    /// Stops recording phases and discards those not drained. Call this when no one drains them any more.
     pub fn stop_recording_phases(&mut self) {
         self.phases = None;
     }
 
-    /// Phases since the last call, in order. To be drained after each event: the buffer has no bound of its own.
+    /// Removes and returns the phases recorded since the last call, in order. The buffer is unbounded, so drain it
+    /// after each event.
     pub fn drain_phases(&mut self) -> Drain<'_, Phase> {
         self.phases.get_or_insert_default().drain(..)
     }
 
-    /// Open calls that no worker has.
+    /// Number of open calls that have no attempt in flight.
     pub fn waiting_calls(&self) -> usize {
-        // Attempts of a call never overlap: each stands for one call, or for one that has ended.
+        // A call has at most one attempt in flight, so each attempt that is not an orphan belongs to one open call.
         let orphans = if self.cancel { 0 } else { self.attempts.values().filter(|a| a.orphan).count() };
         (self.calls.len() + orphans).saturating_sub(self.attempts.len())
     }
 
-    /// Health of the listed workers, as the decision module sees it.
+    /// The health of each listed worker as judged by the decision module.
     pub fn health(&self) -> impl Iterator<Item = Health> + '_ {
         self.module.health()
     }
 
-    /// Calls without a final answer.
+    /// Number of calls without a final answer.
     pub fn open_calls(&self) -> usize {
         self.calls.len()
     }
 
-    /// Entries remembered in total, by the decision module and here: does not grow with the engine's age.
+    /// Number of entries held in memory by the engine and the decision module together. It is bounded and does not grow
+    /// with the engine's uptime.
     pub fn remembered(&self) -> usize {
         let own = self.calls.len() + self.attempts.len() + self.control_requests.len() + self.timers.len();
         self.module.remembered() + own + self.workers.len() + self.names.models()
     }
 
-    /// Names and numbers of models and workers.
+    /// The mapping from names of models and workers to ids.
     pub fn names(&self) -> &Names {
         &self.names
     }
 
-    /// The number of a worker of the list.
+    /// The id of a worker. A new name is assigned an id.
     pub fn worker_id(&mut self, name: &str) -> WorkerId {
         self.names.worker(name)
     }
 
-    /// The worker of an attempt in flight and the model of its call: for the log.
+    /// The worker's name and the model of an attempt in flight, for log messages. `None` if the attempt or its call has
+    /// ended.
     pub fn describe(&self, attempt: AttemptId) -> Option<(Arc<str>, &Model)> {
         let in_flight = self.attempts.get(&attempt)?;
         let call = self.calls.get(&attempt.call)?;
         Some((self.names.worker_name(in_flight.worker), self.names.model(call.function)?))
     }
 
-    /// When the next [`Event::Tick`] is due.
+    /// Time at which the next timer fires; the caller sends [`Event::Tick`] then. `None`: no timer is set.
     pub fn next_timer(&self) -> Option<Micros> {
         self.timers.next_at()
     }
 
-    /// Opens a call and appends its commands, which may hold its final answer already, to `commands`.
+    /// Opens a call and appends the resulting commands to `commands`. They already contain the final answer of a call
+    /// that can't be opened or is refused at once.
     pub fn open(&mut self, now: Micros, new_call: NewCall, commands: &mut Vec<Command>) -> CallId {
         self.now = self.now.max(now);
         let call = CallId(self.next_id());
@@ -191,7 +196,7 @@
         call
     }
 
-    /// Handles one event and appends the commands that follow from it to `commands`.
+    /// Handles one event, fires the timers that are due at `now`, and appends the resulting commands to `commands`.
     pub fn handle(&mut self, now: Micros, event: Event, commands: &mut Vec<Command>) {
         self.now = self.now.max(now);
         self.apply(event);
@@ -220,7 +225,8 @@
         }
     }
 
-    /// Passes the waiting events to the decision module and executes its actions, until nothing is left.
+    /// Passes queued events to the decision module and executes its actions until the queue is empty. The actions may
+    /// queue further events.
     fn run_module(&mut self) {
         while let Some(event) = self.module_events.pop_front() {
             let mut actions = std::mem::take(&mut self.actions);
--- a/crates/engine/src/engine/actions.rs
+++ b/crates/engine/src/engine/actions.rs
@@ -1,4 +1,4 @@
-//! Executes the actions of the decision module.
+//! Execution of the decision module's actions.
 
 use nettleferry::{Action, Micros, WorkerId, WorkerState};
 
@@ -47,7 +47,7 @@
         self.answer(id, answer);
     }
 
-    /// The decision module's log lines begin with a worker's number: people know it by name.
+    /// Replaces the worker id at the start of a decision module's log line by the worker's name, which operators know.
     fn with_worker_name(&self, line: String) -> String {
         let Some(rest) = line.strip_prefix("worker ") else { return line };
         let Some((number, rest)) = rest.split_once(' ') else { return line };
--- a/crates/engine/src/engine/answers.rs
+++ b/crates/engine/src/engine/answers.rs
@@ -1,10 +1,11 @@
-//! Final answers as they follow from what is known of a call.
+//! Construction of final answers.
 
 use crate::commands::{Cause, FinalAnswer, Refusal};
 use crate::measurements::CallOutcome;
 use crate::outcome::AttemptEnd;
 
-/// The answer of a failed call whose last attempt ended so. `past_deadline`: its answer is due.
+/// The answer of a call that failed. `last_end` tells how its last attempt ended; `past_deadline` tells that the final
+/// answer is due.
 pub(super) fn failure(last_end: &AttemptEnd, past_deadline: bool) -> FinalAnswer {
     let cause = match last_end {
         _ if past_deadline => Cause::Deadline,
@@ -20,8 +21,8 @@
     FinalAnswer::Failed { cause, message }
 }
 
-/// The answer of a call that ends before a worker has served it: a refusal only where no attempt can have run.
-/// `explanation` begins the message of a failure.
+/// The answer of a call that is ended before a worker has served it: a failure if an attempt may have run, a refusal
+/// with `reason` otherwise. The failure's message starts with `explanation`.
 pub(super) fn unserved(may_have_run: bool, reason: Refusal, explanation: &str) -> FinalAnswer {
     if may_have_run {
         let message = format!("{explanation}; the call may have run");
@@ -31,18 +32,18 @@
     }
 }
 
-/// The answer of a call for which the engine has no place.
+/// The answer of a call that would exceed [`crate::EngineLimits::open_calls`] or [`crate::EngineLimits::models`].
 pub(super) fn too_many_open() -> FinalAnswer {
     FinalAnswer::Refused { reason: Refusal::TooManyOpen, retry_after: None }
 }
 
-/// The answer of a call that arrived with no time left.
+/// The answer of a call that arrived too late to be answered before its deadline.
 pub(super) fn no_time_left() -> FinalAnswer {
     let message = "no time was left when the call came".to_owned();
     FinalAnswer::Failed { cause: Cause::Deadline, message }
 }
 
-/// The kind of a final answer.
+/// The outcome that a final answer stands for in measurements.
 pub(super) fn call_outcome(answer: &FinalAnswer) -> CallOutcome {
     match answer {
         FinalAnswer::Served { .. } => CallOutcome::Served,
--- a/crates/engine/src/engine/attempts.rs
+++ b/crates/engine/src/engine/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: from their start to their end.
+//! The life cycle of attempts.
 
 use bytes::Bytes;
 use nettleferry::{Event as ModuleEvent, Micros, Outcome, RequestId, WorkerId};
@@ -14,10 +14,11 @@
 use crate::outcome::AttemptEnd;
 
 impl Engine {
-    /// Starts an attempt, as the decision module asks.
+    /// Starts an attempt for [`nettleferry::Action::Send`].
     pub(super) fn start_attempt(&mut self, id: CallId, worker: WorkerId, timeout: Option<Micros>) {
         let Some(call) = self.calls.get_mut(&id) else {
-            // It ended before the module learned of it: without a report it would count this attempt for ever.
+            // The call ended before the module could process its end. Without an outcome the module would count this
+            // attempt as in flight forever.
             return self.attempt_never_started(id, worker);
         };
         let attempt = AttemptId { call: id, number: call.attempts };
@@ -50,6 +51,7 @@
         }
     }
 
+    /// Reports a cancelled outcome for an attempt that the decision module requested after its call had ended.
     fn attempt_never_started(&mut self, id: CallId, worker: WorkerId) {
         let Some(attempt) = self.module.last_attempt(RequestId(id.0)) else { return };
         self.module_events.push_back(ModuleEvent::Outcome {
@@ -65,7 +67,7 @@
         });
     }
 
-    /// Cancels an attempt, as the decision module asks.
+    /// Cancels an attempt for [`nettleferry::Action::Cancel`]. Does nothing if the attempt has ended.
     pub(super) fn cancel_attempt(&mut self, attempt: AttemptId) {
         if self.attempts.contains_key(&attempt) {
             self.commands.push(Command::Cancel { attempt });
@@ -73,11 +75,13 @@
         }
     }
 
-    /// Delivers a part of an answer, or holds it back while it might be the end of an answer that is not certain yet.
+    /// Delivers a part of an answer to the client, or holds it back until the attempt has ended successfully.
+    ///
+    /// An answer that is not streamed and a part that is marked as the last are held back and delivered with the final
+    /// answer. Until a part has been delivered, a failed attempt can still be retried.
     pub(super) fn response_part(&mut self, attempt: AttemptId, payload: Bytes, last: bool) {
         let Some(call) = self.calls.get_mut(&attempt.call) else { return };
         let Some(in_flight) = self.attempts.get_mut(&attempt) else { return };
-        // What might be the end is held until the end is certain: it is handed over with the final answer.
         let hold_back = !call.streamed || last;
         let deliverable = if hold_back { in_flight.held_back.replace(payload) } else { Some(payload) };
         let Some(payload) = deliverable.filter(|_| call.streamed) else { return };
@@ -89,7 +93,7 @@
         self.commands.push(Command::ResponsePart { call: attempt.call, front: call.front, payload });
     }
 
-    /// Ends an attempt, reports it to the decision module, and answers its call where that is settled by it.
+    /// Ends an attempt, reports its outcome to the decision module, and answers the call if the outcome settles it.
     pub(super) fn attempt_ended(&mut self, attempt: AttemptId, end: AttemptEnd, report: AttemptReport) {
         let Some(in_flight) = self.attempts.remove(&attempt) else { return };
         self.record_step(in_flight.front, Step::AttemptEnded);
@@ -121,7 +125,8 @@
         }
     }
 
-    /// An answer that is not streamed must have a message: OK without one is an error of the worker.
+    /// Replaces `Served` by an error if an answer that is not streamed has no message: OK without a message is a worker
+    /// error.
     fn checked_end(&self, attempt: AttemptId, in_flight: &InFlightAttempt, end: AttemptEnd) -> AttemptEnd {
         let needs_message = self.calls.get(&attempt.call).is_some_and(|call| !call.streamed);
         if end == AttemptEnd::Served && in_flight.held_back.is_none() && needs_message {
@@ -131,8 +136,8 @@
         }
     }
 
-    /// Whether this end of an attempt ends its call, so that no retry can follow. An answer that was begun and is cut off
-    /// does: its first parts are delivered.
+    /// Whether this end of an attempt also ends its call, so that no retry can follow. A streamed answer that breaks
+    /// off after its first part ends the call, because the client has received that part.
     fn settles_call(&self, call: CallId, end: &AttemptEnd) -> bool {
         let served = matches!(end, AttemptEnd::Served | AttemptEnd::Rejected(_));
         served || self.calls.get(&call).is_none_or(|call| call.started)
@@ -151,7 +156,8 @@
         }
     }
 
-    /// An attempt that may not be cancelled continues until its answer or the end of the time that the worker was told.
+    /// Marks an attempt that can't be cancelled as an orphan. It stays in flight until the worker answers or the
+    /// deadline that was sent to the worker has passed.
     pub(super) fn orphan_attempt(&mut self, attempt: AttemptId, answer_due: Micros) {
         let until = (answer_due + self.limits.answer_margin).max(self.now + 1);
         let Some(in_flight) = self.attempts.get_mut(&attempt) else { return };
--- a/crates/engine/src/engine/calls.rs
+++ b/crates/engine/src/engine/calls.rs
@@ -1,4 +1,4 @@
-//! Calls: how they are opened, what their clients do, and the one place that gives a final answer.
+//! The life cycle of calls: opening, client disconnects, slow clients and final answers.
 
 use nettleferry::{Event as ModuleEvent, FunctionId, Micros, Request, RequestId, TenantId};
 
@@ -14,7 +14,7 @@
 use crate::outcome::AttemptEnd;
 
 impl Engine {
-    /// Takes a new call into the ledger, or answers it at once.
+    /// Adds a new call to the ledger, or answers it at once if it can't be opened.
     pub(super) fn open_call(&mut self, id: CallId, new_call: NewCall) {
         let time_left = new_call.time_left.saturating_sub(self.limits.answer_margin);
         match self.register_model(&new_call, time_left) {
@@ -23,7 +23,7 @@
         }
     }
 
-    /// Registers the model of a call that can be opened; `Err`: the answer of one that can't.
+    /// Registers the model of a call that can be opened. `Err` contains the final answer of a call that can't.
     fn register_model(&mut self, new_call: &NewCall, time_left: Micros) -> Result<FunctionId, FinalAnswer> {
         if time_left == 0 {
             return Err(no_time_left());
@@ -86,7 +86,7 @@
         }));
     }
 
-    /// Pauses or resumes the attempts of a call whose client stops or goes on reading.
+    /// Records whether a call's client is slow to read, and pauses or resumes the call's attempt on a change.
     pub(super) fn set_client_slow(&mut self, id: CallId, slow: bool) {
         let Some(call) = self.calls.get_mut(&id) else { return };
         if call.slow == slow {
@@ -99,7 +99,7 @@
         }
     }
 
-    /// A client that disconnected gets no answer.
+    /// Closes the call of a disconnected client without an answer.
     pub(super) fn client_disconnected(&mut self, call: CallId) {
         if self.calls.contains_key(&call) {
             self.counters.gone += 1;
@@ -108,7 +108,8 @@
         }
     }
 
-    /// Clients disconnected: the decision module learns of all of them before it grants what one of them frees.
+    /// Ends the calls of clients that disconnected together. All disconnects are queued for the decision module before
+    /// any call is closed, so that capacity freed by one of the calls is not granted to another.
     pub(super) fn clients_disconnected(&mut self, clients: &[ClientDisconnect]) {
         let is_open = |client: &&ClientDisconnect| self.calls.contains_key(&client.call);
         let clients: Vec<ClientDisconnect> = clients.iter().filter(is_open).copied().collect();
@@ -130,7 +131,8 @@
         }
     }
 
-    /// A tenant was removed: the decision module learns of all its calls before any of them is answered.
+    /// Answers all open calls of a removed tenant. All of them are reported to the decision module as gone before any
+    /// is answered, so that capacity freed by one of the calls is not granted to another.
     pub(super) fn tenant_removed(&mut self, tenant: TenantId) {
         let calls = self.calls.iter().filter(|(_, call)| call.tenant == Some(tenant));
         let calls: Vec<CallId> = calls.map(|(id, _)| *id).collect();
@@ -143,14 +145,14 @@
         }
     }
 
-    /// An attempt of the call is in flight, or one ended without proof that it never ran.
+    /// Whether an attempt of the call is in flight, or has ended without proof that it never ran.
     fn may_have_run(&self, id: CallId) -> bool {
         let in_flight = self.attempts.range(attempts_of(id)).next().is_some();
         in_flight || self.calls.get(&id).is_some_and(|call| call.may_have_run)
     }
 
-    /// The backstop. For an answer that has begun it is the deadline itself: the decision module leaves those to the
-    /// engine.
+    /// Fails a call whose final answer is due. For a call whose answer has not started this is the backstop, since the
+    /// decision module should have ended the call. The module does not track deadlines of answers that have started.
     pub(super) fn answer_due(&mut self, id: CallId) {
         let Some(call) = self.calls.get(&id) else { return };
         if !call.started {
@@ -160,7 +162,7 @@
         self.answer(id, failure(&AttemptEnd::TimedOut, true));
     }
 
-    /// The one place from which an open call gets its final answer.
+    /// Closes an open call and sends its final answer. All answers to open calls pass through here.
     pub(super) fn answer(&mut self, id: CallId, answer: FinalAnswer) {
         let Some(call) = self.calls.get(&id) else { return };
         let front = call.front;
@@ -178,7 +180,8 @@
         self.commands.push(Command::Answer { call, front, answer });
     }
 
-    /// Removes a call from the ledger; its attempts in flight are cancelled, or left alone where that is not allowed.
+    /// Removes a call from the ledger. Its attempt in flight is cancelled, or becomes an orphan if the settings forbid
+    /// cancellation.
     fn close(&mut self, id: CallId, outcome: CallOutcome) {
         let Some(call) = self.calls.remove(&id) else { return };
         let latency = self.now.saturating_sub(call.arrived_at);
--- a/crates/engine/src/engine/control_requests.rs
+++ b/crates/engine/src/engine/control_requests.rs
@@ -1,4 +1,4 @@
-//! Control requests: load orders and health checks, which are no client's calls.
+//! Control requests: load orders and health checks, which the engine sends on its own rather than for a client.
 
 use nettleferry::{Event as ModuleEvent, FunctionId, Micros, Outcome, Report, WorkerId};
 
@@ -12,10 +12,10 @@
 use crate::outcome::AttemptEnd;
 
 impl Engine {
-    /// Sends a load order.
+    /// Sends a load order for `copies` replicas.
     pub(super) fn order_load(&mut self, worker: WorkerId, function: FunctionId, copies: u32) {
         let Some(Model { name, version }) = self.names.model(function).cloned() else {
-            // The model was forgotten since: no call waits for it.
+            // The model's name has been dropped, so no call for it is open.
             let outcome = Outcome::Error;
             let failed = ModuleEvent::Loaded { worker, function, outcome, copies: 0, elapsed: 0 };
             return self.module_events.push_back(failed);
@@ -26,7 +26,7 @@
         self.commands.push(Command::Load { request_id, worker, model: name, version, copies });
     }
 
-    /// Cancels the load orders for a function at a worker.
+    /// Cancels the outstanding load orders for a function at a worker.
     pub(super) fn cancel_load(&mut self, worker: WorkerId, function: FunctionId) {
         let wanted =
             |request: &ControlRequest| request.worker == worker && request.function == Some(function);
@@ -34,7 +34,7 @@
         self.commands.extend(orders.map(|(id, _)| Command::CancelLoad { request_id: *id }));
     }
 
-    /// Sends word to unload idle replicas of a function.
+    /// Tells a worker to unload its idle replicas of a function.
     pub(super) fn unload(&mut self, worker: WorkerId, function: FunctionId) {
         if let Some(Model { name, version }) = self.names.model(function).cloned() {
             self.commands.push(Command::Unload { worker, model: name, version });
@@ -62,8 +62,8 @@
         id
     }
 
-    /// Ends a control request and reports it to the decision module. `copies` counts for load orders, `load_report`
-    /// for health checks.
+    /// Ends a control request and reports it to the decision module. `copies` applies to load orders only, and
+    /// `load_report` to health checks only.
     pub(super) fn control_request_ended(
         &mut self,
         id: ControlRequestId,
--- a/crates/engine/src/engine/state.rs
+++ b/crates/engine/src/engine/state.rs
@@ -1,4 +1,4 @@
-//! What the engine remembers of each open call, attempt and control request.
+//! Records of open calls, attempts in flight and outstanding control requests.
 
 use bytes::Bytes;
 use nettleferry::{ClassId, FunctionId, Micros, TenantId, WorkerId};
@@ -6,7 +6,7 @@
 use crate::ids::{AttemptId, CallId};
 use crate::outcome::AttemptEnd;
 
-/// A call without its final answer.
+/// A call that has no final answer yet.
 pub(super) struct Call {
     pub(super) front: u64,
     pub(super) class: ClassId,
@@ -16,43 +16,43 @@
     pub(super) function: FunctionId,
     pub(super) streamed: bool,
     pub(super) body: Bytes,
-    /// When its final answer is due at the latest.
+    /// Latest time for the final answer: the client's deadline less [`crate::EngineLimits::answer_margin`].
     pub(super) answer_due: Micros,
-    /// Attempts started so far.
+    /// Number of attempts started so far.
     pub(super) attempts: u32,
-    /// A part was delivered: the call can't be retried any more.
+    /// Whether a part of the answer was delivered, after which the call can't be retried.
     pub(super) started: bool,
-    /// Its client does not read.
+    /// Whether the client has stopped reading its answer.
     pub(super) slow: bool,
-    /// How its last attempt ended: the message of a failure tells it.
+    /// How the last attempt ended; part of the message if the call fails.
     pub(super) last_end: Option<AttemptEnd>,
-    /// An attempt ended without proof that it never ran.
+    /// Whether an attempt ended without proof that it never ran.
     pub(super) may_have_run: bool,
 }
 
-/// An attempt without its end.
+/// An attempt in flight.
 pub(super) struct InFlightAttempt {
     pub(super) front: u64,
     pub(super) worker: WorkerId,
     pub(super) sent_at: Micros,
     pub(super) times_out_at: Option<Micros>,
-    /// A part that is not delivered until the end is certain.
+    /// A part of the answer that is not delivered until the attempt has ended successfully.
     pub(super) held_back: Option<Bytes>,
-    /// Its call has ended, and the settings allow no cancellation: it occupies the worker until its answer, which
-    /// nobody gets.
+    /// Whether the call has ended while the settings forbid cancellation. The attempt then occupies the worker until
+    /// the worker answers, and the answer is dropped.
     pub(super) orphan: bool,
 }
 
-/// A load order or a health check without its end.
+/// An outstanding load order or health check.
 pub(super) struct ControlRequest {
     pub(super) worker: WorkerId,
-    /// The function of a load order; a health check has none.
+    /// The function of a load order; `None` for a health check.
     pub(super) function: Option<FunctionId>,
     pub(super) sent_at: Micros,
     pub(super) times_out_at: Micros,
 }
 
-/// All attempts that a call can have, as a range of an ordered map.
+/// The range of ids that covers all attempts of a call, for lookups in an ordered map.
 pub(super) fn attempts_of(call: CallId) -> std::ops::RangeInclusive<AttemptId> {
     AttemptId { call, number: 0 }..=AttemptId { call, number: u32::MAX }
 }
--- a/crates/engine/src/engine/timers.rs
+++ b/crates/engine/src/engine/timers.rs
@@ -1,4 +1,4 @@
-//! Timers of the engine, by the time at which they fire.
+//! The engine's timers, ordered by the time at which they fire.
 
 use std::collections::BTreeSet;
 
@@ -6,10 +6,11 @@
 
 use crate::ids::{AttemptId, CallId, ControlRequestId};
 
-/// What a timer is for. Timers of one time fire in this order: the decision module first, the backstop last.
+/// The purpose of a timer. Timers due at the same time fire in the order of the variants, so that the decision module
+/// acts before timeouts apply, and the backstop is last.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Timer {
-    /// A timer of the decision module, with its tag.
+    /// A timer that the decision module set, with its tag.
     Module(u64),
     /// An attempt times out.
     Attempt(AttemptId),
@@ -25,7 +26,7 @@
     timer: Timer,
 }
 
-/// Timers that have not fired. The same timer at the same time is held once.
+/// Pending timers. A timer inserted twice for the same time fires once.
 #[derive(Default)]
 pub(super) struct TimerQueue {
     entries: BTreeSet<Entry>,
@@ -40,12 +41,12 @@
         self.entries.remove(&Entry { at, timer });
     }
 
-    /// When the next timer fires.
+    /// Time at which the next timer fires; `None`: there is none.
     pub(super) fn next_at(&self) -> Option<Micros> {
         self.entries.first().map(|entry| entry.at)
     }
 
-    /// Removes the next timer, if it is due.
+    /// Removes and returns the next timer if it is due at `now`.
     pub(super) fn pop_due(&mut self, now: Micros) -> Option<Timer> {
         let next = self.entries.first()?;
         if next.at > now {
--- a/crates/engine/src/engine/workers.rs
+++ b/crates/engine/src/engine/workers.rs
@@ -1,4 +1,4 @@
-//! The worker list, and whose names are remembered.
+//! Updates of the worker list, and the cleanup of worker names that are no longer used.
 
 use std::collections::BTreeSet;
 
@@ -8,7 +8,7 @@
 use crate::events::Member;
 
 impl Engine {
-    /// Applies a worker list or its changes, and passes it to the decision module.
+    /// Applies an update of the worker list and passes it to the decision module.
     pub(super) fn update_workers(&mut self, form: ListForm, members: &[Member]) {
         let entries: Vec<_> = members.iter().map(|member| self.names.entry(member)).collect();
         if matches!(form, ListForm::Complete | ListForm::Restored) {
@@ -25,6 +25,8 @@
         self.module_events.push_back(ModuleEvent::Workers { form, entries });
     }
 
+    /// Drops the names of workers that are not listed and have no attempt or control request in flight. Names in
+    /// `entries`, the current update, are kept as well.
     fn forget_unused_names(&mut self, entries: &[WorkerEntry]) {
         let used: BTreeSet<WorkerId> = self
             .attempts
--- a/crates/engine/src/events.rs
+++ b/crates/engine/src/events.rs
@@ -1,4 +1,4 @@
-//! Input of the engine: new calls and events. Times and spans are whole microseconds.
+//! Input of the engine: new calls and events. Times and durations are in whole microseconds.
 
 use std::sync::Arc;
 
@@ -8,148 +8,149 @@
 use crate::ids::{AttemptId, CallId, ControlRequestId};
 use crate::outcome::AttemptEnd;
 
-/// A call that a front end opens.
+/// A new call, as a front end passes it to [`crate::Engine::open`].
 #[derive(Clone, Debug)]
 pub struct NewCall {
-    /// The front end's own token, returned with each command of this call.
+    /// A token that the front end chooses; commands for this call carry it back.
     pub front: u64,
-    /// Its class.
+    /// The class of the call.
     pub class: ClassId,
-    /// Its tenant, where there are tenants.
+    /// The tenant that makes the call; `None` where no tenants are configured.
     pub tenant: Option<TenantId>,
     /// The model's name.
     pub model: Arc<str>,
-    /// The model's version; empty: the worker's choice.
+    /// The model's version; an empty version leaves the choice to the worker.
     pub version: Arc<str>,
-    /// Time until the client gives up.
+    /// Time until the client's deadline.
     pub time_left: Micros,
-    /// Expected execution time, where the client states it.
+    /// Expected execution time, if the client states one.
     pub cost_hint: Option<Micros>,
-    /// Calls that one replica of the model runs at the same time.
+    /// Number of calls that one replica of the model runs concurrently.
     pub lanes: u32,
-    /// Usual time of a load, where known.
+    /// Typical duration of a load of the model, if known.
     pub load_time: Option<Micros>,
-    /// The client marked it as a retry.
+    /// Whether the client marked the call as a retry.
     pub repeat: bool,
-    /// The front end's group of models, returned in [`crate::Measurement::CallEnded`].
+    /// Metrics group of the model, chosen by the front end and returned in [`crate::Measurement::CallEnded`].
     pub group: u32,
-    /// The answer may arrive in parts, each delivered when it arrives.
+    /// Whether the answer may arrive in parts, each delivered to the client as soon as it arrives.
     pub streamed: bool,
-    /// The request as received; passed on to workers unchanged.
+    /// The request as received from the client; workers receive it unchanged.
     pub body: Bytes,
 }
 
-/// A worker of the worker list, by its names.
+/// An entry of the worker list. Worker, zone, machine kind and cell are given by name.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Member {
-    /// The worker's name, which survives a restart of its process.
+    /// The worker's name, which stays the same when its process restarts.
     pub name: String,
-    /// Its zone.
+    /// The zone that the worker runs in.
     pub zone: String,
-    /// Its machine kind.
+    /// The kind of machine that the worker runs on.
     pub kind: String,
-    /// Its weight.
+    /// The worker's weight; see [`nettleferry::Weights`] for its meaning.
     pub weight: f64,
-    /// Its cell: workers that share which idempotency keys they have seen.
+    /// The worker's cell. Workers of one cell share the record of the idempotency keys they have seen.
     pub cell: String,
-    /// Its state.
+    /// Whether the worker accepts calls, is draining or is gone.
     pub state: WorkerState,
-    /// When its process started, on the engine's clock.
+    /// When the worker's process started, on the engine's clock; `None`: unknown, or long ago.
     pub started_at: Option<Micros>,
 }
 
 /// An event that the engine handles. Calls are opened with [`crate::Engine::open`].
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The worker list, complete or as changes.
+    /// An update of the worker list.
     Workers {
-        /// How the list is to be applied.
+        /// Whether the entries replace the list or change it.
         form: ListForm,
-        /// Its workers.
+        /// The entries of the update.
         members: Vec<Member>,
     },
-    /// A client disconnected and gets no answer.
+    /// A client disconnected; its call is dropped without an answer.
     ClientDisconnected {
-        /// Its call.
+        /// The client's call.
         call: CallId,
     },
-    /// All clients known to have disconnected at one moment. Reported together, so that capacity freed by one of
-    /// them is not granted to another.
+    /// Several clients disconnected at the same time. One event reports all of them, so that capacity freed by the
+    /// call of one client is not granted to the call of another.
     ClientsDisconnected {
-        /// The clients.
+        /// The clients that disconnected.
         clients: Vec<ClientDisconnect>,
     },
-    /// The client does not read its answer: the attempt is to be paused.
+    /// A client does not read its answer, so the attempt must be paused.
     ClientSlow {
-        /// Its call.
+        /// The client's call.
         call: CallId,
     },
-    /// The client reads its answer again.
+    /// A slow client reads its answer again.
     ClientReady {
-        /// Its call.
+        /// The client's call.
         call: CallId,
     },
-    /// A part of an answer arrived.
+    /// A part of an answer arrived from a worker.
     ResponsePart {
-        /// The attempt.
+        /// The attempt that is being answered.
         attempt: AttemptId,
-        /// The part, as it is to be delivered.
+        /// The part in the form in which the client receives it.
         payload: Bytes,
-        /// The worker marked it as the last.
+        /// Whether the worker marked the part as the last.
         last: bool,
     },
     /// An attempt ended.
     AttemptEnded {
-        /// The attempt.
+        /// The attempt that ended.
         attempt: AttemptId,
         /// How it ended.
         end: AttemptEnd,
-        /// What the response reported besides.
+        /// The worker's reports that came with the response.
         report: AttemptReport,
     },
     /// A load order ended.
     LoadEnded {
-        /// The order.
+        /// The id of the load order.
         request_id: ControlRequestId,
         /// How it ended.
         end: AttemptEnd,
-        /// Replicas loaded at the worker.
+        /// Number of replicas of the model that are loaded at the worker.
         copies: u32,
     },
     /// A health check ended.
     ProbeEnded {
-        /// The health check.
+        /// The id of the health check.
         request_id: ControlRequestId,
         /// How it ended.
         end: AttemptEnd,
-        /// The load report, where attached.
+        /// The worker's load report, if the response carried one.
         load_report: Option<Report>,
     },
-    /// A tenant was removed: its open calls get their final answers at once.
+    /// A tenant was removed. Its open calls get their final answers at once.
     TenantRemoved {
-        /// The tenant.
+        /// The removed tenant.
         tenant: TenantId,
     },
-    /// Time has passed.
+    /// Nothing but the passage of time. Due timers fire.
     Tick,
 }
 
 /// A client that has disconnected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClientDisconnect {
-    /// Its call.
+    /// The client's call.
     pub call: CallId,
-    /// Its connection still takes an answer: the call gets its final answer at once.
+    /// Whether the connection can still deliver an answer. If so, the call gets its final answer at once; if not, it
+    /// is dropped without one.
     pub expects_answer: bool,
 }
 
-/// What the end of an attempt reports besides its result.
+/// What a worker reports about itself when an attempt ends.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct AttemptReport {
-    /// State of the model's replicas at the worker.
+    /// Whether the worker had a replica of the model loaded.
     pub load_note: Option<LoadNote>,
-    /// Calls of the model queued or running at the worker.
+    /// Number of calls of the model that are queued or running at the worker.
     pub queue_depth: Option<u32>,
-    /// The worker's load report.
+    /// The worker's load report, if the response carried one.
     pub load_report: Option<Report>,
 }
--- a/crates/engine/src/ids.rs
+++ b/crates/engine/src/ids.rs
@@ -1,18 +1,18 @@
 //! Identifiers of calls, attempts and control requests, unique within one run of the process.
 
-/// A call.
+/// Identifies a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallId(pub u64);
 
-/// An attempt of a call, numbered from 0.
+/// Identifies an attempt of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptId {
-    /// The call.
+    /// The call that the attempt serves.
     pub call: CallId,
-    /// Its number within the call.
+    /// Number of the attempt within the call, from 0.
     pub number: u32,
 }
 
-/// A control request: a load order or a health check.
+/// Identifies a control request, that is, a load order or a health check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ControlRequestId(pub u64);
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -1,21 +1,23 @@
-//! Calls, attempts and the ledger of one final answer per call, around the decision module.
+//! The call ledger around the decision module: tracks calls and their attempts, and ensures that each call gets exactly
+//! one final answer.
 //!
-//! Depends on the decision module, and on calls and workers as front ends name them. Leaves to others: sockets, gRPC,
-//! MQTT, and the text of settings. No I/O and no clock: events carry the time at which they were observed, the engine
-//! returns [`Command`]s, and equal events give equal commands.
+//! The engine is a deterministic state machine without I/O and without a clock. Events carry the time at which they
+//! were observed, the engine returns [`Command`]s, and the same settings, seed and events always yield the same
+//! commands. Sockets, gRPC, MQTT and the parsing of settings belong to other crates.
 //!
-//! Front ends, which open calls, and worker connections, which carry attempts, do not know of each other: a front end
-//! handles calls; a worker connection handles attempts and control requests. A further front end needs no change here.
+//! Front ends open calls; worker connections carry attempts and control requests. Neither depends on the other, so a
+//! new front end needs no change here.
 //!
-//! * [`Engine`]: the ledger of calls. [`events`] and [`commands`]: its input and output.
-//! * [`measurements`]: what it reports for metrics and admission control.
-//! * [`outcome`]: what each end of an attempt proves, in one table.
-//! * [`names`]: models and workers as the decision module's numbers.
+//! * [`Engine`]: the call ledger. [`events`] and [`commands`]: its input and output.
+//! * [`measurements`]: data for metrics and admission control.
+//! * [`outcome`]: for each way in which an attempt can end, whether the attempt may have run.
+//! * [`names`]: the mapping from names of models and workers to the decision module's ids.
 //!
-//! The engine makes no decision on where a call goes, when it waits, is retried, refused or failed: it passes events
-//! to the decision module and executes its actions. What it adds is bookkeeping that upholds the first rule in every
-//! case: one [`Command::Answer`] per call, no command of the call after it, and a backstop at the deadline that should
-//! never act and is counted when it does.
+//! The decision module chooses the worker of each call and decides whether the call waits, is retried, is refused or
+//! fails. The engine passes events to the module, executes its actions, and guarantees on its own that each call gets
+//! one [`Command::Answer`] and that no command for the call follows. If the module leaves a call without an answer at
+//! its deadline, a backstop in the engine answers it. That is not expected to happen, and
+//! [`EngineCounters::backstop`] counts each occurrence.
 
 #![forbid(unsafe_code)]
 
--- a/crates/engine/src/limits.rs
+++ b/crates/engine/src/limits.rs
@@ -1,17 +1,17 @@
-//! Bounds of an engine, and its counters.
+//! Limits and counters of the engine.
 
 use nettleferry::Micros;
 
-/// Bounds of an engine.
+/// Limits on the engine's size, and its time allowances.
 #[derive(Clone, Debug)]
 pub struct EngineLimits {
-    /// Calls open at the same time; one more is refused at once.
+    /// Maximum number of open calls. Further calls are refused at once.
     pub open_calls: usize,
-    /// Models remembered by name.
+    /// Maximum number of models that the engine keeps by name.
     pub models: usize,
-    /// Microseconds by which an answer precedes the client's deadline, for its way back.
+    /// Microseconds between the final answer and the client's deadline, reserved for the answer's transmission.
     pub answer_margin: Micros,
-    /// Microseconds after which a health check without a response has failed.
+    /// Microseconds after which a health check without a response counts as failed.
     pub probe_timeout: Micros,
 }
 
@@ -21,20 +21,20 @@
     }
 }
 
-/// Totals since the engine was created.
+/// Event totals since the engine was created.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct EngineCounters {
     /// Calls opened.
     pub opened: u64,
     /// Calls served.
     pub served: u64,
-    /// Calls that a worker found invalid.
+    /// Calls that a worker rejected as invalid.
     pub rejected: u64,
     /// Calls refused.
     pub refused: u64,
     /// Calls failed.
     pub failed: u64,
-    /// Calls whose client disconnected before the answer.
+    /// Calls whose client disconnected before the final answer.
     pub gone: u64,
     /// Attempts started.
     pub attempts: u64,
@@ -44,6 +44,6 @@
     pub probes: u64,
     /// Calls refused because of [`EngineLimits::open_calls`] or [`EngineLimits::models`].
     pub over_open: u64,
-    /// Calls that the engine ended at their deadline because the decision module had not: expected to stay 0.
+    /// Calls that the engine answered at their deadline because the decision module had not. Expected to stay 0.
     pub backstop: u64,
 }
--- a/crates/engine/src/measurements.rs
+++ b/crates/engine/src/measurements.rs
@@ -1,72 +1,72 @@
-//! What the engine reports for metrics and admission control, beside its commands.
+//! Data that the engine records for metrics and admission control, apart from its commands.
 
 use nettleferry::{ClassId, LoadNote, Micros, Outcome, TenantId};
 
-/// A measurement for metrics: see [`crate::Engine::drain_measurements`].
+/// A measurement for metrics, delivered by [`crate::Engine::drain_measurements`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Measurement {
     /// A call ended.
     CallEnded {
-        /// Its class.
+        /// The class of the call.
         class: ClassId,
-        /// Its tenant.
+        /// The tenant that made the call.
         tenant: Option<TenantId>,
-        /// Its group of models.
+        /// The metrics group of the model ([`crate::NewCall::group`]).
         group: u32,
-        /// How it ended.
+        /// How the call ended.
         outcome: CallOutcome,
-        /// Microseconds from its arrival to its end.
+        /// Microseconds from the call's arrival to its end.
         latency: Micros,
     },
     /// An attempt started.
     AttemptStarted {
-        /// The outcome of the call's previous attempt; `None`: it is the first.
+        /// The outcome of the call's previous attempt; `None` for the first attempt.
         after: Option<Outcome>,
     },
-    /// A response reported the state of replicas.
+    /// A response reported whether a replica of the model was loaded.
     LoadNote(LoadNote),
     /// A load order was sent.
     LoadSent,
-    /// A load order ended.
+    /// A load order ended with this outcome.
     LoadEnded(Outcome),
     /// A health check ended.
     ProbeEnded {
-        /// The worker answered it.
+        /// Whether the worker answered the health check.
         answered: bool,
     },
 }
 
-/// A step in the life of a call, for admission control: see [`crate::Engine::drain_phases`].
+/// A state change of a call, for admission control; delivered by [`crate::Engine::drain_phases`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Phase {
-    /// The front end's token of the call.
+    /// The front end's token for the call ([`crate::NewCall::front`]).
     pub front: u64,
-    /// What happened.
+    /// What happened to the call.
     pub step: Step,
 }
 
-/// A step in the life of a call.
+/// What happened to a call in a [`Phase`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// An attempt was sent to a worker.
+    /// An attempt of the call was sent to a worker.
     AttemptStarted,
-    /// The attempt ended; the call may be retried.
+    /// The call's attempt ended. A retry may follow.
     AttemptEnded,
-    /// The call ended; an attempt in flight has its [`Step::AttemptEnded`] first.
+    /// The call ended. If an attempt was in flight and was cancelled, its [`Step::AttemptEnded`] comes first.
     CallEnded(CallOutcome),
 }
 
-/// How a call ended: the kinds of [`crate::FinalAnswer`], and a client that disconnected first.
+/// How a call ended: the variants of [`crate::FinalAnswer`] without their contents, or a disconnect of the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallOutcome {
-    /// [`crate::FinalAnswer::Served`].
+    /// The final answer was [`crate::FinalAnswer::Served`].
     Served,
-    /// [`crate::FinalAnswer::Rejected`].
+    /// The final answer was [`crate::FinalAnswer::Rejected`].
     Rejected,
-    /// [`crate::FinalAnswer::Refused`].
+    /// The final answer was [`crate::FinalAnswer::Refused`].
     Refused,
-    /// [`crate::FinalAnswer::Failed`].
+    /// The final answer was [`crate::FinalAnswer::Failed`].
     Failed,
-    /// The client disconnected before the answer.
+    /// The client disconnected before the final answer.
     ClientGone,
 }
--- a/crates/engine/src/names.rs
+++ b/crates/engine/src/names.rs
@@ -1,8 +1,9 @@
-//! Models, workers, zones and kinds as the decision module's numbers, and back.
+//! Mapping from names of models, workers, zones, machine kinds and cells to the decision module's numeric ids, and back
+//! for models and workers.
 //!
-//! Models and workers are numbered by a hash of their names (XXH3, 64 bits): the decision module's order of workers for
-//! a function is then the same at every controller, although they share no state. Of two names with one hash the later
-//! one gets the next free number, at the price of another order.
+//! The id of a model or worker is a hash of its name (XXH3, 64 bits). The decision module's order of workers for a
+//! function thus is the same at every controller without any shared state. If two names have the same hash, the one
+//! registered later gets the next free id, and its order may differ between controllers.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
@@ -12,12 +13,12 @@
 
 use crate::events::Member;
 
-/// A model as clients name it.
+/// Name and version of a model, as clients state them.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Model {
-    /// Its name.
+    /// The model's name.
     pub name: Arc<str>,
-    /// Its version; empty: the worker's choice.
+    /// The model's version; an empty version leaves the choice to the worker.
     pub version: Arc<str>,
 }
 
@@ -25,7 +26,7 @@
     fn hash(&self) -> u64 {
         let mut text = Vec::with_capacity(self.name.len() + 1 + self.version.len());
         text.extend_from_slice(self.name.as_bytes());
-        // No name holds a zero byte and a version after it.
+        // The zero byte separates name and version, since names contain none.
         text.push(0);
         text.extend_from_slice(self.version.as_bytes());
         xxh3_64(&text)
@@ -34,28 +35,31 @@
 
 struct RegisteredModel {
     id: FunctionId,
-    open: u32,
-    used: u64,
+    open_calls: u32,
+    /// Value of [`Names::clock`] when the last open call ended.
+    last_used: u64,
 }
 
-/// Models and workers by name and number.
+/// Registry of models, workers, zones, machine kinds and cells. Models without open calls are evicted in least recently
+/// used order once the limit on models is reached.
 #[derive(Default)]
 pub struct Names {
     models: HashMap<Model, RegisteredModel>,
     by_id: BTreeMap<FunctionId, Model>,
-    /// Models without open calls, longest unused first.
+    /// Models without open calls, least recently used first.
     unused: BTreeSet<(u64, FunctionId)>,
+    /// Counts opened and closed calls; orders models by last use.
     clock: u64,
     workers: BTreeMap<WorkerId, Arc<str>>,
     worker_ids: HashMap<Arc<str>, WorkerId>,
     zones: BTreeMap<String, u32>,
     kinds: BTreeMap<String, u32>,
     cells: BTreeMap<String, u32>,
-    /// Models forgotten because [`crate::EngineLimits::models`] were remembered.
+    /// Number of models evicted because of [`crate::EngineLimits::models`].
     pub forgotten: u64,
 }
 
-/// The first number from `hash` on that is not taken.
+/// The first id from `hash` upwards that is not taken.
 fn free_number(hash: u64, is_taken: impl Fn(u64) -> bool) -> u64 {
     let mut number = hash;
     while is_taken(number) {
@@ -64,7 +68,7 @@
     number
 }
 
-/// The number of a name, the next one for a new name.
+/// The id of a name. A new name is assigned the next id.
 fn number(map: &mut BTreeMap<String, u32>, name: &str) -> u32 {
     if let Some(&known) = map.get(name) {
         return known;
@@ -75,52 +79,52 @@
 }
 
 impl Names {
-    /// The number of a model for which a call is opened. `None`: `most` models have open calls, so that none can be
-    /// forgotten.
-    pub fn open(&mut self, model: Model, most: usize) -> Option<FunctionId> {
+    /// Counts an opened call of a model and returns the model's id. At most `max_models` models are kept. Returns
+    /// `None` if all of them have open calls, so that none can be evicted.
+    pub fn open(&mut self, model: Model, max_models: usize) -> Option<FunctionId> {
         self.clock += 1;
         if let Some(known) = self.models.get_mut(&model) {
-            if known.open == 0 {
-                self.unused.remove(&(known.used, known.id));
+            if known.open_calls == 0 {
+                self.unused.remove(&(known.last_used, known.id));
             }
-            known.open += 1;
+            known.open_calls += 1;
             return Some(known.id);
         }
-        while self.models.len() >= most {
+        while self.models.len() >= max_models {
             let (_, oldest) = self.unused.pop_first()?;
-            if let Some(gone) = self.by_id.remove(&oldest) {
-                self.models.remove(&gone);
+            if let Some(evicted) = self.by_id.remove(&oldest) {
+                self.models.remove(&evicted);
                 self.forgotten += 1;
             }
         }
         let id = FunctionId(free_number(model.hash(), |number| self.by_id.contains_key(&FunctionId(number))));
         self.by_id.insert(id, model.clone());
-        self.models.insert(model, RegisteredModel { id, open: 1, used: 0 });
+        self.models.insert(model, RegisteredModel { id, open_calls: 1, last_used: 0 });
         Some(id)
     }
 
-    /// A call of the model has ended.
+    /// Counts the end of a call of a model.
     pub fn close(&mut self, id: FunctionId) {
         self.clock += 1;
         let Some(known) = self.by_id.get(&id).and_then(|model| self.models.get_mut(model)) else { return };
-        known.open = known.open.saturating_sub(1);
-        if known.open == 0 {
-            known.used = self.clock;
-            self.unused.insert((known.used, id));
+        known.open_calls = known.open_calls.saturating_sub(1);
+        if known.open_calls == 0 {
+            known.last_used = self.clock;
+            self.unused.insert((known.last_used, id));
         }
     }
 
-    /// The model of a number.
+    /// The model with this id; `None` if it is not registered.
     pub fn model(&self, id: FunctionId) -> Option<&Model> {
         self.by_id.get(&id)
     }
 
-    /// Models remembered.
+    /// Number of registered models.
     pub fn models(&self) -> usize {
         self.models.len()
     }
 
-    /// The number of a worker.
+    /// The id of a worker. A new name is assigned an id.
     pub fn worker(&mut self, name: &str) -> WorkerId {
         if let Some(&known) = self.worker_ids.get(name) {
             return known;
@@ -133,20 +137,20 @@
         id
     }
 
-    /// A worker's name, or a placeholder for one that is not listed.
+    /// The name of a worker, or the placeholder `unlisted` for an unknown id.
     pub fn worker_name(&self, id: WorkerId) -> Arc<str> {
         self.workers.get(&id).cloned().unwrap_or_else(|| "unlisted".into())
     }
 
-    /// Forgets the names of workers for which `keep` is false, so that a fleet that is replaced over and over
-    /// does not fill the maps.
+    /// Drops the names of workers for which `keep` is false. Without this the maps would grow with every worker that is
+    /// replaced under a new name.
     pub fn retain_workers(&mut self, mut keep: impl FnMut(WorkerId) -> bool) {
         self.workers.retain(|id, _| keep(*id));
         let workers = &self.workers;
         self.worker_ids.retain(|_, id| workers.contains_key(id));
     }
 
-    /// A worker of the list in numbers.
+    /// Converts an entry of the worker list to the decision module's type, with ids in place of names.
     pub fn entry(&mut self, member: &Member) -> WorkerEntry {
         WorkerEntry {
             worker: self.worker(&member.name),
@@ -159,7 +163,7 @@
         }
     }
 
-    /// The number of a zone.
+    /// The id of a zone. A new name is assigned an id.
     pub fn zone(&mut self, name: &str) -> ZoneId {
         ZoneId(number(&mut self.zones, name))
     }
--- a/crates/engine/src/names/tests.rs
+++ b/crates/engine/src/names/tests.rs
@@ -13,8 +13,8 @@
     two.worker("w0");
     assert_eq!(one.open(model("echo"), 9), two.open(model("echo"), 9));
     assert_eq!(one.worker("w1"), two.worker("w1"));
-    let released = Model { name: "echo".into(), version: "2".into() };
-    assert_ne!(one.open(released, 9), one.open(model("echo"), 9));
+    let versioned = Model { name: "echo".into(), version: "2".into() };
+    assert_ne!(one.open(versioned, 9), one.open(model("echo"), 9));
 }
 
 #[test]
--- a/crates/engine/src/outcome.rs
+++ b/crates/engine/src/outcome.rs
@@ -1,56 +1,56 @@
-//! What each end of an attempt proves: the one place in which observed facts become the decision module's [`Outcome`].
+//! How attempts end, and the mapping from each end to the decision module's [`Outcome`].
 
 use std::fmt;
 
 use nettleferry::Outcome;
 
-/// How an attempt or a control request ended, as an observed fact.
+/// How an attempt or a control request ended, as observed on the connection to the worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// The worker served it.
+    /// The worker served the request.
     Served,
-    /// The worker found the call itself invalid (INVALID_ARGUMENT, which gRPC defines as "regardless of the
-    /// state of the system"): an answer, not a failure of the worker.
+    /// The worker reported the call itself as invalid, with this message. This counts as an answer and not as a failure
+    /// of the worker, because gRPC defines INVALID_ARGUMENT as independent of the state of the system.
     Rejected(String),
     /// No connection could be established.
     NotConnected,
-    /// Nothing of the request was written before the connection ended.
+    /// The connection ended before any of the request was written.
     NotWritten,
-    /// All connections or streams to the worker that the limits allow are in use.
+    /// All connections and streams to the worker that the limits allow are in use.
     ConnectionsExhausted,
-    /// RST_STREAM REFUSED_STREAM.
+    /// The worker reset the stream with REFUSED_STREAM, so it did not process the request.
     RefusedStream,
-    /// A GOAWAY whose last stream id is below the attempt's.
+    /// The worker sent a GOAWAY whose last stream id is below the attempt's, so it did not process the request.
     GoneAway,
-    /// The worker's trailers state that it was rejected without being looked at.
+    /// The worker's trailers state that it was at capacity and did not process the request.
     MarkedFull,
     /// The worker's trailers state that the model is not loaded.
     MarkedMiss,
-    /// The worker's trailers state that the load it waited for failed.
+    /// The worker's trailers state that the model load which the request waited for failed.
     MarkedLoadFailed,
-    /// The worker answered that the request had expired or was cancelled when it arrived: it never ran (the platform's
-    /// `nobody`).
+    /// The worker answered that the request had expired or been cancelled when it arrived, so that it never ran (the
+    /// platform's `nobody`).
     AlreadyEnded,
-    /// Any other failing status.
+    /// The worker failed the request with any other status.
     Status {
-        /// The status and its message, for people.
+        /// The status and its message in human-readable form.
         message: String,
     },
-    /// RST_STREAM with another reason, or a protocol error.
+    /// The stream was reset for another reason, or the worker violated the protocol.
     Reset,
-    /// The connection broke.
+    /// The connection broke, and the worker may have processed the request.
     Broken,
-    /// No answer in time.
+    /// The worker did not answer in time.
     TimedOut,
-    /// Cancelled by this controller.
+    /// This controller cancelled the attempt.
     Cancelled,
 }
 
 impl AttemptEnd {
-    /// What it proves, in the decision module's terms.
+    /// The corresponding outcome for the decision module.
     ///
-    /// Only what proves that nothing ran becomes `ConnectFailed`, `Full` or `Miss`. A bare UNAVAILABLE, a reset
-    /// and a broken connection prove nothing.
+    /// An end maps to `ConnectFailed`, `PartlySent`, `Rejected`, `NotLoaded` or `NeverSent` only if it proves that the
+    /// attempt never ran. A bare UNAVAILABLE, a stream reset and a broken connection prove nothing.
     pub fn outcome(&self) -> Outcome {
         match self {
             Self::Served | Self::Rejected(_) => Outcome::Ok,
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Whether it proves that the attempt never ran.
+    /// Whether this end proves that the attempt never ran.
     pub fn never_ran(&self) -> bool {
         matches!(
             self.outcome(),
@@ -81,7 +81,7 @@
     }
 }
 
-/// The end in plain words, for a client's message or the log.
+/// Human-readable description, for messages to clients and for the log.
 impl fmt::Display for AttemptEnd {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         out.write_str(match self {
--- a/crates/engine/tests/common/mod.rs
+++ b/crates/engine/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! The engine with a simulated clock, for tests of its ledger.
+//! A harness that runs the engine on a simulated clock.
 #![allow(dead_code)]
 
 use bytes::Bytes;
@@ -66,7 +66,7 @@
     }
 }
 
-/// The engine, its clock and its commands.
+/// The engine with a simulated clock and the commands that are not yet executed.
 pub(crate) struct EngineHarness {
     pub(crate) engine: Engine,
     pub(crate) now: Micros,
@@ -79,7 +79,7 @@
     }
 
     pub(crate) fn with(settings: Settings, workers: &[&str], limits: EngineLimits) -> Self {
-        let engine = Engine::new(settings, Some("a"), limits, 7).expect("sound settings");
+        let engine = Engine::new(settings, Some("a"), limits, 7).expect("valid settings");
         let mut harness = Self { engine, now: 1_000_000 * MS, commands: Vec::new() };
         let members = workers.iter().map(|w| member(w, WorkerState::On)).collect();
         harness.handle(Event::Workers { form: ListForm::Complete, members });
@@ -91,7 +91,7 @@
         self.commands_with_probes_answered()
     }
 
-    /// The commands, with each health check answered at once by a worker without load.
+    /// Returns the pending commands after answering each health check at once, as a worker with little load would.
     pub(crate) fn commands_with_probes_answered(&mut self) -> Vec<Command> {
         let mut all: Vec<Command> = Vec::new();
         loop {
@@ -133,7 +133,7 @@
         (call, self.commands_with_probes_answered())
     }
 
-    /// Advances the clock, timer by timer.
+    /// Advances the clock by `span`, stopping at each timer that is due, and returns all commands.
     pub(crate) fn advance(&mut self, span: Micros) -> Vec<Command> {
         let until = self.now + span;
         let mut all = Vec::new();
@@ -156,13 +156,13 @@
 
 pub(crate) fn answer(commands: &[Command]) -> Option<FinalAnswer> {
     commands.iter().find_map(|c| match c {
-        Command::Answer { answer: end, .. } => Some(end.clone()),
+        Command::Answer { answer, .. } => Some(answer.clone()),
         _ => None,
     })
 }
 
-pub(crate) fn attempt_ended(attempt: AttemptId, how: AttemptEnd) -> Event {
-    Event::AttemptEnded { attempt, end: how, report: AttemptReport::default() }
+pub(crate) fn attempt_ended(attempt: AttemptId, end: AttemptEnd) -> Event {
+    Event::AttemptEnded { attempt, end, report: AttemptReport::default() }
 }
 
 pub(crate) fn part(attempt: AttemptId, last: bool) -> Event {
--- a/crates/engine/tests/ledger.rs
+++ b/crates/engine/tests/ledger.rs
@@ -1,4 +1,4 @@
-//! Which answer each client gets, and that it gets exactly one.
+//! Final answers of calls: which answer each client gets, and that it gets exactly one.
 
 mod common;
 
@@ -12,10 +12,10 @@
     let mut harness = EngineHarness::new(&["w1", "w2"], EngineLimits::default());
     let (_, first) = harness.open(0, false);
     let attempt = started(&first).expect("a worker is free");
-    assert_eq!(harness.handle(part(attempt, false)), vec![], "OK may still not come");
+    assert_eq!(harness.handle(part(attempt, false)), vec![], "the status has not arrived");
     let done = harness.handle(attempt_ended(attempt, AttemptEnd::Served));
     assert_eq!(answer(&done), Some(FinalAnswer::Served { last: Some(Bytes::from_static(b"part")) }));
-    assert_eq!(harness.handle(attempt_ended(attempt, AttemptEnd::Broken)), vec![], "nothing follows");
+    assert_eq!(harness.handle(attempt_ended(attempt, AttemptEnd::Broken)), vec![], "the call has ended");
 }
 
 #[test]
@@ -54,9 +54,10 @@
     let (_, first) = harness.open(0, true);
     let one = started(&first).expect("sent");
     let again = harness.handle(attempt_ended(one, AttemptEnd::Broken));
-    let two = started(&again).expect("safe calls may be repeated");
+    let two = started(&again).expect("idempotent calls are retried");
     assert_eq!((one.call, one.number + 1), (two.call, two.number));
-    // The only part is the last one: it is held, so that a break before the end leaves the retry open.
+    // The only part is marked as the last. It is held back, so that a retry is still possible if the connection
+    // breaks before the status arrives.
     assert_eq!(harness.handle(part(two, true)), vec![]);
     let served = harness.handle(attempt_ended(two, AttemptEnd::Served));
     assert!(matches!(answer(&served), Some(FinalAnswer::Served { last: Some(_) })));
@@ -64,7 +65,7 @@
 
 #[test]
 fn unsafe_call_is_retried_only_after_proof_that_it_never_ran() {
-    for (how, again) in [
+    for (end, retried) in [
         (AttemptEnd::NotWritten, true),
         (AttemptEnd::RefusedStream, true),
         (AttemptEnd::GoneAway, true),
@@ -76,9 +77,9 @@
     ] {
         let mut harness = EngineHarness::new(&["w1", "w2"], EngineLimits::default());
         let (_, first) = harness.open(1, false);
-        let then = harness.handle(attempt_ended(started(&first).expect("sent"), how.clone()));
-        assert_eq!(started(&then).is_some(), again, "{how:?}");
-        assert_eq!(matches!(answer(&then), Some(FinalAnswer::Failed { .. })), !again, "{how:?}");
+        let then = harness.handle(attempt_ended(started(&first).expect("sent"), end.clone()));
+        assert_eq!(started(&then).is_some(), retried, "{end:?}");
+        assert_eq!(matches!(answer(&then), Some(FinalAnswer::Failed { .. })), !retried, "{end:?}");
     }
 }
 
@@ -87,22 +88,22 @@
     let mut harness = EngineHarness::new(&["w1"], EngineLimits::default());
     let (_, first) = harness.open(1, false);
     let attempt = started(&first).expect("sent");
-    let began = harness.now;
+    let started_at = harness.now;
     let mut seen = Vec::new();
     while answer(&seen).is_none() {
-        let at = harness.engine.next_timer().expect("a timer stands while a call is open");
+        let at = harness.engine.next_timer().expect("a timer is set while a call is open");
         harness.now = harness.now.max(at);
         seen.extend(harness.handle(Event::Tick));
     }
-    assert!(harness.now < began + 4_000 * MS);
+    assert!(harness.now < started_at + 4_000 * MS);
     assert!(matches!(answer(&seen), Some(FinalAnswer::Failed { cause: Cause::Deadline, .. })));
     assert!(seen.contains(&Command::Cancel { attempt }));
     assert_eq!(
         harness.handle(attempt_ended(attempt, AttemptEnd::Served)),
         vec![],
-        "deadline and answer in one moment"
+        "the answer races with the deadline"
     );
-    assert_eq!(harness.engine.counters().backstop, 0, "the module was in time");
+    assert_eq!(harness.engine.counters().backstop, 0, "the module ended the call itself");
 }
 
 #[test]
@@ -128,23 +129,24 @@
     assert_eq!(
         harness.handle(attempt_ended(attempt, AttemptEnd::Served)),
         vec![],
-        "both closed in one moment"
+        "the answer races with the disconnect"
     );
     assert_eq!(harness.engine.open_calls(), 0);
 }
 
-/// A worker whose copy has two lanes, both taken, and two calls that wait for them.
-fn two_run_and_two_wait(settings: Settings) -> (EngineHarness, Vec<CallId>, Vec<AttemptId>) {
+/// One worker whose replica has two lanes, with two calls running in them and two calls waiting. Returns the ids of the
+/// four calls and of the two attempts in flight.
+fn two_running_and_two_waiting(settings: Settings) -> (EngineHarness, Vec<CallId>, Vec<AttemptId>) {
     let mut harness = EngineHarness::with(settings, &["w1"], EngineLimits::default());
-    // Its copy is found by a call that is served.
+    // A first call is served, so that the engine knows of the worker's replica.
     let (_, first) = harness.open(0, false);
     let first = started(&first).expect("a worker is free");
     harness.handle(part(first, true));
     harness.handle(attempt_ended(first, AttemptEnd::Served));
     let opened: Vec<_> = (0..4).map(|_| harness.open(0, false)).collect();
-    let out: Vec<AttemptId> = opened.iter().filter_map(|(_, commands)| started(commands)).collect();
-    assert_eq!(out.len(), 2, "two lanes");
-    (harness, opened.iter().map(|(call, _)| *call).collect(), out)
+    let attempts: Vec<AttemptId> = opened.iter().filter_map(|(_, commands)| started(commands)).collect();
+    assert_eq!(attempts.len(), 2, "two lanes");
+    (harness, opened.iter().map(|(call, _)| *call).collect(), attempts)
 }
 
 fn disconnect(calls: &[CallId]) -> Event {
@@ -155,12 +157,12 @@
 
 #[test]
 fn clients_that_disconnect_together_are_not_granted_each_others_lanes() {
-    let (mut harness, calls, _) = two_run_and_two_wait(settings());
+    let (mut harness, calls, _) = two_running_and_two_waiting(settings());
     let done = harness.handle(disconnect(&calls));
     assert_eq!(started(&done), None, "{done:?}");
     assert_eq!(done.iter().filter(|c| matches!(c, Command::Cancel { .. })).count(), 2);
     assert_eq!(harness.engine.open_calls(), 0);
-    // The module counts none of them any more: the lanes are there for those who come.
+    // The decision module counts none of these calls any more, so that new calls get both lanes.
     for _ in 0..2 {
         let (_, commands) = harness.open(0, false);
         assert!(started(&commands).is_some(), "a lane is free");
@@ -169,24 +171,24 @@
 
 #[test]
 fn half_closed_client_gets_its_final_answer_at_once() {
-    let (mut harness, calls, out) = two_run_and_two_wait(settings());
+    let (mut harness, calls, attempts) = two_running_and_two_waiting(settings());
     let all = calls.iter().map(|call| ClientDisconnect { call: *call, expects_answer: true }).collect();
     let done = harness.handle(Event::ClientsDisconnected { clients: all });
     for call in calls {
-        let ends: Vec<&FinalAnswer> = done
+        let answers: Vec<&FinalAnswer> = done
             .iter()
             .filter_map(|c| match c {
-                Command::Answer { call: of, answer: end, .. } if *of == call => Some(end),
+                Command::Answer { call: answered, answer, .. } if *answered == call => Some(answer),
                 _ => None,
             })
             .collect();
-        let ran = out.iter().any(|attempt| attempt.call == call);
-        match ends[..] {
-            [FinalAnswer::Failed { cause: Cause::Aborted, .. }] => assert!(ran, "it had not left"),
+        let was_sent = attempts.iter().any(|attempt| attempt.call == call);
+        match answers[..] {
+            [FinalAnswer::Failed { cause: Cause::Aborted, .. }] => assert!(was_sent, "it was not sent"),
             [FinalAnswer::Refused { reason: Refusal::ClientDisconnected, .. }] => {
-                assert!(!ran, "it may have run")
+                assert!(!was_sent, "it may have run")
             }
-            _ => panic!("one end each: {ends:?}"),
+            _ => panic!("one answer per call: {answers:?}"),
         }
     }
 }
@@ -195,21 +197,22 @@
 fn attempt_that_cannot_be_cancelled_occupies_its_lane_until_its_end() {
     let mut settings = settings();
     settings.limits.cancel = false;
-    let (mut harness, calls, out) = two_run_and_two_wait(settings);
-    let running: Vec<CallId> = out.iter().map(|attempt| attempt.call).collect();
+    let (mut harness, calls, attempts) = two_running_and_two_waiting(settings);
+    let running: Vec<CallId> = attempts.iter().map(|attempt| attempt.call).collect();
     let done = harness.handle(disconnect(&running));
     assert!(!done.iter().any(|c| matches!(c, Command::Cancel { .. })), "{done:?}");
     assert_eq!(started(&done), None, "the worker is still busy with them");
     assert_eq!((harness.engine.open_calls(), harness.engine.waiting_calls()), (2, 2));
-    // One answers, and its lane is free; nobody gets the answer.
-    harness.handle(part(out[0], true));
-    let freed = harness.handle(attempt_ended(out[0], AttemptEnd::Served));
-    let next = started(&freed).expect("one that waited");
+    // The first attempt is answered. Its lane becomes free, and the answer is dropped.
+    harness.handle(part(attempts[0], true));
+    let freed = harness.handle(attempt_ended(attempts[0], AttemptEnd::Served));
+    let next = started(&freed).expect("a waiting call starts");
     assert!(calls.contains(&next.call) && answer(&freed).is_none());
-    // The other never does: after the time that its worker was told, nothing is sent for it.
+    // The second attempt is never answered. After the deadline that was sent to its worker it is abandoned without a
+    // cancellation.
     let passed = harness.advance(5_000 * MS);
-    assert!(passed.contains(&Command::Abandon { attempt: out[1] }), "{passed:?}");
-    assert!(!passed.contains(&Command::Cancel { attempt: out[1] }));
+    assert!(passed.contains(&Command::Abandon { attempt: attempts[1] }), "{passed:?}");
+    assert!(!passed.contains(&Command::Cancel { attempt: attempts[1] }));
 }
 
 #[test]
@@ -228,17 +231,18 @@
     let mut harness = EngineHarness::new(&["w1", "w2"], EngineLimits::default());
     let (_, first) = harness.open(0, false);
     let one = started(&first).expect("sent");
-    let silent = first.iter().find_map(|c| match c {
+    let silent_worker = first.iter().find_map(|c| match c {
         Command::Start { worker, .. } => Some(*worker),
         _ => None,
     });
-    // The worker owes its answer for long, and its probe fails: the module withdraws and tries elsewhere.
+    // The worker does not answer for long, and its health check times out: the module cancels the attempt and retries
+    // at the other worker.
     let mut seen = Vec::new();
     for _ in 0..1_000 {
         if started(&seen).is_some() {
             break;
         }
-        harness.now = harness.now.max(harness.engine.next_timer().expect("a timer stands"));
+        harness.now = harness.now.max(harness.engine.next_timer().expect("a timer is set"));
         harness.engine.handle(harness.now, Event::Tick, &mut harness.commands);
         while !harness.commands.is_empty() {
             for command in std::mem::take(&mut harness.commands) {
@@ -246,19 +250,20 @@
                     seen.push(command);
                     continue;
                 };
-                let how = if Some(worker) == silent { AttemptEnd::TimedOut } else { AttemptEnd::Served };
-                let event = Event::ProbeEnded { request_id, end: how, load_report: None };
+                let end =
+                    if Some(worker) == silent_worker { AttemptEnd::TimedOut } else { AttemptEnd::Served };
+                let event = Event::ProbeEnded { request_id, end, load_report: None };
                 harness.engine.handle(harness.now, event, &mut harness.commands);
             }
         }
     }
-    let two = started(&seen).expect("just seen");
+    let two = started(&seen).expect("the call was retried");
     assert!(seen.contains(&Command::Cancel { attempt: one }));
     assert_eq!(harness.handle(part(one, false)), vec![]);
     assert_eq!(
         harness.handle(attempt_ended(one, AttemptEnd::Served)),
         vec![],
-        "its answer is nobody's any more"
+        "the answer of a cancelled attempt is dropped"
     );
     harness.handle(part(two, false));
     assert!(matches!(
@@ -299,7 +304,7 @@
 fn miss_orders_a_replica_and_the_order_ends_once() {
     let mut settings = settings();
     settings.loading.when_absent = WhenAbsent::Miss;
-    let mut engine = Engine::new(settings, None, EngineLimits::default(), 7).expect("sound");
+    let mut engine = Engine::new(settings, None, EngineLimits::default(), 7).expect("valid settings");
     let mut out = Vec::new();
     engine.handle(
         0,
@@ -313,7 +318,7 @@
         Command::Load { request_id, model, copies: 1, .. } if &**model == "echo" => Some(*request_id),
         _ => None,
     });
-    let request_id = request_id.expect("one copy is ordered");
+    let request_id = request_id.expect("one replica is ordered");
     harness.now += 700 * MS;
     let sent = harness.handle(Event::LoadEnded { request_id, end: AttemptEnd::Served, copies: 1 });
     assert!(started(&sent).is_some());
--- a/crates/engine/tests/soak.rs
+++ b/crates/engine/tests/soak.rs
@@ -1,4 +1,5 @@
-//! Five minutes of simulated time in which calls, functions and workers are always new: what is remembered must not grow.
+//! Five minutes of simulated time with a steady supply of new calls, models and workers. The number of entries that the
+//! engine keeps must not grow.
 
 use std::collections::BTreeMap;
 
@@ -51,7 +52,7 @@
     }
 }
 
-/// A seeded source of chance that needs no crate.
+/// A seeded linear congruential generator, so that the test needs no crate for random numbers.
 fn dice(state: &mut u64, sides: u64) -> u64 {
     *state = state.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
     (*state >> 33) % sides
@@ -81,7 +82,7 @@
     fn new() -> Self {
         let limits = EngineLimits { models: 500, ..EngineLimits::default() };
         Self {
-            engine: Engine::new(settings(), None, limits, 7).expect("sound settings"),
+            engine: Engine::new(settings(), None, limits, 7).expect("valid settings"),
             now: 100 * S,
             seed: 11,
             commands: Vec::new(),
@@ -95,7 +96,7 @@
         self.engine.handle(self.now, event, &mut self.commands);
     }
 
-    /// Six workers, beginning with this number.
+    /// Lists six workers, numbered from `oldest` on.
     fn list_workers(&mut self, oldest: u64) {
         let started_at = (oldest > 0).then_some(self.now);
         let member = |n: u64| Member {
@@ -111,7 +112,7 @@
         self.handle(Event::Workers { form: ListForm::Complete, members });
     }
 
-    /// One call in three is for a function that was never called before.
+    /// Opens a call. One call in three is for a model that was never called before.
     fn open_call(&mut self, round: u64) {
         let model = if dice(&mut self.seed, 3) == 0 {
             format!("new-{round}")
@@ -141,7 +142,7 @@
         self.pending.insert((self.now + after, self.sequence), event);
     }
 
-    /// Executes commands and handles events that are due, until nothing is left.
+    /// Executes commands and handles due events until none are left.
     fn settle(&mut self) {
         loop {
             for command in std::mem::take(&mut self.commands) {
@@ -175,7 +176,8 @@
         }
     }
 
-    /// Answers, misses, errors, broken connections; some never end.
+    /// Schedules the end of an attempt: mostly served, sometimes a miss, a rejection, an error or a broken connection.
+    /// One attempt in twenty never ends.
     fn execute_attempt(&mut self, attempt: AttemptId) {
         let end = match dice(&mut self.seed, 20) {
             0 => return,
@@ -210,8 +212,8 @@
             samples.push(soak.engine.remembered());
         }
     }
-    assert_eq!(soak.answers + soak.engine.open_calls() as u64, ROUNDS, "one answer a call");
+    assert_eq!(soak.answers + soak.engine.open_calls() as u64, ROUNDS, "one final answer per call");
     let (first, last) = samples.split_at(samples.len() / 2);
-    let most = |half: &[usize]| half.iter().copied().max().unwrap_or(0);
-    assert!(most(last) <= most(first) * 11 / 10, "{samples:?}");
+    let largest = |half: &[usize]| half.iter().copied().max().unwrap_or(0);
+    assert!(largest(last) <= largest(first) * 11 / 10, "{samples:?}");
 }
