--- a/crates/admission/src/account.rs
+++ b/crates/admission/src/account.rs
@@ -1,4 +1,5 @@
-//! One tenant: its policy, its open calls by class and by model, and whether its limits admit one more.
+//! The account of one tenant: its policy, its open calls by class and by model, and the check of a further call against
+//! its limits.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,44 +8,45 @@
 use crate::policy::{Policy, RateLimit};
 use crate::verdict::{RejectReason, Rejection};
 
-/// A model without an open call counts as loaded for its tenant until so long after its last one, microseconds.
+/// A model counts toward its tenant's memory limit until this long after its last open call has ended, in
+/// microseconds.
 pub const MODEL_IDLE_TIMEOUT: Micros = 60_000_000;
 
-/// A call that asks for admission.
+/// A call to be checked for admission.
 #[derive(Clone, Copy, Debug)]
 pub struct CallRequest {
-    /// Its tenant.
+    /// The tenant that makes the call.
     pub tenant: usize,
-    /// Its class.
+    /// The class of the call.
     pub class: usize,
-    /// Its model.
+    /// The model that the call is for.
     pub model: u64,
-    /// Bytes of a replica of the model; 0 where not known.
+    /// Memory of one replica of the model, in bytes; 0 if unknown.
     pub memory: u64,
 }
 
-/// A tenant's open calls, and what became of those that came.
+/// Counters of one tenant.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Calls admitted.
+    /// Total of admitted calls.
     pub admitted: u64,
-    /// Calls rejected.
+    /// Total of rejected calls.
     pub rejected: u64,
-    /// Open calls.
+    /// Calls that are open now.
     pub open: u32,
-    /// Open calls that run at a worker.
+    /// Open calls that are running at a worker.
     pub running: u32,
-    /// Bytes of models in use.
+    /// Memory of the models that count toward the tenant's limit, in bytes.
     pub memory: u64,
 }
 
-/// Whether a tenant is within its parts of what it shares with the other tenants.
+/// Whether the limits that depend on the other tenants admit one more call of a tenant.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SharedLimits {
-    /// One more call is within its part of the queue.
-    pub(crate) queue: bool,
-    /// It is within its part of the running calls, or nobody else waits.
-    pub(crate) fleet: bool,
+    /// One more waiting call is within the tenant's share of the queue.
+    pub(crate) within_queue_share: bool,
+    /// The tenant is within its share of the running calls, or no other tenant has calls waiting.
+    pub(crate) within_fleet_share: bool,
 }
 
 #[derive(Clone, Debug, Default)]
@@ -54,7 +56,7 @@
     open: u32,
 }
 
-/// A model that counts as loaded.
+/// A model that counts toward the tenant's memory limit.
 #[derive(Clone, Copy, Debug)]
 struct ModelUse {
     memory: u64,
@@ -62,19 +64,19 @@
     last_used: Micros,
 }
 
-/// One tenant of a controller.
+/// The account of one tenant at a controller.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Account {
     policy: Policy,
     rate: Option<Gcra>,
     classes: BTreeMap<usize, ClassAccount>,
     models: BTreeMap<u64, ModelUse>,
-    /// Models without an open call, by when they were last used.
-    idle: BTreeSet<(Micros, u64)>,
+    /// Models without an open call, least recently used first.
+    idle_models: BTreeSet<(Micros, u64)>,
     pub(crate) counters: Counters,
 }
 
-/// The limiter of a rate; one that was there keeps what it has let through.
+/// The rate limiter for a new limit. An existing limiter is adapted, so that calls it has admitted still count.
 fn limiter(current: Option<Gcra>, limit: Option<RateLimit>) -> Option<Gcra> {
     let limit = limit?;
     Some(match current {
@@ -104,7 +106,7 @@
         &self.policy
     }
 
-    /// Uses up the bursts of all rates.
+    /// Uses up the bursts of the tenant's and the classes' rate limits.
     pub(crate) fn exhaust_rates(&mut self, now: Micros) {
         let classes = self.classes.values_mut().filter_map(|class| class.rate.as_mut());
         for rate in self.rate.iter_mut().chain(classes) {
@@ -112,31 +114,31 @@
         }
     }
 
-    /// Calls that wait for a worker.
+    /// Number of calls that wait for a worker.
     pub(crate) fn held(&self) -> u32 {
         self.counters.open - self.counters.running
     }
 
-    /// Open calls by class.
+    /// Number of open calls of each class.
     pub(crate) fn open_by_class(&self) -> impl Iterator<Item = (usize, u32)> + '_ {
         self.classes.iter().map(|(class, account)| (*class, account.open))
     }
 
-    /// Counts out models whose last call ended too long ago.
+    /// Removes models that have been idle for [`MODEL_IDLE_TIMEOUT`] from the tenant's memory.
     pub(crate) fn expire_idle_models(&mut self, now: Micros) {
-        while let Some(&(last_used, model)) = self.idle.first()
+        while let Some(&(last_used, model)) = self.idle_models.first()
             && last_used + MODEL_IDLE_TIMEOUT <= now
         {
-            self.idle.pop_first();
+            self.idle_models.pop_first();
             if let Some(expired) = self.models.remove(&model) {
                 self.counters.memory -= expired.memory;
             }
         }
     }
 
-    /// Judges a call; its rates are charged when all limits admit it.
+    /// Checks a call against all limits, and charges the rates of its tenant and its class if all of them admit it.
     ///
-    /// The class's rate is charged before the tenant's, which was checked before: a rejected call costs nothing.
+    /// Both rates are checked before either is charged, so a rejected call costs nothing.
     pub(crate) fn check(
         &mut self,
         request: &CallRequest,
@@ -148,7 +150,7 @@
         self.check_class_and_rates(request.class, now)
     }
 
-    /// Limits of the tenant that count its calls.
+    /// Checks whether the tenant is active, and the limits on the number of its calls.
     fn check_tenant(&self, shared: SharedLimits) -> Result<(), RejectReason> {
         let policy = &self.policy;
         if !policy.active {
@@ -160,10 +162,10 @@
         if policy.held.is_some_and(|limit| self.held() >= limit) {
             return Err(RejectReason::TenantHeldCalls);
         }
-        if !shared.fleet {
+        if !shared.within_fleet_share {
             return Err(RejectReason::FleetShare);
         }
-        if !shared.queue {
+        if !shared.within_queue_share {
             return Err(RejectReason::FairShare);
         }
         Ok(())
@@ -176,7 +178,7 @@
         {
             return Ok(());
         }
-        let oldest = self.idle.first();
+        let oldest = self.idle_models.first();
         let retry_after = oldest.map(|(last_used, _)| (last_used + MODEL_IDLE_TIMEOUT).saturating_sub(now));
         Err(Rejection { reason: RejectReason::TenantMemory, retry_after })
     }
@@ -199,14 +201,14 @@
         Ok(())
     }
 
-    /// Counts an admitted call.
+    /// Records an admitted call.
     pub(crate) fn open(&mut self, request: &CallRequest, now: Micros) {
         let model = self.models.entry(request.model).or_insert_with(|| {
             self.counters.memory += request.memory;
             ModelUse { memory: request.memory, open: 0, last_used: now }
         });
         if model.open == 0 {
-            self.idle.remove(&(model.last_used, request.model));
+            self.idle_models.remove(&(model.last_used, request.model));
         }
         model.open += 1;
         self.classes.entry(request.class).or_default().open += 1;
@@ -214,7 +216,7 @@
         self.counters.admitted += 1;
     }
 
-    /// Counts the end of a call.
+    /// Records the end of a call.
     pub(crate) fn close(&mut self, now: Micros, class: usize, model: u64) {
         self.counters.open -= 1;
         if let Some(class) = self.classes.get_mut(&class) {
@@ -224,7 +226,7 @@
             used.open = used.open.saturating_sub(1);
             used.last_used = now;
             if used.open == 0 {
-                self.idle.insert((now, model));
+                self.idle_models.insert((now, model));
             }
         }
     }
--- a/crates/admission/src/admission.rs
+++ b/crates/admission/src/admission.rs
@@ -1,14 +1,15 @@
-//! All tenants of a controller: one verdict a call, by the limits of its tenant and then of its class there.
+//! Admission decisions over all tenants of a controller. A call is checked against the limits of its tenant, then
+//! against those of its class within the tenant.
 //!
-//! The limits that count calls are checked first, then the rates, which are charged only when all else has admitted
-//! the call. So a rejected call costs its tenant nothing.
+//! Limits on the number of calls are checked before rates, and rates are charged only when all other limits admit the
+//! call. A rejected call therefore costs its tenant nothing.
 //!
-//! Fairness: calls that wait for a worker share a queue of bounded length. While it is full a tenant may have as many
-//! calls there as its weight's part of it among the tenants that have any waiting, and at least one: a tenant with few
-//! waiting calls is admitted, one that fills the queue is not. This answers a surge that stays within its rate. A
-//! tenant's share of the running calls is enforced only while another tenant has calls waiting. Cost: the first call of
-//! a tenant into a full queue is admitted beyond its length, so that with many tenants more calls wait than it has
-//! places.
+//! Fairness: calls that wait for a worker share a queue of bounded length. While the queue is full, a tenant may have
+//! as many calls waiting as its weighted share of the queue among the tenants with waiting calls, and at least one.
+//! Tenants with few waiting calls are thus admitted, while a tenant that fills the queue is rejected even if its burst
+//! of calls stays within its rate. Since a tenant's first waiting call is admitted to a full queue, with many tenants
+//! more calls can wait than the queue's length. A tenant's share of the running calls is enforced only while another
+//! tenant has calls waiting.
 
 use std::collections::BTreeMap;
 
@@ -18,84 +19,86 @@
 use crate::policy::Policy;
 use crate::verdict::{RejectReason, Rejection, Verdict};
 
-/// All tenants of a controller.
+/// The tenants of a controller, their open calls and the shared queue of waiting calls.
 #[derive(Clone, Debug)]
 pub struct Admission {
     accounts: BTreeMap<usize, Account>,
-    /// Length of the queue of calls that wait; weights count only while it is full.
+    /// Length of the queue of waiting calls. Weights apply only while it is full.
     queue_length: u32,
     held: u32,
     running: u32,
-    /// Weights of the tenants that have calls waiting, so that a verdict need not look at all tenants.
-    waiting: BTreeMap<usize, f64>,
+    /// Weights of the tenants that have calls waiting, kept so that a verdict need not iterate over all tenants.
+    waiting_weights: BTreeMap<usize, f64>,
     now: Micros,
 }
 
 impl Admission {
-    /// No tenants, and a queue of this length for calls that wait.
+    /// Creates an instance without tenants. `queue_length` is the length of the queue of waiting calls; 0 counts as 1.
     pub fn new(queue_length: u32) -> Self {
         Self {
             accounts: BTreeMap::new(),
             queue_length: queue_length.max(1),
             held: 0,
             running: 0,
-            waiting: BTreeMap::new(),
+            waiting_weights: BTreeMap::new(),
             now: 0,
         }
     }
 
-    /// Sets a tenant's policy. Open calls stay open, also beyond a lower limit.
+    /// Sets a tenant's policy, and adds the tenant if it is new. Open calls stay open even if they exceed a lowered
+    /// limit.
     pub fn set_policy(&mut self, tenant: usize, policy: Policy) {
         self.accounts.entry(tenant).or_default().set_policy(policy);
-        self.update_waiting(tenant);
+        self.update_waiting_weight(tenant);
     }
 
-    /// Uses up the bursts of a tenant's rates: what an earlier incarnation let through is not known.
+    /// Uses up the bursts of a tenant's rate limits. For use after a restart, when it is not known which calls the
+    /// earlier incarnation admitted.
     pub fn exhaust_rates(&mut self, now: Micros, tenant: usize) {
         if let Some(account) = self.accounts.get_mut(&tenant) {
             account.exhaust_rates(now);
         }
     }
 
-    /// Notes whether a tenant has calls waiting, after any change to that.
-    fn update_waiting(&mut self, tenant: usize) {
+    /// Updates the tenant's entry in `waiting_weights`. Must follow each change of its held calls or its weight.
+    fn update_waiting_weight(&mut self, tenant: usize) {
         match self.accounts.get(&tenant).filter(|account| account.held() > 0) {
-            Some(account) => _ = self.waiting.insert(tenant, account.policy().weight),
-            None => _ = self.waiting.remove(&tenant),
+            Some(account) => _ = self.waiting_weights.insert(tenant, account.policy().weight),
+            None => _ = self.waiting_weights.remove(&tenant),
         }
     }
 
-    /// Removes a tenant. Its calls must have ended.
+    /// Removes a tenant. All its calls must have ended before.
     pub fn remove(&mut self, tenant: usize) {
         if let Some(account) = self.accounts.remove(&tenant) {
             self.held -= account.held();
             self.running -= account.counters.running;
         }
-        self.update_waiting(tenant);
+        self.update_waiting_weight(tenant);
     }
 
-    /// A tenant's counters.
+    /// A tenant's counters; `None` if the tenant is unknown.
     pub fn counters(&self, tenant: usize) -> Option<Counters> {
         self.accounts.get(&tenant).map(|account| account.counters)
     }
 
-    /// A tenant's open calls by class.
+    /// The number of a tenant's open calls in each class; empty if the tenant is unknown.
     pub fn open_by_class(&self, tenant: usize) -> impl Iterator<Item = (usize, u32)> + '_ {
         self.accounts.get(&tenant).into_iter().flat_map(Account::open_by_class)
     }
 
-    /// Calls that wait for a worker, over all tenants.
+    /// Number of calls that wait for a worker, over all tenants.
     pub fn held(&self) -> u32 {
         self.held
     }
 
-    /// Judges a call, and counts it where it is admitted.
+    /// Decides on a call, and counts it as open and waiting if it is admitted.
     pub fn admit(&mut self, now: Micros, request: CallRequest) -> Verdict {
         self.now = self.now.max(now);
         let now = self.now;
         let shared = SharedLimits {
-            queue: self.within_queue_share(request.tenant),
-            fleet: self.within_fleet_share(request.tenant),
+            within_queue_share: self.within_queue_share(request.tenant),
+            within_fleet_share: self.within_fleet_share(request.tenant),
         };
         let Some(account) = self.accounts.get_mut(&request.tenant) else {
             return Verdict::Reject(Rejection::new(RejectReason::UnknownTenant));
@@ -105,7 +108,7 @@
             Ok(()) => {
                 account.open(&request, now);
                 self.held += 1;
-                self.update_waiting(request.tenant);
+                self.update_waiting_weight(request.tenant);
                 Verdict::Admit
             }
             Err(rejection) => {
@@ -124,12 +127,12 @@
         if account.held() == 0 {
             return true;
         }
-        let total_weight: f64 = self.waiting.values().sum();
+        let total_weight: f64 = self.waiting_weights.values().sum();
         let share = f64::from(self.queue_length) * account.policy().weight / total_weight;
         f64::from(account.held()) + 1.0 <= share.max(1.0)
     }
 
-    /// Whether the tenant is within its part of the running calls, or nobody else waits.
+    /// Whether the tenant is within its share of the running calls, or no other tenant has calls waiting.
     fn within_fleet_share(&self, tenant: usize) -> bool {
         let Some(account) = self.accounts.get(&tenant) else { return true };
         let Some(share) = account.policy().share else { return true };
@@ -138,7 +141,7 @@
         !others_wait || f64::from(account.counters.running) < allowed.max(1.0)
     }
 
-    /// A worker has taken a waiting call of this tenant.
+    /// Records that a waiting call of this tenant was sent to a worker.
     pub fn call_started(&mut self, tenant: usize) {
         let Some(account) = self.accounts.get_mut(&tenant).filter(|account| account.held() > 0) else {
             return;
@@ -146,10 +149,10 @@
         account.counters.running += 1;
         self.held -= 1;
         self.running += 1;
-        self.update_waiting(tenant);
+        self.update_waiting_weight(tenant);
     }
 
-    /// A running call of this tenant came back without a final answer: it waits again.
+    /// Records that an attempt of a running call of this tenant ended without a final answer. The call waits again.
     pub fn call_returned(&mut self, tenant: usize) {
         let Some(account) = self.accounts.get_mut(&tenant).filter(|account| account.counters.running > 0)
         else {
@@ -158,10 +161,10 @@
         account.counters.running -= 1;
         self.held += 1;
         self.running -= 1;
-        self.update_waiting(tenant);
+        self.update_waiting_weight(tenant);
     }
 
-    /// A waiting call has ended; a running one must have returned before ([`Admission::call_returned`]).
+    /// Records the end of a waiting call. For a running call, [`Admission::call_returned`] must be called first.
     pub fn call_ended(&mut self, now: Micros, tenant: usize, class: usize, model: u64) {
         self.now = self.now.max(now);
         let Some(account) = self.accounts.get_mut(&tenant).filter(|account| account.held() > 0) else {
@@ -169,6 +172,6 @@
         };
         account.close(self.now, class, model);
         self.held -= 1;
-        self.update_waiting(tenant);
+        self.update_waiting_weight(tenant);
     }
 }
--- a/crates/admission/src/gcra.rs
+++ b/crates/admission/src/gcra.rs
@@ -1,71 +1,73 @@
-//! The generic cell rate algorithm (ITU-T I.371): a rate with a burst in one number, the theoretical arrival time. No
-//! timer, no refill, exact at any rate.
+//! The generic cell rate algorithm (ITU-T I.371): a rate limiter with bursts. Its state is one number, the theoretical
+//! arrival time of the next call. It needs no timer and no refill step, and is exact at any rate.
 
 use crate::Micros;
 use crate::policy::RateLimit;
 
-/// Nanoseconds: fine enough for ten million calls a second, whose interval is 100.
+/// Nanoseconds. At ten million calls per second the interval between calls is still 100 of them.
 type Nanos = u128;
 
 const NANOS_PER_SECOND: f64 = 1e9;
 const NANOS_PER_MICRO: Nanos = 1_000;
 
-/// A call does not conform to a rate.
+/// The error for a call that does not conform to a rate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RateExceeded {
-    /// After how many microseconds a call conforms; `None`: never at this rate.
+    /// Microseconds until a call conforms; `None`: no call ever conforms at this rate.
     pub retry_after: Option<Micros>,
 }
 
-/// A rate with a burst.
+/// A rate limiter with bursts.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Gcra {
-    /// Between two calls at the full rate; `None`: no call conforms.
+    /// Time between two calls at the full rate; `None`: the rate is zero and no call conforms.
     interval: Option<Nanos>,
-    /// How early a call may come.
+    /// How far a call may arrive ahead of its theoretical arrival time.
     tolerance: Nanos,
-    /// The theoretical arrival time: when the next call would come at the full rate.
-    next: Nanos,
-    /// The interval by which `next` was computed: the last one that there was.
-    scale: Option<Nanos>,
+    /// Time at which the next call would arrive at the full rate.
+    theoretical_arrival: Nanos,
+    /// The interval from which `theoretical_arrival` was computed: the last one that was not `None`.
+    last_interval: Option<Nanos>,
     now: Nanos,
 }
 
 impl Gcra {
-    /// A limiter that has let nothing through yet.
+    /// Creates a limiter with its full burst available.
     pub fn new(limit: RateLimit) -> Self {
-        let mut new = Self { interval: None, tolerance: 0, next: 0, scale: None, now: 0 };
-        new.set_limit(limit);
-        new
+        let mut limiter =
+            Self { interval: None, tolerance: 0, theoretical_arrival: 0, last_interval: None, now: 0 };
+        limiter.set_limit(limit);
+        limiter
     }
 
-    /// Changes the limit. What was let through still counts: a used burst is not given back.
+    /// Changes the limit. Calls admitted before still count, so that a used burst is not available again.
     pub fn set_limit(&mut self, limit: RateLimit) {
         let RateLimit { per_second, burst } = limit;
         self.interval = (per_second.is_finite() && per_second > 0.0)
             .then(|| ((NANOS_PER_SECOND / per_second) as Nanos).max(1));
         let interval = self.interval.unwrap_or(0);
         self.tolerance = interval * Nanos::from(burst.max(1) - 1);
-        // What was let through ahead of time is a number of calls: at another rate it takes another time.
-        if let (Some(scale), Some(interval)) = (self.scale, self.interval)
-            && self.next > self.now
+        // The debt is a number of calls admitted ahead of time. At the new rate the same number of calls takes a
+        // different time.
+        if let (Some(last_interval), Some(interval)) = (self.last_interval, self.interval)
+            && self.theoretical_arrival > self.now
         {
-            let debt = (self.next - self.now).saturating_mul(interval) / scale;
-            self.next = self.now + debt.min(self.tolerance + interval);
+            let debt = (self.theoretical_arrival - self.now).saturating_mul(interval) / last_interval;
+            self.theoretical_arrival = self.now + debt.min(self.tolerance + interval);
         }
-        self.scale = self.interval.or(self.scale);
+        self.last_interval = self.interval.or(self.last_interval);
     }
 
-    /// Checks whether a call conforms now, without counting it.
+    /// Checks whether a call conforms at `now`, without counting it.
     ///
     /// # Errors
-    /// Where it does not: when one will.
+    /// Returns the time until a call conforms if this one does not.
     pub fn check(&mut self, now: Micros) -> Result<(), RateExceeded> {
         self.now = self.now.max(Nanos::from(now) * NANOS_PER_MICRO);
         if self.interval.is_none() {
             return Err(RateExceeded { retry_after: None });
         }
-        let early = self.next.saturating_sub(self.now);
+        let early = self.theoretical_arrival.saturating_sub(self.now);
         if early <= self.tolerance {
             return Ok(());
         }
@@ -73,15 +75,16 @@
         Err(RateExceeded { retry_after: Some(Micros::try_from(wait).unwrap_or(Micros::MAX)) })
     }
 
-    /// Uses up the burst: what was let through before is not known.
+    /// Uses up the burst, for use when it is not known which calls were admitted before.
     pub fn exhaust(&mut self, now: Micros) {
         self.now = self.now.max(Nanos::from(now) * NANOS_PER_MICRO);
-        self.next = self.next.max(self.now + self.tolerance + self.interval.unwrap_or(0));
+        self.theoretical_arrival =
+            self.theoretical_arrival.max(self.now + self.tolerance + self.interval.unwrap_or(0));
     }
 
-    /// Counts a call, which [`Gcra::check`] has found to conform at the same time.
+    /// Counts a call that [`Gcra::check`] has just found to conform.
     pub fn record(&mut self) {
-        self.next = self.next.max(self.now) + self.interval.unwrap_or(0);
+        self.theoretical_arrival = self.theoretical_arrival.max(self.now) + self.interval.unwrap_or(0);
     }
 }
 
--- a/crates/admission/src/gcra/tests.rs
+++ b/crates/admission/src/gcra/tests.rs
@@ -7,7 +7,7 @@
     Gcra::new(RateLimit { per_second, burst })
 }
 
-/// Lets a call through where it conforms.
+/// Admits and counts a call if it conforms.
 fn pass(gcra: &mut Gcra, now: Micros) -> bool {
     let passes = gcra.check(now).is_ok();
     if passes {
@@ -21,7 +21,7 @@
     let mut gcra = limiter(10.0, 20);
     gcra.exhaust(1_000_000);
     assert!(!pass(&mut gcra, 1_000_000), "no second burst");
-    // A tenth of a second a call, and no more.
+    // After that only the rate applies: one call per tenth of a second.
     let passed = (1_000_000..3_000_000).step_by(1_000).filter(|now| pass(&mut gcra, *now)).count();
     assert!((19..=20).contains(&passed), "{passed} in two seconds");
 }
@@ -32,11 +32,15 @@
     assert_eq!((0..5).filter(|_| pass(&mut gcra, 0)).count(), 3);
     assert_eq!(gcra.check(0), Err(RateExceeded { retry_after: Some(100_000) }));
     assert!(!pass(&mut gcra, 99_999) && pass(&mut gcra, 100_000) && !pass(&mut gcra, 100_001));
-    assert_eq!((0..9).filter(|_| pass(&mut gcra, 10_000_000)).count(), 3, "no more than the burst saves up");
+    assert_eq!(
+        (0..9).filter(|_| pass(&mut gcra, 10_000_000)).count(),
+        3,
+        "unused time saves up the burst at most"
+    );
 }
 
 #[test]
-fn rate_of_zero_rejects_all_and_backward_clock_stands_still() {
+fn rate_of_zero_rejects_all_and_clock_never_goes_back() {
     let mut gcra = limiter(0.0, 100);
     assert_eq!(gcra.check(5), Err(RateExceeded { retry_after: None }));
     let mut gcra = limiter(1.0, 1);
@@ -52,16 +56,16 @@
     assert_eq!(
         gcra.check(0),
         Err(RateExceeded { retry_after: Some(10_000) }),
-        "no second burst, but the wait of the new rate"
+        "no second burst; the wait is that of the new rate"
     );
     gcra.set_limit(RateLimit { per_second: 0.0, burst: 10 });
     gcra.set_limit(RateLimit { per_second: 10.0, burst: 10 });
-    assert!(gcra.check(0).is_err(), "nor by way of a rate of zero");
+    assert!(gcra.check(0).is_err(), "no second burst after a rate of zero either");
 }
 
 proptest! {
     #[test]
-    fn no_interval_lets_more_through_than_burst_and_rate(
+    fn no_interval_admits_more_than_burst_and_rate(
         rate in 1.0f64..5_000.0, burst in 1u32..50, gaps in prop::collection::vec(0u64..20_000, 1..400),
     ) {
         let mut gcra = limiter(rate, burst);
@@ -74,8 +78,8 @@
         }
         for (i, from) in passed.iter().enumerate() {
             for (j, to) in passed.iter().enumerate().skip(i) {
-                let most = f64::from(burst) + (to - from) as f64 / 1e6 * rate * (1.0 + 1e-6) + 1e-3;
-                prop_assert!((j - i + 1) as f64 <= most, "{} in {} us", j - i + 1, to - from);
+                let max_calls = f64::from(burst) + (to - from) as f64 / 1e6 * rate * (1.0 + 1e-6) + 1e-3;
+                prop_assert!((j - i + 1) as f64 <= max_calls, "{} in {} us", j - i + 1, to - from);
             }
         }
     }
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -1,13 +1,13 @@
-//! Admission control by tenant: whether a call is accepted, decided before the decision module sees it. No I/O, no
-//! clock.
+//! Admission control by tenant: decides whether a call is accepted, before the decision module sees it.
 //!
-//! May know: tenants, classes and models as numbers, limits, how many calls are open. Must not know: names, sockets,
-//! the decision module, the engine, where limits come from. Times are microseconds on a clock that never goes back;
-//! one that does is taken to stand still. Equal events give equal verdicts.
+//! The crate does no I/O and reads no clock, and the same sequence of inputs yields the same verdicts. Tenants, classes
+//! and models are plain numbers. The crate does not depend on names, sockets, the decision module, the engine or the
+//! source of the limits. Times are microseconds on a monotonic clock; a time that lies before an earlier one counts as
+//! that earlier one.
 //!
-//! * [`admission`]: all tenants of a controller, one verdict a call.
-//! * [`policy`]: the limits of a tenant and its classes. [`verdict`]: why a call is rejected.
-//! * [`gcra`]: a rate with a burst.
+//! * [`admission`]: the tenants of a controller, and the verdict on each call.
+//! * [`policy`]: the limits of a tenant and its classes. [`verdict`]: verdicts and the reasons of rejections.
+//! * [`gcra`]: a rate limiter with bursts.
 
 #![forbid(unsafe_code)]
 
@@ -23,5 +23,5 @@
 pub use policy::{Limits, Policy, RateLimit};
 pub use verdict::{RejectReason, Rejection, Verdict};
 
-/// Microseconds.
+/// A time or a duration in microseconds.
 pub type Micros = u64;
--- a/crates/admission/src/policy.rs
+++ b/crates/admission/src/policy.rs
@@ -1,41 +1,41 @@
-//! What a tenant may do at this controller.
+//! The limits of a tenant and of its classes at this controller.
 
 use std::collections::BTreeMap;
 
-/// A rate and its burst.
+/// A limit on the rate of new calls.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RateLimit {
-    /// Calls a second; 0: none.
+    /// Calls per second; 0 admits no calls.
     pub per_second: f64,
-    /// Calls at once beyond the rate; 0 counts as 1.
+    /// Number of calls that may arrive at the same time; 0 counts as 1.
     pub burst: u32,
 }
 
-/// Limits of a tenant, or of one class of its calls; `None`: no limit.
+/// Limits of a tenant, or of one class of its calls. `None` means no limit.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Limits {
-    /// Rate of new calls.
+    /// Maximum rate of new calls.
     pub rate: Option<RateLimit>,
-    /// Open calls.
+    /// Maximum number of open calls.
     pub open: Option<u32>,
 }
 
-/// The limits and the weight of a tenant; `None`: no limit.
+/// The limits and the weight of a tenant. `None` means no limit.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Policy {
-    /// Whether new calls are accepted at all.
+    /// Whether the tenant may open calls at all.
     pub active: bool,
-    /// Over all classes.
+    /// Limits on the tenant's calls of all classes together.
     pub limits: Limits,
-    /// By class.
+    /// Further limits on the calls of single classes, by class.
     pub classes: BTreeMap<usize, Limits>,
-    /// Calls waiting for a worker.
+    /// Maximum number of calls that wait for a worker.
     pub held: Option<u32>,
-    /// Bytes of models in use.
+    /// Maximum memory of the models in use, in bytes; see [`crate::MODEL_IDLE_TIMEOUT`].
     pub memory: Option<u64>,
-    /// Its greatest part of the running calls while calls of others wait, from 0 to 1.
+    /// Maximum share of the running calls, from 0 to 1. Enforced only while calls of other tenants wait.
     pub share: Option<f64>,
-    /// Its weight against other tenants in a full queue.
+    /// Weight of the tenant when a full queue is divided among tenants.
     pub weight: f64,
 }
 
--- a/crates/admission/src/verdict.rs
+++ b/crates/admission/src/verdict.rs
@@ -1,35 +1,35 @@
-//! Verdicts on calls, and the reasons of rejections.
+//! Verdicts on calls and the reasons for rejections.
 
 use crate::Micros;
 use crate::gcra::RateExceeded;
 
-/// Why a call is rejected. Its number, as in `reason as usize`, is its place in [`RejectReason::ALL`].
+/// Why a call is rejected. The discriminant of a variant (`reason as usize`) is its index in [`RejectReason::ALL`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RejectReason {
-    /// There is no such tenant here.
+    /// This controller knows no such tenant.
     UnknownTenant,
-    /// The tenant is suspended, or being removed.
+    /// The tenant is suspended or is being removed.
     InactiveTenant,
-    /// The tenant's rate.
+    /// The tenant's rate limit is exceeded.
     TenantRate,
-    /// The class's rate.
+    /// The rate limit of the call's class is exceeded.
     ClassRate,
-    /// The tenant's open calls.
+    /// The tenant has reached its limit on open calls.
     TenantOpenCalls,
-    /// The class's open calls.
+    /// The call's class has reached its limit on open calls.
     ClassOpenCalls,
-    /// The tenant's calls that wait for a worker.
+    /// The tenant has reached its limit on calls that wait for a worker.
     TenantHeldCalls,
-    /// Memory of the tenant's models.
+    /// The call's model does not fit within the tenant's memory limit.
     TenantMemory,
-    /// The tenant's part of the running calls, while calls of others wait.
+    /// The tenant has reached its share of the running calls while calls of other tenants wait.
     FleetShare,
-    /// The tenant's part of a full queue.
+    /// The queue of waiting calls is full, and the tenant has reached its share of it.
     FairShare,
 }
 
 impl RejectReason {
-    /// All reasons, in the order of their numbers.
+    /// All reasons, in the order of their discriminants.
     pub const ALL: [Self; 10] = [
         Self::UnknownTenant,
         Self::InactiveTenant,
@@ -43,7 +43,7 @@
         Self::FairShare,
     ];
 
-    /// The label in metrics.
+    /// The label of the reason in metrics.
     pub fn label(self) -> &'static str {
         match self {
             Self::UnknownTenant => "unknown_tenant",
@@ -63,28 +63,28 @@
 /// A rejected call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Rejection {
-    /// Why.
+    /// Why the call is rejected.
     pub reason: RejectReason,
-    /// After how many microseconds a retry may be accepted, where that is known.
+    /// Microseconds after which a retry may be admitted, if known.
     pub retry_after: Option<Micros>,
 }
 
 impl Rejection {
-    /// A rejection of which it is not known when it ends.
+    /// A rejection without a known time for a retry.
     pub(crate) fn new(reason: RejectReason) -> Self {
         Self { reason, retry_after: None }
     }
 
-    /// A rejection by a rate.
+    /// A rejection by a rate limit.
     pub(crate) fn rate(reason: RejectReason, exceeded: RateExceeded) -> Self {
         Self { reason, retry_after: exceeded.retry_after }
     }
 }
 
-/// The verdict on a call.
+/// The decision on a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// The call counts as open and waiting from now on, until its end is reported.
+    /// The call is admitted. It counts as open and waiting until its start or end is reported.
     Admit,
     /// The call is rejected.
     Reject(Rejection),
--- a/crates/admission/tests/verdicts.rs
+++ b/crates/admission/tests/verdicts.rs
@@ -1,4 +1,4 @@
-//! Verdicts on virtual clocks.
+//! Verdicts of admission control on a virtual clock.
 
 use std::collections::BTreeMap;
 
@@ -53,7 +53,7 @@
         all.admit(0, request(1, 1)),
         Verdict::Reject(Rejection { reason: RejectReason::ClassRate, retry_after: Some(100_000) })
     );
-    // The other class finds the tenant's burst of two charged for one call alone.
+    // A call of another class shows that only the one admitted call was charged to the tenant's burst of two.
     assert_eq!(rejected(all.admit(0, CallRequest { class: 1, ..request(1, 1) })), None);
     assert_eq!(
         all.admit(0, CallRequest { class: 1, ..request(1, 1) }),
@@ -79,7 +79,7 @@
     all.call_returned(1);
     all.call_ended(0, 1, 0, 1);
     assert_eq!(rejected(all.admit(0, request(1, 1))), None);
-    // A limit of zero admits nothing; a limit that is removed no longer counts.
+    // A limit of zero admits no calls. A limit that is removed no longer applies.
     all.set_policy(1, limited(Limits { rate: None, open: Some(0) }));
     assert_eq!(rejected(all.admit(0, request(1, 1))), Some(RejectReason::TenantOpenCalls));
     all.set_policy(1, limited(Limits { rate: rate(0.0, 1), open: None }));
@@ -114,7 +114,7 @@
     assert_eq!(
         all.admit(SECOND, request(1, 3)),
         Verdict::Reject(Rejection { reason: RejectReason::TenantMemory, retry_after: None }),
-        "nothing of it will be free by itself"
+        "no model is idle, so no time for a retry is known"
     );
     all.call_ended(2 * SECOND, 1, 0, 2);
     assert_eq!(
@@ -126,14 +126,14 @@
     );
     assert_eq!(rejected(all.admit(2 * SECOND + MODEL_IDLE_TIMEOUT, request(1, 3))), None);
     assert_eq!(all.counters(1).map(|c| c.memory), Some(200));
-    // A tenant with 10,000 models is remembered by those in use alone.
+    // Of a tenant that has used 10,000 models, only those used within the idle timeout count.
     all.set_policy(2, Policy::default());
     for model in 0..10_000 {
         let at = 100 * SECOND + model * 20_000;
         assert_eq!(rejected(all.admit(at, request(2, model))), None);
         all.call_ended(at, 2, 0, model);
     }
-    assert_eq!(all.counters(2).map(|c| c.memory), Some(100 * 3_000), "a minute's worth");
+    assert_eq!(all.counters(2).map(|c| c.memory), Some(100 * 3_000), "the models of the last minute");
 }
 
 #[test]
@@ -142,20 +142,24 @@
     all.set_policy(1, Policy::default());
     all.set_policy(2, Policy { weight: 2.0, ..Policy::default() });
     all.set_policy(3, Policy::default());
-    let fill = |all: &mut Admission, tenant, most| {
-        (0..most).take_while(|_| all.admit(0, request(tenant, 1)) == Verdict::Admit).count()
+    let fill = |all: &mut Admission, tenant, max_calls| {
+        (0..max_calls).take_while(|_| all.admit(0, request(tenant, 1)) == Verdict::Admit).count()
     };
-    assert_eq!(fill(&mut all, 1, 1_000), 60, "alone it has them all");
+    assert_eq!(fill(&mut all, 1, 1_000), 60, "a tenant that is alone may fill the queue");
     assert_eq!(rejected(all.admit(0, request(1, 1))), Some(RejectReason::FairShare));
-    assert_eq!(fill(&mut all, 2, 1_000), 40, "two thirds of the places, though they are taken");
-    assert_eq!(rejected(all.admit(0, request(3, 1))), None, "one that has none waiting");
+    assert_eq!(fill(&mut all, 2, 1_000), 40, "two thirds of the queue's length, although it is full");
+    assert_eq!(rejected(all.admit(0, request(3, 1))), None, "a tenant without waiting calls");
     assert_eq!(rejected(all.admit(0, request(1, 1))), Some(RejectReason::FairShare));
-    // As the first one's calls find workers, it keeps to its part: 60 / 4.
+    // Once 45 of its calls run, the first tenant has its share of the queue waiting: 60 / 4 = 15 calls.
     for _ in 0..45 {
         all.call_started(1);
     }
     assert_eq!(all.held(), 56);
-    assert_eq!(fill(&mut all, 1, 1_000), 4, "there are free places again, up to 60");
+    assert_eq!(
+        fill(&mut all, 1, 1_000),
+        4,
+        "the queue is no longer full and admits calls up to its length of 60"
+    );
 }
 
 #[test]
@@ -164,16 +168,16 @@
     all.set_policy(1, Policy { share: Some(0.5), ..Policy::default() });
     all.set_policy(2, Policy::default());
     for _ in 0..10 {
-        assert_eq!(rejected(all.admit(0, request(1, 1))), None, "nobody else is there");
+        assert_eq!(rejected(all.admit(0, request(1, 1))), None, "no other tenant has calls");
         all.call_started(1);
     }
     assert_eq!(rejected(all.admit(0, request(2, 1))), None);
     assert_eq!(rejected(all.admit(0, request(1, 1))), Some(RejectReason::FleetShare));
     all.call_started(2);
-    assert_eq!(rejected(all.admit(0, request(1, 1))), None, "nobody waits any more");
+    assert_eq!(rejected(all.admit(0, request(1, 1))), None, "no calls of other tenants wait any more");
 }
 
-/// A call as the plain model has it.
+/// An open call in the reference model.
 struct OpenCall {
     tenant: usize,
     class: usize,
@@ -182,9 +186,9 @@
 }
 
 proptest! {
-    /// Against a plain model of what is open, waiting and running.
+    /// Compares the counters with a reference model, a plain list of open calls, over random operations.
     #[test]
-    fn counters_match_a_plain_model(
+    fn counters_match_a_reference_model(
         steps in prop::collection::vec((0u8..5, 0usize..3, 0usize..2, 0u64..4, 0u64..2_000_000), 1..400),
         limits in prop::collection::vec((0u32..6, 0u32..4, 0u64..500), 3),
     ) {
@@ -196,10 +200,10 @@
         }
         let mut calls: Vec<OpenCall> = Vec::new();
         let mut now = 0;
-        for (what, tenant, class, model, gap) in steps {
+        for (operation, tenant, class, model, gap) in steps {
             now += gap;
             let find = |calls: &[OpenCall], runs: bool| calls.iter().position(|c| c.tenant == tenant && c.running == runs);
-            match what {
+            match operation {
                 0 | 1 => if all.admit(now, CallRequest { tenant, class, model, memory: 100 }) == Verdict::Admit {
                     calls.push(OpenCall { tenant, class, model, running: false });
                 },
