--- a/crates/platform-settings/src/fields.rs
+++ b/crates/platform-settings/src/fields.rs
@@ -1,30 +1,31 @@
-//! Fields of a JSON object by name: an absent or null field, a value of the expected kind, or an error that names the
-//! field by its path.
+//! Typed access to the fields of a JSON object. A null field counts as absent. A value of the wrong type is an error
+//! that names the field by its path.
 
 use nettleferry::Micros;
 use serde_json::{Map, Value};
 
 use crate::micros;
 
-/// A setting that can't be used.
+/// The error for an invalid setting.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("field {path} {reason}")]
 pub struct FieldError {
-    /// Its path, as in `classes[1].deadline_ms`.
+    /// Path of the field, as in `classes[1].deadline_ms`.
     pub path: String,
-    /// What is wrong with it.
+    /// What is wrong with the field; follows the path in the error message.
     pub reason: &'static str,
 }
 
-/// An object's fields, and the path that leads to it.
+/// A JSON object, which may be absent, and the path that leads to it.
 pub(crate) struct Fields<'a> {
+    /// Path of the object; empty for the outermost object.
     path: String,
-    /// `None`: the object is absent, and so are all its fields.
+    /// `None` if the object is absent; all its fields then count as absent.
     object: Option<&'a Map<String, Value>>,
 }
 
 impl<'a> Fields<'a> {
-    /// Those of the outermost object.
+    /// The outermost object of the settings.
     pub(crate) fn of(value: &'a Value) -> Result<Self, FieldError> {
         match value {
             Value::Object(object) => Ok(Self { path: String::new(), object: Some(object) }),
@@ -36,12 +37,12 @@
         if self.path.is_empty() { name.to_owned() } else { format!("{}.{name}", self.path) }
     }
 
-    /// The error that a field is wrong.
+    /// The error for an invalid field of this object.
     pub(crate) fn error(&self, name: &str, reason: &'static str) -> FieldError {
         FieldError { path: self.path_of(name), reason }
     }
 
-    /// The error that a required field is missing.
+    /// The error for a missing field of this object.
     pub(crate) fn missing(&self, name: &str) -> FieldError {
         self.error(name, "is missing")
     }
@@ -50,7 +51,8 @@
         self.object?.get(name).filter(|value| !value.is_null())
     }
 
-    /// A field as `read` converts it; `reason`: the error where it can't.
+    /// Converts a field with `read`; `None` if the field is absent. If `read` returns `None`, the field is invalid and
+    /// the error has this reason.
     fn read<T>(
         &self,
         name: &str,
@@ -63,15 +65,15 @@
         }
     }
 
-    /// An object within this one.
+    /// A nested object, which may be absent.
     pub(crate) fn object(&self, name: &str) -> Result<Fields<'a>, FieldError> {
         let object = self.read(name, "is no object", Value::as_object)?;
         Ok(Fields { path: self.path_of(name), object })
     }
 
-    /// A list of objects; absent: an empty one.
+    /// The objects of a list; empty if the list is absent.
     pub(crate) fn list(&self, name: &str) -> Result<Vec<Fields<'a>>, FieldError> {
-        let values = self.read(name, "is no list", Value::as_array)?.map_or(&[][..], Vec::as_slice);
+        let values = self.read(name, "is not a list", Value::as_array)?.map_or(&[][..], Vec::as_slice);
         let fields = values.iter().enumerate().map(|(at, value)| {
             let path = format!("{}[{at}]", self.path_of(name));
             match value {
@@ -82,43 +84,43 @@
         fields.collect()
     }
 
-    /// A time in milliseconds, as microseconds.
+    /// A duration, which the settings state in milliseconds, in microseconds.
     pub(crate) fn duration(&self, name: &str) -> Result<Option<Micros>, FieldError> {
-        let time = |value: &Value| value.as_f64().filter(|ms| *ms >= 0.0).and_then(|_| micros(value));
-        self.read(name, "is no time in milliseconds", time)
+        let duration = |value: &Value| value.as_f64().filter(|ms| *ms >= 0.0).and_then(|_| micros(value));
+        self.read(name, "is not a valid duration in milliseconds", duration)
     }
 
-    /// A number from 0 on.
+    /// A finite number of 0 or more.
     pub(crate) fn number(&self, name: &str) -> Result<Option<f64>, FieldError> {
         let number = |value: &Value| value.as_f64().filter(|number| number.is_finite() && *number >= 0.0);
-        self.read(name, "is no figure of 0 or more", number)
+        self.read(name, "is not a number of 0 or more", number)
     }
 
-    /// An integer from 0 on, also where it is written as 3.0.
+    /// An integer of 0 or more, which may be written with a fraction of zero, as in `3.0`.
     pub(crate) fn integer(&self, name: &str) -> Result<Option<u64>, FieldError> {
         let from_float =
             |value: &Value| value.as_f64().filter(|f| f.fract() == 0.0 && (0.0..1e15).contains(f));
-        self.read(name, "is no whole number of 0 or more", |value| {
+        self.read(name, "is not an integer of 0 or more", |value| {
             value.as_u64().or_else(|| from_float(value).map(|number| number as u64))
         })
     }
 
-    /// An integer from 0 on; beyond 32 bits, the greatest that they hold.
+    /// An integer of 0 or more. A value beyond 32 bits is replaced by [`u32::MAX`].
     pub(crate) fn integer_u32(&self, name: &str) -> Result<Option<u32>, FieldError> {
         Ok(self.integer(name)?.map(|number| u32::try_from(number).unwrap_or(u32::MAX)))
     }
 
-    /// A boolean; absent: false.
+    /// A boolean; false if the field is absent.
     pub(crate) fn boolean(&self, name: &str) -> Result<bool, FieldError> {
         Ok(self.read(name, "is neither true nor false", Value::as_bool)?.unwrap_or(false))
     }
 
-    /// A text.
+    /// A string.
     pub(crate) fn text(&self, name: &str) -> Result<Option<&'a str>, FieldError> {
-        self.read(name, "is no text", Value::as_str)
+        self.read(name, "is not a string", Value::as_str)
     }
 
-    /// One of several keywords.
+    /// The value that belongs to the field's keyword.
     pub(crate) fn keyword<T: Copy>(
         &self,
         name: &str,
@@ -126,6 +128,6 @@
     ) -> Result<Option<T>, FieldError> {
         let known =
             |text: &str| keywords.iter().find(|(keyword, _)| *keyword == text).map(|(_, meaning)| *meaning);
-        self.read(name, "is none of the words that it may be", |value| value.as_str().and_then(known))
+        self.read(name, "is not one of the accepted keywords", |value| value.as_str().and_then(known))
     }
 }
--- a/crates/platform-settings/src/lib.rs
+++ b/crates/platform-settings/src/lib.rs
@@ -1,8 +1,8 @@
-//! The platform's JSON settings as the decision module's [`Settings`]: one reader, which the simulator's adapter and the
-//! controller share.
+//! Parser of the platform's JSON settings into the decision module's [`Settings`], shared by the simulator's adapter
+//! and the controller.
 //!
-//! May know: the module's types. Must not know: sockets, the clock, decisions. An absent value takes its documented
-//! meaning; a value of the wrong kind is an error that names its field; nothing here is tuned.
+//! An absent value gets the default that the platform documents. A value of the wrong type is an error that names its
+//! field. The crate uses the decision module's types, and depends on neither sockets nor the clock.
 
 #![forbid(unsafe_code)]
 
@@ -14,38 +14,39 @@
 pub use fields::FieldError;
 use fields::Fields;
 
-/// The settings of a controller, with the names for the numbers in the module's types.
+/// The settings of a controller, and the names that belong to the numeric ids in the decision module's types.
 #[derive(Clone, Debug)]
 pub struct PlatformSettings {
-    /// The decision module's settings, without the zone: its number is the caller's.
+    /// The decision module's settings. The zone is `None`, because the caller assigns zone ids.
     pub settings: Settings,
-    /// Names of the classes, in order.
+    /// Names of the classes, in the order of their ids.
     pub classes: Vec<String>,
-    /// Names of the tenants, in order.
+    /// Names of the tenants, in the order of their ids.
     pub tenants: Vec<String>,
-    /// This controller's zone.
+    /// Name of this controller's zone, if stated.
     pub zone: Option<String>,
-    /// Most attempts in flight on one connection to a worker.
+    /// Maximum number of attempts in flight on one connection to a worker.
     pub streams: u32,
-    /// After how long an idle connection to a worker is closed; 0: not given.
+    /// Time after which an idle connection to a worker is closed, in microseconds; 0 if not stated.
     pub idle_timeout: Micros,
-    /// Most open requests of a controller.
+    /// Maximum number of open requests of a controller, if stated.
     pub open_calls: Option<u64>,
 }
 
-/// Milliseconds as microseconds; `None`: the value is no time.
+/// Converts a JSON number of milliseconds to microseconds. A negative number counts as 0. Returns `None` if the value
+/// is not a number or is too large.
 pub fn micros(value: &Value) -> Option<Micros> {
     let ms = value.as_f64()?;
     (ms.is_finite() && ms < MAX_MS).then(|| (ms.max(0.0) * 1000.0).round() as Micros)
 }
 
-/// A time is shorter than this many milliseconds.
+/// Upper bound of durations in milliseconds, exclusive.
 const MAX_MS: f64 = 1e15;
 
-/// Reads the settings object of an instance's first message.
+/// Parses the settings object of the first message that a controller receives.
 ///
 /// # Errors
-/// The first field that is missing or of the wrong kind.
+/// Fails at the first field that is missing or invalid.
 pub fn read(info: &Value) -> Result<PlatformSettings, FieldError> {
     let fields = Fields::of(info)?;
     let classes = classes(&fields)?;
@@ -92,7 +93,7 @@
     ("live", Weights::Live),
 ];
 
-/// Items of a list and their names, in the same order.
+/// The items of a list and, in the same order, their names.
 struct Named<T> {
     names: Vec<String>,
     items: Vec<T>,
@@ -108,7 +109,7 @@
         names.push(name.to_owned());
         let deadline = class.duration("deadline_ms")?.ok_or_else(|| class.missing("deadline_ms"))?;
         if deadline == 0 {
-            return Err(class.error("deadline_ms", "is no time"));
+            return Err(class.error("deadline_ms", "must be greater than 0"));
         }
         classes.push(Class {
             latency_objective: class.duration("goal_time_ms")?.unwrap_or(deadline),
@@ -122,14 +123,14 @@
     Ok(Named { names, items: classes })
 }
 
-/// The effect of repeating a call of a class; by default, that it must not be repeated.
+/// The effect of repeating a call of a class. By default a call must not run twice.
 fn effect(class: &Fields) -> Result<Effect, FieldError> {
-    let groups = [("all", KeyScope::All), ("zone", KeyScope::Zone), ("cell", KeyScope::Cell)];
-    let group = class.keyword("key_scope", &groups)?.unwrap_or(KeyScope::All);
+    let scopes = [("all", KeyScope::All), ("zone", KeyScope::Zone), ("cell", KeyScope::Cell)];
+    let scope = class.keyword("key_scope", &scopes)?.unwrap_or(KeyScope::All);
     let window = class.duration("repeat_window_ms")?.unwrap_or(0);
     let effects = [
         ("free", Effect::Idempotent),
-        ("guarded", Effect::IdempotencyKey { scope: group, window }),
+        ("guarded", Effect::IdempotencyKey { scope, window }),
         ("single_shot", Effect::NonIdempotent),
     ];
     Ok(class.keyword("effect", &effects)?.unwrap_or(Effect::NonIdempotent))
--- a/crates/platform-settings/tests/faults.rs
+++ b/crates/platform-settings/tests/faults.rs
@@ -1,4 +1,4 @@
-//! Wrong settings are rejected with the path of the field; absent ones, and those at their bounds, are accepted.
+//! Invalid settings are rejected with the path of the field. Absent values and values at their bounds are accepted.
 
 use nettleferry::{Effect, KeyScope, Weights};
 use nettleferry_platform_settings::read;
@@ -18,31 +18,35 @@
     })
 }
 
-/// The settings with one field set.
+/// The valid settings with one field replaced, given by its JSON pointer.
 fn with(path: &str, value: Value) -> Value {
     let mut settings = valid();
-    *settings.pointer_mut(path).unwrap_or_else(|| panic!("{path} is there")) = value;
+    *settings.pointer_mut(path).unwrap_or_else(|| panic!("no field at {path}")) = value;
     settings
 }
 
 #[test]
 fn absent_and_extreme_values_are_accepted() {
-    let site = read(&valid()).expect("valid settings");
-    assert_eq!((site.settings.controllers, site.settings.limits.max_attempts), (3, 3), "3.0 is 3");
-    assert_eq!((site.streams, site.open_calls), (u32::MAX, Some(1 << 32)), "the greatest value that fits");
-    assert_eq!(site.settings.weights, Weights::Live);
+    let parsed = read(&valid()).expect("valid settings");
+    assert_eq!(
+        (parsed.settings.controllers, parsed.settings.limits.max_attempts),
+        (3, 3),
+        "3.0 is accepted as an integer"
+    );
+    assert_eq!((parsed.streams, parsed.open_calls), (u32::MAX, Some(1 << 32)), "the largest value that fits");
+    assert_eq!(parsed.settings.weights, Weights::Live);
     let keyed = Effect::IdempotencyKey { scope: KeyScope::Cell, window: 0 };
     assert_eq!(
-        (site.settings.classes[0].effect, site.settings.classes[1].effect),
+        (parsed.settings.classes[0].effect, parsed.settings.classes[1].effect),
         (Effect::Idempotent, keyed)
     );
-    assert_eq!(site.settings.tenants[0].quota_per_s, None);
-    assert!(!site.settings.limits.cancel, "null is absent");
+    assert_eq!(parsed.settings.tenants[0].quota_per_s, None);
+    assert!(!parsed.settings.limits.cancel, "null counts as absent");
 }
 
 #[test]
-fn wrong_field_is_named() {
-    let wrong = [
+fn invalid_field_is_named() {
+    let invalid = [
         ("/classes", json!({}), "classes"),
         ("/classes/1", json!(7), "classes[1]"),
         ("/classes/1/name", json!("a"), "classes[1].name"),
@@ -69,7 +73,7 @@
         ("/obligations/start_capacity", json!(-0.1), "obligations.start_capacity"),
         ("/family_info/load_share", json!("a quarter"), "family_info.load_share"),
     ];
-    for (path, value, named) in wrong {
+    for (path, value, named) in invalid {
         let error = read(&with(path, value.clone())).expect_err(path);
         assert_eq!(error.path, named, "{value}");
         assert!(error.to_string().contains(named), "{error}");
--- a/crates/platform-settings/tests/golden.rs
+++ b/crates/platform-settings/tests/golden.rs
@@ -1,5 +1,5 @@
-//! Names and words of the platform's JSON settings: each is taken, and a wrong value of each is refused by its path,
-//! so that none is passed over unread.
+//! The field names and keywords of the platform's JSON settings. An invalid value of each field must be rejected with
+//! the field's path, which guards against fields that are silently ignored.
 
 use nettleferry_platform_settings::read;
 use serde_json::{Value, json};
@@ -29,7 +29,7 @@
     })
 }
 
-/// Each leaf of a value, as a JSON pointer and as the path that a fault names.
+/// Collects each leaf of a value, as a JSON pointer and as the path that an error names.
 fn leaves(pointer: &str, path: &str, value: &Value, found: &mut Vec<(String, String)>) {
     match value {
         Value::Object(fields) => {
@@ -55,15 +55,15 @@
     assert_eq!(found.len(), 45);
     for (pointer, path) in found {
         let mut settings = complete();
-        *settings.pointer_mut(&pointer).expect("it is there") = json!({ "wrong": [] });
-        let fault = read(&settings).expect_err(&path);
-        assert_eq!(fault.path, path);
+        *settings.pointer_mut(&pointer).expect("the field exists") = json!({ "wrong": [] });
+        let error = read(&settings).expect_err(&path);
+        assert_eq!(error.path, path);
     }
 }
 
 #[test]
-fn every_word_is_known() {
-    for (pointer, words) in [
+fn every_keyword_is_accepted() {
+    for (pointer, keywords) in [
         ("/discovery", &["push", "ask"][..]),
         ("/weights", &["none", "nominal", "rough", "live"]),
         ("/stats/how", &["none", "answers", "probe"]),
@@ -71,10 +71,10 @@
         ("/classes/0/key_scope", &["all", "zone", "cell"]),
         ("/family_info/when_absent", &["load", "miss"]),
     ] {
-        for word in words {
+        for keyword in keywords {
             let mut settings = complete();
-            *settings.pointer_mut(pointer).expect("it is there") = json!(word);
-            assert!(read(&settings).is_ok(), "{pointer} {word}");
+            *settings.pointer_mut(pointer).expect("the field exists") = json!(keyword);
+            assert!(read(&settings).is_ok(), "{pointer} {keyword}");
         }
     }
 }
--- a/crates/platform/src/answer.rs
+++ b/crates/platform/src/answer.rs
@@ -1,28 +1,28 @@
-//! The content of an invoker's answer: its kind, and its fields with the load note and the load report.
+//! The kind of an invoker's answer, and its fields with the load note and the load report.
 
 use nettleferry::{LoadNote, Report};
 
-/// The keyword of an answer.
+/// The kind of an answer, from its keyword on the wire.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnswerKind {
     /// The request was served.
     Served,
-    /// The function is not loaded there: the request did not run.
+    /// The invoker has no replica of the function; the request did not run.
     NotLoaded,
-    /// The invoker is full: the request did not run.
+    /// The invoker is at capacity; the request did not run.
     Overloaded,
-    /// An error: the request may have run.
+    /// The invoker failed the request, which may have run.
     Crashed,
-    /// The request had ended already: it did not run.
+    /// The request had expired or been cancelled before the invoker received it; it did not run.
     AlreadyEnded,
-    /// To a probe: in service.
+    /// The answer to a health check: the invoker is in service.
     InService,
-    /// To a probe: not in service.
+    /// The answer to a health check: the invoker is not in service.
     OutOfService,
 }
 
 impl AnswerKind {
-    /// Parses it; `None`: it is unknown.
+    /// Parses a keyword; `None` if it is unknown.
     pub fn parse(text: &str) -> Option<Self> {
         Some(match text {
             "served" => Self::Served,
@@ -37,19 +37,20 @@
     }
 }
 
-/// An answer's fields.
+/// The fields of an answer. Fields that were not sent are `None`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct AnswerFields {
-    /// Whether a replica was loaded.
+    /// Whether the function was loaded when the request arrived.
     pub note: Option<LoadNote>,
-    /// Loaded replicas, after a load order.
+    /// Number of loaded replicas, in the answer to a load order.
     pub instances: Option<u32>,
-    /// The load report.
+    /// The invoker's load report.
     pub report: Option<Report>,
 }
 
 impl AnswerFields {
-    /// Parses `name=value,name=value`, or `-` for none. Unknown names are ignored; `None`: it is no such list.
+    /// Parses `name=value,name=value`, or `-` for no fields. Unknown names are ignored. Returns `None` if the list or
+    /// the value of a known field is malformed.
     pub fn parse(fields: &str) -> Option<Self> {
         let mut parsed = Self::default();
         if fields == "-" || fields.is_empty() {
@@ -76,7 +77,8 @@
     }
 }
 
-/// Parses `inflight:7;util:0.61`. The settings' names of these values are accepted as well.
+/// Parses a load report such as `inflight:7;util:0.61`. The names that the settings use for these values are accepted
+/// as well. Returns `None` if a part is malformed or a value is negative or not finite.
 fn report(text: &str) -> Option<Report> {
     let mut report = Report::default();
     for part in text.split(';').filter(|part| !part.is_empty()) {
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -1,4 +1,4 @@
-//! `PROXY_CONFIG`: the configuration that a controller gets at its start.
+//! The configuration of a controller, which the platform passes in `PROXY_CONFIG`.
 
 use std::net::SocketAddr;
 
@@ -6,35 +6,35 @@
 
 use crate::directory::KnownEvents;
 
-/// The configuration; fields that a controller does not use are ignored.
+/// The configuration of a controller. Fields of the JSON object that are not listed here are ignored.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// The address for clients.
+    /// The address to listen on for clients.
     pub listen: SocketAddr,
-    /// Seed for random numbers: hex digits, new with each start.
+    /// Seed for random numbers, in hex digits; different at each start.
     pub seed: String,
-    /// The limits of the machine.
+    /// The resource limits of the machine.
     pub limits: Limits,
-    /// The directory's address.
+    /// The address of the directory's DNS server.
     pub resolver: SocketAddr,
-    /// The directory's events so far.
+    /// The directory's events up to the start of the controller.
     pub known_events: KnownEvents,
-    /// The settings of the simulator's first message.
+    /// The settings, in the format of the simulator's first message.
     pub settings: serde_json::Value,
 }
 
-/// The limits of the machine.
+/// The resource limits of the machine.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(default)]
 pub struct Limits {
-    /// Memory, MB.
+    /// Memory in MB.
     pub memory_mb: u64,
-    /// File descriptors of a process.
+    /// Maximum number of file descriptors of a process.
     pub sockets: u64,
 }
 
 impl Default for Limits {
-    /// The smallest machine that the platform documents.
+    /// The limits of the smallest machine in the platform's documentation.
     fn default() -> Self {
         Self { memory_mb: 32, sockets: 256 }
     }
@@ -43,25 +43,25 @@
 /// Why a configuration can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
-    /// It is no JSON object.
+    /// The text is not a JSON object.
     #[error("the configuration: {0}")]
     Json(#[from] serde_json::Error),
-    /// A field has the wrong kind.
+    /// A field has the wrong type or an invalid value.
     #[error("the configuration: field {name}: {source}")]
     Field {
-        /// Its name.
+        /// The field's name.
         name: &'static str,
-        /// Why.
+        /// The parser's error.
         source: serde_json::Error,
     },
-    /// A field is missing.
+    /// A required field is missing.
     #[error("the configuration: field {0} is missing")]
     Missing(&'static str),
 }
 
 type Object = serde_json::Map<String, serde_json::Value>;
 
-/// A field by name; `None`: it is absent.
+/// Removes a field from the object and parses it; `None` if the field is absent.
 fn field<T: serde::de::DeserializeOwned>(
     object: &mut Object,
     name: &'static str,
@@ -74,7 +74,7 @@
     /// Parses a configuration.
     ///
     /// # Errors
-    /// Where it is no JSON object, or a field is missing or wrong.
+    /// Fails if the text is not a JSON object, or if a field is missing or invalid.
     pub fn parse(text: &str) -> Result<Self, ConfigError> {
         let mut object: Object = serde_json::from_str(text)?;
         Ok(Self {
@@ -87,7 +87,7 @@
         })
     }
 
-    /// The seed as a number; one that is not hexadecimal is hashed by its bytes.
+    /// The seed as a number. A seed that is not hexadecimal is hashed instead.
     pub fn seed_number(&self) -> u64 {
         let hashed = || self.seed.bytes().fold(0u64, |n, b| n.wrapping_mul(257).wrapping_add(u64::from(b)));
         u64::from_str_radix(&self.seed, 16).unwrap_or_else(|_| hashed())
--- a/crates/platform/src/directory/dns.rs
+++ b/crates/platform/src/directory/dns.rs
@@ -1,4 +1,5 @@
-//! The list of invokers over DNS (RFC 1035): SRV records (RFC 2782) name the invokers, with an A and a TXT record each.
+//! The list of invokers over DNS (RFC 1035). SRV records (RFC 2782) name the invokers, and each invoker has an A and a
+//! TXT record.
 
 use std::collections::BTreeMap;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -8,17 +9,17 @@
 
 use super::{Invoker, List, ListError, State};
 
-/// The name whose SRV records are the list.
+/// The DNS name whose SRV records form the list.
 pub const LIST_NAME: &str = "_rpc._tcp.mesh.local";
-/// Most bytes of a response.
+/// Maximum size of a response in bytes.
 pub const MAX_RESPONSE_BYTES: usize = 8_000;
-/// Weights in SRV records are integers: ten times the weight.
+/// Factor between weights in SRV records, which are integers, and the invokers' weights.
 const WEIGHT_SCALE: f64 = 10.0;
 
 /// Builds a query for the list.
 ///
 /// # Errors
-/// Where the message can't be built.
+/// Fails if the message can't be built.
 pub fn build_query(id: u16) -> Result<Vec<u8>, ListError> {
     let failed = |error: simple_dns::SimpleDnsError| ListError::Dns(error.to_string());
     let mut packet = Packet::new_query(id);
@@ -28,10 +29,10 @@
     packet.build_bytes_vec().map_err(failed)
 }
 
-/// Parses the response to the query with this id: a complete list or none.
+/// Parses the response to the query with this id. Returns a complete list, never a part of one.
 ///
 /// # Errors
-/// Where it is no complete list.
+/// Fails if the message is not the query's response, or if the list is incomplete or malformed.
 pub fn parse_response(id: u16, bytes: &[u8]) -> Result<List, ListError> {
     let packet = Packet::parse(bytes).map_err(|error| ListError::Dns(error.to_string()))?;
     check_response(&packet, id)?;
@@ -49,7 +50,7 @@
     Ok(List { serial, invokers: invokers.into_values().collect() })
 }
 
-/// Whether it is the name of the list. DNS names are case-insensitive.
+/// Whether this is [`LIST_NAME`]. DNS names are case-insensitive.
 fn is_list_name(name: &Name) -> bool {
     name.to_string().eq_ignore_ascii_case(LIST_NAME)
 }
@@ -71,7 +72,7 @@
     Ok(())
 }
 
-/// The serial of the SOA record: the number of the last event.
+/// The serial of the SOA record, which is the number of the directory's last event.
 fn serial(packet: &Packet) -> Result<u32, ListError> {
     let mut records = packet.name_servers.iter().chain(&packet.answers).chain(&packet.additional_records);
     let serial = records.find_map(|record| match &record.rdata {
@@ -81,7 +82,7 @@
     serial.ok_or_else(|| ListError::Record("no SOA record".to_owned()))
 }
 
-/// A and TXT records by the name of their host.
+/// The A and TXT records of a response, by host name.
 struct HostRecords {
     addresses: BTreeMap<String, Ipv4Addr>,
     texts: BTreeMap<String, BTreeMap<String, String>>,
@@ -108,7 +109,7 @@
         hosts
     }
 
-    /// The invoker that an SRV record names.
+    /// Builds the invoker that an SRV record names from its A and TXT records.
     fn invoker(&self, srv: &SRV) -> Result<Invoker, ListError> {
         let target = srv.target.to_string();
         let missing = |what: &str| ListError::Record(format!("{target}: {what}"));
--- a/crates/platform/src/directory/events.rs
+++ b/crates/platform/src/directory/events.rs
@@ -1,4 +1,4 @@
-//! The list of invokers as events: each replaces the list, or changes some invokers.
+//! The list of invokers as a sequence of events. Each event replaces the whole list or changes some invokers.
 
 use std::collections::BTreeMap;
 
@@ -6,10 +6,10 @@
 
 use super::{Invoker, List, ListError, State};
 
-/// The events that the configuration brings.
+/// The events that the configuration contains.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub struct KnownEvents {
-    /// The number of the last event.
+    /// Number of the last event.
     #[serde(default, rename = "pos")]
     pub number: u32,
     /// The events, in order.
@@ -17,28 +17,28 @@
     pub entries: Vec<ListEvent>,
 }
 
-/// An event.
+/// An event of the directory.
 #[derive(Clone, Debug, Deserialize)]
 pub struct ListEvent {
-    /// Its number.
+    /// Number of the event.
     #[serde(rename = "pos")]
     pub number: u32,
-    /// What changed.
+    /// The change of the list.
     pub hosts: HostChange,
 }
 
-/// The change of an event.
+/// The change of the invoker list by an event.
 #[derive(Clone, Debug, Deserialize)]
 pub struct HostChange {
-    /// Whether it replaces the whole list.
+    /// Whether the event replaces the whole list.
     #[serde(default)]
     pub reset: bool,
-    /// All invokers, or those that changed.
+    /// All invokers if the event replaces the list, otherwise those that changed.
     #[serde(default)]
     pub instances: Vec<InstanceChange>,
 }
 
-/// An invoker in an event.
+/// The new state of an invoker in an event.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct InstanceChange {
@@ -63,10 +63,10 @@
 }
 
 impl KnownEvents {
-    /// The list after all events.
+    /// Applies all events in order and returns the resulting list.
     ///
     /// # Errors
-    /// Where an address can't be parsed.
+    /// Fails if an address can't be parsed.
     pub fn list(&self) -> Result<List, ListError> {
         let mut invokers = BTreeMap::new();
         for entry in &self.entries {
@@ -87,11 +87,11 @@
 }
 
 impl InstanceChange {
-    /// The invoker after the event.
+    /// The invoker as it is after the event.
     fn invoker(&self) -> Result<Invoker, ListError> {
         let address = match &self.host_port {
             Some(text) => Some(text.parse().map_err(|_| {
-                ListError::Record(format!("{}: {text:?} is no address and port", self.instance_id))
+                ListError::Record(format!("{}: {text:?} is not an address and port", self.instance_id))
             })?),
             None => None,
         };
--- a/crates/platform/src/frames.rs
+++ b/crates/platform/src/frames.rs
@@ -1,46 +1,47 @@
-//! Client frames: `length:4 type:1 stream:4 payload`, all big-endian.
+//! Frames between clients and controllers: `length:4 type:1 stream:4 payload`, where the numbers are sizes in bytes and
+//! integers are big-endian. The length counts the bytes that follow it.
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 
-/// Lengths that the protocol allows: of all that follows the length itself.
+/// The range of lengths that the protocol allows, in bytes after the length itself.
 pub const FRAME_LENGTHS: std::ops::RangeInclusive<u32> = 5..=262_144;
-/// Most bytes of a request's body.
+/// Maximum size of a request's body in bytes.
 pub const MAX_BODY_BYTES: usize = 16 << 10;
-/// Most bytes of a frame's payload; a longer one is skipped as it arrives. A request's fields take some hundred bytes
-/// besides its body.
+/// Maximum size of a frame's payload in bytes; a longer payload is skipped as it arrives. Apart from its body, a
+/// request contains some hundred bytes of fields.
 pub const MAX_PAYLOAD_BYTES: usize = MAX_BODY_BYTES + (8 << 10);
-/// Bytes before the payload: length, type and stream.
+/// Size of the header in bytes: length, type and stream.
 const HEADER_BYTES: usize = 9;
 
 /// Frame types.
 pub mod kind {
-    /// A request.
+    /// A client's request.
     pub const REQUEST: u8 = 7;
-    /// The answer to a request; on stream 0 an error that belongs to none.
+    /// The answer to a request. On stream 0 it is an error that belongs to no request.
     pub const ANSWER: u8 = 8;
     /// The client has cancelled the request.
     pub const CANCEL: u8 = 9;
-    /// Asks whether the controller is ready.
+    /// A readiness query: is the controller ready?
     pub const READY: u8 = 1;
-    /// The answer to that.
+    /// The answer to a readiness query.
     pub const READY_ANSWER: u8 = 2;
-    /// No new request is accepted on this connection.
+    /// The controller accepts no new requests on this connection.
     pub const GO_AWAY: u8 = 3;
 }
 
-/// Codes of answers.
+/// Result codes of answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Code {
-    /// Served; ready.
+    /// The request was served. In the answer to a readiness query: the controller is ready.
     Served,
-    /// Rejected: a retry does no harm.
+    /// The request was refused, and a retry is safe. In the answer to a readiness query: the controller is not ready.
     Refused,
-    /// Failed: the request may have run.
+    /// The request failed and may have run.
     Failed,
 }
 
 impl Code {
-    /// Its byte on the wire.
+    /// The code's byte on the wire.
     pub fn byte(self) -> u8 {
         match self {
             Self::Served => 79,
@@ -55,42 +56,43 @@
 pub enum Frame {
     /// A frame with its payload.
     Complete {
-        /// Its type; may be unknown.
+        /// The frame's type, one of [`kind`] or unknown.
         kind: u8,
-        /// Its stream.
+        /// The frame's stream.
         stream: u32,
-        /// Its payload.
+        /// The frame's payload.
         payload: Bytes,
     },
-    /// A frame over [`MAX_PAYLOAD_BYTES`]: its payload is skipped.
+    /// A frame whose payload exceeds [`MAX_PAYLOAD_BYTES`] and is skipped.
     TooLong {
-        /// Its type.
+        /// The frame's type.
         kind: u8,
-        /// Its stream.
+        /// The frame's stream.
         stream: u32,
     },
 }
 
-/// Why a connection can't be read any more: the start of the next frame is not known.
+/// A framing error. The start of the next frame is then unknown, so the connection can't be read any further.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
-    /// A length outside [`FRAME_LENGTHS`].
+    /// The frame's length is outside [`FRAME_LENGTHS`].
     #[error("a frame's length of {0} is outside 5 to 262144")]
     Length(u32),
 }
 
-/// Takes frames from a connection's input.
+/// Decodes frames from the input of a connection.
 #[derive(Debug, Default)]
 pub struct Reader {
-    /// Bytes that are left of a payload that is skipped.
+    /// Number of bytes still to be skipped of a payload that is too long.
     skip: usize,
 }
 
 impl Reader {
-    /// The next frame. `Ok(None)`: it is not complete; `input` holds at most [`MAX_PAYLOAD_BYTES`] and the header then.
+    /// Removes the next frame from the front of `input` and returns it. `Ok(None)` means that it is incomplete; `input`
+    /// then contains at most a header and [`MAX_PAYLOAD_BYTES`].
     ///
     /// # Errors
-    /// A length that the protocol does not allow.
+    /// Fails if the frame's length is not allowed by the protocol.
     pub fn next(&mut self, input: &mut BytesMut) -> Result<Option<Frame>, FrameError> {
         if self.skip > 0 {
             let skipped = self.skip.min(input.len());
@@ -118,41 +120,41 @@
             return Ok(None);
         }
         input.advance(HEADER_BYTES);
-        // A copy: a slice would keep the whole read buffer alive.
+        // Copied, because a slice would keep the whole read buffer alive.
         let content = Bytes::copy_from_slice(&input[..payload]);
         input.advance(payload);
         Ok(Some(Frame::Complete { kind, stream, payload: content }))
     }
 
-    /// Whether a frame has begun that is not complete.
+    /// Whether `input` ends in an incomplete frame, or the payload of a frame is still being skipped.
     pub fn is_mid_frame(&self, input: &BytesMut) -> bool {
         self.skip > 0 || !input.is_empty()
     }
 }
 
-/// Why fields can't be read.
+/// Why the fields of a request can't be parsed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FieldsError {
-    /// They end before their count or their sizes say.
+    /// The payload ends before the fields that their count and sizes announce.
     #[error("the fields are cut short")]
     Truncated,
-    /// A name or a value is no text.
+    /// A field's name or value is not UTF-8.
     #[error("a field is not UTF-8")]
     InvalidUtf8,
-    /// A name occurs twice.
+    /// Two fields have the same name.
     #[error("a field stands twice")]
     Duplicate,
 }
 
-/// Fields: `count:1`, then for each `size:1 name size:2 value`.
+/// The fields of a request. On the wire: `count:1`, then `size:1 name size:2 value` for each field.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Fields<'a>(Vec<(&'a str, &'a str)>);
 
 impl<'a> Fields<'a> {
-    /// Parses them from the front of a payload; what is left is the body.
+    /// Parses the fields at the front of a payload, and returns them and the rest of the payload, which is the body.
     ///
     /// # Errors
-    /// Where they are cut short, no text, or occur twice.
+    /// Fails if the fields are truncated, are not UTF-8 or contain a duplicate name.
     pub fn read(payload: &'a [u8]) -> Result<(Self, &'a [u8]), FieldsError> {
         let (&count, mut rest) = payload.split_first().ok_or(FieldsError::Truncated)?;
         let mut fields: Vec<(&str, &str)> = Vec::new();
@@ -173,7 +175,7 @@
         Ok((Self(fields), rest))
     }
 
-    /// A field's value.
+    /// The value of a field; `None` if it is absent.
     pub fn get(&self, name: &str) -> Option<&'a str> {
         self.0.iter().find(|(known, _)| *known == name).map(|(_, value)| *value)
     }
@@ -188,18 +190,19 @@
 }
 
 /// Appends the answer to a readiness query.
-pub fn ready(out: &mut Vec<u8>, stream: u32, yes: bool) {
+pub fn ready(out: &mut Vec<u8>, stream: u32, is_ready: bool) {
     header(out, kind::READY_ANSWER, stream, 2);
-    out.put_u8(if yes { Code::Served } else { Code::Refused }.byte());
+    out.put_u8(if is_ready { Code::Served } else { Code::Refused }.byte());
     out.put_u8(0);
 }
 
-/// Appends the notice that no new request is accepted on this connection.
+/// Appends a frame that tells the client to send no new requests on this connection.
 pub fn go_away(out: &mut Vec<u8>) {
     header(out, kind::GO_AWAY, 0, 0);
 }
 
-/// Appends a request, for test clients.
+/// Appends a request, for test clients. Fields beyond 255 are dropped, and names and values that are too long for the
+/// format are truncated.
 pub fn request(out: &mut Vec<u8>, stream: u32, fields: &[(&str, &str)], body: &[u8]) {
     let mut payload = vec![fields.len().min(255) as u8];
     for (name, value) in fields.iter().take(255) {
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,13 +1,14 @@
-//! The platform's protocol, without I/O: bytes in, types out, and back.
+//! Codecs of the platform's protocol: they convert bytes to types and back, without I/O.
 //!
-//! May know: bytes, the module's types. Must not know: sockets, the clock, the engine, decisions.
+//! The crate uses the decision module's types, and depends on neither sockets, the clock nor the engine.
 //!
-//! * [`frames`]: frames between clients and controllers. [`request`]: a request's fields, checked.
-//! * [`resp`]: commands to invokers and their answers. [`answer`]: an answer's kind and fields.
-//! * [`directory`]: the list of invokers, by DNS and as events. [`config`]: the configuration of a controller.
+//! * [`frames`]: frames between clients and controllers. [`request`]: parsing and validation of a request's fields.
+//! * [`resp`]: commands to invokers and their answers. [`answer`]: the kind and the fields of an answer.
+//! * [`directory`]: the list of invokers, from DNS responses and from events. [`config`]: the configuration of a
+//!   controller.
 //!
-//! Input is bounded before it is buffered: a length over its bound is an error, or its payload is skipped, as soon as the
-//! length is known.
+//! Input is bounded before it is buffered. As soon as a length is known to exceed its limit, the codec returns an error
+//! or skips the payload.
 
 #![forbid(unsafe_code)]
 
--- a/crates/platform/src/request.rs
+++ b/crates/platform/src/request.rs
@@ -1,68 +1,68 @@
-//! A client's request: its fields, parsed and checked.
+//! Parsing and validation of a client's request.
 
 use crate::frames::{Fields, FieldsError, MAX_BODY_BYTES};
 
-/// A request, with the fields of the platform's protocol.
+/// A valid request of a client.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Request<'a> {
-    /// The class.
+    /// Name of the request's class.
     pub class: &'a str,
-    /// Its id: 16 hex digits.
+    /// The request's id, 16 lower-case hex digits.
     pub id: &'a str,
-    /// How long the client waits, milliseconds.
+    /// How long the client waits for the answer, in milliseconds.
     pub timeout_ms: f64,
-    /// The function: 16 hex digits.
+    /// Id of the function, 16 lower-case hex digits.
     pub function: &'a str,
-    /// The tenant, where there are tenants.
+    /// Name of the tenant; `None` where there are no tenants.
     pub tenant: Option<&'a str>,
-    /// The idempotency key of a keyed class, by which invokers drop repeats: forwarded as it is.
+    /// The idempotency key, by which invokers drop repeats of requests of a keyed class. It is forwarded unchanged.
     pub idempotency_key: Option<&'a str>,
-    /// Whether the client marks it as a repeat.
+    /// Whether the client marked the request as a retry.
     pub repeat: bool,
-    /// Its expected service time, milliseconds.
+    /// The expected service time in milliseconds, if the client states one.
     pub service_time_ms: Option<f64>,
-    /// Memory of one replica, MB.
+    /// Memory of one replica of the function, in MB.
     pub memory_mb: Option<f64>,
-    /// Requests that one replica runs at once.
+    /// Number of requests that one replica runs concurrently.
     pub lanes: Option<u32>,
-    /// The typical time of a load, milliseconds.
+    /// The typical duration of a load of the function, in milliseconds.
     pub load_ms: Option<f64>,
-    /// The body.
+    /// The request's body, at most [`MAX_BODY_BYTES`] long.
     pub body: &'a [u8],
 }
 
-/// Why a request can't be used.
+/// Why a request is invalid. The client receives the error's text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RequestError {
-    /// Its fields can't be read.
+    /// The fields can't be parsed.
     #[error("{0}")]
     Fields(#[from] FieldsError),
-    /// A field is missing.
+    /// A required field is missing.
     #[error("the field {0} is missing")]
     Missing(&'static str),
-    /// A field is not 16 hex digits.
+    /// A field is not an id of 16 lower-case hex digits.
     #[error("the field {0} is not 16 hex digits")]
     InvalidId(&'static str),
     /// A number can't be parsed, or is out of its range.
     #[error("the figure {0} is not a number in its range")]
     InvalidNumber(&'static str),
-    /// The body is over [`MAX_BODY_BYTES`].
+    /// The body is longer than [`MAX_BODY_BYTES`].
     #[error("the body is longer than 16384 bytes")]
     BodyTooLong,
 }
 
-/// Longest wait of a client and longest load, milliseconds: a day.
+/// Upper bound of all durations in a request, in milliseconds: one day.
 const MAX_MS: f64 = 86_400_000.0;
-/// Greatest memory of a replica, MB: a tebibyte.
+/// Upper bound of a replica's memory in MB: one tebibyte.
 const MAX_MB: f64 = 1_048_576.0;
-/// Most lanes of a replica.
+/// Upper bound of the lanes of a replica.
 const MAX_LANES: u32 = 4_096;
 
 impl<'a> Request<'a> {
-    /// Parses a request's payload.
+    /// Parses and validates the payload of a request frame.
     ///
     /// # Errors
-    /// The first field that is missing or wrong.
+    /// Fails at the first field that is missing or invalid, or if the body is too long.
     pub fn parse(payload: &'a [u8]) -> Result<Self, RequestError> {
         let (fields, body) = Fields::read(payload)?;
         if body.len() > MAX_BODY_BYTES {
@@ -99,7 +99,7 @@
                     let lanes = value.parse().ok().filter(|n| (1..=MAX_LANES).contains(n));
                     request.lanes = Some(lanes.ok_or(RequestError::InvalidNumber("lanes"))?);
                 }
-                // Values for other services.
+                // Tags for other services.
                 _ => {}
             }
         }
@@ -107,12 +107,13 @@
     }
 }
 
-/// Whether it is 16 hex digits in lower case.
+/// Whether the text consists of 16 lower-case hex digits.
 fn is_id(text: &str) -> bool {
     text.len() == 16 && text.bytes().all(|b| b.is_ascii_digit() || (b'a'..=b'f').contains(&b))
 }
 
-/// A number above 0 and at most `max`, in plain decimal digits.
+/// Parses a number greater than 0 and at most `max`. Only decimal digits and a point are accepted, without a sign or an
+/// exponent.
 fn number(name: &'static str, text: &str, max: f64) -> Result<f64, RequestError> {
     let plain = text.len() <= 24 && text.bytes().all(|b| b.is_ascii_digit() || b == b'.');
     let value = if plain { text.parse::<f64>().ok() } else { None };
--- a/crates/platform/src/resp.rs
+++ b/crates/platform/src/resp.rs
@@ -1,56 +1,57 @@
-//! RESP arrays of bulk strings (`*N\r\n$LEN\r\n...\r\n`): commands to invokers, and their answers.
+//! Commands to invokers and their answers, encoded as RESP arrays of bulk strings (`*N\r\n$LEN\r\n...\r\n`).
 
 use std::ops::Range;
 
 use bytes::{Buf, Bytes, BytesMut};
 
-/// Parts of an answer: id, kind, fields, body.
+/// Number of parts of an answer: id, kind, fields and body.
 pub const ANSWER_PARTS: usize = 4;
-/// Most bytes of an answer's body; a longer one is not read.
+/// Maximum size of an answer's body in bytes; a longer one is an error.
 pub const MAX_BODY_BYTES: usize = 64 << 10;
-/// Most bytes of an id, a kind or fields.
+/// Maximum size of an answer's id, kind or fields in bytes.
 pub const MAX_TEXT_BYTES: usize = 1 << 10;
-/// Most bytes of a line with a count or a length, without its end.
+/// Maximum size in bytes of a line with a count or a length, without its terminator.
 const MAX_LINE_BYTES: usize = 12;
 
-/// Why the input is no answer. The start of the next one is not known: the connection can't be used any more.
+/// Why the input is not a valid answer. The start of the next answer is then unknown, so the connection can't be used
+/// any more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RespError {
-    /// A line does not begin as it must, or is no number.
+    /// A line with a count or a length has the wrong prefix or is not a number.
     #[error("a count or a length can't be read")]
     MalformedLine,
-    /// An array of other than [`ANSWER_PARTS`].
+    /// The array does not have [`ANSWER_PARTS`] elements.
     #[error("an answer of {0} parts")]
     PartCount(u32),
-    /// A part over its bound.
-    #[error("a part of {0} bytes")]
+    /// A part is longer than its limit.
+    #[error("an answer's part of {0} bytes is longer than its limit")]
     PartTooLong(u64),
-    /// A part does not end where its length says.
+    /// A part is not followed by a terminator at its stated length.
     #[error("a part does not end where its length says")]
     MissingTerminator,
-    /// An id, a kind or fields are no text.
+    /// An id, a kind or the fields are not UTF-8.
     #[error("a part is not UTF-8")]
     InvalidUtf8,
 }
 
-/// An answer.
+/// An answer of an invoker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Answer {
-    /// The id or the tag of the request.
+    /// The id or the tag of the command that is answered.
     pub id: String,
-    /// Its kind, which [`crate::answer::AnswerKind`] parses.
+    /// Keyword of the answer's kind; see [`crate::answer::AnswerKind::parse`].
     pub kind: String,
-    /// Its fields, or `-`.
+    /// The answer's fields, or `-` if there are none; see [`crate::answer::AnswerFields::parse`].
     pub fields: String,
-    /// Its body.
+    /// The answer's body.
     pub body: Bytes,
 }
 
-/// Takes the next answer from the front of `input`. `Ok(None)`: it is not complete; what is buffered is bounded by the
-/// bounds of its parts.
+/// Removes the next answer from the front of `input` and returns it. `Ok(None)` means that it is incomplete; the limits
+/// on its parts then bound the size of `input`.
 ///
 /// # Errors
-/// Where the input is no answer.
+/// Fails if the input is not a valid answer.
 pub fn next(input: &mut BytesMut) -> Result<Option<Answer>, RespError> {
     let Some(Line { value: count, end: mut at }) = line(input, 0, b'*')? else { return Ok(None) };
     if count != ANSWER_PARTS as u64 {
@@ -85,14 +86,14 @@
     Ok(Some(answer))
 }
 
-/// A line with a count or a length.
+/// A parsed line with a count or a length.
 struct Line {
     value: u64,
-    /// Where what follows begins.
+    /// Offset of the first byte after the line's terminator.
     end: usize,
 }
 
-/// The line at `from`; `None`: it is not complete.
+/// Parses the line at offset `from`; `Ok(None)` if it is incomplete.
 fn line(input: &BytesMut, from: usize, prefix: u8) -> Result<Option<Line>, RespError> {
     let Some(rest) = input.get(from..) else { return Ok(None) };
     let Some((first, rest)) = rest.split_first() else { return Ok(None) };
@@ -112,7 +113,7 @@
     }
 }
 
-/// Appends an array of bulk strings.
+/// Appends a command or an answer as an array of bulk strings.
 pub fn command(out: &mut Vec<u8>, parts: &[&[u8]]) {
     out.extend_from_slice(format!("*{}\r\n", parts.len()).as_bytes());
     for part in parts {
@@ -122,7 +123,8 @@
     }
 }
 
-/// Appends `CALL ID FIELDS BODY`; `key`: the idempotency key, by which the invoker drops repeats.
+/// Appends `CALL ID FIELDS BODY`, which sends a request to an invoker. `sort` is the request's class and `asset` its
+/// function, as the protocol names them. `key` is the idempotency key, by which the invoker drops repeats.
 pub fn call(
     out: &mut Vec<u8>,
     id: &str,
@@ -140,23 +142,23 @@
     command(out, &[b"CALL", id.as_bytes(), fields.as_bytes(), body]);
 }
 
-/// Appends `CANCEL ID`.
+/// Appends `CANCEL ID`, which cancels a request.
 pub fn cancel(out: &mut Vec<u8>, id: &str) {
     command(out, &[b"CANCEL", id.as_bytes()]);
 }
 
-/// Appends `PING TAG` or, for an answer with a report, `STATS TAG`.
+/// Appends a health check: `PING TAG`, or `STATS TAG` if the answer is to contain a load report.
 pub fn probe(out: &mut Vec<u8>, tag: &str, report: bool) {
     command(out, &[if report { b"STATS" } else { b"PING" }, tag.as_bytes()]);
 }
 
-/// Appends `LOAD TAG asset=...,instances=...`.
+/// Appends `LOAD TAG asset=...,instances=...`, an order to load replicas of a function.
 pub fn load(out: &mut Vec<u8>, tag: &str, asset: &str, instances: u32) {
     let fields = format!("asset={asset},instances={instances}");
     command(out, &[b"LOAD", tag.as_bytes(), fields.as_bytes()]);
 }
 
-/// Appends `UNLOAD ASSET`.
+/// Appends `UNLOAD ASSET`, an order to unload the idle replicas of a function.
 pub fn unload(out: &mut Vec<u8>, asset: &str) {
     command(out, &[b"UNLOAD", asset.as_bytes()]);
 }
--- a/crates/platform/tests/codecs.rs
+++ b/crates/platform/tests/codecs.rs
@@ -1,4 +1,5 @@
-//! The codecs on arbitrary input: any bytes, split in any way, never panic and stay within their bounds.
+//! The codecs on arbitrary input. Whatever the bytes are and however they are split, the codecs must not panic and must
+//! not buffer more than their limits allow.
 
 use bytes::BytesMut;
 use nettleferry::LoadNote;
@@ -12,7 +13,7 @@
 use simple_dns::rdata::{A, RData, SOA, SRV, TXT};
 use simple_dns::{CLASS, Name, Packet, PacketFlag, ResourceRecord};
 
-/// All frames of a stream that comes in pieces of these sizes.
+/// Decodes all frames of a byte stream that arrives in pieces of these sizes.
 fn read_frames(bytes: &[u8], pieces: &[usize]) -> Result<Vec<Frame>, FrameError> {
     let (mut reader, mut input, mut out) = (Reader::default(), BytesMut::new(), Vec::new());
     let (mut rest, mut sizes) = (bytes, pieces.iter().cycle());
@@ -28,6 +29,7 @@
     Ok(out)
 }
 
+/// Decodes all answers of a byte stream that arrives in pieces of these sizes.
 fn read_answers(bytes: &[u8], pieces: &[usize]) -> Result<Vec<resp::Answer>, RespError> {
     let (mut input, mut out) = (BytesMut::new(), Vec::new());
     let (mut rest, mut sizes) = (bytes, pieces.iter().cycle());
@@ -74,7 +76,7 @@
     }
 
     #[test]
-    fn written_answers_are_read_again(id in "[0-9a-f]{16}", body in prop::collection::vec(any::<u8>(), 0..3_000), pieces in prop::collection::vec(1usize..500, 1..6)) {
+    fn encoded_answers_are_decoded_unchanged(id in "[0-9a-f]{16}", body in prop::collection::vec(any::<u8>(), 0..3_000), pieces in prop::collection::vec(1usize..500, 1..6)) {
         let mut wire = Vec::new();
         resp::command(&mut wire, &[id.as_bytes(), b"served", b"n=w", &body]);
         resp::command(&mut wire, &[id.as_bytes(), b"not_here", b"-", b""]);
@@ -162,7 +164,7 @@
 }
 
 #[test]
-fn answer_fields_hold_note_replicas_and_report() {
+fn answer_fields_contain_note_replicas_and_report() {
     let fields = AnswerFields::parse("n=j,instances=2,l=inflight:7;util:0.61").expect("valid");
     assert_eq!((fields.note, fields.instances), (Some(LoadNote::Waited), Some(2)));
     let report = fields.report.expect("a report");
@@ -173,8 +175,14 @@
     }
 }
 
-/// A response of the directory with these invokers: id, priority.
-fn listing(id: u16, serial: u32, invokers: &[(&str, u16)], change: impl Fn(&mut Packet)) -> Vec<u8> {
+/// Builds a response of the directory with these invokers, given by id and SRV priority. `change` alters the message
+/// before it is encoded.
+fn directory_response(
+    id: u16,
+    serial: u32,
+    invokers: &[(&str, u16)],
+    change: impl Fn(&mut Packet),
+) -> Vec<u8> {
     let mut packet = Packet::new_reply(id);
     let targets: Vec<String> = invokers.iter().map(|(id, _)| format!("{id}.east.hosts")).collect();
     for ((_, priority), target) in invokers.iter().zip(&targets) {
@@ -198,8 +206,8 @@
 
 #[test]
 fn list_is_complete_or_rejected() {
-    let list =
-        directory::parse_response(9, &listing(9, 41, &[("s-2", 1), ("s-1", 0)], |_| {})).expect("valid");
+    let list = directory::parse_response(9, &directory_response(9, 41, &[("s-2", 1), ("s-1", 0)], |_| {}))
+        .expect("valid");
     assert_eq!(list.serial, 41);
     let shown: Vec<_> = list.invokers.iter().map(|i| (i.id.as_str(), i.state, i.weight)).collect();
     assert_eq!(shown, [("s-1", State::Up, 4.0), ("s-2", State::Draining, 4.0)]);
@@ -212,25 +220,28 @@
 
     let one = [("s-1", 0)];
     let read = |bytes: &[u8]| directory::parse_response(9, bytes);
-    assert_eq!(read(&listing(8, 1, &one, |_| {})), Err(ListError::Unexpected), "another id");
+    assert_eq!(read(&directory_response(8, 1, &one, |_| {})), Err(ListError::Unexpected), "another id");
     assert_eq!(read(&directory::build_query(9).expect("a query")), Err(ListError::Unexpected), "a query");
     assert_eq!(
-        read(&listing(9, 1, &one, |p| p.set_flags(PacketFlag::TRUNCATION))),
+        read(&directory_response(9, 1, &one, |p| p.set_flags(PacketFlag::TRUNCATION))),
         Err(ListError::Truncated)
     );
     assert!(matches!(
-        read(&listing(9, 1, &one, |p| p.additional_records.clear())),
+        read(&directory_response(9, 1, &one, |p| p.additional_records.clear())),
         Err(ListError::Record(_))
     ));
-    assert!(matches!(read(&listing(9, 1, &one, |p| p.name_servers.clear())), Err(ListError::Record(_))));
-    let whole = listing(9, 1, &one, |_| {});
+    assert!(matches!(
+        read(&directory_response(9, 1, &one, |p| p.name_servers.clear())),
+        Err(ListError::Record(_))
+    ));
+    let whole = directory_response(9, 1, &one, |_| {});
     for cut in 0..whole.len() {
         assert!(read(&whole[..cut]).is_err(), "cut at {cut}");
     }
 }
 
 #[test]
-fn events_of_the_configuration_add_up() {
+fn events_of_the_configuration_are_applied_in_order() {
     let text = r#"{"name":"n3","listen":"127.0.0.4:8443","seed":"8c1f30d27a5be964","resolver":"127.2.0.1:8600",
         "limits":{"cores":1.0,"memory_mb":48,"sockets":384},"settings":{},"more":1,
         "known":{"pos":3,"entries":[
