--- a/crates/engine/src/commands.rs
+++ b/crates/engine/src/commands.rs
@@ -99,8 +99,8 @@
     ResponsePart {
         /// The call that the part belongs to.
         call: CallId,
-        /// The front end's token for the call ([`crate::NewCall::front`]).
-        front: u64,
+        /// The front end's token for the call ([`crate::NewCall::front_token`]).
+        front_token: u64,
         /// The part's bytes.
         payload: Bytes,
     },
@@ -109,8 +109,8 @@
     Answer {
         /// The answered call.
         call: CallId,
-        /// The front end's token for the call ([`crate::NewCall::front`]).
-        front: u64,
+        /// The front end's token for the call ([`crate::NewCall::front_token`]).
+        front_token: u64,
         /// The final answer.
         answer: FinalAnswer,
     },
@@ -125,7 +125,7 @@
         /// The model's version.
         version: Arc<str>,
         /// Number of replicas that the worker should have loaded.
-        copies: u32,
+        replicas: u32,
     },
     /// Tell a worker to unload its idle replicas of a model. No response is expected.
     Unload {
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -214,8 +214,8 @@
             Event::ClientReady { call } => self.set_client_slow(call, false),
             Event::ResponsePart { attempt, payload, last } => self.response_part(attempt, payload, last),
             Event::AttemptEnded { attempt, end, report } => self.attempt_ended(attempt, end, report),
-            Event::LoadEnded { request_id, end, copies } => {
-                self.control_request_ended(request_id, &end, copies, None);
+            Event::LoadEnded { request_id, end, replicas } => {
+                self.control_request_ended(request_id, &end, replicas, None);
             }
             Event::ProbeEnded { request_id, end, load_report } => {
                 self.control_request_ended(request_id, &end, 0, load_report);
@@ -267,9 +267,9 @@
         self.last_id
     }
 
-    fn record_step(&mut self, front: u64, step: Step) {
+    fn record_step(&mut self, front_token: u64, step: Step) {
         if let Some(phases) = &mut self.phases {
-            phases.push(Phase { front, step });
+            phases.push(Phase { front_token, step });
         }
     }
 
--- a/crates/engine/src/engine/attempts.rs
+++ b/crates/engine/src/engine/attempts.rs
@@ -28,11 +28,11 @@
         if let Some(at) = times_out_at {
             self.timers.insert(at, Timer::Attempt(attempt));
         }
-        let front = call.front;
+        let front_token = call.front_token;
         self.attempts.insert(
             attempt,
             InFlightAttempt {
-                front,
+                front_token,
                 worker,
                 sent_at: self.now,
                 times_out_at,
@@ -44,7 +44,7 @@
         let (streamed, body, slow) = (call.streamed, call.body.clone(), call.slow);
         let after = call.last_end.as_ref().map(AttemptEnd::outcome);
         self.measure(Measurement::AttemptStarted { after });
-        self.record_step(front, Step::AttemptStarted);
+        self.record_step(front_token, Step::AttemptStarted);
         self.commands.push(Command::Start { attempt, worker, streamed, time_left, body });
         if slow {
             self.commands.push(Command::Pause { attempt });
@@ -90,13 +90,17 @@
             let request = RequestId(attempt.call.0);
             self.module_events.push_back(ModuleEvent::Started { request, attempt: attempt.number });
         }
-        self.commands.push(Command::ResponsePart { call: attempt.call, front: call.front, payload });
+        self.commands.push(Command::ResponsePart {
+            call: attempt.call,
+            front_token: call.front_token,
+            payload,
+        });
     }
 
     /// Ends an attempt, reports its outcome to the decision module, and answers the call if the outcome settles it.
     pub(super) fn attempt_ended(&mut self, attempt: AttemptId, end: AttemptEnd, report: AttemptReport) {
         let Some(in_flight) = self.attempts.remove(&attempt) else { return };
-        self.record_step(in_flight.front, Step::AttemptEnded);
+        self.record_step(in_flight.front_token, Step::AttemptEnded);
         if let Some(load_note) = report.load_note {
             self.measure(Measurement::LoadNote(load_note));
         }
--- a/crates/engine/src/engine/calls.rs
+++ b/crates/engine/src/engine/calls.rs
@@ -44,11 +44,11 @@
             outcome,
             latency: 0,
         });
-        self.record_step(new_call.front, Step::CallEnded(outcome));
+        self.record_step(new_call.front_token, Step::CallEnded(outcome));
         if outcome == CallOutcome::Refused {
             self.counters.over_open += 1;
         }
-        self.push_answer(id, new_call.front, answer);
+        self.push_answer(id, new_call.front_token, answer);
     }
 
     fn insert_call(&mut self, id: CallId, function: FunctionId, time_left: Micros, new_call: NewCall) {
@@ -57,7 +57,7 @@
         self.calls.insert(
             id,
             Call {
-                front: new_call.front,
+                front_token: new_call.front_token,
                 class: new_call.class,
                 tenant: new_call.tenant,
                 group: new_call.group,
@@ -165,19 +165,19 @@
     /// Closes an open call and sends its final answer. All answers to open calls pass through here.
     pub(super) fn answer(&mut self, id: CallId, answer: FinalAnswer) {
         let Some(call) = self.calls.get(&id) else { return };
-        let front = call.front;
+        let front_token = call.front_token;
         self.close(id, call_outcome(&answer));
-        self.push_answer(id, front, answer);
+        self.push_answer(id, front_token, answer);
     }
 
-    fn push_answer(&mut self, call: CallId, front: u64, answer: FinalAnswer) {
+    fn push_answer(&mut self, call: CallId, front_token: u64, answer: FinalAnswer) {
         match &answer {
             FinalAnswer::Served { .. } => self.counters.served += 1,
             FinalAnswer::Rejected { .. } => self.counters.rejected += 1,
             FinalAnswer::Refused { .. } => self.counters.refused += 1,
             FinalAnswer::Failed { .. } => self.counters.failed += 1,
         }
-        self.commands.push(Command::Answer { call, front, answer });
+        self.commands.push(Command::Answer { call, front_token, answer });
     }
 
     /// Removes a call from the ledger. Its attempt in flight is cancelled, or becomes an orphan if the settings forbid
@@ -199,6 +199,6 @@
                 self.orphan_attempt(attempt, call.answer_due);
             }
         }
-        self.record_step(call.front, Step::CallEnded(outcome));
+        self.record_step(call.front_token, Step::CallEnded(outcome));
     }
 }
--- a/crates/engine/src/engine/control_requests.rs
+++ b/crates/engine/src/engine/control_requests.rs
@@ -12,8 +12,8 @@
 use crate::outcome::AttemptEnd;
 
 impl Engine {
-    /// Sends a load order for `copies` replicas.
-    pub(super) fn order_load(&mut self, worker: WorkerId, function: FunctionId, copies: u32) {
+    /// Sends a load order for `replicas` replicas of a function.
+    pub(super) fn order_load(&mut self, worker: WorkerId, function: FunctionId, replicas: u32) {
         let Some(Model { name, version }) = self.names.model(function).cloned() else {
             // The model's name has been dropped, so no call for it is open.
             let outcome = Outcome::Error;
@@ -23,7 +23,7 @@
         self.counters.orders += 1;
         self.measure(Measurement::LoadSent);
         let request_id = self.begin_control_request(worker, Some(function), self.order_timeout);
-        self.commands.push(Command::Load { request_id, worker, model: name, version, copies });
+        self.commands.push(Command::Load { request_id, worker, model: name, version, replicas });
     }
 
     /// Cancels the outstanding load orders for a function at a worker.
@@ -62,13 +62,13 @@
         id
     }
 
-    /// Ends a control request and reports it to the decision module. `copies` applies to load orders only, and
+    /// Ends a control request and reports it to the decision module. `replicas` applies to load orders only, and
     /// `load_report` to health checks only.
     pub(super) fn control_request_ended(
         &mut self,
         id: ControlRequestId,
         end: &AttemptEnd,
-        copies: u32,
+        replicas: u32,
         load_report: Option<Report>,
     ) {
         let Some(request) = self.control_requests.remove(&id) else { return };
@@ -80,7 +80,7 @@
             None => Measurement::ProbeEnded { answered: outcome == Outcome::Ok },
         });
         self.module_events.push_back(match request.function {
-            Some(function) => ModuleEvent::Loaded { worker, function, outcome, copies, elapsed },
+            Some(function) => ModuleEvent::Loaded { worker, function, outcome, copies: replicas, elapsed },
             None => ModuleEvent::Probed { worker, outcome, report: load_report },
         });
     }
--- a/crates/engine/src/engine/state.rs
+++ b/crates/engine/src/engine/state.rs
@@ -8,7 +8,7 @@
 
 /// A call that has no final answer yet.
 pub(super) struct Call {
-    pub(super) front: u64,
+    pub(super) front_token: u64,
     pub(super) class: ClassId,
     pub(super) tenant: Option<TenantId>,
     pub(super) group: u32,
@@ -32,7 +32,7 @@
 
 /// An attempt in flight.
 pub(super) struct InFlightAttempt {
-    pub(super) front: u64,
+    pub(super) front_token: u64,
     pub(super) worker: WorkerId,
     pub(super) sent_at: Micros,
     pub(super) times_out_at: Option<Micros>,
--- a/crates/engine/src/events.rs
+++ b/crates/engine/src/events.rs
@@ -12,7 +12,7 @@
 #[derive(Clone, Debug)]
 pub struct NewCall {
     /// A token that the front end chooses; commands for this call carry it back.
-    pub front: u64,
+    pub front_token: u64,
     /// The class of the call.
     pub class: ClassId,
     /// The tenant that makes the call; `None` where no tenants are configured.
@@ -114,7 +114,7 @@
         /// How it ended.
         end: AttemptEnd,
         /// Number of replicas of the model that are loaded at the worker.
-        copies: u32,
+        replicas: u32,
     },
     /// A health check ended.
     ProbeEnded {
--- a/crates/engine/src/measurements.rs
+++ b/crates/engine/src/measurements.rs
@@ -39,8 +39,8 @@
 /// A state change of a call, for admission control; delivered by [`crate::Engine::drain_phases`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Phase {
-    /// The front end's token for the call ([`crate::NewCall::front`]).
-    pub front: u64,
+    /// The front end's token for the call ([`crate::NewCall::front_token`]).
+    pub front_token: u64,
     /// What happened to the call.
     pub step: Step,
 }
--- a/crates/engine/tests/common/mod.rs
+++ b/crates/engine/tests/common/mod.rs
@@ -115,7 +115,7 @@
 
     pub(crate) fn open(&mut self, class: usize, streamed: bool) -> (CallId, Vec<Command>) {
         let open = NewCall {
-            front: 77,
+            front_token: 77,
             class: ClassId(class),
             tenant: None,
             model: "echo".into(),
--- a/crates/engine/tests/ledger.rs
+++ b/crates/engine/tests/ledger.rs
@@ -34,7 +34,7 @@
     for _ in 0..3 {
         assert!(matches!(
             harness.handle(part(attempt, false))[..],
-            [Command::ResponsePart { front: 77, .. }]
+            [Command::ResponsePart { front_token: 77, .. }]
         ));
     }
     let broken = harness.handle(attempt_ended(attempt, AttemptEnd::Broken));
@@ -315,14 +315,14 @@
     let (_, first) = harness.open(0, false);
     let missed = harness.handle(attempt_ended(started(&first).expect("sent"), AttemptEnd::MarkedMiss));
     let request_id = missed.iter().find_map(|c| match c {
-        Command::Load { request_id, model, copies: 1, .. } if &**model == "echo" => Some(*request_id),
+        Command::Load { request_id, model, replicas: 1, .. } if &**model == "echo" => Some(*request_id),
         _ => None,
     });
     let request_id = request_id.expect("one replica is ordered");
     harness.now += 700 * MS;
-    let sent = harness.handle(Event::LoadEnded { request_id, end: AttemptEnd::Served, copies: 1 });
+    let sent = harness.handle(Event::LoadEnded { request_id, end: AttemptEnd::Served, replicas: 1 });
     assert!(started(&sent).is_some());
-    assert_eq!(harness.handle(Event::LoadEnded { request_id, end: AttemptEnd::Served, copies: 1 }), vec![]);
+    assert_eq!(harness.handle(Event::LoadEnded { request_id, end: AttemptEnd::Served, replicas: 1 }), vec![]);
 }
 
 #[test]
--- a/crates/engine/tests/soak.rs
+++ b/crates/engine/tests/soak.rs
@@ -120,7 +120,7 @@
             format!("f-{}", dice(&mut self.seed, 40))
         };
         let new_call = NewCall {
-            front: round,
+            front_token: round,
             class: ClassId(dice(&mut self.seed, 2) as usize),
             tenant: None,
             model: model.as_str().into(),
@@ -165,7 +165,7 @@
             Command::Load { request_id, .. } => {
                 let failed = dice(&mut self.seed, 8) == 0;
                 let end = if failed { AttemptEnd::Broken } else { AttemptEnd::Served };
-                self.schedule(300 * MS, Event::LoadEnded { request_id, end, copies: 1 });
+                self.schedule(300 * MS, Event::LoadEnded { request_id, end, replicas: 1 });
             }
             Command::Probe { request_id, .. } => {
                 let end = AttemptEnd::Served;
--- a/crates/gateway/benches/measure.rs
+++ b/crates/gateway/benches/measure.rs
@@ -120,7 +120,7 @@
         let now = 1_000_000 + n * 50;
         out.clear();
         let open = NewCall {
-            front: n,
+            front_token: n,
             class: ClassId(0),
             tenant: None,
             model: names[(n % 64) as usize].clone(),
--- a/crates/gateway/src/call_steps.rs
+++ b/crates/gateway/src/call_steps.rs
@@ -26,9 +26,9 @@
 /// The limiter looks at how long calls wait for a worker.
 fn count_for_limiter(limiter: &mut Gate, now: Micros, phase: &Phase) {
     match phase.step {
-        Step::AttemptStarted => limiter.has_worker(phase.front),
+        Step::AttemptStarted => limiter.has_worker(phase.front_token),
         // Its model stays known while a worker has it; from now on it waits again.
-        Step::AttemptEnded => limiter.returned_by_worker(now / 1000, phase.front),
-        Step::CallEnded(_) => limiter.ended(phase.front),
+        Step::AttemptEnded => limiter.returned_by_worker(now / 1000, phase.front_token),
+        Step::CallEnded(_) => limiter.ended(phase.front_token),
     }
 }
--- a/crates/gateway/src/controller/commands.rs
+++ b/crates/gateway/src/controller/commands.rs
@@ -41,20 +41,20 @@
             Command::CancelLoad { .. } => {}
             Command::Pause { attempt } => self.worker_links.pause(hub, attempt),
             Command::Resume { attempt } => self.worker_links.resume(hub, attempt),
-            Command::ResponsePart { front, payload, .. } => {
-                self.with_front(|handler, context| handler.send_part(context, front, payload));
+            Command::ResponsePart { front_token, payload, .. } => {
+                self.with_front(|handler, context| handler.send_part(context, front_token, payload));
             }
-            Command::Answer { call, front, answer } => {
+            Command::Answer { call, front_token, answer } => {
                 debug!(call = call.0, ?answer, "final answer");
-                self.with_front(|handler, context| handler.answer(context, call, front, answer));
+                self.with_front(|handler, context| handler.answer(context, call, front_token, answer));
             }
-            Command::Load { request_id, worker, model, version, copies } => {
-                debug!(worker = %self.engine.names().worker_name(worker), %model, copies, "load ordered");
+            Command::Load { request_id, worker, model, version, replicas } => {
+                debug!(worker = %self.engine.names().worker_name(worker), %model, copies = replicas, "load ordered");
                 let memory_bytes = self.config.models.find(&model).and_then(|model| model.memory);
                 if let Some(audit_log) = &mut self.audit_log {
                     audit_log.recorder.order(self.clock.now_ms(), worker.0);
                 }
-                let order = LoadOrder { model: &model, version: &version, memory_bytes, replicas: copies };
+                let order = LoadOrder { model: &model, version: &version, memory_bytes, replicas };
                 return self.worker_links.load(hub, request_id, worker, &order);
             }
             Command::Unload { worker, model, .. } => self.worker_links.unload(hub, worker, &model),
--- a/crates/gateway/src/front/accept.rs
+++ b/crates/gateway/src/front/accept.rs
@@ -80,7 +80,7 @@
             }
         };
         Ok(Some(NewCall {
-            front: number,
+            front_token: number,
             class: model.class,
             tenant,
             model: head.model.as_str().into(),
@@ -98,7 +98,7 @@
 
     /// Opens an accepted call at the engine.
     fn start_call(&mut self, context: &mut FrontContext, stream: StreamKey, id: &str, new_call: NewCall) {
-        let number = new_call.front;
+        let number = new_call.front_token;
         let open_call = OpenCall { stream, id: id.into(), model: Arc::clone(&new_call.model) };
         self.calls.insert(number, open_call);
         self.opened += 1;
--- a/crates/gateway/src/tenants/mod.rs
+++ b/crates/gateway/src/tenants/mod.rs
@@ -334,7 +334,7 @@
 
     /// A step of a call; steps come in order.
     pub(crate) fn record_step(&mut self, now: Micros, phase: Phase) {
-        let Some(call) = self.open_calls.get(&phase.front) else { return };
+        let Some(call) = self.open_calls.get(&phase.front_token) else { return };
         let slot = call.slot;
         self.changed.insert(slot);
         match phase.step {
@@ -345,7 +345,7 @@
                 if let Some(tenant) = self.tenants.get_mut(slot) {
                     tenant.call_ended(outcome);
                 }
-                self.open_calls.remove(&phase.front);
+                self.open_calls.remove(&phase.front_token);
             }
         }
     }
--- a/crates/gateway/src/worker_links/mod.rs
+++ b/crates/gateway/src/worker_links/mod.rs
@@ -134,7 +134,7 @@
                 self.control_requests.insert(request_id, stream);
                 None
             }
-            Err(end) => Some(Event::LoadEnded { request_id, end, copies: 0 }),
+            Err(end) => Some(Event::LoadEnded { request_id, end, replicas: 0 }),
         }
     }
 
@@ -295,7 +295,7 @@
             }
             Purpose::Load(request_id) => {
                 self.control_requests.remove(&request_id);
-                Event::LoadEnded { request_id, end, copies: trailers::loaded_replicas(trailers) }
+                Event::LoadEnded { request_id, end, replicas: trailers::loaded_replicas(trailers) }
             }
             Purpose::Probe(request_id) => {
                 self.control_requests.remove(&request_id);
--- a/crates/node/src/node/dispatch.rs
+++ b/crates/node/src/node/dispatch.rs
@@ -153,7 +153,7 @@
             return self.front.answer_with_reason(tcp, token, &NO_TIME_LEFT, reason, counters);
         }
         let new_call = NewCall {
-            front: token.0,
+            front_token: token.0,
             class: request.class,
             tenant: request.tenant,
             model: request.function,
--- a/crates/node/src/node/execute.rs
+++ b/crates/node/src/node/execute.rs
@@ -33,13 +33,13 @@
             }
             Command::Abandon { attempt } => self.pools.abandon(context.tcp, attempt),
             Command::Cancel { attempt } => self.cancel_attempt(attempt),
-            Command::Answer { front, answer, .. } => {
-                let token = RequestToken(front);
+            Command::Answer { front_token, answer, .. } => {
+                let token = RequestToken(front_token);
                 let answer = self.checked_answer(token, answer);
                 self.front.answer(&mut self.tcp, token, &answer, &mut self.counters);
             }
-            Command::Load { request_id, worker, model, copies, .. } => {
-                let order = LoadOrder { id: request_id, function: &model, replicas: copies };
+            Command::Load { request_id, worker, model, replicas, .. } => {
+                let order = LoadOrder { id: request_id, function: &model, replicas };
                 self.pools.load(context, worker, order);
             }
             Command::CancelLoad { request_id } => self.pools.cancel_load(context, request_id),
--- a/crates/node/src/pools/pending.rs
+++ b/crates/node/src/pools/pending.rs
@@ -20,7 +20,7 @@
     pub(super) fn ended(self, end: AttemptEnd) -> Event {
         match self {
             Self::Attempt(attempt) => Event::AttemptEnded { attempt, end, report: AttemptReport::default() },
-            Self::Load(request_id) => Event::LoadEnded { request_id, end, copies: 0 },
+            Self::Load(request_id) => Event::LoadEnded { request_id, end, replicas: 0 },
             Self::Probe(request_id) => Event::ProbeEnded { request_id, end, load_report: None },
         }
     }
--- a/crates/node/src/pools/responses.rs
+++ b/crates/node/src/pools/responses.rs
@@ -108,8 +108,8 @@
                 out.push(Event::AttemptEnded { attempt, end: attempt_end(kind, fields), report });
             }
             PendingResponse::Load(request_id) => {
-                let copies = fields.instances.unwrap_or(0);
-                out.push(Event::LoadEnded { request_id, end: attempt_end(kind, fields), copies });
+                let replicas = fields.instances.unwrap_or(0);
+                out.push(Event::LoadEnded { request_id, end: attempt_end(kind, fields), replicas });
             }
             PendingResponse::Probe(request_id) => {
                 let healthy = kind == AnswerKind::InService;
