--- a/crates/engine/src/engine/answers.rs
+++ b/crates/engine/src/engine/answers.rs
@@ -4,7 +4,7 @@
 use crate::measurements::CallOutcome;
 use crate::outcome::AttemptEnd;
 
-/// The answer of a call that failed. `last_end` tells how its last attempt ended; `past_deadline` tells that the final
+/// The answer of a call that failed. `last_end` is the end of its last attempt; `past_deadline` is whether the final
 /// answer is due.
 pub(super) fn failure(last_end: &AttemptEnd, past_deadline: bool) -> FinalAnswer {
     let cause = match last_end {
@@ -43,7 +43,7 @@
     FinalAnswer::Failed { cause: Cause::Deadline, message }
 }
 
-/// The outcome that a final answer stands for in measurements.
+/// The variant of a final answer, as reported in measurements.
 pub(super) fn call_outcome(answer: &FinalAnswer) -> CallOutcome {
     match answer {
         FinalAnswer::Served { .. } => CallOutcome::Served,
--- a/crates/engine/src/names/tests.rs
+++ b/crates/engine/src/names/tests.rs
@@ -20,8 +20,8 @@
 #[test]
 fn least_recently_used_model_is_forgotten_and_one_in_use_never() {
     let mut names = Names::default();
-    let a = names.open(model("a"), 2).expect("room");
-    let b = names.open(model("b"), 2).expect("room");
+    let a = names.open(model("a"), 2).expect("below the limit");
+    let b = names.open(model("b"), 2).expect("below the limit");
     assert_eq!(names.open(model("c"), 2), None, "both are in use");
     names.close(b);
     assert!(names.open(model("c"), 2).is_some());
--- a/crates/engine/src/outcome/tests.rs
+++ b/crates/engine/src/outcome/tests.rs
@@ -24,8 +24,8 @@
         (AttemptEnd::TimedOut, Outcome::Timeout, false),
         (AttemptEnd::Cancelled, Outcome::Cancelled, false),
     ];
-    for (ended, outcome, proof) in table {
-        assert_eq!(ended.outcome(), outcome, "{ended:?}");
-        assert_eq!(ended.never_ran(), proof, "{ended:?}");
+    for (end, outcome, never_ran) in table {
+        assert_eq!(end.outcome(), outcome, "{end:?}");
+        assert_eq!(end.never_ran(), never_ran, "{end:?}");
     }
 }
