--- a/crates/engine/src/engine/control_requests.rs
+++ b/crates/engine/src/engine/control_requests.rs
@@ -1,4 +1,4 @@
-//! Control requests: load orders and health checks, which are no client's calls.
+//! Control requests: load orders and health checks, which the engine sends on its own rather than for a client.
 
 use nettleferry::{Event as ModuleEvent, FunctionId, Micros, Outcome, Report, WorkerId};
 
@@ -12,21 +12,21 @@
 use crate::outcome::AttemptEnd;
 
 impl Engine {
-    /// Sends a load order.
-    pub(super) fn order_load(&mut self, worker: WorkerId, function: FunctionId, copies: u32) {
+    /// Sends a load order for `replicas` replicas of a function.
+    pub(super) fn order_load(&mut self, worker: WorkerId, function: FunctionId, replicas: u32) {
         let Some(Model { name, version }) = self.names.model(function).cloned() else {
-            // The model was forgotten since: no call waits for it.
+            // The model's name has been dropped, so no call for it is open.
             let outcome = Outcome::Error;
-            let failed = ModuleEvent::Loaded { worker, function, outcome, copies: 0, elapsed: 0 };
+            let failed = ModuleEvent::Loaded { worker, function, outcome, replicas: 0, elapsed: 0 };
             return self.module_events.push_back(failed);
         };
         self.counters.orders += 1;
         self.measure(Measurement::LoadSent);
         let request_id = self.begin_control_request(worker, Some(function), self.order_timeout);
-        self.commands.push(Command::Load { request_id, worker, model: name, version, copies });
+        self.commands.push(Command::Load { request_id, worker, model: name, version, replicas });
     }
 
-    /// Cancels the load orders for a function at a worker.
+    /// Cancels the outstanding load orders for a function at a worker.
     pub(super) fn cancel_load(&mut self, worker: WorkerId, function: FunctionId) {
         let wanted =
             |request: &ControlRequest| request.worker == worker && request.function == Some(function);
@@ -34,7 +34,7 @@
         self.commands.extend(orders.map(|(id, _)| Command::CancelLoad { request_id: *id }));
     }
 
-    /// Sends word to unload idle replicas of a function.
+    /// Tells a worker to unload its idle replicas of a function.
     pub(super) fn unload(&mut self, worker: WorkerId, function: FunctionId) {
         if let Some(Model { name, version }) = self.names.model(function).cloned() {
             self.commands.push(Command::Unload { worker, model: name, version });
@@ -62,13 +62,13 @@
         id
     }
 
-    /// Ends a control request and reports it to the decision module. `copies` counts for load orders, `load_report`
-    /// for health checks.
+    /// Ends a control request and reports it to the decision module. `replicas` applies to load orders only, and
+    /// `load_report` to health checks only.
     pub(super) fn control_request_ended(
         &mut self,
         id: ControlRequestId,
         end: &AttemptEnd,
-        copies: u32,
+        replicas: u32,
         load_report: Option<Report>,
     ) {
         let Some(request) = self.control_requests.remove(&id) else { return };
@@ -80,7 +80,7 @@
             None => Measurement::ProbeEnded { answered: outcome == Outcome::Ok },
         });
         self.module_events.push_back(match request.function {
-            Some(function) => ModuleEvent::Loaded { worker, function, outcome, copies, elapsed },
+            Some(function) => ModuleEvent::Loaded { worker, function, outcome, replicas, elapsed },
             None => ModuleEvent::Probed { worker, outcome, report: load_report },
         });
     }
--- a/crates/engine/src/outcome/tests.rs
+++ b/crates/engine/src/outcome/tests.rs
@@ -10,13 +10,13 @@
         (AttemptEnd::Rejected("shape".to_owned()), Outcome::Ok, false),
         (AttemptEnd::NotConnected, Outcome::ConnectFailed, true),
         (AttemptEnd::NotWritten, Outcome::PartlySent, true),
-        (AttemptEnd::NoRoom, Outcome::Rejected, true),
+        (AttemptEnd::ConnectionsExhausted, Outcome::Rejected, true),
         (AttemptEnd::RefusedStream, Outcome::Rejected, true),
         (AttemptEnd::GoneAway, Outcome::Rejected, true),
         (AttemptEnd::MarkedFull, Outcome::Rejected, true),
         (AttemptEnd::MarkedMiss, Outcome::NotLoaded, true),
         (AttemptEnd::MarkedLoadFailed, Outcome::NotLoaded, true),
-        (AttemptEnd::Unwanted, Outcome::NeverSent, true),
+        (AttemptEnd::AlreadyEnded, Outcome::NeverSent, true),
         (status("UNAVAILABLE: bare"), Outcome::Error, false),
         (status("INTERNAL"), Outcome::Error, false),
         (AttemptEnd::Reset, Outcome::Error, false),
@@ -24,8 +24,8 @@
         (AttemptEnd::TimedOut, Outcome::Timeout, false),
         (AttemptEnd::Cancelled, Outcome::Cancelled, false),
     ];
-    for (ended, outcome, proof) in table {
-        assert_eq!(ended.outcome(), outcome, "{ended:?}");
-        assert_eq!(ended.never_ran(), proof, "{ended:?}");
+    for (end, outcome, never_ran) in table {
+        assert_eq!(end.outcome(), outcome, "{end:?}");
+        assert_eq!(end.never_ran(), never_ran, "{end:?}");
     }
 }
--- a/crates/gateway/benches/measure.rs
+++ b/crates/gateway/benches/measure.rs
@@ -97,7 +97,8 @@
         late_share: 0.3,
         stream: false,
     };
-    let mut settings = Settings { controllers: 1, classes: vec![class], step: 1_000, ..Settings::default() };
+    let mut settings =
+        Settings { controllers: 1, classes: vec![class], event_interval: 1_000, ..Settings::default() };
     settings.limits.max_attempts = 3;
     settings.limits.cancel = true;
     settings.loading.keep_alive = 8_000_000;
@@ -111,7 +112,7 @@
         weight: 1.0,
         cell: "c".into(),
         state: WorkerState::On,
-        born: None,
+        started_at: None,
     });
     engine.handle(0, Event::Workers { form: ListForm::Complete, members: members.collect() }, &mut out);
     let names: Vec<std::sync::Arc<str>> = (0..64).map(|n| format!("model-{n}").into()).collect();
@@ -120,7 +121,7 @@
         let now = 1_000_000 + n * 50;
         out.clear();
         let open = NewCall {
-            front: n,
+            front_token: n,
             class: ClassId(0),
             tenant: None,
             model: names[(n % 64) as usize].clone(),
@@ -178,7 +179,7 @@
             class: ClassId(0),
             tenant: None,
             function: FunctionId(n % 64),
-            left: 4_000_000,
+            time_left: 4_000_000,
             cpu_time_hint: None,
             lanes: 64,
             load_time: None,
@@ -377,7 +378,7 @@
 
 /// From an accepted change to the moment at which each controller has said that it took it in.
 fn force(followers: u32) {
-    use nettleferry_net::post::Poster;
+    use nettleferry_net::http1_client::Http1Client;
     let key = |name: &str, role: &str| {
         let out = Command::new(PROGRAM).args(["admin", "key", name, role]).output().expect("it runs");
         let text = String::from_utf8_lossy(&out.stdout).into_owned();
@@ -398,7 +399,7 @@
             serve_in(dir, &format!("{SETTINGS}{admin}{number}"), None)
         })
         .collect();
-    let mut poster = Poster::new(api, 1, Duration::from_secs(10)).expect("a poll");
+    let mut poster = Http1Client::new(api, 1, Duration::from_secs(10)).expect("a poll");
     let bearer = format!("Bearer {token}");
     let mut ask = |method: &str, target: &str, body: &str| -> serde_json::Value {
         let headers =
--- a/src/decision/attempts.rs
+++ b/src/decision/attempts.rs
@@ -1,39 +1,43 @@
-//! Decides what the begin and the end of an attempt show: of its worker, its function and its replica.
+//! Updates the state of worker, function and replica when an attempt starts or ends.
 //!
-//! Leaves the worker's health to `outlier_ejection`, a further attempt to `retry`, ordered replicas to
-//! `replica_loading`. Guards: a replica that is missing again after an order voids what was found before that
-//! order (a new version of the function); a stream that has begun shows its replica (long streams taken for
-//! loads, holding their function back).
+//! Worker health is evaluated in `outlier_ejection`, retries are decided in `retry`, and replicas are ordered
+//! in `replica_loading`. Guards:
+//!
+//! * if a replica is missing again after an order, replicas observed before that order are no longer trusted
+//!   (a new version of the function);
+//! * a stream that has started proves that its replica is loaded (a long stream would otherwise count as a
+//!   pending load and hold back the function's other calls).
 
 use super::worker_load::{PRESSURE_FULL, PRESSURE_OBJECTIVE};
 use crate::controller::Controller;
 use crate::interface::*;
 use crate::state::*;
 
-/// Served latencies kept per function: the design page's.
+/// Number of served latencies kept per function, as specified in the design document.
 const LATENCY_SAMPLES: usize = 10;
-/// Weight of one answer in a class's core time.
+/// Weight of one response in the mean core time of a class.
 const CPU_TIME_WEIGHT: f64 = 0.05;
 
 impl Controller {
-    pub(super) fn send_attempt(&mut self, id: RequestId, to: WorkerId) {
-        self.leave_hold_queue(id);
+    pub(super) fn send_attempt(&mut self, id: RequestId, worker_id: WorkerId) {
+        self.dequeue_held(id);
         let Some(call) = self.calls.get_mut(&id) else { return };
         let number = call.attempts;
         call.attempts += 1;
         call.in_flight = Some(number);
         let (class, function_id) = (call.class, call.function);
-        let budget_used = self.workers.get(&to).map_or(0.0, |w| self.slow_start_slot(w, class).used_after);
+        let budget_used =
+            self.workers.get(&worker_id).map_or(0.0, |w| self.slow_start_slot(w, class).used_after);
         let Some(function) = self.functions.get(&function_id) else { return };
-        let warm = self.is_warm(function, to);
+        let warm = self.is_warm(function, worker_id);
         let loads = !warm && self.settings.loading.when_absent == WhenAbsent::Load;
-        let begins_load = loads && !function.pending_loads.contains_key(&to);
+        let begins_load = loads && !function.pending_loads.contains_key(&worker_id);
         let function = self.functions.get_mut(&function_id).expect("just seen");
-        *function.in_flight.entry(to).or_insert(0) += 1;
+        *function.in_flight.entry(worker_id).or_insert(0) += 1;
         if begins_load {
-            self.load_started(ReplicaKey { worker: to, function: function_id });
+            self.load_started(ReplicaKey { worker: worker_id, function: function_id });
         }
-        let Some(worker) = self.workers.get_mut(&to) else { return };
+        let Some(worker) = self.workers.get_mut(&worker_id) else { return };
         if worker.in_flight == 0 {
             worker.last_response = self.now;
         }
@@ -45,7 +49,7 @@
         worker.trial_in_flight |= trial;
         worker.budget_used = budget_used;
         let attempt = Attempt {
-            worker: to,
+            worker: worker_id,
             function: function_id,
             class,
             sent: self.now,
@@ -54,8 +58,8 @@
             probed: false,
         };
         self.attempts.insert(AttemptId { request: id, number }, attempt);
-        self.schedule_timeout_check(to);
-        self.actions.push(Action::Send { request: id, worker: to, timeout: None });
+        self.schedule_timeout_check(worker_id);
+        self.actions.push(Action::Send { request: id, worker: worker_id, timeout: None });
     }
 
     pub(super) fn attempt_ended(&mut self, id: AttemptId, end: AttemptEnd) {
@@ -63,14 +67,14 @@
         self.release_attempt_counts(&attempt);
         self.record_health(&attempt, end.outcome, end.elapsed);
         let replica = ReplicaKey { worker: attempt.worker, function: attempt.function };
-        // Where only orders load, what is under way there is an order, and ends with its own answer.
+        // Where only orders load functions, the pending load is an order, which ends with its own event.
         if self.settings.loading.when_absent == WhenAbsent::Load {
             self.load_finished(replica);
         }
         match end.outcome {
             Outcome::Ok => self.record_success(&attempt, &end),
             Outcome::NotLoaded => self.record_missing_replica(replica),
-            // No room for a replica says nothing of the cores: that function goes elsewhere for a while.
+            // A worker without memory for a replica may still have idle cores: only this function avoids it.
             Outcome::Rejected if attempt.loading => self.avoid_worker(replica, 1),
             Outcome::Rejected => self.record_pressure(attempt.worker, PRESSURE_FULL),
             _ => {}
@@ -83,8 +87,9 @@
         self.release_held(Some(attempt.worker));
     }
 
-    /// The replica has gone, or its load failed: nothing brings it back by itself. Missing again after an
-    /// order, it is a new version: what was found warm before that order is void as well.
+    /// Handles a replica that was unloaded or failed to load: it will not come back by itself. If it is
+    /// missing again after an order, the function has a new version, and replicas observed before that order
+    /// are invalid too.
     fn record_missing_replica(&mut self, replica: ReplicaKey) {
         let function = self.functions.get(&replica.function);
         let loading = function.is_some_and(|f| self.load_in_progress(f));
@@ -95,7 +100,7 @@
         }
     }
 
-    /// The call goes on after an attempt that was no answer.
+    /// Retries the call or sends its final answer, after an attempt that did not complete it.
     fn continue_call(&mut self, id: AttemptId, attempt: &Attempt, outcome: Outcome) {
         let Some(call) = self.calls.get_mut(&id.request) else { return };
         call.in_flight = call.in_flight.filter(|number| *number != id.number);
@@ -118,33 +123,34 @@
     }
 
     fn record_success(&mut self, attempt: &Attempt, end: &AttemptEnd) {
-        let (at, elapsed, note) = (attempt.worker, end.elapsed as f64, end.note);
-        self.replica_found(ReplicaKey { worker: at, function: attempt.function });
+        let (worker_id, elapsed, note) = (attempt.worker, end.elapsed as f64, end.note);
+        self.replica_found(ReplicaKey { worker: worker_id, function: attempt.function });
         let Some(function) = self.functions.get_mut(&attempt.function) else { return };
         let waited_for_load = matches!(note, Some(LoadNote::Began | LoadNote::Waited));
         let objective = self.settings.classes[attempt.class].latency_objective.max(1) as f64;
-        let ours = function.in_flight.get(&at).copied().unwrap_or(0);
-        let there = end.concurrent_calls.unwrap_or(0).max(ours);
-        let value = f64::from(there) / f64::from(function.lanes.max(1));
-        function.reported_pressure.insert(at, PressureSample { value, at: self.now });
+        let own_in_flight = function.in_flight.get(&worker_id).copied().unwrap_or(0);
+        let concurrent_calls = end.concurrent_calls.unwrap_or(0).max(own_in_flight);
+        let value = f64::from(concurrent_calls) / f64::from(function.lanes.max(1));
+        function.reported_pressure.insert(worker_id, PressureSample { value, at: self.now });
         if note == Some(LoadNote::Began) && attempt.loading {
             let load_time = (elapsed - function.mean_latency()).max(0.0);
-            self.learn_load_time(attempt.function, load_time);
+            self.record_load_time(attempt.function, load_time);
         } else if !waited_for_load && (note.is_some() || !attempt.loading) {
             function.latencies.push_back(elapsed);
             if function.latencies.len() > LATENCY_SAMPLES {
                 function.latencies.pop_front();
             }
-            if self.workers.get(&at).is_some_and(|w| w.in_flight == 0) {
+            if self.workers.get(&worker_id).is_some_and(|w| w.in_flight == 0) {
                 update_mean(&mut self.class_cpu_time[attempt.class], elapsed, CPU_TIME_WEIGHT);
             }
         }
         let pressure = if waited_for_load { 0.0 } else { elapsed / (objective * PRESSURE_OBJECTIVE) };
-        self.record_pressure(at, pressure);
+        self.record_pressure(worker_id, pressure);
     }
 
-    /// An answer that has begun belongs to the client, and shows that its replica stands: taken for a load, a
-    /// long stream would hold others back. Harm: a load's time as learnt here holds the work up to a part.
+    /// Marks the call as streaming: it can't be retried, and its replica is loaded. If the stream still
+    /// counted as a load, a long one would hold back the function's other calls. Drawback: the load time
+    /// measured here includes the processing time up to the start of the stream.
     pub(super) fn stream_started(&mut self, id: RequestId) {
         let Some(call) = self.calls.get_mut(&id) else { return };
         call.streaming = true;
@@ -160,11 +166,11 @@
         }
         self.load_finished(replica);
         self.replica_found(replica);
-        self.learn_load_time(replica.function, load_time);
+        self.record_load_time(replica.function, load_time);
         self.release_held(Some(replica.worker));
     }
 
-    /// Takes an attempt that has ended out of the counts of its worker and its function.
+    /// Removes an ended attempt from the in-flight counters of its worker and function.
     fn release_attempt_counts(&mut self, attempt: &Attempt) {
         if let Some(worker) = self.workers.get_mut(&attempt.worker) {
             worker.in_flight = worker.in_flight.saturating_sub(1);
