--- a/crates/node/src/front.rs
+++ b/crates/node/src/front.rs
@@ -167,7 +167,7 @@
         counters: &mut Counters,
     ) {
         let Some(call) = self.calls.get(&token) else { return };
-        let (key, stream, name) = (call.connection, call.stream, Arc::clone(&call.name));
+        let (key, stream, call_id) = (call.connection, call.stream, Arc::clone(&call.call_id));
         let may_have_run = call.attempts.may_have_run();
         self.close_call(token);
         let mut last_answer = false;
@@ -177,7 +177,7 @@
             last_answer = client.closing && client.streams.is_empty();
         }
         counters.reasons.ended(reason);
-        debug!(conn = ?key, stream, id = %name, ?reason, may_have_run, "request answered");
+        debug!(conn = ?key, stream, id = %call_id, ?reason, may_have_run, "request answered");
         self.send_final_answer(tcp, key, stream, answer, counters);
         if last_answer {
             self.clients.remove(&key);
--- a/crates/node/src/front/call.rs
+++ b/crates/node/src/front/call.rs
@@ -74,7 +74,7 @@
     /// The engine's number, once it is opened there.
     pub(super) engine_id: Option<CallId>,
     /// Its id as the client gave it.
-    pub name: Arc<str>,
+    pub call_id: Arc<str>,
     /// Its class.
     pub class: ClassId,
     /// Its function.
--- a/crates/node/src/front/validation.rs
+++ b/crates/node/src/front/validation.rs
@@ -143,7 +143,7 @@
             id: valid.id,
             body_bytes: request.body.len(),
             engine_id: None,
-            name: request.id.into(),
+            call_id: request.id.into(),
             class: valid.class,
             function: Arc::clone(&function),
             key: request.idempotency_key.map(Arc::from),
--- a/crates/node/src/node/execute.rs
+++ b/crates/node/src/node/execute.rs
@@ -68,17 +68,17 @@
             time_left,
         };
         if let Err(violation) = check.run() {
-            self.counters.violations.report(violation, &call.name);
+            self.counters.violations.report(violation, &call.call_id);
             return self.attempt_not_started(id);
         }
         if let Some(after) = call.last_end {
             self.counters.reasons.retried(after);
-            debug!(id = %call.name, attempt = id.number, ?after, "request retried");
+            debug!(id = %call.call_id, attempt = id.number, ?after, "request retried");
         }
         let now = Instant::now();
         let attempt = Attempt {
             id,
-            call_id: Arc::clone(&call.name),
+            call_id: Arc::clone(&call.call_id),
             class: class.name,
             function: Arc::clone(&call.function),
             key: call.key.clone(),
@@ -124,7 +124,7 @@
         let refused = matches!(answer, FinalAnswer::Refused { .. });
         match guard::may_refuse(call.attempts.may_have_run(), effect) {
             Err(violation) if refused => {
-                self.counters.violations.report(violation, &call.name);
+                self.counters.violations.report(violation, &call.call_id);
                 let message = "nothing is promised: the call may have run".to_owned();
                 FinalAnswer::Failed { cause: Cause::Aborted, message }
             }
