--- a/crates/node/src/attempt_history.rs
+++ b/crates/node/src/attempt_history.rs
@@ -1,23 +1,23 @@
-//! The attempts of one request, one after another: whether one is in flight, whether one may have run, and until when a
-//! retry of a request with an idempotency key may be written. Duplicates are dropped for a span after the first attempt
-//! that may have run, and an attempt that waits for its connection may be written long after it was started.
+//! The history of a request's attempts: whether one is in flight, whether one may have run, and until when a retry of a
+//! request with an idempotency key may be written. Invokers drop duplicates only for a limited time after the first
+//! attempt that may have run, and an attempt may wait for its connection long after it was started.
 
 use std::time::{Duration, Instant};
 
-/// The attempts of one request so far.
+/// The attempts of one request so far, which follow one another.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct AttemptHistory {
     /// When the first attempt that may have run was started.
     first: Option<Instant>,
-    /// When the newest attempt was started, unless it is proven that it never ran.
+    /// When the latest attempt was started; `None` if it is proven that it never ran.
     newest: Option<Instant>,
-    /// The newest attempt has not ended.
+    /// The latest attempt has not ended.
     in_flight: bool,
 }
 
 impl AttemptHistory {
-    /// Starts an attempt. Returns until when it may be written, where duplicates are dropped for `window`; `None`: no
-    /// attempt before it may have run, or duplicates are not dropped.
+    /// Records the start of an attempt. `window`: how long invokers drop duplicates, if they do. Returns until when the
+    /// attempt may be written; `None`, without a limit, if no earlier attempt may have run or duplicates are not dropped.
     pub fn start(&mut self, now: Instant, window: Option<Duration>) -> Option<Instant> {
         self.first = self.first.or(self.newest);
         self.newest = Some(now);
@@ -25,7 +25,7 @@
         self.first.zip(window).map(|(first, window)| first + window)
     }
 
-    /// The newest attempt has ended; `never_ran`: its end proves that it never ran.
+    /// Records the end of the latest attempt. `never_ran`: the end proves that it did not run.
     pub fn ended(&mut self, never_ran: bool) {
         self.in_flight = false;
         if never_ran {
@@ -33,12 +33,12 @@
         }
     }
 
-    /// The newest attempt has not ended.
+    /// Whether the latest attempt has not ended.
     pub fn is_pending(&self) -> bool {
         self.in_flight
     }
 
-    /// An attempt may have run.
+    /// Whether any attempt may have run.
     pub fn may_have_run(&self) -> bool {
         self.first.or(self.newest).is_some()
     }
--- a/crates/node/src/class.rs
+++ b/crates/node/src/class.rs
@@ -1,16 +1,16 @@
-//! What attempts must know of their call's class.
+//! The properties of a class that are needed to start attempts.
 
 use std::sync::Arc;
 use std::time::Duration;
 
 use nettleferry::{Class, Effect};
 
-/// What attempts must know of their call's class.
+/// The properties of a class that are needed to start an attempt of one of its calls.
 #[derive(Clone)]
 pub(crate) struct ClassInfo {
     pub(crate) name: Arc<str>,
     pub(crate) effect: Effect,
-    /// For how long invokers drop duplicates, where calls carry an idempotency key.
+    /// How long invokers drop duplicates of a call; `None` if calls of this class carry no idempotency key.
     pub(crate) window: Option<Duration>,
 }
 
--- a/crates/node/src/directory.rs
+++ b/crates/node/src/directory.rs
@@ -1,4 +1,4 @@
-//! Polls the directory for the list of invokers, by DNS over UDP.
+//! Polls the directory for the list of invokers with DNS queries over UDP.
 
 use std::collections::VecDeque;
 use std::io;
@@ -16,24 +16,24 @@
     QUERY_TIMEOUT, REMEMBERED_QUERIES,
 };
 
-/// Datagrams received in one iteration: a flood of them must not keep the node from its work.
+/// Maximum number of datagrams received from a socket per iteration, so that a flood of them does not block the event loop.
 const DATAGRAMS_PER_ITERATION: usize = 16;
 
-/// A socket to one address of the directory, and the queries whose answers may still arrive there.
+/// A socket connected to one address of the directory, and the queries whose responses may still arrive on it.
 struct ResolverSocket {
     socket: UdpSocket,
-    /// Ids of the queries, the newest last.
+    /// Ids of the queries, the latest last.
     queries: VecDeque<u16>,
 }
 
-/// The socket to the directory's previous address.
+/// The socket to the directory's previous address, which stays open for a limited time.
 struct OldResolver {
     socket: ResolverSocket,
-    /// When it is closed.
+    /// When the socket is closed.
     until: Instant,
 }
 
-/// When lists were received, whether they were newer than the one before or not.
+/// When the last two lists were received, including lists that did not change.
 #[derive(Default)]
 struct ReceivedLists {
     latest: Option<Instant>,
@@ -51,11 +51,11 @@
     }
 
     fn close(mut self, registry: &Registry) {
-        // Its descriptor is closed in any case, and with it the registration.
+        // A failure is harmless: closing the descriptor removes the registration as well.
         let _ = registry.deregister(&mut self.socket);
     }
 
-    /// Reads one datagram.
+    /// Matches a datagram to a query and parses it.
     fn read(&mut self, bytes: &[u8]) -> Received {
         let id = bytes.get(..2).map(|id| u16::from_be_bytes([id[0], id[1]]));
         let Some(at) = self.queries.iter().position(|query| Some(*query) == id) else {
@@ -71,7 +71,7 @@
                 Answer::Unusable
             }
         };
-        // Answered once: what arrives again under its id is no answer.
+        // Each query is answered once: another datagram with the same id is foreign.
         if !matches!(answer, Answer::Foreign) {
             self.queries.remove(at);
         }
@@ -79,47 +79,48 @@
     }
 }
 
-/// What one datagram holds.
+/// The content of one datagram.
 enum Answer {
+    /// A valid response to one of our queries.
     List(List),
-    /// An answer to a query of ours that can't be used.
+    /// An invalid response to one of our queries.
     Unusable,
-    /// No answer to a query of ours.
+    /// Not a response to any of our open queries.
     Foreign,
 }
 
-/// An answer that was received.
+/// A datagram that was received.
 struct Received {
     answer: Answer,
-    /// It answers the newest query.
+    /// Whether it responds to the latest query.
     newest: bool,
 }
 
-/// Polls the directory.
+/// Polls the directory and keeps track of the age and serial of the list.
 pub struct DiscoveryClient {
     socket: Option<ResolverSocket>,
-    /// The directory's address before it moved: answers that arrive there for a while still count.
+    /// The socket to the directory's previous address, whose responses are accepted for [`OLD_RESOLVER_GRACE`].
     old: Option<OldResolver>,
     resolver: SocketAddr,
     token: Token,
-    /// When the newest query times out, while its answer has not arrived.
+    /// When the latest query times out; `None` once it was answered.
     times_out_at: Option<Instant>,
     next_query_at: Instant,
     serial: u32,
     received: ReceivedLists,
-    /// Queries in a row that could not be sent.
+    /// Consecutive queries that could not be sent.
     unsent: u32,
-    /// When this client was made.
+    /// When this client was created.
     began: Instant,
-    /// The list is older than [`OLD_LIST_AGE`], which was logged.
+    /// The list is older than [`OLD_LIST_AGE`], and this was logged.
     is_old: bool,
-    /// More datagrams wait than one iteration receives.
+    /// More datagrams may be waiting than one iteration receives.
     has_more: bool,
     buffer: Vec<u8>,
 }
 
 impl DiscoveryClient {
-    /// A client that knows the list as of event `serial`.
+    /// Creates a client that has the list as of event `serial`.
     pub fn new(resolver: SocketAddr, token: Token, serial: u32) -> Self {
         Self {
             socket: None,
@@ -138,8 +139,8 @@
         }
     }
 
-    /// The directory has another address; the serials of its events continue. What its old address has answered, or
-    /// answers within [`OLD_RESOLVER_GRACE`], is received.
+    /// Changes the directory's address. Serials continue: lists from the new address are compared with those from the old
+    /// one. Responses from the old address are accepted for [`OLD_RESOLVER_GRACE`].
     pub fn set_resolver(&mut self, registry: &Registry, resolver: SocketAddr) {
         info!(%resolver, "directory address changed");
         if let Some(old) = self.old.take() {
@@ -152,18 +153,18 @@
         self.query_now();
     }
 
-    /// Makes a query due at once.
+    /// Makes the next query due at once.
     pub fn query_now(&mut self) {
         self.next_query_at = Instant::now();
     }
 
-    /// When [`DiscoveryClient::query_if_due`] is to be called.
+    /// When [`DiscoveryClient::query_if_due`] must be called next.
     pub fn due(&self) -> Instant {
         let due = self.times_out_at.unwrap_or(self.next_query_at);
         if self.has_more { Instant::now() } else { due }
     }
 
-    /// Sends a query, if one is due.
+    /// Sends a query if one is due, and counts the previous one as lost if it has timed out.
     pub fn query_if_due(&mut self, registry: &Registry, counters: &mut Counters) {
         let now = Instant::now();
         self.close_old_socket(registry, now);
@@ -171,7 +172,7 @@
             if now < times_out_at {
                 return;
             }
-            // Its answer is received all the same, should it still arrive.
+            // A late response is still accepted if it arrives.
             counters.lost_lists += 1;
             self.times_out_at = None;
             self.next_query_at = now;
@@ -202,7 +203,8 @@
         }
     }
 
-    /// A socket that never sends is replaced, but not at once: answers may wait in it.
+    /// Counts a query that could not be sent. After several in a row the socket is replaced, but not earlier: responses may
+    /// still wait in it.
     fn count_unsent(&mut self, registry: &Registry) {
         self.unsent += 1;
         if self.unsent >= MAX_UNSENT_QUERIES
@@ -228,17 +230,17 @@
         Ok(())
     }
 
-    /// When the list before the newest was received.
+    /// When the list before the latest one was received.
     pub fn previous_list(&self) -> Option<Instant> {
         self.received.previous
     }
 
-    /// How long ago an answer has confirmed or changed the list.
+    /// How long ago a response confirmed or changed the list.
     pub fn list_age(&self, now: Instant) -> Duration {
         now.saturating_duration_since(self.received.latest.unwrap_or(self.began))
     }
 
-    /// Logs when the list becomes old. The answer that ends this is logged by [`DiscoveryClient::receive`].
+    /// Logs and counts when the list becomes old. [`DiscoveryClient::receive`] logs the response that ends this state.
     pub fn check_list_age(&mut self, now: Instant, counters: &mut Counters) {
         let age = self.list_age(now);
         if age < OLD_LIST_AGE || self.is_old {
@@ -249,12 +251,12 @@
         info!(?age, resolver = %self.resolver, serial = self.serial, "list is old: the directory does not answer");
     }
 
-    /// Whether datagrams are left over from the last time.
+    /// Whether datagrams may be left over from the last call of [`DiscoveryClient::receive`].
     pub fn has_more(&self) -> bool {
         self.has_more
     }
 
-    /// Receives what has arrived. Returns a list newer than the last, if there is one.
+    /// Receives the datagrams that have arrived. Returns the newest list among them if it is newer than the current one.
     pub fn receive(&mut self, counters: &mut Counters) -> Option<List> {
         let mut all = Vec::new();
         self.has_more = false;
@@ -266,7 +268,7 @@
             self.has_more |= receive_from(socket, &mut self.buffer, |received| {
                 answered |= received.newest;
                 if received.newest && matches!(received.answer, Answer::Unusable) {
-                    // Queried again soon, but not at the pace of its answers.
+                    // Query again soon, but after a delay, so that invalid responses don't cause a flood of queries.
                     self.next_query_at = self.next_query_at.min(Instant::now() + QUERY_RETRY_DELAY);
                 }
                 all.push(received);
@@ -276,11 +278,11 @@
             self.times_out_at = None;
         }
         let answers = all.into_iter().map(|received| received.answer);
-        answers.fold(None, |newest, answer| self.judge(answer, counters).or(newest))
+        answers.fold(None, |newest, answer| self.handle_answer(answer, counters).or(newest))
     }
 
-    /// A list that is newer than the last.
-    fn judge(&mut self, answer: Answer, counters: &mut Counters) -> Option<List> {
+    /// Updates the state with one datagram. Returns its list if it is newer than the current one.
+    fn handle_answer(&mut self, answer: Answer, counters: &mut Counters) -> Option<List> {
         match answer {
             Answer::List(list) if list.serial >= self.serial => {
                 let now = Instant::now();
@@ -302,13 +304,13 @@
     }
 }
 
-/// Receives datagrams from a socket, each passed to `handle`. True: more may wait there.
+/// Receives datagrams from a socket and passes each one to `handle`. Returns whether more may be waiting.
 fn receive_from(socket: &mut ResolverSocket, buffer: &mut [u8], mut handle: impl FnMut(Received)) -> bool {
     for _ in 0..DATAGRAMS_PER_ITERATION {
         let length = match socket.socket.recv(buffer) {
             Ok(length) => length,
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => return false,
-            // Nobody is there just now: the query times out.
+            // The directory is unreachable at the moment: the query times out.
             Err(_) => continue,
         };
         handle(socket.read(buffer.get(..length).unwrap_or_default()));
--- a/crates/node/src/error.rs
+++ b/crates/node/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a node can't start or go on.
+//! Errors that prevent a node from starting or end it.
 
 use std::io;
 use std::path::PathBuf;
@@ -8,35 +8,35 @@
 use nettleferry_platform::directory::ListError;
 use nettleferry_platform_settings::FieldError;
 
-/// Why a node can't start or go on.
+/// An error that prevents a node from starting or ends it.
 #[derive(Debug, thiserror::Error)]
 pub enum NodeError {
-    /// The configuration can't be read.
+    /// The configuration file can't be read.
     #[error("can't read {}: {source}", path.display())]
     Read {
-        /// The file.
+        /// Path of the configuration file.
         path: PathBuf,
-        /// Why.
+        /// The error of the operating system.
         source: io::Error,
     },
     /// The configuration is not valid.
     #[error("{0}")]
     Config(#[from] ConfigError),
-    /// Its settings are not valid.
+    /// The settings in the configuration are not valid.
     #[error("the settings: {0}")]
     Settings(#[from] FieldError),
-    /// The decision module can't work with the settings.
+    /// The decision module rejects the settings.
     #[error("the settings: field {field}: {0}", field = module_field(.0))]
     Module(#[from] SettingsError),
-    /// Its invoker list is not valid.
+    /// The invoker list in the configuration is not valid.
     #[error("the list: {0}")]
     List(#[from] ListError),
-    /// The system refused an operation.
+    /// A system call failed.
     #[error("{operation}: {source}")]
     System {
-        /// The operation.
+        /// The operation that failed.
         operation: &'static str,
-        /// Why.
+        /// The error of the operating system.
         source: io::Error,
     },
 }
@@ -47,7 +47,7 @@
     }
 }
 
-/// The field of the settings with which the decision module can't work.
+/// The name of the settings field that the decision module rejects.
 fn module_field(error: &SettingsError) -> &'static str {
     match error {
         SettingsError::NoClasses => "classes",
--- a/crates/node/src/front.rs
+++ b/crates/node/src/front.rs
@@ -1,10 +1,13 @@
-//! Towards clients: frames in, answers out. Which call each stream is, and who waits for an answer.
+//! Client connections: reads frames, writes answers, and maps each stream to its open call.
 //!
-//! What a client sends amiss is answered or its connection closed; nothing here decides on a valid request.
+//! Invalid input is answered with an error, or its connection is closed. Valid requests are passed on without any decision
+//! about them.
 //!
-//! * `input`: frames of clients. `validation`: checks a request and takes it in. `closing`: how connections end.
-//!   `eviction`: which one is closed for a new one.
-//! * `client`, `call`: what is known of a connection and of a request.
+//! * `input`: handles frames from clients.
+//! * `validation`: validates and registers requests.
+//! * `closing`: how client connections end.
+//! * `eviction`: chooses the connection that is closed for a new one.
+//! * `client`, `call`: the state of a connection and of a request.
 
 mod call;
 mod client;
@@ -33,33 +36,34 @@
 use crate::log_budget::LogBudget;
 use crate::reasons::{CloseReason, EndReason};
 
-/// The front: all clients' connections and their open requests.
+/// The client side of a node: all client connections and their open requests.
 pub struct Front {
     classes: BTreeMap<String, ClassId>,
     tenants: BTreeMap<String, TenantId>,
-    /// The classes' deadlines, milliseconds: no request has longer, whatever its client says.
+    /// Deadlines of the classes, milliseconds. The time to live of a request is limited to the deadline of its class.
     deadlines: Vec<f64>,
     bounds: Bounds,
-    /// A connection without open requests is closed after this span: [`CLIENT_IDLE`].
+    /// Idle timeout of connections without open requests: [`CLIENT_IDLE`], except in tests.
     idle: Duration,
     clients: BTreeMap<TcpKey, Client>,
-    /// Open requests by token.
+    /// Open requests by token, until their final answer.
     calls: BTreeMap<RequestToken, Call>,
+    /// Tokens of the open requests that the engine has opened, by its call id.
     tokens: BTreeMap<CallId, RequestToken>,
-    /// Ids of the open requests, as their clients gave them.
+    /// Ids of the open requests, as stated by their clients.
     ids: HashSet<u64>,
-    /// Bytes of the bodies of the open requests.
+    /// Total size of the bodies of the open requests, bytes.
     body_bytes: usize,
     last_token: u64,
-    /// Clients are asked to open no new requests.
+    /// Shutdown has begun: clients are asked to open no new requests.
     draining: bool,
-    /// Lines about connections that end with requests open.
+    /// Rate limit for log lines about connections that end with requests open.
     close_log: LogBudget,
     buffer: Vec<u8>,
 }
 
 impl Front {
-    /// A front for these classes and their deadlines in milliseconds.
+    /// Creates a front without connections. `classes` and `deadlines` (milliseconds) have the same order.
     pub fn new(classes: &[String], tenants: &[String], deadlines: Vec<f64>, bounds: Bounds) -> Self {
         Self {
             classes: classes.iter().enumerate().map(|(at, name)| (name.clone(), ClassId(at))).collect(),
@@ -79,17 +83,17 @@
         }
     }
 
-    /// Whether this is a client's connection.
+    /// Whether this is a client connection.
     pub fn owns(&self, key: TcpKey) -> bool {
         self.clients.contains_key(&key)
     }
 
-    /// Clients connected.
+    /// Number of client connections.
     pub fn clients(&self) -> usize {
         self.clients.len()
     }
 
-    /// A client connected.
+    /// Handles a new client connection. At the limits it evicts another one, or is closed itself.
     pub fn accepted(&mut self, tcp: &mut Tcp, key: TcpKey, counters: &mut Counters) {
         let now = Instant::now();
         let full = self.clients.len() >= self.bounds.clients;
@@ -111,19 +115,19 @@
         tcp.alarm(key, Some(now + FIRST_FRAME_TIMEOUT));
     }
 
-    /// Whether a client still waits for it. One may cancel with the very bytes that bring its request.
+    /// Whether a client still waits for this request. A cancellation may arrive together with the request.
     pub fn is_waiting(&self, token: RequestToken) -> bool {
         self.calls.contains_key(&token)
     }
 
-    /// Limits the time of a request that is to be opened.
+    /// Limits the deadline of a request that is about to be opened.
     pub fn limit_deadline(&mut self, token: RequestToken, deadline: Instant) {
         if let Some(call) = self.calls.get_mut(&token) {
             call.deadline = call.deadline.min(deadline);
         }
     }
 
-    /// A request was opened as this call of the engine.
+    /// Records that the engine opened a request as call `id`.
     pub fn opened(&mut self, token: RequestToken, id: CallId) {
         if let Some(call) = self.calls.get_mut(&token) {
             call.engine_id = Some(id);
@@ -136,17 +140,17 @@
         self.tokens.contains_key(&id)
     }
 
-    /// The call of a token, while its client waits.
+    /// Returns the open request with this token, while its client waits.
     pub fn call_by_token(&self, token: RequestToken) -> Option<&Call> {
         self.calls.get(&token)
     }
 
-    /// The call of the engine's number, while its client waits.
+    /// Returns the open request that the engine opened as this call, while its client waits.
     pub fn call_mut(&mut self, id: CallId) -> Option<&mut Call> {
         self.calls.get_mut(self.tokens.get(&id)?)
     }
 
-    /// Gives a call its final answer.
+    /// Sends the final answer of a request, if its client still waits.
     pub fn answer(
         &mut self,
         tcp: &mut Tcp,
@@ -157,7 +161,7 @@
         self.answer_with_reason(tcp, token, answer, EndReason::of(answer), counters);
     }
 
-    /// The same, with a reason that the answer does not state.
+    /// As [`Front::answer`], with an explicit reason for the counters.
     pub fn answer_with_reason(
         &mut self,
         tcp: &mut Tcp,
@@ -214,7 +218,7 @@
         }
     }
 
-    /// Forgets an open request; the engine's number, where it was opened there.
+    /// Removes an open request. Returns the engine's call id if the request was opened there.
     fn close_call(&mut self, token: RequestToken) -> Option<CallId> {
         let call = self.calls.remove(&token)?;
         self.ids.remove(&call.id);
@@ -231,8 +235,8 @@
     }
 }
 
-/// Whether the connection has room for an answer with so many bytes, and for a short one to each other request that may
-/// be open on it. Without that room the answer would end the connection, and all others on it.
+/// Whether the output buffer of a connection has room for an answer of `bytes`, and for a short answer to every other
+/// request that may be open on it. Without that room the answer would end the connection and all requests on it.
 fn has_output_room(tcp: &mut Tcp, key: TcpKey, bytes: usize) -> bool {
     let wanted = bytes + STREAMS_PER_CLIENT * SHORT_ANSWER_BYTES;
     let fits = |tcp: &Tcp| tcp.room(key).is_none_or(|room| wanted <= room);
--- a/crates/node/src/front/call.rs
+++ b/crates/node/src/front/call.rs
@@ -1,4 +1,4 @@
-//! A client's request on its way to the engine, and what is known of it until it is answered.
+//! A client's request as it is passed to the engine, and its state until it is answered.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -11,80 +11,81 @@
 use crate::attempt_history::AttemptHistory;
 use crate::reasons::RetryReason;
 
-/// The front's number of an open request, unique within one run of the process. The engine returns it with its commands.
+/// Identifies an open request, uniquely within one run of the process. The engine returns it with the final answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestToken(pub u64);
 
 /// A valid request that is to be opened at the engine.
 pub struct IncomingRequest {
-    /// Its token.
+    /// The token of the request.
     pub token: RequestToken,
-    /// Its class.
+    /// The class.
     pub class: ClassId,
-    /// Its function.
+    /// The function.
     pub function: Arc<str>,
-    /// Its tenant.
+    /// The tenant, if the request states one and the settings have tenants.
     pub tenant: Option<TenantId>,
-    /// The client states that it is a retry.
+    /// The client states that this is a retry.
     pub repeat: bool,
     /// Expected execution time, microseconds.
     pub cost_hint: Option<u64>,
-    /// The earliest moment at which its last byte can have arrived.
+    /// The earliest time at which the last byte of the request may have arrived.
     pub arrived: Instant,
-    /// Time until the client gives up, microseconds, as of its arrival.
+    /// Time from arrival until the client stops waiting, microseconds.
     pub time_left: u64,
-    /// Requests that one replica runs at the same time.
+    /// Number of requests that one replica runs at the same time.
     pub lanes: u32,
-    /// Usual time of a load, microseconds.
+    /// Expected time to load the function, microseconds.
     pub load_time: Option<u64>,
-    /// Its body.
+    /// The body.
     pub body: Bytes,
 }
 
-/// What clients did.
+/// An event from a client.
 pub enum ClientEvent {
     /// A request arrived.
     Request(IncomingRequest),
-    /// A client cancelled its request, or its side of the connection has ended.
+    /// A client cancelled its request or disconnected.
     Disconnected(ClientDisconnect),
 }
 
 impl ClientEvent {
-    /// The client of this call does not wait any more: it gets no answer.
+    /// The event that a client does not wait for this call any more and gets no answer.
     pub(super) fn cancelled(call: CallId) -> Self {
         Self::Disconnected(ClientDisconnect { call, answered: false })
     }
 }
 
-/// Where a request came from.
+/// Where and when a request arrived.
 #[derive(Clone, Copy)]
 pub(super) struct RequestOrigin {
     pub(super) connection: TcpKey,
     pub(super) stream: u32,
-    /// The earliest moment at which its last byte can have arrived.
+    /// The earliest time at which the last byte of the request may have arrived.
     pub(super) arrived: Instant,
 }
 
-/// A request without its final answer.
+/// The state of a request that has no final answer yet.
 pub struct Call {
     pub(super) connection: TcpKey,
     pub(super) stream: u32,
+    /// The numeric value of `call_id`.
     pub(super) id: u64,
     pub(super) body_bytes: usize,
-    /// The engine's number, once it is opened there.
+    /// The engine's call id, once the request is opened there.
     pub(super) engine_id: Option<CallId>,
-    /// Its id as the client gave it.
+    /// The request's id as the client stated it.
     pub call_id: Arc<str>,
-    /// Its class.
+    /// The class.
     pub class: ClassId,
-    /// Its function.
+    /// The function.
     pub function: Arc<str>,
-    /// Its idempotency key.
+    /// The idempotency key, if the client stated one.
     pub key: Option<Arc<str>>,
-    /// Until when its client waits, and no longer than this process has.
+    /// When the client stops waiting. During shutdown it is no later than the time by which this process must answer.
     pub deadline: Instant,
-    /// Its attempts.
+    /// The history of its attempts.
     pub attempts: AttemptHistory,
-    /// How its last attempt ended.
+    /// How the last attempt ended; `None` before that.
     pub last_end: Option<RetryReason>,
 }
--- a/crates/node/src/front/client.rs
+++ b/crates/node/src/front/client.rs
@@ -1,4 +1,4 @@
-//! What is known of one client's connection, and how readily it is evicted for a new one.
+//! The state of a client connection, and its place in the order of eviction.
 
 use std::collections::BTreeMap;
 use std::time::Instant;
@@ -8,32 +8,32 @@
 use super::call::RequestToken;
 use crate::limits::{FIRST_BYTES_GRACE, STALLED_FRAME};
 
-/// A client's connection.
+/// The state of a client connection.
 pub(super) struct Client {
     pub(super) reader: Reader,
     /// Open streams and the tokens of their calls.
     pub(super) streams: BTreeMap<u32, RequestToken>,
-    /// The newest stream that the client has opened.
+    /// The highest stream id that the client has used.
     pub(super) last_stream: u32,
-    /// Unusable requests and frames since the last usable request.
+    /// Unusable requests and frames since the last valid request.
     pub(super) faults: u32,
     pub(super) accepted_at: Instant,
-    /// A usable frame has arrived.
+    /// A usable frame has arrived on the connection.
     pub(super) active: bool,
-    /// Nothing more is read; the connection closes after its last answer.
+    /// No more input is read, and the connection closes after the last answer.
     pub(super) closing: bool,
-    /// Its side has ended: what is still read of it is answered, and not forwarded.
+    /// The client has ended its side: requests that are still read are answered and not forwarded.
     pub(super) disconnecting: bool,
-    /// When the incomplete frame in the input began.
+    /// When the first byte of the incomplete frame in the input was read; `None` if there is none.
     pub(super) frame_began: Option<Instant>,
-    /// When the last complete frame arrived or the last answer was given.
+    /// When the last complete frame was read or the last answer was sent.
     pub(super) idle_since: Instant,
-    /// It was asked to open no new requests.
+    /// The client was asked to open no new requests.
     pub(super) go_away_sent: bool,
 }
 
 impl Client {
-    /// A connection accepted now.
+    /// Creates the state of a connection that was accepted at `now`.
     pub(super) fn new(now: Instant) -> Self {
         Self {
             reader: Reader::default(),
@@ -50,7 +50,7 @@
         }
     }
 
-    /// The state in which it may be evicted, and since when it is in that state.
+    /// Returns the connection's place in the order of eviction. It applies only while no request is open on it.
     pub(super) fn eviction_rank(&self, now: Instant) -> EvictionRank {
         let (order, since) = match self.frame_began {
             Some(began) if now >= began + STALLED_FRAME => (EvictionOrder::StalledFrame, began),
@@ -65,23 +65,23 @@
     }
 }
 
-/// States of a connection without an open request, in the order in which they are evicted for a new connection.
+/// States of a connection without open requests, in the order in which they are evicted for a new connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum EvictionOrder {
-    /// It has sent nothing for [`FIRST_BYTES_GRACE`].
+    /// No usable frame has arrived within [`FIRST_BYTES_GRACE`] of acceptance.
     NothingSent,
-    /// It was answered and is idle, or has asked whether the controller is ready.
+    /// The connection was used and is idle.
     Idle,
-    /// It stopped within a frame for [`STALLED_FRAME`].
+    /// A frame has been incomplete for [`STALLED_FRAME`].
     StalledFrame,
-    /// It was accepted just now: its request is on its way. Guards against a burst of connections in which each new one
-    /// evicts the one before.
+    /// The connection was accepted less than [`FIRST_BYTES_GRACE`] ago, and its first request is still expected. It comes
+    /// late in the order so that in a burst of connections a new one does not evict the one before it.
     New,
-    /// It is within a frame.
+    /// A frame is being received.
     WithinFrame,
 }
 
-/// A connection's place in the order of eviction: by state, then the longest in that state first.
+/// A connection's place in the order of eviction: by state, then by the time at which it entered that state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct EvictionRank {
     pub(super) order: EvictionOrder,
--- a/crates/node/src/front/closing.rs
+++ b/crates/node/src/front/closing.rs
@@ -1,4 +1,4 @@
-//! How clients' connections end: by the client, for faults, by a time-out, idle, and with the process.
+//! How client connections end: by the client, because of faults, by a timeout, or by shutdown.
 
 use std::time::Instant;
 
@@ -14,7 +14,7 @@
 use crate::reasons::{CloseReason, EndReason};
 
 impl Front {
-    /// Counts an unusable request or frame, and closes the connection after too many in a row.
+    /// Counts an unusable request or frame. Closes the connection after too many in a row.
     pub(super) fn count_fault(&mut self, context: &mut FrontContext, key: TcpKey) {
         let Some(client) = self.clients.get_mut(&key) else { return };
         client.faults += 1;
@@ -23,7 +23,7 @@
         }
     }
 
-    /// Reports the fault on stream 0, reads nothing more and closes: open requests get their final answers at once.
+    /// Reports a fault on stream 0 and closes the connection after its open requests have got their final answers.
     pub(super) fn close_for_fault(&mut self, context: &mut FrontContext, key: TcpKey, fault: &str) {
         context.counters.closed_for_faults += 1;
         debug!(conn = ?key, fault, "client connection closed for a fault");
@@ -31,9 +31,9 @@
         self.close_after_answers(context, key, CloseReason::Faults);
     }
 
-    /// Nothing more arrives from a client, or nothing more is read: it can't cancel any more, and has most likely
-    /// left. So its open requests get their final answers at once, which is never wrong, and nothing of them is
-    /// forwarded; the connection closes after the last answer.
+    /// Closes a connection after its last answer and reads nothing more from it. The client can't cancel its open requests
+    /// any more and has most likely disconnected, so they get their final answers at once and are not forwarded. An early
+    /// answer is always correct.
     pub fn close_after_answers(&mut self, context: &mut FrontContext, key: TcpKey, reason: CloseReason) {
         let Some(client) = self.clients.get_mut(&key) else { return };
         if !client.closing {
@@ -52,7 +52,7 @@
         }
     }
 
-    /// A client's side has ended: its open requests get their final answers at once.
+    /// Handles the end of a client's side: its open requests get their final answers at once.
     pub(super) fn client_disconnecting(&mut self, context: &mut FrontContext, key: TcpKey) {
         let Some(client) = self.clients.get_mut(&key).filter(|client| !client.disconnecting) else { return };
         client.disconnecting = true;
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Refuses a request that was not opened, and so never is.
+    /// Refuses a request that has not been opened at the engine, and never will be.
     pub(super) fn refuse_unopened(
         &mut self,
         tcp: &mut Tcp,
@@ -85,7 +85,7 @@
         self.send_answer(tcp, key, stream, Code::Refused, b"its client's side ended: it was not run");
     }
 
-    /// A client's connection broke: nobody waits for its requests.
+    /// Handles a broken client connection: its open requests are cancelled and get no answer.
     pub fn connection_closed(&mut self, context: &mut FrontContext, key: TcpKey) {
         let Some(client) = self.clients.remove(&key) else { return };
         debug!(conn = ?key, open = client.streams.len(), "client connection broke");
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Counts the end of a connection. One with requests open is logged, within the budget.
+    /// Counts the end of a connection, and logs it if requests were open, subject to the rate limit.
     fn record_close(&mut self, counters: &mut Counters, key: TcpKey, reason: CloseReason, open: usize) {
         counters.reasons.closed(reason, open);
         if open == 0 {
@@ -112,14 +112,14 @@
         let Some(client) = self.clients.get(&key).filter(|c| !c.closing) else { return };
         let frame = client.frame_began.map(|began| began + FRAME_TIMEOUT);
         let first = (!client.active).then(|| client.accepted_at + FIRST_FRAME_TIMEOUT);
-        // One that is within a frame is not idle: its frame has a time of its own.
+        // A connection with an incomplete frame is not idle: `FRAME_TIMEOUT` applies instead.
         let idle = client.streams.is_empty() && client.frame_began.is_none();
         let idle = idle.then(|| client.idle_since + self.idle);
         tcp.alarm(key, [frame, first, idle].into_iter().flatten().min());
     }
 
-    /// A connection's alarm fired. What has arrived by now was read before; what arrives at this very moment is found
-    /// by a last check.
+    /// Handles a connection's alarm. Input reported by the poll has been read before; input that has arrived since is found
+    /// by a last check before the connection is closed.
     pub fn alarm_due(&mut self, context: &mut FrontContext, key: TcpKey) {
         let Some(client) = self.clients.get(&key).filter(|c| !c.closing) else { return };
         let now = Instant::now();
@@ -130,7 +130,7 @@
         if !(slow || unresponsive || idle) {
             self.set_alarm(context.tcp, key);
         } else if !context.tcp.confirm_idle(key) {
-            // It is read in the next iteration, and judged again after it.
+            // The input is read in the next iteration, and the connection is checked again after it.
             context.tcp.alarm(key, Some(now + RECHECK_DELAY));
         } else if slow || unresponsive {
             context.counters.closed_for_silence += 1;
@@ -142,7 +142,7 @@
         }
     }
 
-    /// Asks clients to open no new requests on the connections that stand. What arrives all the same is served.
+    /// Asks clients to open no new requests on the existing connections. Requests that still arrive are served.
     pub fn announce_shutdown(&mut self, tcp: &mut Tcp) {
         self.draining = true;
         for key in self.clients.keys().copied().collect::<Vec<_>>() {
--- a/crates/node/src/front/context.rs
+++ b/crates/node/src/front/context.rs
@@ -1,15 +1,15 @@
-//! What the front needs to handle one event of a client's connection.
+//! The state that the front borrows from the node to handle an event.
 
 use nettleferry_net::tcp::Tcp;
 
 use super::call::ClientEvent;
 use crate::limits::Counters;
 
-/// What the front needs to handle one event of a client's connection.
+/// The state that the front borrows from the node to handle an event of a client connection.
 pub struct FrontContext<'a> {
-    /// All connections.
+    /// All connections of the node.
     pub tcp: &'a mut Tcp,
-    /// Gets what clients did.
+    /// Receives the events from clients.
     pub events: &'a mut Vec<ClientEvent>,
     /// The node's counters.
     pub counters: &'a mut Counters,
--- a/crates/node/src/front/eviction.rs
+++ b/crates/node/src/front/eviction.rs
@@ -1,4 +1,4 @@
-//! Which client's connection is evicted for a new one.
+//! Chooses the client connection that is evicted for a new one.
 
 use std::time::Instant;
 
@@ -11,7 +11,7 @@
 use crate::limits::{Counters, EVICTION_CANDIDATES};
 use crate::reasons::CloseReason;
 
-/// A connection that may be evicted.
+/// A connection that may be evicted, ordered by its place in the order of eviction.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Candidate {
     rank: EvictionRank,
@@ -19,9 +19,9 @@
 }
 
 impl Front {
-    /// The connection to evict, of those whose state is no later in the order than `last`: see [`EvictionOrder`]. Never
-    /// one that waits for an answer or has not taken one, and none whose request has arrived unread, which its client
-    /// would see reset.
+    /// Returns the connection to evict, among those whose state is no later than `last` in [`EvictionOrder`]. Excluded are
+    /// connections with open requests or unsent answers, and those on which input has arrived, as its client would see the
+    /// connection reset.
     pub(super) fn eviction_candidate(&self, tcp: &mut Tcp, last: EvictionOrder) -> Option<TcpKey> {
         let now = Instant::now();
         let unused = self.clients.iter().filter(|(_, client)| client.streams.is_empty() && !client.closing);
@@ -31,7 +31,7 @@
             .collect();
         candidates.sort_unstable();
         let mut examined = candidates.into_iter().take(EVICTION_CANDIDATES);
-        // What stands read and not yet judged counts as well.
+        // Input that is buffered and not yet handled counts as unread.
         examined
             .find(|Candidate { rank, key }| {
                 let within_frame =
--- a/crates/node/src/front/input.rs
+++ b/crates/node/src/front/input.rs
@@ -1,4 +1,4 @@
-//! Frames of clients: each one is read and acted on.
+//! Reads and handles frames from clients.
 
 use std::time::Instant;
 
@@ -12,9 +12,9 @@
 use crate::limits::STREAMS_PER_CLIENT;
 
 impl Front {
-    /// Bytes arrived from a client.
+    /// Reads and handles the input of a client connection.
     pub fn data(&mut self, context: &mut FrontContext, key: TcpKey) {
-        // Its end stands behind bytes that take more than one iteration to read: it has left all the same.
+        // The client may have ended its side after more input than one iteration reads. It has disconnected in any case.
         if context.tcp.ending(key) {
             self.client_disconnecting(context, key);
         }
@@ -106,7 +106,7 @@
                     }
                 }
                 context.events.push(ClientEvent::Request(request));
-                // A connection accepted while draining is asked for no more once its first request has arrived.
+                // A connection accepted during shutdown gets the go-away frame only after its first request.
                 self.send_go_away(context.tcp, key);
             }
             Err(rejected) => {
--- a/crates/node/src/front/tests.rs
+++ b/crates/node/src/front/tests.rs
@@ -1,4 +1,4 @@
-//! Clients' connections about the end of their idle time, which is short here.
+//! Client connections around the end of their idle timeout, which these tests shorten, and eviction.
 
 use std::io::{Read, Write};
 use std::net::TcpStream;
@@ -8,10 +8,10 @@
 
 use super::*;
 
-/// No wait of these tests is longer; each is for an event.
+/// Timeout for each event that a test waits for.
 const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A front that acts on what its connections tell.
+/// A front with one client. The test runs its iterations.
 struct FrontHarness {
     tcp: Tcp,
     front: Front,
@@ -22,7 +22,7 @@
 }
 
 impl FrontHarness {
-    /// One with a client that was answered and is idle.
+    /// Creates a front with a client that has got an answer and is idle.
     fn new() -> Self {
         let mut tcp = Tcp::new(TcpLimits::default()).expect("a poll");
         let address = tcp.listen("127.0.0.1:0".parse().expect("an address")).expect("a port");
@@ -46,9 +46,9 @@
     }
 
     fn iterate(&mut self) {
-        let mut happened = Vec::new();
-        self.tcp.poll(Some(Duration::from_millis(1)), &mut happened).expect("polls");
-        for event in happened {
+        let mut events = Vec::new();
+        self.tcp.poll(Some(Duration::from_millis(1)), &mut events).expect("polls");
+        for event in events {
             match event {
                 TcpEvent::Accepted(key) => {
                     self.front.accepted(&mut self.tcp, key, &mut self.counters);
@@ -68,16 +68,17 @@
         }
     }
 
-    fn until(&mut self, holds: impl Fn(&Self) -> bool) {
+    /// Runs iterations until `condition` is true.
+    fn until(&mut self, condition: impl Fn(&Self) -> bool) {
         let end = Instant::now() + TEST_TIMEOUT;
-        while !holds(self) {
-            assert!(Instant::now() < end, "it did not come");
+        while !condition(self) {
+            assert!(Instant::now() < end, "timed out waiting for a condition");
             self.iterate();
         }
     }
 
-    /// It is idle for no longer than that from here on.
-    fn idle_for(&mut self, span: Duration) {
+    /// Sets the idle timeout.
+    fn set_idle_timeout(&mut self, span: Duration) {
         self.front.idle = span;
         let key = self.key.expect("connected");
         self.front.set_alarm(&mut self.tcp, key);
@@ -95,11 +96,11 @@
 #[test]
 fn connection_without_a_request_is_closed_after_its_idle_time() {
     let mut harness = FrontHarness::new();
-    harness.idle_for(Duration::from_millis(10));
+    harness.set_idle_timeout(Duration::from_millis(10));
     harness.until(|harness| harness.counters.closed_idle == 1);
     harness.tcp.flush_all();
     let mut rest = Vec::new();
-    harness.client.read_to_end(&mut rest).expect("ended in order");
+    harness.client.read_to_end(&mut rest).expect("closed in order");
     assert_eq!(harness.front.clients(), 0);
 }
 
@@ -107,11 +108,11 @@
 fn connection_within_a_frame_is_not_closed_as_idle() {
     let mut harness = FrontHarness::new();
     let whole = request();
-    let (half, rest) = whole.split_at(whole.len() / 2);
-    harness.client.write_all(half).expect("written");
+    let (first, rest) = whole.split_at(whole.len() / 2);
+    harness.client.write_all(first).expect("written");
     harness.until(|harness| harness.front.clients[&harness.key.expect("connected")].frame_began.is_some());
-    // By this clock it has been idle for long.
-    harness.idle_for(Duration::ZERO);
+    // The idle timeout has passed.
+    harness.set_idle_timeout(Duration::ZERO);
     let key = harness.key.expect("connected");
     harness.with_context(|front, context| front.alarm_due(context, key));
     harness.iterate();
@@ -122,11 +123,11 @@
 }
 
 #[test]
-fn request_that_crosses_the_end_of_the_idle_time_is_accepted() {
+fn request_that_arrives_as_the_idle_alarm_fires_is_accepted() {
     let mut harness = FrontHarness::new();
-    harness.idle_for(Duration::ZERO);
+    harness.set_idle_timeout(Duration::ZERO);
     harness.client.write_all(&request()).expect("written");
-    // Its alarm is acted on before a turn has told of the request: a last look finds it.
+    // The alarm is handled before a poll has reported the request: the last check before closing finds it.
     let key = harness.key.expect("connected");
     harness.with_context(|front, context| front.alarm_due(context, key));
     harness.until(|harness| !harness.events.is_empty());
@@ -138,16 +139,16 @@
 fn connection_with_unsent_answers_is_not_evicted() {
     let mut harness = FrontHarness::new();
     let key = harness.key.expect("connected");
-    let idle = |harness: &mut FrontHarness| {
+    let candidate = |harness: &mut FrontHarness| {
         harness.front.eviction_candidate(&mut harness.tcp, EvictionOrder::WithinFrame)
     };
-    assert_eq!(idle(&mut harness), Some(key), "it is idle");
-    // Until the system takes no more of what its client does not read.
+    assert_eq!(candidate(&mut harness), Some(key), "the connection is idle");
+    // The client does not read: fills the send buffer of the socket.
     let answer = vec![0; 256 << 10];
     while harness.tcp.unsent(key) == 0 {
         harness.tcp.send(key, &answer).expect("there is room");
         harness.tcp.flush(key);
     }
-    assert_eq!(idle(&mut harness), None);
+    assert_eq!(candidate(&mut harness), None);
     assert_eq!(harness.counters.violations.total(), 0);
 }
--- a/crates/node/src/front/validation.rs
+++ b/crates/node/src/front/validation.rs
@@ -1,4 +1,4 @@
-//! Validates a client's request and takes it in.
+//! Validates requests from clients and registers them as open calls.
 
 use std::num::ParseIntError;
 use std::sync::Arc;
@@ -15,7 +15,7 @@
 use crate::attempt_history::AttemptHistory;
 use crate::limits::{Counters, MAX_TTL_FACTOR};
 
-/// Why a request is not taken in. Its text is the answer that the client gets.
+/// Why a request is rejected. The text is sent to the client as the answer.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum RequestRejected {
     #[error(transparent)]
@@ -37,8 +37,8 @@
 }
 
 impl RequestRejected {
-    /// The code of its answer. The first request with a duplicate id may run: a refusal would state that a retry is
-    /// harmless.
+    /// The code of the answer. A duplicate id is not refused: the first request with that id may run, and a refusal would
+    /// state that a retry is harmless.
     pub(super) fn code(&self) -> Code {
         match self {
             Self::TooManyBytes => Code::Refused,
@@ -55,17 +55,17 @@
     }
 }
 
-/// What the checks of a request have found.
+/// The values of a request that were derived by validation.
 struct ValidRequest {
     class: ClassId,
     tenant: Option<TenantId>,
     id: u64,
-    /// No longer than its class's deadline.
+    /// Time to live, limited to the deadline of the class, milliseconds.
     ttl_ms: f64,
 }
 
 impl Front {
-    /// Takes in a request that can be used.
+    /// Parses and validates a request, and registers it as an open call. Counts it if it is rejected.
     pub(super) fn accept_request(
         &mut self,
         origin: RequestOrigin,
@@ -88,8 +88,8 @@
         if !is_plain(request.class) || !request.idempotency_key.is_none_or(is_plain) {
             return Err(RequestRejected::NotForwardable);
         }
-        // A client counts from its own clock, and one that sends early has longer than its class: it is no worse a client
-        // for it. Rejected, such requests failed untried, and nine of them ended their connection under all others.
+        // A client counts its time by its own clock, and may state slightly more than the deadline of its class. Rejecting
+        // such requests failed them without an attempt, and nine in a row closed a connection shared with others.
         let deadline = self.deadlines.get(class.0).copied().unwrap_or(0.0);
         if request.timeout_ms > deadline * MAX_TTL_FACTOR {
             return Err(RequestRejected::TtlTooLong);
@@ -106,7 +106,7 @@
         Ok(ValidRequest { class, tenant, id, ttl_ms: request.timeout_ms.min(deadline) })
     }
 
-    /// Where there are tenants, one that the settings do not know is no customer of this controller.
+    /// Returns the tenant of a request, if the settings have tenants. A tenant that they don't name is rejected.
     fn tenant_of(&self, request: &Request) -> Result<Option<TenantId>, RequestRejected> {
         let Some(org) = request.tenant.filter(|_| !self.tenants.is_empty()) else { return Ok(None) };
         let tenant = self.tenants.get(org).copied();
@@ -172,8 +172,8 @@
     }
 }
 
-/// Whether a text can be passed on as a field. One with a separator of the fields' own form would be read as other
-/// fields, and invokers close on that.
+/// Whether a text can be forwarded as a field value. One that contains a field separator would be parsed as other fields,
+/// for which invokers close the connection.
 fn is_plain(text: &str) -> bool {
     !text.contains([',', '='])
 }
--- a/crates/node/src/guard.rs
+++ b/crates/node/src/guard.rs
@@ -1,8 +1,8 @@
-//! The platform's rules as invariants, checked at run time where each could be broken: where a request is sent or
-//! retried, where it is answered, where a client's connection is closed, and where the process ends.
+//! The platform's rules as invariants, checked at run time where each could be broken: when a request is sent, retried or
+//! answered, when a client connection is closed, and when the process ends.
 //!
-//! The checks make no decision: one that keeps its rules never fails them. An action that would break a rule is not
-//! taken; it is counted by its kind and logged with its ids.
+//! The checks make no decisions; they only fail if a decision made elsewhere is wrong. An action that would break an
+//! invariant is not taken; it is counted by its kind and logged with the id of the request or connection.
 
 use std::fmt;
 use std::time::{Duration, Instant};
@@ -10,7 +10,7 @@
 use nettleferry::Effect;
 use tracing::error;
 
-/// An invariant that an action was about to break.
+/// An action that was about to break an invariant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Violation {
     /// A request whose client has disconnected was about to be sent.
@@ -54,23 +54,23 @@
     ];
 }
 
-/// How often each invariant was about to be broken.
+/// Counters of violations by kind.
 #[derive(Clone, Copy, Default, PartialEq, Eq)]
 pub struct Violations([u64; Violation::ALL.len()]);
 
 impl Violations {
-    /// Counts one and logs it. `subject`: the request's id or the connection.
+    /// Counts and logs a violation. `subject`: the id of the request or the connection.
     pub fn report(&mut self, violation: Violation, subject: &dyn fmt::Debug) {
         self.0[violation as usize] += 1;
         error!(?violation, ?subject, "invariant broken, action not taken");
     }
 
-    /// Violations of one kind.
+    /// Number of violations of one kind.
     pub fn of(&self, violation: Violation) -> u64 {
         self.0[violation as usize]
     }
 
-    /// Violations of all kinds.
+    /// Number of violations of all kinds.
     pub fn total(&self) -> u64 {
         self.0.iter().sum()
     }
@@ -83,16 +83,16 @@
     }
 }
 
-/// What is known of a request of which an attempt is about to start.
+/// The state of a request for which an attempt is about to start.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptCheck {
-    /// An attempt of it is in flight.
+    /// An attempt of the request is in flight.
     pub in_flight: bool,
-    /// An attempt of it may have run.
+    /// An attempt of the request may have run.
     pub may_have_run: bool,
-    /// What a second run would do.
+    /// The effect of a second run, as declared by the class of the request.
     pub effect: Effect,
-    /// The time that its client had left when the attempt was decided on.
+    /// The time until the client's deadline when the engine decided on the attempt.
     pub time_left: Duration,
 }
 
@@ -101,7 +101,7 @@
     ///
     /// # Errors
     ///
-    /// The invariant that it would break.
+    /// Returns the violation that the attempt would be.
     pub fn run(&self) -> Result<(), Violation> {
         if self.in_flight {
             return Err(Violation::OverlappingAttempt);
@@ -116,25 +116,25 @@
     }
 }
 
-/// What is known of an attempt in the moment in which its bytes are written.
+/// The state of an attempt when it is about to be written to a connection.
 #[derive(Clone, Copy, Debug)]
 pub struct WriteCheck {
-    /// Its client still waits.
+    /// The client still waits for an answer.
     pub awaited: bool,
-    /// Its worker accepts new requests.
+    /// The worker is in service.
     pub in_service: bool,
-    /// Until when its client waits.
+    /// When the client stops waiting.
     pub deadline: Instant,
-    /// Until when a duplicate of it is dropped, where that matters.
+    /// For a retry of a request that may have run: until when invokers drop duplicates, if they do so for a limited time.
     pub send_by: Option<Instant>,
 }
 
 impl WriteCheck {
-    /// Checks that it may be written.
+    /// Checks that the attempt may be written.
     ///
     /// # Errors
     ///
-    /// The invariant that it would break.
+    /// Returns the violation that writing the attempt would be.
     pub fn run(&self, now: Instant) -> Result<(), Violation> {
         if !self.awaited {
             return Err(Violation::SendAfterClientLeft);
@@ -156,7 +156,7 @@
 ///
 /// # Errors
 ///
-/// It may have run, and a second run is not harmless.
+/// Returns a violation if the request may have run and a second run is not harmless.
 pub fn may_refuse(may_have_run: bool, effect: Effect) -> Result<(), Violation> {
     let harmless = matches!(
         effect,
@@ -165,12 +165,12 @@
     if may_have_run && !harmless { Err(Violation::RefusedAfterEffect) } else { Ok(()) }
 }
 
-/// Checks that a client's connection may be closed, with so many requests open and so many bytes that the system has not
-/// accepted yet.
+/// Checks that a client connection may be closed. `open`: requests open on it; `unsent`: bytes queued but not yet written
+/// to the socket.
 ///
 /// # Errors
 ///
-/// An answer would be lost.
+/// Returns a violation if an answer would be lost.
 pub fn may_close(open: usize, unsent: usize) -> Result<(), Violation> {
     if open > 0 {
         return Err(Violation::CloseUnderRequest);
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,14 +1,19 @@
-//! The controller on the users' platform: what `run` in `deploy/balancer.toml` starts.
+//! The controller process for the users' platform: what `run` in `deploy/balancer.toml` starts.
 //!
-//! Depends on `platform` (the wire), `net` (plain TCP) and `engine`. Leaves to others: HTTP/2, administration, decisions.
-//! One thread, one poll.
+//! Built on `platform` (wire formats), `net` (TCP) and `engine` (scheduling decisions). HTTP/2 and administration are
+//! handled by other crates. A node runs on a single thread with a single poll.
 //!
-//! * [`node`]: the event loop. [`front`]: towards clients. [`pools`]: towards invokers.
-//! * [`guard`]: the platform's rules as invariants, checked at run time. [`attempt_history`]: the attempts of a request.
-//! * [`reasons`]: why requests and connections ended, counted. [`limits`]: every bound, and its counter.
-//!   [`log_budget`]: how many lines are logged of one kind.
-//! * [`directory`]: polls the list of invokers. [`start_times`]: their start times on this process's clock.
-//! * [`error`]: why a node can't start or go on.
+//! * [`node`]: the event loop.
+//! * [`front`]: client connections and requests.
+//! * [`pools`]: connection pools to invokers.
+//! * [`guard`]: the platform's rules as invariants, checked at run time.
+//! * [`attempt_history`]: the attempts of a request.
+//! * [`reasons`]: counters of why requests and connections ended.
+//! * [`limits`]: all limits and timeouts, and the counters that show when they were reached.
+//! * [`log_budget`]: rate limit for log lines of one kind.
+//! * [`directory`]: polls the directory for the list of invokers.
+//! * [`start_times`]: converts the invokers' start times to this process's clock.
+//! * [`error`]: errors that prevent a node from starting or end it.
 
 #![forbid(unsafe_code)]
 
--- a/crates/node/src/limits.rs
+++ b/crates/node/src/limits.rs
@@ -1,4 +1,4 @@
-//! Every bound of the node by name, and the counter that shows when it was reached.
+//! The limits and timeouts of a node, and the counters that show when they were reached.
 
 use std::time::{Duration, Instant};
 
@@ -7,80 +7,83 @@
 use crate::guard::Violations;
 use crate::reasons::Reasons;
 
-/// A connection on which no usable frame has arrived within this span of its acceptance is closed: the platform wants an
-/// answer or a close within 3 s.
+/// A client connection is closed if no usable frame arrives on it within this time after it was accepted. The platform
+/// requires an answer or a close within 3 s.
 pub const FIRST_FRAME_TIMEOUT: Duration = Duration::from_millis(2_000);
-/// A frame must be complete within this span of its first byte.
+/// A frame must be complete within this time after its first byte.
 pub const FRAME_TIMEOUT: Duration = Duration::from_millis(2_000);
-/// A client's connection without open requests is closed after this span. Clients close theirs after 4 s.
+/// A client connection without open requests is closed after this time. Clients close idle connections after 4 s.
 pub const CLIENT_IDLE: Duration = Duration::from_millis(6_000);
-/// A connection that was to be closed, and on which a last check found something, is judged again after this span.
+/// Delay before a connection that was about to be closed is checked again, if input was found on it at the last moment.
 pub const RECHECK_DELAY: Duration = Duration::from_millis(20);
-/// A client sends its request as soon as its connection is established, for which the platform allows this span: one that
-/// has sent nothing by then is evicted first, and none that is newer is evicted before any that is idle.
+/// A client sends its request as soon as its connection is established, for which the platform allows this time. A
+/// connection that has sent nothing by then is evicted first. A newer one is evicted only after all idle ones.
 pub const FIRST_BYTES_GRACE: Duration = Duration::from_millis(250);
-/// A client writes a frame at once: one whose frame is incomplete after this span is evicted before those that were just
-/// accepted.
+/// Clients write a frame in one piece. A connection whose frame is still incomplete after this time is evicted before
+/// connections that were just accepted.
 pub const STALLED_FRAME: Duration = Duration::from_millis(500);
-/// Connections examined for one that may be evicted.
+/// Maximum number of connections examined per search for one to evict.
 pub const EVICTION_CANDIDATES: usize = 8;
-/// Requests open at once on a client's connection: the platform's number.
+/// Maximum number of requests open at the same time on a client connection, as the platform defines it.
 pub const STREAMS_PER_CLIENT: usize = 32;
-/// Unusable requests and frames in a row on one connection; with one more it is closed. A proxy's connection carries the
-/// requests of many clients: a usable one shows that others wait there for their answers.
+/// Unusable requests and frames that are allowed in a row on one connection; one more closes it. A usable request resets
+/// the count: a proxy's connection carries the requests of many clients, and others may wait there for their answers.
 pub const CONSECUTIVE_FAULTS: u32 = 8;
-/// A request may state so many times its class's deadline, and has the deadline then: its client sent it early, by a clock
-/// of its own. Beyond that its client does not know the class.
+/// A request may state a time to live of up to this multiple of its class's deadline, and gets the deadline. Clients may
+/// exceed the deadline somewhat as they count by their own clock; a larger value shows that the client does not know the
+/// class.
 pub const MAX_TTL_FACTOR: f64 = 10.0;
-/// Bytes of an answer without a body of an invoker, at the most.
+/// Upper bound on the bytes of an answer that carries no response body of an invoker.
 pub const SHORT_ANSWER_BYTES: usize = 256;
-/// Descriptors that neither clients nor connections to invokers may use: [`ACCEPTS_PER_ITERATION`] connections that wait to be judged; standard
-/// input, output and error; the poll, the listener, the signals' two; the directory's socket and the one that it had
-/// before it moved; the configuration's file while it is read; and some for what the C library opens for itself.
+/// File descriptors that neither client nor invoker connections may use. They are needed for [`ACCEPTS_PER_ITERATION`]
+/// connections accepted over the limit until others are evicted; standard input, output and error; the poll; the listener;
+/// two for signals; the sockets to the directory's current and previous address; the configuration file while it is read;
+/// and descriptors that the C library opens.
 pub const RESERVED_DESCRIPTORS: usize = 24;
-/// Connections accepted in one iteration, over the bound on clients: the front evicts others for them before the next.
+/// Maximum number of connections accepted per iteration. They may exceed the client limit until the front has evicted
+/// others, which it does before the next iteration.
 pub const ACCEPTS_PER_ITERATION: usize = 8;
-/// Requests opened in one iteration; the others wait until the sockets have been read again: so no client's disconnect and
-/// no answer that is due waits behind more work than that.
+/// Maximum number of requests opened per iteration. The others wait until the sockets have been read again, which bounds
+/// the delay of client disconnects and of answers that are due.
 pub const OPENS_PER_ITERATION: usize = 64;
-/// The longest wait of a poll: a process that was not scheduled while it slept may read what arrived by so much later,
-/// which is the platform's own slack on each time.
+/// Maximum wait of a poll. A request read after a poll may have arrived up to this much earlier if the process was not
+/// scheduled; the platform allows this much slack on every time.
 pub const MAX_POLL_WAIT: Duration = Duration::from_millis(50);
-/// An invoker's response must be complete within this span of its first byte: they are written at once.
+/// A response of an invoker must be complete within this time after its first byte: invokers write it in one piece.
 pub const RESPONSE_TIMEOUT: Duration = Duration::from_millis(500);
-/// After SIGTERM the node continues for this long at the least, also after the last request that arrived.
+/// After SIGTERM the node continues for at least this time, and for at least this time after the last client activity.
 pub const SHUTDOWN_QUIET_SPAN: Duration = Duration::from_millis(1_500);
-/// The platform kills a controller no sooner after SIGTERM than the longest deadline, which counts as this span where it
-/// is longer, and [`KILL_GRACE`].
+/// The platform kills a controller no sooner after SIGTERM than the longest deadline plus [`KILL_GRACE`]. It counts a
+/// longer deadline as this value.
 pub const LONGEST_COUNTED_DEADLINE: Duration = Duration::from_millis(3_000);
-/// A request that arrived later than this after SIGTERM must have its answer before the kill.
+/// A request that arrives later than this after SIGTERM must be answered before the platform kills the process.
 pub const KILL_GRACE: Duration = Duration::from_millis(700);
-/// An answer is on its way for no longer than this.
+/// Upper bound on the transit time of an answer to the client.
 pub const ANSWER_TRANSIT: Duration = Duration::from_millis(100);
-/// A query that could not be sent, or whose answer was unusable, is repeated after this span.
+/// Delay before a directory query is repeated that could not be sent or whose response was unusable.
 pub const QUERY_RETRY_DELAY: Duration = Duration::from_millis(50);
-/// After so many queries in a row that could not be sent, another socket is used.
+/// Consecutive directory queries that could not be sent after which the socket is replaced.
 pub const MAX_UNSENT_QUERIES: u32 = 4;
-/// Queries whose answers are still received: an answer that is always late is used all the same.
+/// Number of recent queries whose responses are still accepted, so that a directory that always responds late is used.
 pub const REMEMBERED_QUERIES: usize = 16;
-/// After the directory has moved, answers of its old address are received for this long.
+/// After the directory's address has changed, responses from the old address are accepted for this long.
 pub const OLD_RESOLVER_GRACE: Duration = Duration::from_millis(2_000);
-/// The directory is polled this often; a list is current by this span and its answer's way.
+/// Polling interval of the directory. A list is out of date by at most this time plus the transit time of the response.
 pub const QUERY_INTERVAL: Duration = Duration::from_millis(250);
-/// A query whose answer has not arrived by then is counted as lost.
+/// A query without a response after this time is counted as lost.
 pub const QUERY_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// What is to be written to invokers later than this after the sockets were read waits until they have been read again: a
-/// process that stood still meanwhile does not know which clients have left.
+/// If more than this time has passed since the sockets were read, writes to invokers wait until they have been read again:
+/// if the process was suspended meanwhile, it does not know which clients have disconnected.
 pub const OUTDATED_READ: Duration = Duration::from_millis(20);
-/// A list that no answer has confirmed for this span is old, which is logged.
+/// A list that no response has confirmed for this time is old, which is logged and counted.
 pub const OLD_LIST_AGE: Duration = Duration::from_millis(1_000);
-/// During a shutdown it is logged this often what it waits for.
+/// Interval at which the shutdown progress is logged.
 pub const SHUTDOWN_LOG_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The time that a call has, microseconds, which arrived now: `left` by its client, and if it arrived after the grace, no
-/// more than until the platform may kill a process that was asked to end at `since`, where a client waits `longest` at
-/// the most.
+/// Returns the time, in microseconds, that a call arriving at `now` has after shutdown was requested at `since`. That is
+/// `left`, the time its client gives it. After [`KILL_GRACE`] it is also limited to the time until the platform may kill
+/// the process. `longest`: the longest deadline of any class.
 pub fn time_before_kill(since: Instant, now: Instant, longest: Duration, left: u64) -> u64 {
     if now.saturating_duration_since(since) <= KILL_GRACE - ANSWER_TRANSIT {
         return left;
@@ -89,27 +92,29 @@
     left.min(end.saturating_duration_since(now).as_micros() as u64)
 }
 
-/// Bounds that follow from what the machine gives.
+/// Limits derived from the resources of the machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bounds {
-    /// Accepted connections; at one more, one without an open request is closed, else the new one.
+    /// Maximum number of client connections. One more evicts a connection without open requests; if there is none, the new
+    /// connection is closed.
     pub clients: usize,
-    /// At one more, one that is idle is closed, if there is one. Clients may hold a third of the descriptors and no more:
-    /// idle ones would keep those out that have a request.
+    /// Number of client connections from which each new one evicts an idle one, if there is one. It is below the third of
+    /// the descriptors that clients may hold, so that idle connections don't keep out clients that have a request.
     pub idle_clients: usize,
-    /// Connections to invokers.
+    /// Maximum number of connections to invokers.
     pub pool_connections: usize,
-    /// Requests open.
+    /// Maximum number of open requests.
     pub open_calls: usize,
-    /// Bytes of bodies of open requests.
+    /// Maximum size of the bodies of all open requests, bytes.
     pub body_bytes: usize,
-    /// Functions remembered by name.
+    /// Maximum number of functions for which the engine keeps state.
     pub functions: usize,
 }
 
 impl Bounds {
-    /// The bounds of this machine. Clients may hold a third of the descriptors: half of them are theirs here, a third is for
-    /// invokers, and never less than [`RESERVED_DESCRIPTORS`] for what the process itself needs.
+    /// Derives the limits from the machine's resources. The platform lets clients hold a third of the descriptors; half of
+    /// them are allotted to clients here, a third to invokers, and at least [`RESERVED_DESCRIPTORS`] remain for the process
+    /// itself.
     pub fn of(limits: &config::Limits, open_calls: Option<u64>) -> Self {
         let sockets = usize::try_from(limits.sockets).unwrap_or(usize::MAX).clamp(64, 1 << 20);
         let megabytes = usize::try_from(limits.memory_mb).unwrap_or(usize::MAX).clamp(16, 1 << 20);
@@ -125,61 +130,63 @@
     }
 }
 
-/// How often each bound was reached, and other events worth counting.
+/// Counters of reached limits and of other notable events.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
     /// Requests accepted.
     pub requests: u64,
-    /// Requests that could not be used.
+    /// Requests rejected as unusable.
     pub bad_requests: u64,
-    /// Frames that could not be read, or that a client may not send.
+    /// Frames that could not be read or that clients may not send.
     pub bad_frames: u64,
-    /// Connections closed for [`CONSECUTIVE_FAULTS`], unreadable frames or [`STREAMS_PER_CLIENT`].
+    /// Client connections closed because of [`CONSECUTIVE_FAULTS`], an unreadable frame or a stream id that is not new.
     pub closed_for_faults: u64,
-    /// Connections closed for [`FIRST_FRAME_TIMEOUT`] or [`FRAME_TIMEOUT`].
+    /// Client connections closed because of [`FIRST_FRAME_TIMEOUT`] or [`FRAME_TIMEOUT`].
     pub closed_for_silence: u64,
-    /// Connections closed for [`CLIENT_IDLE`].
+    /// Client connections closed after [`CLIENT_IDLE`].
     pub closed_idle: u64,
-    /// Connections accepted over [`Bounds::clients`].
+    /// Client connections accepted over [`Bounds::clients`].
     pub over_clients: u64,
-    /// Connections evicted for a new one.
+    /// Client connections evicted for a new one.
     pub made_room: u64,
-    /// New connections that were closed at once, as none of the others could be evicted.
+    /// New client connections closed at once because no other could be evicted.
     pub no_room: u64,
-    /// Requests refused for [`Bounds::body_bytes`].
+    /// Requests refused because of [`Bounds::body_bytes`].
     pub over_bodies: u64,
-    /// Answers that did not fit into what their connection takes: their requests failed, the connection goes on.
+    /// Answers that did not fit into the output buffer of their client connection. The request fails; the connection stays
+    /// open.
     pub over_answers: u64,
-    /// Requests that state more time than their class has: they have the class's.
+    /// Requests whose time to live exceeded the deadline of their class and was limited to it.
     pub over_deadline: u64,
-    /// Requests whose id was open already.
+    /// Requests rejected because a request with the same id was open.
     pub ids_open: u64,
-    /// The longest that a request may have waited in the system before it was opened, microseconds.
+    /// The longest time that a request may have waited between its arrival and its opening, microseconds.
     pub longest_read_delay: u64,
-    /// The longest iteration, microseconds: from the return of one poll to the next.
+    /// The longest iteration, microseconds: from the return of the poll to the end of the iteration.
     pub longest_iteration: u64,
-    /// Answers of invokers that could not be read.
+    /// Responses of invokers that could not be read or were incomplete.
     pub bad_answers: u64,
-    /// Answers that belonged to no open request.
+    /// Responses of invokers that belong to no open request.
     pub stray_answers: u64,
-    /// Connections to invokers that were closed, as a cancellation could not be written there at once.
+    /// Connections to invokers closed because a cancellation could not be written at once.
     pub cut_to_withdraw: u64,
-    /// Requests without a connection for [`Bounds::pool_connections`], of which each invoker has an equal part.
+    /// Requests for which no connection was available because of [`Bounds::pool_connections`], which is shared equally among
+    /// invokers.
     pub over_links: u64,
-    /// Answers of the directory that could not be used.
+    /// Datagrams from the directory that could not be used.
     pub bad_lists: u64,
-    /// Queries to the directory without an answer in time.
+    /// Queries to the directory without a response within [`QUERY_TIMEOUT`].
     pub lost_lists: u64,
-    /// Queries to the directory that the system did not send.
+    /// Queries to the directory that could not be sent.
     pub unsent_queries: u64,
-    /// Answers of the directory with an older list.
+    /// Responses of the directory with a list older than the current one.
     pub old_lists: u64,
-    /// Times at which the list became older than [`OLD_LIST_AGE`]: no answer of the directory confirmed it for so long.
+    /// How often the list became older than [`OLD_LIST_AGE`] without being confirmed by the directory.
     pub list_outages: u64,
-    /// Requests that arrived so long after SIGTERM that they have less time than their client gives them.
+    /// Requests whose time was cut because they arrived late after SIGTERM.
     pub after_end: u64,
     /// Why requests ended, were retried, and connections were closed.
     pub reasons: Reasons,
-    /// Invariants that were about to be broken: see [`crate::guard`].
+    /// Actions that would have broken an invariant: see [`crate::guard`].
     pub violations: Violations,
 }
--- a/crates/node/src/log_budget.rs
+++ b/crates/node/src/log_budget.rs
@@ -1,14 +1,14 @@
-//! Bounds the rate of log lines about events that come in crowds. The lines that are left out are counted, and the next
-//! one tells how many they were.
+//! Rate limit for log lines about events that occur in bursts. Suppressed lines are counted, and the next line that is
+//! logged states their number.
 
 use std::time::{Duration, Instant};
 
-/// The span over which lines are counted.
+/// Length of the interval over which lines are counted.
 pub const SPAN: Duration = Duration::from_secs(1);
-/// Lines of one kind in that span.
+/// Maximum number of lines of one kind in [`SPAN`].
 pub const LINES_PER_SPAN: u32 = 20;
 
-/// The lines of one kind.
+/// The rate limit for log lines of one kind.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LogBudget {
     span_began: Option<Instant>,
@@ -17,7 +17,8 @@
 }
 
 impl LogBudget {
-    /// Asks for a line: `Some` with the number of lines left out since the last one, or `None`: this one is left out.
+    /// Requests permission to log a line. Returns the number of lines suppressed since the last one, or `None` if this
+    /// line is to be suppressed as well.
     pub fn take(&mut self, now: Instant) -> Option<u64> {
         if self.span_began.is_none_or(|began| now >= began + SPAN) {
             self.span_began = Some(now);
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -1,10 +1,13 @@
-//! The event loop: sockets, signals and timers in; the engine; answers, attempts and control requests out.
+//! The event loop: passes events from sockets, signals and timers to the engine, and executes the engine's commands
+//! (answers, attempts and control requests).
 //!
-//! This file holds the state and one iteration of the loop. The files below it each add one part:
+//! This module holds the state and one iteration of the loop. Its submodules:
 //!
-//! * `startup`: builds a node from its configuration. `lifecycle`: when it waits, reloads and ends.
-//! * `dispatch`: reads what the sockets brought and passes it to the engine. `execute`: carries out the engine's
-//!   commands. `worker_list`: applies a list of invokers.
+//! * `startup`: builds a node from its configuration.
+//! * `lifecycle`: poll timeouts, configuration reload and shutdown.
+//! * `dispatch`: reads the sockets and passes the events to the engine.
+//! * `execute`: executes the engine's commands.
+//! * `worker_list`: applies a list of invokers.
 
 mod dispatch;
 mod execute;
@@ -34,14 +37,14 @@
 use crate::pools::{ConnectionPools, PoolContext};
 use crate::start_times::StartTimes;
 
-/// The poll's source of signals.
+/// Poll source for signals.
 const SIGNALS: usize = 0;
-/// The poll's source of answers of the directory.
+/// Poll source for responses of the directory.
 const DIRECTORY: usize = 1;
 
-/// A controller on the platform.
+/// A controller on the platform: its sockets, its engine and the state of the event loop.
 pub struct Node {
-    /// The configuration's file.
+    /// Path of the configuration file.
     path: PathBuf,
     clock: Clock,
     tcp: Tcp,
@@ -52,71 +55,71 @@
     start_times: StartTimes,
     signals: Option<Signals>,
     classes: Vec<ClassInfo>,
-    /// The longest that a client waits.
+    /// The longest deadline of any class.
     longest_deadline: Duration,
     local_addr: SocketAddr,
     counters: Counters,
-    /// When SIGTERM arrived.
+    /// When graceful shutdown began; `None` before that.
     draining_since: Option<Instant>,
-    /// When the signal to end may have come at the earliest.
+    /// The earliest time at which the shutdown signal may have arrived; the platform counts its kill timeout from then.
     kill_counts_from: Option<Instant>,
     /// When a client last connected or sent something.
     last_client_activity: Instant,
-    /// When the newest iteration began that has read all there was, and in which no client connected or sent anything.
+    /// When the latest iteration began, if it read all available input and no client connected or sent anything in it.
     quiet_iteration: Option<Instant>,
-    /// When the configuration is to be read again.
+    /// When a failed reload of the configuration is retried.
     reload_at: Option<Instant>,
     next_counters_log: Instant,
-    /// When it is logged next what a shutdown waits for.
+    /// When the shutdown progress is logged next.
     next_shutdown_log: Instant,
     next_signal_check: Instant,
-    /// When signals were looked for last.
+    /// When pending signals were last checked.
     signals_checked_at: Instant,
     tcp_events: Vec<TcpEvent>,
     client_events: Vec<ClientEvent>,
-    /// Requests read and not yet opened, [`crate::limits::OPENS_PER_ITERATION`] an iteration: no more than clients may
-    /// have open.
+    /// Requests that were read but not yet opened at the engine. Each iteration opens up to
+    /// [`crate::limits::OPENS_PER_ITERATION`] of them; the queue is bounded by the requests that clients may have open.
     requests: VecDeque<IncomingRequest>,
-    /// Events that the engine has not seen yet.
+    /// Events that have not been passed to the engine yet.
     engine_events: Vec<Event>,
     commands: Vec<Command>,
 }
 
-/// What one iteration read that is acted on once all of it was read.
+/// Events of one iteration that are handled after all sockets have been read.
 #[derive(Default)]
 struct PendingEvents {
-    /// Answers of the directory have arrived.
+    /// Responses of the directory have arrived.
     list: bool,
-    /// Connections to invokers that were established.
+    /// Connections to invokers that were established in this iteration.
     connected: Vec<TcpKey>,
 }
 
 impl Node {
-    /// The address on which it listens.
+    /// The address on which the node accepts clients.
     pub fn local_addr(&self) -> SocketAddr {
         self.local_addr
     }
 
-    /// Counters of its engine.
+    /// Counters of the engine.
     pub fn engine_counters(&self) -> EngineCounters {
         self.engine.counters()
     }
 
-    /// Counters of its connections.
+    /// Counters of the TCP connections.
     pub fn tcp_counters(&self) -> TcpCounters {
         self.tcp.counters()
     }
 
-    /// Its own counters.
+    /// Counters of the node itself.
     pub fn counters(&self) -> Counters {
         self.counters
     }
 
-    /// Runs until a signal has stopped it and all accepted requests are answered.
+    /// Runs the event loop until a signal has requested shutdown and all accepted requests are answered.
     ///
     /// # Errors
     ///
-    /// The poll failed.
+    /// Returns an error if the poll fails.
     pub fn run(&mut self) -> Result<(), NodeError> {
         while !self.is_done() {
             self.iterate(None)?;
@@ -131,19 +134,23 @@
         Ok(())
     }
 
-    /// One iteration; waits at most `max_wait` for events. What arrived is read on all sockets first, and only then acted
-    /// on: in this order, whatever the order in which it arrived within the iteration.
+    /// Runs one iteration of the event loop and waits at most `max_wait` for events.
     ///
-    /// 1. Broken connections, so that nothing is written to them. 2. Clients that disconnected, all at once, so that
-    ///    nothing is forwarded for one of them. 3. The list, so that nothing goes to an invoker that it takes out of
-    ///    service. 4. Responses of invokers. 5. Connections that were established: what waited for them is written.
-    ///    6. Answers that are due: they are written before anything else is done. 7. New requests,
-    ///    [`crate::limits::OPENS_PER_ITERATION`] of them: then clients are read again. 8. What all of this has queued is
-    ///    written.
+    /// All ready sockets are read first. The events are then handled in this order, regardless of the order in which they
+    /// arrived within the iteration:
+    ///
+    /// 1. Broken connections, so that nothing is written to them.
+    /// 2. All client disconnects, so that nothing is forwarded for a client that has disconnected.
+    /// 3. A new list, so that nothing is sent to an invoker that it takes out of service.
+    /// 4. Responses of invokers.
+    /// 5. Newly established connections: the commands queued for them are written.
+    /// 6. Answers that are due. They are written before any new request is opened.
+    /// 7. New requests, up to [`crate::limits::OPENS_PER_ITERATION`], so that clients are read again soon.
+    /// 8. All output queued by these steps is written.
     ///
     /// # Errors
     ///
-    /// The poll failed.
+    /// Returns an error if the poll fails.
     pub fn iterate(&mut self, max_wait: Option<Duration>) -> Result<(), NodeError> {
         let wait = self.poll_wait();
         let wait = max_wait.map_or(wait, |max_wait| max_wait.min(wait));
@@ -160,7 +167,7 @@
 
     fn poll(&mut self, wait: Duration) -> Result<Vec<TcpEvent>, NodeError> {
         let mut events = std::mem::take(&mut self.tcp_events);
-        self.tcp.poll(Some(wait), &mut events).map_err(NodeError::system("the poll"))?;
+        self.tcp.poll(Some(wait), &mut events).map_err(NodeError::system("polling for events"))?;
         Ok(events)
     }
 
@@ -174,8 +181,8 @@
         self.run_engine();
     }
 
-    /// Hands to the system what is queued: answers first, then commands to invokers, which state the time that is left as
-    /// of then. What has expired before it could be written has ended, and its request goes on.
+    /// Writes queued output: answers first, then commands to invokers, which state the time left at the moment of the
+    /// write. An attempt that expired before it could be written ends, and the engine decides what follows.
     fn write_queued(&mut self) {
         self.tcp.flush_all();
         loop {
@@ -189,7 +196,7 @@
         }
     }
 
-    /// Passes waiting events to the engine and executes its commands, until nothing is left.
+    /// Passes queued events to the engine and executes its commands until no events are left.
     fn run_engine(&mut self) {
         while !self.engine_events.is_empty() {
             for event in std::mem::take(&mut self.engine_events) {
--- a/crates/node/src/node/dispatch.rs
+++ b/crates/node/src/node/dispatch.rs
@@ -1,4 +1,4 @@
-//! From the sockets to the engine: what one iteration read, and the order in which it is acted on.
+//! Reads the sockets and passes the resulting events to the engine, in a fixed order.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -15,14 +15,15 @@
 use crate::pools::PoolContext;
 use crate::reasons::{CloseReason, EndReason};
 
-/// The answer of a request that arrived with no time left.
+/// The answer to a request that has no time left when it is to be opened.
 const NO_TIME_LEFT: FinalAnswer = FinalAnswer::Refused { reason: Refusal::NoRoom, retry_after: None };
 
 impl Node {
-    /// Reads what the events brought; nothing is decided or forwarded yet.
+    /// Reads the sockets of these events. Nothing is passed to the engine or forwarded yet.
     pub(super) fn read_events(&mut self, mut events: Vec<TcpEvent>) -> PendingEvents {
         let mut pending = PendingEvents { list: self.discovery.has_more(), ..PendingEvents::default() };
-        // Connections accepted just now last: at the bound they evict others, by what was read of those.
+        // New connections come last: at the connection limit each one evicts another, and the choice depends on what
+        // was read from the others.
         let new: BTreeSet<TcpKey> = events.iter().filter_map(accepted).collect();
         let is_new = |event: &TcpEvent| event.key().is_some_and(|key| new.contains(&key));
         for event in events.iter().filter(|event| !is_new(event)) {
@@ -79,7 +80,7 @@
         }
     }
 
-    /// Acts on what one iteration read; the order is explained at [`Node::iterate`].
+    /// Handles the events of one iteration, in the order described at [`Node::iterate`].
     pub(super) fn dispatch(&mut self, pending: PendingEvents) {
         self.dispatch_client_events();
         if pending.list {
@@ -102,7 +103,7 @@
         let mut clients = Vec::new();
         for event in self.client_events.drain(..) {
             match event {
-                // One whose connection broke since can't be answered.
+                // The connection may have broken since: then no answer can be sent.
                 ClientEvent::Disconnected(client) => {
                     let answered = client.answered && self.front.is_awaited(client.call);
                     clients.push(ClientDisconnect { answered, ..client });
@@ -125,8 +126,8 @@
         self.send_to_engine(Event::Tick);
         self.run_engine();
         self.write_queued();
-        // What was cancelled since it was read waits for nothing: a flood of such would hold up all that arrives behind
-        // it, and never be worked off.
+        // Drops requests that were cancelled after they were read. A flood of them would otherwise use up the requests
+        // opened per iteration and delay all requests behind them.
         self.requests.retain(|request| self.front.is_waiting(request.token));
         let batch = self.requests.len().min(OPENS_PER_ITERATION);
         for request in self.requests.drain(..batch).collect::<Vec<_>>() {
@@ -140,14 +141,14 @@
         if !self.front.is_waiting(token) {
             return;
         }
-        // One reading of the clock for all that is reckoned here: the process may stand still between two.
+        // Read the clock once: the process may be suspended between two reads, and the results would not match.
         let now = Instant::now();
         let waited = now.saturating_duration_since(request.arrived).as_micros() as u64;
         self.counters.longest_read_delay = self.counters.longest_read_delay.max(waited);
         let time_left = self.limit_to_kill(now, request.time_left.saturating_sub(waited));
         self.front.limit_deadline(token, now + Duration::from_micros(time_left));
         if time_left == 0 {
-            // It could not be answered after an attempt: a retry elsewhere is harmless.
+            // An attempt could not be answered in time. Nothing has run, so the client may safely retry elsewhere.
             let (tcp, counters) = (&mut self.tcp, &mut self.counters);
             let reason = EndReason::NoTime;
             return self.front.answer_with_reason(tcp, token, &NO_TIME_LEFT, reason, counters);
@@ -172,8 +173,8 @@
         self.execute_commands();
     }
 
-    /// The time that a call has, microseconds: what its client gives it, and after SIGTERM no more than is left until the
-    /// platform kills this process. What arrives so late has little of it, and its answer all the same.
+    /// Returns the time left for a call in microseconds. After SIGTERM it is limited to the time until the platform kills
+    /// this process, so that a request that arrives late is still answered before the kill.
     fn limit_to_kill(&mut self, now: Instant, time_left: u64) -> u64 {
         let Some(since) = self.kill_counts_from else { return time_left };
         let limited = time_before_kill(since, now, self.longest_deadline, time_left);
--- a/crates/node/src/node/execute.rs
+++ b/crates/node/src/node/execute.rs
@@ -1,4 +1,4 @@
-//! From the engine to the sockets: executes its commands, each checked against the invariants of [`crate::guard`].
+//! Executes the engine's commands, after checking them against the invariants of [`crate::guard`].
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -20,7 +20,7 @@
         for command in commands.drain(..) {
             self.execute(command);
         }
-        // No command adds another one: the allocation is kept.
+        // Executing a command never adds another one, so the vector can be reused.
         self.commands = commands;
     }
 
@@ -48,14 +48,14 @@
             Command::ForgetControlRequest { request_id } => self.pools.forget(context.tcp, request_id),
             Command::WatchList | Command::FetchList => self.discovery.query_now(),
             Command::Log(line) => info!("{line}"),
-            // Answers here arrive complete: no parts, nothing to hold back.
+            // Responses on this platform arrive as a whole: there are no parts to forward, and no flow control.
             Command::ResponsePart { .. } | Command::Pause { .. } | Command::Resume { .. } => {}
         }
     }
 
     fn start_attempt(&mut self, id: AttemptId, worker: WorkerId, time_left: Duration, body: Bytes) {
         let Some(call) = self.front.call_mut(id.call) else {
-            // Its client has left, and the engine learns of it next.
+            // The client has disconnected; the engine gets that event next.
             return self.attempt_not_started(id);
         };
         let Some(class) = self.classes.get(call.class.0).cloned() else {
@@ -104,7 +104,7 @@
         self.pools.cancel(&mut PoolContext { tcp, events, counters }, attempt);
     }
 
-    /// Keeps the history of a call's attempts, before the engine learns that one has ended.
+    /// Records the end of an attempt in its call's history, before the event is passed to the engine.
     pub(super) fn record_attempt_end(&mut self, event: &Event) {
         if let Event::AttemptEnded { attempt, end, .. } = event
             && let Some(call) = self.front.call_mut(attempt.call)
@@ -114,7 +114,8 @@
         }
     }
 
-    /// The final answer of a request: one that may have run, and must not run twice, is never refused.
+    /// Returns the final answer of a request. A refusal becomes a failure if the request may have run and must not run
+    /// twice, because a refusal states that a retry is harmless.
     fn checked_answer(&mut self, token: RequestToken, answer: FinalAnswer) -> FinalAnswer {
         let Some(call) = self.front.call_by_token(token) else {
             self.counters.violations.report(Violation::AnswerWithoutRequest, &token.0);
--- a/crates/node/src/node/lifecycle.rs
+++ b/crates/node/src/node/lifecycle.rs
@@ -1,4 +1,4 @@
-//! When the loop waits, what the node does on signals, and when it ends.
+//! Poll timeouts, signal handling, configuration reload and graceful shutdown.
 
 use std::time::{Duration, Instant};
 
@@ -9,44 +9,46 @@
 use super::startup::read_config;
 use crate::limits::{MAX_POLL_WAIT, SHUTDOWN_LOG_INTERVAL, SHUTDOWN_QUIET_SPAN};
 
-/// How often counters are logged.
+/// Interval at which counters are logged.
 pub(super) const COUNTERS_LOG_INTERVAL: Duration = Duration::from_secs(5);
-/// A configuration that could not be read is read again after this span: it may have been half written.
+/// Delay before a failed configuration reload is retried: the file may have been only partly written.
 const RELOAD_RETRY_DELAY: Duration = Duration::from_millis(200);
-/// Signals are checked this often though the poll reports none: the byte that wakes it may be lost.
+/// Interval at which signals are checked even if the poll reports none: the byte that wakes the poll may be lost.
 const SIGNAL_CHECK_INTERVAL: Duration = Duration::from_millis(250);
-/// How often in the length of a quiet span the end is checked for, once the span is over.
+/// Shutdown checks per [`SHUTDOWN_QUIET_SPAN`], once that span has passed.
 const SHUTDOWN_CHECKS: u32 = 8;
 
-/// What a shutdown waits for, the first of these.
+/// The condition for which a shutdown waits. If several apply, the first in this order is reported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ShutdownWait {
-    /// Requests have no answer yet.
+    /// Some requests have no answer yet.
     OpenRequests,
-    /// The system has not taken all answers.
+    /// Some answers are not yet written to their sockets.
     UnsentAnswers,
-    /// Clients may still send something.
+    /// [`SHUTDOWN_QUIET_SPAN`] has not passed since shutdown began or a client was last active.
     QuietSpan,
-    /// An iteration that reads all there is and finds nothing.
+    /// No iteration has yet read all available input after the quiet span without finding client activity.
     QuietIteration,
 }
 
 impl Node {
-    /// Whether it may end: it was asked to, and nothing is open or on its way. A process that did not run for a while
-    /// finds its quiet span over by the clock, with connections in the backlog and requests in sockets: so a complete
-    /// iteration that began after that span must have looked and found nothing.
+    /// Whether the node may exit: shutdown was requested, no request is open and no output is unsent.
+    ///
+    /// A process that was suspended finds the quiet span over by the clock while connections wait in the backlog and
+    /// requests in socket buffers. Therefore a complete iteration that began after the span must have found no client
+    /// activity.
     pub fn is_done(&self) -> bool {
         self.draining_since.is_some() && self.shutdown_waits_for().is_none()
     }
 
-    /// What a shutdown waits for; `None`: nothing, or it was not begun.
+    /// Returns what the shutdown waits for, or `None` if it waits for nothing or has not begun.
     pub fn shutdown_waits_for(&self) -> Option<ShutdownWait> {
         let quiet_span_end = self.quiet_span_end(self.draining_since?);
         let is_quiet = self.quiet_iteration.is_some_and(|at| at >= quiet_span_end);
         if self.engine.open_calls() + self.requests.len() > 0 {
             Some(ShutdownWait::OpenRequests)
         } else if self.tcp.unsent_to_peers() > 0 {
-            // An answer is given when the system has it, not when it is queued.
+            // An answer counts as sent when it is written to the socket, not when it is queued.
             Some(ShutdownWait::UnsentAnswers)
         } else if is_quiet {
             None
@@ -57,12 +59,12 @@
         }
     }
 
-    /// When no client may be expected any more, as far as is known now.
+    /// The end of the quiet span, as far as is known now: client activity extends it.
     fn quiet_span_end(&self, draining_since: Instant) -> Instant {
         draining_since.max(self.last_client_activity) + SHUTDOWN_QUIET_SPAN
     }
 
-    /// How long the next poll may wait.
+    /// Returns how long the next poll may wait for events.
     pub(super) fn poll_wait(&self) -> Duration {
         if !self.requests.is_empty() || self.pools.awaits_read() {
             return Duration::ZERO;
@@ -80,7 +82,7 @@
         others.chain(engine_timer).min().unwrap_or(COUNTERS_LOG_INTERVAL).min(MAX_POLL_WAIT)
     }
 
-    /// When the node is to look whether it may end: an iteration of its own, as soon as it may be the last.
+    /// When to run an iteration that checks whether the node may exit.
     fn shutdown_check_at(&self, draining_since: Instant, now: Instant) -> Instant {
         let quiet = self.quiet_span_end(draining_since);
         match self.quiet_iteration {
@@ -93,19 +95,20 @@
     pub(super) fn check_signals(&mut self, now: Instant) {
         if now >= self.next_signal_check {
             self.next_signal_check = now + SIGNAL_CHECK_INTERVAL;
-            // No wake-up has told of it: it may have come at any time since the last look.
+            // The poll reported no signal, so a pending one may have arrived at any time since the last check.
             let earliest = std::mem::replace(&mut self.signals_checked_at, now);
             self.handle_signals(earliest);
         }
     }
 
-    /// A wake-up tells of a signal. One that came while the process was stopped is handled when it goes on.
+    /// Handles a wake-up of the poll by a signal. A signal that arrived while the process was suspended is handled when it
+    /// resumes.
     pub(super) fn signal_woke(&mut self) {
         self.signals_checked_at = Instant::now();
         self.handle_signals(self.tcp.reported_since());
     }
 
-    /// `earliest`: when a signal that is found now may have come.
+    /// Handles pending signals. `earliest`: the earliest time at which they may have arrived.
     fn handle_signals(&mut self, earliest: Instant) {
         let pending: Vec<i32> =
             self.signals.as_mut().map(|signals| signals.pending().collect()).unwrap_or_default();
@@ -117,12 +120,14 @@
         }
     }
 
-    /// Begins a graceful shutdown, as SIGTERM does: what arrives is served, and the end follows the last answer.
+    /// Begins a graceful shutdown, as SIGTERM does: requests that still arrive are served, and the loop ends after the last
+    /// answer.
     pub fn begin_shutdown(&mut self) {
         self.begin_shutdown_since(Instant::now());
     }
 
-    /// `earliest`: when the signal may have come, from which the platform counts the time to its kill.
+    /// `earliest`: the earliest time at which the signal may have arrived. The platform counts its kill timeout from the
+    /// signal.
     fn begin_shutdown_since(&mut self, earliest: Instant) {
         if self.draining_since.is_none() {
             let now = Instant::now();
@@ -137,8 +142,8 @@
         }
     }
 
-    /// Reads the configuration again, as after SIGHUP: the directory's address is applied; the rest stands until the next
-    /// start.
+    /// Reads the configuration again, as SIGHUP does. Only the directory's address is applied; other changes take effect
+    /// at the next start. A failure is logged and retried after a delay.
     pub fn reload(&mut self) {
         match read_config(&self.path) {
             Ok(config) => {
@@ -152,7 +157,7 @@
         }
     }
 
-    /// Counts an iteration, logs counters when that is due, and notes whether the iteration was quiet.
+    /// Records the duration of an iteration and whether it was quiet, and logs counters and shutdown progress when due.
     pub(super) fn finish_iteration(&mut self, began: Instant) {
         let now = Instant::now();
         let took = now.saturating_duration_since(self.tcp.now()).as_micros() as u64;
@@ -166,7 +171,7 @@
         self.quiet_iteration = quiet.then_some(began);
     }
 
-    /// A process that is killed tells nothing of its end: so it tells on its way what it waits for.
+    /// Logs periodically what the shutdown waits for: a process that is killed can't log it any more.
     fn log_shutdown(&mut self, now: Instant) {
         let Some(since) = self.draining_since.filter(|_| now >= self.next_shutdown_log) else { return };
         self.next_shutdown_log = now + SHUTDOWN_LOG_INTERVAL;
@@ -175,7 +180,7 @@
         let (unopened, unsent, clients) =
             (self.requests.len(), self.tcp.unsent_to_peers(), self.front.clients());
         let after = now.saturating_duration_since(since);
-        info!(?waits_for, ?after, open, waiting, unopened, unsent, clients, "shutdown goes on");
+        info!(?waits_for, ?after, open, waiting, unopened, unsent, clients, "shutdown in progress");
     }
 
     pub(super) fn log_counters(&self) {
--- a/crates/node/src/node/startup.rs
+++ b/crates/node/src/node/startup.rs
@@ -1,4 +1,4 @@
-//! Builds a node from its configuration, step by step.
+//! Builds a node from its configuration.
 
 use std::collections::VecDeque;
 use std::io;
@@ -30,25 +30,26 @@
 use crate::pools::ConnectionPools;
 use crate::start_times::StartTimes;
 
-/// Bytes of a frame around its payload, at the most.
+/// Upper bound on the bytes of a frame besides its payload.
 const FRAME_OVERHEAD: usize = 64;
-/// Words of a response beside its body.
+/// Text fields of a response besides its body.
 const RESPONSE_WORDS: usize = 4;
 
-/// Spans that follow from the settings.
+/// Durations derived from the settings.
 struct Spans {
-    /// For which a connection to an invoker may be in the making.
+    /// How long establishing a connection to an invoker may take.
     connect_timeout: Duration,
-    /// The longest that a client waits, microseconds.
+    /// The longest deadline of any class, microseconds.
     longest_deadline: u64,
 }
 
 impl Spans {
-    fn of(site: &PlatformSettings) -> Self {
-        let stated = site.settings.limits.connect_timeout;
+    fn of(platform: &PlatformSettings) -> Self {
+        let stated = platform.settings.limits.connect_timeout;
         let connect_timeout =
             if stated > 0 { Duration::from_micros(stated) } else { TcpLimits::default().connect_timeout };
-        let longest_deadline = site.settings.classes.iter().map(|class| class.deadline).max().unwrap_or(0);
+        let longest_deadline =
+            platform.settings.classes.iter().map(|class| class.deadline).max().unwrap_or(0);
         Self { connect_timeout, longest_deadline }
     }
 }
@@ -60,27 +61,28 @@
 }
 
 impl Node {
-    /// Builds a node by the configuration in this file, and listens. `signals`: it handles SIGHUP, SIGTERM and SIGINT.
+    /// Builds a node from the configuration file at `path` and starts to listen. With `signals`, the node handles SIGHUP,
+    /// SIGTERM and SIGINT.
     ///
     /// # Errors
     ///
-    /// The configuration can't be read or is not valid, or the system refused a socket for longer than startup steps are
-    /// retried.
+    /// Returns an error if the configuration can't be read or is not valid, or if a system resource is still refused after
+    /// all startup retries.
     pub fn new(path: PathBuf, signals: bool) -> Result<Self, NodeError> {
         let began = Instant::now();
         let config = read_config_with_retry(&path)?;
         let config_read = Instant::now();
-        let site = nettleferry_platform_settings::read(&config.settings)?;
-        let spans = Spans::of(&site);
-        let bounds = Bounds::of(&config.limits, site.open_calls);
+        let platform = nettleferry_platform_settings::read(&config.settings)?;
+        let spans = Spans::of(&platform);
+        let bounds = Bounds::of(&config.limits, platform.open_calls);
         let sockets = open_sockets(&config, &tcp_limits(&spans, &bounds), signals)?;
         let sockets_opened = Instant::now();
-        let front = build_front(&site, bounds);
-        let pools = build_pools(&site, bounds);
-        let classes = class_infos(&site);
+        let front = build_front(&platform, bounds);
+        let pools = build_pools(&platform, bounds);
+        let classes = class_infos(&platform);
         let discovery_token = sockets.tcp.source_token(DIRECTORY);
         let discovery = DiscoveryClient::new(config.resolver, discovery_token, config.known_events.number);
-        let engine = build_engine(site, config.seed_number(), &spans, &bounds)?;
+        let engine = build_engine(platform, config.seed_number(), &spans, &bounds)?;
         let now = Instant::now();
         let mut node = Self {
             path,
@@ -122,8 +124,8 @@
     }
 }
 
-/// Opens the poll, the signals and the listener, in this order: from the moment in which clients can connect, no signal
-/// ends the process.
+/// Opens the poll, the signal handlers and the listener, in this order: once clients can connect, no signal may end the
+/// process without a graceful shutdown.
 fn open_sockets(config: &Config, limits: &TcpLimits, signals: bool) -> Result<Sockets, NodeError> {
     let mut tcp = open_with_retry("a poll", || Tcp::new(limits.clone()))?;
     let signals = if signals { Some(open_with_retry("signals", || watch_signals(&tcp))?) } else { None };
@@ -133,36 +135,37 @@
 
 fn tcp_limits(spans: &Spans, bounds: &Bounds) -> TcpLimits {
     TcpLimits {
-        // The front evicts a connection for each new one: a burst waits in the system until it has.
+        // Room for the connections of one iteration, which wait for the front to evict others. The rest of a burst waits
+        // in the backlog.
         accepted: bounds.clients + ACCEPTS_PER_ITERATION,
         accepts_per_poll: ACCEPTS_PER_ITERATION,
         made: bounds.pool_connections,
         input: (MAX_PAYLOAD_BYTES + FRAME_OVERHEAD).max(MAX_BODY_BYTES + RESPONSE_WORDS * MAX_TEXT_BYTES),
         connect_timeout: spans.connect_timeout,
-        // Beyond that nobody waits for an answer.
+        // After the longest deadline no client waits for an answer any more.
         drain: Duration::from_micros(spans.longest_deadline),
         ..TcpLimits::default()
     }
 }
 
-fn build_front(site: &PlatformSettings, bounds: Bounds) -> Front {
-    let deadlines_ms = site.settings.classes.iter().map(|class| class.deadline as f64 / 1000.0).collect();
-    Front::new(&site.classes, &site.tenants, deadlines_ms, bounds)
+fn build_front(platform: &PlatformSettings, bounds: Bounds) -> Front {
+    let deadlines_ms = platform.settings.classes.iter().map(|class| class.deadline as f64 / 1000.0).collect();
+    Front::new(&platform.classes, &platform.tenants, deadlines_ms, bounds)
 }
 
-fn build_pools(site: &PlatformSettings, bounds: Bounds) -> ConnectionPools {
-    let idle = (site.idle_timeout > 0).then(|| Duration::from_micros(site.idle_timeout));
-    let reports = site.settings.reports != Reports::None;
-    ConnectionPools::new(bounds, site.streams as usize, idle, reports)
+fn build_pools(platform: &PlatformSettings, bounds: Bounds) -> ConnectionPools {
+    let idle = (platform.idle_timeout > 0).then(|| Duration::from_micros(platform.idle_timeout));
+    let reports = platform.settings.reports != Reports::None;
+    ConnectionPools::new(bounds, platform.streams as usize, idle, reports)
 }
 
-fn class_infos(site: &PlatformSettings) -> Vec<ClassInfo> {
-    let classes = site.classes.iter().zip(&site.settings.classes);
+fn class_infos(platform: &PlatformSettings) -> Vec<ClassInfo> {
+    let classes = platform.classes.iter().zip(&platform.settings.classes);
     classes.map(|(name, class)| ClassInfo::new(name, class)).collect()
 }
 
 fn build_engine(
-    site: PlatformSettings,
+    platform: PlatformSettings,
     seed: u64,
     spans: &Spans,
     bounds: &Bounds,
@@ -170,36 +173,36 @@
     let limits = EngineLimits {
         open_calls: bounds.open_calls,
         models: bounds.functions,
-        // The settings hold no time-out for health checks: one has as long as a connection has to be established, and no
-        // longer than the longest call.
+        // The settings have no timeout for health checks. They get the connect timeout, limited to the longest deadline
+        // of a call.
         probe_timeout: (spans.connect_timeout.as_micros() as u64).min(spans.longest_deadline.max(1)),
         ..EngineLimits::default()
     };
-    Engine::new(site.settings, site.zone.as_deref(), limits, seed)
+    Engine::new(platform.settings, platform.zone.as_deref(), limits, seed)
 }
 
-/// Reads the configuration.
+/// Reads and parses the configuration file.
 pub(super) fn read_config(path: &Path) -> Result<Config, NodeError> {
     let text = std::fs::read_to_string(path);
     let text = text.map_err(|source| NodeError::Read { path: path.to_owned(), source })?;
     Ok(Config::parse(&text)?)
 }
 
-/// Reads the configuration, again while the system fails to read a file that is there.
+/// Reads the configuration, with retries while reading an existing file fails for a transient reason.
 fn read_config_with_retry(path: &Path) -> Result<Config, NodeError> {
     let is_transient =
         |error: &NodeError| matches!(error, NodeError::Read { source, .. } if is_transient_read(source));
     retry_startup("reading the configuration", || read_config(path), is_transient)
 }
 
-/// Whether a failure to read a file may pass by itself, as its cause is the system and not the file.
+/// Whether a read error may be transient: caused by the system, not by the file or its permissions.
 fn is_transient_read(error: &io::Error) -> bool {
     use io::ErrorKind::{InvalidData, IsADirectory, NotADirectory, NotFound, PermissionDenied};
     !matches!(error.kind(), NotFound | PermissionDenied | IsADirectory | NotADirectory | InvalidData)
 }
 
-/// Opens a resource of the system, again while the system refuses it: for want of a descriptor or of memory, or as the
-/// address is still held by the previous process.
+/// Opens a system resource, with retries: descriptors or memory may be short, or the previous process may still use the
+/// address.
 fn open_with_retry<T>(operation: &'static str, open: impl FnMut() -> io::Result<T>) -> Result<T, NodeError> {
     retry_startup(operation, open, |_| true).map_err(NodeError::system(operation))
 }
--- a/crates/node/src/node/worker_list.rs
+++ b/crates/node/src/node/worker_list.rs
@@ -1,4 +1,4 @@
-//! Applies a list of invokers to the connection pools and the engine.
+//! Applies a list of invokers from the directory to the connection pools and the engine.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -39,7 +39,7 @@
         }
         let mut returned = Vec::new();
         self.pools.update_endpoints(&mut self.tcp, &listed, &mut returned);
-        // Requests that are returned are placed again by the list that returned them.
+        // The engine gets the new list before the returned requests, so that it places them by the new list.
         self.send_to_engine(Event::Workers { form, members });
         self.engine_events.append(&mut returned);
     }
--- a/crates/node/src/pools.rs
+++ b/crates/node/src/pools.rs
@@ -1,9 +1,15 @@
-//! Towards invokers: attempts, load orders and health checks on pools of RESP connections, and how each of them ended,
-//! as an observed fact.
+//! Connection pools to invokers: sends attempts, load orders and health checks over RESP connections, and reports how each
+//! of them ended, as far as it was observed.
 //!
-//! * `connection`: one connection. `pending`: what is open on it. `wire_command`: what is written to it.
-//! * `selection`: which connection a command is sent on. `requests`: what is sent. `writing`: when it is written.
-//!   `postponement`: when it waits for another read. `cancellation`: what is cancelled or taken back. `responses`: what arrives, and connections that end.
+//! * `connection`: the state of one connection.
+//! * `pending`: requests whose response is awaited.
+//! * `wire_command`: commands and their encoding.
+//! * `selection`: chooses the connection for a command.
+//! * `requests`: sends attempts, load orders and health checks.
+//! * `writing`: writes queued commands to their connections.
+//! * `postponement`: decides when writes wait until the sockets have been read again.
+//! * `cancellation`: cancels requests and withdraws those that are not written yet.
+//! * `responses`: handles responses, and connections that end.
 
 mod cancellation;
 mod connection;
@@ -34,20 +40,20 @@
 
 /// The connections to one invoker.
 struct WorkerPool {
-    /// `None`: it is not listed any more.
+    /// The invoker as listed; `None` if it is not listed any more.
     endpoint: Option<Endpoint>,
     address: SocketAddr,
     connections: Vec<TcpKey>,
 }
 
-/// What the list states of an invoker.
+/// An invoker's address and state, as listed by the directory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Endpoint {
-    /// Its address.
+    /// The address to connect to.
     pub address: SocketAddr,
-    /// When its process started, on the engine's clock, where stated.
+    /// When the process started, on the engine's clock; `None` if the list does not state it.
     pub started: Option<Micros>,
-    /// It may be sent new requests.
+    /// Whether the invoker may be sent new requests.
     pub in_service: bool,
 }
 
@@ -55,23 +61,24 @@
 pub struct ConnectionPools {
     pools: BTreeMap<WorkerId, WorkerPool>,
     connections: BTreeMap<TcpKey, Connection>,
+    /// Where each awaited response will arrive.
     pending: BTreeMap<PendingResponse, ResponseLocation>,
     /// Established connections with commands to be written.
     unwritten: BTreeSet<TcpKey>,
     postponement: Postponement,
     bounds: Bounds,
-    /// Requests that one connection carries at the same time.
+    /// Maximum number of requests open at the same time on one connection.
     streams: usize,
-    /// A connection without an open request is closed after this span, before its other end would.
+    /// Idle timeout of connections without open requests, shorter than that of the invokers; `None`: no timeout.
     idle: Option<Duration>,
-    /// Health checks ask for a load report.
+    /// Whether health checks ask for a load report.
     reports: bool,
     buffer: Vec<u8>,
 }
 
 impl ConnectionPools {
-    /// Pools without connections. `streams`: requests that one connection carries at the same time; `idle`: after what
-    /// span invokers close an idle one; `reports`: health checks ask for a load report.
+    /// Creates pools without connections. `streams`: maximum number of requests open on one connection; `idle`: the
+    /// invokers' idle timeout, `None` if they have none; `reports`: whether health checks ask for a load report.
     pub fn new(bounds: Bounds, streams: usize, idle: Option<Duration>, reports: bool) -> Self {
         Self {
             pools: BTreeMap::new(),
@@ -87,13 +94,14 @@
         }
     }
 
-    /// Whether this is an invoker's connection.
+    /// Whether this is a connection to an invoker.
     pub fn owns(&self, key: TcpKey) -> bool {
         self.connections.contains_key(&key)
     }
 
-    /// Applies the list: every invoker that is known, and its address. Requests that were not written to one that is to
-    /// get nothing new, or that is another process than the one that they were meant for, are returned.
+    /// Applies a list of all invokers. Connections to an invoker whose address or process changed are closed when no request
+    /// is open on them. Requests that are not written yet are ended as not written, in `out`, if their invoker is out of
+    /// service, not listed any more, or another process than before.
     pub fn update_endpoints(
         &mut self,
         tcp: &mut Tcp,
@@ -114,7 +122,7 @@
                 continue;
             };
             if new.started.is_some() && old.is_some_and(|old| old.started != new.started) {
-                // Another process is there: connections from before its start lead nowhere.
+                // The invoker is another process: connections established before its start are dead.
                 let from_before = |key: &&TcpKey| {
                     self.connections
                         .get(key)
@@ -141,14 +149,14 @@
         self.pools.retain(|_, pool| pool.endpoint.is_some() || !pool.connections.is_empty());
     }
 
-    /// A connection without an open request is closed, at once where it drains, else when it has been idle.
+    /// If no request is open on a connection, closes it if it is draining, or else sets its idle alarm.
     fn retire_if_unused(&mut self, tcp: &mut Tcp, key: TcpKey) {
         let Some(connection) = self.connections.get_mut(&key).filter(|c| c.open.is_empty()) else { return };
         if connection.draining {
             self.close_connection(tcp, key);
         } else {
             let since = *connection.idle_since.get_or_insert_with(Instant::now);
-            // A response that began keeps its own alarm: it belongs to nothing open, and must end all the same.
+            // An incomplete response keeps its alarm: though it belongs to no open request, it must complete in time.
             if connection.partial_since.is_none() {
                 tcp.alarm(key, self.idle.map(|idle| since + idle));
             }
--- a/crates/node/src/pools/cancellation.rs
+++ b/crates/node/src/pools/cancellation.rs
@@ -1,4 +1,4 @@
-//! Requests that are cancelled, abandoned or taken back before they are written.
+//! Cancels and abandons requests, and withdraws those that are not written yet.
 
 use nettleferry::WorkerId;
 use nettleferry_engine::{AttemptEnd, AttemptId, ControlRequestId, Event};
@@ -11,13 +11,13 @@
 use super::pending::{PendingResponse, ResponseLocation};
 
 impl ConnectionPools {
-    /// Cancels an attempt; no event about it follows. Its call may be sent elsewhere with the next bytes that are
-    /// written: so the cancellation is written first, or its connection is closed now, with all that is open there.
+    /// Cancels an attempt; no event about it follows. The engine may send the call to another worker next, so the
+    /// cancellation is written at once. If that is not possible, the connection is closed with all requests open on it.
     pub fn cancel(&mut self, context: &mut PoolContext, attempt: AttemptId) {
         let Some(location) = self.pending.remove(&PendingResponse::Attempt(attempt)) else { return };
         let ResponseLocation { connection: key, tag } = location;
-        // What has not begun to leave never does, and its connection is as good as before.
-        if self.take_back(key, &tag) {
+        // An attempt that is not written yet is dropped from the queue, which does not affect its connection.
+        if self.withdraw(key, &tag) {
             if let Some(connection) = self.connections.get_mut(&key) {
                 connection.open.remove(&tag);
             }
@@ -32,7 +32,7 @@
                 debug!(worker, tag, conn = ?key, "connection closed: a cancellation can't be written");
                 return self.close_to_cancel(context, key);
             }
-            // Its response was awaited and did not arrive: whether any other would is not known.
+            // The response did not arrive in time, so the connection itself may be faulty.
             connection.draining = true;
         }
         connection.remember_finished(tag);
@@ -49,13 +49,14 @@
         });
     }
 
-    /// Stops waiting for the response of an attempt that may not be cancelled.
+    /// Stops waiting for the response of an attempt for which the settings allow no cancellation; no event about it
+    /// follows.
     pub fn abandon(&mut self, tcp: &mut Tcp, attempt: AttemptId) {
         let Some(location) = self.pending.remove(&PendingResponse::Attempt(attempt)) else { return };
         let ResponseLocation { connection: key, tag } = location;
         let Some(connection) = self.connections.get_mut(&key) else { return };
         connection.open.remove(&tag);
-        // What has not begun to leave never does.
+        // An attempt that is not written yet is dropped from the queue.
         if !connection.remove_waiting(&tag) {
             connection.draining = true;
             connection.remember_finished(tag);
@@ -63,13 +64,13 @@
         self.retire_if_unused(tcp, key);
     }
 
-    /// Takes back a load order that is not needed any more, if it has not been written.
+    /// Withdraws a load order that is not needed any more, if it is not written yet.
     pub fn cancel_load(&mut self, context: &mut PoolContext, id: ControlRequestId) {
         let response = PendingResponse::Load(id);
         let Some(ResponseLocation { connection: key, tag }) = self.pending.get(&response).cloned() else {
             return;
         };
-        if self.take_back(key, &tag) {
+        if self.withdraw(key, &tag) {
             self.pending.remove(&response);
             if let Some(connection) = self.connections.get_mut(&key) {
                 connection.open.remove(&tag);
@@ -79,14 +80,14 @@
         }
     }
 
-    /// A load order or a health check timed out: no event about it follows.
+    /// Stops waiting for the response of a load order or health check that timed out; no event about it follows.
     pub fn forget(&mut self, tcp: &mut Tcp, id: ControlRequestId) {
         let load = self.pending.remove(&PendingResponse::Load(id));
         let location = load.or_else(|| self.pending.remove(&PendingResponse::Probe(id)));
         let Some(ResponseLocation { connection: key, tag }) = location else { return };
         let Some(connection) = self.connections.get_mut(&key) else { return };
         let request = connection.open.remove(&tag);
-        // Cleared by the next byte that arrives there.
+        // A health check that was written got no response: the connection is suspect until the next input on it.
         connection.suspect |=
             request.is_some_and(|request| request.response.is_probe() && request.output.is_some());
         connection.remove_waiting(&tag);
@@ -94,25 +95,25 @@
         self.retire_if_unused(tcp, key);
     }
 
-    /// Ends as not written what has not been written to this invoker.
+    /// Withdraws all attempts and load orders that are not written to this invoker yet, and ends them as not written.
     pub(super) fn return_unsent(&mut self, tcp: &mut Tcp, worker: WorkerId, out: &mut Vec<Event>) {
         let keys = self.pools.get(&worker).map(|pool| pool.connections.clone()).unwrap_or_default();
         for key in keys {
-            let mut returned = self.take_back_all(key);
+            let mut returned = self.withdraw_all(key);
             returned.sort();
             out.extend(returned.into_iter().map(|response| response.ended(AttemptEnd::NotWritten)));
             self.retire_if_unused(tcp, key);
         }
     }
 
-    /// Takes back all requests of a connection that have not been written, but for health checks.
-    fn take_back_all(&mut self, key: TcpKey) -> Vec<PendingResponse> {
+    /// Withdraws all requests of a connection that are not written yet, except health checks.
+    fn withdraw_all(&mut self, key: TcpKey) -> Vec<PendingResponse> {
         let Some(connection) = self.connections.get(&key) else { return Vec::new() };
         let requests = connection.open.iter().filter(|(_, request)| !request.response.is_probe());
         let tags: Vec<String> = requests.map(|(tag, _)| tag.clone()).collect();
         let mut returned = Vec::new();
         for tag in tags {
-            if !self.take_back(key, &tag) {
+            if !self.withdraw(key, &tag) {
                 continue;
             }
             let Some(request) = self.connections.get_mut(&key).and_then(|c| c.open.remove(&tag)) else {
@@ -124,8 +125,8 @@
         returned
     }
 
-    /// Takes back a command that has not begun to leave. False: it has, or may have.
-    fn take_back(&mut self, key: TcpKey, tag: &str) -> bool {
+    /// Drops a command that is not written yet from the queue. Returns false if it is written, or writing has begun.
+    fn withdraw(&mut self, key: TcpKey, tag: &str) -> bool {
         self.connections.get_mut(&key).is_some_and(|connection| connection.remove_waiting(tag))
     }
 }
--- a/crates/node/src/pools/connection.rs
+++ b/crates/node/src/pools/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to an invoker: its open requests, what waits for it to be established, and what has ended there.
+//! The state of one connection to an invoker: open requests, queued commands, and the tags of requests that have ended.
 
 use std::collections::{BTreeMap, HashSet, VecDeque};
 use std::time::Instant;
@@ -8,41 +8,44 @@
 use super::pending::OpenRequest;
 use super::wire_command::WireCommand;
 
-/// Tags that ended on a connection and are remembered: a response that arrives twice must not be taken for that of a
-/// later attempt.
+/// Number of tags of ended requests that a connection remembers and does not use again: a duplicate response must not be
+/// matched to a later attempt.
 const REMEMBERED_TAGS: usize = 512;
 
-/// A command that is not written yet: its connection is being established, the system takes nothing for it just now, or
-/// the iteration that began it has not ended.
+/// A command that is not written yet, because its connection is being established, the socket's send buffer is full, or the
+/// current iteration has not reached its write phase.
 pub(super) struct WaitingCommand {
-    /// Of the request that awaits its response; a command without a response has none.
+    /// The tag of the request; `None` for a command that has no response.
     pub(super) tag: Option<String>,
     pub(super) command: WireCommand,
 }
 
-/// A connection to an invoker, and its open requests by tag.
+/// A connection to an invoker.
 pub(super) struct Connection {
     pub(super) worker: WorkerId,
     pub(super) established: bool,
+    /// Open requests by tag.
     pub(super) open: BTreeMap<String, OpenRequest>,
     /// Commands to be written, the oldest first.
     pub(super) waiting: VecDeque<WaitingCommand>,
-    /// When it was established, on the engine's clock.
+    /// When the connection was established, on the engine's clock.
     pub(super) established_at: Micros,
-    /// Nothing is open on it since then.
+    /// Since when no request has been open on the connection; `None` while one is open.
     pub(super) idle_since: Option<Instant>,
+    /// Remembered tags of ended requests.
     finished: HashSet<String>,
+    /// The same tags, the oldest first.
     finished_order: VecDeque<String>,
-    /// It takes no new requests, and closes after its last response.
+    /// No new requests are sent on the connection, and it closes after its last response.
     pub(super) draining: bool,
-    /// A health check sent there was not answered, and nothing has arrived since.
+    /// A health check sent on it timed out, and nothing has arrived since.
     pub(super) suspect: bool,
-    /// When the incomplete response in the input began.
+    /// When the first byte of the incomplete response in the input was read; `None` if there is none.
     pub(super) partial_since: Option<Instant>,
 }
 
 impl Connection {
-    /// One that is being established.
+    /// Creates the state of a connection that is being established.
     pub(super) fn new(worker: WorkerId) -> Self {
         Self {
             worker,
@@ -59,19 +62,19 @@
         }
     }
 
-    /// Removes a command that is not written yet. False: it has begun to leave, or there is none.
+    /// Drops the queued command with this tag. Returns false if there is none, as it is written or writing has begun.
     pub(super) fn remove_waiting(&mut self, tag: &str) -> bool {
         let before = self.waiting.len();
         self.waiting.retain(|waiting| waiting.tag.as_deref() != Some(tag));
         before > self.waiting.len()
     }
 
-    /// Whether a request with this tag is open, or has ended and is remembered.
+    /// Whether this tag belongs to an open request or is remembered from one that ended.
     pub(super) fn has_used(&self, tag: &str) -> bool {
         self.open.contains_key(tag) || self.finished.contains(tag)
     }
 
-    /// Remembers that the request of this tag has ended.
+    /// Remembers the tag of a request that has ended, and forgets the oldest tag if there are too many.
     pub(super) fn remember_finished(&mut self, tag: String) {
         if self.finished.insert(tag.clone()) {
             self.finished_order.push_back(tag);
--- a/crates/node/src/pools/context.rs
+++ b/crates/node/src/pools/context.rs
@@ -1,15 +1,15 @@
-//! What the pools need to carry out one command or to handle one event of a connection.
+//! The state that the pools borrow from the node to execute a command or handle an event.
 
 use nettleferry_engine::Event;
 use nettleferry_net::tcp::Tcp;
 
 use crate::limits::Counters;
 
-/// What the pools need to carry out one command or to handle one event of a connection.
+/// The state that the pools borrow from the node to execute a command or to handle an event of a connection.
 pub struct PoolContext<'a> {
-    /// All connections.
+    /// All connections of the node.
     pub tcp: &'a mut Tcp,
-    /// Gets the ends of requests.
+    /// Receives the events of requests that end.
     pub events: &'a mut Vec<Event>,
     /// The node's counters.
     pub counters: &'a mut Counters,
--- a/crates/node/src/pools/pending.rs
+++ b/crates/node/src/pools/pending.rs
@@ -1,22 +1,22 @@
-//! Requests to an invoker whose response is awaited.
+//! Requests to invokers whose response is awaited.
 
 use std::time::Instant;
 
 use nettleferry_engine::{AttemptEnd, AttemptId, AttemptReport, ControlRequestId, Event};
 use nettleferry_net::tcp::TcpKey;
 
-/// Whose response is awaited.
+/// Identifies a request whose response is awaited.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum PendingResponse {
-    // In this order where a connection ends: what a health check proves of the worker is known before what was lost
-    // with it.
+    // The order of the variants is the order of events when a connection ends: the engine gets the result of a health
+    // check before the attempts that were lost with the connection.
     Probe(ControlRequestId),
     Attempt(AttemptId),
     Load(ControlRequestId),
 }
 
 impl PendingResponse {
-    /// The event of an end without a response.
+    /// Returns the event that this request ended without a response.
     pub(super) fn ended(self, end: AttemptEnd) -> Event {
         match self {
             Self::Attempt(attempt) => Event::AttemptEnded { attempt, end, report: AttemptReport::default() },
@@ -30,7 +30,7 @@
     }
 }
 
-/// Where a response will arrive.
+/// The connection and tag with which a response will arrive.
 #[derive(Clone, Debug)]
 pub(super) struct ResponseLocation {
     pub(super) connection: TcpKey,
@@ -38,15 +38,15 @@
     pub(super) tag: String,
 }
 
-/// A request that was begun on a connection and has no response yet.
+/// A request that was assigned to a connection and has no response yet.
 pub(super) struct OpenRequest {
     pub(super) response: PendingResponse,
     pub(super) started: Instant,
-    /// Where it stands in the connection's output; `None`: nothing of it has left.
+    /// Its range in the connection's output; `None` if none of it has been written.
     pub(super) output: Option<OutputRange>,
 }
 
-/// A range of the bytes that were queued on a connection, counted from its beginning.
+/// A range of bytes in a connection's output, counted from the first byte that was queued on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct OutputRange {
     pub(super) start: u64,
@@ -54,6 +54,6 @@
 }
 
 impl OutputRange {
-    /// The range of what the connection did not accept: it is never written.
+    /// The range of a command that the connection did not accept and that is never written.
     pub(super) const NEVER_WRITTEN: Self = Self { start: u64::MAX, end: u64::MAX };
 }
--- a/crates/node/src/pools/postponement.rs
+++ b/crates/node/src/pools/postponement.rs
@@ -1,21 +1,21 @@
-//! Writes wait where the last read of the sockets is outdated: a process that stood still since does not know which clients
-//! have left, nor what the list says by now.
+//! Postpones writes when too much time has passed since the sockets were read. If the process was suspended meanwhile, it
+//! does not know which clients have disconnected, nor whether the list has changed.
 
 use std::time::Instant;
 
 use crate::limits::OUTDATED_READ;
 
-/// Which iterations write. At most every second one postpones, so that a slow process goes on writing.
+/// Decides which iterations write. An iteration after a postponed one always writes, so that a slow process makes progress.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Postponement {
-    /// When the poll had returned whose iteration does not write any more.
+    /// The read time of the iteration that was postponed, until the next iteration begins to write.
     postponed: Option<Instant>,
-    /// When the poll had returned whose iteration writes in any case: it follows one that was postponed.
+    /// The read time of the iteration that follows a postponed one and writes in any case.
     permitted: Option<Instant>,
 }
 
 impl Postponement {
-    /// The iteration that has read the sockets at `read_at` is about to write: one that was postponed is over.
+    /// Called before the iteration that read the sockets at `read_at` writes. Ends a postponement by an earlier iteration.
     pub(super) fn begin(&mut self, read_at: Instant) {
         if self.postponed.is_some_and(|postponed| postponed != read_at) {
             self.postponed = None;
@@ -23,7 +23,8 @@
         }
     }
 
-    /// Whether a command may be written now, in the iteration that has read the sockets at `read_at`.
+    /// Whether a command may be written now, in the iteration that read the sockets at `read_at`. Begins a postponement if
+    /// that read is outdated.
     pub(super) fn may_write(&mut self, read_at: Instant, now: Instant) -> bool {
         if self.postponed.is_some() {
             return false;
@@ -36,7 +37,7 @@
         true
     }
 
-    /// Whether writes wait for the next read.
+    /// Whether writes wait until the sockets have been read again.
     pub(super) fn is_waiting(&self) -> bool {
         self.postponed.is_some()
     }
--- a/crates/node/src/pools/requests.rs
+++ b/crates/node/src/pools/requests.rs
@@ -1,4 +1,4 @@
-//! Requests to invokers: on which connection each is begun. `writing` writes them.
+//! Sends requests to invokers: assigns each one to a connection and queues it. `writing` writes the queue.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -23,12 +23,12 @@
     pub id: ControlRequestId,
     /// The function.
     pub function: &'a str,
-    /// Replicas wanted.
+    /// Number of replicas to load.
     pub replicas: u32,
 }
 
 impl ConnectionPools {
-    /// Starts an attempt.
+    /// Sends an attempt to a worker. Its end is reported as an event.
     pub fn start(&mut self, context: &mut PoolContext, worker: WorkerId, attempt: Attempt) {
         let response = PendingResponse::Attempt(attempt.id);
         let tag = Arc::clone(&attempt.call_id);
@@ -38,7 +38,7 @@
         self.send_request(context, connection, request);
     }
 
-    /// Sends a load order.
+    /// Sends a load order to a worker. Its end is reported as an event.
     pub fn load(&mut self, context: &mut PoolContext, worker: WorkerId, order: LoadOrder) {
         let tag = format!("o{}", order.id.0);
         let mut bytes = Vec::new();
@@ -48,7 +48,7 @@
         self.send_request(context, connection, OutboundRequest { tag, response, command });
     }
 
-    /// Sends an order to unload; it has no response.
+    /// Sends an order to unload a function, if a connection is established. It has no response.
     pub fn unload(&mut self, worker: WorkerId, function: &str) {
         let keys = self.pools.get(&worker).map(|pool| pool.connections.as_slice()).unwrap_or_default();
         let usable = |key: &&TcpKey| self.connections.get(key).is_some_and(|c| c.established && !c.draining);
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Sends a health check.
+    /// Sends a health check to a worker. Its end is reported as an event.
     pub fn probe(&mut self, context: &mut PoolContext, worker: WorkerId, id: ControlRequestId) {
         let tag = format!("p{}", id.0);
         let mut bytes = Vec::new();
@@ -69,7 +69,7 @@
         self.send_request(context, connection, OutboundRequest { tag, response, command });
     }
 
-    /// Sends a request on the connection that was chosen, or reports why there is none.
+    /// Queues a request on the chosen connection, or reports its end if there is no connection.
     fn send_request(
         &mut self,
         context: &mut PoolContext,
@@ -81,8 +81,9 @@
             Ok(key) => key,
             Err(end) => return context.events.push(response.ended(end)),
         };
-        // What waits for its connection is checked when that is established. Here its client waits: the engine asks in
-        // this step. What has expired since, as the process stood still, ends when it would be written.
+        // A request on a connection that is being established is checked once it is established. The client is known to
+        // wait, as the engine has just started this request. If the request expired meanwhile because the process was
+        // suspended, it ends when it is to be written.
         let established = self.connections.get(&key).is_some_and(|connection| connection.established);
         if let Err(violation) = self.check_write(key, &command, |_| true)
             && established
--- a/crates/node/src/pools/responses.rs
+++ b/crates/node/src/pools/responses.rs
@@ -1,4 +1,4 @@
-//! Responses of invokers, and connections that end under open requests.
+//! Handles responses of invokers, and connections that end with requests open.
 
 use std::time::Instant;
 
@@ -16,7 +16,7 @@
 use crate::limits::RESPONSE_TIMEOUT;
 
 impl ConnectionPools {
-    /// Bytes arrived from an invoker.
+    /// Reads and handles the input of a connection to an invoker.
     pub fn data(&mut self, context: &mut PoolContext, key: TcpKey) {
         if let Some(connection) = self.connections.get_mut(&key) {
             connection.suspect = false;
@@ -45,10 +45,10 @@
         self.retire_if_unused(context.tcp, key);
     }
 
-    /// Handles a complete response. False: its connection is gone.
+    /// Handles a complete response. Returns false if its connection was closed or removed.
     fn response(&mut self, context: &mut PoolContext, key: TcpKey, answer: Answer) -> bool {
         let Some(connection) = self.connections.get_mut(&key) else { return false };
-        // It is complete, whichever request it belongs to.
+        // The response is complete, even if it belongs to no open request.
         if connection.partial_since.take().is_some() {
             context.tcp.alarm(key, None);
         }
@@ -78,7 +78,8 @@
         self.remove_connection(key, context.events, |_| AttemptEnd::Broken);
     }
 
-    /// The invoker has answered a health check: connections on which it did not answer one before are of no further use.
+    /// Closes the connections on which an earlier health check timed out, as the invoker has now answered one on another
+    /// connection.
     fn close_suspects(&mut self, context: &mut PoolContext, worker: WorkerId) {
         let keys = self.pools.get(&worker).map(|pool| pool.connections.clone()).unwrap_or_default();
         for key in keys {
@@ -89,6 +90,7 @@
         }
     }
 
+    /// Reports a response to the engine as events.
     fn deliver(
         &mut self,
         response: PendingResponse,
@@ -119,7 +121,7 @@
         }
     }
 
-    /// A connection is gone: its open requests have ended, as far as they were written.
+    /// Handles the end of a connection: ends its open requests, depending on whether they were written.
     pub fn connection_closed(&mut self, context: &mut PoolContext, key: TcpKey, reason: ConnectionFailure) {
         let written = context.tcp.written(key);
         self.remove_connection(key, context.events, |request| match (reason, request.output) {
@@ -131,7 +133,7 @@
         });
     }
 
-    /// Forgets a connection and ends its open requests, each as `end_of` states.
+    /// Removes a connection and ends its open requests, each as returned by `end_of`.
     pub(super) fn remove_connection(
         &mut self,
         key: TcpKey,
@@ -142,7 +144,7 @@
         let worker = connection.worker;
         if !connection.open.is_empty() {
             let open = connection.open.len();
-            debug!(worker = worker.0, conn = ?key, open, "connection to an invoker ended under open requests");
+            debug!(worker = worker.0, conn = ?key, open, "connection to an invoker ended with requests open");
         }
         if let Some(pool) = self.pools.get_mut(&worker) {
             pool.connections.retain(|other| *other != key);
@@ -161,7 +163,7 @@
         }
     }
 
-    /// A connection's alarm fired: it was idle, or a response did not arrive completely.
+    /// Handles a connection's alarm: closes the connection if a response is incomplete for too long, or if it is idle.
     pub fn alarm_due(&mut self, context: &mut PoolContext, key: TcpKey) {
         let Some(connection) = self.connections.get(&key) else { return };
         let is_over =
@@ -177,7 +179,7 @@
     }
 }
 
-/// What an answer proves of a request; see the engine's table.
+/// Returns the end of a request that a response of this kind states.
 fn attempt_end(kind: AnswerKind, fields: &AnswerFields) -> AttemptEnd {
     match kind {
         AnswerKind::Served => AttemptEnd::Served,
--- a/crates/node/src/pools/selection.rs
+++ b/crates/node/src/pools/selection.rs
@@ -1,4 +1,4 @@
-//! Which connection to an invoker a command is sent on.
+//! Chooses the connection on which a command is sent.
 
 use std::time::Instant;
 
@@ -12,11 +12,12 @@
 use super::pending::PendingResponse;
 use crate::limits::Counters;
 
-/// Connections that each invoker may have, however many invokers share the bound.
+/// Number of connections that each invoker may have at least, however many invokers share the limit.
 const MIN_CONNECTIONS_PER_WORKER: usize = 2;
 
 impl ConnectionPools {
-    /// A health check goes where a response has been awaited longest: its own time-out then tells of that connection.
+    /// Chooses the connection for a health check: the one with the oldest open attempt, so that a timeout of the health
+    /// check shows that this connection is unresponsive. Without open attempts, any connection.
     pub(super) fn choose_for_probe(
         &mut self,
         tcp: &mut Tcp,
@@ -41,8 +42,9 @@
         }
     }
 
-    /// A connection to the invoker with room for one more request: one that is idle, else a new one, else the one with
-    /// the fewest open requests. What a connection carries is lost with it: so each carries one while there are enough.
+    /// Chooses a connection to the worker with room for one more request: an idle one, else a new one, else the one with the
+    /// fewest open requests. All requests on a connection are lost with it, so each one carries a single request while the
+    /// limit allows. Returns how the request ends if there is no such connection.
     pub(super) fn choose_connection(
         &mut self,
         tcp: &mut Tcp,
@@ -75,7 +77,8 @@
 
     /// Whether one more request, with this tag, may be sent on a connection.
     fn has_room(&self, connection: &Connection, tag: &str, now: Instant) -> bool {
-        // Its end by idleness is due, and this process may have been away: the other end may have closed it.
+        // The idle alarm is due but not handled yet, as the process may have been suspended: the invoker may already have
+        // closed the connection.
         let idle_too_long = self
             .idle
             .zip(connection.idle_since)
@@ -87,6 +90,7 @@
             && !connection.has_used(tag)
     }
 
+    /// Begins to establish a new connection to a worker.
     fn connect(
         &mut self,
         tcp: &mut Tcp,
--- a/crates/node/src/pools/tests.rs
+++ b/crates/node/src/pools/tests.rs
@@ -1,4 +1,4 @@
-//! Requests to an invoker that reads nothing: what is written, what is taken back, what ends with its connection.
+//! Requests to an invoker that reads nothing: which are written, which are withdrawn, and which end with their connection.
 
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -15,7 +15,7 @@
 
 const W: WorkerId = WorkerId(7);
 
-/// Pools with one invoker that accepts and reads nothing, over one or two connections.
+/// Pools with one invoker that accepts up to two connections and reads nothing.
 struct PoolHarness {
     tcp: Tcp,
     pools: ConnectionPools,
@@ -54,6 +54,7 @@
         }
     }
 
+    /// Starts an attempt with a body of this size.
     fn start(&mut self, bytes: usize) -> AttemptId {
         self.next += 1;
         let id = AttemptId { call: CallId(self.next), number: 0 };
@@ -82,7 +83,7 @@
         self.with_context(|pools, context| pools.flush(context, |_| true));
     }
 
-    /// The connection of an attempt in flight, and its place in the output there.
+    /// The connection of an attempt in flight, and its range in the output there.
     fn location(&self, id: AttemptId) -> (TcpKey, Option<OutputRange>) {
         let location = self.pools.pending.get(&PendingResponse::Attempt(id)).expect("it is in flight");
         let request = &self.pools.connections[&location.connection].open[&location.tag];
@@ -98,7 +99,7 @@
         output.is_some_and(|output| output.end <= self.tcp.written(key))
     }
 
-    /// Starts an attempt and waits until the system has it.
+    /// Starts an attempt and waits until it is written to the socket.
     fn written(&mut self, bytes: usize) -> AttemptId {
         let id = self.start(bytes);
         while !self.is_written(id) {
@@ -115,7 +116,7 @@
 #[test]
 fn cancellation_is_written_before_anything_that_follows() {
     let mut harness = PoolHarness::new();
-    // Three on two connections: one of them carries two.
+    // Three attempts on two connections: one connection carries two.
     let all: Vec<AttemptId> = (0..3).map(|_| harness.start(10)).collect();
     while !all.iter().all(|id| harness.is_written(*id)) {
         harness.iterate();
@@ -127,11 +128,11 @@
     let key = harness.connection_of(*shared);
     let before = harness.tcp.written(key);
     harness.cancel(*shared);
-    assert!(harness.tcp.written(key) > before, "it has left, without a turn");
+    assert!(harness.tcp.written(key) > before, "the cancellation is written without another iteration");
     assert_eq!(
         (harness.counters.cut_to_withdraw, harness.events.len()),
         (0, 0),
-        "what shares its connection goes on"
+        "the other attempt on the connection continues"
     );
 }
 
@@ -140,60 +141,65 @@
     let mut harness = PoolHarness::new();
     let first = harness.written(10);
     let key = harness.connection_of(first);
-    let mut there = vec![first];
-    // Until the system takes no more of what is sent there.
+    let mut on_connection = vec![first];
+    // Fills the send buffer of the connection.
     for _ in 0..20_000 {
         let id = harness.start(16 << 10);
         if harness.connection_of(id) == key {
-            there.push(id);
+            on_connection.push(id);
         }
         harness.iterate();
-        if !there.iter().all(|id| harness.is_written(*id)) {
+        if !on_connection.iter().all(|id| harness.is_written(*id)) {
             break;
         }
     }
-    let unsent: Vec<AttemptId> = there.iter().copied().filter(|id| !harness.is_written(*id)).collect();
+    let unsent: Vec<AttemptId> =
+        on_connection.iter().copied().filter(|id| !harness.is_written(*id)).collect();
     assert!(
         !unsent.is_empty() && harness.is_written(first),
-        "the connection takes no more, and the first has left"
+        "the connection accepts no more, and the first attempt is written"
     );
     harness.cancel(first);
     assert_eq!(harness.counters.cut_to_withdraw, 1);
-    assert!(!harness.pools.owns(key) && harness.tcp.input(key).is_none(), "the connection is gone at once");
+    assert!(!harness.pools.owns(key) && harness.tcp.input(key).is_none(), "the connection is closed at once");
     let mut ends = BTreeMap::new();
     for event in &harness.events {
-        if let Event::AttemptEnded { attempt, end: how, .. } = event {
-            assert!(ends.insert(*attempt, how.clone()).is_none(), "one end each");
+        if let Event::AttemptEnded { attempt, end, .. } = event {
+            assert!(ends.insert(*attempt, end.clone()).is_none(), "one end event per attempt");
         }
     }
-    assert_eq!(ends.len(), there.len() - 1, "all that shared it have ended, the withdrawn one in silence");
-    for id in &there[1..] {
-        let how = if unsent.contains(id) { AttemptEnd::NotWritten } else { AttemptEnd::Broken };
-        assert_eq!(ends.get(id), Some(&how));
+    assert_eq!(
+        ends.len(),
+        on_connection.len() - 1,
+        "all others on the connection have ended, the cancelled one without an event"
+    );
+    for id in &on_connection[1..] {
+        let end = if unsent.contains(id) { AttemptEnd::NotWritten } else { AttemptEnd::Broken };
+        assert_eq!(ends.get(id), Some(&end));
     }
-    // Its invoker sees the end as soon as it looks.
+    // The invoker sees the end of the connection.
     let mut seen = Vec::new();
     let _ = harness.sockets[0].read_to_end(&mut seen);
     assert!(!seen.is_empty());
 }
 
 #[test]
-fn unwritten_request_is_taken_back() {
+fn unwritten_request_is_withdrawn() {
     let mut harness = PoolHarness::new();
     harness.written(10);
-    // Its connection is the only one that the bound allows besides the first's: they share them from here on.
+    // The second connection reaches the limit: later attempts share the two.
     harness.written(10);
-    // Queued in one turn behind each other, none of them handed to the system.
+    // Queued in one iteration, none of them written.
     let (third, fourth, fifth) = (harness.start(20), harness.start(30), harness.start(40));
     let shared = [third, fourth, fifth].map(|id| harness.connection_of(id));
-    assert!(shared[0] == shared[2], "the third and the fifth share one: {shared:?}");
+    assert!(shared[0] == shared[2], "the third and the fifth share a connection: {shared:?}");
     let key = shared[0];
     let written = harness.tcp.written(key);
     harness.cancel(third);
     assert_eq!(
         (harness.tcp.written(key), harness.events.len()),
         (written, 0),
-        "nothing leaves for it, and nobody is hurt"
+        "nothing is written for it, and no other attempt ends"
     );
     while !(harness.is_written(fourth) && harness.is_written(fifth)) {
         harness.iterate();
@@ -201,12 +207,12 @@
     assert_eq!(
         harness.location(fifth).1.map(|output| output.end),
         Some(harness.tcp.written(key)),
-        "what stood behind it has moved up"
+        "the request queued behind it is written in its place"
     );
     let mut seen = vec![0; 4096];
     let mut all = String::new();
     for socket in &mut harness.sockets {
-        let n = socket.read(&mut seen).expect("something came");
+        let n = socket.read(&mut seen).expect("data arrived");
         all.push_str(&String::from_utf8_lossy(&seen[..n]));
     }
     let sent = |n: u64| all.contains(&format!("{n:016x}"));
@@ -222,20 +228,21 @@
     while harness.events.is_empty() {
         harness.iterate();
     }
-    let Some(Event::AttemptEnded { attempt, end: how, .. }) = harness.events.first() else {
+    let Some(Event::AttemptEnded { attempt, end, .. }) = harness.events.first() else {
         panic!("{:?}", harness.events)
     };
-    assert_eq!((attempt, how), (&late, &AttemptEnd::NotWritten), "proven not to have left");
+    assert_eq!((attempt, end), (&late, &AttemptEnd::NotWritten), "proven not to be written");
     harness.written(10);
     let mut seen = vec![0; 4096];
-    let n = harness.sockets[0].read(&mut seen).expect("something came");
+    let n = harness.sockets[0].read(&mut seen).expect("data arrived");
     let seen = String::from_utf8_lossy(&seen[..n]);
     assert!(seen.contains(&format!("{:016x}", 2)) && !seen.contains(&format!("{:016x}", 1)), "{seen}");
 }
 
 #[test]
 fn request_that_expires_before_it_is_written_ends_without_a_violation() {
-    // Guards against a process that stands still between a decision and its sending, taken for a broken invariant.
+    // Guards against a false violation: the process is suspended between the engine's decision and the write, so that the
+    // attempt expires.
     let mut harness = PoolHarness::new();
     harness.written(10);
     harness.written(10);
@@ -255,49 +262,49 @@
 }
 
 #[test]
-fn request_of_a_process_that_stood_still_is_written_after_another_read() {
-    // Guards against attempts for clients that have left while the process stood still in the middle of an iteration.
+fn request_is_written_after_another_read_when_the_process_was_suspended() {
+    // Guards against attempts for clients that disconnect while the process is suspended in the middle of an iteration.
     let mut harness = PoolHarness::new();
     let all = [harness.start(10), harness.start(10)];
     while !all.iter().all(|id| harness.is_written(*id)) {
         harness.iterate();
     }
-    let stand_still = |harness: &PoolHarness| {
+    let suspend = |harness: &PoolHarness| {
         let until = harness.tcp.now() + OUTDATED_READ + Duration::from_millis(1);
         while Instant::now() < until {
             std::thread::yield_now();
         }
     };
-    let (left, waits) = (harness.start(10), harness.start(10));
-    stand_still(&harness);
+    let (cancelled, waits) = (harness.start(10), harness.start(10));
+    suspend(&harness);
     for _ in 0..2 {
         harness.with_context(|pools, context| pools.flush(context, |_| true));
-        assert!(harness.location(left).1.is_none() && harness.location(waits).1.is_none(), "both wait");
+        assert!(harness.location(cancelled).1.is_none() && harness.location(waits).1.is_none(), "both wait");
         assert!(harness.pools.awaits_read());
     }
-    // What the next read tells takes it back.
+    // The next read reports that a client has disconnected: its attempt is withdrawn.
     harness.tcp.poll(Some(Duration::ZERO), &mut Vec::new()).expect("a poll");
-    harness.cancel(left);
+    harness.cancel(cancelled);
     assert!(harness.pools.awaits_read());
-    // A process that stands still again and again goes on writing.
-    stand_still(&harness);
+    // A second suspension in a row does not postpone writes again.
+    suspend(&harness);
     harness.with_context(|pools, context| pools.flush(context, |_| true));
     assert!(harness.is_written(waits) && !harness.pools.awaits_read());
-    // Where all of it is taken back, nothing waits any more.
+    // If all postponed requests are withdrawn, nothing waits for another read.
     harness.iterate();
     let last = harness.start(10);
-    stand_still(&harness);
+    suspend(&harness);
     harness.with_context(|pools, context| pools.flush(context, |_| true));
     harness.cancel(last);
     harness.iterate();
     assert!(!harness.pools.awaits_read());
     let (mut all, mut buffer) = (Vec::new(), vec![0; 4096]);
     for socket in &mut harness.sockets {
-        let length = socket.read(&mut buffer).expect("something came");
+        let length = socket.read(&mut buffer).expect("data arrived");
         all.extend_from_slice(&buffer[..length]);
     }
     let all = String::from_utf8_lossy(&all);
-    assert!(!all.contains(&format!("{:016x}", left.call.0)) && !all.contains("CANCEL"), "{all}");
+    assert!(!all.contains(&format!("{:016x}", cancelled.call.0)) && !all.contains("CANCEL"), "{all}");
 }
 
 #[test]
@@ -316,24 +323,25 @@
             harness.with_context(|pools, context| pools.data(context, key));
         }
     }
-    // No turn comes between the end of its idle time and the next command.
-    let over = harness.pools.connections[&key].idle_since.expect("just seen") + Duration::from_millis(1);
-    while Instant::now() < over {
+    // No iteration runs between the end of the idle timeout and the next command.
+    let timeout =
+        harness.pools.connections[&key].idle_since.expect("checked above") + Duration::from_millis(1);
+    while Instant::now() < timeout {
         std::thread::yield_now();
     }
     let second = harness.start(10);
     assert_ne!(harness.connection_of(second), key);
 }
 
-/// A connection that takes nothing for so many iterations is full.
+/// Iterations without a write after which a connection counts as full.
 const STUCK_ITERATIONS: usize = 100;
 
 #[test]
-fn request_that_a_full_connection_takes_late_states_the_time_left_by_then() {
-    // Guards against time that is reckoned when a request is queued and is over when its bytes leave.
+fn request_delayed_by_a_full_connection_states_the_time_left_when_written() {
+    // Guards against stating the time left as of queueing the request, which may have passed when it is written.
     let mut harness = PoolHarness::new();
     let mut all = Vec::new();
-    // Until the system takes no more of what is sent there, and goes on to take nothing.
+    // Fills the connection until the socket accepts nothing for several iterations.
     loop {
         all.push(harness.start(16 << 10));
         let newest = all[all.len() - 1];
@@ -356,11 +364,11 @@
     while Instant::now() < later {
         harness.iterate();
     }
-    assert!(!harness.is_written(last), "nothing was read yet");
+    assert!(!harness.is_written(last), "the invoker has not read anything yet");
     let left = deadline.saturating_duration_since(Instant::now());
     let call = format!("{:016x}", last.call.0);
     let (mut seen, mut buffer) = (vec![Vec::new(); harness.sockets.len()], vec![0; 64 << 10]);
-    let told = loop {
+    let stated = loop {
         harness.iterate();
         for (socket, seen) in harness.sockets.iter_mut().zip(&mut seen) {
             socket.set_nonblocking(true).expect("set");
@@ -368,18 +376,18 @@
                 seen.extend_from_slice(&buffer[..length]);
             }
         }
-        if let Some(told) = seen.iter().find_map(|seen| patience_of(seen, &call)) {
-            break told;
+        if let Some(stated) = seen.iter().find_map(|seen| stated_patience(seen, &call)) {
+            break stated;
         }
     };
     assert!(
-        u128::from(told) <= left.as_millis() + 1,
-        "told {told} ms, {left:?} were left before it was written"
+        u128::from(stated) <= left.as_millis() + 1,
+        "stated {stated} ms, {left:?} were left before the write"
     );
 }
 
-/// The time that an invoker was told for a call, milliseconds, once the whole field has come.
-fn patience_of(bytes: &[u8], call: &str) -> Option<u64> {
+/// The time left that was stated to the invoker for a call, milliseconds; `None` until the field has arrived completely.
+fn stated_patience(bytes: &[u8], call: &str) -> Option<u64> {
     let text = String::from_utf8_lossy(bytes);
     let fields = &text[text.find(call)?..];
     let value = &fields[fields.find("patience=")? + "patience=".len()..];
--- a/crates/node/src/pools/wire_command.rs
+++ b/crates/node/src/pools/wire_command.rs
@@ -1,4 +1,4 @@
-//! Commands to invokers, and their bytes: an attempt states the time that is left when they are made.
+//! Commands to invokers and their encoding. An attempt is encoded right before it is written, as it states the time left.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -10,25 +10,26 @@
 use super::pending::PendingResponse;
 use crate::guard::WriteCheck;
 
-/// Half of a millisecond, in microseconds.
+/// Added before a division by 1000, to round microseconds to the nearest millisecond.
 const HALF_MILLISECOND: u64 = 500;
 
-/// What an attempt sends.
+/// The content of an attempt.
 #[derive(Clone, Debug)]
 pub struct Attempt {
-    /// Which.
+    /// The engine's id of the attempt.
     pub id: AttemptId,
-    /// The call's id as the client gave it.
+    /// The request's id as the client stated it.
     pub call_id: Arc<str>,
     /// The class.
     pub class: Arc<str>,
     /// The function.
     pub function: Arc<str>,
-    /// The idempotency key, where the client gave one.
+    /// The idempotency key, if the client stated one.
     pub key: Option<Arc<str>>,
-    /// Until when its client waits.
+    /// When the client stops waiting.
     pub deadline: Instant,
-    /// Until when it may be written, where retries of what may have run are dropped for a limited time.
+    /// For a retry of a request that may have run: until when it may be written, if invokers drop duplicates for a limited
+    /// time.
     pub send_by: Option<Instant>,
     /// The body.
     pub body: Bytes,
@@ -37,29 +38,29 @@
 impl Attempt {
     fn write(&self, out: &mut Vec<u8>, now: Instant) {
         let left = self.deadline.saturating_duration_since(now);
-        // To the nearest: the way from the engine to here takes some microseconds.
+        // Rounded to the nearest millisecond: some microseconds have passed since the engine started the attempt.
         let patience_ms = (left.as_micros() as u64 + HALF_MILLISECOND) / 1000;
         let key = self.key.as_deref();
         resp::call(out, &self.call_id, &self.class, &self.function, key, patience_ms, &self.body);
     }
 }
 
-/// A command whose response is awaited.
+/// A command that expects a response.
 pub(super) struct OutboundRequest {
-    /// Its id on the wire.
+    /// The request's id on the wire.
     pub(super) tag: String,
     pub(super) response: PendingResponse,
     pub(super) command: WireCommand,
 }
 
-/// A command that is to be written: an attempt states the time that is left as of that moment.
+/// A command to be written. An attempt is encoded when it is written; control requests are encoded in advance.
 pub(super) enum WireCommand {
     Attempt(Attempt),
     Control(Vec<u8>),
 }
 
 impl WireCommand {
-    /// Its bytes, if it is written now.
+    /// Replaces the content of `out` with the encoded command, as of `now`.
     pub(super) fn write(&self, out: &mut Vec<u8>, now: Instant) {
         out.clear();
         match self {
@@ -68,7 +69,8 @@
         }
     }
 
-    /// What is to be checked when it is written to a worker that is in service or not; `None` for control requests.
+    /// Returns the invariants to check before the command is written; `None` for control requests. `awaited`: whether a
+    /// client waits for a call; `in_service`: whether the worker is in service.
     pub(super) fn write_check(
         &self,
         awaited: impl Fn(CallId) -> bool,
@@ -79,7 +81,7 @@
         Some(WriteCheck { awaited, in_service, deadline: attempt.deadline, send_by: attempt.send_by })
     }
 
-    /// Whether its deadline has passed, or a retry would not be dropped any more.
+    /// Whether this is an attempt whose deadline, or time limit for retries, has passed.
     pub(super) fn is_expired(&self, now: Instant) -> bool {
         let expired = |attempt: &Attempt| {
             attempt.deadline <= now || attempt.send_by.is_some_and(|send_by| send_by <= now)
--- a/crates/node/src/pools/writing.rs
+++ b/crates/node/src/pools/writing.rs
@@ -1,9 +1,9 @@
-//! When commands are written: at the end of the iteration that began them, or as soon as their connection is established
-//! and the system takes them.
+//! Writes queued commands: at the end of the iteration that queued them, or as soon as their connection is established and
+//! the socket accepts them.
 //!
-//! An attempt states the time that its client has left. So its bytes come about right before the system call that writes
-//! them, and what the system does not take is told anew later. The same look at the clock tells whether the process has
-//! stood still since it read the sockets.
+//! An attempt states the time that its client has left. It is therefore encoded right before the system call that writes
+//! it, and encoded again later if the socket does not accept it. The same reading of the clock shows whether the process
+//! was suspended since the sockets were read.
 
 use std::time::Instant;
 
@@ -19,7 +19,7 @@
 use crate::guard::Violation;
 
 impl ConnectionPools {
-    /// Adds a command to what is to be written on a connection.
+    /// Queues a command on a connection.
     pub(super) fn enqueue(&mut self, key: TcpKey, command: WaitingCommand) {
         let Some(connection) = self.connections.get_mut(&key) else { return };
         connection.waiting.push_back(command);
@@ -28,8 +28,8 @@
         }
     }
 
-    /// A connection was established: what waited for it is written, but for what has expired. `awaited`: whether a client
-    /// waits for this call; `at`: now, on the engine's clock.
+    /// Handles an established connection: writes its queued commands, except attempts that have expired. `at`: now, on the
+    /// engine's clock; `awaited`: whether a client waits for a call.
     pub fn connected(
         &mut self,
         context: &mut PoolContext,
@@ -45,7 +45,8 @@
         self.retire_if_unused(context.tcp, key);
     }
 
-    /// Writes what the system takes on all connections. What has expired meanwhile is not written.
+    /// Writes the queued commands of all established connections, as far as their sockets accept them. Attempts that have
+    /// expired are ended instead. `awaited`: whether a client waits for a call.
     pub fn flush(&mut self, context: &mut PoolContext, awaited: impl Fn(CallId) -> bool) {
         self.postponement.begin(context.tcp.now());
         for key in std::mem::take(&mut self.unwritten) {
@@ -54,7 +55,7 @@
         }
     }
 
-    /// Whether writes wait until the sockets have been read again, which is to be at once.
+    /// Whether writes wait until the sockets have been read again. The next poll must not wait then.
     pub fn awaits_read(&self) -> bool {
         self.postponement.is_waiting()
     }
@@ -66,7 +67,7 @@
             if let Err(violation) = self.check_write(key, &waiting.command, awaited) {
                 self.end_unwritten(context, key, waiting, violation);
             } else if !self.write(context.tcp, key, &waiting) {
-                // Tried again by the next flush, which follows each poll.
+                // The next flush tries again; one follows each poll.
                 let Some(connection) = self.connections.get_mut(&key) else { return };
                 connection.waiting.push_front(waiting);
                 self.unwritten.insert(key);
@@ -75,8 +76,8 @@
         }
     }
 
-    /// Writes one command, with the time as of now. What the system has begun to take goes its way. False: it has taken
-    /// nothing of it.
+    /// Encodes and writes one command. Returns false if none of it was written; a command that is partly written stays in
+    /// the connection's output.
     fn write(&mut self, tcp: &mut Tcp, key: TcpKey, waiting: &WaitingCommand) -> bool {
         if !tcp.flush(key) {
             return false;
@@ -99,7 +100,7 @@
         true
     }
 
-    /// Ends a request that may not be written any more. It expires in silence; all else breaks an invariant.
+    /// Ends a request that may not be written any more. An expired one is not reported as a violation; any other is.
     fn end_unwritten(
         &mut self,
         context: &mut PoolContext,
@@ -118,7 +119,7 @@
         }
     }
 
-    /// Checks the invariants of sending for a request that is written now.
+    /// Checks the invariants for a command that is about to be written.
     pub(super) fn check_write(
         &self,
         key: TcpKey,
@@ -131,8 +132,8 @@
     }
 }
 
-/// Queues a command on a connection. One that is just ending accepts nothing: its end is reported, and finds this not
-/// written.
+/// Queues the encoded command in the output of a connection and returns its range there. A connection that is ending
+/// accepts nothing; the range then marks the command as never written.
 fn queue(tcp: &mut Tcp, key: TcpKey, bytes: &[u8]) -> OutputRange {
     let end = tcp.send(key, bytes);
     end.map_or(OutputRange::NEVER_WRITTEN, |end| OutputRange { start: end - bytes.len() as u64, end })
--- a/crates/node/src/reasons.rs
+++ b/crates/node/src/reasons.rs
@@ -1,37 +1,37 @@
-//! Why requests ended as they did, why they were retried, and why clients' connections were closed: counters by reason,
-//! and their names for the log.
+//! Counters of why requests ended, why they were retried and why client connections were closed. The names of the reasons
+//! appear in the log.
 
 use nettleferry_engine::{AttemptEnd, Cause, FinalAnswer, Refusal};
 
-/// How a request ended, and why.
+/// The outcome of a request, with the reason for a refusal or failure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum EndReason {
-    /// Served.
+    /// The request was served.
     Served,
-    /// The worker found the request itself wrong.
+    /// The worker rejected the request as invalid.
     Rejected,
-    /// Refused: no worker had room in time.
+    /// Refused: no worker had free capacity in time.
     NoRoom,
     /// Refused: no worker is in service.
     NoWorker,
-    /// Refused: too many are open.
+    /// Refused: too many requests are open, or for another limit of the engine.
     TooManyOpen,
-    /// Refused: no time was left when it was opened.
+    /// Refused: no time was left when the request was to be opened.
     NoTime,
-    /// Refused: its client had disconnected before it was opened.
+    /// Refused: the client had disconnected before the request was opened or served.
     ClientEnded,
-    /// Failed: its deadline passed.
+    /// Failed: the deadline passed.
     Deadline,
     /// Failed: a worker returned an error.
     WorkerFailed,
-    /// Failed: its attempt was lost.
+    /// Failed: an attempt that may have run was lost.
     AttemptLost,
 }
 
 impl EndReason {
     const COUNT: usize = 10;
 
-    /// Of a final answer.
+    /// Returns the reason that a final answer states.
     pub fn of(answer: &FinalAnswer) -> Self {
         match answer {
             FinalAnswer::Served { .. } => Self::Served,
@@ -47,29 +47,29 @@
     }
 }
 
-/// How an attempt ended after which its request was retried.
+/// Why a request was retried: how its previous attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RetryReason {
-    /// No connection came about.
+    /// No connection to the worker was established.
     NotConnected,
-    /// Its connection ended before it had left.
+    /// The attempt was not written to a connection.
     NotWritten,
-    /// The worker was full, or our connections to it were.
+    /// The worker, or the connections to it, had no free capacity.
     Full,
-    /// The worker had no copy.
+    /// The worker has no replica of the function loaded.
     Miss,
-    /// The worker failed it.
+    /// The worker returned an error.
     WorkerFailed,
-    /// Its connection broke.
+    /// The connection broke after the attempt was written.
     Broken,
-    /// It was cancelled: its response was late.
+    /// The attempt was cancelled or timed out.
     Cancelled,
 }
 
 impl RetryReason {
     const COUNT: usize = 7;
 
-    /// Of the end of an attempt.
+    /// Returns the retry reason for the end of an attempt.
     pub fn of(end: &AttemptEnd) -> Self {
         match end {
             AttemptEnd::NotConnected => Self::NotConnected,
@@ -88,22 +88,22 @@
     }
 }
 
-/// Why a client's connection ended.
+/// Why a client connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum CloseReason {
-    /// Its client ended its side.
+    /// The client closed its side.
     ClientEnded,
-    /// It broke.
+    /// The connection broke.
     Broken,
-    /// It was idle for too long.
+    /// The connection was idle for too long.
     Idle,
     /// No complete frame arrived in time.
     Unresponsive,
-    /// It sent what can't be used.
+    /// The client sent an unreadable frame or too many unusable requests.
     Faults,
-    /// It was evicted for a new one.
+    /// The connection was evicted for a new one.
     Evicted,
-    /// There was no room for it.
+    /// The connection limit was reached and no other connection could be evicted.
     NoRoom,
 }
 
@@ -111,49 +111,49 @@
     const COUNT: usize = 7;
 }
 
-/// How often each reason occurred.
+/// Counters by reason.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Reasons {
     ends: [u64; EndReason::COUNT],
     retries: [u64; RetryReason::COUNT],
     closes: [u64; CloseReason::COUNT],
-    /// Those of them under open requests.
+    /// Connections that ended with requests open.
     closes_with_requests: [u64; CloseReason::COUNT],
 }
 
 impl Reasons {
-    /// A request has ended.
+    /// Counts a request that ended.
     pub fn ended(&mut self, reason: EndReason) {
         self.ends[reason as usize] += 1;
     }
 
-    /// A request is retried.
+    /// Counts a retry.
     pub fn retried(&mut self, reason: RetryReason) {
         self.retries[reason as usize] += 1;
     }
 
-    /// A client's connection has ended, with so many requests open.
+    /// Counts a client connection that ended. `open`: requests that were open on it.
     pub fn closed(&mut self, reason: CloseReason, open: usize) {
         self.closes[reason as usize] += 1;
         self.closes_with_requests[reason as usize] += u64::from(open > 0);
     }
 
-    /// Requests that ended for this reason.
+    /// Number of requests that ended for this reason.
     pub fn ends(&self, reason: EndReason) -> u64 {
         self.ends[reason as usize]
     }
 
-    /// Requests that were retried after such an end.
+    /// Number of retries for this reason.
     pub fn retries(&self, reason: RetryReason) -> u64 {
         self.retries[reason as usize]
     }
 
-    /// Connections of clients that ended for this reason.
+    /// Number of client connections that ended for this reason.
     pub fn closes(&self, reason: CloseReason) -> u64 {
         self.closes[reason as usize]
     }
 
-    /// Those of them that ended with requests open.
+    /// Number of client connections that ended for this reason with requests open.
     pub fn closes_with_requests(&self, reason: CloseReason) -> u64 {
         self.closes_with_requests[reason as usize]
     }
--- a/crates/node/src/start_times.rs
+++ b/crates/node/src/start_times.rs
@@ -1,15 +1,16 @@
-//! Start times of workers on this process's clock. The directory states a start as a Unix time; this clock is monotonic
-//! and begins with the Unix time at the start of this process. Either wall clock may be stepped, so that a start is
-//! checked against what is known without them.
+//! Converts the start times of workers to this process's clock. The directory states a start as a Unix time. This
+//! process's clock is monotonic and begins with the Unix time at which the process started. Either wall clock may be
+//! stepped, so start times are checked against bounds that depend on neither.
 
 use std::collections::BTreeMap;
 
 use nettleferry::Micros;
 
-/// The greatest age of what the directory states, microseconds: it does so no later than 4.5 s after it happened.
+/// Maximum delay, microseconds, between a worker's start and the first list that states it. The directory states it within
+/// 4.5 s.
 const MAX_REPORT_AGE: Micros = 5_000_000;
 
-/// One start as the directory states it and as it is used.
+/// A start time as the directory reports it, and the time used for it on this process's clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Start {
     reported_ms: u64,
@@ -23,11 +24,9 @@
 }
 
 impl StartTimes {
-    /// A worker's start time on this process's clock. `previous_list`: when the list before was received; a start that
-    /// this list is the first to state was no earlier, but for the time that the directory takes. `None` for the first
-    /// list.
-    ///
-    /// One that this clock has not reached is taken as now: it can't be later.
+    /// Returns a worker's start time on this process's clock. `previous_list`: when the previous list was received, `None`
+    /// for the first list. A start that is reported for the first time can't be earlier than the previous list by more than
+    /// `MAX_REPORT_AGE`, nor later than `now`. One outside these bounds is replaced by `now`.
     pub fn resolve(
         &mut self,
         worker: &str,
@@ -40,13 +39,13 @@
         }
         let reported = reported_ms.saturating_mul(1_000);
         let earliest = previous_list.map_or(0, |at| at.saturating_sub(MAX_REPORT_AGE));
-        // A clock that is far off proves nothing: the worker has started just now, as far as is known.
+        // A reported time out of bounds shows that a clock is wrong: assume that the worker has just started.
         let started = if (earliest..=now).contains(&reported) { reported } else { now };
         self.known.insert(worker.to_owned(), Start { reported_ms, started });
         started
     }
 
-    /// Forgets all workers for which `listed` is false.
+    /// Removes all workers for which `listed` returns false.
     pub fn retain(&mut self, listed: impl Fn(&str) -> bool) {
         self.known.retain(|worker, _| listed(worker));
     }
