--- a/crates/node/tests/bounds.rs
+++ b/crates/node/tests/bounds.rs
@@ -1,4 +1,4 @@
-//! What follows from what the machine gives, and from the platform's terms.
+//! Limits that are derived from the resources of the machine and from the platform's rules.
 
 use std::time::{Duration, Instant};
 
@@ -13,10 +13,10 @@
     let (short, long) = (Duration::from_millis(400), Duration::from_secs(12));
     let micros = |span: Duration| span.as_micros() as u64;
     for longest in [short, long] {
-        // The earliest that the platform's page allows: a longest deadline over 3 s counts as 3 s.
+        // The earliest time at which the platform may kill the process: a longest deadline over 3 s counts as 3 s.
         let kill = since + longest.min(Duration::from_secs(3)) + KILL_GRACE;
-        // Within the time in which the platform still sends requests, all of the client's time is left, but for
-        // the answer's way.
+        // A request that arrives within the kill grace, less the transit time of its answer, keeps all of its client's
+        // time.
         let now = since + KILL_GRACE - ANSWER_TRANSIT;
         assert_eq!(time_before_kill(since, now, longest, micros(longest)), micros(longest));
         for late in [KILL_GRACE, Duration::from_secs(2), longest + KILL_GRACE, Duration::from_secs(60)] {
@@ -31,7 +31,7 @@
 fn clients_and_pools_leave_the_reserved_descriptors() {
     for sockets in (0..300).chain([512, 1_024, 65_536]) {
         let bounds = Bounds::of(&Limits { sockets, ..Limits::default() }, None);
-        // The least that a node is made for is 64.
+        // A node assumes at least 64 descriptors.
         let all = (sockets as usize).max(64);
         assert!(
             bounds.clients + bounds.pool_connections + RESERVED_DESCRIPTORS <= all,
@@ -39,16 +39,16 @@
         );
         assert!(
             bounds.clients >= all.div_ceil(3),
-            "what clients may hold at the most, {sockets}: {bounds:?}"
+            "clients may hold a third of the descriptors, {sockets}: {bounds:?}"
         );
-        let coming = all / 3 - bounds.idle_clients;
-        assert!(coming >= all / 13, "room for those that come, {sockets}: {bounds:?}");
+        let headroom = all / 3 - bounds.idle_clients;
+        assert!(headroom >= all / 13, "room for new connections, {sockets}: {bounds:?}");
         assert!(bounds.pool_connections >= 8, "{sockets}: {bounds:?}");
     }
 }
 
 #[test]
-fn attempt_decided_on_without_time_breaks_an_invariant() {
+fn attempt_without_time_left_violates_an_invariant() {
     let check = |time_left| {
         let effect = Effect::Idempotent;
         AttemptCheck { in_flight: false, may_have_run: false, effect, time_left }.run()
--- a/crates/node/tests/common/mod.rs
+++ b/crates/node/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A node in a thread, with a stand-in directory and stand-in invokers, on loopback.
+//! Runs a node in a thread, with a fake directory and fake invokers, on the loopback interface.
 #![allow(dead_code)]
 
 pub(crate) mod disconnect;
@@ -19,22 +19,22 @@
 use simple_dns::rdata::{A, RData, SOA, SRV, TXT};
 use simple_dns::{CLASS, Name, Packet, ResourceRecord};
 
-/// No wait of these tests is longer; each is for an event.
+/// Timeout for each event that a test waits for.
 pub(crate) const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// What a stand-in does with a command.
+/// How a fake invoker reacts to a command.
 pub(crate) enum Reaction {
-    /// Answers: word, fields, body.
+    /// Sends a response: kind, fields, body.
     Answer(&'static str, &'static str, Vec<u8>),
-    /// Writes these bytes.
+    /// Writes raw bytes.
     Write(Vec<u8>),
-    /// Writes nothing.
+    /// Sends nothing.
     Ignore,
     /// Closes the connection.
     Close,
 }
 
-/// A command as an invoker gets it: its parts, and the number of the connection.
+/// A command received by an invoker: its parts, and the number of the connection in order of acceptance.
 pub(crate) struct ReceivedCommand<'a> {
     pub(crate) parts: &'a [Vec<u8>],
     pub(crate) connection: usize,
@@ -49,48 +49,48 @@
     }
 }
 
-/// An invoker that does what it is told, and remembers what it got.
+/// A fake invoker that reacts as the test defines, and records the commands that it receives.
 pub(crate) struct Invoker {
     pub(crate) address: SocketAddr,
-    pub(crate) got: Arc<Mutex<Vec<String>>>,
+    pub(crate) received: Arc<Mutex<Vec<String>>>,
 }
 
 impl Invoker {
-    pub(crate) fn start(does: impl Fn(&ReceivedCommand) -> Reaction + Send + Sync + 'static) -> Self {
+    pub(crate) fn start(react: impl Fn(&ReceivedCommand) -> Reaction + Send + Sync + 'static) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
-        let got = Arc::new(Mutex::new(Vec::new()));
-        let (does, log) = (Arc::new(does), Arc::clone(&got));
+        let received = Arc::new(Mutex::new(Vec::new()));
+        let (react, log) = (Arc::new(react), Arc::clone(&received));
         std::thread::spawn(move || {
             for (number, socket) in listener.incoming().enumerate() {
                 let Ok(socket) = socket else { return };
-                let (does, log) = (Arc::clone(&does), Arc::clone(&log));
-                std::thread::spawn(move || serve(socket, number, &*does, &log));
+                let (react, log) = (Arc::clone(&react), Arc::clone(&log));
+                std::thread::spawn(move || serve(socket, number, &*react, &log));
             }
         });
-        Self { address, got }
+        Self { address, received }
     }
 
-    /// What came, as words with ids.
-    pub(crate) fn got(&self) -> Vec<String> {
-        self.got.lock().expect("no panic holds it").clone()
+    /// The received commands, each as `KEYWORD id`.
+    pub(crate) fn received(&self) -> Vec<String> {
+        self.received.lock().expect("not poisoned").clone()
     }
 }
 
 fn serve(
     mut socket: TcpStream,
     connection: usize,
-    does: &dyn Fn(&ReceivedCommand) -> Reaction,
+    react: &dyn Fn(&ReceivedCommand) -> Reaction,
     log: &Mutex<Vec<String>>,
 ) {
     let mut reader = BufReader::new(socket.try_clone().expect("a handle"));
-    while let Some(parts) = command(&mut reader) {
+    while let Some(parts) = read_command(&mut reader) {
         let received = ReceivedCommand { parts: &parts, connection };
-        log.lock().expect("no panic holds it").push(format!("{} {}", received.keyword(), received.id()));
-        match does(&received) {
-            Reaction::Answer(word, fields, body) => {
+        log.lock().expect("not poisoned").push(format!("{} {}", received.keyword(), received.id()));
+        match react(&received) {
+            Reaction::Answer(kind, fields, body) => {
                 let mut out = Vec::new();
-                resp::command(&mut out, &[&parts[1], word.as_bytes(), fields.as_bytes(), &body]);
+                resp::command(&mut out, &[&parts[1], kind.as_bytes(), fields.as_bytes(), &body]);
                 let _ = socket.write_all(&out);
             }
             Reaction::Write(bytes) => {
@@ -105,16 +105,16 @@
     }
 }
 
-pub(crate) fn command(reader: &mut impl BufRead) -> Option<Vec<Vec<u8>>> {
-    let figure = |reader: &mut dyn BufRead, mark: char| {
+pub(crate) fn read_command(reader: &mut impl BufRead) -> Option<Vec<Vec<u8>>> {
+    let read_length = |reader: &mut dyn BufRead, mark: char| {
         let mut line = String::new();
         reader.read_line(&mut line).ok()?;
         line.trim_end().strip_prefix(mark)?.parse::<usize>().ok()
     };
-    let count = figure(reader, '*')?;
+    let count = read_length(reader, '*')?;
     let mut parts = Vec::new();
     for _ in 0..count {
-        let mut part = vec![0; figure(reader, '$')? + 2];
+        let mut part = vec![0; read_length(reader, '$')? + 2];
         reader.read_exact(&mut part).ok()?;
         part.truncate(part.len() - 2);
         parts.push(part);
@@ -137,7 +137,7 @@
     }
 }
 
-/// A directory whose list can be changed.
+/// A fake directory whose list the test can change.
 pub(crate) struct Directory {
     pub(crate) address: SocketAddr,
     list: Arc<Mutex<(u32, Vec<ListedInvoker>)>>,
@@ -153,16 +153,16 @@
             let mut buffer = [0; 2048];
             while let Ok((length, from)) = socket.recv_from(&mut buffer) {
                 let Ok(query) = Packet::parse(&buffer[..length]) else { continue };
-                let (serial, invokers) = shared.lock().expect("no panic holds it").clone();
+                let (serial, invokers) = shared.lock().expect("not poisoned").clone();
                 let _ = socket.send_to(&reply(query.id(), serial, &invokers), from);
             }
         });
         Self { address, list }
     }
 
-    /// The next event: the list is this now.
+    /// Replaces the list, as the next event.
     pub(crate) fn change(&self, list: Vec<ListedInvoker>) {
-        let mut held = self.list.lock().expect("no panic holds it");
+        let mut held = self.list.lock().expect("not poisoned");
         *held = (held.0 + 1, list);
     }
 }
@@ -171,12 +171,12 @@
     reply_with(id, serial, invokers, &[])
 }
 
-/// A list in which each invoker has these words besides.
-pub(crate) fn reply_with(id: u16, serial: u32, invokers: &[ListedInvoker], words: &[&str]) -> Vec<u8> {
-    reply_changed(id, serial, invokers, words, |_| ())
+/// A response in which the record of each invoker has additional attributes.
+pub(crate) fn reply_with(id: u16, serial: u32, invokers: &[ListedInvoker], attributes: &[&str]) -> Vec<u8> {
+    reply_changed(id, serial, invokers, attributes, |_| ())
 }
 
-/// An answer of the directory, to be spoilt.
+/// A valid response of the directory, which a test may corrupt.
 pub(crate) struct Reply {
     pub(crate) id: u16,
     pub(crate) serial: u32,
@@ -184,8 +184,8 @@
 }
 
 impl Reply {
-    /// It with a change.
-    pub(crate) fn bytes(&self, change: impl Fn(&mut Packet)) -> Vec<u8> {
+    /// Encodes the response after a change of the packet.
+    pub(crate) fn encode(&self, change: impl Fn(&mut Packet)) -> Vec<u8> {
         reply_changed(self.id, self.serial, &self.list, &[], change)
     }
 }
@@ -194,7 +194,7 @@
     id: u16,
     serial: u32,
     invokers: &[ListedInvoker],
-    words: &[&str],
+    attributes: &[&str],
     change: impl Fn(&mut Packet),
 ) -> Vec<u8> {
     let mut packet = Packet::new_reply(id);
@@ -208,8 +208,9 @@
         let std::net::IpAddr::V4(ip) = address.ip() else { continue };
         let a = RData::A(A { address: ip.into() });
         packet.additional_records.push(ResourceRecord::new(name.clone(), CLASS::IN, 0, a));
-        let words = ["kind=std", "cell=1"].iter().chain(words);
-        let text = words.fold(TXT::new(), |text, word| text.with_string(word).expect("a word"));
+        let attributes = ["kind=std", "cell=1"].iter().chain(attributes);
+        let text =
+            attributes.fold(TXT::new(), |text, attribute| text.with_string(attribute).expect("an attribute"));
         packet.additional_records.push(ResourceRecord::new(name, CLASS::IN, 0, RData::TXT(text)));
     }
     let zone = Name::new_unchecked("mesh.local");
@@ -220,7 +221,7 @@
     packet.build_bytes_vec_compressed().expect("a message")
 }
 
-/// The configuration of a node that knows these invokers from the start.
+/// The configuration of a node that has this list of invokers from the start.
 pub(crate) fn config(directory: SocketAddr, listed: &[ListedInvoker]) -> serde_json::Value {
     let instances: Vec<_> = listed
         .iter()
@@ -250,7 +251,7 @@
     })
 }
 
-/// A node in its thread.
+/// A node that runs in a thread.
 pub(crate) struct RunningNode {
     pub(crate) address: SocketAddr,
     pub(crate) directory: Directory,
@@ -261,12 +262,12 @@
 }
 
 impl RunningNode {
-    /// A node with these invokers, known from the start.
+    /// Starts a node that has these invokers in its list from the start.
     pub(crate) fn start(invokers: &[&Invoker]) -> Self {
         Self::start_with(invokers, |_| ())
     }
 
-    /// The same, with a configuration changed by the test.
+    /// As [`RunningNode::start`], with a configuration changed by the test.
     pub(crate) fn start_with(invokers: &[&Invoker], change: impl FnOnce(&mut serde_json::Value)) -> Self {
         let listed: Vec<_> = invokers
             .iter()
@@ -283,7 +284,7 @@
         let (ready, address) = mpsc::channel();
         let (stopped, shutdown_requested) = (Arc::clone(&stop), Arc::clone(&shutdown));
         let thread = std::thread::spawn(move || {
-            let mut node = Node::new(path, false).expect("sound");
+            let mut node = Node::new(path, false).expect("a valid configuration");
             ready.send(node.local_addr()).expect("the test waits");
             while !node.is_done() && !stopped.load(Ordering::Acquire) {
                 node.iterate(Some(Duration::from_millis(5))).expect("polls");
@@ -297,20 +298,20 @@
         Self { address, directory, stop, shutdown, thread: Some(thread), _dir: dir }
     }
 
-    /// As SIGTERM does.
+    /// Begins a graceful shutdown, as SIGTERM does.
     pub(crate) fn begin_shutdown(&self) {
         self.shutdown.store(true, Ordering::Release);
     }
 
-    /// Waits until it has ended by itself.
-    pub(crate) fn ended(&mut self) -> Counters {
+    /// Waits until the node has ended by itself, and returns its counters.
+    pub(crate) fn join(&mut self) -> Counters {
         self.thread.take().expect("once").join().expect("no panic")
     }
 
-    /// Ends it now.
+    /// Stops the node at once, and returns its counters.
     pub(crate) fn stop(&mut self) -> Counters {
         self.stop.store(true, Ordering::Release);
-        self.ended()
+        self.join()
     }
 
     pub(crate) fn client(&self) -> Client {
@@ -327,7 +328,7 @@
     }
 }
 
-/// A client of the platform.
+/// A client with blocking reads.
 pub(crate) struct Client {
     pub(crate) socket: TcpStream,
     next: u32,
@@ -345,10 +346,10 @@
         Self { socket, next: 0, answers: BTreeMap::new() }
     }
 
-    /// Sends a sound request and gives its stream.
-    pub(crate) fn ask(&mut self, op: &str, id: u64, row: u64, body: &[u8]) -> u32 {
+    /// Sends a valid request and returns its stream.
+    pub(crate) fn send_request(&mut self, op: &str, id: u64, row: u64, body: &[u8]) -> u32 {
         let (id, row) = (format!("{id:016x}"), format!("{row:016x}"));
-        self.ask_with(
+        self.send_request_with(
             &[
                 ("op", op),
                 ("call", &id),
@@ -360,7 +361,7 @@
         )
     }
 
-    pub(crate) fn ask_with(&mut self, fields: &[(&str, &str)], body: &[u8]) -> u32 {
+    pub(crate) fn send_request_with(&mut self, fields: &[(&str, &str)], body: &[u8]) -> u32 {
         self.next += 1;
         let mut out = Vec::new();
         frames::request(&mut out, self.next, fields, body);
@@ -368,8 +369,8 @@
         self.next
     }
 
-    /// The next frame: type, stream, payload. `None`: the connection ended.
-    pub(crate) fn frame(&mut self) -> Option<(u8, u32, Vec<u8>)> {
+    /// Reads the next frame: type, stream, payload. `None` if the connection has ended.
+    pub(crate) fn read_frame(&mut self) -> Option<(u8, u32, Vec<u8>)> {
         let mut head = [0; 9];
         self.socket.read_exact(&mut head).ok()?;
         let length = u32::from_be_bytes([head[0], head[1], head[2], head[3]]) as usize;
@@ -378,13 +379,13 @@
         Some((head[4], u32::from_be_bytes([head[5], head[6], head[7], head[8]]), payload))
     }
 
-    /// The answer on a stream: code and body.
-    pub(crate) fn answer(&mut self, stream: u32) -> (u8, Vec<u8>) {
+    /// Waits for the answer on a stream: code and body.
+    pub(crate) fn wait_for_answer(&mut self, stream: u32) -> (u8, Vec<u8>) {
         loop {
             if let Some(answer) = self.answers.remove(&stream) {
                 return answer;
             }
-            let (kind, stream, payload) = self.frame().expect("an answer comes");
+            let (kind, stream, payload) = self.read_frame().expect("an answer arrives");
             if kind == frames::kind::ANSWER {
                 let old = self.answers.insert(stream, (payload[0], payload[2..].to_vec()));
                 assert!(old.is_none(), "two answers on stream {stream}");
--- a/crates/node/tests/end_to_end.rs
+++ b/crates/node/tests/end_to_end.rs
@@ -1,4 +1,4 @@
-//! The node on loopback: clients, invokers and a directory that do well, and that do not.
+//! A node on the loopback interface, with clients, invokers and a directory that behave well or badly.
 
 mod common;
 use std::io::Write;
@@ -8,8 +8,8 @@
 use common::*;
 use nettleferry_platform::{frames, resp};
 
-/// Holds every function, serves every call with its body turned round.
-fn good(received: &ReceivedCommand) -> Reaction {
+/// The reaction of an invoker that has every function loaded and serves every call with its body reversed.
+fn serve_all(received: &ReceivedCommand) -> Reaction {
     match received.keyword() {
         "CALL" => Reaction::Answer("served", "n=w", received.parts[3].iter().rev().copied().collect()),
         "PING" | "STATS" => Reaction::Answer("green", "-", vec![]),
@@ -18,53 +18,54 @@
     }
 }
 
-/// As [`good`], but each call with the body "slow" waits until it is released.
-fn gated() -> (Invoker, mpsc::Sender<()>) {
+/// An invoker that reacts as [`serve_all`], but delays each call with the body "slow" until the test releases it.
+fn gated_invoker() -> (Invoker, mpsc::Sender<()>) {
     let (release, wait) = mpsc::channel::<()>();
     let wait = std::sync::Mutex::new(wait);
     let invoker = Invoker::start(move |received| {
         if received.keyword() == "CALL" && received.parts[3] == b"slow" {
-            wait.lock().expect("no panic holds it").recv_timeout(TEST_TIMEOUT).expect("released");
+            wait.lock().expect("not poisoned").recv_timeout(TEST_TIMEOUT).expect("released");
         }
-        good(received)
+        serve_all(received)
     });
     (invoker, release)
 }
 
 #[test]
 fn call_returns_the_body_of_the_invoker() {
-    let invoker = Invoker::start(good);
+    let invoker = Invoker::start(serve_all);
     let node = RunningNode::start(&[&invoker]);
     let mut client = node.client();
-    let mut word = Vec::new();
-    frames::bare(&mut word, frames::kind::READY, 0);
-    client.socket.write_all(&word).expect("written");
-    assert_eq!(client.frame(), Some((frames::kind::READY_ANSWER, 0, vec![SERVED, 0])));
-    let streams: Vec<u32> = (0..20).map(|n| client.ask("safe", n + 1, n % 3, &[1, 2, n as u8])).collect();
+    let mut query = Vec::new();
+    frames::bare(&mut query, frames::kind::READY, 0);
+    client.socket.write_all(&query).expect("written");
+    assert_eq!(client.read_frame(), Some((frames::kind::READY_ANSWER, 0, vec![SERVED, 0])));
+    let streams: Vec<u32> =
+        (0..20).map(|n| client.send_request("safe", n + 1, n % 3, &[1, 2, n as u8])).collect();
     for (n, stream) in streams.into_iter().enumerate().rev() {
-        assert_eq!(client.answer(stream), (SERVED, vec![n as u8, 2, 1]));
+        assert_eq!(client.wait_for_answer(stream), (SERVED, vec![n as u8, 2, 1]));
     }
 }
 
 #[test]
 fn miss_is_followed_by_a_load_order_and_the_call_is_served() {
     let loaded = Arc::new(AtomicBool::new(false));
-    let held = Arc::clone(&loaded);
+    let is_loaded = Arc::clone(&loaded);
     let invoker = Invoker::start(move |received| match received.keyword() {
-        "CALL" if !held.load(Ordering::Acquire) => Reaction::Answer("not_here", "-", vec![]),
+        "CALL" if !is_loaded.load(Ordering::Acquire) => Reaction::Answer("not_here", "-", vec![]),
         "LOAD" => {
-            held.store(true, Ordering::Release);
+            is_loaded.store(true, Ordering::Release);
             Reaction::Answer("served", "instances=1", vec![])
         }
-        _ => good(received),
+        _ => serve_all(received),
     });
     let node = RunningNode::start(&[&invoker]);
     let mut client = node.client();
-    let stream = client.ask("once", 7, 9, b"ab");
-    assert_eq!(client.answer(stream), (SERVED, b"ba".to_vec()));
-    let got = invoker.got();
-    let words: Vec<_> = got.iter().map(|g| g.split(' ').next().unwrap_or("")).collect();
-    assert_eq!(words, ["CALL", "LOAD", "CALL"]);
+    let stream = client.send_request("once", 7, 9, b"ab");
+    assert_eq!(client.wait_for_answer(stream), (SERVED, b"ba".to_vec()));
+    let received = invoker.received();
+    let keywords: Vec<_> = received.iter().map(|command| command.split(' ').next().unwrap_or("")).collect();
+    assert_eq!(keywords, ["CALL", "LOAD", "CALL"]);
 }
 
 #[test]
@@ -72,48 +73,52 @@
     let broke = AtomicBool::new(false);
     let invoker = Invoker::start(move |received| match received.keyword() {
         "CALL" if received.parts[3] == b"break" && !broke.swap(true, Ordering::AcqRel) => Reaction::Close,
-        _ => good(received),
+        _ => serve_all(received),
     });
     let node = RunningNode::start(&[&invoker]);
     let mut client = node.client();
-    let first = client.ask("once", 1, 9, b"fine");
-    assert_eq!(client.answer(first).0, SERVED);
-    let lost = client.ask("once", 2, 9, b"break");
-    assert_eq!(client.answer(lost).0, FAILED, "it may have run");
-    // The only worker is neither barred nor cold: a probe found its process alive.
+    let first = client.send_request("once", 1, 9, b"fine");
+    assert_eq!(client.wait_for_answer(first).0, SERVED);
+    let lost = client.send_request("once", 2, 9, b"break");
+    assert_eq!(client.wait_for_answer(lost).0, FAILED, "it may have run");
+    // The only worker stays in use at full capacity: a health check found its process alive.
     for id in 3..9 {
-        let next = client.ask("once", id, 9, b"fine");
-        assert_eq!(client.answer(next).0, SERVED);
+        let next = client.send_request("once", id, 9, b"fine");
+        assert_eq!(client.wait_for_answer(next).0, SERVED);
     }
-    let got = invoker.got();
-    assert_eq!(got.iter().filter(|g| g.as_str() == "CALL 0000000000000002").count(), 1, "once: {got:?}");
-    assert!(got.iter().any(|g| g.starts_with("PING")));
+    let received = invoker.received();
+    assert_eq!(
+        received.iter().filter(|command| command.as_str() == "CALL 0000000000000002").count(),
+        1,
+        "the call is not retried: {received:?}"
+    );
+    assert!(received.iter().any(|command| command.starts_with("PING")));
 }
 
 #[test]
 fn invalid_responses_are_not_forwarded_and_safe_calls_are_retried() {
-    let spoils: Vec<Vec<u8>> = vec![
+    let invalid: Vec<Vec<u8>> = vec![
         b"HTTP/1.1 200 OK\r\n\r\n".to_vec(),
         b"*1000000000\r\n".to_vec(),
         b"*4\r\n$16\r\n0000000000000001\r\n$6\r\nserved\r\n$1\r\n-\r\n$3000000000\r\nxxxx".to_vec(),
         b"*4\r\n$16\r\n0000000000000001\r\n$6\r\nserved\r\n$1\r\n-\r\n$9\r\nhal".to_vec(),
         b"*4\r\n$99999999999999999999999999".to_vec(),
     ];
-    let count = spoils.len() as u64;
-    let spoilt = AtomicUsize::new(0);
+    let count = invalid.len() as u64;
+    let sent = AtomicUsize::new(0);
     let invoker = Invoker::start(move |received| {
-        let spoil = received.keyword() == "CALL" && received.parts[3] == b"spoil";
-        match spoil.then(|| spoilt.fetch_add(1, Ordering::AcqRel)) {
-            // Every second one: a try that follows is served.
-            Some(n) if n % 2 == 0 => Reaction::Write(spoils[n / 2 % spoils.len()].clone()),
-            _ => good(received),
+        let corrupt = received.keyword() == "CALL" && received.parts[3] == b"spoil";
+        match corrupt.then(|| sent.fetch_add(1, Ordering::AcqRel)) {
+            // Every second attempt gets an invalid response, and the retry is served.
+            Some(n) if n % 2 == 0 => Reaction::Write(invalid[n / 2 % invalid.len()].clone()),
+            _ => serve_all(received),
         }
     });
     let mut node = RunningNode::start(&[&invoker]);
     let mut client = node.client();
     for id in 1..=count {
-        let stream = client.ask("safe", id, 9, b"spoil");
-        assert_eq!(client.answer(stream), (SERVED, b"liops".to_vec()));
+        let stream = client.send_request("safe", id, 9, b"spoil");
+        assert_eq!(client.wait_for_answer(stream), (SERVED, b"liops".to_vec()));
     }
     assert_eq!(node.stop().bad_answers, count);
 }
@@ -129,19 +134,19 @@
             }
             Reaction::Write(out)
         }
-        _ => good(received),
+        _ => serve_all(received),
     });
     let node = RunningNode::start(&[&invoker]);
     let mut client = node.client();
     for id in 1..30 {
-        let stream = client.ask("safe", id, 9, &[id as u8]);
-        assert_eq!(client.answer(stream), (SERVED, vec![id as u8]));
+        let stream = client.send_request("safe", id, 9, &[id as u8]);
+        assert_eq!(client.wait_for_answer(stream), (SERVED, vec![id as u8]));
     }
 }
 
 #[test]
 fn unresponsive_connection_is_closed_when_a_probe_is_answered_elsewhere() {
-    // The connection on which the body "hang" came says nothing any more; others do.
+    // The connection on which the body "hang" was received is unresponsive from then on; others are not.
     let hung = Arc::new(AtomicUsize::new(usize::MAX));
     let invoker = Invoker::start(move |received| {
         if received.keyword() == "CALL"
@@ -150,23 +155,27 @@
         {
             hung.store(received.connection, Ordering::Release);
         }
-        if hung.load(Ordering::Acquire) == received.connection { Reaction::Ignore } else { good(received) }
+        if hung.load(Ordering::Acquire) == received.connection {
+            Reaction::Ignore
+        } else {
+            serve_all(received)
+        }
     });
     let node = RunningNode::start(&[&invoker]);
     let mut client = node.client();
-    let first = client.ask("safe", 1, 9, b"fine");
-    assert_eq!(client.answer(first).0, SERVED);
-    let stream = client.ask("safe", 2, 9, b"hang");
-    assert_eq!(client.answer(stream), (SERVED, b"gnah".to_vec()), "tried again within its time");
+    let first = client.send_request("safe", 1, 9, b"fine");
+    assert_eq!(client.wait_for_answer(first).0, SERVED);
+    let stream = client.send_request("safe", 2, 9, b"hang");
+    assert_eq!(client.wait_for_answer(stream), (SERVED, b"gnah".to_vec()), "retried within the deadline");
 }
 
 #[test]
 fn invalid_client_input_is_answered_or_closed_and_affects_no_other_client() {
-    let invoker = Invoker::start(good);
+    let invoker = Invoker::start(serve_all);
     let mut node = RunningNode::start(&[&invoker]);
-    let mut sound = node.client();
-    let stream = sound.ask("safe", 4, 2, b"ab");
-    assert_eq!(sound.answer(stream).0, SERVED);
+    let mut other = node.client();
+    let stream = other.send_request("safe", 4, 2, b"ab");
+    assert_eq!(other.wait_for_answer(stream).0, SERVED);
     let id = "00000000000000aa";
     let bad: [&[(&str, &str)]; 5] = [
         &[("op", "safe"), ("ttl", "100"), ("row", id)],
@@ -177,69 +186,69 @@
     ];
     let mut client = node.client();
     for fields in bad {
-        let stream = client.ask_with(fields, b"");
-        assert_eq!(client.answer(stream).0, FAILED, "{fields:?}");
+        let stream = client.send_request_with(fields, b"");
+        assert_eq!(client.wait_for_answer(stream).0, FAILED, "{fields:?}");
     }
-    let long = client.ask("safe", 1, 2, &[0; 100_000]);
-    assert_eq!(client.answer(long).0, FAILED, "skipped, not kept");
-    let after = client.ask("safe", 1, 2, b"ab");
-    assert_eq!(client.answer(after), (SERVED, b"ba".to_vec()), "and what follows is read");
+    let long = client.send_request("safe", 1, 2, &[0; 100_000]);
+    assert_eq!(client.wait_for_answer(long).0, FAILED, "skipped, not stored");
+    let after = client.send_request("safe", 1, 2, b"ab");
+    assert_eq!(client.wait_for_answer(after), (SERVED, b"ba".to_vec()), "the frames that follow are read");
 
     for length in [0u32, 4, 60_000_000, u32::MAX] {
         let mut client = node.client();
         client.socket.write_all(&length.to_be_bytes()).expect("written");
-        assert!(matches!(client.frame(), Some((frames::kind::ANSWER, 0, _))));
-        assert_eq!(client.frame(), None, "closed");
+        assert!(matches!(client.read_frame(), Some((frames::kind::ANSWER, 0, _))));
+        assert_eq!(client.read_frame(), None, "closed");
     }
-    // Two requests under one number, and more than 32 at once.
+    // Two requests on one stream.
     let mut twice = Vec::new();
     for _ in 0..2 {
         frames::request(&mut twice, 1, &[("op", "safe")], b"");
     }
     let mut client = node.client();
     client.socket.write_all(&twice).expect("written");
-    assert!(matches!(client.frame(), Some((frames::kind::ANSWER, 1, _))));
-    assert!(matches!(client.frame(), Some((frames::kind::ANSWER, 0, _))));
-    assert_eq!(client.frame(), None);
-    // One that ends its side after a whole request has one answer, at once, and the end: what becomes of its request
-    // is in `crossings.rs`, where the turn in which the end is seen is the test's.
-    let mut halved = node.client();
-    let stream = halved.ask("safe", 6, 2, b"ab");
-    halved.socket.shutdown(std::net::Shutdown::Write).expect("open");
-    let (kind, on, _) = halved.frame().expect("its answer");
+    assert!(matches!(client.read_frame(), Some((frames::kind::ANSWER, 1, _))));
+    assert!(matches!(client.read_frame(), Some((frames::kind::ANSWER, 0, _))));
+    assert_eq!(client.read_frame(), None);
+    // A client that ends its side after a complete request gets one answer at once, and its connection closes. The tests in
+    // `races.rs` check what happens to the request, as they control in which iteration the end is read.
+    let mut half_closed = node.client();
+    let stream = half_closed.send_request("safe", 6, 2, b"ab");
+    half_closed.socket.shutdown(std::net::Shutdown::Write).expect("open");
+    let (kind, on, _) = half_closed.read_frame().expect("an answer");
     assert_eq!((kind, on), (frames::kind::ANSWER, stream));
-    assert_eq!(halved.frame(), None, "closed after the last answer");
-    // One that sends nothing, and one that stops within a frame.
+    assert_eq!(half_closed.read_frame(), None, "closed after the last answer");
+    // A client that sends nothing, and one that stops in the middle of a frame.
     let mut silent = node.client();
-    let mut halfway = node.client();
-    halfway.socket.write_all(&[0, 0, 1]).expect("written");
-    assert!(matches!(silent.frame(), Some((frames::kind::ANSWER, 0, _))));
-    assert!(matches!(halfway.frame(), Some((frames::kind::ANSWER, 0, _))));
+    let mut partial = node.client();
+    partial.socket.write_all(&[0, 0, 1]).expect("written");
+    assert!(matches!(silent.read_frame(), Some((frames::kind::ANSWER, 0, _))));
+    assert!(matches!(partial.read_frame(), Some((frames::kind::ANSWER, 0, _))));
 
-    let stream = sound.ask("safe", 5, 2, b"ab");
-    assert_eq!(sound.answer(stream).0, SERVED);
+    let stream = other.send_request("safe", 5, 2, b"ab");
+    assert_eq!(other.wait_for_answer(stream).0, SERVED);
     let count = node.stop();
     assert_eq!((count.bad_requests, count.closed_for_faults, count.closed_for_silence), (7, 5, 2));
 }
 
 #[test]
 fn requests_over_the_bound_are_refused_and_open_ones_answered() {
-    let (invoker, release) = gated();
+    let (invoker, release) = gated_invoker();
     let node = RunningNode::start(&[&invoker]);
     let mut client = node.client();
-    let streams: Vec<u32> = (1..=32).map(|id| client.ask("safe", id, id, b"slow")).collect();
+    let streams: Vec<u32> = (1..=32).map(|id| client.send_request("safe", id, id, b"slow")).collect();
     for id in 33..=50 {
-        let stream = client.ask("safe", id, id, b"slow");
+        let stream = client.send_request("safe", id, id, b"slow");
         if id <= 40 {
-            assert_eq!(client.answer(stream).0, REFUSED);
+            assert_eq!(client.wait_for_answer(stream).0, REFUSED);
         }
     }
-    // The connection is given up for what it went on to send: what is open there has one answer at once, while the
-    // invoker still has it.
+    // The connection closes because of the excess requests: its open requests get one answer at once, while the invoker
+    // still runs them.
     for stream in streams {
-        assert!(matches!(client.answer(stream).0, REFUSED | FAILED), "{stream}");
+        assert!(matches!(client.wait_for_answer(stream).0, REFUSED | FAILED), "{stream}");
     }
-    while let Some((_, stream, _)) = client.frame() {
+    while let Some((_, stream, _)) = client.read_frame() {
         assert!(stream == 0 || stream > 32, "{stream}");
     }
     for _ in 0..64 {
@@ -249,7 +258,7 @@
 
 #[test]
 fn request_cancelled_in_the_same_bytes_never_starts() {
-    let invoker = Invoker::start(good);
+    let invoker = Invoker::start(serve_all);
     let node = RunningNode::start(&[&invoker]);
     let mut client = node.client();
     let mut both = Vec::new();
@@ -260,8 +269,13 @@
     }
     frames::request(&mut both, 21, &fields, b"ab");
     client.socket.write_all(&both).expect("written");
-    assert_eq!(client.answer(21), (SERVED, b"ba".to_vec()));
-    assert_eq!(invoker.got().iter().filter(|g| g.starts_with("CALL")).count(), 1, "{:?}", invoker.got());
+    assert_eq!(client.wait_for_answer(21), (SERVED, b"ba".to_vec()));
+    assert_eq!(
+        invoker.received().iter().filter(|command| command.starts_with("CALL")).count(),
+        1,
+        "{:?}",
+        invoker.received()
+    );
 }
 
 #[test]
@@ -288,21 +302,21 @@
             ("CALL", Some(b"late")) => {
                 Reaction::Answer("served", "n=w", received.connection.to_string().into_bytes())
             }
-            _ => good(received),
+            _ => serve_all(received),
         }
     });
     let mut node = RunningNode::start(&[&invoker]);
     let mut client = node.client();
-    let split = client.ask("safe", 1, 9, b"split");
-    assert_eq!(client.answer(split).0, SERVED);
-    let rest = client.ask("safe", 2, 9, b"rest");
-    let (_, one) = client.answer(rest);
-    // Beyond the time in which an answer must have come whole.
+    let split = client.send_request("safe", 1, 9, b"split");
+    assert_eq!(client.wait_for_answer(split).0, SERVED);
+    let rest = client.send_request("safe", 2, 9, b"rest");
+    let (_, connection) = client.wait_for_answer(rest);
+    // Longer than the timeout of an incomplete response.
     let until = std::time::Instant::now() + nettleferry_node::limits::RESPONSE_TIMEOUT * 2;
     let mut id = 3;
     while std::time::Instant::now() < until {
-        let late = client.ask("safe", id, 9, b"late");
-        assert_eq!(client.answer(late), (SERVED, one.clone()), "on the same connection");
+        let late = client.send_request("safe", id, 9, b"late");
+        assert_eq!(client.wait_for_answer(late), (SERVED, connection.clone()), "on the same connection");
         id += 1;
     }
     assert_eq!(node.stop().bad_answers, 0);
@@ -310,47 +324,47 @@
 
 #[test]
 fn last_answers_are_sent_before_the_process_ends() {
-    let (invoker, release) = gated();
+    let (invoker, release) = gated_invoker();
     let mut node = RunningNode::start(&[&invoker]);
     let mut client = node.client();
-    let first = client.ask("safe", 1, 9, b"fine");
-    assert_eq!(client.answer(first).0, SERVED);
-    let slow = client.ask("safe", 2, 9, b"slow");
-    while !invoker.got().iter().any(|g| g.ends_with('2')) {
+    let first = client.send_request("safe", 1, 9, b"fine");
+    assert_eq!(client.wait_for_answer(first).0, SERVED);
+    let slow = client.send_request("safe", 2, 9, b"slow");
+    while !invoker.received().iter().any(|command| command.ends_with('2')) {
         std::thread::yield_now();
     }
     node.begin_shutdown();
-    assert_eq!(client.frame(), Some((frames::kind::GO_AWAY, 0, vec![])));
-    // What comes on a new connection is served all the same.
+    assert_eq!(client.read_frame(), Some((frames::kind::GO_AWAY, 0, vec![])));
+    // A request on a new connection is still served.
     let mut late = node.client();
-    let stream = late.ask("safe", 3, 9, b"ab");
-    assert_eq!(late.answer(stream).0, SERVED);
+    let stream = late.send_request("safe", 3, 9, b"ab");
+    assert_eq!(late.wait_for_answer(stream).0, SERVED);
     release.send(()).expect("it waits");
-    assert_eq!(client.answer(slow), (SERVED, b"wols".to_vec()));
-    assert_eq!(node.ended().requests, 3);
+    assert_eq!(client.wait_for_answer(slow), (SERVED, b"wols".to_vec()));
+    assert_eq!(node.join().requests, 3);
 }
 
 #[test]
 fn draining_invoker_gets_no_new_requests() {
-    let (one, two) = (Invoker::start(good), Invoker::start(good));
+    let (one, two) = (Invoker::start(serve_all), Invoker::start(serve_all));
     let node = RunningNode::start(&[&one]);
     let mut client = node.client();
-    let first = client.ask("safe", 1, 9, b"ab");
-    assert_eq!(client.answer(first).0, SERVED);
+    let first = client.send_request("safe", 1, 9, b"ab");
+    assert_eq!(client.wait_for_answer(first).0, SERVED);
     node.directory.change(vec![
         ListedInvoker { draining: true, ..ListedInvoker::new(0, one.address) },
         ListedInvoker::new(1, two.address),
     ]);
     let mut id = 1;
-    while two.got().is_empty() {
+    while two.received().is_empty() {
         id += 1;
-        let stream = client.ask("safe", id, 9, b"ab");
-        assert_eq!(client.answer(stream).0, SERVED);
+        let stream = client.send_request("safe", id, 9, b"ab");
+        assert_eq!(client.wait_for_answer(stream).0, SERVED);
     }
-    let before = one.got().len();
+    let before = one.received().len();
     for id in 10_000..10_020 {
-        let stream = client.ask("safe", id, id, b"ab");
-        assert_eq!(client.answer(stream).0, SERVED);
+        let stream = client.send_request("safe", id, id, b"ab");
+        assert_eq!(client.wait_for_answer(stream).0, SERVED);
     }
-    assert_eq!(one.got().len(), before);
+    assert_eq!(one.received().len(), before);
 }
--- a/crates/node/tests/versions.rs
+++ b/crates/node/tests/versions.rs
@@ -1,5 +1,5 @@
-//! New versions of what is loaded arrive on a quiet day: every copy is void for all controllers at once, and nothing
-//! else is amiss. What each controller believes is corrected by its first miss.
+//! New versions of all functions invalidate every replica for all controllers at once. Each controller learns this by its
+//! first miss.
 
 mod common;
 
@@ -11,12 +11,14 @@
 const FUNCTIONS: u64 = 6;
 const CONTROLLERS: usize = 4;
 
-/// What stands at which invoker, and what came.
+/// The replicas at the invokers, and the commands that they have received.
 #[derive(Default)]
-struct World {
+struct InvokerState {
+    /// Loaded replicas: invoker and function.
     copies: BTreeSet<(usize, String)>,
+    /// Load orders: invoker and function.
     orders: Vec<(usize, String)>,
-    /// Runs of each call.
+    /// How often each call ran.
     ran: BTreeMap<String, u32>,
 }
 
@@ -25,21 +27,21 @@
     found.expect("the field is there").to_owned()
 }
 
-fn invoker(number: usize, world: &Arc<Mutex<World>>) -> Invoker {
-    let world = Arc::clone(world);
+fn invoker(number: usize, state: &Arc<Mutex<InvokerState>>) -> Invoker {
+    let state = Arc::clone(state);
     Invoker::start(move |received: &ReceivedCommand| {
         let fields = || String::from_utf8_lossy(&received.parts[2]).into_owned();
-        let mut world = world.lock().expect("no panic holds it");
+        let mut state = state.lock().expect("not poisoned");
         match received.keyword() {
-            "CALL" if world.copies.contains(&(number, field(&fields(), "asset"))) => {
-                *world.ran.entry(received.id().to_owned()).or_default() += 1;
+            "CALL" if state.copies.contains(&(number, field(&fields(), "asset"))) => {
+                *state.ran.entry(received.id().to_owned()).or_default() += 1;
                 Reaction::Answer("served", "n=w", vec![])
             }
             "CALL" => Reaction::Answer("not_here", "-", vec![]),
             "LOAD" => {
                 let copy = (number, field(&fields(), "asset"));
-                world.orders.push(copy.clone());
-                world.copies.insert(copy);
+                state.orders.push(copy.clone());
+                state.copies.insert(copy);
                 Reaction::Answer("served", "instances=1", vec![])
             }
             _ => Reaction::Answer("green", "-", vec![]),
@@ -47,7 +49,7 @@
     })
 }
 
-/// Each of these controllers calls each function, safe and unsafe, all of them at the same time; all are served.
+/// Calls each function in both classes, at the same time at each of these controllers. All calls must be served.
 fn call_all(nodes: &[RunningNode], first_id: u64) {
     let mut id = first_id;
     let mut clients: Vec<_> = nodes.iter().map(RunningNode::client).collect();
@@ -55,67 +57,67 @@
         for class in ["safe", "once"] {
             let ask = |client: &mut common::Client| {
                 id += 1;
-                client.ask(class, id, row, b"")
+                client.send_request(class, id, row, b"")
             };
-            let owed: Vec<u32> = clients.iter_mut().map(ask).collect();
-            for (client, stream) in clients.iter_mut().zip(owed) {
-                assert_eq!(client.answer(stream).0, SERVED, "no class starves");
+            let streams: Vec<u32> = clients.iter_mut().map(ask).collect();
+            for (client, stream) in clients.iter_mut().zip(streams) {
+                assert_eq!(client.wait_for_answer(stream).0, SERVED, "calls of every class are served");
             }
         }
     }
 }
 
-fn start(change: impl Fn(&mut serde_json::Value)) -> (Arc<Mutex<World>>, Vec<RunningNode>) {
-    let world = Arc::new(Mutex::new(World::default()));
-    let invokers: Vec<Invoker> = (0..3).map(|number| invoker(number, &world)).collect();
+fn start(change: impl Fn(&mut serde_json::Value)) -> (Arc<Mutex<InvokerState>>, Vec<RunningNode>) {
+    let state = Arc::new(Mutex::new(InvokerState::default()));
+    let invokers: Vec<Invoker> = (0..3).map(|number| invoker(number, &state)).collect();
     let all: Vec<&Invoker> = invokers.iter().collect();
     let nodes = (0..CONTROLLERS).map(|_| RunningNode::start_with(&all, &change)).collect();
-    (world, nodes)
+    (state, nodes)
 }
 
-/// The new versions: all copies are void. Gives the orders so far, which are forgotten.
-fn renew(world: &Mutex<World>) -> usize {
-    let mut world = world.lock().expect("no panic holds it");
-    world.copies.clear();
-    std::mem::take(&mut world.orders).len()
+/// Invalidates all replicas, as new versions do. Returns the number of load orders so far, and resets it.
+fn invalidate_all(state: &Mutex<InvokerState>) -> usize {
+    let mut state = state.lock().expect("not poisoned");
+    state.copies.clear();
+    std::mem::take(&mut state.orders).len()
 }
 
 #[test]
 fn first_miss_reloads_a_replica_for_all_controllers() {
-    let (world, nodes) = start(|_| ());
+    let (state, nodes) = start(|_| ());
     call_all(&nodes, 0);
-    renew(&world);
+    invalidate_all(&state);
     call_all(&nodes[..1], 1_000);
-    let brought = world.lock().expect("no panic holds it").orders.len();
-    assert_eq!(brought, FUNCTIONS as usize, "one order a function");
+    let ordered = state.lock().expect("not poisoned").orders.len();
+    assert_eq!(ordered, FUNCTIONS as usize, "one load order per function");
     call_all(&nodes[1..], 2_000);
-    let world = world.lock().expect("no panic holds it");
-    assert_eq!(world.orders.len(), brought, "the others find what stands");
-    assert!(world.ran.values().all(|runs| *runs == 1), "nothing ran twice");
+    let state = state.lock().expect("not poisoned");
+    assert_eq!(state.orders.len(), ordered, "the other controllers find the loaded replicas");
+    assert!(state.ran.values().all(|runs| *runs == 1), "no call ran twice");
 }
 
 #[test]
 fn simultaneous_misses_order_no_more_than_the_ration() {
-    let (world, nodes) = start(|_| ());
+    let (state, nodes) = start(|_| ());
     call_all(&nodes, 0);
-    renew(&world);
+    invalidate_all(&state);
     call_all(&nodes, 1_000);
-    let orders = renew(&world);
+    let orders = invalidate_all(&state);
     assert!(orders <= CONTROLLERS * FUNCTIONS as usize, "{orders} orders");
     assert!(orders >= FUNCTIONS as usize);
 
-    // With a ration: eight in ten seconds, and a quarter of the requests.
-    let (world, nodes) = start(|config| {
+    // With a ration: eight load orders in ten seconds, plus a quarter of the requests.
+    let (state, nodes) = start(|config| {
         let family = &mut config["settings"]["family_info"];
         family["load_period_ms"] = 10_000.into();
         family["load_floor"] = 8.into();
         family["load_share"] = 0.25.into();
     });
     call_all(&nodes[..1], 0);
-    renew(&world);
+    invalidate_all(&state);
     call_all(&nodes[..1], 1_000);
-    // One controller, 24 requests in all within the window.
-    let world = world.lock().expect("no panic holds it");
-    assert!(world.orders.len() <= 8 + 24 / 4, "{:?}", world.orders);
-    assert!(world.ran.values().all(|runs| *runs == 1));
+    // One controller with 24 requests within the period.
+    let state = state.lock().expect("not poisoned");
+    assert!(state.orders.len() <= 8 + 24 / 4, "{:?}", state.orders);
+    assert!(state.ran.values().all(|runs| *runs == 1));
 }
