--- a/crates/node/src/directory.rs
+++ b/crates/node/src/directory.rs
@@ -103,7 +103,7 @@
     old: Option<OldResolver>,
     resolver: SocketAddr,
     token: Token,
-    /// When the latest query times out; `None` once it was answered.
+    /// When the latest query times out; `None` once it was answered or has timed out.
     times_out_at: Option<Instant>,
     next_query_at: Instant,
     serial: u32,
--- a/crates/node/src/guard.rs
+++ b/crates/node/src/guard.rs
@@ -31,7 +31,7 @@
     AnswerWithoutRequest,
     /// A connection was about to be closed with an unanswered request open.
     CloseUnderRequest,
-    /// A connection was about to be closed before the system had taken its answers.
+    /// A connection was about to be closed before all answers queued on it were written to the socket.
     CloseBeforeAnswer,
     /// The process was about to end with unanswered requests.
     EndWithRequests,
--- a/crates/node/src/limits.rs
+++ b/crates/node/src/limits.rs
@@ -46,8 +46,8 @@
 /// Maximum number of requests opened per iteration. The others wait until the sockets have been read again, which bounds
 /// the delay of client disconnects and of answers that are due.
 pub const OPENS_PER_ITERATION: usize = 64;
-/// Maximum wait of a poll. A request read after a poll may have arrived up to this much earlier if the process was not
-/// scheduled; the platform allows this much slack on every time.
+/// Maximum wait of a poll. If the process is not scheduled while it waits, it may read input this much later than it
+/// arrived; the platform allows this much slack on every time.
 pub const MAX_POLL_WAIT: Duration = Duration::from_millis(50);
 /// A response of an invoker must be complete within this time after its first byte: invokers write it in one piece.
 pub const RESPONSE_TIMEOUT: Duration = Duration::from_millis(500);
@@ -82,8 +82,9 @@
 pub const SHUTDOWN_LOG_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Returns the time, in microseconds, that a call arriving at `now` has after shutdown was requested at `since`. That is
-/// `left`, the time its client gives it. After [`KILL_GRACE`] it is also limited to the time until the platform may kill
-/// the process. `longest`: the longest deadline of any class.
+/// `left`, the time its client gives it. If the answer could no longer be sent within [`KILL_GRACE`] after `since`, the
+/// time is limited so that the answer is sent before the platform may kill the process. `longest`: the longest deadline of
+/// any class.
 pub fn time_before_kill(since: Instant, now: Instant, longest: Duration, left: u64) -> u64 {
     if now.saturating_duration_since(since) <= KILL_GRACE - ANSWER_TRANSIT {
         return left;
--- a/crates/node/src/node/dispatch.rs
+++ b/crates/node/src/node/dispatch.rs
@@ -44,7 +44,7 @@
         match event {
             TcpEvent::Accepted(key) => self.front.accepted(&mut self.tcp, key, &mut self.counters),
             TcpEvent::Connected(key) => pending.connected.push(key),
-            TcpEvent::Source(SIGNALS) => self.signal_woke(),
+            TcpEvent::Source(SIGNALS) => self.handle_signal_wakeup(),
             TcpEvent::Source(_) => pending.list = true,
             event if client => self.read_client_event(event),
             event => self.read_invoker_event(event),
@@ -173,8 +173,8 @@
         self.execute_commands();
     }
 
-    /// Returns the time left for a call in microseconds. After SIGTERM it is limited to the time until the platform kills
-    /// this process, so that a request that arrives late is still answered before the kill.
+    /// Returns the time left for a call in microseconds. For a request that arrives late after SIGTERM it is limited to the
+    /// time until the platform may kill this process, so that the request is still answered.
     fn limit_to_kill(&mut self, now: Instant, time_left: u64) -> u64 {
         let Some(since) = self.kill_counts_from else { return time_left };
         let limited = time_before_kill(since, now, self.longest_deadline, time_left);
--- a/crates/node/src/node/lifecycle.rs
+++ b/crates/node/src/node/lifecycle.rs
@@ -103,7 +103,7 @@
 
     /// Handles a wake-up of the poll by a signal. A signal that arrived while the process was suspended is handled when it
     /// resumes.
-    pub(super) fn signal_woke(&mut self) {
+    pub(super) fn handle_signal_wakeup(&mut self) {
         self.signals_checked_at = Instant::now();
         self.handle_signals(self.tcp.reported_since());
     }
--- a/crates/node/src/node/startup.rs
+++ b/crates/node/src/node/startup.rs
@@ -33,7 +33,7 @@
 /// Upper bound on the bytes of a frame besides its payload.
 const FRAME_OVERHEAD: usize = 64;
 /// Text fields of a response besides its body.
-const RESPONSE_WORDS: usize = 4;
+const RESPONSE_TEXT_FIELDS: usize = 4;
 
 /// Durations derived from the settings.
 struct Spans {
@@ -140,7 +140,8 @@
         accepted: bounds.clients + ACCEPTS_PER_ITERATION,
         accepts_per_poll: ACCEPTS_PER_ITERATION,
         made: bounds.pool_connections,
-        input: (MAX_PAYLOAD_BYTES + FRAME_OVERHEAD).max(MAX_BODY_BYTES + RESPONSE_WORDS * MAX_TEXT_BYTES),
+        input: (MAX_PAYLOAD_BYTES + FRAME_OVERHEAD)
+            .max(MAX_BODY_BYTES + RESPONSE_TEXT_FIELDS * MAX_TEXT_BYTES),
         connect_timeout: spans.connect_timeout,
         // After the longest deadline no client waits for an answer any more.
         drain: Duration::from_micros(spans.longest_deadline),
--- a/crates/node/src/pools.rs
+++ b/crates/node/src/pools.rs
@@ -100,8 +100,8 @@
     }
 
     /// Applies a list of all invokers. Connections to an invoker whose address or process changed are closed when no request
-    /// is open on them. Requests that are not written yet are ended as not written, in `out`, if their invoker is out of
-    /// service, not listed any more, or another process than before.
+    /// is open on them. Requests that are not written yet are ended as not written, with events in `out`, if their invoker
+    /// is out of service, is not listed any more, or has another address or process than before.
     pub fn update_endpoints(
         &mut self,
         tcp: &mut Tcp,
--- a/crates/node/src/pools/cancellation.rs
+++ b/crates/node/src/pools/cancellation.rs
@@ -32,7 +32,7 @@
                 debug!(worker, tag, conn = ?key, "connection closed: a cancellation can't be written");
                 return self.close_to_cancel(context, key);
             }
-            // The response did not arrive in time, so the connection itself may be faulty.
+            // No response to the attempt has arrived, so the connection may be faulty: it gets no new requests.
             connection.draining = true;
         }
         connection.remember_finished(tag);
