--- a/crates/node/src/node/startup.rs
+++ b/crates/node/src/node/startup.rs
@@ -139,7 +139,7 @@
         // in the backlog.
         accepted: bounds.clients + ACCEPTS_PER_ITERATION,
         accepts_per_poll: ACCEPTS_PER_ITERATION,
-        made: bounds.pool_connections,
+        outgoing: bounds.pool_connections,
         input: (MAX_PAYLOAD_BYTES + FRAME_OVERHEAD)
             .max(MAX_BODY_BYTES + RESPONSE_TEXT_FIELDS * MAX_TEXT_BYTES),
         connect_timeout: spans.connect_timeout,
