--- a/crates/gateway/tests/descriptors.rs
+++ b/crates/gateway/tests/descriptors.rs
@@ -103,7 +103,7 @@
         [("op", "safe"), ("call", id), ("ttl", "20000"), ("row", "000000000000000b"), ("tags", tags)]
     };
     let mut long = Client::connect(node.address);
-    let stream = long.ask_with(&fields("00000000000000aa"), b"long");
+    let stream = long.send_request_with(&fields("00000000000000aa"), b"long");
     let stop = Arc::new(AtomicBool::new(false));
     let crowd = flood(node.address, Arc::clone(&stop));
     let mut next = 0x100;
@@ -111,8 +111,8 @@
         for _ in 0..20 {
             next += 1;
             let mut client = Client::connect(node.address);
-            let stream = client.ask("safe", next, next, b"ab");
-            assert_eq!(client.answer(stream), (SERVED, b"ab".to_vec()), "{step}");
+            let stream = client.send_request("safe", next, next, b"ab");
+            assert_eq!(client.read_answer(stream), (SERVED, b"ab".to_vec()), "{step}");
         }
         let (files, memory) = node.holds();
         println!("{step}: {files} of {DESCRIPTORS} descriptors, {memory} KiB resident");
@@ -126,19 +126,19 @@
     std::fs::write(&path, configuration.to_string()).expect("written");
     node.signal("HUP");
     let end = Instant::now() + TEST_TIMEOUT;
-    while !second.got().iter().any(|got| got.starts_with("CALL")) {
+    while !second.received().iter().any(|got| got.starts_with("CALL")) {
         assert!(Instant::now() < end, "the new list is heard");
         served("the directory has moved");
     }
     // A new list at the same address, and another move.
     directory.change(listed(&[&first]));
-    let before = first.got().len();
-    while first.got().len() == before {
+    let before = first.received().len();
+    while first.received().len() == before {
         assert!(Instant::now() < end, "the next list is heard");
         served("the directory is back");
     }
     release.send(()).expect("it waits");
-    assert_eq!(long.answer(stream), (SERVED, b"long".to_vec()), "who has a request open is not closed");
+    assert_eq!(long.read_answer(stream), (SERVED, b"long".to_vec()), "who has a request open is not closed");
     stop.store(true, Ordering::Release);
     let made: usize = crowd.into_iter().map(|thread| thread.join().expect("no panic")).sum();
     println!("{made} idle connections came");
@@ -177,11 +177,11 @@
                 let mut word = Vec::new();
                 frames::bare(&mut word, kind::READY, 0);
                 client.socket.write_all(&word).expect("written");
-                assert_eq!(client.frame(), Some((kind::READY_ANSWER, 0, vec![SERVED, 0])));
+                assert_eq!(client.read_frame(), Some((kind::READY_ANSWER, 0, vec![SERVED, 0])));
                 let ready = began.elapsed();
                 // Said to be ready, it takes a request.
-                let stream = client.ask("safe", 7, 7, b"ab");
-                let code = client.answer(stream).0;
+                let stream = client.send_request("safe", 7, 7, b"ab");
+                let code = client.read_answer(stream).0;
                 (ready, code)
             })
         })
--- a/crates/gateway/tests/faults.rs
+++ b/crates/gateway/tests/faults.rs
@@ -110,8 +110,8 @@
     let mut client = node.client();
     for id in 1..6 {
         let body = vec![7; 3_000];
-        let stream = client.ask("safe", id, id, &body);
-        assert_eq!(client.answer(stream), (SERVED, body));
+        let stream = client.send_request("safe", id, id, &body);
+        assert_eq!(client.read_answer(stream), (SERVED, body));
     }
 }
 
@@ -139,14 +139,14 @@
     // Several times: the process must be stopped in its wait, where it is nearly always.
     for id in 1..4 {
         node.stop();
-        let stream = client.ask("safe", id, 1, b"ab");
+        let stream = client.send_request("safe", id, 1, b"ab");
         let sent = Instant::now();
         while sent.elapsed() < STOPPED {
             std::thread::yield_now();
         }
         let waited = sent.elapsed();
         node.signal("CONT");
-        assert_eq!(client.answer(stream), (SERVED, b"ab".to_vec()));
+        assert_eq!(client.read_answer(stream), (SERVED, b"ab".to_vec()));
         let fields = received_fields.lock().expect("no panic holds it").last().cloned().expect("it was sent");
         let patience =
             fields.split(',').find_map(|field| field.strip_prefix("patience=")).expect("the field");
@@ -164,8 +164,8 @@
         Node::start(&invoker, faults, |config| config["settings"]["limits"]["max_attempts"] = 1.into());
     let mut client = node.client();
     for id in 1..6 {
-        let stream = client.ask("safe", id, 1, b"ab");
-        assert_eq!(client.answer(stream), (SERVED, b"ab".to_vec()));
+        let stream = client.send_request("safe", id, 1, b"ab");
+        assert_eq!(client.read_answer(stream), (SERVED, b"ab".to_vec()));
     }
 }
 
@@ -174,8 +174,8 @@
     let invoker = invoker();
     let mut node = Node::start(&invoker, Faults { start: 9, ..Faults::default() }, |_| ());
     let mut client = node.client();
-    let stream = client.ask("safe", 1, 1, b"ab");
-    assert_eq!(client.answer(stream), (SERVED, b"ab".to_vec()));
+    let stream = client.send_request("safe", 1, 1, b"ab");
+    assert_eq!(client.read_answer(stream), (SERVED, b"ab".to_vec()));
 }
 
 /// Serves some calls and ends in order.
@@ -187,8 +187,8 @@
 
 fn serves(client: &mut Client, ids: std::ops::Range<u64>) {
     for id in ids {
-        let stream = client.ask("safe", id, 1, b"ab");
-        assert_eq!(client.answer(stream), (SERVED, b"ab".to_vec()));
+        let stream = client.send_request("safe", id, 1, b"ab");
+        assert_eq!(client.read_answer(stream), (SERVED, b"ab".to_vec()));
     }
 }
 
--- a/crates/gateway/tests/kill.rs
+++ b/crates/gateway/tests/kill.rs
@@ -61,7 +61,7 @@
         let mut word = Vec::new();
         frames::bare(&mut word, kind::READY, 0);
         client.socket.write_all(&word).expect("written");
-        assert_eq!(client.frame(), Some((kind::READY_ANSWER, 0, vec![SERVED, 0])));
+        assert_eq!(client.read_frame(), Some((kind::READY_ANSWER, 0, vec![SERVED, 0])));
         node
     }
 }
@@ -86,8 +86,8 @@
     }
     let node = place.ready();
     let mut client = Client::connect(node.address);
-    let stream = client.ask("safe", 7, 9, b"ab");
-    assert_eq!(client.answer(stream), (SERVED, long("0000000000000007")));
+    let stream = client.send_request("safe", 7, 9, b"ab");
+    assert_eq!(client.read_answer(stream), (SERVED, long("0000000000000007")));
 }
 
 #[test]
@@ -100,10 +100,10 @@
     while asked < UNREAD_REQUESTS {
         for _ in 0..16 {
             asked += 1;
-            client.ask("safe", asked, 9, b"ab");
+            client.send_request("safe", asked, 9, b"ab");
         }
         let end = Instant::now() + TEST_TIMEOUT;
-        while (place.invoker.got().iter().filter(|got| got.starts_with("CALL")).count() as u64) < asked {
+        while (place.invoker.received().iter().filter(|got| got.starts_with("CALL")).count() as u64) < asked {
             assert!(Instant::now() < end, "{asked} are sent on");
             std::thread::yield_now();
         }
@@ -131,6 +131,6 @@
     // Its next life, at the same address, serves the request that was cut, and the invoker has lost nothing else.
     let node = place.ready();
     let mut client = Client::connect(node.address);
-    let stream = client.ask("safe", asked + 1, 9, b"ab");
-    assert_eq!(client.answer(stream), (SERVED, long(&format!("{:016x}", asked + 1))));
+    let stream = client.send_request("safe", asked + 1, 9, b"ab");
+    assert_eq!(client.read_answer(stream), (SERVED, long(&format!("{:016x}", asked + 1))));
 }
--- a/crates/gateway/tests/leaving.rs
+++ b/crates/gateway/tests/leaving.rs
@@ -44,7 +44,10 @@
     let id = format!("{id:016x}");
     let tags = "memory_mb:9;lanes:1;load_ms:50";
     let row = "000000000000000b";
-    client.ask_with(&[("op", "safe"), ("call", &id), ("ttl", "4000"), ("row", row), ("tags", tags)], body)
+    client.send_request_with(
+        &[("op", "safe"), ("call", &id), ("ttl", "4000"), ("row", row), ("tags", tags)],
+        body,
+    )
 }
 
 fn until(what: &str, mut holds: impl FnMut() -> bool) {
@@ -81,9 +84,9 @@
         // The function has one lane: the first has it, the others wait.
         let mut first = Client::connect(node.address);
         let warm = ask(&mut first, 1, b"x");
-        assert_eq!(first.answer(warm).0, SERVED);
+        assert_eq!(first.read_answer(warm).0, SERVED);
         let runs = ask(&mut first, 2, b"hold");
-        until("the first runs", || invoker.got().iter().any(|got| got == "CALL 0000000000000002"));
+        until("the first runs", || invoker.received().iter().any(|got| got == "CALL 0000000000000002"));
         let mut waits: Vec<Client> = (0..40).map(|_| Client::connect(node.address)).collect();
         let mut ready = Vec::new();
         frames::bare(&mut ready, kind::READY, 0);
@@ -114,18 +117,18 @@
                     kept.push(client);
                 }
                 Leaves::Closes => {
-                    let _ = client.frame();
+                    let _ = client.read_frame();
                 }
                 Leaves::Resets => drop(client),
             }
         }
         node.signal("CONT");
-        assert_eq!(first.answer(runs).0, SERVED);
+        assert_eq!(first.read_answer(runs).0, SERVED);
         // All others are served: by then anything that was sent on has come.
         for client in &mut flood {
-            assert_eq!(client.answer(1).0, SERVED, "{way:?}");
+            assert_eq!(client.read_answer(1).0, SERVED, "{way:?}");
         }
-        let sent = invoker.got();
+        let sent = invoker.received();
         let late: Vec<_> =
             (100..140).map(|id| format!("CALL {id:016x}")).filter(|id| sent.contains(id)).collect();
         assert_eq!(late, Vec::<String>::new(), "{way:?}");
--- a/crates/gateway/tests/one_process.rs
+++ b/crates/gateway/tests/one_process.rs
@@ -35,8 +35,8 @@
     let node = Node::of(Node::spawn(&path, 256));
     let mut client = Client::connect(node.address);
     for id in 1..20 {
-        let stream = client.ask("safe", id, id, b"ab");
-        assert_eq!(client.answer(stream), (SERVED, b"ab".to_vec()));
+        let stream = client.send_request("safe", id, id, b"ab");
+        assert_eq!(client.read_answer(stream), (SERVED, b"ab".to_vec()));
     }
     assert_eq!(node.threads_and_children(), (1, 0));
     peer.set_nonblocking(true).expect("set");
--- a/crates/gateway/tests/signals.rs
+++ b/crates/gateway/tests/signals.rs
@@ -68,7 +68,7 @@
 }
 
 fn calls(invoker: &Invoker) -> usize {
-    invoker.got().iter().filter(|got| got.starts_with("CALL")).count()
+    invoker.received().iter().filter(|got| got.starts_with("CALL")).count()
 }
 
 fn plays(order: [Word; 3]) {
@@ -82,7 +82,7 @@
     std::fs::write(&path, configuration.to_string()).expect("written");
     let mut node = Node::of(Node::spawn(&path, 256));
     let mut client = Client::connect(node.address);
-    let held = client.ask("once", 1, 9, b"hold");
+    let held = client.send_request("once", 1, 9, b"hold");
     let end = Instant::now() + TEST_TIMEOUT;
     while calls(&old) == 0 {
         assert!(Instant::now() < end, "{order:?}: it runs");
@@ -116,8 +116,8 @@
     let mut id = 100;
     let mut next = |client: &mut Client| {
         id += 1;
-        let stream = client.ask("safe", id, id, b"ab");
-        assert_eq!(client.answer(stream), (SERVED, b"ab".to_vec()), "{order:?}");
+        let stream = client.send_request("safe", id, id, b"ab");
+        assert_eq!(client.read_answer(stream), (SERVED, b"ab".to_vec()), "{order:?}");
     };
     while calls(&new) == 0 {
         assert!(Instant::now() < end, "{order:?}: the list is heard");
@@ -128,13 +128,13 @@
     assert_eq!(calls(&old), before, "{order:?}: nothing new goes to one that drains");
     // So is what comes on a new connection, which is asked for no more.
     let mut late = Client::connect(node.address);
-    let stream = late.ask("safe", 50, 50, b"ab");
-    assert_eq!(late.frame(), Some((kind::GO_AWAY, 0, vec![])), "{order:?}");
-    assert_eq!(late.answer(stream), (SERVED, b"ab".to_vec()), "{order:?}");
+    let stream = late.send_request("safe", 50, 50, b"ab");
+    assert_eq!(late.read_frame(), Some((kind::GO_AWAY, 0, vec![])), "{order:?}");
+    assert_eq!(late.read_answer(stream), (SERVED, b"ab".to_vec()), "{order:?}");
     gate.open();
-    assert_eq!(client.answer(held), (SERVED, b"hold".to_vec()), "{order:?}: what was open is answered");
+    assert_eq!(client.read_answer(held), (SERVED, b"hold".to_vec()), "{order:?}: what was open is answered");
     assert_eq!(node.ended().code(), Some(0), "{order:?}");
-    assert_eq!(client.frame(), None, "{order:?}: its connection ends with the process");
+    assert_eq!(client.read_frame(), None, "{order:?}: its connection ends with the process");
 }
 
 #[test]
@@ -174,8 +174,8 @@
     std::fs::write(&path, config(directory.address, &listed).to_string()).expect("written");
     let node = Node::of(Node::spawn(&path, 256));
     let mut client = Client::connect(node.address);
-    let warm = client.ask("safe", 1, 9, b"");
-    assert_eq!(client.answer(warm).0, SERVED);
+    let warm = client.send_request("safe", 1, 9, b"");
+    assert_eq!(client.read_answer(warm).0, SERVED);
     node.stop();
     let signalled = Instant::now();
     node.signal("TERM");
@@ -188,8 +188,8 @@
     node.signal("CONT");
     // Later than the platform lets requests come: this one must have its answer before the kill.
     wait_until(KILL_GRACE + Duration::from_millis(200));
-    let late = client.ask("safe", 2, 9, b"");
-    assert_eq!(client.answer(late).0, SERVED);
+    let late = client.send_request("safe", 2, 9, b"");
+    assert_eq!(client.read_answer(late).0, SERVED);
     let sent = signalled.elapsed();
     let told = *told.lock().expect("no panic holds it").last().expect("it ran");
     let kill = LONGEST_COUNTED_DEADLINE + KILL_GRACE;
--- a/crates/node/tests/common/mod.rs
+++ b/crates/node/tests/common/mod.rs
@@ -380,7 +380,7 @@
     }
 
     /// Waits for the answer on a stream: code and body.
-    pub(crate) fn wait_for_answer(&mut self, stream: u32) -> (u8, Vec<u8>) {
+    pub(crate) fn read_answer(&mut self, stream: u32) -> (u8, Vec<u8>) {
         loop {
             if let Some(answer) = self.answers.remove(&stream) {
                 return answer;
--- a/crates/node/tests/end_to_end.rs
+++ b/crates/node/tests/end_to_end.rs
@@ -43,7 +43,7 @@
     let streams: Vec<u32> =
         (0..20).map(|n| client.send_request("safe", n + 1, n % 3, &[1, 2, n as u8])).collect();
     for (n, stream) in streams.into_iter().enumerate().rev() {
-        assert_eq!(client.wait_for_answer(stream), (SERVED, vec![n as u8, 2, 1]));
+        assert_eq!(client.read_answer(stream), (SERVED, vec![n as u8, 2, 1]));
     }
 }
 
@@ -62,7 +62,7 @@
     let node = RunningNode::start(&[&invoker]);
     let mut client = node.client();
     let stream = client.send_request("once", 7, 9, b"ab");
-    assert_eq!(client.wait_for_answer(stream), (SERVED, b"ba".to_vec()));
+    assert_eq!(client.read_answer(stream), (SERVED, b"ba".to_vec()));
     let received = invoker.received();
     let keywords: Vec<_> = received.iter().map(|command| command.split(' ').next().unwrap_or("")).collect();
     assert_eq!(keywords, ["CALL", "LOAD", "CALL"]);
@@ -78,13 +78,13 @@
     let node = RunningNode::start(&[&invoker]);
     let mut client = node.client();
     let first = client.send_request("once", 1, 9, b"fine");
-    assert_eq!(client.wait_for_answer(first).0, SERVED);
+    assert_eq!(client.read_answer(first).0, SERVED);
     let lost = client.send_request("once", 2, 9, b"break");
-    assert_eq!(client.wait_for_answer(lost).0, FAILED, "it may have run");
+    assert_eq!(client.read_answer(lost).0, FAILED, "it may have run");
     // The only worker stays in use at full capacity: a health check found its process alive.
     for id in 3..9 {
         let next = client.send_request("once", id, 9, b"fine");
-        assert_eq!(client.wait_for_answer(next).0, SERVED);
+        assert_eq!(client.read_answer(next).0, SERVED);
     }
     let received = invoker.received();
     assert_eq!(
@@ -118,7 +118,7 @@
     let mut client = node.client();
     for id in 1..=count {
         let stream = client.send_request("safe", id, 9, b"spoil");
-        assert_eq!(client.wait_for_answer(stream), (SERVED, b"liops".to_vec()));
+        assert_eq!(client.read_answer(stream), (SERVED, b"liops".to_vec()));
     }
     assert_eq!(node.stop().bad_answers, count);
 }
@@ -140,7 +140,7 @@
     let mut client = node.client();
     for id in 1..30 {
         let stream = client.send_request("safe", id, 9, &[id as u8]);
-        assert_eq!(client.wait_for_answer(stream), (SERVED, vec![id as u8]));
+        assert_eq!(client.read_answer(stream), (SERVED, vec![id as u8]));
     }
 }
 
@@ -164,9 +164,9 @@
     let node = RunningNode::start(&[&invoker]);
     let mut client = node.client();
     let first = client.send_request("safe", 1, 9, b"fine");
-    assert_eq!(client.wait_for_answer(first).0, SERVED);
+    assert_eq!(client.read_answer(first).0, SERVED);
     let stream = client.send_request("safe", 2, 9, b"hang");
-    assert_eq!(client.wait_for_answer(stream), (SERVED, b"gnah".to_vec()), "retried within the deadline");
+    assert_eq!(client.read_answer(stream), (SERVED, b"gnah".to_vec()), "retried within the deadline");
 }
 
 #[test]
@@ -175,7 +175,7 @@
     let mut node = RunningNode::start(&[&invoker]);
     let mut other = node.client();
     let stream = other.send_request("safe", 4, 2, b"ab");
-    assert_eq!(other.wait_for_answer(stream).0, SERVED);
+    assert_eq!(other.read_answer(stream).0, SERVED);
     let id = "00000000000000aa";
     let bad: [&[(&str, &str)]; 5] = [
         &[("op", "safe"), ("ttl", "100"), ("row", id)],
@@ -187,12 +187,12 @@
     let mut client = node.client();
     for fields in bad {
         let stream = client.send_request_with(fields, b"");
-        assert_eq!(client.wait_for_answer(stream).0, FAILED, "{fields:?}");
+        assert_eq!(client.read_answer(stream).0, FAILED, "{fields:?}");
     }
     let long = client.send_request("safe", 1, 2, &[0; 100_000]);
-    assert_eq!(client.wait_for_answer(long).0, FAILED, "skipped, not stored");
+    assert_eq!(client.read_answer(long).0, FAILED, "skipped, not stored");
     let after = client.send_request("safe", 1, 2, b"ab");
-    assert_eq!(client.wait_for_answer(after), (SERVED, b"ba".to_vec()), "the frames that follow are read");
+    assert_eq!(client.read_answer(after), (SERVED, b"ba".to_vec()), "the frames that follow are read");
 
     for length in [0u32, 4, 60_000_000, u32::MAX] {
         let mut client = node.client();
@@ -226,7 +226,7 @@
     assert!(matches!(partial.read_frame(), Some((frames::kind::ANSWER, 0, _))));
 
     let stream = other.send_request("safe", 5, 2, b"ab");
-    assert_eq!(other.wait_for_answer(stream).0, SERVED);
+    assert_eq!(other.read_answer(stream).0, SERVED);
     let count = node.stop();
     assert_eq!((count.bad_requests, count.closed_for_faults, count.closed_for_silence), (7, 5, 2));
 }
@@ -240,13 +240,13 @@
     for id in 33..=50 {
         let stream = client.send_request("safe", id, id, b"slow");
         if id <= 40 {
-            assert_eq!(client.wait_for_answer(stream).0, REFUSED);
+            assert_eq!(client.read_answer(stream).0, REFUSED);
         }
     }
     // The connection closes because of the excess requests: its open requests get one answer at once, while the invoker
     // still runs them.
     for stream in streams {
-        assert!(matches!(client.wait_for_answer(stream).0, REFUSED | FAILED), "{stream}");
+        assert!(matches!(client.read_answer(stream).0, REFUSED | FAILED), "{stream}");
     }
     while let Some((_, stream, _)) = client.read_frame() {
         assert!(stream == 0 || stream > 32, "{stream}");
@@ -269,7 +269,7 @@
     }
     frames::request(&mut both, 21, &fields, b"ab");
     client.socket.write_all(&both).expect("written");
-    assert_eq!(client.wait_for_answer(21), (SERVED, b"ba".to_vec()));
+    assert_eq!(client.read_answer(21), (SERVED, b"ba".to_vec()));
     assert_eq!(
         invoker.received().iter().filter(|command| command.starts_with("CALL")).count(),
         1,
@@ -308,15 +308,15 @@
     let mut node = RunningNode::start(&[&invoker]);
     let mut client = node.client();
     let split = client.send_request("safe", 1, 9, b"split");
-    assert_eq!(client.wait_for_answer(split).0, SERVED);
+    assert_eq!(client.read_answer(split).0, SERVED);
     let rest = client.send_request("safe", 2, 9, b"rest");
-    let (_, connection) = client.wait_for_answer(rest);
+    let (_, connection) = client.read_answer(rest);
     // Longer than the timeout of an incomplete response.
     let until = std::time::Instant::now() + nettleferry_node::limits::RESPONSE_TIMEOUT * 2;
     let mut id = 3;
     while std::time::Instant::now() < until {
         let late = client.send_request("safe", id, 9, b"late");
-        assert_eq!(client.wait_for_answer(late), (SERVED, connection.clone()), "on the same connection");
+        assert_eq!(client.read_answer(late), (SERVED, connection.clone()), "on the same connection");
         id += 1;
     }
     assert_eq!(node.stop().bad_answers, 0);
@@ -328,7 +328,7 @@
     let mut node = RunningNode::start(&[&invoker]);
     let mut client = node.client();
     let first = client.send_request("safe", 1, 9, b"fine");
-    assert_eq!(client.wait_for_answer(first).0, SERVED);
+    assert_eq!(client.read_answer(first).0, SERVED);
     let slow = client.send_request("safe", 2, 9, b"slow");
     while !invoker.received().iter().any(|command| command.ends_with('2')) {
         std::thread::yield_now();
@@ -338,9 +338,9 @@
     // A request on a new connection is still served.
     let mut late = node.client();
     let stream = late.send_request("safe", 3, 9, b"ab");
-    assert_eq!(late.wait_for_answer(stream).0, SERVED);
+    assert_eq!(late.read_answer(stream).0, SERVED);
     release.send(()).expect("it waits");
-    assert_eq!(client.wait_for_answer(slow), (SERVED, b"wols".to_vec()));
+    assert_eq!(client.read_answer(slow), (SERVED, b"wols".to_vec()));
     assert_eq!(node.join().requests, 3);
 }
 
@@ -350,7 +350,7 @@
     let node = RunningNode::start(&[&one]);
     let mut client = node.client();
     let first = client.send_request("safe", 1, 9, b"ab");
-    assert_eq!(client.wait_for_answer(first).0, SERVED);
+    assert_eq!(client.read_answer(first).0, SERVED);
     node.directory.change(vec![
         ListedInvoker { draining: true, ..ListedInvoker::new(0, one.address) },
         ListedInvoker::new(1, two.address),
@@ -359,12 +359,12 @@
     while two.received().is_empty() {
         id += 1;
         let stream = client.send_request("safe", id, 9, b"ab");
-        assert_eq!(client.wait_for_answer(stream).0, SERVED);
+        assert_eq!(client.read_answer(stream).0, SERVED);
     }
     let before = one.received().len();
     for id in 10_000..10_020 {
         let stream = client.send_request("safe", id, id, b"ab");
-        assert_eq!(client.wait_for_answer(stream).0, SERVED);
+        assert_eq!(client.read_answer(stream).0, SERVED);
     }
     assert_eq!(one.received().len(), before);
 }
--- a/crates/node/tests/versions.rs
+++ b/crates/node/tests/versions.rs
@@ -61,7 +61,7 @@
             };
             let streams: Vec<u32> = clients.iter_mut().map(ask).collect();
             for (client, stream) in clients.iter_mut().zip(streams) {
-                assert_eq!(client.wait_for_answer(stream).0, SERVED, "calls of every class are served");
+                assert_eq!(client.read_answer(stream).0, SERVED, "calls of every class are served");
             }
         }
     }
