--- a/crates/administration/src/admin_server.rs
+++ b/crates/administration/src/admin_server.rs
@@ -1,5 +1,5 @@
-//! The administration's thread as the controller sees it: a leader that owns the tenants, or a follower that replicates
-//! another's. It starts with the controller, sends it events, and is stopped and joined with it.
+//! The controller's handle to its administration thread, which runs as the leader that owns the tenants or as a
+//! follower that replicates them. The thread starts and ends with the controller and sends events to it.
 
 use std::io;
 use std::net::SocketAddr;
@@ -25,12 +25,12 @@
 use crate::snapshot_document::{SharedSnapshot, SnapshotDocument};
 use crate::snapshot_listener;
 
-/// The administration's thread. Dropping this stops and joins it; a leader then has written its last snapshot, and a
-/// follower has said that it ends.
+/// A running administration thread. Dropping this stops and joins the thread: a leader writes its last snapshot first,
+/// and a follower with a lease deregisters from the leader.
 pub struct AdminServer {
-    /// The address that it listens on; `None`: it has no listener.
+    /// The local address of the listener; `None` for a follower that serves no snapshots.
     pub local: Option<SocketAddr>,
-    /// The snapshot to start with; `None`: no tenant is known yet.
+    /// The snapshot that was read from disk at the start; `None` if no tenants are known yet.
     pub snapshot: Option<SnapshotDocument>,
     events: Receiver<AdminEvent>,
     status: SharedStatus,
@@ -40,7 +40,7 @@
     _snapshot_listener: Option<Endpoint>,
 }
 
-/// Stops and wakes the thread.
+/// Wakes or stops the administration thread from the controller's thread.
 enum Stopper {
     Leader(Stop),
     Follower { stopped: Arc<AtomicBool>, waker: Arc<mio::Waker> },
@@ -66,10 +66,10 @@
 }
 
 impl AdminServer {
-    /// Starts what the settings say.
+    /// Starts a leader or a follower, depending on the settings.
     ///
     /// # Errors
-    /// A listener, a file or a thread that is needed cannot be had.
+    /// A listener cannot be bound, a required file cannot be opened, or the thread cannot be started.
     pub fn start(admin: &AdminSettings, controller: ControllerContext) -> io::Result<Self> {
         match &admin.administration {
             Administration::Leader(leader) => {
@@ -102,7 +102,7 @@
                     snapshot_file,
                     peers,
                     requires_lease: without_lease.rejects,
-                    borrows: admin.reserve < 1.0,
+                    uses_loans: admin.reserve < 1.0,
                     controller,
                 };
                 Self::start_follower(config, snapshot_server.as_ref())
@@ -157,18 +157,18 @@
         })
     }
 
-    /// The events that were sent since the last time, in order.
+    /// The events that the administration thread has sent since the previous call, in order.
     pub fn events(&self) -> impl Iterator<Item = AdminEvent> + '_ {
         self.events.try_iter()
     }
 
-    /// All events before this checkpoint are in force.
+    /// Reports that the controller has applied all events that precede this checkpoint.
     pub fn acknowledge(&self, checkpoint: u64) {
         self.acknowledged.store(checkpoint, Ordering::Release);
         self.stopper.wake();
     }
 
-    /// The controller's status, for the controller to update.
+    /// Locks the controller's status, which the controller updates and the administration thread reads.
     pub fn status(&self) -> MutexGuard<'_, ControllerStatus> {
         lock(&self.status)
     }
--- a/crates/administration/src/applied_versions.rs
+++ b/crates/administration/src/applied_versions.rs
@@ -1,5 +1,5 @@
-//! Which versions the controller's thread has applied, as the thread that sends them knows it: checkpoints are sent behind
-//! the changes, in order, and acknowledged once all that was sent before them is in force.
+//! Tracks which snapshot version the controller's thread has applied. The administration thread sends a checkpoint
+//! after each batch of changes; the controller acknowledges a checkpoint once it has applied all events before it.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -7,19 +7,19 @@
 
 use nettleferry_fleet::membership::Version;
 
-/// The last checkpoint that the controller's thread has acknowledged.
+/// The number of the last checkpoint that the controller's thread has acknowledged; 0 if there is none.
 pub(crate) type AcknowledgedCheckpoint = Arc<AtomicU64>;
 
-/// Checkpoints that wait for their acknowledgement; beyond them a newer one replaces the last one.
+/// Maximum number of unacknowledged checkpoints; when it is reached, a new checkpoint replaces the newest one.
 const MAX_PENDING: usize = 1_024;
 
-/// A checkpoint, and the version that is in force with it.
+/// An unacknowledged checkpoint, and the version that is in force once it is acknowledged.
 struct PendingCheckpoint {
     number: u64,
     version: Version,
 }
 
-/// The checkpoints of one sender.
+/// The checkpoints that one administration thread has sent, and the version in force as far as they are acknowledged.
 pub(crate) struct AppliedVersions {
     acknowledged: AcknowledgedCheckpoint,
     last_number: u64,
@@ -28,19 +28,19 @@
 }
 
 impl AppliedVersions {
-    /// Starts with the version that is in force from the start.
+    /// Starts without checkpoints. `in_force` is the version that the controller starts with.
     pub(crate) fn new(in_force: Version) -> Self {
         let acknowledged = AcknowledgedCheckpoint::default();
         Self { acknowledged, last_number: 0, pending: VecDeque::new(), in_force }
     }
 
-    /// The acknowledgement, for the controller's thread.
+    /// The counter that the controller's thread sets when it acknowledges a checkpoint.
     pub(crate) fn acknowledged(&self) -> AcknowledgedCheckpoint {
         Arc::clone(&self.acknowledged)
     }
 
-    /// Changes up to this version were sent. Returns the number of the checkpoint to send behind them.
-    pub(crate) fn sent(&mut self, version: Version) -> u64 {
+    /// Records that changes up to this version were sent. Returns the number of the checkpoint to send after them.
+    pub(crate) fn record_sent(&mut self, version: Version) -> u64 {
         self.last_number += 1;
         if self.pending.len() >= MAX_PENDING {
             self.pending.pop_back();
@@ -49,12 +49,12 @@
         self.last_number
     }
 
-    /// The version that was sent last.
+    /// The version that was sent last, whether it is acknowledged or not.
     pub(crate) fn last_sent(&self) -> Version {
         self.pending.back().map_or(self.in_force, |checkpoint| checkpoint.version)
     }
 
-    /// The version that is in force by now.
+    /// The version that the controller has applied, by its latest acknowledgement.
     pub(crate) fn in_force(&mut self) -> Version {
         let acknowledged = self.acknowledged.load(Ordering::Acquire);
         while let Some(checkpoint) = self.pending.front()
--- a/crates/administration/src/audit_log_writer.rs
+++ b/crates/administration/src/audit_log_writer.rs
@@ -1,7 +1,7 @@
-//! Writes this controller's audit log. A thread of its own appends entries to a bounded, crash-safe log; the newest
-//! entries also stay in memory for whoever delivers or collects them. What an entry holds, and that each is chained to
-//! the one before, is decided by `nettleferry_audit_log`. The thread that answers calls hands entries over by a bounded
-//! queue and never waits for the disk.
+//! Writes this controller's audit log. A dedicated thread appends entries to a bounded write-ahead log; the newest
+//! entries also stay in memory, from where a follower delivers them and the leader collects its own. The content of an
+//! entry and the checksum chain are defined by `nettleferry_audit_log`. The thread that serves calls passes entries
+//! through a bounded queue and never waits for the disk.
 
 use std::collections::VecDeque;
 use std::io;
@@ -16,18 +16,18 @@
 use nettleferry_wal::{DirectoryStorage, Limits, WalError, WriteAheadLog};
 use tracing::{info, warn};
 
-/// Batches queued for the disk; entries beyond them wait in the recorder.
+/// Maximum number of batches queued for the disk; further entries wait in the recorder.
 const MAX_QUEUED_BATCHES: usize = 16;
-/// Entries of one batch.
+/// Maximum number of entries in one batch.
 const MAX_BATCH_ENTRIES: usize = 512;
-/// Bytes of the newest entries that stay in memory.
+/// Maximum size of the newest entries that stay in memory, in bytes of text.
 const MAX_RECENT_BYTES: usize = 4 << 20;
-/// A start waits at most this long for the log of the earlier incarnations.
+/// How long a start waits for the log of earlier incarnations to be read.
 const OPEN_TIMEOUT: Duration = Duration::from_secs(2);
-/// Bytes of a segment at most. The log drops whole segments to stay within its bound.
+/// Maximum size of a segment in bytes. The log drops whole segments to stay within its size limit.
 const MAX_SEGMENT_BYTES: u64 = 1 << 20;
 
-/// An entry as its text, which the chain's checksums cover.
+/// An entry with its encoded text. The checksum chain covers this text, so it is passed on unchanged.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EncodedEntry {
     /// The entry's number in its log, from 1.
@@ -36,14 +36,14 @@
     pub text: String,
 }
 
-/// The newest entries of a log, in order, within a bound of bytes.
+/// The newest entries of a log, in order, up to a limit in bytes.
 #[derive(Default)]
 pub struct RecentEntries {
     entries: VecDeque<EncodedEntry>,
     bytes: usize,
 }
 
-/// The newest entries, shared with those who deliver and collect them.
+/// The newest entries, shared between the writer's thread and the administration thread.
 pub type SharedEntries = Arc<Mutex<RecentEntries>>;
 
 impl RecentEntries {
@@ -57,7 +57,8 @@
         }
     }
 
-    /// Entries with a greater number than this, in order: at most so many bytes of text, but at least one entry.
+    /// Entries with a number greater than `number`, in order. Returns at most `max_bytes` of text, but at least one
+    /// entry if there is one.
     pub fn after(&self, number: u64, max_bytes: usize) -> Vec<EncodedEntry> {
         let from = self.entries.partition_point(|entry| entry.number <= number);
         let mut bytes = 0;
@@ -69,25 +70,25 @@
         self.entries.range(from..).take_while(fits).cloned().collect()
     }
 
-    /// The number of the last entry; 0: there is none.
+    /// The number of the last entry; 0 if there is none.
     #[cfg(test)]
     fn last_number(&self) -> u64 {
         self.entries.back().map_or(0, |entry| entry.number)
     }
 }
 
-/// Locks the newest entries. The lock is never held over I/O.
+/// Locks the newest entries. Callers must not do I/O while they hold the lock.
 pub fn lock(recent: &SharedEntries) -> MutexGuard<'_, RecentEntries> {
     recent.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// The audit log's writer. Its thread ends once this is dropped and the queue is written.
+/// The handle to the audit log's writer thread, which ends after this is dropped and the queue is written.
 pub struct AuditLogWriter {
     queue: SyncSender<Vec<String>>,
     recent: SharedEntries,
 }
 
-/// Reads and checks a whole log in this folder.
+/// Reads the audit log in this folder and verifies its checksum chain. Errors in the chain are part of the result.
 ///
 /// # Errors
 /// The folder cannot be read as a write-ahead log.
@@ -97,39 +98,39 @@
 }
 
 impl AuditLogWriter {
-    /// Starts the thread, which opens the folder; the log keeps at most so many bytes. Also returns the last entry
-    /// that the log holds, by which the new incarnation's entries are chained to it. `None`: the log is empty, or was
-    /// not read in time, which is logged.
+    /// Starts the thread, which opens the log in `folder` and keeps it within `max_bytes`. Also returns the tail of the
+    /// log, to which the new incarnation chains its entries; `None` if the log is empty, cannot be opened or was not
+    /// read in time. Both failures are logged.
     ///
     /// # Errors
     /// The thread cannot be started.
     pub fn start(folder: PathBuf, max_bytes: u64) -> io::Result<(Self, Option<Tail>)> {
         let (queue, batches) = sync_channel(MAX_QUEUED_BATCHES);
-        let (opened, tail) = sync_channel(1);
+        let (tail_sender, tail_receiver) = sync_channel(1);
         let recent = SharedEntries::default();
         let entries = Arc::clone(&recent);
         let run = move || match open(folder, max_bytes, &entries) {
             Ok((wal, tail)) => {
-                if opened.send(tail).is_ok() {
+                if tail_sender.send(tail).is_ok() {
                     write_batches(wal, &batches, &entries);
                 }
             }
             Err(error) => warn!(%error, "audit log can't be opened, entries stay in memory only"),
         };
         std::thread::Builder::new().name("audit-log".to_owned()).spawn(run)?;
-        let tail = tail.recv_timeout(OPEN_TIMEOUT).unwrap_or_else(|_| {
+        let tail = tail_receiver.recv_timeout(OPEN_TIMEOUT).unwrap_or_else(|_| {
             warn!("audit log can't be read in time, this incarnation's entries start a new chain");
             None
         });
         Ok((Self { queue, recent }, tail))
     }
 
-    /// The newest entries.
+    /// The newest entries, shared with the writer's thread.
     pub fn recent(&self) -> SharedEntries {
         Arc::clone(&self.recent)
     }
 
-    /// Takes over the recorder's entries as far as the queue has room. Never waits.
+    /// Moves the recorder's entries to the writer's queue. Entries that do not fit stay in the recorder. Never blocks.
     pub fn submit(&self, recorder: &mut Recorder) {
         while recorder.waiting() > 0 {
             let batch: Vec<String> = recorder.take(MAX_BATCH_ENTRIES).collect();
@@ -137,13 +138,13 @@
                 Ok(()) => {}
                 Err(TrySendError::Full(batch)) => return recorder.put_back(batch),
                 // The log could not be opened: its entries can still be collected from memory.
-                Err(TrySendError::Disconnected(batch)) => remember(&self.recent, batch),
+                Err(TrySendError::Disconnected(batch)) => push_recent(&self.recent, batch),
             }
         }
     }
 }
 
-fn remember(recent: &SharedEntries, batch: Vec<String>) {
+fn push_recent(recent: &SharedEntries, batch: Vec<String>) {
     let mut recent = lock(recent);
     for text in batch {
         if let Ok(entry) = Entry::from_json(&text) {
@@ -154,7 +155,7 @@
 
 type Wal = WriteAheadLog<DirectoryStorage>;
 
-/// The log in this folder, and the texts that it holds.
+/// Opens the log in this folder. Also returns the texts of the entries that it holds.
 fn open_log(folder: PathBuf, limits: Limits) -> Result<(Wal, Vec<String>), WalError> {
     let storage = DirectoryStorage::open(folder).map_err(WalError::from)?;
     let (wal, found) = WriteAheadLog::open(storage, limits)?;
@@ -171,11 +172,11 @@
         warn!(%error, "audit log of earlier incarnations is incomplete");
     }
     info!(entries = checked.entries.len(), errors = checked.errors.len(), "audit log opened");
-    remember(recent, texts);
+    push_recent(recent, texts);
     Ok((wal, checked.tail))
 }
 
-/// Writes until the queue's sender is gone.
+/// Writes batches until the [`AuditLogWriter`] is dropped.
 fn write_batches(mut wal: Wal, batches: &Receiver<Vec<String>>, recent: &SharedEntries) {
     let mut failing = false;
     while let Ok(mut batch) = batches.recv() {
@@ -192,7 +193,7 @@
             _ => {}
         }
         failing = written.is_err();
-        remember(recent, batch);
+        push_recent(recent, batch);
     }
 }
 
--- a/crates/administration/src/collected_logs.rs
+++ b/crates/administration/src/collected_logs.rs
@@ -1,6 +1,6 @@
-//! Audit logs of all controllers, as they delivered them: bounded, and persisted beside the tenant store, so that what
-//! a controller delivered before it was lost outlives the administration's process too. Written on the administration's
-//! own thread.
+//! The audit logs that all controllers have delivered to the leader. They are bounded, and persisted beside the tenant
+//! store, so that the entries of a controller that was lost also survive a restart of the leader. The administration
+//! thread itself does the writes.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::path::PathBuf;
@@ -11,44 +11,44 @@
 use serde_json::{Value, json};
 use tracing::{info, warn};
 
-/// Logs at most.
+/// Maximum number of logs.
 pub(crate) const MAX_LOGS: usize = 1_024;
-/// Entries that are kept of one log; the oldest are dropped first.
+/// Maximum number of entries kept of one log; the oldest are dropped first.
 pub(crate) const MAX_ENTRIES: usize = 20_000;
-/// Bytes of all logs on the disk.
+/// Maximum size of all logs on disk, in bytes.
 const MAX_BYTES: u64 = 64 << 20;
-/// Bytes of a segment on the disk.
+/// Maximum size of a segment on disk, in bytes.
 const SEGMENT_BYTES: u64 = 4 << 20;
 
-/// The name of the administration's own log, of changes and acknowledgements.
+/// The owner name of the administration's own log, which records accepted changes and their acknowledgements.
 pub const ADMINISTRATION_LOG: &str = "administration";
 
-/// An entry on the disk.
+/// The form in which an entry is persisted.
 #[derive(Serialize, Deserialize)]
 struct StoredEntry {
-    /// Whose log it is of: a controller's number, or [`ADMINISTRATION_LOG`].
+    /// The owner of the log: a controller's number, or [`ADMINISTRATION_LOG`].
     #[serde(rename = "of")]
     owner: String,
     text: String,
 }
 
-/// One log's newest entries.
+/// The newest entries of one log.
 #[derive(Default)]
 struct CollectedLog {
     entries: VecDeque<String>,
     last_number: u64,
 }
 
-/// Some entries of one log.
+/// A page of consecutive entries of one log.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) struct LogPage<'a> {
     /// The entries' texts, in order.
     pub(crate) entries: Vec<&'a str>,
-    /// The position of the next page; `None`: this is the last one.
+    /// The index of the next page's first entry; `None` on the last page.
     pub(crate) next: Option<usize>,
 }
 
-/// All logs, by their owner.
+/// All collected logs, by owner.
 pub(crate) struct CollectedLogs {
     wal: Option<WriteAheadLog<DirectoryStorage>>,
     logs: BTreeMap<String, CollectedLog>,
@@ -56,7 +56,7 @@
 }
 
 impl CollectedLogs {
-    /// Opens the logs in this folder. If that fails, which is logged, they are kept in memory only.
+    /// Opens the logs in this folder. If that fails, the error is logged and the logs are kept in memory only.
     pub(crate) fn open(folder: PathBuf) -> Self {
         let limits = Limits { bytes: MAX_BYTES, segment_bytes: SEGMENT_BYTES };
         let opened = DirectoryStorage::open(folder)
@@ -78,14 +78,15 @@
         collected
     }
 
-    /// Takes an entry into memory; `false`: it is invalid, is there already, or there is no room for a further log.
+    /// Adds an entry in memory. Returns `false` for an invalid entry, for one that is already stored, and for a new log
+    /// beyond [`MAX_LOGS`].
     fn insert(&mut self, owner: &str, text: String) -> bool {
         let Ok(entry) = Entry::from_json(&text) else { return false };
         if !self.logs.contains_key(owner) && self.logs.len() >= MAX_LOGS {
             return false;
         }
         let log = self.logs.entry(owner.to_owned()).or_default();
-        // A first entry after later ones: the log started again on an empty disk.
+        // Entry 1 is accepted after later entries: the controller has lost its disk and started a new log.
         if entry.number <= log.last_number && entry.number > 1 {
             return false;
         }
@@ -97,21 +98,21 @@
         true
     }
 
-    /// Takes entries of a log in, durable when this returns as far as the disk allows. Returns the number of the last
-    /// entry that is held.
+    /// Stores entries of a log, and syncs them to disk before it returns; a failed sync is logged. Returns the number
+    /// of the last stored entry of this log.
     pub(crate) fn append(&mut self, owner: &str, texts: Vec<String>) -> u64 {
-        let mut any = false;
+        let mut any_inserted = false;
         for text in texts {
             let stored = StoredEntry { owner: owner.to_owned(), text: text.clone() };
             if self.insert(owner, text) {
-                any = true;
+                any_inserted = true;
                 let bytes = serde_json::to_vec(&stored).ok();
                 let written = bytes.zip(self.wal.as_mut()).map(|(bytes, wal)| wal.append(&bytes));
                 self.unpersisted += u64::from(!matches!(written, Some(Ok(_))));
             }
         }
-        // Acknowledged as delivered only once it is durable.
-        if any
+        // The caller acknowledges the delivery after this, so the entries must be durable first.
+        if any_inserted
             && let Some(wal) = &mut self.wal
             && let Err(error) = wal.sync()
         {
@@ -120,23 +121,23 @@
         self.last_number(owner)
     }
 
-    /// The number of a log's last entry; 0: there is none.
+    /// The number of a log's last entry; 0 if there is none.
     pub(crate) fn last_number(&self, owner: &str) -> u64 {
         self.logs.get(owner).map_or(0, |log| log.last_number)
     }
 
-    /// Entries that found no room on the disk.
+    /// The number of entries that could not be appended to the log on disk since the start.
     pub(crate) fn unpersisted(&self) -> u64 {
         self.unpersisted
     }
 
-    /// The logs with their lengths, for the API.
+    /// The owner, the number of stored entries and the last entry's number of each log, as JSON for the API.
     pub(crate) fn summary(&self) -> Value {
         let row = |(owner, log): (&String, &CollectedLog)| json!({ "of": owner, "lines": log.entries.len(), "last": log.last_number });
         json!(self.logs.iter().map(row).collect::<Vec<_>>())
     }
 
-    /// At most so many entries of a log, from this position on. `None`: there is no such log.
+    /// Up to `limit` entries of a log, starting at index `from`; `None` if there is no log of this owner.
     pub(crate) fn page(&self, owner: &str, from: usize, limit: usize) -> Option<LogPage<'_>> {
         let all = &self.logs.get(owner)?.entries;
         let entries: Vec<&str> = all.iter().skip(from).take(limit).map(String::as_str).collect();
--- a/crates/administration/src/collected_logs/tests.rs
+++ b/crates/administration/src/collected_logs/tests.rs
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn delivered_entries_are_there_after_a_restart_and_none_twice() {
+fn delivered_entries_survive_a_restart_and_are_stored_once() {
     let dir = tempfile::tempdir().expect("temporary folder");
     let mut logs = CollectedLogs::open(dir.path().to_owned());
     assert_eq!(logs.append("1", (1..=5).map(entry).collect()), 5);
--- a/crates/administration/src/endpoint.rs
+++ b/crates/administration/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! A small HTTP/1.1 listener with a thread of its own, for requests that are answered from memory at once.
+//! A small HTTP/1.1 listener on its own thread, for requests that are answered from memory without waiting.
 
 use std::io;
 use std::net::SocketAddr;
@@ -7,20 +7,20 @@
 use nettleferry_net::http1::{Http1Limits, Http1Server, Reply, Request, Stop};
 use tracing::warn;
 
-/// The listener. Its thread is stopped and joined when this is dropped.
+/// A running HTTP listener. Dropping this stops and joins its thread.
 pub struct Endpoint {
-    /// The address that it listens on.
+    /// The local address of the listener, with the actual port.
     pub local: SocketAddr,
     stop: Stop,
     thread: Option<JoinHandle<()>>,
 }
 
 impl Endpoint {
-    /// Listens, and answers each request by `answer`. A request whose body is longer than `body_bytes` is rejected.
-    /// `name` is that of the thread, and of the endpoint in the log.
+    /// Binds `listen` and answers each request with `answer`. A request with a body longer than `body_bytes` is
+    /// rejected. `name` is the name of the thread, and of the endpoint in log messages.
     ///
     /// # Errors
-    /// The address cannot be listened on, or the thread cannot be started.
+    /// The address cannot be bound, or the thread cannot be started.
     pub fn start(
         listen: SocketAddr,
         body_bytes: usize,
--- a/crates/administration/src/follower/deliveries.rs
+++ b/crates/administration/src/follower/deliveries.rs
@@ -1,5 +1,5 @@
-//! What a follower with a lease sends to the leader besides its heartbeats: its demands for loans, and the entries of its
-//! audit log.
+//! Requests that a follower with a lease sends to the leader besides its heartbeats: its demands for loans, and the
+//! entries of its audit log.
 
 use std::io;
 use std::time::{Duration, Instant};
@@ -12,28 +12,33 @@
 use crate::controller_link::ControllerLink;
 use crate::messages::AdminEvent;
 
-/// Bytes of audit entries in one request.
+/// Maximum size of the audit entries in one request, in bytes of text.
 const MAX_DELIVERY_BYTES: usize = 256 << 10;
 
-/// The follower's demands.
-pub(super) struct Borrowing {
+/// Requests loans from the leader for the controller's demands.
+pub(super) struct LoanRequester {
     controller: u32,
     incarnation: u64,
-    /// Whether the leader grants loans, as far as it is known.
+    /// Whether loans are requested; cleared when the leader's response shows that it has no endpoint for loans.
     enabled: bool,
 }
 
-impl Borrowing {
-    /// `enabled`: whether the settings divide limits by loans.
+impl LoanRequester {
+    /// Creates a requester. `enabled`: whether limits are divided by loans according to the settings.
     pub(super) fn new(controller: u32, incarnation: u64, enabled: bool) -> Self {
         Self { controller, incarnation, enabled }
     }
 
-    /// Reports what calls could use of limits, and sends the controller what they may use.
+    /// Reports the controller's demands to the leader, and sends the granted loans to the controller. Does nothing
+    /// without demands, and grants nothing if the leader does not respond.
     ///
     /// # Errors
     /// The system's poll failed.
-    pub(super) fn borrow(&mut self, client: &mut LeaderClient, link: &ControllerLink) -> io::Result<()> {
+    pub(super) fn request_loans(
+        &mut self,
+        client: &mut LeaderClient,
+        link: &ControllerLink,
+    ) -> io::Result<()> {
         if !self.enabled {
             return Ok(());
         }
@@ -43,12 +48,13 @@
         }
         let Ok(body) = serde_json::to_vec(&demands) else { return Ok(()) };
         let target = format!("/v1/fleet/loans?controller={}&life={}", self.controller, self.incarnation);
-        // Counted from before the request, like the lease.
-        let asked = Instant::now();
+        // As with a lease, the span is counted from before the request, so that the loans expire here first and at the
+        // leader later.
+        let requested_at = Instant::now();
         let Some(response) = client.post(&target, &body)? else { return Ok(()) };
         match (response.status, serde_json::from_slice::<GrantedLoans>(&response.body)) {
             (200, Ok(GrantedLoans { span_ms, loans })) => {
-                let until = asked + Duration::from_millis(lease::ends(0, span_ms));
+                let until = requested_at + Duration::from_millis(lease::ends(0, span_ms));
                 link.send(AdminEvent::LoansGranted { until, loans });
             }
             (404 | 405, _) => self.enabled = false,
@@ -58,22 +64,23 @@
     }
 }
 
-/// The delivery of the audit log.
+/// Delivers the entries of the controller's audit log to the leader.
 pub(super) struct AuditDelivery {
     controller: u32,
-    /// `None`: there is no audit log, or the leader collects none.
+    /// `None` if the controller keeps no audit log, or the leader does not collect audit logs.
     entries: Option<SharedEntries>,
-    /// The number of the last entry that the leader has.
+    /// The number of the last entry that the leader has acknowledged.
     delivered: u64,
 }
 
 impl AuditDelivery {
-    /// Nothing was delivered yet.
+    /// Creates a delivery that starts with the oldest entry in memory.
     pub(super) fn new(controller: u32, entries: Option<SharedEntries>) -> Self {
         Self { controller, entries, delivered: 0 }
     }
 
-    /// Delivers the next entries, one request's worth; the response says up to which one the leader has them.
+    /// Delivers the next entries in one request. The response contains the number of the last entry that the leader
+    /// has.
     ///
     /// # Errors
     /// The system's poll failed.
@@ -89,7 +96,7 @@
         let Some(response) = client.post(&target, &body)? else { return Ok(()) };
         match (response.status, serde_json::from_slice::<DeliveredEntries>(&response.body)) {
             (200, Ok(delivered)) => self.delivered = delivered.last_number,
-            // The leader collects none: it is not asked again by this incarnation.
+            // The leader does not collect audit logs: this incarnation sends no further entries.
             (404 | 405 | 409, _) => self.entries = None,
             _ => {}
         }
--- a/crates/administration/src/follower/leader_client.rs
+++ b/crates/administration/src/follower/leader_client.rs
@@ -1,4 +1,4 @@
-//! Requests to the leader, one at a time. A request ends early when the follower is stopped.
+//! Sends requests to the leader, one at a time. The wait for a response ends early when the follower is stopped.
 
 use std::io;
 use std::net::SocketAddr;
@@ -12,54 +12,55 @@
 use nettleferry_net::http1_client::{Answer, Http1Client, Http1Error};
 use nettleferry_tenancy::replication::ReplicationRequest;
 
-/// The client.
+/// The follower's HTTP client for the leader.
 pub(super) struct LeaderClient {
-    /// The connection for requests that wait for changes.
-    watches: Http1Client,
+    /// The connection for watch requests, which the leader holds until there are changes.
+    watch_connection: Http1Client,
     /// The connection for all other requests.
-    snapshots: Http1Client,
+    request_connection: Http1Client,
     authorization: String,
     stopped: Arc<AtomicBool>,
 }
 
 impl LeaderClient {
-    /// A client of the leader at this address.
+    /// Creates a client for the leader at this address.
     ///
     /// # Errors
-    /// The system gives no poll for a connection.
+    /// The system cannot create a poll instance for a connection.
     pub(super) fn new(leader: SocketAddr, token: &str) -> io::Result<Self> {
         Ok(Self {
-            watches: Http1Client::new(leader, 1, SNAPSHOT_TIMEOUT)?,
-            snapshots: Http1Client::new(leader, 1, SNAPSHOT_TIMEOUT)?,
+            watch_connection: Http1Client::new(leader, 1, SNAPSHOT_TIMEOUT)?,
+            request_connection: Http1Client::new(leader, 1, SNAPSHOT_TIMEOUT)?,
             authorization: format!("Bearer {token}"),
             stopped: Arc::default(),
         })
     }
 
-    /// Set by another thread to stop the follower, which it then has to wake.
+    /// The flag that another thread sets to stop the follower. That thread must wake the follower afterwards.
     pub(super) fn stopped(&self) -> Arc<AtomicBool> {
         Arc::clone(&self.stopped)
     }
 
-    /// Wakes the follower from a wait.
+    /// The waker that interrupts a wait of the follower's thread.
     pub(super) fn waker(&self) -> Arc<mio::Waker> {
-        self.watches.waker()
+        self.watch_connection.waker()
     }
 
-    /// Whether the follower is to stop.
+    /// Whether another thread has stopped the follower.
     pub(super) fn is_stopped(&self) -> bool {
         self.stopped.load(Ordering::Acquire)
     }
 
-    /// Waits for at most this long, or until the follower is woken.
+    /// Waits until the timeout has passed or the follower is woken.
     ///
     /// # Errors
     /// The system's poll failed.
     pub(super) fn wait(&mut self, timeout: Duration) -> io::Result<()> {
-        self.watches.poll(Some(timeout), &mut Vec::new())
+        self.watch_connection.poll(Some(timeout), &mut Vec::new())
     }
 
-    /// Asks for what is to be replicated, with a heartbeat. `None`: the follower was stopped first.
+    /// Requests a snapshot or changes; the request is also a heartbeat. Returns `None` if the follower was stopped
+    /// before the response arrived.
     ///
     /// # Errors
     /// The system's poll failed.
@@ -71,10 +72,10 @@
     ) -> io::Result<Option<Result<Answer, Http1Error>>> {
         let (connection, timeout, target) = match request {
             ReplicationRequest::Snapshot => {
-                (&mut self.snapshots, SNAPSHOT_TIMEOUT, heartbeat.snapshot_target())
+                (&mut self.request_connection, SNAPSHOT_TIMEOUT, heartbeat.snapshot_target())
             }
             ReplicationRequest::Watch { .. } => {
-                (&mut self.watches, timing.timeout, heartbeat.watch_target(timing.wait))
+                (&mut self.watch_connection, timing.timeout, heartbeat.watch_target(timing.wait))
             }
         };
         connection.set_timeout(timeout);
@@ -82,29 +83,31 @@
         wait_for_response(connection, timeout, &self.stopped)
     }
 
-    /// Posts JSON. `None`: no response came, or the follower was stopped first.
+    /// Sends a JSON body with `POST`. Returns `None` if the exchange failed or the follower was stopped before the
+    /// response arrived.
     ///
     /// # Errors
     /// The system's poll failed.
     pub(super) fn post(&mut self, target: &str, body: &[u8]) -> io::Result<Option<Answer>> {
         let headers = [("Authorization", self.authorization.as_str()), ("Content-Type", "application/json")];
-        self.snapshots.set_timeout(SNAPSHOT_TIMEOUT);
-        self.snapshots.send(0, "POST", target, &headers, body);
-        let response = wait_for_response(&mut self.snapshots, SNAPSHOT_TIMEOUT, &self.stopped)?;
+        self.request_connection.set_timeout(SNAPSHOT_TIMEOUT);
+        self.request_connection.send(0, "POST", target, &headers, body);
+        let response = wait_for_response(&mut self.request_connection, SNAPSHOT_TIMEOUT, &self.stopped)?;
         Ok(response.and_then(Result::ok))
     }
 
-    /// Tells the leader that this incarnation accepts no calls any more; waits for a response for a moment only.
+    /// Reports to the leader that this incarnation has stopped accepting calls. Waits for the response for at most
+    /// [`DEREGISTRATION_TIMEOUT`], also after the follower was stopped.
     ///
     /// # Errors
     /// The system's poll failed.
     pub(super) fn deregister(&mut self, controller: u32, incarnation: u64) -> io::Result<()> {
         let target = deregistration_target(controller, incarnation);
-        self.snapshots.set_timeout(DEREGISTRATION_TIMEOUT);
-        self.snapshots.send(0, "GET", &target, &[("Authorization", &self.authorization)], b"");
+        self.request_connection.set_timeout(DEREGISTRATION_TIMEOUT);
+        self.request_connection.send(0, "GET", &target, &[("Authorization", &self.authorization)], b"");
         let (mut responses, deadline) = (Vec::new(), Instant::now() + DEREGISTRATION_TIMEOUT);
         while responses.is_empty() && Instant::now() < deadline {
-            self.snapshots.poll(Some(DEREGISTRATION_TIMEOUT), &mut responses)?;
+            self.request_connection.poll(Some(DEREGISTRATION_TIMEOUT), &mut responses)?;
         }
         Ok(())
     }
--- a/crates/administration/src/follower/mod.rs
+++ b/crates/administration/src/follower/mod.rs
@@ -1,11 +1,13 @@
-//! The follower's administration: replicates the leader's snapshot, and renews the controller's lease with each heartbeat.
+//! The follower's administration: replicates the leader's snapshot, and renews the controller's lease with each
+//! heartbeat.
 //!
-//! * `replica`: the loop, and its state. `leader_client`: requests to the leader. `responses`: what they say.
-//! * `snapshot_store`: the snapshot on the disk, and as it is shown to peers. `peer_bootstrap`: a first snapshot from peers.
-//! * `deliveries`: audit entries to the leader, and demands for loans.
+//! * `replica`: the loop and its state. `leader_client`: requests to the leader. `responses`: decoding of its
+//!   responses.
+//! * `snapshot_store`: the snapshot on disk and the copy that is served to peers. `peer_bootstrap`: a first snapshot
+//!   from peers.
+//! * `deliveries`: loan requests, and delivery of audit entries to the leader.
 //!
-//! What is requested and in which order is decided by `nettleferry_tenancy`; which snapshot is taken, by
-//! `nettleferry_fleet`.
+//! The order of requests is decided by `nettleferry_tenancy`; whether a snapshot is accepted, by `nettleferry_fleet`.
 
 mod deliveries;
 mod leader_client;
--- a/crates/administration/src/follower/peer_bootstrap.rs
+++ b/crates/administration/src/follower/peer_bootstrap.rs
@@ -1,5 +1,5 @@
-//! A first snapshot from peers, for a follower that has none and whose leader does not respond. Whom to ask when, and
-//! which response to take, is decided by `nettleferry_fleet::bootstrap`.
+//! Requests a first snapshot from peers, for a follower that has none while the leader does not respond. The order of
+//! the requests and the choice of the snapshot are decided by `nettleferry_fleet::bootstrap`.
 
 use std::io;
 use std::net::SocketAddr;
@@ -11,42 +11,42 @@
 use crate::peer_client::PeerClient;
 use crate::snapshot_document::SnapshotDocument;
 
-/// A snapshot that a peer gave.
+/// A snapshot that a peer has sent.
 struct Offer {
     peer: usize,
     document: SnapshotDocument,
 }
 
-/// What a step of the bootstrap led to.
+/// The result of one step of the bootstrap.
 pub(super) enum BootstrapStep {
-    /// Nothing is to be done before this moment.
+    /// The next step is due at this time.
     WaitUntil(Millis),
-    /// A peer was asked, or peers disagree: another step follows.
+    /// A peer was requested, or the peers' snapshots are in conflict; the next step is due now.
     Continue,
-    /// This snapshot is to be installed.
+    /// The caller must install this snapshot.
     Install(SnapshotDocument),
 }
 
-/// The bootstrap.
+/// The state of the bootstrap from peers.
 pub(super) struct PeerBootstrap {
     client: PeerClient,
     decisions: Bootstrap,
-    /// Snapshots that peers gave in this round.
+    /// The snapshots that peers have sent in the current round.
     offers: Vec<Offer>,
 }
 
 impl PeerBootstrap {
-    /// A bootstrap from these peers, for the controller of this number.
+    /// Creates a bootstrap from these peers. `controller` is the number of the local controller.
     ///
     /// # Errors
-    /// The system gives no poll for a connection.
+    /// The system cannot create a poll instance for a connection.
     pub(super) fn new(peers: &[SocketAddr], token: &str, controller: u32) -> io::Result<Self> {
         let client = PeerClient::new(peers, token, controller)?;
         let decisions = Bootstrap::new(client.count(), rand::random());
         Ok(Self { client, decisions, offers: Vec::new() })
     }
 
-    /// Does what is to be done next; asking a peer waits for its response.
+    /// Runs the next step. A request to a peer blocks until it responds or times out.
     pub(super) fn step(&mut self, now: Millis) -> BootstrapStep {
         match self.decisions.next(now) {
             Step::Wait(until) => BootstrapStep::WaitUntil(until),
@@ -76,7 +76,7 @@
         self.decisions.peer_responded(peer, response);
     }
 
-    /// The snapshot that a peer gave last in this round; the others are given up.
+    /// Returns the last snapshot that a peer has sent in this round, and drops all others.
     fn take_offer(&mut self, peer: usize) -> Option<SnapshotDocument> {
         let offers = std::mem::take(&mut self.offers);
         let document = offers.into_iter().rev().find(|offer| offer.peer == peer)?.document;
--- a/crates/administration/src/follower/replica.rs
+++ b/crates/administration/src/follower/replica.rs
@@ -1,6 +1,6 @@
-//! The follower's loop: heartbeats that ask for changes, and what follows from each response. The order matters: changes
-//! are sent to the controller before the lease that covers them, and the next heartbeat reports what is in force and
-//! durable by then.
+//! The follower's loop: sends heartbeats that request changes, and handles the responses. The order matters: changes
+//! are sent to the controller before the lease that covers them, and the next heartbeat reports the versions that are
+//! in force and durable by then.
 
 use std::io;
 use std::net::SocketAddr;
@@ -21,10 +21,10 @@
 };
 use tracing::{info, warn};
 
-use super::deliveries::{AuditDelivery, Borrowing};
+use super::deliveries::{AuditDelivery, LoanRequester};
 use super::leader_client::LeaderClient;
 use super::peer_bootstrap::{BootstrapStep, PeerBootstrap};
-use super::responses::{self, Lease, Meaning};
+use super::responses::{self, DecodedResponse, Lease};
 use super::snapshot_store::SnapshotStore;
 use crate::applied_versions::{AcknowledgedCheckpoint, AppliedVersions};
 use crate::controller_context::ControllerContext;
@@ -33,65 +33,65 @@
 use crate::messages::AdminEvent;
 use crate::snapshot_document::{SharedSnapshot, SnapshotDocument, version_of};
 
-/// What was received has this long to be in force and durable before the next heartbeat, which reports how far it is.
+/// How long the next heartbeat is delayed until received changes are in force and durable, so that it can report them.
 const APPLY_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// What the follower starts with.
+/// The configuration of a follower.
 pub(crate) struct FollowerConfig<'a> {
     /// The leader's address.
     pub(crate) leader: SocketAddr,
-    /// The file with the token for the leader and the peers.
+    /// The file with the bearer token for the leader and the peers.
     pub(crate) key_file: &'a Path,
-    /// Where the snapshot is persisted.
+    /// The file in which the snapshot is persisted.
     pub(crate) snapshot_file: &'a Path,
-    /// Controllers that are asked for a first snapshot where the leader does not respond.
+    /// The controllers from which a first snapshot is requested if the leader does not respond.
     pub(crate) peers: &'a [SocketAddr],
-    /// Whether the controller accepts no calls without a lease.
+    /// Whether the controller rejects calls while it holds no lease.
     pub(crate) requires_lease: bool,
-    /// Whether limits are divided by loans.
-    pub(crate) borrows: bool,
-    /// The controller.
+    /// Whether limits are divided by loans, so that the follower requests them.
+    pub(crate) uses_loans: bool,
+    /// The controller that starts the follower.
     pub(crate) controller: ControllerContext,
 }
 
-/// A snapshot that was rejected, and why.
+/// The version of a snapshot that was rejected, and how it compares to the follower's own.
 #[derive(PartialEq, Eq)]
 struct RejectedSnapshot {
     version: SnapshotVersion,
     order: VersionOrder,
 }
 
-/// The state of the follower's thread.
+/// The follower, with the state of its thread.
 pub(crate) struct Follower {
     client: LeaderClient,
     bootstrap: PeerBootstrap,
     store: SnapshotStore,
     replication: Replication,
-    /// The epoch of the snapshot; `None`: there is no snapshot yet.
+    /// The epoch of the snapshot; `None` if there is no snapshot yet.
     epoch: Option<u64>,
-    /// The snapshot that was rejected last, which is logged once.
+    /// The snapshot that was rejected last, to log it only once.
     rejected: Option<RejectedSnapshot>,
     link: ControllerLink,
     start: Instant,
     controller: u32,
-    /// A random number, chosen at the start.
+    /// A random number that is chosen at the start.
     incarnation: u64,
     requires_lease: bool,
-    /// This incarnation is fenced, and the controller knows it.
+    /// Whether this incarnation is fenced. The controller has been notified if it is.
     fenced: bool,
     /// Which versions the controller has in force.
     versions: AppliedVersions,
     audit: AuditDelivery,
-    borrowing: Borrowing,
-    /// The span of leases, as the leader said last.
+    loan_requester: LoanRequester,
+    /// The span of leases, by the leader's last response that contained one.
     lease_span: LeaseSpan,
 }
 
 impl Follower {
-    /// Starts with the snapshot that was persisted, where there is one.
+    /// Creates a follower with the persisted snapshot, if there is one.
     ///
     /// # Errors
-    /// The key file cannot be read, or the system gives no poll for a connection.
+    /// The key file cannot be read, or the system cannot create a poll instance for a connection.
     pub(crate) fn new(
         config: &FollowerConfig,
         shared: SharedSnapshot,
@@ -109,9 +109,9 @@
         let (revision, tenants) = (replication.snapshot().revision(), replication.snapshot().tenants().len());
         info!(revision, tenants, epoch, leader = %config.leader, "following the leader, starting with the persisted tenants");
         let bootstrap = PeerBootstrap::new(config.peers, &token, controller)?;
-        // 0 means that an earlier version of the program reports no incarnation.
+        // 0 is reserved: followers of earlier versions of the program, which report no incarnation, are read as 0.
         let incarnation = rand::random::<u64>().max(1);
-        // What was persisted is in force from the start.
+        // The controller starts with the persisted snapshot, so that version is in force from the start.
         let versions = AppliedVersions::new(store.persisted());
         Ok(Self {
             client,
@@ -128,41 +128,41 @@
             fenced: false,
             versions,
             audit: AuditDelivery::new(controller, config.controller.audit_entries.clone()),
-            borrowing: Borrowing::new(controller, incarnation, config.borrows),
+            loan_requester: LoanRequester::new(controller, incarnation, config.uses_loans),
             lease_span: LeaseSpan::default(),
         })
     }
 
-    /// The snapshot, where there is one.
+    /// The current snapshot; `None` if there is none yet.
     pub(crate) fn document(&self) -> Option<SnapshotDocument> {
         let (store, snapshot) = (self.replication.store().to_owned(), self.replication.snapshot().clone());
         self.epoch.map(|epoch| SnapshotDocument { controller: None, store, epoch, snapshot })
     }
 
-    /// Set by another thread to stop the follower, which it then has to wake.
+    /// The flag that another thread sets to stop the follower. That thread must wake the follower afterwards.
     pub(crate) fn stopped(&self) -> Arc<AtomicBool> {
         self.client.stopped()
     }
 
-    /// Wakes the follower.
+    /// The waker that interrupts a wait of the follower's thread.
     pub(crate) fn waker(&self) -> Arc<mio::Waker> {
         self.client.waker()
     }
 
-    /// For the controller's thread.
+    /// The counter in which the controller's thread acknowledges checkpoints.
     pub(crate) fn acknowledged(&self) -> AcknowledgedCheckpoint {
         self.versions.acknowledged()
     }
 
-    /// Runs until it is stopped.
+    /// Replicates until the follower is stopped, and deregisters from the leader then.
     ///
     /// # Errors
     /// The system's poll failed.
     pub(crate) fn run(&mut self) -> io::Result<()> {
         let mut updates = Vec::new();
         while !self.client.is_stopped() {
-            let (request, at) = self.replication.next();
-            let wait = at.saturating_sub(self.now());
+            let (request, due_at) = self.replication.next();
+            let wait = due_at.saturating_sub(self.now());
             if wait > 0 {
                 self.wait_or_bootstrap(wait, &mut updates)?;
             } else {
@@ -177,7 +177,8 @@
         self.start.elapsed().as_millis() as u64
     }
 
-    /// The controller accepts no calls any more: its loans are free at once, and no change waits for it.
+    /// Deregisters this incarnation if the leader grants leases. The leader then frees its loans at once, and no longer
+    /// waits for it before it acknowledges changes.
     fn deregister(&mut self) -> io::Result<()> {
         match self.lease_span {
             LeaseSpan::Granted(_) => self.client.deregister(self.controller, self.incarnation),
@@ -185,24 +186,25 @@
         }
     }
 
-    /// One request, and all that follows from its response.
+    /// Sends one request and handles its response: applies changes, renews the lease, and sends loan requests and audit
+    /// entries if a lease was granted.
     fn exchange(&mut self, request: &ReplicationRequest, updates: &mut Vec<Update>) -> io::Result<()> {
-        // The lease is counted from before the request, however long the response is on its way.
-        let asked = Instant::now();
+        // The lease is counted from before the request, so that the delay of the response does not extend it.
+        let requested_at = Instant::now();
         let Some(response) = self.send_heartbeat(request)? else { return Ok(()) };
-        self.send_leader_clock(asked, &response);
+        self.send_leader_clock(requested_at, &response);
         let lease = self.handle_response(request, &response, updates);
         self.apply(updates);
-        self.renew_lease(asked, lease);
+        self.renew_lease(requested_at, lease);
         self.wait_until_applied()?;
         if lease.is_some() {
-            self.borrowing.borrow(&mut self.client, &self.link)?;
+            self.loan_requester.request_loans(&mut self.client, &self.link)?;
             self.audit.deliver(&mut self.client)?;
         }
         Ok(())
     }
 
-    /// `None`: the follower was stopped first.
+    /// Returns `None` if the follower was stopped before the response arrived.
     fn send_heartbeat(
         &mut self,
         request: &ReplicationRequest,
@@ -210,7 +212,7 @@
         let snapshot = self.snapshot_version();
         let (in_force, persisted) = (self.versions.in_force(), self.store.persisted());
         let epoch = self.epoch.unwrap_or(0);
-        // Of another epoch it has nothing.
+        // Revisions are comparable only within an epoch. A version of another epoch is reported as revision 0.
         let revision_of = |version: Version| if version.epoch == epoch { version.revision } else { 0 };
         let heartbeat = Heartbeat {
             controller: self.controller,
@@ -229,31 +231,32 @@
         Some(version_of(self.replication.store(), self.epoch?, self.replication.snapshot()))
     }
 
-    /// The version of the snapshot.
+    /// The epoch and revision of the current snapshot, without its store and checksum.
     fn version(&self) -> Version {
         Version { epoch: self.epoch.unwrap_or(0), revision: self.replication.snapshot().revision() }
     }
 
-    /// Whether the snapshot is not yet in force and durable.
+    /// Whether the current snapshot is not yet both in force and durable.
     fn is_behind(&mut self) -> bool {
         let version = self.version();
         self.versions.in_force() < version || self.store.persisted() < version
     }
 
-    /// Waits briefly until the snapshot is in force and durable, so that the next heartbeat can report it.
+    /// Waits up to [`APPLY_TIMEOUT`] until the snapshot is in force and durable, so that the next heartbeat reports it.
     fn wait_until_applied(&mut self) -> io::Result<()> {
         let deadline = Instant::now() + APPLY_TIMEOUT;
         while self.is_behind() && !self.client.is_stopped() {
-            let left = deadline.saturating_duration_since(Instant::now());
-            if left.is_zero() {
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            if remaining.is_zero() {
                 break;
             }
-            self.client.wait(left)?;
+            self.client.wait(remaining)?;
         }
         Ok(())
     }
 
-    /// The leader is not to be asked before this span is over; a follower without a snapshot asks peers meanwhile.
+    /// Waits until the next request to the leader is due. A follower without a snapshot runs one step of the bootstrap
+    /// from peers instead, if one is due.
     fn wait_or_bootstrap(&mut self, wait: Millis, updates: &mut Vec<Update>) -> io::Result<()> {
         let mut wait = wait;
         if self.epoch.is_none() {
@@ -272,18 +275,21 @@
         self.client.wait(Duration::from_millis(wait.max(1)))
     }
 
-    /// A reading of the leader's clock is sent to the controller, with the moments of ours between which it was made.
-    fn send_leader_clock(&self, asked: Instant, response: &Result<Answer, Http1Error>) {
+    /// Sends the reading of the leader's clock in a response to the controller, with the interval of the local clock in
+    /// which the reading was taken.
+    fn send_leader_clock(&self, requested_at: Instant, response: &Result<Answer, Http1Error>) {
         let Some(clock) = response.as_ref().ok().and_then(responses::leader_clock) else { return };
-        // The leader held the request for so long by its own clock, which may be a little fast.
+        // The reading was taken after the leader had held the request. The leader's clock, which measured that, may run
+        // fast: the clock error is subtracted.
         let held = Duration::from_millis(clock.held_ms.saturating_sub(lease::error_of(clock.held_ms)));
         let latest = Instant::now();
-        let earliest = (asked + held).min(latest);
+        let earliest = (requested_at + held).min(latest);
         let (incarnation, at_ms) = (clock.incarnation, clock.at_ms);
         self.link.send(AdminEvent::LeaderClock { earliest, latest, incarnation, at_ms });
     }
 
-    /// Returns what the response said of a lease, if the follower has all that holds with it.
+    /// Passes the response to the replication. Returns the lease in the response, if the follower has received all
+    /// changes that the lease covers.
     fn handle_response(
         &mut self,
         request: &ReplicationRequest,
@@ -291,21 +297,22 @@
         updates: &mut Vec<Update>,
     ) -> Option<Lease> {
         self.check_fenced(response);
-        let meaning = match response {
-            Ok(response) => responses::interpret(request, response),
-            Err(_) => Meaning::Other(ReplicationResponse::Failed),
+        let decoded = match response {
+            Ok(response) => responses::decode(request, response),
+            Err(_) => DecodedResponse::Other(ReplicationResponse::Failed),
         };
-        let (received, lease) = match meaning {
-            Meaning::Other(received) => (received, None),
-            Meaning::Changes(entries, lease) => (ReplicationResponse::Entries(entries), Some(lease)),
-            Meaning::Snapshot(document, lease) => (self.check_snapshot(document), Some(lease)),
+        let (received, lease) = match decoded {
+            DecodedResponse::Other(received) => (received, None),
+            DecodedResponse::Changes(entries, lease) => (ReplicationResponse::Entries(entries), Some(lease)),
+            DecodedResponse::Snapshot(document, lease) => (self.check_snapshot(document), Some(lease)),
         };
         let is_data =
             matches!(received, ReplicationResponse::Entries(_) | ReplicationResponse::Snapshot { .. });
         let failures_before = self.replication.failures();
         self.replication.response_received(self.now(), received, updates);
         self.log_failures(failures_before, response);
-        // Changes that do not continue the snapshot lead to a request for a whole one: they give no lease.
+        // Changes that do not continue the current snapshot are followed by a request for a whole snapshot. The lease
+        // in such a response covers changes that the follower does not have, so it is not used.
         let needs_snapshot = matches!(
             (request, self.replication.next().0),
             (ReplicationRequest::Watch { .. }, ReplicationRequest::Snapshot)
@@ -321,7 +328,7 @@
         }
     }
 
-    /// Logs the first of a row of failures, and the end of the row.
+    /// Logs the first of several consecutive failures, and the first success after them.
     fn log_failures(&self, before: u32, response: &Result<Answer, Http1Error>) {
         match (before, self.replication.failures()) {
             (0, 1) if self.rejected.is_none() => {
@@ -336,7 +343,7 @@
         }
     }
 
-    /// The leader sent a whole snapshot: it is taken unless ours is newer, or of another history.
+    /// Accepts a whole snapshot from the leader, unless the follower's own is newer or has a different history.
     fn check_snapshot(&mut self, document: SnapshotDocument) -> ReplicationResponse {
         let (offered, held) = (document.version(), self.snapshot_version());
         match should_replace(held.as_ref(), &offered) {
@@ -364,8 +371,9 @@
         self.rejected = Some(rejected);
     }
 
-    /// The controller may act on what was sent so far, for a span that is counted from before the request.
-    fn renew_lease(&mut self, asked: Instant, lease: Option<Lease>) {
+    /// Sends the renewed lease, which covers all events sent so far, to the controller. Its span is counted from
+    /// `requested_at`.
+    fn renew_lease(&mut self, requested_at: Instant, lease: Option<Lease>) {
         let Some(Lease { span_ms, fencing_token }) = lease else { return };
         let granted = |ms: Millis| LeaseSpan::Granted(Duration::from_millis(ms.clamp(MIN_SPAN, MAX_SPAN)));
         let span = span_ms.map_or(LeaseSpan::NoLeases, granted);
@@ -374,15 +382,15 @@
             self.lease_span = span;
         }
         if let Some(span_ms) = span_ms {
-            let until = asked + Duration::from_millis(lease::ends(0, span_ms));
+            let until = requested_at + Duration::from_millis(lease::ends(0, span_ms));
             let fencing_token = fencing_token.unwrap_or(0);
             self.link.send(AdminEvent::LeaseRenewed { until, fencing_token });
         }
     }
 
-    /// Sends updates to the controller, with a checkpoint behind them, and publishes the snapshot.
+    /// Sends updates to the controller, followed by a checkpoint, and publishes the snapshot.
     fn apply(&mut self, updates: &mut Vec<Update>) {
-        let any = !updates.is_empty();
+        let has_updates = !updates.is_empty();
         for update in updates.drain(..) {
             self.link.send(match update {
                 Update::Changed(entry) => AdminEvent::TenantChanged(entry),
@@ -394,8 +402,8 @@
             });
         }
         let version = self.version();
-        if any || self.versions.last_sent() != version {
-            let checkpoint = self.versions.sent(version);
+        if has_updates || self.versions.last_sent() != version {
+            let checkpoint = self.versions.record_sent(version);
             self.link.send(AdminEvent::Checkpoint(checkpoint));
         }
         if let Some(epoch) = self.epoch {
--- a/crates/administration/src/follower/responses.rs
+++ b/crates/administration/src/follower/responses.rs
@@ -1,4 +1,4 @@
-//! The leader's responses to a follower's requests, and what they mean.
+//! Decodes the leader's responses to a follower's requests.
 
 use nettleferry_net::http1_client::Answer;
 use nettleferry_tenancy::Entry;
@@ -10,33 +10,33 @@
 use crate::messages::LoanGrant;
 use crate::snapshot_document::SnapshotDocument;
 
-/// The problem type of a response to a fenced incarnation.
+/// The problem type with which the leader rejects a request of a fenced incarnation.
 const FENCED_PROBLEM: &str = "/problems/fenced";
 
-/// A lease, as a response grants it.
+/// The lease that a response grants.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 pub(super) struct Lease {
-    /// Its span in milliseconds; `None`: the leader grants no leases.
+    /// The span in milliseconds; `None` if the leader grants no leases.
     #[serde(default, rename = "lease_ms")]
     pub(super) span_ms: Option<u64>,
-    /// The incarnation's fencing token; `None`: the leader gives none.
+    /// The incarnation's fencing token; `None` if the response contains none.
     #[serde(default, rename = "place")]
     pub(super) fencing_token: Option<u64>,
 }
 
-/// A reading of the leader's clock.
+/// A reading of the leader's clock, as a response contains it.
 #[derive(Clone, Copy, Deserialize)]
 pub(super) struct LeaderClock {
     /// The leader's incarnation.
     #[serde(rename = "by")]
     pub(super) incarnation: u64,
     pub(super) at_ms: u64,
-    /// How long the leader held the request, by its own clock.
+    /// How long the leader held the request before it responded, in milliseconds of its own clock.
     #[serde(default)]
     pub(super) held_ms: u64,
 }
 
-/// Changes after a revision.
+/// The response to a watch request: changes after a revision.
 #[derive(Deserialize)]
 struct ChangePage {
     entries: Vec<Entry>,
@@ -44,7 +44,7 @@
     lease: Lease,
 }
 
-/// What may come with a snapshot or a page.
+/// Optional fields of a snapshot or a page of changes.
 #[derive(Deserialize)]
 struct Attachments {
     #[serde(flatten)]
@@ -74,36 +74,36 @@
     kind: String,
 }
 
-/// What a response to a request for a snapshot or for changes means.
-pub(super) enum Meaning {
-    /// Changes.
+/// A decoded response to a request for a snapshot or for changes.
+pub(super) enum DecodedResponse {
+    /// A page of changes with the lease on them. The page may be empty.
     Changes(Vec<Entry>, Lease),
-    /// A snapshot.
+    /// A snapshot with the lease on it.
     Snapshot(SnapshotDocument, Lease),
-    /// Neither.
+    /// A response without data: the request failed, or the follower's snapshot has diverged from the leader's.
     Other(ReplicationResponse),
 }
 
-/// What a response means for the request that it answers.
-pub(super) fn interpret(request: &ReplicationRequest, response: &Answer) -> Meaning {
+/// Decodes the response to a request for a snapshot or for changes.
+pub(super) fn decode(request: &ReplicationRequest, response: &Answer) -> DecodedResponse {
     match (response.status, request) {
         (200, ReplicationRequest::Snapshot) => {
             let lease = attachments(response).map(|attachments| attachments.lease).unwrap_or_default();
-            read(response).map_or_else(failed, |document| Meaning::Snapshot(document, lease))
+            read(response).map_or_else(failed, |document| DecodedResponse::Snapshot(document, lease))
         }
         (200, ReplicationRequest::Watch { .. }) => read::<ChangePage>(response)
-            .map_or_else(failed, |page| Meaning::Changes(page.entries, page.lease)),
-        (409 | 410, _) => Meaning::Other(ReplicationResponse::Diverged),
+            .map_or_else(failed, |page| DecodedResponse::Changes(page.entries, page.lease)),
+        (409 | 410, _) => DecodedResponse::Other(ReplicationResponse::Diverged),
         _ => failed(),
     }
 }
 
-/// The reading of the leader's clock that came with a response.
+/// The reading of the leader's clock in a response; `None` if the response contains none.
 pub(super) fn leader_clock(response: &Answer) -> Option<LeaderClock> {
     attachments(response)?.clock
 }
 
-/// Whether the leader says that this incarnation is fenced.
+/// Whether the leader has rejected the request because this incarnation is fenced.
 pub(super) fn is_fenced(response: &Answer) -> bool {
     let problem = || serde_json::from_slice::<ProblemType>(&response.body);
     response.status == 403 && problem().is_ok_and(|problem| problem.kind == FENCED_PROBLEM)
@@ -113,17 +113,18 @@
     serde_json::from_slice(&response.body).ok()
 }
 
-/// A body that this version of the program cannot read is not half taken: the follower stays on what it has.
+/// Decodes the whole body. A body that this version of the program cannot decode is discarded as a whole, so that the
+/// follower keeps its state instead of applying a part of the response.
 fn read<T: DeserializeOwned>(response: &Answer) -> Option<T> {
     serde_json::from_slice(&response.body)
         .inspect_err(|error| {
-            warn!(%error, "leader's response can't be read; is it of a newer version of the program?");
+            warn!(%error, "leader's response can't be decoded; the leader may run a newer version of the program");
         })
         .ok()
 }
 
-fn failed() -> Meaning {
-    Meaning::Other(ReplicationResponse::Failed)
+fn failed() -> DecodedResponse {
+    DecodedResponse::Other(ReplicationResponse::Failed)
 }
 
 #[cfg(test)]
--- a/crates/administration/src/follower/responses/tests.rs
+++ b/crates/administration/src/follower/responses/tests.rs
@@ -11,9 +11,9 @@
 }
 
 #[test]
-fn page_brings_its_changes_with_the_lease() {
+fn page_of_changes_is_decoded_with_its_lease_and_clock_reading() {
     let page = response(200, r#"{"entries":[],"lease_ms":1000,"place":9,"clock":{"by":7,"at_ms":5}}"#);
-    let Meaning::Changes(entries, lease) = interpret(&watch(), &page) else { panic!("no changes") };
+    let DecodedResponse::Changes(entries, lease) = decode(&watch(), &page) else { panic!("no changes") };
     assert!(entries.is_empty());
     assert_eq!(lease, Lease { span_ms: Some(1_000), fencing_token: Some(9) });
     let clock = leader_clock(&page).expect("a reading");
@@ -21,21 +21,21 @@
 }
 
 #[test]
-fn unreadable_or_refused_responses_change_nothing() {
+fn undecodable_and_error_responses_contain_no_data() {
     let failed = |request: &ReplicationRequest, answer: &Answer| {
-        matches!(interpret(request, answer), Meaning::Other(ReplicationResponse::Failed))
+        matches!(decode(request, answer), DecodedResponse::Other(ReplicationResponse::Failed))
     };
     assert!(failed(&watch(), &response(200, "{}")), "no page");
     assert!(failed(&ReplicationRequest::Snapshot, &response(200, "{\"entries\":[]}")), "no snapshot");
     assert!(failed(&watch(), &response(503, "{}")));
     for status in [409, 410] {
-        let meaning = interpret(&watch(), &response(status, "{}"));
-        assert!(matches!(meaning, Meaning::Other(ReplicationResponse::Diverged)), "{status}");
+        let decoded = decode(&watch(), &response(status, "{}"));
+        assert!(matches!(decoded, DecodedResponse::Other(ReplicationResponse::Diverged)), "{status}");
     }
 }
 
 #[test]
-fn fenced_is_told_from_other_denials() {
+fn only_a_403_response_with_the_fenced_problem_type_means_fenced() {
     assert!(is_fenced(&response(403, r#"{"type":"/problems/fenced"}"#)));
     assert!(!is_fenced(&response(403, r#"{"type":"/problems/ended"}"#)));
     assert!(!is_fenced(&response(503, r#"{"type":"/problems/fenced"}"#)));
--- a/crates/administration/src/follower/snapshot_store.rs
+++ b/crates/administration/src/follower/snapshot_store.rs
@@ -1,4 +1,4 @@
-//! The follower's snapshot on its disk, and as it is shown to peers.
+//! The follower's snapshot file, and the copy of the snapshot that is served to peers.
 
 use std::collections::VecDeque;
 use std::path::PathBuf;
@@ -14,9 +14,9 @@
 use crate::persisted_file::PersistedFile;
 use crate::snapshot_document::{SharedSnapshot, SnapshotDocument};
 
-/// A start waits at most this long for the file's disk.
+/// How long a start waits for the file to be read.
 const DISK_TIMEOUT: Duration = Duration::from_secs(1);
-/// Writes that wait to be durable; only the newest of many matters.
+/// Maximum number of tracked writes that are not durable yet; when it is reached, a new write replaces the newest one.
 const MAX_PENDING_WRITES: usize = 64;
 const MICROS_PER_MILLI: u64 = 1_000;
 
@@ -26,7 +26,7 @@
     version: Version,
 }
 
-/// The snapshot's file and its shared copy.
+/// The snapshot's file and the copy that is shared with the snapshot listener.
 pub(super) struct SnapshotStore {
     file: PersistedFile,
     shared: SharedSnapshot,
@@ -35,8 +35,8 @@
 }
 
 impl SnapshotStore {
-    /// Opens the file, and reads and shares the snapshot that it holds; `written` is called after each write, on the
-    /// writer's thread.
+    /// Opens the file, and reads, shares and returns the snapshot that it holds, if there is one. `written` is called
+    /// on the writer's thread after each write.
     pub(super) fn open(
         file: PathBuf,
         shared: SharedSnapshot,
@@ -49,7 +49,7 @@
         (Self { file, shared, pending: VecDeque::new(), persisted }, document)
     }
 
-    /// The version that is durable.
+    /// The version of the last snapshot that is durable on disk.
     pub(super) fn persisted(&mut self) -> Version {
         let durable = self.file.durable();
         while let Some(write) = self.pending.front()
@@ -61,7 +61,7 @@
         self.persisted
     }
 
-    /// Shares and persists a snapshot, unless it was already: a new epoch alone makes it another.
+    /// Shares and persists a snapshot, unless it has the store, epoch and revision of the one that is shared already.
     pub(super) fn publish(&mut self, store: &str, epoch: u64, snapshot: &TenantSnapshot) {
         let mut shared = self.shared.lock().unwrap_or_else(PoisonError::into_inner);
         let is_same = |document: &Arc<SnapshotDocument>| {
@@ -83,9 +83,9 @@
     fn persist(&mut self, document: &SnapshotDocument) {
         match serde_json::to_vec(document) {
             Ok(text) => {
-                // Without a file nothing is ever durable: the leader must not count it as a copy.
+                // Without a file nothing becomes durable, and the leader must not count this follower's copy.
                 let Some(number) = self.file.write(text) else { return };
-                // Where the disk stands still only the newest matters.
+                // While the disk does not respond, only the newest write needs to be tracked.
                 if self.pending.len() >= MAX_PENDING_WRITES {
                     self.pending.pop_back();
                 }
--- a/crates/administration/src/http_reply.rs
+++ b/crates/administration/src/http_reply.rs
@@ -1,21 +1,21 @@
-//! Responses of the API as replies of the HTTP/1.1 server.
+//! Conversions from API responses to replies of the HTTP/1.1 server.
 
 use nettleferry_admin::{Problem, Response};
 use nettleferry_net::http1::Reply;
 use serde_json::Value;
 
-/// A response of the API.
+/// Converts a response of the API.
 pub(crate) fn reply(response: Response) -> Reply {
-    let Response { status, content_type: kind, headers, body } = response;
-    Reply { status, content_type: kind, headers, body: body.into_bytes(), cut: None }
+    let Response { status, content_type, headers, body } = response;
+    Reply { status, content_type, headers, body: body.into_bytes(), cut: None }
 }
 
-/// A problem of the API.
+/// Converts a problem of the API to its error response.
 pub(crate) fn problem_reply(problem: &Problem) -> Reply {
     reply(problem.response())
 }
 
-/// A JSON value.
+/// Builds a reply with a JSON body.
 pub(crate) fn json_reply(status: u16, body: &Value) -> Reply {
     Reply {
         status,
--- a/crates/administration/src/key_file.rs
+++ b/crates/administration/src/key_file.rs
@@ -1,9 +1,9 @@
-//! The file with the token by which a controller authenticates itself to others.
+//! The file with the bearer token that a controller sends to the leader and to its peers.
 
 use std::io;
 use std::path::Path;
 
-/// Reads the token.
+/// Reads the token, without leading and trailing white space.
 ///
 /// # Errors
 /// The file cannot be read.
--- a/crates/administration/src/keys.rs
+++ b/crates/administration/src/keys.rs
@@ -1,5 +1,5 @@
-//! Bearer keys of the API: a name and a secret, `NAME.SECRET`. The settings hold the secret's argon2 hash. Verifying it
-//! costs milliseconds: a secret that was verified is remembered in memory, and attempts that fail are rate-limited.
+//! Bearer keys of the API: a name and a secret, `NAME.SECRET`. The settings hold the secret's argon2 hash. Verifying a
+//! secret takes milliseconds, so verified secrets are cached in memory and failed attempts are rate-limited.
 
 use std::collections::BTreeMap;
 use std::time::Instant;
@@ -11,25 +11,25 @@
 use nettleferry_config::settings::AdminKey;
 use rand::RngExt;
 
-/// Failed verifications that are let through.
+/// The rate of failed verifications above which further verifications are rejected.
 const FAILURE_LIMIT: RateLimit = RateLimit { per_second: 2.0, burst: 20 };
-/// Characters of a generated secret: 190 bits.
+/// Length of a generated secret in characters; 32 of 62 characters hold 190 bits.
 const SECRET_LENGTH: usize = 32;
-/// Characters that a generated secret consists of.
+/// The alphabet of generated secrets.
 const SECRET_CHARACTERS: &[u8] = b"abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789";
 const MICROS_PER_SECOND: u64 = 1_000_000;
 
-/// The keys of an API, and which secrets were verified.
+/// The keys of an API, with a cache of verified secrets.
 pub struct KeyRing {
     keys: BTreeMap<String, AdminKey>,
-    /// By key name: the secret that was verified last.
+    /// The secret that was verified last, by key name.
     verified: BTreeMap<String, String>,
     failures: Gcra,
     start: Instant,
 }
 
 impl KeyRing {
-    /// The keys of the settings.
+    /// Creates a key ring from the keys in the settings.
     pub fn new(keys: &[AdminKey]) -> Self {
         Self {
             keys: keys.iter().map(|key| (key.name.clone(), key.clone())).collect(),
@@ -39,10 +39,10 @@
         }
     }
 
-    /// The caller whom this `Authorization` header names.
+    /// Verifies the key in an `Authorization` header and returns its caller.
     ///
     /// # Errors
-    /// 401: there is no such key; 429: too many attempts have failed lately.
+    /// 401: the header is missing or malformed, or the key is wrong; 429: too many recent attempts have failed.
     pub fn authenticate(&mut self, authorization: Option<&str>) -> Result<Caller, Problem> {
         let (name, secret) = credentials(authorization)?;
         if self.verified.get(name).is_none_or(|verified| !equal_in_constant_time(verified, secret)) {
@@ -72,7 +72,7 @@
     }
 }
 
-/// Key name and secret of an `Authorization` header.
+/// Splits an `Authorization` header into key name and secret.
 fn credentials(authorization: Option<&str>) -> Result<(&str, &str), Problem> {
     let header = authorization.ok_or_else(|| unauthorized("send Authorization: Bearer NAME.SECRET"))?;
     let token = header
@@ -89,21 +89,22 @@
     unauthorized("there is no such key")
 }
 
-/// Compares in a time that does not tell where two secrets of one length differ.
+/// Compares two secrets. For equal lengths the time does not depend on where they differ, as it could otherwise be used
+/// to guess a secret.
 fn equal_in_constant_time(a: &str, b: &str) -> bool {
     a.len() == b.len() && a.bytes().zip(b.bytes()).fold(0, |difference, (x, y)| difference | (x ^ y)) == 0
 }
 
-/// A new key.
+/// A generated key.
 #[derive(Clone, Debug)]
 pub struct GeneratedKey {
-    /// What its holder sends: `NAME.SECRET`.
+    /// The token that the key's holder sends: `NAME.SECRET`.
     pub token: String,
     /// The secret's argon2 hash, for the settings.
     pub hash: String,
 }
 
-/// Generates a key of this name.
+/// Generates a key with this name and a random secret.
 ///
 /// # Errors
 /// The secret cannot be hashed.
--- a/crates/administration/src/leader/api_ports.rs
+++ b/crates/administration/src/leader/api_ports.rs
@@ -1,4 +1,4 @@
-//! What the API asks of the running leader, and how its services respond.
+//! Implements the API's [`Runtime`] interface with the services of the running leader.
 
 use nettleferry_admin::Problem;
 use nettleferry_admin::api::{
@@ -68,19 +68,20 @@
             version.as_ref().is_some_and(|version| self.recovery.authority().is_foreign(version));
         self.members.heartbeat(self.now(), member, &state, is_foreign);
         if stopped && let Some(loans) = &mut self.loans {
-            loans.ended(member);
+            loans.free_loans(member);
         }
         self.check_member(controller, state.incarnation)?;
         if stopped {
-            return Err(ended());
+            return Err(incarnation_ended());
         }
         if is_foreign {
-            // What is answered to it depends on its request. It is shown, and moves no duty.
+            // The API decides how it responds, depending on the request. The report is counted here and shown in the
+            // fleet status, but does not change the leader's duty.
             self.refused_reports.count(controller, &ReportFault::Foreign);
         }
         let is_superseded = self.members.is_superseded(member);
         if !is_superseded {
-            self.members.remember_report(controller, state.revision);
+            self.members.record_report(controller, state.revision);
         }
         let source = ReportSource { controller, incarnation: Some(state.incarnation), is_superseded };
         if let Some(version) = version {
@@ -96,7 +97,7 @@
             return Err(Problem::new(403, "fenced", detail));
         }
         if self.members.is_ended(member) {
-            return Err(ended());
+            return Err(incarnation_ended());
         }
         Ok(())
     }
@@ -122,13 +123,13 @@
         incarnation: u64,
         report: Value,
     ) -> Result<Value, Problem> {
-        let not_lent =
+        let loans_disabled =
             || Problem::new(409, "not-lent", "limits are not lent here: see (loans ...) in the settings");
         let (now, borrower) = (self.now(), Incarnation { controller, incarnation });
-        let loans = self.loans.as_mut().ok_or_else(not_lent)?;
+        let loans = self.loans.as_mut().ok_or_else(loans_disabled)?;
         let demands: Vec<LimitDemand> = serde_json::from_value(report)
             .map_err(|error| Problem::field("the body", format!("an array of demands: {error}")))?;
-        // A loan lasts as long as a lease, and only an incarnation that holds one may borrow.
+        // A loan has the span of a lease, and is granted only to an incarnation that holds a lease.
         let Some(span) = self.members.lease_span().filter(|_| self.members.may_act(now, borrower)) else {
             return Err(Problem::new(409, "no-lease", "this life holds no lease"));
         };
@@ -144,14 +145,16 @@
         Ok(self.audit.as_mut().ok_or_else(not_collected)?.append(controller, entries))
     }
 
-    fn audit_logs(&self, of: Option<&str>, from: u64, limit: usize) -> Result<Value, Problem> {
+    fn audit_logs(&self, owner: Option<&str>, from: u64, limit: usize) -> Result<Value, Problem> {
         let leader = self.identity.incarnation;
         let Some(audit) = &self.audit else { return Ok(json!({ "by": leader, "records": [] })) };
-        let Some(of) = of else { return Ok(json!({ "by": leader, "records": audit.logs().summary() })) };
+        let Some(owner) = owner else {
+            return Ok(json!({ "by": leader, "records": audit.logs().summary() }));
+        };
         let from = usize::try_from(from).unwrap_or(usize::MAX);
-        let unknown = || Problem::new(404, "no-such-record", format!("nothing was delivered of {of}"));
-        let page = audit.logs().page(of, from, limit).ok_or_else(unknown)?;
-        Ok(json!({ "by": leader, "of": of, "lines": page.entries, "next": page.next }))
+        let unknown = || Problem::new(404, "no-such-record", format!("nothing was delivered of {owner}"));
+        let page = audit.logs().page(owner, from, limit).ok_or_else(unknown)?;
+        Ok(json!({ "by": leader, "of": owner, "lines": page.entries, "next": page.next }))
     }
 
     fn change_progress(&self, revision: Revision) -> Value {
@@ -167,13 +170,13 @@
         fleet_status(self)
     }
 
-    fn recover(&mut self, own: &TenantSnapshot, take: &str, dry_run: bool) -> Result<Value, Problem> {
-        self.recovery.decide(own, take, dry_run)
+    fn recover(&mut self, own: &TenantSnapshot, choice: &str, dry_run: bool) -> Result<Value, Problem> {
+        self.recovery.decide(own, choice, dry_run)
     }
 }
 
-/// The version of the snapshot that a controller reported. `None`: it has none, or is of a version of the program that
-/// does not say.
+/// The version of the snapshot that a controller reported. `None` if it has no snapshot, or runs an earlier version of
+/// the program that reports none.
 fn reported_version(state: &ControllerState) -> Option<SnapshotVersion> {
     let ControllerState { store, epoch, revision, checksum, .. } = state;
     let (epoch, revision, checksum) = (*epoch, *revision, *checksum);
@@ -185,6 +188,6 @@
     })
 }
 
-fn ended() -> Problem {
+fn incarnation_ended() -> Problem {
     Problem::new(403, "ended", "it said that it takes no calls any more")
 }
--- a/crates/administration/src/leader/audit_collector.rs
+++ b/crates/administration/src/leader/audit_collector.rs
@@ -1,5 +1,5 @@
-//! Collects the audit logs of all controllers, and keeps the administration's own: which changes were accepted, and which
-//! were confirmed to be in force everywhere.
+//! Collects the audit logs of all controllers, and writes the administration's own log, which records the accepted
+//! changes and the changes that were confirmed as in force everywhere.
 
 use std::path::PathBuf;
 
@@ -12,18 +12,18 @@
 use crate::audit_log_writer::{SharedEntries, lock};
 use crate::collected_logs::{ADMINISTRATION_LOG, CollectedLogs};
 
-/// The collector.
+/// The collected audit logs and the recorder of the administration's own log.
 pub(super) struct AuditCollector {
     logs: CollectedLogs,
-    /// The administration's own log.
+    /// The recorder of the administration's own log.
     own: Recorder,
-    /// The newest entries of the leader's own controller, and its number.
+    /// The newest entries of the audit log of the leader's own controller.
     controller_entries: SharedEntries,
     controller: u32,
 }
 
 impl AuditCollector {
-    /// Opens the collected logs in this folder. `incarnation` is the leader's.
+    /// Opens the collected logs in this folder. `controller` and `incarnation` are those of the leader.
     pub(super) fn open(
         folder: PathBuf,
         controller: u32,
@@ -39,9 +39,10 @@
         collector
     }
 
-    /// A change was accepted.
+    /// Records that a change was accepted.
     pub(super) fn change_accepted(&mut self, now: Millis, epoch: u64, entry: &Entry) {
-        let action = serde_json::to_value(entry.action).ok().and_then(|a| a.as_str().map(str::to_owned));
+        let action =
+            serde_json::to_value(entry.action).ok().and_then(|name| name.as_str().map(str::to_owned));
         let kind = EntryKind::Accepted {
             epoch,
             revision: entry.revision,
@@ -52,7 +53,7 @@
         self.record(now, kind);
     }
 
-    /// A change was confirmed to be in force everywhere.
+    /// Records that a response has confirmed a change as in force everywhere.
     pub(super) fn change_in_force_everywhere(&mut self, now: Millis, version: Version) {
         self.record(now, EntryKind::InForce { epoch: version.epoch, revision: version.revision });
     }
@@ -75,7 +76,7 @@
         }
     }
 
-    /// Stores entries that a controller delivered. Returns the number of the last one that is stored.
+    /// Stores entries that a controller has delivered. Returns the number of the last stored entry of its log.
     pub(super) fn append(&mut self, controller: u32, entries: Vec<String>) -> u64 {
         self.logs.append(&controller.to_string(), entries)
     }
--- a/crates/administration/src/leader/fleet_status.rs
+++ b/crates/administration/src/leader/fleet_status.rs
@@ -1,4 +1,4 @@
-//! The state of the fleet, as the API shows it.
+//! The state of the fleet, as `GET /v1/fleet` returns it.
 
 use nettleferry_fleet::Millis;
 use nettleferry_fleet::authority::{Duty, ReportedSnapshot};
--- a/crates/administration/src/leader/lease_span.rs
+++ b/crates/administration/src/leader/lease_span.rs
@@ -1,5 +1,5 @@
-//! The longest span for which leases may be out, persisted beside the tenant store: a later leader waits for so long
-//! before it takes an earlier leader's leases as over.
+//! The longest span of leases that may still be valid, persisted beside the tenant store. A leader that starts waits
+//! for this span before it considers the leases of earlier leaders expired.
 
 use std::path::{Path, PathBuf};
 use std::time::Duration;
@@ -12,32 +12,33 @@
 use super::store::wall_ms;
 use crate::persisted_file::PersistedFile;
 
-/// A start waits at most this long for the file's disk.
+/// How long a start waits for the file to be read, and again for it to be written.
 const DISK_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The spans of leases at a start, in milliseconds.
+/// The spans of leases that apply at a start, in milliseconds.
 pub(super) struct LeaseSpans {
-    /// The span that this leader may grant; `None`: it grants no leases.
+    /// The span of the leases that this leader grants; `None` if it grants none.
     pub(super) granted: Option<Millis>,
-    /// The span that earlier leaders may have granted.
+    /// The longest span that earlier leaders may have granted; `None` if they have granted no leases.
     pub(super) earlier: Option<Millis>,
 }
 
-/// The file.
+/// The file with the longest span of leases that may still be valid.
 pub(super) struct LeaseSpanFile {
     file: PersistedFile,
-    /// The span to write once no lease of an earlier leader is out; `None`: it was written.
+    /// The span to write once the leases of earlier leaders have expired; `None` after it was written.
     unwritten: Option<Millis>,
 }
 
 impl LeaseSpanFile {
-    /// Reads the span of earlier leaders, and persists the longer of theirs and the configured one.
+    /// Reads the span of earlier leaders, and persists the longer one of theirs and the configured one. If that is not
+    /// durable in time, this leader grants no leases.
     pub(super) fn open(store: &Path, configured: Option<Millis>) -> (LeaseSpans, Self) {
         let restarted = store.exists();
         let mut file = PersistedFile::open(lease_file(store), "longest lease span", DISK_TIMEOUT);
         let persisted = file.read_trusted(PersistedState::LongestLease, wall_ms(), |_| None);
         let persisted = persisted.and_then(|bytes| std::str::from_utf8(&bytes).ok()?.trim().parse().ok());
-        // What cannot be known is taken at its worst.
+        // A leader has run before, but its span cannot be read: the longest possible span is assumed.
         let earlier = persisted.or(restarted.then_some(MAX_SPAN)).filter(|span: &Millis| *span > 0);
         let longest = configured.max(earlier).unwrap_or(0);
         file.write(longest.to_string().into_bytes());
@@ -49,8 +50,8 @@
         (LeaseSpans { granted, earlier }, Self { file, unwritten: Some(granted.unwrap_or(0)) })
     }
 
-    /// IdempotentResponse the leases of earlier leaders are over, only our own span counts for later ones. Returns when that is, if it
-    /// is not yet so.
+    /// Persists this leader's own span once the leases of earlier leaders have expired, because from then on it is the
+    /// longest. Returns the time of their expiry while that is in the future.
     pub(super) fn write_own_span(&mut self, now: Millis, earlier_leases_over: Millis) -> Option<Millis> {
         self.unwritten?;
         if now < earlier_leases_over {
--- a/crates/administration/src/leader/membership_service.rs
+++ b/crates/administration/src/leader/membership_service.rs
@@ -1,5 +1,5 @@
-//! The leader's view of the fleet: heartbeats, leases and fencing of the followers' incarnations. Who gets a lease and
-//! how far a change has come is decided by `nettleferry_fleet::membership`.
+//! The leader's view of the fleet: heartbeats, leases and fencing of the followers' incarnations. Whether a lease is
+//! granted, and the progress of a change, are decided by `nettleferry_fleet::membership`.
 
 use std::collections::HashMap;
 use std::time::Instant;
@@ -15,55 +15,55 @@
 
 use crate::pending_changes::FleetState;
 
-/// Followers whose last report is shown; more are not.
+/// Maximum number of followers whose last reports are kept for the API.
 pub(super) const MAX_FOLLOWERS: usize = 1_024;
 
-/// What a follower reported last, whichever incarnation of it.
+/// The last report of a follower, of any incarnation that was not superseded.
 struct LastReport {
     revision: Revision,
     received: Instant,
 }
 
-/// How many incarnations are behind or fenced.
+/// Counts of incarnations that are behind or fenced.
 pub(super) struct IncarnationCounts {
-    /// Incarnations with a lease that act on an earlier revision.
+    /// Incarnations that hold a lease and have an earlier revision in force than the leader.
     pub(super) behind: usize,
-    /// Fenced incarnations that reported lately.
+    /// Fenced incarnations that have sent a heartbeat recently.
     pub(super) fenced: usize,
 }
 
-/// Membership and leases.
+/// The membership of the fleet, with the state that the API shows of it.
 pub(super) struct MembershipService {
     membership: Membership,
     last_reports: HashMap<u32, LastReport>,
     /// The version that the leader's own controller has in force.
     own_in_force: Version,
-    /// Controllers that are to persist a change, besides this one.
+    /// The number of other controllers that must persist a change before it is acknowledged.
     required_copies: usize,
 }
 
 impl MembershipService {
-    /// Only this membership is known yet.
+    /// Creates a service for this membership, without reports of followers.
     pub(super) fn new(membership: Membership, required_copies: usize) -> Self {
         Self { membership, last_reports: HashMap::new(), own_in_force: Version::default(), required_copies }
     }
 
-    /// The span of leases, in milliseconds; `None`: none are granted.
+    /// The span of leases in milliseconds; `None` if no leases are granted.
     pub(super) fn lease_span(&self) -> Option<Millis> {
         self.membership.span()
     }
 
-    /// When leases of earlier leaders are over.
+    /// The time at which all leases of earlier leaders have expired.
     pub(super) fn earlier_leases_over(&self) -> Millis {
         self.membership.earlier_leases_over()
     }
 
-    /// The leader's own controller has this version in force.
+    /// Sets the version that the leader's own controller has in force.
     pub(super) fn set_own_in_force(&mut self, version: Version) {
         self.own_in_force = version;
     }
 
-    /// The state by which pending changes are judged.
+    /// The state of the fleet at `now`, from which the progress of pending changes is derived.
     pub(super) fn fleet_state(&self, now: Millis) -> FleetState<'_> {
         FleetState {
             membership: &self.membership,
@@ -73,8 +73,8 @@
         }
     }
 
-    /// A heartbeat of a follower. If it says that it has stopped, its leases are over. `is_foreign`: its snapshot is of
-    /// another store, so that it has none of this one's changes.
+    /// Handles a heartbeat of a follower. If it reports that it has stopped, its lease ends. `is_foreign`: its snapshot
+    /// belongs to another store, so that it has none of this store's changes.
     pub(super) fn heartbeat(
         &mut self,
         now: Millis,
@@ -96,35 +96,35 @@
         }
     }
 
-    /// Remembers what a follower reported, for the API.
-    pub(super) fn remember_report(&mut self, controller: u32, revision: Revision) {
+    /// Records the revision that a follower reported, for the API. Followers beyond [`MAX_FOLLOWERS`] are ignored.
+    pub(super) fn record_report(&mut self, controller: u32, revision: Revision) {
         if self.last_reports.len() < MAX_FOLLOWERS || self.last_reports.contains_key(&controller) {
             self.last_reports.insert(controller, LastReport { revision, received: Instant::now() });
         }
     }
 
-    /// Whether an incarnation has said that it accepts no calls any more.
+    /// Whether an incarnation has reported that it no longer accepts calls.
     pub(super) fn is_ended(&self, member: Incarnation) -> bool {
         self.membership.is_ended(member)
     }
 
-    /// Whether a later incarnation of the same controller was heard.
+    /// Whether a later incarnation of the same controller has sent a heartbeat.
     pub(super) fn is_superseded(&self, member: Incarnation) -> bool {
         self.membership.is_superseded(member)
     }
 
-    /// Whether an incarnation is fenced.
+    /// Whether an operator has fenced an incarnation.
     pub(super) fn is_fenced(&self, member: Incarnation) -> bool {
         self.membership.is_fenced(member)
     }
 
-    /// Whether an incarnation holds a lease and is not fenced.
+    /// Whether an incarnation holds a lease that has not expired, and is not fenced.
     pub(super) fn may_act(&self, now: Millis, member: Incarnation) -> bool {
-        let leased = self.membership.members().any(|(id, state)| id == member && is_leased(state, now));
-        leased && !self.membership.is_fenced(member)
+        let holds_lease = self.membership.members().any(|(id, state)| id == member && has_lease(state, now));
+        holds_lease && !self.membership.is_fenced(member)
     }
 
-    /// Grants a lease on this snapshot; `None`: none is granted.
+    /// Grants a lease on this version of the snapshot. Returns `None` if the lease is denied or no leases are granted.
     pub(super) fn grant_lease(
         &mut self,
         now: Millis,
@@ -145,7 +145,7 @@
         }
     }
 
-    /// Fences the incarnations of a controller, or lets them back in. Returns how many.
+    /// Fences the incarnations of a controller, or lifts the fencing. Returns the number of incarnations affected.
     pub(super) fn set_fenced(&mut self, controller: u32, fenced: bool) -> usize {
         let incarnations = if fenced {
             self.membership.fence(controller).len()
@@ -156,7 +156,7 @@
         incarnations
     }
 
-    /// The revisions of the followers, as they reported them.
+    /// The revision that each follower reported last.
     pub(super) fn revisions(&self) -> impl Iterator<Item = ControllerRevision> {
         self.last_reports.iter().map(|(controller, report)| ControllerRevision {
             controller: *controller,
@@ -165,9 +165,9 @@
         })
     }
 
-    /// How many incarnations are behind this revision, and how many are fenced.
+    /// Counts the incarnations that are behind this revision, and those that are fenced.
     pub(super) fn counts(&self, now: Millis, revision: Revision) -> IncarnationCounts {
-        let is_behind = |state: &Member| is_leased(state, now) && state.state.in_force.revision < revision;
+        let is_behind = |state: &Member| has_lease(state, now) && state.state.in_force.revision < revision;
         let is_recent = |state: &Member| now < state.last_heartbeat + UNRESPONSIVE_AFTER;
         let members = || self.membership.members();
         let behind = members().filter(|(_, state)| is_behind(state)).count();
@@ -176,17 +176,17 @@
         IncarnationCounts { behind, fenced }
     }
 
-    /// Incarnations that hold a lease.
+    /// The number of incarnations that hold a lease.
     pub(super) fn lease_holders(&self, now: Millis) -> usize {
         self.membership.lease_holders(now)
     }
 
-    /// Incarnations that got no lease for want of room.
+    /// How often a heartbeat was rejected because the membership was full of incarnations with leases.
     pub(super) fn rejected(&self) -> u64 {
         self.membership.rejected()
     }
 
-    /// The known incarnations, for the API. `own_revision`: that of the leader's snapshot, where it is known.
+    /// The known incarnations, as JSON for the API. `own_revision` is the revision of the leader's snapshot, if known.
     pub(super) fn describe(&self, now: Millis, own_revision: Option<Revision>) -> Vec<Value> {
         let describe = |(id, state)| self.describe_member(now, own_revision, id, state);
         self.membership.members().map(describe).collect()
@@ -211,6 +211,6 @@
     }
 }
 
-fn is_leased(member: &Member, now: Millis) -> bool {
+fn has_lease(member: &Member, now: Millis) -> bool {
     member.lease_over.is_some_and(|over| now < over)
 }
--- a/crates/administration/src/leader/mod.rs
+++ b/crates/administration/src/leader/mod.rs
@@ -1,12 +1,16 @@
-//! The leader's administration: owns the tenant store, serves the API, and coordinates the followers. Each service has a
-//! state of its own; [`context::LeaderContext`] holds those that the API needs, [`server_loop::Leader`] the others.
+//! The leader's administration: owns the tenant store, serves the API, and coordinates the followers. Each service
+//! keeps its own state; [`context::LeaderContext`] holds the services that the API uses, [`server_loop::Leader`] the
+//! others.
 //!
-//! * `start`: opens the store and the listener, starts the thread. `server_loop`: requests, and work that is due.
-//! * `api_ports`: what the API asks of the running leader. `fleet_status`: the state of the fleet for it.
+//! * `start`: opens the store and the listener, starts the thread. `server_loop`: handles requests and periodic work.
+//! * `api_ports`: implements the interface through which the API uses the running leader. `fleet_status`: the body of
+//!   the fleet status response.
+//! * `report_check`: validates the reports of followers.
 //! * `membership_service`: heartbeats, leases, fencing. `audit_collector`: audit logs of all controllers.
-//! * `recovery`: which snapshot counts after a loss. `peer_polling`: asks peers meanwhile.
-//! * `store`: the tenant store. `lease_span`: the longest lease that may be out. `snapshot_writer`: the snapshot beside
-//!   the store.
+//! * `recovery`: decides which snapshot is authoritative after a loss. `peer_polling`: requests the peers' snapshots
+//!   until that is decided.
+//! * `store`: the tenant store. `lease_span`: the longest span of leases that may still be valid. `snapshot_writer`:
+//!   the snapshot file beside the store.
 
 mod api_ports;
 mod audit_collector;
--- a/crates/administration/src/leader/peer_polling.rs
+++ b/crates/administration/src/leader/peer_polling.rs
@@ -1,32 +1,33 @@
-//! Asks the peers which snapshot they have, round by round, while it is not decided which one counts.
+//! Polls the peers for their snapshots in rounds, while recovery has not decided which snapshot is authoritative.
 
 use std::time::{Duration, Instant};
 
 use crate::peer_client::{PeerPoller, PeerState};
 
-/// A round starts at most this often.
+/// Minimum interval between the starts of two rounds.
 const ROUND_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The rounds.
+/// The state of the polling rounds.
 pub(super) struct PeerPolling {
     poller: PeerPoller,
-    /// Peers that have not responded in this round.
+    /// The number of peers whose response in the current round is outstanding.
     outstanding: usize,
     next_round: Instant,
 }
 
 impl PeerPolling {
-    /// The first round starts now.
+    /// Creates the polling; the first round is due at `now`.
     pub(super) fn new(poller: PeerPoller, now: Instant) -> Self {
         Self { poller, outstanding: 0, next_round: now }
     }
 
-    /// The number of peers.
+    /// The number of configured peers.
     pub(super) fn count(&self) -> usize {
         self.poller.count()
     }
 
-    /// Starts a round if one is due. Returns how long until the next one, if none is on its way.
+    /// Starts a round if one is due. Returns the time until the next round; `None` while responses are outstanding, and
+    /// if there are no peers.
     pub(super) fn poll(&mut self) -> Option<Duration> {
         let peers = self.poller.count();
         if peers == 0 {
@@ -40,7 +41,7 @@
         (self.outstanding == 0).then(|| self.next_round.saturating_duration_since(Instant::now()))
     }
 
-    /// What peers said since the last time.
+    /// The peers' responses that have arrived since the previous call.
     pub(super) fn responses(&mut self) -> Vec<PeerState> {
         let responses: Vec<PeerState> = self.poller.responses().collect();
         self.outstanding = self.outstanding.saturating_sub(responses.len());
--- a/crates/administration/src/leader/recovery.rs
+++ b/crates/administration/src/leader/recovery.rs
@@ -1,5 +1,5 @@
-//! Which snapshot counts after a loss: followers and peers report theirs, and `nettleferry_fleet::authority` decides, or
-//! an operator does. A snapshot that was decided on is installed by the server loop.
+//! Determines which snapshot is authoritative after a loss. Followers and peers report their snapshots, and either
+//! `nettleferry_fleet::authority` or an operator decides. The server loop installs the chosen snapshot.
 
 use std::collections::BTreeMap;
 
@@ -16,66 +16,69 @@
 use super::store::wall_ms;
 use crate::snapshot_document::SnapshotDocument;
 
-/// Tenants of a difference that are named; more are counted.
+/// Maximum number of tenants that a difference lists by name; further ones are only counted.
 const MAX_NAMED_DIFFERENCES: usize = 100;
 
-/// A snapshot that is to be installed.
+/// A chosen snapshot, with the store and epoch under which it is to be installed.
 pub(super) struct Decision {
     pub(super) snapshot: TenantSnapshot,
     pub(super) origin: Origin,
 }
 
-/// Where a report comes from.
+/// The source of a reported snapshot version.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ReportSource {
     /// The controller's number.
     pub(super) controller: u32,
-    /// The incarnation that reported by itself; `None`: a peer that was asked.
+    /// The incarnation that sent the report with a heartbeat; `None` for the response of a polled peer.
     pub(super) incarnation: Option<u64>,
-    /// A later incarnation of the same controller was heard before.
+    /// Whether a later incarnation of the same controller has sent a heartbeat before this report.
     pub(super) is_superseded: bool,
 }
 
 impl ReportSource {
-    /// A peer's response.
+    /// The source of a polled peer's response.
     pub(super) fn peer(controller: u32) -> Self {
         Self { controller, incarnation: None, is_superseded: false }
     }
 }
 
-/// The recovery.
+/// The state of the recovery, which also tracks the leader's duty in normal operation.
 pub(super) struct RecoveryService {
     controller: u32,
     authority: Authority,
-    /// Snapshots that peers gave while none counts, by the peer's number: as many as there are peers.
+    /// The snapshots that peers have sent while none is authoritative, by controller number; at most one for each peer.
     offers: BTreeMap<u32, SnapshotDocument>,
-    /// By agreement, or by an operator: to be installed after the response.
+    /// The snapshot that the controllers agree on or an operator has chosen, until the server loop installs it.
     decision: Option<Decision>,
     logged_duty: Option<Duty>,
 }
 
 impl RecoveryService {
-    /// A recovery of the leader's controller of this number.
+    /// Creates a recovery. `controller` is the number of the leader's own controller.
     pub(super) fn new(controller: u32, authority: Authority) -> Self {
         Self { controller, authority, offers: BTreeMap::new(), decision: None, logged_duty: None }
     }
 
-    /// The decisions so far.
+    /// The leader's duty, with the reports from which it was derived.
     pub(super) fn authority(&self) -> &Authority {
         &self.authority
     }
 
-    /// Whether a snapshot counts, so that it may be given and changed.
+    /// Whether the leader's snapshot is authoritative, so that it may be served and changed.
     pub(super) fn is_serving(&self) -> bool {
         self.authority.duty().0 == Duty::Serving
     }
 
-    /// Whether the store's own snapshot can be read.
+    /// Whether the leader's snapshot belongs to its own store, which is not so while the store is damaged.
     pub(super) fn owns_snapshot(&self) -> bool {
         self.authority.own().is_some()
     }
 
-    /// As [`RecoveryService::is_serving`], for the API.
+    /// Like [`RecoveryService::is_serving`], as a result for the API.
+    ///
+    /// # Errors
+    /// The reason why recovery is pending, and how many controllers have reported.
     pub(super) fn check_serving(&self) -> Result<(), RecoveryPending> {
         match self.authority.duty().0 {
             Duty::Serving => Ok(()),
@@ -87,18 +90,18 @@
         }
     }
 
-    /// The store's snapshot has this version now.
+    /// Records the new version of the store's snapshot after a change.
     pub(super) fn own_changed(&mut self, now: Millis, version: SnapshotVersion) {
         self.authority.set_own(now, version, false);
     }
 
-    /// A decided snapshot was installed; it has this version.
+    /// Records that the chosen snapshot was installed with this version.
     pub(super) fn installed(&mut self, now: Millis, version: SnapshotVersion) {
         self.authority.set_own(now, version, true);
         self.offers.clear();
     }
 
-    /// A controller reported the version that it has; `None`: it has none.
+    /// Handles the snapshot version that a controller reported; `None` if it has no snapshot.
     pub(super) fn version_reported(
         &mut self,
         now: Millis,
@@ -118,7 +121,8 @@
         };
         self.log_transition(now, before, source, version.as_ref());
         let Step::Install(from, version) = step else { return };
-        // A controller that reported its version with a heartbeat gives its snapshot when it is asked in turn.
+        // Without an offer, as after a heartbeat, there is nothing to install yet: the snapshot arrives when that
+        // controller is polled in the next round.
         let offer = self.offers.get(&from).filter(|document| document.version() == version);
         if let Some((document, origin)) = offer.zip(self.superseding_origin()) {
             let decide = || Decision { snapshot: document.snapshot.clone(), origin };
@@ -126,7 +130,7 @@
         }
     }
 
-    /// Logs a change of duty with the report that caused it.
+    /// Logs a change of the leader's duty, with the report that caused it.
     fn log_transition(
         &self,
         now: Millis,
@@ -138,7 +142,8 @@
         if before == after {
             return;
         }
-        let name = |version: Option<&SnapshotVersion>| version.map(ToString::to_string).unwrap_or_default();
+        let version_text =
+            |version: Option<&SnapshotVersion>| version.map(ToString::to_string).unwrap_or_default();
         info!(
             from = before.as_str(),
             to = after.as_str(),
@@ -146,30 +151,30 @@
             controller = source.controller,
             incarnation = %source.incarnation.map(|life| format!("{life:016x}")).unwrap_or_default(),
             is_superseded = source.is_superseded,
-            reported = %name(reported),
-            own = %name(self.authority.own()),
+            reported = %version_text(reported),
+            own = %version_text(self.authority.own()),
             "duty changed by a report"
         );
     }
 
-    /// Whether the leader's own snapshot is known to lack changes that others have or had.
+    /// Whether the leader's own snapshot is known to lack changes that other controllers have or had.
     pub(super) fn is_behind(&self) -> bool {
         self.authority.duty().0 == Duty::Waiting(Cause::Behind)
     }
 
-    /// A peer gave the snapshot that it has.
+    /// Handles a snapshot that a peer has sent.
     pub(super) fn snapshot_offered(&mut self, now: Millis, controller: u32, document: SnapshotDocument) {
         let version = document.version();
         self.offers.insert(controller, document);
         self.version_reported(now, ReportSource::peer(controller), Some(version));
     }
 
-    /// The snapshot that is to be installed, once.
+    /// Returns the snapshot that is to be installed, if one was chosen since the previous call.
     pub(super) fn take_decision(&mut self) -> Option<Decision> {
         self.decision.take()
     }
 
-    /// Logs whether a snapshot counts, if that has changed. Returns whether it has.
+    /// Logs the leader's duty if it has changed since the previous call. Returns whether it has.
     pub(super) fn log_duty(&mut self) -> bool {
         let (duty, _) = self.authority.duty();
         if self.logged_duty.replace(duty) == Some(duty) {
@@ -186,15 +191,19 @@
         true
     }
 
-    /// An operator decides which snapshot counts: `own`, or the number of the controller that gave it. Returns what the
-    /// others have that would be lost, or would come back.
+    /// Handles an operator's choice of the authoritative snapshot: `own`, or the number of the controller that has sent
+    /// it. Returns how the snapshots of the other controllers differ, as JSON for the API. With `dry_run`, nothing else
+    /// happens.
+    ///
+    /// # Errors
+    /// The choice is invalid, the controller has sent no snapshot, or no snapshot is known.
     pub(super) fn decide(
         &mut self,
         own: &TenantSnapshot,
-        take: &str,
+        choice: &str,
         dry_run: bool,
     ) -> Result<Value, Problem> {
-        let (snapshot, from) = self.chosen(own, take)?;
+        let (snapshot, from) = self.chosen_snapshot(own, choice)?;
         let all = self.offers.iter().map(|(number, document)| (*number, &document.snapshot));
         let others: Vec<Value> = all
             .chain([(self.controller, own)])
@@ -202,9 +211,9 @@
             .map(|(number, other)| difference(number, &snapshot, other))
             .collect();
         let origin =
-            self.superseding_origin().ok_or_else(|| unknown("no book is known at all".to_owned()))?;
+            self.superseding_origin().ok_or_else(|| invalid_choice("no book is known at all".to_owned()))?;
         let answer = json!({
-            "take": take, "controller": from, "revision": snapshot.revision(), "tenants": snapshot.tenants().len(),
+            "take": choice, "controller": from, "revision": snapshot.revision(), "tenants": snapshot.tenants().len(),
             "epoch": origin.epoch, "others": others, "done": !dry_run,
         });
         if !dry_run {
@@ -213,33 +222,40 @@
         Ok(answer)
     }
 
-    /// The snapshot that an operator names, and the controller that has it.
-    fn chosen(&self, own: &TenantSnapshot, take: &str) -> Result<(TenantSnapshot, u32), Problem> {
-        if take == "own" {
+    /// The snapshot that an operator has chosen, and the number of the controller that has it.
+    fn chosen_snapshot(&self, own: &TenantSnapshot, choice: &str) -> Result<(TenantSnapshot, u32), Problem> {
+        if choice == "own" {
             if !self.owns_snapshot() && own.revision() == 0 {
-                return Err(unknown("its own book can't be read, and there is no snapshot of it".to_owned()));
+                let detail = "its own book can't be read, and there is no snapshot of it";
+                return Err(invalid_choice(detail.to_owned()));
             }
             return Ok((own.clone(), self.controller));
         }
-        let number: u32 = take.parse().map_err(|_| unknown("own, or a controller's number".to_owned()))?;
-        let not_given =
-            || unknown(format!("controller {number} has given no book; peers are asked while one is open"));
-        let document = self.offers.get(&number).ok_or_else(not_given)?;
+        let not_a_number = |_| invalid_choice("own, or a controller's number".to_owned());
+        let number: u32 = choice.parse().map_err(not_a_number)?;
+        let no_offer = || {
+            invalid_choice(format!(
+                "controller {number} has given no book; peers are asked while one is open"
+            ))
+        };
+        let document = self.offers.get(&number).ok_or_else(no_offer)?;
         Ok((document.snapshot.clone(), number))
     }
 
-    /// The store and epoch under which a snapshot supersedes all that are known.
+    /// The store and epoch under which a snapshot supersedes all known ones; `None` if none is known. The epoch is the
+    /// wall-clock time if that is late enough.
     fn superseding_origin(&self) -> Option<Origin> {
         let minimum = self.authority.superseding_origin()?;
         Some(Origin { store: minimum.store, epoch: minimum.epoch.max(wall_ms()) })
     }
 }
 
-fn unknown(what: String) -> Problem {
-    Problem::field("take", what)
+fn invalid_choice(detail: String) -> Problem {
+    Problem::field("take", detail)
 }
 
-/// What the other controller would lose, or get back, if this snapshot counts.
+/// The tenants that the other controller would lose, see changed or get back if the chosen snapshot is installed, as
+/// JSON for the API.
 fn difference(controller: u32, chosen: &TenantSnapshot, other: &TenantSnapshot) -> Value {
     let mut named: Vec<Value> = Vec::new();
     let mut count = 0;
@@ -252,7 +268,7 @@
     for tenant in other.tenants() {
         match chosen.get(&tenant.name) {
             None => add(&tenant.name, "would be gone"),
-            Some(stays) if stays != tenant => add(&tenant.name, "would be another"),
+            Some(kept) if kept != tenant => add(&tenant.name, "would be another"),
             Some(_) => {}
         }
     }
--- a/crates/administration/src/leader/report_check.rs
+++ b/crates/administration/src/leader/report_check.rs
@@ -1,5 +1,5 @@
-//! Whether what a follower reports can be. A report that can't be comes of a wrong address, a wrong clock or a broken
-//! program: it is refused and counted, and decides nothing.
+//! Validates the reports of followers. An impossible report is caused by a wrong address in the settings, a wrong clock
+//! or a defective program. It is rejected and counted, and has no effect on recovery.
 
 use nettleferry_admin::Problem;
 use nettleferry_admin::api::ControllerState;
@@ -7,51 +7,52 @@
 use nettleferry_tenancy::Revision;
 use tracing::warn;
 
-/// Epochs are wall-clock milliseconds of restores: one that lies further ahead than this is from no clock of this fleet.
+/// How far in the future an epoch may be. Epochs are wall-clock times of restores in milliseconds, and the clocks of a
+/// fleet differ by less than this.
 pub(super) const MAX_EPOCH_LEAD: Millis = 24 * 60 * 60_000;
-/// The highest revision: JSON numbers are exact up to it.
+/// The highest valid revision, up to which JSON numbers are exact.
 pub(super) const MAX_REVISION: Revision = 1 << 53;
 
-/// What is wrong with a report.
+/// Why a report of a follower is rejected or ignored. The texts are part of the response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum ReportFault {
-    /// There is no controller of this number.
+    /// The fleet has no controller with this number.
     #[error("the fleet has controllers 0 to {last}, by this administration's settings")]
     NoSuchController {
-        /// The highest number.
+        /// The highest controller number.
         last: u32,
     },
     /// The number is that of the leader's own controller.
     #[error("this is the number of the administration's own controller")]
     OwnNumber,
-    /// The epoch is from the future.
+    /// The epoch is too far in the future.
     #[error("this epoch is from the future: the latest is {latest}")]
     FutureEpoch {
-        /// The latest that can be.
+        /// The latest valid epoch.
         latest: u64,
     },
-    /// The revision is higher than any can be.
+    /// The revision is above [`MAX_REVISION`].
     #[error("there are no revisions above {MAX_REVISION}")]
     RevisionTooHigh,
-    /// It has more in force than it has.
+    /// The revision in force is later than that of the snapshot.
     #[error("more is in force than the snapshot has, which ends with {revision}")]
     InForceAhead {
         /// The snapshot's revision.
         revision: Revision,
     },
-    /// It has more on its disk than it has.
+    /// The persisted revision is later than that of the snapshot.
     #[error("more is kept than the snapshot has, which ends with {revision}")]
     PersistedAhead {
         /// The snapshot's revision.
         revision: Revision,
     },
-    /// The snapshot is of another store.
+    /// The snapshot belongs to another store. The request is still served, but the report has no effect on recovery.
     #[error("the snapshot is of another store")]
     Foreign,
 }
 
 impl ReportFault {
-    /// The parameter of the request that is wrong.
+    /// The name of the request parameter with the invalid value.
     fn parameter(self) -> &'static str {
         match self {
             Self::NoSuchController { .. } | Self::OwnNumber => "controller",
@@ -63,13 +64,13 @@
         }
     }
 
-    /// As the API says it.
+    /// The API's response to a request with this fault.
     pub(super) fn problem(self) -> Problem {
         Problem::field(self.parameter(), self.to_string())
     }
 }
 
-/// What reports are held against.
+/// The limits that reports are checked against.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ReportLimits {
     /// The number of the leader's own controller.
@@ -81,10 +82,10 @@
 }
 
 impl ReportLimits {
-    /// Checks a report at this wall-clock time, in milliseconds.
+    /// Checks a report. `wall` is the wall-clock time in milliseconds.
     ///
     /// # Errors
-    /// What is wrong with it.
+    /// The first fault that was found.
     pub(super) fn check(
         &self,
         controller: u32,
@@ -108,7 +109,8 @@
         Ok(())
     }
 
-    /// Settings that name no fleet have one controller, of number 0: they tell nothing of the numbers of followers.
+    /// Checks the controller's number. Settings without a fleet have a single controller with number 0, in which case
+    /// any number is accepted.
     fn check_number(&self, controller: u32) -> Result<(), ReportFault> {
         if self.controllers <= 1 {
             return Ok(());
@@ -122,27 +124,28 @@
         Ok(())
     }
 
-    /// The latest epoch that can be. `None`: the clock here is behind the store's own epoch, so that it tells nothing.
+    /// The latest valid epoch. `None` if the local clock is behind the epoch of the leader's own store: it is wrong
+    /// then, and cannot be used for the check.
     fn latest_epoch(&self, wall: Millis) -> Option<u64> {
         (self.own_epoch <= wall).then(|| wall.saturating_add(MAX_EPOCH_LEAD))
     }
 }
 
-/// Reports that were refused, or that decide nothing.
+/// The number of reports that were rejected or ignored.
 #[derive(Debug, Default)]
 pub(super) struct RefusedReports(u64);
 
 impl RefusedReports {
-    /// Counts one. Logs the first, and then ever fewer of them.
+    /// Counts a report. The 1st, 2nd, 4th, 8th and so on is logged, so that frequent faults do not flood the log.
     pub(super) fn count(&mut self, controller: u32, fault: &ReportFault) {
         self.0 += 1;
         if self.0.is_power_of_two() {
             let (parameter, total) = (fault.parameter(), self.0);
-            warn!(controller, parameter, %fault, total, "report of a controller refused, it decides nothing");
+            warn!(controller, parameter, %fault, total, "controller report is not used for recovery");
         }
     }
 
-    /// How many there were.
+    /// The number of reports counted since the start.
     pub(super) fn total(&self) -> u64 {
         self.0
     }
--- a/crates/administration/src/leader/report_check/tests.rs
+++ b/crates/administration/src/leader/report_check/tests.rs
@@ -26,12 +26,12 @@
 }
 
 #[test]
-fn each_impossible_report_is_refused_by_its_parameter() {
+fn impossible_reports_are_rejected_and_the_invalid_parameter_is_named() {
     assert_eq!(check(|_| ()), Ok(()));
     assert_eq!(LIMITS.check(4, &state(), WALL), Err(ReportFault::NoSuchController { last: 3 }));
     assert_eq!(LIMITS.check(0, &state(), WALL), Err(ReportFault::OwnNumber));
-    let unnamed = ReportLimits { controllers: 1, ..LIMITS };
-    assert_eq!(unnamed.check(4, &state(), WALL), Ok(()), "the settings name no fleet");
+    let without_fleet = ReportLimits { controllers: 1, ..LIMITS };
+    assert_eq!(without_fleet.check(4, &state(), WALL), Ok(()), "the settings name no fleet");
     let latest = WALL + MAX_EPOCH_LEAD;
     assert_eq!(check(|state| state.epoch = latest), Ok(()));
     assert_eq!(check(|state| state.epoch = latest + 1), Err(ReportFault::FutureEpoch { latest }));
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn clock_that_is_behind_the_own_epoch_calls_no_epoch_future() {
+fn epochs_are_not_checked_while_the_local_clock_is_behind_the_own_epoch() {
     let limits = ReportLimits { own_epoch: WALL, ..LIMITS };
     let restored = ControllerState { epoch: WALL + 2 * MAX_EPOCH_LEAD, ..state() };
     assert_eq!(limits.check(1, &restored, 0), Ok(()), "a dead clock must not hide a later snapshot");
--- a/crates/administration/src/leader/server_loop.rs
+++ b/crates/administration/src/leader/server_loop.rs
@@ -1,6 +1,6 @@
-//! The leader's server loop: answers the API's requests, and does what is due between them. The order matters: a change
-//! is durable before it is sent to the controller, and sent before its response; what a response confirms is logged
-//! before the response leaves.
+//! The leader's server loop: handles API requests, and periodic work between them. The order matters: a change is
+//! durable before it is sent to the controller, and is sent to the controller before its response. A change that a
+//! response confirms as in force everywhere is recorded in the audit log before the response is sent.
 
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
@@ -27,9 +27,9 @@
 use crate::pending_changes::{ChangeResponse, CommittedChange, PendingChanges};
 use crate::snapshot_document::{SnapshotDocument, version_of};
 
-/// The leader's own controller borrows at most this often, in milliseconds.
+/// Minimum interval in milliseconds at which the leader's own controller is granted loans.
 const OWN_LOAN_INTERVAL: Millis = 500;
-/// The leader's own controller gets a reading of the leader's clock at most this often, in milliseconds.
+/// Minimum interval in milliseconds at which the leader's own controller is sent a reading of the leader's clock.
 const OWN_CLOCK_INTERVAL: Millis = 1_000;
 
 /// The state of the leader's thread.
@@ -42,21 +42,21 @@
     pub(super) lease_span: LeaseSpanFile,
     pub(super) store_path: PathBuf,
     pub(super) snapshot_writer: SnapshotWriter,
-    /// The revision that was sent to the controller.
+    /// The last revision that was sent to the controller.
     pub(super) sent_revision: Revision,
-    /// When the controller got a reading of the leader's clock last; 0: never.
+    /// When a reading of the leader's clock was last sent to the controller; 0 if never.
     pub(super) clock_sent_at: Millis,
-    /// When the controller borrowed last.
+    /// When loans were last granted to the leader's own controller.
     pub(super) own_loans_at: Millis,
-    /// The controller was told that its snapshot is behind.
+    /// Whether the controller was last notified that its snapshot is behind.
     pub(super) own_is_behind: bool,
-    /// Wakes requests that wait.
+    /// Wakes the server, so that waiting requests are handled again.
     pub(super) wake: Stop,
     pub(super) peers: PeerPolling,
 }
 
 impl Leader {
-    /// Answers a request. `held_for`: how long it was held; `None`: it has just come.
+    /// Handles a request. `held_for` is how long the server has held it; `None` if it has just arrived.
     pub(super) fn handle(&mut self, request: &http1::Request<'_>, held_for: Option<Duration>) -> Disposition {
         let caller = match self.keys.authenticate(request.header("authorization")) {
             Ok(caller) => caller,
@@ -90,9 +90,9 @@
                 self.update_own_in_force();
                 let fleet = self.context.members.fleet_state(self.context.now());
                 let change = CommittedChange { response, version, restricts };
-                let turn = into_reply(self.changes.committed(&fleet, change));
+                let disposition = into_disposition(self.changes.add(&fleet, change));
                 self.log_confirmed_changes();
-                turn
+                disposition
             }
         }
     }
@@ -100,12 +100,13 @@
     fn resume_change(&mut self, ticket: u64) -> Disposition {
         let fleet = self.context.members.fleet_state(self.context.now());
         let response = self.changes.resume(&fleet, ticket);
-        let turn = response.map_or_else(|| Disposition::Reply(problem_reply(&abandoned())), into_reply);
+        let disposition =
+            response.map_or_else(|| Disposition::Reply(problem_reply(&removed_response())), into_disposition);
         self.log_confirmed_changes();
-        turn
+        disposition
     }
 
-    /// Logs the changes that a response confirms to be in force everywhere, before the response leaves.
+    /// Records in the audit log which changes a response confirms as in force everywhere, before the response is sent.
     fn log_confirmed_changes(&mut self) {
         for version in self.changes.take_confirmed() {
             let now = self.context.now();
@@ -120,7 +121,7 @@
         self.context.members.set_own_in_force(in_force);
     }
 
-    /// Asks again for responses that wait, as soon as one is ready.
+    /// Wakes the server if a waiting response is ready, so that waiting requests are handled again.
     fn wake_ready_changes(&mut self) {
         self.update_own_in_force();
         if self.changes.is_any_ready(&self.context.members.fleet_state(self.context.now())) {
@@ -128,15 +129,15 @@
         }
     }
 
-    /// Does what is due. Returns how long until something will be.
+    /// Does the periodic work that is due. Returns the time until more is due; `None` if nothing is scheduled.
     pub(super) fn tick(&mut self) -> Option<Duration> {
         let wall = wall_ms();
-        self.take_peer_responses();
+        self.handle_peer_responses();
         self.install_decision();
-        if let Err(error) = self.api.store().heal() {
-            warn!(%error, "tenant store can't be used yet");
+        if let Err(error) = self.api.store().reopen_if_failed() {
+            warn!(%error, "tenant store can't be reopened yet");
         }
-        // Removals become due only where the snapshot may change.
+        // Expired tenants are removed only while the snapshot may be changed.
         if self.context.recovery.is_serving() {
             self.api.remove_expired(wall);
         }
@@ -160,14 +161,15 @@
         [removal, write, round].into_iter().flatten().chain(due).min()
     }
 
-    /// How long until a tenant's removal is due.
+    /// The time until the next removal of an expired tenant; `None` if none is scheduled or the snapshot may not be
+    /// changed.
     fn next_removal(&self, wall: Millis) -> Option<Duration> {
         let due = self.api.snapshot().next_removal()?;
         let wait = Duration::from_millis(due.saturating_sub(wall).max(1));
         Some(wait).filter(|_| self.context.recovery.is_serving())
     }
 
-    /// Sends the changes since the last time to the controller, and wakes those who wait for one.
+    /// Sends the changes since the previous call to the controller, and wakes the watch requests that wait for changes.
     fn publish_changes(&mut self) {
         let snapshot = self.api.snapshot();
         if self.sent_revision == snapshot.revision() {
@@ -188,20 +190,20 @@
                     self.context.link.send(AdminEvent::TenantChanged(Box::new(entry)));
                 }
             }
-            Err(error) => warn!(%error, "changes can't be read back"),
+            Err(error) => warn!(%error, "committed changes can't be read from the tenant store"),
         }
         self.send_checkpoint(Version { epoch: self.context.served.epoch, revision: self.sent_revision });
         self.wake.wake();
         self.snapshot_writer.schedule();
     }
 
-    /// The controller acknowledges this once it has all that was sent in force.
+    /// Sends a checkpoint, which the controller acknowledges once it has applied everything sent before it.
     fn send_checkpoint(&mut self, version: Version) {
-        let checkpoint = self.versions.sent(version);
+        let checkpoint = self.versions.record_sent(version);
         self.context.link.send(AdminEvent::Checkpoint(checkpoint));
     }
 
-    /// The leader's own controller borrows like any other, without a network between.
+    /// Grants loans to the leader's own controller, by the same rules as to a follower but without HTTP requests.
     fn grant_own_loans(&mut self, now: Millis) {
         let borrower = self.context.own_incarnation();
         let span = self.context.members.lease_span();
@@ -215,14 +217,15 @@
         if demands.is_empty() {
             return;
         }
-        let asked = Instant::now();
+        let requested_at = Instant::now();
         let period = LeaderContext::loan_period(now, span);
         let loans = loans.grant(period, self.api.snapshot(), borrower, &demands);
-        let until = asked + Duration::from_millis(ends(0, span));
+        let until = requested_at + Duration::from_millis(ends(0, span));
         self.context.link.send(AdminEvent::LoansGranted { until, loans });
     }
 
-    /// Collects new audit entries, and sends the controller a reading of this clock now and then.
+    /// Collects new audit entries. Also sends the controller a reading of the leader's clock, at most once per
+    /// [`OWN_CLOCK_INTERVAL`].
     fn collect_audit_entries(&mut self, now: Millis) {
         let earliest = Instant::now();
         let Some(audit) = &mut self.context.audit else { return };
@@ -234,7 +237,7 @@
         }
     }
 
-    fn take_peer_responses(&mut self) {
+    fn handle_peer_responses(&mut self) {
         for state in self.peers.responses() {
             let Some(controller) = state.controller else { continue };
             let now = self.context.now();
@@ -248,7 +251,7 @@
         }
     }
 
-    /// Installs the snapshot that all agree on, or that an operator has decided on.
+    /// Installs the snapshot that all controllers agree on or an operator has chosen, if there is one.
     fn install_decision(&mut self) {
         if let Some(decision) = self.context.recovery.take_decision() {
             self.install(decision);
@@ -256,7 +259,8 @@
         self.log_duty();
     }
 
-    /// Logs whether a snapshot counts, and wakes those who wait for that.
+    /// Logs a change of the leader's duty. Notifies the controller if its snapshot is now behind or no longer so, marks
+    /// pending changes as undecided while recovery is pending, and wakes waiting requests.
     pub(super) fn log_duty(&mut self) {
         if !self.context.recovery.log_duty() {
             return;
@@ -273,7 +277,7 @@
 
     fn install(&mut self, Decision { snapshot, origin }: Decision) {
         if let Err(error) = self.api.store().install(&self.store_path, &snapshot, &origin) {
-            error!(%error, "snapshot that was decided on can't be stored and is not installed");
+            error!(%error, "chosen snapshot can't be stored and is not installed");
             return;
         }
         let store = self.api.store().take();
@@ -281,7 +285,7 @@
         let (now, revision, epoch) = (self.context.now(), snapshot.revision(), origin.epoch);
         info!(revision, epoch, store = %origin.store, "snapshot installed, it is authoritative now");
         self.context.recovery.installed(now, version_of(&origin.store, epoch, &snapshot));
-        // They may not be in it.
+        // The installed snapshot may lack the changes whose responses still wait.
         self.changes.set_undecided();
         self.sent_revision = revision;
         self.context.served.epoch = epoch;
@@ -292,16 +296,17 @@
         self.wake.wake();
     }
 
-    /// Writes the snapshot beside the store, unless it was written already.
+    /// Writes the snapshot file beside the store, unless this revision was written already or is not the store's own.
     pub(super) fn write_snapshot(&mut self) {
         let owns_store = self.context.recovery.owns_snapshot();
         self.snapshot_writer.write(self.api.snapshot(), self.api.identity(), owns_store);
     }
 }
 
-/// The API's view of an HTTP request.
+/// Converts an HTTP request to a request of the API. Parameters of the content type are dropped.
 fn api_request<'a>(request: &'a http1::Request<'_>) -> Request<'a> {
-    let content_type = request.header("content-type").map(|kind| kind.split(';').next().unwrap_or("").trim());
+    let content_type =
+        request.header("content-type").map(|value| value.split(';').next().unwrap_or("").trim());
     Request {
         method: request.method,
         target: request.target,
@@ -312,14 +317,14 @@
     }
 }
 
-fn into_reply(response: ChangeResponse) -> Disposition {
+fn into_disposition(response: ChangeResponse) -> Disposition {
     match response {
         ChangeResponse::Ready(response) => Disposition::Reply(reply(response)),
         ChangeResponse::Wait { timeout, ticket } => Disposition::Park(Duration::from_millis(timeout), ticket),
     }
 }
 
-/// The response was given up before it was asked for.
-fn abandoned() -> Problem {
+/// The response to a change that was removed from the pending changes before the server asked for it.
+fn removed_response() -> Problem {
     Problem::new(503, "not-told", "the change was made; what became of it is at GET /v1/fleet/change")
 }
--- a/crates/administration/src/leader/snapshot_writer/tests.rs
+++ b/crates/administration/src/leader/snapshot_writer/tests.rs
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn snapshot_that_is_not_the_stores_own_replaces_nothing() {
+fn snapshot_that_is_not_the_stores_own_is_not_written() {
     let dir = tempfile::tempdir().expect("temporary folder");
     let path = snapshot_file(&dir.path().join("tenants.redb"));
     let mut writer = SnapshotWriter::new(path.clone(), 0);
--- a/crates/administration/src/leader/start.rs
+++ b/crates/administration/src/leader/start.rs
@@ -1,4 +1,4 @@
-//! The start of the leader: opens the store, the files beside it and the listener, and starts the thread.
+//! Starts the leader: opens the store, the files beside it and the listener, and spawns the thread.
 
 use std::cell::RefCell;
 use std::io;
@@ -37,12 +37,12 @@
 use crate::pending_changes::PendingChanges;
 use crate::snapshot_document::{SnapshotDocument, version_of};
 
-/// Each follower keeps two connections: one that waits for changes, and one for snapshots and audit entries.
+/// Each follower keeps two connections: one for watch requests, and one for all other requests.
 const CONNECTIONS_PER_FOLLOWER: usize = 2;
-/// The name that the API shows for a store that cannot be read.
+/// The store name that the API shows for a store that cannot be read.
 const DAMAGED_STORE: &str = "damaged";
 
-/// What the leader starts with.
+/// The configuration of a leader.
 pub(crate) struct LeaderConfig<'a> {
     /// The address of the API.
     pub(crate) listen: SocketAddr,
@@ -50,53 +50,54 @@
     pub(crate) store: &'a Path,
     /// The API's keys.
     pub(crate) keys: &'a [AdminKey],
-    /// Controllers that are asked after a loss which snapshot they have.
+    /// The controllers whose snapshots are requested after a loss.
     pub(crate) peers: &'a [SocketAddr],
-    /// The file with the token for them: there if and only if there are peers.
+    /// The file with the bearer token for the peers; set if and only if there are peers.
     pub(crate) peer_key: Option<&'a Path>,
-    /// The span of a lease, in milliseconds; `None`: no leases are granted.
+    /// The span of a lease in milliseconds; `None` if no leases are granted.
     pub(crate) lease_ms: Option<u64>,
-    /// Controllers that are to persist a change before it is acknowledged, besides this one.
+    /// The number of other controllers that must persist a change before it is acknowledged.
     pub(crate) required_copies: usize,
-    /// How limits are divided.
+    /// How limits are divided between controllers.
     pub(crate) loans: LoanConfig,
     /// The leader's own controller.
     pub(crate) controller: ControllerContext,
 }
 
-/// A leader that runs.
+/// The handles of a started leader.
 pub(crate) struct RunningLeader {
-    /// The address that it listens on.
+    /// The local address of the listener.
     pub(crate) local: SocketAddr,
-    /// The snapshot to start with; `None`: neither the store nor the snapshot beside it could be read.
+    /// The snapshot that the controller starts with; `None` if neither the store nor the snapshot beside it can be
+    /// read.
     pub(crate) snapshot: Option<SnapshotDocument>,
-    /// For the controller's thread.
+    /// The counter in which the controller's thread acknowledges checkpoints.
     pub(crate) acknowledged: AcknowledgedCheckpoint,
-    /// Stops the thread.
+    /// Stops or wakes the thread.
     pub(crate) stop: Stop,
-    /// The thread.
+    /// The leader's thread, which ends after it was stopped.
     pub(crate) thread: JoinHandle<()>,
 }
 
-/// The store as it was opened.
+/// The result of opening the store, which may be damaged.
 struct OpenedStore {
     store: StoreHandle,
-    /// The store's snapshot, or the last good one beside it.
+    /// The store's snapshot, or the last good one beside a damaged store.
     snapshot: Option<TenantSnapshot>,
-    /// Why nothing may be changed.
+    /// The error because of which the API rejects changes; `None` if the store is usable.
     read_only: Option<String>,
 }
 
 impl OpenedStore {
-    /// A damaged store is logged and left as it is: the last good snapshot serves the leader's own calls, and no snapshot
-    /// is given or changed until recovery has decided which one counts.
+    /// Opens the store. An error is logged, and a damaged store is left as it is: the leader's own controller uses the
+    /// last good snapshot, and no snapshot is served or changed until recovery has decided which one is authoritative.
     fn open(path: &Path) -> Self {
         match store::open_with_retry(path) {
             Ok((store, snapshot)) => {
                 Self { store: StoreHandle::new(Some(store)), snapshot: Some(snapshot), read_only: None }
             }
             Err(error) => {
-                error!(%error, "tenant store can't be used: the last good snapshot serves, changes are rejected");
+                error!(%error, "tenant store can't be used: the last good snapshot is used, changes are rejected");
                 let snapshot = last_good_snapshot(path);
                 Self { store: StoreHandle::new(None), snapshot, read_only: Some(error.to_string()) }
             }
@@ -108,16 +109,16 @@
     match Snapshot::read(&snapshot_writer::snapshot_file(store)) {
         Ok(snapshot) => Some(snapshot.tenant_snapshot()),
         Err(error) => {
-            error!(%error, "there is no good snapshot either: no tenant is known until recovery installs one");
+            error!(%error, "snapshot beside the tenant store can't be read, no tenants are known until recovery installs one");
             None
         }
     }
 }
 
-/// Opens the store and listens.
+/// Opens the store, binds the listener and starts the thread.
 ///
 /// # Errors
-/// The listener, the peers' key or the thread cannot be had.
+/// The listener cannot be bound, the peers' key file cannot be read, or a thread cannot be started.
 pub(crate) fn start(config: LeaderConfig, link: ControllerLink) -> io::Result<RunningLeader> {
     let (spans, lease_span) = LeaseSpanFile::open(config.store, config.lease_ms);
     let OpenedStore { store, snapshot, read_only } = OpenedStore::open(config.store);
@@ -141,8 +142,8 @@
     let identity = identity(&origin);
     let document = SnapshotDocument { controller: None, store: origin.store, epoch, snapshot };
     let (controller, controllers) = (config.controller.number, config.controller.controllers);
-    let lends = config.loans.reserve < 1.0;
-    let max_call = config.controller.max_deadline_ms;
+    let uses_loans = config.loans.reserve < 1.0;
+    let max_call_duration = config.controller.max_deadline_ms;
     let mut leader = Leader {
         api: Api::new(document.snapshot.clone(), store, identity, read_only),
         keys: KeyRing::new(config.keys),
@@ -155,7 +156,7 @@
             members: MembershipService::new(membership, config.required_copies),
             refused_reports: Default::default(),
             audit,
-            loans: lends.then(|| LoanService::new(config.loans, incarnation, max_call)),
+            loans: uses_loans.then(|| LoanService::new(config.loans, incarnation, max_call_duration)),
         },
         versions,
         changes: PendingChanges::default(),
@@ -174,7 +175,8 @@
     Ok(RunningLeader { local, snapshot: is_known.then_some(document), acknowledged, stop, thread })
 }
 
-/// Audit logs are collected where the leader's own controller keeps one.
+/// Opens the collected audit logs. Returns `None` if the leader's own controller keeps no audit log: none are collected
+/// then.
 fn open_audit_collector(config: &LeaderConfig, incarnation: u64) -> Option<AuditCollector> {
     let folder = config.store.with_extension("records");
     let ControllerContext { number, audit_entries, .. } = &config.controller;
@@ -197,7 +199,7 @@
     PeerPoller::start(client, move || stop.wake())
 }
 
-/// Starts the thread, which writes the last snapshot at its end.
+/// Starts the leader's thread, which writes the snapshot file once more before it ends.
 fn spawn(mut leader: Leader, mut server: Http1Server) -> io::Result<JoinHandle<()>> {
     std::thread::Builder::new().name("admin".to_owned()).spawn(move || {
         let leader = RefCell::new(&mut leader);
--- a/crates/administration/src/leader/store.rs
+++ b/crates/administration/src/leader/store.rs
@@ -1,4 +1,4 @@
-//! The tenant store of the leader, which may be damaged, and its use as the API's change store.
+//! The leader's tenant store, which may be damaged, and its implementation of the API's [`ChangeStore`].
 
 use std::io;
 use std::path::Path;
@@ -13,57 +13,58 @@
 
 const MICROS_PER_MILLI: u64 = 1_000;
 
-/// For how long a start waits for a store whose file cannot be read or written just now, and how often it looks.
+/// How long and how often a start retries while the store's file fails with a transient error.
 const OPEN_RETRIES: RetryPolicy =
     RetryPolicy { timeout: Duration::from_secs(5), pause: Duration::from_millis(100) };
 
-/// The wall clock, in milliseconds.
+/// The wall-clock time in milliseconds.
 pub(super) fn wall_ms() -> u64 {
     clock::wall() / MICROS_PER_MILLI
 }
 
-/// Opens the store, again while its file fails for a moment, which is no damage.
+/// Opens the store. Transient errors of its file are retried, so that they are not mistaken for damage.
 pub(super) fn open_with_retry(path: &Path) -> Result<(Store, TenantSnapshot), StoreError> {
     let log_failure = |error: &StoreError| warn!(%error, "tenant store can't be opened, retrying");
     OPEN_RETRIES.run(|| Store::open(path), StoreError::is_transient, log_failure)
 }
 
-/// How the API names a store.
+/// The identity under which the API shows a store.
 pub(super) fn identity(origin: &Origin) -> StoreIdentity {
     StoreIdentity { name: origin.store.clone(), epoch: origin.epoch }
 }
 
-/// Why a snapshot could not be installed in the store.
+/// An error while a snapshot is installed in the store.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum InstallError {
-    /// The damaged file could not be moved out of the way.
+    /// The file of the damaged store could not be renamed.
     #[error(transparent)]
     MoveDamaged(#[from] io::Error),
-    /// The store failed.
+    /// The store could not be opened or written.
     #[error(transparent)]
     Store(#[from] StoreError),
 }
 
-/// The tenant store; none where it is damaged.
+/// The tenant store, or no store if it is damaged.
 pub(super) struct StoreHandle(Option<Store>);
 
 impl StoreHandle {
-    /// A store that was opened; `None`: it is damaged.
+    /// Wraps an opened store; `None` stands for a damaged one.
     pub(super) fn new(store: Option<Store>) -> Self {
         Self(store)
     }
 
-    /// Which store it is, if it can be read.
+    /// The name and epoch of the store; `None` if it cannot be read.
     pub(super) fn origin(&self) -> Option<Origin> {
         self.0.as_ref().and_then(|store| store.origin().ok())
     }
 
-    /// Opens the file again if it has failed, so that it can be read though nothing is changed.
-    pub(super) fn heal(&mut self) -> Result<(), StoreError> {
+    /// Reopens the store's file after a failure, so that reads work again without waiting for the next change.
+    pub(super) fn reopen_if_failed(&mut self) -> Result<(), StoreError> {
         self.0.as_mut().map_or(Ok(()), Store::reopen)
     }
 
-    /// Replaces the content, durable when this returns. A store that cannot be used is moved aside, and a new one made.
+    /// Replaces the content, which is durable when this returns. The file of a damaged store is renamed, and a new
+    /// store is created.
     pub(super) fn install(
         &mut self,
         path: &Path,
@@ -79,7 +80,7 @@
         Ok(installed?)
     }
 
-    /// Takes the store out, and leaves none.
+    /// Moves the store out of this handle, which then has none.
     pub(super) fn take(&mut self) -> Self {
         Self(self.0.take())
     }
--- a/crates/administration/src/lib.rs
+++ b/crates/administration/src/lib.rs
@@ -1,19 +1,24 @@
 //! The administration of a controller: the leader, which owns the tenants and serves the API, and followers, which
-//! replicate them from a leader.
+//! replicate the tenants from a leader.
 //!
-//! May know: tenants, the fleet's decisions, files, HTTP. Must not know: calls, workers' links, the gateway. Decisions
-//! are made below: `nettleferry-admin` (what a request is answered), `nettleferry-fleet` (membership, leases, loans,
-//! recovery), `nettleferry-tenancy` (changes and replication).
+//! This crate depends on tenants, the fleet's decisions, files and HTTP. It must not depend on calls, worker
+//! connections or the gateway. It does the I/O; decisions are made in the crates that it uses: `nettleferry-admin` (the
+//! response to an API request), `nettleferry-fleet` (membership, leases, loans, recovery) and `nettleferry-tenancy`
+//! (changes and replication).
 //!
-//! Each side runs on a thread of its own and sends the controller events, in order; see [`messages`].
+//! The leader and the follower each run on a thread of their own and send ordered events to the controller; see
+//! [`messages`].
 //!
-//! * [`admin_server`]: the thread as the controller sees it.
+//! * [`admin_server`]: the controller's handle to the administration thread.
 //! * `leader`: the server loop, the API's ports, membership and leases, loans, audit collector, recovery, snapshots.
 //! * `follower`: heartbeats and replication, bootstrap from peers, persistence, delivery of audit entries.
-//! * [`snapshot_document`], `peer_client`, `snapshot_listener`: snapshots between controllers.
-//! * `applied_versions`: what the controller has in force. `pending_changes`: responses that wait for that.
-//! * [`audit_log_writer`]: a controller's own audit log. `collected_logs`: those of all, at the leader.
-//! * [`persisted_file`]: files for the next start. [`endpoint`]: a small HTTP listener. [`keys`]: bearer keys.
+//! * [`snapshot_document`], `peer_client`, `snapshot_listener`: exchange of snapshots between controllers.
+//! * `applied_versions`: the version that the controller has applied. `pending_changes`: API responses that wait for a
+//!   change to be persisted and in force.
+//! * [`audit_log_writer`]: a controller's own audit log. `collected_logs`: the audit logs of all controllers, which the
+//!   leader collects.
+//! * [`persisted_file`]: files that are read at the next start. [`endpoint`]: a small HTTP listener. [`keys`]: bearer
+//!   keys.
 
 #![forbid(unsafe_code)]
 
--- a/crates/administration/src/loan_service.rs
+++ b/crates/administration/src/loan_service.rs
@@ -1,5 +1,5 @@
-//! Loans of limits: takes the demands that controllers report, and answers with what each may use. Who gets how much of a
-//! limit is decided by `nettleferry_fleet::loans`.
+//! Loans of limits: receives the demands that controllers report and grants each a share beyond its reserve. How a
+//! limit is divided is decided by `nettleferry_fleet::loans`.
 
 use std::collections::BTreeMap;
 
@@ -10,45 +10,47 @@
 
 use crate::messages::{LimitDemand, LoanGrant};
 
-/// Rows of a report that are looked at; tenants beyond them keep their reserves.
+/// Maximum number of demands that are read from one report; the limits of further ones stay at their reserves.
 pub const MAX_DEMANDS: usize = 1_000;
 
-/// When loans are granted, and when they are over.
+/// The time at which loans are granted, and the time at which they expire.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LoanPeriod {
-    /// Now, in milliseconds on the leader's clock.
+    /// The current time, in milliseconds on the leader's clock.
     pub(crate) now: Millis,
-    /// When a lease that is granted now is over by every clock.
+    /// The time at which a lease that is granted now has expired on every clock, clock error included.
     pub(crate) until: Millis,
 }
 
-/// How many loans there are.
+/// Counts of outstanding loans, for the fleet status.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct LoanCounts {
-    /// Limits of which something is lent.
+    /// The number of limits with an outstanding loan.
     pub(crate) limits: usize,
-    /// The most incarnations that borrow of one limit.
+    /// The largest number of incarnations that borrow from the same limit.
     pub(crate) borrowers: usize,
 }
 
-/// The loans of all limits.
+/// The leader's loans of all limits.
 pub(crate) struct LoanService {
     config: LoanConfig,
     leader_incarnation: u64,
-    /// The longest time that a call may take.
-    max_call: Millis,
-    /// The number of the last loan of any limit, so that no number is used again after a limit or borrower is forgotten.
+    /// The longest deadline of a call.
+    max_call_duration: Millis,
+    /// The number of the last loan of any limit. Shared by all limits, so that no number is reused after a limit or a
+    /// borrower is removed.
     last_number: u64,
     lenders: BTreeMap<(Revision, Kind), Lender>,
 }
 
 impl LoanService {
-    /// Nothing is lent yet by this incarnation of the leader.
-    pub(crate) fn new(config: LoanConfig, leader_incarnation: u64, max_call: Millis) -> Self {
-        Self { config, leader_incarnation, max_call, last_number: 0, lenders: BTreeMap::new() }
+    /// Creates a service without loans, for this incarnation of the leader.
+    pub(crate) fn new(config: LoanConfig, leader_incarnation: u64, max_call_duration: Millis) -> Self {
+        Self { config, leader_incarnation, max_call_duration, last_number: 0, lenders: BTreeMap::new() }
     }
 
-    /// An incarnation that holds a lease reports its demands. Returns what it may use.
+    /// Grants loans for the demands that an incarnation with a lease reports. Demands for a tenant or limit that does
+    /// not exist get no loan.
     pub(crate) fn grant(
         &mut self,
         period: LoanPeriod,
@@ -71,35 +73,35 @@
         let tenant = snapshot.get(&demand.tenant).filter(|tenant| tenant.uid == uid)?;
         let limit = limit_of(tenant, kind)?;
         let lender = self.lenders.entry((uid, kind)).or_default();
-        let known = demand.leader_incarnation == self.leader_incarnation;
-        let applied_loan = if known { demand.applied_loan } else { 0 };
-        // What calls hold stays in use for as long as they may take.
-        let over = if kind == Kind::Rate { until } else { until + self.max_call };
+        let is_own_loan = demand.leader_incarnation == self.leader_incarnation;
+        let applied_loan = if is_own_loan { demand.applied_loan } else { 0 };
+        // Calls that were admitted under a loan may still use it until their deadline, which can be after its expiry.
+        let until = if kind == Kind::Rate { until } else { until + self.max_call_duration };
         let usage = UsageReport { demand: demand.demand, in_use: demand.in_use, applied_loan };
-        let request = LoanRequest { borrower, usage, config: self.config, limit, now, until: over };
+        let request = LoanRequest { borrower, usage, config: self.config, limit, now, until };
         let loan = lender.report(request, &mut self.last_number);
         let leader_incarnation = self.leader_incarnation;
         Some(LoanGrant { uid, kind, limit, number: loan.number, leader_incarnation, amount: loan.amount })
     }
 
-    /// An incarnation accepts no calls any more: its loans are free.
-    pub(crate) fn ended(&mut self, borrower: Incarnation) {
+    /// Frees the loans of an incarnation that has stopped accepting calls.
+    pub(crate) fn free_loans(&mut self, borrower: Incarnation) {
         self.lenders.values_mut().for_each(|lender| lender.ended(borrower));
     }
 
-    /// Forgets limits of which nothing is lent.
+    /// Removes limits without an outstanding loan.
     pub(crate) fn remove_unused(&mut self, now: Millis) {
         self.lenders.retain(|_, lender| lender.outstanding(now) > 0.0);
     }
 
-    /// How many loans there are.
+    /// Counts the loans that are outstanding at `now`.
     pub(crate) fn counts(&self, now: Millis) -> LoanCounts {
         let borrowers = self.lenders.values().map(|lender| lender.borrowers(now)).max().unwrap_or(0);
         LoanCounts { limits: self.lenders.len(), borrowers }
     }
 }
 
-/// A tenant's limit of a kind.
+/// A tenant's limit of this kind; `None` if the tenant is not limited.
 fn limit_of(tenant: &Tenant, kind: Kind) -> Option<f64> {
     let limits = &tenant.spec.limits;
     match kind {
--- a/crates/administration/src/loan_service/tests.rs
+++ b/crates/administration/src/loan_service/tests.rs
@@ -41,9 +41,9 @@
 #[test]
 fn loans_are_granted_for_known_limits_only() {
     let mut service = service();
-    let stranger = LimitDemand { uid: 2, ..demand(Kind::Open) };
+    let other_uid = LimitDemand { uid: 2, ..demand(Kind::Open) };
     let granted =
-        service.grant(PERIOD, &snapshot(), BORROWER, &[demand(Kind::Open), demand(Kind::Rate), stranger]);
+        service.grant(PERIOD, &snapshot(), BORROWER, &[demand(Kind::Open), demand(Kind::Rate), other_uid]);
     assert_eq!(granted.len(), 1, "{granted:?}");
     let loan = &granted[0];
     assert_eq!((loan.uid, loan.kind, loan.limit), (1, Kind::Open, 10.0));
@@ -52,12 +52,12 @@
 }
 
 #[test]
-fn ended_borrower_leaves_nothing_lent_and_numbers_go_on() {
+fn loans_of_an_ended_borrower_are_freed_and_loan_numbers_are_not_reused() {
     let mut service = service();
     service.grant(PERIOD, &snapshot(), BORROWER, &[demand(Kind::Open)]);
     let counts = service.counts(0);
     assert_eq!((counts.limits, counts.borrowers), (1, 1));
-    service.ended(BORROWER);
+    service.free_loans(BORROWER);
     service.remove_unused(0);
     assert_eq!(service.counts(0).limits, 0);
     let granted = service.grant(PERIOD, &snapshot(), BORROWER, &[demand(Kind::Open)]);
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn reports_are_bounded() {
+fn demands_beyond_the_maximum_get_no_loan() {
     let mut service = service();
     let demands = vec![demand(Kind::Open); MAX_DEMANDS + 5];
     assert_eq!(service.grant(PERIOD, &snapshot(), BORROWER, &demands).len(), MAX_DEMANDS);
--- a/crates/administration/src/messages.rs
+++ b/crates/administration/src/messages.rs
@@ -1,5 +1,5 @@
-//! The messages between the administration's thread and the controller's thread: events for the controller, in order,
-//! and the controller's status, which it updates as it goes.
+//! The messages between the administration thread and the controller's thread: ordered events for the controller, and
+//! the controller's status, which the controller keeps up to date.
 
 use std::collections::{BTreeSet, HashMap};
 use std::time::{Duration, Instant};
@@ -11,126 +11,126 @@
 
 use crate::snapshot_document::SnapshotDocument;
 
-/// A demand that was measured longer ago than this counts as none.
+/// Demands that were measured longer ago than this are reported as zero.
 const MAX_DEMAND_AGE: Duration = Duration::from_secs(2);
 
-/// An event that the administration sends to the controller. Events are to be carried out in their order.
+/// An event that the administration sends to the controller, which must apply events in the order in which they arrive.
 #[derive(Debug)]
 pub enum AdminEvent {
-    /// A tenant was changed.
+    /// One tenant was created, changed or removed.
     TenantChanged(Box<Entry>),
-    /// All tenants were replaced: those that are not in this snapshot are gone.
+    /// All tenants were replaced; a tenant that is not in this snapshot no longer exists.
     SnapshotReplaced(Box<SnapshotDocument>),
-    /// Whether the leader's own snapshot is known to lack changes that others have or had: its controller is not to act
-    /// on it.
+    /// Sent to the leader's own controller: whether the leader's snapshot is known to lack changes that other
+    /// controllers have or had. While it is `true`, the controller must not act on the snapshot.
     SnapshotBehind(bool),
-    /// All workers that are drained by hand.
+    /// The names of all workers that an operator is draining.
     WorkersDrained(BTreeSet<String>),
-    /// To be acknowledged by [`AdminServer::acknowledge`](crate::AdminServer::acknowledge) once all earlier events are
-    /// in force.
+    /// A checkpoint, which the controller acknowledges with
+    /// [`AdminServer::acknowledge`](crate::AdminServer::acknowledge) once it has applied all earlier events.
     Checkpoint(u64),
-    /// A reading of the leader's clock, bounded by two moments of this process.
+    /// A reading of the leader's clock, with the interval of the local clock in which it was taken.
     LeaderClock {
-        /// The clock was read after this moment.
+        /// The start of that interval.
         earliest: Instant,
-        /// The clock was read before this moment.
+        /// The end of that interval.
         latest: Instant,
-        /// The incarnation of the leader, whose clock it is.
+        /// The incarnation of the leader; its clock starts at zero with each incarnation.
         incarnation: u64,
-        /// Milliseconds on that clock.
+        /// The reading, in milliseconds since that incarnation started.
         at_ms: u64,
     },
-    /// A lease: the controller may act on all earlier events.
+    /// The lease was renewed: the controller may act on all earlier events until the lease expires.
     LeaseRenewed {
-        /// The moment from which on it may not.
+        /// When the lease expires.
         until: Instant,
         /// The incarnation's fencing token.
         fencing_token: u64,
     },
-    /// This incarnation was fenced.
+    /// This incarnation was fenced: it must accept no calls until the controller restarts.
     Fenced,
-    /// What the controller may use of limits beyond its reserves.
+    /// Loans were granted: shares of limits that the controller may use beyond its reserves.
     LoansGranted {
-        /// The moment from which on it may not.
+        /// When the loans expire.
         until: Instant,
-        /// One for each limit.
+        /// The loans, one for each limit.
         loans: Vec<LoanGrant>,
     },
 }
 
-/// What the controller shows to the administration.
+/// The controller's state that the administration reads, plus the fleet counts that it writes back for the metrics.
 #[derive(Debug, Default)]
 pub struct ControllerStatus {
-    /// The revision in force.
+    /// The snapshot revision that the controller has in force.
     pub revision: Revision,
-    /// The usage of tenants, by uid.
+    /// The current usage of each tenant, by uid.
     pub usage: HashMap<Revision, Usage>,
-    /// The workers.
+    /// The connected workers.
     pub workers: Vec<Worker>,
-    /// What the leader knows of the fleet, for the controller's metrics.
+    /// Counts of the fleet's incarnations, which the leader updates for the controller's metrics.
     pub fleet: FleetCounts,
-    /// What calls could use of limits, where loans are granted.
+    /// The controller's demand for each limit that is divided by loans.
     pub demands: Vec<LimitDemand>,
     /// When `demands` was measured.
     pub demands_measured_at: Option<Instant>,
 }
 
-/// What the leader knows of the fleet, in numbers.
+/// Counts of the fleet's incarnations, as the leader knows them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FleetCounts {
-    /// Incarnations with a lease that act on an earlier revision.
+    /// Incarnations that hold a lease and have an earlier revision in force than the leader.
     pub incarnations_behind: usize,
-    /// Fenced incarnations that reported lately.
+    /// Fenced incarnations that have sent a heartbeat recently.
     pub incarnations_fenced: usize,
-    /// Whether it is not decided yet which snapshot counts.
+    /// Whether recovery has not yet decided which snapshot is authoritative.
     pub recovery_pending: bool,
 }
 
 impl ControllerStatus {
-    /// The demands. If they were measured too long ago, as by a controller without calls, each of them is zero.
+    /// The demands. If they were measured too long ago, as in a controller without calls, each demand is zero.
     pub(crate) fn recent_demands(&self) -> Vec<LimitDemand> {
         let recent = self.demands_measured_at.is_some_and(|at| at.elapsed() < MAX_DEMAND_AGE);
-        let limit =
+        let zero_if_outdated =
             |row: &LimitDemand| LimitDemand { demand: if recent { row.demand } else { 0.0 }, ..row.clone() };
-        self.demands.iter().map(limit).collect()
+        self.demands.iter().map(zero_if_outdated).collect()
     }
 }
 
-/// What a controller could use of a tenant's limit.
+/// A controller's demand for a tenant's limit, as it reports it to the leader.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LimitDemand {
     /// The tenant's name.
     pub tenant: String,
-    /// The tenant's uid, as a removed tenant's name may be used again.
+    /// The tenant's uid, because the name of a removed tenant can be reused.
     pub uid: Revision,
     /// The kind of limit.
     pub kind: Kind,
-    /// How much calls could use, in all.
+    /// How much the controller's calls could use in total, in units of the limit.
     pub demand: f64,
-    /// How much open calls use; always 0 for a rate.
+    /// How much its open calls use now; always 0 for a rate.
     pub in_use: f64,
-    /// The number of the loan that the call thread acts on; 0: none.
+    /// The number of the loan that the controller's thread applies; 0 if there is none.
     #[serde(rename = "acts_on")]
     pub applied_loan: u64,
-    /// The leader's incarnation that granted that loan: loans of others are numbered apart.
+    /// The incarnation of the leader that granted that loan. Each incarnation numbers its loans independently.
     #[serde(rename = "by")]
     pub leader_incarnation: u64,
 }
 
-/// What a controller may use of a tenant's limit beyond its reserve.
+/// A loan: the share of a tenant's limit that a controller may use beyond its reserve.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LoanGrant {
     /// The tenant's uid.
     pub uid: Revision,
     /// The kind of limit.
     pub kind: Kind,
-    /// The limit that this is a part of. If the limit changes, the loan no longer holds.
+    /// The whole limit of which this is a share. If the limit changes, the loan is void.
     pub limit: f64,
     /// The loan's number; later loans have higher ones.
     pub number: u64,
-    /// The leader's incarnation that granted it.
+    /// The incarnation of the leader that granted it.
     #[serde(rename = "by")]
     pub leader_incarnation: u64,
-    /// How much.
+    /// The size of the share, in units of the limit.
     pub amount: f64,
 }
--- a/crates/administration/src/peer_client.rs
+++ b/crates/administration/src/peer_client.rs
@@ -1,5 +1,5 @@
-//! Asks other controllers which snapshot they have: a client that waits for each response, and a poller that runs it on
-//! a thread of its own for those who must not wait. What follows from a response is decided by `nettleferry_fleet`.
+//! Requests the snapshots of other controllers: a blocking client, and a poller that runs the client on its own thread
+//! for callers that must not block. How a response is used is decided by `nettleferry_fleet`.
 
 use std::io;
 use std::net::SocketAddr;
@@ -11,66 +11,67 @@
 
 use crate::snapshot_document::SnapshotDocument;
 
-/// A peer has this long to respond.
+/// How long a peer has to respond to a request.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
-/// Responses that wait to be taken; a peer's snapshot may be large.
+/// Maximum number of queued responses, because a peer's snapshot may be large. The poller's thread waits when it is
+/// reached.
 const MAX_WAITING_RESPONSES: usize = 4;
 
-/// Why it is not known which snapshot a peer has.
+/// Why a peer's snapshot could not be requested.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum PeerError {
-    /// There are fewer peers than that.
-    #[error("there is no such peer")]
+    /// The index of the peer is out of range.
+    #[error("peer index is out of range")]
     Unknown,
-    /// The system failed while a response was awaited.
+    /// The system's poll failed while the client waited for the response.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// The exchange failed.
+    /// The HTTP exchange failed.
     #[error(transparent)]
     Exchange(#[from] Http1Error),
-    /// The response holds no valid snapshot.
+    /// The body of the response is not a valid snapshot document.
     #[error("the response holds no snapshot: {0}")]
     Invalid(#[from] serde_json::Error),
     /// The response has an unexpected status.
-    #[error("status {0}")]
+    #[error("unexpected status {0}")]
     Status(u16),
 }
 
-/// What a peer said of itself.
+/// A peer's response to a request for its snapshot.
 pub(crate) struct PeerState {
-    /// The snapshot that it has; `Ok(None)`: it says that it has none.
+    /// The peer's snapshot; `Ok(None)` if the peer reported that it has none.
     pub(crate) snapshot: Result<Option<SnapshotDocument>, PeerError>,
-    /// Its number, where it gave it.
+    /// The peer's controller number, if the response contains it.
     pub(crate) controller: Option<u32>,
 }
 
 impl PeerState {
-    fn unknown(error: PeerError) -> Self {
+    fn failed(error: PeerError) -> Self {
         Self { snapshot: Err(error), controller: None }
     }
 
-    fn of_response(response: &Answer) -> Self {
+    fn from_response(response: &Answer) -> Self {
         match response.status {
             200 => match serde_json::from_slice::<SnapshotDocument>(&response.body) {
                 Ok(document) => Self { controller: document.controller, snapshot: Ok(Some(document)) },
-                Err(error) => Self::unknown(error.into()),
+                Err(error) => Self::failed(error.into()),
             },
             503 => {
                 let controller = serde_json::from_slice::<NoSnapshot>(&response.body).ok();
                 Self { snapshot: Ok(None), controller: controller.and_then(|body| body.controller) }
             }
-            status => Self::unknown(PeerError::Status(status)),
+            status => Self::failed(PeerError::Status(status)),
         }
     }
 }
 
-/// The response of a peer that has no snapshot itself.
+/// The body of the 503 response of a peer that has no snapshot.
 #[derive(Deserialize)]
 struct NoSnapshot {
     controller: Option<u32>,
 }
 
-/// A client of the peers: asks one at a time, and waits for the response.
+/// A blocking client for the peers, with one connection for each of them.
 pub(crate) struct PeerClient {
     connections: Vec<Http1Client>,
     authorization: String,
@@ -78,10 +79,10 @@
 }
 
 impl PeerClient {
-    /// A client of the peers at these addresses, for the controller of this number.
+    /// Creates a client for the peers at these addresses. `controller` is the number of the local controller.
     ///
     /// # Errors
-    /// The system gives no poll for a connection.
+    /// The system cannot create a poll instance for a connection.
     pub(crate) fn new(peers: &[SocketAddr], token: &str, controller: u32) -> io::Result<Self> {
         let connect = |peer: &SocketAddr| Http1Client::new(*peer, 1, RESPONSE_TIMEOUT);
         Ok(Self {
@@ -91,16 +92,16 @@
         })
     }
 
-    /// The number of peers.
+    /// The number of configured peers.
     pub(crate) fn count(&self) -> usize {
         self.connections.len()
     }
 
-    /// Asks a peer, and waits for its response.
+    /// Requests a peer's snapshot, and blocks until it responds or the timeout has passed.
     pub(crate) fn poll(&mut self, peer: usize) -> PeerState {
         match self.request(peer) {
-            Ok(response) => PeerState::of_response(&response),
-            Err(error) => PeerState::unknown(error),
+            Ok(response) => PeerState::from_response(&response),
+            Err(error) => PeerState::failed(error),
         }
     }
 
@@ -117,7 +118,7 @@
     }
 }
 
-/// Asks peers on a thread of its own, which ends when this is dropped.
+/// Requests snapshots from peers on a separate thread, which ends after this is dropped.
 pub(crate) struct PeerPoller {
     requests: Sender<usize>,
     responses: Receiver<PeerState>,
@@ -125,17 +126,17 @@
 }
 
 impl PeerPoller {
-    /// Starts the thread; `wake` is called after each response.
+    /// Starts the thread, which calls `wake` after each response.
     ///
     /// # Errors
     /// The thread cannot be started.
     pub(crate) fn start(mut client: PeerClient, wake: impl Fn() + Send + 'static) -> io::Result<Self> {
-        let (requests, requested) = channel::<usize>();
-        let (respond, responses) = sync_channel(MAX_WAITING_RESPONSES);
+        let (requests, request_receiver) = channel::<usize>();
+        let (response_sender, responses) = sync_channel(MAX_WAITING_RESPONSES);
         let count = client.count();
         std::thread::Builder::new().name("peers".to_owned()).spawn(move || {
-            while let Ok(peer) = requested.recv() {
-                if respond.send(client.poll(peer)).is_err() {
+            while let Ok(peer) = request_receiver.recv() {
+                if response_sender.send(client.poll(peer)).is_err() {
                     return;
                 }
                 wake();
@@ -144,17 +145,17 @@
         Ok(Self { requests, responses, count })
     }
 
-    /// The number of peers.
+    /// The number of configured peers.
     pub(crate) fn count(&self) -> usize {
         self.count
     }
 
-    /// Asks a peer; what it said, or that it did not respond, is among [`PeerPoller::responses`] later.
+    /// Requests a peer's snapshot. The result, which may be an error, is returned by [`PeerPoller::responses`] later.
     pub(crate) fn poll(&self, peer: usize) {
         let _ = self.requests.send(peer);
     }
 
-    /// What peers said since the last time.
+    /// The responses that have arrived since the previous call.
     pub(crate) fn responses(&self) -> impl Iterator<Item = PeerState> + '_ {
         self.responses.try_iter()
     }
--- a/crates/administration/src/pending_changes.rs
+++ b/crates/administration/src/pending_changes.rs
@@ -1,6 +1,6 @@
-//! Changes whose responses wait until other controllers have persisted them and, where they restrict a tenant, until
-//! they are in force everywhere. The change itself is made and durable here before it gets here. When it is persisted
-//! and in force is decided by `nettleferry_fleet::membership`.
+//! Committed changes whose API responses wait until other controllers have persisted the change and, if it restricts a
+//! tenant, until it is in force on all controllers. The leader's own store has committed the change before it is added
+//! here. Whether a change is persisted and in force is decided by `nettleferry_fleet::membership`.
 
 use std::collections::BTreeMap;
 
@@ -9,50 +9,53 @@
 use nettleferry_fleet::membership::{Membership, Progress, Version};
 use serde_json::{Value, json};
 
-/// The longest wait for a change that has no bound, or that nobody else persists. The response says which it is.
+/// The longest wait for a change without a known time by which it is in force, and for one that is not persisted by
+/// enough controllers. The response reports the state that was reached.
 const MAX_UNBOUNDED_WAIT: Millis = 2_000;
-/// The longest wait for a change with a bound; the response then says the bound. Clients of the API wait at most 20 s.
+/// The longest wait for a change with a known time by which it is in force; a response that is sent earlier than that
+/// reports the time left. Clients of the API wait at most 20 s.
 const MAX_WAIT: Millis = 15_000;
-/// Responses that wait; one more is sent with the state at once.
+/// Maximum number of waiting responses; further ones are sent at once with the state reached so far.
 const MAX_PENDING: usize = 256;
-/// RFC 9110, 15.3.3: the change is made, and not yet in force for all.
+/// RFC 9110, 15.3.3: the change is committed, but not yet in force on all controllers.
 const STATUS_ACCEPTED: u16 = 202;
 
-/// A change that was made.
+/// A change that the leader's store has committed.
 pub(crate) struct CommittedChange {
-    /// The response that the client gets, once it may.
+    /// The response to send once the change is persisted and, if required, in force.
     pub(crate) response: Response,
-    /// The version from which on the change is in force.
+    /// The first snapshot version that includes the change.
     pub(crate) version: Version,
-    /// It takes something away from a tenant, so that it is to be in force everywhere.
+    /// Whether the change takes something away from a tenant. Its response then waits until it is in force everywhere.
     pub(crate) restricts: bool,
 }
 
-/// A change whose response waits.
+/// A committed change whose response waits.
 struct PendingChange {
     change: CommittedChange,
-    /// When it is answered with the state as it then is.
+    /// When the response is sent with the state reached so far.
     deadline: Millis,
-    /// Another snapshot was found to be later since: what becomes of the change is open, and nothing acknowledges it.
+    /// Whether another snapshot was found to be later since the commit. Recovery may then discard the change, so it
+    /// must not be acknowledged.
     is_undecided: bool,
 }
 
 impl PendingChange {
-    /// Can its response be sent?
+    /// Whether the response can be sent now.
     fn is_ready(&self, fleet: &FleetState) -> bool {
         self.is_undecided || fleet.is_complete(&self.change) || fleet.now >= self.deadline
     }
 }
 
-/// The state of the fleet, by which a change is judged.
+/// The state of the fleet, from which the progress of a change is derived.
 pub(crate) struct FleetState<'a> {
     /// The leader's membership.
     pub(crate) membership: &'a Membership,
     /// The version that the leader's own controller has in force.
     pub(crate) own_in_force: Version,
-    /// Controllers that are to persist a change, besides this one.
+    /// The number of other controllers that must persist a change before it is acknowledged.
     pub(crate) required_copies: usize,
-    /// Milliseconds on the leader's clock.
+    /// The current time, in milliseconds on the leader's clock.
     pub(crate) now: Millis,
 }
 
@@ -70,7 +73,8 @@
         progress.is_persisted() && (!change.restricts || self.is_in_force(&progress, change.version))
     }
 
-    /// How far a change has come, for the API.
+    /// The progress of a change, as JSON for the API: how many controllers have persisted it, and which ones may still
+    /// act without it and for how long.
     pub(crate) fn describe(&self, version: Version) -> Value {
         let progress = self.progress(version);
         let waits: Vec<Value> = progress
@@ -92,38 +96,38 @@
     }
 }
 
-/// What becomes of a response.
+/// Whether the response to a change is sent or waits.
 pub(crate) enum ChangeResponse {
-    /// It is sent.
+    /// The response is to be sent now.
     Ready(Response),
-    /// It waits for at most this long, and is asked for again by its ticket.
+    /// The response waits; [`PendingChanges::resume`] is to be called with the ticket after the timeout or a wake-up.
     Wait {
-        /// Milliseconds.
+        /// The longest wait from now, in milliseconds.
         timeout: Millis,
-        /// The ticket.
+        /// The ticket that identifies the waiting response.
         ticket: u64,
     },
 }
 
-/// The changes whose responses wait, by ticket.
+/// The committed changes whose responses wait, by ticket.
 #[derive(Default)]
 pub(crate) struct PendingChanges {
     last_ticket: u64,
     waiting: BTreeMap<u64, PendingChange>,
-    /// Restricting changes that a response confirmed to be in force everywhere, until that is logged.
+    /// Restricting changes that a response has confirmed as in force everywhere, until the audit log records that.
     confirmed: Vec<Version>,
 }
 
 impl PendingChanges {
-    /// A change was made.
-    pub(crate) fn committed(&mut self, fleet: &FleetState, change: CommittedChange) -> ChangeResponse {
+    /// Adds a committed change. Returns its response at once if the change is complete or too many responses wait.
+    pub(crate) fn add(&mut self, fleet: &FleetState, change: CommittedChange) -> ChangeResponse {
         if fleet.is_complete(&change) || self.waiting.len() >= MAX_PENDING {
             return ChangeResponse::Ready(self.respond(fleet, change));
         }
         let progress = fleet.progress(change.version);
         let bound = if change.restricts { progress.bound(fleet.now) } else { None };
         let unbounded = fleet.now + MAX_UNBOUNDED_WAIT;
-        // A little later than the bound, so that it is over when the state is looked at.
+        // One millisecond after the bound, so that the bound has passed when the state is evaluated.
         let deadline = bound.map_or(unbounded, |bound| bound.max(unbounded) + 1);
         let deadline = deadline.min(fleet.now + MAX_WAIT);
         self.last_ticket += 1;
@@ -131,7 +135,7 @@
         ChangeResponse::Wait { timeout: deadline - fleet.now, ticket: self.last_ticket }
     }
 
-    /// A response is asked for again. `None`: none waits under this ticket.
+    /// Evaluates a waiting response again. Returns `None` if no response waits under this ticket.
     pub(crate) fn resume(&mut self, fleet: &FleetState, ticket: u64) -> Option<ChangeResponse> {
         let pending = self.waiting.get(&ticket)?;
         if !pending.is_ready(fleet) {
@@ -144,28 +148,30 @@
         Some(ChangeResponse::Ready(self.respond(fleet, pending.change)))
     }
 
-    /// Whether a response can be sent now.
+    /// Whether any waiting response can be sent now.
     pub(crate) fn is_any_ready(&self, fleet: &FleetState) -> bool {
         self.waiting.values().any(|pending| pending.is_ready(fleet))
     }
 
-    /// It is not decided any more that the snapshot counts of which these changes are.
+    /// Marks all waiting changes as undecided, because the snapshot that includes them is no longer authoritative.
     pub(crate) fn set_undecided(&mut self) {
         self.waiting.values_mut().for_each(|pending| pending.is_undecided = true);
     }
 
-    /// When a response may become ready by the passing of time.
+    /// The next time at which a response may become ready without a further heartbeat: a deadline or the expiry of a
+    /// lease. `None` if no response waits.
     pub(crate) fn next_due(&self, fleet: &FleetState) -> Option<Millis> {
         let deadline = self.waiting.values().map(|pending| pending.deadline).min()?;
         Some(fleet.membership.next_expiry(fleet.now).map_or(deadline, |expiry| expiry.min(deadline)))
     }
 
-    /// Forgets responses whose clients are gone: those that were not asked for a while after their deadline.
+    /// Removes responses that were not resumed for [`MAX_UNBOUNDED_WAIT`] after their deadline: their clients have
+    /// disconnected.
     pub(crate) fn remove_abandoned(&mut self, now: Millis) {
         self.waiting.retain(|_, pending| now < pending.deadline + MAX_UNBOUNDED_WAIT);
     }
 
-    /// The changes that were confirmed to be in force everywhere since the last time.
+    /// Returns the changes that were confirmed as in force everywhere since the previous call.
     pub(crate) fn take_confirmed(&mut self) -> Vec<Version> {
         std::mem::take(&mut self.confirmed)
     }
@@ -177,7 +183,7 @@
             return not_persisted(version, &progress).response();
         }
         let in_force = fleet.is_in_force(&progress, version);
-        let when = match (in_force, progress.bound(fleet.now)) {
+        let in_force_text = match (in_force, progress.bound(fleet.now)) {
             (true, _) => "everywhere".to_owned(),
             (false, Some(bound)) => format!("within {} ms", bound.saturating_sub(fleet.now)),
             (false, None) => format!("not everywhere: {} may act without it", progress.pending.len()),
@@ -190,7 +196,7 @@
         }
         let persisted = format!("{} of {}", progress.persisted, progress.required);
         response.headers.push(("Nettleferry-Held", persisted));
-        response.headers.push(("Nettleferry-In-Force", when));
+        response.headers.push(("Nettleferry-In-Force", in_force_text));
         response
     }
 }
--- a/crates/administration/src/pending_changes/tests.rs
+++ b/crates/administration/src/pending_changes/tests.rs
@@ -45,7 +45,7 @@
     }
 }
 
-fn sent(response: Option<ChangeResponse>) -> Response {
+fn ready_response(response: Option<ChangeResponse>) -> Response {
     match response {
         Some(ChangeResponse::Ready(response)) => response,
         Some(ChangeResponse::Wait { timeout, .. }) => panic!("waits for {timeout} ms more"),
@@ -61,12 +61,12 @@
 #[test]
 fn restricting_change_waits_until_it_is_persisted_and_in_force_everywhere() {
     let (mut membership, mut changes) = (membership(), PendingChanges::default());
-    let ticket = ticket(changes.committed(&fleet(&membership, 5, 10), change(true)));
+    let ticket = ticket(changes.add(&fleet(&membership, 5, 10), change(true)));
     assert!(!changes.is_any_ready(&fleet(&membership, 5, 20)));
     heartbeat(&mut membership, 30, 5);
     assert!(!changes.is_any_ready(&fleet(&membership, 4, 30)), "the leader's own controller is behind");
     assert!(changes.is_any_ready(&fleet(&membership, 5, 30)));
-    let response = sent(changes.resume(&fleet(&membership, 5, 30), ticket));
+    let response = ready_response(changes.resume(&fleet(&membership, 5, 30), ticket));
     assert_eq!((response.status, header(&response, "Nettleferry-In-Force")), (200, "everywhere"));
     assert_eq!(header(&response, "Nettleferry-Held"), "1 of 1");
     assert_eq!(changes.take_confirmed(), [version(5)]);
@@ -77,18 +77,18 @@
 #[test]
 fn granting_change_is_sent_once_it_is_persisted() {
     let (mut membership, mut changes) = (membership(), PendingChanges::default());
-    let ticket = ticket(changes.committed(&fleet(&membership, 4, 10), change(false)));
+    let ticket = ticket(changes.add(&fleet(&membership, 4, 10), change(false)));
     heartbeat(&mut membership, 30, 5);
-    let response = sent(changes.resume(&fleet(&membership, 4, 30), ticket));
+    let response = ready_response(changes.resume(&fleet(&membership, 4, 30), ticket));
     assert_eq!(response.status, 200, "though the leader's own controller is behind");
     assert!(changes.take_confirmed().is_empty());
 }
 
 #[test]
-fn change_that_a_follower_does_not_persist_is_a_problem_at_its_deadline() {
+fn change_that_no_follower_persists_is_answered_with_an_error_at_its_deadline() {
     let (mut membership, mut changes) = (membership(), PendingChanges::default());
     let now = 10;
-    let ticket = ticket(changes.committed(&fleet(&membership, 5, now), change(false)));
+    let ticket = ticket(changes.add(&fleet(&membership, 5, now), change(false)));
     let deadline = now + MAX_UNBOUNDED_WAIT;
     assert_eq!(changes.next_due(&fleet(&membership, 5, now)), Some(LEASE + 10), "first its lease is over");
     heartbeat(&mut membership, 900, 4);
@@ -96,14 +96,14 @@
     heartbeat(&mut membership, 1_800, 4);
     assert_eq!(membership.grant(1_800, FOLLOWER, version(5)), Ok(Some(LEASE)));
     assert!(!changes.is_any_ready(&fleet(&membership, 5, deadline - 1)));
-    let response = sent(changes.resume(&fleet(&membership, 5, deadline), ticket));
+    let response = ready_response(changes.resume(&fleet(&membership, 5, deadline), ticket));
     assert_eq!(response.status, 503, "{}", response.body);
 }
 
 #[test]
-fn responses_that_nobody_asks_for_are_forgotten() {
+fn responses_that_are_not_resumed_are_removed() {
     let (membership, mut changes) = (membership(), PendingChanges::default());
-    let ticket = ticket(changes.committed(&fleet(&membership, 5, 0), change(false)));
+    let ticket = ticket(changes.add(&fleet(&membership, 5, 0), change(false)));
     changes.remove_abandoned(2 * MAX_UNBOUNDED_WAIT - 1);
     assert!(changes.resume(&fleet(&membership, 5, 1), ticket).is_some());
     changes.remove_abandoned(2 * MAX_UNBOUNDED_WAIT);
--- a/crates/administration/src/persisted_file.rs
+++ b/crates/administration/src/persisted_file.rs
@@ -1,6 +1,6 @@
-//! A persisted file of the program: written by a thread of its own, and read at the start as far as the recovery policy
-//! trusts it. How a file survives a loss of power is decided by `nettleferry_durable`; how far its content is trusted
-//! afterwards, by `nettleferry_fleet`.
+//! A file that is persisted for the next start: written on a separate thread, and read at the start if the recovery
+//! policy trusts its content. `nettleferry_durable` makes the writes survive a power failure; the recovery policy is in
+//! `nettleferry_fleet`.
 
 use std::fmt::Display;
 use std::io;
@@ -12,23 +12,26 @@
 use nettleferry_fleet::recovery_policy::{self, PersistedState, StoredState, Verdict};
 use tracing::{info, warn};
 
-/// A persisted file, and what it held at the start until that is read.
+/// A persisted file and the handle to its writer.
 pub struct PersistedFile {
-    /// `None`: nothing can be persisted, which was logged.
+    /// `None` if the file could not be opened, which was logged; nothing is persisted then.
     writer: Option<RecordWriter>,
+    /// The content at the start, until [`PersistedFile::read_trusted`] returns it.
     found: Found,
     file: PathBuf,
-    /// What the file holds, for the log.
+    /// A name for the content, for log messages.
     content: &'static str,
 }
 
 impl PersistedFile {
-    /// Opens the file, and waits for its disk at most this long. `content` says in the log what the file holds.
+    /// Opens the file, and waits up to `timeout` for its content to be read. `content` names the content in log
+    /// messages. Failures are logged: a file that cannot be read in time counts as absent, and one that cannot be
+    /// opened is never written.
     pub fn open(file: PathBuf, content: &'static str, timeout: Duration) -> Self {
         Self::open_with_callback(file, content, timeout, || ())
     }
 
-    /// As [`PersistedFile::open`]; `written` is called after each write, on the writer's thread.
+    /// Like [`PersistedFile::open`]; `written` is called on the writer's thread after each write, also a failed one.
     pub fn open_with_callback(
         file: PathBuf,
         content: &'static str,
@@ -51,15 +54,15 @@
                 (Some(writer), Found::Absent)
             }
             Err(error) => {
-                warn!(file = %file.display(), content, %error, "nothing can be persisted");
+                warn!(file = %file.display(), content, %error, "persisted file can't be opened, nothing is persisted");
                 (None, Found::Absent)
             }
         };
         Self { writer, found, file, content }
     }
 
-    /// What the file held at the start, where the recovery policy for `state` trusts it. `now_ms` is the time of the wall
-    /// clock; `written_at` reads from the content when it was written. The content is returned once.
+    /// Returns the content that the file had at the start, if the recovery policy for `state` trusts it. `now_ms` is
+    /// the wall-clock time; `written_at` extracts the time of writing from the content. Further calls return `None`.
     pub fn read_trusted(
         &mut self,
         state: PersistedState,
@@ -75,7 +78,7 @@
                 warn!(%file, content, %error, "persisted file is damaged: its previous version is read");
                 Some(record.payload)
             }
-            // Written by an earlier version of the program, without a checksum: its owner finds out whether it is valid.
+            // Written by an earlier version of the program, without a checksum: the caller must validate the content.
             Found::Unframed(bytes) => Some(bytes),
             Found::Damaged(error) => {
                 warn!(%file, content, %error, "persisted file is damaged");
@@ -95,23 +98,24 @@
         payload
     }
 
-    /// Logs that the content cannot be used after all.
+    /// Logs that the content was returned by [`PersistedFile::read_trusted`] but could not be decoded.
     pub fn log_invalid(&self, error: &impl Display) {
         warn!(file = %self.file.display(), content = self.content, %error, "persisted file is invalid and is not used");
     }
 
-    /// Submits new content for the next start; never waits for a disk. Returns the number of this write; `None`: nothing
-    /// can be persisted.
+    /// Submits new content to be written, without waiting for the disk. Returns the number of this write; `None` if the
+    /// file could not be opened.
     pub fn write(&self, payload: Vec<u8>) -> Option<u64> {
         self.writer.as_ref().map(|writer| writer.submit(payload))
     }
 
-    /// The number of the last durable write.
+    /// The number of the last durable write; 0 if there is none.
     pub fn durable(&self) -> u64 {
         self.writer.as_ref().map_or(0, RecordWriter::durable)
     }
 
-    /// Waits until all that was submitted is durable; `false`: not within this time. Not for a thread that answers calls.
+    /// Blocks until all submitted content is durable; `false` if it is not within `timeout`. Must not be called on the
+    /// thread that serves calls.
     pub fn flush(&self, timeout: Duration) -> bool {
         self.writer.as_ref().is_some_and(|writer| writer.flush(timeout))
     }
--- a/crates/administration/src/snapshot_document.rs
+++ b/crates/administration/src/snapshot_document.rs
@@ -1,4 +1,4 @@
-//! A snapshot of all tenants with its version: what leaders and followers send to each other and persist.
+//! The document in which leaders and followers exchange and persist a snapshot of all tenants.
 
 use std::sync::{Arc, Mutex};
 
@@ -6,18 +6,19 @@
 use nettleferry_tenancy::TenantSnapshot;
 use serde::{Deserialize, Serialize};
 
-/// A snapshot with its version: the body of a snapshot response, and what a follower persists.
+/// A snapshot of all tenants with the store and epoch that identify its version. It is the body of a snapshot response,
+/// and the content of a follower's snapshot file.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct SnapshotDocument {
-    /// The controller that sent it.
+    /// The number of the controller that sent it; `None` in a persisted document.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub controller: Option<u32>,
-    /// The name of the store that it is of.
+    /// The name of the tenant store that the snapshot belongs to.
     pub store: String,
-    /// The store's epoch. Documents of earlier versions of the program have none, and are of the first.
+    /// The store's epoch. Documents of earlier versions of the program lack it and belong to epoch 1.
     #[serde(default = "first_epoch")]
     pub epoch: u64,
-    /// The tenants.
+    /// The tenants and their revision.
     #[serde(rename = "book")]
     pub snapshot: TenantSnapshot,
 }
@@ -27,13 +28,13 @@
 }
 
 impl SnapshotDocument {
-    /// Its version; the checksum is computed from the tenants.
+    /// The version of the snapshot, with a checksum that is computed from the tenants on each call.
     pub fn version(&self) -> SnapshotVersion {
         version_of(&self.store, self.epoch, &self.snapshot)
     }
 }
 
-/// The version of a snapshot of this store and epoch.
+/// The version of a snapshot that belongs to this store and epoch, with a newly computed checksum.
 pub fn version_of(store: &str, epoch: u64, snapshot: &TenantSnapshot) -> SnapshotVersion {
     SnapshotVersion {
         store: store.to_owned(),
@@ -43,5 +44,5 @@
     }
 }
 
-/// A follower's snapshot, shared with the thread that serves it to others; `None`: it has none yet.
+/// A follower's snapshot, shared with the thread that serves it to other controllers; `None` until there is one.
 pub type SharedSnapshot = Arc<Mutex<Option<Arc<SnapshotDocument>>>>;
--- a/crates/administration/src/snapshot_listener.rs
+++ b/crates/administration/src/snapshot_listener.rs
@@ -1,5 +1,5 @@
-//! A follower's own listener: serves the snapshot that it has to controllers that lack one, and says which snapshot
-//! that is. It answers at once from memory and asks nobody, so that two recovering controllers never wait for each other.
+//! A follower's listener, which serves its snapshot and the snapshot's version to other controllers. It answers from
+//! memory and sends no requests itself, so that two recovering controllers never wait for each other.
 
 use std::io;
 use std::net::SocketAddr;
@@ -15,13 +15,13 @@
 use crate::keys::KeyRing;
 use crate::snapshot_document::SharedSnapshot;
 
-/// Bytes of a request's body at most: none is read.
+/// Maximum size of a request body in bytes. No request that is served has a body.
 const MAX_BODY_BYTES: usize = 1 << 10;
 
-/// Starts the listener of the controller of this number.
+/// Starts the listener. `controller` is the number of the local controller, which responses contain.
 ///
 /// # Errors
-/// The address cannot be listened on, or the thread cannot be started.
+/// The address cannot be bound, or the thread cannot be started.
 pub(crate) fn start(
     listen: SocketAddr,
     keys: &[AdminKey],
