--- a/crates/gateway/benches/measure.rs
+++ b/crates/gateway/benches/measure.rs
@@ -97,7 +97,8 @@
         late_share: 0.3,
         stream: false,
     };
-    let mut settings = Settings { controllers: 1, classes: vec![class], step: 1_000, ..Settings::default() };
+    let mut settings =
+        Settings { controllers: 1, classes: vec![class], event_interval: 1_000, ..Settings::default() };
     settings.limits.max_attempts = 3;
     settings.limits.cancel = true;
     settings.loading.keep_alive = 8_000_000;
@@ -111,7 +112,7 @@
         weight: 1.0,
         cell: "c".into(),
         state: WorkerState::On,
-        born: None,
+        started_at: None,
     });
     engine.handle(0, Event::Workers { form: ListForm::Complete, members: members.collect() }, &mut out);
     let names: Vec<std::sync::Arc<str>> = (0..64).map(|n| format!("model-{n}").into()).collect();
@@ -120,7 +121,7 @@
         let now = 1_000_000 + n * 50;
         out.clear();
         let open = NewCall {
-            front: n,
+            front_token: n,
             class: ClassId(0),
             tenant: None,
             model: names[(n % 64) as usize].clone(),
@@ -178,7 +179,7 @@
             class: ClassId(0),
             tenant: None,
             function: FunctionId(n % 64),
-            left: 4_000_000,
+            time_left: 4_000_000,
             cpu_time_hint: None,
             lanes: 64,
             load_time: None,
--- a/crates/node/src/front/call.rs
+++ b/crates/node/src/front/call.rs
@@ -52,7 +52,7 @@
 impl ClientEvent {
     /// The event that a client does not wait for this call any more and gets no answer.
     pub(super) fn cancelled(call: CallId) -> Self {
-        Self::Disconnected(ClientDisconnect { call, answered: false })
+        Self::Disconnected(ClientDisconnect { call, expects_answer: false })
     }
 }
 
--- a/crates/node/src/node/dispatch.rs
+++ b/crates/node/src/node/dispatch.rs
@@ -16,7 +16,7 @@
 use crate::reasons::{CloseReason, EndReason};
 
 /// The answer to a request that has no time left when it is to be opened.
-const NO_TIME_LEFT: FinalAnswer = FinalAnswer::Refused { reason: Refusal::NoRoom, retry_after: None };
+const NO_TIME_LEFT: FinalAnswer = FinalAnswer::Refused { reason: Refusal::NoCapacity, retry_after: None };
 
 impl Node {
     /// Reads the sockets of these events. Nothing is passed to the engine or forwarded yet.
@@ -105,8 +105,8 @@
             match event {
                 // The connection may have broken since: then no answer can be sent.
                 ClientEvent::Disconnected(client) => {
-                    let answered = client.answered && self.front.is_awaited(client.call);
-                    clients.push(ClientDisconnect { answered, ..client });
+                    let expects_answer = client.expects_answer && self.front.is_awaited(client.call);
+                    clients.push(ClientDisconnect { expects_answer, ..client });
                 }
                 ClientEvent::Request(request) => self.requests.push_back(request),
             }
@@ -154,7 +154,7 @@
             return self.front.answer_with_reason(tcp, token, &NO_TIME_LEFT, reason, counters);
         }
         let new_call = NewCall {
-            front: token.0,
+            front_token: token.0,
             class: request.class,
             tenant: request.tenant,
             model: request.function,
--- a/crates/node/src/pools/responses.rs
+++ b/crates/node/src/pools/responses.rs
@@ -110,8 +110,8 @@
                 out.push(Event::AttemptEnded { attempt, end: attempt_end(kind, fields), report });
             }
             PendingResponse::Load(request_id) => {
-                let copies = fields.instances.unwrap_or(0);
-                out.push(Event::LoadEnded { request_id, end: attempt_end(kind, fields), copies });
+                let replicas = fields.instances.unwrap_or(0);
+                out.push(Event::LoadEnded { request_id, end: attempt_end(kind, fields), replicas });
             }
             PendingResponse::Probe(request_id) => {
                 let healthy = kind == AnswerKind::InService;
@@ -187,7 +187,7 @@
         AnswerKind::NotLoaded => AttemptEnd::MarkedMiss,
         AnswerKind::Overloaded => AttemptEnd::MarkedFull,
         AnswerKind::Crashed => AttemptEnd::Status { message: "the invoker failed it".to_owned() },
-        AnswerKind::AlreadyEnded => AttemptEnd::Unwanted,
+        AnswerKind::AlreadyEnded => AttemptEnd::AlreadyEnded,
         AnswerKind::InService | AnswerKind::OutOfService => {
             AttemptEnd::Status { message: "the invoker is not in service".to_owned() }
         }
--- a/crates/node/src/pools/selection.rs
+++ b/crates/node/src/pools/selection.rs
@@ -70,7 +70,7 @@
         }
         if full {
             counters.over_links += 1;
-            return Err(AttemptEnd::NoRoom);
+            return Err(AttemptEnd::ConnectionsExhausted);
         }
         self.connect(tcp, worker, tag, counters)
     }
@@ -103,7 +103,7 @@
         let Some(key) = tcp.connect(pool.address) else {
             if tcp.counters().over_outgoing > over_bound {
                 counters.over_links += 1;
-                return Err(AttemptEnd::NoRoom);
+                return Err(AttemptEnd::ConnectionsExhausted);
             }
             return Err(AttemptEnd::NotConnected);
         };
--- a/src/decision/placement.rs
+++ b/src/decision/placement.rs
@@ -1,20 +1,22 @@
-//! Decides which worker takes a call: the ordinary path, and what keeps a worker from taking a call now.
+//! Chooses the worker of a call, or finds that no worker can take it now.
 //!
-//! The rule (design page; the study's section IV orders what waits): the worker last found warm for the
-//! function while our requests there are under its lanes, else the next worker under that bound along the
-//! function's rendezvous order, its hashed home first; else the call is held, lowest recent calls x mean
-//! latency first.
+//! The basic rule of the design document: a call goes to the worker where its function was last found warm,
+//! if this controller has fewer requests in flight there than the function has lanes; otherwise to the next
+//! worker below that bound in the function's rendezvous order, starting with its home. If there is none, the
+//! call is held.
 //!
-//! Leaves the wait to `hold_queue`, a worker's load to `worker_load`, its health to `outlier_ejection`, loads
-//! to `replica_loading`. Guards here, each with what it guards against:
+//! `hold_queue` holds calls, `worker_load` computes the pressure of a worker, `outlier_ejection` evaluates
+//! its health, and `replica_loading` orders replicas. Guards, with the failure that each prevents:
 //!
-//! * pressure: workers crowded by other controllers are passed over, the least loaded is taken where all are;
-//! * the first absent worker under pressure: one more is looked at (functions whose home is crowded);
-//! * a full home is waited for while our own loads fill it (replicas scattered over workers);
-//! * the worker that just failed the call comes last (spending all attempts on one fault);
-//! * idle cores lift the lanes bound (others' functions filling the bound of a worker that idles);
-//! * draining, suspect and ejected workers take nothing, but with all ejected the least failing takes it (a
-//!   false alarm everywhere).
+//! * workers under pressure are passed over; if all are, the one with the least pressure is taken (load from
+//!   other controllers);
+//! * if the first worker without a replica is under pressure, one more is considered (functions with an
+//!   overloaded home);
+//! * if loads of this controller fill the home, the call waits for it (replicas scattered over many workers);
+//! * the worker that just failed the call is tried last (all attempts spent on one fault);
+//! * a worker with idle cores may exceed the lanes bound (a bound filled by calls of other functions);
+//! * draining, suspect and ejected workers get no calls, but if all workers are ejected, the one with the
+//!   lowest failure rate does (false alarms at all workers at once).
 
 use super::replica_loading::MAX_REJECTIONS;
 use super::worker_load::{LOAD_PROBE_WAIT, PRESSURE_LIMIT, PRESSURE_MAX};
@@ -22,24 +24,24 @@
 use crate::interface::*;
 use crate::state::{Call, Function, Worker};
 
-/// Where no replica is known, a call looks at so many workers for one without pressure: memory holds no
-/// replica of all everywhere.
+/// Number of workers without a replica that are considered before pressure is ignored. It is small because
+/// the workers' memory can't hold a replica of each function everywhere.
 const ABSENT_CANDIDATES: usize = 2;
 
-/// Whether ejected workers may be chosen.
+/// Whether ejected workers are eligible.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub(super) enum Ejected {
-    /// No, but for trials.
+pub(super) enum EjectedWorkers {
+    /// Not eligible, except for trials.
     Excluded,
-    /// Yes: all are ejected.
+    /// Eligible, because all workers are ejected.
     Permitted,
 }
 
 impl Controller {
-    /// Sends the call now, holds it, or answers it where no worker is in service.
+    /// Sends the call, holds it, or sends its final answer if no worker is in service.
     pub(super) fn dispatch(&mut self, id: RequestId) {
         if self.no_worker_in_service() {
-            return self.give_final_answer(id);
+            return self.send_final_answer(id);
         }
         if let Some((function, class)) = self.calls.get(&id).map(|call| (call.function, call.class)) {
             self.order_additional_replica(function, class);
@@ -50,7 +52,8 @@
         }
     }
 
-    /// The worker for a call: last warm, else the first along the shared order that may take it.
+    /// Returns the worker for a call: the last warm one, or else the first eligible one in the rendezvous
+    /// order.
     pub(super) fn select_worker(&mut self, id: RequestId) -> Option<WorkerId> {
         self.update_homes(self.calls.get(&id)?.function);
         let call = &self.calls[&id];
@@ -58,15 +61,15 @@
         if !self.may_repeat(call) {
             return None;
         }
-        // Last comes the worker that just failed this call.
-        let failed_again = |w: &WorkerId| {
+        // The worker that just failed the call is considered last.
+        let last_failed = |w: &WorkerId| {
             self.pressure(function, *w, call.class) < PRESSURE_MAX
-                && self.may_take(*w, call, function, Ejected::Excluded)
+                && self.is_eligible(*w, call, function, EjectedWorkers::Excluded)
         };
         let found = self
             .select_warm(call, function)
-            .or_else(|| self.select_absent(call, function))
-            .or_else(|| call.failed_at.filter(failed_again));
+            .or_else(|| self.select_without_replica(call, function))
+            .or_else(|| call.failed_at.filter(last_failed));
         let in_service = |w: &Worker| w.entry.state == WorkerState::On && !w.ejected;
         if found.is_some() || self.workers.values().any(in_service) {
             return found;
@@ -74,7 +77,7 @@
         self.select_least_failing(call, function)
     }
 
-    /// Warm workers, by the order; where all are under pressure, the least so.
+    /// Selects among the warm workers in order; if all are under pressure, the one with the least pressure.
     fn select_warm(&self, call: &Call, function: &Function) -> Option<WorkerId> {
         let warm = |w: &WorkerId| self.is_warm(function, *w);
         let last_warm = function
@@ -84,14 +87,14 @@
             .max_by_key(|(w, at)| (**at, **w))
             .map(|(w, _)| *w);
         let order = || self.walk_order(call.function, function, call.class, Some(&function.warm_replicas));
-        let may_take = |w: WorkerId| self.may_take(w, call, function, Ejected::Excluded);
+        let is_eligible = |w: WorkerId| self.is_eligible(w, call, function, EjectedWorkers::Excluded);
         let usable = || {
             let all = last_warm.into_iter().chain(order());
-            all.filter(|w| warm(w) && may_take(*w) && call.failed_at != Some(*w))
+            all.filter(|w| warm(w) && is_eligible(*w) && call.failed_at != Some(*w))
         };
         let pressure = |w: WorkerId| self.pressure(function, w, call.class);
-        if let Some(relaxed) = usable().find(|w| pressure(*w) < PRESSURE_LIMIT) {
-            return Some(relaxed);
+        if let Some(worker) = usable().find(|w| pressure(*w) < PRESSURE_LIMIT) {
+            return Some(worker);
         }
         let objective = self.settings.classes[call.class].latency_objective as f64;
         let wait = (objective * LOAD_PROBE_WAIT) as Micros;
@@ -100,9 +103,9 @@
         least.filter(|(pressure, _)| *pressure < PRESSURE_MAX && !just_ordered).map(|(_, w)| w)
     }
 
-    /// Workers without a known replica, where one may be loaded or is loading.
-    fn select_absent(&self, call: &Call, function: &Function) -> Option<WorkerId> {
-        // Asked once for all workers: a healthy replica stands, so that none may be begun.
+    /// Selects among the workers without a known replica: one that may load it or is loading it.
+    fn select_without_replica(&self, call: &Call, function: &Function) -> Option<WorkerId> {
+        // This check is the same for all workers: with a healthy replica, no other load may start.
         let may_wait =
             self.settings.loading.when_absent == WhenAbsent::Load && !function.pending_loads.is_empty();
         let healthy_replica =
@@ -110,66 +113,78 @@
         if !may_wait && healthy_replica {
             return None;
         }
-        // None may be begun: it may at most wait where one is under way.
-        let none_may_begin = healthy_replica || self.load_in_progress(function);
-        let under_way = Some(&function.pending_loads).filter(|_| none_may_begin);
+        // If no load may start, the call can only wait at a worker with a pending load.
+        let no_new_load = healthy_replica || self.load_in_progress(function);
+        let pending_only = Some(&function.pending_loads).filter(|_| no_new_load);
         let pressure = |w: WorkerId| self.pressure(function, w, call.class);
         let usable = |w: &WorkerId| {
             call.failed_at != Some(*w)
                 && !self.is_warm(function, *w)
                 && pressure(*w) < PRESSURE_MAX
-                && self.may_take(*w, call, function, Ejected::Excluded)
+                && self.is_eligible(*w, call, function, EjectedWorkers::Excluded)
         };
-        let order = || self.walk_order(call.function, function, call.class, under_way);
-        // Where only orders load, a full home is waited for: others would not look for a replica elsewhere.
-        let only_orders_load = self.settings.loading.when_absent == WhenAbsent::Miss && under_way.is_none();
+        let order = || self.walk_order(call.function, function, call.class, pending_only);
+        // Where only orders load functions, wait for a full home: other controllers don't look for a replica
+        // elsewhere.
+        let only_orders_load =
+            self.settings.loading.when_absent == WhenAbsent::Miss && pending_only.is_none();
         let home = if only_orders_load { self.home(call, function) } else { None };
-        let loads_there = |w: &WorkerId| self.workers.get(w).is_some_and(|w| w.pending_loads > 0);
-        if let Some(home) = home.filter(loads_there) {
+        let has_pending_loads = |w: &WorkerId| self.workers.get(w).is_some_and(|w| w.pending_loads > 0);
+        if let Some(home) = home.filter(has_pending_loads) {
             return Some(home).filter(usable);
         }
-        let mut first = order().filter(|w| usable(w)).take(ABSENT_CANDIDATES);
-        first.find(|w| pressure(*w) < PRESSURE_LIMIT).or_else(|| order().find(|w| usable(w)))
+        let mut candidates = order().filter(|w| usable(w)).take(ABSENT_CANDIDATES);
+        candidates.find(|w| pressure(*w) < PRESSURE_LIMIT).or_else(|| order().find(|w| usable(w)))
     }
 
-    /// The first worker of the function's order that is open to it and did not lack room too often in a row.
+    /// The first worker in the function's order that is available and did not reject it too often in a row.
     fn home(&self, call: &Call, function: &Function) -> Option<WorkerId> {
-        let gave_up = |w: &WorkerId| function.avoided.get(w).is_some_and(|a| a.rejections >= MAX_REJECTIONS);
-        let open = |w: &WorkerId| {
+        let rejected_too_often =
+            |w: &WorkerId| function.avoided.get(w).is_some_and(|a| a.rejections >= MAX_REJECTIONS);
+        let available = |w: &WorkerId| {
             self.workers.get(w).is_some_and(|w| !self.ejection_active(w) && !self.is_warming_up(w))
         };
-        self.walk_order(call.function, function, call.class, None)
-            .find(|w| open(w) && self.pressure(function, *w, call.class) < PRESSURE_MAX && !gave_up(w))
+        self.walk_order(call.function, function, call.class, None).find(|w| {
+            available(w) && self.pressure(function, *w, call.class) < PRESSURE_MAX && !rejected_too_often(w)
+        })
     }
 
-    /// Never all ejected: with every worker suspect, the one that fails least takes the call.
+    /// Selects the worker with the lowest failure rate when all workers are ejected, so that calls are still
+    /// sent.
     fn select_least_failing(&self, call: &Call, function: &Function) -> Option<WorkerId> {
-        let may_take = |w: &WorkerId| self.may_take(*w, call, function, Ejected::Permitted);
-        let failing = |w: &WorkerId| self.workers.get(w).map_or(1.0, |x| x.failure_rate);
+        let is_eligible = |w: &WorkerId| self.is_eligible(*w, call, function, EjectedWorkers::Permitted);
+        let failure_rate = |w: &WorkerId| self.workers.get(w).map_or(1.0, |x| x.failure_rate);
         let score = |w: &WorkerId| self.fleet.position(call.function, *w).map_or(f64::INFINITY, |p| p.score);
-        let better = |a: &WorkerId, b: &WorkerId| {
-            failing(a).total_cmp(&failing(b)).then_with(|| score(a).total_cmp(&score(b)))
+        let compare = |a: &WorkerId, b: &WorkerId| {
+            failure_rate(a).total_cmp(&failure_rate(b)).then_with(|| score(a).total_cmp(&score(b)))
         };
-        self.workers.keys().copied().filter(may_take).min_by(better)
+        self.workers.keys().copied().filter(is_eligible).min_by(compare)
     }
 
-    /// May this worker take an attempt of the call now? All guards in one place.
-    pub(super) fn may_take(&self, id: WorkerId, call: &Call, function: &Function, ejected: Ejected) -> bool {
+    /// Whether the worker may take an attempt of the call now. All guards are combined here.
+    pub(super) fn is_eligible(
+        &self,
+        id: WorkerId,
+        call: &Call,
+        function: &Function,
+        ejected: EjectedWorkers,
+    ) -> bool {
         let Some(worker) = self.workers.get(&id) else { return false };
         let warm = self.is_warm(function, id);
         let in_flight = function.in_flight.get(&id).copied().unwrap_or(0);
-        // An ejected worker takes one trial at a time once its ejection is over, none of them non-idempotent.
+        // After its ejection, a worker gets one trial at a time, and no non-idempotent calls.
         let non_idempotent = self.settings.classes[call.class].effect == Effect::NonIdempotent;
         let excluded = self.ejection_active(worker) || worker.ejected && non_idempotent;
-        // The design's bound. Calls that wait for a load use no core: they count for their own function only.
-        // One call starts a load; the others wait here, not in the worker's slots.
+        // The lanes bound of the design. Calls that wait for a load use no core, so they count only for their
+        // own function. One call starts a load; the others are held by the controller and don't occupy slots
+        // of the worker.
         let at_bound =
             warm && worker.warm_in_flight >= function.lanes && !self.reports_idle_cores(worker, call.class);
-        // Drains: nothing new from the moment it is notified.
+        // A draining worker gets nothing new from the moment the drain is announced.
         worker.entry.state == WorkerState::On
             && !worker.connection_suspect
             && self.idempotency_permits(call, worker)
-            && (!excluded || ejected == Ejected::Permitted)
+            && (!excluded || ejected == EjectedWorkers::Permitted)
             && !at_bound
             && in_flight < if warm { function.lanes } else { 1 }
             && function.avoided.get(&id).is_none_or(|avoided| self.now >= avoided.until)
@@ -177,13 +192,13 @@
             && self.slow_start_permits(worker, call.class)
     }
 
-    /// Was a replica found there no longer ago than it stays at least?
+    /// Whether a replica was found at the worker within the keep-alive time, during which it stays loaded.
     pub(super) fn is_warm(&self, function: &Function, worker: WorkerId) -> bool {
         let found = function.warm_replicas.get(&worker);
         found.is_some_and(|&at| at + self.settings.loading.keep_alive > self.now)
     }
 
-    /// In service, not ejected and past its slow start.
+    /// Whether the worker is in service, not ejected and past its slow start.
     pub(super) fn is_healthy(&self, id: WorkerId) -> bool {
         let healthy = |w: &Worker| w.entry.state == WorkerState::On && !w.ejected && !self.is_warming_up(w);
         self.workers.get(&id).is_some_and(healthy)
