--- a/crates/gateway/src/remote_write/log.rs
+++ b/crates/gateway/src/remote_write/log.rs
@@ -107,7 +107,7 @@
 
     /// Whether the roster must be written again: it must not hold back segments, and may have been dropped with its own.
     pub(super) fn is_roster_outdated(&self) -> bool {
-        let newest = self.wal.newest();
+        let newest = self.wal.newest_segment();
         self.roster.iter().any(|position| position.segment < newest || !self.wal.contains(*position))
     }
 
--- a/crates/tenant-store/src/cell.rs
+++ b/crates/tenant-store/src/checksummed.rs
@@ -7,14 +7,14 @@
 
 /// A value is not what was written.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("a value of table {table}, {key}, is damaged: {what}")]
-pub struct Damaged {
+#[error("a value of table {table}, {key}, is damaged: {reason}")]
+pub struct DamagedValue {
     /// Its table.
     pub table: &'static str,
     /// Its key, for people.
     pub key: String,
     /// What is wrong.
-    pub what: String,
+    pub reason: String,
 }
 
 /// Encodes a value.
@@ -33,8 +33,8 @@
 ///
 /// # Errors
 /// Where the bytes are not what was written.
-pub fn decode<T: DeserializeOwned>(table: &'static str, key: &str, bytes: &[u8]) -> Result<T, Damaged> {
-    let damaged = |what: String| Damaged { table, key: key.to_owned(), what };
+pub fn decode<T: DeserializeOwned>(table: &'static str, key: &str, bytes: &[u8]) -> Result<T, DamagedValue> {
+    let damaged = |reason: String| DamagedValue { table, key: key.to_owned(), reason };
     let Some((checksum, json)) = bytes.split_first_chunk::<CHECKSUM_BYTES>() else {
         return Err(damaged(format!("{} bytes", bytes.len())));
     };
--- a/crates/tenant-store/src/error.rs
+++ b/crates/tenant-store/src/error.rs
@@ -3,17 +3,17 @@
 use std::io;
 use std::path::PathBuf;
 
-use crate::cell::Damaged;
+use crate::checksummed::DamagedValue;
 use crate::format::FORMAT;
 
 /// Why the store can't be used or a change not be committed.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
     /// The database failed, or found itself damaged.
-    #[error("{what}: {source}")]
+    #[error("{context}: {source}")]
     Database {
         /// What was tried.
-        what: &'static str,
+        context: &'static str,
         /// Why it failed.
         source: Box<redb::Error>,
     },
@@ -22,13 +22,13 @@
     Unreadable(String),
     /// A value is not what was written.
     #[error("the tenant store is damaged: {0}")]
-    Damaged(#[from] Damaged),
+    Damaged(#[from] DamagedValue),
     /// Its tables do not fit each other.
     #[error("the tenant store is damaged: {0}")]
     Inconsistent(String),
     /// A later program wrote it.
     #[error("the tenant store has format {found}; this program reads up to {FORMAT}")]
-    Newer {
+    NewerFormat {
         /// Its format.
         found: u64,
     },
@@ -62,11 +62,11 @@
 /// Adds to an error of the database what was tried.
 pub(crate) trait DatabaseResult<T> {
     /// Says of an error what was tried.
-    fn during(self, what: &'static str) -> Result<T, StoreError>;
+    fn context(self, context: &'static str) -> Result<T, StoreError>;
 }
 
 impl<T, E: Into<redb::Error>> DatabaseResult<T> for Result<T, E> {
-    fn during(self, what: &'static str) -> Result<T, StoreError> {
-        self.map_err(|error| StoreError::Database { what, source: Box::new(error.into()) })
+    fn context(self, context: &'static str) -> Result<T, StoreError> {
+        self.map_err(|error| StoreError::Database { context, source: Box::new(error.into()) })
     }
 }
--- a/crates/tenant-store/src/lib.rs
+++ b/crates/tenant-store/src/lib.rs
@@ -5,7 +5,7 @@
 //!
 //! * [`store`]: opening, commits, recovery from a failed file. [`schema`]: the tables. `migration`, `reader` and
 //!   `writer`: what is done with them.
-//! * [`cell`]: a value with its checksum: a flipped byte is found. [`origin`]: which store a snapshot is of.
+//! * [`checksummed`]: a value with its checksum: a flipped byte is found. [`origin`]: which store a snapshot is of.
 //! * [`snapshot`]: all of it as one text file, written beside the old one and renamed. [`error`]: what can fail.
 //!
 //! A change is durable when [`Store::commit`] has returned. One that did not return is there completely or not at all
@@ -13,7 +13,7 @@
 
 #![forbid(unsafe_code)]
 
-pub mod cell;
+pub mod checksummed;
 pub mod error;
 pub mod format;
 mod migration;
--- a/crates/tenant-store/src/reader.rs
+++ b/crates/tenant-store/src/reader.rs
@@ -3,47 +3,47 @@
 use nettleferry_tenancy::{Entry, IdempotentResponse, Revision, Tenant, TenantSnapshot};
 use redb::{Database, ReadableDatabase, ReadableTable};
 
-use crate::cell;
+use crate::checksummed;
 use crate::error::{DatabaseResult, StoreError};
 use crate::origin::Origin;
 use crate::schema::{
     AUDIT, META, META_EPOCH, META_FIRST_REVISION, META_REVISION, META_STORE, RESPONSES, TENANTS,
 };
 
-const READING: &str = "the tenant store can't be read";
-const READING_AUDIT: &str = "the audit trail can't be read";
+const READ_FAILED: &str = "the tenant store can't be read";
+const READ_AUDIT_FAILED: &str = "the audit trail can't be read";
 
 /// The epoch of a store that was never restored.
 const FIRST_EPOCH: u64 = 1;
 
 /// Which store it is.
 pub(crate) fn origin(database: &Database) -> Result<Origin, StoreError> {
-    let read = database.begin_read().during(READING)?;
-    let meta = read.open_table(META).during(READING)?;
-    let store = meta.get(META_STORE).during(READING)?.map_or(0, |value| value.value());
-    let epoch = meta.get(META_EPOCH).during(READING)?.map_or(FIRST_EPOCH, |value| value.value());
+    let read = database.begin_read().context(READ_FAILED)?;
+    let meta = read.open_table(META).context(READ_FAILED)?;
+    let store = meta.get(META_STORE).context(READ_FAILED)?.map_or(0, |value| value.value());
+    let epoch = meta.get(META_EPOCH).context(READ_FAILED)?.map_or(FIRST_EPOCH, |value| value.value());
     Ok(Origin { store: format!("{store:016x}"), epoch })
 }
 
 /// All tenants, checked against the revision and the audit trail.
 pub(crate) fn tenants(database: &Database) -> Result<TenantSnapshot, StoreError> {
-    let read = database.begin_read().during(READING)?;
-    let meta = read.open_table(META).during(READING)?;
-    let revision = meta.get(META_REVISION).during(READING)?.map_or(0, |value| value.value());
+    let read = database.begin_read().context(READ_FAILED)?;
+    let meta = read.open_table(META).context(READ_FAILED)?;
+    let revision = meta.get(META_REVISION).context(READ_FAILED)?.map_or(0, |value| value.value());
     let mut all: Vec<Tenant> = Vec::new();
-    for row in read.open_table(TENANTS).during(READING)?.iter().during(READING)? {
-        let (name, value) = row.during(READING)?;
-        let tenant: Tenant = cell::decode("tenants", name.value(), value.value())?;
+    for row in read.open_table(TENANTS).context(READ_FAILED)?.iter().context(READ_FAILED)? {
+        let (name, value) = row.context(READ_FAILED)?;
+        let tenant: Tenant = checksummed::decode("tenants", name.value(), value.value())?;
         if tenant.name != name.value() || tenant.revision > revision {
             let what = format!("tenant {} at revision {} of {revision}", tenant.name, tenant.revision);
             return Err(StoreError::Inconsistent(what));
         }
         all.push(tenant);
     }
-    let audit = read.open_table(AUDIT).during(READING)?;
+    let audit = read.open_table(AUDIT).context(READ_FAILED)?;
     // A store that began with a snapshot of elsewhere has no audit trail of what came before.
-    let first = meta.get(META_FIRST_REVISION).during(READING)?.map_or(0, |value| value.value());
-    let last = audit.last().during(READING)?.map_or(first, |(revision, _)| revision.value());
+    let first = meta.get(META_FIRST_REVISION).context(READ_FAILED)?.map_or(0, |value| value.value());
+    let last = audit.last().context(READ_FAILED)?.map_or(first, |(revision, _)| revision.value());
     if last != revision {
         let what = format!("the audit trail ends at {last}, the tenants at {revision}");
         return Err(StoreError::Inconsistent(what));
@@ -53,10 +53,10 @@
 
 /// The response stored under an idempotency key.
 pub(crate) fn response(database: &Database, key: &str) -> Result<Option<IdempotentResponse>, StoreError> {
-    let read = database.begin_read().during(READING)?;
-    let responses = read.open_table(RESPONSES).during(READING)?;
-    let found = responses.get(key).during(READING)?;
-    found.map(|bytes| Ok(cell::decode("once", key, bytes.value())?)).transpose()
+    let read = database.begin_read().context(READ_FAILED)?;
+    let responses = read.open_table(RESPONSES).context(READ_FAILED)?;
+    let found = responses.get(key).context(READ_FAILED)?;
+    found.map(|bytes| Ok(checksummed::decode("once", key, bytes.value())?)).transpose()
 }
 
 /// At most `most` entries of the audit trail after a revision, in order; of one tenant, where given.
@@ -66,15 +66,15 @@
     most: usize,
     tenant: Option<&str>,
 ) -> Result<Vec<Entry>, StoreError> {
-    let read = database.begin_read().during(READING_AUDIT)?;
-    let audit = read.open_table(AUDIT).during(READING_AUDIT)?;
+    let read = database.begin_read().context(READ_AUDIT_FAILED)?;
+    let audit = read.open_table(AUDIT).context(READ_AUDIT_FAILED)?;
     let mut all = Vec::new();
-    for row in audit.range(after.saturating_add(1)..).during(READING_AUDIT)? {
+    for row in audit.range(after.saturating_add(1)..).context(READ_AUDIT_FAILED)? {
         if all.len() >= most {
             break;
         }
-        let (revision, value) = row.during(READING_AUDIT)?;
-        let entry: Entry = cell::decode("audit", &revision.value().to_string(), value.value())?;
+        let (revision, value) = row.context(READ_AUDIT_FAILED)?;
+        let entry: Entry = checksummed::decode("audit", &revision.value().to_string(), value.value())?;
         if tenant.is_none_or(|name| entry.tenant == name) {
             all.push(entry);
         }
--- a/crates/tenant-store/src/schema.rs
+++ b/crates/tenant-store/src/schema.rs
@@ -35,7 +35,7 @@
     let what = "the store's name can't be written";
     let not_a_name = |_| StoreError::Inconsistent(format!("{:?} is no store's name", origin.store));
     let store = u64::from_str_radix(&origin.store, 16).map_err(not_a_name)?;
-    meta.insert(META_STORE, store).during(what)?;
-    meta.insert(META_EPOCH, origin.epoch).during(what)?;
+    meta.insert(META_STORE, store).context(what)?;
+    meta.insert(META_EPOCH, origin.epoch).context(what)?;
     Ok(())
 }
--- a/crates/tenant-store/src/snapshot.rs
+++ b/crates/tenant-store/src/snapshot.rs
@@ -41,14 +41,14 @@
         source: io::Error,
     },
     /// It is not what was written.
-    #[error("the snapshot {path}, line {line}: {what}")]
+    #[error("the snapshot {path}, line {line}: {reason}")]
     Invalid {
         /// The file.
         path: PathBuf,
         /// The line, from 1.
         line: usize,
         /// What is wrong.
-        what: String,
+        reason: String,
     },
 }
 
@@ -114,10 +114,10 @@
     pub fn read(path: &Path) -> Result<Self, SnapshotError> {
         let text =
             fs::read_to_string(path).map_err(|source| SnapshotError::Io { path: path.to_owned(), source })?;
-        let invalid = |line: usize, what: String| SnapshotError::Invalid {
+        let invalid = |line: usize, reason: String| SnapshotError::Invalid {
             path: path.to_owned(),
             line: line + 1,
-            what,
+            reason,
         };
         let lines: Vec<&str> = text.lines().collect();
         let Some((footer, body)) = lines.split_last() else {
--- a/crates/tenant-store/src/store.rs
+++ b/crates/tenant-store/src/store.rs
@@ -13,7 +13,7 @@
 use crate::writer::KeyedResponse;
 use crate::{migration, reader, writer};
 
-const OPENING: &str = "the tenant store can't be opened";
+const OPEN_FAILED: &str = "the tenant store can't be opened";
 
 /// Opens the database, at the start and after a failure of its file.
 type Opener = Box<dyn Fn() -> Result<Database, StoreError> + Send>;
@@ -48,7 +48,7 @@
         let path = path.to_owned();
         let open = move || {
             let path = path.clone();
-            catch_panic(move || checked(Database::create(path).during(OPENING)?))
+            catch_panic(move || checked(Database::create(path).context(OPEN_FAILED)?))
         };
         catch_panic(move || Self::start(Box::new(open)))
     }
@@ -57,10 +57,10 @@
     ///
     /// # Errors
     /// As [`Store::open`].
-    pub fn on(backend: impl StorageBackend + Clone) -> Result<(Self, TenantSnapshot), StoreError> {
+    pub fn open_backend(backend: impl StorageBackend + Clone) -> Result<(Self, TenantSnapshot), StoreError> {
         let open = move || {
             let opened = Database::builder().create_with_backend(backend.clone());
-            checked(opened.during(OPENING)?)
+            checked(opened.context(OPEN_FAILED)?)
         };
         Self::start(Box::new(open))
     }
@@ -193,7 +193,7 @@
 
 /// A database whose pages match their checksums.
 fn checked(mut opened: Database) -> Result<Database, StoreError> {
-    let intact = opened.check_integrity().during("the tenant store can't be checked")?;
+    let intact = opened.check_integrity().context("the tenant store can't be checked")?;
     if !intact {
         return Err(StoreError::Inconsistent("its pages do not match their checksums".to_owned()));
     }
--- a/crates/tenant-store/src/writer.rs
+++ b/crates/tenant-store/src/writer.rs
@@ -3,7 +3,7 @@
 use nettleferry_tenancy::{Entry, IdempotentResponse, TenantSnapshot};
 use redb::{Database, ReadableTable, ReadableTableMetadata, WriteTransaction};
 
-use crate::cell;
+use crate::checksummed;
 use crate::error::{DatabaseResult, StoreError};
 use crate::origin::Origin;
 use crate::schema::{
@@ -14,10 +14,10 @@
 /// Responses that are stored to be repeated; the oldest are deleted first.
 pub(crate) const MAX_IDEMPOTENT_RESPONSES: u64 = 10_000;
 
-const COMMITTING: &str = "the change can't be committed";
-const UNDOING: &str = "a change that failed can't be undone";
-const INSTALLING: &str = "the snapshot can't be installed";
-const RESTORING: &str = "the snapshot can't be restored";
+const COMMIT_FAILED: &str = "the change can't be committed";
+const UNDO_FAILED: &str = "a change that failed can't be undone";
+const INSTALL_FAILED: &str = "the snapshot can't be installed";
+const RESTORE_FAILED: &str = "the snapshot can't be restored";
 
 /// A response and the idempotency key that it is stored under.
 pub(crate) type KeyedResponse<'a> = (&'a str, &'a IdempotentResponse);
@@ -28,32 +28,32 @@
     entry: &Entry,
     response: Option<KeyedResponse<'_>>,
 ) -> Result<(), StoreError> {
-    let write = database.begin_write().during(COMMITTING)?;
+    let write = database.begin_write().context(COMMIT_FAILED)?;
     put_change(&write, entry)?;
     if let Some(response) = response {
         put_response(&write, entry, response)?;
     }
-    write.commit().during(COMMITTING)
+    write.commit().context(COMMIT_FAILED)
 }
 
 fn put_change(write: &WriteTransaction, entry: &Entry) -> Result<(), StoreError> {
-    let mut meta = write.open_table(META).during(COMMITTING)?;
-    let before = meta.get(META_REVISION).during(COMMITTING)?.map_or(0, |value| value.value());
+    let mut meta = write.open_table(META).context(COMMIT_FAILED)?;
+    let before = meta.get(META_REVISION).context(COMMIT_FAILED)?.map_or(0, |value| value.value());
     if entry.revision != before + 1 {
         let what = format!("revision {} does not follow on {before}", entry.revision);
         return Err(StoreError::Inconsistent(what));
     }
-    meta.insert(META_REVISION, entry.revision).during(COMMITTING)?;
-    let mut tenants = write.open_table(TENANTS).during(COMMITTING)?;
+    meta.insert(META_REVISION, entry.revision).context(COMMIT_FAILED)?;
+    let mut tenants = write.open_table(TENANTS).context(COMMIT_FAILED)?;
     match &entry.after {
         Some(tenant) => {
-            let value = cell::encode(tenant)?;
-            tenants.insert(entry.tenant.as_str(), value.as_slice()).during(COMMITTING)?;
+            let value = checksummed::encode(tenant)?;
+            tenants.insert(entry.tenant.as_str(), value.as_slice()).context(COMMIT_FAILED)?;
         }
-        None => _ = tenants.remove(entry.tenant.as_str()).during(COMMITTING)?,
+        None => _ = tenants.remove(entry.tenant.as_str()).context(COMMIT_FAILED)?,
     }
-    let mut audit = write.open_table(AUDIT).during(COMMITTING)?;
-    audit.insert(entry.revision, cell::encode(entry)?.as_slice()).during(COMMITTING)?;
+    let mut audit = write.open_table(AUDIT).context(COMMIT_FAILED)?;
+    audit.insert(entry.revision, checksummed::encode(entry)?.as_slice()).context(COMMIT_FAILED)?;
     Ok(())
 }
 
@@ -62,14 +62,14 @@
     entry: &Entry,
     (key, response): KeyedResponse<'_>,
 ) -> Result<(), StoreError> {
-    let mut responses = write.open_table(RESPONSES).during(COMMITTING)?;
-    let mut order = write.open_table(RESPONSE_ORDER).during(COMMITTING)?;
-    responses.insert(key, cell::encode(response)?.as_slice()).during(COMMITTING)?;
-    order.insert(entry.revision, key).during(COMMITTING)?;
-    if order.len().during(COMMITTING)? > MAX_IDEMPOTENT_RESPONSES {
-        let oldest = order.pop_first().during(COMMITTING)?.map(|(_, key)| key.value().to_owned());
+    let mut responses = write.open_table(RESPONSES).context(COMMIT_FAILED)?;
+    let mut order = write.open_table(RESPONSE_ORDER).context(COMMIT_FAILED)?;
+    responses.insert(key, checksummed::encode(response)?.as_slice()).context(COMMIT_FAILED)?;
+    order.insert(entry.revision, key).context(COMMIT_FAILED)?;
+    if order.len().context(COMMIT_FAILED)? > MAX_IDEMPOTENT_RESPONSES {
+        let oldest = order.pop_first().context(COMMIT_FAILED)?.map(|(_, key)| key.value().to_owned());
         if let Some(oldest) = oldest {
-            responses.remove(oldest.as_str()).during(COMMITTING)?;
+            responses.remove(oldest.as_str()).context(COMMIT_FAILED)?;
         }
     }
     Ok(())
@@ -77,33 +77,33 @@
 
 /// Undoes the last change, where it is this one. `key`: the idempotency key of its response.
 pub(crate) fn undo(database: &Database, entry: &Entry, key: Option<&str>) -> Result<(), StoreError> {
-    let write = database.begin_write().during(UNDOING)?;
+    let write = database.begin_write().context(UNDO_FAILED)?;
     if !remove_change(&write, entry, key)? {
         return Ok(());
     }
-    write.commit().during(UNDOING)
+    write.commit().context(UNDO_FAILED)
 }
 
 /// False: it is not the last change, and nothing was removed.
 fn remove_change(write: &WriteTransaction, entry: &Entry, key: Option<&str>) -> Result<bool, StoreError> {
-    let mut meta = write.open_table(META).during(UNDOING)?;
-    let last = meta.get(META_REVISION).during(UNDOING)?.map_or(0, |value| value.value());
+    let mut meta = write.open_table(META).context(UNDO_FAILED)?;
+    let last = meta.get(META_REVISION).context(UNDO_FAILED)?.map_or(0, |value| value.value());
     if last != entry.revision {
         return Ok(false);
     }
-    meta.insert(META_REVISION, entry.revision - 1).during(UNDOING)?;
-    write.open_table(AUDIT).during(UNDOING)?.remove(entry.revision).during(UNDOING)?;
-    let mut tenants = write.open_table(TENANTS).during(UNDOING)?;
+    meta.insert(META_REVISION, entry.revision - 1).context(UNDO_FAILED)?;
+    write.open_table(AUDIT).context(UNDO_FAILED)?.remove(entry.revision).context(UNDO_FAILED)?;
+    let mut tenants = write.open_table(TENANTS).context(UNDO_FAILED)?;
     match &entry.before {
         Some(tenant) => {
-            let value = cell::encode(tenant)?;
-            tenants.insert(entry.tenant.as_str(), value.as_slice()).during(UNDOING)?;
+            let value = checksummed::encode(tenant)?;
+            tenants.insert(entry.tenant.as_str(), value.as_slice()).context(UNDO_FAILED)?;
         }
-        None => _ = tenants.remove(entry.tenant.as_str()).during(UNDOING)?,
+        None => _ = tenants.remove(entry.tenant.as_str()).context(UNDO_FAILED)?,
     }
     if let Some(key) = key {
-        write.open_table(RESPONSES).during(UNDOING)?.remove(key).during(UNDOING)?;
-        write.open_table(RESPONSE_ORDER).during(UNDOING)?.remove(entry.revision).during(UNDOING)?;
+        write.open_table(RESPONSES).context(UNDO_FAILED)?.remove(key).context(UNDO_FAILED)?;
+        write.open_table(RESPONSE_ORDER).context(UNDO_FAILED)?.remove(entry.revision).context(UNDO_FAILED)?;
     }
     Ok(true)
 }
@@ -114,9 +114,9 @@
     snapshot: &TenantSnapshot,
     origin: &Origin,
 ) -> Result<(), StoreError> {
-    let write = database.begin_write().during(INSTALLING)?;
+    let write = database.begin_write().context(INSTALL_FAILED)?;
     replace_all(&write, snapshot, origin)?;
-    write.commit().during(INSTALLING)
+    write.commit().context(INSTALL_FAILED)
 }
 
 fn replace_all(
@@ -124,48 +124,52 @@
     snapshot: &TenantSnapshot,
     origin: &Origin,
 ) -> Result<(), StoreError> {
-    let mut tenants = write.open_table(TENANTS).during(INSTALLING)?;
-    tenants.retain(|_, _| false).during(INSTALLING)?;
-    write.open_table(AUDIT).during(INSTALLING)?.retain(|_, _| false).during(INSTALLING)?;
-    write.open_table(RESPONSES).during(INSTALLING)?.retain(|_, _| false).during(INSTALLING)?;
-    write.open_table(RESPONSE_ORDER).during(INSTALLING)?.retain(|_, _| false).during(INSTALLING)?;
+    let mut tenants = write.open_table(TENANTS).context(INSTALL_FAILED)?;
+    tenants.retain(|_, _| false).context(INSTALL_FAILED)?;
+    write.open_table(AUDIT).context(INSTALL_FAILED)?.retain(|_, _| false).context(INSTALL_FAILED)?;
+    write.open_table(RESPONSES).context(INSTALL_FAILED)?.retain(|_, _| false).context(INSTALL_FAILED)?;
+    write.open_table(RESPONSE_ORDER).context(INSTALL_FAILED)?.retain(|_, _| false).context(INSTALL_FAILED)?;
     for tenant in snapshot.tenants() {
-        tenants.insert(tenant.name.as_str(), cell::encode(tenant)?.as_slice()).during(INSTALLING)?;
+        tenants
+            .insert(tenant.name.as_str(), checksummed::encode(tenant)?.as_slice())
+            .context(INSTALL_FAILED)?;
     }
-    let mut meta = write.open_table(META).during(INSTALLING)?;
-    meta.insert(META_REVISION, snapshot.revision()).during(INSTALLING)?;
-    meta.insert(META_FIRST_REVISION, snapshot.revision()).during(INSTALLING)?;
+    let mut meta = write.open_table(META).context(INSTALL_FAILED)?;
+    meta.insert(META_REVISION, snapshot.revision()).context(INSTALL_FAILED)?;
+    meta.insert(META_FIRST_REVISION, snapshot.revision()).context(INSTALL_FAILED)?;
     write_origin(&mut meta, origin)
 }
 
 /// Fills an empty store with a snapshot file's content. `now_ms`: the least epoch that it gets.
 pub(crate) fn restore(database: &Database, snapshot: &Snapshot, now_ms: u64) -> Result<(), StoreError> {
-    let write = database.begin_write().during(RESTORING)?;
+    let write = database.begin_write().context(RESTORE_FAILED)?;
     fill(&write, snapshot, now_ms)?;
-    write.commit().during(RESTORING)
+    write.commit().context(RESTORE_FAILED)
 }
 
 fn fill(write: &WriteTransaction, snapshot: &Snapshot, now_ms: u64) -> Result<(), StoreError> {
-    let mut meta = write.open_table(META).during(RESTORING)?;
-    if meta.get(META_REVISION).during(RESTORING)?.is_some() {
+    let mut meta = write.open_table(META).context(RESTORE_FAILED)?;
+    if meta.get(META_REVISION).context(RESTORE_FAILED)?.is_some() {
         let what = "a snapshot can be restored only into an empty store";
         return Err(StoreError::Inconsistent(what.to_owned()));
     }
-    meta.insert(META_REVISION, snapshot.revision).during(RESTORING)?;
+    meta.insert(META_REVISION, snapshot.revision).context(RESTORE_FAILED)?;
     if snapshot.audit.is_empty() {
-        meta.insert(META_FIRST_REVISION, snapshot.revision).during(RESTORING)?;
+        meta.insert(META_FIRST_REVISION, snapshot.revision).context(RESTORE_FAILED)?;
     }
     if let Some(origin) = &snapshot.origin {
         let epoch = now_ms.max(origin.epoch.saturating_add(1));
         write_origin(&mut meta, &Origin { store: origin.store.clone(), epoch })?;
     }
-    let mut tenants = write.open_table(TENANTS).during(RESTORING)?;
+    let mut tenants = write.open_table(TENANTS).context(RESTORE_FAILED)?;
     for tenant in &snapshot.tenants {
-        tenants.insert(tenant.name.as_str(), cell::encode(tenant)?.as_slice()).during(RESTORING)?;
+        tenants
+            .insert(tenant.name.as_str(), checksummed::encode(tenant)?.as_slice())
+            .context(RESTORE_FAILED)?;
     }
-    let mut audit = write.open_table(AUDIT).during(RESTORING)?;
+    let mut audit = write.open_table(AUDIT).context(RESTORE_FAILED)?;
     for entry in &snapshot.audit {
-        audit.insert(entry.revision, cell::encode(entry)?.as_slice()).during(RESTORING)?;
+        audit.insert(entry.revision, checksummed::encode(entry)?.as_slice()).context(RESTORE_FAILED)?;
     }
     Ok(())
 }
--- a/crates/tenant-store/tests/crash.rs
+++ b/crates/tenant-store/tests/crash.rs
@@ -91,7 +91,7 @@
 #[test]
 fn change_is_complete_or_absent_wherever_the_disk_fails() {
     let disk = Disk::default();
-    let (mut store, mut book) = Store::on(disk.clone()).expect("opens");
+    let (mut store, mut book) = Store::open_backend(disk.clone()).expect("opens");
     for name in ["a", "b", "c"] {
         let entry = create(&book, name);
         store.commit(&entry, None).expect("kept");
@@ -112,7 +112,7 @@
         after.apply(&next).expect("the next");
         for fails_at in 0.. {
             let disk = Disk::holding(base.clone(), None);
-            let Ok((mut store, _)) = Store::on(disk.clone()) else { panic!("it opens") };
+            let Ok((mut store, _)) = Store::open_backend(disk.clone()) else { panic!("it opens") };
             let begun = disk.inner().operations;
             disk.inner().fails_at = Some(begun + fails_at);
             let kept = store.commit(&next, Some(("k", &once(next.revision))));
@@ -125,7 +125,7 @@
                 [inner.now.clone(), inner.synced.clone()]
             };
             for left in left {
-                let (store, found) = Store::on(Disk::holding(left, None)).expect("it opens again");
+                let (store, found) = Store::open_backend(Disk::holding(left, None)).expect("it opens again");
                 let answer = store.idempotent_response("k").expect("readable");
                 if found == after {
                     whole += 1;
@@ -151,7 +151,7 @@
     for fails_at in 0.. {
         let disk = Disk::default();
         disk.inner().fails_at = Some(fails_at);
-        let made = Store::on(disk.clone()).is_ok();
+        let made = Store::open_backend(disk.clone()).is_ok();
         disk.inner().fails_at = Some(0);
         let left = disk.inner().synced.clone();
         if made {
@@ -159,7 +159,7 @@
         }
         // A file of which nothing is durable is an empty one.
         if !left.is_empty()
-            && let Ok((_, book)) = Store::on(Disk::holding(left, None))
+            && let Ok((_, book)) = Store::open_backend(Disk::holding(left, None))
         {
             assert_eq!(book, TenantSnapshot::default());
         }
@@ -264,7 +264,7 @@
     for span in [1, 3, 12] {
         for fails_at in 0..40 {
             let disk = Disk::default();
-            let (mut store, mut book) = Store::on(disk.clone()).expect("opens");
+            let (mut store, mut book) = Store::open_backend(disk.clone()).expect("opens");
             let first = create(&book, "a");
             store.commit(&first, None).expect("kept");
             book.apply(&first).expect("the next");
@@ -288,7 +288,7 @@
             book.apply(&later).expect("the next");
             let answered = store.idempotent_response("k").expect("readable").is_some();
             drop(store);
-            let (store, found) = Store::on(disk.clone()).expect("opens again");
+            let (store, found) = Store::open_backend(disk.clone()).expect("opens again");
             assert_eq!(found, book, "span {span}, fails at {fails_at}");
             assert_eq!(answered, book.tenants().len() == 3, "an answer is kept with its change alone");
             assert_eq!(store.audit(0, 9, None).expect("readable").len(), book.tenants().len());
--- a/crates/wal/src/wal.rs
+++ b/crates/wal/src/wal.rs
@@ -51,7 +51,7 @@
     /// Bytes that could not be read past damage.
     pub lost_bytes: u64,
     /// Appends that the storage failed.
-    pub failed: u64,
+    pub failed_appends: u64,
 }
 
 /// A record that was not acknowledged.
@@ -180,7 +180,7 @@
 
     /// The segment that is written to. A record that stays in an older one holds back the segments after it: its owner
     /// appends it again and acknowledges the old one.
-    pub fn newest(&self) -> u64 {
+    pub fn newest_segment(&self) -> u64 {
         self.last
     }
 
@@ -264,7 +264,7 @@
         let segment = self.last;
         let offset = self.segments.get(&segment).map_or(0, |s| s.bytes);
         if let Err(error) = self.storage.append(segment, &bytes) {
-            self.counters.failed += 1;
+            self.counters.failed_appends += 1;
             self.segments.entry(segment).or_default();
             self.dirty = true;
             self.truncate_failed_append();
--- a/crates/wal/tests/wal.rs
+++ b/crates/wal/tests/wal.rs
@@ -90,7 +90,7 @@
     let used: usize = log.storage().files.values().map(Vec::len).sum();
     log.storage().capacity = Some(used + 50);
     assert!(matches!(log.append(&[77; 100]), Err(WalError::Io(_))));
-    assert_eq!(log.counters().failed, 1);
+    assert_eq!(log.counters().failed_appends, 1);
     log.storage().capacity = None;
     log.append(&[78; 100]).expect("appended");
     log.acknowledge(positions[0]).expect("appended");
