--- a/crates/tenant-store/src/checksummed.rs
+++ b/crates/tenant-store/src/checksummed.rs
@@ -1,38 +1,39 @@
-//! A value on disk: CRC-32 of its JSON (u32, little-endian), then the JSON. Which table it is in is the caller's.
+//! Encoding of stored values: the CRC-32 of the value's JSON (`u32`, little-endian), followed by the JSON. Which table
+//! a value belongs to is known to the caller only.
 
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
 const CHECKSUM_BYTES: usize = 4;
 
-/// A value is not what was written.
+/// A stored value that does not match its checksum or can't be parsed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("a value of table {table}, {key}, is damaged: {reason}")]
 pub struct DamagedValue {
-    /// Its table.
+    /// The table that the value is stored in.
     pub table: &'static str,
-    /// Its key, for people.
+    /// The value's key in that table, as text for the error message.
     pub key: String,
-    /// What is wrong.
+    /// What is wrong with the value: its length, its checksum or its JSON.
     pub reason: String,
 }
 
-/// Encodes a value.
+/// Encodes a value as its checksum and its JSON.
 ///
 /// # Errors
-/// Where it can't be written as JSON.
+/// Returns an error if the value can't be serialized as JSON.
 pub fn encode(value: &impl Serialize) -> Result<Vec<u8>, serde_json::Error> {
     let json = serde_json::to_vec(value)?;
-    let mut out = Vec::with_capacity(CHECKSUM_BYTES + json.len());
-    out.extend_from_slice(&crc32fast::hash(&json).to_le_bytes());
-    out.extend_from_slice(&json);
-    Ok(out)
+    let mut encoded = Vec::with_capacity(CHECKSUM_BYTES + json.len());
+    encoded.extend_from_slice(&crc32fast::hash(&json).to_le_bytes());
+    encoded.extend_from_slice(&json);
+    Ok(encoded)
 }
 
-/// Decodes the value of a key in a table.
+/// Decodes a stored value after checking its checksum. `table` and `key` identify the value in the error.
 ///
 /// # Errors
-/// Where the bytes are not what was written.
+/// Returns an error if the bytes are too short, do not match their checksum, or are not the JSON of a `T`.
 pub fn decode<T: DeserializeOwned>(table: &'static str, key: &str, bytes: &[u8]) -> Result<T, DamagedValue> {
     let damaged = |reason: String| DamagedValue { table, key: key.to_owned(), reason };
     let Some((checksum, json)) = bytes.split_first_chunk::<CHECKSUM_BYTES>() else {
--- a/crates/tenant-store/src/error.rs
+++ b/crates/tenant-store/src/error.rs
@@ -1,4 +1,4 @@
-//! Why the store can't be used or a change not be committed.
+//! Errors of the store, and the conversion of database errors into them.
 
 use std::io;
 use std::path::PathBuf;
@@ -6,50 +6,51 @@
 use crate::checksummed::DamagedValue;
 use crate::format::FORMAT;
 
-/// Why the store can't be used or a change not be committed.
+/// Why the store can't be opened, read or written.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
-    /// The database failed, or found itself damaged.
+    /// An operation of the database failed, or the database detected that its file is damaged.
     #[error("{context}: {source}")]
     Database {
-        /// What was tried.
+        /// The operation that failed, as a message.
         context: &'static str,
-        /// Why it failed.
+        /// The error of the database.
         source: Box<redb::Error>,
     },
-    /// The database panicked over what it found: the file is damaged.
+    /// The database panicked while it opened the file, so the file must be damaged. Contains the panic message.
     #[error("the tenant store is damaged: {0}")]
     Unreadable(String),
-    /// A value is not what was written.
+    /// A stored value does not match its checksum or can't be parsed.
     #[error("the tenant store is damaged: {0}")]
     Damaged(#[from] DamagedValue),
-    /// Its tables do not fit each other.
+    /// The tables contradict each other, or a change or snapshot does not fit the store's content.
     #[error("the tenant store is damaged: {0}")]
     Inconsistent(String),
-    /// A later program wrote it.
+    /// The store was written by a later version of the program, in a format that this one can't read.
     #[error("the tenant store has format {found}; this program reads up to {FORMAT}")]
     NewerFormat {
-        /// Its format.
+        /// The store's format version.
         found: u64,
     },
-    /// Its file has failed, and could not be reopened yet.
+    /// The file has failed and could not be reopened since.
     #[error("the tenant store can't be used just now: its file has failed")]
     Unavailable,
-    /// A value can't be encoded.
+    /// A value can't be serialized as JSON.
     #[error("a value can't be written: {0}")]
     Encode(#[from] serde_json::Error),
-    /// The file can't be opened or created.
+    /// The directory of the file can't be created.
     #[error("the tenant store {path}: {source}")]
     File {
-        /// The file.
+        /// The path of the store's file.
         path: PathBuf,
-        /// Why.
+        /// The error of the file system.
         source: io::Error,
     },
 }
 
 impl StoreError {
-    /// May a retry succeed, as the file could not be read or written just now? Else its content is wrong.
+    /// Whether a retry may succeed: the file could not be read or written for the moment. For all other errors the
+    /// content of the file, or the change itself, is wrong.
     pub fn is_transient(&self) -> bool {
         match self {
             Self::Database { source, .. } => matches!(**source, redb::Error::Io(_) | redb::Error::PreviousIo),
@@ -59,9 +60,9 @@
     }
 }
 
-/// Adds to an error of the database what was tried.
+/// Converts results of the database.
 pub(crate) trait DatabaseResult<T> {
-    /// Says of an error what was tried.
+    /// Converts an error into a [`StoreError`] with a message of the operation that failed.
     fn context(self, context: &'static str) -> Result<T, StoreError>;
 }
 
--- a/crates/tenant-store/src/format.rs
+++ b/crates/tenant-store/src/format.rs
@@ -1,4 +1,4 @@
-//! The version of the store's format: read by the schema's migration, named by errors.
+//! The version of the store's format, which the migration and the errors refer to.
 
-/// The format that is written. Format 1 had values without checksums.
+/// The format version of stores that this program writes. In version 1, values had no checksums.
 pub const FORMAT: u64 = 2;
--- a/crates/tenant-store/src/lib.rs
+++ b/crates/tenant-store/src/lib.rs
@@ -1,15 +1,16 @@
-//! Tenants and their audit trail on disk, in redb: one durable transaction for each change.
+//! Persistent storage of tenants and their audit trail in a redb database. Each change is one durable transaction.
 //!
-//! May know: snapshots, entries, one file. Must not know: HTTP, who requests a change, calls. What a change does is
-//! decided by `nettleferry-tenancy`; here it is stored completely or not at all.
+//! This crate depends on snapshots, audit entries and one file. It must not depend on HTTP, on who requests a change, or
+//! on calls. `nettleferry-tenancy` decides what a change does; this crate stores it completely or not at all.
 //!
-//! * [`store`]: opening, commits, recovery from a failed file. [`schema`]: the tables. `migration`, `reader` and
-//!   `writer`: what is done with them.
-//! * [`checksummed`]: a value with its checksum: a flipped byte is found. [`origin`]: which store a snapshot is of.
-//! * [`snapshot`]: all of it as one text file, written beside the old one and renamed. [`error`]: what can fail.
+//! * [`store`]: the store itself: opening, commits, and recovery after an I/O failure. [`schema`]: the tables.
+//!   `migration`, `reader` and `writer`: the operations on the tables.
+//! * [`checksummed`]: the encoding of values with a checksum, which detects flipped bytes. [`origin`]: the identity of a
+//!   store.
+//! * [`snapshot`]: the whole store as a text file, which replaces the previous one atomically. [`error`]: the errors.
 //!
-//! A change is durable when [`Store::commit`] has returned. One that did not return is there completely or not at all
-//! after a restart.
+//! A change is durable once [`Store::commit`] has returned. If the process dies before that, the change is stored
+//! either completely or not at all.
 
 #![forbid(unsafe_code)]
 
--- a/crates/tenant-store/src/migration.rs
+++ b/crates/tenant-store/src/migration.rs
@@ -1,4 +1,4 @@
-//! Creates the tables of a new store, and brings one of an earlier format to the present one.
+//! Creates the tables of a new store, and migrates a store of an earlier format to the current one.
 
 use std::collections::hash_map::RandomState;
 use std::hash::BuildHasher;
@@ -14,7 +14,8 @@
 const CREATE_FAILED: &str = "the tenant store's tables can't be created";
 const MIGRATE_FAILED: &str = "the tenant store can't be migrated";
 
-/// Creates what is missing, and migrates what is of an earlier format, in one transaction.
+/// Creates missing tables and migrates a store of an earlier format, in one transaction. Fails with
+/// [`StoreError::NewerFormat`] for a store that a later version of the program wrote.
 pub(crate) fn migrate(database: &Database) -> Result<(), StoreError> {
     let write = database.begin_write().context("the tenant store can't be written")?;
     migrate_tables(&write)?;
@@ -39,9 +40,9 @@
     if found != Some(FORMAT) {
         meta.insert(META_FORMAT, FORMAT).context(MIGRATE_FAILED)?;
     }
-    let is_named = meta.get(META_STORE).context(MIGRATE_FAILED)?.is_some();
-    if !is_named {
-        // Random: a store that was created anew is another one, whatever its revisions are.
+    let has_store_name = meta.get(META_STORE).context(MIGRATE_FAILED)?.is_some();
+    if !has_store_name {
+        // The name is random, so that a newly created store is never mistaken for an older one with the same revisions.
         meta.insert(META_STORE, RandomState::new().hash_one(FORMAT)).context(MIGRATE_FAILED)?;
     }
     Ok(())
--- a/crates/tenant-store/src/origin.rs
+++ b/crates/tenant-store/src/origin.rs
@@ -1,12 +1,12 @@
-//! Which store a snapshot is of: shared by the store and its snapshot files.
+//! The identity of a store, which is also written to the snapshots made of it.
 
 use serde::{Deserialize, Serialize};
 
-/// Which store it is.
+/// The identity of a store.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Origin {
-    /// The store's own name: 16 hex digits.
+    /// The store's name: a random number, as 16 hexadecimal digits.
     pub store: String,
-    /// Raised by each restore: what an earlier epoch has beyond it was given up.
+    /// Increased by each restore. Changes of an earlier epoch that the restored snapshot lacks are discarded.
     pub epoch: u64,
 }
--- a/crates/tenant-store/src/reader.rs
+++ b/crates/tenant-store/src/reader.rs
@@ -1,4 +1,4 @@
-//! Reads from the store, each in one transaction.
+//! Read operations on the store, each in one transaction.
 
 use nettleferry_tenancy::{Entry, IdempotentResponse, Revision, Tenant, TenantSnapshot};
 use redb::{Database, ReadableDatabase, ReadableTable};
@@ -13,10 +13,10 @@
 const READ_FAILED: &str = "the tenant store can't be read";
 const READ_AUDIT_FAILED: &str = "the audit trail can't be read";
 
-/// The epoch of a store that was never restored.
+/// The epoch of a store that was never restored from a snapshot.
 const FIRST_EPOCH: u64 = 1;
 
-/// Which store it is.
+/// Reads the identity of the store.
 pub(crate) fn origin(database: &Database) -> Result<Origin, StoreError> {
     let read = database.begin_read().context(READ_FAILED)?;
     let meta = read.open_table(META).context(READ_FAILED)?;
@@ -25,7 +25,8 @@
     Ok(Origin { store: format!("{store:016x}"), epoch })
 }
 
-/// All tenants, checked against the revision and the audit trail.
+/// Reads all tenants. Fails if a tenant does not match its key or is newer than the store's revision, or if the audit
+/// trail does not end at that revision.
 pub(crate) fn tenants(database: &Database) -> Result<TenantSnapshot, StoreError> {
     let read = database.begin_read().context(READ_FAILED)?;
     let meta = read.open_table(META).context(READ_FAILED)?;
@@ -35,23 +36,23 @@
         let (name, value) = row.context(READ_FAILED)?;
         let tenant: Tenant = checksummed::decode("tenants", name.value(), value.value())?;
         if tenant.name != name.value() || tenant.revision > revision {
-            let what = format!("tenant {} at revision {} of {revision}", tenant.name, tenant.revision);
-            return Err(StoreError::Inconsistent(what));
+            let reason = format!("tenant {} at revision {} of {revision}", tenant.name, tenant.revision);
+            return Err(StoreError::Inconsistent(reason));
         }
         all.push(tenant);
     }
     let audit = read.open_table(AUDIT).context(READ_FAILED)?;
-    // A store that began with a snapshot of elsewhere has no audit trail of what came before.
+    // A store that was filled from a snapshot without an audit trail has no entries up to that snapshot's revision.
     let first = meta.get(META_FIRST_REVISION).context(READ_FAILED)?.map_or(0, |value| value.value());
     let last = audit.last().context(READ_FAILED)?.map_or(first, |(revision, _)| revision.value());
     if last != revision {
-        let what = format!("the audit trail ends at {last}, the tenants at {revision}");
-        return Err(StoreError::Inconsistent(what));
+        let reason = format!("the audit trail ends at {last}, the tenants at {revision}");
+        return Err(StoreError::Inconsistent(reason));
     }
     Ok(TenantSnapshot::from_tenants(revision, all))
 }
 
-/// The response stored under an idempotency key.
+/// Reads the response that is stored under an idempotency key.
 pub(crate) fn response(database: &Database, key: &str) -> Result<Option<IdempotentResponse>, StoreError> {
     let read = database.begin_read().context(READ_FAILED)?;
     let responses = read.open_table(RESPONSES).context(READ_FAILED)?;
@@ -59,18 +60,18 @@
     found.map(|bytes| Ok(checksummed::decode("once", key, bytes.value())?)).transpose()
 }
 
-/// At most `most` entries of the audit trail after a revision, in order; of one tenant, where given.
+/// Reads at most `limit` entries of the audit trail after a revision, in order, optionally of one tenant only.
 pub(crate) fn entries(
     database: &Database,
     after: Revision,
-    most: usize,
+    limit: usize,
     tenant: Option<&str>,
 ) -> Result<Vec<Entry>, StoreError> {
     let read = database.begin_read().context(READ_AUDIT_FAILED)?;
     let audit = read.open_table(AUDIT).context(READ_AUDIT_FAILED)?;
     let mut all = Vec::new();
     for row in audit.range(after.saturating_add(1)..).context(READ_AUDIT_FAILED)? {
-        if all.len() >= most {
+        if all.len() >= limit {
             break;
         }
         let (revision, value) = row.context(READ_AUDIT_FAILED)?;
--- a/crates/tenant-store/src/schema.rs
+++ b/crates/tenant-store/src/schema.rs
@@ -1,41 +1,41 @@
-//! The tables of the store, with the names that earlier versions gave them.
+//! The tables of the store. Table and key names are part of the file format, so those of earlier versions are kept.
 
 use redb::TableDefinition;
 
 use crate::error::{DatabaseResult, StoreError};
 use crate::origin::Origin;
 
-/// Single numbers, by the keys below.
+/// Numbers about the store as a whole, under the `META_` keys below.
 pub(crate) const META: TableDefinition<&str, u64> = TableDefinition::new("meta");
-/// Tenants by name.
+/// The tenants, by name.
 pub(crate) const TENANTS: TableDefinition<&str, &[u8]> = TableDefinition::new("tenants");
-/// The audit trail, by revision.
+/// The entries of the audit trail, by revision.
 pub(crate) const AUDIT: TableDefinition<u64, &[u8]> = TableDefinition::new("audit");
-/// Responses by idempotency key.
+/// Stored responses, by idempotency key.
 pub(crate) const RESPONSES: TableDefinition<&str, &[u8]> = TableDefinition::new("once");
-/// Idempotency keys in the order in which they came, by revision.
+/// Idempotency keys by the revision of their change, so that the oldest response can be found and deleted.
 pub(crate) const RESPONSE_ORDER: TableDefinition<u64, &str> = TableDefinition::new("once_order");
 
-/// The table [`META`], opened for writing.
+/// [`META`], opened for writing.
 pub(crate) type MetaTable<'txn> = redb::Table<'txn, &'static str, u64>;
 
-/// The format of the store.
+/// The format version of the store.
 pub(crate) const META_FORMAT: &str = "format";
-/// The last revision.
+/// The revision of the last change.
 pub(crate) const META_REVISION: &str = "revision";
-/// The revision of the snapshot that the store began with, where it has no audit trail of what came before.
+/// The revision of the snapshot that the store was filled from, if that snapshot had no audit trail.
 pub(crate) const META_FIRST_REVISION: &str = "began";
-/// The store's name, as a number.
+/// The store's name, as a number (see [`Origin::store`]).
 pub(crate) const META_STORE: &str = "store";
-/// The store's epoch.
+/// The store's epoch (see [`Origin::epoch`]).
 pub(crate) const META_EPOCH: &str = "epoch";
 
-/// Writes which store it is.
+/// Writes the identity of the store. Fails if the name is not a hexadecimal number of at most 64 bits.
 pub(crate) fn write_origin(meta: &mut MetaTable<'_>, origin: &Origin) -> Result<(), StoreError> {
-    let what = "the store's name can't be written";
-    let not_a_name = |_| StoreError::Inconsistent(format!("{:?} is no store's name", origin.store));
-    let store = u64::from_str_radix(&origin.store, 16).map_err(not_a_name)?;
-    meta.insert(META_STORE, store).context(what)?;
-    meta.insert(META_EPOCH, origin.epoch).context(what)?;
+    let write_failed = "the store's name can't be written";
+    let invalid_name = |_| StoreError::Inconsistent(format!("{:?} is no store's name", origin.store));
+    let store = u64::from_str_radix(&origin.store, 16).map_err(invalid_name)?;
+    meta.insert(META_STORE, store).context(write_failed)?;
+    meta.insert(META_EPOCH, origin.epoch).context(write_failed)?;
     Ok(())
 }
--- a/crates/tenant-store/src/snapshot.rs
+++ b/crates/tenant-store/src/snapshot.rs
@@ -1,6 +1,8 @@
-//! All of a store as one text file: a header line, a line for each tenant, a line for each entry of the audit trail,
-//! and a footer line with the checksum of those before. Written beside the old file, synced and renamed: there is
-//! never half a snapshot of its name.
+//! Snapshot files: the content of a store as text. A file has a header line, a line for each tenant, a line for each
+//! entry of the audit trail, and a footer line with the CRC-32 of all lines before it.
+//!
+//! A snapshot is written to a temporary file, which is synced and then renamed, so that a crash never leaves a partial
+//! snapshot under the final name.
 
 use std::fs::{self, File};
 use std::io::{self, Write};
@@ -11,43 +13,43 @@
 
 use crate::origin::Origin;
 
-/// The format that is written.
+/// The format version of the files that are written; no other is read.
 const FORMAT: u32 = 1;
-/// Says in the header what the file is.
+/// The kind in the header, which distinguishes snapshots from other files.
 const KIND: &str = "nettleferry-tenants";
 
-/// The content of a store.
+/// The content of a store, apart from the responses stored under idempotency keys.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Snapshot {
-    /// The number of the last change.
+    /// The revision of the last change.
     pub revision: Revision,
-    /// Tenants by name.
+    /// The tenants, in the order of their names.
     pub tenants: Vec<Tenant>,
-    /// The audit trail, or the last part of it.
+    /// The entries of the audit trail, in the order of their revisions. The earliest entries, or all, may be missing.
     pub audit: Vec<Entry>,
-    /// The store that it is of; `None` in files of early versions.
+    /// The store that the snapshot was made of. `None` in files written before stores had names.
     pub origin: Option<Origin>,
 }
 
-/// Why a snapshot file can't be used.
+/// Why a snapshot file can't be read or written.
 #[derive(Debug, thiserror::Error)]
 pub enum SnapshotError {
-    /// The file can't be read or written.
+    /// Reading or writing the file failed.
     #[error("the snapshot {path}: {source}")]
     Io {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// Why.
+        /// The error of the file system.
         source: io::Error,
     },
-    /// It is not what was written.
+    /// The file is incomplete, damaged, or not a snapshot of the supported format.
     #[error("the snapshot {path}, line {line}: {reason}")]
     Invalid {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// The line, from 1.
+        /// The number of the invalid line, from 1.
         line: usize,
-        /// What is wrong.
+        /// What is wrong with the line.
         reason: String,
     },
 }
@@ -69,40 +71,41 @@
 }
 
 impl Snapshot {
-    /// A snapshot without an audit trail: what a controller needs to continue.
+    /// Makes a snapshot without an audit trail, which suffices for a controller to continue after a restart.
     pub fn from_tenants(snapshot: &TenantSnapshot, origin: Option<Origin>) -> Self {
         let tenants = snapshot.tenants().cloned().collect();
         Self { revision: snapshot.revision(), tenants, audit: Vec::new(), origin }
     }
 
-    /// Its tenants.
+    /// The tenants at the snapshot's revision.
     pub fn tenant_snapshot(&self) -> TenantSnapshot {
         TenantSnapshot::from_tenants(self.revision, self.tenants.iter().cloned())
     }
 
-    /// Writes it; durable when this returns.
+    /// Writes the snapshot to a file, replacing an existing one. The file is durable once this has returned.
     ///
     /// # Errors
-    /// Where the file can't be written: an old file of this name stays.
+    /// Returns an error if a file can't be written, renamed or synced. A file that existed before is intact then, or has
+    /// been replaced by the complete new one.
     pub fn write(&self, path: &Path) -> Result<(), SnapshotError> {
         let io = |source| SnapshotError::Io { path: path.to_owned(), source };
         let (tenants, audit) = (self.tenants.len(), self.audit.len());
         let (kind, origin) = (KIND.to_owned(), self.origin.clone());
         let header = Header { kind, format: FORMAT, revision: self.revision, tenants, audit, origin };
-        let mut text = line(&header).map_err(io)?;
+        let mut text = json_line(&header).map_err(io)?;
         for tenant in &self.tenants {
-            text.push_str(&line(tenant).map_err(io)?);
+            text.push_str(&json_line(tenant).map_err(io)?);
         }
         for entry in &self.audit {
-            text.push_str(&line(entry).map_err(io)?);
+            text.push_str(&json_line(entry).map_err(io)?);
         }
-        let footer = line(&Footer { crc32: crc32fast::hash(text.as_bytes()) }).map_err(io)?;
+        let footer = json_line(&Footer { crc32: crc32fast::hash(text.as_bytes()) }).map_err(io)?;
         text.push_str(&footer);
-        let beside = path.with_extension("new");
-        let mut file = File::create(&beside).map_err(io)?;
+        let temporary = path.with_extension("new");
+        let mut file = File::create(&temporary).map_err(io)?;
         file.write_all(text.as_bytes()).and_then(|()| file.sync_all()).map_err(io)?;
-        fs::rename(&beside, path).map_err(io)?;
-        // The name is durable when its directory is.
+        fs::rename(&temporary, path).map_err(io)?;
+        // The rename is durable only once the directory is synced.
         let directory = path.parent().filter(|p| !p.as_os_str().is_empty()).unwrap_or(Path::new("."));
         File::open(directory).and_then(|directory| directory.sync_all()).map_err(io)
     }
@@ -110,55 +113,64 @@
     /// Reads a snapshot file.
     ///
     /// # Errors
-    /// Where it can't be read, is incomplete, or was changed.
+    /// Returns an error if the file can't be read, is incomplete, does not match its checksum, or has another format.
     pub fn read(path: &Path) -> Result<Self, SnapshotError> {
         let text =
             fs::read_to_string(path).map_err(|source| SnapshotError::Io { path: path.to_owned(), source })?;
-        let invalid = |line: usize, reason: String| SnapshotError::Invalid {
+        let invalid = |index: usize, reason: String| SnapshotError::Invalid {
             path: path.to_owned(),
-            line: line + 1,
+            line: index + 1,
             reason,
         };
         let lines: Vec<&str> = text.lines().collect();
         let Some((footer, body)) = lines.split_last() else {
             return Err(invalid(0, "it is empty".to_owned()));
         };
-        let end = lines.len() - 1;
-        let checksum: Footer = serde_json::from_str(footer)
-            .map_err(|_| invalid(end, "the last line is no checksum: the file is cut off".to_owned()))?;
+        let footer_index = lines.len() - 1;
+        let checksum: Footer = serde_json::from_str(footer).map_err(|_| {
+            invalid(footer_index, "the last line is not a checksum: the file is cut off".to_owned())
+        })?;
         let checked_bytes = text.len() - footer.len() - usize::from(text.ends_with('\n'));
         if crc32fast::hash(&text.as_bytes()[..checked_bytes]) != checksum.crc32 {
             return Err(invalid(
-                end,
+                footer_index,
                 "the checksum does not match: the file was changed or damaged".to_owned(),
             ));
         }
-        let read = |at: usize| body.get(at).copied().unwrap_or("");
-        let header: Header = serde_json::from_str(read(0)).map_err(|e| invalid(0, e.to_string()))?;
+        let body_line = |index: usize| body.get(index).copied().unwrap_or("");
+        let header: Header = serde_json::from_str(body_line(0)).map_err(|e| invalid(0, e.to_string()))?;
         if header.kind != KIND || header.format != FORMAT {
             return Err(invalid(
                 0,
-                format!("{} of format {}, wanted {KIND} of {FORMAT}", header.kind, header.format),
+                format!(
+                    "the file is {} of format {}, expected {KIND} of format {FORMAT}",
+                    header.kind, header.format
+                ),
             ));
         }
         if body.len() != 1 + header.tenants + header.audit {
             return Err(invalid(
-                end,
-                format!("{} lines, wanted {}", body.len(), 1 + header.tenants + header.audit),
+                footer_index,
+                format!(
+                    "{} lines before the checksum, expected {}",
+                    body.len(),
+                    1 + header.tenants + header.audit
+                ),
             ));
         }
         let (mut tenants, mut audit) = (Vec::new(), Vec::new());
-        for at in 1..=header.tenants {
-            tenants.push(serde_json::from_str(read(at)).map_err(|e| invalid(at, e.to_string()))?);
+        for index in 1..=header.tenants {
+            tenants.push(serde_json::from_str(body_line(index)).map_err(|e| invalid(index, e.to_string()))?);
         }
-        for at in header.tenants + 1..body.len() {
-            audit.push(serde_json::from_str(read(at)).map_err(|e| invalid(at, e.to_string()))?);
+        for index in header.tenants + 1..body.len() {
+            audit.push(serde_json::from_str(body_line(index)).map_err(|e| invalid(index, e.to_string()))?);
         }
         Ok(Self { revision: header.revision, tenants, audit, origin: header.origin })
     }
 }
 
-fn line(value: &impl Serialize) -> io::Result<String> {
+/// Serializes a value as one line of JSON, with its line break.
+fn json_line(value: &impl Serialize) -> io::Result<String> {
     let mut line = serde_json::to_string(value)?;
     line.push('\n');
     Ok(line)
--- a/crates/tenant-store/src/store.rs
+++ b/crates/tenant-store/src/store.rs
@@ -1,5 +1,5 @@
-//! The store: opens its file, commits changes, and reopens the file after a failure. Its tables are those of
-//! [`crate::schema`].
+//! The store: opens its file, commits changes, and reopens the file after a failure. [`crate::schema`] defines its
+//! tables.
 
 use std::panic::UnwindSafe;
 use std::path::Path;
@@ -15,52 +15,54 @@
 
 const OPEN_FAILED: &str = "the tenant store can't be opened";
 
-/// Opens the database, at the start and after a failure of its file.
+/// Opens the database: at the start, and again after an I/O error.
 type Opener = Box<dyn Fn() -> Result<Database, StoreError> + Send>;
 
-/// A change whose commit failed: whether it reached the file is unknown.
-struct DoubtfulChange {
+/// A change whose commit failed, so that it is unknown whether the change reached the file.
+struct InDoubtChange {
     entry: Entry,
-    /// The idempotency key of its response.
+    /// The idempotency key that the change's response is stored under.
     key: Option<String>,
 }
 
-/// Tenants, their audit trail and idempotent responses in one file.
+/// Tenants, their audit trail and the responses stored under idempotency keys, in one file.
 pub struct Store {
-    /// None while the file can't be reopened.
+    /// `None` while the file can't be reopened.
     database: Option<Database>,
     opener: Opener,
-    /// A commit has failed: the database accepts nothing until it is reopened.
+    /// Whether a commit has failed. After an I/O error the database rejects every operation until it is reopened.
     failed: bool,
-    doubtful: Option<DoubtfulChange>,
+    /// The change whose commit failed, until it is undone.
+    in_doubt: Option<InDoubtChange>,
 }
 
 impl Store {
-    /// Opens a file, or creates it, and reads the tenants.
+    /// Opens the store in a file, which is created if it does not exist, and reads the tenants.
     ///
     /// # Errors
-    /// Where the file can't be read or is damaged; it is left as it is.
+    /// Returns an error if the file can't be opened or read, is damaged, or has a newer format. A damaged file is not
+    /// repaired or removed.
     pub fn open(path: &Path) -> Result<(Self, TenantSnapshot), StoreError> {
-        let file = |source| StoreError::File { path: path.to_owned(), source };
+        let file_error = |source| StoreError::File { path: path.to_owned(), source };
         if let Some(directory) = path.parent().filter(|parent| !parent.as_os_str().is_empty()) {
-            std::fs::create_dir_all(directory).map_err(file)?;
+            std::fs::create_dir_all(directory).map_err(file_error)?;
         }
         let path = path.to_owned();
         let open = move || {
             let path = path.clone();
-            catch_panic(move || checked(Database::create(path).context(OPEN_FAILED)?))
+            catch_panic(move || check_integrity(Database::create(path).context(OPEN_FAILED)?))
         };
         catch_panic(move || Self::start(Box::new(open)))
     }
 
-    /// The same on any storage: for tests in which it fails.
+    /// Opens the store on a storage backend. Tests use it with storage that fails.
     ///
     /// # Errors
-    /// As [`Store::open`].
+    /// Returns the same errors as [`Store::open`].
     pub fn open_backend(backend: impl StorageBackend + Clone) -> Result<(Self, TenantSnapshot), StoreError> {
         let open = move || {
             let opened = Database::builder().create_with_backend(backend.clone());
-            checked(opened.context(OPEN_FAILED)?)
+            check_integrity(opened.context(OPEN_FAILED)?)
         };
         Self::start(Box::new(open))
     }
@@ -69,7 +71,7 @@
         let database = opener()?;
         migration::migrate(&database)?;
         let tenants = reader::tenants(&database)?;
-        let store = Self { database: Some(database), opener, failed: false, doubtful: None };
+        let store = Self { database: Some(database), opener, failed: false, in_doubt: None };
         Ok((store, tenants))
     }
 
@@ -77,48 +79,49 @@
         self.database.as_ref().ok_or(StoreError::Unavailable)
     }
 
-    /// Reopens the database after a failure of its file, and undoes what the failed change may have left there, which
-    /// was reported as not committed. Does nothing where nothing has failed.
+    /// Reopens the database after an I/O error. A change whose commit failed was reported as not committed, so it is
+    /// undone if it reached the file. Does nothing if there was no failure.
     ///
     /// # Errors
-    /// Where the file still fails; it may be tried again.
+    /// Returns an error if the file still fails; the call may be repeated.
     pub fn reopen(&mut self) -> Result<(), StoreError> {
         if !self.failed && self.database.is_some() {
             return Ok(());
         }
-        // Its lock on the file is released first.
+        // The old handle holds a lock on the file, which must be released before the file is opened again.
         drop(self.database.take());
         self.database = Some((self.opener)()?);
-        if let Some(doubtful) = &self.doubtful {
-            writer::undo(self.database()?, &doubtful.entry, doubtful.key.as_deref())?;
+        if let Some(change) = &self.in_doubt {
+            writer::undo(self.database()?, &change.entry, change.key.as_deref())?;
         }
-        (self.failed, self.doubtful) = (false, None);
+        (self.failed, self.in_doubt) = (false, None);
         Ok(())
     }
 
-    /// Which store it is: one that was created anew has another name; one that was restored has the name of what it
-    /// was restored from, and a higher epoch.
+    /// The identity of the store. A newly created store has a name of its own; a restored one has the name of the store
+    /// that the snapshot was made of, and a higher epoch.
     ///
     /// # Errors
-    /// Where it can't be read.
+    /// Returns an error if the store can't be read.
     pub fn origin(&self) -> Result<Origin, StoreError> {
         reader::origin(self.database()?)
     }
 
-    /// Replaces all that is there by a snapshot that was installed from elsewhere, in one transaction. The audit trail
-    /// and the stored responses are deleted.
+    /// Replaces the whole content by a snapshot of another controller, in one transaction. The audit trail and the
+    /// stored responses are deleted.
     ///
     /// # Errors
-    /// Where it can't be written: nothing was replaced.
+    /// Returns an error if the store can't be written; its content is unchanged then.
     pub fn install(&mut self, snapshot: &TenantSnapshot, origin: &Origin) -> Result<(), StoreError> {
         writer::install(self.database()?, snapshot, origin)
     }
 
-    /// Commits a change, and the response under its idempotency key where it has one. Durable when this returns. What
-    /// fails for a moment is tried once more.
+    /// Commits a change together with its response, if that is to be stored under an idempotency key. The change is
+    /// durable once this has returned. After a transient error the commit is retried once.
     ///
     /// # Errors
-    /// Nothing of the change is there, or it is undone before anything else is committed.
+    /// Returns an error if the change could not be committed. If part of it may have reached the file, it is undone before
+    /// the next change is committed.
     pub fn commit(
         &mut self,
         entry: &Entry,
@@ -127,48 +130,49 @@
         self.reopen()?;
         match writer::commit(self.database()?, entry, response) {
             Err(error) if error.is_transient() => {}
-            done => return done,
+            result => return result,
         }
-        self.remember_doubtful(entry, response);
+        self.mark_in_doubt(entry, response);
         self.reopen()?;
         let committed = writer::commit(self.database()?, entry, response);
         if committed.as_ref().is_err_and(StoreError::is_transient) {
-            self.remember_doubtful(entry, response);
+            self.mark_in_doubt(entry, response);
         }
         committed
     }
 
-    fn remember_doubtful(&mut self, entry: &Entry, response: Option<KeyedResponse<'_>>) {
+    /// Records a failed commit, which [`Store::reopen`] undoes.
+    fn mark_in_doubt(&mut self, entry: &Entry, response: Option<KeyedResponse<'_>>) {
         let key = response.map(|(key, _)| key.to_owned());
         self.failed = true;
-        self.doubtful = Some(DoubtfulChange { entry: entry.clone(), key });
+        self.in_doubt = Some(InDoubtChange { entry: entry.clone(), key });
     }
 
-    /// The response stored under an idempotency key.
+    /// The response that is stored under an idempotency key, if there is one.
     ///
     /// # Errors
-    /// Where it can't be read.
+    /// Returns an error if the store can't be read or the stored response is damaged.
     pub fn idempotent_response(&self, key: &str) -> Result<Option<IdempotentResponse>, StoreError> {
         reader::response(self.database()?, key)
     }
 
-    /// At most `most` entries of the audit trail after a revision, in order; of one tenant, where given.
+    /// At most `limit` entries of the audit trail after a revision, in order, optionally of one tenant only.
     ///
     /// # Errors
-    /// Where they can't be read.
+    /// Returns an error if the store can't be read or an entry is damaged.
     pub fn audit(
         &self,
         after: Revision,
-        most: usize,
+        limit: usize,
         tenant: Option<&str>,
     ) -> Result<Vec<Entry>, StoreError> {
-        reader::entries(self.database()?, after, most, tenant)
+        reader::entries(self.database()?, after, limit, tenant)
     }
 
-    /// All of its content but the stored responses, for a snapshot file.
+    /// The whole content apart from the stored responses, to be written to a snapshot file.
     ///
     /// # Errors
-    /// Where it can't be read.
+    /// Returns an error if the store can't be read or is damaged.
     pub fn snapshot(&self) -> Result<Snapshot, StoreError> {
         let tenants = reader::tenants(self.database()?)?;
         let audit = self.audit(0, usize::MAX, None)?;
@@ -181,18 +185,19 @@
         })
     }
 
-    /// Fills an empty store with a snapshot file's content, in one transaction. It takes the name of the snapshot's
-    /// store, and an epoch above the snapshot's: `now_ms` at the least, so that two restores of one snapshot differ.
+    /// Fills an empty store with the content of a snapshot, in one transaction. The store gets the name of the snapshot's
+    /// store and a higher epoch. The epoch is at least `now_ms`, the wall clock, so that two restores of one snapshot
+    /// have different epochs.
     ///
     /// # Errors
-    /// Where the store is not empty or can't be written.
+    /// Returns an error if the store is not empty or can't be written.
     pub fn restore(&mut self, snapshot: &Snapshot, now_ms: u64) -> Result<(), StoreError> {
         writer::restore(self.database()?, snapshot, now_ms)
     }
 }
 
-/// A database whose pages match their checksums.
-fn checked(mut opened: Database) -> Result<Database, StoreError> {
+/// Fails unless all pages of the database match their checksums.
+fn check_integrity(mut opened: Database) -> Result<Database, StoreError> {
     let intact = opened.check_integrity().context("the tenant store can't be checked")?;
     if !intact {
         return Err(StoreError::Inconsistent("its pages do not match their checksums".to_owned()));
@@ -200,7 +205,7 @@
     Ok(opened)
 }
 
-/// The database may panic over damaged pages: that is an error of the file, not the end of the program.
+/// Converts a panic into an error: the database may panic over damaged pages, which must not end the program.
 fn catch_panic<T>(open: impl FnOnce() -> Result<T, StoreError> + UnwindSafe) -> Result<T, StoreError> {
     std::panic::catch_unwind(open).unwrap_or_else(|panic| {
         let message = panic.downcast_ref::<&str>().map(|text| (*text).to_owned());
--- a/crates/tenant-store/src/writer.rs
+++ b/crates/tenant-store/src/writer.rs
@@ -1,4 +1,4 @@
-//! Writes to the store, each in one durable transaction.
+//! Write operations on the store, each in one durable transaction.
 
 use nettleferry_tenancy::{Entry, IdempotentResponse, TenantSnapshot};
 use redb::{Database, ReadableTable, ReadableTableMetadata, WriteTransaction};
@@ -11,7 +11,7 @@
 };
 use crate::snapshot::Snapshot;
 
-/// Responses that are stored to be repeated; the oldest are deleted first.
+/// Maximum number of responses stored under idempotency keys. Beyond it the oldest one is deleted.
 pub(crate) const MAX_IDEMPOTENT_RESPONSES: u64 = 10_000;
 
 const COMMIT_FAILED: &str = "the change can't be committed";
@@ -19,10 +19,10 @@
 const INSTALL_FAILED: &str = "the snapshot can't be installed";
 const RESTORE_FAILED: &str = "the snapshot can't be restored";
 
-/// A response and the idempotency key that it is stored under.
+/// An idempotency key, and the response that is stored under it.
 pub(crate) type KeyedResponse<'a> = (&'a str, &'a IdempotentResponse);
 
-/// Commits a change, and the response under its idempotency key where it has one.
+/// Commits a change together with its response, if that is to be stored under an idempotency key.
 pub(crate) fn commit(
     database: &Database,
     entry: &Entry,
@@ -40,8 +40,8 @@
     let mut meta = write.open_table(META).context(COMMIT_FAILED)?;
     let before = meta.get(META_REVISION).context(COMMIT_FAILED)?.map_or(0, |value| value.value());
     if entry.revision != before + 1 {
-        let what = format!("revision {} does not follow on {before}", entry.revision);
-        return Err(StoreError::Inconsistent(what));
+        let reason = format!("revision {} does not follow on {before}", entry.revision);
+        return Err(StoreError::Inconsistent(reason));
     }
     meta.insert(META_REVISION, entry.revision).context(COMMIT_FAILED)?;
     let mut tenants = write.open_table(TENANTS).context(COMMIT_FAILED)?;
@@ -75,17 +75,17 @@
     Ok(())
 }
 
-/// Undoes the last change, where it is this one. `key`: the idempotency key of its response.
+/// Undoes `entry` if it is the last change of the store. `key` is the idempotency key of its response, if it has one.
 pub(crate) fn undo(database: &Database, entry: &Entry, key: Option<&str>) -> Result<(), StoreError> {
     let write = database.begin_write().context(UNDO_FAILED)?;
-    if !remove_change(&write, entry, key)? {
+    if !undo_if_last(&write, entry, key)? {
         return Ok(());
     }
     write.commit().context(UNDO_FAILED)
 }
 
-/// False: it is not the last change, and nothing was removed.
-fn remove_change(write: &WriteTransaction, entry: &Entry, key: Option<&str>) -> Result<bool, StoreError> {
+/// Undoes a change within a transaction. Returns false without writing anything if it is not the last change.
+fn undo_if_last(write: &WriteTransaction, entry: &Entry, key: Option<&str>) -> Result<bool, StoreError> {
     let mut meta = write.open_table(META).context(UNDO_FAILED)?;
     let last = meta.get(META_REVISION).context(UNDO_FAILED)?.map_or(0, |value| value.value());
     if last != entry.revision {
@@ -108,7 +108,7 @@
     Ok(true)
 }
 
-/// Replaces all that is there by a snapshot of elsewhere; audit trail and responses are deleted.
+/// Replaces the tenants by a snapshot of another controller, and deletes the audit trail and the stored responses.
 pub(crate) fn install(
     database: &Database,
     snapshot: &TenantSnapshot,
@@ -140,7 +140,7 @@
     write_origin(&mut meta, origin)
 }
 
-/// Fills an empty store with a snapshot file's content. `now_ms`: the least epoch that it gets.
+/// Fills an empty store with the content of a snapshot. `now_ms` is the lowest epoch that the store gets.
 pub(crate) fn restore(database: &Database, snapshot: &Snapshot, now_ms: u64) -> Result<(), StoreError> {
     let write = database.begin_write().context(RESTORE_FAILED)?;
     fill(&write, snapshot, now_ms)?;
@@ -150,8 +150,8 @@
 fn fill(write: &WriteTransaction, snapshot: &Snapshot, now_ms: u64) -> Result<(), StoreError> {
     let mut meta = write.open_table(META).context(RESTORE_FAILED)?;
     if meta.get(META_REVISION).context(RESTORE_FAILED)?.is_some() {
-        let what = "a snapshot can be restored only into an empty store";
-        return Err(StoreError::Inconsistent(what.to_owned()));
+        let reason = "a snapshot can be restored only into an empty store";
+        return Err(StoreError::Inconsistent(reason.to_owned()));
     }
     meta.insert(META_REVISION, snapshot.revision).context(RESTORE_FAILED)?;
     if snapshot.audit.is_empty() {
--- a/crates/tenant-store/tests/crash.rs
+++ b/crates/tenant-store/tests/crash.rs
@@ -1,5 +1,5 @@
-//! The disk fails at each operation of a change: what is read afterwards has all of the change or nothing of it, and
-//! an acknowledged change is always there.
+//! Crash safety of the store. The disk fails at every operation of a change in turn: after reopening, the change must be
+//! either complete or absent, and an acknowledged change must always be present.
 
 use std::io;
 use std::sync::{Arc, Mutex};
@@ -9,159 +9,169 @@
 use redb::StorageBackend;
 use serde_json::json;
 
-/// A disk in memory that fails from an operation on. What was written since the last sync may or may not have
-/// reached it.
+/// A disk in memory that fails from a given operation on. Tests reopen the store both from all bytes written and from
+/// the bytes at the last sync, since unsynced writes may or may not survive a crash.
 #[derive(Clone, Debug, Default)]
-struct Disk(Arc<Mutex<Inner>>);
+struct FailingDisk(Arc<Mutex<DiskState>>);
 
 #[derive(Debug, Default)]
-struct Inner {
-    now: Vec<u8>,
+struct DiskState {
+    /// All bytes written.
+    written: Vec<u8>,
+    /// The bytes at the last sync.
     synced: Vec<u8>,
+    /// Number of write operations so far.
     operations: u64,
+    /// Operations after this many fail.
     fails_at: Option<u64>,
-    /// It works again from this operation on.
+    /// Operations after this many succeed again.
     works_at: Option<u64>,
 }
 
-impl Disk {
-    fn holding(bytes: Vec<u8>, fails_at: Option<u64>) -> Self {
-        let inner = Inner { now: bytes.clone(), synced: bytes, operations: 0, fails_at, works_at: None };
-        Self(Arc::new(Mutex::new(inner)))
+impl FailingDisk {
+    fn with_content(bytes: Vec<u8>, fails_at: Option<u64>) -> Self {
+        let state =
+            DiskState { written: bytes.clone(), synced: bytes, operations: 0, fails_at, works_at: None };
+        Self(Arc::new(Mutex::new(state)))
     }
 
-    fn inner(&self) -> std::sync::MutexGuard<'_, Inner> {
+    fn state(&self) -> std::sync::MutexGuard<'_, DiskState> {
         self.0.lock().expect("not poisoned")
     }
 
-    fn operate(&self) -> io::Result<std::sync::MutexGuard<'_, Inner>> {
-        let mut inner = self.inner();
-        inner.operations += 1;
-        let well = inner.works_at.is_some_and(|at| inner.operations > at);
-        if inner.fails_at.is_some_and(|at| inner.operations > at) && !well {
+    /// Counts a write operation, and fails it if the disk is failing.
+    fn begin_operation(&self) -> io::Result<std::sync::MutexGuard<'_, DiskState>> {
+        let mut state = self.state();
+        state.operations += 1;
+        let works_again = state.works_at.is_some_and(|at| state.operations > at);
+        if state.fails_at.is_some_and(|at| state.operations > at) && !works_again {
             return Err(io::Error::other("the disk is gone"));
         }
-        Ok(inner)
+        Ok(state)
     }
 }
 
-impl StorageBackend for Disk {
+impl StorageBackend for FailingDisk {
     fn len(&self) -> io::Result<u64> {
-        Ok(self.inner().now.len() as u64)
+        Ok(self.state().written.len() as u64)
     }
 
     fn read(&self, offset: u64, out: &mut [u8]) -> io::Result<()> {
-        let inner = self.inner();
+        let state = self.state();
         let at = offset as usize;
-        out.copy_from_slice(inner.now.get(at..at + out.len()).ok_or(io::ErrorKind::UnexpectedEof)?);
+        out.copy_from_slice(state.written.get(at..at + out.len()).ok_or(io::ErrorKind::UnexpectedEof)?);
         Ok(())
     }
 
     fn set_len(&self, len: u64) -> io::Result<()> {
-        self.operate()?.now.resize(len as usize, 0);
+        self.begin_operation()?.written.resize(len as usize, 0);
         Ok(())
     }
 
     fn sync_data(&self) -> io::Result<()> {
-        let mut inner = self.operate()?;
-        inner.synced = inner.now.clone();
+        let mut state = self.begin_operation()?;
+        state.synced = state.written.clone();
         Ok(())
     }
 
     fn write(&self, offset: u64, data: &[u8]) -> io::Result<()> {
-        let mut inner = self.operate()?;
+        let mut state = self.begin_operation()?;
         let at = offset as usize;
-        inner.now[at..at + data.len()].copy_from_slice(data);
+        state.written[at..at + data.len()].copy_from_slice(data);
         Ok(())
     }
 }
 
-fn entry(book: &TenantSnapshot, change: &Change) -> Entry {
-    book.evaluate(change, Condition::Any, "ada", 1_000).expect("sound").entry.expect("a change")
+fn evaluate(snapshot: &TenantSnapshot, change: &Change) -> Entry {
+    snapshot.evaluate(change, Condition::Any, "ada", 1_000).expect("valid").entry.expect("a change")
 }
 
-fn create(book: &TenantSnapshot, name: &str) -> Entry {
-    entry(book, &Change::Create { name: name.to_owned(), spec: json!({"limits": {"open_calls": 5}}) })
+fn create(snapshot: &TenantSnapshot, name: &str) -> Entry {
+    evaluate(snapshot, &Change::Create { name: name.to_owned(), spec: json!({"limits": {"open_calls": 5}}) })
 }
 
-fn once(revision: u64) -> IdempotentResponse {
+fn stored_response(revision: u64) -> IdempotentResponse {
     IdempotentResponse { fingerprint: 7, status: 201, revision, body: "{}".to_owned(), at_ms: 1 }
 }
 
 #[test]
 fn change_is_complete_or_absent_wherever_the_disk_fails() {
-    let disk = Disk::default();
-    let (mut store, mut book) = Store::open_backend(disk.clone()).expect("opens");
+    let disk = FailingDisk::default();
+    let (mut store, mut snapshot) = Store::open_backend(disk.clone()).expect("opens");
     for name in ["a", "b", "c"] {
-        let entry = create(&book, name);
-        store.commit(&entry, None).expect("kept");
-        book.apply(&entry).expect("the next");
+        let entry = create(&snapshot, name);
+        store.commit(&entry, None).expect("committed");
+        snapshot.apply(&entry).expect("the next revision");
     }
     drop(store);
-    let base = disk.inner().now.clone();
+    let base = disk.state().written.clone();
     let changes = [
         Change::Create { name: "d".to_owned(), spec: json!({"note": "x".repeat(900)}) },
         Change::Patch { name: "a".to_owned(), patch: json!({"weight": 2}) },
         Change::Suspend { name: "b".to_owned() },
         Change::Remove { name: "c".to_owned(), grace_ms: 5 },
     ];
-    let (mut points, mut whole, mut none) = (0, 0, 0);
+    let (mut points, mut complete, mut absent) = (0, 0, 0);
     for change in changes {
-        let next = entry(&book, &change);
-        let mut after = book.clone();
-        after.apply(&next).expect("the next");
+        let next = evaluate(&snapshot, &change);
+        let mut after = snapshot.clone();
+        after.apply(&next).expect("the next revision");
         for fails_at in 0.. {
-            let disk = Disk::holding(base.clone(), None);
+            let disk = FailingDisk::with_content(base.clone(), None);
             let Ok((mut store, _)) = Store::open_backend(disk.clone()) else { panic!("it opens") };
-            let begun = disk.inner().operations;
-            disk.inner().fails_at = Some(begun + fails_at);
-            let kept = store.commit(&next, Some(("k", &once(next.revision))));
-            // Dropping it may write no more than a dead process.
-            disk.inner().fails_at = Some(0);
+            let operations_before = disk.state().operations;
+            disk.state().fails_at = Some(operations_before + fails_at);
+            let committed = store.commit(&next, Some(("k", &stored_response(next.revision))));
+            // A killed process writes nothing, so dropping the store must not either.
+            disk.state().fails_at = Some(0);
             drop(store);
             points += 1;
-            let left = {
-                let inner = disk.inner();
-                [inner.now.clone(), inner.synced.clone()]
+            let contents = {
+                let state = disk.state();
+                [state.written.clone(), state.synced.clone()]
             };
-            for left in left {
-                let (store, found) = Store::open_backend(Disk::holding(left, None)).expect("it opens again");
-                let answer = store.idempotent_response("k").expect("readable");
+            for content in contents {
+                let reopened = Store::open_backend(FailingDisk::with_content(content, None));
+                let (store, found) = reopened.expect("it opens again");
+                let response = store.idempotent_response("k").expect("readable");
                 if found == after {
-                    whole += 1;
-                    assert_eq!(answer, Some(once(next.revision)), "its answer is there with it");
+                    complete += 1;
+                    assert_eq!(response, Some(stored_response(next.revision)), "its response is stored");
                     assert_eq!(store.audit(3, 9, None).expect("readable"), std::slice::from_ref(&next));
                 } else {
-                    none += 1;
-                    assert_eq!((&found, &answer), (&book, &None), "died at {fails_at}");
-                    assert!(kept.is_err(), "acknowledged, and gone: died at {fails_at}");
+                    absent += 1;
+                    assert_eq!((&found, &response), (&snapshot, &None), "failed at {fails_at}");
+                    assert!(committed.is_err(), "an acknowledged change is lost: failed at {fails_at}");
                 }
             }
-            if kept.is_ok() {
+            if committed.is_ok() {
                 break;
             }
         }
     }
-    println!("{points} kill points: {whole} found the change whole, {none} not at all");
-    assert!(points > 20 && whole > 0 && none > 0, "{points} points, {whole} whole, {none} none");
+    println!("{points} failure points: change complete {complete} times, absent {absent} times");
+    assert!(
+        points > 20 && complete > 0 && absent > 0,
+        "{points} points, {complete} complete, {absent} absent"
+    );
 }
 
 #[test]
-fn store_that_fails_while_it_is_created_is_created_again() {
+fn interrupted_creation_leaves_an_empty_store_or_an_error() {
     for fails_at in 0.. {
-        let disk = Disk::default();
-        disk.inner().fails_at = Some(fails_at);
-        let made = Store::open_backend(disk.clone()).is_ok();
-        disk.inner().fails_at = Some(0);
-        let left = disk.inner().synced.clone();
-        if made {
+        let disk = FailingDisk::default();
+        disk.state().fails_at = Some(fails_at);
+        let created = Store::open_backend(disk.clone()).is_ok();
+        disk.state().fails_at = Some(0);
+        let durable = disk.state().synced.clone();
+        if created {
             break;
         }
-        // A file of which nothing is durable is an empty one.
-        if !left.is_empty()
-            && let Ok((_, book)) = Store::open_backend(Disk::holding(left, None))
+        // If nothing was synced, the file is empty and a new store is created in it.
+        if !durable.is_empty()
+            && let Ok((_, snapshot)) = Store::open_backend(FailingDisk::with_content(durable, None))
         {
-            assert_eq!(book, TenantSnapshot::default());
+            assert_eq!(snapshot, TenantSnapshot::default());
         }
     }
 }
@@ -170,56 +180,57 @@
 fn flipped_byte_is_an_error_or_changes_nothing_and_never_panics() {
     let dir = tempfile::tempdir().expect("a folder");
     let path = dir.path().join("tenants.redb");
-    let (mut store, mut book) = Store::open(&path).expect("opens");
+    let (mut store, mut snapshot) = Store::open(&path).expect("opens");
     for n in 0..40 {
-        let entry = create(&book, &format!("tenant-{n}"));
-        store.commit(&entry, None).expect("kept");
-        book.apply(&entry).expect("the next");
+        let entry = create(&snapshot, &format!("tenant-{n}"));
+        store.commit(&entry, None).expect("committed");
+        snapshot.apply(&entry).expect("the next revision");
     }
     drop(store);
     let bytes = std::fs::read(&path).expect("readable");
-    let (mut told, mut same) = (0, 0);
+    let (mut detected, mut harmless) = (0, 0);
     for at in (0..bytes.len()).step_by(bytes.len() / 150) {
-        let mut bad = bytes.clone();
-        bad[at] ^= 0x20;
-        std::fs::write(&path, &bad).expect("written");
+        let mut damaged = bytes.clone();
+        damaged[at] ^= 0x20;
+        std::fs::write(&path, &damaged).expect("written");
         match Store::open(&path) {
-            Err(_) => told += 1,
+            Err(_) => detected += 1,
             Ok((_, found)) => {
-                same += 1;
-                assert_eq!(found, book, "byte {at}: a wrong book was believed");
+                harmless += 1;
+                assert_eq!(found, snapshot, "byte {at}: a wrong snapshot was read without an error");
             }
         }
     }
-    assert!(told > 0 && same > 0, "{told} told, {same} harmless");
+    assert!(detected > 0 && harmless > 0, "{detected} detected, {harmless} harmless");
 }
 
 #[test]
 fn snapshot_restores_the_store_and_a_damaged_one_names_its_line() {
     let dir = tempfile::tempdir().expect("a folder");
-    let (mut store, mut book) = Store::open(&dir.path().join("a.redb")).expect("opens");
+    let (mut store, mut snapshot) = Store::open(&dir.path().join("a.redb")).expect("opens");
     for name in ["a", "b"] {
-        let entry = create(&book, name);
-        store.commit(&entry, None).expect("kept");
-        book.apply(&entry).expect("the next");
+        let entry = create(&snapshot, name);
+        store.commit(&entry, None).expect("committed");
+        snapshot.apply(&entry).expect("the next revision");
     }
     let file = dir.path().join("s.snapshot");
     store.snapshot().expect("read").write(&file).expect("written");
-    let back = Snapshot::read(&file).expect("sound");
+    let read = Snapshot::read(&file).expect("valid");
     let (mut other, empty) = Store::open(&dir.path().join("b.redb")).expect("opens");
     assert_eq!(empty, TenantSnapshot::default());
-    other.restore(&back, 5).expect("kept");
-    let now = other.snapshot().expect("read");
-    let (was, is) = (back.origin.clone().expect("told"), now.origin.clone().expect("told"));
-    assert_eq!((is.store, is.epoch), (was.store, 5), "the same store at a higher epoch");
-    assert_eq!(Snapshot { origin: back.origin.clone(), ..now }, back);
-    assert!(other.restore(&back, 5).is_err(), "not over what is there");
+    other.restore(&read, 5).expect("committed");
+    let restored = other.snapshot().expect("read");
+    let before = read.origin.clone().expect("an origin");
+    let after = restored.origin.clone().expect("an origin");
+    assert_eq!((after.store, after.epoch), (before.store, 5), "the same store at a higher epoch");
+    assert_eq!(Snapshot { origin: read.origin.clone(), ..restored }, read);
+    assert!(other.restore(&read, 5).is_err(), "a store that is not empty is not overwritten");
     drop(other);
-    assert_eq!(Store::open(&dir.path().join("b.redb")).expect("opens").1, book);
+    assert_eq!(Store::open(&dir.path().join("b.redb")).expect("opens").1, snapshot);
     let text = std::fs::read_to_string(&file).expect("text");
     std::fs::write(&file, text.replace("\"open_calls\":5", "\"open_calls\":6")).expect("written");
-    let told = Snapshot::read(&file).expect_err("damaged").to_string();
-    assert!(told.contains("line 6") && told.contains("checksum"), "{told}");
+    let error = Snapshot::read(&file).expect_err("damaged").to_string();
+    assert!(error.contains("line 6") && error.contains("checksum"), "{error}");
     std::fs::write(&file, &text[..text.len() / 2]).expect("written");
     assert!(Snapshot::read(&file).expect_err("cut off").to_string().contains("cut off"));
 }
@@ -233,66 +244,70 @@
     let dir = tempfile::tempdir().expect("a folder");
     let path = dir.path().join("old.redb");
     let entry = create(&TenantSnapshot::default(), "a");
-    let format = |number: u64| {
-        let database = Database::create(&path).expect("made");
+    let write_store = |format: u64| {
+        let database = Database::create(&path).expect("created");
         let write = database.begin_write().expect("begins");
         {
             let mut meta = write.open_table(META).expect("a table");
-            meta.insert("format", number).expect("kept");
-            meta.insert("revision", 1).expect("kept");
+            meta.insert("format", format).expect("inserted");
+            meta.insert("revision", 1).expect("inserted");
             let tenant = serde_json::to_vec(&entry.after).expect("json");
-            write.open_table(TENANTS).expect("a table").insert("a", tenant.as_slice()).expect("kept");
+            write.open_table(TENANTS).expect("a table").insert("a", tenant.as_slice()).expect("inserted");
             let json = serde_json::to_vec(&entry).expect("json");
-            write.open_table(AUDIT).expect("a table").insert(1, json.as_slice()).expect("kept");
+            write.open_table(AUDIT).expect("a table").insert(1, json.as_slice()).expect("inserted");
         }
-        write.commit().expect("kept");
+        write.commit().expect("committed");
     };
-    format(1);
-    let (store, book) = Store::open(&path).expect("migrated");
-    assert_eq!(book.get("a"), entry.after.as_ref());
+    write_store(1);
+    let (store, snapshot) = Store::open(&path).expect("migrated");
+    assert_eq!(snapshot.get("a"), entry.after.as_ref());
     assert_eq!(store.audit(0, 9, Some("a")).expect("readable"), std::slice::from_ref(&entry));
     drop(store);
-    assert_eq!(Store::open(&path).expect("once").1, book);
-    format(99);
-    let told = Store::open(&path).err().map(|e| e.to_string()).unwrap_or_default();
-    assert!(told.contains("format 99; this program reads up to 2"), "{told}");
+    assert_eq!(Store::open(&path).expect("opens without another migration").1, snapshot);
+    write_store(99);
+    let error = Store::open(&path).err().map(|e| e.to_string()).unwrap_or_default();
+    assert!(error.contains("format 99; this program reads up to 2"), "{error}");
 }
 
 #[test]
 fn failed_change_is_undone_once_the_disk_works_again() {
-    let (mut kept_at_once, mut refused) = (0, 0);
+    let (mut committed, mut failed) = (0, 0);
     for span in [1, 3, 12] {
         for fails_at in 0..40 {
-            let disk = Disk::default();
-            let (mut store, mut book) = Store::open_backend(disk.clone()).expect("opens");
-            let first = create(&book, "a");
-            store.commit(&first, None).expect("kept");
-            book.apply(&first).expect("the next");
+            let disk = FailingDisk::default();
+            let (mut store, mut snapshot) = Store::open_backend(disk.clone()).expect("opens");
+            let first = create(&snapshot, "a");
+            store.commit(&first, None).expect("committed");
+            snapshot.apply(&first).expect("the next revision");
             {
-                let mut inner = disk.inner();
-                let from = inner.operations + fails_at;
-                (inner.fails_at, inner.works_at) = (Some(from), Some(from + span));
+                let mut state = disk.state();
+                let from = state.operations + fails_at;
+                (state.fails_at, state.works_at) = (Some(from), Some(from + span));
             }
-            let doubtful = create(&book, "b");
-            match store.commit(&doubtful, Some(("k", &once(doubtful.revision)))) {
+            let in_doubt = create(&snapshot, "b");
+            match store.commit(&in_doubt, Some(("k", &stored_response(in_doubt.revision)))) {
                 Ok(()) => {
-                    kept_at_once += 1;
-                    book.apply(&doubtful).expect("the next");
+                    committed += 1;
+                    snapshot.apply(&in_doubt).expect("the next revision");
                 }
-                Err(_) => refused += 1,
+                Err(_) => failed += 1,
             }
-            // The disk is well again.
-            (disk.inner().fails_at, disk.inner().works_at) = (None, None);
-            let later = create(&book, "c");
+            // The disk works again.
+            (disk.state().fails_at, disk.state().works_at) = (None, None);
+            let later = create(&snapshot, "c");
             store.commit(&later, None).unwrap_or_else(|e| panic!("span {span}, fails at {fails_at}: {e}"));
-            book.apply(&later).expect("the next");
-            let answered = store.idempotent_response("k").expect("readable").is_some();
+            snapshot.apply(&later).expect("the next revision");
+            let has_response = store.idempotent_response("k").expect("readable").is_some();
             drop(store);
             let (store, found) = Store::open_backend(disk.clone()).expect("opens again");
-            assert_eq!(found, book, "span {span}, fails at {fails_at}");
-            assert_eq!(answered, book.tenants().len() == 3, "an answer is kept with its change alone");
-            assert_eq!(store.audit(0, 9, None).expect("readable").len(), book.tenants().len());
+            assert_eq!(found, snapshot, "span {span}, fails at {fails_at}");
+            assert_eq!(
+                has_response,
+                snapshot.tenants().len() == 3,
+                "a response is stored only with its change"
+            );
+            assert_eq!(store.audit(0, 9, None).expect("readable").len(), snapshot.tenants().len());
         }
     }
-    assert!(kept_at_once > 0 && refused > 0, "{kept_at_once} kept at once, {refused} refused");
+    assert!(committed > 0 && failed > 0, "{committed} committed, {failed} failed");
 }
