--- a/crates/wal/src/error.rs
+++ b/crates/wal/src/error.rs
@@ -1,20 +1,20 @@
-//! Errors of the log.
+//! Errors of the write-ahead log.
 
 use std::io;
 
-/// Longest payload of a record, bytes.
+/// Maximum length of a record's payload, in bytes.
 pub const MAX_PAYLOAD_BYTES: usize = 1 << 20;
 
-/// Why a record was not appended, or the log could not be opened.
+/// Why the log could not be opened, or an operation on it failed.
 #[derive(Debug, thiserror::Error)]
 pub enum WalError {
-    /// The record is longer than [`MAX_PAYLOAD_BYTES`].
-    #[error("a record of {bytes} bytes; at most {} are kept", MAX_PAYLOAD_BYTES)]
+    /// The payload of a record is longer than [`MAX_PAYLOAD_BYTES`].
+    #[error("record of {bytes} bytes is too long: at most {} bytes are allowed", MAX_PAYLOAD_BYTES)]
     TooLong {
-        /// Its length.
+        /// The length of the payload.
         bytes: usize,
     },
-    /// The storage failed.
-    #[error("the storage of the write-ahead log: {0}")]
+    /// An operation of the storage failed.
+    #[error("write-ahead log storage failed: {0}")]
     Io(#[from] io::Error),
 }
--- a/crates/wal/src/lib.rs
+++ b/crates/wal/src/lib.rs
@@ -1,15 +1,15 @@
-//! A write-ahead log: records that survive a crash until they are acknowledged, in segments of bounded total size.
+//! A write-ahead log. Records survive a crash until they are acknowledged; the total size of the log is bounded.
 //!
-//! May know: bytes. Must not know: what they mean, sockets, clocks. Files are reached through [`SegmentStorage`] alone, so
-//! that a full, read-only or lying disk can be simulated in tests.
+//! This crate must not depend on the meaning of the records, on sockets or on clocks. It accesses files only through
+//! [`SegmentStorage`], so that tests can simulate a disk that is full or read-only, or that damages data.
 //!
-//! * [`record`]: the encoding of a record, and the reader, which checks all that it reads.
+//! * [`record`]: the encoding of records, and the decoder, which verifies checksums.
 //! * [`storage`]: the file operations; [`DirectoryStorage`] for a directory, [`MemoryStorage`] for tests.
-//! * [`wal`]: segments, acknowledgements, recovery, the bound.
+//! * [`wal`]: the log itself: segments, acknowledgements, recovery and the size limit.
 //!
-//! Durability: a record is durable when [`WriteAheadLog::append`] has returned and [`WriteAheadLog::sync`] after it; an
-//! acknowledgement likewise. One that was not synced may be lost in a crash: its record is recovered once more then, with
-//! the same bytes.
+//! A record is durable once [`WriteAheadLog::sync`] has returned after its [`WriteAheadLog::append`]. The same holds for
+//! acknowledgements: after a crash, a record whose acknowledgement was not synced may be recovered again, with the same
+//! bytes.
 
 #![forbid(unsafe_code)]
 
--- a/crates/wal/src/record.rs
+++ b/crates/wal/src/record.rs
@@ -1,20 +1,21 @@
-//! A record on disk: length (u32, little-endian), CRC-32 of kind and payload (u32), kind (u8), payload.
+//! Encoding of records. A record is the length of the payload (`u32`), the CRC-32 of kind and payload (`u32`), the kind
+//! (`u8`) and the payload. Integers are little-endian.
 
 pub use crate::error::MAX_PAYLOAD_BYTES;
 use crate::error::WalError;
 
-/// Bytes before the payload.
+/// Length of the header that precedes the payload.
 pub const HEADER_BYTES: usize = 9;
 
 const DATA_CODE: u8 = 1;
 const ACK_CODE: u8 = 2;
 
-/// The kind of a record.
+/// What a record contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RecordKind {
-    /// A payload of the owner.
+    /// Data of the log's owner.
     Data,
-    /// The acknowledgement of a record: its segment (u64) and offset (u64).
+    /// The acknowledgement of a data record. The payload is that record's segment and offset, a `u64` each.
     Ack,
 }
 
@@ -27,24 +28,24 @@
     }
 }
 
-/// What was read at an offset.
+/// The result of decoding a segment at an offset.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ReadOutcome<'a> {
-    /// A valid record.
+    /// A record with a valid checksum.
     Valid {
-        /// Its kind.
+        /// The kind of the record.
         kind: RecordKind,
-        /// Its payload.
+        /// The payload of the record.
         payload: &'a [u8],
-        /// Where the next begins.
+        /// The offset of the next record.
         next: usize,
     },
-    /// A record with a wrong checksum or kind.
+    /// A record with a wrong checksum or an unknown kind.
     Damaged {
-        /// Where the next one begins by its length.
+        /// The offset of the next record, according to the length of this one.
         next: usize,
     },
-    /// A record that is cut off, or has an impossible length: nothing after it can be found.
+    /// A record that is cut off or has an impossible length. Records after it can't be located.
     Torn,
     /// The end of the segment.
     End,
@@ -53,20 +54,20 @@
 /// Encodes a record.
 ///
 /// # Errors
-/// Where the payload is too long.
+/// Returns an error if the payload is longer than [`MAX_PAYLOAD_BYTES`].
 pub fn encode(kind: RecordKind, payload: &[u8]) -> Result<Vec<u8>, WalError> {
     if payload.len() > MAX_PAYLOAD_BYTES {
         return Err(WalError::TooLong { bytes: payload.len() });
     }
-    let mut out = Vec::with_capacity(HEADER_BYTES + payload.len());
-    out.extend_from_slice(&(payload.len() as u32).to_le_bytes());
-    out.extend_from_slice(&checksum(kind.code(), payload).to_le_bytes());
-    out.push(kind.code());
-    out.extend_from_slice(payload);
-    Ok(out)
+    let mut encoded = Vec::with_capacity(HEADER_BYTES + payload.len());
+    encoded.extend_from_slice(&(payload.len() as u32).to_le_bytes());
+    encoded.extend_from_slice(&checksum(kind.code(), payload).to_le_bytes());
+    encoded.push(kind.code());
+    encoded.extend_from_slice(payload);
+    Ok(encoded)
 }
 
-/// CRC-32 of kind and payload.
+/// The CRC-32 of a record's kind and payload.
 fn checksum(kind: u8, payload: &[u8]) -> u32 {
     let mut hasher = crc32fast::Hasher::new();
     hasher.update(&[kind]);
@@ -74,14 +75,14 @@
     hasher.finalize()
 }
 
-/// Reads the record at an offset.
+/// Decodes the record at an offset of a segment.
 pub fn decode(bytes: &[u8], offset: usize) -> ReadOutcome<'_> {
     let Some(rest) = bytes.get(offset..) else { return ReadOutcome::End };
     if rest.is_empty() {
         return ReadOutcome::End;
     }
-    let number = |from: usize| Some(u32::from_le_bytes(rest.get(from..from + 4)?.try_into().ok()?));
-    let (Some(length), Some(expected), Some(&kind)) = (number(0), number(4), rest.get(8)) else {
+    let u32_at = |from: usize| Some(u32::from_le_bytes(rest.get(from..from + 4)?.try_into().ok()?));
+    let (Some(length), Some(expected), Some(&kind)) = (u32_at(0), u32_at(4), rest.get(8)) else {
         return ReadOutcome::Torn;
     };
     let length = length as usize;
--- a/crates/wal/src/storage.rs
+++ b/crates/wal/src/storage.rs
@@ -1,43 +1,43 @@
-//! The file operations that the log needs.
+//! The file operations that the log needs, with implementations for a directory and for tests in memory.
 
 use std::collections::BTreeMap;
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Write};
 use std::path::PathBuf;
 
-/// Segment files by number.
+/// Storage of segment files, which are identified by numbers.
 pub trait SegmentStorage {
-    /// Numbers of the files, in order.
+    /// The numbers of all files, in ascending order.
     fn list(&self) -> io::Result<Vec<u64>>;
-    /// All bytes of a file.
+    /// Reads a whole file.
     fn read(&self, number: u64) -> io::Result<Vec<u8>>;
-    /// Appends bytes to a file, which is created where it does not exist.
+    /// Appends bytes to a file, which is created if it does not exist. On an error, part of the bytes may be written.
     fn append(&mut self, number: u64, bytes: &[u8]) -> io::Result<()>;
     /// Truncates a file to a length.
     fn truncate(&mut self, number: u64, length: u64) -> io::Result<()>;
     /// Removes a file.
     fn remove(&mut self, number: u64) -> io::Result<()>;
-    /// Makes durable what was appended to a file.
+    /// Makes all appended bytes of a file durable.
     fn sync(&mut self, number: u64) -> io::Result<()>;
 }
 
-/// The segment file that is written to.
+/// A segment file that is open for appending.
 struct OpenFile {
     number: u64,
     file: File,
 }
 
-/// Files `NUMBER.spool` of a directory. The last one written stays open.
+/// Stores segments as the files `NUMBER.spool` of a directory. The file that was written last stays open.
 pub struct DirectoryStorage {
     folder: PathBuf,
     open: Option<OpenFile>,
 }
 
 impl DirectoryStorage {
-    /// A directory, which is created where it does not exist.
+    /// Opens a directory, which is created if it does not exist.
     ///
     /// # Errors
-    /// Where it can't be created.
+    /// Returns an error if the directory can't be created.
     pub fn open(folder: PathBuf) -> io::Result<Self> {
         fs::create_dir_all(&folder)?;
         Ok(Self { folder, open: None })
@@ -47,6 +47,7 @@
         self.folder.join(format!("{number:020}.spool"))
     }
 
+    /// The file of a segment, which is opened for appending unless it is open already.
     fn file(&mut self, number: u64) -> io::Result<&mut File> {
         if self.open.as_ref().is_none_or(|open| open.number != number) {
             let file = OpenOptions::new().create(true).append(true).open(self.path(number))?;
@@ -64,7 +65,7 @@
         let mut numbers = Vec::new();
         for entry in fs::read_dir(&self.folder)? {
             let name = entry?.file_name();
-            // Files with other names belong to others.
+            // Files with other names are not segments.
             let number: Option<u64> =
                 name.to_str().and_then(|n| n.strip_suffix(".spool")).and_then(|n| n.parse().ok());
             numbers.extend(number);
@@ -97,14 +98,14 @@
     }
 }
 
-/// Files in memory, for tests, which may be full or fail.
+/// Storage in memory for tests, which can simulate a full or read-only disk.
 #[derive(Clone, Debug, Default)]
 pub struct MemoryStorage {
-    /// The files by number.
+    /// The content of each file, by number.
     pub files: BTreeMap<u64, Vec<u8>>,
-    /// Bytes that fit in all; `None`: no bound. What does not fit is written in part, as disks do.
+    /// Total bytes that fit; `None` means no limit. As on a real disk, an append that does not fit is written in part.
     pub capacity: Option<usize>,
-    /// Whether every change fails.
+    /// Whether all operations that change a file fail.
     pub read_only: bool,
 }
 
--- a/crates/wal/src/wal.rs
+++ b/crates/wal/src/wal.rs
@@ -1,8 +1,8 @@
-//! The log: segments, acknowledgements, recovery, the bound.
+//! The write-ahead log: segments, acknowledgements, recovery and the size limit.
 //!
-//! Segments are removed in order, the oldest first: one is removed when all its records are acknowledged and no older one
-//! is left. Acknowledgements are records themselves, written to the newest segment; since they refer to their own segment
-//! or to older ones, none outlives its use or is removed before it.
+//! Segments are removed in order: a segment is removed once all its records are acknowledged and no older segment is
+//! left. Acknowledgements are records as well and are written to the newest segment. They refer only to records of the
+//! same or an older segment, so an acknowledgement is never removed before the record that it refers to.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
@@ -11,21 +11,21 @@
 use crate::record::{self, ReadOutcome, RecordKind};
 use crate::storage::SegmentStorage;
 
-/// The place of a record, which identifies it until it is acknowledged.
+/// The location of a record in the log, which identifies the record until it is acknowledged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Position {
-    /// Its segment.
+    /// The number of the segment.
     pub segment: u64,
-    /// Its offset there.
+    /// The byte offset in the segment.
     pub offset: u64,
 }
 
-/// Bounds of a log.
+/// Size limits of a log.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Most bytes of all segments; the oldest segment is dropped first.
+    /// Maximum bytes of all segments together. Beyond it the oldest segments are dropped.
     pub bytes: u64,
-    /// A segment that has so many bytes is closed, and another one begun.
+    /// A segment that has reached this size in bytes is closed, and the next one is started.
     pub segment_bytes: u64,
 }
 
@@ -35,98 +35,99 @@
     }
 }
 
-/// What became of records and bytes.
+/// Counts of records and bytes, including those that recovery found when the log was opened.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
     /// Records appended.
     pub appended: u64,
     /// Records acknowledged.
     pub acknowledged: u64,
-    /// Records dropped unacknowledged because of [`Limits::bytes`].
+    /// Unacknowledged records dropped because of [`Limits::bytes`].
     pub dropped_full: u64,
-    /// Records found damaged.
+    /// Damaged records that recovery skipped.
     pub damaged: u64,
-    /// Bytes truncated as a torn tail.
+    /// Bytes of a torn record at the end of the newest segment.
     pub torn_bytes: u64,
-    /// Bytes that could not be read past damage.
+    /// Bytes after damage in an older segment, in which no records can be located.
     pub lost_bytes: u64,
-    /// Appends that the storage failed.
+    /// Appends that failed in the storage.
     pub failed_appends: u64,
 }
 
-/// A record that was not acknowledged.
+/// An unacknowledged record that was found when the log was opened.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RecoveredRecord {
-    /// Its place.
+    /// The location of the record in the log.
     pub position: Position,
-    /// Its payload.
+    /// The payload that was appended.
     pub payload: Vec<u8>,
 }
 
-/// What opening a log has recovered.
+/// The records that were recovered when the log was opened.
 #[derive(Debug, Default)]
 pub struct Recovered {
-    /// Records that were not acknowledged, in the order in which they were appended.
+    /// All unacknowledged records, in the order in which they were appended.
     pub records: Vec<RecoveredRecord>,
 }
 
 #[derive(Default)]
 struct Segment {
     bytes: u64,
-    /// Offsets of records that are not acknowledged.
-    open: BTreeSet<u64>,
+    /// Offsets of the records that are not acknowledged.
+    unacknowledged: BTreeSet<u64>,
 }
 
-/// The log, over its storage.
+/// A write-ahead log on a storage.
 pub struct WriteAheadLog<S> {
     storage: S,
     limits: Limits,
     segments: BTreeMap<u64, Segment>,
-    /// The newest segment, written to.
-    last: u64,
+    /// The number of the segment that is written to; its file exists only once something was appended.
+    newest: u64,
     counters: Counters,
-    /// The tail of the newest segment may hold part of a failed append.
+    /// Whether part of a failed append may be left at the end of the newest segment.
     dirty: bool,
 }
 
 impl<S: SegmentStorage> WriteAheadLog<S> {
-    /// Opens a log: a torn tail is truncated after the last valid record, damage in the middle is skipped and counted.
+    /// Opens a log and recovers its unacknowledged records. A torn record at the end is truncated. Damaged records in the
+    /// middle are skipped and counted.
     ///
     /// # Errors
-    /// Where the storage fails.
+    /// Returns an error if the storage fails.
     pub fn open(storage: S, limits: Limits) -> Result<(Self, Recovered), WalError> {
         let numbers = storage.list()?;
         let mut log = Self {
             storage,
             limits,
             segments: BTreeMap::new(),
-            last: 0,
+            newest: 0,
             counters: Counters::default(),
             dirty: false,
         };
         let mut records: BTreeMap<Position, Vec<u8>> = BTreeMap::new();
         for (index, number) in numbers.iter().copied().enumerate() {
-            let newest = index + 1 == numbers.len();
-            log.scan(number, newest, &mut records)?;
-            log.last = number;
+            let is_newest = index + 1 == numbers.len();
+            log.scan(number, is_newest, &mut records)?;
+            log.newest = number;
         }
         for position in records.keys() {
             if let Some(segment) = log.segments.get_mut(&position.segment) {
-                segment.open.insert(position.offset);
+                segment.unacknowledged.insert(position.offset);
             }
         }
-        // Each incarnation begins a new segment: recovered segments are never appended to.
-        log.last += 1;
+        // Recovered segments are never appended to: each time the log is opened, a new segment begins.
+        log.newest += 1;
         log.remove_acknowledged_segments()?;
         let recovered = records.into_iter().map(|(position, payload)| RecoveredRecord { position, payload });
         Ok((log, Recovered { records: recovered.collect() }))
     }
 
-    /// Reads a segment: data is added to the records, and acknowledged records are removed.
+    /// Reads a segment: its data records are added to `records`, and records that it acknowledges are removed from them.
     fn scan(
         &mut self,
         number: u64,
-        newest: bool,
+        is_newest: bool,
         records: &mut BTreeMap<Position, Vec<u8>>,
     ) -> Result<(), WalError> {
         let bytes = self.storage.read(number)?;
@@ -144,16 +145,16 @@
                     }
                     offset = next;
                 }
-                // At the end of the newest segment it would be a torn tail, which is handled below.
-                ReadOutcome::Damaged { next } if !(newest && next == bytes.len()) => {
+                // A damaged record at the end of the newest segment is handled as a torn one below.
+                ReadOutcome::Damaged { next } if !(is_newest && next == bytes.len()) => {
                     self.counters.damaged += 1;
                     offset = next;
                 }
                 ReadOutcome::Damaged { .. } | ReadOutcome::Torn => {
                     let rest = (bytes.len() - offset) as u64;
-                    if newest {
+                    if is_newest {
                         self.counters.torn_bytes += rest;
-                        // A storage that can't be written keeps its tail; it is truncated next time.
+                        // If the storage can't be written now, the record is truncated when the log is next opened.
                         if self.storage.truncate(number, offset as u64).is_ok() {
                             end = offset;
                         }
@@ -164,42 +165,42 @@
                 }
             }
         }
-        self.segments.insert(number, Segment { bytes: end as u64, open: BTreeSet::new() });
+        self.segments.insert(number, Segment { bytes: end as u64, unacknowledged: BTreeSet::new() });
         Ok(())
     }
 
-    /// What became of records and bytes.
+    /// Counts of records and bytes, including those that recovery found.
     pub fn counters(&self) -> Counters {
         self.counters
     }
 
-    /// Bytes in the storage.
+    /// Total bytes of all segments.
     pub fn bytes(&self) -> u64 {
         self.segments.values().map(|s| s.bytes).sum()
     }
 
-    /// The segment that is written to. A record that stays in an older one holds back the segments after it: its owner
-    /// appends it again and acknowledges the old one.
+    /// The number of the segment that is written to. An unacknowledged record in an older segment prevents the removal of
+    /// all segments after it. The owner of the log can append such a record again and acknowledge the old copy.
     pub fn newest_segment(&self) -> u64 {
-        self.last
+        self.newest
     }
 
-    /// Records that are not acknowledged.
+    /// Number of records that are not acknowledged.
     pub fn unacknowledged(&self) -> usize {
-        self.segments.values().map(|s| s.open.len()).sum()
+        self.segments.values().map(|s| s.unacknowledged.len()).sum()
     }
 
-    /// Whether a record is in the log, and not acknowledged.
+    /// Whether the log contains the record and it is not acknowledged.
     pub fn contains(&self, position: Position) -> bool {
-        self.segments.get(&position.segment).is_some_and(|s| s.open.contains(&position.offset))
+        self.segments.get(&position.segment).is_some_and(|s| s.unacknowledged.contains(&position.offset))
     }
 
-    /// The storage, for tests.
+    /// The storage. Tests use it to inspect files and to make operations fail.
     pub fn storage(&mut self) -> &mut S {
         &mut self.storage
     }
 
-    /// Ends the log and returns its storage.
+    /// Closes the log and returns its storage.
     pub fn into_storage(self) -> S {
         self.storage
     }
@@ -207,30 +208,31 @@
     /// Appends a record.
     ///
     /// # Errors
-    /// Where it is too long or the storage fails: nothing of it stays then.
+    /// Returns an error if the payload is too long or the storage fails. The record is not part of the log then.
     pub fn append(&mut self, payload: &[u8]) -> Result<Position, WalError> {
         let position = self.write(RecordKind::Data, payload)?;
         self.counters.appended += 1;
         if let Some(segment) = self.segments.get_mut(&position.segment) {
-            segment.open.insert(position.offset);
+            segment.unacknowledged.insert(position.offset);
         }
         Ok(position)
     }
 
-    /// Acknowledges a record; one that is acknowledged or dropped is ignored.
+    /// Acknowledges a record. Does nothing if the record was acknowledged or dropped before.
     ///
     /// # Errors
-    /// Where the storage fails.
+    /// Returns an error if the storage fails.
     pub fn acknowledge(&mut self, position: Position) -> Result<(), WalError> {
-        let known = self.segments.get_mut(&position.segment).is_some_and(|s| s.open.remove(&position.offset));
-        if !known {
+        let segment = self.segments.get_mut(&position.segment);
+        let removed = segment.is_some_and(|s| s.unacknowledged.remove(&position.offset));
+        if !removed {
             return Ok(());
         }
         self.counters.acknowledged += 1;
         let mut payload = [0; 16];
         payload[..8].copy_from_slice(&position.segment.to_le_bytes());
         payload[8..].copy_from_slice(&position.offset.to_le_bytes());
-        // With the last open record all segments are removed: no acknowledgement need be written.
+        // After the last unacknowledged record all segments are removed, so its acknowledgement need not be written.
         let written = if self.unacknowledged() == 0 {
             Ok(())
         } else {
@@ -240,28 +242,28 @@
         written
     }
 
-    /// Makes durable what was appended and acknowledged before.
+    /// Makes all previous appends and acknowledgements durable.
     ///
     /// # Errors
-    /// Where the storage fails.
+    /// Returns an error if the storage fails.
     pub fn sync(&mut self) -> Result<(), WalError> {
-        if self.segments.contains_key(&self.last) {
-            self.storage.sync(self.last)?;
+        if self.segments.contains_key(&self.newest) {
+            self.storage.sync(self.newest)?;
         }
         Ok(())
     }
 
-    /// Appends a record of a kind to the newest segment.
+    /// Appends a record of either kind to the newest segment, or to a new one if that is full.
     fn write(&mut self, kind: RecordKind, payload: &[u8]) -> Result<Position, WalError> {
         let bytes = record::encode(kind, payload)?;
-        let full = self.segments.get(&self.last).is_some_and(|s| s.bytes >= self.limits.segment_bytes);
+        let full = self.segments.get(&self.newest).is_some_and(|s| s.bytes >= self.limits.segment_bytes);
         if full || self.dirty && !self.truncate_failed_append() {
-            // A tail that can't be truncated is left in a closed segment, where it is skipped.
-            self.last += 1;
+            // A partial record that can't be truncated stays at the end of the closed segment, where recovery skips it.
+            self.newest += 1;
             self.dirty = false;
         }
-        self.make_room(bytes.len() as u64)?;
-        let segment = self.last;
+        self.drop_oldest_segments(bytes.len() as u64)?;
+        let segment = self.newest;
         let offset = self.segments.get(&segment).map_or(0, |s| s.bytes);
         if let Err(error) = self.storage.append(segment, &bytes) {
             self.counters.failed_appends += 1;
@@ -274,32 +276,32 @@
         Ok(Position { segment, offset })
     }
 
-    /// Truncates what a failed append left; false: it could not.
+    /// Truncates the bytes that a failed append may have written. Returns false if that fails, too.
     fn truncate_failed_append(&mut self) -> bool {
-        let length = self.segments.get(&self.last).map_or(0, |s| s.bytes);
-        let truncated = self.storage.truncate(self.last, length);
+        let length = self.segments.get(&self.newest).map_or(0, |s| s.bytes);
+        let truncated = self.storage.truncate(self.newest, length);
         if truncated.is_ok() || matches!(&truncated, Err(e) if e.kind() == io::ErrorKind::NotFound) {
             self.dirty = false;
         }
         !self.dirty
     }
 
-    /// Drops the oldest segments until `additional` bytes fit.
-    fn make_room(&mut self, additional: u64) -> Result<(), WalError> {
+    /// Drops the oldest segments, with their unacknowledged records, until `additional` bytes fit.
+    fn drop_oldest_segments(&mut self, additional: u64) -> Result<(), WalError> {
         while self.bytes() + additional > self.limits.bytes {
             let Some((&oldest, segment)) = self.segments.first_key_value() else { break };
-            self.counters.dropped_full += segment.open.len() as u64;
+            self.counters.dropped_full += segment.unacknowledged.len() as u64;
             self.remove_file(oldest)?;
             self.segments.remove(&oldest);
-            if oldest == self.last {
-                self.last += 1;
+            if oldest == self.newest {
+                self.newest += 1;
                 break;
             }
         }
         Ok(())
     }
 
-    /// Removes a segment's file, which may not exist where its first append failed.
+    /// Removes the file of a segment. The file may not exist if the first append to it failed.
     fn remove_file(&mut self, segment: u64) -> io::Result<()> {
         match self.storage.remove(segment) {
             Err(error) if error.kind() == io::ErrorKind::NotFound => Ok(()),
@@ -307,23 +309,23 @@
         }
     }
 
-    /// Removes segments without open records, the oldest first.
+    /// Removes segments without unacknowledged records, from the oldest one on.
     fn remove_acknowledged_segments(&mut self) -> Result<(), WalError> {
         while let Some((&oldest, segment)) = self.segments.first_key_value() {
-            if !segment.open.is_empty() {
+            if !segment.unacknowledged.is_empty() {
                 break;
             }
             self.remove_file(oldest)?;
             self.segments.remove(&oldest);
-            if oldest == self.last {
-                self.last += 1;
+            if oldest == self.newest {
+                self.newest += 1;
             }
         }
         Ok(())
     }
 }
 
-/// The position that an acknowledgement refers to.
+/// Decodes the payload of an acknowledgement; `None` if it is too short.
 fn read_position(payload: &[u8]) -> Option<Position> {
     let segment = u64::from_le_bytes(payload.get(..8)?.try_into().ok()?);
     let offset = u64::from_le_bytes(payload.get(8..16)?.try_into().ok()?);
--- a/crates/wal/tests/wal.rs
+++ b/crates/wal/tests/wal.rs
@@ -1,4 +1,4 @@
-//! The log against crashes and storage that fails.
+//! Recovery of the write-ahead log after crashes, storage failures and damage.
 
 use std::collections::BTreeMap;
 
@@ -10,16 +10,17 @@
 }
 
 fn open(storage: MemoryStorage) -> (WriteAheadLog<MemoryStorage>, Vec<RecoveredRecord>) {
-    let (log, found) = WriteAheadLog::open(storage, limits()).expect("opens");
-    (log, found.records)
+    let (log, recovered) = WriteAheadLog::open(storage, limits()).expect("opens");
+    (log, recovered.records)
 }
 
-fn payloads(records: &[RecoveredRecord]) -> Vec<u8> {
+/// The first byte of each payload.
+fn first_bytes(records: &[RecoveredRecord]) -> Vec<u8> {
     records.iter().map(|record| record.payload[0]).collect()
 }
 
-/// Ten records of 100 bytes, numbered by their bytes.
-fn ten() -> (WriteAheadLog<MemoryStorage>, Vec<Position>) {
+/// A log with ten records of 100 bytes; record `n` consists of the byte `n`.
+fn log_of_ten_records() -> (WriteAheadLog<MemoryStorage>, Vec<Position>) {
     let (mut log, _) = open(MemoryStorage::default());
     let positions = (0..10).map(|n| log.append(&[n; 100]).expect("appended")).collect();
     (log, positions)
@@ -27,19 +28,19 @@
 
 #[test]
 fn unacknowledged_records_are_recovered_in_order() {
-    let (mut log, positions) = ten();
+    let (mut log, positions) = log_of_ten_records();
     for n in [0, 1, 4, 7] {
         log.acknowledge(positions[n]).expect("appended");
     }
     let (log, found) = open(log.into_storage());
-    assert_eq!(payloads(&found), [2, 3, 5, 6, 8, 9]);
+    assert_eq!(first_bytes(&found), [2, 3, 5, 6, 8, 9]);
     assert!(found.iter().all(|record| record.payload.len() == 100));
     assert_eq!(log.unacknowledged(), 6);
 }
 
 #[test]
 fn acknowledged_segments_are_removed() {
-    let (mut log, positions) = ten();
+    let (mut log, positions) = log_of_ten_records();
     for position in &positions {
         log.acknowledge(*position).expect("appended");
         log.acknowledge(*position).expect("a second acknowledgement is ignored");
@@ -61,12 +62,12 @@
     let (_, found) = open(log.into_storage());
     assert_eq!(found.len() as u64 + dropped, 100);
     assert_eq!(found.last().map(|record| record.payload[0]), Some(99));
-    assert_eq!(payloads(&found)[0] as u64, dropped);
+    assert_eq!(first_bytes(&found)[0] as u64, dropped);
 }
 
 #[test]
 fn torn_tail_is_truncated_after_the_last_valid_record() {
-    let (log, _) = ten();
+    let (log, _) = log_of_ten_records();
     let intact = log.into_storage();
     let newest = *intact.files.keys().last().expect("there");
     let length = intact.files[&newest].len();
@@ -74,9 +75,9 @@
         let mut storage = intact.clone();
         storage.files.get_mut(&newest).expect("there").truncate(length - cut);
         let (mut log, found) = open(storage);
-        assert_eq!(payloads(&found), (0..9).collect::<Vec<u8>>(), "cut {cut}");
+        assert_eq!(first_bytes(&found), (0..9).collect::<Vec<u8>>(), "cut {cut}");
         assert_eq!(log.counters().torn_bytes, 109 - cut as u64);
-        // The next incarnation goes on, and nothing of the tail is recovered.
+        // The log accepts appends, and the truncated record is never recovered.
         log.append(&[42; 100]).expect("appended");
         let (_, found) = open(log.into_storage());
         assert_eq!(found.len(), 10);
@@ -86,7 +87,7 @@
 
 #[test]
 fn full_storage_keeps_its_records_and_accepts_more_later() {
-    let (mut log, positions) = ten();
+    let (mut log, positions) = log_of_ten_records();
     let used: usize = log.storage().files.values().map(Vec::len).sum();
     log.storage().capacity = Some(used + 50);
     assert!(matches!(log.append(&[77; 100]), Err(WalError::Io(_))));
@@ -95,13 +96,13 @@
     log.append(&[78; 100]).expect("appended");
     log.acknowledge(positions[0]).expect("appended");
     let (log, found) = open(log.into_storage());
-    assert_eq!(payloads(&found), [1, 2, 3, 4, 5, 6, 7, 8, 9, 78], "nothing of the failed record stays");
-    assert_eq!(log.counters(), Counters::default(), "and nothing is damaged");
+    assert_eq!(first_bytes(&found), [1, 2, 3, 4, 5, 6, 7, 8, 9, 78], "the failed record is not recovered");
+    assert_eq!(log.counters(), Counters::default(), "nothing is damaged");
 }
 
 #[test]
 fn read_only_storage_is_recovered() {
-    let (log, _) = ten();
+    let (log, _) = log_of_ten_records();
     let mut storage = log.into_storage();
     storage.read_only = true;
     let (mut log, found) = open(storage);
@@ -114,7 +115,7 @@
 fn directory_storage_persists_records() {
     let folder = tempfile::tempdir().expect("a folder");
     let open = || {
-        WriteAheadLog::open(DirectoryStorage::open(folder.path().join("spool")).expect("made"), limits())
+        WriteAheadLog::open(DirectoryStorage::open(folder.path().join("spool")).expect("created"), limits())
             .expect("opens")
     };
     let (mut log, _) = open();
@@ -123,7 +124,7 @@
     log.acknowledge(first).expect("appended");
     log.sync().expect("durable");
     drop(log);
-    std::fs::write(folder.path().join("spool/notes.txt"), "not ours").expect("written");
+    std::fs::write(folder.path().join("spool/notes.txt"), "not a segment").expect("written");
     let (_, found) = open();
     assert_eq!(
         found.records.iter().map(|record| record.payload.clone()).collect::<Vec<_>>(),
@@ -141,7 +142,7 @@
 proptest! {
     #[test]
     fn flipped_bit_never_yields_a_wrong_record(at in any::<prop::sample::Index>(), bit in 0u8..8) {
-        let (log, _) = ten();
+        let (log, _) = log_of_ten_records();
         let mut storage = log.into_storage();
         let sizes: Vec<(u64, usize)> = storage.files.iter().map(|(n, f)| (*n, f.len())).collect();
         let mut position = at.index(sizes.iter().map(|s| s.1).sum());
@@ -155,21 +156,21 @@
         let (log, found) = open(storage);
         let c = log.counters();
         prop_assert!(found.len() < 10 && found.len() >= 7, "{} are left", found.len());
-        prop_assert!(c.damaged + c.torn_bytes + c.lost_bytes > 0, "what is lost is counted");
+        prop_assert!(c.damaged + c.torn_bytes + c.lost_bytes > 0, "lost records are counted");
         for RecoveredRecord { payload, .. } in &found {
             prop_assert!(payload.len() == 100 && payload.iter().all(|b| *b == payload[0]));
         }
-        prop_assert!(payloads(&found).windows(2).all(|w| w[0] < w[1]));
+        prop_assert!(first_bytes(&found).windows(2).all(|w| w[0] < w[1]));
     }
 
     #[test]
-    fn noise_never_panics(files in prop::collection::btree_map(0u64..5, prop::collection::vec(any::<u8>(), 0..300), 0..4)) {
+    fn random_segment_content_never_panics(files in prop::collection::btree_map(0u64..5, prop::collection::vec(any::<u8>(), 0..300), 0..4)) {
         let (mut log, _) = open(MemoryStorage { files, ..MemoryStorage::default() });
         log.append(b"x").expect("appended");
     }
 
     #[test]
-    fn reopened_log_matches_a_plain_model(
+    fn log_matches_a_model_across_reopens(
         steps in prop::collection::vec((0u8..10, any::<prop::sample::Index>()), 1..120),
     ) {
         let (mut log, _) = open(MemoryStorage::default());
@@ -182,7 +183,7 @@
                     let payload = count.to_le_bytes().to_vec();
                     let before = log.counters().dropped_full;
                     let position = log.append(&payload).expect("appended");
-                    // The bound drops the oldest records.
+                    // The size limit drops the oldest records.
                     for _ in before..log.counters().dropped_full {
                         model.pop_first();
                     }
