--- a/crates/gateway/benches/measure.rs
+++ b/crates/gateway/benches/measure.rs
@@ -112,7 +112,7 @@
         weight: 1.0,
         cell: "c".into(),
         state: WorkerState::On,
-        born: None,
+        started_at: None,
     });
     engine.handle(0, Event::Workers { form: ListForm::Complete, members: members.collect() }, &mut out);
     let names: Vec<std::sync::Arc<str>> = (0..64).map(|n| format!("model-{n}").into()).collect();
@@ -121,7 +121,7 @@
         let now = 1_000_000 + n * 50;
         out.clear();
         let open = NewCall {
-            front: n,
+            front_token: n,
             class: ClassId(0),
             tenant: None,
             model: names[(n % 64) as usize].clone(),
