--- a/crates/admin/src/api/invocation.rs
+++ b/crates/admin/src/api/invocation.rs
@@ -1,4 +1,4 @@
-//! A request on its way to an operation, with what the operations read of it.
+//! The context in which an operation is executed, and the checks of request bodies.
 
 use nettleferry_tenancy::Millis;
 use serde_json::Value;
@@ -9,10 +9,10 @@
 
 use super::query::Query;
 
-/// A request whose route was found and whose caller is authorized.
+/// A request that has been matched to a route and whose caller is authorized for it.
 pub(super) struct Invocation<'a> {
     pub(super) route: &'a Route,
-    /// The name in its path, where it has one.
+    /// The part of the path that stands for `{name}`; empty if the route has none.
     pub(super) name: &'a str,
     pub(super) query: Query,
     pub(super) request: &'a Request<'a>,
@@ -20,16 +20,16 @@
     pub(super) now: Millis,
 }
 
-/// Checks that the body has one of these content types.
+/// Rejects a request whose content type is not one of the accepted ones.
 pub(super) fn expect_content_type(request: &Request<'_>, accepted: &[&str]) -> Result<(), Problem> {
-    if request.content_type.is_some_and(|given| accepted.contains(&given)) {
+    if request.content_type.is_some_and(|content_type| accepted.contains(&content_type)) {
         return Ok(());
     }
     let detail = format!("Content-Type is to be {}", accepted.join(" or "));
     Err(Problem { field: Some("Content-Type".to_owned()), ..Problem::new(415, "media-type", detail) })
 }
 
-/// Parses the body.
+/// Parses a body as JSON.
 pub(super) fn json_body(body: &[u8]) -> Result<Value, Problem> {
     serde_json::from_slice(body)
         .map_err(|e| Problem { status: 400, ..Problem::field("the body", format!("no JSON: {e}")) })
--- a/crates/admin/src/api/mod.rs
+++ b/crates/admin/src/api/mod.rs
@@ -1,8 +1,8 @@
-//! Handling of a request: it is found in the table of routes, authorized, and handed to its operation.
+//! Request handling: finds the route of a request, authorizes the caller, and executes the operation.
 //!
-//! * [`changes`]: changes of tenants. [`replication`]: requests of followers. [`reads`]: all that is read or handed on.
-//! * [`ports`]: what the API needs of its surroundings. [`limits`]: bounds of requests.
-//! * [`invocation`], [`query`]: what operations read of a request. [`responses`]: what they return.
+//! * [`changes`]: operations that change tenants. [`replication`]: requests of followers. [`reads`]: all others.
+//! * [`ports`]: the interfaces to the store and the running controller. [`limits`]: limits of requests.
+//! * [`invocation`], [`query`]: the input of operations. [`responses`]: their output.
 
 mod changes;
 mod invocation;
@@ -34,17 +34,17 @@
 use query::Query;
 use responses::{internal, method_not_allowed, ready_json, ready_tenant};
 
-/// The API over a snapshot of the tenants and the store that it was read from.
+/// The API on a snapshot of the tenants and the store that it was read from.
 pub struct Api<S> {
     snapshot: TenantSnapshot,
     store: S,
     identity: StoreIdentity,
-    /// Why nothing may be changed: the store is damaged.
+    /// Why changes are rejected, if the store is damaged.
     read_only: Option<String>,
 }
 
 impl<S: ChangeStore> Api<S> {
-    /// An API over a store's snapshot. `read_only`: why nothing may be changed.
+    /// Creates the API on a store and its snapshot. If `read_only` has a reason, all changes are rejected with it.
     pub fn new(
         snapshot: TenantSnapshot,
         store: S,
@@ -54,35 +54,36 @@
         Self { snapshot, store, identity, read_only }
     }
 
-    /// The newest snapshot.
+    /// The snapshot of the tenants, at the last committed revision.
     pub fn snapshot(&self) -> &TenantSnapshot {
         &self.snapshot
     }
 
-    /// Replaces the snapshot and the store.
+    /// Replaces the snapshot and the store, and accepts changes again.
     pub fn replace(&mut self, snapshot: TenantSnapshot, store: S, identity: StoreIdentity) {
         *self = Self::new(snapshot, store, identity, None);
     }
 
-    /// Which store it is.
+    /// The identity of the store.
     pub fn identity(&self) -> &StoreIdentity {
         &self.identity
     }
 
-    /// The store, for its owner.
+    /// The store, for operations that are not part of the API.
     pub fn store(&mut self) -> &mut S {
         &mut self.store
     }
 
-    /// Changes after a revision, in order.
+    /// All changes after a revision, in order.
     ///
     /// # Errors
-    /// Where the store can't be read.
+    /// Returns an error if the store can't be read.
     pub fn entries(&self, after: Revision) -> Result<Vec<Entry>, ChangeStoreError> {
         self.store.entries(after, usize::MAX, None)
     }
 
-    /// Removes tenants whose grace is over; the entries, in order. What can't be committed is retried next time.
+    /// Removes all tenants whose grace period is over, and returns the entries of the removals in order. A removal that
+    /// can't be committed is retried by the next call.
     pub fn remove_expired(&mut self, now: Millis) -> Vec<Entry> {
         let mut all = Vec::new();
         while self.read_only.is_none()
@@ -95,8 +96,8 @@
         all
     }
 
-    /// Handles a request. `held_for`: how long ago it came, where [`Answer::Wait`] was returned for it before; `None`: it
-    /// has just come.
+    /// Handles a request. `held_for` is `None` for a new request. For one that was answered with [`Answer::Wait`] before,
+    /// it is the time since the request arrived.
     pub fn answer(
         &mut self,
         request: &Request<'_>,
@@ -122,49 +123,53 @@
             if route.operation == Operation::Watch {
                 return self.watch(&query, runtime, held_for);
             }
-            let call = Invocation { route, name, query, request, caller, now };
-            self.operate(&call, runtime)
+            let invocation = Invocation { route, name, query, request, caller, now };
+            self.dispatch(&invocation, runtime)
         });
         answer.unwrap_or_else(|problem| Answer::Ready(problem.response()))
     }
 
-    /// Hands a request to its operation.
-    fn operate(&mut self, call: &Invocation<'_>, runtime: &mut impl Runtime) -> Result<Answer, Problem> {
-        let query = &call.query;
-        match call.route.operation {
+    /// Executes the operation of the request's route.
+    fn dispatch(
+        &mut self,
+        invocation: &Invocation<'_>,
+        runtime: &mut impl Runtime,
+    ) -> Result<Answer, Problem> {
+        let query = &invocation.query;
+        match invocation.route.operation {
             Operation::ListTenants => self.list_tenants(query),
-            Operation::ReadTenant => ready_tenant(200, &self.existing_tenant(call.name)?),
-            Operation::ReadUsage => ready_json(200, &runtime.usage(&self.existing_tenant(call.name)?)),
+            Operation::ReadTenant => ready_tenant(200, &self.existing_tenant(invocation.name)?),
+            Operation::ReadUsage => ready_json(200, &runtime.usage(&self.existing_tenant(invocation.name)?)),
             Operation::ListUsage => self.list_usage(query, runtime),
             Operation::ListAudit => self.list_audit(query),
             Operation::ListWorkers => ready_json(200, &json!({ "workers": runtime.workers() })),
-            Operation::DrainWorker => self.set_drained(call.name, true, runtime),
-            Operation::UndrainWorker => self.set_drained(call.name, false, runtime),
+            Operation::DrainWorker => self.set_drained(invocation.name, true, runtime),
+            Operation::UndrainWorker => self.set_drained(invocation.name, false, runtime),
             Operation::ListControllers => self.list_controllers(runtime),
             Operation::ReadSnapshot => self.read_snapshot(query, runtime),
             Operation::ReadFleet => ready_json(200, &runtime.fleet_status()),
             Operation::Recover => self.recover(query, runtime),
             Operation::Fence => self.set_fenced(query, true, runtime),
             Operation::Admit => self.set_fenced(query, false, runtime),
-            Operation::AppendAuditEntries => self.append_audit_entries(call, runtime),
-            Operation::GrantLoans => self.grant_loans(call, runtime),
+            Operation::AppendAuditEntries => self.append_audit_entries(invocation, runtime),
+            Operation::GrantLoans => self.grant_loans(invocation, runtime),
             Operation::ReadAuditLogs => self.read_audit_logs(query, runtime),
             Operation::ReadChange => self.read_change(query, runtime),
             Operation::ReadDocument => ready_json(200, &openapi::document()),
             Operation::Watch => Err(internal("a watch is answered elsewhere")),
-            Operation::CreateTenant => self.create_tenant(call, runtime),
-            Operation::ChangeTenant => self.patch_tenant(call, runtime),
-            Operation::RemoveTenant => self.remove_tenant(call, runtime),
-            Operation::SuspendTenant => self.suspend_tenant(call, runtime),
-            Operation::ResumeTenant => self.resume_tenant(call, runtime),
+            Operation::CreateTenant => self.create_tenant(invocation, runtime),
+            Operation::ChangeTenant => self.patch_tenant(invocation, runtime),
+            Operation::RemoveTenant => self.remove_tenant(invocation, runtime),
+            Operation::SuspendTenant => self.suspend_tenant(invocation, runtime),
+            Operation::ResumeTenant => self.resume_tenant(invocation, runtime),
         }
     }
 }
 
-/// Whether the caller's role allows the route.
+/// Whether the caller's role permits the route.
 fn is_permitted(route: &Route, caller: &Caller) -> bool {
     match route.role {
-        // Every role may read what controllers read; only a controller or an admin may report in its name.
+        // Every role may read what controllers read, but only a controller or an admin may send reports of a controller.
         Role::Controller if route.method == "GET" => true,
         Role::Controller => matches!(caller.role, Role::Controller | Role::Admin),
         least => caller.role >= least,
--- a/crates/admin/src/api/ports.rs
+++ b/crates/admin/src/api/ports.rs
@@ -1,5 +1,4 @@
-//! What the API needs of its surroundings: a store for changes and the running controller, with the values that pass
-//! between them.
+//! The interfaces that the API needs, a store of changes and the running controller, with the types that they use.
 
 use std::collections::BTreeMap;
 use std::error::Error;
@@ -10,10 +9,10 @@
 
 use crate::problem::Problem;
 
-/// Why a [`ChangeStore`] could not do what it was asked for.
+/// Why an operation of a [`ChangeStore`] failed.
 #[derive(Debug, thiserror::Error)]
 pub enum ChangeStoreError {
-    /// The store is damaged, or of a later version: nothing can be read or written.
+    /// The store is damaged or has a newer format, so that nothing can be read or written.
     #[error("the tenant store can't be used")]
     Unavailable,
     /// An operation on the store failed.
@@ -21,17 +20,18 @@
     Failed(#[from] Box<dyn Error + Send + Sync>),
 }
 
-/// Where changes of tenants are committed, and read again.
+/// The durable store of tenant changes.
 pub trait ChangeStore {
-    /// Writes a change, with the response to repeat for an idempotency key; durable when it returns.
+    /// Commits a change together with the response to store under an idempotency key, if there is one. Both are durable
+    /// once this has returned.
     fn commit(
         &mut self,
         entry: &Entry,
         idempotent: Option<(&str, &IdempotentResponse)>,
     ) -> Result<(), ChangeStoreError>;
-    /// The response that was stored under an idempotency key.
+    /// The response that is stored under an idempotency key; `None` if there is none.
     fn stored_response(&self, key: &str) -> Result<Option<IdempotentResponse>, ChangeStoreError>;
-    /// At most `limit` changes after a revision, in order; of one tenant, where one is named.
+    /// At most `limit` changes after a revision, in order, optionally of one tenant only.
     fn entries(
         &self,
         after: Revision,
@@ -40,27 +40,27 @@
     ) -> Result<Vec<Entry>, ChangeStoreError>;
 }
 
-/// Which tenant store it is: its name, which its restores keep, and its epoch, which each restore raises.
+/// The identity of a tenant store. A restore keeps the name and increases the epoch.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoreIdentity {
-    /// The store's own name.
+    /// The store's name, which is random.
     pub name: String,
     /// The store's epoch.
     pub epoch: u64,
 }
 
-/// A tenant's open calls, and the outcomes of its calls, at one controller since its start.
+/// A tenant's use of one controller: open calls now, and counts of calls since the controller's start.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Usage {
     /// The tenant's name.
     pub tenant: String,
-    /// Which tenant of that name.
+    /// The tenant's uid, which distinguishes tenants of the same name.
     pub uid: Revision,
     /// Calls without a final answer.
     pub open_calls: u32,
-    /// Of them, those that no worker has.
+    /// Open calls that are not assigned to a worker.
     pub held_calls: u32,
-    /// Bytes of the models in use.
+    /// Memory of the models in use, in bytes.
     pub loaded_memory_bytes: u64,
     /// Calls admitted.
     pub admitted: u64,
@@ -68,121 +68,122 @@
     pub refused: u64,
     /// Open calls by class.
     pub open_by_class: BTreeMap<String, u32>,
-    /// Calls by their one final answer.
+    /// Ended calls by final answer.
     pub ends: BTreeMap<String, u64>,
 }
 
-/// A worker, as the API shows it.
+/// A worker that the controller knows.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Worker {
-    /// Its name.
+    /// The worker's name.
     pub name: String,
     /// The address that the controller connects to.
     pub address: String,
-    /// Its zone.
+    /// The worker's zone.
     pub zone: String,
-    /// Its state in the worker list: on, draining or gone.
+    /// The worker's state in the worker list: `on`, `draining` or `gone`.
     pub listed: String,
-    /// Whether an operator has drained it by hand.
+    /// Whether an operator has drained the worker by hand.
     pub drained: bool,
 }
 
 /// A controller and the revision that it runs.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ControllerRevision {
-    /// Its number.
+    /// The controller's number.
     pub controller: u32,
-    /// The revision that is in force there.
+    /// The revision that is in force at the controller.
     pub revision: Revision,
-    /// Milliseconds since it reported this.
+    /// Milliseconds since the controller reported the revision.
     pub seen_ms_ago: u64,
 }
 
-/// Which snapshot a controller has, as it reports with each request for changes.
+/// The state that a controller reports with each of its requests for the snapshot or for changes.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ControllerState {
-    /// The store that the snapshot is of; empty: it has none.
+    /// The name of the store that the controller's snapshot is of; empty if the controller has no snapshot.
     pub store: String,
-    /// The store's epoch.
+    /// The epoch of that store.
     pub epoch: u64,
-    /// The snapshot's revision.
+    /// The revision of the controller's snapshot.
     pub revision: Revision,
-    /// The snapshot's CRC-32.
+    /// The CRC-32 of the controller's snapshot.
     pub checksum: u32,
-    /// The controller's incarnation, a random number chosen at its start; 0: an earlier version, which reports none.
+    /// The controller's incarnation, a random number chosen at its start; 0 for earlier versions, which report none.
     pub incarnation: u64,
-    /// The revision that its call thread acts on, of that store and epoch.
+    /// The revision that the controller's call thread acts on, of the same store and epoch.
     pub in_force: Revision,
-    /// The revision that is synced to its disk.
+    /// The revision that is synced to the controller's disk.
     pub persisted: Revision,
-    /// Whether it accepts no calls without a lease.
+    /// Whether the controller rejects calls while it has no lease.
     pub requires_lease: bool,
-    /// Whether it knows that it is fenced, and accepts no calls any more.
+    /// Whether the controller knows that it is fenced and has stopped accepting calls.
     pub stopped: bool,
 }
 
-/// A lease on the snapshot that the response brings.
+/// A lease on the snapshot that the follower has after this response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseGrant {
-    /// How long the controller may act on the snapshot, in milliseconds.
+    /// How long the follower may act on the snapshot, in milliseconds.
     pub duration_ms: u64,
-    /// Its incarnation's fencing token.
+    /// The fencing token of the follower's incarnation; later incarnations have higher ones.
     pub fencing_token: u64,
 }
 
 /// A reading of the administration's clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClockReading {
-    /// The administration's incarnation, whose clock it is.
+    /// The incarnation of the administration whose clock this is. Each incarnation has a clock of its own.
     pub incarnation: u64,
-    /// Milliseconds on that clock.
+    /// The reading of that clock, in milliseconds.
     pub at_ms: u64,
 }
 
-/// Why no snapshot may be given or changed: the fleet has not agreed yet on the one that counts.
+/// The fleet has not agreed on the authoritative snapshot yet, so that none may be returned or changed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error(
     "the fleet has not agreed on a snapshot yet ({cause}; {responded} controllers have responded, {expected} are expected): see GET /v1/fleet"
 )]
 pub struct RecoveryPending {
-    /// A word for the cause: damaged, empty, behind or disagreed.
+    /// The cause: `damaged`, `empty`, `behind` or `disagreed`.
     pub cause: &'static str,
-    /// Controllers whose snapshot is known.
+    /// Number of controllers whose snapshot is known.
     pub responded: usize,
-    /// Controllers whose snapshot must be known.
+    /// Number of controllers whose snapshot must be known.
     pub expected: usize,
 }
 
-/// What the API asks the running controller and its administration.
+/// The running controller and its administration, as the API uses them. JSON values are response bodies.
 pub trait Runtime {
-    /// A tenant's usage.
+    /// A tenant's usage of this controller.
     fn usage(&self, tenant: &Tenant) -> Usage;
-    /// Workers by name.
+    /// All workers that the controller knows, by name.
     fn workers(&self) -> Vec<Worker>;
-    /// Drains a worker by hand, or lets the worker list decide again. False: there is none of that name.
+    /// Drains a worker by hand, or ends that so that the worker list decides again. Returns false if there is no worker
+    /// of this name.
     fn set_drained(&mut self, worker: &str, drained: bool) -> bool;
-    /// Controllers by number.
+    /// All known controllers, by number.
     fn controllers(&self) -> Vec<ControllerRevision>;
-    /// A follower's request has come, with its state: to be called once for each request.
+    /// Records the state that a follower reports with a request. To be called once for each request.
     ///
     /// # Errors
-    /// A problem where the state is impossible, or as for [`Runtime::check_member`].
+    /// Returns a problem if the state is impossible, and for the reasons of [`Runtime::check_member`].
     fn record_state(&mut self, controller: u32, state: ControllerState) -> Result<(), Problem>;
-    /// Whether a follower's request, whose state was recorded, may still be answered.
+    /// Checks that an incarnation of a follower may still get changes and leases.
     ///
     /// # Errors
-    /// A problem where its incarnation is fenced, or has ended.
+    /// Returns a problem if the incarnation is fenced or has ended.
     fn check_member(&self, controller: u32, incarnation: u64) -> Result<(), Problem>;
-    /// Grants a lease to a follower that gets the newest snapshot with this response; `None`: it gets no lease.
+    /// Grants a lease to a follower that has the newest snapshot after this response; `None` if it gets no lease.
     fn grant_lease(&mut self, controller: u32, incarnation: u64) -> Option<LeaseGrant>;
-    /// Fences the known incarnations of a controller, or admits them again.
+    /// Fences the known incarnations of a controller, or admits fenced ones again.
     fn set_fenced(&mut self, controller: u32, fenced: bool) -> Value;
-    /// The administration's clock, now.
+    /// The current reading of the administration's clock.
     fn read_clock(&self) -> ClockReading;
-    /// Lends shares of limits to a controller by the demand that it reports.
+    /// Lends shares of limits to a controller, according to the demand that it reports.
     ///
     /// # Errors
-    /// A problem where loans are off, the report is malformed, or the incarnation has no lease.
+    /// Returns a problem if loans are disabled, the report is malformed, or the incarnation has no lease.
     fn grant_loans(
         &mut self,
         snapshot: &TenantSnapshot,
@@ -190,28 +191,30 @@
         incarnation: u64,
         report: Value,
     ) -> Result<Value, Problem>;
-    /// Appends entries of a controller's audit log; the number of the last one that is stored.
+    /// Appends entries to the collected audit log of a controller. Returns the number of the last entry that is stored.
     ///
     /// # Errors
-    /// A problem where audit logs are not collected here.
+    /// Returns a problem if audit logs are not collected here.
     fn append_audit_entries(&mut self, controller: u32, entries: Vec<String>) -> Result<u64, Problem>;
-    /// The collected audit logs: whose there are, or at most `limit` entries of one.
+    /// Without an owner, a list of the collected audit logs. With one, at most `limit` entries of the owner's log from the
+    /// index `from` on.
     ///
     /// # Errors
-    /// A problem where there is none of that controller.
-    fn audit_logs(&self, of: Option<&str>, from: u64, limit: usize) -> Result<Value, Problem>;
-    /// How far a change has come: who has it, and who may still act without it.
+    /// Returns a problem if there is no log of that owner.
+    fn audit_logs(&self, owner: Option<&str>, from: u64, limit: usize) -> Result<Value, Problem>;
+    /// The progress of a change: how many controllers have persisted it, and which ones may still act without it.
     fn change_progress(&self, revision: Revision) -> Value;
-    /// Whether the snapshot may be given and changed.
+    /// Checks that the snapshot may be returned and changed.
     ///
     /// # Errors
-    /// Why not.
+    /// Returns an error while the fleet has not agreed on a snapshot.
     fn check_serving(&self) -> Result<(), RecoveryPending>;
-    /// The state of the fleet, as far as it is known.
+    /// The state of the fleet, as far as this controller knows it.
     fn fleet_status(&self) -> Value;
-    /// An operator decides which snapshot counts: `own`, which is this one, or that of a controller's number.
+    /// Makes the snapshot that an operator chose the authoritative one. `choice` is `own` for this controller's snapshot,
+    /// or the number of another controller. A dry run only returns the differences.
     ///
     /// # Errors
-    /// A problem where there is no such snapshot.
-    fn recover(&mut self, own: &TenantSnapshot, take: &str, dry_run: bool) -> Result<Value, Problem>;
+    /// Returns a problem if the choice is invalid or there is no such snapshot.
+    fn recover(&mut self, own: &TenantSnapshot, choice: &str, dry_run: bool) -> Result<Value, Problem>;
 }
--- a/crates/admin/src/api/query.rs
+++ b/crates/admin/src/api/query.rs
@@ -1,15 +1,15 @@
-//! Query parameters of a request.
+//! Parsing of query parameters.
 
 use crate::problem::Problem;
 use crate::routes::Route;
 
 use super::limits::{DEFAULT_PAGE_ROWS, MAX_PAGE_ROWS};
 
-/// Query parameters, each known and given once.
+/// The query parameters of a request. All are parameters of its route, and none is repeated.
 pub(super) struct Query(Vec<(String, String)>);
 
 impl Query {
-    /// Reads the parameters that a route knows.
+    /// Parses a query string. Fails for a parameter that the route does not have, and for a repeated one.
     pub(super) fn read(query: &str, route: &Route) -> Result<Self, Problem> {
         let mut all: Vec<(String, String)> = Vec::new();
         for (name, value) in form_urlencoded::parse(query.as_bytes()) {
@@ -26,30 +26,30 @@
         Ok(Self(all))
     }
 
-    /// A parameter as it was written.
+    /// The value of a parameter, without interpretation; `None` if the request omits it.
     pub(super) fn text(&self, name: &str) -> Option<&str> {
         self.0.iter().find(|(n, _)| n == name).map(|(_, v)| v.as_str())
     }
 
-    /// An integer within bounds; `default` where it is not given.
+    /// An integer parameter between `min` and `max`; `default` if the request omits it.
     pub(super) fn number(&self, name: &str, min: u64, max: u64, default: u64) -> Result<u64, Problem> {
         let Some(text) = self.text(name) else { return Ok(default) };
         let number = text.parse().ok().filter(|n| (min..=max).contains(n));
         number.ok_or_else(|| Problem::field(name, format!("a whole number from {min} to {max}")))
     }
 
-    /// The number of a controller, which is required.
+    /// The required parameter `controller`.
     pub(super) fn controller(&self) -> Result<u32, Problem> {
         let number = self.number("controller", 0, u64::from(u32::MAX), u64::MAX)?;
         u32::try_from(number).map_err(|_| Problem::field("controller", "the number of the controller"))
     }
 
-    /// The number of rows of a page.
+    /// The number of rows of a page, as the parameter `limit` says.
     pub(super) fn rows(&self) -> Result<usize, Problem> {
         Ok(self.number("limit", 1, MAX_PAGE_ROWS as u64, DEFAULT_PAGE_ROWS as u64)? as usize)
     }
 
-    /// Whether the change is only to be checked.
+    /// Whether the request is a dry run, which changes nothing.
     pub(super) fn dry_run(&self) -> Result<bool, Problem> {
         match self.text("dry_run") {
             None | Some("false") => Ok(false),
--- a/crates/admin/src/api/replication.rs
+++ b/crates/admin/src/api/replication.rs
@@ -1,4 +1,4 @@
-//! What followers request: the snapshot, and the changes after a revision, each with a lease.
+//! Requests of followers: the snapshot, and the changes after a revision. Both responses can grant a lease.
 
 use std::time::Duration;
 
@@ -11,21 +11,21 @@
 use super::limits::MAX_WATCH_WAIT_MS;
 use super::ports::{ChangeStore, ClockReading, ControllerState, Runtime, StoreIdentity};
 use super::query::Query;
-use super::responses::{internal, next, ready_json, serving};
+use super::responses::{check_serving, internal, next_cursor, ready_json};
 
-/// A controller that replicates the tenants.
+/// The controller that sent a replication request.
 struct Follower {
-    /// Its number, as its settings say.
+    /// The controller's number in its settings.
     number: u32,
-    /// Which of its incarnations.
+    /// The controller's incarnation; 0 if it reports none, as earlier versions do.
     incarnation: u64,
 }
 
 impl<S: ChangeStore> Api<S> {
-    /// The snapshot, and a lease on it.
+    /// Returns the snapshot. If a follower requests it, the response can include a lease on it.
     pub(super) fn read_snapshot(&self, query: &Query, runtime: &mut impl Runtime) -> Result<Answer, Problem> {
         let follower = record_follower(query, runtime)?;
-        serving(runtime)?;
+        check_serving(runtime)?;
         let StoreIdentity { name, epoch } = &self.identity;
         let lease = follower.and_then(|f| runtime.grant_lease(f.number, f.incarnation));
         let clock = clock_json(runtime, Duration::ZERO);
@@ -41,7 +41,8 @@
         ready_json(200, &body)
     }
 
-    /// Entries after a revision, and a lease where they are the last ones; waits for one where there is none.
+    /// Returns the entries after a revision. A follower gets a lease if it has the newest snapshot after that. If there are
+    /// no entries yet, the request waits for one, at most for the time that it states.
     pub(super) fn watch(
         &self,
         query: &Query,
@@ -53,10 +54,10 @@
         let wait = Duration::from_millis(query.number("wait_ms", 0, MAX_WATCH_WAIT_MS, 0)?);
         let follower = match held_for {
             None => record_follower(query, runtime)?,
-            // Its report counts as of when it came: recorded again, it would take back what was reported since.
+            // The state was recorded on arrival. Recording it again could overwrite a newer report of this follower.
             Some(_) => check_follower(query, runtime)?,
         };
-        serving(runtime)?;
+        check_serving(runtime)?;
         let epoch = query.number("epoch", 0, u64::MAX, self.identity.epoch)?;
         if query.text("store").is_some_and(|store| store != self.identity.name)
             || epoch != self.identity.epoch
@@ -72,12 +73,12 @@
             return Ok(Answer::Wait(wait));
         }
         let all = self.store.entries(after, rows, None).map_err(internal)?;
-        // A store that began from a snapshot does not have what came before it.
+        // A store that was filled from a snapshot may lack the changes before it.
         if all.first().is_some_and(|entry| entry.revision != after + 1) {
             return Err(Problem::new(410, "too-old", "changes so old are not kept: take the snapshot"));
         }
-        let next = next(&all, rows, |e| e.revision);
-        // A lease is on the newest snapshot: a follower that lacks a change gets none.
+        let next = next_cursor(&all, rows, |e| e.revision);
+        // A lease covers the newest snapshot only, so a follower that still lacks a change gets none.
         let complete = all.last().map_or(after, |entry| entry.revision) == self.snapshot.revision();
         let lease = follower.filter(|_| complete).and_then(|f| runtime.grant_lease(f.number, f.incarnation));
         let clock = clock_json(runtime, held_for.unwrap_or_default());
@@ -92,13 +93,13 @@
     }
 }
 
-/// What the administration's clock reads as the response leaves, and for how long the request was held.
+/// The current reading of the administration's clock, and how long the request was held, as JSON.
 fn clock_json(runtime: &impl Runtime, held: Duration) -> Value {
     let ClockReading { incarnation, at_ms } = runtime.read_clock();
     json!({ "by": incarnation, "at_ms": at_ms, "held_ms": held.as_millis() as u64 })
 }
 
-/// Which follower it is that asks; `None`: the request is no follower's.
+/// The follower that sent a request; `None` if the request names no controller.
 fn follower(query: &Query) -> Result<Option<Follower>, Problem> {
     if query.text("controller").is_none() {
         return Ok(None);
@@ -109,7 +110,7 @@
     Ok(Some(Follower { number, incarnation }))
 }
 
-/// The follower of a request that was held and whose state was recorded when it came: may it still be answered?
+/// The follower that sent a request whose state was recorded before. Fails if it was fenced or has ended since.
 fn check_follower(query: &Query, runtime: &impl Runtime) -> Result<Option<Follower>, Problem> {
     let follower = follower(query)?;
     if let Some(Follower { number, incarnation }) = follower {
@@ -118,19 +119,19 @@
     Ok(follower)
 }
 
-/// Records the state of a follower, which names its number; `None`: the request is no follower's.
+/// Records the state that a follower reports with its request; `None` if the request names no controller.
 fn record_follower(query: &Query, runtime: &mut impl Runtime) -> Result<Option<Follower>, Problem> {
     let Some(Follower { number, incarnation }) = follower(query)? else { return Ok(None) };
     let revision = query.number("after", 0, u64::MAX, 0)?;
-    // Earlier versions report no incarnation, and act on what they have.
-    let same = if incarnation == 0 { revision } else { 0 };
+    // Earlier versions report neither an incarnation nor `in_force`. They act on the revision that they have.
+    let default_in_force = if incarnation == 0 { revision } else { 0 };
     let state = ControllerState {
         store: query.text("store").unwrap_or("").to_owned(),
         epoch: query.number("epoch", 0, u64::MAX, 0)?,
         revision,
         checksum: query.number("sum", 0, u64::from(u32::MAX), 0)? as u32,
         incarnation,
-        in_force: query.number("in_force", 0, u64::MAX, same)?,
+        in_force: query.number("in_force", 0, u64::MAX, default_in_force)?,
         persisted: query.number("kept", 0, u64::MAX, 0)?,
         requires_lease: query.number("ends", 0, 1, 0)? == 1,
         stopped: query.number("ended", 0, 1, 0)? == 1,
--- a/crates/admin/src/api/responses.rs
+++ b/crates/admin/src/api/responses.rs
@@ -1,4 +1,4 @@
-//! Responses and problems that the operations share.
+//! Constructors of responses and problems that several operations use.
 
 use std::fmt::Display;
 
@@ -10,14 +10,14 @@
 
 use super::ports::Runtime;
 
-/// Content type of responses and of most bodies.
+/// The content type of responses and of most request bodies.
 pub(super) const JSON: &str = "application/json";
-/// Content type of a merge patch (RFC 7396).
+/// The content type of a merge patch (RFC 7396).
 pub(super) const MERGE_PATCH: &str = "application/merge-patch+json";
-/// Seconds after which a client may retry while the fleet has not agreed on a snapshot.
+/// The `Retry-After` of responses while the fleet has not agreed on a snapshot.
 const RECOVERY_RETRY_SECONDS: u64 = 1;
 
-/// A response, or the problem that is sent in its place.
+/// A response, or the problem that is sent instead.
 pub(super) type ApiResult = Result<Response, Problem>;
 
 /// A response with a JSON body.
@@ -26,14 +26,14 @@
     Ok(Response { status, content_type: JSON, headers: Vec::new(), body })
 }
 
-/// A response with a JSON body, to be sent now.
+/// An answer with a JSON body that is sent now.
 pub(super) fn ready_json(status: u16, body: &impl Serialize) -> Result<Answer, Problem> {
     json_response(status, body).map(Answer::Ready)
 }
 
-/// A response with a tenant and its ETag, to be sent now.
-pub(super) fn ready_tenant(status: u16, of: &Tenant) -> Result<Answer, Problem> {
-    tenant_response(status, of).map(Answer::Ready)
+/// An answer with a tenant and its ETag that is sent now.
+pub(super) fn ready_tenant(status: u16, tenant: &Tenant) -> Result<Answer, Problem> {
+    tenant_response(status, tenant).map(Answer::Ready)
 }
 
 /// A response with a tenant and its ETag.
@@ -51,20 +51,20 @@
     response
 }
 
-/// A fault on this side, with its cause.
+/// An internal error (status 500), with its cause.
 pub(super) fn internal(cause: impl Display) -> Problem {
     Problem::new(500, "internal", cause.to_string())
 }
 
-/// A problem while the fleet has not agreed on a snapshot: none is given, and none is changed.
-pub(super) fn serving(runtime: &impl Runtime) -> Result<(), Problem> {
+/// Fails while the fleet has not agreed on a snapshot, as no snapshot may be returned or changed until then.
+pub(super) fn check_serving(runtime: &impl Runtime) -> Result<(), Problem> {
     runtime.check_serving().map_err(|pending| Problem {
         retry_after: Some(RECOVERY_RETRY_SECONDS),
         ..Problem::new(503, "recovering", pending.to_string())
     })
 }
 
-/// The cursor of the next page: the key of the last row, where the page is full.
-pub(super) fn next<T, N>(page: &[T], rows: usize, key: impl Fn(&T) -> N) -> Option<N> {
+/// The cursor of the next page, which is the key of the last row. `None` if the page is not full and hence the last.
+pub(super) fn next_cursor<T, N>(page: &[T], rows: usize, key: impl Fn(&T) -> N) -> Option<N> {
     (page.len() == rows).then(|| page.last().map(key)).flatten()
 }
--- a/crates/admin/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -1,11 +1,11 @@
-//! The administration API as a function: from a request, the snapshot of the tenants and the state of the running
-//! controller to a response. No I/O, no clock.
+//! The administration API, without I/O or a clock: it computes the response to a request from the snapshot of the
+//! tenants and the state of the running controller.
 //!
-//! May know: the snapshot, roles, JSON, the semantics of HTTP (RFC 9110: ETag, If-Match; RFC 9457: problem details;
-//! RFC 7396: merge patch). Must not know: sockets, files, how keys are verified, calls.
+//! This crate implements the semantics of HTTP (RFC 9110: ETag and If-Match; RFC 9457: problem details; RFC 7396: merge
+//! patch). It must not depend on sockets, files, the verification of keys, or calls.
 //!
 //! * [`routes`]: the table of routes and their roles. [`api`]: the operations. [`problem`]: errors as problem details.
-//! * [`message`]: requests and responses. [`openapi`]: the OpenAPI document, made from the same table.
+//! * [`message`]: requests and responses. [`openapi`]: the OpenAPI document, generated from the same table.
 
 #![forbid(unsafe_code)]
 
--- a/crates/admin/src/message.rs
+++ b/crates/admin/src/message.rs
@@ -1,4 +1,4 @@
-//! Requests and responses as the API sees them.
+//! Requests and responses of the API.
 
 use std::time::Duration;
 
@@ -7,58 +7,58 @@
 /// The authenticated sender of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Caller {
-    /// The key's name.
+    /// The name of the API key.
     pub name: String,
-    /// Its role.
+    /// The role that the key grants.
     pub role: Role,
 }
 
-/// A request.
+/// An HTTP request, with the headers that the API uses.
 #[derive(Clone, Debug, Default)]
 pub struct Request<'a> {
-    /// The method.
+    /// The HTTP method, such as `GET`.
     pub method: &'a str,
-    /// Path and query.
+    /// The path, followed by `?` and the query if there is one.
     pub target: &'a str,
-    /// Content-Type, without parameters.
+    /// The Content-Type header, without parameters.
     pub content_type: Option<&'a str>,
-    /// If-Match.
+    /// The If-Match header.
     pub if_match: Option<&'a str>,
-    /// Idempotency-Key.
+    /// The Idempotency-Key header.
     pub idempotency_key: Option<&'a str>,
-    /// The body.
+    /// The body; empty if there is none.
     pub body: &'a [u8],
 }
 
-/// A response.
+/// An HTTP response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Response {
-    /// The status.
+    /// The HTTP status code.
     pub status: u16,
-    /// Content-Type.
+    /// The Content-Type header.
     pub content_type: &'static str,
-    /// Further headers.
+    /// All other headers, as names and values.
     pub headers: Vec<(&'static str, String)>,
-    /// The body.
+    /// The body, as JSON.
     pub body: String,
 }
 
-/// What became of a request.
+/// The result of handling a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// The response, to be sent now.
+    /// The response is to be sent now.
     Ready(Response),
-    /// A change was committed: the response is to be sent once enough others have the change and, where it restricts,
-    /// no controller acts on what was before.
+    /// A change was committed. The response is to be sent once enough other controllers have persisted the change and,
+    /// if the change is restrictive, once no controller acts on the state before it.
     Committed {
-        /// The response.
+        /// The response to be sent.
         response: Response,
         /// The revision of the change.
         revision: u64,
-        /// Whether the change takes a right or a share away.
+        /// Whether the change withdraws a right or a share from a tenant.
         restricts: bool,
     },
-    /// There is nothing new: the request is to be handed in again when the snapshot has changed, and at the latest
-    /// after this time.
+    /// There are no changes to return yet. The request is to be handled again when the snapshot has changed, or when this
+    /// time has passed since its arrival.
     Wait(Duration),
 }
--- a/crates/admin/src/openapi/mod.rs
+++ b/crates/admin/src/openapi/mod.rs
@@ -1,6 +1,7 @@
-//! The OpenAPI document, made from the table of routes; `docs/openapi.json` is its output, and a test compares them.
+//! The OpenAPI document, which is generated from the table of routes. A test checks that `docs/openapi.json` is equal
+//! to the generated document.
 //!
-//! Schemas are in a module for each subject: [`tenants`], [`fleet`], [`reports`]. [`builders`]: what they are built of.
+//! The schemas are grouped by subject: [`tenants`], [`fleet`], [`reports`]. [`builders`] has functions that they share.
 
 mod builders;
 mod fleet;
@@ -12,7 +13,7 @@
 use self::builders::{integer, reference, text};
 use crate::routes::{QueryParameter, ROUTES, Route};
 
-/// All named schemas.
+/// All named schemas, by name.
 fn schemas() -> Value {
     let subjects = [
         tenants::schemas(),
@@ -30,13 +31,13 @@
     Value::Object(all)
 }
 
-/// The schemas that belong to no subject.
+/// The schemas of the document itself and of problems.
 fn common_schemas() -> Value {
     json!({
         "Document": { "type": "object" },
         "Problem": { "type": "object", "required": ["type", "title", "status", "detail"], "properties": {
-            "type": text("/problems/ and a word for the kind"), "title": text("for people"), "status": integer("the HTTP status"),
-            "detail": text("what happened and what would do"), "field": text("the field that is wrong"),
+            "type": text("/problems/ followed by the kind of the problem"), "title": text("kind of the problem, for people"), "status": integer("HTTP status code"),
+            "detail": text("what happened, and how the request can be corrected"), "field": text("invalid field, header or parameter"),
         } },
     })
 }
@@ -54,16 +55,17 @@
         );
     }
     if route.conditional {
-        let description = "the tenant's ETag, or *; 412 where it was changed meanwhile, 428 without";
+        let description =
+            "the tenant's ETag, or *; 412 if the tenant was changed since, 428 if the header is missing";
         parameters.push(json!({ "name": "If-Match", "in": "header", "required": true, "description": description, "schema": { "type": "string" } }));
     }
     if route.id == "createTenant" {
         let description =
-            "a request that comes again under the same key is not done again and has the same answer";
+            "a request that is repeated with the same key is not executed again and gets the same response";
         parameters.push(json!({ "name": "Idempotency-Key", "in": "header", "description": description, "schema": { "type": "string", "maxLength": 128 } }));
     }
     let content = json!({ "application/json": { "schema": reference(route.response) } });
-    let problem = json!({ "description": "a problem", "content": { "application/problem+json": { "schema": reference("Problem") } } });
+    let problem = json!({ "description": "problem details", "content": { "application/problem+json": { "schema": reference("Problem") } } });
     let mut responses = Map::new();
     responses.insert(route.status.to_string(), json!({ "description": route.summary, "content": content }));
     responses.insert("default".to_owned(), problem);
--- a/crates/admin/src/problem.rs
+++ b/crates/admin/src/problem.rs
@@ -1,40 +1,40 @@
-//! Errors as problem details (RFC 9457).
+//! Error responses as problem details (RFC 9457).
 
 use nettleferry_tenancy::Denied;
 use serde_json::{Value, json};
 
 use crate::message::Response;
 
-/// Media type of a problem.
+/// The content type of problem details.
 pub const PROBLEM_JSON: &str = "application/problem+json";
 
-/// An error, for programs (`kind`, `status`, `field`) and for people (`detail`).
+/// An error response. Programs can rely on `kind`, `status` and `field`; `detail` is meant for people.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Problem {
-    /// The status.
+    /// The HTTP status code.
     pub status: u16,
-    /// A word for the kind; the `type` is `/problems/` and this.
+    /// The kind of the problem. The `type` member of the response is `/problems/` followed by the kind.
     pub kind: &'static str,
-    /// What happened and what would help.
+    /// What happened, and how the request can be corrected.
     pub detail: String,
-    /// The field that is wrong, where there is one.
+    /// The invalid field, header or parameter, if the problem is about one.
     pub field: Option<String>,
-    /// Seconds after which a retry may succeed (`Retry-After`).
+    /// Seconds after which a retry may succeed, sent as `Retry-After`.
     pub retry_after: Option<u64>,
 }
 
 impl Problem {
-    /// A problem without a field.
+    /// Creates a problem that is not about a field and has no retry time.
     pub fn new(status: u16, kind: &'static str, detail: impl Into<String>) -> Self {
         Self { status, kind, detail: detail.into(), field: None, retry_after: None }
     }
 
-    /// A problem of a field.
+    /// Creates a problem about an invalid field, with status 422.
     pub fn field(field: impl Into<String>, detail: impl Into<String>) -> Self {
         Self { field: Some(field.into()), ..Self::new(422, "unsound", detail) }
     }
 
-    /// As a response.
+    /// Encodes the problem as a response.
     pub fn response(&self) -> Response {
         let mut body = json!({
             "type": format!("/problems/{}", self.kind),
--- a/crates/admin/src/routes.rs
+++ b/crates/admin/src/routes.rs
@@ -1,23 +1,24 @@
-//! The table of routes and of the roles that may use them; requests are answered, and the document is made, from it.
+//! The table of routes, with the role that each requires. It determines how requests are dispatched and what the
+//! OpenAPI document contains.
 
 use serde::{Deserialize, Serialize};
 
-/// What a key's holder may do; each role includes those before it, apart from [`Role::Controller`].
+/// What the holder of an API key may do. Operators may do all that viewers may, and admins may do everything.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
-    /// A follower: reads the snapshot and the changes, and reports.
+    /// For followers: reads the snapshot and the changes, and sends reports.
     Controller,
-    /// Reads.
+    /// Reads everything.
     Viewer,
-    /// Suspends and resumes tenants, drains workers.
+    /// Also suspends and resumes tenants, drains workers, and fences controllers.
     Operator,
-    /// Everything.
+    /// Also creates, changes and removes tenants, and decides recoveries.
     Admin,
 }
 
 impl Role {
-    /// A role by its name.
+    /// The role of a name in the settings; `None` if there is none.
     pub fn named(name: &str) -> Option<Self> {
         Some(match name {
             "controller" => Self::Controller,
@@ -29,67 +30,67 @@
     }
 }
 
-/// What a request does.
+/// The operation that a route executes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Operation {
-    /// A page of tenants.
+    /// Lists tenants, in pages.
     ListTenants,
     /// Creates a tenant.
     CreateTenant,
-    /// One tenant.
+    /// Returns a tenant.
     ReadTenant,
     /// Changes a tenant by merge patch.
     ChangeTenant,
-    /// Removes a tenant after a grace.
+    /// Removes a tenant after a grace period.
     RemoveTenant,
     /// Rejects new calls of a tenant.
     SuspendTenant,
     /// Accepts calls of a suspended tenant again.
     ResumeTenant,
-    /// Usage of one tenant.
+    /// Returns the usage of a tenant.
     ReadUsage,
-    /// A page of the usage of all tenants.
+    /// Lists the usage of all tenants, in pages.
     ListUsage,
-    /// A page of the audit trail.
+    /// Lists the entries of the audit trail, in pages.
     ListAudit,
-    /// All workers.
+    /// Lists all workers.
     ListWorkers,
     /// Drains a worker by hand.
     DrainWorker,
-    /// Lets the worker list decide on a worker again.
+    /// Ends a drain by hand, so that the worker list decides again.
     UndrainWorker,
-    /// Controllers and their revisions.
+    /// Lists controllers and the revisions that they run.
     ListControllers,
-    /// Changes after a revision, as a long poll.
+    /// Returns the changes after a revision, as a long poll.
     Watch,
-    /// The snapshot of all tenants.
+    /// Returns the snapshot of all tenants.
     ReadSnapshot,
-    /// The state of the fleet.
+    /// Returns the state of the fleet.
     ReadFleet,
-    /// Decides which snapshot counts after a loss.
+    /// Decides which snapshot is authoritative after a loss.
     Recover,
     /// Fences the known incarnations of a controller.
     Fence,
-    /// Admits fenced incarnations again.
+    /// Admits fenced incarnations of a controller again.
     Admit,
-    /// How far a change has come.
+    /// Returns the progress of a change.
     ReadChange,
     /// Appends entries of a controller's audit log.
     AppendAuditEntries,
-    /// The collected audit logs.
+    /// Returns a list of the collected audit logs, or a page of one.
     ReadAuditLogs,
-    /// Lends shares of limits by reported demand.
+    /// Lends shares of limits according to reported demand.
     GrantLoans,
-    /// The OpenAPI document.
+    /// Returns the OpenAPI document.
     ReadDocument,
 }
 
 /// A query parameter of a route.
 #[derive(Clone, Copy, Debug)]
 pub struct QueryParameter {
-    /// Its name.
+    /// The parameter's name.
     pub name: &'static str,
-    /// What it means, for the document.
+    /// The parameter's description in the OpenAPI document.
     pub description: &'static str,
 }
 
@@ -97,43 +98,43 @@
     QueryParameter { name, description }
 }
 
-/// A route.
+/// A method and path of the API, with its properties.
 #[derive(Clone, Copy, Debug)]
 pub struct Route {
-    /// The method.
+    /// The HTTP method.
     pub method: &'static str,
-    /// The path, with `{name}` for a part.
+    /// The path, in which `{name}` stands for one variable segment.
     pub path: &'static str,
-    /// The least role that may use it.
+    /// The lowest role that may use the route.
     pub role: Role,
-    /// What it does.
+    /// The operation that the route executes.
     pub operation: Operation,
-    /// Its name in the document.
+    /// The `operationId` in the OpenAPI document.
     pub id: &'static str,
-    /// A summary for the document.
+    /// The summary in the OpenAPI document.
     pub summary: &'static str,
-    /// Its query parameters.
+    /// The query parameters that the route accepts.
     pub query: &'static [QueryParameter],
-    /// Whether it requires If-Match.
+    /// Whether requests must have an If-Match header.
     pub conditional: bool,
-    /// The schema of its body, where it has one.
+    /// The schema of the request's body, if there is one.
     pub body: Option<&'static str>,
-    /// The schema of its response.
+    /// The schema of a successful response.
     pub response: &'static str,
-    /// The status of success.
+    /// The status code of a successful response.
     pub status: u16,
 }
 
 const PAGE: &[QueryParameter] = &[
-    parameter("after", "names after this one; the `next` of the page before"),
-    parameter("limit", "at most so many, 1 to 1000"),
+    parameter("after", "return names after this one: the `next` of the previous page"),
+    parameter("limit", "maximum number of rows, 1 to 1000"),
 ];
 const CONTROLLER_STATE: &[QueryParameter] = &[
-    parameter("controller", "its number, where a controller asks"),
-    parameter("store", "of the book that it holds"),
-    parameter("epoch", "of that store"),
-    parameter("after", "the revision of that book"),
-    parameter("sum", "its checksum"),
+    parameter("controller", "number of the controller, if a controller sends the request"),
+    parameter("store", "name of the store that the controller's snapshot is of"),
+    parameter("epoch", "epoch of that store"),
+    parameter("after", "revision of the controller's snapshot"),
+    parameter("sum", "CRC-32 of the controller's snapshot"),
     INCARNATION,
     IN_FORCE,
     DURABLE,
@@ -142,15 +143,16 @@
 ];
 const INCARNATION: QueryParameter = parameter(
     "life",
-    "the controller's life, chosen by chance at its start; 0 or not told: an earlier version",
+    "incarnation of the controller, a random number chosen at its start; 0 or absent: an earlier version",
 );
-const IN_FORCE: QueryParameter = parameter("in_force", "the revision that the thread of its calls acts on");
-const DURABLE: QueryParameter = parameter("kept", "the revision that is synced to its disk");
-const STOPS_WITHOUT_LEASE: QueryParameter = parameter("ends", "1: it takes no call without a lease");
+const IN_FORCE: QueryParameter = parameter("in_force", "revision that the controller's call thread acts on");
+const DURABLE: QueryParameter = parameter("kept", "revision that is synced to the controller's disk");
+const STOPS_WITHOUT_LEASE: QueryParameter =
+    parameter("ends", "1: the controller accepts no calls without a lease");
 const STOPPED: QueryParameter =
-    parameter("ended", "1: it has heard that it is shut out, and takes no call any more");
-const CONTROLLER_NUMBER: QueryParameter = parameter("controller", "the number of the controller");
-const DRY_RUN: QueryParameter = parameter("dry_run", "true: the answer as it would be; nothing is changed");
+    parameter("ended", "1: the controller knows that it is fenced and has stopped accepting calls");
+const CONTROLLER_NUMBER: QueryParameter = parameter("controller", "number of the controller");
+const DRY_RUN: QueryParameter = parameter("dry_run", "true: return the result without changing anything");
 
 macro_rules! route {
     ($method:literal $path:literal $role:ident $operation:ident $id:literal $summary:literal, $status:literal $response:literal $(, $field:ident: $value:expr)*) => {
@@ -161,32 +163,32 @@
     };
 }
 
-/// All routes.
+/// All routes of the API.
 pub const ROUTES: &[Route] = &[
-    route!("GET" "/v1/tenants" Viewer ListTenants "listTenants" "Tenants by name, in pages", 200 "TenantPage", query: PAGE),
+    route!("GET" "/v1/tenants" Viewer ListTenants "listTenants" "List tenants by name, in pages", 200 "TenantPage", query: PAGE),
     route!("POST" "/v1/tenants" Admin CreateTenant "createTenant" "Create a tenant", 201 "Tenant", body: Some("NewTenant"), query: &[DRY_RUN]),
-    route!("GET" "/v1/tenants/{name}" Viewer ReadTenant "readTenant" "A tenant", 200 "Tenant"),
+    route!("GET" "/v1/tenants/{name}" Viewer ReadTenant "readTenant" "Read a tenant", 200 "Tenant"),
     route!("PATCH" "/v1/tenants/{name}" Admin ChangeTenant "changeTenant" "Change a tenant by merge patch", 200 "Tenant", conditional: true, body: Some("TenantPatch"), query: &[DRY_RUN]),
-    route!("DELETE" "/v1/tenants/{name}" Admin RemoveTenant "removeTenant" "Remove a tenant; open calls have the grace", 202 "Tenant", conditional: true, query: &[parameter("grace_ms", "open calls may go on so long, 0 to 3600000; 10000 where not told"), DRY_RUN]),
-    route!("POST" "/v1/tenants/{name}/suspend" Operator SuspendTenant "suspendTenant" "Turn its new calls away; open ones go on", 200 "Tenant", conditional: true, query: &[DRY_RUN]),
-    route!("POST" "/v1/tenants/{name}/resume" Operator ResumeTenant "resumeTenant" "Take its calls again", 200 "Tenant", conditional: true, query: &[DRY_RUN]),
-    route!("GET" "/v1/tenants/{name}/usage" Viewer ReadUsage "readUsage" "Its calls in hand and counts, at this controller", 200 "Usage"),
-    route!("GET" "/v1/usage" Viewer ListUsage "listUsage" "The same of all tenants, in pages", 200 "UsagePage", query: PAGE),
-    route!("GET" "/v1/audit" Viewer ListAudit "listAudit" "Who changed what, in order", 200 "AuditPage", query: &[parameter("after", "entries after this revision"), parameter("limit", "at most so many, 1 to 1000"), parameter("tenant", "of this tenant alone")]),
-    route!("GET" "/v1/workers" Viewer ListWorkers "listWorkers" "Workers as the controller has them", 200 "WorkerPage"),
-    route!("POST" "/v1/workers/{name}/drain" Operator DrainWorker "drainWorker" "Nothing new to it from this controller, whatever the list says", 200 "Worker"),
-    route!("POST" "/v1/workers/{name}/undrain" Operator UndrainWorker "undrainWorker" "What the list says of it holds again", 200 "Worker"),
-    route!("GET" "/v1/controllers" Viewer ListControllers "listControllers" "Which revision each controller runs", 200 "ControllerPage"),
-    route!("GET" "/v1/watch" Controller Watch "watch" "Changes after a revision; waits for one (long poll)", 200 "AuditPage", query: &[parameter("after", "changes after this revision"), parameter("limit", "at most so many, 1 to 1000"), parameter("wait_ms", "wait so long for the first, 0 to 60000"), parameter("store", "the store that the revision is of; 410 where this is another"), parameter("epoch", "the store's epoch; 410 where this is another"), parameter("sum", "the checksum of the book that it holds"), parameter("controller", "its number, where a controller asks: it holds the revision it asks after"), INCARNATION, IN_FORCE, DURABLE, STOPS_WITHOUT_LEASE, STOPPED]),
-    route!("GET" "/v1/snapshot" Controller ReadSnapshot "readSnapshot" "All tenants with their revision; 503 while it is open which book stands", 200 "Snapshot", query: CONTROLLER_STATE),
-    route!("GET" "/v1/fleet" Viewer ReadFleet "readFleet" "Which book and step each controller is in, and why one waits", 200 "Fleet"),
-    route!("POST" "/v1/fleet/recover" Admin Recover "recoverFleet" "Decide which book stands after a loss; shows the difference", 200 "Recovery", query: &[parameter("take", "own, or the number of the controller whose book is to stand"), DRY_RUN]),
-    route!("POST" "/v1/fleet/fence" Operator Fence "fenceController" "Shut out the lives of a controller that are known: they get no lease", 200 "Fence", query: &[CONTROLLER_NUMBER]),
-    route!("POST" "/v1/fleet/admit" Operator Admit "admitController" "Let them in again, where they have not heard of it", 200 "Fence", query: &[CONTROLLER_NUMBER]),
-    route!("GET" "/v1/fleet/change" Viewer ReadChange "readChange" "How far a change is: how many disks hold it, who may still act without it", 200 "Progress", query: &[parameter("revision", "the change; the last one where not told")]),
-    route!("POST" "/v1/fleet/records" Controller AppendAuditEntries "deliverRecords" "Lines of a controller's record, in order", 200 "Delivered", body: Some("Lines"), query: &[CONTROLLER_NUMBER]),
-    route!("GET" "/v1/fleet/records" Viewer ReadAuditLogs "readRecords" "Whose records were delivered, or a page of one", 200 "Records", query: &[parameter("of", "a controller's number, or administration; not told: whose there are"), parameter("from", "the place of the first line; the `next` of the page before"), parameter("limit", "at most so many, 1 to 1000")]),
-    route!("POST" "/v1/fleet/loans" Controller GrantLoans "reportDemand" "What a controller could use of limits, and what it may", 200 "Loans", body: Some("Demands"), query: &[CONTROLLER_NUMBER, INCARNATION]),
+    route!("DELETE" "/v1/tenants/{name}" Admin RemoveTenant "removeTenant" "Remove a tenant after a grace period for its open calls", 202 "Tenant", conditional: true, query: &[parameter("grace_ms", "grace period of open calls in milliseconds, 0 to 3600000; default 10000"), DRY_RUN]),
+    route!("POST" "/v1/tenants/{name}/suspend" Operator SuspendTenant "suspendTenant" "Reject new calls of a tenant; open calls continue", 200 "Tenant", conditional: true, query: &[DRY_RUN]),
+    route!("POST" "/v1/tenants/{name}/resume" Operator ResumeTenant "resumeTenant" "Accept calls of a suspended tenant again", 200 "Tenant", conditional: true, query: &[DRY_RUN]),
+    route!("GET" "/v1/tenants/{name}/usage" Viewer ReadUsage "readUsage" "Open calls and call counts of a tenant at this controller", 200 "Usage"),
+    route!("GET" "/v1/usage" Viewer ListUsage "listUsage" "List the usage of all tenants by name, in pages", 200 "UsagePage", query: PAGE),
+    route!("GET" "/v1/audit" Viewer ListAudit "listAudit" "List the audit trail of tenant changes, in order", 200 "AuditPage", query: &[parameter("after", "return entries after this revision"), parameter("limit", "maximum number of entries, 1 to 1000"), parameter("tenant", "return entries of this tenant only")]),
+    route!("GET" "/v1/workers" Viewer ListWorkers "listWorkers" "List the workers that the controller knows", 200 "WorkerPage"),
+    route!("POST" "/v1/workers/{name}/drain" Operator DrainWorker "drainWorker" "Assign nothing new from this controller to a worker, whatever the worker list says", 200 "Worker"),
+    route!("POST" "/v1/workers/{name}/undrain" Operator UndrainWorker "undrainWorker" "End a drain by hand, so that the worker list decides again", 200 "Worker"),
+    route!("GET" "/v1/controllers" Viewer ListControllers "listControllers" "List controllers and the revision that each runs", 200 "ControllerPage"),
+    route!("GET" "/v1/watch" Controller Watch "watch" "Changes after a revision; waits for one (long poll)", 200 "AuditPage", query: &[parameter("after", "return changes after this revision"), parameter("limit", "maximum number of changes, 1 to 1000"), parameter("wait_ms", "maximum time to wait for a change in milliseconds, 0 to 60000"), parameter("store", "name of the store that the revision belongs to; 410 if this is another store"), parameter("epoch", "epoch of that store; 410 if this store has another epoch"), parameter("sum", "CRC-32 of the controller's snapshot"), parameter("controller", "number of the controller, if a controller sends the request; its snapshot is at the revision `after`"), INCARNATION, IN_FORCE, DURABLE, STOPS_WITHOUT_LEASE, STOPPED]),
+    route!("GET" "/v1/snapshot" Controller ReadSnapshot "readSnapshot" "All tenants with their revision; 503 while the fleet has not agreed on a snapshot", 200 "Snapshot", query: CONTROLLER_STATE),
+    route!("GET" "/v1/fleet" Viewer ReadFleet "readFleet" "Snapshot version of each controller, and why the fleet waits for a recovery", 200 "Fleet"),
+    route!("POST" "/v1/fleet/recover" Admin Recover "recoverFleet" "Decide which snapshot is authoritative after a loss; returns the differences", 200 "Recovery", query: &[parameter("take", "own, or the number of the controller whose snapshot is to be authoritative"), DRY_RUN]),
+    route!("POST" "/v1/fleet/fence" Operator Fence "fenceController" "Fence the known incarnations of a controller: they get no lease", 200 "Fence", query: &[CONTROLLER_NUMBER]),
+    route!("POST" "/v1/fleet/admit" Operator Admit "admitController" "Admit fenced incarnations of a controller again, unless they know of the fence already", 200 "Fence", query: &[CONTROLLER_NUMBER]),
+    route!("GET" "/v1/fleet/change" Viewer ReadChange "readChange" "Progress of a change: how many controllers have persisted it, and which may still act without it", 200 "Progress", query: &[parameter("revision", "revision of the change; default: the last one")]),
+    route!("POST" "/v1/fleet/records" Controller AppendAuditEntries "deliverRecords" "Append lines to the collected audit log of a controller, in order", 200 "Delivered", body: Some("Lines"), query: &[CONTROLLER_NUMBER]),
+    route!("GET" "/v1/fleet/records" Viewer ReadAuditLogs "readRecords" "List the collected audit logs, or read a page of one", 200 "Records", query: &[parameter("of", "owner of the log: a controller's number, or administration; absent: list all logs"), parameter("from", "index of the first line: the `next` of the previous page"), parameter("limit", "maximum number of lines, 1 to 1000")]),
+    route!("POST" "/v1/fleet/loans" Controller GrantLoans "reportDemand" "Report a controller's demand of limits; returns its loans", 200 "Loans", body: Some("Demands"), query: &[CONTROLLER_NUMBER, INCARNATION]),
     route!("GET" "/v1/openapi.json" Viewer ReadDocument "readDocument" "This document", 200 "Document"),
 ];
 
@@ -195,17 +197,17 @@
 pub enum RouteMatch<'a> {
     /// A route, and the part of the path that stands for `{name}`.
     Route(&'static Route, &'a str),
-    /// The path exists, for these methods only.
+    /// The path exists, but only with these methods.
     OtherMethods(Vec<&'static str>),
-    /// There is no such path.
+    /// No route has this path.
     NoSuchPath,
 }
 
-/// Finds a route.
+/// Finds the route of a method and a path.
 pub fn find<'a>(method: &str, path: &'a str) -> RouteMatch<'a> {
     let mut methods = Vec::new();
     for route in ROUTES {
-        let Some(name) = matches(route.path, path) else { continue };
+        let Some(name) = match_path(route.path, path) else { continue };
         if route.method == method {
             return RouteMatch::Route(route, name);
         }
@@ -214,8 +216,9 @@
     if methods.is_empty() { RouteMatch::NoSuchPath } else { RouteMatch::OtherMethods(methods) }
 }
 
-/// The part of a path that stands for `{name}`; empty where the template has none.
-fn matches<'a>(template: &str, path: &'a str) -> Option<&'a str> {
+/// The part of a path that stands for `{name}`, which is empty if the template has no `{name}`. `None` if the path does
+/// not match the template.
+fn match_path<'a>(template: &str, path: &'a str) -> Option<&'a str> {
     let Some((before, after)) = template.split_once("{name}") else {
         return (template == path).then_some("");
     };
--- a/crates/admin/tests/api.rs
+++ b/crates/admin/tests/api.rs
@@ -1,4 +1,4 @@
-//! The API over a store in memory.
+//! The API with a store in memory and a simulated controller.
 
 use std::time::Duration;
 
@@ -50,7 +50,7 @@
 struct TestRuntime {
     drained: bool,
     states: Vec<(u32, Revision)>,
-    /// Why no snapshot is given.
+    /// Why no snapshot is returned, if recovery is pending.
     pending: Option<RecoveryPending>,
     fenced: bool,
 }
@@ -86,7 +86,7 @@
     }
 
     fn check_member(&self, _: u32, _: u64) -> Result<(), Problem> {
-        if self.fenced { Err(Problem::new(403, "fenced", "it was shut out")) } else { Ok(()) }
+        if self.fenced { Err(Problem::new(403, "fenced", "the incarnation is fenced")) } else { Ok(()) }
     }
 
     fn grant_lease(&mut self, controller: u32, incarnation: u64) -> Option<LeaseGrant> {
@@ -116,8 +116,8 @@
         Ok(entries.len() as u64)
     }
 
-    fn audit_logs(&self, of: Option<&str>, from: u64, _: usize) -> Result<Value, Problem> {
-        Ok(json!({ "by": 77, "of": of, "from": from }))
+    fn audit_logs(&self, owner: Option<&str>, from: u64, _: usize) -> Result<Value, Problem> {
+        Ok(json!({ "by": 77, "of": owner, "from": from }))
     }
 
     fn change_progress(&self, revision: Revision) -> Value {
@@ -132,17 +132,17 @@
         json!({ "controllers": [] })
     }
 
-    fn recover(&mut self, _: &TenantSnapshot, take: &str, _: bool) -> Result<Value, Problem> {
-        Ok(json!({ "take": take }))
+    fn recover(&mut self, _: &TenantSnapshot, choice: &str, _: bool) -> Result<Value, Problem> {
+        Ok(json!({ "take": choice }))
     }
 }
 
-/// The store that the API under test is over.
+/// The identity of the store under test.
 fn test_store() -> StoreIdentity {
     StoreIdentity { name: "s1".to_owned(), epoch: 1 }
 }
 
-/// The API with what it needs, and the role of the caller.
+/// The API under test, the simulated controller, and the role of the caller.
 struct Fixture {
     api: Api<MemoryStore>,
     runtime: TestRuntime,
@@ -215,8 +215,8 @@
 #[test]
 fn tenant_is_created_changed_suspended_and_removed_under_conditions() {
     let mut fixture = Fixture::new();
-    let made = fixture.create(json!({"name": "a", "limits": {"open_calls": 5}}), None);
-    assert_eq!((made.status, header(&made, "ETag")), (201, Some("\"1\"")));
+    let created = fixture.create(json!({"name": "a", "limits": {"open_calls": 5}}), None);
+    assert_eq!((created.status, header(&created, "ETag")), (201, Some("\"1\"")));
     assert_eq!(fixture.create(json!({"name": "a"}), None).status, 409);
     assert_eq!(fixture.patch("a", None, "{}").status, 428);
     assert_eq!(fixture.patch("a", Some("\"9\""), "{}").status, 412);
@@ -232,13 +232,13 @@
     assert_eq!(fixture.post("/v1/tenants/a/suspend", Some("*")).1["state"], "suspended");
     assert_eq!(fixture.post("/v1/tenants/a/resume?dry_run=true", Some("*")).1["state"], "active");
     assert_eq!(fixture.get("/v1/tenants/a").1["state"], "suspended", "nothing was changed");
-    let gone = fixture.respond(Request {
+    let removed = fixture.respond(Request {
         method: "DELETE",
         target: "/v1/tenants/a?grace_ms=500",
         if_match: Some("*"),
         ..Request::default()
     });
-    assert_eq!((gone.status, read(&gone).1["gone_at_ms"].clone()), (202, json!(1_500)));
+    assert_eq!((removed.status, read(&removed).1["gone_at_ms"].clone()), (202, json!(1_500)));
     assert_eq!((fixture.api.remove_expired(1_499).len(), fixture.api.remove_expired(1_500).len()), (0, 1));
     assert_eq!(fixture.get("/v1/tenants/a").0, 404);
     let audit = fixture.get("/v1/audit?tenant=a").1;
@@ -269,9 +269,9 @@
         (fixture.patch("a", Some("*"), r#"{"models":["a*b"]}"#), 422, "models[0]"),
     ];
     for (response, status, field) in cases {
-        let (got, problem) = read(&response);
+        let (actual, problem) = read(&response);
         assert_eq!(
-            (got, response.content_type, problem["field"].as_str()),
+            (actual, response.content_type, problem["field"].as_str()),
             (status, "application/problem+json", Some(field)),
             "{problem}"
         );
@@ -284,15 +284,16 @@
         "no such query parameter; known here: after, limit"
     );
     assert_eq!(fixture.get("/v1/nothing").0, 404);
-    let wrong = fixture.respond(Request { method: "PUT", target: "/v1/tenants/a", ..Request::default() });
-    assert_eq!((wrong.status, header(&wrong, "Allow")), (405, Some("GET, PATCH, DELETE")));
-    let kind = fixture.respond(Request {
+    let wrong_method =
+        fixture.respond(Request { method: "PUT", target: "/v1/tenants/a", ..Request::default() });
+    assert_eq!((wrong_method.status, header(&wrong_method, "Allow")), (405, Some("GET, PATCH, DELETE")));
+    let wrong_content_type = fixture.respond(Request {
         method: "POST",
         target: "/v1/tenants",
         content_type: Some("text/xml"),
         ..Request::default()
     });
-    assert_eq!(kind.status, 415);
+    assert_eq!(wrong_content_type.status, 415);
 }
 
 #[test]
@@ -326,28 +327,34 @@
     );
     let (status, problem) = read(&fixture.create(json!({"name": "a"}), None));
     assert!(status == 503 && problem["detail"].as_str().is_some_and(|d| d.contains("damaged")), "{problem}");
-    assert_eq!(fixture.get("/v1/tenants").0, 200, "reading goes on");
+    assert_eq!(fixture.get("/v1/tenants").0, 200, "a read-only store can be read");
 }
 
 #[test]
 fn roles_limit_operations() {
     let mut fixture = Fixture::new();
     fixture.create(json!({"name": "a"}), None);
-    let mut may = |role, method: &str, target: &str| {
+    let mut is_allowed = |role, method: &str, target: &str| {
         fixture.role = role;
         fixture.respond(Request { method, target, if_match: Some("*"), ..Request::default() }).status != 403
     };
-    assert!(may(Role::Viewer, "GET", "/v1/tenants") && !may(Role::Viewer, "POST", "/v1/tenants/a/suspend"));
     assert!(
-        may(Role::Operator, "POST", "/v1/tenants/a/suspend")
-            && !may(Role::Operator, "DELETE", "/v1/tenants/a")
+        is_allowed(Role::Viewer, "GET", "/v1/tenants")
+            && !is_allowed(Role::Viewer, "POST", "/v1/tenants/a/suspend")
     );
     assert!(
-        may(Role::Operator, "POST", "/v1/workers/w1/drain")
-            && !may(Role::Viewer, "POST", "/v1/workers/w1/drain")
+        is_allowed(Role::Operator, "POST", "/v1/tenants/a/suspend")
+            && !is_allowed(Role::Operator, "DELETE", "/v1/tenants/a")
     );
-    assert!(may(Role::Controller, "GET", "/v1/snapshot") && !may(Role::Controller, "GET", "/v1/tenants"));
-    assert!(may(Role::Admin, "DELETE", "/v1/tenants/a"));
+    assert!(
+        is_allowed(Role::Operator, "POST", "/v1/workers/w1/drain")
+            && !is_allowed(Role::Viewer, "POST", "/v1/workers/w1/drain")
+    );
+    assert!(
+        is_allowed(Role::Controller, "GET", "/v1/snapshot")
+            && !is_allowed(Role::Controller, "GET", "/v1/tenants")
+    );
+    assert!(is_allowed(Role::Admin, "DELETE", "/v1/tenants/a"));
 }
 
 #[test]
@@ -361,7 +368,7 @@
         Answer::Wait(Duration::from_secs(5))
     );
     assert_eq!(fixture.runtime.states, [(7, 2)]);
-    // Held and judged again, it reports nothing again; what became of its incarnation meanwhile counts.
+    // A held request does not record its state again, but it fails if its incarnation was fenced meanwhile.
     let again = || watch("/v1/watch?after=2&wait_ms=5000&controller=7");
     assert_eq!(fixture.send(again(), Some(Duration::from_secs(1))), Answer::Wait(Duration::from_secs(5)));
     assert_eq!(fixture.runtime.states, [(7, 2)]);
@@ -372,7 +379,7 @@
     let Answer::Ready(empty) =
         fixture.send(watch("/v1/watch?after=2&wait_ms=5000"), Some(Duration::from_secs(5)))
     else {
-        panic!("over")
+        panic!("the wait is over")
     };
     assert_eq!(read(&empty).1["entries"], json!([]));
     assert_eq!(fixture.get("/v1/watch?after=9").0, 409);
@@ -413,10 +420,10 @@
     if std::env::var_os("NETTLEFERRY_WRITE_DOCS").is_some() {
         std::fs::write(&file, &text).expect("written");
     }
-    let there = std::fs::read_to_string(&file).expect("docs/openapi.json");
+    let committed = std::fs::read_to_string(&file).expect("docs/openapi.json");
     assert!(
-        there == text,
-        "docs/openapi.json is not the code's: run this test with NETTLEFERRY_WRITE_DOCS=1"
+        committed == text,
+        "docs/openapi.json differs from the generated document: run this test with NETTLEFERRY_WRITE_DOCS=1"
     );
 }
 
--- a/crates/tenant-store/src/lib.rs
+++ b/crates/tenant-store/src/lib.rs
@@ -1,12 +1,11 @@
 //! Persistent storage of tenants and their audit trail in a redb database. Each change is one durable transaction.
 //!
-//! This crate depends on snapshots, audit entries and one file. It must not depend on HTTP, on who requests a change, or
-//! on calls. `nettleferry-tenancy` decides what a change does; this crate stores it completely or not at all.
+//! This crate stores what `nettleferry-tenancy` decides: a change is stored completely or not at all. It must not
+//! depend on HTTP, on calls, or on who requests a change.
 //!
 //! * [`store`]: the store itself: opening, commits, and recovery after an I/O failure. [`schema`]: the tables.
 //!   `migration`, `reader` and `writer`: the operations on the tables.
-//! * [`checksummed`]: the encoding of values with a checksum, which detects flipped bytes. [`origin`]: the identity of a
-//!   store.
+//! * [`checksummed`]: the encoding of values with a checksum. [`origin`]: the identity of a store.
 //! * [`snapshot`]: the whole store as a text file, which replaces the previous one atomically. [`error`]: the errors.
 //!
 //! A change is durable once [`Store::commit`] has returned. If the process dies before that, the change is stored
--- a/crates/tenant-store/tests/crash.rs
+++ b/crates/tenant-store/tests/crash.rs
@@ -1,5 +1,5 @@
-//! Crash safety of the store. The disk fails at every operation of a change in turn: after reopening, the change must be
-//! either complete or absent, and an acknowledged change must always be present.
+//! Crash safety of the store. The disk fails at every operation of a change in turn. After reopening, the change must
+//! be either complete or absent, and an acknowledged change must always be present.
 
 use std::io;
 use std::sync::{Arc, Mutex};
--- a/crates/wal/src/lib.rs
+++ b/crates/wal/src/lib.rs
@@ -7,9 +7,9 @@
 //! * [`storage`]: the file operations; [`DirectoryStorage`] for a directory, [`MemoryStorage`] for tests.
 //! * [`wal`]: the log itself: segments, acknowledgements, recovery and the size limit.
 //!
-//! A record is durable once [`WriteAheadLog::sync`] has returned after its [`WriteAheadLog::append`]. The same holds for
-//! acknowledgements: after a crash, a record whose acknowledgement was not synced may be recovered again, with the same
-//! bytes.
+//! A record is durable once [`WriteAheadLog::sync`] has returned after its [`WriteAheadLog::append`]. The same holds
+//! for acknowledgements: after a crash, a record whose acknowledgement was not synced may be recovered again, with the
+//! same bytes.
 
 #![forbid(unsafe_code)]
 
