--- a/crates/admin/src/api/ports.rs
+++ b/crates/admin/src/api/ports.rs
@@ -159,8 +159,8 @@
     fn usage(&self, tenant: &Tenant) -> Usage;
     /// All workers that the controller knows, by name.
     fn workers(&self) -> Vec<Worker>;
-    /// Drains a worker by hand, or ends that so that the worker list decides again. Returns false if there is no worker
-    /// of this name.
+    /// Drains a worker by hand, or ends such a drain so that the worker list decides again. Returns false if there is no
+    /// worker of this name.
     fn set_drained(&mut self, worker: &str, drained: bool) -> bool;
     /// All known controllers, by number.
     fn controllers(&self) -> Vec<ControllerRevision>;
--- a/crates/admin/src/api/reads.rs
+++ b/crates/admin/src/api/reads.rs
@@ -77,7 +77,7 @@
         ready_json(200, &runtime.recover(&self.snapshot, choice, query.dry_run()?)?)
     }
 
-    /// Drains a worker by hand, or ends that so that the worker list decides again.
+    /// Drains a worker by hand, or ends such a drain so that the worker list decides again.
     pub(super) fn set_drained(
         &self,
         name: &str,
