--- a/crates/gateway/src/commands/soak.rs
+++ b/crates/gateway/src/commands/soak.rs
@@ -146,7 +146,7 @@
     );
     for finding in report.findings.iter().take(MAX_PRINTED) {
         println!("  {finding}");
-        for line in report.story(finding) {
+        for line in report.timeline(finding) {
             println!("    {line}");
         }
     }
--- a/crates/gateway/tests/soak.rs
+++ b/crates/gateway/tests/soak.rs
@@ -18,7 +18,7 @@
     let plan = Plan::draw_with(seed, Size::SMALL, faults, extras);
     let report = play(plan, Path::new(PROGRAM), dir.path()).expect("it is played");
     let found: Vec<_> =
-        report.findings.iter().map(|f| format!("{f}\n{}", report.story(f).join("\n"))).collect();
+        report.findings.iter().map(|f| format!("{f}\n{}", report.timeline(f).join("\n"))).collect();
     assert!(found.is_empty(), "seed {seed}, faults {faults}, {:?}:\n{}", report.ends, found.join("\n"));
     assert!(report.attempts > 0, "calls were sent: {:?}", report.ends);
 }
--- a/crates/soak/src/audit.rs
+++ b/crates/soak/src/audit.rs
@@ -105,7 +105,7 @@
     /// How long its client waits.
     pub ttl: Duration,
     /// When its client cancelled it or closed its connection.
-    pub left: Option<Interval>,
+    pub client_left: Option<Interval>,
     /// How it ended, and when.
     pub end: Option<(End, Moment)>,
     /// Final answers that arrived.
@@ -116,7 +116,7 @@
 
 /// A worker in the list, from one event on.
 #[derive(Clone, Debug)]
-pub struct Listed {
+pub struct ListEvent {
     /// Number of the event.
     pub serial: u32,
     /// The worker's number.
@@ -183,7 +183,7 @@
     calls: BTreeMap<u64, Call>,
     /// What no client asked for.
     strangers: Vec<(u64, usize)>,
-    events: Vec<Listed>,
+    events: Vec<ListEvent>,
     sent_lists: Vec<SentList>,
     starts: Vec<WorkerStart>,
     incidents: Vec<Incident>,
@@ -205,7 +205,7 @@
     /// Ids that arrived at a worker and that no client had sent.
     pub strangers: Vec<(u64, usize)>,
     /// Changes of the list.
-    pub events: Vec<Listed>,
+    pub events: Vec<ListEvent>,
     /// Lists that controllers were sent: the first of each serial.
     pub sent_lists: Vec<SentList>,
     /// Starts of workers.
@@ -252,7 +252,7 @@
             controller,
             sent: Interval::at(now),
             ttl,
-            left: None,
+            client_left: None,
             end: None,
             answers: 0,
             attempts: Vec::new(),
@@ -261,19 +261,19 @@
     }
 
     /// The last byte of a call is with the system.
-    pub fn sent(&self, id: u64) {
+    pub fn request_sent(&self, id: u64) {
         let now = self.now();
         self.call(id, |call| call.sent.latest = now);
     }
 
     /// Its client has cancelled it or closed its connection, after the moment `earliest`.
-    pub fn left(&self, id: u64, earliest: Moment) {
+    pub fn client_left(&self, id: u64, earliest: Moment) {
         let latest = self.now();
-        self.call(id, |call| call.left = Some(Interval { earliest, latest }));
+        self.call(id, |call| call.client_left = Some(Interval { earliest, latest }));
     }
 
     /// Its final answer arrived, or none will.
-    pub fn ended(&self, id: u64, end: End) {
+    pub fn call_ended(&self, id: u64, end: End) {
         let now = self.now();
         self.call(id, |call| {
             let answer = matches!(end, End::Served | End::Altered | End::Refused | End::Failed);
@@ -300,12 +300,12 @@
     }
 
     /// A worker runs a call.
-    pub fn ran(&self, id: u64, worker: usize) {
+    pub fn attempt_ran(&self, id: u64, worker: usize) {
         self.attempt(id, worker, |attempt| attempt.ran = true);
     }
 
     /// An attempt was cancelled, or lost its connection: by the kernel's timestamp, else now.
-    pub fn withdrawn(&self, id: u64, at: ConnectionId, timestamp: Option<KernelTime>) {
+    pub fn attempt_withdrawn(&self, id: u64, at: ConnectionId, timestamp: Option<KernelTime>) {
         let ConnectionId { worker, connection } = at;
         let now = self.timestamped(Moment::ZERO, timestamp).latest;
         self.call(id, |call| {
@@ -317,13 +317,13 @@
     }
 
     /// A worker's newest attempt of a call was answered.
-    pub fn over(&self, id: u64, worker: usize) {
+    pub fn attempt_answered(&self, id: u64, worker: usize) {
         let now = self.now();
         self.attempt(id, worker, |attempt| attempt.over = attempt.over.or(Some(now)));
     }
 
     /// The list changed.
-    pub fn listed(&self, event: Listed) {
+    pub fn list_changed(&self, event: ListEvent) {
         self.observations().events.push(event);
     }
 
@@ -339,7 +339,7 @@
     }
 
     /// A worker's process has started at that time; the list tells of it with the event `serial`.
-    pub fn started(&self, worker: usize, at: Interval, serial: u32) {
+    pub fn worker_started(&self, worker: usize, at: Interval, serial: u32) {
         self.observations().starts.push(WorkerStart { worker, at, serial });
     }
 
--- a/crates/soak/src/client.rs
+++ b/crates/soak/src/client.rs
@@ -237,7 +237,7 @@
         }
         audit.request_started(id, class, controller, ttl);
         let sent = connection.socket.write_all(&bytes[from..]).is_ok();
-        audit.sent(id);
+        audit.request_sent(id);
         connection.open.insert(stream, OpenRequest { id, body, sent: Instant::now() });
         if !sent {
             self.broken();
@@ -270,7 +270,7 @@
                         Some(&REFUSED) => End::Refused,
                         _ => End::Failed,
                     };
-                    self.audit.ended(id, end);
+                    self.audit.call_ended(id, end);
                 }
                 _ => {}
             }
@@ -288,7 +288,7 @@
             if began.elapsed() > DEADLINE + BEYOND {
                 let Some(connection) = self.connection.take() else { return };
                 for request in connection.open.into_values() {
-                    self.audit.ended(request.id, End::Unanswered);
+                    self.audit.call_ended(request.id, End::Unanswered);
                 }
             }
         }
@@ -315,7 +315,7 @@
                     None => End::Lost,
                 },
             };
-            self.audit.ended(request.id, end);
+            self.audit.call_ended(request.id, end);
         }
     }
 
@@ -343,7 +343,7 @@
         let before = self.audit.now();
         if connection.socket.write_all(&out).is_ok() {
             connection.open.remove(&stream);
-            self.audit.left(id, before);
+            self.audit.client_left(id, before);
         }
         self.wait_for_all();
     }
@@ -355,9 +355,9 @@
         let before = self.audit.now();
         let others = self.connection.take().map(|connection| connection.open).unwrap_or_default();
         for other in others.into_values() {
-            self.audit.left(other.id, before);
+            self.audit.client_left(other.id, before);
         }
-        self.audit.left(id, before);
+        self.audit.client_left(id, before);
     }
 
     fn half(&mut self) {
--- a/crates/soak/src/controller.rs
+++ b/crates/soak/src/controller.rs
@@ -19,7 +19,7 @@
 use crate::wire::FrameReader;
 
 /// A controller that is not ready within this span of its start has not started: the platform's figure.
-pub const READY_WITHIN: Duration = Duration::from_secs(30);
+pub const READY_TIMEOUT: Duration = Duration::from_secs(30);
 /// Deadline of each class.
 pub const DEADLINE: Duration = Duration::from_millis(2_000);
 /// Within this span of being told of a drain, nothing new goes there any more.
@@ -33,9 +33,9 @@
 /// So long a worker is cold.
 pub const SLOW_START: Duration = Duration::from_millis(8_000);
 /// A worker bears so many times its capacity.
-pub const OVERLOAD: f64 = 2.5;
+pub const OVERLOAD_FACTOR: f64 = 2.5;
 /// The window over which a worker's load counts.
-pub const FALL: Duration = Duration::from_millis(1_000);
+pub const OVERLOAD_SPAN: Duration = Duration::from_millis(1_000);
 
 /// The first port of controllers: below those that the system gives to connections, so that none is taken while a
 /// controller restarts.
@@ -238,7 +238,7 @@
     /// Starts a process of it, and waits until it is ready.
     pub fn start(&self, fleet: Fleet, directory: &Arc<Directory>, audit: &Arc<Audit>) -> io::Result<bool> {
         self.launch(fleet, directory, audit)?;
-        let end = Instant::now() + READY_WITHIN;
+        let end = Instant::now() + READY_TIMEOUT;
         while Instant::now() < end {
             if self.ready() {
                 self.state().phase = Phase::Serving;
@@ -475,7 +475,8 @@
                     "conn_idle_ms": 1_000, "max_streams": 32, "max_open": 20_000},
                 "obligations": {"stop_sending_within_ms": DRAIN_GRACE.as_millis() as u64,
                     "start_capacity": START_CAPACITY, "cold_ms": SLOW_START.as_millis() as u64,
-                    "overload_factor": OVERLOAD, "fall_ms": FALL.as_millis() as u64, "grace_to_answer_ms": 8},
+                    "overload_factor": OVERLOAD_FACTOR, "fall_ms": OVERLOAD_SPAN.as_millis() as u64,
+                    "grace_to_answer_ms": 8},
             },
         })
         .to_string()
--- a/crates/soak/src/directory.rs
+++ b/crates/soak/src/directory.rs
@@ -10,7 +10,7 @@
 use simple_dns::rdata::{A, RData, SOA, SRV, TXT};
 use simple_dns::{CLASS, Name, Packet, ResourceRecord};
 
-use crate::audit::{Audit, Listed};
+use crate::audit::{Audit, ListEvent};
 use crate::kernel_time;
 
 /// A worker in the list.
@@ -64,7 +64,7 @@
         if let Some(entry) = list.entries.get_mut(worker) {
             change(entry);
             let in_service = entry.listed && entry.in_service;
-            audit.listed(Listed { serial, worker, in_service });
+            audit.list_changed(ListEvent { serial, worker, in_service });
         }
         serial
     }
--- a/crates/soak/src/judge.rs
+++ b/crates/soak/src/judge.rs
@@ -9,8 +9,8 @@
 use std::fmt;
 use std::time::Duration;
 
-use crate::audit::{Arrival, Attempt, Call, Class, End, Interval, Listed, Moment, Record, WorkerStart};
-use crate::controller::{DRAIN_GRACE, FALL, OVERLOAD, SLOW_START, START_CAPACITY};
+use crate::audit::{Arrival, Attempt, Call, Class, End, Interval, ListEvent, Moment, Record, WorkerStart};
+use crate::controller::{DRAIN_GRACE, OVERLOAD_FACTOR, OVERLOAD_SPAN, SLOW_START, START_CAPACITY};
 
 /// An invariant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -227,7 +227,7 @@
 ) {
     // What the kernel has timestamped is not read late.
     let lag = if attempt.timestamped { Duration::ZERO } else { lag(record, attempt.arrived) };
-    let left = call.left.map(|left| reading.duty(left));
+    let left = call.client_left.map(|left| reading.duty(left));
     if let Some(left) = left.filter(|left| attempt.arrived > *left + GONE_SLACK + lag) {
         let after = attempt.arrived - left;
         broken(
@@ -250,7 +250,7 @@
 
 /// Since when a controller had been told that a worker takes nothing new, where that stood at an attempt.
 fn out_of_service(record: &Record, controller: usize, attempt: &Attempt, reading: Reading) -> Option<Moment> {
-    let told = |event: &Listed| {
+    let told = |event: &ListEvent| {
         let lists = record
             .sent_lists
             .iter()
@@ -267,7 +267,7 @@
 fn budget(age: Duration) -> f64 {
     let part = (age.as_secs_f64() / SLOW_START.as_secs_f64()).min(1.0);
     let capacity = START_CAPACITY + (1.0 - START_CAPACITY) * part;
-    let calls = OVERLOAD * capacity * FALL.as_secs_f64() / MEAN_CORE_SECONDS;
+    let calls = OVERLOAD_FACTOR * capacity * OVERLOAD_SPAN.as_secs_f64() / MEAN_CORE_SECONDS;
     if calls < SMALL_BUDGET { calls + 3.0 * calls.sqrt() + 3.0 } else { calls + 2.0 * calls.sqrt() + 2.0 }
 }
 
@@ -290,7 +290,8 @@
             record.arrivals.iter().filter(|a| a.worker == worker && a.arrived >= started).collect();
         for (index, arrival) in arrivals.iter().enumerate() {
             let age = arrival.arrived - started;
-            let from = arrivals[..=index].partition_point(|other| other.arrived + FALL < arrival.arrived);
+            let from =
+                arrivals[..=index].partition_point(|other| other.arrived + OVERLOAD_SPAN < arrival.arrived);
             let count = index + 1 - from;
             let told =
                 arrivals[from..=index].iter().filter(|a| was_notified(record, start, a, reading)).count();
@@ -298,7 +299,7 @@
             // The platform holds a fall against controllers of which most had been told of the start.
             if is_overload && told * 3 > count * 2 {
                 let what = format!(
-                    "worker {worker} got {count} calls in {FALL:?} at an age of {age:?}, {told} of them from controllers that had been told of its start, {:.1} allowed",
+                    "worker {worker} got {count} calls in {OVERLOAD_SPAN:?} at an age of {age:?}, {told} of them from controllers that had been told of its start, {:.1} allowed",
                     budget(age)
                 );
                 let subject = Subject::Worker(worker);
--- a/crates/soak/src/proxy.rs
+++ b/crates/soak/src/proxy.rs
@@ -11,7 +11,7 @@
 
 use crate::audit::{Audit, ConnectionId};
 use crate::kernel_time::{self, KernelTime};
-use crate::wire::{CommandReader, Parts, field};
+use crate::wire::{CommandParts, CommandReader, field};
 
 /// Stack of a thread that forwards bytes.
 pub(crate) const SMALL_STACK: usize = 128 << 10;
@@ -34,7 +34,7 @@
 
 impl Link {
     /// Ends all connections: with a reset, or in order.
-    pub fn end_all(&self, reset: bool) {
+    pub fn close_all(&self, reset: bool) {
         let mut sockets = self.sockets.lock().unwrap_or_else(PoisonError::into_inner);
         for socket in sockets.drain(..) {
             if reset {
@@ -137,7 +137,7 @@
         let _ = kernel_time::enable_receive_timestamps(&self.from);
         while let Ok((length @ 1.., timestamp)) = kernel_time::read_with_timestamp(&self.from, &mut buffer) {
             reader.push(&buffer[..length]);
-            let commands: Vec<Parts> = std::iter::from_fn(|| reader.next_command()).collect();
+            let commands: Vec<CommandParts> = std::iter::from_fn(|| reader.next_command()).collect();
             for (index, parts) in commands.iter().enumerate() {
                 // The timestamp is of the last byte read.
                 self.note(parts, timestamp.filter(|_| index + 1 == commands.len()));
@@ -190,7 +190,7 @@
             }
             b"CANCEL" => {
                 self.open().remove(&call);
-                self.audit.withdrawn(call, self.id, timestamp);
+                self.audit.attempt_withdrawn(call, self.id, timestamp);
             }
             _ => {}
         }
@@ -200,7 +200,7 @@
     fn end(&self) {
         let calls = std::mem::take(&mut *self.open());
         for call in calls {
-            self.audit.withdrawn(call, self.id, None);
+            self.audit.attempt_withdrawn(call, self.id, None);
         }
         let _ = self.to.shutdown(Shutdown::Both);
     }
--- a/crates/soak/src/report.rs
+++ b/crates/soak/src/report.rs
@@ -6,7 +6,7 @@
 use crate::judge::Finding;
 
 /// What happened within this span of a finding is told with it.
-const STORY_SPAN: Duration = Duration::from_secs(4);
+const TIMELINE_SPAN: Duration = Duration::from_secs(4);
 
 /// Lengths of spans.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -84,9 +84,9 @@
     }
 
     /// The lists that a finding's controller was sent, its starts, ends and signals around that moment, in order of time.
-    pub fn story(&self, finding: &Finding) -> Vec<String> {
+    pub fn timeline(&self, finding: &Finding) -> Vec<String> {
         let Some((controller, at)) = finding.seen else { return Vec::new() };
-        let is_near = |moment: Moment| moment.abs_diff(at) < STORY_SPAN;
+        let is_near = |moment: Moment| moment.abs_diff(at) < TIMELINE_SPAN;
         let lists = self.sent_lists.iter().filter(|told| told.controller == controller);
         let lists = lists.map(|told| {
             let (from, to) = (told.sent.earliest, told.sent.latest);
@@ -119,7 +119,7 @@
     let with =
         |kind: End| record.calls.values().filter(|c| c.end.is_some_and(|(end, _)| end == kind)).count();
     let mut ends: Vec<_> = kinds.iter().map(|kind| (format!("{kind:?}"), with(*kind))).collect();
-    let left = record.calls.values().filter(|call| call.end.is_none() && call.left.is_some()).count();
+    let left = record.calls.values().filter(|call| call.end.is_none() && call.client_left.is_some()).count();
     ends.push(("Left".to_owned(), left));
     ends
 }
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -216,15 +216,15 @@
             Disturbance::RollingReplace(number) => self.replace_worker(number),
             Disturbance::Crash(number) => self.crash(number),
             Disturbance::Hang(number, span) => {
-                for_a_while(&self.workers[number].mood.hangs, span);
+                for_a_while(&self.workers[number].disturbances.hangs, span);
             }
             Disturbance::Blackhole(number, span) => {
                 for_a_while(&self.links[number].unresponsive, span);
                 // Connections from before lead nowhere: what was dropped is dropped.
-                self.links[number].end_all(true);
+                self.links[number].close_all(true);
             }
-            Disturbance::Reset(number, reset) => self.links[number].end_all(reset),
-            Disturbance::Fail(number, span) => for_a_while(&self.workers[number].mood.fails, span),
+            Disturbance::Reset(number, reset) => self.links[number].close_all(reset),
+            Disturbance::Fail(number, span) => for_a_while(&self.workers[number].disturbances.fails, span),
             Disturbance::Slow(number, span) => {
                 self.links[number].delay.store(40, Ordering::Release);
                 for_a_while(&self.links[number].pieces, span);
@@ -323,19 +323,19 @@
         self.links[number].closed.store(true, Ordering::Release);
         let before = self.audit.now();
         self.workers[number].restart();
-        self.links[number].end_all(true);
+        self.links[number].close_all(true);
         self.links[number].closed.store(false, Ordering::Release);
         let started = Interval { earliest: before, latest: self.audit.now() };
         let serial = self.directory.change(number, &self.audit, |entry| {
             (entry.in_service, entry.started_ms) = (true, unix_ms());
         });
-        self.audit.started(number, started, serial);
+        self.audit.worker_started(number, started, serial);
     }
 
     fn crash(&self, number: usize) {
         self.links[number].closed.store(true, Ordering::Release);
         self.workers[number].restart();
-        self.links[number].end_all(true);
+        self.links[number].close_all(true);
         std::thread::sleep(Duration::from_millis(300));
         self.links[number].closed.store(false, Ordering::Release);
         self.directory.change(number, &self.audit, |entry| entry.started_ms = unix_ms());
--- a/crates/soak/src/wire.rs
+++ b/crates/soak/src/wire.rs
@@ -3,7 +3,7 @@
 use nettleferry_platform::resp;
 
 /// A command of a controller: its word, its id or tag, and what follows.
-pub type Parts = Vec<Vec<u8>>;
+pub type CommandParts = Vec<Vec<u8>>;
 
 /// Takes RESP commands off a stream of bytes that comes in any pieces.
 #[derive(Debug, Default)]
@@ -18,7 +18,7 @@
     }
 
     /// The next whole command, if it has come.
-    pub fn next_command(&mut self) -> Option<Parts> {
+    pub fn next_command(&mut self) -> Option<CommandParts> {
         let (count, mut at) = figure(&self.buffer, 0, b'*')?;
         let mut parts = Vec::with_capacity(count);
         for _ in 0..count {
--- a/crates/soak/src/worker.rs
+++ b/crates/soak/src/worker.rs
@@ -13,7 +13,7 @@
 
 use crate::audit::Audit;
 use crate::proxy::SMALL_STACK;
-use crate::wire::{CommandReader, Parts, answer, field};
+use crate::wire::{CommandParts, CommandReader, answer, field};
 
 /// Time of a load.
 const LOAD: Duration = Duration::from_millis(60);
@@ -26,7 +26,7 @@
 
 /// The disturbances of one worker.
 #[derive(Debug, Default)]
-pub struct Mood {
+pub struct WorkerDisturbances {
     /// Nothing is looked at: the process hangs.
     pub hangs: AtomicBool,
     /// Some calls fail after they have run.
@@ -38,13 +38,13 @@
     /// Where it listens.
     pub address: SocketAddr,
     /// Its disturbances.
-    pub mood: Arc<Mood>,
+    pub disturbances: Arc<WorkerDisturbances>,
     jobs: Sender<Job>,
     sockets: Arc<Mutex<Vec<TcpStream>>>,
 }
 
 enum Job {
-    Command { connection: u64, parts: Parts, to: Arc<Mutex<TcpStream>> },
+    Command { connection: u64, parts: CommandParts, to: Arc<Mutex<TcpStream>> },
     Ended { connection: u64 },
     Restart,
 }
@@ -55,11 +55,11 @@
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
         let (sender, receiver) = channel();
-        let mood = Arc::new(Mood::default());
+        let disturbances = Arc::new(WorkerDisturbances::default());
         let core = Core {
             number,
             audit,
-            mood: Arc::clone(&mood),
+            disturbances: Arc::clone(&disturbances),
             random: ChaCha8Rng::seed_from_u64(seed),
             held: BTreeSet::new(),
             due: BinaryHeap::new(),
@@ -74,7 +74,7 @@
                 let _ = serve(connection, socket, &jobs, &open_sockets);
             }
         });
-        Ok(Self { address, mood, jobs: sender, sockets })
+        Ok(Self { address, disturbances, jobs: sender, sockets })
     }
 
     /// Its process dies and another one starts: it holds nothing.
@@ -149,7 +149,7 @@
 struct Core {
     number: usize,
     audit: Arc<Audit>,
-    mood: Arc<Mood>,
+    disturbances: Arc<WorkerDisturbances>,
     random: ChaCha8Rng,
     held: BTreeSet<String>,
     due: BinaryHeap<Due>,
@@ -163,7 +163,7 @@
 impl Core {
     fn run(mut self, jobs: &Receiver<Job>) {
         loop {
-            if self.mood.hangs.load(Ordering::Acquire) {
+            if self.disturbances.hangs.load(Ordering::Acquire) {
                 std::thread::sleep(HANG_LOOK);
                 continue;
             }
@@ -223,15 +223,16 @@
         let number = std::str::from_utf8(id).ok().and_then(|id| u64::from_str_radix(id, 16).ok());
         let (Some(number), Some(asset)) = (number, field(fields, "asset")) else { return };
         if !self.held.contains(asset) {
-            self.audit.over(number, self.number);
+            self.audit.attempt_answered(number, self.number);
             return send(&to, &answer(id, "not_here", "-", b""));
         }
         let patience = field(fields, "patience").and_then(|text| text.parse().ok()).unwrap_or(0);
         if patience < LITTLE_TIME_MS && self.random.random_bool(0.5) {
             return;
         }
-        self.audit.ran(number, self.number);
-        let fails = self.mood.fails.load(Ordering::Acquire) && self.random.random_ratio(1, FAILING_OF);
+        self.audit.attempt_ran(number, self.number);
+        let fails =
+            self.disturbances.fails.load(Ordering::Acquire) && self.random.random_ratio(1, FAILING_OF);
         let bytes = if fails {
             answer(id, "crashed", "-", b"")
         } else {
@@ -256,7 +257,7 @@
                 self.held.insert(asset);
             }
             if let Some(call) = pending.call {
-                self.audit.over(call, self.number);
+                self.audit.attempt_answered(call, self.number);
             }
             send(&pending.to, &pending.bytes);
         }
--- a/crates/soak/tests/judge.rs
+++ b/crates/soak/tests/judge.rs
@@ -5,7 +5,7 @@
 
 use nettleferry_soak::Rule;
 use nettleferry_soak::audit::{
-    Arrival, Attempt, Call, Class, End, Interval, Listed, Record, SentList, WorkerStart,
+    Arrival, Attempt, Call, Class, End, Interval, ListEvent, Record, SentList, WorkerStart,
 };
 use nettleferry_soak::judge::{Verdict, judge};
 
@@ -34,7 +34,7 @@
         controller: 0,
         sent: Interval::at(ms(1_000)),
         ttl: ms(2_000),
-        left: None,
+        client_left: None,
         end: Some((End::Served, ms(1_200))),
         answers: 1,
         attempts: vec![attempt(1_010, 1_100)],
@@ -108,9 +108,12 @@
 
 #[test]
 fn an_attempt_after_its_client_left_is_found() {
-    assert_eq!(broken_by(Class::Safe, |call| call.left = Some(Interval::at(ms(900)))), [Rule::ClientGone]);
+    assert_eq!(
+        broken_by(Class::Safe, |call| call.client_left = Some(Interval::at(ms(900)))),
+        [Rule::ClientGone]
+    );
     assert!(
-        broken_by(Class::Safe, |call| call.left = Some(Interval::at(ms(950)))).is_empty(),
+        broken_by(Class::Safe, |call| call.client_left = Some(Interval::at(ms(950)))).is_empty(),
         "within 0.1 s"
     );
 }
@@ -119,7 +122,7 @@
 fn lateness_of_the_test_excuses_no_attempt_that_the_kernel_has_timestamped() {
     for (timestamped, expected) in [(false, vec![]), (true, vec![Rule::ClientGone])] {
         let mut call = sound(Class::Safe);
-        call.left = Some(Interval::at(ms(1_010)));
+        call.client_left = Some(Interval::at(ms(1_010)));
         call.attempts = vec![Attempt { timestamped, ..attempt(1_150, 1_200) }];
         let mut record = record(call);
         record.lag = vec![(ms(1_150), ms(50))];
@@ -140,7 +143,7 @@
         call.attempts = vec![attempt(3_000, 3_100)];
         (call.ttl, call.end) = (ms(9_000), Some((End::Served, ms(3_200))));
         let mut record = record(call);
-        record.events = vec![Listed { serial: 2, worker: 0, in_service: false }];
+        record.events = vec![ListEvent { serial: 2, worker: 0, in_service: false }];
         record.sent_lists = vec![told_at(0, 2, told), told_at(1, 2, 10)];
         broken(&record)
     };
@@ -196,7 +199,7 @@
     call.attempts = vec![attempt(arrived, arrived + 50)];
     (call.ttl, call.end) = (ms(9_000), Some((End::Served, ms(arrived + 100))));
     let mut record = record(call);
-    let listed = |serial, in_service| Listed { serial, worker: 0, in_service };
+    let listed = |serial, in_service| ListEvent { serial, worker: 0, in_service };
     record.events = vec![listed(2, false), listed(3, true)];
     record.sent_lists = [Some(drain_told), return_told].into_iter().flatten().collect();
     judge(&record)
@@ -247,7 +250,7 @@
     call.attempts = vec![attempt(3_000, 3_050)];
     (call.ttl, call.end) = (ms(9_000), Some((End::Served, ms(3_100))));
     let mut record = record(call);
-    record.events = vec![Listed { serial: 2, worker: 0, in_service: false }];
+    record.events = vec![ListEvent { serial: 2, worker: 0, in_service: false }];
     record.sent_lists = vec![between(2, 1_500, 1_500), between(4, 2_900, 2_900)];
     assert_eq!(broken(&record), [Rule::Drain]);
 }
@@ -261,7 +264,7 @@
 #[test]
 fn client_that_may_have_left_in_time_or_not_is_undecided() {
     let mut call = sound(Class::Safe);
-    call.left = Some(Interval { earliest: ms(900), latest: ms(950) });
+    call.client_left = Some(Interval { earliest: ms(900), latest: ms(950) });
     let verdict = judge(&record(call));
     assert_eq!((verdict.broken.len(), rules(&verdict.undecided)), (0, vec![Rule::ClientGone]));
 }
@@ -281,7 +284,7 @@
 fn undecided_findings_beyond_their_bound_are_a_finding() {
     let undecided = |count: u64| {
         let mut call = sound(Class::Safe);
-        call.left = Some(Interval { earliest: ms(900), latest: ms(950) });
+        call.client_left = Some(Interval { earliest: ms(900), latest: ms(950) });
         let mut record = record(call.clone());
         record.calls = (0..count).map(|id| (id, call.clone())).collect();
         judge(&record)
