--- a/crates/soak/src/audit.rs
+++ b/crates/soak/src/audit.rs
@@ -1,4 +1,5 @@
-//! What was seen at the sockets, by call: when it was asked, what was sent where, what ran, how it ended.
+//! Records what is observed at the sockets during a run: for each call, when it was sent, its attempts at workers, and how
+//! it ended; also changes of the directory's list, worker starts, and the lag of the test itself.
 
 use std::collections::BTreeMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -9,34 +10,34 @@
 /// Time since the run began.
 pub type Moment = Duration;
 
-/// When something happened, as far as the test can know: it reads the clock before and after, and may lose the core in
-/// between. Both readings are kept, so that the judge can tell which orders of events are possible.
+/// When an event happened, as far as the test can know. The test reads the clock before and after the event and may be
+/// preempted in between. It keeps both readings, so that the judge can tell which orders of events are possible.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Interval {
-    /// Not before this.
+    /// The event did not happen before this moment.
     pub earliest: Moment,
-    /// Not after this.
+    /// The event did not happen after this moment.
     pub latest: Moment,
 }
 
 impl Interval {
-    /// Exactly then.
+    /// The interval of an event whose moment is known exactly.
     pub fn at(moment: Moment) -> Self {
         Self { earliest: moment, latest: moment }
     }
 }
 
-/// What a repeat of a call may do.
+/// Whether a call may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Class {
-    /// It may run any number of times.
+    /// The call may run any number of times.
     Safe,
-    /// It may run once.
+    /// The call may run at most once.
     Once,
 }
 
 impl Class {
-    /// Its name in the settings.
+    /// The name of the class in the controllers' settings.
     pub fn name(self) -> &'static str {
         match self {
             Self::Safe => "safe",
@@ -52,87 +53,87 @@
     Served,
     /// Served with another body.
     Altered,
-    /// Refused: a new try does no harm.
+    /// Refused by the controller: a retry does no harm.
     Refused,
-    /// Failed: nothing is promised.
+    /// Failed: the call may or may not have run.
     Failed,
-    /// Its connection ended without an answer.
+    /// The connection ended without an answer.
     Lost,
-    /// No answer arrived until half a second after its time.
+    /// No answer arrived within half a second after the deadline.
     Unanswered,
-    /// Its connection was closed while it rested, and the request crossed that close: its client sent it again.
+    /// The controller closed the idle connection while the request was on its way. A client sends such a request again.
     Crossed,
-    /// Its connection was new, and was closed to make room in a crowd just as the request was sent: whether the request
-    /// had been taken can't be told from the outside.
+    /// The controller closed the new connection during a connection flood, just as the request was sent. It can't be told
+    /// from outside whether the controller had accepted the request.
     CrossedNew,
-    /// Its controller had been asked to end, and its process ended just as the request was sent: whether it had been
-    /// taken can't be told from the outside.
+    /// The controller's process exited after SIGTERM just as the request was sent. It can't be told from outside whether the
+    /// controller had accepted the request.
     CrossedEnd,
-    /// It was sent within the platform's slack before its controller, which had been asked to end, was killed.
+    /// The request was sent within the platform's slack before the controller was killed for not exiting after SIGTERM.
     CrossedKill,
-    /// The test killed its controller.
+    /// The test killed the controller, as one of its disturbances.
     Killed,
 }
 
-/// One attempt, as it arrived at the proxy of a worker: nothing in between delays it.
+/// An attempt of a call, as it arrived at the proxy in front of a worker. Nothing between controller and proxy delays it.
 #[derive(Clone, Debug)]
 pub struct Attempt {
     /// The worker's number.
     pub worker: usize,
     /// The connection to the worker that it arrived on.
     pub connection: u64,
-    /// When it had come whole.
+    /// When the whole command had arrived.
     pub arrived: Moment,
-    /// This is the kernel's time; else it is that of the thread that has read it, which may run late.
+    /// Whether `arrived` is a kernel timestamp. Otherwise it is the time of the reading thread, which may run late.
     pub timestamped: bool,
-    /// The time that the worker was told, milliseconds.
+    /// Time limit that the controller sent to the worker, milliseconds.
     pub patience: u64,
-    /// When its answer was written, it was cancelled, or its connection ended.
+    /// When the worker wrote the answer, the controller cancelled the attempt, or the connection ended.
     pub over: Option<Moment>,
-    /// The worker ran it.
+    /// Whether the worker ran the call.
     pub ran: bool,
 }
 
-/// A call as its client and the workers saw it.
+/// A call as observed at its client and at the workers.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// Its class.
+    /// Whether the call may run more than once.
     pub class: Class,
-    /// The number of its controller.
+    /// The number of the controller that it was sent to.
     pub controller: usize,
-    /// When its last byte was handed to the system.
+    /// When the last byte of the request was passed to the operating system.
     pub sent: Interval,
-    /// How long its client waits.
+    /// Time to live that the request carries.
     pub ttl: Duration,
-    /// When its client cancelled it or closed its connection.
+    /// When the client cancelled the call or closed the connection.
     pub client_left: Option<Interval>,
-    /// How it ended, and when.
+    /// How the call ended at the client, and when.
     pub end: Option<(End, Moment)>,
-    /// Final answers that arrived.
+    /// Number of final answers that arrived.
     pub answers: u32,
-    /// Its attempts.
+    /// Attempts at workers, by arrival once the record is complete.
     pub attempts: Vec<Attempt>,
 }
 
-/// A worker in the list, from one event on.
+/// A change of a worker's entry in the directory's list.
 #[derive(Clone, Debug)]
 pub struct ListEvent {
-    /// Number of the event.
+    /// Serial number of the list with this change.
     pub serial: u32,
     /// The worker's number.
     pub worker: usize,
-    /// It takes new calls.
+    /// Whether the worker takes new calls from this change on.
     pub in_service: bool,
 }
 
-/// An answer of the directory that a controller was sent, or the list in its configuration.
+/// A list that a controller got, in an answer of the directory or in its configuration.
 #[derive(Clone, Copy, Debug)]
 pub struct SentList {
     /// The controller's number.
     pub controller: usize,
-    /// The last event that it holds.
+    /// Serial number of the last change that the list contains.
     pub serial: u32,
-    /// When it was sent.
+    /// When the list was sent.
     pub sent: Interval,
 }
 
@@ -150,9 +151,9 @@
 pub struct Arrival {
     /// The worker's number.
     pub worker: usize,
-    /// The controller that sent it; `None`: no client had asked for it.
+    /// The number of the controller that sent the attempt. `None` if no client had sent the call.
     pub controller: Option<usize>,
-    /// When it had come whole.
+    /// When the whole command had arrived.
     pub arrived: Moment,
 }
 
@@ -161,27 +162,27 @@
 pub struct WorkerStart {
     /// The worker's number.
     pub worker: usize,
-    /// When it was there.
+    /// When the process started.
     pub at: Interval,
-    /// The event of the list that tells of it.
+    /// Serial number of the list change that announces the start.
     pub serial: u32,
 }
 
-/// Something that the test did to a controller: for the story of a finding.
+/// Something that the test did to a controller, for the timeline of a finding.
 #[derive(Clone, Debug)]
 pub struct Incident {
-    /// When.
+    /// When the test did it.
     pub at: Moment,
     /// The controller's number.
     pub controller: usize,
-    /// What.
+    /// Description for the report.
     pub what: String,
 }
 
 #[derive(Default)]
 struct Observations {
     calls: BTreeMap<u64, Call>,
-    /// What no client asked for.
+    /// Calls that no client had sent, each with the number of the worker that it arrived at.
     strangers: Vec<(u64, usize)>,
     events: Vec<ListEvent>,
     sent_lists: Vec<SentList>,
@@ -191,32 +192,32 @@
     lag: Vec<(Moment, Duration)>,
 }
 
-/// What was seen so far.
+/// Collects observations from all threads of a run.
 pub struct Audit {
     began: Instant,
     wall_clock: WallClock,
     observations: Mutex<Observations>,
 }
 
-/// What was seen, once the run is over.
+/// All observations of a run, for the judge.
 pub struct Record {
-    /// Calls by id.
+    /// Calls sent by clients, by id.
     pub calls: BTreeMap<u64, Call>,
-    /// Ids that arrived at a worker and that no client had sent.
+    /// Ids of calls that no client had sent, each with the number of the worker that it arrived at.
     pub strangers: Vec<(u64, usize)>,
-    /// Changes of the list.
+    /// Changes of the directory's list.
     pub events: Vec<ListEvent>,
-    /// Lists that controllers were sent: the first of each serial.
+    /// Lists sent to controllers. For each controller and serial number, only the first is recorded.
     pub sent_lists: Vec<SentList>,
-    /// Starts of workers.
+    /// Starts of workers' processes after rolling replacements.
     pub starts: Vec<WorkerStart>,
     /// What the test did to controllers.
     pub incidents: Vec<Incident>,
-    /// Arrivals at workers, whatever became of them.
+    /// Arrivals of all attempts at workers, in order of time.
     pub arrivals: Vec<Arrival>,
-    /// How late the test's own threads ran, by time.
+    /// Lag of the test's own threads, with the moment at which it was observed.
     pub lag: Vec<(Moment, Duration)>,
-    /// By how much the wall clock, of which the kernel's times are, has gone apart from the run's clock.
+    /// How far the wall clock, which kernel timestamps use, drifted from the run's monotonic clock.
     pub drift: Duration,
 }
 
@@ -233,18 +234,19 @@
         self.observations.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Now.
+    /// The current moment of the run.
     pub fn now(&self) -> Moment {
         self.began.elapsed()
     }
 
-    /// When something happened between the moment `earliest` and now: by the kernel's timestamp, where there is one.
+    /// The interval of an event that happened between `earliest` and now: the exact moment if the kernel gave a usable
+    /// timestamp.
     fn timestamped(&self, earliest: Moment, timestamp: Option<KernelTime>) -> Interval {
         let seen = Interval { earliest, latest: self.now() };
         timestamp.and_then(|timestamp| self.wall_clock.moment(timestamp, seen)).map_or(seen, Interval::at)
     }
 
-    /// A client is about to send a call.
+    /// Records that a client is about to send the last bytes of a request.
     pub fn request_started(&self, id: u64, class: Class, controller: usize, ttl: Duration) {
         let now = self.now();
         let call = Call {
@@ -260,29 +262,30 @@
         self.observations().calls.insert(id, call);
     }
 
-    /// The last byte of a call is with the system.
+    /// Records that the last byte of a request was passed to the operating system.
     pub fn request_sent(&self, id: u64) {
         let now = self.now();
         self.call(id, |call| call.sent.latest = now);
     }
 
-    /// Its client has cancelled it or closed its connection, after the moment `earliest`.
+    /// Records that the client cancelled a call or closed its connection between `earliest` and now.
     pub fn client_left(&self, id: u64, earliest: Moment) {
         let latest = self.now();
         self.call(id, |call| call.client_left = Some(Interval { earliest, latest }));
     }
 
-    /// Its final answer arrived, or none will.
+    /// Records the end of a call. The first end is kept, and every final answer is counted.
     pub fn call_ended(&self, id: u64, end: End) {
         let now = self.now();
         self.call(id, |call| {
-            let answer = matches!(end, End::Served | End::Altered | End::Refused | End::Failed);
-            call.answers += u32::from(answer);
+            let is_answer = matches!(end, End::Served | End::Altered | End::Refused | End::Failed);
+            call.answers += u32::from(is_answer);
             call.end = call.end.or(Some((end, now)));
         });
     }
 
-    /// An attempt arrived whole to a worker's proxy: by the kernel's timestamp, else now.
+    /// Records the arrival of an attempt at a worker's proxy, at the kernel's timestamp or else now.
+    /// `patience` is the time limit sent to the worker, in milliseconds.
     pub fn attempt_arrived(&self, id: u64, at: ConnectionId, patience: u64, timestamp: Option<KernelTime>) {
         let ConnectionId { worker, connection } = at;
         let seen = self.timestamped(Moment::ZERO, timestamp);
@@ -299,66 +302,67 @@
         }
     }
 
-    /// A worker runs a call.
+    /// Records that a worker runs its newest attempt of a call.
     pub fn attempt_ran(&self, id: u64, worker: usize) {
         self.attempt(id, worker, |attempt| attempt.ran = true);
     }
 
-    /// An attempt was cancelled, or lost its connection: by the kernel's timestamp, else now.
+    /// Records that an attempt was cancelled or lost its connection, at the kernel's timestamp or else now.
     pub fn attempt_withdrawn(&self, id: u64, at: ConnectionId, timestamp: Option<KernelTime>) {
         let ConnectionId { worker, connection } = at;
         let now = self.timestamped(Moment::ZERO, timestamp).latest;
         self.call(id, |call| {
-            let there = |attempt: &&mut Attempt| (attempt.worker, attempt.connection) == (worker, connection);
-            if let Some(attempt) = call.attempts.iter_mut().rev().find(there) {
+            let is_at_connection =
+                |attempt: &&mut Attempt| (attempt.worker, attempt.connection) == (worker, connection);
+            if let Some(attempt) = call.attempts.iter_mut().rev().find(is_at_connection) {
                 attempt.over = attempt.over.or(Some(now));
             }
         });
     }
 
-    /// A worker's newest attempt of a call was answered.
+    /// Records that a worker answered its newest attempt of a call.
     pub fn attempt_answered(&self, id: u64, worker: usize) {
         let now = self.now();
         self.attempt(id, worker, |attempt| attempt.over = attempt.over.or(Some(now)));
     }
 
-    /// The list changed.
+    /// Records a change of the directory's list.
     pub fn list_changed(&self, event: ListEvent) {
         self.observations().events.push(event);
     }
 
-    /// A controller was sent a list that holds all events up to `serial`, after the moment `earliest`: by the kernel's
-    /// timestamp, where there is one.
+    /// Records that a controller was sent a list with all changes up to `serial`, at the kernel's timestamp or else between
+    /// `earliest` and now.
     pub fn list_sent(&self, controller: usize, serial: u32, earliest: Moment, timestamp: Option<KernelTime>) {
         let sent = self.timestamped(earliest, timestamp);
         let mut observations = self.observations();
-        if !observations.sent_lists.iter().any(|told| (told.controller, told.serial) == (controller, serial))
+        if !observations.sent_lists.iter().any(|list| (list.controller, list.serial) == (controller, serial))
         {
             observations.sent_lists.push(SentList { controller, serial, sent });
         }
     }
 
-    /// A worker's process has started at that time; the list tells of it with the event `serial`.
+    /// Records the start of a worker's process, which the directory's list announces with change `serial`.
     pub fn worker_started(&self, worker: usize, at: Interval, serial: u32) {
         self.observations().starts.push(WorkerStart { worker, at, serial });
     }
 
-    /// Something is done to a controller.
+    /// Records something that the test does to a controller, for the timeline of findings.
     pub fn incident(&self, controller: usize, what: impl Into<String>) {
         let incident = Incident { at: self.now(), controller, what: what.into() };
         self.observations().incidents.push(incident);
     }
 
-    /// The test itself ran late by so much.
+    /// Records that the test's own threads ran late by `lag`.
     pub fn lag_seen(&self, lag: Duration) {
         let now = self.now();
         self.observations().lag.push((now, lag));
     }
 
-    /// All that was seen.
+    /// Takes all observations out of the audit, with attempts and arrivals sorted by time.
     pub fn record(&self) -> Record {
         let mut observations = std::mem::take(&mut *self.observations());
-        // Threads that lost their core have recorded late what arrived before.
+        // Preempted threads may have recorded arrivals after later ones of other threads.
         observations.calls.values_mut().for_each(|call| call.attempts.sort_by_key(|attempt| attempt.arrived));
         observations.arrivals.sort_by_key(|arrival| arrival.arrived);
         let drift = self.wall_clock.drift(&WallClock::read(|| self.now()));
--- a/crates/soak/src/judge.rs
+++ b/crates/soak/src/judge.rs
@@ -1,9 +1,11 @@
-//! Holds what was seen against the invariants. Slack: the platform's own, and how late the test itself ran.
+//! Checks the record of a run against the invariants. Each bound is widened by the platform's slack and by how late the
+//! test's own threads ran.
 //!
-//! Where the test can't tell in which order two events arrived, the record holds the span in which each of them lies. An
-//! invariant is broken if it is broken in the order that is best for the controller: what permits something counts from
-//! the start of its span, and what forbids something from the end. If it is broken in the worst order alone, it is
-//! neither kept nor broken but undecided, and is reported so; too many of those are a finding of their own.
+//! Where the test can't tell in which order two events happened, the record holds the interval in which each of them
+//! lies. The record is judged in two orders. In the order that favours the controller, an event that permits something
+//! counts from the start of its interval, and an event that forbids something from the end. An invariant that is broken
+//! in this order is broken. An invariant that is broken only in the opposite order is undecided and reported as such; too
+//! many undecided findings are a finding of their own.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -12,87 +14,87 @@
 use crate::audit::{Arrival, Attempt, Call, Class, End, Interval, ListEvent, Moment, Record, WorkerStart};
 use crate::controller::{DRAIN_GRACE, OVERLOAD_FACTOR, OVERLOAD_SPAN, SLOW_START, START_CAPACITY};
 
-/// An invariant.
+/// An invariant that the judge checks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
-    /// Each call that was taken gets one whole answer, as a worker gave it.
+    /// Each accepted call gets exactly one complete answer, with the body that the worker sent.
     OneAnswer,
-    /// What may run once runs once, and is refused only if it did not run.
+    /// A call of class [`Class::Once`] runs at most once, and is refused only if it did not run.
     EffectOnce,
-    /// Attempts of a call do not overlap.
+    /// Attempts of one call do not overlap in time.
     NoOverlap,
-    /// Nothing new goes to a draining or removed worker after its grace.
+    /// No attempt is sent to a draining or removed worker after the grace period.
     Drain,
-    /// No attempt begins 0.1 s after the client has gone.
+    /// No attempt starts more than 0.1 s after the client cancelled the call or closed its connection.
     ClientGone,
-    /// A worker is told no more time than the client has left.
+    /// The time limit sent to a worker does not exceed the time left until the client's deadline.
     Deadline,
-    /// A cold worker is not pushed over.
+    /// A cold worker gets no more calls than its slow start allows.
     SlowStart,
-    /// Only what clients asked for is sent.
+    /// Controllers send workers only calls that a client has sent.
     Stranger,
-    /// A process starts, ends when asked, and does not crash.
+    /// A controller process starts, exits when signalled, and does not crash.
     Process,
-    /// A guard inside a process saw an invariant broken.
+    /// A controller logged that one of its internal checks found a broken invariant.
     Guard,
-    /// The test can tell the order of events.
+    /// The test can determine the order of events for nearly all attempts.
     Undecided,
 }
 
-/// What a finding is about.
+/// The part of the run that a finding concerns.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Subject {
-    /// A call, by its id.
+    /// The call with this id.
     Call(u64),
-    /// A worker, by its number.
+    /// The worker with this number.
     Worker(usize),
-    /// A controller, by its number.
+    /// The controller with this number.
     Controller(usize),
     /// The whole run.
     Run,
 }
 
-/// A broken invariant.
+/// A broken or undecided invariant.
 #[derive(Clone, Debug)]
 pub struct Finding {
-    /// Which.
+    /// The invariant.
     pub rule: Rule,
-    /// What it is about.
+    /// The call, worker or controller concerned, or the whole run.
     pub subject: Subject,
-    /// The controller that broke it, where it is one's, and when.
+    /// The number of the responsible controller and the time; `None` if no single controller is responsible.
     pub seen: Option<(usize, Moment)>,
-    /// By whom and how.
+    /// Description for the report.
     pub what: String,
 }
 
-/// What the record shows.
+/// The result of judging a record.
 #[derive(Clone, Debug, Default)]
 pub struct Verdict {
-    /// Invariants that are broken in each order of events that the record allows.
+    /// Invariants that are broken in every order of events that the record allows.
     pub broken: Vec<Finding>,
-    /// Invariants that are broken in some orders of events that the record allows, and kept in others.
+    /// Invariants that are broken in some orders of events that the record allows, but not in all.
     pub undecided: Vec<Finding>,
 }
 
-/// The order of events in which a record is read.
+/// The order that is assumed for events whose intervals overlap.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Reading {
-    /// The best for controllers: permissions come early, duties late.
+enum EventOrder {
+    /// In the controllers' favour: permissions take effect early, restrictions late.
     Best,
-    /// The worst for controllers.
+    /// To the controllers' disadvantage: permissions take effect late, restrictions early.
     Worst,
 }
 
-impl Reading {
-    /// When what forbids something arrived.
-    fn duty(self, interval: Interval) -> Moment {
+impl EventOrder {
+    /// When an event that forbids something took effect.
+    fn restriction(self, interval: Interval) -> Moment {
         match self {
             Self::Best => interval.latest,
             Self::Worst => interval.earliest,
         }
     }
 
-    /// When what permits something arrived.
+    /// When an event that permits something took effect.
     fn permission(self, interval: Interval) -> Moment {
         match self {
             Self::Best => interval.earliest,
@@ -107,33 +109,33 @@
     }
 }
 
-/// The platform's slack on each time.
+/// Slack that the platform allows on each time bound.
 const SLACK: Duration = Duration::from_millis(50);
-/// An attempt may begin so long after its client has gone.
-const GONE_SLACK: Duration = Duration::from_millis(100);
-/// The time that a worker is told may exceed what the client has left by so much.
+/// How long after its client has gone an attempt may still start.
+const CLIENT_GONE_SLACK: Duration = Duration::from_millis(100);
+/// How far the time limit sent to a worker may exceed the time left until the client's deadline.
 const DEADLINE_SLACK: Duration = Duration::from_millis(150);
-/// Core time of a call at a worker: the middle of what it takes.
+/// Mean core time of a call at a worker: the middle of the workers' range of call times.
 const MEAN_CORE_SECONDS: f64 = 0.016;
-/// What a silent directory would have told counts as told so long after it happened: the platform's figure.
-const NOTIFIED_AT_THE_LATEST: Duration = Duration::from_millis(4_500);
-/// From so many calls in the window on, the wider of the two bounds on a cold worker holds.
-const SMALL_BUDGET: f64 = 30.0;
-/// The test's own lateness counts where it was seen within this span of a moment.
-const NEAR: Duration = Duration::from_millis(1_500);
+/// The platform treats a controller as notified of a change this long after it, even if the directory did not answer.
+const MAX_NOTIFICATION_DELAY: Duration = Duration::from_millis(4_500);
+/// Below this number of calls in the window, the platform's larger allowance on a cold worker's budget applies.
+const SMALL_BUDGET_CALLS: f64 = 30.0;
+/// The lag of the test's own threads widens a bound if it was observed within this span of the event.
+const LAG_WINDOW: Duration = Duration::from_millis(1_500);
 
-/// So many findings in a run may be undecided for each thousand attempts: the share of attempts that may fall into the
-/// microseconds of a send. More, and the test would hide what it is to find.
+/// Undecided findings allowed per thousand attempts: the share of attempts that may fall into the microseconds of a send.
+/// A higher bound would let the test hide broken invariants.
 const UNDECIDED_PER_THOUSAND: usize = 1;
-/// And so many in any run.
+/// Undecided findings allowed in a run with few attempts.
 const MIN_UNDECIDED: usize = 2;
 
-/// All that the record breaks, in the order of its ids.
+/// Judges a record. Findings about known calls come first, in the order of call ids.
 pub fn judge(record: &Record) -> Verdict {
-    let mut broken = findings(record, Reading::Best);
+    let mut broken = findings(record, EventOrder::Best);
     let key = |finding: &Finding| (finding.rule, finding.subject);
     let certain: BTreeSet<_> = broken.iter().map(key).collect();
-    let mut undecided = findings(record, Reading::Worst);
+    let mut undecided = findings(record, EventOrder::Worst);
     undecided.retain(|finding| !certain.contains(&key(finding)));
     for (id, call) in &record.calls {
         let crossing = match call.end {
@@ -163,26 +165,26 @@
     })
 }
 
-fn findings(record: &Record, reading: Reading) -> Vec<Finding> {
+fn findings(record: &Record, order: EventOrder) -> Vec<Finding> {
     let mut found = Vec::new();
     for (id, call) in &record.calls {
-        judge_call(record, *id, call, reading, &mut found);
+        judge_call(record, *id, call, order, &mut found);
     }
     for (id, worker) in &record.strangers {
         let what = format!("{id:016x} arrived at worker {worker}, and no client had sent it");
         found.push(Finding { rule: Rule::Stranger, subject: Subject::Call(*id), seen: None, what });
     }
-    judge_slow_start(record, reading, &mut found);
+    judge_slow_start(record, order, &mut found);
     found
 }
 
-/// How late the test itself ran near a moment.
+/// The largest lag of the test's own threads that was observed near `at`.
 fn lag(record: &Record, at: Moment) -> Duration {
-    let near = record.lag.iter().filter(|(seen, _)| seen.abs_diff(at) < NEAR);
-    near.map(|(_, lag)| *lag).max().unwrap_or_default()
+    let nearby = record.lag.iter().filter(|(seen, _)| seen.abs_diff(at) < LAG_WINDOW);
+    nearby.map(|(_, lag)| *lag).max().unwrap_or_default()
 }
 
-fn judge_call(record: &Record, id: u64, call: &Call, reading: Reading, found: &mut Vec<Finding>) {
+fn judge_call(record: &Record, id: u64, call: &Call, order: EventOrder, found: &mut Vec<Finding>) {
     let mut broken = |rule, at: Moment, what: String| {
         let what = format!("call {id:016x} ({:?}) of controller {}: {what}", call.class, call.controller);
         let (subject, seen) = (Subject::Call(id), Some((call.controller, at)));
@@ -207,14 +209,14 @@
     if call.class == Class::Once && runs > 0 && end == Some(End::Refused) {
         broken(Rule::EffectOnce, ended, format!("refused though it ran: {:?}", call.attempts));
     }
-    for two in call.attempts.windows(2) {
-        let slack = SLACK + lag(record, two[1].arrived);
-        if two[0].over.is_none_or(|over| over > two[1].arrived + slack) {
-            broken(Rule::NoOverlap, two[1].arrived, format!("{:?} while {:?}", two[1], two[0]));
+    for pair in call.attempts.windows(2) {
+        let slack = SLACK + lag(record, pair[1].arrived);
+        if pair[0].over.is_none_or(|over| over > pair[1].arrived + slack) {
+            broken(Rule::NoOverlap, pair[1].arrived, format!("{:?} while {:?}", pair[1], pair[0]));
         }
     }
     for attempt in &call.attempts {
-        judge_attempt(record, call, attempt, reading, &mut |rule, what| broken(rule, attempt.arrived, what));
+        judge_attempt(record, call, attempt, order, &mut |rule, what| broken(rule, attempt.arrived, what));
     }
 }
 
@@ -222,70 +224,90 @@
     record: &Record,
     call: &Call,
     attempt: &Attempt,
-    reading: Reading,
+    order: EventOrder,
     broken: &mut impl FnMut(Rule, String),
 ) {
-    // What the kernel has timestamped is not read late.
+    // A kernel timestamp does not depend on when the test's thread ran, so it gets no lag allowance.
     let lag = if attempt.timestamped { Duration::ZERO } else { lag(record, attempt.arrived) };
-    let left = call.client_left.map(|left| reading.duty(left));
-    if let Some(left) = left.filter(|left| attempt.arrived > *left + GONE_SLACK + lag) {
-        let after = attempt.arrived - left;
+    let client_left = call.client_left.map(|interval| order.restriction(interval));
+    if let Some(client_left) = client_left.filter(|at| attempt.arrived > *at + CLIENT_GONE_SLACK + lag) {
+        let after = attempt.arrived - client_left;
         broken(
             Rule::ClientGone,
             format!("sent to worker {} {after:?} after its client left", attempt.worker),
         );
     }
-    let left = (call.ttl + reading.duty(call.sent)).saturating_sub(attempt.arrived);
-    if Duration::from_millis(attempt.patience) > left + DEADLINE_SLACK + lag {
-        let told = attempt.patience;
-        broken(Rule::Deadline, format!("worker {} was told {told} ms, left were {left:?}", attempt.worker));
+    let remaining = (call.ttl + order.restriction(call.sent)).saturating_sub(attempt.arrived);
+    if Duration::from_millis(attempt.patience) > remaining + DEADLINE_SLACK + lag {
+        let patience = attempt.patience;
+        broken(
+            Rule::Deadline,
+            format!("worker {} got a patience of {patience} ms, {remaining:?} remained", attempt.worker),
+        );
     }
-    if let Some(since) = out_of_service(record, call.controller, attempt, reading)
+    if let Some(since) = out_of_service(record, call.controller, attempt, order)
         && attempt.arrived > since + DRAIN_GRACE + SLACK + lag
     {
         let after = attempt.arrived - since;
-        broken(Rule::Drain, format!("sent to worker {} {after:?} after its drain was told", attempt.worker));
+        broken(
+            Rule::Drain,
+            format!(
+                "sent to worker {} {after:?} after the controller was notified of its drain",
+                attempt.worker
+            ),
+        );
     }
 }
 
-/// Since when a controller had been told that a worker takes nothing new, where that stood at an attempt.
-fn out_of_service(record: &Record, controller: usize, attempt: &Attempt, reading: Reading) -> Option<Moment> {
-    let told = |event: &ListEvent| {
+/// When a controller was notified that the worker of an attempt takes no new calls. `None` if it was not notified before
+/// the attempt arrived, or was notified of the worker's return to service since.
+fn out_of_service(
+    record: &Record,
+    controller: usize,
+    attempt: &Attempt,
+    order: EventOrder,
+) -> Option<Moment> {
+    let notified_at = |event: &ListEvent| {
         let lists = record
             .sent_lists
             .iter()
-            .filter(|told| told.controller == controller && told.serial >= event.serial);
-        let moment = |sent| if event.in_service { reading.permission(sent) } else { reading.duty(sent) };
-        lists.map(|told| moment(told.sent)).min().filter(|at| *at <= attempt.arrived)
+            .filter(|list| list.controller == controller && list.serial >= event.serial);
+        let moment = |sent| if event.in_service { order.permission(sent) } else { order.restriction(sent) };
+        lists.map(|list| moment(list.sent)).min().filter(|at| *at <= attempt.arrived)
     };
     let events = record.events.iter().filter(|event| event.worker == attempt.worker);
-    let newest = events.filter_map(|event| Some((event, told(event)?))).max_by_key(|(e, _)| e.serial);
+    let newest = events.filter_map(|event| Some((event, notified_at(event)?))).max_by_key(|(e, _)| e.serial);
     newest.filter(|(event, _)| !event.in_service).map(|(_, at)| at)
 }
 
-/// What a cold worker bears in the window that ends at `age`, in calls of mean work, with the platform's allowance.
+/// The number of calls of mean core time that a cold worker may get in the window that ends at `age`, with the platform's
+/// allowance for random variation.
 fn budget(age: Duration) -> f64 {
-    let part = (age.as_secs_f64() / SLOW_START.as_secs_f64()).min(1.0);
-    let capacity = START_CAPACITY + (1.0 - START_CAPACITY) * part;
+    let progress = (age.as_secs_f64() / SLOW_START.as_secs_f64()).min(1.0);
+    let capacity = START_CAPACITY + (1.0 - START_CAPACITY) * progress;
     let calls = OVERLOAD_FACTOR * capacity * OVERLOAD_SPAN.as_secs_f64() / MEAN_CORE_SECONDS;
-    if calls < SMALL_BUDGET { calls + 3.0 * calls.sqrt() + 3.0 } else { calls + 2.0 * calls.sqrt() + 2.0 }
+    if calls < SMALL_BUDGET_CALLS {
+        calls + 3.0 * calls.sqrt() + 3.0
+    } else {
+        calls + 2.0 * calls.sqrt() + 2.0
+    }
 }
 
-/// Whether the controller of an arrival had been told of the worker's start.
-fn was_notified(record: &Record, start: &WorkerStart, arrival: &Arrival, reading: Reading) -> bool {
-    if arrival.arrived >= reading.duty(start.at) + NOTIFIED_AT_THE_LATEST {
+/// Whether the controller that sent an arrival counts as notified of the worker's start by then.
+fn was_notified(record: &Record, start: &WorkerStart, arrival: &Arrival, order: EventOrder) -> bool {
+    if arrival.arrived >= order.restriction(start.at) + MAX_NOTIFICATION_DELAY {
         return true;
     }
-    let lists = record.sent_lists.iter().filter(|told| told.serial >= start.serial);
+    let lists = record.sent_lists.iter().filter(|list| list.serial >= start.serial);
     lists
-        .filter(|told| Some(told.controller) == arrival.controller)
-        .any(|told| reading.duty(told.sent) <= arrival.arrived)
+        .filter(|list| Some(list.controller) == arrival.controller)
+        .any(|list| order.restriction(list.sent) <= arrival.arrived)
 }
 
-fn judge_slow_start(record: &Record, reading: Reading, found: &mut Vec<Finding>) {
+fn judge_slow_start(record: &Record, order: EventOrder, found: &mut Vec<Finding>) {
     for start in &record.starts {
-        // Older, it bears more.
-        let (worker, started) = (start.worker, reading.permission(start.at));
+        // The earlier the start, the older the worker and the larger its budget.
+        let (worker, started) = (start.worker, order.permission(start.at));
         let arrivals: Vec<&Arrival> =
             record.arrivals.iter().filter(|a| a.worker == worker && a.arrived >= started).collect();
         for (index, arrival) in arrivals.iter().enumerate() {
@@ -293,13 +315,14 @@
             let from =
                 arrivals[..=index].partition_point(|other| other.arrived + OVERLOAD_SPAN < arrival.arrived);
             let count = index + 1 - from;
-            let told =
-                arrivals[from..=index].iter().filter(|a| was_notified(record, start, a, reading)).count();
+            let notified =
+                arrivals[from..=index].iter().filter(|a| was_notified(record, start, a, order)).count();
             let is_overload = age < SLOW_START && count as f64 > budget(age);
-            // The platform holds a fall against controllers of which most had been told of the start.
-            if is_overload && told * 3 > count * 2 {
+            // The platform counts an overload against controllers only if over two thirds of the calls in the window came
+            // from controllers that had been notified of the start.
+            if is_overload && notified * 3 > count * 2 {
                 let what = format!(
-                    "worker {worker} got {count} calls in {OVERLOAD_SPAN:?} at an age of {age:?}, {told} of them from controllers that had been told of its start, {:.1} allowed",
+                    "worker {worker} got {count} calls in {OVERLOAD_SPAN:?} at an age of {age:?}, {notified} of them from controllers notified of its start, {:.1} allowed",
                     budget(age)
                 );
                 let subject = Subject::Worker(worker);
--- a/crates/soak/src/kernel_time.rs
+++ b/crates/soak/src/kernel_time.rs
@@ -1,8 +1,8 @@
-//! The kernel's times of what passes a socket. A thread of the test that loses its core between a system call and the next
-//! reading of the clock does not know when its bytes left or came; the kernel does.
+//! Kernel timestamps of bytes sent and received on sockets. A thread of the test that is preempted between a system call
+//! and the next clock reading does not know when its bytes were sent or received. The kernel does.
 //!
-//! The kernel's times are of the wall clock. [`WallClock`] relates them to the moments of a run. Where the kernel gives
-//! none, the test's own readings stand.
+//! Kernel timestamps use the wall clock, and [`WallClock`] converts them to moments of a run. Without a timestamp, the
+//! test's own clock readings are used.
 
 use std::io::{self, IoSliceMut};
 use std::net::{TcpStream, UdpSocket};
@@ -18,37 +18,37 @@
 
 use crate::audit::{Interval, Moment};
 
-/// Looks at both clocks, of which the closest counts.
-const LOOKS: usize = 16;
+/// Number of readings of both clocks, of which the one with the least uncertainty is used.
+const CLOCK_READINGS: usize = 16;
 
-/// A time of the kernel, since 1970.
+/// A kernel timestamp: time since the Unix epoch.
 pub type KernelTime = Duration;
 
-/// The wall clock as it stood at the beginning of a run.
+/// The offset between the wall clock and the clock of a run, as measured by [`WallClock::read`].
 #[derive(Clone, Copy, Debug)]
 pub struct WallClock {
-    /// Its time at the moment zero.
+    /// Wall-clock time at moment zero of the run.
     zero: KernelTime,
-    /// How far this may be off.
+    /// Maximum error of `zero`.
     uncertainty: Duration,
 }
 
 impl WallClock {
-    /// Reads it. `now`: the run's clock.
+    /// Measures the offset. `now` reads the run's clock.
     pub fn read(now: impl Fn() -> Moment) -> Self {
-        let look = || {
+        let measure = || {
             let before = now();
             let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
             let after = now();
             let uncertainty = (after - before) / 2;
             Self { zero: wall.saturating_sub(before + uncertainty), uncertainty }
         };
-        let looks = (0..LOOKS).map(|_| look());
-        looks.min_by_key(|clock| clock.uncertainty).unwrap_or_else(look)
+        let measurements = (0..CLOCK_READINGS).map(|_| measure());
+        measurements.min_by_key(|clock| clock.uncertainty).unwrap_or_else(measure)
     }
 
-    /// When something happened that the kernel has timestamped, within the interval that the test itself has seen. A time
-    /// outside of it is none: the wall clock was stepped.
+    /// Converts a kernel timestamp to a moment within `seen`, the interval that the test's own clock readings give.
+    /// `None` if the timestamp lies outside this interval, as after a step of the wall clock.
     pub fn moment(&self, timestamp: KernelTime, seen: Interval) -> Option<Moment> {
         let moment = timestamp.checked_sub(self.zero)?;
         let earliest = seen.earliest.saturating_sub(self.uncertainty);
@@ -56,7 +56,7 @@
         is_possible.then(|| moment.clamp(seen.earliest, seen.latest))
     }
 
-    /// How far two readings of the wall clock are apart, beside the time between them.
+    /// How far the wall clock moved against the run's clock between two measurements.
     pub fn drift(&self, later: &Self) -> Duration {
         self.zero.abs_diff(later.zero)
     }
@@ -68,11 +68,11 @@
     Some(Duration::new(seconds, nanoseconds))
 }
 
-/// Lets the kernel timestamp the datagrams that a socket sends.
+/// Enables kernel timestamps for datagrams sent on `socket`.
 ///
 /// # Errors
 ///
-/// The kernel does not.
+/// Returns an error if the kernel does not support the socket option.
 pub fn enable_send_timestamps(socket: &UdpSocket) -> io::Result<()> {
     let flags = TimestampingFlag::SOF_TIMESTAMPING_TX_SOFTWARE
         | TimestampingFlag::SOF_TIMESTAMPING_SOFTWARE
@@ -80,7 +80,7 @@
     Ok(setsockopt(&socket.as_fd(), sockopt::Timestamping, &flags)?)
 }
 
-/// When the last datagram left that a socket has sent. All timestamps that wait are taken.
+/// The kernel's time of the last datagram sent on `socket`. Drains the socket's queue of timestamps; `None` if it is empty.
 pub fn last_send(socket: &UdpSocket) -> Option<KernelTime> {
     let mut last = None;
     while let Some(timestamp) = next_send(socket) {
@@ -99,20 +99,21 @@
     })
 }
 
-/// Lets the kernel timestamp the bytes that a connection receives.
+/// Enables kernel timestamps for bytes received on `socket`.
 ///
 /// # Errors
 ///
-/// The kernel does not.
+/// Returns an error if the kernel does not support the socket option.
 pub fn enable_receive_timestamps(socket: &TcpStream) -> io::Result<()> {
     Ok(setsockopt(&socket.as_fd(), sockopt::ReceiveTimestampns, &true)?)
 }
 
-/// Reads bytes, and when the last of them had come.
+/// Reads into `buffer`. Returns the number of bytes and the kernel's time at which the last of them was received, if it
+/// gave one. Zero bytes mean that the peer closed the connection.
 ///
 /// # Errors
 ///
-/// The connection broke.
+/// Returns any error of the read other than `EINTR`, which is retried.
 pub fn read_with_timestamp(socket: &TcpStream, buffer: &mut [u8]) -> io::Result<(usize, Option<KernelTime>)> {
     let mut space = cmsg_space!(TimeSpec, [u8; 64]);
     loop {
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -1,12 +1,15 @@
-//! Soak test: some dozens of `nettleferry node` processes on loopback under disturbances that overlap in time, judged by
-//! invariants at the sockets.
+//! Soak test with fault injection: runs some dozens of `nettleferry node` processes on loopback under disturbances that
+//! overlap in time, and checks invariants on the traffic at their sockets.
 //!
-//! May know: the platform's wire (`platform`). Must not know: the node's insides; it sees sockets, exit codes and logs.
+//! The crate depends on the platform's wire format (`nettleferry-platform`) and not on the node's implementation. It
+//! observes sockets, exit codes and logs.
 //!
-//! * [`plan`]: what a run holds, drawn from its seed. [`run`]: plays it.
-//! * [`controller`]: processes and signals. [`shim`]: system-call faults. [`proxy`]: the network to the workers.
-//! * [`worker`], [`directory`], [`client`]: the other parties. [`wire`]: their side of the protocol.
-//! * [`audit`]: what was seen; [`kernel_time`]: when, by the kernel. [`judge`]: which invariants it breaks. [`report`]: what a run gave.
+//! * [`plan`] draws the disturbances of a run from its seed, and [`run`] executes them.
+//! * [`controller`] starts and signals controller processes, [`shim`] injects faults into their system calls, and
+//!   [`proxy`] is the network between them and the workers.
+//! * [`worker`], [`directory`] and [`client`] stand in for the other parties. [`wire`] is their side of the protocol.
+//! * [`audit`] records what was observed, [`kernel_time`] adds the kernel's timestamps, [`judge`] checks the record
+//!   against the invariants, and [`report`] summarises the run.
 
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
--- a/crates/soak/src/report.rs
+++ b/crates/soak/src/report.rs
@@ -1,19 +1,19 @@
-//! What a run gave, and the story of each finding.
+//! The result of a run: counts, findings, and the events around each finding.
 
 use std::time::Duration;
 
 use crate::audit::{End, Incident, Moment, Record, SentList};
 use crate::judge::Finding;
 
-/// What happened within this span of a finding is told with it.
+/// Events within this span before or after a finding belong to its timeline.
 const TIMELINE_SPAN: Duration = Duration::from_secs(4);
 
-/// Lengths of spans.
+/// Statistics of a set of time spans.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Spans {
-    /// The middle one.
+    /// The median length; zero for an empty set.
     pub median: Duration,
-    /// The longest.
+    /// The greatest length; zero for an empty set.
     pub longest: Duration,
 }
 
@@ -26,35 +26,35 @@
     }
 }
 
-/// What a run gave.
+/// The result of a run.
 #[derive(Debug)]
 pub struct Report {
-    /// Its seed.
+    /// The seed of the run's plan.
     pub seed: u64,
-    /// Broken invariants.
+    /// Broken invariants: those that the judge found, failed starts and exits, and messages in controllers' logs.
     pub findings: Vec<Finding>,
-    /// Findings whose order of events the test can't tell: neither kept nor broken.
+    /// Invariants that are broken in only some of the possible orders of events.
     pub undecided: Vec<Finding>,
-    /// Calls by how they ended; the last counts those whose clients left.
+    /// Number of calls for each kind of end. The last entry counts calls whose client left before an end was recorded.
     pub ends: Vec<(String, usize)>,
-    /// Attempts that arrived at workers.
+    /// Number of attempts that arrived at workers, for calls that clients had sent.
     pub attempts: usize,
-    /// Disturbances that were played.
+    /// Number of disturbances in the plan.
     pub disturbances: usize,
-    /// The latest that the test's own threads ran.
+    /// The largest observed lag of the test's own threads.
     pub lag: Duration,
-    /// Attempts whose arrival the kernel has timestamped.
+    /// Number of attempts whose arrival has a kernel timestamp.
     pub timestamped: usize,
-    /// How long the spans are in which the sendings of lists lie.
+    /// Lengths of the intervals in which the sends of lists lie: the uncertainty of their times.
     pub list_spans: Spans,
-    /// By how much the wall clock, of which the kernel's times are, has gone apart from the run's clock.
+    /// How far the wall clock, which kernel timestamps use, drifted from the run's monotonic clock.
     pub drift: Duration,
     sent_lists: Vec<SentList>,
     incidents: Vec<Incident>,
 }
 
 impl Report {
-    /// The report of a run.
+    /// Builds the report from the record of a run and the findings. `disturbances` is their number in the plan.
     pub(crate) fn new(
         seed: u64,
         disturbances: usize,
@@ -83,20 +83,21 @@
         }
     }
 
-    /// The lists that a finding's controller was sent, its starts, ends and signals around that moment, in order of time.
+    /// The lists sent to the finding's controller and its starts, exits and signals around the finding, one line each, in
+    /// order of time. Empty if the finding names no controller.
     pub fn timeline(&self, finding: &Finding) -> Vec<String> {
         let Some((controller, at)) = finding.seen else { return Vec::new() };
         let is_near = |moment: Moment| moment.abs_diff(at) < TIMELINE_SPAN;
-        let lists = self.sent_lists.iter().filter(|told| told.controller == controller);
-        let lists = lists.map(|told| {
-            let (from, to) = (told.sent.earliest, told.sent.latest);
-            (from, format!("{from:?} to {to:?}: sent the list with events up to {}", told.serial))
+        let lists = self.sent_lists.iter().filter(|list| list.controller == controller);
+        let lists = lists.map(|list| {
+            let (from, to) = (list.sent.earliest, list.sent.latest);
+            (from, format!("{from:?} to {to:?}: sent the list with events up to {}", list.serial))
         });
         let incidents = self.incidents.iter().filter(|incident| incident.controller == controller);
         let incidents =
             incidents.map(|incident| (incident.at, format!("{:?}: {}", incident.at, incident.what)));
-        let here = std::iter::once((at, format!("{at:?}: the finding")));
-        let mut all: Vec<_> = lists.chain(incidents).chain(here).filter(|(at, _)| is_near(*at)).collect();
+        let marker = std::iter::once((at, format!("{at:?}: the finding")));
+        let mut all: Vec<_> = lists.chain(incidents).chain(marker).filter(|(at, _)| is_near(*at)).collect();
         all.sort();
         all.into_iter().map(|(_, line)| line).collect()
     }
@@ -116,9 +117,9 @@
         End::Unanswered,
         End::Altered,
     ];
-    let with =
+    let count =
         |kind: End| record.calls.values().filter(|c| c.end.is_some_and(|(end, _)| end == kind)).count();
-    let mut ends: Vec<_> = kinds.iter().map(|kind| (format!("{kind:?}"), with(*kind))).collect();
+    let mut ends: Vec<_> = kinds.iter().map(|kind| (format!("{kind:?}"), count(*kind))).collect();
     let left = record.calls.values().filter(|call| call.end.is_none() && call.client_left.is_some()).count();
     ends.push(("Left".to_owned(), left));
     ends
