--- a/crates/soak/src/audit.rs
+++ b/crates/soak/src/audit.rs
@@ -1,5 +1,5 @@
-//! Records what is observed at the sockets during a run: for each call, when it was sent, its attempts at workers, and how
-//! it ended; also changes of the directory's list, worker starts, and the lag of the test itself.
+//! Records what is observed at the sockets during a run: for each call, when it was sent, its attempts at workers, and
+//! how it ended; also changes of the directory's list, worker starts, and the lag of the test itself.
 
 use std::collections::BTreeMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -63,11 +63,11 @@
     Unanswered,
     /// The controller closed the idle connection while the request was on its way. A client sends such a request again.
     Crossed,
-    /// The controller closed the new connection during a connection flood, just as the request was sent. It can't be told
-    /// from outside whether the controller had accepted the request.
+    /// The controller closed the new connection during a connection flood, just as the request was sent. It can't be
+    /// told from outside whether the controller had accepted the request.
     CrossedNew,
-    /// The controller's process exited after SIGTERM just as the request was sent. It can't be told from outside whether the
-    /// controller had accepted the request.
+    /// The controller's process exited after SIGTERM just as the request was sent. It can't be told from outside
+    /// whether the controller had accepted the request.
     CrossedEnd,
     /// The request was sent within the platform's slack before the controller was killed for not exiting after SIGTERM.
     CrossedKill,
@@ -75,7 +75,8 @@
     Killed,
 }
 
-/// An attempt of a call, as it arrived at the proxy in front of a worker. Nothing between controller and proxy delays it.
+/// An attempt of a call, as it arrived at the proxy in front of a worker. Nothing between controller and proxy delays
+/// it.
 #[derive(Clone, Debug)]
 pub struct Attempt {
     /// The worker's number.
@@ -331,8 +332,8 @@
         self.observations().events.push(event);
     }
 
-    /// Records that a controller was sent a list with all changes up to `serial`, at the kernel's timestamp or else between
-    /// `earliest` and now.
+    /// Records that a controller was sent a list with all changes up to `serial`, at the kernel's timestamp or else
+    /// between `earliest` and now.
     pub fn list_sent(&self, controller: usize, serial: u32, earliest: Moment, timestamp: Option<KernelTime>) {
         let sent = self.timestamped(earliest, timestamp);
         let mut observations = self.observations();
--- a/crates/soak/src/client.rs
+++ b/crates/soak/src/client.rs
@@ -1,4 +1,5 @@
-//! Clients: each asks one controller, over connections of its own, and behaves well or badly.
+//! Simulated clients. Each sends requests to one controller over connections of its own, and at random cancels,
+//! disconnects, or sends incomplete or invalid data.
 
 use std::collections::BTreeMap;
 use std::io::{ErrorKind, Read, Write};
@@ -16,40 +17,40 @@
 use crate::plan::Extras;
 use crate::wire::FrameReader;
 
-/// Functions that clients ask for.
+/// Number of functions that clients request.
 const FUNCTIONS: u64 = 12;
-/// A client waits so much longer than its time before it says that no answer arrived.
-const BEYOND: Duration = Duration::from_millis(500);
-/// A request that crosses the close of a resting connection within this span is sent again, once.
-const CROSSING: Duration = Duration::from_millis(50);
-/// A process that has closed a client's connection at its end is gone within this span, or has not ended.
-const END_TIMEOUT: Duration = Duration::from_millis(500);
-/// The codes of answers.
+/// How long after the deadline a client waits before it records that no answer arrived.
+const ANSWER_GRACE: Duration = Duration::from_millis(500);
+/// A request sent within this span before the connection ends may have crossed its close.
+const CROSSING_SPAN: Duration = Duration::from_millis(50);
+/// How long after a connection closed a client waits for the exit of a process that is shutting down.
+const EXIT_TIMEOUT: Duration = Duration::from_millis(500);
+/// Result codes of answers.
 const SERVED: u8 = 79;
 const REFUSED: u8 = 66;
 
-/// What a client does next.
+/// The next action of a client.
 #[derive(Clone, Copy, Debug)]
-enum Manner {
-    /// Some requests at once; waits for all.
-    Plain(u32),
-    /// One request, byte by byte or in pieces.
-    Pieces,
-    /// One request that it withdraws.
-    Cancels,
-    /// One request, and its connection ends before the answer.
-    Leaves,
-    /// One request with very little time.
-    Hasty,
-    /// Half a request, and its connection ends.
-    Half,
-    /// What can't be read.
+enum Action {
+    /// Send this many requests at once and wait for all answers.
+    Batch(u32),
+    /// Send one request in several small writes.
+    Fragmented,
+    /// Send one request and cancel it.
+    Cancel,
+    /// Send one request and close the connection shortly after.
+    Disconnect,
+    /// Send one request with a very short time to live.
+    ShortDeadline,
+    /// Send half a request and close the connection.
+    PartialRequest,
+    /// Send random bytes.
     Garbage,
-    /// Nothing for so long that its connection rests, then a request.
-    Rests,
+    /// Leave the connection idle, then send a request on it.
+    IdleThenRequest,
 }
 
-/// One client.
+/// A simulated client.
 pub struct Client {
     controller: Arc<Controller>,
     audit: Arc<Audit>,
@@ -57,37 +58,38 @@
     ids: Arc<AtomicU64>,
     stop: Arc<AtomicBool>,
     connection: Option<Connection>,
-    /// What the run holds besides its disturbances.
+    /// The optional disturbances of the run.
     extras: Extras,
 }
 
 struct Connection {
     socket: TcpStream,
     reader: FrameReader,
-    last: u32,
-    /// Requests open there, by stream.
+    last_stream: u32,
+    /// Unanswered requests, by stream.
     open: BTreeMap<u32, OpenRequest>,
-    /// It was asked for no new requests.
+    /// The controller accepts no new requests on it.
     closing: bool,
-    /// It has carried a request before.
-    rested: bool,
+    /// At least one request on it was answered.
+    has_answered: bool,
     opened: Instant,
+    /// The controller's count of kills when the connection was opened.
     kills: u64,
 }
 
-/// A request without an answer.
+/// A request that has no answer yet.
 struct OpenRequest {
     id: u64,
     body: Vec<u8>,
-    /// When it had been sent.
+    /// When the last byte had been sent.
     sent: Instant,
 }
 
-/// What became of a request whose connection ended with its controller's process.
+/// The end of a request whose connection ended with its controller's process.
 fn end_at_shutdown(request: &OpenRequest, end: ProcessEnd) -> End {
-    // A process that the test had stopped answers nothing until it is killed.
+    // A process that the test had suspended with SIGSTOP answers nothing until it is killed.
     let last_served = end.stopped_since.filter(|_| end.killed).unwrap_or(end.earliest);
-    let crossed = request.sent + CROSSING >= last_served;
+    let crossed = request.sent + CROSSING_SPAN >= last_served;
     match (end.killed, crossed) {
         (true, true) => End::CrossedKill,
         (false, true) => End::CrossedEnd,
@@ -96,7 +98,8 @@
 }
 
 impl Client {
-    /// A client of this controller. With extra shutdowns it uses its connection until the controller's process is gone.
+    /// Creates a client of `controller` that takes call ids from `ids` and runs until `stop` is set. With
+    /// `extras.shutdowns`, it uses its connection until the controller's process has exited.
     pub fn new(
         controller: Arc<Controller>,
         audit: Arc<Audit>,
@@ -109,7 +112,7 @@
         Self { controller, audit, random, ids, stop, connection: None, extras }
     }
 
-    /// Asks until it is stopped.
+    /// Sends requests until the client is stopped.
     pub fn run(mut self) {
         while !self.stop.load(Ordering::Acquire) {
             let phase = self.controller.phase();
@@ -122,54 +125,55 @@
                 std::thread::sleep(Duration::from_millis(20));
                 continue;
             }
-            let manner = self.manner();
-            self.act(manner);
+            let action = self.next_action();
+            self.perform(action);
             let pause = self.random.random_range(0..40);
             std::thread::sleep(Duration::from_millis(pause));
         }
     }
 
-    /// One request after another on the connection that there is, so that one of them crosses the end of the process.
+    /// Sends a request on the existing connection and waits for the answer. During a shutdown this is repeated, so that
+    /// one request crosses the exit of the process.
     fn send_on_open_connection(&mut self) {
         self.send_request(DEADLINE, false);
         self.wait_for_all();
     }
 
-    fn manner(&mut self) -> Manner {
+    fn next_action(&mut self) -> Action {
         match self.random.random_range(0..100) {
-            0..60 => Manner::Plain(self.random.random_range(1..5)),
-            60..70 => Manner::Pieces,
-            70..78 => Manner::Cancels,
-            78..86 => Manner::Leaves,
-            86..90 => Manner::Hasty,
-            90..93 => Manner::Half,
-            93..95 => Manner::Garbage,
-            _ => Manner::Rests,
+            0..60 => Action::Batch(self.random.random_range(1..5)),
+            60..70 => Action::Fragmented,
+            70..78 => Action::Cancel,
+            78..86 => Action::Disconnect,
+            86..90 => Action::ShortDeadline,
+            90..93 => Action::PartialRequest,
+            93..95 => Action::Garbage,
+            _ => Action::IdleThenRequest,
         }
     }
 
-    fn act(&mut self, manner: Manner) {
-        match manner {
-            Manner::Plain(count) => {
+    fn perform(&mut self, action: Action) {
+        match action {
+            Action::Batch(count) => {
                 for _ in 0..count {
                     self.send_request(DEADLINE, false);
                 }
                 self.wait_for_all();
             }
-            Manner::Pieces => {
+            Action::Fragmented => {
                 self.send_request(DEADLINE, true);
                 self.wait_for_all();
             }
-            Manner::Hasty => {
+            Action::ShortDeadline => {
                 let ttl = self.random.random_range(5..60);
                 self.send_request(Duration::from_millis(ttl), false);
                 self.wait_for_all();
             }
-            Manner::Cancels => self.cancels(),
-            Manner::Leaves => self.leaves(),
-            Manner::Half => self.half(),
-            Manner::Garbage => self.garbage(),
-            Manner::Rests => {
+            Action::Cancel => self.send_and_cancel(),
+            Action::Disconnect => self.send_and_disconnect(),
+            Action::PartialRequest => self.send_partial_request(),
+            Action::Garbage => self.send_garbage(),
+            Action::IdleThenRequest => {
                 let span = self.random.random_range(300..1_500);
                 std::thread::sleep(Duration::from_millis(span));
                 self.send_request(DEADLINE, false);
@@ -178,11 +182,11 @@
         }
     }
 
-    /// A connection that takes requests, a new one where there is none.
+    /// The current connection, or a new one if there is none that takes requests. `None` if it can't be opened.
     fn connected(&mut self) -> Option<&mut Connection> {
-        // After it was asked for no new requests, a client that persists goes on until the connection ends.
-        let goes_on = self.extras.shutdowns && self.controller.phase() == Phase::Ending;
-        if !goes_on && self.connection.as_ref().is_some_and(|connection| connection.closing) {
+        // With extra shutdowns, clients use a connection until it ends, even after GO_AWAY.
+        let ignores_go_away = self.extras.shutdowns && self.controller.phase() == Phase::Ending;
+        if !ignores_go_away && self.connection.as_ref().is_some_and(|connection| connection.closing) {
             self.connection = None;
         }
         if self.connection.is_none() {
@@ -193,10 +197,10 @@
             self.connection = Some(Connection {
                 socket,
                 reader: FrameReader::default(),
-                last: 0,
+                last_stream: 0,
                 open: BTreeMap::new(),
                 closing: false,
-                rested: false,
+                has_answered: false,
                 opened: Instant::now(),
                 kills,
             });
@@ -204,7 +208,7 @@
         self.connection.as_mut()
     }
 
-    /// Sends one request; its id, where a connection took it.
+    /// Sends one request, in several writes if `pieces`. Returns its id, or `None` if it could not be sent.
     fn send_request(&mut self, ttl: Duration, pieces: bool) -> Option<u64> {
         let id = self.ids.fetch_add(1, Ordering::AcqRel);
         let class = if self.random.random_ratio(1, 3) { Class::Once } else { Class::Safe };
@@ -213,8 +217,8 @@
         let steps: Vec<usize> = (0..4).map(|_| self.random.random_range(1..90)).collect();
         let (audit, controller) = (Arc::clone(&self.audit), self.controller.number);
         let connection = self.connected()?;
-        connection.last += 1;
-        let (stream, mut bytes) = (connection.last, Vec::new());
+        connection.last_stream += 1;
+        let (stream, mut bytes) = (connection.last_stream, Vec::new());
         let (call, row) = (format!("{id:016x}"), format!("{function:016x}"));
         let ttl_ms = ttl.as_millis().to_string();
         let fields = [
@@ -229,7 +233,7 @@
         if pieces {
             for step in steps {
                 let to = (from + step).min(bytes.len() - 1);
-                // Its time counts from its last byte: what fails before is no request.
+                // The time to live counts from the last byte. A connection that fails before has carried no request.
                 connection.socket.write_all(&bytes[from..to]).ok()?;
                 from = to;
                 std::thread::sleep(Duration::from_millis(3));
@@ -240,13 +244,13 @@
         audit.request_sent(id);
         connection.open.insert(stream, OpenRequest { id, body, sent: Instant::now() });
         if !sent {
-            self.broken();
+            self.connection_lost(Instant::now());
             return None;
         }
         Some(id)
     }
 
-    /// Takes what has come; false: the connection has ended.
+    /// Reads and handles the frames that have arrived. Returns false if the connection has ended.
     fn read(&mut self) -> bool {
         let Some(connection) = &mut self.connection else { return false };
         let mut buffer = [0; 4096];
@@ -263,7 +267,7 @@
                     let Some(OpenRequest { id, body, .. }) = connection.open.remove(&frame.stream) else {
                         continue;
                     };
-                    connection.rested = true;
+                    connection.has_answered = true;
                     let end = match frame.payload.first() {
                         Some(&SERVED) if frame.payload.get(2..) == Some(body.as_slice()) => End::Served,
                         Some(&SERVED) => End::Altered,
@@ -278,14 +282,14 @@
         true
     }
 
-    /// Waits until each open request has its answer, or its time is long over.
+    /// Waits until each open request is answered, the connection ends, or the deadline is well past.
     fn wait_for_all(&mut self) {
-        let began = Instant::now();
+        let waiting_since = Instant::now();
         while self.connection.as_ref().is_some_and(|connection| !connection.open.is_empty()) {
             if !self.read() {
-                return self.broken_since(began);
+                return self.connection_lost(waiting_since);
             }
-            if began.elapsed() > DEADLINE + BEYOND {
+            if waiting_since.elapsed() > DEADLINE + ANSWER_GRACE {
                 let Some(connection) = self.connection.take() else { return };
                 for request in connection.open.into_values() {
                     self.audit.call_ended(request.id, End::Unanswered);
@@ -294,24 +298,21 @@
         }
     }
 
-    fn broken(&mut self) {
-        self.broken_since(Instant::now());
-    }
-
-    /// The connection ended: what is open there has no answer, and why that may be.
-    fn broken_since(&mut self, asked: Instant) {
+    /// Handles the end of the connection: records for each open request why it may have no answer. `waiting_since` is
+    /// when the client began to wait for answers.
+    fn connection_lost(&mut self, waiting_since: Instant) {
         let Some(connection) = self.connection.take() else { return };
         let killed = self.controller.kills.load(Ordering::Acquire) != connection.kills;
-        let crossed = connection.rested && asked.elapsed() < CROSSING;
+        let crossed = connection.has_answered && waiting_since.elapsed() < CROSSING_SPAN;
         let process_end = self.process_end(connection.opened);
-        let is_new = self.extras.crowd && !connection.rested;
+        let is_new = self.extras.crowd && !connection.has_answered;
         for request in connection.open.into_values() {
             let end = match (killed, crossed) {
                 (true, _) => End::Killed,
                 (false, crossed) => match process_end {
                     Some(end) => end_at_shutdown(&request, end),
                     None if crossed => End::Crossed,
-                    None if is_new && request.sent.elapsed() < CROSSING => End::CrossedNew,
+                    None if is_new && request.sent.elapsed() < CROSSING_SPAN => End::CrossedNew,
                     None => End::Lost,
                 },
             };
@@ -319,20 +320,21 @@
         }
     }
 
-    /// How the process ended, asked to end, to which a connection of this moment led; `None`: it has not.
+    /// How the process exited that a connection opened at `opened` led to. `None` without extra shutdowns, or if the
+    /// process has not exited after SIGTERM.
     fn process_end(&self, opened: Instant) -> Option<ProcessEnd> {
         if !self.extras.shutdowns {
             return None;
         }
-        // The connection is heard to end before the process is.
-        let until = Instant::now() + END_TIMEOUT;
+        // The connection closes before the test can see that the process has exited.
+        let until = Instant::now() + EXIT_TIMEOUT;
         while self.controller.phase() == Phase::Ending && Instant::now() < until {
             std::thread::sleep(Duration::from_millis(1));
         }
         self.controller.last_end().filter(|end| end.latest >= opened)
     }
 
-    fn cancels(&mut self) {
+    fn send_and_cancel(&mut self) {
         let wait = self.random.random_range(0..60);
         let Some(id) = self.send_request(DEADLINE, false) else { return };
         std::thread::sleep(Duration::from_millis(wait));
@@ -348,7 +350,7 @@
         self.wait_for_all();
     }
 
-    fn leaves(&mut self) {
+    fn send_and_disconnect(&mut self) {
         let wait = self.random.random_range(0..60);
         let Some(id) = self.send_request(DEADLINE, false) else { return };
         std::thread::sleep(Duration::from_millis(wait));
@@ -360,15 +362,15 @@
         self.audit.client_left(id, before);
     }
 
-    fn half(&mut self) {
+    fn send_partial_request(&mut self) {
         let Some(connection) = self.connected() else { return };
         let mut bytes = Vec::new();
-        frames::request(&mut bytes, connection.last + 1, &[("op", "safe")], b"half");
+        frames::request(&mut bytes, connection.last_stream + 1, &[("op", "safe")], b"half");
         let _ = connection.socket.write_all(&bytes[..bytes.len() / 2]);
         self.connection = None;
     }
 
-    fn garbage(&mut self) {
+    fn send_garbage(&mut self) {
         self.connection = None;
         let bytes: Vec<u8> = (0..64).map(|_| self.random.random()).collect();
         let Some(connection) = self.connected() else { return };
--- a/crates/soak/src/controller.rs
+++ b/crates/soak/src/controller.rs
@@ -1,4 +1,4 @@
-//! Controller processes: their configuration, their starts, signals and ends.
+//! Controller processes: writes their configuration, starts and signals them, and waits for their exit.
 
 use std::fs::File;
 use std::io::{self, Read, Write};
@@ -18,135 +18,138 @@
 use crate::shim::Faults;
 use crate::wire::FrameReader;
 
-/// A controller that is not ready within this span of its start has not started: the platform's figure.
+/// The platform treats a controller that is not ready within this span of its start as failed.
 pub const READY_TIMEOUT: Duration = Duration::from_secs(30);
-/// Deadline of each class.
+/// Deadline of the calls of every class.
 pub const DEADLINE: Duration = Duration::from_millis(2_000);
-/// Within this span of being told of a drain, nothing new goes there any more.
+/// How long after it was notified of a worker's drain a controller may still send calls there.
 pub const DRAIN_GRACE: Duration = Duration::from_millis(1_000);
-/// SIGKILL follows SIGTERM after this span in runs without extra shutdowns: 3 s, whatever the longest deadline, and 0.7 s.
+/// Span between SIGTERM and SIGKILL in runs without extra shutdowns: 3 s, whatever the longest deadline, plus 0.7 s.
 pub const KILL_AFTER: Duration = Duration::from_millis(3_700);
-/// The earliest that the platform allows: the longest deadline, taken as 3 s where it is longer, and 0.7 s.
+/// Shortest span between SIGTERM and SIGKILL that the platform allows: the longest deadline, at most 3 s, plus 0.7 s.
 pub const EARLIEST_KILL: Duration = Duration::from_millis(2_700);
-/// A cold worker bears this share of its capacity at first.
+/// Share of its capacity that a worker has when it starts.
 pub const START_CAPACITY: f64 = 0.2;
-/// So long a worker is cold.
+/// How long after its start a worker is cold.
 pub const SLOW_START: Duration = Duration::from_millis(8_000);
-/// A worker bears so many times its capacity.
+/// Load, as a multiple of its capacity, from which on a worker is overloaded.
 pub const OVERLOAD_FACTOR: f64 = 2.5;
-/// The window over which a worker's load counts.
+/// Length of the window over which a worker's load is measured.
 pub const OVERLOAD_SPAN: Duration = Duration::from_millis(1_000);
 
-/// The first port of controllers: below those that the system gives to connections, so that none is taken while a
-/// controller restarts.
+/// First port of controllers. It lies below the system's ephemeral ports, so that no outgoing connection takes the port
+/// while a controller restarts.
 const FIRST_PORT: u16 = 20_000;
 
-/// The second parts of loopback addresses that runs have.
-const RUNS: std::ops::Range<u8> = 20..220;
-/// A process that holds this port at the last address of a run's block has the block.
+/// Second octets of the loopback addresses of runs, one for each block of addresses.
+const BLOCK_OCTETS: std::ops::Range<u8> = 20..220;
+/// The process that is bound to this port at the last address of a block owns the block.
 const BLOCK_PORT: u16 = FIRST_PORT - 1;
 
-/// A block of loopback addresses that no other process plays on.
+/// A block of loopback addresses that no other process uses for a run.
 struct Block {
-    run: u8,
-    /// Holds the block for as long as this process lives.
+    second_octet: u8,
+    /// Keeps the block for as long as this process runs.
     _lock: TcpListener,
 }
 
-/// The block of this process: the first that is free from one on that follows from its id. Two processes whose ids lead to
-/// the same block would else ask each other's controllers.
+/// The block of this process: the first free one from an index derived from the process id on. Without the lock,
+/// clients of two processes with the same index would reach each other's controllers.
 fn block() -> io::Result<&'static Block> {
     static BLOCK: OnceLock<Option<Block>> = OnceLock::new();
     let free = || {
-        let first = std::process::id() as usize % RUNS.len();
-        let runs = RUNS.cycle().skip(first).take(RUNS.len());
-        runs.filter_map(|run| {
-            let lock = TcpListener::bind(SocketAddr::from(([127, run, 255, 254], BLOCK_PORT))).ok()?;
-            Some(Block { run, _lock: lock })
-        })
-        .next()
+        let first = std::process::id() as usize % BLOCK_OCTETS.len();
+        let octets = BLOCK_OCTETS.cycle().skip(first).take(BLOCK_OCTETS.len());
+        octets
+            .filter_map(|second_octet| {
+                let lock =
+                    TcpListener::bind(SocketAddr::from(([127, second_octet, 255, 254], BLOCK_PORT))).ok()?;
+                Some(Block { second_octet, _lock: lock })
+            })
+            .next()
     };
     BLOCK.get_or_init(free).as_ref().ok_or_else(|| io::ErrorKind::AddrInUse.into())
 }
 
-/// An address of its own for a controller, whichever other runs there are on this machine.
+/// An address for a controller that no other run on this machine uses.
 fn own_address(number: usize) -> io::Result<SocketAddr> {
-    static PLACES: AtomicU16 = AtomicU16::new(0);
-    let port = FIRST_PORT + PLACES.fetch_add(1, Ordering::AcqRel) % 10_000;
-    Ok(SocketAddr::from(([127, block()?.run, (number % 250) as u8, 1], port)))
+    static NEXT_PORT: AtomicU16 = AtomicU16::new(0);
+    let port = FIRST_PORT + NEXT_PORT.fetch_add(1, Ordering::AcqRel) % 10_000;
+    Ok(SocketAddr::from(([127, block()?.second_octet, (number % 250) as u8, 1], port)))
 }
 
-/// What clients may do with a controller now.
+/// The state of a controller, as its clients see it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// It takes calls.
+    /// Its process takes requests.
     Serving,
-    /// It was asked to end.
+    /// Its process was asked to exit and may still run.
     Ending,
-    /// It is not there.
+    /// It has no process, or one that is not ready yet.
     Down,
 }
 
-/// What arrived of asking a controller to end.
+/// The result of terminating a controller.
 #[derive(Clone, Copy, Debug)]
 pub enum Ended {
-    /// It ended.
+    /// The process exited by itself.
     ByItself(ExitStatus),
-    /// It had not ended when the platform kills.
+    /// The process had not exited in time and was killed, as the platform does.
     Killed,
-    /// It was not in service: another disturbance has it.
+    /// The controller was not in service, as during another disturbance. Nothing was done.
     NotServing,
 }
 
-/// A controller's id: its address and name outlive its processes.
+/// A controller: its address, name and configuration, which outlive its processes, and its current process.
 pub struct Controller {
-    /// Its number.
+    /// The controller's number, from 0.
     pub number: usize,
-    /// Where clients connect.
+    /// The address that clients connect to.
     pub address: SocketAddr,
-    /// Faults of its system calls.
+    /// Faults that the shim injects into its system calls.
     pub faults: Faults,
     program: PathBuf,
     shim: Option<PathBuf>,
     dir: PathBuf,
     state: Mutex<State>,
-    /// Kills by the test so far: what was open then is owed by nobody.
+    /// Number of SIGKILL disturbances so far. Requests that were open at one of them need no answer.
     pub kills: AtomicU64,
-    /// How the last process ended that had been asked to.
+    /// The exit of the last process that was asked to exit.
     last_end: Mutex<Option<ProcessEnd>>,
-    /// Since when the test has stopped its process.
+    /// When the test suspended the process, while it is suspended.
     stopped_since: Mutex<Option<Instant>>,
 }
 
-/// The end of a process that had been asked to end.
+/// The exit of a process that was asked to exit.
 #[derive(Clone, Copy, Debug)]
 pub struct ProcessEnd {
-    /// It was still there at this moment,
+    /// The last moment at which the process was seen running.
     pub earliest: Instant,
-    /// and no more at this one.
+    /// The moment at which its exit was seen.
     pub latest: Instant,
-    /// It was killed, as the platform does.
+    /// Whether it was killed for not exiting in time.
     pub killed: bool,
-    /// Since when the test had stopped it, where it was killed while it stood still.
+    /// When the test had suspended it with SIGSTOP, if it was suspended at its exit.
     pub stopped_since: Option<Instant>,
 }
 
-/// How a process is asked to end.
+/// How a process is asked to exit.
 #[derive(Clone, Debug)]
 pub struct Termination {
-    /// Signals, and how long after the one before each is sent.
+    /// Signals, each with the delay after the one before.
     pub signals: Vec<(Duration, Signal)>,
-    /// SIGKILL comes so long after the first SIGTERM.
+    /// Span between the first SIGTERM and SIGKILL.
     pub kill_after: Duration,
 }
 
 impl Termination {
-    /// By SIGTERM alone.
+    /// A single SIGTERM.
     pub fn plain(kill_after: Duration) -> Self {
         Self { signals: vec![(Duration::ZERO, Signal::TERM)], kill_after }
     }
 
-    /// By a series of signals, each `gap` after the one before; `middle`: the middle of a shutdown.
+    /// A series of signals, each `gap` after the one before. `middle` is the delay after SIGTERM at which the shutdown
+    /// is taken to be half done.
     pub fn series(series: SignalSeries, gap: Duration, middle: Duration, kill_after: Duration) -> Self {
         let (hup, term) = (Signal::HUP, Signal::TERM);
         let signals = match series {
@@ -165,19 +168,19 @@
     phase: Phase,
     child: Option<Child>,
     lives: u32,
-    /// Ends the directory's thread at the address that was told last.
+    /// Stops the directory's thread at the address in the last configuration.
     directory: Arc<AtomicBool>,
 }
 
-/// How many controllers there are, and which settings they share.
+/// Settings that all controllers of a run share.
 #[derive(Clone, Copy, Debug)]
 pub struct Fleet {
-    /// Controllers.
+    /// Number of controllers.
     pub controllers: usize,
 }
 
 impl Controller {
-    /// A id for a controller, with no process yet.
+    /// Creates a controller without a process. Its files are written to a folder in `dir`.
     pub fn new(
         number: usize,
         program: &Path,
@@ -207,12 +210,12 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// What clients may do with it now.
+    /// The current state, as clients see it.
     pub fn phase(&self) -> Phase {
         self.state().phase
     }
 
-    /// How the last process ended that had been asked to.
+    /// The exit of the last process that was asked to exit, if there was one.
     pub fn last_end(&self) -> Option<ProcessEnd> {
         *self.last_end.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -223,7 +226,7 @@
         *self.last_end.lock().unwrap_or_else(PoisonError::into_inner) = Some(end);
     }
 
-    /// Stops its process for a while.
+    /// Suspends the process with SIGSTOP for `span`.
     pub fn freeze(&self, span: Duration, audit: &Audit) {
         let set = |since| *self.stopped_since.lock().unwrap_or_else(PoisonError::into_inner) = since;
         set(Some(Instant::now()));
@@ -232,10 +235,10 @@
         std::thread::sleep(span);
         self.signal(Signal::CONT);
         set(None);
-        audit.incident(self.number, "goes on");
+        audit.incident(self.number, "resumed");
     }
 
-    /// Starts a process of it, and waits until it is ready.
+    /// Starts a process and waits until it is ready. Returns false if it exits before or exceeds [`READY_TIMEOUT`].
     pub fn start(&self, fleet: Fleet, directory: &Arc<Directory>, audit: &Arc<Audit>) -> io::Result<bool> {
         self.launch(fleet, directory, audit)?;
         let end = Instant::now() + READY_TIMEOUT;
@@ -253,7 +256,8 @@
         Ok(false)
     }
 
-    /// Starts a process of it, asks it to end before it can be ready, and waits for its end. `None`: it was killed.
+    /// Starts a process, sends SIGTERM `after` its start, and waits for its exit. Returns `None` if it had to be
+    /// killed, `kill_after` the signal.
     pub fn end_before_ready(
         &self,
         fleet: Fleet,
@@ -269,13 +273,13 @@
         self.wait_or_kill(Instant::now() + kill_after)
     }
 
-    /// Starts a process of it.
+    /// Writes the configuration, with a new address of the directory, and starts a process.
     fn launch(&self, fleet: Fleet, directory: &Arc<Directory>, audit: &Arc<Audit>) -> io::Result<()> {
         let stop = Arc::new(AtomicBool::new(false));
         let resolver = directory.open(self.number, Arc::clone(audit), Arc::clone(&stop))?;
         let list = directory.list();
         std::fs::write(self.config_path(), self.config(fleet, resolver, &list))?;
-        // It can't have read it before.
+        // The process can't have read the list in its configuration before this moment.
         let before_start = audit.now();
         let life = {
             let mut state = self.state();
@@ -298,7 +302,7 @@
     }
 
     fn ready(&self) -> bool {
-        let asked = || -> io::Result<bool> {
+        let query = || -> io::Result<bool> {
             let mut socket = TcpStream::connect_timeout(&self.address, Duration::from_millis(200))?;
             socket.set_read_timeout(Some(Duration::from_millis(500)))?;
             let mut out = Vec::new();
@@ -316,10 +320,10 @@
                 }
             }
         };
-        asked().unwrap_or(false)
+        query().unwrap_or(false)
     }
 
-    /// Its process has ended, if it has one.
+    /// The exit status of the process; `None` if it still runs or there is none.
     pub fn exited(&self) -> io::Result<Option<ExitStatus>> {
         match &mut self.state().child {
             Some(child) => child.try_wait(),
@@ -327,7 +331,7 @@
         }
     }
 
-    /// Sends a signal to its process.
+    /// Sends a signal to the process, if there is one.
     pub fn signal(&self, signal: Signal) {
         let pid = self.state().child.as_ref().and_then(|child| Pid::from_raw(child.id() as i32));
         if let Some(pid) = pid {
@@ -335,7 +339,8 @@
         }
     }
 
-    /// Takes it out of service, for one disturbance alone. False: another one has.
+    /// Takes the controller out of service and into `phase`. Returns false if it was not in service, so that only one
+    /// disturbance at a time starts or ends its processes.
     fn leave_service(&self, phase: Phase) -> bool {
         let mut state = self.state();
         let served = state.phase == Phase::Serving;
@@ -345,7 +350,8 @@
         served
     }
 
-    /// Kills it: what is open there is owed by nobody. False: it was not in service.
+    /// Kills the process as a disturbance: requests that are open then need no answer. Returns false if the controller
+    /// was not in service.
     pub fn kill(&self, audit: &Audit) -> bool {
         if !self.leave_service(Phase::Down) {
             return false;
@@ -360,7 +366,7 @@
         true
     }
 
-    /// Asks it to end and waits until it has, or kills it when the platform would.
+    /// Sends the signals of `termination` and waits until the process has exited, or kills it when the platform would.
     pub fn terminate(&self, termination: &Termination, audit: &Audit) -> io::Result<Ended> {
         if !self.leave_service(Phase::Ending) {
             return Ok(Ended::NotServing);
@@ -381,19 +387,19 @@
         Ok(ended.map_or(Ended::Killed, Ended::ByItself))
     }
 
-    /// Waits until its process has ended. `None`: it was killed at that moment, as the platform does: what is unanswered
-    /// then is lost.
+    /// Waits until the process has exited. At `kill_at` it kills the process, as the platform does, and returns `None`.
+    /// Requests that are unanswered then count as lost.
     fn wait_or_kill(&self, kill_at: Instant) -> io::Result<Option<ExitStatus>> {
-        let mut seen = Instant::now();
+        let mut last_seen = Instant::now();
         while Instant::now() < kill_at {
             let before = Instant::now();
             if let Some(status) = self.exited()? {
-                self.record_end(seen, false);
+                self.record_end(last_seen, false);
                 let mut state = self.state();
                 (state.phase, state.child) = (Phase::Down, None);
                 return Ok(Some(status));
             }
-            seen = before;
+            last_seen = before;
             std::thread::sleep(Duration::from_millis(5));
         }
         let child = self.state().child.take();
@@ -407,7 +413,8 @@
         Ok(None)
     }
 
-    /// Gives it a new configuration that moves its directory, and SIGHUP. `half`: the file is half written at first.
+    /// Writes a configuration with a new address of the directory and sends SIGHUP. If `half`, the process first gets
+    /// SIGHUP while the file is half written.
     pub fn reload(
         &self,
         fleet: Fleet,
@@ -428,13 +435,13 @@
         std::fs::rename(&new, self.config_path())?;
         self.signal(Signal::HUP);
         let mut state = self.state();
-        // What the old address has sent is sent; it answers no more.
+        // The old address stops answering. Lists that it sent before still count as sent.
         state.directory.store(true, Ordering::Release);
         state.directory = stop;
         Ok(())
     }
 
-    /// What its processes logged, one text a life.
+    /// The logs of all its processes, in order of their starts.
     pub fn logs(&self) -> Vec<String> {
         let lives = self.state().lives;
         let read = |life| std::fs::read_to_string(self.dir.join(format!("life-{life}.log")));
--- a/crates/soak/src/directory.rs
+++ b/crates/soak/src/directory.rs
@@ -1,4 +1,5 @@
-//! The directory: one list, told to each controller at addresses of its own, with disturbances.
+//! A simulated directory: serves one list of workers over DNS, to each controller at an address of its own, and can be
+//! unresponsive or slow.
 
 use std::io;
 use std::net::{IpAddr, SocketAddr, UdpSocket};
@@ -13,50 +14,50 @@
 use crate::audit::{Audit, ListEvent};
 use crate::kernel_time;
 
-/// A worker in the list.
+/// A worker's entry in the list.
 #[derive(Clone, Debug)]
 pub struct Entry {
-    /// Where controllers reach it.
+    /// The address where controllers reach the worker: that of its proxy.
     pub address: SocketAddr,
-    /// It takes new calls; else it drains.
+    /// Whether the worker takes new calls. If not, it is draining.
     pub in_service: bool,
-    /// It is listed at all.
+    /// Whether answers contain the entry.
     pub listed: bool,
-    /// Unix millisecond of its start, 0: long ago.
+    /// Start of the worker's process, in Unix milliseconds; 0 if it started long ago.
     pub started_ms: u64,
 }
 
-/// The list as it stands, by worker.
+/// The list of workers.
 #[derive(Clone, Debug, Default)]
 pub struct List {
-    /// Number of the last event.
+    /// Serial number, incremented by each change.
     pub serial: u32,
-    /// Workers by their numbers.
+    /// Entries, indexed by worker number.
     pub entries: Vec<Entry>,
 }
 
-/// The directory's state.
+/// The directory: its list and its disturbances.
 #[derive(Default)]
 pub struct Directory {
     list: Mutex<List>,
-    /// No answers come.
+    /// The directory answers no queries.
     pub unresponsive: AtomicBool,
-    /// Answers are late by so many milliseconds.
+    /// Delay of answers in milliseconds.
     pub delay: AtomicU64,
 }
 
 impl Directory {
-    /// One with this list.
+    /// A directory that serves `list`.
     pub fn new(list: List) -> Self {
         Self { list: Mutex::new(list), ..Self::default() }
     }
 
-    /// The list as it stands.
+    /// A copy of the current list.
     pub fn list(&self) -> List {
         self.list.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Changes one worker: the next event, whose number it returns.
+    /// Changes the entry of a worker and records the change in the audit. Returns the list's new serial number.
     pub fn change(&self, worker: usize, audit: &Audit, change: impl FnOnce(&mut Entry)) -> u32 {
         let mut list = self.list.lock().unwrap_or_else(PoisonError::into_inner);
         list.serial += 1;
@@ -69,7 +70,7 @@
         serial
     }
 
-    /// Opens an address of its own for a controller, which answers until `stop` is set.
+    /// Opens an address for a controller, which answers queries until `stop` is set.
     pub fn open(
         self: &Arc<Self>,
         controller: usize,
@@ -78,7 +79,7 @@
     ) -> io::Result<SocketAddr> {
         let socket = UdpSocket::bind("127.0.0.1:0")?;
         socket.set_read_timeout(Some(Duration::from_millis(200)))?;
-        // Where the kernel has no timestamps, the interval of the send stands.
+        // Without kernel timestamps, the interval around the send is used.
         let _ = kernel_time::enable_send_timestamps(&socket);
         let address = socket.local_addr()?;
         let directory = Arc::clone(self);
@@ -100,7 +101,7 @@
         let list = self.list();
         let Some(bytes) = answer(query.id(), &list) else { return };
         std::thread::sleep(Duration::from_millis(self.delay.load(Ordering::Acquire)));
-        // The controller may act on it before this thread has the core again.
+        // The controller may act on the list before this thread is scheduled again after the send.
         let before = audit.now();
         if socket.send_to(&bytes, from).is_ok() {
             audit.list_sent(controller, list.serial, before, kernel_time::last_send(socket));
@@ -124,8 +125,9 @@
         packet.answers.push(ResourceRecord::new(service, CLASS::IN, 0, RData::SRV(srv)));
         let a = RData::A(A { address: ip.into() });
         packet.additional_records.push(ResourceRecord::new(name.clone(), CLASS::IN, 0, a));
-        let words = ["kind=std", "cell=1", started.as_str()];
-        let text = words.iter().try_fold(TXT::new(), |text, word| text.with_string(word)).ok()?;
+        let attributes = ["kind=std", "cell=1", started.as_str()];
+        let text =
+            attributes.iter().try_fold(TXT::new(), |text, attribute| text.with_string(attribute)).ok()?;
         packet.additional_records.push(ResourceRecord::new(name, CLASS::IN, 0, RData::TXT(text)));
     }
     let zone = Name::new_unchecked("mesh.local");
--- a/crates/soak/src/judge.rs
+++ b/crates/soak/src/judge.rs
@@ -4,8 +4,8 @@
 //! Where the test can't tell in which order two events happened, the record holds the interval in which each of them
 //! lies. The record is judged in two orders. In the order that favours the controller, an event that permits something
 //! counts from the start of its interval, and an event that forbids something from the end. An invariant that is broken
-//! in this order is broken. An invariant that is broken only in the opposite order is undecided and reported as such; too
-//! many undecided findings are a finding of their own.
+//! in this order is broken. An invariant that is broken only in the opposite order is undecided and reported as such;
+//! too many undecided findings are a finding of their own.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -124,10 +124,10 @@
 /// The lag of the test's own threads widens a bound if it was observed within this span of the event.
 const LAG_WINDOW: Duration = Duration::from_millis(1_500);
 
-/// Undecided findings allowed per thousand attempts: the share of attempts that may fall into the microseconds of a send.
-/// A higher bound would let the test hide broken invariants.
+/// Undecided findings allowed per thousand attempts: the share of attempts that may fall into the microseconds of a
+/// send. A higher bound would let the test hide broken invariants.
 const UNDECIDED_PER_THOUSAND: usize = 1;
-/// Undecided findings allowed in a run with few attempts.
+/// Undecided findings allowed in any run, however few its attempts.
 const MIN_UNDECIDED: usize = 2;
 
 /// Judges a record. Findings about known calls come first, in the order of call ids.
@@ -259,8 +259,8 @@
     }
 }
 
-/// When a controller was notified that the worker of an attempt takes no new calls. `None` if it was not notified before
-/// the attempt arrived, or was notified of the worker's return to service since.
+/// When a controller was notified that the worker of an attempt takes no new calls. `None` if it was not notified
+/// before the attempt arrived, or was notified of the worker's return to service since.
 fn out_of_service(
     record: &Record,
     controller: usize,
@@ -280,8 +280,8 @@
     newest.filter(|(event, _)| !event.in_service).map(|(_, at)| at)
 }
 
-/// The number of calls of mean core time that a cold worker may get in the window that ends at `age`, with the platform's
-/// allowance for random variation.
+/// The number of calls of mean core time that a cold worker may get in the window that ends at `age`, with the
+/// platform's allowance for random variation.
 fn budget(age: Duration) -> f64 {
     let progress = (age.as_secs_f64() / SLOW_START.as_secs_f64()).min(1.0);
     let capacity = START_CAPACITY + (1.0 - START_CAPACITY) * progress;
@@ -318,8 +318,8 @@
             let notified =
                 arrivals[from..=index].iter().filter(|a| was_notified(record, start, a, order)).count();
             let is_overload = age < SLOW_START && count as f64 > budget(age);
-            // The platform counts an overload against controllers only if over two thirds of the calls in the window came
-            // from controllers that had been notified of the start.
+            // The platform counts an overload against controllers only if over two thirds of the calls in the window
+            // came from controllers that had been notified of the start.
             if is_overload && notified * 3 > count * 2 {
                 let what = format!(
                     "worker {worker} got {count} calls in {OVERLOAD_SPAN:?} at an age of {age:?}, {notified} of them from controllers notified of its start, {:.1} allowed",
--- a/crates/soak/src/kernel_time.rs
+++ b/crates/soak/src/kernel_time.rs
@@ -1,5 +1,5 @@
-//! Kernel timestamps of bytes sent and received on sockets. A thread of the test that is preempted between a system call
-//! and the next clock reading does not know when its bytes were sent or received. The kernel does.
+//! Kernel timestamps of bytes sent and received on sockets. A thread of the test that is preempted between a system
+//! call and the next clock reading does not know when its bytes were sent or received. The kernel does.
 //!
 //! Kernel timestamps use the wall clock, and [`WallClock`] converts them to moments of a run. Without a timestamp, the
 //! test's own clock readings are used.
@@ -80,7 +80,8 @@
     Ok(setsockopt(&socket.as_fd(), sockopt::Timestamping, &flags)?)
 }
 
-/// The kernel's time of the last datagram sent on `socket`. Drains the socket's queue of timestamps; `None` if it is empty.
+/// The kernel's time of the last datagram sent on `socket`. Drains the socket's queue of timestamps; `None` if it is
+/// empty.
 pub fn last_send(socket: &UdpSocket) -> Option<KernelTime> {
     let mut last = None;
     while let Some(timestamp) = next_send(socket) {
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -1,4 +1,5 @@
-//! What a run holds, drawn from its seed: which faults each controller meets, and disturbances that overlap in time.
+//! The plan of a run, drawn from its seed: the system-call faults of each controller, and disturbances that overlap in
+//! time.
 
 use std::fmt;
 use std::time::Duration;
@@ -8,38 +9,39 @@
 
 use crate::shim::Faults;
 
-/// How large a run is.
+/// The size of a run.
 #[derive(Clone, Copy, Debug)]
 pub struct Size {
-    /// Controllers: one process each.
+    /// Number of controllers, each a process of its own.
     pub controllers: usize,
-    /// Workers.
+    /// Number of workers.
     pub workers: usize,
-    /// Clients of each controller.
+    /// Number of clients per controller.
     pub clients: usize,
-    /// How long clients ask.
+    /// How long clients send requests.
     pub span: Duration,
 }
 
 impl Size {
-    /// One for a check of a few seconds on a small machine.
+    /// A run of a few seconds for a small machine.
     pub const SMALL: Self = Self { controllers: 6, workers: 4, clients: 3, span: Duration::from_secs(8) };
-    /// Some dozens of processes.
+    /// The default size: some dozens of processes.
     pub const USUAL: Self = Self { controllers: 24, workers: 6, clients: 4, span: Duration::from_secs(14) };
 }
 
-/// What a run holds besides the disturbances of its seed. Each is drawn apart, so that it changes nothing of what the seed
-/// holds without it.
+/// Optional disturbances in addition to those of every run. They are drawn from a random sequence of their own, so that
+/// enabling them leaves the rest of a seed's plan unchanged.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Extras {
-    /// Clients use their connections until their controller's process is gone, SIGKILL comes at the earliest moment that
-    /// the platform allows after SIGTERM, and signals come in series.
+    /// Clients use their connections until their controller's process has exited, SIGKILL follows SIGTERM as early as
+    /// the platform allows, and processes get series of signals.
     pub shutdowns: bool,
-    /// Idle clients up to the descriptors' limit, and connections that come and go, while the directory is unresponsive.
+    /// Idle connections up to a controller's descriptor limit, and connections that are closed as soon as they are
+    /// open, while the directory is unresponsive.
     pub crowd: bool,
 }
 
-/// Signals that come to one process within [`SERIES_SPAN`], or while it shuts down.
+/// A series of signals sent to one process within [`SERIES_SPAN`] or during its shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SignalSeries {
     /// SIGHUP, SIGHUP, SIGTERM.
@@ -50,14 +52,14 @@
     EndReloadReload,
     /// SIGTERM twice.
     EndEnd,
-    /// SIGTERM, and SIGHUP in the middle of the shutdown.
+    /// SIGTERM, then SIGHUP in the middle of the shutdown.
     ReloadDuringShutdown,
     /// SIGTERM to a new process before it is ready.
     EndBeforeReady,
 }
 
 impl SignalSeries {
-    /// All of them.
+    /// All series, for a random choice.
     const ALL: [Self; 6] = [
         Self::ReloadReloadEnd,
         Self::ReloadEndReload,
@@ -68,87 +70,90 @@
     ];
 }
 
-/// Signals of a series come within this span.
+/// The signals of a series are sent within this span.
 pub const SERIES_SPAN: Duration = Duration::from_millis(50);
 
-/// What happens to whom.
+/// A disturbance and the number of the controller or worker that it affects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Disturbance {
-    /// SIGTERM to a controller, and a new process after its end.
+    /// A controller gets SIGTERM, and a new process starts after it has exited.
     Restart(usize),
-    /// SIGKILL to a controller, and a new process.
+    /// A controller is killed with SIGKILL, and a new process starts.
     Kill(usize),
-    /// A new configuration and SIGHUP; `true`: half written at first, with a SIGHUP of its own.
+    /// A controller gets a new configuration and SIGHUP. If `true`, it first gets SIGHUP with the file half written.
     Reload(usize, bool),
-    /// SIGHUP several times in a row, then SIGTERM, and a new process.
+    /// A controller gets several SIGHUPs and then SIGTERM, and a new process starts.
     ReloadsThenRestart(usize),
-    /// A controller is stopped for a while and goes on.
+    /// A controller is suspended with SIGSTOP for this span.
     Freeze(usize, Duration),
-    /// A worker drains, is replaced by a new process at the same address, and takes calls again.
+    /// A worker drains, is replaced by a new process at the same address, and returns to service.
     RollingReplace(usize),
-    /// A worker's process dies and comes back, before the list tells.
+    /// A worker's process crashes and restarts before the directory's list announces it.
     Crash(usize),
-    /// A worker's process looks at nothing for a while.
+    /// A worker's process handles no commands for this span.
     Hang(usize, Duration),
-    /// A worker's network drops all bytes for a while.
+    /// A worker's network drops all bytes for this span.
     Blackhole(usize, Duration),
-    /// A worker's connections are reset (`true`) or ended.
+    /// A worker's connections are reset (`true`) or shut down in order (`false`).
     Reset(usize, bool),
-    /// A worker fails some calls for a while.
+    /// A worker fails some calls for this span.
     Fail(usize, Duration),
-    /// A worker's answers are late and come in pieces for a while.
+    /// A worker's answers are delayed and split into small writes for this span.
     Slow(usize, Duration),
-    /// The directory does not answer for a while.
+    /// The directory does not answer for this span.
     DirectoryUnresponsive(Duration),
-    /// The directory answers late for a while.
+    /// The directory delays its answers by this span, for four times as long.
     DirectorySlow(Duration),
-    /// A controller gets signals in a row, the second and third so long after the one before; a new process follows.
+    /// A controller gets a series of signals with this gap between them, and a new process starts after it has exited.
     Signals(usize, SignalSeries, Duration),
-    /// A controller's descriptors are filled by idle clients, and connections come and go, while the directory is unresponsive.
+    /// Idle connections use up a controller's descriptors while further connections are opened and closed and the
+    /// directory is unresponsive, for this span.
     ConnectionFlood(usize, Duration),
 }
 
-/// A run.
+/// The plan of a run.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Its seed.
+    /// The seed that the plan is drawn from.
     pub seed: u64,
-    /// Its size.
+    /// Numbers of processes and clients, and the duration.
     pub size: Size,
-    /// What it holds besides the disturbances of its seed.
+    /// The optional disturbances that are enabled.
     pub extras: Extras,
-    /// Faults of each controller's system calls.
+    /// System-call faults of each controller, by its number.
     pub faults: Vec<Faults>,
-    /// Disturbances and when they begin.
+    /// Disturbances with their start times, in order of time.
     pub disturbances: Vec<(Duration, Disturbance)>,
 }
 
-/// Disturbances begin no sooner, so that all controllers are ready, and end so long before clients stop.
-const QUIET: Duration = Duration::from_millis(1_500);
-/// Disturbances that meet begin within so many milliseconds of each other.
-const MEETING_MS: u64 = 400;
-/// Extra disturbances are drawn from the seed and this.
+/// Groups of disturbances start no earlier than this, so that all controllers are ready, and no later than this before
+/// clients stop.
+const QUIET_SPAN: Duration = Duration::from_millis(1_500);
+/// Disturbances of one group start within this many milliseconds of each other, so that they overlap.
+const GROUP_SPAN_MS: u64 = 400;
+/// Combined with the seed to draw the optional disturbances.
 const EXTRAS_SALT: u64 = 0x5eed_0e87_7a50_0001;
 
 impl Plan {
-    /// The run of a seed. `shims`: controllers meet faults of their system calls.
+    /// Draws the plan of a seed without optional disturbances. `shims` enables system-call faults in controllers.
     pub fn draw(seed: u64, size: Size, shims: bool) -> Self {
         Self::draw_with(seed, size, shims, Extras::default())
     }
 
-    /// The run of a seed with extra disturbances.
+    /// Draws the plan of a seed with the optional disturbances `extras`. `shims` enables system-call faults in
+    /// controllers.
     pub fn draw_with(seed: u64, size: Size, shims: bool, extras: Extras) -> Self {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let faults = (0..size.controllers)
             .map(|number| if shims { faults(&mut random, number) } else { Faults::default() })
             .collect();
         let mut disturbances = Vec::new();
-        let last = size.span.saturating_sub(QUIET).as_millis() as u64;
-        let mut at = QUIET.as_millis() as u64;
+        let last = size.span.saturating_sub(QUIET_SPAN).as_millis() as u64;
+        let mut at = QUIET_SPAN.as_millis() as u64;
         while at < last {
             for _ in 0..random.random_range(2..4) {
-                let begins = at + random.random_range(0..MEETING_MS);
-                disturbances.push((Duration::from_millis(begins), disturbance(&mut random, size)));
+                let start = at + random.random_range(0..GROUP_SPAN_MS);
+                disturbances.push((Duration::from_millis(start), disturbance(&mut random, size)));
             }
             at += random.random_range(300..1_200);
         }
@@ -169,12 +174,12 @@
     }
 }
 
-/// A third of the controllers meets none, so that each run has what to compare with.
+/// Draws the system-call faults of a controller. A third of the controllers gets none, for comparison within a run.
 fn faults(random: &mut ChaCha8Rng, number: usize) -> Faults {
     if number.is_multiple_of(3) {
         return Faults::default();
     }
-    let mut some = |most: u32| if random.random_bool(0.5) { random.random_range(1..=most) } else { 0 };
+    let mut some = |max: u32| if random.random_bool(0.5) { random.random_range(1..=max) } else { 0 };
     let mut faults = Faults {
         short: some(300),
         interrupt: some(100),
@@ -198,10 +203,10 @@
 
 fn extra_disturbances(seed: u64, size: Size, extras: Extras) -> Vec<(Duration, Disturbance)> {
     let mut random = ChaCha8Rng::seed_from_u64(seed ^ EXTRAS_SALT);
-    let last = size.span.saturating_sub(QUIET).as_millis() as u64;
+    let last = size.span.saturating_sub(QUIET_SPAN).as_millis() as u64;
     let mut all = Vec::new();
     if extras.shutdowns {
-        let mut at = QUIET.as_millis() as u64;
+        let mut at = QUIET_SPAN.as_millis() as u64;
         while at < last {
             let controller = random.random_range(0..size.controllers);
             let series = SignalSeries::ALL[random.random_range(0..SignalSeries::ALL.len())];
@@ -211,10 +216,10 @@
         }
     }
     if extras.crowd {
-        let begins = random.random_range(QUIET.as_millis() as u64..last);
+        let start = random.random_range(QUIET_SPAN.as_millis() as u64..last);
         let span = Duration::from_millis(random.random_range(1_000..3_000));
         let controller = random.random_range(0..size.controllers);
-        all.push((Duration::from_millis(begins), Disturbance::ConnectionFlood(controller, span)));
+        all.push((Duration::from_millis(start), Disturbance::ConnectionFlood(controller, span)));
     }
     all
 }
--- a/crates/soak/src/proxy.rs
+++ b/crates/soak/src/proxy.rs
@@ -1,6 +1,6 @@
-//! The network between controllers and one worker: forwards bytes, and can be unresponsive, slow, cut bytes into pieces, or
-//! end connections. What a controller sends is read at once whatever the disturbance, and noted for the audit with the
-//! kernel's time.
+//! A TCP proxy that stands for the network between controllers and one worker. It forwards bytes and can drop or delay
+//! them, split them into small writes, or close connections. Whatever the disturbance, it reads a controller's commands
+//! as they arrive and records them in the audit with the kernel's timestamps.
 
 use std::collections::BTreeSet;
 use std::io::{self, Read, Write};
@@ -13,27 +13,27 @@
 use crate::kernel_time::{self, KernelTime};
 use crate::wire::{CommandParts, CommandReader, field};
 
-/// Stack of a thread that forwards bytes.
-pub(crate) const SMALL_STACK: usize = 128 << 10;
-/// Bytes of a piece where answers are cut up.
-const PIECE: usize = 7;
+/// Stack size, in bytes, of a thread that serves one connection.
+pub(crate) const CONNECTION_STACK_BYTES: usize = 128 << 10;
+/// Size, in bytes, of the writes that answers are split into.
+const PIECE_BYTES: usize = 7;
 
 /// The disturbances of one worker's network.
 #[derive(Debug, Default)]
 pub struct Link {
-    /// Bytes towards the worker are dropped, and none come back: connections stay up.
+    /// Drops bytes in both directions while connections stay open.
     pub unresponsive: AtomicBool,
-    /// Answers are held up for so many milliseconds.
+    /// Delay of answers in milliseconds.
     pub delay: AtomicU64,
-    /// Answers come in small pieces.
+    /// Splits answers into small writes.
     pub pieces: AtomicBool,
-    /// New connections are reset.
+    /// Resets new connections.
     pub closed: AtomicBool,
     sockets: Mutex<Vec<TcpStream>>,
 }
 
 impl Link {
-    /// Ends all connections: with a reset, or in order.
+    /// Closes all connections, with a reset or with an orderly shutdown.
     pub fn close_all(&self, reset: bool) {
         let mut sockets = self.sockets.lock().unwrap_or_else(PoisonError::into_inner);
         for socket in sockets.drain(..) {
@@ -45,20 +45,20 @@
         }
     }
 
-    fn keep(&self, socket: &TcpStream) -> io::Result<()> {
+    fn register(&self, socket: &TcpStream) -> io::Result<()> {
         let clone = socket.try_clone()?;
         self.sockets.lock().unwrap_or_else(PoisonError::into_inner).push(clone);
         Ok(())
     }
 }
 
-/// Lets a connection be reset when it is dropped, and ends its reading.
+/// Makes the socket send a reset when it is dropped, and ends reads from it.
 fn reset_when_dropped(socket: &TcpStream) {
     let _ = rustix::net::sockopt::set_socket_linger(socket, Some(Duration::ZERO));
     let _ = socket.shutdown(Shutdown::Read);
 }
 
-/// Starts a proxy to `target`; gives its address.
+/// Starts a proxy to the worker with this number, which listens at `target`. Returns the proxy's address.
 pub fn start(
     worker: usize,
     target: SocketAddr,
@@ -75,9 +75,9 @@
             }
             let id = ConnectionId { worker, connection };
             let (link, audit) = (Arc::clone(&link), Arc::clone(&audit));
-            // Aside: a connection that is being forwarded holds up none behind it.
+            // A thread of its own, so that connecting to the worker does not delay connections behind this one.
             let forward = move || _ = forward(id, socket, target, &link, &audit);
-            let _ = std::thread::Builder::new().stack_size(SMALL_STACK).spawn(forward);
+            let _ = std::thread::Builder::new().stack_size(CONNECTION_STACK_BYTES).spawn(forward);
         }
     });
     Ok(address)
@@ -93,14 +93,15 @@
     let upstream = TcpStream::connect(target)?;
     controller.set_nodelay(true)?;
     upstream.set_nodelay(true)?;
-    link.keep(&controller)?;
-    // A link that was closed since the connection arrived has ended those that it knew of.
+    link.register(&controller)?;
+    // If the link was closed since the connection arrived, `close_all` may have run before this connection was
+    // registered.
     if link.closed.load(Ordering::Acquire) {
         reset_when_dropped(&controller);
         return Ok(());
     }
     let open = Arc::new(Mutex::new(BTreeSet::new()));
-    let half = |from: TcpStream, to: TcpStream| Half {
+    let forwarder = |from: TcpStream, to: TcpStream| Forwarder {
         id,
         from,
         to,
@@ -109,29 +110,30 @@
         open: Arc::clone(&open),
         lost_bytes: false,
     };
-    let requests = half(controller.try_clone()?, upstream.try_clone()?);
-    let responses = half(upstream, controller);
-    let small = || std::thread::Builder::new().stack_size(SMALL_STACK);
-    small().spawn(move || requests.forward_requests())?;
-    small().spawn(move || responses.forward_responses())?;
+    let requests = forwarder(controller.try_clone()?, upstream.try_clone()?);
+    let responses = forwarder(upstream, controller);
+    let thread = || std::thread::Builder::new().stack_size(CONNECTION_STACK_BYTES);
+    thread().spawn(move || requests.forward_requests())?;
+    thread().spawn(move || responses.forward_responses())?;
     Ok(())
 }
 
-/// One direction of a connection.
-struct Half {
+/// Forwards one direction of a connection.
+struct Forwarder {
     id: ConnectionId,
     from: TcpStream,
     to: TcpStream,
     link: Arc<Link>,
     audit: Arc<Audit>,
-    /// Ids whose attempts are out on the connection.
+    /// Ids of the calls whose attempts were sent on the connection and not cancelled.
     open: Arc<Mutex<BTreeSet<u64>>>,
-    /// Bytes of it were dropped: nothing more passes, as what was dropped can't be made up for.
+    /// Bytes of this direction were dropped. Nothing more is forwarded, as the stream would have a gap.
     lost_bytes: bool,
 }
 
-impl Half {
-    /// From a controller to the worker: what is sent is noted at once, whatever becomes of it.
+impl Forwarder {
+    /// Forwards commands from the controller to the worker. Each is recorded as it arrives, even if it is not
+    /// forwarded.
     fn forward_requests(mut self) {
         let (mut buffer, mut reader) = (vec![0; 16 << 10], CommandReader::default());
         let _ = kernel_time::enable_receive_timestamps(&self.from);
@@ -139,26 +141,26 @@
             reader.push(&buffer[..length]);
             let commands: Vec<CommandParts> = std::iter::from_fn(|| reader.next_command()).collect();
             for (index, parts) in commands.iter().enumerate() {
-                // The timestamp is of the last byte read.
-                self.note(parts, timestamp.filter(|_| index + 1 == commands.len()));
+                // The timestamp belongs to the last byte read, and so to the last command.
+                self.record_command(parts, timestamp.filter(|_| index + 1 == commands.len()));
             }
-            if self.passes() && self.to.write_all(&buffer[..length]).is_err() {
+            if self.should_forward() && self.to.write_all(&buffer[..length]).is_err() {
                 break;
             }
         }
         self.end();
     }
 
-    /// From the worker to a controller: held up and cut to pieces as the link says.
+    /// Forwards answers from the worker to the controller, delayed and split as the link demands.
     fn forward_responses(mut self) {
         let mut buffer = vec![0; 16 << 10];
         while let Ok(length @ 1..) = self.from.read(&mut buffer) {
-            if !self.passes() {
+            if !self.should_forward() {
                 continue;
             }
             let delay = self.link.delay.load(Ordering::Acquire);
             std::thread::sleep(Duration::from_millis(delay));
-            let piece = if self.link.pieces.load(Ordering::Acquire) { PIECE } else { length };
+            let piece = if self.link.pieces.load(Ordering::Acquire) { PIECE_BYTES } else { length };
             for bytes in buffer[..length].chunks(piece) {
                 if self.to.write_all(bytes).is_err() {
                     break;
@@ -168,8 +170,8 @@
         self.end();
     }
 
-    /// Whether bytes that were read now are forwarded.
-    fn passes(&mut self) -> bool {
+    /// Whether to forward the bytes that were just read.
+    fn should_forward(&mut self) -> bool {
         self.lost_bytes |= self.link.unresponsive.load(Ordering::Acquire);
         !self.lost_bytes
     }
@@ -178,7 +180,7 @@
         self.open.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn note(&self, parts: &[Vec<u8>], timestamp: Option<KernelTime>) {
+    fn record_command(&self, parts: &[Vec<u8>], timestamp: Option<KernelTime>) {
         let Some(call) = parts.get(1).and_then(|call| std::str::from_utf8(call).ok()) else { return };
         let Ok(call) = u64::from_str_radix(call, 16) else { return };
         match parts[0].as_slice() {
@@ -196,7 +198,7 @@
         }
     }
 
-    /// The connection has ended: what is out on it is withdrawn.
+    /// Handles the end of the connection: its open attempts count as withdrawn.
     fn end(&self) {
         let calls = std::mem::take(&mut *self.open());
         for call in calls {
--- a/crates/soak/src/report.rs
+++ b/crates/soak/src/report.rs
@@ -83,8 +83,8 @@
         }
     }
 
-    /// The lists sent to the finding's controller and its starts, exits and signals around the finding, one line each, in
-    /// order of time. Empty if the finding names no controller.
+    /// The lists sent to the finding's controller and its starts, exits and signals around the finding, one line each,
+    /// in order of time. Empty if the finding names no controller.
     pub fn timeline(&self, finding: &Finding) -> Vec<String> {
         let Some((controller, at)) = finding.seen else { return Vec::new() };
         let is_near = |moment: Moment| moment.abs_diff(at) < TIMELINE_SPAN;
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -1,4 +1,4 @@
-//! Plays a run: starts the parties, lets disturbances begin, and gathers what was seen.
+//! Executes a plan: starts all parties, applies the disturbances at their times, and collects the findings.
 
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -17,36 +17,37 @@
 use crate::directory::{Directory, Entry, List};
 use crate::judge::{Finding, Rule, Subject, Verdict, judge};
 use crate::plan::{Disturbance, Plan, SignalSeries};
-use crate::proxy::{self, Link, SMALL_STACK};
+use crate::proxy::{self, CONNECTION_STACK_BYTES, Link};
 use crate::report::Report;
 use crate::shim::{self, ShimError};
 use crate::worker::Worker;
 
-/// Why a run could not be played.
+/// A run could not be executed.
 #[derive(Debug, thiserror::Error)]
 pub enum SoakError {
-    /// The system refused something.
+    /// An operation of the operating system failed.
     #[error("{0}")]
     System(#[from] io::Error),
-    /// There is no library of faults.
+    /// The fault library could not be built.
     #[error("{0}")]
     Shim(#[from] ShimError),
 }
 
-/// Idle clients of a crowd: more than a controller has descriptors.
+/// Number of idle connections of a connection flood: more than a controller has descriptors.
 const FLOOD_IDLE: usize = 300;
-/// A client of a crowd waits so long for its connection.
+/// Connect timeout of a connection flood.
 const FLOOD_CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
-/// Between connections that come and go.
+/// Pause between the short connections of a connection flood.
 const FLOOD_PAUSE: Duration = Duration::from_millis(2);
 
-/// How often the test looks how late it runs itself.
-const LAG_LOOK: Duration = Duration::from_millis(10);
-/// A line of a controller's log that tells of a broken invariant holds this.
+/// Interval at which the test measures the lag of its own threads.
+const LAG_INTERVAL: Duration = Duration::from_millis(10);
+/// Text in a controller's log line that reports a broken invariant.
 const GUARD_MARKER: &str = "invariant broken";
-/// A line of a process that crashed holds this.
+/// Text in a controller's log line that reports a panic.
 const PANIC_MARKER: &str = "panicked at";
 
+/// A run in progress: its plan, its parties, and findings that do not come from the judge.
 struct Rig {
     plan: Plan,
     fleet: Fleet,
@@ -58,7 +59,7 @@
     findings: std::sync::Mutex<Vec<Finding>>,
 }
 
-/// Plays a plan with `program` as the controllers' program; files go to `dir`.
+/// Executes a plan with `program` as the controllers' executable. Configurations and logs are written to `dir`.
 pub fn play(plan: Plan, program: &Path, dir: &Path) -> Result<Report, SoakError> {
     let shims = plan.faults.iter().any(|faults| *faults != shim::Faults::default());
     let library = if shims { Some(shim::compile(dir)?) } else { None };
@@ -77,8 +78,9 @@
     Ok(rig.report())
 }
 
-/// Watches how late the test itself runs: by its sleeps, and by the time that a connection takes until a thread of its own
-/// has read its first byte, as at the proxies.
+/// Starts a thread that measures the lag of the test's own threads until `stop` is set. It measures how much longer
+/// than requested a sleep takes, and how long a new connection takes to exchange one byte with a thread of its own, as
+/// at the proxies.
 fn watch_lag(audit: &Arc<Audit>, stop: &Arc<AtomicBool>) -> io::Result<JoinHandle<()>> {
     let (audit, stop) = (Arc::clone(audit), Arc::clone(stop));
     let listener = TcpListener::bind("127.0.0.1:0")?;
@@ -89,10 +91,10 @@
                 let mut byte = [0];
                 let _ = socket.read_exact(&mut byte).and_then(|()| socket.write_all(&byte));
             };
-            let _ = std::thread::Builder::new().stack_size(SMALL_STACK).spawn(answer);
+            let _ = std::thread::Builder::new().stack_size(CONNECTION_STACK_BYTES).spawn(answer);
         }
     });
-    let asked = move || -> io::Result<()> {
+    let exchange = move || -> io::Result<()> {
         let mut socket = TcpStream::connect(address)?;
         socket.set_nodelay(true)?;
         socket.write_all(b"x")?;
@@ -101,12 +103,12 @@
     Ok(std::thread::spawn(move || {
         while !stop.load(Ordering::Acquire) {
             let began = Instant::now();
-            std::thread::sleep(LAG_LOOK);
-            let asleep = began.elapsed().saturating_sub(LAG_LOOK);
+            std::thread::sleep(LAG_INTERVAL);
+            let oversleep = began.elapsed().saturating_sub(LAG_INTERVAL);
             let began = Instant::now();
-            let answered = asked().is_ok();
-            let lag = if answered { asleep.max(began.elapsed()) } else { asleep };
-            if lag > LAG_LOOK {
+            let answered = exchange().is_ok();
+            let lag = if answered { oversleep.max(began.elapsed()) } else { oversleep };
+            if lag > LAG_INTERVAL {
                 audit.lag_seen(lag);
             }
         }
@@ -140,7 +142,7 @@
         Ok(Self { plan, fleet, audit, directory, workers, links, controllers, findings })
     }
 
-    fn found(&self, rule: Rule, what: String) {
+    fn record_finding(&self, rule: Rule, what: String) {
         let mut findings = self.findings.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
         findings.push(Finding { rule, subject: Subject::Run, seen: None, what });
     }
@@ -150,8 +152,8 @@
             Ok(true) => {}
             Ok(false) => {
                 let last = controller.logs().pop().unwrap_or_default();
-                let last = last.lines().last().unwrap_or("no word").to_owned();
-                self.found(
+                let last = last.lines().last().unwrap_or("no log output").to_owned();
+                self.record_finding(
                     Rule::Process,
                     format!(
                         "controller {} ({:?}) did not start: {last}",
@@ -159,7 +161,9 @@
                     ),
                 );
             }
-            Err(error) => self.found(Rule::Process, format!("controller {}: {error}", controller.number)),
+            Err(error) => {
+                self.record_finding(Rule::Process, format!("controller {}: {error}", controller.number))
+            }
         }
     }
 
@@ -193,13 +197,13 @@
             let (rig, at, disturbance) = (Arc::clone(self), *at, *disturbance);
             std::thread::spawn(move || {
                 std::thread::sleep(at.saturating_sub(began.elapsed()));
-                rig.disturbance(disturbance);
+                rig.apply(disturbance);
             })
         });
         disturbances.collect()
     }
 
-    fn disturbance(&self, disturbance: Disturbance) {
+    fn apply(&self, disturbance: Disturbance) {
         match disturbance {
             Disturbance::Restart(number) => self.restart(&self.controllers[number], false),
             Disturbance::ReloadsThenRestart(number) => self.restart(&self.controllers[number], true),
@@ -216,21 +220,21 @@
             Disturbance::RollingReplace(number) => self.replace_worker(number),
             Disturbance::Crash(number) => self.crash(number),
             Disturbance::Hang(number, span) => {
-                for_a_while(&self.workers[number].disturbances.hangs, span);
+                set_for(&self.workers[number].disturbances.hangs, span);
             }
             Disturbance::Blackhole(number, span) => {
-                for_a_while(&self.links[number].unresponsive, span);
-                // Connections from before lead nowhere: what was dropped is dropped.
+                set_for(&self.links[number].unresponsive, span);
+                // Connections that lost bytes are useless, as the bytes are not sent again.
                 self.links[number].close_all(true);
             }
             Disturbance::Reset(number, reset) => self.links[number].close_all(reset),
-            Disturbance::Fail(number, span) => for_a_while(&self.workers[number].disturbances.fails, span),
+            Disturbance::Fail(number, span) => set_for(&self.workers[number].disturbances.fails, span),
             Disturbance::Slow(number, span) => {
                 self.links[number].delay.store(40, Ordering::Release);
-                for_a_while(&self.links[number].pieces, span);
+                set_for(&self.links[number].pieces, span);
                 self.links[number].delay.store(0, Ordering::Release);
             }
-            Disturbance::DirectoryUnresponsive(span) => for_a_while(&self.directory.unresponsive, span),
+            Disturbance::DirectoryUnresponsive(span) => set_for(&self.directory.unresponsive, span),
             Disturbance::DirectorySlow(span) => {
                 self.directory.delay.store(span.as_millis() as u64, Ordering::Release);
                 std::thread::sleep(span * 4);
@@ -245,7 +249,7 @@
         }
     }
 
-    /// How long after SIGTERM a process is killed.
+    /// How long after SIGTERM a process is killed, unless it has exited.
     fn kill_after(&self) -> Duration {
         if self.plan.extras.shutdowns { EARLIEST_KILL } else { KILL_AFTER }
     }
@@ -262,7 +266,8 @@
         self.start_controller(controller);
     }
 
-    /// A process that is asked to end before it is ready may have no handler yet: it ends by the signal then.
+    /// Starts a process and sends SIGTERM before it is ready. It may have no signal handler yet, so ending by the
+    /// signal is as good as a successful exit.
     fn end_before_ready(&self, controller: &Controller, after: Duration) {
         let (fleet, kill_after) = (self.fleet, self.kill_after());
         let ended = controller.end_before_ready(fleet, &self.directory, &self.audit, after, kill_after);
@@ -272,24 +277,28 @@
             Ok(None) => format!("had not ended {kill_after:?} later"),
             Err(error) => error.to_string(),
         };
-        self.found(
+        self.record_finding(
             Rule::Process,
             format!("controller {}, SIGTERM {after:?} after its start: {what}", controller.number),
         );
     }
 
-    /// Asks a controller to end. False: another disturbance has it, or it can't be asked.
+    /// Terminates a controller and records a finding if it exits with an error. Returns false if it was not in service,
+    /// as during another disturbance.
     fn terminate(&self, controller: &Controller, termination: &Termination) -> bool {
         match controller.terminate(termination, &self.audit) {
             Ok(Ended::NotServing) => return false,
             Ok(Ended::ByItself(status)) if status.success() => {}
             Ok(Ended::ByItself(status)) => {
                 let what = format!("controller {} ended with {status}", controller.number);
-                self.found(Rule::Process, what);
+                self.record_finding(Rule::Process, what);
             }
-            // The platform kills it then: what is open is judged as lost, the kill itself is no fault.
+            // The platform kills such a process too, so the kill is not a finding. Requests that it left open are
+            // judged as lost.
             Ok(Ended::Killed) => {}
-            Err(error) => self.found(Rule::Process, format!("controller {}: {error}", controller.number)),
+            Err(error) => {
+                self.record_finding(Rule::Process, format!("controller {}: {error}", controller.number))
+            }
         }
         true
     }
@@ -313,7 +322,7 @@
             return;
         }
         if let Err(error) = controller.reload(self.fleet, &self.directory, &self.audit, half) {
-            self.found(Rule::Process, format!("controller {}: {error}", controller.number));
+            self.record_finding(Rule::Process, format!("controller {}: {error}", controller.number));
         }
     }
 
@@ -352,13 +361,16 @@
                     Ok(Ended::NotServing) => {}
                     Ok(Ended::ByItself(status)) if status.success() => {}
                     Ok(Ended::ByItself(status)) => {
-                        rig.found(Rule::Process, format!("controller {}: {status}", controller.number));
+                        rig.record_finding(
+                            Rule::Process,
+                            format!("controller {}: {status}", controller.number),
+                        );
                     }
                     Ok(Ended::Killed) => {
                         let what = format!("controller {} did not end by itself", controller.number);
-                        rig.found(Rule::Process, what);
+                        rig.record_finding(Rule::Process, what);
                     }
-                    Err(error) => rig.found(Rule::Process, format!("{error}")),
+                    Err(error) => rig.record_finding(Rule::Process, format!("{error}")),
                 }
             })
         });
@@ -387,8 +399,7 @@
     }
 }
 
-/// Fills a controller's descriptors with clients that ask for nothing, and opens and closes further connections, for a
-/// span.
+/// Fills a controller's descriptors with idle connections, and opens and closes further connections, for a span.
 fn flood_connections(address: SocketAddr, span: Duration) {
     let end = Instant::now() + span;
     let connect = || TcpStream::connect_timeout(&address, FLOOD_CONNECT_TIMEOUT).ok();
@@ -401,7 +412,7 @@
     drop(idle);
 }
 
-fn for_a_while(flag: &AtomicBool, span: Duration) {
+fn set_for(flag: &AtomicBool, span: Duration) {
     flag.store(true, Ordering::Release);
     std::thread::sleep(span);
     flag.store(false, Ordering::Release);
--- a/crates/soak/src/shim.rs
+++ b/crates/soak/src/shim.rs
@@ -1,70 +1,71 @@
-//! System-call faults: a small library of our own, compiled from `shim/faults.c` and preloaded into controllers.
+//! Injects system-call faults into controllers, by a small library that is compiled from `shim/faults.c` and preloaded.
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
-/// The library's source.
+/// Source of the fault library.
 const SOURCE: &str = include_str!("../shim/faults.c");
 
-/// Why there is no library.
+/// The fault library could not be built.
 #[derive(Debug, thiserror::Error)]
 pub enum ShimError {
-    /// A file or the compiler.
+    /// Writing the source or running the compiler failed.
     #[error("{what}: {source}")]
     System {
-        /// What was tried.
+        /// The operation that failed.
         what: &'static str,
-        /// Why.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// The compiler has refused it.
-    #[error("the C compiler refused the library: {0}")]
+    /// The compiler exited with an error; holds its standard error.
+    #[error("the C compiler failed to build the fault library: {0}")]
     Compiler(String),
 }
 
-/// Compiles the library into `dir` with the machine's `cc`; gives its path.
+/// Compiles the library into `dir` with the system's `cc`. Returns its path.
 pub fn compile(dir: &Path) -> Result<PathBuf, ShimError> {
     let system = |what| move |source| ShimError::System { what, source };
     let (from, to) = (dir.join("faults.c"), dir.join("faults.so"));
-    std::fs::write(&from, SOURCE).map_err(system("the library's source"))?;
+    std::fs::write(&from, SOURCE).map_err(system("writing the source of the fault library"))?;
     let mut compiler = Command::new("cc");
     compiler.args(["-O1", "-shared", "-fPIC", "-o"]).arg(&to).arg(&from).arg("-ldl");
-    let done = compiler.output().map_err(system("cc"))?;
-    if !done.status.success() {
-        return Err(ShimError::Compiler(String::from_utf8_lossy(&done.stderr).into_owned()));
+    let output = compiler.output().map_err(system("running cc"))?;
+    if !output.status.success() {
+        return Err(ShimError::Compiler(String::from_utf8_lossy(&output.stderr).into_owned()));
     }
     Ok(to)
 }
 
-/// Which faults one controller meets: chances per thousand calls, unless said otherwise.
+/// The system-call faults of one controller. Unless stated otherwise, a field is the probability per thousand calls.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Faults {
-    /// Reads and writes that move fewer bytes than they could.
+    /// Reads and writes that transfer fewer bytes than they could.
     pub short: u32,
     /// Reads, writes, accepts and waits that are interrupted.
     pub interrupt: u32,
     /// Accepts that fail.
     pub accept: u32,
-    /// Sockets that can't be made.
+    /// Socket creations that fail.
     pub socket: u32,
-    /// Connects that fail at once.
+    /// Connects that fail immediately.
     pub connect: u32,
-    /// The first connects that fail, one after another (a count).
+    /// Number of connects, from the process's first on, that all fail.
     pub first_connects: u32,
-    /// Reads that find their connection broken.
+    /// Reads that break the connection and fail, on connections that the process opened.
     pub broken: u32,
-    /// Calls of a start that fail, one after another (a count).
+    /// Number of socket, bind and epoll creation calls, from the process's first on, that all fail.
     pub start: u32,
-    /// Log lines that can't be written.
+    /// Writes to standard error that fail.
     pub log: u32,
-    /// Wake-ups of signal handlers that are lost.
+    /// Wake-up bytes of signal handlers that are lost.
     pub signal: u32,
-    /// A step of the wall clock: milliseconds after the start, and by how many.
+    /// A step of the wall clock: when, in milliseconds after the process's start, and by how many milliseconds.
     pub clock: Option<(u64, i64)>,
 }
 
 impl Faults {
-    /// The environment of a controller that meets them.
+    /// The environment variables that preload `library` into a controller and configure these faults. `seed` starts the
+    /// library's pseudo-random sequence.
     pub fn environment(&self, library: &Path, seed: u64) -> Vec<(&'static str, String)> {
         let mut environment = vec![
             ("LD_PRELOAD", library.display().to_string()),
--- a/crates/soak/src/wire.rs
+++ b/crates/soak/src/wire.rs
@@ -1,28 +1,29 @@
-//! The other parties' side of the protocol: commands as a worker reads them, frames as a client reads them.
+//! The peers' side of the controllers' protocols: RESP commands as a worker reads them, and frames as a client reads
+//! them.
 
 use nettleferry_platform::resp;
 
-/// A command of a controller: its word, its id or tag, and what follows.
+/// The parts of a controller's command: its name, the call id or tag, and further arguments.
 pub type CommandParts = Vec<Vec<u8>>;
 
-/// Takes RESP commands off a stream of bytes that comes in any pieces.
+/// Parses RESP commands from a byte stream that arrives in chunks of any size.
 #[derive(Debug, Default)]
 pub struct CommandReader {
     buffer: Vec<u8>,
 }
 
 impl CommandReader {
-    /// Adds what was read.
+    /// Appends bytes that were read from the stream.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// The next whole command, if it has come.
+    /// Removes and returns the next complete command, or `None` if more bytes are needed.
     pub fn next_command(&mut self) -> Option<CommandParts> {
-        let (count, mut at) = figure(&self.buffer, 0, b'*')?;
+        let (count, mut at) = parse_length(&self.buffer, 0, b'*')?;
         let mut parts = Vec::with_capacity(count);
         for _ in 0..count {
-            let (length, from) = figure(&self.buffer, at, b'$')?;
+            let (length, from) = parse_length(&self.buffer, at, b'$')?;
             let part = self.buffer.get(from..from + length)?;
             self.buffer.get(from + length..from + length + 2)?;
             parts.push(part.to_vec());
@@ -33,61 +34,61 @@
     }
 }
 
-/// A count or a length that begins at `from`, and where what follows begins.
-fn figure(buffer: &[u8], from: usize, mark: u8) -> Option<(usize, usize)> {
+/// Parses the RESP count or length with the type byte `mark` at `from`. Returns it and the offset after its line.
+fn parse_length(buffer: &[u8], from: usize, mark: u8) -> Option<(usize, usize)> {
     let rest = buffer.get(from..)?;
     let end = rest.windows(2).position(|two| two == b"\r\n")?;
-    let text = rest.get(..end)?.strip_prefix(&[mark])?;
-    Some((std::str::from_utf8(text).ok()?.parse().ok()?, from + end + 2))
+    let digits = rest.get(..end)?.strip_prefix(&[mark])?;
+    Some((std::str::from_utf8(digits).ok()?.parse().ok()?, from + end + 2))
 }
 
-/// The value of `name` in `name=value,name=value`.
+/// The value of the field `name` in a list such as `name=value,name=value`.
 pub fn field<'a>(fields: &'a [u8], name: &str) -> Option<&'a str> {
     let text = std::str::from_utf8(fields).ok()?;
     text.split(',').find_map(|field| field.strip_prefix(name)?.strip_prefix('='))
 }
 
-/// Bytes of an answer of a worker.
+/// Encodes a worker's answer to the command with this id or tag.
 pub fn answer(id: &[u8], word: &str, fields: &str, body: &[u8]) -> Vec<u8> {
     let mut out = Vec::new();
     resp::command(&mut out, &[id, word.as_bytes(), fields.as_bytes(), body]);
     out
 }
 
-/// A frame of a controller.
+/// A frame from a controller to a client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Frame {
-    /// Its type.
+    /// Frame type, see [`nettleferry_platform::frames::kind`].
     pub kind: u8,
-    /// Its stream.
+    /// Number of the stream; 0 for the connection as a whole.
     pub stream: u32,
-    /// What follows.
+    /// Bytes after the frame header.
     pub payload: Vec<u8>,
 }
 
-/// Bytes before a frame's payload.
-const FRAME_HEAD: usize = 9;
+/// Length of a frame header in bytes: payload length, type and stream.
+const FRAME_HEADER_BYTES: usize = 9;
 
-/// Takes frames off a stream of bytes that comes in any pieces.
+/// Parses frames from a byte stream that arrives in chunks of any size.
 #[derive(Debug, Default)]
 pub struct FrameReader {
     buffer: Vec<u8>,
 }
 
 impl FrameReader {
-    /// Adds what was read.
+    /// Appends bytes that were read from the stream.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// The next whole frame, if it has come.
+    /// Removes and returns the next complete frame, or `None` if more bytes are needed.
     pub fn next_frame(&mut self) -> Option<Frame> {
-        let head: [u8; FRAME_HEAD] = self.buffer.get(..FRAME_HEAD)?.try_into().ok()?;
-        let length = u32::from_be_bytes([head[0], head[1], head[2], head[3]]) as usize;
+        let header: [u8; FRAME_HEADER_BYTES] = self.buffer.get(..FRAME_HEADER_BYTES)?.try_into().ok()?;
+        let length = u32::from_be_bytes([header[0], header[1], header[2], header[3]]) as usize;
         let end = length + 4;
-        let payload = self.buffer.get(FRAME_HEAD..end)?.to_vec();
-        let stream = u32::from_be_bytes([head[5], head[6], head[7], head[8]]);
+        let payload = self.buffer.get(FRAME_HEADER_BYTES..end)?.to_vec();
+        let stream = u32::from_be_bytes([header[5], header[6], header[7], header[8]]);
         self.buffer.drain(..end);
-        Some(Frame { kind: head[4], stream, payload })
+        Some(Frame { kind: header[4], stream, payload })
     }
 }
--- a/crates/soak/src/worker.rs
+++ b/crates/soak/src/worker.rs
@@ -1,4 +1,4 @@
-//! A stand-in worker: holds functions that were loaded, runs calls, and misbehaves when told.
+//! A simulated worker: loads functions, runs calls, and misbehaves while a disturbance is active.
 
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use std::io::{self, Read, Write};
@@ -12,32 +12,32 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::audit::Audit;
-use crate::proxy::SMALL_STACK;
+use crate::proxy::CONNECTION_STACK_BYTES;
 use crate::wire::{CommandParts, CommandReader, answer, field};
 
-/// Time of a load.
-const LOAD: Duration = Duration::from_millis(60);
-/// Time of a call, milliseconds.
+/// Duration of a load.
+const LOAD_TIME: Duration = Duration::from_millis(60);
+/// Range of the duration of a call, in milliseconds.
 const CALL_TIME_MS: std::ops::Range<u64> = 3..30;
-/// A call with less time than this, milliseconds, may be dropped without a word.
-const LITTLE_TIME_MS: u64 = 40;
-/// While a worker fails, one of so many calls is answered as crashed.
-const FAILING_OF: u32 = 3;
+/// A call with a time limit below this, in milliseconds, may be dropped without an answer.
+const SHORT_PATIENCE_MS: u64 = 40;
+/// During the disturbance `fails`, one in this many calls is answered as crashed.
+const CRASHED_ANSWER_RATIO: u32 = 3;
 
-/// The disturbances of one worker.
+/// The disturbances of one worker's process.
 #[derive(Debug, Default)]
 pub struct WorkerDisturbances {
-    /// Nothing is looked at: the process hangs.
+    /// The process hangs: it handles no commands and sends no answers.
     pub hangs: AtomicBool,
-    /// Some calls fail after they have run.
+    /// Some calls are answered as crashed after they have run.
     pub fails: AtomicBool,
 }
 
-/// A worker.
+/// Handle to a running worker.
 pub struct Worker {
-    /// Where it listens.
+    /// The address that the worker listens on.
     pub address: SocketAddr,
-    /// Its disturbances.
+    /// The worker's disturbances, which may be switched at any time.
     pub disturbances: Arc<WorkerDisturbances>,
     jobs: Sender<Job>,
     sockets: Arc<Mutex<Vec<TcpStream>>>,
@@ -50,7 +50,7 @@
 }
 
 impl Worker {
-    /// Starts one.
+    /// Starts a worker on a free port. `seed` determines its random decisions.
     pub fn start(number: usize, seed: u64, audit: Arc<Audit>) -> io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
@@ -61,7 +61,7 @@
             audit,
             disturbances: Arc::clone(&disturbances),
             random: ChaCha8Rng::seed_from_u64(seed),
-            held: BTreeSet::new(),
+            loaded: BTreeSet::new(),
             due: BinaryHeap::new(),
             pending: BTreeMap::new(),
             next: 0,
@@ -77,7 +77,7 @@
         Ok(Self { address, disturbances, jobs: sender, sockets })
     }
 
-    /// Its process dies and another one starts: it holds nothing.
+    /// Simulates a crash and a restart: closes all connections, and forgets loaded functions and pending answers.
     pub fn restart(&self) {
         let _ = self.jobs.send(Job::Restart);
         for socket in self.sockets.lock().unwrap_or_else(PoisonError::into_inner).drain(..) {
@@ -105,11 +105,11 @@
         }
         let _ = jobs.send(Job::Ended { connection });
     };
-    std::thread::Builder::new().stack_size(SMALL_STACK).spawn(read)?;
+    std::thread::Builder::new().stack_size(CONNECTION_STACK_BYTES).spawn(read)?;
     Ok(())
 }
 
-/// An answer that is due.
+/// The time at which the pending answer with this number is sent.
 struct Due {
     at: Instant,
     number: u64,
@@ -131,7 +131,7 @@
 
 impl Ord for Due {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
-        // The heap gives the greatest first, and the earliest is wanted.
+        // Reversed: the heap pops the greatest, and the earliest is needed.
         (other.at, other.number).cmp(&(self.at, self.number))
     }
 }
@@ -139,9 +139,11 @@
 struct Pending {
     connection: u64,
     id: Vec<u8>,
-    /// A call's number, or none for an order.
+    /// The id of the call; `None` for a control request.
     call: Option<u64>,
+    /// The function that counts as loaded once the answer is sent.
     loads: Option<String>,
+    /// The encoded answer.
     bytes: Vec<u8>,
     to: Arc<Mutex<TcpStream>>,
 }
@@ -151,25 +153,25 @@
     audit: Arc<Audit>,
     disturbances: Arc<WorkerDisturbances>,
     random: ChaCha8Rng,
-    held: BTreeSet<String>,
+    loaded: BTreeSet<String>,
     due: BinaryHeap<Due>,
     pending: BTreeMap<u64, Pending>,
     next: u64,
 }
 
-/// How often a hanging worker looks whether it still hangs.
-const HANG_LOOK: Duration = Duration::from_millis(20);
+/// How often a worker checks whether it is to hang.
+const HANG_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 impl Core {
     fn run(mut self, jobs: &Receiver<Job>) {
         loop {
             if self.disturbances.hangs.load(Ordering::Acquire) {
-                std::thread::sleep(HANG_LOOK);
+                std::thread::sleep(HANG_CHECK_INTERVAL);
                 continue;
             }
             let wait = self.due.peek().map(|due| due.at.saturating_duration_since(Instant::now()));
-            match jobs.recv_timeout(wait.unwrap_or(HANG_LOOK).min(HANG_LOOK)) {
-                Ok(job) => self.take(job),
+            match jobs.recv_timeout(wait.unwrap_or(HANG_CHECK_INTERVAL).min(HANG_CHECK_INTERVAL)) {
+                Ok(job) => self.handle(job),
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => return,
             }
@@ -177,10 +179,10 @@
         }
     }
 
-    fn take(&mut self, job: Job) {
+    fn handle(&mut self, job: Job) {
         match job {
             Job::Restart => {
-                self.held.clear();
+                self.loaded.clear();
                 self.pending.clear();
                 self.due.clear();
             }
@@ -190,22 +192,22 @@
     }
 
     fn command(&mut self, connection: u64, parts: &[Vec<u8>], to: Arc<Mutex<TcpStream>>) {
-        let (Some(word), Some(id)) = (parts.first(), parts.get(1)) else { return };
+        let (Some(name), Some(id)) = (parts.first(), parts.get(1)) else { return };
         let fields = parts.get(2).map(Vec::as_slice).unwrap_or_default();
-        match word.as_slice() {
+        match name.as_slice() {
             b"PING" | b"STATS" => send(&to, &answer(id, "green", "-", b"")),
             b"CANCEL" => {
                 self.pending.retain(|_, pending| pending.connection != connection || pending.id != *id)
             }
             b"UNLOAD" => {
-                self.held.remove(String::from_utf8_lossy(id).as_ref());
+                self.loaded.remove(String::from_utf8_lossy(id).as_ref());
             }
             b"LOAD" => {
                 let Some(asset) = field(fields, "asset") else { return };
                 let bytes = answer(id, "served", "instances=1", b"");
                 let loads = Some(asset.to_owned());
                 let pending = Pending { connection, id: id.clone(), call: None, loads, bytes, to };
-                self.later(LOAD, pending);
+                self.schedule(LOAD_TIME, pending);
             }
             b"CALL" => self.call(connection, id, fields, parts.get(3), to),
             _ => {}
@@ -222,17 +224,17 @@
     ) {
         let number = std::str::from_utf8(id).ok().and_then(|id| u64::from_str_radix(id, 16).ok());
         let (Some(number), Some(asset)) = (number, field(fields, "asset")) else { return };
-        if !self.held.contains(asset) {
+        if !self.loaded.contains(asset) {
             self.audit.attempt_answered(number, self.number);
             return send(&to, &answer(id, "not_here", "-", b""));
         }
         let patience = field(fields, "patience").and_then(|text| text.parse().ok()).unwrap_or(0);
-        if patience < LITTLE_TIME_MS && self.random.random_bool(0.5) {
+        if patience < SHORT_PATIENCE_MS && self.random.random_bool(0.5) {
             return;
         }
         self.audit.attempt_ran(number, self.number);
-        let fails =
-            self.disturbances.fails.load(Ordering::Acquire) && self.random.random_ratio(1, FAILING_OF);
+        let fails = self.disturbances.fails.load(Ordering::Acquire)
+            && self.random.random_ratio(1, CRASHED_ANSWER_RATIO);
         let bytes = if fails {
             answer(id, "crashed", "-", b"")
         } else {
@@ -240,10 +242,10 @@
         };
         let work = Duration::from_millis(self.random.random_range(CALL_TIME_MS));
         let pending = Pending { connection, id: id.to_vec(), call: Some(number), loads: None, bytes, to };
-        self.later(work, pending);
+        self.schedule(work, pending);
     }
 
-    fn later(&mut self, span: Duration, pending: Pending) {
+    fn schedule(&mut self, span: Duration, pending: Pending) {
         self.next += 1;
         self.due.push(Due { at: Instant::now() + span, number: self.next });
         self.pending.insert(self.next, pending);
@@ -254,7 +256,7 @@
             let Some(due) = self.due.pop() else { return };
             let Some(pending) = self.pending.remove(&due.number) else { continue };
             if let Some(asset) = pending.loads {
-                self.held.insert(asset);
+                self.loaded.insert(asset);
             }
             if let Some(call) = pending.call {
                 self.audit.attempt_answered(call, self.number);
--- a/crates/soak/tests/judge.rs
+++ b/crates/soak/tests/judge.rs
@@ -1,4 +1,4 @@
-//! Each rule of the judge is seen to fire on a record that breaks it, and on no other.
+//! Checks for each rule of the judge that it reports a record that breaks it, and accepts a record that keeps it.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -27,8 +27,8 @@
     }
 }
 
-/// A call that was sent at one second and served.
-fn sound(class: Class) -> Call {
+/// A valid call that was sent one second into the run and served.
+fn valid_call(class: Class) -> Call {
     Call {
         class,
         controller: 0,
@@ -62,27 +62,27 @@
 }
 
 fn broken_by(class: Class, change: impl FnOnce(&mut Call)) -> Vec<Rule> {
-    let mut call = sound(class);
+    let mut call = valid_call(class);
     change(&mut call);
     broken(&record(call))
 }
 
-/// A list that a controller was sent, in no time.
-fn told_at(controller: usize, serial: u32, at: u64) -> SentList {
+/// A list that a controller was sent at a moment known exactly.
+fn list_sent_at(controller: usize, serial: u32, at: u64) -> SentList {
     SentList { controller, serial, sent: Interval::at(ms(at)) }
 }
 
 #[test]
-fn a_sound_call_breaks_nothing() {
+fn valid_call_breaks_no_invariant() {
     assert!(broken_by(Class::Safe, |_| ()).is_empty());
-    // A safe one may run again, once the attempt before is over.
+    // A safe call may run again after the previous attempt has ended.
     assert!(broken_by(Class::Safe, |call| call.attempts.push(attempt(1_110, 1_150))).is_empty());
-    // One that the test killed is owed by nobody.
+    // A call whose controller the test killed needs no answer.
     assert!(broken_by(Class::Safe, |call| call.end = Some((End::Killed, ms(1_200)))).is_empty());
 }
 
 #[test]
-fn a_call_without_one_whole_answer_is_found() {
+fn call_without_exactly_one_complete_answer_is_found() {
     for end in [End::Lost, End::Unanswered, End::Altered] {
         assert_eq!(
             broken_by(Class::Safe, |call| call.end = Some((end, ms(1_200)))),
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn what_may_run_once_and_ran_twice_or_was_refused_is_found() {
+fn once_call_that_ran_twice_or_was_refused_after_it_ran_is_found() {
     let again = |call: &mut Call| call.attempts.push(attempt(1_110, 1_150));
     assert_eq!(broken_by(Class::Once, again), [Rule::EffectOnce]);
     let refused = |call: &mut Call| call.end = Some((End::Refused, ms(1_200)));
@@ -119,9 +119,9 @@
 }
 
 #[test]
-fn lateness_of_the_test_excuses_no_attempt_that_the_kernel_has_timestamped() {
+fn lag_of_the_test_does_not_excuse_a_kernel_timestamped_attempt() {
     for (timestamped, expected) in [(false, vec![]), (true, vec![Rule::ClientGone])] {
-        let mut call = sound(Class::Safe);
+        let mut call = valid_call(Class::Safe);
         call.client_left = Some(Interval::at(ms(1_010)));
         call.attempts = vec![Attempt { timestamped, ..attempt(1_150, 1_200) }];
         let mut record = record(call);
@@ -131,20 +131,20 @@
 }
 
 #[test]
-fn a_worker_that_is_told_too_much_time_is_found() {
+fn patience_beyond_the_deadline_is_found() {
     assert_eq!(broken_by(Class::Safe, |call| call.attempts[0].patience = 2_200), [Rule::Deadline]);
     assert!(broken_by(Class::Safe, |call| call.attempts[0].patience = 2_100).is_empty(), "within 0.15 s");
 }
 
 #[test]
-fn an_attempt_at_a_draining_worker_is_found_and_one_before_the_controller_was_told_is_not() {
-    let drained = |told: u64| {
-        let mut call = sound(Class::Safe);
+fn attempt_at_a_draining_worker_is_found_only_after_the_controller_was_notified() {
+    let drained = |sent_at: u64| {
+        let mut call = valid_call(Class::Safe);
         call.attempts = vec![attempt(3_000, 3_100)];
         (call.ttl, call.end) = (ms(9_000), Some((End::Served, ms(3_200))));
         let mut record = record(call);
         record.events = vec![ListEvent { serial: 2, worker: 0, in_service: false }];
-        record.sent_lists = vec![told_at(0, 2, told), told_at(1, 2, 10)];
+        record.sent_lists = vec![list_sent_at(0, 2, sent_at), list_sent_at(1, 2, 10)];
         broken(&record)
     };
     assert_eq!(drained(1_500), [Rule::Drain]);
@@ -152,56 +152,58 @@
     assert!(drained(3_500).is_empty(), "it was not told");
 }
 
-/// Calls that come to a worker 0.1 s after its start: first those of a controller that had not been told of it.
-fn pushed(told: u64, untold: u64) -> Record {
-    let mut record = record(sound(Class::Safe));
+/// Calls that arrive at a worker 0.1 s after its start: first those of a controller that was not notified of the start,
+/// then those of one that was.
+fn cold_worker_with_calls(notified: u64, unnotified: u64) -> Record {
+    let mut record = record(valid_call(Class::Safe));
     record.starts = vec![WorkerStart { worker: 0, at: Interval::at(ms(1_000)), serial: 2 }];
-    record.sent_lists = vec![told_at(0, 2, 1_050), told_at(1, 1, 10), told_at(1, 2, 1_500)];
+    record.sent_lists = vec![list_sent_at(0, 2, 1_050), list_sent_at(1, 1, 10), list_sent_at(1, 2, 1_500)];
     let arrival = |n| {
-        let controller = Some(usize::from(n < untold));
+        let controller = Some(usize::from(n < unnotified));
         Arrival { worker: 0, controller, arrived: ms(1_100 + n) }
     };
-    record.arrivals = (0..told + untold).map(arrival).collect();
+    record.arrivals = (0..notified + unnotified).map(arrival).collect();
     record
 }
 
 #[test]
-fn a_cold_worker_that_is_pushed_over_is_found() {
-    assert_eq!(broken(&pushed(80, 0)), [Rule::SlowStart]);
-    assert!(broken(&pushed(40, 0)).is_empty());
+fn overload_of_a_cold_worker_is_found() {
+    assert_eq!(broken(&cold_worker_with_calls(80, 0)), [Rule::SlowStart]);
+    assert!(broken(&cold_worker_with_calls(40, 0)).is_empty());
 }
 
-/// Seen with seed 201 (--shutdowns --crowd): 49 or 50 calls arrived to a worker 0.3 s after its start, none of them from a
-/// controller that had been told of it, as the directory was unresponsive. The platform's page: "the rule is broken at the first
-/// fall of which over two thirds arrived from controllers that had been told of the start".
+/// Guards against a false finding. Seed 201 with `--shutdowns --crowd` sent 49 or 50 calls to a worker 0.3 s after its
+/// start. The directory was unresponsive, and none of the controllers had been notified of the start. The platform
+/// counts an overload only if over two thirds of its calls came from controllers that had been notified.
 #[test]
-fn a_cold_worker_that_falls_to_controllers_that_were_not_told_is_not_held_against_them() {
-    assert!(broken(&pushed(0, 80)).is_empty());
-    assert!(broken(&pushed(40, 40)).is_empty());
-    assert_eq!(broken(&pushed(60, 20)), [Rule::SlowStart]);
-    // A silent directory's word counts as given 4.5 s later.
-    let mut late = pushed(0, 180);
+fn overload_of_a_cold_worker_counts_only_against_notified_controllers() {
+    assert!(broken(&cold_worker_with_calls(0, 80)).is_empty());
+    assert!(broken(&cold_worker_with_calls(40, 40)).is_empty());
+    assert_eq!(broken(&cold_worker_with_calls(60, 20)), [Rule::SlowStart]);
+    // If the directory does not answer, controllers count as notified after 4.5 s.
+    let mut late = cold_worker_with_calls(0, 180);
     late.arrivals.iter_mut().for_each(|arrival| arrival.arrived += ms(4_500));
     late.sent_lists.clear();
     assert_eq!(broken(&late), [Rule::SlowStart]);
 }
 
 #[test]
-fn what_no_client_sent_is_found() {
-    let mut record = record(sound(Class::Safe));
+fn call_that_no_client_sent_is_found() {
+    let mut record = record(valid_call(Class::Safe));
     record.strangers = vec![(9, 0)];
     assert_eq!(broken(&record), [Rule::Stranger]);
 }
 
-/// A worker that was drained (2) and returned to service (3), and one attempt there.
-fn returned(drain_told: SentList, return_told: Option<SentList>, arrived: u64) -> Verdict {
-    let mut call = sound(Class::Safe);
+/// Judges one attempt at a worker that was drained (change 2) and returned to service (change 3), with the times at
+/// which the controller was sent these changes.
+fn returned(drain_sent: SentList, return_sent: Option<SentList>, arrived: u64) -> Verdict {
+    let mut call = valid_call(Class::Safe);
     call.attempts = vec![attempt(arrived, arrived + 50)];
     (call.ttl, call.end) = (ms(9_000), Some((End::Served, ms(arrived + 100))));
     let mut record = record(call);
     let listed = |serial, in_service| ListEvent { serial, worker: 0, in_service };
     record.events = vec![listed(2, false), listed(3, true)];
-    record.sent_lists = [Some(drain_told), return_told].into_iter().flatten().collect();
+    record.sent_lists = [Some(drain_sent), return_sent].into_iter().flatten().collect();
     judge(&record)
 }
 
@@ -213,14 +215,14 @@
     findings.iter().map(|finding| finding.rule).collect()
 }
 
-/// The two findings that were measured beside load: the directory's thread lost the core between its send and the record
-/// of it, and the controller had acted on the list by then.
+/// Guards against false findings on a loaded machine. In two of them, the directory's thread was preempted between
+/// sending a list and recording the send, and the controller had already acted on the list.
 #[test]
 fn attempt_between_the_sending_of_a_list_and_its_record_is_undecided() {
-    for (told_before, recorded_after) in [(1_539_400, 101), (1_755_400, 39)] {
+    for (drain_before, recorded_after) in [(1_539_400, 101), (1_755_400, 39)] {
         let us = Duration::from_micros;
         let arrived = us(4_000_000);
-        let drain = SentList { controller: 0, serial: 2, sent: Interval::at(arrived - us(told_before)) };
+        let drain = SentList { controller: 0, serial: 2, sent: Interval::at(arrived - us(drain_before)) };
         let sent = Interval { earliest: arrived - us(200), latest: arrived + us(recorded_after) };
         let returned = returned(drain, Some(SentList { controller: 0, serial: 3, sent }), 4_000);
         assert!(returned.broken.is_empty(), "the list had been sent: {:?}", returned.broken);
@@ -229,13 +231,13 @@
 }
 
 #[test]
-fn attempt_long_after_a_drain_that_was_told_is_broken_in_each_order() {
+fn attempt_long_after_a_notified_drain_is_broken_in_each_order() {
     let verdict = returned(between(2, 1_500, 1_800), None, 3_000);
     assert_eq!((rules(&verdict.broken), verdict.undecided.len()), (vec![Rule::Drain], 0));
 }
 
 #[test]
-fn return_that_was_sent_after_the_attempt_permits_nothing() {
+fn return_to_service_sent_after_the_attempt_permits_nothing() {
     let verdict = returned(between(2, 1_500, 1_500), Some(between(3, 3_001, 3_200)), 3_000);
     assert_eq!((rules(&verdict.broken), verdict.undecided.len()), (vec![Rule::Drain], 0));
     let never = returned(between(2, 1_500, 1_500), None, 3_000);
@@ -243,10 +245,10 @@
 }
 
 #[test]
-fn drain_that_was_sent_and_lost_on_its_way_forbids_as_if_it_had_come() {
-    // The platform counts an event as told once an answer that holds it is sent; a later answer that holds it too, and
-    // that did come, takes nothing back.
-    let mut call = sound(Class::Safe);
+fn drain_that_was_sent_and_lost_forbids_attempts() {
+    // The platform counts a controller as notified of a change once an answer that contains it is sent. A later answer
+    // that contains it too and does arrive changes nothing.
+    let mut call = valid_call(Class::Safe);
     call.attempts = vec![attempt(3_000, 3_050)];
     (call.ttl, call.end) = (ms(9_000), Some((End::Served, ms(3_100))));
     let mut record = record(call);
@@ -256,34 +258,34 @@
 }
 
 #[test]
-fn drain_whose_sending_took_long_is_undecided_in_between() {
+fn attempt_after_a_drain_with_an_uncertain_send_time_is_undecided() {
     let verdict = returned(between(2, 1_500, 2_500), None, 3_000);
     assert_eq!((verdict.broken.len(), rules(&verdict.undecided)), (0, vec![Rule::Drain]));
 }
 
 #[test]
-fn client_that_may_have_left_in_time_or_not_is_undecided() {
-    let mut call = sound(Class::Safe);
+fn attempt_after_a_client_left_at_an_uncertain_time_is_undecided() {
+    let mut call = valid_call(Class::Safe);
     call.client_left = Some(Interval { earliest: ms(900), latest: ms(950) });
     let verdict = judge(&record(call));
     assert_eq!((verdict.broken.len(), rules(&verdict.undecided)), (0, vec![Rule::ClientGone]));
 }
 
 #[test]
-fn process_that_ends_as_a_request_is_sent_is_undecided() {
-    let mut call = sound(Class::Safe);
+fn exit_of_a_process_as_a_request_is_sent_is_undecided() {
+    let mut call = valid_call(Class::Safe);
     (call.end, call.answers) = (Some((End::CrossedEnd, ms(1_200))), 0);
     let verdict = judge(&record(call));
     assert_eq!((verdict.broken.len(), rules(&verdict.undecided)), (0, vec![Rule::OneAnswer]));
-    let mut call = sound(Class::Safe);
+    let mut call = valid_call(Class::Safe);
     (call.end, call.answers) = (Some((End::CrossedKill, ms(1_200))), 0);
     assert!(broken(&record(call)).is_empty(), "within the platform's slack of the kill");
 }
 
 #[test]
-fn undecided_findings_beyond_their_bound_are_a_finding() {
+fn too_many_undecided_findings_are_a_finding() {
     let undecided = |count: u64| {
-        let mut call = sound(Class::Safe);
+        let mut call = valid_call(Class::Safe);
         call.client_left = Some(Interval { earliest: ms(900), latest: ms(950) });
         let mut record = record(call.clone());
         record.calls = (0..count).map(|id| (id, call.clone())).collect();
--- a/crates/soak/tests/kernel_time.rs
+++ b/crates/soak/tests/kernel_time.rs
@@ -1,4 +1,4 @@
-//! The kernel's times on loopback: they lie between the readings of the clock around what they are of.
+//! Checks that kernel timestamps on loopback lie between the clock readings before and after the event.
 
 use std::io::Write;
 use std::net::{TcpListener, TcpStream, UdpSocket};
@@ -7,11 +7,11 @@
 use nettleferry_soak::audit::Interval;
 use nettleferry_soak::kernel_time::{self, KernelTime, WallClock};
 
-/// No wait of these tests is longer; each is for an event.
+/// Limit on the waits of these tests, each of which ends with an event.
 const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 #[test]
-fn datagram_that_was_sent_is_stamped_within_its_sending() {
+fn sent_datagram_is_timestamped_within_its_send() {
     let began = Instant::now();
     let clock = WallClock::read(|| began.elapsed());
     let (from, to) = (UdpSocket::bind("127.0.0.1:0"), UdpSocket::bind("127.0.0.1:0"));
@@ -27,14 +27,14 @@
 }
 
 #[test]
-fn bytes_are_stamped_when_they_come_and_not_when_they_are_read() {
+fn received_bytes_are_timestamped_at_arrival_and_not_at_the_read() {
     let began = Instant::now();
     let clock = WallClock::read(|| began.elapsed());
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let mut from = TcpStream::connect(listener.local_addr().expect("bound")).expect("it listens");
     let (to, _) = listener.accept().expect("connected");
     kernel_time::enable_receive_timestamps(&to).expect("the kernel timestamps");
-    // The kernel begins a moment after the first socket of the machine has asked for it.
+    // The kernel begins to timestamp shortly after the machine's first socket has enabled it.
     let mut buffer = [0; 64];
     let is_timestamped = |from: &mut TcpStream, buffer: &mut [u8]| {
         from.write_all(b"early").expect("written");
@@ -44,26 +44,29 @@
         assert!(began.elapsed() < TEST_TIMEOUT, "the kernel timestamps");
     }
     from.write_all(b"command").expect("written");
-    let come = Interval { earliest: Duration::ZERO, latest: began.elapsed() };
-    // The reader loses its core.
-    let late = come.latest + Duration::from_millis(100);
+    let arrived = Interval { earliest: Duration::ZERO, latest: began.elapsed() };
+    // Simulates a preempted reader.
+    let late = arrived.latest + Duration::from_millis(100);
     while began.elapsed() < late {
         std::thread::yield_now();
     }
     let (length, timestamp) = kernel_time::read_with_timestamp(&to, &mut buffer).expect("it is there");
     assert_eq!(&buffer[..length], b"command");
-    assert!(clock.moment(timestamp.expect("a timestamp"), come).is_some(), "it had come before {come:?}");
+    assert!(
+        clock.moment(timestamp.expect("a timestamp"), arrived).is_some(),
+        "it had come before {arrived:?}"
+    );
 }
 
 #[test]
-fn time_outside_of_what_was_seen_is_none() {
+fn timestamp_outside_the_observed_interval_is_rejected() {
     let clock = WallClock::read(|| Duration::ZERO);
     let seen = Interval { earliest: Duration::from_secs(1), latest: Duration::from_secs(2) };
-    let at = |seconds: u64| wall() + Duration::from_secs(seconds);
+    let at = |seconds: u64| wall_clock_now() + Duration::from_secs(seconds);
     assert_eq!(clock.moment(at(3_600), seen), None, "the wall clock was stepped");
     assert_eq!(clock.moment(Duration::ZERO, seen), None);
 }
 
-fn wall() -> KernelTime {
+fn wall_clock_now() -> KernelTime {
     std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).expect("after 1970")
 }
