--- a/crates/gateway/src/commands/demo.rs
+++ b/crates/gateway/src/commands/demo.rs
@@ -56,7 +56,7 @@
         for number in 1..=count {
             let handle = spawn(Options {
                 name: format!("w{number}"),
-                doors: vec![SocketAddr::from(([127, 0, 0, 1], 0))],
+                addresses: vec![SocketAddr::from(([127, 0, 0, 1], 0))],
                 spec: spec.clone(),
                 store: Arc::clone(&store),
                 epoch,
@@ -76,7 +76,7 @@
 fn listed(handle: &Handle, zone: &str) -> workers::Worker {
     workers::Worker {
         name: handle.name.clone(),
-        address: handle.doors[0],
+        address: handle.addresses[0],
         zone: zone.to_owned(),
         kind: "stand-in".to_owned(),
         weight: 1.0,
--- a/crates/gateway/src/commands/worker.rs
+++ b/crates/gateway/src/commands/worker.rs
@@ -31,7 +31,7 @@
         let mut signals = Signals::new([SIGINT, SIGTERM]).map_err(CommandError::system("signals"))?;
         let worker = spawn(Options {
             name: self.name,
-            doors: vec![listen],
+            addresses: vec![listen],
             cold: spec.warm_up > 0,
             spec,
             store: Arc::new(Mutex::new(Store::default())),
@@ -40,7 +40,7 @@
             seed: 1,
         })
         .map_err(CommandError::system(format!("can't listen on {listen}")))?;
-        announce(&format!("listening grpc {}", worker.doors[0]))?;
+        announce(&format!("listening grpc {}", worker.addresses[0]))?;
         let _ = signals.forever().next();
         worker.stop();
         Ok(exit_code::SUCCESS)
--- a/crates/gateway/tests/common/mod.rs
+++ b/crates/gateway/tests/common/mod.rs
@@ -208,7 +208,7 @@
             .map(|n| {
                 spawn(Options {
                     name: format!("w{n}"),
-                    doors: vec!["127.0.0.1:0".parse().expect("sound")],
+                    addresses: vec!["127.0.0.1:0".parse().expect("sound")],
                     spec: spec.clone(),
                     store: Arc::clone(&store),
                     epoch,
@@ -223,7 +223,7 @@
     }
 
     pub(crate) fn list(&self) -> String {
-        let line = |h: &Handle| format!("(worker {} (address \"{}\"))\n", h.name, h.doors[0]);
+        let line = |h: &Handle| format!("(worker {} (address \"{}\"))\n", h.name, h.addresses[0]);
         self.handles.iter().map(line).collect()
     }
 
--- a/crates/gateway/tests/cut.rs
+++ b/crates/gateway/tests/cut.rs
@@ -31,7 +31,7 @@
 
 fn cut(fleet: &mut Fleet, cut: bool) {
     for handle in fleet.handles.iter().filter(|h| CUT.contains(&h.name.as_str())) {
-        handle.inject(Fault::Cut { door: 0, cut });
+        handle.inject(Fault::Cut { address_index: 0, cut });
     }
     eventually("the links are cut or restored", || {
         fleet.count(|s| matches!(s, ObservationKind::Link { cut: c, .. } if *c == cut)) == CUT.len()
--- a/crates/gateway/tests/hollow.rs
+++ b/crates/gateway/tests/hollow.rs
@@ -185,7 +185,7 @@
 #[test]
 fn hollow_controllers_keep_connections_and_make_their_share_of_calls_and_probes() {
     let mut fleet = Fleet::new(1, SPEC);
-    let worker = fleet.handles[0].doors[0].to_string();
+    let worker = fleet.handles[0].addresses[0].to_string();
     let words = ["controllers", "--worker", &worker, "--count", "100", "--begin-within", "200"];
     let mut hollow =
         Hollow::run(&[&words[..], &["--calls-per-second", "200", "--probes-per-second", "50"]].concat());
--- a/crates/gateway/tests/remote_write.rs
+++ b/crates/gateway/tests/remote_write.rs
@@ -35,7 +35,7 @@
 #[test]
 fn samples_arrive_in_order_with_their_created_timestamps() {
     let fleet = Fleet::new(1, SPEC);
-    let receiver = Receiver::start(Mode::Take).expect("listens");
+    let receiver = Receiver::start(Mode::Accept).expect("listens");
     let gateway = serve(&settings(&receiver), &fleet.list());
     eventually("zeros arrive before any call", || served(&receiver.data()) == 0.0);
     call(&gateway, 7);
@@ -51,7 +51,7 @@
 #[test]
 fn receiver_of_version_one_gets_version_one() {
     let fleet = Fleet::new(1, SPEC);
-    let receiver = Receiver::start(Mode::OnlyOne).expect("listens");
+    let receiver = Receiver::start(Mode::Version1Only).expect("listens");
     let gateway = serve(&settings(&receiver), &fleet.list());
     call(&gateway, 3);
     eventually("three calls arrive", || served(&receiver.data()) == 3.0);
@@ -63,7 +63,7 @@
 #[test]
 fn graceful_shutdown_flushes_samples_and_closes_series() {
     let fleet = Fleet::new(1, SPEC);
-    let receiver = Receiver::start(Mode::Take).expect("listens");
+    let receiver = Receiver::start(Mode::Accept).expect("listens");
     // A round an hour: all that arrives after the first is the last words.
     let settings = settings(&receiver).replace("(every 40ms)", "(every 1h)");
     let mut gateway = serve(&settings, &fleet.list());
@@ -99,7 +99,7 @@
 #[test]
 fn unsent_flush_is_bounded_and_repeated_by_the_next_incarnation() {
     let fleet = Fleet::new(1, SPEC);
-    let receiver = Receiver::start(Mode::Take).expect("listens");
+    let receiver = Receiver::start(Mode::Accept).expect("listens");
     let settings = settings(&receiver).replace("(every 40ms)", "(every 1h) (farewell 300ms)");
     let mut gateway = serve(&settings, &fleet.list());
     eventually("the first round arrives", || served(&receiver.data()) == 0.0);
@@ -107,7 +107,7 @@
     call(&gateway, 3);
     gateway.signal("TERM");
     assert!(gateway.wait().success(), "it ends all the same");
-    receiver.set_mode(Mode::Take);
+    receiver.set_mode(Mode::Accept);
     let dir = tempfile::tempdir().expect("a folder");
     std::fs::rename(gateway.dir.path().join("spool"), dir.path().join("spool")).expect("the log exists");
     std::fs::write(dir.path().join("workers.sexp"), fleet.list()).expect("written");
@@ -122,16 +122,16 @@
 #[test]
 fn replaced_receiver_is_tried_again_with_version_two() {
     let fleet = Fleet::new(1, SPEC);
-    let receiver = Receiver::start(Mode::OnlyOne).expect("listens");
+    let receiver = Receiver::start(Mode::Version1Only).expect("listens");
     let settings = settings(&receiver).replace("(every 40ms)", "(every 40ms) (ask-again 200ms)");
     let _gateway = serve(&settings, &fleet.list());
     eventually("1.0 is spoken", || receiver.data().requests[1] > 3);
-    receiver.set_mode(Mode::Take);
+    receiver.set_mode(Mode::Accept);
     eventually("2.0 is spoken again", || receiver.data().requests[0] > 3);
     eventually("native histograms arrive", || !receiver.data().natives.is_empty());
     // One that takes 2.0 for 1.0 and answers 204 has read nothing: its answer does not say what it wrote.
     let before = receiver.data().find("nettleferry_open_calls", &[]).len();
-    receiver.set_mode(Mode::Blind);
+    receiver.set_mode(Mode::AssumeVersion1);
     eventually("1.0 again", || receiver.data().find("nettleferry_open_calls", &[]).len() > before + 3);
     let changes = || receiver.data().find("nettleferry_push_version_changes_total", &[]);
     eventually("each change is counted", || changes().last().is_some_and(|t| t.value >= 3.0));
@@ -144,8 +144,8 @@
 #[test]
 fn one_invalid_series_costs_itself_alone() {
     let fleet = Fleet::new(1, SPEC);
-    let receiver =
-        Receiver::start(Mode::Bad("nettleferry_load_orders_sent_total".to_owned())).expect("listens");
+    let receiver = Receiver::start(Mode::RejectLabelValue("nettleferry_load_orders_sent_total".to_owned()))
+        .expect("listens");
     let gateway = serve(&settings(&receiver), &fleet.list());
     call(&gateway, 6);
     eventually("its neighbours arrive", || served(&receiver.data()) == 6.0);
@@ -180,7 +180,7 @@
     receiver.set_mode(Mode::Slow(std::time::Duration::from_millis(300)));
     let then = rounds().len();
     eventually("a slow one takes them", || rounds().len() > then + 3);
-    receiver.set_mode(Mode::Take);
+    receiver.set_mode(Mode::Accept);
     eventually("all calls have arrived", || served(&receiver.data()) == 22.0);
     eventually("retries are counted", || retries(&receiver.data()) > 0.0);
     let kept = receiver.data();
@@ -192,7 +192,7 @@
 #[test]
 fn failing_write_ahead_log_is_reported_and_stops_nothing() {
     let fleet = Fleet::new(1, SPEC);
-    let receiver = Receiver::start(Mode::Take).expect("listens");
+    let receiver = Receiver::start(Mode::Accept).expect("listens");
     let gateway = serve(
         // Small segments: the next one is soon wanted.
         &settings(&receiver).replace("(every 40ms)", "(every 40ms) (spool-size 1MiB)"),
@@ -249,7 +249,7 @@
     bytes[middle] ^= 0x10;
     bytes.truncate(tail);
     std::fs::write(&files[0], bytes).expect("written");
-    receiver.set_mode(Mode::Take);
+    receiver.set_mode(Mode::Accept);
     let _next = serve_in(dir, &settings(&receiver), None);
     let rounds = || receiver.data().find(CALLS, &SERVED);
     eventually("rounds of the new incarnation arrive", || {
@@ -273,7 +273,7 @@
     eventually("it is tried again and again", || receiver.data().rejected > 5);
     let back =
         std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).expect("after 1970").as_millis();
-    receiver.set_mode(Mode::Take);
+    receiver.set_mode(Mode::Accept);
     eventually("five calls arrive", || served(&receiver.data()) == 5.0);
     // Series of other shards come by batches of their own.
     let rounds = || receiver.data().find("nettleferry_open_calls", &[]);
@@ -288,13 +288,13 @@
 #[test]
 fn lost_response_repeats_the_same_values_and_rejection_repeats_nothing() {
     let fleet = Fleet::new(1, SPEC);
-    let receiver = Receiver::start(Mode::Forget).expect("listens");
+    let receiver = Receiver::start(Mode::LoseAcknowledgement).expect("listens");
     let gateway = serve(&settings(&receiver), &fleet.list());
     eventually("batches come again", || receiver.data().repeated > 0);
     // Refused whatever is in it: a 400 would be searched for what is bad.
     receiver.set_mode(Mode::Answer(403, None));
     eventually("batches are refused", || receiver.data().rejected > 2);
-    receiver.set_mode(Mode::Take);
+    receiver.set_mode(Mode::Accept);
     call(&gateway, 2);
     eventually("later ones arrive", || served(&receiver.data()) == 2.0);
     let kept = receiver.data();
@@ -308,7 +308,7 @@
 #[test]
 fn samples_of_a_killed_controller_are_sent_by_its_next_incarnation() {
     let fleet = Fleet::new(1, SPEC);
-    let receiver = Receiver::start(Mode::Take).expect("listens");
+    let receiver = Receiver::start(Mode::Accept).expect("listens");
     let gateway = serve(&settings(&receiver), &fleet.list());
     call(&gateway, 4);
     eventually("four calls arrive", || served(&receiver.data()) == 4.0);
@@ -323,7 +323,7 @@
     std::fs::rename(gateway.dir.path().join("spool"), dir.path().join("spool")).expect("the log exists");
     std::fs::write(dir.path().join("workers.sexp"), fleet.list()).expect("written");
     drop(gateway);
-    receiver.set_mode(Mode::Take);
+    receiver.set_mode(Mode::Accept);
     let _next = serve_in(dir, &settings(&receiver), None);
     let samples = || receiver.data().find(CALLS, &SERVED);
     eventually("the next life's own samples arrive", || {
@@ -346,7 +346,7 @@
 #[test]
 fn kill_between_write_and_acknowledgement_repeats_unchanged_samples() {
     let fleet = Fleet::new(1, SPEC);
-    let receiver = Receiver::start(Mode::Forget).expect("listens");
+    let receiver = Receiver::start(Mode::LoseAcknowledgement).expect("listens");
     let gateway = serve(&settings(&receiver), &fleet.list());
     call(&gateway, 3);
     eventually("it is written and not acknowledged", || served(&receiver.data()) >= 0.0);
@@ -356,7 +356,7 @@
     std::fs::write(dir.path().join("workers.sexp"), fleet.list()).expect("written");
     drop(gateway);
     let before = receiver.data().repeated;
-    receiver.set_mode(Mode::Take);
+    receiver.set_mode(Mode::Accept);
     let _next = serve_in(dir, &settings(&receiver), None);
     eventually("a marker and a new life", || {
         let all = receiver.data().find(CALLS, &SERVED);
--- a/crates/scenario/src/evidence.rs
+++ b/crates/scenario/src/evidence.rs
@@ -186,12 +186,12 @@
         cuts.push(Cut { worker: worker.to_owned(), zone, interval: Interval { from, to } });
     };
     for record in workers {
-        let ObservationKind::Link { door, conn, cut } = record.seen else { continue };
-        let link = Link { worker: &record.worker, door, conn };
+        let ObservationKind::Link { address_index, conn, cut } = record.seen else { continue };
+        let link = Link { worker: &record.worker, door: address_index, conn };
         if cut {
             open.entry(link).or_insert(record.at);
         } else if let Some(from) = open.remove(&link) {
-            add(&record.worker, door, from, record.at);
+            add(&record.worker, address_index, from, record.at);
         }
     }
     for (Link { worker, door, .. }, from) in open {
--- a/crates/scenario/src/run.rs
+++ b/crates/scenario/src/run.rs
@@ -127,7 +127,7 @@
     let watch = data.watch.as_ref();
     let episodes = watch.map_or(&[][..], |watch| watch.episodes());
     let mut faults = data.faults.clone();
-    faults.extend(watch.into_iter().flat_map(|watch| watch.faults.iter().cloned()));
+    faults.extend(watch.into_iter().flat_map(|watch| watch.errors.iter().cloned()));
     let alerts = episodes.iter().map(|episode| alerting::Fired::new(episode, epoch_ms)).collect();
     alerting::ReceiverReport { alerts, faults, samples: data.series.values().map(Vec::len).sum() }
 }
@@ -281,9 +281,9 @@
     fn cut(&self, zone: &str, cut: bool) {
         for handle in &self.handles {
             let home = self.locations.get(&handle.name).map_or("", |location| location.zone.as_str());
-            for (door, from) in self.lists.zones.iter().enumerate() {
+            for (address_index, from) in self.lists.zones.iter().enumerate() {
                 if (home == zone) != (from == zone) {
-                    handle.inject(Fault::Cut { door, cut });
+                    handle.inject(Fault::Cut { address_index, cut });
                 }
             }
         }
--- a/crates/scenario/src/setup.rs
+++ b/crates/scenario/src/setup.rs
@@ -62,7 +62,7 @@
     let path = folder.join(&watch.rules);
     let text = std::fs::read_to_string(&path).map_err(system("can't read the day's rule file"))?;
     let rules = nettleferry_alerts::rules::read(&path.display().to_string(), &text)?;
-    let mut receiver = Receiver::start(Mode::Take).map_err(system("can't start a receiver"))?;
+    let mut receiver = Receiver::start(Mode::Accept).map_err(system("can't start a receiver"))?;
     receiver.watch(rules, watch.speed).map_err(system("can't start a thread"))?;
     Ok(Some(receiver))
 }
@@ -74,7 +74,7 @@
         let zone = script.workers.zone(index).to_owned();
         let handle = spawn(Options {
             name: format!("w{}", index + 1),
-            doors: vec![SocketAddr::from(([127, 0, 0, 1], 0)); context.zones.len()],
+            addresses: vec![SocketAddr::from(([127, 0, 0, 1], 0)); context.zones.len()],
             spec: script.spec.clone(),
             store: Arc::clone(&context.store),
             epoch: context.epoch,
@@ -85,7 +85,7 @@
         .map_err(system("can't start a stand-in worker"))?;
         let worker = Worker {
             name: handle.name.clone(),
-            address: handle.doors[0],
+            address: handle.addresses[0],
             zone: zone.clone(),
             kind: "stand-in".to_owned(),
             weight: 1.0,
@@ -94,7 +94,7 @@
             born: script.cold.then(unix_time),
         };
         workers.locations.insert(handle.name.clone(), Location { zone, cell: handle.name.clone() });
-        workers.lines.push(WorkerLine { addresses: handle.doors.clone(), worker });
+        workers.lines.push(WorkerLine { addresses: handle.addresses.clone(), worker });
         workers.handles.push(handle);
     }
     Ok(workers)
--- a/crates/scenario/src/story.rs
+++ b/crates/scenario/src/story.rs
@@ -76,8 +76,8 @@
                 };
                 (format!("the attempt is answered: {outcome}"), call_of(stream))
             }
-            ObservationKind::Link { door, conn, cut } => {
-                let from = link_origin(evidence, worker, *door, record.at);
+            ObservationKind::Link { address_index, conn, cut } => {
+                let from = link_origin(evidence, worker, *address_index, record.at);
                 let part = if conn.is_some() { "one connection" } else { "the link" };
                 (format!("{part} from {from} is {}", if *cut { "cut" } else { "mended" }), None)
             }
--- a/crates/scenario/tests/audit.rs
+++ b/crates/scenario/tests/audit.rs
@@ -355,7 +355,7 @@
 #[test]
 fn cuts_are_derived_from_worker_records() {
     let mut e = empty();
-    let link = |door, conn, cut| ObservationKind::Link { door, conn, cut };
+    let link = |address_index, conn, cut| ObservationKind::Link { address_index, conn, cut };
     worker(&mut e, S, "w1", link(1, None, true));
     worker(&mut e, S + 1, "w1", link(0, Some(7), true));
     worker(&mut e, S + 2, "w1", link(0, Some(7), false));
--- a/crates/test-servers/src/receiver.rs
+++ b/crates/test-servers/src/receiver.rs
@@ -19,13 +19,13 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Mode {
     /// It takes what comes.
-    Take,
+    Accept,
     /// It takes version 1.0 alone.
-    OnlyOne,
+    Version1Only,
     /// It answers with this status and receives nothing; with Retry-After, seconds, where given.
     Answer(u16, Option<u32>),
     /// It takes what comes and answers 500: the acknowledgement is lost.
-    Forget,
+    LoseAcknowledgement,
     /// It takes what comes, and its answer breaks off in its first line.
     CutAnswer,
     /// It closes a connection after so many bytes of a request.
@@ -33,9 +33,9 @@
     /// It takes what comes, so much later.
     Slow(Duration),
     /// It answers 400 and takes nothing where a series has this value of any label.
-    Bad(String),
+    RejectLabelValue(String),
     /// It reads version 1.0 whatever it is sent, and does not look at the content type.
-    Blind,
+    AssumeVersion1,
 }
 
 /// A sample as it was received.
@@ -254,9 +254,9 @@
         k if k == Version::One.content_type() || k == "application/x-protobuf" => Version::One,
         _ => return Reply::text(415, "no such message\n"),
     };
-    let blind = *mode == Mode::Blind;
+    let blind = *mode == Mode::AssumeVersion1;
     let version = if blind { Version::One } else { version };
-    if version == Version::Two && *mode == Mode::OnlyOne {
+    if version == Version::Two && *mode == Mode::Version1Only {
         data.rejected += 1;
         return Reply::text(415, "version 1.0 alone\n");
     }
@@ -267,7 +267,7 @@
         Ok(series) => series,
         Err(error) => return Reply::text(400, format!("{error}\n")),
     };
-    if let Mode::Bad(value) = mode
+    if let Mode::RejectLabelValue(value) = mode
         && let Some(bad) = series.iter().find(|s| s.labels.iter().any(|(_, v)| v == value))
     {
         data.rejected += 1;
@@ -280,7 +280,7 @@
         data.receive(s);
     }
     match mode {
-        Mode::Forget => return Reply::text(500, "forgotten\n"),
+        Mode::LoseAcknowledgement => return Reply::text(500, "forgotten\n"),
         Mode::CutAnswer => return Reply { cut: Some(9), ..Reply::text(204, "") },
         _ if version == Version::One => return Reply::text(204, ""),
         _ => {}
--- a/crates/test-servers/src/server/fault.rs
+++ b/crates/test-servers/src/server/fault.rs
@@ -32,7 +32,7 @@
     /// One of its addresses neither accepts, reads nor writes: a cut link.
     Cut {
         /// Which of its addresses.
-        door: usize,
+        address_index: usize,
         /// Cut or mended.
         cut: bool,
     },
@@ -66,7 +66,7 @@
                 }
             }
             Fault::GoAway => self.go_away(),
-            Fault::Cut { door, cut } => self.cut(door, cut),
+            Fault::Cut { address_index, cut } => self.cut(address_index, cut),
         }
         Ok(())
     }
@@ -81,13 +81,13 @@
     }
 
     /// Cuts the link at one of its addresses, or mends it.
-    fn cut(&mut self, door: usize, cut: bool) {
-        let Some(listener) = self.listeners.get(door).copied() else { return };
+    fn cut(&mut self, address_index: usize, cut: bool) {
+        let Some(listener) = self.listeners.get(address_index).copied() else { return };
         self.hub.freeze_listener(listener, cut);
         for conn in self.hub.accepted_at(listener) {
             self.hub.freeze(conn, cut);
         }
-        self.see(ObservationKind::Link { door, conn: None, cut });
+        self.see(ObservationKind::Link { address_index, conn: None, cut });
         self.mended |= !cut;
     }
 }
--- a/crates/test-servers/src/server/mod.rs
+++ b/crates/test-servers/src/server/mod.rs
@@ -36,7 +36,7 @@
     /// Its name.
     pub name: String,
     /// Where it listens; several addresses allow links to be cut one by one.
-    pub doors: Vec<SocketAddr>,
+    pub addresses: Vec<SocketAddr>,
     /// What it is.
     pub spec: Spec,
     /// The model store that it shares with others.
@@ -56,7 +56,7 @@
     /// Its name.
     pub name: String,
     /// Where it listens.
-    pub doors: Vec<SocketAddr>,
+    pub addresses: Vec<SocketAddr>,
     faults: Sender<Fault>,
     waker: Arc<mio::Waker>,
     thread: Option<JoinHandle<()>>,
@@ -111,15 +111,16 @@
             eprintln!("test worker {}: {error}", server.options.name);
         }
     })?;
-    let (doors, waker) = started.recv().map_err(|_| io::Error::other("the test worker's thread ended"))??;
-    Ok(Handle { name, doors, faults, waker, thread: Some(thread) })
+    let (addresses, waker) =
+        started.recv().map_err(|_| io::Error::other("the test worker's thread ended"))??;
+    Ok(Handle { name, addresses, faults, waker, thread: Some(thread) })
 }
 
 /// A connection from which nothing is read yet.
 struct DelayedConnection {
     until: Micros,
     conn: ConnKey,
-    door: usize,
+    address_index: usize,
 }
 
 /// The load at a past time.
@@ -184,7 +185,7 @@
         let limits = NetLimits { idle: Duration::from_secs(300), ..NetLimits::default() };
         let mut server = Self {
             hub: Hub::new(limits)?,
-            addresses: options.doors.clone(),
+            addresses: options.addresses.clone(),
             listeners: Vec::new(),
             faults,
             worker: None,
@@ -305,9 +306,9 @@
     fn thaw_delayed(&mut self) {
         let now = self.now();
         while let Some(delayed) = self.delayed.pop_front_if(|delayed| delayed.until <= now) {
-            let DelayedConnection { conn, door, .. } = delayed;
+            let DelayedConnection { conn, address_index, .. } = delayed;
             self.hub.freeze(conn, false);
-            self.see(ObservationKind::Link { door, conn: Some(conn.number()), cut: false });
+            self.see(ObservationKind::Link { address_index, conn: Some(conn.number()), cut: false });
             self.mended = true;
         }
     }
--- a/crates/test-servers/src/server/observation.rs
+++ b/crates/test-servers/src/server/observation.rs
@@ -43,7 +43,7 @@
     /// A door, or one connection at it, was cut off or mended: what was sent meanwhile is read from then on.
     Link {
         /// Which of its addresses.
-        door: usize,
+        address_index: usize,
         /// The connection; `None`: all of the door.
         conn: Option<u64>,
         /// Cut or mended.
--- a/crates/test-servers/src/server/request.rs
+++ b/crates/test-servers/src/server/request.rs
@@ -55,9 +55,9 @@
         self.delayed.push_back(DelayedConnection {
             until: self.now() + self.slow_handshake,
             conn,
-            door: listener.0,
+            address_index: listener.0,
         });
-        self.see(ObservationKind::Link { door: listener.0, conn: Some(conn.number()), cut: true });
+        self.see(ObservationKind::Link { address_index: listener.0, conn: Some(conn.number()), cut: true });
     }
 
     /// A stream has opened.
--- a/crates/test-servers/src/spec.rs
+++ b/crates/test-servers/src/spec.rs
@@ -30,7 +30,7 @@
     /// A call of a model without a replica starts a load; else it is rejected.
     pub load_when_absent: bool,
     /// It loads a further replica by itself when all lanes of a model are taken.
-    pub own_copies: bool,
+    pub load_extra_replicas: bool,
     /// How long it warms up; 0: not at all.
     pub warm_up: Micros,
     /// Share of its capacity at its start.
@@ -38,7 +38,7 @@
     /// While it warms up, it falls over and stays down when it is sent more than this multiple of its capacity.
     pub overload_factor: f64,
     /// The time over which that is counted.
-    pub fall: Micros,
+    pub overload_window: Micros,
     /// Models by the beginning of their names; the longest wins.
     pub models: Vec<ModelSpec>,
 }
@@ -69,11 +69,11 @@
             loads_at_once: 4,
             keep_alive: 8_000_000,
             load_when_absent: true,
-            own_copies: true,
+            load_extra_replicas: true,
             warm_up: 0,
             start_capacity: 1.0,
             overload_factor: 2.0,
-            fall: 1_000_000,
+            overload_window: 1_000_000,
             models: vec![ModelSpec::any()],
         }
     }
@@ -110,14 +110,14 @@
             loads_at_once: (form.value_or("loads-at-once", base.loads_at_once as u64) as usize).max(1),
             keep_alive: form.micros_or("keep-alive", base.keep_alive),
             load_when_absent: form.keyword_or("when-absent", &[("load", true), ("miss", false)], true),
-            own_copies: form.value_or("own-copies", true),
+            load_extra_replicas: form.value_or("own-copies", true),
             ..base
         };
         if let Some(mut cold) = form.optional_list("cold") {
             spec.warm_up = cold.required_item::<TimeSpan>("how long it is cold").map_or(0, |s| s.0);
             spec.start_capacity = cold.value_or("start-capacity", 0.2).clamp(0.01, 1.0);
             spec.overload_factor = cold.value_or("overload-factor", 2.0);
-            spec.fall = cold.micros_or("fall", spec.fall);
+            spec.overload_window = cold.micros_or("fall", spec.overload_window);
             cold.finish();
         }
         let models = form.lists("model");
--- a/crates/test-servers/src/store.rs
+++ b/crates/test-servers/src/store.rs
@@ -7,9 +7,9 @@
 #[derive(Clone, Debug)]
 pub struct Store {
     /// Fetches that run at full speed; beyond them each is slowed in proportion.
-    pub at_speed: u32,
+    pub full_speed_fetches: u32,
     /// Fetches at once; one more is refused.
-    pub most: u32,
+    pub max_fetches: u32,
     /// All fetches take this many times as long: a slow store.
     pub slowness: f64,
     running: u32,
@@ -21,19 +21,26 @@
 
 impl Store {
     /// A store that is not slow.
-    pub fn new(at_speed: u32, most: u32) -> Self {
-        Self { at_speed: at_speed.max(1), most: most.max(1), slowness: 1.0, running: 0, refused: 0, begun: 0 }
+    pub fn new(full_speed_fetches: u32, max_fetches: u32) -> Self {
+        Self {
+            full_speed_fetches: full_speed_fetches.max(1),
+            max_fetches: max_fetches.max(1),
+            slowness: 1.0,
+            running: 0,
+            refused: 0,
+            begun: 0,
+        }
     }
 
     /// Begins a fetch that would take `alone` by itself: how long it takes now. `None`: refused.
     pub fn begin(&mut self, alone: Micros) -> Option<Micros> {
-        if self.running >= self.most {
+        if self.running >= self.max_fetches {
             self.refused += 1;
             return None;
         }
         self.running += 1;
         self.begun += 1;
-        let crowd = (f64::from(self.running) / f64::from(self.at_speed)).max(1.0);
+        let crowd = (f64::from(self.running) / f64::from(self.full_speed_fetches)).max(1.0);
         Some((alone as f64 * crowd * self.slowness) as Micros)
     }
 
--- a/crates/test-servers/src/watch.rs
+++ b/crates/test-servers/src/watch.rs
@@ -31,7 +31,7 @@
     episodes: Vec<Episode>,
     open: BTreeMap<Labels, usize>,
     /// Rules that could not be evaluated.
-    pub faults: Vec<String>,
+    pub errors: Vec<String>,
 }
 
 impl Watch {
@@ -39,8 +39,8 @@
     pub fn new(rules: Vec<Rule>, now: Millis, speed: u32) -> Self {
         let (base, speed) = (now, i64::from(speed.max(1)));
         let rules = rules.into_iter().map(|rule| (Alerts::new(rule), base)).collect();
-        let (episodes, open, faults) = Default::default();
-        Self { rules, store: Store::default(), base, speed, episodes, open, faults }
+        let (episodes, open, errors) = Default::default();
+        Self { rules, store: Store::default(), base, speed, episodes, open, errors }
     }
 
     fn theirs(&self, at: Millis) -> Millis {
@@ -64,7 +64,7 @@
                     *next += every;
                 }
                 if let Err(what) = alerts.evaluate(&self.store, theirs) {
-                    self.faults.push(format!("{}: {what}", alerts.rule().alert));
+                    self.errors.push(format!("{}: {what}", alerts.rule().alert));
                 }
             }
             firing.extend(alerts.firing().into_iter().cloned());
--- a/crates/test-servers/src/watch/tests.rs
+++ b/crates/test-servers/src/watch/tests.rs
@@ -16,5 +16,5 @@
     let episodes = watch.episodes();
     assert_eq!(episodes.len(), 1);
     assert_eq!((episodes[0].from, episodes[0].to), (1_007_001, Some(1_010_001)));
-    assert!(watch.faults.is_empty());
+    assert!(watch.errors.is_empty());
 }
--- a/crates/test-servers/src/worker.rs
+++ b/crates/test-servers/src/worker.rs
@@ -307,7 +307,7 @@
         if self.arrivals.len() > MAX_ARRIVALS {
             self.arrivals.pop_front();
         }
-        let window = self.spec.fall;
+        let window = self.spec.overload_window;
         while self.arrivals.front().is_some_and(|arrival| arrival.at + window < self.now) {
             self.arrivals.pop_front();
         }
--- a/crates/test-servers/src/worker/replicas.rs
+++ b/crates/test-servers/src/worker/replicas.rs
@@ -143,7 +143,7 @@
         let quiet = set.is_none_or(|set| set.is_quiet());
         let absent = set.is_none_or(|set| set.loaded == 0);
         // The last replica may have been unloaded while its calls waited: it is loaded again.
-        if quiet && (absent || self.spec.own_copies) {
+        if quiet && (absent || self.spec.load_extra_replicas) {
             let queued = self.queue_loads(model, 1);
             if absent && !queued {
                 self.load_failed(model);
--- a/crates/test-servers/src/worker/tests.rs
+++ b/crates/test-servers/src/worker/tests.rs
@@ -9,7 +9,14 @@
 fn spec() -> Spec {
     let model =
         ModelSpec { lanes: 1, load_time: 100 * MS, core_time: 10 * MS, memory: 1 << 30, ..ModelSpec::any() };
-    Spec { cores: 2.0, memory: 2 << 30, queue: 4, own_copies: false, models: vec![model], ..Spec::default() }
+    Spec {
+        cores: 2.0,
+        memory: 2 << 30,
+        queue: 4,
+        load_extra_replicas: false,
+        models: vec![model],
+        ..Spec::default()
+    }
 }
 
 struct TestWorker {
@@ -110,7 +117,13 @@
 
 #[test]
 fn overload_fells_a_warming_worker_and_not_a_warm_one() {
-    let cold = Spec { warm_up: 10_000 * MS, start_capacity: 0.2, fall: 500 * MS, queue: 10_000, ..spec() };
+    let cold = Spec {
+        warm_up: 10_000 * MS,
+        start_capacity: 0.2,
+        overload_window: 500 * MS,
+        queue: 10_000,
+        ..spec()
+    };
     let flood = |cold_start| {
         let mut test = TestWorker::new(cold.clone(), cold_start);
         for no in 0..200 {
