--- a/crates/alerts/src/check.rs
+++ b/crates/alerts/src/check.rs
@@ -1,5 +1,5 @@
-//! Every metric and label that a rule names exists in the registry: an alert on a series that is never there
-//! would be silent for ever.
+//! Checks that each metric and label in a rule exists in the registry. An alert on a series that does not exist would
+//! never fire.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,21 +8,22 @@
 
 use crate::rules::Rule;
 
-/// Metrics with the labels that their series have, and the values of each.
+/// The known metrics, with the label names of their series and the values of each label.
 #[derive(Clone, Debug, Default)]
 pub struct Catalog {
     metrics: BTreeMap<String, BTreeMap<String, BTreeSet<String>>>,
-    /// Labels that receivers add: `instance`, `job`.
-    outer: BTreeSet<String>,
+    /// Labels that the receiver of the metrics adds to each series, such as `instance` and `job`. Any value is valid.
+    external_labels: BTreeSet<String>,
 }
 
 impl Catalog {
-    /// A catalog whose series may have these labels besides their own.
-    pub fn new(outer: &[&str]) -> Self {
-        Self { metrics: BTreeMap::new(), outer: outer.iter().map(|l| (*l).to_owned()).collect() }
+    /// Creates an empty catalog. The external labels are those that the receiver of the metrics adds to each series.
+    pub fn new(external_labels: &[&str]) -> Self {
+        let external_labels = external_labels.iter().map(|l| (*l).to_owned()).collect();
+        Self { metrics: BTreeMap::new(), external_labels }
     }
 
-    /// Adds a series by its labels, `__name__` among them.
+    /// Adds a series, given by its labels. A series without `__name__` is ignored.
     pub fn add(&mut self, labels: &[(String, String)]) {
         let Some((_, name)) = labels.iter().find(|(n, _)| n == "__name__") else { return };
         let metric = self.metrics.entry(name.clone()).or_default();
@@ -32,7 +33,8 @@
     }
 }
 
-/// What a rule names that is not there.
+/// Returns a message for each metric, label or label value in a rule that the catalog does not have, sorted and without
+/// duplicates. Label values are checked where a matcher requires one (`=`, `=~`).
 pub fn check(rule: &Rule, catalog: &Catalog) -> Vec<String> {
     let mut found = Vec::new();
     let mut metrics = BTreeSet::new();
@@ -44,15 +46,15 @@
         };
         if let Some(vs) = selector {
             metrics.extend(vs.name.clone());
-            select(vs, catalog, &mut found);
+            check_selector(vs, catalog, &mut found);
         }
     });
     if metrics.is_empty() {
         found.push("it names no metric".to_owned());
     }
-    // Labels that are grouped or matched by must be those of a metric of the rule.
+    // A label in `by`, `without`, `on` or `ignoring` must belong to a metric of the rule.
     let known = |label: &str| {
-        catalog.outer.contains(label)
+        catalog.external_labels.contains(label)
             || metrics.iter().filter_map(|m| catalog.metrics.get(m)).any(|labels| labels.contains_key(label))
     };
     walk(&rule.expr, &mut |expr| {
@@ -71,9 +73,9 @@
     found
 }
 
-fn select(vs: &VectorSelector, catalog: &Catalog, found: &mut Vec<String>) {
+fn check_selector(vs: &VectorSelector, catalog: &Catalog, found: &mut Vec<String>) {
     let Some(name) = &vs.name else {
-        found.push("a selector without a metric's name".to_owned());
+        found.push("a selector has no metric name".to_owned());
         return;
     };
     let Some(metric) = catalog.metrics.get(name) else {
@@ -81,38 +83,38 @@
         return;
     };
     for matcher in &vs.matchers.matchers {
-        if catalog.outer.contains(&matcher.name) {
+        if catalog.external_labels.contains(&matcher.name) {
             continue;
         }
         let Some(values) = metric.get(&matcher.name) else {
             found.push(format!("{name} has no label {}", matcher.name));
             continue;
         };
-        let wants = matches!(matcher.op, MatchOp::Equal | MatchOp::Re(_));
-        if wants && !values.iter().any(|v| matcher.is_match(v)) {
+        let requires_value = matches!(matcher.op, MatchOp::Equal | MatchOp::Re(_));
+        if requires_value && !values.iter().any(|v| matcher.is_match(v)) {
             found.push(format!("{name}: no series has {}={:?}", matcher.name, matcher.value));
         }
     }
 }
 
-/// Every expression of a tree, the outer ones first.
-fn walk<'a>(expr: &'a Expr, see: &mut impl FnMut(&'a Expr)) {
-    see(expr);
+/// Calls `visit` for an expression and all its subexpressions, outer expressions first.
+fn walk<'a>(expr: &'a Expr, visit: &mut impl FnMut(&'a Expr)) {
+    visit(expr);
     match expr {
         Expr::Aggregate(a) => {
-            walk(&a.expr, see);
+            walk(&a.expr, visit);
             if let Some(param) = &a.param {
-                walk(param, see);
+                walk(param, visit);
             }
         }
-        Expr::Unary(u) => walk(&u.expr, see),
+        Expr::Unary(u) => walk(&u.expr, visit),
         Expr::Binary(b) => {
-            walk(&b.lhs, see);
-            walk(&b.rhs, see);
+            walk(&b.lhs, visit);
+            walk(&b.rhs, visit);
         }
-        Expr::Paren(p) => walk(&p.expr, see),
-        Expr::Subquery(s) => walk(&s.expr, see),
-        Expr::Call(c) => c.args.args.iter().for_each(|arg| walk(arg, see)),
+        Expr::Paren(p) => walk(&p.expr, visit),
+        Expr::Subquery(s) => walk(&s.expr, visit),
+        Expr::Call(c) => c.args.args.iter().for_each(|arg| walk(arg, visit)),
         _ => {}
     }
 }
--- a/crates/alerts/src/check/tests.rs
+++ b/crates/alerts/src/check/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::rules;
 
-fn told(expr: &str) -> Vec<String> {
+fn problems(expr: &str) -> Vec<String> {
     let mut catalog = Catalog::new(&["instance"]);
     let label = |n: &str, v: &str| (n.to_owned(), v.to_owned());
     catalog.add(&[label("__name__", "calls_total"), label("class", "quick"), label("end", "refused")]);
@@ -13,10 +13,13 @@
 
 #[test]
 fn unknown_metrics_and_labels_are_named() {
-    assert!(told("sum by (class, instance) (rate(calls_total{end=\"refused\"}[5m])) > 1").is_empty());
-    assert_eq!(told("sum(call_total) > 1"), ["there is no metric call_total"]);
-    assert_eq!(told("sum by (klass) (calls_total) > 1"), ["no metric of it has the label klass"]);
-    assert_eq!(told("calls_total{ent=\"x\"} > 1"), ["calls_total has no label ent"]);
-    assert_eq!(told("calls_total{end=\"refussed\"} > 1"), ["calls_total: no series has end=\"refussed\""]);
-    assert_eq!(told("vector(1) > 2"), ["it names no metric"]);
+    assert!(problems("sum by (class, instance) (rate(calls_total{end=\"refused\"}[5m])) > 1").is_empty());
+    assert_eq!(problems("sum(call_total) > 1"), ["there is no metric call_total"]);
+    assert_eq!(problems("sum by (klass) (calls_total) > 1"), ["no metric of it has the label klass"]);
+    assert_eq!(problems("calls_total{ent=\"x\"} > 1"), ["calls_total has no label ent"]);
+    assert_eq!(
+        problems("calls_total{end=\"refussed\"} > 1"),
+        ["calls_total: no series has end=\"refussed\""]
+    );
+    assert_eq!(problems("vector(1) > 2"), ["it names no metric"]);
 }
--- a/crates/alerts/src/eval/aggregation.rs
+++ b/crates/alerts/src/eval/aggregation.rs
@@ -1,4 +1,4 @@
-//! Aggregations: `sum`, `max`, `min`, `avg` and `count`, by labels.
+//! Aggregation operators: `sum`, `max`, `min`, `avg` and `count`, with `by` and `without`.
 
 use std::collections::BTreeMap;
 
@@ -6,10 +6,10 @@
 
 use super::eval;
 use super::store::{Labels, Store};
-use super::value::{UnsupportedExpression, Value, nameless};
+use super::value::{UnsupportedExpression, Value, without_metric_name};
 use crate::rules::Millis;
 
-/// Evaluates an aggregation.
+/// Evaluates an aggregation operator.
 pub(super) fn aggregate(
     a: &AggregateExpr,
     store: &Store,
@@ -18,14 +18,14 @@
     let Value::Vector(all) = eval(&a.expr, store, at)? else {
         return Err(UnsupportedExpression(a.to_string()));
     };
-    let key = |labels: &Labels| -> Labels {
+    let group_labels = |labels: &Labels| -> Labels {
         match &a.modifier {
             None => Labels::new(),
             Some(LabelModifier::Include(by)) => {
                 by.labels.iter().filter_map(|l| Some((l.clone(), labels.get(l)?.clone()))).collect()
             }
             Some(LabelModifier::Exclude(without)) => {
-                let mut remaining = nameless(labels.clone());
+                let mut remaining = without_metric_name(labels.clone());
                 remaining.retain(|l, _| !without.labels.contains(l));
                 remaining
             }
@@ -33,9 +33,9 @@
     };
     let mut groups: BTreeMap<Labels, Vec<f64>> = BTreeMap::new();
     for (labels, value) in all {
-        groups.entry(key(&labels)).or_default().push(value);
+        groups.entry(group_labels(&labels)).or_default().push(value);
     }
-    let work: fn(&[f64]) -> f64 = match a.op.to_string().as_str() {
+    let combine: fn(&[f64]) -> f64 = match a.op.to_string().as_str() {
         "sum" => |v| v.iter().sum(),
         "max" => |v| v.iter().copied().fold(f64::NEG_INFINITY, f64::max),
         "min" => |v| v.iter().copied().fold(f64::INFINITY, f64::min),
@@ -43,5 +43,5 @@
         "count" => |v| v.len() as f64,
         other => return Err(UnsupportedExpression(format!("the aggregation {other}"))),
     };
-    Ok(Value::Vector(groups.into_iter().map(|(l, v)| (l, work(&v))).collect()))
+    Ok(Value::Vector(groups.into_iter().map(|(l, v)| (l, combine(&v))).collect()))
 }
--- a/crates/alerts/src/eval/binary.rs
+++ b/crates/alerts/src/eval/binary.rs
@@ -1,15 +1,15 @@
-//! Binary operators, between numbers, vectors, or both.
+//! Binary operators between scalars, between instant vectors, and between a scalar and a vector.
 
 use promql_parser::parser::{BinaryExpr, LabelModifier, VectorMatchCardinality};
 
 use super::eval;
 use super::store::{Labels, Store};
-use super::value::{UnsupportedExpression, Value, nameless};
+use super::value::{UnsupportedExpression, Value, without_metric_name};
 use crate::rules::Millis;
 
 type Vector = Vec<(Labels, f64)>;
 
-/// The result of an arithmetic operator; `None`: it is none.
+/// Applies an arithmetic operator. Returns `None` for any other operator.
 fn arithmetic(op: &str, a: f64, b: f64) -> Option<f64> {
     Some(match op {
         "+" => a + b,
@@ -22,7 +22,7 @@
     })
 }
 
-/// The result of a comparison; `None`: it is none.
+/// Applies a comparison operator. Returns `None` for any other operator.
 fn compare(op: &str, a: f64, b: f64) -> Option<bool> {
     Some(match op {
         "==" => a == b,
@@ -35,9 +35,9 @@
     })
 }
 
-/// The labels by which two sides are matched.
-fn matching(b: &BinaryExpr, labels: &Labels) -> Labels {
-    let mut remaining = nameless(labels.clone());
+/// Returns the labels by which a series is matched with one on the other side, according to `on` or `ignoring`.
+fn matching_labels(b: &BinaryExpr, labels: &Labels) -> Labels {
+    let mut remaining = without_metric_name(labels.clone());
     match b.modifier.as_ref().and_then(|m| m.matching.as_ref()) {
         Some(LabelModifier::Include(on)) => remaining.retain(|l, _| on.labels.contains(l)),
         Some(LabelModifier::Exclude(ignoring)) => remaining.retain(|l, _| !ignoring.labels.contains(l)),
@@ -70,13 +70,13 @@
     }
 }
 
-/// An operator with its modifiers.
+/// A binary operator with its modifiers.
 struct Operation<'a> {
     expr: &'a BinaryExpr,
     operator: String,
-    /// A comparison with the modifier `bool`.
+    /// Has the modifier `bool`: a comparison returns 0 or 1 instead of filtering.
     as_bool: bool,
-    /// A comparison without it: it filters, and keeps labels as they are, while arithmetic drops the name.
+    /// Is a comparison without `bool`: it filters series and keeps all their labels. Other results lose the metric name.
     filters: bool,
 }
 
@@ -89,8 +89,9 @@
     }
 
     fn compare(&self, x: f64, y: f64) -> Result<bool, UnsupportedExpression> {
-        compare(&self.operator, x, y)
-            .ok_or_else(|| UnsupportedExpression(format!("{} between these sides", self.operator)))
+        compare(&self.operator, x, y).ok_or_else(|| {
+            UnsupportedExpression(format!("the operator {} with these operands", self.operator))
+        })
     }
 
     fn scalars(&self, x: f64, y: f64) -> Result<f64, UnsupportedExpression> {
@@ -100,7 +101,8 @@
         }
     }
 
-    /// The value of a pair; `None`: a comparison filters it out. `passed`: the value that passes a filter.
+    /// Computes the result for a pair of values, or `None` if a comparison filters it out. `passed` is the result of a
+    /// filtering comparison that is true.
     fn pair(&self, x: f64, y: f64, passed: f64) -> Result<Option<f64>, UnsupportedExpression> {
         if let Some(value) = arithmetic(&self.operator, x, y) {
             return Ok(Some(value));
@@ -110,7 +112,7 @@
     }
 
     fn result_labels(&self, labels: Labels) -> Labels {
-        if self.filters { labels } else { nameless(labels) }
+        if self.filters { labels } else { without_metric_name(labels) }
     }
 
     fn vectors(&self, left: Vector, right: Vector) -> Result<Vector, UnsupportedExpression> {
@@ -122,23 +124,25 @@
         }
     }
 
-    /// The series on the left that have a match on the right, or those that have none.
+    /// Returns the series on the left that have a match on the right; if `matched` is false, those that have none.
     fn filter_by_match(&self, left: Vector, right: &Vector, matched: bool) -> Vector {
-        let keys: Vec<Labels> = right.iter().map(|(labels, _)| matching(self.expr, labels)).collect();
+        let keys: Vec<Labels> = right.iter().map(|(labels, _)| matching_labels(self.expr, labels)).collect();
         left.into_iter()
-            .filter(|(labels, _)| keys.contains(&matching(self.expr, labels)) == matched)
+            .filter(|(labels, _)| keys.contains(&matching_labels(self.expr, labels)) == matched)
             .collect()
     }
 
-    /// All series on the left, and those on the right without a match there.
+    /// Returns all series on the left, and the series on the right that have no match on the left.
     fn union(&self, left: Vector, right: Vector) -> Vector {
-        let keys: Vec<Labels> = left.iter().map(|(labels, _)| matching(self.expr, labels)).collect();
+        let keys: Vec<Labels> = left.iter().map(|(labels, _)| matching_labels(self.expr, labels)).collect();
         let mut all = left;
-        all.extend(right.into_iter().filter(|(labels, _)| !keys.contains(&matching(self.expr, labels))));
+        all.extend(
+            right.into_iter().filter(|(labels, _)| !keys.contains(&matching_labels(self.expr, labels))),
+        );
         all
     }
 
-    /// Whether several series on the left may have one match on the right.
+    /// Whether several series on the left may match the same series on the right (`group_left`).
     fn is_many_to_one(&self) -> Result<bool, UnsupportedExpression> {
         match self.expr.modifier.as_ref().map(|modifier| &modifier.card) {
             None | Some(VectorMatchCardinality::OneToOne) => Ok(false),
@@ -147,23 +151,26 @@
         }
     }
 
-    /// Pairs of the series on both sides with the same labels.
+    /// Applies the operator to each pair of series with equal matching labels. Series without a match are dropped.
     fn match_vectors(&self, left: Vector, right: &Vector) -> Result<Vector, UnsupportedExpression> {
         let operator = &self.operator;
-        let keys: Vec<Labels> = right.iter().map(|(labels, _)| matching(self.expr, labels)).collect();
-        let many = self.is_many_to_one()?;
+        let keys: Vec<Labels> = right.iter().map(|(labels, _)| matching_labels(self.expr, labels)).collect();
+        let many_to_one = self.is_many_to_one()?;
         let mut out = Vector::new();
         for (labels, x) in left {
-            let key = matching(self.expr, &labels);
+            let key = matching_labels(self.expr, &labels);
             let mut matches = right.iter().zip(&keys).filter(|(_, k)| **k == key).map(|((_, y), _)| *y);
             let Some(y) = matches.next() else { continue };
             if matches.next().is_some() {
-                let what = format!("{operator}: several partners on the right for {labels:?}");
+                let what =
+                    format!("the operator {operator} where several series on the right match {labels:?}");
                 return Err(UnsupportedExpression(what));
             }
-            let result = if many || self.filters { self.result_labels(labels) } else { key };
-            if !many && out.iter().any(|(labels, _)| *labels == result) {
-                return Err(UnsupportedExpression(format!("{operator}: several on the left for {result:?}")));
+            let result = if many_to_one || self.filters { self.result_labels(labels) } else { key };
+            if !many_to_one && out.iter().any(|(labels, _)| *labels == result) {
+                return Err(UnsupportedExpression(format!(
+                    "the operator {operator} where several series on the left have the result labels {result:?}"
+                )));
             }
             out.extend(self.pair(x, y, x)?.map(|value| (result, value)));
         }
--- a/crates/alerts/src/eval/selector.rs
+++ b/crates/alerts/src/eval/selector.rs
@@ -1,4 +1,4 @@
-//! Selectors: which series and samples an expression selects at a time.
+//! Instant and range selectors: the series and samples that they match at a given time.
 
 use promql_parser::parser::{Expr, Offset, VectorSelector};
 
@@ -31,7 +31,7 @@
     Ok(selected.map(|(labels, samples)| SelectedSeries { labels, samples }).collect())
 }
 
-/// A time with the offset of a selector.
+/// Applies the `offset` modifier of a selector to an evaluation time.
 fn with_offset(at: Millis, offset: Option<&Offset>) -> Millis {
     match offset {
         None => at,
@@ -40,7 +40,8 @@
     }
 }
 
-/// The newest values of a selector at a time.
+/// Evaluates an instant selector: the newest sample of each matching series, unless it is older than [`LOOKBACK`] or a
+/// staleness marker.
 pub(super) fn instant(
     vs: &VectorSelector,
     store: &Store,
@@ -58,22 +59,22 @@
     Ok(all)
 }
 
-/// The samples of a series in a range.
+/// A series with its samples in the range of a range selector, without staleness markers.
 pub(super) struct SeriesRange {
     pub(super) labels: Labels,
     pub(super) samples: Vec<Sample>,
 }
 
-/// The series of a range selector that have samples in it.
+/// The result of a range selector: the matching series with at least one sample in the range.
 pub(super) struct RangeVector {
     pub(super) series: Vec<SeriesRange>,
-    /// The beginning of the range, which is outside, as in Prometheus 3.
+    /// Start of the range, exclusive as in Prometheus 3.
     pub(super) from: Millis,
-    /// The end of the range, which is inside.
+    /// End of the range, inclusive.
     pub(super) to: Millis,
 }
 
-/// The range that an argument selects at a time.
+/// Evaluates a function argument that must be a range selector.
 pub(super) fn range(
     arg: Option<&Expr>,
     store: &Store,
--- a/crates/alerts/src/eval/store.rs
+++ b/crates/alerts/src/eval/store.rs
@@ -1,23 +1,23 @@
-//! Series and samples that expressions are evaluated over.
+//! The series and samples over which expressions are evaluated.
 
 use std::collections::BTreeMap;
 
 use crate::rules::Millis;
 
-/// Labels, `__name__` among them where there is one.
+/// Label names and values of a series, including `__name__` if the series has a metric name.
 pub type Labels = BTreeMap<String, String>;
 
-/// How old the newest sample of an instant may be, milliseconds.
+/// Maximum age of a sample that an instant selector returns.
 pub const LOOKBACK: Millis = 300_000;
-/// The bits of a staleness marker.
+/// The NaN bit pattern that Prometheus uses as a staleness marker.
 const STALE_BITS: u64 = 0x7ff0_0000_0000_0002;
 
-/// A staleness marker.
-pub fn stale() -> f64 {
+/// Returns a staleness marker: the NaN that Prometheus stores when a series ends.
+pub fn staleness_marker() -> f64 {
     f64::from_bits(STALE_BITS)
 }
 
-/// Whether a value is a staleness marker.
+/// Whether a value is a staleness marker, compared by bits because it is a NaN.
 pub(super) fn is_stale(value: f64) -> bool {
     value.to_bits() == STALE_BITS
 }
@@ -25,20 +25,21 @@
 /// A sample of a series.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Sample {
-    /// Its time.
+    /// Time of the sample.
     pub at: Millis,
-    /// Its value.
+    /// Value; a staleness marker ends the series.
     pub value: f64,
 }
 
-/// Series with their samples.
+/// An in-memory set of series, each with its samples in order of time.
 #[derive(Clone, Debug, Default)]
 pub struct Store {
     pub(super) series: BTreeMap<Labels, Vec<Sample>>,
 }
 
 impl Store {
-    /// Adds a sample, which is later than those of its series.
+    /// Appends a sample to a series, which is created if it is new. The sample must be later than all earlier samples of
+    /// the series.
     pub fn add(&mut self, labels: &Labels, at: Millis, value: f64) {
         match self.series.get_mut(labels) {
             Some(samples) => samples.push(Sample { at, value }),
--- a/crates/alerts/src/eval/tests.rs
+++ b/crates/alerts/src/eval/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use promql_parser::parser::parse;
 
-/// Counters that grow by one, two and nothing each 15 s, and a gauge.
+/// Three counters that grow by 1, 2 and 0 every 15 s, and a gauge that ends with a staleness marker.
 fn store() -> Store {
     let mut store = Store::default();
     for n in 0..=80i64 {
@@ -14,7 +14,7 @@
     }
     let gauge: Labels = [("__name__".to_owned(), "held".to_owned())].into();
     store.add(&gauge, 1_000_000, 7.0);
-    store.add(&gauge, 1_100_000, stale());
+    store.add(&gauge, 1_100_000, staleness_marker());
     store
 }
 
@@ -27,7 +27,7 @@
     }
 }
 
-fn of(all: &[(&str, f64)]) -> Vec<(String, f64)> {
+fn expected(all: &[(&str, f64)]) -> Vec<(String, f64)> {
     all.iter().map(|(l, x)| ((*l).to_owned(), *x)).collect()
 }
 
@@ -58,35 +58,35 @@
 
 #[test]
 fn operators_and_sets() {
-    assert_eq!(value("calls > 50", 1_200_000), of(&[("a", 80.0), ("b", 160.0)]));
+    assert_eq!(value("calls > 50", 1_200_000), expected(&[("a", 80.0), ("b", 160.0)]));
     assert_eq!(
         value("sum by (class) (calls) * 2 > bool 200", 1_200_000),
-        of(&[("a", 0.0), ("b", 1.0), ("c", 0.0)])
+        expected(&[("a", 0.0), ("b", 1.0), ("c", 0.0)])
     );
-    assert_eq!(value("calls unless calls > 0", 1_200_000), of(&[("c", 0.0)]));
-    assert_eq!(value("calls > 100 and on (class) calls", 1_200_000), of(&[("b", 160.0)]));
-    assert_eq!(value("calls / on (class) calls > 0", 1_200_000), of(&[("a", 1.0), ("b", 1.0)]));
+    assert_eq!(value("calls unless calls > 0", 1_200_000), expected(&[("c", 0.0)]));
+    assert_eq!(value("calls > 100 and on (class) calls", 1_200_000), expected(&[("b", 160.0)]));
+    assert_eq!(value("calls / on (class) calls > 0", 1_200_000), expected(&[("a", 1.0), ("b", 1.0)]));
     assert_eq!(
         value("calls / ignoring (class) group_left sum(calls) > 0.5", 1_200_000),
-        of(&[("b", 160.0 / 240.0)])
+        expected(&[("b", 160.0 / 240.0)])
     );
-    assert_eq!(value("-1 + 3 * 2 ^ 2", 0), of(&[("", 11.0)]));
+    assert_eq!(value("-1 + 3 * 2 ^ 2", 0), expected(&[("", 11.0)]));
 }
 
 #[test]
 fn staleness_and_lookback_end_a_series() {
-    assert_eq!(value("held", 1_050_000), of(&[("", 7.0)]));
+    assert_eq!(value("held", 1_050_000), expected(&[("", 7.0)]));
     assert!(value("held", 1_150_000).is_empty(), "it was marked as ended");
-    assert_eq!(value("absent(held)", 1_150_000), of(&[("", 1.0)]));
+    assert_eq!(value("absent(held)", 1_150_000), expected(&[("", 1.0)]));
     assert!(value("calls", 1_200_000 + LOOKBACK).is_empty());
-    assert_eq!(value("absent_over_time(held[1m])", 1_300_000), of(&[("", 1.0)]));
+    assert_eq!(value("absent_over_time(held[1m])", 1_300_000), expected(&[("", 1.0)]));
 }
 
 #[test]
 fn unsupported_expressions_are_named() {
-    let told =
+    let error =
         |expr: &str| eval(&parse(expr).expect("PromQL"), &store(), 0).expect_err("outside").to_string();
-    assert!(told("deriv(calls[5m])").contains("deriv"));
-    assert!(told("topk(1, calls)").contains("topk"));
-    assert!(told("max_over_time(rate(calls[5m])[1h:])").contains("range other than"));
+    assert!(error("deriv(calls[5m])").contains("deriv"));
+    assert!(error("topk(1, calls)").contains("topk"));
+    assert!(error("max_over_time(rate(calls[5m])[1h:])").contains("range other than"));
 }
--- a/crates/alerts/src/eval/value.rs
+++ b/crates/alerts/src/eval/value.rs
@@ -1,23 +1,23 @@
-//! Values of expressions.
+//! Results of expressions, and the error for unsupported ones.
 
 use super::store::Labels;
 
-/// An expression outside the subset.
+/// An expression is outside the supported subset of PromQL; the field describes the unsupported part.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{0} is not in the subset of PromQL that is evaluated here")]
 pub struct UnsupportedExpression(pub String);
 
-/// A value.
+/// The result of an expression.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Value {
-    /// A number.
+    /// A single number without labels.
     Scalar(f64),
-    /// Series with one value each.
+    /// An instant vector: one value for each series.
     Vector(Vec<(Labels, f64)>),
 }
 
-/// Labels without the metric's name.
-pub(super) fn nameless(mut labels: Labels) -> Labels {
+/// Removes the metric name (`__name__`) from a label set, as Prometheus does for results of functions and arithmetic.
+pub(super) fn without_metric_name(mut labels: Labels) -> Labels {
     labels.remove("__name__");
     labels
 }
--- a/crates/alerts/src/lib.rs
+++ b/crates/alerts/src/lib.rs
@@ -1,10 +1,11 @@
-//! Alert rules: Prometheus rule files, checked against the registry and evaluated over given series.
+//! Parses Prometheus alert rules, checks them against a catalog of metrics and evaluates them over series in memory.
 //!
-//! May know: rules, series, times as values. Must not know: files, sockets, clocks, where series come from.
+//! The crate performs no I/O and reads no clock: the caller passes in file contents, series and evaluation times.
 //!
-//! * [`rules`]: the rule-file format. [`check`]: every metric and label that a rule names exists.
-//! * [`eval`]: the subset of PromQL that the shipped rules use; what is outside it is an error.
-//! * [`state`]: pending, firing, `for` and `keep_firing_for`. [`unit`]: rule unit tests as files.
+//! * [`rules`]: the rule-file format. [`check`]: reports metrics and labels in a rule that do not exist.
+//! * [`eval`]: the subset of PromQL that the shipped rules use; any other expression is an error.
+//! * [`state`]: the states of an alert (pending, firing) with `for` and `keep_firing_for`. [`unit`]: rule unit test
+//!   files in the format of `promtool test rules`.
 
 #![forbid(unsafe_code)]
 
--- a/crates/alerts/src/rules.rs
+++ b/crates/alerts/src/rules.rs
@@ -1,49 +1,49 @@
-//! The Prometheus rule-file format, as far as alerts use it. Unknown keys are errors: with a misspelt `for` an alert
-//! would fire at once.
+//! The part of the Prometheus rule-file format that alerting rules use. Unknown keys are errors, because an alert whose
+//! `for` is misspelt would fire without a delay.
 
 use std::collections::BTreeMap;
 
 use promql_parser::parser::{self, Expr};
 use serde::Deserialize;
 
-/// Milliseconds.
+/// A time or a duration in milliseconds. Times are counted from an origin that the caller chooses.
 pub type Millis = i64;
 
-/// Why a file can't be used.
+/// An error in a rule file.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RuleError {
-    /// It is no rule file.
+    /// The file does not have the format of a rule file.
     #[error("{file}: {what}")]
     Format {
-        /// The file.
+        /// Name of the rule file, as passed to [`read`].
         file: String,
-        /// What is wrong, with line and column.
+        /// Message of the YAML parser, with line and column.
         what: String,
     },
-    /// It is a file of rule unit tests.
+    /// The file contains rule unit tests instead of rules.
     #[error("{file}: this is a file of rule unit tests: run it with nettleferry alerts test {file}")]
     Tests {
-        /// The file.
+        /// Name of the rule file, as passed to [`read`].
         file: String,
     },
-    /// An expression is not PromQL.
+    /// The PromQL parser rejected the expression of an alert.
     #[error("{file}: alert {alert}: {what}")]
     Expression {
-        /// The file.
+        /// Name of the rule file, as passed to [`read`].
         file: String,
-        /// The alert.
+        /// Name of the alert.
         alert: String,
-        /// What is wrong.
+        /// Message of the PromQL parser.
         what: String,
     },
-    /// A duration is malformed.
+    /// A duration is malformed: `for` or `keep_firing_for` of an alert, or `interval` of a group.
     #[error("{file}: alert {alert}: {text:?} is no duration, such as 30s, 5m or 1h30m")]
     Duration {
-        /// The file.
+        /// Name of the rule file, as passed to [`read`].
         file: String,
-        /// The alert.
+        /// Name of the alert; for an `interval`, name of the group.
         alert: String,
-        /// Its text.
+        /// The malformed duration, as written.
         text: String,
     },
 }
@@ -78,28 +78,29 @@
     annotations: BTreeMap<String, String>,
 }
 
-/// An alert rule.
+/// An alerting rule.
 #[derive(Clone, Debug)]
 pub struct Rule {
-    /// Its group.
+    /// Name of the group that contains the rule.
     pub group: String,
-    /// Its name.
+    /// Name of the alert.
     pub alert: String,
-    /// Its expression.
+    /// PromQL expression; each series in its result is an active alert.
     pub expr: Expr,
-    /// How long its expression must be true before it fires.
+    /// Time for which the expression must be true before the alert fires (`for`).
     pub pending_for: Millis,
-    /// How long it fires after its expression was true last.
+    /// Time for which the alert keeps firing after the expression was last true.
     pub keep_firing_for: Millis,
-    /// Labels added.
+    /// Labels that are added to each alert of the rule.
     pub labels: BTreeMap<String, String>,
-    /// Annotations, as written.
+    /// Annotations as written in the file, without template expansion.
     pub annotations: BTreeMap<String, String>,
-    /// How often its group is evaluated, where the group says so.
+    /// Evaluation interval of the group; `None` if the group does not set one.
     pub interval: Option<Millis>,
 }
 
-/// Parses a Prometheus duration: `1h30m`, `90s`, `500ms`, `0`.
+/// Parses a Prometheus duration such as `1h30m`, `90s`, `500ms` or `0`. Returns `None` if it is malformed or does not
+/// fit into [`Millis`].
 pub fn duration(text: &str) -> Option<Millis> {
     if text == "0" {
         return Some(0);
@@ -119,22 +120,22 @@
     (!text.is_empty()).then_some(sum)
 }
 
-/// Parses a rule file. `file`: its name, for errors.
+/// Parses a rule file. `file` is its name, which errors quote.
 ///
 /// # Errors
-/// Where it is no rule file, or an expression or a duration is malformed.
+/// If the text is not a rule file, or if an expression or a duration in it is malformed.
 pub fn read(file: &str, text: &str) -> Result<Vec<Rule>, RuleError> {
     let format = |e: serde_yaml_ng::Error| RuleError::Format { file: file.to_owned(), what: e.to_string() };
-    // Before the strict parsing, whose error would be about a field that no rule file has.
-    let tests =
+    // A unit test file is detected first: the error of the strict parser would only name an unknown field.
+    let is_test_file =
         |value: &serde_yaml_ng::Value| value.get("rule_files").is_some() && value.get("groups").is_none();
-    if serde_yaml_ng::from_str::<serde_yaml_ng::Value>(text).is_ok_and(|value| tests(&value)) {
+    if serde_yaml_ng::from_str::<serde_yaml_ng::Value>(text).is_ok_and(|value| is_test_file(&value)) {
         return Err(RuleError::Tests { file: file.to_owned() });
     }
     let file_content: File = serde_yaml_ng::from_str(text).map_err(format)?;
     let mut rules = Vec::new();
     for group in file_content.groups {
-        let span = |alert: &str, text: Option<&String>| match text {
+        let parse_duration = |alert: &str, text: Option<&String>| match text {
             None => Ok(None),
             Some(text) => duration(text).map(Some).ok_or_else(|| RuleError::Duration {
                 file: file.to_owned(),
@@ -142,7 +143,7 @@
                 text: text.clone(),
             }),
         };
-        let interval = span(&group.name, group.interval.as_ref())?;
+        let interval = parse_duration(&group.name, group.interval.as_ref())?;
         for entry in group.rules {
             let expr = parser::parse(&entry.expr).map_err(|what| RuleError::Expression {
                 file: file.to_owned(),
@@ -150,8 +151,8 @@
                 what,
             })?;
             rules.push(Rule {
-                pending_for: span(&entry.alert, entry.pending_for.as_ref())?.unwrap_or(0),
-                keep_firing_for: span(&entry.alert, entry.keep_firing_for.as_ref())?.unwrap_or(0),
+                pending_for: parse_duration(&entry.alert, entry.pending_for.as_ref())?.unwrap_or(0),
+                keep_firing_for: parse_duration(&entry.alert, entry.keep_firing_for.as_ref())?.unwrap_or(0),
                 group: group.name.clone(),
                 alert: entry.alert,
                 expr,
--- a/crates/alerts/src/rules/tests.rs
+++ b/crates/alerts/src/rules/tests.rs
@@ -14,9 +14,9 @@
 #[test]
 fn errors_name_their_place() {
     let rule = |body: &str| read("a.yml", &format!("groups:\n- name: g\n  rules:\n  - {body}"));
-    let told = |body: &str| rule(body).expect_err("wrong").to_string();
-    assert!(told("{alert: A, expr: up, fro: 5m}").contains("fro"));
-    assert!(told("{alert: A, expr: 'sum by (', for: 5m}").contains("alert A"));
-    assert!(told("{alert: A, expr: up, for: 5 minutes}").contains("no duration"));
+    let error = |body: &str| rule(body).expect_err("wrong").to_string();
+    assert!(error("{alert: A, expr: up, fro: 5m}").contains("fro"));
+    assert!(error("{alert: A, expr: 'sum by (', for: 5m}").contains("alert A"));
+    assert!(error("{alert: A, expr: up, for: 5 minutes}").contains("no duration"));
     assert_eq!(rule("{alert: A, expr: up, for: 5m}").expect("sound")[0].pending_for, 300_000);
 }
--- a/crates/alerts/src/state.rs
+++ b/crates/alerts/src/state.rs
@@ -1,4 +1,5 @@
-//! Alerts over time: pending for `for`, then firing, until `keep_firing_for` after the expression was true last.
+//! The states of the alerts of a rule. An alert is pending until its expression has been true for `for`, then fires, and
+//! keeps firing until `keep_firing_for` after the expression was last true.
 
 use std::collections::BTreeMap;
 
@@ -12,7 +13,7 @@
     last_true: Millis,
 }
 
-/// The alerts of one rule.
+/// The pending and firing alerts of one rule.
 #[derive(Clone, Debug)]
 pub struct Alerts {
     rule: Rule,
@@ -20,26 +21,27 @@
 }
 
 impl Alerts {
-    /// A rule of which no alert is active.
+    /// Creates the state of a rule without active alerts.
     pub fn new(rule: Rule) -> Self {
         Self { rule, active: BTreeMap::new() }
     }
 
-    /// The rule.
+    /// Returns the rule that is evaluated.
     pub fn rule(&self) -> &Rule {
         &self.rule
     }
 
-    /// Evaluates the rule at a time, later than the last one.
+    /// Evaluates the rule at the time `at`, which must be later than that of the previous evaluation.
     ///
     /// # Errors
-    /// Where the expression is not supported.
+    /// If the expression is outside the supported subset of PromQL, or its result is a scalar. The alerts then stay as
+    /// they were.
     pub fn evaluate(&mut self, store: &Store, at: Millis) -> Result<(), UnsupportedExpression> {
-        let found = match eval(&self.rule.expr, store, at)? {
-            Value::Vector(all) => all,
+        let result = match eval(&self.rule.expr, store, at)? {
+            Value::Vector(series) => series,
             Value::Scalar(_) => return Err(UnsupportedExpression("a rule that is a number".to_owned())),
         };
-        for (mut labels, _) in found {
+        for (mut labels, _) in result {
             labels.remove("__name__");
             labels.extend(self.rule.labels.clone());
             labels.insert("alertname".to_owned(), self.rule.alert.clone());
@@ -55,7 +57,7 @@
         Ok(())
     }
 
-    /// Labels of the alerts that are firing.
+    /// Returns the labels of each firing alert, with `alertname` and the labels of the rule.
     pub fn firing(&self) -> Vec<&Labels> {
         self.active.iter().filter(|(_, a)| a.fired).map(|(l, _)| l).collect()
     }
--- a/crates/alerts/src/unit.rs
+++ b/crates/alerts/src/unit.rs
@@ -1,18 +1,19 @@
-//! Rule unit tests as files, as `promtool test rules` has them: series in its notation, and which alerts fire when.
+//! Rule unit test files in the format of `promtool test rules`: input series in its notation, and the alerts that must
+//! fire at given times.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use promql_parser::parser::{Expr, parse};
 use serde::Deserialize;
 
-use crate::eval::{Labels, Store, stale};
+use crate::eval::{Labels, Store, staleness_marker};
 use crate::rules::{Millis, Rule, duration};
 use crate::state::Alerts;
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct File {
-    /// Rule files, beside this one.
+    /// Paths of the rule files, relative to the directory of this file.
     rule_files: Vec<String>,
     #[serde(default)]
     evaluation_interval: Option<String>,
@@ -52,43 +53,44 @@
     exp_labels: BTreeMap<String, String>,
 }
 
-/// A parsed test file.
+/// A parsed unit test file.
 pub struct UnitTests {
-    /// The rule files that it names.
+    /// Paths of the rule files under test, relative to the directory of the test file.
     pub rule_files: Vec<String>,
     interval: Millis,
     tests: Vec<Test>,
 }
 
-/// Most samples of one series of a test.
+/// Maximum number of samples of one input series.
 const MAX_SAMPLES: usize = 100_000;
 
-/// Why a test file can't be used.
+/// An error in a unit test file.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{file}: {message}")]
 pub struct UnitTestError {
-    /// The file.
+    /// Name of the test file, as passed to [`read`].
     pub file: String,
-    /// What is wrong.
+    /// Description of the error.
     pub message: String,
 }
 
-/// Parses a test file. `file`: its name, for errors.
+/// Parses a unit test file. `file` is its name, which errors quote.
 ///
 /// # Errors
-/// Where it is no test file.
+/// If the text does not have the format of a test file, or its `evaluation_interval` is not a positive duration.
 pub fn read(file: &str, text: &str) -> Result<UnitTests, UnitTestError> {
     let error = |message: String| UnitTestError { file: file.to_owned(), message };
     let content: File = serde_yaml_ng::from_str(text).map_err(|e| error(e.to_string()))?;
     let interval = content.evaluation_interval.as_deref().unwrap_or("1m");
     let interval = duration(interval)
         .filter(|ms| *ms > 0)
-        .ok_or_else(|| error(format!("evaluation_interval {interval:?}")))?;
+        .ok_or_else(|| error(format!("evaluation_interval is not a positive duration: {interval:?}")))?;
     Ok(UnitTests { rule_files: content.rule_files, interval, tests: content.tests })
 }
 
 impl UnitTests {
-    /// Runs the tests with these rules. Returns the expectations that were not met.
+    /// Runs all tests against the given rules. Returns a message for each expectation that was not met and for each test
+    /// that could not run.
     pub fn run(&self, rules: &[Rule]) -> Vec<String> {
         let mut unmet = Vec::new();
         for (n, test) in self.tests.iter().enumerate() {
@@ -107,12 +109,13 @@
         name: &str,
         unmet: &mut Vec<String>,
     ) -> Result<(), String> {
-        let interval =
-            duration(&test.interval).filter(|ms| *ms > 0).ok_or(format!("interval {:?}", test.interval))?;
+        let interval = duration(&test.interval)
+            .filter(|ms| *ms > 0)
+            .ok_or(format!("interval is not a positive duration: {:?}", test.interval))?;
         let mut store = Store::default();
         for input in &test.input_series {
-            let labels = series(&input.series)?;
-            for (at, value) in values(&input.values)?.into_iter().enumerate() {
+            let labels = parse_series(&input.series)?;
+            for (at, value) in parse_values(&input.values)?.into_iter().enumerate() {
                 if let Some(value) = value {
                     store.add(&labels, at as Millis * interval, value);
                 }
@@ -120,29 +123,32 @@
         }
         let mut expected: BTreeMap<Millis, Vec<&Expected>> = BTreeMap::new();
         for e in &test.alert_rule_test {
-            let at = duration(&e.eval_time).ok_or(format!("eval_time {:?}", e.eval_time))?;
+            let at =
+                duration(&e.eval_time).ok_or(format!("eval_time is not a duration: {:?}", e.eval_time))?;
             if !rules.iter().any(|r| r.alert == e.alertname) {
                 return Err(format!("there is no alert {}", e.alertname));
             }
             expected.entry(at).or_default().push(e);
         }
-        let Some(last) = expected.keys().last().copied() else { return Err("it expects nothing".to_owned()) };
+        let Some(last) = expected.keys().last().copied() else {
+            return Err("alert_rule_test has no entries".to_owned());
+        };
         let mut alerts: Vec<Alerts> = rules.iter().cloned().map(Alerts::new).collect();
         let mut at = 0;
         while at <= last {
             for a in &mut alerts {
                 a.evaluate(&store, at).map_err(|e| format!("alert {}: {e}", a.rule().alert))?;
             }
-            // Expectations between two evaluations see the earlier one.
+            // An expectation between two evaluations is checked against the earlier evaluation.
             for (when, all) in expected.range(at..at + self.interval) {
                 for e in all {
-                    let want: BTreeSet<Labels> =
+                    let expected_alerts: BTreeSet<Labels> =
                         e.exp_alerts.iter().map(|a| expected_labels(&a.exp_labels, &e.alertname)).collect();
-                    let ours = alerts.iter().filter(|a| a.rule().alert == e.alertname);
-                    let got: BTreeSet<Labels> = ours.flat_map(|a| a.firing()).cloned().collect();
-                    if want != got {
+                    let named = alerts.iter().filter(|a| a.rule().alert == e.alertname);
+                    let got: BTreeSet<Labels> = named.flat_map(|a| a.firing()).cloned().collect();
+                    if expected_alerts != got {
                         unmet.push(format!(
-                            "{name}: {} at {} s: expected {want:?}, got {got:?}",
+                            "{name}: {} at {} s: expected {expected_alerts:?}, got {got:?}",
                             e.alertname,
                             when / 1000
                         ));
@@ -155,16 +161,16 @@
     }
 }
 
-/// The labels of an expected alert.
+/// Returns the labels of an expected alert, including `alertname`.
 fn expected_labels(labels: &BTreeMap<String, String>, alert: &str) -> Labels {
     let mut all = labels.clone();
     all.insert("alertname".to_owned(), alert.to_owned());
     all
 }
 
-/// A series in PromQL's notation.
-fn series(text: &str) -> Result<Labels, String> {
-    let Ok(Expr::VectorSelector(vs)) = parse(text) else { return Err(format!("{text:?} is no series")) };
+/// Parses the labels of a series in PromQL notation, such as `up{job="x"}`.
+fn parse_series(text: &str) -> Result<Labels, String> {
+    let Ok(Expr::VectorSelector(vs)) = parse(text) else { return Err(format!("{text:?} is not a series")) };
     let mut labels: Labels = vs.matchers.matchers.iter().map(|m| (m.name.clone(), m.value.clone())).collect();
     if let Some(name) = vs.name {
         labels.insert("__name__".to_owned(), name);
@@ -172,13 +178,15 @@
     Ok(labels)
 }
 
-/// Values in promtool's notation: `1`, `_`, `stale`, `0+10x5` (six values), `7x3`, `_x4`.
-fn values(text: &str) -> Result<Vec<Option<f64>>, String> {
+/// Parses values in the notation of promtool: `1`, `_` (no sample), `stale` (staleness marker), `0+10x5` (start, step and
+/// number of steps: six values), `7x3` (four values), `_x4` (no sample four times).
+fn parse_values(text: &str) -> Result<Vec<Option<f64>>, String> {
     let mut all = Vec::new();
     for word in text.split_whitespace() {
-        let bad = || format!("{word:?} is no value: write 1, _, stale, 0+10x5 or _x4");
+        let malformed =
+            || format!("{word:?} is not a value: expected a form such as 1, _, stale, 0+10x5 or _x4");
         let (head, times) = match word.rsplit_once('x') {
-            Some((head, times)) => (head, Some(times.parse::<usize>().map_err(|_| bad())?)),
+            Some((head, times)) => (head, Some(times.parse::<usize>().map_err(|_| malformed())?)),
             None => (word, None),
         };
         let count = times.unwrap_or(0);
@@ -188,13 +196,14 @@
         if head == "_" {
             all.extend(std::iter::repeat_n(None, times.unwrap_or(1)));
         } else if head == "stale" && times.is_none() {
-            all.push(Some(stale()));
+            all.push(Some(staleness_marker()));
         } else {
-            // A sign after the first character parts the start from the step.
-            let cut = head.char_indices().skip(1).find(|(_, c)| matches!(c, '+' | '-')).map(|(at, _)| at);
-            let (start, step) = head.split_at(cut.unwrap_or(head.len()));
-            let start: f64 = start.parse().map_err(|_| bad())?;
-            let step: f64 = if step.is_empty() { 0.0 } else { step.parse().map_err(|_| bad())? };
+            // A sign after the first character separates the start value from the step.
+            let separator =
+                head.char_indices().skip(1).find(|(_, c)| matches!(c, '+' | '-')).map(|(at, _)| at);
+            let (start, step) = head.split_at(separator.unwrap_or(head.len()));
+            let start: f64 = start.parse().map_err(|_| malformed())?;
+            let step: f64 = if step.is_empty() { 0.0 } else { step.parse().map_err(|_| malformed())? };
             all.extend((0..=count).map(|n| Some(start + step * n as f64)));
         }
     }
--- a/crates/alerts/src/unit/tests.rs
+++ b/crates/alerts/src/unit/tests.rs
@@ -6,10 +6,10 @@
 #[test]
 fn values_follow_the_notation_of_promtool() {
     let some = |all: &[f64]| all.iter().map(|x| Some(*x)).collect::<Vec<_>>();
-    assert_eq!(values("0+10x2 5").expect("sound"), some(&[0.0, 10.0, 20.0, 5.0]));
-    assert_eq!(values("-2-3x1").expect("sound"), some(&[-2.0, -5.0]));
-    assert_eq!(values("1 _x2 3").expect("sound"), [Some(1.0), None, None, Some(3.0)]);
-    assert!(values("1 two").is_err() && values("1x999999999").is_err());
+    assert_eq!(parse_values("0+10x2 5").expect("sound"), some(&[0.0, 10.0, 20.0, 5.0]));
+    assert_eq!(parse_values("-2-3x1").expect("sound"), some(&[-2.0, -5.0]));
+    assert_eq!(parse_values("1 _x2 3").expect("sound"), [Some(1.0), None, None, Some(3.0)]);
+    assert!(parse_values("1 two").is_err() && parse_values("1x999999999").is_err());
 }
 
 #[test]
