--- a/crates/alerts/src/check/tests.rs
+++ b/crates/alerts/src/check/tests.rs
@@ -8,7 +8,7 @@
     let label = |n: &str, v: &str| (n.to_owned(), v.to_owned());
     catalog.add(&[label("__name__", "calls_total"), label("class", "quick"), label("end", "refused")]);
     let text = format!("groups: [{{name: g, rules: [{{alert: A, expr: '{expr}'}}]}}]");
-    check(&rules::read("a", &text).expect("sound")[0], &catalog)
+    check(&rules::read("a", &text).expect("valid")[0], &catalog)
 }
 
 #[test]
--- a/crates/alerts/src/eval/binary.rs
+++ b/crates/alerts/src/eval/binary.rs
@@ -76,7 +76,8 @@
     operator: String,
     /// Has the modifier `bool`: a comparison returns 0 or 1 instead of filtering.
     as_bool: bool,
-    /// Is a comparison without `bool`: it filters series and keeps all their labels. Other results lose the metric name.
+    /// Is a comparison without `bool`: it filters series and keeps all their labels. Other results lose the metric
+    /// name.
     filters: bool,
 }
 
--- a/crates/alerts/src/eval/mod.rs
+++ b/crates/alerts/src/eval/mod.rs
@@ -1,6 +1,6 @@
 //! Evaluates the subset of PromQL that the shipped rules use. Semantics follow the Prometheus documentation: a lookback
-//! of five minutes, staleness markers, and extrapolation in `rate` and `increase`. An expression outside the subset is an
-//! error that names the unsupported construct.
+//! of five minutes, staleness markers, and extrapolation in `rate` and `increase`. An expression outside the subset is
+//! an error that names the unsupported construct.
 //!
 //! * [`store`]: series and samples. [`value`]: results. [`selector`]: the samples that a selector matches.
 //! * [`functions`], [`aggregation`], [`binary`]: functions and operators, which evaluate their operands by [`eval`].
--- a/crates/alerts/src/eval/store.rs
+++ b/crates/alerts/src/eval/store.rs
@@ -38,8 +38,8 @@
 }
 
 impl Store {
-    /// Appends a sample to a series, which is created if it is new. The sample must be later than all earlier samples of
-    /// the series.
+    /// Appends a sample to a series, which is created if it is new. The sample must be later than all earlier samples
+    /// of the series.
     pub fn add(&mut self, labels: &Labels, at: Millis, value: f64) {
         match self.series.get_mut(labels) {
             Some(samples) => samples.push(Sample { at, value }),
--- a/crates/alerts/src/eval/tests.rs
+++ b/crates/alerts/src/eval/tests.rs
@@ -19,7 +19,7 @@
 }
 
 fn value(expr: &str, at: Millis) -> Vec<(String, f64)> {
-    match eval(&parse(expr).expect("PromQL"), &store(), at).expect("in the subset") {
+    match eval(&parse(expr).expect("valid PromQL"), &store(), at).expect("supported") {
         Value::Scalar(x) => vec![(String::new(), x)],
         Value::Vector(all) => {
             all.into_iter().map(|(l, x)| (l.get("class").cloned().unwrap_or_default(), x)).collect()
@@ -32,11 +32,11 @@
 }
 
 #[test]
-fn rates_are_extrapolated_and_zero_is_zero() {
+fn rates_are_extrapolated_and_zero_for_a_constant_counter() {
     let rates = value("rate(calls[5m])", 1_200_000);
     let near = |x: f64, y: f64| (x - y).abs() < 1e-9;
     assert!(near(rates[0].1, 1.0 / 15.0) && near(rates[1].1, 2.0 / 15.0) && rates[2].1 == 0.0, "{rates:?}");
-    assert!(value("rate(calls[20s])", 10_000).is_empty(), "one sample is no rate");
+    assert!(value("rate(calls[20s])", 10_000).is_empty(), "a rate needs two samples");
 }
 
 #[test]
@@ -46,7 +46,7 @@
     for (n, v) in [10.0, 20.0, 0.0, 10.0].into_iter().enumerate() {
         store.add(&labels, n as i64 * 60_000, v);
     }
-    let got = eval(&parse("increase(x[3m])").expect("PromQL"), &store, 180_000).expect("in the subset");
+    let got = eval(&parse("increase(x[3m])").expect("valid PromQL"), &store, 180_000).expect("supported");
     let Value::Vector(all) = got else { panic!("a vector") };
     assert!(all[0].1 > 10.0 && all[0].1 < 35.0, "{all:?}");
 }
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn operators_and_sets() {
+fn arithmetic_comparison_and_set_operators() {
     assert_eq!(value("calls > 50", 1_200_000), expected(&[("a", 80.0), ("b", 160.0)]));
     assert_eq!(
         value("sum by (class) (calls) * 2 > bool 200", 1_200_000),
@@ -76,7 +76,7 @@
 #[test]
 fn staleness_and_lookback_end_a_series() {
     assert_eq!(value("held", 1_050_000), expected(&[("", 7.0)]));
-    assert!(value("held", 1_150_000).is_empty(), "it was marked as ended");
+    assert!(value("held", 1_150_000).is_empty(), "a staleness marker ends the series");
     assert_eq!(value("absent(held)", 1_150_000), expected(&[("", 1.0)]));
     assert!(value("calls", 1_200_000 + LOOKBACK).is_empty());
     assert_eq!(value("absent_over_time(held[1m])", 1_300_000), expected(&[("", 1.0)]));
@@ -84,8 +84,9 @@
 
 #[test]
 fn unsupported_expressions_are_named() {
-    let error =
-        |expr: &str| eval(&parse(expr).expect("PromQL"), &store(), 0).expect_err("outside").to_string();
+    let error = |expr: &str| {
+        eval(&parse(expr).expect("valid PromQL"), &store(), 0).expect_err("unsupported").to_string()
+    };
     assert!(error("deriv(calls[5m])").contains("deriv"));
     assert!(error("topk(1, calls)").contains("topk"));
     assert!(error("max_over_time(rate(calls[5m])[1h:])").contains("range other than"));
--- a/crates/alerts/src/rules/tests.rs
+++ b/crates/alerts/src/rules/tests.rs
@@ -12,11 +12,11 @@
 }
 
 #[test]
-fn errors_name_their_place() {
+fn errors_name_the_unknown_key_or_the_alert() {
     let rule = |body: &str| read("a.yml", &format!("groups:\n- name: g\n  rules:\n  - {body}"));
-    let error = |body: &str| rule(body).expect_err("wrong").to_string();
+    let error = |body: &str| rule(body).expect_err("invalid").to_string();
     assert!(error("{alert: A, expr: up, fro: 5m}").contains("fro"));
     assert!(error("{alert: A, expr: 'sum by (', for: 5m}").contains("alert A"));
     assert!(error("{alert: A, expr: up, for: 5 minutes}").contains("no duration"));
-    assert_eq!(rule("{alert: A, expr: up, for: 5m}").expect("sound")[0].pending_for, 300_000);
+    assert_eq!(rule("{alert: A, expr: up, for: 5m}").expect("valid")[0].pending_for, 300_000);
 }
--- a/crates/alerts/src/state.rs
+++ b/crates/alerts/src/state.rs
@@ -1,5 +1,5 @@
-//! The states of the alerts of a rule. An alert is pending until its expression has been true for `for`, then fires, and
-//! keeps firing until `keep_firing_for` after the expression was last true.
+//! The states of the alerts of a rule. An alert is pending until its expression has been true for `for`, then fires,
+//! and keeps firing until `keep_firing_for` after the expression was last true.
 
 use std::collections::BTreeMap;
 
--- a/crates/alerts/src/unit.rs
+++ b/crates/alerts/src/unit.rs
@@ -89,8 +89,8 @@
 }
 
 impl UnitTests {
-    /// Runs all tests against the given rules. Returns a message for each expectation that was not met and for each test
-    /// that could not run.
+    /// Runs all tests against the given rules. Returns a message for each expectation that was not met and for each
+    /// test that could not run.
     pub fn run(&self, rules: &[Rule]) -> Vec<String> {
         let mut unmet = Vec::new();
         for (n, test) in self.tests.iter().enumerate() {
@@ -178,8 +178,8 @@
     Ok(labels)
 }
 
-/// Parses values in the notation of promtool: `1`, `_` (no sample), `stale` (staleness marker), `0+10x5` (start, step and
-/// number of steps: six values), `7x3` (four values), `_x4` (no sample four times).
+/// Parses values in the notation of promtool: `1`, `_` (no sample), `stale` (staleness marker), `0+10x5` (start, step
+/// and number of steps: six values), `7x3` (four values), `_x4` (no sample four times).
 fn parse_values(text: &str) -> Result<Vec<Option<f64>>, String> {
     let mut all = Vec::new();
     for word in text.split_whitespace() {
--- a/crates/test-servers/src/lib.rs
+++ b/crates/test-servers/src/lib.rs
@@ -1,14 +1,14 @@
-//! Test servers: workers that behave as real ones do, on real sockets, from the public protocol alone, and a remote-write
-//! receiver.
+//! Servers for tests, demos and scenarios: test workers, which serve the public protocol on real sockets, and a
+//! Prometheus remote-write receiver.
 //!
-//! They know the wire and the worker model. They know nothing of the gateway's insides.
+//! The servers rely on the public protocol and the worker model only, not on the internals of the gateway.
 //!
-//! * [`worker`]: the worker model without I/O and clock: cores, lanes, queue, replicas and memory, loads, warm-up,
+//! * [`worker`]: a model of a worker without I/O or clock: cores, lanes, queue, replicas and memory, loads, warm-up and
 //!   overload. [`store`]: the model store that all workers share.
-//! * [`models`]: what `echo` and `climb` answer. [`spec`]: a worker's description as text.
-//! * [`server`]: the wire around the worker model, in a thread of its own, with faults and a record of what it sees.
-//! * [`receiver`]: a remote-write receiver that is unavailable, slow, strict or forgetful on demand. [`watch`]: alert rules
-//!   on its clock.
+//! * [`models`]: the models `echo` and `climb`. [`spec`]: the description of a worker, and its text format.
+//! * [`server`]: a gRPC server for the worker model, in its own thread. It injects faults and records observations.
+//! * [`receiver`]: a remote-write receiver that can reject requests, delay or break off its responses. [`watch`]:
+//!   evaluates alert rules over the received samples.
 
 #![forbid(unsafe_code)]
 
--- a/crates/test-servers/src/models.rs
+++ b/crates/test-servers/src/models.rs
@@ -1,5 +1,5 @@
-//! What the models of a test worker answer. `echo` and `echo-*` give the tensors back; `climb` and `climb-*` give
-//! the rises and falls of a height profile, segment by segment.
+//! The models of a test worker. `echo` and `echo-*` return their input tensors. `climb` and `climb-*` return the total
+//! ascent and descent of a height profile for each of its segments.
 
 use bytes::Bytes;
 use nettleferry_proto::inference::model_infer_response::InferOutputTensor;
@@ -7,52 +7,55 @@
     FINAL, InferParameter, InferTensorContents, ModelInferRequest, ModelInferResponse,
 };
 
-/// A request that the model can't work on: the caller's mistake.
+/// An invalid request. The text is returned to the client.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum BadInput {
-    /// No such model here.
+    /// No model has this name.
     #[error("there is no model {0}: the names are echo, echo-*, climb and climb-*")]
     NoModel(String),
-    /// `climb` lacks its input.
+    /// The request to `climb` has no valid input `HEIGHT`.
     #[error("climb wants the input HEIGHT, FP32, one dimension, at least two values")]
     NoHeight,
-    /// The shape and the content differ.
+    /// The number of values differs from the shape of the tensor.
     #[error("HEIGHT has {got} values, but its shape says {stated}")]
     Length {
-        /// Values given.
+        /// Number of values in the request.
         got: usize,
-        /// Values that the shape states.
+        /// Number of values according to the shape.
         stated: i64,
     },
-    /// `segments` is out of range.
+    /// The parameter `segments` is out of range.
     #[error("segments is a whole number from 1 to the number of steps, {most}; given: {got}")]
     Segments {
-        /// Given.
+        /// The value in the request; 0 if the parameter is not an integer.
         got: i64,
-        /// Steps.
+        /// The maximum: the number of steps between neighbouring heights.
         most: usize,
     },
 }
 
-/// An answer in parts; a call that is not streamed gets them as one.
+/// The result of a call. A streamed call gets it in parts, any other call in one response.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Answer {
-    /// The tensors as they came.
+    /// The input tensors, unchanged.
     Echo(Box<ModelInferResponse>),
-    /// Rise and fall of each segment.
+    /// Total ascent and descent of each segment.
     Climb {
-        /// The model's name.
+        /// Name of the model.
         model: String,
-        /// The call's id.
+        /// Id of the request.
         id: String,
-        /// Rise and fall.
+        /// Ascent and descent of each segment.
         segments: Vec<(f32, f32)>,
-        /// As raw bytes, as the request's tensors came; else typed.
+        /// Whether tensors are encoded as raw bytes, as in the request, instead of typed contents.
         raw: bool,
     },
 }
 
-/// Works an answer out.
+/// Computes the result of a request.
+///
+/// # Errors
+/// If the model does not exist, or its input is invalid.
 pub fn answer(request: &ModelInferRequest) -> Result<Answer, BadInput> {
     let name = request.model_name.as_str();
     if name == "echo" || name.starts_with("echo-") {
@@ -64,7 +67,7 @@
     }
 }
 
-/// Is there a model of this name?
+/// Whether a model of this name exists.
 pub fn exists(name: &str) -> bool {
     ["echo", "climb"]
         .iter()
@@ -90,11 +93,11 @@
 }
 
 fn climb(request: &ModelInferRequest) -> Result<Answer, BadInput> {
-    let at =
+    let index =
         request.inputs.iter().position(|i| i.name == "HEIGHT" && i.datatype == "FP32" && i.shape.len() == 1);
-    let at = at.ok_or(BadInput::NoHeight)?;
-    let input = &request.inputs[at];
-    let heights: Vec<f32> = match request.raw_input_contents.get(at) {
+    let index = index.ok_or(BadInput::NoHeight)?;
+    let input = &request.inputs[index];
+    let heights: Vec<f32> = match request.raw_input_contents.get(index) {
         Some(raw) => raw.chunks_exact(4).map(|b| f32::from_le_bytes([b[0], b[1], b[2], b[3]])).collect(),
         None => input.contents.as_ref().map(|c| c.fp32_contents.clone()).unwrap_or_default(),
     };
@@ -102,13 +105,13 @@
         return Err(BadInput::Length { got: heights.len(), stated: input.shape[0] });
     }
     let steps = heights.len().checked_sub(1).filter(|n| *n > 0).ok_or(BadInput::NoHeight)?;
-    let wanted = request.parameters.get("segments").map_or(Some(1), InferParameter::int64).unwrap_or(0);
-    let segments = usize::try_from(wanted).ok().filter(|n| (1..=steps).contains(n));
-    let segments = segments.ok_or(BadInput::Segments { got: wanted, most: steps })?;
-    let (each, longer) = (steps / segments, steps % segments);
+    let requested = request.parameters.get("segments").map_or(Some(1), InferParameter::int64).unwrap_or(0);
+    let segments = usize::try_from(requested).ok().filter(|n| (1..=steps).contains(n));
+    let segments = segments.ok_or(BadInput::Segments { got: requested, most: steps })?;
+    let (min_length, longer_segments) = (steps / segments, steps % segments);
     let mut from = 0;
     let sums = (0..segments).map(|n| {
-        let length = each + usize::from(n < longer);
+        let length = min_length + usize::from(n < longer_segments);
         let part = &heights[from..=from + length];
         from += length;
         part.windows(2).fold((0.0f32, 0.0f32), |(up, down), pair| {
@@ -125,7 +128,7 @@
 }
 
 impl Answer {
-    /// In how many parts it is streamed.
+    /// The number of responses in which the result is streamed.
     pub fn parts(&self) -> usize {
         match self {
             Self::Echo(_) => 1,
@@ -133,29 +136,29 @@
         }
     }
 
-    /// One part; the last has the final mark.
+    /// Returns part `n`, counted from 0, for a stream. The last part has [`FINAL`] set to true.
     pub fn part(&self, n: usize) -> ModelInferResponse {
         let mut response = match self {
             Self::Echo(response) => (**response).clone(),
             Self::Climb { model, id, segments, raw } => {
                 let pair = segments.get(n..=n).unwrap_or_default();
-                climbed(model, id, pair, *raw)
+                climb_response(model, id, pair, *raw)
             }
         };
         response.parameters.insert(FINAL.to_owned(), (n + 1 == self.parts()).into());
         response
     }
 
-    /// All parts as one.
+    /// Returns the whole result as one response, for a call that is not streamed.
     pub fn complete(&self) -> ModelInferResponse {
         match self {
             Self::Echo(response) => (**response).clone(),
-            Self::Climb { model, id, segments, raw } => climbed(model, id, segments, *raw),
+            Self::Climb { model, id, segments, raw } => climb_response(model, id, segments, *raw),
         }
     }
 }
 
-fn climbed(model: &str, id: &str, segments: &[(f32, f32)], raw: bool) -> ModelInferResponse {
+fn climb_response(model: &str, id: &str, segments: &[(f32, f32)], raw: bool) -> ModelInferResponse {
     let mut response =
         ModelInferResponse { model_name: model.to_owned(), id: id.to_owned(), ..Default::default() };
     let rises = segments.iter().map(|s| s.0).collect();
@@ -179,7 +182,7 @@
     response
 }
 
-/// A `climb` request, for clients and tests.
+/// Builds a `climb` request with raw tensor contents, for clients and tests.
 pub fn climb_request(model: &str, id: &str, heights: &[f32], segments: i64) -> ModelInferRequest {
     use nettleferry_proto::inference::model_infer_request::InferInputTensor;
     ModelInferRequest {
--- a/crates/test-servers/src/receiver.rs
+++ b/crates/test-servers/src/receiver.rs
@@ -1,5 +1,5 @@
-//! A Prometheus remote-write receiver for tests, versions 1.0 and 2.0: it stores what it receives, checks it, and is
-//! unavailable, strict or forgetful on demand.
+//! A Prometheus remote-write receiver for tests, for versions 1.0 and 2.0 of the protocol. It stores the samples that
+//! it receives, checks them for errors of the sender, and can reject requests, delay or break off its responses.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -15,64 +15,66 @@
 
 use crate::watch::Watch;
 
-/// How it behaves.
+/// How the receiver responds to requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Mode {
-    /// It takes what comes.
+    /// Accepts every valid request.
     Accept,
-    /// It takes version 1.0 alone.
+    /// Accepts version 1.0; responds 415 to version 2.0.
     Version1Only,
-    /// It answers with this status and receives nothing; with Retry-After, seconds, where given.
+    /// Responds with this status and stores nothing. The second value, if present, is sent as Retry-After in seconds.
     Answer(u16, Option<u32>),
-    /// It takes what comes and answers 500: the acknowledgement is lost.
+    /// Stores the samples but responds 500, as when the acknowledgement is lost.
     LoseAcknowledgement,
-    /// It takes what comes, and its answer breaks off in its first line.
+    /// Stores the samples but breaks off the response within the status line.
     CutAnswer,
-    /// It closes a connection after so many bytes of a request.
+    /// Closes the connection after this many bytes of a request.
     CutRequest(usize),
-    /// It takes what comes, so much later.
+    /// Accepts every valid request after this delay.
     Slow(Duration),
-    /// It answers 400 and takes nothing where a series has this value of any label.
+    /// Responds 400 and stores nothing if a label of any series in the request has this value.
     RejectLabelValue(String),
-    /// It reads version 1.0 whatever it is sent, and does not look at the content type.
+    /// Decodes every request as version 1.0, even if its content type says version 2.0.
     AssumeVersion1,
 }
 
-/// A sample as it was received.
+/// A received sample.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ReceivedSample {
-    /// Its time.
+    /// Time of the sample, Unix time in milliseconds.
     pub at_ms: i64,
-    /// Its value.
+    /// Value of the sample.
     pub value: f64,
-    /// Its series' created timestamp as sent with it.
+    /// Created timestamp that was sent with the series, Unix time in milliseconds.
     pub created_ms: Option<i64>,
 }
 
-/// Labels of a series, in order.
+/// Names and values of the labels of a series, in the order in which they were sent.
 pub type SeriesLabels = Vec<(String, String)>;
 
-/// What it has received and found.
+/// The data that the receiver has stored, and the errors that it has found.
 #[derive(Clone, Debug, Default)]
 pub struct ReceivedData {
-    /// Samples by series, in the order in which they came, repeats left out.
+    /// Samples by series, in order of arrival, without repeated ones.
     pub series: BTreeMap<SeriesLabels, Vec<ReceivedSample>>,
-    /// Native histograms by series, likewise.
+    /// Native histograms by series, with their times, in order of arrival, without repeated ones.
     pub natives: BTreeMap<SeriesLabels, Vec<(i64, NativeHistogram)>>,
-    /// Requests by version: 2.0, 1.0.
+    /// Number of accepted requests by protocol version: 2.0, then 1.0.
     pub requests: [u64; 2],
-    /// Requests that it rejected.
+    /// Number of requests that were rejected because of the [`Mode`].
     pub rejected: u64,
-    /// Samples that came again with the same value.
+    /// Number of samples and histograms that were received again with the same time and value.
     pub repeated: u64,
-    /// What no sender should do: another value for a time, a time before the last, labels out of order; and what
-    /// it can't have: times to come, counters that fall within a life, samples of a life after its end.
+    /// Errors of the sender: a second value for the same time, a time before that of the last sample, labels out of
+    /// order, a time in the future or before the created timestamp, a counter that decreases without a new created
+    /// timestamp, and a sample after the staleness marker of its series.
     pub faults: Vec<String>,
-    /// Rules under evaluation.
+    /// The alert rules that are evaluated over the samples, if any.
     pub watch: Option<Watch>,
 }
 
-/// A sample may be from so far in the future: clocks on one machine, and a moment's rounding.
+/// Maximum time by which a sample may lie in the future. Sender and receiver share the clock of one machine, so only
+/// rounding has to be allowed for.
 const FUTURE_MS: i64 = 2_000;
 
 fn now_ms() -> i64 {
@@ -81,18 +83,19 @@
 }
 
 impl ReceivedData {
-    /// Samples of the series of a name whose labels hold all of these, in order.
+    /// Returns the samples of all series with this metric name that have all of these labels, in order of arrival
+    /// within each series.
     pub fn find(&self, name: &str, labels: &[(&str, &str)]) -> Vec<ReceivedSample> {
-        let is = |all: &[(String, String)], name: &str, value: &str| {
+        let has_label = |all: &[(String, String)], name: &str, value: &str| {
             all.iter().any(|(n, v)| n == name && v == value)
         };
-        let ours = self
-            .series
-            .iter()
-            .filter(|(all, _)| is(all, "__name__", name) && labels.iter().all(|(n, v)| is(all, n, v)));
-        ours.flat_map(|(_, taken)| taken.iter().copied()).collect()
+        let matching = self.series.iter().filter(|(all, _)| {
+            has_label(all, "__name__", name) && labels.iter().all(|(n, v)| has_label(all, n, v))
+        });
+        matching.flat_map(|(_, samples)| samples.iter().copied()).collect()
     }
 
+    /// Stores the samples and histograms of a series, and records the errors of the sender.
     fn receive(&mut self, series: Series) {
         let name = format!("{:?}", series.labels);
         if !series.labels.windows(2).all(|w| w[0].0 < w[1].0) {
@@ -102,45 +105,52 @@
         let times = series.samples.iter().map(|s| s.0).chain(series.natives.iter().map(|n| n.0));
         for at_ms in times {
             if at_ms > now + FUTURE_MS || series.created_ms.is_some_and(|created| created > at_ms) {
-                self.faults.push(format!("{name} at {at_ms}: to come, or before it was created ({now})"));
+                self.faults.push(format!("{name} at {at_ms}: in the future or before creation ({now})"));
             }
         }
         if !series.natives.is_empty() {
-            let taken = self.natives.entry(series.labels.clone()).or_default();
+            let received = self.natives.entry(series.labels.clone()).or_default();
             for (at_ms, native) in series.natives {
                 let same = |old: &NativeHistogram| {
                     old.sum.to_bits() == native.sum.to_bits()
                         && (old.count, &old.buckets) == (native.count, &native.buckets)
                 };
-                match taken.iter().find(|t| t.0 == at_ms) {
+                match received.iter().find(|r| r.0 == at_ms) {
                     Some((_, old)) if same(old) => self.repeated += 1,
-                    None if taken.last().is_none_or(|l| l.0 < at_ms) => taken.push((at_ms, native)),
-                    _ => self.faults.push(format!("{name} at {at_ms}: another histogram, or too late")),
+                    None if received.last().is_none_or(|l| l.0 < at_ms) => received.push((at_ms, native)),
+                    _ => self.faults.push(format!("{name} at {at_ms}: conflicting or late histogram")),
                 }
             }
         }
         if series.samples.is_empty() {
             return;
         }
-        let taken = self.series.entry(series.labels.clone()).or_default();
+        let received = self.series.entry(series.labels.clone()).or_default();
         for (at_ms, value) in series.samples {
-            match taken.iter().find(|t| t.at_ms == at_ms) {
+            match received.iter().find(|r| r.at_ms == at_ms) {
                 Some(old) if old.value.to_bits() == value.to_bits() => self.repeated += 1,
-                Some(old) => self.faults.push(format!("{name} at {at_ms}: {} and then {value}", old.value)),
-                None if taken.last().is_some_and(|l| l.at_ms > at_ms) => {
-                    self.faults.push(format!("{name}: {at_ms} came after a later one"));
+                Some(old) => {
+                    self.faults.push(format!("{name} at {at_ms}: received value {}, then {value}", old.value))
+                }
+                None if received.last().is_some_and(|l| l.at_ms > at_ms) => {
+                    self.faults.push(format!("{name} at {at_ms}: received after a later sample"));
                 }
                 None => {
-                    let one = ReceivedSample { at_ms, value, created_ms: series.created_ms };
+                    let sample = ReceivedSample { at_ms, value, created_ms: series.created_ms };
                     let counter = series.kind == SeriesKind::Counter && series.created_ms.is_some();
-                    if counter && let Some(last) = taken.last().filter(|l| l.created_ms == one.created_ms) {
+                    if counter
+                        && let Some(last) = received.last().filter(|l| l.created_ms == sample.created_ms)
+                    {
                         if remote_write::is_stale(last.value) {
-                            self.faults.push(format!("{name} at {at_ms}: its life had ended"));
+                            self.faults.push(format!("{name} at {at_ms}: after the staleness marker"));
                         } else if value < last.value {
-                            self.faults.push(format!("{name} at {at_ms}: {value} after {}", last.value));
+                            self.faults.push(format!(
+                                "{name} at {at_ms}: counter decreased to {value} from {}",
+                                last.value
+                            ));
                         }
                     }
-                    taken.push(one);
+                    received.push(sample);
                     if let Some(watch) = &mut self.watch {
                         watch.add(&series.labels, at_ms, value);
                     }
@@ -150,9 +160,9 @@
     }
 }
 
-/// A running receiver; it ends when dropped.
+/// A running receiver. Dropping it stops its threads.
 pub struct Receiver {
-    /// Where it listens.
+    /// The address on which the receiver listens.
     pub address: SocketAddr,
     mode: Arc<Mutex<Mode>>,
     data: Arc<Mutex<ReceivedData>>,
@@ -162,17 +172,17 @@
     threads: Vec<JoinHandle<()>>,
 }
 
-/// How often the clock of rules is looked at.
-const TICK: Duration = Duration::from_millis(20);
+/// Interval at which the alert rules are checked for due evaluations.
+const RULES_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Bytes that a body may unpack to.
+/// Maximum size of a decompressed request body.
 const MAX_BODY_BYTES: usize = 64 << 20;
 
 impl Receiver {
-    /// Starts a receiver on a free port.
+    /// Starts a receiver on a free port of 127.0.0.1.
     ///
     /// # Errors
-    /// The system refuses a socket or a thread.
+    /// If a socket or a thread cannot be created.
     pub fn start(mode: Mode) -> io::Result<Self> {
         let limits = Http1Limits { body_bytes: 16 << 20, ..Http1Limits::default() };
         let mut server = Http1Server::bind(SocketAddr::from(([127, 0, 0, 1], 0)), limits)?;
@@ -180,14 +190,14 @@
         cut.store(request_limit(&mode), Ordering::Relaxed);
         let mode = Arc::new(Mutex::new(mode));
         let data = Arc::new(Mutex::new(ReceivedData::default()));
-        let (m, k) = (Arc::clone(&mode), Arc::clone(&data));
+        let (thread_mode, thread_data) = (Arc::clone(&mode), Arc::clone(&data));
         let thread = std::thread::Builder::new().name("receiver".to_owned()).spawn(move || {
             let ended = server.run(|request| {
-                let mode = lock(&m).clone();
-                if let Mode::Slow(span) = mode {
-                    std::thread::sleep(span);
+                let mode = lock(&thread_mode).clone();
+                if let Mode::Slow(delay) = mode {
+                    std::thread::sleep(delay);
                 }
-                reply(request, &mode, &mut lock(&k))
+                reply(request, &mode, &mut lock(&thread_data))
             });
             if let Err(error) = ended {
                 eprintln!("test receiver: {error}");
@@ -196,7 +206,11 @@
         Ok(Self { address, mode, data, cut, stop, ended: Arc::default(), threads: vec![thread] })
     }
 
-    /// Evaluates rules from now on, on its own clock, by which a second is `speed` seconds of theirs.
+    /// Starts to evaluate alert rules over the received samples, in a thread of its own. The clock of the rules runs
+    /// `speed` times as fast as the wall clock.
+    ///
+    /// # Errors
+    /// If a thread cannot be created.
     pub fn watch(&mut self, rules: Vec<Rule>, speed: u32) -> io::Result<()> {
         lock(&self.data).watch = Some(Watch::new(rules, now_ms(), speed));
         let (data, ended) = (Arc::clone(&self.data), Arc::clone(&self.ended));
@@ -205,20 +219,20 @@
                 if let Some(watch) = &mut lock(&data).watch {
                     watch.tick(now_ms());
                 }
-                std::thread::sleep(TICK);
+                std::thread::sleep(RULES_INTERVAL);
             }
         })?;
         self.threads.push(thread);
         Ok(())
     }
 
-    /// Changes its behaviour from now on.
+    /// Sets the mode for all later requests.
     pub fn set_mode(&self, mode: Mode) {
         self.cut.store(request_limit(&mode), Ordering::Relaxed);
         *lock(&self.mode) = mode;
     }
 
-    /// What it has received and found.
+    /// Returns a copy of the data and errors so far.
     pub fn data(&self) -> ReceivedData {
         lock(&self.data).clone()
     }
@@ -234,28 +248,30 @@
     }
 }
 
-fn lock<T>(what: &Mutex<T>) -> MutexGuard<'_, T> {
-    what.lock().unwrap_or_else(PoisonError::into_inner)
+fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+    mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
+/// Returns the number of bytes of a request after which the connection is closed.
 fn request_limit(mode: &Mode) -> usize {
     if let Mode::CutRequest(bytes) = mode { *bytes } else { usize::MAX }
 }
 
+/// Responds to a request and stores its samples, according to the mode.
 fn reply(request: &Request<'_>, mode: &Mode, data: &mut ReceivedData) -> Reply {
     if let Mode::Answer(status, after) = *mode {
         data.rejected += 1;
         let headers = after.map(|s| ("Retry-After", s.to_string())).into_iter().collect();
         return Reply { headers, ..Reply::text(status, "as told\n") };
     }
-    let kind = request.header("content-type").unwrap_or("");
-    let version = match kind {
-        k if k == Version::Two.content_type() => Version::Two,
-        k if k == Version::One.content_type() || k == "application/x-protobuf" => Version::One,
+    let content_type = request.header("content-type").unwrap_or("");
+    let version = match content_type {
+        t if t == Version::Two.content_type() => Version::Two,
+        t if t == Version::One.content_type() || t == "application/x-protobuf" => Version::One,
         _ => return Reply::text(415, "no such message\n"),
     };
-    let blind = *mode == Mode::AssumeVersion1;
-    let version = if blind { Version::One } else { version };
+    let assume_version_1 = *mode == Mode::AssumeVersion1;
+    let version = if assume_version_1 { Version::One } else { version };
     if version == Version::Two && *mode == Mode::Version1Only {
         data.rejected += 1;
         return Reply::text(415, "version 1.0 alone\n");
--- a/crates/test-servers/src/server/fault.rs
+++ b/crates/test-servers/src/server/fault.rs
@@ -1,46 +1,46 @@
-//! Faults that are injected into a test worker, and what each does.
+//! The faults that can be injected into a test worker, and their implementation.
 
 use super::{ObservationKind, Server};
 use crate::store::Micros;
 use std::io;
 
-/// A fault to inject.
+/// A fault that is injected into a test worker.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
-    /// Its process dies: sockets close, all is lost.
+    /// The worker dies: its sockets close, and all replicas and calls are lost.
     Die,
-    /// It starts again at the same addresses, without replicas and warming up.
+    /// A dead worker starts again at the same addresses, without replicas and cold. Ignored while the worker runs.
     Restart,
-    /// It reads and answers nothing.
+    /// While true, the worker reads requests but executes and answers nothing.
     Unresponsive(bool),
-    /// It refuses every stream before it reads it.
+    /// While true, the worker refuses every new stream with REFUSED_STREAM.
     Refuse(bool),
-    /// It runs this share of its calls and fails them at once.
+    /// This share of calls, 0 to 1, fails with an internal error as soon as it runs.
     FailFast(f64),
-    /// Calls of models with this prefix are never answered; `None`: all are.
+    /// Calls of models with this prefix are never answered. `None` ends the fault.
     Hang(Option<String>),
-    /// Calls take this many times their work.
+    /// Factor on the CPU time of calls; 1: normal.
     Slow(f64),
-    /// Its load reports are this old.
+    /// Load reports have this age; 0: current.
     StaleReports(Micros),
-    /// It breaks the connection after so many messages of an answer.
+    /// Breaks the connection of the next stream that sends this many response messages. `None` ends the fault.
     CutAfter(Option<u32>),
-    /// It breaks the next answer off inside a frame.
+    /// Breaks the connection in the middle of a message of the next response.
     HalfFrame,
-    /// It sends GOAWAY in the middle of things: streams not yet seen never run, the rest break.
+    /// Sends GOAWAY on all connections while streams are open. Streams that were not received yet never run.
     GoAway,
-    /// One of its addresses neither accepts, reads nor writes: a cut link.
+    /// Cuts or restores the link at one address: while it is cut, nothing is accepted, read or written there.
     Cut {
-        /// Which of its addresses.
+        /// Index of the address in the addresses of the worker.
         address_index: usize,
-        /// Cut or mended.
+        /// True cuts the link; false restores it.
         cut: bool,
     },
-    /// Nothing is read from new connections for this time.
+    /// New connections are not read for this time; 0 ends the fault.
     SlowHandshake(Micros),
-    /// Replicas of models with this prefix become invalid.
+    /// Replicas of models with this prefix become invalid and are unloaded, except those that run calls.
     InvalidateReplicas(String),
-    /// The thread ends.
+    /// Stops the server and ends its thread.
     Stop,
 }
 
@@ -71,7 +71,7 @@
         Ok(())
     }
 
-    /// Sends GOAWAY on all connections, in the middle of their streams.
+    /// Sends GOAWAY immediately on all accepted connections.
     fn go_away(&mut self) {
         for listener in self.listeners.clone() {
             for conn in self.hub.accepted_at(listener) {
@@ -80,14 +80,14 @@
         }
     }
 
-    /// Cuts the link at one of its addresses, or mends it.
+    /// Cuts or restores the link at one address, for new and existing connections.
     fn cut(&mut self, address_index: usize, cut: bool) {
         let Some(listener) = self.listeners.get(address_index).copied() else { return };
         self.hub.freeze_listener(listener, cut);
         for conn in self.hub.accepted_at(listener) {
             self.hub.freeze(conn, cut);
         }
-        self.see(ObservationKind::Link { address_index, conn: None, cut });
-        self.mended |= !cut;
+        self.observe(ObservationKind::Link { address_index, conn: None, cut });
+        self.link_restored |= !cut;
     }
 }
--- a/crates/test-servers/src/server/mod.rs
+++ b/crates/test-servers/src/server/mod.rs
@@ -1,8 +1,8 @@
-//! A test worker on sockets: the published service around the worker model, in a thread of its own. Faults are injected
-//! into it; what its sockets see is recorded.
+//! A test worker that serves the public gRPC protocol. It runs the worker model in a thread of its own, injects faults
+//! and records observations.
 //!
-//! * [`fault`]: faults and what they do. [`observation`]: what is recorded. [`request`]: what comes in.
-//!   [`response`]: what goes out.
+//! * [`fault`]: the faults. [`observation`]: the observations. [`request`]: handling of incoming streams and messages.
+//!   [`response`]: responses, trailers and load reports.
 
 mod fault;
 mod observation;
@@ -28,34 +28,35 @@
 pub use fault::Fault;
 pub use observation::{Observation, ObservationKind};
 
-/// Past loads that are remembered for stale reports, at the most.
+/// Maximum number of past loads that are kept for stale load reports.
 const MAX_HISTORY: usize = 4096;
 
-/// How a test worker starts.
+/// The options of a test worker.
 pub struct Options {
-    /// Its name.
+    /// Name of the worker, which observations carry.
     pub name: String,
-    /// Where it listens; several addresses allow links to be cut one by one.
+    /// Addresses on which it listens; port 0 selects a free port. With several addresses, the link at each can be cut
+    /// separately.
     pub addresses: Vec<SocketAddr>,
-    /// What it is.
+    /// The description of the worker.
     pub spec: Spec,
-    /// The model store that it shares with others.
+    /// The model store, shared with other workers.
     pub store: Arc<Mutex<Store>>,
-    /// Zero of the records' clock.
+    /// The time from which the times of observations are counted.
     pub epoch: Instant,
-    /// Where records go.
+    /// Channel for observations; `None`: they are not recorded.
     pub records: Option<Sender<Observation>>,
-    /// It warms up after the start.
+    /// Whether the worker starts cold and warms up.
     pub cold: bool,
-    /// Seed of its random numbers.
+    /// Seed of the random numbers by which [`Fault::FailFast`] selects calls.
     pub seed: u64,
 }
 
-/// A running test worker; it ends when this is dropped.
+/// A handle to a running test worker. Dropping it stops the worker.
 pub struct Handle {
-    /// Its name.
+    /// Name of the worker.
     pub name: String,
-    /// Where it listens.
+    /// Addresses on which it listens, with the actual ports.
     pub addresses: Vec<SocketAddr>,
     faults: Sender<Fault>,
     waker: Arc<mio::Waker>,
@@ -63,14 +64,14 @@
 }
 
 impl Handle {
-    /// Injects a fault.
+    /// Injects a fault. The worker applies it asynchronously.
     pub fn inject(&self, fault: Fault) {
-        // A thread that has ended needs no fault.
+        // The send fails only if the thread has ended; the fault then has no effect.
         let _ = self.faults.send(fault);
         let _ = self.waker.wake();
     }
 
-    /// Ends its thread.
+    /// Stops the worker and waits for its thread to end.
     pub fn stop(mut self) {
         self.end();
     }
@@ -89,15 +90,15 @@
     }
 }
 
-/// Starts a test worker in a thread of its own; it listens when this returns.
+/// Starts a test worker in a thread of its own. The worker listens when this returns.
 ///
 /// # Errors
-/// An address can't be listened on, or the system refuses a thread.
+/// If the worker cannot listen on an address, or the thread cannot be created.
 pub fn spawn(options: Options) -> io::Result<Handle> {
     let (faults, fault_receiver) = channel();
     let (ready, started) = channel();
     let name = options.name.clone();
-    // Connections live where they are polled: the hub is made in its thread.
+    // Connections must stay in the thread that polls them, so the hub is created in the new thread.
     let thread = std::thread::Builder::new().name(name.clone()).spawn(move || {
         let mut server = match Server::new(options, fault_receiver) {
             Ok(server) => server,
@@ -116,55 +117,66 @@
     Ok(Handle { name, addresses, faults, waker, thread: Some(thread) })
 }
 
-/// A connection from which nothing is read yet.
+/// An accepted connection that is not read until the end of a delay.
 struct DelayedConnection {
     until: Micros,
     conn: ConnKey,
     address_index: usize,
 }
 
-/// The load at a past time.
+/// The load of the worker at an earlier time.
 struct PastLoad {
     at: Micros,
     load: LoadReport,
 }
 
+/// An open gRPC stream.
 struct Rpc {
     conn: ConnKey,
     method: String,
     controller: String,
-    /// A later incarnation of its controller was seen before it arrived.
+    /// A later incarnation of the controller had been seen when the stream opened.
     fenced: bool,
     attempt: Option<u32>,
+    /// The response headers have been sent.
     answered: bool,
+    /// The client has closed its side of the stream.
     half_closed: bool,
+    /// Number of calls on the stream whose response is incomplete.
     pending: u32,
+    /// Number of response messages sent.
     sent: u32,
 }
 
+/// A call that the worker model has accepted.
 struct Call {
     stream: StreamKey,
     answer: Answer,
     streamed: bool,
-    /// Parts that are complete, and parts that are sent.
+    /// Number of complete parts.
     ready: usize,
+    /// Number of parts sent.
     sent: usize,
 }
 
+/// The state of a test worker, owned by its thread.
 struct Server {
     options: Options,
     hub: Hub,
     addresses: Vec<SocketAddr>,
     listeners: Vec<ListenerKey>,
     faults: Receiver<Fault>,
+    /// The worker model; `None` while the worker is dead.
     worker: Option<Worker>,
     random: ChaCha8Rng,
     rpcs: BTreeMap<StreamKey, Rpc>,
-    /// The newest fencing token seen of each controller.
+    /// The highest fencing token seen from each controller.
     fences: BTreeMap<String, u64>,
     calls: BTreeMap<CallNumber, Call>,
     orders: BTreeMap<OrderNumber, StreamKey>,
-    next: u64,
+    /// The last number given to a call or a load order.
+    last_number: u64,
+    /// Past loads, oldest first; filled while load reports are delayed.
     history: VecDeque<PastLoad>,
     delayed: VecDeque<DelayedConnection>,
     unresponsive: bool,
@@ -172,12 +184,13 @@
     fail_fast: f64,
     hang: Option<String>,
     slow: f64,
-    /// How old load reports are.
+    /// Age of load reports; 0: current.
     report_delay: Micros,
     cut_after: Option<u32>,
     half_frame: bool,
     slow_handshake: Micros,
-    mended: bool,
+    /// A link was restored since the last poll, and its data has not been read yet.
+    link_restored: bool,
 }
 
 impl Server {
@@ -194,7 +207,7 @@
             fences: BTreeMap::new(),
             calls: BTreeMap::new(),
             orders: BTreeMap::new(),
-            next: 0,
+            last_number: 0,
             history: VecDeque::new(),
             delayed: VecDeque::new(),
             unresponsive: false,
@@ -206,7 +219,7 @@
             cut_after: None,
             half_frame: false,
             slow_handshake: 0,
-            mended: false,
+            link_restored: false,
             options,
         };
         let cold = server.options.cold;
@@ -214,19 +227,19 @@
         Ok(server)
     }
 
-    /// Microseconds since the epoch of the observations.
+    /// Current time since the epoch of the observations.
     fn now(&self) -> Micros {
         self.options.epoch.elapsed().as_micros() as Micros
     }
 
     /// Records an observation.
-    fn see(&self, seen: ObservationKind) {
+    fn observe(&self, seen: ObservationKind) {
         if let Some(records) = &self.options.records {
             let _ = records.send(Observation { at: self.now(), worker: self.options.name.clone(), seen });
         }
     }
 
-    /// Starts listening, with an empty worker model.
+    /// Starts to listen, with a new worker model.
     fn restart(&mut self, cold: bool) -> io::Result<()> {
         self.listeners.clear();
         for address in &mut self.addresses {
@@ -235,13 +248,13 @@
             self.listeners.push(key);
         }
         self.worker = Some(Worker::new(self.options.spec.clone(), self.now(), cold));
-        self.see(ObservationKind::Up { cold });
+        self.observe(ObservationKind::Up { cold });
         Ok(())
     }
 
-    /// Closes all sockets and loses all state, as a process that dies.
+    /// Closes all sockets and drops all calls, orders and replicas, as when a process dies.
     fn die(&mut self, seen: ObservationKind) {
-        self.see(seen);
+        self.observe(seen);
         let store = Arc::clone(&self.options.store);
         if let Some(mut worker) = self.worker.take() {
             worker.release_store(&mut lock(&store));
@@ -258,14 +271,15 @@
         self.unresponsive = false;
     }
 
-    /// Handles events and faults until it is stopped.
+    /// Handles network events, faults and the worker model until [`Fault::Stop`].
     fn run(&mut self) -> io::Result<()> {
         let mut events = Vec::new();
         loop {
             let now = self.now();
             let next = self.worker.as_ref().filter(|_| !self.unresponsive).and_then(Worker::next_event);
-            let thaw = self.delayed.front().map(|delayed| delayed.until);
-            let next = if self.mended { Some(now) } else { [next, thaw].into_iter().flatten().min() };
+            let resume = self.delayed.front().map(|delayed| delayed.until);
+            let next =
+                if self.link_restored { Some(now) } else { [next, resume].into_iter().flatten().min() };
             let wait = next.map(|at| Duration::from_micros(at.saturating_sub(now)));
             self.hub.poll(wait, &mut events)?;
             while let Ok(fault) = self.faults.try_recv() {
@@ -275,18 +289,18 @@
                 self.inject(fault)?;
             }
             for event in events.drain(..) {
-                self.event(event);
+                self.handle_net_event(event);
             }
-            self.thaw_delayed();
-            // What a mended link holds is read before anything more is computed or answered: the order at the
-            // socket is the order in which it was sent.
-            if !std::mem::take(&mut self.mended) {
+            self.resume_delayed_connections();
+            // After a link is restored, its data is read before the worker model advances, so that requests are
+            // handled in the order in which they were sent.
+            if !std::mem::take(&mut self.link_restored) {
                 self.advance_worker();
             }
         }
     }
 
-    /// Lets the worker model go on to the present.
+    /// Advances the worker model to the current time. An unresponsive worker does not advance.
     fn advance_worker(&mut self) {
         let now = self.now();
         let store = Arc::clone(&self.options.store);
@@ -302,19 +316,19 @@
         self.handle_worker_events(events);
     }
 
-    /// Reads again from connections whose handshake was delayed for long enough.
-    fn thaw_delayed(&mut self) {
+    /// Resumes reading from connections whose delay has passed.
+    fn resume_delayed_connections(&mut self) {
         let now = self.now();
         while let Some(delayed) = self.delayed.pop_front_if(|delayed| delayed.until <= now) {
             let DelayedConnection { conn, address_index, .. } = delayed;
             self.hub.freeze(conn, false);
-            self.see(ObservationKind::Link { address_index, conn: Some(conn.number()), cut: false });
-            self.mended = true;
+            self.observe(ObservationKind::Link { address_index, conn: Some(conn.number()), cut: false });
+            self.link_restored = true;
         }
     }
 }
 
 fn lock(store: &Mutex<Store>) -> MutexGuard<'_, Store> {
-    // A store is consistent between any two statements of its methods.
+    // A poisoned lock is safe to use: the store is consistent after every statement of its methods.
     store.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/test-servers/src/server/observation.rs
+++ b/crates/test-servers/src/server/observation.rs
@@ -1,82 +1,83 @@
-//! What a test worker's sockets see: the evidence from which an audit judges.
+//! Observations at the sockets of a test worker. The audit of a scenario uses them as evidence.
 
 use crate::store::Micros;
 
-/// What was seen, and when.
+/// An observation with its time and origin.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Observation {
-    /// Since the epoch given.
+    /// Time of the observation since the epoch in the options of the worker.
     pub at: Micros,
-    /// By whom.
+    /// Name of the worker.
     pub worker: String,
-    /// What.
+    /// What was observed.
     pub seen: ObservationKind,
 }
 
-/// What a worker's sockets see.
+/// The kinds of observations.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ObservationKind {
-    /// It listens.
+    /// The worker has started to listen.
     Up {
-        /// With a part of its capacity.
+        /// Whether it started cold.
         cold: bool,
     },
-    /// Its process died.
+    /// The worker died by [`super::Fault::Die`].
     Down,
-    /// It fell over: too much while cold.
+    /// The worker died because it was sent too much work while it warmed up.
     Fell,
-    /// The request of a call has come whole.
+    /// The complete request of a call was received.
     Call {
-        /// The stream, unique at this worker.
+        /// Number of the stream, unique at this worker.
         stream: u64,
-        /// The call's id, as the client gave it.
+        /// Id of the request, as set by the client.
         id: String,
-        /// Its model.
+        /// Name of the model.
         model: String,
-        /// The controller's number, as its header says.
+        /// Number of the controller, from the request header.
         controller: String,
-        /// The attempt's number, as its header says; `None`: none that can be read.
+        /// Number of the attempt, from the request header; `None` if it is missing or malformed.
         attempt: Option<u32>,
-        /// Its core time.
+        /// CPU time that the call takes, faults included.
         core_time: Micros,
     },
-    /// A door, or one connection at it, was cut off or mended: what was sent meanwhile is read from then on.
+    /// The link at an address, or one connection, was cut or restored. Data that was sent while it was cut is read
+    /// after it is restored.
     Link {
-        /// Which of its addresses.
+        /// Index of the address in the addresses of the worker.
         address_index: usize,
-        /// The connection; `None`: all of the door.
+        /// Number of the connection; `None` for the whole address.
         conn: Option<u64>,
-        /// Cut or mended.
+        /// True if it was cut, false if it was restored.
         cut: bool,
     },
-    /// A call has begun to run: its effect.
+    /// A call began to run. From then on it may have had an effect.
     Runs {
-        /// The stream.
+        /// Number of the stream.
         stream: u64,
     },
-    /// The caller withdrew it, or the connection broke.
+    /// The stream was cancelled by the client, or its connection broke.
     Gone {
-        /// The stream.
+        /// Number of the stream.
         stream: u64,
     },
-    /// The answer's end was sent.
+    /// The end of the response to a call was sent.
     Answered {
-        /// The stream.
+        /// Number of the stream.
         stream: u64,
-        /// With OK.
+        /// Whether the status was OK.
         served: bool,
-        /// With the mark that it never ran.
+        /// Whether the trailers say that the call never ran.
         never_ran: bool,
     },
-    /// An order to load (more than zero copies).
+    /// A load order for at least one replica was received. Queries with zero replicas are not recorded.
     Order {
-        /// The controller's number.
+        /// Number of the controller, from the request header.
         controller: String,
-        /// The model.
+        /// Name of the model.
         model: String,
-        /// Copies.
+        /// Number of replicas ordered.
         copies: u32,
     },
-    /// A probe.
+    /// A health probe (`ServerReady`) was received.
     Probe,
 }
--- a/crates/test-servers/src/server/request.rs
+++ b/crates/test-servers/src/server/request.rs
@@ -1,4 +1,4 @@
-//! Requests at a test worker: streams that open, end and break, and the messages on them.
+//! Incoming streams and messages of a test worker.
 
 use bytes::Bytes;
 use http::request::Parts;
@@ -17,8 +17,8 @@
 use crate::worker::{CallNumber, IncomingCall};
 
 impl Server {
-    /// Handles an event of the connections.
-    pub(super) fn event(&mut self, event: NetEvent) {
+    /// Handles a network event.
+    pub(super) fn handle_net_event(&mut self, event: NetEvent) {
         match event {
             NetEvent::Accepted { conn, listener, .. } if self.slow_handshake > 0 => {
                 self.delay_handshake(conn, listener);
@@ -34,8 +34,8 @@
                 );
             }
             NetEvent::Failed { stream, .. } if self.rpcs.remove(&stream).is_some() => {
-                self.see(ObservationKind::Gone { stream: stream.number() });
-                self.withdraw(stream);
+                self.observe(ObservationKind::Gone { stream: stream.number() });
+                self.cancel_calls(stream);
             }
             NetEvent::Sent { stream } => {
                 self.rpcs.remove(&stream);
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Leaves a new connection unread for as long as the fault says.
+    /// Stops reading from a new connection for the time set by [`super::Fault::SlowHandshake`].
     fn delay_handshake(&mut self, conn: ConnKey, listener: ListenerKey) {
         self.hub.freeze(conn, true);
         self.delayed.push_back(DelayedConnection {
@@ -57,10 +57,14 @@
             conn,
             address_index: listener.0,
         });
-        self.see(ObservationKind::Link { address_index: listener.0, conn: Some(conn.number()), cut: true });
+        self.observe(ObservationKind::Link {
+            address_index: listener.0,
+            conn: Some(conn.number()),
+            cut: true,
+        });
     }
 
-    /// A stream has opened.
+    /// Handles the headers of a new stream.
     fn open(&mut self, conn: ConnKey, stream: StreamKey, head: &Parts) {
         if self.refuse {
             self.hub.reset(stream, h2::Reason::REFUSED_STREAM);
@@ -88,7 +92,7 @@
         self.rpcs.insert(stream, rpc);
     }
 
-    /// The client sends nothing more on a stream.
+    /// Handles the end of the client side of a stream.
     fn half_closed(&mut self, stream: StreamKey) {
         let unresponsive = self.unresponsive;
         let Some(rpc) = self.rpcs.get_mut(&stream) else { return };
@@ -98,16 +102,16 @@
         }
     }
 
-    /// Calls of a stream without their whole answer.
+    /// Returns the calls of a stream whose response is incomplete.
     fn calls_of(&self, stream: StreamKey) -> Vec<CallNumber> {
         self.calls.iter().filter(|(_, call)| call.stream == stream).map(|(number, _)| *number).collect()
     }
 
-    /// Cancels the calls of a stream that is gone.
-    fn withdraw(&mut self, stream: StreamKey) {
-        let gone = self.calls_of(stream);
+    /// Cancels the calls of a stream that was cancelled or broke.
+    fn cancel_calls(&mut self, stream: StreamKey) {
+        let calls = self.calls_of(stream);
         let (now, store) = (self.now(), Arc::clone(&self.options.store));
-        for call in gone {
+        for call in calls {
             self.calls.remove(&call);
             if let Some(worker) = self.worker.as_mut().filter(|_| !self.unresponsive) {
                 let mut events = Vec::new();
@@ -117,7 +121,8 @@
         }
     }
 
-    /// Whether a later incarnation of this controller was seen. A request without a fencing token is never fenced.
+    /// Records a fencing token and returns whether a later incarnation of the controller was seen before. A request
+    /// without a token is never fenced.
     fn is_fenced(&mut self, controller: &str, token: Option<u64>) -> bool {
         let Some(token) = token else { return false };
         let newest = self.fences.entry(controller.to_owned()).or_default();
@@ -125,7 +130,7 @@
         token < *newest
     }
 
-    /// Handles a complete message of a stream.
+    /// Handles a complete message on a stream.
     fn message(&mut self, stream: StreamKey, payload: Bytes) {
         let Some((method, fenced)) = self.rpcs.get(&stream).map(|rpc| (rpc.method.clone(), rpc.fenced))
         else {
@@ -134,15 +139,15 @@
         if fenced && matches!(method.as_str(), "ModelInfer" | "ModelStreamInfer" | "RepositoryModelLoad") {
             let mut trailers = HeaderMap::new();
             trailers.insert(metadata::NEVER_RAN, HeaderValue::from_static(metadata::FENCED));
-            let words = "a later life of this controller was seen";
-            return self.finish(stream, Status::new(Code::Unavailable, words), trailers);
+            let message = "a later life of this controller was seen";
+            return self.finish(stream, Status::new(Code::Unavailable, message), trailers);
         }
         match method.as_str() {
             "ModelInfer" => self.infer(stream, payload, false),
             "ModelStreamInfer" => self.infer(stream, payload, true),
             _ if self.unresponsive => {}
             "ServerReady" => {
-                self.see(ObservationKind::Probe);
+                self.observe(ObservationKind::Probe);
                 self.reply(stream, &ServerReadyResponse { ready: true });
             }
             "ServerLive" => self.reply(stream, &ServerLiveResponse { live: true }),
@@ -174,7 +179,7 @@
         }
     }
 
-    /// A request's message; a malformed one is answered.
+    /// Decodes a request message. If it is malformed, ends the stream with an error and returns `None`.
     fn decoded<M: Message + Default>(&mut self, stream: StreamKey, payload: Bytes) -> Option<M> {
         let read = M::decode(payload);
         if let Err(error) = &read {
@@ -183,7 +188,7 @@
         read.ok()
     }
 
-    /// Begins a call.
+    /// Handles the request of a call.
     fn infer(&mut self, stream: StreamKey, payload: Bytes, streamed: bool) {
         let Some(request) = self.decoded::<ModelInferRequest>(stream, payload) else { return };
         let model = request.model_name.clone();
@@ -192,7 +197,7 @@
         let controller = rpc.map(|rpc| rpc.controller.clone()).unwrap_or_default();
         let attempt = rpc.and_then(|rpc| rpc.attempt);
         let number = stream.number();
-        self.see(ObservationKind::Call {
+        self.observe(ObservationKind::Call {
             stream: number,
             id: request.id.clone(),
             model: model.clone(),
@@ -201,7 +206,7 @@
             core_time,
         });
         if self.unresponsive || self.hang.as_ref().is_some_and(|prefix| model.starts_with(prefix)) {
-            // It is never answered: the end of the client's side must not end the stream.
+            // The call stays pending for ever, so that the end of the client side does not end the stream.
             if let Some(rpc) = self.rpcs.get_mut(&stream) {
                 rpc.pending += 1;
             }
@@ -212,11 +217,11 @@
             Err(error) => return self.reject_invalid(stream, &request.id, streamed, error.to_string()),
         };
         if self.fail_fast > 0.0 && self.random.random::<f64>() < self.fail_fast {
-            self.see(ObservationKind::Runs { stream: number });
+            self.observe(ObservationKind::Runs { stream: number });
             return self.finish(stream, Status::new(Code::Internal, "failing fast"), HeaderMap::new());
         }
-        self.next += 1;
-        let call = self.next;
+        self.last_number += 1;
+        let call = self.last_number;
         let parts = if streamed { answer.parts() as u32 } else { 1 };
         if let Some(rpc) = self.rpcs.get_mut(&stream) {
             rpc.pending += 1;
@@ -230,10 +235,11 @@
         self.handle_worker_events(events);
     }
 
-    /// Answers a request that is not valid. On a stream with other calls only that call ends.
+    /// Rejects an invalid request. On a stream with other calls, only this call ends, with an error message on the
+    /// stream.
     fn reject_invalid(&mut self, stream: StreamKey, id: &str, streamed: bool, message: String) {
-        let alone = self.rpcs.get(&stream).is_none_or(|rpc| rpc.pending == 0 && rpc.sent == 0);
-        if streamed && !alone {
+        let only_call = self.rpcs.get(&stream).is_none_or(|rpc| rpc.pending == 0 && rpc.sent == 0);
+        if streamed && !only_call {
             let response = ModelInferResponse { id: id.to_owned(), ..Default::default() };
             let message = ModelStreamInferResponse { error_message: message, infer_response: Some(response) };
             self.hub.send(stream, message.encode_to_vec().into());
@@ -245,23 +251,23 @@
     /// Handles a load order.
     fn load(&mut self, stream: StreamKey, payload: Bytes) {
         let Some(request) = self.decoded::<RepositoryModelLoadRequest>(stream, payload) else { return };
-        let copies = request.parameters.get(REPLICAS).and_then(|p| match p.parameter_choice {
+        let replicas = request.parameters.get(REPLICAS).and_then(|p| match p.parameter_choice {
             Some(model_repository_parameter::ParameterChoice::Int64Param(n)) => u32::try_from(n).ok(),
             _ => None,
         });
-        let copies = copies.unwrap_or(1);
+        let replicas = replicas.unwrap_or(1);
         let controller = self.rpcs.get(&stream).map(|rpc| rpc.controller.clone()).unwrap_or_default();
         let model = request.model_name;
-        if copies > 0 {
-            self.see(ObservationKind::Order { controller, model: model.clone(), copies });
+        if replicas > 0 {
+            self.observe(ObservationKind::Order { controller, model: model.clone(), copies: replicas });
         }
-        self.next += 1;
-        let order = self.next;
+        self.last_number += 1;
+        let order = self.last_number;
         self.orders.insert(order, stream);
         let (now, store) = (self.now(), Arc::clone(&self.options.store));
         let Some(worker) = &mut self.worker else { return };
         let mut events = Vec::new();
-        worker.order(now, order, &model, copies, &mut lock(&store), &mut events);
+        worker.order(now, order, &model, replicas, &mut lock(&store), &mut events);
         self.handle_worker_events(events);
     }
 }
--- a/crates/test-servers/src/server/response.rs
+++ b/crates/test-servers/src/server/response.rs
@@ -1,4 +1,4 @@
-//! Responses of a test worker: what its model has worked out, as messages, trailers and load reports.
+//! Responses of a test worker: messages, trailers and load reports.
 
 use bytes::Bytes;
 use http::{HeaderMap, HeaderValue, Response};
@@ -11,19 +11,19 @@
 use super::{ObservationKind, Server};
 use crate::worker::{CallNumber, OrderNumber, Rejection, Worker, WorkerEvent};
 
-/// The note of a call whose load failed; the others are those of the worker model's `ReplicaNote`.
+/// Load note of a call whose load failed. The other values are those of [`crate::worker::ReplicaNote`].
 const LOAD_FAILED_NOTE: f64 = 4.0;
-/// Room for frame heads of what is queued when a connection is to be cut after it.
+/// Allowance for the frame headers of queued data, when a connection is cut after that data.
 const CUT_SLACK: u64 = 64;
 
 impl Server {
-    /// Passes on what the worker model did.
+    /// Handles events of the worker model: records them and sends responses.
     pub(super) fn handle_worker_events(&mut self, events: Vec<WorkerEvent>) {
         for event in events {
             match event {
                 WorkerEvent::Runs(call) => {
                     if let Some(call) = self.calls.get(&call) {
-                        self.see(ObservationKind::Runs { stream: call.stream.number() });
+                        self.observe(ObservationKind::Runs { stream: call.stream.number() });
                     }
                 }
                 WorkerEvent::PartComplete { call: number, part } => {
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Rejects a call that did not run.
+    /// Rejects a call that did not run, with a trailer that says so.
     fn reject(&mut self, number: CallNumber, reason: Rejection) {
         let Some(call) = self.calls.remove(&number) else { return };
         let note = self.worker.as_mut().and_then(|worker| worker.take_note(number));
@@ -59,17 +59,17 @@
         if reason == Rejection::LoadFailed {
             report.named_metrics.insert(orca::LOAD_NOTE.to_owned(), LOAD_FAILED_NOTE);
         }
-        put(&mut trailers, &report);
+        insert_report(&mut trailers, &report);
         self.finish(call.stream, Status::new(Code::Unavailable, message), trailers);
     }
 
-    /// Answers a load order.
+    /// Sends the response to a load order.
     fn answer_order(&mut self, order: OrderNumber, loaded: u32, complete: bool) {
         let Some(stream) = self.orders.remove(&order) else { return };
         let mut report = self.report();
         report.named_metrics.insert(orca::LOADED_REPLICAS.to_owned(), f64::from(loaded));
         let mut trailers = HeaderMap::new();
-        put(&mut trailers, &report);
+        insert_report(&mut trailers, &report);
         if complete {
             self.hub.respond(stream, grpc_head());
             self.hub.send(stream, Bytes::new());
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Sends what is worked out, as far as the caller takes it.
+    /// Sends the complete parts of a call until the send queue of its stream is full.
     pub(super) fn send_parts(&mut self, number: CallNumber) {
         loop {
             let Some(call) = self.calls.get_mut(&number) else { return };
@@ -89,26 +89,26 @@
             if call.sent == call.ready || self.hub.is_full(call.stream) {
                 return;
             }
-            let (stream, n) = (call.stream, call.sent);
+            let (stream, part) = (call.stream, call.sent);
             call.sent += 1;
             let last = call.sent == parts;
             let payload = if call.streamed {
-                let response = Some(call.answer.part(n));
+                let response = Some(call.answer.part(part));
                 ModelStreamInferResponse { error_message: String::new(), infer_response: response }
                     .encode_to_vec()
             } else {
                 call.answer.complete().encode_to_vec()
             };
-            self.answer_part(stream, payload.into());
+            self.send_response_message(stream, payload.into());
             if last {
                 self.calls.remove(&number);
-                self.answered(number, stream);
+                self.end_response(number, stream);
             }
         }
     }
 
-    /// Sends one part of an answer, broken off where a fault says so.
-    fn answer_part(&mut self, stream: StreamKey, payload: Bytes) {
+    /// Sends one response message, and breaks the connection if a fault requires it.
+    fn send_response_message(&mut self, stream: StreamKey, payload: Bytes) {
         let Some(rpc) = self.rpcs.get_mut(&stream) else { return };
         if !rpc.answered {
             rpc.answered = true;
@@ -117,7 +117,7 @@
         rpc.sent += 1;
         let (conn, sent) = (rpc.conn, rpc.sent);
         if std::mem::take(&mut self.half_frame) {
-            // The prefix promises more than comes; the connection breaks inside the frame.
+            // The gRPC length prefix announces more bytes than follow, so that the connection breaks within a message.
             let mut raw = vec![0, 0, 0, 0xff, 0xff];
             raw.extend_from_slice(&payload);
             self.hub.send_raw(stream, raw.into());
@@ -126,7 +126,7 @@
         }
         self.hub.send(stream, payload);
         if self.cut_after.is_some_and(|n| sent >= n) {
-            // What stands in the queue still leaves; then the peer finds the connection closed.
+            // Queued data is still sent before the connection closes.
             self.cut_after = None;
             self.hub.cut_after(conn, self.hub.queued(stream) as u64 + 9 + CUT_SLACK);
             self.hub.send_raw(stream, vec![0, 0, 0, 0xff, 0xff].into());
@@ -134,8 +134,9 @@
         }
     }
 
-    /// A call's last part is sent: its note and the load go with the trailers.
-    fn answered(&mut self, number: CallNumber, stream: StreamKey) {
+    /// Handles the end of the response to a call. The trailers, with the load note and the load report, are sent when
+    /// the stream ends.
+    fn end_response(&mut self, number: CallNumber, stream: StreamKey) {
         let note = self.worker.as_mut().and_then(|worker| worker.take_note(number));
         let mut report = self.report();
         if let Some(note) = note {
@@ -143,7 +144,7 @@
             report.named_metrics.insert(orca::SAME_MODEL_CALLS.to_owned(), f64::from(note.same_model_calls));
         }
         let mut trailers = HeaderMap::new();
-        put(&mut trailers, &report);
+        insert_report(&mut trailers, &report);
         let Some(rpc) = self.rpcs.get_mut(&stream) else { return };
         rpc.pending = rpc.pending.saturating_sub(1);
         if rpc.method == "ModelInfer" || rpc.half_closed && rpc.pending == 0 {
@@ -151,22 +152,22 @@
         }
     }
 
-    /// Answers a request that is no call, with one message.
+    /// Sends the response to a request other than a call or a load order: one message and the load report.
     pub(super) fn reply(&mut self, stream: StreamKey, message: &impl Message) {
         let mut trailers = Status::new(Code::Ok, "").trailers();
-        put(&mut trailers, &self.report());
+        insert_report(&mut trailers, &self.report());
         self.hub.respond(stream, grpc_head());
         self.hub.send(stream, message.encode_to_vec().into());
         self.hub.finish(stream, Some(trailers));
     }
 
-    /// Ends a stream with a status.
+    /// Ends a stream with a status and further trailers.
     pub(super) fn finish(&mut self, stream: StreamKey, status: Status, more: HeaderMap) {
         let Some(rpc) = self.rpcs.get(&stream) else { return };
         if rpc.method.ends_with("Infer") {
             let served = status.code == Code::Ok;
             let never_ran = more.contains_key(metadata::NEVER_RAN);
-            self.see(ObservationKind::Answered { stream: stream.number(), served, never_ran });
+            self.observe(ObservationKind::Answered { stream: stream.number(), served, never_ran });
         }
         let trailers = merged(status.trailers(), more);
         if rpc.answered {
@@ -178,7 +179,7 @@
         }
     }
 
-    /// The load, as old as the fault says.
+    /// Returns the load report, delayed by [`super::Fault::StaleReports`].
     fn report(&self) -> orca::OrcaLoadReport {
         let now = self.now();
         let past =
@@ -201,6 +202,7 @@
     }
 }
 
+/// Returns the headers of a gRPC response.
 fn grpc_head() -> Response<()> {
     let mut head = Response::new(());
     head.headers_mut().insert("content-type", HeaderValue::from_static("application/grpc"));
@@ -212,7 +214,8 @@
     status
 }
 
-fn put(trailers: &mut HeaderMap, report: &orca::OrcaLoadReport) {
+/// Adds a load report to trailers.
+fn insert_report(trailers: &mut HeaderMap, report: &orca::OrcaLoadReport) {
     if let Some(value) = write_binary(&report.encode_to_vec()) {
         trailers.insert(orca::TRAILER, value);
     }
--- a/crates/test-servers/src/spec.rs
+++ b/crates/test-servers/src/spec.rs
@@ -1,4 +1,4 @@
-//! A test worker's description. As text:
+//! The description of a test worker. Its text format:
 //!
 //! ```text
 //! (listen "127.0.0.1:9001")
@@ -14,49 +14,50 @@
 
 use crate::store::Micros;
 
-/// What a worker is.
+/// The description of a test worker.
 #[derive(Clone, Debug)]
 pub struct Spec {
-    /// Its cores.
+    /// CPU cores, which running calls share; may be fractional.
     pub cores: f64,
-    /// Bytes of memory for replicas.
+    /// Memory for replicas, in bytes.
     pub memory: u64,
-    /// Calls that may wait.
+    /// Maximum number of waiting calls; further calls are rejected.
     pub queue: usize,
-    /// Loads at once.
+    /// Maximum number of concurrent loads; further loads are queued.
     pub loads_at_once: usize,
-    /// An idle replica is unloaded after this time.
+    /// Time without calls or orders after which the replicas of a model are unloaded.
     pub keep_alive: Micros,
-    /// A call of a model without a replica starts a load; else it is rejected.
+    /// Whether a call of a model without replicas starts a load. If false, the call is rejected.
     pub load_when_absent: bool,
-    /// It loads a further replica by itself when all lanes of a model are taken.
+    /// Whether the worker loads another replica without an order while calls wait for a lane of a loaded model.
     pub load_extra_replicas: bool,
-    /// How long it warms up; 0: not at all.
+    /// Time in which a cold worker warms up to full capacity; 0: no warm-up.
     pub warm_up: Micros,
-    /// Share of its capacity at its start.
+    /// Capacity at the start of the warm-up, as a share of full capacity. It grows linearly from there.
     pub start_capacity: f64,
-    /// While it warms up, it falls over and stays down when it is sent more than this multiple of its capacity.
+    /// Overload limit during the warm-up, as a multiple of the current capacity. A worker that is sent more work than
+    /// this within [`Spec::overload_window`] stops and stays down.
     pub overload_factor: f64,
-    /// The time over which that is counted.
+    /// Time window over which the work for the overload limit is summed.
     pub overload_window: Micros,
-    /// Models by the beginning of their names; the longest wins.
+    /// Models by name prefix; the longest matching prefix applies.
     pub models: Vec<ModelSpec>,
 }
 
-/// What a model needs there.
+/// The resources that a model needs at a worker.
 #[derive(Clone, Debug)]
 pub struct ModelSpec {
-    /// The beginning of its name.
+    /// Prefix of the names of the models described; empty: any name.
     pub prefix: String,
-    /// Calls that one replica runs at once.
+    /// Number of calls that one replica runs concurrently.
     pub lanes: u32,
-    /// Bytes of a replica.
+    /// Memory of one replica, in bytes.
     pub memory: u64,
-    /// How long a load takes while the store is not crowded.
+    /// Duration of a load while the model store is not slowed by concurrent fetches.
     pub load_time: Micros,
-    /// Share of it that is the fetch from the store.
+    /// Share of the load time that is spent on the fetch from the model store, 0 to 1.
     pub fetch_share: f64,
-    /// Core time of a call.
+    /// CPU time of a call on one core.
     pub core_time: Micros,
 }
 
@@ -80,7 +81,7 @@
 }
 
 impl ModelSpec {
-    /// Any model.
+    /// The default resources, for models of any name.
     pub fn any() -> Self {
         Self {
             prefix: String::new(),
@@ -94,13 +95,13 @@
 }
 
 impl Spec {
-    /// What it says of a model.
+    /// Returns the resources of a model: the entry with the longest matching prefix, or the default.
     pub fn model(&self, name: &str) -> ModelSpec {
         let best = self.models.iter().filter(|m| name.starts_with(&m.prefix)).max_by_key(|m| m.prefix.len());
         best.cloned().unwrap_or_else(ModelSpec::any)
     }
 
-    /// Reads the keys of a worker from a form; keys it lacks keep their defaults.
+    /// Reads a description from a form. Missing keys take their defaults; errors are recorded in the form.
     pub fn read(form: &mut Form) -> Self {
         let base = Self::default();
         let mut spec = Self {
@@ -114,7 +115,7 @@
             ..base
         };
         if let Some(mut cold) = form.optional_list("cold") {
-            spec.warm_up = cold.required_item::<TimeSpan>("how long it is cold").map_or(0, |s| s.0);
+            spec.warm_up = cold.required_item::<TimeSpan>("the warm-up time").map_or(0, |s| s.0);
             spec.start_capacity = cold.value_or("start-capacity", 0.2).clamp(0.01, 1.0);
             spec.overload_factor = cold.value_or("overload-factor", 2.0);
             spec.overload_window = cold.micros_or("fall", spec.overload_window);
@@ -122,18 +123,18 @@
         }
         let models = form.lists("model");
         if !models.is_empty() {
-            spec.models = models.into_iter().map(model).collect();
+            spec.models = models.into_iter().map(read_model).collect();
         }
         spec
     }
 }
 
-fn model(mut form: Form) -> ModelSpec {
+fn read_model(mut form: Form) -> ModelSpec {
     let base = ModelSpec::any();
-    let name: String = form.required_item("the beginning of its names and a *").unwrap_or_default();
+    let name: String = form.required_item("a prefix of model names followed by *").unwrap_or_default();
     let fetch_share = form.value_or("fetch-share", base.fetch_share);
     if fetch_share > 1.0 {
-        form.error("(fetch-share ...) is a share, from 0 to 1");
+        form.error("(fetch-share ...) must be from 0 to 1");
     }
     let spec = ModelSpec {
         prefix: name.trim_end_matches('*').to_owned(),
@@ -147,7 +148,7 @@
     spec
 }
 
-/// Reads a file for one worker: where it listens, and what it is.
+/// Parses the file of one worker: its listening address and its description. `file` is the name that errors quote.
 pub fn read_file(file: &str, text: &str) -> Result<(SocketAddr, Spec), Errors> {
     let (source, mut top) = Form::parse(file, text);
     let listen = top.required("listen");
--- a/crates/test-servers/src/store.rs
+++ b/crates/test-servers/src/store.rs
@@ -1,26 +1,28 @@
-//! The model store that all workers share: it slows when crowded and refuses past a limit.
+//! A model of the model store that all workers share. Concurrent fetches slow each other down, and fetches above a
+//! limit are refused.
 
-/// Microseconds.
+/// A time or a duration in microseconds.
 pub type Micros = u64;
 
-/// A store.
+/// The model store.
 #[derive(Clone, Debug)]
 pub struct Store {
-    /// Fetches that run at full speed; beyond them each is slowed in proportion.
+    /// Number of concurrent fetches that run at full speed. A fetch that begins when there are more takes
+    /// proportionally longer.
     pub full_speed_fetches: u32,
-    /// Fetches at once; one more is refused.
+    /// Maximum number of concurrent fetches; further fetches are refused.
     pub max_fetches: u32,
-    /// All fetches take this many times as long: a slow store.
+    /// Factor on the duration of all fetches, to simulate a slow store; 1: normal.
     pub slowness: f64,
     running: u32,
-    /// Fetches refused.
+    /// Number of fetches that were refused.
     pub refused: u64,
-    /// Fetches begun.
+    /// Number of fetches that were started.
     pub begun: u64,
 }
 
 impl Store {
-    /// A store that is not slow.
+    /// Creates a store at normal speed, with at least one fetch in both limits.
     pub fn new(full_speed_fetches: u32, max_fetches: u32) -> Self {
         Self {
             full_speed_fetches: full_speed_fetches.max(1),
@@ -32,19 +34,20 @@
         }
     }
 
-    /// Begins a fetch that would take `alone` by itself: how long it takes now. `None`: refused.
-    pub fn begin(&mut self, alone: Micros) -> Option<Micros> {
+    /// Starts a fetch that takes `full_speed_time` at full speed. Returns its actual duration, or `None` if it is
+    /// refused. The caller must call [`Store::end`] when the fetch ends.
+    pub fn begin(&mut self, full_speed_time: Micros) -> Option<Micros> {
         if self.running >= self.max_fetches {
             self.refused += 1;
             return None;
         }
         self.running += 1;
         self.begun += 1;
-        let crowd = (f64::from(self.running) / f64::from(self.full_speed_fetches)).max(1.0);
-        Some((alone as f64 * crowd * self.slowness) as Micros)
+        let slowdown = (f64::from(self.running) / f64::from(self.full_speed_fetches)).max(1.0);
+        Some((full_speed_time as f64 * slowdown * self.slowness) as Micros)
     }
 
-    /// A fetch has ended, or its worker died.
+    /// Ends a fetch: it is complete, or its worker has died.
     pub fn end(&mut self) {
         self.running = self.running.saturating_sub(1);
     }
--- a/crates/test-servers/src/watch.rs
+++ b/crates/test-servers/src/watch.rs
@@ -1,4 +1,4 @@
-//! Alert rules on the receiver's own clock: what fired when, and when it cleared.
+//! Evaluates alert rules over received samples and records when alerts fired and cleared.
 
 use std::collections::BTreeMap;
 
@@ -6,86 +6,91 @@
 use nettleferry_alerts::rules::{Millis, Rule};
 use nettleferry_alerts::state::Alerts;
 
-/// How often a rule is evaluated whose group does not say.
-const INTERVAL: Millis = 60_000;
+/// Evaluation interval of rules whose group does not set one.
+const DEFAULT_INTERVAL: Millis = 60_000;
 
-/// An alert that fired, on the wall's clock.
+/// A period in which an alert was firing. Times are those of the wall clock.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Episode {
-    /// Its labels, `alertname` among them.
+    /// Labels of the alert, including `alertname`.
     pub labels: Labels,
-    /// It fired then.
+    /// When the alert began to fire.
     pub from: Millis,
-    /// It fired no more.
+    /// When the alert cleared; `None` while it fires.
     pub to: Option<Millis>,
 }
 
-/// Rules under evaluation. Time may be made to run faster for them: a rule's minute is then a part of one.
+/// Evaluates rules on a clock that may run faster than the wall clock, so that a rule with a duration of minutes can be
+/// tested in seconds.
 #[derive(Clone, Debug)]
 pub struct Watch {
+    /// Each rule with the time of its next evaluation, on the clock of the rules.
     rules: Vec<(Alerts, Millis)>,
     store: Store,
-    /// From here on time runs faster.
+    /// Wall-clock time at which the clock of the rules starts, with the same value.
     base: Millis,
+    /// Milliseconds on the clock of the rules for each millisecond of the wall clock.
     speed: i64,
     episodes: Vec<Episode>,
-    open: BTreeMap<Labels, usize>,
-    /// Rules that could not be evaluated.
+    /// Alerts that are firing, with the index of their episode.
+    firing: BTreeMap<Labels, usize>,
+    /// Errors of failed evaluations, with the name of the alert.
     pub errors: Vec<String>,
 }
 
 impl Watch {
-    /// Rules as of `now`; a second of ours is `speed` seconds of theirs.
+    /// Starts to evaluate rules at the wall-clock time `now`. Their clock runs `speed` times as fast as the wall clock.
     pub fn new(rules: Vec<Rule>, now: Millis, speed: u32) -> Self {
         let (base, speed) = (now, i64::from(speed.max(1)));
         let rules = rules.into_iter().map(|rule| (Alerts::new(rule), base)).collect();
-        let (episodes, open, errors) = Default::default();
-        Self { rules, store: Store::default(), base, speed, episodes, open, errors }
+        let (episodes, firing, errors) = Default::default();
+        Self { rules, store: Store::default(), base, speed, episodes, firing, errors }
     }
 
-    fn theirs(&self, at: Millis) -> Millis {
+    /// Converts a wall-clock time to the clock of the rules.
+    fn rule_time(&self, at: Millis) -> Millis {
         self.base + (at - self.base) * self.speed
     }
 
-    /// A sample came.
+    /// Adds a received sample. `at` is its wall-clock time.
     pub fn add(&mut self, labels: &[(String, String)], at: Millis, value: f64) {
         let labels: Labels = labels.iter().cloned().collect();
-        self.store.add(&labels, self.theirs(at), value);
+        self.store.add(&labels, self.rule_time(at), value);
     }
 
-    /// Evaluates what is due.
+    /// Evaluates the rules that are due at the wall-clock time `now` and updates the episodes.
     pub fn tick(&mut self, now: Millis) {
-        let theirs = self.theirs(now);
+        let rule_now = self.rule_time(now);
         let mut firing: Vec<Labels> = Vec::new();
         for (alerts, next) in &mut self.rules {
-            if *next <= theirs {
-                let every = alerts.rule().interval.unwrap_or(INTERVAL);
-                while *next <= theirs {
-                    *next += every;
+            if *next <= rule_now {
+                let interval = alerts.rule().interval.unwrap_or(DEFAULT_INTERVAL);
+                while *next <= rule_now {
+                    *next += interval;
                 }
-                if let Err(what) = alerts.evaluate(&self.store, theirs) {
+                if let Err(what) = alerts.evaluate(&self.store, rule_now) {
                     self.errors.push(format!("{}: {what}", alerts.rule().alert));
                 }
             }
             firing.extend(alerts.firing().into_iter().cloned());
         }
         for labels in &firing {
-            if !self.open.contains_key(labels) {
-                self.open.insert(labels.clone(), self.episodes.len());
+            if !self.firing.contains_key(labels) {
+                self.firing.insert(labels.clone(), self.episodes.len());
                 self.episodes.push(Episode { labels: labels.clone(), from: now, to: None });
             }
         }
         let episodes = &mut self.episodes;
-        self.open.retain(|labels, at| {
-            let fires = firing.contains(labels);
-            if !fires && let Some(episode) = episodes.get_mut(*at) {
+        self.firing.retain(|labels, index| {
+            let still_firing = firing.contains(labels);
+            if !still_firing && let Some(episode) = episodes.get_mut(*index) {
                 episode.to = Some(now);
             }
-            fires
+            still_firing
         });
     }
 
-    /// What fired so far, in order.
+    /// Returns all episodes so far, in the order in which they began.
     pub fn episodes(&self) -> &[Episode] {
         &self.episodes
     }
--- a/crates/test-servers/src/worker.rs
+++ b/crates/test-servers/src/worker.rs
@@ -1,7 +1,7 @@
-//! The worker model, without I/O and clock. Running calls share the cores. A worker that warms up has a part of them, and
-//! falls over when it is sent too much. Equal inputs give equal outputs.
+//! A deterministic model of a worker, without I/O or clock. Running calls share the cores. A worker that warms up has
+//! part of its capacity, and stops when it is sent too much work.
 //!
-//! This file has calls and capacity; [`replicas`] has loads, memory and eviction of replicas.
+//! This module handles calls and capacity; [`replicas`] handles loads, memory and the eviction of replicas.
 
 mod replicas;
 
@@ -11,102 +11,103 @@
 use crate::store::{Micros, Store};
 use replicas::ReplicaSet;
 
-/// The number of a call at this worker.
+/// Identifies a call at one worker.
 pub type CallNumber = u64;
 
-/// The number of a load order at this worker.
+/// Identifies a load order at one worker.
 pub type OrderNumber = u64;
 
-/// What a call found, with the published numbers of load reports.
+/// The state of the replicas of a model when a call arrived. The values are those of the load note in load reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplicaNote {
-    /// A replica was loaded.
+    /// A replica was already loaded.
     Warm = 1,
     /// The call started a load.
     Began = 2,
-    /// It waited for a load.
+    /// The call waited for a load that was already in progress or queued.
     Waited = 3,
 }
 
-/// Why a call is rejected before it runs.
+/// The reason for which a call is rejected before it runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rejection {
-    /// Queue or memory is full.
+    /// The queue is full, or there is no memory for a replica.
     Full,
-    /// The model is not loaded, and calls load none here.
+    /// The model is not loaded, and calls do not start loads at this worker.
     Miss,
-    /// The load it waited for failed.
+    /// The load for which the call waited has failed.
     LoadFailed,
 }
 
-/// What the worker did.
+/// An event of the worker model.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WorkerEvent {
-    /// A call began to run: from here on it has an effect.
+    /// A call began to run. From then on it may have had an effect.
     Runs(CallNumber),
-    /// A part of a call's answer is complete; the last part ends it.
+    /// A part of the result of a call is complete. The last part ends the call.
     PartComplete {
         /// The call.
         call: CallNumber,
-        /// The part, from 0.
+        /// Index of the part, from 0.
         part: u32,
     },
-    /// A call is rejected.
+    /// A call was rejected.
     Rejected {
         /// The call.
         call: CallNumber,
-        /// Why.
+        /// The reason.
         reason: Rejection,
     },
-    /// A load order is answered.
+    /// A load order is complete or has failed.
     OrderAnswered {
         /// The order.
         order: OrderNumber,
-        /// Replicas that are loaded.
+        /// Number of loaded replicas of the model.
         loaded: u32,
-        /// Whether they are as many as were ordered.
+        /// Whether at least the ordered number of replicas is loaded.
         complete: bool,
     },
-    /// It fell over: it was sent too much while it warmed up.
+    /// The worker stopped because it was sent too much work while it warmed up.
     Fell,
 }
 
-/// A load report.
+/// The load of a worker at one time.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Share of the cores in use.
+    /// Utilization of the cores, 0 to 1, relative to the current capacity.
     pub util: f64,
-    /// Calls running.
+    /// Number of running calls.
     pub inflight: usize,
-    /// Calls waiting.
+    /// Number of waiting calls.
     pub queue: usize,
-    /// Share of memory that working or loading replicas hold.
+    /// Share of memory, 0 to 1, that is used by replicas which run calls or are loading. Idle replicas are not
+    /// included.
     pub memory_held: f64,
-    /// Loads in progress or waiting.
+    /// Number of loads that are in progress or queued.
     pub loads: usize,
 }
 
-/// A call that arrives.
+/// A call that arrives at the worker.
 #[derive(Clone, Copy, Debug)]
 pub struct IncomingCall<'a> {
-    /// Its number.
+    /// Identifies the call; unique at this worker.
     pub number: CallNumber,
-    /// Its model.
+    /// Name of the model.
     pub model: &'a str,
-    /// Core time of all parts.
+    /// CPU time of the whole call on one core.
     pub core_time: Micros,
-    /// Parts of its answer.
+    /// Number of parts of the result; 0 counts as 1.
     pub parts: u32,
 }
 
 struct Running {
     model: String,
-    /// Complete parts, of so many.
+    /// Number of complete parts.
     complete: u32,
     parts: u32,
-    /// Core time of a part.
+    /// CPU time of each part, in microseconds.
     part_time: f64,
-    /// What is left of the present part.
+    /// Remaining CPU time of the current part, in microseconds.
     remaining: f64,
 }
 
@@ -117,32 +118,33 @@
     core_time: Micros,
 }
 
-/// A load order that waits for its replicas.
+/// A load order whose replicas are not all loaded yet.
 struct PendingOrder {
     number: OrderNumber,
     model: String,
+    /// Number of replicas ordered.
     replicas: u32,
 }
 
-/// Work that arrived while the worker warmed up.
+/// A call that arrived while the worker warmed up; counts towards the overload limit.
 struct Arrival {
     at: Micros,
     core_time: f64,
 }
 
-/// What the answer to a call reports of replicas.
+/// The load note of a call, which its response reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallNote {
-    /// What the call found.
+    /// State of the replicas of its model when the call arrived.
     pub replica: ReplicaNote,
-    /// Other calls of its model that were here.
+    /// Number of other calls of the same model that ran or waited when the call arrived.
     pub same_model_calls: u32,
 }
 
-/// A worker.
+/// The state of a worker model.
 pub struct Worker {
     spec: Spec,
-    /// When it began to warm up; `None`: it is warm.
+    /// When the worker started cold; `None` if it started warm.
     started: Option<Micros>,
     now: Micros,
     running: BTreeMap<CallNumber, Running>,
@@ -150,16 +152,18 @@
     replicas: BTreeMap<String, ReplicaSet>,
     orders: Vec<PendingOrder>,
     arrivals: VecDeque<Arrival>,
+    /// Load notes that have not been taken yet.
     notes: BTreeMap<CallNumber, CallNote>,
+    /// The worker has stopped after an overload and ignores all calls.
     down: bool,
     events: Vec<WorkerEvent>,
 }
 
-/// Arrivals that are remembered at the most.
+/// Maximum number of arrivals that are kept for the overload limit.
 const MAX_ARRIVALS: usize = 100_000;
 
 impl Worker {
-    /// A worker that starts now; `cold`: with a part of its capacity.
+    /// Creates a worker that starts at `now`. If `cold`, it starts with part of its capacity and warms up.
     pub fn new(spec: Spec, now: Micros, cold: bool) -> Self {
         Self {
             spec,
@@ -176,12 +180,12 @@
         }
     }
 
-    /// Its description.
+    /// Returns the description of the worker.
     pub fn spec(&self) -> &Spec {
         &self.spec
     }
 
-    /// The part of its capacity that it has now.
+    /// The current capacity, as a share of full capacity.
     fn capacity(&self) -> f64 {
         let Some(started) = self.started else { return 1.0 };
         let age = self.now.saturating_sub(started) as f64;
@@ -191,13 +195,15 @@
         self.spec.start_capacity + (1.0 - self.spec.start_capacity) * age / self.spec.warm_up as f64
     }
 
-    /// Core time that a running call gets per microsecond.
+    /// CPU time that each running call gets per microsecond; at most one core.
     fn speed(&self) -> f64 {
         let cores = self.spec.cores * self.capacity();
         (cores / self.running.len().max(1) as f64).min(1.0)
     }
 
-    /// When [`Worker::advance_to`] is to be called next.
+    /// Returns when [`Worker::advance_to`] must be called next: the end of a part, a fetch, a load or a keep-alive
+    /// time.
+    /// `None` if nothing is pending.
     pub fn next_event(&self) -> Option<Micros> {
         let speed = self.speed();
         let parts =
@@ -208,7 +214,7 @@
         parts.chain(loads).chain(idle).min().map(|at| at.max(self.now + 1))
     }
 
-    /// Lets time pass until `now`.
+    /// Advances the model to `now` and appends the events that happen until then to `out`.
     pub fn advance_to(&mut self, now: Micros, store: &mut Store, out: &mut Vec<WorkerEvent>) {
         while let Some(at) = self.next_event().filter(|at| *at <= now) {
             self.advance(at);
@@ -249,7 +255,8 @@
         }
     }
 
-    /// A call arrives.
+    /// Accepts a call, which is started, queued or rejected. Events are appended to `out`. A worker that has stopped
+    /// ignores the call.
     pub fn call(&mut self, now: Micros, call: IncomingCall, store: &mut Store, out: &mut Vec<WorkerEvent>) {
         let IncomingCall { number, model, core_time, parts } = call;
         self.advance_to(now, store, out);
@@ -273,12 +280,13 @@
     fn replica_note(&self, model: &str) -> ReplicaNote {
         match self.replicas.get(model) {
             Some(set) if set.loaded > 0 => ReplicaNote::Warm,
-            Some(set) if !set.is_quiet() => ReplicaNote::Waited,
+            Some(set) if !set.loads_finished() => ReplicaNote::Waited,
             _ => ReplicaNote::Began,
         }
     }
 
-    /// Why a call is rejected. Where it starts a load, the load is queued.
+    /// Returns the reason to reject a call, or `None` to accept it. If an accepted call needs a load, the load is
+    /// queued.
     fn rejection(&mut self, model: &str, replica: ReplicaNote) -> Option<Rejection> {
         if self.waiting.len() >= self.spec.queue {
             return Some(Rejection::Full);
@@ -292,12 +300,14 @@
         if self.queue_loads(model, 1) { None } else { Some(Rejection::Full) }
     }
 
-    /// What the answer to a call reports of replicas: taken once.
+    /// Removes and returns the load note of a call. Returns `None` if the call is unknown or its note was already
+    /// taken.
     pub fn take_note(&mut self, call: CallNumber) -> Option<CallNote> {
         self.notes.remove(&call)
     }
 
-    /// Counts work that arrives while the worker warms up, also work that it rejects, and falls over by too much.
+    /// Adds up the work that arrives during the warm-up, including rejected work, and stops the worker if it exceeds
+    /// the overload limit.
     fn check_overload(&mut self, core_time: f64) {
         if self.capacity() >= 1.0 {
             self.arrivals.clear();
@@ -313,27 +323,27 @@
         }
         let sent: f64 = self.arrivals.iter().map(|arrival| arrival.core_time).sum();
         let possible = self.spec.cores * self.capacity() * window as f64;
-        // One call more is tolerated: a single one is never too much.
+        // One further call is tolerated, so that a single call never exceeds the limit.
         if sent > self.spec.overload_factor * possible + core_time {
             self.down = true;
             self.events.push(WorkerEvent::Fell);
         }
     }
 
-    /// Calls of a model that run or wait.
+    /// Number of calls of a model that run or wait.
     fn calls_of(&self, model: &str) -> u32 {
         let running = self.replicas.get(model).map_or(0, |set| set.running);
         running + self.waiting.iter().filter(|waiting| waiting.model == model).count() as u32
     }
 
-    /// Its caller cancelled a call: one that waits is dropped, a running one goes on to its end.
+    /// Cancels a call. A waiting call is dropped; a running call still runs to its end.
     pub fn cancel(&mut self, now: Micros, call: CallNumber, store: &mut Store, out: &mut Vec<WorkerEvent>) {
         self.advance_to(now, store, out);
         self.waiting.retain(|waiting| waiting.number != call);
         self.notes.remove(&call);
     }
 
-    /// The load now.
+    /// Returns the current load.
     pub fn load_report(&self) -> LoadReport {
         let busy = self.running.len() as f64 / (self.spec.cores * self.capacity());
         let loads = self.replicas.values().map(|set| set.loading.len() + set.queued as usize).sum();
@@ -347,9 +357,9 @@
         }
     }
 
-    /// Starts the calls that have a lane, in order of arrival, and loads for the models of those that wait.
+    /// Starts waiting calls that have a free lane, in order of arrival, and loads replicas for those that still wait.
     fn start_calls(&mut self, store: &mut Store) {
-        let mut short: Vec<String> = Vec::new();
+        let mut models_without_lane: Vec<String> = Vec::new();
         let mut still_waiting = VecDeque::new();
         while let Some(call) = self.waiting.pop_front() {
             let set = self.replicas.get_mut(&call.model);
@@ -358,14 +368,14 @@
                 set.last_used = self.now;
                 self.run_call(call);
             } else {
-                if !short.contains(&call.model) {
-                    short.push(call.model.clone());
+                if !models_without_lane.contains(&call.model) {
+                    models_without_lane.push(call.model.clone());
                 }
                 still_waiting.push_back(call);
             }
         }
         self.waiting = still_waiting;
-        for model in short {
+        for model in models_without_lane {
             self.load_for_waiting(&model);
         }
         self.start_loads(store);
--- a/crates/test-servers/src/worker/replicas.rs
+++ b/crates/test-servers/src/worker/replicas.rs
@@ -1,57 +1,59 @@
-//! Replicas at the worker model: loads from the store, memory, eviction of idle ones, and load orders.
+//! The replicas of the worker model: loads from the model store, memory, eviction of idle replicas, and load orders.
 
 use super::{CallNumber, OrderNumber, PendingOrder, Rejection, Worker, WorkerEvent};
 use crate::store::{Micros, Store};
 
 /// A load in progress.
 pub(super) struct ReplicaLoad {
-    /// When the fetch from the store ends; the store is free then.
+    /// When the fetch from the model store ends.
     fetched_at: Micros,
-    /// When the replica is loaded.
+    /// When the load is complete.
     loaded_at: Micros,
-    /// The store was told that the fetch has ended.
+    /// The end of the fetch has been reported to the model store.
     fetched: bool,
 }
 
 /// The replicas of one model.
 #[derive(Default)]
 pub(super) struct ReplicaSet {
-    /// Replicas that are loaded.
+    /// Number of loaded replicas.
     pub(super) loaded: u32,
-    /// Calls that run on them.
+    /// Number of calls that run on them.
     pub(super) running: u32,
+    /// Loads in progress.
     pub(super) loading: Vec<ReplicaLoad>,
-    /// Loads that wait for their turn.
+    /// Number of loads that wait because the worker is at its limit of concurrent loads.
     pub(super) queued: u32,
+    /// When a call or an order last used the set, or a load for it was queued or completed.
     pub(super) last_used: Micros,
-    /// Bytes of one replica.
+    /// Memory of one replica, in bytes.
     pub(super) memory: u64,
-    /// Calls that one replica runs at once.
+    /// Number of calls that one replica runs concurrently.
     pub(super) lanes: u32,
 }
 
 impl ReplicaSet {
-    /// Replicas on which calls run.
+    /// Number of replicas that run calls, with calls packed on as few replicas as possible.
     fn working(&self) -> u32 {
         self.running.div_ceil(self.lanes.max(1))
     }
 
-    /// Replicas that are loaded, loading or queued.
+    /// Number of replicas that are loaded, loading or queued.
     fn total(&self) -> u32 {
         self.loaded + self.loading.len() as u32 + self.queued
     }
 
-    /// No load is in progress or queued.
-    pub(super) fn is_quiet(&self) -> bool {
+    /// Whether no load is in progress or queued.
+    pub(super) fn loads_finished(&self) -> bool {
         self.loading.is_empty() && self.queued == 0
     }
 
-    /// Bytes of working and of loading replicas.
+    /// Memory of the replicas that run calls or are loading, in bytes.
     pub(super) fn memory_in_use(&self) -> u64 {
         (u64::from(self.working()) + self.loading.len() as u64) * self.memory
     }
 
-    /// When a fetch or a load ends next.
+    /// When the next fetch or load ends.
     pub(super) fn next_load_event(&self) -> Option<Micros> {
         let next = |load: &ReplicaLoad| {
             if load.fetched { load.loaded_at } else { load.fetched_at.min(load.loaded_at) }
@@ -61,7 +63,8 @@
 }
 
 impl Worker {
-    /// An order to have at least `replicas` loaded; 0 asks how many are.
+    /// Accepts an order to have at least `replicas` replicas of a model loaded. 0 only queries how many are loaded. The
+    /// order ends with [`WorkerEvent::OrderAnswered`] in `out`, in this call or in a later one.
     pub fn order(
         &mut self,
         now: Micros,
@@ -88,26 +91,26 @@
         out.append(&mut self.events);
     }
 
-    /// Unloads the idle replicas of a model.
+    /// Unloads the idle replicas of a model. Replicas that run calls stay loaded.
     pub fn unload(&mut self, model: &str) {
         if let Some(set) = self.replicas.get_mut(model) {
             set.loaded = set.working();
         }
     }
 
-    /// Replicas of a model that are loaded.
+    /// Returns the number of loaded replicas of a model.
     pub fn loaded(&self, model: &str) -> u32 {
         self.replicas.get(model).map_or(0, |set| set.loaded)
     }
 
-    /// Models with this prefix got a new release: all their replicas but the working ones are gone.
+    /// Unloads the idle replicas of all models with this prefix, as after a new release of the models.
     pub fn invalidate(&mut self, prefix: &str) {
         for (_, set) in self.replicas.iter_mut().filter(|(model, _)| model.starts_with(prefix)) {
             set.loaded = set.working();
         }
     }
 
-    /// Ends its fetches at the store, when it dies.
+    /// Drops all loads and ends their fetches at the model store. Called when the worker dies.
     pub fn release_store(&mut self, store: &mut Store) {
         for set in self.replicas.values_mut() {
             let fetching = set.loading.drain(..).filter(|load| !load.fetched).count();
@@ -115,14 +118,16 @@
         }
     }
 
-    /// Frees memory for further replicas of a model and queues their loads. False: there is not enough memory.
+    /// Queues loads of `count` further replicas of a model. Idle replicas of other models are evicted if memory is
+    /// needed. Returns false if memory is still insufficient. Nothing is queued then, but replicas may have been
+    /// evicted.
     pub(super) fn queue_loads(&mut self, model: &str, count: u32) -> bool {
         let spec = self.spec.model(model);
         let needed = spec.memory * u64::from(count);
         let used: u64 = self.replicas.values().map(|set| u64::from(set.total()) * set.memory).sum();
         let mut free = self.spec.memory.saturating_sub(used);
         while free < needed {
-            // Idle replicas of other models are evicted, the least recently used first.
+            // The least recently used idle replica is evicted first.
             let idle = self
                 .replicas
                 .iter_mut()
@@ -137,13 +142,13 @@
         true
     }
 
-    /// Loads a replica for calls that wait, where none is on its way.
+    /// Queues a load for waiting calls of a model if no load is pending.
     pub(super) fn load_for_waiting(&mut self, model: &str) {
         let set = self.replicas.get(model);
-        let quiet = set.is_none_or(|set| set.is_quiet());
+        let loads_finished = set.is_none_or(|set| set.loads_finished());
         let absent = set.is_none_or(|set| set.loaded == 0);
-        // The last replica may have been unloaded while its calls waited: it is loaded again.
-        if quiet && (absent || self.spec.load_extra_replicas) {
+        // The last replica may have been unloaded while calls waited; it is then loaded again.
+        if loads_finished && (absent || self.spec.load_extra_replicas) {
             let queued = self.queue_loads(model, 1);
             if absent && !queued {
                 self.load_failed(model);
@@ -151,7 +156,7 @@
         }
     }
 
-    /// Starts queued loads, as many as the worker does at once.
+    /// Starts queued loads up to the limit of concurrent loads.
     pub(super) fn start_loads(&mut self, store: &mut Store) {
         let mut loading: usize = self.replicas.values().map(|set| set.loading.len()).sum();
         let queued = self.replicas.iter().filter(|(_, set)| set.queued > 0);
@@ -159,14 +164,14 @@
         for model in models {
             while loading < self.spec.loads_at_once && self.replicas[&model].queued > 0 {
                 let spec = self.spec.model(&model);
-                let fetch_alone = (spec.load_time as f64 * spec.fetch_share) as Micros;
-                let fetch = store.begin(fetch_alone);
+                let full_speed_fetch_time = (spec.load_time as f64 * spec.fetch_share) as Micros;
+                let fetch = store.begin(full_speed_fetch_time);
                 let Some(set) = self.replicas.get_mut(&model) else { break };
                 set.queued -= 1;
                 match fetch {
                     Some(duration) => {
                         let fetched_at = self.now + duration;
-                        let loaded_at = fetched_at + (spec.load_time - fetch_alone);
+                        let loaded_at = fetched_at + (spec.load_time - full_speed_fetch_time);
                         set.loading.push(ReplicaLoad { fetched_at, loaded_at, fetched: false });
                         loading += 1;
                     }
@@ -176,10 +181,11 @@
         }
     }
 
-    /// A load failed: where no other replica is there or on its way, its calls and orders fail with it.
+    /// Handles a failed load. If the model has no other replica that is loaded or pending, its waiting calls and orders
+    /// fail.
     fn load_failed(&mut self, model: &str) {
         let Some(set) = self.replicas.get(model) else { return };
-        if set.loaded > 0 || !set.is_quiet() {
+        if set.loaded > 0 || !set.loads_finished() {
             return;
         }
         let waiting = self.waiting.iter().filter(|call| call.model == model);
@@ -194,7 +200,7 @@
         self.events.extend(orders.into_iter().map(failed));
     }
 
-    /// Ends fetches and loads that are due, and answers the orders that are complete with them.
+    /// Completes the fetches and loads that are due, and the orders that are fulfilled by them.
     pub(super) fn finish_loads(&mut self, store: &mut Store) {
         for set in self.replicas.values_mut() {
             for load in &mut set.loading {
@@ -222,7 +228,7 @@
         });
     }
 
-    /// Unloads replicas that were idle for too long, and forgets models that are not in use.
+    /// Unloads replicas whose keep-alive time has passed, and removes the entries of unused models.
     pub(super) fn unload_idle(&mut self) {
         let keep_alive = self.spec.keep_alive;
         for set in self.replicas.values_mut() {
@@ -232,7 +238,7 @@
         }
         let waiting = &self.waiting;
         self.replicas.retain(|name, set| {
-            let in_use = set.loaded > 0 || !set.is_quiet() || set.running > 0;
+            let in_use = set.loaded > 0 || !set.loads_finished() || set.running > 0;
             in_use || waiting.iter().any(|call| call.model == *name)
         });
     }
--- a/crates/test-servers/src/worker/tests.rs
+++ b/crates/test-servers/src/worker/tests.rs
@@ -33,17 +33,17 @@
         let mut out = Vec::new();
         let call = IncomingCall { number, model, core_time: 10 * MS, parts: 1 };
         self.worker.call(at, call, &mut self.store, &mut out);
-        self.seen.extend(out.into_iter().map(|d| (at, d)));
+        self.seen.extend(out.into_iter().map(|event| (at, event)));
     }
     fn run(&mut self, until: Micros) {
         while let Some(at) = self.worker.next_event().filter(|at| *at <= until) {
             let mut out = Vec::new();
             self.worker.advance_to(at, &mut self.store, &mut out);
-            self.seen.extend(out.into_iter().map(|d| (at, d)));
+            self.seen.extend(out.into_iter().map(|event| (at, event)));
         }
     }
     fn when(&self, what: &WorkerEvent) -> Option<Micros> {
-        self.seen.iter().find(|(_, d)| d == what).map(|(at, _)| *at)
+        self.seen.iter().find(|(_, event)| event == what).map(|(at, _)| *at)
     }
 }
 
@@ -82,7 +82,7 @@
     test.run(600 * MS);
     assert!(test.when(&WorkerEvent::Runs(3)).is_some());
     assert_eq!(test.worker.loaded("a") + test.worker.loaded("b"), 1);
-    // Both copies load: nothing can give way.
+    // Both replicas are still loading, so none can be evicted.
     let mut full = TestWorker::new(spec(), false);
     full.call(0, 1, "a");
     full.call(0, 2, "b");
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn overload_fells_a_warming_worker_and_not_a_warm_one() {
+fn overload_stops_a_warming_worker_and_not_a_warm_one() {
     let cold = Spec {
         warm_up: 10_000 * MS,
         start_capacity: 0.2,
@@ -124,16 +124,16 @@
         queue: 10_000,
         ..spec()
     };
-    let flood = |cold_start| {
+    let stops_under_flood = |cold_start| {
         let mut test = TestWorker::new(cold.clone(), cold_start);
         for no in 0..200 {
             test.call(no * MS, no, "m");
         }
         test.when(&WorkerEvent::Fell).is_some()
     };
-    // 0.2 x 2 cores x 500 ms x 2 = 400 ms of work; 200 calls of 10 ms are five times that.
-    assert!(flood(true));
-    assert!(!flood(false));
+    // The limit is 0.2 x 2 cores x 500 ms x 2 = 400 ms of work; 200 calls of 10 ms are five times that.
+    assert!(stops_under_flood(true));
+    assert!(!stops_under_flood(false));
 }
 
 #[test]
@@ -164,7 +164,7 @@
                 cancelled.insert(no as u64);
                 let mut out = Vec::new();
                 test.worker.cancel(at * MS, no as u64, &mut test.store, &mut out);
-                test.seen.extend(out.into_iter().map(|d| (at * MS, d)));
+                test.seen.extend(out.into_iter().map(|event| (at * MS, event)));
             }
             let held: u64 = test.worker.replicas.values()
                 .map(|set| (u64::from(set.loaded) + set.loading.len() as u64 + u64::from(set.queued)) * set.memory).sum();
@@ -176,7 +176,7 @@
         }
         test.run(3_600_000 * MS);
         for no in 0..calls.len() as u64 {
-            let ends = test.seen.iter().filter(|(_, d)| matches!(d, WorkerEvent::PartComplete { call, .. } | WorkerEvent::Rejected { call, .. } if *call == no));
+            let ends = test.seen.iter().filter(|(_, event)| matches!(event, WorkerEvent::PartComplete { call, .. } | WorkerEvent::Rejected { call, .. } if *call == no));
             prop_assert!(ends.count() == 1 || cancelled.contains(&no), "call {no}");
         }
     }
