--- a/crates/administration/src/audit_log_writer/tests.rs
+++ b/crates/administration/src/audit_log_writer/tests.rs
@@ -38,7 +38,7 @@
         let mut recorder = Recorder::new(0, incarnation, 1, "1.0", tail);
         for revision in 0..400 {
             recorder.view_applied(revision, View { revision, ..View::default() }, &NumberNames);
-            recorder.call(revision, 1);
+            recorder.call_accepted(revision, 1);
         }
         while recorder.waiting() > 0 {
             log.submit(&mut recorder);
--- a/crates/audit-log/src/audit.rs
+++ b/crates/audit-log/src/audit.rs
@@ -166,7 +166,7 @@
                     None => {
                         let number = entry.number;
                         let reason = format!("entry {number} refers to view {view}, whose entry is missing");
-                        self.add_fault(Some(who), reason);
+                        self.add_gap(Some(who), reason);
                     }
                 },
                 _ => self.add_explanation(who, entry),
@@ -174,14 +174,14 @@
         }
         if !own && bounds(entries.last().map_or(0, |entry| entry.to)).is_none() {
             let reason = "its clock is not known: it exchanged nothing with this incarnation of the leader";
-            self.add_fault(Some(who), reason.to_owned());
+            self.add_gap(Some(who), reason.to_owned());
         }
     }
 
     /// Takes in an entry that explains a delay, or declares a gap.
     fn add_explanation(&mut self, who: Incarnation, entry: &Entry) {
         match &entry.kind {
-            EntryKind::Event { event: Event::LeaseEndedMeanwhile { stalled_ms }, .. } => {
+            EntryKind::Event { event: Event::LeaseExpiredDuringPause { stalled_ms }, .. } => {
                 self.explain(
                     who,
                     format!("its process was paused for {stalled_ms} ms while its lease expired"),
@@ -192,7 +192,7 @@
             }
             EntryKind::Gap { lines, why } => {
                 let reason = format!("{lines} entries before entry {} are missing: {why}", entry.number);
-                self.add_fault(Some(who), reason);
+                self.add_gap(Some(who), reason);
             }
             _ => {}
         }
@@ -203,7 +203,7 @@
     }
 
     /// Takes in what is wrong with a log that was read.
-    pub fn add_fault(&mut self, incarnation: Option<Incarnation>, reason: String) {
+    pub fn add_gap(&mut self, incarnation: Option<Incarnation>, reason: String) {
         self.gaps.push(Gap { incarnation, reason });
     }
 
--- a/crates/audit-log/src/chain/tests.rs
+++ b/crates/audit-log/src/chain/tests.rs
@@ -23,9 +23,9 @@
         let mut recorder = Recorder::new(0, incarnation, 3, "1.0", left.take());
         for revision in 1..4 {
             recorder.view_applied(revision * 10, View { revision, ..View::default() }, &NumberedNames);
-            recorder.call(revision * 10 + 1, 7);
-            recorder.call(revision * 10 + 2, 8);
-            recorder.attempt(revision * 10 + 2, 1);
+            recorder.call_accepted(revision * 10 + 1, 7);
+            recorder.call_accepted(revision * 10 + 2, 8);
+            recorder.attempt_sent(revision * 10 + 2, 1);
         }
         recorder.close(&NumberedNames);
         all.extend(recorder.take(usize::MAX));
@@ -74,12 +74,12 @@
     for revision in 0..5_000 {
         recorder.view_applied(revision, View { revision, ..View::default() }, &NumberedNames);
     }
-    assert_eq!(recorder.waiting(), crate::recorder::MAX_WAITING);
+    assert_eq!(recorder.waiting(), crate::recorder::MAX_WAITING_ENTRIES);
     let mut texts: Vec<String> = recorder.take(usize::MAX).collect();
     recorder.view_applied(9_000, View { revision: 9_000, ..View::default() }, &NumberedNames);
     texts.extend(recorder.take(usize::MAX));
     let [ChainError::DeclaredGap { entries: lines, .. }] = &faults(&texts)[..] else {
         panic!("{:?}", faults(&texts))
     };
-    assert_eq!(*lines, 5_001 - crate::recorder::MAX_WAITING as u64);
+    assert_eq!(*lines, 5_001 - crate::recorder::MAX_WAITING_ENTRIES as u64);
 }
--- a/crates/audit-log/src/entry.rs
+++ b/crates/audit-log/src/entry.rs
@@ -151,14 +151,15 @@
         /// True: it is drained.
         drained: bool,
     },
-    /// The lease came to another stage.
-    Stage {
+    /// The stage of the controller's lease changed.
+    #[serde(rename = "stage")]
+    LeaseStageChanged {
         /// The stage.
         stage: String,
     },
     /// Calls were accepted while the lease ended, as the process stood still.
     #[serde(rename = "doubtful")]
-    LeaseEndedMeanwhile {
+    LeaseExpiredDuringPause {
         /// For how long it stood still, milliseconds.
         #[serde(rename = "stood_ms")]
         stalled_ms: Millis,
--- a/crates/audit-log/src/recorder.rs
+++ b/crates/audit-log/src/recorder.rs
@@ -12,10 +12,10 @@
 /// An interval with acts is closed after so many milliseconds at the latest: the shorter, the fewer doubtful findings.
 pub const MAX_INTERVAL: Millis = 1_000;
 /// Entries that wait to be written at the most.
-pub const MAX_WAITING: usize = 4_096;
+pub const MAX_WAITING_ENTRIES: usize = 4_096;
 /// Names counted in one interval at the most; acts beyond them are counted together, under [`OTHERS`].
-pub const MAX_NAMES: usize = 4_096;
-/// The name under which acts beyond [`MAX_NAMES`] are counted.
+pub const MAX_COUNTED_NAMES: usize = 4_096;
+/// The name under which acts beyond [`MAX_COUNTED_NAMES`] are counted.
 pub const OTHERS: &str = "(others)";
 
 /// The stage of the lease at the start, as entries spell it.
@@ -32,7 +32,7 @@
     fn add(&mut self, id: u64) {
         if let Some(count) = self.counts.get_mut(&id) {
             *count += 1;
-        } else if self.counts.len() < MAX_NAMES {
+        } else if self.counts.len() < MAX_COUNTED_NAMES {
             self.counts.insert(id, 1);
         } else {
             self.others += 1;
@@ -149,28 +149,28 @@
     }
 
     /// The stage of the controller's lease.
-    pub fn stage(&mut self, now: Millis, stage: &'static str, names: &impl NameResolver) {
+    pub fn lease_stage_changed(&mut self, now: Millis, stage: &'static str, names: &impl NameResolver) {
         if self.stage != stage {
             self.close(names);
             self.stage = stage;
-            self.event(now, Event::Stage { stage: stage.to_owned() }, names);
+            self.event(now, Event::LeaseStageChanged { stage: stage.to_owned() }, names);
         }
     }
 
     /// A call of this tenant was accepted.
-    pub fn call(&mut self, now: Millis, tenant: u64) {
+    pub fn call_accepted(&mut self, now: Millis, tenant: u64) {
         self.calls.add(tenant);
         self.extend(now);
     }
 
     /// An attempt was sent to this worker.
-    pub fn attempt(&mut self, now: Millis, worker: u64) {
+    pub fn attempt_sent(&mut self, now: Millis, worker: u64) {
         self.attempts.add(worker);
         self.extend(now);
     }
 
     /// A load order was sent to this worker.
-    pub fn order(&mut self, now: Millis, worker: u64) {
+    pub fn load_order_sent(&mut self, now: Millis, worker: u64) {
         self.orders.add(worker);
         self.extend(now);
     }
@@ -234,7 +234,7 @@
 
     /// Queues an entry, behind one that declares those that found no room before.
     fn append_interval(&mut self, interval: Interval, kind: EntryKind) {
-        if self.waiting.len() >= MAX_WAITING {
+        if self.waiting.len() >= MAX_WAITING_ENTRIES {
             self.missing += 1;
             return;
         }
--- a/crates/audit-log/tests/truth.rs
+++ b/crates/audit-log/tests/truth.rs
@@ -136,7 +136,7 @@
             }
             if random.random_bool(0.3) {
                 let tenant = random.random_range(0..TENANTS);
-                recorders[n].call(read, tenant);
+                recorders[n].call_accepted(read, tenant);
                 simulated.calls.push(Call { who: n, at: now, tenant, revision: revisions[n] });
             }
             recorders[n].tick(read, &NumberedNames);
@@ -278,7 +278,7 @@
             let exchange = ClockExchange { sent: at, received: at + 2, leader_time: at + 1 };
             recorder.clock_exchange(LEADER, exchange);
             recorder.view_applied(at, View { epoch: 3 + n, revision: 5, ..View::default() }, &NumberedNames);
-            recorder.call(at, 1);
+            recorder.call_accepted(at, 1);
             recorder.tick(at, &NumberedNames);
         }
         recorder.close(&NumberedNames);
--- a/crates/config/src/settings/limits.rs
+++ b/crates/config/src/settings/limits.rs
@@ -10,7 +10,7 @@
     /// Calls open at once.
     pub open_calls: usize,
     /// Models remembered by name.
-    pub models: usize,
+    pub remembered_models: usize,
     /// A response is given this long before the client's deadline.
     pub answer_margin: Micros,
     /// Timeout of a probe.
@@ -38,11 +38,11 @@
     /// Streams of one connection that are reset before they were handled.
     pub reset_streams: usize,
     /// After how long a connection without calls is closed.
-    pub idle: Micros,
+    pub idle_timeout: Micros,
     /// Within how long an accepted connection must complete the HTTP/2 handshake.
     pub handshake_timeout: Micros,
     /// How long open calls may go on after SIGTERM.
-    pub drain: Micros,
+    pub drain_timeout: Micros,
 }
 
 /// Reads `(limits ...)`.
@@ -57,7 +57,7 @@
     };
     let attempts = integer("attempts", 3, 1);
     let open_calls = integer("open-calls", 20_000, 1);
-    let models = integer("models-remembered", 65_536, 1);
+    let remembered_models = integer("models-remembered", 65_536, 1);
     let connections = integer("connections", 4096, 1);
     let streams = integer("streams-per-connection", 16_384, 1);
     let calls = integer("calls-per-stream", 1024, 1);
@@ -85,7 +85,7 @@
     };
     let edge = EdgeLimits {
         open_calls,
-        models,
+        remembered_models,
         answer_margin: form.micros_or("answer-margin", 10_000),
         probe_timeout: form.micros_or("probe-timeout", 1_000_000),
         pushback: form.micros_or("pushback", 100_000),
@@ -99,9 +99,9 @@
         send_queue: queue as usize,
         stream_window: window as u32,
         reset_streams: reset,
-        idle: form.micros_or("idle", 30_000_000),
+        idle_timeout: form.micros_or("idle", 30_000_000),
         handshake_timeout: form.micros_or("handshake-timeout", 5_000_000),
-        drain: form.micros_or("drain", 30_000_000),
+        drain_timeout: form.micros_or("drain", 30_000_000),
     };
     form.finish();
     (limits, edge)
--- a/crates/config/src/settings/mod.rs
+++ b/crates/config/src/settings/mod.rs
@@ -29,7 +29,7 @@
 pub use limits::EdgeLimits;
 pub use metrics::{Label, MAX_SERIES, MetricsSettings, RemoteWriteSettings};
 pub use models::{MAX_MODELS, Model, Models, Tensor};
-pub use recovery::{GatePolicy, Recovery};
+pub use recovery::{Recovery, RestartAdmissionPolicy};
 
 /// Default of the decision module's step, microseconds.
 const DEFAULT_STEP: Micros = 1_000;
--- a/crates/config/src/settings/recovery.rs
+++ b/crates/config/src/settings/recovery.rs
@@ -6,12 +6,12 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Recovery {
     /// When calls that can't be answered in time are rejected on arrival.
-    pub gate: GatePolicy,
+    pub restart_admission: RestartAdmissionPolicy,
 }
 
 /// When calls are judged on arrival.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum GatePolicy {
+pub enum RestartAdmissionPolicy {
     /// Never.
     Never,
     /// After a start that found the worker list of an earlier incarnation.
@@ -24,9 +24,12 @@
 /// Reads `(recovery ...)`.
 pub(super) fn recovery(top: &mut Form) -> Recovery {
     let mut form = top.list_or_empty("recovery");
-    let words =
-        [("never", GatePolicy::Never), ("restart", GatePolicy::Restart), ("always", GatePolicy::Always)];
-    let gate = form.keyword_or("gate", &words, GatePolicy::Restart);
+    let words = [
+        ("never", RestartAdmissionPolicy::Never),
+        ("restart", RestartAdmissionPolicy::Restart),
+        ("always", RestartAdmissionPolicy::Always),
+    ];
+    let restart_admission = form.keyword_or("gate", &words, RestartAdmissionPolicy::Restart);
     form.finish();
-    Recovery { gate }
+    Recovery { restart_admission }
 }
--- a/crates/config/src/workers.rs
+++ b/crates/config/src/workers.rs
@@ -36,7 +36,7 @@
     /// Its state.
     pub state: WorkerState,
     /// When it last started, microseconds since 1970.
-    pub born: Option<Micros>,
+    pub started_at: Option<Micros>,
 }
 
 /// Parses a worker list. `file`: its name, for errors.
@@ -78,7 +78,7 @@
         weight: form.value_or("weight", 1.0),
         cell: String::new(),
         state: form.keyword_or("state", &states, WorkerState::On),
-        born: form.optional::<TimeSpan>("born").map(|span| span.0),
+        started_at: form.optional::<TimeSpan>("born").map(|span| span.0),
     };
     let (name, address) = (name?, address?);
     Some(Worker { cell: cell.unwrap_or_else(|| name.clone()), name, address, ..defaults })
@@ -94,7 +94,7 @@
             WorkerState::Draining => "draining",
             WorkerState::Gone => "gone",
         };
-        let born = w.born.map_or(String::new(), |us| format!(" (born {us}us)"));
+        let born = w.started_at.map_or(String::new(), |us| format!(" (born {us}us)"));
         let _ = writeln!(
             out,
             "(worker {} (address \"{}\") (zone {}) (kind {}) (weight {}) (cell {}) (state {state}){born})",
--- a/crates/config/src/workers/tests.rs
+++ b/crates/config/src/workers/tests.rs
@@ -8,7 +8,7 @@
         "(worker w1 (address \"127.0.0.1:9001\") (zone \"room \\\"a\\\"\") (state draining) (born 1.5s))
                     (worker w2 (address \"[::1]:9\") (weight 2.5) (cell pod-3))";
     let workers = read("workers.sexp", text).expect("sound");
-    assert_eq!(workers[0].born, Some(1_500_000));
+    assert_eq!(workers[0].started_at, Some(1_500_000));
     assert_eq!(workers[0].cell, "w1");
     assert_eq!(read("again", &write(&workers)), Ok(workers));
 }
--- a/crates/gateway/src/commands/demo.rs
+++ b/crates/gateway/src/commands/demo.rs
@@ -82,7 +82,7 @@
         weight: 1.0,
         cell: handle.name.clone(),
         state: nettleferry::WorkerState::On,
-        born: None,
+        started_at: None,
     }
 }
 
--- a/crates/gateway/src/commands/fleet/audit.rs
+++ b/crates/gateway/src/commands/fleet/audit.rs
@@ -69,7 +69,7 @@
             audit.add_controller(fetched.leader, &checked.entries, false);
         }
         for fault in &checked.errors {
-            audit.add_fault(None, format!("record of {source}: {fault}"));
+            audit.add_gap(None, format!("record of {source}: {fault}"));
         }
     }
     audit.report()
--- a/crates/gateway/src/controller/commands.rs
+++ b/crates/gateway/src/controller/commands.rs
@@ -30,7 +30,7 @@
                     debug!(call = attempt.call.0, attempt = attempt.number, %worker, model = %model.name, "attempt started");
                 }
                 if let Some(audit_log) = &mut self.audit_log {
-                    audit_log.recorder.attempt(self.clock.now_ms(), worker.0);
+                    audit_log.recorder.attempt_sent(self.clock.now_ms(), worker.0);
                 }
                 return self.worker_links.start_attempt(hub, attempt, worker, streamed, time_left, body);
             }
@@ -52,7 +52,7 @@
                 debug!(worker = %self.engine.names().worker_name(worker), %model, copies = replicas, "load ordered");
                 let memory_bytes = self.config.models.find(&model).and_then(|model| model.memory);
                 if let Some(audit_log) = &mut self.audit_log {
-                    audit_log.recorder.order(self.clock.now_ms(), worker.0);
+                    audit_log.recorder.load_order_sent(self.clock.now_ms(), worker.0);
                 }
                 let order = LoadOrder { model: &model, version: &version, memory_bytes, replicas };
                 return self.worker_links.load(hub, request_id, worker, &order);
@@ -106,7 +106,7 @@
         if lease.action_finished(started_at / 1000, now / 1000) {
             let paused_us = now - started_at;
             warn!(paused_us, "lease expired while calls were being accepted: the process was paused");
-            let event = AuditEvent::LeaseEndedMeanwhile { stalled_ms: paused_us / 1000 };
+            let event = AuditEvent::LeaseExpiredDuringPause { stalled_ms: paused_us / 1000 };
             self.record(|recorder, now, names| recorder.event(now, event, names));
         }
     }
--- a/crates/gateway/src/controller/shutdown.rs
+++ b/crates/gateway/src/controller/shutdown.rs
@@ -29,7 +29,7 @@
     /// Accepts no new calls; open ones get their answers.
     fn start_drain(&mut self) {
         info!(open_calls = self.engine.open_calls(), "signal received: draining");
-        self.drain_deadline = Some(self.clock.now() + self.config.edge.drain);
+        self.drain_deadline = Some(self.clock.now() + self.config.edge.drain_timeout);
         self.hub.stop_listening();
         self.hub.go_away();
         self.with_front(|front, context| front.drain(context));
--- a/crates/gateway/src/controller/startup.rs
+++ b/crates/gateway/src/controller/startup.rs
@@ -14,7 +14,7 @@
 use nettleferry_administration::{AdminServer, ControllerContext};
 use nettleferry_audit_log::Recorder;
 use nettleferry_config::Config;
-use nettleferry_config::settings::{self, AdminSettings, GatePolicy};
+use nettleferry_config::settings::{self, AdminSettings, RestartAdmissionPolicy};
 use nettleferry_engine::{Engine, EngineLimits};
 use nettleferry_fleet::gate::{Gate, GateConfig};
 use nettleferry_fleet::lease::{Holder, LeasePolicy};
@@ -95,10 +95,10 @@
 
     /// Limits how many calls are accepted after a restart, where the settings want that.
     fn start_restart_admission(&mut self, restarted: bool) {
-        let limited = match self.config.recovery.gate {
-            GatePolicy::Never => false,
-            GatePolicy::Restart => restarted,
-            GatePolicy::Always => true,
+        let limited = match self.config.recovery.restart_admission {
+            RestartAdmissionPolicy::Never => false,
+            RestartAdmissionPolicy::Restart => restarted,
+            RestartAdmissionPolicy::Always => true,
         };
         if limited {
             self.restart_admission.limiter = Some(Gate::new(GateConfig::default(), self.clock.now_ms()));
@@ -119,7 +119,7 @@
         reset_streams: edge.reset_streams,
         connect_timeout: Duration::from_micros(config.settings.limits.connect_timeout),
         handshake_timeout: Duration::from_micros(edge.handshake_timeout),
-        idle: Duration::from_micros(edge.idle),
+        idle: Duration::from_micros(edge.idle_timeout),
         ..NetLimits::default()
     }
 }
@@ -149,7 +149,7 @@
 fn create_engine(config: &Config, restarted: bool) -> Result<Engine, nettleferry::SettingsError> {
     let limits = EngineLimits {
         open_calls: config.edge.open_calls,
-        models: config.edge.models,
+        models: config.edge.remembered_models,
         answer_margin: config.edge.answer_margin,
         probe_timeout: config.edge.probe_timeout,
     };
--- a/crates/gateway/src/front/accept.rs
+++ b/crates/gateway/src/front/accept.rs
@@ -104,7 +104,7 @@
         self.opened += 1;
         let now = context.now_ms();
         if let Some(recorder) = &mut context.recorder {
-            recorder.call(now, new_call.tenant.map_or(NO_TENANT, |tenant| tenant.0 as u64));
+            recorder.call_accepted(now, new_call.tenant.map_or(NO_TENANT, |tenant| tenant.0 as u64));
         }
         if let Some(limiter) = &mut context.limiter {
             limiter.waiting(now, number, model_number(&new_call.model));
@@ -166,7 +166,7 @@
         let stage = context.lease.as_mut()?.check_call(now);
         if let Some(recorder) = &mut context.recorder {
             let names = ControllerNames { tenants: context.tenants.as_deref(), engine: context.engine };
-            recorder.stage(now, stage.as_str(), &names);
+            recorder.lease_stage_changed(now, stage.as_str(), &names);
             if !stage.accepts_calls() {
                 recorder.call_rejected(now);
             }
--- a/crates/gateway/src/worker_list/mod.rs
+++ b/crates/gateway/src/worker_list/mod.rs
@@ -163,6 +163,6 @@
         weight: worker.weight,
         cell: worker.cell.clone(),
         state: worker.state,
-        started_at: worker.born,
+        started_at: worker.started_at,
     }
 }
--- a/crates/scale/src/measure/list/mod.rs
+++ b/crates/scale/src/measure/list/mod.rs
@@ -290,7 +290,7 @@
         cell: name.clone(),
         name,
         state: WorkerState::On,
-        born: None,
+        started_at: None,
     }
 }
 
--- a/crates/scenario/src/fleet.rs
+++ b/crates/scenario/src/fleet.rs
@@ -172,11 +172,11 @@
     }
 
     /// Changes a worker's line; [`Lists::write`] writes it.
-    pub fn change(&mut self, name: &str, state: WorkerState, born: Option<Micros>) {
+    pub fn change(&mut self, name: &str, state: WorkerState, started_at: Option<Micros>) {
         let mut workers = self.lines.iter_mut().map(|line| &mut line.worker);
         if let Some(worker) = workers.find(|worker| worker.name == name) {
             worker.state = state;
-            worker.born = born.or(worker.born);
+            worker.started_at = started_at.or(worker.started_at);
         }
     }
 
--- a/crates/scenario/src/setup.rs
+++ b/crates/scenario/src/setup.rs
@@ -91,7 +91,7 @@
             weight: 1.0,
             cell: handle.name.clone(),
             state: WorkerState::On,
-            born: script.cold.then(unix_time),
+            started_at: script.cold.then(unix_time),
         };
         workers.locations.insert(handle.name.clone(), Location { zone, cell: handle.name.clone() });
         workers.lines.push(WorkerLine { addresses: handle.doors.clone(), worker });
