--- a/crates/audit-log/src/audit.rs
+++ b/crates/audit-log/src/audit.rs
@@ -1,10 +1,10 @@
-//! The audit over the logs of a fleet: who acted on which version until when, and who acted on one when a newer one
-//! was in force elsewhere or had been acknowledged.
+//! The audit over the logs of a fleet. It reports which controller acted on which version of the tenants and when, and
+//! which controllers still acted on a version after a newer one was applied elsewhere or acknowledged by the leader.
 //!
-//! Every statement is made on the leader's clock, to which each controller's is bounded by its exchanges
-//! ([`crate::clock`]). One is **certain** only where it holds for every clock within the bounds and whatever moment of
-//! an interval an act had; all else is **doubtful** and reported so, with how many acts it may be about. Where a log
-//! is incomplete, the part of which nothing can be said is reported.
+//! All times are compared on the leader's clock; the times of other controllers are known within bounds
+//! ([`crate::clock`]). A finding is **certain** if it holds for all times within these bounds and for any time that an
+//! act may have had within its interval. Otherwise it is **doubtful**, and the report contains the number of calls that
+//! it may apply to. Parts of a log that are missing are reported as gaps.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -15,26 +15,27 @@
 };
 use crate::view::{Version, View};
 
-/// Findings of each kind that are listed; further ones are counted.
+/// The number of findings of each kind that a report lists; further ones are only counted.
 pub const MAX_FINDINGS: usize = 1_000;
 
-/// The stage of a lease that is valid, as entries spell it.
+/// The stage of a valid lease, in the spelling of the entries.
 const STAGE_CURRENT: &str = "current";
 
-/// Acts on one view between two moments.
+/// The counted acts of one entry, with its times on the leader's clock.
 #[derive(Clone, Debug)]
 struct Interval {
     incarnation: Incarnation,
     version: Version,
-    /// When its first and its last act were; `None`: the clock is not known.
+    /// The time of the first act; `None` if the clock is not known.
     first: Option<TimeBounds>,
+    /// The time of the last act; `None` if the clock is not known.
     last: Option<TimeBounds>,
     calls: BTreeMap<String, u64>,
     stage: String,
 }
 
 impl Interval {
-    /// How many of `count` acts in it were after a moment.
+    /// The number of calls after a moment, out of `count` calls in this interval.
     fn after(&self, moment: TimeBounds, count: u64) -> CallCount {
         let (Some(first), Some(last)) = (self.first, self.last) else {
             return CallCount { certain: 0, possible: count };
@@ -49,16 +50,16 @@
     }
 }
 
-/// When an incarnation came to a version.
+/// The time at which an incarnation applied a version.
 #[derive(Clone, Debug)]
 struct Arrival {
     incarnation: Incarnation,
     version: Version,
-    /// `None`: the clock is not known.
+    /// `None` if the clock is not known.
     at: Option<TimeBounds>,
 }
 
-/// An arrival of which the moment is known.
+/// An arrival whose time is known.
 #[derive(Clone, Copy, Debug)]
 struct KnownArrival {
     incarnation: Incarnation,
@@ -66,7 +67,7 @@
     at: TimeBounds,
 }
 
-/// A change that the leader accepted.
+/// A change of a tenant that the leader accepted.
 #[derive(Clone, Debug)]
 struct AcceptedChange {
     tenant: String,
@@ -74,32 +75,33 @@
     restricts: bool,
 }
 
-/// When the acts of one epoch surely were.
+/// The time span within which controllers certainly acted on one epoch, on the leader's clock.
 #[derive(Clone, Debug)]
 struct EpochActivity {
-    /// The earliest moment by which its acts had surely begun.
-    begun: i64,
-    /// The latest moment up to which they surely went on.
-    until: i64,
+    /// The earliest time by which the acts had certainly started.
+    certain_start: i64,
+    /// The latest time until which the acts certainly continued.
+    certain_end: i64,
     incarnations: BTreeSet<Incarnation>,
 }
 
-/// Gathers the logs of a fleet, and reports what they show.
+/// Collects the logs of a fleet and evaluates them.
 #[derive(Clone, Debug, Default)]
 pub struct Audit {
     intervals: Vec<Interval>,
     arrivals: Vec<Arrival>,
     accepted: BTreeMap<Version, AcceptedChange>,
-    /// When the leader acknowledged a change as in force everywhere.
+    /// The time at which the leader acknowledged each change as in force on all controllers.
     in_force: BTreeMap<Version, TimeBounds>,
-    /// What each incarnation logged that explains a delay.
+    /// Logged events of each incarnation that explain why it acted on an old version.
     explanations: BTreeMap<Incarnation, BTreeSet<String>>,
     gaps: Vec<Gap>,
 }
 
 impl Audit {
-    /// Takes in the leader's own log. `incarnation`: the leader's, on whose clock the audit is made; entries of its
-    /// earlier incarnations tell of changes, and of no moment on this clock.
+    /// Adds the log of the leader's administration. `incarnation` is the leader's current one, whose clock the audit
+    /// uses. From earlier incarnations only the accepted changes are used, since their clocks are unrelated to this
+    /// one.
     pub fn add_leader(&mut self, incarnation: u64, entries: &[Entry]) {
         for entry in entries {
             match &entry.kind {
@@ -121,15 +123,15 @@
         self.add_controller(incarnation, entries, true);
     }
 
-    /// Takes in a controller's log. `leader`: the leader's incarnation, on whose clock the audit is made.
-    /// `is_leader`: this is the leader's own log.
+    /// Adds the log of a controller. `leader` is the incarnation of the leader whose clock the audit uses; `is_leader`
+    /// tells whether the leader wrote this log.
     pub fn add_controller(&mut self, leader: u64, entries: &[Entry], is_leader: bool) {
         for run in entries.chunk_by(|one, next| one.incarnation == next.incarnation) {
             self.add_incarnation(leader, run, is_leader);
         }
     }
 
-    /// Takes in the entries of one incarnation, which are not empty.
+    /// Adds the entries of one incarnation; there is at least one.
     fn add_incarnation(&mut self, leader: u64, entries: &[Entry], is_leader: bool) {
         let incarnation = entries.first().map_or(0, |entry| entry.incarnation);
         let started = entries.iter().find_map(|entry| match &entry.kind {
@@ -143,9 +145,10 @@
         };
         let who = Incarnation { controller, incarnation };
         let clock = clock_bounds(leader, entries);
-        // The leader's own controller has its clock.
-        let own = is_leader && incarnation == leader;
-        let bounds = |moment| if own { Some(TimeBounds::at(moment)) } else { clock.bounds_of(moment) };
+        // Entries of the leader itself are already on the leader's clock.
+        let on_leader_clock = is_leader && incarnation == leader;
+        let bounds =
+            |moment| if on_leader_clock { Some(TimeBounds::at(moment)) } else { clock.bounds_of(moment) };
         let mut views: BTreeMap<u32, &View> = BTreeMap::new();
         for entry in entries {
             match &entry.kind {
@@ -172,13 +175,13 @@
                 _ => self.add_explanation(who, entry),
             }
         }
-        if !own && bounds(entries.last().map_or(0, |entry| entry.to)).is_none() {
+        if !on_leader_clock && bounds(entries.last().map_or(0, |entry| entry.to)).is_none() {
             let reason = "its clock is not known: it exchanged nothing with this incarnation of the leader";
             self.add_gap(Some(who), reason.to_owned());
         }
     }
 
-    /// Takes in an entry that explains a delay, or declares a gap.
+    /// Adds an entry that explains why the incarnation acted on an old version, or that declares a gap.
     fn add_explanation(&mut self, who: Incarnation, entry: &Entry) {
         match &entry.kind {
             EntryKind::Event { event: Event::LeaseExpiredDuringPause { stalled_ms }, .. } => {
@@ -202,12 +205,12 @@
         self.explanations.entry(who).or_default().insert(explanation);
     }
 
-    /// Takes in what is wrong with a log that was read.
+    /// Adds a part of a log that can't be evaluated, for example because its hash chain is broken.
     pub fn add_gap(&mut self, incarnation: Option<Incarnation>, reason: String) {
         self.gaps.push(Gap { incarnation, reason });
     }
 
-    /// Why an incarnation acted on an old version while its lease was at this stage.
+    /// The reason why an incarnation acted on an old version while its lease was at `stage`.
     fn explanation(&self, who: Incarnation, stage: &str) -> String {
         let mut all: Vec<String> = self.explanations.get(&who).into_iter().flatten().cloned().collect();
         if stage != STAGE_CURRENT {
@@ -218,7 +221,7 @@
         all.join("; ")
     }
 
-    /// What the logs show.
+    /// Evaluates the logs added so far.
     pub fn report(&self) -> Report {
         let mut report = Report { actors: self.actors(), forks: self.forks(), ..Report::default() };
         self.find_stale_activity(&mut report);
@@ -244,7 +247,8 @@
         all.into_values().collect()
     }
 
-    /// The newer version that was the first to be surely in force at another controller.
+    /// The version newer than `version` that another controller was the first to apply, judged by the latest possible
+    /// times.
     fn first_newer(&self, who: Incarnation, version: Version) -> Option<KnownArrival> {
         let others = self.arrivals.iter().filter(|arrival| arrival.incarnation.controller != who.controller);
         let newer = others.filter(|arrival| arrival.version > version);
@@ -267,7 +271,8 @@
         }
     }
 
-    /// What one incarnation did on one version, in these intervals, after a newer one was in force elsewhere.
+    /// The finding on `intervals`, all of one incarnation and one version, for a newer version that another controller
+    /// applied. `None` if no call can have been accepted after that.
     fn stale_activity(&self, intervals: &[&Interval], newer: KnownArrival) -> Option<StaleActivity> {
         let &Interval { incarnation, version, .. } = *intervals.first()?;
         let mut calls: BTreeMap<String, CallCount> = BTreeMap::new();
@@ -282,7 +287,7 @@
                 certain |= found.certain > 0;
                 possible |= found.possible > 0;
             }
-            // Its last act itself is surely an act, whatever the moments of those before.
+            // The last act certainly happened at the end of the interval, whenever the earlier ones did.
             if let Some(last) = interval.last {
                 certain |= last.is_after(newer.at);
                 least_ms = least_ms.max(last.earliest - newer.at.latest);
@@ -316,7 +321,8 @@
         }
     }
 
-    /// Calls that were accepted without this change after it was acknowledged, by incarnation.
+    /// Calls of the changed tenant that were accepted on an older version after the change was acknowledged, by
+    /// incarnation.
     fn late_calls(
         &self,
         version: Version,
@@ -343,26 +349,27 @@
         })
     }
 
-    /// Epochs whose acts overlap for sure: two histories of one store were acted on at once.
+    /// Pairs of epochs on which controllers certainly acted at the same time, which means that two histories of the
+    /// store were in use.
     fn forks(&self) -> Vec<Fork> {
         let mut by_epoch: BTreeMap<u64, EpochActivity> = BTreeMap::new();
         for interval in self.intervals.iter().filter(|interval| interval.version.epoch > 0) {
             let (Some(first), Some(last)) = (interval.first, interval.last) else { continue };
             let activity = by_epoch.entry(interval.version.epoch).or_insert_with(|| EpochActivity {
-                begun: i64::MAX,
-                until: i64::MIN,
+                certain_start: i64::MAX,
+                certain_end: i64::MIN,
                 incarnations: BTreeSet::new(),
             });
-            // What is surely within: from the latest first to the earliest last.
-            activity.begun = activity.begun.min(first.latest);
-            activity.until = activity.until.max(last.earliest);
+            // The first act had happened by its latest possible time, the last one not before its earliest.
+            activity.certain_start = activity.certain_start.min(first.latest);
+            activity.certain_end = activity.certain_end.max(last.earliest);
             activity.incarnations.insert(interval.incarnation);
         }
         let all: Vec<_> = by_epoch.into_iter().collect();
         let mut forks = Vec::new();
         for (index, (older, before)) in all.iter().enumerate() {
             for (newer, after) in &all[index + 1..] {
-                if after.begun < before.until {
+                if after.certain_start < before.certain_end {
                     let sides: BTreeSet<_> =
                         before.incarnations.union(&after.incarnations).copied().collect();
                     forks.push(Fork { epochs: vec![*older, *newer], sides: sides.into_iter().collect() });
@@ -373,12 +380,12 @@
     }
 }
 
-/// The clock of an incarnation against the leader's, from the exchanges that it logged.
+/// Relates the clock of an incarnation to the leader's, from the exchanges in its log.
 fn clock_bounds(leader: u64, entries: &[Entry]) -> ClockBounds {
     let mut clock = ClockBounds::default();
     for entry in entries {
-        if let EntryKind::ClockExchange { leader: by, leader_time } = &entry.kind
-            && *by == leader
+        if let EntryKind::ClockExchange { leader: answered_by, leader_time } = &entry.kind
+            && *answered_by == leader
         {
             clock.add_exchange(ClockExchange {
                 sent: entry.from,
@@ -390,8 +397,8 @@
     clock
 }
 
-/// How many of `count` calls in an interval came after a newer version was in force elsewhere, which was at a moment
-/// within `newer`: certainly after its latest moment, possibly after its earliest.
+/// The number of calls after a newer version was applied elsewhere, out of `count` calls in an interval. `newer` bounds
+/// the time of that application: calls are certainly late after its latest time, and possibly late after its earliest.
 fn stale_calls(interval: &Interval, newer: TimeBounds, count: u64) -> CallCount {
     let at = |moment| TimeBounds { earliest: moment, latest: moment };
     CallCount {
@@ -400,7 +407,7 @@
     }
 }
 
-/// Lists findings up to the bound; how many were left out.
+/// Appends findings up to [`MAX_FINDINGS`] and returns how many were left out.
 fn extend_bounded<T>(all: &mut Vec<T>, found: impl IntoIterator<Item = T>) -> u64 {
     let mut omitted = 0;
     for finding in found {
--- a/crates/audit-log/src/chain.rs
+++ b/crates/audit-log/src/chain.rs
@@ -1,65 +1,65 @@
-//! Is an audit log complete? Finds entries that are missing, altered or unreadable, and says where. What follows from
-//! that is left to [`crate::audit`].
+//! Checks that an audit log is complete: finds entries that are missing, altered or unreadable, with their positions.
+//! [`crate::audit`] reports them as gaps.
 
 use crate::entry::{Entry, EntryKind, GENESIS_HASH, hash};
 use crate::recorder::Tail;
 
-/// What is wrong with an audit log.
+/// A defect of an audit log.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ChainError {
-    /// A text is no entry.
+    /// A text cannot be parsed as an entry.
     #[error("text {index} is no entry: it was altered")]
     Unreadable {
-        /// Its index among the texts, from 0.
+        /// Index of the text in the log, from 0.
         index: usize,
     },
-    /// Entries between these two numbers are missing.
+    /// The entries between two numbers are missing.
     #[error("entries {} to {} are missing", after + 1, before - 1)]
     Missing {
-        /// The last entry before the gap.
+        /// Number of the last entry before the gap.
         after: u64,
-        /// The first entry behind it.
+        /// Number of the first entry after the gap.
         before: u64,
     },
-    /// An entry does not follow on the text before it: one of the two was altered.
+    /// The hash in an entry is not that of the previous text: one of the two was altered.
     #[error("entry {number} does not follow on the one before: one of them was altered")]
     Altered {
-        /// The entry that does not follow.
+        /// Number of the entry whose hash does not match.
         number: u64,
     },
-    /// The log itself says that entries are missing.
+    /// An entry declares that entries were lost before it; see [`EntryKind::Gap`].
     #[error("entry {number} says that {entries} entries are missing: {why}")]
     DeclaredGap {
-        /// The entry that says so.
+        /// Number of the declaring entry.
         number: u64,
-        /// How many are missing.
+        /// Number of missing entries.
         entries: u64,
-        /// Why.
+        /// Why they are missing.
         why: String,
     },
     /// The log does not begin with its first entry: the oldest were deleted to bound its size.
     #[error("it begins with entry {first}: the oldest were deleted")]
     Truncated {
-        /// The oldest entry that is there.
+        /// Number of the oldest remaining entry.
         first: u64,
     },
 }
 
-/// An audit log as it was read.
+/// The result of checking an audit log.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct CheckedLog {
-    /// Its entries, without texts that could not be read.
+    /// The entries in order, without the texts that could not be parsed.
     pub entries: Vec<Entry>,
-    /// What is wrong with it.
+    /// The defects found, in order.
     pub errors: Vec<ChainError>,
-    /// Its end, on which the next entry is to follow; `None`: it has no entry.
+    /// The end of the log, to which the next entry is chained; `None` if the log has no entry.
     pub tail: Option<Tail>,
 }
 
-/// Reads an audit log's texts in order.
+/// Parses the texts of an audit log, given in order, and checks the hash chain.
 pub fn check<'a>(texts: impl IntoIterator<Item = &'a str>) -> CheckedLog {
     let mut checked = CheckedLog::default();
-    // `None` after a text that is no entry.
+    // `None` after an unreadable text: the link from it to the next entry can't be checked.
     let mut previous = Some(Tail { number: 0, hash: GENESIS_HASH.to_owned() });
     for (index, text) in texts.into_iter().enumerate() {
         let Ok(entry) = Entry::from_json(text) else {
@@ -80,7 +80,7 @@
     checked
 }
 
-/// Why an entry does not follow on the one before; `None`: it does.
+/// The defect between an entry and the previous one; `None` if the entry is chained to it.
 fn broken_link(previous: &Tail, entry: &Entry) -> Option<ChainError> {
     let number = entry.number;
     if previous.number == 0 && number > 1 {
--- a/crates/audit-log/src/chain/tests.rs
+++ b/crates/audit-log/src/chain/tests.rs
@@ -18,9 +18,9 @@
 
 fn log() -> Vec<String> {
     let mut all = Vec::new();
-    let mut left = None;
+    let mut tail = None;
     for incarnation in 1..=2 {
-        let mut recorder = Recorder::new(0, incarnation, 3, "1.0", left.take());
+        let mut recorder = Recorder::new(0, incarnation, 3, "1.0", tail.take());
         for revision in 1..4 {
             recorder.view_applied(revision * 10, View { revision, ..View::default() }, &NumberedNames);
             recorder.call_accepted(revision * 10 + 1, 7);
@@ -29,12 +29,12 @@
         }
         recorder.close(&NumberedNames);
         all.extend(recorder.take(usize::MAX));
-        left = check(all.iter().map(String::as_str)).tail;
+        tail = check(all.iter().map(String::as_str)).tail;
     }
     all
 }
 
-fn faults(texts: &[String]) -> Vec<ChainError> {
+fn chain_errors(texts: &[String]) -> Vec<ChainError> {
     check(texts.iter().map(String::as_str)).errors
 }
 
@@ -56,20 +56,27 @@
     for index in 1..texts.len() - 1 {
         let mut lost = texts.clone();
         lost.remove(index);
-        assert_eq!(faults(&lost), [ChainError::Missing { after: index as u64, before: index as u64 + 2 }]);
+        assert_eq!(
+            chain_errors(&lost),
+            [ChainError::Missing { after: index as u64, before: index as u64 + 2 }]
+        );
         let mut altered = texts.clone();
-        // One digit of a time or a count: still a line, and no longer the same.
+        // A changed time leaves the text a valid entry, so only the hash shows the change.
         altered[index] = altered[index].replacen("\"from\":", "\"from\":1", 1);
-        assert_eq!(faults(&altered), [ChainError::Altered { number: index as u64 + 2 }], "line {index}");
+        assert_eq!(
+            chain_errors(&altered),
+            [ChainError::Altered { number: index as u64 + 2 }],
+            "line {index}"
+        );
         let mut garbled = texts.clone();
         garbled[index].truncate(9);
-        assert_eq!(faults(&garbled), [ChainError::Unreadable { index }]);
+        assert_eq!(chain_errors(&garbled), [ChainError::Unreadable { index }]);
     }
-    assert_eq!(faults(&texts[4..]), [ChainError::Truncated { first: 5 }]);
+    assert_eq!(chain_errors(&texts[4..]), [ChainError::Truncated { first: 5 }]);
 }
 
 #[test]
-fn entries_that_find_no_room_are_declared_missing() {
+fn entries_dropped_from_full_queue_are_declared_missing() {
     let mut recorder = Recorder::new(0, 1, 3, "1.0", None);
     for revision in 0..5_000 {
         recorder.view_applied(revision, View { revision, ..View::default() }, &NumberedNames);
@@ -78,8 +85,8 @@
     let mut texts: Vec<String> = recorder.take(usize::MAX).collect();
     recorder.view_applied(9_000, View { revision: 9_000, ..View::default() }, &NumberedNames);
     texts.extend(recorder.take(usize::MAX));
-    let [ChainError::DeclaredGap { entries: lines, .. }] = &faults(&texts)[..] else {
-        panic!("{:?}", faults(&texts))
+    let [ChainError::DeclaredGap { entries, .. }] = &chain_errors(&texts)[..] else {
+        panic!("{:?}", chain_errors(&texts))
     };
-    assert_eq!(*lines, 5_001 - crate::recorder::MAX_WAITING_ENTRIES as u64);
+    assert_eq!(*entries, 5_001 - crate::recorder::MAX_WAITING_ENTRIES as u64);
 }
--- a/crates/audit-log/src/clock.rs
+++ b/crates/audit-log/src/clock.rs
@@ -1,65 +1,68 @@
-//! Which moments on the leader's clock a moment of a controller may be. Each exchange bounds the difference of the
-//! two clocks by its own round trip: what the leader's clock read lies between request and response. Away from an
-//! exchange the bounds widen by what two clocks may drift.
+//! Converts times on a controller's clock into bounds on the leader's clock.
+//!
+//! Each exchange bounds the difference between the two clocks: the leader read its clock between the controller's
+//! request and the response, so the uncertainty is the round-trip time. For a time that is not within an exchange, the
+//! bounds widen by the possible drift of the clocks in between.
 
 use crate::Millis;
 
-/// What two clocks may drift apart, in thousandths of the time that passes: the same as for leases.
+/// The assumed drift between two clocks, in thousandths of the elapsed time; the same as for leases.
 pub const DRIFT_PER_MILLE: Millis = 10;
-/// Exchanges of one incarnation that are remembered; beyond them only every second one, then every fourth, and so on.
+/// The number of exchanges that are stored for one incarnation. When it is reached, only every second exchange is kept
+/// and added, then every fourth, and so on.
 pub const MAX_EXCHANGES: usize = 8_192;
 
-/// The earliest and the latest moment that one may be, in milliseconds of the leader's clock; negative before the
-/// leader's start.
+/// Bounds of a moment on the leader's clock, milliseconds, both inclusive. Values are negative before the leader's
+/// start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TimeBounds {
-    /// The earliest.
+    /// The earliest possible time.
     pub earliest: i64,
-    /// The latest.
+    /// The latest possible time.
     pub latest: i64,
 }
 
 impl TimeBounds {
-    /// The bounds of a known moment.
+    /// The bounds of a moment whose time on the leader's clock is known exactly.
     pub fn at(moment: Millis) -> Self {
         let moment = signed(moment);
         Self { earliest: moment, latest: moment }
     }
 
-    /// Is it surely after the other?
+    /// Whether this moment is certainly after the other.
     pub fn is_after(self, other: Self) -> bool {
         self.earliest > other.latest
     }
 
-    /// Is it surely before the other, or the same moment?
+    /// Whether this moment is certainly before or equal to the other.
     pub fn is_not_after(self, other: Self) -> bool {
         self.latest <= other.earliest
     }
 }
 
-/// A request to the leader and its response.
+/// The times of a request to the leader and its response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClockExchange {
-    /// When the request was sent, by the controller's clock.
+    /// When the request was sent, on the controller's clock.
     pub sent: Millis,
-    /// When the response had come, by the controller's clock.
+    /// When the response was received, on the controller's clock.
     pub received: Millis,
-    /// What the leader's clock read in between.
+    /// A reading of the leader's clock between the two.
     pub leader_time: Millis,
 }
 
-/// A controller's clock against the leader's.
+/// Relates the clock of one incarnation of a controller to the leader's clock.
 #[derive(Clone, Debug, Default)]
 pub struct ClockBounds {
     exchanges: Vec<ClockExchange>,
-    /// One of so many exchanges is remembered; 0 as 1.
+    /// One in this many exchanges is stored; 0 means 1.
     stride: usize,
-    /// Exchanges since the last one that was remembered.
+    /// The number of exchanges since the last stored one.
     skipped: usize,
 }
 
 impl ClockBounds {
-    /// Takes in an exchange.
+    /// Adds an exchange. Exchanges are added in the order in which they happened.
     pub fn add_exchange(&mut self, exchange: ClockExchange) {
         self.skipped += 1;
         if self.skipped < self.stride.max(1) {
@@ -73,7 +76,8 @@
         self.exchanges.push(ClockExchange { received, ..exchange });
     }
 
-    /// Forgets every second exchange, and remembers only as many from now on: they span the incarnation evenly.
+    /// Drops every second exchange and doubles the stride, so that the stored exchanges stay evenly spread over the
+    /// incarnation.
     fn halve(&mut self) {
         self.stride = self.stride.max(1) * 2;
         let mut keep = false;
@@ -83,7 +87,8 @@
         });
     }
 
-    /// Which moments on the leader's clock this moment of the controller may be; `None`: nothing is known.
+    /// The bounds on the leader's clock of a time on the controller's clock. `None` if there was no exchange, or if the
+    /// exchanges contradict each other.
     pub fn bounds_of(&self, moment: Millis) -> Option<TimeBounds> {
         let moment = i64::try_from(moment).ok()?;
         let bounds = self.exchanges.iter().map(|exchange| bounds_by(exchange, moment));
@@ -91,16 +96,16 @@
             earliest: one.earliest.max(other.earliest),
             latest: one.latest.min(other.latest),
         })?;
-        // Exchanges that contradict each other: a clock drifted more than any may. Nothing is known then.
+        // Empty bounds: a clock drifted by more than DRIFT_PER_MILLE, so no bound can be trusted.
         (all.earliest <= all.latest).then_some(all)
     }
 }
 
-/// What one exchange says of a moment of the controller.
+/// The bounds that one exchange implies for a time on the controller's clock.
 fn bounds_by(exchange: &ClockExchange, moment: i64) -> TimeBounds {
     let (sent, received) = (signed(exchange.sent), signed(exchange.received));
     let leader_time = signed(exchange.leader_time);
-    // The farthest that the reading may lie from this moment, by the controller's clock.
+    // The longest possible time between the leader's reading and `moment`, on the controller's clock.
     let distance = (moment - sent).abs().max((moment - received).abs());
     let drift = (distance * DRIFT_PER_MILLE as i64 + 999) / 1_000;
     TimeBounds {
--- a/crates/audit-log/src/clock/tests.rs
+++ b/crates/audit-log/src/clock/tests.rs
@@ -14,7 +14,7 @@
     assert_eq!(clock.bounds_of(1_005), Some(TimeBounds { earliest: 49_994, latest: 50_006 }));
     let later = clock.bounds_of(11_000).expect("known");
     assert_eq!((later.earliest, later.latest), (59_890, 60_100));
-    // A slow exchange says less, and takes nothing away.
+    // A slow exchange has wider bounds and does not widen the known ones.
     clock.add_exchange(exchange(10_000, 15_000, 60_500));
     let now = clock.bounds_of(11_000).expect("known");
     assert!(now.earliest >= 59_890 && now.latest <= 60_100, "{now:?}");
--- a/crates/audit-log/src/entry.rs
+++ b/crates/audit-log/src/entry.rs
@@ -1,5 +1,6 @@
-//! An entry of the audit log: one JSON text. Its `prev` is the hash of the text before it, so that the next entry
-//! shows whether one was lost or altered. The spelling of the JSON is that of earlier versions.
+//! An entry of the audit log: one JSON text. The field `prev` is the hash of the previous text, so that a lost or
+//! altered entry is detected at the next one. The names in the JSON are those of earlier versions, whose logs are still
+//! read.
 
 use std::collections::BTreeMap;
 
@@ -10,180 +11,180 @@
 use crate::Millis;
 use crate::view::View;
 
-/// A hash as it is written in an entry: hexadecimal digits.
+/// A hash in the form in which entries contain it: 32 hexadecimal digits.
 pub type Hash = String;
 
-/// The hash before the first entry.
+/// The value of [`Entry::prev`] in the first entry of a log.
 pub const GENESIS_HASH: &str = "00000000000000000000000000000000";
 
-/// The hash of an entry's text: BLAKE2s, 16 bytes.
+/// Computes the hash of an entry's text: BLAKE2s with an output of 16 bytes.
 pub fn hash(text: &str) -> Hash {
     let mut hasher = Blake2s::<U16>::new();
     hasher.update(text.as_bytes());
     hasher.finalize().iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// An entry.
+/// An entry of the audit log.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Entry {
-    /// One more than the entry before, over all incarnations that wrote to this disk.
+    /// The sequence number, from 1; it continues over all incarnations that write to the same folder.
     #[serde(rename = "n")]
     pub number: u64,
-    /// The random number of the incarnation that wrote it; see [`EntryKind::Started`].
+    /// The random identifier of the incarnation that wrote the entry; see [`EntryKind::Started`].
     #[serde(rename = "life")]
     pub incarnation: u64,
-    /// When what it states began, by the clock of that incarnation.
+    /// The start of the interval that the entry covers, on the clock of that incarnation.
     pub from: Millis,
-    /// When what it states ended.
+    /// The end of that interval; equal to `from` for a single event.
     pub to: Millis,
-    /// The hash of the entry before.
+    /// The hash of the previous entry's text; [`GENESIS_HASH`] in the first entry.
     pub prev: Hash,
-    /// What it states.
+    /// The content.
     #[serde(flatten)]
     pub kind: EntryKind,
 }
 
-/// What an entry states.
+/// The content of an entry.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "what", rename_all = "snake_case")]
 pub enum EntryKind {
     /// An incarnation started.
     #[serde(rename = "began")]
     Started {
-        /// The controller's number.
+        /// The number of the controller.
         controller: u32,
-        /// The program's version.
+        /// The version of the program.
         program: String,
     },
-    /// The controller acts on this view from now on.
+    /// The controller applied a new view, on which all following acts depend.
     View {
-        /// Its number in this incarnation.
+        /// The number of the view in this incarnation, from 1.
         view: u32,
-        /// Its parts.
+        /// The view itself.
         parts: View,
     },
-    /// How many acts of each kind there were, all under one view and at one stage of the lease.
+    /// Counts of the acts in an interval. They were all done under the same view and at the same stage of the lease.
     #[serde(rename = "did")]
     Activity {
-        /// The number of the view.
+        /// The number of the view; 0 if none was applied yet.
         view: u32,
-        /// The stage of the lease.
+        /// The stage of the lease, such as `current`.
         stage: String,
-        /// Calls accepted, by tenant.
+        /// Accepted calls by tenant.
         #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
         calls: BTreeMap<String, u64>,
-        /// Attempts sent, by worker.
+        /// Sent attempts by worker.
         #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
         attempts: BTreeMap<String, u64>,
-        /// Load orders sent, by worker.
+        /// Sent load orders by worker.
         #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
         orders: BTreeMap<String, u64>,
-        /// Calls rejected for want of a lease.
+        /// Calls rejected because the controller had no lease.
         #[serde(default, skip_serializing_if = "is_zero")]
         refused: u64,
     },
-    /// An act that is rare or may be disputed.
+    /// A single event that is recorded individually because it is rare or explains a finding.
     #[serde(rename = "one")]
     Event {
-        /// The number of the view.
+        /// The number of the view; 0 if none was applied yet.
         view: u32,
-        /// The act.
+        /// The event.
         #[serde(rename = "act")]
         event: Event,
     },
-    /// An exchange with the leader: between `from`, when the request was sent, and `to`, when the response had come,
-    /// its clock read `leader_time`.
+    /// A request to the leader and its response, from which the difference between the two clocks is bounded. The
+    /// request was sent at the entry's `from`, the response was received at its `to`.
     #[serde(rename = "heard")]
     ClockExchange {
-        /// The leader's incarnation.
+        /// The identifier of the leader's incarnation.
         #[serde(rename = "by")]
         leader: u64,
-        /// What its clock read.
+        /// A reading of the leader's clock between request and response.
         #[serde(rename = "at")]
         leader_time: Millis,
     },
-    /// Entries are missing here.
+    /// Entries before this one were dropped.
     Gap {
-        /// How many.
+        /// The number of dropped entries.
         lines: u64,
-        /// Why.
+        /// The reason.
         why: String,
     },
-    /// The leader accepted a change.
+    /// The leader accepted a change of a tenant.
     Accepted {
-        /// The store's epoch.
+        /// The epoch of the tenant store.
         epoch: u64,
-        /// The number of the change.
+        /// The number of the change in that epoch.
         revision: u64,
-        /// The tenant that was changed.
+        /// The name of the changed tenant.
         tenant: String,
-        /// What was done to it.
+        /// The kind of change, such as `suspend` or `remove`.
         action: String,
-        /// It takes something away.
+        /// Whether the change restricts the tenant: a suspension, a removal, a withdrawn right or a lowered limit.
         #[serde(rename = "binds")]
         restricts: bool,
     },
-    /// The leader acknowledged that a change is in force everywhere.
+    /// The leader confirmed to a client of the API that a change is in force on all controllers.
     #[serde(rename = "everywhere")]
     InForce {
-        /// The store's epoch.
+        /// The epoch of the tenant store.
         epoch: u64,
-        /// The number of the change.
+        /// The number of the change in that epoch.
         revision: u64,
     },
 }
 
-/// An act that is rare or may be disputed.
+/// An event that is recorded individually.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "act", rename_all = "snake_case")]
 pub enum Event {
-    /// This controller acts on another state of a tenant from now on.
+    /// The controller applied a new state of a tenant.
     Tenant {
-        /// The tenant.
+        /// The name of the tenant.
         tenant: String,
-        /// Its state: active, suspended, removing, gone.
+        /// The new state: `active`, `suspended`, `removing`, or `gone` if the tenant was deleted.
         state: String,
     },
-    /// An operator drained a worker, or ended that.
+    /// An operator started or ended the drain of a worker.
     Drained {
-        /// The worker.
+        /// The name of the worker.
         worker: String,
-        /// True: it is drained.
+        /// Whether the drain started; false if it ended.
         drained: bool,
     },
     /// The stage of the controller's lease changed.
     #[serde(rename = "stage")]
     LeaseStageChanged {
-        /// The stage.
+        /// The new stage.
         stage: String,
     },
-    /// Calls were accepted while the lease ended, as the process stood still.
+    /// Calls were accepted although the lease expired in the meantime, because the process was paused.
     #[serde(rename = "doubtful")]
     LeaseExpiredDuringPause {
-        /// For how long it stood still, milliseconds.
+        /// The length of the pause, milliseconds.
         #[serde(rename = "stood_ms")]
         stalled_ms: Millis,
     },
-    /// This incarnation was fenced.
+    /// The incarnation was fenced: it accepts no calls any more.
     Fenced,
 }
 
-/// By reference, as serde calls it.
+/// Takes a reference because serde's `skip_serializing_if` passes one.
 fn is_zero(count: &u64) -> bool {
     *count == 0
 }
 
 impl Entry {
-    /// Its text, as it is written and hashed.
+    /// Serializes the entry to the text that is stored and hashed.
     pub fn to_json(&self) -> String {
-        // Every part of an entry can be written as JSON: its maps have strings for keys.
+        // Serialization can't fail: the only maps have strings as keys.
         serde_json::to_string(self).unwrap_or_default()
     }
 
-    /// Reads an entry from its text.
+    /// Parses an entry from its text.
     ///
     /// # Errors
-    /// Where the text is no entry.
+    /// If the text is not the JSON of an entry.
     pub fn from_json(text: &str) -> Result<Self, serde_json::Error> {
         serde_json::from_str(text)
     }
--- a/crates/audit-log/src/findings.rs
+++ b/crates/audit-log/src/findings.rs
@@ -1,4 +1,4 @@
-//! What an audit finds: its report and the parts of it. The field names of the JSON are those of earlier versions.
+//! The report of an audit and its findings. The field names in the JSON are those of earlier versions.
 
 use std::collections::BTreeMap;
 
@@ -6,33 +6,33 @@
 
 use crate::view::Version;
 
-/// One run of one controller's process.
+/// One run of a controller's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 pub struct Incarnation {
-    /// The controller's number.
+    /// The number of the controller.
     pub controller: u32,
-    /// The random number of this run.
+    /// The random identifier of the run.
     #[serde(rename = "life")]
     pub incarnation: u64,
 }
 
-/// Whether a finding holds for every clock within the bounds.
+/// Whether a finding is proven, given the uncertainty of the clocks and of the times within an interval.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Certainty {
-    /// It holds for every clock within the bounds.
+    /// The finding holds for all possible times.
     Certain,
-    /// It holds for some.
+    /// The finding holds for some possible times only.
     Doubtful,
 }
 
-/// How many calls a finding is about. Written as a pair.
+/// The number of calls that a finding applies to. Serialized as a pair.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 #[serde(into = "(u64, u64)")]
 pub struct CallCount {
-    /// Calls that it is about for every clock within the bounds.
+    /// Calls to which the finding certainly applies.
     pub certain: u64,
-    /// Calls that it may be about; the certain ones among them.
+    /// Calls to which the finding may apply, including the certain ones.
     pub possible: u64,
 }
 
@@ -53,106 +53,108 @@
     }
 }
 
-/// What one incarnation did on one version.
+/// The activity of one incarnation on one version of the tenants.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Actor {
-    /// Which incarnation.
+    /// The incarnation.
     #[serde(rename = "who")]
     pub incarnation: Incarnation,
-    /// On which version.
+    /// The version that it acted on.
     #[serde(rename = "book")]
     pub version: Version,
-    /// The earliest moment of its first act on it, milliseconds of the leader's clock; `None`: its clock is not known.
+    /// The earliest possible time of its first act on the version, milliseconds on the leader's clock; `None` if its
+    /// clock is not known.
     pub from: Option<i64>,
-    /// The latest moment of its last act on it; see `from`.
+    /// The latest possible time of its last act on the version; see `from`.
     pub to: Option<i64>,
-    /// Calls accepted on it.
+    /// The number of calls that it accepted on the version.
     pub calls: u64,
 }
 
-/// Acts on a version after a newer one was in force elsewhere.
+/// Activity on a version after another controller had applied a newer one.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct StaleActivity {
-    /// Whose acts.
+    /// The incarnation that acted on the old version.
     #[serde(rename = "who")]
     pub incarnation: Incarnation,
-    /// On which version.
+    /// The version that it acted on.
     #[serde(rename = "book")]
     pub version: Version,
-    /// The first newer version that was in force elsewhere.
+    /// The newer version that another controller applied first.
     pub newer: Version,
-    /// Where it was in force.
+    /// The incarnation that applied the newer version.
     pub elsewhere: Incarnation,
-    /// Whether this holds for every clock within the bounds.
+    /// Whether the finding is certain.
     #[serde(rename = "sure")]
     pub certainty: Certainty,
-    /// For how long at the least, milliseconds.
+    /// Lower bound of the time from the newer version's application to the last act on the old one, milliseconds.
     pub least_ms: i64,
-    /// For how long at the most, milliseconds.
+    /// Upper bound of that time, milliseconds.
     pub most_ms: i64,
-    /// Calls accepted after the newer version was in force, by tenant.
+    /// The calls that were accepted after the newer version was applied, by tenant.
     pub calls: BTreeMap<String, CallCount>,
-    /// Why, as far as the audit log shows.
+    /// The reason, as far as the logs show it.
     pub why: String,
 }
 
-/// Calls of a tenant that were accepted after a change against it was acknowledged as in force everywhere.
+/// Calls of a tenant that a controller accepted although the tenant's suspension or removal had been acknowledged as in
+/// force on all controllers.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct LateCalls {
-    /// Who accepted them.
+    /// The incarnation that accepted the calls.
     #[serde(rename = "who")]
     pub incarnation: Incarnation,
-    /// The tenant.
+    /// The name of the tenant.
     pub tenant: String,
-    /// The change.
+    /// The version with which the change came into force.
     pub change: Version,
-    /// What the change did: `suspend` or `remove`.
+    /// The kind of change: `suspend` or `remove`.
     pub action: String,
-    /// Whether this holds for every clock within the bounds.
+    /// Whether the finding is certain.
     #[serde(rename = "sure")]
     pub certainty: Certainty,
-    /// How many.
+    /// The number of calls.
     pub calls: CallCount,
-    /// Why, as far as the audit log shows.
+    /// The reason, as far as the logs show it.
     pub why: String,
 }
 
-/// A part of an audit log of which nothing can be said.
+/// A part of an audit log that can't be evaluated.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 pub struct Gap {
-    /// Whose log, where that is known.
+    /// The incarnation that wrote the log, if known.
     #[serde(rename = "who")]
     pub incarnation: Option<Incarnation>,
-    /// What is missing.
+    /// What is missing or unreadable.
     #[serde(rename = "what")]
     pub reason: String,
 }
 
-/// Two histories of one store that were acted on at the same time.
+/// Two epochs of the tenant store on which controllers acted at the same time.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 pub struct Fork {
-    /// Their epochs.
+    /// The two epochs, the older one first.
     pub epochs: Vec<u64>,
-    /// Who acted on one of them while the other was acted on.
+    /// The incarnations that acted on either epoch.
     pub sides: Vec<Incarnation>,
 }
 
-/// All findings of an audit.
+/// The result of an audit.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Report {
-    /// Who acted on which version.
+    /// The activity of each incarnation on each version.
     pub actors: Vec<Actor>,
-    /// Acts on a version after a newer one was in force elsewhere.
+    /// Activity on a version after another controller had applied a newer one.
     #[serde(rename = "behind")]
     pub stale_activity: Vec<StaleActivity>,
-    /// Calls accepted after the change against them was acknowledged.
+    /// Calls that were accepted after their tenant's suspension or removal was acknowledged.
     #[serde(rename = "after")]
     pub late_calls: Vec<LateCalls>,
-    /// Epochs that were acted on at the same time.
+    /// Pairs of epochs on which controllers acted at the same time.
     pub forks: Vec<Fork>,
-    /// Where nothing can be said.
+    /// Parts of the logs that can't be evaluated.
     pub gaps: Vec<Gap>,
-    /// Findings beyond the bound ([`crate::audit::MAX_FINDINGS`]).
+    /// The number of findings left out because of [`crate::audit::MAX_FINDINGS`].
     #[serde(rename = "more")]
     pub omitted: u64,
 }
--- a/crates/audit-log/src/lib.rs
+++ b/crates/audit-log/src/lib.rs
@@ -1,13 +1,16 @@
-//! The audit log: what each controller acted on and when, and what follows from that for a fleet.
+//! The audit log, in which each controller records on which version of its inputs it acted and when, and the audit that
+//! compares the logs of a fleet.
 //!
-//! * [`view`]: what a controller acts on, as one number with its parts. [`entry`]: an entry of the log, chained by a
-//!   hash to the one before. [`recorder`]: a controller's own log: counters on the ordinary path, entries at a change
-//!   of view and at intervals.
-//! * [`chain`]: is a log complete? [`clock`]: which moments on the leader's clock a controller's moment may be.
-//! * [`audit`]: who acted on which version after another was in force. [`findings`]: its report, in which each
-//!   statement is certain or doubtful.
+//! The crate does no I/O, reads no clock and uses no randomness; times are passed in. It depends on versions and
+//! counts, not on sockets, files or calls.
 //!
-//! May know: versions, counts, times as values. Must not know: sockets, files, clocks, randomness, calls.
+//! * [`view`]: the versions of all inputs of a controller's decisions. [`entry`]: a log entry, which contains the hash
+//!   of the previous one. [`recorder`]: writes a controller's own log; it counts acts and appends entries when the view
+//!   changes and at intervals.
+//! * [`chain`]: checks a log for missing and altered entries. [`clock`]: converts a controller's times into bounds on
+//!   the leader's clock.
+//! * [`audit`]: finds acts on a version after a newer one was in force. [`findings`]: the report, in which each finding
+//!   is certain or doubtful.
 
 #![forbid(unsafe_code)]
 
@@ -25,5 +28,5 @@
 pub use recorder::Recorder;
 pub use view::{Version, View};
 
-/// Milliseconds of a monotonic clock: a controller's or the leader's, each since its own start.
+/// Milliseconds on the monotonic clock of one process, a controller or the leader, since that process started.
 pub type Millis = u64;
--- a/crates/audit-log/src/recorder.rs
+++ b/crates/audit-log/src/recorder.rs
@@ -1,6 +1,9 @@
-//! A controller's own audit log. On the ordinary path an act is a counter: no allocation once a name was seen, no
-//! clock of its own, no disk. Entries come at a change of view or stage, and when an interval has become long; they
-//! wait in a bounded queue for whoever writes them, and what finds no room there is declared as missing.
+//! Records a controller's own audit log.
+//!
+//! Frequent acts only increment a counter: that costs no disk access, reads no clock, and allocates only for the first
+//! act of a tenant or worker. The counters become an entry when the view or the stage of the lease changes, and when
+//! the interval is [`MAX_INTERVAL`] old. Entries wait in a bounded queue until the caller takes and stores them;
+//! entries that do not fit are dropped, and the next entry that fits follows an [`EntryKind::Gap`] with their number.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
@@ -9,19 +12,21 @@
 use crate::entry::{Entry, EntryKind, Event, GENESIS_HASH, Hash, hash};
 use crate::view::View;
 
-/// An interval with acts is closed after so many milliseconds at the latest: the shorter, the fewer doubtful findings.
+/// The age in milliseconds at which an interval with acts is closed. An act may have happened at any time in its
+/// interval, so shorter intervals leave fewer doubtful findings.
 pub const MAX_INTERVAL: Millis = 1_000;
-/// Entries that wait to be written at the most.
+/// The capacity of the queue of entries that wait to be stored.
 pub const MAX_WAITING_ENTRIES: usize = 4_096;
-/// Names counted in one interval at the most; acts beyond them are counted together, under [`OTHERS`].
+/// The number of tenants, and of workers, that are counted individually in one interval. Acts of further ones are
+/// counted together, under [`OTHERS`].
 pub const MAX_COUNTED_NAMES: usize = 4_096;
 /// The name under which acts beyond [`MAX_COUNTED_NAMES`] are counted.
 pub const OTHERS: &str = "(others)";
 
-/// The stage of the lease at the start, as entries spell it.
+/// The stage of the lease at the start, in the spelling of the entries.
 const FIRST_STAGE: &str = "current";
 
-/// What an interval counts by name.
+/// Counts of one kind of act in the open interval, by tenant or worker id.
 #[derive(Clone, Debug, Default)]
 struct Tally {
     counts: HashMap<u64, u64>,
@@ -39,7 +44,7 @@
         }
     }
 
-    /// Takes all counts, by name.
+    /// Removes all counts and returns them by name.
     fn take(&mut self, name: impl Fn(u64) -> String) -> BTreeMap<String, u64> {
         let mut all = BTreeMap::new();
         for (id, count) in self.counts.drain() {
@@ -57,24 +62,24 @@
     }
 }
 
-/// Names for the numbers under which acts are counted.
+/// Resolves the ids under which acts are counted to names.
 pub trait NameResolver {
-    /// A tenant's name.
+    /// The name of a tenant.
     fn tenant(&self, id: u64) -> String;
-    /// A worker's name.
+    /// The name of a worker.
     fn worker(&self, id: u64) -> String;
 }
 
-/// The end of a log, on which the next entry follows.
+/// The end of a log, to which the next entry is chained.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Tail {
-    /// The last entry's number.
+    /// The number of the last entry.
     pub number: u64,
-    /// The last entry's hash.
+    /// The hash of the last entry's text.
     pub hash: Hash,
 }
 
-/// The times of an entry.
+/// The interval that an entry covers.
 #[derive(Clone, Copy, Debug)]
 struct Interval {
     from: Millis,
@@ -87,14 +92,14 @@
     }
 }
 
-/// A view with its number in this incarnation.
+/// The current view and its number in this incarnation.
 #[derive(Clone, Debug)]
 struct NumberedView {
     number: u32,
     view: View,
 }
 
-/// A controller's audit log as it is written.
+/// Records the audit log of a controller and chains its entries.
 #[derive(Clone, Debug)]
 pub struct Recorder {
     incarnation: u64,
@@ -105,15 +110,15 @@
     attempts: Tally,
     orders: Tally,
     rejected: u64,
-    /// The open interval: from its first act to its last one.
-    open: Option<Interval>,
+    /// From the first to the last act since the counters were last written; `None` if there was none.
+    open_interval: Option<Interval>,
     waiting: VecDeque<String>,
-    /// Entries that found no room since the last one that did.
-    missing: u64,
+    /// Entries dropped from the full queue since the last one that fitted.
+    dropped: u64,
 }
 
 impl Recorder {
-    /// An incarnation starts. `tail`: the end of the log that earlier ones left on this disk.
+    /// Starts the log of an incarnation. `tail` is the end of the log that earlier incarnations stored, if any.
     pub fn new(now: Millis, incarnation: u64, controller: u32, program: &str, tail: Option<Tail>) -> Self {
         let mut recorder = Self {
             incarnation,
@@ -124,20 +129,21 @@
             attempts: Tally::default(),
             orders: Tally::default(),
             rejected: 0,
-            open: None,
+            open_interval: None,
             waiting: VecDeque::new(),
-            missing: 0,
+            dropped: 0,
         };
         recorder.append(now, EntryKind::Started { controller, program: program.to_owned() });
         recorder
     }
 
-    /// The number of the view in force; 0: none.
+    /// The number of the current view; 0 if none was applied yet.
     fn view_number(&self) -> u32 {
         self.view.as_ref().map_or(0, |view| view.number)
     }
 
-    /// From now on the controller acts on this view: what was done before is closed under the one before.
+    /// Records that the controller applied a view. Earlier acts are written under the previous view; a view that equals
+    /// the current one is ignored.
     pub fn view_applied(&mut self, now: Millis, view: View, names: &impl NameResolver) {
         if self.view.as_ref().is_some_and(|before| before.view == view) {
             return;
@@ -148,7 +154,7 @@
         self.view = Some(NumberedView { number, view });
     }
 
-    /// The stage of the controller's lease.
+    /// Records the stage of the controller's lease. Does nothing if it is the current one.
     pub fn lease_stage_changed(&mut self, now: Millis, stage: &'static str, names: &impl NameResolver) {
         if self.stage != stage {
             self.close(names);
@@ -157,66 +163,67 @@
         }
     }
 
-    /// A call of this tenant was accepted.
+    /// Counts an accepted call of a tenant.
     pub fn call_accepted(&mut self, now: Millis, tenant: u64) {
         self.calls.add(tenant);
         self.extend(now);
     }
 
-    /// An attempt was sent to this worker.
+    /// Counts an attempt that was sent to a worker.
     pub fn attempt_sent(&mut self, now: Millis, worker: u64) {
         self.attempts.add(worker);
         self.extend(now);
     }
 
-    /// A load order was sent to this worker.
+    /// Counts a load order that was sent to a worker.
     pub fn load_order_sent(&mut self, now: Millis, worker: u64) {
         self.orders.add(worker);
         self.extend(now);
     }
 
-    /// A call was rejected for want of a lease.
+    /// Counts a call that was rejected because the controller has no lease.
     pub fn call_rejected(&mut self, now: Millis) {
         self.rejected += 1;
         self.extend(now);
     }
 
-    /// Extends the open interval to now, or opens one.
+    /// Extends the open interval to `now`, or opens one.
     fn extend(&mut self, now: Millis) {
-        match &mut self.open {
+        match &mut self.open_interval {
             Some(interval) => interval.to = now,
-            None => self.open = Some(Interval::at(now)),
+            None => self.open_interval = Some(Interval::at(now)),
         }
     }
 
-    /// An act that is rare or may be disputed.
+    /// Records an event in an entry of its own, after the acts before it.
     pub fn event(&mut self, now: Millis, event: Event, names: &impl NameResolver) {
         self.close(names);
         self.append(now, EntryKind::Event { view: self.view_number(), event });
     }
 
-    /// An exchange with this incarnation of the leader.
+    /// Records an exchange with the leader. `leader` is the identifier of the leader's incarnation.
     pub fn clock_exchange(&mut self, leader: u64, exchange: ClockExchange) {
         let interval = Interval { from: exchange.sent, to: exchange.received };
         let leader_time = exchange.leader_time;
         self.append_interval(interval, EntryKind::ClockExchange { leader, leader_time });
     }
 
-    /// An entry of one moment: a change was accepted, or is in force everywhere.
+    /// Appends an entry for a single moment, such as an accepted change.
     pub fn append(&mut self, now: Millis, kind: EntryKind) {
         self.append_interval(Interval::at(now), kind);
     }
 
-    /// Closes an interval that has become long. To be called as events come.
+    /// Closes the open interval if it is at least [`MAX_INTERVAL`] old. Called regularly by the controller's event
+    /// loop.
     pub fn tick(&mut self, now: Millis, names: &impl NameResolver) {
-        if self.open.is_some_and(|interval| now >= interval.from + MAX_INTERVAL) {
+        if self.open_interval.is_some_and(|interval| now >= interval.from + MAX_INTERVAL) {
             self.close(names);
         }
     }
 
-    /// Closes the open interval: its counts become an entry.
+    /// Closes the open interval and appends an entry with its counts.
     pub fn close(&mut self, names: &impl NameResolver) {
-        let Some(interval) = self.open.take() else { return };
+        let Some(interval) = self.open_interval.take() else { return };
         let counted_nothing = self.calls.is_empty() && self.attempts.is_empty() && self.orders.is_empty();
         if counted_nothing && self.rejected == 0 {
             return;
@@ -232,14 +239,15 @@
         self.append_interval(interval, kind);
     }
 
-    /// Queues an entry, behind one that declares those that found no room before.
+    /// Queues an entry, or drops it if the queue is full. After a drop, the next entry is preceded by one that declares
+    /// the gap.
     fn append_interval(&mut self, interval: Interval, kind: EntryKind) {
         if self.waiting.len() >= MAX_WAITING_ENTRIES {
-            self.missing += 1;
+            self.dropped += 1;
             return;
         }
-        if self.missing > 0 {
-            let lines = std::mem::take(&mut self.missing);
+        if self.dropped > 0 {
+            let lines = std::mem::take(&mut self.dropped);
             let why = "the disk did not take lines fast enough".to_owned();
             self.push(Interval::at(interval.from), EntryKind::Gap { lines, why });
         }
@@ -261,20 +269,20 @@
         self.waiting.push_back(text);
     }
 
-    /// Takes entries that wait to be written, the oldest first, so many at the most.
-    pub fn take(&mut self, most: usize) -> impl Iterator<Item = String> + '_ {
-        let count = most.min(self.waiting.len());
+    /// Removes up to `max_count` queued entries and returns them, oldest first.
+    pub fn take(&mut self, max_count: usize) -> impl Iterator<Item = String> + '_ {
+        let count = max_count.min(self.waiting.len());
         self.waiting.drain(..count)
     }
 
-    /// Puts entries that were taken and could not be written back to the front, the oldest first.
+    /// Returns taken entries that could not be stored to the front of the queue. `entries` has the oldest first.
     pub fn put_back(&mut self, entries: Vec<String>) {
         for entry in entries.into_iter().rev() {
             self.waiting.push_front(entry);
         }
     }
 
-    /// How many entries wait to be written.
+    /// The number of queued entries.
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
--- a/crates/audit-log/src/view.rs
+++ b/crates/audit-log/src/view.rs
@@ -1,14 +1,14 @@
-//! What a controller acts on, as one number with its parts.
+//! The view of a controller: the versions of everything that its decisions depend on.
 
 use serde::{Deserialize, Serialize};
 
-/// Which changes of the tenants a controller has applied; ordered by epoch, then revision. Written as a pair.
+/// The version of the tenants that a controller has applied; ordered by epoch, then revision. Serialized as a pair.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(from = "(u64, u64)", into = "(u64, u64)")]
 pub struct Version {
     /// The epoch of the tenant store.
     pub epoch: u64,
-    /// The number of the last change.
+    /// The number of the last change in that epoch.
     pub revision: u64,
 }
 
@@ -24,26 +24,26 @@
     }
 }
 
-/// All that a controller's decisions depend on. Two views that differ in one part are different; a controller numbers
-/// its own in the order in which it came to them.
+/// The versions of all inputs of a controller's decisions. A controller numbers its views in the order in which it
+/// applied them, and starts a new one when any field changes.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct View {
-    /// The store of the tenants' snapshot; empty: there is no snapshot.
+    /// The identity of the store from which the tenants' snapshot was taken; empty if there is no snapshot.
     pub store: String,
-    /// The store's epoch.
+    /// The epoch of that store.
     pub epoch: u64,
-    /// The number of the snapshot's last change.
+    /// The number of the last change in the snapshot.
     pub revision: u64,
-    /// Which version of the worker list this incarnation has, from 1; 0: none.
+    /// The version of the worker list, numbered from 1 in each incarnation; 0 if none was loaded.
     pub list: u64,
-    /// A checksum of the settings.
+    /// The checksum of the settings file.
     pub settings: u64,
     /// The program's version.
     pub program: String,
 }
 
 impl View {
-    /// The version of its snapshot.
+    /// The version of the tenants' snapshot.
     pub fn version(&self) -> Version {
         Version { epoch: self.epoch, revision: self.revision }
     }
--- a/crates/audit-log/tests/golden.rs
+++ b/crates/audit-log/tests/golden.rs
@@ -1,4 +1,5 @@
-//! Entries of the audit log as earlier versions wrote them: each kind is read, and written again byte by byte.
+//! Guards the stored format: entries of each kind as earlier versions wrote them are parsed, and serialized to the same
+//! bytes. The fields of a report keep their names, which API clients read.
 
 use nettleferry_audit_log::Entry;
 use nettleferry_audit_log::findings::{
@@ -24,7 +25,7 @@
 ];
 
 #[test]
-fn entries_of_earlier_versions_are_read_and_written_alike() {
+fn entries_of_earlier_versions_round_trip_unchanged() {
     for text in ENTRIES {
         let entry = Entry::from_json(text).unwrap_or_else(|error| panic!("{error}: {text}"));
         assert_eq!(entry.to_json(), text);
--- a/crates/audit-log/tests/truth.rs
+++ b/crates/audit-log/tests/truth.rs
@@ -1,6 +1,6 @@
-//! The audit against the truth: fleets whose clocks differ and drift, whose news are late, lost or come at once, and
-//! whose processes stand still, simulated in made-up time from a seed. What the audit calls certain must be so, and
-//! what was so must be told, at least as doubtful.
+//! Compares the audit with simulated fleets, for which the actual order of events is known. From a seed, clocks are
+//! skewed and drift, changes arrive late or not at all, links are cut and processes are paused. Each finding that the
+//! audit calls certain must be true, and each late call must be reported at least as doubtful.
 
 use std::collections::BTreeMap;
 
@@ -15,7 +15,8 @@
 use rand_chacha::ChaCha8Rng;
 
 const CONTROLLERS: usize = 5;
-const LENGTH: Millis = 60_000;
+/// Simulated time of one fleet.
+const DURATION: Millis = 60_000;
 const TENANTS: u64 = 3;
 const LEADER: u64 = 99;
 
@@ -31,34 +32,37 @@
     }
 }
 
-/// A clock that began at some moment of true time and runs a little fast or slow.
+/// A clock that was started at some time of the simulation and runs slightly fast or slow.
 #[derive(Clone, Copy)]
 struct SkewedClock {
-    began: f64,
+    started_at: f64,
     rate: f64,
 }
 
 impl SkewedClock {
-    fn read(self, truth: f64) -> Millis {
-        ((truth - self.began) * self.rate).max(0.0) as Millis
+    fn read(self, time: f64) -> Millis {
+        ((time - self.started_at) * self.rate).max(0.0) as Millis
     }
 }
 
-/// A call as it truly was.
+/// An accepted call, with the actual time and the revision that its controller had applied.
 struct Call {
-    who: usize,
+    controller: usize,
     at: f64,
     tenant: u64,
     revision: u64,
 }
 
+/// The logs of a simulated fleet, and what actually happened.
 struct Simulated {
+    /// By controller.
     logs: Vec<Vec<String>>,
-    own: Vec<String>,
+    /// The log of the leader's administration.
+    leader_log: Vec<String>,
     calls: Vec<Call>,
-    /// When each revision came into force at each controller.
+    /// By controller: the time at which it applied each revision.
     arrivals: Vec<BTreeMap<u64, f64>>,
-    /// Suspensions: revision, tenant, and when it was acknowledged.
+    /// Suspensions: the revision, the tenant and the time of the acknowledgement.
     acknowledged: Vec<(u64, u64, f64)>,
 }
 
@@ -69,64 +73,66 @@
 #[expect(clippy::too_many_lines, reason = "one simulated fleet, step by step")]
 fn simulate(seed: u64) -> Simulated {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
-    // Clocks lie minutes apart, and each is off by up to four in a thousand.
+    // The clocks were started up to ten minutes apart, and each drifts by up to 4 per mille.
     let mut clock = || SkewedClock {
-        began: -random.random_range(0.0..600_000.0),
+        started_at: -random.random_range(0.0..600_000.0),
         rate: random.random_range(0.996..1.004),
     };
-    let ours = SkewedClock { began: 0.0, rate: 1.0 };
+    let leader_clock = SkewedClock { started_at: 0.0, rate: 1.0 };
     let clocks: Vec<SkewedClock> = (0..CONTROLLERS).map(|_| clock()).collect();
     let mut recorders: Vec<Recorder> = clocks
         .iter()
         .enumerate()
         .map(|(n, c)| Recorder::new(c.read(0.0), n as u64 + 1, n as u32 + 1, "1.0", None))
         .collect();
-    let mut own = Recorder::new(0, LEADER, 0, "1.0", None);
+    let mut leader_recorder = Recorder::new(0, LEADER, 0, "1.0", None);
     let mut simulated = Simulated {
         logs: vec![Vec::new(); CONTROLLERS],
-        own: Vec::new(),
+        leader_log: Vec::new(),
         calls: Vec::new(),
         arrivals: vec![BTreeMap::from([(0, 0.0)]); CONTROLLERS],
         acknowledged: Vec::new(),
     };
     let (mut revision, mut revisions) = (0, vec![0; CONTROLLERS]);
-    // Until when each one's link passes nothing, and each one stands still.
-    let (mut cut, mut still) = (vec![0.0; CONTROLLERS], vec![0.0; CONTROLLERS]);
-    let mut open: Vec<(u64, u64)> = Vec::new();
+    // By controller: the end of its link failure, and the end of its pause.
+    let (mut cut_until, mut paused_until) = (vec![0.0; CONTROLLERS], vec![0.0; CONTROLLERS]);
+    // Suspensions that are not acknowledged yet: revision and tenant.
+    let mut pending: Vec<(u64, u64)> = Vec::new();
     for (n, recorder) in recorders.iter_mut().enumerate() {
         recorder.view_applied(clocks[n].read(0.0), view(0), &NumberedNames);
     }
-    for tick in 1..LENGTH / 10 {
+    for tick in 1..DURATION / 10 {
         let now = tick as f64 * 10.0;
         if random.random_bool(0.004) {
             revision += 1;
             let (tenant, suspends) = (random.random_range(0..TENANTS), random.random_bool(0.5));
             let action = if suspends { "suspend" } else { "resume" }.to_owned();
             let tenant_name = NumberedNames.tenant(tenant);
-            let what =
+            let kind =
                 EntryKind::Accepted { epoch: 1, revision, tenant: tenant_name, action, restricts: suspends };
-            own.append(ours.read(now), what);
+            leader_recorder.append(leader_clock.read(now), kind);
             if suspends {
-                open.push((revision, tenant));
+                pending.push((revision, tenant));
             }
         }
         for n in 0..CONTROLLERS {
             if random.random_bool(0.0008) {
-                cut[n] = now + random.random_range(500.0..12_000.0);
+                cut_until[n] = now + random.random_range(500.0..12_000.0);
             }
             if random.random_bool(0.0004) {
-                still[n] = now + random.random_range(200.0..5_000.0);
+                paused_until[n] = now + random.random_range(200.0..5_000.0);
             }
-            if now < still[n] {
+            if now < paused_until[n] {
                 continue;
             }
             let read = clocks[n].read(now);
-            if now >= cut[n] && random.random_bool(0.1) {
-                // An exchange: the answer is on its way for up to 200 ms, and was true when it left.
-                let (there, back) = (random.random_range(0.0..200.0), random.random_range(0.0..200.0));
-                let asked = clocks[n].read(now - there - back);
-                let leader_time = ours.read(now - back);
-                let exchange = ClockExchange { sent: asked, received: read, leader_time };
+            if now >= cut_until[n] && random.random_bool(0.1) {
+                // The request and the response take up to 200 ms each; the leader read its clock in between.
+                let (request_delay, response_delay) =
+                    (random.random_range(0.0..200.0), random.random_range(0.0..200.0));
+                let sent = clocks[n].read(now - request_delay - response_delay);
+                let leader_time = leader_clock.read(now - response_delay);
+                let exchange = ClockExchange { sent, received: read, leader_time };
                 recorders[n].clock_exchange(LEADER, exchange);
                 if revisions[n] < revision && random.random_bool(0.7) {
                     revisions[n] = revision;
@@ -137,19 +143,20 @@
             if random.random_bool(0.3) {
                 let tenant = random.random_range(0..TENANTS);
                 recorders[n].call_accepted(read, tenant);
-                simulated.calls.push(Call { who: n, at: now, tenant, revision: revisions[n] });
+                simulated.calls.push(Call { controller: n, at: now, tenant, revision: revisions[n] });
             }
             recorders[n].tick(read, &NumberedNames);
             let texts: Vec<String> = recorders[n].take(usize::MAX).collect();
             simulated.logs[n].extend(texts);
         }
-        // Acknowledged too early now and then: that is what an audit is for.
-        open.retain(|(of, tenant)| {
-            let all = revisions.iter().all(|r| r >= of);
+        // Some changes are acknowledged before all controllers have applied them, so that there are late calls to find.
+        pending.retain(|(suspension, tenant)| {
+            let all = revisions.iter().all(|applied| applied >= suspension);
             let done = all || random.random_bool(0.01);
             if done {
-                own.append(ours.read(now), EntryKind::InForce { epoch: 1, revision: *of });
-                simulated.acknowledged.push((*of, *tenant, now));
+                leader_recorder
+                    .append(leader_clock.read(now), EntryKind::InForce { epoch: 1, revision: *suspension });
+                simulated.acknowledged.push((*suspension, *tenant, now));
             }
             !done
         });
@@ -159,30 +166,30 @@
         let texts: Vec<String> = recorder.take(usize::MAX).collect();
         simulated.logs[n].extend(texts);
     }
-    simulated.own.extend(own.take(usize::MAX));
+    simulated.leader_log.extend(leader_recorder.take(usize::MAX));
     simulated
 }
 
 fn audit(simulated: &Simulated) -> Audit {
     let mut audit = Audit::default();
-    let own = check(simulated.own.iter().map(String::as_str));
-    assert_eq!(own.errors, vec![]);
-    audit.add_leader(LEADER, &own.entries);
-    for record in &simulated.logs {
-        let checked = check(record.iter().map(String::as_str));
+    let leader_log = check(simulated.leader_log.iter().map(String::as_str));
+    assert_eq!(leader_log.errors, vec![]);
+    audit.add_leader(LEADER, &leader_log.entries);
+    for log in &simulated.logs {
+        let checked = check(log.iter().map(String::as_str));
         assert_eq!(checked.errors, vec![]);
         audit.add_controller(LEADER, &checked.entries, false);
     }
     audit
 }
 
-fn who(n: usize) -> Incarnation {
+fn incarnation(n: usize) -> Incarnation {
     Incarnation { controller: n as u32 + 1, incarnation: n as u64 + 1 }
 }
 
 #[test]
-#[expect(clippy::too_many_lines, reason = "one comparison of every finding with the truth")]
-fn no_finding_is_false_and_none_is_missing_over_200_seeds() {
+#[expect(clippy::too_many_lines, reason = "one comparison of every finding with the simulation")]
+fn certain_findings_are_true_and_no_late_call_is_missed_over_200_seeds() {
     let (mut certain, mut doubtful) = (0, 0);
     for seed in 0..200 {
         let simulated = simulate(seed);
@@ -198,18 +205,19 @@
         // Calls after an acknowledgement.
         for (revision, tenant, at) in &simulated.acknowledged {
             for n in 0..CONTROLLERS {
-                let truly =
-                    |c: &&Call| c.who == n && c.tenant == *tenant && c.revision < *revision && c.at > *at;
+                let truly = |c: &&Call| {
+                    c.controller == n && c.tenant == *tenant && c.revision < *revision && c.at > *at
+                };
                 let truth = simulated.calls.iter().filter(truly).count() as u64;
                 let found = report.late_calls.iter().find(|a| {
-                    a.incarnation == who(n)
+                    a.incarnation == incarnation(n)
                         && a.change == Version { epoch: 1, revision: *revision }
                         && a.tenant == format!("t{tenant}")
                 });
                 let (least, most) = found.map_or((0, 0), |a| a.calls.into());
                 assert!(
                     least <= truth && truth <= most,
-                    "seed {seed}, controller {n}, revision {revision}: {truth} in truth, told {least} to {most}"
+                    "seed {seed}, controller {n}, revision {revision}: {truth} actual, {least} to {most} reported"
                 );
                 match found.map(|a| a.certainty) {
                     Some(Certainty::Certain) => certain += 1,
@@ -218,27 +226,27 @@
                 }
             }
         }
-        // Acts on a version when a newer one was in force elsewhere.
+        // Calls on a version after another controller had applied a newer one.
         for n in 0..CONTROLLERS {
-            for book in 0..=*simulated.arrivals[n].keys().max().expect("0 at the least") {
+            for version in 0..=*simulated.arrivals[n].keys().max().expect("0 at the least") {
                 let elsewhere = (0..CONTROLLERS).filter(|o| *o != n);
                 let newer = elsewhere.filter_map(|o| {
-                    let first = simulated.arrivals[o].range(book + 1..).map(|(_, at)| *at);
+                    let first = simulated.arrivals[o].range(version + 1..).map(|(_, at)| *at);
                     first.min_by(f64::total_cmp)
                 });
                 let since = newer.min_by(f64::total_cmp);
-                let truly =
-                    |c: &&Call| c.who == n && c.revision == book && since.is_some_and(|since| c.at > since);
+                let truly = |c: &&Call| {
+                    c.controller == n && c.revision == version && since.is_some_and(|since| c.at > since)
+                };
                 let truth = simulated.calls.iter().filter(truly).count() as u64;
-                let found = report
-                    .stale_activity
-                    .iter()
-                    .find(|b| b.incarnation == who(n) && b.version == Version { epoch: 1, revision: book });
+                let found = report.stale_activity.iter().find(|b| {
+                    b.incarnation == incarnation(n) && b.version == Version { epoch: 1, revision: version }
+                });
                 let least: u64 = found.map_or(0, |b| b.calls.values().map(|c| c.certain).sum());
                 let most: u64 = found.map_or(0, |b| b.calls.values().map(|c| c.possible).sum());
                 assert!(
                     least <= truth && truth <= most,
-                    "seed {seed}, controller {n}, book {book}: {truth} in truth, told {least} to {most}"
+                    "seed {seed}, controller {n}, revision {version}: {truth} actual, {least} to {most} reported"
                 );
                 if let Some(found) = found.filter(|b| b.certainty == Certainty::Certain) {
                     assert!(truth > 0, "seed {seed}: certain, and false: {found:?}");
@@ -246,31 +254,31 @@
             }
         }
     }
-    // What is told is of use: most of it is certain.
-    println!("{certain} certain and {doubtful} doubtful statements on calls after an acknowledgement");
+    // The findings are useful only if most of them are certain.
+    println!("{certain} certain and {doubtful} doubtful findings on calls after an acknowledgement");
     assert!(certain > 100 && doubtful < certain, "{certain} certain, {doubtful} doubtful");
 }
 
 #[test]
-fn flipped_digit_is_found_or_changes_no_finding() {
+fn changed_digit_breaks_the_hash_chain() {
     let simulated = simulate(7);
     let whole = &simulated.logs[0];
     let mut random = ChaCha8Rng::seed_from_u64(1);
     for _ in 0..300 {
-        let place = random.random_range(0..whole.len() - 1);
+        let line = random.random_range(0..whole.len() - 1);
         let mut altered = whole.clone();
-        let mut bytes = altered[place].clone().into_bytes();
+        let mut bytes = altered[line].clone().into_bytes();
         let digits: Vec<usize> = (0..bytes.len()).filter(|at| bytes[*at].is_ascii_digit()).collect();
         let at = digits[random.random_range(0..digits.len())];
         bytes[at] = if bytes[at] == b'9' { b'3' } else { bytes[at] + 1 };
-        altered[place] = String::from_utf8(bytes).expect("ASCII");
+        altered[line] = String::from_utf8(bytes).expect("ASCII");
         let checked = check(altered.iter().map(String::as_str));
-        assert!(!checked.errors.is_empty(), "line {place}: {}", altered[place]);
+        assert!(!checked.errors.is_empty(), "line {line}: {}", altered[line]);
     }
 }
 
 #[test]
-fn two_histories_that_are_acted_on_at_once_are_a_fork() {
+fn concurrent_activity_on_two_epochs_is_a_fork() {
     let mut audit = Audit::default();
     for n in 0..2u64 {
         let mut recorder = Recorder::new(0, n + 1, n as u32 + 1, "1.0", None);
