--- a/crates/config/src/form/mod.rs
+++ b/crates/config/src/form/mod.rs
@@ -1,7 +1,8 @@
-//! Values out of a tree of lists: each list `(key ...)` is asked for the keys that it may have, and what is missing,
-//! doubled, unknown or malformed becomes an error with its place and the fix. Reading goes on after an error.
+//! Reads values from the lists of a syntax tree. A reader requests each key that a list `(key ...)` may have; keys that
+//! are missing, duplicate, unknown or malformed become errors with their position and how to fix them. Reading
+//! continues after an error.
 //!
-//! [`source`]: the text and its errors. [`value`]: values of atoms.
+//! [`source`]: the text and the errors found in it. [`value`]: parsing atoms as values.
 
 mod source;
 mod value;
@@ -12,17 +13,20 @@
 pub use self::value::{Bytes, TimeSpan, Value};
 use crate::syntax::{self, Node, Span, Syntax};
 
-/// A list `(name item... (key ...)...)` whose items and lists are taken one by one.
+/// A list `(name item... (key ...)...)`. Its items and lists are removed as they are read; what is left at the end is
+/// reported by [`Form::finish`].
 pub struct Form {
     source: Source,
     name: String,
     items: Vec<Option<Node>>,
     span: Span,
-    known: Vec<&'static str>,
+    /// The keys that were requested so far, for suggestions.
+    known_keys: Vec<&'static str>,
 }
 
 impl Form {
-    /// Parses a text as one form whose keys are the text's own lists. `file`: its name, for errors.
+    /// Parses a text as one form that has the top-level lists of the text as its keys. `file` is the file's name in
+    /// error messages.
     pub fn parse(file: &str, text: &str) -> (Source, Self) {
         let Syntax { nodes, errors } = syntax::parse(text);
         let source = Source::new(file, text, errors);
@@ -31,37 +35,37 @@
     }
 
     fn new(source: Source, name: String, items: Vec<Node>, span: Span) -> Self {
-        Self { source, name, items: items.into_iter().map(Some).collect(), span, known: Vec::new() }
+        Self { source, name, items: items.into_iter().map(Some).collect(), span, known_keys: Vec::new() }
     }
 
-    /// Its first word.
+    /// The first word of the list, which is its key.
     pub fn name(&self) -> &str {
         &self.name
     }
 
-    /// Its place in the text.
+    /// The range of the list in the text.
     pub fn span(&self) -> Span {
         self.span
     }
 
-    /// Its text between the parentheses, after its first word: for settings that another reader parses.
+    /// The text of the list after its key, without the parentheses, for settings that another reader parses.
     pub fn text(&self) -> &str {
         let whole = self.source.text_at(self.span);
         let inner = whole.strip_prefix('(').and_then(|t| t.strip_suffix(')')).unwrap_or(whole);
         inner.trim_start().strip_prefix(self.name.as_str()).unwrap_or(inner)
     }
 
-    /// Drops what is left without errors: another reader parses it.
+    /// Ends reading without reporting what is left, because another reader parses it.
     pub fn discard(mut self) {
         self.items.clear();
     }
 
-    /// Adds an error at the whole list.
+    /// Reports an error whose position is the whole list.
     pub fn error(&self, message: impl Into<String>) {
         self.source.error(self.span, message);
     }
 
-    fn value<T: Value>(&self, node: &Node) -> Option<T> {
+    fn parse_value<T: Value>(&self, node: &Node) -> Option<T> {
         match node {
             Node::Atom { text, span } => {
                 let value = T::parse(text);
@@ -77,14 +81,14 @@
         }
     }
 
-    /// The next atom, where there is one.
+    /// Reads the next atom. `None` if there is none, or if it is invalid, which is reported.
     pub fn next_item<T: Value>(&mut self) -> Option<T> {
         let at = self.items.iter().position(|item| matches!(item, Some(Node::Atom { .. })))?;
         let node = self.items[at].take()?;
-        self.value(&node)
+        self.parse_value(&node)
     }
 
-    /// The next atom, which is required. `what`: its description, for the error.
+    /// Reads the next atom and reports an error if it is missing. `what` describes it in the error message.
     pub fn required_item<T: Value>(&mut self, what: &str) -> Option<T> {
         if !self.items.iter().any(|item| matches!(item, Some(Node::Atom { .. }))) {
             self.error(format!("({} ...) lacks {what}: write {}", self.name, T::EXPECTED));
@@ -93,7 +97,8 @@
         self.next_item()
     }
 
-    /// The next atom as one of several keywords, which is required.
+    /// Reads the next atom as one of `keywords` and reports an error if it is missing or another word. `what` describes
+    /// it in the error message.
     pub fn keyword<T: Copy>(&mut self, what: &str, keywords: &[(&str, T)]) -> Option<T> {
         let at = self.items.iter().position(|item| matches!(item, Some(Node::Atom { .. })));
         let all = || keywords.iter().map(|(w, _)| *w).collect::<Vec<_>>().join(", ");
@@ -109,14 +114,14 @@
         found
     }
 
-    /// The lists of a key, in order.
+    /// Reads all lists with a key, in order.
     pub fn lists(&mut self, key: &'static str) -> Vec<Form> {
-        self.known.push(key);
+        self.known_keys.push(key);
         let mut found = Vec::new();
         for item in &mut self.items {
-            let ours = matches!(item, Some(Node::List { items, .. })
+            let has_key = matches!(item, Some(Node::List { items, .. })
                 if matches!(items.first(), Some(Node::Atom { text, .. }) if text == key));
-            if ours && let Some(Node::List { mut items, span }) = item.take() {
+            if has_key && let Some(Node::List { mut items, span }) = item.take() {
                 items.remove(0);
                 found.push(Form::new(self.source.clone(), key.to_owned(), items, span));
             }
@@ -124,7 +129,7 @@
         found
     }
 
-    /// The list of a key, which may occur once.
+    /// Reads the list with a key, if present. Reports an error if there is more than one.
     pub fn optional_list(&mut self, key: &'static str) -> Option<Form> {
         let mut found = self.lists(key).into_iter();
         let first = found.next();
@@ -134,14 +139,14 @@
         first
     }
 
-    /// The list of a key, or an empty one: for lists in which everything has a default.
+    /// Reads the list with a key, or returns an empty one. For lists in which each value has a default.
     pub fn list_or_empty(&mut self, key: &'static str) -> Form {
         let span = self.span;
         self.optional_list(key)
             .unwrap_or_else(|| Form::new(self.source.clone(), key.to_owned(), Vec::new(), span))
     }
 
-    /// The list of a key, which is required.
+    /// Reads the list with a key and reports an error if it is missing.
     pub fn required_list(&mut self, key: &'static str) -> Option<Form> {
         let found = self.optional_list(key);
         if found.is_none() {
@@ -150,7 +155,7 @@
         found
     }
 
-    /// The value of `(key value)`, where it is given.
+    /// Reads the value of `(key value)`, if present.
     pub fn optional<T: Value>(&mut self, key: &'static str) -> Option<T> {
         let mut form = self.optional_list(key)?;
         let value = form.required_item("its value");
@@ -158,12 +163,12 @@
         value
     }
 
-    /// The value of `(key value)`, or the default.
+    /// Reads the value of `(key value)`, or returns the default.
     pub fn value_or<T: Value>(&mut self, key: &'static str, default: T) -> T {
         self.optional(key).unwrap_or(default)
     }
 
-    /// The value of `(key value)`, which is required.
+    /// Reads the value of `(key value)` and reports an error if it is missing.
     pub fn required<T: Value>(&mut self, key: &'static str) -> Option<T> {
         let mut form = self.required_list(key)?;
         let value = form.required_item("its value");
@@ -171,12 +176,12 @@
         value
     }
 
-    /// The microseconds of `(key time)`, or the default.
+    /// Reads the time span of `(key time)`, or returns the default; both in microseconds.
     pub fn micros_or(&mut self, key: &'static str, default: Micros) -> Micros {
         self.value_or(key, TimeSpan(default)).0
     }
 
-    /// The keyword of `(key keyword)`, or the default.
+    /// Reads the keyword of `(key keyword)`, or returns the default.
     pub fn keyword_or<T: Copy>(&mut self, key: &'static str, keywords: &[(&str, T)], default: T) -> T {
         let Some(mut form) = self.optional_list(key) else { return default };
         let value = form.keyword(key, keywords);
@@ -184,7 +189,8 @@
         value.unwrap_or(default)
     }
 
-    /// All lists that are left, named by their first word: for files whose keys are events.
+    /// Reads all remaining lists whose first element is a word. For files in which the keys are names or events and the
+    /// order of the lists matters.
     pub fn remaining_lists(&mut self) -> Vec<Form> {
         let mut found = Vec::new();
         for item in &mut self.items {
@@ -200,33 +206,32 @@
         found
     }
 
-    /// Ends reading: adds an error for each part that is left, with the nearest key that is known here.
+    /// Ends reading and reports an error for each remaining item, with the most similar of the requested keys.
     pub fn finish(self) {
         for item in self.items.iter().flatten() {
             match item {
                 Node::List { items, span } => match items.first() {
                     Some(Node::Atom { text, .. }) => {
-                        let hint = nearest(text, self.known.iter().copied());
+                        let hint = nearest(text, self.known_keys.iter().copied());
                         self.source.error(*span, format!("{} has no key ({text} ...){hint}", self.name));
                     }
                     _ => self.source.error(*span, format!("{}: a list begins with its key", self.name)),
                 },
                 Node::Atom { text, span } => {
-                    self.source
-                        .error(*span, format!("{} takes nothing more: {text:?} is left over", self.name));
+                    self.source.error(*span, format!("{}: unexpected value {text:?}", self.name));
                 }
             }
         }
     }
 }
 
-/// The suggestion ": did you mean x?" with the nearest of the words; empty where none is near.
+/// Returns the suggestion ": did you mean x?" with the most similar of `words`, or an empty string if none is similar.
 pub fn nearest<'a>(text: &str, words: impl Iterator<Item = &'a str>) -> String {
-    let near = words
+    let nearest = words
         .map(|word| (strsim::damerau_levenshtein(text, word), word))
         .filter(|(distance, word)| *distance <= (word.len() / 3).max(1))
         .min();
-    near.map_or(String::new(), |(_, word)| format!(": did you mean {word}?"))
+    nearest.map_or(String::new(), |(_, word)| format!(": did you mean {word}?"))
 }
 
 #[cfg(test)]
--- a/crates/config/src/form/source.rs
+++ b/crates/config/src/form/source.rs
@@ -1,4 +1,4 @@
-//! A text being read, and the errors found in it with their places.
+//! A text that is being read, and the errors found in it with their positions.
 
 use std::cell::RefCell;
 use std::fmt;
@@ -9,15 +9,15 @@
 /// One error in a file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Diagnostic {
-    /// The file, as the caller named it.
+    /// The name of the file as passed by the caller.
     pub file: String,
-    /// Line, from 1.
+    /// The line, from 1.
     pub line: usize,
-    /// Column, from 1, in characters.
+    /// The column, from 1, in characters.
     pub column: usize,
-    /// The wrong text, cut to a line.
+    /// The first line of the wrong text, shortened if it is long.
     pub excerpt: String,
-    /// What is wrong and what to write instead.
+    /// The problem and how to fix it.
     pub message: String,
 }
 
@@ -28,7 +28,7 @@
     }
 }
 
-/// All errors of a file, in the order of its lines.
+/// The errors of a file, in the order of their positions; only the first ones if there are many.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub struct Errors(pub Vec<Diagnostic>);
 
@@ -44,12 +44,12 @@
     }
 }
 
-/// Most errors reported for one file.
+/// The maximum number of errors reported for one file.
 const MAX_ERRORS: usize = 50;
-/// Longest excerpt, in characters.
+/// The maximum length of an excerpt, characters.
 const MAX_EXCERPT_CHARS: usize = 80;
 
-/// A text that is being read, with the errors found so far.
+/// A text that is being read and the errors found so far. Clones share the list of errors.
 #[derive(Clone)]
 pub struct Source {
     inner: Rc<Inner>,
@@ -62,26 +62,26 @@
 }
 
 impl Source {
-    /// A text, and the errors of its syntax. `file`: its name, for errors.
+    /// Creates the source of a text. `errors` are its syntax errors, `file` is the file's name in error messages.
     pub(super) fn new(file: &str, text: &str, errors: Vec<SyntaxError>) -> Self {
         let inner = Inner { file: file.to_owned(), text: text.to_owned(), errors: RefCell::new(errors) };
         Self { inner: Rc::new(inner) }
     }
 
-    /// The text at a span; empty where the span is not of this text.
+    /// The text in a range; empty if the range is not within the text.
     pub(super) fn text_at(&self, span: Span) -> &str {
         self.inner.text.get(span.from..span.to).unwrap_or("")
     }
 
-    /// Adds an error.
+    /// Reports an error.
     pub fn error(&self, span: Span, message: impl Into<String>) {
         self.inner.errors.borrow_mut().push(SyntaxError { span, message: message.into() });
     }
 
-    /// `value` if there is one and no error was found.
+    /// Returns `value` if it is present and no error was reported.
     ///
     /// # Errors
-    /// Else all errors, in the order of their places.
+    /// Otherwise the errors, in the order of their positions.
     pub fn into_result<T>(self, value: Option<T>) -> Result<T, Errors> {
         let mut errors = self.inner.errors.borrow().clone();
         errors.sort_by_key(|error| error.span.from);
--- a/crates/config/src/form/tests.rs
+++ b/crates/config/src/form/tests.rs
@@ -13,15 +13,15 @@
 }
 
 #[test]
-fn all_errors_are_reported_with_their_places() {
+fn all_errors_are_reported_with_their_positions() {
     let text = "(limits (atempts 3)\n        (wait 600))\n(limits)";
     let (source, mut file) = Form::parse("x.sexp", text);
-    let mut limits = file.optional_list("limits").expect("there");
+    let mut limits = file.optional_list("limits").expect("limits are present");
     limits.optional::<u64>("attempts");
     limits.optional::<TimeSpan>("wait");
     limits.finish();
     file.finish();
-    let errors = source.into_result(Some(())).expect_err("three things are wrong").to_string();
+    let errors = source.into_result(Some(())).expect_err("three errors").to_string();
     assert!(
         errors.contains("x.sexp:1:9: limits has no key (atempts ...): did you mean attempts?"),
         "{errors}"
--- a/crates/config/src/form/value.rs
+++ b/crates/config/src/form/value.rs
@@ -1,14 +1,14 @@
-//! Values of atoms: words, numbers, addresses, times and sizes with their units.
+//! Parsing atoms as values: words, numbers, addresses, and time spans and sizes with their units.
 
 use std::net::SocketAddr;
 
 use nettleferry::Micros;
 
-/// A value that an atom can be read as.
+/// A type of value that can be parsed from an atom.
 pub trait Value: Sized {
-    /// What to write, for error messages.
+    /// A description of valid values, which follows "write" in error messages.
     const EXPECTED: &'static str;
-    /// Parses it; `None`: it is no such value.
+    /// Parses the text of an atom. `None` if it is not a valid value of this type.
     fn parse(text: &str) -> Option<Self>;
 }
 
@@ -65,11 +65,11 @@
     }
 }
 
-/// A length of time, in microseconds.
+/// A time span, microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TimeSpan(pub Micros);
 
-/// A number followed by one of the units, in the base unit.
+/// Parses a number followed by the name of a unit, and multiplies it by the factor of the unit.
 fn with_unit(text: &str, units: &[(&str, f64)]) -> Option<f64> {
     let digits = text.find(|c: char| !c.is_ascii_digit() && c != '.').unwrap_or(text.len());
     let (number, unit) = text.split_at(digits);
@@ -87,7 +87,7 @@
     }
 }
 
-/// A size in bytes.
+/// A size, bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bytes(pub u64);
 
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,11 +1,11 @@
-//! Checked settings from S-expressions: all errors of a file at once, each with file, line, column, the wrong text and
-//! what to write instead.
+//! Parses and validates settings files and worker lists, which are written as S-expressions. All errors of a file are
+//! reported together, each with its file, line and column, an excerpt, and what to write instead.
 //!
-//! May know: text, and the types that the checked values become. Must not know: who uses them, sockets, files
-//! (callers read files and hand over their text).
+//! The crate does no I/O: callers read the files and pass their text. It depends on the types of the decision module
+//! that the settings become, but not on the gateway or other users of the settings.
 //!
-//! * [`syntax`]: text to a tree. [`form`]: a tree to values, with units and suggestions.
-//! * [`settings`]: a controller's settings. [`workers`]: the worker list.
+//! * [`syntax`]: parses text to a tree. [`form`]: reads values with units from the tree, and suggests similar keys.
+//! * [`settings`]: the settings of a controller. [`workers`]: the worker list.
 
 #![forbid(unsafe_code)]
 
--- a/crates/config/src/settings/admin.rs
+++ b/crates/config/src/settings/admin.rs
@@ -1,5 +1,5 @@
-//! Administration of tenants: led or followed, keys, leases, loans and the audit log. The API itself is that of
-//! `nettleferry-admin`; keys are verified by `nettleferry-administration`.
+//! The list `(admin ...)`: the administration of tenants as leader or follower, API keys, leases, loans and the audit
+//! log. The API is implemented by `nettleferry-admin`; keys are verified by `nettleferry-administration`.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -8,122 +8,123 @@
 
 use crate::form::{Bytes, Form, TimeSpan};
 
-/// Default of [`AdminSettings::reserve`] where loans are given.
+/// Default of [`AdminSettings::reserve`] if there are loans.
 const DEFAULT_RESERVE: f64 = 0.2;
 
-/// Default size of an audit log, bytes.
+/// Default of [`AuditLog::bytes`].
 const DEFAULT_AUDIT_LOG_BYTES: u64 = 64 << 20;
-/// Least size of an audit log, bytes.
+/// Lower limit of [`AuditLog::bytes`].
 const MIN_AUDIT_LOG_BYTES: u64 = 64 << 10;
 
-/// Default duration of a lease.
+/// Default duration of a lease, microseconds.
 const DEFAULT_LEASE: Micros = 6_000_000;
-/// Shortest lease.
+/// Shortest duration of a lease, microseconds.
 const MIN_LEASE: Micros = 200_000;
-/// Longest lease.
+/// Longest duration of a lease, microseconds.
 const MAX_LEASE: Micros = 60_000_000;
 
-/// Most peers of one controller: of a larger fleet a part is enough.
+/// The maximum number of peers of a controller. In a larger fleet it is enough to ask some of the controllers.
 const MAX_PEERS: usize = 64;
 
 /// Default of [`AdminSettings::queue_length`].
 const DEFAULT_QUEUE_LENGTH: u32 = 256;
 
-/// Administration of tenants.
+/// The settings for the administration of tenants.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AdminSettings {
-    /// Whose tenants they are.
+    /// Whether this controller owns the tenants or replicates them from a leader.
     pub administration: Administration,
-    /// Whether calls that name no tenant are accepted, without limits of admission.
+    /// Whether calls without a tenant are accepted. They are not subject to admission limits.
     pub anonymous: bool,
-    /// Calls that may wait for a worker before tenants share the queue by weight.
+    /// The number of calls that may wait for a worker before the tenants' weights limit their shares of the queue.
     pub queue_length: u32,
-    /// The audit log; `None`: none is written.
+    /// The audit log; `None` if none is written.
     pub audit_log: Option<AuditLog>,
-    /// Part of each limit that is divided for good among the controllers; the rest is lent by demand. 1: nothing is lent.
+    /// The share of each limit that is divided permanently among the controllers, from 0 to 1. The rest is lent on
+    /// demand; at 1 nothing is lent.
     pub reserve: f64,
 }
 
-/// The audit log of a controller.
+/// The settings of a controller's audit log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AuditLog {
-    /// Its folder.
+    /// The folder in which it is stored.
     pub folder: PathBuf,
-    /// Its greatest size, bytes; the oldest entries are dropped first.
+    /// The maximum size, bytes; the oldest entries are dropped.
     pub bytes: u64,
 }
 
-/// Whose tenants a controller has.
+/// The role of a controller in the administration of tenants.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Administration {
-    /// Its own: it owns the store and serves the API.
+    /// The controller owns the tenant store and serves the API.
     Leader(LeaderSettings),
-    /// Those of a leader.
+    /// The controller replicates the tenants of a leader.
     Follower(FollowerSettings),
 }
 
-/// A controller that owns the tenants.
+/// The settings of a controller that owns the tenants.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LeaderSettings {
-    /// Where the API listens.
+    /// The address of the administration API.
     pub listen: SocketAddr,
-    /// The store's file.
+    /// The file of the tenant store.
     pub store: PathBuf,
-    /// The keys of the API.
+    /// The keys that authorize API requests.
     pub keys: Vec<AdminKey>,
-    /// Controllers that are asked for their snapshot's version after a loss.
+    /// Controllers that are asked for the version of their snapshot after a loss of the store.
     pub peers: Vec<SocketAddr>,
-    /// File of the key to ask them with.
+    /// The file of the key for requests to the peers, of role controller.
     pub peer_key: Option<PathBuf>,
-    /// Duration of the leases that followers get; `None`: they get none.
+    /// The duration of the followers' leases; `None` if no leases are granted.
     pub lease: Option<Micros>,
-    /// Followers that must have persisted a change before it is acknowledged, where there are so many.
+    /// The number of followers that must persist a change before it is acknowledged; all of them if there are fewer.
     pub required_replicas: usize,
 }
 
-/// A controller that replicates the tenants of a leader.
+/// The settings of a controller that replicates the tenants of a leader.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FollowerSettings {
-    /// The leader's address.
+    /// The address of the leader's API.
     pub leader: SocketAddr,
-    /// File of the key to ask it with, of role controller.
+    /// The file of the key for requests to the leader and the peers, of role controller.
     pub key_file: PathBuf,
-    /// File of the last snapshot, for a start without the leader.
+    /// The file in which the last snapshot is persisted, for a start while the leader is unreachable.
     pub snapshot_file: PathBuf,
-    /// Where it serves its snapshot to controllers that lack one; `None`: nowhere.
+    /// The endpoint at which controllers without a snapshot can fetch this controller's; `None` if there is none.
     pub snapshot_server: Option<SnapshotServer>,
-    /// Controllers that are asked for a snapshot where it has none and the leader is unreachable.
+    /// Controllers from which a snapshot is fetched if this one has none and the leader is unreachable.
     pub peers: Vec<SocketAddr>,
-    /// What it does while it has no lease.
+    /// The behaviour without a lease.
     pub without_lease: LeaselessPolicy,
 }
 
-/// Where a follower serves its snapshot, and to whom.
+/// The endpoint at which a follower serves its snapshot to other controllers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SnapshotServer {
-    /// Its address.
+    /// The address of the endpoint.
     pub listen: SocketAddr,
-    /// Its keys.
+    /// The keys that authorize requests.
     pub keys: Vec<AdminKey>,
 }
 
-/// What a follower does while it can't know whether its snapshot is still in force.
+/// What a follower does without a lease, while it can't know whether its snapshot is still in force.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LeaselessPolicy {
-    /// Whether it rejects calls; else it acts on the snapshot that it has.
+    /// Whether it rejects calls. If not, it continues with the snapshot that it has.
     pub rejects: bool,
-    /// After how long without a lease it reports that it is not ready; `None`: never.
+    /// The time without a lease after which it reports that it is not ready; `None` if it stays ready.
     pub not_ready_after: Option<Micros>,
 }
 
 /// A key of the administration API.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AdminKey {
-    /// Its name, which the audit trail shows.
+    /// The unique name, which the history of changes shows.
     pub name: String,
-    /// viewer, operator, admin or controller.
+    /// The role: `viewer`, `operator`, `admin` or `controller`.
     pub role: String,
-    /// Its secret's argon2 hash, as `nettleferry admin key` prints it.
+    /// The argon2 hash of the secret, as printed by `nettleferry admin key`.
     pub hash: String,
 }
 
@@ -140,24 +141,24 @@
     let lends_without_lease =
         matches!(&administration, Some(Administration::Leader(leader)) if leader.lease.is_none());
     if reserve < 1.0 && lends_without_lease {
-        form.error("(loans ...) last as long as leases: write (lease SPAN)");
+        form.error("(loans ...) require leases: write a (lease SPAN) above 0s");
     }
     form.finish();
     Some(AdminSettings { administration: administration?, anonymous, queue_length, audit_log, reserve })
 }
 
-/// Reads `(loans ...)`: the part of each limit that is not lent.
+/// Reads `(loans ...)`. Returns the share of each limit that is not lent.
 fn reserve(form: &mut Form) -> f64 {
     let Some(mut loans) = form.optional_list("loans") else { return 1.0 };
     let reserve = loans.value_or("reserve", DEFAULT_RESERVE);
     if !(0.0..=1.0).contains(&reserve) {
-        loans.error("(reserve ...): a part, from 0 to 1");
+        loans.error("(reserve ...) is a share, from 0 to 1");
     }
     loans.finish();
     reserve
 }
 
-/// Reads the settings of a follower of this leader.
+/// Reads the settings of a follower of `leader`.
 fn follower(form: &mut Form, leader: SocketAddr) -> Option<FollowerSettings> {
     let key_file = form.required::<String>("key-file");
     let snapshot_file = form.required::<String>("kept");
@@ -165,7 +166,9 @@
     let keys = admin_keys(form);
     let peers = peers(form);
     if listen.is_some() == keys.is_empty() {
-        form.error("(listen ...) and (key NAME ROLE HASH) go together: who may have the book");
+        form.error(
+            "(listen ...) and (key NAME ROLE HASH) require each other: fetching the snapshot needs a key",
+        );
     }
     let snapshot_server = listen.map(|listen| SnapshotServer { listen, keys });
     let without_lease = leaseless_policy(form);
@@ -180,7 +183,7 @@
     })
 }
 
-/// Reads what a follower does without a lease.
+/// Reads the behaviour of a follower without a lease.
 fn leaseless_policy(form: &mut Form) -> LeaselessPolicy {
     let rejects = [("serve", false), ("refuse", true)];
     LeaselessPolicy {
@@ -196,12 +199,12 @@
     let peer_key: Option<String> = form.optional("peer-key-file");
     if peers.is_empty() != peer_key.is_none() {
         form.error(
-            "(peer ...) and (peer-key-file ...) go together: a key of role controller that the peers know",
+            "(peer ...) and (peer-key-file ...) require each other; the key has role controller at the peers",
         );
     }
     if keys.is_empty() {
         form.error(
-            "no (key NAME ROLE HASH): nothing listens that nobody may ask; nettleferry admin key NAME ROLE makes one",
+            "no (key NAME ROLE HASH): no request would be authorized; nettleferry admin key NAME ROLE creates one",
         );
     }
     let peer_key = peer_key.map(PathBuf::from);
@@ -221,11 +224,11 @@
     })
 }
 
-/// Reads the span of the leases that followers get; `None`: they get none.
+/// Reads the duration of the followers' leases. `None` if no leases are granted.
 fn lease(form: &mut Form) -> Option<Micros> {
     let lease = form.micros_or("lease", DEFAULT_LEASE);
     if lease != 0 && !(MIN_LEASE..=MAX_LEASE).contains(&lease) {
-        form.error("(lease ...): 200ms to 60s, or 0s where followers get none");
+        form.error("(lease ...): write 200ms to 60s, or 0s to grant no leases");
     }
     Some(lease).filter(|span| *span > 0)
 }
@@ -233,9 +236,9 @@
 /// Reads `(trail ...)`.
 fn audit_log(mut form: Form) -> Option<AuditLog> {
     let folder: Option<String> = form.required("folder");
-    let bytes = form.optional::<Bytes>("size").map_or(DEFAULT_AUDIT_LOG_BYTES, |b| b.0);
+    let bytes = form.optional::<Bytes>("size").map_or(DEFAULT_AUDIT_LOG_BYTES, |bytes| bytes.0);
     if bytes < MIN_AUDIT_LOG_BYTES {
-        form.error("(size ...): 64KiB at the least");
+        form.error("(size ...): must be at least 64KiB");
     }
     form.finish();
     folder.map(|folder| AuditLog { folder: folder.into(), bytes: bytes.max(MIN_AUDIT_LOG_BYTES) })
@@ -246,7 +249,7 @@
     let mut all: Vec<SocketAddr> = Vec::new();
     for mut peer in form.lists("peer") {
         let address: Option<SocketAddr> = peer.required_item("its address");
-        // A peer that is named twice counts once.
+        // A repeated address counts once.
         all.extend(address.filter(|address| !all.contains(address)));
         peer.finish();
     }
@@ -265,13 +268,13 @@
         let hash: Option<String> = key.required_item("its hash");
         if let (Some(name), Some(role), Some(hash)) = (name, role, hash) {
             if !["viewer", "operator", "admin", "controller"].contains(&role.as_str()) {
-                key.error(format!("role {role}: viewer, operator, admin or controller"));
+                key.error(format!("unknown role {role}: write viewer, operator, admin or controller"));
             }
             if !hash.starts_with("$argon2") {
-                key.error("the hash is an argon2 one, as nettleferry admin key prints it");
+                key.error("the hash must be an argon2 hash as printed by nettleferry admin key");
             }
             if keys.iter().any(|k| k.name == name) {
-                key.error(format!("key {name} stands twice: names are unique"));
+                key.error(format!("key {name} is defined more than once: names must be unique"));
             }
             keys.push(AdminKey { name, role, hash });
         }
--- a/crates/config/src/settings/classes.rs
+++ b/crates/config/src/settings/classes.rs
@@ -1,4 +1,4 @@
-//! Classes of calls and the tenants that the settings name.
+//! The classes of calls, and the tenants that are defined in the settings.
 
 use std::collections::HashMap;
 
@@ -6,13 +6,13 @@
 
 use crate::form::{Form, TimeSpan};
 
-/// Most classes of a file.
+/// The maximum number of classes in a file.
 pub const MAX_CLASSES: usize = 256;
 
-/// Most tenants of a file.
+/// The maximum number of tenants in a file.
 pub const MAX_TENANTS: usize = 10_000;
 
-/// The classes of a file, and their names in the same order.
+/// The classes in a file, and their names in the same order.
 pub(super) struct Classes {
     pub(super) classes: Vec<Class>,
     pub(super) names: Vec<String>,
@@ -24,10 +24,10 @@
     for mut form in top.lists("class") {
         let name: String = form.required_item("its name").unwrap_or_default();
         if names.contains(&name) {
-            form.error(format!("class {name} stands twice: names are unique"));
+            form.error(format!("class {name} is defined more than once: names must be unique"));
         }
-        let aim = form.required::<TimeSpan>("aim").map_or(1, |s| s.0);
-        let deadline = form.required::<TimeSpan>("deadline").map_or(aim, |s| s.0);
+        let aim = form.required::<TimeSpan>("aim").map_or(1, |span| span.0);
+        let deadline = form.required::<TimeSpan>("deadline").map_or(aim, |span| span.0);
         if deadline < aim || aim == 0 {
             form.error(format!("class {name}: the aim is above zero and not longer than the deadline"));
         }
@@ -54,7 +54,7 @@
     Classes { classes, names }
 }
 
-/// The keyword of an effect.
+/// The keyword of an effect in the settings.
 #[derive(Clone, Copy)]
 enum EffectKind {
     Safe,
@@ -69,10 +69,11 @@
     let effect = match form.keyword("effect", &kinds)? {
         EffectKind::Safe => Effect::Idempotent,
         EffectKind::Keyed => {
-            let group = [("all", KeyScope::All), ("zone", KeyScope::Zone), ("cell", KeyScope::Cell)];
-            let group = form.keyword("the group that drops repeats", &group);
-            let window: Option<TimeSpan> = form.required_item("the window in which repeats are dropped");
-            Effect::IdempotencyKey { scope: group?, window: window?.0 }
+            let scopes = [("all", KeyScope::All), ("zone", KeyScope::Zone), ("cell", KeyScope::Cell)];
+            let scope = form.keyword("the scope in which repeated calls are dropped", &scopes);
+            let window: Option<TimeSpan> =
+                form.required_item("the time window in which repeated calls are dropped");
+            Effect::IdempotencyKey { scope: scope?, window: window?.0 }
         }
         EffectKind::Unsafe => Effect::NonIdempotent,
     };
@@ -80,7 +81,7 @@
     Some(effect)
 }
 
-/// The tenants of a file, and their numbers by name.
+/// The tenants in a file, and their ids by name.
 pub(super) struct Tenants {
     pub(super) tenants: Vec<Tenant>,
     pub(super) ids: HashMap<String, TenantId>,
@@ -92,7 +93,7 @@
     for mut form in top.lists("tenant") {
         let name: String = form.required_item("its name").unwrap_or_default();
         if ids.insert(name.clone(), TenantId(tenants.len())).is_some() {
-            form.error(format!("tenant {name} stands twice: names are unique"));
+            form.error(format!("tenant {name} is defined more than once: names must be unique"));
         }
         tenants.push(Tenant { quota_per_s: form.optional("quota-per-second") });
         form.finish();
--- a/crates/config/src/settings/metrics.rs
+++ b/crates/config/src/settings/metrics.rs
@@ -1,4 +1,4 @@
-//! Where metrics are scraped, and sending them by Prometheus remote write.
+//! The export of metrics: the endpoint for scraping, and Prometheus remote write.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -7,70 +7,70 @@
 
 use crate::form::{Bytes, Form};
 
-/// Most series of calls.
+/// The upper limit of [`MetricsSettings::max_series`].
 pub const MAX_SERIES: u64 = 100_000;
 
-/// Where and how metrics are exported.
+/// How metrics are exported.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MetricsSettings {
-    /// Where they can be scraped; `None`: nowhere.
+    /// The address at which metrics can be scraped; `None` if there is no such endpoint.
     pub scrape: Option<SocketAddr>,
-    /// Whether calls are counted; else those series stay at zero, which shows what counting costs.
+    /// Whether calls are counted. If not, their series stay at zero; the comparison shows the cost of counting.
     pub count_calls: bool,
-    /// Most series of calls.
+    /// The maximum number of series that count calls.
     pub max_series: usize,
-    /// Remote write; `None`: samples are not sent.
+    /// Prometheus remote write; `None` if samples are not sent.
     pub remote_write: Option<RemoteWriteSettings>,
 }
 
-/// Prometheus remote write.
+/// The settings of Prometheus remote write. Times are in microseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RemoteWriteSettings {
-    /// The receiver.
+    /// The address of the receiver.
     pub receiver: SocketAddr,
-    /// The path of its endpoint.
+    /// The path of the receiver's endpoint.
     pub path: String,
-    /// Interval of samples.
+    /// The interval at which metrics are sampled.
     pub sample_interval: Micros,
-    /// Labels added to every series.
+    /// Labels that are added to each series.
     pub labels: Vec<Label>,
-    /// Folder of the write-ahead log.
+    /// The folder of the write-ahead log of unacknowledged samples.
     pub wal_folder: PathBuf,
-    /// Greatest size of the write-ahead log, bytes.
+    /// The maximum size of the write-ahead log, bytes; the oldest samples are dropped.
     pub wal_bytes: u64,
-    /// Greatest size of the queue in memory, bytes.
+    /// The maximum size of the queue in memory, bytes; the oldest samples are dropped.
     pub queue_bytes: usize,
-    /// Samples older than this are dropped.
+    /// The age at which samples are dropped.
     pub max_sample_age: Micros,
-    /// Most batches in flight.
+    /// The maximum number of batches in flight.
     pub shards: usize,
-    /// Most samples of a batch.
+    /// The maximum number of samples in a batch.
     pub batch_samples: usize,
-    /// Longest wait of a sample for its batch to fill.
+    /// The longest time that a sample waits for its batch to fill.
     pub batch_age: Micros,
-    /// Longest wait for a response.
+    /// The timeout of a request.
     pub timeout: Micros,
-    /// Wait before version 2.0 is tried again at a receiver that did not understand it; it grows with each attempt, to
-    /// twelve times as long.
+    /// The time before version 2.0 is tried again with a receiver that did not support it. It increases with each
+    /// attempt, up to twelve times this value.
     pub renegotiate_after: Micros,
-    /// Longest time that a controller takes at shutdown to send its last samples.
+    /// The longest time that a controller spends at shutdown to send the last samples.
     pub flush_timeout: Micros,
 }
 
-/// A label of a series.
+/// A label that is added to each series.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Label {
-    /// Its name.
+    /// The name of the label.
     pub name: String,
-    /// Its value.
+    /// The value of the label.
     pub value: String,
 }
 
-/// Shortest interval of samples.
+/// The shortest interval at which metrics are sampled, microseconds.
 const MIN_SAMPLE_INTERVAL: Micros = 10_000;
-/// Most batches in flight.
+/// The upper limit of [`RemoteWriteSettings::shards`].
 const MAX_SHARDS: u64 = 64;
-/// Most samples of a batch.
+/// The upper limit of [`RemoteWriteSettings::batch_samples`].
 const MAX_BATCH_SAMPLES: u64 = 100_000;
 
 /// Reads `(figures ...)`.
@@ -97,17 +97,17 @@
     let receiver = form.required("to");
     let path: String = form.value_or("path", "/api/v1/write".to_owned());
     if !path.starts_with('/') || path.contains(|c: char| c.is_whitespace() || c.is_control()) {
-        form.error("(path ...) begins with / and holds no blanks");
+        form.error("(path ...) must begin with / and contain no whitespace or control characters");
     }
     let sample_interval = form.micros_or("every", 15_000_000);
     let batch_age = form.micros_or("batch-age", 5_000_000);
     if sample_interval < MIN_SAMPLE_INTERVAL {
-        form.error("(every ...): 10ms at the least");
+        form.error("(every ...): must be at least 10ms");
     }
     let wal_folder: Option<String> = form.required("spool");
     let (shards, batch) = (form.value_or("shards", 4u64), form.value_or("batch", 2_000u64));
     if !(1..=MAX_SHARDS).contains(&shards) || !(1..=MAX_BATCH_SAMPLES).contains(&batch) {
-        form.error("(shards ...) is from 1 to 64, (batch ...) from 1 to 100000");
+        form.error("(shards ...) must be from 1 to 64, and (batch ...) from 1 to 100000");
     }
     let settings = RemoteWriteSettings {
         receiver: SocketAddr::from(([127, 0, 0, 1], 0)),
@@ -137,10 +137,12 @@
             (label.required_item::<String>("its name"), label.required_item::<String>("its value"));
         let pair = name.zip(value).map(|(name, value)| Label { name, value });
         if let Some(Label { name, .. }) = &pair {
-            let valid = name.starts_with(|c: char| c.is_ascii_alphabetic() || c == '_')
+            let has_valid_characters = name.starts_with(|c: char| c.is_ascii_alphabetic() || c == '_')
                 && name.chars().all(|c| c.is_ascii_alphanumeric() || c == '_');
-            if !valid || name.starts_with("__") {
-                label.error(format!("label {name}: letters, digits and _, not a digit first, not __ first"));
+            if !has_valid_characters || name.starts_with("__") {
+                label.error(format!(
+                    "label {name}: write letters, digits and _, with no digit and no __ at the beginning"
+                ));
             }
         }
         labels.extend(pair);
--- a/crates/config/src/settings/mod.rs
+++ b/crates/config/src/settings/mod.rs
@@ -1,7 +1,7 @@
-//! A controller's settings file. `examples/nettleferry.sexp` shows every key with its meaning and default.
+//! The settings file of a controller. `examples/nettleferry.sexp` contains each key with its meaning and default.
 //!
-//! This module reads the file; each part of it is read in a module of its own: [`classes`], [`models`],
-//! [`policy`], [`limits`], [`metrics`], [`admin`], [`recovery`].
+//! This module reads the file as a whole; the larger lists are read in the modules [`classes`], [`models`], [`policy`],
+//! [`limits`], [`metrics`], [`admin`] and [`recovery`].
 
 mod admin;
 mod classes;
@@ -31,69 +31,69 @@
 pub use models::{MAX_MODELS, Model, Models, Tensor};
 pub use recovery::{Recovery, RestartAdmissionPolicy};
 
-/// Default of the decision module's step, microseconds.
+/// Default of [`Settings::event_interval`], microseconds.
 const DEFAULT_STEP: Micros = 1_000;
-/// Default interval of checks of the worker list, microseconds.
+/// Default interval at which the worker list's file is checked for changes, microseconds.
 const DEFAULT_CHECK_INTERVAL: Micros = 200_000;
-/// Shortest interval of checks of the worker list, microseconds.
+/// Shortest interval at which the worker list's file is checked for changes, microseconds.
 const MIN_CHECK_INTERVAL: Micros = 1_000;
 
-/// The checked settings of a controller.
+/// The validated settings of a controller.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Where the gRPC front listens.
+    /// The address on which the controller accepts gRPC calls.
     pub grpc: SocketAddr,
-    /// This controller's zone.
+    /// The zone of this controller, if set.
     pub zone: Option<String>,
-    /// Seed of the decision module's random numbers; `None`: chosen at start.
+    /// The seed of the decision module's random numbers; `None` if it is chosen at startup.
     pub seed: Option<u64>,
-    /// The worker list's file.
+    /// The file of the worker list.
     pub workers_file: PathBuf,
-    /// Interval of checks of that file.
+    /// The interval at which that file is checked for changes.
     pub workers_check_interval: Micros,
-    /// Where the last list is persisted for the next start; `None`: nowhere.
+    /// The file in which the last list is persisted for the next start; `None` if it is not persisted.
     pub persisted_workers_file: Option<PathBuf>,
-    /// For the decision module. The zone is filled in by the engine.
+    /// The settings of the decision module. The engine sets the zone's id.
     pub settings: Settings,
-    /// Names of the classes, by [`ClassId`].
+    /// The names of the classes, indexed by [`ClassId`](nettleferry::ClassId).
     pub classes: Vec<String>,
-    /// Numbers of the tenants by name.
+    /// The ids of the tenants by name.
     pub tenants: HashMap<String, TenantId>,
-    /// The models.
+    /// The models that are served.
     pub models: Models,
-    /// Limits at the edge.
+    /// Limits and timeouts of client and worker connections.
     pub edge: EdgeLimits,
-    /// Export of metrics.
+    /// How metrics are exported.
     pub metrics: MetricsSettings,
-    /// Administration; `None`: the tenants are those of the settings, and no API is served.
+    /// The administration of tenants; `None` if the tenants are those in the settings and no API is served.
     pub admin: Option<AdminSettings>,
-    /// Behaviour after a restart.
+    /// The behaviour after a restart.
     pub recovery: Recovery,
-    /// CRC-32 of the file's text, by which controllers with other settings can be found.
+    /// The CRC-32 of the file's text, by which controllers with different settings are detected.
     pub checksum: u64,
 }
 
-/// Which controller of how many this is.
+/// The identity of this controller within the fleet.
 struct Identity {
-    /// Its number, from 0.
+    /// The number of this controller, from 0.
     number: u32,
-    /// How many there are.
+    /// The number of controllers.
     controllers: u32,
     zone: Option<String>,
     seed: Option<u64>,
 }
 
-/// The worker list's file.
+/// The settings of the worker list's file.
 struct WorkerList {
     file: Option<PathBuf>,
     check_interval: Micros,
     persisted: Option<PathBuf>,
 }
 
-/// Parses a settings file. `file`: its name, for errors.
+/// Parses a settings file. `file` is the file's name in error messages.
 ///
 /// # Errors
-/// All errors of the file.
+/// All errors in the file.
 pub fn read(file: &str, text: &str) -> Result<Config, Errors> {
     let (source, mut top) = Form::parse(file, text);
     let grpc = listen(&mut top);
@@ -162,7 +162,7 @@
     let mut form = top.list_or_empty("controller");
     let (number, controllers) = (form.value_or("number", 0), form.value_or("of", 1u32));
     if controllers == 0 {
-        form.error("(of 0): there is at least this controller");
+        form.error("(of 0): must be at least 1");
     } else if number >= controllers {
         form.error(format!("(number {number}): numbers go from 0 to {}", controllers - 1));
     }
@@ -179,7 +179,7 @@
     let file: Option<String> = form.required("file");
     let check_interval = form.micros_or("check-every", DEFAULT_CHECK_INTERVAL);
     if check_interval < MIN_CHECK_INTERVAL {
-        form.error("(check-every ...): 1ms at the least");
+        form.error("(check-every ...): must be at least 1ms");
     }
     let persisted: Option<String> = form.optional("kept");
     form.finish();
--- a/crates/config/src/settings/models.rs
+++ b/crates/config/src/settings/models.rs
@@ -1,4 +1,4 @@
-//! The models that are served, by name or by a prefix of their names.
+//! The models that are served. A model in the settings matches a name, or all names with a prefix.
 
 use std::collections::HashMap;
 
@@ -6,46 +6,46 @@
 
 use crate::form::{Bytes, Form, TimeSpan, nearest};
 
-/// Most models of a file.
+/// The maximum number of models in a file.
 pub const MAX_MODELS: usize = 100_000;
 
-/// A tensor, for ModelMetadata.
+/// A tensor in the response to ModelMetadata.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tensor {
-    /// Its name.
+    /// The name of the tensor.
     pub name: String,
-    /// Its datatype, as the protocol writes it.
+    /// The datatype in the protocol's spelling, such as `FP32`.
     pub datatype: String,
-    /// Its shape; -1 is any size.
+    /// The size of each dimension; -1 means any size.
     pub shape: Vec<i64>,
 }
 
-/// A model, or all models whose names have a prefix.
+/// The settings of a model, or of all models whose names have a prefix.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Model {
-    /// Its number among the settings' models, for metrics.
+    /// The index of this model in the settings, under which metrics group its calls.
     pub group: u32,
-    /// Its class.
+    /// The class of its calls.
     pub class: ClassId,
-    /// Calls that one replica runs at once.
+    /// The number of calls that a replica runs concurrently, at least 1.
     pub lanes: u32,
-    /// Memory of a replica, bytes.
+    /// The memory of a replica, bytes, if known.
     pub memory: Option<u64>,
-    /// Typical time of a load.
+    /// The typical duration of a load, microseconds, if known.
     pub load_time: Option<Micros>,
-    /// Typical service time of a call.
+    /// The typical service time of a call, microseconds, if known.
     pub service_time: Option<Micros>,
-    /// Versions served; empty: any.
+    /// The versions that are served; empty for any version.
     pub versions: Vec<String>,
-    /// Its platform, for ModelMetadata.
+    /// The platform in the response to ModelMetadata.
     pub platform: String,
-    /// Its inputs.
+    /// The inputs in the response to ModelMetadata.
     pub inputs: Vec<Tensor>,
-    /// Its outputs.
+    /// The outputs in the response to ModelMetadata.
     pub outputs: Vec<Tensor>,
 }
 
-/// Models by name or by its longest prefix.
+/// The models in the settings, looked up by exact name or by the longest matching prefix.
 #[derive(Clone, Debug, Default)]
 pub struct Models {
     exact: HashMap<String, Model>,
@@ -55,38 +55,40 @@
 }
 
 impl Models {
-    /// Names of the models as the settings write them, by [`Model::group`].
+    /// The names of the models as written in the settings, indexed by [`Model::group`].
     pub fn groups(&self) -> &[String] {
         &self.groups
     }
 
-    /// What the settings say of a model in a version; empty: any. `None`: it is not served.
+    /// Finds the settings of a model. `None` if the model or the version is not served; an empty version matches any.
     pub fn served(&self, name: &str, version: &str) -> Option<&Model> {
-        let any = |m: &&Model| {
-            version.is_empty() || m.versions.is_empty() || m.versions.iter().any(|v| v == version)
+        let serves_version = |model: &&Model| {
+            version.is_empty()
+                || model.versions.is_empty()
+                || model.versions.iter().any(|served| served == version)
         };
-        self.find(name).filter(any)
+        self.find(name).filter(serves_version)
     }
 
-    /// What the settings say of a model; `None`: nothing matches.
+    /// Finds the settings of a model, whatever its version. `None` if no name or prefix matches.
     pub fn find(&self, name: &str) -> Option<&Model> {
         if let Some(model) = self.exact.get(name) {
             return Some(model);
         }
-        // Longest first, and no longer than the longest in the settings, which bounds the loop.
+        // The longest prefix first. Starting at the longest one in the settings bounds the loop for long names.
         let longest = name.len().min(self.longest_prefix);
         (0..=longest).rev().filter_map(|n| name.get(..n)).find_map(|prefix| self.prefixes.get(prefix))
     }
 }
 
-/// Reads all `(model NAME ...)`; `classes` are the names that they may refer to.
+/// Reads all `(model NAME ...)`. `classes` are the names of the defined classes.
 pub(super) fn models(top: &mut Form, classes: &[String]) -> Models {
     let mut models = Models::default();
     let mut count: u32 = 0;
     for mut form in top.lists("model") {
         count += 1;
         let name: String =
-            form.required_item("its name, or the beginning of names and a *").unwrap_or_default();
+            form.required_item("its name, or a prefix of names followed by *").unwrap_or_default();
         let class = class_of(&mut form, &name, classes);
         let versions = versions(&mut form);
         models.groups.push(name.clone());
@@ -94,23 +96,23 @@
             group: count - 1,
             class,
             lanes: form.value_or("lanes", 1u32).max(1),
-            memory: form.optional::<Bytes>("memory").map(|b| b.0),
-            load_time: form.optional::<TimeSpan>("load-time").map(|s| s.0),
-            service_time: form.optional::<TimeSpan>("work").map(|s| s.0),
+            memory: form.optional::<Bytes>("memory").map(|bytes| bytes.0),
+            load_time: form.optional::<TimeSpan>("load-time").map(|span| span.0),
+            service_time: form.optional::<TimeSpan>("work").map(|span| span.0),
             versions,
             platform: form.value_or("platform", "nettleferry".to_owned()),
             inputs: tensors(&mut form, "input"),
             outputs: tensors(&mut form, "output"),
         };
-        let old = match name.strip_suffix('*') {
+        let duplicate = match name.strip_suffix('*') {
             Some(prefix) => {
                 models.longest_prefix = models.longest_prefix.max(prefix.len());
                 models.prefixes.insert(prefix.to_owned(), model)
             }
             None => models.exact.insert(name.clone(), model),
         };
-        if old.is_some() {
-            form.error(format!("model {name} stands twice: keep one"));
+        if duplicate.is_some() {
+            form.error(format!("model {name} is defined more than once: keep one"));
         }
         form.finish();
     }
@@ -122,7 +124,7 @@
     models
 }
 
-/// Reads all tensors under a key.
+/// Reads all tensors with a key, `input` or `output`.
 fn tensors(form: &mut Form, key: &'static str) -> Vec<Tensor> {
     let mut all = Vec::new();
     for mut tensor in form.lists(key) {
@@ -140,7 +142,7 @@
     all
 }
 
-/// Reads the class of a model; the first one where what is written is no class, which is a fault.
+/// Reads the class of a model. Reports an error and returns the first class if there is no such class.
 fn class_of(form: &mut Form, model: &str, classes: &[String]) -> ClassId {
     let class: Option<String> = form.required("class");
     let found = class.as_ref().and_then(|class| classes.iter().position(|known| known == class));
--- a/crates/config/src/settings/policy.rs
+++ b/crates/config/src/settings/policy.rs
@@ -1,40 +1,40 @@
-//! Settings of the decision module beside its limits: discovery, reports, loading and the rules.
+//! The settings of the decision module except its limits: discovery, load reports, weights, loading and rules.
 
 use nettleferry::{Discovery, Loading, Reports, Rules, Weights, WhenAbsent};
 
 use crate::form::{Form, TimeSpan};
 
-/// Reads how workers are discovered.
+/// Reads `(discovery ...)`: how the worker list is received.
 pub(super) fn discovery(top: &mut Form) -> Discovery {
-    let words = [("push", Discovery::Push), ("ask", Discovery::Poll)];
-    top.keyword_or("discovery", &words, Discovery::Push)
+    let keywords = [("push", Discovery::Push), ("ask", Discovery::Poll)];
+    top.keyword_or("discovery", &keywords, Discovery::Push)
 }
 
-/// Reads where load reports come from.
+/// Reads `(reports ...)`: which responses of workers contain load reports.
 pub(super) fn reports(top: &mut Form) -> Reports {
-    let words = [("none", Reports::None), ("probe", Reports::Probe), ("answers", Reports::Answers)];
-    top.keyword_or("reports", &words, Reports::Answers)
+    let keywords = [("none", Reports::None), ("probe", Reports::Probe), ("answers", Reports::Answers)];
+    top.keyword_or("reports", &keywords, Reports::Answers)
 }
 
-/// Reads what is known of the weights of workers.
+/// Reads `(weights ...)`: the meaning of the weights in the worker list.
 pub(super) fn weights(top: &mut Form) -> Weights {
-    let words = [
+    let keywords = [
         ("none", Weights::None),
         ("nominal", Weights::Nominal),
         ("rough", Weights::Rough),
         ("live", Weights::Live),
     ];
-    top.keyword_or("weights", &words, Weights::None)
+    top.keyword_or("weights", &keywords, Weights::None)
 }
 
 /// Reads `(loading ...)`.
 pub(super) fn loading(top: &mut Form) -> Loading {
     let mut form = top.list_or_empty("loading");
-    let absent = [("load", WhenAbsent::Load), ("miss", WhenAbsent::Miss)];
-    let when_absent = form.keyword_or("when-absent", &absent, WhenAbsent::Load);
+    let keywords = [("load", WhenAbsent::Load), ("miss", WhenAbsent::Miss)];
+    let when_absent = form.keyword_or("when-absent", &keywords, WhenAbsent::Load);
     let (mut window, mut floor, mut share) = (0, 0.0, 0.0);
     if let Some(mut ration) = form.optional_list("ration") {
-        window = ration.required::<TimeSpan>("window").map_or(0, |s| s.0);
+        window = ration.required::<TimeSpan>("window").map_or(0, |span| span.0);
         floor = ration.value_or("floor", 0.0);
         share = ration.value_or("share", 0.0);
         ration.finish();
@@ -63,7 +63,7 @@
 pub(super) fn rules(top: &mut Form) -> Rules {
     let mut form = top.list_or_empty("rules");
     let rules = Rules {
-        // Answers are due before the deadline: see (limits (answer-margin ...)).
+        // Responses must be sent before the deadline; see (limits (answer-margin ...)).
         answer_grace: 0,
         drain_grace: form.micros_or("drain-grace", 500_000),
         must_poll_within: form.micros_or("must-ask-in", 10_000_000),
--- a/crates/config/src/settings/recovery.rs
+++ b/crates/config/src/settings/recovery.rs
@@ -1,35 +1,35 @@
-//! Behaviour after a restart.
+//! The list `(recovery ...)`: the behaviour after a restart.
 
 use crate::form::Form;
 
-/// Behaviour after a restart.
+/// The settings of the behaviour after a restart.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Recovery {
-    /// When calls that can't be answered in time are rejected on arrival.
+    /// After which starts the controller limits admission: it rejects calls on arrival that can't be answered in time.
     pub restart_admission: RestartAdmissionPolicy,
 }
 
-/// When calls are judged on arrival.
+/// After which starts a controller limits admission.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum RestartAdmissionPolicy {
-    /// Never.
+    /// After none.
     Never,
-    /// After a start that found the worker list of an earlier incarnation.
+    /// After a start that finds the persisted worker list of an earlier incarnation.
     #[default]
     Restart,
-    /// After every start.
+    /// After each start.
     Always,
 }
 
 /// Reads `(recovery ...)`.
 pub(super) fn recovery(top: &mut Form) -> Recovery {
     let mut form = top.list_or_empty("recovery");
-    let words = [
+    let keywords = [
         ("never", RestartAdmissionPolicy::Never),
         ("restart", RestartAdmissionPolicy::Restart),
         ("always", RestartAdmissionPolicy::Always),
     ];
-    let restart_admission = form.keyword_or("gate", &words, RestartAdmissionPolicy::Restart);
+    let restart_admission = form.keyword_or("gate", &keywords, RestartAdmissionPolicy::Restart);
     form.finish();
     Recovery { restart_admission }
 }
--- a/crates/config/src/settings/tests.rs
+++ b/crates/config/src/settings/tests.rs
@@ -1,14 +1,16 @@
-//! The example file, suggestions and errors.
+//! Unit tests of `settings`: the example file is valid, the longest prefix of a model name wins, and errors contain the
+//! fix.
 
 use nettleferry::{Effect, KeyScope};
 
 use super::*;
 
-const SMALL: &str = "(listen (grpc \"127.0.0.1:0\")) (workers (file \"w.sexp\"))
+/// Valid settings without a model.
+const SETTINGS_WITHOUT_MODEL: &str = "(listen (grpc \"127.0.0.1:0\")) (workers (file \"w.sexp\"))
     (class c (effect safe) (aim 600ms) (deadline 4s))";
 
 fn errors(text: &str) -> String {
-    read("n.sexp", text).map(|_| ()).expect_err("wrong").to_string()
+    read("n.sexp", text).map(|_| ()).expect_err("invalid settings").to_string()
 }
 
 #[test]
@@ -27,7 +29,7 @@
 #[test]
 fn longest_prefix_wins() {
     let text = format!(
-        "{SMALL} (model \"*\" (class c)) (model \"echo-*\" (class c) (lanes 2))
+        "{SETTINGS_WITHOUT_MODEL} (model \"*\" (class c)) (model \"echo-*\" (class c) (lanes 2))
          (model \"echo-big-*\" (class c) (lanes 3)) (model echo-big-1 (class c) (lanes 4))"
     );
     let models = read("n", &text).expect("valid settings").models;
@@ -49,7 +51,7 @@
 #[test]
 fn unknown_class_gets_a_suggestion() {
     let report = errors(&format!(
-        "{SMALL} (class credit (effect unsafe) (aim 1s) (deadline 2s)) (model m (class credti))"
+        "{SETTINGS_WITHOUT_MODEL} (class credit (effect unsafe) (aim 1s) (deadline 2s)) (model m (class credti))"
     ));
     assert!(report.contains("there is no class credti: did you mean credit?"), "{report}");
 }
@@ -57,7 +59,7 @@
 #[test]
 fn contradictory_settings_are_rejected() {
     let report = errors(&format!(
-        "{SMALL} (model m (class c)) (class d (effect (keyed zone)) (aim 5s) (deadline 4s))
+        "{SETTINGS_WITHOUT_MODEL} (model m (class c)) (class d (effect (keyed zone)) (aim 5s) (deadline 4s))
          (loading (when-absent miss) (orders no)) (controller (number 3) (of 3)) (limits (attempts 0) (idle 30))"
     ));
     for part in [
--- a/crates/config/src/syntax.rs
+++ b/crates/config/src/syntax.rs
@@ -1,5 +1,6 @@
-//! S-expressions: atoms, "strings" with `\"`, `\\`, `\n` and `\t`, lists in parentheses, comments from `;` to
-//! the line's end. What is broken is reported and skipped, so that one file shows all its errors at once.
+//! Parses S-expressions: words, strings in double quotes with the escapes `\"`, `\\`, `\n` and `\t`, lists in
+//! parentheses, and comments from `;` to the end of the line. Parsing continues after an error, so that all errors of a
+//! file are reported at once.
 
 use winnow::Parser;
 use winnow::ascii::multispace1;
@@ -8,41 +9,41 @@
 use winnow::stream::{LocatingSlice, Location, Stream};
 use winnow::token::{any, none_of, take_till, take_while};
 
-/// Longest text that is read, in bytes.
+/// The maximum length of a text, bytes.
 pub const MAX_TEXT_BYTES: usize = 16 << 20;
-/// Deepest nesting of lists.
+/// The maximum depth of nested lists.
 pub const MAX_DEPTH: usize = 32;
 
-/// A place in a text: byte offsets.
+/// A range of a text, as byte offsets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Span {
-    /// First byte.
+    /// The offset of the first byte.
     pub from: usize,
-    /// One past the last.
+    /// The offset after the last byte.
     pub to: usize,
 }
 
-/// A value of the text.
+/// A node of the syntax tree.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Node {
-    /// A word or a string.
+    /// A word or a quoted string.
     Atom {
-        /// Its content.
+        /// The content, without quotes and with escapes resolved.
         text: String,
-        /// Where.
+        /// The range in the text, quotes included.
         span: Span,
     },
     /// A list.
     List {
-        /// Its elements.
+        /// The elements.
         items: Vec<Node>,
-        /// Where, parentheses included.
+        /// The range in the text, parentheses included; only the opening one if the list is not closed.
         span: Span,
     },
 }
 
 impl Node {
-    /// Its place in the text.
+    /// The range of the node in the text.
     pub fn span(&self) -> Span {
         match self {
             Self::Atom { span, .. } | Self::List { span, .. } => *span,
@@ -59,7 +60,7 @@
 
 type Input<'a> = LocatingSlice<&'a str>;
 
-/// A string in quotes, without the quotes and escapes.
+/// Parses a string in quotes and resolves its escapes.
 fn string(input: &mut Input<'_>) -> Result<Token, ContextError> {
     let escaped = preceded(
         '\\',
@@ -77,7 +78,7 @@
     delimited('"', content, '"').map(Token::Atom).parse_next(input)
 }
 
-/// The next token; blanks and comments are one.
+/// Parses the next token. Whitespace and comments are [`Token::Blank`].
 fn token(input: &mut Input<'_>) -> Result<Token, ContextError> {
     alt((
         multispace1.map(|_| Token::Blank),
@@ -91,27 +92,27 @@
     .parse_next(input)
 }
 
-/// An error at a place of the text.
+/// An error at a position in the text.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SyntaxError {
-    /// Where.
+    /// The range of the text that is wrong.
     pub span: Span,
-    /// What is wrong and what to write instead.
+    /// The problem and how to fix it.
     pub message: String,
 }
 
-/// What a text was parsed to.
+/// The result of parsing a text.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Syntax {
-    /// Its values.
+    /// The top-level nodes.
     pub nodes: Vec<Node>,
-    /// Its errors; what is broken is not among the values.
+    /// The errors. Invalid strings are left out of the nodes; unclosed lists are included.
     pub errors: Vec<SyntaxError>,
 }
 
-/// Parses a text.
+/// Parses a text. Errors are part of the result.
 pub fn parse(text: &str) -> Syntax {
-    let mut parser = SyntaxParser { text, open: Vec::new(), syntax: Syntax::default() };
+    let mut parser = SyntaxParser { text, open_lists: Vec::new(), syntax: Syntax::default() };
     if text.len() > MAX_TEXT_BYTES {
         let message = format!("the text has {} bytes; at most {MAX_TEXT_BYTES} are read", text.len());
         parser.error(Span { from: 0, to: 0 }, message);
@@ -123,7 +124,7 @@
     parser.syntax
 }
 
-/// A list whose parenthesis is not closed yet.
+/// A list whose closing parenthesis has not been read yet.
 struct OpenList {
     from: usize,
     items: Vec<Node>,
@@ -132,7 +133,7 @@
 struct SyntaxParser<'a> {
     text: &'a str,
     /// From the outermost to the innermost.
-    open: Vec<OpenList>,
+    open_lists: Vec<OpenList>,
     syntax: Syntax,
 }
 
@@ -141,15 +142,15 @@
         self.syntax.errors.push(SyntaxError { span, message: message.into() });
     }
 
-    /// Adds a complete value to the innermost open list.
+    /// Adds a complete node to the innermost open list, or to the top level.
     fn push(&mut self, node: Node) {
-        match self.open.last_mut() {
+        match self.open_lists.last_mut() {
             Some(list) => list.items.push(node),
             None => self.syntax.nodes.push(node),
         }
     }
 
-    /// Reads to the end of the text. False: lists are nested too deep, and reading stopped there.
+    /// Reads the tokens up to the end of the text. Returns false if it stopped early because lists are nested too deep.
     fn read_tokens(&mut self) -> bool {
         let mut input = LocatingSlice::new(self.text);
         while !input.is_empty() {
@@ -159,16 +160,16 @@
             let span = Span { from, to: input.current_token_start() };
             match found {
                 Ok(Token::Blank) => {}
-                Ok(Token::Open) if self.open.len() == MAX_DEPTH => {
+                Ok(Token::Open) if self.open_lists.len() == MAX_DEPTH => {
                     self.error(span, format!("lists are nested deeper than {MAX_DEPTH}"));
                     return false;
                 }
-                Ok(Token::Open) => self.open.push(OpenList { from, items: Vec::new() }),
-                Ok(Token::Close) => self.close(span),
+                Ok(Token::Open) => self.open_lists.push(OpenList { from, items: Vec::new() }),
+                Ok(Token::Close) => self.close_list(span),
                 Ok(Token::Atom(text)) => self.push(Node::Atom { text, span }),
                 Err(_) => {
                     input.reset(&before);
-                    let skipped = self.broken_string(from);
+                    let skipped = self.report_invalid_string(from);
                     input.next_slice(skipped);
                 }
             }
@@ -176,17 +177,18 @@
         true
     }
 
-    fn close(&mut self, span: Span) {
-        match self.open.pop() {
+    fn close_list(&mut self, span: Span) {
+        match self.open_lists.pop() {
             Some(OpenList { from, items }) => {
                 self.push(Node::List { items, span: Span { from, to: span.to } })
             }
-            None => self.error(span, "this ) closes nothing: remove it, or add the ( it belongs to"),
+            None => self.error(span, "this ) has no matching (: remove it or add a ("),
         }
     }
 
-    /// Only a string can fail: the rest of its line is skipped. Returns how many bytes that are.
-    fn broken_string(&mut self, from: usize) -> usize {
+    /// Reports an invalid string at `from`; no other token can be invalid. Returns the number of bytes to skip, which
+    /// is the rest of the line.
+    fn report_invalid_string(&mut self, from: usize) -> usize {
         let rest = &self.text[from..];
         let line = rest.find('\n').unwrap_or(rest.len());
         let message =
@@ -195,9 +197,9 @@
         line.max(1)
     }
 
-    /// At the end of the text, from the innermost list on.
+    /// Reports the lists that are still open at the end of the text, innermost first, and adds them to the top level.
     fn close_open_lists(&mut self) {
-        for OpenList { from, items } in std::mem::take(&mut self.open).into_iter().rev() {
+        for OpenList { from, items } in std::mem::take(&mut self.open_lists).into_iter().rev() {
             let span = Span { from, to: from + 1 };
             self.error(span, "this ( is never closed: add a )");
             self.syntax.nodes.push(Node::List { items, span });
--- a/crates/config/src/syntax/tests.rs
+++ b/crates/config/src/syntax/tests.rs
@@ -5,13 +5,13 @@
 
 proptest! {
     #[test]
-    fn noise_never_panics(noise in "[ ()\"\\\\;a-z0-9\n\u{e9}]{0,80}") {
-        let _ = parse(&noise);
+    fn arbitrary_text_never_panics(text in "[ ()\"\\\\;a-z0-9\n\u{e9}]{0,80}") {
+        let _ = parse(&text);
     }
 }
 
 #[test]
-fn values_have_their_places() {
+fn nodes_have_their_spans() {
     let Syntax { nodes, errors } = parse("; head\n(a \"b\\\"c\" (d))");
     assert!(errors.is_empty());
     let Node::List { items, span } = &nodes[0] else { panic!("a list") };
@@ -20,10 +20,10 @@
 }
 
 #[test]
-fn all_broken_places_are_reported() {
+fn all_errors_are_reported_with_their_positions() {
     let Syntax { errors, .. } = parse("(a))\n(b \"open\n(c");
-    let places: Vec<usize> = errors.iter().map(|error| error.span.from).collect();
-    assert_eq!(places, vec![3, 8, 14, 5], "a stray ), a string without end, two lists never closed");
+    let positions: Vec<usize> = errors.iter().map(|error| error.span.from).collect();
+    assert_eq!(positions, vec![3, 8, 14, 5], "an unmatched ), an unterminated string, two unclosed lists");
 }
 
 #[test]
--- a/crates/config/src/workers.rs
+++ b/crates/config/src/workers.rs
@@ -1,12 +1,12 @@
-//! The worker list: a file, which is taken complete or not at all.
+//! The worker list, a file. A list with any error is rejected as a whole.
 //!
 //! ```text
 //! (worker w1 (address "127.0.0.1:9001") (zone room-a) (kind std-2c) (weight 1) (cell c1) (state on)
 //!            (born 1764590000.250s))
 //! ```
 //!
-//! Only the address is required. `state` is `on`, `draining` or `gone`; `born` is when its process last
-//! started, as time since 1970-01-01 UTC: without it, long ago.
+//! Only the name and the address are required. `state` is `on`, `draining` or `gone`. `born` is the time at which the
+//! worker's process last started, since 1970-01-01 UTC; without it, the worker counts as started long ago.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -15,34 +15,34 @@
 
 use crate::form::{Errors, Form, TimeSpan};
 
-/// Most workers of a list.
+/// The maximum number of workers in a list.
 pub const MAX_WORKERS: usize = 100_000;
 
-/// A worker of the list.
+/// A worker in the list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Worker {
-    /// Its name: it keeps it when its process restarts.
+    /// The unique name, which stays the same when the worker's process restarts.
     pub name: String,
-    /// The address that it serves on.
+    /// The address on which the worker accepts connections.
     pub address: SocketAddr,
-    /// Its zone.
+    /// The zone; `default` if not set.
     pub zone: String,
-    /// Its machine kind.
+    /// The kind of machine; `default` if not set.
     pub kind: String,
-    /// Its weight.
+    /// The weight, whose meaning the setting `weights` defines; 1 if not set.
     pub weight: f64,
-    /// Its cell; its own name where none is given.
+    /// The cell; the worker's name if not set.
     pub cell: String,
-    /// Its state.
+    /// Whether the worker is in service, draining or gone.
     pub state: WorkerState,
-    /// When it last started, microseconds since 1970.
+    /// The time of the process's last start, microseconds since 1970-01-01 UTC; `None` if not known.
     pub started_at: Option<Micros>,
 }
 
-/// Parses a worker list. `file`: its name, for errors.
+/// Parses a worker list. `file` is the file's name in error messages.
 ///
 /// # Errors
-/// All errors of the list.
+/// All errors in the list.
 pub fn read(file: &str, text: &str) -> Result<Vec<Worker>, Errors> {
     let (source, mut top) = Form::parse(file, text);
     let mut names = BTreeSet::new();
@@ -84,32 +84,32 @@
     Some(Worker { cell: cell.unwrap_or_else(|| name.clone()), name, address, ..defaults })
 }
 
-/// The text of a list, which [`read`] parses to the same list.
+/// Formats a list as text that [`read`] parses to the same list.
 pub fn write(workers: &[Worker]) -> String {
     use std::fmt::Write;
     let mut out = String::new();
-    for w in workers {
-        let state = match w.state {
+    for worker in workers {
+        let state = match worker.state {
             WorkerState::On => "on",
             WorkerState::Draining => "draining",
             WorkerState::Gone => "gone",
         };
-        let born = w.started_at.map_or(String::new(), |us| format!(" (born {us}us)"));
+        let born = worker.started_at.map_or(String::new(), |us| format!(" (born {us}us)"));
         let _ = writeln!(
             out,
             "(worker {} (address \"{}\") (zone {}) (kind {}) (weight {}) (cell {}) (state {state}){born})",
-            quoted(&w.name),
-            w.address,
-            quoted(&w.zone),
-            quoted(&w.kind),
-            w.weight,
-            quoted(&w.cell),
+            quoted(&worker.name),
+            worker.address,
+            quoted(&worker.zone),
+            quoted(&worker.kind),
+            worker.weight,
+            quoted(&worker.cell),
         );
     }
     out
 }
 
-/// A string with quotes and escapes.
+/// Quotes and escapes a string as [`crate::syntax`] parses it.
 fn quoted(text: &str) -> String {
     let mut out = String::from("\"");
     for c in text.chars() {
