--- a/crates/audit-log/src/entry.rs
+++ b/crates/audit-log/src/entry.rs
@@ -114,7 +114,7 @@
     Accepted {
         /// The epoch of the tenant store.
         epoch: u64,
-        /// The number of the change in that epoch.
+        /// The number of the change, which is the revision of the version that it leads to.
         revision: u64,
         /// The name of the changed tenant.
         tenant: String,
@@ -129,7 +129,7 @@
     InForce {
         /// The epoch of the tenant store.
         epoch: u64,
-        /// The number of the change in that epoch.
+        /// The number of the change, which is the revision of the version that it leads to.
         revision: u64,
     },
 }
--- a/crates/audit-log/src/view.rs
+++ b/crates/audit-log/src/view.rs
@@ -8,7 +8,7 @@
 pub struct Version {
     /// The epoch of the tenant store.
     pub epoch: u64,
-    /// The number of the last change in that epoch.
+    /// The number of the last applied change.
     pub revision: u64,
 }
 
--- a/crates/config/src/form/mod.rs
+++ b/crates/config/src/form/mod.rs
@@ -2,7 +2,7 @@
 //! are missing, duplicate, unknown or malformed become errors with their position and how to fix them. Reading
 //! continues after an error.
 //!
-//! [`source`]: the text and the errors found in it. [`value`]: parsing atoms as values.
+//! `source`: the text and the errors found in it. `value`: parsing atoms as values.
 
 mod source;
 mod value;
--- a/crates/config/src/settings/classes.rs
+++ b/crates/config/src/settings/classes.rs
@@ -26,9 +26,9 @@
         if names.contains(&name) {
             form.error(format!("class {name} is defined more than once: names must be unique"));
         }
-        let aim = form.required::<TimeSpan>("aim").map_or(1, |span| span.0);
-        let deadline = form.required::<TimeSpan>("deadline").map_or(aim, |span| span.0);
-        if deadline < aim || aim == 0 {
+        let latency_objective = form.required::<TimeSpan>("aim").map_or(1, |span| span.0);
+        let deadline = form.required::<TimeSpan>("deadline").map_or(latency_objective, |span| span.0);
+        if deadline < latency_objective || latency_objective == 0 {
             form.error(format!("class {name}: the aim is above zero and not longer than the deadline"));
         }
         let late_share = form.value_or("late-share", 0.0);
@@ -36,7 +36,7 @@
             form.error(format!("class {name}: (late-share ...) is a share, from 0 to 1"));
         }
         classes.push(Class {
-            latency_objective: aim,
+            latency_objective,
             deadline,
             effect: effect(&mut form).unwrap_or(Effect::NonIdempotent),
             priority_weight: form.value_or("worth", 1.0),
--- a/crates/config/src/settings/mod.rs
+++ b/crates/config/src/settings/mod.rs
@@ -1,7 +1,7 @@
 //! The settings file of a controller. `examples/nettleferry.sexp` contains each key with its meaning and default.
 //!
-//! This module reads the file as a whole; the larger lists are read in the modules [`classes`], [`models`], [`policy`],
-//! [`limits`], [`metrics`], [`admin`] and [`recovery`].
+//! This module reads the file as a whole; the larger lists are read in the modules `classes`, `models`, `policy`,
+//! `limits`, `metrics`, `admin` and `recovery`.
 
 mod admin;
 mod classes;
--- a/crates/config/src/syntax.rs
+++ b/crates/config/src/syntax.rs
@@ -186,8 +186,8 @@
         }
     }
 
-    /// Reports an invalid string at `from`; no other token can be invalid. Returns the number of bytes to skip, which
-    /// is the rest of the line.
+    /// Reports an invalid string at `from`; no other token can be invalid. Returns the number of bytes to skip: the
+    /// rest of the line, and at least 1.
     fn report_invalid_string(&mut self, from: usize) -> usize {
         let rest = &self.text[from..];
         let line = rest.find('\n').unwrap_or(rest.len());
