--- a/crates/config/src/settings/admin.rs
+++ b/crates/config/src/settings/admin.rs
@@ -11,9 +11,9 @@
 /// Default of [`AdminSettings::reserve`] if there are loans.
 const DEFAULT_RESERVE: f64 = 0.2;
 
-/// Default of [`AuditLog::bytes`].
+/// Default of [`AuditLog::max_bytes`].
 const DEFAULT_AUDIT_LOG_BYTES: u64 = 64 << 20;
-/// Lower limit of [`AuditLog::bytes`].
+/// Lower limit of [`AuditLog::max_bytes`].
 const MIN_AUDIT_LOG_BYTES: u64 = 64 << 10;
 
 /// Default duration of a lease, microseconds.
@@ -51,7 +51,7 @@
     /// The folder in which it is stored.
     pub folder: PathBuf,
     /// The maximum size, bytes; the oldest entries are dropped.
-    pub bytes: u64,
+    pub max_bytes: u64,
 }
 
 /// The role of a controller in the administration of tenants.
@@ -236,12 +236,12 @@
 /// Reads `(trail ...)`.
 fn audit_log(mut form: Form) -> Option<AuditLog> {
     let folder: Option<String> = form.required("folder");
-    let bytes = form.optional::<Bytes>("size").map_or(DEFAULT_AUDIT_LOG_BYTES, |bytes| bytes.0);
-    if bytes < MIN_AUDIT_LOG_BYTES {
+    let max_bytes = form.optional::<Bytes>("size").map_or(DEFAULT_AUDIT_LOG_BYTES, |bytes| bytes.0);
+    if max_bytes < MIN_AUDIT_LOG_BYTES {
         form.error("(size ...): must be at least 64KiB");
     }
     form.finish();
-    folder.map(|folder| AuditLog { folder: folder.into(), bytes: bytes.max(MIN_AUDIT_LOG_BYTES) })
+    folder.map(|folder| AuditLog { folder: folder.into(), max_bytes: max_bytes.max(MIN_AUDIT_LOG_BYTES) })
 }
 
 /// Reads all `(peer ADDRESS)`.
--- a/crates/gateway/src/controller/startup.rs
+++ b/crates/gateway/src/controller/startup.rs
@@ -206,7 +206,7 @@
 
 fn start_audit_log(config: &Config, admin: &AdminSettings, clock: Clock) -> io::Result<Option<AuditLog>> {
     let Some(settings) = &admin.audit_log else { return Ok(None) };
-    let (writer, tail) = AuditLogWriter::start(settings.folder.clone(), settings.bytes)?;
+    let (writer, tail) = AuditLogWriter::start(settings.folder.clone(), settings.max_bytes)?;
     // 0 means that there is no incarnation.
     let incarnation = rand::random::<u64>().max(1);
     let program = env!("CARGO_PKG_VERSION");
