--- a/crates/admin/src/api/changes.rs
+++ b/crates/admin/src/api/changes.rs
@@ -158,7 +158,7 @@
     let number = tag.trim().strip_prefix('"').and_then(|t| t.strip_suffix('"')).and_then(|t| t.parse().ok());
     let invalid_tag =
         || Problem { status: 400, ..Problem::field("If-Match", "one ETag in quotes, such as \"17\", or *") };
-    number.map(Condition::Is).ok_or_else(invalid_tag)
+    number.map(Condition::AtRevision).ok_or_else(invalid_tag)
 }
 
 /// The name and the settings of a new tenant, from the body of the request.
--- a/crates/administration/src/messages.rs
+++ b/crates/administration/src/messages.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use nettleferry_admin::api::{Usage, Worker};
-use nettleferry_fleet::loans::Kind;
+use nettleferry_fleet::loans::LimitKind;
 use nettleferry_tenancy::{Entry, Revision};
 use serde::{Deserialize, Serialize};
 
@@ -104,7 +104,7 @@
     /// The tenant's uid, because the name of a removed tenant can be reused.
     pub uid: Revision,
     /// The kind of limit.
-    pub kind: Kind,
+    pub kind: LimitKind,
     /// How much the controller's calls could use in total, in units of the limit.
     pub demand: f64,
     /// How much its open calls use now; always 0 for a rate.
@@ -123,7 +123,7 @@
     /// The tenant's uid.
     pub uid: Revision,
     /// The kind of limit.
-    pub kind: Kind,
+    pub kind: LimitKind,
     /// The whole limit of which this is a share. If the limit changes, the loan is void.
     pub limit: f64,
     /// The loan's number; later loans have higher ones.
