--- a/crates/gateway/src/commands/fleet/simulate.rs
+++ b/crates/gateway/src/commands/fleet/simulate.rs
@@ -81,8 +81,8 @@
 
 fn simulate(run: &Run) -> Value {
     let (kind, outcome) = match run {
-        Run::Follow(plan) => ("follow", serde_json::to_value(follow::play(*plan))),
-        Run::Power(plan) => ("power", serde_json::to_value(power::play(*plan))),
+        Run::Follow(plan) => ("follow", serde_json::to_value(follow::simulate(*plan))),
+        Run::Power(plan) => ("power", serde_json::to_value(power::simulate(*plan))),
     };
     json!({ "play": kind, "outcome": outcome.unwrap_or_default() })
 }
--- a/crates/gateway/src/commands/scenario.rs
+++ b/crates/gateway/src/commands/scenario.rs
@@ -6,7 +6,7 @@
 use nettleferry_scenario::audit::{Breach, Slack, audit};
 use nettleferry_scenario::evidence::Evidence;
 use nettleferry_scenario::script::{Script, Watch};
-use nettleferry_scenario::{alerting, report, run, script, story};
+use nettleferry_scenario::{alerting, event_log, report, run, script};
 
 use super::console::{announce, read_file};
 use super::error::CommandError;
@@ -35,18 +35,18 @@
             script::read(&self.file.display().to_string(), &text).map_err(CommandError::InvalidFile)?;
         let played = self.play(&script, log)?;
         if let Some(folder) = &self.keep {
-            std::fs::write(folder.join("evidence.txt"), story::all(&played.evidence))
+            std::fs::write(folder.join("evidence.txt"), event_log::all(&played.evidence))
                 .map_err(CommandError::system("can't write evidence.txt"))?;
         }
         announce(report::summary(&played.evidence).trim_end())?;
         let breaches = audit(&played.evidence, Slack::default());
         print_breaches(&breaches, &played.evidence)?;
-        for end in &played.odd_ends {
+        for end in &played.unexpected_exits {
             announce(end)?;
         }
         let alerts = script.watch.as_ref().zip(played.alerts.as_ref());
         let unmet = alerts.map_or(Ok(Vec::new()), |(watch, seen)| print_alerts(watch, seen))?;
-        let rules_kept = breaches.is_empty() && played.odd_ends.is_empty();
+        let rules_kept = breaches.is_empty() && played.unexpected_exits.is_empty();
         announce(&format!("day {}: {}", script.name, if rules_kept { "no rule broken" } else { "BROKEN" }))?;
         if script.watch.is_some() {
             let outcome = if unmet.is_empty() { "as expected" } else { "NOT as expected" };
@@ -55,11 +55,11 @@
         Ok(exit_code::of_check(rules_kept && unmet.is_empty()))
     }
 
-    fn play(&self, script: &Script, log: &str) -> Result<run::Played, CommandError> {
+    fn play(&self, script: &Script, log: &str) -> Result<run::RunOutcome, CommandError> {
         let program = std::env::current_exe().map_err(CommandError::system("can't find this program"))?;
-        let dir = self.keep.clone().unwrap_or_else(run::folder);
+        let dir = self.keep.clone().unwrap_or_else(run::default_dir);
         let script_folder = self.file.parent().unwrap_or(Path::new(""));
-        let played = run::play(script, &run::Stage { program: &program, dir: &dir, script_folder, log });
+        let played = run::run(script, &run::Stage { program: &program, dir: &dir, script_folder, log });
         if self.keep.is_none() {
             let _ = std::fs::remove_dir_all(&dir);
         }
@@ -81,7 +81,7 @@
     let mut calls: Vec<&str> = breaches.iter().filter_map(|breach| breach.call.as_deref()).collect();
     calls.dedup();
     for call in calls.into_iter().take(MAX_CALLS) {
-        announce(&format!("call {call}:\n{}", story::of_call(evidence, call).trim_end()))?;
+        announce(&format!("call {call}:\n{}", event_log::of_call(evidence, call).trim_end()))?;
     }
     Ok(())
 }
@@ -93,7 +93,7 @@
         let to = alert.to.map_or("the end".to_owned(), |to| format!("{:.1} s", seconds(to)));
         announce(&format!("alert {}{}: {:.1} s to {to}", alert.alert, alert.labels, seconds(alert.from)))?;
     }
-    let unmet = alerting::judge(watch, seen);
+    let unmet = alerting::unmet_expectations(watch, seen);
     for expectation in unmet.iter().take(MAX_FINDINGS) {
         announce(expectation)?;
     }
--- a/crates/gateway/tests/limits.rs
+++ b/crates/gateway/tests/limits.rs
@@ -85,7 +85,7 @@
     // One that claims 1 GiB is refused by its prefix.
     let giant =
         caller.ask(ClientRequest { method: "ModelStreamInfer", keep_open: true, ..ClientRequest::default() });
-    caller.client.raw(giant, Bytes::from_static(&[0, 0x40, 0, 0, 0, 1, 2, 3]));
+    caller.client.send_raw(giant, Bytes::from_static(&[0, 0x40, 0, 0, 0, 1, 2, 3]));
     assert_eq!(caller.status(giant).0.code, Code::ResourceExhausted);
     served(&mut caller);
     assert!(gateway.resident() < before + (16 << 10));
--- a/crates/gateway/tests/streams.rs
+++ b/crates/gateway/tests/streams.rs
@@ -96,7 +96,7 @@
     };
     let rpc = caller.ask(ask);
     caller.response(rpc);
-    caller.client.more(rpc, climb("nobody", "bad", 1).encode_to_vec().into());
+    caller.client.send(rpc, climb("nobody", "bad", 1).encode_to_vec().into());
     let (status, _) = caller.status(rpc);
     assert_eq!(status.code, Code::NotFound);
     caller
@@ -117,7 +117,7 @@
     let segments = 150_000;
     let mut slow = Caller::new(gateway.address);
     let rpc = slow.ask(ask("ModelStreamInfer", &climb("climb", "s", segments)));
-    slow.client.read(rpc, false);
+    slow.client.set_reading(rpc, false);
     slow.until("it runs", || {
         fleet.any(|s| matches!(s, ObservationKind::Call { model, .. } if model == "climb"))
     });
@@ -130,7 +130,7 @@
     assert_eq!(served, 201, "the long answer waits at its worker");
     let grown = gateway.resident().saturating_sub(before);
     assert!(grown < 20 << 10, "{grown} KiB for an answer that nobody reads");
-    slow.client.read(rpc, true);
+    slow.client.set_reading(rpc, true);
     let mut parts = 0;
     loop {
         let response = slow.response(rpc);
--- a/crates/scenario/src/alerting.rs
+++ b/crates/scenario/src/alerting.rs
@@ -11,7 +11,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct ReceiverReport {
     /// Alerts that fired.
-    pub alerts: Vec<Fired>,
+    pub alerts: Vec<FiredAlert>,
     /// Errors of senders, and rules that could not be evaluated.
     pub faults: Vec<String>,
     /// Samples received.
@@ -20,7 +20,7 @@
 
 /// An alert that fired.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fired {
+pub struct FiredAlert {
     /// Its name.
     pub alert: String,
     /// Its labels, for people.
@@ -31,7 +31,7 @@
     pub to: Option<Micros>,
 }
 
-impl Fired {
+impl FiredAlert {
     /// An episode on the receiver's clock, on which the run began at `base_ms`.
     pub fn new(episode: &Episode, base_ms: i64) -> Self {
         let at = |ms: i64| u64::try_from(ms - base_ms).unwrap_or(0) * 1000;
@@ -49,7 +49,7 @@
 }
 
 /// The expectations that were not met.
-pub fn judge(watch: &Watch, seen: &ReceiverReport) -> Vec<String> {
+pub fn unmet_expectations(watch: &Watch, seen: &ReceiverReport) -> Vec<String> {
     let seconds = |at: Micros| at as f64 / 1e6;
     let mut unmet = seen.faults.clone();
     if seen.samples == 0 {
--- a/crates/scenario/src/alerting/tests.rs
+++ b/crates/scenario/src/alerting/tests.rs
@@ -8,9 +8,9 @@
     let s = 1_000_000;
     let alerts = vec![ExpectedAlert { alert: "A".into(), after: 10 * s, within: 5 * s, clear_by: 40 * s }];
     let watch = Watch { rules: String::new(), every: s, speed: 1, alerts };
-    let fired = |alert: &str, from, to| Fired { alert: alert.into(), labels: String::new(), from, to };
+    let fired = |alert: &str, from, to| FiredAlert { alert: alert.into(), labels: String::new(), from, to };
     let seen = |alerts| ReceiverReport { alerts, faults: vec![], samples: 1 };
-    assert!(judge(&watch, &seen(vec![fired("A", 12 * s, Some(30 * s))])).is_empty());
+    assert!(unmet_expectations(&watch, &seen(vec![fired("A", 12 * s, Some(30 * s))])).is_empty());
     for (alerts, reported) in [
         (vec![], "A did not fire"),
         (vec![fired("A", 9 * s, Some(30 * s))], "fired at 9.0 s"),
@@ -18,8 +18,8 @@
         (vec![fired("A", 12 * s, None)], "was not clear"),
         (vec![fired("A", 12 * s, Some(20 * s)), fired("B", 1, None)], "B fired"),
     ] {
-        let wrong = judge(&watch, &seen(alerts));
+        let wrong = unmet_expectations(&watch, &seen(alerts));
         assert!(wrong.len() == 1 && wrong[0].contains(reported), "{wrong:?}");
     }
-    assert_eq!(judge(&watch, &ReceiverReport::default()).len(), 2);
+    assert_eq!(unmet_expectations(&watch, &ReceiverReport::default()).len(), 2);
 }
--- a/crates/scenario/src/audit.rs
+++ b/crates/scenario/src/audit.rs
@@ -12,7 +12,7 @@
 use nettleferry_test_servers::ObservationKind;
 
 use crate::attempts::{Attempt, Links, attempts};
-use crate::evidence::{ClientObservation, ControllerRun, Evidence, Final, ListedWorker};
+use crate::evidence::{ClientObservation, ControllerRun, Evidence, FinalStatus, ListChange};
 
 /// How far two observers of one moment may differ. The delay of a cut link is not in it: see `attempts.rs`.
 #[derive(Clone, Copy, Debug)]
@@ -47,7 +47,7 @@
 #[derive(Clone, Copy)]
 struct FinalAnswer {
     at: Micros,
-    kind: Final,
+    kind: FinalStatus,
 }
 
 /// A call as its client saw it.
@@ -209,7 +209,7 @@
         }
         let harmless =
             matches!(call.effect, Effect::Idempotent | Effect::IdempotencyKey { scope: KeyScope::All, .. });
-        if let Some(FinalAnswer { at, kind: Final::Refused }) = call.finals.first()
+        if let Some(FinalAnswer { at, kind: FinalStatus::Refused }) = call.finals.first()
             && !harmless
             && let Some(run) = runs.first()
         {
@@ -305,12 +305,12 @@
         // It may have left at any moment from then until it arrived.
         let left = self.links.left_by(worker, controller, at);
         let Some(listed) = self.last_listed(worker, left) else { return };
-        let on_meanwhile = |change: &ListedWorker| {
+        let on_meanwhile = |change: &ListChange| {
             change.worker == worker && change.state == WorkerState::On && change.at > left && change.at <= at
         };
         if listed.state == WorkerState::On
             || left <= listed.written + grace
-            || self.evidence.listed.iter().any(on_meanwhile)
+            || self.evidence.list_changes.iter().any(on_meanwhile)
         {
             return;
         }
@@ -325,8 +325,8 @@
     }
 
     /// The last change of a worker's line at a time.
-    fn last_listed(&self, worker: &str, at: Micros) -> Option<&ListedWorker> {
-        let changes = self.evidence.listed.iter();
+    fn last_listed(&self, worker: &str, at: Micros) -> Option<&ListChange> {
+        let changes = self.evidence.list_changes.iter();
         changes.filter(|change| change.worker == worker && change.at <= at).max_by_key(|change| change.at)
     }
 
--- a/crates/scenario/src/client.rs
+++ b/crates/scenario/src/client.rs
@@ -39,7 +39,7 @@
     pub method: &'static str,
     /// Messages to send.
     pub messages: Vec<Bytes>,
-    /// The client sends further messages later: see [`Client::more`].
+    /// The client sends further messages later: see [`Client::send`].
     pub keep_open: bool,
     /// `grpc-timeout`.
     pub timeout: Option<Duration>,
@@ -146,14 +146,14 @@
     }
 
     /// Sends a further message on an RPC that was kept open.
-    pub fn more(&mut self, rpc: u64, message: Bytes) {
+    pub fn send(&mut self, rpc: u64, message: Bytes) {
         if let Some(stream) = self.streams.get(&rpc) {
             self.hub.send(*stream, message);
         }
     }
 
     /// Sends bytes without a message's prefix: for tests that send what no client would.
-    pub fn raw(&mut self, rpc: u64, bytes: Bytes) {
+    pub fn send_raw(&mut self, rpc: u64, bytes: Bytes) {
         if let Some(stream) = self.streams.get(&rpc) {
             self.hub.send_raw(*stream, bytes);
         }
@@ -175,7 +175,7 @@
     }
 
     /// Stops reading from an RPC, or resumes.
-    pub fn read(&mut self, rpc: u64, on: bool) {
+    pub fn set_reading(&mut self, rpc: u64, on: bool) {
         let Some(stream) = self.streams.get(&rpc) else { return };
         if on {
             self.hub.resume(*stream);
--- a/crates/scenario/src/story.rs
+++ b/crates/scenario/src/event_log.rs
@@ -22,7 +22,7 @@
 fn lines(evidence: &Evidence) -> Vec<Line> {
     let mut lines = client_lines(evidence);
     lines.extend(worker_lines(evidence));
-    lines.extend(evidence.listed.iter().map(|change| Line {
+    lines.extend(evidence.list_changes.iter().map(|change| Line {
         at: change.at,
         observer: "list".to_owned(),
         what: format!("{} is {}", change.worker, state_text(change.state)),
--- a/crates/scenario/src/evidence.rs
+++ b/crates/scenario/src/evidence.rs
@@ -40,7 +40,7 @@
     /// A part of the answer.
     Part,
     /// The final answer.
-    Final(Final),
+    Final(FinalStatus),
     /// It cancelled.
     Cancelled,
     /// Its connection broke, or none could be opened.
@@ -49,7 +49,7 @@
 
 /// A final answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Final {
+pub enum FinalStatus {
     /// OK.
     Served,
     /// UNAVAILABLE, with the permission to retry.
@@ -119,7 +119,7 @@
 
 /// A change of a worker's line in the worker list.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ListedWorker {
+pub struct ListChange {
     /// Before the first file was written: from then on a controller may have read it.
     pub at: Micros,
     /// Once all files were written: every controller may read it from then on, however long the writing took.
@@ -162,7 +162,7 @@
     /// By workers.
     pub workers: Vec<Observation>,
     /// Changes of the worker list.
-    pub listed: Vec<ListedWorker>,
+    pub list_changes: Vec<ListChange>,
     /// Controllers' controller_runs.
     pub controller_runs: Vec<ControllerRun>,
     /// When controllers were stopped by SIGSTOP.
--- a/crates/scenario/src/fleet.rs
+++ b/crates/scenario/src/fleet.rs
@@ -12,7 +12,7 @@
 use nettleferry_config::{Worker, workers};
 use rustix::process::{Pid, Signal, kill_process};
 
-use crate::evidence::ListedWorker;
+use crate::evidence::ListChange;
 
 /// How long a controller may take to listen.
 const START_LIMIT: Duration = Duration::from_secs(20);
@@ -149,7 +149,7 @@
 }
 
 /// The worker lists, one file for each zone of controllers, and the changes that were written.
-pub struct Lists {
+pub struct WorkerLists {
     dir: PathBuf,
     /// Zones of controllers, in the order of the workers' addresses.
     pub zones: Vec<String>,
@@ -157,13 +157,13 @@
     /// Nothing is written while this is set.
     pub stale: bool,
     /// The changes.
-    pub listed: Vec<ListedWorker>,
+    pub changes: Vec<ListChange>,
 }
 
-impl Lists {
+impl WorkerLists {
     /// Lists of workers that are all on.
     pub fn new(dir: PathBuf, zones: Vec<String>, lines: Vec<WorkerLine>) -> Self {
-        Self { dir, zones, lines, stale: false, listed: Vec::new() }
+        Self { dir, zones, lines, stale: false, changes: Vec::new() }
     }
 
     /// The file of a zone's controllers.
@@ -171,7 +171,7 @@
         format!("workers-{zone}.sexp")
     }
 
-    /// Changes a worker's line; [`Lists::write`] writes it.
+    /// Changes a worker's line; [`WorkerLists::write`] writes it.
     pub fn change(&mut self, name: &str, state: WorkerState, born: Option<Micros>) {
         let mut workers = self.lines.iter_mut().map(|line| &mut line.worker);
         if let Some(worker) = workers.find(|worker| worker.name == name) {
@@ -199,10 +199,10 @@
         }
         let written = now();
         for WorkerLine { worker, .. } in &self.lines {
-            let last = self.listed.iter().rev().find(|listed| listed.worker == worker.name);
+            let last = self.changes.iter().rev().find(|listed| listed.worker == worker.name);
             if last.map(|listed| listed.state) != Some(worker.state) {
                 let (worker, state) = (worker.name.clone(), worker.state);
-                self.listed.push(ListedWorker { at, written, worker, state });
+                self.changes.push(ListChange { at, written, worker, state });
             }
         }
         Ok(())
--- a/crates/scenario/src/lib.rs
+++ b/crates/scenario/src/lib.rs
@@ -6,7 +6,7 @@
 //!
 //! * [`script`]: a scenario as text. [`run`]: runs it; `setup` starts its parts, `timeline` orders its faults.
 //! * [`fleet`]: controller processes and worker lists. [`traffic`]: clients.
-//! * [`evidence`]: what was seen. [`audit`]: the rules, judged from it. [`report`]: sums. [`story`]: all of it as lines.
+//! * [`evidence`]: what was seen. [`audit`]: the rules, judged from it. [`report`]: sums. [`event_log`]: events as lines.
 //! * [`alerting`]: which alert rules fired at a remote-write receiver.
 //! * [`client`]: a client of the protocol, also for measurements and the command line.
 
@@ -17,6 +17,7 @@
 pub mod audit;
 pub mod client;
 mod error;
+pub mod event_log;
 pub mod evidence;
 pub mod fleet;
 pub mod report;
@@ -24,6 +25,5 @@
 pub mod script;
 mod setup;
 mod stage;
-pub mod story;
 mod timeline;
 pub mod traffic;
--- a/crates/scenario/src/report.rs
+++ b/crates/scenario/src/report.rs
@@ -7,7 +7,7 @@
 use nettleferry::Micros;
 use nettleferry_test_servers::ObservationKind;
 
-use crate::evidence::{ClientObservation, Evidence, Final};
+use crate::evidence::{ClientObservation, Evidence, FinalStatus};
 
 /// Latencies above this are counted as this.
 const MAX_LATENCY: Micros = 600_000_000;
@@ -45,12 +45,12 @@
         let class = classes.entry(call.class).or_default();
         let latency = record.at.saturating_sub(call.at);
         match record.what {
-            ClientObservation::Final(Final::Served) => {
+            ClientObservation::Final(FinalStatus::Served) => {
                 class.latencies.push(latency);
                 if latency <= call.latency_objective { class.in_time += 1 } else { class.late += 1 }
             }
-            ClientObservation::Final(Final::Refused) => class.refused += 1,
-            ClientObservation::Final(Final::Failed) => class.failed += 1,
+            ClientObservation::Final(FinalStatus::Refused) => class.refused += 1,
+            ClientObservation::Final(FinalStatus::Failed) => class.failed += 1,
             ClientObservation::Cancelled => class.cancelled += 1,
             ClientObservation::Lost => class.lost += 1,
             ClientObservation::Part | ClientObservation::Sent { .. } => {}
--- a/crates/scenario/src/run.rs
+++ b/crates/scenario/src/run.rs
@@ -17,7 +17,7 @@
 use crate::evidence::{
     self, ClientRecord, ControllerRun, Evidence, Interval, Location, RuleParameters, Stall,
 };
-use crate::fleet::{Controller, Lists};
+use crate::fleet::{Controller, WorkerLists};
 use crate::script::{FaultKind, Script, ScriptedFault};
 use crate::setup::{self, WorkerContext, unix_time};
 use crate::timeline::{Action, Timeline};
@@ -37,11 +37,11 @@
 const RESTART_PAUSE: Micros = 50_000;
 
 /// What a run gave.
-pub struct Played {
+pub struct RunOutcome {
     /// What was seen.
     pub evidence: Evidence,
     /// Controllers that ended otherwise than they were told to.
-    pub odd_ends: Vec<String>,
+    pub unexpected_exits: Vec<String>,
     /// What the receiver saw, where the scenario has one.
     pub alerts: Option<alerting::ReceiverReport>,
 }
@@ -53,19 +53,19 @@
     epoch: Instant,
     handles: Vec<Handle>,
     locations: BTreeMap<String, Location>,
-    lists: Lists,
+    lists: WorkerLists,
     controllers: Vec<Controller>,
     addresses: Addresses,
     store: Arc<Mutex<Store>>,
     clients: Sender<ClientCommand>,
     controller_runs: Vec<ControllerRun>,
     stalls: Vec<Stall>,
-    odd_ends: Vec<String>,
+    unexpected_exits: Vec<String>,
     timeline: Timeline,
 }
 
 /// A folder for a run's files.
-pub fn folder() -> PathBuf {
+pub fn default_dir() -> PathBuf {
     std::env::temp_dir().join(format!("nettleferry-day-{}", std::process::id()))
 }
 
@@ -73,7 +73,7 @@
 ///
 /// # Errors
 /// The settings or alert rules in it are not valid, or the system refuses a file, a thread, a process or an address.
-pub fn play(script: &Script, stage: &Stage<'_>) -> Result<Played, ScenarioError> {
+pub fn run(script: &Script, stage: &Stage<'_>) -> Result<RunOutcome, ScenarioError> {
     std::fs::create_dir_all(stage.dir).map_err(system("can't make the day's folder"))?;
     let receiver = setup::start_receiver(script, stage.script_folder)?;
     let epoch = Instant::now();
@@ -83,7 +83,7 @@
     let (records, observed) = channel();
     let context = WorkerContext { zones: zones.clone(), store: Arc::clone(&store), epoch, records };
     let workers = setup::start_workers(script, context)?;
-    let mut lists = Lists::new(stage.dir.to_owned(), zones, workers.lines);
+    let mut lists = WorkerLists::new(stage.dir.to_owned(), zones, workers.lines);
     lists.write(|| 0).map_err(system("can't write the worker list"))?;
     let prepared = setup::prepare_controllers(script, stage, receiver.as_ref())?;
     let parameters = rule_parameters(&prepared.config);
@@ -101,15 +101,15 @@
         clients,
         controller_runs: Vec::new(),
         stalls: Vec::new(),
-        odd_ends: Vec::new(),
+        unexpected_exits: Vec::new(),
         timeline: Timeline::new(script.list_lag),
     };
     let client_records = run.run_clients(prepared.config, commands)?;
     run.stop_controllers();
     let observed = observed.into_iter();
-    let (evidence, odd_ends) = run.finish(client_records, observed, parameters);
+    let (evidence, unexpected_exits) = run.finish(client_records, observed, parameters);
     let alerts = receiver.map(|receiver| receiver_report(&receiver, epoch_ms));
-    Ok(Played { evidence, odd_ends, alerts })
+    Ok(RunOutcome { evidence, unexpected_exits, alerts })
 }
 
 fn rule_parameters(config: &Config) -> RuleParameters {
@@ -128,7 +128,7 @@
     let episodes = watch.map_or(&[][..], |watch| watch.episodes());
     let mut faults = data.faults.clone();
     faults.extend(watch.into_iter().flat_map(|watch| watch.faults.iter().cloned()));
-    let alerts = episodes.iter().map(|episode| alerting::Fired::new(episode, epoch_ms)).collect();
+    let alerts = episodes.iter().map(|episode| alerting::FiredAlert::new(episode, epoch_ms)).collect();
     alerting::ReceiverReport { alerts, faults, samples: data.series.values().map(Vec::len).sum() }
 }
 
@@ -211,7 +211,7 @@
         });
         if ending.is_none() || code != Some(0) {
             let told = if ending.is_some() { "told to end" } else { "not told to end" };
-            self.odd_ends.push(format!("controller {number}, {told}, ended with {code:?}"));
+            self.unexpected_exits.push(format!("controller {number}, {told}, ended with {code:?}"));
         }
     }
 
@@ -325,7 +325,8 @@
             if self.controllers[number].runs() {
                 let code = self.controllers[number].wait(END_LIMIT);
                 if code != Some(0) {
-                    self.odd_ends.push(format!("controller {number}, told to end, ended with {code:?}"));
+                    self.unexpected_exits
+                        .push(format!("controller {number}, told to end, ended with {code:?}"));
                 }
             }
         }
@@ -348,13 +349,13 @@
             cuts: evidence::cuts(&workers, &self.lists.zones),
             clients,
             workers,
-            listed: self.lists.listed,
+            list_changes: self.lists.changes,
             controller_runs: self.controller_runs,
             stalls: self.stalls,
             parameters,
             locations: self.locations,
             until,
         };
-        (evidence, self.odd_ends)
+        (evidence, self.unexpected_exits)
     }
 }
--- a/crates/scenario/src/setup.rs
+++ b/crates/scenario/src/setup.rs
@@ -14,7 +14,7 @@
 
 use crate::error::{ScenarioError, system};
 use crate::evidence::Location;
-use crate::fleet::{Controller, Lists, WorkerLine};
+use crate::fleet::{Controller, WorkerLine, WorkerLists};
 use crate::script::{Script, Watch};
 use crate::stage::Stage;
 
@@ -138,7 +138,7 @@
          (workers (file \"{}\") (check-every 50ms) (kept \"kept-{number}.sexp\"))\n{}\n",
         script.controllers.count,
         script.seed.wrapping_add(number as u64) % (1 << 32),
-        Lists::file(zone),
+        WorkerLists::file(zone),
         script.settings,
     )
 }
--- a/crates/scenario/src/traffic.rs
+++ b/crates/scenario/src/traffic.rs
@@ -21,7 +21,7 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::client::{Client, ClientEvent, ClientRequest};
-use crate::evidence::{ClientObservation, ClientRecord, Final};
+use crate::evidence::{ClientObservation, ClientRecord, FinalStatus};
 use crate::script::Traffic;
 
 /// Where controllers listen; `None`: clients send it no calls.
@@ -240,7 +240,7 @@
             self.timers.insert((at, Timer::Cancel(id.clone())));
         }
         if slow {
-            self.client.read(rpc, false);
+            self.client.set_reading(rpc, false);
             self.timers.insert((now + SLOW_READER_PAUSE, Timer::ReadOn(rpc)));
         }
         self.timers.insert((deadline + ANSWER_GRACE, Timer::GiveUp(id)));
@@ -275,7 +275,7 @@
         let shared = self.shared.get(&key).copied().filter(|rpc| self.rpcs.contains_key(rpc));
         let rpc = match shared.filter(|_| traffic.shared) {
             Some(rpc) => {
-                self.client.more(rpc, message);
+                self.client.send(rpc, message);
                 rpc
             }
             None => {
@@ -304,7 +304,7 @@
             }
             let Some((_, timer)) = self.timers.pop_first() else { return };
             match timer {
-                Timer::ReadOn(rpc) => self.client.read(rpc, true),
+                Timer::ReadOn(rpc) => self.client.set_reading(rpc, true),
                 Timer::Cancel(id) => {
                     if let Some(open) = self.open.get(&id).filter(|open| !open.answered) {
                         let rpc = open.rpc;
@@ -327,7 +327,7 @@
         }
     }
 
-    fn end(&mut self, id: &str, end: Final) {
+    fn end(&mut self, id: &str, end: FinalStatus) {
         // Every final answer is recorded, also a second one: the audit counts them.
         self.record(id, ClientObservation::Final(end));
         if let Some(open) = self.open.get_mut(id) {
@@ -372,9 +372,9 @@
             let refused = response.parameters.get("grpc_status").is_some_and(
                 |p| matches!(&p.parameter_choice, Some(ParameterChoice::StringParam(s)) if s == "UNAVAILABLE"),
             );
-            self.end(&id, if refused { Final::Refused } else { Final::Failed });
+            self.end(&id, if refused { FinalStatus::Refused } else { FinalStatus::Failed });
         } else if response.parameters.get(FINAL).and_then(InferParameter::boolean) == Some(true) {
-            self.end(&id, Final::Served);
+            self.end(&id, FinalStatus::Served);
         } else {
             self.record(&id, ClientObservation::Part);
         }
@@ -397,12 +397,12 @@
     }
 }
 
-fn by_status(status: &Status, pushback: Option<&http::HeaderValue>) -> Final {
+fn by_status(status: &Status, pushback: Option<&http::HeaderValue>) -> FinalStatus {
     let harmless = pushback.and_then(|v| v.to_str().ok()).is_some_and(|ms| !ms.starts_with('-'));
     match status.code {
-        Code::Ok => Final::Served,
-        Code::Unavailable if harmless => Final::Refused,
-        _ => Final::Failed,
+        Code::Ok => FinalStatus::Served,
+        Code::Unavailable if harmless => FinalStatus::Refused,
+        _ => FinalStatus::Failed,
     }
 }
 
--- a/crates/scenario/tests/audit.rs
+++ b/crates/scenario/tests/audit.rs
@@ -81,7 +81,7 @@
     worker(&mut e, S + 11 * MS, "w1", ObservationKind::Runs { stream: 1 });
     client(&mut e, S + 19 * MS, "x", ClientObservation::Part);
     answered(&mut e, S + 20 * MS, "w1", 1, false);
-    client(&mut e, S + 21 * MS, "x", ClientObservation::Final(Final::Served));
+    client(&mut e, S + 21 * MS, "x", ClientObservation::Final(FinalStatus::Served));
     e
 }
 
@@ -122,11 +122,11 @@
 #[test]
 fn rule_1_second_answer_late_answer_and_part_after_it() {
     let mut twice = served(Effect::Idempotent);
-    client(&mut twice, S + 30 * MS, "x", ClientObservation::Final(Final::Refused));
+    client(&mut twice, S + 30 * MS, "x", ClientObservation::Final(FinalStatus::Refused));
     breaks(&twice, 1, "2 final answers");
     let mut late = empty();
     sent(&mut late, S, "x", Effect::Idempotent);
-    client(&mut late, 4 * S + 5 * MS, "x", ClientObservation::Final(Final::Failed));
+    client(&mut late, 4 * S + 5 * MS, "x", ClientObservation::Final(FinalStatus::Failed));
     breaks(&late, 1, "5 ms after its deadline");
     late.stalls.push(Stall { controller: 0, interval: Interval { from: 2 * S, to: 4 * S } });
     assert_eq!(findings(&late), vec![], "it stood still");
@@ -168,7 +168,7 @@
     let refused = |effect| {
         let mut e = served(effect);
         e.clients.pop();
-        client(&mut e, S + 30 * MS, "x", ClientObservation::Final(Final::Refused));
+        client(&mut e, S + 30 * MS, "x", ClientObservation::Final(FinalStatus::Refused));
         e
     };
     breaks(&refused(Effect::NonIdempotent), 2, "refused, and ran at w1");
@@ -186,7 +186,7 @@
         answered(&mut e, S + 1, "w1", 1, proof);
         arrive(&mut e, at, worker, 2, "x");
         answered(&mut e, at + 1, worker, 2, false);
-        client(&mut e, at + 2, "x", ClientObservation::Final(Final::Served));
+        client(&mut e, at + 2, "x", ClientObservation::Final(FinalStatus::Served));
         e
     };
     assert_eq!(findings(&repeat("w1", 2 * S, false)), vec![]);
@@ -202,7 +202,7 @@
     arrive(&mut e, S, "w1", 1, "x");
     arrive(&mut e, 2 * S, "w2", 1, "x");
     answered(&mut e, 2 * S + 1, "w2", 1, false);
-    client(&mut e, 2 * S + 2, "x", ClientObservation::Final(Final::Served));
+    client(&mut e, 2 * S + 2, "x", ClientObservation::Final(FinalStatus::Served));
     breaks(&e, 2, "began while one at w1 was open");
     let mut left = e.clone();
     worker(&mut left, 2 * S - 1, "w1", ObservationKind::Gone { stream: 1 });
@@ -227,7 +227,7 @@
     arrive(&mut e, 2 * S, "w1", 1, "x");
     worker(&mut e, 2 * S + 1, "w1", ObservationKind::Runs { stream: 1 });
     answered(&mut e, 2 * S + 500 * MS, "w1", 1, false);
-    client(&mut e, 2 * S + 501 * MS, "x", ClientObservation::Final(Final::Served));
+    client(&mut e, 2 * S + 501 * MS, "x", ClientObservation::Final(FinalStatus::Served));
     e
 }
 
@@ -282,7 +282,7 @@
         cut(&mut e, "w1", S + 100 * MS, 2 * S);
         arrive(&mut e, S + 500 * MS, "w2", 1, "x");
         answered(&mut e, S + 600 * MS, "w2", 1, false);
-        client(&mut e, S + 601 * MS, "x", ClientObservation::Final(Final::Served));
+        client(&mut e, S + 601 * MS, "x", ClientObservation::Final(FinalStatus::Served));
         worker(&mut e, at, "w1", over);
         e
     };
@@ -326,7 +326,7 @@
     answered(&mut late, 4 * S + 601 * MS, "w1", 2, false);
     late.clients.pop();
     client(&mut late, 4 * S - 1, "y", ClientObservation::Lost);
-    client(&mut late, 4 * S + 700 * MS, "x", ClientObservation::Final(Final::Served));
+    client(&mut late, 4 * S + 700 * MS, "x", ClientObservation::Final(FinalStatus::Served));
     late.clients.iter_mut().for_each(|r| {
         if let ClientObservation::Sent { deadline, .. } = &mut r.what {
             *deadline = 9 * S;
@@ -376,13 +376,18 @@
 fn rule_3_new_attempt_after_the_drain_grace() {
     let told = |at: u64| {
         let mut e = served(Effect::Idempotent);
-        e.listed.push(ListedWorker { at, written: at, worker: "w1".into(), state: WorkerState::Draining });
+        e.list_changes.push(ListChange {
+            at,
+            written: at,
+            worker: "w1".into(),
+            state: WorkerState::Draining,
+        });
         e
     };
     assert_eq!(findings(&told(S)), vec![], "within the grace");
     breaks(&told(10 * MS), 3, "call x reached w1");
     let mut back = told(10 * MS);
-    back.listed.push(ListedWorker {
+    back.list_changes.push(ListChange {
         at: 20 * MS,
         written: 20 * MS,
         worker: "w1".into(),
@@ -391,12 +396,12 @@
     assert_eq!(findings(&back), vec![], "it is on again");
     // The run's thread lost the core while it wrote the files: a controller may have read its own at the end alone.
     let mut slow = told(10 * MS);
-    slow.listed[0].written = S;
+    slow.list_changes[0].written = S;
     assert_eq!(findings(&slow), vec![], "the grace begins when every controller may know");
     let mut order = empty();
-    order.listed.push(ListedWorker { at: S, written: S, worker: "w1".into(), state: WorkerState::Gone });
+    order.list_changes.push(ListChange { at: S, written: S, worker: "w1".into(), state: WorkerState::Gone });
     sent(&mut order, 3 * S, "y", Effect::Idempotent);
-    client(&mut order, 3 * S + 1, "y", ClientObservation::Final(Final::Refused));
+    client(&mut order, 3 * S + 1, "y", ClientObservation::Final(FinalStatus::Refused));
     let seen = ObservationKind::Order { controller: "0".into(), model: "echo".into(), copies: 1 };
     worker(&mut order, 3 * S, "w1", seen);
     breaks(&order, 3, "an order to load echo reached w1");
@@ -417,7 +422,7 @@
         let mut e = empty();
         for n in 0..calls {
             sent(&mut e, S + n, &format!("c{n}"), Effect::Idempotent);
-            client(&mut e, S + n + 1, &format!("c{n}"), ClientObservation::Final(Final::Served));
+            client(&mut e, S + n + 1, &format!("c{n}"), ClientObservation::Final(FinalStatus::Served));
         }
         for at in times {
             let seen = ObservationKind::Order { controller: "0".into(), model: "echo".into(), copies: 1 };
--- a/crates/simulation/src/follow.rs
+++ b/crates/simulation/src/follow.rs
@@ -178,7 +178,7 @@
 }
 
 /// Simulates one plan. Equal plans give equal outcomes.
-pub fn play(plan: Plan) -> Outcome {
+pub fn simulate(plan: Plan) -> Outcome {
     let mut simulation = Simulation::new(plan);
     while let Some((now, event)) = simulation.events.take() {
         if now >= plan.length {
--- a/crates/simulation/tests/plays.rs
+++ b/crates/simulation/tests/plays.rs
@@ -16,16 +16,16 @@
 fn no_follower_accepts_calls_without_an_acknowledged_change_at_any_loss() {
     for loss in [0.0, 0.05, 0.2] {
         for seed in 0..4 {
-            let outcome = follow::play(followers(32, loss, seed));
+            let outcome = follow::simulate(followers(32, loss, seed));
             assert_eq!(outcome.violations, 0, "{outcome:?}");
             assert!(outcome.made > 5 && outcome.acknowledged + 10 >= outcome.made, "{outcome:?}");
             // However much is lost, a change is in force within a lease span and the error of the clocks.
             assert!(outcome.max_ms <= 6_000.0 + 60.0 + 25.0, "{outcome:?}");
         }
     }
-    let well = follow::play(followers(32, 0.0, 9));
+    let well = follow::simulate(followers(32, 0.0, 9));
     assert!(well.without_lease == 0.0 && well.p99_ms < 50.0, "{well:?}");
-    let bad = follow::play(followers(32, 0.3, 9));
+    let bad = follow::simulate(followers(32, 0.3, 9));
     assert!(bad.p99_ms > well.p99_ms && bad.without_lease < 0.01, "{bad:?}");
 }
 
@@ -61,7 +61,7 @@
         (LeaderReturn::Never, 0.5, true),
         (LeaderReturn::Never, 1.0, false),
     ] {
-        let outcome = power::play(plan(back, lost));
+        let outcome = power::simulate(plan(back, lost));
         assert_eq!(outcome.with_snapshot == 24, whole, "{back:?}: {outcome:?}");
         assert_eq!(outcome.ready_ms.is_some(), whole, "{outcome:?}");
     }
@@ -70,13 +70,13 @@
 #[test]
 fn equal_seeds_give_equal_outcomes_and_admission_rejects_early() {
     let (first, second) = (
-        power::play(plan(power::LeaderReturn::First, 0.2)),
-        power::play(plan(power::LeaderReturn::First, 0.2)),
+        power::simulate(plan(power::LeaderReturn::First, 0.2)),
+        power::simulate(plan(power::LeaderReturn::First, 0.2)),
     );
     assert_eq!(format!("{first:?}"), format!("{second:?}"));
     // More calls arrive than the warming fleet can serve: admission serves in time what would wait in vain without it.
     let crowded = |admission| {
-        power::play(power::Plan {
+        power::simulate(power::Plan {
             calls_per_second: 110.0,
             admission,
             ..plan(power::LeaderReturn::First, 0.0)
