--- a/crates/simulation/src/events.rs
+++ b/crates/simulation/src/events.rs
@@ -1,11 +1,13 @@
-//! Scheduled events, in the order of their times; those of one time in the order in which they were added.
+//! The event queue of a simulation. Events are processed in order of time; events with equal times keep the order in
+//! which they were added.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
 use crate::Micros;
 
-/// An event with its time and its number.
+/// An event with its time and its sequence number. The order is reversed, since [`BinaryHeap`] returns the largest
+/// element first.
 struct Scheduled<E>(Reverse<(Micros, u64)>, E);
 
 impl<E> PartialEq for Scheduled<E> {
@@ -28,7 +30,7 @@
     }
 }
 
-/// The events that are scheduled, and the present time.
+/// The scheduled events and the current virtual time.
 pub struct Events<E> {
     heap: BinaryHeap<Scheduled<E>>,
     sequence: u64,
@@ -42,13 +44,13 @@
 }
 
 impl<E> Events<E> {
-    /// Schedules an event; one of the past happens now.
+    /// Schedules an event. An event in the past is scheduled for the current time.
     pub fn at(&mut self, when: Micros, event: E) {
         self.sequence += 1;
         self.heap.push(Scheduled(Reverse((when.max(self.now), self.sequence)), event));
     }
 
-    /// Takes the next event. Its time is the present from then on.
+    /// Removes and returns the next event with its time, to which the current time advances.
     pub fn take(&mut self) -> Option<(Micros, E)> {
         let Scheduled(Reverse((when, _)), event) = self.heap.pop()?;
         self.now = when;
--- a/crates/simulation/src/follow.rs
+++ b/crates/simulation/src/follow.rs
@@ -1,5 +1,5 @@
-//! Followers of one leader while tenants change, over a network that loses packets: the leases and the membership of
-//! `nettleferry-fleet`, heartbeats and backoff as the program has them.
+//! Simulates followers that replicate tenant changes from one leader over a network that loses packets. Leases and
+//! membership are those of `nettleferry-fleet`; heartbeats and backoff follow the program.
 
 use hdrhistogram::Histogram;
 use nettleferry_fleet::lease::{self, HEARTBEATS_PER_SPAN, Holder, LeasePolicy};
@@ -13,86 +13,89 @@
 use crate::network::{Meter, Network};
 use crate::{Micros, ms};
 
-/// Bytes of a change, and of a heartbeat or a response without one.
+/// Bytes of a change in a response.
 const CHANGE_BYTES: u64 = 700;
+/// Bytes of a heartbeat, and of a response without changes.
 const EMPTY_BYTES: u64 = 400;
-/// How long the leader's thread works on one request or response.
+/// Time for which the leader's thread processes one request or response.
 const PROCESSING_TIME: Micros = 30;
-/// A heartbeat that is not answered within so many heartbeat intervals has failed, as in the program's follower.
+/// Number of heartbeat intervals after which a heartbeat without a response has failed, as in the program's follower.
 const TIMEOUT_INTERVALS: u64 = 2;
-/// The timeout of a heartbeat before the first lease, milliseconds.
+/// Timeout in milliseconds of a heartbeat before the first lease.
 const FIRST_TIMEOUT_MS: u64 = 2_000;
-/// The first heartbeats are spread over this time.
+/// Time over which the first heartbeats of the followers are distributed.
 const START_JITTER: Micros = 200_000;
-/// When the first change is made.
+/// Time of the first change.
 const FIRST_CHANGE_AT: Micros = 1_000_000;
-/// How often it is counted which followers have a lease.
+/// Interval at which the followers without a lease are counted.
 const SAMPLING_INTERVAL: Micros = 20_000;
-/// The largest exponent of the backoff.
+/// Maximum number of doublings of the backoff.
 const MAX_BACKOFF_DOUBLINGS: u32 = 16;
-/// Times until a change is in force are counted in units of this length, up to a hundred seconds.
+/// Unit of the histogram of the times until a change is in force.
 const TIME_UNIT: Micros = 100;
+/// Upper bound of that histogram: 100 seconds.
 const MAX_TIME_UNITS: u64 = 1_000_000;
 
-/// What is simulated.
+/// The parameters of a simulation.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Plan {
-    /// Followers.
+    /// Number of followers.
     pub controllers: u32,
-    /// The network.
+    /// Network between the followers and the leader.
     pub network: Network,
-    /// Span of a lease, milliseconds.
+    /// Duration of a lease in milliseconds.
     pub lease_ms: u64,
-    /// Changes a second; each restricts a tenant.
+    /// Mean number of changes per second. Each change restricts a tenant.
     pub changes: f64,
-    /// Length of the run.
+    /// Length of the run in virtual time.
     pub length: Micros,
-    /// Seed of all random numbers.
+    /// Seed of the random number generator.
     pub seed: u64,
 }
 
-/// What a run gave.
+/// The outcome of a simulation.
 #[derive(Clone, Debug, Serialize)]
 pub struct Outcome {
-    /// What was simulated.
+    /// Parameters of the simulation.
     pub plan: Plan,
-    /// Changes made.
+    /// Number of changes made.
     pub made: u64,
-    /// Changes acknowledged as in force everywhere.
+    /// Number of changes that were acknowledged as in force everywhere.
     pub acknowledged: u64,
-    /// Median time from a change to its acknowledgement, milliseconds.
+    /// Median time in milliseconds from a change to its acknowledgement.
     pub p50_ms: f64,
-    /// The time that 99 in 100 do not exceed.
+    /// 99th percentile of that time in milliseconds.
     pub p99_ms: f64,
-    /// The longest time.
+    /// Maximum of that time in milliseconds.
     #[serde(rename = "most_ms")]
     pub max_ms: f64,
-    /// Part of the followers' time without a lease, though all run and only packets are lost.
+    /// Share of the followers' time without a lease, although all followers run and only packets are lost.
     #[serde(rename = "shut_out")]
     pub without_lease: f64,
-    /// Followers that might have accepted calls without an acknowledged change; 0, or the leases are wrong.
+    /// Number of times that a follower without an acknowledged change was allowed to accept calls. Any value other than
+    /// 0 means that the leases are incorrect.
     #[serde(rename = "wrong")]
     pub violations: u64,
-    /// Heartbeats and responses a second at the leader.
+    /// Mean number of heartbeats and responses per second at the leader.
     #[serde(rename = "asks_mean")]
     pub requests_mean: f64,
-    /// Heartbeats and responses of the busiest second.
+    /// Maximum number of heartbeats and responses in one second.
     #[serde(rename = "asks_peak")]
     pub requests_peak: u64,
-    /// Bytes of the busiest second.
+    /// Maximum number of bytes in one second.
     pub bytes_peak: u64,
-    /// Part of the time in which the leader's thread works.
+    /// Share of the time for which the leader's thread is busy.
     pub busy: f64,
 }
 
-/// A heartbeat that waits at the leader for a change.
+/// A heartbeat whose response the leader delays until there is a change.
 #[derive(Clone, Copy)]
 struct WaitingHeartbeat {
     sent: Micros,
     number: u64,
 }
 
-/// A heartbeat on its way to the leader.
+/// A heartbeat in transit to the leader.
 struct Heartbeat {
     follower: usize,
     sent: Micros,
@@ -100,10 +103,10 @@
     revision: u64,
 }
 
-/// A response on its way to a follower.
+/// A response in transit to a follower.
 struct Response {
     follower: usize,
-    /// When its heartbeat was sent: the lease begins then.
+    /// When the heartbeat was sent, which is when the lease begins.
     sent: Micros,
     number: u64,
     revision: u64,
@@ -117,32 +120,33 @@
 }
 
 enum Event {
-    /// A tenant is changed.
+    /// The leader changes a tenant.
     Change,
     /// A follower sends a heartbeat.
     Send(usize),
     /// A heartbeat arrives at the leader.
     Arrival(Heartbeat),
-    /// A heartbeat that waits at the leader is answered, also without a change.
+    /// The leader answers a waiting heartbeat, even if there is no change.
     ResponseDue { follower: usize, number: u64 },
-    /// A response arrives at its follower.
+    /// A response arrives at the follower.
     Response(Response),
-    /// A follower stops waiting for a response.
+    /// The timeout of a follower's heartbeat expires.
     Timeout { follower: usize, number: u64 },
-    /// It is counted which followers have a lease.
+    /// Followers without a lease are counted.
     Sample,
 }
 
 struct Follower {
     revision: u64,
     lease: Holder,
-    /// The number of its newest heartbeat.
+    /// Number of the latest heartbeat.
     number: u64,
+    /// Consecutive heartbeats without a response.
     failures: u32,
     lease_ms: Option<u64>,
 }
 
-/// How many samples there were, and how many without a lease.
+/// Number of samples of followers, and how many of them had no lease.
 #[derive(Default)]
 struct LeaseSamples {
     all: u64,
@@ -156,13 +160,13 @@
     membership: Membership,
     revision: u64,
     followers: Vec<Follower>,
-    /// By follower.
+    /// Heartbeats that wait at the leader, by follower.
     waiting: Vec<Option<WaitingHeartbeat>>,
     open: Vec<OpenChange>,
     acknowledged: u64,
     times: Histogram<u64>,
     meter: Meter,
-    /// The leader's thread is busy until then.
+    /// Time until which the leader's thread is busy.
     busy_until: Micros,
     busy_time: Micros,
     samples: LeaseSamples,
@@ -177,7 +181,7 @@
     Version { epoch: 1, revision }
 }
 
-/// Simulates one plan. Equal plans give equal outcomes.
+/// Runs the simulation. Equal plans give equal outcomes.
 pub fn simulate(plan: Plan) -> Outcome {
     let mut simulation = Simulation::new(plan);
     while let Some((now, event)) = simulation.events.take() {
@@ -263,6 +267,7 @@
         }
     }
 
+    /// Makes a change and sends it to the followers whose heartbeats are waiting.
     fn change(&mut self, now: Micros) {
         self.revision += 1;
         self.open.push(OpenChange { revision: self.revision, made: now });
@@ -288,13 +293,14 @@
         }
     }
 
-    /// Lets the leader's thread work on something after all that it has to do; when that is done.
+    /// Queues one request or response at the leader's thread and returns when its processing ends.
     fn process(&mut self, now: Micros) -> Micros {
         self.busy_until = self.busy_until.max(now) + PROCESSING_TIME;
         self.busy_time += PROCESSING_TIME;
         self.busy_until
     }
 
+    /// Processes a heartbeat at the leader. The response is delayed if the follower has every change and a lease.
     fn heartbeat(&mut self, now: Micros, heartbeat: &Heartbeat) {
         let Heartbeat { follower, sent, number, revision } = *heartbeat;
         self.meter.count(now, EMPTY_BYTES);
@@ -313,6 +319,7 @@
         self.events.at(done + wait_ms * 1000, Event::ResponseDue { follower, number });
     }
 
+    /// Sends a follower the changes that it does not have and, if membership grants one, a lease.
     fn respond(&mut self, now: Micros, follower: usize, heartbeat: WaitingHeartbeat) {
         let done = self.process(now);
         let revision = self.revision;
@@ -328,6 +335,7 @@
         }
     }
 
+    /// Processes a response at the follower, which renews its lease and sends the next heartbeat.
     fn response(&mut self, now: Micros, response: &Response) {
         let follower = &mut self.followers[response.follower];
         if follower.number != response.number {
@@ -343,6 +351,7 @@
         self.send_heartbeat(now, response.follower);
     }
 
+    /// Schedules the next heartbeat after a backoff, unless the response arrived in time.
     fn timeout(&mut self, now: Micros, number_of_follower: usize, number: u64) {
         let follower = &mut self.followers[number_of_follower];
         if follower.number != number {
@@ -356,8 +365,8 @@
         self.events.at(now + wait_ms * 1000, Event::Send(number_of_follower));
     }
 
-    /// Acknowledges the changes that are in force everywhere, and counts followers that do not have one of them and may
-    /// accept calls.
+    /// Acknowledges the changes that are in force everywhere. A follower that lacks such a change and is allowed to
+    /// accept calls is counted as a violation.
     fn acknowledge(&mut self, now: Micros) {
         while let Some(&OpenChange { revision, made }) = self.open.first() {
             if !self.membership.progress(ms(now), version(revision), 0).is_in_force() {
@@ -375,7 +384,7 @@
 
     fn sample(&mut self, now: Micros) {
         self.acknowledge(now);
-        // Within the first span all are starting.
+        // Followers that are still starting during the first lease duration are not counted.
         if ms(now) > self.plan.lease_ms {
             for follower in &self.followers {
                 self.samples.all += 1;
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -1,13 +1,14 @@
-//! Fleets of up to a thousand controllers in virtual time: the decisions of `nettleferry-fleet` as the program runs them,
-//! a network that loses and delays, and nothing that depends on the machine. Equal plans give equal outcomes.
+//! Discrete-event simulations of fleets of up to a thousand controllers in virtual time. They use the same code of
+//! `nettleferry-fleet` and the same constants of `nettleferry-tenancy` as the program, over a simulated network that
+//! loses and delays packets. Nothing depends on the machine: equal plans give equal outcomes.
 //!
-//! It knows the decisions of the fleet and of tenancy. It leaves files, threads and plots to whoever runs it.
+//! The crate uses no files and no threads; the caller formats and stores the outcomes.
 //!
-//! * [`follow`]: followers of one leader while tenants change: how long until a change is in force everywhere, who is
-//!   without a lease needlessly, the leader's load.
-//! * [`power`]: all controllers return at once after a loss of power: how long until calls are answered in time, who is
-//!   asked for how many snapshots.
-//! * [`network`], [`events`]: what both are built on.
+//! * [`follow`]: followers replicate tenant changes from one leader. It measures how long a change takes to be in force
+//!   everywhere, how long followers are without a lease although they run, and the load of the leader.
+//! * [`power`]: all controllers restart at once after a power loss. It measures how long it takes until calls are
+//!   served in time, and the requests for snapshots that the leader and peers receive.
+//! * [`network`] and [`events`]: the simulated network and the event queue that both simulations use.
 
 #![forbid(unsafe_code)]
 
--- a/crates/simulation/src/network.rs
+++ b/crates/simulation/src/network.rs
@@ -1,5 +1,5 @@
-//! A network between processes that use TCP: lost packets are retransmitted with growing pauses, until the connection is
-//! given up.
+//! A simulated network between processes that use TCP. Lost packets are retransmitted with exponential backoff until
+//! the connection is given up.
 
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
@@ -7,49 +7,50 @@
 
 use crate::Micros;
 
-/// The first retransmission timeout (RFC 6298 gives 1 s; systems use 200 ms); it doubles.
+/// The first retransmission timeout, which doubles with each retransmission. Operating systems use 200 ms rather than
+/// the 1 s of RFC 6298.
 const RETRANSMISSION_TIMEOUT: Micros = 200_000;
-/// Retransmissions after which a connection is given up.
+/// Number of retransmissions after which a connection is given up.
 const MAX_RETRANSMISSIONS: u32 = 8;
 
-/// A network.
+/// The properties of a simulated network.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Network {
     /// Probability that a packet is lost.
     pub loss: f64,
-    /// Mean delay of one way; each packet's is between a half and one and a half of it.
+    /// Mean one-way delay. The delay of a message is between half and one and a half of it.
     pub delay: Micros,
-    /// Bytes a second of one link.
+    /// Bandwidth of one link in bytes per second.
     pub bandwidth: f64,
 }
 
 impl Network {
-    /// How long the transfer of a message takes; `None`: the connection was given up.
+    /// Returns how long the transfer of a message takes, or `None` if the connection is given up.
     pub fn transfer_time(&self, random: &mut ChaCha8Rng, bytes: u64) -> Option<Micros> {
-        let mut waited = 0;
+        let mut backoff = 0;
         for attempt in 0..=MAX_RETRANSMISSIONS {
             if !random.random_bool(self.loss) {
                 let delay = random.random_range(self.delay / 2..=self.delay * 3 / 2);
-                return Some(waited + delay + (bytes as f64 / self.bandwidth * 1e6) as Micros);
+                return Some(backoff + delay + (bytes as f64 / self.bandwidth * 1e6) as Micros);
             }
-            waited += RETRANSMISSION_TIMEOUT << attempt;
+            backoff += RETRANSMISSION_TIMEOUT << attempt;
         }
         None
     }
 }
 
-/// Requests and bytes of a second. Serialized as a pair.
+/// Number of requests and bytes in one second. Serialized as a pair.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 #[serde(into = "[u64; 2]")]
 pub struct Peak {
-    /// Requests.
+    /// Number of requests.
     pub requests: u64,
-    /// Bytes.
+    /// Number of bytes.
     pub bytes: u64,
 }
 
 impl Peak {
-    /// The larger of each.
+    /// The maximum of each of the two numbers.
     pub fn max(self, other: Self) -> Self {
         Self { requests: self.requests.max(other.requests), bytes: self.bytes.max(other.bytes) }
     }
@@ -61,14 +62,14 @@
     }
 }
 
-/// Counts requests and bytes by second.
+/// Counts requests and bytes for each second of a run.
 #[derive(Clone, Debug, Default)]
 pub struct Meter {
     seconds: Vec<Peak>,
 }
 
 impl Meter {
-    /// Counts a request of so many bytes.
+    /// Counts a request of `bytes` bytes at the time `now`.
     pub fn count(&mut self, now: Micros, bytes: u64) {
         let index = (now / 1_000_000) as usize;
         if self.seconds.len() <= index {
@@ -79,12 +80,12 @@
         second.bytes += bytes;
     }
 
-    /// The most requests and the most bytes of a second, which need not be the same one.
+    /// The largest number of requests and the largest number of bytes in any second, which need not be the same second.
     pub fn peak(&self) -> Peak {
         self.seconds.iter().copied().fold(Peak::default(), Peak::max)
     }
 
-    /// Requests in all.
+    /// Total number of requests.
     pub fn total(&self) -> u64 {
         self.seconds.iter().map(|second| second.requests).sum()
     }
--- a/crates/simulation/src/power/bootstrap.rs
+++ b/crates/simulation/src/power/bootstrap.rs
@@ -1,27 +1,29 @@
-//! How controllers without a snapshot get one: from the leader, or from peers. Which peer is asked, and which snapshot
-//! is installed, is decided by `nettleferry_fleet::bootstrap`.
+//! How controllers without a snapshot obtain one from the leader or from peers. `nettleferry_fleet::bootstrap` decides
+//! which peer is asked and which snapshot is installed.
 
 use nettleferry_fleet::bootstrap::{PeerResponse, Step};
 
 use super::{Event, LeaderReturn, Simulation, SnapshotResponse, snapshot};
 use crate::{Micros, ms};
 
-/// Bytes of a tenant in a snapshot, and of a request or a response without one.
+/// Bytes of a tenant in a snapshot.
 const TENANT_BYTES: u64 = 700;
+/// Bytes of a request, and of a response without a snapshot.
 const EMPTY_BYTES: u64 = 300;
-/// A request that is not answered in this time has failed.
+/// Time after which a request without a response has failed.
 const RESPONSE_TIMEOUT: Micros = 1_000_000;
-/// Bounds of the wait between two rounds, in which the leader may return.
+/// Minimum wait before the next round of requests, which begins with the leader again.
 const MIN_ROUND_WAIT: Micros = 100_000;
+/// Maximum wait before the next round of requests.
 const MAX_ROUND_WAIT: Micros = 10_000_000;
 
-/// Peers are numbered without the controller itself.
+/// Converts the index of a peer, which skips the controller itself, to the number of a controller.
 fn peer_number(controller: usize, peer: usize) -> usize {
     if peer >= controller { peer + 1 } else { peer }
 }
 
 impl Simulation {
-    fn leader_is_back(&self, now: Micros) -> bool {
+    fn is_leader_available(&self, now: Micros) -> bool {
         match self.plan.leader_return {
             LeaderReturn::First => true,
             LeaderReturn::After(at) => now >= at,
@@ -29,7 +31,7 @@
         }
     }
 
-    /// Sends a request for a snapshot; `peer` is `None` for the leader.
+    /// Sends a request for a snapshot to a peer, or to the leader if `peer` is `None`, and schedules its timeout.
     fn request_snapshot(&mut self, now: Micros, controller: usize, peer: Option<usize>) {
         let state = &mut self.controllers[controller];
         state.request += 1;
@@ -39,7 +41,7 @@
         let Some(there) = self.plan.network.transfer_time(&mut self.random, EMPTY_BYTES) else { return };
         let arrival = now + there;
         let snapshot = match peer {
-            None => self.leader_is_back(arrival).then(|| snapshot(&self.plan)),
+            None => self.is_leader_available(arrival).then(|| snapshot(&self.plan)),
             Some(peer) => self.controllers[peer_number(controller, peer)].snapshot.clone(),
         };
         if peer.is_none() && snapshot.is_none() {
@@ -56,7 +58,7 @@
         }
     }
 
-    /// The next step of a controller without a snapshot: the leader first, then peers in rounds.
+    /// Takes the next step of a controller without a snapshot. In each round it asks the leader first and then peers.
     pub(super) fn bootstrap(&mut self, now: Micros, controller: usize) {
         let state = &mut self.controllers[controller];
         if state.snapshot.is_some() {
@@ -79,6 +81,7 @@
         }
     }
 
+    /// Processes a response or a timeout. A response to an earlier request is ignored.
     pub(super) fn snapshot_response(&mut self, now: Micros, response: SnapshotResponse) {
         let SnapshotResponse { controller, peer, snapshot, request } = response;
         let state = &mut self.controllers[controller];
--- a/crates/simulation/src/power/calls.rs
+++ b/crates/simulation/src/power/calls.rs
@@ -1,4 +1,4 @@
-//! Calls at a controller: admission, load orders within their limit, and service in order of the queue.
+//! The calls at a controller: admission control, load orders within their limit, and service from the queue.
 
 use nettleferry_fleet::gate::{CallInfo, Verdict};
 use rand::RngExt;
@@ -6,16 +6,20 @@
 use super::{CallAttempt, CallEnd, Event, QueuedCall, Simulation};
 use crate::{Micros, ms};
 
-/// The limit on load orders of a controller: so many in a window without calls, and a part of the calls accepted in it.
+/// Window of the limit on load orders of a controller.
 const LOAD_WINDOW: Micros = 2_000_000;
+/// Load orders permitted in a window without calls.
 const FREE_LOADS: f64 = 3.0;
+/// Further load orders permitted for each call accepted in the window.
 const LOADS_PER_CALL: f64 = 0.1;
-/// A client that is refused calls again so often.
+/// Number of times that a client retries a refused call.
 const MAX_RETRIES: u32 = 4;
-/// When clients of a controller without a snapshot may call again, milliseconds.
+/// Retry delay in milliseconds that a controller without a snapshot returns with a refusal.
 const RETRY_WITHOUT_SNAPSHOT_MS: u64 = 500;
 
 impl Simulation {
+    /// Processes an attempt of a client: queues the call, or schedules a retry after a refusal unless the retries or
+    /// the deadline are exhausted.
     pub(super) fn call(&mut self, now: Micros, attempt: CallAttempt) {
         let verdict = self.admit(now, &attempt);
         let CallAttempt { controller, first, refusals, model } = attempt;
@@ -51,7 +55,7 @@
         let chance = self.random.random();
         let controller = &mut self.controllers[attempt.controller];
         if controller.snapshot.is_none() {
-            // Which tenants may call is not known.
+            // Without a snapshot the controller does not know which tenants are permitted.
             return Verdict::Reject(RETRY_WITHOUT_SNAPSHOT_MS);
         }
         if !plan.admission {
@@ -67,7 +71,8 @@
         controller.admission.admit(ms(now), &call, chance)
     }
 
-    /// Orders loads within the limit. In the first window the free ones count as used by the incarnation before.
+    /// Orders loads of missing replicas within the limit. In the first window no free loads are granted, since the
+    /// previous incarnation may have used them.
     pub(super) fn order_loads(&mut self, now: Micros, number: usize) {
         let controller = &mut self.controllers[number];
         for times in [&mut controller.load_orders, &mut controller.accepted] {
@@ -86,14 +91,15 @@
             controller.replicas.insert(model, false);
             self.loading += 1;
             self.load_orders.count(now, 1);
-            // How many load at once when this load begins.
-            let crowding = f64::from(self.loading) / f64::from(self.plan.store_capacity);
-            let duration = self.plan.load_time as f64 * crowding.max(1.0);
+            // The duration depends on the number of concurrent loads when this one begins.
+            let contention = f64::from(self.loading) / f64::from(self.plan.store_capacity);
+            let duration = self.plan.load_time as f64 * contention.max(1.0);
             self.events.at(now + duration as Micros, Event::Loaded { controller: number, model });
         }
     }
 
-    /// Serves the first call of the queue whose replica is loaded, at the speed that the workers have now.
+    /// Starts to serve the first queued call whose replica is loaded, if no call is being served. The duration depends
+    /// on how far the workers have warmed up.
     pub(super) fn serve(&mut self, now: Micros, number: usize) {
         let plan = self.plan;
         self.end_expired(now, number);
@@ -114,7 +120,7 @@
         self.events.at(now + (1e6 / capacity) as Micros, Event::Served(number));
     }
 
-    /// Ends the calls at the head of the queue whose clients have given up.
+    /// Removes the calls at the head of the queue that their clients have abandoned.
     fn end_expired(&mut self, now: Micros, number: usize) {
         let deadline = self.plan.deadline;
         loop {
@@ -127,6 +133,7 @@
         }
     }
 
+    /// Records the outcome of the call that was being served, and serves the next one.
     pub(super) fn served(&mut self, now: Micros, number: usize) {
         let controller = &mut self.controllers[number];
         if let Some(call) = controller.serving.take() {
--- a/crates/simulation/src/power/mod.rs
+++ b/crates/simulation/src/power/mod.rs
@@ -1,11 +1,12 @@
-//! All controllers return at once after a loss of power: workers warm up, replicas are gone, some snapshots are lost, and
-//! the clients are all there. Admission and bootstrap are those of `nettleferry-fleet`; load orders have the limit that
-//! the platform's rules give.
+//! Simulates the restart of all controllers at once after a power loss: workers have to warm up, all replicas are lost,
+//! some controllers have lost their snapshots, and clients send their full load. Admission control and bootstrap are
+//! those of `nettleferry-fleet`; load orders are limited as by the rules of the platform.
 //!
-//! What is not decided by the fleet is simple: each controller has its part of the workers, one queue in order, and
-//! replicas that are loaded through one model store, which slows down as more load at once.
+//! The rest is modelled in simple terms: each controller has its own share of the workers, a first-in-first-out queue,
+//! and replicas that are loaded from one shared model store, which slows down as the number of concurrent loads grows.
 //!
-//! * [`plan`]: input and outcome. `calls`: admission, load orders, service. `bootstrap`: how controllers get a snapshot.
+//! * [`plan`]: parameters and outcome. `calls`: admission, load orders and service. `bootstrap`: how controllers obtain
+//!   a snapshot.
 
 mod bootstrap;
 mod calls;
@@ -24,58 +25,59 @@
 use crate::{Micros, ms};
 pub use plan::{LeaderReturn, Outcome, Plan};
 
-/// Calls are counted by the time of their first attempt, in intervals of this length.
+/// Length of the intervals in which calls are counted, by the time of their first attempt.
 const INTERVAL: Micros = 250_000;
-/// How often controllers are looked after without an event of their own.
+/// Interval at which every controller orders loads, updates its admission control and serves calls, even without an
+/// event of its own.
 const TICK: Micros = 50_000;
-/// Starts of the controllers are spread over this time, as machines differ.
+/// Time over which the starts of the controllers are distributed, since machines do not boot equally fast.
 const START_JITTER: Micros = 100_000;
-/// Workers that each controller sees.
+/// Number of workers of each controller.
 const WORKERS: u32 = 2;
 
 enum Event {
-    /// A client calls, or calls again after a refusal.
+    /// A client retries a call after a refusal.
     Call(CallAttempt),
-    /// The next client of this controller calls.
+    /// A client of this controller makes a new call.
     NextClient(usize),
-    /// The call that a controller serves is served.
+    /// The call that the workers of a controller are processing is finished.
     Served(usize),
-    /// A replica is loaded.
+    /// The load of a replica is finished.
     Loaded { controller: usize, model: u32 },
-    /// A controller without a snapshot asks for one.
+    /// A controller without a snapshot takes the next step to obtain one.
     Bootstrap(usize),
-    /// A request for a snapshot is answered, or is not answered in time.
+    /// A request for a snapshot is answered or times out.
     Response(SnapshotResponse),
-    /// All controllers are looked after.
+    /// The periodic work of all controllers is done, see [`TICK`].
     Tick,
 }
 
 struct CallAttempt {
     controller: usize,
-    /// When the client first called.
+    /// When the client made the call for the first time.
     first: Micros,
-    /// How often it was refused.
+    /// How often the call was refused.
     refusals: u32,
     model: u32,
 }
 
 struct SnapshotResponse {
     controller: usize,
-    /// `None`: the leader.
+    /// The peer that was asked; `None` if it was the leader.
     peer: Option<usize>,
     snapshot: Option<SnapshotVersion>,
-    /// Which request it answers.
+    /// Number of the request that it answers.
     request: u64,
 }
 
 struct QueuedCall {
     first: Micros,
     model: u32,
-    /// Its number at the admission.
+    /// Number of the call at the admission control.
     number: u64,
 }
 
-/// What became of a call.
+/// The outcome of a call.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum CallEnd {
     InTime,
@@ -103,7 +105,7 @@
     snapshot: Option<SnapshotVersion>,
     snapshot_since: Micros,
     bootstrap: Bootstrap,
-    /// The number of the newest request for a snapshot.
+    /// Number of the latest request for a snapshot; responses to earlier ones are ignored.
     request: u64,
     leader_asked: bool,
     admission: Gate,
@@ -123,9 +125,9 @@
     random: ChaCha8Rng,
     events: Events<Event>,
     controllers: Vec<SimulatedController>,
-    /// Replicas that are being loaded, over all controllers.
+    /// Number of replicas that are being loaded, over all controllers together.
     loading: u32,
-    /// Calls accepted so far.
+    /// Number of calls admitted so far.
     calls: u64,
     intervals: Vec<Interval>,
     counts: CallCounts,
@@ -135,7 +137,7 @@
     load_orders: Meter,
 }
 
-/// Simulates one plan. Equal plans give equal outcomes.
+/// Runs the simulation. Equal plans give equal outcomes.
 pub fn simulate(plan: Plan) -> Outcome {
     let mut simulation = Simulation::new(plan);
     while let Some((now, event)) = simulation.events.take() {
@@ -147,7 +149,7 @@
     simulation.outcome()
 }
 
-/// The version of the one snapshot that there is.
+/// The version of the snapshot, which is the same at the leader and at all controllers.
 fn snapshot(plan: &Plan) -> SnapshotVersion {
     SnapshotVersion { store: "store".to_owned(), epoch: 1, revision: plan.tenants, checksum: 1 }
 }
@@ -232,16 +234,17 @@
         }
     }
 
+    /// See [`Outcome::ready_ms`].
     fn ready_ms(&self) -> Option<u64> {
-        // Calls of the last deadline have not all ended.
+        // Calls that were made within one deadline of the end of the run have not all ended.
         let complete = ((self.plan.length - self.plan.deadline) / INTERVAL) as usize;
         let intervals = &self.intervals[..complete.max(1)];
-        let is_bad = |interval: &Interval| (interval.in_time as f64) < 0.9 * interval.ended as f64;
-        let ready = intervals.iter().rposition(is_bad).map_or(0, |last| last + 1);
+        let is_degraded = |interval: &Interval| (interval.in_time as f64) < 0.9 * interval.ended as f64;
+        let ready = intervals.iter().rposition(is_degraded).map_or(0, |last| last + 1);
         (ready < intervals.len()).then_some(ready as u64 * INTERVAL / 1000)
     }
 
-    /// Counts a call's end.
+    /// Counts the outcome of a call, in total and in the interval of its first attempt.
     fn end_call(&mut self, first: Micros, end: CallEnd) {
         let count = match end {
             CallEnd::InTime => &mut self.counts.in_time,
--- a/crates/simulation/src/power/plan.rs
+++ b/crates/simulation/src/power/plan.rs
@@ -1,103 +1,104 @@
-//! What a simulated return from a loss of power starts with, and what it gives.
+//! The parameters and the outcome of a simulated restart after a power loss.
 
 use serde::Serialize;
 
 use crate::Micros;
 use crate::network::{Network, Peak};
 
-/// When the leader returns.
+/// When the leader is available again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LeaderReturn {
-    /// Before the controllers.
+    /// From the start, before the controllers.
     First,
-    /// This long after them.
+    /// This long after the start of the run.
     After(Micros),
-    /// Not at all.
+    /// Not during the run.
     Never,
 }
 
-/// What is simulated.
+/// The parameters of a simulation.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Plan {
-    /// Controllers.
+    /// Number of controllers.
     pub controllers: u32,
-    /// The network between them.
+    /// Network between the controllers and to the leader.
     pub network: Network,
-    /// When the leader returns.
+    /// When the leader is available again.
     #[serde(rename = "administration")]
     pub leader_return: LeaderReturn,
-    /// Part of the controllers whose persisted snapshot is lost.
+    /// Probability that a controller has lost its persisted snapshot.
     #[serde(rename = "lost_books")]
     pub lost_snapshots: f64,
-    /// Tenants, each of about 700 bytes of a snapshot.
+    /// Number of tenants. Each takes about 700 bytes of a snapshot.
     pub tenants: u64,
-    /// Calls a second at each controller.
+    /// Mean number of new calls per second at each controller.
     #[serde(rename = "calls")]
     pub calls_per_second: f64,
-    /// Calls a second that a controller's workers serve when they are warm.
+    /// Calls per second that the workers of a controller serve once they have warmed up.
     pub capacity: f64,
-    /// Part of `capacity` that they have when they start.
+    /// Share of `capacity` that the workers have when they start.
     #[serde(rename = "cold_part")]
     pub initial_capacity: f64,
-    /// How long they warm up.
+    /// Time that the workers take to warm up.
     #[serde(rename = "cold")]
     pub warm_up: Micros,
-    /// Nothing goes to a worker that warms up until this long after the controller's own start, as the decision module
-    /// has it.
+    /// Time after the start during which a controller sends nothing to a worker that is warming up, as in the decision
+    /// module.
     #[serde(rename = "wait")]
     pub warm_up_wait: Micros,
-    /// Models in use at each controller; a replica of each has to be loaded again.
+    /// Number of models in use at each controller. A replica of each has to be loaded again.
     pub models: u32,
-    /// How long the load of one model takes while the model store serves no more than `store_capacity`.
+    /// Time to load one model while no more than `store_capacity` models are loaded concurrently.
     #[serde(rename = "load")]
     pub load_time: Micros,
-    /// Loads at once from which on each slows down all.
+    /// Number of concurrent loads above which further loads take longer.
     #[serde(rename = "store")]
     pub store_capacity: u32,
-    /// The time in which a call wants its answer.
+    /// Latency objective of the calls.
     #[serde(rename = "aim")]
     pub latency_objective: Micros,
-    /// The time after which a client gives up.
+    /// Time after its first attempt at which a client abandons a call.
     pub deadline: Micros,
-    /// Admission after a restart is on.
+    /// Whether the controllers use admission control after the restart.
     #[serde(rename = "gate")]
     pub admission: bool,
-    /// Length of the run.
+    /// Length of the run in virtual time.
     pub length: Micros,
-    /// Seed of all random numbers.
+    /// Seed of the random number generator.
     pub seed: u64,
 }
 
-/// What a run gave.
+/// The outcome of a simulation.
 #[derive(Clone, Debug, Serialize)]
 pub struct Outcome {
-    /// What was simulated.
+    /// Parameters of the simulation.
     pub plan: Plan,
-    /// When nine of ten calls began to be served in time, and were so until the end; `None`: not within the length.
+    /// Time in milliseconds from which at least nine of ten calls were served in time until the end of the run; `None`
+    /// if there is no such time.
     pub ready_ms: Option<u64>,
-    /// Calls that were served in time.
+    /// Calls that were served within the latency objective.
     pub in_time: u64,
-    /// Calls that were served late.
+    /// Calls that were served after the latency objective and before the deadline.
     pub late: u64,
-    /// Calls that were refused and did not come again.
+    /// Calls that were refused and not retried again.
     pub refused: u64,
-    /// Calls whose clients gave up.
+    /// Calls that clients abandoned at the deadline.
     pub given_up: u64,
-    /// Refusals in all: a call may be refused more than once.
+    /// Total number of refusals. A call may be refused more than once.
     pub refusals: u64,
-    /// Controllers that have a snapshot at the end.
+    /// Number of controllers that have a snapshot at the end of the run.
     #[serde(rename = "with_book")]
     pub with_snapshot: u32,
-    /// When the last of them got it.
+    /// Time in milliseconds at which the last of these controllers obtained its snapshot.
     #[serde(rename = "last_book_ms")]
     pub last_snapshot_ms: u64,
-    /// Requests and bytes of the busiest second at the leader.
+    /// Maximum numbers of requests and bytes in one second at the leader.
     #[serde(rename = "administration_peak")]
     pub leader_peak: Peak,
-    /// The same at the busiest peer.
+    /// The same maxima over all controllers as peers.
     pub peer_peak: Peak,
-    /// Load orders of the busiest second.
+    /// Maximum number of load orders in one second, over all controllers together.
     #[serde(rename = "orders_peak")]
     pub load_orders_peak: u64,
 }
--- a/crates/simulation/tests/golden.rs
+++ b/crates/simulation/tests/golden.rs
@@ -1,15 +1,15 @@
-//! Outcomes as JSON: names and values that scripts over `fleet simulate` rely on, held against those that the
-//! simulation gave before its types were renamed (`golden/outcomes.jsonl`).
+//! Compares the outcomes of the simulations as JSON with stored ones (`golden/outcomes.jsonl`). Guards against changed
+//! names or values of fields on which scripts that read the output of `fleet simulate` rely.
 
 use nettleferry_simulation::network::Network;
 use nettleferry_simulation::{follow, power};
 
 const NETWORK: Network = Network { loss: 0.1, delay: 2_000, bandwidth: 104_857_600.0 };
 
-/// A line of the outcomes that the simulation gave before its names were changed.
+/// The stored outcome with the given index.
 fn expected(index: usize) -> &'static str {
     let lines = include_str!("golden/outcomes.jsonl");
-    lines.lines().nth(index).expect("a line for each play")
+    lines.lines().nth(index).expect("a stored outcome for each simulation")
 }
 
 #[test]
@@ -22,13 +22,13 @@
 
 #[test]
 fn power_outcome_keeps_its_json() {
-    let plays =
+    let leader_returns =
         [power::LeaderReturn::After(1_000_000), power::LeaderReturn::First, power::LeaderReturn::Never];
-    for (index, administration) in plays.into_iter().enumerate() {
+    for (index, leader_return) in leader_returns.into_iter().enumerate() {
         let plan = power::Plan {
             controllers: 4,
             network: NETWORK,
-            leader_return: administration,
+            leader_return,
             lost_snapshots: 0.7,
             tenants: 500,
             calls_per_second: 70.0,
--- a/crates/simulation/tests/plays.rs
+++ b/crates/simulation/tests/plays.rs
@@ -1,4 +1,5 @@
-//! Equal seeds give equal outcomes; no follower acts without an acknowledged change; every controller gets a snapshot.
+//! Tests of whole simulations: equal seeds give equal outcomes, no follower accepts calls without an acknowledged
+//! change, and controllers recover their snapshots.
 
 use nettleferry_simulation::network::Network;
 use nettleferry_simulation::{follow, power};
@@ -19,21 +20,21 @@
             let outcome = follow::simulate(followers(32, loss, seed));
             assert_eq!(outcome.violations, 0, "{outcome:?}");
             assert!(outcome.made > 5 && outcome.acknowledged + 10 >= outcome.made, "{outcome:?}");
-            // However much is lost, a change is in force within a lease span and the error of the clocks.
+            // At any loss, a change is in force within the duration of a lease and the clock error.
             assert!(outcome.max_ms <= 6_000.0 + 60.0 + 25.0, "{outcome:?}");
         }
     }
-    let well = follow::simulate(followers(32, 0.0, 9));
-    assert!(well.without_lease == 0.0 && well.p99_ms < 50.0, "{well:?}");
-    let bad = follow::simulate(followers(32, 0.3, 9));
-    assert!(bad.p99_ms > well.p99_ms && bad.without_lease < 0.01, "{bad:?}");
+    let lossless = follow::simulate(followers(32, 0.0, 9));
+    assert!(lossless.without_lease == 0.0 && lossless.p99_ms < 50.0, "{lossless:?}");
+    let lossy = follow::simulate(followers(32, 0.3, 9));
+    assert!(lossy.p99_ms > lossless.p99_ms && lossy.without_lease < 0.01, "{lossy:?}");
 }
 
-fn plan(administration: power::LeaderReturn, lost_snapshots: f64) -> power::Plan {
+fn plan(leader_return: power::LeaderReturn, lost_snapshots: f64) -> power::Plan {
     power::Plan {
         controllers: 24,
         network: network(0.01),
-        leader_return: administration,
+        leader_return,
         lost_snapshots,
         tenants: 500,
         calls_per_second: 70.0,
@@ -55,15 +56,15 @@
 #[test]
 fn snapshots_return_from_the_leader_or_from_peers() {
     use power::LeaderReturn;
-    for (back, lost, whole) in [
+    for (leader_return, lost_snapshots, recovers) in [
         (LeaderReturn::First, 1.0, true),
         (LeaderReturn::After(5_000_000), 1.0, true),
         (LeaderReturn::Never, 0.5, true),
         (LeaderReturn::Never, 1.0, false),
     ] {
-        let outcome = power::simulate(plan(back, lost));
-        assert_eq!(outcome.with_snapshot == 24, whole, "{back:?}: {outcome:?}");
-        assert_eq!(outcome.ready_ms.is_some(), whole, "{outcome:?}");
+        let outcome = power::simulate(plan(leader_return, lost_snapshots));
+        assert_eq!(outcome.with_snapshot == 24, recovers, "{leader_return:?}: {outcome:?}");
+        assert_eq!(outcome.ready_ms.is_some(), recovers, "{outcome:?}");
     }
 }
 
@@ -74,14 +75,15 @@
         power::simulate(plan(power::LeaderReturn::First, 0.2)),
     );
     assert_eq!(format!("{first:?}"), format!("{second:?}"));
-    // More calls arrive than the warming fleet can serve: admission serves in time what would wait in vain without it.
-    let crowded = |admission| {
+    // More calls arrive than the workers can serve while they warm up. Without admission control more of them wait in
+    // the queue until they are late.
+    let overloaded = |admission| {
         power::simulate(power::Plan {
             calls_per_second: 110.0,
             admission,
             ..plan(power::LeaderReturn::First, 0.0)
         })
     };
-    let (gate, open) = (crowded(true), crowded(false));
-    assert!(gate.in_time > open.in_time && gate.late < open.late, "{gate:?} {open:?}");
+    let (with, without) = (overloaded(true), overloaded(false));
+    assert!(with.in_time > without.in_time && with.late < without.late, "{with:?} {without:?}");
 }
