--- a/crates/scenario/src/alerting.rs
+++ b/crates/scenario/src/alerting.rs
@@ -1,4 +1,4 @@
-//! Which alerts fired at the receiver, compared with what the scenario expects.
+//! Compares the alerts that fired at the remote-write receiver with those that the scenario expects.
 
 use std::fmt::Write;
 
@@ -7,32 +7,32 @@
 
 use crate::script::Watch;
 
-/// What the receiver has seen, in the time of the run.
+/// What the remote-write receiver recorded during a run. Times count from the start of the run.
 #[derive(Clone, Debug, Default)]
 pub struct ReceiverReport {
-    /// Alerts that fired.
+    /// Alerts that fired, one entry for each time that an alert fired.
     pub alerts: Vec<FiredAlert>,
-    /// Errors of senders, and rules that could not be evaluated.
+    /// Invalid series from the controllers, and alert rules that could not be evaluated.
     pub faults: Vec<String>,
-    /// Samples received.
+    /// Number of samples received.
     pub samples: usize,
 }
 
-/// An alert that fired.
+/// One period during which an alert fired.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FiredAlert {
-    /// Its name.
+    /// Name of the alert (its `alertname` label).
     pub alert: String,
-    /// Its labels, for people.
+    /// The other labels as text, ` name=value` for each.
     pub labels: String,
-    /// When it began to fire.
+    /// When the alert began to fire.
     pub from: Micros,
-    /// When it ended; `None`: not before the end of the run.
+    /// When the alert stopped firing; `None` if it was still firing at the end of the run.
     pub to: Option<Micros>,
 }
 
 impl FiredAlert {
-    /// An episode on the receiver's clock, on which the run began at `base_ms`.
+    /// Converts an episode from the receiver's clock to the time of the run, which began at `base_ms` on that clock.
     pub fn new(episode: &Episode, base_ms: i64) -> Self {
         let at = |ms: i64| u64::try_from(ms - base_ms).unwrap_or(0) * 1000;
         let mut labels = String::new();
@@ -48,7 +48,7 @@
     }
 }
 
-/// The expectations that were not met.
+/// Lists, one line each, the receiver's faults and the expectations of `watch` that were not met.
 pub fn unmet_expectations(watch: &Watch, seen: &ReceiverReport) -> Vec<String> {
     let seconds = |at: Micros| at as f64 / 1e6;
     let mut unmet = seen.faults.clone();
@@ -63,15 +63,15 @@
         let from = first.from;
         if from < expected.after || from > expected.after + expected.within {
             unmet.push(format!(
-                "{} fired at {:.1} s, wanted from {:.1} to {:.1} s",
+                "{} fired at {:.1} s, expected from {:.1} to {:.1} s",
                 expected.alert,
                 seconds(from),
                 seconds(expected.after),
                 seconds(expected.after + expected.within)
             ));
         }
-        for late in seen.alerts.iter().filter(|f| f.alert == expected.alert) {
-            if late.to.is_none_or(|to| to > expected.clear_by) {
+        for fired in seen.alerts.iter().filter(|f| f.alert == expected.alert) {
+            if fired.to.is_none_or(|to| to > expected.clear_by) {
                 unmet.push(format!(
                     "{} was not clear at {:.1} s",
                     expected.alert,
@@ -80,10 +80,10 @@
             }
         }
     }
-    for other in &seen.alerts {
-        if !watch.alerts.iter().any(|expected| expected.alert == other.alert) {
-            let at = seconds(other.from);
-            unmet.push(format!("{} fired at {at:.1} s and was not to:{}", other.alert, other.labels));
+    for fired in &seen.alerts {
+        if !watch.alerts.iter().any(|expected| expected.alert == fired.alert) {
+            let at = seconds(fired.from);
+            unmet.push(format!("{} fired at {at:.1} s but is not expected:{}", fired.alert, fired.labels));
         }
     }
     unmet
--- a/crates/scenario/src/alerting/tests.rs
+++ b/crates/scenario/src/alerting/tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of `alerting`.
+//! Unit tests of the comparison of fired with expected alerts.
 
 use super::*;
 use crate::script::ExpectedAlert;
@@ -18,8 +18,8 @@
         (vec![fired("A", 12 * s, None)], "was not clear"),
         (vec![fired("A", 12 * s, Some(20 * s)), fired("B", 1, None)], "B fired"),
     ] {
-        let wrong = unmet_expectations(&watch, &seen(alerts));
-        assert!(wrong.len() == 1 && wrong[0].contains(reported), "{wrong:?}");
+        let unmet = unmet_expectations(&watch, &seen(alerts));
+        assert!(unmet.len() == 1 && unmet[0].contains(reported), "{unmet:?}");
     }
     assert_eq!(unmet_expectations(&watch, &ReceiverReport::default()).len(), 2);
 }
--- a/crates/scenario/src/attempts.rs
+++ b/crates/scenario/src/attempts.rs
@@ -1,9 +1,8 @@
-//! Attempts as the workers' sockets show them, and what a socket proves of the moment at which something left
-//! the controller.
+//! Attempts as observed at the workers' sockets, and bounds on the time at which a message left its controller.
 //!
-//! Attempts of a call are in the order of their numbers (`nettleferry-attempt`), not of their arrival: behind a
-//! cut link an earlier one may arrive last, with its withdrawal right behind it. So a time of arrival is only
-//! the latest moment at which something may have left; [`Links::left_by`] gives the earliest.
+//! The attempts of a call are ordered by their numbers (header `nettleferry-attempt`), not by arrival: on a link that
+//! was cut, an earlier attempt may arrive last, directly followed by its cancellation. The time of arrival is therefore
+//! only the latest time at which a message may have been sent; [`Links::left_by`] returns the earliest.
 
 use std::collections::BTreeMap;
 
@@ -12,19 +11,21 @@
 
 use crate::evidence::{Cut, Evidence, Interval};
 
-/// An attempt as a worker saw it.
+/// An attempt as observed at a worker's socket.
 #[derive(Clone, Debug)]
 pub(crate) struct Attempt {
     pub(crate) worker: String,
     pub(crate) controller: usize,
-    /// As its header said.
+    /// Value of the `nettleferry-attempt` header; `None` if the header is missing or invalid.
     pub(crate) number: Option<u32>,
     pub(crate) arrived: Micros,
+    /// Whether the worker began to process it.
     pub(crate) ran: bool,
+    /// `None` if the attempt was still open at the end of the run.
     pub(crate) end: Option<AttemptEnd>,
 }
 
-/// The end of an attempt at the worker's socket.
+/// How and when an attempt ended at the worker's socket.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct AttemptEnd {
     pub(crate) at: Micros,
@@ -33,22 +34,22 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum EndKind {
-    /// Withdrawn, or its connection or worker is gone.
-    Withdrawn,
-    /// Answered.
+    /// Cancelled by the controller, or ended by the loss of its connection or worker.
+    Cancelled,
+    /// Answered; the attempt may have run.
     Answered,
-    /// Answered with proof that it never ran.
+    /// Answered with proof that the worker did not run it.
     NeverRan,
 }
 
 impl Attempt {
-    /// May it have run, as far as its controller can know?
+    /// Whether the attempt ran, or its controller has no proof that it did not.
     pub(crate) fn may_have_run(&self) -> bool {
         self.ran || !self.end.is_some_and(|end| end.kind == EndKind::NeverRan)
     }
 }
 
-/// Attempts by call, in the order of their numbers. A worker's death ends what it had.
+/// Groups the attempts by call id, ordered by attempt number. The crash of a worker ends its open attempts.
 pub(crate) fn attempts(evidence: &Evidence) -> BTreeMap<String, Vec<Attempt>> {
     let mut records: Vec<_> = evidence.workers.iter().collect();
     records.sort_by_key(|r| r.at);
@@ -56,7 +57,7 @@
     let mut open: BTreeMap<(&str, u64), usize> = BTreeMap::new();
     for record in records {
         let worker = record.worker.as_str();
-        let mut close = |stream: u64, kind| {
+        let mut end_attempt = |stream: u64, kind| {
             if let Some(at) = open.remove(&(worker, stream)) {
                 all[at].1.end = Some(AttemptEnd { at: record.at, kind });
             }
@@ -79,15 +80,15 @@
                     all[*at].1.ran = true;
                 }
             }
-            ObservationKind::Gone { stream } => close(*stream, EndKind::Withdrawn),
+            ObservationKind::Gone { stream } => end_attempt(*stream, EndKind::Cancelled),
             ObservationKind::Answered { stream, never_ran, .. } => {
-                close(*stream, if *never_ran { EndKind::NeverRan } else { EndKind::Answered });
+                end_attempt(*stream, if *never_ran { EndKind::NeverRan } else { EndKind::Answered });
             }
             ObservationKind::Down | ObservationKind::Fell => {
-                let had: Vec<u64> = open.keys().filter(|(w, _)| *w == worker).map(|(_, s)| *s).collect();
-                for stream in had {
+                let streams: Vec<u64> = open.keys().filter(|(w, _)| *w == worker).map(|(_, s)| *s).collect();
+                for stream in streams {
                     if let Some(at) = open.remove(&(worker, stream)) {
-                        all[at].1.end = Some(AttemptEnd { at: record.at, kind: EndKind::Withdrawn });
+                        all[at].1.end = Some(AttemptEnd { at: record.at, kind: EndKind::Cancelled });
                     }
                 }
             }
@@ -107,11 +108,12 @@
     by_call
 }
 
-/// How soon a worker has read what was in a socket when its link was mended. Its one thread reads all that the kernel
-/// holds before it answers anything more; what is left is what a full socket held back.
+/// Time within which a worker has read what its socket held when a cut link was restored. The worker's only thread
+/// reads everything that the kernel has buffered before it sends further answers; only data that a full socket buffer
+/// held back arrives later.
 const READ_DELAY: Micros = 100_000;
 
-/// Links between controllers and workers, with the spans in which they were cut.
+/// The links between controllers and workers, with the intervals during which they were cut.
 pub(crate) struct Links<'a> {
     evidence: &'a Evidence,
     slack: Micros,
@@ -122,6 +124,7 @@
         Self { evidence, slack }
     }
 
+    /// The intervals during which a worker was cut off from the zone of a controller.
     fn cuts(&self, worker: &str, controller: usize) -> impl Iterator<Item = Interval> {
         let zones: Vec<&str> = self
             .evidence
@@ -130,12 +133,12 @@
             .filter(|l| l.controller == controller)
             .map(|l| l.zone.as_str())
             .collect();
-        let concerned = move |cut: &&Cut| cut.worker == worker && zones.contains(&cut.zone.as_str());
-        self.evidence.cuts.iter().filter(concerned).map(|cut| cut.interval)
+        let is_between = move |cut: &&Cut| cut.worker == worker && zones.contains(&cut.zone.as_str());
+        self.evidence.cuts.iter().filter(is_between).map(|cut| cut.interval)
     }
 
-    /// What a worker's socket saw at `at` left the controller at this time at the earliest: while a link is cut
-    /// nothing arrives, and what was sent since then arrives when it is mended.
+    /// The earliest time at which the controller can have sent a message that arrived at the worker at `at`. Nothing
+    /// arrives while a link is cut; whatever was sent in that time arrives when the link is restored.
     pub(crate) fn left_by(&self, worker: &str, controller: usize, at: Micros) -> Micros {
         let mut left = at;
         while let Some(cut) = self
@@ -147,31 +150,31 @@
         left.saturating_sub(self.slack)
     }
 
-    /// The attempt left the controller at this time at the earliest.
+    /// The earliest time at which the controller can have sent the attempt.
     pub(crate) fn sent(&self, attempt: &Attempt) -> Micros {
         self.left_by(&attempt.worker, attempt.controller, attempt.arrived)
     }
 
-    /// The attempt was end for its controller at this time at the earliest: it had its answer then, or had
-    /// withdrawn it.
+    /// The earliest time at which the attempt can have ended for its controller: when the controller received the
+    /// answer or cancelled the attempt.
     pub(crate) fn ended(&self, attempt: &Attempt) -> Micros {
         let Some(end) = attempt.end else {
             return self.left_by(&attempt.worker, attempt.controller, self.evidence.until);
         };
-        if end.kind == EndKind::Withdrawn {
+        if end.kind == EndKind::Cancelled {
             return self.left_by(&attempt.worker, attempt.controller, end.at);
         }
-        // It was answered: a withdrawal had not been read by then. One that was sent while the link was cut is
-        // read with the rest as soon as the link is mended.
-        let hidden = self.cuts(&attempt.worker, attempt.controller).find(|cut| {
-            let read = if attempt.arrived > cut.to && attempt.arrived - cut.to <= self.slack {
+        // An answered attempt was not cancelled before the worker answered, unless the cancellation was delayed: one
+        // that was sent while the link was cut is read once the link is restored.
+        let delaying_cut = self.cuts(&attempt.worker, attempt.controller).find(|cut| {
+            let read_from = if attempt.arrived > cut.to && attempt.arrived - cut.to <= self.slack {
                 attempt.arrived
             } else {
                 cut.to
             };
-            cut.from < end.at && end.at <= read.saturating_add(READ_DELAY)
+            cut.from < end.at && end.at <= read_from.saturating_add(READ_DELAY)
         });
-        match hidden {
+        match delaying_cut {
             Some(cut) => self.left_by(&attempt.worker, attempt.controller, cut.from),
             None => end.at.saturating_sub(self.slack),
         }
--- a/crates/scenario/src/audit.rs
+++ b/crates/scenario/src/audit.rs
@@ -1,9 +1,9 @@
-//! The five rules, judged from the evidence alone. Each finding names the call or the worker, the time, and
-//! what was seen.
+//! Checks the five rules of the platform against the recorded evidence. Each breach names the call or the worker, the
+//! time and what was observed.
 //!
-//! Clocks: clients, test workers and the run share one process and one clock. Two observers of one moment can differ by
-//! how long a thread waits for a core; [`Slack`] is that, and no more. It is not used where no clock is needed: runs and
-//! answers are counted.
+//! Clients, test workers and the run share one process and one clock. The times that two threads record for the same
+//! moment differ only by how long a thread waits for a core; [`Slack`] bounds that difference. Checks that count runs
+//! or answers compare no times and do not use it.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -14,7 +14,8 @@
 use crate::attempts::{Attempt, Links, attempts};
 use crate::evidence::{ClientObservation, ControllerRun, Evidence, FinalStatus, ListChange};
 
-/// How far two observers of one moment may differ. The delay of a cut link is not in it: see `attempts.rs`.
+/// The largest difference between the times that two threads record for the same moment. It does not cover the delay
+/// of a cut link, for which `attempts.rs` accounts.
 #[derive(Clone, Copy, Debug)]
 pub struct Slack(pub Micros);
 
@@ -24,16 +25,16 @@
     }
 }
 
-/// A broken rule.
+/// A violation of one of the five rules.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Breach {
-    /// Which, 1 to 5.
+    /// Number of the rule, from 1 to 5.
     pub rule: u8,
-    /// When.
+    /// When the rule was broken, as far as the evidence shows.
     pub at: Micros,
-    /// The call that it is about, if any.
+    /// The id of the call concerned; `None` if the breach concerns a worker or a controller only.
     pub call: Option<String>,
-    /// What was seen.
+    /// Description of what was observed.
     pub what: String,
 }
 
@@ -43,14 +44,14 @@
     }
 }
 
-/// A final answer, and when it came.
+/// A final answer and the time at which the client received it.
 #[derive(Clone, Copy)]
 struct FinalAnswer {
     at: Micros,
     kind: FinalStatus,
 }
 
-/// A call as its client saw it.
+/// A call as observed by its client.
 struct Call<'a> {
     controller: usize,
     sent: Micros,
@@ -63,14 +64,14 @@
     last_part: Option<Micros>,
 }
 
-/// A load order, and when it left the controller at the earliest.
+/// A load order with its time of arrival and the earliest time at which the controller can have sent it.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct LoadOrder {
     arrived: Micros,
     left: Micros,
 }
 
-/// What reached a worker.
+/// An attempt or a load order that arrived at a worker.
 struct Arrival<'a> {
     worker: &'a str,
     controller: usize,
@@ -79,22 +80,22 @@
     what: String,
 }
 
-/// Judges the evidence; breaches are in the order of rules, and of time.
+/// Checks all rules and returns the breaches, ordered by rule and then by time.
 pub fn audit(evidence: &Evidence, slack: Slack) -> Vec<Breach> {
     let calls = calls(evidence);
     let attempts = attempts(evidence);
-    let mut judge =
-        Judge { evidence, links: Links::new(evidence, slack.0), slack: slack.0, breaches: Vec::new() };
+    let mut auditor =
+        Auditor { evidence, links: Links::new(evidence, slack.0), slack: slack.0, breaches: Vec::new() };
     for (id, call) in &calls {
         let attempts = attempts.get(*id).map_or(&[][..], Vec::as_slice);
-        judge.check_answers(id, call, attempts);
-        judge.check_effects(id, call, attempts);
+        auditor.check_answers(id, call, attempts);
+        auditor.check_effects(id, call, attempts);
     }
-    judge.check_drains(&attempts);
-    judge.check_overload();
-    judge.check_load_orders();
-    judge.breaches.sort_by_key(|breach| (breach.rule, breach.at));
-    judge.breaches
+    auditor.check_drains(&attempts);
+    auditor.check_overload();
+    auditor.check_load_orders();
+    auditor.breaches.sort_by_key(|breach| (breach.rule, breach.at));
+    auditor.breaches
 }
 
 fn calls(evidence: &Evidence) -> BTreeMap<&str, Call<'_>> {
@@ -128,20 +129,20 @@
     calls
 }
 
-struct Judge<'a> {
+struct Auditor<'a> {
     evidence: &'a Evidence,
     links: Links<'a>,
     slack: Micros,
     breaches: Vec<Breach>,
 }
 
-impl Judge<'_> {
-    fn call_breach(&mut self, rule: u8, at: Micros, id: &str, what: &str) {
+impl Auditor<'_> {
+    fn add_call_breach(&mut self, rule: u8, at: Micros, id: &str, what: &str) {
         let what = format!("call {id}: {what}");
         self.breaches.push(Breach { rule, at, call: Some(id.to_owned()), what });
     }
 
-    /// The incarnation of a controller that ran at a time.
+    /// The incarnation of a controller that was running at a given time.
     fn controller_run(&self, controller: usize, at: Micros) -> Option<&ControllerRun> {
         self.evidence
             .controller_runs
@@ -149,14 +150,14 @@
             .find(|run| run.controller == controller && run.from <= at && run.to.is_none_or(|to| at < to))
     }
 
-    /// Whether a controller was stopped for a part of an interval.
+    /// Whether a controller was stopped by SIGSTOP during any part of an interval.
     fn stalled(&self, controller: usize, from: Micros, to: Micros) -> bool {
         let mut stalls = self.evidence.stalls.iter();
         stalls.any(|stall| stall.controller == controller && stall.interval.overlaps(from, to))
     }
 
-    /// Whether the controller that a call was sent to must answer it: a killed one need not, one that got SIGTERM
-    /// answers what it had accepted before.
+    /// Whether the controller to which a call was sent has to answer it. A controller that is killed before the
+    /// deadline does not; after SIGTERM it has to answer the calls that it had accepted before.
     fn must_answer(&self, call: &Call) -> bool {
         self.controller_run(call.controller, call.sent).is_some_and(|run| match run.ending {
             Some(ending) => call.sent + self.slack <= ending,
@@ -164,17 +165,17 @@
         })
     }
 
-    /// Rule 1: exactly one final answer before the deadline, nothing after it.
+    /// Rule 1: a call gets exactly one final answer before its deadline, and nothing after that answer.
     fn check_answers(&mut self, id: &str, call: &Call, attempts: &[Attempt]) {
         let first = call.finals.first().copied();
         if call.finals.len() > 1 {
             let what = format!("{} final answers", call.finals.len());
-            self.call_breach(1, call.finals[1].at, id, &what);
+            self.add_call_breach(1, call.finals[1].at, id, &what);
         }
         if let (Some(part), Some(answer)) = (call.last_part, first)
             && part > answer.at
         {
-            self.call_breach(1, part, id, "a part after the final answer");
+            self.add_call_breach(1, part, id, "a part after the final answer");
         }
         if self.stalled(call.controller, call.sent, call.deadline) {
             return;
@@ -182,38 +183,38 @@
         match first {
             None if self.must_answer(call) && call.cancelled.is_none() => {
                 let cause = if call.lost.is_some() { " (its connection broke)" } else { "" };
-                self.call_breach(1, call.deadline, id, &format!("no final answer{cause}"));
+                self.add_call_breach(1, call.deadline, id, &format!("no final answer{cause}"));
             }
             Some(answer) if !call.slow && answer.at > call.deadline => {
                 let late_ms = (answer.at - call.deadline) / 1000;
-                self.call_breach(1, answer.at, id, &format!("answered {late_ms} ms after its deadline"));
+                self.add_call_breach(1, answer.at, id, &format!("answered {late_ms} ms after its deadline"));
             }
             _ => {}
         }
         let Some(ended) = first.map(|answer| answer.at).or(call.cancelled) else { return };
         for attempt in attempts {
-            // What was on its way when the answer was given is not new.
+            // An attempt that was already on its way when the call ended is permitted.
             if self.links.sent(attempt) > ended {
                 let what = format!("an attempt reached {} after the call had ended", attempt.worker);
-                self.call_breach(1, attempt.arrived, id, &what);
+                self.add_call_breach(1, attempt.arrived, id, &what);
             }
         }
     }
 
-    /// Rule 2: no effect twice, no overlap, no refusal of what has run.
+    /// Rule 2: no repeated effects, no overlapping attempts, and no refusal of a call that may have had an effect.
     fn check_effects(&mut self, id: &str, call: &Call, attempts: &[Attempt]) {
         let runs: Vec<&Attempt> = attempts.iter().filter(|attempt| attempt.ran).collect();
         if *call.effect == Effect::NonIdempotent && runs.len() > 1 {
             let what = format!("unsafe, and ran at {} and at {}", runs[0].worker, runs[1].worker);
-            self.call_breach(2, runs[1].arrived, id, &what);
+            self.add_call_breach(2, runs[1].arrived, id, &what);
         }
-        let harmless =
+        let may_repeat =
             matches!(call.effect, Effect::Idempotent | Effect::IdempotencyKey { scope: KeyScope::All, .. });
         if let Some(FinalAnswer { at, kind: FinalStatus::Refused }) = call.finals.first()
-            && !harmless
+            && !may_repeat
             && let Some(run) = runs.first()
         {
-            self.call_breach(2, *at, id, &format!("refused, and ran at {}", run.worker));
+            self.add_call_breach(2, *at, id, &format!("refused, and ran at {}", run.worker));
         }
         self.check_attempt_numbers(id, attempts);
         if let Effect::IdempotencyKey { scope, window } = call.effect {
@@ -226,7 +227,7 @@
                         "an attempt at {} began while one at {} was open",
                         later.worker, earlier.worker
                     );
-                    self.call_breach(2, later.arrived, id, &what);
+                    self.add_call_breach(2, later.arrived, id, &what);
                 }
             }
         }
@@ -239,18 +240,19 @@
                 let number =
                     attempt.number.map_or("no number".to_owned(), |number| format!("number {number} again"));
                 let what = format!("an attempt at {} with {number}", attempt.worker);
-                self.call_breach(2, attempt.arrived, id, &what);
+                self.add_call_breach(2, attempt.arrived, id, &what);
             }
         }
     }
 
-    /// The first attempt that may have run binds a call with an idempotency key to its group and window.
+    /// A call with an idempotency key may only be retried in the key's scope and window, which start with the first
+    /// attempt that may have run.
     fn check_keyed(&mut self, id: &str, scope: KeyScope, window: Micros, attempts: &[Attempt]) {
         let Some(first) = attempts.iter().position(Attempt::may_have_run) else { return };
         let location = |worker: &str| self.evidence.locations.get(worker).cloned().unwrap_or_default();
         let bound = &attempts[first].worker;
         let home = location(bound);
-        // It had left when the next one arrived, however late it arrived itself.
+        // The first attempt was sent before any later attempt arrived, even if it arrived after them itself.
         let left = attempts[first..].iter().map(|attempt| attempt.arrived).min().unwrap_or(0);
         let mut found = Vec::new();
         for later in &attempts[first + 1..] {
@@ -269,11 +271,11 @@
             }
         }
         for (at, what) in found {
-            self.call_breach(2, at, id, &what);
+            self.add_call_breach(2, at, id, &what);
         }
     }
 
-    /// Rule 3: nothing new reaches a worker after its drain grace.
+    /// Rule 3: no new attempt or load order reaches a worker after its drain grace.
     fn check_drains(&mut self, attempts: &BTreeMap<String, Vec<Attempt>>) {
         for (id, attempts) in attempts {
             for attempt in attempts {
@@ -302,19 +304,19 @@
     fn check_drained(&mut self, arrival: Arrival) {
         let Arrival { worker, controller, at, call, what } = arrival;
         let grace = self.evidence.parameters.drain_grace + self.evidence.parameters.list_check;
-        // It may have left at any moment from then until it arrived.
+        // It may have been sent at any time from `left` until it arrived.
         let left = self.links.left_by(worker, controller, at);
         let Some(listed) = self.last_listed(worker, left) else { return };
-        let on_meanwhile = |change: &ListChange| {
+        let turned_on_in_transit = |change: &ListChange| {
             change.worker == worker && change.state == WorkerState::On && change.at > left && change.at <= at
         };
         if listed.state == WorkerState::On
             || left <= listed.written + grace
-            || self.evidence.list_changes.iter().any(on_meanwhile)
+            || self.evidence.list_changes.iter().any(turned_on_in_transit)
         {
             return;
         }
-        // A controller that was stopped, or did not run, knows of it when it reads the list again.
+        // A controller that was stopped or not running learns of the drain when it next reads the list.
         let started = self.controller_run(controller, at).map_or(at, |run| run.from);
         if self.stalled(controller, listed.at, at) || started + grace + self.slack > at {
             return;
@@ -324,13 +326,13 @@
         self.breaches.push(Breach { rule: 3, at, call: call.map(str::to_owned), what });
     }
 
-    /// The last change of a worker's line at a time.
+    /// The last change of a worker's list entry that was made no later than `at`.
     fn last_listed(&self, worker: &str, at: Micros) -> Option<&ListChange> {
         let changes = self.evidence.list_changes.iter();
         changes.filter(|change| change.worker == worker && change.at <= at).max_by_key(|change| change.at)
     }
 
-    /// Rule 4: no worker that is warming up is overloaded.
+    /// Rule 4: no worker is overloaded while it is warming up.
     fn check_overload(&mut self) {
         for record in self.evidence.workers.iter().filter(|record| record.seen == ObservationKind::Fell) {
             let what = format!("{} was pushed over while cold", record.worker);
@@ -338,7 +340,8 @@
         }
     }
 
-    /// Rule 5: load orders keep their limit, over all incarnations of a controller: a restart gives no second one.
+    /// Rule 5: load orders stay within their limit, counted over all incarnations of a controller, so that a restart
+    /// does not grant a second allowance.
     fn check_load_orders(&mut self) {
         if self.evidence.parameters.ration_window == 0 {
             return;
@@ -356,7 +359,8 @@
         let calls = self.calls_sent(controller);
         let mut found = Vec::new();
         for (index, order) in orders.iter().enumerate() {
-            // Only orders that must have left within a window count; calls sent a little earlier do as well.
+            // Times of sending are only known within bounds. In the controller's favour, an order counts only if it
+            // must have been sent within the window, and a call if it may have been.
             let from = order.arrived.saturating_sub(parameters.ration_window);
             let count = orders[..index].iter().filter(|earlier| earlier.left > from).count() + 1;
             let since = order.left.saturating_sub(parameters.ration_window);
@@ -372,12 +376,13 @@
         self.breaches.extend(found);
     }
 
-    /// Whether a controller ran at a time.
-    fn ran(&self, controller: usize, at: Micros) -> bool {
+    /// Whether a controller's process was running at a given time.
+    fn was_running(&self, controller: usize, at: Micros) -> bool {
         let mut runs = self.evidence.controller_runs.iter().filter(|run| run.controller == controller);
         runs.any(|run| at >= run.from && run.to.is_none_or(|to| at < to))
     }
 
+    /// The load orders of a controller, ordered by arrival.
     fn load_orders(&self, number: usize) -> Vec<LoadOrder> {
         let mut orders = Vec::new();
         for record in &self.evidence.workers {
@@ -385,7 +390,7 @@
                 && controller.parse() == Ok(number)
             {
                 let left = self.links.left_by(&record.worker, number, record.at);
-                if self.ran(number, record.at) && self.ran(number, left + self.slack) {
+                if self.was_running(number, record.at) && self.was_running(number, left + self.slack) {
                     orders.push(LoadOrder { arrived: record.at, left });
                 }
             }
@@ -394,13 +399,13 @@
         orders
     }
 
-    /// When calls were sent to a controller.
+    /// The times at which clients sent calls to a running controller, in ascending order.
     fn calls_sent(&self, number: usize) -> Vec<Micros> {
         let mut calls = Vec::new();
         for record in &self.evidence.clients {
             if let ClientObservation::Sent { controller, .. } = record.what
                 && controller == number
-                && self.ran(number, record.at)
+                && self.was_running(number, record.at)
             {
                 calls.push(record.at);
             }
--- a/crates/scenario/src/client.rs
+++ b/crates/scenario/src/client.rs
@@ -1,4 +1,4 @@
-//! A client of the Open Inference Protocol: calls over sockets, and their answers as events.
+//! A client of the Open Inference Protocol that sends RPCs over non-blocking sockets and returns responses as events.
 
 use std::collections::HashMap;
 use std::io;
@@ -11,58 +11,58 @@
 use nettleferry_net::{ConnKey, Hub, NetEvent, NetLimits, StreamError, StreamKey};
 use nettleferry_proto::inference::SERVICE;
 
-/// What happens to an RPC, by its number.
+/// An event of an RPC, which is identified by the number that [`Client::call`] returned.
 #[derive(Clone, Debug)]
 pub enum ClientEvent {
-    /// A message.
+    /// A response message arrived.
     Message {
-        /// The RPC.
+        /// Number of the RPC.
         rpc: u64,
-        /// The message.
+        /// The message without its gRPC prefix.
         payload: Bytes,
     },
-    /// Its end.
+    /// The RPC ended.
     End {
-        /// The RPC.
+        /// Number of the RPC.
         rpc: u64,
-        /// The status, or how the stream failed without one.
+        /// The gRPC status, or the error if the stream failed before a status arrived.
         status: Result<Status, StreamError>,
-        /// Trailers.
+        /// Response trailers; empty if the stream failed.
         trailers: HeaderMap,
     },
 }
 
-/// One RPC to open.
+/// The request of an RPC.
 #[derive(Clone, Debug, Default)]
 pub struct ClientRequest {
-    /// The method's name.
+    /// Name of the method, without the service.
     pub method: &'static str,
-    /// Messages to send.
+    /// Messages that are sent when the RPC is opened.
     pub messages: Vec<Bytes>,
-    /// The client sends further messages later: see [`Client::send`].
+    /// Leaves the request stream open for further messages: see [`Client::send`].
     pub keep_open: bool,
-    /// `grpc-timeout`.
+    /// Value of the `grpc-timeout` header; `None` sends none.
     pub timeout: Option<Duration>,
-    /// Further request headers.
+    /// Additional request headers as name and value.
     pub headers: Vec<(String, String)>,
 }
 
-/// Connections to one address.
+/// The connections to one address, which are used in turn.
 #[derive(Default)]
 struct Connections {
     keys: Vec<ConnKey>,
-    /// Counts calls: the next connection in turn.
+    /// Number of RPCs opened; modulo the number of connections, it selects the connection.
     next: usize,
 }
 
 /// An open RPC.
 struct Rpc {
     number: u64,
-    /// The HTTP status was not 200.
+    /// Whether the HTTP status was not 200.
     wrong_status: bool,
 }
 
-/// A client with `width` connections to each address, used in turn.
+/// A gRPC client with up to `width` connections to each address, which it uses in turn.
 pub struct Client {
     hub: Hub,
     width: usize,
@@ -74,7 +74,10 @@
 }
 
 impl Client {
-    /// A client without connections.
+    /// Creates a client that opens up to `width` connections (at least one) to each address on demand.
+    ///
+    /// # Errors
+    /// The system refuses the event queue.
     pub fn new(width: usize, limits: NetLimits) -> io::Result<Self> {
         Ok(Self {
             hub: Hub::new(limits)?,
@@ -87,15 +90,15 @@
         })
     }
 
-    /// RPCs that have not ended.
+    /// Number of RPCs that have not ended.
     pub fn open(&self) -> usize {
         self.rpcs.len()
     }
 
-    /// Opens an RPC and gives its number. It ends with one [`ClientEvent::End`], unless it is cancelled.
+    /// Opens an RPC and returns its number. The RPC ends with exactly one [`ClientEvent::End`], unless it is cancelled.
     ///
     /// # Errors
-    /// The system refuses a socket, or a header is not valid.
+    /// The system refuses a socket, or a header is invalid.
     pub fn call(&mut self, to: SocketAddr, request: ClientRequest) -> io::Result<u64> {
         self.prepare_connection(to)?;
         let mut head = Request::post(format!("http://{to}{SERVICE}{}", request.method))
@@ -122,7 +125,7 @@
         Ok(rpc)
     }
 
-    /// Opens a connection where there are fewer than `width`, and chooses the next one.
+    /// Opens a connection if there are fewer than `width`, and advances to the next one in turn.
     fn prepare_connection(&mut self, to: SocketAddr) -> io::Result<()> {
         let connections = self.connections.entry(to).or_default();
         if connections.keys.len() < self.width {
@@ -132,7 +135,7 @@
         Ok(())
     }
 
-    /// Opens a stream on the chosen connection; a connection that is gone is replaced.
+    /// Opens a stream on the selected connection, which is replaced if it is closed.
     fn open_stream(&mut self, to: SocketAddr, head: Request<()>) -> io::Result<StreamKey> {
         let connections = self.connections.entry(to).or_default();
         let index = connections.next % connections.keys.len().max(1);
@@ -142,31 +145,31 @@
         }
         *connection = self.hub.connect(to)?;
         let opened = self.hub.open(*connection, head);
-        opened.ok_or_else(|| io::Error::other("a new connection is gone"))
+        opened.ok_or_else(|| io::Error::other("a new connection closed before a stream was opened"))
     }
 
-    /// Sends a further message on an RPC that was kept open.
+    /// Sends another message on an RPC that was opened with `keep_open`; does nothing if the RPC has ended.
     pub fn send(&mut self, rpc: u64, message: Bytes) {
         if let Some(stream) = self.streams.get(&rpc) {
             self.hub.send(*stream, message);
         }
     }
 
-    /// Sends bytes without a message's prefix: for tests that send what no client would.
+    /// Sends raw bytes without the gRPC message prefix, for tests of malformed requests.
     pub fn send_raw(&mut self, rpc: u64, bytes: Bytes) {
         if let Some(stream) = self.streams.get(&rpc) {
             self.hub.send_raw(*stream, bytes);
         }
     }
 
-    /// Sends no more on an RPC that was kept open.
+    /// Closes the request stream of an RPC that was opened with `keep_open`.
     pub fn finish(&mut self, rpc: u64) {
         if let Some(stream) = self.streams.get(&rpc) {
             self.hub.finish(*stream, None);
         }
     }
 
-    /// Cancels an RPC: it has no further event.
+    /// Cancels an RPC, which then has no further events.
     pub fn cancel(&mut self, rpc: u64) {
         if let Some(stream) = self.streams.remove(&rpc) {
             self.rpcs.remove(&stream);
@@ -174,7 +177,7 @@
         }
     }
 
-    /// Stops reading from an RPC, or resumes.
+    /// Resumes (`on`) or pauses reading the responses of an RPC.
     pub fn set_reading(&mut self, rpc: u64, on: bool) {
         let Some(stream) = self.streams.get(&rpc) else { return };
         if on {
@@ -184,12 +187,15 @@
         }
     }
 
-    /// By this another thread ends the wait of [`Client::poll`].
+    /// Returns a waker with which another thread ends the wait of [`Client::poll`].
     pub fn waker(&self) -> std::sync::Arc<mio::Waker> {
         self.hub.waker()
     }
 
-    /// Waits for events, `wait` at the most, and appends them.
+    /// Waits for events for at most `wait` (`None`: without limit) and appends them to `out`.
+    ///
+    /// # Errors
+    /// The system call that waits for socket events fails.
     pub fn poll(&mut self, wait: Option<Duration>, out: &mut Vec<ClientEvent>) -> io::Result<()> {
         let mut events = std::mem::take(&mut self.events);
         self.hub.poll(wait, &mut events)?;
@@ -215,12 +221,13 @@
             NetEvent::Trailers { stream, trailers } => {
                 if let Some(Rpc { number: rpc, wrong_status }) = self.rpcs.remove(&stream) {
                     self.streams.remove(&rpc);
-                    let none = if wrong_status {
-                        "the answer is no gRPC: another HTTP status"
+                    let fallback = if wrong_status {
+                        "the response is not gRPC: its HTTP status is not 200"
                     } else {
-                        "no status came"
+                        "the response has no valid grpc-status"
                     };
-                    let status = Status::read(&trailers).unwrap_or_else(|| Status::new(Code::Unknown, none));
+                    let status =
+                        Status::read(&trailers).unwrap_or_else(|| Status::new(Code::Unknown, fallback));
                     out.push(ClientEvent::End { rpc, status: Ok(status), trailers });
                 }
             }
--- a/crates/scenario/src/error.rs
+++ b/crates/scenario/src/error.rs
@@ -1,30 +1,30 @@
-//! Why a scenario could not be run.
+//! Errors of scenario runs.
 
 use std::io;
 
-/// Why a scenario could not be run.
+/// The reason why a scenario could not be run.
 #[derive(Debug, thiserror::Error)]
 pub enum ScenarioError {
-    /// The settings in it are not valid.
-    #[error("the day's (settings ...) with what the day fills in: {0}")]
+    /// The scenario's settings, combined with those that the run adds, are invalid.
+    #[error("invalid (settings ...) of the scenario, combined with the settings that the run adds: {0}")]
     Settings(nettleferry_config::Errors),
-    /// The receiver's rule file is not valid.
-    #[error("the day's rules: {0}")]
+    /// The alert rule file of the receiver is invalid.
+    #[error("invalid alert rules of the scenario: {0}")]
     Rules(#[from] nettleferry_alerts::rules::RuleError),
-    /// The system refused something.
+    /// A system call failed.
     #[error("{what}: {source}")]
     System {
-        /// What was tried.
+        /// The operation that failed.
         what: &'static str,
-        /// Why.
+        /// The error of the system call.
         source: io::Error,
     },
-    /// The clients' thread ended.
+    /// The thread of the clients panicked, or the scenario has no controller.
     #[error("the clients failed")]
     Clients,
 }
 
-/// Wraps an error of the system, with what was tried.
+/// Converts an I/O error to a [`ScenarioError`] that names the failed operation.
 pub(crate) fn system(what: &'static str) -> impl FnOnce(io::Error) -> ScenarioError {
     move |source| ScenarioError::System { what, source }
 }
--- a/crates/scenario/src/event_log.rs
+++ b/crates/scenario/src/event_log.rs
@@ -1,4 +1,4 @@
-//! The evidence as lines for people: all of it for a file, or what concerns one call.
+//! The evidence as text with one line per event: all of it, or only what concerns one call.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -8,10 +8,10 @@
 
 use crate::evidence::{ClientObservation, Evidence};
 
-/// How long before a call the lines about it look for what happened to the workers and the controller that it met.
+/// How long before the first event of a call the events of its workers and its controller are included.
 const BEFORE: Micros = 5_000_000;
 
-/// One event: when, seen by whom, and of which call.
+/// One event with its time, its observer, and the id of the call to which it belongs, if any.
 struct Line {
     at: Micros,
     observer: String,
@@ -89,7 +89,7 @@
     lines
 }
 
-/// What a retry of a call may do. The spelling is that of earlier evidence files.
+/// The effect of a call, in the format of existing evidence files.
 fn effect_text(effect: Effect) -> String {
     match effect {
         Effect::Idempotent => "Safe".to_owned(),
@@ -113,7 +113,7 @@
     }
 }
 
-/// The zone from which a link comes that was cut or mended at a time.
+/// The zone of the controllers whose link to the worker's address `door` was cut or restored at time `at`.
 fn link_origin(evidence: &Evidence, worker: &str, door: usize, at: Micros) -> String {
     let mut cuts = evidence.cuts.iter();
     let cut = cuts.find(|cut| cut.worker == worker && (cut.interval.from == at || cut.interval.to == at));
@@ -122,64 +122,65 @@
 
 fn controller_lines(evidence: &Evidence) -> Vec<Line> {
     let mut lines = Vec::new();
-    let mut add = |at, controller: usize, what: String| {
+    let mut add_line = |at, controller: usize, what: String| {
         lines.push(Line { at, observer: format!("controller {controller}"), what, call: None });
     };
     for run in &evidence.controller_runs {
-        add(run.from, run.controller, format!("listens, zone {}", run.zone));
+        add_line(run.from, run.controller, format!("listens, zone {}", run.zone));
         if let Some(at) = run.ending {
-            add(at, run.controller, "is told to end".to_owned());
+            add_line(at, run.controller, "is told to end".to_owned());
         }
         if let Some(at) = run.to {
-            add(at, run.controller, "is gone".to_owned());
+            add_line(at, run.controller, "is gone".to_owned());
         }
     }
     for stall in &evidence.stalls {
-        add(stall.interval.from, stall.controller, "stands still".to_owned());
-        add(stall.interval.to, stall.controller, "goes on".to_owned());
+        add_line(stall.interval.from, stall.controller, "stands still".to_owned());
+        add_line(stall.interval.to, stall.controller, "goes on".to_owned());
     }
     lines
 }
 
-fn write(out: &mut String, line: &Line) {
+fn write_line(out: &mut String, line: &Line) {
     let call = line.call.as_ref().map_or(String::new(), |id| format!("call {id}: "));
     let _ = writeln!(out, "{:10.6} s  {:12}  {call}{}", line.at as f64 / 1e6, line.observer, line.what);
 }
 
-/// All evidence, a line for each event, in order of time.
+/// Returns all events of a run as lines in order of time.
 pub fn all(evidence: &Evidence) -> String {
     let mut out = String::new();
     for line in lines(evidence) {
-        write(&mut out, &line);
+        write_line(&mut out, &line);
     }
     out
 }
 
-/// All lines of a call, and what happened meanwhile to the workers and the controller that it met.
+/// Returns the events of the call `id`, and what happened in that time, and shortly before, to the workers and the
+/// controller involved.
 pub fn of_call(evidence: &Evidence, id: &str) -> String {
     let lines = lines(evidence);
-    let of_this_call = |line: &Line| line.call.as_deref() == Some(id);
-    let own = || lines.iter().filter(|line| of_this_call(line));
-    let mut met: Vec<String> = own().map(|line| line.observer.clone()).collect();
+    let is_of_call = |line: &Line| line.call.as_deref() == Some(id);
+    let own = || lines.iter().filter(|line| is_of_call(line));
+    let mut involved: Vec<String> = own().map(|line| line.observer.clone()).collect();
     for record in evidence.clients.iter().filter(|record| record.id == id) {
         if let ClientObservation::Sent { controller, .. } = &record.what {
-            met.push(format!("controller {controller}"));
+            involved.push(format!("controller {controller}"));
         }
     }
     let from = own().map(|line| line.at).min().unwrap_or(0);
     let to = own().map(|line| line.at).max().unwrap_or(0);
-    // A cut that began before the call may explain what it met.
+    // A fault that began before the call may explain what happened to it.
     let interval = from.saturating_sub(BEFORE)..=to;
     let mut out = String::new();
     for line in &lines {
         let concerns = line.call.is_none()
             && interval.contains(&line.at)
-            && met.contains(&line.observer)
+            && involved.contains(&line.observer)
             && !line.what.starts_with("Probe")
             && !line.what.starts_with("Order");
-        if of_this_call(line) || concerns {
+        if is_of_call(line) || concerns {
             out.push_str("    ");
-            write(&mut out, line);
+            write_line(&mut out, line);
         }
     }
     out
--- a/crates/scenario/src/evidence.rs
+++ b/crates/scenario/src/evidence.rs
@@ -1,115 +1,115 @@
-//! What was seen at the sockets of a run: by clients, by test workers, and what the run itself did. The controllers' own
-//! records are not among it.
+//! What was observed during a run: by the clients and the test workers at their sockets, and the actions of the run
+//! itself. It contains nothing that the controllers report about themselves.
 
 use std::collections::BTreeMap;
 
 use nettleferry::{Effect, Micros, WorkerState};
 use nettleferry_test_servers::{Observation, ObservationKind};
 
-/// What a client saw of a call.
+/// An event of a call as recorded by its client.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClientRecord {
-    /// When.
+    /// When the client recorded the event.
     pub at: Micros,
-    /// The call.
+    /// Id of the call.
     pub id: String,
-    /// What.
+    /// The event.
     pub what: ClientObservation,
 }
 
-/// What a client did or saw.
+/// What a client did or observed.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ClientObservation {
-    /// It sent the call.
+    /// The client sent the call.
     Sent {
-        /// To this controller.
+        /// Number of the controller to which it was sent.
         controller: usize,
-        /// For this model.
+        /// Name of the model.
         model: String,
-        /// When it gives up.
+        /// Time after which the client no longer wants an answer.
         deadline: Micros,
-        /// Whether a retry may repeat its effect.
+        /// Whether a retry may repeat the effect of the call.
         effect: Effect,
-        /// Its class.
+        /// Name of the call's class.
         class: String,
-        /// The time in which its class wants its answer.
+        /// Latency objective of the class.
         latency_objective: Micros,
-        /// The client reads slowly: the time at which it has its answer is not the time at which it was sent.
+        /// Whether the client reads slowly, so that it records the answer later than the answer arrived.
         slow: bool,
     },
-    /// A part of the answer.
+    /// A message of a streamed response arrived that is not the final one.
     Part,
-    /// The final answer.
+    /// The final answer arrived.
     Final(FinalStatus),
-    /// It cancelled.
+    /// The client cancelled the call.
     Cancelled,
-    /// Its connection broke, or none could be opened.
+    /// The connection failed before a final answer arrived, or could not be opened.
     Lost,
 }
 
-/// A final answer.
+/// The outcome that a final answer reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FinalStatus {
-    /// OK.
+    /// Status OK.
     Served,
-    /// UNAVAILABLE, with the permission to retry.
+    /// Status UNAVAILABLE with permission to retry.
     Refused,
     /// Any other status.
     Failed,
 }
 
-/// One incarnation of a controller: one run of its process.
+/// One incarnation of a controller, which is one run of its process.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ControllerRun {
-    /// Which.
+    /// Number of the controller.
     pub controller: usize,
-    /// Its zone.
+    /// Zone of the controller.
     pub zone: String,
-    /// When it began to listen.
+    /// When the process began to listen.
     pub from: Micros,
-    /// When it got SIGTERM: it still answers the calls that it had accepted.
+    /// When SIGTERM was sent. The process still has to answer the calls that it had accepted.
     pub ending: Option<Micros>,
-    /// When its process had ended.
+    /// When the end of the process was observed; `None` if it was running until the end of the run.
     pub to: Option<Micros>,
 }
 
-/// A time interval; both ends belong to it.
+/// A time interval that includes both ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Interval {
-    /// From.
+    /// Start of the interval.
     pub from: Micros,
-    /// To.
+    /// End of the interval.
     pub to: Micros,
 }
 
 impl Interval {
-    /// Whether it touches the interval from `from` to `to`.
+    /// Whether the interval has a point in common with the one from `from` to `to`.
     pub fn overlaps(&self, from: Micros, to: Micros) -> bool {
         self.from <= to && from <= self.to
     }
 }
 
-/// A controller that did not run for a while.
+/// An interval during which a controller was stopped by SIGSTOP.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Stall {
-    /// The controller.
+    /// Number of the controller.
     pub controller: usize,
-    /// When.
+    /// When the controller was stopped.
     pub interval: Interval,
 }
 
-/// Links between a worker and a zone's controllers that were cut.
+/// An interval during which links between a worker and a zone's controllers were cut.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Cut {
-    /// The worker.
+    /// Name of the worker.
     pub worker: String,
-    /// The zone of the controllers.
+    /// Zone of the controllers.
     pub zone: String,
-    /// When.
+    /// When the links were cut.
     pub interval: Interval,
 }
 
-/// A worker's address, or one connection to it.
+/// One of a worker's addresses (`conn` is `None`), or one connection to it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Link<'a> {
     worker: &'a str,
@@ -117,71 +117,72 @@
     conn: Option<u64>,
 }
 
-/// A change of a worker's line in the worker list.
+/// A change of a worker's entry in the worker lists.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListChange {
-    /// Before the first file was written: from then on a controller may have read it.
+    /// Time just before the first file was written. From then on a controller may have read the change.
     pub at: Micros,
-    /// Once all files were written: every controller may read it from then on, however long the writing took.
+    /// Time at which all files were written. From then on every controller can read the change.
     pub written: Micros,
-    /// The worker.
+    /// Name of the worker.
     pub worker: String,
-    /// Its state.
+    /// New state of the worker.
     pub state: WorkerState,
 }
 
-/// The parameters of the rules, as the controllers have them in their settings.
+/// The parameters of the rules, taken from the controllers' settings.
 #[derive(Clone, Debug, Default)]
 pub struct RuleParameters {
-    /// A worker gets nothing new when this has passed since the list said that it drains.
+    /// Time after the start of a drain from which a worker must not receive anything new.
     pub drain_grace: Micros,
-    /// How often controllers read the list.
+    /// Interval at which controllers read the worker list.
     pub list_check: Micros,
-    /// The window of the limit on load orders; 0: no limit.
+    /// Window of the limit on load orders; 0 means no limit.
     pub ration_window: Micros,
-    /// Load orders that are always permitted in it.
+    /// Number of load orders that are always permitted in a window.
     pub ration_floor: f64,
-    /// Further load orders for each call.
+    /// Number of further load orders permitted for each call in the window.
     pub ration_share: f64,
 }
 
-/// Where a worker is.
+/// The location of a worker.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Location {
-    /// Its zone.
+    /// Zone of the worker.
     pub zone: String,
-    /// Its cell.
+    /// Cell of the worker.
     pub cell: String,
 }
 
-/// All that was seen.
+/// Everything that was observed during a run. Times are microseconds since the start of the run.
 #[derive(Clone, Debug, Default)]
 pub struct Evidence {
-    /// By clients.
+    /// Events recorded by the clients.
     pub clients: Vec<ClientRecord>,
-    /// By workers.
+    /// Events recorded by the test workers.
     pub workers: Vec<Observation>,
-    /// Changes of the worker list.
+    /// Changes of the worker lists.
     pub list_changes: Vec<ListChange>,
-    /// Controllers' controller_runs.
+    /// Incarnations of the controllers, in the order of their starts.
     pub controller_runs: Vec<ControllerRun>,
-    /// When controllers were stopped by SIGSTOP.
+    /// Scripted intervals during which controllers were stopped by SIGSTOP.
     pub stalls: Vec<Stall>,
-    /// When links were cut, as the workers' own threads saw it: [`cuts`].
+    /// Intervals during which links were cut, derived from the workers' records by [`cuts`].
     pub cuts: Vec<Cut>,
     /// Parameters of the rules.
     pub parameters: RuleParameters,
-    /// Where workers are.
+    /// Locations of the workers by name.
     pub locations: BTreeMap<String, Location>,
-    /// When the run was over.
+    /// When the run ended.
     pub until: Micros,
 }
 
-/// Intervals in which workers' addresses, or connections to them, were cut; `zones` has the zone of each address.
+/// Derives from the workers' records the intervals during which their addresses, or connections to them, were cut.
+/// `zones` holds the zone of the controllers for each of a worker's addresses.
 pub fn cuts(workers: &[Observation], zones: &[String]) -> Vec<Cut> {
     let mut open: BTreeMap<Link, Micros> = BTreeMap::new();
     let mut cuts = Vec::new();
-    let mut add = |worker: &str, door: usize, from, to| {
+    let mut add_cut = |worker: &str, door: usize, from, to| {
         let zone = zones.get(door).cloned().unwrap_or_default();
         cuts.push(Cut { worker: worker.to_owned(), zone, interval: Interval { from, to } });
     };
@@ -191,11 +192,11 @@
         if cut {
             open.entry(link).or_insert(record.at);
         } else if let Some(from) = open.remove(&link) {
-            add(&record.worker, door, from, record.at);
+            add_cut(&record.worker, door, from, record.at);
         }
     }
     for (Link { worker, door, .. }, from) in open {
-        add(worker, door, from, Micros::MAX);
+        add_cut(worker, door, from, Micros::MAX);
     }
     cuts
 }
--- a/crates/scenario/src/fleet.rs
+++ b/crates/scenario/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Controllers as processes, and the worker lists that a run writes for them.
+//! The controller processes of a run, and the worker lists that it writes for them.
 
 use std::fs::File;
 use std::io::{self, BufRead, BufReader};
@@ -14,16 +14,16 @@
 
 use crate::evidence::ListChange;
 
-/// How long a controller may take to listen.
+/// Time within which a started controller must report its listening address.
 const START_LIMIT: Duration = Duration::from_secs(20);
 
-/// A controller's process.
+/// A controller and its process, which can be started more than once. The process is killed on drop.
 pub struct Controller {
-    /// Its number.
+    /// Number of the controller, from 0.
     pub number: usize,
-    /// Its zone.
+    /// Zone of the controller.
     pub zone: String,
-    /// Where it listens: the same in every incarnation.
+    /// Listening address, which is the same for every incarnation; `None` before the first start.
     pub address: Option<SocketAddr>,
     settings: PathBuf,
     log: PathBuf,
@@ -32,15 +32,15 @@
 }
 
 impl Controller {
-    /// A controller that is not started. It appends to the file `log`, filtered by `level`.
+    /// Creates a controller without starting it. Its process appends its log, filtered by `level`, to the file `log`.
     pub fn new(number: usize, zone: String, settings: PathBuf, log: PathBuf, level: String) -> Self {
         Self { number, zone, address: None, settings, log, level, child: None }
     }
 
-    /// Starts its process; it listens when this returns.
+    /// Starts the process and waits until it listens.
     ///
     /// # Errors
-    /// The process can't be started, or does not listen in time.
+    /// The process can't be started, or does not listen in time; it is killed in that case.
     pub fn start(&mut self, program: &Path) -> io::Result<()> {
         let log = File::options().create(true).append(true).open(&self.log)?;
         let mut command = Command::new(program);
@@ -76,24 +76,24 @@
         }
     }
 
-    /// Whether its process runs.
+    /// Whether the process was started and its end was not observed yet.
     pub fn runs(&self) -> bool {
         self.child.is_some()
     }
 
     fn signal(&self, signal: Signal) {
         if let Some(child) = &self.child {
-            // A process that has ended is not waited for yet: its id is still ours.
+            // The id can't belong to another process, since it is not released before `wait`.
             let _ = kill_process(Pid::from_child(child), signal);
         }
     }
 
-    /// Stops its process (SIGSTOP), or continues it.
+    /// Stops the process (SIGSTOP) or continues it (SIGCONT).
     pub fn stall(&self, stalled: bool) {
         self.signal(if stalled { Signal::STOP } else { Signal::CONT });
     }
 
-    /// Kills its process.
+    /// Kills the process (SIGKILL) and waits for its end.
     pub fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
             let _ = child.kill();
@@ -101,12 +101,13 @@
         }
     }
 
-    /// Sends SIGTERM.
+    /// Sends SIGTERM without waiting for the end of the process.
     pub fn terminate(&self) {
         self.signal(Signal::TERM);
     }
 
-    /// Waits for its end; its exit code, or none if it had to be killed or a signal ended it.
+    /// Waits for the end of the process and returns its exit code. Returns `None` if a signal ended the process, or if
+    /// it was killed because it did not end within `limit`.
     pub fn wait(&mut self, limit: Duration) -> Option<i32> {
         let until = Instant::now() + limit;
         loop {
@@ -125,7 +126,8 @@
         }
     }
 
-    /// The exit code of a process that has ended by itself; the inner `None`: a signal ended it.
+    /// Returns the exit code once the process has ended, with an inner `None` if a signal ended it. Returns `None`
+    /// while it is running.
     pub fn ended(&mut self) -> Option<Option<i32>> {
         let status = self.child.as_mut()?.try_wait().ok()??;
         self.child = None;
@@ -135,43 +137,43 @@
 
 impl Drop for Controller {
     fn drop(&mut self) {
-        // Also a stopped process ends by SIGKILL.
+        // SIGKILL also ends a process that is stopped by SIGSTOP.
         self.kill();
     }
 }
 
-/// A worker's line of the list.
+/// A worker's entry in the worker lists.
 pub struct WorkerLine {
-    /// Its addresses: one for each zone of controllers.
+    /// Addresses of the worker, one for each zone of controllers.
     pub addresses: Vec<SocketAddr>,
-    /// The line; its address is replaced by that of the list's zone.
+    /// The entry. In each written file, its address is replaced by the one for the zone of that file.
     pub worker: Worker,
 }
 
-/// The worker lists, one file for each zone of controllers, and the changes that were written.
+/// The worker lists, with one file for each zone of controllers, and a record of the changes written to them.
 pub struct WorkerLists {
     dir: PathBuf,
     /// Zones of controllers, in the order of the workers' addresses.
     pub zones: Vec<String>,
     lines: Vec<WorkerLine>,
-    /// Nothing is written while this is set.
+    /// While this is set, [`WorkerLists::write`] writes nothing.
     pub stale: bool,
-    /// The changes.
+    /// Changes of workers' states that were written, in order of time.
     pub changes: Vec<ListChange>,
 }
 
 impl WorkerLists {
-    /// Lists of workers that are all on.
+    /// Creates lists of the given workers without writing them. The files are written to `dir`.
     pub fn new(dir: PathBuf, zones: Vec<String>, lines: Vec<WorkerLine>) -> Self {
         Self { dir, zones, lines, stale: false, changes: Vec::new() }
     }
 
-    /// The file of a zone's controllers.
+    /// Name of the file for a zone's controllers.
     pub fn file(zone: &str) -> String {
         format!("workers-{zone}.sexp")
     }
 
-    /// Changes a worker's line; [`WorkerLists::write`] writes it.
+    /// Changes a worker's state, and its time of start if `born` is given. [`WorkerLists::write`] writes the change.
     pub fn change(&mut self, name: &str, state: WorkerState, born: Option<Micros>) {
         let mut workers = self.lines.iter_mut().map(|line| &mut line.worker);
         if let Some(worker) = workers.find(|worker| worker.name == name) {
@@ -180,7 +182,11 @@
         }
     }
 
-    /// Writes all files, unless they are to be stale. `now` tells the time.
+    /// Replaces all files atomically, unless the lists are set to be stale, and records the changes. `now` returns the
+    /// time of the run.
+    ///
+    /// # Errors
+    /// A file can't be written or renamed.
     pub fn write(&mut self, now: impl Fn() -> Micros) -> io::Result<()> {
         if self.stale {
             return Ok(());
@@ -199,8 +205,8 @@
         }
         let written = now();
         for WorkerLine { worker, .. } in &self.lines {
-            let last = self.changes.iter().rev().find(|listed| listed.worker == worker.name);
-            if last.map(|listed| listed.state) != Some(worker.state) {
+            let last = self.changes.iter().rev().find(|change| change.worker == worker.name);
+            if last.map(|change| change.state) != Some(worker.state) {
                 let (worker, state) = (worker.name.clone(), worker.state);
                 self.changes.push(ListChange { at, written, worker, state });
             }
--- a/crates/scenario/src/lib.rs
+++ b/crates/scenario/src/lib.rs
@@ -1,14 +1,16 @@
-//! Scripted scenarios of faults against controller processes, and the audit of the five rules from the bytes at the
-//! sockets.
+//! Runs scripted fault scenarios against controller processes, and checks the five rules of the platform against what
+//! was observed at the sockets of clients and workers.
 //!
-//! It knows the wire, the test servers and the text of settings. It knows nothing of the gateway's insides: a controller
-//! is a process with an address.
+//! The crate depends on the wire protocol, the test servers and the settings format. It does not use any internals of
+//! the gateway: a controller is a process with an address.
 //!
-//! * [`script`]: a scenario as text. [`run`]: runs it; `setup` starts its parts, `timeline` orders its faults.
-//! * [`fleet`]: controller processes and worker lists. [`traffic`]: clients.
-//! * [`evidence`]: what was seen. [`audit`]: the rules, judged from it. [`report`]: sums. [`event_log`]: events as lines.
-//! * [`alerting`]: which alert rules fired at a remote-write receiver.
-//! * [`client`]: a client of the protocol, also for measurements and the command line.
+//! * [`script`]: the parser of scenario files. [`run`]: runs a scenario; `setup` starts its processes and threads, and
+//!   `timeline` orders its faults by time.
+//! * [`fleet`]: controller processes and worker lists. [`traffic`]: the clients and their load.
+//! * [`evidence`]: the recorded observations. [`audit`]: checks the rules against them. [`report`]: totals by class.
+//!   [`event_log`]: all observations as text, one line per event.
+//! * [`alerting`]: compares the alerts that fired at a remote-write receiver with the expected ones.
+//! * [`client`]: an Open Inference Protocol client, which benchmarks and the command line use as well.
 
 #![forbid(unsafe_code)]
 
--- a/crates/scenario/src/report.rs
+++ b/crates/scenario/src/report.rs
@@ -1,4 +1,4 @@
-//! Sums over a run, in lines for people.
+//! Totals of a run as readable text.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -9,11 +9,12 @@
 
 use crate::evidence::{ClientObservation, Evidence, FinalStatus};
 
-/// Latencies above this are counted as this.
+/// Upper bound of the latency histogram; longer latencies are counted as this one.
 const MAX_LATENCY: Micros = 600_000_000;
 
+/// Totals of the calls of one class.
 #[derive(Default)]
-struct Class {
+struct ClassTotals {
     sent: u64,
     in_time: u64,
     late: u64,
@@ -24,16 +25,16 @@
     latencies: Vec<Micros>,
 }
 
-/// A call whose end is awaited.
+/// A call that was sent, for the evaluation of its final answer.
 struct SentCall<'a> {
     class: &'a str,
     at: Micros,
     latency_objective: Micros,
 }
 
-fn classes(evidence: &Evidence) -> BTreeMap<&str, Class> {
+fn totals_by_class(evidence: &Evidence) -> BTreeMap<&str, ClassTotals> {
     let mut calls: BTreeMap<&str, SentCall> = BTreeMap::new();
-    let mut classes: BTreeMap<&str, Class> = BTreeMap::new();
+    let mut classes: BTreeMap<&str, ClassTotals> = BTreeMap::new();
     for record in &evidence.clients {
         if let ClientObservation::Sent { class, latency_objective, .. } = &record.what {
             let latency_objective = *latency_objective;
@@ -59,10 +60,10 @@
     classes
 }
 
-/// Calls by class; attempts, load orders, probes and deaths of workers.
+/// Summarizes a run: a line with the totals and latencies of each class, and a line with the totals of the workers.
 pub fn summary(evidence: &Evidence) -> String {
     let mut out = String::new();
-    for (name, class) in classes(evidence) {
+    for (name, class) in totals_by_class(evidence) {
         let _ = write!(
             out,
             "class {name}: {} sent, {} served in time, {} late, {} refused, {} failed, {} cancelled, {} lost with a controller",
@@ -78,7 +79,7 @@
         out.push('\n');
     }
     let count =
-        |pick: fn(&ObservationKind) -> bool| evidence.workers.iter().filter(|r| pick(&r.seen)).count();
+        |is_kind: fn(&ObservationKind) -> bool| evidence.workers.iter().filter(|r| is_kind(&r.seen)).count();
     let _ = writeln!(
         out,
         "workers: {} attempts, {} ran, {} load orders, {} probes, {} deaths, {} fell over",
--- a/crates/scenario/src/run.rs
+++ b/crates/scenario/src/run.rs
@@ -1,4 +1,5 @@
-//! Runs a scenario: test workers in threads, controllers as processes, clients in a thread, faults by the clock.
+//! Runs a scenario with test workers and clients in threads of this process and each controller as a process of its
+//! own. The thread that calls [`run`] injects the scripted faults at their times.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -26,23 +27,25 @@
 pub use crate::error::ScenarioError;
 pub use crate::stage::Stage;
 
-/// How long after the traffic's end controllers may take to end.
+/// Time within which a controller must exit after SIGTERM at the end of the run.
 const END_LIMIT: Duration = Duration::from_secs(20);
-/// A listening address of a controller that starts again may be taken for a moment: so many attempts, so far apart.
-const START_ATTEMPTS: u32 = 50;
+/// Maximum number of retries when a controller that starts again fails, since its listening address may still be in
+/// use for a moment.
+const START_RETRIES: u32 = 50;
+/// Pause between two attempts to start a controller.
 const START_PAUSE: Duration = Duration::from_millis(100);
-/// How often the clock is read.
+/// Interval at which due actions and ended processes are checked.
 const TICK: Duration = Duration::from_millis(2);
-/// When a start is tried again that found its earlier process still running.
+/// Delay before another attempt to start a controller whose earlier process is still running.
 const RESTART_PAUSE: Micros = 50_000;
 
-/// What a run gave.
+/// The results of a run.
 pub struct RunOutcome {
-    /// What was seen.
+    /// What was observed during the run.
     pub evidence: Evidence,
-    /// Controllers that ended otherwise than they were told to.
+    /// Descriptions of processes that ended without SIGTERM, or not with exit code 0.
     pub unexpected_exits: Vec<String>,
-    /// What the receiver saw, where the scenario has one.
+    /// What the remote-write receiver recorded; `None` if the scenario has none.
     pub alerts: Option<alerting::ReceiverReport>,
 }
 
@@ -64,23 +67,24 @@
     timeline: Timeline,
 }
 
-/// A folder for a run's files.
+/// A folder for the files of a run, named by the id of this process. It is not created.
 pub fn default_dir() -> PathBuf {
     std::env::temp_dir().join(format!("nettleferry-day-{}", std::process::id()))
 }
 
-/// Runs a scenario.
+/// Runs a scenario and returns what was observed.
 ///
 /// # Errors
-/// The settings or alert rules in it are not valid, or the system refuses a file, a thread, a process or an address.
+/// The settings or alert rules of the scenario are invalid, a system call fails, a controller can't be started, or the
+/// thread of the clients fails.
 pub fn run(script: &Script, stage: &Stage<'_>) -> Result<RunOutcome, ScenarioError> {
-    std::fs::create_dir_all(stage.dir).map_err(system("can't make the day's folder"))?;
+    std::fs::create_dir_all(stage.dir).map_err(system("can't create the folder of the run"))?;
     let receiver = setup::start_receiver(script, stage.script_folder)?;
     let epoch = Instant::now();
     let epoch_ms = i64::try_from(unix_time() / 1000).unwrap_or(0);
     let zones = setup::distinct(&script.controllers.zones);
     let store = Arc::new(Mutex::new(Store::new(script.store.at_speed, script.store.most)));
-    let (records, observed) = channel();
+    let (records, observations) = channel();
     let context = WorkerContext { zones: zones.clone(), store: Arc::clone(&store), epoch, records };
     let workers = setup::start_workers(script, context)?;
     let mut lists = WorkerLists::new(stage.dir.to_owned(), zones, workers.lines);
@@ -106,8 +110,8 @@
     };
     let client_records = run.run_clients(prepared.config, commands)?;
     run.stop_controllers();
-    let observed = observed.into_iter();
-    let (evidence, unexpected_exits) = run.finish(client_records, observed, parameters);
+    let observations = observations.into_iter();
+    let (evidence, unexpected_exits) = run.finish(client_records, observations, parameters);
     let alerts = receiver.map(|receiver| receiver_report(&receiver, epoch_ms));
     Ok(RunOutcome { evidence, unexpected_exits, alerts })
 }
@@ -137,7 +141,8 @@
         self.epoch.elapsed().as_micros() as Micros
     }
 
-    /// Starts the controllers and the clients, and acts until both the traffic and the timeline are over.
+    /// Starts the controllers and the clients, and performs scripted actions until the clients have ended and no action
+    /// is left. Returns the clients' records.
     fn run_clients(
         &mut self,
         config: Config,
@@ -187,6 +192,7 @@
         self.timeline.add_fault(begin, fault, &workers, &controllers);
     }
 
+    /// Performs the actions that are due, and records processes that have ended.
     fn act_due(&mut self) -> Result<(), ScenarioError> {
         while let Some(action) = self.timeline.take_due(self.now()) {
             self.act(action)?;
@@ -200,7 +206,8 @@
         Ok(())
     }
 
-    /// A controller's process has ended by itself.
+    /// Records the end of a process that was not killed by the run. The exit is expected only after SIGTERM and with
+    /// code 0.
     fn record_end(&mut self, number: usize, code: Option<i32>) {
         let now = self.now();
         let runs = self.controller_runs.iter_mut().rev();
@@ -210,8 +217,8 @@
             run.ending
         });
         if ending.is_none() || code != Some(0) {
-            let told = if ending.is_some() { "told to end" } else { "not told to end" };
-            self.unexpected_exits.push(format!("controller {number}, {told}, ended with {code:?}"));
+            let signal = if ending.is_some() { "after SIGTERM" } else { "without SIGTERM" };
+            self.unexpected_exits.push(format!("controller {number} exited {signal} with code {code:?}"));
         }
     }
 
@@ -223,7 +230,7 @@
                 }
             }
             Action::List { worker, state, restarted } => {
-                // The list has the time of the start itself, which is earlier than the list's change.
+                // The list states when the worker started, which is `list_lag` before the list changes.
                 let born = restarted.then(|| unix_time() - self.script.list_lag);
                 self.lists.change(&worker, state, born);
                 self.write_lists()?;
@@ -249,9 +256,9 @@
                 self.controllers[number].terminate();
             }
             Action::Start(number) if self.controllers[number].runs() => {
-                // It was told to end and still answers: it is started once its process is gone.
-                let later = self.now() + RESTART_PAUSE;
-                self.timeline.add(later, Action::Start(number));
+                // The process got SIGTERM and still answers calls; it is started again once that process has ended.
+                let retry_at = self.now() + RESTART_PAUSE;
+                self.timeline.add(retry_at, Action::Start(number));
             }
             Action::Start(number) => self.start(number)?,
             Action::Stall { controller, stalled } => self.controllers[controller].stall(stalled),
@@ -259,14 +266,15 @@
                 self.store.lock().unwrap_or_else(PoisonError::into_inner).slowness = factor;
             }
             Action::OneOff { rate, until } => {
-                // Clients that have ended need no command.
+                // Sending fails only if the clients have ended, which need no command then.
                 let _ = self.clients.send(ClientCommand::OneOff { rate, until });
             }
-            Action::CutZone { zone, cut } => self.cut(&zone, cut),
+            Action::CutZone { zone, cut } => self.set_zone_cut(&zone, cut),
         }
         Ok(())
     }
 
+    /// The latest incarnation of a controller.
     fn last_run(&mut self, number: usize) -> Option<&mut ControllerRun> {
         self.controller_runs.iter_mut().rev().find(|run| run.controller == number)
     }
@@ -277,8 +285,8 @@
         self.lists.write(now).map_err(system("can't write the worker list"))
     }
 
-    /// Cuts or mends the links between a zone and all others.
-    fn cut(&self, zone: &str, cut: bool) {
+    /// Cuts (`cut`) or restores the links between a zone and all other zones.
+    fn set_zone_cut(&self, zone: &str, cut: bool) {
         for handle in &self.handles {
             let home = self.locations.get(&handle.name).map_or("", |location| location.zone.as_str());
             for (door, from) in self.lists.zones.iter().enumerate() {
@@ -289,17 +297,19 @@
         }
     }
 
+    /// Sets the address to which clients send calls; `None`: clients do not use the controller.
     fn set_address(&self, number: usize, address: Option<SocketAddr>) {
         self.addresses.lock().unwrap_or_else(PoisonError::into_inner)[number] = address;
     }
 
+    /// Starts a controller, with retries if it was started before, and makes its address known to the clients.
     fn start(&mut self, number: usize) -> Result<(), ScenarioError> {
-        let mut attempts = 0;
+        let mut retries = 0;
         loop {
             match self.controllers[number].start(self.program) {
                 Ok(()) => break,
-                Err(_) if attempts < START_ATTEMPTS && self.controllers[number].address.is_some() => {
-                    attempts += 1;
+                Err(_) if retries < START_RETRIES && self.controllers[number].address.is_some() => {
+                    retries += 1;
                     std::thread::sleep(START_PAUSE);
                 }
                 Err(source) => {
@@ -314,7 +324,7 @@
         Ok(())
     }
 
-    /// Ends all controllers that still run.
+    /// Sends SIGTERM to all running controllers and waits for their end.
     fn stop_controllers(&mut self) {
         for number in 0..self.controllers.len() {
             self.set_address(number, None);
@@ -326,25 +336,25 @@
                 let code = self.controllers[number].wait(END_LIMIT);
                 if code != Some(0) {
                     self.unexpected_exits
-                        .push(format!("controller {number}, told to end, ended with {code:?}"));
+                        .push(format!("controller {number} exited after SIGTERM with code {code:?}"));
                 }
             }
         }
     }
 
-    /// Ends the workers and gathers what was seen; also the odd ends of controllers.
+    /// Stops the workers and returns the evidence and the unexpected exits of controllers.
     fn finish(
         self,
         clients: Vec<ClientRecord>,
-        observed: impl Iterator<Item = Observation>,
+        observations: impl Iterator<Item = Observation>,
         parameters: RuleParameters,
     ) -> (Evidence, Vec<String>) {
         let until = self.now();
         for handle in self.handles {
             handle.stop();
         }
-        // Ends when the last worker's thread has ended.
-        let workers: Vec<Observation> = observed.collect();
+        // The channel closes when the last worker thread has ended.
+        let workers: Vec<Observation> = observations.collect();
         let evidence = Evidence {
             cuts: evidence::cuts(&workers, &self.lists.zones),
             clients,
--- a/crates/scenario/src/script.rs
+++ b/crates/scenario/src/script.rs
@@ -1,203 +1,204 @@
-//! A scenario file: workers, controllers, traffic, and faults on a timeline. `days/` has one of each kind.
+//! The parser of scenario files, which define workers, controllers, traffic and faults on a timeline. `days/` contains
+//! one file for each kind of fault.
 
 use nettleferry::Micros;
 use nettleferry_config::form::{Errors, Form, TimeSpan};
 use nettleferry_test_servers::Spec;
 
-/// A scenario.
+/// A parsed scenario.
 #[derive(Clone, Debug)]
 pub struct Script {
-    /// Its name.
+    /// Name of the scenario.
     pub name: String,
-    /// How long traffic runs.
+    /// Duration of the traffic.
     pub length: Micros,
-    /// Seed of all random numbers.
+    /// Seed of all random number generators.
     pub seed: u64,
-    /// The controllers.
+    /// Number and zones of the controllers.
     pub controllers: Zoned,
-    /// The workers.
+    /// Number and zones of the workers.
     pub workers: Zoned,
-    /// What each worker is.
+    /// Capacity and behaviour of each worker.
     pub spec: Spec,
-    /// Workers start cold.
+    /// Whether workers start cold.
     pub cold: bool,
-    /// The model store that all workers share.
+    /// Limits of the model store that all workers share.
     pub store: StoreLimits,
-    /// After this time a change of a worker is in the list.
+    /// Delay after which the start or the crash of a worker appears in the worker list.
     pub list_lag: Micros,
-    /// Settings of the controllers, without what the run adds.
+    /// Text of the controllers' settings, to which the run adds the parts that differ between controllers.
     pub settings: String,
-    /// Traffic.
+    /// Streams of calls; at least one.
     pub traffic: Vec<Traffic>,
-    /// Faults, in order of time.
+    /// Faults in the order of their start times.
     pub faults: Vec<ScriptedFault>,
-    /// A remote-write receiver that evaluates alert rules, where wanted.
+    /// A remote-write receiver that evaluates alert rules, if the scenario has one.
     pub watch: Option<Watch>,
 }
 
-/// Processes or threads that are spread over zones.
+/// Controllers or workers that are distributed over zones.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Zoned {
-    /// How many.
+    /// Number of controllers or workers.
     pub count: usize,
-    /// Their zones, in turn; at least one.
+    /// Zones, which are assigned in turn; at least one.
     pub zones: Vec<String>,
 }
 
 impl Zoned {
-    /// The zone of one of them, by its index.
+    /// The zone of the controller or worker with the given index.
     pub fn zone(&self, index: usize) -> &str {
         &self.zones[index % self.zones.len()]
     }
 }
 
-/// How many models the store serves at once.
+/// How many fetches the model store serves at once.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct StoreLimits {
-    /// Fetches at full speed.
+    /// Number of fetches up to which each runs at full speed.
     pub at_speed: u32,
-    /// Fetches at the most.
+    /// Maximum number of concurrent fetches.
     pub most: u32,
 }
 
-/// A receiver of the controllers' metrics, and the alerts that are expected there.
+/// A remote-write receiver of the controllers' metrics, and the alerts that are expected to fire there.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Watch {
-    /// The rule file; a relative path starts from the scenario file's folder.
+    /// Path of the alert rule file. A relative path starts at the folder of the scenario file.
     pub rules: String,
-    /// How often controllers push.
+    /// Interval at which controllers push their metrics.
     pub every: Micros,
-    /// Seconds of the rules' clock in one second of the run.
+    /// Seconds that pass on the clock of the alert rules in one second of the run.
     pub speed: u32,
-    /// Alerts that are to fire; no other may.
+    /// Alerts that have to fire. No other alert may fire.
     pub alerts: Vec<ExpectedAlert>,
 }
 
-/// An alert that is to fire. Times are those of the run.
+/// An alert that has to fire. Times count from the start of the run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ExpectedAlert {
-    /// Its name.
+    /// Name of the alert.
     pub alert: String,
-    /// It fires at this time at the earliest.
+    /// Earliest time at which it may fire.
     pub after: Micros,
-    /// It fires so much later at the latest.
+    /// Length of the interval from `after` in which it has to fire.
     pub within: Micros,
-    /// It has ended at this time.
+    /// Time by which it has to stop firing.
     pub clear_by: Micros,
 }
 
 /// A stream of calls.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Traffic {
-    /// Its models are NAME-0, NAME-1, ...
+    /// Prefix of the models' names, which are NAME-0, NAME-1, ...
     pub name: String,
-    /// How many models.
+    /// Number of models.
     pub models: u32,
-    /// Calls a second, over all controllers.
+    /// Calls per second, over all controllers together.
     pub rate: f64,
-    /// By ModelStreamInfer.
+    /// Whether calls use ModelStreamInfer rather than ModelInfer.
     pub streamed: bool,
-    /// All calls of a controller share one stream.
+    /// Whether all calls to a controller share one stream.
     pub shared: bool,
-    /// Segments of a climb.
+    /// Segments of a request to a `climb` model.
     pub segments: i64,
-    /// Bytes of an echo.
+    /// Bytes of the input of a request to an `echo` model.
     pub bytes: usize,
-    /// `grpc-timeout`; none: the class's deadline.
+    /// Value of `grpc-timeout`, at most the deadline of the class; `None` uses the class's deadline.
     pub deadline: Option<Micros>,
-    /// Share of calls that the client cancels on the way.
+    /// Share of calls that the client cancels before their deadline, from 0 to 1.
     pub cancel: f64,
-    /// Share of streams that are read slowly.
+    /// Share of streams that the client reads slowly, from 0 to 1.
     pub slow: f64,
 }
 
-/// A fault on the timeline.
+/// A fault on the timeline of a scenario.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ScriptedFault {
-    /// When it begins, since the start of the traffic.
+    /// Start of the fault, counted from the start of the traffic.
     pub at: Micros,
-    /// What it is.
+    /// Kind of the fault.
     pub kind: FaultKind,
-    /// Workers it is for; empty: all.
+    /// Names of the affected workers; empty means all.
     pub workers: Vec<String>,
-    /// Controllers it is for; empty: all.
+    /// Numbers of the affected controllers; empty means all.
     pub controllers: Vec<usize>,
-    /// How long it lasts.
+    /// Duration of the fault; 0 if it is momentary.
     pub span: Micros,
 }
 
-/// Kinds of faults.
+/// The kinds of faults.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FaultKind {
-    /// Workers die and start again, with a part of their capacity.
+    /// Workers crash and start again, with a part of their capacity at first.
     Crash,
-    /// Workers read and answer nothing, then die and start again.
+    /// Workers answer nothing, then crash and start again.
     Unresponsive,
-    /// Workers fail this share of their calls at once, after they have run.
+    /// Workers return an error for this share of their calls immediately after having run them.
     FastErrors(f64),
-    /// Calls take this many times as long.
+    /// Calls take longer by this factor.
     Slow(f64),
-    /// Load reports are this old.
+    /// Workers' load reports are delayed by this time.
     StaleReports(Micros),
-    /// A zone is cut off from the others.
+    /// All links between this zone and the other zones are cut.
     Cut(String),
-    /// Every worker in turn drains, dies and starts again; the time between two.
+    /// Every worker in turn drains, stops and starts again. The value is the time from one worker to the next.
     RollingRestart(Micros),
-    /// The list is not written.
+    /// Changes are not written to the worker list.
     StaleList,
-    /// Controllers are killed and start again with their persisted list.
+    /// Controllers are killed (SIGKILL) and start again with their persisted worker list.
     Kill,
-    /// Controllers get SIGTERM and start again.
+    /// Controllers are terminated (SIGTERM) and start again.
     Stop,
     /// Controllers are stopped (SIGSTOP) and continued.
     Stall,
-    /// The store is slower by this factor.
+    /// The model store is slower by this factor.
     SlowStore(f64),
-    /// Models with this prefix get a new release: all their replicas become invalid.
+    /// A new release of the models with this prefix invalidates all their replicas.
     Release(String),
-    /// Calls for models that are wanted once; calls a second.
+    /// Clients send additional calls, each for a model that is used only once. The value is in calls per second.
     OneOff(f64),
-    /// Calls of models with this prefix are never answered.
+    /// Workers never answer calls for models with this prefix.
     Hang(String),
-    /// Nothing is sent on new connections for this time.
+    /// Workers read nothing from a new connection for this time.
     SlowHandshakes(Micros),
     /// Workers refuse every stream.
     Refuse,
-    /// Workers send GOAWAY in the middle.
+    /// Workers send GOAWAY and break the streams that they have begun to process.
     GoAway,
-    /// Workers break a connection after so many messages.
+    /// Workers break the connection of a response after this number of messages.
     CutAfter(u32),
-    /// Workers break off inside a frame.
+    /// Workers break the connection of their next response in the middle of a frame.
     HalfFrame,
 }
 
-/// Longest run.
+/// Maximum length of a scenario's traffic.
 pub const MAX_LENGTH: Micros = 600_000_000;
-/// Workers of a scenario, at the most.
+/// Maximum number of workers of a scenario.
 pub const MAX_WORKERS: u64 = 64;
-/// Controllers of a scenario, at the most.
+/// Maximum number of controllers of a scenario.
 pub const MAX_CONTROLLERS: u64 = 16;
-/// Calls a second of one stream of traffic, at the most.
+/// Maximum number of calls per second of one stream of traffic.
 pub const MAX_RATE: f64 = 5_000.0;
 const DEFAULT_LIST_LAG: Micros = 200_000;
 
-/// The first form of a scenario file.
+/// The form `(day NAME ...)` of a scenario file.
 struct Header {
     name: String,
     length: Micros,
     seed: u64,
 }
 
-/// What each worker is.
+/// The options of the form `(workers ...)` other than number and zones.
 struct WorkerOptions {
     spec: Spec,
     cold: bool,
 }
 
-/// Reads a scenario file; all that is wrong with it is reported together.
+/// Parses the text of a scenario file. `file` is its name in error messages.
 ///
 /// # Errors
-/// The text is not a valid scenario.
+/// The text is not a valid scenario. All errors found are reported together.
 pub fn read(file: &str, text: &str) -> Result<Script, Errors> {
     let (source, mut top) = Form::parse(file, text);
     let script = script(&mut top);
@@ -221,7 +222,7 @@
     });
     let traffic: Vec<Traffic> = top.lists("traffic").into_iter().map(traffic).collect();
     if traffic.is_empty() {
-        top.error("the day has no (traffic ...)");
+        top.error("the scenario has no (traffic ...)");
     }
     let count = |zoned: &Option<Zoned>| zoned.as_ref().map_or(0, |zoned| zoned.count);
     let faults = faults(top, count(&workers), count(&controllers));
@@ -276,6 +277,7 @@
     faults
 }
 
+/// Reads `(receiver (rules ...) (every ...) (speed ...) (fires NAME ...) ...)`.
 fn watch(mut form: Form) -> Watch {
     let span = |form: &mut Form, key| form.required::<TimeSpan>(key).map_or(0, |s| s.0);
     let rules = form.required("rules").unwrap_or_default();
@@ -285,11 +287,11 @@
         form.error(format!("(speed {speed}): from 1 to 100"));
     }
     let mut alerts = Vec::new();
-    for mut one in form.lists("fires") {
-        let alert = one.name_argument();
-        let (after, within) = (span(&mut one, "after"), span(&mut one, "within"));
-        alerts.push(ExpectedAlert { alert, after, within, clear_by: span(&mut one, "clear-by") });
-        one.finish();
+    for mut fires in form.lists("fires") {
+        let alert = fires.name_argument();
+        let (after, within) = (span(&mut fires, "after"), span(&mut fires, "within"));
+        alerts.push(ExpectedAlert { alert, after, within, clear_by: span(&mut fires, "clear-by") });
+        fires.finish();
     }
     form.finish();
     Watch { rules, every, speed, alerts }
@@ -305,7 +307,7 @@
     }
 }
 
-/// Reads `(key COUNT (zones ...) ...)`; `read` takes what else is in it.
+/// Reads `(key COUNT (zones ...) ...)`, with a count of at most `most`. `read` reads the other options of the form.
 fn zoned(top: &mut Form, key: &'static str, most: u64, read: impl FnOnce(&mut Form)) -> Option<Zoned> {
     let mut form = top.required_list(key)?;
     let count = form.required_item::<u64>("how many")?;
@@ -319,6 +321,7 @@
     Some(Zoned { count: count.clamp(1, most) as usize, zones })
 }
 
+/// Reads the words of the optional list `(key WORD ...)`.
 fn words(form: &mut Form, key: &'static str) -> Vec<String> {
     let Some(mut list) = form.optional_list(key) else { return Vec::new() };
     let mut all = Vec::new();
@@ -329,6 +332,7 @@
     all
 }
 
+/// Reads an optional share, which is 0 by default.
 fn share(form: &mut Form, key: &'static str) -> f64 {
     let share = form.value_or(key, 0.0);
     if share > 1.0 {
@@ -340,7 +344,9 @@
 fn traffic(mut form: Form) -> Traffic {
     let name = form.name_argument();
     if !nettleferry_test_servers::models::exists(&name) {
-        form.error(format!("traffic {name}: the stand-ins' models are echo, echo-*, climb and climb-*"));
+        form.error(format!(
+            "traffic {name}: the models of the test workers are echo, echo-*, climb and climb-*"
+        ));
     }
     let rate = form.required("rate").unwrap_or(1.0);
     if rate > MAX_RATE {
@@ -359,13 +365,13 @@
         slow: share(&mut form, "slow"),
     };
     if traffic.shared && !traffic.streamed {
-        form.error("(shared yes) goes with (streamed yes)");
+        form.error("(shared yes) requires (streamed yes)");
     }
     form.finish();
     traffic
 }
 
-/// Names of all kinds of faults, for suggestions.
+/// Names of all kinds of faults, for suggestions in error messages.
 const FAULT_NAMES: [&str; 20] = [
     "crash",
     "silence",
@@ -391,7 +397,7 @@
 
 fn scripted_fault(at: Micros, mut form: Form, workers: usize, controllers: usize) -> Option<ScriptedFault> {
     let kind = fault_kind(&mut form)?;
-    let momentary = matches!(
+    let is_momentary = matches!(
         kind,
         FaultKind::Release(_)
             | FaultKind::GoAway
@@ -399,7 +405,7 @@
             | FaultKind::HalfFrame
             | FaultKind::RollingRestart(_)
     );
-    let span = if momentary { 0 } else { form.required::<TimeSpan>("for")?.0 };
+    let span = if is_momentary { 0 } else { form.required::<TimeSpan>("for")?.0 };
     let workers = worker_names(&mut form, workers);
     let controllers = controller_numbers(&mut form, controllers);
     form.finish();
--- a/crates/scenario/src/script/tests.rs
+++ b/crates/scenario/src/script/tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of `script`.
+//! Unit tests of the scenario file parser.
 
 use super::*;
 
@@ -24,7 +24,7 @@
     let text = format!(
         "{SCENARIO} (at 1s (crash (workers w9) (for 1s)) (cut (zone a)) (crush (for 1s))) (traffic zebra (rate 1))"
     );
-    let errors = read("d.sexp", &text).expect_err("wrong").to_string();
+    let errors = read("d.sexp", &text).expect_err("the scenario contains unknown names").to_string();
     for part in [
         "there is no worker w9: they are w1 to w3",
         "cut lacks (for ...)",
--- a/crates/scenario/src/setup.rs
+++ b/crates/scenario/src/setup.rs
@@ -1,4 +1,4 @@
-//! What a run starts with: test workers, the worker list, controllers with their settings, the receiver.
+//! Prepares a run: starts the test workers and the remote-write receiver, and writes the controllers' settings.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -18,34 +18,34 @@
 use crate::script::{Script, Watch};
 use crate::stage::Stage;
 
-/// Test workers, with their lines of the list.
+/// The started test workers, with their list entries and locations.
 pub(crate) struct Workers {
     pub(crate) handles: Vec<Handle>,
     pub(crate) lines: Vec<WorkerLine>,
     pub(crate) locations: BTreeMap<String, Location>,
 }
 
-/// What all workers of a run share.
+/// The resources that all workers of a run share.
 pub(crate) struct WorkerContext {
-    /// Zones of controllers: each worker has an address for each.
+    /// Zones of controllers. Each worker has one address for each.
     pub(crate) zones: Vec<String>,
     pub(crate) store: Arc<Mutex<Store>>,
     pub(crate) epoch: Instant,
     pub(crate) records: Sender<Observation>,
 }
 
-/// Controllers that are not started, and the last one's settings.
+/// The controllers, not started yet, and the settings of the last one.
 pub(crate) struct Controllers {
     pub(crate) controllers: Vec<Controller>,
     pub(crate) config: Config,
 }
 
-/// The wall clock.
+/// Wall clock time in microseconds since the Unix epoch.
 pub(crate) fn unix_time() -> Micros {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as Micros
 }
 
-/// Zones without repetitions, in the order in which they are first named.
+/// Returns the zones without repetitions, in the order of their first occurrence.
 pub(crate) fn distinct(zones: &[String]) -> Vec<String> {
     let mut distinct: Vec<String> = Vec::new();
     for zone in zones {
@@ -56,18 +56,19 @@
     distinct
 }
 
-/// A receiver with the scenario's alert rules, where it has one.
+/// Starts a remote-write receiver with the alert rules of the scenario, if it has one.
 pub(crate) fn start_receiver(script: &Script, folder: &Path) -> Result<Option<Receiver>, ScenarioError> {
     let Some(watch) = &script.watch else { return Ok(None) };
     let path = folder.join(&watch.rules);
-    let text = std::fs::read_to_string(&path).map_err(system("can't read the day's rule file"))?;
+    let text =
+        std::fs::read_to_string(&path).map_err(system("can't read the alert rule file of the scenario"))?;
     let rules = nettleferry_alerts::rules::read(&path.display().to_string(), &text)?;
     let mut receiver = Receiver::start(Mode::Take).map_err(system("can't start a receiver"))?;
     receiver.watch(rules, watch.speed).map_err(system("can't start a thread"))?;
     Ok(Some(receiver))
 }
 
-/// Starts the workers. Each reports what its sockets see until its thread ends.
+/// Starts the workers. Each sends records of what happens at its sockets until its thread ends.
 pub(crate) fn start_workers(script: &Script, context: WorkerContext) -> Result<Workers, ScenarioError> {
     let mut workers = Workers { handles: Vec::new(), lines: Vec::new(), locations: BTreeMap::new() };
     for index in 0..script.workers.count {
@@ -100,7 +101,7 @@
     Ok(workers)
 }
 
-/// Writes the controllers' settings files.
+/// Writes the controllers' settings files, without starting the controllers.
 pub(crate) fn prepare_controllers(
     script: &Script,
     stage: &Stage,
@@ -124,7 +125,7 @@
     Ok(Controllers { controllers, config: config.ok_or(ScenarioError::Clients)? })
 }
 
-/// Settings that push a controller's metrics to the receiver.
+/// The settings by which a controller pushes its metrics to the receiver.
 fn push_settings(watch: &Watch, receiver: &Receiver, number: usize) -> String {
     format!(
         "(figures (push (to \"{}\") (every {}us) (batch-age 20ms) (spool \"spool-{number}\") (label instance \"c{number}\")))\n",
@@ -132,6 +133,7 @@
     )
 }
 
+/// The settings of a controller: the parts that the run adds, followed by those of the scenario.
 fn controller_settings(script: &Script, number: usize, zone: &str) -> String {
     format!(
         "(listen (grpc \"127.0.0.1:0\"))\n(controller (number {number}) (of {}) (zone \"{zone}\") (seed {}))\n\
--- a/crates/scenario/src/stage.rs
+++ b/crates/scenario/src/stage.rs
@@ -1,15 +1,15 @@
-//! Where a scenario runs: the program under test and the folders of the run.
+//! The environment of a scenario: the program under test and the folders of the run.
 
 use std::path::Path;
 
-/// Where a scenario runs.
+/// The environment in which a scenario runs.
 pub struct Stage<'a> {
-    /// The controllers' program.
+    /// The program that controllers run.
     pub program: &'a Path,
-    /// The folder of the run's files.
+    /// The folder for the files of the run. It is created if it does not exist.
     pub dir: &'a Path,
-    /// The folder from which files that the scenario names are found.
+    /// The folder to which file names in the scenario are relative.
     pub script_folder: &'a Path,
-    /// What the controllers log.
+    /// The log filter of the controllers.
     pub log: &'a str,
 }
--- a/crates/scenario/src/timeline.rs
+++ b/crates/scenario/src/timeline.rs
@@ -1,4 +1,4 @@
-//! The timeline of a run: scripted faults as single actions, in order of time.
+//! The timeline of a run, which splits scripted faults into single actions and orders them by time.
 
 use std::collections::BTreeMap;
 
@@ -7,35 +7,35 @@
 
 use crate::script::{FaultKind, ScriptedFault};
 
-/// How long after its end an unresponsive worker stays down before it starts again.
+/// How long a worker that was unresponsive and crashed stays down before it starts again.
 const DOWN_FOR: Micros = 50_000;
 
-/// One thing to do at one time.
+/// A single action of a run.
 #[derive(Clone, Debug)]
 pub(crate) enum Action {
-    /// A worker gets a fault.
+    /// Injects a fault into a worker.
     Fault { worker: String, fault: Fault },
-    /// A worker's line of the list changes.
+    /// Changes a worker's state in the lists. `restarted`: the worker has just started, and its time of start changes.
     List { worker: String, state: WorkerState, restarted: bool },
-    /// The list is not written any more, or again.
+    /// Stops (`true`) or resumes the writing of the worker lists.
     StaleList(bool),
-    /// A controller is killed.
+    /// Kills a controller.
     Kill(usize),
-    /// A controller gets SIGTERM.
+    /// Sends SIGTERM to a controller.
     Terminate(usize),
-    /// A controller starts.
+    /// Starts a controller.
     Start(usize),
-    /// A controller gets SIGSTOP, or SIGCONT.
+    /// Sends SIGSTOP (`stalled`) or SIGCONT to a controller.
     Stall { controller: usize, stalled: bool },
-    /// The model store is slower by this factor.
+    /// Slows down the model store by this factor.
     StoreSlowness(f64),
-    /// Calls for models that are wanted once.
+    /// Makes the clients send additional calls, `rate` per second until `until`, each for a different model.
     OneOff { rate: f64, until: Micros },
-    /// A zone is cut off from the others, or connected again.
+    /// Cuts (`cut`) or restores the links between a zone and the other zones.
     CutZone { zone: String, cut: bool },
 }
 
-/// Whom a fault is for, and from when to when.
+/// The processes that a fault affects, and its start and end.
 struct Scope<'a> {
     from: Micros,
     to: Micros,
@@ -43,13 +43,13 @@
     controllers: &'a [usize],
 }
 
-/// A worker's fault that begins and ends.
+/// A fault of a worker that lasts for some time: the value that starts it and the value that ends it.
 struct Toggle {
     on: Fault,
     off: Fault,
 }
 
-/// Actions in order of time; those of one moment in the order in which they were added.
+/// The actions of a run in order of time. Actions with equal times keep the order in which they were added.
 pub(crate) struct Timeline {
     actions: BTreeMap<(Micros, u64), Action>,
     added: u64,
@@ -57,29 +57,29 @@
 }
 
 impl Timeline {
-    /// An empty timeline. A change of a worker reaches the list after `list_lag`.
+    /// Creates an empty timeline. The start or crash of a worker appears in the worker lists after `list_lag`.
     pub(crate) fn new(list_lag: Micros) -> Self {
         Self { actions: BTreeMap::new(), added: 0, list_lag }
     }
 
-    /// Whether everything was done.
+    /// Whether no action is left.
     pub(crate) fn is_empty(&self) -> bool {
         self.actions.is_empty()
     }
 
-    /// Takes the next action that is due.
+    /// Removes and returns the next action that is due at `now`.
     pub(crate) fn take_due(&mut self, now: Micros) -> Option<Action> {
         let first = self.actions.first_entry()?;
         if first.key().0 > now { None } else { Some(first.remove()) }
     }
 
-    /// Adds an action.
+    /// Adds an action at the time `when`.
     pub(crate) fn add(&mut self, when: Micros, action: Action) {
         self.added += 1;
         self.actions.insert((when, self.added), action);
     }
 
-    /// Adds a scripted fault: its beginning and its end. `begin`: the start of the run.
+    /// Adds the actions that start and end a scripted fault. Its time counts from `begin`, the start of the traffic.
     pub(crate) fn add_fault(
         &mut self,
         begin: Micros,
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Adds a fault of several steps, or one that is not a worker's.
+    /// Adds a fault that consists of several steps or does not concern workers alone.
     fn add_sequence(&mut self, kind: &FaultKind, scope: &Scope) {
         match kind {
             FaultKind::Crash => self.add_crash(scope),
@@ -136,7 +136,7 @@
             FaultKind::OneOff(rate) => {
                 self.add(scope.from, Action::OneOff { rate: *rate, until: scope.to });
             }
-            // Faults of single workers: see `toggle` and `momentary`.
+            // Faults of single workers, which `toggle` and `momentary` handle.
             FaultKind::FastErrors(_)
             | FaultKind::Slow(_)
             | FaultKind::StaleReports(_)
@@ -158,7 +158,7 @@
         }
     }
 
-    /// Every worker in turn drains, dies and starts again, one `step` after the other.
+    /// Makes one worker after the other drain, stop and start again, with `step` between two workers.
     fn add_rolling_restart(&mut self, step: Micros, scope: &Scope) {
         for (index, worker) in scope.workers.iter().enumerate() {
             let from = scope.from + step * index as Micros;
@@ -190,14 +190,16 @@
         self.add(when, Action::List { worker: worker.to_owned(), state, restarted: false });
     }
 
+    /// Restarts a worker, and marks it as on in the lists after the list lag.
     fn add_restart(&mut self, when: Micros, worker: &str) {
         self.add_worker_fault(when, worker, Fault::Restart);
         let state = WorkerState::On;
-        let listed = Action::List { worker: worker.to_owned(), state, restarted: true };
-        self.add(when + self.list_lag, listed);
+        let list_change = Action::List { worker: worker.to_owned(), state, restarted: true };
+        self.add(when + self.list_lag, list_change);
     }
 }
 
+/// The start and end of a fault of a worker that lasts for some time; `None` for other kinds.
 fn toggle(kind: &FaultKind) -> Option<Toggle> {
     let (on, off) = match kind {
         FaultKind::FastErrors(share) => (Fault::FailFast(*share), Fault::FailFast(0.0)),
@@ -211,6 +213,7 @@
     Some(Toggle { on, off })
 }
 
+/// The fault of a worker that has no end of its own; `None` for other kinds.
 fn momentary(kind: &FaultKind) -> Option<Fault> {
     match kind {
         FaultKind::GoAway => Some(Fault::GoAway),
--- a/crates/scenario/src/traffic.rs
+++ b/crates/scenario/src/traffic.rs
@@ -1,4 +1,4 @@
-//! The clients of a run: open-loop traffic over sockets, and what the clients saw.
+//! The clients of a run, which generate open-loop load and record what they observe.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::io;
@@ -24,49 +24,49 @@
 use crate::evidence::{ClientObservation, ClientRecord, FinalStatus};
 use crate::script::Traffic;
 
-/// Where controllers listen; `None`: clients send it no calls.
+/// The addresses of the controllers by number. Clients send no calls to a controller whose address is `None`.
 pub type Addresses = Arc<Mutex<Vec<Option<SocketAddr>>>>;
 
-/// Commands to the running clients.
+/// A command to the running clients.
 pub enum ClientCommand {
-    /// Further calls, each for a model of its own.
+    /// Sends additional calls, each for a different model.
     OneOff {
-        /// Calls a second.
+        /// Calls per second.
         rate: f64,
-        /// When they end.
+        /// Time of the run at which these calls end.
         until: Micros,
     },
 }
 
-/// How clients start.
+/// The inputs of the clients.
 pub struct Plan {
-    /// The traffic.
+    /// Streams of calls to send.
     pub traffic: Vec<Traffic>,
-    /// Classes and deadlines of models.
+    /// Settings of the controllers, which give the class and deadline of each model.
     pub config: Config,
-    /// Controllers.
+    /// Addresses of the controllers; the run changes them while the clients are running.
     pub addresses: Addresses,
-    /// Zero of the records' clock.
+    /// Start of the run, from which recorded times count.
     pub epoch: Instant,
-    /// When the last call is sent.
+    /// Time at which the scripted traffic ends.
     pub until: Micros,
-    /// Seed of the random numbers.
+    /// Seed of the random number generator.
     pub seed: u64,
-    /// Commands while they run.
+    /// Commands that arrive while the clients are running.
     pub commands: Receiver<ClientCommand>,
 }
 
-/// How long after its deadline the answer of a call is still awaited.
+/// Time after the deadline of a call during which a late answer is still recorded.
 const ANSWER_GRACE: Micros = 1_000_000;
-/// How long a slow reader reads nothing.
+/// Time for which a slow reader pauses before it reads.
 const SLOW_READER_PAUSE: Micros = 300_000;
-/// The longest wait for an event.
+/// Maximum time of one wait for events, after which commands are checked.
 const MAX_WAIT: Micros = 50_000;
-/// How long a connection may take to open.
+/// Timeout for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(3);
-/// Bytes of a call for a model that is wanted once.
+/// Bytes of the input of a call for a model that is used only once.
 const ONE_OFF_BYTES: usize = 64;
-/// The trailer by which a server says when a retry is welcome (gRFC A6); a negative number: none is.
+/// The trailer by which a server states the delay before a retry (gRFC A6). A negative number forbids a retry.
 const PUSHBACK_TRAILER: &str = "grpc-retry-pushback-ms";
 
 struct OpenCall {
@@ -74,20 +74,22 @@
     answered: bool,
 }
 
-/// A controller that is up.
+/// A controller to which calls can be sent.
 #[derive(Clone, Copy)]
 struct Target {
     controller: usize,
     address: SocketAddr,
 }
 
-/// A stream of calls.
+/// A stream of calls and its progress.
 struct Source {
     traffic: Traffic,
+    /// When the next call is due.
     next: Micros,
     until: Micros,
+    /// Number of calls due so far.
     count: u64,
-    /// Each call has a model of its own.
+    /// Whether each call is for a different model.
     one_off: bool,
 }
 
@@ -98,16 +100,18 @@
     records: Vec<ClientRecord>,
     sources: Vec<Source>,
     open: HashMap<String, OpenCall>,
-    /// Calls of an RPC: one, or those that share a stream.
+    /// Ids of the calls of each open RPC: a single call, or those that share a stream.
     rpcs: HashMap<u64, BTreeSet<String>>,
+    /// Open RPCs of the method ModelInfer.
     unary: BTreeSet<u64>,
+    /// Shared streams by the index of the source and the number of the controller.
     shared: BTreeMap<(usize, usize), u64>,
     timers: BTreeSet<(Micros, Timer)>,
-    /// Counts calls: the next controller in turn.
+    /// Number of calls sent; modulo the number of controllers that are up, it selects the controller.
     next_controller: usize,
 }
 
-/// What is done later, of a call by its id or of an RPC by its number.
+/// A delayed action, with the id of its call or the number of its RPC.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Timer {
     Cancel(String),
@@ -115,7 +119,10 @@
     GiveUp(String),
 }
 
-/// Runs the clients until the traffic is over and every call has ended or is given up.
+/// Runs the clients until the traffic has ended and every call has ended or timed out. Returns the recorded events.
+///
+/// # Errors
+/// A socket can't be created, or a system call that waits for events fails.
 pub fn run(plan: Plan) -> io::Result<Vec<ClientRecord>> {
     let limits = NetLimits { connect_timeout: CONNECT_TIMEOUT, ..NetLimits::default() };
     let client = Client::new(1, limits)?;
@@ -180,7 +187,7 @@
         }
     }
 
-    /// How long there is nothing to do but to wait for events.
+    /// The time until the next call or timer is due, at most `MAX_WAIT`.
     fn wait(&self, now: Micros) -> Duration {
         let calls = self.sources.iter().filter(|source| source.next < source.until).map(|source| source.next);
         let timer = self.timers.first().map(|(at, _)| *at);
@@ -188,11 +195,12 @@
         Duration::from_micros(next.saturating_sub(self.now()))
     }
 
+    /// Sends the calls that are due, and schedules the next one of each source.
     fn send_due(&mut self, now: Micros) -> io::Result<()> {
         for index in 0..self.sources.len() {
             while self.sources[index].next <= now.min(self.sources[index].until.saturating_sub(1)) {
                 let source = &mut self.sources[index];
-                // Poisson arrivals.
+                // Exponential gaps between calls give Poisson arrivals; the lower bound avoids ln(0).
                 let unit: f64 = self.random.random::<f64>().max(1e-12);
                 source.next += (-unit.ln() * 1e6 / source.traffic.rate.max(1e-3)).max(1.0) as Micros;
                 source.count += 1;
@@ -202,7 +210,7 @@
         Ok(())
     }
 
-    /// Sends the next call of a source, unless no controller is up or the model has no class.
+    /// Sends the next call of a source. Does nothing if no controller is up, or if the settings lack the model.
     fn send(&mut self, index: usize) -> io::Result<()> {
         let Some(target) = self.next_target() else { return Ok(()) };
         let source = &self.sources[index];
@@ -247,7 +255,7 @@
         Ok(())
     }
 
-    /// The next controller in turn of those that are up.
+    /// The next controller in turn among those that are up.
     fn next_target(&mut self) -> Option<Target> {
         let addresses = self.plan.addresses.lock().unwrap_or_else(PoisonError::into_inner).clone();
         let up: Vec<Target> = addresses
@@ -262,7 +270,8 @@
         Some(up[self.next_controller % up.len()])
     }
 
-    /// Sends a call's message on an RPC of its own, or on the stream that calls of this source share.
+    /// Sends the message of a call on a new RPC, or on the stream that the calls of its source share. Returns the
+    /// number of the RPC.
     fn open_rpc(
         &mut self,
         source: usize,
@@ -316,7 +325,7 @@
                     }
                 }
                 Timer::GiveUp(id) => {
-                    // Its records have no final answer.
+                    // Nothing is recorded, so that the audit finds a call without a final answer.
                     if let Some(open) = self.open.remove(&id)
                         && let Some(calls) = self.rpcs.get_mut(&open.rpc)
                     {
@@ -327,8 +336,9 @@
         }
     }
 
+    /// Records the final answer of a call on a stream.
     fn end(&mut self, id: &str, end: FinalStatus) {
-        // Every final answer is recorded, also a second one: the audit counts them.
+        // A second final answer is recorded as well, since the audit counts final answers.
         self.record(id, ClientObservation::Final(end));
         if let Some(open) = self.open.get_mut(id) {
             open.answered = true;
@@ -349,12 +359,12 @@
                     match &status {
                         Err(_) if !answered => self.record(&id, ClientObservation::Lost),
                         Ok(status) if unary => {
-                            let end = by_status(status, trailers.get(PUSHBACK_TRAILER));
+                            let end = final_status(status, trailers.get(PUSHBACK_TRAILER));
                             self.record(&id, ClientObservation::Final(end));
                         }
-                        // On a stream OK ends the RPC; each call had its end before, or has none.
+                        // On a stream, the status OK ends the RPC only. The final answers of its calls are messages.
                         Ok(status) if !answered && status.code != Code::Ok => {
-                            let end = by_status(status, trailers.get(PUSHBACK_TRAILER));
+                            let end = final_status(status, trailers.get(PUSHBACK_TRAILER));
                             self.record(&id, ClientObservation::Final(end));
                         }
                         _ => {}
@@ -364,11 +374,12 @@
         }
     }
 
+    /// Records a response message of a streaming RPC. Messages that can't be decoded are ignored.
     fn message(&mut self, payload: Bytes) {
-        let Ok(read) = ModelStreamInferResponse::decode(payload) else { return };
-        let response = read.infer_response.unwrap_or_default();
+        let Ok(message) = ModelStreamInferResponse::decode(payload) else { return };
+        let response = message.infer_response.unwrap_or_default();
         let id = response.id;
-        if !read.error_message.is_empty() {
+        if !message.error_message.is_empty() {
             let refused = response.parameters.get("grpc_status").is_some_and(
                 |p| matches!(&p.parameter_choice, Some(ParameterChoice::StringParam(s)) if s == "UNAVAILABLE"),
             );
@@ -381,7 +392,7 @@
     }
 }
 
-/// Traffic for models that are wanted once.
+/// Traffic in which each call is for a model that is used only once.
 fn one_off_traffic(rate: f64) -> Traffic {
     Traffic {
         name: "echo-once".to_owned(),
@@ -397,15 +408,17 @@
     }
 }
 
-fn by_status(status: &Status, pushback: Option<&http::HeaderValue>) -> FinalStatus {
-    let harmless = pushback.and_then(|v| v.to_str().ok()).is_some_and(|ms| !ms.starts_with('-'));
+/// The outcome of a call that ended with a gRPC status. UNAVAILABLE is a refusal only if the server permits a retry.
+fn final_status(status: &Status, pushback: Option<&http::HeaderValue>) -> FinalStatus {
+    let may_retry = pushback.and_then(|v| v.to_str().ok()).is_some_and(|ms| !ms.starts_with('-'));
     match status.code {
         Code::Ok => FinalStatus::Served,
-        Code::Unavailable if harmless => FinalStatus::Refused,
+        Code::Unavailable if may_retry => FinalStatus::Refused,
         _ => FinalStatus::Failed,
     }
 }
 
+/// Encodes the request of a call.
 fn request(traffic: &Traffic, model: &str, id: &str) -> Bytes {
     let request = if model.starts_with("climb") {
         let heights: Vec<f32> = (0..=traffic.segments * 4).map(|n| ((n * 37) % 11) as f32).collect();
--- a/crates/scenario/tests/audit.rs
+++ b/crates/scenario/tests/audit.rs
@@ -1,4 +1,4 @@
-//! The audit on altered records: a valid run has no breach, and each way to break a rule is found.
+//! Tests of the audit on synthetic evidence: a valid run has no breach, and each kind of violation is found.
 
 use nettleferry::{Effect, KeyScope, WorkerState};
 use nettleferry_scenario::audit::{Breach, Slack, audit};
@@ -53,10 +53,11 @@
     client(e, at, id, what);
 }
 
-/// The call's next attempt arrives: numbers are in the order of these lines.
+/// Records the arrival of the next attempt of a call. Attempts are numbered in the order of these records.
 fn arrive(e: &mut Evidence, at: u64, name: &str, stream: u64, id: &str) {
-    let before = |r: &&Observation| matches!(&r.seen, ObservationKind::Call { id: other, .. } if other == id);
-    let attempt = Some(e.workers.iter().filter(before).count() as u32);
+    let is_earlier =
+        |r: &&Observation| matches!(&r.seen, ObservationKind::Call { id: other, .. } if other == id);
+    let attempt = Some(e.workers.iter().filter(is_earlier).count() as u32);
     let (id, model, controller) = (id.into(), "echo".into(), "0".into());
     worker(e, at, name, ObservationKind::Call { stream, id, model, controller, attempt, core_time: 1000 });
 }
@@ -73,7 +74,7 @@
     worker(e, at, name, ObservationKind::Answered { stream, served: !never_ran, never_ran });
 }
 
-/// A call of that effect that ran at w1 and was served.
+/// A run with a call of the given effect that ran at w1 and was served.
 fn served(effect: Effect) -> Evidence {
     let mut e = empty();
     sent(&mut e, S, "x", effect);
@@ -85,14 +86,15 @@
     e
 }
 
-fn findings(e: &Evidence) -> Vec<Breach> {
+fn breaches(e: &Evidence) -> Vec<Breach> {
     audit(e, Slack::default())
 }
 
+/// Asserts that the audit finds only breaches of `rule`, one of which contains `words`.
 #[track_caller]
-fn breaks(e: &Evidence, rule: u8, words: &str) {
-    let found = findings(e);
-    assert!(found.iter().all(|b| b.rule == rule), "only rule {rule} is broken: {found:?}");
+fn assert_breach(e: &Evidence, rule: u8, words: &str) {
+    let found = breaches(e);
+    assert!(found.iter().all(|b| b.rule == rule), "a rule other than {rule} is broken: {found:?}");
     assert!(found.iter().any(|b| b.what.contains(words)), "{words:?} in {found:?}");
 }
 
@@ -101,7 +103,7 @@
 #[test]
 fn valid_run_has_no_breach() {
     for effect in [Effect::Idempotent, Effect::NonIdempotent, KEYED] {
-        assert_eq!(findings(&served(effect)), vec![]);
+        assert_eq!(breaches(&served(effect)), vec![]);
     }
 }
 
@@ -109,30 +111,30 @@
 fn rule_1_call_without_answer() {
     let mut e = empty();
     sent(&mut e, S, "x", Effect::Idempotent);
-    breaks(&e, 1, "no final answer");
+    assert_breach(&e, 1, "no final answer");
     client(&mut e, S + 5, "x", ClientObservation::Lost);
-    breaks(&e, 1, "its connection broke");
-    // What a killed controller held is its client's to retry; what one that ends had taken is owed.
+    assert_breach(&e, 1, "its connection broke");
+    // A controller that is killed need not answer; one that gets SIGTERM has to answer the calls that it accepted.
     e.controller_runs[0].to = Some(2 * S);
-    assert_eq!(findings(&e), vec![]);
+    assert_eq!(breaches(&e), vec![]);
     (e.controller_runs[0].ending, e.controller_runs[0].to) = (Some(2 * S), Some(2 * S + 1));
-    breaks(&e, 1, "no final answer");
+    assert_breach(&e, 1, "no final answer");
 }
 
 #[test]
 fn rule_1_second_answer_late_answer_and_part_after_it() {
     let mut twice = served(Effect::Idempotent);
     client(&mut twice, S + 30 * MS, "x", ClientObservation::Final(FinalStatus::Refused));
-    breaks(&twice, 1, "2 final answers");
+    assert_breach(&twice, 1, "2 final answers");
     let mut late = empty();
     sent(&mut late, S, "x", Effect::Idempotent);
     client(&mut late, 4 * S + 5 * MS, "x", ClientObservation::Final(FinalStatus::Failed));
-    breaks(&late, 1, "5 ms after its deadline");
+    assert_breach(&late, 1, "5 ms after its deadline");
     late.stalls.push(Stall { controller: 0, interval: Interval { from: 2 * S, to: 4 * S } });
-    assert_eq!(findings(&late), vec![], "it stood still");
+    assert_eq!(breaches(&late), vec![], "the controller was stopped");
     let mut part = served(Effect::Idempotent);
     client(&mut part, S + 40 * MS, "x", ClientObservation::Part);
-    breaks(&part, 1, "a part after the final answer");
+    assert_breach(&part, 1, "a part after the final answer");
 }
 
 #[test]
@@ -140,14 +142,14 @@
     let mut e = served(Effect::Idempotent);
     arrive(&mut e, 2 * S, "w2", 1, "x");
     answered(&mut e, 2 * S + 1, "w2", 1, true);
-    breaks(&e, 1, "reached w2 after the call had ended");
+    assert_breach(&e, 1, "reached w2 after the call had ended");
     let mut cancelled = empty();
     sent(&mut cancelled, S, "x", Effect::Idempotent);
     client(&mut cancelled, S + 1, "x", ClientObservation::Cancelled);
-    assert_eq!(findings(&cancelled), vec![]);
+    assert_eq!(breaches(&cancelled), vec![]);
     arrive(&mut cancelled, 2 * S, "w2", 1, "x");
     answered(&mut cancelled, 2 * S + 1, "w2", 1, true);
-    breaks(&cancelled, 1, "reached w2 after the call had ended");
+    assert_breach(&cancelled, 1, "reached w2 after the call had ended");
 }
 
 #[test]
@@ -155,12 +157,12 @@
     let mut e = served(Effect::NonIdempotent);
     arrive(&mut e, S + 20 * MS, "w2", 1, "x");
     answered(&mut e, S + 20 * MS, "w2", 1, true);
-    assert_eq!(findings(&e), vec![], "sent twice, ran once");
+    assert_eq!(breaches(&e), vec![], "sent twice but ran once");
     worker(&mut e, S + 20 * MS, "w2", ObservationKind::Runs { stream: 1 });
-    // Records are judged by their times, whatever their order.
+    // The audit orders records by time, whatever their order in the evidence.
     let at = e.workers.len() - 2;
     e.workers.swap(at, at + 1);
-    breaks(&e, 2, "unsafe, and ran at w1 and at w2");
+    assert_breach(&e, 2, "unsafe, and ran at w1 and at w2");
 }
 
 #[test]
@@ -171,10 +173,10 @@
         client(&mut e, S + 30 * MS, "x", ClientObservation::Final(FinalStatus::Refused));
         e
     };
-    breaks(&refused(Effect::NonIdempotent), 2, "refused, and ran at w1");
-    breaks(&refused(KEYED), 2, "refused, and ran at w1");
-    assert_eq!(findings(&refused(Effect::Idempotent)), vec![]);
-    assert_eq!(findings(&refused(Effect::IdempotencyKey { scope: KeyScope::All, window: S })), vec![]);
+    assert_breach(&refused(Effect::NonIdempotent), 2, "refused, and ran at w1");
+    assert_breach(&refused(KEYED), 2, "refused, and ran at w1");
+    assert_eq!(breaches(&refused(Effect::Idempotent)), vec![]);
+    assert_eq!(breaches(&refused(Effect::IdempotencyKey { scope: KeyScope::All, window: S })), vec![]);
 }
 
 #[test]
@@ -189,10 +191,14 @@
         client(&mut e, at + 2, "x", ClientObservation::Final(FinalStatus::Served));
         e
     };
-    assert_eq!(findings(&repeat("w1", 2 * S, false)), vec![]);
-    assert_eq!(findings(&repeat("w2", 2 * S, true)), vec![], "proven not run: anywhere");
-    breaks(&repeat("w2", 2 * S, false), 2, "outside the group");
-    breaks(&repeat("w1", 3 * S + 900 * MS, false), 2, "after its window");
+    assert_eq!(breaches(&repeat("w1", 2 * S, false)), vec![]);
+    assert_eq!(
+        breaches(&repeat("w2", 2 * S, true)),
+        vec![],
+        "an attempt that provably did not run does not bind the call to its group"
+    );
+    assert_breach(&repeat("w2", 2 * S, false), 2, "outside the group");
+    assert_breach(&repeat("w1", 3 * S + 900 * MS, false), 2, "after its window");
 }
 
 #[test]
@@ -203,22 +209,22 @@
     arrive(&mut e, 2 * S, "w2", 1, "x");
     answered(&mut e, 2 * S + 1, "w2", 1, false);
     client(&mut e, 2 * S + 2, "x", ClientObservation::Final(FinalStatus::Served));
-    breaks(&e, 2, "began while one at w1 was open");
-    let mut left = e.clone();
-    worker(&mut left, 2 * S - 1, "w1", ObservationKind::Gone { stream: 1 });
-    assert_eq!(findings(&left), vec![]);
+    assert_breach(&e, 2, "began while one at w1 was open");
+    let mut cancelled = e.clone();
+    worker(&mut cancelled, 2 * S - 1, "w1", ObservationKind::Gone { stream: 1 });
+    assert_eq!(breaches(&cancelled), vec![]);
     let mut died = e.clone();
     worker(&mut died, 2 * S - 1, "w1", ObservationKind::Down);
-    assert_eq!(findings(&died), vec![]);
+    assert_eq!(breaches(&died), vec![]);
     cut(&mut e, "w1", S + 1, 5 * S);
-    breaks(&e, 2, "began while one at w1 was open");
+    assert_breach(&e, 2, "began while one at w1 was open");
     gone(&mut e, 5 * S + 1, "w1", 1);
-    assert_eq!(findings(&e), vec![], "behind a cut link a worker can't see that it was left");
+    assert_eq!(breaches(&e), vec![], "a cancellation behind a cut link arrives when the link is restored");
 }
 
-/// The first attempt goes to w2, whose link is cut, and is withdrawn there; the second runs at w1 meanwhile; the
-/// link heals, and both the first and its withdrawal arrive.
-fn overtaken(effect: Effect) -> Evidence {
+/// The first attempt is sent to w2 over a cut link and cancelled; the second runs at w1 in the meantime. Once the link
+/// is restored, the first attempt and its cancellation arrive at w2.
+fn first_attempt_delayed(effect: Effect) -> Evidence {
     let mut e = empty();
     sent(&mut e, S, "x", effect);
     cut(&mut e, "w2", S - 500 * MS, 3 * S);
@@ -231,51 +237,56 @@
     e
 }
 
-/// The last record of a kind at a worker, to be altered.
+/// The last record at a worker that matches `is`, for modification.
 fn record<'a>(e: &'a mut Evidence, name: &str, is: fn(&ObservationKind) -> bool) -> &'a mut Observation {
-    e.workers.iter_mut().rev().find(|r| r.worker == name && is(&r.seen)).expect("there")
+    e.workers
+        .iter_mut()
+        .rev()
+        .find(|r| r.worker == name && is(&r.seen))
+        .expect("the worker has such a record")
 }
 
 #[test]
 fn attempt_delayed_by_a_cut_link_is_judged_by_number_and_link() {
     for effect in [Effect::Idempotent, KEYED] {
-        let mut e = overtaken(effect);
+        let mut e = first_attempt_delayed(effect);
         if effect == KEYED {
-            e.locations.get_mut("w2").expect("there").zone = "a".into();
+            e.locations.get_mut("w2").expect("w2 has a location").zone = "a".into();
         }
-        assert_eq!(findings(&e), vec![], "sound: {effect:?}");
+        assert_eq!(breaches(&e), vec![], "the attempts do not overlap: {effect:?}");
     }
-    // It ran on after the link had healed: it had not been withdrawn.
-    let mut ran = overtaken(Effect::Idempotent);
+    // An answer that w2 sends right after the link was restored may precede its reading of the cancellation. One that
+    // it sends 300 ms later shows that the first attempt was not cancelled.
+    let mut ran = first_attempt_delayed(Effect::Idempotent);
     record(&mut ran, "w2", |s| matches!(s, ObservationKind::Gone { .. })).seen =
         ObservationKind::Answered { stream: 1, served: true, never_ran: false };
-    assert_eq!(findings(&ran), vec![], "answered in the moment of reading");
+    assert_eq!(breaches(&ran), vec![], "answered before the worker read the cancellation");
     record(&mut ran, "w2", |s| matches!(s, ObservationKind::Answered { .. })).at = 3 * S + 300 * MS;
-    let found = findings(&ran);
+    let found = breaches(&ran);
     assert!(
         found.iter().any(|b| b.rule == 2 && b.what.contains("began while one at w2 was open")),
         "{found:?}"
     );
-    // Withdrawn long after the link had healed.
-    let mut late = overtaken(Effect::Idempotent);
+    // The cancellation arrives long after the link was restored, so it was sent too late.
+    let mut late = first_attempt_delayed(Effect::Idempotent);
     record(&mut late, "w2", |s| matches!(s, ObservationKind::Gone { .. })).at = 4 * S;
-    breaks(&late, 2, "began while one at w2 was open");
-    // The link was whole: its coming late is a late sending, after the call's end.
-    let mut whole = overtaken(Effect::Idempotent);
+    assert_breach(&late, 2, "began while one at w2 was open");
+    // Without a cut link, an attempt that arrives late was sent late, after the end of the call.
+    let mut whole = first_attempt_delayed(Effect::Idempotent);
     whole.cuts.clear();
-    let found = findings(&whole);
+    let found = breaches(&whole);
     assert!(found.iter().any(|b| b.rule == 1 && b.what.contains("reached w2 after the call had ended")));
-    // A cut of another link excuses nothing.
-    let mut other = overtaken(Effect::Idempotent);
+    // A cut of the link to another worker does not explain the delay.
+    let mut other = first_attempt_delayed(Effect::Idempotent);
     other.cuts[0].worker = "w3".into();
-    assert_eq!(findings(&other), found);
+    assert_eq!(breaches(&other), found);
 }
 
 #[test]
 fn overlap_behind_a_cut_link_is_found() {
-    // Open at w1 before its link is cut; the second begins at w2 in the meantime; no withdrawal comes with the
-    // healing, and w1 works on.
-    let overlap = |over: ObservationKind, at: u64| {
+    // The first attempt is open at w1 when the link is cut, and the second begins at w2 before the link is restored. If
+    // no cancellation of the first arrives when the link is restored, the attempts overlap.
+    let overlap = |end: ObservationKind, at: u64| {
         let mut e = empty();
         sent(&mut e, S, "x", Effect::Idempotent);
         arrive(&mut e, S + 1, "w1", 1, "x");
@@ -283,45 +294,45 @@
         arrive(&mut e, S + 500 * MS, "w2", 1, "x");
         answered(&mut e, S + 600 * MS, "w2", 1, false);
         client(&mut e, S + 601 * MS, "x", ClientObservation::Final(FinalStatus::Served));
-        worker(&mut e, at, "w1", over);
+        worker(&mut e, at, "w1", end);
         e
     };
-    let withdrawn = || ObservationKind::Gone { stream: 1 };
-    let told = || ObservationKind::Answered { stream: 1, served: true, never_ran: false };
-    assert_eq!(findings(&overlap(withdrawn(), 2 * S + 5 * MS)), vec![], "withdrawn while it was cut");
-    assert_eq!(findings(&overlap(told(), 2 * S - 5 * MS)), vec![], "answered while it was cut");
-    breaks(&overlap(told(), 2 * S + 200 * MS), 2, "began while one at w1 was open");
-    breaks(&overlap(withdrawn(), 3 * S), 2, "began while one at w1 was open");
-    // A second cut hides the withdrawal again; a third that began too late does not.
-    let mut again = overlap(withdrawn(), 3 * S);
-    cut(&mut again, "w1", 2 * S + 10 * MS, 3 * S - 5 * MS);
-    assert_eq!(findings(&again), vec![]);
-    again.cuts[1].interval.from = 2 * S + 900 * MS;
-    breaks(&again, 2, "began while one at w1 was open");
-    // Not neighbours: the first and the third.
-    let mut third = overlap(withdrawn(), 4 * S);
+    let cancelled = || ObservationKind::Gone { stream: 1 };
+    let answered_ok = || ObservationKind::Answered { stream: 1, served: true, never_ran: false };
+    assert_eq!(breaches(&overlap(cancelled(), 2 * S + 5 * MS)), vec![], "cancelled while the link was cut");
+    assert_eq!(breaches(&overlap(answered_ok(), 2 * S - 5 * MS)), vec![], "answered while the link was cut");
+    assert_breach(&overlap(answered_ok(), 2 * S + 200 * MS), 2, "began while one at w1 was open");
+    assert_breach(&overlap(cancelled(), 3 * S), 2, "began while one at w1 was open");
+    // A second cut right after the first delays the cancellation further; one that begins later does not explain it.
+    let mut second_cut = overlap(cancelled(), 3 * S);
+    cut(&mut second_cut, "w1", 2 * S + 10 * MS, 3 * S - 5 * MS);
+    assert_eq!(breaches(&second_cut), vec![]);
+    second_cut.cuts[1].interval.from = 2 * S + 900 * MS;
+    assert_breach(&second_cut, 2, "began while one at w1 was open");
+    // The first attempt overlaps with the third as well, not only with the next one.
+    let mut third = overlap(cancelled(), 4 * S);
     arrive(&mut third, S + 550 * MS, "w3", 1, "x");
     answered(&mut third, S + 560 * MS, "w3", 1, false);
-    let found = findings(&third);
+    let found = breaches(&third);
     assert!(found.iter().filter(|b| b.what.contains("while one at w1 was open")).count() == 2, "{found:?}");
 }
 
 #[test]
 fn unsafe_call_retried_behind_a_cut_link_is_found_when_it_runs() {
-    let mut e = overtaken(Effect::NonIdempotent);
-    assert_eq!(findings(&e), vec![], "it was withdrawn before it ran");
+    let mut e = first_attempt_delayed(Effect::NonIdempotent);
+    assert_eq!(breaches(&e), vec![], "the first attempt was cancelled before it ran");
     worker(&mut e, 3 * S + 12 * MS + 500, "w2", ObservationKind::Runs { stream: 1 });
-    breaks(&e, 2, "unsafe, and ran at w2 and at w1");
+    assert_breach(&e, 2, "unsafe, and ran at w2 and at w1");
 }
 
 #[test]
 fn keyed_call_is_bound_by_its_lowest_attempt_number() {
-    // The first went to zone b and came last; what came first, by arrival, was the repeat in zone a.
-    let e = overtaken(KEYED);
-    breaks(&e, 2, "keyed, repeated at w1 outside the group of w2");
-    // Its window began when it left, which was before the repeat came: not when it arrived itself.
-    let mut late = overtaken(KEYED);
-    late.locations.get_mut("w2").expect("there").zone = "a".into();
+    // The first attempt by number was sent to zone b and arrived last; the retry in zone a arrived before it.
+    let e = first_attempt_delayed(KEYED);
+    assert_breach(&e, 2, "keyed, repeated at w1 outside the group of w2");
+    // The window began when the first attempt was sent, which is before the retry arrived, and not at its own arrival.
+    let mut late = first_attempt_delayed(KEYED);
+    late.locations.get_mut("w2").expect("w2 has a location").zone = "a".into();
     arrive(&mut late, 4 * S + 600 * MS, "w1", 2, "x");
     answered(&mut late, 4 * S + 601 * MS, "w1", 2, false);
     late.clients.pop();
@@ -332,24 +343,24 @@
             *deadline = 9 * S;
         }
     });
-    breaks(&late, 2, "keyed, repeated after its window");
+    assert_breach(&late, 2, "keyed, repeated after its window");
 }
 
 #[test]
 fn attempt_numbers_are_present_and_distinct() {
-    let mut e = overtaken(Effect::Idempotent);
+    let mut e = first_attempt_delayed(Effect::Idempotent);
     if let ObservationKind::Call { attempt, .. } =
         &mut record(&mut e, "w1", |s| matches!(s, ObservationKind::Call { .. })).seen
     {
         *attempt = Some(0);
     }
-    breaks(&e, 2, "with number 0 again");
+    assert_breach(&e, 2, "with number 0 again");
     if let ObservationKind::Call { attempt, .. } =
         &mut record(&mut e, "w1", |s| matches!(s, ObservationKind::Call { .. })).seen
     {
         *attempt = None;
     }
-    breaks(&e, 2, "with no number");
+    assert_breach(&e, 2, "with no number");
 }
 
 #[test]
@@ -374,7 +385,7 @@
 
 #[test]
 fn rule_3_new_attempt_after_the_drain_grace() {
-    let told = |at: u64| {
+    let drained = |at: u64| {
         let mut e = served(Effect::Idempotent);
         e.list_changes.push(ListChange {
             at,
@@ -384,36 +395,36 @@
         });
         e
     };
-    assert_eq!(findings(&told(S)), vec![], "within the grace");
-    breaks(&told(10 * MS), 3, "call x reached w1");
-    let mut back = told(10 * MS);
-    back.list_changes.push(ListChange {
+    assert_eq!(breaches(&drained(S)), vec![], "within the drain grace");
+    assert_breach(&drained(10 * MS), 3, "call x reached w1");
+    let mut on_again = drained(10 * MS);
+    on_again.list_changes.push(ListChange {
         at: 20 * MS,
         written: 20 * MS,
         worker: "w1".into(),
         state: WorkerState::On,
     });
-    assert_eq!(findings(&back), vec![], "it is on again");
-    // The run's thread lost the core while it wrote the files: a controller may have read its own at the end alone.
-    let mut slow = told(10 * MS);
-    slow.list_changes[0].written = S;
-    assert_eq!(findings(&slow), vec![], "the grace begins when every controller may know");
+    assert_eq!(breaches(&on_again), vec![], "the worker is on again");
+    // The thread that writes the lists was delayed between the files, so a controller may have read its own file late.
+    let mut slow_write = drained(10 * MS);
+    slow_write.list_changes[0].written = S;
+    assert_eq!(breaches(&slow_write), vec![], "the grace begins once all files are written");
     let mut order = empty();
     order.list_changes.push(ListChange { at: S, written: S, worker: "w1".into(), state: WorkerState::Gone });
     sent(&mut order, 3 * S, "y", Effect::Idempotent);
     client(&mut order, 3 * S + 1, "y", ClientObservation::Final(FinalStatus::Refused));
     let seen = ObservationKind::Order { controller: "0".into(), model: "echo".into(), copies: 1 };
     worker(&mut order, 3 * S, "w1", seen);
-    breaks(&order, 3, "an order to load echo reached w1");
+    assert_breach(&order, 3, "an order to load echo reached w1");
 }
 
 #[test]
 fn rule_4_warming_worker_is_overloaded() {
     let mut e = empty();
     worker(&mut e, S, "w1", ObservationKind::Up { cold: true });
-    assert_eq!(findings(&e), vec![]);
+    assert_eq!(breaches(&e), vec![]);
     worker(&mut e, 2 * S, "w1", ObservationKind::Fell);
-    breaks(&e, 4, "w1 was pushed over while cold");
+    assert_breach(&e, 4, "w1 was pushed over while cold");
 }
 
 #[test]
@@ -430,20 +441,24 @@
         }
         e
     };
-    // One is free, and one more for each two calls.
-    assert_eq!(findings(&orders(&[2 * S, 2 * S + 1], 2)), vec![]);
-    breaks(&orders(&[2 * S, 2 * S + 1, 2 * S + 2], 2), 5, "3 load orders in the window, 2.0 permitted");
-    assert_eq!(findings(&orders(&[2 * S, 5 * S, 8 * S], 0)), vec![], "a window each");
-    let mut controller_runs = orders(&[2 * S, 2 * S + 10], 0);
-    controller_runs.controller_runs[0].to = Some(2 * S + 5);
-    controller_runs.controller_runs.push(ControllerRun {
+    // One load order is always permitted, and one more for every two calls.
+    assert_eq!(breaches(&orders(&[2 * S, 2 * S + 1], 2)), vec![]);
+    assert_breach(
+        &orders(&[2 * S, 2 * S + 1, 2 * S + 2], 2),
+        5,
+        "3 load orders in the window, 2.0 permitted",
+    );
+    assert_eq!(breaches(&orders(&[2 * S, 5 * S, 8 * S], 0)), vec![], "each order has a window of its own");
+    let mut restarted = orders(&[2 * S, 2 * S + 10], 0);
+    restarted.controller_runs[0].to = Some(2 * S + 5);
+    restarted.controller_runs.push(ControllerRun {
         controller: 0,
         zone: "a".into(),
         from: 2 * S + 6,
         ending: None,
         to: None,
     });
-    breaks(&controller_runs, 5, "2 load orders in the window");
-    controller_runs.workers[1].at = 5 * S;
-    assert_eq!(findings(&controller_runs), vec![], "a window after the other life's last one");
+    assert_breach(&restarted, 5, "2 load orders in the window");
+    restarted.workers[1].at = 5 * S;
+    assert_eq!(breaches(&restarted), vec![], "the earlier incarnation's order is outside the window");
 }
