--- a/crates/scenario/src/attempts.rs
+++ b/crates/scenario/src/attempts.rs
@@ -2,7 +2,7 @@
 //!
 //! The attempts of a call are ordered by their numbers (header `nettleferry-attempt`), not by arrival: on a link that
 //! was cut, an earlier attempt may arrive last, directly followed by its cancellation. The time of arrival is therefore
-//! only the latest time at which a message may have been sent; [`Links::left_by`] returns the earliest.
+//! only the latest time at which a message may have been sent; [`Links::earliest_sent`] returns the earliest.
 
 use std::collections::BTreeMap;
 
@@ -139,30 +139,30 @@
 
     /// The earliest time at which the controller can have sent a message that arrived at the worker at `at`. Nothing
     /// arrives while a link is cut; whatever was sent in that time arrives when the link is restored.
-    pub(crate) fn left_by(&self, worker: &str, controller: usize, at: Micros) -> Micros {
-        let mut left = at;
+    pub(crate) fn earliest_sent(&self, worker: &str, controller: usize, at: Micros) -> Micros {
+        let mut earliest = at;
         while let Some(cut) = self
             .cuts(worker, controller)
-            .find(|cut| cut.from < left && left <= cut.to.saturating_add(self.slack))
+            .find(|cut| cut.from < earliest && earliest <= cut.to.saturating_add(self.slack))
         {
-            left = cut.from;
+            earliest = cut.from;
         }
-        left.saturating_sub(self.slack)
+        earliest.saturating_sub(self.slack)
     }
 
     /// The earliest time at which the controller can have sent the attempt.
-    pub(crate) fn sent(&self, attempt: &Attempt) -> Micros {
-        self.left_by(&attempt.worker, attempt.controller, attempt.arrived)
+    pub(crate) fn attempt_earliest_sent(&self, attempt: &Attempt) -> Micros {
+        self.earliest_sent(&attempt.worker, attempt.controller, attempt.arrived)
     }
 
     /// The earliest time at which the attempt can have ended for its controller: when the controller received the
     /// answer or cancelled the attempt.
-    pub(crate) fn ended(&self, attempt: &Attempt) -> Micros {
+    pub(crate) fn attempt_earliest_end(&self, attempt: &Attempt) -> Micros {
         let Some(end) = attempt.end else {
-            return self.left_by(&attempt.worker, attempt.controller, self.evidence.until);
+            return self.earliest_sent(&attempt.worker, attempt.controller, self.evidence.until);
         };
         if end.kind == EndKind::Cancelled {
-            return self.left_by(&attempt.worker, attempt.controller, end.at);
+            return self.earliest_sent(&attempt.worker, attempt.controller, end.at);
         }
         // An answered attempt was not cancelled before the worker answered, unless the cancellation was delayed: one
         // that was sent while the link was cut is read once the link is restored.
@@ -175,7 +175,7 @@
             cut.from < end.at && end.at <= read_from.saturating_add(READ_DELAY)
         });
         match delaying_cut {
-            Some(cut) => self.left_by(&attempt.worker, attempt.controller, cut.from),
+            Some(cut) => self.earliest_sent(&attempt.worker, attempt.controller, cut.from),
             None => end.at.saturating_sub(self.slack),
         }
     }
--- a/crates/scenario/src/audit.rs
+++ b/crates/scenario/src/audit.rs
@@ -68,7 +68,7 @@
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct LoadOrder {
     arrived: Micros,
-    left: Micros,
+    earliest_sent: Micros,
 }
 
 /// An attempt or a load order that arrived at a worker.
@@ -194,7 +194,7 @@
         let Some(ended) = first.map(|answer| answer.at).or(call.cancelled) else { return };
         for attempt in attempts {
             // An attempt that was already on its way when the call ended is permitted.
-            if self.links.sent(attempt) > ended {
+            if self.links.attempt_earliest_sent(attempt) > ended {
                 let what = format!("an attempt reached {} after the call had ended", attempt.worker);
                 self.add_call_breach(1, attempt.arrived, id, &what);
             }
@@ -222,7 +222,7 @@
         }
         for (index, later) in attempts.iter().enumerate() {
             for earlier in &attempts[..index] {
-                if self.links.ended(earlier) > later.arrived {
+                if self.links.attempt_earliest_end(earlier) > later.arrived {
                     let what = format!(
                         "an attempt at {} began while one at {} was open",
                         later.worker, earlier.worker
@@ -253,7 +253,7 @@
         let bound = &attempts[first].worker;
         let home = location(bound);
         // The first attempt was sent before any later attempt arrived, even if it arrived after them itself.
-        let left = attempts[first..].iter().map(|attempt| attempt.arrived).min().unwrap_or(0);
+        let latest_sent = attempts[first..].iter().map(|attempt| attempt.arrived).min().unwrap_or(0);
         let mut found = Vec::new();
         for later in &attempts[first + 1..] {
             let there = location(&later.worker);
@@ -266,7 +266,7 @@
                 let what = format!("keyed, repeated at {} outside the group of {bound}", later.worker);
                 found.push((later.arrived, what));
             }
-            if self.links.sent(later) > left + window {
+            if self.links.attempt_earliest_sent(later) > latest_sent + window {
                 found.push((later.arrived, "keyed, repeated after its window".to_owned()));
             }
         }
@@ -304,14 +304,17 @@
     fn check_drained(&mut self, arrival: Arrival) {
         let Arrival { worker, controller, at, call, what } = arrival;
         let grace = self.evidence.parameters.drain_grace + self.evidence.parameters.list_check;
-        // It may have been sent at any time from `left` until it arrived.
-        let left = self.links.left_by(worker, controller, at);
-        let Some(listed) = self.last_listed(worker, left) else { return };
+        // It may have been sent at any time from `earliest_sent` until it arrived.
+        let earliest_sent = self.links.earliest_sent(worker, controller, at);
+        let Some(listed) = self.last_listed(worker, earliest_sent) else { return };
         let turned_on_in_transit = |change: &ListChange| {
-            change.worker == worker && change.state == WorkerState::On && change.at > left && change.at <= at
+            change.worker == worker
+                && change.state == WorkerState::On
+                && change.at > earliest_sent
+                && change.at <= at
         };
         if listed.state == WorkerState::On
-            || left <= listed.written + grace
+            || earliest_sent <= listed.written + grace
             || self.evidence.list_changes.iter().any(turned_on_in_transit)
         {
             return;
@@ -362,8 +365,8 @@
             // Times of sending are only known within bounds. In the controller's favour, an order counts only if it
             // must have been sent within the window, and a call if it may have been.
             let from = order.arrived.saturating_sub(parameters.ration_window);
-            let count = orders[..index].iter().filter(|earlier| earlier.left > from).count() + 1;
-            let since = order.left.saturating_sub(parameters.ration_window);
+            let count = orders[..index].iter().filter(|earlier| earlier.earliest_sent > from).count() + 1;
+            let since = order.earliest_sent.saturating_sub(parameters.ration_window);
             let accepted = calls.iter().filter(|sent| **sent >= since && **sent <= order.arrived).count();
             let permitted = parameters.ration_floor + parameters.ration_share * accepted as f64;
             if count as f64 > permitted {
@@ -382,16 +385,17 @@
         runs.any(|run| at >= run.from && run.to.is_none_or(|to| at < to))
     }
 
-    /// The load orders of a controller, ordered by arrival.
+    /// The load orders that a controller sent while its process was running, ordered by arrival.
     fn load_orders(&self, number: usize) -> Vec<LoadOrder> {
         let mut orders = Vec::new();
         for record in &self.evidence.workers {
             if let ObservationKind::Order { controller, .. } = &record.seen
                 && controller.parse() == Ok(number)
             {
-                let left = self.links.left_by(&record.worker, number, record.at);
-                if self.was_running(number, record.at) && self.was_running(number, left + self.slack) {
-                    orders.push(LoadOrder { arrived: record.at, left });
+                let earliest_sent = self.links.earliest_sent(&record.worker, number, record.at);
+                if self.was_running(number, record.at) && self.was_running(number, earliest_sent + self.slack)
+                {
+                    orders.push(LoadOrder { arrived: record.at, earliest_sent });
                 }
             }
         }
--- a/crates/scenario/src/client.rs
+++ b/crates/scenario/src/client.rs
@@ -69,7 +69,8 @@
     connections: HashMap<SocketAddr, Connections>,
     rpcs: HashMap<StreamKey, Rpc>,
     streams: HashMap<u64, StreamKey>,
-    next: u64,
+    /// Number of the RPC that was opened last.
+    last_rpc: u64,
     events: Vec<NetEvent>,
 }
 
@@ -85,7 +86,7 @@
             connections: HashMap::new(),
             rpcs: HashMap::new(),
             streams: HashMap::new(),
-            next: 0,
+            last_rpc: 0,
             events: Vec::new(),
         })
     }
@@ -112,8 +113,8 @@
         }
         let head = head.body(()).map_err(|error| io::Error::new(io::ErrorKind::InvalidInput, error))?;
         let stream = self.open_stream(to, head)?;
-        self.next += 1;
-        let rpc = self.next;
+        self.last_rpc += 1;
+        let rpc = self.last_rpc;
         self.rpcs.insert(stream, Rpc { number: rpc, wrong_status: false });
         self.streams.insert(rpc, stream);
         for message in request.messages {
@@ -200,13 +201,13 @@
         let mut events = std::mem::take(&mut self.events);
         self.hub.poll(wait, &mut events)?;
         for event in events.drain(..) {
-            self.event(event, out);
+            self.handle_event(event, out);
         }
         self.events = events;
         Ok(())
     }
 
-    fn event(&mut self, event: NetEvent, out: &mut Vec<ClientEvent>) {
+    fn handle_event(&mut self, event: NetEvent, out: &mut Vec<ClientEvent>) {
         match event {
             NetEvent::Message { stream, payload } => {
                 if let Some(rpc) = self.rpcs.get(&stream) {
--- a/crates/scenario/src/event_log.rs
+++ b/crates/scenario/src/event_log.rs
@@ -160,25 +160,25 @@
 pub fn of_call(evidence: &Evidence, id: &str) -> String {
     let lines = lines(evidence);
     let is_of_call = |line: &Line| line.call.as_deref() == Some(id);
-    let own = || lines.iter().filter(|line| is_of_call(line));
-    let mut involved: Vec<String> = own().map(|line| line.observer.clone()).collect();
+    let call_lines = || lines.iter().filter(|line| is_of_call(line));
+    let mut involved: Vec<String> = call_lines().map(|line| line.observer.clone()).collect();
     for record in evidence.clients.iter().filter(|record| record.id == id) {
         if let ClientObservation::Sent { controller, .. } = &record.what {
             involved.push(format!("controller {controller}"));
         }
     }
-    let from = own().map(|line| line.at).min().unwrap_or(0);
-    let to = own().map(|line| line.at).max().unwrap_or(0);
+    let from = call_lines().map(|line| line.at).min().unwrap_or(0);
+    let to = call_lines().map(|line| line.at).max().unwrap_or(0);
     // A fault that began before the call may explain what happened to it.
     let interval = from.saturating_sub(BEFORE)..=to;
     let mut out = String::new();
     for line in &lines {
-        let concerns = line.call.is_none()
+        let is_context = line.call.is_none()
             && interval.contains(&line.at)
             && involved.contains(&line.observer)
             && !line.what.starts_with("Probe")
             && !line.what.starts_with("Order");
-        if is_of_call(line) || concerns {
+        if is_of_call(line) || is_context {
             out.push_str("    ");
             write_line(&mut out, line);
         }
--- a/crates/scenario/src/evidence.rs
+++ b/crates/scenario/src/evidence.rs
@@ -28,7 +28,7 @@
         model: String,
         /// Time after which the client no longer wants an answer.
         deadline: Micros,
-        /// Whether a retry may repeat the effect of the call.
+        /// Effect of the call, which decides how it may be retried.
         effect: Effect,
         /// Name of the call's class.
         class: String,
--- a/crates/scenario/src/run.rs
+++ b/crates/scenario/src/run.rs
@@ -29,8 +29,8 @@
 
 /// Time within which a controller must exit after SIGTERM at the end of the run.
 const END_LIMIT: Duration = Duration::from_secs(20);
-/// Maximum number of retries when a controller that starts again fails, since its listening address may still be in
-/// use for a moment.
+/// Maximum number of retries of a failed restart of a controller, whose listening address may still be in use for a
+/// moment.
 const START_RETRIES: u32 = 50;
 /// Pause between two attempts to start a controller.
 const START_PAUSE: Duration = Duration::from_millis(100);
@@ -167,7 +167,7 @@
             self.add_fault(begin, fault);
         }
         while !clients.is_finished() || !self.timeline.is_empty() {
-            self.act_due()?;
+            self.perform_due()?;
             std::thread::sleep(TICK);
         }
         clients.join().map_err(|_| ScenarioError::Clients)?.map_err(system("the clients failed"))
@@ -193,9 +193,9 @@
     }
 
     /// Performs the actions that are due, and records processes that have ended.
-    fn act_due(&mut self) -> Result<(), ScenarioError> {
+    fn perform_due(&mut self) -> Result<(), ScenarioError> {
         while let Some(action) = self.timeline.take_due(self.now()) {
-            self.act(action)?;
+            self.perform(action)?;
         }
         for number in 0..self.controllers.len() {
             if let Some(code) = self.controllers[number].ended() {
@@ -222,7 +222,7 @@
         }
     }
 
-    fn act(&mut self, action: Action) -> Result<(), ScenarioError> {
+    fn perform(&mut self, action: Action) -> Result<(), ScenarioError> {
         match action {
             Action::Fault { worker, fault } => {
                 if let Some(handle) = self.handles.iter().find(|handle| handle.name == worker) {
--- a/crates/scenario/src/traffic.rs
+++ b/crates/scenario/src/traffic.rs
@@ -115,7 +115,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Timer {
     Cancel(String),
-    ReadOn(u64),
+    ResumeReading(u64),
     GiveUp(String),
 }
 
@@ -226,10 +226,10 @@
         let id = format!("{index}.{count}");
         let slow = traffic.streamed && !traffic.shared && self.random.random::<f64>() < traffic.slow;
         let cancel = !traffic.shared && self.random.random::<f64>() < traffic.cancel;
-        let span = traffic.deadline.map_or(settings.deadline, |deadline| deadline.min(settings.deadline));
-        let message = request(&traffic, &model, &id);
+        let timeout = traffic.deadline.map_or(settings.deadline, |deadline| deadline.min(settings.deadline));
+        let message = encode_request(&traffic, &model, &id);
         let now = self.now();
-        let deadline = now + span;
+        let deadline = now + timeout;
         let sent = ClientObservation::Sent {
             controller: target.controller,
             model,
@@ -240,16 +240,16 @@
             slow,
         };
         self.record(&id, sent);
-        let rpc = self.open_rpc(index, target, &traffic, span, message)?;
+        let rpc = self.open_rpc(index, target, &traffic, timeout, message)?;
         self.rpcs.entry(rpc).or_default().insert(id.clone());
         self.open.insert(id.clone(), OpenCall { rpc, answered: false });
         if cancel {
-            let at = now + self.random.random_range(0..span.max(2) / 2);
+            let at = now + self.random.random_range(0..timeout.max(2) / 2);
             self.timers.insert((at, Timer::Cancel(id.clone())));
         }
         if slow {
             self.client.set_reading(rpc, false);
-            self.timers.insert((now + SLOW_READER_PAUSE, Timer::ReadOn(rpc)));
+            self.timers.insert((now + SLOW_READER_PAUSE, Timer::ResumeReading(rpc)));
         }
         self.timers.insert((deadline + ANSWER_GRACE, Timer::GiveUp(id)));
         Ok(())
@@ -277,7 +277,7 @@
         source: usize,
         target: Target,
         traffic: &Traffic,
-        span: Micros,
+        timeout: Micros,
         message: Bytes,
     ) -> io::Result<u64> {
         let key = (source, target.controller);
@@ -292,7 +292,7 @@
                     method: if traffic.streamed { "ModelStreamInfer" } else { "ModelInfer" },
                     messages: vec![message],
                     keep_open: traffic.shared,
-                    timeout: (!traffic.shared).then(|| Duration::from_micros(span)),
+                    timeout: (!traffic.shared).then(|| Duration::from_micros(timeout)),
                     headers: Vec::new(),
                 };
                 self.client.call(target.address, request)?
@@ -313,7 +313,7 @@
             }
             let Some((_, timer)) = self.timers.pop_first() else { return };
             match timer {
-                Timer::ReadOn(rpc) => self.client.set_reading(rpc, true),
+                Timer::ResumeReading(rpc) => self.client.set_reading(rpc, true),
                 Timer::Cancel(id) => {
                     if let Some(open) = self.open.get(&id).filter(|open| !open.answered) {
                         let rpc = open.rpc;
@@ -337,7 +337,7 @@
     }
 
     /// Records the final answer of a call on a stream.
-    fn end(&mut self, id: &str, end: FinalStatus) {
+    fn record_final(&mut self, id: &str, end: FinalStatus) {
         // A second final answer is recorded as well, since the audit counts final answers.
         self.record(id, ClientObservation::Final(end));
         if let Some(open) = self.open.get_mut(id) {
@@ -349,7 +349,7 @@
         match event {
             ClientEvent::Message { rpc, payload } => {
                 if !self.unary.contains(&rpc) {
-                    self.message(payload);
+                    self.handle_message(payload);
                 }
             }
             ClientEvent::End { rpc, status, trailers } => {
@@ -375,7 +375,7 @@
     }
 
     /// Records a response message of a streaming RPC. Messages that can't be decoded are ignored.
-    fn message(&mut self, payload: Bytes) {
+    fn handle_message(&mut self, payload: Bytes) {
         let Ok(message) = ModelStreamInferResponse::decode(payload) else { return };
         let response = message.infer_response.unwrap_or_default();
         let id = response.id;
@@ -383,9 +383,9 @@
             let refused = response.parameters.get("grpc_status").is_some_and(
                 |p| matches!(&p.parameter_choice, Some(ParameterChoice::StringParam(s)) if s == "UNAVAILABLE"),
             );
-            self.end(&id, if refused { FinalStatus::Refused } else { FinalStatus::Failed });
+            self.record_final(&id, if refused { FinalStatus::Refused } else { FinalStatus::Failed });
         } else if response.parameters.get(FINAL).and_then(InferParameter::boolean) == Some(true) {
-            self.end(&id, FinalStatus::Served);
+            self.record_final(&id, FinalStatus::Served);
         } else {
             self.record(&id, ClientObservation::Part);
         }
@@ -419,7 +419,7 @@
 }
 
 /// Encodes the request of a call.
-fn request(traffic: &Traffic, model: &str, id: &str) -> Bytes {
+fn encode_request(traffic: &Traffic, model: &str, id: &str) -> Bytes {
     let request = if model.starts_with("climb") {
         let heights: Vec<f32> = (0..=traffic.segments * 4).map(|n| ((n * 37) % 11) as f32).collect();
         climb_request(model, id, &heights, traffic.segments)
--- a/crates/simulation/src/events.rs
+++ b/crates/simulation/src/events.rs
@@ -45,13 +45,13 @@
 
 impl<E> Events<E> {
     /// Schedules an event. An event in the past is scheduled for the current time.
-    pub fn at(&mut self, when: Micros, event: E) {
+    pub fn schedule(&mut self, when: Micros, event: E) {
         self.sequence += 1;
         self.heap.push(Scheduled(Reverse((when.max(self.now), self.sequence)), event));
     }
 
     /// Removes and returns the next event with its time, to which the current time advances.
-    pub fn take(&mut self) -> Option<(Micros, E)> {
+    pub fn pop(&mut self) -> Option<(Micros, E)> {
         let Scheduled(Reverse((when, _)), event) = self.heap.pop()?;
         self.now = when;
         Some((when, event))
--- a/crates/simulation/src/follow.rs
+++ b/crates/simulation/src/follow.rs
@@ -184,7 +184,7 @@
 /// Runs the simulation. Equal plans give equal outcomes.
 pub fn simulate(plan: Plan) -> Outcome {
     let mut simulation = Simulation::new(plan);
-    while let Some((now, event)) = simulation.events.take() {
+    while let Some((now, event)) = simulation.events.pop() {
         if now >= plan.length {
             break;
         }
@@ -199,10 +199,10 @@
         let mut events = Events::default();
         let count = plan.controllers as usize;
         for follower in 0..count {
-            events.at(random.random_range(0..START_JITTER), Event::Send(follower));
+            events.schedule(random.random_range(0..START_JITTER), Event::Send(follower));
         }
-        events.at(FIRST_CHANGE_AT, Event::Change);
-        events.at(0, Event::Sample);
+        events.schedule(FIRST_CHANGE_AT, Event::Change);
+        events.schedule(0, Event::Sample);
         let policy = LeasePolicy { rejects: true, not_ready_after: None };
         let follower = |_| Follower {
             revision: 0,
@@ -252,23 +252,23 @@
 
     fn handle(&mut self, now: Micros, event: Event) {
         match event {
-            Event::Change => self.change(now),
+            Event::Change => self.make_change(now),
             Event::Send(follower) => self.send_heartbeat(now, follower),
-            Event::Arrival(heartbeat) => self.heartbeat(now, &heartbeat),
+            Event::Arrival(heartbeat) => self.handle_heartbeat(now, &heartbeat),
             Event::ResponseDue { follower, number } => {
                 let due = self.waiting[follower].take_if(|waiting| waiting.number == number);
                 if let Some(waiting) = due {
                     self.respond(now, follower, waiting);
                 }
             }
-            Event::Response(response) => self.response(now, &response),
-            Event::Timeout { follower, number } => self.timeout(now, follower, number),
+            Event::Response(response) => self.handle_response(now, &response),
+            Event::Timeout { follower, number } => self.handle_timeout(now, follower, number),
             Event::Sample => self.sample(now),
         }
     }
 
     /// Makes a change and sends it to the followers whose heartbeats are waiting.
-    fn change(&mut self, now: Micros) {
+    fn make_change(&mut self, now: Micros) {
         self.revision += 1;
         self.open.push(OpenChange { revision: self.revision, made: now });
         for follower in 0..self.waiting.len() {
@@ -277,19 +277,20 @@
             }
         }
         let gap = -(1.0 - self.random.random::<f64>()).ln() / self.plan.changes;
-        self.events.at(now + (gap * 1e6) as Micros, Event::Change);
+        self.events.schedule(now + (gap * 1e6) as Micros, Event::Change);
     }
 
-    fn send_heartbeat(&mut self, now: Micros, number_of_follower: usize) {
-        let follower = &self.followers[number_of_follower];
-        let timeout_ms =
-            follower.lease_ms.map_or(FIRST_TIMEOUT_MS, |span| span / HEARTBEATS_PER_SPAN * TIMEOUT_INTERVALS);
+    fn send_heartbeat(&mut self, now: Micros, follower_index: usize) {
+        let follower = &self.followers[follower_index];
+        let timeout_ms = follower
+            .lease_ms
+            .map_or(FIRST_TIMEOUT_MS, |duration_ms| duration_ms / HEARTBEATS_PER_SPAN * TIMEOUT_INTERVALS);
         let (number, revision) = (follower.number, follower.revision);
-        let timeout = Event::Timeout { follower: number_of_follower, number };
-        self.events.at(now + timeout_ms * 1000, timeout);
+        let timeout = Event::Timeout { follower: follower_index, number };
+        self.events.schedule(now + timeout_ms * 1000, timeout);
         if let Some(duration) = self.plan.network.transfer_time(&mut self.random, EMPTY_BYTES) {
-            let heartbeat = Heartbeat { follower: number_of_follower, sent: now, number, revision };
-            self.events.at(now + duration, Event::Arrival(heartbeat));
+            let heartbeat = Heartbeat { follower: follower_index, sent: now, number, revision };
+            self.events.schedule(now + duration, Event::Arrival(heartbeat));
         }
     }
 
@@ -301,7 +302,7 @@
     }
 
     /// Processes a heartbeat at the leader. The response is delayed if the follower has every change and a lease.
-    fn heartbeat(&mut self, now: Micros, heartbeat: &Heartbeat) {
+    fn handle_heartbeat(&mut self, now: Micros, heartbeat: &Heartbeat) {
         let Heartbeat { follower, sent, number, revision } = *heartbeat;
         self.meter.count(now, EMPTY_BYTES);
         let done = self.process(now);
@@ -316,7 +317,7 @@
         }
         self.waiting[follower] = Some(waiting);
         let wait_ms = self.plan.lease_ms / HEARTBEATS_PER_SPAN;
-        self.events.at(done + wait_ms * 1000, Event::ResponseDue { follower, number });
+        self.events.schedule(done + wait_ms * 1000, Event::ResponseDue { follower, number });
     }
 
     /// Sends a follower the changes that it does not have and, if membership grants one, a lease.
@@ -331,12 +332,12 @@
         if let Some(duration) = self.plan.network.transfer_time(&mut self.random, bytes) {
             let WaitingHeartbeat { sent, number } = heartbeat;
             let response = Response { follower, sent, number, revision, lease_ms };
-            self.events.at(done + duration, Event::Response(response));
+            self.events.schedule(done + duration, Event::Response(response));
         }
     }
 
     /// Processes a response at the follower, which renews its lease and sends the next heartbeat.
-    fn response(&mut self, now: Micros, response: &Response) {
+    fn handle_response(&mut self, now: Micros, response: &Response) {
         let follower = &mut self.followers[response.follower];
         if follower.number != response.number {
             return;
@@ -345,15 +346,15 @@
         follower.failures = 0;
         follower.lease_ms = response.lease_ms.or(follower.lease_ms);
         follower.revision = follower.revision.max(response.revision);
-        if let Some(span) = response.lease_ms {
-            follower.lease.renewed(lease::expires_at(ms(response.sent), span));
+        if let Some(duration_ms) = response.lease_ms {
+            follower.lease.renewed(lease::expires_at(ms(response.sent), duration_ms));
         }
         self.send_heartbeat(now, response.follower);
     }
 
     /// Schedules the next heartbeat after a backoff, unless the response arrived in time.
-    fn timeout(&mut self, now: Micros, number_of_follower: usize, number: u64) {
-        let follower = &mut self.followers[number_of_follower];
+    fn handle_timeout(&mut self, now: Micros, follower_index: usize, number: u64) {
+        let follower = &mut self.followers[follower_index];
         if follower.number != number {
             return;
         }
@@ -362,7 +363,7 @@
         let doublings = (follower.failures - 1).min(MAX_BACKOFF_DOUBLINGS);
         let longest_ms = (MIN_BACKOFF << doublings).min(MAX_BACKOFF);
         let wait_ms = self.random.random_range(longest_ms / 2..=longest_ms);
-        self.events.at(now + wait_ms * 1000, Event::Send(number_of_follower));
+        self.events.schedule(now + wait_ms * 1000, Event::Send(follower_index));
     }
 
     /// Acknowledges the changes that are in force everywhere. A follower that lacks such a change and is allowed to
@@ -391,6 +392,6 @@
                 self.samples.without += u64::from(!follower.lease.stage(ms(now)).accepts_calls());
             }
         }
-        self.events.at(now + SAMPLING_INTERVAL, Event::Sample);
+        self.events.schedule(now + SAMPLING_INTERVAL, Event::Sample);
     }
 }
--- a/crates/simulation/src/power/bootstrap.rs
+++ b/crates/simulation/src/power/bootstrap.rs
@@ -17,7 +17,7 @@
 /// Maximum wait before the next round of requests.
 const MAX_ROUND_WAIT: Micros = 10_000_000;
 
-/// Converts the index of a peer, which skips the controller itself, to the number of a controller.
+/// Converts the index of a peer, which does not count the controller itself, to a controller number.
 fn peer_number(controller: usize, peer: usize) -> usize {
     if peer >= controller { peer + 1 } else { peer }
 }
@@ -37,7 +37,7 @@
         state.request += 1;
         let request = state.request;
         let timeout = SnapshotResponse { controller, peer, snapshot: None, request };
-        self.events.at(now + RESPONSE_TIMEOUT, Event::Response(timeout));
+        self.events.schedule(now + RESPONSE_TIMEOUT, Event::Response(timeout));
         let Some(there) = self.plan.network.transfer_time(&mut self.random, EMPTY_BYTES) else { return };
         let arrival = now + there;
         let snapshot = match peer {
@@ -54,7 +54,7 @@
         }
         if let Some(back) = self.plan.network.transfer_time(&mut self.random, bytes) {
             let response = SnapshotResponse { controller, peer, snapshot, request };
-            self.events.at(arrival + back, Event::Response(response));
+            self.events.schedule(arrival + back, Event::Response(response));
         }
     }
 
@@ -71,18 +71,18 @@
             Step::Wait(until_ms) => {
                 state.leader_asked = false;
                 let until = until_ms.saturating_mul(1000).clamp(now + MIN_ROUND_WAIT, now + MAX_ROUND_WAIT);
-                self.events.at(until, Event::Bootstrap(controller));
+                self.events.schedule(until, Event::Bootstrap(controller));
             }
             Step::Request(peer) => self.request_snapshot(now, controller, Some(peer)),
             Step::Install(_) => {
                 (state.snapshot, state.snapshot_since) = (Some(snapshot(&self.plan)), now);
             }
-            Step::Forked => self.events.at(now + MIN_ROUND_WAIT, Event::Bootstrap(controller)),
+            Step::Forked => self.events.schedule(now + MIN_ROUND_WAIT, Event::Bootstrap(controller)),
         }
     }
 
     /// Processes a response or a timeout. A response to an earlier request is ignored.
-    pub(super) fn snapshot_response(&mut self, now: Micros, response: SnapshotResponse) {
+    pub(super) fn handle_snapshot_response(&mut self, now: Micros, response: SnapshotResponse) {
         let SnapshotResponse { controller, peer, snapshot, request } = response;
         let state = &mut self.controllers[controller];
         if state.request != request || state.snapshot.is_some() {
@@ -97,6 +97,6 @@
             }
             (Some(peer), None) => state.bootstrap.peer_responded(peer, PeerResponse::NoSnapshot),
         }
-        self.events.at(now, Event::Bootstrap(controller));
+        self.events.schedule(now, Event::Bootstrap(controller));
     }
 }
--- a/crates/simulation/src/power/calls.rs
+++ b/crates/simulation/src/power/calls.rs
@@ -20,7 +20,7 @@
 impl Simulation {
     /// Processes an attempt of a client: queues the call, or schedules a retry after a refusal unless the retries or
     /// the deadline are exhausted.
-    pub(super) fn call(&mut self, now: Micros, attempt: CallAttempt) {
+    pub(super) fn handle_call(&mut self, now: Micros, attempt: CallAttempt) {
         let verdict = self.admit(now, &attempt);
         let CallAttempt { controller, first, refusals, model } = attempt;
         match verdict {
@@ -44,7 +44,7 @@
                     self.end_call(first, CallEnd::Refused);
                 } else {
                     let retry = CallAttempt { controller, first, refusals: refusals + 1, model };
-                    self.events.at(retry_at, Event::Call(retry));
+                    self.events.schedule(retry_at, Event::Call(retry));
                 }
             }
         }
@@ -94,7 +94,7 @@
             // The duration depends on the number of concurrent loads when this one begins.
             let contention = f64::from(self.loading) / f64::from(self.plan.store_capacity);
             let duration = self.plan.load_time as f64 * contention.max(1.0);
-            self.events.at(now + duration as Micros, Event::Loaded { controller: number, model });
+            self.events.schedule(now + duration as Micros, Event::Loaded { controller: number, model });
         }
     }
 
@@ -102,7 +102,7 @@
     /// on how far the workers have warmed up.
     pub(super) fn serve(&mut self, now: Micros, number: usize) {
         let plan = self.plan;
-        self.end_expired(now, number);
+        self.remove_abandoned(now, number);
         let controller = &mut self.controllers[number];
         if controller.serving.is_some() || now < plan.warm_up_wait {
             return;
@@ -117,11 +117,11 @@
         }
         let warmed_up = (now as f64 / plan.warm_up.max(1) as f64).min(1.0);
         let capacity = plan.capacity * (plan.initial_capacity + (1.0 - plan.initial_capacity) * warmed_up);
-        self.events.at(now + (1e6 / capacity) as Micros, Event::Served(number));
+        self.events.schedule(now + (1e6 / capacity) as Micros, Event::Served(number));
     }
 
     /// Removes the calls at the head of the queue that their clients have abandoned.
-    fn end_expired(&mut self, now: Micros, number: usize) {
+    fn remove_abandoned(&mut self, now: Micros, number: usize) {
         let deadline = self.plan.deadline;
         loop {
             let controller = &mut self.controllers[number];
@@ -134,7 +134,7 @@
     }
 
     /// Records the outcome of the call that was being served, and serves the next one.
-    pub(super) fn served(&mut self, now: Micros, number: usize) {
+    pub(super) fn finish_call(&mut self, now: Micros, number: usize) {
         let controller = &mut self.controllers[number];
         if let Some(call) = controller.serving.take() {
             controller.served += 1;
--- a/crates/simulation/src/power/mod.rs
+++ b/crates/simulation/src/power/mod.rs
@@ -140,7 +140,7 @@
 /// Runs the simulation. Equal plans give equal outcomes.
 pub fn simulate(plan: Plan) -> Outcome {
     let mut simulation = Simulation::new(plan);
-    while let Some((now, event)) = simulation.events.take() {
+    while let Some((now, event)) = simulation.events.pop() {
         if now >= plan.length {
             break;
         }
@@ -163,10 +163,10 @@
         for number in 0..count {
             let start = random.random_range(0..START_JITTER);
             controllers.push(SimulatedController::new(&plan, start, &mut random));
-            events.at(start, Event::Bootstrap(number));
-            events.at(start, Event::NextClient(number));
+            events.schedule(start, Event::Bootstrap(number));
+            events.schedule(start, Event::NextClient(number));
         }
-        events.at(0, Event::Tick);
+        events.schedule(0, Event::Tick);
         Self {
             plan,
             random,
@@ -187,19 +187,19 @@
         match event {
             Event::NextClient(controller) => {
                 let model = self.random.random_range(0..self.plan.models);
-                self.call(now, CallAttempt { controller, first: now, refusals: 0, model });
+                self.handle_call(now, CallAttempt { controller, first: now, refusals: 0, model });
                 let gap = -(1.0 - self.random.random::<f64>()).ln() / self.plan.calls_per_second;
-                self.events.at(now + (gap * 1e6) as Micros, Event::NextClient(controller));
+                self.events.schedule(now + (gap * 1e6) as Micros, Event::NextClient(controller));
             }
-            Event::Call(attempt) => self.call(now, attempt),
-            Event::Served(controller) => self.served(now, controller),
+            Event::Call(attempt) => self.handle_call(now, attempt),
+            Event::Served(controller) => self.finish_call(now, controller),
             Event::Loaded { controller, model } => {
                 self.loading -= 1;
                 self.controllers[controller].replicas.insert(model, true);
                 self.serve(now, controller);
             }
             Event::Bootstrap(controller) => self.bootstrap(now, controller),
-            Event::Response(response) => self.snapshot_response(now, response),
+            Event::Response(response) => self.handle_snapshot_response(now, response),
             Event::Tick => {
                 for number in 0..self.controllers.len() {
                     self.order_loads(now, number);
@@ -207,7 +207,7 @@
                     controller.admission.advance(ms(now), controller.served);
                     self.serve(now, number);
                 }
-                self.events.at(now + TICK, Event::Tick);
+                self.events.schedule(now + TICK, Event::Tick);
             }
         }
     }
