--- a/crates/scenario/src/fleet.rs
+++ b/crates/scenario/src/fleet.rs
@@ -173,12 +173,13 @@
         format!("workers-{zone}.sexp")
     }
 
-    /// Changes a worker's state, and its time of start if `born` is given. [`WorkerLists::write`] writes the change.
-    pub fn change(&mut self, name: &str, state: WorkerState, born: Option<Micros>) {
+    /// Changes a worker's state, and its time of start if `started_at` is given. [`WorkerLists::write`] writes the
+    /// change.
+    pub fn change(&mut self, name: &str, state: WorkerState, started_at: Option<Micros>) {
         let mut workers = self.lines.iter_mut().map(|line| &mut line.worker);
         if let Some(worker) = workers.find(|worker| worker.name == name) {
             worker.state = state;
-            worker.born = born.or(worker.born);
+            worker.started_at = started_at.or(worker.started_at);
         }
     }
 
--- a/crates/scenario/src/run.rs
+++ b/crates/scenario/src/run.rs
@@ -231,8 +231,8 @@
             }
             Action::List { worker, state, restarted } => {
                 // The list states when the worker started, which is `list_lag` before the list changes.
-                let born = restarted.then(|| unix_time() - self.script.list_lag);
-                self.lists.change(&worker, state, born);
+                let started_at = restarted.then(|| unix_time() - self.script.list_lag);
+                self.lists.change(&worker, state, started_at);
                 self.write_lists()?;
             }
             Action::StaleList(stale) => {
