--- a/crates/gateway/benches/measure.rs
+++ b/crates/gateway/benches/measure.rs
@@ -268,7 +268,7 @@
     // batches and encodes them.
     let rounds = 480;
     let fresh = series.len() as f64 / 15.0;
-    let limits = Limits { bytes: 1 << 30, max_age: u64::MAX / 2, ..Limits::default() };
+    let limits = Limits { max_bytes: 1 << 30, max_age: u64::MAX / 2, ..Limits::default() };
     let mut queue = Queue::new(limits, 1);
     for round in 0..rounds {
         for n in 0..series.len() {
--- a/crates/gateway/benches/outage.rs
+++ b/crates/gateway/benches/outage.rs
@@ -140,7 +140,7 @@
         "outage: {} s at {SERIES} samples a second: queue at most {:.1} MiB of {}, spool at most {:.1} MiB of {}, this process {:.0} to {:.0} MiB; {tries} tries",
         AWAY,
         most(|p| p.1),
-        Limits::default().bytes >> 20,
+        Limits::default().max_bytes >> 20,
         most(|p| p.2),
         SPOOL >> 20,
         plot.first().map_or(0.0, |p| p.3),
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -146,8 +146,8 @@
             Stage::NotReady => LeaseStage::NotReady,
             Stage::Fenced => LeaseStage::Fenced,
         };
-        let (expiries, doubtful_acts) = (counters.expiries, counters.doubtful);
-        self.metrics.set_lease(&LeaseState { stage, expiries, doubtful_acts });
+        let (expiries, doubtful_actions) = (counters.expiries, counters.doubtful);
+        self.metrics.set_lease(&LeaseState { stage, expiries, doubtful_actions });
     }
 
     /// Sets what the leader knows of the fleet.
--- a/crates/gateway/src/remote_write/worker.rs
+++ b/crates/gateway/src/remote_write/worker.rs
@@ -70,7 +70,7 @@
             shards: settings.shards,
             batch_samples: settings.batch_samples,
             batch_age: settings.batch_age,
-            bytes: settings.queue_bytes,
+            max_bytes: settings.queue_bytes,
             max_age: settings.max_sample_age,
             ..Limits::default()
         };
--- a/crates/metrics/src/groups.rs
+++ b/crates/metrics/src/groups.rs
@@ -203,7 +203,7 @@
     pub(crate) recovery_rejections: Vec<Counter>,
     pub(crate) lease_stages: Vec<Gauge>,
     pub(crate) lease_expiries: Counter,
-    pub(crate) doubtful_acts: Counter,
+    pub(crate) doubtful_actions: Counter,
     pub(crate) stale_incarnations: Gauge,
     pub(crate) fenced_incarnations: Gauge,
     pub(crate) recovery_pending: Gauge,
@@ -244,7 +244,7 @@
                 stage,
             ),
             lease_expiries: counter(registry, "lease_lapses", "Leases that ran out before the next one came"),
-            doubtful_acts: counter(registry, "lease_doubtful_acts", doubtful_help),
+            doubtful_actions: counter(registry, "lease_doubtful_acts", doubtful_help),
             stale_incarnations: gauge(registry, "lives_behind", behind_help),
             fenced_incarnations: gauge(
                 registry,
--- a/crates/metrics/src/labels.rs
+++ b/crates/metrics/src/labels.rs
@@ -117,9 +117,9 @@
         /// There is no worker list yet.
         NoList => "no-list",
         /// Too many calls wait.
-        Crowded => "crowded",
+        Overloaded => "crowded",
         /// The model's class has not been served yet.
-        Unproven => "unproven",
+        UnconfirmedList => "unproven",
         /// The controller has no lease.
         WithoutLease => "without-lease",
     }
--- a/crates/metrics/src/registry.rs
+++ b/crates/metrics/src/registry.rs
@@ -110,7 +110,7 @@
     pub fn set_lease(&self, state: &LeaseState) {
         select(&self.fleet.lease_stages, state.stage as usize);
         raise(&self.fleet.lease_expiries, state.expiries);
-        raise(&self.fleet.doubtful_acts, state.doubtful_acts);
+        raise(&self.fleet.doubtful_actions, state.doubtful_actions);
     }
 
     /// Sets what the leader knows of the fleet.
--- a/crates/metrics/src/updates.rs
+++ b/crates/metrics/src/updates.rs
@@ -34,7 +34,7 @@
     /// Total of leases that expired before they were renewed.
     pub expiries: u64,
     /// Total of times that calls were accepted while the lease expired.
-    pub doubtful_acts: u64,
+    pub doubtful_actions: u64,
 }
 
 /// What the leader knows of the fleet.
--- a/crates/remote-write/src/excluded.rs
+++ b/crates/remote-write/src/excluded.rs
@@ -19,7 +19,7 @@
     /// Excludes a series, where there is room.
     pub(crate) fn insert(&mut self, now: Micros, series: u64, limits: &Limits) {
         if self.until.len() < limits.max_excluded_series {
-            self.until.insert(series, now + limits.exclusion);
+            self.until.insert(series, now + limits.exclusion_period);
         }
     }
 
--- a/crates/remote-write/src/limits.rs
+++ b/crates/remote-write/src/limits.rs
@@ -12,7 +12,7 @@
     /// Longest wait of a sample for its batch to fill.
     pub batch_age: Micros,
     /// Most bytes of all shards; the oldest samples are dropped first.
-    pub bytes: usize,
+    pub max_bytes: usize,
     /// Samples older than this are dropped.
     pub max_age: Micros,
     /// First wait before a batch is sent again.
@@ -24,7 +24,7 @@
     /// How often a batch and its parts are halved at most, before what is rejected is dropped.
     pub max_splits: u32,
     /// How long a series that was rejected alone is excluded.
-    pub exclusion: Micros,
+    pub exclusion_period: Micros,
     /// Most series that are excluded at once; further ones are sent again each time.
     pub max_excluded_series: usize,
     /// Most series whose last time is remembered, to keep them in order; samples of others are dropped.
@@ -37,13 +37,13 @@
             shards: 4,
             batch_samples: 2_000,
             batch_age: 5_000_000,
-            bytes: 32 << 20,
+            max_bytes: 32 << 20,
             max_age: 7_200_000_000,
             first_backoff: 30_000,
             max_backoff: 5_000_000,
             max_retry_after: 300_000_000,
             max_splits: 32,
-            exclusion: 600_000_000,
+            exclusion_period: 600_000_000,
             max_excluded_series: 1_000,
             max_series: 200_000,
         }
--- a/crates/remote-write/src/queue.rs
+++ b/crates/remote-write/src/queue.rs
@@ -151,7 +151,7 @@
         let shard = (mix(sample.series) % self.shards.len() as u64) as usize;
         let queued = QueuedSample { sample, arrived: now, sequence: self.sequence };
         let size = queued.size();
-        while self.bytes + size > self.limits.bytes {
+        while self.bytes + size > self.limits.max_bytes {
             if !self.drop_oldest() {
                 // All samples in the queue are in flight: there is no room for the new one.
                 self.counters.dropped_full += 1;
--- a/crates/remote-write/src/sample_clock.rs
+++ b/crates/remote-write/src/sample_clock.rs
@@ -8,7 +8,7 @@
 use crate::Micros;
 
 /// A wall clock that is ahead by more than this has stepped, and not drifted.
-pub const STEP: Micros = 5_000_000;
+pub const STEP_THRESHOLD: Micros = 5_000_000;
 /// A step forward is followed after it has lasted this long: a wall clock that jumps and returns is not followed.
 pub const STEP_CONFIRMATION: Micros = 60_000_000;
 /// The clock gains at most 1 microsecond in this many.
@@ -40,7 +40,7 @@
         self.monotonic = self.monotonic.max(monotonic);
         let free = self.time.saturating_add(passed);
         let ahead = wall.saturating_sub(free);
-        if ahead > STEP {
+        if ahead > STEP_THRESHOLD {
             let since = *self.ahead_since.get_or_insert(monotonic);
             if monotonic.saturating_sub(since) >= STEP_CONFIRMATION {
                 self.ahead_since = None;
--- a/crates/remote-write/tests/queue.rs
+++ b/crates/remote-write/tests/queue.rs
@@ -13,7 +13,7 @@
         shards: 3,
         batch_samples: 10,
         batch_age: SECOND,
-        bytes: 100 * SAMPLE_BYTES,
+        max_bytes: 100 * SAMPLE_BYTES,
         max_age: 60 * SECOND,
         ..Limits::default()
     }
@@ -113,7 +113,7 @@
 #[test]
 fn long_outage_keeps_the_newest_samples_and_counts_the_rest() {
     let limits =
-        Limits { bytes: 5_000 * SAMPLE_BYTES, max_age: 7_200 * SECOND, batch_samples: 100, ..limits() };
+        Limits { max_bytes: 5_000 * SAMPLE_BYTES, max_age: 7_200 * SECOND, batch_samples: 100, ..limits() };
     let mut queue = Queue::new(limits, 1);
     let mut tries = 0;
     for second in 0..600u64 {
@@ -125,7 +125,7 @@
             now = next.max(now + 1);
             tries += drain(&mut queue, now, Response::Unavailable { retry_after: None }).len();
         }
-        assert!(queue.bytes() <= limits.bytes);
+        assert!(queue.bytes() <= limits.max_bytes);
     }
     let away = queue.counters();
     assert_eq!(away.offered, 30_000);
@@ -145,7 +145,7 @@
 
 #[test]
 fn returning_receiver_gets_one_batch_then_more() {
-    let mut queue = Queue::new(Limits { shards: 8, bytes: 1 << 20, ..limits() }, 1);
+    let mut queue = Queue::new(Limits { shards: 8, max_bytes: 1 << 20, ..limits() }, 1);
     for n in 0..20 {
         for series in 0..64 {
             queue.offer(0, sample(series, n));
@@ -207,7 +207,7 @@
 
 #[test]
 fn one_invalid_series_costs_itself_alone() {
-    let limits = Limits { shards: 1, batch_samples: 3_000, bytes: 1 << 20, ..limits() };
+    let limits = Limits { shards: 1, batch_samples: 3_000, max_bytes: 1 << 20, ..limits() };
     let mut queue = Queue::new(limits, 1);
     for at in [1, 2, 3] {
         for series in 0..1_000 {
@@ -241,7 +241,7 @@
 
 #[test]
 fn halving_is_bounded_and_rejected_batch_is_not_halved() {
-    let limits = Limits { shards: 1, batch_samples: 1_000, bytes: 1 << 20, max_splits: 5, ..limits() };
+    let limits = Limits { shards: 1, batch_samples: 1_000, max_bytes: 1 << 20, max_splits: 5, ..limits() };
     let mut queue = Queue::new(limits, 1);
     for series in 0..1_000 {
         queue.offer(0, sample(series, 0));
@@ -347,7 +347,7 @@
                     }
                 }
             }
-            prop_assert!(queue.bytes() <= limits().bytes);
+            prop_assert!(queue.bytes() <= limits().max_bytes);
             let c = queue.counters();
             let gone = c.accepted + c.rejected + c.dropped_full + c.dropped_old + c.dropped_order + c.dropped_series;
             prop_assert_eq!(c.offered, gone + queue.len() as u64);
