--- a/crates/metrics/src/groups.rs
+++ b/crates/metrics/src/groups.rs
@@ -1,4 +1,4 @@
-//! Handles of the series by purpose. Each group registers its series, all at zero.
+//! Groups of related series. Each group registers its series at zero and keeps handles for updating them.
 
 use std::hash::Hash;
 use std::sync::atomic::AtomicU64;
@@ -17,42 +17,42 @@
 use crate::latency::LatencyHistogram;
 use crate::layout::SeriesLayout;
 
-/// A set of labels that the registry accepts.
+/// The bounds that the registry requires of a label set.
 trait Labels: Clone + Hash + Eq + EncodeLabelSet + std::fmt::Debug + Send + Sync + 'static {}
 
 impl<L: Clone + Hash + Eq + EncodeLabelSet + std::fmt::Debug + Send + Sync + 'static> Labels for L {}
 
-/// The label values of an enum.
-fn labels<T: Copy + 'static>(
+/// Returns the label values of an enum's variants.
+fn label_values<T: Copy + 'static>(
     values: &'static [T],
     label: fn(T) -> &'static str,
 ) -> impl Iterator<Item = &'static str> {
     values.iter().copied().map(label)
 }
 
-/// Registers one counter.
+/// Registers a counter without labels.
 fn counter(registry: &mut Registry, name: &str, help: &str) -> Counter {
     let counter = Counter::default();
     registry.register(name, help, counter.clone());
     counter
 }
 
-/// Registers one gauge.
+/// Registers a gauge without labels.
 fn gauge(registry: &mut Registry, name: &str, help: &str) -> Gauge {
     let gauge = Gauge::default();
     registry.register(name, help, gauge.clone());
     gauge
 }
 
-/// Registers one gauge with a unit.
+/// Registers a gauge without labels, with a unit that the registry appends to the name.
 fn gauge_with_unit(registry: &mut Registry, name: &str, help: &str, unit: Unit) -> Gauge {
     let gauge = Gauge::default();
     registry.register_with_unit(name, help, unit, gauge.clone());
     gauge
 }
 
-/// Registers a counter for each label value, in this order.
-fn counters<L: Labels>(
+/// Registers a counter for each label value. Returns the counters in the order of the values.
+fn counter_family<L: Labels>(
     registry: &mut Registry,
     name: &str,
     help: &str,
@@ -66,8 +66,8 @@
     handles
 }
 
-/// Registers a gauge for each label value, in this order.
-fn gauges<L: Labels>(
+/// Registers a gauge for each label value. Returns the gauges in the order of the values.
+fn gauge_family<L: Labels>(
     registry: &mut Registry,
     name: &str,
     help: &str,
@@ -81,16 +81,16 @@
     handles
 }
 
-/// Calls by their final answer, and their latency.
+/// Counters of ended calls and their latency histograms.
 pub(crate) struct CallSeries {
-    /// By the indices of [`SeriesLayout`].
+    /// Indexed by [`SeriesLayout::index`].
     pub(crate) calls: Vec<Counter>,
-    /// By class.
+    /// Indexed by class number.
     pub(crate) latency: Vec<LatencyHistogram>,
 }
 
 impl CallSeries {
-    /// Registers them.
+    /// Registers the series.
     pub(crate) fn register(registry: &mut Registry, layout: &SeriesLayout) -> Self {
         let calls = Family::<CallLabels, Counter>::default();
         let mut call_handles = Vec::with_capacity(layout.series_count());
@@ -108,18 +108,18 @@
                 }
             }
         }
-        registry.register("calls", "Calls with their one final answer", calls);
+        registry.register("calls", "Ended calls, by class, end, tenant and model group", calls);
         let latency = Family::<ClassLabels, LatencyHistogram>::default();
         let class_latency =
             |class: &String| latency.get_or_create_owned(&ClassLabels { class: class.clone() });
         let latency_handles = layout.classes().iter().map(class_latency).collect();
-        let help = "From a call's coming to its answer, served calls alone";
+        let help = "Time from a call's arrival to its final answer, for served calls";
         registry.register_with_unit("call_duration", help, Unit::Seconds, latency);
         Self { calls: call_handles, latency: latency_handles }
     }
 }
 
-/// Attempts, load orders and probes at workers, and limits of the controller.
+/// Series for attempts, load orders, probes and workers, and for the limits of the controller.
 pub(crate) struct WorkerSeries {
     pub(crate) attempts: Vec<Counter>,
     pub(crate) replica_notes: Vec<Counter>,
@@ -134,62 +134,63 @@
 }
 
 impl WorkerSeries {
-    /// Registers them. `limits`: names of the limits whose hits are counted.
+    /// Registers the series. `limits` are the names of the limits whose hits are counted.
     pub(crate) fn register(registry: &mut Registry, limits: &[&'static str]) -> Self {
         let reason = |reason| ReasonLabels { reason };
         let note = |note| NoteLabels { note };
         let end = |end| EndLabels { end };
         let health = |health| HealthLabels { health };
         let limit = |limit| LimitLabels { limit };
-        let attempts_help = "Attempts, and how the one before ended";
-        let notes_help = "Answers by what they told of loaded copies";
-        let backstop_help = "Calls that the engine had to end in the module's place";
-        let health_help = "Listed workers by health, as the module sees it";
-        // The order of the fields is the order of the series in the text.
+        let attempts_help = "Attempts, by how the previous attempt of the call ended";
+        let notes_help = "Worker responses, by what they report about the replica of the model";
+        let backstop_help =
+            "Calls that the engine ended because the decision module left them without an answer";
+        let health_help = "Workers in the worker list, by health as the decision module sees it";
+        // The series appear in the metrics text in the order of these fields.
         Self {
-            attempts: counters(
+            attempts: counter_family(
                 registry,
                 "attempts",
                 attempts_help,
-                labels(AttemptCause::ALL, AttemptCause::label),
+                label_values(AttemptCause::ALL, AttemptCause::label),
                 reason,
             ),
-            replica_notes: counters(
+            replica_notes: counter_family(
                 registry,
                 "answers_by_copy",
                 notes_help,
-                labels(ReplicaNote::ALL, ReplicaNote::label),
+                label_values(ReplicaNote::ALL, ReplicaNote::label),
                 note,
             ),
             load_orders_sent: counter(registry, "load_orders_sent", "Load orders sent to workers"),
-            load_orders: counters(
+            load_orders: counter_family(
                 registry,
                 "load_orders",
-                "Load orders by their end",
-                labels(LoadOrderEnd::ALL, LoadOrderEnd::label),
+                "Ended load orders, by how they ended",
+                label_values(LoadOrderEnd::ALL, LoadOrderEnd::label),
                 end,
             ),
-            probes: counters(
+            probes: counter_family(
                 registry,
                 "probes",
-                "Probes by their end",
-                labels(ProbeEnd::ALL, ProbeEnd::label),
+                "Ended probes of workers, by how they ended",
+                label_values(ProbeEnd::ALL, ProbeEnd::label),
                 end,
             ),
             backstop_ends: counter(registry, "backstop_ends", backstop_help),
             open_calls: gauge(registry, "open_calls", "Calls without a final answer"),
-            held_calls: gauge(registry, "held_calls", "Open calls that no worker has"),
-            health: gauges(
+            held_calls: gauge(registry, "held_calls", "Open calls that are not assigned to a worker"),
+            health: gauge_family(
                 registry,
                 "workers",
                 health_help,
-                labels(WorkerHealth::ALL, WorkerHealth::label),
+                label_values(WorkerHealth::ALL, WorkerHealth::label),
                 health,
             ),
-            limit_hits: counters(
+            limit_hits: counter_family(
                 registry,
                 "limit_hits",
-                "How often a named limit was hit",
+                "Number of times that a limit was hit, by limit",
                 limits.iter().copied(),
                 limit,
             ),
@@ -197,7 +198,7 @@
     }
 }
 
-/// The return from a restart, the lease, and what the leader knows of the fleet.
+/// Series for the return to service after a restart, the lease, and the fleet as the leader knows it.
 pub(crate) struct FleetSeries {
     pub(crate) recovery_steps: Vec<Gauge>,
     pub(crate) recovery_rejections: Vec<Counter>,
@@ -210,53 +211,56 @@
 }
 
 impl FleetSeries {
-    /// Registers them.
+    /// Registers the series.
     pub(crate) fn register(registry: &mut Registry) -> Self {
-        let step_help = "Step of the return from a restart: 1 for the one it is in";
-        let refusals_help = "Calls refused at once after a restart, or for want of a lease";
-        let stage_help = "Stage of the lease of a controller that follows: 1 for the one it is in";
-        let doubtful_help = "Times that calls were taken while the lease ran out, as the process stood still";
-        let behind_help = "Lives that hold a lease and act on an older revision, as the administration knows";
-        let waits_help = "1 while it is open which book of tenants stands, at the administration";
+        let step_help =
+            "Phase of the return to service after a restart: 1 for the current phase, 0 for the others";
+        let rejections_help = "Calls rejected on arrival, after a restart or without a lease";
+        let stage_help = "Stage of a follower's lease: 1 for the current stage, 0 for the others";
+        let doubtful_help =
+            "Actions begun within a lease and finished after its expiry, because the process stalled";
+        let stale_help =
+            "Incarnations that hold a lease and have an earlier revision in force than the leader";
+        let pending_help = "1 while recovery has not decided which snapshot is authoritative, otherwise 0";
         let (step, reason) = (|step| StepLabels { step }, |reason| ReasonLabels { reason });
         let stage = |stage| StageLabels { stage };
-        // The order of the fields is the order of the series in the text.
+        // The series appear in the metrics text in the order of these fields.
         Self {
-            recovery_steps: gauges(
+            recovery_steps: gauge_family(
                 registry,
                 "return_step",
                 step_help,
-                labels(RecoveryStep::ALL, RecoveryStep::label),
+                label_values(RecoveryStep::ALL, RecoveryStep::label),
                 step,
             ),
-            recovery_rejections: counters(
+            recovery_rejections: counter_family(
                 registry,
                 "recovery_refusals",
-                refusals_help,
-                labels(RecoveryRejection::ALL, RecoveryRejection::label),
+                rejections_help,
+                label_values(RecoveryRejection::ALL, RecoveryRejection::label),
                 reason,
             ),
-            lease_stages: gauges(
+            lease_stages: gauge_family(
                 registry,
                 "lease_stage",
                 stage_help,
-                labels(LeaseStage::ALL, LeaseStage::label),
+                label_values(LeaseStage::ALL, LeaseStage::label),
                 stage,
             ),
-            lease_expiries: counter(registry, "lease_lapses", "Leases that ran out before the next one came"),
+            lease_expiries: counter(registry, "lease_lapses", "Leases that expired before they were renewed"),
             doubtful_actions: counter(registry, "lease_doubtful_acts", doubtful_help),
-            stale_incarnations: gauge(registry, "lives_behind", behind_help),
+            stale_incarnations: gauge(registry, "lives_behind", stale_help),
             fenced_incarnations: gauge(
                 registry,
                 "lives_fenced",
-                "Lives that are shut out and were heard lately",
+                "Fenced incarnations that have sent a heartbeat recently",
             ),
-            recovery_pending: gauge(registry, "book_waits", waits_help),
+            recovery_pending: gauge(registry, "book_waits", pending_help),
         }
     }
 }
 
-/// Remote write and its write-ahead log.
+/// Series for remote write and its write-ahead log.
 pub(crate) struct RemoteWriteSeries {
     pub(crate) samples: Vec<Counter>,
     pub(crate) version_changes: Counter,
@@ -272,43 +276,48 @@
 }
 
 impl RemoteWriteSeries {
-    /// Registers them.
+    /// Registers the series.
     pub(crate) fn register(registry: &mut Registry) -> Self {
-        let samples_help = "Samples to be pushed, by what became of them";
-        let changes_help = "Changes between the versions of remote write";
-        let splits_help = "Refused batches that were halved to find what is bad in them";
-        let short_help = "Batches of which the receiver told that it wrote less than it took";
-        let failed_help = "Operations that the spool's disk refused";
-        let waiting_help = "Samples that wait to be pushed";
-        let oldest_help = "Age of the oldest sample that waits";
+        let samples_help = "Samples that left the remote-write queue, by how they left it";
+        let changes_help = "Changes of the remote-write protocol version in use";
+        let splits_help = "Rejected batches that were halved to isolate invalid samples";
+        let short_help = "Batches that the receiver accepted but reported as written only in part";
+        let failed_help = "Failed operations on the storage of the spool";
+        let waiting_help = "Samples in the remote-write queue";
+        let oldest_help = "Age of the oldest sample in the remote-write queue";
         let end = |end| EndLabels { end };
-        // The order of the fields is the order of the series in the text.
+        // The series appear in the metrics text in the order of these fields.
         Self {
-            samples: counters(
+            samples: counter_family(
                 registry,
                 "push_samples",
                 samples_help,
-                labels(SampleEnd::ALL, SampleEnd::label),
+                label_values(SampleEnd::ALL, SampleEnd::label),
                 end,
             ),
             version_changes: counter(registry, "push_version_changes", changes_help),
             splits: counter(registry, "push_splits", splits_help),
             short_writes: counter(registry, "push_short_writes", short_help),
             clock_offset: clock_offset(registry),
-            retries: counter(registry, "push_retries", "Batches pushed again"),
+            retries: counter(registry, "push_retries", "Batches sent again"),
             wal_failures: counter(registry, "spool_failures", failed_help),
             waiting_samples: gauge(registry, "push_waiting_samples", waiting_help),
             oldest_age: gauge_with_unit(registry, "push_oldest_age", oldest_help, Unit::Seconds),
             wal_bytes: gauge_with_unit(registry, "spool", "Size of the spool on disk", Unit::Bytes),
-            wal_limit: gauge_with_unit(registry, "spool_limit", "Bound of the spool on disk", Unit::Bytes),
+            wal_limit: gauge_with_unit(
+                registry,
+                "spool_limit",
+                "Maximum size of the spool on disk",
+                Unit::Bytes,
+            ),
         }
     }
 }
 
-/// Registers how far the wall clock is ahead of the time of samples.
+/// Registers the gauge for the offset between the wall clock and the sample clock.
 fn clock_offset(registry: &mut Registry) -> Gauge<f64, AtomicU64> {
     let offset = Gauge::<f64, AtomicU64>::default();
-    let help = "How far the wall clock is ahead of the time of samples";
+    let help = "How far the wall clock is ahead of the sample clock";
     registry.register_with_unit("push_clock_offset", help, Unit::Seconds, offset.clone());
     offset
 }
--- a/crates/metrics/src/labels.rs
+++ b/crates/metrics/src/labels.rs
@@ -1,8 +1,9 @@
-//! Names, label values and buckets of the series, as scrapers know them: none of them changes.
+//! Label sets, label values and histogram buckets of the series. Dashboards and alerts depend on them, so a released
+//! name or value must not change.
 
 use prometheus_client::encoding::EncodeLabelSet;
 
-/// Defines the values of a label as an enum, whose numbers are the places in `ALL`.
+/// Defines an enum for the values of a label. The discriminant of a variant is its index in `ALL`.
 macro_rules! label_values {
     ($($(#[$doc:meta])* $name:ident { $($(#[$variant_doc:meta])* $variant:ident => $label:literal),* $(,)? })*) => {
         $(
@@ -11,12 +12,12 @@
             pub enum $name { $($(#[$variant_doc])* $variant),* }
 
             impl $name {
-                /// All values, in the order of their numbers.
+                /// All variants, in declaration order.
                 pub const ALL: &[Self] = &[$(Self::$variant),*];
-                /// How many values there are.
+                /// Number of variants.
                 pub const COUNT: usize = Self::ALL.len();
 
-                /// The label value.
+                /// Returns the label value of the variant.
                 pub const fn label(self) -> &'static str {
                     match self { $(Self::$variant => $label),* }
                 }
@@ -28,51 +29,51 @@
 label_values! {
     /// How a call ended.
     CallEnd {
-        /// Served within the latency objective of its class.
+        /// Served within the latency objective of the call's class.
         ServedInTime => "served_in_time",
-        /// Served after it.
+        /// Served after the latency objective had passed.
         ServedLate => "served_late",
-        /// Rejected: a retry does no harm.
+        /// Not served. The client may safely retry the call.
         Refused => "refused",
-        /// Failed: it may have run.
+        /// The call failed and may have run.
         Failed => "failed",
-        /// The worker found the call itself wrong.
+        /// A worker answered that the call itself is invalid.
         Rejected => "rejected",
-        /// The client left first.
+        /// The client disconnected before the final answer.
         Cancelled => "cancelled",
     }
 
-    /// Why an attempt was made: it was the first, or how the one before it ended.
+    /// Why an attempt was made: it is the first of its call, or the previous attempt ended in the given way.
     AttemptCause {
-        /// The first attempt.
+        /// First attempt of the call.
         First => "first",
         /// The worker reported an error.
         Error => "error",
-        /// The worker was full.
+        /// The worker rejected the attempt before any processing.
         Full => "full",
         /// No response came in time.
         Timeout => "timeout",
-        /// The connection failed before the request was sent.
+        /// The connection could not be established, or broke before the request was sent completely.
         ConnectFailed => "connect_failed",
-        /// The connection was reset.
+        /// The connection broke after the request was sent.
         Reset => "reset",
-        /// It was cancelled.
+        /// The attempt was cancelled.
         Cancelled => "cancelled",
-        /// It was never sent.
+        /// The attempt was never sent.
         NeverSent => "moot",
-        /// The model was not loaded.
+        /// The worker had no loaded replica of the model and no load in progress, or the load failed.
         NotLoaded => "miss",
     }
 
-    /// What a response says of the replica that served it.
+    /// What a worker's response reports about the replica of the model.
     ReplicaNote {
-        /// It was loaded.
+        /// The replica was loaded.
         Warm => "warm",
-        /// The call began its load.
+        /// The call caused the replica to load.
         LoadBegan => "began",
-        /// The call waited for its load.
+        /// The call waited for a load that had already started.
         LoadWaited => "waited",
-        /// Its load failed.
+        /// The load failed.
         LoadFailed => "failed",
     }
 
@@ -80,9 +81,9 @@
     LoadOrderEnd {
         /// The replicas are loaded.
         Loaded => "stand",
-        /// The worker has no room.
+        /// The worker has no capacity for another replica.
         Full => "full",
-        /// It failed.
+        /// The load failed.
         Failed => "failed",
         /// No response came in time.
         Timeout => "timeout",
@@ -100,25 +101,26 @@
         Down => "down",
     }
 
-    /// Step of a controller's return from a restart.
+    /// Phase of a controller's return to service after a restart.
     RecoveryStep {
-        /// Calls are not limited.
+        /// The return to service is complete or was not needed: calls are not limited.
         None => "none",
         /// There is no worker list yet.
         NoList => "no-list",
-        /// A part of the workers is known.
+        /// Calls are admitted as far as they can be answered in time.
         Partial => "part",
-        /// All workers are known.
+        /// Service is complete: all calls are admitted.
         Complete => "whole",
     }
 
-    /// Why a controller rejected a call after a restart, or without a lease.
+    /// Why a controller rejected a call on arrival, after a restart or without a lease.
     RecoveryRejection {
         /// There is no worker list yet.
         NoList => "no-list",
-        /// Too many calls wait.
+        /// Waiting calls of the same model were too old, or too many calls were waiting.
         Overloaded => "crowded",
-        /// The model's class has not been served yet.
+        /// The call is not idempotent, and the worker list was persisted by an earlier incarnation and not read since
+        /// the start.
         UnconfirmedList => "unproven",
         /// The controller has no lease.
         WithoutLease => "without-lease",
@@ -126,44 +128,45 @@
 
     /// Stage of a follower's lease.
     LeaseStage {
-        /// It holds a lease.
+        /// The controller has a lease, or its leader grants none.
         Current => "current",
-        /// The lease has expired, and it goes on.
+        /// The controller has no lease and continues with the snapshot that it last received.
         Unleased => "goes-on",
-        /// The lease has expired, and it rejects calls.
+        /// The controller has no lease and rejects new calls.
         Rejecting => "refuses",
-        /// It reports that it is not ready.
+        /// The controller rejects new calls and reports that it is not ready.
         NotReady => "leaves",
-        /// It is fenced.
+        /// The controller is fenced: this incarnation never accepts a call again.
         Fenced => "fenced",
     }
 
-    /// What became of a sample of remote write.
+    /// How a sample left the remote-write queue.
     SampleEnd {
         /// The receiver accepted it.
         Accepted => "taken",
-        /// The receiver rejected it for good.
+        /// The receiver rejected it permanently, or its series was excluded after such a rejection.
         Rejected => "refused",
         /// Dropped because the queue was full.
         DroppedFull => "dropped_full",
-        /// Dropped because it was too old.
+        /// Dropped because it exceeded the maximum age.
         DroppedOld => "dropped_old",
-        /// Dropped because its series had a later one.
+        /// Dropped because its series already had a sample of the same or a later time.
         DroppedOrder => "dropped_order",
-        /// Dropped because there are too many series.
+        /// Dropped because the limit on the number of series was reached.
         DroppedSeries => "dropped_series",
     }
 
     /// How a probe ended.
     ProbeEnd {
-        /// With a response.
+        /// The worker responded.
         Answered => "answered",
-        /// Without one.
+        /// The worker did not respond, or the probe failed otherwise.
         Failed => "failed",
     }
 }
 
-macro_rules! labels {
+/// Defines the label sets: structs with a string for each label.
+macro_rules! label_sets {
     ($($(#[$doc:meta])* $name:ident { $($field:ident),* })*) => {
         $($(#[$doc])*
         #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
@@ -171,7 +174,7 @@
     };
 }
 
-labels! {
+label_sets! {
     CallLabels { class, end, tenant, model_group }
     ClassLabels { class }
     ReasonLabels { reason }
@@ -183,9 +186,9 @@
     LimitLabels { limit }
 }
 
-/// Upper bounds of the classic latency buckets, seconds.
+/// Upper bounds of the classic latency buckets, in seconds.
 pub const LATENCY_BUCKETS: [f64; 14] =
     [0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 0.75, 1.0, 1.5, 2.5, 5.0, 10.0, 30.0];
 
-/// The name of the latency's series in the text.
+/// Name of the call latency histogram in the metrics text.
 pub const LATENCY_NAME: &str = "nettleferry_call_duration_seconds";
--- a/crates/metrics/src/latency.rs
+++ b/crates/metrics/src/latency.rs
@@ -1,6 +1,6 @@
-//! The latency of a class: classic buckets, counted exactly, and an HdrHistogram, from which native buckets are computed.
-//! A value always counts in the same HdrHistogram bucket, and that one always belongs to the same native bucket: both
-//! only grow.
+//! Latency histogram of a call class. Classic buckets are counted exactly. Native buckets are computed from an
+//! HdrHistogram. The assignment of values to HdrHistogram buckets, and of these to native buckets, is fixed, so the
+//! count of a native bucket never decreases.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
@@ -12,34 +12,35 @@
 
 const MICROS_PER_SECOND: f64 = 1e6;
 
-/// Longest latency, microseconds; longer ones count as this long.
+/// Maximum latency of the HdrHistogram, in microseconds. Longer latencies are recorded as this value.
 const MAX_LATENCY_MICROS: u64 = 3_600_000_000;
-/// Significant digits of the HdrHistogram: within 1 %, a tenth of a native bucket's width.
+/// Significant digits of the HdrHistogram. The error is at most 1 %, about a tenth of the width of a native bucket.
 const SIGNIFICANT_DIGITS: u8 = 2;
-/// The schema of native histograms: buckets grow by 2^(1/8), 9 %.
+/// Schema of the native histograms: each bucket bound is 2^(1/8) times the previous one, about 9 % larger.
 pub const NATIVE_SCHEMA: i32 = 3;
 
-/// A Prometheus native histogram: bucket `i` holds values up to `2^(i / 2^schema)` seconds.
+/// A Prometheus native histogram. Bucket `i` counts values above the bound of bucket `i - 1` and up to
+/// `2^(i / 2^schema)` seconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NativeHistogram {
-    /// See [`NATIVE_SCHEMA`].
+    /// Resolution of the buckets; see [`NATIVE_SCHEMA`].
     pub schema: i32,
-    /// Observations.
+    /// Number of observations.
     pub count: u64,
-    /// Their sum, seconds.
+    /// Sum of the observations, in seconds.
     pub sum: f64,
-    /// Index and count of each bucket that is not empty.
+    /// Index and count of each non-empty bucket, in ascending order of the index.
     pub buckets: Vec<(i32, u64)>,
 }
 
 struct Observations {
     classic_buckets: [u64; LATENCY_BUCKETS.len()],
-    /// Microseconds: integers add up exactly.
+    /// Sum in microseconds, as an integer because a sum of floats accumulates rounding errors.
     sum_micros: u64,
     histogram: Histogram<u64>,
 }
 
-/// Latencies of one class; a handle, cheap to clone.
+/// Latency histogram of one class. Clones share the same observations.
 #[derive(Clone)]
 pub struct LatencyHistogram(Arc<Mutex<Observations>>);
 
@@ -63,11 +64,11 @@
 
 impl LatencyHistogram {
     fn lock(&self) -> MutexGuard<'_, Observations> {
-        // After a panic one observation may be counted in part: that is harmless.
+        // If a thread panicked while it held the lock, at most one observation is partly counted, which is tolerable.
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Counts a latency, in microseconds.
+    /// Records a latency in microseconds.
     pub fn observe(&self, micros: u64) {
         let seconds = micros as f64 / MICROS_PER_SECOND;
         let mut observations = self.lock();
@@ -78,7 +79,7 @@
         observations.histogram.saturating_record(micros.max(1));
     }
 
-    /// The observations as a native histogram.
+    /// Returns the observations as a native histogram.
     pub fn native(&self) -> NativeHistogram {
         let observations = self.lock();
         let mut buckets: Vec<(i32, u64)> = Vec::new();
@@ -98,7 +99,7 @@
     }
 }
 
-/// The index of a latency's native bucket.
+/// Returns the index of the native bucket that a latency belongs to.
 fn native_index(micros: u64) -> i32 {
     let seconds = micros as f64 / MICROS_PER_SECOND;
     (seconds.log2() * f64::from(1 << NATIVE_SCHEMA)).ceil() as i32
@@ -116,7 +117,7 @@
         let sum = observations.sum_micros as f64 / MICROS_PER_SECOND;
         let count = observations.histogram.len();
         drop(observations);
-        // The last bucket has no upper bound: it holds the rest.
+        // The last bucket (+Inf) counts the observations above the largest bound.
         let bounded: u64 = buckets.iter().map(|b| b.1).sum();
         buckets.push((f64::MAX, count - bounded));
         encoder.encode_histogram::<NoLabelSet>(sum, count, &buckets, None)
--- a/crates/metrics/src/latency/tests.rs
+++ b/crates/metrics/src/latency/tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of `latency`.
+//! Tests of the bucket bounds and of the native histogram.
 
 use super::*;
 use proptest::prelude::*;
@@ -19,7 +19,7 @@
 
 #[test]
 fn native_index_follows_the_specification() {
-    // Upper bounds: 2^(i/8). One second is the bound of bucket 0.
+    // The upper bound of bucket i is 2^(i/8) seconds, so bucket 0 ends at one second.
     assert_eq!(
         (native_index(1_000_000), native_index(1_000_001), native_index(2_000_000), native_index(500_000)),
         (0, 1, 8, -8)
@@ -41,7 +41,7 @@
             for (index, count) in &before.buckets {
                 prop_assert!(now.buckets.iter().any(|(i, c)| i == index && c >= count));
             }
-            // At most one bucket up: the HdrHistogram is within 1 %.
+            // The HdrHistogram is within 1 %, so a value may move up by at most one native bucket.
             let expected = native_index(*micros);
             prop_assert!(now.buckets.iter().any(|(i, _)| *i == expected || *i == expected + 1));
             before = now;
--- a/crates/metrics/src/layout.rs
+++ b/crates/metrics/src/layout.rs
@@ -1,14 +1,15 @@
-//! Which tenants and model groups have series of their own: the first ones of the settings, while the rest share
-//! `other`. Calls that name no tenant are `none`.
+//! Layout of the call series. The first tenants and model groups of the settings have series of their own, as many as
+//! the limit on series allows. The remaining ones share the label value `other`. Calls without a tenant have the
+//! tenant label `none`.
 
 use crate::labels::CallEnd;
 
-/// Label value of all that have no series of their own.
+/// Label value shared by the tenants or model groups without series of their own.
 pub const OTHER: &str = "other";
-/// Label value of calls that name no tenant.
+/// Tenant label value of calls without a tenant.
 pub const NONE: &str = "none";
 
-/// The layout of the series of calls, by class, end, tenant and model group.
+/// Mapping of calls to series by class, end, tenant and model group.
 #[derive(Clone, Debug)]
 pub struct SeriesLayout {
     classes: Vec<String>,
@@ -17,47 +18,49 @@
 }
 
 impl SeriesLayout {
-    /// Series for as many tenants and groups as fit in `max_series`; every class has its own.
+    /// Creates a layout in which as many tenants and groups have series of their own as fit in `max_series`. Classes are
+    /// never merged, so with many classes the layout may exceed `max_series`.
     pub fn new(classes: Vec<String>, tenants: &[String], groups: &[String], max_series: usize) -> Self {
-        // A name that is itself `other` or `none` must not mix with the shared series.
-        let own = |names: &[String]| -> Vec<String> {
+        // A tenant or group named `other` or `none` gets a suffix, to keep it apart from the reserved label value.
+        let label_values = |names: &[String]| -> Vec<String> {
             names.iter().map(|n| if n == OTHER || n == NONE { format!("{n}_") } else { n.clone() }).collect()
         };
-        let base = classes.len().max(1) * CallEnd::COUNT;
-        let (mut own_tenants, mut own_groups) = (tenants.len(), groups.len());
-        while base.saturating_mul(own_tenants + 2).saturating_mul(own_groups + 1) > max_series
-            && own_tenants + own_groups > 0
+        let series_per_pair = classes.len().max(1) * CallEnd::COUNT;
+        let (mut tenant_count, mut group_count) = (tenants.len(), groups.len());
+        while series_per_pair.saturating_mul(tenant_count + 2).saturating_mul(group_count + 1) > max_series
+            && tenant_count + group_count > 0
         {
-            if own_groups >= own_tenants { own_groups -= 1 } else { own_tenants -= 1 }
+            if group_count >= tenant_count { group_count -= 1 } else { tenant_count -= 1 }
         }
-        let mut tenants = own(&tenants[..own_tenants]);
+        let mut tenants = label_values(&tenants[..tenant_count]);
         tenants.extend([OTHER.to_owned(), NONE.to_owned()]);
-        let mut groups = own(&groups[..own_groups]);
+        let mut groups = label_values(&groups[..group_count]);
         groups.push(OTHER.to_owned());
         Self { classes, tenants, groups }
     }
 
-    /// Classes, by number.
+    /// Returns the class names, indexed by class number.
     pub fn classes(&self) -> &[String] {
         &self.classes
     }
 
-    /// Tenants with series of their own, then `other` and `none`.
+    /// Returns the tenant label values: the tenants with series of their own, then `other` and `none`.
     pub fn tenants(&self) -> &[String] {
         &self.tenants
     }
 
-    /// Model groups with series of their own, then `other`.
+    /// Returns the model group label values: the groups with series of their own, then `other`.
     pub fn groups(&self) -> &[String] {
         &self.groups
     }
 
-    /// The number of all series of calls.
+    /// Returns the total number of call series.
     pub fn series_count(&self) -> usize {
         self.classes.len() * CallEnd::COUNT * self.tenants.len() * self.groups.len()
     }
 
-    /// The index of a call's series; `None`: there is no such class.
+    /// Returns the index of a call's series, or `None` if the class number is out of range. A tenant or group number
+    /// beyond those with series of their own maps to `other`.
     pub fn index(&self, class: usize, end: CallEnd, tenant: Option<usize>, group: usize) -> Option<usize> {
         if class >= self.classes.len() {
             return None;
--- a/crates/metrics/src/layout/tests.rs
+++ b/crates/metrics/src/layout/tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of `layout`.
+//! Tests of the mapping of calls to series indices.
 
 use super::*;
 
--- a/crates/metrics/src/lib.rs
+++ b/crates/metrics/src/lib.rs
@@ -1,15 +1,17 @@
-//! The metrics of a controller, in Prometheus form: every series exists at zero from the start, and there are never more
-//! than the settings allow.
+//! Metrics of a controller in Prometheus format. All series are created at the start with the value zero, and the
+//! number of call series is bounded by the settings.
 //!
-//! May know: names of classes, tenants and model groups as labels. Must not know: sockets, clocks, open calls. Values are
-//! handed in; the registry is read by the scrape endpoint and by remote write.
+//! This crate depends on the names of classes, tenants and model groups, which are label values. It must not depend
+//! on sockets, clocks or open calls: callers pass in the values. The scrape endpoint and remote write read the
+//! registry.
 //!
-//! * [`registry`]: all series, made at the start and found by index: counting allocates nothing, and only a latency takes
-//!   a lock, that of its histogram.
-//! * [`updates`]: what is recorded and set. [`labels`]: label values as enums.
-//! * [`latency`]: latencies of a class, in classic and native buckets.
+//! * [`registry`]: all series. A series is looked up by index, so recording a value does not allocate, and only
+//!   recording a latency takes a lock, which is the one of its histogram.
+//! * [`updates`]: groups of values that are recorded or set together.
+//! * [`labels`]: label values as enums.
+//! * [`latency`]: call latencies of a class, in classic and native buckets.
 //! * [`layout`]: which tenants and model groups have series of their own, and which share `other`.
-//! * [`sample`]: the registry's text as single samples.
+//! * [`sample`]: parser of the metrics text.
 
 #![forbid(unsafe_code)]
 
--- a/crates/metrics/src/registry.rs
+++ b/crates/metrics/src/registry.rs
@@ -1,4 +1,4 @@
-//! The registry of all series, and their handles.
+//! Registry of all series, with the methods that update them.
 
 use std::fmt;
 
@@ -13,7 +13,7 @@
 use crate::layout::SeriesLayout;
 use crate::updates::{CallRecord, FleetState, LeaseState, RecoveryState, RemoteWriteState, WalState};
 
-/// Handles of all series, and the registry that holds them.
+/// All series of a controller: the registry that encodes them, and the handles through which they are updated.
 pub struct Metrics {
     registry: Registry,
     layout: SeriesLayout,
@@ -24,7 +24,7 @@
 }
 
 impl Metrics {
-    /// All series at zero. `limits`: names of the limits whose hits are counted.
+    /// Creates all series at zero. `limits` are the names of the limits whose hits are counted.
     pub fn new(layout: SeriesLayout, limits: &[&'static str]) -> Self {
         let mut registry = Registry::with_prefix("nettleferry");
         let calls = CallSeries::register(&mut registry, &layout);
@@ -34,7 +34,7 @@
         Self { registry, layout, calls, workers, fleet, remote_write }
     }
 
-    /// Counts a call that has ended.
+    /// Counts a call that has ended and, if it was served, records its latency.
     pub fn record_call(&self, call: &CallRecord) {
         let CallRecord { class, end, tenant, group, latency_micros } = *call;
         let index = self.layout.index(class, end, tenant, group);
@@ -48,12 +48,12 @@
         }
     }
 
-    /// Counts an attempt.
+    /// Counts an attempt that was started.
     pub fn record_attempt(&self, cause: AttemptCause) {
         increment(&self.workers.attempts, cause as usize);
     }
 
-    /// Counts a response by what it says of its replica.
+    /// Counts a worker response by what it reports about the replica.
     pub fn record_replica_note(&self, note: ReplicaNote) {
         increment(&self.workers.replica_notes, note as usize);
     }
@@ -73,32 +73,34 @@
         increment(&self.workers.probes, end as usize);
     }
 
-    /// Raises the count of calls that the engine ended in the decision module's place to a total.
+    /// Raises the number of calls that the engine had to end because the decision module left them without an answer
+    /// to `total`.
     pub fn set_backstop_ends(&self, total: u64) {
         raise(&self.workers.backstop_ends, total);
     }
 
-    /// Sets the numbers of open calls and of those that no worker has.
+    /// Sets the number of open calls and the number of those that are not assigned to a worker.
     pub fn set_calls(&self, open: usize, held: usize) {
         self.workers.open_calls.set(gauge_value(open));
         self.workers.held_calls.set(gauge_value(held));
     }
 
-    /// Sets the numbers of workers, in the order of [`WorkerHealth::ALL`].
+    /// Sets the number of workers by health, in the order of [`WorkerHealth::ALL`].
     pub fn set_workers(&self, counts: [usize; WorkerHealth::COUNT]) {
         for (gauge, count) in self.workers.health.iter().zip(counts) {
             gauge.set(gauge_value(count));
         }
     }
 
-    /// Raises the count of a limit's hits to a total. `limit`: its number among the names given at the start.
+    /// Raises the number of hits of a limit to `total`. `limit` is its index in the names passed to [`Metrics::new`];
+    /// an index out of range is ignored.
     pub fn set_limit_hits(&self, limit: usize, total: u64) {
         if let Some(counter) = self.workers.limit_hits.get(limit) {
             raise(counter, total);
         }
     }
 
-    /// Sets the state of the return from a restart.
+    /// Sets the state of the return to service after a restart.
     pub fn set_recovery(&self, state: &RecoveryState) {
         select(&self.fleet.recovery_steps, state.step as usize);
         for (counter, total) in self.fleet.recovery_rejections.iter().zip(state.rejections) {
@@ -113,7 +115,7 @@
         raise(&self.fleet.doubtful_actions, state.doubtful_actions);
     }
 
-    /// Sets what the leader knows of the fleet.
+    /// Sets the state of the fleet, as the leader knows it.
     pub fn set_fleet(&self, state: &FleetState) {
         self.fleet.stale_incarnations.set(gauge_value(state.stale_incarnations));
         self.fleet.fenced_incarnations.set(gauge_value(state.fenced_incarnations));
@@ -135,23 +137,23 @@
         series.clock_offset.set(state.clock_offset_seconds);
     }
 
-    /// Sets the state of remote write's log.
+    /// Sets the state of the write-ahead log of remote write.
     pub fn set_wal(&self, state: &WalState) {
         self.remote_write.wal_bytes.set(gauge_value(state.bytes));
         self.remote_write.wal_limit.set(gauge_value(state.limit_bytes));
         raise(&self.remote_write.wal_failures, state.failures);
     }
 
-    /// The latency of each class, by its name, as a native histogram.
+    /// Returns the name and the native latency histogram of each class.
     pub fn native_histograms(&self) -> impl Iterator<Item = (&str, NativeHistogram)> {
         let histograms = self.calls.latency.iter().map(LatencyHistogram::native);
         self.layout.classes().iter().map(String::as_str).zip(histograms)
     }
 
-    /// All series in the OpenMetrics text format.
+    /// Returns all series in the OpenMetrics text format.
     ///
     /// # Errors
-    /// Where the text can't be formatted.
+    /// Returns an error if a series can't be encoded.
     pub fn text(&self) -> Result<String, fmt::Error> {
         let mut out = String::new();
         text::encode(&mut out, &self.registry)?;
@@ -159,7 +161,7 @@
     }
 }
 
-/// Sets one gauge to 1, and the others to 0.
+/// Sets the gauge at index `selected` to 1 and the others to 0.
 fn select(gauges: &[Gauge], selected: usize) {
     for (index, gauge) in gauges.iter().enumerate() {
         gauge.set(i64::from(index == selected));
@@ -176,7 +178,7 @@
     }
 }
 
-/// Raises a counter to a total; it never falls.
+/// Raises a counter to a total. A lower total is ignored, because a counter must not decrease.
 fn raise(counter: &Counter, total: u64) {
     let current = counter.get();
     if total > current {
--- a/crates/metrics/src/registry/tests.rs
+++ b/crates/metrics/src/registry/tests.rs
@@ -1,4 +1,5 @@
-//! All series at zero, counting in one series alone, and the bound on series.
+//! Tests that all series exist at zero from the start, that a call is counted in one series only, and that the number
+//! of series is bounded.
 
 use super::*;
 
@@ -6,7 +7,7 @@
     (0..count).map(|n| format!("{prefix}{n}")).collect()
 }
 
-/// A call that took 0.3 s.
+/// Returns a call with a latency of 0.3 s.
 fn call(class: usize, end: CallEnd, tenant: Option<usize>, group: usize) -> CallRecord {
     CallRecord { class, end, tenant, group, latency_micros: 300_000 }
 }
@@ -16,7 +17,7 @@
     let layout = SeriesLayout::new(names("c", 2), &names("t", 1), &names("m", 1), 1000);
     let text = Metrics::new(layout, &["open_calls"]).text().expect("text");
     let series = |name: &str| text.lines().filter(|l| l.starts_with(name)).count();
-    // Two classes, six ends, t0 / other / none, m0 / other.
+    // Two classes, six ends, three tenants (t0, other, none), two model groups (m0, other).
     assert_eq!(series("nettleferry_calls_total"), 2 * 6 * 3 * 2);
     assert_eq!(series("nettleferry_attempts_total"), AttemptCause::COUNT);
     assert_eq!(series("nettleferry_call_duration_seconds_count"), 2);
--- a/crates/metrics/src/sample.rs
+++ b/crates/metrics/src/sample.rs
@@ -1,30 +1,31 @@
-//! The registry's text as single samples: remote write sends what is scraped.
+//! Parser that splits the metrics text into samples. Remote write uses it, so that it sends the same series and
+//! values as a scrape returns.
 
-/// The type of a series, by its TYPE line.
+/// Type of a series, as declared in its `# TYPE` line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SeriesKind {
-    /// Only grows.
+    /// A counter: a total that never decreases.
     Counter,
-    /// Goes up and down.
+    /// A gauge, or a series of any other type.
     Gauge,
-    /// A part of a classic histogram.
+    /// A bucket, sum or count of a classic histogram.
     Histogram,
 }
 
-/// A sample of the text.
+/// A sample parsed from one line of the metrics text.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ParsedSample {
-    /// The series as the text writes it: name and labels.
+    /// Name and labels of the series, exactly as they appear in the text.
     pub key: String,
-    /// Its labels, `__name__` first.
+    /// Names and unescaped values of the labels. The first one is `__name__`.
     pub labels: Vec<(String, String)>,
-    /// Its value.
+    /// Value of the sample.
     pub value: f64,
-    /// The type of the series.
+    /// Type of the series.
     pub kind: SeriesKind,
 }
 
-/// Parses the OpenMetrics text of [`crate::Metrics::text`]. Lines that are no samples are ignored.
+/// Parses the OpenMetrics text of [`crate::Metrics::text`]. Lines that can't be parsed as samples are ignored.
 pub fn parse(text: &str) -> Vec<ParsedSample> {
     let mut kind = SeriesKind::Gauge;
     let mut all = Vec::new();
@@ -44,7 +45,7 @@
     all
 }
 
-/// The sample of a line, of a series of this type.
+/// Parses a sample line. Returns `None` if the line is malformed.
 fn parse_sample(line: &str, kind: SeriesKind) -> Option<ParsedSample> {
     let (key, value) = line.rsplit_once(' ')?;
     let value = value.parse().ok()?;
@@ -60,7 +61,8 @@
     Some(ParsedSample { key: key.to_owned(), labels, value, kind })
 }
 
-/// The content up to the closing quote, and what follows it.
+/// Unescapes a label value up to its closing quote. Returns the value and the text after the quote, or `None` if the
+/// quote is missing.
 fn unquote(text: &str) -> Option<(String, &str)> {
     let mut content = String::new();
     let mut chars = text.char_indices();
--- a/crates/metrics/src/sample/tests.rs
+++ b/crates/metrics/src/sample/tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of `sample`.
+//! Tests that the metrics text is parsed without loss, including label values with quotes and separators.
 
 use super::*;
 use crate::{CallEnd, CallRecord, Metrics, SeriesLayout};
--- a/crates/metrics/src/updates.rs
+++ b/crates/metrics/src/updates.rs
@@ -1,81 +1,82 @@
-//! Values that are recorded or set together.
+//! Groups of values that [`crate::Metrics`] records or sets in one call.
 
 use crate::labels::{CallEnd, LeaseStage, RecoveryRejection, RecoveryStep, SampleEnd};
 
 /// A call that has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallRecord {
-    /// The number of its class.
+    /// Class number, an index into [`crate::SeriesLayout::classes`].
     pub class: usize,
-    /// How it ended.
+    /// How the call ended.
     pub end: CallEnd,
-    /// The number of its tenant, where it named one.
+    /// Tenant number; `None` for a call without a tenant.
     pub tenant: Option<usize>,
-    /// The number of its model group.
+    /// Model group number.
     pub group: usize,
-    /// From its arrival to its answer, microseconds; counts for served calls.
+    /// Microseconds from arrival to final answer. Only the latency of served calls is recorded.
     pub latency_micros: u64,
 }
 
-/// A controller's return from a restart.
+/// State of a controller's return to service after a restart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RecoveryState {
-    /// The step that it is in.
+    /// Current phase.
     pub step: RecoveryStep,
-    /// Totals of rejected calls, in the order of [`RecoveryRejection::ALL`].
+    /// Total number of rejected calls by reason, in the order of [`RecoveryRejection::ALL`].
     pub rejections: [u64; RecoveryRejection::COUNT],
 }
 
-/// A follower's lease.
+/// State of a follower's lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseState {
-    /// The stage that it is in.
+    /// Current stage.
     pub stage: LeaseStage,
-    /// Total of leases that expired before they were renewed.
+    /// Total number of leases that expired before they were renewed.
     pub expiries: u64,
-    /// Total of times that calls were accepted while the lease expired.
+    /// Total number of actions that began within a lease and finished after it had expired, because the process
+    /// stalled in between.
     pub doubtful_actions: u64,
 }
 
-/// What the leader knows of the fleet.
+/// State of the fleet, as the leader knows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FleetState {
-    /// Incarnations that hold a lease and act on an older revision.
+    /// Number of incarnations that hold a lease and have an earlier revision in force than the leader.
     pub stale_incarnations: usize,
-    /// Fenced incarnations that have sent a heartbeat lately.
+    /// Number of fenced incarnations that have sent a heartbeat recently.
     pub fenced_incarnations: usize,
-    /// Whether the fleet has not agreed yet on the snapshot that counts.
+    /// Whether recovery has not yet decided which snapshot is authoritative.
     pub recovery_pending: bool,
 }
 
-/// Remote write: its queue and its receiver.
+/// State of the remote-write queue and of the exchange with the receiver.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RemoteWriteState {
-    /// Totals of samples, in the order of [`SampleEnd::ALL`].
+    /// Total number of samples that left the queue, in the order of [`SampleEnd::ALL`].
     pub samples: [u64; SampleEnd::COUNT],
-    /// Total of batches that were sent again.
+    /// Total number of batches that were sent again.
     pub retries: u64,
-    /// Samples that wait to be sent.
+    /// Number of samples in the queue, including those in flight.
     pub waiting_samples: usize,
-    /// Age of the oldest of them, seconds.
+    /// Age of the oldest sample in the queue, in seconds.
     pub oldest_age_seconds: u64,
-    /// Total of changes between protocol versions.
+    /// Total number of changes of the protocol version in use.
     pub version_changes: u64,
-    /// Total of rejected batches that were halved.
+    /// Total number of rejected batches that were halved to isolate invalid samples.
     pub splits: u64,
-    /// Total of batches of which the receiver wrote less than it accepted.
+    /// Total number of batches that the receiver accepted but reported as written only in part.
     pub short_writes: u64,
-    /// How far the wall clock is ahead of the time of samples, seconds.
+    /// How far the wall clock is ahead of the sample clock, in seconds. Negative if it is behind.
     pub clock_offset_seconds: f64,
 }
 
-/// The write-ahead log of remote write.
+/// State of the write-ahead log of remote write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WalState {
-    /// Its size, bytes.
+    /// Current size of the log, in bytes.
     pub bytes: u64,
-    /// Its greatest size, bytes.
+    /// Maximum size of the log, in bytes.
     pub limit_bytes: u64,
-    /// Total of failed operations on its storage.
+    /// Total number of failed operations on the log's storage.
     pub failures: u64,
 }
