--- a/crates/metrics/src/labels.rs
+++ b/crates/metrics/src/labels.rs
@@ -91,13 +91,13 @@
 
     /// Health of a worker, as the decision module sees it.
     WorkerHealth {
-        /// In service.
+        /// The worker is in service.
         Serving => "serving",
-        /// Draining.
+        /// The worker is draining.
         Draining => "draining",
-        /// Ejected as an outlier.
+        /// The worker was ejected as an outlier.
         Ejected => "barred",
-        /// Unreachable.
+        /// The worker is unreachable.
         Down => "down",
     }
 
@@ -142,9 +142,9 @@
 
     /// How a sample left the remote-write queue.
     SampleEnd {
-        /// The receiver accepted it.
+        /// The receiver accepted the sample.
         Accepted => "taken",
-        /// The receiver rejected it permanently, or its series was excluded after such a rejection.
+        /// The receiver rejected the sample permanently, or its series was excluded after such a rejection.
         Rejected => "refused",
         /// Dropped because the queue was full.
         DroppedFull => "dropped_full",
--- a/crates/remote-write/src/excluded.rs
+++ b/crates/remote-write/src/excluded.rs
@@ -1,4 +1,5 @@
-//! Series that the receiver rejected alone: their samples are not queued for a while.
+//! Set of excluded series. A series is excluded for a period after the receiver rejected it while it accepted other
+//! series of the same batch. Samples of an excluded series are not queued.
 
 use std::collections::BTreeMap;
 
@@ -7,7 +8,7 @@
 
 #[derive(Debug, Default)]
 pub(crate) struct ExcludedSeries {
-    /// Until when, by series.
+    /// End of the exclusion of each series.
     until: BTreeMap<u64, Micros>,
 }
 
@@ -16,14 +17,14 @@
         self.until.len()
     }
 
-    /// Excludes a series, where there is room.
+    /// Excludes a series for [`Limits::exclusion_period`], unless [`Limits::max_excluded_series`] is reached.
     pub(crate) fn insert(&mut self, now: Micros, series: u64, limits: &Limits) {
         if self.until.len() < limits.max_excluded_series {
             self.until.insert(series, now + limits.exclusion_period);
         }
     }
 
-    /// Whether a series is excluded now; one whose time is over is forgotten.
+    /// Returns whether a series is excluded at `now`, and removes the entry if its exclusion has ended.
     pub(crate) fn contains(&mut self, now: Micros, series: u64) -> bool {
         let until = self.until.get(&series).copied();
         if until.is_some_and(|until| until <= now) {
--- a/crates/remote-write/src/lib.rs
+++ b/crates/remote-write/src/lib.rs
@@ -1,13 +1,17 @@
-//! Decisions of sending samples by remote write to a receiver that may be away: no I/O, no clock.
+//! State machine of a Prometheus remote-write sender whose receiver may be unavailable. It does no I/O and reads no
+//! clock.
 //!
-//! May know: samples, batches, responses by kind. Must not know: sockets, HTTP, encodings, files. Time is handed in, as
-//! microseconds on any clock that never goes back; random numbers come from a seed. Equal events give equal actions.
+//! This crate depends on samples, batches and kinds of responses. It must not depend on sockets, HTTP, encodings or
+//! files. Callers pass in the time, in microseconds of any monotonic clock, and the seed of the random numbers. The
+//! same events always lead to the same actions.
 //!
-//! * [`queue`]: what is queued, what is dropped first, what is sent when, and what is retried. [`limits`]: its bounds.
-//! * [`sample`]: samples and batches. [`response`]: responses, and what became of samples.
-//! * [`negotiation`]: which protocol version a receiver gets.
-//! * [`record_tracker`]: which record of a log holds which samples.
-//! * [`sample_clock`]: the time of samples.
+//! * [`queue`]: which samples are queued, dropped, sent and retried, and when.
+//! * [`limits`]: limits and delays of the queue.
+//! * [`sample`]: samples and batches.
+//! * [`response`]: kinds of responses, and counters of what happened to samples.
+//! * [`negotiation`]: choice of the protocol version.
+//! * [`record_tracker`]: which records of the write-ahead log still have queued samples.
+//! * [`sample_clock`]: timestamps of samples.
 
 #![forbid(unsafe_code)]
 
@@ -29,5 +33,5 @@
 pub use sample::{Batch, HeapSize, SAMPLE_BYTES, Sample};
 pub use sample_clock::SampleClock;
 
-/// Microseconds.
+/// A time or duration in microseconds.
 pub type Micros = u64;
--- a/crates/remote-write/src/limits.rs
+++ b/crates/remote-write/src/limits.rs
@@ -1,33 +1,34 @@
-//! Bounds and waits of the queue.
+//! Limits and delays of the queue.
 
 use crate::Micros;
 
-/// Bounds and waits of a queue.
+/// Limits and delays of a [`crate::Queue`].
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Shards, each of which has at most one batch in flight.
+    /// Number of shards. Each has at most one batch in flight.
     pub shards: usize,
-    /// Most samples of a batch; a shard that has as many sends them at once.
+    /// Maximum number of samples in a batch. A shard with this many samples sends them without delay.
     pub batch_samples: usize,
-    /// Longest wait of a sample for its batch to fill.
+    /// Maximum time that a sample waits for further samples to fill its batch.
     pub batch_age: Micros,
-    /// Most bytes of all shards; the oldest samples are dropped first.
+    /// Maximum memory of the samples of all shards, in bytes. Beyond it the oldest samples are dropped.
     pub max_bytes: usize,
-    /// Samples older than this are dropped.
+    /// Maximum age of a queued sample. Older samples are dropped, unless they are in flight.
     pub max_age: Micros,
-    /// First wait before a batch is sent again.
+    /// Backoff after the first failed attempt to send a batch.
     pub first_backoff: Micros,
-    /// Longest wait before a batch is sent again, apart from Retry-After.
+    /// Maximum backoff between attempts to send a batch. A Retry-After may be longer.
     pub max_backoff: Micros,
-    /// Longest Retry-After that is followed.
+    /// Maximum Retry-After. Longer values are shortened to this.
     pub max_retry_after: Micros,
-    /// How often a batch and its parts are halved at most, before what is rejected is dropped.
+    /// Maximum number of times that a batch and its parts are halved. Parts that are rejected after that are dropped.
     pub max_splits: u32,
-    /// How long a series that was rejected alone is excluded.
+    /// Time for which a series is excluded after the receiver rejected it while it accepted others of the batch.
     pub exclusion_period: Micros,
-    /// Most series that are excluded at once; further ones are sent again each time.
+    /// Maximum number of series that are excluded at the same time. Further invalid series continue to be sent.
     pub max_excluded_series: usize,
-    /// Most series whose last time is remembered, to keep them in order; samples of others are dropped.
+    /// Maximum number of series whose last timestamp is stored, to keep their samples in order. Samples of further
+    /// series are dropped.
     pub max_series: usize,
 }
 
--- a/crates/remote-write/src/negotiation.rs
+++ b/crates/remote-write/src/negotiation.rs
@@ -1,37 +1,37 @@
-//! Which of two protocol versions a receiver gets: the preferred one until a response shows that it was not understood,
-//! then the plain one; the preferred one is tried again now and then, by one batch at a time, because receivers are
-//! upgraded and replaced.
+//! Negotiation of the protocol version. Messages use the preferred version until a response shows that the receiver
+//! did not understand it, and then the plain version. Since receivers are upgraded and replaced, the preferred
+//! version is tried again from time to time, with one message at a time.
 
 use std::collections::BTreeSet;
 
 use crate::Micros;
 
-/// A version of the messages.
+/// Protocol version of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProtocolVersion {
-    /// The newer one, which carries more.
+    /// The newer version, which carries more data.
     Preferred,
-    /// The older one, which every receiver understands.
+    /// The older version, which every receiver understands.
     Plain,
 }
 
-/// What a response says of the version of its message.
+/// What a response shows about the protocol version of the message that it responds to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Acceptance {
-    /// It was understood.
+    /// The receiver understood the version.
     Understood,
-    /// It was not, or was read as something else: nothing of it was stored.
+    /// The receiver did not understand the version, or read the message as another one. It stored nothing.
     NotUnderstood,
-    /// The response, or its absence, does not show it.
+    /// The response does not show whether the version was understood, or there was no response.
     Unknown,
 }
 
-/// Backoff before the preferred version is tried again.
+/// Backoff between attempts to use the preferred version after it was not understood.
 #[derive(Clone, Copy, Debug)]
 pub struct Backoff {
-    /// After the first time that it was not understood.
+    /// Delay before the first new attempt.
     pub first: Micros,
-    /// It doubles up to this.
+    /// Maximum delay. The delay doubles with each failed attempt.
     pub max: Micros,
 }
 
@@ -41,33 +41,34 @@
     }
 }
 
-/// The receiver gets the plain version for now.
+/// State while messages use the plain version.
 #[derive(Clone, Copy, Debug)]
 struct Fallback {
     backoff: Micros,
-    /// When the preferred version is tried again.
+    /// Time from which the preferred version is tried again.
     retry_at: Micros,
 }
 
-/// The version in use.
+/// Chooses the protocol version of each message.
 #[derive(Clone, Debug)]
 pub struct Negotiation {
     backoff: Backoff,
     fallback: Option<Fallback>,
-    /// Lanes whose message is in flight in the preferred version.
+    /// Lanes with a message in the preferred version in flight.
     preferred_lanes: BTreeSet<usize>,
     changes: u64,
 }
 
 impl Negotiation {
-    /// Begins with the preferred version.
+    /// Creates a negotiation that starts with the preferred version.
     pub fn new(backoff: Backoff) -> Self {
         Self { backoff, fallback: None, preferred_lanes: BTreeSet::new(), changes: 0 }
     }
 
-    /// The version of the next message on a lane; [`Negotiation::handle_response`] is to follow.
+    /// Returns the version for the next message on a lane, which has at most one message in flight. The caller must
+    /// report the outcome with [`Negotiation::handle_response`].
     pub fn next_version(&mut self, now: Micros, lane: usize) -> ProtocolVersion {
-        // In fallback one message at a time tries the preferred version.
+        // During the fallback at most one message in flight uses the preferred version.
         let preferred = self.fallback.is_none_or(|f| now >= f.retry_at && self.preferred_lanes.is_empty());
         if preferred {
             self.preferred_lanes.insert(lane);
@@ -76,7 +77,8 @@
         ProtocolVersion::Plain
     }
 
-    /// Handles what the response to a lane's message says of its version.
+    /// Handles the response to a lane's message, or its failure. Responses to messages in the plain version are
+    /// ignored.
     pub fn handle_response(&mut self, now: Micros, lane: usize, acceptance: Acceptance) {
         if !self.preferred_lanes.remove(&lane) {
             return;
@@ -91,7 +93,7 @@
                 self.fall_back(now, self.backoff.first);
                 self.changes += 1;
             }
-            // Other messages that were in flight when the first was not understood say nothing new.
+            // This message was in flight when the fallback began, so its response gives no new information.
             (Acceptance::NotUnderstood, Some(fallback)) if now < fallback.retry_at => {}
             (Acceptance::NotUnderstood, Some(fallback)) => {
                 self.fall_back(now, fallback.backoff.saturating_mul(2).min(self.backoff.max));
@@ -103,12 +105,12 @@
         self.fallback = Some(Fallback { backoff, retry_at: now.saturating_add(backoff) });
     }
 
-    /// The version in use, apart from tries of the preferred one.
+    /// Returns the version in use. New attempts with the preferred version during a fallback do not count.
     pub fn version(&self) -> ProtocolVersion {
         if self.fallback.is_some() { ProtocolVersion::Plain } else { ProtocolVersion::Preferred }
     }
 
-    /// How often the version in use has changed.
+    /// Returns how often the version in use has changed.
     pub fn changes(&self) -> u64 {
         self.changes
     }
--- a/crates/remote-write/src/negotiation/tests.rs
+++ b/crates/remote-write/src/negotiation/tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of `negotiation`.
+//! Tests of the fallback to the plain version and of the new attempts with the preferred version.
 
 use super::*;
 
@@ -37,7 +37,7 @@
     assert_eq!(negotiation.next_version(61 * S, 0), ProtocolVersion::Preferred);
     negotiation.handle_response(61 * S, 0, Acceptance::Understood);
     assert_eq!((negotiation.version(), negotiation.changes()), (ProtocolVersion::Preferred, 2));
-    // Replaced by one that is older: from the beginning.
+    // The receiver is replaced by an older one: the backoff starts again with the first delay.
     assert_eq!(retry(&mut negotiation, 70 * S), ProtocolVersion::Preferred);
     assert_eq!(retry(&mut negotiation, 79 * S), ProtocolVersion::Plain);
     assert_eq!(negotiation.next_version(80 * S, 0), ProtocolVersion::Preferred);
--- a/crates/remote-write/src/queue.rs
+++ b/crates/remote-write/src/queue.rs
@@ -1,19 +1,23 @@
 //! The queue between a controller's metrics and a remote-write receiver.
 //!
-//! Samples go to a shard by their series, so that a series is sent in order; a shard has one batch in flight at a time. A
-//! batch is sent when it is large or old enough. Responses are of four kinds: accepted; rejected for good (dropped,
-//! counted, never sent again); invalid, which is rejected for what is in it: the batch is halved, by series and then by
-//! time, until the invalid samples stand alone and are dropped, with a bound on how often, and a series that was rejected
-//! alone while others of its batch were accepted is excluded for a while; or unavailable (the same batch again after a
-//! backoff that doubles, with jitter, or after Retry-After).
+//! All samples of a series go to the same shard, and a shard has at most one batch in flight, so the samples of a
+//! series are sent in order. A batch is sent when it is large or old enough. There are four kinds of responses
+//! ([`Response`]):
 //!
-//! A full queue drops the oldest samples first, of all shards: the newest are worth most. Samples that are too old are
-//! dropped as well, apart from a batch in flight: it may have been accepted.
+//! * Accepted.
+//! * Rejected: the batch is dropped and counted, and never sent again.
+//! * Invalid: some samples of the batch were rejected because of their contents. The batch is halved, by series and
+//!   then by time, until the invalid samples are isolated and dropped. The number of times that a batch is halved is
+//!   bounded. A series that was rejected by itself while others of its batch were accepted is excluded for a while.
+//! * Unavailable: the same batch is sent again after an exponential backoff with jitter, or after Retry-After.
 //!
-//! How fast a backlog drains: the shards that may have a batch in flight are a window that halves with each "unavailable"
-//! and grows by one with each accepted batch, so that a receiver that returns gets one batch, then two, then three.
-//! Shards are served round robin, so that one with a long backlog does not starve the fresh samples of the others; within
-//! a series nothing may overtake.
+//! A full queue drops the oldest samples of all shards first, because the newest are the most valuable. Samples that
+//! exceed the maximum age are dropped as well. A batch in flight is kept, since the receiver may have accepted it.
+//!
+//! A window limits the number of shards with a batch in flight, and thereby the rate at which a backlog is sent. It
+//! is halved with each "unavailable" response and grows by one with each accepted batch, so that a receiver that
+//! becomes available again gets one batch at first, then two, then four. Shards are served round robin, so that a
+//! shard with a long backlog does not delay the fresh samples of the others.
 
 use std::collections::BTreeMap;
 
@@ -27,38 +31,41 @@
 use crate::sample::{Batch, HeapSize, QueuedSample, Sample};
 use crate::shard::{PendingBatch, Shard};
 
-/// The exponent of the backoff is at most this: beyond it the longest backoff is reached.
+/// Maximum exponent of the backoff, to avoid an overflow. With the default limits the maximum backoff is reached
+/// earlier.
 const MAX_DOUBLINGS: u32 = 20;
 
-/// The queue.
+/// Queue of samples for a remote-write receiver. `V` is the type of the values.
 pub struct Queue<V = f64> {
     limits: Limits,
     shards: Vec<Shard<V>>,
-    /// The time of the last sample of each series.
+    /// Timestamp of the last sample of each series, in milliseconds since the Unix epoch.
     last_times: BTreeMap<u64, i64>,
     excluded: ExcludedSeries,
     random: ChaCha8Rng,
-    /// Samples and bytes in the queue.
+    /// Number of samples in the queue.
     samples: usize,
+    /// Memory of the samples in the queue, in bytes.
     bytes: usize,
-    /// The last numbers given to a sample and to a batch.
+    /// Sequence number of the last queued sample.
     sequence: u64,
+    /// Number of the last batch or part of a batch.
     batch_number: u64,
-    /// Shards that may have a batch in flight.
+    /// Maximum number of shards with a batch in flight.
     window: usize,
-    /// The shard that is served first.
+    /// Index of the shard that is served first in the next round.
     next_shard: usize,
-    /// Nothing is sent before, as the receiver has asked.
+    /// Time before which no shard sends, because of a Retry-After.
     paused_until: Micros,
     counters: Counters,
-    /// Nothing waits for its batch to fill any more.
+    /// Whether batches are sent without waiting for further samples.
     flushing: bool,
-    /// Times of samples that have left the queue.
+    /// Timestamps of the samples that have left the queue since the last call of [`Queue::drain_completed`].
     completed: Vec<i64>,
 }
 
 impl<V: Clone + HeapSize> Queue<V> {
-    /// An empty queue.
+    /// Creates an empty queue. `seed` is the seed of the jitter.
     pub fn new(limits: Limits, seed: u64) -> Self {
         Self {
             limits,
@@ -79,43 +86,44 @@
         }
     }
 
-    /// What became of samples.
+    /// Returns the totals since the start.
     pub fn counters(&self) -> Counters {
         self.counters
     }
 
-    /// Takes the times of samples that have left the queue in whatever way, for an owner that stores them elsewhere too.
-    /// To be called after each event.
+    /// Removes and returns the timestamps of the samples that have left the queue, whether sent, rejected or dropped.
+    /// An owner that also stores the samples elsewhere, such as in a write-ahead log, calls this after each event.
     pub fn drain_completed(&mut self) -> std::vec::Drain<'_, i64> {
         self.completed.drain(..)
     }
 
-    /// From now on nothing waits for its batch to fill: the sender is about to end.
+    /// From now on, sends batches without waiting for further samples. Called before the sender shuts down.
     pub fn flush(&mut self) {
         self.flushing = true;
     }
 
-    /// Samples in the queue, those in flight included.
+    /// Returns the number of samples in the queue, including those in flight.
     pub fn len(&self) -> usize {
         self.samples
     }
 
-    /// Whether there are none.
+    /// Returns whether the queue has no samples, not even in flight.
     pub fn is_empty(&self) -> bool {
         self.samples == 0
     }
 
-    /// Bytes in the queue.
+    /// Returns the memory of the samples in the queue, in bytes.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// Series that are excluded, as they were rejected alone.
+    /// Returns the number of series that are excluded, including those whose exclusion has ended but that have had no
+    /// sample since.
     pub fn excluded_series(&self) -> usize {
         self.excluded.len()
     }
 
-    /// Age of the oldest sample in the queue.
+    /// Returns the time since the oldest sample in the queue was offered, or 0 if the queue is empty.
     pub fn oldest_age(&self, now: Micros) -> Micros {
         let waiting = self.shards.iter().filter_map(|shard| shard.waiting.front());
         let parts =
@@ -123,7 +131,7 @@
         waiting.chain(parts).map(|queued| now.saturating_sub(queued.arrived)).max().unwrap_or(0)
     }
 
-    /// Adds a sample, or counts why it is dropped.
+    /// Adds a sample to the queue. If it can't be queued, it is dropped and counted by reason.
     pub fn offer(&mut self, now: Micros, sample: Sample<V>) {
         self.counters.offered += 1;
         let last = self.last_times.get(&sample.series).copied();
@@ -148,12 +156,12 @@
 
     fn enqueue(&mut self, now: Micros, sample: Sample<V>) {
         self.sequence += 1;
-        let shard = (mix(sample.series) % self.shards.len() as u64) as usize;
+        let shard = (hash_series(sample.series) % self.shards.len() as u64) as usize;
         let queued = QueuedSample { sample, arrived: now, sequence: self.sequence };
         let size = queued.size();
         while self.bytes + size > self.limits.max_bytes {
             if !self.drop_oldest() {
-                // All samples in the queue are in flight: there is no room for the new one.
+                // No sample can be dropped, because all are part of a batch that was started.
                 self.counters.dropped_full += 1;
                 self.completed.push(queued.sample.at_ms);
                 return;
@@ -164,14 +172,14 @@
         self.shards[shard].waiting.push_back(queued);
     }
 
-    /// Counts out samples that have left the queue.
+    /// Updates the totals for samples that have left the queue.
     fn complete(&mut self, samples: &[QueuedSample<V>]) {
         self.samples -= samples.len();
         self.bytes -= samples.iter().map(QueuedSample::size).sum::<usize>();
         self.completed.extend(samples.iter().map(|queued| queued.sample.at_ms));
     }
 
-    /// Drops the oldest sample that waits; false: none does.
+    /// Drops the oldest sample that is not part of a batch. Returns false if there is none.
     fn drop_oldest(&mut self) -> bool {
         let shards = self.shards.iter_mut().filter(|shard| !shard.waiting.is_empty());
         let oldest = shards.min_by_key(|shard| shard.waiting.front().map(|first| first.sequence));
@@ -181,19 +189,20 @@
         true
     }
 
-    fn drop_old(&mut self, now: Micros) {
+    fn drop_expired(&mut self, now: Micros) {
         let since = now.saturating_sub(self.limits.max_age);
-        let mut old = Vec::new();
+        let mut expired = Vec::new();
         for shard in &mut self.shards {
-            shard.remove_older(since, &mut old);
+            shard.remove_older(since, &mut expired);
         }
-        self.complete(&old);
-        self.counters.dropped_old += old.len() as u64;
+        self.complete(&expired);
+        self.counters.dropped_old += expired.len() as u64;
     }
 
-    /// Appends what is to be sent now to `send`; for each batch one [`Queue::handle_response`] is to follow.
+    /// Appends the batches to be sent at `now` to `send`. For each of them the caller must call
+    /// [`Queue::handle_response`], also if no response arrives.
     pub fn due(&mut self, now: Micros, send: &mut Vec<Batch<V>>) {
-        self.drop_old(now);
+        self.drop_expired(now);
         if now < self.paused_until {
             return;
         }
@@ -204,22 +213,24 @@
             }
             let shard = (self.next_shard + step) % count;
             if self.shards[shard].is_ready(now, &self.limits, self.flushing)
-                && let Some(batch) = self.take_batch(shard)
+                && let Some(batch) = self.start_attempt(shard)
             {
                 send.push(batch);
-                // The next round begins after the last shard that sent one.
+                // The next round continues from the last shard that sent a batch.
                 self.next_shard = shard;
             }
         }
         self.next_shard = (self.next_shard + 1) % count;
     }
 
-    /// Shards with a batch in flight.
+    /// Returns the number of shards with a batch in flight.
     fn busy_shards(&self) -> usize {
         self.shards.iter().filter(|shard| shard.in_flight).count()
     }
 
-    fn take_batch(&mut self, index: usize) -> Option<Batch<V>> {
+    /// Marks the first part of the shard's batch as in flight, and returns it. If the shard has no batch, a new one
+    /// is started with its waiting samples. The shard must be ready ([`Shard::is_ready`]).
+    fn start_attempt(&mut self, index: usize) -> Option<Batch<V>> {
         let shard = &mut self.shards[index];
         if shard.parts.is_empty() {
             self.batch_number += 1;
@@ -235,7 +246,7 @@
         Some(batch)
     }
 
-    /// Handles the response to a batch; one to a batch that is not in flight is ignored.
+    /// Handles the response to a batch. A response to a batch that is not in flight is ignored.
     pub fn handle_response(&mut self, now: Micros, shard: usize, number: u64, response: Response) {
         let Some(state) = self.shards.get_mut(shard).filter(|state| state.in_flight) else { return };
         let Some(part) = state.parts.front().filter(|part| part.number == number) else { return };
@@ -257,7 +268,7 @@
         self.end_part(&part, response);
     }
 
-    /// Counts a part that was accepted or rejected.
+    /// Counts the samples of a part that was accepted or rejected, and widens the window if it was accepted.
     fn end_part(&mut self, part: &PendingBatch<V>, response: Response) {
         self.complete(&part.samples);
         let count = part.samples.len() as u64;
@@ -269,12 +280,13 @@
         }
     }
 
-    /// The receiver is unavailable: the shard waits, and all shards where Retry-After was given.
+    /// Handles an unavailable receiver: halves the window and starts the shard's backoff. With a Retry-After, all
+    /// shards pause.
     fn back_off(&mut self, now: Micros, shard: usize, attempts: u32, retry_after: Option<Micros>) {
         self.window = (self.window / 2).max(1);
         let doubled = self.limits.first_backoff.saturating_mul(1 << (attempts - 1).min(MAX_DOUBLINGS));
         let backoff = doubled.min(self.limits.max_backoff).max(1);
-        // At least half of it, with jitter, so that shards that failed together do not retry together.
+        // The jitter, up to half of the backoff, keeps shards that failed together from retrying together.
         let wait = backoff / 2 + self.random.random_range(0..=backoff / 2);
         self.shards[shard].not_before = now + wait;
         if let Some(after) = retry_after {
@@ -282,7 +294,8 @@
         }
     }
 
-    /// When [`Queue::due`] may return something next; `None`: not before a sample is offered or a response comes.
+    /// Returns the next time at which [`Queue::due`] may return a batch, or `None` if it returns none until a sample
+    /// is offered or a response is handled.
     pub fn next_due(&self, now: Micros) -> Option<Micros> {
         if self.busy_shards() >= self.window {
             return None;
@@ -293,9 +306,8 @@
     }
 }
 
-/// Spreads series over shards, whatever their numbers.
-fn mix(mut x: u64) -> u64 {
-    // SplitMix64's finalizer.
+/// Hashes a series number with the finalizer of SplitMix64, so that series are distributed evenly over the shards.
+fn hash_series(mut x: u64) -> u64 {
     x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     x ^ (x >> 31)
--- a/crates/remote-write/src/record_tracker.rs
+++ b/crates/remote-write/src/record_tracker.rs
@@ -1,18 +1,19 @@
-//! Which record of the log holds which samples: a record may be acknowledged when its last sample has left the queue.
+//! Tracks which records of the write-ahead log still have samples in the queue. A record may be acknowledged once the
+//! last of its samples has left the queue.
 
 use std::collections::BTreeMap;
 
-/// Records written at one time.
+/// Records with the same sample timestamp, and the number of their samples that are still queued.
 #[derive(Debug)]
 struct OpenRound<P> {
     records: Vec<P>,
     samples_left: usize,
 }
 
-/// Records with samples that are still queued. `P` names a record.
+/// Records with samples that are still queued. `P` identifies a record, such as its position in the log.
 #[derive(Debug)]
 pub struct RecordTracker<P> {
-    /// By the time of their samples: a round has one time and, as a rule, one record.
+    /// Rounds by the timestamp of their samples. A round usually has one record.
     open: BTreeMap<i64, OpenRound<P>>,
 }
 
@@ -23,7 +24,7 @@
 }
 
 impl<P> RecordTracker<P> {
-    /// Adds a record that holds so many samples of this time.
+    /// Adds a record that contains `samples` samples with the timestamp `at_ms`.
     pub fn add(&mut self, at_ms: i64, record: P, samples: usize) {
         let empty = || OpenRound { records: Vec::new(), samples_left: 0 };
         let round = self.open.entry(at_ms).or_insert_with(empty);
@@ -31,7 +32,8 @@
         round.samples_left += samples;
     }
 
-    /// A sample of this time has left the queue. Returns the records that are complete with it.
+    /// Handles a sample with the timestamp `at_ms` that has left the queue. If it was the last one of its round,
+    /// returns the records of the round; otherwise the result is empty.
     pub fn complete_sample(&mut self, at_ms: i64) -> Vec<P> {
         let Some(round) = self.open.get_mut(&at_ms) else { return Vec::new() };
         round.samples_left = round.samples_left.saturating_sub(1);
@@ -41,7 +43,7 @@
         self.open.remove(&at_ms).map(|round| round.records).unwrap_or_default()
     }
 
-    /// Rounds with samples that are still queued.
+    /// Returns the number of rounds with samples that are still queued.
     pub fn open_rounds(&self) -> usize {
         self.open.len()
     }
--- a/crates/remote-write/src/record_tracker/tests.rs
+++ b/crates/remote-write/src/record_tracker/tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of `record_tracker`.
+//! Tests that records are returned once the last of their samples has left the queue.
 
 use super::*;
 
--- a/crates/remote-write/src/response.rs
+++ b/crates/remote-write/src/response.rs
@@ -1,44 +1,46 @@
-//! Responses of a receiver, and what became of samples.
+//! Kinds of responses of a receiver, and counters of what happened to samples.
 
 use crate::Micros;
 
-/// A receiver's response, by what follows from it.
+/// A receiver's response, classified by how the sender proceeds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Response {
     /// The batch was accepted.
     Accepted,
-    /// The batch is rejected for good, whatever is in it.
+    /// The batch is rejected permanently, independently of its contents. It is dropped.
     Rejected,
-    /// The batch is rejected for something in it: its halves may be accepted.
+    /// The batch is rejected because of some of its samples. It is halved, since one half may be accepted.
     Invalid,
-    /// The receiver can't accept it now, or did not respond.
+    /// The receiver can't accept the batch at present, or did not respond. The batch is sent again.
     Unavailable {
-        /// Retry-After, where it was given.
+        /// The receiver's Retry-After, as a duration; `None` if it sent none.
         retry_after: Option<Micros>,
     },
 }
 
-/// What became of samples. Each sample that was offered is in one of the totals, or still queued.
+/// Totals since the start. Each offered sample is counted in exactly one of `accepted`, `rejected` and the `dropped`
+/// fields, or is still queued.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Samples offered.
+    /// Samples offered to the queue.
     pub offered: u64,
     /// Samples accepted by the receiver.
     pub accepted: u64,
-    /// Samples rejected for good.
+    /// Samples rejected permanently, including samples of excluded series.
     pub rejected: u64,
     /// Samples dropped because the queue was full.
     pub dropped_full: u64,
-    /// Samples dropped because they were too old.
+    /// Samples dropped because they exceeded the maximum age.
     pub dropped_old: u64,
-    /// Samples dropped because their series had a later one already, as after a clock stepped back.
+    /// Samples dropped because their series already had one of the same or a later time, for example after a clock
+    /// stepped back.
     pub dropped_order: u64,
-    /// Samples dropped because there are too many series.
+    /// Samples dropped because the limit on the number of series was reached.
     pub dropped_series: u64,
-    /// Batches sent, repeated ones included.
+    /// Batches sent, including repeated ones.
     pub batches: u64,
     /// Batches sent again.
     pub retries: u64,
-    /// Batches halved.
+    /// Number of times that a batch or a part of one was halved.
     pub splits: u64,
 }
--- a/crates/remote-write/src/sample.rs
+++ b/crates/remote-write/src/sample.rs
@@ -1,10 +1,10 @@
-//! Samples, as they are offered, queued and sent.
+//! Samples and batches.
 
 use crate::Micros;
 
-/// The size of a value beyond that of its type.
+/// Heap memory of a value, in addition to the size of its type.
 pub trait HeapSize {
-    /// Most bytes that it takes on the heap.
+    /// Returns an upper bound of the value's heap memory, in bytes.
     fn heap_size(&self) -> usize;
 }
 
@@ -17,28 +17,29 @@
 /// A sample of a series.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Sample<V = f64> {
-    /// The owner's number of the series.
+    /// Identifies the series; assigned by the owner of the queue.
     pub series: u64,
-    /// Its time, milliseconds since 1970.
+    /// Timestamp in milliseconds since the Unix epoch.
     pub at_ms: i64,
-    /// Its value.
+    /// Value of the sample.
     pub value: V,
 }
 
-/// What is sent in one request.
+/// The samples that are sent in one request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Batch<V = f64> {
-    /// The shard that it comes from, which has no other batch in flight.
+    /// Index of the batch's shard, which has no other batch in flight.
     pub shard: usize,
-    /// Its unique number; a batch that is sent again keeps its number and its samples.
+    /// Unique number. A batch that is sent again keeps its number and, apart from samples that have expired since,
+    /// its samples.
     pub number: u64,
-    /// How often it was sent before.
+    /// Number of previous attempts to send the batch.
     pub attempts: u32,
-    /// Its samples, each series in order.
+    /// Samples of the batch. Those of the same series are in order of time.
     pub samples: Vec<Sample<V>>,
 }
 
-/// Bytes that a queued sample of a number takes.
+/// Memory of a queued sample with an `f64` value, in bytes.
 pub const SAMPLE_BYTES: usize = size_of::<QueuedSample<f64>>();
 
 /// A sample in the queue.
@@ -46,12 +47,12 @@
 pub(crate) struct QueuedSample<V> {
     pub(crate) sample: Sample<V>,
     pub(crate) arrived: Micros,
-    /// Order of arrival over all shards.
+    /// Position in the order of arrival across all shards.
     pub(crate) sequence: u64,
 }
 
 impl<V: HeapSize> QueuedSample<V> {
-    /// Bytes that it takes.
+    /// Returns the memory of the sample in bytes, including the heap memory of its value.
     pub(crate) fn size(&self) -> usize {
         size_of::<Self>() + self.sample.value.heap_size()
     }
--- a/crates/remote-write/src/sample_clock/tests.rs
+++ b/crates/remote-write/src/sample_clock/tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of `sample_clock`.
+//! Tests of the sample clock with steps and drift of the wall clock.
 
 use super::*;
 use proptest::prelude::*;
@@ -7,7 +7,8 @@
 const HOUR: Micros = 3_600 * SECOND;
 const START: Micros = 1_764_590_000 * SECOND;
 
-/// Asked each second for so long, with a wall that is off by so much.
+/// Reads the clock once a second for `seconds` seconds. The wall clock is ahead of the monotonic clock by `off`
+/// microseconds.
 fn run(clock: &mut SampleClock, from: Micros, seconds: u64, off: i64) -> Vec<Micros> {
     let at = |n| from + n * SECOND;
     (1..=seconds).map(|n| clock.now(at(n), (START + at(n)).saturating_add_signed(off))).collect()
@@ -30,7 +31,7 @@
     assert!(times.windows(2).all(|w| w[1] - w[0] <= SECOND + SECOND / 20), "not yet");
     run(&mut clock, 70 * SECOND, 2, 24 * HOUR as i64);
     assert_eq!((clock.offset(), clock.steps_forward()), (0, 1));
-    // One that jumps and returns is not followed.
+    // A wall clock that steps forward and back again within the confirmation time is not followed.
     let mut jumps = SampleClock::new(0, START, 0);
     run(&mut jumps, 0, 59, HOUR as i64);
     run(&mut jumps, 59 * SECOND, 200, 0);
@@ -40,7 +41,7 @@
 
 #[test]
 fn drift_over_weeks_stays_small() {
-    // The monotonic clock loses 100 microseconds a second: 8.6 s a day, unless slewed.
+    // The monotonic clock loses 100 microseconds per second, which without slewing would be 8.6 s per day.
     let mut clock = SampleClock::new(0, START, 0);
     for n in 1..=14 * 24 * 60 {
         clock.now(n * 60 * SECOND, START + n * 60 * (SECOND + 100));
--- a/crates/remote-write/src/shard.rs
+++ b/crates/remote-write/src/shard.rs
@@ -1,4 +1,4 @@
-//! A shard: the samples of some series, of which one batch is in flight at a time.
+//! A shard of the queue: the samples of a subset of the series. At most one batch of a shard is in flight.
 
 use std::collections::{BTreeSet, VecDeque};
 
@@ -7,7 +7,7 @@
 use crate::response::Response;
 use crate::sample::QueuedSample;
 
-/// A batch, or what is left of one that was halved.
+/// A batch, or a part of a batch that was halved, that is in flight or has to be sent.
 pub(crate) struct PendingBatch<V> {
     pub(crate) number: u64,
     pub(crate) attempts: u32,
@@ -15,17 +15,19 @@
 }
 
 pub(crate) struct Shard<V> {
+    /// Samples that are not part of a batch yet, in order of arrival.
     pub(crate) waiting: VecDeque<QueuedSample<V>>,
-    /// The first is in flight, or waits to be sent again; the others are further parts of the same batch.
+    /// Parts of the current batch, in the order in which they are sent. Only the first can be in flight.
     pub(crate) parts: VecDeque<PendingBatch<V>>,
     pub(crate) in_flight: bool,
-    /// Nothing is sent before.
+    /// Time before which nothing is sent, because of the backoff.
     pub(crate) not_before: Micros,
-    /// How often the batch was halved.
+    /// Number of times that the current batch or one of its parts was halved.
     splits: u32,
-    /// Series of the batch that were rejected alone.
+    /// Series of the current batch that were rejected in a part with no other series.
     rejected_series: Vec<u64>,
-    /// Whether anything of the batch was accepted: else the fault is the receiver's.
+    /// Whether a part of the current batch was accepted. If none was, the rejections are attributed to the receiver
+    /// and no series is excluded.
     partly_accepted: bool,
 }
 
@@ -42,14 +44,14 @@
         }
     }
 
-    /// Whether it has a batch to send without waiting for more samples or time.
+    /// Returns whether there is a batch that need not wait for further samples or for [`Limits::batch_age`].
     pub(crate) fn has_batch(&self, limits: &Limits, flushing: bool) -> bool {
         !self.parts.is_empty()
             || self.waiting.len() >= limits.batch_samples
             || flushing && !self.waiting.is_empty()
     }
 
-    /// Whether it may send a batch now.
+    /// Returns whether a batch may be sent at `now`.
     pub(crate) fn is_ready(&self, now: Micros, limits: &Limits, flushing: bool) -> bool {
         if self.in_flight || now < self.not_before {
             return false;
@@ -58,7 +60,7 @@
             || self.waiting.front().is_some_and(|first| first.arrived + limits.batch_age <= now)
     }
 
-    /// When it may have a batch to send; `None`: not before a sample is offered.
+    /// Returns the time from which a batch may be sent, or `None` if there are no samples to send.
     pub(crate) fn next_due(&self, limits: &Limits, flushing: bool) -> Option<Micros> {
         if self.has_batch(limits, flushing) {
             return Some(self.not_before);
@@ -66,7 +68,7 @@
         self.waiting.front().map(|first| self.not_before.max(first.arrived + limits.batch_age))
     }
 
-    /// Makes a new batch of waiting samples.
+    /// Starts a new batch with up to `max_samples` waiting samples.
     pub(crate) fn begin_batch(&mut self, number: u64, max_samples: usize) {
         let samples = self.waiting.drain(..max_samples.min(self.waiting.len())).collect();
         (self.splits, self.partly_accepted) = (0, false);
@@ -74,7 +76,8 @@
         self.parts.push_back(PendingBatch { number, attempts: 0, samples });
     }
 
-    /// Takes out samples that arrived before a time, apart from those in flight: they may have been accepted.
+    /// Moves samples that arrived before `since` to `removed`. Samples in flight are kept, since the receiver may
+    /// have accepted them.
     pub(crate) fn remove_older(&mut self, since: Micros, removed: &mut Vec<QueuedSample<V>>) {
         while self.waiting.front().is_some_and(|first| first.arrived < since) {
             removed.extend(self.waiting.pop_front());
@@ -91,12 +94,13 @@
         });
     }
 
-    /// Whether an invalid part may be halved.
+    /// Returns whether a part that was rejected as invalid may be halved.
     pub(crate) fn may_split(&self, part: &PendingBatch<V>, limits: &Limits) -> bool {
         part.samples.len() > 1 && self.splits < limits.max_splits
     }
 
-    /// Puts the halves of a part, with these numbers, before the other parts: a series stays in order.
+    /// Halves a part and puts the halves before the other parts, so that the samples of a series stay in order.
+    /// `numbers` are the batch numbers of the halves.
     pub(crate) fn split(&mut self, part: PendingBatch<V>, numbers: [u64; 2]) {
         self.splits += 1;
         let [first, second] = halves(part.samples);
@@ -104,7 +108,8 @@
         self.parts.push_front(PendingBatch { number: numbers[0], attempts: 0, samples: first });
     }
 
-    /// Notes the end of a part. Returns the series to exclude, once all parts of the batch have ended.
+    /// Records the final response to a part. Once all parts of the batch have ended and at least one was accepted,
+    /// returns the series to exclude; otherwise the result is empty.
     pub(crate) fn end_part(&mut self, part: &PendingBatch<V>, response: Response) -> Vec<u64> {
         if response == Response::Invalid
             && let Some(series) = part.samples.first().map(|queued| queued.sample.series)
@@ -120,7 +125,7 @@
     }
 }
 
-/// Halves by series where there are several, else by time; each series stays in order.
+/// Halves samples by series if there are several series, otherwise by time. The samples of a series stay in order.
 fn halves<V>(samples: Vec<QueuedSample<V>>) -> [Vec<QueuedSample<V>>; 2] {
     let series: BTreeSet<u64> = samples.iter().map(|queued| queued.sample.series).collect();
     match series.iter().nth(series.len() / 2).copied() {
--- a/crates/remote-write/tests/queue.rs
+++ b/crates/remote-write/tests/queue.rs
@@ -1,4 +1,4 @@
-//! The queue on a virtual clock, with receivers that are away, slow, strict or forgetful.
+//! Tests of the queue on a virtual clock, with receivers that are unavailable, slow, or reject some or all samples.
 
 use std::collections::BTreeMap;
 
@@ -23,7 +23,8 @@
     Sample { series, at_ms, value: at_ms as f64 }
 }
 
-/// Sends all that is due, with the same response to each batch.
+/// Sends all due batches with the same response to each, until nothing is due or the receiver is unavailable. Returns
+/// the batches that were sent.
 fn drain(queue: &mut Queue, now: u64, response: Response) -> Vec<Batch> {
     let mut all = Vec::new();
     loop {
@@ -76,7 +77,7 @@
     assert_eq!(rest.iter().flat_map(|b| &b.samples).collect::<Vec<_>>(), [&sample(1, 1)]);
     let counters = queue.counters();
     assert_eq!((counters.rejected, counters.accepted, counters.retries), (1, 1, 1));
-    // A late response is ignored.
+    // A response to a batch that is no longer in flight is ignored.
     queue.handle_response(4 * SECOND, 0, first[0].number, Response::Accepted);
     assert_eq!(queue.counters(), counters);
 }
@@ -187,7 +188,8 @@
     assert_eq!((queue.len(), queue.counters().dropped_series), (5, 3));
 }
 
-/// Rejects each batch that holds an invalid sample. Returns the number of requests.
+/// Sends all due batches, and rejects as invalid each one that contains a sample for which `bad` returns true.
+/// Returns the number of requests.
 fn respond_by_content(queue: &mut Queue, now: u64, bad: impl Fn(&Sample) -> bool) -> usize {
     let mut requests = 0;
     loop {
@@ -206,7 +208,7 @@
 }
 
 #[test]
-fn one_invalid_series_costs_itself_alone() {
+fn invalid_series_is_isolated_and_excluded_for_a_while() {
     let limits = Limits { shards: 1, batch_samples: 3_000, max_bytes: 1 << 20, ..limits() };
     let mut queue = Queue::new(limits, 1);
     for at in [1, 2, 3] {
@@ -218,7 +220,7 @@
     let c = queue.counters();
     assert_eq!((c.accepted, c.rejected, queue.len()), (2_997, 3, 0));
     assert!(requests <= 2 * 12 + 3, "{requests} requests");
-    // It is left out for a while, and then tried again: what was bad of it may be over.
+    // The series is excluded for a while, and then sent again, since its samples may be valid by then.
     for at in 4..8 {
         for series in 0..1_000 {
             queue.offer(2 * SECOND, sample(series, at));
@@ -230,7 +232,7 @@
     queue.offer(700 * SECOND, sample(617, 9));
     respond_by_content(&mut queue, 702 * SECOND, |_| false);
     assert_eq!((queue.counters().rejected, queue.excluded_series()), (7, 0));
-    // One bad moment of one series.
+    // A single invalid sample of a batch that has one series only.
     let mut queue = Queue::new(limits, 1);
     for at in 0..64 {
         queue.offer(0, sample(1, at));
@@ -284,7 +286,7 @@
     queue.due(0, &mut send);
     queue.offer(0, sample(0, 100));
     queue.handle_response(0, 0, send[0].number, Response::Invalid);
-    // A half that is not taken now comes again, as it is.
+    // A half to which the receiver responds "unavailable" is sent again unchanged.
     let first = drain(&mut queue, 0, Response::Unavailable { retry_after: None });
     let rest = drain(&mut queue, 5 * SECOND, Response::Accepted);
     assert_eq!((first[0].number, &first[0].samples), (rest[0].number, &rest[0].samples));
@@ -313,49 +315,49 @@
     ) {
         let mut queue = Queue::new(limits(), seed);
         let (mut now, mut time) = (0, 0);
-        let mut out: Vec<Batch> = Vec::new();
-        let mut taken: BTreeMap<u64, Vec<i64>> = BTreeMap::new();
-        let (mut count, mut left) = (0, 0);
-        for (what, pick, span) in steps {
-            match what {
+        let mut in_flight: Vec<Batch> = Vec::new();
+        let mut accepted_times: BTreeMap<u64, Vec<i64>> = BTreeMap::new();
+        let (mut accepted_count, mut drained) = (0, 0);
+        for (event, pick, span) in steps {
+            match event {
                 0..5 => {
                     time += 1;
                     queue.offer(now, sample(pick, time));
                 }
-                5..8 if !out.is_empty() => {
-                    let batch = out.remove(pick as usize % out.len());
-                    let response = match what {
+                5..8 if !in_flight.is_empty() => {
+                    let batch = in_flight.remove(pick as usize % in_flight.len());
+                    let response = match event {
                         5 => Response::Accepted,
                         6 if pick == 0 => Response::Rejected,
                         6 => Response::Invalid,
                         _ => Response::Unavailable { retry_after: (pick == 2).then_some(span * MILLISECOND) },
                     };
                     if response == Response::Accepted {
-                        count += batch.samples.len() as u64;
+                        accepted_count += batch.samples.len() as u64;
                         for s in &batch.samples {
-                            taken.entry(s.series).or_default().push(s.at_ms);
+                            accepted_times.entry(s.series).or_default().push(s.at_ms);
                         }
                     }
                     queue.handle_response(now, batch.shard, batch.number, response);
                 }
                 _ => {
                     now += span * MILLISECOND;
-                    queue.due(now, &mut out);
-                    for (n, batch) in out.iter().enumerate() {
-                        prop_assert!(out[n + 1..].iter().all(|b| b.shard != batch.shard), "two of a shard are out");
+                    queue.due(now, &mut in_flight);
+                    for (n, batch) in in_flight.iter().enumerate() {
+                        prop_assert!(in_flight[n + 1..].iter().all(|b| b.shard != batch.shard), "two of a shard are out");
                         prop_assert!(!batch.samples.is_empty() && batch.samples.len() <= 10);
                     }
                 }
             }
             prop_assert!(queue.bytes() <= limits().max_bytes);
             let c = queue.counters();
-            let gone = c.accepted + c.rejected + c.dropped_full + c.dropped_old + c.dropped_order + c.dropped_series;
-            prop_assert_eq!(c.offered, gone + queue.len() as u64);
-            prop_assert_eq!(c.accepted, count);
-            left += queue.drain_completed().count() as u64;
-            prop_assert_eq!(left, gone, "each that has gone is named once");
+            let completed = c.accepted + c.rejected + c.dropped_full + c.dropped_old + c.dropped_order + c.dropped_series;
+            prop_assert_eq!(c.offered, completed + queue.len() as u64);
+            prop_assert_eq!(c.accepted, accepted_count);
+            drained += queue.drain_completed().count() as u64;
+            prop_assert_eq!(drained, completed, "each that has gone is named once");
         }
-        for times in taken.values() {
+        for times in accepted_times.values() {
             prop_assert!(times.windows(2).all(|w| w[0] < w[1]), "in order, once each");
         }
     }
