--- a/crates/metrics/src/labels.rs
+++ b/crates/metrics/src/labels.rs
@@ -83,7 +83,7 @@
         Loaded => "stand",
         /// The worker has no capacity for another replica.
         Full => "full",
-        /// The load failed.
+        /// The load order failed in any other way.
         Failed => "failed",
         /// No response came in time.
         Timeout => "timeout",
