--- a/crates/gateway/benches/isolation.rs
+++ b/crates/gateway/benches/isolation.rs
@@ -1,7 +1,8 @@
-//! What one tenant's surge costs the others, simulated: the real admission package before a plain fleet (lanes,
-//! one queue, exponential work) on a made-up clock, against no admission and against a token bucket a tenant. The
-//! plot goes to `docs/plots/isolation.svg`. And the cost of a verdict as tenants grow.
-#![expect(clippy::too_many_lines, reason = "benches are still to be gone through: docs/ROADMAP.md")]
+//! Effect of one tenant's surge on the others, with a simulated clock: the real admission package in front of a model
+//! of a fleet (lanes, one queue, exponential service times), compared with no admission and with one token bucket per
+//! tenant. The plot is written to `docs/plots/isolation.svg`. Also measures the time of an admission decision by the
+//! number of tenants.
+#![expect(clippy::too_many_lines, reason = "benches are not yet split into shorter functions: docs/ROADMAP.md")]
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
@@ -13,19 +14,21 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
+/// Microseconds in a second.
 const S: u64 = 1_000_000;
 const LANES: usize = 64;
-/// Mean work of a call, microseconds: 6,400 calls a second in all.
+/// Mean service time of a call in microseconds; the fleet serves 6,400 calls a second.
 const WORK: f64 = 10_000.0;
 const TENANTS: usize = 10;
-/// Each tenant's limit, calls a second: as much as the fleet has in all, and overbooked as limits mostly are.
+/// Limits of each tenant in calls a second. Ten times 640 is the capacity of the fleet; 3,000 overbooks it, as limits
+/// usually do.
 const LIMITS: [f64; 2] = [640.0, 3_000.0];
-/// The usual rate of each, calls a second.
+/// Each tenant's rate outside of the surge, in calls a second.
 const USUAL: f64 = 500.0;
 const AIM: u64 = 100_000;
 const DEADLINE: u64 = S;
 const LENGTH: u64 = 40 * S;
-/// The first tenant sends ten times its limit in bursts of half a second each second, from then to then.
+/// Start and end of the surge, in which the first tenant sends ten times its limit in the first half of each second.
 const SURGE: (u64, u64) = (10 * S, 30 * S);
 const RETRIES: u32 = 3;
 
@@ -42,7 +45,8 @@
     Done { tenant: usize, first: u64 },
 }
 
-/// Per second: the others' share answered within the aim; and over the surge: of others, of the one.
+/// Simulates one guard and limit. Returns the share of calls answered within `AIM`: of the other tenants for each second,
+/// of the other tenants during the surge, and of the surging tenant during the surge.
 fn run(guard: Guard, limit: f64) -> (Vec<f64>, f64, f64) {
     let mut random = ChaCha8Rng::seed_from_u64(5);
     let mut admission = Admission::new(128);
@@ -53,7 +57,7 @@
         admission.set_policy(tenant, Policy { limits, held, ..Policy::default() });
     }
     if guard == Guard::Bucket {
-        // Rates alone: no places to share.
+        // Rate limits only, without a shared limit on open calls.
         let mut alone = Admission::new(u32::MAX);
         for tenant in 0..TENANTS {
             alone.set_policy(
@@ -108,7 +112,7 @@
                 let verdict = if guard == Guard::None { Verdict::Admit } else { admission.admit(now, asked) };
                 match verdict {
                     Verdict::Admit => queue.push_back((tenant, first)),
-                    // Clients that do not heed the pushback: the hard case.
+                    // Clients ignore the pushback, which is the worst case.
                     Verdict::Reject(_) if tries < RETRIES => {
                         push(
                             &mut events,
@@ -137,7 +141,7 @@
         while free > 0
             && let Some((tenant, first)) = queue.pop_front()
         {
-            // Its client has left by now: it costs no lane.
+            // The client has timed out, so the call takes no lane.
             if now - first > DEADLINE {
                 if guard != Guard::None {
                     admission.call_ended(now, tenant, 0, 0);
@@ -188,7 +192,7 @@
         const CALLS: u64 = 1_000_000;
         let begun = Instant::now();
         for n in 0..CALLS {
-            // 50 of them are busy.
+            // Calls come from 50 of the tenants.
             let tenant = (n % 50) as usize * tenants.max(50) / 50 % tenants;
             if all.admit(n, CallRequest { tenant, class: 0, model: n % 7, memory: 1 }) == Verdict::Admit {
                 all.call_started(tenant);
--- a/crates/gateway/benches/measure.rs
+++ b/crates/gateway/benches/measure.rs
@@ -1,6 +1,6 @@
-//! Long measurements, for people: `cargo bench -p nettleferry-gateway [-- NAME]`. They print figures and what
-//! they were taken on; `docs/measurements.md` keeps them. Nothing here is a test, and CI does not run it.
-#![expect(clippy::too_many_lines, reason = "benches are still to be gone through: docs/ROADMAP.md")]
+//! Long-running benchmarks: `cargo bench -p nettleferry-gateway [-- NAME]`. They print their results with the machine
+//! that they ran on; `docs/measurements.md` records them. None of them is a test, and CI does not run them.
+#![expect(clippy::too_many_lines, reason = "benches are not yet split into shorter functions: docs/ROADMAP.md")]
 
 #[path = "../tests/common/mod.rs"]
 mod common;
@@ -25,7 +25,7 @@
 use prost::Message;
 use stats_alloc::{INSTRUMENTED_SYSTEM, Region, StatsAlloc};
 
-/// Counts what this program itself allocates; the controllers it measures are processes of their own.
+/// Counts allocations of the benchmark process; measured controllers run in other processes.
 #[global_allocator]
 static ALLOCATOR: &StatsAlloc<System> = &INSTRUMENTED_SYSTEM;
 
@@ -73,16 +73,16 @@
     format!("{cores} cores, {}", model.map_or("unknown", |m| m.1))
 }
 
-/// Seconds of CPU a process has used: user, system.
+/// CPU time of a process in seconds: user, system.
 fn cpu(pid: u32) -> (f64, f64) {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).expect("it runs");
     let rest = stat.rsplit_once(") ").expect("a name").1;
     let field = |n: usize| rest.split(' ').nth(n).and_then(|v| v.parse::<f64>().ok()).expect("a number");
-    // In ticks of 1/100 s, as Linux tells them to programs.
+    // Linux reports CPU times to user space in ticks of 1/100 s.
     (field(11) / 100.0, field(12) / 100.0)
 }
 
-/// Engine and module alone: a call opened, sent, answered.
+/// Time of a call (opened, sent, answered) in the engine with the decision module, and in the module alone.
 fn engine() {
     use nettleferry::*;
     use nettleferry_engine::{
@@ -103,7 +103,7 @@
     settings.limits.cancel = true;
     settings.loading.keep_alive = 8_000_000;
     let workers = 16;
-    let mut engine = Engine::new(settings.clone(), None, EngineLimits::default(), 1).expect("sound");
+    let mut engine = Engine::new(settings.clone(), None, EngineLimits::default(), 1).expect("valid settings");
     let mut out = Vec::new();
     let members = (0..workers).map(|n| Member {
         name: format!("w{n}"),
@@ -157,7 +157,7 @@
     let whole = begun.elapsed();
     assert_eq!(engine.counters().served, CALLS, "every call was served");
 
-    let mut module = Controller::new(settings, 1).expect("sound");
+    let mut module = Controller::new(settings, 1).expect("valid settings");
     let entry = |n| WorkerEntry {
         worker: WorkerId(n),
         weight: 1.0,
@@ -212,7 +212,8 @@
     );
 }
 
-/// What figures cost: bytes on the wire, and how fast a backlog goes through queue and encoder on one thread.
+/// Costs of metrics: time to count a call, bytes on the wire, and the rate at which one thread sends a backlog through
+/// queue and encoder.
 fn figures() {
     use nettleferry_metrics::{
         AttemptCause, CallEnd, CallRecord, Metrics, ReplicaNote, SeriesLayout, sample,
@@ -264,8 +265,7 @@
             body.len() as f64 / series.len() as f64
         );
     }
-    // Two hours of rounds every 15 s are kept while the receiver is away; then they go as fast as one thread
-    // batches and encodes them.
+    // A backlog of two hours, at a round every 15 s, is sent as fast as one thread batches and encodes it.
     let rounds = 480;
     let fresh = series.len() as f64 / 15.0;
     let limits = Limits { max_bytes: 1 << 30, max_age: u64::MAX / 2, ..Limits::default() };
@@ -302,7 +302,7 @@
     );
 }
 
-/// Calls a second with counting and without, two controllers in turn before one worker.
+/// Calls a second with and without metrics, of two controllers that take turns in front of one worker.
 fn counting() {
     let spec = "(listen \"127.0.0.1:0\") (cores 64) (queue 10000) (model \"\" (lanes 512) (work 0us) (load-time 1ms))";
     let fleet = Fleet::new(1, spec);
@@ -312,7 +312,7 @@
     pairs("counting", "", &with, &without);
 }
 
-/// Calls a second of one tenant at two controllers that follow: one with a lease and a record, one with neither.
+/// Calls a second of one tenant at two followers: one with a lease and an audit log, one with neither.
 fn fleet() {
     let spec = "(listen \"127.0.0.1:0\") (cores 64) (queue 10000) (model \"\" (lanes 512) (work 0us) (load-time 1ms))";
     let fleet = Fleet::new(1, spec);
@@ -328,7 +328,7 @@
         let http = AdminClient { api, token };
         let (status, told) = http.ask("POST", "/v1/tenants", "", "{\"name\":\"a\"}");
         assert_eq!(status, 201, "{told}");
-        let dir = tempfile::tempdir().expect("a folder");
+        let dir = tempfile::tempdir().expect("temporary folder");
         std::fs::write(dir.path().join("workers.sexp"), fleet.list()).expect("written");
         std::fs::write(dir.path().join("key"), &fleet_token).expect("written");
         let admin = format!("(admin (follow \"{api}\") (key-file \"key\") (kept \"kept.json\") {trail})");
@@ -342,7 +342,7 @@
     pairs("lease and record", "a", &with, &without);
 }
 
-/// Calls a second at two controllers in turn.
+/// Compares calls a second of two controllers that take turns.
 fn pairs(what: &str, tenant: &str, with: &Program, without: &Program) {
     let rate = |of: &Program| {
         let mut caller = Caller::new(of.address);
@@ -376,13 +376,15 @@
     );
 }
 
-/// From an accepted change to the moment at which each controller has said that it took it in.
+/// Time from an accepted change until every controller has reported it in force.
 fn force(followers: u32) {
     use nettleferry_net::http1_client::Http1Client;
     let key = |name: &str, role: &str| {
         let out = Command::new(PROGRAM).args(["admin", "key", name, role]).output().expect("it runs");
         let text = String::from_utf8_lossy(&out.stdout).into_owned();
-        let line = |start: &str| text.lines().find_map(|l| l.strip_prefix(start)).expect("told").to_owned();
+        let line = |start: &str| {
+            text.lines().find_map(|l| l.strip_prefix(start)).expect("a line with this prefix").to_owned()
+        };
         (line("token: "), line("settings: "))
     };
     let ((token, line), (fleet_token, fleet_line)) = (key("ada", "admin"), key("fleet", "controller"));
@@ -391,7 +393,7 @@
     let api = leader.line("listening admin ");
     let all: Vec<Program> = (1..=followers)
         .map(|n| {
-            let dir = tempfile::tempdir().expect("a folder");
+            let dir = tempfile::tempdir().expect("temporary folder");
             std::fs::write(dir.path().join("workers.sexp"), "").expect("written");
             std::fs::write(dir.path().join("key"), &fleet_token).expect("written");
             let admin = format!("(admin (follow \"{api}\") (key-file \"key\") (kept \"kept.json\"))");
@@ -418,7 +420,7 @@
         let begun = Instant::now();
         loop {
             let told = ask("GET", "/v1/controllers", "");
-            let rows = told["controllers"].as_array().expect("rows");
+            let rows = told["controllers"].as_array().expect("an array");
             if rows.len() == 1 + all.len() && rows.iter().all(|c| c["revision"].as_u64() >= accepted) {
                 break;
             }
@@ -437,7 +439,7 @@
     );
 }
 
-/// How often a controller wakes without calls: with connections open to it.
+/// Wake-ups of a controller that has open connections and no calls.
 fn idle() {
     let fleet = Fleet::new(2, SPEC);
     let gateway = serve(&SETTINGS.replace("(check-every 5ms)", "(check-every 60s)"), &fleet.list());
@@ -448,7 +450,10 @@
     }
     let switches = || {
         let status = std::fs::read_to_string(format!("/proc/{}/status", gateway.pid())).expect("it runs");
-        let line = status.lines().find(|l| l.starts_with("voluntary_ctxt_switches")).expect("told");
+        let line = status
+            .lines()
+            .find(|l| l.starts_with("voluntary_ctxt_switches"))
+            .expect("voluntary_ctxt_switches line");
         line.split_whitespace().nth(1).and_then(|n| n.parse::<u64>().ok()).expect("a number")
     };
     std::thread::sleep(Duration::from_secs(2));
@@ -460,10 +465,10 @@
     );
 }
 
-/// Through the gateway against straight to a stand-in, by the same client in one run.
+/// Throughput through the gateway against directly to a test worker, by the same client in one run.
 fn throughput() {
     let spec = "(listen \"127.0.0.1:0\") (cores 64) (queue 10000) (model \"\" (lanes 512) (work 0us) (load-time 1ms))";
-    let dir = tempfile::tempdir().expect("a folder");
+    let dir = tempfile::tempdir().expect("temporary folder");
     let file = dir.path().join("worker.sexp");
     std::fs::write(&file, spec).expect("written");
     let mut command = Command::new(PROGRAM);
@@ -506,8 +511,8 @@
     }
 }
 
-/// Thousands of streamed calls while a third of the workers die. `known`: a first call of each model was
-/// served before; else their loads are part of it.
+/// Thousands of streamed calls while a third of the workers die. With `known`, a call of each model was served before;
+/// otherwise the measurement includes the loads of the models.
 fn streams(models: usize, known: bool) {
     const STREAMS: usize = 5_000;
     let spec = "(listen \"127.0.0.1:0\") (cores 100000) (queue 100000) (memory 64GiB) (keep-alive 60s) \
@@ -518,7 +523,7 @@
     let gateway = serve(&settings, &fleet.list());
     let mut client =
         Client::new(8, NetLimits { connect_timeout: Duration::from_secs(10), ..NetLimits::default() })
-            .expect("a hub");
+            .expect("client created");
     let mut heard = Vec::new();
     println!("streams: {models} models, {}", if known { "each served before" } else { "none called before" });
     let models: Vec<String> = (0..models).map(|n| format!("climb-{n}")).collect();
@@ -544,7 +549,7 @@
             timeout: Some(deadline),
             ..ClientRequest::default()
         };
-        finals.insert(client.call(gateway.address, ask).expect("begun"), 0);
+        finals.insert(client.call(gateway.address, ask).expect("call started"), 0);
         if n % 50 == 0 {
             client.poll(Some(Duration::ZERO), &mut heard).expect("polls");
         }
@@ -564,7 +569,7 @@
             match what {
                 ClientEvent::Message { rpc, payload } => {
                     parts += 1;
-                    let response = ModelStreamInferResponse::decode(payload).expect("sound");
+                    let response = ModelStreamInferResponse::decode(payload).expect("valid response");
                     if is_final(&response) {
                         *finals.entry(rpc).or_insert(0) += 1;
                         if response.error_message.is_empty() {
--- a/crates/gateway/benches/outage.rs
+++ b/crates/gateway/benches/outage.rs
@@ -1,7 +1,7 @@
-//! Ten minutes without a receiver at 100,000 samples a second, on a made-up clock, through the real queue, the
-//! real encoder and a spool on disk; then the receiver is back and takes batches until nothing is behind. The
-//! plot goes to `docs/plots/outage.svg`.
-#![expect(clippy::too_many_lines, reason = "benches are still to be gone through: docs/ROADMAP.md")]
+//! A receiver outage of ten minutes at 100,000 samples a second, with a simulated clock, the real queue and encoder
+//! and a write-ahead log on disk. Then the receiver accepts batches until the backlog is sent. The plot is written to
+//! `docs/plots/outage.svg`.
+#![expect(clippy::too_many_lines, reason = "benches are not yet split into shorter functions: docs/ROADMAP.md")]
 
 use std::path::Path;
 use std::time::Instant;
@@ -11,12 +11,17 @@
 use nettleferry_wal::{DirectoryStorage, Limits as WalLimits, Position, WriteAheadLog};
 use plotters::prelude::*;
 
-const S: u64 = 1_000_000;
+/// Microseconds in a second.
+const SECOND: u64 = 1_000_000;
 const SERIES: u64 = 100_000;
-const AWAY: u64 = 600;
-const RECORD: usize = 2_000;
-const SPOOL: u64 = 256 << 20;
+/// Length of the outage in seconds.
+const OUTAGE_SECONDS: u64 = 600;
+/// Samples in a record of the write-ahead log.
+const RECORD_SAMPLES: usize = 2_000;
+/// Limit of the write-ahead log in bytes.
+const LOG_BYTES: u64 = 256 << 20;
 
+/// A remote-write sender without its network side.
 struct Push {
     queue: Queue,
     spool: WriteAheadLog<DirectoryStorage>,
@@ -25,6 +30,7 @@
 }
 
 impl Push {
+    /// The encoded request of these samples.
     fn body(&self, samples: &[Sample]) -> Vec<u8> {
         let one = |s: &Sample| Series {
             samples: vec![(s.at_ms, s.value)],
@@ -34,30 +40,32 @@
         encode(Version::Two, &all).expect("encodes")
     }
 
+    /// Logs and queues one sample of each series.
     fn round(&mut self, second: u64) {
         let at_ms = second as i64 * 1000;
         let samples: Vec<Sample> =
             (0..SERIES).map(|series| Sample { series, at_ms, value: (second * series) as f64 }).collect();
-        for part in samples.chunks(RECORD) {
-            let position = self.spool.append(&self.body(part)).expect("the disk takes it");
+        for part in samples.chunks(RECORD_SAMPLES) {
+            let position = self.spool.append(&self.body(part)).expect("write-ahead log is written");
             self.record_tracker.add(at_ms, position, part.len());
         }
         for sample in samples {
-            self.queue.offer(second * S, sample);
+            self.queue.offer(second * SECOND, sample);
         }
-        self.let_go();
+        self.acknowledge_completed();
     }
 
-    fn let_go(&mut self) {
+    /// Releases log records whose samples are all done.
+    fn acknowledge_completed(&mut self) {
         for at_ms in self.queue.drain_completed().collect::<Vec<_>>() {
             for position in self.record_tracker.complete_sample(at_ms) {
-                self.spool.acknowledge(position).expect("the disk takes it");
+                self.spool.acknowledge(position).expect("write-ahead log is written");
             }
         }
     }
 }
 
-/// Resident memory of this process, MiB.
+/// Resident memory of this process in MiB.
 fn resident() -> f64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find(|l| l.starts_with("VmRSS:")).unwrap_or("");
@@ -65,9 +73,9 @@
 }
 
 pub(crate) fn measure() {
-    let dir = tempfile::tempdir().expect("a folder");
-    let disk = DirectoryStorage::open(dir.path().join("spool")).expect("a folder");
-    let limits = WalLimits { bytes: SPOOL, segment_bytes: SPOOL / 16 };
+    let dir = tempfile::tempdir().expect("temporary folder");
+    let disk = DirectoryStorage::open(dir.path().join("spool")).expect("log folder opens");
+    let limits = WalLimits { bytes: LOG_BYTES, segment_bytes: LOG_BYTES / 16 };
     let (spool, _) = WriteAheadLog::open(disk, limits).expect("opens");
     let limits = Limits { shards: 4, ..Limits::default() };
     let label = |n: &str, v: String| (n.to_owned(), v);
@@ -83,12 +91,12 @@
     let (mut plot, mut due) = (Vec::new(), Vec::<Batch>::new());
     let (mut tries, mut back) = (0u64, None);
     let mut drained = (0u64, 0.0);
-    for second in 1..=AWAY + 60 {
+    for second in 1..=OUTAGE_SECONDS + 60 {
         push.round(second);
-        let mut now = second * S;
+        let mut now = second * SECOND;
         let begun = Instant::now();
-        if second <= AWAY {
-            while let Some(next) = push.queue.next_due(now).filter(|at| *at < (second + 1) * S) {
+        if second <= OUTAGE_SECONDS {
+            while let Some(next) = push.queue.next_due(now).filter(|at| *at < (second + 1) * SECOND) {
                 now = next.max(now + 1);
                 push.queue.due(now, &mut due);
                 for batch in due.drain(..) {
@@ -102,7 +110,7 @@
                 }
             }
         } else if back.is_none() {
-            // As much as one thread encodes in this second, each answer after a millisecond.
+            // Sends as much as one thread encodes in a second of real time; each response takes 1 ms of simulated time.
             while begun.elapsed().as_secs_f64() < 1.0 && !push.queue.is_empty() {
                 push.queue.due(now, &mut due);
                 if due.is_empty() {
@@ -117,12 +125,12 @@
             }
             drained.1 += begun.elapsed().as_secs_f64();
             if push.queue.len() < SERIES as usize {
-                back = Some(second - AWAY);
+                back = Some(second - OUTAGE_SECONDS);
             }
         }
-        push.let_go();
+        push.acknowledge_completed();
         let mib = |bytes: f64| bytes / f64::from(1 << 20);
-        if second % 5 == 0 || second > AWAY {
+        if second % 5 == 0 || second > OUTAGE_SECONDS {
             plot.push((
                 second as f64,
                 mib(push.queue.bytes() as f64),
@@ -138,11 +146,11 @@
     let c = push.queue.counters();
     println!(
         "outage: {} s at {SERIES} samples a second: queue at most {:.1} MiB of {}, spool at most {:.1} MiB of {}, this process {:.0} to {:.0} MiB; {tries} tries",
-        AWAY,
+        OUTAGE_SECONDS,
         most(|p| p.1),
         Limits::default().max_bytes >> 20,
         most(|p| p.2),
-        SPOOL >> 20,
+        LOG_BYTES >> 20,
         plot.first().map_or(0.0, |p| p.3),
         most(|p| p.3),
     );
--- a/crates/gateway/tests/admin.rs
+++ b/crates/gateway/tests/admin.rs
@@ -1,4 +1,4 @@
-//! Tenants on whole paths: the administration over HTTP while calls flow.
+//! Tenant administration over HTTP, end to end, while clients make calls.
 
 mod common;
 use common::admin_client::*;
@@ -37,7 +37,7 @@
     leader.change("PATCH", "/v1/tenants/kalahari", r#"{"limits":{"open_calls":0}}"#);
     assert_eq!(code(&mut caller, Some("kalahari"), "echo").0, Code::ResourceExhausted, "set to nought");
     let usage = || leader.get("/v1/tenants/kalahari/usage");
-    // Shown a moment later; what is counted never goes back.
+    // The usage is updated with a short delay; its counters never decrease.
     eventually("the usage is the truth", || {
         let told = usage();
         told["ends"] == json!({"served": 4}) && told["open_calls"] == 0 && told["refused"] == 3
@@ -56,7 +56,7 @@
     leader.create(json!({"name": "b"}));
     let mut caller = Caller::new(leader.program.address);
     assert_eq!(code(&mut caller, Some("b"), "echo").0, Code::Ok);
-    // In flight: it hangs. Held: its model's load never ends, so that the second of it has no worker.
+    // The in-flight call hangs at its worker. The held calls wait because the load of their model never completes.
     fleet.handles[0].inject(Fault::Hang(Some("echo-".to_owned())));
     let headers = || vec![("nettleferry-tenant".to_owned(), "a".to_owned())];
     let stream = caller.ask(nettleferry_scenario::client::ClientRequest {
@@ -86,7 +86,7 @@
     assert!(status.is_ok(), "a stream ends in order");
     assert_eq!(caller.status(bystander).0.code, Code::Ok, "nobody else is hurt");
     eventually("it is gone", || leader.ask("GET", "/v1/tenants/a", "", "").0 == 404);
-    // The next of the same name, in the same place, begins at nought.
+    // A new tenant of the same name starts with zero usage.
     fleet.handles[0].inject(Fault::Hang(None));
     leader.create(json!({"name": "a"}));
     let usage = leader.get("/v1/tenants/a/usage");
@@ -94,7 +94,7 @@
     assert_eq!(code(&mut caller, Some("a"), "echo").0, Code::Ok);
     let audit = leader.get("/v1/audit?tenant=a");
     let actions: Vec<&str> =
-        audit["entries"].as_array().expect("rows").iter().filter_map(|e| e["action"].as_str()).collect();
+        audit["entries"].as_array().expect("an array").iter().filter_map(|e| e["action"].as_str()).collect();
     assert_eq!(actions, ["create", "remove", "gone", "create"]);
 }
 
@@ -125,16 +125,16 @@
     };
     let accepted: u64 = std::thread::scope(|scope| {
         let both = [scope.spawn(|| work(1)), scope.spawn(|| work(2))];
-        both.into_iter().map(|t| t.join().expect("as expected")).sum()
+        both.into_iter().map(|t| t.join().expect("all changes get an expected status")).sum()
     });
     let audit = leader.get("/v1/audit?limit=1000");
-    let entries = audit["entries"].as_array().expect("rows");
+    let entries = audit["entries"].as_array().expect("an array");
     assert_eq!(entries.len() as u64, 1 + accepted, "the trail has exactly these");
     assert!(accepted >= 100, "one of two succeeds");
     for pair in entries.windows(2) {
         assert_eq!(pair[1]["before"], pair[0]["after"], "each follows on the one before");
     }
-    assert_eq!(entries.last().expect("some")["after"], leader.get("/v1/tenants/a"));
+    assert_eq!(entries.last().expect("audit entries")["after"], leader.get("/v1/tenants/a"));
 }
 
 #[test]
@@ -144,7 +144,7 @@
     leader.create(json!({"name": "a"}));
     leader.create(json!({"name": "b", "note": "kept"}));
     leader.program.signal("KILL");
-    let (token, dir) = (leader.token.clone(), tempfile::tempdir().expect("a folder"));
+    let (token, dir) = (leader.token.clone(), tempfile::tempdir().expect("temporary folder"));
     for name in ["tenants.redb", "tenants.lease", "workers.sexp", "key"] {
         std::fs::copy(leader.program.dir.path().join(name), dir.path().join(name)).expect("copied");
     }
@@ -153,10 +153,10 @@
     let mut leader = start(dir, token.clone(), &line);
     assert_eq!(leader.get("/v1/tenants/b")["note"], "kept");
     leader.change("POST", "/v1/tenants/b/suspend", "");
-    // An ordered end writes the snapshot at the latest.
+    // A graceful shutdown writes the snapshot if it is not yet written.
     leader.program.signal("TERM");
     assert!(leader.program.wait().success());
-    let dir = tempfile::tempdir().expect("a folder");
+    let dir = tempfile::tempdir().expect("temporary folder");
     for name in ["workers.sexp", "tenants.lease", "tenants.snapshot"] {
         std::fs::copy(leader.program.dir.path().join(name), dir.path().join(name)).expect("copied");
     }
@@ -180,7 +180,7 @@
     let leader = leader(&fleet);
     leader.create(json!({"name": "a"}));
     let mut caller = Caller::new(leader.program.address);
-    // Slow heads and bodies without end, left open.
+    // Incomplete request heads and bodies, left open.
     let mut slow: Vec<TcpStream> = Vec::new();
     for part in ["POST /v1/tenants HT", "POST /v1/tenants HTTP/1.1\r\nContent-Length: 900000\r\n\r\n{\"a\":"]
     {
@@ -223,7 +223,7 @@
         assert_eq!(got, status, "{head}\n{body}");
         assert!(body.contains(words), "{words} in {body}");
     }
-    // Two requests at once are answered in order.
+    // Two pipelined requests are answered in order.
     let plain = format!("Authorization: Bearer {}\r\n", leader.token);
     let (_, _, both) = leader.raw(&format!(
         "GET /v1/tenants/a HTTP/1.1\r\n{plain}\r\nGET /v1/tenants/none HTTP/1.1\r\n{auth}\r\n"
@@ -279,7 +279,7 @@
     std::thread::scope(|scope| {
         let waiting = scope.spawn(|| http.get("/v1/watch?after=1&wait_ms=20000"));
         leader.create(json!({"name": "b"}));
-        let told = waiting.join().expect("answered");
+        let told = waiting.join().expect("the watch is answered");
         assert_eq!(told["entries"][0]["tenant"], "b", "{told}");
     });
 }
@@ -324,9 +324,9 @@
     assert!(run(&["workers"]).1.contains("w1") && run(&["usage"]).1.contains("TENANT"));
     assert_eq!(run(&["tenants", "remove", "a", "--grace-ms", "0"]).0, 0);
     assert_eq!(run(&["tenants", "show", "none"]).0, 1);
-    // A snapshot of a store that nobody has open, and back.
+    // Snapshot and restore of a store that no process has open.
     let (store, dir) =
-        (leader.program.dir.path().join("tenants.redb"), tempfile::tempdir().expect("a folder"));
+        (leader.program.dir.path().join("tenants.redb"), tempfile::tempdir().expect("temporary folder"));
     let mut leader = leader;
     leader.program.signal("TERM");
     assert!(leader.program.wait().success());
@@ -347,9 +347,9 @@
     let (token, line) = key("ada", "admin");
     let (follow_token, follow_line) = key("fleet", "controller");
     let keys = format!("{line} {follow_line}");
-    let dir = tempfile::tempdir().expect("a folder");
+    let dir = tempfile::tempdir().expect("temporary folder");
     std::fs::write(dir.path().join("workers.sexp"), fleet.list()).expect("written");
-    // An address of its own: no other test's port can take this one's while it is away.
+    // A loopback address that no other test uses, so that nobody takes its port while the administration is down.
     let leader = start_at("127.0.0.2:0", dir, token.clone(), &keys);
     leader.create(json!({"name": "early"}));
     let follower = |dir: tempfile::TempDir, number: u32| {
@@ -359,8 +359,8 @@
         let settings = format!("{SETTINGS}{admin}(controller (number {number}) (of 3))");
         serve_in(dir, &settings, None)
     };
-    let one = follower(tempfile::tempdir().expect("a folder"), 1);
-    let two = follower(tempfile::tempdir().expect("a folder"), 2);
+    let one = follower(tempfile::tempdir().expect("temporary folder"), 1);
+    let two = follower(tempfile::tempdir().expect("temporary folder"), 2);
     let call_status = |program: &Program, tenant: &str| {
         let mut caller = Caller::new(program.address);
         code(&mut caller, Some(tenant), "echo").0
@@ -372,7 +372,7 @@
     eventually("both have the change", || [&one, &two].iter().all(|p| call_status(p, "later") == Code::Ok));
     eventually("each says what it runs", || {
         let told = leader.get("/v1/controllers");
-        let all = told["controllers"].as_array().expect("rows");
+        let all = told["controllers"].as_array().expect("an array");
         all.len() == 3 && all.iter().all(|c| c["revision"] == told["revision"])
     });
     let (status, told) = AdminClient { token: follow_token.clone(), ..leader.http.clone() }.ask(
@@ -382,14 +382,14 @@
         "{}",
     );
     assert_eq!(status, 403, "a controller's key changes nothing: {told}");
-    // The administration is away: they go on, and one that starts has what it kept.
+    // The administration is killed: followers continue, and a restarted one begins with its persisted snapshot.
     leader.program.signal("KILL");
     let api = leader.api.to_string();
     let Leader { program, .. } = leader;
-    let store = left(program, &["tenants.redb", "tenants.lease", "workers.sexp", "key"]);
+    let store = surviving_files(program, &["tenants.redb", "tenants.lease", "workers.sexp", "key"]);
     assert_eq!(call_status(&one, "later"), Code::Ok);
     two.signal("KILL");
-    let kept = left(two, &["kept.json"]);
+    let kept = surviving_files(two, &["kept.json"]);
     let settings_dir = kept;
     std::fs::write(settings_dir.path().join("workers.sexp"), fleet.list()).expect("written");
     std::fs::write(settings_dir.path().join("key"), &follow_token).expect("written");
@@ -398,21 +398,21 @@
     let two = serve_in(settings_dir, &settings, None);
     assert_eq!(call_status(&two, "early"), Code::Ok, "from the first call on");
     assert_eq!(call_status(&two, "none"), Code::PermissionDenied);
-    // It is back, with a change that neither has seen.
+    // The administration restarts and makes a change that neither follower has seen.
     let leader = start_at(&api, store, token.clone(), &keys);
     leader.change("POST", "/v1/tenants/later/suspend", "");
     eventually("both catch up", || {
         [&one, &two].iter().all(|p| call_status(p, "later") == Code::PermissionDenied)
     });
-    // It begins anew with another store: that is nobody's truth until an operator says so.
+    // The administration starts with a new store: followers must not accept it until an operator decides so.
     leader.program.signal("KILL");
     let Leader { program, .. } = leader;
-    let anew = left(program, &["tenants.lease", "workers.sexp", "key"]);
+    let anew = surviving_files(program, &["tenants.lease", "workers.sexp", "key"]);
     let leader = start_at(&api, anew, token, &keys);
     leader.create(json!({"name": "other"}));
     eventually("both say that they hold another store's book", || {
         let fleet = leader.get("/v1/fleet");
-        let rows = fleet["controllers"].as_array().expect("rows").clone();
+        let rows = fleet["controllers"].as_array().expect("an array").clone();
         rows.len() == 2 && rows.iter().all(|row| row["standing"] == "foreign")
     });
     assert!([&one, &two].iter().all(|p| call_status(p, "early") == Code::Ok));
--- a/crates/gateway/tests/alerts.rs
+++ b/crates/gateway/tests/alerts.rs
@@ -1,4 +1,4 @@
-//! The shipped alert rules, by the program that ships them.
+//! The alert rules in `alerts/`, checked with `nettleferry alerts`.
 
 mod common;
 use common::PROGRAM;
@@ -8,8 +8,12 @@
 
 fn run(arguments: &[&str]) -> (i32, String) {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
-    let out =
-        Command::new(PROGRAM).arg("alerts").args(arguments).current_dir(root).output().expect("it runs");
+    let out = Command::new(PROGRAM)
+        .arg("alerts")
+        .args(arguments)
+        .current_dir(root)
+        .output()
+        .expect("nettleferry alerts runs");
     let text = String::from_utf8_lossy(&out.stdout).into_owned() + &String::from_utf8_lossy(&out.stderr);
     (out.status.code().expect("it ended by itself"), text)
 }
@@ -43,7 +47,7 @@
 
 #[test]
 fn rule_on_an_unknown_series_is_a_finding() {
-    let dir = tempfile::tempdir().expect("a folder");
+    let dir = tempfile::tempdir().expect("temporary folder");
     let file = dir.path().join("r.yml");
     let text = "groups: [{name: g, rules: [{alert: A, expr: 'nettleferry_call_total{end=\"late\"} > 0'}]}]";
     std::fs::write(&file, text).expect("written");
--- a/crates/gateway/tests/audit.rs
+++ b/crates/gateway/tests/audit.rs
@@ -1,10 +1,11 @@
-//! The fleet's audit over several processes with faults between them, held against what the clients saw: who took
-//! calls on which version, and no accusation that the clients' own clocks don't bear out.
+//! `nettleferry fleet audit` over several processes with faults between them, compared with the clients' observations:
+//! which controller accepted calls on which version. The audit must report no violation that the clients' clocks don't
+//! confirm.
 
 mod common;
 use common::admin_client::*;
 use common::cluster::*;
-use common::link::Does;
+use common::link::LinkMode;
 use common::*;
 
 use std::net::SocketAddr;
@@ -32,7 +33,8 @@
     serde_json::from_str(&told).unwrap_or_else(|e| panic!("{e}: {told}"))
 }
 
-/// Served calls of a tenant at a controller: when each was sent and answered, by the clients' own clock.
+/// Makes calls of a tenant at a controller, one after another, until `stop`: when each served one was sent and answered,
+/// by the client's clock.
 fn calls(
     tenant: &'static str,
     at: SocketAddr,
@@ -52,6 +54,7 @@
     })
 }
 
+/// Sum over `calls` of one bound of the reported numbers of calls: 0 for the lower, 1 for the upper one.
 fn sum(found: &Value, place: usize) -> u64 {
     let calls = found["calls"].as_object().into_iter().flatten();
     calls.map(|(_, c)| c[place].as_u64().unwrap_or(0)).sum()
@@ -64,7 +67,7 @@
     let leader = cluster.administration(cluster.dir(), ADMINISTRATION);
     let link = cluster.link();
     leader.create(json!({"name": "kalahari"}));
-    // One that hears all, and one that goes on with what it last heard.
+    // One follower that receives all changes, and one that serves without a lease by its last known version.
     let good = follower(&cluster, cluster.dir(), 1, cluster.api, "refuse");
     let late = follower(&cluster, cluster.dir(), 2, link.address, "serve");
     for program in [&good, &late] {
@@ -72,18 +75,18 @@
     }
     let stop = Arc::new(AtomicBool::new(false));
     let seen: Vec<_> = [&good, &late].iter().map(|p| calls("kalahari", p.address, &stop)).collect();
-    link.set(Does::Silent);
+    link.set(LinkMode::Blackhole);
     let made = Instant::now();
     let (status, _) = leader.ask("POST", "/v1/tenants/kalahari/suspend", "If-Match: *\r\n", "");
     assert_eq!(status, 202, "one of them has no bound");
-    // By now it is in force at the other one for sure: what the late one serves from here on is behind.
+    // The change is in force at the other follower by now: calls that the late one serves from here on are stale.
     let in_force = Instant::now();
     assert_eq!(call_status(&good, "kalahari"), Code::PermissionDenied);
     let mut caller = Caller::new(late.address);
     for _ in 0..300 {
         assert_eq!(code(&mut caller, Some("kalahari"), "echo").0, Code::Ok, "it goes on");
     }
-    link.set(Does::Passes);
+    link.set(LinkMode::Forward);
     let mut asked = 0;
     eventually("it has heard", || {
         asked += 1;
@@ -91,7 +94,7 @@
     });
     stop.store(true, Ordering::Release);
     let mut seen: Vec<_> = seen.into_iter().map(|t| t.join().expect("each call has its answer")).collect();
-    // The records are whole by what has been delivered: a last round after the last act.
+    // The audit uses delivered records only, so it waits until both records are delivered to their ends.
     let mut report = Value::Null;
     eventually("both records are delivered to their ends", || {
         report = audit(&cluster);
@@ -100,7 +103,7 @@
             && report["actors"].as_array().is_some_and(|a| a.iter().any(|a| a["who"]["controller"] == 1))
     });
     let behind: Vec<Value> = report["behind"].as_array().cloned().unwrap_or_default();
-    // The one that heard all: of the calls that the news overtook on their way, and of no other.
+    // The up-to-date follower: at most the calls that were in flight when the change was made.
     let overtaken = seen[0].iter().filter(|(_, answered)| *answered >= made).count() as u64;
     let heard_all = behind.iter().filter(|b| b["who"]["controller"] == 1);
     assert!(heard_all.clone().all(|b| sum(b, 0) <= overtaken), "{overtaken} in truth: {report:#}");
@@ -110,16 +113,16 @@
         (&json!("certain"), &json!(1), &json!(2))
     );
     assert!(found["why"].as_str().is_some_and(|why| why.contains("goes-on")), "{found}");
-    // Held against the clients: those sent after the word are behind in truth, and those answered before the change
-    // was asked for are not. The 300 of this thread were sent after it.
-    let late_calls = seen.pop().expect("two");
+    // Compared with the clients: calls sent after the acknowledgement are stale, and those answered before the change was
+    // requested are not. The 300 calls of this thread were sent after it.
+    let late_calls = seen.pop().expect("calls of the second follower");
     let surely = late_calls.iter().filter(|(sent, _)| *sent > in_force).count() as u64 + 300;
-    // One showed that it served, and those that asked whether it had heard were served until it had.
+    // One call checked that it served, and the calls that polled for the change were served until it arrived.
     let all = late_calls.len() as u64 + 300 + 1 + asked;
     let (least, most) = (sum(found, 0), sum(found, 1));
     assert!(most >= surely, "none is missing: {surely} in truth, told {least} to {most}");
     assert!(least <= all && most <= all, "no more than there were: {all}, told {least} to {most}");
-    // For people, as a picture, and checked.
+    // The text report, the SVG and `verify`.
     let svg = leader.program.dir.path().join("fleet.svg");
     let (done, told) = cluster.run(&["audit", "--tenant", "kalahari", "--svg", &svg.display().to_string()]);
     assert!(done == Some(0) && told.contains("certain: controller 2"), "{told}");
@@ -138,7 +141,7 @@
     let leader = cluster.administration(cluster.dir(), ADMINISTRATION);
     leader.create(json!({"name": "kalahari"}));
     let segments = |dir: &std::path::Path| -> Vec<std::path::PathBuf> {
-        let all = std::fs::read_dir(dir.join("trail")).expect("a folder");
+        let all = std::fs::read_dir(dir.join("trail")).expect("folder readable");
         let mut all: Vec<_> = all.map(|e| e.expect("an entry").path()).collect();
         all.sort();
         all
@@ -155,10 +158,10 @@
     eventually("it is on the disk", || written(first.dir.path()) > 3_000);
     first.signal("KILL");
     let left: Vec<_> = segments(first.dir.path());
-    let bytes = std::fs::read(left.last().expect("a segment")).expect("read");
+    let bytes = std::fs::read(left.last().expect("a segment")).expect("file readable");
     drop(first);
-    type Spoil = fn(&mut Vec<u8>);
-    let spoils: [(&str, Spoil); 3] = [
+    type Damage = fn(&mut Vec<u8>);
+    let damages: [(&str, Damage); 3] = [
         ("a flipped bit", |b| {
             let at = b.len() / 2;
             b[at] ^= 1;
@@ -166,12 +169,13 @@
         ("a torn tail", |b| b.truncate(b.len() - 7)),
         ("an empty file", Vec::clear),
     ];
-    for (what, spoil) in spoils {
+    for (what, damage) in damages {
         let dir = cluster.dir();
         std::fs::create_dir(dir.path().join("trail")).expect("made");
-        let mut spoilt = bytes.clone();
-        spoil(&mut spoilt);
-        std::fs::write(dir.path().join("trail").join("00000000000000000001.spool"), spoilt).expect("written");
+        let mut damaged = bytes.clone();
+        damage(&mut damaged);
+        std::fs::write(dir.path().join("trail").join("00000000000000000001.spool"), damaged)
+            .expect("written");
         let folder = dir.path().join("trail").display().to_string();
         let (done, told) = cluster.run(&["verify", &folder]);
         if what == "a flipped bit" {
@@ -185,7 +189,7 @@
         let again = follower(&cluster, dir, 1, cluster.api, "serve");
         eventually("it goes on", || call_status(&again, "kalahari") == Code::Ok);
     }
-    // A folder that can't be one: the record is held in memory, and calls flow.
+    // A file in place of the folder: the record is kept in memory, and calls are served.
     let dir = cluster.dir();
     std::fs::write(dir.path().join("trail"), "no folder").expect("written");
     let again = follower(&cluster, dir, 3, cluster.api, "serve");
@@ -204,10 +208,10 @@
     let leader = cluster.administration(cluster.dir(), ADMINISTRATION);
     let link = cluster.link();
     leader.create(json!({"name": "kalahari"}));
-    // Two lives of one number: the earlier one is cut off and goes on.
+    // Two incarnations of one controller number: the earlier one is partitioned and continues.
     let earlier = follower(&cluster, cluster.dir(), 1, link.address, "serve");
     eventually("it serves", || call_status(&earlier, "kalahari") == Code::Ok);
-    link.set(Does::Silent);
+    link.set(LinkMode::Blackhole);
     let later = follower(&cluster, cluster.dir(), 1, cluster.api, "serve");
     eventually("the later one has its lease", || incarnations(&leader).len() == 2);
     eventually("it serves", || call_status(&later, "kalahari") == Code::Ok);
--- a/crates/gateway/tests/common/admin_client.rs
+++ b/crates/gateway/tests/common/admin_client.rs
@@ -1,4 +1,4 @@
-//! The administration as its clients see it.
+//! An HTTP client of the administration API, and processes that serve it.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -9,21 +9,27 @@
 
 use super::*;
 
-/// A key of each role, made by the program.
+/// Creates a key of this role with `nettleferry admin key`: its token, and the settings line that accepts it.
 pub(crate) fn key(name: &str, role: &str) -> (String, String) {
-    let out = Command::new(PROGRAM).args(["admin", "key", name, role]).output().expect("it runs");
+    let out = Command::new(PROGRAM)
+        .args(["admin", "key", name, role])
+        .output()
+        .expect("nettleferry admin key runs");
     let text = String::from_utf8_lossy(&out.stdout).into_owned();
-    let line = |start: &str| text.lines().find_map(|l| l.strip_prefix(start)).expect("told").to_owned();
+    let line = |start: &str| {
+        text.lines().find_map(|l| l.strip_prefix(start)).expect("a line with this prefix").to_owned()
+    };
     (line("token: "), line("settings: "))
 }
 
-/// The administration as a client sees it.
+/// A client of the administration API; each request has a connection of its own.
 #[derive(Clone)]
 pub(crate) struct AdminClient {
     pub(crate) api: SocketAddr,
     pub(crate) token: String,
 }
 
+/// A process that serves the administration API, with a client of it.
 pub(crate) struct Leader {
     pub(crate) program: Program,
     pub(crate) http: AdminClient,
@@ -38,8 +44,8 @@
 }
 
 pub(crate) fn leader(fleet: &Fleet) -> Leader {
-    let dir = tempfile::tempdir().expect("a folder");
-    std::fs::write(dir.path().join("workers.sexp"), fleet.list()).expect("written");
+    let dir = tempfile::tempdir().expect("temporary folder");
+    std::fs::write(dir.path().join("workers.sexp"), fleet.list()).expect("worker list written");
     let (token, line) = key("ada", "admin");
     start(dir, token, &line)
 }
@@ -49,7 +55,7 @@
 }
 
 pub(crate) fn start_at(listen: &str, dir: tempfile::TempDir, token: String, key: &str) -> Leader {
-    std::fs::write(dir.path().join("key"), key).expect("written");
+    std::fs::write(dir.path().join("key"), key).expect("key file written");
     let settings = format!("{SETTINGS}(admin (listen \"{listen}\") (store \"tenants.redb\") {key})");
     let program = serve_in(dir, &settings, None);
     let api = program.line("listening admin ");
@@ -57,9 +63,10 @@
 }
 
 impl AdminClient {
+    /// Sends a whole request and reads to the end of the connection: the status (0: none came), the head and the body.
     pub(crate) fn raw(&self, request: &str) -> (u16, String, String) {
         let mut socket = TcpStream::connect(self.api).expect("connects");
-        socket.set_read_timeout(Some(PATIENCE)).expect("set");
+        socket.set_read_timeout(Some(PATIENCE)).expect("socket option set");
         socket.write_all(request.as_bytes()).expect("sent");
         let mut text = String::new();
         let _ = socket.read_to_string(&mut text);
@@ -68,6 +75,7 @@
         (status, head.to_owned(), body.to_owned())
     }
 
+    /// Sends a request with the token and these further headers: the status and the JSON body, `Null` if it is not JSON.
     pub(crate) fn ask(&self, method: &str, target: &str, headers: &str, body: &str) -> (u16, Value) {
         let kind = if method == "PATCH" { "application/merge-patch+json" } else { "application/json" };
         let request = format!(
@@ -83,6 +91,7 @@
         self.ask("GET", target, "", "").1
     }
 
+    /// Creates a tenant and waits until it is in force.
     #[track_caller]
     pub(crate) fn create(&self, tenant: Value) {
         let (status, told) = self.ask("POST", "/v1/tenants", "", &tenant.to_string());
@@ -90,6 +99,7 @@
         self.in_force();
     }
 
+    /// Makes a change that must be accepted, waits until it is in force, and returns the response body.
     #[track_caller]
     pub(crate) fn change(&self, method: &str, target: &str, body: &str) -> Value {
         let (status, told) = self.ask(method, target, "If-Match: *\r\n", body);
@@ -98,7 +108,7 @@
         told
     }
 
-    /// Waits until the controller runs the last revision.
+    /// Waits until the first controller of `/v1/controllers` runs with the latest revision.
     #[track_caller]
     pub(crate) fn in_force(&self) {
         eventually("the change is in force", || {
@@ -108,6 +118,7 @@
     }
 }
 
+/// Starts a unary call with this tenant header; returns its RPC number.
 pub(crate) fn call(caller: &mut Caller, tenant: Option<&str>, model: &str) -> u64 {
     let headers = tenant.map(|t| ("nettleferry-tenant".to_owned(), t.to_owned())).into_iter().collect();
     let ask =
@@ -115,6 +126,7 @@
     caller.ask(ask)
 }
 
+/// The status code of a unary call with this tenant header, and its `grpc-retry-pushback-ms`, empty if there is none.
 pub(crate) fn code(caller: &mut Caller, tenant: Option<&str>, model: &str) -> (Code, String) {
     let rpc = call(caller, tenant, model);
     let (status, trailers) = caller.status(rpc);
@@ -123,11 +135,11 @@
     (status.code, pushback)
 }
 
-/// The folder of a controller that is to start again: what it left, without what is in it of the old process.
-pub(crate) fn left(program: Program, names: &[&str]) -> tempfile::TempDir {
-    let dir = tempfile::tempdir().expect("a folder");
+/// A new folder with these files of an ended process, for its next start; all its other files are left out.
+pub(crate) fn surviving_files(program: Program, names: &[&str]) -> tempfile::TempDir {
+    let dir = tempfile::tempdir().expect("temporary folder");
     for name in names {
-        std::fs::copy(program.dir.path().join(name), dir.path().join(name)).expect("copied");
+        std::fs::copy(program.dir.path().join(name), dir.path().join(name)).expect("file copied");
     }
     dir
 }
--- a/crates/gateway/tests/common/cluster.rs
+++ b/crates/gateway/tests/common/cluster.rs
@@ -1,4 +1,5 @@
-//! An administration and controllers that follow it, each a process, on an address of their own.
+//! An administration and the controllers that follow it, each in its own process, on a loopback address that each
+//! test chooses for itself.
 
 use std::net::{SocketAddr, TcpListener};
 
@@ -9,15 +10,17 @@
 use super::link::Link;
 use super::*;
 
-/// A port that is free now, on an address that no other test has.
+/// A free port on a loopback address that no other test uses, so that no other process takes the port meanwhile.
 pub(crate) fn free_address(host: &str) -> SocketAddr {
-    TcpListener::bind(format!("{host}:0")).and_then(|l| l.local_addr()).expect("a port")
+    TcpListener::bind(format!("{host}:0")).and_then(|l| l.local_addr()).expect("a free port")
 }
 
+/// The status code of an `echo` call of this tenant at a controller.
 pub(crate) fn call_status(program: &Program, tenant: &str) -> Code {
     code(&mut Caller::new(program.address), Some(tenant), "echo").0
 }
 
+/// Settings, keys and test servers that all processes of one installation share.
 pub(crate) struct Cluster {
     pub(crate) fleet: Fleet,
     pub(crate) host: &'static str,
@@ -25,7 +28,7 @@
     pub(crate) keys: String,
     pub(crate) key: String,
     pub(crate) api: SocketAddr,
-    /// Controllers of the installation.
+    /// Number of controllers of the installation, the administration included.
     pub(crate) of: u32,
     pub(crate) settings: String,
 }
@@ -43,13 +46,13 @@
     }
 
     pub(crate) fn dir(&self) -> tempfile::TempDir {
-        let dir = tempfile::tempdir().expect("a folder");
-        std::fs::write(dir.path().join("workers.sexp"), self.fleet.list()).expect("written");
-        std::fs::write(dir.path().join("key"), &self.key).expect("written");
+        let dir = tempfile::tempdir().expect("temporary folder");
+        std::fs::write(dir.path().join("workers.sexp"), self.fleet.list()).expect("worker list written");
+        std::fs::write(dir.path().join("key"), &self.key).expect("key file written");
         dir
     }
 
-    /// The administration, with further settings.
+    /// Starts the administration; `more` is appended to its `(admin ...)` settings.
     pub(crate) fn administration(&self, dir: tempfile::TempDir, more: &str) -> Leader {
         self.administration_at(self.api, dir, more)
     }
@@ -62,7 +65,8 @@
         Leader { program, http: AdminClient { api, token: self.token.clone() } }
     }
 
-    /// A follower of this number through this address, with further settings.
+    /// Starts the follower with this controller number, which reaches the administration at `through`; `more` is appended
+    /// to its `(admin ...)` settings.
     pub(crate) fn follower(
         &self,
         dir: tempfile::TempDir,
@@ -79,20 +83,20 @@
         Link::to(self.api, &format!("{}:0", self.host))
     }
 
-    /// `nettleferry fleet` with these words: how it ended and what it said.
+    /// Runs `nettleferry fleet` with these arguments: its exit code, and its standard output followed by its errors.
     pub(crate) fn run(&self, words: &[&str]) -> (Option<i32>, String) {
         let mut command = Command::new(PROGRAM);
         command
             .args(["fleet", "--api", &self.api.to_string()])
             .args(words)
             .env("NETTLEFERRY_KEY", &self.token);
-        let out = command.output().expect("it runs");
+        let out = command.output().expect("nettleferry fleet runs");
         let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
         (out.status.code(), text(&out.stdout) + &text(&out.stderr))
     }
 }
 
-/// Lives on the administration's roll.
+/// Incarnations of controllers that the administration lists in `/v1/fleet`.
 pub(crate) fn incarnations(http: &AdminClient) -> Vec<Value> {
     http.get("/v1/fleet")["lives"].as_array().cloned().unwrap_or_default()
 }
--- a/crates/gateway/tests/common/link.rs
+++ b/crates/gateway/tests/common/link.rs
@@ -1,4 +1,5 @@
-//! A link between two processes that can be cut, silenced one way or both, or slowed, while connections stand.
+//! A TCP proxy between two processes that injects partitions (in one direction or both) and delay into open
+//! connections.
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -6,53 +7,56 @@
 use std::sync::atomic::{AtomicU8, AtomicU64, Ordering};
 use std::time::Duration;
 
-/// What a link does with what is sent over it.
+/// How a link treats the bytes sent over it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
-pub(crate) enum Does {
-    /// Hands it on.
-    Passes = 0,
-    /// Takes it and hands nothing on, with the connection open.
-    Silent = 1,
-    /// Hands on what is asked, and no answer.
-    AsksOnly = 2,
-    /// Closes each connection.
-    Cut = 3,
-    /// Hands on what is answered, and nothing that is asked.
-    AnswersOnly = 4,
+pub(crate) enum LinkMode {
+    /// Forwards both directions.
+    Forward = 0,
+    /// Reads and discards both directions; connections stay open.
+    Blackhole = 1,
+    /// Forwards requests and discards responses.
+    RequestsOnly = 2,
+    /// Closes open connections, and new ones as they are accepted.
+    Closed = 3,
+    /// Forwards responses and discards requests.
+    ResponsesOnly = 4,
 }
 
-/// A link to an address.
+/// A proxy to one target address. New connections are accepted at `address`.
 pub(crate) struct Link {
     pub(crate) address: SocketAddr,
-    does: Arc<AtomicU8>,
+    mode: Arc<AtomicU8>,
     delay_ms: Arc<AtomicU64>,
 }
 
 impl Link {
     pub(crate) fn to(target: SocketAddr, listen: &str) -> Self {
-        let listener = TcpListener::bind(listen).expect("a port");
-        let address = listener.local_addr().expect("bound");
-        let (does, delay_ms) = (Arc::new(AtomicU8::new(0)), Arc::new(AtomicU64::new(0)));
-        let (state, slow) = (Arc::clone(&does), Arc::clone(&delay_ms));
+        let listener = TcpListener::bind(listen).expect("the port is free");
+        let address = listener.local_addr().expect("the listener is bound");
+        let (mode, delay_ms) = (Arc::new(AtomicU8::new(0)), Arc::new(AtomicU64::new(0)));
+        let (shared_mode, shared_delay) = (Arc::clone(&mode), Arc::clone(&delay_ms));
         std::thread::spawn(move || {
             for client in listener.incoming().map_while(Result::ok) {
                 let Ok(server) = TcpStream::connect(target) else { continue };
-                if state.load(Ordering::Acquire) == Does::Cut as u8 {
+                if shared_mode.load(Ordering::Acquire) == LinkMode::Closed as u8 {
                     continue;
                 }
-                let halves = (client.try_clone().expect("a handle"), server.try_clone().expect("a handle"));
-                let (there, back) =
-                    ((Arc::clone(&state), Arc::clone(&slow)), (Arc::clone(&state), Arc::clone(&slow)));
-                std::thread::spawn(move || carry(client, server, true, &there.0, &there.1));
-                std::thread::spawn(move || carry(halves.1, halves.0, false, &back.0, &back.1));
+                let halves =
+                    (client.try_clone().expect("socket cloned"), server.try_clone().expect("socket cloned"));
+                let (requests, responses) = (
+                    (Arc::clone(&shared_mode), Arc::clone(&shared_delay)),
+                    (Arc::clone(&shared_mode), Arc::clone(&shared_delay)),
+                );
+                std::thread::spawn(move || forward(client, server, true, &requests.0, &requests.1));
+                std::thread::spawn(move || forward(halves.1, halves.0, false, &responses.0, &responses.1));
             }
         });
-        Self { address, does, delay_ms }
+        Self { address, mode, delay_ms }
     }
 
-    pub(crate) fn set(&self, does: Does) {
-        self.does.store(does as u8, Ordering::Release);
+    pub(crate) fn set(&self, mode: LinkMode) {
+        self.mode.store(mode as u8, Ordering::Release);
     }
 
     pub(crate) fn delay(&self, by: Duration) {
@@ -60,9 +64,9 @@
     }
 }
 
-fn carry(mut from: TcpStream, mut to: TcpStream, ask: bool, does: &AtomicU8, delay_ms: &AtomicU64) {
+fn forward(mut from: TcpStream, mut to: TcpStream, requests: bool, mode: &AtomicU8, delay_ms: &AtomicU64) {
     let mut buffer = [0; 4096];
-    // Looks up from a quiet connection now and then, so that a cut closes it too.
+    // Reads time out, so that a cut closes an idle connection too.
     let _ = from.set_read_timeout(Some(Duration::from_millis(20)));
     loop {
         let read = match from.read(&mut buffer) {
@@ -71,14 +75,14 @@
             Err(e) if matches!(e.kind(), std::io::ErrorKind::WouldBlock | std::io::ErrorKind::TimedOut) => 0,
             Err(_) => break,
         };
-        let now = does.load(Ordering::Acquire);
-        if now == Does::Cut as u8 {
+        let now = mode.load(Ordering::Acquire);
+        if now == LinkMode::Closed as u8 {
             break;
         }
-        let held = now == Does::Silent as u8
-            || now == Does::AsksOnly as u8 && !ask
-            || now == Does::AnswersOnly as u8 && ask;
-        if read == 0 || held {
+        let discarded = now == LinkMode::Blackhole as u8
+            || now == LinkMode::RequestsOnly as u8 && !requests
+            || now == LinkMode::ResponsesOnly as u8 && requests;
+        if read == 0 || discarded {
             continue;
         }
         std::thread::sleep(Duration::from_millis(delay_ms.load(Ordering::Acquire)));
--- a/crates/gateway/tests/common/mod.rs
+++ b/crates/gateway/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! The program as a process, test servers in threads, and a client: complete paths over loopback. No test relies on a sleep:
-//! conditions are awaited, with a generous timeout.
+//! End-to-end test fixtures over loopback: the program as a process, test servers in threads, and a gRPC client. Tests
+//! poll for conditions with a generous timeout and never rely on a fixed sleep.
 #![allow(dead_code)]
 
 pub(crate) mod admin_client;
@@ -25,10 +25,10 @@
 use nettleferry_test_servers::{Handle, Observation, ObservationKind, Options, Spec, Store, spawn, spec};
 use prost::Message;
 
-/// How long a test waits for a condition.
+/// How long a test waits for a condition before it fails.
 pub(crate) const PATIENCE: Duration = Duration::from_secs(30);
 
-/// Waits until something holds.
+/// Polls until a condition holds; panics with `what` after `PATIENCE`.
 #[track_caller]
 pub(crate) fn eventually(what: &str, mut holds: impl FnMut() -> bool) {
     let until = Instant::now() + PATIENCE;
@@ -38,7 +38,7 @@
     }
 }
 
-/// A process of the program.
+/// A running gateway, whose gRPC listener is `address` and whose settings and data are in `dir`. Killed on drop.
 pub(crate) struct Program {
     child: Child,
     lines: Receiver<String>,
@@ -47,11 +47,11 @@
 }
 
 impl Program {
-    /// Runs a prepared command until it reports where it listens.
+    /// Starts a command and waits for its first line of output, which reports the gRPC listener.
     pub(crate) fn run(mut command: Command, dir: tempfile::TempDir) -> Self {
         let child = command.stdin(Stdio::null()).stdout(Stdio::piped()).stderr(Stdio::piped()).spawn();
-        let mut child = child.expect("it starts");
-        let out = child.stdout.take().expect("piped");
+        let mut child = child.expect("the program starts");
+        let out = child.stdout.take().expect("stdout is piped");
         let (line_sender, lines) = channel();
         std::thread::spawn(move || {
             for line in BufReader::new(out).lines().map_while(Result::ok) {
@@ -61,7 +61,7 @@
         let first = lines.recv_timeout(PATIENCE).unwrap_or_else(|_| {
             let _ = child.kill();
             let mut log = String::new();
-            let _ = child.stderr.take().expect("piped").read_to_string(&mut log);
+            let _ = child.stderr.take().expect("stderr is piped").read_to_string(&mut log);
             panic!("it never listened: {log}")
         });
         let address =
@@ -69,12 +69,12 @@
         Self { child, lines, address, dir }
     }
 
-    /// Where metrics can be scraped: its second line.
+    /// The address of the metrics listener, from the next line of output.
     pub(crate) fn scrape(&self) -> SocketAddr {
         self.line("listening scrape ")
     }
 
-    /// The address of a further line that begins so.
+    /// The address in the next line of output, which must begin with `start`.
     pub(crate) fn line(&self, start: &str) -> SocketAddr {
         let line = self.lines.recv_timeout(PATIENCE).expect("a further line");
         line.strip_prefix(start).expect("its beginning").parse().expect("an address")
@@ -86,13 +86,13 @@
 
     pub(crate) fn signal(&self, name: &str) {
         let done = Command::new("kill").args([&format!("-{name}"), &self.pid().to_string()]).status();
-        assert!(done.expect("kill runs").success());
+        assert!(done.expect("kill command runs").success());
     }
 
     pub(crate) fn wait(&mut self) -> ExitStatus {
         let until = Instant::now() + PATIENCE;
         loop {
-            if let Some(status) = self.child.try_wait().expect("ours") {
+            if let Some(status) = self.child.try_wait().expect("status of the child") {
                 return status;
             }
             assert!(Instant::now() < until, "it never ended");
@@ -100,20 +100,22 @@
         }
     }
 
-    /// What it logged, once it has ended.
+    /// Its standard error to the end; call it once, after the process has ended.
     pub(crate) fn log(&mut self) -> String {
         let mut log = String::new();
-        self.child.stderr.take().expect("piped").read_to_string(&mut log).expect("text");
+        self.child.stderr.take().expect("stderr is piped").read_to_string(&mut log).expect("text");
         log
     }
 
-    /// Resident memory, KiB.
+    /// Resident memory of the process in KiB.
     pub(crate) fn resident(&self) -> u64 {
-        let status = std::fs::read_to_string(format!("/proc/{}/status", self.pid())).expect("it runs");
-        let line = status.lines().find(|l| l.starts_with("VmRSS:")).expect("told");
+        let status =
+            std::fs::read_to_string(format!("/proc/{}/status", self.pid())).expect("process is running");
+        let line = status.lines().find(|l| l.starts_with("VmRSS:")).expect("VmRSS line");
         line.split_whitespace().nth(1).expect("a number").parse().expect("a number")
     }
 
+    /// Replaces the worker list atomically, by a rename.
     pub(crate) fn write_list(&self, list: &str) {
         let path = self.dir.path().join("workers.sexp");
         std::fs::write(path.with_extension("new"), list).expect("written");
@@ -145,25 +147,25 @@
 (model "climb-once" (class once) (lanes 64))
 "#;
 
-/// `serve` with those settings and that list.
+/// Starts `nettleferry serve` with these settings and this worker list in a new folder.
 pub(crate) fn serve(settings: &str, list: &str) -> Program {
-    let dir = tempfile::tempdir().expect("a folder");
+    let dir = tempfile::tempdir().expect("temporary folder");
     std::fs::write(dir.path().join("workers.sexp"), list).expect("written");
     serve_in(dir, settings, None)
 }
 
-/// `serve` in an existing folder, with a limit of open files where one is given.
+/// Starts `nettleferry serve` in an existing folder, with `handles` as the limit on open files if one is given.
 pub(crate) fn serve_in(dir: tempfile::TempDir, settings: &str, handles: Option<u32>) -> Program {
     serve_by(PROGRAM, dir, settings, handles)
 }
 
-/// The program that this environment variable names, else the one that was built: so that controllers of two versions
-/// run in one fleet.
+/// The program that this environment variable names, or the one under test. With the variable, controllers of two
+/// versions run in one fleet.
 pub(crate) fn program_of(variable: &str) -> String {
     std::env::var(variable).unwrap_or_else(|_| PROGRAM.to_owned())
 }
 
-/// `serve` of this program.
+/// Starts `serve` of this program; otherwise as [`serve_in`].
 pub(crate) fn serve_by(
     program: &str,
     dir: tempfile::TempDir,
@@ -171,7 +173,7 @@
     handles: Option<u32>,
 ) -> Program {
     let file = dir.path().join("settings.sexp");
-    std::fs::write(&file, settings).expect("written");
+    std::fs::write(&file, settings).expect("settings written");
     let mut command = match handles {
         None => Command::new(program),
         Some(n) => {
@@ -184,10 +186,10 @@
     Program::run(command, dir)
 }
 
-/// Test servers and what they observe.
+/// Test servers `w1`, `w2`, ... in threads, and the observations they report.
 pub(crate) struct Fleet {
     pub(crate) handles: Vec<Handle>,
-    seen: Receiver<Observation>,
+    observations: Receiver<Observation>,
     pub(crate) records: Vec<Observation>,
 }
 
@@ -201,25 +203,25 @@
     }
 
     pub(crate) fn of(count: usize, spec: Spec) -> Self {
-        let (records, seen) = channel();
+        let (sender, observations) = channel();
         let store = Arc::new(Mutex::new(Store::default()));
         let epoch = Instant::now();
         let handles = (1..=count)
             .map(|n| {
                 spawn(Options {
                     name: format!("w{n}"),
-                    addresses: vec!["127.0.0.1:0".parse().expect("sound")],
+                    addresses: vec!["127.0.0.1:0".parse().expect("valid address")],
                     spec: spec.clone(),
                     store: Arc::clone(&store),
                     epoch,
-                    records: Some(records.clone()),
+                    records: Some(sender.clone()),
                     cold: false,
                     seed: n as u64,
                 })
-                .expect("it listens")
+                .expect("test server listens")
             })
             .collect();
-        Self { handles, seen, records: Vec::new() }
+        Self { handles, observations, records: Vec::new() }
     }
 
     pub(crate) fn list(&self) -> String {
@@ -227,9 +229,9 @@
         self.handles.iter().map(line).collect()
     }
 
-    /// What was observed so far.
+    /// All observations up to now, in the order of their arrival.
     pub(crate) fn look(&mut self) -> &[Observation] {
-        self.records.extend(self.seen.try_iter());
+        self.records.extend(self.observations.try_iter());
         &self.records
     }
 
@@ -247,11 +249,11 @@
     }
 }
 
-/// A client, and the events that it has received.
+/// A gRPC client with the events that it has received and no test has consumed yet.
 pub(crate) struct Caller {
     pub(crate) client: Client,
     pub(crate) to: SocketAddr,
-    heard: Vec<ClientEvent>,
+    events: Vec<ClientEvent>,
 }
 
 pub(crate) type Ended = (Result<Status, StreamError>, HeaderMap);
@@ -259,34 +261,36 @@
 impl Caller {
     pub(crate) fn new(to: SocketAddr) -> Self {
         let limits = NetLimits { connect_timeout: Duration::from_secs(10), ..NetLimits::default() };
-        Self { client: Client::new(1, limits).expect("a hub"), to, heard: Vec::new() }
+        Self { client: Client::new(1, limits).expect("client created"), to, events: Vec::new() }
     }
 
+    /// Starts an RPC and returns its number.
     pub(crate) fn ask(&mut self, ask: ClientRequest) -> u64 {
-        self.client.call(self.to, ask).expect("begun")
+        self.client.call(self.to, ask).expect("call started")
     }
 
+    /// Starts an `echo` call of 64 bytes at this model.
     pub(crate) fn unary(&mut self, model: &str) -> u64 {
         self.ask(ask("ModelInfer", &echo(model, "u", 64)))
     }
 
-    /// Waits for the event that `pick` selects; other events stay for later.
+    /// Removes and returns the first event that `pick` selects, polling for up to `PATIENCE`; other events are kept.
     #[track_caller]
     pub(crate) fn wait<T>(&mut self, what: &str, mut pick: impl FnMut(&ClientEvent) -> Option<T>) -> T {
         let until = Instant::now() + PATIENCE;
         loop {
             if let Some((at, found)) =
-                self.heard.iter().enumerate().find_map(|(i, h)| pick(h).map(|v| (i, v)))
+                self.events.iter().enumerate().find_map(|(i, h)| pick(h).map(|v| (i, v)))
             {
-                self.heard.remove(at);
+                self.events.remove(at);
                 return found;
             }
-            assert!(Instant::now() < until, "not received: {what}; received: {:?}", self.heard);
-            self.client.poll(Some(Duration::from_millis(20)), &mut self.heard).expect("polls");
+            assert!(Instant::now() < until, "not received: {what}; received: {:?}", self.events);
+            self.client.poll(Some(Duration::from_millis(20)), &mut self.events).expect("polls");
         }
     }
 
-    /// The next message of an RPC.
+    /// Waits for the next message of an RPC.
     #[track_caller]
     pub(crate) fn message(&mut self, of: u64) -> Bytes {
         self.wait("a message", |h| match h {
@@ -295,13 +299,13 @@
         })
     }
 
-    /// The next response of a stream.
+    /// Waits for the next response of a stream.
     #[track_caller]
     pub(crate) fn response(&mut self, of: u64) -> ModelStreamInferResponse {
         ModelStreamInferResponse::decode(self.message(of)).expect("a response")
     }
 
-    /// The end of an RPC.
+    /// Waits for the end of an RPC: its status or transport error, and its trailers.
     #[track_caller]
     pub(crate) fn end(&mut self, of: u64) -> Ended {
         self.wait("an end", |h| match h {
@@ -312,46 +316,52 @@
         })
     }
 
+    /// Waits for the end of an RPC that must have a status.
     #[track_caller]
     pub(crate) fn status(&mut self, of: u64) -> (Status, HeaderMap) {
         let (status, trailers) = self.end(of);
         (status.expect("a status"), trailers)
     }
 
-    /// Polls once, to receive what should not be sent.
-    pub(crate) fn turn(&mut self) {
-        self.client.poll(Some(Duration::from_millis(5)), &mut self.heard).expect("polls");
+    /// Polls once, so that events which a test expects not to come would be recorded.
+    pub(crate) fn poll_once(&mut self) {
+        self.client.poll(Some(Duration::from_millis(5)), &mut self.events).expect("polls");
     }
 
-    /// Polls until a condition holds elsewhere.
+    /// Polls until a condition outside this client holds.
     #[track_caller]
     pub(crate) fn until(&mut self, what: &str, mut holds: impl FnMut() -> bool) {
         eventually(what, || {
-            self.turn();
+            self.poll_once();
             holds()
         });
     }
 
-    pub(crate) fn heard(&self) -> &[ClientEvent] {
-        &self.heard
+    /// Events that no test has consumed yet.
+    pub(crate) fn events(&self) -> &[ClientEvent] {
+        &self.events
     }
 }
 
+/// A request with one message.
 pub(crate) fn ask(method: &'static str, request: &ModelInferRequest) -> ClientRequest {
     ClientRequest { method, messages: vec![request.encode_to_vec().into()], ..ClientRequest::default() }
 }
 
+/// An inference request with a raw input of `bytes` bytes.
 pub(crate) fn echo(model: &str, id: &str, bytes: usize) -> ModelInferRequest {
     let mut request = climb_request(model, id, &[], 1);
     request.raw_input_contents = vec![vec![7; bytes].into()];
     request
 }
 
+/// A request for `climb`, which streams one response per segment.
 pub(crate) fn climb(model: &str, id: &str, segments: usize) -> ModelInferRequest {
     let heights: Vec<f32> = (0..=segments * 2).map(|n| ((n * 37) % 11) as f32).collect();
     climb_request(model, id, &heights, segments as i64)
 }
 
+/// Whether a streamed response is the last one of its call.
 pub(crate) fn is_final(response: &ModelStreamInferResponse) -> bool {
     let response = response.infer_response.as_ref();
     response.is_some_and(|r| r.parameters.get(FINAL).and_then(InferParameter::boolean) == Some(true))
--- a/crates/gateway/tests/common/process.rs
+++ b/crates/gateway/tests/common/process.rs
@@ -1,4 +1,4 @@
-//! `nettleferry node` as a process of its own, under a limit on descriptors.
+//! `nettleferry node` in its own process, under a limit on file descriptors.
 #![allow(dead_code)]
 
 use std::io::{BufRead, BufReader};
@@ -7,17 +7,17 @@
 use std::process::{Child, Command, ExitStatus, Stdio};
 use std::time::{Duration, Instant};
 
-/// No wait is longer; each is for an event.
+/// Timeout of each wait; every wait is for an event.
 const PATIENCE: Duration = Duration::from_secs(20);
 
-/// Ends with the test, whatever comes.
+/// A running node, killed on drop.
 pub(crate) struct Node {
     child: Child,
     pub(crate) address: SocketAddr,
 }
 
 impl Node {
-    /// Started by a shell that lowers what it may open.
+    /// Starts a node from a shell that lowers the limit on open descriptors.
     pub(crate) fn spawn(config: &Path, descriptors: usize) -> Child {
         let node = Command::new("/bin/sh")
             .args(["-c", "ulimit -n \"$1\" && exec \"$0\" node", env!("CARGO_BIN_EXE_nettleferry")])
@@ -28,14 +28,15 @@
             .stdout(Stdio::piped())
             .stderr(Stdio::null())
             .spawn();
-        node.expect("the program is there")
+        node.expect("the program starts")
     }
 
-    /// It as soon as it listens.
+    /// Waits until the node reports its listener.
     pub(crate) fn of(mut child: Child) -> Self {
         let mut line = String::new();
-        BufReader::new(child.stdout.take().expect("piped")).read_line(&mut line).expect("text");
-        let address = line.trim_end().strip_prefix("listening frames ").expect("it listens");
+        BufReader::new(child.stdout.take().expect("stdout is piped")).read_line(&mut line).expect("text");
+        let address =
+            line.trim_end().strip_prefix("listening frames ").expect("the line that reports the listener");
         let address = address.parse().expect("an address");
         Self { child, address }
     }
@@ -45,12 +46,13 @@
         assert!(done.expect("kill runs").success());
     }
 
-    /// Stops it, and gives once the system says that it has.
+    /// Sends SIGSTOP and returns once `/proc` shows the process as stopped.
     pub(crate) fn stop(&self) {
         self.signal("STOP");
         let end = Instant::now() + PATIENCE;
         let stopped = || {
-            let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).expect("ours");
+            let stat =
+                std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).expect("process exists");
             stat.rsplit(')').next().is_some_and(|rest| rest.trim_start().starts_with('T'))
         };
         while !stopped() {
@@ -59,11 +61,11 @@
         }
     }
 
-    /// Waits until it has ended by itself.
+    /// Waits until the process exits by itself.
     pub(crate) fn ended(&mut self) -> ExitStatus {
         let end = Instant::now() + PATIENCE;
         loop {
-            if let Some(status) = self.child.try_wait().expect("ours") {
+            if let Some(status) = self.child.try_wait().expect("status of the child") {
                 return status;
             }
             assert!(Instant::now() < end, "it ends");
@@ -71,10 +73,11 @@
         }
     }
 
-    /// Its threads, and the processes that it started.
+    /// Numbers of its threads and of its child processes.
     pub(crate) fn threads_and_children(&self) -> (usize, usize) {
         let tasks = Path::new("/proc").join(self.child.id().to_string()).join("task");
-        let threads: Vec<_> = std::fs::read_dir(tasks).expect("ours").filter_map(Result::ok).collect();
+        let threads: Vec<_> =
+            std::fs::read_dir(tasks).expect("process exists").filter_map(Result::ok).collect();
         let children = |thread: &std::fs::DirEntry| {
             let list = std::fs::read_to_string(thread.path().join("children")).unwrap_or_default();
             list.split_whitespace().count()
@@ -82,12 +85,12 @@
         (threads.len(), threads.iter().map(children).sum())
     }
 
-    /// Descriptors in use, and resident memory in KiB.
+    /// Open descriptors, and resident memory in KiB.
     pub(crate) fn holds(&self) -> (usize, usize) {
         let proc = Path::new("/proc").join(self.child.id().to_string());
-        let files = std::fs::read_dir(proc.join("fd")).expect("ours").count();
-        let status = std::fs::read_to_string(proc.join("status")).expect("ours");
-        let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:")).expect("its memory");
+        let files = std::fs::read_dir(proc.join("fd")).expect("process exists").count();
+        let status = std::fs::read_to_string(proc.join("status")).expect("process exists");
+        let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:")).expect("VmRSS line");
         (files, line.trim().trim_end_matches(" kB").parse().expect("a number"))
     }
 }
--- a/crates/gateway/tests/common/recorder.rs
+++ b/crates/gateway/tests/common/recorder.rs
@@ -1,10 +1,10 @@
-//! A proxy between two processes that keeps the HTTP/1.1 exchanges that pass through it.
+//! A TCP proxy between two processes that records the HTTP/1.1 exchanges that pass through it.
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::{Arc, Mutex};
 
-/// A request with its response.
+/// A request and its response.
 #[derive(Clone, Debug)]
 pub(crate) struct Exchange {
     pub(crate) method: String,
@@ -14,13 +14,14 @@
     pub(crate) response: Vec<u8>,
 }
 
-/// Bytes that passed over one connection.
+/// Bytes that passed over one connection, by direction.
 #[derive(Default)]
 struct Connection {
     requests: Vec<u8>,
     responses: Vec<u8>,
 }
 
+/// A recording proxy that accepts connections at `address`.
 pub(crate) struct Recorder {
     pub(crate) address: SocketAddr,
     connections: Arc<Mutex<Vec<Connection>>>,
@@ -34,45 +35,45 @@
 
 impl Recorder {
     pub(crate) fn to(target: SocketAddr, listen: &str) -> Self {
-        let listener = TcpListener::bind(listen).expect("a port");
-        let address = listener.local_addr().expect("bound");
+        let listener = TcpListener::bind(listen).expect("the port is free");
+        let address = listener.local_addr().expect("the listener is bound");
         let connections: Arc<Mutex<Vec<Connection>>> = Arc::default();
-        let kept = Arc::clone(&connections);
+        let recorded = Arc::clone(&connections);
         std::thread::spawn(move || {
             for client in listener.incoming().map_while(Result::ok) {
                 let Ok(server) = TcpStream::connect(target) else { continue };
                 let number = {
-                    let mut all = kept.lock().expect("no panic while it is held");
+                    let mut all = recorded.lock().expect("lock is not poisoned");
                     all.push(Connection::default());
                     all.len() - 1
                 };
                 let (from, to) =
-                    (client.try_clone().expect("a handle"), server.try_clone().expect("a handle"));
-                let (there, back) = (Arc::clone(&kept), Arc::clone(&kept));
-                std::thread::spawn(move || pass(from, to, &there, number, Direction::Requests));
-                std::thread::spawn(move || pass(server, client, &back, number, Direction::Responses));
+                    (client.try_clone().expect("socket cloned"), server.try_clone().expect("socket cloned"));
+                let (requests, responses) = (Arc::clone(&recorded), Arc::clone(&recorded));
+                std::thread::spawn(move || forward(from, to, &requests, number, Direction::Requests));
+                std::thread::spawn(move || forward(server, client, &responses, number, Direction::Responses));
             }
         });
         Self { address, connections }
     }
 
-    /// Exchanges that are complete.
+    /// Exchanges whose request and response have passed completely.
     pub(crate) fn exchanges(&self) -> Vec<Exchange> {
-        let connections = self.connections.lock().expect("no panic while it is held");
+        let connections = self.connections.lock().expect("lock is not poisoned");
         connections.iter().flat_map(exchanges).collect()
     }
 }
 
-fn pass(
+fn forward(
     mut from: TcpStream,
     mut to: TcpStream,
-    kept: &Mutex<Vec<Connection>>,
+    recorded: &Mutex<Vec<Connection>>,
     number: usize,
     direction: Direction,
 ) {
     let mut buffer = [0; 16384];
     while let Ok(read @ 1..) = from.read(&mut buffer) {
-        let mut all = kept.lock().expect("no panic while it is held");
+        let mut all = recorded.lock().expect("lock is not poisoned");
         match direction {
             Direction::Requests => all[number].requests.extend_from_slice(&buffer[..read]),
             Direction::Responses => all[number].responses.extend_from_slice(&buffer[..read]),
@@ -85,7 +86,7 @@
     let _ = (from.shutdown(Shutdown::Both), to.shutdown(Shutdown::Both));
 }
 
-/// The next message: its first line and its body; `None`: it is not complete.
+/// Removes the next HTTP message: its first line and its body. `None` if it is incomplete.
 fn message(bytes: &mut &[u8]) -> Option<(String, Vec<u8>)> {
     let end = bytes.windows(4).position(|window| window == b"\r\n\r\n")?;
     let head = String::from_utf8_lossy(&bytes[..end]).into_owned();
--- a/crates/gateway/tests/cut.rs
+++ b/crates/gateway/tests/cut.rs
@@ -1,5 +1,5 @@
-//! Links that are cut, not broken: what was sent stays in the socket and arrives when they heal. What may run
-//! as late as that must not be repeated meanwhile, nor refused.
+//! Network partitions that leave connections open: bytes sent into a cut link stay in socket buffers and arrive once it
+//! heals. A non-idempotent call that may still run then must be neither retried nor refused meanwhile.
 
 mod common;
 use common::*;
@@ -24,9 +24,9 @@
 "#;
 
 const KINDS: [&str; 4] = ["echo-once", "echo-patient", "echo-safe", "echo-tag"];
-/// Models of each kind, so that each worker is the first choice of some.
+/// Models of each kind; enough that each worker is the first choice for some of them.
 const MODELS: usize = 12;
-/// Their links are cut; the third worker's is not.
+/// Workers whose links are cut; the third worker stays reachable.
 const CUT: [&str; 2] = ["w1", "w2"];
 
 fn cut(fleet: &mut Fleet, cut: bool) {
@@ -38,7 +38,7 @@
     });
 }
 
-/// An attempt that arrived at a worker.
+/// An attempt that arrived at a worker; `ran`: it was started there.
 #[derive(Debug)]
 struct Attempt {
     worker: String,
@@ -46,7 +46,7 @@
     ran: bool,
 }
 
-/// The attempts that arrived, in order, by the id of their call.
+/// The attempts that arrived at workers, by call id, in order of arrival.
 fn arrived_attempts(records: &[Observation]) -> BTreeMap<String, Vec<Attempt>> {
     let mut streams = BTreeMap::new();
     let mut attempts: BTreeMap<String, Vec<Attempt>> = BTreeMap::new();
@@ -59,7 +59,7 @@
             }
             ObservationKind::Runs { stream } => {
                 let (id, index) = &streams[&(worker, *stream)];
-                attempts.get_mut(id).expect("it arrived")[*index].ran = true;
+                attempts.get_mut(id).expect("an attempt arrives before it runs")[*index].ran = true;
             }
             _ => {}
         }
@@ -76,7 +76,7 @@
     let call = |caller: &mut Caller, kind: &str, n: usize, id: &str| {
         caller.ask(ask("ModelInfer", &echo(&format!("{kind}-{n}"), id, 64)))
     };
-    // The module gives nothing to workers that it has not heard yet.
+    // Warms up: the decision module assigns no calls to workers that have not responded yet.
     for (n, kind) in (0..MODELS).flat_map(|n| KINDS.map(|kind| (n, kind))) {
         let rpc = call(&mut caller, kind, n, &format!("warm-{kind}-{n}"));
         assert_eq!(caller.status(rpc).0.code, Code::Ok);
@@ -87,7 +87,7 @@
         let id = format!("{kind}-{n}");
         calls.insert(caller.ask(ask("ModelInfer", &echo(&id, &id, 64))), (kind, id));
     }
-    // The silent workers are left: what may be repeated is, at the third.
+    // The silent workers are abandoned; idempotent calls are retried at the third.
     let mut refused = Vec::new();
     let mut note = |(status, _): (nettleferry_net::grpc::Status, _), id: &str| {
         if status.code == Code::Unavailable {
@@ -103,7 +103,7 @@
     for (rpc, (_, id)) in calls.iter().filter(|(_, (kind, _))| *kind == "echo-patient") {
         note(caller.status(*rpc), id);
     }
-    // A socket is read in order: once a worker has seen something newer, it has seen all that was held back.
+    // A socket delivers in order: once a worker has seen a newer call, it has seen all that the cut held back.
     let mut after = 0;
     eventually("each worker sees something newer", || {
         after += 1;
@@ -132,7 +132,7 @@
     });
     assert!(retried.count() > 0, "idempotent calls are retried elsewhere");
     for (id, attempts) in arrived.iter().filter(|(id, _)| is_non_idempotent(id)) {
-        // No proof can come through a cut link, so there is one attempt and no more.
+        // A cut link carries no proof that the call did not run, so there must be exactly one attempt.
         assert!(attempts.len() == 1 && attempts[0].number == Some(0), "{id}: {attempts:?}");
         assert!(!refused.contains(id), "{id} was refused and arrived: {attempts:?}");
     }
--- a/crates/gateway/tests/descriptors.rs
+++ b/crates/gateway/tests/descriptors.rs
@@ -1,5 +1,5 @@
-//! Processes whose clients take all the descriptors that they can get while the directory says nothing, and processes
-//! that start all at once.
+//! Nodes whose clients exhaust the file descriptors during a directory outage, and many nodes that start at the same
+//! time.
 
 #[path = "../../node/tests/common/mod.rs"]
 mod common;
@@ -19,12 +19,13 @@
 use nettleferry_platform::frames::{self, kind};
 use process::Node;
 
-/// The least number of descriptors that a node is made for.
+/// The smallest limit on descriptors that a node supports.
 const DESCRIPTORS: usize = 64;
-/// The platform's term for a process that was started anew.
+/// Time within which the platform requires a restarted process to be ready.
 const READY_WITHIN: Duration = Duration::from_secs(10);
 
-fn good(command: &ReceivedCommand) -> Reaction {
+/// Serves every command.
+fn serve_all(command: &ReceivedCommand) -> Reaction {
     match command.keyword() {
         "CALL" => Reaction::Answer("served", "n=w", command.parts[3].clone()),
         "PING" | "STATS" => Reaction::Answer("green", "-", vec![]),
@@ -33,15 +34,15 @@
     }
 }
 
-/// A socket that takes queries and says nothing.
-fn silent() -> (UdpSocket, SocketAddr) {
-    let socket = UdpSocket::bind("127.0.0.1:0").expect("a port");
+/// A bound socket that never responds, as a directory during an outage.
+fn unresponsive_directory() -> (UdpSocket, SocketAddr) {
+    let socket = UdpSocket::bind("127.0.0.1:0").expect("a free port");
     let address = socket.local_addr().expect("bound");
     (socket, address)
 }
 
-/// Connections that send nothing, or ask once whether it is ready and stay: 12 at a time, each as soon as the one before
-/// it was closed, until told to stop.
+/// Opens idle connections from 8 threads until stopped; every other thread sends one READY per connection. Each thread
+/// keeps 12 connections open and opens the next one when its oldest was closed.
 fn flood(address: SocketAddr, stop: Arc<AtomicBool>) -> Vec<std::thread::JoinHandle<usize>> {
     let one = move |at: usize, stop: Arc<AtomicBool>| {
         let mut held: std::collections::VecDeque<TcpStream> = std::collections::VecDeque::new();
@@ -49,9 +50,9 @@
         while !stop.load(Ordering::Acquire) && made < 50_000 {
             if let Ok(mut socket) = TcpStream::connect(address) {
                 if at.is_multiple_of(2) {
-                    let mut word = Vec::new();
-                    frames::bare(&mut word, kind::READY, 0);
-                    let _ = socket.write_all(&word);
+                    let mut frame = Vec::new();
+                    frames::bare(&mut frame, kind::READY, 0);
+                    let _ = socket.write_all(&frame);
                 }
                 held.push_back(socket);
                 made += 1;
@@ -59,7 +60,7 @@
             if held.len() > 12
                 && let Some(mut old) = held.pop_front()
             {
-                // Until it is closed, or has stayed: the system's queue of new connections is not to overflow.
+                // Waits until the node closes it, for at most 20 ms, so that the accept queue does not overflow.
                 let _ = old.set_read_timeout(Some(Duration::from_millis(20)));
                 let _ = old.read(&mut [0; 64]);
             }
@@ -79,24 +80,24 @@
     let held = std::sync::Mutex::new(held);
     let first = Invoker::start(move |command| {
         if command.keyword() == "CALL" && command.parts[3] == b"long" {
-            held.lock().expect("no panic holds it").recv_timeout(TEST_TIMEOUT).expect("released");
+            held.lock().expect("lock is not poisoned").recv_timeout(TEST_TIMEOUT).expect("released");
         }
-        good(command)
+        serve_all(command)
     });
-    let second = Invoker::start(good);
+    let second = Invoker::start(serve_all);
     let listed = |all: &[&Invoker]| -> Vec<_> {
         all.iter().map(|i| ListedInvoker::new(i.address.port().into(), i.address)).collect()
     };
-    let (_quiet, nowhere) = silent();
+    let (_quiet, nowhere) = unresponsive_directory();
     let mut configuration = config(nowhere, &listed(&[&first]));
     configuration["limits"]["sockets"] = DESCRIPTORS.into();
-    // Its long call is no longer than its time, and its silence no reason to look elsewhere.
+    // The long call stays within its deadline, and its latency objective causes no second attempt.
     for class in configuration["settings"]["classes"].as_array_mut().expect("classes") {
         (class["deadline_ms"], class["goal_time_ms"]) = (60_000.into(), 30_000.into());
     }
-    let dir = tempfile::tempdir().expect("a folder");
+    let dir = tempfile::tempdir().expect("temporary folder");
     let path = dir.path().join("config.json");
-    std::fs::write(&path, configuration.to_string()).expect("written");
+    std::fs::write(&path, configuration.to_string()).expect("configuration written");
     let node = Node::of(Node::spawn(&path, DESCRIPTORS));
     let fields = |id: &'static str| {
         let tags = "memory_mb:9;lanes:4;load_ms:50";
@@ -119,7 +120,7 @@
         assert!(files <= DESCRIPTORS, "{step}");
     };
     served("the directory is silent");
-    // Moved: what it says there is heard.
+    // The directory moves: the node must use the list from the new address.
     let directory = Directory::start(listed(&[&first, &second]));
     directory.change(listed(&[&second]));
     configuration["resolver"] = directory.address.to_string().into();
@@ -130,7 +131,7 @@
         assert!(Instant::now() < end, "the new list is heard");
         served("the directory has moved");
     }
-    // A new list at the same address, and another move.
+    // A new list at the same address.
     directory.change(listed(&[&first]));
     let before = first.received().len();
     while first.received().len() == before {
@@ -140,24 +141,24 @@
     release.send(()).expect("it waits");
     assert_eq!(long.read_answer(stream), (SERVED, b"long".to_vec()), "who has a request open is not closed");
     stop.store(true, Ordering::Release);
-    let made: usize = crowd.into_iter().map(|thread| thread.join().expect("no panic")).sum();
+    let made: usize = crowd.into_iter().map(|thread| thread.join().expect("thread did not panic")).sum();
     println!("{made} idle connections came");
     assert!(made > 20 * DESCRIPTORS, "the descriptors were wanted over and over: {made}");
 }
 
 #[test]
 fn processes_that_start_together_are_ready_in_time_whatever_the_directory_does() {
-    let invoker = Invoker::start(good);
-    // A long list, which each of them reads at its start.
+    let invoker = Invoker::start(serve_all);
+    // A long list, which each node reads at startup.
     let mut listed: Vec<_> = (0..400)
         .map(|at| ListedInvoker { id: format!("s-{at:08x}"), address: invoker.address, draining: true })
         .collect();
     let ready = ListedInvoker { id: "s-ready".to_owned(), address: invoker.address, draining: false };
     listed.push(ready.clone());
-    let (_quiet, nowhere) = silent();
-    let gone = silent().1;
+    let (_quiet, nowhere) = unresponsive_directory();
+    let gone = unresponsive_directory().1;
     let up = Directory::start(vec![ready]);
-    let dir = tempfile::tempdir().expect("a folder");
+    let dir = tempfile::tempdir().expect("temporary folder");
     let configs: Vec<_> = (0..30)
         .map(|at| {
             let path = dir.path().join(format!("{at}.json"));
@@ -174,19 +175,19 @@
             std::thread::spawn(move || {
                 let node = Node::of(child);
                 let mut client = Client::connect(node.address);
-                let mut word = Vec::new();
-                frames::bare(&mut word, kind::READY, 0);
-                client.socket.write_all(&word).expect("written");
+                let mut frame = Vec::new();
+                frames::bare(&mut frame, kind::READY, 0);
+                client.socket.write_all(&frame).expect("written");
                 assert_eq!(client.read_frame(), Some((kind::READY_ANSWER, 0, vec![SERVED, 0])));
                 let ready = began.elapsed();
-                // Said to be ready, it takes a request.
+                // A node that reports to be ready must serve a request.
                 let stream = client.send_request("safe", 7, 7, b"ab");
                 let code = client.read_answer(stream).0;
                 (ready, code)
             })
         })
         .collect();
-    let mut all: Vec<_> = waits.into_iter().map(|wait| wait.join().expect("no panic")).collect();
+    let mut all: Vec<_> = waits.into_iter().map(|wait| wait.join().expect("thread did not panic")).collect();
     all.sort();
     println!("ready: median {:?}, the 27th of 30 {:?}, the last {:?}", all[15].0, all[26].0, all[29].0);
     assert!(all[26].0 <= READY_WITHIN, "nine in ten of them: {all:?}");
--- a/crates/gateway/tests/exchanged_json.rs
+++ b/crates/gateway/tests/exchanged_json.rs
@@ -1,6 +1,6 @@
-//! What a follower and its administration say to each other, recorded between two processes and held against a list
-//! written by the program of 6b10503: request paths, query parameters, JSON fields with their types, and the words of
-//! enumerations. Controllers of different versions run in one fleet, so that a name that changes here breaks one.
+//! The protocol between a follower and its administration, recorded between two processes and compared with a list
+//! written by the program of 6b10503: request paths, query parameters, JSON fields with their types, and enumeration
+//! values. Controllers of different versions run in one fleet, so that a changed name would break one of them.
 
 mod common;
 use common::cluster::*;
@@ -15,8 +15,8 @@
 
 const LEADER: &str = "(lease 2s) (trail (folder \"trail\")) (loans (reserve 0.2))";
 const FOLLOWER: &str = "(trail (folder \"trail\")) (loans (reserve 0.2))";
-/// Fields whose values are words of an enumeration.
-const WORDS: [&str; 7] = ["what", "act", "action", "kind", "state", "stage", "type"];
+/// Fields whose values are enumeration values.
+const ENUM_FIELDS: [&str; 7] = ["what", "act", "action", "kind", "state", "stage", "type"];
 /// Objects whose keys are names of tenants, classes or workers.
 const BY_NAME: [&str; 5] = ["classes", "calls", "attempts", "orders", "tenants"];
 
@@ -31,14 +31,14 @@
     }
 }
 
-/// Each field of a value by its path, with its type; texts that hold JSON are looked into.
+/// Collects each field of a value by its path, with its type; strings that contain JSON objects are parsed too.
 fn fields(path: &str, value: &Value, found: &mut BTreeSet<String>) {
     match value {
         Value::Object(all) => {
             let name = path.rsplit(['.', ' ']).next().unwrap_or(path);
             for (key, value) in all {
                 let key = if BY_NAME.contains(&name) { "*" } else { key.as_str() };
-                if let (true, Value::String(word)) = (WORDS.contains(&key), value) {
+                if let (true, Value::String(word)) = (ENUM_FIELDS.contains(&key), value) {
                     found.insert(format!("{path}.{key} = {word}"));
                 }
                 fields(&format!("{path}.{key}"), value, found);
@@ -54,7 +54,7 @@
     }
 }
 
-/// All that was exchanged so far. Refusals depend on the moment: only those with a meaning of their own count.
+/// Names and types of all exchanges up to now. Error responses depend on timing; only 403 `fenced` is included.
 fn exchanged(recorder: &Recorder) -> BTreeSet<String> {
     let mut found = BTreeSet::new();
     for exchange in recorder.exchanges() {
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn a_follower_and_its_administration_speak_as_earlier_versions_do() {
+fn follower_protocol_keeps_its_paths_parameters_and_fields() {
     let cluster = Cluster::new("127.0.51.1", 2);
     let leader = cluster.administration(cluster.dir(), LEADER);
     let recorder = Recorder::to(cluster.api, &format!("{}:0", cluster.host));
@@ -107,7 +107,7 @@
     eventually("it is resumed", || call_status(&follower, "morava") == Code::Ok);
     leader.change("DELETE", "/v1/tenants/taymyr?grace_ms=1", "");
     eventually("it is gone", || leader.ask("GET", "/v1/tenants/taymyr", "", "").0 == 404);
-    // One that begins with nothing is given all tenants by the snapshot.
+    // A follower without stored data receives all tenants in a snapshot.
     let _second = cluster.follower(cluster.dir(), 1, recorder.address, FOLLOWER);
     let wanted: BTreeSet<String> = std::fs::read_to_string(golden::path("exchanged.txt"))
         .unwrap_or_default()
@@ -128,12 +128,12 @@
     follower.signal("TERM");
     follower.wait();
     let seen = exchanged(&recorder);
-    let depends = |line: &&String| line.contains(" = ") || line.contains("<JSON>");
+    let timing_dependent = |line: &&String| line.contains(" = ") || line.contains("<JSON>");
     let known = std::fs::read_to_string(golden::path("exchanged.txt")).unwrap_or_default();
     let known: BTreeSet<String> = known.lines().map(str::to_owned).collect();
-    // Words and audit-log entries that only some runs have, such as those of a lease that ran out on a slow machine, are
-    // held by the golden tests of their packages.
-    let rare = seen.difference(&known).filter(depends).cloned().collect::<BTreeSet<_>>();
+    // Some enumeration values and audit-log entries occur in some runs only, such as those of a lease that expires on a
+    // slow machine. The golden tests of their packages cover them.
+    let rare = seen.difference(&known).filter(timing_dependent).cloned().collect::<BTreeSet<_>>();
     let seen = if known.is_empty() { seen } else { seen.difference(&rare).cloned().collect() };
     golden::check_lines("exchanged.txt", seen);
 }
--- a/crates/gateway/tests/faults.rs
+++ b/crates/gateway/tests/faults.rs
@@ -1,5 +1,5 @@
-//! A controller on the platform whose system calls fail in ways that Linux documents: short reads, interrupted calls,
-//! connects and starts that fail for a moment, a log that nobody reads. The faults come from the soak test's library.
+//! Nodes whose system calls fail in ways that Linux documents: short reads, interrupted calls, transient failures of
+//! connect and of startup, a log that nobody reads. The soak test's preloaded library injects the faults.
 
 #[path = "../../node/tests/common/mod.rs"]
 mod common;
@@ -12,7 +12,7 @@
 use common::{Client, Directory, Invoker, ListedInvoker, Reaction, ReceivedCommand, SERVED, config};
 use nettleferry_soak::shim::{self, Faults};
 
-/// A process under faults; ends with the test, whatever comes.
+/// A node under injected faults, killed on drop.
 struct Node {
     child: Child,
     said: Option<BufReader<ChildStdout>>,
@@ -31,8 +31,8 @@
         change: impl FnOnce(&mut serde_json::Value),
         command: impl FnOnce(&mut Command),
     ) -> Self {
-        let dir = tempfile::tempdir().expect("a folder");
-        let library = shim::compile(dir.path()).expect("a C compiler");
+        let dir = tempfile::tempdir().expect("temporary folder");
+        let library = shim::compile(dir.path()).expect("a C compiler is installed");
         let listed = vec![ListedInvoker::new(0, invoker.address)];
         let directory = Directory::start(listed.clone());
         let mut configuration = config(directory.address, &listed);
@@ -46,34 +46,36 @@
             .stdout(Stdio::piped())
             .stderr(Stdio::null());
         command(&mut node);
-        let mut child = node.spawn().expect("the program is there");
+        let mut child = node.spawn().expect("the program starts");
         let said = child.stdout.take().map(BufReader::new);
         Self { child, said, _dir: dir, _directory: directory }
     }
 
-    /// A client of it, as soon as it listens.
+    /// Waits until the node reports its listener, and connects to it.
     fn client(&mut self) -> Client {
         let mut line = String::new();
         self.said.as_mut().expect("piped").read_line(&mut line).expect("text");
-        let address = line.trim_end().strip_prefix("listening frames ").expect("it listens");
+        let address =
+            line.trim_end().strip_prefix("listening frames ").expect("the line that reports the listener");
         Client::connect(address.parse().expect("an address"))
     }
 
-    /// Stops it, and gives once the system says that it has.
+    /// Sends SIGSTOP and returns once `/proc` shows the process as stopped.
     fn stop(&self) {
         self.signal("STOP");
-        let stat = || std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).expect("ours");
+        let stat =
+            || std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).expect("process exists");
         while !stat().rsplit(')').next().is_some_and(|rest| rest.trim_start().starts_with('T')) {
             std::thread::yield_now();
         }
     }
 
-    /// Asks it to end, and gives its exit code.
-    fn ended(&mut self) -> Option<i32> {
+    /// Sends SIGTERM and waits for the exit code.
+    fn terminate(&mut self) -> Option<i32> {
         self.signal("TERM");
         let end = Instant::now() + common::TEST_TIMEOUT;
         loop {
-            if let Some(status) = self.child.try_wait().expect("ours") {
+            if let Some(status) = self.child.try_wait().expect("status of the child") {
                 return status.code();
             }
             assert!(Instant::now() < end, "it ends");
@@ -94,7 +96,7 @@
     }
 }
 
-/// One that holds every function.
+/// An invoker that has every function loaded.
 fn invoker() -> Invoker {
     Invoker::start(|command: &ReceivedCommand| match command.keyword() {
         "CALL" => Reaction::Answer("served", "n=w", command.parts[3].clone()),
@@ -115,11 +117,11 @@
     }
 }
 
-/// How long a process is stopped: more than the slack on a deadline.
+/// How long a process is stopped; longer than `DEADLINE_SLACK`.
 const STOPPED: Duration = Duration::from_millis(400);
-/// The deadline that a worker gets may exceed what the client has left by this much.
+/// By how much the time limit sent to an invoker may exceed the client's remaining time.
 const DEADLINE_SLACK: Duration = Duration::from_millis(150);
-/// What a client of these tests waits.
+/// The time limit of a client's request.
 const TTL: Duration = Duration::from_millis(3_000);
 
 #[test]
@@ -129,14 +131,14 @@
     let invoker = Invoker::start(move |command: &ReceivedCommand| match command.keyword() {
         "CALL" => {
             let fields = String::from_utf8_lossy(&command.parts[2]).into_owned();
-            recorder.lock().expect("no panic holds it").push(fields);
+            recorder.lock().expect("lock is not poisoned").push(fields);
             Reaction::Answer("served", "n=w", command.parts[3].clone())
         }
         _ => Reaction::Answer("green", "-", vec![]),
     });
     let mut node = Node::start(&invoker, Faults::default(), |_| ());
     let mut client = node.client();
-    // Several times: the process must be stopped in its wait, where it is nearly always.
+    // Repeated, since the stop must hit the process while it waits for events, as it nearly always does.
     for id in 1..4 {
         node.stop();
         let stream = client.send_request("safe", id, 1, b"ab");
@@ -147,9 +149,10 @@
         let waited = sent.elapsed();
         node.signal("CONT");
         assert_eq!(client.read_answer(stream), (SERVED, b"ab".to_vec()));
-        let fields = received_fields.lock().expect("no panic holds it").last().cloned().expect("it was sent");
+        let fields =
+            received_fields.lock().expect("lock is not poisoned").last().cloned().expect("it was sent");
         let patience =
-            fields.split(',').find_map(|field| field.strip_prefix("patience=")).expect("the field");
+            fields.split(',').find_map(|field| field.strip_prefix("patience=")).expect("a patience field");
         let patience = Duration::from_millis(patience.parse().expect("a number"));
         assert!(patience + waited <= TTL + DEADLINE_SLACK, "sent {patience:?}, {waited:?} had passed");
     }
@@ -159,7 +162,7 @@
 fn transient_connect_failures_cost_no_call_and_no_worker() {
     let invoker = invoker();
     let faults = Faults { first_connects: 3, ..Faults::default() };
-    // One attempt a call: what fails for a moment at this end must not end it.
+    // One attempt per call: a transient local failure must not count as one.
     let mut node =
         Node::start(&invoker, faults, |config| config["settings"]["limits"]["max_attempts"] = 1.into());
     let mut client = node.client();
@@ -178,11 +181,11 @@
     assert_eq!(client.read_answer(stream), (SERVED, b"ab".to_vec()));
 }
 
-/// Serves some calls and ends in order.
+/// Serves 199 calls, and exits with code 0 after SIGTERM.
 fn serves_and_ends(node: &mut Node) {
     let mut client = node.client();
     serves(&mut client, 1..200);
-    assert_eq!(node.ended(), Some(0));
+    assert_eq!(node.terminate(), Some(0));
 }
 
 fn serves(client: &mut Client, ids: std::ops::Range<u64>) {
@@ -203,7 +206,7 @@
 #[test]
 fn unread_log_costs_no_call() {
     let invoker = invoker();
-    // More than a pipe holds is logged, and nobody takes it.
+    // More is logged than a pipe buffers, and nobody reads it.
     let unread = |node: &mut Command| _ = node.env("RUST_LOG", "debug").stderr(Stdio::piped());
     let mut node = Node::start_with(&invoker, Faults::default(), |_| (), unread);
     serves_and_ends(&mut node);
@@ -212,21 +215,25 @@
 #[test]
 fn full_disk_under_stdout_and_log_does_not_delay_startup() {
     let invoker = invoker();
-    let address = std::net::TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a port");
+    let address =
+        std::net::TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a free port");
     let full = || std::fs::File::options().write(true).open("/dev/full").expect("the system has it");
     let on_full = |node: &mut Command| _ = node.stdout(full()).stderr(full());
     let fixed = |config: &mut serde_json::Value| config["listen"] = address.to_string().into();
     let mut node = Node::start_with(&invoker, Faults::default(), fixed, on_full);
     let end = Instant::now() + common::TEST_TIMEOUT;
     while std::net::TcpStream::connect(address).is_err() {
-        assert!(Instant::now() < end && node.child.try_wait().expect("ours").is_none(), "it listens");
+        assert!(
+            Instant::now() < end && node.child.try_wait().expect("status of the child").is_none(),
+            "it listens"
+        );
         std::thread::yield_now();
     }
     serves(&mut Client::connect(address), 1..20);
-    assert_eq!(node.ended(), Some(0));
+    assert_eq!(node.terminate(), Some(0));
 }
 
-/// Settings of a gRPC controller without workers, with a listener for figures.
+/// Settings of a gRPC controller without workers, with a metrics listener.
 const SERVE_SETTINGS: &str = r#"(listen (grpc "127.0.0.1:0"))
 (workers (file "workers.sexp"))
 (figures (scrape "127.0.0.1:0"))
@@ -236,15 +243,15 @@
 
 #[test]
 fn serve_startup_retries_transient_faults() {
-    let dir = tempfile::tempdir().expect("a folder");
-    let library = shim::compile(dir.path()).expect("a C compiler");
+    let dir = tempfile::tempdir().expect("temporary folder");
+    let library = shim::compile(dir.path()).expect("a C compiler is installed");
     std::fs::write(dir.path().join("settings.sexp"), SERVE_SETTINGS).expect("written");
     std::fs::write(dir.path().join("workers.sexp"), "").expect("written");
     let mut serve = Command::new(env!("CARGO_BIN_EXE_nettleferry"));
     serve.arg("serve").arg("settings.sexp").current_dir(dir.path()).env_remove("RUST_LOG");
     let faults = Faults { start: 9, ..Faults::default() };
     serve.envs(faults.environment(&library, 1)).stdin(Stdio::null()).stdout(Stdio::piped());
-    let mut child = serve.spawn().expect("the program is there");
+    let mut child = serve.spawn().expect("the program starts");
     let mut said = BufReader::new(child.stdout.take().expect("piped"));
     let mut line = String::new();
     said.read_line(&mut line).expect("text");
@@ -258,11 +265,12 @@
     let invoker = invoker();
     let mut node = Node::start(&invoker, Faults { signal: 1_000, ..Faults::default() }, |_| ());
     serves(&mut node.client(), 1..3);
-    assert_eq!(node.ended(), Some(0));
+    assert_eq!(node.terminate(), Some(0));
 }
 
-/// Seen by the soak (seed 366, --faults --shutdowns --crowd): the wake-up of SIGTERM was lost, the process heard of it by its next
-/// look, 206 ms later, and reckoned with a kill that much later: four requests were open when it came.
+/// Guards against a kill time computed from when the process notices SIGTERM. In the soak (seed 366, `--faults
+/// --shutdowns --crowd`) the wake-up of the signal was lost, the process noticed it at its next check 206 ms later and
+/// expected the kill that much later, so that four requests were open when it came.
 #[test]
 fn kill_is_counted_from_when_a_signal_with_a_lost_wake_up_may_have_come() {
     let (tell, told) = std::sync::mpsc::channel();
@@ -282,7 +290,7 @@
     told.try_iter().for_each(drop);
     node.signal("TERM");
     let asked_to_end = Instant::now();
-    // The longest deadline is 4 s, which counts as 3 s; an answer is on its way for 0.1 s.
+    // The longest deadline of 4 s counts as 3 s; with the grace of 0.7 s, less 0.1 s for the way of an answer.
     let last_answer = Duration::from_millis(3_600);
     // After the grace of 0.7 s, requests have no more time than is left until the kill.
     let (mut id, mut judged) = (10, 0);
--- a/crates/gateway/tests/golden_lists.rs
+++ b/crates/gateway/tests/golden_lists.rs
@@ -1,6 +1,6 @@
-//! Names that operators, scripts and other processes rely on, held against lists written by the program of 6b10503:
+//! Names that operators, scripts and other processes rely on, compared with lists written by the program of 6b10503:
 //! options of every command, metrics with their labels, settings keys, and the document of the administration API.
-//! A deliberate change is written into the list by running these tests with `UPDATE_GOLDEN=1`.
+//! After a deliberate change, run these tests with `UPDATE_GOLDEN=1` to rewrite the lists.
 
 mod common;
 use common::admin_client::*;
@@ -15,7 +15,7 @@
 
 use serde_json::Value;
 
-/// The help of a command, as `--help` prints it.
+/// The `--help` text of a command.
 fn help(path: &[&str]) -> String {
     let out = Command::new(PROGRAM).args(path).arg("--help").output().expect("it runs");
     assert!(out.status.success(), "{path:?}: {}", String::from_utf8_lossy(&out.stderr));
@@ -40,7 +40,7 @@
     names.filter(|name| *name != "help").map(str::to_owned).collect()
 }
 
-/// All commands below this one that are shown, itself included.
+/// Collects this command and all visible commands below it.
 fn walk(path: &[&str], found: &mut Vec<Vec<String>>) {
     found.push(path.iter().map(|&word| word.to_owned()).collect());
     for name in commands(&help(path)) {
@@ -51,7 +51,7 @@
 
 #[test]
 fn commands_of_earlier_versions_keep_their_options() {
-    // A command that was renamed keeps its earlier name as a hidden alias: its line stays.
+    // A renamed command keeps its earlier name as a hidden alias, so its line stays in the list.
     let file = golden::path("commands.txt");
     let mut paths: Vec<Vec<String>> = std::fs::read_to_string(&file)
         .unwrap_or_default()
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn commands_that_are_shown() {
+fn help_lists_the_same_commands() {
     let mut paths = Vec::new();
     walk(&[], &mut paths);
     golden::check_lines("commands-shown.txt", paths.iter().map(|path| path.join(" ")));
@@ -79,14 +79,14 @@
 
 fn scrape(address: SocketAddr) -> String {
     let mut socket = TcpStream::connect(address).expect("connects");
-    socket.set_read_timeout(Some(PATIENCE)).expect("set");
+    socket.set_read_timeout(Some(PATIENCE)).expect("socket option set");
     socket.write_all(b"GET /metrics HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n").expect("sent");
     let mut text = String::new();
     socket.read_to_string(&mut text).expect("text");
     text
 }
 
-/// Each metric with its type, and each series without its value; buckets and numbers of the build are left out.
+/// Each metric with its type, and each series without its value; histogram buckets are left out.
 fn metrics(text: &str) -> BTreeSet<String> {
     let series = text.lines().filter(|line| line.starts_with("nettleferry_") && !line.contains("_bucket{"));
     let series = series.filter_map(|line| line.split_once(' ').map(|(name, _)| name.to_owned()));
@@ -98,7 +98,7 @@
 fn metrics_keep_their_names_types_and_labels() {
     let fleet = Fleet::new(1, SPEC);
     let (_, line) = key("ada", "admin");
-    let dir = tempfile::tempdir().expect("a folder");
+    let dir = tempfile::tempdir().expect("temporary folder");
     std::fs::write(dir.path().join("workers.sexp"), fleet.list()).expect("written");
     let figures =
         "(figures (scrape \"127.0.0.1:0\") (push (to \"127.0.0.1:9\") (every 1h) (spool \"spool\")))";
@@ -110,7 +110,7 @@
     golden::check_lines("metrics.txt", metrics(&scrape(address)));
 }
 
-/// Names that stand behind an opening parenthesis, outside of comments and texts.
+/// Words that follow an opening parenthesis, outside of comments.
 fn keys(text: &str) -> BTreeSet<String> {
     let code = text.lines().map(|line| line.split(';').next().unwrap_or(""));
     let code = code.collect::<Vec<_>>().join("\n");
@@ -124,19 +124,19 @@
 }
 
 #[test]
-fn settings_of_earlier_versions_are_taken() {
+fn settings_of_earlier_versions_are_accepted() {
     check(&golden::path("settings.sexp"));
     check(&golden::path("settings-follower.sexp"));
 }
 
 #[test]
-fn settings_keys_of_the_example() {
+fn example_settings_keep_their_keys() {
     let example = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/nettleferry.sexp");
     let text = std::fs::read_to_string(example).expect("the example");
     golden::check_lines("settings-keys.txt", keys(&text));
 }
 
-/// Each value of a document by its path, but for texts that are for people.
+/// Collects each value of a document by its path, except `description`, `summary` and `title` texts.
 fn flatten(path: &str, value: &Value, lines: &mut BTreeMap<String, String>) {
     match value {
         Value::Object(fields) => {
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn paths_and_fields_of_the_api() {
+fn api_document_keeps_its_paths_and_fields() {
     let document = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs/openapi.json");
     let text = std::fs::read_to_string(document).expect("the document");
     let mut lines = BTreeMap::new();
--- a/crates/gateway/tests/held_watches.rs
+++ b/crates/gateway/tests/held_watches.rs
@@ -1,13 +1,13 @@
-//! Requests of followers that the leader holds, and reports that cross.
+//! Watch requests that the leader holds, and reports of followers that arrive out of order.
 //!
-//! What happened: a leader that had been told of a later snapshot went back to serving by itself, and answered a change
-//! with 201 that the later snapshot does not have. Why: a watch that is held is judged again at each wake-up, and each
-//! time its query was recorded as a new report. So the watch of a process that had died reported its old version once
-//! more, behind the newer report of the same controller, and the leader took that for a change of mind. What showed it:
-//! the log line `duty changed by a report`, with `from=behind to=serving` and `held_ms` of a request that had come long
-//! before the report that it replaced.
+//! Guards against a leader that knows of a later snapshot, returns to serving without an operator, and acknowledges a
+//! change that the later snapshot lacks. A held watch is evaluated at each wake-up; when each evaluation recorded its
+//! query as a new report, the watch of a dead process repeated its old version after a newer report of the same
+//! controller, and the leader accepted the old version as current. The symptom was the log line
+//! `duty changed by a report` with `from=behind to=serving` and the `held_ms` of a request that was older than the report
+//! it replaced.
 //!
-//! Here the crossings are forced: the followers are sockets of the test, and each step waits for the one before.
+//! The tests force this order: they act as the followers over plain sockets, and each step waits for the one before.
 
 mod common;
 use common::admin_client::*;
@@ -21,10 +21,10 @@
 use serde_json::{Value, json};
 
 const ADMINISTRATION: &str = "(lease 5s)";
-/// How long a watch asks to be held, milliseconds: well under a lease.
+/// `wait_ms` of a held watch, much shorter than a lease.
 const HELD_MS: u64 = 2_000;
 
-/// A version that a follower reports.
+/// A snapshot version that a follower reports.
 #[derive(Clone, Debug)]
 struct Reported {
     store: String,
@@ -34,7 +34,7 @@
 }
 
 impl Reported {
-    /// The leader's own.
+    /// The leader's own version.
     fn of(leader: &Leader) -> Self {
         let told = leader.get("/v1/snapshot");
         let number = |value: &Value| value.as_u64().expect("a number");
@@ -46,15 +46,15 @@
         }
     }
 
-    /// One that a later restore made.
+    /// A version with the next epoch, as a restore creates it.
     fn later(&self) -> Self {
         Self { epoch: self.epoch + 1, checksum: self.checksum ^ 1, ..self.clone() }
     }
 }
 
-/// An incarnation of a controller, as a follower's requests name it.
+/// An incarnation of a controller, as in the query parameters `controller` and `life`.
 #[derive(Clone, Copy)]
-struct Life {
+struct Incarnation {
     controller: u32,
     incarnation: u64,
 }
@@ -63,10 +63,10 @@
 struct Sent(TcpStream);
 
 impl Sent {
-    /// Its response: the status and the body.
+    /// Reads the response: the status (0: none came) and the body.
     fn response(mut self) -> (u16, Value) {
         let mut text = String::new();
-        self.0.set_read_timeout(Some(PATIENCE)).expect("set");
+        self.0.set_read_timeout(Some(PATIENCE)).expect("socket option set");
         let _ = self.0.read_to_string(&mut text);
         let (head, body) = text.split_once("\r\n\r\n").unwrap_or((&text, ""));
         let status = head.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0);
@@ -83,8 +83,8 @@
     Sent(socket)
 }
 
-fn watch(cluster: &Cluster, life: Life, reported: &Reported, wait_ms: u64) -> Sent {
-    let Life { controller, incarnation } = life;
+fn watch(cluster: &Cluster, id: Incarnation, reported: &Reported, wait_ms: u64) -> Sent {
+    let Incarnation { controller, incarnation } = id;
     let Reported { store, epoch, revision, checksum } = reported;
     let target = format!(
         "/v1/watch?controller={controller}&life={incarnation}&in_force={revision}&kept={revision}&ends=1&ended=0\
@@ -93,32 +93,33 @@
     send(cluster.api, &cluster.key, &target)
 }
 
-fn deregister(cluster: &Cluster, life: Life) -> (u16, Value) {
-    let Life { controller, incarnation } = life;
+fn deregister(cluster: &Cluster, id: Incarnation) -> (u16, Value) {
+    let Incarnation { controller, incarnation } = id;
     let target = format!("/v1/watch?controller={controller}&life={incarnation}&ended=1&wait_ms=0");
     send(cluster.api, &cluster.key, &target).response()
 }
 
-/// The row of a life in what the leader tells of the fleet.
-fn row(leader: &Leader, life: Life) -> Option<Value> {
-    let name = format!("{:016x}", life.incarnation);
+/// The entry of an incarnation in the leader's `/v1/fleet`.
+fn row(leader: &Leader, id: Incarnation) -> Option<Value> {
+    let name = format!("{:016x}", id.incarnation);
     incarnations(leader).into_iter().find(|row| row["life"] == name)
 }
 
-/// A watch that the leader has and holds.
-fn held(cluster: &Cluster, leader: &Leader, life: Life, reported: &Reported, wait_ms: u64) -> Sent {
-    let sent = watch(cluster, life, reported, wait_ms);
-    eventually("the leader holds the watch", || row(leader, life).is_some());
+/// Sends a watch and waits until the leader lists the incarnation.
+fn held(cluster: &Cluster, leader: &Leader, id: Incarnation, reported: &Reported, wait_ms: u64) -> Sent {
+    let sent = watch(cluster, id, reported, wait_ms);
+    eventually("the leader holds the watch", || row(leader, id).is_some());
     sent
 }
 
+/// Asserts that the leader is behind and refuses changes.
 fn assert_waits(leader: &Leader) {
     assert_eq!(leader.get("/v1/fleet")["cause"], "behind");
     let (status, told) = leader.ask("POST", "/v1/tenants", "", "{\"name\":\"new\"}");
     assert_eq!(status, 503, "no change until it is decided which snapshot counts: {told}");
 }
 
-/// What the leader logged; it is killed for that.
+/// Kills the leader and returns its log.
 fn log_of(leader: Leader) -> String {
     let Leader { mut program, .. } = leader;
     program.signal("KILL");
@@ -126,25 +127,25 @@
     program.log()
 }
 
-/// A cluster at this address, and its leader.
+/// A cluster on this loopback address, and its leader.
 fn start(address: &'static str) -> (Cluster, Leader) {
     let cluster = Cluster::new(address, 9);
     let leader = cluster.administration(cluster.dir(), ADMINISTRATION);
     (cluster, leader)
 }
 
-const OLD: Life = Life { controller: 1, incarnation: 11 };
-const NEW: Life = Life { controller: 1, incarnation: 12 };
+const OLD: Incarnation = Incarnation { controller: 1, incarnation: 11 };
+const NEW: Incarnation = Incarnation { controller: 1, incarnation: 12 };
 
 #[test]
-fn held_watch_of_a_dead_process_takes_back_no_later_report() {
+fn held_watch_of_a_dead_process_does_not_replace_a_later_report() {
     let (cluster, leader) = start("127.0.61.1");
     leader.create(json!({"name": "kalahari"}));
     let own = Reported::of(&leader);
     let dead = held(&cluster, &leader, OLD, &own, HELD_MS);
     let (status, told) = watch(&cluster, NEW, &own.later(), 0).response();
     assert_eq!(status, 503, "it is told that it is not decided which snapshot counts: {told}");
-    // The change of duty wakes the leader, which judges the held watch again, at its end at the latest.
+    // The new report changes the leader's state, so that it evaluates the held watch again, at the latest at its end.
     let (status, told) = dead.response();
     if status != 503 {
         panic!("a held watch got a snapshot that may not count, {status}: {told}\n{}", log_of(leader));
@@ -153,32 +154,32 @@
 }
 
 #[test]
-fn late_request_of_an_earlier_or_unheard_life_takes_back_no_later_report() {
+fn late_request_of_an_earlier_or_unknown_incarnation_does_not_replace_a_later_report() {
     let (cluster, leader) = start("127.0.61.2");
     leader.create(json!({"name": "kalahari"}));
     let own = Reported::of(&leader);
     watch(&cluster, OLD, &own, 0).response();
     watch(&cluster, NEW, &own.later(), 0).response();
     assert_waits(&leader);
-    let unheard = Life { incarnation: 13, ..OLD };
-    for late in [OLD, NEW, unheard] {
+    let unknown = Incarnation { incarnation: 13, ..OLD };
+    for late in [OLD, NEW, unknown] {
         assert_eq!(watch(&cluster, late, &own, 0).response().0, 503);
         assert_waits(&leader);
     }
-    // A controller whose disk was lost reports no version, and decides nothing of what it had.
+    // A controller that lost its disk reports no version, which replaces no earlier report.
     let target = "/v1/snapshot?controller=1&life=14&in_force=0&kept=0&ends=1&ended=0";
     assert_eq!(send(cluster.api, &cluster.key, target).response().0, 503);
     assert_waits(&leader);
 }
 
 #[test]
-fn life_that_has_ended_gets_no_lease_by_a_held_or_late_request() {
+fn ended_incarnation_gets_no_lease_by_a_held_or_late_request() {
     let (cluster, leader) = start("127.0.61.3");
     leader.create(json!({"name": "kalahari"}));
     let own = Reported::of(&leader);
     let ended = held(&cluster, &leader, OLD, &own, HELD_MS);
     assert_eq!(deregister(&cluster, OLD).0, 403);
-    // This wakes the held watch: its client is gone, and a lease for it would hold up the next change.
+    // The change wakes the held watch of an ended incarnation; granting it a lease would delay the next change.
     leader.change("PATCH", "/v1/tenants/kalahari", "{\"note\":\"changed\"}");
     let (status, told) = ended.response();
     assert_eq!((status, &told["type"]), (403, &json!("/problems/ended")), "{told}");
@@ -194,19 +195,19 @@
 }
 
 #[test]
-fn change_that_waits_for_a_copy_is_not_acknowledged_by_a_later_snapshot() {
+fn change_that_waits_for_replication_is_not_acknowledged_by_a_later_snapshot() {
     let (cluster, leader) = start("127.0.61.4");
     leader.create(json!({"name": "kalahari"}));
     let own = Reported::of(&leader);
-    // It has a lease, so that a change waits until it holds it; it never does.
+    // This incarnation has a lease, so that a change waits until it reports the change, which it never does.
     let (status, _) = watch(&cluster, OLD, &own, 0).response();
     assert_eq!(status, 200);
     let http = leader.http.clone();
     let change = std::thread::spawn(move || http.ask("POST", "/v1/tenants", "", "{\"name\":\"undecided\"}"));
     eventually("the change is made", || leader.get("/v1/controllers")["revision"] == own.revision + 1);
-    // This one has more changes by number, and not this one.
+    // A later epoch with a higher revision, but without the pending change.
     let later = Reported { revision: own.revision + 5, ..own.later() };
-    watch(&cluster, Life { controller: 2, incarnation: 21 }, &later, 0).response();
+    watch(&cluster, Incarnation { controller: 2, incarnation: 21 }, &later, 0).response();
     let (status, told) = change.join().expect("it is answered");
     assert_eq!((status, &told["type"]), (503, &json!("/problems/undecided")), "{told}");
     assert_waits(&leader);
@@ -235,16 +236,16 @@
     let own = Reported::of(&leader);
     let far = Reported { epoch: u64::MAX, ..own.clone() };
     let high = Reported { revision: u64::MAX, ..own.clone() };
-    let nobody = Life { controller: 4, incarnation: 41 };
-    let itself = Life { controller: 0, incarnation: 41 };
+    let nobody = Incarnation { controller: 4, incarnation: 41 };
+    let itself = Incarnation { controller: 0, incarnation: 41 };
     let cases = [
         (NEW, &far, "epoch"),
         (NEW, &high, "after"),
         (nobody, &own, "controller"),
         (itself, &own, "controller"),
     ];
-    for (life, reported, field) in cases {
-        let (status, told) = watch(&cluster, life, reported, 0).response();
+    for (id, reported, field) in cases {
+        let (status, told) = watch(&cluster, id, reported, 0).response();
         assert_eq!((status, &told["field"]), (422, &json!(field)), "{told}");
     }
     let foreign = Reported { store: "another".to_owned(), revision: own.revision + 9, ..own.clone() };
--- a/crates/gateway/tests/herd.rs
+++ b/crates/gateway/tests/herd.rs
@@ -1,4 +1,4 @@
-//! A hundred processes of the program on one machine, back at once after a loss of power.
+//! A hundred followers on one machine that restart at the same time, as after a power loss.
 
 mod common;
 use common::admin_client::*;
@@ -16,15 +16,15 @@
 #[expect(clippy::too_many_lines, reason = "one scenario over several processes, step by step")]
 fn hundred_followers_restart_at_once() {
     let cores = std::thread::available_parallelism().map_or(1, usize::from);
-    // Fewer where the machine is small, and said: so many processes would test its scheduler.
+    // Fewer on a small machine, where so many processes would test its scheduler. The number is printed.
     let many = if cores < 4 { 12 } else { MANY };
     println!("{many} processes on {cores} cores");
     let fleet = Fleet::new(1, SPEC);
     let (token, line) = key("ada", "admin");
     let (key, fleet_line) = key("fleet", "controller");
-    let api = TcpListener::bind("127.0.10.1:0").and_then(|l| l.local_addr()).expect("a port");
+    let api = TcpListener::bind("127.0.10.1:0").and_then(|l| l.local_addr()).expect("a free port");
     let dir = || {
-        let dir = tempfile::tempdir().expect("a folder");
+        let dir = tempfile::tempdir().expect("temporary folder");
         std::fs::write(dir.path().join("workers.sexp"), fleet.list()).expect("written");
         std::fs::write(dir.path().join("key"), &key).expect("written");
         dir
@@ -55,21 +55,21 @@
     };
     let programs: Vec<Program> = (1..=many).map(|n| follower(dir(), n)).collect();
     let first = all(&leader, "each has its lease");
-    // A change reaches all, and is reported to be in force everywhere.
+    // A change reaches all followers, and is reported to be in force everywhere.
     let begun = Instant::now();
     leader.change("POST", "/v1/tenants/t3/suspend", "");
     assert_eq!(leader.get("/v1/fleet/change")["everywhere"], true);
     let change = begun.elapsed();
-    // Power is lost everywhere, and is back everywhere; the administration last.
+    // All processes are killed and restarted, the administration last.
     let kept: Vec<tempfile::TempDir> = programs
         .into_iter()
         .map(|program| {
             program.signal("KILL");
-            left(program, &["kept.json", "workers.sexp", "key"])
+            surviving_files(program, &["kept.json", "workers.sexp", "key"])
         })
         .collect();
     leader.program.signal("KILL");
-    let store = left(leader.program, &["tenants.redb", "tenants.lease", "workers.sexp", "key"]);
+    let store = surviving_files(leader.program, &["tenants.redb", "tenants.lease", "workers.sexp", "key"]);
     let begun = Instant::now();
     let programs: Vec<Program> = std::thread::scope(|scope| {
         let follower = &follower;
--- a/crates/gateway/tests/hollow.rs
+++ b/crates/gateway/tests/hollow.rs
@@ -1,4 +1,4 @@
-//! Hollow followers beside real processes: an administration and a follower of the program, over loopback.
+//! `nettleferry hollow` (simulated peers) against real processes over loopback: an administration, a follower, a worker.
 
 mod common;
 use common::admin_client::*;
@@ -16,7 +16,7 @@
 
 const HOLLOW: u32 = 50;
 
-/// A process of hollow peers.
+/// A running `nettleferry hollow`, and the lines of its report. Killed on drop.
 struct Hollow {
     child: Child,
     input: Option<ChildStdin>,
@@ -34,12 +34,12 @@
         let mut command = Command::new(PROGRAM);
         command.arg("hollow").args(words);
         let spawned = command.stdin(Stdio::piped()).stdout(Stdio::piped()).spawn();
-        let mut child = spawned.expect("it starts");
+        let mut child = spawned.expect("the program starts");
         let (input, out) = (child.stdin.take(), child.stdout.take().expect("piped"));
-        let (said, lines) = channel();
+        let (line_sender, lines) = channel();
         std::thread::spawn(move || {
             for line in BufReader::new(out).lines().map_while(Result::ok) {
-                let _ = said.send(serde_json::from_str(&line).expect("a line of the report"));
+                let _ = line_sender.send(serde_json::from_str(&line).expect("a line of the report"));
             }
         });
         Self { child, input, lines }
@@ -71,7 +71,7 @@
         })
     }
 
-    /// Its next summary.
+    /// Waits for the next summary of followers.
     #[track_caller]
     fn next_summary(&self) -> Summary {
         self.wait("a summary", |line| match line {
@@ -80,14 +80,14 @@
         })
     }
 
-    /// A summary of the interval since the last one.
+    /// Requests a summary of the interval since the last one.
     #[track_caller]
     fn interval(&mut self) -> Summary {
-        writeln!(self.input.as_mut().expect("open"), "summary").expect("it listens");
+        writeln!(self.input.as_mut().expect("stdin is open"), "summary").expect("stdin written");
         self.next_summary()
     }
 
-    /// Its summary, once its standard input was closed, or its time was over.
+    /// Waits for the final summary and a successful exit; with `close`, ends the run by closing its standard input.
     #[track_caller]
     fn summary(mut self, close: bool) -> Summary {
         if close {
@@ -100,7 +100,7 @@
 
     #[track_caller]
     fn ends_well(&mut self) {
-        assert!(self.child.wait().expect("ours").success());
+        assert!(self.child.wait().expect("status of the child").success());
     }
 }
 
@@ -111,8 +111,8 @@
     }
 }
 
-/// Suspends a tenant or lets it in again, and waits until that is in force everywhere: its revision. The answer to
-/// what takes something away says so itself.
+/// Suspends or resumes a tenant, waits until the change is in force everywhere, and returns its revision. The response to
+/// a suspension must report this in a header already.
 #[track_caller]
 fn change_everywhere(leader: &Leader, what: &str) -> u64 {
     let token = &leader.http.token;
@@ -149,9 +149,9 @@
     });
     let before = hollow.interval();
     assert_eq!((before.lapses, before.change_to_last.count, before.changes_incomplete), (0, 3, 0));
-    // The administration is lost, and back with its store.
+    // The administration is killed and restarted with its store.
     leader.program.signal("KILL");
-    let store = left(leader.program, &["tenants.redb", "tenants.lease", "workers.sexp", "key"]);
+    let store = surviving_files(leader.program, &["tenants.redb", "tenants.lease", "workers.sexp", "key"]);
     hollow.second("none has a lease", |second| second.leased == 0);
     let leader = cluster.administration(store, lease);
     eventually("each has a lease again", || leases(&leader));
@@ -223,11 +223,11 @@
     assert_eq!((summary.counts.connected, summary.counts.not_connected, summary.connections), (0, 5, 0));
 }
 
-/// How `hollow followers` ends with these words, under a limit on descriptors.
-fn refused(words: &[&str]) -> String {
+/// Runs `hollow followers` with invalid arguments under a limit of 200 descriptors: its error output.
+fn rejection(arguments: &[&str]) -> String {
     let out = Command::new("/bin/sh")
         .args(["-c", "ulimit -n 200; exec \"$0\" hollow followers --key a.b \"$@\"", PROGRAM])
-        .args(words)
+        .args(arguments)
         .stdin(Stdio::null())
         .output()
         .expect("it runs");
@@ -238,22 +238,22 @@
 
 #[test]
 fn other_machines_and_too_many_peers_are_rejected_before_the_start() {
-    let told = refused(&["--administration", "192.0.2.1:80", "--count", "5"]);
+    let told = rejection(&["--administration", "192.0.2.1:80", "--count", "5"]);
     assert!(told.contains("192.0.2.1:80 is no loopback address"), "{told}");
     let here = ["--administration", "127.0.42.3:9"];
-    let told = refused(&[&here[..], &["--count", "69"]].concat());
+    let told = rejection(&[&here[..], &["--count", "69"]].concat());
     assert!(told.contains("69 peers need 138 descriptors, and 136 may be used: 68 fit"), "{told}");
-    let told = refused(&[&here[..], &["--count", "0"]].concat());
+    let told = rejection(&[&here[..], &["--count", "0"]].concat());
     assert!(told.contains("at least one peer"), "{told}");
-    let told = refused(&[&here[..], &["--count", "1", "--loss", "2"]].concat());
+    let told = rejection(&[&here[..], &["--count", "1", "--loss", "2"]].concat());
     assert!(told.contains("--loss: from 0 to 0.9"), "{told}");
-    let told = refused(&[&here[..], &["--count", "2", "--first-number", "4294967295"]].concat());
+    let told = rejection(&[&here[..], &["--count", "2", "--first-number", "4294967295"]].concat());
     assert!(told.contains("--first-number"), "{told}");
 }
 
-/// `nettleferry scale` with this file: its exit code, its lines and what it said beside them.
+/// Runs `nettleferry scale` with a file of this text: its exit code, its JSON lines and its error output.
 fn scale(text: &str) -> (Option<i32>, Vec<serde_json::Value>, String) {
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("temporary folder");
     let file = folder.path().join("scale.sexp");
     std::fs::write(&file, text).expect("written");
     let out = Command::new(PROGRAM).arg("scale").arg(&file).output().expect("it runs");
@@ -278,7 +278,7 @@
         assert!(value("memory", size) > 1e6 && value("follower-memory", size) > 1e6);
     }
     let connections = value("descriptors", 32) - value("descriptors", 8);
-    // Two for each of 24 followers; a file may stand open at one of the moments.
+    // Two for each of 24 followers; a file may be open at either measurement.
     assert!((46.0..=50.0).contains(&connections), "{connections}");
     let asks = value("asks", 32) / value("asks", 8);
     assert!((2.0..8.0).contains(&asks), "asks grow like the followers: {asks}");
--- a/crates/gateway/tests/leaving.rs
+++ b/crates/gateway/tests/leaving.rs
@@ -1,4 +1,5 @@
-//! Clients that leave while the process is stopped: when it goes on, nothing more is begun for them.
+//! Clients that cancel or disconnect while the process is stopped (SIGSTOP): after it resumes, it forwards none of their
+//! waiting calls.
 
 #[path = "../../node/tests/common/mod.rs"]
 mod common;
@@ -17,26 +18,26 @@
 use process::Node;
 
 #[derive(Clone, Copy, Debug)]
-enum Leaves {
-    Withdraws,
-    HalfCloses,
-    Closes,
-    /// It closes with an answer unread.
-    Resets,
+enum Departure {
+    Cancel,
+    HalfClose,
+    Close,
+    /// Closes the socket with an answer unread, which sends a reset.
+    Reset,
 }
 
-/// A gate that invokers wait at.
+/// Blocks threads that wait until it is opened, for at most `TEST_TIMEOUT`.
 #[derive(Default)]
 struct Gate(Mutex<bool>, Condvar);
 
 impl Gate {
     fn open(&self) {
-        *self.0.lock().expect("no panic holds it") = true;
+        *self.0.lock().expect("lock is not poisoned") = true;
         self.1.notify_all();
     }
     fn wait(&self) {
-        let closed = self.0.lock().expect("no panic holds it");
-        drop(self.1.wait_timeout_while(closed, TEST_TIMEOUT, |open| !*open).expect("no panic holds it"));
+        let closed = self.0.lock().expect("lock is not poisoned");
+        drop(self.1.wait_timeout_while(closed, TEST_TIMEOUT, |open| !*open).expect("lock is not poisoned"));
     }
 }
 
@@ -61,7 +62,7 @@
 #[test]
 #[expect(clippy::too_many_lines, reason = "one scenario over several processes, step by step")]
 fn calls_of_clients_that_left_during_a_stop_are_not_forwarded() {
-    for way in [Leaves::Withdraws, Leaves::HalfCloses, Leaves::Closes, Leaves::Resets] {
+    for way in [Departure::Cancel, Departure::HalfClose, Departure::Close, Departure::Reset] {
         let gate = Arc::new(Gate::default());
         let held = Arc::clone(&gate);
         let invoker = Invoker::start(move |command: &ReceivedCommand| match command.keyword() {
@@ -77,54 +78,54 @@
         });
         let listed = vec![ListedInvoker::new(0, invoker.address)];
         let directory = Directory::start(listed.clone());
-        let dir = tempfile::tempdir().expect("a folder");
+        let dir = tempfile::tempdir().expect("temporary folder");
         let path = dir.path().join("config.json");
         std::fs::write(&path, config(directory.address, &listed).to_string()).expect("written");
         let node = Node::of(Node::spawn(&path, 256));
-        // The function has one lane: the first has it, the others wait.
+        // The function has one lane: the first call occupies it, the others wait.
         let mut first = Client::connect(node.address);
         let warm = ask(&mut first, 1, b"x");
         assert_eq!(first.read_answer(warm).0, SERVED);
         let runs = ask(&mut first, 2, b"hold");
         until("the first runs", || invoker.received().iter().any(|got| got == "CALL 0000000000000002"));
-        let mut waits: Vec<Client> = (0..40).map(|_| Client::connect(node.address)).collect();
+        let mut waiting: Vec<Client> = (0..40).map(|_| Client::connect(node.address)).collect();
         let mut ready = Vec::new();
         frames::bare(&mut ready, kind::READY, 0);
-        for (at, client) in waits.iter_mut().enumerate() {
+        for (at, client) in waiting.iter_mut().enumerate() {
             ask(client, 100 + at as u64, b"y");
-            // Its answer shows that the request before it was read, and lies there unread from here on.
+            // The READY answer shows that the node has read the request before it. The client leaves it unread.
             client.socket.write_all(&ready).expect("written");
             client.socket.peek(&mut [0; 1]).expect("answered");
         }
         node.stop();
-        // While it does not run, the lane is freed, a flood of others comes, and all that wait leave.
+        // While the node is stopped, the lane is freed, 20 other requests arrive, and all waiting clients leave.
         gate.open();
         let mut flood: Vec<Client> = (0..20).map(|_| Client::connect(node.address)).collect();
         for (at, client) in flood.iter_mut().enumerate() {
             ask(client, 1_000 + at as u64, b"z");
         }
         let mut kept = Vec::new();
-        for mut client in waits {
+        for mut client in waiting {
             match way {
-                Leaves::Withdraws => {
+                Departure::Cancel => {
                     let mut out = Vec::new();
                     frames::bare(&mut out, kind::CANCEL, 1);
                     client.socket.write_all(&out).expect("written");
                     kept.push(client);
                 }
-                Leaves::HalfCloses => {
-                    client.socket.shutdown(Shutdown::Write).expect("open");
+                Departure::HalfClose => {
+                    client.socket.shutdown(Shutdown::Write).expect("socket is open");
                     kept.push(client);
                 }
-                Leaves::Closes => {
+                Departure::Close => {
                     let _ = client.read_frame();
                 }
-                Leaves::Resets => drop(client),
+                Departure::Reset => drop(client),
             }
         }
         node.signal("CONT");
         assert_eq!(first.read_answer(runs).0, SERVED);
-        // All others are served: by then anything that was sent on has come.
+        // Once all others are served, any call forwarded for a departed client has reached the invoker too.
         for client in &mut flood {
             assert_eq!(client.read_answer(1).0, SERVED, "{way:?}");
         }
--- a/crates/gateway/tests/life.rs
+++ b/crates/gateway/tests/life.rs
@@ -1,4 +1,4 @@
-//! Starting, stopping, settings, lists: the program's life as an operator sees it.
+//! Startup, shutdown, settings and worker lists, as an operator sees them.
 
 mod common;
 use common::*;
@@ -9,7 +9,7 @@
 use nettleferry_test_servers::{Fault, ObservationKind};
 
 fn output(arguments: &[&str]) -> (i32, String, String) {
-    let out = Command::new(PROGRAM).args(arguments).output().expect("it runs");
+    let out = Command::new(PROGRAM).args(arguments).output().expect("the program runs");
     let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
     (out.status.code().expect("it ended by itself"), text(&out.stdout), text(&out.stderr))
 }
@@ -17,7 +17,7 @@
 fn demo() -> Program {
     let mut command = Command::new(PROGRAM);
     command.args(["demo", "--listen", "127.0.0.1:0"]);
-    Program::run(command, tempfile::tempdir().expect("a folder"))
+    Program::run(command, tempfile::tempdir().expect("temporary folder"))
 }
 
 #[test]
@@ -56,7 +56,7 @@
 
 #[test]
 fn check_reports_every_error_with_its_position() {
-    let dir = tempfile::tempdir().expect("a folder");
+    let dir = tempfile::tempdir().expect("temporary folder");
     let file = dir.path().join("s.sexp");
     std::fs::write(&file, SETTINGS.replace("(aim 1s)", "(aim 1)")).expect("written");
     let name = file.display().to_string();
@@ -70,7 +70,7 @@
 
 #[test]
 fn address_in_use_is_reported() {
-    let taken = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
+    let taken = std::net::TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = taken.local_addr().expect("bound").to_string();
     let (code, _, err) = output(&["demo", "--listen", &address]);
     assert!(code == 4 && err.contains(&format!("can't listen on {address}")), "{code} {err}");
@@ -85,7 +85,7 @@
     let open = caller.unary("echo-once");
     caller.until("it runs", || fleet.any(|s| matches!(s, ObservationKind::Runs { .. })));
     gateway.signal("TERM");
-    // New connections are not taken any more.
+    // New connections are refused.
     eventually("it listens no more", || std::net::TcpStream::connect(gateway.address).is_err());
     assert_eq!(caller.status(open).0.code, Code::Ok);
     drop(caller);
@@ -111,13 +111,13 @@
 fn persisted_list_is_used_when_the_list_is_missing() {
     let fleet = Fleet::new(1, SPEC);
     let settings = SETTINGS.replace("(check-every 5ms)", "(check-every 5ms) (kept \"kept.sexp\")");
-    let dir = tempfile::tempdir().expect("a folder");
+    let dir = tempfile::tempdir().expect("temporary folder");
     std::fs::write(dir.path().join("workers.sexp"), fleet.list()).expect("written");
     let first = serve_in(dir, &settings, None);
     eventually("the list is kept", || first.dir.path().join("kept.sexp").exists());
-    let kept = std::fs::read(first.dir.path().join("kept.sexp")).expect("there");
+    let kept = std::fs::read(first.dir.path().join("kept.sexp")).expect("file readable");
     drop(first);
-    let dir = tempfile::tempdir().expect("a folder");
+    let dir = tempfile::tempdir().expect("temporary folder");
     std::fs::write(dir.path().join("kept.sexp"), kept).expect("written");
     let second = serve_in(dir, &settings, None);
     let mut caller = Caller::new(second.address);
@@ -133,7 +133,7 @@
     assert!(settings.contains("(deadline 1s)"));
     let gateway = serve(&settings, &fleet.list());
     let mut caller = Caller::new(gateway.address);
-    // Its answer is news of the worker: the next call goes there without a probe.
+    // The answer reports the worker's state, so that the next call is sent there without a probe.
     let first = caller.unary("echo-once");
     assert_eq!(caller.status(first).0.code, Code::Ok);
     for handle in &fleet.handles {
--- a/crates/gateway/tests/limits.rs
+++ b/crates/gateway/tests/limits.rs
@@ -1,4 +1,5 @@
-//! Floods, floods of headers, giants, no room, no handles, no workers: a clear end, and nobody else hurt.
+//! Resource limits: oversized messages, header and reset floods, exhausted call slots or descriptors, no workers. Each
+//! offending call or connection ends with a defined status, and other clients are still served.
 
 mod common;
 use common::*;
@@ -67,7 +68,7 @@
     served(&mut caller);
 }
 
-/// A climb that wants more segments than it has steps.
+/// A `climb` request whose heights have one step, so that more than one segment is invalid.
 fn climb_with(segments: i64) -> ModelInferRequest {
     nettleferry_test_servers::models::climb_request("climb", "1", &[1.0, 2.0], segments)
 }
@@ -82,7 +83,7 @@
     let (status, _) = caller.status(rpc);
     assert_eq!(status.code, Code::ResourceExhausted);
     assert!(status.message.contains("at most 65536"), "{}", status.message);
-    // One that claims 1 GiB is refused by its prefix.
+    // A message whose length prefix announces 1 GiB is refused before its body is read.
     let giant =
         caller.ask(ClientRequest { method: "ModelStreamInfer", keep_open: true, ..ClientRequest::default() });
     caller.client.send_raw(giant, Bytes::from_static(&[0, 0x40, 0, 0, 0, 1, 2, 3]));
@@ -100,7 +101,7 @@
     let mut caller = Caller::new(gateway.address);
     served(&mut caller);
     let mut raw = TcpStream::connect(gateway.address).expect("connects");
-    raw.set_read_timeout(Some(PATIENCE)).expect("set");
+    raw.set_read_timeout(Some(PATIENCE)).expect("socket option set");
     raw.write_all(PREFACE).expect("sent");
     // HEADERS on stream 1 without END_HEADERS, then CONTINUATION after CONTINUATION.
     raw.write_all(&[0, 0, 1, 1, 0, 0, 0, 0, 1, 0x82]).expect("sent");
@@ -119,7 +120,7 @@
             break;
         }
     }
-    // Or the end is read rather than met on writing.
+    // The end of the connection may also show on a read instead of a write.
     ended |= matches!(raw.read(&mut rest), Ok(0) | Err(_)) || raw.read(&mut rest).is_ok();
     assert!(ended, "the connection ends");
     served(&mut caller);
@@ -133,7 +134,7 @@
     let mut caller = Caller::new(gateway.address);
     served(&mut caller);
     let mut raw = TcpStream::connect(gateway.address).expect("connects");
-    raw.set_read_timeout(Some(PATIENCE)).expect("set");
+    raw.set_read_timeout(Some(PATIENCE)).expect("socket option set");
     let mut bytes = PREFACE.to_vec();
     for n in 0..20_000u32 {
         let stream = (2 * n + 1).to_be_bytes();
@@ -190,9 +191,9 @@
         messages: vec![Bytes::new()],
         ..ClientRequest::default()
     });
-    let message = ServerReadyResponse::decode(caller.message(ready)).expect("sound");
+    let message = ServerReadyResponse::decode(caller.message(ready)).expect("valid response");
     assert!(!message.ready);
-    // A list that is not sound changes nothing.
+    // An invalid list changes nothing.
     gateway.write_list("(worker w1 (address");
     let rpc = caller.unary("echo");
     refused(&mut caller, rpc);
@@ -201,11 +202,11 @@
 #[test]
 fn without_descriptors_connections_are_closed_and_calls_refused() {
     let fleet = Fleet::new(1, SPEC);
-    let dir = tempfile::tempdir().expect("a folder");
+    let dir = tempfile::tempdir().expect("temporary folder");
     std::fs::write(dir.path().join("workers.sexp"), fleet.list()).expect("written");
     let gateway = serve_in(dir, SETTINGS, Some(24));
     let mut caller = Caller::new(gateway.address);
-    // Its connection stands before the handles are gone.
+    // Connects before the descriptors are exhausted.
     let live = caller.ask(ClientRequest {
         method: "ServerLive",
         messages: vec![Bytes::new()],
@@ -216,7 +217,7 @@
     let mut closed = 0;
     for _ in 0..60 {
         let mut raw = TcpStream::connect(gateway.address).expect("the kernel completes it");
-        raw.set_read_timeout(Some(Duration::from_millis(100))).expect("set");
+        raw.set_read_timeout(Some(Duration::from_millis(100))).expect("socket option set");
         match raw.read(&mut [0; 1]) {
             Ok(0) => closed += 1,
             Err(e) if e.kind() == std::io::ErrorKind::ConnectionReset => closed += 1,
@@ -224,7 +225,7 @@
         }
     }
     assert!(closed > 20, "{closed} were closed at once");
-    // No handle is left for a connection to the worker: proven not run, so refused, at once.
+    // No descriptor is left for a connection to the worker: the call can't have run, so it is refused at once.
     let rpc = caller.unary("echo-once");
     refused(&mut caller, rpc);
     drop(greedy);
@@ -237,9 +238,10 @@
 #[test]
 fn spare_descriptor_taken_by_another_thread_is_replaced_before_accepting() {
     let fleet = Fleet::new(1, SPEC);
-    let dir = tempfile::tempdir().expect("a folder");
+    let dir = tempfile::tempdir().expect("temporary folder");
     std::fs::write(dir.path().join("workers.sexp"), fleet.list()).expect("written");
-    // The list is read over and over: its file wants a handle in every moment in which the spare one is given back.
+    // The list file is reread all the time, from another thread, so that it may take the descriptor that is freed when the
+    // spare one is released.
     let settings = SETTINGS.replace("(check-every 5ms)", "(check-every 1ms)");
     assert_ne!(settings, SETTINGS, "the settings tell how often the list is looked at");
     let gateway = serve_in(dir, &settings, Some(24));
@@ -252,7 +254,7 @@
             "{closed} were closed at once, then all wait without an answer"
         );
         let mut raw = TcpStream::connect(gateway.address).expect("the kernel completes it");
-        raw.set_read_timeout(Some(Duration::from_millis(100))).expect("set");
+        raw.set_read_timeout(Some(Duration::from_millis(100))).expect("socket option set");
         match raw.read(&mut [0; 1]) {
             Ok(0) => closed += 1,
             Err(e) if e.kind() == std::io::ErrorKind::ConnectionReset => closed += 1,
@@ -265,7 +267,7 @@
 fn other_content_types_are_415() {
     let gateway = serve(SETTINGS, "");
     let mut raw = TcpStream::connect(gateway.address).expect("connects");
-    raw.set_read_timeout(Some(PATIENCE)).expect("set");
+    raw.set_read_timeout(Some(PATIENCE)).expect("socket option set");
     let mut bytes = PREFACE.to_vec();
     // :method POST, :scheme http, :path /, content-type "text/html" (indexed name 31).
     let block = [&[0x83, 0x86, 0x84, 0x0f, 0x10, 9][..], b"text/html"].concat();
@@ -274,7 +276,7 @@
     raw.write_all(&bytes).expect("sent");
     let mut seen = Vec::new();
     let mut chunk = [0; 512];
-    // The status 415 is no entry of the static table: it comes as a literal, plain or in Huffman code.
+    // Status 415 is not in the HPACK static table: it is encoded as a literal, plain or Huffman-coded.
     let plain = |all: &[u8]| {
         all.windows(3).any(|w| w == b"415")
             || all.windows(2).any(|w| w == [0x68, 0x17])
--- a/crates/gateway/tests/loans.rs
+++ b/crates/gateway/tests/loans.rs
@@ -1,9 +1,9 @@
-//! Limits lent among several processes with faults between them, held against what the workers saw: never more of a
-//! tenant's calls at once than his limit, whoever is cut off, stands still or dies.
+//! Limits lent among several controllers under partitions, pauses and kills, checked against the workers' observations:
+//! a tenant never has more concurrent calls than its limit.
 
 mod common;
 use common::cluster::*;
-use common::link::{Does, Link};
+use common::link::{Link, LinkMode};
 use common::*;
 
 use std::collections::BTreeSet;
@@ -20,7 +20,8 @@
 const LIMIT: usize = 40;
 const WORKERS: &str = "(listen \"127.0.0.1:0\") (cores 512) (queue 10000) (model \"\" (lanes 512) (load-time 1ms) (work 100ms))";
 
-/// So many calls of a tenant kept open at a controller; those that are turned away are tried again a little later.
+/// Keeps a number of a tenant's calls open at a controller, from a thread; refused calls are replaced after a short
+/// delay. Ends on drop.
 struct Flood {
     stop: Arc<AtomicBool>,
     thread: Option<std::thread::JoinHandle<()>>,
@@ -32,7 +33,7 @@
         let ended = Arc::clone(&stop);
         let thread = std::thread::spawn(move || {
             let limits = nettleferry_net::NetLimits { connect_timeout: PATIENCE, ..Default::default() };
-            let mut client = nettleferry_scenario::client::Client::new(1, limits).expect("a hub");
+            let mut client = nettleferry_scenario::client::Client::new(1, limits).expect("client created");
             let headers = vec![("nettleferry-tenant".to_owned(), "kalahari".to_owned())];
             let one = || nettleferry_scenario::client::ClientRequest {
                 headers: headers.clone(),
@@ -43,7 +44,7 @@
                 while out < open && client.call(at, one()).is_ok() {
                     out += 1;
                 }
-                // A process that was killed answers nothing: it is asked again when it is back, not at once.
+                // The poll bounds the rate of new calls to a process that was killed.
                 client.poll(Some(Duration::from_millis(5)), &mut heard).expect("polls");
                 out -= heard.drain(..).filter(|h| matches!(h, ClientEvent::End { .. })).count();
             }
@@ -61,15 +62,16 @@
     }
 }
 
-/// Calls at the workers at once, from what they saw: now, and the most since the mark.
-struct Truth {
+/// Concurrent calls at the workers, from their observations: those open now, and the maximum since it was last reset.
+struct ConcurrentCalls {
     open: BTreeSet<(String, u64)>,
     seen: usize,
     most: usize,
 }
 
-impl Truth {
-    fn look(&mut self, fleet: &mut Fleet) -> usize {
+impl ConcurrentCalls {
+    /// Applies new observations; returns the number of calls open now.
+    fn update(&mut self, fleet: &mut Fleet) -> usize {
         let records = fleet.look();
         for record in &records[self.seen..] {
             match &record.seen {
@@ -104,62 +106,64 @@
     for program in &all {
         eventually("it serves", || call_status(program, "kalahari") == Code::Ok);
     }
-    let mut truth = Truth { open: BTreeSet::new(), seen: 0, most: 0 };
-    // Where the traffic is the limit is: all but the others' reserves, 2 each; by parts it would be 10.
+    let mut concurrent = ConcurrentCalls { open: BTreeSet::new(), seen: 0, most: 0 };
+    // The controller with the traffic gets the whole limit but the others' reserves of 2 each. Equal shares would be 10.
     for one in [0, 1] {
         let _flood = Flood::at(all[one].address, 60);
-        eventually("the limit follows the traffic", || truth.look(&mut cluster.fleet) >= LIMIT - 3 * 2 - 1);
+        eventually("the limit follows the traffic", || {
+            concurrent.update(&mut cluster.fleet) >= LIMIT - 3 * 2 - 1
+        });
     }
-    assert!(truth.most <= LIMIT, "{} at once", truth.most);
-    // Faults under traffic everywhere, each longer than a lease.
+    assert!(concurrent.most <= LIMIT, "{} at once", concurrent.most);
+    // Faults under traffic at all controllers, each longer than a lease.
     let floods: Vec<Flood> = all.iter().map(|p| Flood::at(p.address, 30)).collect();
-    let cycles = |truth: &mut Truth, fleet: &mut Fleet, count: usize| {
+    let cycles = |concurrent: &mut ConcurrentCalls, fleet: &mut Fleet, count: usize| {
         let from = fleet.look().len();
         eventually("calls flow", || {
-            truth.look(fleet);
+            concurrent.update(fleet);
             fleet.look()[from..].iter().filter(|r| matches!(r.seen, ObservationKind::Answered { .. })).count()
                 >= count
         });
-        assert!(truth.most <= LIMIT, "{} at once", truth.most);
+        assert!(concurrent.most <= LIMIT, "{} at once", concurrent.most);
     };
-    cycles(&mut truth, &mut cluster.fleet, 300);
-    for does in [Does::Silent, Does::AsksOnly, Does::AnswersOnly, Does::Cut] {
-        links[0].set(does);
-        cycles(&mut truth, &mut cluster.fleet, 400);
-        links[0].set(Does::Passes);
-        cycles(&mut truth, &mut cluster.fleet, 200);
+    cycles(&mut concurrent, &mut cluster.fleet, 300);
+    for mode in [LinkMode::Blackhole, LinkMode::RequestsOnly, LinkMode::ResponsesOnly, LinkMode::Closed] {
+        links[0].set(mode);
+        cycles(&mut concurrent, &mut cluster.fleet, 400);
+        links[0].set(LinkMode::Forward);
+        cycles(&mut concurrent, &mut cluster.fleet, 200);
     }
     all[1].signal("STOP");
-    cycles(&mut truth, &mut cluster.fleet, 400);
+    cycles(&mut concurrent, &mut cluster.fleet, 400);
     all[1].signal("CONT");
-    cycles(&mut truth, &mut cluster.fleet, 200);
+    cycles(&mut concurrent, &mut cluster.fleet, 200);
     all[2].signal("KILL");
-    cycles(&mut truth, &mut cluster.fleet, 300);
+    cycles(&mut concurrent, &mut cluster.fleet, 300);
     drop(floods);
     all[2] = follower(&cluster, 2);
     let floods: Vec<Flood> = all.iter().map(|p| Flood::at(p.address, 30)).collect();
-    cycles(&mut truth, &mut cluster.fleet, 300);
-    // One leaves in order: what it had is others' at once, and not when its lease is over.
+    cycles(&mut concurrent, &mut cluster.fleet, 300);
+    // A graceful shutdown returns the controller's share at once, before its lease expires.
     all[0].signal("TERM");
     eventually("it has said that it ended", || {
         incarnations(&leader).iter().any(|l| l["controller"] == 1 && l["lease_left_ms"].is_null())
     });
-    cycles(&mut truth, &mut cluster.fleet, 200);
-    // The limit is lowered to a fifth while all is lent out: once that is said to be in force, no more are begun.
+    cycles(&mut concurrent, &mut cluster.fleet, 200);
+    // The limit is lowered to a fifth while all of it is lent: once the change is reported in force, no call may exceed it.
     let (status, told) =
         leader.ask("PATCH", "/v1/tenants/kalahari", "If-Match: *\r\n", "{\"limits\":{\"open_calls\":8}}");
     assert_eq!(status, 200, "{told}");
-    eventually("those that were open have ended", || truth.look(&mut cluster.fleet) <= 8);
-    truth.most = 0;
+    eventually("those that were open have ended", || concurrent.update(&mut cluster.fleet) <= 8);
+    concurrent.most = 0;
     let from = cluster.fleet.look().len();
     eventually("calls flow", || {
-        truth.look(&mut cluster.fleet);
+        concurrent.update(&mut cluster.fleet);
         cluster.fleet.look()[from..]
             .iter()
             .filter(|r| matches!(r.seen, ObservationKind::Answered { .. }))
             .count()
             >= 100
     });
-    assert!(truth.most <= 8, "{} at once", truth.most);
+    assert!(concurrent.most <= 8, "{} at once", concurrent.most);
     drop(floods);
 }
--- a/crates/gateway/tests/metrics.rs
+++ b/crates/gateway/tests/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics as a scraper reads them.
+//! The metrics endpoint, read as a scraper reads it.
 
 mod common;
 use common::*;
@@ -10,7 +10,7 @@
 
 fn scrape(address: SocketAddr) -> String {
     let mut socket = TcpStream::connect(address).expect("connects");
-    socket.set_read_timeout(Some(PATIENCE)).expect("set");
+    socket.set_read_timeout(Some(PATIENCE)).expect("socket option set");
     socket.write_all(b"GET /metrics HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n").expect("sent");
     let mut text = String::new();
     socket.read_to_string(&mut text).expect("text");
@@ -64,7 +64,7 @@
     let address = gateway.scrape();
     let status = |request: &str| {
         let mut socket = TcpStream::connect(address).expect("connects");
-        socket.set_read_timeout(Some(PATIENCE)).expect("set");
+        socket.set_read_timeout(Some(PATIENCE)).expect("socket option set");
         socket.write_all(request.as_bytes()).expect("sent");
         let mut text = String::new();
         socket.read_to_string(&mut text).expect("text");
--- a/crates/gateway/tests/node.rs
+++ b/crates/gateway/tests/node.rs
@@ -1,5 +1,4 @@
-//! `nettleferry node` as a process: its configuration, SIGHUP and SIGTERM. What it does on its sockets is tested in
-//! `crates/node`.
+//! `nettleferry node` as a process: configuration, SIGHUP and SIGTERM. The tests of its protocols are in `crates/node`.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream, UdpSocket};
@@ -9,10 +8,10 @@
 
 use nettleferry_platform::frames::{self, kind};
 
-/// No wait of these tests is longer; each is for an event.
+/// Timeout of each wait in these tests; every wait is for an event.
 const PATIENCE: Duration = Duration::from_secs(20);
 
-/// Ends with the test, whatever comes.
+/// A running node, killed on drop.
 struct Node(Child);
 
 impl Node {
@@ -24,7 +23,7 @@
             .stdout(Stdio::piped())
             .stderr(Stdio::piped())
             .spawn();
-        Self(node.expect("the program is there"))
+        Self(node.expect("the program starts"))
     }
 
     fn signal(&self, name: &str) {
@@ -41,8 +40,8 @@
 }
 
 fn directory() -> (UdpSocket, SocketAddr) {
-    let socket = UdpSocket::bind("127.0.0.1:0").expect("a port");
-    socket.set_read_timeout(Some(PATIENCE)).expect("set");
+    let socket = UdpSocket::bind("127.0.0.1:0").expect("a free port");
+    socket.set_read_timeout(Some(PATIENCE)).expect("socket option set");
     let address = socket.local_addr().expect("an address");
     (socket, address)
 }
@@ -60,10 +59,10 @@
 
 #[test]
 fn unusable_configuration_gives_one_line_and_exit_code_2() {
-    let dir = tempfile::tempdir().expect("a folder");
+    let dir = tempfile::tempdir().expect("temporary folder");
     let path = dir.path().join("config.json");
-    let spoilt = |name: &str, value: serde_json::Value| {
-        let mut config: serde_json::Value = serde_json::from_str(&config(directory().1)).expect("sound");
+    let with_field = |name: &str, value: serde_json::Value| {
+        let mut config: serde_json::Value = serde_json::from_str(&config(directory().1)).expect("valid JSON");
         config[name] = value;
         config.to_string()
     };
@@ -73,7 +72,7 @@
         serde_json::json!({"pos": 1, "entries": [{"pos": 1, "hosts": {"instances": [one]}}]})
     };
     let setting = |path: &str, value: serde_json::Value| {
-        let mut config: serde_json::Value = serde_json::from_str(&config(directory().1)).expect("sound");
+        let mut config: serde_json::Value = serde_json::from_str(&config(directory().1)).expect("valid JSON");
         *config["settings"].pointer_mut(path).expect("it is there") = value;
         Some(config.to_string())
     };
@@ -83,26 +82,26 @@
         (Some("{}".to_owned()), "listen"),
         (Some("[]".to_owned()), ""),
         // An error in a field is reported with its name.
-        (Some(spoilt("resolver", 5.into())), "resolver"),
-        (Some(spoilt("limits", "many".into())), "limits"),
-        (Some(spoilt("known", serde_json::json!({"pos": -1}))), "known"),
+        (Some(with_field("resolver", 5.into())), "resolver"),
+        (Some(with_field("limits", "many".into())), "limits"),
+        (Some(with_field("known", serde_json::json!({"pos": -1}))), "known"),
         (
-            Some(spoilt("settings", serde_json::json!({"classes": [{"name": "a", "deadline_ms": "x"}]}))),
+            Some(with_field("settings", serde_json::json!({"classes": [{"name": "a", "deadline_ms": "x"}]}))),
             "deadline_ms",
         ),
-        (Some(spoilt("listen", "127.0.0.1".into())), "listen"),
-        (Some(spoilt("seed", 5.into())), "seed"),
-        (Some(spoilt("limits", serde_json::json!({"sockets": -1}))), "limits"),
-        (Some(spoilt("settings", serde_json::Value::Null)), "settings"),
-        (Some(spoilt("settings", serde_json::json!([]))), "settings"),
-        (Some(spoilt("settings", serde_json::json!({}))), "classes"),
-        // Lists at the start.
-        (Some(spoilt("known", instance("hostPort", "nowhere".into()))), "s-1"),
-        (Some(spoilt("known", instance("hostPort", "127.0.0.1:65536".into()))), "s-1"),
-        (Some(spoilt("known", instance("instanceId", 7.into()))), "known"),
-        (Some(spoilt("known", instance("lifecycle", "asleep".into()))), "known"),
-        (Some(spoilt("known", serde_json::json!({"pos": 4294967296u64}))), "known"),
-        // Settings, wherever they stand.
+        (Some(with_field("listen", "127.0.0.1".into())), "listen"),
+        (Some(with_field("seed", 5.into())), "seed"),
+        (Some(with_field("limits", serde_json::json!({"sockets": -1}))), "limits"),
+        (Some(with_field("settings", serde_json::Value::Null)), "settings"),
+        (Some(with_field("settings", serde_json::json!([]))), "settings"),
+        (Some(with_field("settings", serde_json::json!({}))), "classes"),
+        // Errors in the list of known invokers.
+        (Some(with_field("known", instance("hostPort", "nowhere".into()))), "s-1"),
+        (Some(with_field("known", instance("hostPort", "127.0.0.1:65536".into()))), "s-1"),
+        (Some(with_field("known", instance("instanceId", 7.into()))), "known"),
+        (Some(with_field("known", instance("lifecycle", "asleep".into()))), "known"),
+        (Some(with_field("known", serde_json::json!({"pos": 4294967296u64}))), "known"),
+        // Errors in nested settings.
         (setting("/classes/0/effect", "harmless".into()), "classes[0].effect"),
         (setting("/classes/0/deadline_ms", (-4).into()), "classes[0].deadline_ms"),
         (setting("/limits/max_attempts", "3".into()), "limits.max_attempts"),
@@ -119,7 +118,7 @@
         let mut node = Node::start(&path);
         let mut said = String::new();
         node.0.stderr.take().expect("piped").read_to_string(&mut said).expect("text");
-        assert_eq!(node.0.wait().expect("ours").code(), Some(2), "{text:?}");
+        assert_eq!(node.0.wait().expect("status of the child").code(), Some(2), "{text:?}");
         assert_eq!(said.lines().count(), 1, "{said}");
         assert!(said.contains(named), "{named} is named: {said}");
     }
@@ -127,7 +126,7 @@
 
 #[test]
 fn sighup_switches_directory_once_its_file_is_complete_and_sigterm_drains() {
-    let dir = tempfile::tempdir().expect("a folder");
+    let dir = tempfile::tempdir().expect("temporary folder");
     let path = dir.path().join("config.json");
     let ((first, one), (second, two)) = (directory(), directory());
     std::fs::write(&path, config(one)).expect("written");
@@ -135,7 +134,8 @@
     let mut said = BufReader::new(node.0.stdout.take().expect("piped"));
     let mut line = String::new();
     said.read_line(&mut line).expect("text");
-    let address = line.trim_end().strip_prefix("listening frames ").expect("it listens");
+    let address =
+        line.trim_end().strip_prefix("listening frames ").expect("the line that reports the listener");
     let mut buffer = [0; 512];
     first.recv_from(&mut buffer).expect("the first directory is asked");
 
@@ -152,8 +152,8 @@
     std::fs::write(&path, config(two)).expect("written");
     second.recv_from(&mut buffer).expect("read again without a further signal");
 
-    let mut client = TcpStream::connect(address).expect("it listens");
-    client.set_read_timeout(Some(PATIENCE)).expect("set");
+    let mut client = TcpStream::connect(address).expect("connects");
+    client.set_read_timeout(Some(PATIENCE)).expect("socket option set");
     let mut word = Vec::new();
     frames::bare(&mut word, kind::READY, 0);
     client.write_all(&word).expect("written");
@@ -165,8 +165,8 @@
     let mut answer = [0; 9];
     client.read_exact(&mut answer).expect("an answer");
     assert_eq!(answer[4], kind::GO_AWAY);
-    // Its pipe is read to the end, so that it is never held up by its own log.
+    // Reads the log to its end, so that a full pipe can't block the process.
     let mut rest = Vec::new();
     logs.read_to_end(&mut rest).expect("text");
-    assert_eq!(node.0.wait().expect("ours").code(), Some(0));
+    assert_eq!(node.0.wait().expect("status of the child").code(), Some(0));
 }
--- a/crates/gateway/tests/one_process.rs
+++ b/crates/gateway/tests/one_process.rs
@@ -1,5 +1,5 @@
-//! What the platform lets a controller be: one process without children, one thread, linked against the system's C
-//! library, and the directory and its clients the only ones that it speaks with unasked.
+//! The platform's constraints on a controller: one process without children, one thread, dynamically linked against the
+//! system's C library. It sends unsolicited messages only to the directory and its clients.
 
 #[path = "../../node/tests/common/mod.rs"]
 mod common;
@@ -11,27 +11,27 @@
 use common::{Client, Invoker, ListedInvoker, Reaction, ReceivedCommand, SERVED, config};
 use process::Node;
 
-/// The system's loader, which a program that is linked dynamically names.
+/// Name of the system's dynamic loader, which every dynamically linked program contains.
 const LOADER: &[u8] = b"ld-linux";
 
 #[test]
 fn node_is_one_dynamically_linked_process_with_one_thread() {
-    let program = std::fs::read(env!("CARGO_BIN_EXE_nettleferry")).expect("the program is there");
+    let program = std::fs::read(env!("CARGO_BIN_EXE_nettleferry")).expect("program file readable");
     assert!(program.windows(LOADER.len()).any(|bytes| bytes == LOADER), "it names the system's loader");
 
     let invoker = Invoker::start(|command: &ReceivedCommand| match command.keyword() {
         "CALL" => Reaction::Answer("served", "n=w", command.parts[3].clone()),
         _ => Reaction::Answer("green", "-", vec![]),
     });
-    let silent = UdpSocket::bind("127.0.0.1:0").expect("a port");
-    let peer = UdpSocket::bind("127.0.0.1:0").expect("a port");
+    let silent = UdpSocket::bind("127.0.0.1:0").expect("a free port");
+    let peer = UdpSocket::bind("127.0.0.1:0").expect("a free port");
     let listed = vec![ListedInvoker::new(0, invoker.address)];
     let mut configuration = config(silent.local_addr().expect("bound"), &listed);
     configuration["peers"] = serde_json::json!([peer.local_addr().expect("bound").to_string()]);
     configuration["peers_all"] = peer.local_addr().expect("bound").to_string().into();
-    let dir = tempfile::tempdir().expect("a folder");
+    let dir = tempfile::tempdir().expect("temporary folder");
     let path = dir.path().join("config.json");
-    std::fs::write(&path, configuration.to_string()).expect("written");
+    std::fs::write(&path, configuration.to_string()).expect("configuration written");
     let node = Node::of(Node::spawn(&path, 256));
     let mut client = Client::connect(node.address);
     for id in 1..20 {
@@ -39,6 +39,6 @@
         assert_eq!(client.read_answer(stream), (SERVED, b"ab".to_vec()));
     }
     assert_eq!(node.threads_and_children(), (1, 0));
-    peer.set_nonblocking(true).expect("set");
+    peer.set_nonblocking(true).expect("socket option set");
     assert!(peer.recv_from(&mut [0; 300]).is_err(), "nothing is sent to a peer");
 }
--- a/crates/gateway/tests/recovery.rs
+++ b/crates/gateway/tests/recovery.rs
@@ -1,9 +1,9 @@
-//! Several processes of the program after losses: disks that stand still, are spoilt, older or empty, and links
-//! between them that are cut or silent.
+//! Recovery of several processes from stalled, damaged, outdated or empty disks, and from partitioned links between
+//! them.
 
 mod common;
 use common::admin_client::*;
-use common::link::{Does, Link};
+use common::link::{Link, LinkMode};
 use common::*;
 
 use std::net::{SocketAddr, TcpListener};
@@ -14,17 +14,18 @@
 use nettleferry_net::grpc::Code;
 use serde_json::{Value, json};
 
-/// A port that is free now, on an address that no other test has.
+/// A free port on a loopback address that no other test uses, so that no other process takes the port meanwhile.
 fn free_address(host: &str) -> SocketAddr {
-    let listener = TcpListener::bind(format!("{host}:0")).expect("a port");
+    let listener = TcpListener::bind(format!("{host}:0")).expect("a free port");
     listener.local_addr().expect("bound")
 }
 
+/// The status code of an `echo` call of this tenant at a controller.
 fn call_status(program: &Program, tenant: &str) -> Code {
     code(&mut Caller::new(program.address), Some(tenant), "echo").0
 }
 
-/// An administration and two controllers that follow it, each of which can be killed and started again.
+/// Settings of an administration and two followers, each of which can be killed and restarted.
 struct Cluster {
     fleet: Fleet,
     host: String,
@@ -32,7 +33,7 @@
     keys: String,
     key: String,
     api: SocketAddr,
-    /// What followers are told is the administration.
+    /// Address at which followers reach the administration.
     through: SocketAddr,
     snapshot_listeners: Vec<SocketAddr>,
 }
@@ -57,12 +58,13 @@
     }
 
     fn dir(&self) -> tempfile::TempDir {
-        let dir = tempfile::tempdir().expect("a folder");
+        let dir = tempfile::tempdir().expect("temporary folder");
         std::fs::write(dir.path().join("workers.sexp"), self.fleet.list()).expect("written");
         std::fs::write(dir.path().join("key"), &self.key).expect("written");
         dir
     }
 
+    /// The `(peer ...)` settings of all followers but this one.
     fn peers(&self, but: Option<usize>) -> String {
         let all = self.snapshot_listeners.iter().enumerate().filter(|(n, _)| Some(*n) != but);
         all.map(|(_, at)| format!("(peer \"{at}\")")).collect()
@@ -78,7 +80,7 @@
         Leader { program, http: AdminClient { api: self.api, token: self.token.clone() } }
     }
 
-    /// The follower of this number, from 0.
+    /// Starts the follower with this index, from 0; its controller number is one higher.
     fn follower(&self, dir: tempfile::TempDir, number: usize) -> Program {
         let admin = format!(
             "(admin (follow \"{}\") (key-file \"key\") (kept \"kept.json\") (listen \"{}\") {} {})",
@@ -95,7 +97,8 @@
         (0..2).map(|n| self.follower(self.dir(), n)).collect()
     }
 
-    /// An administration with peers, its followers, and these tenants in force everywhere and kept.
+    /// Starts an administration with peers and its followers, and creates these tenants; returns once each follower has
+    /// them in force and persisted.
     fn started(&self, tenants: &[Value]) -> (Leader, Vec<Program>) {
         let leader = self.administration(self.dir(), true);
         let followers = self.followers();
@@ -104,26 +107,26 @@
         let last = tenants.last().and_then(|t| t["name"].as_str()).expect("a tenant with a name");
         for program in &followers {
             eventually("it follows", || call_status(program, last) == Code::Ok);
-            kept(program, tenants.len() as u64);
+            wait_until_persisted(program, tenants.len() as u64);
         }
         (leader, followers)
     }
 
-    /// Followers that lost power and have what they kept.
+    /// Kills the followers; returns folders with their persisted snapshots.
     fn stop_with_files(&self, followers: Vec<Program>) -> Vec<tempfile::TempDir> {
         followers.into_iter().map(|p| self.kill_keeping(p, &["kept.json"])).collect()
     }
 
-    /// And are back.
-    fn back(&self, dirs: Vec<tempfile::TempDir>) -> Vec<Program> {
+    /// Restarts the followers from these folders.
+    fn restart(&self, dirs: Vec<tempfile::TempDir>) -> Vec<Program> {
         dirs.into_iter().enumerate().map(|(n, dir)| self.follower(dir, n)).collect()
     }
 
-    /// The folder of one that was killed, with what is named.
+    /// Kills a process; returns a new folder with these of its files.
     fn kill_keeping(&self, program: Program, files: &[&str]) -> tempfile::TempDir {
         program.signal("KILL");
         let dir = self.dir();
-        // What is told of leases is on a disk that stands.
+        // The record of the lease span is always copied: the tests damage other files.
         let lease = program.dir.path().join("tenants.lease");
         if lease.exists() {
             std::fs::copy(lease, dir.path().join("tenants.lease")).expect("copied");
@@ -139,18 +142,20 @@
     }
 }
 
-/// Each follower has synced what is in force: its kept file, read by a program that starts from it, would have it.
-fn kept(program: &Program, revision: u64) {
+/// Waits until a follower has persisted this revision, so that a restart would begin with it.
+fn wait_until_persisted(program: &Program, revision: u64) {
     let file = program.dir.path().join("kept.json");
     let mark = format!("\"revision\":{revision}");
     eventually("it is kept", || std::fs::read_to_string(&file).is_ok_and(|text| text.contains(&mark)));
 }
 
+/// The leader's recovery step and its cause, from `/v1/fleet`.
 fn step(http: &AdminClient) -> (Value, Value) {
     let told = http.get("/v1/fleet");
     (told["step"].clone(), told["cause"].clone())
 }
 
+/// Creates a FIFO: opening it for writing blocks until somebody reads it.
 fn fifo(path: &Path) {
     assert!(Command::new("mkfifo").arg(path).status().expect("mkfifo runs").success());
 }
@@ -158,15 +163,15 @@
 #[test]
 fn stalled_disk_delays_no_call() {
     let mut fleet = Fleet::new(2, SPEC);
-    let dir = tempfile::tempdir().expect("a folder");
-    // The kept list is written to a pipe that nobody reads: whoever opens it waits for ever.
+    let dir = tempfile::tempdir().expect("temporary folder");
+    // The persisted list is written to a FIFO that nobody reads, so that the write blocks forever.
     fifo(&dir.path().join("kept.sexp.new"));
     std::fs::write(dir.path().join("workers.sexp"), fleet.list()).expect("written");
     let settings = SETTINGS.replace("(check-every 5ms)", "(check-every 5ms) (kept \"kept.sexp\")");
     let program = serve_in(dir, &settings, None);
     let mut caller = Caller::new(program.address);
     for round in 0..20 {
-        // Each is to be kept; the first stands, and the last alone would follow.
+        // Each list is to be persisted: the write of the first one blocks, and only the latest one would be written next.
         let drained = if round % 2 == 0 { "(state draining)" } else { "" };
         let list = fleet.list().replacen("))", &format!(") {drained})"), 1);
         program.write_list(&list);
@@ -183,7 +188,7 @@
             );
         }
     }
-    // The list is followed all the same: with its first worker draining, the second alone gets what is new.
+    // New lists still take effect: with the first worker draining, only the second one gets new calls.
     program.write_list(&fleet.list().replacen("))", ") (state draining))", 1));
     eventually("the drained worker gets nothing new", || {
         let before = fleet.handles[0].name.clone();
@@ -201,7 +206,7 @@
 fn leader_restores_a_damaged_store_from_its_followers() {
     let cluster = Cluster::new("127.0.7.1");
     let (leader, followers) = cluster.started(&[json!({"name": "kalahari"}), json!({"name": "morava"})]);
-    // Power is lost everywhere; the store and its snapshot are spoilt.
+    // All processes are killed; the store is damaged and its snapshot is lost.
     let dir = cluster.kill_keeping(leader.program, &[]);
     std::fs::write(dir.path().join("tenants.redb"), vec![7; 20_000]).expect("written");
     let dirs = cluster.stop_with_files(followers);
@@ -211,12 +216,12 @@
     assert_eq!(refused.0, 503, "{}", refused.1);
     let (given, told) = leader.ask("GET", "/v1/snapshot", "", "");
     assert_eq!(given, 503, "an empty book is not given: {told}");
-    // Its own clients are refused, and not denied: nobody knows who they are.
+    // Its own clients are refused for now (RESOURCE_EXHAUSTED), not denied: the tenants are unknown.
     assert_eq!(
         code(&mut Caller::new(leader.program.address), Some("kalahari"), "echo").0,
         Code::ResourceExhausted
     );
-    let followers = cluster.back(dirs);
+    let followers = cluster.restart(dirs);
     for program in &followers {
         assert_eq!(call_status(program, "kalahari"), Code::Ok, "from the first call on");
     }
@@ -227,7 +232,7 @@
     for program in &followers {
         eventually("changes flow again", || call_status(program, "kalahari") == Code::PermissionDenied);
     }
-    // What was taken over is durable.
+    // The restored snapshot is durable.
     let dir = cluster.kill_keeping(leader.program, &["tenants.redb"]);
     let leader = cluster.administration(dir, true);
     eventually("it serves what it took over", || step(&leader).0 == "serving");
@@ -238,7 +243,7 @@
 fn older_store_undoes_no_acknowledged_change() {
     let cluster = Cluster::new("127.0.7.2");
     let (leader, followers) = cluster.started(&[json!({"name": "kalahari"})]);
-    // The disk as it was before the suspension: taken from a store at rest.
+    // A copy of the store from before the suspension, taken while no process has it open.
     let older = cluster.kill_keeping(leader.program, &["tenants.redb"]);
     let now = cluster.dir();
     std::fs::copy(older.path().join("tenants.redb"), now.path().join("tenants.redb")).expect("copied");
@@ -246,13 +251,13 @@
     leader.change("POST", "/v1/tenants/kalahari/suspend", "");
     for program in &followers {
         eventually("it is suspended", || call_status(program, "kalahari") == Code::PermissionDenied);
-        kept(program, 2);
+        wait_until_persisted(program, 2);
     }
     leader.program.signal("KILL");
     drop(leader);
     let dirs = cluster.stop_with_files(followers);
     let leader = cluster.administration(older, true);
-    let followers = cluster.back(dirs);
+    let followers = cluster.restart(dirs);
     eventually("the administration has what its followers hold", || {
         assert!(
             followers.iter().all(|p| call_status(p, "kalahari") == Code::PermissionDenied),
@@ -283,11 +288,11 @@
     let mut followers = cluster.followers();
     for program in &followers {
         eventually("it follows", || call_status(program, "kalahari") == Code::Ok);
-        kept(program, 1);
+        wait_until_persisted(program, 1);
     }
-    for does in [Does::Silent, Does::AsksOnly, Does::Cut] {
-        link.set(does);
-        // Its disk is lost; the other one stands.
+    for mode in [LinkMode::Blackhole, LinkMode::RequestsOnly, LinkMode::Closed] {
+        link.set(mode);
+        // The first follower loses its disk; the second keeps running.
         let dir = cluster.kill_keeping(followers.remove(0), &[]);
         std::fs::write(dir.path().join("kept.json"), "").expect("an empty file");
         followers.insert(0, cluster.follower(dir, 0));
@@ -298,9 +303,9 @@
         );
         eventually("it has the book of its peer", || call_status(&followers[0], "kalahari") == Code::Ok);
         assert_eq!(call_status(&followers[0], "nobody"), Code::PermissionDenied);
-        kept(&followers[0], 1);
+        wait_until_persisted(&followers[0], 1);
     }
-    link.set(Does::Passes);
+    link.set(LinkMode::Forward);
     leader.create(json!({"name": "later"}));
     for program in &followers {
         eventually("the administration is followed again", || call_status(program, "later") == Code::Ok);
@@ -314,13 +319,13 @@
         cluster.started(&[json!({"name": "kalahari"}), json!({"name": "morava", "note": "as it was"})]);
     let dir = cluster.kill_keeping(leader.program, &[]);
     let dirs = cluster.stop_with_files(followers);
-    // One of them is forged: its text was changed, and its seal taken off as an earlier version would leave it.
+    // One file is altered: its text is changed, and its checksum line removed, as in files of an earlier version.
     let file = dirs[1].path().join("kept.json");
     let text = std::fs::read_to_string(&file).expect("text");
     let (_, json) = text.split_once('\n').expect("a head");
     std::fs::write(&file, json.replace("as it was", "as forged")).expect("written");
     let leader = cluster.administration(dir, true);
-    let followers = cluster.back(dirs);
+    let followers = cluster.restart(dirs);
     eventually("it is open which book stands", || step(&leader) == (json!("waiting"), json!("disagreed")));
     assert!(
         followers.iter().all(|p| call_status(p, "kalahari") == Code::Ok),
