--- a/crates/gateway/tests/remote_write.rs
+++ b/crates/gateway/tests/remote_write.rs
@@ -1,5 +1,5 @@
-//! Remote write from a controller to a receiver that accepts, understands 1.0 alone, is away or forgets, and from a
-//! controller that is killed in between.
+//! Remote write from a controller to receivers that accept, support version 1.0 only, are unavailable or lose
+//! acknowledgements, and from a controller that is killed in between.
 
 mod common;
 use common::*;
@@ -19,7 +19,7 @@
     )
 }
 
-/// The served calls of the last sample.
+/// Served calls by the latest sample; -1 if there is none.
 fn served(kept: &ReceivedData) -> f64 {
     kept.find(CALLS, &SERVED).last().map_or(-1.0, |t| t.value)
 }
@@ -35,7 +35,7 @@
 #[test]
 fn samples_arrive_in_order_with_their_created_timestamps() {
     let fleet = Fleet::new(1, SPEC);
-    let receiver = Receiver::start(Mode::Accept).expect("listens");
+    let receiver = Receiver::start(Mode::Accept).expect("receiver listens");
     let gateway = serve(&settings(&receiver), &fleet.list());
     eventually("zeros arrive before any call", || served(&receiver.data()) == 0.0);
     call(&gateway, 7);
@@ -51,7 +51,7 @@
 #[test]
 fn receiver_of_version_one_gets_version_one() {
     let fleet = Fleet::new(1, SPEC);
-    let receiver = Receiver::start(Mode::Version1Only).expect("listens");
+    let receiver = Receiver::start(Mode::Version1Only).expect("receiver listens");
     let gateway = serve(&settings(&receiver), &fleet.list());
     call(&gateway, 3);
     eventually("three calls arrive", || served(&receiver.data()) == 3.0);
@@ -59,12 +59,12 @@
     assert!(kept.faults.is_empty() && kept.requests[0] == 0 && kept.rejected >= 1, "{:?}", kept.faults);
 }
 
-/// The last round before an end, with all that was counted, and a marker on each series.
+/// A graceful shutdown sends a last round with all counts, then a staleness marker on each series.
 #[test]
 fn graceful_shutdown_flushes_samples_and_closes_series() {
     let fleet = Fleet::new(1, SPEC);
-    let receiver = Receiver::start(Mode::Accept).expect("listens");
-    // A round an hour: all that arrives after the first is the last words.
+    let receiver = Receiver::start(Mode::Accept).expect("receiver listens");
+    // One round an hour, so that everything after the first round comes from the shutdown flush.
     let settings = settings(&receiver).replace("(every 40ms)", "(every 1h)");
     let mut gateway = serve(&settings, &fleet.list());
     eventually("the first round arrives", || served(&receiver.data()) == 0.0);
@@ -85,7 +85,7 @@
     assert_eq!((quick.1[0].1.count, quick.1[1].1.count), (0, 9));
     assert_eq!(quick.1[1].1.buckets.iter().map(|b| b.1).sum::<u64>(), 9);
     // Nothing is left for the next incarnation to send.
-    let dir = tempfile::tempdir().expect("a folder");
+    let dir = tempfile::tempdir().expect("temporary folder");
     std::fs::rename(gateway.dir.path().join("spool"), dir.path().join("spool")).expect("the log exists");
     std::fs::write(dir.path().join("workers.sexp"), fleet.list()).expect("written");
     let _next = serve_in(dir, &settings, None);
@@ -99,7 +99,7 @@
 #[test]
 fn unsent_flush_is_bounded_and_repeated_by_the_next_incarnation() {
     let fleet = Fleet::new(1, SPEC);
-    let receiver = Receiver::start(Mode::Accept).expect("listens");
+    let receiver = Receiver::start(Mode::Accept).expect("receiver listens");
     let settings = settings(&receiver).replace("(every 40ms)", "(every 1h) (farewell 300ms)");
     let mut gateway = serve(&settings, &fleet.list());
     eventually("the first round arrives", || served(&receiver.data()) == 0.0);
@@ -108,7 +108,7 @@
     gateway.signal("TERM");
     assert!(gateway.wait().success(), "it ends all the same");
     receiver.set_mode(Mode::Accept);
-    let dir = tempfile::tempdir().expect("a folder");
+    let dir = tempfile::tempdir().expect("temporary folder");
     std::fs::rename(gateway.dir.path().join("spool"), dir.path().join("spool")).expect("the log exists");
     std::fs::write(dir.path().join("workers.sexp"), fleet.list()).expect("written");
     let _next = serve_in(dir, &settings, None);
@@ -122,14 +122,15 @@
 #[test]
 fn replaced_receiver_is_tried_again_with_version_two() {
     let fleet = Fleet::new(1, SPEC);
-    let receiver = Receiver::start(Mode::Version1Only).expect("listens");
+    let receiver = Receiver::start(Mode::Version1Only).expect("receiver listens");
     let settings = settings(&receiver).replace("(every 40ms)", "(every 40ms) (ask-again 200ms)");
     let _gateway = serve(&settings, &fleet.list());
     eventually("1.0 is spoken", || receiver.data().requests[1] > 3);
     receiver.set_mode(Mode::Accept);
     eventually("2.0 is spoken again", || receiver.data().requests[0] > 3);
     eventually("native histograms arrive", || !receiver.data().natives.is_empty());
-    // One that takes 2.0 for 1.0 and answers 204 has read nothing: its answer does not say what it wrote.
+    // A receiver that parses 2.0 as 1.0 and answers 204 has stored nothing: its response has no count of written
+    // samples, so that the sender falls back to 1.0.
     let before = receiver.data().find("nettleferry_open_calls", &[]).len();
     receiver.set_mode(Mode::AssumeVersion1);
     eventually("1.0 again", || receiver.data().find("nettleferry_open_calls", &[]).len() > before + 3);
@@ -145,7 +146,7 @@
 fn one_invalid_series_costs_itself_alone() {
     let fleet = Fleet::new(1, SPEC);
     let receiver = Receiver::start(Mode::RejectLabelValue("nettleferry_load_orders_sent_total".to_owned()))
-        .expect("listens");
+        .expect("receiver listens");
     let gateway = serve(&settings(&receiver), &fleet.list());
     call(&gateway, 6);
     eventually("its neighbours arrive", || served(&receiver.data()) == 6.0);
@@ -161,7 +162,7 @@
 #[test]
 fn slow_or_faulty_receiver_gets_every_round_once() {
     let fleet = Fleet::new(1, SPEC);
-    let receiver = Receiver::start(Mode::CutRequest(2_000)).expect("listens");
+    let receiver = Receiver::start(Mode::CutRequest(2_000)).expect("receiver listens");
     let settings = settings(&receiver).replace("(every 40ms)", "(every 200ms) (timeout 2s)");
     let gateway = serve(&settings, &fleet.list());
     call(&gateway, 2);
@@ -169,7 +170,7 @@
         kept.find("nettleferry_push_retries_total", &[]).last().map_or(0.0, |t| t.value)
     };
     let rounds = || receiver.data().find("nettleferry_open_calls", &[]);
-    // Half a request is no request.
+    // The receiver cuts requests off: a partial request counts as not sent.
     let mut caller = Caller::new(gateway.address);
     for _ in 0..20 {
         let rpc = caller.unary("echo");
@@ -188,18 +189,18 @@
     assert!(rounds().windows(2).all(|w| w[0].at_ms < w[1].at_ms));
 }
 
-/// A write-ahead log whose folder is gone: samples are sent from memory, and the failures are counted.
+/// While the folder of the write-ahead log is missing, samples are sent from memory and the failures are counted.
 #[test]
 fn failing_write_ahead_log_is_reported_and_stops_nothing() {
     let fleet = Fleet::new(1, SPEC);
-    let receiver = Receiver::start(Mode::Accept).expect("listens");
+    let receiver = Receiver::start(Mode::Accept).expect("receiver listens");
     let gateway = serve(
-        // Small segments: the next one is soon wanted.
+        // Small segments, so that the log soon has to open the next one.
         &settings(&receiver).replace("(every 40ms)", "(every 40ms) (spool-size 1MiB)"),
         &fleet.list(),
     );
     eventually("the first round arrives", || served(&receiver.data()) == 0.0);
-    // A file in the folder's place: nothing can be opened, made or removed there.
+    // A file replaces the folder: nothing can be opened, created or removed in it.
     let log_folder = gateway.dir.path().join("spool");
     std::fs::rename(&log_folder, gateway.dir.path().join("away")).expect("renamed");
     std::fs::write(&log_folder, "").expect("written");
@@ -220,14 +221,14 @@
     assert_eq!(receiver.data().faults, Vec::<String>::new());
 }
 
-/// A log damaged while the controller was away: valid records are sent, and nothing else.
+/// A log that was damaged while the controller was down: only its valid records are sent.
 #[test]
 fn damaged_write_ahead_log_yields_valid_records_alone() {
     let fleet = Fleet::new(1, SPEC);
-    let receiver = Receiver::start(Mode::Answer(503, None)).expect("listens");
+    let receiver = Receiver::start(Mode::Answer(503, None)).expect("receiver listens");
     let gateway = serve(&settings(&receiver), &fleet.list());
     call(&gateway, 5);
-    // Counted by the log itself: one round may have several rejected attempts.
+    // Measured by the log's size, since one round may have several rejected attempts.
     let kept = || {
         let files = std::fs::read_dir(gateway.dir.path().join("spool")).into_iter().flatten().flatten();
         files.filter_map(|file| file.metadata().ok()).map(|m| m.len()).sum::<u64>()
@@ -236,13 +237,15 @@
     let first = kept();
     eventually("a dozen rounds are kept", || kept() > first * 12);
     gateway.signal("KILL");
-    let dir = tempfile::tempdir().expect("a folder");
+    let dir = tempfile::tempdir().expect("temporary folder");
     let log_folder = dir.path().join("spool");
     std::fs::rename(gateway.dir.path().join("spool"), &log_folder).expect("the log exists");
     std::fs::write(dir.path().join("workers.sexp"), fleet.list()).expect("written");
     drop(gateway);
-    let mut files: Vec<_> =
-        std::fs::read_dir(&log_folder).expect("there").map(|e| e.expect("readable").path()).collect();
+    let mut files: Vec<_> = std::fs::read_dir(&log_folder)
+        .expect("folder readable")
+        .map(|e| e.expect("readable").path())
+        .collect();
     files.sort();
     let mut bytes = std::fs::read(&files[0]).expect("readable");
     let (middle, tail) = (bytes.len() / 2, bytes.len() - 7);
@@ -259,7 +262,7 @@
     let kept = receiver.data();
     assert_eq!(kept.faults, Vec::<String>::new());
     let all = rounds();
-    let marker = all.iter().position(|t| is_stale(t.value)).expect("just seen");
+    let marker = all.iter().position(|t| is_stale(t.value)).expect("a staleness marker");
     assert!(marker > 2, "valid rounds of the old incarnation are there");
     assert!(all[..marker].iter().all(|t| (0.0..=5.0).contains(&t.value)), "{all:?}");
 }
@@ -267,7 +270,7 @@
 #[test]
 fn samples_queued_during_an_outage_arrive_in_order() {
     let fleet = Fleet::new(1, SPEC);
-    let receiver = Receiver::start(Mode::Answer(503, None)).expect("listens");
+    let receiver = Receiver::start(Mode::Answer(503, None)).expect("receiver listens");
     let gateway = serve(&settings(&receiver), &fleet.list());
     call(&gateway, 5);
     eventually("it is tried again and again", || receiver.data().rejected > 5);
@@ -275,7 +278,7 @@
         std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).expect("after 1970").as_millis();
     receiver.set_mode(Mode::Accept);
     eventually("five calls arrive", || served(&receiver.data()) == 5.0);
-    // Series of other shards come by batches of their own.
+    // A single series: other shards send their series in separate batches.
     let rounds = || receiver.data().find("nettleferry_open_calls", &[]);
     eventually("later rounds arrive", || rounds().last().is_some_and(|t| t.at_ms > back as i64));
     let kept = receiver.data();
@@ -288,10 +291,10 @@
 #[test]
 fn lost_response_repeats_the_same_values_and_rejection_repeats_nothing() {
     let fleet = Fleet::new(1, SPEC);
-    let receiver = Receiver::start(Mode::LoseAcknowledgement).expect("listens");
+    let receiver = Receiver::start(Mode::LoseAcknowledgement).expect("receiver listens");
     let gateway = serve(&settings(&receiver), &fleet.list());
     eventually("batches come again", || receiver.data().repeated > 0);
-    // Refused whatever is in it: a 400 would be searched for what is bad.
+    // 403 rejects a batch whatever it contains; after a 400, the sender would split the batch to find the invalid series.
     receiver.set_mode(Mode::Answer(403, None));
     eventually("batches are refused", || receiver.data().rejected > 2);
     receiver.set_mode(Mode::Accept);
@@ -308,18 +311,18 @@
 #[test]
 fn samples_of_a_killed_controller_are_sent_by_its_next_incarnation() {
     let fleet = Fleet::new(1, SPEC);
-    let receiver = Receiver::start(Mode::Accept).expect("listens");
+    let receiver = Receiver::start(Mode::Accept).expect("receiver listens");
     let gateway = serve(&settings(&receiver), &fleet.list());
     call(&gateway, 4);
     eventually("four calls arrive", || served(&receiver.data()) == 4.0);
-    // From here on nothing is acknowledged; two more calls are in samples that only the log has.
+    // From here on nothing is acknowledged; the samples of two more calls are in the log only.
     receiver.set_mode(Mode::Answer(503, None));
     let away = receiver.data().find("nettleferry_open_calls", &[]).len();
     call(&gateway, 2);
     let before = receiver.data().rejected;
     eventually("rounds pass", || receiver.data().rejected > before + 6);
     gateway.signal("KILL");
-    let dir = tempfile::tempdir().expect("a folder");
+    let dir = tempfile::tempdir().expect("temporary folder");
     std::fs::rename(gateway.dir.path().join("spool"), dir.path().join("spool")).expect("the log exists");
     std::fs::write(dir.path().join("workers.sexp"), fleet.list()).expect("written");
     drop(gateway);
@@ -334,7 +337,7 @@
     let kept = receiver.data();
     assert_eq!(kept.faults, Vec::<String>::new());
     let all = samples();
-    let marker = all.iter().position(|t| is_stale(t.value)).expect("just seen");
+    let marker = all.iter().position(|t| is_stale(t.value)).expect("a staleness marker");
     assert!(marker > away, "{marker} samples of the old life; {away} had come before it was away");
     assert_eq!(all[marker - 1].value, 6.0, "the last word of the old life");
     assert_eq!(all[marker + 1].value, 0.0, "the new one counts anew");
@@ -342,16 +345,16 @@
     assert!(all.windows(2).all(|w| w[0].at_ms < w[1].at_ms));
 }
 
-/// The receiver has written what it never acknowledged; the next life sends it again, with the same values.
+/// The receiver stored samples that it never acknowledged; the next incarnation sends them again with the same values.
 #[test]
 fn kill_between_write_and_acknowledgement_repeats_unchanged_samples() {
     let fleet = Fleet::new(1, SPEC);
-    let receiver = Receiver::start(Mode::LoseAcknowledgement).expect("listens");
+    let receiver = Receiver::start(Mode::LoseAcknowledgement).expect("receiver listens");
     let gateway = serve(&settings(&receiver), &fleet.list());
     call(&gateway, 3);
     eventually("it is written and not acknowledged", || served(&receiver.data()) >= 0.0);
     gateway.signal("KILL");
-    let dir = tempfile::tempdir().expect("a folder");
+    let dir = tempfile::tempdir().expect("temporary folder");
     std::fs::rename(gateway.dir.path().join("spool"), dir.path().join("spool")).expect("the log exists");
     std::fs::write(dir.path().join("workers.sexp"), fleet.list()).expect("written");
     drop(gateway);
--- a/crates/gateway/tests/scale.rs
+++ b/crates/gateway/tests/scale.rs
@@ -1,4 +1,4 @@
-//! `scale` as a process: its lines, its exit codes, and the children of a run that is cut.
+//! `nettleferry scale` as a process: its output lines, exit codes, and the children of an interrupted run.
 
 use std::fs;
 use std::io::{BufRead, BufReader, Read};
@@ -11,7 +11,7 @@
 
 const PATIENCE: Duration = Duration::from_secs(60);
 
-/// A process of the program that is ended with the test.
+/// A running `nettleferry scale`, killed on drop.
 struct Run(Child);
 
 impl Drop for Run {
@@ -56,13 +56,13 @@
 
 #[test]
 fn lists_of_two_sizes_are_measured_at_a_real_process() {
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("temporary folder");
     let file = write(
         folder.path(),
         "(deadline 60s) (list (workers 4 40) (changes 2) (rest 50ms) (settle 50ms))
          (bounds (ratio (list list-bytes 40 4) 12) (at-most (list not-served 40) 0))",
     );
-    let output = command(&file).args(["--commit", "abc"]).output().expect("run");
+    let output = command(&file).args(["--commit", "abc"]).output().expect("nettleferry scale runs");
     let told = String::from_utf8_lossy(&output.stderr);
     assert_eq!(output.status.code(), Some(0), "{told}");
     let lines = lines(&output);
@@ -88,7 +88,7 @@
 
 #[test]
 fn broken_bound_is_exit_code_1() {
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("temporary folder");
     let file = write(
         folder.path(),
         "(module (workers 5 10 20 40) (functions 20) (calls 40) (again 10))
@@ -96,7 +96,7 @@
          (bounds (at-most (module remembered 40) 1))",
     );
     let plots = folder.path().join("plots");
-    let output = command(&file).arg("--plots").arg(&plots).output().expect("run");
+    let output = command(&file).arg("--plots").arg(&plots).output().expect("nettleferry scale runs");
     assert_eq!(output.status.code(), Some(1), "{}", String::from_utf8_lossy(&output.stderr));
     let lines = lines(&output);
     let of = |kind: &str| lines.iter().filter(|line| line["kind"] == kind).collect::<Vec<_>>();
@@ -108,9 +108,9 @@
 
 #[test]
 fn invalid_file_is_rejected_before_anything_starts() {
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("temporary folder");
     let file = write(folder.path(), "(list\n  (workers 10 20000000))");
-    let output = command(&file).output().expect("run");
+    let output = command(&file).output().expect("nettleferry scale runs");
     assert_eq!(output.status.code(), Some(3));
     let told = String::from_utf8_lossy(&output.stderr);
     assert!(told.contains("scale.sexp:2:3: workers 20000000 can't fit"), "{told}");
@@ -119,7 +119,7 @@
 
 #[test]
 fn interrupted_run_ends_its_children_and_reports_what_it_measured() {
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("temporary folder");
     let file = write(
         folder.path(),
         "(deadline 10min) (module (workers 5) (functions 10) (calls 10) (again 10))
@@ -133,7 +133,7 @@
         let children = eventually("both children run", || {
             Some(children_of(run.0.id())).filter(|children| children.len() == 2)
         });
-        kill_process(Pid::from_child(&run.0), signal).expect("told");
+        kill_process(Pid::from_child(&run.0), signal).expect("signal sent");
         let status = eventually("it ends", || run.0.try_wait().expect("its status"));
         assert_eq!(status.code(), Some(130), "{signal:?}");
         assert!(children.iter().all(|id| !Path::new(&format!("/proc/{id}")).exists()), "{children:?}");
--- a/crates/gateway/tests/signals.rs
+++ b/crates/gateway/tests/signals.rs
@@ -1,5 +1,5 @@
-//! A new configuration, a list in which an invoker drains, and the word to end, in every order one right behind another:
-//! what is open is answered, what comes is served by the newest list, and the process ends in order.
+//! A configuration reload, a list with a draining invoker, and SIGTERM within milliseconds of each other, in every order.
+//! Open requests are answered, new ones are served by the newest list, and the process exits with code 0.
 
 #[path = "../../node/tests/common/mod.rs"]
 mod common;
@@ -16,42 +16,42 @@
 use nettleferry_platform::frames::kind;
 use process::Node;
 
-/// What comes, one right behind another.
+/// An event sent to the node; the events of one order follow each other without a pause.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Word {
-    /// SIGHUP: the directory has another address.
+enum Trigger {
+    /// SIGHUP, with a configuration that names another directory.
     Reload,
-    /// The list: one invoker drains, another is new.
+    /// A new list, in which the old invoker drains and another one is added.
     Drain,
     /// SIGTERM.
     End,
 }
 
-const ORDERS: [[Word; 3]; 6] = [
-    [Word::Reload, Word::Drain, Word::End],
-    [Word::Reload, Word::End, Word::Drain],
-    [Word::Drain, Word::Reload, Word::End],
-    [Word::Drain, Word::End, Word::Reload],
-    [Word::End, Word::Reload, Word::Drain],
-    [Word::End, Word::Drain, Word::Reload],
+const ORDERS: [[Trigger; 3]; 6] = [
+    [Trigger::Reload, Trigger::Drain, Trigger::End],
+    [Trigger::Reload, Trigger::End, Trigger::Drain],
+    [Trigger::Drain, Trigger::Reload, Trigger::End],
+    [Trigger::Drain, Trigger::End, Trigger::Reload],
+    [Trigger::End, Trigger::Reload, Trigger::Drain],
+    [Trigger::End, Trigger::Drain, Trigger::Reload],
 ];
 
-/// A gate that invokers wait at.
+/// Blocks threads that wait until it is opened, for at most `TEST_TIMEOUT`.
 #[derive(Default)]
 struct Gate(Mutex<bool>, Condvar);
 
 impl Gate {
     fn open(&self) {
-        *self.0.lock().expect("no panic holds it") = true;
+        *self.0.lock().expect("lock is not poisoned") = true;
         self.1.notify_all();
     }
     fn wait(&self) {
-        let closed = self.0.lock().expect("no panic holds it");
-        drop(self.1.wait_timeout_while(closed, TEST_TIMEOUT, |open| !*open).expect("no panic holds it"));
+        let closed = self.0.lock().expect("lock is not poisoned");
+        drop(self.1.wait_timeout_while(closed, TEST_TIMEOUT, |open| !*open).expect("lock is not poisoned"));
     }
 }
 
-/// An invoker that serves with the body that it got, and holds what says so until the gate opens.
+/// An invoker that echoes the request body; it answers the body `hold` only once the gate is open.
 fn invoker(gate: &Arc<Gate>) -> Invoker {
     let gate = Arc::clone(gate);
     Invoker::start(move |command: &ReceivedCommand| match command.keyword() {
@@ -71,15 +71,15 @@
     invoker.received().iter().filter(|got| got.starts_with("CALL")).count()
 }
 
-fn plays(order: [Word; 3]) {
+fn run_order(order: [Trigger; 3]) {
     let gate = Arc::new(Gate::default());
     let (old, new) = (invoker(&gate), invoker(&gate));
-    let at_first = vec![ListedInvoker::new(0, old.address)];
-    let (here, there) = (Directory::start(at_first.clone()), Directory::start(at_first.clone()));
-    let dir = tempfile::tempdir().expect("a folder");
+    let first_list = vec![ListedInvoker::new(0, old.address)];
+    let (here, there) = (Directory::start(first_list.clone()), Directory::start(first_list.clone()));
+    let dir = tempfile::tempdir().expect("temporary folder");
     let path = dir.path().join("config.json");
-    let mut configuration = config(here.address, &at_first);
-    std::fs::write(&path, configuration.to_string()).expect("written");
+    let mut configuration = config(here.address, &first_list);
+    std::fs::write(&path, configuration.to_string()).expect("configuration written");
     let mut node = Node::of(Node::spawn(&path, 256));
     let mut client = Client::connect(node.address);
     let held = client.send_request("once", 1, 9, b"hold");
@@ -89,30 +89,30 @@
         std::thread::yield_now();
     }
     configuration["resolver"] = there.address.to_string().into();
-    std::fs::write(&path, configuration.to_string()).expect("written");
+    std::fs::write(&path, configuration.to_string()).expect("configuration written");
     let list = vec![
         ListedInvoker { draining: true, ..ListedInvoker::new(0, old.address) },
         ListedInvoker::new(1, new.address),
     ];
     let (began, mut reloaded) = (Instant::now(), false);
-    for word in order {
-        match word {
-            Word::Reload => {
+    for trigger in order {
+        match trigger {
+            Trigger::Reload => {
                 node.signal("HUP");
                 reloaded = true;
             }
-            Word::Drain => {
-                // Where the directory has moved, its old address tells nothing new.
+            Trigger::Drain => {
+                // After the reload the node must take the list from the new address, so the old one keeps its list.
                 there.change(list.clone());
                 if !reloaded {
                     here.change(list.clone());
                 }
             }
-            Word::End => node.signal("TERM"),
+            Trigger::End => node.signal("TERM"),
         }
     }
     println!("{order:?} within {:?}", began.elapsed());
-    // What comes on an open connection is served, and soon by the new one alone.
+    // Requests on an open connection are served, and soon by the new invoker alone.
     let mut id = 100;
     let mut next = |client: &mut Client| {
         id += 1;
@@ -126,7 +126,7 @@
     let before = calls(&old);
     (0..5).for_each(|_| next(&mut client));
     assert_eq!(calls(&old), before, "{order:?}: nothing new goes to one that drains");
-    // So is what comes on a new connection, which is asked for no more.
+    // Requests on a new connection are served too, after a GOAWAY that asks the client to send no more.
     let mut late = Client::connect(node.address);
     let stream = late.send_request("safe", 50, 50, b"ab");
     assert_eq!(late.read_frame(), Some((kind::GO_AWAY, 0, vec![])), "{order:?}");
@@ -139,13 +139,13 @@
 
 #[test]
 fn reload_drain_and_stop_within_50_ms_in_every_order_lose_no_call() {
-    let plays = ORDERS.map(|order| std::thread::spawn(move || plays(order)));
-    for play in plays {
-        play.join().expect("no panic");
+    let threads = ORDERS.map(|order| std::thread::spawn(move || run_order(order)));
+    for thread in threads {
+        thread.join().expect("the order passes");
     }
 }
 
-/// The time that an invoker was told for a call, milliseconds.
+/// The `patience` field of a command: the time that the invoker has for the call, in milliseconds.
 fn patience(command: &ReceivedCommand) -> Option<u64> {
     let fields = String::from_utf8_lossy(&command.parts[2]);
     fields.split(',').find_map(|field| field.strip_prefix("patience="))?.parse().ok()
@@ -153,13 +153,13 @@
 
 #[test]
 fn request_after_a_sigterm_that_came_during_a_stop_has_no_time_beyond_the_kill() {
-    // Guards against a kill that is counted from when a stopped process goes on, and not from its signal.
-    let told = Arc::new(Mutex::new(Vec::new()));
+    // Guards against a kill time computed from when a stopped process resumes instead of when it was signalled.
+    let patiences = Arc::new(Mutex::new(Vec::new()));
     let invoker = {
-        let told = Arc::clone(&told);
+        let patiences = Arc::clone(&patiences);
         Invoker::start(move |command: &ReceivedCommand| match command.keyword() {
             "CALL" => {
-                told.lock().expect("no panic holds it").extend(patience(command));
+                patiences.lock().expect("lock is not poisoned").extend(patience(command));
                 Reaction::Answer("served", "n=w", vec![])
             }
             "PING" | "STATS" => Reaction::Answer("green", "-", vec![]),
@@ -169,9 +169,9 @@
     };
     let listed = vec![ListedInvoker::new(0, invoker.address)];
     let directory = Directory::start(listed.clone());
-    let dir = tempfile::tempdir().expect("a folder");
+    let dir = tempfile::tempdir().expect("temporary folder");
     let path = dir.path().join("config.json");
-    std::fs::write(&path, config(directory.address, &listed).to_string()).expect("written");
+    std::fs::write(&path, config(directory.address, &listed).to_string()).expect("configuration written");
     let node = Node::of(Node::spawn(&path, 256));
     let mut client = Client::connect(node.address);
     let warm = client.send_request("safe", 1, 9, b"");
@@ -186,12 +186,12 @@
     };
     wait_until(Duration::from_millis(600));
     node.signal("CONT");
-    // Later than the platform lets requests come: this one must have its answer before the kill.
+    // Later than the platform sends requests: this one must be answered before the kill.
     wait_until(KILL_GRACE + Duration::from_millis(200));
     let late = client.send_request("safe", 2, 9, b"");
     assert_eq!(client.read_answer(late).0, SERVED);
     let sent = signalled.elapsed();
-    let told = *told.lock().expect("no panic holds it").last().expect("it ran");
+    let told = *patiences.lock().expect("lock is not poisoned").last().expect("the call reached the invoker");
     let kill = LONGEST_COUNTED_DEADLINE + KILL_GRACE;
     let asked = KILL_GRACE + Duration::from_millis(200);
     assert!(asked + Duration::from_millis(told) <= kill, "told {told} ms between {asked:?} and {sent:?}");
--- a/crates/gateway/tests/soak.rs
+++ b/crates/gateway/tests/soak.rs
@@ -1,4 +1,4 @@
-//! The soak test over real processes, in a size that a small machine plays in seconds. `nettleferry soak` plays more.
+//! The soak test over real processes, at a size that a small machine runs in seconds. `nettleferry soak` runs larger ones.
 
 use std::path::Path;
 
@@ -8,15 +8,15 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_nettleferry");
 
-/// Plays one seed; what the controllers' processes left is told with what was found.
-fn sound(seed: u64, faults: bool) {
-    sound_with(seed, faults, Extras::default());
+/// Runs one seed and asserts that no invariant is broken; a failure shows the timeline of each finding.
+fn assert_no_findings(seed: u64, faults: bool) {
+    assert_no_findings_with(seed, faults, Extras::default());
 }
 
-fn sound_with(seed: u64, faults: bool, extras: Extras) {
-    let dir = tempfile::tempdir().expect("a folder");
+fn assert_no_findings_with(seed: u64, faults: bool, extras: Extras) {
+    let dir = tempfile::tempdir().expect("temporary folder");
     let plan = Plan::draw_with(seed, Size::SMALL, faults, extras);
-    let report = play(plan, Path::new(PROGRAM), dir.path()).expect("it is played");
+    let report = play(plan, Path::new(PROGRAM), dir.path()).expect("the soak runs");
     let found: Vec<_> =
         report.findings.iter().map(|f| format!("{f}\n{}", report.timeline(f).join("\n"))).collect();
     assert!(found.is_empty(), "seed {seed}, faults {faults}, {:?}:\n{}", report.ends, found.join("\n"));
@@ -25,24 +25,25 @@
 
 #[test]
 fn overlapping_faults_break_no_invariant() {
-    sound(1, false);
+    assert_no_findings(1, false);
 }
 
 #[test]
 fn overlapping_faults_and_failing_system_calls_break_no_invariant() {
-    sound(2, true);
+    assert_no_findings(2, true);
 }
 
-/// Clients use their connections until SIGKILL, at the earliest moment that the platform allows; signals come in series.
+/// Clients send requests until SIGKILL, which comes at the earliest time that the platform allows; signals arrive in
+/// series.
 #[test]
 fn requests_until_the_kill_and_signals_in_series_break_no_invariant() {
-    sound_with(101, false, Extras { shutdowns: true, crowd: false });
+    assert_no_findings_with(101, false, Extras { shutdowns: true, crowd: false });
 }
 
-/// The same with system calls that fail, and idle clients up to the descriptors' limit while the directory is silent.
+/// As above, with failing system calls, and with idle clients up to the descriptor limit during a directory outage.
 #[test]
 fn crowds_and_shutdowns_under_failing_system_calls_break_no_invariant() {
-    sound_with(103, true, Extras { shutdowns: true, crowd: true });
+    assert_no_findings_with(103, true, Extras { shutdowns: true, crowd: true });
 }
 
 #[test]
--- a/crates/gateway/tests/stored_data.rs
+++ b/crates/gateway/tests/stored_data.rs
@@ -1,6 +1,6 @@
-//! Files written by the program of 6b10503 (`golden/state`, see the README there) are opened by this one, and what
-//! was written is found: the tenant store, its snapshot, a follower's durable record, the persisted worker list, the
-//! lease span, write-ahead log segments, audit logs and delivered records.
+//! This version reads the files written by the program of 6b10503 (`golden/state`, see `golden/README.md`) and finds
+//! the data that was written: the tenant store, its snapshot, a follower's durable record, the persisted worker list,
+//! the lease span, write-ahead log segments, audit logs and delivered records.
 
 mod common;
 use common::admin_client::*;
@@ -18,20 +18,21 @@
 use nettleferry_wal::{DirectoryStorage, Limits, WriteAheadLog};
 use serde_json::{Value, json};
 
-/// What the API of the earlier program told of its state before it ended.
-fn told() -> Value {
-    let text = std::fs::read_to_string(golden::path("state/told.json")).expect("told");
+/// The state that the API of the earlier program reported before it ended.
+fn recorded_state() -> Value {
+    let text = std::fs::read_to_string(golden::path("state/told.json")).expect("golden file exists");
     serde_json::from_str(&text).expect("JSON")
 }
 
 fn tenants() -> Vec<Tenant> {
-    serde_json::from_value(told()["tenants"]["tenants"].clone()).expect("tenants")
+    serde_json::from_value(recorded_state()["tenants"]["tenants"].clone()).expect("tenants")
 }
 
 fn entries() -> Vec<Entry> {
-    serde_json::from_value(told()["audit"]["entries"].clone()).expect("entries")
+    serde_json::from_value(recorded_state()["audit"]["entries"].clone()).expect("entries")
 }
 
+/// The payload of a record file, which must be intact.
 fn record(path: &Path) -> Vec<u8> {
     match RecordFile::open(&FileSystem, path).expect("read").1 {
         FileContents::Intact(record) => record.payload,
@@ -39,7 +40,7 @@
     }
 }
 
-/// Records of a write-ahead log, as texts.
+/// Payloads of the records of a write-ahead log, which must be undamaged.
 fn logged(folder: &Path) -> Vec<Vec<u8>> {
     let storage = DirectoryStorage::open(folder.to_owned()).expect("opened");
     let (log, found) = WriteAheadLog::open(storage, Limits::default()).expect("opened");
@@ -61,25 +62,25 @@
     let origin = store.origin().expect("read");
     assert_eq!(
         (json!(origin.store), json!(origin.epoch)),
-        (told()["store"].clone(), told()["epoch"].clone())
+        (recorded_state()["store"].clone(), recorded_state()["epoch"].clone())
     );
 }
 
 #[test]
 fn the_snapshot_beside_the_store_is_read() {
-    let snapshot = Snapshot::read(&golden::path("state/leader/tenants.snapshot")).expect("sound");
+    let snapshot = Snapshot::read(&golden::path("state/leader/tenants.snapshot")).expect("valid snapshot");
     assert_eq!((snapshot.tenants, snapshot.audit), (tenants(), Vec::new()));
-    let origin = snapshot.origin.expect("told");
+    let origin = snapshot.origin.expect("the snapshot has an origin");
     assert_eq!(
         (json!(origin.store), json!(origin.epoch)),
-        (told()["store"].clone(), told()["epoch"].clone())
+        (recorded_state()["store"].clone(), recorded_state()["epoch"].clone())
     );
 }
 
 #[test]
 fn a_snapshot_of_all_of_a_store_is_read() {
     let dir = golden::copy_of("state");
-    let snapshot = Snapshot::read(&dir.path().join("complete.snapshot")).expect("sound");
+    let snapshot = Snapshot::read(&dir.path().join("complete.snapshot")).expect("valid snapshot");
     assert_eq!((snapshot.tenants, snapshot.audit), (tenants(), entries()));
 }
 
@@ -92,8 +93,8 @@
 fn the_record_of_a_follower_is_read() {
     let kept: Value =
         serde_json::from_slice(&record(&golden::path("state/follower/kept.json"))).expect("JSON");
-    assert_eq!((&kept["store"], &kept["epoch"]), (&told()["store"], &told()["epoch"]));
-    assert_eq!(kept["book"]["revision"], told()["tenants"]["revision"]);
+    assert_eq!((&kept["store"], &kept["epoch"]), (&recorded_state()["store"], &recorded_state()["epoch"]));
+    assert_eq!(kept["book"]["revision"], recorded_state()["tenants"]["revision"]);
     let held: Vec<Tenant> = match &kept["book"]["tenants"] {
         Value::Object(by_name) => {
             by_name.values().map(|t| serde_json::from_value(t.clone()).expect("a tenant")).collect()
@@ -108,9 +109,13 @@
     for of in ["leader", "follower"] {
         let payload = record(&golden::path(&format!("state/{of}/kept-workers.sexp")));
         let text = String::from_utf8(payload).expect("text");
-        let at = text.lines().next().and_then(|line| line.strip_prefix(";at ")).expect("when");
+        let at = text
+            .lines()
+            .next()
+            .and_then(|line| line.strip_prefix(";at "))
+            .expect("the first line has a time");
         assert!(at.parse::<u64>().is_ok(), "{at}");
-        let workers = workers::read("the list", &text).expect("sound");
+        let workers = workers::read("the list", &text).expect("valid worker list");
         let names: Vec<(&str, &str)> = workers.iter().map(|w| (w.name.as_str(), w.zone.as_str())).collect();
         assert_eq!(names, [("w1", "room-a"), ("w2", "room-b")]);
         assert_eq!(workers[1].state, nettleferry::WorkerState::Draining);
@@ -124,7 +129,7 @@
         .iter()
         .map(|bytes| json!([bytes.len(), format!("{:08x}", crc32fast::hash(bytes))]))
         .collect();
-    assert_eq!(json!(found), told()["spool"]);
+    assert_eq!(json!(found), recorded_state()["spool"]);
     assert!(!found.is_empty());
 }
 
@@ -138,7 +143,7 @@
             .collect();
         let checked = chain::check(texts.iter().map(String::as_str));
         assert_eq!(checked.errors, []);
-        assert_eq!(json!(texts), told()["trail"][of]);
+        assert_eq!(json!(texts), recorded_state()["trail"][of]);
         let rewritten: Vec<String> =
             checked.entries.iter().map(nettleferry_audit_log::Entry::to_json).collect();
         assert_eq!(rewritten, texts, "they are written as they were");
@@ -155,7 +160,7 @@
     for of in ["1", "administration"] {
         let texts = records.iter().filter(|r| r["of"] == of).map(|r| r["text"].clone());
         let texts: Vec<Value> = texts.collect();
-        let lines = told()["records_of"][of]["lines"].as_array().expect("lines").clone();
+        let lines = recorded_state()["records_of"][of]["lines"].as_array().expect("lines").clone();
         assert_eq!(texts[..lines.len()], lines, "{of}: what was told is the beginning of what was written");
     }
 }
@@ -172,17 +177,17 @@
     let program = serve_in(dir, &settings, None);
     let api = program.line("listening admin ");
     let http = AdminClient { api, token };
-    assert_eq!(http.get("/v1/tenants"), told()["tenants"]);
-    assert_eq!(http.get("/v1/audit?limit=100"), told()["audit"]);
+    assert_eq!(http.get("/v1/tenants"), recorded_state()["tenants"]);
+    assert_eq!(http.get("/v1/audit?limit=100"), recorded_state()["audit"]);
     for of in ["1", "administration"] {
         let lines = http.get(&format!("/v1/fleet/records?of={of}&limit=1000"))["lines"].clone();
         let (lines, known) =
-            (lines.as_array().expect("lines").clone(), told()["records_of"][of]["lines"].clone());
+            (lines.as_array().expect("lines").clone(), recorded_state()["records_of"][of]["lines"].clone());
         let known = known.as_array().expect("lines").clone();
         assert_eq!(lines[..known.len()], known, "{of}");
     }
-    // The same request under the same key has the same answer.
-    let first = told()["first"].clone();
+    // A repeated request with the same idempotency key gets the same response.
+    let first = recorded_state()["first"].clone();
     let (status, answer) = http.ask(
         "POST",
         "/v1/tenants",
--- a/crates/gateway/tests/stragglers.rs
+++ b/crates/gateway/tests/stragglers.rs
@@ -1,11 +1,10 @@
-//! Several processes of the program of which some stand behind: links that are cut, silent or slow, processes that
-//! stand still, disks of before, an administration killed between a commit and its answer. Nobody begins a call that
-//! an acknowledged change forbids.
+//! Controllers that are behind: partitioned links, paused processes, restarts from older files, and an administration
+//! killed between a commit and its response. No controller may start a call that an acknowledged change forbids.
 
 mod common;
 use common::admin_client::*;
 use common::cluster::*;
-use common::link::{Does, Link};
+use common::link::{Link, LinkMode};
 use common::*;
 
 use std::net::SocketAddr;
@@ -16,13 +15,13 @@
 use nettleferry_net::grpc::Code;
 use serde_json::{Value, json};
 
-/// Span of a lease here: long against a loaded machine's delays, short against a test.
+/// Lease duration: long against the delays of a loaded machine, short for a test.
 const LEASE: Duration = Duration::from_millis(1_500);
 const LEASE_SETTING: &str = "(lease 1500ms)";
-/// No wait for a first served call is longer.
+/// Timeout for the first served call.
 const SERVED_WITHIN: Duration = Duration::from_secs(20);
 
-/// Its life on the administration's roll.
+/// The most recently seen incarnation of a controller in `/v1/fleet`; `Null` if there is none.
 fn row(http: &AdminClient, number: u32) -> Value {
     let of = |l: &&Value| l["controller"] == number;
     incarnations(http)
@@ -33,10 +32,11 @@
         .unwrap_or(Value::Null)
 }
 
-/// Calls of a tenant at a controller in a row, from a thread of its own: when each was sent and how it ended.
+/// A thread that makes calls of a tenant at a controller, one after another, and records when each was sent and its
+/// status.
 struct Calls {
     stop: std::sync::Arc<AtomicBool>,
-    /// Told once, when the first call was served.
+    /// Receives one message when the first call has been served.
     served: mpsc::Receiver<()>,
     thread: Option<std::thread::JoinHandle<Vec<(Instant, Code)>>>,
 }
@@ -53,7 +53,7 @@
                 let sent = Instant::now();
                 let how = code(&mut caller, Some(tenant), "echo").0;
                 if how == Code::Ok {
-                    // Only the first finds room; whoever waits needs no more.
+                    // Fails for all but the first served call, which is the one waited for.
                     let _ = first.try_send(());
                 }
                 all.push((sent, how));
@@ -70,7 +70,7 @@
 
     fn end(mut self) -> Vec<(Instant, Code)> {
         self.stop.store(true, Ordering::Release);
-        self.thread.take().expect("it runs").join().expect("each call has its answer")
+        self.thread.take().expect("it runs").join().expect("each call ends with a status")
     }
 }
 
@@ -91,14 +91,17 @@
     let refuse = "(without-lease refuse)";
     let followers: Vec<Program> =
         links.iter().zip(1..).map(|(l, n)| cluster.follower(cluster.dir(), n, l.address, refuse)).collect();
-    for (round, does) in [Does::Silent, Does::AsksOnly, Does::AnswersOnly, Does::Cut].into_iter().enumerate()
+    for (round, does) in
+        [LinkMode::Blackhole, LinkMode::RequestsOnly, LinkMode::ResponsesOnly, LinkMode::Closed]
+            .into_iter()
+            .enumerate()
     {
         let tenant: &'static str = ["kalahari", "morava", "sava", "drina"][round];
         leader.create(json!({ "name": tenant }));
         for program in &followers {
             eventually("it serves", || call_status(program, tenant) == Code::Ok);
         }
-        // The first hears all; two stand behind.
+        // The first follower stays connected; the other two fall behind.
         let calls: Vec<Calls> = followers.iter().map(|p| Calls::of(tenant, p.address)).collect();
         calls.iter().for_each(Calls::wait_until_served);
         links[1].set(does);
@@ -108,9 +111,9 @@
         let told = Instant::now();
         assert_eq!(status, 200, "{does:?}: {head}");
         assert!(head.contains("Nettleferry-In-Force: everywhere"), "{does:?}: {head}");
-        // Two of them have it no other way: their leases were waited out.
+        // The partitioned followers can't confirm the change, so their leases must have expired.
         assert!(told - asked >= LEASE / 2, "{does:?}: acknowledged after {:?}", told - asked);
-        // Calls go on for a while after the word that none is taken.
+        // Calls continue for a while after the acknowledgement; none may be accepted.
         let mut caller = Caller::new(followers[1].address);
         for _ in 0..20 {
             assert_ne!(code(&mut caller, Some(tenant), "echo").0, Code::Ok);
@@ -121,8 +124,8 @@
             let late: Vec<_> = all.iter().filter(|(sent, how)| *sent >= told && *how == Code::Ok).collect();
             assert!(late.is_empty(), "{does:?}: {} begun after the word, at {}", late.len(), program.address);
         }
-        links[1].set(Does::Passes);
-        links[2].set(Does::Passes);
+        links[1].set(LinkMode::Forward);
+        links[2].set(LinkMode::Forward);
         for program in &followers {
             eventually("all are back and have it", || call_status(program, tenant) == Code::PermissionDenied);
         }
@@ -140,7 +143,7 @@
     let rpc = call(&mut caller, Some("kalahari"), "echo");
     assert_eq!(caller.status(rpc).0.code, Code::Ok);
     one.signal("STOP");
-    // Calls wait in its sockets while it stands still.
+    // Calls wait in its socket buffers while it is paused.
     let waiting: Vec<u64> = (0..10).map(|_| call(&mut caller, Some("kalahari"), "echo")).collect();
     let (status, head) = suspend(&leader, "kalahari");
     assert!(status == 200 && head.contains("In-Force: everywhere"), "{head}");
@@ -169,7 +172,7 @@
     eventually("it serves", || call_status(&one, "kalahari") == Code::Ok);
     eventually("it is on its disk", || row(&leader, 1)["kept"] == 1);
     one.signal("KILL");
-    link.set(Does::Silent);
+    link.set(LinkMode::Blackhole);
     let (status, head) = suspend(&leader, "kalahari");
     assert!(status == 200 && head.contains("In-Force: everywhere"), "{head}");
     let dir = cluster.dir();
@@ -179,10 +182,10 @@
     assert_eq!(call_status(&again, "kalahari"), Code::Unavailable, "what it kept says that he may call");
     let mut caller = Caller::new(again.address);
     eventually("it leaves: front ends are told that it is not ready", || !ready(&mut caller));
-    link.set(Does::Passes);
+    link.set(LinkMode::Forward);
     eventually("it has heard", || call_status(&again, "kalahari") == Code::PermissionDenied);
     eventually("and is ready", || ready(&mut caller));
-    // Two lives of one number were two.
+    // Both incarnations of the controller are listed.
     assert_eq!(incarnations(&leader).len(), 2);
 }
 
@@ -209,8 +212,8 @@
     let one = cluster.follower(cluster.dir(), 1, link.address, "(without-lease refuse)");
     eventually("it serves", || call_status(&one, "kalahari") == Code::Ok);
     let calls = Calls::of("kalahari", one.address);
-    // It stands behind, the change is committed, and the administration dies before the answer.
-    link.set(Does::Silent);
+    // The follower is partitioned, the change is committed, and the administration is killed before its response.
+    link.set(LinkMode::Blackhole);
     let http = leader.http.clone();
     let unanswered = std::thread::spawn(move || suspend(&http, "kalahari"));
     eventually("committed", || leader.get("/v1/tenants/kalahari")["state"] == "suspended");
@@ -221,7 +224,8 @@
         std::fs::copy(leader.program.dir.path().join(name), dir.path().join(name)).expect("copied");
     }
     drop(leader);
-    // Asked again, it acknowledges when the lease of before must be out, though it knows of none.
+    // The restarted administration knows of no lease, and must acknowledge the repeated change only after the earlier
+    // lease has expired.
     let leader = cluster.administration(dir, LEASE_SETTING);
     let (status, head) = suspend(&leader, "kalahari");
     let told = Instant::now();
@@ -243,13 +247,13 @@
         let (status, told) =
             leader.ask("POST", "/v1/tenants", "", &json!({ "name": format!("t{n}") }).to_string());
         assert_eq!(status, 201, "{told}");
-        // Power is lost everywhere at this moment: each of them has it.
+        // Even a power loss of all machines now would not lose the change: each follower has it on disk.
         for program in &followers {
             let text = std::fs::read_to_string(program.dir.path().join("kept.json")).expect("text");
             assert!(text.contains(&format!("\"t{n}\"")), "acknowledged, and not on the disk: t{n}");
         }
     }
-    // One whose disk stands still: the change is made and not acknowledged as held.
+    // A follower whose disk stalls (a FIFO that nobody reads): the change is made, but not acknowledged as persisted.
     let dir = cluster.dir();
     assert!(
         std::process::Command::new("mkfifo")
@@ -276,14 +280,14 @@
     leader.create(json!({"name": "kalahari"}));
     let one = cluster.follower(cluster.dir(), 1, link.address, "(without-lease serve)");
     eventually("it serves", || call_status(&one, "kalahari") == Code::Ok);
-    link.set(Does::Silent);
+    link.set(LinkMode::Blackhole);
     let (status, head) = suspend(&leader, "kalahari");
     assert!(status == 202 && head.contains("not everywhere: 1 may act without it"), "{status} {head}");
     let told = leader.get("/v1/fleet/change");
     assert!(told["within_ms"].is_null() && told["everywhere"] == false, "{told}");
     assert_eq!(told["waits"][0]["controller"], 1);
     assert_eq!(call_status(&one, "kalahari"), Code::Ok, "its settings say so");
-    link.set(Does::Passes);
+    link.set(LinkMode::Forward);
     eventually("it is everywhere", || leader.get("/v1/fleet/change")["everywhere"] == true);
 }
 
@@ -308,7 +312,7 @@
     });
     let told = run(&["status"]);
     assert!(told.contains("fenced"), "{told}");
-    // The same life is not let in by asking on; another one is.
+    // The fenced incarnation stays fenced however often it asks; a new incarnation is accepted.
     let mut followers = followers;
     drop(followers.remove(0));
     let again = cluster.follower(cluster.dir(), 1, cluster.api, "");
--- a/crates/gateway/tests/streams.rs
+++ b/crates/gateway/tests/streams.rs
@@ -1,4 +1,4 @@
-//! Streamed answers when workers, clients and links fail in the middle.
+//! Streamed responses when workers, clients or links fail between two parts.
 
 mod common;
 use common::*;
@@ -9,10 +9,10 @@
 use nettleferry_test_servers::{Fault, ObservationKind};
 use prost::Message;
 
-/// Four segments of 40 ms each, so that there is a middle.
+/// A call of four segments takes 40 ms for each, which leaves time to inject a fault between them.
 const SLOW: &str = "(listen \"127.0.0.1:0\") (cores 8) (model \"\" (lanes 64) (load-time 1ms) (work 160ms))";
 
-fn attempts(seen: &ObservationKind) -> bool {
+fn is_call(seen: &ObservationKind) -> bool {
     matches!(seen, ObservationKind::Call { .. })
 }
 
@@ -34,7 +34,7 @@
     assert_eq!(last.infer_response.as_ref().expect("its id").id, "c");
     assert!(is_final(&last));
     assert_eq!(caller.status(rpc).0.code, Code::Ok, "the stream itself goes on to its end");
-    assert_eq!(fleet.count(attempts), 1, "no second attempt");
+    assert_eq!(fleet.count(is_call), 1, "no second attempt");
 }
 
 #[test]
@@ -46,11 +46,11 @@
     caller.response(rpc);
     caller.client.cancel(rpc);
     caller.until("the worker sees the cancel", || fleet.any(|s| matches!(s, ObservationKind::Gone { .. })));
-    // A later call on the same path has its answer; the cancelled one is not tried again.
+    // A later call on the same connection is answered; the cancelled one is not retried.
     let next = caller.ask(ask("ModelStreamInfer", &climb("climb", "d", 1)));
     assert!(is_final(&caller.response(next)));
-    assert_eq!(fleet.count(attempts), 2);
-    assert!(caller.heard().iter().all(|h| !matches!(h, ClientEvent::Message { rpc: r, .. } if *r == rpc)));
+    assert_eq!(fleet.count(is_call), 2);
+    assert!(caller.events().iter().all(|h| !matches!(h, ClientEvent::Message { rpc: r, .. } if *r == rpc)));
 }
 
 #[test]
@@ -77,7 +77,7 @@
     assert!(finals["bad"].starts_with("NOT_FOUND"), "{finals:?}");
     assert!(finals["a"].is_empty() && finals["b"].is_empty() && finals["e"].is_empty());
     assert_eq!(caller.status(rpc).0.code, Code::Ok);
-    assert_eq!(fleet.count(attempts), 3);
+    assert_eq!(fleet.count(is_call), 3);
 }
 
 #[test]
@@ -113,7 +113,7 @@
     let warm = other.unary("echo");
     assert_eq!(other.status(warm).0.code, Code::Ok);
     let before = gateway.resident();
-    // About 30 MB of answer that its client does not read.
+    // A response of about 30 MB that its client does not read.
     let segments = 150_000;
     let mut slow = Caller::new(gateway.address);
     let rpc = slow.ask(ask("ModelStreamInfer", &climb("climb", "s", segments)));
@@ -124,7 +124,7 @@
     for _ in 0..200 {
         let rpc = other.unary("echo");
         assert_eq!(other.status(rpc).0.code, Code::Ok);
-        slow.turn();
+        slow.poll_once();
     }
     let served = fleet.count(|s| matches!(s, ObservationKind::Answered { served: true, .. }));
     assert_eq!(served, 201, "the long answer waits at its worker");
@@ -164,7 +164,7 @@
     );
     let gateway = serve(SETTINGS, &fleet.list());
     let mut caller = Caller::new(gateway.address);
-    // Time-outs spread over the moment at which the last segment comes.
+    // Timeouts spread around the time at which the last segment arrives.
     let mut open = std::collections::BTreeMap::new();
     for n in 0..60u64 {
         let mut ask = ask("ModelStreamInfer", &climb("climb", &n.to_string(), 4));
@@ -176,9 +176,9 @@
         let heard = caller.wait("an end or a message", |h| Some(h.clone()));
         match heard {
             ClientEvent::Message { rpc, payload } => {
-                let response =
-                    nettleferry_proto::inference::ModelStreamInferResponse::decode(payload).expect("sound");
-                *open.get_mut(&rpc).expect("open") += u32::from(is_final(&response));
+                let response = nettleferry_proto::inference::ModelStreamInferResponse::decode(payload)
+                    .expect("valid response");
+                *open.get_mut(&rpc).expect("an open call") += u32::from(is_final(&response));
             }
             ClientEvent::End { rpc, status, .. } => {
                 ends += 1;
@@ -189,8 +189,8 @@
     }
     let again = caller.unary("echo");
     assert_eq!(caller.status(again).0.code, Code::Ok);
-    // A call may be both: answered, and withdrawn while its answer was on its way. And one withdrawn before its request
-    // had come whole was never a call.
+    // A call may be both answered and cancelled, if its response was in flight at the cancellation. A request cancelled
+    // before it arrived completely is never observed as a call.
     eventually("withdrawn calls are withdrawn at the workers", || {
         let seen = fleet.look();
         let ended: std::collections::HashSet<(&str, u64)> = seen
--- a/crates/gateway/tests/upkeep.rs
+++ b/crates/gateway/tests/upkeep.rs
@@ -1,9 +1,10 @@
-//! Followers that are cut off while changes go on, and come back at once; two administrations after a restore.
+//! Followers that are partitioned during a series of changes and reconnect at the same time, and two administrations
+//! that serve the same store after a restore.
 
 mod common;
 use common::admin_client::*;
 use common::cluster::*;
-use common::link::{Does, Link};
+use common::link::{Link, LinkMode};
 use common::*;
 
 use nettleferry_net::grpc::Code;
@@ -12,13 +13,13 @@
 const ADMINISTRATION: &str = "(lease 1s) (trail (folder \"trail\"))";
 const FOLLOWER: &str = "(trail (folder \"trail\"))";
 
-/// Revisions that a controller acted on, in the order of its delivered record.
-fn acted(leader: &AdminClient, number: usize) -> Vec<(u64, u64)> {
+/// Epochs and revisions that a controller acted on, in the order of its delivered audit log.
+fn acted_versions(leader: &AdminClient, number: usize) -> Vec<(u64, u64)> {
     let (mut all, mut from) = (Vec::new(), Some(0));
     while let Some(place) = from {
         let page = leader.get(&format!("/v1/fleet/records?of={number}&from={place}&limit=1000"));
         for line in page["lines"].as_array().into_iter().flatten().filter_map(Value::as_str) {
-            let line: Value = serde_json::from_str(line).expect("json");
+            let line: Value = serde_json::from_str(line).expect("valid JSON");
             if line["what"] == "view" {
                 let part = |key: &str| line["parts"][key].as_u64().unwrap_or(0);
                 all.push((part("epoch"), part("revision")));
@@ -40,9 +41,15 @@
     for program in &all {
         eventually("it serves", || call_status(program, "kalahari") == Code::Ok);
     }
-    // Five of eight hear nothing, while two hundred changes are made; calls of all flow.
-    let kinds = [Does::Cut, Does::Silent, Does::AsksOnly, Does::AnswersOnly, Does::Cut];
-    links.iter().zip(kinds).for_each(|(link, does)| link.set(does));
+    // Five of eight followers are partitioned while 200 changes are made; all of them serve calls meanwhile.
+    let modes = [
+        LinkMode::Closed,
+        LinkMode::Blackhole,
+        LinkMode::RequestsOnly,
+        LinkMode::ResponsesOnly,
+        LinkMode::Closed,
+    ];
+    links.iter().zip(modes).for_each(|(link, mode)| link.set(mode));
     for n in 0..200 {
         let body = json!({ "note": n.to_string() }).to_string();
         let (status, told) = leader.ask("PATCH", "/v1/tenants/kalahari", "If-Match: *\r\n", &body);
@@ -51,17 +58,18 @@
             all.iter().for_each(|program| assert_eq!(call_status(program, "kalahari"), Code::Ok));
         }
     }
-    let last = leader.get("/v1/controllers")["revision"].as_u64().expect("told");
-    links.iter().for_each(|link| link.set(Does::Passes));
+    let last = leader.get("/v1/controllers")["revision"].as_u64().expect("a revision");
+    links.iter().for_each(|link| link.set(LinkMode::Forward));
     eventually("all act on the last one", || {
         incarnations(&leader).iter().filter(|l| l["in_force"] == last).count() == 8
     });
     for number in 1..=8 {
         eventually("its record is delivered", || {
-            acted(&leader, number).last().is_some_and(|(_, r)| *r == last)
+            acted_versions(&leader, number).last().is_some_and(|(_, r)| *r == last)
         });
-        let acted = acted(&leader, number);
-        // By log each change is a view of its own; by snapshot some are passed over. None comes twice or too late.
+        let acted = acted_versions(&leader, number);
+        // Catching up by the change log applies each change separately; a snapshot would skip some. No change may be applied
+        // twice or out of order.
         assert!(acted.windows(2).all(|pair| pair[0] <= pair[1]), "controller {number}: {acted:?}");
         let mut once = acted.clone();
         once.dedup_by_key(|(_, revision)| *revision);
@@ -83,7 +91,8 @@
     for program in &all {
         eventually("it serves", || call_status(program, "kalahari") == Code::Ok);
     }
-    // A snapshot is restored elsewhere, by hand, while the first goes on: two administrations of one store.
+    // An operator restores a snapshot on another address while the first administration continues: two leaders of one
+    // store.
     let snapshot = leader.program.dir.path().join("tenants.snapshot");
     eventually("the snapshot is written", || snapshot.exists());
     let dir = cluster.dir();
@@ -96,8 +105,8 @@
     second.change("POST", "/v1/tenants/kalahari/suspend", "");
     let third = cluster.follower(cluster.dir(), 3, other, FOLLOWER);
     eventually("it follows the second", || call_status(&third, "kalahari") == Code::PermissionDenied);
-    // One of the first's is pointed at the second by its settings, and back: it takes the later epoch, and never the
-    // earlier one again.
+    // A follower of the first administration is configured to follow the second and then the first again: it accepts the
+    // later epoch, and never returns to the earlier one.
     let moved = &all[0];
     assert_eq!(call_status(moved, "kalahari"), Code::Ok);
     let mut all = all;
@@ -112,7 +121,7 @@
     drop(moved);
     let moved = cluster.follower(kept, 1, other, FOLLOWER);
     eventually("it takes the later epoch", || call_status(&moved, "kalahari") == Code::PermissionDenied);
-    // A snapshot is in force before it is durable.
+    // A snapshot is in force before it is durable, so this waits until it is written.
     let persisted = moved.dir.path().join("kept.json");
     eventually("the later epoch is persisted", || {
         std::fs::read_to_string(&persisted).is_ok_and(|text| text.contains("\"state\":\"suspended\""))
