--- a/crates/gateway/src/commands/scale.rs
+++ b/crates/gateway/src/commands/scale.rs
@@ -4,11 +4,11 @@
 
 use clap::Args;
 use indicatif::{ProgressBar, ProgressStyle};
+use nettleferry_scale::capacity::Capacity;
 use nettleferry_scale::context::Progress;
 use nettleferry_scale::interrupt::Interrupt;
 use nettleferry_scale::report::{lines, plots, table};
-use nettleferry_scale::room::Room;
-use nettleferry_scale::run::{self, End, Report, Surroundings};
+use nettleferry_scale::run::{self, End, Report, RunEnvironment};
 use nettleferry_scale::settings;
 use signal_hook::consts::{SIGINT, SIGTERM};
 
@@ -55,9 +55,9 @@
 impl Scale {
     pub(crate) fn run(self) -> Result<u8, CommandError> {
         let text = read_file(&self.file)?;
-        let room = Room::of_machine();
+        let capacity = Capacity::of_machine();
         let file = self.file.display().to_string();
-        let mut settings = settings::read(&file, &text, &room).map_err(CommandError::InvalidFile)?;
+        let mut settings = settings::read(&file, &text, &capacity).map_err(CommandError::InvalidFile)?;
         let interrupt = Interrupt::default();
         for signal in [SIGINT, SIGTERM] {
             signal_hook::flag::register(signal, interrupt.flag()).map_err(CommandError::system("signals"))?;
@@ -67,13 +67,14 @@
         let bar =
             SizesProgress::new(settings.measures.iter().map(|measure| measure.sizes().values.len()).sum());
         let mut printed = Ok(());
-        let mut observed = |observation: &run::Observed| {
+        let mut observed = |observation: &run::Observation| {
             if printed.is_ok() {
                 printed = announce(&lines::observation(observation, &origin));
             }
         };
-        let surroundings = Surroundings { program, room, interrupt, progress: &bar, observed: &mut observed };
-        let report = run::run(&mut settings, surroundings);
+        let environment =
+            RunEnvironment { program, capacity, interrupt, progress: &bar, observed: &mut observed };
+        let report = run::run(&mut settings, environment);
         bar.0.finish_and_clear();
         printed?;
         announce(&lines::conclusion(&report, &origin).join("\n"))?;
--- a/crates/scale/src/room.rs
+++ b/crates/scale/src/capacity.rs
@@ -7,13 +7,13 @@
 use rustix::process::{Resource, getrlimit};
 
 /// Memory of a run at the most, in bytes, on however large a machine.
-pub const MOST_MEMORY: u64 = 12 << 30;
+pub const MAX_MEMORY: u64 = 12 << 30;
 /// Processes of a run at the most.
-pub const MOST_PROCESSES: u64 = 300;
+pub const MAX_PROCESSES: u64 = 300;
 /// Descriptors that are kept for the rig's own use.
-const OWN_DESCRIPTORS: u64 = 64;
+const RESERVED_DESCRIPTORS: u64 = 64;
 /// Local ports where the system does not say how many it has.
-const USUAL_PORTS: u64 = 28_000;
+const DEFAULT_PORTS: u64 = 28_000;
 
 /// What one size needs, estimated with care from above.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -32,7 +32,7 @@
 
 /// What there is for a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Room {
+pub struct Capacity {
     /// Memory, in bytes.
     pub memory: u64,
     /// Processes.
@@ -64,16 +64,16 @@
     }
 }
 
-impl Room {
+impl Capacity {
     /// What this machine has for a run: half of its memory, and the process's own limits.
     pub fn of_machine() -> Self {
-        let half = memory_of_machine().map_or(MOST_MEMORY, |all| all / 2);
+        let half = memory_of_machine().map_or(MAX_MEMORY, |all| all / 2);
         let descriptors = getrlimit(Resource::Nofile).current.unwrap_or(u64::MAX);
         Self {
-            memory: half.min(MOST_MEMORY),
-            processes: MOST_PROCESSES,
-            descriptors: descriptors.saturating_sub(OWN_DESCRIPTORS),
-            ports: ports_of_machine().unwrap_or(USUAL_PORTS),
+            memory: half.min(MAX_MEMORY),
+            processes: MAX_PROCESSES,
+            descriptors: descriptors.saturating_sub(RESERVED_DESCRIPTORS),
+            ports: ports_of_machine().unwrap_or(DEFAULT_PORTS),
         }
     }
 
--- a/crates/scale/src/children.rs
+++ b/crates/scale/src/children.rs
@@ -17,22 +17,22 @@
 use crate::process::Process;
 
 /// Lines of a child's log that are kept, and the length of one in bytes.
-const KEPT_LINES: usize = 20;
-const LONGEST_LINE: usize = 400;
+const LOG_LINES: usize = 20;
+const MAX_LOG_LINE_BYTES: usize = 400;
 /// Lines of a child's standard output that wait to be read; more are let go.
-const WAITING_LINES: usize = 4_096;
+const OUTPUT_QUEUE_LINES: usize = 4_096;
 /// Longest line of standard output that is taken, in bytes.
-const LONGEST_OUTPUT: u64 = 1 << 20;
+const MAX_OUTPUT_LINE_BYTES: u64 = 1 << 20;
 /// A child that was told to end has so long before it is killed.
-const END_LIMIT: Duration = Duration::from_secs(3);
+const TERMINATION_TIMEOUT: Duration = Duration::from_secs(3);
 /// How often its end is looked for.
-const END_LOOK: Duration = Duration::from_millis(5);
+const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// A child of this run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ChildId(usize);
 
-struct Running {
+struct RunningChild {
     label: String,
     child: Child,
     output: Receiver<String>,
@@ -48,12 +48,12 @@
 
 impl Log {
     fn push(&mut self, mut line: String) {
-        let mut end = line.len().min(LONGEST_LINE);
-        while !line.is_char_boundary(end) {
-            end -= 1;
+        let mut terminate = line.len().min(MAX_LOG_LINE_BYTES);
+        while !line.is_char_boundary(terminate) {
+            terminate -= 1;
         }
-        line.truncate(end);
-        if self.last.len() == KEPT_LINES {
+        line.truncate(terminate);
+        if self.last.len() == LOG_LINES {
             self.last.pop_front();
         }
         self.last.push_back(line);
@@ -65,7 +65,7 @@
 pub struct Children {
     program: PathBuf,
     most: u64,
-    running: Vec<Option<Running>>,
+    running: Vec<Option<RunningChild>>,
 }
 
 impl Children {
@@ -88,16 +88,16 @@
         command.args(arguments).process_group(0);
         command.stdin(Stdio::piped()).stdout(Stdio::piped()).stderr(Stdio::piped());
         let mut child = command.spawn().map_err(MeasureError::system(format!("can't start {label}")))?;
-        let (told, output) = sync_channel(WAITING_LINES);
+        let (lines, output) = sync_channel(OUTPUT_QUEUE_LINES);
         let log = Arc::new(Mutex::new(Log::default()));
         if let Some(out) = child.stdout.take() {
-            thread::spawn(move || forward_lines(out, &told));
+            thread::spawn(move || forward_lines(out, &lines));
         }
         if let Some(err) = child.stderr.take() {
             let log = Arc::clone(&log);
-            thread::spawn(move || keep_lines(err, &log));
+            thread::spawn(move || record_log_lines(err, &log));
         }
-        self.running.push(Some(Running { label: label.to_owned(), child, output, log }));
+        self.running.push(Some(RunningChild { label: label.to_owned(), child, output, log }));
         Ok(ChildId(self.running.len() - 1))
     }
 
@@ -124,11 +124,11 @@
         };
         match running.output.recv_timeout(until.saturating_duration_since(Instant::now())) {
             Ok(line) => Ok(line),
-            Err(RecvTimeoutError::Timeout) => Err(self.complaint(id, "it said nothing in time")),
+            Err(RecvTimeoutError::Timeout) => Err(self.child_error(id, "it said nothing in time")),
             Err(RecvTimeoutError::Disconnected) => {
-                self.wait_for_end(id, END_LIMIT);
+                self.wait_for_end(id, TERMINATION_TIMEOUT);
                 self.check()?;
-                Err(self.complaint(id, "it closed its standard output"))
+                Err(self.child_error(id, "it closed its standard output"))
             }
         }
     }
@@ -139,7 +139,7 @@
     }
 
     /// Writes a line to a child's standard input.
-    pub fn say(&mut self, id: ChildId, line: &str) -> Result<(), MeasureError> {
+    pub fn write_line(&mut self, id: ChildId, line: &str) -> Result<(), MeasureError> {
         let stdin = self.get_mut(id).and_then(|running| running.child.stdin.as_mut());
         let Some(stdin) = stdin else { return Ok(()) };
         let written = writeln!(stdin, "{line}").and_then(|()| stdin.flush());
@@ -147,12 +147,12 @@
     }
 
     /// Lines that a child has logged so far.
-    pub fn logged(&self, id: ChildId) -> u64 {
+    pub fn log_line_count(&self, id: ChildId) -> u64 {
         self.get(id).map_or(0, |running| lock(&running.log).lines)
     }
 
     /// The lines of its log that follow the first `after` and are still kept.
-    pub fn logged_after(&self, id: ChildId, after: u64) -> Vec<String> {
+    pub fn log_lines_after(&self, id: ChildId, after: u64) -> Vec<String> {
         let Some(running) = self.get(id) else { return Vec::new() };
         let log = lock(&running.log);
         let fresh = usize::try_from(log.lines.saturating_sub(after)).unwrap_or(usize::MAX);
@@ -166,7 +166,7 @@
     }
 
     /// An error that names a child, with its last log lines.
-    pub fn complaint(&self, id: ChildId, what: &str) -> MeasureError {
+    pub fn child_error(&self, id: ChildId, what: &str) -> MeasureError {
         let label = self.get(id).map_or_else(String::new, |running| running.label.clone());
         MeasureError::Child { label, what: what.to_owned(), log: self.last_log(id).join("\n") }
     }
@@ -178,7 +178,7 @@
             let Ok(Some(status)) = running.child.try_wait() else { continue };
             let Some(running) = slot.take() else { continue };
             // Its log is whole when nobody but us holds it: its reader has seen the end.
-            wait_until(END_LIMIT, || Arc::strong_count(&running.log) == 1);
+            wait_until(TERMINATION_TIMEOUT, || Arc::strong_count(&running.log) == 1);
             let log: Vec<String> = lock(&running.log).last.iter().cloned().collect();
             let (label, status) = (running.label, status.to_string());
             return Err(MeasureError::ChildDied { label, status, log: log.join("\n") });
@@ -189,20 +189,20 @@
     /// Ends one child: its standard input closes, it is sent SIGTERM, and killed where that is not enough.
     pub fn stop(&mut self, id: ChildId) {
         if let Some(running) = self.running.get_mut(id.0).and_then(Option::take) {
-            end(vec![running]);
+            terminate(vec![running]);
         }
     }
 
     /// Ends all children.
     pub fn stop_all(&mut self) {
-        end(self.running.iter_mut().filter_map(Option::take).collect());
+        terminate(self.running.iter_mut().filter_map(Option::take).collect());
     }
 
-    fn get(&self, id: ChildId) -> Option<&Running> {
+    fn get(&self, id: ChildId) -> Option<&RunningChild> {
         self.running.get(id.0)?.as_ref()
     }
 
-    fn get_mut(&mut self, id: ChildId) -> Option<&mut Running> {
+    fn get_mut(&mut self, id: ChildId) -> Option<&mut RunningChild> {
         self.running.get_mut(id.0)?.as_mut()
     }
 
@@ -220,14 +220,14 @@
 }
 
 /// Tells all to end before it waits for any.
-fn end(mut ending: Vec<Running>) {
-    for running in &mut ending {
+fn terminate(mut children: Vec<RunningChild>) {
+    for running in &mut children {
         drop(running.child.stdin.take());
         // It has not been waited for: its id is still ours.
         let _ = kill_process(Pid::from_child(&running.child), Signal::TERM);
     }
-    let until = Instant::now() + END_LIMIT;
-    for running in &mut ending {
+    let until = Instant::now() + TERMINATION_TIMEOUT;
+    for running in &mut children {
         let left = until.saturating_duration_since(Instant::now());
         if !wait_until(left, || !matches!(running.child.try_wait(), Ok(None))) {
             let _ = running.child.kill();
@@ -243,22 +243,22 @@
         if Instant::now() >= until {
             return false;
         }
-        thread::sleep(END_LOOK);
+        thread::sleep(EXIT_POLL_INTERVAL);
     }
     true
 }
 
-fn forward_lines(out: impl Read, told: &SyncSender<String>) {
+fn forward_lines(out: impl Read, lines: &SyncSender<String>) {
     let mut reader = BufReader::new(out);
     while let Some(line) = bounded_line(&mut reader) {
         // A line that finds no room is let go: the child must not wait for its reader.
-        if let Err(TrySendError::Disconnected(_)) = told.try_send(line) {
+        if let Err(TrySendError::Disconnected(_)) = lines.try_send(line) {
             return;
         }
     }
 }
 
-fn keep_lines(err: impl Read, log: &Mutex<Log>) {
+fn record_log_lines(err: impl Read, log: &Mutex<Log>) {
     let mut reader = BufReader::new(err);
     while let Some(line) = bounded_line(&mut reader) {
         lock(log).push(line);
@@ -268,7 +268,7 @@
 /// The next line, cut where it is too long; none at the end.
 fn bounded_line(reader: &mut impl BufRead) -> Option<String> {
     let mut bytes = Vec::new();
-    let read = reader.by_ref().take(LONGEST_OUTPUT).read_until(b'\n', &mut bytes).ok()?;
+    let read = reader.by_ref().take(MAX_OUTPUT_LINE_BYTES).read_until(b'\n', &mut bytes).ok()?;
     let text = String::from_utf8_lossy(&bytes);
     (read > 0).then(|| text.trim_end_matches(['\n', '\r']).to_owned())
 }
--- a/crates/scale/src/context.rs
+++ b/crates/scale/src/context.rs
@@ -13,9 +13,9 @@
 use crate::process::Process;
 
 /// How often a wait looks for an end of the run.
-const LOOK_EVERY: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// How often the memory in use is looked at.
-const MEMORY_EVERY: Duration = Duration::from_millis(200);
+const MEMORY_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Is told how far a run is.
 pub trait Progress {
@@ -35,7 +35,7 @@
 
 /// The ends that are set to a run.
 #[derive(Clone, Debug)]
-pub struct Ends {
+pub struct RunLimits {
     /// It ends then at the latest.
     pub deadline: Instant,
     /// It ends when this is set.
@@ -52,8 +52,8 @@
     pub random: ChaCha8Rng,
     progress: &'run dyn Progress,
     folder: &'run Path,
-    ends: &'run Ends,
-    memory_seen: Option<Instant>,
+    limits: &'run RunLimits,
+    memory_checked_at: Option<Instant>,
 }
 
 impl<'run> Context<'run> {
@@ -62,11 +62,11 @@
         children: &'run mut Children,
         progress: &'run dyn Progress,
         folder: &'run Path,
-        ends: &'run Ends,
+        limits: &'run RunLimits,
         seed: u64,
     ) -> Self {
         let random = ChaCha8Rng::seed_from_u64(seed);
-        Self { children, random, progress, folder, ends, memory_seen: None }
+        Self { children, random, progress, folder, limits, memory_checked_at: None }
     }
 
     /// A folder of this run for files; it is gone after the run.
@@ -82,20 +82,20 @@
     /// Must the measure end: by an interrupt, the deadline, the memory in use, or a child that died? To be called
     /// often; it costs little.
     pub fn check(&mut self) -> Result<(), MeasureError> {
-        if self.ends.interrupt.is_set() {
+        if self.limits.interrupt.is_set() {
             return Err(MeasureError::Interrupted);
         }
         let now = Instant::now();
-        if now >= self.ends.deadline {
+        if now >= self.limits.deadline {
             return Err(MeasureError::Deadline);
         }
-        if self.memory_seen.is_some_and(|seen| now < seen + MEMORY_EVERY) {
+        if self.memory_checked_at.is_some_and(|seen| now < seen + MEMORY_CHECK_INTERVAL) {
             return Ok(());
         }
-        self.memory_seen = Some(now);
+        self.memory_checked_at = Some(now);
         self.children.check()?;
         let own = Process::own().resident().map_err(MeasureError::system("the rig's own memory"))?;
-        let (used, allowed) = (own + self.children.resident(), self.ends.memory);
+        let (used, allowed) = (own + self.children.resident(), self.limits.memory);
         if used > allowed { Err(MeasureError::Memory { used, allowed }) } else { Ok(()) }
     }
 
@@ -108,7 +108,7 @@
             if left.is_zero() {
                 return Ok(());
             }
-            thread::sleep(left.min(LOOK_EVERY));
+            thread::sleep(left.min(POLL_INTERVAL));
         }
     }
 
@@ -128,7 +128,7 @@
             if left.is_zero() {
                 return Ok(None);
             }
-            thread::sleep(left.min(LOOK_EVERY));
+            thread::sleep(left.min(POLL_INTERVAL));
         }
     }
 }
--- a/crates/scale/src/fit.rs
+++ b/crates/scale/src/fit.rs
@@ -30,15 +30,15 @@
         let count = points.len() as f64;
         let mean_x = points.iter().map(|(x, _)| x).sum::<f64>() / count;
         let mean_y = points.iter().map(|(_, y)| y).sum::<f64>() / count;
-        let spread: f64 = points.iter().map(|(x, _)| (x - mean_x).powi(2)).sum();
-        let joint: f64 = points.iter().map(|(x, y)| (x - mean_x) * (y - mean_y)).sum();
-        if spread <= 0.0 {
+        let sum_xx: f64 = points.iter().map(|(x, _)| (x - mean_x).powi(2)).sum();
+        let sum_xy: f64 = points.iter().map(|(x, y)| (x - mean_x) * (y - mean_y)).sum();
+        if sum_xx <= 0.0 {
             return None;
         }
-        let slope = joint / spread;
+        let slope = sum_xy / sum_xx;
         let intercept = mean_y - slope * mean_x;
-        let residue: f64 = points.iter().map(|(x, y)| (y - intercept - slope * x).powi(2)).sum();
-        let slope_error = (residue / (count - 2.0) / spread).sqrt();
+        let squared_residuals: f64 = points.iter().map(|(x, y)| (y - intercept - slope * x).powi(2)).sum();
+        let slope_error = (squared_residuals / (count - 2.0) / sum_xx).sqrt();
         Some(Self { intercept, slope, slope_error })
     }
 }
--- a/crates/scale/src/lib.rs
+++ b/crates/scale/src/lib.rs
@@ -3,7 +3,7 @@
 //! May know: the decision module, the text of settings, processes and `/proc`. Must not know: the command line, and
 //! how the program that it starts is made.
 //!
-//! * [`settings`]: a file to a checked plan; a plan that can't fit on the machine is refused ([`room`]).
+//! * [`settings`]: a file to a checked plan; a plan that can't fit on the machine is refused ([`capacity`]).
 //! * [`measure`]: what is measured, one module a measure, behind one trait.
 //! * [`context`], [`children`], [`process`], [`rig`]: what a measure works with.
 //! * [`run`]: measures in their order, until the end, the deadline or an interrupt.
@@ -12,6 +12,7 @@
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
+pub mod capacity;
 pub mod children;
 pub mod context;
 pub mod fit;
@@ -20,7 +21,6 @@
 pub mod process;
 pub mod report;
 pub mod rig;
-pub mod room;
 pub mod run;
 pub mod settings;
 pub mod verdict;
--- a/crates/scale/src/measure/administration/api.rs
+++ b/crates/scale/src/measure/administration/api.rs
@@ -11,15 +11,15 @@
 use crate::measure::MeasureError;
 
 /// An answer has so long: longer than any change waits for its word.
-const PATIENCE: Duration = Duration::from_secs(30);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(30);
 /// How often an end of the run is looked for meanwhile.
-const LOOK_EVERY: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// A limit from which each change takes something away.
 const FIRST_LIMIT: u64 = 1_000_000_000;
 
 /// A client with a key that may do all.
 pub struct Api {
-    poster: Http1Client,
+    client: Http1Client,
     authorization: String,
     limit: u64,
 }
@@ -32,15 +32,15 @@
 impl Api {
     /// A client of the administration at this address.
     pub fn new(administration: SocketAddr, token: &str) -> Result<Self, MeasureError> {
-        let poster =
-            Http1Client::new(administration, 1, PATIENCE).map_err(MeasureError::system("a client"))?;
-        Ok(Self { poster, authorization: format!("Bearer {token}"), limit: FIRST_LIMIT })
+        let client =
+            Http1Client::new(administration, 1, REQUEST_TIMEOUT).map_err(MeasureError::system("a client"))?;
+        Ok(Self { client, authorization: format!("Bearer {token}"), limit: FIRST_LIMIT })
     }
 
     /// Makes a tenant.
     pub fn create(&mut self, name: &str, context: &mut Context<'_>) -> Result<(), MeasureError> {
         let body = json!({ "name": name, "note": "a tenant of a scale run" }).to_string();
-        let answer = self.ask("POST", "/v1/tenants", "application/json", body.as_bytes(), context)?;
+        let answer = self.request("POST", "/v1/tenants", "application/json", body.as_bytes(), context)?;
         expect(&answer, &[201, 202])
     }
 
@@ -50,14 +50,15 @@
         self.limit -= 1;
         let body = json!({ "limits": { "open_calls": self.limit } }).to_string();
         let target = format!("/v1/tenants/{name}");
-        let answer = self.ask("PATCH", &target, "application/merge-patch+json", body.as_bytes(), context)?;
+        let answer =
+            self.request("PATCH", &target, "application/merge-patch+json", body.as_bytes(), context)?;
         expect(&answer, &[200, 202])?;
         Ok(answer.header("nettleferry-in-force") == Some("everywhere"))
     }
 
     /// How many lives hold a lease.
     pub fn leases(&mut self, context: &mut Context<'_>) -> Result<u64, MeasureError> {
-        let answer = self.ask("GET", "/v1/fleet", "application/json", b"", context)?;
+        let answer = self.request("GET", "/v1/fleet", "application/json", b"", context)?;
         expect(&answer, &[200])?;
         let fleet: Fleet = serde_json::from_slice(&answer.body)
             .map_err(|error| MeasureError::Unexpected(format!("/v1/fleet: {error}")))?;
@@ -65,7 +66,7 @@
     }
 
     /// Asks once more where the connection was closed between two requests.
-    fn ask(
+    fn request(
         &mut self,
         method: &str,
         target: &str,
@@ -91,12 +92,12 @@
     ) -> Result<Result<Answer, Http1Error>, MeasureError> {
         let headers =
             [("Authorization", self.authorization.as_str()), ("Content-Type", kind), ("If-Match", "*")];
-        self.poster.send(0, method, target, &headers, body);
-        let mut heard = Vec::new();
+        self.client.send(0, method, target, &headers, body);
+        let mut events = Vec::new();
         loop {
-            let turned = self.poster.poll(Some(LOOK_EVERY), &mut heard);
-            turned.map_err(MeasureError::system("a client's poll"))?;
-            if let Some((_, answer)) = heard.pop() {
+            let polled = self.client.poll(Some(POLL_INTERVAL), &mut events);
+            polled.map_err(MeasureError::system("a client's poll"))?;
+            if let Some((_, answer)) = events.pop() {
                 return Ok(answer);
             }
             context.check()?;
--- a/crates/scale/src/measure/administration/fleet.rs
+++ b/crates/scale/src/measure/administration/fleet.rs
@@ -16,11 +16,11 @@
 use crate::measure::MeasureError;
 
 /// Hollow followers of one process.
-pub const HOLLOW_A_PROCESS: u64 = 500;
+pub const FOLLOWERS_PER_PROCESS: u64 = 500;
 /// A process has so long to say what is waited for.
 const PATIENCE: Duration = Duration::from_secs(30);
 /// How often it is asked whether all have leases.
-const LEASES_EVERY: Duration = Duration::from_millis(100);
+const LEASE_POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// Settings that all real processes share. There are no workers: no call is made.
 const SETTINGS: &str = "(listen (grpc \"127.0.0.1:0\"))\n(workers (file \"workers.sexp\"))\n\
     (class quick (effect safe) (aim 1s) (deadline 20s))\n(model \"echo\" (class quick) (lanes 64))\n";
@@ -85,12 +85,12 @@
             address(child, "listening grpc ", context)?;
             self.real.push(child);
         }
-        let mut begun = 0;
-        while begun < size {
-            let count = HOLLOW_A_PROCESS.min(size - begun);
-            let child = self.start_hollow(count, u64::from(script.real) + 1 + begun, context)?;
+        let mut started = 0;
+        while started < size {
+            let count = FOLLOWERS_PER_PROCESS.min(size - started);
+            let child = self.start_hollow(count, u64::from(script.real) + 1 + started, context)?;
             self.hollow.push(child);
-            begun += count;
+            started += count;
         }
         self.wait_for_leases(size + u64::from(script.real), context)
     }
@@ -123,16 +123,16 @@
             }
             if std::time::Instant::now() > until {
                 let what = format!("{leases} of {wanted} followers have a lease after {PATIENCE:?}");
-                return Err(context.children.complaint(self.administration, &what));
+                return Err(context.children.child_error(self.administration, &what));
             }
-            context.wait(LEASES_EVERY)?;
+            context.wait(LEASE_POLL_INTERVAL)?;
         }
     }
 
     /// What hollow followers counted since they were asked last, a summary a process.
     pub fn summaries(&self, context: &mut Context<'_>) -> Result<Vec<Summary>, MeasureError> {
         for child in &self.hollow {
-            context.children.say(*child, "summary")?;
+            context.children.write_line(*child, "summary")?;
         }
         self.hollow.iter().map(|child| summary(*child, context)).collect()
     }
@@ -170,10 +170,10 @@
 fn address(child: ChildId, words: &str, context: &mut Context<'_>) -> Result<SocketAddr, MeasureError> {
     loop {
         let line = context.children.next_line(child, PATIENCE)?;
-        let told = line.strip_prefix(words).map(|address| address.parse());
-        match told {
+        let address = line.strip_prefix(words).map(|address| address.parse());
+        match address {
             Some(Ok(address)) => return Ok(address),
-            Some(Err(_)) => return Err(context.children.complaint(child, &format!("no address: {line}"))),
+            Some(Err(_)) => return Err(context.children.child_error(child, &format!("no address: {line}"))),
             None => {}
         }
     }
@@ -185,7 +185,7 @@
         match serde_json::from_str::<Line>(&line) {
             Ok(Line::FollowersSummary(summary)) => return Ok(*summary),
             Ok(_) => {}
-            Err(error) => return Err(context.children.complaint(child, &format!("{error}: {line}"))),
+            Err(error) => return Err(context.children.child_error(child, &format!("{error}: {line}"))),
         }
     }
 }
--- a/crates/scale/src/measure/administration/figures.rs
+++ b/crates/scale/src/measure/administration/metrics.rs
@@ -1,10 +1,10 @@
 //! The figures of `administration`.
 
-use crate::measure::Figure;
+use crate::measure::Metric;
 use crate::measure::Unit::{Bytes, BytesPerSecond, Cores, Count, Microseconds};
-use crate::measure::figures;
+use crate::measure::metrics;
 
-figures! {
+metrics! {
     MEMORY = "memory", Bytes, "resident memory of the administration at the end";
     DESCRIPTORS = "descriptors", Count, "descriptors that the administration has open";
     QUIET_PROCESSOR = "quiet-processor", Cores, "cores of the administration while nothing changes";
--- a/crates/scale/src/measure/administration/mod.rs
+++ b/crates/scale/src/measure/administration/mod.rs
@@ -2,9 +2,9 @@
 //! What it and a real follower spend while nothing changes and while changes are made, by the number of followers.
 
 mod api;
-mod figures;
 mod fleet;
 mod interval;
+mod metrics;
 
 use std::time::{Duration, Instant};
 
@@ -13,12 +13,12 @@
 use nettleferry_fleet::lease::{MAX_SPAN, MIN_SPAN};
 use nettleferry_fleet::membership::MAX_INCARNATIONS;
 
-use self::figures::*;
-use self::fleet::{Fleet, HOLLOW_A_PROCESS};
+use self::fleet::{FOLLOWERS_PER_PROCESS, Fleet};
 use self::interval::{Changes, Interval};
-use super::{Figure, Measure, MeasureError, Observations, Sizes};
+use self::metrics::*;
+use super::{Measure, MeasureError, Metric, Observations, Sizes};
+use crate::capacity::Needs;
 use crate::context::Context;
-use crate::room::Needs;
 
 /// Its key in a file.
 pub const NAME: &str = "administration";
@@ -26,7 +26,7 @@
 const MOST_REAL: u32 = 8;
 const MOST_TENANTS: u64 = 20_000;
 const MOST_RATE: f64 = 1_000.0;
-const LONGEST_INTERVAL: Micros = 120_000_000;
+const MAX_INTERVAL: Micros = 120_000_000;
 /// Estimates from above, for the refusal of sizes that can't fit: bytes of a real process, of a hollow one and of a
 /// follower in both; time to start, to make a tenant, and a change's longest wait for its word.
 const PROCESS_BYTES: u64 = 64 << 20;
@@ -56,7 +56,7 @@
     if !(0.01..=MOST_RATE).contains(&script.rate) {
         form.error(format!("(changes-per-second ...): write 0.01 to {MOST_RATE}"));
     }
-    if !(100_000..=LONGEST_INTERVAL).contains(&script.interval) {
+    if !(100_000..=MAX_INTERVAL).contains(&script.interval) {
         form.error("(interval ...): write 100ms to 2min");
     }
     let most = (MAX_INCARNATIONS as u64).saturating_sub(u64::from(script.real));
@@ -96,12 +96,12 @@
         &self.sizes
     }
 
-    fn figures(&self) -> &'static [&'static Figure] {
-        FIGURES
+    fn metrics(&self) -> &'static [&'static Metric] {
+        METRICS
     }
 
     fn needs(&self, size: u64) -> Needs {
-        let hollow = size.div_ceil(HOLLOW_A_PROCESS);
+        let hollow = size.div_ceil(FOLLOWERS_PER_PROCESS);
         let processes = 1 + u64::from(self.script.real) + hollow;
         let tenants = TENANT_TIME.saturating_mul(u32::try_from(self.script.tenants).unwrap_or(u32::MAX));
         Needs {
@@ -131,14 +131,14 @@
             changes = Some(Changes::make(script.rate, span, script.tenants, fleet, context)?);
             Ok(())
         })?;
-        let mut got = Observations::default();
-        got.add(&START, start.as_micros() as f64);
-        observe_quiet(&quiet, size, &mut got);
+        let mut observations = Observations::default();
+        observations.add(&START, start.as_micros() as f64);
+        observe_quiet(&quiet, size, &mut observations);
         if let Some(changes) = changes {
-            observe_changes(&quiet, &busy, &changes, size, &mut got);
+            observe_changes(&quiet, &busy, &changes, size, &mut observations);
         }
-        observe_ends(&quiet, &busy, &mut got);
-        Ok(got)
+        observe_ends(&quiet, &busy, &mut observations);
+        Ok(observations)
     }
 }
 
@@ -146,52 +146,58 @@
     processor.as_secs_f64() / span.as_secs_f64()
 }
 
-fn observe_quiet(quiet: &Interval, size: u64, got: &mut Observations) {
+fn observe_quiet(quiet: &Interval, size: u64, observations: &mut Observations) {
     let seconds = quiet.span.as_secs_f64();
     let asks = quiet.sum(|summary| summary.counts.asks);
     let follower_seconds = size as f64 * seconds;
-    got.add(&QUIET_PROCESSOR, cores(quiet.administration, quiet.span));
-    got.add(&ASKS, asks / seconds);
-    got.add(&ASK_PROCESSOR, quiet.administration.as_secs_f64() * 1e6 / asks);
-    got.add(&QUIET_TO, quiet.sum(|summary| summary.counts.bytes_in) / follower_seconds);
-    got.add(&QUIET_FROM, quiet.sum(|summary| summary.counts.bytes_out) / follower_seconds);
+    observations.add(&QUIET_PROCESSOR, cores(quiet.administration, quiet.span));
+    observations.add(&ASKS, asks / seconds);
+    observations.add(&ASK_PROCESSOR, quiet.administration.as_secs_f64() * 1e6 / asks);
+    observations.add(&QUIET_TO, quiet.sum(|summary| summary.counts.bytes_in) / follower_seconds);
+    observations.add(&QUIET_FROM, quiet.sum(|summary| summary.counts.bytes_out) / follower_seconds);
     if let Some(real) = quiet.real {
-        got.add(&FOLLOWER_PROCESSOR, cores(real, quiet.span));
+        observations.add(&FOLLOWER_PROCESSOR, cores(real, quiet.span));
     }
 }
 
 /// What changes cost beyond what the quiet interval did.
-fn observe_changes(quiet: &Interval, busy: &Interval, changes: &Changes, size: u64, got: &mut Observations) {
+fn observe_changes(
+    quiet: &Interval,
+    busy: &Interval,
+    changes: &Changes,
+    size: u64,
+    observations: &mut Observations,
+) {
     let (made, seconds) = (changes.made as f64, busy.span.as_secs_f64());
     let beyond = |quiet_cores: f64, processor: Duration| processor.as_secs_f64() - quiet_cores * seconds;
     let administration = beyond(cores(quiet.administration, quiet.span), busy.administration);
-    got.add(&CHANGE_RATE, made / seconds);
-    got.add(&CHANGE_PROCESSOR, administration * 1e6 / made);
-    got.add(&NOT_EVERYWHERE, changes.not_everywhere as f64);
+    observations.add(&CHANGE_RATE, made / seconds);
+    observations.add(&CHANGE_PROCESSOR, administration * 1e6 / made);
+    observations.add(&NOT_EVERYWHERE, changes.not_everywhere as f64);
     if !changes.everywhere.is_empty() {
         let at = |part| changes.everywhere.value_at_quantile(part) as f64;
-        got.add(&EVERYWHERE_P50, at(0.5));
-        got.add(&EVERYWHERE_P99, at(0.99));
-        got.add(&EVERYWHERE_MAX, changes.everywhere.max() as f64);
+        observations.add(&EVERYWHERE_P50, at(0.5));
+        observations.add(&EVERYWHERE_P99, at(0.99));
+        observations.add(&EVERYWHERE_MAX, changes.everywhere.max() as f64);
     }
-    got.add(&CHANGE_TO_EACH_P99, busy.greatest(|summary| summary.change_to_each.p99 as f64));
+    observations.add(&CHANGE_TO_EACH_P99, busy.greatest(|summary| summary.change_to_each.p99 as f64));
     let quiet_bytes = quiet.sum(|summary| summary.counts.bytes_in) / quiet.span.as_secs_f64() * seconds;
     let change_bytes = busy.sum(|summary| summary.counts.bytes_in) - quiet_bytes;
-    got.add(&CHANGE_BYTES, change_bytes / made / size as f64);
+    observations.add(&CHANGE_BYTES, change_bytes / made / size as f64);
     if let (Some(quiet_real), Some(real)) = (quiet.real, busy.real) {
         let real = beyond(cores(quiet_real, quiet.span), real);
-        got.add(&FOLLOWER_CHANGE_PROCESSOR, real * 1e6 / made);
+        observations.add(&FOLLOWER_CHANGE_PROCESSOR, real * 1e6 / made);
     }
 }
 
-fn observe_ends(quiet: &Interval, busy: &Interval, got: &mut Observations) {
-    got.add(&MEMORY, busy.end.resident as f64);
-    got.add(&DESCRIPTORS, busy.end.descriptors as f64);
-    got.add(&UNLEASED, (quiet.unleased() + busy.unleased()) / 2.0);
+fn observe_ends(quiet: &Interval, busy: &Interval, observations: &mut Observations) {
+    observations.add(&MEMORY, busy.end.resident as f64);
+    observations.add(&DESCRIPTORS, busy.end.descriptors as f64);
+    observations.add(&UNLEASED, (quiet.unleased() + busy.unleased()) / 2.0);
     if let Some(resident) = busy.real_resident {
-        got.add(&FOLLOWER_MEMORY, resident as f64);
+        observations.add(&FOLLOWER_MEMORY, resident as f64);
     }
     let hollow =
         |interval: &Interval| interval.greatest(|s| s.processor_us as f64 / 1e3 / s.ran_ms.max(1) as f64);
-    got.add(&HOLLOW_PROCESSOR, hollow(quiet).max(hollow(busy)));
+    observations.add(&HOLLOW_PROCESSOR, hollow(quiet).max(hollow(busy)));
 }
--- a/crates/scale/src/measure/list/calls.rs
+++ b/crates/scale/src/measure/list/calls.rs
@@ -18,14 +18,14 @@
 /// Calls that are open at once; while so many are, no further one begins.
 const MOST_OPEN: usize = 2_000;
 /// Longest time that the histogram tells apart, in microseconds.
-const LONGEST: u64 = 60_000_000;
+const MAX_LATENCY_MICROS: u64 = 60_000_000;
 /// Bytes of tensor that a call carries.
-const CALL_BYTES: usize = 256;
+const CALL_TENSOR_BYTES: usize = 256;
 /// The thread looks so often whether it is to end.
-const LOOK_EVERY: Duration = Duration::from_millis(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Calls of a stretch of time.
-pub struct Stretch {
+pub struct CallStats {
     /// Time of each call that was served, in microseconds.
     pub latency: Histogram<u64>,
     /// Calls that were not served.
@@ -34,9 +34,9 @@
     pub skipped: u64,
 }
 
-impl Stretch {
+impl CallStats {
     fn new() -> io::Result<Self> {
-        let latency = Histogram::new_with_bounds(1, LONGEST, 3)
+        let latency = Histogram::new_with_bounds(1, MAX_LATENCY_MICROS, 3)
             .map_err(|error| io::Error::other(format!("a histogram: {error}")))?;
         Ok(Self { latency, failed: 0, skipped: 0 })
     }
@@ -44,7 +44,7 @@
 
 /// Calls under way until this is dropped.
 pub struct Calls {
-    stretch: Arc<Mutex<Stretch>>,
+    stats: Arc<Mutex<CallStats>>,
     stop: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
 }
@@ -52,32 +52,33 @@
 impl Calls {
     /// Begins calls of `model`, so many a second.
     pub fn start(to: SocketAddr, model: &str, rate: f64) -> io::Result<Self> {
-        let stretch = Arc::new(Mutex::new(Stretch::new()?));
+        let stats = Arc::new(Mutex::new(CallStats::new()?));
         let stop = Arc::new(AtomicBool::new(false));
-        let mut request = climb_request(model, "1", &[], 1);
-        request.raw_input_contents = vec![vec![7; CALL_BYTES].into()];
-        let ask = ClientRequest {
+        let mut infer_request = climb_request(model, "1", &[], 1);
+        infer_request.raw_input_contents = vec![vec![7; CALL_TENSOR_BYTES].into()];
+        let request = ClientRequest {
             method: "ModelInfer",
-            messages: vec![request.encode_to_vec().into()],
+            messages: vec![infer_request.encode_to_vec().into()],
             ..ClientRequest::default()
         };
         let every = Duration::from_secs_f64(1.0 / rate);
-        let (told, stopped) = (Arc::clone(&stretch), Arc::clone(&stop));
+        let (recorded, stopped) = (Arc::clone(&stats), Arc::clone(&stop));
         let work = move || {
-            let ended = Caller::new(to, ask, every, told).and_then(|mut caller| caller.run(&stopped));
-            if let Err(error) = ended {
+            let record_ended =
+                Caller::new(to, request, every, recorded).and_then(|mut caller| caller.run(&stopped));
+            if let Err(error) = record_ended {
                 // ObservationKind by whoever takes the stretch: no call of it was served.
                 eprintln!("calls of the scale run ended: {error}");
             }
         };
         let thread = thread::Builder::new().name("calls".to_owned()).spawn(work)?;
-        Ok(Self { stretch, stop, thread: Some(thread) })
+        Ok(Self { stats, stop, thread: Some(thread) })
     }
 
     /// The calls that ended since the last time.
-    pub fn take(&self) -> io::Result<Stretch> {
-        let mut stretch = self.stretch.lock().unwrap_or_else(PoisonError::into_inner);
-        Ok(std::mem::replace(&mut stretch, Stretch::new()?))
+    pub fn take(&self) -> io::Result<CallStats> {
+        let mut stats = self.stats.lock().unwrap_or_else(PoisonError::into_inner);
+        Ok(std::mem::replace(&mut stats, CallStats::new()?))
     }
 }
 
@@ -93,22 +94,22 @@
 struct Caller {
     client: Client,
     to: SocketAddr,
-    ask: ClientRequest,
+    request: ClientRequest,
     every: Duration,
-    begun: HashMap<u64, Instant>,
-    heard: Vec<ClientEvent>,
-    stretch: Arc<Mutex<Stretch>>,
+    open: HashMap<u64, Instant>,
+    events: Vec<ClientEvent>,
+    stats: Arc<Mutex<CallStats>>,
 }
 
 impl Caller {
     fn new(
         to: SocketAddr,
-        ask: ClientRequest,
+        request: ClientRequest,
         every: Duration,
-        stretch: Arc<Mutex<Stretch>>,
+        stats: Arc<Mutex<CallStats>>,
     ) -> io::Result<Self> {
         let client = Client::new(1, NetLimits::default())?;
-        Ok(Self { client, to, ask, every, begun: HashMap::new(), heard: Vec::new(), stretch })
+        Ok(Self { client, to, request, every, open: HashMap::new(), events: Vec::new(), stats })
     }
 
     fn run(&mut self, stop: &AtomicBool) -> io::Result<()> {
@@ -119,33 +120,33 @@
                 next = (next + self.every).max(now);
                 self.begin(now)?;
             }
-            let wait = next.saturating_duration_since(Instant::now()).min(LOOK_EVERY);
-            self.client.poll(Some(wait), &mut self.heard)?;
-            self.ended();
+            let wait = next.saturating_duration_since(Instant::now()).min(POLL_INTERVAL);
+            self.client.poll(Some(wait), &mut self.events)?;
+            self.record_ended();
         }
         Ok(())
     }
 
     fn begin(&mut self, now: Instant) -> io::Result<()> {
-        if self.begun.len() >= MOST_OPEN {
-            self.stretch.lock().unwrap_or_else(PoisonError::into_inner).skipped += 1;
+        if self.open.len() >= MOST_OPEN {
+            self.stats.lock().unwrap_or_else(PoisonError::into_inner).skipped += 1;
             return Ok(());
         }
-        let rpc = self.client.call(self.to, self.ask.clone())?;
-        self.begun.insert(rpc, now);
+        let rpc = self.client.call(self.to, self.request.clone())?;
+        self.open.insert(rpc, now);
         Ok(())
     }
 
-    fn ended(&mut self) {
+    fn record_ended(&mut self) {
         let now = Instant::now();
-        let mut stretch = self.stretch.lock().unwrap_or_else(PoisonError::into_inner);
-        for heard in self.heard.drain(..) {
-            let ClientEvent::End { rpc, status, .. } = heard else { continue };
-            let Some(began) = self.begun.remove(&rpc) else { continue };
+        let mut stats = self.stats.lock().unwrap_or_else(PoisonError::into_inner);
+        for events in self.events.drain(..) {
+            let ClientEvent::End { rpc, status, .. } = events else { continue };
+            let Some(began) = self.open.remove(&rpc) else { continue };
             if status.is_ok_and(|status| status.code == Code::Ok) {
-                stretch.latency.saturating_record((now - began).as_micros() as u64);
+                stats.latency.saturating_record((now - began).as_micros() as u64);
             } else {
-                stretch.failed += 1;
+                stats.failed += 1;
             }
         }
     }
--- a/crates/scale/src/measure/list/figures.rs
+++ b/crates/scale/src/measure/list/metrics.rs
@@ -1,10 +1,10 @@
 //! The figures of `list`.
 
-use crate::measure::Figure;
+use crate::measure::Metric;
 use crate::measure::Unit::{Bytes, Cores, Count, Microseconds};
-use crate::measure::figures;
+use crate::measure::metrics;
 
-figures! {
+metrics! {
     START = "start", Microseconds, "from the start of the process until it listens";
     MEMORY = "memory", Bytes, "resident memory of the process with the list";
     LIST_BYTES = "list-bytes", Bytes, "the list file";
--- a/crates/scale/src/measure/list/mod.rs
+++ b/crates/scale/src/measure/list/mod.rs
@@ -4,7 +4,7 @@
 //! All workers of the list have the address of one stand-in worker: the list is long, the fleet behind it is not.
 
 mod calls;
-mod figures;
+mod metrics;
 
 use std::fs;
 use std::net::SocketAddr;
@@ -16,13 +16,13 @@
 use nettleferry_config::{Worker, workers};
 use rand::RngExt;
 
-use self::calls::{Calls, Stretch};
-use self::figures::*;
-use super::{Figure, Measure, MeasureError, Observations, Sizes};
+use self::calls::{CallStats, Calls};
+use self::metrics::*;
+use super::{Measure, MeasureError, Metric, Observations, Sizes};
+use crate::capacity::Needs;
 use crate::children::ChildId;
 use crate::context::Context;
 use crate::process::{Process, Sample};
-use crate::room::Needs;
 
 /// Its key in a file.
 pub const NAME: &str = "list";
@@ -33,7 +33,7 @@
 /// A child has so long to listen, and a list to be taken.
 const PATIENCE: Duration = Duration::from_secs(20);
 /// The log line that tells of a list that was taken, and the filter that lets it through.
-const TAKEN: &str = "worker list applied";
+const LIST_APPLIED: &str = "worker list applied";
 const LOG_FILTER: &str = "warn,nettleferry::worker_list=info";
 /// The model that is called.
 const MODEL: &str = "echo";
@@ -107,8 +107,8 @@
         &self.sizes
     }
 
-    fn figures(&self) -> &'static [&'static Figure] {
-        FIGURES
+    fn metrics(&self) -> &'static [&'static Metric] {
+        METRICS
     }
 
     fn needs(&self, size: u64) -> Needs {
@@ -128,22 +128,22 @@
         let mut to = Observations::default();
         let mut gateway = Gateway::start(size, context, &mut to)?;
         let calls = Calls::start(gateway.address, MODEL, self.rate).map_err(MeasureError::system("calls"))?;
-        let mut stretches = Vec::new();
+        let mut stats_by_metric = Vec::new();
         // The first call of the model loads it, and connects.
         context.wait(self.settle)?;
         take(&calls)?;
         let rest = self.rest(&gateway, context)?;
         to.add(&REST, rest);
-        stretches.push((&REST_LONGEST, take(&calls)?));
+        stats_by_metric.push((&REST_LONGEST, take(&calls)?));
         let cost = self.changes(&mut gateway, rest, self.changes, Gateway::change_one, context)?;
         to.add(&CHANGE, cost.processor);
         to.add(&CHANGE_READ, cost.read);
-        stretches.push((&CHANGE_LONGEST, take(&calls)?));
+        stats_by_metric.push((&CHANGE_LONGEST, take(&calls)?));
         let cost = self.changes(&mut gateway, rest, 1, Gateway::change_all, context)?;
         to.add(&REPLACE, cost.processor);
-        stretches.push((&REPLACE_LONGEST, take(&calls)?));
+        stats_by_metric.push((&REPLACE_LONGEST, take(&calls)?));
         to.add(&MEMORY_AFTER, gateway.sample()?.resident as f64);
-        observe(stretches, &mut to)?;
+        observe(stats_by_metric, &mut to)?;
         Ok(to)
     }
 }
@@ -189,19 +189,22 @@
     }
 }
 
-fn take(calls: &Calls) -> Result<Stretch, MeasureError> {
+fn take(calls: &Calls) -> Result<CallStats, MeasureError> {
     calls.take().map_err(MeasureError::system("calls"))
 }
 
-fn observe(stretches: Vec<(&'static Figure, Stretch)>, to: &mut Observations) -> Result<(), MeasureError> {
+fn observe(
+    stats_by_metric: Vec<(&'static Metric, CallStats)>,
+    to: &mut Observations,
+) -> Result<(), MeasureError> {
     let mut not_served = 0;
-    for (longest, stretch) in stretches {
-        if stretch.latency.is_empty() {
+    for (longest, stats) in stats_by_metric {
+        if stats.latency.is_empty() {
             let what = format!("no call was served where {} is measured", longest.name);
             return Err(MeasureError::Unexpected(what));
         }
-        to.add(longest, stretch.latency.max() as f64);
-        not_served += stretch.failed + stretch.skipped;
+        to.add(longest, stats.latency.max() as f64);
+        not_served += stats.failed + stats.skipped;
     }
     to.add(&NOT_SERVED, not_served as f64);
     Ok(())
@@ -214,7 +217,7 @@
     address: SocketAddr,
     list: PathBuf,
     workers: Vec<Worker>,
-    made: u64,
+    workers_made: u64,
     standin: SocketAddr,
 }
 
@@ -239,12 +242,12 @@
         let arguments = ["--log", LOG_FILTER, "serve"].map(PathBuf::from).into_iter().chain([settings_file]);
         let (child, address) = listening("serve", arguments, context)?;
         to.add(&START, began.elapsed().as_secs_f64() * 1e6);
-        wait_taken(child, 0, context)?;
+        wait_applied(child, 0, context)?;
         let process = context
             .children
             .process(child)
             .ok_or_else(|| MeasureError::Unexpected("serve was stopped".to_owned()))?;
-        let gateway = Self { child, process, address, list, workers, made: size, standin };
+        let gateway = Self { child, process, address, list, workers, workers_made: size, standin };
         to.add(&MEMORY, gateway.sample()?.resident as f64);
         Ok(gateway)
     }
@@ -254,15 +257,15 @@
     }
 
     fn new_worker(&mut self) -> Worker {
-        self.made += 1;
-        worker(self.made, self.standin)
+        self.workers_made += 1;
+        worker(self.workers_made, self.standin)
     }
 
     /// Replaces one worker, and waits until the list is taken.
     fn change_one(&mut self, context: &mut Context<'_>) -> Result<(), MeasureError> {
         let at = context.random.random_range(0..self.workers.len());
         self.workers[at] = self.new_worker();
-        self.tell(context)
+        self.publish(context)
     }
 
     /// Replaces all workers, and waits until the list is taken.
@@ -270,13 +273,13 @@
         for at in 0..self.workers.len() {
             self.workers[at] = self.new_worker();
         }
-        self.tell(context)
+        self.publish(context)
     }
 
-    fn tell(&self, context: &mut Context<'_>) -> Result<(), MeasureError> {
-        let logged = context.children.logged(self.child);
+    fn publish(&self, context: &mut Context<'_>) -> Result<(), MeasureError> {
+        let log_line_count = context.children.log_line_count(self.child);
         write_list(&self.list, &self.workers)?;
-        wait_taken(self.child, logged, context)
+        wait_applied(self.child, log_line_count, context)
     }
 }
 
@@ -318,15 +321,15 @@
     let address = line.strip_prefix("listening grpc ").and_then(|address| address.parse().ok());
     match address {
         Some(address) => Ok((child, address)),
-        None => Err(context.children.complaint(child, &format!("it said {line:?}"))),
+        None => Err(context.children.child_error(child, &format!("it said {line:?}"))),
     }
 }
 
 /// Waits until the child has logged that a list was taken, in a line after the first `after`.
-fn wait_taken(child: ChildId, after: u64, context: &mut Context<'_>) -> Result<(), MeasureError> {
+fn wait_applied(child: ChildId, after: u64, context: &mut Context<'_>) -> Result<(), MeasureError> {
     let taken = context.wait_for(PATIENCE, |context| {
-        let lines = context.children.logged_after(child, after);
-        Ok(lines.iter().any(|line| line.contains(TAKEN)).then_some(()))
+        let lines = context.children.log_lines_after(child, after);
+        Ok(lines.iter().any(|line| line.contains(LIST_APPLIED)).then_some(()))
     })?;
-    taken.ok_or_else(|| context.children.complaint(child, "it did not take the list in time"))
+    taken.ok_or_else(|| context.children.child_error(child, "it did not take the list in time"))
 }
--- a/crates/scale/src/measure/mod.rs
+++ b/crates/scale/src/measure/mod.rs
@@ -1,5 +1,5 @@
 //! What a run measures: one module a measure, each behind the trait [`Measure`]. A new one is a module here and a
-//! line in [`KINDS`].
+//! line in [`MEASURE_KINDS`].
 
 pub mod administration;
 pub mod list;
@@ -12,8 +12,8 @@
 use nettleferry_config::syntax::Span;
 use serde::Serialize;
 
+use crate::capacity::Needs;
 use crate::context::Context;
-use crate::room::Needs;
 
 /// The unit of a figure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
@@ -33,7 +33,7 @@
 
 /// A figure that a measure gives at each size.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Figure {
+pub struct Metric {
     /// Its name, as bounds and reports have it.
     pub name: &'static str,
     /// Its unit.
@@ -42,33 +42,33 @@
     pub what: &'static str,
 }
 
-/// Defines figures as statics, and `FIGURES` with all of them.
-macro_rules! figures {
+/// Defines figures as statics, and `METRICS` with all of them.
+macro_rules! metrics {
     ($($constant:ident = $name:literal, $unit:ident, $what:literal;)*) => {
         $(
             #[doc = $what]
-            pub static $constant: Figure = Figure { name: $name, unit: $unit, what: $what };
+            pub static $constant: Metric = Metric { name: $name, unit: $unit, what: $what };
         )*
         /// All of them.
-        pub static FIGURES: &[&Figure] = &[$(&$constant),*];
+        pub static METRICS: &[&Metric] = &[$(&$constant),*];
     };
 }
-pub(crate) use figures;
+pub(crate) use metrics;
 
 /// The figures of one size.
 #[derive(Debug, Default)]
 pub struct Observations {
     /// Figures and their values.
-    pub values: Vec<(&'static Figure, f64)>,
+    pub values: Vec<(&'static Metric, f64)>,
     /// What was measured ran inside the rig's own process.
     pub in_process: bool,
 }
 
 impl Observations {
     /// Adds a figure. What is no number was not observed.
-    pub fn add(&mut self, figure: &'static Figure, value: f64) {
+    pub fn add(&mut self, metric: &'static Metric, value: f64) {
         if value.is_finite() {
-            self.values.push((figure, value));
+            self.values.push((metric, value));
         }
     }
 }
@@ -177,7 +177,7 @@
     fn sizes(&self) -> &Sizes;
 
     /// The figures that it may give.
-    fn figures(&self) -> &'static [&'static Figure];
+    fn metrics(&self) -> &'static [&'static Metric];
 
     /// What a size needs, estimated from above; it grows with the size.
     fn needs(&self, size: u64) -> Needs;
@@ -188,7 +188,7 @@
 }
 
 /// A measure that a file may ask for.
-pub struct Kind {
+pub struct MeasureKind {
     /// Its key in the file.
     pub name: &'static str,
     /// Reads its list. `None`: it is not sound, and the faults are noted.
@@ -196,9 +196,9 @@
 }
 
 /// All measures, in the order in which they run.
-pub const KINDS: &[Kind] = &[
-    Kind { name: module::NAME, read: module::read },
-    Kind { name: list::NAME, read: list::read },
-    Kind { name: administration::NAME, read: administration::read },
-    Kind { name: worker::NAME, read: worker::read },
+pub const MEASURE_KINDS: &[MeasureKind] = &[
+    MeasureKind { name: module::NAME, read: module::read },
+    MeasureKind { name: list::NAME, read: list::read },
+    MeasureKind { name: administration::NAME, read: administration::read },
+    MeasureKind { name: worker::NAME, read: worker::read },
 ];
--- a/crates/scale/src/measure/module/driver.rs
+++ b/crates/scale/src/measure/module/driver.rs
@@ -13,20 +13,20 @@
 use crate::measure::MeasureError;
 
 /// A client's patience: no scripted answer takes so long.
-const CLIENT_WAITS: Micros = 4_000_000;
+const CLIENT_TIMEOUT: Micros = 4_000_000;
 /// A probe is answered after this span.
-const PROBE_AFTER: Micros = 1_000;
+const PROBE_DELAY: Micros = 1_000;
 /// Calls of one copy at once.
 const LANES: u32 = 2;
 /// What a scripted worker tells of itself.
 const REPORT: Report =
     Report { inflight: Some(1.0), queue: Some(0.0), util: Some(0.3), memory_held: None, loads: None };
 /// Longest time that the histograms tell apart, in nanoseconds.
-const LONGEST: u64 = 60_000_000_000;
+const MAX_NANOSECONDS: u64 = 60_000_000_000;
 
 /// A call that is under way.
 #[derive(Default)]
-struct Open {
+struct OpenCall {
     attempts: u32,
     nanoseconds: u64,
 }
@@ -50,7 +50,7 @@
 impl Cost {
     fn new() -> Result<Self, MeasureError> {
         let histogram = || {
-            Histogram::new_with_bounds(1, LONGEST, 3)
+            Histogram::new_with_bounds(1, MAX_NANOSECONDS, 3)
                 .map_err(|error| MeasureError::Unexpected(format!("a histogram: {error}")))
         };
         let (handles, calls) = (histogram()?, histogram()?);
@@ -59,9 +59,9 @@
 
     /// Adds another stretch to this one.
     pub fn merge(&mut self, other: &Self) -> Result<(), MeasureError> {
-        let unlike = |error| MeasureError::Unexpected(format!("histograms: {error}"));
-        self.handles.add(&other.handles).map_err(unlike)?;
-        self.calls.add(&other.calls).map_err(unlike)?;
+        let histogram_error = |error| MeasureError::Unexpected(format!("histograms: {error}"));
+        self.handles.add(&other.handles).map_err(histogram_error)?;
+        self.calls.add(&other.calls).map_err(histogram_error)?;
         self.total += other.total;
         self.begun += other.begun;
         self.not_served += other.not_served;
@@ -78,7 +78,7 @@
     next_call: u64,
     sequence: u64,
     due: BTreeMap<(Micros, u64), Event>,
-    open: BTreeMap<RequestId, Open>,
+    open: BTreeMap<RequestId, OpenCall>,
     actions: Vec<Action>,
     cost: Cost,
 }
@@ -116,8 +116,8 @@
 
     /// The cost since the last time that it was taken.
     pub fn take_cost(&mut self) -> Result<Cost, MeasureError> {
-        let fresh = Cost::new()?;
-        Ok(std::mem::replace(&mut self.cost, fresh))
+        let empty = Cost::new()?;
+        Ok(std::mem::replace(&mut self.cost, empty))
     }
 
     /// Hands in a change of the worker list; its time in nanoseconds, which counts for no call.
@@ -134,14 +134,14 @@
             class: ClassId(0),
             tenant: None,
             function,
-            time_left: CLIENT_WAITS,
+            time_left: CLIENT_TIMEOUT,
             cpu_time_hint: None,
             lanes: LANES,
             load_time: None,
             repeat: false,
         };
         self.cost.begun += 1;
-        self.open.insert(id, Open::default());
+        self.open.insert(id, OpenCall::default());
         self.feed(Event::Request(request), Some(id));
     }
 
@@ -193,7 +193,7 @@
             Action::Probe { worker } => {
                 self.cost.probes += 1;
                 let outcome = Outcome::Ok;
-                self.schedule(PROBE_AFTER, Event::Probed { worker, outcome, report: Some(REPORT) });
+                self.schedule(PROBE_DELAY, Event::Probed { worker, outcome, report: Some(REPORT) });
             }
             Action::Load { worker, function, .. } => {
                 let (outcome, replicas, elapsed) = (Outcome::Ok, 1, self.answer_after);
--- a/crates/scale/src/measure/module/figures.rs
+++ b/crates/scale/src/measure/module/metrics.rs
@@ -1,10 +1,10 @@
 //! The figures of `module`.
 
-use crate::measure::Figure;
+use crate::measure::Metric;
 use crate::measure::Unit::{Bytes, Count, Microseconds};
-use crate::measure::figures;
+use crate::measure::metrics;
 
-figures! {
+metrics! {
     CALL_MEAN = "call-mean", Microseconds, "all handle calls but those of list changes, over calls of rare functions";
     CALL_P50 = "call-p50", Microseconds, "a call of a rare function from arrival to end: the middle one";
     CALL_P99 = "call-p99", Microseconds, "a call of a rare function: 99 in 100";
--- a/crates/scale/src/measure/module/mod.rs
+++ b/crates/scale/src/measure/module/mod.rs
@@ -2,7 +2,7 @@
 //! list and the state of functions cost, by the workers in the list.
 
 mod driver;
-mod figures;
+mod metrics;
 mod play;
 
 use std::time::Duration;
@@ -10,12 +10,12 @@
 use nettleferry::{Class, Controller, Discovery, Effect, Limits, Loading, Micros, Reports, Rules, Settings};
 use nettleferry_config::form::Form;
 
-use self::figures::{FIGURES, LIST_REPLACED, LIST_WHOLE, REMEMBERED, STATE};
-use self::play::Play;
-use super::{Figure, Measure, MeasureError, Observations, Sizes};
+use self::metrics::{LIST_REPLACED, LIST_WHOLE, METRICS, REMEMBERED, STATE};
+use self::play::Playback;
+use super::{Measure, MeasureError, Metric, Observations, Sizes};
+use crate::capacity::Needs;
 use crate::context::Context;
 use crate::process::Process;
-use crate::room::Needs;
 
 /// Its key in a file.
 pub const NAME: &str = "module";
@@ -35,9 +35,9 @@
 /// Reads `(module ...)`.
 pub fn read(form: &mut Form) -> Option<Box<dyn Measure>> {
     let sizes = Sizes::read(form, "workers");
-    let functions = whole(form, "functions", 10_000, MOST_FUNCTIONS);
-    let calls = whole(form, "calls", 20_000, MOST_CALLS);
-    let again = whole(form, "again", 2_000, MOST_CALLS);
+    let functions = integer(form, "functions", 10_000, MOST_FUNCTIONS);
+    let calls = integer(form, "calls", 20_000, MOST_CALLS);
+    let again = integer(form, "again", 2_000, MOST_CALLS);
     let rate: f64 = form.value_or("calls-per-second", 125.0);
     if !(0.001..=MOST_RATE).contains(&rate) {
         form.error(format!("(calls-per-second ...): write 0.001 to {MOST_RATE}"));
@@ -55,10 +55,10 @@
     if script.answer_after >= 1_000_000 {
         form.error("(answer-after ...): write less than 1s");
     }
-    Some(Box::new(Module { sizes: sizes?, script, held: Vec::new() }))
+    Some(Box::new(Module { sizes: sizes?, script, kept_controllers: Vec::new() }))
 }
 
-fn whole(form: &mut Form, key: &'static str, usual: u64, most: u64) -> u64 {
+fn integer(form: &mut Form, key: &'static str, usual: u64, most: u64) -> u64 {
     let value = form.value_or(key, usual);
     if !(1..=most).contains(&value) {
         form.error(format!("({key} ...): write 1 to {most}"));
@@ -108,7 +108,7 @@
     script: Script,
     /// Controllers of sizes that are done. They are kept so that memory they would free does not hide the growth of
     /// the next one.
-    held: Vec<Controller>,
+    kept_controllers: Vec<Controller>,
 }
 
 impl Module {
@@ -127,8 +127,8 @@
         &self.sizes
     }
 
-    fn figures(&self) -> &'static [&'static Figure] {
-        FIGURES
+    fn metrics(&self) -> &'static [&'static Metric] {
+        METRICS
     }
 
     fn needs(&self, size: u64) -> Needs {
@@ -140,7 +140,7 @@
     }
 
     fn run_at(&mut self, size: u64, context: &mut Context<'_>) -> Result<Observations, MeasureError> {
-        let mut play = Play::new(&self.script, size, context)?;
+        let mut play = Playback::new(&self.script, size, context)?;
         let mut observations = Observations { in_process: true, ..Observations::default() };
         observations.add(&LIST_WHOLE, play.first_list());
         let before = resident()?;
@@ -151,7 +151,7 @@
         play.recent_calls(context)?;
         observations.add(&LIST_REPLACED, play.replace_all());
         play.observe(&mut observations)?;
-        self.held.push(play.into_controller());
+        self.kept_controllers.push(play.into_controller());
         Ok(observations)
     }
 }
--- a/crates/scale/src/measure/module/play.rs
+++ b/crates/scale/src/measure/module/play.rs
@@ -9,22 +9,22 @@
 
 use super::Script;
 use super::driver::{Cost, Driver};
-use super::figures::*;
+use super::metrics::*;
 use crate::context::Context;
 use crate::measure::{MeasureError, Observations};
 
 /// The module's clock begins here.
 const START: Micros = 100_000_000;
 /// Functions that were called last: the calls of functions seen again are drawn among so many.
-const RECENT: usize = 500;
+const RECENT_FUNCTIONS: usize = 500;
 /// Calls between two looks for an end of the run.
-const CALLS_A_LOOK: u64 = 64;
+const CALLS_PER_CHECK: u64 = 64;
 /// Zones, and workers of a cell.
 const ZONES: u64 = 15;
 const WORKERS_IN_CELL: u64 = 50;
 
 /// One size, being measured.
-pub struct Play<'script> {
+pub struct Playback<'script> {
     script: &'script Script,
     driver: Driver,
     workers: Vec<WorkerEntry>,
@@ -39,7 +39,7 @@
     changes: Vec<u64>,
 }
 
-impl<'script> Play<'script> {
+impl<'script> Playback<'script> {
     /// A controller that has seen nothing, `size` workers and the file's functions.
     pub fn new(script: &'script Script, size: u64, context: &mut Context<'_>) -> Result<Self, MeasureError> {
         let controller = Controller::new(script.settings(), context.random.next_u64())
@@ -62,7 +62,7 @@
         Ok(play)
     }
 
-    fn new_worker(&mut self, born: Option<Micros>) -> WorkerEntry {
+    fn new_worker(&mut self, started_at: Option<Micros>) -> WorkerEntry {
         self.workers_made += 1;
         let number = self.workers_made;
         WorkerEntry {
@@ -72,7 +72,7 @@
             weight: 1.0,
             cell: CellId(number / WORKERS_IN_CELL),
             state: WorkerState::On,
-            started_at: born,
+            started_at,
         }
     }
 
@@ -104,7 +104,7 @@
     /// Calls of functions that were called a moment ago.
     pub fn recent_calls(&mut self, context: &mut Context<'_>) -> Result<(), MeasureError> {
         let count = self.functions.len() as u64;
-        let seen = count.min(self.calls).min(RECENT as u64);
+        let seen = count.min(self.calls).min(RECENT_FUNCTIONS as u64);
         let recent: Vec<FunctionId> =
             (1..=seen).map(|back| self.functions[((self.calls - back) % count) as usize]).collect();
         for _ in 0..self.script.again {
@@ -117,7 +117,7 @@
     }
 
     fn call(&mut self, function: FunctionId, context: &mut Context<'_>) -> Result<(), MeasureError> {
-        if self.calls.is_multiple_of(CALLS_A_LOOK) {
+        if self.calls.is_multiple_of(CALLS_PER_CHECK) {
             context.check()?;
         }
         self.calls += 1;
--- a/crates/scale/src/measure/worker/figures.rs
+++ b/crates/scale/src/measure/worker/metrics.rs
@@ -1,10 +1,10 @@
 //! The figures of `worker`.
 
-use crate::measure::Figure;
+use crate::measure::Metric;
 use crate::measure::Unit::{Bytes, Cores, Count, Microseconds};
-use crate::measure::figures;
+use crate::measure::metrics;
 
-figures! {
+metrics! {
     CONNECTIONS = "connections", Count, "connections that stand at the end, over all controllers";
     NOT_CONNECTED = "not-connected", Count, "connections that were refused or not made in time";
     CLOSED = "closed", Count, "connections that the worker closed, or that broke";
--- a/crates/scale/src/measure/worker/mod.rs
+++ b/crates/scale/src/measure/worker/mod.rs
@@ -1,7 +1,7 @@
 //! `worker`: a process of a stand-in worker with the connections of hollow controllers. What a connection and a call
 //! cost it, by the number of controllers.
 
-mod figures;
+mod metrics;
 
 use std::fs;
 use std::net::SocketAddr;
@@ -13,22 +13,22 @@
 use nettleferry_hollow::report::Line;
 use rand::RngExt;
 
-use self::figures::*;
-use super::{Figure, Measure, MeasureError, Observations, Sizes};
+use self::metrics::*;
+use super::{Measure, MeasureError, Metric, Observations, Sizes};
+use crate::capacity::Needs;
 use crate::children::ChildId;
 use crate::context::Context;
 use crate::process::Sample;
-use crate::room::Needs;
 
 /// Its key in a file.
 pub const NAME: &str = "worker";
 
 const MOST_RATE: f64 = 50_000.0;
-const LONGEST_INTERVAL: Micros = 120_000_000;
+const MAX_INTERVAL: Micros = 120_000_000;
 /// Hollow controllers of one process.
-const HOLLOW_A_PROCESS: u64 = 2_500;
+const CONTROLLERS_PER_PROCESS: u64 = 2_500;
 /// They open so many connections a second, so that no queue of the system is what refuses them.
-const CONNECTS_A_SECOND: u64 = 2_000;
+const CONNECTS_PER_SECOND: u64 = 2_000;
 /// Estimates from above, for the refusal of sizes that can't fit.
 const PROCESS_BYTES: u64 = 128 << 20;
 const CONNECTION_BYTES: u64 = 256 << 10;
@@ -46,11 +46,11 @@
         probes: form.value_or("probes-per-second", 0.0),
         interval: form.micros_or("interval", 3_000_000),
     };
-    let sound = |rate: f64| (0.0..=MOST_RATE).contains(&rate);
-    if !sound(script.calls) || !sound(script.probes) || script.calls <= 0.0 {
+    let in_range = |rate: f64| (0.0..=MOST_RATE).contains(&rate);
+    if !in_range(script.calls) || !in_range(script.probes) || script.calls <= 0.0 {
         form.error(format!("(calls-per-second ...), (probes-per-second ...): write up to {MOST_RATE}"));
     }
-    if !(100_000..=LONGEST_INTERVAL).contains(&script.interval) {
+    if !(100_000..=MAX_INTERVAL).contains(&script.interval) {
         form.error("(interval ...): write 100ms to 2min");
     }
     Some(Box::new(Worker { sizes: sizes?, script }))
@@ -80,13 +80,13 @@
         &self.sizes
     }
 
-    fn figures(&self) -> &'static [&'static Figure] {
-        FIGURES
+    fn metrics(&self) -> &'static [&'static Metric] {
+        METRICS
     }
 
     fn needs(&self, size: u64) -> Needs {
-        let processes = 1 + 2 * size.div_ceil(HOLLOW_A_PROCESS);
-        let connecting = Duration::from_secs(2 * size / CONNECTS_A_SECOND);
+        let processes = 1 + 2 * size.div_ceil(CONTROLLERS_PER_PROCESS);
+        let connecting = Duration::from_secs(2 * size / CONNECTS_PER_SECOND);
         Needs {
             memory: processes
                 .saturating_mul(PROCESS_BYTES)
@@ -100,20 +100,20 @@
 
     fn run_at(&mut self, size: u64, context: &mut Context<'_>) -> Result<Observations, MeasureError> {
         let span = Duration::from_micros(self.script.interval);
-        let mut got = Observations::default();
+        let mut observations = Observations::default();
         context.doing(&format!("{NAME} {size}: connections"));
         let (worker, address) = start_worker(context)?;
         let idle = sample(worker, context)?;
-        let quiet = self.start_controllers(address, size, 0.0, context)?;
+        let idle_controllers = self.start_controllers(address, size, 0.0, context)?;
         context.wait(connecting(size))?;
         let connected = sample(worker, context)?;
         context.wait(span)?;
         let rested = sample(worker, context)?;
         let rest = (rested.processor.saturating_sub(connected.processor)).as_secs_f64() / span.as_secs_f64();
-        let connections = summaries(&quiet, context)?;
+        let connections = summaries(&idle_controllers, context)?;
         let connect = connected.processor.saturating_sub(idle.processor);
-        observe_connections(connect, &rested, rest, &connections, &mut got);
-        quiet.into_iter().for_each(|child| context.children.stop(child));
+        observe_connections(connect, &rested, rest, &connections, &mut observations);
+        idle_controllers.into_iter().for_each(|child| context.children.stop(child));
         context.doing(&format!("{NAME} {size}: calls"));
         let calling = self.start_controllers(address, size, 1.0, context)?;
         context.wait(connecting(size))?;
@@ -122,14 +122,14 @@
         context.wait(span)?;
         let after = sample(worker, context)?;
         let calls = summaries(&calling, context)?;
-        observe_calls(&before, &after, rest * span.as_secs_f64(), &calls, &mut got);
-        Ok(got)
+        observe_calls(&before, &after, rest * span.as_secs_f64(), &calls, &mut observations);
+        Ok(observations)
     }
 }
 
 /// How long all of them take to connect.
 fn connecting(size: u64) -> Duration {
-    Duration::from_millis(1_000 + size * 1_000 / CONNECTS_A_SECOND)
+    Duration::from_millis(1_000 + size * 1_000 / CONNECTS_PER_SECOND)
 }
 
 impl Worker {
@@ -142,24 +142,24 @@
         context: &mut Context<'_>,
     ) -> Result<Vec<ChildId>, MeasureError> {
         let mut children = Vec::new();
-        let mut begun = 0;
-        while begun < size {
-            let count = HOLLOW_A_PROCESS.min(size - begun);
+        let mut started = 0;
+        while started < size {
+            let count = CONTROLLERS_PER_PROCESS.min(size - started);
             let share = part * count as f64 / size as f64;
             let arguments = [
                 "hollow".to_owned(),
                 "controllers".to_owned(),
                 format!("--worker={worker}"),
                 format!("--count={count}"),
-                format!("--first-number={}", begun + 1),
+                format!("--first-number={}", started + 1),
                 format!("--seed={}", context.random.random::<u32>()),
-                format!("--begin-within={}", size * 1_000 / CONNECTS_A_SECOND),
+                format!("--begin-within={}", size * 1_000 / CONNECTS_PER_SECOND),
                 format!("--calls-per-second={}", self.script.calls * share),
                 format!("--probes-per-second={}", self.script.probes * share),
             ];
-            let label = format!("hollow controllers from {}", begun + 1);
+            let label = format!("hollow controllers from {}", started + 1);
             children.push(context.children.start(&label, arguments)?);
-            begun += count;
+            started += count;
         }
         Ok(children)
     }
@@ -173,7 +173,8 @@
     let child = context.children.start("worker", arguments)?;
     let line = context.children.next_line(child, PATIENCE)?;
     let address = line.strip_prefix("listening grpc ").and_then(|address| address.parse().ok());
-    let address = address.ok_or_else(|| context.children.complaint(child, &format!("no address: {line}")))?;
+    let address =
+        address.ok_or_else(|| context.children.child_error(child, &format!("no address: {line}")))?;
     Ok((child, address))
 }
 
@@ -186,7 +187,7 @@
 /// What hollow controllers counted since they were asked last, a summary a process.
 fn summaries(children: &[ChildId], context: &mut Context<'_>) -> Result<Vec<Summary>, MeasureError> {
     for child in children {
-        context.children.say(*child, "summary")?;
+        context.children.write_line(*child, "summary")?;
     }
     children.iter().map(|child| summary(*child, context)).collect()
 }
@@ -197,7 +198,7 @@
         match serde_json::from_str::<Line>(&line) {
             Ok(Line::ControllersSummary(summary)) => return Ok(*summary),
             Ok(_) => {}
-            Err(error) => return Err(context.children.complaint(child, &format!("{error}: {line}"))),
+            Err(error) => return Err(context.children.child_error(child, &format!("{error}: {line}"))),
         }
     }
 }
@@ -215,16 +216,16 @@
     rested: &Sample,
     rest: f64,
     summaries: &[Summary],
-    got: &mut Observations,
+    observations: &mut Observations,
 ) {
     let connected = sum(summaries, |summary| summary.counts.connected);
-    got.add(&CONNECTIONS, sum(summaries, |summary| summary.connections));
-    got.add(&NOT_CONNECTED, sum(summaries, |summary| summary.counts.not_connected));
-    got.add(&CLOSED, sum(summaries, |summary| summary.counts.closed));
-    got.add(&MEMORY, rested.resident as f64);
-    got.add(&DESCRIPTORS, rested.descriptors as f64);
-    got.add(&REST, rest);
-    got.add(&CONNECT_PROCESSOR, processor.as_secs_f64() * 1e6 / connected);
+    observations.add(&CONNECTIONS, sum(summaries, |summary| summary.connections));
+    observations.add(&NOT_CONNECTED, sum(summaries, |summary| summary.counts.not_connected));
+    observations.add(&CLOSED, sum(summaries, |summary| summary.counts.closed));
+    observations.add(&MEMORY, rested.resident as f64);
+    observations.add(&DESCRIPTORS, rested.descriptors as f64);
+    observations.add(&REST, rest);
+    observations.add(&CONNECT_PROCESSOR, processor.as_secs_f64() * 1e6 / connected);
 }
 
 fn observe_calls(
@@ -232,17 +233,18 @@
     after: &Sample,
     at_rest: f64,
     summaries: &[Summary],
-    got: &mut Observations,
+    observations: &mut Observations,
 ) {
     let answered = sum(summaries, |summary| summary.counts.served + summary.counts.probes_served);
     let processor = after.processor.saturating_sub(before.processor).as_secs_f64() - at_rest;
     let seconds = greatest(summaries, |summary| summary.ran_ms as f64) / 1e3;
-    got.add(&CALL_PROCESSOR, processor * 1e6 / answered);
-    got.add(&CALLS, sum(summaries, |summary| summary.counts.served) / seconds);
-    got.add(&NOT_SERVED, sum(summaries, |summary| summary.counts.not_served + summary.counts.broken));
-    got.add(&CALL_P50, greatest(summaries, |summary| summary.call_time.p50 as f64));
-    got.add(&CALL_P99, greatest(summaries, |summary| summary.call_time.p99 as f64));
-    got.add(&MEMORY_AFTER, after.resident as f64);
+    observations.add(&CALL_PROCESSOR, processor * 1e6 / answered);
+    observations.add(&CALLS, sum(summaries, |summary| summary.counts.served) / seconds);
+    observations
+        .add(&NOT_SERVED, sum(summaries, |summary| summary.counts.not_served + summary.counts.broken));
+    observations.add(&CALL_P50, greatest(summaries, |summary| summary.call_time.p50 as f64));
+    observations.add(&CALL_P99, greatest(summaries, |summary| summary.call_time.p99 as f64));
+    observations.add(&MEMORY_AFTER, after.resident as f64);
     let cores = |summary: &Summary| summary.processor_us as f64 / 1e3 / summary.ran_ms.max(1) as f64;
-    got.add(&HOLLOW_PROCESSOR, greatest(summaries, cores));
+    observations.add(&HOLLOW_PROCESSOR, greatest(summaries, cores));
 }
--- a/crates/scale/src/report/lines.rs
+++ b/crates/scale/src/report/lines.rs
@@ -2,8 +2,8 @@
 
 use serde::Serialize;
 
-use crate::run::{End, Fitted, Observed, Report};
-use crate::verdict::{AtTarget, Verdict};
+use crate::run::{End, FittedMetric, Observation, Report};
+use crate::verdict::{TargetEstimate, Verdict};
 
 /// What stands in each line beside its own content.
 #[derive(Clone, Debug, Serialize)]
@@ -19,9 +19,9 @@
 #[derive(Serialize)]
 #[serde(tag = "kind", rename_all = "kebab-case")]
 enum Line<'a> {
-    Observation(&'a Observed),
-    Fit(&'a Fitted),
-    Target(&'a AtTarget),
+    Observation(&'a Observation),
+    Fit(&'a FittedMetric),
+    Target(&'a TargetEstimate),
     Verdict(&'a Verdict),
     End {
         how: &'static str,
@@ -46,7 +46,7 @@
 }
 
 /// The line of an observation.
-pub fn observation(observed: &Observed, origin: &Origin) -> String {
+pub fn observation(observed: &Observation, origin: &Origin) -> String {
     write(Line::Observation(observed), origin)
 }
 
--- a/crates/scale/src/report/plots.rs
+++ b/crates/scale/src/report/plots.rs
@@ -8,7 +8,7 @@
 use plotters::prelude::*;
 
 use crate::measure::Unit;
-use crate::run::{Fitted, Report};
+use crate::run::{FittedMetric, Report};
 
 const PICTURE: (u32, u32) = (800, 480);
 /// Points of the drawn line: it is bent where the axes are logarithmic.
@@ -18,9 +18,9 @@
 pub fn write(report: &Report, folder: &Path) -> io::Result<()> {
     fs::create_dir_all(folder)?;
     for fitted in &report.fitted {
-        let file = folder.join(format!("{}-{}.svg", fitted.measure, fitted.figure));
+        let file = folder.join(format!("{}-{}.svg", fitted.measure, fitted.metric));
         let observed = report.observed.iter();
-        let ours = observed.filter(|one| one.measure == fitted.measure && one.figure == fitted.figure);
+        let ours = observed.filter(|one| one.measure == fitted.measure && one.metric == fitted.metric);
         let values: Vec<(f64, f64)> = ours.map(|one| (one.size as f64, one.value)).collect();
         draw(fitted, &values, &file).map_err(|error| io::Error::other(error.to_string()))?;
     }
@@ -37,14 +37,14 @@
     }
 }
 
-fn draw(fitted: &Fitted, values: &[(f64, f64)], file: &Path) -> Result<(), Box<dyn Error>> {
+fn draw(fitted: &FittedMetric, values: &[(f64, f64)], file: &Path) -> Result<(), Box<dyn Error>> {
     let smallest = values.iter().map(|(size, _)| *size).fold(f64::MAX, f64::min).max(1.0);
     let largest = values.iter().map(|(size, _)| *size).fold(smallest, f64::max);
     let highest = values.iter().map(|(_, value)| *value).fold(f64::MIN_POSITIVE, f64::max) * 1.1;
     let area = SVGBackend::new(file, PICTURE).into_drawing_area();
     area.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(&area)
-        .caption(format!("{}: {}", fitted.measure, fitted.figure), ("sans-serif", 16))
+        .caption(format!("{}: {}", fitted.measure, fitted.metric), ("sans-serif", 16))
         .margin(12)
         .x_label_area_size(36)
         .y_label_area_size(72)
--- a/crates/scale/src/report/table.rs
+++ b/crates/scale/src/report/table.rs
@@ -74,25 +74,25 @@
 fn observations_of(report: &Report, measure: &str) -> String {
     let ours = || report.observed.iter().filter(|one| one.measure == measure);
     let sizes: BTreeSet<u64> = ours().map(|one| one.size).collect();
-    let mut figures: Vec<&str> = Vec::new();
+    let mut metrics: Vec<&str> = Vec::new();
     for one in ours() {
-        if !figures.contains(&one.figure) {
-            figures.push(one.figure);
+        if !metrics.contains(&one.metric) {
+            metrics.push(one.metric);
         }
     }
     let of = ours().next().map_or("", |one| one.of);
     let columns = sizes.iter().map(|size| format!("{size} {of}"));
     let mut table = table(&[measure]);
     table.set_header([measure.to_owned()].into_iter().chain(columns));
-    for figure in figures {
+    for metric in metrics {
         let cells = sizes.iter().map(|size| {
-            let found = ours().find(|one| one.figure == figure && one.size == *size);
+            let found = ours().find(|one| one.metric == metric && one.size == *size);
             found.map_or_else(String::new, |one| {
                 let mark = if one.rig == RigBound::None { "" } else { " *" };
                 format!("{}{mark}", amount(one.value, Some(one.unit)))
             })
         });
-        table.add_row([figure.to_owned()].into_iter().chain(cells));
+        table.add_row([metric.to_owned()].into_iter().chain(cells));
     }
     table.to_string()
 }
@@ -107,7 +107,7 @@
         let error = exponent.map_or_else(String::new, |e| format!("{:.2}", e.error));
         table.add_row([
             fitted.measure,
-            fitted.figure,
+            fitted.metric,
             &slope,
             &amount(line.slope_error, Some(fitted.unit)),
             &amount(line.intercept, Some(fitted.unit)),
@@ -132,7 +132,7 @@
         };
         table.add_row([
             target.measure,
-            target.figure,
+            target.metric,
             &target.size.to_string(),
             &text(target.value),
             &text(target.error),
@@ -154,7 +154,7 @@
         };
         table.add_row([
             verdict.bound.as_str(),
-            &amount(verdict.most, verdict.unit),
+            &amount(verdict.max, verdict.unit),
             &verdict.value.map_or_else(String::new, |value| amount(value, verdict.unit)),
             outcome,
             if verdict.rig_bound { "bounds" } else { "" },
--- a/crates/scale/src/rig.rs
+++ b/crates/scale/src/rig.rs
@@ -9,9 +9,9 @@
 use crate::process::Process;
 
 /// From this share of one core on, the rig's own process may be what others wait for.
-const BUSY_PROCESS: f64 = 0.8;
+const BUSY_PROCESS_CORES: f64 = 0.8;
 /// Below this idle share of all cores, everything waits for a core.
-const IDLE_MACHINE: f64 = 0.1;
+const MIN_IDLE_SHARE: f64 = 0.1;
 
 /// What bounds the figures of an interval.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
@@ -27,7 +27,7 @@
 
 /// How busy the rig and the machine were in an interval.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
-pub struct RigUse {
+pub struct RigUsage {
     /// Cores that the rig's own process used.
     pub own_cores: f64,
     /// Idle share of all cores of the machine.
@@ -36,12 +36,12 @@
     pub bound: RigBound,
 }
 
-impl RigUse {
+impl RigUsage {
     /// Judges an interval. In a measure that runs inside the rig's process, the rig's use is the program's.
     pub fn judge(own_cores: f64, idle: f64, in_process: bool) -> Self {
-        let bound = if idle < IDLE_MACHINE {
+        let bound = if idle < MIN_IDLE_SHARE {
             RigBound::Machine
-        } else if !in_process && own_cores > BUSY_PROCESS {
+        } else if !in_process && own_cores > BUSY_PROCESS_CORES {
             RigBound::Process
         } else {
             RigBound::None
@@ -65,11 +65,11 @@
     }
 
     /// Ends it.
-    pub fn end(self, in_process: bool) -> io::Result<RigUse> {
+    pub fn end(self, in_process: bool) -> io::Result<RigUsage> {
         let own = Process::own().processor()?.saturating_sub(self.own);
         let wall = self.began.elapsed().as_secs_f64().max(1e-9);
         let idle = MachineTime::now()?.idle_share_since(self.machine);
-        Ok(RigUse::judge(own.as_secs_f64() / wall, idle, in_process))
+        Ok(RigUsage::judge(own.as_secs_f64() / wall, idle, in_process))
     }
 }
 
--- a/crates/scale/src/run.rs
+++ b/crates/scale/src/run.rs
@@ -5,23 +5,24 @@
 
 use serde::Serialize;
 
+use crate::capacity::Capacity;
 use crate::children::Children;
-use crate::context::{Context, Ends, Progress};
+use crate::context::{Context, Progress, RunLimits};
 use crate::fit::Fit;
 use crate::interrupt::Interrupt;
 use crate::measure::{Measure, MeasureError, Unit};
 use crate::rig::{RigBound, RigWatch};
-use crate::room::Room;
 use crate::settings::Settings;
-use crate::verdict::{AtTarget, FigureOf, Outcome, Verdict, points};
+use crate::verdict::{MetricId, Outcome, TargetEstimate, Verdict, points};
 
 /// A figure that was observed.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Observed {
+pub struct Observation {
     /// The measure.
     pub measure: &'static str,
     /// The figure.
-    pub figure: &'static str,
+    #[serde(rename = "figure")]
+    pub metric: &'static str,
     /// What the size counts.
     pub of: &'static str,
     /// The size.
@@ -38,20 +39,21 @@
     pub idle: f64,
 }
 
-impl Observed {
+impl Observation {
     /// Is it this figure?
-    pub fn is(&self, of: &FigureOf) -> bool {
-        self.measure == of.measure && self.figure == of.figure.name
+    pub fn is(&self, of: &MetricId) -> bool {
+        self.measure == of.measure && self.metric == of.metric.name
     }
 }
 
 /// A fit of one figure.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Fitted {
+pub struct FittedMetric {
     /// The measure.
     pub measure: &'static str,
     /// The figure.
-    pub figure: &'static str,
+    #[serde(rename = "figure")]
+    pub metric: &'static str,
     /// What the size counts.
     pub of: &'static str,
     /// The unit of the figure.
@@ -85,11 +87,11 @@
 #[derive(Debug)]
 pub struct Report {
     /// What was observed, in order.
-    pub observed: Vec<Observed>,
+    pub observed: Vec<Observation>,
     /// Fits of all figures that were observed at enough sizes.
-    pub fitted: Vec<Fitted>,
+    pub fitted: Vec<FittedMetric>,
     /// Figures at the target size.
-    pub targets: Vec<AtTarget>,
+    pub targets: Vec<TargetEstimate>,
     /// The bounds, judged.
     pub verdicts: Vec<Verdict>,
     /// How it ended.
@@ -104,37 +106,38 @@
 }
 
 /// What a run is given beside its settings.
-pub struct Surroundings<'a> {
+pub struct RunEnvironment<'a> {
     /// The program that children are.
     pub program: PathBuf,
     /// What the run may use.
-    pub room: Room,
+    pub capacity: Capacity,
     /// Ends the run.
     pub interrupt: Interrupt,
     /// Is told how far it is.
     pub progress: &'a dyn Progress,
     /// Is told of each figure when it is known, so that a run that is cut has said what it had.
-    pub observed: &'a mut dyn FnMut(&Observed),
+    pub observed: &'a mut dyn FnMut(&Observation),
 }
 
 /// Runs all measures. All children have ended when it returns.
-pub fn run(settings: &mut Settings, surroundings: Surroundings<'_>) -> Report {
+pub fn run(settings: &mut Settings, environment: RunEnvironment<'_>) -> Report {
     let deadline = Instant::now() + settings.deadline;
-    let ends = Ends { deadline, interrupt: surroundings.interrupt.clone(), memory: surroundings.room.memory };
-    let mut runner = Runner { seed: settings.seed, ends, surroundings, observed: Vec::new() };
+    let limits =
+        RunLimits { deadline, interrupt: environment.interrupt.clone(), memory: environment.capacity.memory };
+    let mut runner = Runner { seed: settings.seed, limits, environment, observed: Vec::new() };
     let end = runner.all(&mut settings.measures);
     let observed = runner.observed;
     let fitted = settings.measures.iter().flat_map(|measure| fits(&**measure, &observed)).collect();
-    let targets = settings.budgets.iter().map(|budget| budget.carry(&observed)).collect();
+    let targets = settings.budgets.iter().map(|budget| budget.estimate(&observed)).collect();
     let verdicts = settings.bounds.iter().map(|bound| bound.judge(&observed)).collect();
     Report { observed, fitted, targets, verdicts, end }
 }
 
 struct Runner<'a> {
     seed: u64,
-    ends: Ends,
-    surroundings: Surroundings<'a>,
-    observed: Vec<Observed>,
+    limits: RunLimits,
+    environment: RunEnvironment<'a>,
+    observed: Vec<Observation>,
 }
 
 impl Runner<'_> {
@@ -143,7 +146,7 @@
             let name = measure.name();
             for size in measure.sizes().values.clone() {
                 match self.one(&mut **measure, size) {
-                    Ok(()) => self.surroundings.progress.done(),
+                    Ok(()) => self.environment.progress.done(),
                     Err(MeasureError::Interrupted) => return End::Interrupted,
                     Err(error) => return End::Failed { measure: name, size, error },
                 }
@@ -154,30 +157,31 @@
 
     fn one(&mut self, measure: &mut dyn Measure, size: u64) -> Result<(), MeasureError> {
         let (name, of) = (measure.name(), measure.sizes().of);
-        self.surroundings.progress.doing(&format!("{name} {size}"));
+        self.environment.progress.doing(&format!("{name} {size}"));
         let folder = tempfile::tempdir().map_err(MeasureError::system("a folder for files"))?;
-        let mut children = Children::new(self.surroundings.program.clone(), self.surroundings.room.processes);
+        let mut children =
+            Children::new(self.environment.program.clone(), self.environment.capacity.processes);
         let seed = seed_of(self.seed, name, size);
         let mut context =
-            Context::new(&mut children, self.surroundings.progress, folder.path(), &self.ends, seed);
+            Context::new(&mut children, self.environment.progress, folder.path(), &self.limits, seed);
         context.check()?;
         let watch = RigWatch::begin().map_err(MeasureError::system("the rig's own use"))?;
         let got = measure.run_at(size, &mut context)?;
         let rig = watch.end(got.in_process).map_err(MeasureError::system("the rig's own use"))?;
         children.stop_all();
-        for (figure, value) in got.values {
-            let one = Observed {
+        for (metric, value) in got.values {
+            let one = Observation {
                 measure: name,
-                figure: figure.name,
+                metric: metric.name,
                 of,
                 size,
                 value,
-                unit: figure.unit,
+                unit: metric.unit,
                 rig: rig.bound,
                 rig_cores: rig.own_cores,
                 idle: rig.idle,
             };
-            (self.surroundings.observed)(&one);
+            (self.environment.observed)(&one);
             self.observed.push(one);
         }
         Ok(())
@@ -194,18 +198,18 @@
     hash
 }
 
-fn fits(measure: &dyn Measure, observed: &[Observed]) -> Vec<Fitted> {
+fn fits(measure: &dyn Measure, observed: &[Observation]) -> Vec<FittedMetric> {
     let (name, sizes) = (measure.name(), measure.sizes());
     let mut all = Vec::new();
-    for figure in measure.figures() {
-        let of = FigureOf { measure: name, figure };
+    for metric in measure.metrics() {
+        let of = MetricId { measure: name, metric };
         let Some(fit) = Fit::of(&points(observed, &of)) else { continue };
         let rig_bound = observed.iter().any(|one| one.is(&of) && one.rig != RigBound::None);
-        all.push(Fitted {
+        all.push(FittedMetric {
             measure: name,
-            figure: figure.name,
+            metric: metric.name,
             of: sizes.of,
-            unit: figure.unit,
+            unit: metric.unit,
             fit,
             rig_bound,
         });
--- a/crates/scale/src/settings.rs
+++ b/crates/scale/src/settings.rs
@@ -5,14 +5,14 @@
 use nettleferry_config::Errors;
 use nettleferry_config::form::{Bytes, Form, Source, TimeSpan, nearest};
 
+use crate::capacity::Capacity;
 use crate::fit::FEWEST_SIZES;
-use crate::measure::{Figure, KINDS, Measure, Unit};
-use crate::room::Room;
-use crate::verdict::{Bound, Budget, FigureOf, Subject};
+use crate::measure::{MEASURE_KINDS, Measure, Metric, Unit};
+use crate::verdict::{Bound, Budget, MetricId, Subject};
 
 /// A run's length where the file does not say it, and at the most.
-const USUAL_DEADLINE: u64 = 180_000_000;
-const LONGEST_DEADLINE: u64 = 1_800_000_000;
+const DEFAULT_DEADLINE: u64 = 180_000_000;
+const MAX_DEADLINE: u64 = 1_800_000_000;
 
 /// What a run does.
 pub struct Settings {
@@ -28,18 +28,18 @@
     pub budgets: Vec<Budget>,
 }
 
-/// Reads a file; sizes that do not fit into `room` are refused, with what would fit.
-pub fn read(file: &str, text: &str, room: &Room) -> Result<Settings, Errors> {
+/// Reads a file; sizes that do not fit into `capacity` are refused, with what would fit.
+pub fn read(file: &str, text: &str, capacity: &Capacity) -> Result<Settings, Errors> {
     let (source, mut top) = Form::parse(file, text);
     let seed = top.value_or("seed", 1);
     let deadline = top.optional_list("deadline");
     let (span, deadline) = match deadline {
         Some(form) => (form.span(), read_deadline(form)),
-        None => (top.span(), USUAL_DEADLINE),
+        None => (top.span(), DEFAULT_DEADLINE),
     };
     let deadline = Duration::from_micros(deadline);
     let measures = read_measures(&mut top);
-    check_sizes(&source, &measures, room);
+    check_sizes(&source, &measures, capacity);
     check_time(&source, &measures, (span, deadline));
     let bounds = top.optional_list("bounds").map_or_else(Vec::new, |form| read_bounds(form, &measures));
     let budgets = top.optional_list("target").map_or_else(Vec::new, |form| read_target(form, &measures));
@@ -48,8 +48,8 @@
 }
 
 fn read_deadline(mut form: Form) -> u64 {
-    let span = form.required_item::<TimeSpan>("its span").map_or(USUAL_DEADLINE, |span| span.0);
-    if !(1_000_000..=LONGEST_DEADLINE).contains(&span) {
+    let span = form.required_item::<TimeSpan>("its span").map_or(DEFAULT_DEADLINE, |span| span.0);
+    if !(1_000_000..=MAX_DEADLINE).contains(&span) {
         form.error("(deadline ...): write 1s to 30min");
     }
     form.finish();
@@ -58,28 +58,28 @@
 
 fn read_measures(top: &mut Form) -> Vec<Box<dyn Measure>> {
     let mut measures = Vec::new();
-    let mut named = false;
-    for kind in KINDS {
+    let mut any_listed = false;
+    for kind in MEASURE_KINDS {
         if let Some(mut form) = top.optional_list(kind.name) {
-            named = true;
+            any_listed = true;
             measures.extend((kind.read)(&mut form));
             form.finish();
         }
     }
-    if !named {
-        let names: Vec<String> = KINDS.iter().map(|kind| format!("({} ...)", kind.name)).collect();
+    if !any_listed {
+        let names: Vec<String> = MEASURE_KINDS.iter().map(|kind| format!("({} ...)", kind.name)).collect();
         top.error(format!("nothing is measured: write {}", names.join(" or ")));
     }
     measures
 }
 
 /// Each size by itself: measures and sizes run one after another.
-fn check_sizes(source: &Source, measures: &[Box<dyn Measure>], room: &Room) {
+fn check_sizes(source: &Source, measures: &[Box<dyn Measure>], capacity: &Capacity) {
     for measure in measures {
         let sizes = measure.sizes();
         for size in &sizes.values {
-            let Some(short) = room.shortage(&measure.needs(*size)) else { continue };
-            let fits = room.largest_fit(*size, |size| measure.needs(size));
+            let Some(short) = capacity.shortage(&measure.needs(*size)) else { continue };
+            let fits = capacity.largest_fit(*size, |size| measure.needs(size));
             let what = format!("{} {size} can't fit: needs {short}; write at most {fits}", sizes.of);
             source.error(sizes.span, what);
             break;
@@ -136,30 +136,33 @@
 
 /// Reads `(MEASURE FIGURE SIZE...) MOST` out of a bound.
 fn read_subject(form: &mut Form, measures: &[Box<dyn Measure>], kind: SubjectKind) -> Option<Bound> {
-    let most = match kind {
+    let max = match kind {
         SubjectKind::At => None,
         SubjectKind::Ratio | SubjectKind::Exponent => {
             Some(form.required_item::<f64>("what is at most allowed"))
         }
     };
-    let Some((mut subject, measure, of)) = read_figure(form, measures) else {
+    let Some((mut subject, measure, of)) = read_metric(form, measures) else {
         let _ = form.next_item::<String>();
         return None;
     };
     let bound = match kind {
         SubjectKind::At => {
             let size = read_size(&mut subject, measure);
-            let most = read_amount(form, of.figure);
-            size.zip(most).map(|(size, most)| Bound { subject: Subject::At { of, size }, most })
+            let max = read_amount(form, of.metric);
+            size.zip(max).map(|(size, max)| Bound { subject: Subject::At { of, size }, max })
         }
         SubjectKind::Ratio => {
-            let (size, over) = (read_size(&mut subject, measure), read_size(&mut subject, measure));
-            let sizes = size.zip(over).zip(most.flatten());
-            sizes.map(|((size, over), most)| Bound { subject: Subject::Ratio { of, size, over }, most })
+            let (size, base_size) = (read_size(&mut subject, measure), read_size(&mut subject, measure));
+            let sizes = size.zip(base_size).zip(max.flatten());
+            sizes.map(|((size, base_size), max)| Bound {
+                subject: Subject::Ratio { of, size, base_size },
+                max,
+            })
         }
         SubjectKind::Exponent => {
-            enough_sizes(&subject, measure, "an exponent");
-            most.flatten().map(|most| Bound { subject: Subject::Exponent { of }, most })
+            require_fit_sizes(&subject, measure, "an exponent");
+            max.flatten().map(|max| Bound { subject: Subject::Exponent { of }, max })
         }
     };
     subject.finish();
@@ -167,10 +170,10 @@
 }
 
 /// Reads the list `(MEASURE FIGURE ...)` that stands in a form, up to its figure.
-fn read_figure<'m>(
+fn read_metric<'m>(
     form: &mut Form,
     measures: &'m [Box<dyn Measure>],
-) -> Option<(Form, &'m dyn Measure, FigureOf)> {
+) -> Option<(Form, &'m dyn Measure, MetricId)> {
     let mut lists = form.remaining_lists().into_iter();
     let Some(mut subject) = lists.next() else {
         form.error(format!("({} ...) lacks its figure: write (MEASURE FIGURE ...)", form.name()));
@@ -186,9 +189,9 @@
         subject.error(format!("this file measures {all}, not {}{hint}", subject.name()));
         return None;
     };
-    let words: Vec<(&str, &'static Figure)> = measure.figures().iter().map(|f| (f.name, *f)).collect();
-    let figure = subject.keyword("the figure", &words)?;
-    Some((subject, &**measure, FigureOf { measure: measure.name(), figure }))
+    let words: Vec<(&str, &'static Metric)> = measure.metrics().iter().map(|f| (f.name, *f)).collect();
+    let metric = subject.keyword("the figure", &words)?;
+    Some((subject, &**measure, MetricId { measure: measure.name(), metric }))
 }
 
 fn read_size(subject: &mut Form, measure: &dyn Measure) -> Option<u64> {
@@ -203,8 +206,8 @@
 }
 
 /// An amount in a figure's unit.
-fn read_amount(form: &mut Form, figure: &Figure) -> Option<f64> {
-    let amount = match figure.unit {
+fn read_amount(form: &mut Form, metric: &Metric) -> Option<f64> {
+    let amount = match metric.unit {
         Unit::Microseconds => form.required_item::<TimeSpan>("what is at most allowed")?.0 as f64,
         Unit::Bytes | Unit::BytesPerSecond => {
             form.required_item::<Bytes>("what is at most allowed")?.0 as f64
@@ -214,7 +217,7 @@
     Some(amount)
 }
 
-fn enough_sizes(subject: &Form, measure: &dyn Measure, what: &str) {
+fn require_fit_sizes(subject: &Form, measure: &dyn Measure, what: &str) {
     let sizes = measure.sizes();
     if sizes.values.len() < FEWEST_SIZES {
         subject.error(format!(
@@ -237,14 +240,14 @@
     }
     let mut budgets = Vec::new();
     for mut budget in form.lists("budget") {
-        if let Some((subject, measure, of)) = read_figure(&mut budget, measures) {
+        if let Some((subject, measure, of)) = read_metric(&mut budget, measures) {
             let target = sizes.iter().find(|(known, _)| *known == measure.sizes().of).map(|(_, size)| *size);
             if target.is_none() {
                 subject.error(format!("the target lacks ({} SIZE)", measure.sizes().of));
             }
-            enough_sizes(&subject, measure, "a target");
-            let most = read_amount(&mut budget, of.figure).filter(|most| *most > 0.0);
-            budgets.extend(target.zip(most).map(|(size, most)| Budget { of, size, most }));
+            require_fit_sizes(&subject, measure, "a target");
+            let max = read_amount(&mut budget, of.metric).filter(|max| *max > 0.0);
+            budgets.extend(target.zip(max).map(|(size, max)| Budget { of, size, max }));
             subject.finish();
         } else {
             let _ = budget.next_item::<String>();
--- a/crates/scale/src/verdict.rs
+++ b/crates/scale/src/verdict.rs
@@ -3,17 +3,17 @@
 use serde::Serialize;
 
 use crate::fit::Fit;
-use crate::measure::{Figure, Unit};
+use crate::measure::{Metric, Unit};
 use crate::rig::RigBound;
-use crate::run::Observed;
+use crate::run::Observation;
 
 /// A figure of a measure.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct FigureOf {
+pub struct MetricId {
     /// The measure.
     pub measure: &'static str,
     /// The figure.
-    pub figure: &'static Figure,
+    pub metric: &'static Metric,
 }
 
 /// What a bound is set to.
@@ -22,68 +22,68 @@
     /// A figure at a size.
     At {
         /// The figure.
-        of: FigureOf,
+        of: MetricId,
         /// The size.
         size: u64,
     },
     /// A figure at one size over the same figure at another.
     Ratio {
         /// The figure.
-        of: FigureOf,
+        of: MetricId,
         /// The size above the line.
         size: u64,
         /// The size below the line.
-        over: u64,
+        base_size: u64,
     },
     /// The power of the size with which a figure grows.
     Exponent {
         /// The figure.
-        of: FigureOf,
+        of: MetricId,
     },
 }
 
 impl Subject {
     /// Its words, as the file has them.
-    pub fn words(&self) -> String {
-        let words = |of: &FigureOf| format!("{} {}", of.measure, of.figure.name);
+    pub fn label(&self) -> String {
+        let label = |of: &MetricId| format!("{} {}", of.measure, of.metric.name);
         match self {
-            Self::At { of, size } => format!("{} {size}", words(of)),
-            Self::Ratio { of, size, over } => format!("ratio {} {size}:{over}", words(of)),
-            Self::Exponent { of } => format!("exponent {}", words(of)),
+            Self::At { of, size } => format!("{} {size}", label(of)),
+            Self::Ratio { of, size, base_size: over } => format!("ratio {} {size}:{over}", label(of)),
+            Self::Exponent { of } => format!("exponent {}", label(of)),
         }
     }
 
     /// Its unit; none for a ratio or an exponent.
     pub fn unit(&self) -> Option<Unit> {
         match self {
-            Self::At { of, .. } => Some(of.figure.unit),
+            Self::At { of, .. } => Some(of.metric.unit),
             Self::Ratio { .. } | Self::Exponent { .. } => None,
         }
     }
 
-    fn of(&self) -> &FigureOf {
+    fn of(&self) -> &MetricId {
         match self {
             Self::At { of, .. } | Self::Ratio { of, .. } | Self::Exponent { of } => of,
         }
     }
 
-    fn has_part_in(&self, at: u64) -> bool {
+    fn involves_size(&self, at: u64) -> bool {
         match self {
             Self::At { size, .. } => *size == at,
-            Self::Ratio { size, over, .. } => *size == at || *over == at,
+            Self::Ratio { size, base_size, .. } => *size == at || *base_size == at,
             Self::Exponent { .. } => true,
         }
     }
 
-    fn value(&self, observed: &[Observed]) -> Option<f64> {
+    fn value(&self, observed: &[Observation]) -> Option<f64> {
         let value = |wanted: u64| {
             let found = observed.iter().find(|one| one.is(self.of()) && one.size == wanted);
             found.map(|one| one.value)
         };
         match self {
             Self::At { size, .. } => value(*size),
-            Self::Ratio { size, over, .. } => {
-                let below = value(*over)?;
+            Self::Ratio { size, base_size, .. } => {
+                let below = value(*base_size)?;
                 (below > 0.0).then_some(value(*size)? / below)
             }
             Self::Exponent { of } => Some(Fit::of(&points(observed, of))?.exponent?.power),
@@ -92,7 +92,7 @@
 }
 
 /// Sizes and values of a figure.
-pub fn points(observed: &[Observed], of: &FigureOf) -> Vec<(f64, f64)> {
+pub fn points(observed: &[Observation], of: &MetricId) -> Vec<(f64, f64)> {
     observed.iter().filter(|one| one.is(of)).map(|one| (one.size as f64, one.value)).collect()
 }
 
@@ -102,7 +102,7 @@
     /// Of what.
     pub subject: Subject,
     /// How much.
-    pub most: f64,
+    pub max: f64,
 }
 
 /// Was a bound kept?
@@ -123,7 +123,8 @@
     /// The bound's words.
     pub bound: String,
     /// What it allows.
-    pub most: f64,
+    #[serde(rename = "most")]
+    pub max: f64,
     /// What was observed.
     pub value: Option<f64>,
     /// The unit of both; none for ratios and exponents.
@@ -136,19 +137,19 @@
 
 impl Bound {
     /// Judges what was observed.
-    pub fn judge(&self, observed: &[Observed]) -> Verdict {
+    pub fn judge(&self, observed: &[Observation]) -> Verdict {
         let value = self.subject.value(observed);
         let outcome = match value {
-            Some(value) if value <= self.most => Outcome::Kept,
+            Some(value) if value <= self.max => Outcome::Kept,
             Some(_) => Outcome::Broken,
             None => Outcome::NotMeasured,
         };
         let rig_bound = observed
             .iter()
-            .filter(|one| one.is(self.subject.of()) && self.subject.has_part_in(one.size))
+            .filter(|one| one.is(self.subject.of()) && self.subject.involves_size(one.size))
             .any(|one| one.rig != RigBound::None);
-        let (bound, unit) = (self.subject.words(), self.subject.unit());
-        Verdict { bound, most: self.most, value, unit, outcome, rig_bound }
+        let (bound, unit) = (self.subject.label(), self.subject.unit());
+        Verdict { bound, max: self.max, value, unit, outcome, rig_bound }
     }
 }
 
@@ -156,20 +157,21 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Budget {
     /// The figure.
-    pub of: FigureOf,
+    pub of: MetricId,
     /// The target size of the measure.
     pub size: u64,
     /// What it may cost there.
-    pub most: f64,
+    pub max: f64,
 }
 
 /// A figure carried on to the target size.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct AtTarget {
+pub struct TargetEstimate {
     /// The measure.
     pub measure: &'static str,
     /// The figure.
-    pub figure: &'static str,
+    #[serde(rename = "figure")]
+    pub metric: &'static str,
     /// The target size.
     pub size: u64,
     /// The figure there: observed, or else by the line.
@@ -188,22 +190,22 @@
 
 impl Budget {
     /// Carries the figure on to the target size.
-    pub fn carry(&self, observed: &[Observed]) -> AtTarget {
-        let there = observed.iter().find(|one| one.is(&self.of) && one.size == self.size);
+    pub fn estimate(&self, observed: &[Observation]) -> TargetEstimate {
+        let at_target = observed.iter().find(|one| one.is(&self.of) && one.size == self.size);
         let line = Fit::of(&points(observed, &self.of)).map(|fit| fit.line);
-        let carried = line.map(|line| line.at(self.size as f64));
-        let value = there.map(|one| one.value).or(carried);
-        let error = line.filter(|_| there.is_none()).map(|line| line.slope_error * self.size as f64);
-        AtTarget {
+        let extrapolated = line.map(|line| line.at(self.size as f64));
+        let value = at_target.map(|one| one.value).or(extrapolated);
+        let error = line.filter(|_| at_target.is_none()).map(|line| line.slope_error * self.size as f64);
+        TargetEstimate {
             measure: self.of.measure,
-            figure: self.of.figure.name,
+            metric: self.of.metric.name,
             size: self.size,
             value,
-            unit: self.of.figure.unit,
-            observed: there.is_some(),
+            unit: self.of.metric.unit,
+            observed: at_target.is_some(),
             error,
-            budget: self.most,
-            factor: value.map(|value| value / self.most),
+            budget: self.max,
+            factor: value.map(|value| value / self.max),
         }
     }
 }
--- a/crates/scale/tests/children.rs
+++ b/crates/scale/tests/children.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use nettleferry_scale::children::Children;
-use nettleferry_scale::context::{Context, Ends, NoProgress};
+use nettleferry_scale::context::{Context, NoProgress, RunLimits};
 use nettleferry_scale::interrupt::Interrupt;
 use nettleferry_scale::measure::MeasureError;
 
@@ -24,8 +24,8 @@
     Path::new(&format!("/proc/{id}")).exists()
 }
 
-fn ends(interrupt: &Interrupt) -> Ends {
-    Ends { deadline: Instant::now() + PATIENCE, interrupt: interrupt.clone(), memory: u64::MAX }
+fn limits(interrupt: &Interrupt) -> RunLimits {
+    RunLimits { deadline: Instant::now() + PATIENCE, interrupt: interrupt.clone(), memory: u64::MAX }
 }
 
 #[test]
@@ -34,8 +34,8 @@
     let script = "for i in 1 2 3 4 5 6 7 8 9 10 11 12 13 14 15 16 17 18 19 20 21 22 23 24 25; do echo line $i >&2; done; exit 7";
     children.start("controller 3", ["-c", script]).expect("started");
     let interrupt = Interrupt::default();
-    let ends = ends(&interrupt);
-    let mut context = Context::new(&mut children, &NoProgress, Path::new("/"), &ends, 1);
+    let limits = limits(&interrupt);
+    let mut context = Context::new(&mut children, &NoProgress, Path::new("/"), &limits, 1);
     let error = context.wait(PATIENCE).expect_err("the child is dead");
     let MeasureError::ChildDied { label, status, log } = &error else { panic!("{error}") };
     assert_eq!((label.as_str(), status.as_str()), ("controller 3", "exit status: 7"));
@@ -59,7 +59,7 @@
 fn lines_go_both_ways() {
     let mut children = shells(4);
     let id = children.start("echo", ["-c", "while read line; do echo got $line; done"]).expect("started");
-    children.say(id, "one").expect("written");
+    children.write_line(id, "one").expect("written");
     assert_eq!(children.next_line(id, PATIENCE).expect("a line"), "got one");
     assert_eq!(children.try_line(id), None);
 }
@@ -75,8 +75,8 @@
     let ids: Vec<u32> = children.ids().collect();
     assert!(ids.len() == 2 && ids.iter().all(|id| runs(*id)));
     let interrupt = Interrupt::default();
-    let ends = ends(&interrupt);
-    let mut context = Context::new(&mut children, &NoProgress, Path::new("/"), &ends, 1);
+    let limits = limits(&interrupt);
+    let mut context = Context::new(&mut children, &NoProgress, Path::new("/"), &limits, 1);
     interrupt.set();
     assert!(matches!(context.wait(PATIENCE), Err(MeasureError::Interrupted)));
     drop(children);
@@ -87,10 +87,10 @@
 fn the_deadline_and_the_memory_end_a_wait() {
     let mut children = shells(1);
     let interrupt = Interrupt::default();
-    let late = Ends { deadline: Instant::now(), ..ends(&interrupt) };
+    let late = RunLimits { deadline: Instant::now(), ..limits(&interrupt) };
     let mut context = Context::new(&mut children, &NoProgress, Path::new("/"), &late, 1);
     assert!(matches!(context.wait(PATIENCE), Err(MeasureError::Deadline)));
-    let small = Ends { memory: 1, ..ends(&interrupt) };
+    let small = RunLimits { memory: 1, ..limits(&interrupt) };
     let mut context = Context::new(&mut children, &NoProgress, Path::new("/"), &small, 1);
     assert!(matches!(context.wait(PATIENCE), Err(MeasureError::Memory { allowed: 1, .. })));
 }
--- a/crates/scale/tests/settings.rs
+++ b/crates/scale/tests/settings.rs
@@ -1,17 +1,17 @@
 //! Files of a scale run: what is refused, where it stands and what to write instead.
 
-use nettleferry_scale::room::Room;
+use nettleferry_scale::capacity::Capacity;
 use nettleferry_scale::settings;
 
 const GIB: u64 = 1 << 30;
 
 /// A machine of a known size.
-fn room() -> Room {
-    Room { memory: 4 * GIB, processes: 300, descriptors: 1_000, ports: 28_000 }
+fn capacity() -> Capacity {
+    Capacity { memory: 4 * GIB, processes: 300, descriptors: 1_000, ports: 28_000 }
 }
 
 fn refused(text: &str) -> String {
-    match settings::read("x.sexp", text, &room()) {
+    match settings::read("x.sexp", text, &capacity()) {
         Ok(_) => panic!("taken: {text}"),
         Err(errors) => errors.to_string(),
     }
@@ -22,7 +22,7 @@
     for text in
         [include_str!("../../../examples/scale.sexp"), include_str!("../../../examples/scale-quick.sexp")]
     {
-        let large = Room { memory: 12 * GIB, descriptors: 20_000, ..room() };
+        let large = Capacity { memory: 12 * GIB, descriptors: 20_000, ..capacity() };
         let settings = settings::read("example", text, &large).unwrap_or_else(|errors| panic!("{errors}"));
         assert!(!settings.measures.is_empty());
         assert!(!settings.bounds.is_empty());
@@ -57,8 +57,8 @@
 #[test]
 fn a_size_that_takes_too_much_memory_is_refused_with_what_would_fit() {
     let text = |size: u64| format!("(deadline 30min)\n(list\n  (workers 10 {size}))");
-    let many_descriptors = room();
-    let small = Room { memory: GIB, ..many_descriptors };
+    let many_descriptors = capacity();
+    let small = Capacity { memory: GIB, ..many_descriptors };
     let errors = match settings::read("x.sexp", &text(100_000), &small) {
         Ok(_) => panic!("taken"),
         Err(errors) => errors.to_string(),
@@ -79,12 +79,12 @@
 fn too_few_descriptors_processes_or_ports_are_told() {
     let text = "(list (workers 10))";
     let rooms = [
-        (Room { descriptors: 10, ..room() }, "descriptors of one process; there are 10 for a run"),
-        (Room { processes: 1, ..room() }, "2 processes; there are 1 for a run"),
-        (Room { ports: 1, ..room() }, "local ports; there are 1 for a run"),
+        (Capacity { descriptors: 10, ..capacity() }, "descriptors of one process; there are 10 for a run"),
+        (Capacity { processes: 1, ..capacity() }, "2 processes; there are 1 for a run"),
+        (Capacity { ports: 1, ..capacity() }, "local ports; there are 1 for a run"),
     ];
-    for (room, wanted) in rooms {
-        let errors = settings::read("x.sexp", text, &room).err().expect("refused").to_string();
+    for (capacity, wanted) in rooms {
+        let errors = settings::read("x.sexp", text, &capacity).err().expect("refused").to_string();
         assert!(errors.contains("x.sexp:1:7: workers 10 can't fit: needs "), "{errors}");
         assert!(errors.contains(wanted), "{errors}");
     }
--- a/crates/scale/tests/shape.rs
+++ b/crates/scale/tests/shape.rs
@@ -3,10 +3,10 @@
 use std::path::PathBuf;
 use std::sync::Mutex;
 
+use nettleferry_scale::capacity::Capacity;
 use nettleferry_scale::context::NoProgress;
 use nettleferry_scale::interrupt::Interrupt;
-use nettleferry_scale::room::Room;
-use nettleferry_scale::run::{Report, Surroundings, run};
+use nettleferry_scale::run::{Report, RunEnvironment, run};
 use nettleferry_scale::settings;
 use nettleferry_scale::verdict::Outcome;
 
@@ -15,17 +15,18 @@
 
 fn play(text: &str) -> Report {
     let _alone = ALONE.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
-    let room = Room::of_machine();
-    let mut settings = settings::read("shape.sexp", text, &room).unwrap_or_else(|errors| panic!("{errors}"));
-    let surroundings = Surroundings {
+    let capacity = Capacity::of_machine();
+    let mut settings =
+        settings::read("shape.sexp", text, &capacity).unwrap_or_else(|errors| panic!("{errors}"));
+    let environment = RunEnvironment {
         // Nothing in these files starts a child.
         program: PathBuf::from("/nonexistent"),
-        room,
+        capacity,
         interrupt: Interrupt::default(),
         progress: &NoProgress,
         observed: &mut |_| {},
     };
-    run(&mut settings, surroundings)
+    run(&mut settings, environment)
 }
 
 #[test]
