--- a/crates/scale/src/capacity.rs
+++ b/crates/scale/src/capacity.rs
@@ -1,4 +1,4 @@
-//! What a run may use of the machine, and whether a size fits into it.
+//! The share of the machine that a run may use, and checks of whether a size fits into it.
 
 use std::fmt;
 use std::fs;
@@ -6,44 +6,44 @@
 
 use rustix::process::{Resource, getrlimit};
 
-/// Memory of a run at the most, in bytes, on however large a machine.
+/// Maximum memory of a run in bytes, on a machine of any size.
 pub const MAX_MEMORY: u64 = 12 << 30;
-/// Processes of a run at the most.
+/// Maximum number of processes of a run.
 pub const MAX_PROCESSES: u64 = 300;
-/// Descriptors that are kept for the rig's own use.
+/// Descriptors reserved for the rig's own use.
 const RESERVED_DESCRIPTORS: u64 = 64;
-/// Local ports where the system does not say how many it has.
+/// Number of local ports that is assumed if the system's port range can't be read.
 const DEFAULT_PORTS: u64 = 28_000;
 
-/// What one size needs, estimated with care from above.
+/// Resources that one size needs, as upper estimates.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Needs {
-    /// Memory of all processes, in bytes.
+    /// Memory of all processes together, in bytes.
     pub memory: u64,
-    /// Processes, the rig's own not counted.
+    /// Number of processes without the rig's own.
     pub processes: u64,
-    /// Descriptors of the process that has most of them open.
+    /// Descriptors of the process that opens the most.
     pub descriptors: u64,
     /// Local ports.
     pub ports: u64,
-    /// Time.
+    /// Duration of the measurement.
     pub time: Duration,
 }
 
-/// What there is for a run.
+/// Resources that are available to a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Capacity {
     /// Memory, in bytes.
     pub memory: u64,
-    /// Processes.
+    /// Number of processes without the rig's own.
     pub processes: u64,
-    /// Descriptors of one process.
+    /// Descriptors that one process may open.
     pub descriptors: u64,
     /// Local ports.
     pub ports: u64,
 }
 
-/// One thing that is short.
+/// A resource of which a size needs more than is available.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Shortage {
     what: &'static str,
@@ -65,7 +65,8 @@
 }
 
 impl Capacity {
-    /// What this machine has for a run: half of its memory, and the process's own limits.
+    /// The resources of this machine for a run: half of its memory up to [`MAX_MEMORY`], and the limits of this
+    /// process.
     pub fn of_machine() -> Self {
         let half = memory_of_machine().map_or(MAX_MEMORY, |all| all / 2);
         let descriptors = getrlimit(Resource::Nofile).current.unwrap_or(u64::MAX);
@@ -77,7 +78,7 @@
         }
     }
 
-    /// What is short for these needs, if anything is.
+    /// The first resource that does not suffice for these needs, if any.
     pub fn shortage(&self, needs: &Needs) -> Option<Shortage> {
         let short =
             |what, needed, there, bytes| (needed > there).then_some(Shortage { what, needed, there, bytes });
@@ -87,7 +88,7 @@
             .or_else(|| short("local ports", needs.ports, self.ports, false))
     }
 
-    /// The largest size up to `size` whose needs fit; 0 where none does. Needs must grow with the size.
+    /// The largest size up to `size` whose needs fit; 0 if none does. `needs` must grow with the size.
     pub fn largest_fit(&self, size: u64, needs: impl Fn(u64) -> Needs) -> u64 {
         let (mut fits, mut fails) = (0, size.saturating_add(1));
         while fails - fits > 1 {
--- a/crates/scale/src/children.rs
+++ b/crates/scale/src/children.rs
@@ -1,4 +1,4 @@
-//! Child processes of a run: started in process groups of their own, listened to, and ended by their ids.
+//! Child processes of a run. Each one runs in its own process group; its output is read, and it is ended by its id.
 
 use std::collections::VecDeque;
 use std::ffi::OsStr;
@@ -16,19 +16,20 @@
 use crate::measure::MeasureError;
 use crate::process::Process;
 
-/// Lines of a child's log that are kept, and the length of one in bytes.
+/// Number of most recent log lines that are kept for each child.
 const LOG_LINES: usize = 20;
+/// Length in bytes to which a kept log line is truncated.
 const MAX_LOG_LINE_BYTES: usize = 400;
-/// Lines of a child's standard output that wait to be read; more are let go.
+/// Maximum number of unread lines of a child's standard output; further lines are dropped.
 const OUTPUT_QUEUE_LINES: usize = 4_096;
-/// Longest line of standard output that is taken, in bytes.
+/// Length in bytes at which a line of output is split.
 const MAX_OUTPUT_LINE_BYTES: u64 = 1 << 20;
-/// A child that was told to end has so long before it is killed.
+/// Time between SIGTERM and SIGKILL.
 const TERMINATION_TIMEOUT: Duration = Duration::from_secs(3);
-/// How often its end is looked for.
+/// Interval at which the exit of a child is polled.
 const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// A child of this run.
+/// Handle of a child that [`Children::start`] returned; it stays valid, and refers to no process after the child's end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ChildId(usize);
 
@@ -39,7 +40,7 @@
     log: Arc<Mutex<Log>>,
 }
 
-/// The end of a child's log.
+/// The most recent lines of a child's standard error, and the number of all lines so far.
 #[derive(Default)]
 struct Log {
     last: VecDeque<String>,
@@ -61,28 +62,31 @@
     }
 }
 
-/// Child processes, all ended when this is dropped.
+/// The child processes of a run; dropping the value terminates all of them.
 pub struct Children {
     program: PathBuf,
-    most: u64,
+    max_processes: u64,
     running: Vec<Option<RunningChild>>,
 }
 
 impl Children {
-    /// No children yet. `program` is what [`Children::start`] starts, at most `most` at once.
-    pub fn new(program: PathBuf, most: u64) -> Self {
-        Self { program, most, running: Vec::new() }
+    /// Creates an empty set. [`Children::start`] runs `program`, at most `max_processes` processes at once.
+    pub fn new(program: PathBuf, max_processes: u64) -> Self {
+        Self { program, max_processes, running: Vec::new() }
     }
 
-    /// Starts the program with arguments. `label` names the child in errors. Its standard input stays open until
-    /// it is stopped.
+    /// Starts the program with these arguments. `label` names the child in errors. The child's standard input stays
+    /// open until the child is stopped. Fails if the maximum number of processes is already running.
     pub fn start<A: AsRef<OsStr>>(
         &mut self,
         label: &str,
         arguments: impl IntoIterator<Item = A>,
     ) -> Result<ChildId, MeasureError> {
-        if self.ids().count() as u64 >= self.most {
-            return Err(MeasureError::Unexpected(format!("{label}: more than {} processes", self.most)));
+        if self.ids().count() as u64 >= self.max_processes {
+            return Err(MeasureError::Unexpected(format!(
+                "{label}: more than {} processes",
+                self.max_processes
+            )));
         }
         let mut command = Command::new(&self.program);
         command.args(arguments).process_group(0);
@@ -101,26 +105,26 @@
         Ok(ChildId(self.running.len() - 1))
     }
 
-    /// Process ids of the children that run.
+    /// Process ids of the running children.
     pub fn ids(&self) -> impl Iterator<Item = u32> + '_ {
         self.running.iter().flatten().map(|running| running.child.id())
     }
 
-    /// A child's process, to look at what it uses.
+    /// The process of a running child, for sampling its resource usage; none after its end.
     pub fn process(&self, id: ChildId) -> Option<Process> {
         self.get(id).map(|running| Process::by_id(running.child.id()))
     }
 
-    /// Resident memory of all children, in bytes.
+    /// Resident memory of all running children, in bytes.
     pub fn resident(&self) -> u64 {
         self.ids().filter_map(|id| Process::by_id(id).resident().ok()).sum()
     }
 
-    /// The next line of a child's standard output; an error where none comes within `limit`.
+    /// Waits for the next line of a child's standard output. Fails if none arrives within `limit` or the child ends.
     pub fn next_line(&mut self, id: ChildId, limit: Duration) -> Result<String, MeasureError> {
         let until = Instant::now() + limit;
         let Some(running) = self.get(id) else {
-            return Err(MeasureError::Unexpected("a child was asked that has been stopped".to_owned()));
+            return Err(MeasureError::Unexpected("read from a child that was already stopped".to_owned()));
         };
         match running.output.recv_timeout(until.saturating_duration_since(Instant::now())) {
             Ok(line) => Ok(line),
@@ -133,25 +137,25 @@
         }
     }
 
-    /// The next line of a child's standard output, where one has come.
+    /// Returns the next line of a child's standard output if one is already queued.
     pub fn try_line(&mut self, id: ChildId) -> Option<String> {
         self.get(id)?.output.try_recv().ok()
     }
 
-    /// Writes a line to a child's standard input.
+    /// Writes a line to can't write to a child's standard input; does nothing for a stopped child.
     pub fn write_line(&mut self, id: ChildId, line: &str) -> Result<(), MeasureError> {
         let stdin = self.get_mut(id).and_then(|running| running.child.stdin.as_mut());
         let Some(stdin) = stdin else { return Ok(()) };
         let written = writeln!(stdin, "{line}").and_then(|()| stdin.flush());
-        written.map_err(MeasureError::system("a child's standard input"))
+        written.map_err(MeasureError::system("can't write to a child's standard input"))
     }
 
-    /// Lines that a child has logged so far.
+    /// Number of lines that a child has logged so far; 0 for a stopped child.
     pub fn log_line_count(&self, id: ChildId) -> u64 {
         self.get(id).map_or(0, |running| lock(&running.log).lines)
     }
 
-    /// The lines of its log that follow the first `after` and are still kept.
+    /// The kept log lines of a child that follow its first `after` lines.
     pub fn log_lines_after(&self, id: ChildId, after: u64) -> Vec<String> {
         let Some(running) = self.get(id) else { return Vec::new() };
         let log = lock(&running.log);
@@ -160,24 +164,24 @@
         log.last.iter().skip(known).cloned().collect()
     }
 
-    /// The last lines of a child's log.
+    /// The kept log lines of a child, oldest first.
     pub fn last_log(&self, id: ChildId) -> Vec<String> {
         self.get(id).map_or_else(Vec::new, |running| lock(&running.log).last.iter().cloned().collect())
     }
 
-    /// An error that names a child, with its last log lines.
+    /// Builds an error with the child's label and its last log lines.
     pub fn child_error(&self, id: ChildId, what: &str) -> MeasureError {
         let label = self.get(id).map_or_else(String::new, |running| running.label.clone());
         MeasureError::Child { label, what: what.to_owned(), log: self.last_log(id).join("\n") }
     }
 
-    /// Is any child dead that was not stopped? The first is named, with its last log lines.
+    /// Fails if a child has exited without being stopped; the error has the label and the last log lines of the first.
     pub fn check(&mut self) -> Result<(), MeasureError> {
         for slot in &mut self.running {
             let Some(running) = slot else { continue };
             let Ok(Some(status)) = running.child.try_wait() else { continue };
             let Some(running) = slot.take() else { continue };
-            // Its log is whole when nobody but us holds it: its reader has seen the end.
+            // The reader thread drops its reference at the end of the stream: the log is then complete.
             wait_until(TERMINATION_TIMEOUT, || Arc::strong_count(&running.log) == 1);
             let log: Vec<String> = lock(&running.log).last.iter().cloned().collect();
             let (label, status) = (running.label, status.to_string());
@@ -186,14 +190,14 @@
         Ok(())
     }
 
-    /// Ends one child: its standard input closes, it is sent SIGTERM, and killed where that is not enough.
+    /// Ends one child: closes its standard input, sends SIGTERM, and SIGKILL if it is still running after a timeout.
     pub fn stop(&mut self, id: ChildId) {
         if let Some(running) = self.running.get_mut(id.0).and_then(Option::take) {
             terminate(vec![running]);
         }
     }
 
-    /// Ends all children.
+    /// Ends all children as [`Children::stop`] does, with one timeout for all of them.
     pub fn stop_all(&mut self) {
         terminate(self.running.iter_mut().filter_map(Option::take).collect());
     }
@@ -219,11 +223,11 @@
     }
 }
 
-/// Tells all to end before it waits for any.
+/// Signals all children before waiting for any of them, so that they shut down in parallel.
 fn terminate(mut children: Vec<RunningChild>) {
     for running in &mut children {
         drop(running.child.stdin.take());
-        // It has not been waited for: its id is still ours.
+        // The child has not been reaped, so its process id can't have been reused.
         let _ = kill_process(Pid::from_child(&running.child), Signal::TERM);
     }
     let until = Instant::now() + TERMINATION_TIMEOUT;
@@ -236,7 +240,7 @@
     }
 }
 
-/// Waits until something holds; false where it does not within the limit.
+/// Polls a condition until it holds; returns false if it does not hold within the limit.
 fn wait_until(limit: Duration, mut holds: impl FnMut() -> bool) -> bool {
     let until = Instant::now() + limit;
     while !holds() {
@@ -251,7 +255,7 @@
 fn forward_lines(out: impl Read, lines: &SyncSender<String>) {
     let mut reader = BufReader::new(out);
     while let Some(line) = bounded_line(&mut reader) {
-        // A line that finds no room is let go: the child must not wait for its reader.
+        // A line that does not fit into the queue is dropped: the child must not block on a slow reader.
         if let Err(TrySendError::Disconnected(_)) = lines.try_send(line) {
             return;
         }
@@ -265,7 +269,7 @@
     }
 }
 
-/// The next line, cut where it is too long; none at the end.
+/// Reads the next line, at most [`MAX_OUTPUT_LINE_BYTES`] of it; none at the end of the stream.
 fn bounded_line(reader: &mut impl BufRead) -> Option<String> {
     let mut bytes = Vec::new();
     let read = reader.by_ref().take(MAX_OUTPUT_LINE_BYTES).read_until(b'\n', &mut bytes).ok()?;
--- a/crates/scale/src/context.rs
+++ b/crates/scale/src/context.rs
@@ -1,4 +1,4 @@
-//! What a measure works with: children, progress, chance, and the ends that are set to a run.
+//! The services that a measure uses while it runs: child processes, progress, randomness and the limits of the run.
 
 use std::path::Path;
 use std::thread;
@@ -12,20 +12,20 @@
 use crate::measure::MeasureError;
 use crate::process::Process;
 
-/// How often a wait looks for an end of the run.
+/// Interval at which waits check the limits of the run.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// How often the memory in use is looked at.
+/// Minimum interval between two checks of memory and children.
 const MEMORY_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Is told how far a run is.
+/// Receives the progress of a run, such as for a progress bar.
 pub trait Progress {
-    /// What is being done now.
+    /// Called with a description of the current step.
     fn doing(&self, what: &str);
-    /// One size of one measure is done.
+    /// Called when a measure has finished one size.
     fn done(&self);
 }
 
-/// Progress that nobody looks at.
+/// A [`Progress`] that discards all updates.
 pub struct NoProgress;
 
 impl Progress for NoProgress {
@@ -33,22 +33,22 @@
     fn done(&self) {}
 }
 
-/// The ends that are set to a run.
+/// The conditions under which a run ends early.
 #[derive(Clone, Debug)]
 pub struct RunLimits {
-    /// It ends then at the latest.
+    /// The time at which the run ends at the latest.
     pub deadline: Instant,
-    /// It ends when this is set.
+    /// Ends the run when it is set.
     pub interrupt: Interrupt,
-    /// Memory that it may have with its children, in bytes.
+    /// Maximum resident memory of this process and its children together, in bytes.
     pub memory: u64,
 }
 
-/// What a measure works with at one size.
+/// The services that a measure uses at one size.
 pub struct Context<'run> {
-    /// Starts and ends processes.
+    /// The child processes of this size.
     pub children: &'run mut Children,
-    /// Chance, by the file's seed, the measure and the size alone.
+    /// Random numbers, seeded by the file's seed, the measure and the size alone.
     pub random: ChaCha8Rng,
     progress: &'run dyn Progress,
     folder: &'run Path,
@@ -57,7 +57,7 @@
 }
 
 impl<'run> Context<'run> {
-    /// A context for one measure at one size.
+    /// Creates the context of one measure at one size; `seed` seeds [`Context::random`].
     pub fn new(
         children: &'run mut Children,
         progress: &'run dyn Progress,
@@ -69,18 +69,18 @@
         Self { children, random, progress, folder, limits, memory_checked_at: None }
     }
 
-    /// A folder of this run for files; it is gone after the run.
+    /// Temporary folder for files of this size; it is removed after the measurement.
     pub fn folder(&self) -> &Path {
         self.folder
     }
 
-    /// Says what is being done.
+    /// Reports the current step to the progress display.
     pub fn doing(&self, what: &str) {
         self.progress.doing(what);
     }
 
-    /// Must the measure end: by an interrupt, the deadline, the memory in use, or a child that died? To be called
-    /// often; it costs little.
+    /// Fails if the measure must end: on an interrupt, past the deadline, over the memory limit, or when a child has
+    /// exited. Cheap enough to call in a loop: memory and children are checked only every 200 ms.
     pub fn check(&mut self) -> Result<(), MeasureError> {
         if self.limits.interrupt.is_set() {
             return Err(MeasureError::Interrupted);
@@ -94,12 +94,13 @@
         }
         self.memory_checked_at = Some(now);
         self.children.check()?;
-        let own = Process::own().resident().map_err(MeasureError::system("the rig's own memory"))?;
+        let own =
+            Process::own().resident().map_err(MeasureError::system("can't read the rig's own memory"))?;
         let (used, allowed) = (own + self.children.resident(), self.limits.memory);
         if used > allowed { Err(MeasureError::Memory { used, allowed }) } else { Ok(()) }
     }
 
-    /// Waits, and ends early with an error where the measure must end.
+    /// Sleeps for `span`; fails early if [`Context::check`] does.
     pub fn wait(&mut self, span: Duration) -> Result<(), MeasureError> {
         let until = Instant::now() + span;
         loop {
@@ -112,7 +113,7 @@
         }
     }
 
-    /// Waits until `done` gives a value; after `limit` there is none.
+    /// Polls `done` until it returns a value; none after `limit`. Fails early if [`Context::check`] does.
     pub fn wait_for<T>(
         &mut self,
         limit: Duration,
--- a/crates/scale/src/fit.rs
+++ b/crates/scale/src/fit.rs
@@ -1,28 +1,28 @@
-//! Least squares: how a figure grows with the size.
+//! Least-squares fits of how a metric grows with the size.
 
 use serde::Serialize;
 
-/// Sizes that a fit needs.
+/// Minimum number of sizes for a fit.
 pub const FEWEST_SIZES: usize = 4;
 
-/// A straight line through points, with the error of its slope.
+/// A least-squares line, with the standard error of its slope.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Line {
-    /// Its value at size 0.
+    /// Value of the line at size 0.
     pub intercept: f64,
-    /// What one more of the size adds.
+    /// Increase of the value for each unit of the size.
     pub slope: f64,
-    /// The slope's standard error.
+    /// Standard error of the slope.
     pub slope_error: f64,
 }
 
 impl Line {
-    /// Its value at a size.
+    /// Value of the line at a size.
     pub fn at(&self, size: f64) -> f64 {
         self.intercept + self.slope * size
     }
 
-    /// Fits a line; none through fewer than three points, or points of one size.
+    /// Fits a line; none for fewer than three points or points that all have the same size.
     pub fn through(points: &[(f64, f64)]) -> Option<Self> {
         if points.len() < 3 {
             return None;
@@ -43,30 +43,30 @@
     }
 }
 
-/// How a figure grows: by a line, and by a power of the size.
+/// The growth of a metric, as a linear fit and as a power law.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Fit {
-    /// The line through sizes and values.
+    /// Linear fit of the values over the sizes.
     #[serde(flatten)]
     pub line: Line,
-    /// The power of the size with which the value grows, and its standard error: the line through their logarithms.
-    /// None where a value is not above zero.
+    /// Power law of the values over the sizes, fitted as a line through their logarithms. None if a size or a value is
+    /// not above zero.
     pub exponent: Option<Exponent>,
-    /// Sizes that were fitted.
+    /// Number of sizes that were fitted.
     pub sizes: usize,
 }
 
-/// A power of the size.
+/// The exponent of a power law.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Exponent {
-    /// The power: 0 does not grow, 1 grows like the size.
+    /// The exponent: 0 is constant, 1 is proportional to the size.
     pub power: f64,
-    /// Its standard error.
+    /// Standard error of the exponent.
     pub error: f64,
 }
 
 impl Fit {
-    /// Fits sizes and values; none where they are fewer than [`FEWEST_SIZES`].
+    /// Fits pairs of size and value; none if there are fewer than [`FEWEST_SIZES`].
     pub fn of(points: &[(f64, f64)]) -> Option<Self> {
         if points.len() < FEWEST_SIZES {
             return None;
--- a/crates/scale/src/interrupt.rs
+++ b/crates/scale/src/interrupt.rs
@@ -1,24 +1,24 @@
-//! A flag that ends a run before its time.
+//! A flag that cancels a run.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-/// Set by a signal handler or a test; looked at by the run.
+/// Cancellation flag, set by a signal handler or a test and polled by the run. Clones share the flag.
 #[derive(Clone, Debug, Default)]
 pub struct Interrupt(Arc<AtomicBool>);
 
 impl Interrupt {
-    /// The flag, for a signal handler to set.
+    /// The underlying flag, for registration with a signal handler.
     pub fn flag(&self) -> Arc<AtomicBool> {
         Arc::clone(&self.0)
     }
 
-    /// Asks the run to end.
+    /// Requests the end of the run.
     pub fn set(&self) {
         self.0.store(true, Ordering::Relaxed);
     }
 
-    /// Was the run asked to end?
+    /// Whether the end of the run was requested.
     pub fn is_set(&self) -> bool {
         self.0.load(Ordering::Relaxed)
     }
--- a/crates/scale/src/lib.rs
+++ b/crates/scale/src/lib.rs
@@ -1,13 +1,14 @@
-//! A scale run: how a cost grows with the size of the fleet, measured at several sizes, fitted and judged by bounds.
+//! Scale runs: measure how costs grow with the size of the fleet, fit the growth and check it against bounds.
 //!
-//! May know: the decision module, the text of settings, processes and `/proc`. Must not know: the command line, and
-//! how the program that it starts is made.
+//! This crate may depend on the decision module, the settings format, processes and `/proc`, but not on the command
+//! line or on the internals of the program that it starts.
 //!
-//! * [`settings`]: a file to a checked plan; a plan that can't fit on the machine is refused ([`capacity`]).
-//! * [`measure`]: what is measured, one module a measure, behind one trait.
-//! * [`context`], [`children`], [`process`], [`rig`]: what a measure works with.
-//! * [`run`]: measures in their order, until the end, the deadline or an interrupt.
-//! * [`fit`], [`verdict`], [`report`]: slopes, bounds, lines of JSON, a table and plots.
+//! * [`settings`]: parses and validates a plan file; a plan that exceeds the machine's [`capacity`] is rejected.
+//! * [`measure`]: the available measures, one module each, behind the trait [`measure::Measure`].
+//! * [`context`], [`children`], [`process`], [`rig`]: the services that a measure uses while it runs.
+//! * [`run`]: runs the measures in order until all are done, the deadline passes or the run is interrupted.
+//! * [`fit`], [`verdict`], [`report`]: least-squares fits, checks of bounds, and the output as JSON
+//!   lines, tables and plots.
 
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
--- a/crates/scale/src/measure/administration/api.rs
+++ b/crates/scale/src/measure/administration/api.rs
@@ -1,4 +1,4 @@
-//! The administration's API, as the measure uses it.
+//! Client of the administration's HTTP API, with the calls that the measure needs.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,14 +10,14 @@
 use crate::context::Context;
 use crate::measure::MeasureError;
 
-/// An answer has so long: longer than any change waits for its word.
+/// Timeout of a request. Longer than the administration waits for a change to be in force everywhere.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(30);
-/// How often an end of the run is looked for meanwhile.
+/// Interval at which a waiting request checks the limits of the run.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// A limit from which each change takes something away.
+/// Initial limit of open calls, which each change lowers by one.
 const FIRST_LIMIT: u64 = 1_000_000_000;
 
-/// A client with a key that may do all.
+/// Client with a key of the role `admin`.
 pub struct Api {
     client: Http1Client,
     authorization: String,
@@ -30,22 +30,22 @@
 }
 
 impl Api {
-    /// A client of the administration at this address.
+    /// Creates a client of the administration at this address, authorized by `token`.
     pub fn new(administration: SocketAddr, token: &str) -> Result<Self, MeasureError> {
-        let client =
-            Http1Client::new(administration, 1, REQUEST_TIMEOUT).map_err(MeasureError::system("a client"))?;
+        let client = Http1Client::new(administration, 1, REQUEST_TIMEOUT)
+            .map_err(MeasureError::system("can't create an HTTP client"))?;
         Ok(Self { client, authorization: format!("Bearer {token}"), limit: FIRST_LIMIT })
     }
 
-    /// Makes a tenant.
+    /// Creates a tenant.
     pub fn create(&mut self, name: &str, context: &mut Context<'_>) -> Result<(), MeasureError> {
         let body = json!({ "name": name, "note": "a tenant of a scale run" }).to_string();
         let answer = self.request("POST", "/v1/tenants", "application/json", body.as_bytes(), context)?;
         expect(&answer, &[201, 202])
     }
 
-    /// Lowers a limit of a tenant: a change that counts when nobody acts without it. Was it answered to be in force
-    /// everywhere?
+    /// Lowers a limit of a tenant. Such a change is complete only when no controller acts on the old limit; returns
+    /// whether the response reports it in force everywhere.
     pub fn lower_limit(&mut self, name: &str, context: &mut Context<'_>) -> Result<bool, MeasureError> {
         self.limit -= 1;
         let body = json!({ "limits": { "open_calls": self.limit } }).to_string();
@@ -56,7 +56,7 @@
         Ok(answer.header("nettleferry-in-force") == Some("everywhere"))
     }
 
-    /// How many lives hold a lease.
+    /// Number of incarnations that hold a lease.
     pub fn leases(&mut self, context: &mut Context<'_>) -> Result<u64, MeasureError> {
         let answer = self.request("GET", "/v1/fleet", "application/json", b"", context)?;
         expect(&answer, &[200])?;
@@ -65,7 +65,7 @@
         Ok(fleet.leases)
     }
 
-    /// Asks once more where the connection was closed between two requests.
+    /// Sends a request, and retries it once if the connection was broken, as by an idle timeout between two requests.
     fn request(
         &mut self,
         method: &str,
@@ -96,7 +96,7 @@
         let mut events = Vec::new();
         loop {
             let polled = self.client.poll(Some(POLL_INTERVAL), &mut events);
-            polled.map_err(MeasureError::system("a client's poll"))?;
+            polled.map_err(MeasureError::system("can't poll the HTTP client"))?;
             if let Some((_, answer)) = events.pop() {
                 return Ok(answer);
             }
--- a/crates/scale/src/measure/administration/fleet.rs
+++ b/crates/scale/src/measure/administration/fleet.rs
@@ -1,4 +1,4 @@
-//! The processes of the measure: an administration, real followers, and hollow ones in processes of their own.
+//! The processes of the measure: an administration, real followers, and processes of hollow followers.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -15,38 +15,38 @@
 use crate::context::Context;
 use crate::measure::MeasureError;
 
-/// Hollow followers of one process.
+/// Maximum number of hollow followers in one process.
 pub const FOLLOWERS_PER_PROCESS: u64 = 500;
-/// A process has so long to say what is waited for.
+/// Time within which a process must print an expected line, and all followers must have a lease.
 const PATIENCE: Duration = Duration::from_secs(30);
-/// How often it is asked whether all have leases.
+/// Interval at which the number of leases is polled.
 const LEASE_POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// Settings that all real processes share. There are no workers: no call is made.
+/// Settings shared by all real processes. The worker list is empty because the measure makes no calls.
 const SETTINGS: &str = "(listen (grpc \"127.0.0.1:0\"))\n(workers (file \"workers.sexp\"))\n\
     (class quick (effect safe) (aim 1s) (deadline 20s))\n(model \"echo\" (class quick) (lanes 64))\n";
 
-/// The processes.
+/// The running processes of the measure.
 pub struct Fleet {
-    /// The administration.
+    /// Process of the administration.
     pub administration: ChildId,
-    /// Its API.
+    /// Client of the administration's API.
     pub api: Api,
-    /// Real followers.
+    /// Processes of real followers, one each.
     pub real: Vec<ChildId>,
-    /// Processes of hollow followers.
+    /// Processes of hollow followers, up to [`FOLLOWERS_PER_PROCESS`] each.
     pub hollow: Vec<ChildId>,
     address: SocketAddr,
     key_file: PathBuf,
 }
 
-/// A key: what its holder shows, and what the settings say of it.
+/// An API key: the token of the client, and the form for the administration's settings.
 struct Key {
     token: String,
     settings: String,
 }
 
 impl Fleet {
-    /// Starts the administration, with the tenants of the script.
+    /// Starts the administration and creates the tenants of the script.
     pub fn start(script: &Script, size: u64, context: &mut Context<'_>) -> Result<Self, MeasureError> {
         let (admin, follower) = (key("scale", "admin", context)?, key("fleet", "controller", context)?);
         let key_file = context.folder().join("key");
@@ -66,7 +66,7 @@
         Ok(Self { administration, api, real: Vec::new(), hollow: Vec::new(), address, key_file })
     }
 
-    /// Starts all followers, and waits until each has a lease.
+    /// Starts all followers and waits until each has a lease.
     pub fn follow(
         &mut self,
         script: &Script,
@@ -129,7 +129,7 @@
         }
     }
 
-    /// What hollow followers counted since they were asked last, a summary a process.
+    /// Requests the counts of the hollow followers since the last request, one summary for each process.
     pub fn summaries(&self, context: &mut Context<'_>) -> Result<Vec<Summary>, MeasureError> {
         for child in &self.hollow {
             context.children.write_line(*child, "summary")?;
@@ -138,12 +138,12 @@
     }
 }
 
-/// The name of a tenant.
+/// Name of the `n`th tenant.
 pub fn tenant(n: u64) -> String {
     format!("tenant-{n}")
 }
 
-/// A key that the program makes.
+/// Generates an API key with the program's `admin key` command.
 fn key(name: &str, role: &str, context: &mut Context<'_>) -> Result<Key, MeasureError> {
     let child = context.children.start(&format!("key {name}"), ["admin", "key", name, role])?;
     let (mut token, mut settings) = (None, None);
@@ -156,7 +156,7 @@
     Ok(Key { token: token.unwrap_or_default(), settings: settings.unwrap_or_default() })
 }
 
-/// A real process in a folder of its own.
+/// Starts a `serve` process in its own folder.
 fn serve(label: &str, settings: &str, context: &mut Context<'_>) -> Result<ChildId, MeasureError> {
     let folder = context.folder().join(label);
     fs::create_dir_all(&folder).map_err(MeasureError::system("a folder for files"))?;
@@ -166,14 +166,18 @@
     context.children.start(label, [Path::new("serve"), &file])
 }
 
-/// The address behind these words in a process's output.
+/// Reads a process's output up to the line that begins with `words`, and returns the address that follows them.
 fn address(child: ChildId, words: &str, context: &mut Context<'_>) -> Result<SocketAddr, MeasureError> {
     loop {
         let line = context.children.next_line(child, PATIENCE)?;
         let address = line.strip_prefix(words).map(|address| address.parse());
         match address {
             Some(Ok(address)) => return Ok(address),
-            Some(Err(_)) => return Err(context.children.child_error(child, &format!("no address: {line}"))),
+            Some(Err(_)) => {
+                return Err(context
+                    .children
+                    .child_error(child, &format!("no address in the output: {line}")));
+            }
             None => {}
         }
     }
--- a/crates/scale/src/measure/administration/interval.rs
+++ b/crates/scale/src/measure/administration/interval.rs
@@ -1,4 +1,4 @@
-//! One interval of the measure: what each process spent in it.
+//! Resource usage of each process over one interval of the measure.
 
 use std::time::{Duration, Instant};
 
@@ -11,7 +11,7 @@
 use crate::measure::MeasureError;
 use crate::process::Sample;
 
-/// What processes had used at one moment.
+/// Resource usage of the real processes at one moment.
 struct Moment {
     at: Instant,
     administration: Sample,
@@ -28,33 +28,33 @@
 fn sample(child: ChildId, context: &Context<'_>) -> Result<Sample, MeasureError> {
     let process = context.children.process(child);
     let process = process.ok_or_else(|| MeasureError::Unexpected("a process was stopped".to_owned()))?;
-    process.sample().map_err(MeasureError::system("what a process uses"))
+    process.sample().map_err(MeasureError::system("can't read the resource usage of a process"))
 }
 
-/// An interval, over.
+/// The measurements of a completed interval.
 pub struct Interval {
-    /// How long it was.
+    /// Length of the interval.
     pub span: Duration,
     /// Processor time of the administration.
     pub administration: Duration,
-    /// What the administration had at its end.
+    /// Resource usage of the administration at the end.
     pub end: Sample,
-    /// Processor time of a real follower, their mean; none: there are none.
+    /// Mean processor time of a real follower; none without real followers.
     pub real: Option<Duration>,
-    /// Resident memory of a real follower at its end, their mean, in bytes.
+    /// Mean resident memory of a real follower at the end, in bytes; none without real followers.
     pub real_resident: Option<u64>,
-    /// What hollow followers saw, a summary a process.
+    /// Counts of the hollow followers, one summary for each process.
     pub hollow: Vec<Summary>,
 }
 
 impl Interval {
-    /// Measures what happens while `work` runs.
+    /// Measures the interval in which `work` runs.
     pub fn measure(
         fleet: &mut Fleet,
         context: &mut Context<'_>,
         work: impl FnOnce(&mut Fleet, &mut Context<'_>) -> Result<(), MeasureError>,
     ) -> Result<Self, MeasureError> {
-        // What was before is not of this interval.
+        // Resets the counters of the hollow followers, which count since the last request.
         fleet.summaries(context)?;
         let begin = Moment::now(fleet, context)?;
         work(fleet, context)?;
@@ -74,17 +74,17 @@
         })
     }
 
-    /// A sum over the hollow processes.
+    /// Sum of a count over the hollow processes.
     pub fn sum(&self, of: impl Fn(&Summary) -> u64) -> f64 {
         self.hollow.iter().map(of).sum::<u64>() as f64
     }
 
-    /// The greatest of the hollow processes.
+    /// Maximum of a value over the hollow processes; 0 without any.
     pub fn greatest(&self, of: impl Fn(&Summary) -> f64) -> f64 {
         self.hollow.iter().map(of).fold(0.0, f64::max)
     }
 
-    /// The part of the hollow followers' time without a lease.
+    /// Share of the hollow followers' time that they had no lease.
     pub fn unleased(&self) -> f64 {
         let followers = self.sum(|summary| summary.followers).max(1.0);
         let without = |summary: &Summary| (1.0 - summary.coverage_since_first) * summary.followers as f64;
@@ -92,18 +92,18 @@
     }
 }
 
-/// What the changes of an interval came to.
+/// The results of the changes of an interval.
 pub struct Changes {
-    /// How many were made.
+    /// Number of changes.
     pub made: u64,
-    /// Until one was answered to be in force everywhere, microseconds.
+    /// Time until the response that a change is in force everywhere, in microseconds.
     pub everywhere: Histogram<u64>,
-    /// Changes that were answered otherwise.
+    /// Changes whose response did not report them in force everywhere.
     pub not_everywhere: u64,
 }
 
 impl Changes {
-    /// Makes so many changes a second for a span, one after another.
+    /// Makes changes at this rate per second for `span`, one after another, over the tenants in turn.
     pub fn make(
         rate: f64,
         span: Duration,
@@ -112,7 +112,7 @@
         context: &mut Context<'_>,
     ) -> Result<Self, MeasureError> {
         let everywhere = Histogram::new_with_bounds(1, 60_000_000, 3)
-            .map_err(|error| MeasureError::Unexpected(format!("a histogram: {error}")))?;
+            .map_err(|error| MeasureError::Unexpected(format!("can't create a histogram: {error}")))?;
         let mut changes = Self { made: 0, everywhere, not_everywhere: 0 };
         let begun = Instant::now();
         loop {
@@ -122,10 +122,10 @@
                 return Ok(changes);
             }
             context.wait(due.saturating_duration_since(Instant::now()))?;
-            let asked = Instant::now();
+            let sent_at = Instant::now();
             let name = super::fleet::tenant(changes.made % tenants);
             if fleet.api.lower_limit(&name, context)? {
-                changes.everywhere.saturating_record(asked.elapsed().as_micros() as u64);
+                changes.everywhere.saturating_record(sent_at.elapsed().as_micros() as u64);
             } else {
                 changes.not_everywhere += 1;
             }
--- a/crates/scale/src/measure/administration/mod.rs
+++ b/crates/scale/src/measure/administration/mod.rs
@@ -1,5 +1,5 @@
-//! `administration`: a real administration with hollow followers in other processes and some real ones beside them.
-//! What it and a real follower spend while nothing changes and while changes are made, by the number of followers.
+//! The measure `administration`: resource usage of a real administration and of real followers, with and without
+//! changes, by the number of followers. Most followers are hollow ones that run in separate processes.
 
 mod api;
 mod fleet;
@@ -20,21 +20,21 @@
 use crate::capacity::Needs;
 use crate::context::Context;
 
-/// Its key in a file.
+/// Key of the measure in the plan file.
 pub const NAME: &str = "administration";
 
 const MOST_REAL: u32 = 8;
 const MOST_TENANTS: u64 = 20_000;
 const MOST_RATE: f64 = 1_000.0;
 const MAX_INTERVAL: Micros = 120_000_000;
-/// Estimates from above, for the refusal of sizes that can't fit: bytes of a real process, of a hollow one and of a
-/// follower in both; time to start, to make a tenant, and a change's longest wait for its word.
+/// Upper estimates that are used to reject sizes that don't fit the machine: memory of a real or hollow process and of
+/// a follower, time to start the processes and time to create a tenant.
 const PROCESS_BYTES: u64 = 64 << 20;
 const FOLLOWER_BYTES: u64 = 256 << 10;
 const START_TIME: Duration = Duration::from_secs(5);
 const TENANT_TIME: Duration = Duration::from_millis(10);
 
-/// Reads `(administration ...)`.
+/// Parses `(administration ...)`.
 pub fn read(form: &mut Form) -> Option<Box<dyn Measure>> {
     let sizes = Sizes::read(form, "followers");
     let script = Script {
@@ -68,17 +68,17 @@
     Some(Box::new(Administration { sizes: sizes?, script }))
 }
 
-/// What is played at each size.
+/// The steps of the measurement at each size.
 struct Script {
-    /// Real followers beside the hollow ones.
+    /// Number of real followers, in addition to the hollow ones.
     real: u32,
-    /// Span of a lease.
+    /// Duration of a lease.
     lease: Micros,
-    /// Tenants in the book.
+    /// Number of tenants to create before the measurement.
     tenants: u64,
-    /// Changes a second in the second interval.
+    /// Changes per second in the second interval.
     rate: f64,
-    /// How long each of the two intervals is.
+    /// Length of each of the two intervals.
     interval: Micros,
 }
 
@@ -160,7 +160,7 @@
     }
 }
 
-/// What changes cost beyond what the quiet interval did.
+/// Records the cost of changes, beyond the usage of the quiet interval.
 fn observe_changes(
     quiet: &Interval,
     busy: &Interval,
--- a/crates/scale/src/measure/list/calls.rs
+++ b/crates/scale/src/measure/list/calls.rs
@@ -1,4 +1,4 @@
-//! Calls at a steady rate through a gateway, on a thread of their own, with the time that each took.
+//! A thread that makes calls through a gateway at a constant rate and records their latency.
 
 use std::collections::HashMap;
 use std::io;
@@ -15,34 +15,34 @@
 use nettleferry_test_servers::models::climb_request;
 use prost::Message;
 
-/// Calls that are open at once; while so many are, no further one begins.
+/// Maximum number of open calls; calls beyond it are skipped.
 const MOST_OPEN: usize = 2_000;
-/// Longest time that the histogram tells apart, in microseconds.
+/// Upper bound of the latency histogram, in microseconds.
 const MAX_LATENCY_MICROS: u64 = 60_000_000;
-/// Bytes of tensor that a call carries.
+/// Size of the input tensor of a call, in bytes.
 const CALL_TENSOR_BYTES: usize = 256;
-/// The thread looks so often whether it is to end.
+/// Interval at which the thread checks whether it must stop.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Calls of a stretch of time.
+/// Results of the calls that ended in a period.
 pub struct CallStats {
-    /// Time of each call that was served, in microseconds.
+    /// Latency of the calls that were served, in microseconds.
     pub latency: Histogram<u64>,
-    /// Calls that were not served.
+    /// Number of calls that failed.
     pub failed: u64,
-    /// Calls that did not begin because too many were open.
+    /// Number of calls that were not made because too many were open.
     pub skipped: u64,
 }
 
 impl CallStats {
     fn new() -> io::Result<Self> {
         let latency = Histogram::new_with_bounds(1, MAX_LATENCY_MICROS, 3)
-            .map_err(|error| io::Error::other(format!("a histogram: {error}")))?;
+            .map_err(|error| io::Error::other(format!("can't create a histogram: {error}")))?;
         Ok(Self { latency, failed: 0, skipped: 0 })
     }
 }
 
-/// Calls under way until this is dropped.
+/// Handle of the calling thread; dropping it stops the calls.
 pub struct Calls {
     stats: Arc<Mutex<CallStats>>,
     stop: Arc<AtomicBool>,
@@ -50,7 +50,7 @@
 }
 
 impl Calls {
-    /// Begins calls of `model`, so many a second.
+    /// Starts calls of `model` through the gateway at address `to`, `rate` per second.
     pub fn start(to: SocketAddr, model: &str, rate: f64) -> io::Result<Self> {
         let stats = Arc::new(Mutex::new(CallStats::new()?));
         let stop = Arc::new(AtomicBool::new(false));
@@ -67,7 +67,7 @@
             let record_ended =
                 Caller::new(to, request, every, recorded).and_then(|mut caller| caller.run(&stopped));
             if let Err(error) = record_ended {
-                // ObservationKind by whoever takes the stretch: no call of it was served.
+                // The measure fails on its own: the next period has no served call.
                 eprintln!("calls of the scale run ended: {error}");
             }
         };
@@ -75,7 +75,7 @@
         Ok(Self { stats, stop, thread: Some(thread) })
     }
 
-    /// The calls that ended since the last time.
+    /// Returns the results since the last call of this function.
     pub fn take(&self) -> io::Result<CallStats> {
         let mut stats = self.stats.lock().unwrap_or_else(PoisonError::into_inner);
         Ok(std::mem::replace(&mut stats, CallStats::new()?))
--- a/crates/scale/src/measure/list/mod.rs
+++ b/crates/scale/src/measure/list/mod.rs
@@ -1,7 +1,7 @@
-//! `list`: a process of `nettleferry serve` with a worker list in a file, while calls flow. What the list costs it at
-//! rest, at a change of one worker and when it is replaced whole, by the workers in the list.
+//! The measure `list`: the cost of a worker list in a file for a process of `nettleferry serve` that handles calls: at
+//! rest, when one worker changes and when the whole list is replaced, by the number of workers in the list.
 //!
-//! All workers of the list have the address of one stand-in worker: the list is long, the fleet behind it is not.
+//! All entries of the list have the address of a single stand-in worker, so that large lists need no large fleet.
 
 mod calls;
 mod metrics;
@@ -24,44 +24,45 @@
 use crate::context::Context;
 use crate::process::{Process, Sample};
 
-/// Its key in a file.
+/// Key of the measure in the plan file.
 pub const NAME: &str = "list";
 
-/// Most changes of one worker at a size, and most calls a second.
+/// Maximum of `changes`, changes of one worker at each size.
 const MOST_CHANGES: u64 = 100;
+/// Maximum of `calls-per-second`.
 const MOST_RATE: f64 = 2_000.0;
-/// A child has so long to listen, and a list to be taken.
+/// Time within which a child must listen, and a list must be applied.
 const PATIENCE: Duration = Duration::from_secs(20);
-/// The log line that tells of a list that was taken, and the filter that lets it through.
+/// Log message of `serve` for an applied list, and the log filter that includes it.
 const LIST_APPLIED: &str = "worker list applied";
 const LOG_FILTER: &str = "warn,nettleferry::worker_list=info";
-/// The model that is called.
+/// Name of the model that is called.
 const MODEL: &str = "echo";
-/// Zones and kinds of the workers in the list.
+/// Number of zones over which the workers of the list are distributed.
 const ZONES: u64 = 15;
 
-/// Estimates from above, for the refusal of sizes that can't fit.
+/// Upper estimates that are used to reject sizes that don't fit the machine.
 const PROCESS_BYTES: u64 = 128 << 20;
 const WORKER_BYTES: u64 = 20_000;
 const PROCESSES: u64 = 2;
 const DESCRIPTORS: u64 = 256;
 const PORTS: u64 = 64;
-/// Time of a change beyond the file's spans, at the least and for each worker.
+/// Upper estimate of the time for a change beyond `settle`: a fixed part and a part for each worker of the list.
 const CHANGE_LEAST: Duration = Duration::from_millis(300);
 const CHANGE_WORKER: Duration = Duration::from_micros(40);
 const START_TIME: Duration = Duration::from_secs(2);
 
-/// What `serve` is started with, beside its list.
+/// Settings of the `serve` process.
 const SETTINGS: &str = r#"(listen (grpc "127.0.0.1:0"))
 (workers (file "workers.sexp") (check-every 200ms))
 (class quick (effect safe) (aim 1s) (deadline 20s))
 (model "echo" (class quick) (lanes 64))
 "#;
-/// What the stand-in worker is.
+/// Settings of the stand-in worker.
 const STANDIN: &str =
     r#"(listen "127.0.0.1:0") (cores 8) (queue 10000) (model "" (lanes 64) (load-time 1ms) (work 1ms))"#;
 
-/// Reads `(list ...)`.
+/// Parses `(list ...)`.
 pub fn read(form: &mut Form) -> Option<Box<dyn Measure>> {
     let sizes = Sizes::read(form, "workers");
     let changes = form.value_or("changes", 5u64);
@@ -127,9 +128,10 @@
     fn run_at(&mut self, size: u64, context: &mut Context<'_>) -> Result<Observations, MeasureError> {
         let mut to = Observations::default();
         let mut gateway = Gateway::start(size, context, &mut to)?;
-        let calls = Calls::start(gateway.address, MODEL, self.rate).map_err(MeasureError::system("calls"))?;
+        let calls = Calls::start(gateway.address, MODEL, self.rate)
+            .map_err(MeasureError::system("can't make calls"))?;
         let mut stats_by_metric = Vec::new();
-        // The first call of the model loads it, and connects.
+        // The first call connects to the worker and loads the model; its results are discarded.
         context.wait(self.settle)?;
         take(&calls)?;
         let rest = self.rest(&gateway, context)?;
@@ -148,16 +150,16 @@
     }
 }
 
-/// What a change cost, beyond what passes at rest.
+/// Cost of one change, beyond the usage at rest.
 struct ChangeCost {
-    /// Microseconds of processor time.
+    /// Processor time, in microseconds.
     processor: f64,
-    /// Bytes that read calls gave.
+    /// Bytes returned by read calls.
     read: f64,
 }
 
 impl List {
-    /// Cores in use while nothing changes.
+    /// Cores used while the list does not change.
     fn rest(&self, gateway: &Gateway, context: &mut Context<'_>) -> Result<f64, MeasureError> {
         context.doing(&format!("{NAME} {}: at rest", gateway.workers.len()));
         let (before, began) = (gateway.sample()?, Instant::now());
@@ -166,7 +168,7 @@
         Ok(used.as_secs_f64() / began.elapsed().as_secs_f64())
     }
 
-    /// Changes the list so many times; the cost of one.
+    /// Changes the list `count` times and returns the mean cost of a change; `rest` is the usage at rest in cores.
     fn changes(
         &self,
         gateway: &mut Gateway,
@@ -190,7 +192,7 @@
 }
 
 fn take(calls: &Calls) -> Result<CallStats, MeasureError> {
-    calls.take().map_err(MeasureError::system("calls"))
+    calls.take().map_err(MeasureError::system("can't make calls"))
 }
 
 fn observe(
@@ -210,7 +212,7 @@
     Ok(())
 }
 
-/// A process of `serve`, and its list.
+/// A `serve` process and its worker list.
 struct Gateway {
     child: ChildId,
     process: Process,
@@ -222,7 +224,7 @@
 }
 
 impl Gateway {
-    /// Starts a stand-in worker and `serve` with a list of `size` workers, and waits until the list is taken.
+    /// Starts a stand-in worker and `serve` with a list of `size` workers, and waits until the list is applied.
     fn start(size: u64, context: &mut Context<'_>, to: &mut Observations) -> Result<Self, MeasureError> {
         let folder = context.folder().to_owned();
         let standin_file = folder.join("worker.sexp");
@@ -253,7 +255,7 @@
     }
 
     fn sample(&self) -> Result<Sample, MeasureError> {
-        self.process.sample().map_err(MeasureError::system("what serve uses"))
+        self.process.sample().map_err(MeasureError::system("can't read the resource usage of serve"))
     }
 
     fn new_worker(&mut self) -> Worker {
@@ -261,14 +263,14 @@
         worker(self.workers_made, self.standin)
     }
 
-    /// Replaces one worker, and waits until the list is taken.
+    /// Replaces one worker and waits until the list is applied.
     fn change_one(&mut self, context: &mut Context<'_>) -> Result<(), MeasureError> {
         let at = context.random.random_range(0..self.workers.len());
         self.workers[at] = self.new_worker();
         self.publish(context)
     }
 
-    /// Replaces all workers, and waits until the list is taken.
+    /// Replaces all workers and waits until the list is applied.
     fn change_all(&mut self, context: &mut Context<'_>) -> Result<(), MeasureError> {
         for at in 0..self.workers.len() {
             self.workers[at] = self.new_worker();
@@ -301,7 +303,7 @@
     fs::write(file, text).map_err(MeasureError::system(file.display().to_string()))
 }
 
-/// Puts the list in place at once; its bytes.
+/// Replaces the list file atomically and returns its size in bytes.
 fn write_list(file: &Path, list: &[Worker]) -> Result<u64, MeasureError> {
     let text = workers::write(list);
     let beside = file.with_extension("new");
@@ -310,7 +312,7 @@
     Ok(text.len() as u64)
 }
 
-/// Starts a child that says where it listens for calls.
+/// Starts a child and returns the address on which it reports to listen for calls.
 fn listening(
     label: &str,
     arguments: impl IntoIterator<Item = PathBuf>,
@@ -321,11 +323,11 @@
     let address = line.strip_prefix("listening grpc ").and_then(|address| address.parse().ok());
     match address {
         Some(address) => Ok((child, address)),
-        None => Err(context.children.child_error(child, &format!("it said {line:?}"))),
+        None => Err(context.children.child_error(child, &format!("unexpected output {line:?}"))),
     }
 }
 
-/// Waits until the child has logged that a list was taken, in a line after the first `after`.
+/// Waits until the child logs an applied list in a line after its first `after` log lines.
 fn wait_applied(child: ChildId, after: u64, context: &mut Context<'_>) -> Result<(), MeasureError> {
     let taken = context.wait_for(PATIENCE, |context| {
         let lines = context.children.log_lines_after(child, after);
--- a/crates/scale/src/measure/mod.rs
+++ b/crates/scale/src/measure/mod.rs
@@ -1,5 +1,5 @@
-//! What a run measures: one module a measure, each behind the trait [`Measure`]. A new one is a module here and a
-//! line in [`MEASURE_KINDS`].
+//! The measures of a run, one module each, behind the trait [`Measure`]. A new measure is a module here and an entry
+//! in [`MEASURE_KINDS`].
 
 pub mod administration;
 pub mod list;
@@ -15,7 +15,7 @@
 use crate::capacity::Needs;
 use crate::context::Context;
 
-/// The unit of a figure.
+/// The unit of a metric.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Unit {
@@ -23,49 +23,49 @@
     Microseconds,
     /// Bytes.
     Bytes,
-    /// Things that are counted.
+    /// A number of things, or of events per second.
     Count,
-    /// Cores: processor time over time.
+    /// Cores: processor time divided by elapsed time.
     Cores,
-    /// Bytes a second.
+    /// Bytes per second.
     BytesPerSecond,
 }
 
-/// A figure that a measure gives at each size.
+/// A metric that a measure reports at each size.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Metric {
-    /// Its name, as bounds and reports have it.
+    /// Name of the metric in bounds and reports.
     pub name: &'static str,
-    /// Its unit.
+    /// Unit of the values.
     pub unit: Unit,
-    /// What it says, in one line.
+    /// Description in one line.
     pub what: &'static str,
 }
 
-/// Defines figures as statics, and `METRICS` with all of them.
+/// Defines metrics as statics, and `METRICS` with all of them.
 macro_rules! metrics {
     ($($constant:ident = $name:literal, $unit:ident, $what:literal;)*) => {
         $(
             #[doc = $what]
             pub static $constant: Metric = Metric { name: $name, unit: $unit, what: $what };
         )*
-        /// All of them.
+        /// All metrics of the measure.
         pub static METRICS: &[&Metric] = &[$(&$constant),*];
     };
 }
 pub(crate) use metrics;
 
-/// The figures of one size.
+/// The values that a measure observed at one size.
 #[derive(Debug, Default)]
 pub struct Observations {
-    /// Figures and their values.
+    /// Metrics with their values, in the order of the report.
     pub values: Vec<(&'static Metric, f64)>,
-    /// What was measured ran inside the rig's own process.
+    /// Whether the measured code ran inside the rig's own process.
     pub in_process: bool,
 }
 
 impl Observations {
-    /// Adds a figure. What is no number was not observed.
+    /// Adds a value; one that is not finite counts as not observed and is ignored.
     pub fn add(&mut self, metric: &'static Metric, value: f64) {
         if value.is_finite() {
             self.values.push((metric, value));
@@ -73,80 +73,80 @@
     }
 }
 
-/// Why a measure ended before it had its figures.
+/// Why a measure ended before it had its results.
 #[derive(Debug, thiserror::Error)]
 pub enum MeasureError {
-    /// The run was interrupted.
+    /// The run was cancelled by a signal or a caller.
     #[error("interrupted")]
     Interrupted,
-    /// The deadline of the file has passed.
+    /// The run passed the deadline of its plan file.
     #[error("the deadline of the file has passed")]
     Deadline,
-    /// More memory is in use than a run may have.
-    #[error("{used} bytes of memory are in use; a run may have {allowed}")]
+    /// The run and its children use more memory than allowed.
+    #[error("{used} bytes of memory are in use; the limit of a run is {allowed}")]
     Memory {
         /// Bytes in use by the run and its children.
         used: u64,
-        /// Bytes that it may have.
+        /// Bytes that the run may use.
         allowed: u64,
     },
-    /// A child ended that was not told to.
+    /// A child exited without being stopped by the run.
     #[error("child {label} ended ({status}); its last log lines:\n{log}")]
     ChildDied {
-        /// What the child is called.
+        /// Label of the child.
         label: String,
-        /// How it ended.
+        /// Exit status of the child.
         status: String,
-        /// The last lines of its log.
+        /// Last lines of the child's log.
         log: String,
     },
-    /// A child said nothing, or not what was expected.
+    /// A child's output was missing or not as expected.
     #[error("child {label}: {what}; its last log lines:\n{log}")]
     Child {
-        /// What the child is called.
+        /// Label of the child.
         label: String,
-        /// What is wrong.
+        /// Description of the failure.
         what: String,
-        /// The last lines of its log.
+        /// Last lines of the child's log.
         log: String,
     },
-    /// The system refused something.
+    /// An operation of the operating system failed.
     #[error("{what}: {source}")]
     System {
-        /// What was tried.
+        /// The operation, or the resource that it concerned.
         what: String,
-        /// Why it failed.
+        /// The cause.
         source: io::Error,
     },
-    /// What was measured did not behave as a measure relies on.
+    /// The measured program behaved in a way that the measure does not handle.
     #[error("{0}")]
     Unexpected(String),
 }
 
 impl MeasureError {
-    /// Wraps an error of the system with what was tried.
+    /// Returns a function that wraps an I/O error with the operation that failed.
     pub fn system(what: impl Into<String>) -> impl FnOnce(io::Error) -> Self {
         let what = what.into();
         move |source| Self::System { what, source }
     }
 }
 
-/// The sizes of a measure, in growing order, and where they stand in the file.
+/// The sizes of a measure in ascending order, with their position in the plan file.
 #[derive(Clone, Debug)]
 pub struct Sizes {
-    /// What grows, for people and for targets: `workers`, `followers`.
+    /// What the sizes count, such as `workers` or `followers`; also the key of the list in the plan file.
     pub of: &'static str,
     /// The sizes.
     pub values: Vec<u64>,
-    /// Where they stand.
+    /// Position of the list in the plan file, for errors.
     pub span: Span,
 }
 
-/// Sizes of a measure at the most.
+/// Maximum number of sizes of a measure.
 const MOST_SIZES: usize = 12;
 
 impl Sizes {
-    /// Reads `(of SIZE SIZE ...)`, which must stand in the measure's list.
+    /// Reads the required list `(of SIZE SIZE ...)` of a measure. Invalid sizes are recorded as errors of the form.
     pub fn read(form: &mut Form, of: &'static str) -> Option<Self> {
         let mut list = form.required_list(of)?;
         let span = list.span();
@@ -168,34 +168,34 @@
     }
 }
 
-/// Something that is measured at several sizes.
+/// A measurement that is repeated at several sizes.
 pub trait Measure {
-    /// Its name: its key in the file.
+    /// Name of the measure, which is also its key in the plan file.
     fn name(&self) -> &'static str;
 
-    /// Its sizes.
+    /// The sizes to measure at.
     fn sizes(&self) -> &Sizes;
 
-    /// The figures that it may give.
+    /// The metrics that the measure may report.
     fn metrics(&self) -> &'static [&'static Metric];
 
-    /// What a size needs, estimated from above; it grows with the size.
+    /// Upper estimate of the resources that a size needs; must grow with the size.
     fn needs(&self, size: u64) -> Needs;
 
-    /// Measures at one size. Called for each size once, in their order; children that it started and did not stop
-    /// are stopped after it.
+    /// Measures at one size. Called once for each size, in ascending order. Children that are still running when it
+    /// returns are stopped by the caller.
     fn run_at(&mut self, size: u64, context: &mut Context<'_>) -> Result<Observations, MeasureError>;
 }
 
-/// A measure that a file may ask for.
+/// A kind of measure that a plan file may contain.
 pub struct MeasureKind {
-    /// Its key in the file.
+    /// Key of the measure in the plan file.
     pub name: &'static str,
-    /// Reads its list. `None`: it is not sound, and the faults are noted.
+    /// Parses the measure's list. `None` if it is invalid; the errors are then recorded in the form.
     pub read: fn(&mut Form) -> Option<Box<dyn Measure>>,
 }
 
-/// All measures, in the order in which they run.
+/// All kinds of measures, in the order in which they run.
 pub const MEASURE_KINDS: &[MeasureKind] = &[
     MeasureKind { name: module::NAME, read: module::read },
     MeasureKind { name: list::NAME, read: list::read },
--- a/crates/scale/src/measure/module/driver.rs
+++ b/crates/scale/src/measure/module/driver.rs
@@ -1,5 +1,5 @@
-//! Drives the decision module by its own clock: calls, answers, probes and timers in the order of their times, each
-//! `handle` call timed.
+//! Drives the decision module on a simulated clock: delivers calls, answers, probes and timers in the order of their
+//! times, and measures the duration of each `handle` call.
 
 use std::collections::BTreeMap;
 use std::time::Instant;
@@ -12,38 +12,38 @@
 
 use crate::measure::MeasureError;
 
-/// A client's patience: no scripted answer takes so long.
+/// Time that a client waits for its call, which is longer than any scripted answer takes.
 const CLIENT_TIMEOUT: Micros = 4_000_000;
-/// A probe is answered after this span.
+/// Delay of the answer to a probe.
 const PROBE_DELAY: Micros = 1_000;
-/// Calls of one copy at once.
+/// Concurrent calls of one replica.
 const LANES: u32 = 2;
-/// What a scripted worker tells of itself.
+/// Load report of a scripted worker.
 const REPORT: Report =
     Report { inflight: Some(1.0), queue: Some(0.0), util: Some(0.3), memory_held: None, loads: None };
-/// Longest time that the histograms tell apart, in nanoseconds.
+/// Upper bound of the histograms, in nanoseconds.
 const MAX_NANOSECONDS: u64 = 60_000_000_000;
 
-/// A call that is under way.
+/// An open call: its attempts so far, and the time of the `handle` calls for it.
 #[derive(Default)]
 struct OpenCall {
     attempts: u32,
     nanoseconds: u64,
 }
 
-/// What one stretch of calls cost.
+/// Measured cost of a series of calls.
 pub struct Cost {
-    /// Each `handle` call, in nanoseconds.
+    /// Duration of each `handle` call, in nanoseconds.
     pub handles: Histogram<u64>,
-    /// Each call from its arrival to its end: all events that carry its id, in nanoseconds.
+    /// Time spent on each call from arrival to end, summed over the `handle` calls of its events, in nanoseconds.
     pub calls: Histogram<u64>,
-    /// All `handle` calls together, in nanoseconds.
+    /// Duration of all `handle` calls together, in nanoseconds.
     pub total: u64,
-    /// Calls that began.
+    /// Number of calls.
     pub begun: u64,
-    /// Calls that were refused or failed.
+    /// Number of calls that were refused or failed.
     pub not_served: u64,
-    /// Probes that were sent.
+    /// Number of probes that were sent.
     pub probes: u64,
 }
 
@@ -51,15 +51,15 @@
     fn new() -> Result<Self, MeasureError> {
         let histogram = || {
             Histogram::new_with_bounds(1, MAX_NANOSECONDS, 3)
-                .map_err(|error| MeasureError::Unexpected(format!("a histogram: {error}")))
+                .map_err(|error| MeasureError::Unexpected(format!("can't create a histogram: {error}")))
         };
         let (handles, calls) = (histogram()?, histogram()?);
         Ok(Self { handles, calls, total: 0, begun: 0, not_served: 0, probes: 0 })
     }
 
-    /// Adds another stretch to this one.
+    /// Adds the cost of another series of calls.
     pub fn merge(&mut self, other: &Self) -> Result<(), MeasureError> {
-        let histogram_error = |error| MeasureError::Unexpected(format!("histograms: {error}"));
+        let histogram_error = |error| MeasureError::Unexpected(format!("can't merge histograms: {error}"));
         self.handles.add(&other.handles).map_err(histogram_error)?;
         self.calls.add(&other.calls).map_err(histogram_error)?;
         self.total += other.total;
@@ -70,7 +70,7 @@
     }
 }
 
-/// A controller on a clock of its own.
+/// A controller on a simulated clock.
 pub struct Driver {
     controller: Controller,
     now: Micros,
@@ -84,7 +84,8 @@
 }
 
 impl Driver {
-    /// Drives `controller` from the time `now` on; each call is answered `answer_after` its send.
+    /// Creates a driver of `controller` whose clock starts at `now`. Each attempt is answered `answer_after` it is
+    /// sent.
     pub fn new(controller: Controller, now: Micros, answer_after: Micros) -> Result<Self, MeasureError> {
         Ok(Self {
             controller,
@@ -99,33 +100,34 @@
         })
     }
 
-    /// The module's clock.
+    /// Current time of the simulated clock.
     pub fn now(&self) -> Micros {
         self.now
     }
 
-    /// Things that the module remembers.
+    /// Number of state entries of the module.
     pub fn remembered(&self) -> usize {
         self.controller.state_entries()
     }
 
-    /// The controller, when it is driven no further.
+    /// Returns the controller.
     pub fn into_controller(self) -> Controller {
         self.controller
     }
 
-    /// The cost since the last time that it was taken.
+    /// Returns the cost since the last call of this function.
     pub fn take_cost(&mut self) -> Result<Cost, MeasureError> {
         let empty = Cost::new()?;
         Ok(std::mem::replace(&mut self.cost, empty))
     }
 
-    /// Hands in a change of the worker list; its time in nanoseconds, which counts for no call.
+    /// Delivers a change of the worker list and returns the time to handle it in nanoseconds, which is not part of
+    /// [`Cost`].
     pub fn change_list(&mut self, event: Event) -> u64 {
         self.timed(event)
     }
 
-    /// Begins a call.
+    /// Delivers a new call of a function.
     pub fn call(&mut self, function: FunctionId) {
         self.next_call += 1;
         let id = RequestId(self.next_call);
@@ -145,7 +147,7 @@
         self.feed(Event::Request(request), Some(id));
     }
 
-    /// Lets the clock run until `until`, and hands in what comes due.
+    /// Advances the clock to `until` and delivers the events that are due.
     pub fn run_until(&mut self, until: Micros) {
         while let Some(entry) = self.due.first_entry().filter(|entry| entry.key().0 <= until) {
             let ((at, _), event) = entry.remove_entry();
@@ -159,7 +161,7 @@
         self.now = self.now.max(until);
     }
 
-    /// Hands in an event of calls and counts its cost.
+    /// Delivers an event other than a list change and records its cost, also for its call if it has one.
     fn feed(&mut self, event: Event, request: Option<RequestId>) {
         let served = matches!(event, Event::Outcome { finished: true, .. });
         let nanoseconds = self.timed(event);
@@ -174,7 +176,7 @@
         }
     }
 
-    /// Times one `handle` call and schedules what its actions bring about.
+    /// Measures one `handle` call in nanoseconds and schedules the events that follow from its actions.
     fn timed(&mut self, event: Event) -> u64 {
         let mut actions = std::mem::take(&mut self.actions);
         let began = Instant::now();
--- a/crates/scale/src/measure/module/mod.rs
+++ b/crates/scale/src/measure/module/mod.rs
@@ -1,5 +1,5 @@
-//! `module`: the decision module inside this process, driven by its own clock. What a call, a change of the worker
-//! list and the state of functions cost, by the workers in the list.
+//! The measure `module`: the cost of calls, of changes of the worker list and of the state for functions in the
+//! decision module, by the number of workers in the list. The module runs inside this process on a simulated clock.
 
 mod driver;
 mod metrics;
@@ -17,22 +17,23 @@
 use crate::context::Context;
 use crate::process::Process;
 
-/// Its key in a file.
+/// Key of the measure in the plan file.
 pub const NAME: &str = "module";
 
-/// Most functions, and most calls at one size.
+/// Maximum number of functions.
 const MOST_FUNCTIONS: u64 = 1_000_000;
+/// Maximum of `calls` and of `again`.
 const MOST_CALLS: u64 = 10_000_000;
-/// Most calls a second by the module's clock.
+/// Maximum number of calls per second of simulated time.
 const MOST_RATE: f64 = 1_000_000.0;
-/// Estimates from above, for the refusal of sizes that can't fit: bytes of a worker and of a function; nanoseconds of
-/// a call, and of a worker in a call of a function not seen before.
+/// Upper estimates that are used to reject sizes that don't fit the machine: memory of a worker and of a function, time
+/// of a call, and time for each worker in the first call of a function.
 const WORKER_BYTES: u64 = 2_000;
 const FUNCTION_BYTES: u64 = 4_000;
 const CALL_NANOSECONDS: u64 = 50_000;
 const CALL_WORKER_NANOSECONDS: u64 = 20;
 
-/// Reads `(module ...)`.
+/// Parses `(module ...)`.
 pub fn read(form: &mut Form) -> Option<Box<dyn Measure>> {
     let sizes = Sizes::read(form, "workers");
     let functions = integer(form, "functions", 10_000, MOST_FUNCTIONS);
@@ -66,7 +67,7 @@
     value.clamp(1, most)
 }
 
-/// What is played at each size.
+/// The steps of the measurement at each size.
 struct Script {
     functions: u64,
     calls: u64,
@@ -106,8 +107,8 @@
 struct Module {
     sizes: Sizes,
     script: Script,
-    /// Controllers of sizes that are done. They are kept so that memory they would free does not hide the growth of
-    /// the next one.
+    /// Controllers of the sizes that are done. Their memory is not freed, because reusing it would hide the growth of
+    /// the next controller.
     kept_controllers: Vec<Controller>,
 }
 
@@ -157,5 +158,5 @@
 }
 
 fn resident() -> Result<u64, MeasureError> {
-    Process::own().resident().map_err(MeasureError::system("the rig's own memory"))
+    Process::own().resident().map_err(MeasureError::system("can't read the rig's own memory"))
 }
--- a/crates/scale/src/measure/module/play.rs
+++ b/crates/scale/src/measure/module/play.rs
@@ -1,5 +1,5 @@
-//! What is played at one size: a list, calls of rare functions while workers are replaced, calls of functions called
-//! a moment ago, and a list with nothing in common.
+//! The sequence of events at one size: the first worker list, calls of rare functions and then of recently called ones
+//! while workers are replaced, and a list that shares no worker with the previous one.
 
 use nettleferry::{
     CellId, Controller, Event, FunctionId, KindId, ListForm, Micros, WorkerEntry, WorkerId, WorkerState,
@@ -13,17 +13,17 @@
 use crate::context::Context;
 use crate::measure::{MeasureError, Observations};
 
-/// The module's clock begins here.
+/// Start time of the simulated clock.
 const START: Micros = 100_000_000;
-/// Functions that were called last: the calls of functions seen again are drawn among so many.
+/// Number of last called functions among which [`Playback::recent_calls`] chooses.
 const RECENT_FUNCTIONS: usize = 500;
-/// Calls between two looks for an end of the run.
+/// Number of calls between two checks of the limits of the run.
 const CALLS_PER_CHECK: u64 = 64;
-/// Zones, and workers of a cell.
+/// Number of zones over which the workers are distributed.
 const ZONES: u64 = 15;
 const WORKERS_IN_CELL: u64 = 50;
 
-/// One size, being measured.
+/// The measurement of one size in progress.
 pub struct Playback<'script> {
     script: &'script Script,
     driver: Driver,
@@ -35,12 +35,12 @@
     first: Option<Cost>,
     returning: Option<Cost>,
     recent: Option<Cost>,
-    /// Nanoseconds of each change of the list.
+    /// Time to handle each change of the list, in nanoseconds.
     changes: Vec<u64>,
 }
 
 impl<'script> Playback<'script> {
-    /// A controller that has seen nothing, `size` workers and the file's functions.
+    /// Creates a controller without state, `size` workers and the functions of the script.
     pub fn new(script: &'script Script, size: u64, context: &mut Context<'_>) -> Result<Self, MeasureError> {
         let controller = Controller::new(script.settings(), context.random.next_u64())
             .map_err(|error| MeasureError::Unexpected(error.to_string()))?;
@@ -76,13 +76,13 @@
         }
     }
 
-    /// Hands in the first list; microseconds.
+    /// Delivers the complete worker list and returns the time to handle it in microseconds.
     pub fn first_list(&mut self) -> f64 {
         let event = Event::Workers { form: ListForm::Complete, entries: self.workers.clone() };
         microseconds(self.driver.change_list(event))
     }
 
-    /// Calls of rare functions: each one in turn, round after round.
+    /// Calls all functions in turn, in rounds, and records first calls separately from later ones.
     pub fn rare_calls(&mut self, context: &mut Context<'_>) -> Result<(), MeasureError> {
         let firsts = self.script.calls.min(self.script.functions);
         self.round(firsts, context)?;
@@ -101,7 +101,7 @@
         Ok(())
     }
 
-    /// Calls of functions that were called a moment ago.
+    /// Calls functions chosen at random among the [`RECENT_FUNCTIONS`] called last.
     pub fn recent_calls(&mut self, context: &mut Context<'_>) -> Result<(), MeasureError> {
         let count = self.functions.len() as u64;
         let seen = count.min(self.calls).min(RECENT_FUNCTIONS as u64);
@@ -130,7 +130,7 @@
         Ok(())
     }
 
-    /// Lets the calls that are under way end.
+    /// Advances the clock by twice the answer time, so that open calls end.
     fn finish_calls(&mut self) {
         self.driver.run_until(self.driver.now() + self.script.answer_after * 2);
     }
@@ -145,27 +145,27 @@
         self.changes.push(nanoseconds);
     }
 
-    /// Hands in a list with nothing in common; microseconds.
+    /// Delivers a list that shares no worker with the previous one and returns the time to handle it in microseconds.
     pub fn replace_all(&mut self) -> f64 {
         self.workers = (0..self.workers.len()).map(|_| self.new_worker(None)).collect();
         self.first_list()
     }
 
-    /// Things that the module remembers.
+    /// Number of state entries of the module.
     pub fn remembered(&self) -> usize {
         self.driver.remembered()
     }
 
-    /// The controller, when nothing more is played.
+    /// Returns the controller.
     pub fn into_controller(self) -> Controller {
         self.driver.into_controller()
     }
 
-    /// Adds the figures of all calls and changes.
+    /// Records the metrics of all calls and changes; fails if the calls were not made before.
     pub fn observe(&mut self, to: &mut Observations) -> Result<(), MeasureError> {
         let costs = (self.first.take(), self.returning.take(), self.recent.take());
         let (Some(mut rare), Some(returning), Some(recent)) = costs else {
-            return Err(MeasureError::Unexpected("calls were not played".to_owned()));
+            return Err(MeasureError::Unexpected("the calls of this size were not made".to_owned()));
         };
         to.add(&FIRST_MEAN, mean(&rare));
         to.add(&FIRST_P50, microseconds(rare.calls.value_at_quantile(0.5)));
@@ -197,7 +197,7 @@
     to.add(&PROBES, cost.probes as f64 / cost.begun as f64);
 }
 
-/// All time over all calls; no number where there were none.
+/// Mean time of a call in microseconds; not a number without calls.
 fn mean(cost: &Cost) -> f64 {
     microseconds(cost.total) / cost.begun as f64
 }
--- a/crates/scale/src/measure/worker/mod.rs
+++ b/crates/scale/src/measure/worker/mod.rs
@@ -1,5 +1,5 @@
-//! `worker`: a process of a stand-in worker with the connections of hollow controllers. What a connection and a call
-//! cost it, by the number of controllers.
+//! The measure `worker`: the cost of connections and calls for a stand-in worker process, by the number of hollow
+//! controllers that are connected to it.
 
 mod metrics;
 
@@ -20,25 +20,25 @@
 use crate::context::Context;
 use crate::process::Sample;
 
-/// Its key in a file.
+/// Key of the measure in the plan file.
 pub const NAME: &str = "worker";
 
 const MOST_RATE: f64 = 50_000.0;
 const MAX_INTERVAL: Micros = 120_000_000;
-/// Hollow controllers of one process.
+/// Maximum number of hollow controllers in one process.
 const CONTROLLERS_PER_PROCESS: u64 = 2_500;
-/// They open so many connections a second, so that no queue of the system is what refuses them.
+/// Rate at which connections are opened. It is limited so that the listen queue of the system does not overflow.
 const CONNECTS_PER_SECOND: u64 = 2_000;
-/// Estimates from above, for the refusal of sizes that can't fit.
+/// Upper estimates that are used to reject sizes that don't fit the machine.
 const PROCESS_BYTES: u64 = 128 << 20;
 const CONNECTION_BYTES: u64 = 256 << 10;
 const START_TIME: Duration = Duration::from_secs(5);
 const PATIENCE: Duration = Duration::from_secs(30);
-/// The stand-in worker: its calls take hardly any work.
+/// Settings of the stand-in worker, whose calls take almost no work.
 const WORKER: &str = "(listen \"127.0.0.1:0\") (cores 8) (queue 10000)\n\
     (model \"\" (lanes 10000) (load-time 1ms) (work 1us))\n";
 
-/// Reads `(worker ...)`.
+/// Parses `(worker ...)`.
 pub fn read(form: &mut Form) -> Option<Box<dyn Measure>> {
     let sizes = Sizes::read(form, "controllers");
     let script = Script {
@@ -56,13 +56,13 @@
     Some(Box::new(Worker { sizes: sizes?, script }))
 }
 
-/// What is played at each size.
+/// The steps of the measurement at each size.
 struct Script {
-    /// Calls a second, over all controllers.
+    /// Calls per second, over all controllers.
     calls: f64,
-    /// Probes a second, over all controllers.
+    /// Probes per second, over all controllers.
     probes: f64,
-    /// How long the worker is watched at rest, and under calls.
+    /// Length of each of the two intervals, at rest and with calls.
     interval: Micros,
 }
 
@@ -127,13 +127,13 @@
     }
 }
 
-/// How long all of them take to connect.
+/// Time within which all controllers have connected.
 fn connecting(size: u64) -> Duration {
     Duration::from_millis(1_000 + size * 1_000 / CONNECTS_PER_SECOND)
 }
 
 impl Worker {
-    /// Starts hollow controllers, which make this part of the calls and probes of the script.
+    /// Starts `size` hollow controllers, which together make `part` (0 to 1) of the script's calls and probes.
     fn start_controllers(
         &self,
         worker: SocketAddr,
@@ -165,7 +165,7 @@
     }
 }
 
-/// A stand-in worker, and where it listens.
+/// Starts a stand-in worker and returns the address on which it listens.
 fn start_worker(context: &mut Context<'_>) -> Result<(ChildId, SocketAddr), MeasureError> {
     let file = context.folder().join("worker.sexp");
     fs::write(&file, WORKER).map_err(MeasureError::system("can't write the worker's file"))?;
@@ -173,18 +173,18 @@
     let child = context.children.start("worker", arguments)?;
     let line = context.children.next_line(child, PATIENCE)?;
     let address = line.strip_prefix("listening grpc ").and_then(|address| address.parse().ok());
-    let address =
-        address.ok_or_else(|| context.children.child_error(child, &format!("no address: {line}")))?;
+    let address = address
+        .ok_or_else(|| context.children.child_error(child, &format!("no address in the output: {line}")))?;
     Ok((child, address))
 }
 
 fn sample(child: ChildId, context: &Context<'_>) -> Result<Sample, MeasureError> {
     let process = context.children.process(child);
     let process = process.ok_or_else(|| MeasureError::Unexpected("the worker was stopped".to_owned()))?;
-    process.sample().map_err(MeasureError::system("what the worker uses"))
+    process.sample().map_err(MeasureError::system("can't read the resource usage of the worker"))
 }
 
-/// What hollow controllers counted since they were asked last, a summary a process.
+/// Requests the counts of the hollow controllers since the last request, one summary for each process.
 fn summaries(children: &[ChildId], context: &mut Context<'_>) -> Result<Vec<Summary>, MeasureError> {
     for child in children {
         context.children.write_line(*child, "summary")?;
--- a/crates/scale/src/process.rs
+++ b/crates/scale/src/process.rs
@@ -1,14 +1,14 @@
-//! Processor time, memory and bytes of a process, read from `/proc`.
+//! Processor time, memory, I/O and descriptors of a process, read from `/proc`.
 
 use std::fs;
 use std::io;
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// What a process had used at one moment.
+/// Resource usage of a process at one moment.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Sample {
-    /// Processor time of all its threads that live.
+    /// Processor time of all threads that are still running.
     pub processor: Duration,
     /// Resident memory, in bytes.
     pub resident: u64,
@@ -16,18 +16,18 @@
     pub read: u64,
     /// Bytes written by write calls on files and pipes.
     pub written: u64,
-    /// Descriptors that are open.
+    /// Number of open file descriptors.
     pub descriptors: u64,
 }
 
-/// A process to look at.
+/// A process whose resource usage can be sampled.
 #[derive(Clone, Debug)]
 pub struct Process {
     folder: PathBuf,
 }
 
 impl Process {
-    /// A process by its id.
+    /// The process with this id.
     pub fn by_id(id: u32) -> Self {
         Self { folder: PathBuf::from(format!("/proc/{id}")) }
     }
@@ -37,7 +37,7 @@
         Self { folder: PathBuf::from("/proc/self") }
     }
 
-    /// What it has used by now.
+    /// Reads the current resource usage. I/O and descriptors are 0 where they can't be read.
     pub fn sample(&self) -> io::Result<Sample> {
         let io = self.text("io").unwrap_or_default();
         Ok(Sample {
@@ -49,7 +49,7 @@
         })
     }
 
-    /// Processor time of its living threads, to the nanosecond: the clock of `stat` counts in steps of 10 ms.
+    /// Processor time of all running threads, from `schedstat` in nanoseconds; `stat` counts in steps of 10 ms.
     pub fn processor(&self) -> io::Result<Duration> {
         let mut nanoseconds = 0;
         for task in fs::read_dir(self.folder.join("task"))? {
@@ -60,11 +60,11 @@
         Ok(Duration::from_nanos(nanoseconds))
     }
 
-    /// Its resident memory, in bytes.
+    /// Resident memory, in bytes.
     pub fn resident(&self) -> io::Result<u64> {
         let status = self.text("status")?;
         let kilobytes = field(&status, "VmRSS:");
-        kilobytes.map(|kb| kb * 1024).ok_or_else(|| io::Error::other("no resident size is told"))
+        kilobytes.map(|kb| kb * 1024).ok_or_else(|| io::Error::other("the process status has no VmRSS"))
     }
 
     fn text(&self, name: &str) -> io::Result<String> {
@@ -72,7 +72,7 @@
     }
 }
 
-/// The first number after a name at the beginning of a line.
+/// Returns the number that follows `name` on the line that begins with it.
 fn field(text: &str, name: &str) -> Option<u64> {
     let rest = text.lines().find_map(|line| line.strip_prefix(name))?;
     rest.split_whitespace().next()?.parse().ok()
--- a/crates/scale/src/report/lines.rs
+++ b/crates/scale/src/report/lines.rs
@@ -1,21 +1,22 @@
-//! Lines of JSON: one an observation, a fit, a figure at the target size, a verdict, and one for the end.
+//! The JSON lines of a run: one for each observation, fit, estimate at the target size and verdict, and
+//! one for the end.
 
 use serde::Serialize;
 
 use crate::run::{End, FittedMetric, Observation, Report};
 use crate::verdict::{TargetEstimate, Verdict};
 
-/// What stands in each line beside its own content.
+/// Fields that are part of every line.
 #[derive(Clone, Debug, Serialize)]
 pub struct Origin {
-    /// The commit that was measured, where it was told.
+    /// The measured commit, if the caller named one.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub commit: Option<String>,
-    /// The seed.
+    /// Random seed of the run.
     pub seed: u64,
 }
 
-/// A line.
+/// Content of a line, tagged by its kind.
 #[derive(Serialize)]
 #[serde(tag = "kind", rename_all = "kebab-case")]
 enum Line<'a> {
@@ -41,16 +42,16 @@
 }
 
 fn write(line: Line<'_>, origin: &Origin) -> String {
-    // These types hold nothing that JSON can't: numbers that are not finite become null.
+    // Serialization can't fail for these types: numbers that are not finite are written as null.
     serde_json::to_string(&WithOrigin { line, origin }).unwrap_or_default()
 }
 
-/// The line of an observation.
+/// Formats the line of an observation, which is written as soon as the value is known.
 pub fn observation(observed: &Observation, origin: &Origin) -> String {
     write(Line::Observation(observed), origin)
 }
 
-/// The lines that follow the observations: fits, targets, verdicts, the end.
+/// Formats the lines that follow the observations: fits, estimates at the target size, verdicts and the end.
 pub fn conclusion(report: &Report, origin: &Origin) -> Vec<String> {
     let (how, error) = match &report.end {
         End::Done => ("done", None),
--- a/crates/scale/src/report/mod.rs
+++ b/crates/scale/src/report/mod.rs
@@ -1,4 +1,4 @@
-//! What a run says: lines of JSON for programs, a table for people, plots.
+//! Output of a run: JSON lines for programs, tables for people, and plots.
 
 pub mod lines;
 pub mod plots;
--- a/crates/scale/src/report/plots.rs
+++ b/crates/scale/src/report/plots.rs
@@ -1,4 +1,4 @@
-//! Plots: each figure against the size, with its fitted line.
+//! Plots of each metric over the size, with the fitted line.
 
 use std::error::Error;
 use std::fs;
@@ -11,10 +11,10 @@
 use crate::run::{FittedMetric, Report};
 
 const PICTURE: (u32, u32) = (800, 480);
-/// Points of the drawn line: it is bent where the axes are logarithmic.
+/// Number of points of the fitted line, which is a curve on the logarithmic axis.
 const LINE_POINTS: u32 = 64;
 
-/// Writes `MEASURE-FIGURE.svg` into a folder for each figure that was fitted.
+/// Writes a file `MEASURE-METRIC.svg` into a folder for each fitted metric; creates the folder if it is missing.
 pub fn write(report: &Report, folder: &Path) -> io::Result<()> {
     fs::create_dir_all(folder)?;
     for fitted in &report.fitted {
@@ -33,7 +33,7 @@
         Unit::Bytes => "bytes",
         Unit::Count => "count",
         Unit::Cores => "cores",
-        Unit::BytesPerSecond => "bytes a second",
+        Unit::BytesPerSecond => "bytes per second",
     }
 }
 
--- a/crates/scale/src/report/table.rs
+++ b/crates/scale/src/report/table.rs
@@ -1,4 +1,4 @@
-//! Tables for people.
+//! Tables of the results for people.
 
 use std::collections::BTreeSet;
 
@@ -9,7 +9,7 @@
 use crate::run::{End, Report};
 use crate::verdict::Outcome;
 
-/// A value with its unit, in a width that can be read.
+/// Formats a value with a unit of suitable magnitude.
 pub fn amount(value: f64, unit: Option<Unit>) -> String {
     match unit {
         Some(Unit::Microseconds) => scaled(value, &[(1e6, "s"), (1e3, "ms"), (1.0, "us"), (1e-3, "ns")]),
@@ -21,7 +21,7 @@
     }
 }
 
-/// Small numbers, such as slopes, keep two digits.
+/// Formats a number with three decimals, or in scientific notation if it is small, as slopes are.
 fn plain(value: f64) -> String {
     if value != 0.0 && value.abs() < 0.01 { format!("{value:.1e}") } else { format!("{value:.3}") }
 }
@@ -39,7 +39,7 @@
     table
 }
 
-/// All of a report.
+/// Formats all tables of a report, followed by the reason if the run ended early.
 pub fn render(report: &Report) -> String {
     let mut parts = observations(report);
     if !report.fitted.is_empty() {
@@ -53,13 +53,13 @@
     }
     match &report.end {
         End::Done => {}
-        End::Interrupted => parts.push("interrupted: this is what there was".to_owned()),
+        End::Interrupted => parts.push("interrupted: the results are partial".to_owned()),
         End::Failed { measure, size, error } => parts.push(format!("{measure} {size} failed: {error}")),
     }
     parts.join("\n")
 }
 
-/// A table for each measure: a row a figure, a column a size.
+/// Formats a table for each measure, with a row for each metric and a column for each size.
 fn observations(report: &Report) -> Vec<String> {
     let mut measures: Vec<&str> = report.observed.iter().map(|one| one.measure).collect();
     measures.dedup();
--- a/crates/scale/src/rig.rs
+++ b/crates/scale/src/rig.rs
@@ -1,4 +1,4 @@
-//! Whether the rig itself, and not the program, bounds what an interval shows.
+//! Detects intervals in which the test rig or the machine, not the measured program, limits the results.
 
 use std::fs;
 use std::io;
@@ -8,36 +8,37 @@
 
 use crate::process::Process;
 
-/// From this share of one core on, the rig's own process may be what others wait for.
+/// Above this many cores, the rig's own process may be the bottleneck.
 const BUSY_PROCESS_CORES: f64 = 0.8;
-/// Below this idle share of all cores, everything waits for a core.
+/// Below this idle share of all cores, the machine is saturated.
 const MIN_IDLE_SHARE: f64 = 0.1;
 
-/// What bounds the figures of an interval.
+/// What limits the metrics of an interval beside the measured program.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RigBound {
-    /// Not the rig.
+    /// Neither the rig nor the machine.
     None,
-    /// The rig's own process used most of a core.
+    /// The rig's own process, which used most of a core.
     Process,
-    /// The machine had hardly an idle core.
+    /// The machine, which had almost no idle time.
     Machine,
 }
 
-/// How busy the rig and the machine were in an interval.
+/// Processor use of the rig and the machine in an interval.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct RigUsage {
-    /// Cores that the rig's own process used.
+    /// Number of cores that the rig's own process used.
     pub own_cores: f64,
     /// Idle share of all cores of the machine.
     pub idle: f64,
-    /// What that means for the figures.
+    /// What limits the metrics at this usage.
     pub bound: RigBound,
 }
 
 impl RigUsage {
-    /// Judges an interval. In a measure that runs inside the rig's process, the rig's use is the program's.
+    /// Classifies an interval. With `in_process`, the measured code runs inside the rig's process, whose own use is
+    /// then no limit.
     pub fn judge(own_cores: f64, idle: f64, in_process: bool) -> Self {
         let bound = if idle < MIN_IDLE_SHARE {
             RigBound::Machine
@@ -50,7 +51,7 @@
     }
 }
 
-/// Watches an interval.
+/// Measures the processor use of the rig and the machine over an interval.
 pub struct RigWatch {
     began: Instant,
     own: Duration,
@@ -58,13 +59,13 @@
 }
 
 impl RigWatch {
-    /// Begins an interval.
+    /// Starts an interval.
     pub fn begin() -> io::Result<Self> {
         let own = Process::own().processor()?;
         Ok(Self { began: Instant::now(), own, machine: MachineTime::now()? })
     }
 
-    /// Ends it.
+    /// Ends the interval; `in_process` is as in [`RigUsage::judge`].
     pub fn end(self, in_process: bool) -> io::Result<RigUsage> {
         let own = Process::own().processor()?.saturating_sub(self.own);
         let wall = self.began.elapsed().as_secs_f64().max(1e-9);
@@ -73,7 +74,7 @@
     }
 }
 
-/// Time of all cores since the machine started, in the kernel's ticks.
+/// Time of all cores since boot, in ticks of the kernel.
 #[derive(Clone, Copy)]
 struct MachineTime {
     all: u64,
@@ -85,13 +86,13 @@
         let text = fs::read_to_string("/proc/stat")?;
         let line = text.lines().next().unwrap_or("");
         let ticks: Vec<u64> = line.split_whitespace().skip(1).filter_map(|word| word.parse().ok()).collect();
-        // user nice system idle iowait irq softirq steal; what follows stands in user already.
+        // Fields: user nice system idle iowait irq softirq steal. The guest fields after them are included in user.
         let all = ticks.iter().take(8).sum();
         let idle = ticks.get(3).copied().unwrap_or(0) + ticks.get(4).copied().unwrap_or(0);
         Ok(Self { all, idle })
     }
 
-    /// The idle share of the time since `before`; all of it where no tick has passed.
+    /// Idle share of the time since `before`; 1 if no tick has passed.
     fn idle_share_since(self, before: Self) -> f64 {
         let all = self.all.saturating_sub(before.all);
         let idle = self.idle.saturating_sub(before.idle);
--- a/crates/scale/src/run.rs
+++ b/crates/scale/src/run.rs
@@ -1,4 +1,4 @@
-//! A run: each measure at each of its sizes, until the end, the deadline or an interrupt.
+//! Runs each measure at each of its sizes, until all are done, the deadline passes or the run is interrupted.
 
 use std::path::PathBuf;
 use std::time::Instant;
@@ -15,111 +15,111 @@
 use crate::settings::Settings;
 use crate::verdict::{MetricId, Outcome, TargetEstimate, Verdict, points};
 
-/// A figure that was observed.
+/// The value of a metric at one size.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Observation {
-    /// The measure.
+    /// Name of the measure.
     pub measure: &'static str,
-    /// The figure.
+    /// Name of the metric.
     #[serde(rename = "figure")]
     pub metric: &'static str,
     /// What the size counts.
     pub of: &'static str,
-    /// The size.
+    /// Size at which the value was observed.
     pub size: u64,
-    /// The value.
+    /// Observed value, in `unit`.
     pub value: f64,
-    /// Its unit.
+    /// Unit of the value.
     pub unit: Unit,
-    /// What the rig bounded in this interval.
+    /// What limited the result beside the measured program.
     pub rig: RigBound,
-    /// Cores that the rig's own process used.
+    /// Number of cores that the rig's own process used.
     pub rig_cores: f64,
     /// Idle share of the machine's cores.
     pub idle: f64,
 }
 
 impl Observation {
-    /// Is it this figure?
+    /// Whether the value belongs to this metric.
     pub fn is(&self, of: &MetricId) -> bool {
         self.measure == of.measure && self.metric == of.metric.name
     }
 }
 
-/// A fit of one figure.
+/// The fit of one metric over all sizes of its measure.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct FittedMetric {
-    /// The measure.
+    /// Name of the measure.
     pub measure: &'static str,
-    /// The figure.
+    /// Name of the metric.
     #[serde(rename = "figure")]
     pub metric: &'static str,
     /// What the size counts.
     pub of: &'static str,
-    /// The unit of the figure.
+    /// Unit of the metric.
     pub unit: Unit,
-    /// How it grows.
+    /// Growth of the metric with the size.
     #[serde(flatten)]
     pub fit: Fit,
-    /// The rig bounded the figure at a size.
+    /// Whether the rig or the machine limited the metric at one of the sizes.
     pub rig_bound: bool,
 }
 
 /// How a run ended.
 #[derive(Debug)]
 pub enum End {
-    /// All was measured.
+    /// All measures completed.
     Done,
-    /// It was interrupted.
+    /// The run was interrupted.
     Interrupted,
-    /// A measure failed.
+    /// A measure failed, which ends the run.
     Failed {
-        /// Which one.
+        /// Name of the measure.
         measure: &'static str,
-        /// At which size.
+        /// Size at which it failed.
         size: u64,
-        /// Why.
+        /// Cause of the failure.
         error: MeasureError,
     },
 }
 
-/// All that a run gave.
+/// The results of a run, which are partial if it ended early.
 #[derive(Debug)]
 pub struct Report {
-    /// What was observed, in order.
+    /// Observed values, in the order of measurement.
     pub observed: Vec<Observation>,
-    /// Fits of all figures that were observed at enough sizes.
+    /// Fits of all metrics that were observed at enough sizes.
     pub fitted: Vec<FittedMetric>,
-    /// Figures at the target size.
+    /// Metrics at the target size, compared with their budgets.
     pub targets: Vec<TargetEstimate>,
-    /// The bounds, judged.
+    /// Verdicts on the bounds, in the order of the plan file.
     pub verdicts: Vec<Verdict>,
     /// How it ended.
     pub end: End,
 }
 
 impl Report {
-    /// Were all bounds kept, in a run that was not cut?
+    /// Whether the run completed and kept all bounds.
     pub fn all_kept(&self) -> bool {
         matches!(self.end, End::Done) && self.verdicts.iter().all(|v| v.outcome == Outcome::Kept)
     }
 }
 
-/// What a run is given beside its settings.
+/// The environment of a run, beside its settings.
 pub struct RunEnvironment<'a> {
-    /// The program that children are.
+    /// The program that is run in child processes.
     pub program: PathBuf,
-    /// What the run may use.
+    /// Resources that the run may use.
     pub capacity: Capacity,
-    /// Ends the run.
+    /// Cancels the run when it is set.
     pub interrupt: Interrupt,
-    /// Is told how far it is.
+    /// Receives the progress of the run.
     pub progress: &'a dyn Progress,
-    /// Is told of each figure when it is known, so that a run that is cut has said what it had.
+    /// Receives each value as soon as its size is done, so that a run that ends early has reported its results.
     pub observed: &'a mut dyn FnMut(&Observation),
 }
 
-/// Runs all measures. All children have ended when it returns.
+/// Runs all measures. All child processes have ended when it returns.
 pub fn run(settings: &mut Settings, environment: RunEnvironment<'_>) -> Report {
     let deadline = Instant::now() + settings.deadline;
     let limits =
@@ -165,11 +165,13 @@
         let mut context =
             Context::new(&mut children, self.environment.progress, folder.path(), &self.limits, seed);
         context.check()?;
-        let watch = RigWatch::begin().map_err(MeasureError::system("the rig's own use"))?;
-        let got = measure.run_at(size, &mut context)?;
-        let rig = watch.end(got.in_process).map_err(MeasureError::system("the rig's own use"))?;
+        let watch = RigWatch::begin().map_err(MeasureError::system("can't read the rig's own usage"))?;
+        let observations = measure.run_at(size, &mut context)?;
+        let rig = watch
+            .end(observations.in_process)
+            .map_err(MeasureError::system("can't read the rig's own usage"))?;
         children.stop_all();
-        for (metric, value) in got.values {
+        for (metric, value) in observations.values {
             let one = Observation {
                 measure: name,
                 metric: metric.name,
@@ -188,7 +190,7 @@
     }
 }
 
-/// Chance of one measure at one size does not depend on what else the file asks for.
+/// Derives the seed of a measure at a size, which does not depend on the other measures and sizes of the plan file.
 fn seed_of(seed: u64, measure: &str, size: u64) -> u64 {
     // FNV-1a.
     let mut hash = 0xcbf2_9ce4_8422_2325_u64;
--- a/crates/scale/src/settings.rs
+++ b/crates/scale/src/settings.rs
@@ -1,4 +1,4 @@
-//! The file of a scale run, checked whole before anything starts.
+//! The plan file of a scale run. It is validated completely before the run starts.
 
 use std::time::Duration;
 
@@ -10,25 +10,26 @@
 use crate::measure::{MEASURE_KINDS, Measure, Metric, Unit};
 use crate::verdict::{Bound, Budget, MetricId, Subject};
 
-/// A run's length where the file does not say it, and at the most.
+/// Default and maximum of `deadline`, in microseconds.
 const DEFAULT_DEADLINE: u64 = 180_000_000;
 const MAX_DEADLINE: u64 = 1_800_000_000;
 
-/// What a run does.
+/// A validated plan of a run.
 pub struct Settings {
-    /// The only source of chance.
+    /// Seed of all random numbers of the run.
     pub seed: u64,
-    /// It ends after this span at the latest.
+    /// Maximum duration of the run.
     pub deadline: Duration,
-    /// What is measured.
+    /// Measures, in the order in which they run.
     pub measures: Vec<Box<dyn Measure>>,
-    /// What must hold.
+    /// Bounds that the results must keep.
     pub bounds: Vec<Bound>,
-    /// What figures may cost at the target size.
+    /// Budgets of metrics at the target size.
     pub budgets: Vec<Budget>,
 }
 
-/// Reads a file; sizes that do not fit into `capacity` are refused, with what would fit.
+/// Parses and validates a plan file. `file` names it in errors. Sizes that don't fit into `capacity` are rejected with
+/// the largest size that does.
 pub fn read(file: &str, text: &str, capacity: &Capacity) -> Result<Settings, Errors> {
     let (source, mut top) = Form::parse(file, text);
     let seed = top.value_or("seed", 1);
@@ -73,7 +74,7 @@
     measures
 }
 
-/// Each size by itself: measures and sizes run one after another.
+/// Checks each size on its own, because measures and sizes run one after another.
 fn check_sizes(source: &Source, measures: &[Box<dyn Measure>], capacity: &Capacity) {
     for measure in measures {
         let sizes = measure.sizes();
@@ -134,13 +135,11 @@
     Exponent,
 }
 
-/// Reads `(MEASURE FIGURE SIZE...) MOST` out of a bound.
+/// Parses `(MEASURE FIGURE SIZE...) MOST` in a bound.
 fn read_subject(form: &mut Form, measures: &[Box<dyn Measure>], kind: SubjectKind) -> Option<Bound> {
     let max = match kind {
         SubjectKind::At => None,
-        SubjectKind::Ratio | SubjectKind::Exponent => {
-            Some(form.required_item::<f64>("what is at most allowed"))
-        }
+        SubjectKind::Ratio | SubjectKind::Exponent => Some(form.required_item::<f64>("the maximum")),
     };
     let Some((mut subject, measure, of)) = read_metric(form, measures) else {
         let _ = form.next_item::<String>();
@@ -169,7 +168,7 @@
     bound
 }
 
-/// Reads the list `(MEASURE FIGURE ...)` that stands in a form, up to its figure.
+/// Parses the list `(MEASURE FIGURE ...)` in a form up to the metric; the sizes that follow are left to the caller.
 fn read_metric<'m>(
     form: &mut Form,
     measures: &'m [Box<dyn Measure>],
@@ -180,7 +179,7 @@
         return None;
     };
     for more in lists {
-        more.error("one figure a bound: write another bound for this one");
+        more.error("one figure per bound: write another bound for this one");
     }
     let Some(measure) = measures.iter().find(|measure| measure.name() == subject.name()) else {
         let names = || measures.iter().map(|measure| measure.name());
@@ -205,14 +204,12 @@
     Some(size)
 }
 
-/// An amount in a figure's unit.
+/// Parses an amount in the unit of a metric.
 fn read_amount(form: &mut Form, metric: &Metric) -> Option<f64> {
     let amount = match metric.unit {
-        Unit::Microseconds => form.required_item::<TimeSpan>("what is at most allowed")?.0 as f64,
-        Unit::Bytes | Unit::BytesPerSecond => {
-            form.required_item::<Bytes>("what is at most allowed")?.0 as f64
-        }
-        Unit::Count | Unit::Cores => form.required_item::<f64>("what is at most allowed")?,
+        Unit::Microseconds => form.required_item::<TimeSpan>("the maximum")?.0 as f64,
+        Unit::Bytes | Unit::BytesPerSecond => form.required_item::<Bytes>("the maximum")?.0 as f64,
+        Unit::Count | Unit::Cores => form.required_item::<f64>("the maximum")?,
     };
     Some(amount)
 }
@@ -229,7 +226,7 @@
     }
 }
 
-/// Reads `(target (SIZE-NAME N)... (budget (MEASURE FIGURE) MOST)...)`.
+/// Parses `(target (SIZE-NAME N)... (budget (MEASURE FIGURE) MOST)...)`.
 fn read_target(mut form: Form, measures: &[Box<dyn Measure>]) -> Vec<Budget> {
     let mut sizes: Vec<(&'static str, u64)> = Vec::new();
     for measure in measures {
--- a/crates/scale/src/verdict.rs
+++ b/crates/scale/src/verdict.rs
@@ -1,4 +1,4 @@
-//! Bounds of a file, and whether a run kept them.
+//! Bounds and budgets of a plan file, and their comparison with the results of a run.
 
 use serde::Serialize;
 
@@ -7,43 +7,43 @@
 use crate::rig::RigBound;
 use crate::run::Observation;
 
-/// A figure of a measure.
+/// Identifies a metric of a measure.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MetricId {
-    /// The measure.
+    /// Name of the measure.
     pub measure: &'static str,
-    /// The figure.
+    /// The metric.
     pub metric: &'static Metric,
 }
 
-/// What a bound is set to.
+/// The quantity that a bound limits.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Subject {
-    /// A figure at a size.
+    /// A metric at one size.
     At {
-        /// The figure.
+        /// The metric.
         of: MetricId,
-        /// The size.
+        /// Size at which the metric is bounded.
         size: u64,
     },
-    /// A figure at one size over the same figure at another.
+    /// The ratio of a metric between two sizes.
     Ratio {
-        /// The figure.
+        /// The metric.
         of: MetricId,
-        /// The size above the line.
+        /// Size of the numerator.
         size: u64,
-        /// The size below the line.
+        /// Size of the denominator.
         base_size: u64,
     },
-    /// The power of the size with which a figure grows.
+    /// The exponent of the power law by which a metric grows with the size.
     Exponent {
-        /// The figure.
+        /// The metric.
         of: MetricId,
     },
 }
 
 impl Subject {
-    /// Its words, as the file has them.
+    /// Describes the quantity in reports, such as `ratio module call-p50 20000:100`.
     pub fn label(&self) -> String {
         let label = |of: &MetricId| format!("{} {}", of.measure, of.metric.name);
         match self {
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Its unit; none for a ratio or an exponent.
+    /// Unit of the quantity; none for a ratio or an exponent.
     pub fn unit(&self) -> Option<Unit> {
         match self {
             Self::At { of, .. } => Some(of.metric.unit),
@@ -91,52 +91,52 @@
     }
 }
 
-/// Sizes and values of a figure.
+/// The pairs of size and value that were observed for a metric.
 pub fn points(observed: &[Observation], of: &MetricId) -> Vec<(f64, f64)> {
     observed.iter().filter(|one| one.is(of)).map(|one| (one.size as f64, one.value)).collect()
 }
 
-/// At most so much.
+/// An upper bound.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bound {
-    /// Of what.
+    /// The bounded quantity.
     pub subject: Subject,
-    /// How much.
+    /// Maximum, inclusive, in the unit of the subject.
     pub max: f64,
 }
 
-/// Was a bound kept?
+/// Whether a bound was kept.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outcome {
-    /// It was kept.
+    /// The value is within the bound.
     Kept,
-    /// It was not.
+    /// The value exceeds the bound.
     Broken,
-    /// Nothing shows either: the figure was not observed.
+    /// The value could not be computed, because the metric was not observed at the sizes that it needs.
     NotMeasured,
 }
 
-/// A bound, judged.
+/// The result of a check of a bound.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Verdict {
-    /// The bound's words.
+    /// Description of the bounded quantity.
     pub bound: String,
-    /// What it allows.
+    /// Maximum that the bound allows.
     #[serde(rename = "most")]
     pub max: f64,
-    /// What was observed.
+    /// Value of the bounded quantity, if it could be computed.
     pub value: Option<f64>,
-    /// The unit of both; none for ratios and exponents.
+    /// Unit of the maximum and the value; none for ratios and exponents.
     pub unit: Option<Unit>,
-    /// Kept or not.
+    /// Whether the bound was kept.
     pub outcome: Outcome,
-    /// The rig bounded a figure that this is about.
+    /// Whether the rig or the machine limited a metric on which the value depends.
     pub rig_bound: bool,
 }
 
 impl Bound {
-    /// Judges what was observed.
+    /// Checks the bound against the observed values.
     pub fn judge(&self, observed: &[Observation]) -> Verdict {
         let value = self.subject.value(observed);
         let outcome = match value {
@@ -153,43 +153,43 @@
     }
 }
 
-/// What a figure may cost at the target size.
+/// The budget of a metric at the target size.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Budget {
-    /// The figure.
+    /// The metric.
     pub of: MetricId,
-    /// The target size of the measure.
+    /// Target size of the measure.
     pub size: u64,
-    /// What it may cost there.
+    /// Budget in the unit of the metric; above zero.
     pub max: f64,
 }
 
-/// A figure carried on to the target size.
+/// The value of a metric at the target size, observed or extrapolated, compared with its budget.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct TargetEstimate {
-    /// The measure.
+    /// Name of the measure.
     pub measure: &'static str,
-    /// The figure.
+    /// Name of the metric.
     #[serde(rename = "figure")]
     pub metric: &'static str,
     /// The target size.
     pub size: u64,
-    /// The figure there: observed, or else by the line.
+    /// Value at the target size: observed, or else extrapolated by the linear fit. None if neither is possible.
     pub value: Option<f64>,
-    /// Its unit.
+    /// Unit of the value, the error and the budget.
     pub unit: Unit,
-    /// It was observed at this size, not carried on.
+    /// Whether the value was observed at the target size rather than extrapolated.
     pub observed: bool,
-    /// The standard error that the slope's own brings at this size; none where observed.
+    /// Standard error of the slope times the size, for an extrapolated value.
     pub error: Option<f64>,
-    /// What it may cost.
+    /// Budget of the metric.
     pub budget: f64,
-    /// The value over the budget: above 1 it falls short.
+    /// The value divided by the budget: above 1 the budget is exceeded.
     pub factor: Option<f64>,
 }
 
 impl Budget {
-    /// Carries the figure on to the target size.
+    /// Returns the value at the target size, extrapolated by the linear fit if that size was not observed.
     pub fn estimate(&self, observed: &[Observation]) -> TargetEstimate {
         let at_target = observed.iter().find(|one| one.is(&self.of) && one.size == self.size);
         let line = Fit::of(&points(observed, &self.of)).map(|fit| fit.line);
--- a/crates/scale/tests/children.rs
+++ b/crates/scale/tests/children.rs
@@ -1,4 +1,4 @@
-//! Children are ended by their ids on every way out, and one that dies is named.
+//! Guards against child processes that outlive a run, and against errors that don't say which child failed and why.
 
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
@@ -10,14 +10,14 @@
 
 const PATIENCE: Duration = Duration::from_secs(30);
 
-/// Children that are shells.
+/// Children that run a shell script.
 fn shells(most: u64) -> Children {
     Children::new(PathBuf::from("/bin/sh"), most)
 }
 
-/// Runs until its standard input closes; says so first.
+/// Prints `ready` and exits when its standard input closes.
 const WAITS: &str = "echo ready; read line; exit 0";
-/// Runs on, whatever it is told.
+/// Ignores SIGTERM and the end of its standard input, so that it must be killed.
 const STUBBORN: &str = "trap '' TERM; echo ready; while :; do sleep 1; done";
 
 fn runs(id: u32) -> bool {
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_child_that_dies_is_named_with_its_last_log_lines() {
+fn error_for_an_exited_child_has_its_label_and_last_log_lines() {
     let mut children = shells(4);
     let script = "for i in 1 2 3 4 5 6 7 8 9 10 11 12 13 14 15 16 17 18 19 20 21 22 23 24 25; do echo line $i >&2; done; exit 7";
     children.start("controller 3", ["-c", script]).expect("started");
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn a_child_that_ends_before_it_speaks_is_named_too() {
+fn child_that_exits_before_its_first_line_fails_the_read() {
     let mut children = shells(4);
     let id = children.start("serve", ["-c", "echo no such file >&2; exit 3"]).expect("started");
     let error = children.next_line(id, PATIENCE).expect_err("it is dead").to_string();
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn lines_go_both_ways() {
+fn lines_are_exchanged_over_standard_input_and_output() {
     let mut children = shells(4);
     let id = children.start("echo", ["-c", "while read line; do echo got $line; done"]).expect("started");
     children.write_line(id, "one").expect("written");
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn an_interrupt_ends_the_wait_and_the_children_end_with_it() {
+fn interrupt_ends_a_wait_and_dropping_ends_all_children() {
     let mut children = shells(4);
     let first = children.start("waits", ["-c", WAITS]).expect("started");
     let second = children.start("stubborn", ["-c", STUBBORN]).expect("started");
@@ -84,19 +84,19 @@
 }
 
 #[test]
-fn the_deadline_and_the_memory_end_a_wait() {
+fn deadline_and_memory_limit_end_a_wait() {
     let mut children = shells(1);
     let interrupt = Interrupt::default();
-    let late = RunLimits { deadline: Instant::now(), ..limits(&interrupt) };
-    let mut context = Context::new(&mut children, &NoProgress, Path::new("/"), &late, 1);
+    let past_deadline = RunLimits { deadline: Instant::now(), ..limits(&interrupt) };
+    let mut context = Context::new(&mut children, &NoProgress, Path::new("/"), &past_deadline, 1);
     assert!(matches!(context.wait(PATIENCE), Err(MeasureError::Deadline)));
-    let small = RunLimits { memory: 1, ..limits(&interrupt) };
-    let mut context = Context::new(&mut children, &NoProgress, Path::new("/"), &small, 1);
+    let little_memory = RunLimits { memory: 1, ..limits(&interrupt) };
+    let mut context = Context::new(&mut children, &NoProgress, Path::new("/"), &little_memory, 1);
     assert!(matches!(context.wait(PATIENCE), Err(MeasureError::Memory { allowed: 1, .. })));
 }
 
 #[test]
-fn more_children_than_allowed_are_not_started() {
+fn children_beyond_the_maximum_are_not_started() {
     let mut children = shells(1);
     children.start("first", ["-c", WAITS]).expect("started");
     let error = children.start("second", ["-c", WAITS]).expect_err("one too many").to_string();
--- a/crates/scale/tests/fit.rs
+++ b/crates/scale/tests/fit.rs
@@ -1,4 +1,4 @@
-//! Fits against lines and powers that are known, and verdicts on them.
+//! Fits of values that are generated from known lines and power laws.
 
 use nettleferry_scale::fit::{Fit, Line};
 use rand::{RngExt, SeedableRng};
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn an_exact_line_is_found_without_error() {
+fn exact_line_is_fitted_without_error() {
     let fit = Fit::of(&points(|size| 7.0 + 0.1 * size)).expect("five sizes");
     assert!(near(fit.line.slope, 0.1, 1e-9) && near(fit.line.intercept, 7.0, 1e-6), "{fit:?}");
     assert!(fit.line.slope_error < 1e-9, "{fit:?}");
@@ -24,15 +24,16 @@
 }
 
 #[test]
-fn the_standard_error_is_the_textbook_s() {
-    // y = 2, 4, 5, 4, 5 over x = 1..5: slope 0.6, residue 2.4, spread 10: error sqrt(2.4 / 3 / 10).
+fn standard_error_of_the_slope_matches_a_computed_example() {
+    // y = 2, 4, 5, 4, 5 over x = 1..5: slope 0.6, sum of squared residuals 2.4, sum of squares of x 10,
+    // standard error sqrt(2.4 / 3 / 10).
     let line = Line::through(&[(1.0, 2.0), (2.0, 4.0), (3.0, 5.0), (4.0, 4.0), (5.0, 5.0)]).expect("a line");
     assert!(near(line.slope, 0.6, 1e-12) && near(line.intercept, 2.2, 1e-12), "{line:?}");
     assert!(near(line.slope_error, (2.4f64 / 3.0 / 10.0).sqrt(), 1e-12), "{line:?}");
 }
 
 #[test]
-fn powers_are_told_apart() {
+fn exponents_of_power_laws_are_recovered() {
     for power in [0.0, 0.5, 1.0, 1.5, 2.0] {
         let fit = Fit::of(&points(|size| 3.0 * size.powf(power))).expect("five sizes");
         let found = fit.exponent.expect("all above zero");
@@ -41,7 +42,7 @@
 }
 
 #[test]
-fn noise_of_a_tenth_leaves_the_slope_within_its_error() {
+fn slope_of_noisy_values_is_within_its_error() {
     let mut random = ChaCha8Rng::seed_from_u64(5);
     let (mut within, rounds) = (0, 400);
     for _ in 0..rounds {
@@ -54,7 +55,7 @@
 }
 
 #[test]
-fn what_can_t_be_fitted_is_not() {
+fn too_few_sizes_equal_sizes_and_zero_values_are_not_fitted() {
     assert_eq!(Fit::of(&[(1.0, 1.0), (2.0, 2.0), (3.0, 3.0)]), None, "three sizes");
     assert_eq!(Fit::of(&[(1.0, 1.0); 4]), None, "one size four times");
     let zero = Fit::of(&points(|_| 0.0)).expect("a flat line");
--- a/crates/scale/tests/settings.rs
+++ b/crates/scale/tests/settings.rs
@@ -1,16 +1,16 @@
-//! Files of a scale run: what is refused, where it stands and what to write instead.
+//! Validation of plan files: which errors are reported, their position, and the suggested correction.
 
 use nettleferry_scale::capacity::Capacity;
 use nettleferry_scale::settings;
 
 const GIB: u64 = 1 << 30;
 
-/// A machine of a known size.
+/// Resources of a machine of known size, so that the tests don't depend on the one they run on.
 fn capacity() -> Capacity {
     Capacity { memory: 4 * GIB, processes: 300, descriptors: 1_000, ports: 28_000 }
 }
 
-fn refused(text: &str) -> String {
+fn rejection(text: &str) -> String {
     match settings::read("x.sexp", text, &capacity()) {
         Ok(_) => panic!("taken: {text}"),
         Err(errors) => errors.to_string(),
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn the_examples_are_sound() {
+fn example_files_are_valid() {
     for text in
         [include_str!("../../../examples/scale.sexp"), include_str!("../../../examples/scale-quick.sexp")]
     {
@@ -30,32 +30,32 @@
 }
 
 #[test]
-fn a_word_that_is_not_known_is_told_with_line_column_and_the_nearest_one() {
-    let errors = refused("(module\n  (workers 1 2)\n  (functoins 10))");
+fn unknown_key_error_has_line_column_and_nearest_key() {
+    let errors = rejection("(module\n  (workers 1 2)\n  (functoins 10))");
     assert!(
         errors.contains("x.sexp:3:3: module has no key (functoins ...): did you mean functions?"),
         "{errors}"
     );
-    let errors = refused("(modul (workers 1 2))");
+    let errors = rejection("(modul (workers 1 2))");
     assert!(errors.contains("x.sexp:1:1: the file has no key (modul ...): did you mean module?"), "{errors}");
 }
 
 #[test]
-fn a_file_that_measures_nothing_is_refused() {
-    let errors = refused("(seed 3)");
+fn file_without_a_measure_is_rejected() {
+    let errors = rejection("(seed 3)");
     assert!(errors.contains("x.sexp:1:1: nothing is measured: write (module ...) or (list ...)"), "{errors}");
 }
 
 #[test]
-fn sizes_are_wanted_in_growing_order() {
+fn sizes_must_be_positive_and_ascending() {
     for sizes in ["5 5", "9 3", "0 1", ""] {
-        let errors = refused(&format!("(module (workers {sizes}))"));
+        let errors = rejection(&format!("(module (workers {sizes}))"));
         assert!(errors.contains("x.sexp:1:9: (workers ...): "), "{errors}");
     }
 }
 
 #[test]
-fn a_size_that_takes_too_much_memory_is_refused_with_what_would_fit() {
+fn size_beyond_the_memory_is_rejected_with_the_largest_that_fits() {
     let text = |size: u64| format!("(deadline 30min)\n(list\n  (workers 10 {size}))");
     let many_descriptors = capacity();
     let small = Capacity { memory: GIB, ..many_descriptors };
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn too_few_descriptors_processes_or_ports_are_told() {
+fn size_beyond_descriptors_processes_or_ports_is_rejected() {
     let text = "(list (workers 10))";
     let rooms = [
         (Capacity { descriptors: 10, ..capacity() }, "descriptors of one process; there are 10 for a run"),
@@ -91,15 +91,15 @@
 }
 
 #[test]
-fn a_run_that_can_pass_its_deadline_is_refused_with_one_that_fits() {
-    let errors = refused("(seed 1)\n(deadline 1s)\n(module (workers 1 2 3 20000))");
+fn run_that_may_exceed_its_deadline_is_rejected_with_a_sufficient_one() {
+    let errors = rejection("(seed 1)\n(deadline 1s)\n(module (workers 1 2 3 20000))");
     assert!(errors.contains("x.sexp:2:1: the run may take "), "{errors}");
     assert!(errors.contains("write (deadline "), "{errors}");
 }
 
 #[test]
-fn bounds_name_figures_and_sizes_that_are_measured() {
-    let bound = |bound: &str| refused(&format!("(module (workers 10 20))\n(bounds {bound})"));
+fn bounds_must_name_measured_metrics_and_sizes() {
+    let bound = |bound: &str| rejection(&format!("(module (workers 10 20))\n(bounds {bound})"));
     let errors = bound("(at-most (module call-maen 10) 5us)");
     assert!(errors.contains("x.sexp:2:26: the figure is one of "), "{errors}");
     assert!(errors.contains("did you mean call-mean?"), "{errors}");
@@ -114,8 +114,8 @@
 }
 
 #[test]
-fn a_target_needs_a_size_and_a_fit() {
-    let errors = refused("(module (workers 10 20))\n(target (budget (module state) 64MiB))");
+fn target_needs_a_size_and_a_fit() {
+    let errors = rejection("(module (workers 10 20))\n(target (budget (module state) 64MiB))");
     assert!(errors.contains("x.sexp:2:17: the target lacks (workers SIZE)"), "{errors}");
     assert!(errors.contains("a target needs a fit over at least 4 sizes"), "{errors}");
 }
--- a/crates/scale/tests/shape.rs
+++ b/crates/scale/tests/shape.rs
@@ -1,4 +1,5 @@
-//! The shape of costs, in one run: a ratio between two sizes, never a time. On any machine, in a debug build too.
+//! Guards against costs that grow with the worker list. Only ratios between two sizes of one run are checked, no
+//! absolute times, so that the test holds on any machine and in debug builds.
 
 use std::path::PathBuf;
 use std::sync::Mutex;
@@ -10,16 +11,16 @@
 use nettleferry_scale::settings;
 use nettleferry_scale::verdict::Outcome;
 
-/// Times are compared: one run at a time.
-static ALONE: Mutex<()> = Mutex::new(());
+/// Runs compare times, so only one runs at a time.
+static RUN_LOCK: Mutex<()> = Mutex::new(());
 
-fn play(text: &str) -> Report {
-    let _alone = ALONE.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
+fn run_plan(text: &str) -> Report {
+    let _guard = RUN_LOCK.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
     let capacity = Capacity::of_machine();
     let mut settings =
         settings::read("shape.sexp", text, &capacity).unwrap_or_else(|errors| panic!("{errors}"));
     let environment = RunEnvironment {
-        // Nothing in these files starts a child.
+        // The plan starts no child process.
         program: PathBuf::from("/nonexistent"),
         capacity,
         interrupt: Interrupt::default(),
@@ -30,8 +31,8 @@
 }
 
 #[test]
-fn calls_and_state_of_functions_seen_before_do_not_grow_with_the_worker_list() {
-    let report = play(include_str!("../../../examples/scale-quick.sexp"));
+fn cost_of_recent_calls_and_state_do_not_grow_with_the_worker_list() {
+    let report = run_plan(include_str!("../../../examples/scale-quick.sexp"));
     assert_eq!(report.verdicts.len(), 2, "{:?}", report.end);
     for verdict in &report.verdicts {
         assert_eq!(verdict.outcome, Outcome::Kept, "{verdict:?}");
