--- a/crates/scale/src/fit.rs
+++ b/crates/scale/src/fit.rs
@@ -67,7 +67,7 @@
 
 impl Fit {
     /// Fits pairs of size and value; none if there are fewer than [`FEWEST_SIZES`].
-    pub fn of(points: &[(f64, f64)]) -> Option<Self> {
+    pub fn from_points(points: &[(f64, f64)]) -> Option<Self> {
         if points.len() < FEWEST_SIZES {
             return None;
         }
--- a/crates/scale/src/measure/administration/fleet.rs
+++ b/crates/scale/src/measure/administration/fleet.rs
@@ -40,7 +40,7 @@
 }
 
 /// An API key: the token of the client, and the form for the administration's settings.
-struct Key {
+struct ApiKey {
     token: String,
     settings: String,
 }
@@ -48,7 +48,8 @@
 impl Fleet {
     /// Starts the administration and creates the tenants of the script.
     pub fn start(script: &Script, size: u64, context: &mut Context<'_>) -> Result<Self, MeasureError> {
-        let (admin, follower) = (key("scale", "admin", context)?, key("fleet", "controller", context)?);
+        let (admin, follower) =
+            (generate_key("scale", "admin", context)?, generate_key("fleet", "controller", context)?);
         let key_file = context.folder().join("key");
         write(&key_file, &follower.token)?;
         let controllers = size + u64::from(script.real) + 1;
@@ -67,7 +68,7 @@
     }
 
     /// Starts all followers and waits until each has a lease.
-    pub fn follow(
+    pub fn start_followers(
         &mut self,
         script: &Script,
         size: u64,
@@ -144,7 +145,7 @@
 }
 
 /// Generates an API key with the program's `admin key` command.
-fn key(name: &str, role: &str, context: &mut Context<'_>) -> Result<Key, MeasureError> {
+fn generate_key(name: &str, role: &str, context: &mut Context<'_>) -> Result<ApiKey, MeasureError> {
     let child = context.children.start(&format!("key {name}"), ["admin", "key", name, role])?;
     let (mut token, mut settings) = (None, None);
     while token.is_none() || settings.is_none() {
@@ -153,7 +154,7 @@
         settings = settings.or(line.strip_prefix("settings: ").map(str::to_owned));
     }
     context.children.stop(child);
-    Ok(Key { token: token.unwrap_or_default(), settings: settings.unwrap_or_default() })
+    Ok(ApiKey { token: token.unwrap_or_default(), settings: settings.unwrap_or_default() })
 }
 
 /// Starts a `serve` process in its own folder.
--- a/crates/scale/src/measure/administration/interval.rs
+++ b/crates/scale/src/measure/administration/interval.rs
@@ -12,13 +12,13 @@
 use crate::process::Sample;
 
 /// Resource usage of the real processes at one moment.
-struct Moment {
+struct UsageSnapshot {
     at: Instant,
     administration: Sample,
     real: Vec<Sample>,
 }
 
-impl Moment {
+impl UsageSnapshot {
     fn now(fleet: &Fleet, context: &Context<'_>) -> Result<Self, MeasureError> {
         let real = fleet.real.iter().map(|child| sample(*child, context)).collect::<Result<_, _>>()?;
         Ok(Self { at: Instant::now(), administration: sample(fleet.administration, context)?, real })
@@ -56,9 +56,9 @@
     ) -> Result<Self, MeasureError> {
         // Resets the counters of the hollow followers, which count since the last request.
         fleet.summaries(context)?;
-        let begin = Moment::now(fleet, context)?;
+        let begin = UsageSnapshot::now(fleet, context)?;
         work(fleet, context)?;
-        let end = Moment::now(fleet, context)?;
+        let end = UsageSnapshot::now(fleet, context)?;
         let hollow = fleet.summaries(context)?;
         let spent = |begin: &Sample, end: &Sample| end.processor.saturating_sub(begin.processor);
         let count = end.real.len() as u32;
@@ -75,13 +75,13 @@
     }
 
     /// Sum of a count over the hollow processes.
-    pub fn sum(&self, of: impl Fn(&Summary) -> u64) -> f64 {
-        self.hollow.iter().map(of).sum::<u64>() as f64
+    pub fn sum(&self, value: impl Fn(&Summary) -> u64) -> f64 {
+        self.hollow.iter().map(value).sum::<u64>() as f64
     }
 
     /// Maximum of a value over the hollow processes; 0 without any.
-    pub fn greatest(&self, of: impl Fn(&Summary) -> f64) -> f64 {
-        self.hollow.iter().map(of).fold(0.0, f64::max)
+    pub fn maximum(&self, value: impl Fn(&Summary) -> f64) -> f64 {
+        self.hollow.iter().map(value).fold(0.0, f64::max)
     }
 
     /// Share of the hollow followers' time that they had no lease.
@@ -114,11 +114,11 @@
         let everywhere = Histogram::new_with_bounds(1, 60_000_000, 3)
             .map_err(|error| MeasureError::Unexpected(format!("can't create a histogram: {error}")))?;
         let mut changes = Self { made: 0, everywhere, not_everywhere: 0 };
-        let begun = Instant::now();
+        let started = Instant::now();
         loop {
-            let due = begun + Duration::from_secs_f64(changes.made as f64 / rate);
-            if due >= begun + span || begun.elapsed() >= span {
-                context.wait((begun + span).saturating_duration_since(Instant::now()))?;
+            let due = started + Duration::from_secs_f64(changes.made as f64 / rate);
+            if due >= started + span || started.elapsed() >= span {
+                context.wait((started + span).saturating_duration_since(Instant::now()))?;
                 return Ok(changes);
             }
             context.wait(due.saturating_duration_since(Instant::now()))?;
--- a/crates/scale/src/measure/administration/mod.rs
+++ b/crates/scale/src/measure/administration/mod.rs
@@ -120,9 +120,9 @@
         let span = Duration::from_micros(script.interval);
         context.doing(&format!("{NAME} {size}: starts"));
         let mut fleet = Fleet::start(script, size, context)?;
-        let begun = Instant::now();
-        fleet.follow(script, size, context)?;
-        let start = begun.elapsed();
+        let started = Instant::now();
+        fleet.start_followers(script, size, context)?;
+        let start = started.elapsed();
         context.doing(&format!("{NAME} {size}: quiet"));
         let quiet = Interval::measure(&mut fleet, context, |_, context| context.wait(span))?;
         context.doing(&format!("{NAME} {size}: changes"));
@@ -180,7 +180,7 @@
         observations.add(&EVERYWHERE_P99, at(0.99));
         observations.add(&EVERYWHERE_MAX, changes.everywhere.max() as f64);
     }
-    observations.add(&CHANGE_TO_EACH_P99, busy.greatest(|summary| summary.change_to_each.p99 as f64));
+    observations.add(&CHANGE_TO_EACH_P99, busy.maximum(|summary| summary.change_to_each.p99 as f64));
     let quiet_bytes = quiet.sum(|summary| summary.counts.bytes_in) / quiet.span.as_secs_f64() * seconds;
     let change_bytes = busy.sum(|summary| summary.counts.bytes_in) - quiet_bytes;
     observations.add(&CHANGE_BYTES, change_bytes / made / size as f64);
@@ -198,6 +198,6 @@
         observations.add(&FOLLOWER_MEMORY, resident as f64);
     }
     let hollow =
-        |interval: &Interval| interval.greatest(|s| s.processor_us as f64 / 1e3 / s.ran_ms.max(1) as f64);
+        |interval: &Interval| interval.maximum(|s| s.processor_us as f64 / 1e3 / s.ran_ms.max(1) as f64);
     observations.add(&HOLLOW_PROCESSOR, hollow(quiet).max(hollow(busy)));
 }
--- a/crates/scale/src/measure/list/calls.rs
+++ b/crates/scale/src/measure/list/calls.rs
@@ -50,8 +50,8 @@
 }
 
 impl Calls {
-    /// Starts calls of `model` through the gateway at address `to`, `rate` per second.
-    pub fn start(to: SocketAddr, model: &str, rate: f64) -> io::Result<Self> {
+    /// Starts calls of `model` through the gateway at this address, `rate` per second.
+    pub fn start(gateway: SocketAddr, model: &str, rate: f64) -> io::Result<Self> {
         let stats = Arc::new(Mutex::new(CallStats::new()?));
         let stop = Arc::new(AtomicBool::new(false));
         let mut infer_request = climb_request(model, "1", &[], 1);
@@ -61,12 +61,12 @@
             messages: vec![infer_request.encode_to_vec().into()],
             ..ClientRequest::default()
         };
-        let every = Duration::from_secs_f64(1.0 / rate);
-        let (recorded, stopped) = (Arc::clone(&stats), Arc::clone(&stop));
+        let interval = Duration::from_secs_f64(1.0 / rate);
+        let (thread_stats, stopped) = (Arc::clone(&stats), Arc::clone(&stop));
         let work = move || {
-            let record_ended =
-                Caller::new(to, request, every, recorded).and_then(|mut caller| caller.run(&stopped));
-            if let Err(error) = record_ended {
+            let result = Caller::new(gateway, request, interval, thread_stats)
+                .and_then(|mut caller| caller.run(&stopped));
+            if let Err(error) = result {
                 // The measure fails on its own: the next period has no served call.
                 eprintln!("calls of the scale run ended: {error}");
             }
@@ -93,9 +93,9 @@
 
 struct Caller {
     client: Client,
-    to: SocketAddr,
+    gateway: SocketAddr,
     request: ClientRequest,
-    every: Duration,
+    interval: Duration,
     open: HashMap<u64, Instant>,
     events: Vec<ClientEvent>,
     stats: Arc<Mutex<CallStats>>,
@@ -103,13 +103,13 @@
 
 impl Caller {
     fn new(
-        to: SocketAddr,
+        gateway: SocketAddr,
         request: ClientRequest,
-        every: Duration,
+        interval: Duration,
         stats: Arc<Mutex<CallStats>>,
     ) -> io::Result<Self> {
         let client = Client::new(1, NetLimits::default())?;
-        Ok(Self { client, to, request, every, open: HashMap::new(), events: Vec::new(), stats })
+        Ok(Self { client, gateway, request, interval, open: HashMap::new(), events: Vec::new(), stats })
     }
 
     fn run(&mut self, stop: &AtomicBool) -> io::Result<()> {
@@ -117,34 +117,34 @@
         while !stop.load(Ordering::Relaxed) {
             let now = Instant::now();
             if now >= next {
-                next = (next + self.every).max(now);
-                self.begin(now)?;
+                next = (next + self.interval).max(now);
+                self.begin_call(now)?;
             }
             let wait = next.saturating_duration_since(Instant::now()).min(POLL_INTERVAL);
             self.client.poll(Some(wait), &mut self.events)?;
-            self.record_ended();
+            self.record_ended_calls();
         }
         Ok(())
     }
 
-    fn begin(&mut self, now: Instant) -> io::Result<()> {
+    fn begin_call(&mut self, now: Instant) -> io::Result<()> {
         if self.open.len() >= MOST_OPEN {
             self.stats.lock().unwrap_or_else(PoisonError::into_inner).skipped += 1;
             return Ok(());
         }
-        let rpc = self.client.call(self.to, self.request.clone())?;
+        let rpc = self.client.call(self.gateway, self.request.clone())?;
         self.open.insert(rpc, now);
         Ok(())
     }
 
-    fn record_ended(&mut self) {
+    fn record_ended_calls(&mut self) {
         let now = Instant::now();
         let mut stats = self.stats.lock().unwrap_or_else(PoisonError::into_inner);
-        for events in self.events.drain(..) {
-            let ClientEvent::End { rpc, status, .. } = events else { continue };
-            let Some(began) = self.open.remove(&rpc) else { continue };
+        for event in self.events.drain(..) {
+            let ClientEvent::End { rpc, status, .. } = event else { continue };
+            let Some(started) = self.open.remove(&rpc) else { continue };
             if status.is_ok_and(|status| status.code == Code::Ok) {
-                stats.latency.saturating_record((now - began).as_micros() as u64);
+                stats.latency.saturating_record((now - started).as_micros() as u64);
             } else {
                 stats.failed += 1;
             }
--- a/crates/scale/src/measure/list/mod.rs
+++ b/crates/scale/src/measure/list/mod.rs
@@ -126,27 +126,27 @@
     }
 
     fn run_at(&mut self, size: u64, context: &mut Context<'_>) -> Result<Observations, MeasureError> {
-        let mut to = Observations::default();
-        let mut gateway = Gateway::start(size, context, &mut to)?;
+        let mut observations = Observations::default();
+        let mut gateway = Gateway::start(size, context, &mut observations)?;
         let calls = Calls::start(gateway.address, MODEL, self.rate)
             .map_err(MeasureError::system("can't make calls"))?;
         let mut stats_by_metric = Vec::new();
         // The first call connects to the worker and loads the model; its results are discarded.
         context.wait(self.settle)?;
-        take(&calls)?;
+        take_stats(&calls)?;
         let rest = self.rest(&gateway, context)?;
-        to.add(&REST, rest);
-        stats_by_metric.push((&REST_LONGEST, take(&calls)?));
+        observations.add(&REST, rest);
+        stats_by_metric.push((&REST_LONGEST, take_stats(&calls)?));
         let cost = self.changes(&mut gateway, rest, self.changes, Gateway::change_one, context)?;
-        to.add(&CHANGE, cost.processor);
-        to.add(&CHANGE_READ, cost.read);
-        stats_by_metric.push((&CHANGE_LONGEST, take(&calls)?));
+        observations.add(&CHANGE, cost.processor);
+        observations.add(&CHANGE_READ, cost.read);
+        stats_by_metric.push((&CHANGE_LONGEST, take_stats(&calls)?));
         let cost = self.changes(&mut gateway, rest, 1, Gateway::change_all, context)?;
-        to.add(&REPLACE, cost.processor);
-        stats_by_metric.push((&REPLACE_LONGEST, take(&calls)?));
-        to.add(&MEMORY_AFTER, gateway.sample()?.resident as f64);
-        observe(stats_by_metric, &mut to)?;
-        Ok(to)
+        observations.add(&REPLACE, cost.processor);
+        stats_by_metric.push((&REPLACE_LONGEST, take_stats(&calls)?));
+        observations.add(&MEMORY_AFTER, gateway.sample()?.resident as f64);
+        observe(stats_by_metric, &mut observations)?;
+        Ok(observations)
     }
 }
 
@@ -191,13 +191,13 @@
     }
 }
 
-fn take(calls: &Calls) -> Result<CallStats, MeasureError> {
+fn take_stats(calls: &Calls) -> Result<CallStats, MeasureError> {
     calls.take().map_err(MeasureError::system("can't make calls"))
 }
 
 fn observe(
     stats_by_metric: Vec<(&'static Metric, CallStats)>,
-    to: &mut Observations,
+    observations: &mut Observations,
 ) -> Result<(), MeasureError> {
     let mut not_served = 0;
     for (longest, stats) in stats_by_metric {
@@ -205,10 +205,10 @@
             let what = format!("no call was served where {} is measured", longest.name);
             return Err(MeasureError::Unexpected(what));
         }
-        to.add(longest, stats.latency.max() as f64);
+        observations.add(longest, stats.latency.max() as f64);
         not_served += stats.failed + stats.skipped;
     }
-    to.add(&NOT_SERVED, not_served as f64);
+    observations.add(&NOT_SERVED, not_served as f64);
     Ok(())
 }
 
@@ -225,7 +225,11 @@
 
 impl Gateway {
     /// Starts a stand-in worker and `serve` with a list of `size` workers, and waits until the list is applied.
-    fn start(size: u64, context: &mut Context<'_>, to: &mut Observations) -> Result<Self, MeasureError> {
+    fn start(
+        size: u64,
+        context: &mut Context<'_>,
+        observations: &mut Observations,
+    ) -> Result<Self, MeasureError> {
         let folder = context.folder().to_owned();
         let standin_file = folder.join("worker.sexp");
         let settings_file = folder.join("settings.sexp");
@@ -239,18 +243,18 @@
             workers.push(worker(number, standin));
         }
         let text = write_list(&list, &workers)?;
-        to.add(&LIST_BYTES, text as f64);
+        observations.add(&LIST_BYTES, text as f64);
         let began = Instant::now();
         let arguments = ["--log", LOG_FILTER, "serve"].map(PathBuf::from).into_iter().chain([settings_file]);
         let (child, address) = listening("serve", arguments, context)?;
-        to.add(&START, began.elapsed().as_secs_f64() * 1e6);
+        observations.add(&START, began.elapsed().as_secs_f64() * 1e6);
         wait_applied(child, 0, context)?;
         let process = context
             .children
             .process(child)
             .ok_or_else(|| MeasureError::Unexpected("serve was stopped".to_owned()))?;
         let gateway = Self { child, process, address, list, workers, workers_made: size, standin };
-        to.add(&MEMORY, gateway.sample()?.resident as f64);
+        observations.add(&MEMORY, gateway.sample()?.resident as f64);
         Ok(gateway)
     }
 
--- a/crates/scale/src/measure/mod.rs
+++ b/crates/scale/src/measure/mod.rs
@@ -135,7 +135,7 @@
 #[derive(Clone, Debug)]
 pub struct Sizes {
     /// What the sizes count, such as `workers` or `followers`; also the key of the list in the plan file.
-    pub of: &'static str,
+    pub dimension: &'static str,
     /// The sizes.
     pub values: Vec<u64>,
     /// Position of the list in the plan file, for errors.
@@ -164,7 +164,7 @@
             list.error(format!("({of} ...): write each size once, the smallest first"));
         }
         list.finish();
-        Some(Self { of, values, span })
+        Some(Self { dimension: of, values, span })
     }
 }
 
--- a/crates/scale/src/measure/module/play.rs
+++ b/crates/scale/src/measure/module/play.rs
@@ -162,39 +162,39 @@
     }
 
     /// Records the metrics of all calls and changes; fails if the calls were not made before.
-    pub fn observe(&mut self, to: &mut Observations) -> Result<(), MeasureError> {
+    pub fn observe(&mut self, observations: &mut Observations) -> Result<(), MeasureError> {
         let costs = (self.first.take(), self.returning.take(), self.recent.take());
         let (Some(mut rare), Some(returning), Some(recent)) = costs else {
             return Err(MeasureError::Unexpected("the calls of this size were not made".to_owned()));
         };
-        to.add(&FIRST_MEAN, mean(&rare));
-        to.add(&FIRST_P50, microseconds(rare.calls.value_at_quantile(0.5)));
-        to.add(&RETURNING_MEAN, mean(&returning));
+        observations.add(&FIRST_MEAN, mean(&rare));
+        observations.add(&FIRST_P50, microseconds(rare.calls.value_at_quantile(0.5)));
+        observations.add(&RETURNING_MEAN, mean(&returning));
         rare.merge(&returning)?;
-        observe_rare(&rare, to);
-        to.add(&RECENT_MEAN, mean(&recent));
-        to.add(&RECENT_P50, microseconds(recent.calls.value_at_quantile(0.5)));
-        to.add(&RECENT_MAX, microseconds(recent.calls.max()));
-        to.add(&NOT_SERVED, (rare.not_served + recent.not_served) as f64);
+        observe_rare(&rare, observations);
+        observations.add(&RECENT_MEAN, mean(&recent));
+        observations.add(&RECENT_P50, microseconds(recent.calls.value_at_quantile(0.5)));
+        observations.add(&RECENT_MAX, microseconds(recent.calls.max()));
+        observations.add(&NOT_SERVED, (rare.not_served + recent.not_served) as f64);
         if let Some(longest) = self.changes.iter().max() {
             let all: u64 = self.changes.iter().sum();
-            to.add(&CHANGE_MEAN, microseconds(all) / self.changes.len() as f64);
-            to.add(&CHANGE_MAX, microseconds(*longest));
+            observations.add(&CHANGE_MEAN, microseconds(all) / self.changes.len() as f64);
+            observations.add(&CHANGE_MAX, microseconds(*longest));
         }
         Ok(())
     }
 }
 
-fn observe_rare(cost: &Cost, to: &mut Observations) {
-    to.add(&CALL_MEAN, mean(cost));
-    to.add(&CALL_P50, microseconds(cost.calls.value_at_quantile(0.5)));
-    to.add(&CALL_P99, microseconds(cost.calls.value_at_quantile(0.99)));
-    to.add(&CALL_MAX, microseconds(cost.calls.max()));
-    to.add(&HANDLE_MEAN, cost.handles.mean() / 1e3);
-    to.add(&HANDLE_P50, microseconds(cost.handles.value_at_quantile(0.5)));
-    to.add(&HANDLE_P99, microseconds(cost.handles.value_at_quantile(0.99)));
-    to.add(&HANDLE_MAX, microseconds(cost.handles.max()));
-    to.add(&PROBES, cost.probes as f64 / cost.begun as f64);
+fn observe_rare(cost: &Cost, observations: &mut Observations) {
+    observations.add(&CALL_MEAN, mean(cost));
+    observations.add(&CALL_P50, microseconds(cost.calls.value_at_quantile(0.5)));
+    observations.add(&CALL_P99, microseconds(cost.calls.value_at_quantile(0.99)));
+    observations.add(&CALL_MAX, microseconds(cost.calls.max()));
+    observations.add(&HANDLE_MEAN, cost.handles.mean() / 1e3);
+    observations.add(&HANDLE_P50, microseconds(cost.handles.value_at_quantile(0.5)));
+    observations.add(&HANDLE_P99, microseconds(cost.handles.value_at_quantile(0.99)));
+    observations.add(&HANDLE_MAX, microseconds(cost.handles.max()));
+    observations.add(&PROBES, cost.probes as f64 / cost.begun as f64);
 }
 
 /// Mean time of a call in microseconds; not a number without calls.
--- a/crates/scale/src/measure/worker/mod.rs
+++ b/crates/scale/src/measure/worker/mod.rs
@@ -203,12 +203,12 @@
     }
 }
 
-fn sum(summaries: &[Summary], of: impl Fn(&Summary) -> u64) -> f64 {
-    summaries.iter().map(of).sum::<u64>() as f64
+fn sum(summaries: &[Summary], value: impl Fn(&Summary) -> u64) -> f64 {
+    summaries.iter().map(value).sum::<u64>() as f64
 }
 
-fn greatest(summaries: &[Summary], of: impl Fn(&Summary) -> f64) -> f64 {
-    summaries.iter().map(of).fold(0.0, f64::max)
+fn maximum(summaries: &[Summary], value: impl Fn(&Summary) -> f64) -> f64 {
+    summaries.iter().map(value).fold(0.0, f64::max)
 }
 
 fn observe_connections(
@@ -237,14 +237,14 @@
 ) {
     let answered = sum(summaries, |summary| summary.counts.served + summary.counts.probes_served);
     let processor = after.processor.saturating_sub(before.processor).as_secs_f64() - at_rest;
-    let seconds = greatest(summaries, |summary| summary.ran_ms as f64) / 1e3;
+    let seconds = maximum(summaries, |summary| summary.ran_ms as f64) / 1e3;
     observations.add(&CALL_PROCESSOR, processor * 1e6 / answered);
     observations.add(&CALLS, sum(summaries, |summary| summary.counts.served) / seconds);
     observations
         .add(&NOT_SERVED, sum(summaries, |summary| summary.counts.not_served + summary.counts.broken));
-    observations.add(&CALL_P50, greatest(summaries, |summary| summary.call_time.p50 as f64));
-    observations.add(&CALL_P99, greatest(summaries, |summary| summary.call_time.p99 as f64));
+    observations.add(&CALL_P50, maximum(summaries, |summary| summary.call_time.p50 as f64));
+    observations.add(&CALL_P99, maximum(summaries, |summary| summary.call_time.p99 as f64));
     observations.add(&MEMORY_AFTER, after.resident as f64);
     let cores = |summary: &Summary| summary.processor_us as f64 / 1e3 / summary.ran_ms.max(1) as f64;
-    observations.add(&HOLLOW_PROCESSOR, greatest(summaries, cores));
+    observations.add(&HOLLOW_PROCESSOR, maximum(summaries, cores));
 }
--- a/crates/scale/src/report/plots.rs
+++ b/crates/scale/src/report/plots.rs
@@ -49,7 +49,7 @@
         .x_label_area_size(36)
         .y_label_area_size(72)
         .build_cartesian_2d((smallest * 0.8..largest * 1.2).log_scale(), 0.0..highest)?;
-    chart.configure_mesh().x_desc(fitted.of).y_desc(unit(fitted.unit)).draw()?;
+    chart.configure_mesh().x_desc(fitted.dimension).y_desc(unit(fitted.unit)).draw()?;
     let line = (0..=LINE_POINTS).map(|step| {
         let part = f64::from(step) / f64::from(LINE_POINTS);
         let size = smallest * (largest / smallest).powf(part);
--- a/crates/scale/src/report/table.rs
+++ b/crates/scale/src/report/table.rs
@@ -80,7 +80,7 @@
             metrics.push(one.metric);
         }
     }
-    let of = ours().next().map_or("", |one| one.of);
+    let of = ours().next().map_or("", |one| one.dimension);
     let columns = sizes.iter().map(|size| format!("{size} {of}"));
     let mut table = table(&[measure]);
     table.set_header([measure.to_owned()].into_iter().chain(columns));
@@ -102,7 +102,7 @@
     for fitted in &report.fitted {
         let (line, exponent) = (fitted.fit.line, fitted.fit.exponent);
         let slope =
-            format!("{} a {}", amount(line.slope, Some(fitted.unit)), fitted.of.trim_end_matches('s'));
+            format!("{} a {}", amount(line.slope, Some(fitted.unit)), fitted.dimension.trim_end_matches('s'));
         let power = exponent.map_or_else(String::new, |e| format!("{:.2}", e.power));
         let error = exponent.map_or_else(String::new, |e| format!("{:.2}", e.error));
         table.add_row([
--- a/crates/scale/src/run.rs
+++ b/crates/scale/src/run.rs
@@ -24,7 +24,8 @@
     #[serde(rename = "figure")]
     pub metric: &'static str,
     /// What the size counts.
-    pub of: &'static str,
+    #[serde(rename = "of")]
+    pub dimension: &'static str,
     /// Size at which the value was observed.
     pub size: u64,
     /// Observed value, in `unit`.
@@ -41,8 +42,8 @@
 
 impl Observation {
     /// Whether the value belongs to this metric.
-    pub fn is(&self, of: &MetricId) -> bool {
-        self.measure == of.measure && self.metric == of.metric.name
+    pub fn is(&self, id: &MetricId) -> bool {
+        self.measure == id.measure && self.metric == id.metric.name
     }
 }
 
@@ -55,7 +56,8 @@
     #[serde(rename = "figure")]
     pub metric: &'static str,
     /// What the size counts.
-    pub of: &'static str,
+    #[serde(rename = "of")]
+    pub dimension: &'static str,
     /// Unit of the metric.
     pub unit: Unit,
     /// Growth of the metric with the size.
@@ -125,7 +127,7 @@
     let limits =
         RunLimits { deadline, interrupt: environment.interrupt.clone(), memory: environment.capacity.memory };
     let mut runner = Runner { seed: settings.seed, limits, environment, observed: Vec::new() };
-    let end = runner.all(&mut settings.measures);
+    let end = runner.run_all(&mut settings.measures);
     let observed = runner.observed;
     let fitted = settings.measures.iter().flat_map(|measure| fits(&**measure, &observed)).collect();
     let targets = settings.budgets.iter().map(|budget| budget.estimate(&observed)).collect();
@@ -141,11 +143,11 @@
 }
 
 impl Runner<'_> {
-    fn all(&mut self, measures: &mut [Box<dyn Measure>]) -> End {
+    fn run_all(&mut self, measures: &mut [Box<dyn Measure>]) -> End {
         for measure in measures {
             let name = measure.name();
             for size in measure.sizes().values.clone() {
-                match self.one(&mut **measure, size) {
+                match self.run_at(&mut **measure, size) {
                     Ok(()) => self.environment.progress.done(),
                     Err(MeasureError::Interrupted) => return End::Interrupted,
                     Err(error) => return End::Failed { measure: name, size, error },
@@ -155,8 +157,8 @@
         End::Done
     }
 
-    fn one(&mut self, measure: &mut dyn Measure, size: u64) -> Result<(), MeasureError> {
-        let (name, of) = (measure.name(), measure.sizes().of);
+    fn run_at(&mut self, measure: &mut dyn Measure, size: u64) -> Result<(), MeasureError> {
+        let (name, dimension) = (measure.name(), measure.sizes().dimension);
         self.environment.progress.doing(&format!("{name} {size}"));
         let folder = tempfile::tempdir().map_err(MeasureError::system("a folder for files"))?;
         let mut children =
@@ -172,10 +174,10 @@
             .map_err(MeasureError::system("can't read the rig's own usage"))?;
         children.stop_all();
         for (metric, value) in observations.values {
-            let one = Observation {
+            let observation = Observation {
                 measure: name,
                 metric: metric.name,
-                of,
+                dimension,
                 size,
                 value,
                 unit: metric.unit,
@@ -183,8 +185,8 @@
                 rig_cores: rig.own_cores,
                 idle: rig.idle,
             };
-            (self.environment.observed)(&one);
-            self.observed.push(one);
+            (self.environment.observed)(&observation);
+            self.observed.push(observation);
         }
         Ok(())
     }
@@ -204,13 +206,13 @@
     let (name, sizes) = (measure.name(), measure.sizes());
     let mut all = Vec::new();
     for metric in measure.metrics() {
-        let of = MetricId { measure: name, metric };
-        let Some(fit) = Fit::of(&points(observed, &of)) else { continue };
-        let rig_bound = observed.iter().any(|one| one.is(&of) && one.rig != RigBound::None);
+        let id = MetricId { measure: name, metric };
+        let Some(fit) = Fit::from_points(&points(observed, &id)) else { continue };
+        let rig_bound = observed.iter().any(|one| one.is(&id) && one.rig != RigBound::None);
         all.push(FittedMetric {
             measure: name,
             metric: metric.name,
-            of: sizes.of,
+            dimension: sizes.dimension,
             unit: metric.unit,
             fit,
             rig_bound,
--- a/crates/scale/src/settings.rs
+++ b/crates/scale/src/settings.rs
@@ -81,7 +81,7 @@
         for size in &sizes.values {
             let Some(short) = capacity.shortage(&measure.needs(*size)) else { continue };
             let fits = capacity.largest_fit(*size, |size| measure.needs(size));
-            let what = format!("{} {size} can't fit: needs {short}; write at most {fits}", sizes.of);
+            let what = format!("{} {size} can't fit: needs {short}; write at most {fits}", sizes.dimension);
             source.error(sizes.span, what);
             break;
         }
@@ -141,27 +141,27 @@
         SubjectKind::At => None,
         SubjectKind::Ratio | SubjectKind::Exponent => Some(form.required_item::<f64>("the maximum")),
     };
-    let Some((mut subject, measure, of)) = read_metric(form, measures) else {
+    let Some((mut subject, measure, id)) = read_metric(form, measures) else {
         let _ = form.next_item::<String>();
         return None;
     };
     let bound = match kind {
         SubjectKind::At => {
             let size = read_size(&mut subject, measure);
-            let max = read_amount(form, of.metric);
-            size.zip(max).map(|(size, max)| Bound { subject: Subject::At { of, size }, max })
+            let max = read_amount(form, id.metric);
+            size.zip(max).map(|(size, max)| Bound { subject: Subject::At { id, size }, max })
         }
         SubjectKind::Ratio => {
             let (size, base_size) = (read_size(&mut subject, measure), read_size(&mut subject, measure));
             let sizes = size.zip(base_size).zip(max.flatten());
             sizes.map(|((size, base_size), max)| Bound {
-                subject: Subject::Ratio { of, size, base_size },
+                subject: Subject::Ratio { id, size, base_size },
                 max,
             })
         }
         SubjectKind::Exponent => {
             require_fit_sizes(&subject, measure, "an exponent");
-            max.flatten().map(|max| Bound { subject: Subject::Exponent { of }, max })
+            max.flatten().map(|max| Bound { subject: Subject::Exponent { id }, max })
         }
     };
     subject.finish();
@@ -220,7 +220,7 @@
         subject.error(format!(
             "{what} needs a fit over at least {FEWEST_SIZES} sizes; ({} ({} ...)) has {}",
             measure.name(),
-            sizes.of,
+            sizes.dimension,
             sizes.values.len()
         ));
     }
@@ -230,21 +230,22 @@
 fn read_target(mut form: Form, measures: &[Box<dyn Measure>]) -> Vec<Budget> {
     let mut sizes: Vec<(&'static str, u64)> = Vec::new();
     for measure in measures {
-        let of = measure.sizes().of;
-        if !sizes.iter().any(|(known, _)| *known == of) {
-            sizes.extend(form.optional::<u64>(of).map(|size| (of, size)));
+        let dimension = measure.sizes().dimension;
+        if !sizes.iter().any(|(known, _)| *known == dimension) {
+            sizes.extend(form.optional::<u64>(dimension).map(|size| (dimension, size)));
         }
     }
     let mut budgets = Vec::new();
     for mut budget in form.lists("budget") {
-        if let Some((subject, measure, of)) = read_metric(&mut budget, measures) {
-            let target = sizes.iter().find(|(known, _)| *known == measure.sizes().of).map(|(_, size)| *size);
+        if let Some((subject, measure, id)) = read_metric(&mut budget, measures) {
+            let target =
+                sizes.iter().find(|(known, _)| *known == measure.sizes().dimension).map(|(_, size)| *size);
             if target.is_none() {
-                subject.error(format!("the target lacks ({} SIZE)", measure.sizes().of));
+                subject.error(format!("the target lacks ({} SIZE)", measure.sizes().dimension));
             }
             require_fit_sizes(&subject, measure, "a target");
-            let max = read_amount(&mut budget, of.metric).filter(|max| *max > 0.0);
-            budgets.extend(target.zip(max).map(|(size, max)| Budget { of, size, max }));
+            let max = read_amount(&mut budget, id.metric).filter(|max| *max > 0.0);
+            budgets.extend(target.zip(max).map(|(size, max)| Budget { id, size, max }));
             subject.finish();
         } else {
             let _ = budget.next_item::<String>();
--- a/crates/scale/src/verdict.rs
+++ b/crates/scale/src/verdict.rs
@@ -22,14 +22,14 @@
     /// A metric at one size.
     At {
         /// The metric.
-        of: MetricId,
+        id: MetricId,
         /// Size at which the metric is bounded.
         size: u64,
     },
     /// The ratio of a metric between two sizes.
     Ratio {
         /// The metric.
-        of: MetricId,
+        id: MetricId,
         /// Size of the numerator.
         size: u64,
         /// Size of the denominator.
@@ -38,32 +38,32 @@
     /// The exponent of the power law by which a metric grows with the size.
     Exponent {
         /// The metric.
-        of: MetricId,
+        id: MetricId,
     },
 }
 
 impl Subject {
     /// Describes the quantity in reports, such as `ratio module call-p50 20000:100`.
     pub fn label(&self) -> String {
-        let label = |of: &MetricId| format!("{} {}", of.measure, of.metric.name);
+        let label = |id: &MetricId| format!("{} {}", id.measure, id.metric.name);
         match self {
-            Self::At { of, size } => format!("{} {size}", label(of)),
-            Self::Ratio { of, size, base_size: over } => format!("ratio {} {size}:{over}", label(of)),
-            Self::Exponent { of } => format!("exponent {}", label(of)),
+            Self::At { id, size } => format!("{} {size}", label(id)),
+            Self::Ratio { id, size, base_size: over } => format!("ratio {} {size}:{over}", label(id)),
+            Self::Exponent { id } => format!("exponent {}", label(id)),
         }
     }
 
     /// Unit of the quantity; none for a ratio or an exponent.
     pub fn unit(&self) -> Option<Unit> {
         match self {
-            Self::At { of, .. } => Some(of.metric.unit),
+            Self::At { id, .. } => Some(id.metric.unit),
             Self::Ratio { .. } | Self::Exponent { .. } => None,
         }
     }
 
-    fn of(&self) -> &MetricId {
+    fn id(&self) -> &MetricId {
         match self {
-            Self::At { of, .. } | Self::Ratio { of, .. } | Self::Exponent { of } => of,
+            Self::At { id, .. } | Self::Ratio { id, .. } | Self::Exponent { id } => id,
         }
     }
 
@@ -77,7 +77,7 @@
 
     fn value(&self, observed: &[Observation]) -> Option<f64> {
         let value = |wanted: u64| {
-            let found = observed.iter().find(|one| one.is(self.of()) && one.size == wanted);
+            let found = observed.iter().find(|one| one.is(self.id()) && one.size == wanted);
             found.map(|one| one.value)
         };
         match self {
@@ -86,14 +86,14 @@
                 let below = value(*base_size)?;
                 (below > 0.0).then_some(value(*size)? / below)
             }
-            Self::Exponent { of } => Some(Fit::of(&points(observed, of))?.exponent?.power),
+            Self::Exponent { id } => Some(Fit::from_points(&points(observed, id))?.exponent?.power),
         }
     }
 }
 
 /// The pairs of size and value that were observed for a metric.
-pub fn points(observed: &[Observation], of: &MetricId) -> Vec<(f64, f64)> {
-    observed.iter().filter(|one| one.is(of)).map(|one| (one.size as f64, one.value)).collect()
+pub fn points(observed: &[Observation], id: &MetricId) -> Vec<(f64, f64)> {
+    observed.iter().filter(|one| one.is(id)).map(|one| (one.size as f64, one.value)).collect()
 }
 
 /// An upper bound.
@@ -146,7 +146,7 @@
         };
         let rig_bound = observed
             .iter()
-            .filter(|one| one.is(self.subject.of()) && self.subject.involves_size(one.size))
+            .filter(|one| one.is(self.subject.id()) && self.subject.involves_size(one.size))
             .any(|one| one.rig != RigBound::None);
         let (bound, unit) = (self.subject.label(), self.subject.unit());
         Verdict { bound, max: self.max, value, unit, outcome, rig_bound }
@@ -157,7 +157,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Budget {
     /// The metric.
-    pub of: MetricId,
+    pub id: MetricId,
     /// Target size of the measure.
     pub size: u64,
     /// Budget in the unit of the metric; above zero.
@@ -191,17 +191,17 @@
 impl Budget {
     /// Returns the value at the target size, extrapolated by the linear fit if that size was not observed.
     pub fn estimate(&self, observed: &[Observation]) -> TargetEstimate {
-        let at_target = observed.iter().find(|one| one.is(&self.of) && one.size == self.size);
-        let line = Fit::of(&points(observed, &self.of)).map(|fit| fit.line);
+        let at_target = observed.iter().find(|one| one.is(&self.id) && one.size == self.size);
+        let line = Fit::from_points(&points(observed, &self.id)).map(|fit| fit.line);
         let extrapolated = line.map(|line| line.at(self.size as f64));
         let value = at_target.map(|one| one.value).or(extrapolated);
         let error = line.filter(|_| at_target.is_none()).map(|line| line.slope_error * self.size as f64);
         TargetEstimate {
-            measure: self.of.measure,
-            metric: self.of.metric.name,
+            measure: self.id.measure,
+            metric: self.id.metric.name,
             size: self.size,
             value,
-            unit: self.of.metric.unit,
+            unit: self.id.metric.unit,
             observed: at_target.is_some(),
             error,
             budget: self.max,
--- a/crates/scale/tests/fit.rs
+++ b/crates/scale/tests/fit.rs
@@ -17,7 +17,7 @@
 
 #[test]
 fn exact_line_is_fitted_without_error() {
-    let fit = Fit::of(&points(|size| 7.0 + 0.1 * size)).expect("five sizes");
+    let fit = Fit::from_points(&points(|size| 7.0 + 0.1 * size)).expect("five sizes");
     assert!(near(fit.line.slope, 0.1, 1e-9) && near(fit.line.intercept, 7.0, 1e-6), "{fit:?}");
     assert!(fit.line.slope_error < 1e-9, "{fit:?}");
     assert!(near(fit.line.at(40_000.0), 4_007.0, 1e-9));
@@ -35,7 +35,7 @@
 #[test]
 fn exponents_of_power_laws_are_recovered() {
     for power in [0.0, 0.5, 1.0, 1.5, 2.0] {
-        let fit = Fit::of(&points(|size| 3.0 * size.powf(power))).expect("five sizes");
+        let fit = Fit::from_points(&points(|size| 3.0 * size.powf(power))).expect("five sizes");
         let found = fit.exponent.expect("all above zero");
         assert!((found.power - power).abs() < 1e-9 && found.error < 1e-9, "{power}: {found:?}");
     }
@@ -47,7 +47,7 @@
     let (mut within, rounds) = (0, 400);
     for _ in 0..rounds {
         let noisy = points(|size| 20.0 + 0.1 * size + 50.0 * (random.random::<f64>() - 0.5));
-        let line = Fit::of(&noisy).expect("five sizes").line;
+        let line = Fit::from_points(&noisy).expect("five sizes").line;
         // With three degrees of freedom, 99 in 100 lie within 5.84 standard errors.
         within += u32::from((line.slope - 0.1).abs() <= 5.84 * line.slope_error);
     }
@@ -56,8 +56,8 @@
 
 #[test]
 fn too_few_sizes_equal_sizes_and_zero_values_are_not_fitted() {
-    assert_eq!(Fit::of(&[(1.0, 1.0), (2.0, 2.0), (3.0, 3.0)]), None, "three sizes");
-    assert_eq!(Fit::of(&[(1.0, 1.0); 4]), None, "one size four times");
-    let zero = Fit::of(&points(|_| 0.0)).expect("a flat line");
+    assert_eq!(Fit::from_points(&[(1.0, 1.0), (2.0, 2.0), (3.0, 3.0)]), None, "three sizes");
+    assert_eq!(Fit::from_points(&[(1.0, 1.0); 4]), None, "one size four times");
+    let zero = Fit::from_points(&points(|_| 0.0)).expect("a flat line");
     assert_eq!((zero.line.slope, zero.exponent), (0.0, None), "no logarithm of zero");
 }
