--- a/crates/gateway/src/commands/error.rs
+++ b/crates/gateway/src/commands/error.rs
@@ -153,7 +153,7 @@
     NoKey,
     /// Hollow peers that this machine can't carry.
     #[error("{0}")]
-    HollowPeers(#[from] nettleferry_hollow::bounds::Refused),
+    HollowPeers(#[from] nettleferry_hollow::bounds::SettingsError),
     /// A histogram can't be made.
     #[error("histogram: {0}")]
     Histogram(#[from] hdrhistogram::CreationError),
--- a/crates/hollow/src/bounds.rs
+++ b/crates/hollow/src/bounds.rs
@@ -9,11 +9,11 @@
 /// The part of the available memory that peers may take, as a divisor.
 const MEMORY_PART: u64 = 2;
 /// Peers of one process at the most, whatever there is.
-pub const MOST_PEERS: u64 = 50_000;
+pub const MAX_PEERS: u64 = 50_000;
 
 /// Why a run is refused before it starts.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Refused {
+pub enum SettingsError {
     /// Load goes to no other machine.
     #[error("{0} is no loopback address: hollow peers speak to this machine alone")]
     NotLoopback(SocketAddr),
@@ -33,10 +33,10 @@
     },
     /// None were asked for.
     #[error("a run has at least one peer")]
-    None,
+    NoPeers,
     /// A value that is out of its range.
     #[error("{what}: {why}")]
-    Value {
+    OutOfRange {
         /// Which.
         what: &'static str,
         /// Its range.
@@ -46,7 +46,7 @@
 
 /// What one peer needs at the most.
 #[derive(Clone, Copy, Debug)]
-pub struct Need {
+pub struct PeerResources {
     /// Descriptors.
     pub descriptors: u64,
     /// Bytes of memory.
@@ -54,18 +54,18 @@
 }
 
 /// Refuses addresses of other machines.
-pub fn loopback(address: SocketAddr) -> Result<(), Refused> {
-    if address.ip().is_loopback() { Ok(()) } else { Err(Refused::NotLoopback(address)) }
+pub fn check_loopback(address: SocketAddr) -> Result<(), SettingsError> {
+    if address.ip().is_loopback() { Ok(()) } else { Err(SettingsError::NotLoopback(address)) }
 }
 
 /// Refuses more peers than fit, and says how many would.
-pub fn fits(count: u64, each: Need, machine: Machine) -> Result<(), Refused> {
+pub fn check_count(count: u64, each: PeerResources, machine: Machine) -> Result<(), SettingsError> {
     if count == 0 {
-        return Err(Refused::None);
+        return Err(SettingsError::NoPeers);
     }
     let descriptors = machine.descriptors.saturating_sub(OWN_DESCRIPTORS);
     let memory = machine.memory / MEMORY_PART;
-    let fit = (descriptors / each.descriptors).min(memory / each.memory).min(MOST_PEERS);
+    let fit = (descriptors / each.descriptors).min(memory / each.memory).min(MAX_PEERS);
     if count <= fit {
         return Ok(());
     }
@@ -74,7 +74,7 @@
     } else if count.saturating_mul(each.memory) > memory {
         (count.saturating_mul(each.memory), memory, "bytes of memory")
     } else {
-        (count, MOST_PEERS, "places in a process")
+        (count, MAX_PEERS, "places in a process")
     };
-    Err(Refused::TooMany { count, need, what, have, fit })
+    Err(SettingsError::TooMany { count, need, what, have, fit })
 }
--- a/crates/hollow/src/control.rs
+++ b/crates/hollow/src/control.rs
@@ -54,12 +54,12 @@
     }
 
     /// When it is over at the latest.
-    pub fn until(&self) -> Option<Instant> {
+    pub fn deadline(&self) -> Option<Instant> {
         self.until
     }
 
     /// Is a summary asked for that was not given yet?
-    pub fn wants_summary(&mut self) -> bool {
+    pub fn take_summary_request(&mut self) -> bool {
         let wants = self.answered < self.told.lines.load(Ordering::Acquire);
         self.answered += u64::from(wants);
         wants
--- a/crates/hollow/src/controllers/mod.rs
+++ b/crates/hollow/src/controllers/mod.rs
@@ -7,13 +7,13 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use crate::bounds::{self, Need, Refused};
+use crate::bounds::{self, PeerResources, SettingsError};
 use crate::process::Machine;
 
 pub use run::Controllers;
 
 /// What one controller needs at the most: its connection, with the state that HTTP/2 keeps of it.
-const NEED: Need = Need { descriptors: 1, memory: 128 << 10 };
+const NEED: PeerResources = PeerResources { descriptors: 1, memory: 128 << 10 };
 const MOST_TIME: Duration = Duration::from_secs(24 * 3600);
 /// Calls and probes a second of a process at the most.
 const MOST_RATE: f64 = 100_000.0;
@@ -30,7 +30,7 @@
     /// What draws begin with: when each makes its calls.
     pub seed: u64,
     /// How long it runs; `None`: until its standard input closes.
-    pub time: Option<Duration>,
+    pub duration: Option<Duration>,
     /// They open their connections spread over so long.
     pub begin_within: Duration,
     /// Calls a second, over all of them.
@@ -45,10 +45,10 @@
 
 impl Settings {
     /// Refuses what can't be run here.
-    pub fn check(&self, machine: Machine) -> Result<(), Refused> {
-        bounds::loopback(self.worker)?;
-        bounds::fits(u64::from(self.count), NEED, machine)?;
-        let value = |what, why: &str| Err(Refused::Value { what, why: why.to_owned() });
+    pub fn check(&self, machine: Machine) -> Result<(), SettingsError> {
+        bounds::check_loopback(self.worker)?;
+        bounds::check_count(u64::from(self.count), NEED, machine)?;
+        let value = |what, why: &str| Err(SettingsError::OutOfRange { what, why: why.to_owned() });
         if self.first_number.checked_add(self.count - 1).is_none() {
             return value("--first-number", "the last controller's number is beyond 4294967295");
         }
@@ -60,7 +60,7 @@
         if self.begin_within > MOST_TIME {
             return value("--begin-within", "at most a day");
         }
-        if self.time.is_some_and(|time| time.is_zero() || time > MOST_TIME) {
+        if self.duration.is_some_and(|duration| duration.is_zero() || duration > MOST_TIME) {
             return value("--seconds", "from 1 to 86400");
         }
         if self.deadline.is_zero() || self.deadline > MOST_TIME {
--- a/crates/hollow/src/controllers/report.rs
+++ b/crates/hollow/src/controllers/report.rs
@@ -65,7 +65,8 @@
     /// Processor time of this process in this second, microseconds.
     pub processor_us: u64,
     /// The longest that a timer was late in this second, microseconds: where that is long, this process is the bound.
-    pub timer_late_us: u64,
+    #[serde(rename = "timer_late_us")]
+    pub timer_delay_us: u64,
 }
 
 /// An interval: the whole run, or since the last summary.
@@ -89,5 +90,6 @@
     /// Its resident memory, KiB.
     pub resident_kib: u64,
     /// How late timers were, microseconds.
-    pub timer_late: Percentiles,
+    #[serde(rename = "timer_late")]
+    pub timer_delay: Percentiles,
 }
--- a/crates/hollow/src/controllers/run.rs
+++ b/crates/hollow/src/controllers/run.rs
@@ -19,7 +19,7 @@
 use super::report::{Counts, Second, Summary};
 use crate::control::Control;
 use crate::process;
-use crate::report::{Line, Lines, Percentiles, Started, histogram};
+use crate::report::{Line, LineWriter, Percentiles, Started, histogram};
 use crate::timers::Timers;
 
 /// Calls and probes of one controller that may be open at once.
@@ -57,7 +57,7 @@
     counts: Counts,
     call_time: Histogram<u64>,
     probe_time: Histogram<u64>,
-    timer_late: Histogram<u64>,
+    timer_delay: Histogram<u64>,
     second: Since,
     interval: Since,
     latest: Duration,
@@ -104,7 +104,7 @@
             counts: Counts::default(),
             call_time: histogram(),
             probe_time: histogram(),
-            timer_late: histogram(),
+            timer_delay: histogram(),
             second: Since::now(begun, Counts::default()),
             interval: Since::now(begun, Counts::default()),
             latest: Duration::ZERO,
@@ -116,9 +116,9 @@
     /// Runs until `input` closes or the time of the settings is over, and writes its lines to `out`. A line of `input`
     /// asks for a summary.
     pub fn run(mut self, input: impl Read + Send + 'static, out: impl Write) -> io::Result<Summary> {
-        let until = self.settings.time.map(|time| self.begun + time);
+        let until = self.settings.duration.map(|duration| self.begun + duration);
         let mut control = Control::listen(input, self.hub.waker(), until)?;
-        let mut lines = Lines::new(out);
+        let mut lines = LineWriter::new(out);
         lines.write(&Line::Started(Started {
             role: "controllers".to_owned(),
             count: u64::from(self.settings.count),
@@ -131,14 +131,14 @@
             if control.is_over(now) {
                 break;
             }
-            if control.wants_summary() {
+            if control.take_summary_request() {
                 lines.write(&Line::ControllersSummary(Box::new(self.summary(now))))?;
             }
             if now >= self.second.at + A_SECOND {
                 lines.write(&Line::ControllersSecond(self.end_second(now)))?;
             }
             self.due(now);
-            let wakes = [Some(self.second.at + A_SECOND), self.timers.next(), control.until()];
+            let wakes = [Some(self.second.at + A_SECOND), self.timers.next(), control.deadline()];
             let wait = wakes.into_iter().flatten().min();
             let wait = wait.map(|at| at.saturating_duration_since(Instant::now()));
             self.hub.poll(wait, &mut events)?;
@@ -153,7 +153,7 @@
     fn due(&mut self, now: Instant) {
         while let Some((n, at)) = self.timers.due(now) {
             let late = now.saturating_duration_since(at);
-            self.timer_late.saturating_record(late.as_micros() as u64);
+            self.timer_delay.saturating_record(late.as_micros() as u64);
             self.latest = self.latest.max(late);
             if self.controllers[n].begun {
                 self.ask(n, now);
@@ -261,7 +261,7 @@
             connections: self.hub.open_connections() as u64,
             counts: self.counts.since(&self.second.counts),
             processor_us: self.second.processor_us(),
-            timer_late_us: self.latest.as_micros() as u64,
+            timer_delay_us: self.latest.as_micros() as u64,
         };
         self.second = Since::now(now, self.counts);
         self.latest = Duration::ZERO;
@@ -279,12 +279,12 @@
             probe_time: Percentiles::from(&self.probe_time),
             processor_us: self.interval.processor_us(),
             resident_kib: process::resident_kib(),
-            timer_late: Percentiles::from(&self.timer_late),
+            timer_delay: Percentiles::from(&self.timer_delay),
         };
         self.interval = Since::now(now, self.counts);
         self.call_time.reset();
         self.probe_time.reset();
-        self.timer_late.reset();
+        self.timer_delay.reset();
         summary
     }
 }
--- a/crates/hollow/src/followers/answer.rs
+++ b/crates/hollow/src/followers/answer.rs
@@ -34,7 +34,7 @@
 
 /// Which book it is, without its tenants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
-pub struct BookRevision {
+pub struct SnapshotRevision {
     /// The last change.
     pub revision: Revision,
 }
@@ -47,9 +47,11 @@
     /// Its epoch.
     pub epoch: u64,
     /// The book's checksum.
-    pub sum: u32,
+    #[serde(rename = "sum")]
+    pub checksum: u32,
     /// The book.
-    pub book: BookRevision,
+    #[serde(rename = "book")]
+    pub tenants: SnapshotRevision,
     /// The lease beside it.
     #[serde(flatten)]
     pub lease: Lease,
@@ -73,7 +75,7 @@
 }
 
 /// The book of a snapshot.
-pub fn book(answer: &Answer) -> Option<TenantSnapshot> {
+pub fn tenant_snapshot(answer: &Answer) -> Option<TenantSnapshot> {
     serde_json::from_slice::<WholeBook>(&answer.body).ok().map(|whole| whole.book)
 }
 
--- a/crates/hollow/src/followers/follower.rs
+++ b/crates/hollow/src/followers/follower.rs
@@ -12,11 +12,11 @@
 use nettleferry_tenancy::replication::Backoff;
 
 use super::answer::{self, Change, Lease, Page, Snapshot};
-use super::book::SharedBook;
+use super::shared_snapshot::SharedSnapshot;
 
 /// What is asked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ask {
+pub enum RequestKind {
     /// The whole book.
     Snapshot,
     /// Changes after the revision that is held.
@@ -27,33 +27,33 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Request {
     /// What it asks.
-    pub ask: Ask,
+    pub kind: RequestKind,
     /// Its target.
     pub target: String,
     /// How long its answer may take.
-    pub patience: Duration,
+    pub timeout: Duration,
 }
 
 /// An exchange whose end has come.
 #[derive(Clone, Copy, Debug)]
 pub struct Exchange {
     /// What was asked.
-    pub ask: Ask,
+    pub kind: RequestKind,
     /// When: a lease is counted from then.
-    pub asked: Instant,
+    pub started_at: Instant,
     /// When its end came.
-    pub now: Instant,
+    pub ended_at: Instant,
 }
 
 /// What an answer meant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Meaning {
+pub enum OutcomeKind {
     /// A page of changes, or that there are none.
     Page,
     /// A book.
     Snapshot,
     /// The snapshot is to be asked for: the changes did not follow on what is held, or are not there.
-    Elsewhere,
+    SnapshotRequired,
     /// This life was shut out.
     Fenced,
     /// Another status than success.
@@ -61,7 +61,7 @@
     /// It can't be read.
     Malformed,
     /// No answer in time.
-    Late,
+    TimedOut,
     /// No connection, or it broke.
     Broken,
 }
@@ -70,9 +70,9 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Outcome {
     /// What the answer meant.
-    pub meaning: Meaning,
+    pub kind: OutcomeKind,
     /// The administration may be asked again then.
-    pub ask_again: Instant,
+    pub retry_at: Instant,
     /// Changes that are in force from now on.
     pub changes: Vec<Change>,
     /// It told all that holds, and gave no lease.
@@ -109,25 +109,25 @@
     }
 
     /// Does one run now?
-    pub fn runs(&self, now: Instant) -> bool {
+    pub fn is_valid(&self, now: Instant) -> bool {
         self.until.is_some_and(|until| now < until)
     }
 
     /// Was there ever one?
-    pub fn any(&self) -> bool {
+    pub fn ever_granted(&self) -> bool {
         self.first.is_some()
     }
 
     /// Of the time since it began to ask, and of that since its first lease: how long it had one, and how long
     /// that was.
-    pub fn covered(&self, now: Instant) -> Coverage {
-        let whole = now.saturating_duration_since(self.began);
+    pub fn coverage(&self, now: Instant) -> Coverage {
+        let total = now.saturating_duration_since(self.began);
         let (Some(first), Some(until)) = (self.first, self.until) else {
-            return Coverage { whole, ..Coverage::default() };
+            return Coverage { total, ..Coverage::default() };
         };
         let since_first = now.saturating_duration_since(first);
         let without = self.without + now.saturating_duration_since(until);
-        Coverage { whole, since_first, with: since_first.saturating_sub(without) }
+        Coverage { total, since_first, leased: since_first.saturating_sub(without) }
     }
 }
 
@@ -135,20 +135,20 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Coverage {
     /// Since it began to ask.
-    pub whole: Duration,
+    pub total: Duration,
     /// Since its first lease.
     pub since_first: Duration,
     /// With a lease.
-    pub with: Duration,
+    pub leased: Duration,
 }
 
 impl Coverage {
     /// What came after `before`.
     pub fn since(&self, before: &Self) -> Self {
         Self {
-            whole: self.whole.saturating_sub(before.whole),
+            total: self.total.saturating_sub(before.total),
             since_first: self.since_first.saturating_sub(before.since_first),
-            with: self.with.saturating_sub(before.with),
+            leased: self.leased.saturating_sub(before.leased),
         }
     }
 }
@@ -193,7 +193,7 @@
     }
 
     /// Its number and its life.
-    pub fn who(&self) -> (u32, u64) {
+    pub fn identity(&self) -> (u32, u64) {
         (self.number, self.life)
     }
 
@@ -213,8 +213,8 @@
     }
 
     /// What it asks next.
-    pub fn request(&self, book: &SharedBook) -> Request {
-        let stamp = self.stamp(book);
+    pub fn request(&self, shared: &SharedSnapshot) -> Request {
+        let stamp = self.version(shared);
         // What is taken is in force and on the disk at once: there is neither work nor a disk.
         let revision = stamp.as_ref().map_or(0, |stamp| stamp.revision);
         let report = Heartbeat {
@@ -228,100 +228,110 @@
         };
         if self.whole || stamp.is_none() {
             return Request {
-                ask: Ask::Snapshot,
+                kind: RequestKind::Snapshot,
                 target: report.snapshot_target(),
-                patience: SNAPSHOT_TIMEOUT,
+                timeout: SNAPSHOT_TIMEOUT,
             };
         }
         let timing = self.span.timing(false);
-        Request { ask: Ask::Watch, target: report.watch_target(timing.wait), patience: timing.timeout }
+        Request {
+            kind: RequestKind::Watch,
+            target: report.watch_target(timing.wait),
+            timeout: timing.timeout,
+        }
     }
 
-    fn stamp(&self, book: &SharedBook) -> Option<SnapshotVersion> {
+    fn version(&self, shared: &SharedSnapshot) -> Option<SnapshotVersion> {
         let Held { store, at } = self.held.as_ref()?;
-        book.stamp(store, at.epoch, at.revision)
+        shared.version(store, at.epoch, at.revision)
     }
 
     /// Takes in what came of an exchange.
-    pub fn heard(
+    pub fn handle_answer(
         &mut self,
         exchange: Exchange,
         answer: &Result<Answer, Http1Error>,
-        book: &mut SharedBook,
+        shared: &mut SharedSnapshot,
     ) -> Outcome {
         let before = self.revision().unwrap_or(0);
-        let (meaning, lease, mut changes) = match answer {
-            Err(Http1Error::Timeout) => (Meaning::Late, None, Vec::new()),
-            Err(Http1Error::Broken(_)) => (Meaning::Broken, None, Vec::new()),
-            Err(Http1Error::Malformed) => (Meaning::Malformed, None, Vec::new()),
-            Ok(answer) => self.answered(exchange.ask, answer, book),
+        let (kind, lease, mut changes) = match answer {
+            Err(Http1Error::Timeout) => (OutcomeKind::TimedOut, None, Vec::new()),
+            Err(Http1Error::Broken(_)) => (OutcomeKind::Broken, None, Vec::new()),
+            Err(Http1Error::Malformed) => (OutcomeKind::Malformed, None, Vec::new()),
+            Ok(answer) => self.answered(exchange.kind, answer, shared),
         };
-        let ask_again = match meaning {
-            Meaning::Page | Meaning::Snapshot => {
+        let retry_at = match kind {
+            OutcomeKind::Page | OutcomeKind::Snapshot => {
                 self.backoff.succeeded();
-                exchange.now
+                exchange.ended_at
             }
             // A page that does not follow leads to the snapshot at once.
-            Meaning::Elsewhere if answer.as_ref().is_ok_and(|answer| answer.status == 200) => exchange.now,
-            _ => exchange.now + Duration::from_millis(self.backoff.failed()),
+            OutcomeKind::SnapshotRequired if answer.as_ref().is_ok_and(|answer| answer.status == 200) => {
+                exchange.ended_at
+            }
+            _ => exchange.ended_at + Duration::from_millis(self.backoff.failed()),
         };
         if let Some(lease) = lease {
             self.leased(exchange, lease);
         }
         changes.retain(|change| change.revision > before);
         let without_lease = lease.is_some_and(|lease| lease.lease_ms.is_none());
-        Outcome { meaning, ask_again, changes, without_lease }
+        Outcome { kind, retry_at, changes, without_lease }
     }
 
     fn answered(
         &mut self,
-        ask: Ask,
+        ask: RequestKind,
         answer: &Answer,
-        book: &mut SharedBook,
-    ) -> (Meaning, Option<Lease>, Vec<Change>) {
-        let failed = |meaning| (meaning, None, Vec::new());
+        shared: &mut SharedSnapshot,
+    ) -> (OutcomeKind, Option<Lease>, Vec<Change>) {
+        let failed = |kind| (kind, None, Vec::new());
         match (answer.status, ask) {
-            (200, Ask::Snapshot) => {
+            (200, RequestKind::Snapshot) => {
                 let Ok(snapshot) = serde_json::from_slice::<Snapshot>(&answer.body) else {
-                    return failed(Meaning::Malformed);
+                    return failed(OutcomeKind::Malformed);
                 };
                 let lease = snapshot.lease;
-                if self.took_snapshot(snapshot, answer, book) {
-                    (Meaning::Snapshot, Some(lease), Vec::new())
+                if self.took_snapshot(snapshot, answer, shared) {
+                    (OutcomeKind::Snapshot, Some(lease), Vec::new())
                 } else {
-                    failed(Meaning::Refused)
+                    failed(OutcomeKind::Refused)
                 }
             }
-            (200, Ask::Watch) => {
+            (200, RequestKind::Watch) => {
                 let Ok(page) = serde_json::from_slice::<Page>(&answer.body) else {
-                    return failed(Meaning::Malformed);
+                    return failed(OutcomeKind::Malformed);
                 };
-                if self.took_page(&page, answer, book) {
-                    (Meaning::Page, Some(page.lease), page.entries)
+                if self.took_page(&page, answer, shared) {
+                    (OutcomeKind::Page, Some(page.lease), page.entries)
                 } else {
                     self.whole = true;
-                    failed(Meaning::Elsewhere)
+                    failed(OutcomeKind::SnapshotRequired)
                 }
             }
             (409 | 410, _) => {
                 self.whole = true;
-                failed(Meaning::Elsewhere)
+                failed(OutcomeKind::SnapshotRequired)
             }
             _ if answer::is_fenced(answer) => {
                 self.fenced = true;
-                failed(Meaning::Fenced)
+                failed(OutcomeKind::Fenced)
             }
-            _ => failed(Meaning::Refused),
+            _ => failed(OutcomeKind::Refused),
         }
     }
 
     /// Takes a book, where it is not older than the one that is held.
-    fn took_snapshot(&mut self, snapshot: Snapshot, answer: &Answer, book: &mut SharedBook) -> bool {
-        let Snapshot { store, epoch, sum, book: given, .. } = &snapshot;
-        let stamp =
-            SnapshotVersion { store: store.clone(), epoch: *epoch, revision: given.revision, checksum: *sum };
-        if bootstrap::should_replace(self.stamp(book).as_ref(), &stamp).is_err()
-            || !book.given(&snapshot, answer)
+    fn took_snapshot(&mut self, snapshot: Snapshot, answer: &Answer, shared: &mut SharedSnapshot) -> bool {
+        let Snapshot { store, epoch, checksum, tenants, .. } = &snapshot;
+        let stamp = SnapshotVersion {
+            store: store.clone(),
+            epoch: *epoch,
+            revision: tenants.revision,
+            checksum: *checksum,
+        };
+        if bootstrap::should_replace(self.version(shared).as_ref(), &stamp).is_err()
+            || !shared.apply_snapshot(&snapshot, answer)
         {
             return false;
         }
@@ -332,7 +342,7 @@
     }
 
     /// Takes changes, all of a page or none: they follow on the revision that is held, without a gap.
-    fn took_page(&mut self, page: &Page, answer: &Answer, book: &mut SharedBook) -> bool {
+    fn took_page(&mut self, page: &Page, answer: &Answer, shared: &mut SharedSnapshot) -> bool {
         let Some(held) = &mut self.held else { return false };
         let mut revision = held.at.revision;
         for change in &page.entries {
@@ -341,7 +351,7 @@
             }
             revision = revision.max(change.revision);
         }
-        if !book.changed(revision, answer) {
+        if !shared.apply_page(revision, answer) {
             return false;
         }
         held.at.revision = revision;
@@ -353,8 +363,8 @@
         let given = |ms: u64| LeaseSpan::Granted(Duration::from_millis(ms.clamp(MIN_SPAN, MAX_SPAN)));
         self.span = lease.lease_ms.map_or(LeaseSpan::NoLeases, given);
         if let Some(span) = lease.lease_ms {
-            let until = exchange.asked + Duration::from_millis(lease::expires_at(0, span));
-            self.leases.given(exchange.now, until);
+            let until = exchange.started_at + Duration::from_millis(lease::expires_at(0, span));
+            self.leases.given(exchange.ended_at, until);
         }
     }
 }
--- a/crates/hollow/src/followers/mod.rs
+++ b/crates/hollow/src/followers/mod.rs
@@ -3,23 +3,23 @@
 //! failures), and neither answers calls nor keeps a book of its own: one book of the process stands for all.
 
 pub mod answer;
-pub mod book;
 pub mod follower;
 mod link;
+pub mod propagation;
 pub mod report;
 mod run;
-pub mod spread;
+pub mod shared_snapshot;
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use crate::bounds::{self, Need, Refused};
+use crate::bounds::{self, PeerResources, SettingsError};
 use crate::process::Machine;
 
 pub use run::Followers;
 
 /// What one follower needs at the most: two connections; their buffers, and its part of what is measured.
-const NEED: Need = Need { descriptors: 2, memory: 64 << 10 };
+const NEED: PeerResources = PeerResources { descriptors: 2, memory: 64 << 10 };
 /// The longest run.
 const MOST_TIME: Duration = Duration::from_secs(24 * 3600);
 /// The longest imitated way.
@@ -39,11 +39,11 @@
     /// What draws begin with: lives, waits, losses.
     pub seed: u64,
     /// How long it runs; `None`: until its standard input closes.
-    pub time: Option<Duration>,
+    pub duration: Option<Duration>,
     /// They begin to ask spread over so long.
     pub begin_within: Duration,
     /// They go on without a lease, where others refuse calls then.
-    pub goes_on: bool,
+    pub serves_without_lease: bool,
     /// The chance that a request or an answer is lost, and sent again by TCP.
     pub loss: f64,
     /// How long one way takes, beyond what loopback does.
@@ -52,10 +52,10 @@
 
 impl Settings {
     /// Refuses what can't be run here.
-    pub fn check(&self, machine: Machine) -> Result<(), Refused> {
-        bounds::loopback(self.administration)?;
-        bounds::fits(u64::from(self.count), NEED, machine)?;
-        let value = |what, why: &str| Err(Refused::Value { what, why: why.to_owned() });
+    pub fn check(&self, machine: Machine) -> Result<(), SettingsError> {
+        bounds::check_loopback(self.administration)?;
+        bounds::check_count(u64::from(self.count), NEED, machine)?;
+        let value = |what, why: &str| Err(SettingsError::OutOfRange { what, why: why.to_owned() });
         if self.first_number.checked_add(self.count - 1).is_none() {
             return value("--first-number", "the last follower's number is beyond 4294967295");
         }
@@ -65,7 +65,7 @@
         if self.delay > MOST_DELAY || self.begin_within > MOST_TIME {
             return value("--delay", "at most 10 s; --begin-within: at most a day");
         }
-        if self.time.is_some_and(|time| time.is_zero() || time > MOST_TIME) {
+        if self.duration.is_some_and(|duration| duration.is_zero() || duration > MOST_TIME) {
             return value("--seconds", "from 1 to 86400");
         }
         if self.token.is_empty() || !self.token.bytes().all(|byte| byte.is_ascii_graphic()) {
--- a/crates/hollow/src/followers/spread.rs
+++ b/crates/hollow/src/followers/propagation.rs
@@ -13,7 +13,7 @@
 
 /// Changes on their way.
 #[derive(Debug)]
-pub struct Spread {
+pub struct Propagation {
     followers: usize,
     /// By revision: how long each follower waited that has it, milliseconds.
     open: BTreeMap<Revision, Vec<u32>>,
@@ -27,7 +27,7 @@
     pub incomplete: u64,
 }
 
-impl Spread {
+impl Propagation {
     /// To so many followers.
     pub fn new(followers: usize) -> Self {
         let (to_each, to_last) = (histogram(), histogram());
@@ -35,7 +35,7 @@
     }
 
     /// A follower has a change, so long after it was made. `Some`: it was the last one.
-    pub fn took(&mut self, revision: Revision, after_ms: u64) -> Option<Change> {
+    pub fn record(&mut self, revision: Revision, after_ms: u64) -> Option<Change> {
         self.to_each.saturating_record(after_ms * 1_000);
         if self.given_up.is_some_and(|given_up| revision <= given_up) {
             return None;
--- a/crates/hollow/src/followers/report.rs
+++ b/crates/hollow/src/followers/report.rs
@@ -3,20 +3,22 @@
 use nettleferry_tenancy::Revision;
 use serde::{Deserialize, Serialize};
 
-use super::follower::{Meaning, Outcome};
+use super::follower::{Outcome, OutcomeKind};
 use crate::report::Percentiles;
 
 /// Counts since the start, or of a second.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
     /// Requests begun.
-    pub asks: u64,
+    #[serde(rename = "asks")]
+    pub requests: u64,
     /// Answers with a page of changes, or with none.
     pub pages: u64,
     /// Answers with a book.
     pub snapshots: u64,
     /// Answers that led to a snapshot.
-    pub elsewhere: u64,
+    #[serde(rename = "elsewhere")]
+    pub snapshot_required: u64,
     /// Answers that this life was shut out.
     pub fenced: u64,
     /// Answers of another status.
@@ -24,7 +26,8 @@
     /// Answers that can't be read.
     pub malformed: u64,
     /// Requests without an answer in time.
-    pub late: u64,
+    #[serde(rename = "late")]
+    pub timed_out: u64,
     /// Connections that were refused or broke.
     pub broken: u64,
     /// Answers that told all that holds and gave no lease: none are given, or there is no room on the roll.
@@ -41,36 +44,36 @@
 
 impl Counts {
     /// An exchange has ended, with so many bytes of an answer.
-    pub fn heard(&mut self, outcome: &Outcome, bytes_in: u64) {
+    pub fn record(&mut self, outcome: &Outcome, bytes_in: u64) {
         self.bytes_in += bytes_in;
         self.changes += outcome.changes.len() as u64;
         self.without_lease += u64::from(outcome.without_lease);
-        match outcome.meaning {
-            Meaning::Page => self.pages += 1,
-            Meaning::Snapshot => {
+        match outcome.kind {
+            OutcomeKind::Page => self.pages += 1,
+            OutcomeKind::Snapshot => {
                 self.snapshots += 1;
                 self.snapshot_bytes_in += bytes_in;
             }
-            Meaning::Elsewhere => self.elsewhere += 1,
-            Meaning::Fenced => self.fenced += 1,
-            Meaning::Refused => self.refused += 1,
-            Meaning::Malformed => self.malformed += 1,
-            Meaning::Late => self.late += 1,
-            Meaning::Broken => self.broken += 1,
+            OutcomeKind::SnapshotRequired => self.snapshot_required += 1,
+            OutcomeKind::Fenced => self.fenced += 1,
+            OutcomeKind::Refused => self.refused += 1,
+            OutcomeKind::Malformed => self.malformed += 1,
+            OutcomeKind::TimedOut => self.timed_out += 1,
+            OutcomeKind::Broken => self.broken += 1,
         }
     }
 
     /// What was counted since `before`.
     pub fn since(&self, before: &Self) -> Self {
         Self {
-            asks: self.asks - before.asks,
+            requests: self.requests - before.requests,
             pages: self.pages - before.pages,
             snapshots: self.snapshots - before.snapshots,
-            elsewhere: self.elsewhere - before.elsewhere,
+            snapshot_required: self.snapshot_required - before.snapshot_required,
             fenced: self.fenced - before.fenced,
             refused: self.refused - before.refused,
             malformed: self.malformed - before.malformed,
-            late: self.late - before.late,
+            timed_out: self.timed_out - before.timed_out,
             broken: self.broken - before.broken,
             without_lease: self.without_lease - before.without_lease,
             changes: self.changes - before.changes,
@@ -91,8 +94,9 @@
     /// Of them, with a lease now.
     pub leased: u64,
     /// The least and the newest revision that any of them acts on; 0: one holds no book.
-    pub least_revision: Revision,
-    /// See `least_revision`.
+    #[serde(rename = "least_revision")]
+    pub oldest_revision: Revision,
+    /// See `oldest_revision`.
     pub newest_revision: Revision,
     /// What was counted in this second.
     #[serde(flatten)]
@@ -100,7 +104,8 @@
     /// Processor time of this process in this second, microseconds.
     pub processor_us: u64,
     /// The longest that a timer was late in this second, microseconds: where that is long, this process is the bound.
-    pub timer_late_us: u64,
+    #[serde(rename = "timer_late_us")]
+    pub timer_delay_us: u64,
 }
 
 /// How a change came to the followers.
@@ -139,7 +144,8 @@
     /// The same, since each one's first lease.
     pub coverage_since_first: f64,
     /// Asks a second of a follower.
-    pub asks_per_follower_second: f64,
+    #[serde(rename = "asks_per_follower_second")]
+    pub requests_per_follower_second: f64,
     /// Bytes a second to a follower, without snapshots.
     pub bytes_in_per_follower_second: f64,
     /// Bytes a second from a follower.
@@ -155,5 +161,6 @@
     /// Its resident memory, KiB.
     pub resident_kib: u64,
     /// How late timers were, microseconds.
-    pub timer_late: Percentiles,
+    #[serde(rename = "timer_late")]
+    pub timer_delay: Percentiles,
 }
--- a/crates/hollow/src/followers/run.rs
+++ b/crates/hollow/src/followers/run.rs
@@ -13,14 +13,14 @@
 use rand_chacha::ChaCha8Rng;
 
 use super::Settings;
-use super::book::SharedBook;
-use super::follower::{Ask, Coverage, Exchange, Follower, Request};
+use super::follower::{Coverage, Exchange, Follower, Request, RequestKind};
 use super::link::Link;
+use super::propagation::Propagation;
 use super::report::{Counts, Second, Summary};
-use super::spread::Spread;
+use super::shared_snapshot::SharedSnapshot;
 use crate::control::Control;
 use crate::process;
-use crate::report::{Line, Lines, Percentiles, Started, histogram};
+use crate::report::{Line, LineWriter, Percentiles, Started, histogram};
 use crate::timers::Timers;
 
 /// Connections of a follower: one for watches, one for snapshots and the last word.
@@ -48,7 +48,7 @@
 /// A request that is out.
 #[derive(Clone, Copy, Debug)]
 struct Asked {
-    ask: Ask,
+    kind: RequestKind,
     since: Instant,
     /// An answer that comes later is too late.
     until: Instant,
@@ -61,10 +61,10 @@
     connections: [ClientConnection; CONNECTIONS],
 }
 
-fn connection_of(ask: Ask) -> usize {
-    match ask {
-        Ask::Watch => WATCHES,
-        Ask::Snapshot => SNAPSHOTS,
+fn connection_of(kind: RequestKind) -> usize {
+    match kind {
+        RequestKind::Watch => WATCHES,
+        RequestKind::Snapshot => SNAPSHOTS,
     }
 }
 
@@ -76,10 +76,10 @@
     waker: Arc<Waker>,
     peers: Vec<Peer>,
     timers: Timers,
-    book: SharedBook,
-    spread: Spread,
+    shared: SharedSnapshot,
+    propagation: Propagation,
     counts: Counts,
-    timer_late: Histogram<u64>,
+    timer_delay: Histogram<u64>,
     second: SecondSoFar,
     interval: Interval,
     begun: Instant,
@@ -99,7 +99,7 @@
     ends: Instant,
     counts: Counts,
     processor: Duration,
-    timer_late: Duration,
+    timer_delay: Duration,
 }
 
 impl Followers {
@@ -119,7 +119,7 @@
             ends: begun + A_SECOND,
             counts: Counts::default(),
             processor: process::processor_time(),
-            timer_late: Duration::ZERO,
+            timer_delay: Duration::ZERO,
         };
         let interval = Interval {
             began: begun,
@@ -135,10 +135,10 @@
             waker,
             peers,
             timers,
-            book: SharedBook::default(),
-            spread: Spread::new(count),
+            shared: SharedSnapshot::default(),
+            propagation: Propagation::new(count),
             counts: Counts::default(),
-            timer_late: histogram(),
+            timer_delay: histogram(),
             second,
             interval,
             begun,
@@ -148,9 +148,9 @@
     /// Runs until `input` closes or the time of the settings is over, and writes its lines to `out`. A line of `input`
     /// asks for a summary.
     pub fn run(mut self, input: impl Read + Send + 'static, out: impl Write) -> io::Result<Summary> {
-        let until = self.settings.time.map(|time| self.begun + time);
+        let until = self.settings.duration.map(|duration| self.begun + duration);
         let mut control = Control::listen(input, Arc::clone(&self.waker), until)?;
-        let mut lines = Lines::new(out);
+        let mut lines = LineWriter::new(out);
         lines.write(&Line::Started(Started {
             role: "followers".to_owned(),
             count: u64::from(self.settings.count),
@@ -163,7 +163,7 @@
             if control.is_over(now) {
                 break;
             }
-            if control.wants_summary() {
+            if control.take_summary_request() {
                 let summary = self.summary(now);
                 lines.write(&Line::FollowersSummary(Box::new(summary)))?;
             }
@@ -172,7 +172,7 @@
                 lines.write(&Line::FollowersSecond(second))?;
             }
             self.due(now, &mut lines)?;
-            let wakes = [Some(self.second.ends), self.timers.next(), control.until()];
+            let wakes = [Some(self.second.ends), self.timers.next(), control.deadline()];
             let wait = wakes.into_iter().flatten().min();
             let wait = wait.map(|at| at.saturating_duration_since(Instant::now()));
             poll(&mut self.poll, &mut events, wait)?;
@@ -180,7 +180,7 @@
                 self.progress(event.token().0, &mut lines)?;
             }
         }
-        self.spread.finish();
+        self.propagation.finish();
         let summary = self.summary(Instant::now());
         self.farewell()?;
         lines.write(&Line::FollowersSummary(Box::new(summary.clone())))?;
@@ -188,20 +188,20 @@
     }
 
     /// Timers that are due.
-    fn due<W: Write>(&mut self, now: Instant, lines: &mut Lines<W>) -> io::Result<()> {
+    fn due<W: Write>(&mut self, now: Instant, lines: &mut LineWriter<W>) -> io::Result<()> {
         while let Some((n, at)) = self.timers.due(now) {
             let late = now.saturating_duration_since(at);
-            self.timer_late.saturating_record(late.as_micros() as u64);
-            self.second.timer_late = self.second.timer_late.max(late);
+            self.timer_delay.saturating_record(late.as_micros() as u64);
+            self.second.timer_delay = self.second.timer_delay.max(late);
             match std::mem::replace(&mut self.peers[n].phase, Phase::Rests) {
                 Phase::Rests => self.ask(n, now, lines)?,
                 Phase::Sends(request, since) => self.send(n, request, since, lines)?,
                 Phase::Asks(asked) => {
                     self.peers[n].phase = Phase::Asks(asked);
-                    self.progress(n * CONNECTIONS + connection_of(asked.ask), lines)?;
+                    self.progress(n * CONNECTIONS + connection_of(asked.kind), lines)?;
                 }
                 Phase::Hears(exchange, answer) => {
-                    self.heard(n, Exchange { now, ..exchange }, &answer, lines)?;
+                    self.heard(n, Exchange { ended_at: now, ..exchange }, &answer, lines)?;
                 }
             }
         }
@@ -209,9 +209,9 @@
     }
 
     /// A follower begins an ask.
-    fn ask<W: Write>(&mut self, n: usize, now: Instant, lines: &mut Lines<W>) -> io::Result<()> {
+    fn ask<W: Write>(&mut self, n: usize, now: Instant, lines: &mut LineWriter<W>) -> io::Result<()> {
         let peer = &mut self.peers[n];
-        let (request, way) = (peer.follower.request(&self.book), peer.link.way());
+        let (request, way) = (peer.follower.request(&self.shared), peer.link.way());
         if way.is_zero() {
             return self.send(n, request, now, lines);
         }
@@ -226,30 +226,30 @@
         n: usize,
         to_send: Request,
         since: Instant,
-        lines: &mut Lines<W>,
+        lines: &mut LineWriter<W>,
     ) -> io::Result<()> {
-        let Request { ask, target, patience } = to_send;
+        let Request { kind, target, timeout } = to_send;
         let to = self.settings.administration;
         let bytes = encode_request(to, "GET", &target, &[("Authorization", &self.authorization)], b"");
-        self.counts.asks += 1;
+        self.counts.requests += 1;
         self.counts.bytes_out += bytes.len() as u64;
-        let (lane, until) = (connection_of(ask), since + patience);
+        let (lane, until) = (connection_of(kind), since + timeout);
         let token = Token(n * CONNECTIONS + lane);
         let peer = &mut self.peers[n];
         peer.connections[lane].send(self.poll.registry(), token, to, bytes, until);
-        peer.phase = Phase::Asks(Asked { ask, since, until });
+        peer.phase = Phase::Asks(Asked { kind, since, until });
         self.timers.set(n, until);
         self.progress(token.0, lines)
     }
 
     /// A connection may have more to give or to take.
-    fn progress<W: Write>(&mut self, token: usize, lines: &mut Lines<W>) -> io::Result<()> {
+    fn progress<W: Write>(&mut self, token: usize, lines: &mut LineWriter<W>) -> io::Result<()> {
         let (n, lane) = (token / CONNECTIONS, token % CONNECTIONS);
         let Some(peer) = self.peers.get_mut(n) else { return Ok(()) };
         let now = Instant::now();
         let Some(answer) = peer.connections[lane].poll(now) else { return Ok(()) };
-        let Phase::Asks(Asked { ask, since, until }) = peer.phase else { return Ok(()) };
-        let exchange = Exchange { ask, asked: since, now };
+        let Phase::Asks(Asked { kind, since, until }) = peer.phase else { return Ok(()) };
+        let exchange = Exchange { kind, started_at: since, ended_at: now };
         let way = peer.link.way();
         if way.is_zero() || answer.is_err() {
             return self.heard(n, exchange, &answer, lines);
@@ -271,18 +271,18 @@
         n: usize,
         exchange: Exchange,
         answer: &Result<Answer, Http1Error>,
-        lines: &mut Lines<W>,
+        lines: &mut LineWriter<W>,
     ) -> io::Result<()> {
         let peer = &mut self.peers[n];
-        let received = peer.connections[connection_of(exchange.ask)].received();
-        let outcome = peer.follower.heard(exchange, answer, &mut self.book);
-        self.counts.heard(&outcome, received as u64);
+        let received = peer.connections[connection_of(exchange.kind)].received();
+        let outcome = peer.follower.handle_answer(exchange, answer, &mut self.shared);
+        self.counts.record(&outcome, received as u64);
         peer.phase = Phase::Rests;
-        self.timers.set(n, outcome.ask_again);
+        self.timers.set(n, outcome.retry_at);
         let wall_ms = wall() / 1_000;
         for change in outcome.changes {
             let after = wall_ms.saturating_sub(change.at_ms);
-            if let Some(change) = self.spread.took(change.revision, after) {
+            if let Some(change) = self.propagation.record(change.revision, after) {
                 lines.write(&Line::FollowersChange(change))?;
             }
         }
@@ -296,19 +296,19 @@
             at_ms: (now - self.begun).as_millis() as u64,
             followers: self.peers.len() as u64,
             leased: self.leased(now),
-            least_revision: revisions().min().unwrap_or(0),
+            oldest_revision: revisions().min().unwrap_or(0),
             newest_revision: revisions().max().unwrap_or(0),
             counts: self.counts.since(&self.second.counts),
             processor_us: processor.saturating_sub(self.second.processor).as_micros() as u64,
-            timer_late_us: self.second.timer_late.as_micros() as u64,
+            timer_delay_us: self.second.timer_delay.as_micros() as u64,
         };
         let ends = (self.second.ends + A_SECOND).max(now);
-        self.second = SecondSoFar { ends, counts: self.counts, processor, timer_late: Duration::ZERO };
+        self.second = SecondSoFar { ends, counts: self.counts, processor, timer_delay: Duration::ZERO };
         second
     }
 
     fn leased(&self, now: Instant) -> u64 {
-        self.peers.iter().filter(|peer| peer.follower.leases().runs(now)).count() as u64
+        self.peers.iter().filter(|peer| peer.follower.leases().is_valid(now)).count() as u64
     }
 
     /// The interval since the last summary, and another begins.
@@ -323,38 +323,39 @@
         let before = std::mem::replace(&mut self.interval, interval);
         let counts = self.counts.since(&before.counts);
         let covered = self.interval.covered.since(&before.covered);
-        let part = |of: Duration| covered.with.as_secs_f64() / of.as_secs_f64().max(f64::MIN_POSITIVE);
-        let a_second = |count: u64| count as f64 / covered.whole.as_secs_f64().max(f64::MIN_POSITIVE);
+        let part = |of: Duration| covered.leased.as_secs_f64() / of.as_secs_f64().max(f64::MIN_POSITIVE);
+        let a_second = |count: u64| count as f64 / covered.total.as_secs_f64().max(f64::MIN_POSITIVE);
         let summary = Summary {
             followers: self.peers.len() as u64,
             ran_ms: (now - before.began).as_millis() as u64,
             counts,
-            never_leased: self.peers.iter().filter(|peer| !peer.follower.leases().any()).count() as u64,
+            never_leased: self.peers.iter().filter(|peer| !peer.follower.leases().ever_granted()).count()
+                as u64,
             leased: self.leased(now),
             lapses: self.interval.lapses - before.lapses,
-            coverage: part(covered.whole),
+            coverage: part(covered.total),
             coverage_since_first: part(covered.since_first),
-            asks_per_follower_second: a_second(counts.asks),
+            requests_per_follower_second: a_second(counts.requests),
             bytes_in_per_follower_second: a_second(counts.bytes_in - counts.snapshot_bytes_in),
             bytes_out_per_follower_second: a_second(counts.bytes_out),
-            change_to_each: Percentiles::from(&self.spread.to_each),
-            change_to_last: Percentiles::from(&self.spread.to_last),
-            changes_incomplete: self.spread.incomplete,
+            change_to_each: Percentiles::from(&self.propagation.to_each),
+            change_to_last: Percentiles::from(&self.propagation.to_last),
+            changes_incomplete: self.propagation.incomplete,
             processor_us: (self.interval.processor.saturating_sub(before.processor)).as_micros() as u64,
             resident_kib: process::resident_kib(),
-            timer_late: Percentiles::from(&self.timer_late),
+            timer_delay: Percentiles::from(&self.timer_delay),
         };
-        self.spread.reset();
-        self.timer_late.reset();
+        self.propagation.reset();
+        self.timer_delay.reset();
         summary
     }
 
     fn covered(&self, now: Instant) -> Coverage {
-        let covered = self.peers.iter().map(|peer| peer.follower.leases().covered(now));
+        let covered = self.peers.iter().map(|peer| peer.follower.leases().coverage(now));
         covered.fold(Coverage::default(), |sum, one| Coverage {
-            whole: sum.whole + one.whole,
+            total: sum.total + one.total,
             since_first: sum.since_first + one.since_first,
-            with: sum.with + one.with,
+            leased: sum.leased + one.leased,
         })
     }
 
@@ -363,10 +364,10 @@
         let (to, until) = (self.settings.administration, Instant::now() + DEREGISTRATION_TIMEOUT);
         for (n, peer) in self.peers.iter_mut().enumerate() {
             peer.connections[WATCHES].close();
-            if !peer.follower.leases().any() {
+            if !peer.follower.leases().ever_granted() {
                 continue;
             }
-            let (number, life) = peer.follower.who();
+            let (number, life) = peer.follower.identity();
             let headers = [("Authorization", self.authorization.as_str())];
             let bytes = encode_request(to, "GET", &deregistration_target(number, life), &headers, b"");
             let token = Token(n * CONNECTIONS + SNAPSHOTS);
@@ -398,7 +399,7 @@
     let first_ask = begun + settings.begin_within.mul_f64(random.random::<f64>());
     let stream = (u64::from(number) << 1) + 1;
     let peer = Peer {
-        follower: Follower::new(number, life, !settings.goes_on, jitter, first_ask),
+        follower: Follower::new(number, life, !settings.serves_without_lease, jitter, first_ask),
         link: Link::new(settings.delay, settings.loss, settings.seed, stream),
         phase: Phase::Rests,
         connections: Default::default(),
--- a/crates/hollow/src/followers/book.rs
+++ b/crates/hollow/src/followers/shared_snapshot.rs
@@ -14,16 +14,16 @@
 
 /// The newest book that any follower of the process was given.
 #[derive(Debug, Default)]
-pub struct SharedBook {
+pub struct SharedSnapshot {
     store: String,
     epoch: u64,
     book: TenantSnapshot,
     sums: BTreeMap<Revision, u32>,
 }
 
-impl SharedBook {
+impl SharedSnapshot {
     /// The stamp of a revision; `None`: it is not known here any more.
-    pub fn stamp(&self, store: &str, epoch: u64, revision: Revision) -> Option<SnapshotVersion> {
+    pub fn version(&self, store: &str, epoch: u64, revision: Revision) -> Option<SnapshotVersion> {
         let sum = *self.sums.get(&revision).filter(|_| self.is(store, epoch))?;
         Some(SnapshotVersion { store: store.to_owned(), epoch, revision, checksum: sum })
     }
@@ -33,24 +33,24 @@
     }
 
     /// A snapshot came. Only one that is newer is read whole. False: it can't be read.
-    pub fn given(&mut self, snapshot: &Snapshot, answer: &Answer) -> bool {
-        let revision = snapshot.book.revision;
+    pub fn apply_snapshot(&mut self, snapshot: &Snapshot, answer: &Answer) -> bool {
+        let revision = snapshot.tenants.revision;
         let same = self.is(&snapshot.store, snapshot.epoch);
         if !same || self.sums.is_empty() || revision > self.book.revision() {
-            let Some(book) = answer::book(answer) else { return false };
+            let Some(book) = answer::tenant_snapshot(answer) else { return false };
             if !same {
                 self.sums.clear();
             }
             (self.store, self.epoch) = (snapshot.store.clone(), snapshot.epoch);
             self.book = book;
         }
-        self.keep(revision, snapshot.sum);
+        self.keep(revision, snapshot.checksum);
         true
     }
 
     /// A page of changes came, up to this revision. Only one with a new change is read whole. False: it does not
     /// follow on the book.
-    pub fn changed(&mut self, last: Revision, answer: &Answer) -> bool {
+    pub fn apply_page(&mut self, last: Revision, answer: &Answer) -> bool {
         if last <= self.book.revision() {
             return true;
         }
--- a/crates/hollow/src/report.rs
+++ b/crates/hollow/src/report.rs
@@ -87,12 +87,12 @@
 }
 
 /// Where lines go; each is written out at once.
-pub struct Lines<W> {
+pub struct LineWriter<W> {
     out: W,
 }
 
-impl<W: Write> Lines<W> {
-    /// Lines to `out`.
+impl<W: Write> LineWriter<W> {
+    /// LineWriter to `out`.
     pub fn new(out: W) -> Self {
         Self { out }
     }
--- a/crates/scale/src/measure/administration/mod.rs
+++ b/crates/scale/src/measure/administration/mod.rs
@@ -148,7 +148,7 @@
 
 fn observe_quiet(quiet: &Interval, size: u64, got: &mut Observations) {
     let seconds = quiet.span.as_secs_f64();
-    let asks = quiet.sum(|summary| summary.counts.asks);
+    let asks = quiet.sum(|summary| summary.counts.requests);
     let follower_seconds = size as f64 * seconds;
     got.add(&QUIET_PROCESSOR, cores(quiet.administration, quiet.span));
     got.add(&ASKS, asks / seconds);
