--- a/crates/hollow/src/bounds.rs
+++ b/crates/hollow/src/bounds.rs
@@ -1,70 +1,73 @@
-//! What may run at all: peers on loopback addresses alone, and no more of them than descriptors and memory allow.
+//! Checks before a run: peers connect to loopback addresses only, and their number is limited by file descriptors and
+//! memory.
 
 use std::net::SocketAddr;
 
 use crate::process::Machine;
 
-/// Descriptors that no peer may take: standard streams, the poll, its waker, listeners, files that are read.
-const OWN_DESCRIPTORS: u64 = 64;
-/// The part of the available memory that peers may take, as a divisor.
-const MEMORY_PART: u64 = 2;
-/// Peers of one process at the most, whatever there is.
+/// Descriptors reserved for the process itself: standard streams, the poll, its waker, listeners and open files.
+const RESERVED_DESCRIPTORS: u64 = 64;
+/// Peers may use the available memory divided by this number.
+const MEMORY_DIVISOR: u64 = 2;
+/// Maximum number of peers in one process, regardless of its resources.
 pub const MAX_PEERS: u64 = 50_000;
 
-/// Why a run is refused before it starts.
+/// Settings that a run can't start with.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SettingsError {
-    /// Load goes to no other machine.
+    /// The target address is not a loopback address. Hollow peers must not put load on other machines.
     #[error("{0} is no loopback address: hollow peers speak to this machine alone")]
     NotLoopback(SocketAddr),
-    /// So many don't fit.
+    /// More peers were requested than the resources allow.
     #[error("{count} peers need {need} {what}, and {have} may be used: {fit} fit")]
     TooMany {
-        /// How many were asked for.
+        /// Requested number of peers.
         count: u64,
-        /// What they would need.
+        /// Amount of the scarce resource that this number of peers needs.
         need: u64,
-        /// Of what.
+        /// Name of the scarce resource, as shown in the message.
         what: &'static str,
-        /// What there is of it.
+        /// Amount of the scarce resource that peers may use.
         have: u64,
-        /// How many fit.
+        /// Largest number of peers that would be accepted.
         fit: u64,
     },
-    /// None were asked for.
+    /// The requested number of peers is 0.
     #[error("a run has at least one peer")]
     NoPeers,
-    /// A value that is out of its range.
+    /// An option's value is out of its range.
     #[error("{what}: {why}")]
     OutOfRange {
-        /// Which.
+        /// Name of the command-line option.
         what: &'static str,
-        /// Its range.
+        /// Permitted range or form of the value.
         why: String,
     },
 }
 
-/// What one peer needs at the most.
+/// Upper bound on the resources of one peer.
 #[derive(Clone, Copy, Debug)]
 pub struct PeerResources {
-    /// Descriptors.
+    /// File descriptors.
     pub descriptors: u64,
-    /// Bytes of memory.
+    /// Memory in bytes.
     pub memory: u64,
 }
 
-/// Refuses addresses of other machines.
+/// Returns [`SettingsError::NotLoopback`] for an address that is not a loopback address.
 pub fn check_loopback(address: SocketAddr) -> Result<(), SettingsError> {
     if address.ip().is_loopback() { Ok(()) } else { Err(SettingsError::NotLoopback(address)) }
 }
 
-/// Refuses more peers than fit, and says how many would.
+/// Checks that `count` peers, which use up to `each` per peer, fit the resources of `machine`.
+///
+/// Fails for 0 peers, and for too many with the scarce resource and the number of peers that would fit.
 pub fn check_count(count: u64, each: PeerResources, machine: Machine) -> Result<(), SettingsError> {
     if count == 0 {
         return Err(SettingsError::NoPeers);
     }
-    let descriptors = machine.descriptors.saturating_sub(OWN_DESCRIPTORS);
-    let memory = machine.memory / MEMORY_PART;
+    let descriptors = machine.descriptors.saturating_sub(RESERVED_DESCRIPTORS);
+    let memory = machine.memory / MEMORY_DIVISOR;
     let fit = (descriptors / each.descriptors).min(memory / each.memory).min(MAX_PEERS);
     if count <= fit {
         return Ok(());
--- a/crates/hollow/src/control.rs
+++ b/crates/hollow/src/control.rs
@@ -1,5 +1,5 @@
-//! What a run is told by who started it: a line on its standard input asks for a summary of the interval since the
-//! last one, and the end of the input ends the run. Its own time may be over first.
+//! Control of a run by the process that started it, over standard input. Each line requests a summary of the interval
+//! since the previous one. The run ends when the input is closed or when its configured duration is over.
 
 use std::io::{self, BufRead, BufReader, Read};
 use std::sync::Arc;
@@ -8,66 +8,67 @@
 
 use mio::Waker;
 
-/// Bytes of a line; what is longer counts as several.
-const LONGEST_LINE: u64 = 1 << 10;
+/// Maximum line length in bytes. A longer line counts as several.
+const MAX_LINE_BYTES: u64 = 1 << 10;
 
 #[derive(Debug, Default)]
-struct Told {
-    lines: AtomicU64,
-    end: AtomicBool,
+struct InputState {
+    summary_requests: AtomicU64,
+    closed: AtomicBool,
 }
 
-/// What was told so far.
+/// Control state of a run: pending summary requests and the end of the run.
 #[derive(Debug)]
 pub struct Control {
-    told: Arc<Told>,
-    answered: u64,
-    until: Option<Instant>,
+    input_state: Arc<InputState>,
+    summaries_taken: u64,
+    deadline: Option<Instant>,
 }
 
 impl Control {
-    /// Listens to `input`, and wakes a poll by `waker` whenever it tells something. The run ends at `until` at the
-    /// latest, if any.
+    /// Starts a thread that reads `input` and calls `waker` for each line and at the end of the input. The run ends at
+    /// `deadline` at the latest, if there is one. Fails if the thread can't be started.
     pub fn listen(
         input: impl Read + Send + 'static,
         waker: Arc<Waker>,
-        until: Option<Instant>,
+        deadline: Option<Instant>,
     ) -> io::Result<Self> {
-        let told = Arc::<Told>::default();
-        let control = Self { told: Arc::clone(&told), answered: 0, until };
-        let read_to_its_end = move || {
+        let input_state = Arc::<InputState>::default();
+        let control = Self { input_state: Arc::clone(&input_state), summaries_taken: 0, deadline };
+        let read_input = move || {
             let mut input = BufReader::new(input);
             while next_line(&mut input) {
-                told.lines.fetch_add(1, Ordering::AcqRel);
+                input_state.summary_requests.fetch_add(1, Ordering::AcqRel);
                 let _ = waker.wake();
             }
-            told.end.store(true, Ordering::Release);
+            input_state.closed.store(true, Ordering::Release);
             let _ = waker.wake();
         };
-        std::thread::Builder::new().name("input".to_owned()).spawn(read_to_its_end)?;
+        std::thread::Builder::new().name("input".to_owned()).spawn(read_input)?;
         Ok(control)
     }
 
-    /// Is the run over?
+    /// Returns whether the run is over: the input was closed or the deadline has passed.
     pub fn is_over(&self, now: Instant) -> bool {
-        self.told.end.load(Ordering::Acquire) || self.until.is_some_and(|until| now >= until)
+        self.input_state.closed.load(Ordering::Acquire)
+            || self.deadline.is_some_and(|deadline| now >= deadline)
     }
 
-    /// When it is over at the latest.
+    /// Time at which the run ends at the latest; `None` if it ends only when the input is closed.
     pub fn deadline(&self) -> Option<Instant> {
-        self.until
+        self.deadline
     }
 
-    /// Is a summary asked for that was not given yet?
+    /// Returns whether a summary request is pending, and removes it from the pending ones.
     pub fn take_summary_request(&mut self) -> bool {
-        let wants = self.answered < self.told.lines.load(Ordering::Acquire);
-        self.answered += u64::from(wants);
-        wants
+        let pending = self.summaries_taken < self.input_state.summary_requests.load(Ordering::Acquire);
+        self.summaries_taken += u64::from(pending);
+        pending
     }
 }
 
-/// Reads one line; false at the end of the input.
+/// Reads one line. Returns false at the end of the input or on a read error.
 fn next_line(input: &mut impl BufRead) -> bool {
     let mut line = Vec::new();
-    input.by_ref().take(LONGEST_LINE).read_until(b'\n', &mut line).is_ok_and(|read| read > 0)
+    input.by_ref().take(MAX_LINE_BYTES).read_until(b'\n', &mut line).is_ok_and(|read| read > 0)
 }
--- a/crates/hollow/src/controllers/mod.rs
+++ b/crates/hollow/src/controllers/mod.rs
@@ -1,5 +1,5 @@
-//! Hollow controllers: each keeps the connection that a controller opens to a worker, and makes its share of calls
-//! and probes on it. None decides anything: a call is made when its time has come, and its answer is counted.
+//! Hollow controllers: each keeps one connection to a worker, as a real controller does, and sends its share of the
+//! calls and probes on it. They make no decisions: a call is sent when its timer is due, and its response is counted.
 
 pub mod report;
 mod run;
@@ -12,59 +12,60 @@
 
 pub use run::Controllers;
 
-/// What one controller needs at the most: its connection, with the state that HTTP/2 keeps of it.
-const NEED: PeerResources = PeerResources { descriptors: 1, memory: 128 << 10 };
-const MOST_TIME: Duration = Duration::from_secs(24 * 3600);
-/// Calls and probes a second of a process at the most.
-const MOST_RATE: f64 = 100_000.0;
+/// Upper bound on the resources of one controller: its connection and the HTTP/2 state of it.
+const RESOURCES_PER_PEER: PeerResources = PeerResources { descriptors: 1, memory: 128 << 10 };
+const MAX_DURATION: Duration = Duration::from_secs(24 * 3600);
+/// Maximum rate of calls and probes of one process, per second.
+const MAX_RATE: f64 = 100_000.0;
 
-/// A run of hollow controllers.
+/// Settings of a run of hollow controllers.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// The worker.
+    /// Address of the worker.
     pub worker: SocketAddr,
-    /// How many there are.
+    /// Number of controllers.
     pub count: u32,
-    /// The number of the first; the others have those behind it.
+    /// Controller number of the first; the others are numbered consecutively.
     pub first_number: u32,
-    /// What draws begin with: when each makes its calls.
+    /// Seed of the random numbers, which decide when each controller sends its calls.
     pub seed: u64,
-    /// How long it runs; `None`: until its standard input closes.
+    /// Duration of the run; `None` to run until standard input is closed.
     pub duration: Option<Duration>,
-    /// They open their connections spread over so long.
+    /// Time over which the opening of the connections is spread.
     pub begin_within: Duration,
-    /// Calls a second, over all of them.
+    /// Total calls per second of all controllers.
     pub calls_per_second: f64,
-    /// Probes a second, over all of them.
+    /// Total probes per second of all controllers.
     pub probes_per_second: f64,
-    /// The model that is called.
+    /// Name of the model in each call.
     pub model: String,
-    /// A call has so long.
+    /// Deadline of each call, from its start.
     pub deadline: Duration,
 }
 
 impl Settings {
-    /// Refuses what can't be run here.
+    /// Checks that `machine` can run these settings: a loopback address, enough resources and values within their
+    /// ranges.
     pub fn check(&self, machine: Machine) -> Result<(), SettingsError> {
         bounds::check_loopback(self.worker)?;
-        bounds::check_count(u64::from(self.count), NEED, machine)?;
-        let value = |what, why: &str| Err(SettingsError::OutOfRange { what, why: why.to_owned() });
+        bounds::check_count(u64::from(self.count), RESOURCES_PER_PEER, machine)?;
+        let out_of_range = |what, why: &str| Err(SettingsError::OutOfRange { what, why: why.to_owned() });
         if self.first_number.checked_add(self.count - 1).is_none() {
-            return value("--first-number", "the last controller's number is beyond 4294967295");
+            return out_of_range("--first-number", "the last controller's number is beyond 4294967295");
         }
         let rate = self.calls_per_second + self.probes_per_second;
-        let sound = |rate: f64| (0.0..=MOST_RATE).contains(&rate);
-        if !sound(self.calls_per_second) || !sound(self.probes_per_second) || !sound(rate) {
-            return value("--calls-per-second", "with --probes-per-second from 0 to 100000");
+        let in_range = |rate: f64| (0.0..=MAX_RATE).contains(&rate);
+        if !in_range(self.calls_per_second) || !in_range(self.probes_per_second) || !in_range(rate) {
+            return out_of_range("--calls-per-second", "with --probes-per-second from 0 to 100000");
         }
-        if self.begin_within > MOST_TIME {
-            return value("--begin-within", "at most a day");
+        if self.begin_within > MAX_DURATION {
+            return out_of_range("--begin-within", "at most a day");
         }
-        if self.duration.is_some_and(|duration| duration.is_zero() || duration > MOST_TIME) {
-            return value("--seconds", "from 1 to 86400");
+        if self.duration.is_some_and(|duration| duration.is_zero() || duration > MAX_DURATION) {
+            return out_of_range("--seconds", "from 1 to 86400");
         }
-        if self.deadline.is_zero() || self.deadline > MOST_TIME {
-            return value("--deadline", "from 1 ms to a day");
+        if self.deadline.is_zero() || self.deadline > MAX_DURATION {
+            return out_of_range("--deadline", "from 1 ms to a day");
         }
         Ok(())
     }
--- a/crates/hollow/src/controllers/report.rs
+++ b/crates/hollow/src/controllers/report.rs
@@ -1,38 +1,38 @@
-//! What hollow controllers count and tell.
+//! Counters and report lines of hollow controllers.
 
 use serde::{Deserialize, Serialize};
 
 use crate::report::Percentiles;
 
-/// Counts since the start, or of an interval.
+/// Counters since the start of the run, or of one interval.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
-    /// Calls begun.
+    /// Calls sent.
     pub calls: u64,
-    /// Calls that were answered with success.
+    /// Calls that succeeded.
     pub served: u64,
-    /// Calls that were answered otherwise: turned away, failed, too late.
+    /// Calls that ended with another status: rejected, failed or past their deadline.
     pub not_served: u64,
-    /// Calls whose stream or connection broke, or that found none.
+    /// Calls without a status: the stream or connection failed, or no connection could be opened.
     pub broken: u64,
-    /// Calls and probes that were not begun, as too many of their controller were open.
+    /// Calls and probes that were not sent because their controller already had too many outstanding.
     pub not_begun: u64,
-    /// Probes begun.
+    /// Probes sent.
     pub probes: u64,
-    /// Probes that were answered with success.
+    /// Probes that succeeded.
     pub probes_served: u64,
-    /// Connections that were established.
+    /// Connections established.
     pub connected: u64,
-    /// Connections that were not: refused, or not in time.
+    /// Connection attempts that failed, for example refused or timed out.
     pub not_connected: u64,
-    /// Connections that the worker closed, or that broke.
+    /// Connections that the worker closed or that failed.
     pub closed: u64,
-    /// Connections that were closed here, as they stood unused.
+    /// Connections that this process closed because they were idle.
     pub idle: u64,
 }
 
 impl Counts {
-    /// What was counted since `before`.
+    /// Returns the increase of each counter since `before`, an earlier copy of the same counters.
     pub fn since(&self, before: &Self) -> Self {
         Self {
             calls: self.calls - before.calls,
@@ -50,46 +50,47 @@
     }
 }
 
-/// What happened in a second.
+/// Activity during one second.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Second {
-    /// Since the start, milliseconds.
+    /// End of this second, in milliseconds since the start of the run.
     pub at_ms: u64,
-    /// Controllers.
+    /// Number of controllers.
     pub controllers: u64,
-    /// Connections that stand.
+    /// Connections open at the end of this second.
     pub connections: u64,
-    /// What was counted in this second.
+    /// Counters of this second.
     #[serde(flatten)]
     pub counts: Counts,
-    /// Processor time of this process in this second, microseconds.
+    /// Processor time of this process during this second, in microseconds.
     pub processor_us: u64,
-    /// The longest that a timer was late in this second, microseconds: where that is long, this process is the bound.
+    /// Maximum delay of a timer during this second, in microseconds. A long delay means that this process, not the
+    /// worker, limits the load.
     #[serde(rename = "timer_late_us")]
     pub timer_delay_us: u64,
 }
 
-/// An interval: the whole run, or since the last summary.
+/// Totals of an interval: since the previous summary, or since the start of the run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Summary {
-    /// Controllers.
+    /// Number of controllers.
     pub controllers: u64,
-    /// Connections that stand at its end.
+    /// Connections open at the end of the interval.
     pub connections: u64,
-    /// How long it was, milliseconds.
+    /// Length of the interval in milliseconds.
     pub ran_ms: u64,
-    /// What was counted.
+    /// Counters of the interval.
     #[serde(flatten)]
     pub counts: Counts,
-    /// From the beginning of a call to its answer, microseconds: calls that were served.
+    /// Latency of successful calls, in microseconds.
     pub call_time: Percentiles,
-    /// From the beginning of a probe to its answer, microseconds: probes that were served.
+    /// Latency of successful probes, in microseconds.
     pub probe_time: Percentiles,
-    /// Processor time of this process, microseconds.
+    /// Processor time of this process during the interval, in microseconds.
     pub processor_us: u64,
-    /// Its resident memory, KiB.
+    /// Resident memory of this process at the end of the interval, in KiB.
     pub resident_kib: u64,
-    /// How late timers were, microseconds.
+    /// Delay of timers after their due time, in microseconds.
     #[serde(rename = "timer_late")]
     pub timer_delay: Percentiles,
 }
--- a/crates/hollow/src/controllers/run.rs
+++ b/crates/hollow/src/controllers/run.rs
@@ -1,4 +1,4 @@
-//! The run: all controllers on one hub, each with its connection, a timer and its own draws.
+//! The event loop of a run: all controllers share one hub; each has a connection, a timer and a random generator.
 
 use std::collections::HashMap;
 use std::io::{self, Read, Write};
@@ -22,27 +22,27 @@
 use crate::report::{Line, LineWriter, Percentiles, Started, histogram};
 use crate::timers::Timers;
 
-/// Calls and probes of one controller that may be open at once.
-const MOST_OPEN: usize = 64;
-const A_SECOND: Duration = Duration::from_secs(1);
+/// Maximum outstanding calls and probes of one controller.
+const MAX_OUTSTANDING: usize = 64;
+const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What is asked of the worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Asked {
+enum RequestKind {
     Call,
     Probe,
 }
 
-/// A call or a probe that is open.
-struct Open {
-    asked: Asked,
-    begun: Instant,
+/// A call or probe without a response yet.
+struct OutstandingRequest {
+    kind: RequestKind,
+    sent_at: Instant,
 }
 
 struct Controller {
     number: u32,
     connection: Option<ConnKey>,
-    begun: bool,
+    /// Whether its first timer was due, which opens the connection.
+    started: bool,
     random: ChaCha8Rng,
 }
 
@@ -52,26 +52,26 @@
     hub: Hub,
     controllers: Vec<Controller>,
     timers: Timers,
-    open: HashMap<StreamKey, Open>,
+    outstanding: HashMap<StreamKey, OutstandingRequest>,
     call_body: Bytes,
     counts: Counts,
     call_time: Histogram<u64>,
     probe_time: Histogram<u64>,
     timer_delay: Histogram<u64>,
-    second: Since,
-    interval: Since,
-    latest: Duration,
-    begun: Instant,
+    second: Baseline,
+    interval: Baseline,
+    max_timer_delay: Duration,
+    started_at: Instant,
 }
 
-/// What stood when a second or an interval began.
-struct Since {
+/// Counters and usage at the start of a second or of a summary interval.
+struct Baseline {
     at: Instant,
     counts: Counts,
     processor: Duration,
 }
 
-impl Since {
+impl Baseline {
     fn now(at: Instant, counts: Counts) -> Self {
         Self { at, counts, processor: process::processor_time() }
     }
@@ -82,16 +82,17 @@
 }
 
 impl Controllers {
-    /// Makes them; they open their connections within the span that the settings say. The settings were checked.
+    /// Creates the controllers, each with a random start time within `begin_within`. The caller has checked the
+    /// settings. Fails if the hub can't be created.
     pub fn new(settings: Settings) -> io::Result<Self> {
-        let (begun, count) = (Instant::now(), settings.count as usize);
+        let (started_at, count) = (Instant::now(), settings.count as usize);
         let mut timers = Timers::new(count);
         let controllers = (0..settings.count).map(|n| {
             let number = settings.first_number + n;
             let mut random = ChaCha8Rng::seed_from_u64(settings.seed);
             random.set_stream(u64::from(number));
-            timers.set(n as usize, begun + settings.begin_within.mul_f64(random.random::<f64>()));
-            Controller { number, connection: None, begun: false, random }
+            timers.set(n as usize, started_at + settings.begin_within.mul_f64(random.random::<f64>()));
+            Controller { number, connection: None, started: false, random }
         });
         let controllers = controllers.collect();
         let request = ModelInferRequest { model_name: settings.model.clone(), ..Default::default() };
@@ -99,25 +100,25 @@
             hub: Hub::new(NetLimits { connections: 0, ..NetLimits::default() })?,
             controllers,
             timers,
-            open: HashMap::new(),
+            outstanding: HashMap::new(),
             call_body: request.encode_to_vec().into(),
             counts: Counts::default(),
             call_time: histogram(),
             probe_time: histogram(),
             timer_delay: histogram(),
-            second: Since::now(begun, Counts::default()),
-            interval: Since::now(begun, Counts::default()),
-            latest: Duration::ZERO,
-            begun,
+            second: Baseline::now(started_at, Counts::default()),
+            interval: Baseline::now(started_at, Counts::default()),
+            max_timer_delay: Duration::ZERO,
+            started_at,
             settings,
         })
     }
 
-    /// Runs until `input` closes or the time of the settings is over, and writes its lines to `out`. A line of `input`
-    /// asks for a summary.
+    /// Runs until `input` is closed or the configured duration is over, and writes report lines to `out`. Each line of
+    /// `input` requests a summary. Returns the last summary; fails if the poll or `out` fails.
     pub fn run(mut self, input: impl Read + Send + 'static, out: impl Write) -> io::Result<Summary> {
-        let until = self.settings.duration.map(|duration| self.begun + duration);
-        let mut control = Control::listen(input, self.hub.waker(), until)?;
+        let deadline = self.settings.duration.map(|duration| self.started_at + duration);
+        let mut control = Control::listen(input, self.hub.waker(), deadline)?;
         let mut lines = LineWriter::new(out);
         lines.write(&Line::Started(Started {
             role: "controllers".to_owned(),
@@ -132,55 +133,59 @@
                 break;
             }
             if control.take_summary_request() {
-                lines.write(&Line::ControllersSummary(Box::new(self.summary(now))))?;
+                lines.write(&Line::ControllersSummary(Box::new(self.end_interval(now))))?;
             }
-            if now >= self.second.at + A_SECOND {
+            if now >= self.second.at + REPORT_INTERVAL {
                 lines.write(&Line::ControllersSecond(self.end_second(now)))?;
             }
-            self.due(now);
-            let wakes = [Some(self.second.at + A_SECOND), self.timers.next(), control.deadline()];
-            let wait = wakes.into_iter().flatten().min();
+            self.run_due_timers(now);
+            let wakeups =
+                [Some(self.second.at + REPORT_INTERVAL), self.timers.next_due(), control.deadline()];
+            let wait = wakeups.into_iter().flatten().min();
             let wait = wait.map(|at| at.saturating_duration_since(Instant::now()));
             self.hub.poll(wait, &mut events)?;
-            events.drain(..).for_each(|event| self.event(event));
+            events.drain(..).for_each(|event| self.handle_event(event));
         }
-        let summary = self.summary(Instant::now());
+        let summary = self.end_interval(Instant::now());
         lines.write(&Line::ControllersSummary(Box::new(summary.clone())))?;
         Ok(summary)
     }
 
-    /// Timers that are due: a controller's first opens its connection, the others make a call or a probe.
-    fn due(&mut self, now: Instant) {
-        while let Some((n, at)) = self.timers.due(now) {
-            let late = now.saturating_duration_since(at);
-            self.timer_delay.saturating_record(late.as_micros() as u64);
-            self.latest = self.latest.max(late);
-            if self.controllers[n].begun {
-                self.ask(n, now);
+    /// Runs the timers that are due. The first timer of a controller opens its connection; each later one sends a call
+    /// or a probe.
+    fn run_due_timers(&mut self, now: Instant) {
+        while let Some((n, at)) = self.timers.pop_due(now) {
+            let delay = now.saturating_duration_since(at);
+            self.timer_delay.saturating_record(delay.as_micros() as u64);
+            self.max_timer_delay = self.max_timer_delay.max(delay);
+            if self.controllers[n].started {
+                self.send_request(n, now);
             } else {
-                self.controllers[n].begun = true;
-                self.connection(n);
+                self.controllers[n].started = true;
+                self.ensure_connection(n);
             }
-            if let Some(gap) = self.gap(n) {
-                // From when it was due: what is late makes the rate no lower.
-                self.timers.set(n, at + gap);
+            if let Some(interval) = self.random_interval(n) {
+                // Counted from the due time, so that a late timer does not lower the rate.
+                self.timers.set(n, at + interval);
             }
         }
     }
 
-    /// Until a controller asks next: calls and probes come by chance, each independent of the others.
-    fn gap(&mut self, n: usize) -> Option<Duration> {
+    /// Draws the time until the next request of a controller: exponentially distributed, so that the requests of each
+    /// controller are a Poisson process. `None` if the rate is 0.
+    fn random_interval(&mut self, n: usize) -> Option<Duration> {
         let rate = self.settings.calls_per_second + self.settings.probes_per_second;
         if rate <= 0.0 {
             return None;
         }
         let mean = f64::from(self.settings.count) / rate;
-        let drawn: f64 = self.controllers[n].random.random();
-        Some(Duration::from_secs_f64(-mean * (1.0 - drawn).ln()))
+        let uniform: f64 = self.controllers[n].random.random();
+        Some(Duration::from_secs_f64(-mean * (1.0 - uniform).ln()))
     }
 
-    /// Its connection, which is made where none stands.
-    fn connection(&mut self, n: usize) -> Option<ConnKey> {
+    /// Returns the connection of a controller. Opens one if there is none or the worker is shutting it down; `None` if
+    /// that fails.
+    fn ensure_connection(&mut self, n: usize) -> Option<ConnKey> {
         let controller = &mut self.controllers[n];
         if let Some(connection) = controller.connection.filter(|key| !self.hub.is_going_away(*key)) {
             return Some(connection);
@@ -192,84 +197,85 @@
         controller.connection
     }
 
-    /// A controller makes a call or a probe.
-    fn ask(&mut self, n: usize, now: Instant) {
+    /// Sends a call or a probe of a controller, chosen at random in proportion to the two rates.
+    fn send_request(&mut self, n: usize, now: Instant) {
         let Settings { calls_per_second, probes_per_second, deadline, .. } = self.settings;
         let random = &mut self.controllers[n].random;
         let is_probe = random.random::<f64>() * (calls_per_second + probes_per_second) >= calls_per_second;
-        let asked = if is_probe { Asked::Probe } else { Asked::Call };
-        let Some(connection) = self.connection(n) else {
-            self.counts.broken += u64::from(asked == Asked::Call);
+        let kind = if is_probe { RequestKind::Probe } else { RequestKind::Call };
+        let Some(connection) = self.ensure_connection(n) else {
+            self.counts.broken += u64::from(kind == RequestKind::Call);
             return;
         };
-        if self.hub.streams_on(connection) >= MOST_OPEN {
+        if self.hub.streams_on(connection) >= MAX_OUTSTANDING {
             self.counts.not_begun += 1;
             return;
         }
-        let (method, body) = match asked {
-            Asked::Call => ("ModelInfer", self.call_body.clone()),
-            Asked::Probe => ("ServerReady", ServerReadyRequest {}.encode_to_vec().into()),
+        let (method, body) = match kind {
+            RequestKind::Call => ("ModelInfer", self.call_body.clone()),
+            RequestKind::Probe => ("ServerReady", ServerReadyRequest {}.encode_to_vec().into()),
         };
-        let Some(request) = request(method, self.controllers[n].number, asked, deadline) else { return };
+        let Some(request) = request(method, self.controllers[n].number, kind, deadline) else { return };
         let Some(stream) = self.hub.open(connection, request) else { return };
         self.hub.send(stream, body);
         self.hub.finish(stream, None);
-        self.open.insert(stream, Open { asked, begun: now });
-        match asked {
-            Asked::Call => self.counts.calls += 1,
-            Asked::Probe => self.counts.probes += 1,
+        self.outstanding.insert(stream, OutstandingRequest { kind, sent_at: now });
+        match kind {
+            RequestKind::Call => self.counts.calls += 1,
+            RequestKind::Probe => self.counts.probes += 1,
         }
     }
 
-    fn event(&mut self, event: NetEvent) {
+    fn handle_event(&mut self, event: NetEvent) {
         match event {
             NetEvent::Connected { .. } => self.counts.connected += 1,
             NetEvent::Closed { why: CloseReason::NotConnected, .. } => self.counts.not_connected += 1,
             NetEvent::Closed { why: CloseReason::Idle, .. } => self.counts.idle += 1,
             NetEvent::Closed { .. } => self.counts.closed += 1,
-            NetEvent::Trailers { stream, trailers } => self.answered(stream, &trailers),
+            NetEvent::Trailers { stream, trailers } => self.record_response(stream, &trailers),
             NetEvent::Failed { stream, .. } => {
-                let call = self.open.remove(&stream).is_some_and(|open| open.asked == Asked::Call);
-                self.counts.broken += u64::from(call);
+                let is_call =
+                    self.outstanding.remove(&stream).is_some_and(|request| request.kind == RequestKind::Call);
+                self.counts.broken += u64::from(is_call);
             }
             _ => {}
         }
     }
 
-    fn answered(&mut self, stream: StreamKey, trailers: &HeaderMap) {
-        let Some(Open { asked, begun }) = self.open.remove(&stream) else { return };
-        let took = begun.elapsed().as_micros() as u64;
+    fn record_response(&mut self, stream: StreamKey, trailers: &HeaderMap) {
+        let Some(OutstandingRequest { kind, sent_at }) = self.outstanding.remove(&stream) else { return };
+        let latency = sent_at.elapsed().as_micros() as u64;
         let served = Status::read(trailers).is_some_and(|status| status.code == Code::Ok);
-        match (asked, served) {
-            (Asked::Call, true) => {
+        match (kind, served) {
+            (RequestKind::Call, true) => {
                 self.counts.served += 1;
-                self.call_time.saturating_record(took);
+                self.call_time.saturating_record(latency);
             }
-            (Asked::Call, false) => self.counts.not_served += 1,
-            (Asked::Probe, true) => {
+            (RequestKind::Call, false) => self.counts.not_served += 1,
+            (RequestKind::Probe, true) => {
                 self.counts.probes_served += 1;
-                self.probe_time.saturating_record(took);
+                self.probe_time.saturating_record(latency);
             }
-            (Asked::Probe, false) => {}
+            (RequestKind::Probe, false) => {}
         }
     }
 
     fn end_second(&mut self, now: Instant) -> Second {
         let second = Second {
-            at_ms: (now - self.begun).as_millis() as u64,
+            at_ms: (now - self.started_at).as_millis() as u64,
             controllers: self.controllers.len() as u64,
             connections: self.hub.open_connections() as u64,
             counts: self.counts.since(&self.second.counts),
             processor_us: self.second.processor_us(),
-            timer_delay_us: self.latest.as_micros() as u64,
+            timer_delay_us: self.max_timer_delay.as_micros() as u64,
         };
-        self.second = Since::now(now, self.counts);
-        self.latest = Duration::ZERO;
+        self.second = Baseline::now(now, self.counts);
+        self.max_timer_delay = Duration::ZERO;
         second
     }
 
-    /// The interval since the last summary, and another begins.
-    fn summary(&mut self, now: Instant) -> Summary {
+    /// Returns the summary of the current interval and starts the next one.
+    fn end_interval(&mut self, now: Instant) -> Summary {
         let summary = Summary {
             controllers: self.controllers.len() as u64,
             connections: self.hub.open_connections() as u64,
@@ -281,7 +287,7 @@
             resident_kib: process::resident_kib(),
             timer_delay: Percentiles::from(&self.timer_delay),
         };
-        self.interval = Since::now(now, self.counts);
+        self.interval = Baseline::now(now, self.counts);
         self.call_time.reset();
         self.probe_time.reset();
         self.timer_delay.reset();
@@ -289,14 +295,14 @@
     }
 }
 
-/// A request as a controller's link makes it.
-fn request(method: &str, controller: u32, asked: Asked, deadline: Duration) -> Option<Request<()>> {
+/// Builds a request with the headers that a real controller sends.
+fn request(method: &str, controller: u32, kind: RequestKind, deadline: Duration) -> Option<Request<()>> {
     let mut request = Request::post(format!("http://worker{SERVICE}{method}"))
         .header("content-type", "application/grpc")
         .header("te", "trailers")
         .header("user-agent", concat!("nettleferry/", env!("CARGO_PKG_VERSION")))
         .header(metadata::CONTROLLER, controller);
-    if asked == Asked::Call {
+    if kind == RequestKind::Call {
         request = request.header(metadata::ATTEMPT, 1).header("grpc-timeout", write_timeout(deadline));
     }
     request.body(()).ok()
--- a/crates/hollow/src/followers/run.rs
+++ b/crates/hollow/src/followers/run.rs
@@ -172,7 +172,7 @@
                 lines.write(&Line::FollowersSecond(second))?;
             }
             self.due(now, &mut lines)?;
-            let wakes = [Some(self.second.ends), self.timers.next(), control.deadline()];
+            let wakes = [Some(self.second.ends), self.timers.next_due(), control.deadline()];
             let wait = wakes.into_iter().flatten().min();
             let wait = wait.map(|at| at.saturating_duration_since(Instant::now()));
             poll(&mut self.poll, &mut events, wait)?;
@@ -189,7 +189,7 @@
 
     /// Timers that are due.
     fn due<W: Write>(&mut self, now: Instant, lines: &mut LineWriter<W>) -> io::Result<()> {
-        while let Some((n, at)) = self.timers.due(now) {
+        while let Some((n, at)) = self.timers.pop_due(now) {
             let late = now.saturating_duration_since(at);
             self.timer_delay.saturating_record(late.as_micros() as u64);
             self.second.timer_delay = self.second.timer_delay.max(late);
--- a/crates/hollow/src/lib.rs
+++ b/crates/hollow/src/lib.rs
@@ -1,12 +1,16 @@
-//! Hollow peers: the other side in a scale run. Thousands of them share one process; they keep the protocol and the
-//! timing of the real ones and do no work, so that what is measured at a real process beside them is its own.
+//! Hollow peers: lightweight simulated peers for scale runs. Thousands of them share one process. They follow the
+//! protocol and the timing of real peers without doing their work, so that a scale run can load a real process on the
+//! same machine and measure the cost of that process alone.
 //!
-//! * [`followers`]: controllers that follow an administration. [`controllers`]: the connections of controllers to a
-//!   worker, with calls and probes on them.
-//! * [`bounds`]: what may run at all: loopback addresses, and as many peers as descriptors and memory allow.
-//! * [`report`]: the JSON lines of a run. [`process`]: what the process itself spends. [`control`]: what a run is told.
+//! * [`followers`]: simulated controllers that follow an administration.
+//! * [`controllers`]: simulated controllers that send calls and probes to a worker.
+//! * [`bounds`]: checks before a run: loopback addresses only, and a peer count within descriptor and memory limits.
+//! * [`report`]: the JSON lines that a run writes.
+//! * [`process`]: resource limits and resource usage of this process.
+//! * [`control`]: summary requests and the end of a run, read from standard input.
 //!
-//! May know: the protocols of this program, sockets, JSON. Must not know: how the real ones decide.
+//! This crate may depend on the protocols of this program, sockets and JSON. It must not depend on the decision logic
+//! of real peers.
 
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
--- a/crates/hollow/src/report.rs
+++ b/crates/hollow/src/report.rs
@@ -1,4 +1,4 @@
-//! The JSON lines of a run: one when it has started, one a second, and summaries.
+//! The JSON lines of a run: one at the start, one per second, and summaries.
 
 use std::io::{self, Write};
 
@@ -8,53 +8,53 @@
 use crate::controllers::report as controllers;
 use crate::followers::report as followers;
 
-/// A line of a run's standard output.
+/// One line of a run's standard output, tagged by `kind`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 pub enum Line {
-    /// The peers are there, and begin.
+    /// The run has started; written first.
     Started(Started),
-    /// What hollow followers did in a second.
+    /// Activity of hollow followers during one second.
     FollowersSecond(followers::Second),
-    /// All hollow followers have a change.
+    /// A change that has reached all hollow followers.
     FollowersChange(followers::Change),
-    /// What hollow followers saw since the start or the last summary.
+    /// Totals of hollow followers since the start or the previous summary.
     FollowersSummary(Box<followers::Summary>),
-    /// What hollow controllers did in a second.
+    /// Activity of hollow controllers during one second.
     ControllersSecond(controllers::Second),
-    /// What hollow controllers saw since the start or the last summary.
+    /// Totals of hollow controllers since the start or the previous summary.
     ControllersSummary(Box<controllers::Summary>),
 }
 
-/// A run begins.
+/// Parameters of a run, reported at its start.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Started {
-    /// The role of its peers.
+    /// Role of the simulated peers: `followers` or `controllers`.
     pub role: String,
-    /// How many.
+    /// Number of peers.
     pub count: u64,
-    /// What its draws begin with.
+    /// Seed of the random numbers.
     pub seed: u64,
-    /// Its process.
+    /// Process id.
     pub process: u32,
 }
 
-/// Times of something, microseconds.
+/// Distribution of a duration, in microseconds. All fields are 0 if there are no samples.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Percentiles {
-    /// How many there were.
+    /// Number of samples.
     pub count: u64,
-    /// Their mean.
+    /// Mean.
     pub mean: f64,
-    /// 50 of 100 took at most so long.
+    /// Median.
     pub p50: u64,
-    /// 90 of 100.
+    /// 90th percentile.
     pub p90: u64,
-    /// 99 of 100.
+    /// 99th percentile.
     pub p99: u64,
-    /// 999 of 1,000.
+    /// 99.9th percentile.
     pub p999: u64,
-    /// All.
+    /// Maximum.
     pub max: u64,
 }
 
@@ -75,29 +75,29 @@
     }
 }
 
-/// The longest time that a histogram tells apart, microseconds: ten minutes.
-const LONGEST: u64 = 600_000_000;
-/// Decimal digits of its values.
-const DIGITS: u8 = 3;
+/// Highest value that a histogram tracks, in microseconds: ten minutes.
+const MAX_TRACKED_US: u64 = 600_000_000;
+/// Precision of histogram values, in decimal digits.
+const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// A histogram of microseconds; longer times count as the longest.
+/// Creates an empty histogram of microseconds. Longer durations, recorded with saturation, count as ten minutes.
 pub fn histogram() -> Histogram<u64> {
-    let made = Histogram::new_with_bounds(1, LONGEST, DIGITS);
-    made.expect("the bounds are sound, being constants")
+    let created = Histogram::new_with_bounds(1, MAX_TRACKED_US, SIGNIFICANT_DIGITS);
+    created.expect("constant histogram bounds are valid")
 }
 
-/// Where lines go; each is written out at once.
+/// Writes report lines as JSON, one per line, and flushes after each.
 pub struct LineWriter<W> {
     out: W,
 }
 
 impl<W: Write> LineWriter<W> {
-    /// LineWriter to `out`.
+    /// Creates a writer to `out`.
     pub fn new(out: W) -> Self {
         Self { out }
     }
 
-    /// Writes one.
+    /// Writes one line and flushes it. Fails if `out` can't be written.
     pub fn write(&mut self, line: &Line) -> io::Result<()> {
         let mut text = serde_json::to_vec(line)?;
         text.push(b'\n');
