--- a/crates/hollow/src/followers/answer.rs
+++ b/crates/hollow/src/followers/answer.rs
@@ -1,85 +1,86 @@
-//! Answers of an administration, read as far as a hollow follower needs them: a page by its revisions, a book by its
-//! stamp, and the lease beside them.
+//! Responses of the administration, parsed as far as a hollow follower needs them: the revisions of a page, the version
+//! of a snapshot, and the lease that accompanies either.
 
 use nettleferry_net::http1_client::Answer;
 use nettleferry_tenancy::{Entry, Revision, TenantSnapshot};
 use serde::Deserialize;
 
-/// A lease, as an answer tells it.
+/// The lease fields of a response.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 pub struct Lease {
-    /// Its span, milliseconds; `None`: the answer gives none.
+    /// Span of the granted lease in milliseconds; `None` if the response grants none.
     #[serde(default)]
     pub lease_ms: Option<u64>,
 }
 
-/// A change of a page: which, and when it was made by the administration's wall clock.
+/// Revision and time of a change; the other fields of the entry are skipped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 pub struct Change {
-    /// Its revision.
+    /// Revision that the change creates.
     pub revision: Revision,
-    /// When it was made, milliseconds since 1970.
+    /// Time of the change by the administration's wall clock, in milliseconds since the Unix epoch.
     pub at_ms: u64,
 }
 
 /// A page of changes.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 pub struct Page {
-    /// The changes, in order.
+    /// Changes in order of their revisions.
     pub entries: Vec<Change>,
-    /// The lease beside them.
+    /// Lease that accompanies the page.
     #[serde(flatten)]
     pub lease: Lease,
 }
 
-/// Which book it is, without its tenants.
+/// The revision of a tenant snapshot; its tenants are skipped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 pub struct SnapshotRevision {
-    /// The last change.
+    /// Revision of the last change that the snapshot includes.
     pub revision: Revision,
 }
 
-/// A snapshot, by its stamp.
+/// The version of a snapshot; its tenants are skipped.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 pub struct Snapshot {
-    /// The store.
+    /// Id of the administration's store.
     pub store: String,
-    /// Its epoch.
+    /// Epoch of the store.
     pub epoch: u64,
-    /// The book's checksum.
+    /// Checksum of the tenant snapshot.
     #[serde(rename = "sum")]
     pub checksum: u32,
-    /// The book.
+    /// Revision of the tenant snapshot.
     #[serde(rename = "book")]
     pub tenants: SnapshotRevision,
-    /// The lease beside it.
+    /// Lease that accompanies the snapshot.
     #[serde(flatten)]
     pub lease: Lease,
 }
 
-/// The changes of a page, whole.
+/// A page with its complete entries.
 #[derive(Deserialize)]
 struct Entries {
     entries: Vec<Entry>,
 }
 
-/// The book of a snapshot, whole.
+/// A snapshot with its complete tenants.
 #[derive(Deserialize)]
-struct WholeBook {
-    book: TenantSnapshot,
+struct CompleteSnapshot {
+    #[serde(rename = "book")]
+    tenants: TenantSnapshot,
 }
 
-/// The changes of a page, to be applied to a book.
+/// Parses the complete entries of a page; `None` if the body is malformed.
 pub fn entries(answer: &Answer) -> Option<Vec<Entry>> {
     serde_json::from_slice::<Entries>(&answer.body).ok().map(|page| page.entries)
 }
 
-/// The book of a snapshot.
+/// Parses the complete tenants of a snapshot; `None` if the body is malformed.
 pub fn tenant_snapshot(answer: &Answer) -> Option<TenantSnapshot> {
-    serde_json::from_slice::<WholeBook>(&answer.body).ok().map(|whole| whole.book)
+    serde_json::from_slice::<CompleteSnapshot>(&answer.body).ok().map(|snapshot| snapshot.tenants)
 }
 
-/// Was this life shut out?
+/// Returns whether the administration rejected the request because this incarnation is fenced.
 pub fn is_fenced(answer: &Answer) -> bool {
     #[derive(Deserialize)]
     struct Problem {
--- a/crates/hollow/src/followers/mod.rs
+++ b/crates/hollow/src/followers/mod.rs
@@ -1,6 +1,7 @@
-//! Hollow followers: each keeps the administration's protocol over HTTP/1.1 and JSON as a controller that follows
-//! does (its life, its number and what it holds with each ask, four asks in the span of a lease, waits after
-//! failures), and neither answers calls nor keeps a book of its own: one book of the process stands for all.
+//! Hollow followers: each follows the administration's protocol over HTTP/1.1 and JSON as a real controller does. Each
+//! request carries the controller's number, its incarnation and the version of its snapshot. A follower sends four
+//! requests per lease span and backs off after failures. It serves no calls and has no snapshot of its own: all
+//! followers of the process share one.
 
 pub mod answer;
 pub mod follower;
@@ -18,58 +19,59 @@
 
 pub use run::Followers;
 
-/// What one follower needs at the most: two connections; their buffers, and its part of what is measured.
-const NEED: PeerResources = PeerResources { descriptors: 2, memory: 64 << 10 };
-/// The longest run.
-const MOST_TIME: Duration = Duration::from_secs(24 * 3600);
-/// The longest imitated way.
-const MOST_DELAY: Duration = Duration::from_secs(10);
+/// Upper bound on the resources of one follower: two connections with their buffers, and its share of the measurements.
+const RESOURCES_PER_PEER: PeerResources = PeerResources { descriptors: 2, memory: 64 << 10 };
+/// Maximum duration of a run.
+const MAX_DURATION: Duration = Duration::from_secs(24 * 3600);
+/// Maximum simulated delay in one direction.
+const MAX_DELAY: Duration = Duration::from_secs(10);
 
-/// A run of hollow followers.
+/// Settings of a run of hollow followers.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// The administration.
+    /// Address of the administration's API.
     pub administration: SocketAddr,
-    /// The token of a key that may follow.
+    /// API token of a key that permits a controller to follow.
     pub token: String,
-    /// How many there are.
+    /// Number of followers.
     pub count: u32,
-    /// The number of the first; the others have those behind it.
+    /// Controller number of the first; the others are numbered consecutively.
     pub first_number: u32,
-    /// What draws begin with: lives, waits, losses.
+    /// Seed of the random numbers: incarnations, backoff and packet loss.
     pub seed: u64,
-    /// How long it runs; `None`: until its standard input closes.
+    /// Duration of the run; `None` to run until standard input is closed.
     pub duration: Option<Duration>,
-    /// They begin to ask spread over so long.
+    /// Time over which the first requests are spread.
     pub begin_within: Duration,
-    /// They go on without a lease, where others refuse calls then.
+    /// Whether the followers report that they continue to serve calls without a lease, instead of rejecting them.
     pub serves_without_lease: bool,
-    /// The chance that a request or an answer is lost, and sent again by TCP.
+    /// Probability that a request or response is lost and retransmitted by TCP.
     pub loss: f64,
-    /// How long one way takes, beyond what loopback does.
+    /// Simulated delay in each direction, in addition to that of loopback.
     pub delay: Duration,
 }
 
 impl Settings {
-    /// Refuses what can't be run here.
+    /// Checks that `machine` can run these settings: a loopback address, enough resources and values within their
+    /// ranges.
     pub fn check(&self, machine: Machine) -> Result<(), SettingsError> {
         bounds::check_loopback(self.administration)?;
-        bounds::check_count(u64::from(self.count), NEED, machine)?;
-        let value = |what, why: &str| Err(SettingsError::OutOfRange { what, why: why.to_owned() });
+        bounds::check_count(u64::from(self.count), RESOURCES_PER_PEER, machine)?;
+        let out_of_range = |what, why: &str| Err(SettingsError::OutOfRange { what, why: why.to_owned() });
         if self.first_number.checked_add(self.count - 1).is_none() {
-            return value("--first-number", "the last follower's number is beyond 4294967295");
+            return out_of_range("--first-number", "the last follower's number is beyond 4294967295");
         }
         if !(0.0..=0.9).contains(&self.loss) {
-            return value("--loss", "from 0 to 0.9");
+            return out_of_range("--loss", "from 0 to 0.9");
         }
-        if self.delay > MOST_DELAY || self.begin_within > MOST_TIME {
-            return value("--delay", "at most 10 s; --begin-within: at most a day");
+        if self.delay > MAX_DELAY || self.begin_within > MAX_DURATION {
+            return out_of_range("--delay", "at most 10 s; --begin-within: at most a day");
         }
-        if self.duration.is_some_and(|duration| duration.is_zero() || duration > MOST_TIME) {
-            return value("--seconds", "from 1 to 86400");
+        if self.duration.is_some_and(|duration| duration.is_zero() || duration > MAX_DURATION) {
+            return out_of_range("--seconds", "from 1 to 86400");
         }
         if self.token.is_empty() || !self.token.bytes().all(|byte| byte.is_ascii_graphic()) {
-            return value("--key", "a token, NAME.SECRET, or a file that holds one");
+            return out_of_range("--key", "a token, NAME.SECRET, or a file that holds one");
         }
         Ok(())
     }
--- a/crates/hollow/src/followers/propagation.rs
+++ b/crates/hollow/src/followers/propagation.rs
@@ -1,4 +1,4 @@
-//! How long changes take to come to each follower and to the last of them.
+//! Measures how long changes take to reach each follower, and to reach all of them.
 
 use std::collections::BTreeMap;
 
@@ -8,71 +8,79 @@
 use super::report::Change;
 use crate::report::histogram;
 
-/// Changes on their way to the followers at the most; beyond them the oldest counts as incomplete.
-const MOST_OPEN: usize = 256;
+/// Maximum number of pending changes. If there are more, the oldest counts as incomplete.
+const MAX_PENDING: usize = 256;
 
-/// Changes on their way.
+/// Propagation times of changes, and the changes that have not reached all followers yet.
 #[derive(Debug)]
 pub struct Propagation {
     followers: usize,
-    /// By revision: how long each follower waited that has it, milliseconds.
-    open: BTreeMap<Revision, Vec<u32>>,
-    /// The newest change that was given up as incomplete.
-    given_up: Option<Revision>,
-    /// From a change until a follower had it, microseconds.
+    /// Changes that have not reached all followers. Each has its propagation times so far, in milliseconds, one per
+    /// follower reached.
+    pending: BTreeMap<Revision, Vec<u32>>,
+    /// Newest change that was abandoned as incomplete. It and all older ones are no longer tracked.
+    abandoned: Option<Revision>,
+    /// Time from a change until a follower received it, in microseconds.
     pub to_each: Histogram<u64>,
-    /// From a change until the last one had it, microseconds.
+    /// Time from a change until the last follower received it, in microseconds.
     pub to_last: Histogram<u64>,
-    /// Changes that did not come to all.
+    /// Number of changes that did not reach all followers.
     pub incomplete: u64,
 }
 
 impl Propagation {
-    /// To so many followers.
+    /// Creates the measurement for this number of followers.
     pub fn new(followers: usize) -> Self {
         let (to_each, to_last) = (histogram(), histogram());
-        Self { followers, open: BTreeMap::new(), given_up: None, to_each, to_last, incomplete: 0 }
+        Self { followers, pending: BTreeMap::new(), abandoned: None, to_each, to_last, incomplete: 0 }
     }
 
-    /// A follower has a change, so long after it was made. `Some`: it was the last one.
+    /// Records that a follower received a change `after_ms` milliseconds after it was made. Returns the change with its
+    /// propagation times if this was the last follower.
     pub fn record(&mut self, revision: Revision, after_ms: u64) -> Option<Change> {
         self.to_each.saturating_record(after_ms * 1_000);
-        if self.given_up.is_some_and(|given_up| revision <= given_up) {
+        if self.abandoned.is_some_and(|abandoned| revision <= abandoned) {
             return None;
         }
-        let waits = self.open.entry(revision).or_default();
-        waits.push(u32::try_from(after_ms).unwrap_or(u32::MAX));
-        if waits.len() < self.followers {
-            if self.open.len() > MOST_OPEN {
-                self.given_up = self.open.pop_first().map(|(revision, _)| revision);
+        let times = self.pending.entry(revision).or_default();
+        times.push(u32::try_from(after_ms).unwrap_or(u32::MAX));
+        if times.len() < self.followers {
+            if self.pending.len() > MAX_PENDING {
+                self.abandoned = self.pending.pop_first().map(|(revision, _)| revision);
                 self.incomplete += 1;
             }
             return None;
         }
-        let mut waits = self.open.remove(&revision)?;
-        waits.sort_unstable();
-        let max_ms = waits.last().copied().unwrap_or(0);
+        let mut times = self.pending.remove(&revision)?;
+        times.sort_unstable();
+        let max_ms = times.last().copied().unwrap_or(0);
         self.to_last.saturating_record(u64::from(max_ms) * 1_000);
-        let followers = waits.len() as u64;
-        Some(Change { revision, followers, p50_ms: part(&waits, 50), p99_ms: part(&waits, 99), max_ms })
+        let followers = times.len() as u64;
+        Some(Change {
+            revision,
+            followers,
+            p50_ms: percentile(&times, 50),
+            p99_ms: percentile(&times, 99),
+            max_ms,
+        })
     }
 
-    /// What was measured has been told: it is measured anew. Changes on their way stay on it.
+    /// Clears the measurements after they were reported. Pending changes stay pending.
     pub fn reset(&mut self) {
         self.to_each.reset();
         self.to_last.reset();
         self.incomplete = 0;
     }
 
-    /// The run is over: what is on its way does not come to all.
+    /// Ends the measurement: pending changes count as incomplete.
     pub fn finish(&mut self) {
-        self.incomplete += self.open.len() as u64;
-        self.open.clear();
+        self.incomplete += self.pending.len() as u64;
+        self.pending.clear();
     }
 }
 
-/// What so many of a hundred sorted values are at most.
-fn part(sorted: &[u32], percent: usize) -> u32 {
-    let at = (sorted.len() * percent).div_ceil(100).saturating_sub(1);
-    sorted.get(at).copied().unwrap_or(0)
+/// Returns the percentile of sorted values by the nearest-rank method; 0 if there are none.
+fn percentile(sorted: &[u32], percent: usize) -> u32 {
+    let index = (sorted.len() * percent).div_ceil(100).saturating_sub(1);
+    sorted.get(index).copied().unwrap_or(0)
 }
--- a/crates/hollow/src/followers/report.rs
+++ b/crates/hollow/src/followers/report.rs
@@ -1,4 +1,4 @@
-//! What hollow followers count and tell.
+//! Counters and report lines of hollow followers.
 
 use nettleferry_tenancy::Revision;
 use serde::{Deserialize, Serialize};
@@ -6,44 +6,44 @@
 use super::follower::{Outcome, OutcomeKind};
 use crate::report::Percentiles;
 
-/// Counts since the start, or of a second.
+/// Counters since the start of the run, or of one second or interval.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
-    /// Requests begun.
+    /// Requests sent.
     #[serde(rename = "asks")]
     pub requests: u64,
-    /// Answers with a page of changes, or with none.
+    /// Responses with a page of changes, which may be empty.
     pub pages: u64,
-    /// Answers with a book.
+    /// Responses with a snapshot.
     pub snapshots: u64,
-    /// Answers that led to a snapshot.
+    /// Responses after which the follower has to request a snapshot.
     #[serde(rename = "elsewhere")]
     pub snapshot_required: u64,
-    /// Answers that this life was shut out.
+    /// Responses that report that the incarnation is fenced.
     pub fenced: u64,
-    /// Answers of another status.
+    /// Responses with another status, and snapshots that could not replace the current one.
     pub refused: u64,
-    /// Answers that can't be read.
+    /// Responses that can't be parsed.
     pub malformed: u64,
-    /// Requests without an answer in time.
+    /// Requests without a response before their timeout.
     #[serde(rename = "late")]
     pub timed_out: u64,
-    /// Connections that were refused or broke.
+    /// Requests whose connection was refused or failed.
     pub broken: u64,
-    /// Answers that told all that holds and gave no lease: none are given, or there is no room on the roll.
+    /// Pages and snapshots without a lease, because the administration grants none or its membership is full.
     pub without_lease: u64,
-    /// Changes taken, over all followers.
+    /// Changes applied, summed over all followers.
     pub changes: u64,
-    /// Bytes received.
+    /// Bytes received in responses.
     pub bytes_in: u64,
-    /// Of them, in answers with a book.
+    /// Part of `bytes_in` that belongs to snapshots.
     pub snapshot_bytes_in: u64,
-    /// Bytes sent.
+    /// Bytes sent in requests.
     pub bytes_out: u64,
 }
 
 impl Counts {
-    /// An exchange has ended, with so many bytes of an answer.
+    /// Counts the outcome of an exchange whose response had `bytes_in` bytes.
     pub fn record(&mut self, outcome: &Outcome, bytes_in: u64) {
         self.bytes_in += bytes_in;
         self.changes += outcome.changes.len() as u64;
@@ -63,7 +63,7 @@
         }
     }
 
-    /// What was counted since `before`.
+    /// Returns the increase of each counter since `before`, an earlier copy of the same counters.
     pub fn since(&self, before: &Self) -> Self {
         Self {
             requests: self.requests - before.requests,
@@ -84,83 +84,84 @@
     }
 }
 
-/// What happened in a second.
+/// Activity during one second.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Second {
-    /// Since the start, milliseconds.
+    /// End of this second, in milliseconds since the start of the run.
     pub at_ms: u64,
-    /// Followers.
+    /// Number of followers.
     pub followers: u64,
-    /// Of them, with a lease now.
+    /// Followers with a valid lease at the end of this second.
     pub leased: u64,
-    /// The least and the newest revision that any of them acts on; 0: one holds no book.
+    /// Lowest revision of any follower; 0 if one has no snapshot.
     #[serde(rename = "least_revision")]
     pub oldest_revision: Revision,
-    /// See `oldest_revision`.
+    /// Highest revision of any follower; 0 if none has a snapshot.
     pub newest_revision: Revision,
-    /// What was counted in this second.
+    /// Counters of this second.
     #[serde(flatten)]
     pub counts: Counts,
-    /// Processor time of this process in this second, microseconds.
+    /// Processor time of this process during this second, in microseconds.
     pub processor_us: u64,
-    /// The longest that a timer was late in this second, microseconds: where that is long, this process is the bound.
+    /// Maximum delay of a timer during this second, in microseconds. A long delay means that this process, not the
+    /// administration, limits the load.
     #[serde(rename = "timer_late_us")]
     pub timer_delay_us: u64,
 }
 
-/// How a change came to the followers.
+/// Propagation times of a change that has reached all followers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Change {
-    /// Its revision.
+    /// Revision that the change created.
     pub revision: Revision,
-    /// Followers that it came to.
+    /// Number of followers that received it.
     pub followers: u64,
-    /// From when it was made until half of them had it, milliseconds of this machine's wall clock.
+    /// Time from the change until half of the followers had received it, in milliseconds of this machine's wall clock.
     pub p50_ms: u32,
-    /// Until 99 of 100 had it.
+    /// Time until 99 percent had received it, in milliseconds.
     pub p99_ms: u32,
-    /// Until all had it.
+    /// Time until all had received it, in milliseconds.
     pub max_ms: u32,
 }
 
-/// An interval: the whole run, or since the last summary.
+/// Totals of an interval: since the previous summary, or since the start of the run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Summary {
-    /// Followers.
+    /// Number of followers.
     pub followers: u64,
-    /// How long it was, milliseconds.
+    /// Length of the interval in milliseconds.
     pub ran_ms: u64,
-    /// What was counted.
+    /// Counters of the interval.
     #[serde(flatten)]
     pub counts: Counts,
-    /// Followers that never had a lease.
+    /// Followers that have had no lease since the start of the run.
     pub never_leased: u64,
-    /// Followers with a lease at the end.
+    /// Followers with a valid lease at the end of the interval.
     pub leased: u64,
-    /// Leases that ran out before the next one came.
+    /// Leases that expired before they were renewed, counted at their renewal.
     pub lapses: u64,
-    /// The part of the followers' time, since each began to ask, for which they had a lease.
+    /// Fraction of the interval with a valid lease, over all followers, counted from each one's first request.
     pub coverage: f64,
-    /// The same, since each one's first lease.
+    /// The same fraction, counted from each follower's first lease.
     pub coverage_since_first: f64,
-    /// Asks a second of a follower.
+    /// Requests per second and follower.
     #[serde(rename = "asks_per_follower_second")]
     pub requests_per_follower_second: f64,
-    /// Bytes a second to a follower, without snapshots.
+    /// Bytes received per second and follower, without snapshots.
     pub bytes_in_per_follower_second: f64,
-    /// Bytes a second from a follower.
+    /// Bytes sent per second and follower.
     pub bytes_out_per_follower_second: f64,
-    /// From when a change was made until a follower had it, microseconds, over all changes and followers.
+    /// Time from a change until a follower received it, in microseconds, over all changes and followers.
     pub change_to_each: Percentiles,
-    /// Until the last of them had it, over all changes that came to all.
+    /// Time from a change until the last follower received it, in microseconds, over the changes that reached all.
     pub change_to_last: Percentiles,
-    /// Changes that did not come to all of them before the run's end, or before too many newer ones.
+    /// Changes that did not reach all followers before the end of the run, or before too many newer ones were pending.
     pub changes_incomplete: u64,
-    /// Processor time of this process, microseconds.
+    /// Processor time of this process during the interval, in microseconds.
     pub processor_us: u64,
-    /// Its resident memory, KiB.
+    /// Resident memory of this process at the end of the interval, in KiB.
     pub resident_kib: u64,
-    /// How late timers were, microseconds.
+    /// Delay of timers after their due time, in microseconds.
     #[serde(rename = "timer_late")]
     pub timer_delay: Percentiles,
 }
--- a/crates/hollow/src/followers/run.rs
+++ b/crates/hollow/src/followers/run.rs
@@ -211,7 +211,7 @@
     /// A follower begins an ask.
     fn ask<W: Write>(&mut self, n: usize, now: Instant, lines: &mut LineWriter<W>) -> io::Result<()> {
         let peer = &mut self.peers[n];
-        let (request, way) = (peer.follower.request(&self.shared), peer.link.way());
+        let (request, way) = (peer.follower.request(&self.shared), peer.link.next_delay());
         if way.is_zero() {
             return self.send(n, request, now, lines);
         }
@@ -250,7 +250,7 @@
         let Some(answer) = peer.connections[lane].poll(now) else { return Ok(()) };
         let Phase::Asks(Asked { kind, since, until }) = peer.phase else { return Ok(()) };
         let exchange = Exchange { kind, started_at: since, ended_at: now };
-        let way = peer.link.way();
+        let way = peer.link.next_delay();
         if way.is_zero() || answer.is_err() {
             return self.heard(n, exchange, &answer, lines);
         }
--- a/crates/hollow/src/followers/shared_snapshot.rs
+++ b/crates/hollow/src/followers/shared_snapshot.rs
@@ -1,5 +1,5 @@
-//! The one book of a process: each follower holds a revision of it, and tells the checksum that a real follower
-//! makes from its own copy.
+//! The tenant snapshot that all followers of the process share. Each follower is at a revision of it and reports the
+//! checksum that a real follower computes from its own copy.
 
 use std::collections::BTreeMap;
 
@@ -9,68 +9,69 @@
 
 use super::answer::{self, Snapshot};
 
-/// Checksums of so many revisions are kept; a follower further behind takes the snapshot.
-const MOST_SUMS: usize = 4_096;
+/// Number of revisions whose checksums are retained. A follower that is further behind requests the snapshot.
+const MAX_CHECKSUMS: usize = 4_096;
 
-/// The newest book that any follower of the process was given.
+/// The newest snapshot that any follower of the process has received, and the checksums of recent revisions.
 #[derive(Debug, Default)]
 pub struct SharedSnapshot {
     store: String,
     epoch: u64,
-    book: TenantSnapshot,
-    sums: BTreeMap<Revision, u32>,
+    tenants: TenantSnapshot,
+    checksums: BTreeMap<Revision, u32>,
 }
 
 impl SharedSnapshot {
-    /// The stamp of a revision; `None`: it is not known here any more.
+    /// Returns the version of a revision; `None` if its checksum is not retained or the store or epoch differs.
     pub fn version(&self, store: &str, epoch: u64, revision: Revision) -> Option<SnapshotVersion> {
-        let sum = *self.sums.get(&revision).filter(|_| self.is(store, epoch))?;
-        Some(SnapshotVersion { store: store.to_owned(), epoch, revision, checksum: sum })
+        let checksum = *self.checksums.get(&revision).filter(|_| self.is_same_history(store, epoch))?;
+        Some(SnapshotVersion { store: store.to_owned(), epoch, revision, checksum })
     }
 
-    fn is(&self, store: &str, epoch: u64) -> bool {
+    fn is_same_history(&self, store: &str, epoch: u64) -> bool {
         self.store == store && self.epoch == epoch
     }
 
-    /// A snapshot came. Only one that is newer is read whole. False: it can't be read.
+    /// Records a received snapshot. Its tenants are parsed only if it is newer than the shared one or has another store
+    /// or epoch. Returns false if they can't be parsed.
     pub fn apply_snapshot(&mut self, snapshot: &Snapshot, answer: &Answer) -> bool {
         let revision = snapshot.tenants.revision;
-        let same = self.is(&snapshot.store, snapshot.epoch);
-        if !same || self.sums.is_empty() || revision > self.book.revision() {
-            let Some(book) = answer::tenant_snapshot(answer) else { return false };
-            if !same {
-                self.sums.clear();
+        let same_history = self.is_same_history(&snapshot.store, snapshot.epoch);
+        if !same_history || self.checksums.is_empty() || revision > self.tenants.revision() {
+            let Some(tenants) = answer::tenant_snapshot(answer) else { return false };
+            if !same_history {
+                self.checksums.clear();
             }
             (self.store, self.epoch) = (snapshot.store.clone(), snapshot.epoch);
-            self.book = book;
+            self.tenants = tenants;
         }
-        self.keep(revision, snapshot.checksum);
+        self.add_checksum(revision, snapshot.checksum);
         true
     }
 
-    /// A page of changes came, up to this revision. Only one with a new change is read whole. False: it does not
-    /// follow on the book.
+    /// Records a received page of changes up to revision `last`. Its entries are parsed only if one of them is new.
+    /// Returns false if they can't be parsed or can't be applied to the shared snapshot.
     pub fn apply_page(&mut self, last: Revision, answer: &Answer) -> bool {
-        if last <= self.book.revision() {
+        if last <= self.tenants.revision() {
             return true;
         }
         let Some(entries) = answer::entries(answer) else { return false };
         for entry in entries {
-            if entry.revision <= self.book.revision() {
+            if entry.revision <= self.tenants.revision() {
                 continue;
             }
-            if self.book.apply(&entry).is_err() {
+            if self.tenants.apply(&entry).is_err() {
                 return false;
             }
-            self.keep(entry.revision, self.book.checksum());
+            self.add_checksum(entry.revision, self.tenants.checksum());
         }
         true
     }
 
-    fn keep(&mut self, revision: Revision, sum: u32) {
-        self.sums.insert(revision, sum);
-        while self.sums.len() > MOST_SUMS {
-            self.sums.pop_first();
+    fn add_checksum(&mut self, revision: Revision, checksum: u32) {
+        self.checksums.insert(revision, checksum);
+        while self.checksums.len() > MAX_CHECKSUMS {
+            self.checksums.pop_first();
         }
     }
 }
