--- a/crates/hollow/src/controllers/run.rs
+++ b/crates/hollow/src/controllers/run.rs
@@ -87,11 +87,11 @@
     pub fn new(settings: Settings) -> io::Result<Self> {
         let (started_at, count) = (Instant::now(), settings.count as usize);
         let mut timers = Timers::new(count);
-        let controllers = (0..settings.count).map(|n| {
-            let number = settings.first_number + n;
+        let controllers = (0..settings.count).map(|index| {
+            let number = settings.first_number + index;
             let mut random = ChaCha8Rng::seed_from_u64(settings.seed);
             random.set_stream(u64::from(number));
-            timers.set(n as usize, started_at + settings.begin_within.mul_f64(random.random::<f64>()));
+            timers.set(index as usize, started_at + settings.begin_within.mul_f64(random.random::<f64>()));
             Controller { number, connection: None, started: false, random }
         });
         let controllers = controllers.collect();
@@ -154,39 +154,39 @@
     /// Runs the timers that are due. The first timer of a controller opens its connection; each later one sends a call
     /// or a probe.
     fn run_due_timers(&mut self, now: Instant) {
-        while let Some((n, at)) = self.timers.pop_due(now) {
+        while let Some((index, at)) = self.timers.pop_due(now) {
             let delay = now.saturating_duration_since(at);
             self.timer_delay.saturating_record(delay.as_micros() as u64);
             self.max_timer_delay = self.max_timer_delay.max(delay);
-            if self.controllers[n].started {
-                self.send_request(n, now);
+            if self.controllers[index].started {
+                self.send_request(index, now);
             } else {
-                self.controllers[n].started = true;
-                self.ensure_connection(n);
+                self.controllers[index].started = true;
+                self.ensure_connection(index);
             }
-            if let Some(interval) = self.random_interval(n) {
+            if let Some(interval) = self.random_interval(index) {
                 // Counted from the due time, so that a late timer does not lower the rate.
-                self.timers.set(n, at + interval);
+                self.timers.set(index, at + interval);
             }
         }
     }
 
     /// Draws the time until the next request of a controller: exponentially distributed, so that the requests of each
     /// controller are a Poisson process. `None` if the rate is 0.
-    fn random_interval(&mut self, n: usize) -> Option<Duration> {
+    fn random_interval(&mut self, index: usize) -> Option<Duration> {
         let rate = self.settings.calls_per_second + self.settings.probes_per_second;
         if rate <= 0.0 {
             return None;
         }
         let mean = f64::from(self.settings.count) / rate;
-        let uniform: f64 = self.controllers[n].random.random();
+        let uniform: f64 = self.controllers[index].random.random();
         Some(Duration::from_secs_f64(-mean * (1.0 - uniform).ln()))
     }
 
     /// Returns the connection of a controller. Opens one if there is none or the worker is shutting it down; `None` if
     /// that fails.
-    fn ensure_connection(&mut self, n: usize) -> Option<ConnKey> {
-        let controller = &mut self.controllers[n];
+    fn ensure_connection(&mut self, index: usize) -> Option<ConnKey> {
+        let controller = &mut self.controllers[index];
         if let Some(connection) = controller.connection.filter(|key| !self.hub.is_going_away(*key)) {
             return Some(connection);
         }
@@ -198,12 +198,12 @@
     }
 
     /// Sends a call or a probe of a controller, chosen at random in proportion to the two rates.
-    fn send_request(&mut self, n: usize, now: Instant) {
+    fn send_request(&mut self, index: usize, now: Instant) {
         let Settings { calls_per_second, probes_per_second, deadline, .. } = self.settings;
-        let random = &mut self.controllers[n].random;
+        let random = &mut self.controllers[index].random;
         let is_probe = random.random::<f64>() * (calls_per_second + probes_per_second) >= calls_per_second;
         let kind = if is_probe { RequestKind::Probe } else { RequestKind::Call };
-        let Some(connection) = self.ensure_connection(n) else {
+        let Some(connection) = self.ensure_connection(index) else {
             self.counts.broken += u64::from(kind == RequestKind::Call);
             return;
         };
@@ -215,7 +215,7 @@
             RequestKind::Call => ("ModelInfer", self.call_body.clone()),
             RequestKind::Probe => ("ServerReady", ServerReadyRequest {}.encode_to_vec().into()),
         };
-        let Some(request) = request(method, self.controllers[n].number, kind, deadline) else { return };
+        let Some(request) = request(method, self.controllers[index].number, kind, deadline) else { return };
         let Some(stream) = self.hub.open(connection, request) else { return };
         self.hub.send(stream, body);
         self.hub.finish(stream, None);
--- a/crates/hollow/src/followers/follower.rs
+++ b/crates/hollow/src/followers/follower.rs
@@ -1,4 +1,5 @@
-//! One hollow follower without its sockets: what it asks, what an answer means to it, and its lease.
+//! The protocol state of one hollow follower, without sockets: its next request, the handling of responses, and its
+//! leases.
 
 use std::time::{Duration, Instant};
 
@@ -14,136 +15,135 @@
 use super::answer::{self, Change, Lease, Page, Snapshot};
 use super::shared_snapshot::SharedSnapshot;
 
-/// What is asked.
+/// Kind of a request to the administration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestKind {
-    /// The whole book.
+    /// A request for the complete snapshot.
     Snapshot,
-    /// Changes after the revision that is held.
+    /// A long poll for changes after the follower's revision.
     Watch,
 }
 
-/// A request that is to be sent.
+/// A request to send.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Request {
-    /// What it asks.
+    /// Kind of the request.
     pub kind: RequestKind,
-    /// Its target.
+    /// Request target: path and query.
     pub target: String,
-    /// How long its answer may take.
+    /// Time limit for the response, from the start of the exchange.
     pub timeout: Duration,
 }
 
-/// An exchange whose end has come.
+/// A request whose response has arrived, or that has failed.
 #[derive(Clone, Copy, Debug)]
 pub struct Exchange {
-    /// What was asked.
+    /// Kind of the request.
     pub kind: RequestKind,
-    /// When: a lease is counted from then.
+    /// When the exchange started. A lease span is counted from here.
     pub started_at: Instant,
-    /// When its end came.
+    /// When the response arrived or the request failed.
     pub ended_at: Instant,
 }
 
-/// What an answer meant.
+/// How an exchange ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OutcomeKind {
-    /// A page of changes, or that there are none.
+    /// A page of changes, which may be empty.
     Page,
-    /// A book.
+    /// A snapshot that the follower applied.
     Snapshot,
-    /// The snapshot is to be asked for: the changes did not follow on what is held, or are not there.
+    /// The follower has to request a snapshot: the changes are not available or don't continue its revision.
     SnapshotRequired,
-    /// This life was shut out.
+    /// This incarnation is fenced.
     Fenced,
-    /// Another status than success.
+    /// Another status than success, or a snapshot that must not replace the current one.
     Refused,
-    /// It can't be read.
+    /// The response can't be parsed.
     Malformed,
-    /// No answer in time.
+    /// No response before the timeout.
     TimedOut,
-    /// No connection, or it broke.
+    /// The connection could not be opened or failed.
     Broken,
 }
 
-/// What came of an exchange.
+/// Result of an exchange.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Outcome {
-    /// What the answer meant.
+    /// How the exchange ended.
     pub kind: OutcomeKind,
-    /// The administration may be asked again then.
+    /// When the next request may be sent.
     pub retry_at: Instant,
-    /// Changes that are in force from now on.
+    /// Changes that the follower applied.
     pub changes: Vec<Change>,
-    /// It told all that holds, and gave no lease.
+    /// Whether the response was a page or snapshot without a lease.
     pub without_lease: bool,
 }
 
-/// A follower's leases so far.
+/// Lease history of a follower.
 #[derive(Clone, Copy, Debug)]
 pub struct Leases {
-    /// When it began to ask.
-    began: Instant,
-    first: Option<Instant>,
-    until: Option<Instant>,
-    /// Time without one since the first.
-    without: Duration,
-    /// How often one ran out before the next came.
+    /// When the follower sent its first request.
+    started_at: Instant,
+    first_granted_at: Option<Instant>,
+    expires_at: Option<Instant>,
+    /// Time without a lease between the first grant and the latest one.
+    unleased: Duration,
+    /// Number of leases that expired before they were renewed, counted at the renewal.
     pub lapses: u64,
 }
 
 impl Leases {
-    fn new(began: Instant) -> Self {
-        Self { began, first: None, until: None, without: Duration::ZERO, lapses: 0 }
+    fn new(started_at: Instant) -> Self {
+        Self { started_at, first_granted_at: None, expires_at: None, unleased: Duration::ZERO, lapses: 0 }
     }
 
-    fn given(&mut self, now: Instant, until: Instant) {
-        self.first.get_or_insert(now);
-        if let Some(before) = self.until
-            && before < now
+    fn grant(&mut self, now: Instant, expires_at: Instant) {
+        self.first_granted_at.get_or_insert(now);
+        if let Some(previous) = self.expires_at
+            && previous < now
         {
-            self.without += now - before;
+            self.unleased += now - previous;
             self.lapses += 1;
         }
-        self.until = Some(self.until.map_or(until, |before| before.max(until)));
+        self.expires_at = Some(self.expires_at.map_or(expires_at, |previous| previous.max(expires_at)));
     }
 
-    /// Does one run now?
+    /// Returns whether a lease is valid at `now`.
     pub fn is_valid(&self, now: Instant) -> bool {
-        self.until.is_some_and(|until| now < until)
+        self.expires_at.is_some_and(|expires_at| now < expires_at)
     }
 
-    /// Was there ever one?
+    /// Returns whether a lease was ever granted.
     pub fn ever_granted(&self) -> bool {
-        self.first.is_some()
+        self.first_granted_at.is_some()
     }
 
-    /// Of the time since it began to ask, and of that since its first lease: how long it had one, and how long
-    /// that was.
+    /// Returns how much of the time until `now` was covered by leases.
     pub fn coverage(&self, now: Instant) -> Coverage {
-        let total = now.saturating_duration_since(self.began);
-        let (Some(first), Some(until)) = (self.first, self.until) else {
+        let total = now.saturating_duration_since(self.started_at);
+        let (Some(first_granted_at), Some(expires_at)) = (self.first_granted_at, self.expires_at) else {
             return Coverage { total, ..Coverage::default() };
         };
-        let since_first = now.saturating_duration_since(first);
-        let without = self.without + now.saturating_duration_since(until);
-        Coverage { total, since_first, leased: since_first.saturating_sub(without) }
+        let since_first = now.saturating_duration_since(first_granted_at);
+        let unleased = self.unleased + now.saturating_duration_since(expires_at);
+        Coverage { total, since_first, leased: since_first.saturating_sub(unleased) }
     }
 }
 
-/// How much of some time was covered by leases.
+/// How much of a follower's time was covered by leases.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Coverage {
-    /// Since it began to ask.
+    /// Time since the first request.
     pub total: Duration,
-    /// Since its first lease.
+    /// Time since the first lease.
     pub since_first: Duration,
-    /// With a lease.
+    /// Time with a valid lease.
     pub leased: Duration,
 }
 
 impl Coverage {
-    /// What came after `before`.
+    /// Returns the increase since `before`, an earlier value of the same follower or followers.
     pub fn since(&self, before: &Self) -> Self {
         Self {
             total: self.total.saturating_sub(before.total),
@@ -153,146 +153,148 @@
     }
 }
 
-/// The book that a follower holds.
+/// The store and version of a follower's snapshot.
 #[derive(Clone, Debug, PartialEq, Eq)]
-struct Held {
+struct SnapshotPosition {
     store: String,
-    at: Version,
+    version: Version,
 }
 
-/// A hollow follower.
+/// The protocol state of a hollow follower.
 #[derive(Clone, Debug)]
 pub struct Follower {
     number: u32,
-    life: u64,
-    /// It takes no call without a lease.
-    ends: bool,
+    incarnation: u64,
+    /// Whether it reports that it rejects calls without a lease.
+    requires_lease: bool,
     fenced: bool,
-    held: Option<Held>,
-    /// It asks for the whole book.
-    whole: bool,
-    span: LeaseSpan,
+    position: Option<SnapshotPosition>,
+    /// Whether its next request is for the snapshot.
+    needs_snapshot: bool,
+    lease_span: LeaseSpan,
     backoff: Backoff,
     leases: Leases,
 }
 
 impl Follower {
-    /// One that holds nothing and begins to ask at `began`. `seed`: for the jitter of its waits.
-    pub fn new(number: u32, life: u64, ends: bool, seed: u64, began: Instant) -> Self {
+    /// Creates a follower without a snapshot that sends its first request at `started_at`. `seed` determines the jitter
+    /// of its backoff.
+    pub fn new(number: u32, incarnation: u64, requires_lease: bool, seed: u64, started_at: Instant) -> Self {
         Self {
             number,
-            life,
-            ends,
+            incarnation,
+            requires_lease,
             fenced: false,
-            held: None,
-            whole: true,
-            span: LeaseSpan::default(),
+            position: None,
+            needs_snapshot: true,
+            lease_span: LeaseSpan::default(),
             backoff: Backoff::new(seed),
-            leases: Leases::new(began),
+            leases: Leases::new(started_at),
         }
     }
 
-    /// Its number and its life.
+    /// Returns its controller number and its incarnation.
     pub fn identity(&self) -> (u32, u64) {
-        (self.number, self.life)
+        (self.number, self.incarnation)
     }
 
-    /// Its leases so far.
+    /// Returns its lease history.
     pub fn leases(&self) -> &Leases {
         &self.leases
     }
 
-    /// The revision that it acts on; `None`: it holds no book.
+    /// Returns the revision that it has applied; `None` if it has no snapshot.
     pub fn revision(&self) -> Option<Revision> {
-        self.held.as_ref().map(|held| held.at.revision)
+        self.position.as_ref().map(|position| position.version.revision)
     }
 
-    /// It was shut out.
+    /// Returns whether its incarnation is fenced.
     pub fn is_fenced(&self) -> bool {
         self.fenced
     }
 
-    /// What it asks next.
+    /// Returns its next request. It asks for the snapshot if the follower needs one, or if `shared` no longer has the
+    /// checksum of its revision.
     pub fn request(&self, shared: &SharedSnapshot) -> Request {
-        let stamp = self.version(shared);
-        // What is taken is in force and on the disk at once: there is neither work nor a disk.
-        let revision = stamp.as_ref().map_or(0, |stamp| stamp.revision);
-        let report = Heartbeat {
+        let version = self.snapshot_version(shared);
+        // A follower has no work or disk, so a received revision is in force and persisted at once.
+        let revision = version.as_ref().map_or(0, |version| version.revision);
+        let heartbeat = Heartbeat {
             controller: self.number,
-            incarnation: self.life,
+            incarnation: self.incarnation,
             in_force: revision,
             persisted: revision,
-            requires_lease: self.ends,
+            requires_lease: self.requires_lease,
             fenced: self.fenced,
-            snapshot: stamp.as_ref(),
+            snapshot: version.as_ref(),
         };
-        if self.whole || stamp.is_none() {
+        if self.needs_snapshot || version.is_none() {
             return Request {
                 kind: RequestKind::Snapshot,
-                target: report.snapshot_target(),
+                target: heartbeat.snapshot_target(),
                 timeout: SNAPSHOT_TIMEOUT,
             };
         }
-        let timing = self.span.timing(false);
+        let timing = self.lease_span.timing(false);
         Request {
             kind: RequestKind::Watch,
-            target: report.watch_target(timing.wait),
+            target: heartbeat.watch_target(timing.wait),
             timeout: timing.timeout,
         }
     }
 
-    fn version(&self, shared: &SharedSnapshot) -> Option<SnapshotVersion> {
-        let Held { store, at } = self.held.as_ref()?;
-        shared.version(store, at.epoch, at.revision)
+    fn snapshot_version(&self, shared: &SharedSnapshot) -> Option<SnapshotVersion> {
+        let SnapshotPosition { store, version } = self.position.as_ref()?;
+        shared.version(store, version.epoch, version.revision)
     }
 
-    /// Takes in what came of an exchange.
+    /// Updates the follower after an exchange: its snapshot, its lease and its backoff.
     pub fn handle_answer(
         &mut self,
         exchange: Exchange,
         answer: &Result<Answer, Http1Error>,
         shared: &mut SharedSnapshot,
     ) -> Outcome {
-        let before = self.revision().unwrap_or(0);
+        let previous = self.revision().unwrap_or(0);
         let (kind, lease, mut changes) = match answer {
             Err(Http1Error::Timeout) => (OutcomeKind::TimedOut, None, Vec::new()),
             Err(Http1Error::Broken(_)) => (OutcomeKind::Broken, None, Vec::new()),
             Err(Http1Error::Malformed) => (OutcomeKind::Malformed, None, Vec::new()),
-            Ok(answer) => self.answered(exchange.kind, answer, shared),
+            Ok(answer) => self.handle_response(exchange.kind, answer, shared),
         };
         let retry_at = match kind {
             OutcomeKind::Page | OutcomeKind::Snapshot => {
                 self.backoff.succeeded();
                 exchange.ended_at
             }
-            // A page that does not follow leads to the snapshot at once.
+            // After a page that does not continue its revision, the follower requests the snapshot without delay.
             OutcomeKind::SnapshotRequired if answer.as_ref().is_ok_and(|answer| answer.status == 200) => {
                 exchange.ended_at
             }
             _ => exchange.ended_at + Duration::from_millis(self.backoff.failed()),
         };
         if let Some(lease) = lease {
-            self.leased(exchange, lease);
+            self.record_lease(exchange, lease);
         }
-        changes.retain(|change| change.revision > before);
+        changes.retain(|change| change.revision > previous);
         let without_lease = lease.is_some_and(|lease| lease.lease_ms.is_none());
         Outcome { kind, retry_at, changes, without_lease }
     }
 
-    fn answered(
+    fn handle_response(
         &mut self,
-        ask: RequestKind,
+        kind: RequestKind,
         answer: &Answer,
         shared: &mut SharedSnapshot,
     ) -> (OutcomeKind, Option<Lease>, Vec<Change>) {
         let failed = |kind| (kind, None, Vec::new());
-        match (answer.status, ask) {
+        match (answer.status, kind) {
             (200, RequestKind::Snapshot) => {
                 let Ok(snapshot) = serde_json::from_slice::<Snapshot>(&answer.body) else {
                     return failed(OutcomeKind::Malformed);
                 };
                 let lease = snapshot.lease;
-                if self.took_snapshot(snapshot, answer, shared) {
+                if self.apply_snapshot(snapshot, answer, shared) {
                     (OutcomeKind::Snapshot, Some(lease), Vec::new())
                 } else {
                     failed(OutcomeKind::Refused)
@@ -302,15 +304,15 @@
                 let Ok(page) = serde_json::from_slice::<Page>(&answer.body) else {
                     return failed(OutcomeKind::Malformed);
                 };
-                if self.took_page(&page, answer, shared) {
+                if self.apply_page(&page, answer, shared) {
                     (OutcomeKind::Page, Some(page.lease), page.entries)
                 } else {
-                    self.whole = true;
+                    self.needs_snapshot = true;
                     failed(OutcomeKind::SnapshotRequired)
                 }
             }
             (409 | 410, _) => {
-                self.whole = true;
+                self.needs_snapshot = true;
                 failed(OutcomeKind::SnapshotRequired)
             }
             _ if answer::is_fenced(answer) => {
@@ -321,30 +323,33 @@
         }
     }
 
-    /// Takes a book, where it is not older than the one that is held.
-    fn took_snapshot(&mut self, snapshot: Snapshot, answer: &Answer, shared: &mut SharedSnapshot) -> bool {
+    /// Applies a snapshot unless it must not replace the current one. Returns whether it was applied.
+    fn apply_snapshot(&mut self, snapshot: Snapshot, answer: &Answer, shared: &mut SharedSnapshot) -> bool {
         let Snapshot { store, epoch, checksum, tenants, .. } = &snapshot;
-        let stamp = SnapshotVersion {
+        let version = SnapshotVersion {
             store: store.clone(),
             epoch: *epoch,
             revision: tenants.revision,
             checksum: *checksum,
         };
-        if bootstrap::should_replace(self.version(shared).as_ref(), &stamp).is_err()
+        if bootstrap::should_replace(self.snapshot_version(shared).as_ref(), &version).is_err()
             || !shared.apply_snapshot(&snapshot, answer)
         {
             return false;
         }
-        let at = Version { epoch: stamp.epoch, revision: stamp.revision };
-        self.held = Some(Held { store: stamp.store, at });
-        self.whole = false;
+        self.position = Some(SnapshotPosition {
+            store: version.store,
+            version: Version { epoch: version.epoch, revision: version.revision },
+        });
+        self.needs_snapshot = false;
         true
     }
 
-    /// Takes changes, all of a page or none: they follow on the revision that is held, without a gap.
-    fn took_page(&mut self, page: &Page, answer: &Answer, shared: &mut SharedSnapshot) -> bool {
-        let Some(held) = &mut self.held else { return false };
-        let mut revision = held.at.revision;
+    /// Applies all changes of a page, or none if they don't continue the current revision without a gap. Returns
+    /// whether they were applied.
+    fn apply_page(&mut self, page: &Page, answer: &Answer, shared: &mut SharedSnapshot) -> bool {
+        let Some(position) = &mut self.position else { return false };
+        let mut revision = position.version.revision;
         for change in &page.entries {
             if change.revision > revision + 1 {
                 return false;
@@ -354,17 +359,18 @@
         if !shared.apply_page(revision, answer) {
             return false;
         }
-        held.at.revision = revision;
+        position.version.revision = revision;
         true
     }
 
-    /// The lease is counted from the ask, however long the answer was on its way.
-    fn leased(&mut self, exchange: Exchange, lease: Lease) {
-        let given = |ms: u64| LeaseSpan::Granted(Duration::from_millis(ms.clamp(MIN_SPAN, MAX_SPAN)));
-        self.span = lease.lease_ms.map_or(LeaseSpan::NoLeases, given);
+    /// Records the lease of a response. Its span is counted from the start of the exchange, regardless of how long the
+    /// response took.
+    fn record_lease(&mut self, exchange: Exchange, lease: Lease) {
+        let granted = |ms: u64| LeaseSpan::Granted(Duration::from_millis(ms.clamp(MIN_SPAN, MAX_SPAN)));
+        self.lease_span = lease.lease_ms.map_or(LeaseSpan::NoLeases, granted);
         if let Some(span) = lease.lease_ms {
-            let until = exchange.started_at + Duration::from_millis(lease::expires_at(0, span));
-            self.leases.given(exchange.ended_at, until);
+            let expires_at = exchange.started_at + Duration::from_millis(lease::expires_at(0, span));
+            self.leases.grant(exchange.ended_at, expires_at);
         }
     }
 }
--- a/crates/hollow/src/followers/run.rs
+++ b/crates/hollow/src/followers/run.rs
@@ -1,4 +1,5 @@
-//! The run: all followers on one poll, each with the two connections of a real one, a timer and an imitated link.
+//! The event loop of a run: all followers share one poll. Each has the two connections of a real follower, a timer
+//! and a simulated link.
 
 use std::io::{self, Read, Write};
 use std::sync::Arc;
@@ -23,35 +24,35 @@
 use crate::report::{Line, LineWriter, Percentiles, Started, histogram};
 use crate::timers::Timers;
 
-/// Connections of a follower: one for watches, one for snapshots and the last word.
+/// Connections per follower: one for watches, and one for snapshots and the deregistration.
 const CONNECTIONS: usize = 2;
 const WATCHES: usize = 0;
 const SNAPSHOTS: usize = 1;
 const WAKE: Token = Token(usize::MAX);
-/// Events taken in one round.
-const EVENTS: usize = 1_024;
-const A_SECOND: Duration = Duration::from_secs(1);
+/// Maximum number of events per poll.
+const EVENT_CAPACITY: usize = 1_024;
+const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What a follower waits for; its timer ends each wait.
+/// State of a follower's exchange. The follower's timer ends each state.
 #[derive(Debug)]
 enum Phase {
-    /// It asks again then.
-    Rests,
-    /// Its request is on the imitated way to the administration, since then.
-    Sends(Request, Instant),
-    /// Its request is out.
-    Asks(Asked),
-    /// The answer is on the imitated way back.
-    Hears(Exchange, Result<Answer, Http1Error>),
+    /// No request is active; the timer starts the next one.
+    Idle,
+    /// The request is delayed by the simulated link. The time is the start of the exchange.
+    RequestInTransit(Request, Instant),
+    /// The request was sent.
+    AwaitingAnswer(SentRequest),
+    /// The response is delayed by the simulated link.
+    AnswerInTransit(Exchange, Result<Answer, Http1Error>),
 }
 
-/// A request that is out.
+/// A request without a response yet.
 #[derive(Clone, Copy, Debug)]
-struct Asked {
+struct SentRequest {
     kind: RequestKind,
-    since: Instant,
-    /// An answer that comes later is too late.
-    until: Instant,
+    started_at: Instant,
+    /// A response that arrives later counts as a timeout.
+    deadline: Instant,
 }
 
 struct Peer {
@@ -80,51 +81,52 @@
     propagation: Propagation,
     counts: Counts,
     timer_delay: Histogram<u64>,
-    second: SecondSoFar,
+    second: CurrentSecond,
     interval: Interval,
-    begun: Instant,
+    started_at: Instant,
 }
 
-/// What stood when the interval of the next summary began.
+/// Counters and usage at the start of the interval of the next summary.
 struct Interval {
-    began: Instant,
+    started_at: Instant,
     counts: Counts,
-    covered: Coverage,
+    coverage: Coverage,
     lapses: u64,
     processor: Duration,
 }
 
-/// What stood when this second began.
-struct SecondSoFar {
-    ends: Instant,
+/// Counters and usage at the start of the current second, and the maximum timer delay during it.
+struct CurrentSecond {
+    ends_at: Instant,
     counts: Counts,
     processor: Duration,
     timer_delay: Duration,
 }
 
 impl Followers {
-    /// Makes them; they begin to ask within the span that the settings say. The settings were checked.
+    /// Creates the followers, each with a random time of its first request within `begin_within`. The caller has
+    /// checked the settings. Fails if the poll can't be created.
     pub fn new(settings: Settings) -> io::Result<Self> {
         let poll = Poll::new()?;
         let waker = Arc::new(Waker::new(poll.registry(), WAKE)?);
-        let (begun, count) = (Instant::now(), settings.count as usize);
+        let (started_at, count) = (Instant::now(), settings.count as usize);
         let mut timers = Timers::new(count);
-        let peers = (0..settings.count).map(|n| {
-            let (peer, first_ask) = peer(&settings, n, begun);
-            timers.set(n as usize, first_ask);
+        let peers = (0..settings.count).map(|index| {
+            let (peer, first_request_at) = peer(&settings, index, started_at);
+            timers.set(index as usize, first_request_at);
             peer
         });
         let peers = peers.collect();
-        let second = SecondSoFar {
-            ends: begun + A_SECOND,
+        let second = CurrentSecond {
+            ends_at: started_at + REPORT_INTERVAL,
             counts: Counts::default(),
             processor: process::processor_time(),
             timer_delay: Duration::ZERO,
         };
         let interval = Interval {
-            began: begun,
+            started_at,
             counts: Counts::default(),
-            covered: Coverage::default(),
+            coverage: Coverage::default(),
             lapses: 0,
             processor: second.processor,
         };
@@ -141,15 +143,16 @@
             timer_delay: histogram(),
             second,
             interval,
-            begun,
+            started_at,
         })
     }
 
-    /// Runs until `input` closes or the time of the settings is over, and writes its lines to `out`. A line of `input`
-    /// asks for a summary.
+    /// Runs until `input` is closed or the configured duration is over, and writes report lines to `out`. Each line of
+    /// `input` requests a summary. At the end all followers deregister. Returns the last summary; fails if the poll or
+    /// `out` fails.
     pub fn run(mut self, input: impl Read + Send + 'static, out: impl Write) -> io::Result<Summary> {
-        let until = self.settings.duration.map(|duration| self.begun + duration);
-        let mut control = Control::listen(input, Arc::clone(&self.waker), until)?;
+        let deadline = self.settings.duration.map(|duration| self.started_at + duration);
+        let mut control = Control::listen(input, Arc::clone(&self.waker), deadline)?;
         let mut lines = LineWriter::new(out);
         lines.write(&Line::Started(Started {
             role: "followers".to_owned(),
@@ -157,132 +160,143 @@
             seed: self.settings.seed,
             process: std::process::id(),
         }))?;
-        let mut events = Events::with_capacity(EVENTS);
+        let mut events = Events::with_capacity(EVENT_CAPACITY);
         loop {
             let now = Instant::now();
             if control.is_over(now) {
                 break;
             }
             if control.take_summary_request() {
-                let summary = self.summary(now);
+                let summary = self.end_interval(now);
                 lines.write(&Line::FollowersSummary(Box::new(summary)))?;
             }
-            if now >= self.second.ends {
+            if now >= self.second.ends_at {
                 let second = self.end_second(now);
                 lines.write(&Line::FollowersSecond(second))?;
             }
-            self.due(now, &mut lines)?;
-            let wakes = [Some(self.second.ends), self.timers.next_due(), control.deadline()];
-            let wait = wakes.into_iter().flatten().min();
+            self.run_due_timers(now, &mut lines)?;
+            let wakeups = [Some(self.second.ends_at), self.timers.next_due(), control.deadline()];
+            let wait = wakeups.into_iter().flatten().min();
             let wait = wait.map(|at| at.saturating_duration_since(Instant::now()));
             poll(&mut self.poll, &mut events, wait)?;
             for event in events.iter().filter(|event| event.token() != WAKE) {
-                self.progress(event.token().0, &mut lines)?;
+                self.poll_connection(event.token().0, &mut lines)?;
             }
         }
         self.propagation.finish();
-        let summary = self.summary(Instant::now());
-        self.farewell()?;
+        let summary = self.end_interval(Instant::now());
+        self.deregister_all()?;
         lines.write(&Line::FollowersSummary(Box::new(summary.clone())))?;
         Ok(summary)
     }
 
-    /// Timers that are due.
-    fn due<W: Write>(&mut self, now: Instant, lines: &mut LineWriter<W>) -> io::Result<()> {
-        while let Some((n, at)) = self.timers.pop_due(now) {
-            let late = now.saturating_duration_since(at);
-            self.timer_delay.saturating_record(late.as_micros() as u64);
-            self.second.timer_delay = self.second.timer_delay.max(late);
-            match std::mem::replace(&mut self.peers[n].phase, Phase::Rests) {
-                Phase::Rests => self.ask(n, now, lines)?,
-                Phase::Sends(request, since) => self.send(n, request, since, lines)?,
-                Phase::Asks(asked) => {
-                    self.peers[n].phase = Phase::Asks(asked);
-                    self.progress(n * CONNECTIONS + connection_of(asked.kind), lines)?;
+    /// Advances the followers whose timers are due.
+    fn run_due_timers<W: Write>(&mut self, now: Instant, lines: &mut LineWriter<W>) -> io::Result<()> {
+        while let Some((index, at)) = self.timers.pop_due(now) {
+            let delay = now.saturating_duration_since(at);
+            self.timer_delay.saturating_record(delay.as_micros() as u64);
+            self.second.timer_delay = self.second.timer_delay.max(delay);
+            match std::mem::replace(&mut self.peers[index].phase, Phase::Idle) {
+                Phase::Idle => self.start_request(index, now, lines)?,
+                Phase::RequestInTransit(request, started_at) => {
+                    self.send(index, request, started_at, lines)?
                 }
-                Phase::Hears(exchange, answer) => {
-                    self.heard(n, Exchange { ended_at: now, ..exchange }, &answer, lines)?;
+                Phase::AwaitingAnswer(sent) => {
+                    self.peers[index].phase = Phase::AwaitingAnswer(sent);
+                    self.poll_connection(index * CONNECTIONS + connection_of(sent.kind), lines)?;
+                }
+                Phase::AnswerInTransit(exchange, answer) => {
+                    self.handle_answer(index, Exchange { ended_at: now, ..exchange }, &answer, lines)?;
                 }
             }
         }
         Ok(())
     }
 
-    /// A follower begins an ask.
-    fn ask<W: Write>(&mut self, n: usize, now: Instant, lines: &mut LineWriter<W>) -> io::Result<()> {
-        let peer = &mut self.peers[n];
-        let (request, way) = (peer.follower.request(&self.shared), peer.link.next_delay());
-        if way.is_zero() {
-            return self.send(n, request, now, lines);
+    /// Starts the next request of a follower, delayed by its simulated link.
+    fn start_request<W: Write>(
+        &mut self,
+        index: usize,
+        now: Instant,
+        lines: &mut LineWriter<W>,
+    ) -> io::Result<()> {
+        let peer = &mut self.peers[index];
+        let (request, delay) = (peer.follower.request(&self.shared), peer.link.next_delay());
+        if delay.is_zero() {
+            return self.send(index, request, now, lines);
         }
-        peer.phase = Phase::Sends(request, now);
-        self.timers.set(n, now + way);
+        peer.phase = Phase::RequestInTransit(request, now);
+        self.timers.set(index, now + delay);
         Ok(())
     }
 
-    /// Its request leaves.
+    /// Sends a request after its simulated delay. The timeout is counted from `started_at`.
     fn send<W: Write>(
         &mut self,
-        n: usize,
-        to_send: Request,
-        since: Instant,
+        index: usize,
+        request: Request,
+        started_at: Instant,
         lines: &mut LineWriter<W>,
     ) -> io::Result<()> {
-        let Request { kind, target, timeout } = to_send;
+        let Request { kind, target, timeout } = request;
         let to = self.settings.administration;
         let bytes = encode_request(to, "GET", &target, &[("Authorization", &self.authorization)], b"");
         self.counts.requests += 1;
         self.counts.bytes_out += bytes.len() as u64;
-        let (lane, until) = (connection_of(kind), since + timeout);
-        let token = Token(n * CONNECTIONS + lane);
-        let peer = &mut self.peers[n];
-        peer.connections[lane].send(self.poll.registry(), token, to, bytes, until);
-        peer.phase = Phase::Asks(Asked { kind, since, until });
-        self.timers.set(n, until);
-        self.progress(token.0, lines)
+        let (connection, deadline) = (connection_of(kind), started_at + timeout);
+        let token = Token(index * CONNECTIONS + connection);
+        let peer = &mut self.peers[index];
+        peer.connections[connection].send(self.poll.registry(), token, to, bytes, deadline);
+        peer.phase = Phase::AwaitingAnswer(SentRequest { kind, started_at, deadline });
+        self.timers.set(index, deadline);
+        self.poll_connection(token.0, lines)
     }
 
-    /// A connection may have more to give or to take.
-    fn progress<W: Write>(&mut self, token: usize, lines: &mut LineWriter<W>) -> io::Result<()> {
-        let (n, lane) = (token / CONNECTIONS, token % CONNECTIONS);
-        let Some(peer) = self.peers.get_mut(n) else { return Ok(()) };
+    /// Reads and writes on the connection of `token` as far as possible. Handles the response once it is complete or
+    /// the request has failed.
+    fn poll_connection<W: Write>(&mut self, token: usize, lines: &mut LineWriter<W>) -> io::Result<()> {
+        let (index, connection) = (token / CONNECTIONS, token % CONNECTIONS);
+        let Some(peer) = self.peers.get_mut(index) else { return Ok(()) };
         let now = Instant::now();
-        let Some(answer) = peer.connections[lane].poll(now) else { return Ok(()) };
-        let Phase::Asks(Asked { kind, since, until }) = peer.phase else { return Ok(()) };
-        let exchange = Exchange { kind, started_at: since, ended_at: now };
-        let way = peer.link.next_delay();
-        if way.is_zero() || answer.is_err() {
-            return self.heard(n, exchange, &answer, lines);
+        let Some(answer) = peer.connections[connection].poll(now) else { return Ok(()) };
+        let Phase::AwaitingAnswer(SentRequest { kind, started_at, deadline }) = peer.phase else {
+            return Ok(());
+        };
+        let exchange = Exchange { kind, started_at, ended_at: now };
+        let delay = peer.link.next_delay();
+        if delay.is_zero() || answer.is_err() {
+            return self.handle_answer(index, exchange, &answer, lines);
         }
-        let comes = now + way;
-        let in_time = comes < until;
+        let arrives_at = now + delay;
+        let in_time = arrives_at < deadline;
         let answer = if in_time { answer } else { Err(Http1Error::Timeout) };
         if !in_time {
-            peer.connections[lane].close();
+            peer.connections[connection].close();
         }
-        peer.phase = Phase::Hears(exchange, answer);
-        self.timers.set(n, comes.min(until));
+        peer.phase = Phase::AnswerInTransit(exchange, answer);
+        self.timers.set(index, arrives_at.min(deadline));
         Ok(())
     }
 
-    /// What came of an exchange.
-    fn heard<W: Write>(
+    /// Handles the end of an exchange: updates the follower, the counters and the propagation times, and schedules the
+    /// next request.
+    fn handle_answer<W: Write>(
         &mut self,
-        n: usize,
+        index: usize,
         exchange: Exchange,
         answer: &Result<Answer, Http1Error>,
         lines: &mut LineWriter<W>,
     ) -> io::Result<()> {
-        let peer = &mut self.peers[n];
+        let peer = &mut self.peers[index];
         let received = peer.connections[connection_of(exchange.kind)].received();
         let outcome = peer.follower.handle_answer(exchange, answer, &mut self.shared);
         self.counts.record(&outcome, received as u64);
-        peer.phase = Phase::Rests;
-        self.timers.set(n, outcome.retry_at);
+        peer.phase = Phase::Idle;
+        self.timers.set(index, outcome.retry_at);
         let wall_ms = wall() / 1_000;
         for change in outcome.changes {
-            let after = wall_ms.saturating_sub(change.at_ms);
-            if let Some(change) = self.propagation.record(change.revision, after) {
+            let after_ms = wall_ms.saturating_sub(change.at_ms);
+            if let Some(change) = self.propagation.record(change.revision, after_ms) {
                 lines.write(&Line::FollowersChange(change))?;
             }
         }
@@ -293,7 +307,7 @@
         let processor = process::processor_time();
         let revisions = || self.peers.iter().map(|peer| peer.follower.revision().unwrap_or(0));
         let second = Second {
-            at_ms: (now - self.begun).as_millis() as u64,
+            at_ms: (now - self.started_at).as_millis() as u64,
             followers: self.peers.len() as u64,
             leased: self.leased(now),
             oldest_revision: revisions().min().unwrap_or(0),
@@ -302,8 +316,8 @@
             processor_us: processor.saturating_sub(self.second.processor).as_micros() as u64,
             timer_delay_us: self.second.timer_delay.as_micros() as u64,
         };
-        let ends = (self.second.ends + A_SECOND).max(now);
-        self.second = SecondSoFar { ends, counts: self.counts, processor, timer_delay: Duration::ZERO };
+        let ends_at = (self.second.ends_at + REPORT_INTERVAL).max(now);
+        self.second = CurrentSecond { ends_at, counts: self.counts, processor, timer_delay: Duration::ZERO };
         second
     }
 
@@ -311,33 +325,34 @@
         self.peers.iter().filter(|peer| peer.follower.leases().is_valid(now)).count() as u64
     }
 
-    /// The interval since the last summary, and another begins.
-    fn summary(&mut self, now: Instant) -> Summary {
+    /// Returns the summary of the current interval and starts the next one.
+    fn end_interval(&mut self, now: Instant) -> Summary {
         let interval = Interval {
-            began: now,
+            started_at: now,
             counts: self.counts,
-            covered: self.covered(now),
+            coverage: self.coverage(now),
             lapses: self.peers.iter().map(|peer| peer.follower.leases().lapses).sum(),
             processor: process::processor_time(),
         };
         let before = std::mem::replace(&mut self.interval, interval);
         let counts = self.counts.since(&before.counts);
-        let covered = self.interval.covered.since(&before.covered);
-        let part = |of: Duration| covered.leased.as_secs_f64() / of.as_secs_f64().max(f64::MIN_POSITIVE);
-        let a_second = |count: u64| count as f64 / covered.total.as_secs_f64().max(f64::MIN_POSITIVE);
+        let coverage = self.interval.coverage.since(&before.coverage);
+        let fraction = |of: Duration| coverage.leased.as_secs_f64() / of.as_secs_f64().max(f64::MIN_POSITIVE);
+        let per_follower_second =
+            |count: u64| count as f64 / coverage.total.as_secs_f64().max(f64::MIN_POSITIVE);
         let summary = Summary {
             followers: self.peers.len() as u64,
-            ran_ms: (now - before.began).as_millis() as u64,
+            ran_ms: (now - before.started_at).as_millis() as u64,
             counts,
             never_leased: self.peers.iter().filter(|peer| !peer.follower.leases().ever_granted()).count()
                 as u64,
             leased: self.leased(now),
             lapses: self.interval.lapses - before.lapses,
-            coverage: part(covered.total),
-            coverage_since_first: part(covered.since_first),
-            requests_per_follower_second: a_second(counts.requests),
-            bytes_in_per_follower_second: a_second(counts.bytes_in - counts.snapshot_bytes_in),
-            bytes_out_per_follower_second: a_second(counts.bytes_out),
+            coverage: fraction(coverage.total),
+            coverage_since_first: fraction(coverage.since_first),
+            requests_per_follower_second: per_follower_second(counts.requests),
+            bytes_in_per_follower_second: per_follower_second(counts.bytes_in - counts.snapshot_bytes_in),
+            bytes_out_per_follower_second: per_follower_second(counts.bytes_out),
             change_to_each: Percentiles::from(&self.propagation.to_each),
             change_to_last: Percentiles::from(&self.propagation.to_last),
             changes_incomplete: self.propagation.incomplete,
@@ -350,61 +365,68 @@
         summary
     }
 
-    fn covered(&self, now: Instant) -> Coverage {
-        let covered = self.peers.iter().map(|peer| peer.follower.leases().coverage(now));
-        covered.fold(Coverage::default(), |sum, one| Coverage {
+    fn coverage(&self, now: Instant) -> Coverage {
+        let each = self.peers.iter().map(|peer| peer.follower.leases().coverage(now));
+        each.fold(Coverage::default(), |sum, one| Coverage {
             total: sum.total + one.total,
             since_first: sum.since_first + one.since_first,
             leased: sum.leased + one.leased,
         })
     }
 
-    /// All of them say that they end, as a follower does that ends in order.
-    fn farewell(&mut self) -> io::Result<()> {
-        let (to, until) = (self.settings.administration, Instant::now() + DEREGISTRATION_TIMEOUT);
-        for (n, peer) in self.peers.iter_mut().enumerate() {
+    /// Deregisters all followers that ever had a lease, as a real follower does at an orderly shutdown. Waits until all
+    /// requests have ended or timed out.
+    fn deregister_all(&mut self) -> io::Result<()> {
+        let (to, deadline) = (self.settings.administration, Instant::now() + DEREGISTRATION_TIMEOUT);
+        for (index, peer) in self.peers.iter_mut().enumerate() {
             peer.connections[WATCHES].close();
             if !peer.follower.leases().ever_granted() {
                 continue;
             }
-            let (number, life) = peer.follower.identity();
+            let (number, incarnation) = peer.follower.identity();
             let headers = [("Authorization", self.authorization.as_str())];
-            let bytes = encode_request(to, "GET", &deregistration_target(number, life), &headers, b"");
-            let token = Token(n * CONNECTIONS + SNAPSHOTS);
-            peer.connections[SNAPSHOTS].send(self.poll.registry(), token, to, bytes, until);
+            let bytes = encode_request(to, "GET", &deregistration_target(number, incarnation), &headers, b"");
+            let token = Token(index * CONNECTIONS + SNAPSHOTS);
+            peer.connections[SNAPSHOTS].send(self.poll.registry(), token, to, bytes, deadline);
         }
-        let mut events = Events::with_capacity(EVENTS);
+        let mut events = Events::with_capacity(EVENT_CAPACITY);
         loop {
             let now = Instant::now();
-            let waits = |peer: &mut Peer| {
+            let is_waiting = |peer: &mut Peer| {
                 let connection = &mut peer.connections[SNAPSHOTS];
                 connection.deadline().is_some() && connection.poll(now).is_none()
             };
-            let waiting = self.peers.iter_mut().map(waits).filter(|waits| *waits).count();
+            let waiting = self.peers.iter_mut().map(is_waiting).filter(|waiting| *waiting).count();
             if waiting == 0 {
                 return Ok(());
             }
-            poll(&mut self.poll, &mut events, Some(until.saturating_duration_since(now)))?;
+            poll(&mut self.poll, &mut events, Some(deadline.saturating_duration_since(now)))?;
         }
     }
 }
 
-/// The follower of this place, and when it asks first.
-fn peer(settings: &Settings, n: u32, begun: Instant) -> (Peer, Instant) {
-    let number = settings.first_number + n;
+/// Creates the follower with this index. Returns it and the time of its first request.
+fn peer(settings: &Settings, index: u32, started_at: Instant) -> (Peer, Instant) {
+    let number = settings.first_number + index;
     let mut random = ChaCha8Rng::seed_from_u64(settings.seed);
     random.set_stream(u64::from(number) << 1);
-    // 0 is that of earlier versions, which tell none.
-    let (life, jitter) = (random.random::<u64>().max(1), random.random::<u64>());
-    let first_ask = begun + settings.begin_within.mul_f64(random.random::<f64>());
+    // 0 is reserved: followers of earlier versions of the program, which report no incarnation, are read as 0.
+    let (incarnation, jitter_seed) = (random.random::<u64>().max(1), random.random::<u64>());
+    let first_request_at = started_at + settings.begin_within.mul_f64(random.random::<f64>());
     let stream = (u64::from(number) << 1) + 1;
     let peer = Peer {
-        follower: Follower::new(number, life, !settings.serves_without_lease, jitter, first_ask),
+        follower: Follower::new(
+            number,
+            incarnation,
+            !settings.serves_without_lease,
+            jitter_seed,
+            first_request_at,
+        ),
         link: Link::new(settings.delay, settings.loss, settings.seed, stream),
-        phase: Phase::Rests,
+        phase: Phase::Idle,
         connections: Default::default(),
     };
-    (peer, first_ask)
+    (peer, first_request_at)
 }
 
 fn poll(poll: &mut Poll, events: &mut Events, wait: Option<Duration>) -> io::Result<()> {
