--- a/crates/metrics/src/groups.rs
+++ b/crates/metrics/src/groups.rs
@@ -108,12 +108,12 @@
                 }
             }
         }
-        registry.register("calls", "Ended calls, by class, end, tenant and model group", calls);
+        registry.register("calls", "Calls with their one final answer", calls);
         let latency = Family::<ClassLabels, LatencyHistogram>::default();
         let class_latency =
             |class: &String| latency.get_or_create_owned(&ClassLabels { class: class.clone() });
         let latency_handles = layout.classes().iter().map(class_latency).collect();
-        let help = "Time from a call's arrival to its final answer, for served calls";
+        let help = "From a call's coming to its answer, served calls alone";
         registry.register_with_unit("call_duration", help, Unit::Seconds, latency);
         Self { calls: call_handles, latency: latency_handles }
     }
@@ -141,11 +141,10 @@
         let end = |end| EndLabels { end };
         let health = |health| HealthLabels { health };
         let limit = |limit| LimitLabels { limit };
-        let attempts_help = "Attempts, by how the previous attempt of the call ended";
-        let notes_help = "Worker responses, by what they report about the replica of the model";
-        let backstop_help =
-            "Calls that the engine ended because the decision module left them without an answer";
-        let health_help = "Workers in the worker list, by health as the decision module sees it";
+        let attempts_help = "Attempts, and how the one before ended";
+        let notes_help = "Answers by what they told of loaded copies";
+        let backstop_help = "Calls that the engine had to end in the module's place";
+        let health_help = "Listed workers by health, as the module sees it";
         // The series appear in the metrics text in the order of these fields.
         Self {
             attempts: counter_family(
@@ -166,20 +165,20 @@
             load_orders: counter_family(
                 registry,
                 "load_orders",
-                "Ended load orders, by how they ended",
+                "Load orders by their end",
                 label_values(LoadOrderEnd::ALL, LoadOrderEnd::label),
                 end,
             ),
             probes: counter_family(
                 registry,
                 "probes",
-                "Ended probes of workers, by how they ended",
+                "Probes by their end",
                 label_values(ProbeEnd::ALL, ProbeEnd::label),
                 end,
             ),
             backstop_ends: counter(registry, "backstop_ends", backstop_help),
             open_calls: gauge(registry, "open_calls", "Calls without a final answer"),
-            held_calls: gauge(registry, "held_calls", "Open calls that are not assigned to a worker"),
+            held_calls: gauge(registry, "held_calls", "Open calls that no worker has"),
             health: gauge_family(
                 registry,
                 "workers",
@@ -190,7 +189,7 @@
             limit_hits: counter_family(
                 registry,
                 "limit_hits",
-                "Number of times that a limit was hit, by limit",
+                "How often a named limit was hit",
                 limits.iter().copied(),
                 limit,
             ),
@@ -213,15 +212,12 @@
 impl FleetSeries {
     /// Registers the series.
     pub(crate) fn register(registry: &mut Registry) -> Self {
-        let step_help =
-            "Phase of the return to service after a restart: 1 for the current phase, 0 for the others";
-        let rejections_help = "Calls rejected on arrival, after a restart or without a lease";
-        let stage_help = "Stage of a follower's lease: 1 for the current stage, 0 for the others";
-        let doubtful_help =
-            "Actions begun within a lease and finished after its expiry, because the process stalled";
-        let stale_help =
-            "Incarnations that hold a lease and have an earlier revision in force than the leader";
-        let pending_help = "1 while recovery has not decided which snapshot is authoritative, otherwise 0";
+        let step_help = "Step of the return from a restart: 1 for the one it is in";
+        let rejections_help = "Calls refused at once after a restart, or for want of a lease";
+        let stage_help = "Stage of the lease of a controller that follows: 1 for the one it is in";
+        let doubtful_help = "Times that calls were taken while the lease ran out, as the process stood still";
+        let stale_help = "Lives that hold a lease and act on an older revision, as the administration knows";
+        let pending_help = "1 while it is open which book of tenants stands, at the administration";
         let (step, reason) = (|step| StepLabels { step }, |reason| ReasonLabels { reason });
         let stage = |stage| StageLabels { stage };
         // The series appear in the metrics text in the order of these fields.
@@ -247,13 +243,13 @@
                 label_values(LeaseStage::ALL, LeaseStage::label),
                 stage,
             ),
-            lease_expiries: counter(registry, "lease_lapses", "Leases that expired before they were renewed"),
+            lease_expiries: counter(registry, "lease_lapses", "Leases that ran out before the next one came"),
             doubtful_actions: counter(registry, "lease_doubtful_acts", doubtful_help),
             stale_incarnations: gauge(registry, "lives_behind", stale_help),
             fenced_incarnations: gauge(
                 registry,
                 "lives_fenced",
-                "Fenced incarnations that have sent a heartbeat recently",
+                "Lives that are shut out and were heard lately",
             ),
             recovery_pending: gauge(registry, "book_waits", pending_help),
         }
@@ -278,13 +274,13 @@
 impl RemoteWriteSeries {
     /// Registers the series.
     pub(crate) fn register(registry: &mut Registry) -> Self {
-        let samples_help = "Samples that left the remote-write queue, by how they left it";
-        let changes_help = "Changes of the remote-write protocol version in use";
-        let splits_help = "Rejected batches that were halved to isolate invalid samples";
-        let short_help = "Batches that the receiver accepted but reported as written only in part";
-        let failed_help = "Failed operations on the storage of the spool";
-        let waiting_help = "Samples in the remote-write queue";
-        let oldest_help = "Age of the oldest sample in the remote-write queue";
+        let samples_help = "Samples to be pushed, by what became of them";
+        let changes_help = "Changes between the versions of remote write";
+        let splits_help = "Refused batches that were halved to find what is bad in them";
+        let short_help = "Batches of which the receiver told that it wrote less than it took";
+        let failed_help = "Operations that the spool's disk refused";
+        let waiting_help = "Samples that wait to be pushed";
+        let oldest_help = "Age of the oldest sample that waits";
         let end = |end| EndLabels { end };
         // The series appear in the metrics text in the order of these fields.
         Self {
@@ -299,17 +295,12 @@
             splits: counter(registry, "push_splits", splits_help),
             short_writes: counter(registry, "push_short_writes", short_help),
             clock_offset: clock_offset(registry),
-            retries: counter(registry, "push_retries", "Batches sent again"),
+            retries: counter(registry, "push_retries", "Batches pushed again"),
             wal_failures: counter(registry, "spool_failures", failed_help),
             waiting_samples: gauge(registry, "push_waiting_samples", waiting_help),
             oldest_age: gauge_with_unit(registry, "push_oldest_age", oldest_help, Unit::Seconds),
             wal_bytes: gauge_with_unit(registry, "spool", "Size of the spool on disk", Unit::Bytes),
-            wal_limit: gauge_with_unit(
-                registry,
-                "spool_limit",
-                "Maximum size of the spool on disk",
-                Unit::Bytes,
-            ),
+            wal_limit: gauge_with_unit(registry, "spool_limit", "Bound of the spool on disk", Unit::Bytes),
         }
     }
 }
@@ -317,7 +308,7 @@
 /// Registers the gauge for the offset between the wall clock and the sample clock.
 fn clock_offset(registry: &mut Registry) -> Gauge<f64, AtomicU64> {
     let offset = Gauge::<f64, AtomicU64>::default();
-    let help = "How far the wall clock is ahead of the sample clock";
+    let help = "How far the wall clock is ahead of the time of samples";
     registry.register_with_unit("push_clock_offset", help, Unit::Seconds, offset.clone());
     offset
 }
