--- a/crates/hollow/src/bounds.rs
+++ b/crates/hollow/src/bounds.rs
@@ -35,7 +35,7 @@
     /// The requested number of peers is 0.
     #[error("a run has at least one peer")]
     NoPeers,
-    /// An option's value is out of its range.
+    /// An option's value has the wrong form or is out of its range.
     #[error("{what}: {why}")]
     OutOfRange {
         /// Name of the command-line option.
--- a/crates/hollow/src/followers/follower.rs
+++ b/crates/hollow/src/followers/follower.rs
@@ -57,7 +57,7 @@
     SnapshotRequired,
     /// This incarnation is fenced.
     Fenced,
-    /// Another status than success, or a snapshot that must not replace the current one.
+    /// Another status than success, or a snapshot that the follower could not apply.
     Refused,
     /// The response can't be parsed.
     Malformed,
@@ -323,7 +323,7 @@
         }
     }
 
-    /// Applies a snapshot unless it must not replace the current one. Returns whether it was applied.
+    /// Applies a snapshot unless it must not replace the current one or can't be parsed. Returns whether it was applied.
     fn apply_snapshot(&mut self, snapshot: Snapshot, answer: &Answer, shared: &mut SharedSnapshot) -> bool {
         let Snapshot { store, epoch, checksum, tenants, .. } = &snapshot;
         let version = SnapshotVersion {
--- a/crates/hollow/src/followers/report.rs
+++ b/crates/hollow/src/followers/report.rs
@@ -21,7 +21,7 @@
     pub snapshot_required: u64,
     /// Responses that report that the incarnation is fenced.
     pub fenced: u64,
-    /// Responses with another status, and snapshots that could not replace the current one.
+    /// Responses with another status, and snapshots that could not be applied.
     pub refused: u64,
     /// Responses that can't be parsed.
     pub malformed: u64,
