--- a/crates/hollow/src/followers/follower.rs
+++ b/crates/hollow/src/followers/follower.rs
@@ -323,7 +323,8 @@
         }
     }
 
-    /// Applies a snapshot unless it must not replace the current one or can't be parsed. Returns whether it was applied.
+    /// Applies a snapshot unless it must not replace the current one or can't be parsed. Returns whether it was
+    /// applied.
     fn apply_snapshot(&mut self, snapshot: Snapshot, answer: &Answer, shared: &mut SharedSnapshot) -> bool {
         let Snapshot { store, epoch, checksum, tenants, .. } = &snapshot;
         let version = SnapshotVersion {
