--- a/crates/gateway/src/controller/administration.rs
+++ b/crates/gateway/src/controller/administration.rs
@@ -50,7 +50,7 @@
                 self.record(|recorder, now, names| recorder.event(now, AuditEvent::Fenced, names));
             }
             AdminEvent::SnapshotBehind(is_behind) => {
-                self.tenants.iter_mut().for_each(|tenants| tenants.set_behind(is_behind));
+                self.tenants.iter_mut().for_each(|tenants| tenants.set_snapshot_behind(is_behind));
             }
             AdminEvent::WorkersDrained(workers) => self.apply_drained_workers(workers),
         }
--- a/crates/gateway/src/controller/commands.rs
+++ b/crates/gateway/src/controller/commands.rs
@@ -81,7 +81,7 @@
 
     /// Lets the front handle something, and checks that the lease still held when it had accepted a call.
     pub(super) fn with_front<T>(&mut self, handle: impl FnOnce(&mut Front, &mut FrontContext) -> T) -> T {
-        let (now, opened_before) = (self.clock.now(), self.front.opened);
+        let (now, opened_before) = (self.clock.now(), self.front.opened_calls);
         let mut context = FrontContext {
             hub: &mut self.hub,
             engine: &mut self.engine,
@@ -93,7 +93,7 @@
             now,
         };
         let result = handle(&mut self.front, &mut context);
-        if self.front.opened != opened_before {
+        if self.front.opened_calls != opened_before {
             self.check_lease_after_accepting(now);
         }
         result
--- a/crates/gateway/src/controller/mod.rs
+++ b/crates/gateway/src/controller/mod.rs
@@ -136,8 +136,8 @@
     /// The newest worker list, as its source gave it.
     listed_workers: Vec<Worker>,
     /// The administration has not been shown the newest worker list yet.
-    list_changed: bool,
-    refresh_at: Micros,
+    list_publish_pending: bool,
+    next_refresh: Micros,
     commands: Vec<Command>,
     grpc_address: SocketAddr,
     /// Set by the first signal: when open calls must have ended.
--- a/crates/gateway/src/controller/shutdown.rs
+++ b/crates/gateway/src/controller/shutdown.rs
@@ -71,7 +71,8 @@
             (_, writer) => drop(writer),
         }
         let (engine, net, front) = (self.engine.counters(), self.hub.counters(), self.front.counters());
-        let (no_room, lists_rejected) = (self.worker_links.no_room, self.list_watcher.rejected());
+        let (no_room, lists_rejected) =
+            (self.worker_links.connections_exhausted, self.list_watcher.rejected());
         info!(?engine, ?net, ?front, no_room, lists_rejected, "stopped");
         shutdown
     }
--- a/crates/gateway/src/controller/status.rs
+++ b/crates/gateway/src/controller/status.rs
@@ -25,8 +25,8 @@
         self.write_audit_log();
         self.metrics.record_measurements(&mut self.engine);
         let now = self.clock.now();
-        if now >= self.refresh_at {
-            self.refresh_at = now + REFRESH_INTERVAL;
+        if now >= self.next_refresh {
+            self.next_refresh = now + REFRESH_INTERVAL;
             self.refresh();
         }
     }
@@ -36,7 +36,12 @@
         self.log_restart_admission();
         self.log_lease_stage();
         let (net, front) = (self.hub.counters(), self.front.counters());
-        self.metrics.update_slow(&self.engine, &net, &front, self.worker_links.no_room);
+        self.metrics.update_workers_and_limits(
+            &self.engine,
+            &net,
+            &front,
+            self.worker_links.connections_exhausted,
+        );
         let now = self.clock.now_ms();
         let lease = self.lease.as_ref().map(|lease| (lease.stage(now), lease.counters()));
         let admission = &self.restart_admission;
@@ -63,7 +68,7 @@
             recovery_pending: fleet.recovery_pending,
         });
         tenants.publish_usage(&mut status.usage);
-        if std::mem::take(&mut self.list_changed) {
+        if std::mem::take(&mut self.list_publish_pending) {
             let worker = |worker| published_worker(worker, &self.drained_workers);
             status.workers = self.listed_workers.iter().map(worker).collect();
         }
--- a/crates/gateway/src/controller/worker_list.rs
+++ b/crates/gateway/src/controller/worker_list.rs
@@ -17,7 +17,7 @@
             return self.notify_engine_of_list(now, update.form, Vec::new());
         }
         self.listed_workers.clone_from(&update.workers);
-        self.list_changed = true;
+        self.list_publish_pending = true;
         self.list_version += 1;
         self.apply_drain(&mut update.workers);
         let addresses: HashMap<_, _> = update
--- a/crates/gateway/src/front/accept.rs
+++ b/crates/gateway/src/front/accept.rs
@@ -18,7 +18,7 @@
 use super::{Front, FrontContext, Method, OpenCall, Rpc};
 use crate::audit_log::{ControllerNames, NO_TENANT};
 use crate::call_steps::count_call_steps;
-use crate::tenants::{CallRejection, TenantCall, model_number};
+use crate::tenants::{CallRejection, TenantCall, model_hash};
 
 /// Clients that are rejected for want of a lease retry within this span beyond the usual advice, so that they don't all
 /// come at once. Milliseconds.
@@ -70,8 +70,8 @@
             self.counters.without_lease += 1;
             return Err(failure);
         }
-        self.last_number += 1;
-        let number = self.last_number;
+        self.last_call_number += 1;
+        let number = self.last_call_number;
         let tenant = match self.admit(context, number, rpc, head, model) {
             Ok(tenant) => tenant,
             Err(rejection) => {
@@ -101,13 +101,13 @@
         let number = new_call.front;
         let open_call = OpenCall { stream, id: id.into(), model: Arc::clone(&new_call.model) };
         self.calls.insert(number, open_call);
-        self.opened += 1;
+        self.opened_calls += 1;
         let now = context.now_ms();
         if let Some(recorder) = &mut context.recorder {
             recorder.call(now, new_call.tenant.map_or(NO_TENANT, |tenant| tenant.0 as u64));
         }
         if let Some(limiter) = &mut context.limiter {
-            limiter.waiting(now, number, model_number(&new_call.model));
+            limiter.waiting(now, number, model_hash(&new_call.model));
         }
         let commands_before = context.commands.len();
         let id = context.engine.open(context.now, new_call, context.commands);
@@ -122,7 +122,7 @@
     fn track_call(&mut self, context: &mut FrontContext, stream: StreamKey, call: CallId, number: u64) {
         let Some(rpc) = self.rpcs.get_mut(&stream) else { return };
         rpc.calls.insert(call, number);
-        if rpc.full {
+        if rpc.send_queue_full {
             context.engine.handle(context.now, Event::ClientSlow { call }, context.commands);
         }
         if rpc.calls.len() >= self.config.edge.calls_per_stream && !rpc.paused {
@@ -151,7 +151,7 @@
             latency_objective: class.latency_objective / 1000,
             priority_weight: class.priority_weight / highest_weight,
             non_idempotent: class.effect != Effect::Idempotent,
-            model: model_number(&head.model),
+            model: model_hash(&head.model),
         };
         match limiter.admit(now, &call, rand::random()) {
             Verdict::Admit => None,
@@ -198,7 +198,7 @@
         // Admission is to know what has become of other calls by now.
         count_call_steps(context.now, context.engine, context.limiter.as_deref_mut(), Some(&mut **tenants));
         let call = TenantCall {
-            front: number,
+            call_number: number,
             tenant: name,
             class: model.class.0,
             model: &head.model,
--- a/crates/gateway/src/front/failure.rs
+++ b/crates/gateway/src/front/failure.rs
@@ -73,7 +73,7 @@
 }
 
 /// The failure that a final answer is; `None`: it is a success.
-pub(super) fn of_answer(answer: &FinalAnswer, pushback: Duration) -> Option<Failure> {
+pub(super) fn failure_for_answer(answer: &FinalAnswer, pushback: Duration) -> Option<Failure> {
     Some(match answer {
         FinalAnswer::Served { .. } => return None,
         FinalAnswer::Rejected { message } => Failure::new(Code::InvalidArgument, message.clone()),
@@ -102,7 +102,7 @@
 }
 
 /// The last message of a stream whose worker sent none that was marked.
-pub(super) fn empty_final(id: &str, model: &str) -> Bytes {
+pub(super) fn empty_final_message(id: &str, model: &str) -> Bytes {
     let mut response =
         ModelInferResponse { id: id.to_owned(), model_name: model.to_owned(), ..Default::default() };
     response.parameters.insert(FINAL.to_owned(), true.into());
--- a/crates/gateway/src/front/failure/tests.rs
+++ b/crates/gateway/src/front/failure/tests.rs
@@ -7,7 +7,7 @@
 #[test]
 fn refusals_advise_when_to_retry_and_failures_advise_never_to() {
     let refused = FinalAnswer::Refused { reason: Refusal::NoRoom, retry_after: None };
-    let map = of_answer(&refused, Duration::from_millis(70)).expect("no success").trailers();
+    let map = failure_for_answer(&refused, Duration::from_millis(70)).expect("no success").trailers();
     assert_eq!((map["grpc-status"].as_bytes(), map[PUSHBACK].as_bytes()), (&b"14"[..], &b"70"[..]));
     let details = read_binary(&map["grpc-status-details-bin"]).expect("base64");
     let status = rpc::Status::decode(&details[..]).expect("google.rpc.Status");
@@ -17,13 +17,13 @@
 
     for cause in [Cause::Aborted, Cause::Internal, Cause::Deadline] {
         let failed = FinalAnswer::Failed { cause, message: "it broke: \u{e4} 100%".to_owned() };
-        let map = of_answer(&failed, Duration::ZERO).expect("no success").trailers();
+        let map = failure_for_answer(&failed, Duration::ZERO).expect("no success").trailers();
         assert_ne!(map["grpc-status"], "14");
         assert_eq!(map[PUSHBACK], "-1");
         assert_eq!(map["grpc-message"], "it broke: %C3%A4 100%25");
         assert!(!map.contains_key("grpc-status-details-bin"));
     }
-    assert_eq!(of_answer(&FinalAnswer::Served { last: None }, Duration::ZERO), None);
+    assert_eq!(failure_for_answer(&FinalAnswer::Served { last: None }, Duration::ZERO), None);
 }
 
 #[test]
--- a/crates/gateway/src/front/mod.rs
+++ b/crates/gateway/src/front/mod.rs
@@ -57,7 +57,7 @@
     /// A message was received.
     has_request: bool,
     /// The client does not take its answers.
-    full: bool,
+    send_queue_full: bool,
     /// No messages are taken, as it has as many open calls as it may.
     paused: bool,
 }
@@ -71,7 +71,7 @@
             responded: false,
             half_closed: false,
             has_request: false,
-            full: false,
+            send_queue_full: false,
             paused: false,
         }
     }
@@ -112,12 +112,12 @@
     rpcs: HashMap<StreamKey, Rpc>,
     calls: HashMap<u64, OpenCall>,
     /// The number given to a call last.
-    last_number: u64,
+    last_call_number: u64,
     draining: bool,
     /// Some worker is in service: for ServerReady.
     pub ready: bool,
     /// Calls opened so far.
-    pub opened: u64,
+    pub opened_calls: u64,
     counters: FrontCounters,
 }
 
@@ -128,10 +128,10 @@
             config,
             rpcs: HashMap::new(),
             calls: HashMap::new(),
-            last_number: 0,
+            last_call_number: 0,
             draining: false,
             ready: false,
-            opened: 0,
+            opened_calls: 0,
             counters: FrontCounters::default(),
         }
     }
@@ -176,7 +176,7 @@
             NetEvent::Sent { stream } => {
                 self.rpcs.remove(&stream);
             }
-            NetEvent::Drained { stream } => self.set_full(context, stream, false),
+            NetEvent::Drained { stream } => self.set_send_queue_full(context, stream, false),
             _ => {}
         }
     }
@@ -272,9 +272,9 @@
     }
 
     /// The client of a stream does not take its answers, or does so again: its workers wait, nobody else's.
-    fn set_full(&mut self, context: &mut FrontContext, stream: StreamKey, full: bool) {
+    fn set_send_queue_full(&mut self, context: &mut FrontContext, stream: StreamKey, full: bool) {
         let Some(rpc) = self.rpcs.get_mut(&stream) else { return };
-        rpc.full = full;
+        rpc.send_queue_full = full;
         self.counters.slow_clients += u64::from(full);
         for call in rpc.calls.keys().copied() {
             let event = if full { Event::ClientSlow { call } } else { Event::ClientReady { call } };
--- a/crates/gateway/src/front/respond.rs
+++ b/crates/gateway/src/front/respond.rs
@@ -33,10 +33,10 @@
             context.hub.resume(call.stream);
         }
         let streamed = rpc.method == Method::Stream;
-        match (failure::of_answer(&answer, pushback), answer) {
+        match (failure::failure_for_answer(&answer, pushback), answer) {
             (Some(failure), _) => self.fail_call(context, call.stream, &call.id, &failure),
             (None, FinalAnswer::Served { last }) => {
-                let empty = || streamed.then(|| failure::empty_final(&call.id, &call.model));
+                let empty = || streamed.then(|| failure::empty_final_message(&call.id, &call.model));
                 if let Some(payload) = last.or_else(empty) {
                     self.send(context, call.stream, payload);
                 }
@@ -56,8 +56,8 @@
             context.hub.respond(stream, grpc_head());
         }
         context.hub.send(stream, payload);
-        if !rpc.full && context.hub.is_full(stream) {
-            self.set_full(context, stream, true);
+        if !rpc.send_queue_full && context.hub.is_full(stream) {
+            self.set_send_queue_full(context, stream, true);
         }
     }
 
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -98,13 +98,13 @@
         }
     }
 
-    /// Updates what is slower to read: workers and limits. `links_full`: how often no connection to a worker was left.
-    pub(crate) fn update_slow(
+    /// Updates what is slower to read: workers and limits. `connections_exhausted`: how often no connection to a worker was left.
+    pub(crate) fn update_workers_and_limits(
         &self,
         engine: &Engine,
         net: &NetCounters,
         front: &FrontCounters,
-        links_full: u64,
+        connections_exhausted: u64,
     ) {
         let mut workers = [0; WorkerHealth::COUNT];
         for health in engine.health() {
@@ -119,7 +119,9 @@
         self.metrics.set_workers(workers);
         let counters = engine.counters();
         self.metrics.set_backstop_ends(counters.backstop);
-        for (limit, total) in limit_hits(counters.over_open, net, front, links_full).into_iter().enumerate() {
+        for (limit, total) in
+            limit_hits(counters.over_open, net, front, connections_exhausted).into_iter().enumerate()
+        {
             self.metrics.set_limit_hits(limit, total);
         }
     }
@@ -168,7 +170,7 @@
     over_open: u64,
     net: &NetCounters,
     front: &FrontCounters,
-    links_full: u64,
+    connections_exhausted: u64,
 ) -> [u64; LIMITS.len()] {
     [
         over_open,
@@ -181,7 +183,7 @@
         net.idle_closed,
         net.connect_failures,
         net.protocol_errors,
-        links_full,
+        connections_exhausted,
     ]
 }
 
@@ -234,7 +236,7 @@
 }
 
 /// Content type of the OpenMetrics text format, version 1.0.0.
-const OPENMETRICS: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
+const OPENMETRICS_CONTENT_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
 fn respond(request: &Request<'_>, metrics: &Metrics) -> Reply {
     let path = request.target.split('?').next().unwrap_or("");
@@ -246,7 +248,7 @@
         return Reply { headers: allow, ..Reply::text(405, "GET alone is answered here\n") };
     }
     match metrics.text() {
-        Ok(text) => Reply { content_type: OPENMETRICS, ..Reply::text(200, text) },
+        Ok(text) => Reply { content_type: OPENMETRICS_CONTENT_TYPE, ..Reply::text(200, text) },
         Err(_) => Reply::text(500, "the figures could not be written\n"),
     }
 }
--- a/crates/gateway/src/remote_write/log.rs
+++ b/crates/gateway/src/remote_write/log.rs
@@ -49,7 +49,7 @@
 
     /// Runs an operation. A failure is counted, and logged once until an operation succeeds again: meanwhile samples are
     /// in memory alone.
-    fn attempt<T>(
+    fn run_operation<T>(
         &mut self,
         operation: impl FnOnce(&mut WriteAheadLog<DirectoryStorage>) -> Result<T, WalError>,
     ) -> Option<T> {
@@ -73,13 +73,13 @@
     /// Appends a record of so many samples of one time.
     pub(super) fn append_samples(&mut self, at_ms: i64, series: &[Series], samples: usize) {
         let Ok(record) = remote_write::encode(Version::Two, series) else { return };
-        if let Some(position) = self.attempt(|wal| wal.append(&record)) {
+        if let Some(position) = self.run_operation(|wal| wal.append(&record)) {
             self.tracker.add(at_ms, position, samples);
         }
     }
 
     /// Tracks a recovered record, which holds so many samples of a time.
-    pub(super) fn track(&mut self, at_ms: i64, position: Position, samples: usize) {
+    pub(super) fn track_recovered(&mut self, at_ms: i64, position: Position, samples: usize) {
         self.tracker.add(at_ms, position, samples);
     }
 
@@ -92,7 +92,7 @@
 
     /// Acknowledges a record.
     pub(super) fn acknowledge(&mut self, position: Position) {
-        self.attempt(|wal| wal.acknowledge(position));
+        self.run_operation(|wal| wal.acknowledge(position));
     }
 
     /// Acknowledges a record of an unknown format, whatever the storage does.
@@ -102,7 +102,7 @@
 
     /// Makes durable what was appended and acknowledged.
     pub(super) fn sync(&mut self) {
-        self.attempt(WriteAheadLog::sync);
+        self.run_operation(WriteAheadLog::sync);
     }
 
     /// Whether the roster must be written again: it must not hold back segments, and may have been dropped with its own.
@@ -120,7 +120,7 @@
         let mut written = Vec::new();
         for part in series.chunks(MAX_RECORD_SERIES) {
             let Ok(record) = remote_write::encode(Version::Two, part) else { continue };
-            written.extend(self.attempt(|wal| wal.append(&record)));
+            written.extend(self.run_operation(|wal| wal.append(&record)));
         }
         if !written.is_empty() {
             for old in std::mem::replace(&mut self.roster, written) {
--- a/crates/gateway/src/remote_write/mod.rs
+++ b/crates/gateway/src/remote_write/mod.rs
@@ -9,14 +9,14 @@
 //! timestamp. Nothing is written for the time in between. An incarnation that shuts down gracefully writes a last round
 //! and the markers itself, and tries to send them for a while.
 //!
-//! * [`worker`]: the thread's loop. [`log`]: the write-ahead log. [`series`]: the known series. [`sample`]: values.
+//! * [`write_loop`]: the thread's loop. [`log`]: the write-ahead log. [`series`]: the known series. [`sample`]: values.
 //! * [`response`]: what a receiver's response means.
 
 mod log;
 mod response;
 mod sample;
 mod series;
-mod worker;
+mod write_loop;
 
 use std::io;
 use std::sync::Arc;
@@ -27,7 +27,7 @@
 use nettleferry_metrics::Metrics;
 use tracing::warn;
 
-use self::worker::Worker;
+use self::write_loop::WriteLoop;
 
 /// The thread of remote write. Dropped, it shuts down gracefully; see [`RemoteWriter::abandon`].
 pub(crate) struct RemoteWriter {
@@ -44,12 +44,12 @@
     /// # Errors
     /// Where the write-ahead log can't be opened: the settings ask for samples to survive a crash.
     pub(crate) fn start(settings: RemoteWriteSettings, metrics: Arc<Metrics>) -> io::Result<Self> {
-        let mut worker = Worker::new(settings, metrics)?;
+        let mut write_loop = WriteLoop::new(settings, metrics)?;
         let (stop, abandoned) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicBool::new(false)));
-        let waker = worker.waker();
+        let waker = write_loop.waker();
         let (stop_flag, abandoned_flag) = (Arc::clone(&stop), Arc::clone(&abandoned));
         let thread = std::thread::Builder::new().name("push".to_owned()).spawn(move || {
-            if let Err(error) = worker.run(&stop_flag).and_then(|()| worker.flush(&abandoned_flag)) {
+            if let Err(error) = write_loop.run(&stop_flag).and_then(|()| write_loop.flush(&abandoned_flag)) {
                 warn!(%error, "remote write has ended");
             }
         })?;
--- a/crates/gateway/src/remote_write/response.rs
+++ b/crates/gateway/src/remote_write/response.rs
@@ -13,7 +13,7 @@
 const MICROS_PER_SECOND: u64 = 1_000_000;
 
 /// The meaning of a response.
-pub(super) struct Meaning {
+pub(super) struct InterpretedResponse {
     /// For the batch.
     pub(super) response: Response,
     /// For the protocol version.
@@ -22,20 +22,20 @@
     pub(super) short_write: bool,
 }
 
-impl Meaning {
+impl InterpretedResponse {
     fn new(response: Response, acceptance: Acceptance) -> Self {
         Self { response, acceptance, short_write: false }
     }
 
     /// No response came.
-    pub(super) fn of_failure() -> Self {
+    pub(super) fn no_response() -> Self {
         Self::new(Response::Unavailable { retry_after: None }, Acceptance::Unknown)
     }
 
     /// The meaning of a status. 2xx: accepted, though for version 2.0 only where the response says what was written: a
     /// receiver of 1.0 that does not check the content type finds nothing in the body. 415: it does not know this version.
     /// 429 and 5xx: unavailable. 400, 413 and 422: something in the batch is invalid. Any other: rejected for good.
-    pub(super) fn of(answer: &Answer, batch: &Batch, version: Version) -> Self {
+    pub(super) fn from_answer(answer: &Answer, batch: &Batch, version: Version) -> Self {
         let unavailable = |retry_after| Response::Unavailable { retry_after };
         match (answer.status, version) {
             (200..300, Version::One) => Self::new(Response::Accepted, Acceptance::Unknown),
--- a/crates/gateway/src/remote_write/series.rs
+++ b/crates/gateway/src/remote_write/series.rs
@@ -14,7 +14,7 @@
     pub(super) labels: Vec<(String, String)>,
     kind: SeriesKind,
     /// Whether its samples are native histograms.
-    native: bool,
+    is_native: bool,
     /// Created timestamps of earlier incarnations of which samples are queued, in order.
     earlier_created_ms: Vec<i64>,
 }
@@ -50,11 +50,11 @@
         }
         let number = self.series.len() as u64;
         let is_latency = labels.iter().any(|(name, value)| name == "__name__" && value == LATENCY_NAME);
-        let native = kind == SeriesKind::Histogram && is_latency;
+        let is_native = kind == SeriesKind::Histogram && is_latency;
         self.series.push(KnownSeries {
             labels: labels.to_vec(),
             kind,
-            native,
+            is_native,
             earlier_created_ms: Vec::new(),
         });
         self.numbers.insert(labels.to_vec(), number);
@@ -72,7 +72,7 @@
 
     /// The staleness marker of a series.
     pub(super) fn stale_value(&self, number: u64) -> SampleValue {
-        if self.get(number).is_some_and(|known| known.native) {
+        if self.get(number).is_some_and(|known| known.is_native) {
             SampleValue::Native(Arc::new(NativeHistogram::stale(NATIVE_SCHEMA)))
         } else {
             SampleValue::Number(remote_write::stale())
@@ -90,7 +90,7 @@
     }
 
     /// Samples as series, each with its samples in order; those of each incarnation have a series of their own.
-    pub(super) fn describe(&self, samples: &[Sample]) -> Vec<Series> {
+    pub(super) fn to_series(&self, samples: &[Sample]) -> Vec<Series> {
         let mut indices: HashMap<(u64, Option<i64>), usize> = HashMap::new();
         let mut all: Vec<Series> = Vec::new();
         for sample in samples {
--- a/crates/gateway/src/remote_write/worker.rs
+++ b/crates/gateway/src/remote_write/write_loop.rs
@@ -19,7 +19,7 @@
 use tracing::{info, warn};
 
 use super::log::{MAX_RECORD_SERIES, SampleLog};
-use super::response::Meaning;
+use super::response::InterpretedResponse;
 use super::sample::{Batch, Sample, SampleValue};
 use super::series::SeriesTable;
 
@@ -43,7 +43,7 @@
 }
 
 /// The state of the thread.
-pub(super) struct Worker {
+pub(super) struct WriteLoop {
     settings: RemoteWriteSettings,
     metrics: Arc<Metrics>,
     clock: Clock,
@@ -52,7 +52,7 @@
     log: SampleLog,
     series: SeriesTable,
     /// The time of the last round, milliseconds since 1970.
-    last_ms: i64,
+    last_sample_time_ms: i64,
     sample_clock: SampleClock,
     negotiation: Negotiation,
     /// By lane.
@@ -61,7 +61,7 @@
     short_writes: u64,
 }
 
-impl Worker {
+impl WriteLoop {
     /// Opens the log, and restores what the last incarnation left.
     pub(super) fn new(settings: RemoteWriteSettings, metrics: Arc<Metrics>) -> io::Result<Self> {
         let (log, recovered) = SampleLog::open(settings.wal_folder.clone(), settings.wal_bytes)?;
@@ -79,7 +79,7 @@
         let client = Http1Client::new(settings.receiver, settings.shards, timeout)?;
         let first = settings.renegotiate_after;
         let backoff = Backoff { first, max: first.saturating_mul(MAX_RENEGOTIATION_FACTOR) };
-        let mut worker = Self {
+        let mut write_loop = Self {
             settings,
             metrics,
             clock,
@@ -87,14 +87,14 @@
             queue,
             log,
             series: SeriesTable::new(),
-            last_ms: i64::MIN,
+            last_sample_time_ms: i64::MIN,
             sample_clock: SampleClock::new(clock.now(), wall(), 0),
             negotiation: Negotiation::new(backoff),
             pending_batches: BTreeMap::new(),
             short_writes: 0,
         };
-        worker.restore(recovered);
-        Ok(worker)
+        write_loop.restore(recovered);
+        Ok(write_loop)
     }
 
     /// Ends the wait of the loop from another thread.
@@ -115,11 +115,11 @@
                 continue;
             };
             let is_roster = series.iter().all(|one| one.samples.is_empty() && one.natives.is_empty());
-            let numbers = self.register(position, &series);
+            let numbers = self.register_series(position, &series);
             if is_roster {
                 ended.extend(numbers);
             }
-            samples += self.reoffer(now, series);
+            samples += self.requeue(now, series);
             if is_roster {
                 rosters.push(position);
             }
@@ -128,19 +128,19 @@
             info!(samples, "samples of the last incarnation are sent again");
         }
         // The wall clock may have stepped back between the incarnations.
-        let last = u64::try_from(self.last_ms).map_or(0, |ms| ms.saturating_mul(1000));
+        let last = u64::try_from(self.last_sample_time_ms).map_or(0, |ms| ms.saturating_mul(1000));
         self.sample_clock = SampleClock::new(now, wall(), last);
         ended.sort_unstable();
         ended.dedup();
-        self.close(ended);
+        self.write_staleness_markers(ended);
         for roster in rosters {
             self.log.acknowledge(roster);
         }
-        self.series.created_ms = self.next_time();
+        self.series.created_ms = self.next_sample_time();
     }
 
     /// Adds the series of a recovered record, and tracks its samples. Returns the numbers of the series.
-    fn register(&mut self, position: Position, series: &[Series]) -> Vec<u64> {
+    fn register_series(&mut self, position: Position, series: &[Series]) -> Vec<u64> {
         let mut numbers = Vec::new();
         let mut times: BTreeMap<i64, usize> = BTreeMap::new();
         for one in series {
@@ -155,13 +155,13 @@
             }
         }
         for (at_ms, count) in times {
-            self.log.track(at_ms, position, count);
+            self.log.track_recovered(at_ms, position, count);
         }
         numbers
     }
 
     /// Offers recovered samples to the queue. Returns how many.
-    fn reoffer(&mut self, now: Micros, series: Vec<Series>) -> u64 {
+    fn requeue(&mut self, now: Micros, series: Vec<Series>) -> u64 {
         let mut offered = 0;
         for one in series {
             let number = self.series.number(&one.labels, one.kind);
@@ -170,7 +170,7 @@
                 one.natives.into_iter().map(|(at_ms, value)| (at_ms, SampleValue::Native(Arc::new(value))));
             for (at_ms, value) in values.chain(natives) {
                 offered += 1;
-                self.last_ms = self.last_ms.max(at_ms);
+                self.last_sample_time_ms = self.last_sample_time_ms.max(at_ms);
                 self.queue.offer(now, Sample { series: number, at_ms, value });
             }
         }
@@ -178,28 +178,28 @@
     }
 
     /// Writes staleness markers for series that have ended.
-    fn close(&mut self, ended: Vec<u64>) {
+    fn write_staleness_markers(&mut self, ended: Vec<u64>) {
         if ended.is_empty() {
             return;
         }
-        let at_ms = self.next_time();
+        let at_ms = self.next_sample_time();
         let marker = |series: u64| Sample { series, at_ms, value: self.series.stale_value(series) };
         let markers = ended.into_iter().map(marker).collect();
         self.enqueue(markers);
     }
 
     /// The time of a round, which is later than that of the last one.
-    fn next_time(&mut self) -> i64 {
+    fn next_sample_time(&mut self) -> i64 {
         let now = self.sample_clock.now(self.clock.now(), wall());
-        self.last_ms = millis(now).max(self.last_ms.saturating_add(1));
-        self.last_ms
+        self.last_sample_time_ms = millis(now).max(self.last_sample_time_ms.saturating_add(1));
+        self.last_sample_time_ms
     }
 
     /// Writes samples of one time to the log, and then offers them to the queue.
     fn enqueue(&mut self, samples: Vec<Sample>) {
         let now = self.clock.now();
         for part in samples.chunks(MAX_RECORD_SERIES) {
-            let series = self.series.describe(part);
+            let series = self.series.to_series(part);
             self.log.append_samples(part[0].at_ms, &series, part.len());
         }
         self.log.sync();
@@ -221,7 +221,7 @@
     fn sample_round(&mut self, first: bool) {
         self.update_metrics();
         let Ok(text) = self.metrics.text() else { return };
-        let at_ms = self.next_time();
+        let at_ms = self.next_sample_time();
         let mut samples = Vec::new();
         for parsed in sample::parse(&text) {
             let kind = match parsed.kind {
@@ -237,7 +237,7 @@
             self.sample_native_histograms(at_ms, &mut samples);
         }
         if first || self.log.is_roster_outdated() {
-            self.log.write_roster(self.series.describe(&samples));
+            self.log.write_roster(self.series.to_series(&samples));
         }
         self.enqueue(samples);
     }
@@ -296,13 +296,13 @@
                 // Rounds missed while the machine slept are not made up for.
                 next_round = next_round.saturating_add(self.settings.sample_interval).max(now);
             }
-            self.step(next_round, &mut buffers)?;
+            self.send_and_poll(next_round, &mut buffers)?;
         }
         Ok(())
     }
 
     /// Sends what is due, and handles responses until something else is due, at `until` at the latest.
-    fn step(&mut self, until: Micros, buffers: &mut Buffers) -> io::Result<()> {
+    fn send_and_poll(&mut self, until: Micros, buffers: &mut Buffers) -> io::Result<()> {
         self.queue.due(self.clock.now(), &mut buffers.due);
         for batch in buffers.due.drain(..) {
             self.send(batch);
@@ -324,14 +324,14 @@
     pub(super) fn flush(&mut self, abandoned: &AtomicBool) -> io::Result<()> {
         if !abandoned.load(Ordering::Acquire) {
             self.sample_round(false);
-            self.close(self.series.numbers());
+            self.write_staleness_markers(self.series.numbers());
             // The markers are as durable as the roster was.
             self.log.drop_roster();
             self.queue.flush();
             let until = self.clock.now() + self.settings.flush_timeout;
             let mut buffers = Buffers::default();
             while !self.queue.is_empty() && self.clock.now() < until && !abandoned.load(Ordering::Acquire) {
-                self.step(until, &mut buffers)?;
+                self.send_and_poll(until, &mut buffers)?;
             }
             if !self.queue.is_empty() {
                 info!(samples = self.queue.len(), "samples are not sent: the next incarnation sends them");
@@ -347,7 +347,7 @@
             ProtocolVersion::Preferred => Version::Two,
             ProtocolVersion::Plain => Version::One,
         };
-        let series = self.series.describe(&batch.samples);
+        let series = self.series.to_series(&batch.samples);
         let empty = version == Version::One && series.iter().all(|one| one.samples.is_empty());
         match remote_write::encode(version, &series) {
             // Native histograms from before a fallback to 1.0, which can't carry them.
@@ -376,13 +376,13 @@
     fn handle_result(&mut self, lane: usize, result: Result<Answer, Http1Error>) {
         let Some(PendingBatch { batch, version }) = self.pending_batches.remove(&lane) else { return };
         let now = self.clock.now();
-        let meaning = match &result {
-            Ok(answer) => Meaning::of(answer, &batch, version),
-            Err(_) => Meaning::of_failure(),
+        let interpreted = match &result {
+            Ok(answer) => InterpretedResponse::from_answer(answer, &batch, version),
+            Err(_) => InterpretedResponse::no_response(),
         };
-        self.short_writes += u64::from(meaning.short_write);
+        self.short_writes += u64::from(interpreted.short_write);
         let before = self.negotiation.version();
-        self.negotiation.handle_response(now, lane, meaning.acceptance);
+        self.negotiation.handle_response(now, lane, interpreted.acceptance);
         match (before, self.negotiation.version()) {
             (ProtocolVersion::Preferred, ProtocolVersion::Plain) => {
                 info!("receiver does not understand remote write 2.0: falling back to 1.0");
@@ -392,9 +392,9 @@
             }
             _ => {}
         }
-        self.queue.handle_response(now, lane, batch.number, meaning.response);
+        self.queue.handle_response(now, lane, batch.number, interpreted.response);
         if let Ok(answer) = &result
-            && matches!(meaning.response, Response::Rejected | Response::Invalid)
+            && matches!(interpreted.response, Response::Rejected | Response::Invalid)
         {
             let (status, samples) = (answer.status, batch.samples.len());
             let first = batch.samples.first().and_then(|sample| self.series.get(sample.series));
--- a/crates/gateway/src/tenants/mod.rs
+++ b/crates/gateway/src/tenants/mod.rs
@@ -35,7 +35,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct TenantCall<'a> {
     /// The front's number of the call.
-    pub(crate) front: u64,
+    pub(crate) call_number: u64,
     /// The tenant that it names.
     pub(crate) tenant: Option<&'a str>,
     /// The number of its class.
@@ -65,7 +65,7 @@
     first_id: usize,
     classes: Classes,
     /// Calls that name no tenant are admitted.
-    anonymous: bool,
+    allow_anonymous: bool,
     borrowed: BorrowedLimits,
     demands_measured_at: Micros,
     tenants: Slab<LocalTenant>,
@@ -79,7 +79,7 @@
     /// There is no snapshot yet: which tenants there are is not known.
     without_snapshot: bool,
     /// The snapshot is known to lack changes that other controllers have or had.
-    is_behind: bool,
+    snapshot_behind: bool,
     /// Rejected calls, by reason in the order of [`RejectReason::ALL`].
     rejections: [u64; RejectReason::ALL.len()],
 }
@@ -89,7 +89,7 @@
     pub(crate) fn new(
         first_id: usize,
         classes: &[String],
-        anonymous: bool,
+        allow_anonymous: bool,
         queue_length: u32,
         loans: LoanConfig,
     ) -> Self {
@@ -97,7 +97,7 @@
         Self {
             first_id,
             classes: Classes { numbers, names: classes.to_vec() },
-            anonymous,
+            allow_anonymous,
             borrowed: BorrowedLimits::new(loans),
             demands_measured_at: 0,
             tenants: Slab::new(),
@@ -108,7 +108,7 @@
             removed: Vec::new(),
             revision: 0,
             without_snapshot: false,
-            is_behind: false,
+            snapshot_behind: false,
             rejections: Default::default(),
         }
     }
@@ -138,8 +138,8 @@
 
     /// Whether the snapshot is known to lack changes that other controllers have or had, such as a suspension: until that
     /// is decided, calls of tenants are rejected, and not denied.
-    pub(crate) fn set_behind(&mut self, is_behind: bool) {
-        self.is_behind = is_behind;
+    pub(crate) fn set_snapshot_behind(&mut self, is_behind: bool) {
+        self.snapshot_behind = is_behind;
     }
 
     /// The snapshot is of an earlier incarnation, whose use of rates is not known: no tenant gets a second burst.
@@ -279,13 +279,13 @@
         call: &TenantCall,
     ) -> Result<Option<TenantId>, CallRejection> {
         let Some(name) = call.tenant else {
-            if self.anonymous {
+            if self.allow_anonymous {
                 return Ok(None);
             }
             self.count_rejection(RejectReason::UnknownTenant);
             return Err(CallRejection::no_tenant());
         };
-        if self.is_behind {
+        if self.snapshot_behind {
             return Err(CallRejection::snapshot_behind());
         }
         let Some(slot) = self.slots_by_name.get(name).copied() else {
@@ -313,11 +313,11 @@
         name: &str,
         call: &TenantCall,
     ) -> Result<Option<TenantId>, CallRejection> {
-        let (class, model) = (call.class, model_number(call.model));
+        let (class, model) = (call.class, model_hash(call.model));
         let memory = call.memory_bytes.unwrap_or(0);
         match self.admission.admit(now, CallRequest { tenant: slot, class, model, memory }) {
             Verdict::Admit => {
-                self.open_calls.insert(call.front, OpenCall { slot, class, model });
+                self.open_calls.insert(call.call_number, OpenCall { slot, class, model });
                 Ok(Some(self.id(slot)))
             }
             Verdict::Reject(rejection) => {
@@ -387,7 +387,7 @@
 }
 
 /// A number for a model, by its name.
-pub(crate) fn model_number(name: &str) -> u64 {
+pub(crate) fn model_hash(name: &str) -> u64 {
     let mut hasher = DefaultHasher::new();
     name.hash(&mut hasher);
     hasher.finish()
--- a/crates/gateway/src/worker_links/mod.rs
+++ b/crates/gateway/src/worker_links/mod.rs
@@ -65,7 +65,7 @@
     attempts: HashMap<AttemptId, StreamKey>,
     control_requests: HashMap<ControlRequestId, StreamKey>,
     /// Attempts, orders and probes that found all connections in use.
-    pub no_room: u64,
+    pub connections_exhausted: u64,
 }
 
 impl WorkerLinks {
@@ -79,7 +79,7 @@
             rpcs: HashMap::new(),
             attempts: HashMap::new(),
             control_requests: HashMap::new(),
-            no_room: 0,
+            connections_exhausted: 0,
         }
     }
 
@@ -186,7 +186,7 @@
         let pool = self.pools.get_mut(&worker).ok_or(AttemptEnd::NotConnected)?;
         let connection = pool.connection(hub, self.limits);
         if matches!(connection, Err(AttemptEnd::NoRoom)) {
-            self.no_room += 1;
+            self.connections_exhausted += 1;
         }
         connection
     }
@@ -258,12 +258,12 @@
             NetEvent::Message { stream, payload } => self.message(hub, stream, payload),
             NetEvent::Trailers { stream, trailers } => {
                 let rpc = self.rpcs.remove(&stream)?;
-                let end = trailers::end_by_trailers(rpc.http_status, &trailers);
+                let end = trailers::attempt_end_from_trailers(rpc.http_status, &trailers);
                 self.rpc_ended(rpc.purpose, end, &trailers)
             }
             NetEvent::Failed { stream, why } => {
                 let rpc = self.rpcs.remove(&stream)?;
-                self.rpc_ended(rpc.purpose, trailers::end_by_error(&why), &HeaderMap::new())
+                self.rpc_ended(rpc.purpose, trailers::attempt_end_from_stream_error(&why), &HeaderMap::new())
             }
             _ => None,
         }
--- a/crates/gateway/src/worker_links/pool.rs
+++ b/crates/gateway/src/worker_links/pool.rs
@@ -28,8 +28,8 @@
 
     /// A connection that takes one more stream; a new one where all others are full.
     pub(super) fn connection(&mut self, hub: &mut Hub, limits: PoolLimits) -> Result<ConnKey, AttemptEnd> {
-        let has_room = |key: &ConnKey| hub.can_open(*key) && hub.streams_on(*key) < limits.streams;
-        let usable: Vec<ConnKey> = self.connections.iter().copied().filter(has_room).collect();
+        let accepts_stream = |key: &ConnKey| hub.can_open(*key) && hub.streams_on(*key) < limits.streams;
+        let usable: Vec<ConnKey> = self.connections.iter().copied().filter(accepts_stream).collect();
         if let Some(least_used) = usable.into_iter().min_by_key(|key| hub.streams_on(*key)) {
             return Ok(least_used);
         }
--- a/crates/gateway/src/worker_links/trailers.rs
+++ b/crates/gateway/src/worker_links/trailers.rs
@@ -10,7 +10,7 @@
 use prost::Message;
 
 /// The end of an RPC with trailers.
-pub(super) fn end_by_trailers(http: StatusCode, trailers: &HeaderMap) -> AttemptEnd {
+pub(super) fn attempt_end_from_trailers(http: StatusCode, trailers: &HeaderMap) -> AttemptEnd {
     if http != StatusCode::OK {
         return AttemptEnd::Status { message: format!("HTTP {}", http.as_u16()) };
     }
@@ -30,7 +30,7 @@
 }
 
 /// The end of an RPC whose stream failed.
-pub(super) fn end_by_error(error: &StreamError) -> AttemptEnd {
+pub(super) fn attempt_end_from_stream_error(error: &StreamError) -> AttemptEnd {
     match error {
         StreamError::NotConnected => AttemptEnd::NotConnected,
         StreamError::NotWritten => AttemptEnd::NotWritten,
--- a/crates/gateway/src/worker_links/trailers/tests.rs
+++ b/crates/gateway/src/worker_links/trailers/tests.rs
@@ -29,13 +29,16 @@
         (HeaderMap::new(), status("the worker's answer ended without a status")),
     ];
     for (map, ended) in table {
-        assert_eq!(end_by_trailers(StatusCode::OK, &map), ended);
+        assert_eq!(attempt_end_from_trailers(StatusCode::OK, &map), ended);
         assert_eq!(
             ended.never_ran(),
             matches!(ended, AttemptEnd::MarkedFull | AttemptEnd::MarkedMiss | AttemptEnd::MarkedLoadFailed)
         );
     }
-    assert_eq!(end_by_trailers(StatusCode::BAD_GATEWAY, &trailers(Code::Ok, None)), status("HTTP 502"));
+    assert_eq!(
+        attempt_end_from_trailers(StatusCode::BAD_GATEWAY, &trailers(Code::Ok, None)),
+        status("HTTP 502")
+    );
 }
 
 #[test]
@@ -51,7 +54,7 @@
         (StreamError::Message(FrameError::BadGzip), false),
     ];
     for (error, proof) in table {
-        assert_eq!(end_by_error(&error).never_ran(), proof, "{error:?}");
+        assert_eq!(attempt_end_from_stream_error(&error).never_ran(), proof, "{error:?}");
     }
 }
 
