--- a/crates/gateway/src/audit_log.rs
+++ b/crates/gateway/src/audit_log.rs
@@ -1,4 +1,4 @@
-//! Names for the numbers that the audit log counts by at this controller.
+//! Resolves the ids of tenants and workers, by which the audit log counts calls and attempts, to names.
 
 use nettleferry::{TenantId, WorkerId};
 use nettleferry_audit_log::recorder::NameResolver;
@@ -6,14 +6,14 @@
 
 use crate::tenants::Tenants;
 
-/// The tenant number under which calls without a tenant are counted.
+/// Tenant id under which the audit log counts calls that name no tenant.
 pub(crate) const NO_TENANT: u64 = u64::MAX;
 
-/// The names of tenants and workers.
+/// Resolves tenant and worker ids for the entries that this controller writes.
 pub(crate) struct ControllerNames<'a> {
-    /// The administration's tenants; `None`: there is no administration.
+    /// The tenants; `None` where the settings configure no administration.
     pub(crate) tenants: Option<&'a Tenants>,
-    /// Knows the workers.
+    /// The engine, which has the names of all workers.
     pub(crate) engine: &'a Engine,
 }
 
--- a/crates/gateway/src/call_steps.rs
+++ b/crates/gateway/src/call_steps.rs
@@ -1,4 +1,4 @@
-//! What has become of open calls, counted where calls are admitted.
+//! Passes the progress of open calls from the engine to the two admission controls, which count calls by phase.
 
 use nettleferry::Micros;
 use nettleferry_engine::{Engine, Phase, Step};
@@ -6,7 +6,8 @@
 
 use crate::tenants::Tenants;
 
-/// Counts the steps of calls since the last time: for the limiter after a restart, then for the tenants' limits.
+/// Reports all phases that the engine recorded since the last call of this function: to the restart limiter, which is
+/// present only while it limits calls after a restart, and to the tenants' limits. `now` is the controller's time.
 pub(crate) fn count_call_steps(
     now: Micros,
     engine: &mut Engine,
@@ -23,11 +24,11 @@
     }
 }
 
-/// The limiter looks at how long calls wait for a worker.
+/// Reports one phase to the restart limiter, which judges new calls by how long open ones have waited for a worker.
 fn count_for_limiter(limiter: &mut Gate, now: Micros, phase: &Phase) {
     match phase.step {
         Step::AttemptStarted => limiter.has_worker(phase.front),
-        // Its model stays known while a worker has it; from now on it waits again.
+        // The limiter has kept the call's model during the attempt; from now on the call counts as waiting again.
         Step::AttemptEnded => limiter.returned_by_worker(now / 1000, phase.front),
         Step::CallEnded(_) => limiter.ended(phase.front),
     }
--- a/crates/gateway/src/logs.rs
+++ b/crates/gateway/src/logs.rs
@@ -1,7 +1,8 @@
-//! Logging through `tracing`: text or JSON lines on standard error. Standard output belongs to what a command prints.
+//! Logging through `tracing`: text or JSON lines on standard error. Standard output is reserved for the output of
+//! commands.
 //!
-//! A line that standard error does not accept at once is dropped and counted: neither a full disk nor a reader that
-//! stalls may end or delay the process.
+//! A line that standard error does not accept at once is dropped and counted, so that neither a full disk nor a stalled
+//! reader can delay or end the process.
 
 use std::fmt::Arguments;
 use std::io::{self, IsTerminal, Write};
@@ -18,13 +19,13 @@
 /// The format of log lines.
 #[derive(Clone, Copy, Debug, ValueEnum)]
 enum LogFormat {
-    /// For people.
+    /// Human-readable lines.
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
-/// What is logged, and how.
+/// Command-line options of logging, which every subcommand has.
 #[derive(Args, Clone, Debug)]
 pub(crate) struct LogOptions {
     /// What is logged: a level (error, warn, info, debug, trace) or tracing's filter directives
@@ -35,22 +36,23 @@
     log_format: LogFormat,
 }
 
-/// The filter where `--log` can't be read.
+/// The filter that is used where the value of `--log` is not valid.
 const DEFAULT_FILTER: &str = "info";
-/// Lines that wait for the log thread, at the most; further ones are dropped and counted.
+/// Maximum number of lines that wait for the log thread; further ones are dropped and counted.
 const MAX_QUEUED_LINES: usize = 16_384;
-/// Bytes of a line that are written, at the most: what a pipe that can be written to accepts without blocking.
+/// Maximum number of bytes of a line that are written: a pipe that `poll` reports as writable accepts this many without
+/// blocking.
 const MAX_LINE_BYTES: usize = 4096;
 
-/// Lines that [`LogWriter`] dropped.
+/// Number of lines that [`LogWriter`] dropped.
 static DROPPED_LINES: AtomicU64 = AtomicU64::new(0);
 
-/// Log lines that were dropped so far by a process that logs without a log thread.
+/// The number of log lines dropped so far by a process that logs without a log thread.
 pub(crate) fn dropped_lines() -> u64 {
     DROPPED_LINES.load(Ordering::Relaxed)
 }
 
-/// The log thread: it ends when this is dropped, and the lines that it dropped are reported.
+/// The log thread. Dropping this stops the thread, and reports on standard error how many lines it dropped.
 pub(crate) struct LogThread {
     dropped: ErrorCounter,
     _guard: WorkerGuard,
@@ -67,17 +69,18 @@
     }
 }
 
-/// Writes a line to standard error, and ignores a failure to do so.
+/// Writes a line to standard error. A failed write is ignored.
 pub(crate) fn write_line(line: Arguments) {
     let _ = writeln!(io::stderr(), "{line}");
 }
 
-/// Writes to standard error from threads that must not block.
+/// Writes to standard error without blocking the calling thread.
 #[derive(Clone, Copy, Debug)]
 struct LogWriter;
 
 impl LogWriter {
-    /// Whether a line would be accepted without blocking. A file always would; where `poll` fails, the write decides.
+    /// Whether standard error would accept a line without blocking. True for files, and also where `poll` fails: the
+    /// write then reports the error.
     fn is_writable() -> bool {
         let stderr = io::stderr();
         let mut descriptors = [PollFd::from_borrowed_fd(stderr.as_fd(), PollFlags::OUT)];
@@ -100,15 +103,16 @@
     }
 }
 
-/// Starts logging. An invalid filter is reported, and `info` is used. `background`: lines are written by a thread of
-/// their own, so that the thread that answers calls waits neither for a disk nor for a reader.
+/// Installs the subscriber of this process. An invalid filter is reported on standard error, and `info` is used instead.
+/// With `background` a separate thread writes the lines, so that the thread that answers calls never waits for a disk or
+/// a reader; its handle is returned.
 pub(crate) fn start(options: &LogOptions, background: bool) -> Option<LogThread> {
     let filter = EnvFilter::try_new(&options.log).unwrap_or_else(|error| {
         write_line(format_args!("nettleferry: --log {:?}: {error}; info is used", options.log));
         EnvFilter::new(DEFAULT_FILTER)
     });
     let ansi = io::stderr().is_terminal();
-    // An error of the log itself would go to the same standard error: it is not reported.
+    // Internal errors of the subscriber would go to standard error too, so they are not reported.
     let base = tracing_subscriber::fmt().with_ansi(ansi).with_env_filter(filter).log_internal_errors(false);
     if !background {
         install(options.log_format, base.with_writer(|| LogWriter));
@@ -125,7 +129,7 @@
 where
     W: for<'a> MakeWriter<'a> + Send + Sync + 'static,
 {
-    // A second start in one process changes nothing: the first subscriber stays.
+    // Fails where a subscriber is installed already; that one stays in use.
     let _ = match format {
         LogFormat::Text => builder.with_target(false).try_init(),
         LogFormat::Json => builder.json().flatten_event(true).try_init(),
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -1,5 +1,5 @@
-//! Updates the metrics from the engine and the controller, and serves them for scraping in a thread that can't block
-//! calls.
+//! Updates the metrics from the engine and the controller, and serves them for scraping. Scrapes are answered in a
+//! separate thread, so that they cannot delay calls.
 
 use std::io;
 use std::net::SocketAddr;
@@ -21,7 +21,7 @@
 
 use crate::front::FrontCounters;
 
-/// Names of the limits whose hits are counted, in the order of [`limit_hits`].
+/// Label values of the limits whose hits are counted, in the order of [`limit_hits`].
 const LIMITS: [&str; 11] = [
     "open_calls",
     "calls_per_stream",
@@ -36,16 +36,16 @@
     "worker_connections",
 ];
 
-/// Updates the metrics.
+/// Translates measurements and states of this process into metrics.
 pub(crate) struct MetricsRecorder {
     metrics: Arc<Metrics>,
-    /// Latency objectives by class.
+    /// Latency objective of each class, by class id.
     objectives: Vec<Micros>,
     count_calls: bool,
 }
 
 impl MetricsRecorder {
-    /// All series at zero.
+    /// Registers all series, with the value zero.
     pub(crate) fn new(config: &Config) -> Self {
         let mut tenants: Vec<(&String, usize)> =
             config.tenants.iter().map(|(name, id)| (name, id.0)).collect();
@@ -53,7 +53,7 @@
         let tenants: Vec<String> = tenants.into_iter().map(|(name, _)| name.clone()).collect();
         let classes = config.classes.clone();
         let layout = SeriesLayout::new(classes, &tenants, config.models.groups(), config.metrics.max_series);
-        // The reasons of admission control follow the other limits.
+        // The reject reasons of admission control are counted as limits too, after the fixed ones.
         let reject_reasons = RejectReason::ALL.into_iter().map(RejectReason::label);
         let limits: Vec<&str> = LIMITS.into_iter().chain(reject_reasons).collect();
         let metrics = Arc::new(Metrics::new(layout, &limits));
@@ -61,12 +61,13 @@
         Self { metrics, objectives, count_calls: config.metrics.count_calls }
     }
 
-    /// The metrics, for scraping and remote write.
+    /// The registry, for scraping and remote write.
     pub(crate) fn metrics(&self) -> Arc<Metrics> {
         Arc::clone(&self.metrics)
     }
 
-    /// Counts what the engine has measured, and sets the numbers of its calls.
+    /// Counts the measurements that the engine recorded since the last call, and sets the numbers of open and waiting
+    /// calls.
     pub(crate) fn record_measurements(&self, engine: &mut Engine) {
         if self.count_calls {
             for measurement in engine.drain_measurements() {
@@ -98,7 +99,8 @@
         }
     }
 
-    /// Updates what is slower to read: workers and limits. `connections_exhausted`: how often no connection to a worker was left.
+    /// Updates the metrics that take longer to collect: worker health and limit hits. `connections_exhausted`: how often
+    /// all allowed connections to a worker were in use.
     pub(crate) fn update_workers_and_limits(
         &self,
         engine: &Engine,
@@ -126,7 +128,8 @@
         }
     }
 
-    /// Sets the return from a restart. `final_counters`: those of the gate when it opened, where there is none any more.
+    /// Sets the progress of the recovery after a restart. `gate`: the restart limiter while it is active; afterwards its
+    /// last counters are passed as `final_counters`. `without_lease`: calls rejected for want of a lease.
     pub(crate) fn set_recovery(&self, gate: Option<&Gate>, final_counters: GateCounters, without_lease: u64) {
         let step = gate.map_or(RecoveryStep::None, |gate| match gate.step().0 {
             Step::NoList => RecoveryStep::NoList,
@@ -138,7 +141,7 @@
         self.metrics.set_recovery(&RecoveryState { step, rejections });
     }
 
-    /// Sets the lease of a follower; a controller without one counts as one that holds it.
+    /// Sets the lease state of a follower. `None`, for a controller that needs no lease, is reported as a current lease.
     pub(crate) fn set_lease(&self, lease: Option<(Stage, LeaseCounters)>) {
         let (stage, counters) = lease.unwrap_or((Stage::Current, LeaseCounters::default()));
         let stage = match stage {
@@ -152,12 +155,13 @@
         self.metrics.set_lease(&LeaseState { stage, expiries, doubtful_acts });
     }
 
-    /// Sets what the leader knows of the fleet.
+    /// Sets the state of the fleet as the leader sees it: outdated and fenced incarnations, and whether the fleet has yet
+    /// to agree on a tenant snapshot.
     pub(crate) fn set_fleet(&self, state: &FleetState) {
         self.metrics.set_fleet(state);
     }
 
-    /// Sets the calls that admission control rejected, by reason.
+    /// Sets the totals of calls that admission control rejected, in the order of [`RejectReason::ALL`].
     pub(crate) fn set_rejections(&self, totals: &[u64]) {
         for (reason, total) in totals.iter().enumerate() {
             self.metrics.set_limit_hits(LIMITS.len() + reason, *total);
@@ -165,7 +169,7 @@
     }
 }
 
-/// Totals of the hits of each limit, in the order of [`LIMITS`].
+/// The total number of hits of each limit, in the order of [`LIMITS`].
 fn limit_hits(
     over_open: u64,
     net: &NetCounters,
@@ -230,12 +234,12 @@
     }
 }
 
-/// Serves the metrics at `/metrics`.
+/// Starts an HTTP endpoint that serves the metrics at `/metrics`.
 pub(crate) fn serve(address: SocketAddr, metrics: Arc<Metrics>) -> io::Result<Endpoint> {
     Endpoint::start(address, 0, "scrape", move |request| respond(request, &metrics))
 }
 
-/// Content type of the OpenMetrics text format, version 1.0.0.
+/// Content type of the OpenMetrics text format 1.0.0.
 const OPENMETRICS_CONTENT_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
 fn respond(request: &Request<'_>, metrics: &Metrics) -> Reply {
--- a/crates/gateway/src/worker_links/mod.rs
+++ b/crates/gateway/src/worker_links/mod.rs
@@ -1,8 +1,8 @@
-//! The links to the workers: one RPC for each attempt, load order or probe, on pooled connections. Knows no client: how
-//! an RPC ends is an event for the engine.
+//! gRPC client side towards the workers: one RPC for each attempt, load order, unload and probe, on pooled connections.
+//! The end of an RPC is reported to the engine as an event; clients are unknown here.
 //!
-//! * [`pool`]: the connections to one worker. [`requests`]: requests of the model repository.
-//! * [`trailers`]: what a worker's answer means.
+//! * [`pool`]: the connections to one worker. [`requests`]: encodes requests of the model repository extension.
+//! * [`trailers`]: interprets the trailers of responses, and stream errors.
 
 mod pool;
 mod requests;
@@ -24,7 +24,7 @@
 pub(crate) use pool::PoolLimits;
 pub(crate) use requests::LoadOrder;
 
-/// What an RPC is for.
+/// Why an RPC was started; decides which event its end becomes.
 #[derive(Clone, Copy)]
 enum Purpose {
     Attempt { attempt: AttemptId, streamed: bool },
@@ -33,43 +33,45 @@
     Unload,
 }
 
-/// An RPC that has not ended.
+/// An RPC in flight.
 struct Rpc {
     purpose: Purpose,
-    /// The HTTP status of the response.
+    /// The HTTP status of the response; 200 until its headers arrive.
     http_status: StatusCode,
 }
 
-/// A request of an RPC.
+/// A request to be sent on a new stream.
 struct RpcRequest {
     method: &'static str,
-    /// Headers of an attempt.
+    /// Additional headers of an attempt; `None` for control requests.
     attempt: Option<AttemptHeaders>,
     body: Bytes,
 }
 
 struct AttemptHeaders {
+    /// The number of the attempt within its call.
     number: u32,
-    /// When its client gives up.
+    /// When the call's client gives up.
     deadline: Instant,
 }
 
-/// The links to all workers.
+/// The connections to all workers, and the RPCs in flight on them.
 pub(crate) struct WorkerLinks {
     limits: PoolLimits,
+    /// Number of this controller, sent with every request.
     controller: HeaderValue,
-    /// The fencing token of this incarnation, once the leader has given one.
+    /// The fencing token of this incarnation; `None` until the leader has issued one.
     fencing_token: Option<HeaderValue>,
     pools: HashMap<WorkerId, ConnectionPool>,
     rpcs: HashMap<StreamKey, Rpc>,
     attempts: HashMap<AttemptId, StreamKey>,
     control_requests: HashMap<ControlRequestId, StreamKey>,
-    /// Attempts, orders and probes that found all connections in use.
+    /// RPCs that were not sent because all allowed connections to the worker were in use.
     pub connections_exhausted: u64,
 }
 
 impl WorkerLinks {
-    /// No links yet. `controller`: the controller's number, which workers are told.
+    /// Creates links to no workers. `controller` is this controller's number, which is sent with every request.
     pub(crate) fn new(limits: PoolLimits, controller: u32) -> Self {
         Self {
             limits,
@@ -83,12 +85,13 @@
         }
     }
 
-    /// Requests carry this token from now on: workers that have seen a higher one reject them.
+    /// Sets the fencing token that all further requests carry. Workers that have seen a higher one reject them.
     pub(crate) fn set_fencing_token(&mut self, token: u64) {
         self.fencing_token = Some(HeaderValue::from(token));
     }
 
-    /// Takes a new worker list. Workers that are not in it are forgotten; RPCs that run there go on.
+    /// Applies a new worker list. Pools of workers that were removed or have another address are dropped; RPCs in flight
+    /// on their connections continue.
     pub(crate) fn update_workers(&mut self, workers: &HashMap<WorkerId, SocketAddr>) {
         self.pools.retain(|id, pool| workers.get(id) == Some(&pool.address));
         for (id, address) in workers {
@@ -96,7 +99,7 @@
         }
     }
 
-    /// Starts an attempt. `Some`: it has ended at once.
+    /// Starts an attempt. Returns the event of its end where it could not be sent.
     pub(crate) fn start_attempt(
         &mut self,
         hub: &mut Hub,
@@ -119,7 +122,7 @@
         }
     }
 
-    /// Orders replicas of a model. `Some`: the order has ended at once.
+    /// Sends a load order. Returns the event of its end where it could not be sent.
     pub(crate) fn load(
         &mut self,
         hub: &mut Hub,
@@ -138,14 +141,14 @@
         }
     }
 
-    /// Unloads idle replicas; nothing waits for the answer.
+    /// Sends an order to unload idle replicas of a model. Its outcome is ignored.
     pub(crate) fn unload(&mut self, hub: &mut Hub, worker: WorkerId, model: &str) {
         let request =
             RpcRequest { method: "RepositoryModelUnload", attempt: None, body: requests::unload(model) };
         let _ = self.start_rpc(hub, worker, request, Purpose::Unload);
     }
 
-    /// Probes a worker. `Some`: the probe has ended at once.
+    /// Sends a health probe. Returns the event of its end where it could not be sent.
     pub(crate) fn probe(
         &mut self,
         hub: &mut Hub,
@@ -206,7 +209,7 @@
         head.body(()).map_err(|_| AttemptEnd::NotWritten)
     }
 
-    /// Cancels an attempt: RST_STREAM with CANCEL. No event follows.
+    /// Cancels an attempt by RST_STREAM with CANCEL. No event follows.
     pub(crate) fn cancel(&mut self, hub: &mut Hub, attempt: AttemptId) {
         if let Some(stream) = self.attempts.remove(&attempt) {
             self.rpcs.remove(&stream);
@@ -222,33 +225,33 @@
         }
     }
 
-    /// Takes no more of an attempt's answer for now.
+    /// Stops reading an attempt's response for now.
     pub(crate) fn pause(&mut self, hub: &mut Hub, attempt: AttemptId) {
         if let Some(stream) = self.attempts.get(&attempt) {
             hub.pause(*stream);
         }
     }
 
-    /// Takes an attempt's answer again.
+    /// Continues to read an attempt's response.
     pub(crate) fn resume(&mut self, hub: &mut Hub, attempt: AttemptId) {
         if let Some(stream) = self.attempts.get(&attempt) {
             hub.resume(*stream);
         }
     }
 
-    /// Whether a stream is an RPC to a worker.
+    /// Whether a stream belongs to an RPC to a worker.
     pub(crate) fn owns(&self, stream: StreamKey) -> bool {
         self.rpcs.contains_key(&stream)
     }
 
-    /// A connection is closed; it may be a client's.
+    /// Removes a closed connection from its pool. Connections of clients are ignored.
     pub(crate) fn connection_closed(&mut self, closed: ConnKey) {
         for pool in self.pools.values_mut() {
             pool.remove(closed);
         }
     }
 
-    /// Handles an event on a stream to a worker. `Some`: what follows for the engine.
+    /// Handles an event on a stream to a worker. Returns the event for the engine, where one follows from it.
     pub(crate) fn event(&mut self, hub: &mut Hub, event: NetEvent) -> Option<Event> {
         match event {
             NetEvent::Head { stream, head } => {
@@ -278,7 +281,7 @@
             Ok(head) if head.error.is_empty() => {
                 return Some(Event::ResponsePart { attempt, payload, last: head.is_final });
             }
-            // An error inside the stream: as far as is known the call ran.
+            // An error message inside the stream does not show whether the call ran, so it counts as one that ran.
             Ok(head) => head.error,
             Err(error) => format!("the worker's answer: {error}"),
         };
--- a/crates/gateway/src/worker_links/pool.rs
+++ b/crates/gateway/src/worker_links/pool.rs
@@ -1,16 +1,17 @@
-//! The connections to one worker: the one with the fewest streams is used, up to a bound of connections and streams.
+//! The connections to one worker. A new stream goes to the connection with the fewest streams; the numbers of
+//! connections and of streams per connection are bounded.
 
 use std::net::SocketAddr;
 
 use nettleferry_engine::AttemptEnd;
 use nettleferry_net::{ConnKey, Hub};
 
-/// Bounds of the connections to one worker.
+/// Limits of the connections to one worker.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PoolLimits {
-    /// Connections at once.
+    /// Maximum number of open connections.
     pub connections: usize,
-    /// Streams on each of them at once.
+    /// Maximum number of open streams per connection.
     pub streams: usize,
 }
 
@@ -21,19 +22,22 @@
 }
 
 impl ConnectionPool {
-    /// A pool without connections; they are made when they are needed.
+    /// Creates an empty pool. Connections are opened on demand.
     pub(super) fn new(address: SocketAddr) -> Self {
         Self { address, connections: Vec::new() }
     }
 
-    /// A connection that takes one more stream; a new one where all others are full.
+    /// Returns a connection for one more stream: the least used one, or a new one where all others are full.
+    ///
+    /// # Errors
+    /// `NoRoom` where the limits are reached, `NotConnected` where no connection could be opened.
     pub(super) fn connection(&mut self, hub: &mut Hub, limits: PoolLimits) -> Result<ConnKey, AttemptEnd> {
         let accepts_stream = |key: &ConnKey| hub.can_open(*key) && hub.streams_on(*key) < limits.streams;
         let usable: Vec<ConnKey> = self.connections.iter().copied().filter(accepts_stream).collect();
         if let Some(least_used) = usable.into_iter().min_by_key(|key| hub.streams_on(*key)) {
             return Ok(least_used);
         }
-        // A connection with GOAWAY does not count: it ends with its last stream.
+        // A connection that received GOAWAY does not count: it closes after its last stream.
         let counted = self.connections.iter().filter(|key| !hub.is_going_away(**key)).count();
         if counted >= limits.connections {
             return Err(AttemptEnd::NoRoom);
@@ -43,7 +47,7 @@
         Ok(key)
     }
 
-    /// A connection is closed.
+    /// Removes a closed connection, if it belongs to this pool.
     pub(super) fn remove(&mut self, closed: ConnKey) {
         self.connections.retain(|key| *key != closed);
     }
--- a/crates/gateway/src/worker_links/requests.rs
+++ b/crates/gateway/src/worker_links/requests.rs
@@ -1,4 +1,4 @@
-//! Requests of the model repository extension, encoded.
+//! Encodes the control requests to workers: load, unload and readiness probe.
 
 use bytes::Bytes;
 use nettleferry_proto::inference::{
@@ -8,16 +8,16 @@
 use nettleferry_proto::metadata;
 use prost::Message;
 
-/// An order to a worker to load a model.
+/// The contents of an order to load a model.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LoadOrder<'a> {
-    /// The model's name.
+    /// Name of the model.
     pub model: &'a str,
-    /// The model's version; empty: the worker's choice.
+    /// Version of the model; empty where the worker chooses.
     pub version: &'a str,
-    /// Memory of one replica, where the settings have it.
+    /// Memory that one replica needs, in bytes; `None` where the settings do not say.
     pub memory_bytes: Option<u64>,
-    /// Replicas wanted.
+    /// Target number of replicas at the worker.
     pub replicas: u32,
 }
 
--- a/crates/gateway/src/worker_links/trailers.rs
+++ b/crates/gateway/src/worker_links/trailers.rs
@@ -1,5 +1,5 @@
-//! What a worker's answer means: trailers and stream errors as the engine's ends of attempts, load reports as the decision
-//! module's. Nothing else reads them.
+//! Interprets the responses of workers. Trailers and stream errors become [`AttemptEnd`]s of the engine, ORCA load
+//! reports become [`Report`]s of the decision module.
 
 use http::{HeaderMap, StatusCode};
 use nettleferry::{LoadNote, Report};
@@ -9,15 +9,15 @@
 use nettleferry_proto::{metadata, orca};
 use prost::Message;
 
-/// The end of an RPC with trailers.
+/// Maps the HTTP status and the trailers of a finished RPC to the end of its attempt.
 pub(super) fn attempt_end_from_trailers(http: StatusCode, trailers: &HeaderMap) -> AttemptEnd {
     if http != StatusCode::OK {
         return AttemptEnd::Status { message: format!("HTTP {}", http.as_u16()) };
     }
-    let mark = trailers.get(metadata::NEVER_RAN).and_then(|v| v.to_str().ok());
-    match (Status::read(trailers), mark) {
+    let never_ran_reason = trailers.get(metadata::NEVER_RAN).and_then(|v| v.to_str().ok());
+    match (Status::read(trailers), never_ran_reason) {
         (Some(Status { code: Code::Ok, .. }), _) => AttemptEnd::Served,
-        // Only the worker's mark proves that the call did not run; no failing status does.
+        // Only the `NEVER_RAN` trailer proves that the call did not run; a status alone never does.
         (Some(_), Some(metadata::FULL | metadata::FENCED)) => AttemptEnd::MarkedFull,
         (Some(_), Some(metadata::MISS)) => AttemptEnd::MarkedMiss,
         (Some(_), Some(metadata::LOAD_FAILED)) => AttemptEnd::MarkedLoadFailed,
@@ -29,7 +29,7 @@
     }
 }
 
-/// The end of an RPC whose stream failed.
+/// Maps a stream error to the end of the attempt.
 pub(super) fn attempt_end_from_stream_error(error: &StreamError) -> AttemptEnd {
     match error {
         StreamError::NotConnected => AttemptEnd::NotConnected,
@@ -44,26 +44,27 @@
     }
 }
 
-/// The ORCA load report in trailers, where there is a sound one.
+/// The ORCA load report in trailers; `None` where it is missing or malformed.
 pub(super) fn orca_report(trailers: &HeaderMap) -> Option<orca::OrcaLoadReport> {
     let bytes = read_binary(trailers.get(orca::TRAILER)?)?;
     orca::OrcaLoadReport::decode(&bytes[..]).ok()
 }
 
-/// A load report as the decision module has it. Values that are missing, negative or no numbers are left out.
+/// Converts a load report for the decision module. Values that are missing, negative or not finite are left out.
 pub(super) fn load_report(report: &orca::OrcaLoadReport) -> Report {
     let named = |name: &str| report.named_metrics.get(name).copied().filter(|x| x.is_finite() && *x >= 0.0);
-    let share = |x: f64| (x.is_finite() && x >= 0.0).then_some(x);
+    let utilization = |x: f64| (x.is_finite() && x >= 0.0).then_some(x);
     Report {
         inflight: named(orca::INFLIGHT),
         queue: named(orca::QUEUE),
-        util: share(report.cpu_utilization),
-        memory_held: share(report.mem_utilization),
+        util: utilization(report.cpu_utilization),
+        memory_held: utilization(report.mem_utilization),
         loads: named(orca::LOADS),
     }
 }
 
-/// What a worker reports of replicas and load with the end of an attempt.
+/// Reads the report that a worker attaches to the end of an attempt: the state of the model's replicas, the number of
+/// calls of the same model, and the load of the worker. Empty where the trailers carry no valid report.
 pub(super) fn attempt_report(trailers: &HeaderMap) -> AttemptReport {
     let Some(report) = orca_report(trailers) else { return AttemptReport::default() };
     let named = |name: &str| report.named_metrics.get(name).copied();
@@ -81,7 +82,7 @@
     }
 }
 
-/// How many replicas are loaded, by the answer to a load order.
+/// Reads the number of loaded replicas from the response to a load order; 0 where it is missing.
 pub(super) fn loaded_replicas(trailers: &HeaderMap) -> u32 {
     orca_report(trailers)
         .and_then(|r| r.named_metrics.get(orca::LOADED_REPLICAS).copied())
--- a/crates/gateway/src/worker_links/trailers/tests.rs
+++ b/crates/gateway/src/worker_links/trailers/tests.rs
@@ -5,16 +5,16 @@
 use nettleferry_net::framing::FrameError;
 use nettleferry_net::grpc::write_binary;
 
-fn trailers(code: Code, mark: Option<&'static str>) -> HeaderMap {
+fn trailers(code: Code, never_ran_reason: Option<&'static str>) -> HeaderMap {
     let mut map = Status::new(code, "words").trailers();
-    if let Some(mark) = mark {
-        map.insert(metadata::NEVER_RAN, HeaderValue::from_static(mark));
+    if let Some(reason) = never_ran_reason {
+        map.insert(metadata::NEVER_RAN, HeaderValue::from_static(reason));
     }
     map
 }
 
 #[test]
-fn only_a_mark_shows_that_a_failing_call_did_not_run() {
+fn only_the_never_ran_trailer_proves_that_a_failed_call_did_not_run() {
     let status = |text: &str| AttemptEnd::Status { message: text.to_owned() };
     let table = [
         (trailers(Code::Ok, None), AttemptEnd::Served),
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn stream_errors_become_ends_of_attempts() {
+fn stream_errors_map_to_attempt_ends() {
     let table = [
         (StreamError::NotConnected, true),
         (StreamError::NotWritten, true),
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn load_reports_are_read_and_damaged_ones_ignored() {
+fn load_reports_are_read_and_malformed_ones_ignored() {
     let mut report =
         orca::OrcaLoadReport { cpu_utilization: 0.5, mem_utilization: f64::NAN, ..Default::default() };
     report.named_metrics.insert(orca::LOAD_NOTE.to_owned(), 2.0);
