--- a/crates/gateway/src/front/accept.rs
+++ b/crates/gateway/src/front/accept.rs
@@ -159,8 +159,8 @@
         }
     }
 
-    /// Without a lease it is not known whether the tenants' snapshot is still in force. Where the settings want that, no
-    /// call is accepted then: another controller may accept it, and so may this one when it has a lease again.
+    /// Without a lease it is not known whether the tenants' snapshot is still in force. Where the settings want that,
+    /// no call is accepted then: another controller may accept it, and so may this one when it has a lease again.
     fn check_lease(&self, context: &mut FrontContext) -> Option<Failure> {
         let now = context.now_ms();
         let stage = context.lease.as_mut()?.check_call(now);
--- a/crates/gateway/src/front/headers.rs
+++ b/crates/gateway/src/front/headers.rs
@@ -22,8 +22,8 @@
     pub is_retry: bool,
 }
 
-/// Checks that it is a gRPC request. Else it is to be answered with this HTTP status ("gRPC over HTTP2": 415 for another
-/// content type).
+/// Checks that it is a gRPC request. Else it is to be answered with this HTTP status ("gRPC over HTTP2": 415 for
+/// another content type).
 pub(super) fn check_grpc(head: &request::Parts) -> Result<(), StatusCode> {
     if head.method != Method::POST {
         return Err(StatusCode::METHOD_NOT_ALLOWED);
--- a/crates/gateway/src/logs.rs
+++ b/crates/gateway/src/logs.rs
@@ -103,9 +103,9 @@
     }
 }
 
-/// Installs the subscriber of this process. An invalid filter is reported on standard error, and `info` is used instead.
-/// With `background` a separate thread writes the lines, so that the thread that answers calls never waits for a disk or
-/// a reader; its handle is returned.
+/// Installs the subscriber of this process. An invalid filter is reported on standard error, and `info` is used
+/// instead. With `background` a separate thread writes the lines, so that the thread that answers calls never waits for
+/// a disk or a reader; its handle is returned.
 pub(crate) fn start(options: &LogOptions, background: bool) -> Option<LogThread> {
     let filter = EnvFilter::try_new(&options.log).unwrap_or_else(|error| {
         write_line(format_args!("nettleferry: --log {:?}: {error}; info is used", options.log));
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -99,8 +99,8 @@
         }
     }
 
-    /// Updates the metrics that take longer to collect: worker health and limit hits. `connections_exhausted`: how often
-    /// all allowed connections to a worker were in use.
+    /// Updates the metrics that take longer to collect: worker health and limit hits. `connections_exhausted`: how
+    /// often all allowed connections to a worker were in use.
     pub(crate) fn update_workers_and_limits(
         &self,
         engine: &Engine,
@@ -128,8 +128,8 @@
         }
     }
 
-    /// Sets the progress of the recovery after a restart. `gate`: the restart limiter while it is active; afterwards its
-    /// last counters are passed as `final_counters`. `without_lease`: calls rejected for want of a lease.
+    /// Sets the progress of the recovery after a restart. `gate`: the restart limiter while it is active; afterwards
+    /// its last counters are passed as `final_counters`. `without_lease`: calls rejected for want of a lease.
     pub(crate) fn set_recovery(&self, gate: Option<&Gate>, final_counters: GateCounters, without_lease: u64) {
         let step = gate.map_or(RecoveryStep::None, |gate| match gate.step().0 {
             Step::NoList => RecoveryStep::NoList,
@@ -141,7 +141,8 @@
         self.metrics.set_recovery(&RecoveryState { step, rejections });
     }
 
-    /// Sets the lease state of a follower. `None`, for a controller that needs no lease, is reported as a current lease.
+    /// Sets the lease state of a follower. `None`, for a controller that needs no lease, is reported as a current
+    /// lease.
     pub(crate) fn set_lease(&self, lease: Option<(Stage, LeaseCounters)>) {
         let (stage, counters) = lease.unwrap_or((Stage::Current, LeaseCounters::default()));
         let stage = match stage {
@@ -155,8 +156,8 @@
         self.metrics.set_lease(&LeaseState { stage, expiries, doubtful_acts });
     }
 
-    /// Sets the state of the fleet as the leader sees it: outdated and fenced incarnations, and whether the fleet has yet
-    /// to agree on a tenant snapshot.
+    /// Sets the state of the fleet as the leader sees it: outdated and fenced incarnations, and whether the fleet has
+    /// yet to agree on a tenant snapshot.
     pub(crate) fn set_fleet(&self, state: &FleetState) {
         self.metrics.set_fleet(state);
     }
--- a/crates/gateway/src/remote_write/mod.rs
+++ b/crates/gateway/src/remote_write/mod.rs
@@ -1,16 +1,17 @@
-//! Sends the metrics by Prometheus remote write, in a thread that can't block calls. What is queued, sent, dropped and
-//! retried is decided by `nettleferry-remote-write`; what survives a crash, by `nettleferry-wal`. Here they are wired to
-//! the clock, the disk and the socket.
+//! Sends the metrics by Prometheus remote write, in a separate thread, so that it cannot delay calls.
+//! `nettleferry-remote-write` decides what is queued, sent, dropped and retried, and `nettleferry-wal` stores samples
+//! so that they survive a crash. This module connects them to the clock, the disk and the network.
 //!
-//! A round: the registry is read, written to the write-ahead log as one record (or several, where it is long), and
-//! offered to the queue. A record is acknowledged when the last of its samples has left the queue. At the start, what was
-//! not acknowledged is offered again with its old times and values; the series of the last incarnation, which the log
-//! keeps as a roster, a record without samples, get a staleness marker; then new rounds begin with a new created
-//! timestamp. Nothing is written for the time in between. An incarnation that shuts down gracefully writes a last round
-//! and the markers itself, and tries to send them for a while.
+//! In each round the registry is sampled. The samples are written to the write-ahead log, as one record or several, and
+//! then offered to the queue. A record is acknowledged when the last of its samples has left the queue.
 //!
-//! * [`write_loop`]: the thread's loop. [`log`]: the write-ahead log. [`series`]: the known series. [`sample`]: values.
-//! * [`response`]: what a receiver's response means.
+//! At startup, samples of unacknowledged records are offered again with their original times and values. The series of
+//! the previous incarnation, which are in the roster of the log (records without samples), get a staleness marker. New
+//! rounds then begin with a new created timestamp. No samples are written for the time in between. A graceful shutdown
+//! writes a last round and the staleness markers, and tries to send them until a timeout.
+//!
+//! * [`write_loop`]: the loop of the thread. [`log`]: the write-ahead log. [`series`]: the known series.
+//! * [`sample`]: samples and their values. [`response`]: interprets responses of the receiver.
 
 mod log;
 mod response;
@@ -29,10 +30,11 @@
 
 use self::write_loop::WriteLoop;
 
-/// The thread of remote write. Dropped, it shuts down gracefully; see [`RemoteWriter::abandon`].
+/// Handle of the remote-write thread. Dropping it flushes the last samples and waits for the thread to end;
+/// [`RemoteWriter::abandon`] ends it without a flush.
 pub(crate) struct RemoteWriter {
     stop: Arc<AtomicBool>,
-    /// Nothing is flushed at the end.
+    /// The thread is to end without a flush.
     abandoned: Arc<AtomicBool>,
     waker: Arc<mio::Waker>,
     thread: Option<JoinHandle<()>>,
@@ -42,7 +44,8 @@
     /// Starts the thread.
     ///
     /// # Errors
-    /// Where the write-ahead log can't be opened: the settings ask for samples to survive a crash.
+    /// Where the write-ahead log cannot be opened, as samples would not survive a crash then, or where the thread or
+    /// its HTTP client cannot be started.
     pub(crate) fn start(settings: RemoteWriteSettings, metrics: Arc<Metrics>) -> io::Result<Self> {
         let mut write_loop = WriteLoop::new(settings, metrics)?;
         let (stop, abandoned) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicBool::new(false)));
@@ -56,7 +59,8 @@
         Ok(Self { stop, abandoned, waker, thread: Some(thread) })
     }
 
-    /// Ends without a flush: the next incarnation sends what is not acknowledged, and closes the series.
+    /// Ends the thread without a flush. The next incarnation sends the unacknowledged samples and writes the staleness
+    /// markers.
     pub(crate) fn abandon(self) {
         self.abandoned.store(true, Ordering::Release);
     }
--- a/crates/gateway/src/remote_write/response.rs
+++ b/crates/gateway/src/remote_write/response.rs
@@ -1,4 +1,5 @@
-//! What a receiver's HTTP response means for a batch and for the protocol version.
+//! Interprets a receiver's HTTP response: whether the batch was accepted, and whether the protocol version was
+//! understood.
 
 use std::time::SystemTime;
 
@@ -12,13 +13,13 @@
 
 const MICROS_PER_SECOND: u64 = 1_000_000;
 
-/// The meaning of a response.
+/// What follows from a response, or from its absence.
 pub(super) struct InterpretedResponse {
-    /// For the batch.
+    /// Whether the batch was accepted.
     pub(super) response: Response,
-    /// For the protocol version.
+    /// Whether the receiver understood the protocol version.
     pub(super) acceptance: Acceptance,
-    /// Whether the receiver wrote less than it accepted.
+    /// Whether the receiver accepted the batch and wrote only a part of it.
     pub(super) short_write: bool,
 }
 
@@ -27,14 +28,20 @@
         Self { response, acceptance, short_write: false }
     }
 
-    /// No response came.
+    /// The result where no response was received.
     pub(super) fn no_response() -> Self {
         Self::new(Response::Unavailable { retry_after: None }, Acceptance::Unknown)
     }
 
-    /// The meaning of a status. 2xx: accepted, though for version 2.0 only where the response says what was written: a
-    /// receiver of 1.0 that does not check the content type finds nothing in the body. 415: it does not know this version.
-    /// 429 and 5xx: unavailable. 400, 413 and 422: something in the batch is invalid. Any other: rejected for good.
+    /// Interprets the status of a response:
+    ///
+    /// * 2xx: the batch was accepted. With version 2.0 this holds only where the response states how much was written:
+    ///   a receiver of version 1.0 that does not check the content type answers 2xx, but reads no samples from the
+    ///   body.
+    /// * 415: the receiver does not support this version.
+    /// * 429 and 5xx: the receiver is unavailable.
+    /// * 400, 413 and 422: something in the batch is invalid.
+    /// * Any other status: the batch is rejected permanently.
     pub(super) fn from_answer(answer: &Answer, batch: &Batch, version: Version) -> Self {
         let unavailable = |retry_after| Response::Unavailable { retry_after };
         match (answer.status, version) {
@@ -54,7 +61,7 @@
     }
 }
 
-/// How many samples or histograms the receiver says that it wrote.
+/// The number of samples or histograms that the receiver reports as written; `kind` is `samples` or `histograms`.
 fn written(answer: &Answer, kind: &str) -> Option<usize> {
     answer.header(&format!("x-prometheus-remote-write-{kind}-written"))?.trim().parse().ok()
 }
@@ -69,7 +76,7 @@
     short
 }
 
-/// Retry-After (RFC 9110, 10.2.3): seconds, or a date on the wall clock.
+/// Reads the delay from Retry-After (RFC 9110, 10.2.3), which holds seconds or a date.
 fn retry_after(answer: &Answer) -> Option<Micros> {
     let text = answer.header("retry-after")?.trim();
     if let Ok(seconds) = text.parse::<u64>() {
--- a/crates/gateway/src/remote_write/sample.rs
+++ b/crates/gateway/src/remote_write/sample.rs
@@ -1,19 +1,19 @@
-//! Samples of remote write, with numbers or native histograms as values.
+//! Samples for remote write, whose values are numbers or native histograms.
 
 use std::sync::Arc;
 
 use nettleferry_proto::remote_write::NativeHistogram;
 use nettleferry_remote_write::HeapSize;
 
-/// A sample in the queue.
+/// A queued sample.
 pub(super) type Sample = nettleferry_remote_write::Sample<SampleValue>;
-/// A batch of the queue.
+/// A batch of queued samples.
 pub(super) type Batch = nettleferry_remote_write::Batch<SampleValue>;
 
 /// The value of a sample.
 #[derive(Clone, Debug)]
 pub(super) enum SampleValue {
-    /// A number.
+    /// A floating-point number.
     Number(f64),
     /// A native histogram.
     Native(Arc<NativeHistogram>),
--- a/crates/gateway/src/remote_write/series.rs
+++ b/crates/gateway/src/remote_write/series.rs
@@ -1,4 +1,4 @@
-//! The series that are known, by number, and samples as messages of their series.
+//! Table of the known series, which are identified by numbers, and the conversion of samples to protocol messages.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -8,42 +8,42 @@
 
 use super::sample::{Sample, SampleValue};
 
-/// A series.
+/// A series that this or an earlier incarnation has written.
 pub(super) struct KnownSeries {
-    /// Its labels, `__name__` among them.
+    /// The labels, with `__name__`.
     pub(super) labels: Vec<(String, String)>,
     kind: SeriesKind,
-    /// Whether its samples are native histograms.
+    /// Whether the samples are native histograms.
     is_native: bool,
-    /// Created timestamps of earlier incarnations of which samples are queued, in order.
+    /// Created timestamps of this series in earlier incarnations whose samples are still queued, ascending.
     earlier_created_ms: Vec<i64>,
 }
 
-/// All series, by number.
+/// The known series, with their numbers.
 pub(super) struct SeriesTable {
     series: Vec<KnownSeries>,
     numbers: HashMap<Vec<(String, String)>, u64>,
-    /// When the counters of this incarnation began.
+    /// Created timestamp of this incarnation's counters, milliseconds since 1970.
     pub(super) created_ms: i64,
 }
 
 impl SeriesTable {
-    /// No series. Until the created timestamp is set, all samples count as those of earlier incarnations.
+    /// Creates an empty table. Until `created_ms` is set, all samples count as samples of earlier incarnations.
     pub(super) fn new() -> Self {
         Self { series: Vec::new(), numbers: HashMap::new(), created_ms: i64::MAX }
     }
 
-    /// Numbers of all series.
+    /// The numbers of all series.
     pub(super) fn numbers(&self) -> Vec<u64> {
         (0..self.series.len() as u64).collect()
     }
 
-    /// A series by its number.
+    /// Returns the series with this number.
     pub(super) fn get(&self, number: u64) -> Option<&KnownSeries> {
         self.series.get(number as usize)
     }
 
-    /// The number of the series with these labels, which is added where it is new.
+    /// Returns the number of the series with these labels; adds the series if it is new.
     pub(super) fn number(&mut self, labels: &[(String, String)], kind: SeriesKind) -> u64 {
         if let Some(number) = self.numbers.get(labels) {
             return *number;
@@ -61,7 +61,7 @@
         number
     }
 
-    /// Notes when the counter of a series began in an earlier incarnation.
+    /// Adds the created timestamp that a series had in an earlier incarnation.
     pub(super) fn add_earlier_created(&mut self, number: u64, created_ms: i64) {
         if let Some(known) = self.series.get_mut(number as usize)
             && let Err(index) = known.earlier_created_ms.binary_search(&created_ms)
@@ -70,7 +70,7 @@
         }
     }
 
-    /// The staleness marker of a series.
+    /// The value that marks a series as stale: a NaN, or a native histogram with one.
     pub(super) fn stale_value(&self, number: u64) -> SampleValue {
         if self.get(number).is_some_and(|known| known.is_native) {
             SampleValue::Native(Arc::new(NativeHistogram::stale(NATIVE_SCHEMA)))
@@ -79,7 +79,8 @@
         }
     }
 
-    /// The created timestamp of a series for a sample: that of the incarnation that it is of.
+    /// The created timestamp for a sample of the time `at_ms`: the one of the incarnation that took it. Gauges have
+    /// none.
     fn created_at(&self, known: &KnownSeries, at_ms: i64) -> Option<i64> {
         let created = if at_ms >= self.created_ms {
             Some(self.created_ms)
@@ -89,7 +90,8 @@
         created.filter(|_| known.kind != SeriesKind::Gauge)
     }
 
-    /// Samples as series, each with its samples in order; those of each incarnation have a series of their own.
+    /// Groups samples by series, in their order. Samples of different incarnations get separate messages, as their
+    /// created timestamps differ.
     pub(super) fn to_series(&self, samples: &[Sample]) -> Vec<Series> {
         let mut indices: HashMap<(u64, Option<i64>), usize> = HashMap::new();
         let mut all: Vec<Series> = Vec::new();
--- a/crates/gateway/src/remote_write/write_loop.rs
+++ b/crates/gateway/src/remote_write/write_loop.rs
@@ -1,4 +1,5 @@
-//! The loop of the remote-write thread: rounds of samples, batches, responses, and the flush at shutdown.
+//! The loop of the remote-write thread: samples the registry, sends batches, handles responses, and flushes at
+//! shutdown.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -23,26 +24,26 @@
 use super::sample::{Batch, Sample, SampleValue};
 use super::series::SeriesTable;
 
-/// Most bytes that a record of the log may decompress to.
+/// Maximum decompressed size of a record of the log, bytes.
 const MAX_RECORD_BYTES: usize = 8 << 20;
-/// The longest wait before version 2.0 is tried again, in first waits.
+/// Longest wait before version 2.0 is tried again, as a multiple of the first wait.
 const MAX_RENEGOTIATION_FACTOR: u64 = 12;
 const MICROS_PER_SECOND: u64 = 1_000_000;
 
-/// A batch that waits for its response.
+/// A batch that was sent and has no response yet.
 struct PendingBatch {
     batch: Batch,
     version: Version,
 }
 
-/// Buffers that are used again with each step.
+/// Buffers that are reused across iterations of the loop.
 #[derive(Default)]
 struct Buffers {
     due: Vec<Batch>,
     ended: Vec<(usize, Result<Answer, Http1Error>)>,
 }
 
-/// The state of the thread.
+/// State of the remote-write thread.
 pub(super) struct WriteLoop {
     settings: RemoteWriteSettings,
     metrics: Arc<Metrics>,
@@ -51,18 +52,19 @@
     queue: Queue<SampleValue>,
     log: SampleLog,
     series: SeriesTable,
-    /// The time of the last round, milliseconds since 1970.
+    /// Time of the newest samples so far, milliseconds since 1970.
     last_sample_time_ms: i64,
     sample_clock: SampleClock,
     negotiation: Negotiation,
-    /// By lane.
+    /// Batches without a response, by lane. Each shard of the queue has a lane, which is an HTTP connection of its own.
     pending_batches: BTreeMap<usize, PendingBatch>,
-    /// Batches of which the receiver wrote less than it accepted.
+    /// Number of batches that the receiver accepted and wrote only in part.
     short_writes: u64,
 }
 
 impl WriteLoop {
-    /// Opens the log, and restores what the last incarnation left.
+    /// Opens the log, offers the unacknowledged samples of the previous incarnation again, and marks its series as
+    /// stale.
     pub(super) fn new(settings: RemoteWriteSettings, metrics: Arc<Metrics>) -> io::Result<Self> {
         let (log, recovered) = SampleLog::open(settings.wal_folder.clone(), settings.wal_bytes)?;
         let clock = Clock::start();
@@ -97,19 +99,19 @@
         Ok(write_loop)
     }
 
-    /// Ends the wait of the loop from another thread.
+    /// Returns a handle with which another thread interrupts the wait of the loop.
     pub(super) fn waker(&self) -> Arc<mio::Waker> {
         self.client.waker()
     }
 
-    /// Offers the samples of the last incarnation again, and closes its series.
+    /// Offers the samples of the previous incarnation to the queue again, and writes staleness markers for its series.
     fn restore(&mut self, records: Vec<RecoveredRecord>) {
         let now = self.clock.now();
         let (mut rosters, mut samples) = (Vec::new(), 0);
         let mut ended: Vec<u64> = Vec::new();
         for RecoveredRecord { position, payload } in records {
             let Ok(series) = remote_write::decode(Version::Two, &payload, MAX_RECORD_BYTES) else {
-                // Its checksum is right: another version of the program wrote it.
+                // The checksum was verified, so another version of the program wrote this record.
                 warn!("unreadable record of the samples' write-ahead log is dropped");
                 self.log.discard(position);
                 continue;
@@ -127,7 +129,7 @@
         if samples > 0 {
             info!(samples, "samples of the last incarnation are sent again");
         }
-        // The wall clock may have stepped back between the incarnations.
+        // The wall clock may have been set back since the previous incarnation wrote its samples.
         let last = u64::try_from(self.last_sample_time_ms).map_or(0, |ms| ms.saturating_mul(1000));
         self.sample_clock = SampleClock::new(now, wall(), last);
         ended.sort_unstable();
@@ -139,7 +141,7 @@
         self.series.created_ms = self.next_sample_time();
     }
 
-    /// Adds the series of a recovered record, and tracks its samples. Returns the numbers of the series.
+    /// Adds the series of a recovered record to the table, and tracks its samples. Returns the numbers of the series.
     fn register_series(&mut self, position: Position, series: &[Series]) -> Vec<u64> {
         let mut numbers = Vec::new();
         let mut times: BTreeMap<i64, usize> = BTreeMap::new();
@@ -160,7 +162,7 @@
         numbers
     }
 
-    /// Offers recovered samples to the queue. Returns how many.
+    /// Offers recovered samples to the queue. Returns their number.
     fn requeue(&mut self, now: Micros, series: Vec<Series>) -> u64 {
         let mut offered = 0;
         for one in series {
@@ -177,7 +179,7 @@
         offered
     }
 
-    /// Writes staleness markers for series that have ended.
+    /// Writes a staleness marker for each of these series.
     fn write_staleness_markers(&mut self, ended: Vec<u64>) {
         if ended.is_empty() {
             return;
@@ -188,14 +190,14 @@
         self.enqueue(markers);
     }
 
-    /// The time of a round, which is later than that of the last one.
+    /// Returns the time for new samples, milliseconds since 1970. It is always later than that of earlier samples.
     fn next_sample_time(&mut self) -> i64 {
         let now = self.sample_clock.now(self.clock.now(), wall());
         self.last_sample_time_ms = millis(now).max(self.last_sample_time_ms.saturating_add(1));
         self.last_sample_time_ms
     }
 
-    /// Writes samples of one time to the log, and then offers them to the queue.
+    /// Writes samples, all of the same time, to the log, and then offers them to the queue.
     fn enqueue(&mut self, samples: Vec<Sample>) {
         let now = self.clock.now();
         for part in samples.chunks(MAX_RECORD_SERIES) {
@@ -209,7 +211,7 @@
         self.complete_samples();
     }
 
-    /// Acknowledges records whose samples have left the queue.
+    /// Acknowledges the records whose samples have all left the queue.
     fn complete_samples(&mut self) {
         let completed: Vec<i64> = self.queue.drain_completed().collect();
         for at_ms in completed {
@@ -217,7 +219,7 @@
         }
     }
 
-    /// Samples the registry.
+    /// Takes a sample of each series of the registry. `first`: this is the first round, which writes the roster.
     fn sample_round(&mut self, first: bool) {
         self.update_metrics();
         let Ok(text) = self.metrics.text() else { return };
@@ -232,7 +234,7 @@
             let series = self.own_series(parsed.labels, kind);
             samples.push(Sample { series, at_ms, value: SampleValue::Number(parsed.value) });
         }
-        // The plain version carries classic buckets alone.
+        // Version 1.0 cannot carry native histograms, only classic buckets.
         if self.negotiation.version() == ProtocolVersion::Preferred {
             self.sample_native_histograms(at_ms, &mut samples);
         }
@@ -254,14 +256,14 @@
         }
     }
 
-    /// The number of a series of this controller, with the labels of the settings.
+    /// Returns the number of a series of this controller, to whose labels those of the settings are added.
     fn own_series(&mut self, mut labels: Vec<(String, String)>, kind: SeriesKind) -> u64 {
         labels.extend(self.settings.labels.iter().map(|label| (label.name.clone(), label.value.clone())));
         labels.sort();
         self.series.number(&labels, kind)
     }
 
-    /// Updates the metrics of remote write itself.
+    /// Updates the metrics about remote write.
     fn update_metrics(&self) {
         let c = self.queue.counters();
         self.metrics.set_remote_write(&RemoteWriteState {
@@ -284,7 +286,7 @@
         self.metrics.set_wal(&self.log.state());
     }
 
-    /// Runs until it is told to stop.
+    /// Samples and sends until `stop` is set.
     pub(super) fn run(&mut self, stop: &AtomicBool) -> io::Result<()> {
         let mut next_round = self.clock.now();
         let mut first = true;
@@ -293,7 +295,7 @@
             let now = self.clock.now();
             if now >= next_round {
                 self.sample_round(std::mem::take(&mut first));
-                // Rounds missed while the machine slept are not made up for.
+                // Rounds that were missed, as while the machine was suspended, are skipped.
                 next_round = next_round.saturating_add(self.settings.sample_interval).max(now);
             }
             self.send_and_poll(next_round, &mut buffers)?;
@@ -301,7 +303,8 @@
         Ok(())
     }
 
-    /// Sends what is due, and handles responses until something else is due, at `until` at the latest.
+    /// Sends the batches that are due, then waits for responses until the next batch is due, or until `until`, and
+    /// handles them.
     fn send_and_poll(&mut self, until: Micros, buffers: &mut Buffers) -> io::Result<()> {
         self.queue.due(self.clock.now(), &mut buffers.due);
         for batch in buffers.due.drain(..) {
@@ -319,13 +322,14 @@
         Ok(())
     }
 
-    /// Flushes at a graceful shutdown: the samples since the last round, the staleness marker of each series, and some
-    /// time to send them. What is not sent stays in the log.
+    /// Ends a graceful shutdown: takes a last round of samples, writes a staleness marker for each series, and sends
+    /// what is queued for up to the flush timeout. Samples that are not sent remain in the log. Where `abandoned` is
+    /// set, nothing is flushed.
     pub(super) fn flush(&mut self, abandoned: &AtomicBool) -> io::Result<()> {
         if !abandoned.load(Ordering::Acquire) {
             self.sample_round(false);
             self.write_staleness_markers(self.series.numbers());
-            // The markers are as durable as the roster was.
+            // The markers are in the log now, so the next incarnation does not need the roster.
             self.log.drop_roster();
             self.queue.flush();
             let until = self.clock.now() + self.settings.flush_timeout;
@@ -350,7 +354,7 @@
         let series = self.series.to_series(&batch.samples);
         let empty = version == Version::One && series.iter().all(|one| one.samples.is_empty());
         match remote_write::encode(version, &series) {
-            // Native histograms from before a fallback to 1.0, which can't carry them.
+            // The batch holds only native histograms, sampled before the fallback to 1.0, which cannot carry them.
             Ok(_) if empty => {
                 self.queue.handle_response(self.clock.now(), lane, batch.number, Response::Accepted);
             }
@@ -364,7 +368,7 @@
                 self.client.post(lane, &self.settings.path, &headers, &body);
                 self.pending_batches.insert(lane, PendingBatch { batch, version });
             }
-            // What can't be encoded now can't be encoded later.
+            // Encoding would fail again, so the batch is rejected instead of being retried.
             Err(_) => {
                 let now = self.clock.now();
                 self.negotiation.handle_response(now, lane, Acceptance::Unknown);
--- a/crates/gateway/src/tenants/mod.rs
+++ b/crates/gateway/src/tenants/mod.rs
@@ -136,8 +136,8 @@
         self.without_snapshot = true;
     }
 
-    /// Whether the snapshot is known to lack changes that other controllers have or had, such as a suspension: until that
-    /// is decided, calls of tenants are rejected, and not denied.
+    /// Whether the snapshot is known to lack changes that other controllers have or had, such as a suspension: until
+    /// that is decided, calls of tenants are rejected, and not denied.
     pub(crate) fn set_snapshot_behind(&mut self, is_behind: bool) {
         self.snapshot_behind = is_behind;
     }
@@ -158,7 +158,8 @@
         self.without_snapshot = false;
     }
 
-    /// Puts a change in force. Returns the tenant that it removed: its calls are to be ended before [`Tenants::forget`].
+    /// Puts a change in force. Returns the tenant that it removed: its calls are to be ended before
+    /// [`Tenants::forget`].
     pub(crate) fn apply(&mut self, change: &Entry) -> Option<TenantId> {
         self.revision = change.revision;
         match &change.after {
--- a/crates/gateway/src/worker_links/mod.rs
+++ b/crates/gateway/src/worker_links/mod.rs
@@ -90,8 +90,8 @@
         self.fencing_token = Some(HeaderValue::from(token));
     }
 
-    /// Applies a new worker list. Pools of workers that were removed or have another address are dropped; RPCs in flight
-    /// on their connections continue.
+    /// Applies a new worker list. Pools of workers that were removed or have another address are dropped; RPCs in
+    /// flight on their connections continue.
     pub(crate) fn update_workers(&mut self, workers: &HashMap<WorkerId, SocketAddr>) {
         self.pools.retain(|id, pool| workers.get(id) == Some(&pool.address));
         for (id, address) in workers {
--- a/crates/gateway/src/worker_list/file.rs
+++ b/crates/gateway/src/worker_list/file.rs
@@ -1,5 +1,5 @@
-//! The worker list's file: a version is taken as a whole or rejected, and the last one taken is persisted for the next
-//! start.
+//! Reads the file of the worker list. Each version of the file is applied completely or rejected, and the last one that
+//! was applied is persisted for the next start.
 
 use std::path::PathBuf;
 use std::sync::Arc;
@@ -15,32 +15,34 @@
 
 use super::ListUpdate;
 
-/// How long the persisted list is waited for, before the list itself is read.
+/// Maximum time to wait for the persisted list at startup; after that the list file itself is read.
 const RESTORE_TIMEOUT: Duration = Duration::from_millis(400);
-/// Begins the first line of a persisted list, before its time: milliseconds of the wall clock.
+/// Prefix of the first line of a persisted list. The time at which the list was saved follows, in milliseconds of the
+/// wall clock.
 const SAVED_AT_PREFIX: &str = ";at ";
 
-/// A list file.
+/// The list file, and the copy that is persisted of its last valid version.
 pub(super) struct ListFile {
     path: PathBuf,
     persisted: Option<PersistedFile>,
-    /// The text that was read last; empty where the file could not be read.
+    /// The text that was read last; empty where the file was not readable.
     last_text: Option<String>,
     rejected: Arc<AtomicU64>,
 }
 
 impl ListFile {
-    /// A file that was not read yet. `rejected` counts versions that can't be taken.
+    /// Creates a reader that has not read the file yet. `rejected` counts the versions that are not valid.
     pub(super) fn new(path: PathBuf, persisted: Option<PathBuf>, rejected: Arc<AtomicU64>) -> Self {
         let persisted = persisted.map(|file| PersistedFile::open(file, "worker list", RESTORE_TIMEOUT));
         Self { path, persisted, last_text: None, rejected }
     }
 
-    /// The list of the incarnation before, where one was persisted, is valid and recent enough.
+    /// Returns the list that the previous incarnation persisted, if there is one that is valid and recent enough.
+    /// `now_ms` is the time of the wall clock.
     pub(super) fn restore(&mut self, now_ms: u64) -> Option<ListUpdate> {
         let persisted = self.persisted.as_mut()?;
         let payload = persisted.read_trusted(PersistedState::WorkerList, now_ms, saved_at)?;
-        match workers::read("the kept list", &String::from_utf8_lossy(&payload)) {
+        match workers::read("persisted worker list", &String::from_utf8_lossy(&payload)) {
             Ok(workers) => Some(ListUpdate { form: ListForm::Restored, workers }),
             Err(errors) => {
                 persisted.log_invalid(&errors);
@@ -49,7 +51,8 @@
         }
     }
 
-    /// Reads the file. `Some`: it has changed and is valid, or an update was requested.
+    /// Reads the file. Returns its list where the text has changed and is valid. With `requested` an unchanged list is
+    /// returned too, and [`ListForm::Failed`] where there is no valid one.
     pub(super) fn read(&mut self, requested: bool) -> Option<ListUpdate> {
         if requested {
             self.last_text = None;
@@ -79,7 +82,7 @@
         match std::fs::read_to_string(&self.path) {
             Ok(text) => Some(text),
             Err(error) => {
-                // Logged and counted once: an unreadable file is remembered as an empty text.
+                // The empty text records the failure, so that it is logged and counted only once.
                 if self.last_text.as_deref() != Some("") {
                     let file = self.path.display();
                     warn!(%file, %error, "worker list not readable, the last one stays in force");
@@ -98,7 +101,7 @@
     }
 }
 
-/// When a persisted list was saved, in milliseconds of the wall clock.
+/// Reads from a persisted list when it was saved, in milliseconds of the wall clock.
 fn saved_at(payload: &[u8]) -> Option<u64> {
     let line = payload.split(|&b| b == b'\n').next()?;
     std::str::from_utf8(line).ok()?.strip_prefix(SAVED_AT_PREFIX)?.trim().parse().ok()
--- a/crates/gateway/src/worker_list/file/tests.rs
+++ b/crates/gateway/src/worker_list/file/tests.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn a_rejected_version_leaves_the_last_list_which_is_restored_while_it_is_recent() {
+fn rejected_version_keeps_the_last_list_which_is_restored_while_recent() {
     let dir = tempfile::tempdir().expect("a folder");
     let (path, persisted) = (dir.path().join("w.sexp"), dir.path().join("kept.sexp"));
     let mut first = file(&path, &persisted);
--- a/crates/gateway/src/worker_list/mod.rs
+++ b/crates/gateway/src/worker_list/mod.rs
@@ -1,7 +1,7 @@
-//! The worker list, watched by a thread of its own: the thread that answers calls waits for no disk. Another source of
-//! workers would give [`ListUpdate`]s as well.
+//! Watches the worker list in a separate thread, so that the thread that answers calls never waits for a disk. Any
+//! other source of workers would have to produce [`ListUpdate`]s too.
 //!
-//! * [`mod@file`]: the list's file, and the persisted list of the incarnation before.
+//! * [`mod@file`]: reads the list file, and persists the last valid list for the next incarnation.
 
 mod file;
 
@@ -21,38 +21,38 @@
 
 use file::ListFile;
 
-/// A new worker list.
+/// A worker list that was read, or the failure to read one.
 #[derive(Debug)]
 pub(crate) struct ListUpdate {
-    /// Where it is from, and whether it is complete; without workers where the list can't be read.
+    /// Whether the list was read now, restored from the previous incarnation, or could not be read.
     pub form: ListForm,
-    /// The workers.
+    /// The listed workers; empty where the list could not be read.
     pub workers: Vec<Worker>,
 }
 
-/// Where the worker list is, and how often it is checked.
+/// Location of the worker list, and how often it is checked.
 #[derive(Debug)]
 pub(crate) struct ListSource {
-    /// The list's file.
+    /// Path of the list file.
     pub path: PathBuf,
-    /// Where the list is persisted for the next start.
+    /// Path of the file that persists the list for the next start; `None`: it is not persisted.
     pub persisted: Option<PathBuf>,
-    /// How often the file is checked for changes.
+    /// Time between two checks of the file, microseconds.
     pub check_interval: Micros,
 }
 
-/// Updates that wait for the controller; the watcher blocks while there are more.
+/// Maximum number of events that wait for the controller. The watcher blocks when it has one more.
 const PENDING_UPDATES: usize = 4;
-/// How long a start waits for the first read of the list, before it goes on without it.
+/// Maximum time that startup waits for the first read of the list; after that it continues without one.
 const FIRST_READ_TIMEOUT: Duration = Duration::from_secs(1);
 
 enum WatchEvent {
     Update(ListUpdate),
-    /// The file was read for the first time, or could not be.
+    /// The first attempt to read the file is over, whether or not it succeeded.
     FirstRead,
 }
 
-/// Watches the worker list. Its thread ends when this is dropped.
+/// Handle of the thread that watches the worker list. Dropping it ends the thread.
 pub(crate) struct ListWatcher {
     events: Receiver<WatchEvent>,
     requests: Sender<()>,
@@ -60,7 +60,7 @@
 }
 
 impl ListWatcher {
-    /// Starts the thread, which calls `wake` after each update.
+    /// Starts the thread. It calls `wake` after each event, so that the controller reads it.
     pub(crate) fn start(source: ListSource, wake: impl Fn() + Send + 'static) -> io::Result<Self> {
         let (event_sender, events) = sync_channel(PENDING_UPDATES);
         let (requests, request_receiver) = channel();
@@ -75,7 +75,7 @@
         Ok(Self { events, requests, rejected })
     }
 
-    /// Updates since the last call, in order.
+    /// Returns the updates that arrived since the last call, in order.
     pub(crate) fn updates(&self) -> Vec<ListUpdate> {
         let update = |event| match event {
             WatchEvent::Update(update) => Some(update),
@@ -84,7 +84,7 @@
         self.events.try_iter().filter_map(update).collect()
     }
 
-    /// Waits for the first read of the list, up to a timeout, and returns the updates until then.
+    /// Waits until the list was read for the first time, or for [`FIRST_READ_TIMEOUT`]. Returns the updates until then.
     pub(crate) fn initial_updates(&self) -> Vec<ListUpdate> {
         let deadline = Instant::now() + FIRST_READ_TIMEOUT;
         let mut updates = Vec::new();
@@ -102,17 +102,18 @@
 
     /// Requests an update with the complete list, changed or not, or with [`ListForm::Failed`].
     pub(crate) fn request_update(&self) {
-        // A watcher that has ended can't be asked: the last list stays in force.
+        // Fails only where the watcher has ended; the last list then stays in force.
         let _ = self.requests.send(());
     }
 
-    /// How many versions of the file were rejected.
+    /// How many times the file was rejected as invalid or unreadable.
     pub(crate) fn rejected(&self) -> u64 {
         self.rejected.load(Ordering::Relaxed)
     }
 }
 
-/// Reads the file at each interval and request, until nobody receives its events any more.
+/// Restores the persisted list, then reads the file at each interval and request. Returns once the [`ListWatcher`] is
+/// dropped.
 fn watch(
     file: &mut ListFile,
     check_interval: Duration,
@@ -148,7 +149,8 @@
     }
 }
 
-/// The list as the engine has it. A worker that is listed twice is in it once, as its last line says.
+/// Converts the list for the engine, without workers that are marked as gone. Where a name is listed twice, the last
+/// entry counts.
 pub(crate) fn members(workers: &[Worker]) -> Vec<Member> {
     let by_name: BTreeMap<&str, &Worker> =
         workers.iter().map(|worker| (worker.name.as_str(), worker)).collect();
