--- a/crates/gateway/src/front/accept.rs
+++ b/crates/gateway/src/front/accept.rs
@@ -1,5 +1,5 @@
-//! Accepts or rejects a call when its request has come, and opens it at the engine. The limits themselves are judged by
-//! the tenants' admission, by the lease, and by the limiter after a restart.
+//! Accepts or rejects a call when its request arrives, and opens accepted ones at the engine. Whether a call is
+//! accepted depends on the restart limiter, the lease, and the limits of its tenant.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,12 +20,12 @@
 use crate::call_steps::count_call_steps;
 use crate::tenants::{CallRejection, TenantCall, model_hash};
 
-/// Clients that are rejected for want of a lease retry within this span beyond the usual advice, so that they don't all
-/// come at once. Milliseconds.
+/// Maximum random delay, milliseconds, that is added to the retry delay of calls rejected for want of a lease, so that
+/// their clients do not all retry at once.
 const RETRY_JITTER_MS: u64 = 1_000;
 
 impl Front {
-    /// Opens the call that a message asks for, or answers it at once.
+    /// Opens the call of a request message, or answers the message at once if the call is rejected.
     pub(super) fn open_call(&mut self, context: &mut FrontContext, stream: StreamKey, payload: Bytes) {
         let head = match peek::infer_request(&payload) {
             Ok(head) => head,
@@ -43,7 +43,7 @@
         }
     }
 
-    /// The call as the engine opens it, or why it is rejected. `None`: its client has disconnected.
+    /// Checks whether a call is accepted, and builds it for the engine. `None` if the client has disconnected.
     fn accept(
         &mut self,
         context: &mut FrontContext,
@@ -96,7 +96,7 @@
         }))
     }
 
-    /// Opens an accepted call at the engine.
+    /// Opens an accepted call at the engine. The engine may answer it at once.
     fn start_call(&mut self, context: &mut FrontContext, stream: StreamKey, id: &str, new_call: NewCall) {
         let number = new_call.front;
         let open_call = OpenCall { stream, id: id.into(), model: Arc::clone(&new_call.model) };
@@ -118,7 +118,7 @@
         }
     }
 
-    /// A call of an RPC is open: one of too many makes its client wait.
+    /// Adds an open call to its RPC. Reading of the stream is paused once it has the maximum number of open calls.
     fn track_call(&mut self, context: &mut FrontContext, stream: StreamKey, call: CallId, number: u64) {
         let Some(rpc) = self.rpcs.get_mut(&stream) else { return };
         rpc.calls.insert(call, number);
@@ -132,7 +132,7 @@
         }
     }
 
-    /// After a restart: whether a call is rejected, and when its client is to retry.
+    /// Asks the restart limiter about a call. Returns the retry delay if it is rejected.
     fn wait_after_restart(
         &self,
         context: &mut FrontContext,
@@ -159,8 +159,9 @@
         }
     }
 
-    /// Without a lease it is not known whether the tenants' snapshot is still in force. Where the settings want that,
-    /// no call is accepted then: another controller may accept it, and so may this one when it has a lease again.
+    /// Checks the lease, and returns the failure of the call where it may not be accepted. Without a lease it is not
+    /// known whether the tenants' snapshot is still current. If the settings then forbid calls, the client is to retry:
+    /// another controller may accept the call, and so may this one after its lease is renewed.
     fn check_lease(&self, context: &mut FrontContext) -> Option<Failure> {
         let now = context.now_ms();
         let stage = context.lease.as_mut()?.check_call(now);
@@ -182,7 +183,7 @@
         Some(Failure::refused(message, self.pushback() + jitter))
     }
 
-    /// Asks the tenants' admission. An admitted call counts as open from then on.
+    /// Asks admission control for the call's tenant. An admitted call counts as open from then on.
     fn admit(
         &self,
         context: &mut FrontContext,
@@ -195,7 +196,7 @@
         let Some(tenants) = &mut context.tenants else {
             return Ok(name.and_then(|name| self.config.tenants.get(name).copied()));
         };
-        // Admission is to know what has become of other calls by now.
+        // Admission control needs the current state of the other calls first.
         count_call_steps(context.now, context.engine, context.limiter.as_deref_mut(), Some(&mut **tenants));
         let call = TenantCall {
             call_number: number,
@@ -207,7 +208,8 @@
         tenants.admit(context.now, &call)
     }
 
-    /// Over a limit: a retry after a while does no harm. Without a right: no retry helps.
+    /// The failure for a call that was not admitted: PERMISSION_DENIED where the caller lacks the right, as no retry
+    /// helps, else RESOURCE_EXHAUSTED with a retry delay.
     fn admission_failure(&self, rejection: &CallRejection) -> Failure {
         if rejection.denied {
             return Failure::new(Code::PermissionDenied, rejection.message.clone());
--- a/crates/gateway/src/front/context.rs
+++ b/crates/gateway/src/front/context.rs
@@ -1,4 +1,4 @@
-//! What the front works with while it handles one event.
+//! The parts of the controller that the front uses while it handles one event.
 
 use nettleferry::Micros;
 use nettleferry_audit_log::Recorder;
@@ -9,28 +9,28 @@
 
 use crate::tenants::Tenants;
 
-/// What the front needs of the controller for one event.
+/// Borrows of the controller's parts for the handling of one event.
 pub(crate) struct FrontContext<'a> {
-    /// The connections.
+    /// The network connections.
     pub hub: &'a mut Hub,
     /// The engine.
     pub engine: &'a mut Engine,
-    /// Where the engine puts its commands.
+    /// Receives the commands of the engine.
     pub commands: &'a mut Vec<Command>,
-    /// Tenants of the administration, where there is one.
+    /// The tenants; `None` without an administration.
     pub tenants: Option<&'a mut Tenants>,
-    /// Limits how many calls are accepted after a restart, while that is needed.
+    /// The restart limiter; `None` once the recovery from a restart is complete.
     pub limiter: Option<&'a mut Gate>,
-    /// The lease of a controller that follows another's administration.
+    /// The lease; `None` unless this controller is a follower.
     pub lease: Option<&'a mut Holder>,
-    /// Enters calls into the audit log, where there is one.
+    /// Records calls in the audit log; `None` without one.
     pub recorder: Option<&'a mut Recorder>,
-    /// When the event is handled.
+    /// The time at which the event is handled, microseconds on the controller's clock.
     pub now: Micros,
 }
 
 impl FrontContext<'_> {
-    /// The time in milliseconds.
+    /// [`FrontContext::now`] in milliseconds.
     pub(crate) fn now_ms(&self) -> u64 {
         self.now / 1000
     }
--- a/crates/gateway/src/front/failure.rs
+++ b/crates/gateway/src/front/failure.rs
@@ -1,8 +1,9 @@
-//! A call's final answer as a gRPC status.
+//! Maps the final answer of a call to a gRPC status.
 //!
-//! Served: OK. Refused: UNAVAILABLE with `grpc-retry-pushback-ms` (gRFC A6) and `RetryInfo`, as a retry does no harm.
-//! Failed: ABORTED, INTERNAL or DEADLINE_EXCEEDED with pushback -1 ("do not retry"), as the call may have run; never
-//! UNAVAILABLE.
+//! * Served: OK.
+//! * Refused: UNAVAILABLE with `grpc-retry-pushback-ms` (gRFC A6) and `RetryInfo`, because a retry does no harm.
+//! * Failed: ABORTED, INTERNAL or DEADLINE_EXCEEDED with a pushback of -1 ("do not retry"), because the call may have
+//!   run. Never UNAVAILABLE.
 
 use std::time::Duration;
 
@@ -14,31 +15,32 @@
 use nettleferry_proto::rpc::status_with_retry;
 use prost::Message;
 
-/// The metadata key of the advice when to retry (gRFC A6).
+/// Metadata key of the retry delay (gRFC A6).
 pub(super) const PUSHBACK: &str = "grpc-retry-pushback-ms";
 
-/// A final answer that is no success, as gRPC has it.
+/// The gRPC status of an unsuccessful call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct Failure {
     /// Code and message.
     pub status: Status,
-    /// When to retry, in milliseconds; negative: do not retry; `None`: no advice.
+    /// Retry delay in milliseconds. Negative: the client must not retry. `None`: no advice is sent.
     pub pushback_ms: Option<i64>,
 }
 
 impl Failure {
-    /// A failure of the call itself, without advice on retries.
+    /// Creates a failure without advice on retries.
     pub(super) fn new(code: Code, message: impl Into<String>) -> Self {
         Self { status: Status::new(code, message), pushback_ms: None }
     }
 
-    /// A call that was not run, or may be repeated: a retry after a while does no harm.
+    /// Creates the refusal of a call that was not run, or may be repeated: the client may retry after the delay
+    /// `after`.
     pub(super) fn refused(message: impl Into<String>, after: Duration) -> Self {
         let ms = i64::try_from(after.as_millis()).unwrap_or(i64::MAX);
         Self { status: Status::new(Code::Unavailable, message), pushback_ms: Some(ms) }
     }
 
-    /// The trailers of an RPC that ends with it.
+    /// The trailers that end an RPC with this failure.
     pub(super) fn trailers(&self) -> HeaderMap {
         let mut map = self.status.trailers();
         if let Some(ms) = self.pushback_ms {
@@ -54,7 +56,7 @@
         map
     }
 
-    /// One message of a stream: `error_message`, and the call's `id`.
+    /// Encodes this failure as a message on a stream, with `error_message` and the `id` of the call.
     pub(super) fn message(&self, id: &str) -> Bytes {
         let mut response = ModelInferResponse { id: id.to_owned(), ..Default::default() };
         let text = |s: &str| InferParameter {
@@ -72,7 +74,8 @@
     }
 }
 
-/// The failure that a final answer is; `None`: it is a success.
+/// Maps a final answer to a failure; `None` if the call was served. `pushback` is the retry delay of refusals for which
+/// the engine gives none.
 pub(super) fn failure_for_answer(answer: &FinalAnswer, pushback: Duration) -> Option<Failure> {
     Some(match answer {
         FinalAnswer::Served { .. } => return None,
@@ -101,7 +104,7 @@
     })
 }
 
-/// The last message of a stream whose worker sent none that was marked.
+/// Builds the message that ends a served call on a stream, for a worker that did not mark its last message as final.
 pub(super) fn empty_final_message(id: &str, model: &str) -> Bytes {
     let mut response =
         ModelInferResponse { id: id.to_owned(), model_name: model.to_owned(), ..Default::default() };
--- a/crates/gateway/src/front/failure/tests.rs
+++ b/crates/gateway/src/front/failure/tests.rs
@@ -5,7 +5,7 @@
 use nettleferry_proto::rpc;
 
 #[test]
-fn refusals_advise_when_to_retry_and_failures_advise_never_to() {
+fn refusals_carry_a_retry_delay_and_failures_forbid_retries() {
     let refused = FinalAnswer::Refused { reason: Refusal::NoRoom, retry_after: None };
     let map = failure_for_answer(&refused, Duration::from_millis(70)).expect("no success").trailers();
     assert_eq!((map["grpc-status"].as_bytes(), map[PUSHBACK].as_bytes()), (&b"14"[..], &b"70"[..]));
--- a/crates/gateway/src/front/headers.rs
+++ b/crates/gateway/src/front/headers.rs
@@ -1,4 +1,4 @@
-//! A request's headers: what a gRPC client must send, and what is read of it.
+//! Checks and reads the headers of gRPC requests.
 
 use http::{Method, StatusCode, request};
 use nettleferry::Micros;
@@ -7,23 +7,26 @@
 
 use super::failure::Failure;
 
-/// What is read of the headers.
+/// The values that are read from the headers of a request.
 #[derive(Debug)]
 pub(super) struct RequestHeaders {
-    /// The client's deadline, on the controller's clock.
+    /// The client's deadline on the controller's clock; `None` if it set none.
     pub deadline: Option<Micros>,
-    /// Messages may be compressed with gzip.
+    /// Messages of the client may be compressed with gzip.
     pub gzip: bool,
-    /// The tenant that the client names.
+    /// Name of the client's tenant, if it sent one.
     pub tenant: Option<String>,
-    /// `triton_grpc_error: true`: a stream's first failing call ends the stream with its status.
+    /// `triton_grpc_error: true`: the first call that fails on a stream ends the stream with its status.
     pub errors_end_stream: bool,
-    /// `grpc-previous-rpc-attempts` (gRFC A6): the client retries the call.
+    /// `grpc-previous-rpc-attempts` (gRFC A6) is present: the client retries the call.
     pub is_retry: bool,
 }
 
-/// Checks that it is a gRPC request. Else it is to be answered with this HTTP status ("gRPC over HTTP2": 415 for
-/// another content type).
+/// Checks that a request is a gRPC request.
+///
+/// # Errors
+/// The HTTP status to respond with: 405 for a method other than POST, and 415 for another content type, as "gRPC over
+/// HTTP2" requires.
 pub(super) fn check_grpc(head: &request::Parts) -> Result<(), StatusCode> {
     if head.method != Method::POST {
         return Err(StatusCode::METHOD_NOT_ALLOWED);
@@ -38,7 +41,8 @@
     }
 }
 
-/// Reads deadline, encoding and metadata.
+/// Reads the timeout, the encoding and the metadata of a request. Fails where the timeout is malformed or the encoding
+/// is not supported.
 pub(super) fn read(head: &request::Parts, now: Micros) -> Result<RequestHeaders, Failure> {
     let text = |name: &str| head.headers.get(name).map(|v| v.to_str().unwrap_or("\u{fffd}"));
     let deadline = match text("grpc-timeout") {
--- a/crates/gateway/src/front/headers/tests.rs
+++ b/crates/gateway/src/front/headers/tests.rs
@@ -7,7 +7,7 @@
     for (name, value) in headers {
         request = request.header(*name, *value);
     }
-    request.body(()).expect("sound").into_parts().0
+    request.body(()).expect("a valid request").into_parts().0
 }
 
 #[test]
@@ -26,7 +26,8 @@
 
 #[test]
 fn timeouts_and_encodings_are_read_or_rejected() {
-    let headers = read(&parts(&[("grpc-timeout", "600m"), ("grpc-encoding", "gzip")]), 5).expect("sound");
+    let headers =
+        read(&parts(&[("grpc-timeout", "600m"), ("grpc-encoding", "gzip")]), 5).expect("valid headers");
     assert_eq!((headers.deadline, headers.gzip), (Some(600_005), true));
     let error = |name, value| read(&parts(&[(name, value)]), 0).expect_err("rejected").status;
     assert_eq!(error("grpc-timeout", "soon").code, Code::InvalidArgument);
--- a/crates/gateway/src/front/info_methods.rs
+++ b/crates/gateway/src/front/info_methods.rs
@@ -1,4 +1,4 @@
-//! Methods that are no calls: liveness, readiness, metadata. They are answered from the settings alone.
+//! The methods for liveness, readiness and metadata. They are answered by this controller itself, without a worker.
 
 use bytes::Bytes;
 use nettleferry_config::Config;
@@ -10,7 +10,7 @@
 
 use super::failure::Failure;
 
-/// A method that is no call.
+/// A method that is answered without a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum InfoMethod {
     ServerLive,
@@ -21,7 +21,7 @@
 }
 
 impl InfoMethod {
-    /// The method of a published name.
+    /// Returns the method with this name in the protocol.
     pub(super) fn from_name(name: &str) -> Option<Self> {
         Some(match name {
             "ServerLive" => Self::ServerLive,
@@ -34,7 +34,7 @@
     }
 }
 
-/// The response to it. `ready`: a worker is in service and calls are accepted.
+/// Encodes the response of an info method. `ready`: a worker is in service and calls are accepted.
 pub(super) fn answer(
     method: InfoMethod,
     request: Bytes,
--- a/crates/gateway/src/front/mod.rs
+++ b/crates/gateway/src/front/mod.rs
@@ -1,10 +1,10 @@
-//! The gRPC front: the Open Inference Protocol towards clients. Knows calls and clients, no workers. Tensors are passed
-//! through untouched: a request's bytes are handed on as they came, an answer's as the worker sent them.
+//! The gRPC front: serves the Open Inference Protocol to clients. It knows calls and clients, but no workers. Requests
+//! and responses are forwarded unchanged, so tensors are never decoded.
 //!
-//! * [`context`]: what an event is handled with. [`headers`]: reads a request's headers.
-//! * [`accept`]: accepts or rejects a call, and opens it. [`respond`]: answers and their end.
-//! * [`failure`]: final answers as gRPC statuses. [`response`]: heads of responses.
-//! * [`info_methods`]: methods that are no calls.
+//! * [`context`]: the parts of the controller that the front uses. [`headers`]: reads the headers of requests.
+//! * [`accept`]: accepts or rejects calls. [`respond`]: sends answers and ends RPCs.
+//! * [`failure`]: maps final answers to gRPC statuses. [`response`]: builds the headers of responses.
+//! * [`info_methods`]: methods that need no worker: liveness, readiness, metadata.
 
 mod accept;
 mod context;
@@ -35,30 +35,32 @@
 use info_methods::InfoMethod;
 use response::{grpc_head, respond_only};
 
+/// The method of an RPC.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Method {
-    /// One call.
+    /// A single call.
     Infer,
     /// A stream of calls.
     Stream,
+    /// A method that is answered without a worker.
     Info(InfoMethod),
 }
 
-/// An RPC that a client has begun.
+/// An RPC of a client that has not ended.
 struct Rpc {
     method: Method,
     headers: RequestHeaders,
-    /// Its open calls, and the front's numbers of them.
+    /// Open calls of this RPC, with their numbers in the front.
     calls: BTreeMap<CallId, u64>,
-    /// The response's headers were sent.
+    /// The headers of the response were sent.
     responded: bool,
-    /// The client sends no more.
+    /// The client has ended its side of the stream.
     half_closed: bool,
-    /// A message was received.
+    /// At least one message was received.
     has_request: bool,
-    /// The client does not take its answers.
+    /// The send queue of the stream is full, as the client reads its answers too slowly.
     send_queue_full: bool,
-    /// No messages are taken, as it has as many open calls as it may.
+    /// Reading is paused, because the stream has the maximum number of open calls.
     paused: bool,
 }
 
@@ -77,52 +79,52 @@
     }
 }
 
-/// An open call, under the front's own number.
+/// An open call.
 struct OpenCall {
     stream: StreamKey,
-    /// The `id` that the client gave it.
+    /// The `id` of the client's request.
     id: Arc<str>,
     model: Arc<str>,
 }
 
-/// What the front counts.
+/// Totals since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct FrontCounters {
     /// RPCs received.
     pub rpcs: u64,
-    /// RPCs and calls rejected as malformed: content type, encoding, timeout, message.
+    /// RPCs and calls rejected because of an invalid content type, encoding, timeout or message.
     pub malformed: u64,
-    /// Calls of models that no setting matches.
+    /// Calls of models that the settings do not contain.
     pub unknown_model: u64,
     /// Calls that admission control rejected.
     pub not_admitted: u64,
-    /// Calls rejected after a restart, as too many would have waited.
+    /// Calls rejected by the restart limiter.
     pub rejected_after_restart: u64,
-    /// Calls rejected as it is not known whether the tenants' snapshot is still in force.
+    /// Calls rejected because this controller had no lease, or was fenced.
     pub without_lease: u64,
-    /// Streams made to wait because of `calls-per-stream`.
+    /// How often a stream was paused because of the limit `calls-per-stream`.
     pub over_calls_per_stream: u64,
-    /// Streams whose client did not take its answers, so that their workers were made to wait.
+    /// How often a client read its answers so slowly that its workers were paused.
     pub slow_clients: u64,
 }
 
-/// The front.
+/// The gRPC front.
 pub(crate) struct Front {
     config: Arc<Config>,
     rpcs: HashMap<StreamKey, Rpc>,
     calls: HashMap<u64, OpenCall>,
-    /// The number given to a call last.
+    /// The number of the newest call.
     last_call_number: u64,
     draining: bool,
-    /// Some worker is in service: for ServerReady.
+    /// Whether a worker is in service; reported by ServerReady and ModelReady.
     pub ready: bool,
-    /// Calls opened so far.
+    /// Number of calls opened since the start.
     pub opened_calls: u64,
     counters: FrontCounters,
 }
 
 impl Front {
-    /// A front without clients.
+    /// Creates a front without RPCs.
     pub(crate) fn new(config: Arc<Config>) -> Self {
         Self {
             config,
@@ -136,17 +138,17 @@
         }
     }
 
-    /// What it has counted so far.
+    /// The totals since the start.
     pub(crate) fn counters(&self) -> FrontCounters {
         self.counters
     }
 
-    /// The usual advice to clients of when to retry.
+    /// The default delay after which clients are to retry.
     fn pushback(&self) -> Duration {
         Duration::from_micros(self.config.edge.pushback)
     }
 
-    /// Accepts no new calls from now on; streams without open calls end.
+    /// Stops accepting calls, and ends idle streams.
     pub(crate) fn drain(&mut self, context: &mut FrontContext) {
         self.draining = true;
         let is_idle = |rpc: &Rpc| rpc.calls.is_empty() && rpc.has_request;
@@ -181,7 +183,7 @@
         }
     }
 
-    /// Begins an RPC, or answers it at once where its headers are wrong.
+    /// Starts an RPC, or answers it at once where it can't be accepted.
     fn request(&mut self, context: &mut FrontContext, stream: StreamKey, head: &request::Parts) {
         self.counters.rpcs += 1;
         if let Err(status) = headers::check_grpc(head) {
@@ -263,7 +265,7 @@
         self.abandon_calls(context, rpc.calls);
     }
 
-    /// Tells the engine of calls that have lost their client.
+    /// Reports to the engine that the client of these calls has disconnected.
     fn abandon_calls(&mut self, context: &mut FrontContext, calls: BTreeMap<CallId, u64>) {
         for (call, number) in calls {
             self.calls.remove(&number);
@@ -271,7 +273,8 @@
         }
     }
 
-    /// The client of a stream does not take its answers, or does so again: its workers wait, nobody else's.
+    /// Sets whether the send queue of a stream is full. The engine then pauses or resumes the workers of its calls;
+    /// other calls are not affected.
     fn set_send_queue_full(&mut self, context: &mut FrontContext, stream: StreamKey, full: bool) {
         let Some(rpc) = self.rpcs.get_mut(&stream) else { return };
         rpc.send_queue_full = full;
@@ -282,7 +285,7 @@
         }
     }
 
-    /// How long the client of an RPC waits for a call of a class at most.
+    /// The time that a new call has: the class's `deadline`, or less where the client's own deadline is earlier.
     fn time_left(&self, rpc: &Rpc, deadline: Micros, now: Micros) -> Micros {
         rpc.headers.deadline.map_or(deadline, |client| client.saturating_sub(now).min(deadline))
     }
@@ -296,7 +299,7 @@
     }
 }
 
-/// The method of a request's path; `None`: there is no such method.
+/// The method for the path of a request; `None` if there is no such method.
 fn method_of(path: &str) -> Option<Method> {
     match path.strip_prefix(SERVICE)? {
         "ModelInfer" => Some(Method::Infer),
--- a/crates/gateway/src/front/respond.rs
+++ b/crates/gateway/src/front/respond.rs
@@ -1,4 +1,4 @@
-//! Answers: parts of them, the final answer of a call, and the end of its RPC.
+//! Sends parts of answers and final answers to clients, and ends RPCs.
 
 use bytes::Bytes;
 use nettleferry_engine::{CallId, FinalAnswer};
@@ -10,13 +10,13 @@
 use super::{Front, FrontContext, Method};
 
 impl Front {
-    /// Sends a part of an answer as it came. `number`: the front's number of the call.
+    /// Forwards a part of an answer unchanged. `number`: the call's number in the front.
     pub(crate) fn send_part(&mut self, context: &mut FrontContext, number: u64, payload: Bytes) {
         let Some(stream) = self.calls.get(&number).map(|call| call.stream) else { return };
         self.send(context, stream, payload);
     }
 
-    /// Sends a call's final answer. `number`: the front's number of the call.
+    /// Sends the final answer of a call. `number`: the call's number in the front.
     pub(crate) fn answer(
         &mut self,
         context: &mut FrontContext,
@@ -61,7 +61,8 @@
         }
     }
 
-    /// Answers a call without success: by a message on a stream, else by the status of its RPC.
+    /// Answers a call with a failure: by a message on a stream, unless the client asked for errors to end the stream,
+    /// else by the status of the RPC.
     pub(super) fn fail_call(
         &mut self,
         context: &mut FrontContext,
@@ -77,7 +78,7 @@
         }
     }
 
-    /// Ends an RPC with a status; its open calls lose their client.
+    /// Ends an RPC with the status of a failure. For its open calls the client counts as disconnected.
     pub(super) fn end_rpc(&mut self, context: &mut FrontContext, stream: StreamKey, failure: &Failure) {
         let Some(rpc) = self.rpcs.remove(&stream) else { return };
         if rpc.responded {
@@ -88,7 +89,7 @@
         self.abandon_calls(context, rpc.calls);
     }
 
-    /// Ends a stream whose calls have all ended, when its client sends no more or this controller drains.
+    /// Ends a stream without open calls, if the client has ended its side or this controller is draining.
     pub(super) fn finish_if_done(&mut self, context: &mut FrontContext, stream: StreamKey) {
         let Some(rpc) = self.rpcs.get_mut(&stream) else { return };
         if rpc.method != Method::Stream || !rpc.calls.is_empty() {
--- a/crates/gateway/src/front/response.rs
+++ b/crates/gateway/src/front/response.rs
@@ -1,11 +1,11 @@
-//! Heads of gRPC responses.
+//! Builds the headers of gRPC responses.
 
 use http::{HeaderValue, Response, StatusCode};
 use nettleferry_net::{Hub, StreamKey};
 
 use super::failure::Failure;
 
-/// The head of a response with messages.
+/// The headers of a response that carries messages.
 pub(super) fn grpc_head() -> Response<()> {
     let mut head = Response::new(());
     head.headers_mut().insert("content-type", HeaderValue::from_static("application/grpc"));
@@ -13,7 +13,7 @@
     head
 }
 
-/// Answers with a failure alone (gRPC's Trailers-Only).
+/// Ends an RPC with a failure and without messages (a Trailers-Only response in gRPC).
 pub(super) fn respond_only(hub: &mut Hub, stream: StreamKey, failure: &Failure) {
     let mut head = grpc_head();
     head.headers_mut().extend(failure.trailers());
--- a/crates/gateway/src/tenants/borrowed.rs
+++ b/crates/gateway/src/tenants/borrowed.rs
@@ -1,4 +1,4 @@
-//! The loans of limits that this controller may use, and its share of each limit with them.
+//! The loans of limits that this controller holds, and its share of each limit.
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -7,49 +7,51 @@
 use nettleferry_fleet::loans::{Kind, LoanConfig};
 use nettleferry_tenancy::Revision;
 
-/// A loan, as a demand reports it.
+/// Identifies the loan that a controller applies, as it is reported to the leader with the demand.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct AppliedLoan {
-    /// Its number; 0: there is none.
+    /// Number of the loan; 0 where there is none.
     pub(super) number: u64,
-    /// The leader's incarnation that granted it.
+    /// The incarnation of the leader that granted the loan.
     pub(super) leader_incarnation: u64,
 }
 
 /// A loan in force.
 struct Loan {
     applied: AppliedLoan,
-    /// The limit that it is a part of.
+    /// The value that the limit had when a part of it was lent. Once the limit has another value, the loan is not
+    /// applied.
     limit: f64,
     amount: f64,
+    /// When the loan expires.
     until: Micros,
 }
 
-/// The loans, by tenant and kind of limit.
+/// The loans in force, by tenant and kind of limit.
 pub(super) struct BorrowedLimits {
     config: LoanConfig,
     loans: HashMap<(Revision, Kind), Loan>,
-    /// When the first of them is over.
+    /// When the next loan expires.
     next_expiry: Micros,
 }
 
 impl BorrowedLimits {
-    /// No loans yet.
+    /// Creates an empty set of loans.
     pub(super) fn new(config: LoanConfig) -> Self {
         Self { config, loans: HashMap::new(), next_expiry: Micros::MAX }
     }
 
-    /// Whether limits are divided by loans.
+    /// Whether limits are lent at all. Where the reserve is the whole limit, they are not.
     pub(super) fn is_enabled(&self) -> bool {
         self.config.reserve < 1.0
     }
 
-    /// Takes granted loans. Returns the uids of their tenants.
+    /// Applies granted loans, which expire at `until`. Returns the uids of their tenants.
     pub(super) fn grant(&mut self, until: Micros, loans: Vec<LoanGrant>) -> BTreeSet<Revision> {
         let mut tenants = BTreeSet::new();
         for LoanGrant { uid, kind, limit, number, leader_incarnation, amount } in loans {
             tenants.insert(uid);
-            // A response that was overtaken by a later one of the same incarnation takes nothing back.
+            // Responses may arrive out of order: an earlier loan does not replace a later one of the same incarnation.
             let is_newer = |current: &Loan| {
                 current.applied.leader_incarnation != leader_incarnation || number > current.applied.number
             };
@@ -62,7 +64,7 @@
         tenants
     }
 
-    /// Drops loans that are over. Returns the uids of their tenants; `None`: none is over.
+    /// Removes expired loans. Returns the uids of their tenants, or `None` if no loan has expired.
     pub(super) fn expire(&mut self, now: Micros) -> Option<BTreeSet<Revision>> {
         if now < self.next_expiry {
             return None;
@@ -78,23 +80,23 @@
         self.next_expiry = self.loans.values().map(|loan| loan.until).min().unwrap_or(Micros::MAX);
     }
 
-    /// The loan of a tenant's limit.
+    /// The loan that is applied to a limit of a tenant; with the number 0 if there is none.
     pub(super) fn applied(&self, uid: Revision, kind: Kind) -> AppliedLoan {
         self.loans.get(&(uid, kind)).map_or_else(AppliedLoan::default, |loan| loan.applied)
     }
 
-    /// This controller's share of a limit: its reserve, and what it borrowed of this very limit.
+    /// This controller's share of a limit: its reserve, and the loan if it was granted for this value of the limit.
     pub(super) fn share(&self, uid: Revision, kind: Kind, limit: f64) -> f64 {
         let loan = self.loans.get(&(uid, kind)).filter(|loan| loan.limit == limit);
         self.reserve(limit) + loan.map_or(0.0, |loan| loan.amount)
     }
 
-    /// The part of a limit that is this controller's without a loan.
+    /// The part of a limit that this controller may use without a loan.
     pub(super) fn reserve(&self, limit: f64) -> f64 {
         self.config.reserve_of(limit)
     }
 
-    /// An equal part of a limit that is divided once and for all.
+    /// The fixed, equal part that each controller has of a limit that is not lent.
     pub(super) fn equal_part(&self, limit: f64) -> f64 {
         limit / f64::from(self.config.controllers.max(1))
     }
--- a/crates/gateway/src/tenants/borrowed/tests.rs
+++ b/crates/gateway/src/tenants/borrowed/tests.rs
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn loan_adds_to_the_reserve_of_its_very_limit_until_it_is_over() {
+fn loan_is_added_to_the_reserve_of_its_limit_until_it_expires() {
     let mut borrowed = borrowed();
     let reserve = borrowed.reserve(10.0);
     assert!(borrowed.expire(0).is_none(), "there is no loan");
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn overtaken_grant_replaces_no_later_one_of_the_same_leader() {
+fn delayed_grant_does_not_replace_a_later_one_of_the_same_leader() {
     let mut borrowed = borrowed();
     borrowed.grant(1_000, grant(2, 7, 4.0));
     borrowed.grant(1_000, grant(1, 7, 1.0));
--- a/crates/gateway/src/tenants/local_tenant.rs
+++ b/crates/gateway/src/tenants/local_tenant.rs
@@ -1,4 +1,4 @@
-//! A tenant at this controller: its settings, how its calls ended, and what they could use of its limits.
+//! A tenant at this controller: its specification, the outcomes of its calls, and its demand for each limit.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -11,13 +11,13 @@
 
 const MICROS_PER_SECOND: f64 = 1e6;
 
-/// What calls could use of one limit.
+/// The demand for one limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct KindDemand {
     pub(super) kind: Kind,
-    /// How much they could use, in all.
+    /// How much open and rejected calls together would use, in the unit of the limit.
     pub(super) demand: f64,
-    /// How much open calls use; 0 for a rate.
+    /// How much open calls use now; 0 for a rate.
     pub(super) in_use: f64,
 }
 
@@ -25,27 +25,29 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct Arrivals {
     calls: u64,
-    /// Calls that were rejected as too many were open, or held.
+    /// Calls rejected because too many were open.
     open_rejected: u32,
+    /// Calls rejected because too many were held.
     held_rejected: u32,
-    /// Bytes of models that were rejected.
+    /// Bytes of the models of calls that were rejected because of the memory limit.
     memory_rejected: u64,
-    /// Calls per second, smoothed over measurements.
+    /// Calls per second, smoothed over the measurements.
     rate: f64,
 }
 
-/// The tenant.
+/// A tenant, with counts of its calls.
 pub(super) struct LocalTenant {
     pub(super) name: Arc<str>,
     pub(super) uid: Revision,
     pub(super) spec: Spec,
     pub(super) state: State,
     arrivals: Arrivals,
+    /// Numbers of ended calls, by the name of the outcome.
     outcomes: BTreeMap<&'static str, u64>,
 }
 
 impl LocalTenant {
-    /// A tenant without calls.
+    /// Creates a tenant without calls and with an empty specification, which the caller sets.
     pub(super) fn new(tenant: &Tenant) -> Self {
         Self {
             name: tenant.name.as_str().into(),
@@ -57,12 +59,12 @@
         }
     }
 
-    /// A call arrived.
+    /// Counts a call that arrived.
     pub(super) fn call_arrived(&mut self) {
         self.arrivals.calls += 1;
     }
 
-    /// A call was rejected; its model needs so much memory.
+    /// Counts a rejected call, whose model needs `memory_bytes` of memory.
     pub(super) fn call_rejected(&mut self, reason: RejectReason, memory_bytes: u64) {
         let arrivals = &mut self.arrivals;
         match reason {
@@ -75,17 +77,18 @@
         }
     }
 
-    /// A call ended.
+    /// Counts a call that ended.
     pub(super) fn call_ended(&mut self, outcome: CallOutcome) {
         *self.outcomes.entry(outcome_name(outcome)).or_default() += 1;
     }
 
-    /// How many calls ended in which way.
+    /// The numbers of ended calls, by the name of the outcome.
     pub(super) fn outcomes(&self) -> impl Iterator<Item = (String, u64)> {
         self.outcomes.iter().map(|(name, count)| ((*name).to_owned(), *count))
     }
 
-    /// What calls could use of each limit that is set. `elapsed`: since the last measurement.
+    /// Measures the demand for each limit that is set, and starts the next measurement. `elapsed`: time since the last
+    /// one, microseconds.
     pub(super) fn measure_demand(&mut self, counters: &Counters, elapsed: Micros) -> [Option<KindDemand>; 4] {
         let arrivals = &mut self.arrivals;
         let latest_rate = arrivals.calls as f64 * MICROS_PER_SECOND / elapsed as f64;
@@ -105,7 +108,7 @@
     }
 }
 
-/// The names of outcomes in the API and in metrics.
+/// The name of an outcome in the administration API and in metrics.
 fn outcome_name(outcome: CallOutcome) -> &'static str {
     match outcome {
         CallOutcome::Served => "served",
--- a/crates/gateway/src/tenants/mod.rs
+++ b/crates/gateway/src/tenants/mod.rs
@@ -1,8 +1,8 @@
-//! The administration's tenants at this controller: their numbers for the engine, admission of their calls, and the
-//! changes that the administration sends. Decides nothing: limits are judged by `nettleferry-admission`.
+//! The tenants of the administration at this controller: assigns their ids in the engine, applies changes from the
+//! administration, and admits or rejects their calls. `nettleferry-admission` judges the limits.
 //!
-//! * `local_tenant`: one tenant. `policy`: this controller's share of its limits. `borrowed`: loans of limits.
-//! * `rejection`: why a call is rejected, as a front says it.
+//! * `local_tenant`: one tenant, and the demand for its limits. `policy`: this controller's share of its limits.
+//! * `borrowed`: loans of limits. `rejection`: why a call was rejected, for the response to the client.
 
 mod borrowed;
 mod local_tenant;
@@ -26,45 +26,47 @@
 use local_tenant::LocalTenant;
 pub(crate) use rejection::CallRejection;
 
-/// Demands are measured at most this often.
+/// Minimum time between two measurements of demands, microseconds.
 const DEMAND_INTERVAL: Micros = 400_000;
-/// A smaller demand, without a loan, is not reported.
+/// Demands up to this amount are only reported where the limit has a loan.
 const MIN_DEMAND: f64 = 0.01;
 
-/// A call that asks to be admitted.
+/// A call to be admitted.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct TenantCall<'a> {
-    /// The front's number of the call.
+    /// The number by which the front identifies the call.
     pub(crate) call_number: u64,
-    /// The tenant that it names.
+    /// Name of the tenant; `None` where the client sent none.
     pub(crate) tenant: Option<&'a str>,
-    /// The number of its class.
+    /// Id of the call's class.
     pub(crate) class: usize,
-    /// The model that it calls.
+    /// Name of the model.
     pub(crate) model: &'a str,
-    /// Bytes that the model needs, where they are known.
+    /// Memory that the model needs, in bytes; `None` where it is not known.
     pub(crate) memory_bytes: Option<u64>,
 }
 
 /// An open call of a tenant.
 struct OpenCall {
+    /// Slot of the tenant.
     slot: usize,
     class: usize,
+    /// Hash of the model's name.
     model: u64,
 }
 
-/// The classes of calls.
+/// The ids and names of the classes.
 struct Classes {
     numbers: HashMap<String, usize>,
     names: Vec<String>,
 }
 
-/// The tenants.
+/// The tenants of this controller, and their open calls.
 pub(crate) struct Tenants {
-    /// The number of the first tenant: those of the settings come before.
+    /// The id of the tenant in slot 0. Lower ids belong to tenants of the settings file.
     first_id: usize,
     classes: Classes,
-    /// Calls that name no tenant are admitted.
+    /// Whether calls that name no tenant are admitted.
     allow_anonymous: bool,
     borrowed: BorrowedLimits,
     demands_measured_at: Micros,
@@ -72,20 +74,22 @@
     slots_by_name: HashMap<Arc<str>, usize>,
     admission: Admission,
     open_calls: HashMap<u64, OpenCall>,
-    /// Slots whose usage has changed since it was published, and uids of tenants that were removed since.
+    /// Slots of tenants whose usage has changed since it was last published.
     changed: BTreeSet<usize>,
+    /// Uids of tenants that were removed since usage was last published.
     removed: Vec<Revision>,
     revision: Revision,
-    /// There is no snapshot yet: which tenants there are is not known.
+    /// No snapshot has been loaded yet, so it is not known which tenants exist.
     without_snapshot: bool,
-    /// The snapshot is known to lack changes that other controllers have or had.
+    /// The snapshot is known to lack changes that other controllers have applied.
     snapshot_behind: bool,
-    /// Rejected calls, by reason in the order of [`RejectReason::ALL`].
+    /// Totals of rejected calls, in the order of [`RejectReason::ALL`].
     rejections: [u64; RejectReason::ALL.len()],
 }
 
 impl Tenants {
-    /// No tenants yet. `classes`: the names of classes, by number; `queue_length`: calls that wait at most.
+    /// Creates an empty set of tenants, whose ids start at `first_id`. `classes`: the names of the classes, by id.
+    /// `queue_length`: maximum number of calls that wait for a worker.
     pub(crate) fn new(
         first_id: usize,
         classes: &[String],
@@ -121,35 +125,37 @@
         tenant.0.checked_sub(self.first_id).filter(|slot| self.tenants.contains(*slot))
     }
 
-    /// A tenant's name, until it is forgotten.
+    /// The name of a tenant, also of a removed one until [`Tenants::forget`].
     pub(crate) fn name(&self, tenant: TenantId) -> Option<&Arc<str>> {
         self.slot(tenant).map(|slot| &self.tenants[slot].name)
     }
 
-    /// The revision in force.
+    /// The revision of the tenant snapshot in force.
     pub(crate) fn revision(&self) -> Revision {
         self.revision
     }
 
-    /// There is no snapshot: until there is one, calls are rejected, and not denied.
+    /// Marks the snapshot as missing. Until one is loaded, calls of unknown tenants are rejected with advice to retry,
+    /// instead of being denied.
     pub(crate) fn set_without_snapshot(&mut self) {
         self.without_snapshot = true;
     }
 
-    /// Whether the snapshot is known to lack changes that other controllers have or had, such as a suspension: until
-    /// that is decided, calls of tenants are rejected, and not denied.
+    /// Sets whether the snapshot is known to lack changes that other controllers have applied, such as a suspension.
+    /// While it does, calls of all tenants are rejected with advice to retry, instead of being judged by it.
     pub(crate) fn set_snapshot_behind(&mut self, is_behind: bool) {
         self.snapshot_behind = is_behind;
     }
 
-    /// The snapshot is of an earlier incarnation, whose use of rates is not known: no tenant gets a second burst.
+    /// Uses up the bursts of all rate limits. Called for a snapshot that an earlier incarnation persisted: how much of
+    /// the bursts that incarnation used is not known, and no tenant may get a second burst.
     pub(crate) fn exhaust_rates(&mut self, now: Micros) {
         for (slot, _) in &self.tenants {
             self.admission.exhaust_rates(now, slot);
         }
     }
 
-    /// Puts the first snapshot in force.
+    /// Sets all tenants of a snapshot, and its revision. Tenants that are not in it are kept; see [`Tenants::replace`].
     pub(crate) fn load(&mut self, snapshot: &TenantSnapshot) {
         for tenant in snapshot.tenants() {
             self.set(tenant);
@@ -158,7 +164,7 @@
         self.without_snapshot = false;
     }
 
-    /// Puts a change in force. Returns the tenant that it removed: its calls are to be ended before
+    /// Applies a change. Returns the tenant if the change removed it: its calls must be ended before
     /// [`Tenants::forget`].
     pub(crate) fn apply(&mut self, change: &Entry) -> Option<TenantId> {
         self.revision = change.revision;
@@ -171,8 +177,8 @@
         }
     }
 
-    /// Puts a whole snapshot in force. Returns the tenants that are not in it, or are others of the same name; see
-    /// [`Tenants::apply`].
+    /// Replaces all tenants by those of a snapshot. Returns the removed ones, which are not in the snapshot or have
+    /// another uid there. Their calls must be ended before [`Tenants::forget`].
     pub(crate) fn replace(&mut self, snapshot: &TenantSnapshot) -> Vec<TenantId> {
         let stays = |name: &str, uid| snapshot.get(name).is_some_and(|tenant| tenant.uid == uid);
         let is_removed = |(name, slot): &(&Arc<str>, &usize)| !stays(name, self.tenants[**slot].uid);
@@ -191,7 +197,7 @@
         removed
     }
 
-    /// Forgets a removed tenant whose calls have ended: its number may become another's.
+    /// Deletes a removed tenant whose calls have ended. Its id may be assigned to another tenant afterwards.
     pub(crate) fn forget(&mut self, tenant: TenantId) {
         let Some(slot) = self.slot(tenant) else { return };
         self.admission.remove(slot);
@@ -218,12 +224,12 @@
         self.admission.set_policy(slot, policy);
     }
 
-    /// Whether limits are divided by loans.
+    /// Whether limits are divided among the controllers by loans.
     pub(crate) fn uses_loans(&self) -> bool {
         self.borrowed.is_enabled()
     }
 
-    /// What may be used of limits beyond the reserves, until `until`.
+    /// Applies granted loans, which may be used in addition to the reserves until `until`.
     pub(crate) fn grant_loans(&mut self, now: Micros, until: Micros, loans: Vec<LoanGrant>) {
         let tenants = self.borrowed.grant(until, loans);
         self.update_policies(&tenants);
@@ -236,16 +242,17 @@
         }
     }
 
-    /// Updates the policies of tenants whose loans have changed.
+    /// Updates the policies of these tenants, whose loans have changed.
     fn update_policies(&mut self, uids: &BTreeSet<Revision>) {
-        let concerned = self.tenants.iter().filter(|(_, tenant)| uids.contains(&tenant.uid));
-        let slots: Vec<usize> = concerned.map(|(slot, _)| slot).collect();
+        let affected = self.tenants.iter().filter(|(_, tenant)| uids.contains(&tenant.uid));
+        let slots: Vec<usize> = affected.map(|(slot, _)| slot).collect();
         for slot in slots {
             self.update_policy(slot);
         }
     }
 
-    /// What calls could use of limits: of tenants with recent calls or a loan. `None`: it was measured just now.
+    /// Measures how much of each limit calls could use, for limits with a demand or a loan. At most [`MAX_DEMANDS`] are
+    /// returned; `None` if less than [`DEMAND_INTERVAL`] has passed since the last measurement.
     pub(crate) fn measure_demands(&mut self, now: Micros) -> Option<Vec<LimitDemand>> {
         let elapsed = now.saturating_sub(self.demands_measured_at);
         if elapsed < DEMAND_INTERVAL {
@@ -273,7 +280,8 @@
         Some(all)
     }
 
-    /// Admits a call, which then counts as open; `Ok(None)`: it names no tenant, and needs none.
+    /// Admits a call, which then counts as open until its end. Returns the id of its tenant, or `None` for an anonymous
+    /// call.
     pub(crate) fn admit(
         &mut self,
         now: Micros,
@@ -297,7 +305,7 @@
             return Err(CallRejection::unknown_tenant(name));
         };
         if !self.tenants[slot].spec.may_call(call.model) {
-            // A tenant without the right is counted with those that may not call at all.
+            // There is no separate reason for a missing right, so it is counted as an inactive tenant.
             self.count_rejection(RejectReason::InactiveTenant);
             return Err(CallRejection::model_denied(name, call.model));
         }
@@ -333,7 +341,7 @@
         self.rejections[reason as usize] += 1;
     }
 
-    /// A step of a call; steps come in order.
+    /// Applies a step of a call. The steps of a call must be passed in order; those of unknown calls are ignored.
     pub(crate) fn record_step(&mut self, now: Micros, phase: Phase) {
         let Some(call) = self.open_calls.get(&phase.front) else { return };
         let slot = call.slot;
@@ -351,13 +359,12 @@
         }
     }
 
-    /// Rejected calls, by reason in the order of [`RejectReason::ALL`].
+    /// The totals of rejected calls, in the order of [`RejectReason::ALL`].
     pub(crate) fn rejections(&self) -> &[u64] {
         &self.rejections
     }
 
-    /// Brings the published usage up to date: only of tenants whose calls have changed, so that many idle ones cost
-    /// nothing.
+    /// Updates the published usage. Only tenants whose calls have changed are visited, so idle tenants add no cost.
     pub(crate) fn publish_usage(&mut self, usage: &mut HashMap<Revision, Usage>) {
         for uid in self.removed.drain(..) {
             usage.remove(&uid);
@@ -387,7 +394,7 @@
     }
 }
 
-/// A number for a model, by its name.
+/// Hashes the name of a model, for admission control, which tells models apart by number.
 pub(crate) fn model_hash(name: &str) -> u64 {
     let mut hasher = DefaultHasher::new();
     name.hash(&mut hasher);
--- a/crates/gateway/src/tenants/policy.rs
+++ b/crates/gateway/src/tenants/policy.rs
@@ -1,4 +1,4 @@
-//! This controller's share of a tenant's limits, as admission control takes it.
+//! Computes the policy of a tenant for admission control: this controller's share of the tenant's limits.
 
 use std::collections::HashMap;
 
@@ -8,10 +8,11 @@
 
 use super::borrowed::BorrowedLimits;
 
-/// A burst where the settings name none, as a part of the calls per second.
+/// Divisor of the calls per second that yields the burst where the settings have none.
 const DEFAULT_BURST_DIVISOR: f64 = 10.0;
 
-/// The policy of a tenant. `classes`: the numbers of classes by name.
+/// The policy of a tenant at this controller. `classes` maps the names of classes to their ids; limits of other classes
+/// are ignored.
 pub(super) fn policy(
     uid: Revision,
     spec: &Spec,
@@ -38,8 +39,9 @@
             .filter_map(|(name, class)| Some((*classes.get(name)?, class_limits(class, borrowed))))
             .collect(),
         held: share_of_count(Kind::Held, limits.held_calls),
-        // Memory is the fleet's. Without loans each controller sees its own calls' models alone, which may be the same;
-        // with them each has its share, and counts what others count as well.
+        // The memory limit is for the whole fleet. Without loans each controller applies all of it to the models of its
+        // own calls, as the controllers may use the same models. With loans each has a share of the limit, and a model
+        // that several controllers use counts at each of them.
         memory: limits.loaded_memory_bytes.map(|bytes| {
             if borrowed.is_enabled() { share(Kind::Memory, bytes as f64) as u64 } else { bytes }
         }),
@@ -48,7 +50,7 @@
     }
 }
 
-/// Limits of classes are divided once and for all.
+/// The limits of a class. They are not lent: each controller has an equal, fixed part of them.
 fn class_limits(class: &ClassLimits, borrowed: &BorrowedLimits) -> Limits {
     let part = |limit| borrowed.equal_part(limit);
     let rate = class.rate_per_second.map(|per_second| RateLimit {
@@ -58,14 +60,15 @@
     Limits { rate, open: class.open_calls.map(|n| count(n, part(f64::from(n)))) }
 }
 
-/// Bursts are not lent: what moved from one controller to another would be a second burst.
+/// This controller's part of a burst, at least 1. Bursts are not lent: an amount that moves from one controller to
+/// another could be used as a burst at both.
 fn burst(per_second: f64, burst: Option<u32>, part: impl Fn(f64) -> f64) -> u32 {
     let burst = burst.map_or(part(per_second) / DEFAULT_BURST_DIVISOR, |burst| part(f64::from(burst)));
     (burst as u32).max(1)
 }
 
-/// A share of a small limit is at least one call, or nobody could call at all: the fleet's bound is then the number of
-/// controllers.
+/// Rounds the share of a limit down to whole calls, but to at least one: otherwise no controller would admit a call of
+/// a tenant with a small limit. The fleet may then admit as many calls as there are controllers.
 fn count(limit: u32, share: f64) -> u32 {
     if limit == 0 { 0 } else { (share as u32).max(1) }
 }
--- a/crates/gateway/src/tenants/policy/tests.rs
+++ b/crates/gateway/src/tenants/policy/tests.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn limits_are_divided_and_a_small_share_is_one_call() {
+fn limits_are_divided_and_a_share_is_at_least_one_call() {
     let policy = divided_by(4, &spec(100, 40.0, Some(8)));
     assert_eq!(policy.limits.open, Some(25));
     assert_eq!(policy.limits.rate, Some(RateLimit { per_second: 10.0, burst: 2 }));
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn limits_of_known_classes_only_are_taken() {
+fn limits_of_unknown_classes_are_ignored() {
     let mut spec = Spec::default();
     let class = ClassLimits { open_calls: Some(8), ..ClassLimits::default() };
     spec.classes.insert("chat".to_owned(), class.clone());
--- a/crates/gateway/src/tenants/rejection.rs
+++ b/crates/gateway/src/tenants/rejection.rs
@@ -1,51 +1,51 @@
-//! Why a tenant's call is rejected, as a front says it to the client.
+//! The reasons for which the call of a tenant is rejected, with the messages for the client.
 
 use nettleferry::Micros;
 use nettleferry_admission::{RejectReason, Rejection};
 
-/// Where no snapshot is there yet, a client is to retry after this time.
+/// Time after which a client is to retry while the snapshot is missing or outdated, microseconds.
 const RETRY_WITHOUT_SNAPSHOT: Micros = 500_000;
 
 /// A rejected call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct CallRejection {
-    /// The caller has no right to make it, and no retry helps; otherwise it is over a limit.
+    /// The caller is not allowed to make the call, so a retry does not help. Otherwise a retry may succeed.
     pub(crate) denied: bool,
-    /// A sentence for people.
+    /// Message for the client.
     pub(crate) message: String,
     /// The time after which a retry may succeed, where it is known.
     pub(crate) retry_after: Option<Micros>,
 }
 
 impl CallRejection {
-    /// The call names no tenant, and anonymous calls are off.
+    /// The call names no tenant, and anonymous calls are not allowed.
     pub(super) fn no_tenant() -> Self {
         Self::denied("this call names no tenant: send the metadata nettleferry-tenant".to_owned())
     }
 
-    /// There is no tenant of that name.
+    /// No tenant has this name.
     pub(super) fn unknown_tenant(name: &str) -> Self {
         Self::denied(message(RejectReason::UnknownTenant, name))
     }
 
-    /// The tenant may not call that model.
+    /// The tenant may not call this model.
     pub(super) fn model_denied(name: &str, model: &str) -> Self {
         Self::denied(format!("tenant {name} has no right to call {model}"))
     }
 
-    /// Which tenants there are is not known here yet.
+    /// This controller has no snapshot yet, so it does not know which tenants exist.
     pub(super) fn without_snapshot() -> Self {
         let message = "which tenants there are is not known here yet: try again".to_owned();
         Self { denied: false, message, retry_after: Some(RETRY_WITHOUT_SNAPSHOT) }
     }
 
-    /// Other controllers have later changes of the tenants.
+    /// Other controllers have applied later changes of tenants than this one.
     pub(super) fn snapshot_behind() -> Self {
         let message = "other controllers have later changes of the tenants: try again, or there".to_owned();
         Self { denied: false, message, retry_after: Some(RETRY_WITHOUT_SNAPSHOT) }
     }
 
-    /// Admission control rejected the call of this tenant.
+    /// Admission control rejected a call of the tenant `name`.
     pub(super) fn by_admission(rejection: &Rejection, name: &str) -> Self {
         Self {
             denied: rejection.reason == RejectReason::InactiveTenant,
