--- a/crates/gateway/src/controller/administration.rs
+++ b/crates/gateway/src/controller/administration.rs
@@ -1,4 +1,4 @@
-//! Events of the administration, applied in order: changes of tenants, leases, loans, drained workers.
+//! Applies events of the administration in order: changes of tenants, leases, loans and drained workers.
 
 use std::collections::BTreeSet;
 use std::time::Instant;
@@ -15,14 +15,14 @@
 use crate::worker_list::ListUpdate;
 
 impl Controller {
-    /// Applies what the administration has sent since the last time.
+    /// Applies the events that the administration has sent since the last call.
     pub(super) fn handle_admin_events(&mut self) {
         let Some(server) = &self.admin_server else { return };
         let events: Vec<AdminEvent> = server.events().collect();
         for event in events {
             self.handle_admin_event(event);
         }
-        // Requests that come next are to see what is in force.
+        // Publishes the new state at once, so that the administration's next requests see it.
         self.refresh();
     }
 
@@ -76,7 +76,8 @@
         self.record_view();
     }
 
-    /// Ends the calls of removed tenants: each has its final answer before another tenant may get the number.
+    /// Ends the calls of removed tenants. Every call gets its final answer before the tenant's id may be assigned to
+    /// another tenant.
     fn remove_tenants(&mut self, removed: impl IntoIterator<Item = TenantId>) {
         for tenant in removed {
             self.engine.handle(self.clock.now(), Event::TenantRemoved { tenant }, &mut self.commands);
@@ -88,12 +89,13 @@
         }
     }
 
-    /// `fencing_token`: 0 where the leader gave none.
+    /// Extends the lease to `until`, and sets the fencing token, which is 0 where the leader issued none.
     fn renew_lease(&mut self, until: Instant, fencing_token: u64) {
         if fencing_token > 0 {
             self.worker_links.set_fencing_token(fencing_token);
         }
-        // Our clock is read first: what passes between the two readings shortens the lease.
+        // The controller's clock is read first, so that time between the two readings shortens the lease, never extends
+        // it.
         let now = self.clock.now_ms();
         let remaining_ms = until.saturating_duration_since(Instant::now()).as_millis() as u64;
         if let Some(lease) = self.lease.as_mut().filter(|_| remaining_ms > 0) {
@@ -101,8 +103,9 @@
         }
     }
 
+    /// Applies loans that expire at `until`.
     fn apply_loans(&mut self, until: Instant, loans: Vec<LoanGrant>) {
-        // Our clock is read first, as for leases.
+        // The controller's clock is read first, as for leases.
         let now = self.clock.now();
         let remaining = until.saturating_duration_since(Instant::now()).as_micros() as u64;
         if let Some(tenants) = &mut self.tenants {
@@ -110,6 +113,7 @@
         }
     }
 
+    /// Replaces the set of workers that are drained through the administration, and applies the worker list again.
     fn apply_drained_workers(&mut self, workers: BTreeSet<String>) {
         let before = std::mem::replace(&mut self.drained_workers, workers);
         let changed: Vec<String> = before.symmetric_difference(&self.drained_workers).cloned().collect();
--- a/crates/gateway/src/controller/audit.rs
+++ b/crates/gateway/src/controller/audit.rs
@@ -1,4 +1,4 @@
-//! What the controller enters into its audit log, where it has one.
+//! Entries of the audit log: views, events, and the counts of calls. Without an audit log nothing is recorded.
 
 use nettleferry_audit_log::{Event, Recorder, View};
 use nettleferry_tenancy::{Entry, Tenant};
@@ -8,7 +8,8 @@
 use crate::tenants::Tenants;
 
 impl Controller {
-    /// Enters something into the audit log. `entry` gets the recorder, the time in milliseconds, and names for numbers.
+    /// Records something in the audit log, if there is one. `entry` is called with the recorder, the time in
+    /// milliseconds, and the names of tenants and workers.
     pub(super) fn record(&mut self, entry: impl FnOnce(&mut Recorder, u64, &ControllerNames)) {
         if let Some(audit_log) = &mut self.audit_log {
             let names = ControllerNames { tenants: self.tenants.as_ref(), engine: &self.engine };
@@ -16,19 +17,21 @@
         }
     }
 
-    /// Closes the entry of calls and attempts that is being counted, while the names in it are known.
+    /// Closes the entry that counts calls and attempts. Called before tenants are changed or removed, while their names
+    /// can still be resolved.
     pub(super) fn close_audit_entry(&mut self) {
         self.record(|recorder, _, names| recorder.close(names));
     }
 
-    /// Hands recorded entries to the thread that writes them.
+    /// Passes recorded entries on to the writer thread.
     pub(super) fn write_audit_log(&mut self) {
         if let Some(AuditLog { recorder, writer }) = &mut self.audit_log {
             writer.submit(recorder);
         }
     }
 
-    /// Enters what the controller acts on from now on.
+    /// Records the view: the versions of the tenant snapshot, worker list, settings and program that the controller
+    /// acts on from now on.
     pub(super) fn record_view(&mut self) {
         let view = View {
             store: self.snapshot_source.store.clone(),
@@ -42,7 +45,8 @@
     }
 }
 
-/// The event of a change of a tenant's state; changes of limits show in the views.
+/// The event for a change of a tenant's state. `None` where the state is the same: a change of limits is recorded only
+/// by the revision in the next view.
 pub(super) fn tenant_event(change: &Entry) -> Option<Event> {
     let state_name = |tenant: &Tenant| format!("{:?}", tenant.state).to_lowercase();
     let before = change.before.as_ref().map(state_name);
--- a/crates/gateway/src/controller/commands.rs
+++ b/crates/gateway/src/controller/commands.rs
@@ -1,4 +1,4 @@
-//! Execution of the engine's commands, until none is left.
+//! Executes the commands of the engine, and passes events on to it and to the front.
 
 use nettleferry::Micros;
 use nettleferry_audit_log::Event as AuditEvent;
@@ -10,7 +10,7 @@
 use crate::worker_links::LoadOrder;
 
 impl Controller {
-    /// Executes what the engine commands, and what it commands in return, until nothing is left.
+    /// Executes all pending commands, including those that follow from their execution.
     pub(super) fn execute_commands(&mut self) {
         while !self.commands.is_empty() {
             for command in std::mem::take(&mut self.commands) {
@@ -21,7 +21,7 @@
         }
     }
 
-    /// Executes one command. `Some`: what it began has ended at once.
+    /// Executes one command. Returns an event for the engine where the operation has already ended.
     fn execute(&mut self, command: Command) -> Option<Event> {
         let hub = &mut self.hub;
         match command {
@@ -37,7 +37,7 @@
             Command::Cancel { attempt } | Command::Abandon { attempt } => {
                 self.worker_links.cancel(hub, attempt)
             }
-            // Its stream is open, so the client has disconnected already.
+            // Applies only to orders that have not been sent; here they are sent as soon as they are commanded.
             Command::CancelLoad { .. } => {}
             Command::Pause { attempt } => self.worker_links.pause(hub, attempt),
             Command::Resume { attempt } => self.worker_links.resume(hub, attempt),
@@ -68,7 +68,7 @@
         None
     }
 
-    /// Gives an event to the engine.
+    /// Passes an event on to the engine; an unsuccessful end of an attempt is logged.
     pub(super) fn notify_engine(&mut self, event: Event) {
         if let Event::AttemptEnded { attempt, end, .. } = &event
             && *end != AttemptEnd::Served
@@ -79,7 +79,8 @@
         self.engine.handle(self.clock.now(), event, &mut self.commands);
     }
 
-    /// Lets the front handle something, and checks that the lease still held when it had accepted a call.
+    /// Calls `handle` with the front and its context. If it accepted a call, checks that the lease has not expired
+    /// meanwhile.
     pub(super) fn with_front<T>(&mut self, handle: impl FnOnce(&mut Front, &mut FrontContext) -> T) -> T {
         let (now, opened_before) = (self.clock.now(), self.front.opened_calls);
         let mut context = FrontContext {
@@ -99,7 +100,8 @@
         result
     }
 
-    /// A process that was paused between reading the clock and accepting a call may have outlived its lease.
+    /// Logs and records the case that the process was paused between the clock reading at `started_at` and the
+    /// acceptance of a call, and the lease expired in between.
     fn check_lease_after_accepting(&mut self, started_at: Micros) {
         let Some(lease) = &mut self.lease else { return };
         let now = self.clock.now();
--- a/crates/gateway/src/controller/mod.rs
+++ b/crates/gateway/src/controller/mod.rs
@@ -1,13 +1,13 @@
-//! The running controller: one thread, one event loop. Network events come in, the engine and the decision module
-//! decide, and their commands go out. Nothing is decided here.
+//! The controller: a single-threaded event loop. It passes network events on to the engine, which consults the decision
+//! module, and executes the commands that the engine returns.
 //!
-//! * [`startup`]: the constructor, step by step.
-//! * [`commands`]: execution of the engine's commands.
-//! * [`administration`]: events of the administration: tenants, leases, loans, drained workers.
-//! * [`worker_list`]: a new worker list.
-//! * [`status`]: metrics, and the state that the administration publishes.
-//! * [`audit`]: what goes into the audit log.
-//! * [`shutdown`]: signals, drain and end.
+//! * [`startup`]: creates the controller.
+//! * [`commands`]: executes the commands of the engine.
+//! * [`administration`]: applies events of the administration: tenants, leases, loans, drained workers.
+//! * [`worker_list`]: applies a new worker list.
+//! * [`status`]: updates metrics, and the state that the administration publishes.
+//! * [`audit`]: records entries of the audit log.
+//! * [`shutdown`]: handles signals, drains open calls, and stops.
 
 mod administration;
 mod audit;
@@ -44,11 +44,11 @@
 use crate::worker_links::WorkerLinks;
 use crate::worker_list::ListWatcher;
 
-/// Why a controller could not start or go on.
+/// Why a controller could not start or continue.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum ControllerError {
     /// The decision module rejects the settings.
-    #[error("the settings can't work: {0}")]
+    #[error("invalid settings: {0}")]
     Settings(#[from] nettleferry::SettingsError),
     /// A listener could not be opened.
     #[error("can't listen on {address}: {source}{}", address_hint(source))]
@@ -59,55 +59,56 @@
         source: io::Error,
     },
     /// The administration could not start.
-    #[error("the administration: {source}; is its address taken, or its key file missing?")]
+    #[error("the administration could not start: {source}; is its address in use, or its key file missing?")]
     Admin {
         /// The system's error.
         source: io::Error,
     },
-    /// The reactor failed.
+    /// Waiting for network events failed, or another operation of the system at startup.
     #[error("the reactor failed: {0}")]
     Io(#[from] io::Error),
 }
 
-/// Advice for an address that is in use.
+/// A hint for the user where the address is in use; otherwise empty.
 fn address_hint(error: &io::Error) -> &'static str {
-    if error.kind() == io::ErrorKind::AddrInUse { "; is another process there?" } else { "" }
+    if error.kind() == io::ErrorKind::AddrInUse { "; is another process listening there?" } else { "" }
 }
 
 /// How a controller ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Shutdown {
-    /// All open calls had their answers.
+    /// All open calls were answered.
     Graceful,
-    /// A second signal came, or the drain timed out with calls open.
+    /// A second signal was received, or the drain timed out with open calls.
     Forced,
 }
 
-/// Store and epoch of the tenant snapshot in force.
+/// Identifies the tenant store from which the snapshot in force was taken.
 #[derive(Clone, Debug, Default)]
 struct SnapshotSource {
-    /// Empty: there is no snapshot.
+    /// Id of the store; empty where there is no snapshot.
     store: String,
+    /// Epoch of the store.
     epoch: u64,
 }
 
-/// Admission after a restart, and what was reported of it.
+/// Admission control after a restart, with the state that was last reported.
 #[derive(Default)]
 struct RestartAdmission {
-    /// `None`: all calls are accepted.
+    /// `None` where no restart limits apply.
     limiter: Option<Gate>,
     logged_step: Option<gate::Step>,
-    /// The counters of the limiter when it was removed.
+    /// Counters of the limiter at the time it was removed.
     final_counters: gate::Counters,
 }
 
-/// The recorder of entries of the audit log, and their writer.
+/// The audit log: the recorder of its entries, and the thread that writes them.
 struct AuditLog {
     recorder: Recorder,
     writer: AuditLogWriter,
 }
 
-/// A controller of the gateway.
+/// A running controller.
 pub(crate) struct Controller {
     config: Arc<Config>,
     clock: Clock,
@@ -119,52 +120,54 @@
     signals: Option<Signals>,
     metrics: MetricsRecorder,
     metrics_endpoint: Option<Endpoint>,
-    /// Remote write; dropping it sends the last samples.
+    /// Remote write. Dropping it sends the last samples.
     remote_writer: Option<RemoteWriter>,
     restart_admission: RestartAdmission,
-    /// The lease of a controller that follows another's administration.
+    /// The lease of a follower; `None` at a leader and without an administration.
     lease: Option<Holder>,
     logged_lease_stage: Option<Stage>,
     audit_log: Option<AuditLog>,
     snapshot_source: SnapshotSource,
-    /// How many worker lists were applied.
+    /// Number of worker lists applied since the start.
     list_version: u64,
     tenants: Option<Tenants>,
     admin_server: Option<AdminServer>,
     /// Names of the workers that are drained through the administration.
     drained_workers: BTreeSet<String>,
-    /// The newest worker list, as its source gave it.
+    /// The newest worker list, without the drains of the administration.
     listed_workers: Vec<Worker>,
-    /// The administration has not been shown the newest worker list yet.
+    /// The newest worker list or set of drained workers has yet to be published to the administration.
     list_publish_pending: bool,
+    /// When the metrics of workers and limits are updated next.
     next_refresh: Micros,
+    /// Commands of the engine that have yet to be executed.
     commands: Vec<Command>,
     grpc_address: SocketAddr,
-    /// Set by the first signal: when open calls must have ended.
+    /// When open calls must have ended. Set by the first signal, and shortened once all calls have ended.
     drain_deadline: Option<Micros>,
 }
 
-/// Number of the signals' event source.
+/// Number of the event source for signals at the hub.
 const SIGNAL_SOURCE: usize = 0;
 
 impl Controller {
-    /// The address of the gRPC listener.
+    /// The local address of the gRPC listener.
     pub(crate) fn grpc_address(&self) -> SocketAddr {
         self.grpc_address
     }
 
-    /// The address at which metrics can be scraped.
+    /// The local address of the metrics endpoint, if there is one.
     pub(crate) fn metrics_address(&self) -> Option<SocketAddr> {
         self.metrics_endpoint.as_ref().map(|endpoint| endpoint.local)
     }
 
-    /// The address of the administration's listener.
+    /// The local address of the administration's listener, if there is one.
     pub(crate) fn admin_address(&self) -> Option<SocketAddr> {
         self.admin_server.as_ref().and_then(|server| server.local)
     }
 
-    /// Runs until a signal stops it. Each iteration fires due timers, polls the network until the next of them,
-    /// dispatches what came with the commands that follow from it, and updates metrics.
+    /// Runs until a signal stops the controller. Each iteration fires due timers, polls the network until the next
+    /// timer, dispatches the events with the commands that follow from them, and updates metrics.
     pub(crate) fn run(&mut self) -> Result<Shutdown, ControllerError> {
         let mut events = Vec::new();
         loop {
@@ -183,7 +186,7 @@
         }
     }
 
-    /// Lets the engine handle its due timers.
+    /// Sends a tick to the engine if one of its timers is due.
     fn fire_timers(&mut self) {
         let now = self.clock.now();
         if self.engine.next_timer().is_some_and(|at| at <= now) {
@@ -198,7 +201,7 @@
         Duration::from_micros(next_timer.saturating_sub(self.clock.now()))
     }
 
-    /// Handles one event. `Break`: the controller stops at once.
+    /// Handles one event. `Break` if the controller is to stop at once.
     fn dispatch(&mut self, event: NetEvent) -> ControlFlow<Shutdown> {
         match event {
             NetEvent::Source(SIGNAL_SOURCE) => return self.handle_signals(),
@@ -213,7 +216,7 @@
         ControlFlow::Continue(())
     }
 
-    /// An event of a connection: of a worker's, or else of a client's.
+    /// Handles an event of a connection to a worker or from a client.
     fn handle_connection_event(&mut self, event: NetEvent) {
         match event {
             NetEvent::Closed { conn, .. } => self.worker_links.connection_closed(conn),
--- a/crates/gateway/src/controller/shutdown.rs
+++ b/crates/gateway/src/controller/shutdown.rs
@@ -1,4 +1,4 @@
-//! The end of a controller: the first signal drains it, a second one stops it at once.
+//! Shutdown: the first signal drains the controller, a second one stops it at once.
 
 use std::ops::ControlFlow;
 
@@ -7,13 +7,14 @@
 
 use super::{Controller, Shutdown};
 
-/// How long clients have to read their answers and to close after the last call of a drain has ended. Microseconds.
+/// Time that clients have to read their answers and close their connections after the last call has ended,
+/// microseconds.
 const CLOSE_GRACE: Micros = 500_000;
-/// While it drains, the controller checks this often whether it is done. Microseconds.
+/// Interval at which a draining controller checks whether it is done, microseconds.
 const DRAIN_CHECK_INTERVAL: Micros = 20_000;
 
 impl Controller {
-    /// Handles the signals that came: the first begins to drain. `Break`: it was not the first.
+    /// Handles received signals. The first one starts the drain; `Break` on a second one.
     pub(super) fn handle_signals(&mut self) -> ControlFlow<Shutdown> {
         let received = self.signals.as_mut().map_or(0, |signals| signals.pending().count());
         for _ in 0..received {
@@ -26,7 +27,7 @@
         ControlFlow::Continue(())
     }
 
-    /// Accepts no new calls; open ones get their answers.
+    /// Stops accepting connections and calls. Open calls continue until they are answered or the drain times out.
     fn start_drain(&mut self) {
         info!(open_calls = self.engine.open_calls(), "signal received: draining");
         self.drain_deadline = Some(self.clock.now() + self.config.edge.drain);
@@ -36,13 +37,13 @@
         self.execute_commands();
     }
 
-    /// When to check next whether the drain is done.
+    /// The time of the next check whether the drain is done; `Micros::MAX` while the controller is not draining.
     pub(super) fn next_drain_check(&self) -> Micros {
         let next_check = |deadline: Micros| deadline.min(self.clock.now() + DRAIN_CHECK_INTERVAL);
         self.drain_deadline.map_or(Micros::MAX, next_check)
     }
 
-    /// Whether the drain is done or has timed out.
+    /// Returns how the controller is to end, if the drain is done or has timed out.
     pub(super) fn shutdown_due(&mut self) -> Option<Shutdown> {
         let deadline = self.drain_deadline?;
         let now = self.clock.now();
@@ -59,11 +60,12 @@
         })
     }
 
-    /// Writes the last entries and metrics, and sends the last samples.
+    /// Writes the last entries of the audit log, updates the metrics and sends the last samples by remote write, unless
+    /// the shutdown is forced.
     pub(super) fn finish(&mut self, shutdown: Shutdown) -> Shutdown {
         self.close_audit_entry();
         self.write_audit_log();
-        // The last push is to have what was counted last.
+        // Remote write samples the metrics once more at its end, so they must be complete before.
         self.metrics.record_measurements(&mut self.engine);
         self.refresh();
         match (shutdown, self.remote_writer.take()) {
--- a/crates/gateway/src/controller/startup.rs
+++ b/crates/gateway/src/controller/startup.rs
@@ -1,5 +1,5 @@
-//! The start of a controller: listeners, the first worker list, the engine, the administration. Steps that the system
-//! refuses for a moment are retried.
+//! Creates a controller: the listeners, the first worker list, the engine and the administration. Steps that fail for a
+//! transient reason are retried.
 
 use std::collections::BTreeSet;
 use std::io;
@@ -33,13 +33,15 @@
 use crate::worker_list::{ListSource, ListWatcher};
 
 impl Controller {
-    /// Opens the listeners and restores the last worker list. `with_signals`: SIGTERM and SIGINT drain it.
+    /// Opens the listeners, starts the threads, and applies the first worker list. With `with_signals`, SIGTERM and
+    /// SIGINT drain the controller.
     pub(crate) fn new(config: Config, with_signals: bool) -> Result<Self, ControllerError> {
         let mut hub = retry_startup("reactor", || Hub::new(net_limits(&config)), is_transient)?;
         let grpc_address = listen_grpc(&mut hub, config.grpc)?;
         let list_watcher = watch_worker_list(&config, &hub)?;
         let initial_lists = list_watcher.initial_updates();
-        // An earlier incarnation that persisted a list may have sent load orders just before it ended.
+        // A restored list means that there was an earlier incarnation. It may have sent load orders just before it
+        // ended.
         let restarted = initial_lists.iter().any(|update| update.form == ListForm::Restored);
         let mut engine = create_engine(&config, restarted)?;
         let signals = with_signals.then(|| retry_startup("signals", || watch_signals(&hub), is_transient));
@@ -93,7 +95,7 @@
         Ok(controller)
     }
 
-    /// Limits how many calls are accepted after a restart, where the settings want that.
+    /// Starts to limit how many calls are accepted after a restart, if the settings require that.
     fn start_restart_admission(&mut self, restarted: bool) {
         let limited = match self.config.recovery.gate {
             GatePolicy::Never => false,
@@ -134,7 +136,7 @@
         .map_err(|source| ControllerError::Listen { address, source })
 }
 
-/// Starts the thread that reads the worker list; it wakes the hub after each update.
+/// Starts the thread that watches the worker list. It wakes the hub after each update.
 fn watch_worker_list(config: &Config, hub: &Hub) -> io::Result<ListWatcher> {
     let waker = hub.waker();
     let wake = move || _ = waker.wake();
@@ -159,9 +161,9 @@
     Engine::new(settings, config.zone.as_deref(), limits, seed)
 }
 
-/// Lets the hub watch SIGTERM and SIGINT.
+/// Registers SIGTERM and SIGINT as an event source at the hub.
 fn watch_signals(hub: &Hub) -> io::Result<Signals> {
-    // The numbers are POSIX's; a crate for two constants would be more than they need.
+    // The numbers that POSIX defines; two constants are not worth another dependency.
     const SIGINT: i32 = 2;
     const SIGTERM: i32 = 15;
     let mut signals = Signals::new([SIGINT, SIGTERM])?;
@@ -179,7 +181,7 @@
         .map_err(|source| ControllerError::Listen { address, source })
 }
 
-/// What the administration adds to a controller; all of it is absent where the settings have no administration.
+/// The parts that the administration adds to a controller. All are empty where the settings configure none.
 #[derive(Default)]
 struct Administration {
     lease: Option<Holder>,
@@ -207,7 +209,7 @@
 fn start_audit_log(config: &Config, admin: &AdminSettings, clock: Clock) -> io::Result<Option<AuditLog>> {
     let Some(settings) = &admin.audit_log else { return Ok(None) };
     let (writer, tail) = AuditLogWriter::start(settings.folder.clone(), settings.bytes)?;
-    // 0 means that there is no incarnation.
+    // 0 is reserved for "no incarnation".
     let incarnation = rand::random::<u64>().max(1);
     let program = env!("CARGO_PKG_VERSION");
     let recorder =
@@ -247,7 +249,7 @@
     tenants
 }
 
-/// The lease of a follower; a leader needs none.
+/// Creates the lease of a follower. A leader needs none.
 fn create_lease(admin: &AdminSettings, now: Micros) -> Option<Holder> {
     let settings::Administration::Follower(follower) = &admin.administration else { return None };
     let policy = &follower.without_lease;
--- a/crates/gateway/src/controller/status.rs
+++ b/crates/gateway/src/controller/status.rs
@@ -1,4 +1,5 @@
-//! Metrics, log lines of changed states, and the status that the administration publishes of this controller.
+//! Updates metrics, logs changes of the restart limiter and the lease, and publishes the status of this controller to
+//! the administration.
 
 use std::collections::BTreeSet;
 use std::time::Instant;
@@ -14,11 +15,12 @@
 use super::Controller;
 use crate::call_steps::count_call_steps;
 
-/// Metrics of workers and limits are updated at most this often, as events come. Microseconds.
+/// Minimum time between two updates of the metrics of workers and limits, microseconds. They are updated on events
+/// only.
 const REFRESH_INTERVAL: Micros = 200_000;
 
 impl Controller {
-    /// Counts what the engine noted; now and then updates what is slower to read.
+    /// Updates the counters of calls, and at each [`REFRESH_INTERVAL`] the metrics that take longer to collect.
     pub(super) fn update_metrics(&mut self) {
         self.count_call_steps();
         self.record(|recorder, now, names| recorder.tick(now, names));
@@ -31,7 +33,7 @@
         }
     }
 
-    /// Updates metrics of workers, limits and the fleet, and the published status.
+    /// Updates the metrics of workers, limits and the fleet, and publishes the status.
     pub(super) fn refresh(&mut self) {
         self.log_restart_admission();
         self.log_lease_stage();
@@ -50,6 +52,7 @@
         self.publish_status();
     }
 
+    /// Updates the status that the administration publishes, and the metrics that depend on it.
     fn publish_status(&mut self) {
         let (Some(tenants), Some(server)) = (&mut self.tenants, &self.admin_server) else { return };
         self.metrics.set_rejections(tenants.rejections());
@@ -74,7 +77,7 @@
         }
     }
 
-    /// Counts calls towards admission by what became of them.
+    /// Reports the phases of open calls to admission control, if any is active.
     pub(super) fn count_call_steps(&mut self) {
         if self.tenants.is_none() && self.restart_admission.limiter.is_none() {
             return;
@@ -83,7 +86,7 @@
         count_call_steps(self.clock.now(), &mut self.engine, limiter, self.tenants.as_mut());
     }
 
-    /// Logs each step of the recovery from a restart, and removes the limiter after the last.
+    /// Logs each step of the recovery from a restart, and removes the limiter after the last one.
     fn log_restart_admission(&mut self) {
         let admission = &mut self.restart_admission;
         let Some(limiter) = &mut admission.limiter else { return };
@@ -108,7 +111,7 @@
         }
     }
 
-    /// Logs when the lease becomes current, or is no longer.
+    /// Logs changes of the lease's stage.
     fn log_lease_stage(&mut self) {
         let now = self.clock.now_ms();
         let Some(lease) = &self.lease else { return };
@@ -124,7 +127,7 @@
     }
 }
 
-/// A worker as the administration publishes it.
+/// Converts a listed worker for the administration API.
 fn published_worker(worker: &Worker, drained_workers: &BTreeSet<String>) -> api::Worker {
     let listed = match worker.state {
         WorkerState::On => "on",
--- a/crates/gateway/src/controller/worker_list.rs
+++ b/crates/gateway/src/controller/worker_list.rs
@@ -1,4 +1,4 @@
-//! A new worker list: to the links, to admission after a restart, and to the engine.
+//! Applies a new worker list to the worker links, the restart limiter, the front and the engine.
 
 use std::collections::HashMap;
 
@@ -36,7 +36,7 @@
         self.notify_engine_of_list(now, update.form, members(&update.workers));
     }
 
-    /// A worker that is drained through the administration is to the engine as if its list said so.
+    /// Marks workers that are drained through the administration as draining, as if the list did so.
     fn apply_drain(&self, workers: &mut [Worker]) {
         for worker in workers.iter_mut().filter(|worker| worker.state == WorkerState::On) {
             if self.drained_workers.contains(&worker.name) {
