--- a/crates/gateway/src/call_steps.rs
+++ b/crates/gateway/src/call_steps.rs
@@ -27,9 +27,9 @@
 /// Reports one phase to the restart limiter, which judges new calls by how long open ones have waited for a worker.
 fn count_for_limiter(limiter: &mut Gate, now: Micros, phase: &Phase) {
     match phase.step {
-        Step::AttemptStarted => limiter.has_worker(phase.front),
+        Step::AttemptStarted => limiter.has_worker(phase.front_token),
         // The limiter has kept the call's model during the attempt; from now on the call counts as waiting again.
-        Step::AttemptEnded => limiter.returned_by_worker(now / 1000, phase.front),
-        Step::CallEnded(_) => limiter.ended(phase.front),
+        Step::AttemptEnded => limiter.returned_by_worker(now / 1000, phase.front_token),
+        Step::CallEnded(_) => limiter.ended(phase.front_token),
     }
 }
--- a/crates/gateway/src/front/failure/tests.rs
+++ b/crates/gateway/src/front/failure/tests.rs
@@ -6,7 +6,7 @@
 
 #[test]
 fn refusals_carry_a_retry_delay_and_failures_forbid_retries() {
-    let refused = FinalAnswer::Refused { reason: Refusal::NoRoom, retry_after: None };
+    let refused = FinalAnswer::Refused { reason: Refusal::NoCapacity, retry_after: None };
     let map = failure_for_answer(&refused, Duration::from_millis(70)).expect("no success").trailers();
     assert_eq!((map["grpc-status"].as_bytes(), map[PUSHBACK].as_bytes()), (&b"14"[..], &b"70"[..]));
     let details = read_binary(&map["grpc-status-details-bin"]).expect("base64");
--- a/crates/gateway/src/front/mod.rs
+++ b/crates/gateway/src/front/mod.rs
@@ -112,6 +112,7 @@
 pub(crate) struct Front {
     config: Arc<Config>,
     rpcs: HashMap<StreamKey, Rpc>,
+    /// Open calls by number. The engine passes the number back as its `front_token`.
     calls: HashMap<u64, OpenCall>,
     /// The number of the newest call.
     last_call_number: u64,
--- a/crates/gateway/src/remote_write/log.rs
+++ b/crates/gateway/src/remote_write/log.rs
@@ -113,7 +113,7 @@
     /// Whether the roster must be written again: in an older segment it would keep that one from being deleted, or it
     /// was already dropped with its segment.
     pub(super) fn is_roster_outdated(&self) -> bool {
-        let newest = self.wal.newest();
+        let newest = self.wal.newest_segment();
         self.roster.iter().any(|position| position.segment < newest || !self.wal.contains(*position))
     }
 
--- a/crates/gateway/src/tenants/mod.rs
+++ b/crates/gateway/src/tenants/mod.rs
@@ -343,7 +343,7 @@
 
     /// Applies a step of a call. The steps of a call must be passed in order; those of unknown calls are ignored.
     pub(crate) fn record_step(&mut self, now: Micros, phase: Phase) {
-        let Some(call) = self.open_calls.get(&phase.front) else { return };
+        let Some(call) = self.open_calls.get(&phase.front_token) else { return };
         let slot = call.slot;
         self.changed.insert(slot);
         match phase.step {
@@ -354,7 +354,7 @@
                 if let Some(tenant) = self.tenants.get_mut(slot) {
                     tenant.call_ended(outcome);
                 }
-                self.open_calls.remove(&phase.front);
+                self.open_calls.remove(&phase.front_token);
             }
         }
     }
--- a/crates/gateway/src/worker_links/pool.rs
+++ b/crates/gateway/src/worker_links/pool.rs
@@ -30,7 +30,7 @@
     /// Returns a connection for one more stream: the least used one, or a new one where all others are full.
     ///
     /// # Errors
-    /// `NoRoom` where the limits are reached, `NotConnected` where no connection could be opened.
+    /// `ConnectionsExhausted` where the limits are reached, `NotConnected` where no connection could be opened.
     pub(super) fn connection(&mut self, hub: &mut Hub, limits: PoolLimits) -> Result<ConnKey, AttemptEnd> {
         let accepts_stream = |key: &ConnKey| hub.can_open(*key) && hub.streams_on(*key) < limits.streams;
         let usable: Vec<ConnKey> = self.connections.iter().copied().filter(accepts_stream).collect();
@@ -40,7 +40,7 @@
         // A connection that received GOAWAY does not count: it closes after its last stream.
         let counted = self.connections.iter().filter(|key| !hub.is_going_away(**key)).count();
         if counted >= limits.connections {
-            return Err(AttemptEnd::NoRoom);
+            return Err(AttemptEnd::ConnectionsExhausted);
         }
         let key = hub.connect(self.address).map_err(|_| AttemptEnd::NotConnected)?;
         self.connections.push(key);
