--- a/crates/gateway/src/controller/mod.rs
+++ b/crates/gateway/src/controller/mod.rs
@@ -201,7 +201,7 @@
         Duration::from_micros(next_timer.saturating_sub(self.clock.now()))
     }
 
-    /// Handles one event. `Break` if the controller is to stop at once.
+    /// Handles one event. `Break` if the controller must stop at once.
     fn dispatch(&mut self, event: NetEvent) -> ControlFlow<Shutdown> {
         match event {
             NetEvent::Source(SIGNAL_SOURCE) => return self.handle_signals(),
--- a/crates/gateway/src/controller/shutdown.rs
+++ b/crates/gateway/src/controller/shutdown.rs
@@ -43,7 +43,7 @@
         self.drain_deadline.map_or(Micros::MAX, next_check)
     }
 
-    /// Returns how the controller is to end, if the drain is done or has timed out.
+    /// Returns the kind of shutdown, if the drain is done or has timed out.
     pub(super) fn shutdown_due(&mut self) -> Option<Shutdown> {
         let deadline = self.drain_deadline?;
         let now = self.clock.now();
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -41,6 +41,7 @@
     metrics: Arc<Metrics>,
     /// Latency objective of each class, by class id.
     objectives: Vec<Micros>,
+    /// Whether the engine's measurements are counted.
     count_calls: bool,
 }
 
--- a/crates/gateway/src/remote_write/write_loop.rs
+++ b/crates/gateway/src/remote_write/write_loop.rs
@@ -39,7 +39,9 @@
 /// Buffers that are reused across iterations of the loop.
 #[derive(Default)]
 struct Buffers {
+    /// Batches to be sent now.
     due: Vec<Batch>,
+    /// Lanes whose request has ended, with the response or the error.
     ended: Vec<(usize, Result<Answer, Http1Error>)>,
 }
 
--- a/crates/gateway/src/tenants/mod.rs
+++ b/crates/gateway/src/tenants/mod.rs
@@ -48,11 +48,10 @@
 
 /// An open call of a tenant.
 struct OpenCall {
-    /// Slot of the tenant.
+    /// Slot of the tenant in [`Tenants::tenants`].
     slot: usize,
     class: usize,
-    /// Hash of the model's name.
-    model: u64,
+    model_hash: u64,
 }
 
 /// The ids and names of the classes.
@@ -73,11 +72,12 @@
     tenants: Slab<LocalTenant>,
     slots_by_name: HashMap<Arc<str>, usize>,
     admission: Admission,
+    /// Open calls by the front's number.
     open_calls: HashMap<u64, OpenCall>,
     /// Slots of tenants whose usage has changed since it was last published.
-    changed: BTreeSet<usize>,
+    usage_changed: BTreeSet<usize>,
     /// Uids of tenants that were removed since usage was last published.
-    removed: Vec<Revision>,
+    removed_uids: Vec<Revision>,
     revision: Revision,
     /// No snapshot has been loaded yet, so it is not known which tenants exist.
     without_snapshot: bool,
@@ -108,8 +108,8 @@
             slots_by_name: HashMap::new(),
             admission: Admission::new(queue_length),
             open_calls: HashMap::new(),
-            changed: BTreeSet::new(),
-            removed: Vec::new(),
+            usage_changed: BTreeSet::new(),
+            removed_uids: Vec::new(),
             revision: 0,
             without_snapshot: false,
             snapshot_behind: false,
@@ -201,8 +201,8 @@
     pub(crate) fn forget(&mut self, tenant: TenantId) {
         let Some(slot) = self.slot(tenant) else { return };
         self.admission.remove(slot);
-        self.changed.remove(&slot);
-        self.removed.push(self.tenants.remove(slot).uid);
+        self.usage_changed.remove(&slot);
+        self.removed_uids.push(self.tenants.remove(slot).uid);
     }
 
     fn set(&mut self, tenant: &Tenant) {
@@ -310,7 +310,7 @@
             return Err(CallRejection::model_denied(name, call.model));
         }
         self.expire_loans(now);
-        self.changed.insert(slot);
+        self.usage_changed.insert(slot);
         self.tenants[slot].call_arrived();
         self.admit_at(now, slot, name, call)
     }
@@ -322,11 +322,11 @@
         name: &str,
         call: &TenantCall,
     ) -> Result<Option<TenantId>, CallRejection> {
-        let (class, model) = (call.class, model_hash(call.model));
+        let (class, model_hash) = (call.class, model_hash(call.model));
         let memory = call.memory_bytes.unwrap_or(0);
-        match self.admission.admit(now, CallRequest { tenant: slot, class, model, memory }) {
+        match self.admission.admit(now, CallRequest { tenant: slot, class, model: model_hash, memory }) {
             Verdict::Admit => {
-                self.open_calls.insert(call.call_number, OpenCall { slot, class, model });
+                self.open_calls.insert(call.call_number, OpenCall { slot, class, model_hash });
                 Ok(Some(self.id(slot)))
             }
             Verdict::Reject(rejection) => {
@@ -345,12 +345,12 @@
     pub(crate) fn record_step(&mut self, now: Micros, phase: Phase) {
         let Some(call) = self.open_calls.get(&phase.front_token) else { return };
         let slot = call.slot;
-        self.changed.insert(slot);
+        self.usage_changed.insert(slot);
         match phase.step {
             Step::AttemptStarted => self.admission.call_started(slot),
             Step::AttemptEnded => self.admission.call_returned(slot),
             Step::CallEnded(outcome) => {
-                self.admission.call_ended(now, slot, call.class, call.model);
+                self.admission.call_ended(now, slot, call.class, call.model_hash);
                 if let Some(tenant) = self.tenants.get_mut(slot) {
                     tenant.call_ended(outcome);
                 }
@@ -366,10 +366,10 @@
 
     /// Updates the published usage. Only tenants whose calls have changed are visited, so idle tenants add no cost.
     pub(crate) fn publish_usage(&mut self, usage: &mut HashMap<Revision, Usage>) {
-        for uid in self.removed.drain(..) {
+        for uid in self.removed_uids.drain(..) {
             usage.remove(&uid);
         }
-        for slot in std::mem::take(&mut self.changed) {
+        for slot in std::mem::take(&mut self.usage_changed) {
             if let Some(tenant) = self.tenants.get(slot) {
                 usage.insert(tenant.uid, self.usage(slot, tenant));
             }
