--- a/crates/gateway/src/controller/shutdown.rs
+++ b/crates/gateway/src/controller/shutdown.rs
@@ -30,7 +30,7 @@
     /// Stops accepting connections and calls. Open calls continue until they are answered or the drain times out.
     fn start_drain(&mut self) {
         info!(open_calls = self.engine.open_calls(), "signal received: draining");
-        self.drain_deadline = Some(self.clock.now() + self.config.edge.drain);
+        self.drain_deadline = Some(self.clock.now() + self.config.edge.drain_timeout);
         self.hub.stop_listening();
         self.hub.go_away();
         self.with_front(|front, context| front.drain(context));
