--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -153,8 +153,8 @@
             Stage::NotReady => LeaseStage::NotReady,
             Stage::Fenced => LeaseStage::Fenced,
         };
-        let (expiries, doubtful_acts) = (counters.expiries, counters.doubtful);
-        self.metrics.set_lease(&LeaseState { stage, expiries, doubtful_acts });
+        let (expiries, doubtful_actions) = (counters.expiries, counters.doubtful);
+        self.metrics.set_lease(&LeaseState { stage, expiries, doubtful_actions });
     }
 
     /// Sets the state of the fleet as the leader sees it: outdated and fenced incarnations, and whether the fleet has
--- a/crates/simulation/tests/plays.rs
+++ b/crates/simulation/tests/plays.rs
@@ -1,4 +1,5 @@
-//! Equal seeds give equal outcomes; no follower acts without an acknowledged change; every controller gets a snapshot.
+//! Tests of whole simulations: equal seeds give equal outcomes, no follower accepts calls without an acknowledged
+//! change, and controllers recover their snapshots.
 
 use nettleferry_simulation::network::Network;
 use nettleferry_simulation::{follow, power};
@@ -16,24 +17,24 @@
 fn no_follower_accepts_calls_without_an_acknowledged_change_at_any_loss() {
     for loss in [0.0, 0.05, 0.2] {
         for seed in 0..4 {
-            let outcome = follow::play(followers(32, loss, seed));
+            let outcome = follow::simulate(followers(32, loss, seed));
             assert_eq!(outcome.violations, 0, "{outcome:?}");
             assert!(outcome.made > 5 && outcome.acknowledged + 10 >= outcome.made, "{outcome:?}");
-            // However much is lost, a change is in force within a lease span and the error of the clocks.
+            // At any loss, a change is in force within the duration of a lease and the clock error.
             assert!(outcome.max_ms <= 6_000.0 + 60.0 + 25.0, "{outcome:?}");
         }
     }
-    let well = follow::play(followers(32, 0.0, 9));
-    assert!(well.without_lease == 0.0 && well.p99_ms < 50.0, "{well:?}");
-    let bad = follow::play(followers(32, 0.3, 9));
-    assert!(bad.p99_ms > well.p99_ms && bad.without_lease < 0.01, "{bad:?}");
+    let lossless = follow::simulate(followers(32, 0.0, 9));
+    assert!(lossless.without_lease == 0.0 && lossless.p99_ms < 50.0, "{lossless:?}");
+    let lossy = follow::simulate(followers(32, 0.3, 9));
+    assert!(lossy.p99_ms > lossless.p99_ms && lossy.without_lease < 0.01, "{lossy:?}");
 }
 
-fn plan(administration: power::LeaderReturn, lost_snapshots: f64) -> power::Plan {
+fn plan(leader_return: power::LeaderReturn, lost_snapshots: f64) -> power::Plan {
     power::Plan {
         controllers: 24,
         network: network(0.01),
-        leader_return: administration,
+        leader_return,
         lost_snapshots,
         tenants: 500,
         calls_per_second: 70.0,
@@ -55,33 +56,34 @@
 #[test]
 fn snapshots_return_from_the_leader_or_from_peers() {
     use power::LeaderReturn;
-    for (back, lost, whole) in [
+    for (leader_return, lost_snapshots, recovers) in [
         (LeaderReturn::First, 1.0, true),
         (LeaderReturn::After(5_000_000), 1.0, true),
         (LeaderReturn::Never, 0.5, true),
         (LeaderReturn::Never, 1.0, false),
     ] {
-        let outcome = power::play(plan(back, lost));
-        assert_eq!(outcome.with_snapshot == 24, whole, "{back:?}: {outcome:?}");
-        assert_eq!(outcome.ready_ms.is_some(), whole, "{outcome:?}");
+        let outcome = power::simulate(plan(leader_return, lost_snapshots));
+        assert_eq!(outcome.with_snapshot == 24, recovers, "{leader_return:?}: {outcome:?}");
+        assert_eq!(outcome.ready_ms.is_some(), recovers, "{outcome:?}");
     }
 }
 
 #[test]
 fn equal_seeds_give_equal_outcomes_and_admission_rejects_early() {
     let (first, second) = (
-        power::play(plan(power::LeaderReturn::First, 0.2)),
-        power::play(plan(power::LeaderReturn::First, 0.2)),
+        power::simulate(plan(power::LeaderReturn::First, 0.2)),
+        power::simulate(plan(power::LeaderReturn::First, 0.2)),
     );
     assert_eq!(format!("{first:?}"), format!("{second:?}"));
-    // More calls arrive than the warming fleet can serve: admission serves in time what would wait in vain without it.
-    let crowded = |admission| {
-        power::play(power::Plan {
+    // More calls arrive than the workers can serve while they warm up. Without admission control more of them wait in
+    // the queue until they are late.
+    let overloaded = |admission| {
+        power::simulate(power::Plan {
             calls_per_second: 110.0,
             admission,
             ..plan(power::LeaderReturn::First, 0.0)
         })
     };
-    let (gate, open) = (crowded(true), crowded(false));
-    assert!(gate.in_time > open.in_time && gate.late < open.late, "{gate:?} {open:?}");
+    let (with, without) = (overloaded(true), overloaded(false));
+    assert!(with.in_time > without.in_time && with.late < without.late, "{with:?} {without:?}");
 }
