--- a/crates/scale/src/children.rs
+++ b/crates/scale/src/children.rs
@@ -29,7 +29,7 @@
 /// Interval at which the exit of a child is polled.
 const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Handle of a child that [`Children::start`] returned; it stays valid, and refers to no process after the child's end.
+/// Handle of a child that [`Children::start`] returned; it refers to no process after the child is stopped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ChildId(usize);
 
--- a/crates/scale/src/measure/list/calls.rs
+++ b/crates/scale/src/measure/list/calls.rs
@@ -16,7 +16,7 @@
 use prost::Message;
 
 /// Maximum number of open calls; calls beyond it are skipped.
-const MOST_OPEN: usize = 2_000;
+const MAX_OPEN_CALLS: usize = 2_000;
 /// Upper bound of the latency histogram, in microseconds.
 const MAX_LATENCY_MICROS: u64 = 60_000_000;
 /// Size of the input tensor of a call, in bytes.
@@ -128,7 +128,7 @@
     }
 
     fn begin_call(&mut self, now: Instant) -> io::Result<()> {
-        if self.open.len() >= MOST_OPEN {
+        if self.open.len() >= MAX_OPEN_CALLS {
             self.stats.lock().unwrap_or_else(PoisonError::into_inner).skipped += 1;
             return Ok(());
         }
--- a/crates/scale/src/run.rs
+++ b/crates/scale/src/run.rs
@@ -96,7 +96,7 @@
     pub targets: Vec<TargetEstimate>,
     /// Verdicts on the bounds, in the order of the plan file.
     pub verdicts: Vec<Verdict>,
-    /// How it ended.
+    /// How the run ended.
     pub end: End,
 }
 
