--- a/crates/scale/src/context.rs
+++ b/crates/scale/src/context.rs
@@ -1,4 +1,4 @@
-//! What a measure works with: children, progress, chance, and the ends that are set to a run.
+//! The services that a measure uses while it runs: child processes, progress, randomness and the limits of the run.
 
 use std::path::Path;
 use std::thread;
@@ -12,20 +12,20 @@
 use crate::measure::MeasureError;
 use crate::process::Process;
 
-/// How often a wait looks for an end of the run.
-const LOOK_EVERY: Duration = Duration::from_millis(20);
-/// How often the memory in use is looked at.
-const MEMORY_EVERY: Duration = Duration::from_millis(200);
+/// Interval at which waits check the limits of the run.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Minimum interval between two checks of memory and children.
+const MEMORY_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Is told how far a run is.
+/// Receives the progress of a run, such as for a progress bar.
 pub trait Progress {
-    /// What is being done now.
+    /// Called with a description of the current step.
     fn doing(&self, what: &str);
-    /// One size of one measure is done.
+    /// Called when a measure has finished one size.
     fn done(&self);
 }
 
-/// Progress that nobody looks at.
+/// A [`Progress`] that discards all updates.
 pub struct NoProgress;
 
 impl Progress for NoProgress {
@@ -33,73 +33,74 @@
     fn done(&self) {}
 }
 
-/// The ends that are set to a run.
+/// The conditions under which a run ends early.
 #[derive(Clone, Debug)]
-pub struct Ends {
-    /// It ends then at the latest.
+pub struct RunLimits {
+    /// The time at which the run ends at the latest.
     pub deadline: Instant,
-    /// It ends when this is set.
+    /// Ends the run when it is set.
     pub interrupt: Interrupt,
-    /// Memory that it may have with its children, in bytes.
+    /// Maximum resident memory of this process and its children together, in bytes.
     pub memory: u64,
 }
 
-/// What a measure works with at one size.
+/// The services that a measure uses at one size.
 pub struct Context<'run> {
-    /// Starts and ends processes.
+    /// The child processes of this size.
     pub children: &'run mut Children,
-    /// Chance, by the file's seed, the measure and the size alone.
+    /// Random numbers, seeded by the file's seed, the measure and the size alone.
     pub random: ChaCha8Rng,
     progress: &'run dyn Progress,
     folder: &'run Path,
-    ends: &'run Ends,
-    memory_seen: Option<Instant>,
+    limits: &'run RunLimits,
+    memory_checked_at: Option<Instant>,
 }
 
 impl<'run> Context<'run> {
-    /// A context for one measure at one size.
+    /// Creates the context of one measure at one size; `seed` seeds [`Context::random`].
     pub fn new(
         children: &'run mut Children,
         progress: &'run dyn Progress,
         folder: &'run Path,
-        ends: &'run Ends,
+        limits: &'run RunLimits,
         seed: u64,
     ) -> Self {
         let random = ChaCha8Rng::seed_from_u64(seed);
-        Self { children, random, progress, folder, ends, memory_seen: None }
+        Self { children, random, progress, folder, limits, memory_checked_at: None }
     }
 
-    /// A folder of this run for files; it is gone after the run.
+    /// Temporary folder for files of this size; it is removed after the measurement.
     pub fn folder(&self) -> &Path {
         self.folder
     }
 
-    /// Says what is being done.
+    /// Reports the current step to the progress display.
     pub fn doing(&self, what: &str) {
         self.progress.doing(what);
     }
 
-    /// Must the measure end: by an interrupt, the deadline, the memory in use, or a child that died? To be called
-    /// often; it costs little.
+    /// Fails if the measure must end: on an interrupt, past the deadline, over the memory limit, or when a child has
+    /// exited. Cheap enough to call in a loop: memory and children are checked only every 200 ms.
     pub fn check(&mut self) -> Result<(), MeasureError> {
-        if self.ends.interrupt.is_set() {
+        if self.limits.interrupt.is_set() {
             return Err(MeasureError::Interrupted);
         }
         let now = Instant::now();
-        if now >= self.ends.deadline {
+        if now >= self.limits.deadline {
             return Err(MeasureError::Deadline);
         }
-        if self.memory_seen.is_some_and(|seen| now < seen + MEMORY_EVERY) {
+        if self.memory_checked_at.is_some_and(|seen| now < seen + MEMORY_CHECK_INTERVAL) {
             return Ok(());
         }
-        self.memory_seen = Some(now);
+        self.memory_checked_at = Some(now);
         self.children.check()?;
-        let own = Process::own().resident().map_err(MeasureError::system("the rig's own memory"))?;
-        let (used, allowed) = (own + self.children.resident(), self.ends.memory);
+        let own =
+            Process::own().resident().map_err(MeasureError::system("can't read the rig's own memory"))?;
+        let (used, allowed) = (own + self.children.resident(), self.limits.memory);
         if used > allowed { Err(MeasureError::Memory { used, allowed }) } else { Ok(()) }
     }
 
-    /// Waits, and ends early with an error where the measure must end.
+    /// Sleeps for `span`; fails early if [`Context::check`] does.
     pub fn wait(&mut self, span: Duration) -> Result<(), MeasureError> {
         let until = Instant::now() + span;
         loop {
@@ -108,11 +109,11 @@
             if left.is_zero() {
                 return Ok(());
             }
-            thread::sleep(left.min(LOOK_EVERY));
+            thread::sleep(left.min(POLL_INTERVAL));
         }
     }
 
-    /// Waits until `done` gives a value; after `limit` there is none.
+    /// Polls `done` until it returns a value; none after `limit`. Fails early if [`Context::check`] does.
     pub fn wait_for<T>(
         &mut self,
         limit: Duration,
@@ -128,7 +129,7 @@
             if left.is_zero() {
                 return Ok(None);
             }
-            thread::sleep(left.min(LOOK_EVERY));
+            thread::sleep(left.min(POLL_INTERVAL));
         }
     }
 }
--- a/crates/scale/src/measure/list/calls.rs
+++ b/crates/scale/src/measure/list/calls.rs
@@ -1,4 +1,4 @@
-//! Calls at a steady rate through a gateway, on a thread of their own, with the time that each took.
+//! A thread that makes calls through a gateway at a constant rate and records their latency.
 
 use std::collections::HashMap;
 use std::io;
@@ -15,69 +15,70 @@
 use nettleferry_test_servers::models::climb_request;
 use prost::Message;
 
-/// Calls that are open at once; while so many are, no further one begins.
-const MOST_OPEN: usize = 2_000;
-/// Longest time that the histogram tells apart, in microseconds.
-const LONGEST: u64 = 60_000_000;
-/// Bytes of tensor that a call carries.
-const CALL_BYTES: usize = 256;
-/// The thread looks so often whether it is to end.
-const LOOK_EVERY: Duration = Duration::from_millis(10);
+/// Maximum number of open calls; calls beyond it are skipped.
+const MAX_OPEN_CALLS: usize = 2_000;
+/// Upper bound of the latency histogram, in microseconds.
+const MAX_LATENCY_MICROS: u64 = 60_000_000;
+/// Size of the input tensor of a call, in bytes.
+const CALL_TENSOR_BYTES: usize = 256;
+/// Interval at which the thread checks whether it must stop.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Calls of a stretch of time.
-pub struct Stretch {
-    /// Time of each call that was served, in microseconds.
+/// Results of the calls that ended in a period.
+pub struct CallStats {
+    /// Latency of the calls that were served, in microseconds.
     pub latency: Histogram<u64>,
-    /// Calls that were not served.
+    /// Number of calls that failed.
     pub failed: u64,
-    /// Calls that did not begin because too many were open.
+    /// Number of calls that were not made because too many were open.
     pub skipped: u64,
 }
 
-impl Stretch {
+impl CallStats {
     fn new() -> io::Result<Self> {
-        let latency = Histogram::new_with_bounds(1, LONGEST, 3)
-            .map_err(|error| io::Error::other(format!("a histogram: {error}")))?;
+        let latency = Histogram::new_with_bounds(1, MAX_LATENCY_MICROS, 3)
+            .map_err(|error| io::Error::other(format!("can't create a histogram: {error}")))?;
         Ok(Self { latency, failed: 0, skipped: 0 })
     }
 }
 
-/// Calls under way until this is dropped.
+/// Handle of the calling thread; dropping it stops the calls.
 pub struct Calls {
-    stretch: Arc<Mutex<Stretch>>,
+    stats: Arc<Mutex<CallStats>>,
     stop: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl Calls {
-    /// Begins calls of `model`, so many a second.
-    pub fn start(to: SocketAddr, model: &str, rate: f64) -> io::Result<Self> {
-        let stretch = Arc::new(Mutex::new(Stretch::new()?));
+    /// Starts calls of `model` through the gateway at this address, `rate` per second.
+    pub fn start(gateway: SocketAddr, model: &str, rate: f64) -> io::Result<Self> {
+        let stats = Arc::new(Mutex::new(CallStats::new()?));
         let stop = Arc::new(AtomicBool::new(false));
-        let mut request = climb_request(model, "1", &[], 1);
-        request.raw_input_contents = vec![vec![7; CALL_BYTES].into()];
-        let ask = ClientRequest {
+        let mut infer_request = climb_request(model, "1", &[], 1);
+        infer_request.raw_input_contents = vec![vec![7; CALL_TENSOR_BYTES].into()];
+        let request = ClientRequest {
             method: "ModelInfer",
-            messages: vec![request.encode_to_vec().into()],
+            messages: vec![infer_request.encode_to_vec().into()],
             ..ClientRequest::default()
         };
-        let every = Duration::from_secs_f64(1.0 / rate);
-        let (told, stopped) = (Arc::clone(&stretch), Arc::clone(&stop));
+        let interval = Duration::from_secs_f64(1.0 / rate);
+        let (thread_stats, stopped) = (Arc::clone(&stats), Arc::clone(&stop));
         let work = move || {
-            let ended = Caller::new(to, ask, every, told).and_then(|mut caller| caller.run(&stopped));
-            if let Err(error) = ended {
-                // ObservationKind by whoever takes the stretch: no call of it was served.
+            let result = Caller::new(gateway, request, interval, thread_stats)
+                .and_then(|mut caller| caller.run(&stopped));
+            if let Err(error) = result {
+                // The measure fails on its own: the next period has no served call.
                 eprintln!("calls of the scale run ended: {error}");
             }
         };
         let thread = thread::Builder::new().name("calls".to_owned()).spawn(work)?;
-        Ok(Self { stretch, stop, thread: Some(thread) })
+        Ok(Self { stats, stop, thread: Some(thread) })
     }
 
-    /// The calls that ended since the last time.
-    pub fn take(&self) -> io::Result<Stretch> {
-        let mut stretch = self.stretch.lock().unwrap_or_else(PoisonError::into_inner);
-        Ok(std::mem::replace(&mut stretch, Stretch::new()?))
+    /// Returns the results since the last call of this function.
+    pub fn take(&self) -> io::Result<CallStats> {
+        let mut stats = self.stats.lock().unwrap_or_else(PoisonError::into_inner);
+        Ok(std::mem::replace(&mut stats, CallStats::new()?))
     }
 }
 
@@ -92,23 +93,23 @@
 
 struct Caller {
     client: Client,
-    to: SocketAddr,
-    ask: ClientRequest,
-    every: Duration,
-    begun: HashMap<u64, Instant>,
-    heard: Vec<ClientEvent>,
-    stretch: Arc<Mutex<Stretch>>,
+    gateway: SocketAddr,
+    request: ClientRequest,
+    interval: Duration,
+    open: HashMap<u64, Instant>,
+    events: Vec<ClientEvent>,
+    stats: Arc<Mutex<CallStats>>,
 }
 
 impl Caller {
     fn new(
-        to: SocketAddr,
-        ask: ClientRequest,
-        every: Duration,
-        stretch: Arc<Mutex<Stretch>>,
+        gateway: SocketAddr,
+        request: ClientRequest,
+        interval: Duration,
+        stats: Arc<Mutex<CallStats>>,
     ) -> io::Result<Self> {
         let client = Client::new(1, NetLimits::default())?;
-        Ok(Self { client, to, ask, every, begun: HashMap::new(), heard: Vec::new(), stretch })
+        Ok(Self { client, gateway, request, interval, open: HashMap::new(), events: Vec::new(), stats })
     }
 
     fn run(&mut self, stop: &AtomicBool) -> io::Result<()> {
@@ -116,36 +117,36 @@
         while !stop.load(Ordering::Relaxed) {
             let now = Instant::now();
             if now >= next {
-                next = (next + self.every).max(now);
-                self.begin(now)?;
+                next = (next + self.interval).max(now);
+                self.begin_call(now)?;
             }
-            let wait = next.saturating_duration_since(Instant::now()).min(LOOK_EVERY);
-            self.client.poll(Some(wait), &mut self.heard)?;
-            self.ended();
+            let wait = next.saturating_duration_since(Instant::now()).min(POLL_INTERVAL);
+            self.client.poll(Some(wait), &mut self.events)?;
+            self.record_ended_calls();
         }
         Ok(())
     }
 
-    fn begin(&mut self, now: Instant) -> io::Result<()> {
-        if self.begun.len() >= MOST_OPEN {
-            self.stretch.lock().unwrap_or_else(PoisonError::into_inner).skipped += 1;
+    fn begin_call(&mut self, now: Instant) -> io::Result<()> {
+        if self.open.len() >= MAX_OPEN_CALLS {
+            self.stats.lock().unwrap_or_else(PoisonError::into_inner).skipped += 1;
             return Ok(());
         }
-        let rpc = self.client.call(self.to, self.ask.clone())?;
-        self.begun.insert(rpc, now);
+        let rpc = self.client.call(self.gateway, self.request.clone())?;
+        self.open.insert(rpc, now);
         Ok(())
     }
 
-    fn ended(&mut self) {
+    fn record_ended_calls(&mut self) {
         let now = Instant::now();
-        let mut stretch = self.stretch.lock().unwrap_or_else(PoisonError::into_inner);
-        for heard in self.heard.drain(..) {
-            let ClientEvent::End { rpc, status, .. } = heard else { continue };
-            let Some(began) = self.begun.remove(&rpc) else { continue };
+        let mut stats = self.stats.lock().unwrap_or_else(PoisonError::into_inner);
+        for event in self.events.drain(..) {
+            let ClientEvent::End { rpc, status, .. } = event else { continue };
+            let Some(started) = self.open.remove(&rpc) else { continue };
             if status.is_ok_and(|status| status.code == Code::Ok) {
-                stretch.latency.saturating_record((now - began).as_micros() as u64);
+                stats.latency.saturating_record((now - started).as_micros() as u64);
             } else {
-                stretch.failed += 1;
+                stats.failed += 1;
             }
         }
     }
--- a/crates/scale/src/measure/list/mod.rs
+++ b/crates/scale/src/measure/list/mod.rs
@@ -1,10 +1,10 @@
-//! `list`: a process of `nettleferry serve` with a worker list in a file, while calls flow. What the list costs it at
-//! rest, at a change of one worker and when it is replaced whole, by the workers in the list.
+//! The measure `list`: the cost of a worker list in a file for a process of `nettleferry serve` that handles calls: at
+//! rest, when one worker changes and when the whole list is replaced, by the number of workers in the list.
 //!
-//! All workers of the list have the address of one stand-in worker: the list is long, the fleet behind it is not.
+//! All entries of the list have the address of a single stand-in worker, so that large lists need no large fleet.
 
 mod calls;
-mod figures;
+mod metrics;
 
 use std::fs;
 use std::net::SocketAddr;
@@ -16,52 +16,53 @@
 use nettleferry_config::{Worker, workers};
 use rand::RngExt;
 
-use self::calls::{Calls, Stretch};
-use self::figures::*;
-use super::{Figure, Measure, MeasureError, Observations, Sizes};
+use self::calls::{CallStats, Calls};
+use self::metrics::*;
+use super::{Measure, MeasureError, Metric, Observations, Sizes};
+use crate::capacity::Needs;
 use crate::children::ChildId;
 use crate::context::Context;
 use crate::process::{Process, Sample};
-use crate::room::Needs;
 
-/// Its key in a file.
+/// Key of the measure in the plan file.
 pub const NAME: &str = "list";
 
-/// Most changes of one worker at a size, and most calls a second.
+/// Maximum of `changes`, changes of one worker at each size.
 const MOST_CHANGES: u64 = 100;
+/// Maximum of `calls-per-second`.
 const MOST_RATE: f64 = 2_000.0;
-/// A child has so long to listen, and a list to be taken.
+/// Time within which a child must listen, and a list must be applied.
 const PATIENCE: Duration = Duration::from_secs(20);
-/// The log line that tells of a list that was taken, and the filter that lets it through.
-const TAKEN: &str = "worker list applied";
+/// Log message of `serve` for an applied list, and the log filter that includes it.
+const LIST_APPLIED: &str = "worker list applied";
 const LOG_FILTER: &str = "warn,nettleferry::worker_list=info";
-/// The model that is called.
+/// Name of the model that is called.
 const MODEL: &str = "echo";
-/// Zones and kinds of the workers in the list.
+/// Number of zones over which the workers of the list are distributed.
 const ZONES: u64 = 15;
 
-/// Estimates from above, for the refusal of sizes that can't fit.
+/// Upper estimates that are used to reject sizes that don't fit the machine.
 const PROCESS_BYTES: u64 = 128 << 20;
 const WORKER_BYTES: u64 = 20_000;
 const PROCESSES: u64 = 2;
 const DESCRIPTORS: u64 = 256;
 const PORTS: u64 = 64;
-/// Time of a change beyond the file's spans, at the least and for each worker.
+/// Upper estimate of the time for a change beyond `settle`: a fixed part and a part for each worker of the list.
 const CHANGE_LEAST: Duration = Duration::from_millis(300);
 const CHANGE_WORKER: Duration = Duration::from_micros(40);
 const START_TIME: Duration = Duration::from_secs(2);
 
-/// What `serve` is started with, beside its list.
+/// Settings of the `serve` process.
 const SETTINGS: &str = r#"(listen (grpc "127.0.0.1:0"))
 (workers (file "workers.sexp") (check-every 200ms))
 (class quick (effect safe) (aim 1s) (deadline 20s))
 (model "echo" (class quick) (lanes 64))
 "#;
-/// What the stand-in worker is.
+/// Settings of the stand-in worker.
 const STANDIN: &str =
     r#"(listen "127.0.0.1:0") (cores 8) (queue 10000) (model "" (lanes 64) (load-time 1ms) (work 1ms))"#;
 
-/// Reads `(list ...)`.
+/// Parses `(list ...)`.
 pub fn read(form: &mut Form) -> Option<Box<dyn Measure>> {
     let sizes = Sizes::read(form, "workers");
     let changes = form.value_or("changes", 5u64);
@@ -107,8 +108,8 @@
         &self.sizes
     }
 
-    fn figures(&self) -> &'static [&'static Figure] {
-        FIGURES
+    fn metrics(&self) -> &'static [&'static Metric] {
+        METRICS
     }
 
     fn needs(&self, size: u64) -> Needs {
@@ -125,39 +126,40 @@
     }
 
     fn run_at(&mut self, size: u64, context: &mut Context<'_>) -> Result<Observations, MeasureError> {
-        let mut to = Observations::default();
-        let mut gateway = Gateway::start(size, context, &mut to)?;
-        let calls = Calls::start(gateway.address, MODEL, self.rate).map_err(MeasureError::system("calls"))?;
-        let mut stretches = Vec::new();
-        // The first call of the model loads it, and connects.
+        let mut observations = Observations::default();
+        let mut gateway = Gateway::start(size, context, &mut observations)?;
+        let calls = Calls::start(gateway.address, MODEL, self.rate)
+            .map_err(MeasureError::system("can't make calls"))?;
+        let mut stats_by_metric = Vec::new();
+        // The first call connects to the worker and loads the model; its results are discarded.
         context.wait(self.settle)?;
-        take(&calls)?;
+        take_stats(&calls)?;
         let rest = self.rest(&gateway, context)?;
-        to.add(&REST, rest);
-        stretches.push((&REST_LONGEST, take(&calls)?));
+        observations.add(&REST, rest);
+        stats_by_metric.push((&REST_LONGEST, take_stats(&calls)?));
         let cost = self.changes(&mut gateway, rest, self.changes, Gateway::change_one, context)?;
-        to.add(&CHANGE, cost.processor);
-        to.add(&CHANGE_READ, cost.read);
-        stretches.push((&CHANGE_LONGEST, take(&calls)?));
+        observations.add(&CHANGE, cost.processor);
+        observations.add(&CHANGE_READ, cost.read);
+        stats_by_metric.push((&CHANGE_LONGEST, take_stats(&calls)?));
         let cost = self.changes(&mut gateway, rest, 1, Gateway::change_all, context)?;
-        to.add(&REPLACE, cost.processor);
-        stretches.push((&REPLACE_LONGEST, take(&calls)?));
-        to.add(&MEMORY_AFTER, gateway.sample()?.resident as f64);
-        observe(stretches, &mut to)?;
-        Ok(to)
+        observations.add(&REPLACE, cost.processor);
+        stats_by_metric.push((&REPLACE_LONGEST, take_stats(&calls)?));
+        observations.add(&MEMORY_AFTER, gateway.sample()?.resident as f64);
+        observe(stats_by_metric, &mut observations)?;
+        Ok(observations)
     }
 }
 
-/// What a change cost, beyond what passes at rest.
+/// Cost of one change, beyond the usage at rest.
 struct ChangeCost {
-    /// Microseconds of processor time.
+    /// Processor time, in microseconds.
     processor: f64,
-    /// Bytes that read calls gave.
+    /// Bytes returned by read calls.
     read: f64,
 }
 
 impl List {
-    /// Cores in use while nothing changes.
+    /// Cores used while the list does not change.
     fn rest(&self, gateway: &Gateway, context: &mut Context<'_>) -> Result<f64, MeasureError> {
         context.doing(&format!("{NAME} {}: at rest", gateway.workers.len()));
         let (before, began) = (gateway.sample()?, Instant::now());
@@ -166,7 +168,7 @@
         Ok(used.as_secs_f64() / began.elapsed().as_secs_f64())
     }
 
-    /// Changes the list so many times; the cost of one.
+    /// Changes the list `count` times and returns the mean cost of a change; `rest` is the usage at rest in cores.
     fn changes(
         &self,
         gateway: &mut Gateway,
@@ -189,38 +191,45 @@
     }
 }
 
-fn take(calls: &Calls) -> Result<Stretch, MeasureError> {
-    calls.take().map_err(MeasureError::system("calls"))
+fn take_stats(calls: &Calls) -> Result<CallStats, MeasureError> {
+    calls.take().map_err(MeasureError::system("can't make calls"))
 }
 
-fn observe(stretches: Vec<(&'static Figure, Stretch)>, to: &mut Observations) -> Result<(), MeasureError> {
+fn observe(
+    stats_by_metric: Vec<(&'static Metric, CallStats)>,
+    observations: &mut Observations,
+) -> Result<(), MeasureError> {
     let mut not_served = 0;
-    for (longest, stretch) in stretches {
-        if stretch.latency.is_empty() {
+    for (longest, stats) in stats_by_metric {
+        if stats.latency.is_empty() {
             let what = format!("no call was served where {} is measured", longest.name);
             return Err(MeasureError::Unexpected(what));
         }
-        to.add(longest, stretch.latency.max() as f64);
-        not_served += stretch.failed + stretch.skipped;
+        observations.add(longest, stats.latency.max() as f64);
+        not_served += stats.failed + stats.skipped;
     }
-    to.add(&NOT_SERVED, not_served as f64);
+    observations.add(&NOT_SERVED, not_served as f64);
     Ok(())
 }
 
-/// A process of `serve`, and its list.
+/// A `serve` process and its worker list.
 struct Gateway {
     child: ChildId,
     process: Process,
     address: SocketAddr,
     list: PathBuf,
     workers: Vec<Worker>,
-    made: u64,
+    workers_made: u64,
     standin: SocketAddr,
 }
 
 impl Gateway {
-    /// Starts a stand-in worker and `serve` with a list of `size` workers, and waits until the list is taken.
-    fn start(size: u64, context: &mut Context<'_>, to: &mut Observations) -> Result<Self, MeasureError> {
+    /// Starts a stand-in worker and `serve` with a list of `size` workers, and waits until the list is applied.
+    fn start(
+        size: u64,
+        context: &mut Context<'_>,
+        observations: &mut Observations,
+    ) -> Result<Self, MeasureError> {
         let folder = context.folder().to_owned();
         let standin_file = folder.join("worker.sexp");
         let settings_file = folder.join("settings.sexp");
@@ -234,49 +243,49 @@
             workers.push(worker(number, standin));
         }
         let text = write_list(&list, &workers)?;
-        to.add(&LIST_BYTES, text as f64);
+        observations.add(&LIST_BYTES, text as f64);
         let began = Instant::now();
         let arguments = ["--log", LOG_FILTER, "serve"].map(PathBuf::from).into_iter().chain([settings_file]);
         let (child, address) = listening("serve", arguments, context)?;
-        to.add(&START, began.elapsed().as_secs_f64() * 1e6);
-        wait_taken(child, 0, context)?;
+        observations.add(&START, began.elapsed().as_secs_f64() * 1e6);
+        wait_applied(child, 0, context)?;
         let process = context
             .children
             .process(child)
             .ok_or_else(|| MeasureError::Unexpected("serve was stopped".to_owned()))?;
-        let gateway = Self { child, process, address, list, workers, made: size, standin };
-        to.add(&MEMORY, gateway.sample()?.resident as f64);
+        let gateway = Self { child, process, address, list, workers, workers_made: size, standin };
+        observations.add(&MEMORY, gateway.sample()?.resident as f64);
         Ok(gateway)
     }
 
     fn sample(&self) -> Result<Sample, MeasureError> {
-        self.process.sample().map_err(MeasureError::system("what serve uses"))
+        self.process.sample().map_err(MeasureError::system("can't read the resource usage of serve"))
     }
 
     fn new_worker(&mut self) -> Worker {
-        self.made += 1;
-        worker(self.made, self.standin)
+        self.workers_made += 1;
+        worker(self.workers_made, self.standin)
     }
 
-    /// Replaces one worker, and waits until the list is taken.
+    /// Replaces one worker and waits until the list is applied.
     fn change_one(&mut self, context: &mut Context<'_>) -> Result<(), MeasureError> {
         let at = context.random.random_range(0..self.workers.len());
         self.workers[at] = self.new_worker();
-        self.tell(context)
+        self.publish(context)
     }
 
-    /// Replaces all workers, and waits until the list is taken.
+    /// Replaces all workers and waits until the list is applied.
     fn change_all(&mut self, context: &mut Context<'_>) -> Result<(), MeasureError> {
         for at in 0..self.workers.len() {
             self.workers[at] = self.new_worker();
         }
-        self.tell(context)
+        self.publish(context)
     }
 
-    fn tell(&self, context: &mut Context<'_>) -> Result<(), MeasureError> {
-        let logged = context.children.logged(self.child);
+    fn publish(&self, context: &mut Context<'_>) -> Result<(), MeasureError> {
+        let log_line_count = context.children.log_line_count(self.child);
         write_list(&self.list, &self.workers)?;
-        wait_taken(self.child, logged, context)
+        wait_applied(self.child, log_line_count, context)
     }
 }
 
@@ -298,7 +307,7 @@
     fs::write(file, text).map_err(MeasureError::system(file.display().to_string()))
 }
 
-/// Puts the list in place at once; its bytes.
+/// Replaces the list file atomically and returns its size in bytes.
 fn write_list(file: &Path, list: &[Worker]) -> Result<u64, MeasureError> {
     let text = workers::write(list);
     let beside = file.with_extension("new");
@@ -307,7 +316,7 @@
     Ok(text.len() as u64)
 }
 
-/// Starts a child that says where it listens for calls.
+/// Starts a child and returns the address on which it reports to listen for calls.
 fn listening(
     label: &str,
     arguments: impl IntoIterator<Item = PathBuf>,
@@ -318,15 +327,15 @@
     let address = line.strip_prefix("listening grpc ").and_then(|address| address.parse().ok());
     match address {
         Some(address) => Ok((child, address)),
-        None => Err(context.children.complaint(child, &format!("it said {line:?}"))),
+        None => Err(context.children.child_error(child, &format!("unexpected output {line:?}"))),
     }
 }
 
-/// Waits until the child has logged that a list was taken, in a line after the first `after`.
-fn wait_taken(child: ChildId, after: u64, context: &mut Context<'_>) -> Result<(), MeasureError> {
+/// Waits until the child logs an applied list in a line after its first `after` log lines.
+fn wait_applied(child: ChildId, after: u64, context: &mut Context<'_>) -> Result<(), MeasureError> {
     let taken = context.wait_for(PATIENCE, |context| {
-        let lines = context.children.logged_after(child, after);
-        Ok(lines.iter().any(|line| line.contains(TAKEN)).then_some(()))
+        let lines = context.children.log_lines_after(child, after);
+        Ok(lines.iter().any(|line| line.contains(LIST_APPLIED)).then_some(()))
     })?;
-    taken.ok_or_else(|| context.children.complaint(child, "it did not take the list in time"))
+    taken.ok_or_else(|| context.children.child_error(child, "it did not take the list in time"))
 }
--- a/crates/scale/src/measure/module/mod.rs
+++ b/crates/scale/src/measure/module/mod.rs
@@ -1,8 +1,8 @@
-//! `module`: the decision module inside this process, driven by its own clock. What a call, a change of the worker
-//! list and the state of functions cost, by the workers in the list.
+//! The measure `module`: the cost of calls, of changes of the worker list and of the state for functions in the
+//! decision module, by the number of workers in the list. The module runs inside this process on a simulated clock.
 
 mod driver;
-mod figures;
+mod metrics;
 mod play;
 
 use std::time::Duration;
@@ -10,34 +10,35 @@
 use nettleferry::{Class, Controller, Discovery, Effect, Limits, Loading, Micros, Reports, Rules, Settings};
 use nettleferry_config::form::Form;
 
-use self::figures::{FIGURES, LIST_REPLACED, LIST_WHOLE, REMEMBERED, STATE};
-use self::play::Play;
-use super::{Figure, Measure, MeasureError, Observations, Sizes};
+use self::metrics::{LIST_REPLACED, LIST_WHOLE, METRICS, REMEMBERED, STATE};
+use self::play::Playback;
+use super::{Measure, MeasureError, Metric, Observations, Sizes};
+use crate::capacity::Needs;
 use crate::context::Context;
 use crate::process::Process;
-use crate::room::Needs;
 
-/// Its key in a file.
+/// Key of the measure in the plan file.
 pub const NAME: &str = "module";
 
-/// Most functions, and most calls at one size.
+/// Maximum number of functions.
 const MOST_FUNCTIONS: u64 = 1_000_000;
+/// Maximum of `calls` and of `again`.
 const MOST_CALLS: u64 = 10_000_000;
-/// Most calls a second by the module's clock.
+/// Maximum number of calls per second of simulated time.
 const MOST_RATE: f64 = 1_000_000.0;
-/// Estimates from above, for the refusal of sizes that can't fit: bytes of a worker and of a function; nanoseconds of
-/// a call, and of a worker in a call of a function not seen before.
+/// Upper estimates that are used to reject sizes that don't fit the machine: memory of a worker and of a function, time
+/// of a call, and time for each worker in the first call of a function.
 const WORKER_BYTES: u64 = 2_000;
 const FUNCTION_BYTES: u64 = 4_000;
 const CALL_NANOSECONDS: u64 = 50_000;
 const CALL_WORKER_NANOSECONDS: u64 = 20;
 
-/// Reads `(module ...)`.
+/// Parses `(module ...)`.
 pub fn read(form: &mut Form) -> Option<Box<dyn Measure>> {
     let sizes = Sizes::read(form, "workers");
-    let functions = whole(form, "functions", 10_000, MOST_FUNCTIONS);
-    let calls = whole(form, "calls", 20_000, MOST_CALLS);
-    let again = whole(form, "again", 2_000, MOST_CALLS);
+    let functions = integer(form, "functions", 10_000, MOST_FUNCTIONS);
+    let calls = integer(form, "calls", 20_000, MOST_CALLS);
+    let again = integer(form, "again", 2_000, MOST_CALLS);
     let rate: f64 = form.value_or("calls-per-second", 125.0);
     if !(0.001..=MOST_RATE).contains(&rate) {
         form.error(format!("(calls-per-second ...): write 0.001 to {MOST_RATE}"));
@@ -55,10 +56,10 @@
     if script.answer_after >= 1_000_000 {
         form.error("(answer-after ...): write less than 1s");
     }
-    Some(Box::new(Module { sizes: sizes?, script, held: Vec::new() }))
+    Some(Box::new(Module { sizes: sizes?, script, kept_controllers: Vec::new() }))
 }
 
-fn whole(form: &mut Form, key: &'static str, usual: u64, most: u64) -> u64 {
+fn integer(form: &mut Form, key: &'static str, usual: u64, most: u64) -> u64 {
     let value = form.value_or(key, usual);
     if !(1..=most).contains(&value) {
         form.error(format!("({key} ...): write 1 to {most}"));
@@ -66,7 +67,7 @@
     value.clamp(1, most)
 }
 
-/// What is played at each size.
+/// The steps of the measurement at each size.
 struct Script {
     functions: u64,
     calls: u64,
@@ -106,9 +107,9 @@
 struct Module {
     sizes: Sizes,
     script: Script,
-    /// Controllers of sizes that are done. They are kept so that memory they would free does not hide the growth of
-    /// the next one.
-    held: Vec<Controller>,
+    /// Controllers of the sizes that are done. Their memory is not freed, because reusing it would hide the growth of
+    /// the next controller.
+    kept_controllers: Vec<Controller>,
 }
 
 impl Module {
@@ -127,8 +128,8 @@
         &self.sizes
     }
 
-    fn figures(&self) -> &'static [&'static Figure] {
-        FIGURES
+    fn metrics(&self) -> &'static [&'static Metric] {
+        METRICS
     }
 
     fn needs(&self, size: u64) -> Needs {
@@ -140,7 +141,7 @@
     }
 
     fn run_at(&mut self, size: u64, context: &mut Context<'_>) -> Result<Observations, MeasureError> {
-        let mut play = Play::new(&self.script, size, context)?;
+        let mut play = Playback::new(&self.script, size, context)?;
         let mut observations = Observations { in_process: true, ..Observations::default() };
         observations.add(&LIST_WHOLE, play.first_list());
         let before = resident()?;
@@ -151,11 +152,11 @@
         play.recent_calls(context)?;
         observations.add(&LIST_REPLACED, play.replace_all());
         play.observe(&mut observations)?;
-        self.held.push(play.into_controller());
+        self.kept_controllers.push(play.into_controller());
         Ok(observations)
     }
 }
 
 fn resident() -> Result<u64, MeasureError> {
-    Process::own().resident().map_err(MeasureError::system("the rig's own memory"))
+    Process::own().resident().map_err(MeasureError::system("can't read the rig's own memory"))
 }
--- a/crates/scale/src/report/table.rs
+++ b/crates/scale/src/report/table.rs
@@ -1,4 +1,4 @@
-//! Tables for people.
+//! Tables of the results for people.
 
 use std::collections::BTreeSet;
 
@@ -9,7 +9,7 @@
 use crate::run::{End, Report};
 use crate::verdict::Outcome;
 
-/// A value with its unit, in a width that can be read.
+/// Formats a value with a unit of suitable magnitude.
 pub fn amount(value: f64, unit: Option<Unit>) -> String {
     match unit {
         Some(Unit::Microseconds) => scaled(value, &[(1e6, "s"), (1e3, "ms"), (1.0, "us"), (1e-3, "ns")]),
@@ -21,7 +21,7 @@
     }
 }
 
-/// Small numbers, such as slopes, keep two digits.
+/// Formats a number with three decimals, or in scientific notation if it is small, as slopes are.
 fn plain(value: f64) -> String {
     if value != 0.0 && value.abs() < 0.01 { format!("{value:.1e}") } else { format!("{value:.3}") }
 }
@@ -39,7 +39,7 @@
     table
 }
 
-/// All of a report.
+/// Formats all tables of a report, followed by the reason if the run ended early.
 pub fn render(report: &Report) -> String {
     let mut parts = observations(report);
     if !report.fitted.is_empty() {
@@ -53,13 +53,13 @@
     }
     match &report.end {
         End::Done => {}
-        End::Interrupted => parts.push("interrupted: this is what there was".to_owned()),
+        End::Interrupted => parts.push("interrupted: the results are partial".to_owned()),
         End::Failed { measure, size, error } => parts.push(format!("{measure} {size} failed: {error}")),
     }
     parts.join("\n")
 }
 
-/// A table for each measure: a row a figure, a column a size.
+/// Formats a table for each measure, with a row for each metric and a column for each size.
 fn observations(report: &Report) -> Vec<String> {
     let mut measures: Vec<&str> = report.observed.iter().map(|one| one.measure).collect();
     measures.dedup();
@@ -74,25 +74,25 @@
 fn observations_of(report: &Report, measure: &str) -> String {
     let ours = || report.observed.iter().filter(|one| one.measure == measure);
     let sizes: BTreeSet<u64> = ours().map(|one| one.size).collect();
-    let mut figures: Vec<&str> = Vec::new();
+    let mut metrics: Vec<&str> = Vec::new();
     for one in ours() {
-        if !figures.contains(&one.figure) {
-            figures.push(one.figure);
+        if !metrics.contains(&one.metric) {
+            metrics.push(one.metric);
         }
     }
-    let of = ours().next().map_or("", |one| one.of);
+    let of = ours().next().map_or("", |one| one.dimension);
     let columns = sizes.iter().map(|size| format!("{size} {of}"));
     let mut table = table(&[measure]);
     table.set_header([measure.to_owned()].into_iter().chain(columns));
-    for figure in figures {
+    for metric in metrics {
         let cells = sizes.iter().map(|size| {
-            let found = ours().find(|one| one.figure == figure && one.size == *size);
+            let found = ours().find(|one| one.metric == metric && one.size == *size);
             found.map_or_else(String::new, |one| {
                 let mark = if one.rig == RigBound::None { "" } else { " *" };
                 format!("{}{mark}", amount(one.value, Some(one.unit)))
             })
         });
-        table.add_row([figure.to_owned()].into_iter().chain(cells));
+        table.add_row([metric.to_owned()].into_iter().chain(cells));
     }
     table.to_string()
 }
@@ -102,12 +102,12 @@
     for fitted in &report.fitted {
         let (line, exponent) = (fitted.fit.line, fitted.fit.exponent);
         let slope =
-            format!("{} a {}", amount(line.slope, Some(fitted.unit)), fitted.of.trim_end_matches('s'));
+            format!("{} a {}", amount(line.slope, Some(fitted.unit)), fitted.dimension.trim_end_matches('s'));
         let power = exponent.map_or_else(String::new, |e| format!("{:.2}", e.power));
         let error = exponent.map_or_else(String::new, |e| format!("{:.2}", e.error));
         table.add_row([
             fitted.measure,
-            fitted.figure,
+            fitted.metric,
             &slope,
             &amount(line.slope_error, Some(fitted.unit)),
             &amount(line.intercept, Some(fitted.unit)),
@@ -132,7 +132,7 @@
         };
         table.add_row([
             target.measure,
-            target.figure,
+            target.metric,
             &target.size.to_string(),
             &text(target.value),
             &text(target.error),
@@ -154,7 +154,7 @@
         };
         table.add_row([
             verdict.bound.as_str(),
-            &amount(verdict.most, verdict.unit),
+            &amount(verdict.max, verdict.unit),
             &verdict.value.map_or_else(String::new, |value| amount(value, verdict.unit)),
             outcome,
             if verdict.rig_bound { "bounds" } else { "" },
--- a/crates/scale/src/run.rs
+++ b/crates/scale/src/run.rs
@@ -1,149 +1,154 @@
-//! A run: each measure at each of its sizes, until the end, the deadline or an interrupt.
+//! Runs each measure at each of its sizes, until all are done, the deadline passes or the run is interrupted.
 
 use std::path::PathBuf;
 use std::time::Instant;
 
 use serde::Serialize;
 
+use crate::capacity::Capacity;
 use crate::children::Children;
-use crate::context::{Context, Ends, Progress};
+use crate::context::{Context, Progress, RunLimits};
 use crate::fit::Fit;
 use crate::interrupt::Interrupt;
 use crate::measure::{Measure, MeasureError, Unit};
 use crate::rig::{RigBound, RigWatch};
-use crate::room::Room;
 use crate::settings::Settings;
-use crate::verdict::{AtTarget, FigureOf, Outcome, Verdict, points};
+use crate::verdict::{MetricId, Outcome, TargetEstimate, Verdict, points};
 
-/// A figure that was observed.
+/// The value of a metric at one size.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Observed {
-    /// The measure.
+pub struct Observation {
+    /// Name of the measure.
     pub measure: &'static str,
-    /// The figure.
-    pub figure: &'static str,
+    /// Name of the metric.
+    #[serde(rename = "figure")]
+    pub metric: &'static str,
     /// What the size counts.
-    pub of: &'static str,
-    /// The size.
+    #[serde(rename = "of")]
+    pub dimension: &'static str,
+    /// Size at which the value was observed.
     pub size: u64,
-    /// The value.
+    /// Observed value, in `unit`.
     pub value: f64,
-    /// Its unit.
+    /// Unit of the value.
     pub unit: Unit,
-    /// What the rig bounded in this interval.
+    /// What limited the result beside the measured program.
     pub rig: RigBound,
-    /// Cores that the rig's own process used.
+    /// Number of cores that the rig's own process used.
     pub rig_cores: f64,
     /// Idle share of the machine's cores.
     pub idle: f64,
 }
 
-impl Observed {
-    /// Is it this figure?
-    pub fn is(&self, of: &FigureOf) -> bool {
-        self.measure == of.measure && self.figure == of.figure.name
+impl Observation {
+    /// Whether the value belongs to this metric.
+    pub fn is(&self, id: &MetricId) -> bool {
+        self.measure == id.measure && self.metric == id.metric.name
     }
 }
 
-/// A fit of one figure.
+/// The fit of one metric over all sizes of its measure.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Fitted {
-    /// The measure.
+pub struct FittedMetric {
+    /// Name of the measure.
     pub measure: &'static str,
-    /// The figure.
-    pub figure: &'static str,
+    /// Name of the metric.
+    #[serde(rename = "figure")]
+    pub metric: &'static str,
     /// What the size counts.
-    pub of: &'static str,
-    /// The unit of the figure.
+    #[serde(rename = "of")]
+    pub dimension: &'static str,
+    /// Unit of the metric.
     pub unit: Unit,
-    /// How it grows.
+    /// Growth of the metric with the size.
     #[serde(flatten)]
     pub fit: Fit,
-    /// The rig bounded the figure at a size.
+    /// Whether the rig or the machine limited the metric at one of the sizes.
     pub rig_bound: bool,
 }
 
 /// How a run ended.
 #[derive(Debug)]
 pub enum End {
-    /// All was measured.
+    /// All measures completed.
     Done,
-    /// It was interrupted.
+    /// The run was interrupted.
     Interrupted,
-    /// A measure failed.
+    /// A measure failed, which ends the run.
     Failed {
-        /// Which one.
+        /// Name of the measure.
         measure: &'static str,
-        /// At which size.
+        /// Size at which it failed.
         size: u64,
-        /// Why.
+        /// Cause of the failure.
         error: MeasureError,
     },
 }
 
-/// All that a run gave.
+/// The results of a run, which are partial if it ended early.
 #[derive(Debug)]
 pub struct Report {
-    /// What was observed, in order.
-    pub observed: Vec<Observed>,
-    /// Fits of all figures that were observed at enough sizes.
-    pub fitted: Vec<Fitted>,
-    /// Figures at the target size.
-    pub targets: Vec<AtTarget>,
-    /// The bounds, judged.
+    /// Observed values, in the order of measurement.
+    pub observed: Vec<Observation>,
+    /// Fits of all metrics that were observed at enough sizes.
+    pub fitted: Vec<FittedMetric>,
+    /// Metrics at the target size, compared with their budgets.
+    pub targets: Vec<TargetEstimate>,
+    /// Verdicts on the bounds, in the order of the plan file.
     pub verdicts: Vec<Verdict>,
-    /// How it ended.
+    /// How the run ended.
     pub end: End,
 }
 
 impl Report {
-    /// Were all bounds kept, in a run that was not cut?
+    /// Whether the run completed and kept all bounds.
     pub fn all_kept(&self) -> bool {
         matches!(self.end, End::Done) && self.verdicts.iter().all(|v| v.outcome == Outcome::Kept)
     }
 }
 
-/// What a run is given beside its settings.
-pub struct Surroundings<'a> {
-    /// The program that children are.
+/// The environment of a run, beside its settings.
+pub struct RunEnvironment<'a> {
+    /// The program that is run in child processes.
     pub program: PathBuf,
-    /// What the run may use.
-    pub room: Room,
-    /// Ends the run.
+    /// Resources that the run may use.
+    pub capacity: Capacity,
+    /// Cancels the run when it is set.
     pub interrupt: Interrupt,
-    /// Is told how far it is.
+    /// Receives the progress of the run.
     pub progress: &'a dyn Progress,
-    /// Is told of each figure when it is known, so that a run that is cut has said what it had.
-    pub observed: &'a mut dyn FnMut(&Observed),
+    /// Receives each value as soon as its size is done, so that a run that ends early has reported its results.
+    pub observed: &'a mut dyn FnMut(&Observation),
 }
 
-/// Runs all measures. All children have ended when it returns.
-pub fn run(settings: &mut Settings, surroundings: Surroundings<'_>) -> Report {
+/// Runs all measures. All child processes have ended when it returns.
+pub fn run(settings: &mut Settings, environment: RunEnvironment<'_>) -> Report {
     let deadline = Instant::now() + settings.deadline;
-    let ends = Ends { deadline, interrupt: surroundings.interrupt.clone(), memory: surroundings.room.memory };
-    let mut runner = Runner { seed: settings.seed, ends, surroundings, observed: Vec::new() };
-    let end = runner.all(&mut settings.measures);
+    let limits =
+        RunLimits { deadline, interrupt: environment.interrupt.clone(), memory: environment.capacity.memory };
+    let mut runner = Runner { seed: settings.seed, limits, environment, observed: Vec::new() };
+    let end = runner.run_all(&mut settings.measures);
     let observed = runner.observed;
     let fitted = settings.measures.iter().flat_map(|measure| fits(&**measure, &observed)).collect();
-    let targets = settings.budgets.iter().map(|budget| budget.carry(&observed)).collect();
+    let targets = settings.budgets.iter().map(|budget| budget.estimate(&observed)).collect();
     let verdicts = settings.bounds.iter().map(|bound| bound.judge(&observed)).collect();
     Report { observed, fitted, targets, verdicts, end }
 }
 
 struct Runner<'a> {
     seed: u64,
-    ends: Ends,
-    surroundings: Surroundings<'a>,
-    observed: Vec<Observed>,
+    limits: RunLimits,
+    environment: RunEnvironment<'a>,
+    observed: Vec<Observation>,
 }
 
 impl Runner<'_> {
-    fn all(&mut self, measures: &mut [Box<dyn Measure>]) -> End {
+    fn run_all(&mut self, measures: &mut [Box<dyn Measure>]) -> End {
         for measure in measures {
             let name = measure.name();
             for size in measure.sizes().values.clone() {
-                match self.one(&mut **measure, size) {
-                    Ok(()) => self.surroundings.progress.done(),
+                match self.run_at(&mut **measure, size) {
+                    Ok(()) => self.environment.progress.done(),
                     Err(MeasureError::Interrupted) => return End::Interrupted,
                     Err(error) => return End::Failed { measure: name, size, error },
                 }
@@ -152,39 +157,42 @@
         End::Done
     }
 
-    fn one(&mut self, measure: &mut dyn Measure, size: u64) -> Result<(), MeasureError> {
-        let (name, of) = (measure.name(), measure.sizes().of);
-        self.surroundings.progress.doing(&format!("{name} {size}"));
+    fn run_at(&mut self, measure: &mut dyn Measure, size: u64) -> Result<(), MeasureError> {
+        let (name, dimension) = (measure.name(), measure.sizes().dimension);
+        self.environment.progress.doing(&format!("{name} {size}"));
         let folder = tempfile::tempdir().map_err(MeasureError::system("a folder for files"))?;
-        let mut children = Children::new(self.surroundings.program.clone(), self.surroundings.room.processes);
+        let mut children =
+            Children::new(self.environment.program.clone(), self.environment.capacity.processes);
         let seed = seed_of(self.seed, name, size);
         let mut context =
-            Context::new(&mut children, self.surroundings.progress, folder.path(), &self.ends, seed);
+            Context::new(&mut children, self.environment.progress, folder.path(), &self.limits, seed);
         context.check()?;
-        let watch = RigWatch::begin().map_err(MeasureError::system("the rig's own use"))?;
-        let got = measure.run_at(size, &mut context)?;
-        let rig = watch.end(got.in_process).map_err(MeasureError::system("the rig's own use"))?;
+        let watch = RigWatch::begin().map_err(MeasureError::system("can't read the rig's own usage"))?;
+        let observations = measure.run_at(size, &mut context)?;
+        let rig = watch
+            .end(observations.in_process)
+            .map_err(MeasureError::system("can't read the rig's own usage"))?;
         children.stop_all();
-        for (figure, value) in got.values {
-            let one = Observed {
+        for (metric, value) in observations.values {
+            let observation = Observation {
                 measure: name,
-                figure: figure.name,
-                of,
+                metric: metric.name,
+                dimension,
                 size,
                 value,
-                unit: figure.unit,
+                unit: metric.unit,
                 rig: rig.bound,
                 rig_cores: rig.own_cores,
                 idle: rig.idle,
             };
-            (self.surroundings.observed)(&one);
-            self.observed.push(one);
+            (self.environment.observed)(&observation);
+            self.observed.push(observation);
         }
         Ok(())
     }
 }
 
-/// Chance of one measure at one size does not depend on what else the file asks for.
+/// Derives the seed of a measure at a size, which does not depend on the other measures and sizes of the plan file.
 fn seed_of(seed: u64, measure: &str, size: u64) -> u64 {
     // FNV-1a.
     let mut hash = 0xcbf2_9ce4_8422_2325_u64;
@@ -194,18 +202,18 @@
     hash
 }
 
-fn fits(measure: &dyn Measure, observed: &[Observed]) -> Vec<Fitted> {
+fn fits(measure: &dyn Measure, observed: &[Observation]) -> Vec<FittedMetric> {
     let (name, sizes) = (measure.name(), measure.sizes());
     let mut all = Vec::new();
-    for figure in measure.figures() {
-        let of = FigureOf { measure: name, figure };
-        let Some(fit) = Fit::of(&points(observed, &of)) else { continue };
-        let rig_bound = observed.iter().any(|one| one.is(&of) && one.rig != RigBound::None);
-        all.push(Fitted {
+    for metric in measure.metrics() {
+        let id = MetricId { measure: name, metric };
+        let Some(fit) = Fit::from_points(&points(observed, &id)) else { continue };
+        let rig_bound = observed.iter().any(|one| one.is(&id) && one.rig != RigBound::None);
+        all.push(FittedMetric {
             measure: name,
-            figure: figure.name,
-            of: sizes.of,
-            unit: figure.unit,
+            metric: metric.name,
+            dimension: sizes.dimension,
+            unit: metric.unit,
             fit,
             rig_bound,
         });
--- a/crates/scale/src/verdict.rs
+++ b/crates/scale/src/verdict.rs
@@ -1,209 +1,211 @@
-//! Bounds of a file, and whether a run kept them.
+//! Bounds and budgets of a plan file, and their comparison with the results of a run.
 
 use serde::Serialize;
 
 use crate::fit::Fit;
-use crate::measure::{Figure, Unit};
+use crate::measure::{Metric, Unit};
 use crate::rig::RigBound;
-use crate::run::Observed;
+use crate::run::Observation;
 
-/// A figure of a measure.
+/// Identifies a metric of a measure.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct FigureOf {
-    /// The measure.
+pub struct MetricId {
+    /// Name of the measure.
     pub measure: &'static str,
-    /// The figure.
-    pub figure: &'static Figure,
+    /// The metric.
+    pub metric: &'static Metric,
 }
 
-/// What a bound is set to.
+/// The quantity that a bound limits.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Subject {
-    /// A figure at a size.
+    /// A metric at one size.
     At {
-        /// The figure.
-        of: FigureOf,
-        /// The size.
+        /// The metric.
+        id: MetricId,
+        /// Size at which the metric is bounded.
         size: u64,
     },
-    /// A figure at one size over the same figure at another.
+    /// The ratio of a metric between two sizes.
     Ratio {
-        /// The figure.
-        of: FigureOf,
-        /// The size above the line.
+        /// The metric.
+        id: MetricId,
+        /// Size of the numerator.
         size: u64,
-        /// The size below the line.
-        over: u64,
+        /// Size of the denominator.
+        base_size: u64,
     },
-    /// The power of the size with which a figure grows.
+    /// The exponent of the power law by which a metric grows with the size.
     Exponent {
-        /// The figure.
-        of: FigureOf,
+        /// The metric.
+        id: MetricId,
     },
 }
 
 impl Subject {
-    /// Its words, as the file has them.
-    pub fn words(&self) -> String {
-        let words = |of: &FigureOf| format!("{} {}", of.measure, of.figure.name);
+    /// Describes the quantity in reports, such as `ratio module call-p50 20000:100`.
+    pub fn label(&self) -> String {
+        let label = |id: &MetricId| format!("{} {}", id.measure, id.metric.name);
         match self {
-            Self::At { of, size } => format!("{} {size}", words(of)),
-            Self::Ratio { of, size, over } => format!("ratio {} {size}:{over}", words(of)),
-            Self::Exponent { of } => format!("exponent {}", words(of)),
+            Self::At { id, size } => format!("{} {size}", label(id)),
+            Self::Ratio { id, size, base_size: over } => format!("ratio {} {size}:{over}", label(id)),
+            Self::Exponent { id } => format!("exponent {}", label(id)),
         }
     }
 
-    /// Its unit; none for a ratio or an exponent.
+    /// Unit of the quantity; none for a ratio or an exponent.
     pub fn unit(&self) -> Option<Unit> {
         match self {
-            Self::At { of, .. } => Some(of.figure.unit),
+            Self::At { id, .. } => Some(id.metric.unit),
             Self::Ratio { .. } | Self::Exponent { .. } => None,
         }
     }
 
-    fn of(&self) -> &FigureOf {
+    fn id(&self) -> &MetricId {
         match self {
-            Self::At { of, .. } | Self::Ratio { of, .. } | Self::Exponent { of } => of,
+            Self::At { id, .. } | Self::Ratio { id, .. } | Self::Exponent { id } => id,
         }
     }
 
-    fn has_part_in(&self, at: u64) -> bool {
+    fn involves_size(&self, at: u64) -> bool {
         match self {
             Self::At { size, .. } => *size == at,
-            Self::Ratio { size, over, .. } => *size == at || *over == at,
+            Self::Ratio { size, base_size, .. } => *size == at || *base_size == at,
             Self::Exponent { .. } => true,
         }
     }
 
-    fn value(&self, observed: &[Observed]) -> Option<f64> {
+    fn value(&self, observed: &[Observation]) -> Option<f64> {
         let value = |wanted: u64| {
-            let found = observed.iter().find(|one| one.is(self.of()) && one.size == wanted);
+            let found = observed.iter().find(|one| one.is(self.id()) && one.size == wanted);
             found.map(|one| one.value)
         };
         match self {
             Self::At { size, .. } => value(*size),
-            Self::Ratio { size, over, .. } => {
-                let below = value(*over)?;
+            Self::Ratio { size, base_size, .. } => {
+                let below = value(*base_size)?;
                 (below > 0.0).then_some(value(*size)? / below)
             }
-            Self::Exponent { of } => Some(Fit::of(&points(observed, of))?.exponent?.power),
+            Self::Exponent { id } => Some(Fit::from_points(&points(observed, id))?.exponent?.power),
         }
     }
 }
 
-/// Sizes and values of a figure.
-pub fn points(observed: &[Observed], of: &FigureOf) -> Vec<(f64, f64)> {
-    observed.iter().filter(|one| one.is(of)).map(|one| (one.size as f64, one.value)).collect()
+/// The pairs of size and value that were observed for a metric.
+pub fn points(observed: &[Observation], id: &MetricId) -> Vec<(f64, f64)> {
+    observed.iter().filter(|one| one.is(id)).map(|one| (one.size as f64, one.value)).collect()
 }
 
-/// At most so much.
+/// An upper bound.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bound {
-    /// Of what.
+    /// The bounded quantity.
     pub subject: Subject,
-    /// How much.
-    pub most: f64,
+    /// Maximum, inclusive, in the unit of the subject.
+    pub max: f64,
 }
 
-/// Was a bound kept?
+/// Whether a bound was kept.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outcome {
-    /// It was kept.
+    /// The value is within the bound.
     Kept,
-    /// It was not.
+    /// The value exceeds the bound.
     Broken,
-    /// Nothing shows either: the figure was not observed.
+    /// The value could not be computed, because the metric was not observed at the sizes that it needs.
     NotMeasured,
 }
 
-/// A bound, judged.
+/// The result of a check of a bound.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Verdict {
-    /// The bound's words.
+    /// Description of the bounded quantity.
     pub bound: String,
-    /// What it allows.
-    pub most: f64,
-    /// What was observed.
+    /// Maximum that the bound allows.
+    #[serde(rename = "most")]
+    pub max: f64,
+    /// Value of the bounded quantity, if it could be computed.
     pub value: Option<f64>,
-    /// The unit of both; none for ratios and exponents.
+    /// Unit of the maximum and the value; none for ratios and exponents.
     pub unit: Option<Unit>,
-    /// Kept or not.
+    /// Whether the bound was kept.
     pub outcome: Outcome,
-    /// The rig bounded a figure that this is about.
+    /// Whether the rig or the machine limited a metric on which the value depends.
     pub rig_bound: bool,
 }
 
 impl Bound {
-    /// Judges what was observed.
-    pub fn judge(&self, observed: &[Observed]) -> Verdict {
+    /// Checks the bound against the observed values.
+    pub fn judge(&self, observed: &[Observation]) -> Verdict {
         let value = self.subject.value(observed);
         let outcome = match value {
-            Some(value) if value <= self.most => Outcome::Kept,
+            Some(value) if value <= self.max => Outcome::Kept,
             Some(_) => Outcome::Broken,
             None => Outcome::NotMeasured,
         };
         let rig_bound = observed
             .iter()
-            .filter(|one| one.is(self.subject.of()) && self.subject.has_part_in(one.size))
+            .filter(|one| one.is(self.subject.id()) && self.subject.involves_size(one.size))
             .any(|one| one.rig != RigBound::None);
-        let (bound, unit) = (self.subject.words(), self.subject.unit());
-        Verdict { bound, most: self.most, value, unit, outcome, rig_bound }
+        let (bound, unit) = (self.subject.label(), self.subject.unit());
+        Verdict { bound, max: self.max, value, unit, outcome, rig_bound }
     }
 }
 
-/// What a figure may cost at the target size.
+/// The budget of a metric at the target size.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Budget {
-    /// The figure.
-    pub of: FigureOf,
-    /// The target size of the measure.
+    /// The metric.
+    pub id: MetricId,
+    /// Target size of the measure.
     pub size: u64,
-    /// What it may cost there.
-    pub most: f64,
+    /// Budget in the unit of the metric; above zero.
+    pub max: f64,
 }
 
-/// A figure carried on to the target size.
+/// The value of a metric at the target size, observed or extrapolated, compared with its budget.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct AtTarget {
-    /// The measure.
+pub struct TargetEstimate {
+    /// Name of the measure.
     pub measure: &'static str,
-    /// The figure.
-    pub figure: &'static str,
+    /// Name of the metric.
+    #[serde(rename = "figure")]
+    pub metric: &'static str,
     /// The target size.
     pub size: u64,
-    /// The figure there: observed, or else by the line.
+    /// Value at the target size: observed, or else extrapolated by the linear fit. None if neither is possible.
     pub value: Option<f64>,
-    /// Its unit.
+    /// Unit of the value, the error and the budget.
     pub unit: Unit,
-    /// It was observed at this size, not carried on.
+    /// Whether the value was observed at the target size rather than extrapolated.
     pub observed: bool,
-    /// The standard error that the slope's own brings at this size; none where observed.
+    /// Standard error of the slope times the size, for an extrapolated value.
     pub error: Option<f64>,
-    /// What it may cost.
+    /// Budget of the metric.
     pub budget: f64,
-    /// The value over the budget: above 1 it falls short.
+    /// The value divided by the budget: above 1 the budget is exceeded.
     pub factor: Option<f64>,
 }
 
 impl Budget {
-    /// Carries the figure on to the target size.
-    pub fn carry(&self, observed: &[Observed]) -> AtTarget {
-        let there = observed.iter().find(|one| one.is(&self.of) && one.size == self.size);
-        let line = Fit::of(&points(observed, &self.of)).map(|fit| fit.line);
-        let carried = line.map(|line| line.at(self.size as f64));
-        let value = there.map(|one| one.value).or(carried);
-        let error = line.filter(|_| there.is_none()).map(|line| line.slope_error * self.size as f64);
-        AtTarget {
-            measure: self.of.measure,
-            figure: self.of.figure.name,
+    /// Returns the value at the target size, extrapolated by the linear fit if that size was not observed.
+    pub fn estimate(&self, observed: &[Observation]) -> TargetEstimate {
+        let at_target = observed.iter().find(|one| one.is(&self.id) && one.size == self.size);
+        let line = Fit::from_points(&points(observed, &self.id)).map(|fit| fit.line);
+        let extrapolated = line.map(|line| line.at(self.size as f64));
+        let value = at_target.map(|one| one.value).or(extrapolated);
+        let error = line.filter(|_| at_target.is_none()).map(|line| line.slope_error * self.size as f64);
+        TargetEstimate {
+            measure: self.id.measure,
+            metric: self.id.metric.name,
             size: self.size,
             value,
-            unit: self.of.figure.unit,
-            observed: there.is_some(),
+            unit: self.id.metric.unit,
+            observed: at_target.is_some(),
             error,
-            budget: self.most,
-            factor: value.map(|value| value / self.most),
+            budget: self.max,
+            factor: value.map(|value| value / self.max),
         }
     }
 }
