--- a/crates/gateway/benches/isolation.rs
+++ b/crates/gateway/benches/isolation.rs
@@ -2,7 +2,7 @@
 //! of a fleet (lanes, one queue, exponential service times), compared with no admission and with one token bucket per
 //! tenant. The plot is written to `docs/plots/isolation.svg`. Also measures the time of an admission decision by the
 //! number of tenants.
-#![expect(clippy::too_many_lines, reason = "benches are not yet split into shorter functions: docs/ROADMAP.md")]
+#![expect(clippy::too_many_lines, reason = "long functions are not yet split: docs/ROADMAP.md")]
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
--- a/crates/gateway/benches/measure.rs
+++ b/crates/gateway/benches/measure.rs
@@ -1,6 +1,6 @@
 //! Long-running benchmarks: `cargo bench -p nettleferry-gateway [-- NAME]`. They print their results with the machine
 //! that they ran on; `docs/measurements.md` records them. None of them is a test, and CI does not run them.
-#![expect(clippy::too_many_lines, reason = "benches are not yet split into shorter functions: docs/ROADMAP.md")]
+#![expect(clippy::too_many_lines, reason = "long functions are not yet split: docs/ROADMAP.md")]
 
 #[path = "../tests/common/mod.rs"]
 mod common;
--- a/crates/gateway/benches/outage.rs
+++ b/crates/gateway/benches/outage.rs
@@ -1,7 +1,7 @@
 //! A receiver outage of ten minutes at 100,000 samples a second, with a simulated clock, the real queue and encoder
 //! and a write-ahead log on disk. Then the receiver accepts batches until the backlog is sent. The plot is written to
 //! `docs/plots/outage.svg`.
-#![expect(clippy::too_many_lines, reason = "benches are not yet split into shorter functions: docs/ROADMAP.md")]
+#![expect(clippy::too_many_lines, reason = "long functions are not yet split: docs/ROADMAP.md")]
 
 use std::path::Path;
 use std::time::Instant;
