--- a/crates/gateway/tests/days.rs
+++ b/crates/gateway/tests/days.rs
@@ -1,6 +1,6 @@
-//! Scripted days against controller processes: no rule breaks, whatever the overlap. The others of `days/` are
-//! for people; these are the ones in which most meets. One test, one day after the other: each wants the
-//! machine for itself.
+//! Scripted scenarios (`days/`) with overlapping faults against controller processes: no rule may be broken. Only the
+//! scenarios with the most overlapping faults run here; the others are run by hand. They run one after another in one
+//! test, since each one needs the whole machine.
 
 mod common;
 use common::PROGRAM;
@@ -14,13 +14,13 @@
     for day in ["stop", "ration", "clients", "refuse", "bad"] {
         play(&days, day);
     }
-    // These two load the machine little and may share it.
+    // These two need little CPU time and run concurrently.
     let both = ["slowdown", "no-slowdown"].map(|day| {
         let days = days.clone();
         std::thread::spawn(move || play(&days, day))
     });
     for thread in both {
-        let told = thread.join().expect("as expected");
+        let told = thread.join().expect("the scenario passes");
         assert!(told.contains("alerts came as expected"), "{told}");
     }
 }
@@ -28,7 +28,11 @@
 #[track_caller]
 fn play(days: &Path, day: &str) -> String {
     let file = days.join(format!("{day}.sexp"));
-    let out = Command::new(PROGRAM).args(["--log", "warn", "day"]).arg(&file).output().expect("it runs");
+    let out = Command::new(PROGRAM)
+        .args(["--log", "warn", "day"])
+        .arg(&file)
+        .output()
+        .expect("nettleferry day runs");
     let told = String::from_utf8_lossy(&out.stdout).into_owned() + &String::from_utf8_lossy(&out.stderr);
     assert_eq!(out.status.code(), Some(0), "day {day}:\n{told}");
     assert!(told.contains(&format!("day {day}: no rule broken")), "{told}");
@@ -39,7 +43,7 @@
 fn every_scenario_file_is_valid() {
     let days = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../days");
     let mut kinds = 0;
-    for entry in std::fs::read_dir(days).expect("there") {
+    for entry in std::fs::read_dir(days).expect("folder readable") {
         let path = entry.expect("readable").path();
         let text = std::fs::read_to_string(&path).expect("text");
         let name = path.display().to_string();
