--- a/crates/gateway/src/commands/admin/client.rs
+++ b/crates/gateway/src/commands/admin/client.rs
@@ -41,7 +41,7 @@
 
 /// The client.
 pub(crate) struct Client {
-    poster: Http1Client,
+    http_client: Http1Client,
     address: SocketAddr,
     /// The value of the Authorization header.
     authorization: String,
@@ -50,9 +50,9 @@
 impl Client {
     /// A client that has no connection yet.
     pub(crate) fn new(api: &Api) -> Result<Self, CommandError> {
-        let poster =
+        let http_client =
             Http1Client::new(api.api, 1, RESPONSE_TIMEOUT).map_err(CommandError::system("can't poll"))?;
-        Ok(Self { poster, address: api.api, authorization: format!("Bearer {}", api.key()?) })
+        Ok(Self { http_client, address: api.api, authorization: format!("Bearer {}", api.key()?) })
     }
 
     /// Reads a resource.
@@ -89,7 +89,7 @@
             vec![("Authorization", self.authorization.as_str()), ("Content-Type", content_type)];
         all_headers.extend_from_slice(headers);
         let body = body.map(Value::to_string).unwrap_or_default();
-        self.poster.send(0, method, target, &all_headers, body.as_bytes());
+        self.http_client.send(0, method, target, &all_headers, body.as_bytes());
         let response = self.response()?;
         let content: Value = serde_json::from_slice(&response.body).unwrap_or(Value::Null);
         if (200..300).contains(&response.status) {
@@ -107,7 +107,7 @@
     fn response(&mut self) -> Result<Answer, CommandError> {
         let mut responses = Vec::new();
         loop {
-            self.poster
+            self.http_client
                 .poll(Some(RESPONSE_TIMEOUT), &mut responses)
                 .map_err(CommandError::system("can't poll"))?;
             if let Some((_, response)) = responses.pop() {
--- a/crates/gateway/src/commands/admin/requests.rs
+++ b/crates/gateway/src/commands/admin/requests.rs
@@ -126,7 +126,7 @@
 /// The JSON of a tenant, with its name.
 fn new_tenant(name: &str, spec: &str) -> Result<Value, UsageError> {
     let mut body: Value = serde_json::from_str(spec).map_err(UsageError::TenantJson)?;
-    let fields = body.as_object_mut().ok_or(UsageError::TenantNoObject)?;
+    let fields = body.as_object_mut().ok_or(UsageError::TenantNotObject)?;
     fields.insert("name".to_owned(), json!(name));
     Ok(body)
 }
--- a/crates/gateway/src/commands/demo.rs
+++ b/crates/gateway/src/commands/demo.rs
@@ -65,7 +65,7 @@
                 seed: u64::from(number),
             })
             .map_err(CommandError::system("can't start a stand-in worker"))?;
-            list.push(listed(&handle, if number % 2 == 0 { "b" } else { "a" }));
+            list.push(worker_list_entry(&handle, if number % 2 == 0 { "b" } else { "a" }));
             handles.push(handle);
         }
         Ok(Self { _handles: handles, list })
@@ -73,7 +73,7 @@
 }
 
 /// A worker's line of the worker list.
-fn listed(handle: &Handle, zone: &str) -> workers::Worker {
+fn worker_list_entry(handle: &Handle, zone: &str) -> workers::Worker {
     workers::Worker {
         name: handle.name.clone(),
         address: handle.doors[0],
--- a/crates/gateway/src/commands/error.rs
+++ b/crates/gateway/src/commands/error.rs
@@ -144,7 +144,7 @@
     TenantJson(#[source] serde_json::Error),
     /// A tenant's JSON is no object.
     #[error("the tenant's JSON is to be an object")]
-    TenantNoObject,
+    TenantNotObject,
     /// A merge patch is not valid JSON.
     #[error("the patch: {0}")]
     PatchJson(#[source] serde_json::Error),
--- a/crates/gateway/src/commands/fleet/plans.rs
+++ b/crates/gateway/src/commands/fleet/plans.rs
@@ -13,7 +13,7 @@
 const MAX_LENGTH_US: u64 = 3_600_000_000;
 const DEFAULT_LENGTH_US: u64 = 30_000_000;
 /// Bounds of a lease, in milliseconds.
-const LEASE_MS: std::ops::RangeInclusive<u64> = 200..=60_000;
+const LEASE_RANGE_MS: std::ops::RangeInclusive<u64> = 200..=60_000;
 
 /// One run.
 pub(super) enum Run {
@@ -85,7 +85,7 @@
     let variations = Variations::read(&mut form);
     let network = network(&mut form);
     let lease_ms = form.micros_or("lease", 6_000_000) / 1000;
-    if !LEASE_MS.contains(&lease_ms) {
+    if !LEASE_RANGE_MS.contains(&lease_ms) {
         form.error("(lease ...): 200ms to 60s");
     }
     let changes: f64 = form.value_or("changes-per-second", 0.5);
--- a/crates/gateway/src/commands/fleet/plots.rs
+++ b/crates/gateway/src/commands/fleet/plots.rs
@@ -10,7 +10,7 @@
 use super::super::error::{CommandError, PlotError};
 
 /// Controllers at the ends of the horizontal axis.
-const CONTROLLERS: std::ops::Range<f64> = 2.0..1_100.0;
+const CONTROLLERS_AXIS: std::ops::Range<f64> = 2.0..1_100.0;
 
 /// A plot: one figure of one kind of run.
 pub(super) struct Plot {
@@ -99,7 +99,7 @@
             .margin(12)
             .x_label_area_size(36)
             .y_label_area_size(64)
-            .build_cartesian_2d(CONTROLLERS.log_scale(), 0.0..highest)?;
+            .build_cartesian_2d(CONTROLLERS_AXIS.log_scale(), 0.0..highest)?;
         chart.configure_mesh().x_desc("controllers").draw()?;
         for (index, (name, line)) in lines.iter().enumerate() {
             let colour = Palette99::pick(index).to_rgba();
--- a/crates/gateway/src/commands/fleet/timeline.rs
+++ b/crates/gateway/src/commands/fleet/timeline.rs
@@ -14,7 +14,7 @@
 const FRAME_PIXELS: u32 = 120;
 const ROW_PIXELS: u32 = 28;
 /// An activity is drawn at least this part of the time line wide.
-const SHORTEST_ACTIVITY: f64 = 0.002;
+const MIN_ACTIVITY_WIDTH: f64 = 0.002;
 
 type Chart<'a> = ChartContext<'a, SVGBackend<'a>, Cartesian2d<RangedCoordf64, RangedCoordf64>>;
 
@@ -90,7 +90,7 @@
         for Activity { actor, from, to } in &self.activities {
             let row = self.row(actor.incarnation);
             let colour = Palette99::pick(actor.version.revision as usize).mix(0.7);
-            let corners = [(*from, row + 0.2), (to.max(from + self.end * SHORTEST_ACTIVITY), row + 0.8)];
+            let corners = [(*from, row + 0.2), (to.max(from + self.end * MIN_ACTIVITY_WIDTH), row + 0.8)];
             chart.draw_series([Rectangle::new(corners, colour.filled())])?;
             let text = Text::new(actor.version.revision.to_string(), (*from, row + 0.62), ("sans-serif", 11));
             chart.draw_series([text])?;
--- a/crates/gateway/src/commands/hollow.rs
+++ b/crates/gateway/src/commands/hollow.rs
@@ -120,8 +120,8 @@
         };
         settings.check(Machine::read()).map_err(UsageError::HollowPeers)?;
         let followers = followers::Followers::new(settings).map_err(CommandError::system("can't begin"))?;
-        let ran = followers.run(std::io::stdin(), std::io::stdout());
-        ran.map_err(CommandError::system("the run ended"))?;
+        let result = followers.run(std::io::stdin(), std::io::stdout());
+        result.map_err(CommandError::system("the run ended"))?;
         Ok(exit_code::SUCCESS)
     }
 }
@@ -143,8 +143,8 @@
         settings.check(Machine::read()).map_err(UsageError::HollowPeers)?;
         let controllers =
             controllers::Controllers::new(settings).map_err(CommandError::system("can't begin"))?;
-        let ran = controllers.run(std::io::stdin(), std::io::stdout());
-        ran.map_err(CommandError::system("the run ended"))?;
+        let result = controllers.run(std::io::stdin(), std::io::stdout());
+        result.map_err(CommandError::system("the run ended"))?;
         Ok(exit_code::SUCCESS)
     }
 }
--- a/crates/gateway/src/commands/load.rs
+++ b/crates/gateway/src/commands/load.rs
@@ -51,7 +51,7 @@
 
 /// A call through the gateway costs it several times as much as an answer of its own. Below this part of the rate of
 /// its own answers, something else is the bound.
-const WORKERS_BOUND: f64 = 0.15;
+const GATEWAY_BOUND_MIN_RATIO: f64 = 0.15;
 
 /// How long a connection may take to open.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(5);
@@ -60,9 +60,9 @@
 /// The longest wait for an event.
 const MAX_WAIT: Duration = Duration::from_secs(1);
 /// A round's length at the most, in seconds.
-const MAX_SECONDS: f64 = 3600.0;
+const MAX_ROUND_SECONDS: f64 = 3600.0;
 /// Calls a second that a ratio divides by at the least.
-const SMALLEST_RATE: f64 = 1e-9;
+const MIN_RATE: f64 = 1e-9;
 /// Latencies above this are counted as this.
 const MAX_LATENCY_US: u64 = 60_000_000;
 /// The request to a climbing model: its heights, and the segments of its answer.
@@ -95,7 +95,7 @@
 }
 
 /// One end of the comparison, with the calls a second of each round.
-struct Side {
+struct Target {
     name: &'static str,
     address: SocketAddr,
     rates: Vec<f64>,
@@ -103,19 +103,19 @@
 
 impl Load {
     pub(crate) fn run(self) -> Result<u8, CommandError> {
-        if !(self.seconds > 0.0 && self.seconds <= MAX_SECONDS) {
+        if !(self.seconds > 0.0 && self.seconds <= MAX_ROUND_SECONDS) {
             return Err(UsageError::RoundLength.into());
         }
-        let mut sides = vec![Side { name: "through", address: self.address, rates: Vec::new() }];
-        sides.extend(self.against.map(|address| Side { name: "direct", address, rates: Vec::new() }));
+        let mut targets = vec![Target { name: "through", address: self.address, rates: Vec::new() }];
+        targets.extend(self.against.map(|address| Target { name: "direct", address, rates: Vec::new() }));
         let request = self.request();
         for number in 1..=self.rounds {
-            for side in &mut sides {
-                let round = self.round(side.address, &request)?;
-                side.rates.push(round.calls_per_second());
+            for target in &mut targets {
+                let round = self.round(target.address, &request)?;
+                target.rates.push(round.calls_per_second());
                 announce(&format!(
                     "round {number} {}: {:.0} calls/s, {} not served, p50 {:.2} ms, p99 {:.2} ms, p99.9 {:.2} ms",
-                    side.name,
+                    target.name,
                     round.calls_per_second(),
                     round.not_served,
                     round.latency_ms(0.5),
@@ -124,10 +124,10 @@
                 ))?;
             }
         }
-        let medians: Vec<f64> = sides.into_iter().map(|side| median(side.rates)).collect();
-        self.compare_with_own_answers(medians[0])?;
+        let medians: Vec<f64> = targets.into_iter().map(|target| median(target.rates)).collect();
+        self.compare_with_server_live_rate(medians[0])?;
         if let [through, direct] = medians[..] {
-            let ratio = through / direct.max(SMALLEST_RATE);
+            let ratio = through / direct.max(MIN_RATE);
             announce(&format!(
                 "through/direct: {ratio:.3} of the throughput (medians of {} rounds)",
                 self.rounds
@@ -137,15 +137,15 @@
     }
 
     /// Says whether the workers bound the rate through the gateway: one round of calls that it answers by itself.
-    fn compare_with_own_answers(&self, through: f64) -> Result<(), CommandError> {
+    fn compare_with_server_live_rate(&self, through: f64) -> Result<(), CommandError> {
         let live =
             ClientRequest { method: "ServerLive", messages: vec![Bytes::new()], ..ClientRequest::default() };
         let own = self.round(self.address, &live)?.calls_per_second();
         announce(&format!("the gateway's own answers (ServerLive): {own:.0} a second at the same load"))?;
-        if through < own * WORKERS_BOUND {
+        if through < own * GATEWAY_BOUND_MIN_RATIO {
             announce(&format!(
                 "calls come to {:.1}% of that: lanes, cores and work of the workers bound this figure, not the gateway",
-                100.0 * through / own.max(SMALLEST_RATE)
+                100.0 * through / own.max(MIN_RATE)
             ))?;
         }
         Ok(())
--- a/crates/gateway/src/commands/soak.rs
+++ b/crates/gateway/src/commands/soak.rs
@@ -54,7 +54,7 @@
 }
 
 /// Findings of one seed that are printed; the rest are counted.
-const MAX_PRINTED: usize = 40;
+const MAX_PRINTED_FINDINGS: usize = 40;
 
 impl Soak {
     pub(crate) fn run(self) -> Result<u8, CommandError> {
@@ -71,7 +71,7 @@
         let mut totals = Totals::default();
         for seed in self.seed..self.seed.saturating_add(self.seeds) {
             let report = self.run_seed(seed, size, &program)?;
-            print(&report);
+            print_report(&report);
             totals.add(&report);
         }
         println!("{totals}");
@@ -127,7 +127,7 @@
     }
 }
 
-fn print(report: &Report) {
+fn print_report(report: &Report) {
     let ends: Vec<String> = report.ends.iter().map(|(kind, count)| format!("{kind} {count}")).collect();
     println!(
         "seed {}: {} broken, {} undecided; {} disturbances, {} attempts ({} timestamped); {}; the test ran late by {:?} at \
@@ -144,13 +144,13 @@
         report.list_spans.longest,
         report.drift,
     );
-    for finding in report.findings.iter().take(MAX_PRINTED) {
+    for finding in report.findings.iter().take(MAX_PRINTED_FINDINGS) {
         println!("  {finding}");
         for line in report.story(finding) {
             println!("    {line}");
         }
     }
-    for finding in report.undecided.iter().take(MAX_PRINTED) {
+    for finding in report.undecided.iter().take(MAX_PRINTED_FINDINGS) {
         println!("  undecided: {finding}");
     }
 }
--- a/crates/gateway/src/commands/top.rs
+++ b/crates/gateway/src/commands/top.rs
@@ -17,7 +17,7 @@
 /// Bounds of `--every`, in seconds.
 const REFRESH_INTERVAL_SECONDS: std::ops::RangeInclusive<f64> = 0.1..=60.0;
 /// The shortest time over which a rate is computed, in seconds.
-const SHORTEST_RATE_SPAN: f64 = 1e-3;
+const MIN_RATE_SPAN_SECONDS: f64 = 1e-3;
 
 /// Show tenants, classes, workers and held calls, live; q ends it.
 #[derive(Args)]
@@ -52,7 +52,7 @@
         let rate = |row: &Value| {
             let tenant = text(row, "tenant");
             let accepted = number(row, "admitted").saturating_sub(*before.get(&tenant)?);
-            Some((tenant, accepted as f64 / seconds.max(SHORTEST_RATE_SPAN)))
+            Some((tenant, accepted as f64 / seconds.max(MIN_RATE_SPAN_SECONDS)))
         };
         self.rates = usage.iter().filter_map(rate).collect();
         self.usage = usage;
--- a/crates/gateway/src/commands/top/screen.rs
+++ b/crates/gateway/src/commands/top/screen.rs
@@ -13,13 +13,13 @@
 
 /// Rows for classes and workers, with their frames.
 const LOWER_ROWS: u16 = 9;
-const CLASSES_COLUMNS: u16 = 30;
+const CLASSES_WIDTH: u16 = 30;
 
 /// Draws all of a sample.
 pub(super) fn draw(frame: &mut Frame, sample: &Sample) {
     let rows = [Constraint::Length(1), Constraint::Min(5), Constraint::Length(LOWER_ROWS)];
     let [head, tenants, lower] = Layout::vertical(rows).areas(frame.area());
-    let columns = [Constraint::Length(CLASSES_COLUMNS), Constraint::Min(30)];
+    let columns = [Constraint::Length(CLASSES_WIDTH), Constraint::Min(30)];
     let [classes, workers] = Layout::horizontal(columns).areas(lower);
     draw_head(frame, head, sample);
     draw_tenants(frame, tenants, sample);
