--- a/crates/gateway/src/commands/admin/arguments.rs
+++ b/crates/gateway/src/commands/admin/arguments.rs
@@ -1,4 +1,4 @@
-//! The arguments of `admin`.
+//! Command-line arguments of `admin`.
 
 use std::path::PathBuf;
 
@@ -6,118 +6,119 @@
 
 #[derive(Args)]
 pub(super) struct Conditions {
-    /// Only if the tenant is still at this revision; else whatever it is
+    /// Change the tenant only if it is at this revision; by default the revision is not checked
     #[arg(long, value_name = "REVISION")]
     pub(super) if_revision: Option<u64>,
-    /// Show what would change, and change nothing
+    /// Show the changes without applying them
     #[arg(long)]
     pub(super) dry_run: bool,
 }
 
 #[derive(Subcommand)]
 pub(super) enum Action {
-    /// Make an API key: the token for its holder, the line for the settings
+    /// Generate an API key; prints the token for its holder and the line for the settings file
     Key {
-        /// Who it is, in the audit trail
+        /// Name of the holder, as shown in the audit trail
         name: String,
-        /// viewer, operator, admin or controller
+        /// Role of the key
         #[arg(value_parser = ["viewer", "operator", "admin", "controller"])]
         role: String,
     },
-    /// Tenants: list, show, create, suspend, resume, remove
+    /// List, show, create, suspend, resume or remove tenants
     #[command(subcommand)]
     Tenants(TenantAction),
-    /// A tenant's limits, rights, weight and note: set them by a merge patch, or show them
+    /// Change a tenant's limits, classes, models, weight and note with a JSON merge patch, or show the tenant
     Limits {
-        /// The tenant
+        /// Name of the tenant
         name: String,
-        /// Such as '{"limits":{"rate_per_second":50,"open_calls":null}}'; null removes. None: show
+        /// Merge patch, such as '{"limits":{"rate_per_second":50,"open_calls":null}}'; null removes a value. Without a
+        /// patch the tenant is shown
         patch: Option<String>,
         #[command(flatten)]
         conditions: Conditions,
     },
-    /// Calls in flight and counts, by tenant
+    /// Show open and held calls, memory of loaded models and call counters, by tenant
     Usage,
-    /// Workers: list, drain by hand, undrain
+    /// List workers, and drain or undrain one manually
     Workers {
-        /// Drain this worker
+        /// Drain this worker until it is undrained
         #[arg(long, value_name = "WORKER", conflicts_with = "undrain")]
         drain: Option<String>,
-        /// Let the list decide on this worker again
+        /// End the manual drain of this worker; its state in the worker list applies again
         #[arg(long, value_name = "WORKER")]
         undrain: Option<String>,
     },
-    /// Who changed what
+    /// Show the audit trail: who changed what
     Audit {
-        /// Of this tenant alone
+        /// Show only entries about this tenant
         #[arg(long)]
         tenant: Option<String>,
-        /// After this revision
+        /// Show only entries after this revision
         #[arg(long, default_value_t = 0)]
         after: u64,
     },
-    /// Which revision each controller runs
+    /// Show the revision that each controller uses, and when it was last seen
     Controllers,
-    /// Write all of a store that no controller has open to a snapshot file
+    /// Write the whole content of a tenant store to a snapshot file; no controller may have the store open
     Snapshot {
-        /// The store
+        /// File of the tenant store
         store: PathBuf,
-        /// The snapshot
+        /// Snapshot file to write
         file: PathBuf,
     },
-    /// Fill a new store from a snapshot file
+    /// Create a tenant store from a snapshot file
     Restore {
-        /// The snapshot
+        /// Snapshot file to read
         file: PathBuf,
-        /// The store: a file that is not there yet
+        /// File of the new tenant store; it must not exist yet
         store: PathBuf,
     },
-    /// Print the API's OpenAPI document
+    /// Print the OpenAPI document of the administration API
     Openapi,
 }
 
 #[derive(Subcommand)]
 pub(super) enum TenantAction {
-    /// All of them
+    /// List all tenants
     List,
-    /// One
+    /// Show a tenant
     Show {
-        /// Its name
+        /// Name of the tenant
         name: String,
     },
-    /// A new one
+    /// Create a tenant
     Create {
-        /// Its name
+        /// Name of the tenant
         name: String,
-        /// Its fields as JSON: limits, classes, weight, models, note
+        /// Fields of the tenant as JSON: limits, classes, weight, models, note
         #[arg(default_value = "{}")]
         spec: String,
-        /// Idempotency key: a request that comes again under the same key is not done again
+        /// Idempotency key: a repeated request with the same key has no further effect
         #[arg(long, value_name = "KEY")]
         once: Option<String>,
-        /// Show what would be made, and make nothing
+        /// Show the tenant without creating it
         #[arg(long)]
         dry_run: bool,
     },
-    /// Reject its new calls
+    /// Suspend a tenant: its new calls are rejected
     Suspend {
-        /// Its name
+        /// Name of the tenant
         name: String,
         #[command(flatten)]
         conditions: Conditions,
     },
-    /// Accept its calls again
+    /// Resume a suspended tenant: its calls are accepted again
     Resume {
-        /// Its name
+        /// Name of the tenant
         name: String,
         #[command(flatten)]
         conditions: Conditions,
     },
-    /// Remove it; its open calls may go on for the grace
+    /// Remove a tenant; its open calls may complete within a grace period
     Remove {
-        /// Its name
+        /// Name of the tenant
         name: String,
-        /// Milliseconds
+        /// Grace period for open calls, in milliseconds
         #[arg(long, default_value_t = 10_000)]
         grace_ms: u64,
         #[command(flatten)]
--- a/crates/gateway/src/commands/admin/client.rs
+++ b/crates/gateway/src/commands/admin/client.rs
@@ -1,4 +1,4 @@
-//! A client of the administration API: one request at a time.
+//! A client of the administration API that sends one request at a time.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -11,26 +11,26 @@
 use super::super::console::read_file;
 use super::super::error::{ApiError, CommandError, UsageError};
 
-/// How long a response may take.
+/// How long a request waits for its complete response.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(20);
-/// Rows of one response.
+/// Maximum number of rows requested in one page of a list.
 const PAGE_ROWS: usize = 1_000;
-/// The environment variable with the key.
+/// Environment variable that contains the API key.
 const KEY_VARIABLE: &str = "NETTLEFERRY_KEY";
 
-/// Where the API is, and the key.
+/// Address of the administration API, and the key for it.
 #[derive(Args, Clone, Debug)]
 pub(crate) struct Api {
-    /// The administration's address
+    /// Address of the administration API
     #[arg(long, value_name = "ADDR:PORT", default_value = "127.0.0.1:8002")]
     api: SocketAddr,
-    /// A file with the key, NAME.SECRET; else NETTLEFERRY_KEY of the environment
+    /// File that contains the API key, NAME.SECRET; by default the environment variable NETTLEFERRY_KEY is used
     #[arg(long, value_name = "FILE")]
     key_file: Option<PathBuf>,
 }
 
 impl Api {
-    /// The key of the file or of the environment.
+    /// Reads the API key from the file, or from the environment if no file is named.
     fn key(&self) -> Result<String, CommandError> {
         if let Some(file) = &self.key_file {
             return Ok(read_file(file)?.trim().to_owned());
@@ -39,28 +39,28 @@
     }
 }
 
-/// The client.
+/// A client with one connection to the administration API.
 pub(crate) struct Client {
     http_client: Http1Client,
     address: SocketAddr,
-    /// The value of the Authorization header.
+    /// Value of the `Authorization` header.
     authorization: String,
 }
 
 impl Client {
-    /// A client that has no connection yet.
+    /// Creates a client; the connection is established by the first request. Fails without an API key.
     pub(crate) fn new(api: &Api) -> Result<Self, CommandError> {
-        let http_client =
-            Http1Client::new(api.api, 1, RESPONSE_TIMEOUT).map_err(CommandError::system("can't poll"))?;
+        let http_client = Http1Client::new(api.api, 1, RESPONSE_TIMEOUT)
+            .map_err(CommandError::system("can't create the HTTP client"))?;
         Ok(Self { http_client, address: api.api, authorization: format!("Bearer {}", api.key()?) })
     }
 
-    /// Reads a resource.
+    /// Sends a GET request and returns the JSON of the response.
     pub(crate) fn get(&mut self, target: &str) -> Result<Value, CommandError> {
         self.request("GET", target, &[], None)
     }
 
-    /// All rows of a list that comes in pages; `key` names the list in each page.
+    /// Fetches all pages of a list and returns the rows; `key` is the field of a page that contains its rows.
     pub(crate) fn get_pages(&mut self, path: &str, key: &str) -> Result<Vec<Value>, CommandError> {
         let (mut all, mut after) = (Vec::new(), String::new());
         loop {
@@ -75,7 +75,8 @@
         }
     }
 
-    /// Sends a request and waits for its response. A problem (RFC 9457) is an error with its status, title and detail.
+    /// Sends a request and returns the JSON of the response, or null if its body is not JSON. A status other than 2xx
+    /// is returned as [`ApiError::Problem`], with the title and detail of the body (RFC 9457).
     pub(crate) fn request(
         &mut self,
         method: &str,
@@ -109,7 +110,7 @@
         loop {
             self.http_client
                 .poll(Some(RESPONSE_TIMEOUT), &mut responses)
-                .map_err(CommandError::system("can't poll"))?;
+                .map_err(CommandError::system("can't poll the connection to the administration"))?;
             if let Some((_, response)) = responses.pop() {
                 let no_response = |error| ApiError::NoResponse { address: self.address, error };
                 return response.map_err(|error| no_response(error).into());
@@ -118,7 +119,7 @@
     }
 }
 
-/// A part of a path or a query, percent-encoded as RFC 3986 asks for.
+/// Percent-encodes a path segment or a query value (RFC 3986).
 pub(crate) fn escaped(part: &str) -> String {
     let plain = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'.' | b'_' | b'~');
     part.bytes().map(|b| if plain(b) { char::from(b).to_string() } else { format!("%{b:02X}") }).collect()
--- a/crates/gateway/src/commands/admin/mod.rs
+++ b/crates/gateway/src/commands/admin/mod.rs
@@ -1,7 +1,8 @@
-//! `admin`: the administration from the command line.
+//! `admin`: administers a running controller over its API, generates API keys, and copies tenant stores to and from
+//! snapshot files.
 //!
-//! [`requests`] has the commands that ask a running controller over its API, [`store`] those that open a tenant
-//! store by themselves.
+//! [`requests`] has the subcommands that send requests to a running controller, [`store`] those that open the file of a
+//! tenant store.
 
 mod arguments;
 mod client;
@@ -21,12 +22,12 @@
 use printer::Printer;
 use requests::Requests;
 
-/// Administer tenants, limits, workers and the audit trail of a running controller.
+/// Administer tenants, limits and workers of a running controller, and read its audit trail.
 #[derive(Args)]
 pub(crate) struct Admin {
     #[command(flatten)]
     api: Api,
-    /// JSON for programs instead of tables
+    /// Print JSON instead of tables
     #[arg(long, global = true)]
     json: bool,
     #[command(subcommand)]
--- a/crates/gateway/src/commands/admin/printer.rs
+++ b/crates/gateway/src/commands/admin/printer.rs
@@ -1,4 +1,4 @@
-//! Responses of the administration, as tables for people or as JSON for programs.
+//! Prints responses of the administration API, as tables or as JSON.
 
 use serde_json::{Value, json};
 
@@ -6,24 +6,25 @@
 use super::super::error::CommandError;
 use super::table;
 
-/// How responses are printed.
+/// Prints responses in the selected format.
 #[derive(Clone, Copy)]
 pub(super) struct Printer {
+    /// JSON instead of tables.
     pub(super) json: bool,
 }
 
 impl Printer {
-    /// A list, with these columns.
+    /// Prints a list, with these columns if it is a table.
     pub(super) fn rows(self, rows: &[Value], columns: &[&str]) -> Result<(), CommandError> {
         announce(&if self.json { format!("{:#}", json!(rows)) } else { table::rows(rows, columns) })
     }
 
-    /// One object.
+    /// Prints one object.
     pub(super) fn object(self, object: &Value) -> Result<(), CommandError> {
         announce(&if self.json { format!("{object:#}") } else { table::fields(object) })
     }
 
-    /// What a change would do.
+    /// Prints the effect that a change would have: the values that differ, or both objects as JSON.
     pub(super) fn difference(self, before: &Value, after: &Value) -> Result<(), CommandError> {
         if self.json {
             return self.object(&json!({ "before": before, "after": after, "dry_run": true }));
--- a/crates/gateway/src/commands/admin/requests.rs
+++ b/crates/gateway/src/commands/admin/requests.rs
@@ -1,4 +1,4 @@
-//! The commands of `admin` that ask a running controller.
+//! The subcommands of `admin` that send requests to a running controller.
 
 use serde_json::{Value, json};
 
@@ -14,22 +14,22 @@
 const AUDIT_COLUMNS: [&str; 5] = ["revision", "at_ms", "who", "action", "tenant"];
 const CONTROLLER_COLUMNS: [&str; 3] = ["controller", "revision", "seen_ms_ago"];
 
-/// A change of one tenant.
+/// A request that changes one tenant.
 struct Change<'a> {
     method: &'static str,
-    /// What follows the tenant's path: a verb or a query.
+    /// Appended to the tenant's path: an action such as `/suspend`, or a query.
     suffix: &'a str,
     patch: Option<&'a Value>,
 }
 
-/// Sends requests and prints their responses.
+/// Sends the requests of a subcommand and prints their responses.
 pub(super) struct Requests {
     pub(super) client: Client,
     pub(super) printer: Printer,
 }
 
 impl Requests {
-    /// Runs one command; those that need no controller do nothing here.
+    /// Runs one subcommand. Those that need no running controller do nothing here; [`super::Admin::run`] handles them.
     pub(super) fn run(&mut self, action: &Action) -> Result<(), CommandError> {
         match action {
             Action::Tenants(action) => self.tenants(action),
@@ -123,7 +123,7 @@
     }
 }
 
-/// The JSON of a tenant, with its name.
+/// Builds the JSON of a new tenant from its fields in `spec` and its name.
 fn new_tenant(name: &str, spec: &str) -> Result<Value, UsageError> {
     let mut body: Value = serde_json::from_str(spec).map_err(UsageError::TenantJson)?;
     let fields = body.as_object_mut().ok_or(UsageError::TenantNotObject)?;
--- a/crates/gateway/src/commands/admin/store.rs
+++ b/crates/gateway/src/commands/admin/store.rs
@@ -1,4 +1,5 @@
-//! `admin snapshot` and `admin restore`: a tenant store that no controller has open, to a file and back.
+//! `admin snapshot` and `admin restore`: copy a tenant store to a snapshot file and back. No controller may have the
+//! store open.
 
 use std::path::Path;
 
@@ -8,14 +9,14 @@
 use super::super::console::announce;
 use super::super::error::CommandError;
 
-/// Writes all of a store to a snapshot file.
+/// Writes the whole content of a store to a snapshot file.
 pub(super) fn snapshot(store: &Path, file: &Path) -> Result<(), CommandError> {
     let (store, tenants) = Store::open(store)?;
     store.snapshot()?.write(file)?;
     announce(&format!("{} tenants at revision {}", tenants.tenants().len(), tenants.revision()))
 }
 
-/// Fills a new store from a snapshot file; a store that exists is left alone.
+/// Creates a store from a snapshot file. Fails with [`CommandError::StoreExists`] if the store exists.
 pub(super) fn restore(file: &Path, store: &Path) -> Result<(), CommandError> {
     let snapshot = Snapshot::read(file)?;
     if store.exists() {
--- a/crates/gateway/src/commands/admin/table.rs
+++ b/crates/gateway/src/commands/admin/table.rs
@@ -1,4 +1,4 @@
-//! JSON as tables and differences for people.
+//! Formats JSON values as text tables, and differences between them as lines.
 
 use std::collections::BTreeSet;
 
@@ -17,7 +17,7 @@
     }
 }
 
-/// A row for each object, with these columns.
+/// Formats a list of objects as a table with these columns and a row for each object.
 pub(super) fn rows(all: &[Value], columns: &[&str]) -> String {
     let mut table = Table::new();
     table.load_style(presets::NOTHING).set_header(columns.iter().map(|c| c.to_uppercase()));
@@ -27,7 +27,7 @@
     table.trim_fmt()
 }
 
-/// One object, a line for each field.
+/// Formats one object as a table with a line for each field.
 pub(super) fn fields(value: &Value) -> String {
     let mut table = Table::new();
     table.load_style(presets::NOTHING);
@@ -37,7 +37,7 @@
     table.trim_fmt()
 }
 
-/// A line for each value that differs, by its path: `-` before, `+` after.
+/// Lists the values that differ, a line for each with its path: `-` for the value before, `+` for the value after.
 pub(super) fn difference(before: &Value, after: &Value) -> String {
     let mut lines = Vec::new();
     collect_differences("", before, after, &mut lines);
--- a/crates/gateway/src/commands/error.rs
+++ b/crates/gateway/src/commands/error.rs
@@ -1,4 +1,4 @@
-//! Why a command ended without success, and the exit code that follows.
+//! Errors of commands, and the exit code of each.
 
 use std::io;
 use std::net::SocketAddr;
@@ -20,150 +20,150 @@
 /// An error of the library that draws SVG files.
 pub(crate) type PlotError = DrawingAreaErrorKind<io::Error>;
 
-/// Why a command ended without success.
+/// An error that ends a command.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum CommandError {
     /// A file can't be read.
     #[error("can't read {}: {source}", path.display())]
     Read {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// Why.
+        /// Error of the read.
         source: io::Error,
     },
-    /// A file of settings, a scenario, a scale run or a simulation is not valid.
+    /// A file of settings, a scenario, a scale run, a simulation or a test worker is invalid.
     #[error("{0}")]
     InvalidFile(nettleferry_config::Errors),
-    /// An alert rule file is not valid.
+    /// An alert rule file is invalid.
     #[error("{0}")]
     AlertRules(#[from] RuleError),
-    /// A file of alert rule unit tests is not valid.
+    /// A file of alert rule unit tests is invalid.
     #[error(transparent)]
     AlertTests(#[from] UnitTestError),
-    /// The metrics registry can't be written as text.
-    #[error("the registry can't be written as text")]
+    /// The metrics registry can't be encoded as text.
+    #[error("the metrics registry can't be encoded as text")]
     MetricsText(#[source] std::fmt::Error),
     /// An API key can't be hashed.
     #[error("{0}")]
     KeyHash(#[from] argon2::password_hash::Error),
-    /// The tenant store can't be used.
+    /// The tenant store can't be opened, read or written.
     #[error("{0}")]
     Store(#[from] StoreError),
-    /// A snapshot file can't be used.
+    /// A snapshot file can't be read or written.
     #[error("{0}")]
     Snapshot(#[from] SnapshotError),
-    /// A snapshot is to be restored over a store that exists.
-    #[error("{} is there; move it away first: a snapshot fills a new store", .0.display())]
+    /// The store into which a snapshot is to be restored exists already.
+    #[error("{} already exists; move it away first: a snapshot is restored into a new store", .0.display())]
     StoreExists(PathBuf),
-    /// The audit log of a folder can't be read.
+    /// The audit log in a folder can't be read.
     #[error("{0}")]
     AuditLog(#[from] WalError),
     /// A plot can't be drawn or written.
     #[error("{}: {source}", file.display())]
     Plot {
-        /// The SVG file.
+        /// Path of the SVG file.
         file: PathBuf,
-        /// Why.
+        /// Error of the plotting library.
         source: PlotError,
     },
-    /// The controller failed.
+    /// A controller failed, or its settings are invalid.
     #[error("{0}")]
     Controller(#[from] ControllerError),
-    /// The controller on the platform failed.
+    /// A controller on the platform failed, or its configuration is unusable.
     #[error("{0}")]
     Node(#[from] NodeError),
     /// A scenario could not be run.
     #[error("{0}")]
     Scenario(ScenarioError),
-    /// A soak run could not be played.
+    /// A soak run could not be carried out.
     #[error("{0}")]
     Soak(#[from] SoakError),
-    /// A scale run could not go on.
-    #[error("{measure} {size}: {error}")]
+    /// A measurement of a scale run failed.
+    #[error("measure {measure} at size {size}: {error}")]
     Scale {
-        /// What was measured.
+        /// Name of the measure.
         measure: &'static str,
-        /// At which size.
+        /// Size at which it failed.
         size: u64,
-        /// Why it ended.
+        /// Error that ended the run.
         error: nettleferry_scale::measure::MeasureError,
     },
-    /// The system refused something.
+    /// An operation of the operating system failed.
     #[error("{what}: {source}")]
     System {
-        /// What was tried.
+        /// Description of the failed operation.
         what: String,
-        /// Why.
+        /// Error of the operation.
         source: io::Error,
     },
-    /// The administration refused, or could not be reached.
+    /// The administration API refused a request, or could not be reached.
     #[error("the administration: {0}")]
     Api(#[from] ApiError),
-    /// Arguments that the command-line parser accepts and the command does not.
+    /// The command rejected arguments that the command-line parser had accepted.
     #[error("{0}")]
     Usage(#[from] UsageError),
 }
 
-/// Why a request to the administration API gave no result.
+/// A failed request to the administration API.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum ApiError {
-    /// No response came.
+    /// No complete response was received.
     #[error("{address}: {error}")]
     NoResponse {
-        /// The API's address.
+        /// Address of the API.
         address: SocketAddr,
-        /// Why.
+        /// Error of the HTTP client.
         error: Http1Error,
     },
-    /// The response is a problem (RFC 9457).
+    /// The response has an error status, with problem details (RFC 9457).
     #[error("{status} {title}: {detail}")]
     Problem {
-        /// The HTTP status.
+        /// HTTP status code.
         status: u16,
-        /// The kind of problem.
+        /// Title of the problem type.
         title: String,
-        /// What is wrong with this request.
+        /// Explanation for this request.
         detail: String,
     },
 }
 
-/// Arguments that can't be used.
+/// Arguments that a command rejects.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum UsageError {
-    /// `top --every` is out of bounds.
-    #[error("--every: from 0.1 to 60")]
+    /// `top --every` is out of range.
+    #[error("--every: must be from 0.1 to 60 seconds")]
     RefreshInterval,
-    /// `load --seconds` is out of bounds.
-    #[error("--seconds: more than 0, at most 3600")]
+    /// `load --seconds` is out of range.
+    #[error("--seconds: must be more than 0 and at most 3600")]
     RoundLength,
-    /// `call --param` is no pair of a name and a whole number.
+    /// `call --param` is not a name and an integer separated by `=`.
     #[error("--param {0:?}: write NAME=VALUE with a whole number, such as segments=3")]
     Parameter(String),
-    /// A tenant is not valid JSON.
-    #[error("the tenant's JSON: {0}")]
+    /// The fields of a new tenant are not valid JSON.
+    #[error("invalid JSON of the tenant: {0}")]
     TenantJson(#[source] serde_json::Error),
-    /// A tenant's JSON is no object.
-    #[error("the tenant's JSON is to be an object")]
+    /// The fields of a new tenant are valid JSON, but not an object.
+    #[error("the tenant's JSON must be an object")]
     TenantNotObject,
     /// A merge patch is not valid JSON.
-    #[error("the patch: {0}")]
+    #[error("invalid JSON of the merge patch: {0}")]
     PatchJson(#[source] serde_json::Error),
-    /// There is no API key.
-    #[error("no key: --key-file FILE, or NETTLEFERRY_KEY in the environment")]
+    /// Neither `--key-file` nor the environment provides an API key.
+    #[error("no API key: set --key-file FILE, or NETTLEFERRY_KEY in the environment")]
     NoKey,
-    /// Hollow peers that this machine can't carry.
+    /// The settings of hollow peers are invalid, or exceed the limits of this machine.
     #[error("{0}")]
     HollowPeers(#[from] nettleferry_hollow::bounds::Refused),
-    /// A histogram can't be made.
-    #[error("histogram: {0}")]
+    /// The latency histogram can't be created.
+    #[error("can't create the latency histogram: {0}")]
     Histogram(#[from] hdrhistogram::CreationError),
-    /// The server at the address does not speak the protocol.
-    #[error("the answer is no message of the protocol: {0}")]
+    /// A response can't be decoded as a message of the inference protocol.
+    #[error("the response is not a message of the inference protocol: {0}")]
     Response(#[from] prost::DecodeError),
 }
 
 impl CommandError {
-    /// The exit code.
+    /// Returns the exit code of the process that ends with this error.
     pub(crate) fn code(&self) -> u8 {
         match self {
             Self::Usage(_) => exit_code::USAGE,
@@ -191,13 +191,13 @@
         }
     }
 
-    /// Wraps an error of the system, with what was tried.
+    /// Returns a function for `map_err` that wraps an I/O error with a description of the failed operation.
     pub(super) fn system(what: impl Into<String>) -> impl FnOnce(io::Error) -> Self {
         let what = what.into();
         move |source| Self::System { what, source }
     }
 
-    /// Wraps an error of a plot, with its file.
+    /// Returns a function for `map_err` that wraps an error of a plot with the path of its file.
     pub(super) fn plot(file: &Path) -> impl FnOnce(PlotError) -> Self {
         let file = file.to_owned();
         move |source| Self::Plot { file, source }
--- a/crates/gateway/src/commands/exit_code.rs
+++ b/crates/gateway/src/commands/exit_code.rs
@@ -1,20 +1,21 @@
 //! Exit codes of the program. Scripts and service managers rely on them.
 
-/// The command did what it was asked to do.
+/// The command succeeded.
 pub(crate) const SUCCESS: u8 = 0;
-/// The command ran, and what it checked or asked for did not hold: a rule or a bound broke, a call was not served,
-/// rules have findings, the administration refused.
+/// The command ran, and its check failed or its request was refused: a rule was broken, a bound was exceeded, a call
+/// was not served, alert rules have findings, an audit log is incomplete, or the administration refused a request.
 pub(crate) const FAILED: u8 = 1;
-/// The command line is wrong.
+/// The command line is wrong, or the configuration of `node` is unusable.
 pub(crate) const USAGE: u8 = 2;
-/// A file can't be read, or its content is not valid.
+/// A file can't be read, or its content is invalid.
 pub(crate) const INVALID_FILE: u8 = 3;
-/// The operating system refused something: an address, a thread, a process.
+/// The operating system refused a resource such as an address, a thread or a process, or a scenario, soak or scale run
+/// failed.
 pub(crate) const SYSTEM: u8 = 4;
-/// Stopped by a signal before all was done.
+/// A signal ended the command before its work was complete.
 pub(crate) const INTERRUPTED: u8 = 130;
 
-/// The code of a command that checked something.
+/// Returns the exit code of a command whose result is a check that `passed` or failed.
 pub(crate) fn of_check(passed: bool) -> u8 {
     if passed { SUCCESS } else { FAILED }
 }
--- a/crates/gateway/src/commands/mod.rs
+++ b/crates/gateway/src/commands/mod.rs
@@ -1,7 +1,7 @@
-//! The command line: one module a subcommand. Each reads its files, calls the package that does the work and prints
-//! the result; decisions belong to those packages.
+//! The subcommands of the program, one module each. A subcommand reads its input files, calls the package that does the
+//! work and prints the result; the logic belongs to those packages.
 //!
-//! [`exit_code`] lists the exit codes, [`error`] maps errors to them.
+//! [`exit_code`] lists the exit codes, and [`error`] maps errors to them.
 
 mod admin;
 mod alerts;
@@ -28,15 +28,17 @@
 
 use crate::logs::LogOptions;
 
-/// A gateway that sends inference calls to workers which load models on demand.
+/// A gateway that routes inference calls to workers, which load models on demand.
 #[derive(Parser)]
 #[command(
     name = "nettleferry",
     version,
     propagate_version = true,
-    after_help = "Exit codes: 0 done; 1 a rule broke (scenario, soak), a bound broke (scale), the call was not served (call), \
-                  alert rules have findings (alerts) or the administration refused (admin, fleet); 2 wrong command line; \
-                  3 a file can't be read or is not valid; 4 the system refused something; 130 stopped at once with calls open."
+    after_help = "Exit codes: 0 success; 1 a rule was broken (scenario, soak), a bound was exceeded (scale), the call was \
+                  not served (call), alert rules have findings (alerts), an audit log is incomplete (fleet verify) or the \
+                  administration refused a request (admin, fleet); 2 wrong command line or unusable configuration (node); 3 a \
+                  file can't be read or is invalid; 4 the operating system refused a resource, or a run failed; \
+                  130 a signal ended the command with calls open or measurements outstanding."
 )]
 pub(crate) struct Arguments {
     #[command(flatten)]
@@ -47,7 +49,7 @@
 
 #[derive(Subcommand)]
 pub(crate) enum Command {
-    /// Start a controller with six test workers, to try it
+    /// Start a demonstration: a controller and test workers in one process
     Demo(demo::Demo),
     /// Run a controller
     Serve(serve::Serve),
@@ -57,22 +59,22 @@
     Check(serve::Check),
     /// Make one inference call
     Call(call::Call),
-    /// Measure: closed-loop load, through a gateway and straight to a worker side by side
+    /// Measure throughput and latency under closed-loop load, through a gateway and directly at a worker
     Load(load::Load),
     /// Run a scripted scenario of faults against controller processes and audit the five rules
     #[command(alias = "day")]
     Scenario(scenario::Scenario),
-    /// Check alert rules against the registry, or run rule unit tests
+    /// Check alert rules against the metrics registry, or run unit tests of rules
     Alerts(alerts::Alerts),
-    /// Administer tenants, limits, workers and the audit trail of a running controller
+    /// Administer tenants, limits and workers of a running controller, and read its audit trail
     Admin(admin::Admin),
-    /// See which tenant snapshot each controller has, and decide which one is used after a loss
+    /// Show which tenant snapshot each controller has, and select the one to use after a data loss
     Fleet(fleet::Fleet),
-    /// Show tenants, classes, workers and held calls, live; q ends it
+    /// Show tenants, classes, workers and held calls, refreshed periodically; press q to quit
     Top(top::Top),
-    /// Measure how cost grows with the size of the fleet, and judge it by the bounds of a file
+    /// Measure how cost grows with the size of the fleet, and check it against the bounds in a file
     Scale(scale::Scale),
-    /// Run controllers on the platform under overlapping faults, and judge them by invariants
+    /// Run controllers on the platform under overlapping faults, and check invariants
     Soak(soak::Soak),
     /// Run one test worker
     Worker(worker::WorkerCommand),
@@ -80,7 +82,7 @@
     Hollow(hollow::Hollow),
 }
 
-/// Runs a command and gives its exit code.
+/// Runs a command and returns the exit code of the process.
 pub(crate) fn run(arguments: Arguments) -> Result<u8, CommandError> {
     match arguments.command {
         Command::Demo(demo) => demo.run(),
--- a/crates/gateway/src/commands/settings_file.rs
+++ b/crates/gateway/src/commands/settings_file.rs
@@ -1,4 +1,4 @@
-//! Reading a controller's settings file.
+//! Reads a controller's settings file and resolves the paths in it.
 
 use std::path::Path;
 
@@ -8,7 +8,7 @@
 use super::console::read_file;
 use super::error::CommandError;
 
-/// Reads a settings file. Relative paths in it start from the folder that it is in.
+/// Reads a settings file. Relative paths in it are resolved against the folder of the file.
 pub(super) fn read(path: &Path) -> Result<Config, CommandError> {
     let text = read_file(path)?;
     let mut config = settings::read(&path.display().to_string(), &text).map_err(CommandError::InvalidFile)?;
