--- a/crates/gateway/src/commands/fleet/audit.rs
+++ b/crates/gateway/src/commands/fleet/audit.rs
@@ -1,5 +1,5 @@
-//! `fleet audit` and `fleet verify`: fetches the audit logs that controllers delivered, and evaluates or verifies them.
-//! What follows from the entries is decided by `nettleferry_audit_log`.
+//! `fleet audit` and `fleet verify`: fetches the audit logs that controllers delivered to the leader, and evaluates or
+//! verifies them with `nettleferry_audit_log`.
 
 use std::path::Path;
 
@@ -12,26 +12,26 @@
 use super::super::error::CommandError;
 use super::output::Output;
 
-/// Entries of one audit log that are fetched, at the most.
+/// Number of entries at which the fetch of an audit log stops.
 const MAX_ENTRIES: usize = 1_000_000;
-/// Entries of one response.
+/// Maximum number of entries requested in one page.
 const PAGE_ENTRIES: usize = 1_000;
 
-/// One audit log, with what was found wrong in it.
+/// One audit log, with the errors that the check of its hash chain found.
 struct FetchedLog {
-    /// Whose it is: a controller as the leader names it, or a folder.
+    /// Origin of the log: a controller's number or [`ADMINISTRATION_LOG`], as the leader returns it, or a folder's path.
     source: String,
     checked: CheckedLog,
 }
 
-/// The audit logs that the leader has.
+/// All audit logs that the leader has collected.
 pub(super) struct FetchedLogs {
-    /// The leader's incarnation: all times are given on its clock.
+    /// Incarnation of the leader; times in the report are on its clock.
     leader: u64,
     logs: Vec<FetchedLog>,
 }
 
-/// Fetches all audit logs, page by page.
+/// Fetches all audit logs from the leader, page by page, and checks their hash chains.
 pub(super) fn fetch(client: &mut Client) -> Result<FetchedLogs, CommandError> {
     let list = client.get("/v1/fleet/records")?;
     let leader = list["by"].as_u64().unwrap_or(0);
@@ -59,7 +59,7 @@
     Ok(entries)
 }
 
-/// Evaluates all logs together.
+/// Evaluates all logs together; errors of their hash chains become gaps in the report.
 pub(super) fn report(fetched: &FetchedLogs) -> Report {
     let mut audit = Audit::default();
     for FetchedLog { source, checked } in &fetched.logs {
@@ -75,14 +75,15 @@
     audit.report()
 }
 
-/// The outcome of `fleet verify`.
+/// Result of `fleet verify`.
 pub(super) struct Verified {
     pub(super) output: Output,
-    /// No log lacks an entry.
+    /// No log has missing or altered entries.
     pub(super) complete: bool,
 }
 
-/// Checks the chains of the audit log in a folder, or of those that were delivered.
+/// Checks the hash chain of the audit log in `folder`, or without a folder those of all logs that the leader has
+/// collected.
 pub(super) fn verify(folder: Option<&Path>, api: &Api) -> Result<Verified, CommandError> {
     let logs = match folder {
         Some(folder) => {
@@ -103,7 +104,7 @@
     Ok(verified)
 }
 
-/// The oldest entries go by the log's bound: a log that begins later is not damaged.
+/// Whether an error is no damage: a log's oldest entries are deleted to bound its size.
 fn is_expected(fault: &ChainError) -> bool {
     matches!(fault, ChainError::Truncated { .. })
 }
--- a/crates/gateway/src/commands/fleet/audit_text.rs
+++ b/crates/gateway/src/commands/fleet/audit_text.rs
@@ -1,15 +1,15 @@
-//! The audit's report as lines for people.
+//! Formats the report of an audit as text lines.
 
 use nettleferry_audit_log::Version;
 use nettleferry_audit_log::findings::{
     Actor, CallCount, Certainty, Fork, Gap, Incarnation, LateCalls, Report, StaleActivity,
 };
 
-/// Which findings are shown.
+/// Selects the findings that are shown.
 pub(super) struct Filter {
-    /// Calls of this tenant alone.
+    /// Only findings about calls of this tenant.
     pub(super) tenant: Option<String>,
-    /// This revision alone.
+    /// Only findings about this revision.
     pub(super) revision: Option<u64>,
 }
 
@@ -23,7 +23,7 @@
     }
 }
 
-/// The report, section by section.
+/// Formats the report, section by section.
 pub(super) fn lines(report: &Report, filter: &Filter) -> Vec<String> {
     let mut lines = vec!["Who acted on what (times since the administration's start):".to_owned()];
     let actors = report.actors.iter().filter(|actor| filter.shows_version(actor.version));
@@ -96,7 +96,7 @@
     format!("  {prefix}{}", gap.reason)
 }
 
-/// An incarnation by its controller's number and the upper half of its random number.
+/// Formats an incarnation as its controller's number and the upper 32 bits of its random number.
 pub(super) fn incarnation(who: Incarnation) -> String {
     format!("controller {} (life {:08x})", who.controller, who.incarnation >> 32)
 }
--- a/crates/gateway/src/commands/fleet/mod.rs
+++ b/crates/gateway/src/commands/fleet/mod.rs
@@ -1,7 +1,8 @@
-//! `fleet`: the state of the fleet and its tenant snapshots, over the administration API.
+//! `fleet`: shows the state of the fleet and its tenant snapshots, and fences controllers or recovers a snapshot, over
+//! the administration API.
 //!
-//! [`text`] words the responses for people, [`audit`] evaluates the controllers' audit logs, [`simulate`] needs no
-//! running fleet.
+//! [`text`] formats the responses, [`audit`] evaluates the controllers' audit logs, and [`simulate`] simulates fleets
+//! without a running one.
 
 mod audit;
 mod audit_text;
@@ -22,12 +23,12 @@
 use super::exit_code;
 use output::Output;
 
-/// See which tenant snapshot each controller has, and decide which one is used after a loss.
+/// Show which tenant snapshot each controller has, and select the one to use after a data loss.
 #[derive(Args)]
 pub(crate) struct Fleet {
     #[command(flatten)]
     api: Api,
-    /// JSON for programs instead of text
+    /// Print JSON instead of text
     #[arg(long, global = true)]
     json: bool,
     #[command(subcommand)]
@@ -36,47 +37,47 @@
 
 #[derive(Subcommand)]
 enum Action {
-    /// Which snapshot the leader and each controller have, and why it waits
+    /// Show the snapshots of the leader and of each controller, the leases, and why the leader waits
     Status,
-    /// How far a change has come: who has it, who may still act without it
+    /// Show the progress of a change: how many controllers have persisted it, and which may still act without it
     Change {
-        /// Its revision; the last one where not given
+        /// Revision of the change; by default the last one
         revision: Option<u64>,
     },
-    /// Who acted on which version, and who did when a newer one was in force or acknowledged
+    /// Show which controllers acted on which version, and which did so while a newer one was in force or acknowledged
     Audit {
-        /// Calls of this tenant alone
+        /// Show only findings about calls of this tenant
         #[arg(long)]
         tenant: Option<String>,
-        /// This revision alone
+        /// Show only findings about this revision
         #[arg(long)]
         revision: Option<u64>,
-        /// Draw a time line of controllers against versions, as SVG
+        /// Write a timeline of the versions that controllers acted on to this SVG file
         #[arg(long, value_name = "FILE")]
         svg: Option<PathBuf>,
     },
     Simulate(simulate::Simulate),
-    /// Are the audit logs complete? Those that were delivered, or the one of a folder; exit 1 where not
+    /// Check that the audit logs collected by the leader, or the one in a folder, are complete; exit code 1 if not
     Verify {
-        /// The folder of a controller's audit log
+        /// Folder of a controller's audit log; by default the leader's collected logs are checked
         folder: Option<PathBuf>,
     },
-    /// Fence the known incarnations of a controller: they get no lease, and take no calls once they hear of it
+    /// Fence the known incarnations of a controller: they get no lease, and reject calls once they are notified
     Fence {
-        /// The controller's number
+        /// Number of the controller
         controller: u32,
     },
-    /// Admit the incarnations of a controller again that have not heard that they were fenced
+    /// Admit the fenced incarnations of a controller again, unless they have been notified of the fence
     Admit {
-        /// The controller's number
+        /// Number of the controller
         controller: u32,
     },
-    /// Decide which snapshot is used: shows the difference, and does it with --yes
+    /// Select the snapshot to use: shows how the others differ from it, and applies the selection only with --yes
     Recover {
-        /// own: the leader's; or the number of the controller whose snapshot is to be used
+        /// Owner of the snapshot: own for the leader, or the number of a controller
         #[arg(long, value_name = "own|NUMBER")]
         take: String,
-        /// Do it: what the other snapshots have beyond it is given up
+        /// Apply the selection; changes that only other snapshots contain are lost
         #[arg(long)]
         yes: bool,
     },
--- a/crates/gateway/src/commands/fleet/plans.rs
+++ b/crates/gateway/src/commands/fleet/plans.rs
@@ -1,36 +1,36 @@
-//! The file of `fleet simulate`: one run for each combination of fleet size, loss and seed.
+//! Reads the file of `fleet simulate` into one run for each combination of fleet size, loss and seed.
 
 use nettleferry_config::form::{Bytes, Errors, Form, TimeSpan};
 use nettleferry_simulation::network::Network;
 use nettleferry_simulation::{follow, power};
 
-/// Controllers of a run, at the most.
+/// Maximum number of controllers in a run.
 const MAX_CONTROLLERS: u32 = 1_000;
-/// Runs of a file, at the most.
+/// Maximum number of runs in a file.
 const MAX_RUNS: usize = 10_000;
-/// Bounds of a run's virtual time, in microseconds.
+/// Bounds and default of a run's virtual time, in microseconds.
 const MIN_LENGTH_US: u64 = 1_000_000;
 const MAX_LENGTH_US: u64 = 3_600_000_000;
 const DEFAULT_LENGTH_US: u64 = 30_000_000;
-/// Bounds of a lease, in milliseconds.
+/// Range of the duration of a lease, in milliseconds.
 const LEASE_RANGE_MS: std::ops::RangeInclusive<u64> = 200..=60_000;
 
-/// One run.
+/// The plan of one run.
 pub(super) enum Run {
-    /// Followers of a stream of changes.
+    /// Controllers that follow a stream of changes.
     Follow(follow::Plan),
-    /// The return from a loss of power.
+    /// The restart of a fleet after a power failure.
     Power(power::Plan),
 }
 
-/// One combination of the values that a form varies.
+/// One combination of the values that vary between runs.
 struct Combination {
     controllers: u32,
     loss: f64,
     seed: u64,
 }
 
-/// The values that a form varies; each combination is a run.
+/// The lists of values that a form varies, apart from the seeds; each combination is a run.
 struct Variations {
     controllers: Vec<u32>,
     losses: Vec<f64>,
@@ -44,12 +44,12 @@
         }
         let losses: Vec<f64> = numbers(form, "loss", &["0"]);
         if losses.iter().any(|loss| !(0.0..=0.5).contains(loss)) {
-            form.error("(loss ...): parts of the packets, 0 to 0.5");
+            form.error("(loss ...): fraction of the packets, 0 to 0.5");
         }
         Self { controllers, losses }
     }
 
-    /// Seeds vary fastest, sizes slowest.
+    /// Returns all combinations; seeds vary fastest, fleet sizes slowest.
     fn combinations(&self, seeds: &[u64]) -> Vec<Combination> {
         let mut all = Vec::new();
         for &controllers in &self.controllers {
@@ -61,7 +61,7 @@
     }
 }
 
-/// Reads the file; all that is wrong with it is reported together.
+/// Reads the runs from the text of a file. Returns all errors in it together.
 pub(super) fn read(file: &str, text: &str) -> Result<Vec<Run>, Errors> {
     let (source, mut top) = Form::parse(file, text);
     let seeds: Vec<u64> = numbers(&mut top, "seeds", &["1"]);
@@ -73,9 +73,9 @@
         runs.extend(power_runs(form, &seeds));
     }
     if runs.is_empty() {
-        top.error("nothing is played: write (follow ...) or (power ...)");
+        top.error("nothing to simulate: write (follow ...) or (power ...)");
     } else if runs.len() > MAX_RUNS {
-        top.error(format!("{} plays: at most {MAX_RUNS}", runs.len()));
+        top.error(format!("{} runs: at most {MAX_RUNS}", runs.len()));
     }
     top.finish();
     source.into_result(Some(runs))
@@ -116,7 +116,7 @@
     runs
 }
 
-/// A plan without the values that vary.
+/// Reads a plan with placeholders for the values that vary: controllers, admission and seed.
 fn power_plan(form: &mut Form, network: Network) -> power::Plan {
     let after = form.optional::<TimeSpan>("administration-after").map(|span| span.0);
     let administration = match (form.value_or("administration", true), after) {
@@ -145,12 +145,12 @@
         seed: 0,
     };
     if plan.deadline >= plan.length {
-        form.error("(deadline ...): shorter than the length");
+        form.error("(deadline ...): must be shorter than the length");
     }
     plan
 }
 
-/// The network without its loss.
+/// Reads the network, with no loss in place of the value that varies.
 fn network(form: &mut Form) -> Network {
     let delay = form.micros_or("delay", 2_000).max(2);
     let bandwidth = form.optional::<Bytes>("bandwidth").map_or(100 << 20, |bytes| bytes.0).max(1) as f64;
@@ -165,7 +165,8 @@
     length.clamp(MIN_LENGTH_US, MAX_LENGTH_US)
 }
 
-/// Values of `(key VALUE ...)`, or the defaults where there are none.
+/// Reads the values of `(key VALUE ...)`, or returns the defaults if there are none. A value that can't be parsed is
+/// reported as an error and left out.
 fn numbers<T: std::str::FromStr>(form: &mut Form, key: &'static str, defaults: &[&str]) -> Vec<T> {
     let mut texts: Vec<String> = Vec::new();
     if let Some(mut list) = form.optional_list(key) {
@@ -181,7 +182,7 @@
     for text in texts {
         match text.parse() {
             Ok(value) => values.push(value),
-            Err(_) => form.error(format!("({key} {text}): numbers are wanted")),
+            Err(_) => form.error(format!("({key} {text}): must be a number")),
         }
     }
     values
--- a/crates/gateway/src/commands/fleet/plots.rs
+++ b/crates/gateway/src/commands/fleet/plots.rs
@@ -1,4 +1,4 @@
-//! Plots of `fleet simulate`: a figure against the number of controllers.
+//! Plots of `fleet simulate`: one figure over the number of controllers.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -9,10 +9,10 @@
 
 use super::super::error::{CommandError, PlotError};
 
-/// Controllers at the ends of the horizontal axis.
+/// Range of the horizontal axis, in controllers.
 const CONTROLLERS_AXIS: std::ops::Range<f64> = 2.0..1_100.0;
 
-/// A plot: one figure of one kind of run.
+/// A plot of one figure of one kind of run.
 pub(super) struct Plot {
     kind: &'static str,
     figure: &'static str,
@@ -20,29 +20,29 @@
     file: &'static str,
 }
 
-/// The plots that are drawn.
+/// All plots of a simulation.
 pub(super) const PLOTS: [Plot; 3] = [
     Plot {
         kind: "follow",
         figure: "p99_ms",
-        caption: "milliseconds to in force everywhere, 99 of 100",
+        caption: "milliseconds until a change is in force everywhere, 99th percentile",
         file: "follow.svg",
     },
     Plot {
         kind: "follow",
         figure: "shut_out",
-        caption: "part of the time without a lease",
+        caption: "fraction of the time without a lease",
         file: "shut-out.svg",
     },
     Plot {
         kind: "power",
         figure: "ready_ms",
-        caption: "milliseconds to nine of ten in time",
+        caption: "milliseconds until nine of ten calls are served in time",
         file: "power.svg",
     },
 ];
 
-/// A mean that grows by one value at a time.
+/// An arithmetic mean, to which values are added one at a time.
 #[derive(Clone, Copy, Default)]
 struct Mean {
     sum: f64,
@@ -60,11 +60,11 @@
     }
 }
 
-/// Means over seeds by the number of controllers, for each line of a plot.
+/// The lines of a plot by name; a line maps a number of controllers to the mean over all seeds.
 type Lines = BTreeMap<String, BTreeMap<u64, Mean>>;
 
 impl Plot {
-    /// Draws the plot into its file in a folder; where no run has the figure, nothing is written.
+    /// Draws the plot into its file in `folder`. Writes no file if no run has the figure.
     pub(super) fn draw(&self, outcomes: &[Value], folder: &Path) -> Result<(), CommandError> {
         let lines = self.lines(outcomes);
         if lines.is_empty() {
@@ -75,7 +75,7 @@
         self.draw_lines(&lines, &area).map_err(CommandError::plot(&file))
     }
 
-    /// A line for each loss, and for each state of the gate.
+    /// Groups the outcomes into lines: one for each loss, and in `power` runs for admission on and off.
     fn lines(&self, outcomes: &[Value]) -> Lines {
         let mut lines = Lines::new();
         for run in outcomes.iter().filter(|run| run["play"] == self.kind) {
--- a/crates/gateway/src/commands/fleet/simulate.rs
+++ b/crates/gateway/src/commands/fleet/simulate.rs
@@ -1,5 +1,5 @@
-//! `fleet simulate`: simulates fleets of up to a thousand controllers in virtual time, with the decisions that the
-//! program runs. The same file gives the same outcome: a JSON line a run, and plots.
+//! `fleet simulate`: simulates fleets of up to a thousand controllers in virtual time, with the decision code of real
+//! controllers. Prints a JSON line for each run and draws plots; the same file always produces the same output.
 
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -17,18 +17,18 @@
 use super::plans::{self, Run};
 use super::plots;
 
-/// Threads at the most.
+/// Maximum number of threads.
 const MAX_THREADS: usize = 64;
 
-/// Simulate fleets in virtual time: followers of changes, and the return from a loss of power
+/// Simulate fleets in virtual time: how changes reach followers, and how a fleet restarts after a power failure
 #[derive(Args)]
 pub(super) struct Simulate {
-    /// What is simulated: docs/recovery.md has the keys
+    /// Simulation file; docs/recovery.md describes its keys
     file: PathBuf,
-    /// Write plots (SVG) into this folder
+    /// Write SVG plots into this folder
     #[arg(long, value_name = "FOLDER")]
     plots: Option<PathBuf>,
-    /// Runs at once; all cores where not given
+    /// Number of runs at once; by default one for each core
     #[arg(long)]
     threads: Option<usize>,
 }
@@ -53,10 +53,10 @@
     plots::PLOTS.iter().try_for_each(|plot| plot.draw(outcomes, folder))
 }
 
-/// The outcomes in the order of the runs, whichever thread had them.
+/// Simulates the runs on several threads and returns the outcomes in the order of the runs.
 fn simulate_all(runs: &[Run], threads: usize) -> Vec<Value> {
     let progress = ProgressBar::new(runs.len() as u64);
-    let style = ProgressStyle::with_template("{bar:40} {pos}/{len} plays, {elapsed} of about {duration}");
+    let style = ProgressStyle::with_template("{bar:40} {pos}/{len} runs, {elapsed} of about {duration}");
     if let Ok(style) = style {
         progress.set_style(style);
     }
--- a/crates/gateway/src/commands/fleet/text.rs
+++ b/crates/gateway/src/commands/fleet/text.rs
@@ -1,8 +1,8 @@
-//! Responses of the fleet's API as lines for people.
+//! Formats responses of the fleet API as text lines.
 
 use serde_json::Value;
 
-/// Which snapshot the leader and each controller have, and the incarnations with their leases.
+/// Formats the snapshots of the leader and of each controller, and the incarnations with their leases.
 pub(super) fn status(response: &Value) -> Vec<String> {
     let mut lines = vec![leader(response)];
     lines.extend(items(&response["controllers"]).map(controller));
@@ -56,7 +56,7 @@
     }
 }
 
-/// How far a change has come, and whom it still waits for.
+/// Formats the progress of a change, and the members that may still act without it.
 pub(super) fn change(response: &Value) -> Vec<String> {
     let state = match (response["everywhere"].as_bool(), response["within_ms"].as_u64()) {
         (Some(true), _) => "in force everywhere".to_owned(),
@@ -83,14 +83,14 @@
     format!("  {member} {bound}")
 }
 
-/// How many incarnations of a controller were fenced or admitted.
+/// Formats the number of incarnations of a controller that were fenced or admitted; `done` describes which.
 pub(super) fn incarnations(response: &Value, controller: u32, done: &str) -> String {
     let count = response["lives"].as_u64().unwrap_or(0);
     let noun = if count == 1 { "life" } else { "lives" };
     format!("controller {controller}: {count} {noun} {done}")
 }
 
-/// Which snapshot is used from now on, or would be, and how the others differ from it.
+/// Formats the selected snapshot and how the others differ from it; `done` is false for a dry run.
 pub(super) fn recovery(response: &Value, done: bool) -> Vec<String> {
     let mut lines = vec![format!(
         "{}: the book of controller {} at revision {}, {} tenants, epoch {}",
--- a/crates/gateway/src/commands/fleet/timeline.rs
+++ b/crates/gateway/src/commands/fleet/timeline.rs
@@ -1,4 +1,5 @@
-//! The time line of `fleet audit --svg`: controllers against versions; what was surely stale is shaded.
+//! Draws the timeline of `fleet audit --svg`: the versions that each incarnation acted on. Stale activity is shaded,
+//! more strongly if it is certain.
 
 use std::path::Path;
 
@@ -11,21 +12,22 @@
 use super::audit_text::incarnation;
 
 const WIDTH_PIXELS: u32 = 1_000;
+/// Height of the drawing apart from its rows: caption, time axis and margins.
 const FRAME_PIXELS: u32 = 120;
 const ROW_PIXELS: u32 = 28;
-/// An activity is drawn at least this part of the time line wide.
+/// Minimum width of an activity's bar, as a fraction of the timeline.
 const MIN_ACTIVITY_WIDTH: f64 = 0.002;
 
 type Chart<'a> = ChartContext<'a, SVGBackend<'a>, Cartesian2d<RangedCoordf64, RangedCoordf64>>;
 
-/// What an incarnation did on one version, with its begin and end in seconds.
+/// The activity of an incarnation on one version, with its start and end in seconds.
 struct Activity<'a> {
     actor: &'a Actor,
     from: f64,
     to: f64,
 }
 
-/// What is drawn: a row for each incarnation, with its activities as bars.
+/// The content of the timeline: a row for each incarnation, with a bar for each activity. Times are in seconds.
 struct Timeline<'a> {
     report: &'a Report,
     activities: Vec<Activity<'a>>,
@@ -34,7 +36,7 @@
     end: f64,
 }
 
-/// Draws the time line into an SVG file.
+/// Draws the timeline into an SVG file.
 pub(super) fn draw(report: &Report, file: &Path) -> Result<(), CommandError> {
     let timeline = Timeline::new(report);
     let height = FRAME_PIXELS + ROW_PIXELS * timeline.rows.len().max(1) as u32;
@@ -79,7 +81,7 @@
             .disable_y_mesh()
             .y_labels(rows + 1)
             .y_label_formatter(&label)
-            .x_desc("seconds of the administration")
+            .x_desc("seconds since the start of the administration")
             .draw()?;
         self.draw_activities(&mut chart)?;
         self.draw_stale(&mut chart)?;
