--- a/crates/administration/src/follower/replica.rs
+++ b/crates/administration/src/follower/replica.rs
@@ -281,7 +281,8 @@
         let Some(clock) = response.as_ref().ok().and_then(responses::leader_clock) else { return };
         // The reading was taken after the leader had held the request. The leader's clock, which measured that, may run
         // fast: the clock error is subtracted.
-        let held = Duration::from_millis(clock.held_ms.saturating_sub(lease::error_of(clock.held_ms)));
+        let held =
+            Duration::from_millis(clock.held_ms.saturating_sub(lease::max_clock_difference(clock.held_ms)));
         let latest = Instant::now();
         let earliest = (requested_at + held).min(latest);
         let (incarnation, at_ms) = (clock.incarnation, clock.at_ms);
@@ -382,7 +383,7 @@
             self.lease_span = span;
         }
         if let Some(span_ms) = span_ms {
-            let until = requested_at + Duration::from_millis(lease::ends(0, span_ms));
+            let until = requested_at + Duration::from_millis(lease::expires_at(0, span_ms));
             let fencing_token = fencing_token.unwrap_or(0);
             self.link.send(AdminEvent::LeaseRenewed { until, fencing_token });
         }
--- a/crates/administration/src/leader/context.rs
+++ b/crates/administration/src/leader/context.rs
@@ -64,7 +64,7 @@
     /// The period of loans that are granted now with the span of a lease. It ends when the span has passed on every
     /// clock, clock error included.
     pub(super) fn loan_period(now: Millis, span: Millis) -> LoanPeriod {
-        LoanPeriod { now, until: now + span + nettleferry_fleet::lease::error_of(span) }
+        LoanPeriod { now, until: now + span + nettleferry_fleet::lease::max_clock_difference(span) }
     }
 
     /// Writes the counts of the fleet to the controller's status, for its metrics.
--- a/crates/administration/src/loan_service.rs
+++ b/crates/administration/src/loan_service.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 use nettleferry_fleet::Millis;
-use nettleferry_fleet::loans::{Kind, Lender, LoanConfig, LoanRequest, UsageReport};
+use nettleferry_fleet::loans::{Lender, LimitKind, LoanConfig, LoanRequest, UsageReport};
 use nettleferry_fleet::membership::Incarnation;
 use nettleferry_tenancy::{Revision, Tenant, TenantSnapshot};
 
@@ -40,7 +40,7 @@
     /// The number of the last loan of any limit. Shared by all limits, so that no number is reused after a limit or a
     /// borrower is removed.
     last_number: u64,
-    lenders: BTreeMap<(Revision, Kind), Lender>,
+    lenders: BTreeMap<(Revision, LimitKind), Lender>,
 }
 
 impl LoanService {
@@ -76,7 +76,7 @@
         let is_own_loan = demand.leader_incarnation == self.leader_incarnation;
         let applied_loan = if is_own_loan { demand.applied_loan } else { 0 };
         // Calls that were admitted under a loan may still use it until their deadline, which can be after its expiry.
-        let until = if kind == Kind::Rate { until } else { until + self.max_call_duration };
+        let until = if kind == LimitKind::Rate { until } else { until + self.max_call_duration };
         let usage = UsageReport { demand: demand.demand, in_use: demand.in_use, applied_loan };
         let request = LoanRequest { borrower, usage, config: self.config, limit, now, until };
         let loan = lender.report(request, &mut self.last_number);
@@ -102,13 +102,13 @@
 }
 
 /// A tenant's limit of this kind; `None` if the tenant is not limited.
-fn limit_of(tenant: &Tenant, kind: Kind) -> Option<f64> {
+fn limit_of(tenant: &Tenant, kind: LimitKind) -> Option<f64> {
     let limits = &tenant.spec.limits;
     match kind {
-        Kind::Rate => limits.rate_per_second,
-        Kind::Open => limits.open_calls.map(f64::from),
-        Kind::Held => limits.held_calls.map(f64::from),
-        Kind::Memory => limits.loaded_memory_bytes.map(|bytes| bytes as f64),
+        LimitKind::Rate => limits.rate_per_second,
+        LimitKind::Open => limits.open_calls.map(f64::from),
+        LimitKind::Held => limits.held_calls.map(f64::from),
+        LimitKind::Memory => limits.loaded_memory_bytes.map(|bytes| bytes as f64),
     }
 }
 
--- a/crates/administration/src/loan_service/tests.rs
+++ b/crates/administration/src/loan_service/tests.rs
@@ -22,7 +22,7 @@
     TenantSnapshot::from_tenants(1, [tenant])
 }
 
-fn demand(kind: Kind) -> LimitDemand {
+fn demand(kind: LimitKind) -> LimitDemand {
     LimitDemand {
         tenant: "kalahari".to_owned(),
         uid: 1,
@@ -41,12 +41,16 @@
 #[test]
 fn loans_are_granted_for_known_limits_only() {
     let mut service = service();
-    let other_uid = LimitDemand { uid: 2, ..demand(Kind::Open) };
-    let granted =
-        service.grant(PERIOD, &snapshot(), BORROWER, &[demand(Kind::Open), demand(Kind::Rate), other_uid]);
+    let other_uid = LimitDemand { uid: 2, ..demand(LimitKind::Open) };
+    let granted = service.grant(
+        PERIOD,
+        &snapshot(),
+        BORROWER,
+        &[demand(LimitKind::Open), demand(LimitKind::Rate), other_uid],
+    );
     assert_eq!(granted.len(), 1, "{granted:?}");
     let loan = &granted[0];
-    assert_eq!((loan.uid, loan.kind, loan.limit), (1, Kind::Open, 10.0));
+    assert_eq!((loan.uid, loan.kind, loan.limit), (1, LimitKind::Open, 10.0));
     assert_eq!((loan.number, loan.leader_incarnation), (1, LEADER));
     assert!(loan.amount > 0.0);
 }
@@ -54,19 +58,19 @@
 #[test]
 fn loans_of_an_ended_borrower_are_freed_and_loan_numbers_are_not_reused() {
     let mut service = service();
-    service.grant(PERIOD, &snapshot(), BORROWER, &[demand(Kind::Open)]);
+    service.grant(PERIOD, &snapshot(), BORROWER, &[demand(LimitKind::Open)]);
     let counts = service.counts(0);
     assert_eq!((counts.limits, counts.borrowers), (1, 1));
     service.free_loans(BORROWER);
     service.remove_unused(0);
     assert_eq!(service.counts(0).limits, 0);
-    let granted = service.grant(PERIOD, &snapshot(), BORROWER, &[demand(Kind::Open)]);
+    let granted = service.grant(PERIOD, &snapshot(), BORROWER, &[demand(LimitKind::Open)]);
     assert_eq!(granted[0].number, 2, "a forgotten limit's numbers are not used again");
 }
 
 #[test]
 fn demands_beyond_the_maximum_get_no_loan() {
     let mut service = service();
-    let demands = vec![demand(Kind::Open); MAX_DEMANDS + 5];
+    let demands = vec![demand(LimitKind::Open); MAX_DEMANDS + 5];
     assert_eq!(service.grant(PERIOD, &snapshot(), BORROWER, &demands).len(), MAX_DEMANDS);
 }
--- a/crates/gateway/src/commands/soak.rs
+++ b/crates/gateway/src/commands/soak.rs
@@ -151,7 +151,7 @@
     );
     for finding in report.findings.iter().take(MAX_PRINTED_FINDINGS) {
         println!("  {finding}");
-        for line in report.story(finding) {
+        for line in report.timeline(finding) {
             println!("    {line}");
         }
     }
