--- a/src/controller.rs
+++ b/src/controller.rs
@@ -34,23 +34,24 @@
     pub(crate) replicas: BTreeSet<ReplicaKey>,
     /// Functions with pending loads.
     pub(crate) loading_functions: BTreeSet<FunctionId>,
-    /// When each function is next swept, in buckets of `IDLE_BUCKET`.
+    /// Functions by the time bucket in which they are next swept; the key is the bucket's number, in steps of
+    /// `IDLE_BUCKET`. An entry is stale if the function's `idle_bucket` differs from its key.
     pub(crate) idle_functions: BTreeMap<Micros, Vec<FunctionId>>,
     pub(crate) calls: BTreeMap<RequestId, Call>,
     pub(crate) hold_queue: BTreeMap<Priority, RequestId>,
-    /// Attempts in flight.
+    /// Attempts in flight, including those of calls that have ended.
     pub(crate) attempts: BTreeMap<AttemptId, Attempt>,
     pub(crate) timers: BTreeSet<Timer>,
-    /// When the last timer requested from the embedding program expires.
+    /// Expiry time of the last timer requested from the embedding program; `None` once it has passed.
     pub(crate) armed_for: Option<Micros>,
     /// A `ReleaseHeld` timer is scheduled.
     pub(crate) release_timer_set: bool,
-    /// Number of calls received so far.
+    /// Number of calls accepted so far.
     pub(crate) sequence: u64,
-    /// Mean latency per class at workers with no other attempt of this controller in flight: an estimate of
-    /// the core time of a call.
+    /// Mean latency per class, in microseconds, at workers with no other attempt of this controller in
+    /// flight: an estimate of the core time of a call.
     pub(crate) class_cpu_time: Vec<Option<f64>>,
-    /// Mean time of the observed loads of all functions.
+    /// Mean time of the observed loads of all functions, in microseconds.
     pub(crate) mean_load_time: Option<f64>,
     /// Times of the load orders within the ration window.
     pub(crate) recent_orders: VecDeque<Micros>,
@@ -60,7 +61,7 @@
     pub(crate) tenant_requests: BTreeMap<TenantId, VecDeque<Micros>>,
     /// Delay before the worker list is polled again after a failure.
     pub(crate) poll_backoff: Micros,
-    /// Time of the last sweep.
+    /// Time of the last sweep, which removes the state of functions that are no longer called.
     pub(crate) swept_at: Micros,
 }
 
--- a/src/decision/arrivals.rs
+++ b/src/decision/arrivals.rs
@@ -1,5 +1,5 @@
 //! Accepts arriving calls and computes their priority in the hold queue: the number of recent calls of the
-//! function times its mean latency. The value does not change afterwards.
+//! function times its mean latency. This product does not change afterwards.
 //!
 //! The worker is chosen in `placement`. Guards:
 //!
@@ -16,7 +16,8 @@
 pub(super) const ARRIVAL_WINDOW: Micros = 10_000_000;
 /// Time over which the calls of a tenant count towards its quota, which is given per second.
 const QUOTA_WINDOW: Micros = 1_000_000;
-/// Lower bound of the weight of calls over the quota, which the priority value is divided by.
+/// Lower bound of the weight of calls over the quota. The number of recent calls times the mean latency is
+/// divided by that weight.
 const OVER_QUOTA_WEIGHT_MIN: f64 = 0.01;
 
 impl Controller {
--- a/src/decision/attempts.rs
+++ b/src/decision/attempts.rs
@@ -87,9 +87,9 @@
         self.release_held(Some(attempt.worker));
     }
 
-    /// Handles a replica that was unloaded or failed to load: it will not come back by itself. If it is
-    /// missing again after an order, the function has a new version, and replicas observed before that order
-    /// are invalid too.
+    /// Handles a replica that was unloaded or failed to load. Where only orders load functions, it is ordered
+    /// again unless a load of the function is in progress. A replica that is missing after an earlier order
+    /// indicates a new version of the function, so replicas observed up to that order are dropped too.
     fn record_missing_replica(&mut self, replica: ReplicaKey) {
         let function = self.functions.get(&replica.function);
         let loading = function.is_some_and(|f| self.load_in_progress(f));
@@ -148,9 +148,10 @@
         self.record_pressure(worker_id, pressure);
     }
 
-    /// Marks the call as streaming: it can't be retried, and its replica is loaded. If the stream still
-    /// counted as a load, a long one would hold back the function's other calls. Drawback: the load time
-    /// measured here includes the processing time up to the start of the stream.
+    /// Marks the call as streaming: it can't be retried, its answer deadline no longer applies, and its
+    /// replica is loaded. If the stream still counted as a load, a long one would hold back the function's
+    /// other calls. Drawback: the load time measured here includes the processing time up to the start of the
+    /// stream.
     pub(super) fn stream_started(&mut self, id: RequestId) {
         let Some(call) = self.calls.get_mut(&id) else { return };
         call.streaming = true;
--- a/src/decision/endpoint_list.rs
+++ b/src/decision/endpoint_list.rs
@@ -86,8 +86,8 @@
         }
         // The worker is empty and cold. If it started before this controller, an earlier incarnation may have
         // sent it an unknown number of calls; one overload span must pass first.
-        let before_us = self.started_at.filter(|s| worker.entry.started_at < Some(*s));
-        let budget_from = before_us.map(|s| s + self.settings.rules.overload_span);
+        let later_controller_start = self.started_at.filter(|s| worker.entry.started_at < Some(*s));
+        let budget_from = later_controller_start.map(|s| s + self.settings.rules.overload_span);
         worker.restart(worker.entry.started_at, budget_from);
         worker.reset_failures();
         if known {
@@ -129,8 +129,9 @@
     }
 }
 
-/// The worker's weight for rendezvous hashing; 1 if the weights in the list don't express its capacity.
+/// The worker's weight for rendezvous hashing; 1 if the weights in the list don't express capacity, or this
+/// one is not positive.
 fn weight(settings: &Settings, entry: &WorkerEntry) -> f64 {
-    let sized = matches!(settings.weights, Weights::Nominal | Weights::Rough);
-    if sized && entry.weight > 0.0 { entry.weight } else { 1.0 }
+    let is_capacity = matches!(settings.weights, Weights::Nominal | Weights::Rough);
+    if is_capacity && entry.weight > 0.0 { entry.weight } else { 1.0 }
 }
--- a/src/decision/health_check.rs
+++ b/src/decision/health_check.rs
@@ -62,8 +62,8 @@
         self.release_held(None);
     }
 
-    /// Handles an answered probe: a worker that was down returns to service, and its lost load orders are
-    /// sent again.
+    /// Handles an answered probe: a worker that was down returns to service, and load orders that were lost
+    /// with a connection of the worker are sent again.
     fn probe_answered(&mut self, id: WorkerId) {
         let Some(worker) = self.workers.get_mut(&id) else { return };
         worker.last_response = self.now;
@@ -80,7 +80,8 @@
         }
     }
 
-    /// Handles a probe without an answer whose connection was not refused.
+    /// Handles a probe without an answer, unless its connection was refused quickly, which shows that the
+    /// process died.
     fn probe_failed(&mut self, id: WorkerId, outcome: Outcome, probe: EndedProbe) {
         let connection_broke = matches!(outcome, Outcome::Reset | Outcome::PartlySent);
         if !connection_broke {
--- a/src/decision/hold_queue.rs
+++ b/src/decision/hold_queue.rs
@@ -20,10 +20,10 @@
 
 /// Held calls examined per response; bounds the time to handle an event.
 const RELEASE_SCAN: usize = 512;
-/// Held calls are also examined without a response, as capacity becomes free with time: after this many event
-/// intervals ...
+/// Held calls are also examined without a response, as capacity becomes free with time. This is the interval
+/// between two such examinations, in event intervals.
 const RELEASE_INTERVAL_STEPS: Micros = 4;
-/// ... but at most once in this time.
+/// Lower bound of the interval between two examinations without a response.
 const RELEASE_INTERVAL_MIN: Micros = 20_000;
 
 impl Controller {
--- a/src/decision/outlier_ejection.rs
+++ b/src/decision/outlier_ejection.rs
@@ -8,8 +8,8 @@
 //! * the failure rate itself (fast failures, crashes, flapping);
 //! * errors of a function that no worker ever served are not counted (clients that call a function that does
 //!   not exist);
-//! * connections that broke while the process lived count half (corrupted responses, resets, half-open
-//!   connections);
+//! * where probes are permitted, a broken connection counts half, as the probe shows whether the process died
+//!   (corrupted responses, resets, half-open connections);
 //! * a worker that is down is tried only with probes (trial calls from hundreds of controllers while it
 //!   restarts).
 
@@ -21,15 +21,16 @@
 
 /// Weight of one outcome in the failure rate: two failures in a row eject the worker.
 const FAILURE_WEIGHT: f64 = 0.3;
-/// Weight of a connection that broke although the process lived: only several in a row, without a served call
-/// in between, eject the worker.
+/// Weight of a broken connection where a probe can show whether the process died: only several in a row,
+/// without a served call in between, eject the worker.
 const BROKEN_CONNECTION_WEIGHT: f64 = 0.15;
 /// Failure rate at which a worker is ejected.
 pub(super) const EJECTION_FAILURE_RATE: f64 = 0.5;
 /// Failure rate below which a worker returns. It is well below the ejection rate, so that a single success
 /// does not return a worker that fails every other call.
 const RETURN_FAILURE_RATE: f64 = EJECTION_FAILURE_RATE / 2.0;
-/// Duration of the first ejection, doubled at each failed trial. A process restarts within seconds.
+/// Duration of the first ejection, doubled each time the ejection is extended. A process restarts within
+/// seconds.
 pub(super) const EJECTION_FIRST: Micros = 500_000;
 /// Upper bound of the duration of an ejection.
 const EJECTION_MAX: Micros = 4_000_000;
@@ -95,8 +96,8 @@
         self.functions.get(&id).is_some_and(|f| !f.latencies.is_empty() || !f.warm_replicas.is_empty())
     }
 
-    /// Handles the death of a worker's process: once it responds again it has restarted, whatever the list
-    /// says.
+    /// Handles the death of a worker's process: drops its replicas, ejects it, and lets its slow start begin
+    /// now. Once the worker responds again its process has restarted, whatever start time the list states.
     pub(super) fn process_died(&mut self, id: WorkerId) {
         let Some(worker) = self.workers.get_mut(&id) else { return };
         worker.restart(Some(self.now), None);
--- a/src/decision/placement.rs
+++ b/src/decision/placement.rs
@@ -53,7 +53,7 @@
     }
 
     /// Returns the worker for a call: the last warm one, or else the first eligible one in the rendezvous
-    /// order.
+    /// order. `None` if no worker can take the call now.
     pub(super) fn select_worker(&mut self, id: RequestId) -> Option<WorkerId> {
         self.update_homes(self.calls.get(&id)?.function);
         let call = &self.calls[&id];
@@ -77,7 +77,8 @@
         self.select_least_failing(call, function)
     }
 
-    /// Selects among the warm workers in order; if all are under pressure, the one with the least pressure.
+    /// Selects the first warm worker in order that is not under pressure. If all are under pressure, selects
+    /// the one with the least pressure, or none while a load of the function has just been started.
     fn select_warm(&self, call: &Call, function: &Function) -> Option<WorkerId> {
         let warm = |w: &WorkerId| self.is_warm(function, *w);
         let last_warm = function
@@ -103,7 +104,7 @@
         least.filter(|(pressure, _)| *pressure < PRESSURE_MAX && !just_ordered).map(|(_, w)| w)
     }
 
-    /// Selects among the workers without a known replica: one that may load it or is loading it.
+    /// Selects among the workers without a known replica: one that may load the function or is loading it.
     fn select_without_replica(&self, call: &Call, function: &Function) -> Option<WorkerId> {
         // This check is the same for all workers: with a healthy replica, no other load may start.
         let may_wait =
@@ -124,8 +125,8 @@
                 && self.is_eligible(*w, call, function, EjectedWorkers::Excluded)
         };
         let order = || self.walk_order(call.function, function, call.class, pending_only);
-        // Where only orders load functions, wait for a full home: other controllers don't look for a replica
-        // elsewhere.
+        // Where only orders load functions, the call waits for a home that is busy with loads: other
+        // controllers don't look for a replica elsewhere.
         let only_orders_load =
             self.settings.loading.when_absent == WhenAbsent::Miss && pending_only.is_none();
         let home = if only_orders_load { self.home(call, function) } else { None };
@@ -137,7 +138,8 @@
         candidates.find(|w| pressure(*w) < PRESSURE_LIMIT).or_else(|| order().find(|w| usable(w)))
     }
 
-    /// The first worker in the function's order that is available and did not reject it too often in a row.
+    /// The first worker in the function's order that is neither ejected, in slow start nor at the pressure
+    /// limit, and has not rejected the function too often in a row.
     fn home(&self, call: &Call, function: &Function) -> Option<WorkerId> {
         let rejected_too_often =
             |w: &WorkerId| function.avoided.get(w).is_some_and(|a| a.rejections >= MAX_REJECTIONS);
--- a/src/decision/replica_loading.rs
+++ b/src/decision/replica_loading.rs
@@ -25,10 +25,11 @@
 /// An order answered within this time found a replica that was already loaded, so that it is no load time
 /// sample.
 const ALREADY_LOADED: Micros = 20_000;
-/// How long a function avoids a worker after a failed or rejected load, as a share of its load time.
+/// How long a function avoids a worker after a failed or rejected load, as a share of the function's expected
+/// load time.
 const AVOID_LOADS: f64 = 0.5;
-/// Number of consecutive rejections after which a worker is not used as a home for a while. A failed load
-/// counts as this many.
+/// Number of consecutive rejections after which a worker is not used as a home, until a load succeeds there
+/// or the record of the rejections expires. A failed load counts as this many.
 pub(super) const MAX_REJECTIONS: u32 = 3;
 
 impl Controller {
@@ -57,7 +58,7 @@
 
     /// Orders an additional replica if all warm workers are under pressure. It is ordered at the next worker
     /// in the rendezvous order, which is the same at every controller. If that worker already has a replica,
-    /// the order finds it.
+    /// the answer to the order reports it.
     pub(super) fn order_additional_replica(&mut self, id: FunctionId, class: usize) {
         self.update_homes(id);
         let Some(function) = self.functions.get(&id) else { return };
@@ -79,7 +80,9 @@
         }
     }
 
-    /// Orders one replica, if the ration permits it.
+    /// Orders one replica, unless the worker is not in service, orders are not permitted, or a load is
+    /// already pending there. If the ration does not permit the order, the function avoids the worker for a while, as
+    /// after a rejection.
     pub(super) fn order_replica(&mut self, replica: ReplicaKey) {
         let ReplicaKey { worker: worker_id, function: function_id } = replica;
         self.apply_sweep(function_id);
@@ -134,7 +137,8 @@
         self.release_held(None);
     }
 
-    /// Makes the function avoid the worker for a while, and adds to its number of rejections.
+    /// Makes the function avoid the worker for `AVOID_LOADS` of its expected load time, and adds to the
+    /// number of rejections.
     pub(super) fn avoid_worker(&mut self, replica: ReplicaKey, rejections: u32) {
         let Some(function) = self.functions.get(&replica.function) else { return };
         let until = self.now + (self.expected_load_time(function) * AVOID_LOADS) as Micros;
--- a/src/decision/response_timeout.rs
+++ b/src/decision/response_timeout.rs
@@ -13,9 +13,9 @@
 use crate::interface::*;
 use crate::state::{Attempt, AttemptId, Timer, TimerKind, Worker};
 
-/// A response is overdue after this multiple of the function's mean latency ...
+/// A response is overdue after this multiple of the function's mean latency.
 const TIMEOUT_LATENCIES: f64 = 6.0;
-/// ... but not before this share of the latency objective.
+/// Share of the latency objective before which no response is overdue, however short the mean latency is.
 const TIMEOUT_OBJECTIVES: f64 = 0.5;
 /// Timeout of the attempts of a function without state: never, but small enough to be added to a timestamp.
 const NO_TIMEOUT: Micros = Micros::MAX / 4;
@@ -43,8 +43,9 @@
         self.timers.insert(Timer { at, kind: TimerKind::ResponseTimeout(id) });
     }
 
-    /// Probes a worker with overdue responses, or ejects it if probes are not permitted. Lost idempotent
-    /// attempts are cancelled and retried elsewhere.
+    /// Probes a worker that is down, suspect or has overdue responses. Where no probe can be sent and none is
+    /// in flight, a worker that is down or overdue is ejected instead. Lost idempotent attempts are cancelled
+    /// and retried elsewhere.
     pub(super) fn check_timeouts(&mut self, id: WorkerId) {
         let Some(worker) = self.workers.get_mut(&id) else { return };
         worker.timeout_check = None;
@@ -79,7 +80,8 @@
         !late.is_empty()
     }
 
-    /// Time after which a pending response is overdue.
+    /// Time since the attempt was sent after which its response is overdue. Includes the time of a load that
+    /// the attempt may wait for.
     fn response_timeout(&self, attempt: &Attempt) -> Micros {
         let Some(function) = self.functions.get(&attempt.function) else { return NO_TIMEOUT };
         let load = if attempt.loading { self.expected_load_time(function) * STUCK_LOAD_FACTOR } else { 0.0 };
@@ -87,7 +89,8 @@
         ((function.mean_latency() * TIMEOUT_LATENCIES).max(least) + load) as Micros
     }
 
-    /// Whether the response is overdue and the worker has sent no other response since.
+    /// Whether the attempt is at this worker, and its timeout has passed since it was sent and since the
+    /// worker's last response.
     pub(super) fn is_overdue(&self, id: WorkerId, worker: &Worker, attempt: &Attempt) -> bool {
         let since = || attempt.sent.max(worker.last_response);
         attempt.worker == id && self.now >= since() + self.response_timeout(attempt)
--- a/src/decision/retention.rs
+++ b/src/decision/retention.rs
@@ -17,7 +17,7 @@
 /// State of a function is kept after its last call for this many arrival windows, or keep-alive times if
 /// those are longer.
 const RETENTION_WINDOWS: Micros = 3;
-/// Size of the time buckets of `Controller::idle_functions`.
+/// Length of one time bucket of `Controller::idle_functions`.
 const IDLE_BUCKET: Micros = ARRIVAL_WINDOW;
 /// Maximum number of idle functions swept per event.
 const IDLE_SWEEP_STEP: usize = 32;
@@ -74,7 +74,7 @@
         self.functions.entry(id).or_default()
     }
 
-    /// Applies the last sweep to one function.
+    /// Applies the last sweep to one function, and removes its state and replicas if it is no longer used.
     pub(super) fn apply_sweep(&mut self, id: FunctionId) {
         let retention = self.retention();
         if self.functions.get_mut(&id).is_some_and(|f| !f.apply_sweep(self.swept_at, retention))
@@ -129,8 +129,8 @@
             function.homes = Homes::default();
         }
         function.compact(swept);
-        let forgotten = function.last_call + retention;
-        self.schedule_idle_sweep(id, forgotten.max(swept + IDLE_BUCKET));
+        let kept_until = function.last_call + retention;
+        self.schedule_idle_sweep(id, kept_until.max(swept + IDLE_BUCKET));
     }
 
     fn schedule_idle_sweep(&mut self, id: FunctionId, due: Micros) {
--- a/src/decision/retry.rs
+++ b/src/decision/retry.rs
@@ -2,8 +2,8 @@
 //!
 //! The worker is chosen in `placement`. Guards:
 //!
-//! * keyed and non-idempotent calls that may have executed are repeated only where and while workers drop
-//!   duplicates (effects that happen twice);
+//! * of the calls that may have executed, those with an idempotency key are repeated only where and while
+//!   workers drop duplicates, and non-idempotent ones never (effects that happen twice);
 //! * each call gets exactly one answer, in time (calls without an answer);
 //! * a call is refused only if the client may safely retry it.
 
--- a/src/decision/worker_load.rs
+++ b/src/decision/worker_load.rs
@@ -40,7 +40,8 @@
 
 impl Controller {
     /// Whether the load of the worker is known well enough to send the call there. If not, the worker is
-    /// probed and the call is held.
+    /// probed, and the caller holds the call. Once the call has used up its probes, or the probe in flight is
+    /// late, the call is sent without knowledge of the load.
     pub(super) fn ensure_recent_load(&mut self, id: RequestId, worker_id: WorkerId) -> bool {
         let may_probe = self.may_probe_load();
         let Some(call) = self.calls.get_mut(&id) else { return true };
@@ -92,8 +93,8 @@
         decayed(worker.last_pressure).max(function_pressure).max(report_pressure)
     }
 
-    /// Whether the last load report, if not older than one objective, shows idle cores. The lanes bound is
-    /// then not filled by calls of others.
+    /// Whether the last load report, if not older than one objective, shows idle cores. The lanes bound,
+    /// which calls of other functions may fill, does not apply then.
     pub(super) fn reports_idle_cores(&self, worker: &Worker, class: usize) -> bool {
         let since = self.now.saturating_sub(self.settings.classes[class].latency_objective);
         let idle = |r: &ReceivedReport| r.at >= since && r.report.util.is_some_and(|u| u < IDLE_UTILIZATION);
@@ -115,7 +116,7 @@
         }
     }
 
-    /// Records the pressure derived from a response.
+    /// Records the pressure of a worker, derived from a response or from a probe that failed.
     pub(super) fn record_pressure(&mut self, worker_id: WorkerId, value: f64) {
         if let Some(worker) = self.workers.get_mut(&worker_id) {
             worker.last_pressure = PressureSample { value, at: self.now };
--- a/src/interface/events.rs
+++ b/src/interface/events.rs
@@ -23,9 +23,10 @@
     Reset,
     /// Cancelled; the request may have executed.
     Cancelled,
-    /// Not sent at all.
+    /// The request did not execute, as it was not sent or had already ended when it arrived. It is not
+    /// retried.
     NeverSent,
-    /// The function is not loaded and no load is pending there, or the load failed.
+    /// The function is not loaded and no load is pending at the worker, or the load failed.
     NotLoaded,
 }
 
@@ -38,7 +39,7 @@
     Began,
     /// The request waited for a load that was already in progress.
     Waited,
-    /// The load failed.
+    /// The load that the request waited for failed.
     Failed,
 }
 
@@ -47,13 +48,13 @@
 pub struct Request {
     /// Unique id of the request.
     pub id: RequestId,
-    /// Request class.
+    /// The class of the request.
     pub class: ClassId,
     /// Tenant of the client; `None` if it has none.
     pub tenant: Option<TenantId>,
     /// The function to call.
     pub function: FunctionId,
-    /// Time until the client gives up.
+    /// Time from the event until the client gives up.
     pub time_left: Micros,
     /// Expected execution time on a standard core.
     pub cpu_time_hint: Option<Micros>,
@@ -142,7 +143,7 @@
     Message {
         /// The sending controller.
         from: PeerId,
-        /// The payload.
+        /// The content of the message.
         bytes: Vec<u8>,
     },
 }
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -7,7 +7,7 @@
 /// The workers that recognise a repeated idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyScope {
-    /// All workers.
+    /// All workers recognise a key that any worker has seen.
     All,
     /// The workers in the zone of the first attempt.
     Zone,
@@ -25,19 +25,19 @@
     IdempotencyKey {
         /// The workers that recognise the key.
         scope: KeyScope,
-        /// How long they recognise it.
+        /// Time for which these workers recognise the key, from the first attempt that may have executed.
         window: Micros,
     },
     /// The request must not be executed twice.
     NonIdempotent,
 }
 
-/// A request class.
+/// A request class: what the requests of one class have in common.
 #[derive(Clone, Debug)]
 pub struct Class {
     /// An answer within this time has its full priority weight.
     pub latency_objective: Micros,
-    /// How long a client waits, over all attempts.
+    /// Time that a client waits for the final answer, over all attempts.
     pub deadline: Micros,
     /// Whether a request may be executed more than once.
     pub effect: Effect,
@@ -70,12 +70,12 @@
 /// When workers report their load.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Reports {
-    /// Never.
+    /// Workers send no load reports.
     #[default]
     None,
-    /// With probe results.
+    /// Workers report their load with probe results.
     Probe,
-    /// With the outcomes of attempts and with probe results.
+    /// Workers report their load with the outcomes of attempts and with probe results.
     Answers,
 }
 
@@ -85,21 +85,21 @@
     /// Weights are ignored; all workers count the same.
     #[default]
     None,
-    /// The registered capacity.
+    /// Each weight is the registered capacity of the worker.
     Nominal,
-    /// An estimate of the capacity.
+    /// Each weight is an estimate of the worker's capacity.
     Rough,
-    /// Capacity divided by a recent load; changes with every list.
+    /// Each weight is the worker's capacity divided by a recent load; it changes with every list.
     Live,
 }
 
 /// How a worker treats a call of a function that it has not loaded.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum WhenAbsent {
-    /// It loads the function while the call waits.
+    /// The worker loads the function while the call waits.
     #[default]
     Load,
-    /// It answers [`Outcome::NotLoaded`](crate::Outcome::NotLoaded); functions are loaded only by
+    /// The worker answers [`Outcome::NotLoaded`](crate::Outcome::NotLoaded); functions are loaded only by
     /// [`Action::Load`](crate::Action::Load).
     Miss,
 }
@@ -159,13 +159,14 @@
     /// With [`Discovery::Poll`]: longest time between polls. A controller that polls later than that is
     /// assumed to know of all changes.
     pub must_poll_within: Micros,
-    /// Share of its capacity that a worker has right after its start.
+    /// Share of its full capacity, from 0 to 1, that a worker has right after its start.
     pub start_capacity: f64,
     /// A worker reaches its full capacity at most this long after its start.
     pub warm_up: Micros,
-    /// A worker that is sent more than this multiple of its current capacity ...
+    /// Multiple of its current capacity above which a worker is overloaded.
     pub overload_factor: f64,
-    /// ... throughout this span becomes overloaded and fails.
+    /// A worker that is sent more than `overload_factor` of its capacity throughout this span fails; 0 means
+    /// that slow start does not limit calls.
     pub overload_span: Micros,
 }
 
@@ -178,9 +179,9 @@
     pub controllers: u32,
     /// Zone of this controller, if known.
     pub zone: Option<ZoneId>,
-    /// The request classes.
+    /// The request classes, indexed by [`ClassId`](crate::ClassId); at least one.
     pub classes: Vec<Class>,
-    /// The tenants, if any.
+    /// The tenants, if any, indexed by [`TenantId`](crate::TenantId).
     pub tenants: Vec<Tenant>,
     /// Priority weight of a request over its tenant's quota, relative to the weight of its class.
     pub over_quota_weight: f64,
@@ -192,9 +193,9 @@
     pub weights: Weights,
     /// Settings for loading functions.
     pub loading: Loading,
-    /// Limits and permissions.
+    /// Limits and permissions of the site.
     pub limits: Limits,
-    /// Parameters of the rules.
+    /// Parameters of the site's rules.
     pub rules: Rules,
     /// Shortest interval between two events; the time margin in deadline and window checks.
     pub event_interval: Micros,
@@ -203,13 +204,13 @@
 /// Why a controller can't run with the given settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SettingsError {
-    /// There are no request classes.
+    /// The settings contain no request class.
     NoClasses,
     /// The number of controllers is zero.
     NoControllers,
     /// `controller_index` is not less than `controllers`.
     ControllerIndexOutOfRange,
-    /// `max_attempts` is zero.
+    /// [`Limits::max_attempts`] is zero.
     NoAttempts,
 }
 
@@ -227,7 +228,7 @@
 impl std::error::Error for SettingsError {}
 
 impl Settings {
-    /// Validates the settings.
+    /// Returns the first reason why no controller can run with these settings.
     pub(crate) fn check(&self) -> Result<(), SettingsError> {
         if self.classes.is_empty() {
             Err(SettingsError::NoClasses)
--- a/src/interface/workers.rs
+++ b/src/interface/workers.rs
@@ -5,11 +5,11 @@
 /// State of a worker in the worker list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum WorkerState {
-    /// In service.
+    /// In service: the worker may be sent calls.
     On,
     /// Completes its running calls but must get no new ones.
     Draining,
-    /// Removed from service.
+    /// Removed from service: the worker gets no calls or load orders.
     #[default]
     Gone,
 }
@@ -19,17 +19,17 @@
 pub struct WorkerEntry {
     /// The id of the worker.
     pub worker: WorkerId,
-    /// The zone it runs in.
+    /// The zone that the worker runs in.
     pub zone: ZoneId,
-    /// Its machine kind.
+    /// The kind of machine that the worker runs on.
     pub kind: KindId,
     /// Weight; [`Settings::weights`](crate::Settings::weights) defines what it means.
     pub weight: f64,
-    /// The cell it belongs to.
+    /// The cell that the worker belongs to.
     pub cell: CellId,
     /// State in the list.
     pub state: WorkerState,
-    /// When the process last started; `None` means long ago.
+    /// Time at which the worker's process last started; `None` means long ago.
     pub started_at: Option<Micros>,
 }
 
@@ -49,9 +49,9 @@
 /// The kind of a worker list update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListForm {
-    /// Changed entries only.
+    /// The update contains only the entries that changed.
     Changes,
-    /// The complete list.
+    /// The update is the complete list; workers missing from it are gone.
     Complete,
     /// The last complete list known before a restart of the controller; may be stale.
     Restored,
--- a/src/rendezvous.rs
+++ b/src/rendezvous.rs
@@ -140,8 +140,8 @@
         self.all.workers.is_empty()
     }
 
-    /// Adds a worker with the given weight, which must be positive because scores are divided by it, or
-    /// removes it.
+    /// Adds a worker with the given weight or changes its weight, which must be positive because scores are
+    /// divided by it. Without a weight, removes the worker.
     pub(crate) fn set(&mut self, worker: WorkerId, weight: Option<f64>) {
         match (self.index.get(&worker).copied(), weight) {
             (None, None) => return,
--- a/src/state.rs
+++ b/src/state.rs
@@ -13,21 +13,21 @@
 pub(crate) struct Worker {
     /// The worker's entry in the worker list.
     pub(crate) entry: WorkerEntry,
-    /// Attempts in flight.
+    /// Number of this controller's attempts in flight at the worker.
     pub(crate) in_flight: u32,
-    /// Attempts in flight on replicas that are presumed warm; the lanes bound applies to these.
+    /// Number of those on replicas that are presumed warm; the lanes bound applies to these.
     pub(crate) warm_in_flight: u32,
-    /// Loads that this controller has pending at the worker.
+    /// Number of loads that this controller has pending at the worker.
     pub(crate) pending_loads: usize,
     /// Exponentially weighted share of failed outcomes, from 0 to 1.
     pub(crate) failure_rate: f64,
     /// The worker is ejected: it gets no calls except trials.
     pub(crate) ejected: bool,
-    /// Earliest time of the next trial.
+    /// Earliest time of the next trial while the worker is ejected.
     pub(crate) ejected_until: Micros,
     /// The process is dead or unresponsive; probes detect when it is back.
     pub(crate) down: bool,
-    /// Duration of the next ejection.
+    /// Duration of the next ejection, or of the next extension of the current one.
     pub(crate) next_ejection: Micros,
     /// A trial call is in flight at the ejected worker.
     pub(crate) trial_in_flight: bool,
@@ -69,7 +69,7 @@
 /// call.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct PressureSample {
-    /// The measured pressure.
+    /// Pressure at the time of the measurement; decays from then on.
     pub(crate) value: f64,
     /// Time of the measurement.
     pub(crate) at: Micros,
@@ -87,7 +87,7 @@
 /// State of one function.
 #[derive(Default)]
 pub(crate) struct Function {
-    /// Latencies of the last served attempts, excluding those that waited for a load.
+    /// Latencies of the last served attempts in microseconds, excluding those that waited for a load.
     pub(crate) latencies: VecDeque<f64>,
     /// Arrival times within the arrival window.
     pub(crate) arrivals: VecDeque<Micros>,
@@ -95,7 +95,7 @@
     pub(crate) lanes: u32,
     /// Expected load time in microseconds, if it was given with a request or measured.
     pub(crate) load_time: Option<f64>,
-    /// When a replica was last observed, by worker.
+    /// Time at which a replica was last observed, by worker.
     pub(crate) warm_replicas: BTreeMap<WorkerId, Micros>,
     /// Start times of the loads that this controller has pending, by worker.
     pub(crate) pending_loads: BTreeMap<WorkerId, Micros>,
@@ -103,8 +103,8 @@
     pub(crate) avoided: BTreeMap<WorkerId, Avoidance>,
     /// Number of attempts in flight, by worker.
     pub(crate) in_flight: BTreeMap<WorkerId, u32>,
-    /// When a replica was last ordered. If a call misses after that, replicas observed before it are no
-    /// longer trusted.
+    /// Time at which a replica was last ordered. If a call finds no replica after that, replicas observed up
+    /// to the order are no longer trusted.
     pub(crate) last_order: Option<Micros>,
     /// Concurrent calls of the function divided by its lanes, as last reported by each worker.
     pub(crate) reported_pressure: BTreeMap<WorkerId, PressureSample>,
@@ -130,7 +130,7 @@
 /// A worker that one function temporarily avoids.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct Avoidance {
-    /// End of the avoidance.
+    /// Time until which the worker gets no calls of the function.
     pub(crate) until: Micros,
     /// Consecutive rejections for lack of memory; a failed load counts as several.
     pub(crate) rejections: u32,
@@ -154,7 +154,7 @@
     pub(crate) class: usize,
     /// The called function.
     pub(crate) function: FunctionId,
-    /// Arrival time.
+    /// Time at which the call arrived.
     pub(crate) arrived: Micros,
     /// Latest time of the final answer.
     pub(crate) answer_by: Micros,
@@ -179,9 +179,9 @@
 /// The first attempt of a call that may have executed.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct FirstRun {
-    /// The worker it was sent to.
+    /// The worker that the attempt was sent to.
     pub(crate) worker: WorkerId,
-    /// Send time.
+    /// Time at which the attempt was sent.
     pub(crate) sent: Micros,
 }
 
@@ -194,15 +194,15 @@
     pub(crate) number: u32,
 }
 
-/// An attempt in flight.
+/// An attempt in flight, with what is needed to update the state when it ends.
 pub(crate) struct Attempt {
-    /// The worker it was sent to.
+    /// The worker that the attempt was sent to.
     pub(crate) worker: WorkerId,
     /// The function of the call.
     pub(crate) function: FunctionId,
     /// Index of the call's class.
     pub(crate) class: usize,
-    /// Send time.
+    /// Time at which the attempt was sent.
     pub(crate) sent: Micros,
     /// No warm replica was known at the worker, so that the attempt may wait for a load.
     pub(crate) loading: bool,
@@ -214,7 +214,7 @@
 
 /// The end of an attempt, with the additional information in its response.
 pub(crate) struct AttemptEnd {
-    /// The outcome.
+    /// The outcome of the attempt.
     pub(crate) outcome: Outcome,
     /// The call is complete: the client expects no further response.
     pub(crate) finished: bool,
@@ -229,9 +229,9 @@
 /// A scheduled timer. The field order defines the order in which timers run.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Timer {
-    /// Expiry time.
+    /// Time at which the timer expires.
     pub(crate) at: Micros,
-    /// What to do on expiry.
+    /// The action to take when the timer expires.
     pub(crate) kind: TimerKind,
 }
 
@@ -256,7 +256,7 @@
 pub(crate) struct ReplicaKey {
     /// The worker of the replica.
     pub(crate) worker: WorkerId,
-    /// The replicated function.
+    /// The function that the replica serves.
     pub(crate) function: FunctionId,
 }
 
