--- a/crates/engine/src/commands.rs
+++ b/crates/engine/src/commands.rs
@@ -11,11 +11,12 @@
 /// Why a call failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cause {
-    /// An attempt ended without a response and may have run, for example because its connection broke.
+    /// An attempt ended without a response and may have run, for example because its connection broke or the call was
+    /// ended while the attempt was in flight.
     Aborted,
     /// A worker returned an error.
     Internal,
-    /// The call's deadline passed.
+    /// The call's deadline passed, or its last attempt timed out.
     Deadline,
 }
 
@@ -27,7 +28,8 @@
     TooManyOpen,
     /// No listed worker accepts calls: all are draining or gone.
     NoWorker,
-    /// No worker had free capacity in time, or the workers rejected all attempts.
+    /// Workers were in service, but none served the call: none had free capacity in time, or the attempts were rejected
+    /// or failed.
     NoCapacity,
     /// The call's tenant was removed ([`crate::Event::TenantRemoved`]), and no attempt of the call can have run.
     TenantRemoved,
@@ -52,14 +54,14 @@
     Refused {
         /// Why the call was refused.
         reason: Refusal,
-        /// How long the client should wait before a retry, where the decision module gives advice.
+        /// Time that the client should wait before a retry; `None` if the decision module gives no advice.
         retry_after: Option<Micros>,
     },
     /// The call failed and may have run.
     Failed {
         /// Why the call failed.
         cause: Cause,
-        /// Human-readable details.
+        /// How the last attempt ended, or why the call was ended, in human-readable form.
         message: String,
     },
 }
@@ -101,13 +103,13 @@
         call: CallId,
         /// The front end's token for the call ([`crate::NewCall::front_token`]).
         front_token: u64,
-        /// The part's bytes.
+        /// The content of the part, as the client receives it.
         payload: Bytes,
     },
     /// Deliver the final answer to the client. No command for the call follows, except [`Command::Abandon`] for an
     /// attempt that can't be cancelled.
     Answer {
-        /// The answered call.
+        /// The call that is answered.
         call: CallId,
         /// The front end's token for the call ([`crate::NewCall::front_token`]).
         front_token: u64,
@@ -120,9 +122,9 @@
         request_id: ControlRequestId,
         /// The worker that is to load the replicas.
         worker: WorkerId,
-        /// The model's name.
+        /// The name of the model to load.
         model: Arc<str>,
-        /// The model's version.
+        /// The version of the model, as clients state it; may be empty.
         version: Arc<str>,
         /// Number of replicas that the worker should have loaded.
         replicas: u32,
@@ -131,9 +133,9 @@
     Unload {
         /// The worker that is to unload them.
         worker: WorkerId,
-        /// The model's name.
+        /// The name of the model to unload.
         model: Arc<str>,
-        /// The model's version.
+        /// The version of the model, as clients state it; may be empty.
         version: Arc<str>,
     },
     /// Send a health check. Its result is reported as [`crate::Event::ProbeEnded`].
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -46,7 +46,7 @@
     names: Names,
     limits: EngineLimits,
     order_timeout: Micros,
-    /// Whether the settings allow attempts to be cancelled.
+    /// Whether the settings allow attempts to be cancelled. If not, an attempt whose call ends becomes an orphan.
     cancel: bool,
     calls: BTreeMap<CallId, Call>,
     attempts: BTreeMap<AttemptId, InFlightAttempt>,
@@ -116,7 +116,7 @@
     }
 
     /// Removes and returns the measurements recorded since the last call, in order. The buffer is unbounded, so drain
-    /// it after each event.
+    /// it after each event. If measurements are not being recorded, this starts the recording.
     pub fn drain_measurements(&mut self) -> Drain<'_, Measurement> {
         self.measurements.get_or_insert_default().drain(..)
     }
@@ -132,7 +132,7 @@
     }
 
     /// Removes and returns the phases recorded since the last call, in order. The buffer is unbounded, so drain it
-    /// after each event.
+    /// after each event. If phases are not being recorded, this starts the recording.
     pub fn drain_phases(&mut self) -> Drain<'_, Phase> {
         self.phases.get_or_insert_default().drain(..)
     }
@@ -154,8 +154,8 @@
         self.calls.len()
     }
 
-    /// Number of entries held in memory by the engine and the decision module together. It is bounded and does not grow
-    /// with the engine's uptime.
+    /// Number of entries that the engine and the decision module together keep for calls, attempts, control requests,
+    /// timers, workers and models. It is bounded and does not grow with the engine's uptime.
     pub fn remembered(&self) -> usize {
         let own = self.calls.len() + self.attempts.len() + self.control_requests.len() + self.timers.len();
         self.module.state_entries() + own + self.workers.len() + self.names.models()
@@ -179,7 +179,7 @@
         Some((self.names.worker_name(in_flight.worker), self.names.model(call.function)?))
     }
 
-    /// Time at which the next timer fires; the caller sends [`Event::Tick`] then. `None`: no timer is set.
+    /// Time at which the next timer fires; the caller sends [`Event::Tick`] then. `None` if no timer is set.
     pub fn next_timer(&self) -> Option<Micros> {
         self.timers.next_at()
     }
--- a/crates/engine/src/engine/attempts.rs
+++ b/crates/engine/src/engine/attempts.rs
@@ -141,7 +141,8 @@
     }
 
     /// Whether this end of an attempt also ends its call, so that no retry can follow. A streamed answer that breaks
-    /// off after its first part ends the call, because the client has received that part.
+    /// off after its first part ends the call, because the client has received that part. Also true if the call is
+    /// closed already.
     fn settles_call(&self, call: CallId, end: &AttemptEnd) -> bool {
         let served = matches!(end, AttemptEnd::Served | AttemptEnd::Rejected(_));
         served || self.calls.get(&call).is_none_or(|call| call.started)
--- a/crates/engine/src/engine/control_requests.rs
+++ b/crates/engine/src/engine/control_requests.rs
@@ -26,7 +26,8 @@
         self.commands.push(Command::Load { request_id, worker, model: name, version, replicas });
     }
 
-    /// Cancels the outstanding load orders for a function at a worker.
+    /// Cancels the outstanding load orders for a function at a worker. Each of them still ends with an event or a
+    /// timeout.
     pub(super) fn cancel_load(&mut self, worker: WorkerId, function: FunctionId) {
         let wanted =
             |request: &ControlRequest| request.worker == worker && request.function == Some(function);
--- a/crates/engine/src/engine/state.rs
+++ b/crates/engine/src/engine/state.rs
@@ -24,13 +24,13 @@
     pub(super) started: bool,
     /// Whether the client has stopped reading its answer.
     pub(super) slow: bool,
-    /// How the last attempt ended; part of the message if the call fails.
+    /// How the call's last attempt ended; `None` before the first end. Part of the message if the call fails.
     pub(super) last_end: Option<AttemptEnd>,
     /// Whether an attempt ended without proof that it never ran.
     pub(super) may_have_run: bool,
 }
 
-/// An attempt in flight.
+/// An attempt in flight, whose call is open unless the attempt is an orphan.
 pub(super) struct InFlightAttempt {
     pub(super) front_token: u64,
     pub(super) worker: WorkerId,
--- a/crates/engine/src/engine/timers.rs
+++ b/crates/engine/src/engine/timers.rs
@@ -41,7 +41,7 @@
         self.entries.remove(&Entry { at, timer });
     }
 
-    /// Time at which the next timer fires; `None`: there is none.
+    /// Time at which the next timer fires; `None` if no timer is pending.
     pub(super) fn next_at(&self) -> Option<Micros> {
         self.entries.first().map(|entry| entry.at)
     }
--- a/crates/engine/src/events.rs
+++ b/crates/engine/src/events.rs
@@ -17,7 +17,7 @@
     pub class: ClassId,
     /// The tenant that makes the call; `None` where no tenants are configured.
     pub tenant: Option<TenantId>,
-    /// The model's name.
+    /// The name of the model that the call is for.
     pub model: Arc<str>,
     /// The model's version; an empty version leaves the choice to the worker.
     pub version: Arc<str>,
@@ -54,7 +54,7 @@
     pub cell: String,
     /// Whether the worker accepts calls, is draining or is gone.
     pub state: WorkerState,
-    /// When the worker's process started, on the engine's clock; `None`: unknown, or long ago.
+    /// Time at which the worker's process started, on the engine's clock; `None` if it is unknown or long ago.
     pub started_at: Option<Micros>,
 }
 
@@ -70,7 +70,7 @@
     },
     /// A client disconnected; its call is dropped without an answer.
     ClientDisconnected {
-        /// The client's call.
+        /// The call whose client disconnected.
         call: CallId,
     },
     /// Several clients disconnected at the same time. One event reports all of them, so that capacity freed by the
@@ -81,12 +81,12 @@
     },
     /// A client does not read its answer, so the attempt must be paused.
     ClientSlow {
-        /// The client's call.
+        /// The call whose client does not read.
         call: CallId,
     },
     /// A slow client reads its answer again.
     ClientReady {
-        /// The client's call.
+        /// The call whose client reads again.
         call: CallId,
     },
     /// A part of an answer arrived from a worker.
@@ -98,11 +98,11 @@
         /// Whether the worker marked the part as the last.
         last: bool,
     },
-    /// An attempt ended.
+    /// An attempt ended, with or without a response of the worker.
     AttemptEnded {
         /// The attempt that ended.
         attempt: AttemptId,
-        /// How it ended.
+        /// How the attempt ended.
         end: AttemptEnd,
         /// The worker's reports that came with the response.
         report: AttemptReport,
@@ -111,7 +111,7 @@
     LoadEnded {
         /// The id of the load order.
         request_id: ControlRequestId,
-        /// How it ended.
+        /// How the load order ended.
         end: AttemptEnd,
         /// Number of replicas of the model that are loaded at the worker.
         replicas: u32,
@@ -120,14 +120,14 @@
     ProbeEnded {
         /// The id of the health check.
         request_id: ControlRequestId,
-        /// How it ended.
+        /// How the health check ended.
         end: AttemptEnd,
         /// The worker's load report, if the response carried one.
         load_report: Option<Report>,
     },
     /// A tenant was removed. Its open calls get their final answers at once.
     TenantRemoved {
-        /// The removed tenant.
+        /// The tenant that was removed.
         tenant: TenantId,
     },
     /// Nothing but the passage of time. Due timers fire.
@@ -137,17 +137,17 @@
 /// A client that has disconnected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClientDisconnect {
-    /// The client's call.
+    /// The call whose client disconnected.
     pub call: CallId,
     /// Whether the connection can still deliver an answer. If so, the call gets its final answer at once; if not, it
     /// is dropped without one.
     pub expects_answer: bool,
 }
 
-/// What a worker reports about itself when an attempt ends.
+/// A worker's report on the model's replicas and on its load, received with the end of an attempt.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct AttemptReport {
-    /// Whether the worker had a replica of the model loaded.
+    /// Whether the worker had a replica of the model loaded; `None` if it did not report this.
     pub load_note: Option<LoadNote>,
     /// Number of calls of the model that are queued or running at the worker.
     pub queue_depth: Option<u32>,
--- a/crates/engine/src/limits.rs
+++ b/crates/engine/src/limits.rs
@@ -7,7 +7,8 @@
 pub struct EngineLimits {
     /// Maximum number of open calls. Further calls are refused at once.
     pub open_calls: usize,
-    /// Maximum number of models that the engine keeps by name.
+    /// Maximum number of models that the engine keeps by name. If all of them have open calls, a call of another model
+    /// is refused at once.
     pub models: usize,
     /// Microseconds between the final answer and the client's deadline, reserved for the answer's transmission.
     pub answer_margin: Micros,
@@ -24,19 +25,19 @@
 /// Event totals since the engine was created.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct EngineCounters {
-    /// Calls opened.
+    /// Calls passed to [`crate::Engine::open`], including those that were answered at once.
     pub opened: u64,
-    /// Calls served.
+    /// Calls that a worker served.
     pub served: u64,
     /// Calls that a worker rejected as invalid.
     pub rejected: u64,
-    /// Calls refused.
+    /// Calls refused for any [`crate::Refusal`].
     pub refused: u64,
-    /// Calls failed.
+    /// Calls failed for any [`crate::Cause`].
     pub failed: u64,
-    /// Calls whose client disconnected before the final answer.
+    /// Calls closed without a final answer because their client disconnected.
     pub gone: u64,
-    /// Attempts started.
+    /// Attempts started, retries included.
     pub attempts: u64,
     /// Load orders sent.
     pub orders: u64,
--- a/crates/engine/src/measurements.rs
+++ b/crates/engine/src/measurements.rs
@@ -5,7 +5,7 @@
 /// A measurement for metrics, delivered by [`crate::Engine::drain_measurements`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Measurement {
-    /// A call ended.
+    /// A call got its final answer, or its client disconnected.
     CallEnded {
         /// The class of the call.
         class: ClassId,
@@ -13,12 +13,12 @@
         tenant: Option<TenantId>,
         /// The metrics group of the model ([`crate::NewCall::group`]).
         group: u32,
-        /// How the call ended.
+        /// The kind of final answer, or the disconnect.
         outcome: CallOutcome,
-        /// Microseconds from the call's arrival to its end.
+        /// Microseconds from the call's arrival to its end; 0 for a call that could not be opened.
         latency: Micros,
     },
-    /// An attempt started.
+    /// An attempt of a call was started.
     AttemptStarted {
         /// The outcome of the call's previous attempt; `None` for the first attempt.
         after: Option<Outcome>,
--- a/src/decision/replica_loading.rs
+++ b/src/decision/replica_loading.rs
@@ -81,8 +81,8 @@
     }
 
     /// Orders one replica, unless the worker is not in service, orders are not permitted, or a load is
-    /// already pending there. If the ration does not permit the order, the function avoids the worker for a while, as
-    /// after a rejection.
+    /// already pending there. If the ration does not permit the order, the function avoids the worker for a
+    /// while, as after a rejection.
     pub(super) fn order_replica(&mut self, replica: ReplicaKey) {
         let ReplicaKey { worker: worker_id, function: function_id } = replica;
         self.apply_sweep(function_id);
