--- a/crates/administration/src/audit_log_writer.rs
+++ b/crates/administration/src/audit_log_writer.rs
@@ -22,7 +22,7 @@
 const MAX_BATCH_ENTRIES: usize = 512;
 /// Maximum size of the newest entries that stay in memory, in bytes of text.
 const MAX_RECENT_BYTES: usize = 4 << 20;
-/// How long a start waits for the log of earlier incarnations to be read.
+/// Maximum time that a start waits for the log of earlier incarnations to be read.
 const OPEN_TIMEOUT: Duration = Duration::from_secs(2);
 /// Maximum size of a segment in bytes. The log drops whole segments to stay within its size limit.
 const MAX_SEGMENT_BYTES: u64 = 1 << 20;
@@ -100,7 +100,8 @@
 impl AuditLogWriter {
     /// Starts the thread, which opens the log in `folder` and keeps it within `max_bytes`. Also returns the tail of the
     /// log, to which the new incarnation chains its entries; `None` if the log is empty, cannot be opened or was not
-    /// read in time. Both failures are logged.
+    /// read in time. Both failures are logged, and after either of them the thread ends and entries stay in memory
+    /// only.
     ///
     /// # Errors
     /// The thread cannot be started.
@@ -137,7 +138,7 @@
             match self.queue.try_send(batch) {
                 Ok(()) => {}
                 Err(TrySendError::Full(batch)) => return recorder.put_back(batch),
-                // The log could not be opened: its entries can still be collected from memory.
+                // The log could not be opened or was not read in time: entries can still be collected from memory.
                 Err(TrySendError::Disconnected(batch)) => push_recent(&self.recent, batch),
             }
         }
--- a/crates/administration/src/collected_logs.rs
+++ b/crates/administration/src/collected_logs.rs
@@ -137,7 +137,8 @@
         json!(self.logs.iter().map(row).collect::<Vec<_>>())
     }
 
-    /// Up to `limit` entries of a log, starting at index `from`; `None` if there is no log of this owner.
+    /// Up to `limit` entries of a log, starting at index `from`, where 0 is the oldest stored entry. `None` if there is
+    /// no log of this owner.
     pub(crate) fn page(&self, owner: &str, from: usize, limit: usize) -> Option<LogPage<'_>> {
         let all = &self.logs.get(owner)?.entries;
         let entries: Vec<&str> = all.iter().skip(from).take(limit).map(String::as_str).collect();
--- a/crates/administration/src/controller_context.rs
+++ b/crates/administration/src/controller_context.rs
@@ -6,7 +6,7 @@
 
 /// The properties of the controller that starts an administration.
 pub struct ControllerContext {
-    /// The controller's number.
+    /// The number of this controller in the fleet, from 0.
     pub number: u32,
     /// The number of controllers in the fleet.
     pub controllers: u32,
--- a/crates/administration/src/follower/replica.rs
+++ b/crates/administration/src/follower/replica.rs
@@ -33,12 +33,13 @@
 use crate::messages::AdminEvent;
 use crate::snapshot_document::{SharedSnapshot, SnapshotDocument, version_of};
 
-/// How long the next heartbeat is delayed until received changes are in force and durable, so that it can report them.
+/// Maximum delay of the next heartbeat while received changes are not yet in force and durable, so that it can report
+/// them.
 const APPLY_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// The configuration of a follower.
 pub(crate) struct FollowerConfig<'a> {
-    /// The leader's address.
+    /// The address of the leader's API.
     pub(crate) leader: SocketAddr,
     /// The file with the bearer token for the leader and the peers.
     pub(crate) key_file: &'a Path,
@@ -83,7 +84,7 @@
     versions: AppliedVersions,
     audit: AuditDelivery,
     loan_requester: LoanRequester,
-    /// The span of leases, by the leader's last response that contained one.
+    /// The span of the leader's leases, or that it grants none, by its last response with data.
     lease_span: LeaseSpan,
 }
 
@@ -329,7 +330,8 @@
         }
     }
 
-    /// Logs the first of several consecutive failures, and the first success after them.
+    /// Logs the first of several consecutive failures, unless a rejected snapshot was logged already, and the first
+    /// success after them.
     fn log_failures(&self, before: u32, response: &Result<Answer, Http1Error>) {
         match (before, self.replication.failures()) {
             (0, 1) if self.rejected.is_none() => {
--- a/crates/administration/src/follower/responses.rs
+++ b/crates/administration/src/follower/responses.rs
@@ -27,11 +27,11 @@
 /// A reading of the leader's clock, as a response contains it.
 #[derive(Clone, Copy, Deserialize)]
 pub(super) struct LeaderClock {
-    /// The leader's incarnation.
+    /// The incarnation of the leader; its clock starts at zero with each incarnation.
     #[serde(rename = "by")]
     pub(super) incarnation: u64,
     pub(super) at_ms: u64,
-    /// How long the leader held the request before it responded, in milliseconds of its own clock.
+    /// Time for which the leader held the request before it responded, in milliseconds of its own clock.
     #[serde(default)]
     pub(super) held_ms: u64,
 }
--- a/crates/administration/src/follower/snapshot_store.rs
+++ b/crates/administration/src/follower/snapshot_store.rs
@@ -14,7 +14,7 @@
 use crate::persisted_file::PersistedFile;
 use crate::snapshot_document::{SharedSnapshot, SnapshotDocument};
 
-/// How long a start waits for the file to be read.
+/// Maximum time that a start waits for the snapshot file to be read.
 const DISK_TIMEOUT: Duration = Duration::from_secs(1);
 /// Maximum number of tracked writes that are not durable yet; when it is reached, a new write replaces the newest one.
 const MAX_PENDING_WRITES: usize = 64;
--- a/crates/administration/src/keys.rs
+++ b/crates/administration/src/keys.rs
@@ -95,7 +95,7 @@
     a.len() == b.len() && a.bytes().zip(b.bytes()).fold(0, |difference, (x, y)| difference | (x ^ y)) == 0
 }
 
-/// A generated key.
+/// A generated key, of which the holder keeps the token and the settings get the hash.
 #[derive(Clone, Debug)]
 pub struct GeneratedKey {
     /// The token that the key's holder sends: `NAME.SECRET`.
--- a/crates/administration/src/leader/audit_collector.rs
+++ b/crates/administration/src/leader/audit_collector.rs
@@ -81,7 +81,7 @@
         self.logs.append(&controller.to_string(), entries)
     }
 
-    /// The collected logs.
+    /// The logs of all controllers and the administration's own, as far as they are collected.
     pub(super) fn logs(&self) -> &CollectedLogs {
         &self.logs
     }
--- a/crates/administration/src/leader/lease_span.rs
+++ b/crates/administration/src/leader/lease_span.rs
@@ -12,7 +12,7 @@
 use super::store::wall_ms;
 use crate::persisted_file::PersistedFile;
 
-/// How long a start waits for the file to be read, and again for it to be written.
+/// Maximum time that a start waits for the file to be read, and again for it to be written.
 const DISK_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// The spans of leases that apply at a start, in milliseconds.
@@ -26,7 +26,8 @@
 /// The file with the longest span of leases that may still be valid.
 pub(super) struct LeaseSpanFile {
     file: PersistedFile,
-    /// The span to write once the leases of earlier leaders have expired; `None` after it was written.
+    /// The span to write once the leases of earlier leaders have expired, 0 if this leader grants no leases; `None`
+    /// after it was written.
     unwritten: Option<Millis>,
 }
 
--- a/crates/administration/src/leader/membership_service.rs
+++ b/crates/administration/src/leader/membership_service.rs
@@ -181,7 +181,7 @@
         self.membership.lease_holders(now)
     }
 
-    /// How often a heartbeat was rejected because the membership was full of incarnations with leases.
+    /// Number of heartbeats that were rejected because the membership was full of incarnations with leases.
     pub(super) fn rejected(&self) -> u64 {
         self.membership.rejected_heartbeats()
     }
--- a/crates/administration/src/leader/recovery.rs
+++ b/crates/administration/src/leader/recovery.rs
@@ -28,7 +28,7 @@
 /// The source of a reported snapshot version.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ReportSource {
-    /// The controller's number.
+    /// The number of the controller whose snapshot was reported.
     pub(super) controller: u32,
     /// The incarnation that sent the report with a heartbeat; `None` for the response of a polled peer.
     pub(super) incarnation: Option<u64>,
--- a/crates/administration/src/leader/report_check.rs
+++ b/crates/administration/src/leader/report_check.rs
@@ -7,8 +7,8 @@
 use nettleferry_tenancy::Revision;
 use tracing::warn;
 
-/// How far in the future an epoch may be. Epochs are wall-clock times of restores in milliseconds, and the clocks of a
-/// fleet differ by less than this.
+/// Maximum time by which an epoch may be in the future, in milliseconds. Epochs are wall-clock times of restores, and
+/// the clocks of a fleet differ by less than this.
 pub(super) const MAX_EPOCH_LEAD: Millis = 24 * 60 * 60_000;
 /// The highest valid revision, up to which JSON numbers are exact.
 pub(super) const MAX_REVISION: Revision = 1 << 53;
@@ -37,13 +37,13 @@
     /// The revision in force is later than that of the snapshot.
     #[error("more is in force than the snapshot has, which ends with {revision}")]
     InForceAhead {
-        /// The snapshot's revision.
+        /// The revision of the reported snapshot.
         revision: Revision,
     },
     /// The persisted revision is later than that of the snapshot.
     #[error("more is kept than the snapshot has, which ends with {revision}")]
     PersistedAhead {
-        /// The snapshot's revision.
+        /// The revision of the reported snapshot.
         revision: Revision,
     },
     /// The snapshot belongs to another store. The request is still served, but the report has no effect on recovery.
--- a/crates/administration/src/leader/server_loop.rs
+++ b/crates/administration/src/leader/server_loop.rs
@@ -44,9 +44,9 @@
     pub(super) snapshot_writer: SnapshotWriter,
     /// The last revision that was sent to the controller.
     pub(super) sent_revision: Revision,
-    /// When a reading of the leader's clock was last sent to the controller; 0 if never.
+    /// Time on the leader's clock at which a reading of it was last sent to the controller; 0 if never.
     pub(super) clock_sent_at: Millis,
-    /// When loans were last granted to the leader's own controller.
+    /// Time on the leader's clock at which the demands of its own controller were last handled; 0 if never.
     pub(super) own_loans_at: Millis,
     /// Whether the controller was last notified that its snapshot is behind.
     pub(super) own_is_behind: bool,
@@ -225,7 +225,7 @@
     }
 
     /// Collects new audit entries. Also sends the controller a reading of the leader's clock, at most once per
-    /// [`OWN_CLOCK_INTERVAL`].
+    /// [`OWN_CLOCK_INTERVAL`]. Does nothing if audit logs are not collected.
     fn collect_audit_entries(&mut self, now: Millis) {
         let earliest = Instant::now();
         let Some(audit) = &mut self.context.audit else { return };
--- a/crates/administration/src/leader/snapshot_writer.rs
+++ b/crates/administration/src/leader/snapshot_writer.rs
@@ -9,7 +9,7 @@
 use nettleferry_tenant_store::{Origin, Snapshot};
 use tracing::warn;
 
-/// How long after a change the snapshot is written, so that several changes share one write.
+/// Delay from a change until the snapshot is written, so that several changes share one write.
 const MAX_DELAY: Duration = Duration::from_secs(1);
 
 /// Writes the snapshot file, and tracks when it is due.
--- a/crates/administration/src/leader/start.rs
+++ b/crates/administration/src/leader/start.rs
@@ -48,7 +48,7 @@
     pub(crate) listen: SocketAddr,
     /// The tenant store's file.
     pub(crate) store: &'a Path,
-    /// The API's keys.
+    /// The keys with which the API authenticates its callers.
     pub(crate) keys: &'a [AdminKey],
     /// The controllers whose snapshots are requested after a loss.
     pub(crate) peers: &'a [SocketAddr],
@@ -58,7 +58,7 @@
     pub(crate) lease_ms: Option<u64>,
     /// The number of other controllers that must persist a change before it is acknowledged.
     pub(crate) required_copies: usize,
-    /// How limits are divided between controllers.
+    /// The rules by which limits are divided between controllers with loans.
     pub(crate) loans: LoanConfig,
     /// The leader's own controller.
     pub(crate) controller: ControllerContext,
--- a/crates/administration/src/leader/store.rs
+++ b/crates/administration/src/leader/store.rs
@@ -13,7 +13,7 @@
 
 const MICROS_PER_MILLI: u64 = 1_000;
 
-/// How long and how often a start retries while the store's file fails with a transient error.
+/// The retries of a start while the store's file fails with a transient error.
 const OPEN_RETRIES: RetryPolicy =
     RetryPolicy { timeout: Duration::from_secs(5), pause: Duration::from_millis(100) };
 
--- a/crates/administration/src/loan_service.rs
+++ b/crates/administration/src/loan_service.rs
@@ -25,7 +25,8 @@
 /// Counts of outstanding loans, for the fleet status.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct LoanCounts {
-    /// The number of limits with an outstanding loan.
+    /// The number of limits with an outstanding loan, including those whose last loan has ended since
+    /// [`LoanService::remove_unused`] was called.
     pub(crate) limits: usize,
     /// The largest number of incarnations that borrow from the same limit.
     pub(crate) borrowers: usize,
@@ -35,7 +36,7 @@
 pub(crate) struct LoanService {
     config: LoanConfig,
     leader_incarnation: u64,
-    /// The longest deadline of a call.
+    /// The longest deadline of a call, in milliseconds from its arrival.
     max_call_duration: Millis,
     /// The number of the last loan of any limit. Shared by all limits, so that no number is reused after a limit or a
     /// borrower is removed.
--- a/crates/administration/src/messages.rs
+++ b/crates/administration/src/messages.rs
@@ -11,7 +11,7 @@
 
 use crate::snapshot_document::SnapshotDocument;
 
-/// Demands that were measured longer ago than this are reported as zero.
+/// Age from which a measured demand is reported as zero.
 const MAX_DEMAND_AGE: Duration = Duration::from_secs(2);
 
 /// An event that the administration sends to the controller, which must apply events in the order in which they arrive.
@@ -42,7 +42,7 @@
     },
     /// The lease was renewed: the controller may act on all earlier events until the lease expires.
     LeaseRenewed {
-        /// When the lease expires.
+        /// Time on the local clock at which the lease expires.
         until: Instant,
         /// The incarnation's fencing token.
         fencing_token: u64,
@@ -51,7 +51,7 @@
     Fenced,
     /// Loans were granted: shares of limits that the controller may use beyond its reserves.
     LoansGranted {
-        /// When the loans expire.
+        /// Time on the local clock at which the loans expire.
         until: Instant,
         /// The loans, one for each limit.
         loans: Vec<LoanGrant>,
@@ -65,13 +65,13 @@
     pub revision: Revision,
     /// The current usage of each tenant, by uid.
     pub usage: HashMap<Revision, Usage>,
-    /// The connected workers.
+    /// The workers that are connected to the controller.
     pub workers: Vec<Worker>,
     /// Counts of the fleet's incarnations, which the leader updates for the controller's metrics.
     pub fleet: FleetCounts,
     /// The controller's demand for each limit that is divided by loans.
     pub demands: Vec<LimitDemand>,
-    /// When `demands` was measured.
+    /// Time at which `demands` was measured; `None` before the first measurement.
     pub demands_measured_at: Option<Instant>,
 }
 
@@ -87,7 +87,8 @@
 }
 
 impl ControllerStatus {
-    /// The demands. If they were measured too long ago, as in a controller without calls, each demand is zero.
+    /// The demands. If they were measured [`MAX_DEMAND_AGE`] ago or earlier, as in a controller without calls, each
+    /// demand is zero.
     pub(crate) fn recent_demands(&self) -> Vec<LimitDemand> {
         let recent = self.demands_measured_at.is_some_and(|at| at.elapsed() < MAX_DEMAND_AGE);
         let zero_if_outdated =
@@ -99,15 +100,15 @@
 /// A controller's demand for a tenant's limit, as it reports it to the leader.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LimitDemand {
-    /// The tenant's name.
+    /// The name of the tenant whose limit is demanded.
     pub tenant: String,
     /// The tenant's uid, because the name of a removed tenant can be reused.
     pub uid: Revision,
     /// The kind of limit.
     pub kind: LimitKind,
-    /// How much the controller's calls could use in total, in units of the limit.
+    /// Amount that the controller's calls could use in total, in units of the limit.
     pub demand: f64,
-    /// How much its open calls use now; always 0 for a rate.
+    /// Amount that the controller's open calls use now, in units of the limit; always 0 for a rate.
     pub in_use: f64,
     /// The number of the loan that the controller's thread applies; 0 if there is none.
     #[serde(rename = "acts_on")]
@@ -120,15 +121,15 @@
 /// A loan: the share of a tenant's limit that a controller may use beyond its reserve.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LoanGrant {
-    /// The tenant's uid.
+    /// The uid of the tenant whose limit is lent.
     pub uid: Revision,
     /// The kind of limit.
     pub kind: LimitKind,
     /// The whole limit of which this is a share. If the limit changes, the loan is void.
     pub limit: f64,
-    /// The loan's number; later loans have higher ones.
+    /// The loan's number; later loans of the same leader incarnation have higher ones.
     pub number: u64,
-    /// The incarnation of the leader that granted it.
+    /// The incarnation of the leader that granted the loan.
     #[serde(rename = "by")]
     pub leader_incarnation: u64,
     /// The size of the share, in units of the limit.
--- a/crates/administration/src/peer_client.rs
+++ b/crates/administration/src/peer_client.rs
@@ -11,7 +11,7 @@
 
 use crate::snapshot_document::SnapshotDocument;
 
-/// How long a peer has to respond to a request.
+/// Maximum time from a request until a peer's response.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
 /// Maximum number of queued responses, because a peer's snapshot may be large. The poller's thread waits when it is
 /// reached.
--- a/crates/administration/src/pending_changes.rs
+++ b/crates/administration/src/pending_changes.rs
@@ -33,10 +33,10 @@
 /// A committed change whose response waits.
 struct PendingChange {
     change: CommittedChange,
-    /// When the response is sent with the state reached so far.
+    /// Latest time of the response, which then reports the state reached so far.
     deadline: Millis,
-    /// Whether another snapshot was found to be later since the commit. Recovery may then discard the change, so it
-    /// must not be acknowledged.
+    /// Whether the snapshot that includes the change has ceased to be authoritative since the commit. Recovery may then
+    /// discard the change, so it must not be acknowledged.
     is_undecided: bool,
 }
 
@@ -49,7 +49,7 @@
 
 /// The state of the fleet, from which the progress of a change is derived.
 pub(crate) struct FleetState<'a> {
-    /// The leader's membership.
+    /// The leader's record of the incarnations, with their leases and versions.
     pub(crate) membership: &'a Membership,
     /// The version that the leader's own controller has in force.
     pub(crate) own_in_force: Version,
