--- a/crates/administration/src/follower/peer_bootstrap.rs
+++ b/crates/administration/src/follower/peer_bootstrap.rs
@@ -21,7 +21,8 @@
 pub(super) enum BootstrapStep {
     /// The next step is due at this time.
     WaitUntil(Millis),
-    /// A peer was requested, or the peers' snapshots are in conflict; the next step is due now.
+    /// A peer was requested, or the peers' snapshots are in conflict, or the chosen snapshot is missing; the next step
+    /// is due now.
     Continue,
     /// The caller must install this snapshot.
     Install(SnapshotDocument),
@@ -31,7 +32,7 @@
 pub(super) struct PeerBootstrap {
     client: PeerClient,
     decisions: Bootstrap,
-    /// The snapshots that peers have sent in the current round.
+    /// The snapshots that peers have sent since one was last taken for installation, oldest first.
     offers: Vec<Offer>,
 }
 
@@ -76,7 +77,7 @@
         self.decisions.peer_responded(peer, response);
     }
 
-    /// Returns the last snapshot that a peer has sent in this round, and drops all others.
+    /// Returns the last snapshot that a peer has sent, and drops all others.
     fn take_offer(&mut self, peer: usize) -> Option<SnapshotDocument> {
         let offers = std::mem::take(&mut self.offers);
         let document = offers.into_iter().rev().find(|offer| offer.peer == peer)?.document;
--- a/crates/administration/src/pending_changes.rs
+++ b/crates/administration/src/pending_changes.rs
@@ -26,7 +26,8 @@
     pub(crate) response: Response,
     /// The first snapshot version that includes the change.
     pub(crate) version: Version,
-    /// Whether the change takes something away from a tenant. Its response then waits until it is in force everywhere.
+    /// Whether the change takes something away from a tenant. Its response then waits until it is in force everywhere,
+    /// for at most [`MAX_WAIT`].
     pub(crate) restricts: bool,
 }
 
