--- a/crates/node/src/class.rs
+++ b/crates/node/src/class.rs
@@ -10,7 +10,8 @@
 pub(crate) struct ClassInfo {
     pub(crate) name: Arc<str>,
     pub(crate) effect: Effect,
-    /// How long invokers drop duplicates of a call; `None` if calls of this class carry no idempotency key.
+    /// Time for which invokers drop duplicates of a call; `None` if calls of this class carry no idempotency
+    /// key.
     pub(crate) window: Option<Duration>,
 }
 
--- a/crates/node/src/directory.rs
+++ b/crates/node/src/directory.rs
@@ -16,24 +16,26 @@
     QUERY_TIMEOUT, REMEMBERED_QUERIES,
 };
 
-/// Maximum number of datagrams received from a socket per iteration, so that a flood of them does not block the event loop.
+/// Maximum number of datagrams received from a socket per iteration, so that a flood of them does not block
+/// the event loop.
 const DATAGRAMS_PER_ITERATION: usize = 16;
 
-/// A socket connected to one address of the directory, and the queries whose responses may still arrive on it.
+/// A socket connected to one address of the directory, and the queries whose responses may still arrive on
+/// it.
 struct ResolverSocket {
     socket: UdpSocket,
-    /// Ids of the queries, the latest last.
+    /// Ids of the last [`REMEMBERED_QUERIES`] queries that have no response, the latest last.
     queries: VecDeque<u16>,
 }
 
 /// The socket to the directory's previous address, which stays open for a limited time.
 struct OldResolver {
     socket: ResolverSocket,
-    /// When the socket is closed.
+    /// The socket is closed at this time: [`OLD_RESOLVER_GRACE`] after the address changed.
     until: Instant,
 }
 
-/// When the last two lists were received, including lists that did not change.
+/// Times at which the last two lists were received, including lists that did not change.
 #[derive(Default)]
 struct ReceivedLists {
     latest: Option<Instant>,
@@ -99,18 +101,19 @@
 /// Polls the directory and keeps track of the age and serial of the list.
 pub struct DiscoveryClient {
     socket: Option<ResolverSocket>,
-    /// The socket to the directory's previous address, whose responses are accepted for [`OLD_RESOLVER_GRACE`].
+    /// The socket to the directory's previous address, whose responses are accepted for
+    /// [`OLD_RESOLVER_GRACE`].
     old: Option<OldResolver>,
     resolver: SocketAddr,
     token: Token,
-    /// When the latest query times out; `None` once it was answered or has timed out.
+    /// Timeout of the latest query; `None` once the query was answered or has timed out.
     times_out_at: Option<Instant>,
     next_query_at: Instant,
     serial: u32,
     received: ReceivedLists,
     /// Consecutive queries that could not be sent.
     unsent: u32,
-    /// When this client was created.
+    /// Creation of this client, from which the age of the initial list counts.
     began: Instant,
     /// The list is older than [`OLD_LIST_AGE`], and this was logged.
     is_old: bool,
@@ -139,8 +142,8 @@
         }
     }
 
-    /// Changes the directory's address. Serials continue: lists from the new address are compared with those from the old
-    /// one. Responses from the old address are accepted for [`OLD_RESOLVER_GRACE`].
+    /// Changes the directory's address. Serials continue: lists from the new address are compared with those
+    /// from the old one. Responses from the old address are accepted for [`OLD_RESOLVER_GRACE`].
     pub fn set_resolver(&mut self, registry: &Registry, resolver: SocketAddr) {
         info!(%resolver, "directory address changed");
         if let Some(old) = self.old.take() {
@@ -158,13 +161,15 @@
         self.next_query_at = Instant::now();
     }
 
-    /// When [`DiscoveryClient::query_if_due`] must be called next.
+    /// Returns when [`DiscoveryClient::query_if_due`] must be called next. That is now if datagrams may be
+    /// left to receive.
     pub fn due(&self) -> Instant {
         let due = self.times_out_at.unwrap_or(self.next_query_at);
         if self.has_more { Instant::now() } else { due }
     }
 
-    /// Sends a query if one is due, and counts the previous one as lost if it has timed out.
+    /// Sends a query if one is due, and counts the previous one as lost if it has timed out. Also closes the
+    /// socket to the previous address once [`OLD_RESOLVER_GRACE`] is over.
     pub fn query_if_due(&mut self, registry: &Registry, counters: &mut Counters) {
         let now = Instant::now();
         self.close_old_socket(registry, now);
@@ -203,8 +208,8 @@
         }
     }
 
-    /// Counts a query that could not be sent. After several in a row the socket is replaced, but not earlier: responses may
-    /// still wait in it.
+    /// Counts a query that could not be sent. After several in a row the socket is replaced, but not earlier:
+    /// responses may still wait in it.
     fn count_unsent(&mut self, registry: &Registry) {
         self.unsent += 1;
         if self.unsent >= MAX_UNSENT_QUERIES
@@ -230,17 +235,19 @@
         Ok(())
     }
 
-    /// When the list before the latest one was received.
+    /// Returns when the list before the latest one was received; `None` before the second list.
     pub fn previous_list(&self) -> Option<Instant> {
         self.received.previous
     }
 
-    /// How long ago a response confirmed or changed the list.
+    /// Returns the time since a response last confirmed or changed the list, or since this client was created
+    /// if none has.
     pub fn list_age(&self, now: Instant) -> Duration {
         now.saturating_duration_since(self.received.latest.unwrap_or(self.began))
     }
 
-    /// Logs and counts when the list becomes old. [`DiscoveryClient::receive`] logs the response that ends this state.
+    /// Logs and counts when the list becomes old. [`DiscoveryClient::receive`] logs the response that ends
+    /// this state.
     pub fn check_list_age(&mut self, now: Instant, counters: &mut Counters) {
         let age = self.list_age(now);
         if age < OLD_LIST_AGE || self.is_old {
@@ -256,7 +263,8 @@
         self.has_more
     }
 
-    /// Receives the datagrams that have arrived. Returns the newest list among them if it is newer than the current one.
+    /// Receives the datagrams that have arrived. Returns the newest list among them if it is newer than the
+    /// current one.
     pub fn receive(&mut self, counters: &mut Counters) -> Option<List> {
         let mut all = Vec::new();
         self.has_more = false;
@@ -268,7 +276,8 @@
             self.has_more |= receive_from(socket, &mut self.buffer, |received| {
                 answered |= received.newest;
                 if received.newest && matches!(received.answer, Answer::Unusable) {
-                    // Query again soon, but after a delay, so that invalid responses don't cause a flood of queries.
+                    // Query again soon, but after a delay, so that invalid responses don't cause a flood of
+                    // queries.
                     self.next_query_at = self.next_query_at.min(Instant::now() + QUERY_RETRY_DELAY);
                 }
                 all.push(received);
--- a/crates/node/src/front.rs
+++ b/crates/node/src/front.rs
@@ -1,7 +1,7 @@
 //! Client connections: reads frames, writes answers, and maps each stream to its open call.
 //!
-//! Invalid input is answered with an error, or its connection is closed. Valid requests are passed on without any decision
-//! about them.
+//! Invalid input is answered with an error, or its connection is closed. Valid requests are passed on without
+//! any decision about them.
 //!
 //! * `input`: handles frames from clients.
 //! * `validation`: validates and registers requests.
@@ -40,7 +40,8 @@
 pub struct Front {
     classes: BTreeMap<String, ClassId>,
     tenants: BTreeMap<String, TenantId>,
-    /// Deadlines of the classes, milliseconds. The time to live of a request is limited to the deadline of its class.
+    /// Deadlines of the classes, milliseconds. The time to live of a request is limited to the deadline of
+    /// its class.
     deadlines: Vec<f64>,
     bounds: Bounds,
     /// Idle timeout of connections without open requests: [`CLIENT_IDLE`], except in tests.
@@ -93,7 +94,8 @@
         self.clients.len()
     }
 
-    /// Handles a new client connection. At the limits it evicts another one, or is closed itself.
+    /// Handles a new client connection. From [`Bounds::idle_clients`] on it evicts another one if possible.
+    /// At [`Bounds::clients`] it is closed itself if no other connection can be evicted.
     pub fn accepted(&mut self, tcp: &mut Tcp, key: TcpKey, counters: &mut Counters) {
         let now = Instant::now();
         let full = self.clients.len() >= self.bounds.clients;
@@ -115,12 +117,13 @@
         tcp.alarm(key, Some(now + FIRST_FRAME_TIMEOUT));
     }
 
-    /// Whether a client still waits for this request. A cancellation may arrive together with the request.
+    /// Whether a client still waits for this request. A request may be cancelled before it is opened at the
+    /// engine.
     pub fn is_waiting(&self, token: RequestToken) -> bool {
         self.calls.contains_key(&token)
     }
 
-    /// Limits the deadline of a request that is about to be opened.
+    /// Limits the deadline of a request that is about to be opened to at most `deadline`.
     pub fn limit_deadline(&mut self, token: RequestToken, deadline: Instant) {
         if let Some(call) = self.calls.get_mut(&token) {
             call.deadline = call.deadline.min(deadline);
@@ -235,8 +238,9 @@
     }
 }
 
-/// Whether the output buffer of a connection has room for an answer of `bytes`, and for a short answer to every other
-/// request that may be open on it. Without that room the answer would end the connection and all requests on it.
+/// Whether the output buffer of a connection has room for an answer of `bytes`, and for a short answer to
+/// every other request that may be open on it. Without that room the answer would end the connection and all
+/// requests on it.
 fn has_output_room(tcp: &mut Tcp, key: TcpKey, bytes: usize) -> bool {
     let wanted = bytes + STREAMS_PER_CLIENT * SHORT_ANSWER_BYTES;
     let fits = |tcp: &Tcp| tcp.send_capacity(key).is_none_or(|room| wanted <= room);
--- a/crates/node/src/front/call.rs
+++ b/crates/node/src/front/call.rs
@@ -11,7 +11,8 @@
 use crate::attempt_history::AttemptHistory;
 use crate::reasons::RetryReason;
 
-/// Identifies an open request, uniquely within one run of the process. The engine returns it with the final answer.
+/// Identifies an open request, uniquely within one run of the process. The engine returns it with the final
+/// answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestToken(pub u64);
 
@@ -19,9 +20,9 @@
 pub struct IncomingRequest {
     /// The token of the request.
     pub token: RequestToken,
-    /// The class.
+    /// The class, by its position in the settings.
     pub class: ClassId,
-    /// The function.
+    /// Name of the function to run.
     pub function: Arc<str>,
     /// The tenant, if the request states one and the settings have tenants.
     pub tenant: Option<TenantId>,
@@ -31,19 +32,20 @@
     pub cost_hint: Option<u64>,
     /// The earliest time at which the last byte of the request may have arrived.
     pub arrived: Instant,
-    /// Time from arrival until the client stops waiting, microseconds.
+    /// Time from arrival until the client stops waiting, at most the deadline of the class, microseconds.
     pub time_left: u64,
-    /// Number of requests that one replica runs at the same time.
+    /// Number of requests that one replica of the function runs at the same time; 1 if the request states
+    /// none.
     pub lanes: u32,
     /// Expected time to load the function, microseconds.
     pub load_time: Option<u64>,
-    /// The body.
+    /// Body of the request, which is forwarded unchanged.
     pub body: Bytes,
 }
 
-/// An event from a client.
+/// An event from a client that the node passes to the engine.
 pub enum ClientEvent {
-    /// A request arrived.
+    /// A valid request arrived.
     Request(IncomingRequest),
     /// A client cancelled its request or disconnected.
     Disconnected(ClientDisconnect),
@@ -56,7 +58,7 @@
     }
 }
 
-/// Where and when a request arrived.
+/// The connection and stream of a request, and the time of its arrival.
 #[derive(Clone, Copy)]
 pub(super) struct RequestOrigin {
     pub(super) connection: TcpKey,
@@ -76,16 +78,17 @@
     pub(super) engine_id: Option<CallId>,
     /// The request's id as the client stated it.
     pub call_id: Arc<str>,
-    /// The class.
+    /// The class, by its position in the settings.
     pub class: ClassId,
-    /// The function.
+    /// Name of the function to run.
     pub function: Arc<str>,
     /// The idempotency key, if the client stated one.
     pub key: Option<Arc<str>>,
-    /// When the client stops waiting. During shutdown it is no later than the time by which this process must answer.
+    /// Time at which the client stops waiting; during shutdown at most the time by which this process must
+    /// answer.
     pub deadline: Instant,
-    /// The history of its attempts.
+    /// The attempts of the request so far.
     pub attempts: AttemptHistory,
-    /// How the last attempt ended; `None` before that.
+    /// The end of the last attempt that has ended; `None` before the first end.
     pub last_end: Option<RetryReason>,
 }
--- a/crates/node/src/front/client.rs
+++ b/crates/node/src/front/client.rs
@@ -24,9 +24,11 @@
     pub(super) closing: bool,
     /// The client has ended its side: requests that are still read are answered and not forwarded.
     pub(super) disconnecting: bool,
-    /// When the first byte of the incomplete frame in the input was read; `None` if there is none.
+    /// Time at which the first byte of the incomplete frame in the input was read; `None` without an
+    /// incomplete frame.
     pub(super) frame_began: Option<Instant>,
-    /// When the last complete frame was read or the last answer was sent.
+    /// Time at which the connection was accepted, the last complete frame was read or the last final answer
+    /// was sent, whichever is latest.
     pub(super) idle_since: Instant,
     /// The client was asked to open no new requests.
     pub(super) go_away_sent: bool,
@@ -50,7 +52,8 @@
         }
     }
 
-    /// Returns the connection's place in the order of eviction. It applies only while no request is open on it.
+    /// Returns the connection's place in the order of eviction. It applies only while no request is open on
+    /// it.
     pub(super) fn eviction_rank(&self, now: Instant) -> EvictionRank {
         let (order, since) = match self.frame_began {
             Some(began) if now >= began + STALLED_FRAME => (EvictionOrder::StalledFrame, began),
@@ -74,8 +77,9 @@
     Idle,
     /// A frame has been incomplete for [`STALLED_FRAME`].
     StalledFrame,
-    /// The connection was accepted less than [`FIRST_BYTES_GRACE`] ago, and its first request is still expected. It comes
-    /// late in the order so that in a burst of connections a new one does not evict the one before it.
+    /// The connection was accepted less than [`FIRST_BYTES_GRACE`] ago, and its first request is still
+    /// expected. It comes late in the order so that in a burst of connections a new one does not evict the
+    /// one before it.
     New,
     /// A frame is being received.
     WithinFrame,
--- a/crates/node/src/front/closing.rs
+++ b/crates/node/src/front/closing.rs
@@ -23,7 +23,8 @@
         }
     }
 
-    /// Reports a fault on stream 0 and closes the connection after its open requests have got their final answers.
+    /// Reports a fault on stream 0 and closes the connection after its open requests have got their final
+    /// answers.
     pub(super) fn close_for_fault(&mut self, context: &mut FrontContext, key: TcpKey, fault: &str) {
         context.counters.closed_for_faults += 1;
         debug!(conn = ?key, fault, "client connection closed for a fault");
@@ -31,9 +32,9 @@
         self.close_after_answers(context, key, CloseReason::Faults);
     }
 
-    /// Closes a connection after its last answer and reads nothing more from it. The client can't cancel its open requests
-    /// any more and has most likely disconnected, so they get their final answers at once and are not forwarded. An early
-    /// answer is always correct.
+    /// Closes a connection after its last answer and reads nothing more from it. The client can't cancel its
+    /// open requests any more and has most likely disconnected, so they get their final answers at once and
+    /// are not forwarded. An early answer is always correct.
     pub fn close_after_answers(&mut self, context: &mut FrontContext, key: TcpKey, reason: CloseReason) {
         let Some(client) = self.clients.get_mut(&key) else { return };
         if !client.closing {
@@ -118,8 +119,8 @@
         tcp.alarm(key, [frame, first, idle].into_iter().flatten().min());
     }
 
-    /// Handles a connection's alarm. Input reported by the poll has been read before; input that has arrived since is found
-    /// by a last check before the connection is closed.
+    /// Handles a connection's alarm. Input reported by the poll has been read before; input that has arrived
+    /// since is found by a last check before the connection is closed.
     pub fn alarm_due(&mut self, context: &mut FrontContext, key: TcpKey) {
         let Some(client) = self.clients.get(&key).filter(|c| !c.closing) else { return };
         let now = Instant::now();
@@ -142,7 +143,8 @@
         }
     }
 
-    /// Asks clients to open no new requests on the existing connections. Requests that still arrive are served.
+    /// Asks clients to open no new requests on the existing connections. Requests that still arrive are
+    /// served.
     pub fn announce_shutdown(&mut self, tcp: &mut Tcp) {
         self.draining = true;
         for key in self.clients.keys().copied().collect::<Vec<_>>() {
--- a/crates/node/src/front/context.rs
+++ b/crates/node/src/front/context.rs
@@ -11,6 +11,6 @@
     pub tcp: &'a mut Tcp,
     /// Receives the events from clients.
     pub events: &'a mut Vec<ClientEvent>,
-    /// The node's counters.
+    /// The counters of the node, for limits, faults and reasons.
     pub counters: &'a mut Counters,
 }
--- a/crates/node/src/front/eviction.rs
+++ b/crates/node/src/front/eviction.rs
@@ -19,9 +19,10 @@
 }
 
 impl Front {
-    /// Returns the connection to evict, among those whose state is no later than `last` in [`EvictionOrder`]. Excluded are
-    /// connections with open requests or unsent answers, and those on which input has arrived, as its client would see the
-    /// connection reset.
+    /// Returns the connection to evict, among those whose state is no later than `last` in [`EvictionOrder`].
+    /// `None` if none of the first [`EVICTION_CANDIDATES`] may be evicted. Excluded are connections with open
+    /// requests or unsent answers, and those with input that is not handled yet, as their clients would see a
+    /// reset. An incomplete frame that was read earlier does not protect its connection.
     pub(super) fn eviction_candidate(&self, tcp: &mut Tcp, last: EvictionOrder) -> Option<TcpKey> {
         let now = Instant::now();
         let unused = self.clients.iter().filter(|(_, client)| client.streams.is_empty() && !client.closing);
@@ -31,7 +32,8 @@
             .collect();
         candidates.sort_unstable();
         let mut examined = candidates.into_iter().take(EVICTION_CANDIDATES);
-        // Input that is buffered and not yet handled counts as unread.
+        // Buffered input that is not handled yet counts as unread, unless it is the incomplete frame of this
+        // state.
         examined
             .find(|Candidate { rank, key }| {
                 let within_frame =
--- a/crates/node/src/front/input.rs
+++ b/crates/node/src/front/input.rs
@@ -14,7 +14,8 @@
 impl Front {
     /// Reads and handles the input of a client connection.
     pub fn data(&mut self, context: &mut FrontContext, key: TcpKey) {
-        // The client may have ended its side after more input than one iteration reads. It has disconnected in any case.
+        // The client may have ended its side after more input than one iteration reads. It has disconnected
+        // in any case.
         if context.tcp.is_read_closed(key) {
             self.client_disconnecting(context, key);
         }
--- a/crates/node/src/front/validation.rs
+++ b/crates/node/src/front/validation.rs
@@ -37,8 +37,8 @@
 }
 
 impl RequestRejected {
-    /// The code of the answer. A duplicate id is not refused: the first request with that id may run, and a refusal would
-    /// state that a retry is harmless.
+    /// The code of the answer. A duplicate id is not refused: the first request with that id may run, and a
+    /// refusal would state that a retry is harmless.
     pub(super) fn code(&self) -> Code {
         match self {
             Self::TooManyBytes => Code::Refused,
@@ -88,8 +88,9 @@
         if !is_plain(request.class) || !request.idempotency_key.is_none_or(is_plain) {
             return Err(RequestRejected::NotForwardable);
         }
-        // A client counts its time by its own clock, and may state slightly more than the deadline of its class. Rejecting
-        // such requests failed them without an attempt, and nine in a row closed a connection shared with others.
+        // A client counts its time by its own clock, and may state slightly more than the deadline of its
+        // class. Rejecting such requests failed them without an attempt, and nine in a row closed a
+        // connection shared with others.
         let deadline = self.deadlines.get(class.0).copied().unwrap_or(0.0);
         if request.timeout_ms > deadline * MAX_TTL_FACTOR {
             return Err(RequestRejected::TtlTooLong);
@@ -106,7 +107,8 @@
         Ok(ValidRequest { class, tenant, id, ttl_ms: request.timeout_ms.min(deadline) })
     }
 
-    /// Returns the tenant of a request, if the settings have tenants. A tenant that they don't name is rejected.
+    /// Returns the tenant of a request, if the settings have tenants. A tenant that they don't name is
+    /// rejected.
     fn tenant_of(&self, request: &Request) -> Result<Option<TenantId>, RequestRejected> {
         let Some(org) = request.tenant.filter(|_| !self.tenants.is_empty()) else { return Ok(None) };
         let tenant = self.tenants.get(org).copied();
@@ -172,8 +174,8 @@
     }
 }
 
-/// Whether a text can be forwarded as a field value. One that contains a field separator would be parsed as other fields,
-/// for which invokers close the connection.
+/// Whether a text can be forwarded as a field value. One that contains a field separator would be parsed as
+/// other fields, for which invokers close the connection.
 fn is_plain(text: &str) -> bool {
     !text.contains([',', '='])
 }
--- a/crates/node/src/guard.rs
+++ b/crates/node/src/guard.rs
@@ -1,8 +1,10 @@
-//! The platform's rules as invariants, checked at run time where each could be broken: when a request is sent, retried or
-//! answered, when a client connection is closed, and when the process ends.
+//! The platform's rules as invariants, checked at run time where each could be broken: when a request is
+//! sent, retried or answered, when a client connection is closed, and when the process ends.
 //!
-//! The checks make no decisions; they only fail if a decision made elsewhere is wrong. An action that would break an
-//! invariant is not taken; it is counted by its kind and logged with the id of the request or connection.
+//! The checks make no decisions; they only fail if a decision made elsewhere is wrong. An action that would
+//! break an invariant is not taken; it is counted by its kind and logged with the id of the request or
+//! connection. There are two exceptions: a refusal is sent as a failure instead, and the end of the process
+//! is only reported.
 
 use std::fmt;
 use std::time::{Duration, Instant};
@@ -23,9 +25,11 @@
     OverlappingAttempt,
     /// A request that may have run, and must not run twice, was about to be retried.
     RetryAfterEffect,
-    /// A request with an idempotency key was about to be retried after the span in which duplicates are dropped.
+    /// A request with an idempotency key was about to be retried after the span in which duplicates are
+    /// dropped.
     RetryAfterWindow,
-    /// A request that may have run, and must not run twice, was about to be refused, which states that a retry is harmless.
+    /// A request that may have run, and must not run twice, was about to be refused, which states that a
+    /// retry is harmless.
     RefusedAfterEffect,
     /// An answer was about to be given to a request that is not open.
     AnswerWithoutRequest,
@@ -38,7 +42,7 @@
 }
 
 impl Violation {
-    /// All kinds, in the order of [`Violations`].
+    /// All kinds, in the order of the counters in [`Violations`].
     pub const ALL: [Self; 11] = [
         Self::SendAfterClientLeft,
         Self::SendAfterDeadline,
@@ -123,9 +127,10 @@
     pub awaited: bool,
     /// The worker is in service.
     pub in_service: bool,
-    /// When the client stops waiting.
+    /// Deadline of the request, at which its client stops waiting.
     pub deadline: Instant,
-    /// For a retry of a request that may have run: until when invokers drop duplicates, if they do so for a limited time.
+    /// For a retry of a request that may have run: until when invokers drop duplicates, if they do so for a
+    /// limited time.
     pub send_by: Option<Instant>,
 }
 
@@ -165,8 +170,8 @@
     if may_have_run && !harmless { Err(Violation::RefusedAfterEffect) } else { Ok(()) }
 }
 
-/// Checks that a client connection may be closed. `open`: requests open on it; `unsent`: bytes queued but not yet written
-/// to the socket.
+/// Checks that a client connection may be closed. `open`: requests open on it; `unsent`: bytes queued but not
+/// yet written to the socket.
 ///
 /// # Errors
 ///
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,7 +1,7 @@
 //! The controller process for the users' platform: what `run` in `deploy/balancer.toml` starts.
 //!
-//! Built on `platform` (wire formats), `net` (TCP) and `engine` (scheduling decisions). HTTP/2 and administration are
-//! handled by other crates. A node runs on a single thread with a single poll.
+//! Built on `platform` (wire formats), `net` (TCP) and `engine` (scheduling decisions). HTTP/2 and
+//! administration are handled by other crates. A node runs on a single thread with a single poll.
 //!
 //! * [`node`]: the event loop.
 //! * [`front`]: client connections and requests.
--- a/crates/node/src/limits.rs
+++ b/crates/node/src/limits.rs
@@ -7,56 +7,63 @@
 use crate::guard::Violations;
 use crate::reasons::Reasons;
 
-/// A client connection is closed if no usable frame arrives on it within this time after it was accepted. The platform
-/// requires an answer or a close within 3 s.
+/// A client connection is closed if no usable frame arrives on it within this time after it was accepted. The
+/// platform requires an answer or a close within 3 s.
 pub const FIRST_FRAME_TIMEOUT: Duration = Duration::from_millis(2_000);
 /// A frame must be complete within this time after its first byte.
 pub const FRAME_TIMEOUT: Duration = Duration::from_millis(2_000);
-/// A client connection without open requests is closed after this time. Clients close idle connections after 4 s.
+/// A client connection without open requests is closed after this time. Clients close idle connections after
+/// 4 s.
 pub const CLIENT_IDLE: Duration = Duration::from_millis(6_000);
-/// Delay before a connection that was about to be closed is checked again, if input was found on it at the last moment.
+/// Delay before a connection that was about to be closed is checked again, if input was found on it at the
+/// last moment.
 pub const RECHECK_DELAY: Duration = Duration::from_millis(20);
-/// A client sends its request as soon as its connection is established, for which the platform allows this time. A
-/// connection that has sent nothing by then is evicted first. A newer one is evicted only after all idle ones.
+/// A client sends its request as soon as its connection is established, for which the platform allows this
+/// time. A connection without a usable frame by then is evicted first. A newer one is evicted only after all
+/// idle ones and those with a stalled frame.
 pub const FIRST_BYTES_GRACE: Duration = Duration::from_millis(250);
-/// Clients write a frame in one piece. A connection whose frame is still incomplete after this time is evicted before
-/// connections that were just accepted.
+/// Clients write a frame in one piece. A connection whose frame is still incomplete after this time is
+/// evicted before connections that were just accepted.
 pub const STALLED_FRAME: Duration = Duration::from_millis(500);
 /// Maximum number of connections examined per search for one to evict.
 pub const EVICTION_CANDIDATES: usize = 8;
 /// Maximum number of requests open at the same time on a client connection, as the platform defines it.
 pub const STREAMS_PER_CLIENT: usize = 32;
-/// Unusable requests and frames that are allowed in a row on one connection; one more closes it. A usable request resets
-/// the count: a proxy's connection carries the requests of many clients, and others may wait there for their answers.
+/// Unusable requests and frames that are allowed in a row on one connection; one more closes it. A usable
+/// request resets the count: a proxy's connection carries the requests of many clients, and others may wait
+/// there for their answers.
 pub const CONSECUTIVE_FAULTS: u32 = 8;
-/// A request may state a time to live of up to this multiple of its class's deadline, and gets the deadline. Clients may
-/// exceed the deadline somewhat as they count by their own clock; a larger value shows that the client does not know the
-/// class.
+/// A request may state a time to live of up to this multiple of its class's deadline, and gets the deadline.
+/// Clients may exceed the deadline somewhat as they count by their own clock; a larger value shows that the
+/// client does not know the class.
 pub const MAX_TTL_FACTOR: f64 = 10.0;
 /// Upper bound on the bytes of an answer that carries no response body of an invoker.
 pub const SHORT_ANSWER_BYTES: usize = 256;
-/// File descriptors that neither client nor invoker connections may use. They are needed for [`ACCEPTS_PER_ITERATION`]
-/// connections accepted over the limit until others are evicted; standard input, output and error; the poll; the listener;
-/// two for signals; the sockets to the directory's current and previous address; the configuration file while it is read;
-/// and descriptors that the C library opens.
+/// File descriptors that neither client nor invoker connections may use. They are needed for
+/// [`ACCEPTS_PER_ITERATION`] connections accepted over the limit until others are evicted; standard input,
+/// output and error; the poll; the listener; two for signals; the sockets to the directory's current and
+/// previous address; the configuration file while it is read; and descriptors that the C library opens.
 pub const RESERVED_DESCRIPTORS: usize = 24;
-/// Maximum number of connections accepted per iteration. They may exceed the client limit until the front has evicted
-/// others, which it does before the next iteration.
+/// Maximum number of connections accepted per iteration. They may exceed the client limit until the front has
+/// evicted others, which it does before the next iteration.
 pub const ACCEPTS_PER_ITERATION: usize = 8;
-/// Maximum number of requests opened per iteration. The others wait until the sockets have been read again, which bounds
-/// the delay of client disconnects and of answers that are due.
+/// Maximum number of requests opened per iteration. The others wait until the sockets have been read again,
+/// which bounds the delay of client disconnects and of answers that are due.
 pub const OPENS_PER_ITERATION: usize = 64;
-/// Maximum wait of a poll. If the process is not scheduled while it waits, it may read input this much later than it
-/// arrived; the platform allows this much slack on every time.
+/// Maximum wait of a poll. If the process is not scheduled while it waits, it may read input this much later
+/// than it arrived; the platform allows this much slack on every time.
 pub const MAX_POLL_WAIT: Duration = Duration::from_millis(50);
-/// A response of an invoker must be complete within this time after its first byte: invokers write it in one piece.
+/// A response of an invoker must be complete within this time after its first byte: invokers write it in one
+/// piece.
 pub const RESPONSE_TIMEOUT: Duration = Duration::from_millis(500);
-/// After SIGTERM the node continues for at least this time, and for at least this time after the last client activity.
+/// After SIGTERM the node continues for at least this time, and for at least this time after the last client
+/// activity.
 pub const SHUTDOWN_QUIET_SPAN: Duration = Duration::from_millis(1_500);
-/// The platform kills a controller no sooner after SIGTERM than the longest deadline plus [`KILL_GRACE`]. It counts a
-/// longer deadline as this value.
+/// The platform kills a controller no sooner after SIGTERM than the longest deadline plus [`KILL_GRACE`]. It
+/// counts a longer deadline as this value.
 pub const LONGEST_COUNTED_DEADLINE: Duration = Duration::from_millis(3_000);
-/// A request that arrives later than this after SIGTERM must be answered before the platform kills the process.
+/// A request that arrives later than this after SIGTERM must be answered before the platform kills the
+/// process.
 pub const KILL_GRACE: Duration = Duration::from_millis(700);
 /// Upper bound on the transit time of an answer to the client.
 pub const ANSWER_TRANSIT: Duration = Duration::from_millis(100);
@@ -64,27 +71,32 @@
 pub const QUERY_RETRY_DELAY: Duration = Duration::from_millis(50);
 /// Consecutive directory queries that could not be sent after which the socket is replaced.
 pub const MAX_UNSENT_QUERIES: u32 = 4;
-/// Number of recent queries whose responses are still accepted, so that a directory that always responds late is used.
+/// Number of recent queries whose responses are still accepted, so that a directory that always responds late
+/// is used.
 pub const REMEMBERED_QUERIES: usize = 16;
 /// After the directory's address has changed, responses from the old address are accepted for this long.
 pub const OLD_RESOLVER_GRACE: Duration = Duration::from_millis(2_000);
-/// Polling interval of the directory. A list is out of date by at most this time plus the transit time of the response.
+/// Polling interval of the directory. A list is out of date by at most this time plus the transit time of the
+/// response.
 pub const QUERY_INTERVAL: Duration = Duration::from_millis(250);
 /// A query without a response after this time is counted as lost.
 pub const QUERY_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// If more than this time has passed since the sockets were read, writes to invokers wait until they have been read again:
-/// if the process was suspended meanwhile, it does not know which clients have disconnected.
+/// If more than this time has passed since the sockets were read, writes to invokers wait until they have
+/// been read again: if the process was suspended meanwhile, it does not know which clients have disconnected.
 pub const OUTDATED_READ: Duration = Duration::from_millis(20);
 /// A list that no response has confirmed for this time is old, which is logged and counted.
 pub const OLD_LIST_AGE: Duration = Duration::from_millis(1_000);
 /// Interval at which the shutdown progress is logged.
 pub const SHUTDOWN_LOG_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Returns the time, in microseconds, that a call arriving at `now` has after shutdown was requested at `since`. That is
-/// `left`, the time its client gives it. If the answer could no longer be sent within [`KILL_GRACE`] after `since`, the
-/// time is limited so that the answer is sent before the platform may kill the process. `longest`: the longest deadline of
+/// Returns the time left, in microseconds, for a call that is opened at `now`, when shutdown was requested at
+/// `since`. `left`: the time until its client stops waiting, microseconds; `longest`: the longest deadline of
 /// any class.
+///
+/// Up to [`KILL_GRACE`] less [`ANSWER_TRANSIT`] after `since`, that is `left`: a deadline of up to
+/// [`LONGEST_COUNTED_DEADLINE`] then ends before the platform may kill the process. Later, the time is
+/// limited so that the answer reaches the client before the platform may do so.
 pub fn time_before_kill(since: Instant, now: Instant, longest: Duration, left: u64) -> u64 {
     if now.saturating_duration_since(since) <= KILL_GRACE - ANSWER_TRANSIT {
         return left;
@@ -96,11 +108,12 @@
 /// Limits derived from the resources of the machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bounds {
-    /// Maximum number of client connections. One more evicts a connection without open requests; if there is none, the new
-    /// connection is closed.
+    /// Maximum number of client connections. One more evicts a connection without open requests; if there is
+    /// none, the new connection is closed.
     pub clients: usize,
-    /// Number of client connections from which each new one evicts an idle one, if there is one. It is below the third of
-    /// the descriptors that clients may hold, so that idle connections don't keep out clients that have a request.
+    /// Number of client connections from which each new one evicts an idle one, if there is one. It is below
+    /// the third of the descriptors that clients may hold, so that idle connections don't keep out clients
+    /// that have a request.
     pub idle_clients: usize,
     /// Maximum number of connections to invokers.
     pub pool_connections: usize,
@@ -113,9 +126,10 @@
 }
 
 impl Bounds {
-    /// Derives the limits from the machine's resources. The platform lets clients hold a third of the descriptors; half of
-    /// them are allotted to clients here, a third to invokers, and at least [`RESERVED_DESCRIPTORS`] remain for the process
-    /// itself.
+    /// Derives the limits from the machine's resources, of which at least 64 descriptors and 16 MB are
+    /// assumed. The platform lets clients hold a third of all descriptors. Here half of all descriptors are
+    /// allotted to clients and up to a third to invokers, so that at least [`RESERVED_DESCRIPTORS`] remain
+    /// for the process itself.
     pub fn of(limits: &config::Limits, open_calls: Option<u64>) -> Self {
         let sockets = usize::try_from(limits.sockets).unwrap_or(usize::MAX).clamp(64, 1 << 20);
         let megabytes = usize::try_from(limits.memory_mb).unwrap_or(usize::MAX).clamp(16, 1 << 20);
@@ -134,13 +148,14 @@
 /// Counters of reached limits and of other notable events.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Requests accepted.
+    /// Valid requests, including those that are refused later.
     pub requests: u64,
     /// Requests rejected as unusable.
     pub bad_requests: u64,
-    /// Frames that could not be read or that clients may not send.
+    /// Frames that could not be read or that clients may not send, and requests whose stream id is not new.
     pub bad_frames: u64,
-    /// Client connections closed because of [`CONSECUTIVE_FAULTS`], an unreadable frame or a stream id that is not new.
+    /// Client connections closed because of [`CONSECUTIVE_FAULTS`], an unreadable frame or a stream id that
+    /// is not new.
     pub closed_for_faults: u64,
     /// Client connections closed because of [`FIRST_FRAME_TIMEOUT`] or [`FRAME_TIMEOUT`].
     pub closed_for_silence: u64,
@@ -154,8 +169,8 @@
     pub no_room: u64,
     /// Requests refused because of [`Bounds::body_bytes`].
     pub over_bodies: u64,
-    /// Answers that did not fit into the output buffer of their client connection. The request fails; the connection stays
-    /// open.
+    /// Answers that did not fit into the output buffer of their client connection. The request fails; the
+    /// connection stays open.
     pub over_answers: u64,
     /// Requests whose time to live exceeded the deadline of their class and was limited to it.
     pub over_deadline: u64,
@@ -171,8 +186,8 @@
     pub stray_answers: u64,
     /// Connections to invokers closed because a cancellation could not be written at once.
     pub cut_to_withdraw: u64,
-    /// Requests for which no connection was available because of [`Bounds::pool_connections`], which is shared equally among
-    /// invokers.
+    /// Requests for which no connection was available because of [`Bounds::pool_connections`], which is
+    /// shared equally among invokers.
     pub over_links: u64,
     /// Datagrams from the directory that could not be used.
     pub bad_lists: u64,
@@ -182,9 +197,10 @@
     pub unsent_queries: u64,
     /// Responses of the directory with a list older than the current one.
     pub old_lists: u64,
-    /// How often the list became older than [`OLD_LIST_AGE`] without being confirmed by the directory.
+    /// Times that the list became older than [`OLD_LIST_AGE`] without being confirmed by the directory.
     pub list_outages: u64,
-    /// Requests whose time was cut because they arrived late after SIGTERM.
+    /// Requests whose time left was limited because they were opened late after SIGTERM: see
+    /// [`time_before_kill`].
     pub after_end: u64,
     /// Why requests ended, were retried, and connections were closed.
     pub reasons: Reasons,
--- a/crates/node/src/log_budget.rs
+++ b/crates/node/src/log_budget.rs
@@ -1,5 +1,5 @@
-//! Rate limit for log lines about events that occur in bursts. Suppressed lines are counted, and the next line that is
-//! logged states their number.
+//! Rate limit for log lines about events that occur in bursts. Suppressed lines are counted, and the next
+//! line that is logged states their number.
 
 use std::time::{Duration, Instant};
 
@@ -17,8 +17,8 @@
 }
 
 impl LogBudget {
-    /// Requests permission to log a line. Returns the number of lines suppressed since the last one, or `None` if this
-    /// line is to be suppressed as well.
+    /// Requests permission to log a line. Returns the number of lines suppressed since the last one, or
+    /// `None` if this line is to be suppressed as well.
     pub fn take(&mut self, now: Instant) -> Option<u64> {
         if self.span_began.is_none_or(|began| now >= began + SPAN) {
             self.span_began = Some(now);
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -1,5 +1,5 @@
-//! The event loop: passes events from sockets, signals and timers to the engine, and executes the engine's commands
-//! (answers, attempts and control requests).
+//! The event loop: passes events from sockets, signals and timers to the engine, and executes the engine's
+//! commands (answers, attempts and control requests).
 //!
 //! This module holds the state and one iteration of the loop. Its submodules:
 //!
@@ -59,26 +59,29 @@
     longest_deadline: Duration,
     local_addr: SocketAddr,
     counters: Counters,
-    /// When graceful shutdown began; `None` before that.
+    /// Start of the graceful shutdown; `None` before that.
     draining_since: Option<Instant>,
-    /// The earliest time at which the shutdown signal may have arrived; the platform counts its kill timeout from then.
+    /// The earliest time at which the shutdown signal may have arrived; the platform counts its kill timeout
+    /// from then.
     kill_counts_from: Option<Instant>,
-    /// When a client last connected or sent something.
+    /// Time at which a client last connected or sent something.
     last_client_activity: Instant,
-    /// When the latest iteration began, if it read all available input and no client connected or sent anything in it.
+    /// Start of the latest iteration, if it read all available input and no client connected or sent anything
+    /// in it; else `None`.
     quiet_iteration: Option<Instant>,
-    /// When a failed reload of the configuration is retried.
+    /// Time of the next retry of a failed reload of the configuration; `None` if no reload has failed.
     reload_at: Option<Instant>,
     next_counters_log: Instant,
-    /// When the shutdown progress is logged next.
+    /// Time at which the shutdown progress is logged next, if a shutdown has begun.
     next_shutdown_log: Instant,
     next_signal_check: Instant,
-    /// When pending signals were last checked.
+    /// Time at which pending signals were last checked.
     signals_checked_at: Instant,
     tcp_events: Vec<TcpEvent>,
     client_events: Vec<ClientEvent>,
     /// Requests that were read but not yet opened at the engine. Each iteration opens up to
-    /// [`crate::limits::OPENS_PER_ITERATION`] of them; the queue is bounded by the requests that clients may have open.
+    /// [`crate::limits::OPENS_PER_ITERATION`] of them; the queue is bounded by the requests that clients may
+    /// have open.
     requests: VecDeque<IncomingRequest>,
     /// Events that have not been passed to the engine yet.
     engine_events: Vec<Event>,
@@ -100,7 +103,7 @@
         self.local_addr
     }
 
-    /// Counters of the engine.
+    /// Counters of the engine since the start.
     pub fn engine_counters(&self) -> EngineCounters {
         self.engine.counters()
     }
@@ -136,8 +139,8 @@
 
     /// Runs one iteration of the event loop and waits at most `max_wait` for events.
     ///
-    /// All ready sockets are read first. The events are then handled in this order, regardless of the order in which they
-    /// arrived within the iteration:
+    /// All ready sockets are read first. The events are then handled in this order, regardless of the order
+    /// in which they arrived within the iteration:
     ///
     /// 1. Broken connections, so that nothing is written to them.
     /// 2. All client disconnects, so that nothing is forwarded for a client that has disconnected.
@@ -146,7 +149,8 @@
     /// 5. Newly established connections: the commands queued for them are written.
     /// 6. Answers that are due. They are written before any new request is opened.
     /// 7. New requests, up to [`crate::limits::OPENS_PER_ITERATION`], so that clients are read again soon.
-    /// 8. All output queued by these steps is written.
+    /// 8. Timers: a reload that is to be retried, a query to the directory, and the timers of the engine.
+    /// 9. All output queued by these steps is written.
     ///
     /// # Errors
     ///
@@ -181,8 +185,9 @@
         self.run_engine();
     }
 
-    /// Writes queued output: answers first, then commands to invokers, which state the time left at the moment of the
-    /// write. An attempt that expired before it could be written ends, and the engine decides what follows.
+    /// Writes queued output: answers first, then commands to invokers, which state the time left at the
+    /// moment of the write. An attempt that expired before it could be written ends, and the engine decides
+    /// what follows.
     fn write_queued(&mut self) {
         self.tcp.flush_all();
         loop {
--- a/crates/node/src/node/dispatch.rs
+++ b/crates/node/src/node/dispatch.rs
@@ -22,8 +22,8 @@
     /// Reads the sockets of these events. Nothing is passed to the engine or forwarded yet.
     pub(super) fn read_events(&mut self, mut events: Vec<TcpEvent>) -> PendingEvents {
         let mut pending = PendingEvents { list: self.discovery.has_more(), ..PendingEvents::default() };
-        // New connections come last: at the connection limit each one evicts another, and the choice depends on what
-        // was read from the others.
+        // New connections come last: at the connection limit each one evicts another, and the choice depends
+        // on what was read from the others.
         let new: BTreeSet<TcpKey> = events.iter().filter_map(accepted).collect();
         let is_new = |event: &TcpEvent| event.key().is_some_and(|key| new.contains(&key));
         for event in events.iter().filter(|event| !is_new(event)) {
@@ -126,8 +126,8 @@
         self.send_to_engine(Event::Tick);
         self.run_engine();
         self.write_queued();
-        // Drops requests that were cancelled after they were read. A flood of them would otherwise use up the requests
-        // opened per iteration and delay all requests behind them.
+        // Drops requests that were cancelled after they were read. A flood of them would otherwise use up the
+        // requests opened per iteration and delay all requests behind them.
         self.requests.retain(|request| self.front.is_waiting(request.token));
         let batch = self.requests.len().min(OPENS_PER_ITERATION);
         for request in self.requests.drain(..batch).collect::<Vec<_>>() {
@@ -141,14 +141,16 @@
         if !self.front.is_waiting(token) {
             return;
         }
-        // Read the clock once: the process may be suspended between two reads, and the results would not match.
+        // Read the clock once: the process may be suspended between two reads, and the results would not
+        // match.
         let now = Instant::now();
         let waited = now.saturating_duration_since(request.arrived).as_micros() as u64;
         self.counters.longest_read_delay = self.counters.longest_read_delay.max(waited);
         let time_left = self.limit_to_kill(now, request.time_left.saturating_sub(waited));
         self.front.limit_deadline(token, now + Duration::from_micros(time_left));
         if time_left == 0 {
-            // An attempt could not be answered in time. Nothing has run, so the client may safely retry elsewhere.
+            // An attempt could not be answered in time. Nothing has run, so the client may safely retry
+            // elsewhere.
             let (tcp, counters) = (&mut self.tcp, &mut self.counters);
             let reason = EndReason::NoTime;
             return self.front.answer_with_reason(tcp, token, &NO_TIME_LEFT, reason, counters);
@@ -173,8 +175,8 @@
         self.execute_commands();
     }
 
-    /// Returns the time left for a call in microseconds. For a request that arrives late after SIGTERM it is limited to the
-    /// time until the platform may kill this process, so that the request is still answered.
+    /// Returns the time left for a call in microseconds. For a request that arrives late after SIGTERM it is
+    /// limited to the time until the platform may kill this process, so that the request is still answered.
     fn limit_to_kill(&mut self, now: Instant, time_left: u64) -> u64 {
         let Some(since) = self.kill_counts_from else { return time_left };
         let limited = time_before_kill(since, now, self.longest_deadline, time_left);
--- a/crates/node/src/node/execute.rs
+++ b/crates/node/src/node/execute.rs
@@ -48,7 +48,8 @@
             Command::ForgetControlRequest { request_id } => self.pools.forget(context.tcp, request_id),
             Command::WatchList | Command::FetchList => self.discovery.query_now(),
             Command::Log(line) => info!("{line}"),
-            // Responses on this platform arrive as a whole: there are no parts to forward, and no flow control.
+            // Responses on this platform arrive as a whole: there are no parts to forward, and no flow
+            // control.
             Command::ResponsePart { .. } | Command::Pause { .. } | Command::Resume { .. } => {}
         }
     }
@@ -114,8 +115,8 @@
         }
     }
 
-    /// Returns the final answer of a request. A refusal becomes a failure if the request may have run and must not run
-    /// twice, because a refusal states that a retry is harmless.
+    /// Returns the final answer of a request. A refusal becomes a failure if the request may have run and
+    /// must not run twice, because a refusal states that a retry is harmless.
     fn checked_answer(&mut self, token: RequestToken, answer: FinalAnswer) -> FinalAnswer {
         let Some(call) = self.front.call_by_token(token) else {
             self.counters.violations.report(Violation::AnswerWithoutRequest, &token.0);
--- a/crates/node/src/node/lifecycle.rs
+++ b/crates/node/src/node/lifecycle.rs
@@ -13,7 +13,8 @@
 pub(super) const COUNTERS_LOG_INTERVAL: Duration = Duration::from_secs(5);
 /// Delay before a failed configuration reload is retried: the file may have been only partly written.
 const RELOAD_RETRY_DELAY: Duration = Duration::from_millis(200);
-/// Interval at which signals are checked even if the poll reports none: the byte that wakes the poll may be lost.
+/// Interval at which signals are checked even if the poll reports none: the byte that wakes the poll may be
+/// lost.
 const SIGNAL_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 /// Shutdown checks per [`SHUTDOWN_QUIET_SPAN`], once that span has passed.
 const SHUTDOWN_CHECKS: u32 = 8;
@@ -34,9 +35,9 @@
 impl Node {
     /// Whether the node may exit: shutdown was requested, no request is open and no output is unsent.
     ///
-    /// A process that was suspended finds the quiet span over by the clock while connections wait in the backlog and
-    /// requests in socket buffers. Therefore a complete iteration that began after the span must have found no client
-    /// activity.
+    /// A process that was suspended finds the quiet span over by the clock while connections wait in the
+    /// backlog and requests in socket buffers. Therefore a complete iteration that began after the span must
+    /// have found no client activity.
     pub fn is_done(&self) -> bool {
         self.draining_since.is_some() && self.shutdown_waits_for().is_none()
     }
@@ -82,7 +83,7 @@
         others.chain(engine_timer).min().unwrap_or(COUNTERS_LOG_INTERVAL).min(MAX_POLL_WAIT)
     }
 
-    /// When to run an iteration that checks whether the node may exit.
+    /// Returns when to run the next iteration that checks whether the node may exit.
     fn shutdown_check_at(&self, draining_since: Instant, now: Instant) -> Instant {
         let quiet = self.quiet_span_end(draining_since);
         match self.quiet_iteration {
@@ -95,14 +96,15 @@
     pub(super) fn check_signals(&mut self, now: Instant) {
         if now >= self.next_signal_check {
             self.next_signal_check = now + SIGNAL_CHECK_INTERVAL;
-            // The poll reported no signal, so a pending one may have arrived at any time since the last check.
+            // The poll reported no signal, so a pending one may have arrived at any time since the last
+            // check.
             let earliest = std::mem::replace(&mut self.signals_checked_at, now);
             self.handle_signals(earliest);
         }
     }
 
-    /// Handles a wake-up of the poll by a signal. A signal that arrived while the process was suspended is handled when it
-    /// resumes.
+    /// Handles a wake-up of the poll by a signal. A signal that arrived while the process was suspended is
+    /// handled when it resumes.
     pub(super) fn handle_signal_wakeup(&mut self) {
         self.signals_checked_at = Instant::now();
         self.handle_signals(self.tcp.reported_since());
@@ -120,14 +122,14 @@
         }
     }
 
-    /// Begins a graceful shutdown, as SIGTERM does: requests that still arrive are served, and the loop ends after the last
-    /// answer.
+    /// Begins a graceful shutdown, as SIGTERM does: requests that still arrive are served, and the loop ends
+    /// after the last answer.
     pub fn begin_shutdown(&mut self) {
         self.begin_shutdown_since(Instant::now());
     }
 
-    /// `earliest`: the earliest time at which the signal may have arrived. The platform counts its kill timeout from the
-    /// signal.
+    /// `earliest`: the earliest time at which the signal may have arrived. The platform counts its kill
+    /// timeout from the signal.
     fn begin_shutdown_since(&mut self, earliest: Instant) {
         if self.draining_since.is_none() {
             let now = Instant::now();
@@ -142,8 +144,8 @@
         }
     }
 
-    /// Reads the configuration again, as SIGHUP does. Only the directory's address is applied; other changes take effect
-    /// at the next start. A failure is logged and retried after a delay.
+    /// Reads the configuration again, as SIGHUP does. Only the directory's address is applied; other changes
+    /// take effect at the next start. A failure is logged and retried after a delay.
     pub fn reload(&mut self) {
         match read_config(&self.path) {
             Ok(config) => {
@@ -157,7 +159,8 @@
         }
     }
 
-    /// Records the duration of an iteration and whether it was quiet, and logs counters and shutdown progress when due.
+    /// Records the duration of an iteration and whether it was quiet, and logs counters and shutdown progress
+    /// when due.
     pub(super) fn finish_iteration(&mut self, began: Instant) {
         let now = Instant::now();
         let took = now.saturating_duration_since(self.tcp.now()).as_micros() as u64;
--- a/crates/node/src/node/startup.rs
+++ b/crates/node/src/node/startup.rs
@@ -37,7 +37,7 @@
 
 /// Durations derived from the settings.
 struct Spans {
-    /// How long establishing a connection to an invoker may take.
+    /// Time in which a connection to an invoker must be established.
     connect_timeout: Duration,
     /// The longest deadline of any class, microseconds.
     longest_deadline: u64,
@@ -61,13 +61,13 @@
 }
 
 impl Node {
-    /// Builds a node from the configuration file at `path` and starts to listen. With `signals`, the node handles SIGHUP,
-    /// SIGTERM and SIGINT.
+    /// Builds a node from the configuration file at `path` and starts to listen. With `signals`, the node
+    /// handles SIGHUP, SIGTERM and SIGINT.
     ///
     /// # Errors
     ///
-    /// Returns an error if the configuration can't be read or is not valid, or if a system resource is still refused after
-    /// all startup retries.
+    /// Returns an error if the configuration can't be read or is not valid, or if a system resource is still
+    /// refused after all startup retries.
     pub fn new(path: PathBuf, signals: bool) -> Result<Self, NodeError> {
         let began = Instant::now();
         let config = read_config_with_retry(&path)?;
@@ -124,8 +124,8 @@
     }
 }
 
-/// Opens the poll, the signal handlers and the listener, in this order: once clients can connect, no signal may end the
-/// process without a graceful shutdown.
+/// Opens the poll, the signal handlers and the listener, in this order: once clients can connect, no signal
+/// may end the process without a graceful shutdown.
 fn open_sockets(config: &Config, limits: &TcpLimits, signals: bool) -> Result<Sockets, NodeError> {
     let mut tcp = open_with_retry("a poll", || Tcp::new(limits.clone()))?;
     let signals = if signals { Some(open_with_retry("signals", || watch_signals(&tcp))?) } else { None };
@@ -135,8 +135,8 @@
 
 fn tcp_limits(spans: &Spans, bounds: &Bounds) -> TcpLimits {
     TcpLimits {
-        // Room for the connections of one iteration, which wait for the front to evict others. The rest of a burst waits
-        // in the backlog.
+        // Room for the connections of one iteration, which wait for the front to evict others. The rest of a
+        // burst waits in the backlog.
         accepted: bounds.clients + ACCEPTS_PER_ITERATION,
         accepts_per_poll: ACCEPTS_PER_ITERATION,
         outgoing: bounds.pool_connections,
@@ -174,8 +174,8 @@
     let limits = EngineLimits {
         open_calls: bounds.open_calls,
         models: bounds.functions,
-        // The settings have no timeout for health checks. They get the connect timeout, limited to the longest deadline
-        // of a call.
+        // The settings have no timeout for health checks. They get the connect timeout, limited to the
+        // longest deadline of a call.
         probe_timeout: (spans.connect_timeout.as_micros() as u64).min(spans.longest_deadline.max(1)),
         ..EngineLimits::default()
     };
@@ -202,8 +202,8 @@
     !matches!(error.kind(), NotFound | PermissionDenied | IsADirectory | NotADirectory | InvalidData)
 }
 
-/// Opens a system resource, with retries: descriptors or memory may be short, or the previous process may still use the
-/// address.
+/// Opens a system resource, with retries: descriptors or memory may be short, or the previous process may
+/// still use the address.
 fn open_with_retry<T>(operation: &'static str, open: impl FnMut() -> io::Result<T>) -> Result<T, NodeError> {
     retry_startup(operation, open, |_| true).map_err(NodeError::system(operation))
 }
--- a/crates/node/src/pools.rs
+++ b/crates/node/src/pools.rs
@@ -1,5 +1,5 @@
-//! Connection pools to invokers: sends attempts, load orders and health checks over RESP connections, and reports how each
-//! of them ended, as far as it was observed.
+//! Connection pools to invokers: sends attempts, load orders and health checks over RESP connections, and
+//! reports how each of them ended, as far as it was observed.
 //!
 //! * `connection`: the state of one connection.
 //! * `pending`: requests whose response is awaited.
@@ -51,7 +51,7 @@
 pub struct Endpoint {
     /// The address to connect to.
     pub address: SocketAddr,
-    /// When the process started, on the engine's clock; `None` if the list does not state it.
+    /// Start of the invoker's process, on the engine's clock; `None` if the list does not state it.
     pub started: Option<Micros>,
     /// Whether the invoker may be sent new requests.
     pub in_service: bool,
@@ -61,7 +61,7 @@
 pub struct ConnectionPools {
     pools: BTreeMap<WorkerId, WorkerPool>,
     connections: BTreeMap<TcpKey, Connection>,
-    /// Where each awaited response will arrive.
+    /// Connection and tag of each awaited response.
     pending: BTreeMap<PendingResponse, ResponseLocation>,
     /// Established connections with commands to be written.
     unwritten: BTreeSet<TcpKey>,
@@ -69,7 +69,8 @@
     bounds: Bounds,
     /// Maximum number of requests open at the same time on one connection.
     streams: usize,
-    /// Idle timeout of connections without open requests, shorter than that of the invokers; `None`: no timeout.
+    /// Idle timeout of connections without open requests, shorter than that of the invokers; `None`: no
+    /// timeout.
     idle: Option<Duration>,
     /// Whether health checks ask for a load report.
     reports: bool,
@@ -77,8 +78,9 @@
 }
 
 impl ConnectionPools {
-    /// Creates pools without connections. `streams`: maximum number of requests open on one connection; `idle`: the
-    /// invokers' idle timeout, `None` if they have none; `reports`: whether health checks ask for a load report.
+    /// Creates pools without connections. `streams`: maximum number of requests open on one connection;
+    /// `idle`: the invokers' idle timeout, `None` if they have none; `reports`: whether health checks ask for
+    /// a load report.
     pub fn new(bounds: Bounds, streams: usize, idle: Option<Duration>, reports: bool) -> Self {
         Self {
             pools: BTreeMap::new(),
@@ -99,9 +101,10 @@
         self.connections.contains_key(&key)
     }
 
-    /// Applies a list of all invokers. Connections to an invoker whose address or process changed are closed when no request
-    /// is open on them. Requests that are not written yet are ended as not written, with events in `out`, if their invoker
-    /// is out of service, is not listed any more, or has another address or process than before.
+    /// Applies a list of all invokers. Connections to an invoker whose address or process changed are closed
+    /// when no request is open on them. Attempts and load orders that are not written yet are ended as not
+    /// written, with events in `out`, if their invoker is out of service, is not listed any more, or has
+    /// another address or process than before.
     pub fn update_endpoints(
         &mut self,
         tcp: &mut Tcp,
@@ -156,7 +159,8 @@
             self.close_connection(tcp, key);
         } else {
             let since = *connection.idle_since.get_or_insert_with(Instant::now);
-            // An incomplete response keeps its alarm: though it belongs to no open request, it must complete in time.
+            // An incomplete response keeps its alarm: though it belongs to no open request, it must complete
+            // in time.
             if connection.partial_since.is_none() {
                 tcp.alarm(key, self.idle.map(|idle| since + idle));
             }
--- a/crates/node/src/pools/cancellation.rs
+++ b/crates/node/src/pools/cancellation.rs
@@ -11,8 +11,9 @@
 use super::pending::{PendingResponse, ResponseLocation};
 
 impl ConnectionPools {
-    /// Cancels an attempt; no event about it follows. The engine may send the call to another worker next, so the
-    /// cancellation is written at once. If that is not possible, the connection is closed with all requests open on it.
+    /// Cancels an attempt; no event about it follows. The engine may send the call to another worker next, so
+    /// the cancellation is written at once. If that is not possible, the connection is closed with all
+    /// requests open on it.
     pub fn cancel(&mut self, context: &mut PoolContext, attempt: AttemptId) {
         let Some(location) = self.pending.remove(&PendingResponse::Attempt(attempt)) else { return };
         let ResponseLocation { connection: key, tag } = location;
@@ -32,7 +33,8 @@
                 debug!(worker, tag, conn = ?key, "connection closed: a cancellation can't be written");
                 return self.close_to_cancel(context, key);
             }
-            // No response to the attempt has arrived, so the connection may be faulty: it gets no new requests.
+            // No response to the attempt has arrived, so the connection may be faulty: it gets no new
+            // requests.
             connection.draining = true;
         }
         connection.remember_finished(tag);
@@ -49,8 +51,8 @@
         });
     }
 
-    /// Stops waiting for the response of an attempt for which the settings allow no cancellation; no event about it
-    /// follows.
+    /// Stops waiting for the response of an attempt for which the settings allow no cancellation; no event
+    /// about it follows.
     pub fn abandon(&mut self, tcp: &mut Tcp, attempt: AttemptId) {
         let Some(location) = self.pending.remove(&PendingResponse::Attempt(attempt)) else { return };
         let ResponseLocation { connection: key, tag } = location;
@@ -80,14 +82,16 @@
         }
     }
 
-    /// Stops waiting for the response of a load order or health check that timed out; no event about it follows.
+    /// Stops waiting for the response of a load order or health check that timed out; no event about it
+    /// follows.
     pub fn forget(&mut self, tcp: &mut Tcp, id: ControlRequestId) {
         let load = self.pending.remove(&PendingResponse::Load(id));
         let location = load.or_else(|| self.pending.remove(&PendingResponse::Probe(id)));
         let Some(ResponseLocation { connection: key, tag }) = location else { return };
         let Some(connection) = self.connections.get_mut(&key) else { return };
         let request = connection.open.remove(&tag);
-        // A health check that was written got no response: the connection is suspect until the next input on it.
+        // A health check that was written got no response: the connection is suspect until the next input on
+        // it.
         connection.suspect |=
             request.is_some_and(|request| request.response.is_probe() && request.output.is_some());
         connection.remove_waiting(&tag);
@@ -95,7 +99,8 @@
         self.retire_if_unused(tcp, key);
     }
 
-    /// Withdraws all attempts and load orders that are not written to this invoker yet, and ends them as not written.
+    /// Withdraws all attempts and load orders that are not written to this invoker yet, and ends them as not
+    /// written.
     pub(super) fn return_unsent(&mut self, tcp: &mut Tcp, worker: WorkerId, out: &mut Vec<Event>) {
         let keys = self.pools.get(&worker).map(|pool| pool.connections.clone()).unwrap_or_default();
         for key in keys {
@@ -125,7 +130,8 @@
         returned
     }
 
-    /// Drops a command that is not written yet from the queue. Returns false if it is written, or writing has begun.
+    /// Drops a command that is not written yet from the queue. Returns false if it is written, or writing has
+    /// begun.
     fn withdraw(&mut self, key: TcpKey, tag: &str) -> bool {
         self.connections.get_mut(&key).is_some_and(|connection| connection.remove_waiting(tag))
     }
--- a/crates/node/src/pools/connection.rs
+++ b/crates/node/src/pools/connection.rs
@@ -1,4 +1,5 @@
-//! The state of one connection to an invoker: open requests, queued commands, and the tags of requests that have ended.
+//! The state of one connection to an invoker: open requests, queued commands, and the tags of requests that
+//! have ended.
 
 use std::collections::{BTreeMap, HashSet, VecDeque};
 use std::time::Instant;
@@ -8,12 +9,12 @@
 use super::pending::OpenRequest;
 use super::wire_command::WireCommand;
 
-/// Number of tags of ended requests that a connection remembers and does not use again: a duplicate response must not be
-/// matched to a later attempt.
+/// Number of tags of ended requests that a connection remembers and does not use again: a duplicate response
+/// must not be matched to a later attempt.
 const REMEMBERED_TAGS: usize = 512;
 
-/// A command that is not written yet, because its connection is being established, the socket's send buffer is full, or the
-/// current iteration has not reached its write phase.
+/// A command that is not written yet, because its connection is being established, the socket's send buffer
+/// is full, or the current iteration has not reached its write phase.
 pub(super) struct WaitingCommand {
     /// The tag of the request; `None` for a command that has no response.
     pub(super) tag: Option<String>,
@@ -28,19 +29,19 @@
     pub(super) open: BTreeMap<String, OpenRequest>,
     /// Commands to be written, the oldest first.
     pub(super) waiting: VecDeque<WaitingCommand>,
-    /// When the connection was established, on the engine's clock.
+    /// Time at which the connection was established, on the engine's clock; 0 before that.
     pub(super) established_at: Micros,
-    /// Since when no request has been open on the connection; `None` while one is open.
+    /// Time since which no request has been open on the connection; `None` while one is open.
     pub(super) idle_since: Option<Instant>,
     /// Remembered tags of ended requests.
     finished: HashSet<String>,
-    /// The same tags, the oldest first.
+    /// The tags in `finished`, the oldest first.
     finished_order: VecDeque<String>,
     /// No new requests are sent on the connection, and it closes after its last response.
     pub(super) draining: bool,
     /// A health check sent on it timed out, and nothing has arrived since.
     pub(super) suspect: bool,
-    /// When the first byte of the incomplete response in the input was read; `None` if there is none.
+    /// Time at which the first byte of the incomplete response in the input was read; `None` without one.
     pub(super) partial_since: Option<Instant>,
 }
 
@@ -62,7 +63,8 @@
         }
     }
 
-    /// Drops the queued command with this tag. Returns false if there is none, as it is written or writing has begun.
+    /// Drops the queued command with this tag. Returns false if there is none, as it is written or writing
+    /// has begun.
     pub(super) fn remove_waiting(&mut self, tag: &str) -> bool {
         let before = self.waiting.len();
         self.waiting.retain(|waiting| waiting.tag.as_deref() != Some(tag));
--- a/crates/node/src/pools/context.rs
+++ b/crates/node/src/pools/context.rs
@@ -11,6 +11,6 @@
     pub tcp: &'a mut Tcp,
     /// Receives the events of requests that end.
     pub events: &'a mut Vec<Event>,
-    /// The node's counters.
+    /// The counters of the node, for limits, faults and violations.
     pub counters: &'a mut Counters,
 }
--- a/crates/node/src/pools/pending.rs
+++ b/crates/node/src/pools/pending.rs
@@ -8,8 +8,8 @@
 /// Identifies a request whose response is awaited.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum PendingResponse {
-    // The order of the variants is the order of events when a connection ends: the engine gets the result of a health
-    // check before the attempts that were lost with the connection.
+    // The order of the variants is the order of events when a connection ends: the engine gets the result of
+    // a health check before the attempts that were lost with the connection.
     Probe(ControlRequestId),
     Attempt(AttemptId),
     Load(ControlRequestId),
@@ -42,7 +42,7 @@
 pub(super) struct OpenRequest {
     pub(super) response: PendingResponse,
     pub(super) started: Instant,
-    /// Its range in the connection's output; `None` if none of it has been written.
+    /// Range of the request in the connection's output; `None` while no byte of it has been written.
     pub(super) output: Option<OutputRange>,
 }
 
--- a/crates/node/src/pools/postponement.rs
+++ b/crates/node/src/pools/postponement.rs
@@ -1,11 +1,12 @@
-//! Postpones writes when too much time has passed since the sockets were read. If the process was suspended meanwhile, it
-//! does not know which clients have disconnected, nor whether the list has changed.
+//! Postpones writes when too much time has passed since the sockets were read. If the process was suspended
+//! meanwhile, it does not know which clients have disconnected, nor whether the list has changed.
 
 use std::time::Instant;
 
 use crate::limits::OUTDATED_READ;
 
-/// Decides which iterations write. An iteration after a postponed one always writes, so that a slow process makes progress.
+/// Decides which iterations write. An iteration after a postponed one always writes, so that a slow process
+/// makes progress.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Postponement {
     /// The read time of the iteration that was postponed, until the next iteration begins to write.
@@ -15,7 +16,8 @@
 }
 
 impl Postponement {
-    /// Called before the iteration that read the sockets at `read_at` writes. Ends a postponement by an earlier iteration.
+    /// Called before the iteration that read the sockets at `read_at` writes. Ends a postponement by an
+    /// earlier iteration.
     pub(super) fn begin(&mut self, read_at: Instant) {
         if self.postponed.is_some_and(|postponed| postponed != read_at) {
             self.postponed = None;
@@ -23,8 +25,8 @@
         }
     }
 
-    /// Whether a command may be written now, in the iteration that read the sockets at `read_at`. Begins a postponement if
-    /// that read is outdated.
+    /// Whether a command may be written now, in the iteration that read the sockets at `read_at`. Begins a
+    /// postponement if that read is outdated.
     pub(super) fn may_write(&mut self, read_at: Instant, now: Instant) -> bool {
         if self.postponed.is_some() {
             return false;
--- a/crates/node/src/pools/requests.rs
+++ b/crates/node/src/pools/requests.rs
@@ -21,14 +21,15 @@
 pub struct LoadOrder<'a> {
     /// The engine's id of the order.
     pub id: ControlRequestId,
-    /// The function.
+    /// Name of the function to load.
     pub function: &'a str,
     /// Number of replicas to load.
     pub replicas: u32,
 }
 
 impl ConnectionPools {
-    /// Sends an attempt to a worker. Its end is reported as an event.
+    /// Sends an attempt to a worker. Its end is reported as an event, unless it is cancelled or abandoned
+    /// before.
     pub fn start(&mut self, context: &mut PoolContext, worker: WorkerId, attempt: Attempt) {
         let response = PendingResponse::Attempt(attempt.id);
         let tag = Arc::clone(&attempt.call_id);
@@ -81,9 +82,9 @@
             Ok(key) => key,
             Err(end) => return context.events.push(response.ended(end)),
         };
-        // A request on a connection that is being established is checked once it is established. The client is known to
-        // wait, as the engine has just started this request. If the request expired meanwhile because the process was
-        // suspended, it ends when it is to be written.
+        // A request on a connection that is being established is checked once it is established. The client
+        // is known to wait, as the engine has just started this request. If the request expired meanwhile
+        // because the process was suspended, it ends when it is to be written.
         let established = self.connections.get(&key).is_some_and(|connection| connection.established);
         if let Err(violation) = self.check_write(key, &command, |_| true)
             && established
--- a/crates/node/src/pools/responses.rs
+++ b/crates/node/src/pools/responses.rs
@@ -78,8 +78,8 @@
         self.remove_connection(key, context.events, |_| AttemptEnd::Broken);
     }
 
-    /// Closes the connections on which an earlier health check timed out, as the invoker has now answered one on another
-    /// connection.
+    /// Closes the connections on which an earlier health check timed out, as the invoker has now answered one
+    /// on another connection.
     fn close_suspects(&mut self, context: &mut PoolContext, worker: WorkerId) {
         let keys = self.pools.get(&worker).map(|pool| pool.connections.clone()).unwrap_or_default();
         for key in keys {
@@ -163,7 +163,8 @@
         }
     }
 
-    /// Handles a connection's alarm: closes the connection if a response is incomplete for too long, or if it is idle.
+    /// Handles a connection's alarm: closes the connection if a response is incomplete for too long, or if it
+    /// is idle.
     pub fn alarm_due(&mut self, context: &mut PoolContext, key: TcpKey) {
         let Some(connection) = self.connections.get(&key) else { return };
         let is_over =
--- a/crates/node/src/pools/selection.rs
+++ b/crates/node/src/pools/selection.rs
@@ -16,8 +16,8 @@
 const MIN_CONNECTIONS_PER_WORKER: usize = 2;
 
 impl ConnectionPools {
-    /// Chooses the connection for a health check: the one with the oldest open attempt, so that a timeout of the health
-    /// check shows that this connection is unresponsive. Without open attempts, any connection.
+    /// Chooses the connection for a health check: the one with the oldest open attempt, so that a timeout of
+    /// the health check shows that this connection is unresponsive. Without open attempts, any connection.
     pub(super) fn choose_for_probe(
         &mut self,
         tcp: &mut Tcp,
@@ -42,9 +42,10 @@
         }
     }
 
-    /// Chooses a connection to the worker with room for one more request: an idle one, else a new one, else the one with the
-    /// fewest open requests. All requests on a connection are lost with it, so each one carries a single request while the
-    /// limit allows. Returns how the request ends if there is no such connection.
+    /// Chooses a connection to the worker with room for one more request: an idle one, else a new one, else
+    /// the one with the fewest open requests, of which established ones are preferred. All requests on a
+    /// connection are lost with it, so each one carries a single request while the limit allows. Returns how
+    /// the request ends if there is no such connection.
     pub(super) fn choose_connection(
         &mut self,
         tcp: &mut Tcp,
@@ -77,8 +78,8 @@
 
     /// Whether one more request, with this tag, may be sent on a connection.
     fn has_room(&self, connection: &Connection, tag: &str, now: Instant) -> bool {
-        // The idle alarm is due but not handled yet, as the process may have been suspended: the invoker may already have
-        // closed the connection.
+        // The idle alarm is due but not handled yet, as the process may have been suspended: the invoker may
+        // already have closed the connection.
         let idle_too_long = self
             .idle
             .zip(connection.idle_since)
--- a/crates/node/src/pools/tests.rs
+++ b/crates/node/src/pools/tests.rs
@@ -1,4 +1,5 @@
-//! Requests to an invoker that reads nothing: which are written, which are withdrawn, and which end with their connection.
+//! Requests to an invoker that reads nothing: which are written, which are withdrawn, and which end with
+//! their connection.
 
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -241,8 +242,8 @@
 
 #[test]
 fn request_that_expires_before_it_is_written_ends_without_a_violation() {
-    // Guards against a false violation: the process is suspended between the engine's decision and the write, so that the
-    // attempt expires.
+    // Guards against a false violation: the process is suspended between the engine's decision and the write,
+    // so that the attempt expires.
     let mut harness = PoolHarness::new();
     harness.written(10);
     harness.written(10);
@@ -263,7 +264,8 @@
 
 #[test]
 fn request_is_written_after_another_read_when_the_process_was_suspended() {
-    // Guards against attempts for clients that disconnect while the process is suspended in the middle of an iteration.
+    // Guards against attempts for clients that disconnect while the process is suspended in the middle of an
+    // iteration.
     let mut harness = PoolHarness::new();
     let all = [harness.start(10), harness.start(10)];
     while !all.iter().all(|id| harness.is_written(*id)) {
@@ -338,7 +340,8 @@
 
 #[test]
 fn request_delayed_by_a_full_connection_states_the_time_left_when_written() {
-    // Guards against stating the time left as of queueing the request, which may have passed when it is written.
+    // Guards against stating the time left as of queueing the request, which may have passed when it is
+    // written.
     let mut harness = PoolHarness::new();
     let mut all = Vec::new();
     // Fills the connection until the socket accepts nothing for several iterations.
@@ -386,7 +389,8 @@
     );
 }
 
-/// The time left that was stated to the invoker for a call, milliseconds; `None` until the field has arrived completely.
+/// The time left that was stated to the invoker for a call, milliseconds; `None` until the field has arrived
+/// completely.
 fn stated_patience(bytes: &[u8], call: &str) -> Option<u64> {
     let text = String::from_utf8_lossy(bytes);
     let fields = &text[text.find(call)?..];
--- a/crates/node/src/pools/wire_command.rs
+++ b/crates/node/src/pools/wire_command.rs
@@ -1,4 +1,5 @@
-//! Commands to invokers and their encoding. An attempt is encoded right before it is written, as it states the time left.
+//! Commands to invokers and their encoding. An attempt is encoded right before it is written, as it states
+//! the time left.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -20,25 +21,26 @@
     pub id: AttemptId,
     /// The request's id as the client stated it.
     pub call_id: Arc<str>,
-    /// The class.
+    /// Name of the class.
     pub class: Arc<str>,
-    /// The function.
+    /// Name of the function.
     pub function: Arc<str>,
     /// The idempotency key, if the client stated one.
     pub key: Option<Arc<str>>,
-    /// When the client stops waiting.
+    /// Deadline of the request, at which its client stops waiting.
     pub deadline: Instant,
-    /// For a retry of a request that may have run: until when it may be written, if invokers drop duplicates for a limited
-    /// time.
+    /// For a retry of a request that may have run: until when it may be written, if invokers drop duplicates
+    /// for a limited time.
     pub send_by: Option<Instant>,
-    /// The body.
+    /// Body of the request.
     pub body: Bytes,
 }
 
 impl Attempt {
     fn write(&self, out: &mut Vec<u8>, now: Instant) {
         let left = self.deadline.saturating_duration_since(now);
-        // Rounded to the nearest millisecond: some microseconds have passed since the engine started the attempt.
+        // Rounded to the nearest millisecond: some microseconds have passed since the engine started the
+        // attempt.
         let patience_ms = (left.as_micros() as u64 + HALF_MILLISECOND) / 1000;
         let key = self.key.as_deref();
         resp::call(out, &self.call_id, &self.class, &self.function, key, patience_ms, &self.body);
@@ -53,7 +55,8 @@
     pub(super) command: WireCommand,
 }
 
-/// A command to be written. An attempt is encoded when it is written; control requests are encoded in advance.
+/// A command to be written. An attempt is encoded when it is written; control requests are encoded in
+/// advance.
 pub(super) enum WireCommand {
     Attempt(Attempt),
     Control(Vec<u8>),
@@ -69,8 +72,8 @@
         }
     }
 
-    /// Returns the invariants to check before the command is written; `None` for control requests. `awaited`: whether a
-    /// client waits for a call; `in_service`: whether the worker is in service.
+    /// Returns the invariants to check before the command is written; `None` for control requests. `awaited`:
+    /// whether a client waits for a call; `in_service`: whether the worker is in service.
     pub(super) fn write_check(
         &self,
         awaited: impl Fn(CallId) -> bool,
--- a/crates/node/src/pools/writing.rs
+++ b/crates/node/src/pools/writing.rs
@@ -1,9 +1,9 @@
-//! Writes queued commands: at the end of the iteration that queued them, or as soon as their connection is established and
-//! the socket accepts them.
+//! Writes queued commands: at the end of the iteration that queued them, or as soon as their connection is
+//! established and the socket accepts them.
 //!
-//! An attempt states the time that its client has left. It is therefore encoded right before the system call that writes
-//! it, and encoded again later if the socket does not accept it. The same reading of the clock shows whether the process
-//! was suspended since the sockets were read.
+//! An attempt states the time that its client has left. It is therefore encoded right before the system call
+//! that writes it, and encoded again later if the socket does not accept it. The same reading of the clock
+//! shows whether the process was suspended since the sockets were read.
 
 use std::time::Instant;
 
@@ -28,8 +28,8 @@
         }
     }
 
-    /// Handles an established connection: writes its queued commands, except attempts that have expired. `at`: now, on the
-    /// engine's clock; `awaited`: whether a client waits for a call.
+    /// Handles an established connection: writes its queued commands, except attempts that have expired.
+    /// `at`: now, on the engine's clock; `awaited`: whether a client waits for a call.
     pub fn connected(
         &mut self,
         context: &mut PoolContext,
@@ -45,8 +45,8 @@
         self.retire_if_unused(context.tcp, key);
     }
 
-    /// Writes the queued commands of all established connections, as far as their sockets accept them. Attempts that have
-    /// expired are ended instead. `awaited`: whether a client waits for a call.
+    /// Writes the queued commands of all established connections, as far as their sockets accept them.
+    /// Attempts that have expired are ended instead. `awaited`: whether a client waits for a call.
     pub fn flush(&mut self, context: &mut PoolContext, awaited: impl Fn(CallId) -> bool) {
         self.postponement.begin(context.tcp.now());
         for key in std::mem::take(&mut self.unwritten) {
@@ -76,8 +76,8 @@
         }
     }
 
-    /// Encodes and writes one command. Returns false if none of it was written; a command that is partly written stays in
-    /// the connection's output.
+    /// Encodes and writes one command. Returns false if none of it was written; a command that is partly
+    /// written stays in the connection's output.
     fn write(&mut self, tcp: &mut Tcp, key: TcpKey, waiting: &WaitingCommand) -> bool {
         if !tcp.flush(key) {
             return false;
@@ -100,7 +100,8 @@
         true
     }
 
-    /// Ends a request that may not be written any more. An expired one is not reported as a violation; any other is.
+    /// Ends a request that may not be written any more. An expired one is not reported as a violation; any
+    /// other is.
     fn end_unwritten(
         &mut self,
         context: &mut PoolContext,
@@ -132,8 +133,8 @@
     }
 }
 
-/// Queues the encoded command in the output of a connection and returns its range there. A connection that is ending
-/// accepts nothing; the range then marks the command as never written.
+/// Queues the encoded command in the output of a connection and returns its range there. A connection that is
+/// ending accepts nothing; the range then marks the command as never written.
 fn queue(tcp: &mut Tcp, key: TcpKey, bytes: &[u8]) -> OutputRange {
     let end = tcp.send(key, bytes);
     end.map_or(OutputRange::NEVER_WRITTEN, |end| OutputRange { start: end - bytes.len() as u64, end })
--- a/crates/node/src/reasons.rs
+++ b/crates/node/src/reasons.rs
@@ -1,5 +1,5 @@
-//! Counters of why requests ended, why they were retried and why client connections were closed. The names of the reasons
-//! appear in the log.
+//! Counters of why requests ended, why they were retried and why client connections were closed. The names of
+//! the reasons appear in the log.
 
 use nettleferry_engine::{AttemptEnd, Cause, FinalAnswer, Refusal};
 
@@ -52,11 +52,12 @@
 pub enum RetryReason {
     /// No connection to the worker was established.
     NotConnected,
-    /// The attempt was not written to a connection.
+    /// The attempt was not written to a connection, or not completely.
     NotWritten,
     /// The worker, or the connections to it, had no free capacity.
     Full,
-    /// The worker has no replica of the function loaded.
+    /// The worker has no replica of the function loaded, could not load one, or answered that the request had
+    /// ended before it arrived.
     Miss,
     /// The worker returned an error.
     WorkerFailed,
@@ -93,7 +94,7 @@
 pub enum CloseReason {
     /// The client closed its side.
     ClientEnded,
-    /// The connection broke.
+    /// The connection broke, or was closed because the client read its answers too slowly.
     Broken,
     /// The connection was idle for too long.
     Idle,
@@ -111,7 +112,7 @@
     const COUNT: usize = 7;
 }
 
-/// Counters by reason.
+/// Numbers of ended requests, of retries and of closed client connections, each by reason.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Reasons {
     ends: [u64; EndReason::COUNT],
@@ -127,7 +128,7 @@
         self.ends[reason as usize] += 1;
     }
 
-    /// Counts a retry.
+    /// Counts a retry by the end of the previous attempt.
     pub fn retried(&mut self, reason: RetryReason) {
         self.retries[reason as usize] += 1;
     }
--- a/crates/node/src/start_times.rs
+++ b/crates/node/src/start_times.rs
@@ -1,13 +1,13 @@
-//! Converts the start times of workers to this process's clock. The directory states a start as a Unix time. This
-//! process's clock is monotonic and begins with the Unix time at which the process started. Either wall clock may be
-//! stepped, so start times are checked against bounds that depend on neither.
+//! Converts the start times of workers to this process's clock. The directory states a start as a Unix time.
+//! This process's clock is monotonic and begins with the Unix time at which the process started. Either wall
+//! clock may be stepped, so start times are checked against bounds that depend on neither.
 
 use std::collections::BTreeMap;
 
 use nettleferry::Micros;
 
-/// Maximum delay, microseconds, between a worker's start and the first list that states it. The directory states it within
-/// 4.5 s.
+/// Maximum delay, microseconds, between a worker's start and the first list that states it. The directory
+/// states it within 4.5 s.
 const MAX_REPORT_AGE: Micros = 5_000_000;
 
 /// A start time as the directory reports it, and the time used for it on this process's clock.
@@ -24,9 +24,10 @@
 }
 
 impl StartTimes {
-    /// Returns a worker's start time on this process's clock. `previous_list`: when the previous list was received, `None`
-    /// for the first list. A start that is reported for the first time can't be earlier than the previous list by more than
-    /// `MAX_REPORT_AGE`, nor later than `now`. One outside these bounds is replaced by `now`.
+    /// Returns a worker's start time on this process's clock. `previous_list`: when the previous list was
+    /// received; `None` for the first list, which sets no lower bound. A start that is reported for the first
+    /// time can't be earlier than the previous list by more than `MAX_REPORT_AGE`, nor later than `now`. One
+    /// outside these bounds is replaced by `now`.
     pub fn resolve(
         &mut self,
         worker: &str,
--- a/crates/node/tests/common/harness.rs
+++ b/crates/node/tests/common/harness.rs
@@ -1,6 +1,6 @@
-//! A node whose event loop is run by the test, one iteration at a time, with sockets of the test as its clients, invokers
-//! and directory. Data written before an iteration is read in that iteration, so a test can make several events fall into
-//! one iteration.
+//! A node whose event loop is run by the test, one iteration at a time, with sockets of the test as its clients,
+//! invokers and directory. Data written before an iteration is read in that iteration, so a test can make several
+//! events fall into one iteration.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream, UdpSocket};
@@ -254,7 +254,8 @@
     fn accept(&mut self) {
         while let Ok((socket, _)) = self.listener.accept() {
             socket.set_nonblocking(true).expect("set");
-            // Without it a small write may be delayed until the previous one is acknowledged, and arrive an iteration later.
+            // Without it a small write may be delayed until the previous one is acknowledged, and arrive an iteration
+            // later.
             socket.set_nodelay(true).expect("set");
             self.conns.push(Conn { socket, input: Vec::new(), commands: Vec::new(), ended: false });
         }
--- a/crates/node/tests/end_to_end.rs
+++ b/crates/node/tests/end_to_end.rs
@@ -210,8 +210,8 @@
     assert!(matches!(client.read_frame(), Some((frames::kind::ANSWER, 1, _))));
     assert!(matches!(client.read_frame(), Some((frames::kind::ANSWER, 0, _))));
     assert_eq!(client.read_frame(), None);
-    // A client that ends its side after a complete request gets one answer at once, and its connection closes. The tests in
-    // `races.rs` check what happens to the request, as they control in which iteration the end is read.
+    // A client that ends its side after a complete request gets one answer at once, and its connection closes. The
+    // tests in `races.rs` check what happens to the request, as they control in which iteration the end is read.
     let mut half_closed = node.client();
     let stream = half_closed.send_request("safe", 6, 2, b"ab");
     half_closed.socket.shutdown(std::net::Shutdown::Write).expect("open");
--- a/crates/node/tests/evidence.rs
+++ b/crates/node/tests/evidence.rs
@@ -1,5 +1,5 @@
-//! Counters and log data from which the cause of a lost request can be found afterwards: connections that end with requests
-//! open, an old list, and the progress of a shutdown.
+//! Counters and log data from which the cause of a lost request can be found afterwards: connections that end with
+//! requests open, an old list, and the progress of a shutdown.
 
 mod common;
 use std::net::Shutdown;
--- a/crates/node/tests/races.rs
+++ b/crates/node/tests/races.rs
@@ -1,5 +1,5 @@
-//! Two events in the same iteration of the event loop: the test writes both before it runs the iteration, and counts at the
-//! invokers what the node forwards.
+//! Two events in the same iteration of the event loop: the test writes both before it runs the iteration, and counts at
+//! the invokers what the node forwards.
 
 mod common;
 
@@ -127,7 +127,8 @@
         write_response(&mut harness.invokers[at].conns[conn].socket, &wire_id(WAITING), "overload", "-");
         let waits = way.apply(waits, 1);
         harness.iterate();
-        // The response in the same iteration shows that the first attempt did not run, but the disconnect is handled first.
+        // The response in the same iteration shows that the first attempt did not run, but the disconnect is handled
+        // first.
         drop(waits);
         harness.fence(500);
         assert_eq!(harness.call_count(&wire_id(WAITING)), 1, "{way:?}");
@@ -429,8 +430,8 @@
     waits.send_request(1, "safe", WAITING, ROW, b"");
     harness.iterate();
     harness.iterate();
-    // While the process is suspended, the client sends more than one iteration reads and ends its side, and the lane for
-    // which its first request waits becomes free.
+    // While the process is suspended, the client sends more than one iteration reads and ends its side, and the lane
+    // for which its first request waits becomes free.
     for n in 0..12 {
         waits.send_request(2 + n, "safe", 100 + u64::from(n), ROW + 1 + u64::from(n), &[0; 8 << 10]);
     }
--- a/crates/node/tests/retry_windows.rs
+++ b/crates/node/tests/retry_windows.rs
@@ -1,5 +1,5 @@
-//! Time limits that pass while an attempt waits for its connection: the deadline of the request, and the window in which
-//! invokers drop duplicates.
+//! Time limits that pass while an attempt waits for its connection: the deadline of the request, and the window in
+//! which invokers drop duplicates.
 
 mod common;
 
@@ -94,8 +94,8 @@
 
 #[test]
 fn retry_whose_connection_is_established_after_the_window_is_not_sent() {
-    // Duplicates are dropped at all invokers, or only within a zone. With a zone, a refusal would wrongly state that a retry
-    // is harmless.
+    // Duplicates are dropped at all invokers, or only within a zone. With a zone, a refusal would wrongly state that a
+    // retry is harmless.
     for (scope, code) in [("all", REFUSED), ("zone", FAILED)] {
         let mut harness = NodeHarness::start(2, |config| keyed(config, scope));
         let mut client = harness.client();
--- a/crates/node/tests/shared_connections.rs
+++ b/crates/node/tests/shared_connections.rs
@@ -1,5 +1,5 @@
-//! Connections that carry the requests of many clients, as those of a proxy do: neither the faults of one client nor a delay
-//! of this process may keep the others from their complete answers in time.
+//! Connections that carry the requests of many clients, as those of a proxy do: neither the faults of one client nor a
+//! delay of this process may keep the others from their complete answers in time.
 
 mod common;
 
--- a/crates/node/tests/start_times.rs
+++ b/crates/node/tests/start_times.rs
@@ -9,8 +9,8 @@
 
 /// The step of a wall clock.
 const HOUR_MS: u64 = 3_600_000;
-/// Goal time of a call, milliseconds. A cold worker starts with 0.5 of a core and is sent a call of this size only after
-/// about 1.3 s.
+/// Goal time of a call, milliseconds. A cold worker starts with 0.5 of a core and is sent a call of this size only
+/// after about 1.3 s.
 const GOAL_TIME_MS: u64 = 3_000;
 const CALL: u64 = 5;
 
--- a/crates/node/tests/versions.rs
+++ b/crates/node/tests/versions.rs
@@ -1,5 +1,5 @@
-//! New versions of all functions invalidate every replica for all controllers at once. Each controller learns this by its
-//! first miss.
+//! New versions of all functions invalidate every replica for all controllers at once. Each controller learns this by
+//! its first miss.
 
 mod common;
 
