--- a/crates/net/src/clock.rs
+++ b/crates/net/src/clock.rs
@@ -1,6 +1,6 @@
-//! The process clock in microseconds since 1970. It is initialized from the wall clock, so that its times can be
-//! compared with those of other processes, and is monotonic afterwards, so that steps of the wall clock affect no
-//! decision.
+//! The process clock in microseconds since 1970. It is initialized from the wall clock, so that its times can
+//! be compared with those of other processes, and is monotonic afterwards, so that steps of the wall clock
+//! affect no decision.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
@@ -18,7 +18,8 @@
         Self { base: wall(), start: Instant::now() }
     }
 
-    /// The clock time of `moment` in microseconds since 1970; moments before the start are clamped to the start.
+    /// The clock time of `moment` in microseconds since 1970; moments before the start are clamped to the
+    /// start.
     pub fn at(&self, moment: Instant) -> u64 {
         self.base + moment.saturating_duration_since(self.start).as_micros() as u64
     }
@@ -39,7 +40,8 @@
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or(Duration::ZERO).as_micros() as u64
 }
 
-/// The shorter of the timeout `wait` and the time from `now` to the earliest of `next`; `None` means no timeout.
+/// The shorter of the timeout `wait` and the time from `now` to the earliest of `next`; `None` means no
+/// timeout.
 pub(crate) fn shorter_timeout(
     wait: Option<Duration>,
     now: Instant,
--- a/crates/net/src/framing.rs
+++ b/crates/net/src/framing.rs
@@ -1,5 +1,5 @@
-//! Length-prefixed gRPC messages ("gRPC over HTTP2", Length-Prefixed-Message): a compressed flag of one byte, the
-//! length as a big-endian 32-bit integer, and the message.
+//! Length-prefixed gRPC messages ("gRPC over HTTP2", Length-Prefixed-Message): a compressed flag of one byte,
+//! the length as a big-endian 32-bit integer, and the message.
 
 use std::io::Read;
 
@@ -64,7 +64,8 @@
         self.gzip = true;
     }
 
-    /// The next complete message. A length over the limit is an error as soon as the prefix is received.
+    /// The next complete message; `None` if it is not complete yet. A length over the limit is an error as
+    /// soon as the prefix is received.
     pub fn next_message(&mut self) -> Result<Option<Bytes>, FrameError> {
         if self.buffer.len() < PREFIX_BYTES {
             return Ok(None);
@@ -94,7 +95,8 @@
     }
 
     fn inflate(&self, message: &Bytes) -> Result<Bytes, FrameError> {
-        // Reads at most one byte over the limit, so that a decompression bomb is detected without unpacking it.
+        // Reads at most one byte over the limit, so that a decompression bomb is detected without unpacking
+        // it.
         let mut out = Vec::new();
         let mut reader = flate2::read::GzDecoder::new(&message[..]).take(self.max_bytes as u64 + 1);
         reader.read_to_end(&mut out).map_err(|_| FrameError::BadGzip)?;
--- a/crates/net/src/grpc.rs
+++ b/crates/net/src/grpc.rs
@@ -1,5 +1,5 @@
-//! Encoding of gRPC headers and trailers: status codes, `grpc-timeout`, percent-encoded `grpc-message` and `-bin`
-//! values, as specified in "gRPC over HTTP2" and in the gRPC documentation of status codes.
+//! Encoding of gRPC headers and trailers: status codes, `grpc-timeout`, percent-encoded `grpc-message` and
+//! `-bin` values, as specified in "gRPC over HTTP2" and in the gRPC documentation of status codes.
 
 use std::time::Duration;
 
@@ -100,7 +100,7 @@
 /// The status of a call, as sent in trailers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Status {
-    /// Value of `grpc-status`.
+    /// Value of `grpc-status`: one of the standard codes.
     pub code: Code,
     /// Value of `grpc-message`, percent-decoded.
     pub message: String,
@@ -134,14 +134,16 @@
     }
 }
 
-/// Characters to percent-encode in `grpc-message`: control characters and the percent sign; non-ASCII is always
-/// encoded.
+/// Characters to percent-encode in `grpc-message`: control characters and the percent sign; non-ASCII is
+/// always encoded.
 const MESSAGE: &AsciiSet = &CONTROLS.add(b'%');
 
-/// Maximum size of a sent `grpc-message` in bytes before encoding, because peers limit the size of header lists.
+/// Maximum size of a sent `grpc-message` in bytes before encoding, because peers limit the size of header
+/// lists.
 pub const MAX_MESSAGE_BYTES: usize = 1024;
 
-/// Percent-encodes a `grpc-message`, truncated at a character boundary to at most [`MAX_MESSAGE_BYTES`] bytes.
+/// Percent-encodes a `grpc-message`, truncated at a character boundary to at most [`MAX_MESSAGE_BYTES`]
+/// bytes.
 pub fn encode_message(message: &str) -> String {
     let mut end = message.len().min(MAX_MESSAGE_BYTES);
     while !message.is_char_boundary(end) {
@@ -168,7 +170,8 @@
     })
 }
 
-/// Formats a `grpc-timeout` in the finest unit from microseconds on that fits into eight digits, rounded down.
+/// Formats a `grpc-timeout`, rounded down, in the finest of microseconds, milliseconds, seconds and hours
+/// that fits into eight digits.
 pub fn write_timeout(span: Duration) -> String {
     const MAX: u128 = 99_999_999;
     for (unit, value) in [("u", span.as_micros()), ("m", span.as_millis()), ("S", u128::from(span.as_secs()))]
@@ -180,7 +183,7 @@
     format!("{}H", (u128::from(span.as_secs()) / 3600).min(MAX))
 }
 
-/// Encodes a `-bin` header value as unpadded base64.
+/// Encodes a `-bin` header value as unpadded base64. `None` only if that is not a valid header value.
 pub fn write_binary(bytes: &[u8]) -> Option<HeaderValue> {
     HeaderValue::from_str(&STANDARD_NO_PAD.encode(bytes)).ok()
 }
--- a/crates/net/src/http1/connection.rs
+++ b/crates/net/src/http1/connection.rs
@@ -14,11 +14,11 @@
 /// A request whose reply is deferred.
 #[derive(Clone, Copy)]
 pub(super) struct Waiting {
-    /// When the request was first handled.
+    /// Time at which the request was first handled.
     since: Instant,
-    /// When the request is handled again at the latest.
+    /// Latest time at which the request is handled again.
     pub(super) until: Instant,
-    /// Ticket of a parked request.
+    /// Ticket of a parked request; `None` if the request waits without being parked.
     ticket: Option<u64>,
 }
 
@@ -28,11 +28,11 @@
     received: Vec<u8>,
     /// The reply that is being sent.
     output: Vec<u8>,
-    /// Bytes of `output` that were sent.
+    /// Number of bytes of `output` that were sent.
     sent: usize,
     /// Whether the connection is closed once `output` is sent.
     close_after_output: bool,
-    /// When the connection is closed, unless a request is waiting.
+    /// Time at which the connection is closed, unless a request is waiting.
     pub(super) deadline: Instant,
     pub(super) waiting: Option<Waiting>,
 }
@@ -43,7 +43,8 @@
         Self { socket, received, output, sent: 0, close_after_output: false, deadline, waiting: None }
     }
 
-    /// When the connection must be processed next: its deadline, or the time to handle a waiting request again.
+    /// The time at which the connection must be processed next: its deadline, or the time to handle a waiting
+    /// request again.
     pub(super) fn due(&self) -> Instant {
         self.waiting.map_or(self.deadline, |waiting| waiting.until)
     }
@@ -71,8 +72,8 @@
             let held_for = waited.map(|waiting| waiting.since.elapsed());
             let mut handle_request = |request: &Request<'_>| handle(request, held_for);
             match parse(&self.received, limits, ticket, &mut handle_request) {
-                // Nothing is read while a request waits: a peer that has disconnected is detected when the reply is
-                // sent.
+                // Nothing is read while a request waits: a peer that has disconnected is detected when the
+                // reply is sent.
                 Parsed::Wait(span, ticket) => {
                     self.waiting = Some(Waiting { since, until: since + span, ticket });
                     return Ok(());
--- a/crates/net/src/http1/message.rs
+++ b/crates/net/src/http1/message.rs
@@ -11,8 +11,8 @@
     pub head_bytes: usize,
     /// Maximum size of a request body in bytes; a larger one is answered with 413.
     pub body_bytes: usize,
-    /// Time in which a client must send a request, counted from the connection or its last reply, and read the reply;
-    /// the connection is closed afterwards.
+    /// Time in which a client must send a request, counted from the connection or its last reply, and read
+    /// the reply; the connection is closed afterwards.
     pub timeout: Duration,
 }
 
@@ -33,8 +33,8 @@
     pub headers: Vec<(&'a str, &'a [u8])>,
     /// The complete body; empty if there is none.
     pub body: &'a [u8],
-    /// Ticket with which the handler parked this request. The request must not be processed again; only its reply is
-    /// due.
+    /// Ticket with which the handler parked this request. The request must not be processed again; only its
+    /// reply is due.
     pub ticket: Option<u64>,
 }
 
@@ -49,7 +49,7 @@
 /// A reply to a request.
 #[derive(Clone, Debug)]
 pub struct Reply {
-    /// Status code.
+    /// HTTP status code, such as 200.
     pub status: u16,
     /// Value of the Content-Type header.
     pub content_type: &'static str,
@@ -57,7 +57,8 @@
     pub headers: Vec<(&'static str, String)>,
     /// The body, sent with its Content-Length.
     pub body: Vec<u8>,
-    /// An injected fault for test servers: only this many bytes of the reply are sent before the connection is closed.
+    /// An injected fault for test servers: only this many bytes of the reply are sent before the connection
+    /// is closed.
     pub cut: Option<usize>,
 }
 
@@ -74,9 +75,10 @@
 pub enum Disposition {
     /// The request is answered.
     Reply(Reply),
-    /// The request is handled again when the server is woken, at the latest this long after it was first handled.
+    /// The request is handled again when the server is woken, at the latest this long after it was first
+    /// handled.
     Wait(Duration),
-    /// The request was processed, but its reply is not ready. The handler is called again as for [`Disposition::Wait`],
-    /// with this ticket in [`Request::ticket`].
+    /// The request was processed, but its reply is not ready. The handler is called again as for
+    /// [`Disposition::Wait`], with this ticket in [`Request::ticket`].
     Park(Duration, u64),
 }
--- a/crates/net/src/http1/mod.rs
+++ b/crates/net/src/http1/mod.rs
@@ -1,10 +1,11 @@
-//! A small HTTP/1.1 server (RFC 9110, RFC 9112) for secondary listeners such as metrics. It has its own mio poll and
-//! runs in its own thread, so that it can't delay other work.
+//! A small HTTP/1.1 server (RFC 9110, RFC 9112) for secondary listeners such as metrics. It has its own mio
+//! poll and runs in its own thread, so that it can't delay other work.
 //!
-//! A request body requires Content-Length; chunked bodies are rejected with 411. Connections are persistent unless the
-//! client asks to close them, and the requests of one connection are answered in order.
+//! A request body requires Content-Length; chunked bodies are rejected with 411. Connections are persistent
+//! unless the client asks to close them, and the requests of one connection are answered in order.
 //!
-//! * `message`: requests, replies and limits. `parse`: the request parser. `connection`: the state of one connection.
+//! * `message`: requests, replies and limits. `parse`: the request parser. `connection`: the state of one
+//!   connection.
 
 mod connection;
 mod message;
@@ -79,8 +80,8 @@
         self.stop.clone()
     }
 
-    /// An injected fault for test servers: a connection that has received more than this number of bytes of one request
-    /// is closed.
+    /// An injected fault for test servers: a connection that has received more than this number of bytes of
+    /// one request is closed.
     pub fn cut_requests(&self) -> Arc<AtomicUsize> {
         Arc::clone(&self.cut_requests)
     }
@@ -90,9 +91,9 @@
         self.run_waiting(|request, _| Disposition::Reply(handle(request)), || None)
     }
 
-    /// Serves requests until stopped. `handle` may defer its reply and is then called again for the same request; its
-    /// second argument is how long the request has waited, or `None` on the first call. `tick` is called in every
-    /// iteration, and returns the maximum time until the next one.
+    /// Serves requests until stopped. `handle` may defer its reply and is then called again for the same
+    /// request; its second argument is how long the request has waited, or `None` on the first call. `tick`
+    /// is called in every iteration, and returns the maximum time until the next one.
     pub fn run_waiting(
         &mut self,
         mut handle: impl FnMut(&Request<'_>, Option<Duration>) -> Disposition,
--- a/crates/net/src/http1/parse.rs
+++ b/crates/net/src/http1/parse.rs
@@ -11,7 +11,8 @@
 pub(super) enum Parsed {
     /// The request is incomplete.
     Partial,
-    /// The reply is deferred until this long after the request was first handled; a parked request has a ticket.
+    /// The reply is deferred until this long after the request was first handled; a parked request has a
+    /// ticket.
     Wait(Duration, Option<u64>),
     /// The request was handled and has a reply.
     Done {
@@ -93,8 +94,8 @@
     if request.header("transfer-encoding").is_some() {
         return Err(Reply::text(411, "chunked bodies are not taken: send Content-Length\n"));
     }
-    // Repeated Content-Length headers are rejected: they enable request smuggling through an intermediary (RFC 9112,
-    // section 6.3).
+    // Repeated Content-Length headers are rejected: they enable request smuggling through an intermediary
+    // (RFC 9112, section 6.3).
     let mut lengths = request.headers.iter().filter(|(name, _)| name.eq_ignore_ascii_case("content-length"));
     let length = match (lengths.next(), lengths.next()) {
         (None, _) => Some(0),
--- a/crates/net/src/http1_client.rs
+++ b/crates/net/src/http1_client.rs
@@ -1,5 +1,5 @@
-//! An HTTP/1.1 client on its own mio poll, with a fixed number of connections to one address and one request at a time
-//! on each. It runs in the thread of its owner.
+//! An HTTP/1.1 client on its own mio poll, with a fixed number of connections to one address and one request
+//! at a time on each. It runs in the thread of its owner.
 
 use std::io;
 use std::net::SocketAddr;
@@ -13,7 +13,8 @@
 
 const WAKE: Token = Token(usize::MAX);
 
-/// An HTTP/1.1 client with a fixed number of connections to one address; they are established by their first request.
+/// An HTTP/1.1 client with a fixed number of connections to one address; they are established by their first
+/// request.
 pub struct Http1Client {
     poll: Poll,
     waker: Arc<Waker>,
@@ -23,8 +24,8 @@
 }
 
 impl Http1Client {
-    /// Creates a client with `connections` connections to `address`. A request without a complete response after
-    /// `timeout` ends with [`Http1Error::Timeout`].
+    /// Creates a client with `connections` connections to `address`. A request without a complete response
+    /// after `timeout` ends with [`Http1Error::Timeout`].
     pub fn new(address: SocketAddr, connections: usize, timeout: Duration) -> io::Result<Self> {
         let poll = Poll::new()?;
         let waker = Arc::new(Waker::new(poll.registry(), WAKE)?);
@@ -47,8 +48,8 @@
         self.send(connection, "POST", path, headers, body);
     }
 
-    /// Sends a request on a connection by its index; the connection must have no request in flight. An unknown index is
-    /// ignored.
+    /// Sends a request on a connection by its index; the connection must have no request in flight. An
+    /// unknown index is ignored.
     pub fn send(
         &mut self,
         connection: usize,
@@ -64,8 +65,8 @@
         connection.send(self.poll.registry(), token, self.address, request, deadline);
     }
 
-    /// Runs one iteration: waits for at most `timeout`, or not at all if a request has ended already, and appends the
-    /// index of each connection whose request has ended, with the result, to `out`.
+    /// Runs one iteration: waits for at most `timeout`, or not at all if a request has ended already, and
+    /// appends the index of each connection whose request has ended, with the result, to `out`.
     pub fn poll(
         &mut self,
         timeout: Option<Duration>,
--- a/crates/net/src/http1_client_connection.rs
+++ b/crates/net/src/http1_client_connection.rs
@@ -1,5 +1,5 @@
-//! One connection of an HTTP/1.1 client, registered with the poll of its owner. It has one request in flight at a time,
-//! reads each response completely, and stays open between requests unless the server closes it.
+//! One connection of an HTTP/1.1 client, registered with the poll of its owner. It has one request in flight
+//! at a time, reads each response completely, and stays open between requests unless the server closes it.
 
 use std::io::{self, Read, Write};
 use std::net::SocketAddr;
@@ -8,10 +8,10 @@
 use mio::net::TcpStream;
 use mio::{Interest, Registry, Token};
 
-/// A response.
+/// A response that was received completely, or without its body as described at [`Answer::body`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Answer {
-    /// Status code.
+    /// HTTP status code, such as 200.
     pub status: u16,
     /// Headers in the order received, with names in lower case.
     pub headers: Vec<(String, String)>,
@@ -40,9 +40,9 @@
     Malformed,
 }
 
-/// Maximum size of a response's status line and headers; a longer one is malformed.
+/// Size of a response's status line and headers in bytes above which an incomplete response is malformed.
 const MAX_HEAD_BYTES: usize = 16 << 10;
-/// Maximum size of a response's body; a longer one is discarded and closes the connection.
+/// Maximum size of a response's body in bytes; a longer one is discarded and closes the connection.
 const MAX_BODY_BYTES: usize = 4 << 20;
 /// Capacity of the receive buffer that a connection retains between requests.
 const RETAINED_BUFFER_BYTES: usize = 16 << 10;
@@ -71,19 +71,20 @@
     socket: Option<TcpStream>,
     /// The request that is in flight.
     request: Vec<u8>,
-    /// Bytes of `request` that were sent.
+    /// Number of bytes of `request` that were sent.
     sent: usize,
     /// Bytes of the response received so far.
     response: Vec<u8>,
-    /// Bytes received in response to the last request.
+    /// Number of bytes received in response to the last request, also after that has ended.
     received: usize,
     /// Deadline of the request in flight; `None` if there is none.
     deadline: Option<Instant>,
 }
 
 impl ClientConnection {
-    /// Sends a request, connecting to `to` if necessary; no other request may be in flight. At `deadline` it ends with
-    /// [`Http1Error::Timeout`]. A failure to connect is reported by the next [`ClientConnection::poll`].
+    /// Sends a request, connecting to `to` if necessary; no other request may be in flight. At `deadline` it
+    /// ends with [`Http1Error::Timeout`]. A failure to connect is reported by the next
+    /// [`ClientConnection::poll`].
     pub fn send(
         &mut self,
         registry: &Registry,
@@ -110,7 +111,7 @@
         self.deadline
     }
 
-    /// Bytes received in response to the last request.
+    /// Number of bytes received in response to the last request, also after that has ended.
     pub fn received(&self) -> usize {
         self.received
     }
@@ -121,8 +122,8 @@
         self.deadline = None;
     }
 
-    /// Writes and reads as much as possible without blocking. Returns the result of the request in flight once it has
-    /// ended.
+    /// Writes and reads as much as possible without blocking. Returns the result of the request in flight
+    /// once it has ended.
     pub fn poll(&mut self, now: Instant) -> Option<Result<Answer, Http1Error>> {
         let deadline = self.deadline?;
         let result = match self.exchange() {
@@ -145,7 +146,8 @@
         Some(result)
     }
 
-    /// Writes the request and reads the response until the socket would block. `None` if the response is incomplete.
+    /// Writes the request and reads the response until the socket would block. `None` if the response is
+    /// incomplete.
     fn exchange(&mut self) -> Result<Option<ParsedAnswer>, Http1Error> {
         let Some(socket) = &mut self.socket else {
             return Err(Http1Error::Broken("no connection".to_owned()));
@@ -220,8 +222,8 @@
             let keep_alive = answer.header("connection").is_none_or(|c| !c.eq_ignore_ascii_case("close"));
             Ok(Some(ParsedAnswer { answer, keep_alive }))
         }
-        // A body without Content-Length or over the limit is not read: only status and headers are returned, and the
-        // connection is closed.
+        // A body without Content-Length or over the limit is not read: only status and headers are returned,
+        // and the connection is closed.
         _ => Ok(Some(ParsedAnswer { answer, keep_alive: false })),
     }
 }
--- a/crates/net/src/hub/accept.rs
+++ b/crates/net/src/hub/accept.rs
@@ -42,9 +42,9 @@
 
     /// Accepts all pending connections of a listener.
     pub(super) fn accept(&mut self, index: usize) {
-        // Another thread, such as the watcher of the worker list, may have used the spare descriptor while it was
-        // released. It is replaced before accepting, as clients could otherwise wait forever once the descriptors run
-        // out.
+        // Another thread, such as the watcher of the worker list, may have used the spare descriptor while it
+        // was released. It is replaced before accepting, as clients could otherwise wait forever once the
+        // descriptors run out.
         if self.spare_descriptor.is_none() {
             self.spare_descriptor = spare_descriptor();
         }
@@ -66,8 +66,9 @@
                 Err(e)
                     if matches!(e.kind(), io::ErrorKind::Interrupted | io::ErrorKind::ConnectionAborted) => {}
                 Err(_) => {
-                    // Out of descriptors or memory. The spare descriptor is released, and the connection is accepted
-                    // and closed, so that the client fails immediately instead of waiting. Then accepting pauses.
+                    // Out of descriptors or memory. The spare descriptor is released, and the connection is
+                    // accepted and closed, so that the client fails immediately instead of waiting. Then
+                    // accepting pauses.
                     self.counters.over_handles += 1;
                     if self.spare_descriptor.take().is_some() {
                         if let Some(listener) = self.listeners.get(index) {
--- a/crates/net/src/hub/conn.rs
+++ b/crates/net/src/hub/conn.rs
@@ -53,7 +53,7 @@
     pub(super) listener: Option<ListenerKey>,
     pub(super) shared: Rc<Shared>,
     pub(super) waker: Waker,
-    /// Deadline of the handshake, or end of the idle time.
+    /// Deadline of connecting and of the handshake, or end of the idle time.
     pub(super) alarm: Instant,
     pub(super) streams: BTreeSet<StreamKey>,
     /// Outgoing streams that are not started yet, in the order opened.
--- a/crates/net/src/hub/events.rs
+++ b/crates/net/src/hub/events.rs
@@ -39,19 +39,21 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ListenerKey(pub usize);
 
-/// How a stream failed, as observed on the connection. Whether its call may have run is not decided here.
+/// The failure of a stream, as observed on the connection. Whether its call may have run is not decided here.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StreamError {
     /// The connection was not established.
     #[error("the connection was not established")]
     NotConnected,
-    /// No byte was written after the request was queued, or the connection accepted no new streams.
+    /// No byte was written after the request was passed to HTTP/2, the connection accepted no new streams, or
+    /// the deadline of [`super::Hub::open_until`] passed before the stream was started.
     #[error("the request was not written")]
     NotWritten,
     /// RST_STREAM with REFUSED_STREAM: the peer did not process the stream (RFC 9113, section 8.7).
     #[error("the peer refused the stream without processing it")]
     Refused,
-    /// GOAWAY with a last stream id below this stream: the peer did not process the stream (RFC 9113, section 6.8).
+    /// GOAWAY with a last stream id below this stream: the peer did not process the stream (RFC 9113, section
+    /// 6.8).
     #[error("the peer sent GOAWAY without processing the stream")]
     GoneAway,
     /// RST_STREAM with another error code.
@@ -71,7 +73,7 @@
 /// Why a connection was closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
-    /// The connection was refused, or not established within [`crate::NetLimits::connect_timeout`].
+    /// The outgoing connection was refused, or not established within [`crate::NetLimits::connect_timeout`].
     NotConnected,
     /// The owner or the peer closed the connection, or it broke.
     Ended,
@@ -146,7 +148,7 @@
     Trailers {
         /// The stream.
         stream: StreamKey,
-        /// The trailers; empty if there were none.
+        /// The trailers, which are the headers of a Trailers-Only response; empty if there were none.
         trailers: HeaderMap,
     },
     /// The complete response of an incoming stream was passed to HTTP/2.
@@ -154,20 +156,22 @@
         /// The stream.
         stream: StreamKey,
     },
-    /// The stream ended in another way.
+    /// The stream ended without [`NetEvent::Trailers`] or [`NetEvent::Sent`].
     Failed {
         /// The stream.
         stream: StreamKey,
-        /// How it failed.
+        /// The failure, as observed on the connection.
         why: StreamError,
     },
-    /// The send queue of a stream for which [`super::Hub::is_full`] was true has drained to half of its limit.
+    /// The send queue of a stream for which [`super::Hub::is_full`] was true has drained to half of its
+    /// limit.
     Drained {
         /// The stream.
         stream: StreamKey,
     },
     /// Another thread woke the hub with [`super::Hub::waker`].
     Woken,
-    /// A source that the owner registered with [`super::Hub::registry`] and [`super::Hub::source_token`] is ready.
+    /// A source that the owner registered with [`super::Hub::registry`] and [`super::Hub::source_token`] is
+    /// ready.
     Source(usize),
 }
--- a/crates/net/src/hub/faults.rs
+++ b/crates/net/src/hub/faults.rs
@@ -1,4 +1,5 @@
-//! Fault injection for test servers: frozen connections and listeners, and connections that break inside a frame.
+//! Fault injection for test servers: frozen connections and listeners, and connections that break inside a
+//! frame.
 
 use bytes::Bytes;
 use h2::Reason;
@@ -13,8 +14,8 @@
         }
     }
 
-    /// Sends GOAWAY immediately on an accepted connection, with the id of the last stream received. Later streams are
-    /// not processed.
+    /// Sends GOAWAY immediately on an accepted connection, with the id of the last stream received. Later
+    /// streams are not processed.
     pub fn go_away_abruptly(&mut self, conn: ConnKey, reason: Reason) {
         if let Some(c) = self.conns.get_mut(conn.index()).filter(|c| c.key == conn) {
             c.go_away_abruptly(reason);
@@ -29,7 +30,8 @@
         }
     }
 
-    /// Stops accepting on a listener until it is called again with false. The kernel still establishes connections.
+    /// Stops accepting on a listener until it is called again with false. The kernel still establishes
+    /// connections.
     pub fn freeze_listener(&mut self, listener: ListenerKey, frozen: bool) {
         if let Some(l) = self.listeners.get_mut(listener.0) {
             l.frozen = frozen;
--- a/crates/net/src/hub/mod.rs
+++ b/crates/net/src/hub/mod.rs
@@ -1,16 +1,18 @@
 //! HTTP/2 connections and their streams on one mio poll.
 //!
-//! The owner opens streams, queues messages and calls [`Hub::poll`] in a loop, which reports [`NetEvent`]s. A stream is
-//! one gRPC call, on accepted connections as well as on outgoing ones.
+//! The owner opens streams, queues messages and calls [`Hub::poll`] in a loop, which reports [`NetEvent`]s. A
+//! stream is one gRPC call, on accepted connections as well as on outgoing ones.
 //!
 //! A stream ends with exactly one event:
 //! * an outgoing stream with [`NetEvent::Trailers`] or [`NetEvent::Failed`];
-//! * an incoming stream with [`NetEvent::Sent`] once its response was passed to HTTP/2, or with [`NetEvent::Failed`].
+//! * an incoming stream with [`NetEvent::Sent`] once its response was passed to HTTP/2, or with
+//!   [`NetEvent::Failed`].
 //!
 //! A stream that the owner ends with [`Hub::reset`] reports neither.
 //!
 //! * `events`: keys, events and errors. `streams`: operations on streams. `accept`: listening and connecting.
-//! * `poll`: the event loop. `conn`, `stream`: the state of one connection and one stream. `faults`: fault injection.
+//! * `poll`: the event loop. `conn`, `stream`: the state of one connection and one stream. `faults`: fault
+//!   injection.
 
 mod accept;
 mod conn;
@@ -36,7 +38,7 @@
 pub use events::{CloseReason, ConnKey, ListenerKey, NetEvent, StreamError, StreamKey};
 use stream::Stream;
 
-/// A listening socket.
+/// A listening socket, with its injected fault.
 struct Listener {
     socket: TcpListener,
     /// Injected fault of test servers: no connection is accepted.
@@ -63,7 +65,7 @@
     streams: Slab<Stream>,
     listeners: Vec<Listener>,
     alarms: BTreeSet<(Instant, ConnKey)>,
-    /// When accepting is resumed; `None` unless it is paused.
+    /// Time at which accepting is resumed; `None` unless it is paused.
     accept_at: Option<Instant>,
     /// Descriptor that is released when no other is left: see [`Hub::accept`].
     spare_descriptor: Option<std::fs::File>,
@@ -110,7 +112,8 @@
         self.poll.registry()
     }
 
-    /// The token with which the owner must register source `number` to have it reported as [`NetEvent::Source`].
+    /// The token with which the owner must register source `number` to have it reported as
+    /// [`NetEvent::Source`].
     pub fn source_token(&self, number: usize) -> Token {
         Token(SOURCES + number)
     }
@@ -140,14 +143,15 @@
         self.streams.len()
     }
 
-    /// Whether a new stream on a connection may start without waiting for the stream limit of the peer; false after
-    /// GOAWAY. Always true while the connection is being established.
+    /// Whether a new stream on a connection may start without waiting for the stream limit of the peer; false
+    /// after GOAWAY, and on an accepted connection. Always true while an outgoing connection is being
+    /// established.
     pub fn can_open(&mut self, conn: ConnKey) -> bool {
         self.conns.get_mut(conn.index()).filter(|c| c.key == conn).is_some_and(Conn::can_open)
     }
 
-    /// Whether a connection accepts no new streams, because the peer sent GOAWAY or the connection no longer exists.
-    /// Open streams continue.
+    /// Whether a connection accepts no new streams, because the peer sent GOAWAY or the connection no longer
+    /// exists. Open streams continue.
     pub fn is_going_away(&self, conn: ConnKey) -> bool {
         self.conns.get(conn.index()).filter(|c| c.key == conn).is_none_or(|c| c.closed_to_new)
     }
@@ -174,8 +178,8 @@
         }
     }
 
-    /// Shuts down all accepted connections gracefully: sends GOAWAY and accepts no new streams. Open streams continue,
-    /// and each connection is closed after its last one.
+    /// Shuts down all accepted connections gracefully: sends GOAWAY and accepts no new streams. Open streams
+    /// continue, and each connection is closed after its last one.
     pub fn go_away(&mut self) {
         for (_, conn) in self.conns.iter_mut() {
             conn.go_away();
--- a/crates/net/src/hub/poll.rs
+++ b/crates/net/src/hub/poll.rs
@@ -1,4 +1,5 @@
-//! One iteration of the event loop: poll, read events, fire alarms, and poll the connections and streams that are due.
+//! One iteration of the event loop: poll, read events, fire alarms, and poll the connections and streams that
+//! are due.
 
 use std::io;
 use std::time::{Duration, Instant};
@@ -9,13 +10,13 @@
 use crate::clock::shorter_timeout;
 use crate::wake::Due;
 
-/// Maximum passes through the due queue in one iteration, so that peers that keep waking each other can't starve the
-/// timers.
+/// Maximum passes through the due queue in one iteration, so that peers that keep waking each other can't
+/// starve the timers.
 const MAX_DUE_PASSES: usize = 64;
 
 impl Hub {
-    /// Runs one iteration: polls due connections and streams, waits for socket events for at most `timeout` (less if
-    /// anything is due earlier), and polls those that have become due. Appends the events to `out`.
+    /// Runs one iteration: polls due connections and streams, waits for socket events for at most `timeout`
+    /// (less if anything is due earlier), and polls those that have become due. Appends the events to `out`.
     pub fn poll(&mut self, timeout: Option<Duration>, out: &mut Vec<NetEvent>) -> io::Result<()> {
         self.now = Instant::now();
         self.run_due();
@@ -51,7 +52,8 @@
             } else if token >= LISTENERS {
                 accept.push(token - LISTENERS);
             } else if let Some(conn) = self.conns.get(token) {
-                // An event of a closed connection with the same index only causes a needless poll of the new one.
+                // An event of a closed connection with the same index only causes a needless poll of the new
+                // one.
                 if event.is_readable() || event.is_read_closed() || event.is_error() {
                     conn.shared.readable.set(true);
                 }
@@ -118,7 +120,8 @@
         }
     }
 
-    /// Polls a connection, and reports its establishment, new streams, streams that failed to start, and its end.
+    /// Polls a connection, and reports its establishment, new streams, streams that failed to start, and its
+    /// end.
     pub(super) fn poll_conn(&mut self, key: ConnKey) {
         let Some(conn) = self.conns.get_mut(key.index()).filter(|c| c.key == key) else { return };
         let ended = conn.poll(&mut self.streams);
@@ -161,7 +164,8 @@
 
     /// Closes and removes a connection; its open streams fail.
     pub(super) fn close_conn(&mut self, key: ConnKey, why: CloseReason) {
-        // Data already received for its streams is reported first, as are streams that have ended by themselves.
+        // Data already received for its streams is reported first, as are streams that have ended by
+        // themselves.
         let streams: Vec<StreamKey> = self.conns[key.index()].streams.iter().copied().collect();
         for stream in streams.iter().copied() {
             self.poll_stream(stream);
--- a/crates/net/src/hub/stream.rs
+++ b/crates/net/src/hub/stream.rs
@@ -59,7 +59,7 @@
     responder: Option<SendResponse<Bytes>>,
     send: Option<SendStream<Bytes>>,
     recv: Option<RecvStream>,
-    /// Queued body bytes.
+    /// Queued body bytes, with the prefixes of messages, that were not passed to HTTP/2.
     out: VecDeque<Bytes>,
     /// The end of the sending direction once it is finished, with the trailers to send.
     end: Option<Option<HeaderMap>>,
@@ -151,7 +151,8 @@
         Ok(())
     }
 
-    /// Sends the headers of the response. `headers_only`: the response ends with them, and queued data is dropped.
+    /// Sends the headers of the response. `headers_only`: the response ends with them, and queued data is
+    /// dropped.
     pub(super) fn respond(&mut self, head: http::Response<()>, headers_only: bool) {
         if let Some(responder) = &mut self.responder
             && let Ok(send) = responder.send_response(head, headers_only)
@@ -262,7 +263,8 @@
         true
     }
 
-    /// Receives the headers of the response. `Some` ends the poll; true in it means that the stream has ended.
+    /// Receives the headers of the response. `Some` ends the poll; true in it means that the stream has
+    /// ended.
     fn poll_head(&mut self, cx: &mut Context<'_>, written: u64, out: &mut Vec<NetEvent>) -> Option<bool> {
         let response = self.response.as_mut()?;
         match Pin::new(response).poll(cx) {
@@ -286,8 +288,8 @@
         }
     }
 
-    /// Receives messages and the end of the peer's direction. `Some` ends the poll; true in it means that the stream
-    /// has ended.
+    /// Receives messages and the end of the peer's direction. `Some` ends the poll; true in it means that the
+    /// stream has ended.
     fn poll_recv(
         &mut self,
         cx: &mut Context<'_>,
@@ -314,8 +316,8 @@
             match recv.poll_data(cx) {
                 Poll::Pending => return None,
                 Poll::Ready(Some(Ok(chunk))) => {
-                    // The receive window is released as data is read; a paused stream is not read, so its window
-                    // closes.
+                    // The receive window is released as data is read; a paused stream is not read, so its
+                    // window closes.
                     let _ = recv.flow_control().release_capacity(chunk.len());
                     self.decoder.push(chunk);
                 }
@@ -342,8 +344,8 @@
         None
     }
 
-    /// Reports a message that can't be decoded. An incoming stream stays open for its response; an outgoing one is
-    /// reset.
+    /// Reports a message that can't be decoded. An incoming stream stays open for its response; an outgoing
+    /// one is reset.
     fn malformed(
         &mut self,
         error: crate::framing::FrameError,
--- a/crates/net/src/hub/streams.rs
+++ b/crates/net/src/hub/streams.rs
@@ -11,14 +11,15 @@
 use crate::wake::Due;
 
 impl Hub {
-    /// Opens a stream on an outgoing connection, which may still be connecting. `None` if the connection no longer
-    /// exists.
+    /// Opens a stream on an outgoing connection, which may still be connecting. `None` if the connection no
+    /// longer exists.
     pub fn open(&mut self, conn: ConnKey, request: http::Request<()>) -> Option<StreamKey> {
         self.open_stream(conn, request, None)
     }
 
-    /// Like [`Hub::open`], for a call with a deadline. `grpc-timeout` is set to the time left when the connection
-    /// starts the stream. If the deadline has passed by then, the stream fails with [`super::StreamError::NotWritten`].
+    /// Like [`Hub::open`], for a call with a deadline. `grpc-timeout` is set to the time left when the
+    /// connection starts the stream. If the deadline has passed by then, the stream fails with
+    /// [`super::StreamError::NotWritten`].
     pub fn open_until(
         &mut self,
         conn: ConnKey,
@@ -90,8 +91,8 @@
         }
     }
 
-    /// Whether the send queue has exceeded [`crate::NetLimits::send_queue_bytes`]. Once true, it stays so until
-    /// [`super::NetEvent::Drained`] is reported.
+    /// Whether the send queue has exceeded [`crate::NetLimits::send_queue_bytes`]. Once true, it stays so
+    /// until [`super::NetEvent::Drained`] is reported.
     pub fn is_full(&mut self, key: StreamKey) -> bool {
         let limit = self.limits.send_queue_bytes;
         self.stream(key).is_some_and(|s| s.is_full(limit))
--- a/crates/net/src/io.rs
+++ b/crates/net/src/io.rs
@@ -1,5 +1,5 @@
-//! A mio TCP socket with the I/O traits that `h2` needs. The hub, and fault injection in test servers, access the
-//! socket through shared state while `h2` owns the I/O object.
+//! A mio TCP socket with the I/O traits that `h2` needs. The hub, and fault injection in test servers, access
+//! the socket through shared state while `h2` owns the I/O object.
 
 use std::cell::Cell;
 use std::io::{self, Read, Write};
@@ -18,13 +18,14 @@
     // mio is edge-triggered: an event sets each readiness flag, and `WouldBlock` clears it.
     pub(crate) readable: Cell<bool>,
     pub(crate) writable: Cell<bool>,
-    /// Bytes that the kernel has accepted. If it has not changed since a request was queued, no byte of that request
-    /// was written.
+    /// Bytes that the kernel has accepted. If it has not changed since a request was passed to HTTP/2, no
+    /// byte of that request was written.
     pub(crate) written: Cell<u64>,
     /// Injected fault of test servers: the socket neither reads nor writes, as with a network partition or an
     /// unresponsive machine.
     pub(crate) frozen: Cell<bool>,
-    /// Injected fault of test servers: the connection breaks once this many bytes were written, inside a frame.
+    /// Injected fault of test servers: the connection breaks once this many bytes were written, inside a
+    /// frame.
     pub(crate) cut_at: Cell<Option<u64>>,
 }
 
@@ -58,7 +59,8 @@
     }
 }
 
-/// Calls `call`, and again if the system call is interrupted. `WouldBlock` clears `ready` until the next event.
+/// Calls `call`, and again if the system call is interrupted. `WouldBlock` clears `ready` until the next
+/// event.
 fn poll_io(ready: &Cell<bool>, mut call: impl FnMut() -> io::Result<usize>) -> Poll<io::Result<usize>> {
     loop {
         return match call() {
--- a/crates/net/src/limits.rs
+++ b/crates/net/src/limits.rs
@@ -11,8 +11,8 @@
     pub streams_per_connection: u32,
     /// Maximum size of a gRPC message in bytes, after decompression.
     pub message_bytes: usize,
-    /// Maximum size of a header list in bytes (`SETTINGS_MAX_HEADER_LIST_SIZE`). A longer or never-ending one ends the
-    /// stream or the connection.
+    /// Maximum size of a header list in bytes (`SETTINGS_MAX_HEADER_LIST_SIZE`). A longer or never-ending one
+    /// ends the stream or the connection.
     pub header_bytes: u32,
     /// Receive window of a stream in bytes: how much a peer may send before it is read.
     pub stream_window: u32,
@@ -20,11 +20,12 @@
     pub connection_window: u32,
     /// Send queue of a stream in bytes; above it [`super::Hub::is_full`] is true.
     pub send_queue_bytes: usize,
-    /// Maximum streams per connection that the peer has reset before they were handled; more is a protocol error.
+    /// Maximum streams per connection that the peer has reset before they were handled; more is a protocol
+    /// error.
     pub reset_streams: usize,
-    /// Time in which an outgoing TCP connection must be established.
+    /// Time in which an outgoing connection must be established, including the HTTP/2 handshake.
     pub connect_timeout: Duration,
-    /// Time in which the HTTP/2 preface of an accepted connection must be received.
+    /// Time from acceptance in which the HTTP/2 preface of a connection must be received.
     pub handshake_timeout: Duration,
     /// Time after which a connection without streams is closed.
     pub idle: Duration,
--- a/crates/net/src/retry.rs
+++ b/crates/net/src/retry.rs
@@ -1,5 +1,5 @@
-//! Blocking retries of operations with transient errors, for the startup of a process. Retries of calls are not decided
-//! here.
+//! Blocking retries of operations with transient errors, for the startup of a process. Retries of calls are
+//! not decided here.
 
 use std::fmt::Display;
 use std::io;
@@ -7,7 +7,7 @@
 
 use tracing::warn;
 
-/// How long, and at which interval, an operation is retried.
+/// The time for which a failing operation is retried, and the pause between attempts.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryPolicy {
     /// Time from the first attempt in which failures are retried; the last attempt may end later.
@@ -20,9 +20,9 @@
     /// Policy of startup steps: a third of the 30 s within which the platform requires a process to be ready.
     pub const STARTUP: Self = Self { timeout: Duration::from_secs(10), pause: Duration::from_millis(50) };
 
-    /// Repeats `operation` until it succeeds, fails with an error that is not transient, or the timeout expires, and
-    /// returns its last result. `on_retry` is called with each error that is followed by another attempt. Blocks the
-    /// thread.
+    /// Repeats `operation` until it succeeds, fails with an error that is not transient, or the timeout
+    /// expires, and returns its last result. `on_retry` is called with each error that is followed by another
+    /// attempt. Blocks the thread.
     pub fn run<T, E>(
         &self,
         mut operation: impl FnMut() -> Result<T, E>,
@@ -50,8 +50,9 @@
     RetryPolicy::STARTUP.run(operation, is_transient, log_failure)
 }
 
-/// Whether an error on opening a listener or another system resource is transient, such as a lack of file descriptors
-/// or memory. An address that is in use or not local, an invalid argument and missing permissions are permanent.
+/// Whether an error on opening a listener or another system resource is transient, such as a lack of file
+/// descriptors or memory. An address that is in use or not local, an invalid argument and missing permissions
+/// are permanent.
 pub fn is_transient(error: &io::Error) -> bool {
     use io::ErrorKind::{AddrInUse, AddrNotAvailable, InvalidInput, PermissionDenied};
     !matches!(error.kind(), AddrInUse | AddrNotAvailable | InvalidInput | PermissionDenied)
--- a/crates/net/src/tcp/connect.rs
+++ b/crates/net/src/tcp/connect.rs
@@ -1,7 +1,7 @@
 //! Outgoing connections: connecting, and retries of transient failures.
 //!
-//! Only a refusal by the peer is final. Other failures (no descriptor, buffer space, local port or route) say nothing
-//! about the peer and are retried until [`super::TcpLimits::connect_timeout`].
+//! Only a refusal by the peer is final. Other failures (no descriptor, buffer space, local port or route) say
+//! nothing about the peer and are retried until [`super::TcpLimits::connect_timeout`].
 
 use std::io;
 use std::net::SocketAddr;
@@ -19,8 +19,8 @@
 const MAX_RETRY_DELAY: Duration = Duration::from_millis(40);
 
 impl Tcp {
-    /// Starts to connect. `None` if [`super::TcpLimits::outgoing`] is reached or the connect failed permanently; later
-    /// failures are reported as [`TcpEvent::Closed`].
+    /// Starts to connect. `None` if [`super::TcpLimits::outgoing`] is reached, the connect failed permanently
+    /// or its socket can't be registered with the poll; later failures are reported as [`TcpEvent::Closed`].
     pub fn connect(&mut self, address: SocketAddr) -> Option<TcpKey> {
         if self.outgoing() >= self.limits.outgoing {
             self.counters.over_outgoing += 1;
@@ -96,7 +96,8 @@
         }
     }
 
-    /// Checks whether a connecting connection is established once its socket is writable, and reports the result.
+    /// Checks whether a connecting connection is established once its socket is writable, and reports the
+    /// result.
     pub(super) fn check_connected(&mut self, key: TcpKey) {
         let Some(conn) = self.get_mut(key).filter(|conn| conn.stage == Stage::Connecting && conn.writable)
         else {
@@ -133,7 +134,8 @@
     !is_permanent
 }
 
-/// Whether a connection is established. A reset is [`ConnectionFailure::Broken`]: the peer had accepted the connection.
+/// Whether a connection is established. A reset is [`ConnectionFailure::Broken`]: the peer had accepted the
+/// connection.
 fn is_established(socket: &TcpStream) -> Result<bool, ConnectionFailure> {
     let failure = |e: io::Error| match e.kind() {
         io::ErrorKind::ConnectionRefused => ConnectionFailure::Refused,
--- a/crates/net/src/tcp/connection.rs
+++ b/crates/net/src/tcp/connection.rs
@@ -25,7 +25,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ConnectAttempt {
     pub(super) address: SocketAddr,
-    /// When the connect is retried; `None` while an attempt is in progress.
+    /// Time of the next retry; `None` while an attempt to connect is in progress.
     pub(super) retry_at: Option<Instant>,
     /// Delay before the next retry.
     pub(super) delay: Duration,
@@ -41,16 +41,17 @@
     pub(super) accepted: bool,
     pub(super) readable: bool,
     pub(super) writable: bool,
-    /// The poll has reported that the peer closed its sending direction. Bytes sent before may still be unread; no
-    /// further event reports the end.
+    /// The poll has reported that the peer closed its sending direction. Bytes sent before may still be
+    /// unread; no further event reports the end.
     pub(super) read_closed: bool,
     /// The peer has closed its sending direction, and all of its bytes were read.
     pub(super) input_ended: bool,
-    /// The sending direction of this side is shut down.
+    /// This side has shut down its sending direction.
     pub(super) write_closed: bool,
     /// All queued bytes were sent, and the time of [`super::TcpLimits::linger`] is running.
     pub(super) is_lingering: bool,
-    /// Since when the kernel may hold unread bytes, because one poll reads a limited amount from each connection.
+    /// Since when the kernel may hold unread bytes, because one poll reads a limited amount from each
+    /// connection.
     pub(super) unread_since: Option<Instant>,
     /// The earliest time at which the bytes read last may have arrived.
     pub(super) arrived_at: Instant,
@@ -76,8 +77,8 @@
     pub(super) deadline: Option<Instant>,
 }
 
-/// Writes queued bytes to the socket. An error is reported by the next read, after the bytes received before it. Once
-/// all output of a finished connection was sent, shuts down the sending direction.
+/// Writes queued bytes to the socket. An error is reported by the next read, after the bytes received before
+/// it. Once all output of a finished connection was sent, shuts down the sending direction.
 pub(super) fn flush(conn: &mut Conn) {
     let Some(socket) = &mut conn.socket else { return };
     while conn.writable && !conn.output.is_empty() && conn.stage != Stage::Connecting {
@@ -114,11 +115,12 @@
     More,
     /// The peer has closed its sending direction.
     Ended,
-    /// The connection broke.
+    /// The connection broke, as a read or an earlier write shows.
     Broken,
 }
 
-/// Reads the available bytes, but stops after about `quota` bytes, or when `max_input` bytes wait for the owner.
+/// Reads the available bytes, but stops after about `quota` bytes, or when `max_input` bytes wait for the
+/// owner.
 pub(super) fn read(conn: &mut Conn, scratch: &mut [u8], max_input: usize, quota: usize) -> ReadOutcome {
     let Some(socket) = &mut conn.socket else { return ReadOutcome::Drained };
     if conn.input_ended {
--- a/crates/net/src/tcp/events.rs
+++ b/crates/net/src/tcp/events.rs
@@ -37,8 +37,8 @@
     Data(TcpKey),
     /// The alarm of the connection has expired.
     Alarm(TcpKey),
-    /// The peer has closed its sending direction; its bytes were reported before. It may still read, so the owner
-    /// decides when to close the connection.
+    /// The peer has closed its sending direction; its bytes were reported before. It may still read, so the
+    /// owner decides when to close the connection.
     Ended(TcpKey),
     /// The connection has failed. Bytes received before were reported earlier.
     Closed(TcpKey, ConnectionFailure),
--- a/crates/net/src/tcp/input.rs
+++ b/crates/net/src/tcp/input.rs
@@ -8,26 +8,27 @@
 use super::{ConnectionFailure, Tcp, TcpEvent, TcpKey};
 
 impl Tcp {
-    /// Bytes that were received; the owner removes from the front those that it has handled. `None` if the connection
-    /// is not open.
+    /// Bytes that were received; the owner removes from the front those that it has handled. `None` if the
+    /// connection is not open.
     pub fn input(&mut self, key: TcpKey) -> Option<&mut BytesMut> {
         self.get_mut(key).filter(|c| c.stage == Stage::Open).map(|c| &mut c.input)
     }
 
-    /// The earliest time at which the bytes read last may have arrived. A process that reads late leaves data waiting
-    /// in the kernel while timeouts of the sender are running. A poll that slept and returned within its timeout
-    /// reports data as it arrives; otherwise the data may have arrived since the poll before.
+    /// The earliest time at which the bytes read last may have arrived. A process that reads late leaves data
+    /// waiting in the kernel while timeouts of the sender are running. A poll that slept and returned within
+    /// its timeout reports data as it arrives; otherwise the data may have arrived since the poll before.
     pub fn earliest_arrival(&self, key: TcpKey) -> Instant {
         self.get(key).map_or(self.now, |conn| conn.arrived_at)
     }
 
-    /// Whether the poll has reported that the peer closed its sending direction; bytes sent before may still be unread.
+    /// Whether the poll has reported that the peer closed its sending direction; bytes sent before may still
+    /// be unread.
     pub fn is_read_closed(&self, key: TcpKey) -> bool {
         self.get(key).is_some_and(|conn| conn.read_closed || conn.input_ended)
     }
 
-    /// Reads once more, for an owner that is about to close an idle connection. True if nothing has arrived; otherwise
-    /// the next poll reports the data or the end.
+    /// Reads once more, for an owner that is about to close an idle connection. True if nothing has arrived;
+    /// otherwise the next poll reports the data or the end.
     pub fn confirm_idle(&mut self, key: TcpKey) -> bool {
         let before = match self.get_mut(key) {
             Some(conn) if conn.stage == Stage::Open && !conn.input_ended => {
@@ -40,7 +41,8 @@
         self.get(key).is_some_and(|c| c.input.len() == before && !c.input_ended)
     }
 
-    /// Checks whether a connection is established, writes and reads without blocking, and reports the resulting events.
+    /// Checks whether a connection is established, writes and reads without blocking, and reports the
+    /// resulting events.
     pub(super) fn process(&mut self, key: TcpKey) {
         let Some(conn) = self.get_mut(key) else { return };
         conn.is_ready = false;
@@ -66,7 +68,8 @@
         if is_open && !conn.input.is_empty() {
             self.out.push(TcpEvent::Data(key));
         }
-        // A broken connection is removed only by the next poll, so that the owner can still read its last bytes.
+        // A broken connection is removed only by the next poll, so that the owner can still read its last
+        // bytes.
         match outcome {
             ReadOutcome::Drained => {}
             ReadOutcome::More => self.make_ready(key.index()),
--- a/crates/net/src/tcp/last_poll.rs
+++ b/crates/net/src/tcp/last_poll.rs
@@ -1,20 +1,21 @@
-//! Estimates the earliest arrival time of data that a poll reports. A process that is delayed, stopped or interrupted
-//! reads late, while timeouts of the senders are running.
+//! Estimates the earliest arrival time of data that a poll reports. A process that is delayed, stopped or
+//! interrupted reads late, while timeouts of the senders are running.
 
 use std::time::{Duration, Instant};
 
 /// A poll that returns earlier than this is assumed not to have slept.
 const MIN_SLEEP: Duration = Duration::from_millis(1);
-/// A poll that exceeds its timeout by more than this indicates that the process was not running. The tolerance is
-/// needed because timeouts are rounded up to whole milliseconds.
+/// A poll that exceeds its timeout by more than this indicates that the process was not running. The
+/// tolerance is needed because timeouts are rounded up to whole milliseconds.
 const OVERSLEEP_TOLERANCE: Duration = Duration::from_millis(3);
 
 /// The times and the outcome of one poll.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PollResult {
-    /// When the poll was called.
+    /// Time at which the poll was called.
     pub(super) began: Instant,
-    /// When the poll returned, as read by the process, which may be late if the process was stopped in between.
+    /// Time at which the poll returned, as read by the process, which may be late if the process was stopped
+    /// in between.
     pub(super) returned: Instant,
     /// Timeout of the poll.
     pub(super) timeout: Option<Duration>,
@@ -23,21 +24,22 @@
 }
 
 impl PollResult {
-    /// Whether the poll slept longer than its timeout, which means that the process was not running for some time.
+    /// Whether the poll slept longer than its timeout, which means that the process was not running for some
+    /// time.
     fn overslept(&self) -> bool {
         let slept = self.returned.saturating_duration_since(self.began);
         self.timeout.is_some_and(|timeout| slept > timeout + OVERSLEEP_TOLERANCE)
     }
 
-    /// Whether events that have occurred by now may be missing: the poll was interrupted, or the process was stopped
-    /// after the kernel had collected the events. A timer that fires now might miss, for instance, that a client has
-    /// disconnected.
+    /// Whether events that have occurred by now may be missing: the poll was interrupted, or the process was
+    /// stopped after the kernel had collected the events. A timer that fires now might miss, for instance,
+    /// that a client has disconnected.
     pub(super) fn is_outdated(&self) -> bool {
         self.interrupted || self.overslept()
     }
 }
 
-/// When the sockets were last polled; everything that had arrived by then was reported.
+/// The time of the last poll of the sockets, which reported everything that had arrived by then.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct LastPoll(Instant);
 
@@ -47,14 +49,15 @@
         Self(now)
     }
 
-    /// Records a poll and returns the earliest time at which the reported data may have arrived. That is the return of
-    /// this poll if it slept and was woken in time. It is the poll before if this one did not sleep, as the data may
-    /// have been there already, or if this one overslept, as the process was not running.
+    /// Records a poll and returns the earliest time at which the reported data may have arrived. That is the
+    /// return of this poll if it slept and was woken in time. It is the poll before if this one did not
+    /// sleep, as the data may have been there already, or if this one overslept, as the process was not
+    /// running.
     pub(super) fn record(&mut self, poll: PollResult) -> Instant {
         let previous = self.0;
         if poll.interrupted {
-            // An interrupted poll reports nothing. A process that was stopped during a poll finds it interrupted, and
-            // the next poll reports the data that arrived meanwhile.
+            // An interrupted poll reports nothing. A process that was stopped during a poll finds it
+            // interrupted, and the next poll reports the data that arrived meanwhile.
             return previous;
         }
         let slept = poll.returned.saturating_duration_since(poll.began);
--- a/crates/net/src/tcp/last_poll/tests.rs
+++ b/crates/net/src/tcp/last_poll/tests.rs
@@ -43,9 +43,9 @@
     assert_eq!(last.record(poll_result(next, 0, false)), began);
 }
 
-/// Guards against acting on outdated information after a stop, as seen in the soak (ClientGone): a stop interrupted the
-/// poll, timers expired, and a call was retried 13 us later. The disconnect of its client, which had arrived during the
-/// stop, was read only 150 us after that.
+/// Guards against acting on outdated information after a stop, as seen in the soak (ClientGone): a stop
+/// interrupted the poll, timers expired, and a call was retried 13 us later. The disconnect of its client,
+/// which had arrived during the stop, was read only 150 us after that.
 #[test]
 fn interrupted_and_overslept_polls_are_outdated() {
     let start = Instant::now();
--- a/crates/net/src/tcp/limits.rs
+++ b/crates/net/src/tcp/limits.rs
@@ -7,8 +7,8 @@
 pub struct TcpLimits {
     /// Maximum accepted connections. A further one replaces a finished connection, or is closed immediately.
     pub accepted: usize,
-    /// Maximum connections accepted from a listener in one poll. Further ones wait in the kernel until the next poll,
-    /// before which the owner may close other connections.
+    /// Maximum connections accepted from a listener in one poll. Further ones wait in the kernel until the
+    /// next poll, before which the owner may close other connections.
     pub accepts_per_poll: usize,
     /// Maximum outgoing connections; further ones are not started.
     pub outgoing: usize,
@@ -21,11 +21,12 @@
     pub read_quota: usize,
     /// Time in which an outgoing connection must be established, including retries.
     pub connect_timeout: Duration,
-    /// Time after [`super::Tcp::finish`] in which the queued bytes must be sent; the connection is closed afterwards.
+    /// Time after [`super::Tcp::finish`] in which the queued bytes must be sent; the connection is closed
+    /// afterwards.
     pub drain: Duration,
-    /// Time after the last queued byte was sent for which received data is discarded before the socket is closed.
-    /// Closing with unread data would reset the connection, and the peer could lose the last bytes. It ends early when
-    /// the peer closes its sending direction.
+    /// Time after the last queued byte was sent for which received data is discarded before the socket is
+    /// closed. Closing with unread data would reset the connection, and the peer could lose the last bytes.
+    /// It ends early when the peer closes its sending direction.
     pub linger: Duration,
 }
 
@@ -48,9 +49,9 @@
 /// Counts of connections, and of limits that were reached.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TcpCounters {
-    /// Incoming connections accepted.
+    /// Incoming connections accepted within [`TcpLimits::accepted`].
     pub accepted: u64,
-    /// Outgoing connections started.
+    /// Outgoing connections started, without the retries of each.
     pub connects: u64,
     /// Incoming connections closed immediately because of [`TcpLimits::accepted`].
     pub over_accepted: u64,
@@ -62,7 +63,8 @@
     pub lingering_evicted: u64,
     /// Connections closed because of [`TcpLimits::output`].
     pub over_output: u64,
-    /// Outgoing connections that were refused, broke while connecting or exceeded [`TcpLimits::connect_timeout`].
+    /// Outgoing connections that were refused, broke while connecting or exceeded
+    /// [`TcpLimits::connect_timeout`].
     pub connect_failures: u64,
     /// Retries scheduled after a transient failure to connect.
     pub connect_retries: u64,
--- a/crates/net/src/tcp/mod.rs
+++ b/crates/net/src/tcp/mod.rs
@@ -1,13 +1,13 @@
-//! Plain TCP connections on one mio poll, with bounded buffers and one alarm per connection. This module is independent
-//! of the protocol.
+//! Plain TCP connections on one mio poll, with bounded buffers and one alarm per connection. This module is
+//! independent of the protocol.
 //!
-//! The owner parses the input of each connection, queues output, and calls [`Tcp::poll`], which reports [`TcpEvent`]s.
-//! A connection ends with exactly one [`TcpEvent::Closed`], unless its owner ends it with [`Tcp::close`] or
-//! [`Tcp::finish`].
+//! The owner parses the input of each connection, queues output, and calls [`Tcp::poll`], which reports
+//! [`TcpEvent`]s. A connection ends with exactly one [`TcpEvent::Closed`], unless its owner ends it with
+//! [`Tcp::close`] or [`Tcp::finish`].
 //!
 //! * `events`, `limits`: events, limits and counters. `connection`: the state of one connection.
-//! * `poll`: the event loop. `accept`, `connect`: incoming and outgoing connections. `linger`: orderly close by the
-//!   owner.
+//! * `poll`: the event loop. `accept`, `connect`: incoming and outgoing connections. `linger`: orderly close
+//!   by the owner.
 //! * `input`, `output`: received and queued bytes. `last_poll`: when received bytes may have arrived.
 
 mod accept;
@@ -57,13 +57,14 @@
     ready: VecDeque<TcpKey>,
     /// Connections with bytes queued since the last flush.
     unflushed: Vec<TcpKey>,
-    /// Connections whose end by the peer was reported; the next poll removes them.
+    /// Connections that broke, and finished ones whose peer has closed its sending direction; the next poll
+    /// removes them.
     to_remove: Vec<TcpKey>,
-    /// When accepting is resumed; `None` unless it is paused.
+    /// Time at which accepting is resumed; `None` unless it is paused.
     accept_at: Option<Instant>,
     /// Listeners with more pending connections than one poll accepts.
     unfinished_accepts: Vec<usize>,
-    /// Since when pending connections may have been waiting to be accepted.
+    /// Time since which pending connections may have been waiting to be accepted; `None` if none were left.
     unaccepted_since: Option<Instant>,
     generation: u32,
     limits: TcpLimits,
@@ -73,7 +74,7 @@
     /// Buffer that bytes are read into.
     scratch: Vec<u8>,
     now: Instant,
-    /// When the sockets were last polled; everything that had arrived by then was reported.
+    /// The last poll of the sockets, which reported everything that had arrived by then.
     last_poll: LastPoll,
     /// The earliest time at which the data that this poll reads may have arrived.
     earliest_arrival: Instant,
@@ -85,8 +86,8 @@
         let now = Instant::now();
         Ok(Self {
             poll: Poll::new()?,
-            // Large enough for all sockets at once: for an event left to the next poll, the arrival time would be
-            // unknown.
+            // Large enough for all sockets at once: for an event left to the next poll, the arrival time
+            // would be unknown.
             events: Events::with_capacity((limits.accepted + limits.outgoing + 64).min(MAX_EVENTS)),
             conns: Slab::new(),
             accepted: 0,
@@ -115,7 +116,8 @@
         self.poll.registry()
     }
 
-    /// The token with which the owner must register source `number` to have it reported as [`TcpEvent::Source`].
+    /// The token with which the owner must register source `number` to have it reported as
+    /// [`TcpEvent::Source`].
     pub fn source_token(&self, number: usize) -> Token {
         Token(SOURCES + number)
     }
@@ -130,7 +132,8 @@
         self.conns.len() - self.accepted
     }
 
-    /// Adds an accepted connection, or an outgoing one with its `connect_attempt`, which may have no socket yet.
+    /// Adds an accepted connection, or an outgoing one with its `connect_attempt`, which may have no socket
+    /// yet.
     fn add(
         &mut self,
         mut socket: Option<TcpStream>,
@@ -190,13 +193,14 @@
         self.conns.get_mut(key.index()).filter(|c| c.key == key)
     }
 
-    /// When the last poll returned.
+    /// The time at which the last poll of the sockets returned, or the creation of this set before the first
+    /// one.
     pub fn now(&self) -> Instant {
         self.now
     }
 
-    /// The earliest time at which the events of the last poll may have occurred: the return of that poll, or of the one
-    /// before if the process was delayed, stopped or interrupted.
+    /// The earliest time at which the events of the last poll may have occurred: the return of that poll, or
+    /// of the one before if the process was delayed, stopped or interrupted.
     pub fn reported_since(&self) -> Instant {
         self.earliest_arrival
     }
@@ -250,8 +254,8 @@
         }
     }
 
-    /// Whether the last poll left nothing unhandled: no pending connection because of a lack of descriptors or of a
-    /// limit, no unread data and no unreported event.
+    /// Whether the last poll left nothing unhandled: no pending connection because of a lack of descriptors
+    /// or of a limit, no unread data and no unreported event.
     pub fn caught_up(&self) -> bool {
         let accepted = self.accept_at.is_none() && self.unfinished_accepts.is_empty();
         accepted && self.ready.is_empty() && self.out.is_empty()
--- a/crates/net/src/tcp/output.rs
+++ b/crates/net/src/tcp/output.rs
@@ -4,15 +4,15 @@
 use super::{ConnectionFailure, Tcp, TcpKey};
 
 impl Tcp {
-    /// How many more bytes may be queued on a connection; `None` if it accepts no output.
+    /// The number of further bytes that may be queued on a connection; `None` if it accepts no output.
     pub fn send_capacity(&self, key: TcpKey) -> Option<usize> {
         let conn = self.get(key).filter(|c| c.stage != Stage::Lingering && !c.is_broken)?;
         Some(self.limits.output.saturating_sub(conn.output.len()))
     }
 
-    /// Queues bytes, which are sent at the start of the next poll. Returns the offset of their end among all bytes
-    /// queued on the connection, to be compared with [`Tcp::written`]. `None` if the connection accepts no output, or
-    /// if it was closed as [`ConnectionFailure::Slow`] because of [`super::TcpLimits::output`].
+    /// Queues bytes, which are sent at the start of the next poll. Returns the offset of their end among all
+    /// bytes queued on the connection, to be compared with [`Tcp::written`]. `None` if the connection accepts
+    /// no output, or if it was closed as [`ConnectionFailure::Slow`] because of [`super::TcpLimits::output`].
     pub fn send(&mut self, key: TcpKey, bytes: &[u8]) -> Option<u64> {
         let max_output = self.limits.output;
         let conn = self.get_mut(key).filter(|c| c.stage != Stage::Lingering && !c.is_broken)?;
@@ -46,9 +46,9 @@
         self.conns.iter().filter(|(_, c)| c.accepted).map(|(_, c)| c.output.len()).sum()
     }
 
-    /// Removes the queued bytes between two offsets, as returned by [`Tcp::send`]. The offsets of the bytes behind them
-    /// decrease by the length of the range. False, and nothing is removed, if any of them was sent or is not queued, or
-    /// the connection does not exist.
+    /// Removes the queued bytes between two offsets, as returned by [`Tcp::send`]. The offsets of the bytes
+    /// behind them decrease by the length of the range. False, and nothing is removed, if any of them was
+    /// sent or is not queued, or the connection does not exist.
     pub fn remove_queued(&mut self, key: TcpKey, from: u64, to: u64) -> bool {
         let Some(conn) = self.get_mut(key) else { return false };
         if from < conn.written || to > conn.queued || from > to {
--- a/crates/net/src/tcp/poll.rs
+++ b/crates/net/src/tcp/poll.rs
@@ -8,12 +8,13 @@
 use super::{ConnectionFailure, LISTENERS, SOURCES, Tcp, TcpEvent};
 use crate::clock::shorter_timeout;
 
-/// Maximum non-blocking polls after one that was interrupted or overslept, as each may be interrupted as well.
+/// Maximum non-blocking polls after one that was interrupted or overslept, as each may be interrupted as
+/// well.
 const MAX_REPEATED_POLLS: usize = 8;
 
 impl Tcp {
-    /// Runs one iteration: sends queued bytes, polls for at most `timeout` (less if an alarm, a retry or unfinished
-    /// work is due earlier), and reads received bytes. Appends the events to `out`.
+    /// Runs one iteration: sends queued bytes, polls for at most `timeout` (less if an alarm, a retry or
+    /// unfinished work is due earlier), and reads received bytes. Appends the events to `out`.
     pub fn poll(&mut self, timeout: Option<Duration>, out: &mut Vec<TcpEvent>) -> io::Result<()> {
         self.now = Instant::now();
         for key in std::mem::take(&mut self.to_remove) {
@@ -26,7 +27,8 @@
         let due = [alarm, connect_retry, self.accept_at];
         let wait = if busy { Some(Duration::ZERO) } else { shorter_timeout(timeout, self.now, &due) };
         let mut outdated = self.poll_once(wait)?;
-        // Timers must not act on outdated information, such as missing the end of a client that had already arrived.
+        // Timers must not act on outdated information, such as missing the end of a client that had already
+        // arrived.
         for _ in 0..MAX_REPEATED_POLLS {
             if !outdated {
                 break;
@@ -41,14 +43,15 @@
             let Some(key) = self.ready.pop_front() else { break };
             self.process(key);
         }
-        // Alarms fire last, because one poll may report both a request and the idle timeout of its connection, or both
-        // an established connection and its connect timeout.
+        // Alarms fire last, because one poll may report both a request and the idle timeout of its
+        // connection, or both an established connection and its connect timeout.
         self.fire_alarms();
         out.append(&mut self.out);
         Ok(())
     }
 
-    /// Polls once and records the reported events. Returns whether further events may have occurred by its return.
+    /// Polls once and records the reported events. Returns whether further events may have occurred by its
+    /// return.
     fn poll_once(&mut self, timeout: Option<Duration>) -> io::Result<bool> {
         let began = Instant::now();
         let interrupted = match self.poll.poll(&mut self.events, timeout) {
--- a/crates/net/src/wake.rs
+++ b/crates/net/src/wake.rs
@@ -57,8 +57,8 @@
         Waker::from(Arc::new(Slot { queue: Arc::clone(self), due, queued: AtomicBool::new(false) }))
     }
 
-    /// Dequeues all due streams into `into`, or all due connections if no stream is due. Each may be enqueued again
-    /// afterwards.
+    /// Dequeues all due streams into `into`, or all due connections if no stream is due. Each may be enqueued
+    /// again afterwards.
     pub(crate) fn take(&self, into: &mut Vec<Due>) {
         let taken = {
             let mut queues = self.lock();
