--- a/crates/fleet/src/authority.rs
+++ b/crates/fleet/src/authority.rs
@@ -1,13 +1,16 @@
-//! Decides whether the leader may serve its snapshot and accept changes, or whether a follower has a newer snapshot.
+//! Decides whether the leader may serve its snapshot and accept changes, or whether a follower has a newer
+//! snapshot.
 //!
-//! While the leader's own snapshot is damaged, empty, behind or in conflict with another one, the leader neither serves
-//! it nor accepts changes. It installs the snapshot of a follower without an operator only after every expected
-//! controller has answered which snapshot it has. Otherwise an acknowledged change that some disk still has could be
-//! lost. In all other cases an operator decides. Followers continue to serve their own snapshots meanwhile.
+//! While the leader's own snapshot is damaged, empty, behind or in conflict with another one, the leader
+//! neither serves it nor accepts changes. It installs the snapshot of a follower without an operator only
+//! after every expected controller has answered which snapshot it has. Otherwise an acknowledged change that
+//! some disk still has could be lost. In all other cases an operator decides. Followers continue to serve
+//! their own snapshots meanwhile.
 //!
-//! Once a controller has reported a snapshot that is ahead of the leader's, the leader waits until a snapshot is
-//! installed or an operator decides. A later report does not end the wait: it may be delayed, or come from an
-//! incarnation that has ended or a controller that has lost its disk, and must not undo an acknowledged change.
+//! Once a controller has reported a snapshot that is ahead of the leader's, the leader waits until a snapshot
+//! is installed or an operator decides. A later report does not end the wait: it may be delayed, or come from
+//! an incarnation that has ended or a controller that has lost its disk, and must not undo an acknowledged
+//! change.
 //!
 //! The caller fetches, stores and serves the snapshots.
 
@@ -16,7 +19,8 @@
 use crate::Millis;
 use crate::snapshot_version::{SnapshotVersion, VersionOrder};
 
-/// Maximum number of controllers whose last report is stored. Beyond it the oldest report is evicted.
+/// Maximum number of controllers whose last report is stored. Beyond it the oldest report is evicted, but a
+/// report of the newest snapshot only if all are.
 pub const MAX_REPORTS: usize = 1_024;
 
 /// Whether the leader serves its snapshot and accepts changes.
@@ -24,8 +28,8 @@
 pub enum Duty {
     /// The leader serves its snapshot and accepts changes.
     Serving,
-    /// The leader does neither, for this cause, until an operator or the reports of the other controllers determine
-    /// which snapshot is served.
+    /// The leader does neither, for this cause, until an operator or the reports of the other controllers
+    /// determine which snapshot is served.
     Waiting(Cause),
 }
 
@@ -67,7 +71,7 @@
 /// The action that the caller has to take after a report.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// No action.
+    /// The caller has nothing to do.
     None,
     /// Fetch this snapshot from the controller of this number, and install it.
     Install(u32, SnapshotVersion),
@@ -100,29 +104,31 @@
     pub epoch: u64,
 }
 
-/// Compares the leader's snapshot with the reports of the other controllers and decides whether it may be served.
+/// Compares the leader's snapshot with the reports of the other controllers and decides whether it may be
+/// served.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Authority {
     own: Option<SnapshotVersion>,
     duty: Duty,
-    /// Number of other controllers that must have answered before a snapshot is installed without an operator.
+    /// Number of other controllers that must have answered before a snapshot is installed without an
+    /// operator. At least one must have, even if this is 0.
     expected: usize,
     /// The last report of each controller, solicited or not.
     reports: BTreeMap<u32, Report>,
-    /// The last answer of each controller to a query by the leader. Unlike a heartbeat, it shows what the controller
-    /// has now.
+    /// The last answer of each controller to a query by the leader. Unlike a heartbeat, it shows what the
+    /// controller has now.
     answers: BTreeMap<u32, Option<SnapshotVersion>>,
-    /// The newest snapshot that any controller has reported since the last decision. A later report of an older
-    /// snapshot does not change it.
+    /// The newest snapshot that any controller has reported since the last decision. A later report of an
+    /// older snapshot does not change it.
     newest_reported: Option<SnapshotVersion>,
-    /// When `duty` last changed.
+    /// Time at which `duty` last changed, or the start of the leader.
     since: Millis,
 }
 
 impl Authority {
-    /// Creates the state at the start of the leader. `own` is the version of its snapshot, `None` if that is damaged.
-    /// `expected` is the number of other controllers that must have answered before a snapshot is installed without an
-    /// operator.
+    /// Creates the state at the start of the leader. `own` is the version of its snapshot, `None` if that is
+    /// damaged. `expected` is the number of other controllers that must have answered before a snapshot is
+    /// installed without an operator. If it is 0, a snapshot without changes is served from the start.
     pub fn new(now: Millis, own: Option<SnapshotVersion>, expected: usize) -> Self {
         let duty = match &own {
             None => Duty::Waiting(Cause::Damaged),
@@ -152,19 +158,21 @@
         })
     }
 
-    /// Returns the number of other controllers that have answered a query since the start or the last decision.
+    /// Returns the number of other controllers that have answered a query since the start or the last
+    /// decision.
     pub fn answered(&self) -> usize {
         self.answers.len()
     }
 
-    /// Returns the number of other controllers that must have answered before a snapshot is installed without an
-    /// operator.
+    /// Returns the number of other controllers that must have answered before a snapshot is installed without
+    /// an operator.
     pub fn expected(&self) -> usize {
         self.expected
     }
 
-    /// Records a new version of the leader's snapshot, after an accepted change or an installation. `decided` means
-    /// that an operator or the answers of all expected controllers chose this snapshot: it is served from now on.
+    /// Records a new version of the leader's snapshot, after an accepted change or an installation. `decided`
+    /// means that an operator or the answers of all expected controllers chose this snapshot: it is served
+    /// from now on.
     pub fn set_own(&mut self, now: Millis, own: SnapshotVersion, decided: bool) {
         self.own = Some(own);
         if decided {
@@ -180,7 +188,8 @@
         }
     }
 
-    /// Records the answer of a controller to a query by the leader. `version` is `None` if it has no snapshot.
+    /// Records the answer of a controller to a query by the leader. `version` is `None` if it has no
+    /// snapshot.
     pub fn report_received(
         &mut self,
         now: Millis,
@@ -193,12 +202,13 @@
         self.record(now, controller, version)
     }
 
-    /// Records the snapshot version in a heartbeat, which the leader did not solicit. It may be delayed and come from
-    /// an incarnation that has ended. It shows that a snapshot existed, but not that there is no newer one.
+    /// Records the snapshot version in a heartbeat, which the leader did not solicit. It may be delayed and
+    /// come from an incarnation that has ended. It shows that a snapshot existed, but not that there is no
+    /// newer one.
     pub fn heartbeat_received(&mut self, now: Millis, controller: u32, version: SnapshotVersion) -> Step {
         if self.is_foreign(&version) {
-            // The controller follows another leader, or this leader's store was created anew. The report is stored for
-            // operators and has no effect on the duty.
+            // The controller follows another leader, or this leader's store was created anew. The report is
+            // stored for operators and has no effect on the duty.
             self.ensure_capacity(controller);
             self.reports.insert(controller, Report { version: Some(version), received_at: now });
             return Step::None;
@@ -206,7 +216,8 @@
         self.record(now, controller, Some(version))
     }
 
-    /// Returns whether the snapshot belongs to another store than the leader's, given that the leader's has changes.
+    /// Returns whether the snapshot belongs to another store than the leader's, given that the leader's has
+    /// changes.
     pub fn is_foreign(&self, version: &SnapshotVersion) -> bool {
         let own = self.own.as_ref().filter(|own| own.revision > 0);
         own.is_some_and(|own| version.compare(own) == VersionOrder::Foreign)
@@ -220,8 +231,8 @@
         if self.duty == Duty::Serving {
             match order {
                 Some(VersionOrder::Ahead) => self.transition(now, Duty::Waiting(Cause::Behind)),
-                // One of the two snapshots is broken, and the program can't tell which. A snapshot of another store
-                // has no effect: its controller follows another leader.
+                // One of the two snapshots is broken, and the program can't tell which. A snapshot of another
+                // store has no effect: its controller follows another leader.
                 Some(VersionOrder::Forked) => self.transition(now, Duty::Waiting(Cause::Disagreed)),
                 _ => return Step::None,
             }
@@ -229,9 +240,9 @@
         self.choose(now)
     }
 
-    /// Records a delayed report of an incarnation that a later one of the same controller has superseded. It does not
-    /// replace the report of the later incarnation. If its snapshot is ahead of the leader's, the leader waits all the
-    /// same.
+    /// Records a delayed report of an incarnation that a later one of the same controller has superseded. It
+    /// does not replace the report of the later incarnation. If its snapshot is ahead of the leader's, the
+    /// leader waits all the same.
     pub fn superseded_report_received(&mut self, now: Millis, version: &SnapshotVersion) {
         self.remember_newest(Some(version));
         let order = self.own.as_ref().map(|own| version.compare(own));
@@ -250,7 +261,8 @@
         }
     }
 
-    /// Returns whether a controller has reported a snapshot newer than `newest`, the newest of the current reports.
+    /// Returns whether a controller has reported a snapshot newer than `newest`, the newest of the current
+    /// reports.
     fn is_superseded(&self, newest: &SnapshotVersion) -> bool {
         self.newest_reported.as_ref().is_some_and(|reported| reported.compare(newest) == VersionOrder::Ahead)
     }
@@ -271,15 +283,16 @@
         self.reports.values().filter_map(|report| report.version.as_ref())
     }
 
-    /// Chooses the newest of all known snapshots, if there is no conflict between them and all expected controllers
-    /// have answered.
+    /// Chooses the newest of all known snapshots, if there is no conflict between them and all expected
+    /// controllers have answered.
     fn choose(&mut self, now: Millis) -> Step {
-        // A snapshot without changes is never chosen.
+        // The leader's own snapshot is not chosen while it has no changes.
         let own = self.own.as_ref().filter(|own| own.revision > 0);
         let newest = self.reported_versions().chain(own).max().cloned();
         let all_answered = self.answers.len() >= self.expected.max(1);
         let Some(newest) = newest else {
-            // No controller has a snapshot with changes. If the leader's is intact, this is a new installation.
+            // No controller has reported a snapshot, and the leader's has no changes or is damaged. If it is
+            // intact, this is a new installation.
             if all_answered && self.own.is_some() && self.newest_reported.is_none() {
                 self.transition(now, Duty::Serving);
             }
@@ -310,8 +323,8 @@
         holder.map_or(Step::None, |(controller, _)| Step::Install(*controller, newest.clone()))
     }
 
-    /// Returns a store name and an epoch under which all controllers install the snapshot that an operator chooses;
-    /// `None` if no snapshot is known.
+    /// Returns a store name and an epoch under which all controllers install the snapshot that an operator
+    /// chooses; `None` if no snapshot is known.
     pub fn superseding_origin(&self) -> Option<SupersedingOrigin> {
         let known = self.reported_versions().chain(self.own.as_ref()).chain(self.newest_reported.as_ref());
         let epoch = known.map(|version| version.epoch).max()?;
--- a/crates/fleet/src/bootstrap.rs
+++ b/crates/fleet/src/bootstrap.rs
@@ -1,8 +1,8 @@
 //! Bootstrap of a follower without a snapshot: which peers it asks, when, and whose snapshot it installs.
 //!
-//! A peer responds at once with the snapshot that it has in force, or that it has none. It never delays the response
-//! until it has received a snapshot itself, so peers that bootstrap at the same time do not deadlock. A follower whose
-//! peers do not respond continues with what it has. The caller sends the requests.
+//! A peer responds at once with the snapshot that it has in force, or that it has none. It never delays the
+//! response until it has received a snapshot itself, so peers that bootstrap at the same time do not
+//! deadlock. A follower whose peers do not respond continues with what it has. The caller sends the requests.
 
 use rand::seq::index;
 use rand::{RngExt, SeedableRng};
@@ -13,17 +13,19 @@
 
 /// Maximum number of peers asked in one round.
 pub const MAX_PEERS_PER_ROUND: usize = 3;
-/// How long the leader has to respond before peers are asked, in milliseconds.
+/// Time that the leader has to respond before peers are asked, in milliseconds.
 pub const LEADER_HEAD_START: Millis = 500;
 /// Upper bound of the delay between the first two rounds, in milliseconds. It doubles with each round.
 pub const MIN_ROUND_INTERVAL: Millis = 500;
 /// Upper bound of the delay between any two rounds, in milliseconds.
 pub const MAX_ROUND_INTERVAL: Millis = 10_000;
 
-/// Returns whether an offered snapshot is to replace the current one. `Ok(false)` means that they are the same.
+/// Returns whether an offered snapshot is to replace the current one. `Ok(false)` means that they are the
+/// same.
 ///
 /// # Errors
-/// Returns how the offered snapshot compares if it must not be installed: it is behind, forked or of another store.
+/// Returns how the offered snapshot compares if it must not be installed: it is behind, forked or of another
+/// store.
 pub fn should_replace(
     current: Option<&SnapshotVersion>,
     offered: &SnapshotVersion,
@@ -74,7 +76,7 @@
 /// The next action of the caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Do nothing before this time.
+    /// Do nothing before this time, which is [`Millis::MAX`] if there are no peers.
     Wait(Millis),
     /// Ask the peer of this index for its snapshot.
     Request(usize),
@@ -85,7 +87,8 @@
 }
 
 impl Bootstrap {
-    /// Creates a bootstrap among `peers` peers. `seed` determines the choice of peers and the jitter of the delays.
+    /// Creates a bootstrap among `peers` peers. `seed` determines the choice of peers and the jitter of the
+    /// delays.
     pub fn new(peers: usize, seed: u64) -> Self {
         Self {
             peers,
@@ -100,7 +103,8 @@
         }
     }
 
-    /// Returns the next action. To be called while the follower has neither a snapshot nor a response of the leader.
+    /// Returns the next action. To be called while the follower has neither a snapshot nor a response of the
+    /// leader.
     pub fn next(&mut self, now: Millis) -> Step {
         let started_at = *self.started_at.get_or_insert(now);
         let from = self.not_before.max(started_at + LEADER_HEAD_START);
@@ -124,8 +128,8 @@
         self.remaining = index::sample(&mut self.random, self.peers, count).into_vec();
     }
 
-    /// Ends the round and schedules the next one, with jitter that spreads the rounds of different controllers. Returns
-    /// the result of the round.
+    /// Ends the round and schedules the next one, with jitter that spreads the rounds of different
+    /// controllers. Returns the result of the round.
     fn end_round(&mut self, now: Millis) -> Step {
         self.in_round = false;
         self.not_before = now + self.random.random_range(self.interval / 2..=self.interval);
--- a/crates/fleet/src/follower_requests.rs
+++ b/crates/fleet/src/follower_requests.rs
@@ -1,5 +1,5 @@
-//! The requests of a follower to its leader: what each reports, how long the leader may delay the response to a watch
-//! until there is a change, and the timeouts. The caller sends the requests.
+//! The requests of a follower to its leader: what each reports, how long the leader may delay the response to
+//! a watch until there is a change, and the timeouts. The caller sends the requests.
 
 use std::fmt;
 use std::time::Duration;
@@ -7,23 +7,25 @@
 use crate::lease::HEARTBEATS_PER_SPAN;
 use crate::snapshot_version::SnapshotVersion;
 
-/// How long a watch waits for a change if no leases are granted.
+/// Time for which the leader may delay the response to a watch if no leases are granted.
 pub const WAIT_WITHOUT_LEASES: Duration = Duration::from_secs(20);
 /// Timeout of a watch if no leases are granted.
 const TIMEOUT_WITHOUT_LEASES: Duration = Duration::from_secs(30);
-/// Minimum timeout of a watch if leases are granted. The timeout is otherwise twice the wait, so that a dead link is
-/// detected well before a lease expires.
+/// Minimum timeout of a watch if leases are granted. The timeout is otherwise twice the interval between
+/// heartbeats, so that a dead link is detected well before a lease expires.
 const MIN_WATCH_TIMEOUT: Duration = Duration::from_millis(250);
-/// How long a watch waits while changes that were received are not yet in force and persisted.
+/// Maximum time for which the leader may delay the response to a watch while changes that the follower has
+/// received are not yet in force and persisted there.
 const WAIT_WHILE_BEHIND: Duration = Duration::from_millis(50);
 /// Timeout of a request for the snapshot. A leader sends the snapshot at once or not at all.
 pub const SNAPSHOT_TIMEOUT: Duration = Duration::from_secs(2);
-/// Timeout of the last request of a follower, by which it notifies the leader that it accepts no calls any more.
+/// Timeout of the last request of a follower, by which it notifies the leader that it accepts no calls any
+/// more.
 pub const DEREGISTRATION_TIMEOUT: Duration = Duration::from_millis(300);
-/// Maximum number of entries that a follower requests at once.
+/// Maximum number of changes that a follower requests with one watch.
 const PAGE_ENTRIES: u32 = 1_000;
 
-/// What a follower knows about the leases of its leader.
+/// The leases that a leader grants, as far as its follower knows.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LeaseSpan {
     /// No response of the leader was received yet.
@@ -38,15 +40,15 @@
 /// The wait and the timeout of a watch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timing {
-    /// How long the leader may delay the response until there is a change.
+    /// Maximum time for which the leader may delay the response until there is a change.
     pub wait: Duration,
-    /// How long the follower waits for the response.
+    /// Time after which the follower gives up the request.
     pub timeout: Duration,
 }
 
 impl LeaseSpan {
-    /// Returns the timing of the next watch. `behind` means that changes that were received are not yet in force and
-    /// persisted, so that the follower has something to report soon.
+    /// Returns the timing of the next watch. `behind` means that changes that were received are not yet in
+    /// force and persisted, so that the follower has something to report soon.
     pub fn timing(self, behind: bool) -> Timing {
         match self {
             Self::Unknown => Timing { wait: Duration::ZERO, timeout: SNAPSHOT_TIMEOUT },
--- a/crates/fleet/src/gate.rs
+++ b/crates/fleet/src/gate.rs
@@ -1,11 +1,13 @@
-//! Admission control while a fleet returns to service. After a start, workers warm up, replicas are missing and all
-//! clients reconnect at once. A call that can't be answered in time is rejected on arrival, with a retry delay that
-//! spreads the clients. The number of admitted calls adapts to what the fleet serves.
+//! Admission control while a fleet returns to service. After a start, workers warm up, replicas are missing
+//! and all clients reconnect at once. A call that can't be answered in time is rejected on arrival, with a
+//! retry delay that spreads the clients. The number of admitted calls adapts to what the fleet serves.
 //!
-//! A call waits while it is not assigned to a worker. A new call is admitted while the oldest waiting call of the same
-//! model has waited for less than a share of the latency objective. Therefore a model without a replica does not affect
-//! the calls of other models. The first call of each model is always admitted, because it is what causes a load order.
-//! If the whole fleet is too slow, the waiting calls of all models grow old and further calls are rejected. Calls in
+//! A call waits while it is not assigned to a worker. A new call is admitted while the oldest waiting call of
+//! the same model has waited for less than a share of the latency objective. Therefore a model without a
+//! replica does not affect the calls of other models. Once a worker list is in force, a call of a model for
+//! which none waits is admitted, because it is what causes a load order. This does not apply while
+//! [`MAX_WAITING`] calls wait, nor to a non-idempotent call before the list was read since the start. If the
+//! whole fleet is too slow, the waiting calls of all models grow old and further calls are rejected. Calls in
 //! flight are not affected, and once service is complete all calls are admitted.
 //!
 //! The caller sends the rejections.
@@ -17,7 +19,7 @@
 /// The phases of the return to service, in order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Step {
-    /// No worker list is in force: all calls are rejected.
+    /// No worker list is in force, or it has no workers: all calls are rejected.
     NoList,
     /// Calls are admitted as far as they can be answered in time.
     Partial,
@@ -36,14 +38,15 @@
     }
 }
 
-/// Parameters of the gate. They need no adjustment to a deployment, because calls are judged relative to their own
-/// latency objective.
+/// Parameters of the gate. They need no adjustment to a deployment, because calls are judged relative to
+/// their own latency objective.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct GateConfig {
-    /// A call is admitted while the oldest waiting call of its model has waited less than this share of the call's
-    /// latency objective.
+    /// A call is admitted while the oldest waiting call of its model has waited less than this share of the
+    /// call's latency objective.
     pub age_share: f64,
-    /// Service is complete if no call was rejected for this long, in milliseconds.
+    /// Service is complete if no call was rejected as crowded for this long, in milliseconds: see
+    /// [`Gate::advance`].
     pub quiet_period: Millis,
     /// Maximum retry delay in milliseconds.
     pub max_retry_after: Millis,
@@ -86,15 +89,15 @@
     pub no_list: u64,
     /// Calls rejected because waiting calls of the same model were too old, or too many calls were waiting.
     pub crowded: u64,
-    /// Non-idempotent calls rejected because the worker list was persisted by an earlier incarnation and not read since
-    /// the start.
+    /// Non-idempotent calls rejected because the worker list was persisted by an earlier incarnation and not
+    /// read since the start.
     pub unproven: u64,
 }
 
 /// Maximum number of tracked waiting calls. Further calls are rejected as crowded.
 pub const MAX_WAITING: usize = 65_536;
-/// Maximum retry delay in milliseconds while no worker list was read since the start. It is short because the next
-/// read is imminent.
+/// Maximum retry delay in milliseconds while no worker list was read since the start. It is short because the
+/// next read is imminent.
 const NO_LIST_RETRY_AFTER: Millis = 500;
 /// Minimum retry delay in milliseconds.
 const MIN_RETRY_AFTER: Millis = 50;
@@ -163,8 +166,8 @@
         }
     }
 
-    /// Records that a list of `workers` workers is in force. `proven` means that it was read since the start, and not
-    /// persisted by an earlier incarnation.
+    /// Records that a list of `workers` workers is in force. `proven` means that it was read since the start,
+    /// and not persisted by an earlier incarnation.
     pub fn list_applied(&mut self, now: Millis, workers: u32, proven: bool) {
         self.list_is_proven |= proven;
         if self.step == Step::NoList && workers > 0 {
@@ -194,8 +197,8 @@
             Step::Partial => {}
         }
         let age = self.oldest_age(now, call.model);
-        // Calls of lower weight are rejected earlier, which leaves the capacity to others. The remaining time bounds
-        // the age so that no call is admitted that would be answered after its deadline.
+        // Calls of lower weight are rejected earlier, which leaves the capacity to others. The remaining time
+        // bounds the age so that no call is admitted that would be answered after its deadline.
         let weight = call.priority_weight.clamp(MIN_WEIGHT, 1.0);
         let tolerated = call.latency_objective.min(call.remaining) as f64 * self.config.age_share * weight;
         if (age as f64) < tolerated && self.waiting.len() < MAX_WAITING {
@@ -207,14 +210,15 @@
         self.reject((age / 2).max(MIN_RETRY_AFTER), (age * 2).max(call.latency_objective), random)
     }
 
-    /// Returns a rejection with a retry delay between these bounds, and at most [`GateConfig::max_retry_after`] unless
-    /// that is below the lower bound.
+    /// Returns a rejection with a retry delay between these bounds, and at most
+    /// [`GateConfig::max_retry_after`] unless that is below the lower bound.
     fn reject(&self, min_delay: Millis, max_delay: Millis, random: u64) -> Verdict {
         let max_delay = max_delay.clamp(min_delay, self.config.max_retry_after.max(min_delay));
         Verdict::Reject(min_delay + random % (max_delay - min_delay + 1))
     }
 
-    /// Tracks an admitted call as waiting for a worker. Does nothing if service is complete or too many calls wait.
+    /// Tracks an admitted call as waiting for a worker. Does nothing if service is complete or too many calls
+    /// wait.
     pub fn call_admitted(&mut self, now: Millis, call: u64, model: u64) {
         if self.step == Step::Complete || self.waiting.len() >= MAX_WAITING {
             return;
@@ -256,8 +260,9 @@
         Some(model)
     }
 
-    /// Completes the return to service after a quiet period without rejections, provided that at least one call was
-    /// answered. `answered` is the number of calls answered since the start.
+    /// Completes the return to service after a quiet period, provided that at least one call was answered.
+    /// The period begins when the first list with workers comes into force, and again with each call that is
+    /// rejected as crowded. `answered` is the number of calls answered since the start.
     pub fn advance(&mut self, now: Millis, answered: u64) {
         let quiet = now.saturating_sub(self.last_rejection) >= self.config.quiet_period;
         if self.step == Step::Partial && quiet && answered > 0 {
--- a/crates/fleet/src/lease.rs
+++ b/crates/fleet/src/lease.rs
@@ -1,23 +1,27 @@
-//! The lease of a controller: until when it may act on the snapshot that it last received, and what it does afterwards.
+//! The lease of a controller: until when it may act on the snapshot that it last received, and what it does
+//! afterwards.
 //!
-//! The holder measures the span by its own clock from the time at which it sent its *request*, and shortens the span by
-//! the maximum difference of two clocks. The leader measures the same span from the time of its *response*, and
-//! lengthens it by the same difference (see [`crate::membership`]). A lease therefore expires for its holder before it
-//! expires for the leader, no matter how long the response was delayed or which process stalled. A lease ends without
-//! any message to its holder.
+//! The holder measures the span by its own clock from the time at which it sent its *request*, and shortens
+//! the span by the maximum difference of two clocks. The leader measures the same span from the time of its
+//! *response*, and lengthens it by the same difference (see [`crate::membership`]). A lease therefore expires
+//! for its holder before it expires for the leader, no matter how long the response was delayed or which
+//! process stalled. A lease ends without any message to its holder.
 //!
 //! The caller sends the requests and decides what a [`Stage`] means for a call.
 
 use crate::Millis;
 
-/// Maximum drift of a clock, in thousandths of the elapsed time. This is fifty times the drift of a poor crystal
-/// oscillator.
+/// Maximum drift of a clock, in thousandths of the elapsed time. This is fifty times the drift of a poor
+/// crystal oscillator.
 pub const CLOCK_ERROR_PER_MILLE: Millis = 5;
-/// Maximum span of a lease in milliseconds. A leader that does not know the span of earlier leases assumes this one.
+/// Maximum span of a lease in milliseconds. A leader that does not know the span of earlier leases assumes
+/// this one.
 pub const MAX_SPAN: Millis = 60_000;
-/// Minimum span of a lease in milliseconds. The exchange of a heartbeat would take a large part of a shorter one.
+/// Minimum span of a lease in milliseconds. The exchange of a heartbeat would take a large part of a shorter
+/// one.
 pub const MIN_SPAN: Millis = 200;
-/// Number of heartbeats that a follower sends within one span, so that it keeps its lease if one of them is lost.
+/// Number of heartbeats that a follower sends within one span, so that it keeps its lease if one of them is
+/// lost.
 pub const HEARTBEATS_PER_SPAN: Millis = 4;
 
 /// Returns the maximum difference in milliseconds between the readings of two clocks after a span.
@@ -26,24 +30,25 @@
     (span * 2 * CLOCK_ERROR_PER_MILLE).div_ceil(1000)
 }
 
-/// Returns when a lease of this span expires by the holder's clock, which read `sent` when the request was sent.
+/// Returns when a lease of this span expires by the holder's clock, which read `sent` when the request was
+/// sent.
 pub fn expires_at(sent: Millis, span: Millis) -> Millis {
     let span = span.min(MAX_SPAN);
     sent + span.saturating_sub(max_clock_difference(span))
 }
 
-/// How a controller behaves while it has no lease.
+/// The behaviour of a controller while it has no lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct LeasePolicy {
-    /// Whether the controller rejects calls. If not, it continues with the snapshot that it last received, whose age is
-    /// then unbounded.
+    /// Whether the controller rejects calls. If not, it continues with the snapshot that it last received,
+    /// whose age is then unbounded.
     pub rejects: bool,
-    /// Time without a lease after which the controller reports that it is not ready, so that load balancers stop
-    /// sending calls to it; `None` for never.
+    /// Time without a lease after which the controller reports that it is not ready, so that load balancers
+    /// stop sending calls to it; `None` for never.
     pub not_ready_after: Option<Millis>,
 }
 
-/// What a controller may do at a given time.
+/// The actions that a controller may take at a given time, by its lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Stage {
     /// The controller has a lease, or its leader grants no leases.
@@ -86,11 +91,13 @@
 pub struct Counters {
     /// Leases received, including renewals.
     pub leases: u64,
-    /// Leases that expired before they were renewed, counted at the next call.
+    /// Leases that expired before they were renewed, or were running when the controller was fenced, counted
+    /// at the next call.
     pub expiries: u64,
     /// Calls rejected because the controller had no lease or was fenced.
     pub rejected: u64,
-    /// Actions that began within a lease and finished after it had expired, because the process stalled in between.
+    /// Actions that began within a lease and finished after it had expired, because the process stalled in
+    /// between.
     pub doubtful: u64,
 }
 
@@ -98,10 +105,10 @@
 #[derive(Clone, Debug)]
 pub struct Holder {
     policy: LeasePolicy,
-    /// The start of the controller or the end of its last lease, which may be in the future. The time without a lease
-    /// is measured from here.
+    /// The start of the controller or the end of its last lease, which may be in the future. The time without
+    /// a lease is measured from here.
     since: Millis,
-    /// When the last lease expires; `None` before the first lease.
+    /// Expiry of the last lease by the holder's clock; `None` before the first lease.
     until: Option<Millis>,
     fenced: bool,
     /// Expiry time of the last lease that was counted as expired.
@@ -122,8 +129,8 @@
         }
     }
 
-    /// Records a lease that expires at `until` by the holder's clock, as returned by [`expires_at`]. A lease that
-    /// expires earlier than the current one has no effect.
+    /// Records a lease that expires at `until` by the holder's clock, as returned by [`expires_at`]. A lease
+    /// that expires earlier than the current one has no effect.
     pub fn renewed(&mut self, until: Millis) {
         self.counters.leases += 1;
         if self.until.is_none_or(|current| current < until) {
@@ -152,8 +159,8 @@
         if self.policy.rejects { Stage::Rejecting } else { Stage::Unleased }
     }
 
-    /// Returns the stage that applies to a new call, and counts the call if it is rejected and the lease if it has
-    /// expired.
+    /// Returns the stage that applies to a new call, and counts the call if it is rejected and the lease if
+    /// it has expired.
     pub fn check_call(&mut self, now: Millis) -> Stage {
         let stage = self.stage(now);
         if !stage.accepts_calls() {
@@ -166,8 +173,9 @@
         stage
     }
 
-    /// Checks an action that was allowed at `from` and has finished at `now`. Returns true and counts the action if the
-    /// lease expired in between, so that other controllers may already have relied on its expiry.
+    /// Checks an action that was allowed at `from` and has finished at `now`. Returns true and counts the
+    /// action if the lease expired in between, so that other controllers may already have relied on its
+    /// expiry.
     pub fn action_finished(&mut self, from: Millis, now: Millis) -> bool {
         let doubtful = self.stage(from) == Stage::Current && self.stage(now) != Stage::Current;
         self.counters.doubtful += u64::from(doubtful);
@@ -179,7 +187,8 @@
         Some(self.until?.saturating_sub(now)).filter(|remaining| *remaining > 0)
     }
 
-    /// Returns when the stage changes next unless a lease is received; `None` if it does not change.
+    /// Returns when the stage changes next unless a lease is received; `None` if it does not change. Fencing
+    /// is not considered.
     pub fn next_change(&self, now: Millis) -> Option<Millis> {
         let not_ready = self.policy.not_ready_after.map(|after| self.since + after);
         [self.until, not_ready].into_iter().flatten().filter(|at| *at > now).min()
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -15,8 +15,8 @@
 //! * [`membership`]: when a change is persisted often enough and in force everywhere.
 //! * [`loans`]: how a limit is divided among controllers.
 //!
-//! This crate does no I/O, reads no clock and has no source of randomness: times, random numbers and seeds are passed
-//! in.
+//! This crate does no I/O, reads no clock and has no source of randomness: times, random numbers and seeds
+//! are passed in.
 
 #![forbid(unsafe_code)]
 
--- a/crates/fleet/src/loans.rs
+++ b/crates/fleet/src/loans.rs
@@ -1,18 +1,19 @@
-//! Division of a limit among controllers that see only their own calls. The amounts in use never add up to more than
-//! the limit, even if controllers are delayed, partitioned, stalled or dead.
+//! Division of a limit among controllers that see only their own calls. The amounts in use never add up to
+//! more than the limit, even if controllers are delayed, partitioned, stalled or dead.
 //!
-//! Each controller of the installation has a reserve that needs no loan. The rest of the limit is lent according to
-//! demand to incarnations with a lease, for the span of a lease. The borrower measures the span from its request and
-//! the lender from its response, both with the allowance for clock drift of [`crate::lease`]. A loan that was replaced
-//! by a smaller one counts in full until the borrower has reported that it applies the new one, or until it expires.
-//! A lost response therefore frees nothing.
+//! Each controller of the installation has a reserve that needs no loan. The rest of the limit is lent
+//! according to demand to incarnations with a lease, for the span of a lease. The borrower measures the span
+//! from its request and the lender from its response, both with the allowance for clock drift of
+//! [`crate::lease`]. A loan that was replaced by a smaller one counts in full until the borrower has reported
+//! that it applies the new one, or until it expires. A lost response therefore frees nothing.
 //!
-//! Calls in flight continue when a loan shrinks or expires. For this reason an incarnation also reports how much its
-//! calls occupy, and the lender counts that amount too. For all limits but rates, the last report of an incarnation
-//! that has become silent counts until its lease has expired and the longest possible call has ended.
+//! Calls in flight continue when a loan shrinks or expires. For this reason an incarnation also reports how
+//! much its calls occupy, and the lender counts that amount too. For all limits but rates, the last report of
+//! an incarnation that has become silent counts until its lease has expired and the longest possible call has
+//! ended.
 //!
-//! At any time, an incarnation may use at most the largest of its unexpired loans that it may still apply, and the
-//! lender keeps the sum of these amounts within what may be lent.
+//! At any time, an incarnation may use at most the largest of its unexpired loans that it may still apply,
+//! and the lender keeps the sum of these amounts within what may be lent.
 //!
 //! The caller determines the limits and the expiry of leases.
 
@@ -23,11 +24,11 @@
 use crate::Millis;
 use crate::membership::Incarnation;
 
-/// Maximum number of loans tracked for one incarnation. Beyond it the two oldest are merged, which bounds the memory
-/// for an incarnation that sends reports but never receives a response.
+/// Maximum number of loans tracked for one incarnation. Beyond it the two oldest are merged, which bounds the
+/// memory for an incarnation that sends reports but never receives a response.
 const MAX_OUTSTANDING: usize = 16;
 
-/// How a limit is divided.
+/// The division of a limit into the reserves of the controllers and the part that is lent.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LoanConfig {
     /// Number of controllers of the installation.
@@ -52,9 +53,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LimitKind {
-    /// Calls per second.
+    /// Calls per second of a tenant.
     Rate,
-    /// Concurrent open calls.
+    /// Concurrent open calls of a tenant.
     Open,
     /// Concurrent open calls that are not assigned to a worker.
     Held,
@@ -76,8 +77,8 @@
 /// An amount that a borrower may use beyond its reserve.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Loan {
-    /// Number of the loan, higher than that of any earlier one. Numbers are not reused: otherwise an old report could
-    /// be mistaken for one about a loan that is in use.
+    /// Number of the loan, higher than that of any earlier one. Numbers are not reused: otherwise an old
+    /// report could be mistaken for one about a loan that is in use.
     pub number: u64,
     /// Amount that is lent.
     pub amount: f64,
@@ -90,14 +91,14 @@
     pub borrower: Incarnation,
     /// Demand and use that the borrower reported.
     pub usage: UsageReport,
-    /// How the limit is divided.
+    /// The division into reserves and the part that is lent.
     pub config: LoanConfig,
     /// The limit to divide.
     pub limit: f64,
-    /// Current time.
+    /// Current time by the lender's clock.
     pub now: Millis,
-    /// Until when the loan counts as in use: the latest possible expiry of the lease that is granted with it, plus the
-    /// longest duration of a call if calls occupy the limit.
+    /// Until when the loan counts as in use: the latest possible expiry of the lease that is granted with it,
+    /// plus the longest duration of a call if calls occupy the limit.
     pub until: Millis,
 }
 
@@ -163,12 +164,12 @@
         self.borrowers.values().filter(|borrower| borrower.usable(now) > 0.0).count()
     }
 
-    /// Records the report of a borrower and returns its new loan, valid for the lease that is granted with it.
-    /// `last_number` is the number of the last loan of any limit and is incremented.
+    /// Records the report of a borrower and returns its new loan, valid for the lease that is granted with
+    /// it. `last_number` is the number of the last loan of any limit and is incremented.
     pub fn report(&mut self, request: LoanRequest, last_number: &mut u64) -> Loan {
         let LoanRequest { borrower: incarnation, usage, config, limit, now, until } = request;
-        // A borrower whose loan has an amount of 0 is kept until the loan expires, so that its demand counts in the
-        // division.
+        // A borrower whose loan has an amount of 0 is kept until the loan expires, so that its demand counts
+        // in the division.
         self.borrowers.retain(|other, borrower| *other == incarnation || borrower.has_running_loan(now));
         let reserve = config.reserve_of(limit);
         let borrower = self.borrowers.entry(incarnation).or_insert(Borrower {
@@ -180,8 +181,8 @@
         borrower.demand = if usage.demand.is_finite() { (usage.demand - reserve).max(0.0) } else { 0.0 };
         borrower.in_use = (usage.in_use - reserve).max(0.0);
         borrower.in_use_until = until;
-        // A borrower that has applied a loan applies no earlier one any more. A number that was never assigned is
-        // ignored.
+        // A borrower that has applied a loan applies no earlier one any more. A number that was never
+        // assigned is ignored.
         if usage.applied_loan <= *last_number {
             borrower.loans.retain(|loan| loan.number >= usage.applied_loan && now < loan.until);
         }
@@ -202,8 +203,8 @@
         self.borrowers.remove(&incarnation);
     }
 
-    /// Returns the amount due to a borrower by max-min fairness. What remains once all demands are met is divided
-    /// evenly, since demand may grow before the next report.
+    /// Returns the amount due to a borrower by max-min fairness. What remains once all demands are met is
+    /// divided evenly, since demand may grow before the next report.
     fn fair_part(&self, lendable: f64, incarnation: Incarnation) -> f64 {
         let mut demands: Vec<(f64, Incarnation)> =
             self.borrowers.iter().map(|(other, borrower)| (borrower.demand, *other)).collect();
--- a/crates/fleet/src/loans/tests.rs
+++ b/crates/fleet/src/loans/tests.rs
@@ -155,7 +155,8 @@
                 loans[n as usize] = request.send(&mut lender, usage, &mut next);
             }
             assert!(lent_sum <= limit + 1e-6, "{controllers}: {lent_sum}");
-            // The average includes the first rounds and those after a rotation, in which loans lag behind demand.
+            // The average includes the first rounds and those after a rotation, in which loans lag behind
+            // demand.
             (passed, fixed, rounds) = (passed + lent_sum, fixed + static_sum, rounds + 1);
         }
         let (lent, fixed) = (passed / f64::from(rounds) / limit, fixed / f64::from(rounds) / limit);
--- a/crates/fleet/src/membership.rs
+++ b/crates/fleet/src/membership.rs
@@ -1,12 +1,13 @@
-//! The leader's view of the fleet: which incarnations of controllers have a lease, which changes each of them has
-//! applied and persisted, and when a change is persisted often enough and in force everywhere.
+//! The leader's view of the fleet: which incarnations of controllers have a lease, which changes each of them
+//! has applied and persisted, and when a change is persisted often enough and in force everywhere.
 //!
-//! A change is in force everywhere once each incarnation has either applied it or can no longer act, because its lease
-//! has expired even by the slowest clock (see [`crate::lease`]). A lease is sent with the snapshot and is valid only
-//! for a holder that has applied this snapshot. A lease granted after a change thus lets nobody act without the change,
-//! and a change waits only for the leases granted before it, even if a member keeps sending heartbeats whose responses
-//! are lost. For a member that continues without a lease there is no bound, which [`Progress`] reports. No member is
-//! removed while its lease runs: if the membership is full, a further incarnation gets no lease.
+//! A change is in force everywhere once each incarnation has either applied it or can no longer act, because
+//! its lease has expired even by the slowest clock (see [`crate::lease`]). A lease is sent with the snapshot
+//! and is valid only for a holder that has applied this snapshot. A lease granted after a change thus lets
+//! nobody act without the change, and a change waits only for the leases granted before it, even if a member
+//! keeps sending heartbeats whose responses are lost. For a member that continues without a lease there is no
+//! bound, which [`Progress`] reports. No member is removed while its lease runs: if the membership is full, a
+//! further incarnation gets no lease.
 //!
 //! The caller exchanges the heartbeats, persists the changes and notifies the members.
 
@@ -15,22 +16,23 @@
 use crate::Millis;
 use crate::lease::{MAX_SPAN, max_clock_difference};
 
-/// Maximum number of leases tracked for one member. Beyond it the two oldest are merged into one with the older version
-/// and the later expiry.
+/// Maximum number of leases tracked for one member. Beyond it the two oldest are merged into one with the
+/// older version and the later expiry.
 const MAX_TRACKED_LEASES: usize = 32;
 /// Maximum number of members.
 pub const MAX_INCARNATIONS: usize = 1_024;
-/// Time since the last heartbeat after which a member without a lease may be removed, and a member that acts without
-/// leases is taken for dead.
+/// Time since the last heartbeat after which a member without a lease may be removed, and a member that acts
+/// without leases is taken for dead.
 pub const FORGOTTEN_AFTER: Millis = 10 * 60_000;
-/// Time since the last heartbeat after which a member is not expected to persist a change, if no leases are granted.
-/// It is longer than the wait of a watch, during which a member sends no heartbeat.
+/// Time since the last heartbeat after which a member is not expected to persist a change, if no leases are
+/// granted. It is longer than the wait of a watch, during which a member sends no heartbeat.
 pub const UNRESPONSIVE_AFTER: Millis = 30_000;
-/// Maximum number of fenced incarnations that are stored. Those of the lowest controller numbers are removed first.
+/// Maximum number of fenced incarnations that are stored. Those of the lowest controller numbers are removed
+/// first.
 pub const MAX_FENCED: usize = 256;
 
-/// The incarnation of controllers that run an earlier version of the program and report none. All runs of such a
-/// controller share it.
+/// The incarnation of controllers that run an earlier version of the program and report none. All runs of
+/// such a controller share it.
 pub const UNREPORTED_INCARNATION: u64 = 0;
 
 /// One run of the process of a controller. Each restart is a new incarnation.
@@ -67,7 +69,7 @@
 struct IssuedLease {
     /// Version of the snapshot that the lease was sent with.
     version: Version,
-    /// When the last lease with this version has expired by every clock.
+    /// Time at which the last lease with this version has expired by every clock.
     expires_at: Millis,
 }
 
@@ -76,17 +78,18 @@
 pub struct Member {
     /// The last reported state. Its versions never decrease.
     pub state: MemberState,
-    /// When the last heartbeat was received.
+    /// Time at which the last heartbeat was received.
     pub last_heartbeat: Millis,
-    /// When the last lease has expired by every clock; `None` if this leader has granted none.
+    /// Time at which the last lease has expired by every clock; `None` if this leader has granted none, or
+    /// after the incarnation has ended.
     pub lease_expires_at: Option<Millis>,
     /// Leases that may not have expired yet, in the order in which they were granted.
     leases: Vec<IssuedLease>,
-    /// Increases with each new incarnation in the fleet. Workers reject the requests of an incarnation of a controller
-    /// once they have seen a higher token of the same controller.
+    /// Increases with each new incarnation in the fleet. Workers reject the requests of an incarnation of a
+    /// controller once they have seen a higher token of the same controller.
     pub fencing_token: u64,
-    /// The incarnation reported that it accepts no calls any more. Heartbeats that are received later were sent before
-    /// that report.
+    /// The incarnation reported that it accepts no calls any more. Heartbeats that are received later were
+    /// sent before that report.
     ended: bool,
 }
 
@@ -106,18 +109,18 @@
 pub struct PendingMember {
     /// The member; `None` stands for all incarnations to which an earlier leader may have granted a lease.
     pub incarnation: Option<Incarnation>,
-    /// When the last lease without the change expires; `None` if the member continues without a lease, so that there is
-    /// no bound.
+    /// Expiry of the last lease without the change by every clock; `None` if the member continues without a
+    /// lease, so that there is no bound.
     pub lease_expires_at: Option<Millis>,
 }
 
-/// How far a change is replicated and in force.
+/// The extent to which a change is replicated and in force.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Progress {
     /// Number of members that have persisted the change.
     pub persisted: usize,
-    /// Number of members that must persist the change: the configured number, or all reachable members if there are
-    /// fewer.
+    /// Number of members that must persist the change: the configured number, or all reachable members if
+    /// there are fewer.
     pub required: usize,
     /// Members that may still act without the change.
     pub pending: Vec<PendingMember>,
@@ -134,19 +137,19 @@
         self.pending.is_empty()
     }
 
-    /// Returns the latest time at which the change will be in force everywhere, which is `now` if it already is; `None`
-    /// if there is no bound because a member continues without a lease.
+    /// Returns the latest time at which the change will be in force everywhere, which is `now` if it already
+    /// is; `None` if there is no bound because a member continues without a lease.
     pub fn bound(&self, now: Millis) -> Option<Millis> {
         self.pending.iter().try_fold(now, |latest, member| Some(latest.max(member.lease_expires_at?)))
     }
 }
 
-/// How long a member may act without a change.
+/// The time for which a member may act without a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Staleness {
     /// Until this time at the latest.
     Until(Millis),
-    /// Without a bound.
+    /// For as long as its process runs.
     Unbounded,
 }
 
@@ -157,7 +160,7 @@
     span: Option<Millis>,
     members: BTreeMap<Incarnation, Member>,
     fenced: BTreeSet<Incarnation>,
-    /// When the leases of earlier leaders have expired by every clock.
+    /// Time at which the leases of earlier leaders have expired by every clock.
     earlier_leases_expire_at: Millis,
     /// Heartbeats of new incarnations that were rejected because the membership was full.
     rejected_heartbeats: u64,
@@ -166,9 +169,9 @@
 }
 
 impl Membership {
-    /// Creates an empty membership at `now`. `earlier_span` is the longest span for which an earlier leader may have
-    /// granted a lease. Fencing tokens start after `last_token`, for which the caller passes the milliseconds of the
-    /// wall clock, so that a restarted leader does not reuse a token.
+    /// Creates an empty membership at `now`. `earlier_span` is the longest span for which an earlier leader
+    /// may have granted a lease. Fencing tokens start after `last_token`, for which the caller passes the
+    /// milliseconds of the wall clock, so that a restarted leader does not reuse a token.
     pub fn new(now: Millis, span: Option<Millis>, earlier_span: Option<Millis>, last_token: u64) -> Self {
         Self {
             span: span.map(|span| span.min(MAX_SPAN)),
@@ -185,8 +188,8 @@
         self.span
     }
 
-    /// Records the state that an incarnation reported. A new incarnation becomes a member unless the membership is
-    /// full.
+    /// Records the state that an incarnation reported. A new incarnation becomes a member unless the
+    /// membership is full.
     pub fn heartbeat(&mut self, now: Millis, incarnation: Incarnation, state: MemberState) {
         if !self.members.contains_key(&incarnation) && !self.ensure_capacity(now) {
             return;
@@ -215,9 +218,9 @@
         };
     }
 
-    /// Removes members that have no lease and were silent for [`FORGOTTEN_AFTER`]. If the membership is still full,
-    /// removes the member without a lease that was silent for longest. Returns false if it is full of members with
-    /// running leases.
+    /// Removes members that have no lease and were silent for [`FORGOTTEN_AFTER`]. If the membership is still
+    /// full, removes the member without a lease that was silent for longest. Returns false if it is full of
+    /// members with running leases.
     fn ensure_capacity(&mut self, now: Millis) -> bool {
         let idle = |m: &Member| m.lease_expires_at.is_none_or(|expires_at| expires_at <= now);
         self.members.retain(|_, m| !idle(m) || m.last_heartbeat + FORGOTTEN_AFTER > now);
@@ -233,8 +236,8 @@
         false
     }
 
-    /// Grants a lease together with the snapshot of `version`, which is sent now. Returns the span of the lease, or
-    /// `None` if no leases are granted.
+    /// Grants a lease together with the snapshot of `version`, which is sent now. Returns the span of the
+    /// lease, or `None` if no leases are granted.
     ///
     /// # Errors
     /// Returns the reason why the incarnation gets no lease.
@@ -261,15 +264,16 @@
             _ => member.leases.push(IssuedLease { version, expires_at }),
         }
         if member.leases.len() > MAX_TRACKED_LEASES {
-            // The merged lease has the older version and the later expiry, so that no change is in force too early.
+            // The merged lease has the older version and the later expiry, so that no change is in force too
+            // early.
             let second = member.leases.remove(1);
             member.leases[0].expires_at = member.leases[0].expires_at.max(second.expires_at);
         }
         Ok(Some(span))
     }
 
-    /// Returns the progress of the change that created the version `change`. `copies` is the configured number of
-    /// members that are to persist it.
+    /// Returns the progress of the change that created the version `change`. `copies` is the configured
+    /// number of members that are to persist it.
     pub fn progress(&self, now: Millis, change: Version, copies: usize) -> Progress {
         let persisted = self.members.values().filter(|m| m.state.persisted >= change).count();
         let reachable = self.members.values().filter(|m| self.is_reachable(now, m)).count();
@@ -303,13 +307,13 @@
                 member.leases.iter().filter(|lease| lease.version < change && now < lease.expires_at);
             return without.map(|lease| lease.expires_at).max().map(Staleness::Until);
         }
-        // A member that continues without a lease may act for as long as its process runs. After a long silence it is
-        // taken for dead.
+        // A member that continues without a lease may act for as long as its process runs. After a long
+        // silence it is taken for dead.
         (member.last_heartbeat + FORGOTTEN_AFTER > now).then_some(Staleness::Unbounded)
     }
 
-    /// Fences the known incarnations of a controller and returns them. An incarnation that is notified stops at once,
-    /// any other when its lease expires.
+    /// Fences the known incarnations of a controller and returns them. An incarnation that is notified stops
+    /// at once, any other when its lease expires.
     pub fn fence(&mut self, controller: u32) -> Vec<Incarnation> {
         let known: Vec<Incarnation> =
             self.members.keys().filter(|incarnation| incarnation.controller == controller).copied().collect();
@@ -320,8 +324,8 @@
         known
     }
 
-    /// Removes the fencing of a controller's incarnations and returns their number. It has no effect on incarnations
-    /// that were already notified.
+    /// Removes the fencing of a controller's incarnations and returns their number. It has no effect on
+    /// incarnations that were already notified.
     pub fn unfence(&mut self, controller: u32) -> usize {
         let before = self.fenced.len();
         self.fenced.retain(|incarnation| incarnation.controller != controller);
@@ -338,8 +342,9 @@
         self.members.get(&incarnation).is_some_and(|member| member.ended)
     }
 
-    /// Returns whether a later incarnation of the same controller is a member. Incarnations are ordered by their first
-    /// heartbeat. [`UNREPORTED_INCARNATION`] is never superseded, because it stands for any run of its controller.
+    /// Returns whether a later incarnation of the same controller is a member. Incarnations are ordered by
+    /// their first heartbeat. [`UNREPORTED_INCARNATION`] is never superseded, because it stands for any run
+    /// of its controller.
     pub fn is_superseded(&self, incarnation: Incarnation) -> bool {
         let Some(token) = self.fencing_token(incarnation) else { return false };
         let first = Incarnation { incarnation: 0, ..incarnation };
@@ -348,8 +353,8 @@
             && self.members.range(first..=last).any(|(_, member)| member.fencing_token > token)
     }
 
-    /// Records that an incarnation accepts no calls any more, because it was notified of its fencing or shuts down.
-    /// Later heartbeats do not change that.
+    /// Records that an incarnation accepts no calls any more, because it was notified of its fencing or shuts
+    /// down. Later heartbeats do not change that.
     pub fn ended(&mut self, incarnation: Incarnation) {
         if let Some(member) = self.members.get_mut(&incarnation) {
             member.lease_expires_at = None;
@@ -382,13 +387,14 @@
         self.earlier_leases_expire_at
     }
 
-    /// Returns the number of heartbeats of new incarnations that were rejected because the membership was full.
+    /// Returns the number of heartbeats of new incarnations that were rejected because the membership was
+    /// full.
     pub fn rejected_heartbeats(&self) -> u64 {
         self.rejected_heartbeats
     }
 
-    /// Returns when the next lease expires; `None` if no lease is running. A change that waits for a lease to expire
-    /// can make progress at that time.
+    /// Returns when the next lease expires; `None` if no lease is running. A change that waits for a lease to
+    /// expire can make progress at that time.
     pub fn next_expiry(&self, now: Millis) -> Option<Millis> {
         let leases = self.members.values().flat_map(|m| m.leases.iter().map(|lease| lease.expires_at));
         leases.chain([self.earlier_leases_expire_at]).filter(|expires_at| *expires_at > now).min()
--- a/crates/fleet/src/membership/tests.rs
+++ b/crates/fleet/src/membership/tests.rs
@@ -168,8 +168,8 @@
     assert!(!membership.is_superseded(TWO), "another controller");
 }
 
-/// If no leases are granted, a follower sends nothing while the leader delays the response to its watch. It must count
-/// as reachable for all that time, or a change is acknowledged without a copy.
+/// If no leases are granted, a follower sends nothing while the leader delays the response to its watch. It
+/// must count as reachable for all that time, or a change is acknowledged without a copy.
 #[test]
 fn follower_whose_watch_is_held_is_expected_to_persist_a_change() {
     let mut membership = Membership::new(0, None, None, 0);
--- a/crates/fleet/src/recovery_policy.rs
+++ b/crates/fleet/src/recovery_policy.rs
@@ -1,6 +1,6 @@
-//! How far a controller uses state that it persisted before a restart or a power loss. A table has one rule for each
-//! kind of state, with the harm that wrong state can do and what is assumed if the state is not used. The owner of the
-//! state reads it.
+//! How far a controller uses state that it persisted before a restart or a power loss. A table has one rule
+//! for each kind of state, with the harm that wrong state can do and what is assumed if the state is not
+//! used. The owner of the state reads it.
 
 use crate::Millis;
 
@@ -9,9 +9,9 @@
 pub enum PersistedState {
     /// The snapshot of the tenants.
     Snapshot,
-    /// The worker list.
+    /// The last worker list that was in force.
     WorkerList,
-    /// The settings file.
+    /// The settings file, which the operator maintains.
     Settings,
     /// Load orders sent within the window of their rate limit.
     LoadOrders,
@@ -19,22 +19,22 @@
     WorkerStarts,
     /// Retry windows of calls with an idempotency key that may have been executed.
     KeyedWindows,
-    /// How much of their rate limits tenants have used.
+    /// The part of their rate limits that tenants have used.
     RatesUsed,
     /// The longest span for which a leader granted leases.
     LongestLease,
 }
 
-/// How far persisted state is used.
+/// The extent to which persisted state is used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Trust {
-    /// Without reservation.
+    /// The state is used without reservation.
     Full,
-    /// Until newer state is received. It never replaces newer state.
+    /// The state is used until newer state is received, which it never replaces.
     UntilNewer,
-    /// As a hint where to look first.
+    /// The state is used only as a hint where to look first.
     Hint,
-    /// Not at all: the worst case is assumed.
+    /// The state is not used: the worst case is assumed.
     Never,
 }
 
@@ -43,13 +43,13 @@
 pub struct Rule {
     /// Kind of state that the rule is for.
     pub state: PersistedState,
-    /// How far the state is used.
+    /// The extent to which the state is used.
     pub trust: Trust,
     /// Maximum age of the state in milliseconds. Older state is not used. `None` for any age.
     pub max_age_ms: Option<Millis>,
     /// The harm that wrong state can do.
     pub harm: &'static str,
-    /// What is assumed if the state is not used.
+    /// The assumption made if the state is not used.
     pub fallback: &'static str,
 }
 
@@ -126,7 +126,7 @@
 pub struct StoredState {
     /// Whether the state exists and can be read.
     pub readable: bool,
-    /// When the state was persisted, by the wall clock; `None` if unknown.
+    /// Time at which the state was persisted, by the wall clock, in milliseconds; `None` if unknown.
     pub saved_at_ms: Option<Millis>,
 }
 
@@ -139,8 +139,8 @@
     Discard(&'static str),
 }
 
-/// How far in the future persisted state may be dated, in milliseconds. It tolerates a wall clock that was set back by
-/// as much between two incarnations.
+/// Maximum time by which persisted state may be dated in the future, in milliseconds. It tolerates a wall
+/// clock that was set back by as much between two incarnations.
 pub const CLOCK_SLACK: Millis = 60_000;
 
 /// Decides whether state that was found is used. `now_ms` is the time of the wall clock.
--- a/crates/fleet/src/snapshot_version.rs
+++ b/crates/fleet/src/snapshot_version.rs
@@ -6,18 +6,20 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Identifies a snapshot. The derived order is that of [`SnapshotVersion::compare`] within one store.
+/// Identifies a snapshot. Within one store the derived order is that of [`SnapshotVersion::compare`], and
+/// orders forked snapshots by their checksums.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct SnapshotVersion {
     /// Name of the store. It is chosen when the store is created, and restores keep it.
     pub store: String,
-    /// Increased by each restore. Changes that only a snapshot of an earlier epoch has are discarded, by the decision
-    /// of an operator.
+    /// Increased by each restore. Changes that only a snapshot of an earlier epoch has are discarded, by the
+    /// decision of an operator.
     #[serde(default)]
     pub epoch: u64,
     /// Revision of the last change.
     pub revision: u64,
-    /// CRC-32 of the snapshot's JSON. If two snapshots of one epoch and revision differ in it, one of them is broken.
+    /// CRC-32 of the snapshot's JSON. If two snapshots of one epoch and revision differ in it, one of them is
+    /// broken.
     #[serde(default, rename = "sum")]
     pub checksum: u32,
 }
