--- a/crates/gateway/src/front/accept.rs
+++ b/crates/gateway/src/front/accept.rs
@@ -1,5 +1,6 @@
-//! Accepts or rejects a call when its request arrives, and opens accepted ones at the engine. Whether a call is
-//! accepted depends on the restart limiter, the lease, and the limits of its tenant.
+//! Accepts or rejects a call when its request arrives, and opens accepted ones at the engine. A call is rejected, in
+//! this order, while the controller is draining, where its model is not served, by the restart limiter, for want of a
+//! lease, and by the rights and limits of its tenant.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -96,7 +97,8 @@
         }))
     }
 
-    /// Opens an accepted call at the engine. The engine may answer it at once.
+    /// Opens an accepted call at the engine. Where the engine's commands already contain the final answer, the call is
+    /// not added to its RPC.
     fn start_call(&mut self, context: &mut FrontContext, stream: StreamKey, id: &str, new_call: NewCall) {
         let number = new_call.front_token;
         let open_call = OpenCall { stream, id: id.into(), model: Arc::clone(&new_call.model) };
@@ -119,6 +121,7 @@
     }
 
     /// Adds an open call to its RPC. Reading of the stream is paused once it has the maximum number of open calls.
+    /// Where the stream's send queue is full, the engine is told that the client of the call is slow.
     fn track_call(&mut self, context: &mut FrontContext, stream: StreamKey, call: CallId, number: u64) {
         let Some(rpc) = self.rpcs.get_mut(&stream) else { return };
         rpc.calls.insert(call, number);
@@ -132,7 +135,8 @@
         }
     }
 
-    /// Asks the restart limiter about a call. Returns the retry delay if it is rejected.
+    /// Asks the restart limiter about a call. Returns the retry delay if the limiter rejects it, and `None` if it is
+    /// admitted or no limiter is active.
     fn wait_after_restart(
         &self,
         context: &mut FrontContext,
@@ -159,9 +163,10 @@
         }
     }
 
-    /// Checks the lease, and returns the failure of the call where it may not be accepted. Without a lease it is not
-    /// known whether the tenants' snapshot is still current. If the settings then forbid calls, the client is to retry:
-    /// another controller may accept the call, and so may this one after its lease is renewed.
+    /// Checks the lease, and returns the failure of the call where it may not be accepted; `None` also for a controller
+    /// that needs no lease. Once a lease has expired it is not known whether the tenants' snapshot is still current. If
+    /// the settings then forbid calls, the client is to retry: another controller may accept the call, and so may this
+    /// one after its lease is renewed.
     fn check_lease(&self, context: &mut FrontContext) -> Option<Failure> {
         let now = context.now_ms();
         let stage = context.lease.as_mut()?.check_call(now);
@@ -183,7 +188,9 @@
         Some(Failure::refused(message, self.pushback() + jitter))
     }
 
-    /// Asks admission control for the call's tenant. An admitted call counts as open from then on.
+    /// Asks admission control whether the call's tenant may open the call, and returns the tenant's id. An admitted
+    /// call counts as open from then on. Without an administration every call is admitted, and the id is that of the
+    /// tenant in the settings, if it is listed there.
     fn admit(
         &self,
         context: &mut FrontContext,
--- a/crates/gateway/src/front/context.rs
+++ b/crates/gateway/src/front/context.rs
@@ -11,15 +11,15 @@
 
 /// Borrows of the controller's parts for the handling of one event.
 pub(crate) struct FrontContext<'a> {
-    /// The network connections.
+    /// The connections to clients and workers, and their streams.
     pub hub: &'a mut Hub,
-    /// The engine.
+    /// The engine, which tracks the open calls and their attempts.
     pub engine: &'a mut Engine,
-    /// Receives the commands of the engine.
+    /// The commands that the engine returns are appended here; the controller executes them afterwards.
     pub commands: &'a mut Vec<Command>,
     /// The tenants; `None` without an administration.
     pub tenants: Option<&'a mut Tenants>,
-    /// The restart limiter; `None` once the recovery from a restart is complete.
+    /// The restart limiter; `None` where the settings require none, and once the recovery from a restart is complete.
     pub limiter: Option<&'a mut Gate>,
     /// The lease; `None` unless this controller is a follower.
     pub lease: Option<&'a mut Holder>,
@@ -30,7 +30,7 @@
 }
 
 impl FrontContext<'_> {
-    /// [`FrontContext::now`] in milliseconds.
+    /// The time of [`FrontContext::now`], in milliseconds.
     pub(crate) fn now_ms(&self) -> u64 {
         self.now / 1000
     }
--- a/crates/gateway/src/front/failure.rs
+++ b/crates/gateway/src/front/failure.rs
@@ -1,7 +1,9 @@
 //! Maps the final answer of a call to a gRPC status.
 //!
 //! * Served: OK.
-//! * Refused: UNAVAILABLE with `grpc-retry-pushback-ms` (gRFC A6) and `RetryInfo`, because a retry does no harm.
+//! * Rejected by the worker: INVALID_ARGUMENT, without advice on retries.
+//! * Refused: UNAVAILABLE with `grpc-retry-pushback-ms` (gRFC A6) and `RetryInfo`, because a retry does no harm. If the
+//!   tenant was removed: PERMISSION_DENIED, because no retry helps.
 //! * Failed: ABORTED, INTERNAL or DEADLINE_EXCEEDED with a pushback of -1 ("do not retry"), because the call may have
 //!   run. Never UNAVAILABLE.
 
@@ -21,7 +23,7 @@
 /// The gRPC status of an unsuccessful call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct Failure {
-    /// Code and message.
+    /// The gRPC code, and the message for the client.
     pub status: Status,
     /// Retry delay in milliseconds. Negative: the client must not retry. `None`: no advice is sent.
     pub pushback_ms: Option<i64>,
@@ -40,7 +42,8 @@
         Self { status: Status::new(Code::Unavailable, message), pushback_ms: Some(ms) }
     }
 
-    /// The trailers that end an RPC with this failure.
+    /// The trailers that end an RPC with this failure. A retry delay is sent as metadata and in `RetryInfo`; a negative
+    /// one as metadata only.
     pub(super) fn trailers(&self) -> HeaderMap {
         let mut map = self.status.trailers();
         if let Some(ms) = self.pushback_ms {
@@ -56,7 +59,8 @@
         map
     }
 
-    /// Encodes this failure as a message on a stream, with `error_message` and the `id` of the call.
+    /// Encodes this failure as the last message of one call on a stream, which stays open for other calls. It carries
+    /// the `id` of the call, the code and the message as `error_message`, and the advice on retries as a parameter.
     pub(super) fn message(&self, id: &str) -> Bytes {
         let mut response = ModelInferResponse { id: id.to_owned(), ..Default::default() };
         let text = |s: &str| InferParameter {
--- a/crates/gateway/src/front/info_methods.rs
+++ b/crates/gateway/src/front/info_methods.rs
@@ -34,7 +34,11 @@
     }
 }
 
-/// Encodes the response of an info method. `ready`: a worker is in service and calls are accepted.
+/// Encodes the response of an info method. `ready`: a worker is in service, and neither a drain nor the state of the
+/// lease makes this controller not ready.
+///
+/// # Errors
+/// INVALID_ARGUMENT where the request cannot be decoded, NOT_FOUND for the metadata of a model that is not served.
 pub(super) fn answer(
     method: InfoMethod,
     request: Bytes,
--- a/crates/gateway/src/front/mod.rs
+++ b/crates/gateway/src/front/mod.rs
@@ -38,9 +38,9 @@
 /// The method of an RPC.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Method {
-    /// A single call.
+    /// `ModelInfer`: one request, which is one call.
     Infer,
-    /// A stream of calls.
+    /// `ModelStreamInfer`: each message of the client is a call.
     Stream,
     /// A method that is answered without a worker.
     Info(InfoMethod),
@@ -79,7 +79,7 @@
     }
 }
 
-/// An open call.
+/// What the front keeps of an open call, to send its answers.
 struct OpenCall {
     stream: StreamKey,
     /// The `id` of the client's request.
@@ -87,37 +87,40 @@
     model: Arc<str>,
 }
 
-/// Totals since the start.
+/// Totals of the front since the start of the process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct FrontCounters {
-    /// RPCs received.
+    /// RPCs that clients have started, including rejected ones.
     pub rpcs: u64,
-    /// RPCs and calls rejected because of an invalid content type, encoding, timeout or message.
+    /// RPCs and calls rejected because of an invalid HTTP method, content type, encoding, timeout or message, or
+    /// because of a wrong number of messages.
     pub malformed: u64,
-    /// Calls of models that the settings do not contain.
+    /// Calls of models, or versions of models, that the settings do not contain.
     pub unknown_model: u64,
-    /// Calls that admission control rejected.
+    /// Calls rejected because of their tenant: its limits or rights, or a missing or outdated snapshot of the tenants.
     pub not_admitted: u64,
     /// Calls rejected by the restart limiter.
     pub rejected_after_restart: u64,
     /// Calls rejected because this controller had no lease, or was fenced.
     pub without_lease: u64,
-    /// How often a stream was paused because of the limit `calls-per-stream`.
+    /// Number of times that reading of a stream was paused because of the limit `calls-per-stream`.
     pub over_calls_per_stream: u64,
-    /// How often a client read its answers so slowly that its workers were paused.
+    /// Number of times that the send queue of a stream filled because the client read too slowly. The workers of its
+    /// calls are then paused.
     pub slow_clients: u64,
 }
 
-/// The gRPC front.
+/// The gRPC front: the RPCs of all clients, and their open calls.
 pub(crate) struct Front {
     config: Arc<Config>,
     rpcs: HashMap<StreamKey, Rpc>,
     /// Open calls by number. The engine passes the number back as its `front_token`.
     calls: HashMap<u64, OpenCall>,
-    /// The number of the newest call.
+    /// The number of the newest call. A call that is then rejected by its tenant's limits has used a number too.
     last_call_number: u64,
     draining: bool,
-    /// Whether a worker is in service; reported by ServerReady and ModelReady.
+    /// Whether a worker is in service. ServerReady and ModelReady report it, unless a drain or the state of the lease
+    /// makes this controller not ready.
     pub ready: bool,
     /// Number of calls opened since the start.
     pub opened_calls: u64,
@@ -149,7 +152,7 @@
         Duration::from_micros(self.config.edge.pushback)
     }
 
-    /// Stops accepting calls, and ends idle streams.
+    /// Stops accepting calls, and ends the RPCs that have received a message and have no open calls.
     pub(crate) fn drain(&mut self, context: &mut FrontContext) {
         self.draining = true;
         let is_idle = |rpc: &Rpc| rpc.calls.is_empty() && rpc.has_request;
@@ -184,7 +187,8 @@
         }
     }
 
-    /// Starts an RPC, or answers it at once where it can't be accepted.
+    /// Starts an RPC, or ends it with an error where its headers are invalid, its method is unknown, or this controller
+    /// is draining.
     fn request(&mut self, context: &mut FrontContext, stream: StreamKey, head: &request::Parts) {
         self.counters.rpcs += 1;
         if let Err(status) = headers::check_grpc(head) {
--- a/crates/gateway/src/front/respond.rs
+++ b/crates/gateway/src/front/respond.rs
@@ -16,7 +16,8 @@
         self.send(context, stream, payload);
     }
 
-    /// Sends the final answer of a call. `number`: the call's number in the front.
+    /// Sends the final answer of a call, unless its RPC has ended. `number`: the call's number in the front. Reading of
+    /// a paused stream resumes once it has fewer than the maximum number of open calls.
     pub(crate) fn answer(
         &mut self,
         context: &mut FrontContext,
@@ -78,7 +79,7 @@
         }
     }
 
-    /// Ends an RPC with the status of a failure. For its open calls the client counts as disconnected.
+    /// Ends an RPC with the status of a failure. The engine is told that the client of its open calls has disconnected.
     pub(super) fn end_rpc(&mut self, context: &mut FrontContext, stream: StreamKey, failure: &Failure) {
         let Some(rpc) = self.rpcs.remove(&stream) else { return };
         if rpc.responded {
