--- a/crates/gateway/src/controller/administration.rs
+++ b/crates/gateway/src/controller/administration.rs
@@ -22,7 +22,8 @@
         for event in events {
             self.handle_admin_event(event);
         }
-        // Publishes the new state at once, so that the administration's next requests see it.
+        // Publishes the new state without waiting for the next periodic update, so that the administration's next
+        // requests see it.
         self.refresh();
     }
 
@@ -89,7 +90,8 @@
         }
     }
 
-    /// Extends the lease to `until`, and sets the fencing token, which is 0 where the leader issued none.
+    /// Extends the lease to `until`, unless that time has passed, and sets the fencing token, which is 0 where the
+    /// leader issued none.
     fn renew_lease(&mut self, until: Instant, fencing_token: u64) {
         if fencing_token > 0 {
             self.worker_links.set_fencing_token(fencing_token);
--- a/crates/gateway/src/controller/audit.rs
+++ b/crates/gateway/src/controller/audit.rs
@@ -8,8 +8,8 @@
 use crate::tenants::Tenants;
 
 impl Controller {
-    /// Records something in the audit log, if there is one. `entry` is called with the recorder, the time in
-    /// milliseconds, and the names of tenants and workers.
+    /// Calls `entry` to record something, if there is an audit log. It is passed the recorder, the time in milliseconds
+    /// on the controller's clock, and the resolver of the names of tenants and workers.
     pub(super) fn record(&mut self, entry: impl FnOnce(&mut Recorder, u64, &ControllerNames)) {
         if let Some(audit_log) = &mut self.audit_log {
             let names = ControllerNames { tenants: self.tenants.as_ref(), engine: &self.engine };
--- a/crates/gateway/src/controller/commands.rs
+++ b/crates/gateway/src/controller/commands.rs
@@ -79,8 +79,8 @@
         self.engine.handle(self.clock.now(), event, &mut self.commands);
     }
 
-    /// Calls `handle` with the front and its context. If it accepted a call, checks that the lease has not expired
-    /// meanwhile.
+    /// Calls `handle` with the front and its context, and returns its result. If `handle` opened a call, checks that
+    /// the lease has not expired meanwhile.
     pub(super) fn with_front<T>(&mut self, handle: impl FnOnce(&mut Front, &mut FrontContext) -> T) -> T {
         let (now, opened_before) = (self.clock.now(), self.front.opened_calls);
         let mut context = FrontContext {
--- a/crates/gateway/src/controller/mod.rs
+++ b/crates/gateway/src/controller/mod.rs
@@ -50,21 +50,21 @@
     /// The decision module rejects the settings.
     #[error("invalid settings: {0}")]
     Settings(#[from] nettleferry::SettingsError),
-    /// A listener could not be opened.
+    /// The listener for gRPC or for metrics could not be opened.
     #[error("can't listen on {address}: {source}{}", address_hint(source))]
     Listen {
-        /// The address.
+        /// The address from the settings.
         address: SocketAddr,
-        /// The system's error.
+        /// The error of the last attempt to open the listener.
         source: io::Error,
     },
     /// The administration could not start.
     #[error("the administration could not start: {source}; is its address in use, or its key file missing?")]
     Admin {
-        /// The system's error.
+        /// The error of the audit log or of the administration's server.
         source: io::Error,
     },
-    /// Waiting for network events failed, or another operation of the system at startup.
+    /// Waiting for network events failed, or a part of the startup that has no variant of its own.
     #[error("the reactor failed: {0}")]
     Io(#[from] io::Error),
 }
@@ -74,10 +74,10 @@
     if error.kind() == io::ErrorKind::AddrInUse { "; is another process listening there?" } else { "" }
 }
 
-/// How a controller ended.
+/// How a controller stopped; determines the exit code of `serve`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Shutdown {
-    /// All open calls were answered.
+    /// All open calls were answered before the drain timed out.
     Graceful,
     /// A second signal was received, or the drain timed out with open calls.
     Forced,
@@ -86,16 +86,16 @@
 /// Identifies the tenant store from which the snapshot in force was taken.
 #[derive(Clone, Debug, Default)]
 struct SnapshotSource {
-    /// Id of the store; empty where there is no snapshot.
+    /// Id of the store; empty where no snapshot has been loaded.
     store: String,
     /// Epoch of the store.
     epoch: u64,
 }
 
-/// Admission control after a restart, with the state that was last reported.
+/// Limits how many calls are accepted after a restart, and keeps what was last logged of it and its final counters.
 #[derive(Default)]
 struct RestartAdmission {
-    /// `None` where no restart limits apply.
+    /// `None` where the settings require no limiter, and once the recovery is complete.
     limiter: Option<Gate>,
     logged_step: Option<gate::Step>,
     /// Counters of the limiter at the time it was removed.
@@ -108,7 +108,7 @@
     writer: AuditLogWriter,
 }
 
-/// A running controller.
+/// The controller: its parts, and the state of its event loop.
 pub(crate) struct Controller {
     config: Arc<Config>,
     clock: Clock,
@@ -128,7 +128,7 @@
     logged_lease_stage: Option<Stage>,
     audit_log: Option<AuditLog>,
     snapshot_source: SnapshotSource,
-    /// Number of worker lists applied since the start.
+    /// Number of times since the start that a worker list, or a change of the drained workers, was applied.
     list_version: u64,
     tenants: Option<Tenants>,
     admin_server: Option<AdminServer>,
@@ -138,12 +138,13 @@
     listed_workers: Vec<Worker>,
     /// The newest worker list or set of drained workers has yet to be published to the administration.
     list_publish_pending: bool,
-    /// When the metrics of workers and limits are updated next.
+    /// Earliest time of the next periodic update of the metrics of workers and limits, on the controller's clock.
     next_refresh: Micros,
     /// Commands of the engine that have yet to be executed.
     commands: Vec<Command>,
     grpc_address: SocketAddr,
-    /// When open calls must have ended. Set by the first signal, and shortened once all calls have ended.
+    /// Time on the controller's clock at which a drain ends even if calls or connections are still open; `None` while
+    /// the controller is not draining. Set by the first signal, and brought forward once all calls have ended.
     drain_deadline: Option<Micros>,
 }
 
@@ -168,6 +169,9 @@
 
     /// Runs until a signal stops the controller. Each iteration fires due timers, polls the network until the next
     /// timer, dispatches the events with the commands that follow from them, and updates metrics.
+    ///
+    /// # Errors
+    /// [`ControllerError::Io`] where waiting for network events fails.
     pub(crate) fn run(&mut self) -> Result<Shutdown, ControllerError> {
         let mut events = Vec::new();
         loop {
@@ -201,7 +205,7 @@
         Duration::from_micros(next_timer.saturating_sub(self.clock.now()))
     }
 
-    /// Handles one event. `Break` if the controller must stop at once.
+    /// Handles one event. Returns `Break` if the controller must stop without waiting for open calls.
     fn dispatch(&mut self, event: NetEvent) -> ControlFlow<Shutdown> {
         match event {
             NetEvent::Source(SIGNAL_SOURCE) => return self.handle_signals(),
--- a/crates/gateway/src/controller/shutdown.rs
+++ b/crates/gateway/src/controller/shutdown.rs
@@ -1,4 +1,4 @@
-//! Shutdown: the first signal drains the controller, a second one stops it at once.
+//! Shutdown: the first signal drains the controller, a second one stops it without waiting for open calls.
 
 use std::ops::ControlFlow;
 
@@ -14,7 +14,7 @@
 const DRAIN_CHECK_INTERVAL: Micros = 20_000;
 
 impl Controller {
-    /// Handles received signals. The first one starts the drain; `Break` on a second one.
+    /// Handles received signals. The first one starts the drain; on a second one this returns `Break`.
     pub(super) fn handle_signals(&mut self) -> ControlFlow<Shutdown> {
         let received = self.signals.as_mut().map_or(0, |signals| signals.pending().count());
         for _ in 0..received {
@@ -43,7 +43,8 @@
         self.drain_deadline.map_or(Micros::MAX, next_check)
     }
 
-    /// Returns the kind of shutdown, if the drain is done or has timed out.
+    /// Returns the kind of shutdown, if the drain is done or has timed out. The drain is done when no call is open, and
+    /// the clients have closed their connections or [`CLOSE_GRACE`] has passed.
     pub(super) fn shutdown_due(&mut self) -> Option<Shutdown> {
         let deadline = self.drain_deadline?;
         let now = self.clock.now();
@@ -60,8 +61,8 @@
         })
     }
 
-    /// Writes the last entries of the audit log, updates the metrics and sends the last samples by remote write, unless
-    /// the shutdown is forced.
+    /// Writes the last entries of the audit log, and updates the metrics. The last samples are then sent by remote
+    /// write, unless the shutdown is forced. Returns `shutdown`.
     pub(super) fn finish(&mut self, shutdown: Shutdown) -> Shutdown {
         self.close_audit_entry();
         self.write_audit_log();
--- a/crates/gateway/src/controller/status.rs
+++ b/crates/gateway/src/controller/status.rs
@@ -20,7 +20,8 @@
 const REFRESH_INTERVAL: Micros = 200_000;
 
 impl Controller {
-    /// Updates the counters of calls, and at each [`REFRESH_INTERVAL`] the metrics that take longer to collect.
+    /// Updates the counters of calls, passes entries of the audit log to its writer, and at most once in each
+    /// [`REFRESH_INTERVAL`] updates the metrics that take longer to collect. Called after each poll of the event loop.
     pub(super) fn update_metrics(&mut self) {
         self.count_call_steps();
         self.record(|recorder, now, names| recorder.tick(now, names));
@@ -33,7 +34,7 @@
         }
     }
 
-    /// Updates the metrics of workers, limits and the fleet, and publishes the status.
+    /// Updates the metrics of workers, limits, the recovery, the lease and the fleet, and publishes the status.
     pub(super) fn refresh(&mut self) {
         self.log_restart_admission();
         self.log_lease_stage();
@@ -77,7 +78,7 @@
         }
     }
 
-    /// Reports the phases of open calls to admission control, if any is active.
+    /// Reports the phases of open calls to the restart limiter and the tenants' limits, as far as they are active.
     pub(super) fn count_call_steps(&mut self) {
         if self.tenants.is_none() && self.restart_admission.limiter.is_none() {
             return;
@@ -86,7 +87,7 @@
         count_call_steps(self.clock.now(), &mut self.engine, limiter, self.tenants.as_mut());
     }
 
-    /// Logs each step of the recovery from a restart, and removes the limiter after the last one.
+    /// Advances the recovery from a restart, logs each new step, and removes the limiter after the last one.
     fn log_restart_admission(&mut self) {
         let admission = &mut self.restart_admission;
         let Some(limiter) = &mut admission.limiter else { return };
--- a/crates/gateway/src/controller/worker_list.rs
+++ b/crates/gateway/src/controller/worker_list.rs
@@ -10,7 +10,8 @@
 use crate::worker_list::{ListUpdate, members};
 
 impl Controller {
-    /// Applies an update of the worker list.
+    /// Applies an update of the worker list. A failed one is reported to the engine and changes nothing else, so the
+    /// last list stays in force.
     pub(super) fn apply_list(&mut self, mut update: ListUpdate) {
         let now = self.clock.now();
         if update.form == ListForm::Failed {
