--- a/crates/gateway/src/tenants/borrowed.rs
+++ b/crates/gateway/src/tenants/borrowed.rs
@@ -7,10 +7,10 @@
 use nettleferry_fleet::loans::{LimitKind, LoanConfig};
 use nettleferry_tenancy::Revision;
 
-/// Identifies the loan that a controller applies, as it is reported to the leader with the demand.
+/// Identifies the loan that a controller holds for a limit, as it is reported to the leader with the demand.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct AppliedLoan {
-    /// Number of the loan; 0 where there is none.
+    /// The loan's number, which the leader assigned; 0 where the controller holds no loan.
     pub(super) number: u64,
     /// The incarnation of the leader that granted the loan.
     pub(super) leader_incarnation: u64,
@@ -22,8 +22,9 @@
     /// The value that the limit had when a part of it was lent. Once the limit has another value, the loan is not
     /// applied.
     limit: f64,
+    /// The amount by which the controller's share exceeds its reserve, in the unit of the limit.
     amount: f64,
-    /// When the loan expires.
+    /// Time on the controller's clock at which the loan expires.
     until: Micros,
 }
 
@@ -31,7 +32,7 @@
 pub(super) struct BorrowedLimits {
     config: LoanConfig,
     loans: HashMap<(Revision, LimitKind), Loan>,
-    /// When the next loan expires.
+    /// The earliest time at which a loan expires; [`Micros::MAX`] where there is none.
     next_expiry: Micros,
 }
 
@@ -46,12 +47,14 @@
         self.config.reserve < 1.0
     }
 
-    /// Applies granted loans, which expire at `until`. Returns the uids of their tenants.
+    /// Applies granted loans, which expire at `until`, except for those that are older than the loan in force. Returns
+    /// the uids of the tenants of all granted loans.
     pub(super) fn grant(&mut self, until: Micros, loans: Vec<LoanGrant>) -> BTreeSet<Revision> {
         let mut tenants = BTreeSet::new();
         for LoanGrant { uid, kind, limit, number, leader_incarnation, amount } in loans {
             tenants.insert(uid);
-            // Responses may arrive out of order: an earlier loan does not replace a later one of the same incarnation.
+            // Responses may arrive out of order: an earlier loan does not replace a later one of the same incarnation
+            // of the leader.
             let is_newer = |current: &Loan| {
                 current.applied.leader_incarnation != leader_incarnation || number > current.applied.number
             };
@@ -80,7 +83,8 @@
         self.next_expiry = self.loans.values().map(|loan| loan.until).min().unwrap_or(Micros::MAX);
     }
 
-    /// The loan that is applied to a limit of a tenant; with the number 0 if there is none.
+    /// The loan that this controller holds for a limit of a tenant, even if the limit has another value since the
+    /// grant. Its number is 0 if there is none.
     pub(super) fn applied(&self, uid: Revision, kind: LimitKind) -> AppliedLoan {
         self.loans.get(&(uid, kind)).map_or_else(AppliedLoan::default, |loan| loan.applied)
     }
--- a/crates/gateway/src/tenants/local_tenant.rs
+++ b/crates/gateway/src/tenants/local_tenant.rs
@@ -15,23 +15,24 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct KindDemand {
     pub(super) kind: LimitKind,
-    /// How much open and rejected calls together would use, in the unit of the limit.
+    /// What open calls use and what calls rejected since the last measurement would have used, in the unit of the
+    /// limit: calls or bytes. For a rate, the smoothed number of calls that arrive per second.
     pub(super) demand: f64,
-    /// How much open calls use now; 0 for a rate.
+    /// What open calls use now, in the unit of the limit; 0 for a rate.
     pub(super) in_use: f64,
 }
 
-/// Calls since the last measurement.
+/// Calls that arrived and were rejected since the last measurement, for the demand.
 #[derive(Clone, Copy, Debug, Default)]
 struct Arrivals {
     calls: u64,
-    /// Calls rejected because too many were open.
+    /// Calls rejected because the tenant had too many open calls.
     open_rejected: u32,
-    /// Calls rejected because too many were held.
+    /// Calls rejected because the tenant had too many held calls.
     held_rejected: u32,
     /// Bytes of the models of calls that were rejected because of the memory limit.
     memory_rejected: u64,
-    /// Calls per second, smoothed over the measurements.
+    /// Calls per second, smoothed: each measurement sets it to the mean of its old value and the latest rate.
     rate: f64,
 }
 
@@ -59,12 +60,14 @@
         }
     }
 
-    /// Counts a call that arrived.
+    /// Counts a call that arrived, whether it is then admitted or rejected by a limit.
     pub(super) fn call_arrived(&mut self) {
         self.arrivals.calls += 1;
     }
 
-    /// Counts a rejected call, whose model needs `memory_bytes` of memory.
+    /// Counts a rejected call, whose model needs `memory_bytes` of memory, towards the demand for the limit that
+    /// rejected it. Other reasons are not counted: the demand for a rate follows from the arrivals, and limits of
+    /// classes are not lent.
     pub(super) fn call_rejected(&mut self, reason: RejectReason, memory_bytes: u64) {
         let arrivals = &mut self.arrivals;
         match reason {
@@ -77,7 +80,7 @@
         }
     }
 
-    /// Counts a call that ended.
+    /// Counts a call that ended, by its outcome.
     pub(super) fn call_ended(&mut self, outcome: CallOutcome) {
         *self.outcomes.entry(outcome_name(outcome)).or_default() += 1;
     }
@@ -88,7 +91,7 @@
     }
 
     /// Measures the demand for each limit that is set, and starts the next measurement. `elapsed`: time since the last
-    /// one, microseconds.
+    /// one, microseconds, at least 1.
     pub(super) fn measure_demand(&mut self, counters: &Counters, elapsed: Micros) -> [Option<KindDemand>; 4] {
         let arrivals = &mut self.arrivals;
         let latest_rate = arrivals.calls as f64 * MICROS_PER_SECOND / elapsed as f64;
@@ -108,7 +111,7 @@
     }
 }
 
-/// The name of an outcome in the administration API and in metrics.
+/// The name under which the administration API reports an outcome.
 fn outcome_name(outcome: CallOutcome) -> &'static str {
     match outcome {
         CallOutcome::Served => "served",
--- a/crates/gateway/src/tenants/mod.rs
+++ b/crates/gateway/src/tenants/mod.rs
@@ -31,7 +31,7 @@
 /// Demands up to this amount are only reported where the limit has a loan.
 const MIN_DEMAND: f64 = 0.01;
 
-/// A call to be admitted.
+/// A call that is to be admitted or rejected.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct TenantCall<'a> {
     /// The number by which the front identifies the call.
@@ -224,7 +224,8 @@
         self.admission.set_policy(slot, policy);
     }
 
-    /// Whether limits are divided among the controllers by loans.
+    /// Whether a part of each tenant's limits is lent to the controllers that need it, instead of being divided
+    /// equally.
     pub(crate) fn uses_loans(&self) -> bool {
         self.borrowed.is_enabled()
     }
@@ -281,7 +282,10 @@
     }
 
     /// Admits a call, which then counts as open until its end. Returns the id of its tenant, or `None` for an anonymous
-    /// call.
+    /// call, to which no limit of a tenant applies.
+    ///
+    /// # Errors Where the tenant is missing or not known, the snapshot is missing or outdated, the tenant has no right
+    /// to call the model, or one of its limits is reached.
     pub(crate) fn admit(
         &mut self,
         now: Micros,
@@ -305,7 +309,8 @@
             return Err(CallRejection::unknown_tenant(name));
         };
         if !self.tenants[slot].spec.may_call(call.model) {
-            // There is no separate reason for a missing right, so it is counted as an inactive tenant.
+            // `RejectReason` has no variant for a missing right to a model, so the call is counted as one of an
+            // inactive tenant.
             self.count_rejection(RejectReason::InactiveTenant);
             return Err(CallRejection::model_denied(name, call.model));
         }
--- a/crates/gateway/src/tenants/policy.rs
+++ b/crates/gateway/src/tenants/policy.rs
@@ -8,7 +8,7 @@
 
 use super::borrowed::BorrowedLimits;
 
-/// Divisor of the calls per second that yields the burst where the settings have none.
+/// Where a rate limit sets no burst, the burst is its calls per second divided by this: a tenth of a second's calls.
 const DEFAULT_BURST_DIVISOR: f64 = 10.0;
 
 /// The policy of a tenant at this controller. `classes` maps the names of classes to their ids; limits of other classes
@@ -67,8 +67,8 @@
     (burst as u32).max(1)
 }
 
-/// Rounds the share of a limit down to whole calls, but to at least one: otherwise no controller would admit a call of
-/// a tenant with a small limit. The fleet may then admit as many calls as there are controllers.
+/// Rounds the share of a limit down to whole calls, but to at least one unless the limit is 0: otherwise no controller
+/// would admit a call of a tenant with a small limit. The fleet may then admit as many calls as there are controllers.
 fn count(limit: u32, share: f64) -> u32 {
     if limit == 0 { 0 } else { (share as u32).max(1) }
 }
--- a/crates/gateway/src/tenants/rejection.rs
+++ b/crates/gateway/src/tenants/rejection.rs
@@ -6,14 +6,14 @@
 /// Time after which a client is to retry while the snapshot is missing or outdated, microseconds.
 const RETRY_WITHOUT_SNAPSHOT: Micros = 500_000;
 
-/// A rejected call.
+/// Why a call was rejected, as the client is told, and whether a retry may help.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct CallRejection {
     /// The caller is not allowed to make the call, so a retry does not help. Otherwise a retry may succeed.
     pub(crate) denied: bool,
     /// Message for the client.
     pub(crate) message: String,
-    /// The time after which a retry may succeed, where it is known.
+    /// Time after which a retry may succeed, microseconds; `None` where it is not known or a retry does not help.
     pub(crate) retry_after: Option<Micros>,
 }
 
