--- a/crates/gateway/src/tenants/local_tenant.rs
+++ b/crates/gateway/src/tenants/local_tenant.rs
@@ -66,8 +66,8 @@
     }
 
     /// Counts a rejected call, whose model needs `memory_bytes` of memory, towards the demand for the limit that
-    /// rejected it. Other reasons are not counted: the demand for a rate follows from the arrivals, and limits of
-    /// classes are not lent.
+    /// rejected it. Other reasons are not counted: the demand for a rate follows from the arrivals, and no other limit
+    /// is lent.
     pub(super) fn call_rejected(&mut self, reason: RejectReason, memory_bytes: u64) {
         let arrivals = &mut self.arrivals;
         match reason {
