--- a/crates/gateway/src/worker_links/mod.rs
+++ b/crates/gateway/src/worker_links/mod.rs
@@ -24,7 +24,7 @@
 pub(crate) use pool::PoolLimits;
 pub(crate) use requests::LoadOrder;
 
-/// Why an RPC was started; decides which event its end becomes.
+/// What an RPC to a worker is for; determines the event that the engine receives at its end.
 #[derive(Clone, Copy)]
 enum Purpose {
     Attempt { attempt: AttemptId, streamed: bool },
@@ -33,7 +33,7 @@
     Unload,
 }
 
-/// An RPC in flight.
+/// An RPC to a worker that has not ended.
 struct Rpc {
     purpose: Purpose,
     /// The HTTP status of the response; 200 until its headers arrive.
@@ -51,7 +51,8 @@
 struct AttemptHeaders {
     /// The number of the attempt within its call.
     number: u32,
-    /// When the call's client gives up.
+    /// End of the time that the call has left: sent as `grpc-timeout`, and an attempt that cannot be written by then is
+    /// not sent.
     deadline: Instant,
 }
 
@@ -66,7 +67,7 @@
     rpcs: HashMap<StreamKey, Rpc>,
     attempts: HashMap<AttemptId, StreamKey>,
     control_requests: HashMap<ControlRequestId, StreamKey>,
-    /// RPCs that were not sent because all allowed connections to the worker were in use.
+    /// Number of RPCs that were not sent because the worker had its maximum number of connections, all of them full.
     pub connections_exhausted: u64,
 }
 
@@ -99,7 +100,7 @@
         }
     }
 
-    /// Starts an attempt. Returns the event of its end where it could not be sent.
+    /// Starts an attempt, which has `time_left` microseconds. Returns the event of its end where it could not be sent.
     pub(crate) fn start_attempt(
         &mut self,
         hub: &mut Hub,
@@ -141,7 +142,8 @@
         }
     }
 
-    /// Sends an order to unload idle replicas of a model. Its outcome is ignored.
+    /// Sends an order to unload the idle replicas of a model. No event follows, neither at its end nor where it could
+    /// not be sent.
     pub(crate) fn unload(&mut self, hub: &mut Hub, worker: WorkerId, model: &str) {
         let request =
             RpcRequest { method: "RepositoryModelUnload", attempt: None, body: requests::unload(model) };
@@ -225,7 +227,7 @@
         }
     }
 
-    /// Stops reading an attempt's response for now.
+    /// Stops reading an attempt's response until [`WorkerLinks::resume`].
     pub(crate) fn pause(&mut self, hub: &mut Hub, attempt: AttemptId) {
         if let Some(stream) = self.attempts.get(&attempt) {
             hub.pause(*stream);
--- a/crates/gateway/src/worker_links/pool.rs
+++ b/crates/gateway/src/worker_links/pool.rs
@@ -27,7 +27,8 @@
         Self { address, connections: Vec::new() }
     }
 
-    /// Returns a connection for one more stream: the least used one, or a new one where all others are full.
+    /// Returns a connection for one more stream: the one with the fewest streams, or a new one where none accepts
+    /// another stream.
     ///
     /// # Errors
     /// `ConnectionsExhausted` where the limits are reached, `NotConnected` where no connection could be opened.
--- a/crates/gateway/src/worker_links/trailers.rs
+++ b/crates/gateway/src/worker_links/trailers.rs
@@ -29,7 +29,7 @@
     }
 }
 
-/// Maps a stream error to the end of the attempt.
+/// Maps the error of an RPC that ended without trailers to the end of its attempt.
 pub(super) fn attempt_end_from_stream_error(error: &StreamError) -> AttemptEnd {
     match error {
         StreamError::NotConnected => AttemptEnd::NotConnected,
@@ -82,7 +82,7 @@
     }
 }
 
-/// Reads the number of loaded replicas from the response to a load order; 0 where it is missing.
+/// Reads the number of loaded replicas from the trailers of the response to a load order; 0 where they do not state it.
 pub(super) fn loaded_replicas(trailers: &HeaderMap) -> u32 {
     orca_report(trailers)
         .and_then(|r| r.named_metrics.get(orca::LOADED_REPLICAS).copied())
