--- a/crates/gateway/src/worker_list/file.rs
+++ b/crates/gateway/src/worker_list/file.rs
@@ -25,13 +25,15 @@
 pub(super) struct ListFile {
     path: PathBuf,
     persisted: Option<PersistedFile>,
-    /// The text that was read last; empty where the file was not readable.
+    /// The text that was read last; empty where the file was not readable, `None` before the first read. A requested
+    /// update resets it, so that the list is returned even if unchanged.
     last_text: Option<String>,
     rejected: Arc<AtomicU64>,
 }
 
 impl ListFile {
-    /// Creates a reader that has not read the file yet. `rejected` counts the versions that are not valid.
+    /// Creates a reader that has not read the file yet. `rejected` counts how many times a version was invalid or the
+    /// file was not readable.
     pub(super) fn new(path: PathBuf, persisted: Option<PathBuf>, rejected: Arc<AtomicU64>) -> Self {
         let persisted = persisted.map(|file| PersistedFile::open(file, "worker list", RESTORE_TIMEOUT));
         Self { path, persisted, last_text: None, rejected }
@@ -82,7 +84,8 @@
         match std::fs::read_to_string(&self.path) {
             Ok(text) => Some(text),
             Err(error) => {
-                // The empty text records the failure, so that it is logged and counted only once.
+                // The empty text records the failure, so that it is logged and counted once, and again only after a
+                // successful read or a requested update.
                 if self.last_text.as_deref() != Some("") {
                     let file = self.path.display();
                     warn!(%file, %error, "worker list not readable, the last one stays in force");
--- a/crates/gateway/src/worker_list/mod.rs
+++ b/crates/gateway/src/worker_list/mod.rs
@@ -60,7 +60,8 @@
 }
 
 impl ListWatcher {
-    /// Starts the thread. It calls `wake` after each event, so that the controller reads it.
+    /// Starts the thread. It calls `wake` after each event, so that the controller reads it. Fails where the system
+    /// cannot start a thread.
     pub(crate) fn start(source: ListSource, wake: impl Fn() + Send + 'static) -> io::Result<Self> {
         let (event_sender, events) = sync_channel(PENDING_UPDATES);
         let (requests, request_receiver) = channel();
@@ -106,7 +107,7 @@
         let _ = self.requests.send(());
     }
 
-    /// How many times the file was rejected as invalid or unreadable.
+    /// Number of times since the start that the list file was found invalid or unreadable.
     pub(crate) fn rejected(&self) -> u64 {
         self.rejected.load(Ordering::Relaxed)
     }
