--- a/crates/gateway/src/remote_write/mod.rs
+++ b/crates/gateway/src/remote_write/mod.rs
@@ -34,7 +34,7 @@
 /// [`RemoteWriter::abandon`] ends it without a flush.
 pub(crate) struct RemoteWriter {
     stop: Arc<AtomicBool>,
-    /// The thread is to end without a flush.
+    /// Set where the thread is to end without a flush.
     abandoned: Arc<AtomicBool>,
     waker: Arc<mio::Waker>,
     thread: Option<JoinHandle<()>>,
--- a/crates/gateway/src/remote_write/response.rs
+++ b/crates/gateway/src/remote_write/response.rs
@@ -13,9 +13,9 @@
 
 const MICROS_PER_SECOND: u64 = 1_000_000;
 
-/// What follows from a response, or from its absence.
+/// What a response, or the lack of one, says about the batch and the protocol version.
 pub(super) struct InterpretedResponse {
-    /// Whether the batch was accepted.
+    /// How the queue proceeds with the batch: it was accepted, is sent again, is halved, or is dropped.
     pub(super) response: Response,
     /// Whether the receiver understood the protocol version.
     pub(super) acceptance: Acceptance,
@@ -28,7 +28,7 @@
         Self { response, acceptance, short_write: false }
     }
 
-    /// The result where no response was received.
+    /// The result where no response was received: the batch is retried, and the protocol version is not judged.
     pub(super) fn no_response() -> Self {
         Self::new(Response::Unavailable { retry_after: None }, Acceptance::Unknown)
     }
@@ -38,9 +38,9 @@
     /// * 2xx: the batch was accepted. With version 2.0 this holds only where the response states how much was written:
     ///   a receiver of version 1.0 that does not check the content type answers 2xx, but reads no samples from the
     ///   body.
-    /// * 415: the receiver does not support this version.
-    /// * 429 and 5xx: the receiver is unavailable.
-    /// * 400, 413 and 422: something in the batch is invalid.
+    /// * 415 to version 2.0: the receiver does not support this version. The batch is retried.
+    /// * 429 and 5xx: the receiver is unavailable. The batch is retried.
+    /// * 400, 413 and 422: something in the batch is invalid. The batch is halved, as one half may be accepted.
     /// * Any other status: the batch is rejected permanently.
     pub(super) fn from_answer(answer: &Answer, batch: &Batch, version: Version) -> Self {
         let unavailable = |retry_after| Response::Unavailable { retry_after };
--- a/crates/gateway/src/remote_write/series.rs
+++ b/crates/gateway/src/remote_write/series.rs
@@ -10,12 +10,13 @@
 
 /// A series that this or an earlier incarnation has written.
 pub(super) struct KnownSeries {
-    /// The labels, with `__name__`.
+    /// The labels as names and values, including `__name__`.
     pub(super) labels: Vec<(String, String)>,
     kind: SeriesKind,
     /// Whether the samples are native histograms.
     is_native: bool,
-    /// Created timestamps of this series in earlier incarnations whose samples are still queued, ascending.
+    /// Created timestamps that this series had in earlier incarnations, as the recovered records state them, ascending;
+    /// milliseconds since 1970.
     earlier_created_ms: Vec<i64>,
 }
 
@@ -38,7 +39,7 @@
         (0..self.series.len() as u64).collect()
     }
 
-    /// Returns the series with this number.
+    /// Returns the series with this number; `None` where no series has it.
     pub(super) fn get(&self, number: u64) -> Option<&KnownSeries> {
         self.series.get(number as usize)
     }
@@ -79,8 +80,8 @@
         }
     }
 
-    /// The created timestamp for a sample of the time `at_ms`: the one of the incarnation that took it. Gauges have
-    /// none.
+    /// The created timestamp for a sample of the time `at_ms`: that of the incarnation that took it, in milliseconds
+    /// since 1970. `None` for gauges, and where that incarnation's timestamp is not known.
     fn created_at(&self, known: &KnownSeries, at_ms: i64) -> Option<i64> {
         let created = if at_ms >= self.created_ms {
             Some(self.created_ms)
--- a/crates/gateway/src/remote_write/write_loop.rs
+++ b/crates/gateway/src/remote_write/write_loop.rs
@@ -265,7 +265,7 @@
         self.series.number(&labels, kind)
     }
 
-    /// Updates the metrics about remote write.
+    /// Updates the metrics about remote write itself: its queue, its log, and the protocol version.
     fn update_metrics(&self) {
         let c = self.queue.counters();
         self.metrics.set_remote_write(&RemoteWriteState {
@@ -288,7 +288,7 @@
         self.metrics.set_wal(&self.log.state());
     }
 
-    /// Samples and sends until `stop` is set.
+    /// Samples and sends until `stop` is set. Fails where waiting for responses fails.
     pub(super) fn run(&mut self, stop: &AtomicBool) -> io::Result<()> {
         let mut next_round = self.clock.now();
         let mut first = true;
