--- a/crates/gateway/src/logs.rs
+++ b/crates/gateway/src/logs.rs
@@ -1,8 +1,9 @@
 //! Logging through `tracing`: text or JSON lines on standard error. Standard output is reserved for the output of
 //! commands.
 //!
-//! A line that standard error does not accept at once is dropped and counted, so that neither a full disk nor a stalled
-//! reader can delay or end the process.
+//! Logging never waits for standard error, so that neither a full disk nor a stalled reader can delay or end the
+//! process. With a log thread, lines wait in a bounded queue, and those that find it full are dropped and counted.
+//! Without one, a line is dropped and counted if standard error would block or the write fails.
 
 use std::fmt::Arguments;
 use std::io::{self, IsTerminal, Write};
@@ -31,7 +32,7 @@
     /// What is logged: a level (error, warn, info, debug, trace) or tracing's filter directives
     #[arg(long, global = true, default_value = "info", value_name = "FILTER", env = "RUST_LOG")]
     pub(crate) log: String,
-    /// How log lines look
+    /// Format of log lines
     #[arg(long, global = true, default_value = "text", value_name = "FORMAT")]
     log_format: LogFormat,
 }
@@ -40,8 +41,8 @@
 const DEFAULT_FILTER: &str = "info";
 /// Maximum number of lines that wait for the log thread; further ones are dropped and counted.
 const MAX_QUEUED_LINES: usize = 16_384;
-/// Maximum number of bytes of a line that are written: a pipe that `poll` reports as writable accepts this many without
-/// blocking.
+/// Maximum number of bytes of a line that [`LogWriter`] writes: a pipe that `poll` reports as writable accepts this
+/// many without blocking.
 const MAX_LINE_BYTES: usize = 4096;
 
 /// Number of lines that [`LogWriter`] dropped.
@@ -52,7 +53,7 @@
     DROPPED_LINES.load(Ordering::Relaxed)
 }
 
-/// The log thread. Dropping this stops the thread, and reports on standard error how many lines it dropped.
+/// Handle of the log thread. Dropping it reports on standard error how many lines were dropped, and stops the thread.
 pub(crate) struct LogThread {
     dropped: ErrorCounter,
     _guard: WorkerGuard,
@@ -74,7 +75,8 @@
     let _ = writeln!(io::stderr(), "{line}");
 }
 
-/// Writes to standard error without blocking the calling thread.
+/// Writes to standard error without blocking the calling thread, in a process without a log thread. Longer lines are
+/// cut off at [`MAX_LINE_BYTES`].
 #[derive(Clone, Copy, Debug)]
 struct LogWriter;
 
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -41,7 +41,7 @@
     metrics: Arc<Metrics>,
     /// Latency objective of each class, by class id.
     objectives: Vec<Micros>,
-    /// Whether the engine's measurements are counted.
+    /// Whether the settings ask for the metrics of calls, attempts, load orders and probes.
     count_calls: bool,
 }
 
@@ -67,8 +67,8 @@
         Arc::clone(&self.metrics)
     }
 
-    /// Counts the measurements that the engine recorded since the last call, and sets the numbers of open and waiting
-    /// calls.
+    /// Counts the measurements that the engine recorded since the last call, if the settings ask for them, and sets the
+    /// numbers of open and waiting calls.
     pub(crate) fn record_measurements(&self, engine: &mut Engine) {
         if self.count_calls {
             for measurement in engine.drain_measurements() {
@@ -100,8 +100,9 @@
         }
     }
 
-    /// Updates the metrics that take longer to collect: worker health and limit hits. `connections_exhausted`: how
-    /// often all allowed connections to a worker were in use.
+    /// Updates the metrics that take longer to collect: worker health, limit hits and the engine's backstop counter.
+    /// `connections_exhausted`: number of RPCs that were not sent because all allowed connections to a worker were
+    /// full.
     pub(crate) fn update_workers_and_limits(
         &self,
         engine: &Engine,
