--- a/crates/gateway/src/tenants/mod.rs
+++ b/crates/gateway/src/tenants/mod.rs
@@ -284,8 +284,9 @@
     /// Admits a call, which then counts as open until its end. Returns the id of its tenant, or `None` for an anonymous
     /// call, to which no limit of a tenant applies.
     ///
-    /// # Errors Where the tenant is missing or not known, the snapshot is missing or outdated, the tenant has no right
-    /// to call the model, or one of its limits is reached.
+    /// # Errors
+    /// Where the tenant is missing or not known, the snapshot is missing or outdated, the tenant has no right to call the
+    /// model, or one of its limits is reached.
     pub(crate) fn admit(
         &mut self,
         now: Micros,
