--- a/crates/gateway/src/tenants/mod.rs
+++ b/crates/gateway/src/tenants/mod.rs
@@ -285,8 +285,8 @@
     /// call, to which no limit of a tenant applies.
     ///
     /// # Errors
-    /// Where the tenant is missing or not known, the snapshot is missing or outdated, the tenant has no right to call the
-    /// model, or one of its limits is reached.
+    /// Where the tenant is missing or not known, the snapshot is missing or outdated, the tenant has no right to call
+    /// the model, or one of its limits is reached.
     pub(crate) fn admit(
         &mut self,
         now: Micros,
