--- a/crates/administration/src/pending_changes.rs
+++ b/crates/administration/src/pending_changes.rs
@@ -26,17 +26,18 @@
     pub(crate) response: Response,
     /// The first snapshot version that includes the change.
     pub(crate) version: Version,
-    /// Whether the change takes something away from a tenant. Its response then waits until it is in force everywhere.
+    /// Whether the change takes something away from a tenant. Its response then waits until it is in force everywhere,
+    /// for at most [`MAX_WAIT`].
     pub(crate) restricts: bool,
 }
 
 /// A committed change whose response waits.
 struct PendingChange {
     change: CommittedChange,
-    /// When the response is sent with the state reached so far.
+    /// Latest time of the response, which then reports the state reached so far.
     deadline: Millis,
-    /// Whether another snapshot was found to be later since the commit. Recovery may then discard the change, so it
-    /// must not be acknowledged.
+    /// Whether the snapshot that includes the change has ceased to be authoritative since the commit. Recovery may then
+    /// discard the change, so it must not be acknowledged.
     is_undecided: bool,
 }
 
@@ -49,7 +50,7 @@
 
 /// The state of the fleet, from which the progress of a change is derived.
 pub(crate) struct FleetState<'a> {
-    /// The leader's membership.
+    /// The leader's record of the incarnations, with their leases and versions.
     pub(crate) membership: &'a Membership,
     /// The version that the leader's own controller has in force.
     pub(crate) own_in_force: Version,
--- a/crates/gateway/src/commands/load.rs
+++ b/crates/gateway/src/commands/load.rs
@@ -1,5 +1,6 @@
-//! `load`: closed-loop load with latencies, through a gateway and straight to a worker in one run, and what the
-//! gateway answers by itself, to tell whose bound the figure shows.
+//! `load`: measures throughput and latency under closed-loop load, through a gateway and directly at a worker in the
+//! same run. A round of `ServerLive` calls, which the gateway answers itself, shows whether the gateway or the workers
+//! limit the throughput.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -18,58 +19,58 @@
 use super::error::{CommandError, UsageError};
 use super::exit_code;
 
-/// Measure: closed-loop load, through a gateway and straight to a worker side by side.
+/// Measure throughput and latency under closed-loop load, through a gateway and directly at a worker.
 #[derive(Args)]
 pub(crate) struct Load {
-    /// The gateway
+    /// Address of the gateway
     address: SocketAddr,
-    /// A worker: the same load goes straight to it, in turn with the gateway's
+    /// Address of a worker that gets the same load directly, in rounds that alternate with those through the gateway
     #[arg(long, value_name = "ADDR:PORT")]
     against: Option<SocketAddr>,
-    /// The model
+    /// Name of the model
     #[arg(long, default_value = "echo")]
     model: String,
-    /// Calls open at once
+    /// Number of calls that are kept open
     #[arg(long, default_value_t = 64, value_parser = clap::value_parser!(u32).range(1..=50_000))]
     open: u32,
-    /// Connections
+    /// Number of connections
     #[arg(long, default_value_t = 4, value_parser = clap::value_parser!(u32).range(1..=1024))]
     connections: u32,
-    /// Length of a round
+    /// Length of a round, in seconds
     #[arg(long, default_value_t = 3.0)]
     seconds: f64,
-    /// Rounds for each side
+    /// Number of rounds for each address
     #[arg(long, default_value_t = 3, value_parser = clap::value_parser!(u32).range(1..=100))]
     rounds: u32,
-    /// Bytes of tensor a call carries
+    /// Size of a call's input tensor in bytes; a climb model has a fixed input
     #[arg(long, default_value_t = 256)]
     bytes: usize,
-    /// By ModelStreamInfer
+    /// Use ModelStreamInfer
     #[arg(long)]
     stream: bool,
 }
 
-/// A call through the gateway costs it several times as much as an answer of its own. Below this part of the rate of
-/// its own answers, something else is the bound.
-const WORKERS_BOUND: f64 = 0.15;
+/// Ratio of the call rate to the `ServerLive` rate below which the workers, not the gateway, are reported as the limit.
+/// The gateway's cost of a forwarded call is several times that of a call that it answers itself.
+const GATEWAY_BOUND_MIN_RATIO: f64 = 0.15;
 
-/// How long a connection may take to open.
+/// Timeout for establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(5);
-/// How long a round's last calls are waited for after its end.
+/// How long calls that are open at the end of a round are still awaited.
 const LAST_CALLS_GRACE: Duration = Duration::from_secs(30);
-/// The longest wait for an event.
+/// Maximum time that a poll waits for events.
 const MAX_WAIT: Duration = Duration::from_secs(1);
-/// A round's length at the most, in seconds.
-const MAX_SECONDS: f64 = 3600.0;
-/// Calls a second that a ratio divides by at the least.
-const SMALLEST_RATE: f64 = 1e-9;
-/// Latencies above this are counted as this.
+/// Maximum length of a round, in seconds.
+const MAX_ROUND_SECONDS: f64 = 3600.0;
+/// Smallest divisor of a ratio of rates, in calls per second; it prevents a division by zero.
+const MIN_RATE: f64 = 1e-9;
+/// Maximum recorded latency, in microseconds; longer ones are recorded as this value.
 const MAX_LATENCY_US: u64 = 60_000_000;
-/// The request to a climbing model: its heights, and the segments of its answer.
+/// Request to a climb model: the number of heights in its input, and the number of segments of the response.
 const CLIMB_HEIGHTS: usize = 65;
 const CLIMB_SEGMENTS: i64 = 4;
 
-/// What one round gave.
+/// Results of one round.
 struct Round {
     served: u64,
     not_served: u64,
@@ -94,8 +95,8 @@
     }
 }
 
-/// One end of the comparison, with the calls a second of each round.
-struct Side {
+/// An address under load, with the call rate of each round in calls per second.
+struct Target {
     name: &'static str,
     address: SocketAddr,
     rates: Vec<f64>,
@@ -103,19 +104,19 @@
 
 impl Load {
     pub(crate) fn run(self) -> Result<u8, CommandError> {
-        if !(self.seconds > 0.0 && self.seconds <= MAX_SECONDS) {
+        if !(self.seconds > 0.0 && self.seconds <= MAX_ROUND_SECONDS) {
             return Err(UsageError::RoundLength.into());
         }
-        let mut sides = vec![Side { name: "through", address: self.address, rates: Vec::new() }];
-        sides.extend(self.against.map(|address| Side { name: "direct", address, rates: Vec::new() }));
+        let mut targets = vec![Target { name: "through", address: self.address, rates: Vec::new() }];
+        targets.extend(self.against.map(|address| Target { name: "direct", address, rates: Vec::new() }));
         let request = self.request();
         for number in 1..=self.rounds {
-            for side in &mut sides {
-                let round = self.round(side.address, &request)?;
-                side.rates.push(round.calls_per_second());
+            for target in &mut targets {
+                let round = self.round(target.address, &request)?;
+                target.rates.push(round.calls_per_second());
                 announce(&format!(
                     "round {number} {}: {:.0} calls/s, {} not served, p50 {:.2} ms, p99 {:.2} ms, p99.9 {:.2} ms",
-                    side.name,
+                    target.name,
                     round.calls_per_second(),
                     round.not_served,
                     round.latency_ms(0.5),
@@ -124,10 +125,10 @@
                 ))?;
             }
         }
-        let medians: Vec<f64> = sides.into_iter().map(|side| median(side.rates)).collect();
-        self.compare_with_own_answers(medians[0])?;
+        let medians: Vec<f64> = targets.into_iter().map(|target| median(target.rates)).collect();
+        self.compare_with_server_live_rate(medians[0])?;
         if let [through, direct] = medians[..] {
-            let ratio = through / direct.max(SMALLEST_RATE);
+            let ratio = through / direct.max(MIN_RATE);
             announce(&format!(
                 "through/direct: {ratio:.3} of the throughput (medians of {} rounds)",
                 self.rounds
@@ -136,16 +137,17 @@
         Ok(exit_code::SUCCESS)
     }
 
-    /// Says whether the workers bound the rate through the gateway: one round of calls that it answers by itself.
-    fn compare_with_own_answers(&self, through: f64) -> Result<(), CommandError> {
+    /// Measures one round of `ServerLive` calls, which the gateway answers itself, and prints whether the workers limit
+    /// `through`, the call rate through the gateway.
+    fn compare_with_server_live_rate(&self, through: f64) -> Result<(), CommandError> {
         let live =
             ClientRequest { method: "ServerLive", messages: vec![Bytes::new()], ..ClientRequest::default() };
         let own = self.round(self.address, &live)?.calls_per_second();
         announce(&format!("the gateway's own answers (ServerLive): {own:.0} a second at the same load"))?;
-        if through < own * WORKERS_BOUND {
+        if through < own * GATEWAY_BOUND_MIN_RATIO {
             announce(&format!(
                 "calls come to {:.1}% of that: lanes, cores and work of the workers bound this figure, not the gateway",
-                100.0 * through / own.max(SMALLEST_RATE)
+                100.0 * through / own.max(MIN_RATE)
             ))?;
         }
         Ok(())
@@ -163,7 +165,7 @@
         ClientRequest { method, messages: vec![body.encode_to_vec().into()], ..ClientRequest::default() }
     }
 
-    /// Keeps `open` calls open until the round's end, and waits for the last ones.
+    /// Runs one round: keeps `open` calls open until its end, then awaits those for at most [`LAST_CALLS_GRACE`].
     fn round(&self, address: SocketAddr, request: &ClientRequest) -> Result<Round, CommandError> {
         let failed = || CommandError::system("the client failed");
         let limits = NetLimits { connect_timeout: CONNECT_TIMEOUT, ..NetLimits::default() };
