--- a/crates/gateway/tests/common/admin_client.rs
+++ b/crates/gateway/tests/common/admin_client.rs
@@ -9,17 +9,17 @@
 
 use super::*;
 
-/// Creates a key of this role with `nettleferry admin key`: its token, and the settings line that accepts it.
+/// Creates a key of this role with `nettleferry admin key`. Returns its token, and the settings line that accepts it.
 pub(crate) fn key(name: &str, role: &str) -> (String, String) {
     let out = Command::new(PROGRAM)
         .args(["admin", "key", name, role])
         .output()
         .expect("nettleferry admin key runs");
     let text = String::from_utf8_lossy(&out.stdout).into_owned();
-    let line = |start: &str| {
-        text.lines().find_map(|l| l.strip_prefix(start)).expect("a line with this prefix").to_owned()
+    let value_of = |prefix: &str| {
+        text.lines().find_map(|line| line.strip_prefix(prefix)).expect("a line with this prefix").to_owned()
     };
-    (line("token: "), line("settings: "))
+    (value_of("token: "), value_of("settings: "))
 }
 
 /// A client of the administration API; each request has a connection of its own.
@@ -43,43 +43,50 @@
     }
 }
 
+/// Starts the administration in a new folder, with the workers of `fleet` and a new key.
 pub(crate) fn leader(fleet: &Fleet) -> Leader {
     let dir = tempfile::tempdir().expect("temporary folder");
     std::fs::write(dir.path().join("workers.sexp"), fleet.list()).expect("worker list written");
-    let (token, line) = key("ada", "admin");
-    start(dir, token, &line)
+    let (token, key_settings) = key("ada", "admin");
+    start(dir, token, &key_settings)
 }
 
-pub(crate) fn start(dir: tempfile::TempDir, token: String, key: &str) -> Leader {
-    start_at("127.0.0.1:0", dir, token, key)
+/// Starts the administration in an existing folder. `key_settings` are the settings lines of the keys that it accepts;
+/// `token` belongs to one of them.
+pub(crate) fn start(dir: tempfile::TempDir, token: String, key_settings: &str) -> Leader {
+    start_at("127.0.0.1:0", dir, token, key_settings)
 }
 
-pub(crate) fn start_at(listen: &str, dir: tempfile::TempDir, token: String, key: &str) -> Leader {
-    std::fs::write(dir.path().join("key"), key).expect("key file written");
-    let settings = format!("{SETTINGS}(admin (listen \"{listen}\") (store \"tenants.redb\") {key})");
+/// Like [`start`], with the API at this address.
+pub(crate) fn start_at(listen: &str, dir: tempfile::TempDir, token: String, key_settings: &str) -> Leader {
+    std::fs::write(dir.path().join("key"), key_settings).expect("key file written");
+    let settings = format!("{SETTINGS}(admin (listen \"{listen}\") (store \"tenants.redb\") {key_settings})");
     let program = serve_in(dir, &settings, None);
     let api = program.line("listening admin ");
     Leader { program, http: AdminClient { api, token } }
 }
 
 impl AdminClient {
-    /// Sends a whole request and reads to the end of the connection: the status (0: none came), the head and the body.
+    /// Sends a complete request and reads until the connection is closed. Returns the status (0 if no response
+    /// arrived), the head and the body.
     pub(crate) fn raw(&self, request: &str) -> (u16, String, String) {
-        let mut socket = TcpStream::connect(self.api).expect("connects");
+        let mut socket = TcpStream::connect(self.api).expect("connection to the API opened");
         socket.set_read_timeout(Some(PATIENCE)).expect("socket option set");
-        socket.write_all(request.as_bytes()).expect("sent");
+        socket.write_all(request.as_bytes()).expect("request sent");
         let mut text = String::new();
         let _ = socket.read_to_string(&mut text);
         let (head, body) = text.split_once("\r\n\r\n").unwrap_or((&text, ""));
-        let status = head.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0);
+        let status = head.split(' ').nth(1).and_then(|word| word.parse().ok()).unwrap_or(0);
         (status, head.to_owned(), body.to_owned())
     }
 
-    /// Sends a request with the token and these further headers: the status and the JSON body, `Null` if it is not JSON.
+    /// Sends a request with the token and these further headers. Returns the status and the JSON body, `Null` if the
+    /// body is not JSON.
     pub(crate) fn ask(&self, method: &str, target: &str, headers: &str, body: &str) -> (u16, Value) {
-        let kind = if method == "PATCH" { "application/merge-patch+json" } else { "application/json" };
+        let content_type =
+            if method == "PATCH" { "application/merge-patch+json" } else { "application/json" };
         let request = format!(
-            "{method} {target} HTTP/1.1\r\nHost: x\r\nConnection: close\r\nAuthorization: Bearer {}\r\nContent-Type: {kind}\r\n{headers}Content-Length: {}\r\n\r\n{body}",
+            "{method} {target} HTTP/1.1\r\nHost: x\r\nConnection: close\r\nAuthorization: Bearer {}\r\nContent-Type: {content_type}\r\n{headers}Content-Length: {}\r\n\r\n{body}",
             self.token,
             body.len()
         );
@@ -94,48 +101,48 @@
     /// Creates a tenant and waits until it is in force.
     #[track_caller]
     pub(crate) fn create(&self, tenant: Value) {
-        let (status, told) = self.ask("POST", "/v1/tenants", "", &tenant.to_string());
-        assert_eq!(status, 201, "{told}");
+        let (status, response) = self.ask("POST", "/v1/tenants", "", &tenant.to_string());
+        assert_eq!(status, 201, "{response}");
         self.in_force();
     }
 
     /// Makes a change that must be accepted, waits until it is in force, and returns the response body.
     #[track_caller]
     pub(crate) fn change(&self, method: &str, target: &str, body: &str) -> Value {
-        let (status, told) = self.ask(method, target, "If-Match: *\r\n", body);
-        assert!((200..300).contains(&status), "{told}");
+        let (status, response) = self.ask(method, target, "If-Match: *\r\n", body);
+        assert!((200..300).contains(&status), "{response}");
         self.in_force();
-        told
+        response
     }
 
     /// Waits until the first controller of `/v1/controllers` runs with the latest revision.
     #[track_caller]
     pub(crate) fn in_force(&self) {
         eventually("the change is in force", || {
-            let told = self.get("/v1/controllers");
-            told["controllers"][0]["revision"] == told["revision"]
+            let response = self.get("/v1/controllers");
+            response["controllers"][0]["revision"] == response["revision"]
         });
     }
 }
 
 /// Starts a unary call with this tenant header; returns its RPC number.
 pub(crate) fn call(caller: &mut Caller, tenant: Option<&str>, model: &str) -> u64 {
-    let headers = tenant.map(|t| ("nettleferry-tenant".to_owned(), t.to_owned())).into_iter().collect();
-    let ask =
-        nettleferry_scenario::client::ClientRequest { headers, ..ask("ModelInfer", &echo(model, "u", 64)) };
-    caller.ask(ask)
+    let headers = tenant.map(|name| ("nettleferry-tenant".to_owned(), name.to_owned())).into_iter().collect();
+    caller.ask(ClientRequest { headers, ..ask("ModelInfer", &echo(model, "u", 64)) })
 }
 
-/// The status code of a unary call with this tenant header, and its `grpc-retry-pushback-ms`, empty if there is none.
+/// Makes a unary call with this tenant header. Returns its status code and its `grpc-retry-pushback-ms`, empty if there
+/// is none.
 pub(crate) fn code(caller: &mut Caller, tenant: Option<&str>, model: &str) -> (Code, String) {
     let rpc = call(caller, tenant, model);
     let (status, trailers) = caller.status(rpc);
     let pushback =
-        trailers.get("grpc-retry-pushback-ms").and_then(|v| v.to_str().ok()).unwrap_or("").to_owned();
+        trailers.get("grpc-retry-pushback-ms").and_then(|value| value.to_str().ok()).unwrap_or("").to_owned();
     (status.code, pushback)
 }
 
-/// A new folder with these files of an ended process, for its next start; all its other files are left out.
+/// Copies the named files of an ended process to a new folder, in which it can be restarted. Its other files are
+/// deleted.
 pub(crate) fn surviving_files(program: Program, names: &[&str]) -> tempfile::TempDir {
     let dir = tempfile::tempdir().expect("temporary folder");
     for name in names {
--- a/crates/gateway/tests/common/golden.rs
+++ b/crates/gateway/tests/common/golden.rs
@@ -10,7 +10,7 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name)
 }
 
-/// Compares lines, in their order, with the golden file of this name.
+/// Asserts that these lines, in this order, are those of the golden file of this name.
 #[track_caller]
 pub(crate) fn check_lines(name: &str, lines: impl IntoIterator<Item = String>) {
     let lines: Vec<String> = lines.into_iter().collect();
@@ -20,11 +20,11 @@
         return;
     }
     let text = std::fs::read_to_string(&file).expect("golden file exists");
-    let wanted: Vec<&str> = text.lines().collect();
-    let missing: Vec<_> = wanted.iter().filter(|line| !lines.iter().any(|l| l == *line)).collect();
-    let new: Vec<_> = lines.iter().filter(|line| !wanted.contains(&line.as_str())).collect();
+    let expected: Vec<&str> = text.lines().collect();
+    let missing: Vec<_> = expected.iter().filter(|line| !lines.iter().any(|l| l == *line)).collect();
+    let new: Vec<_> = lines.iter().filter(|line| !expected.contains(&line.as_str())).collect();
     assert!(missing.is_empty() && new.is_empty(), "{name}: missing {missing:#?}, new {new:#?}");
-    assert_eq!(lines, wanted, "{name}: another order");
+    assert_eq!(lines, expected, "{name}: the same lines in another order");
 }
 
 /// A temporary copy of a folder of stored data, with its `.gz` files decompressed.
@@ -42,9 +42,10 @@
         if from.is_dir() {
             copy(&from, &to);
         } else if from.extension().is_some_and(|e| e == "gz") {
-            let packed = std::fs::File::open(&from).expect("compressed file opens");
+            let compressed = std::fs::File::open(&from).expect("compressed file opens");
             let mut file = std::fs::File::create(to.with_extension("")).expect("file created");
-            std::io::copy(&mut flate2::read::GzDecoder::new(packed), &mut file).expect("file decompressed");
+            std::io::copy(&mut flate2::read::GzDecoder::new(compressed), &mut file)
+                .expect("file decompressed");
         } else {
             std::fs::copy(&from, &to).expect("file copied");
         }
--- a/crates/gateway/tests/common/link.rs
+++ b/crates/gateway/tests/common/link.rs
@@ -59,14 +59,15 @@
         self.mode.store(mode as u8, Ordering::Release);
     }
 
-    pub(crate) fn delay(&self, by: Duration) {
-        self.delay_ms.store(by.as_millis() as u64, Ordering::Release);
+    /// Delays each chunk of forwarded bytes by this time, in both directions.
+    pub(crate) fn delay(&self, delay: Duration) {
+        self.delay_ms.store(delay.as_millis() as u64, Ordering::Release);
     }
 }
 
 fn forward(mut from: TcpStream, mut to: TcpStream, requests: bool, mode: &AtomicU8, delay_ms: &AtomicU64) {
     let mut buffer = [0; 4096];
-    // Reads time out, so that a cut closes an idle connection too.
+    // Reads time out, so that `LinkMode::Closed` closes idle connections too.
     let _ = from.set_read_timeout(Some(Duration::from_millis(20)));
     loop {
         let read = match from.read(&mut buffer) {
@@ -75,13 +76,13 @@
             Err(e) if matches!(e.kind(), std::io::ErrorKind::WouldBlock | std::io::ErrorKind::TimedOut) => 0,
             Err(_) => break,
         };
-        let now = mode.load(Ordering::Acquire);
-        if now == LinkMode::Closed as u8 {
+        let current_mode = mode.load(Ordering::Acquire);
+        if current_mode == LinkMode::Closed as u8 {
             break;
         }
-        let discarded = now == LinkMode::Blackhole as u8
-            || now == LinkMode::RequestsOnly as u8 && !requests
-            || now == LinkMode::ResponsesOnly as u8 && requests;
+        let discarded = current_mode == LinkMode::Blackhole as u8
+            || current_mode == LinkMode::RequestsOnly as u8 && !requests
+            || current_mode == LinkMode::ResponsesOnly as u8 && requests;
         if read == 0 || discarded {
             continue;
         }
--- a/crates/gateway/tests/common/mod.rs
+++ b/crates/gateway/tests/common/mod.rs
@@ -30,10 +30,10 @@
 
 /// Polls until a condition holds; panics with `what` after `PATIENCE`.
 #[track_caller]
-pub(crate) fn eventually(what: &str, mut holds: impl FnMut() -> bool) {
-    let until = Instant::now() + PATIENCE;
-    while !holds() {
-        assert!(Instant::now() < until, "never: {what}");
+pub(crate) fn eventually(what: &str, mut condition: impl FnMut() -> bool) {
+    let deadline = Instant::now() + PATIENCE;
+    while !condition() {
+        assert!(Instant::now() < deadline, "timed out waiting for: {what}");
         std::thread::sleep(Duration::from_millis(3));
     }
 }
@@ -51,21 +51,20 @@
     pub(crate) fn run(mut command: Command, dir: tempfile::TempDir) -> Self {
         let child = command.stdin(Stdio::null()).stdout(Stdio::piped()).stderr(Stdio::piped()).spawn();
         let mut child = child.expect("the program starts");
-        let out = child.stdout.take().expect("stdout is piped");
+        let stdout = child.stdout.take().expect("stdout is piped");
         let (line_sender, lines) = channel();
         std::thread::spawn(move || {
-            for line in BufReader::new(out).lines().map_while(Result::ok) {
+            for line in BufReader::new(stdout).lines().map_while(Result::ok) {
                 let _ = line_sender.send(line);
             }
         });
-        let first = lines.recv_timeout(PATIENCE).unwrap_or_else(|_| {
+        let first_line = lines.recv_timeout(PATIENCE).unwrap_or_else(|_| {
             let _ = child.kill();
             let mut log = String::new();
             let _ = child.stderr.take().expect("stderr is piped").read_to_string(&mut log);
-            panic!("it never listened: {log}")
+            panic!("the program reported no listener; its log: {log}")
         });
-        let address =
-            first.strip_prefix("listening grpc ").expect("the first line").parse().expect("an address");
+        let address = listener_address(&first_line, "listening grpc ");
         Self { child, lines, address, dir }
     }
 
@@ -76,8 +75,8 @@
 
     /// The address in the next line of output, which must begin with `start`.
     pub(crate) fn line(&self, start: &str) -> SocketAddr {
-        let line = self.lines.recv_timeout(PATIENCE).expect("a further line");
-        line.strip_prefix(start).expect("its beginning").parse().expect("an address")
+        let line = self.lines.recv_timeout(PATIENCE).expect("a further line on stdout");
+        listener_address(&line, start)
     }
 
     pub(crate) fn pid(&self) -> u32 {
@@ -85,25 +84,30 @@
     }
 
     pub(crate) fn signal(&self, name: &str) {
-        let done = Command::new("kill").args([&format!("-{name}"), &self.pid().to_string()]).status();
-        assert!(done.expect("kill command runs").success());
+        let status = Command::new("kill").args([&format!("-{name}"), &self.pid().to_string()]).status();
+        assert!(status.expect("kill command runs").success());
     }
 
     pub(crate) fn wait(&mut self) -> ExitStatus {
-        let until = Instant::now() + PATIENCE;
+        let deadline = Instant::now() + PATIENCE;
         loop {
             if let Some(status) = self.child.try_wait().expect("status of the child") {
                 return status;
             }
-            assert!(Instant::now() < until, "it never ended");
+            assert!(Instant::now() < deadline, "the process did not exit");
             std::thread::sleep(Duration::from_millis(5));
         }
     }
 
-    /// Its standard error to the end; call it once, after the process has ended.
+    /// Reads standard error to its end. May be called once, after the process has ended.
     pub(crate) fn log(&mut self) -> String {
         let mut log = String::new();
-        self.child.stderr.take().expect("stderr is piped").read_to_string(&mut log).expect("text");
+        self.child
+            .stderr
+            .take()
+            .expect("stderr is piped")
+            .read_to_string(&mut log)
+            .expect("the log is UTF-8");
         log
     }
 
@@ -112,17 +116,24 @@
         let status =
             std::fs::read_to_string(format!("/proc/{}/status", self.pid())).expect("process is running");
         let line = status.lines().find(|l| l.starts_with("VmRSS:")).expect("VmRSS line");
-        line.split_whitespace().nth(1).expect("a number").parse().expect("a number")
+        line.split_whitespace().nth(1).expect("a value of VmRSS").parse().expect("a numeric VmRSS")
     }
 
     /// Replaces the worker list atomically, by a rename.
     pub(crate) fn write_list(&self, list: &str) {
         let path = self.dir.path().join("workers.sexp");
-        std::fs::write(path.with_extension("new"), list).expect("written");
-        std::fs::rename(path.with_extension("new"), path).expect("renamed");
+        std::fs::write(path.with_extension("new"), list).expect("new worker list written");
+        std::fs::rename(path.with_extension("new"), path).expect("new worker list renamed");
     }
 }
 
+/// The address that follows `start` in a line of output.
+fn listener_address(line: &str, start: &str) -> SocketAddr {
+    let address =
+        line.strip_prefix(start).unwrap_or_else(|| panic!("{line:?} does not begin with {start:?}"));
+    address.parse().expect("a valid listener address")
+}
+
 impl Drop for Program {
     fn drop(&mut self) {
         let _ = self.child.kill();
@@ -150,13 +161,13 @@
 /// Starts `nettleferry serve` with these settings and this worker list in a new folder.
 pub(crate) fn serve(settings: &str, list: &str) -> Program {
     let dir = tempfile::tempdir().expect("temporary folder");
-    std::fs::write(dir.path().join("workers.sexp"), list).expect("written");
+    std::fs::write(dir.path().join("workers.sexp"), list).expect("worker list written");
     serve_in(dir, settings, None)
 }
 
-/// Starts `nettleferry serve` in an existing folder, with `handles` as the limit on open files if one is given.
-pub(crate) fn serve_in(dir: tempfile::TempDir, settings: &str, handles: Option<u32>) -> Program {
-    serve_by(PROGRAM, dir, settings, handles)
+/// Starts `nettleferry serve` in an existing folder, with `max_open_files` as the limit on open files if one is given.
+pub(crate) fn serve_in(dir: tempfile::TempDir, settings: &str, max_open_files: Option<u32>) -> Program {
+    serve_by(PROGRAM, dir, settings, max_open_files)
 }
 
 /// The program that this environment variable names, or the one under test. With the variable, controllers of two
@@ -165,16 +176,16 @@
     std::env::var(variable).unwrap_or_else(|_| PROGRAM.to_owned())
 }
 
-/// Starts `serve` of this program; otherwise as [`serve_in`].
+/// Like [`serve_in`], with this program in place of the one under test.
 pub(crate) fn serve_by(
     program: &str,
     dir: tempfile::TempDir,
     settings: &str,
-    handles: Option<u32>,
+    max_open_files: Option<u32>,
 ) -> Program {
     let file = dir.path().join("settings.sexp");
     std::fs::write(&file, settings).expect("settings written");
-    let mut command = match handles {
+    let mut command = match max_open_files {
         None => Command::new(program),
         Some(n) => {
             let mut shell = Command::new("sh");
@@ -235,17 +246,17 @@
         &self.records
     }
 
-    pub(crate) fn any(&mut self, pick: impl Fn(&ObservationKind) -> bool) -> bool {
-        self.count(pick) > 0
+    pub(crate) fn any(&mut self, matches: impl Fn(&ObservationKind) -> bool) -> bool {
+        self.count(matches) > 0
     }
 
-    pub(crate) fn count(&mut self, pick: impl Fn(&ObservationKind) -> bool) -> usize {
-        self.look().iter().filter(|r| pick(&r.seen)).count()
+    pub(crate) fn count(&mut self, matches: impl Fn(&ObservationKind) -> bool) -> usize {
+        self.look().iter().filter(|observation| matches(&observation.seen)).count()
     }
 
     #[track_caller]
-    pub(crate) fn wait_for(&mut self, what: &str, pick: impl Fn(&ObservationKind) -> bool) {
-        eventually(what, || self.count(&pick) > 0);
+    pub(crate) fn wait_for(&mut self, what: &str, matches: impl Fn(&ObservationKind) -> bool) {
+        eventually(what, || self.count(&matches) > 0);
     }
 }
 
@@ -265,8 +276,8 @@
     }
 
     /// Starts an RPC and returns its number.
-    pub(crate) fn ask(&mut self, ask: ClientRequest) -> u64 {
-        self.client.call(self.to, ask).expect("call started")
+    pub(crate) fn ask(&mut self, request: ClientRequest) -> u64 {
+        self.client.call(self.to, request).expect("call started")
     }
 
     /// Starts an `echo` call of 64 bytes at this model.
@@ -274,42 +285,42 @@
         self.ask(ask("ModelInfer", &echo(model, "u", 64)))
     }
 
-    /// Removes and returns the first event that `pick` selects, polling for up to `PATIENCE`; other events are kept.
+    /// Removes and returns the first event that `select` accepts, polling for up to `PATIENCE`; other events are kept.
     #[track_caller]
-    pub(crate) fn wait<T>(&mut self, what: &str, mut pick: impl FnMut(&ClientEvent) -> Option<T>) -> T {
-        let until = Instant::now() + PATIENCE;
+    pub(crate) fn wait<T>(&mut self, what: &str, mut select: impl FnMut(&ClientEvent) -> Option<T>) -> T {
+        let deadline = Instant::now() + PATIENCE;
         loop {
-            if let Some((at, found)) =
-                self.events.iter().enumerate().find_map(|(i, h)| pick(h).map(|v| (i, v)))
-            {
-                self.events.remove(at);
+            let selected =
+                self.events.iter().enumerate().find_map(|(index, event)| Some((index, select(event)?)));
+            if let Some((index, found)) = selected {
+                self.events.remove(index);
                 return found;
             }
-            assert!(Instant::now() < until, "not received: {what}; received: {:?}", self.events);
-            self.client.poll(Some(Duration::from_millis(20)), &mut self.events).expect("polls");
+            assert!(Instant::now() < deadline, "not received: {what}; received: {:?}", self.events);
+            self.client.poll(Some(Duration::from_millis(20)), &mut self.events).expect("client polled");
         }
     }
 
     /// Waits for the next message of an RPC.
     #[track_caller]
-    pub(crate) fn message(&mut self, of: u64) -> Bytes {
-        self.wait("a message", |h| match h {
-            ClientEvent::Message { rpc, payload } if *rpc == of => Some(payload.clone()),
+    pub(crate) fn message(&mut self, number: u64) -> Bytes {
+        self.wait("a message", |event| match event {
+            ClientEvent::Message { rpc, payload } if *rpc == number => Some(payload.clone()),
             _ => None,
         })
     }
 
     /// Waits for the next response of a stream.
     #[track_caller]
-    pub(crate) fn response(&mut self, of: u64) -> ModelStreamInferResponse {
-        ModelStreamInferResponse::decode(self.message(of)).expect("a response")
+    pub(crate) fn response(&mut self, number: u64) -> ModelStreamInferResponse {
+        ModelStreamInferResponse::decode(self.message(number)).expect("a ModelStreamInferResponse")
     }
 
     /// Waits for the end of an RPC: its status or transport error, and its trailers.
     #[track_caller]
-    pub(crate) fn end(&mut self, of: u64) -> Ended {
-        self.wait("an end", |h| match h {
-            ClientEvent::End { rpc, status, trailers } if *rpc == of => {
+    pub(crate) fn end(&mut self, number: u64) -> Ended {
+        self.wait("the end of the RPC", |event| match event {
+            ClientEvent::End { rpc, status, trailers } if *rpc == number => {
                 Some((status.clone(), trailers.clone()))
             }
             _ => None,
@@ -318,22 +329,22 @@
 
     /// Waits for the end of an RPC that must have a status.
     #[track_caller]
-    pub(crate) fn status(&mut self, of: u64) -> (Status, HeaderMap) {
-        let (status, trailers) = self.end(of);
-        (status.expect("a status"), trailers)
+    pub(crate) fn status(&mut self, number: u64) -> (Status, HeaderMap) {
+        let (status, trailers) = self.end(number);
+        (status.expect("the RPC ends with a status"), trailers)
     }
 
-    /// Polls once, so that events which a test expects not to come would be recorded.
+    /// Polls once, so that events that a test expects not to arrive are recorded if they do.
     pub(crate) fn poll_once(&mut self) {
-        self.client.poll(Some(Duration::from_millis(5)), &mut self.events).expect("polls");
+        self.client.poll(Some(Duration::from_millis(5)), &mut self.events).expect("client polled");
     }
 
     /// Polls until a condition outside this client holds.
     #[track_caller]
-    pub(crate) fn until(&mut self, what: &str, mut holds: impl FnMut() -> bool) {
+    pub(crate) fn until(&mut self, what: &str, mut condition: impl FnMut() -> bool) {
         eventually(what, || {
             self.poll_once();
-            holds()
+            condition()
         });
     }
 
@@ -343,7 +354,7 @@
     }
 }
 
-/// A request with one message.
+/// An RPC of this method with one request message.
 pub(crate) fn ask(method: &'static str, request: &ModelInferRequest) -> ClientRequest {
     ClientRequest { method, messages: vec![request.encode_to_vec().into()], ..ClientRequest::default() }
 }
--- a/crates/gateway/tests/common/process.rs
+++ b/crates/gateway/tests/common/process.rs
@@ -7,8 +7,8 @@
 use std::process::{Child, Command, ExitStatus, Stdio};
 use std::time::{Duration, Instant};
 
-/// Timeout of each wait; every wait is for an event.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Timeout of each wait for an event.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// A running node, killed on drop.
 pub(crate) struct Node {
@@ -34,46 +34,48 @@
     /// Waits until the node reports its listener.
     pub(crate) fn of(mut child: Child) -> Self {
         let mut line = String::new();
-        BufReader::new(child.stdout.take().expect("stdout is piped")).read_line(&mut line).expect("text");
+        BufReader::new(child.stdout.take().expect("stdout is piped"))
+            .read_line(&mut line)
+            .expect("a line on stdout");
         let address =
             line.trim_end().strip_prefix("listening frames ").expect("the line that reports the listener");
-        let address = address.parse().expect("an address");
+        let address = address.parse().expect("a valid listener address");
         Self { child, address }
     }
 
     pub(crate) fn signal(&self, name: &str) {
-        let done = Command::new("kill").args([&format!("-{name}"), &self.child.id().to_string()]).status();
-        assert!(done.expect("kill runs").success());
+        let status = Command::new("kill").args([&format!("-{name}"), &self.child.id().to_string()]).status();
+        assert!(status.expect("kill runs").success());
     }
 
     /// Sends SIGSTOP and returns once `/proc` shows the process as stopped.
     pub(crate) fn stop(&self) {
         self.signal("STOP");
-        let end = Instant::now() + PATIENCE;
+        let deadline = Instant::now() + WAIT_TIMEOUT;
         let stopped = || {
             let stat =
                 std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).expect("process exists");
             stat.rsplit(')').next().is_some_and(|rest| rest.trim_start().starts_with('T'))
         };
         while !stopped() {
-            assert!(Instant::now() < end, "it stops");
+            assert!(Instant::now() < deadline, "the node did not stop on SIGSTOP");
             std::thread::yield_now();
         }
     }
 
     /// Waits until the process exits by itself.
     pub(crate) fn ended(&mut self) -> ExitStatus {
-        let end = Instant::now() + PATIENCE;
+        let deadline = Instant::now() + WAIT_TIMEOUT;
         loop {
             if let Some(status) = self.child.try_wait().expect("status of the child") {
                 return status;
             }
-            assert!(Instant::now() < end, "it ends");
+            assert!(Instant::now() < deadline, "the node did not exit");
             std::thread::yield_now();
         }
     }
 
-    /// Numbers of its threads and of its child processes.
+    /// The number of threads of the node, and the number of its child processes.
     pub(crate) fn threads_and_children(&self) -> (usize, usize) {
         let tasks = Path::new("/proc").join(self.child.id().to_string()).join("task");
         let threads: Vec<_> =
@@ -85,13 +87,13 @@
         (threads.len(), threads.iter().map(children).sum())
     }
 
-    /// Open descriptors, and resident memory in KiB.
-    pub(crate) fn holds(&self) -> (usize, usize) {
+    /// The number of open descriptors, and the resident memory in KiB.
+    pub(crate) fn resource_usage(&self) -> (usize, usize) {
         let proc = Path::new("/proc").join(self.child.id().to_string());
         let files = std::fs::read_dir(proc.join("fd")).expect("process exists").count();
         let status = std::fs::read_to_string(proc.join("status")).expect("process exists");
         let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:")).expect("VmRSS line");
-        (files, line.trim().trim_end_matches(" kB").parse().expect("a number"))
+        (files, line.trim().trim_end_matches(" kB").parse().expect("a numeric VmRSS"))
     }
 }
 
--- a/crates/gateway/tests/common/recorder.rs
+++ b/crates/gateway/tests/common/recorder.rs
@@ -57,7 +57,7 @@
         Self { address, connections }
     }
 
-    /// Exchanges whose request and response have passed completely.
+    /// Returns the exchanges whose request and response have both passed completely.
     pub(crate) fn exchanges(&self) -> Vec<Exchange> {
         let connections = self.connections.lock().expect("lock is not poisoned");
         connections.iter().flat_map(exchanges).collect()
@@ -94,7 +94,7 @@
         let (name, value) = line.split_once(':')?;
         name.eq_ignore_ascii_case("content-length").then(|| value.trim().to_owned())
     });
-    let length = header.map_or(0, |value| value.parse().expect("a length"));
+    let length = header.map_or(0, |value| value.parse().expect("a numeric Content-Length"));
     let body = bytes.get(end + 4..end + 4 + length)?.to_vec();
     *bytes = &bytes[end + 4 + length..];
     Some((head.lines().next().unwrap_or_default().to_owned(), body))
@@ -103,11 +103,11 @@
 fn exchanges(connection: &Connection) -> Vec<Exchange> {
     let (mut requests, mut responses) = (connection.requests.as_slice(), connection.responses.as_slice());
     let mut all = Vec::new();
-    while let Some((first, request)) = message(&mut requests) {
-        let Some((status, response)) = message(&mut responses) else { break };
-        let mut words = first.split(' ').map(str::to_owned);
+    while let Some((request_line, request)) = message(&mut requests) {
+        let Some((status_line, response)) = message(&mut responses) else { break };
+        let mut words = request_line.split(' ').map(str::to_owned);
         let (method, target) = (words.next().unwrap_or_default(), words.next().unwrap_or_default());
-        let status = status.split(' ').nth(1).and_then(|word| word.parse().ok()).unwrap_or(0);
+        let status = status_line.split(' ').nth(1).and_then(|word| word.parse().ok()).unwrap_or(0);
         all.push(Exchange { method, target, request, status, response });
     }
     all
