--- a/crates/gateway/tests/cut.rs
+++ b/crates/gateway/tests/cut.rs
@@ -1,5 +1,5 @@
-//! Network partitions that leave connections open: bytes sent into a cut link stay in socket buffers and arrive once it
-//! heals. A non-idempotent call that may still run then must be neither retried nor refused meanwhile.
+//! Network partitions that leave connections open: bytes sent over a cut link stay in socket buffers and arrive once
+//! the link is restored. A non-idempotent call whose bytes may still arrive must be neither retried nor refused.
 
 mod common;
 use common::*;
@@ -30,7 +30,7 @@
 const CUT: [&str; 2] = ["w1", "w2"];
 
 fn cut(fleet: &mut Fleet, cut: bool) {
-    for handle in fleet.handles.iter().filter(|h| CUT.contains(&h.name.as_str())) {
+    for handle in fleet.handles.iter().filter(|handle| CUT.contains(&handle.name.as_str())) {
         handle.inject(Fault::Cut { address_index: 0, cut });
     }
     eventually("the links are cut or restored", || {
@@ -38,24 +38,25 @@
     });
 }
 
-/// An attempt that arrived at a worker; `ran`: it was started there.
+/// An attempt that arrived at a worker.
 #[derive(Debug)]
 struct Attempt {
     worker: String,
     number: Option<u32>,
+    /// Whether the worker started to run it.
     ran: bool,
 }
 
-/// The attempts that arrived at workers, by call id, in order of arrival.
+/// The attempts that arrived at workers, by call id. Those of one call are in order of arrival.
 fn arrived_attempts(records: &[Observation]) -> BTreeMap<String, Vec<Attempt>> {
     let mut streams = BTreeMap::new();
     let mut attempts: BTreeMap<String, Vec<Attempt>> = BTreeMap::new();
     for Observation { worker, seen, .. } in records {
         match seen {
             ObservationKind::Call { stream, id, attempt, .. } => {
-                let of_call = attempts.entry(id.clone()).or_default();
-                streams.insert((worker, *stream), (id.clone(), of_call.len()));
-                of_call.push(Attempt { worker: worker.clone(), number: *attempt, ran: false });
+                let call_attempts = attempts.entry(id.clone()).or_default();
+                streams.insert((worker, *stream), (id.clone(), call_attempts.len()));
+                call_attempts.push(Attempt { worker: worker.clone(), number: *attempt, ran: false });
             }
             ObservationKind::Runs { stream } => {
                 let (id, index) = &streams[&(worker, *stream)];
@@ -76,7 +77,7 @@
     let call = |caller: &mut Caller, kind: &str, n: usize, id: &str| {
         caller.ask(ask("ModelInfer", &echo(&format!("{kind}-{n}"), id, 64)))
     };
-    // Warms up: the decision module assigns no calls to workers that have not responded yet.
+    // Warm-up: the decision module assigns no calls to workers that have not responded yet.
     for (n, kind) in (0..MODELS).flat_map(|n| KINDS.map(|kind| (n, kind))) {
         let rpc = call(&mut caller, kind, n, &format!("warm-{kind}-{n}"));
         assert_eq!(caller.status(rpc).0.code, Code::Ok);
@@ -87,34 +88,37 @@
         let id = format!("{kind}-{n}");
         calls.insert(caller.ask(ask("ModelInfer", &echo(&id, &id, 64))), (kind, id));
     }
-    // The silent workers are abandoned; idempotent calls are retried at the third.
+    // The workers behind the cut links don't respond. Idempotent calls are retried at the third worker.
     let mut refused = Vec::new();
-    let mut note = |(status, _): (nettleferry_net::grpc::Status, _), id: &str| {
+    let mut record_refusal = |(status, _): (nettleferry_net::grpc::Status, _), id: &str| {
         if status.code == Code::Unavailable {
             refused.push(id.to_owned());
         }
         status.code
     };
     for (rpc, (_, id)) in calls.iter().filter(|(_, (kind, _))| *kind != "echo-patient") {
-        let code = note(caller.status(*rpc), id);
+        let code = record_refusal(caller.status(*rpc), id);
         assert!(!id.starts_with("echo-safe") || code == Code::Ok, "{id}: {code:?}");
     }
     cut(&mut fleet, false);
     for (rpc, (_, id)) in calls.iter().filter(|(_, (kind, _))| *kind == "echo-patient") {
-        note(caller.status(*rpc), id);
+        record_refusal(caller.status(*rpc), id);
     }
-    // A socket delivers in order: once a worker has seen a newer call, it has seen all that the cut held back.
-    let mut after = 0;
-    eventually("each worker sees something newer", || {
-        after += 1;
-        let rpc = call(&mut caller, "echo-safe", after, "after");
+    // A socket delivers in order: once a worker has received a call sent after the cut, it has received all bytes that
+    // the cut delayed.
+    let mut calls_after = 0;
+    eventually("each worker behind a cut link receives a later call", || {
+        calls_after += 1;
+        let rpc = call(&mut caller, "echo-safe", calls_after, "after");
         let _ = caller.end(rpc);
         let records = fleet.look();
         CUT.iter().all(|name| {
-            let ours = records.iter().filter(|r| r.worker == *name);
-            let newer =
-                |r: &Observation| matches!(&r.seen, ObservationKind::Call { id, .. } if id == "after");
-            ours.skip_while(|r| !matches!(r.seen, ObservationKind::Link { cut: false, .. })).any(newer)
+            let of_worker = records.iter().filter(|record| record.worker == *name);
+            let is_later_call =
+                |record: &Observation| matches!(&record.seen, ObservationKind::Call { id, .. } if id == "after");
+            of_worker
+                .skip_while(|record| !matches!(record.seen, ObservationKind::Link { cut: false, .. }))
+                .any(is_later_call)
         })
     });
     let arrived = arrived_attempts(fleet.look());
@@ -122,9 +126,9 @@
     let is_non_idempotent = |id: &str| matches!(kind(id), Some("echo-once" | "echo-patient"));
     let behind_a_cut =
         |attempts: &[Attempt]| attempts.iter().any(|attempt| CUT.contains(&attempt.worker.as_str()));
-    let held_back =
+    let delayed =
         arrived.iter().filter(|(id, attempts)| is_non_idempotent(id) && behind_a_cut(attempts)).count();
-    assert!(held_back > 0, "the cut holds requests back");
+    assert!(delayed > 0, "the cut delays non-idempotent calls");
     let retried = arrived.iter().filter(|(id, attempts)| {
         kind(id) == Some("echo-safe")
             && behind_a_cut(attempts)
@@ -132,8 +136,8 @@
     });
     assert!(retried.count() > 0, "idempotent calls are retried elsewhere");
     for (id, attempts) in arrived.iter().filter(|(id, _)| is_non_idempotent(id)) {
-        // A cut link carries no proof that the call did not run, so there must be exactly one attempt.
+        // No proof that the call did not run can arrive over a cut link, so there must be exactly one attempt.
         assert!(attempts.len() == 1 && attempts[0].number == Some(0), "{id}: {attempts:?}");
-        assert!(!refused.contains(id), "{id} was refused and arrived: {attempts:?}");
+        assert!(!refused.contains(id), "{id} was refused, but arrived at a worker: {attempts:?}");
     }
 }
--- a/crates/gateway/tests/days.rs
+++ b/crates/gateway/tests/days.rs
@@ -15,13 +15,13 @@
         play(&days, day);
     }
     // These two need little CPU time and run concurrently.
-    let both = ["slowdown", "no-slowdown"].map(|day| {
+    let threads = ["slowdown", "no-slowdown"].map(|day| {
         let days = days.clone();
         std::thread::spawn(move || play(&days, day))
     });
-    for thread in both {
-        let told = thread.join().expect("the scenario passes");
-        assert!(told.contains("alerts came as expected"), "{told}");
+    for thread in threads {
+        let output = thread.join().expect("the scenario passes");
+        assert!(output.contains("alerts came as expected"), "{output}");
     }
 }
 
@@ -33,22 +33,22 @@
         .arg(&file)
         .output()
         .expect("nettleferry day runs");
-    let told = String::from_utf8_lossy(&out.stdout).into_owned() + &String::from_utf8_lossy(&out.stderr);
-    assert_eq!(out.status.code(), Some(0), "day {day}:\n{told}");
-    assert!(told.contains(&format!("day {day}: no rule broken")), "{told}");
-    told
+    let output = String::from_utf8_lossy(&out.stdout).into_owned() + &String::from_utf8_lossy(&out.stderr);
+    assert_eq!(out.status.code(), Some(0), "day {day}:\n{output}");
+    assert!(output.contains(&format!("day {day}: no rule broken")), "{output}");
+    output
 }
 
 #[test]
 fn every_scenario_file_is_valid() {
     let days = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../days");
-    let mut kinds = 0;
+    let mut scenario_count = 0;
     for entry in std::fs::read_dir(days).expect("folder readable") {
-        let path = entry.expect("readable").path();
-        let text = std::fs::read_to_string(&path).expect("text");
+        let path = entry.expect("directory entry readable").path();
+        let text = std::fs::read_to_string(&path).expect("scenario file readable");
         let name = path.display().to_string();
         nettleferry_scenario::script::read(&name, &text).unwrap_or_else(|e| panic!("{e}"));
-        kinds += 1;
+        scenario_count += 1;
     }
-    assert!(kinds >= 22);
+    assert!(scenario_count >= 22);
 }
--- a/crates/gateway/tests/exchanged_json.rs
+++ b/crates/gateway/tests/exchanged_json.rs
@@ -1,6 +1,7 @@
 //! The protocol between a follower and its administration, recorded between two processes and compared with a list
-//! written by the program of 6b10503: request paths, query parameters, JSON fields with their types, and enumeration
-//! values. Controllers of different versions run in one fleet, so that a changed name would break one of them.
+//! written by the program at commit 6b10503: request paths, query parameters, JSON fields with their types, and
+//! enumeration values. Controllers of different versions run in one fleet, so that a changed name would break one of
+//! them.
 
 mod common;
 use common::cluster::*;
@@ -15,12 +16,12 @@
 
 const LEADER: &str = "(lease 2s) (trail (folder \"trail\")) (loans (reserve 0.2))";
 const FOLLOWER: &str = "(trail (folder \"trail\")) (loans (reserve 0.2))";
-/// Fields whose values are enumeration values.
+/// Fields that hold an enumeration value.
 const ENUM_FIELDS: [&str; 7] = ["what", "act", "action", "kind", "state", "stage", "type"];
-/// Objects whose keys are names of tenants, classes or workers.
+/// Fields that hold an object whose keys are names of tenants, classes or workers.
 const BY_NAME: [&str; 5] = ["classes", "calls", "attempts", "orders", "tenants"];
 
-fn kind(value: &Value) -> &'static str {
+fn json_type(value: &Value) -> &'static str {
     match value {
         Value::Null => "null",
         Value::Bool(_) => "boolean",
@@ -34,9 +35,9 @@
 /// Collects each field of a value by its path, with its type; strings that contain JSON objects are parsed too.
 fn fields(path: &str, value: &Value, found: &mut BTreeSet<String>) {
     match value {
-        Value::Object(all) => {
+        Value::Object(members) => {
             let name = path.rsplit(['.', ' ']).next().unwrap_or(path);
-            for (key, value) in all {
+            for (key, value) in members {
                 let key = if BY_NAME.contains(&name) { "*" } else { key.as_str() };
                 if let (true, Value::String(word)) = (ENUM_FIELDS.contains(&key), value) {
                     found.insert(format!("{path}.{key} = {word}"));
@@ -44,17 +45,19 @@
                 fields(&format!("{path}.{key}"), value, found);
             }
         }
-        Value::Array(all) => all.iter().for_each(|value| fields(&format!("{path}[]"), value, found)),
+        Value::Array(elements) => {
+            elements.iter().for_each(|value| fields(&format!("{path}[]"), value, found))
+        }
         Value::String(text) if text.starts_with('{') => match serde_json::from_str(text) {
             Ok(inner) => fields(&format!("{path}<JSON>"), &inner, found),
             Err(_) => _ = found.insert(format!("{path} string")),
         },
         Value::Null => {}
-        _ => _ = found.insert(format!("{path} {}", kind(value))),
+        _ => _ = found.insert(format!("{path} {}", json_type(value))),
     }
 }
 
-/// Names and types of all exchanges up to now. Error responses depend on timing; only 403 `fenced` is included.
+/// Names and types in all exchanges up to now. Error responses depend on timing, so only 403 `fenced` is included.
 fn exchanged(recorder: &Recorder) -> BTreeSet<String> {
     let mut found = BTreeSet::new();
     for exchange in recorder.exchanges() {
@@ -98,42 +101,44 @@
     leader.create(json!({ "name": "morava" }));
     leader.create(json!({ "name": "taymyr" }));
     for tenant in ["kalahari", "morava"] {
-        eventually("it follows", || call_status(&follower, tenant) == Code::Ok);
+        eventually("the follower serves the tenant", || call_status(&follower, tenant) == Code::Ok);
     }
     leader.change("PATCH", "/v1/tenants/kalahari", "{\"limits\":{\"open_calls\":150}}");
     leader.change("POST", "/v1/tenants/morava/suspend", "");
-    eventually("it is suspended", || call_status(&follower, "morava") == Code::PermissionDenied);
+    eventually("the tenant is suspended at the follower", || {
+        call_status(&follower, "morava") == Code::PermissionDenied
+    });
     leader.change("POST", "/v1/tenants/morava/resume", "");
-    eventually("it is resumed", || call_status(&follower, "morava") == Code::Ok);
+    eventually("the tenant is resumed at the follower", || call_status(&follower, "morava") == Code::Ok);
     leader.change("DELETE", "/v1/tenants/taymyr?grace_ms=1", "");
-    eventually("it is gone", || leader.ask("GET", "/v1/tenants/taymyr", "", "").0 == 404);
+    eventually("the tenant is removed", || leader.ask("GET", "/v1/tenants/taymyr", "", "").0 == 404);
     // A follower without stored data receives all tenants in a snapshot.
     let _second = cluster.follower(cluster.dir(), 1, recorder.address, FOLLOWER);
-    let wanted: BTreeSet<String> = std::fs::read_to_string(golden::path("exchanged.txt"))
+    let expected: BTreeSet<String> = std::fs::read_to_string(golden::path("exchanged.txt"))
         .unwrap_or_default()
         .lines()
         .filter(|line| !line.contains(" 403 "))
         .map(str::to_owned)
         .collect();
-    eventually("all kinds of messages have passed", || {
+    eventually("all expected names were exchanged", || {
         call_status(&follower, "kalahari");
-        let seen = exchanged(&recorder);
-        wanted.is_subset(&seen) && seen.len() > 150
+        let names = exchanged(&recorder);
+        expected.is_subset(&names) && names.len() > 150
     });
     let (status, _) = leader.ask("POST", "/v1/fleet/fence?controller=1", "", "");
     assert_eq!(status, 200);
-    eventually("it was told that it is shut out", || {
+    eventually("the follower got a 403 response", || {
         exchanged(&recorder).iter().any(|line| line.contains(" 403 response.type = "))
     });
     follower.signal("TERM");
     follower.wait();
-    let seen = exchanged(&recorder);
+    let names = exchanged(&recorder);
     let timing_dependent = |line: &&String| line.contains(" = ") || line.contains("<JSON>");
     let known = std::fs::read_to_string(golden::path("exchanged.txt")).unwrap_or_default();
     let known: BTreeSet<String> = known.lines().map(str::to_owned).collect();
     // Some enumeration values and audit-log entries occur in some runs only, such as those of a lease that expires on a
     // slow machine. The golden tests of their packages cover them.
-    let rare = seen.difference(&known).filter(timing_dependent).cloned().collect::<BTreeSet<_>>();
-    let seen = if known.is_empty() { seen } else { seen.difference(&rare).cloned().collect() };
-    golden::check_lines("exchanged.txt", seen);
+    let rare = names.difference(&known).filter(timing_dependent).cloned().collect::<BTreeSet<_>>();
+    let names = if known.is_empty() { names } else { names.difference(&rare).cloned().collect() };
+    golden::check_lines("exchanged.txt", names);
 }
--- a/crates/gateway/tests/faults.rs
+++ b/crates/gateway/tests/faults.rs
@@ -1,5 +1,5 @@
 //! Nodes whose system calls fail in ways that Linux documents: short reads, interrupted calls, transient failures of
-//! connect and of startup, a log that nobody reads. The soak test's preloaded library injects the faults.
+//! connect and of startup, a log that nobody reads. The preloaded library of the soak test injects the faults.
 
 #[path = "../../node/tests/common/mod.rs"]
 mod common;
@@ -15,7 +15,7 @@
 /// A node under injected faults, killed on drop.
 struct Node {
     child: Child,
-    said: Option<BufReader<ChildStdout>>,
+    stdout: Option<BufReader<ChildStdout>>,
     _dir: tempfile::TempDir,
     _directory: Directory,
 }
@@ -38,7 +38,7 @@
         let mut configuration = config(directory.address, &listed);
         change(&mut configuration);
         let path = dir.path().join("config.json");
-        std::fs::write(&path, configuration.to_string()).expect("written");
+        std::fs::write(&path, configuration.to_string()).expect("configuration written");
         let mut node = Command::new(env!("CARGO_BIN_EXE_nettleferry"));
         node.arg("node").env("PROXY_CONFIG", &path).env_remove("RUST_LOG");
         node.envs(faults.environment(&library, 1))
@@ -47,17 +47,17 @@
             .stderr(Stdio::null());
         command(&mut node);
         let mut child = node.spawn().expect("the program starts");
-        let said = child.stdout.take().map(BufReader::new);
-        Self { child, said, _dir: dir, _directory: directory }
+        let stdout = child.stdout.take().map(BufReader::new);
+        Self { child, stdout, _dir: dir, _directory: directory }
     }
 
     /// Waits until the node reports its listener, and connects to it.
     fn client(&mut self) -> Client {
         let mut line = String::new();
-        self.said.as_mut().expect("piped").read_line(&mut line).expect("text");
+        self.stdout.as_mut().expect("stdout is piped").read_line(&mut line).expect("a line on stdout");
         let address =
             line.trim_end().strip_prefix("listening frames ").expect("the line that reports the listener");
-        Client::connect(address.parse().expect("an address"))
+        Client::connect(address.parse().expect("a valid listener address"))
     }
 
     /// Sends SIGSTOP and returns once `/proc` shows the process as stopped.
@@ -73,19 +73,19 @@
     /// Sends SIGTERM and waits for the exit code.
     fn terminate(&mut self) -> Option<i32> {
         self.signal("TERM");
-        let end = Instant::now() + common::TEST_TIMEOUT;
+        let deadline = Instant::now() + common::TEST_TIMEOUT;
         loop {
             if let Some(status) = self.child.try_wait().expect("status of the child") {
                 return status.code();
             }
-            assert!(Instant::now() < end, "it ends");
+            assert!(Instant::now() < deadline, "the node did not exit after SIGTERM");
             std::thread::yield_now();
         }
     }
 
     fn signal(&self, name: &str) {
-        let done = Command::new("kill").args([&format!("-{name}"), &self.child.id().to_string()]).status();
-        assert!(done.expect("kill runs").success());
+        let status = Command::new("kill").args([&format!("-{name}"), &self.child.id().to_string()]).status();
+        assert!(status.expect("kill runs").success());
     }
 }
 
@@ -117,9 +117,9 @@
     }
 }
 
-/// How long a process is stopped; longer than `DEADLINE_SLACK`.
+/// Time for which the node is stopped; longer than [`DEADLINE_SLACK`].
 const STOPPED: Duration = Duration::from_millis(400);
-/// By how much the time limit sent to an invoker may exceed the client's remaining time.
+/// Time by which the time limit sent to an invoker may exceed the client's remaining time.
 const DEADLINE_SLACK: Duration = Duration::from_millis(150);
 /// The time limit of a client's request.
 const TTL: Duration = Duration::from_millis(3_000);
@@ -146,15 +146,22 @@
         while sent.elapsed() < STOPPED {
             std::thread::yield_now();
         }
-        let waited = sent.elapsed();
+        let elapsed = sent.elapsed();
         node.signal("CONT");
         assert_eq!(client.read_answer(stream), (SERVED, b"ab".to_vec()));
-        let fields =
-            received_fields.lock().expect("lock is not poisoned").last().cloned().expect("it was sent");
-        let patience =
+        let fields = received_fields
+            .lock()
+            .expect("lock is not poisoned")
+            .last()
+            .cloned()
+            .expect("the invoker received the call");
+        let time_limit =
             fields.split(',').find_map(|field| field.strip_prefix("patience=")).expect("a patience field");
-        let patience = Duration::from_millis(patience.parse().expect("a number"));
-        assert!(patience + waited <= TTL + DEADLINE_SLACK, "sent {patience:?}, {waited:?} had passed");
+        let time_limit = Duration::from_millis(time_limit.parse().expect("a number of milliseconds"));
+        assert!(
+            time_limit + elapsed <= TTL + DEADLINE_SLACK,
+            "time limit {time_limit:?}, sent {elapsed:?} after the request"
+        );
     }
 }
 
@@ -181,14 +188,14 @@
     assert_eq!(client.read_answer(stream), (SERVED, b"ab".to_vec()));
 }
 
-/// Serves 199 calls, and exits with code 0 after SIGTERM.
-fn serves_and_ends(node: &mut Node) {
+/// Asserts that the node serves 199 calls, and exits with code 0 after SIGTERM.
+fn assert_serves_and_exits(node: &mut Node) {
     let mut client = node.client();
-    serves(&mut client, 1..200);
+    assert_serves(&mut client, 1..200);
     assert_eq!(node.terminate(), Some(0));
 }
 
-fn serves(client: &mut Client, ids: std::ops::Range<u64>) {
+fn assert_serves(client: &mut Client, ids: std::ops::Range<u64>) {
     for id in ids {
         let stream = client.send_request("safe", id, 1, b"ab");
         assert_eq!(client.read_answer(stream), (SERVED, b"ab".to_vec()));
@@ -200,7 +207,7 @@
     let invoker = invoker();
     let faults = Faults { log: 1_000, ..Faults::default() };
     let mut node = Node::start_with(&invoker, faults, |_| (), |node| _ = node.env("RUST_LOG", "debug"));
-    serves_and_ends(&mut node);
+    assert_serves_and_exits(&mut node);
 }
 
 #[test]
@@ -209,7 +216,7 @@
     // More is logged than a pipe buffers, and nobody reads it.
     let unread = |node: &mut Command| _ = node.env("RUST_LOG", "debug").stderr(Stdio::piped());
     let mut node = Node::start_with(&invoker, Faults::default(), |_| (), unread);
-    serves_and_ends(&mut node);
+    assert_serves_and_exits(&mut node);
 }
 
 #[test]
@@ -217,19 +224,19 @@
     let invoker = invoker();
     let address =
         std::net::TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a free port");
-    let full = || std::fs::File::options().write(true).open("/dev/full").expect("the system has it");
-    let on_full = |node: &mut Command| _ = node.stdout(full()).stderr(full());
-    let fixed = |config: &mut serde_json::Value| config["listen"] = address.to_string().into();
-    let mut node = Node::start_with(&invoker, Faults::default(), fixed, on_full);
-    let end = Instant::now() + common::TEST_TIMEOUT;
+    let full = || std::fs::File::options().write(true).open("/dev/full").expect("/dev/full opens");
+    let full_output = |node: &mut Command| _ = node.stdout(full()).stderr(full());
+    let fixed_address = |config: &mut serde_json::Value| config["listen"] = address.to_string().into();
+    let mut node = Node::start_with(&invoker, Faults::default(), fixed_address, full_output);
+    let deadline = Instant::now() + common::TEST_TIMEOUT;
     while std::net::TcpStream::connect(address).is_err() {
         assert!(
-            Instant::now() < end && node.child.try_wait().expect("status of the child").is_none(),
-            "it listens"
+            Instant::now() < deadline && node.child.try_wait().expect("status of the child").is_none(),
+            "the node does not listen"
         );
         std::thread::yield_now();
     }
-    serves(&mut Client::connect(address), 1..20);
+    assert_serves(&mut Client::connect(address), 1..20);
     assert_eq!(node.terminate(), Some(0));
 }
 
@@ -245,40 +252,42 @@
 fn serve_startup_retries_transient_faults() {
     let dir = tempfile::tempdir().expect("temporary folder");
     let library = shim::compile(dir.path()).expect("a C compiler is installed");
-    std::fs::write(dir.path().join("settings.sexp"), SERVE_SETTINGS).expect("written");
-    std::fs::write(dir.path().join("workers.sexp"), "").expect("written");
+    std::fs::write(dir.path().join("settings.sexp"), SERVE_SETTINGS).expect("settings written");
+    std::fs::write(dir.path().join("workers.sexp"), "").expect("worker list written");
     let mut serve = Command::new(env!("CARGO_BIN_EXE_nettleferry"));
     serve.arg("serve").arg("settings.sexp").current_dir(dir.path()).env_remove("RUST_LOG");
     let faults = Faults { start: 9, ..Faults::default() };
     serve.envs(faults.environment(&library, 1)).stdin(Stdio::null()).stdout(Stdio::piped());
     let mut child = serve.spawn().expect("the program starts");
-    let mut said = BufReader::new(child.stdout.take().expect("piped"));
+    let mut stdout = BufReader::new(child.stdout.take().expect("stdout is piped"));
     let mut line = String::new();
-    said.read_line(&mut line).expect("text");
+    stdout.read_line(&mut line).expect("a line on stdout");
     let _ = child.kill();
     let _ = child.wait();
-    assert!(line.starts_with("listening grpc "), "it listens: {line:?}");
+    assert!(line.starts_with("listening grpc "), "the first line reports no listener: {line:?}");
 }
 
 #[test]
 fn signal_with_a_lost_wake_up_is_still_handled() {
     let invoker = invoker();
     let mut node = Node::start(&invoker, Faults { signal: 1_000, ..Faults::default() }, |_| ());
-    serves(&mut node.client(), 1..3);
+    assert_serves(&mut node.client(), 1..3);
     assert_eq!(node.terminate(), Some(0));
 }
 
-/// Guards against a kill time computed from when the process notices SIGTERM. In the soak (seed 366, `--faults
-/// --shutdowns --crowd`) the wake-up of the signal was lost, the process noticed it at its next check 206 ms later and
-/// expected the kill that much later, so that four requests were open when it came.
+/// Guards against a kill time computed from when the process notices SIGTERM instead of when the signal may have come.
+/// In the soak test (seed 366, `--faults --shutdowns --crowd`) the wake-up of the signal was lost. The process noticed
+/// the signal 206 ms later, at its next check, and expected the kill 206 ms too late, so that four requests were open
+/// when it was killed.
 #[test]
 fn kill_is_counted_from_when_a_signal_with_a_lost_wake_up_may_have_come() {
-    let (tell, told) = std::sync::mpsc::channel();
+    let (sender, time_limits) = std::sync::mpsc::channel();
     let invoker = Invoker::start(move |command: &ReceivedCommand| match command.keyword() {
         "CALL" => {
             let fields = String::from_utf8_lossy(&command.parts[2]).into_owned();
-            let patience = fields.split(',').find_map(|field| field.strip_prefix("patience=")?.parse().ok());
-            let _ = tell.send(patience.unwrap_or(u64::MAX));
+            let time_limit =
+                fields.split(',').find_map(|field| field.strip_prefix("patience=")?.parse().ok());
+            let _ = sender.send(time_limit.unwrap_or(u64::MAX));
             Reaction::Answer("served", "n=w", command.parts[3].clone())
         }
         "LOAD" => Reaction::Answer("served", "instances=1", vec![]),
@@ -286,23 +295,25 @@
     });
     let mut node = Node::start(&invoker, Faults { signal: 1_000, ..Faults::default() }, |_| ());
     let mut client = node.client();
-    serves(&mut client, 1..3);
-    told.try_iter().for_each(drop);
+    assert_serves(&mut client, 1..3);
+    time_limits.try_iter().for_each(drop);
     node.signal("TERM");
-    let asked_to_end = Instant::now();
-    // The longest deadline of 4 s counts as 3 s; with the grace of 0.7 s, less 0.1 s for the way of an answer.
+    let signalled_at = Instant::now();
+    // The platform kills the node 3.7 s after SIGTERM: the longest deadline, 4 s, counts as 3 s, and the kill grace is
+    // 0.7 s. The last answer is due 0.1 s earlier, since it takes up to that long to reach the client.
     let last_answer = Duration::from_millis(3_600);
-    // After the grace of 0.7 s, requests have no more time than is left until the kill.
-    let (mut id, mut judged) = (10, 0);
-    while judged < 20 {
-        let elapsed = asked_to_end.elapsed();
-        serves(&mut client, id..id + 1);
+    // After the kill grace, no call gets more time than is left until the last answer is due.
+    let (mut id, mut checked) = (10, 0);
+    while checked < 20 {
+        let elapsed = signalled_at.elapsed();
+        assert_serves(&mut client, id..id + 1);
         id += 1;
-        let patience = told.recv_timeout(common::TEST_TIMEOUT).expect("it was called");
+        let time_limit =
+            time_limits.recv_timeout(common::TEST_TIMEOUT).expect("the invoker received the call");
         if elapsed > Duration::from_millis(900) {
-            judged += 1;
-            let left = (last_answer - elapsed).as_millis() as u64 + 1;
-            assert!(patience <= left, "told {patience} ms, {left} ms before the kill");
+            checked += 1;
+            let left_ms = (last_answer - elapsed).as_millis() as u64 + 1;
+            assert!(time_limit <= left_ms, "time limit {time_limit} ms, last answer due in {left_ms} ms");
         }
     }
 }
