--- a/crates/gateway/tests/leaving.rs
+++ b/crates/gateway/tests/leaving.rs
@@ -1,4 +1,4 @@
-//! Clients that cancel or disconnect while the process is stopped (SIGSTOP): after it resumes, it forwards none of their
+//! Clients that cancel or disconnect while the node is stopped (SIGSTOP): after it resumes, it forwards none of their
 //! waiting calls.
 
 #[path = "../../node/tests/common/mod.rs"]
@@ -17,6 +17,7 @@
 use nettleferry_platform::frames::{self, kind};
 use process::Node;
 
+/// How a client leaves.
 #[derive(Clone, Copy, Debug)]
 enum Departure {
     Cancel,
@@ -26,7 +27,7 @@
     Reset,
 }
 
-/// Blocks threads that wait until it is opened, for at most `TEST_TIMEOUT`.
+/// A gate that threads wait at until it is opened, for at most `TEST_TIMEOUT`.
 #[derive(Default)]
 struct Gate(Mutex<bool>, Condvar);
 
@@ -35,12 +36,14 @@
         *self.0.lock().expect("lock is not poisoned") = true;
         self.1.notify_all();
     }
+
     fn wait(&self) {
-        let closed = self.0.lock().expect("lock is not poisoned");
-        drop(self.1.wait_timeout_while(closed, TEST_TIMEOUT, |open| !*open).expect("lock is not poisoned"));
+        let is_open = self.0.lock().expect("lock is not poisoned");
+        drop(self.1.wait_timeout_while(is_open, TEST_TIMEOUT, |open| !*open).expect("lock is not poisoned"));
     }
 }
 
+/// Sends a request for a function that has one lane at each invoker. Returns its stream number.
 fn ask(client: &mut Client, id: u64, body: &[u8]) -> u32 {
     let id = format!("{id:016x}");
     let tags = "memory_mb:9;lanes:1;load_ms:50";
@@ -51,10 +54,10 @@
     )
 }
 
-fn until(what: &str, mut holds: impl FnMut() -> bool) {
-    let end = Instant::now() + TEST_TIMEOUT;
-    while !holds() {
-        assert!(Instant::now() < end, "{what}");
+fn until(what: &str, mut condition: impl FnMut() -> bool) {
+    let deadline = Instant::now() + TEST_TIMEOUT;
+    while !condition() {
+        assert!(Instant::now() < deadline, "timed out waiting for: {what}");
         std::thread::yield_now();
     }
 }
@@ -62,13 +65,13 @@
 #[test]
 #[expect(clippy::too_many_lines, reason = "one scenario over several processes, step by step")]
 fn calls_of_clients_that_left_during_a_stop_are_not_forwarded() {
-    for way in [Departure::Cancel, Departure::HalfClose, Departure::Close, Departure::Reset] {
+    for departure in [Departure::Cancel, Departure::HalfClose, Departure::Close, Departure::Reset] {
         let gate = Arc::new(Gate::default());
-        let held = Arc::clone(&gate);
+        let call_gate = Arc::clone(&gate);
         let invoker = Invoker::start(move |command: &ReceivedCommand| match command.keyword() {
             "CALL" => {
                 if command.parts[3] == b"hold" {
-                    held.wait();
+                    call_gate.wait();
                 }
                 Reaction::Answer("served", "n=w", command.parts[3].clone())
             }
@@ -80,42 +83,44 @@
         let directory = Directory::start(listed.clone());
         let dir = tempfile::tempdir().expect("temporary folder");
         let path = dir.path().join("config.json");
-        std::fs::write(&path, config(directory.address, &listed).to_string()).expect("written");
+        std::fs::write(&path, config(directory.address, &listed).to_string()).expect("configuration written");
         let node = Node::of(Node::spawn(&path, 256));
         // The function has one lane: the first call occupies it, the others wait.
         let mut first = Client::connect(node.address);
-        let warm = ask(&mut first, 1, b"x");
-        assert_eq!(first.read_answer(warm).0, SERVED);
-        let runs = ask(&mut first, 2, b"hold");
-        until("the first runs", || invoker.received().iter().any(|got| got == "CALL 0000000000000002"));
+        let warm_up = ask(&mut first, 1, b"x");
+        assert_eq!(first.read_answer(warm_up).0, SERVED);
+        let running = ask(&mut first, 2, b"hold");
+        until("the first call runs", || {
+            invoker.received().iter().any(|command| command == "CALL 0000000000000002")
+        });
         let mut waiting: Vec<Client> = (0..40).map(|_| Client::connect(node.address)).collect();
         let mut ready = Vec::new();
         frames::bare(&mut ready, kind::READY, 0);
-        for (at, client) in waiting.iter_mut().enumerate() {
-            ask(client, 100 + at as u64, b"y");
+        for (index, client) in waiting.iter_mut().enumerate() {
+            ask(client, 100 + index as u64, b"y");
             // The READY answer shows that the node has read the request before it. The client leaves it unread.
-            client.socket.write_all(&ready).expect("written");
-            client.socket.peek(&mut [0; 1]).expect("answered");
+            client.socket.write_all(&ready).expect("READY frame sent");
+            client.socket.peek(&mut [0; 1]).expect("the READY answer arrives");
         }
         node.stop();
         // While the node is stopped, the lane is freed, 20 other requests arrive, and all waiting clients leave.
         gate.open();
         let mut flood: Vec<Client> = (0..20).map(|_| Client::connect(node.address)).collect();
-        for (at, client) in flood.iter_mut().enumerate() {
-            ask(client, 1_000 + at as u64, b"z");
+        for (index, client) in flood.iter_mut().enumerate() {
+            ask(client, 1_000 + index as u64, b"z");
         }
-        let mut kept = Vec::new();
+        let mut open_clients = Vec::new();
         for mut client in waiting {
-            match way {
+            match departure {
                 Departure::Cancel => {
-                    let mut out = Vec::new();
-                    frames::bare(&mut out, kind::CANCEL, 1);
-                    client.socket.write_all(&out).expect("written");
-                    kept.push(client);
+                    let mut cancel = Vec::new();
+                    frames::bare(&mut cancel, kind::CANCEL, 1);
+                    client.socket.write_all(&cancel).expect("CANCEL frame sent");
+                    open_clients.push(client);
                 }
                 Departure::HalfClose => {
                     client.socket.shutdown(Shutdown::Write).expect("socket is open");
-                    kept.push(client);
+                    open_clients.push(client);
                 }
                 Departure::Close => {
                     let _ = client.read_frame();
@@ -124,14 +129,14 @@
             }
         }
         node.signal("CONT");
-        assert_eq!(first.read_answer(runs).0, SERVED);
+        assert_eq!(first.read_answer(running).0, SERVED);
         // Once all others are served, any call forwarded for a departed client has reached the invoker too.
         for client in &mut flood {
-            assert_eq!(client.read_answer(1).0, SERVED, "{way:?}");
+            assert_eq!(client.read_answer(1).0, SERVED, "{departure:?}");
         }
-        let sent = invoker.received();
-        let late: Vec<_> =
-            (100..140).map(|id| format!("CALL {id:016x}")).filter(|id| sent.contains(id)).collect();
-        assert_eq!(late, Vec::<String>::new(), "{way:?}");
+        let received = invoker.received();
+        let forwarded: Vec<_> =
+            (100..140).map(|id| format!("CALL {id:016x}")).filter(|call| received.contains(call)).collect();
+        assert_eq!(forwarded, Vec::<String>::new(), "{departure:?}");
     }
 }
--- a/crates/gateway/tests/life.rs
+++ b/crates/gateway/tests/life.rs
@@ -8,10 +8,11 @@
 use nettleferry_net::grpc::Code;
 use nettleferry_test_servers::{Fault, ObservationKind};
 
+/// Runs the program to its end. Returns its exit code, its standard output and its standard error.
 fn output(arguments: &[&str]) -> (i32, String, String) {
     let out = Command::new(PROGRAM).args(arguments).output().expect("the program runs");
     let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
-    (out.status.code().expect("it ended by itself"), text(&out.stdout), text(&out.stderr))
+    (out.status.code().expect("the process was not killed by a signal"), text(&out.stdout), text(&out.stderr))
 }
 
 fn demo() -> Program {
@@ -58,20 +59,20 @@
 fn check_reports_every_error_with_its_position() {
     let dir = tempfile::tempdir().expect("temporary folder");
     let file = dir.path().join("s.sexp");
-    std::fs::write(&file, SETTINGS.replace("(aim 1s)", "(aim 1)")).expect("written");
+    std::fs::write(&file, SETTINGS.replace("(aim 1s)", "(aim 1)")).expect("settings written");
     let name = file.display().to_string();
     let (code, _, err) = output(&["check", &name]);
     assert_eq!(code, 3);
     assert_eq!(err.matches("write a span with its unit").count(), 2, "{err}");
     assert!(err.contains("s.sexp:4:33: (aim ...)"), "{err}");
-    std::fs::write(&file, SETTINGS).expect("written");
+    std::fs::write(&file, SETTINGS).expect("settings written");
     assert_eq!(output(&["check", &name]).0, 0);
 }
 
 #[test]
 fn address_in_use_is_reported() {
-    let taken = std::net::TcpListener::bind("127.0.0.1:0").expect("a free port");
-    let address = taken.local_addr().expect("bound").to_string();
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a free port");
+    let address = listener.local_addr().expect("the listener is bound").to_string();
     let (code, _, err) = output(&["demo", "--listen", &address]);
     assert!(code == 4 && err.contains(&format!("can't listen on {address}")), "{code} {err}");
 }
@@ -83,10 +84,10 @@
     let mut gateway = serve(SETTINGS, &fleet.list());
     let mut caller = Caller::new(gateway.address);
     let open = caller.unary("echo-once");
-    caller.until("it runs", || fleet.any(|s| matches!(s, ObservationKind::Runs { .. })));
+    caller.until("the call runs at the worker", || fleet.any(|s| matches!(s, ObservationKind::Runs { .. })));
     gateway.signal("TERM");
     // New connections are refused.
-    eventually("it listens no more", || std::net::TcpStream::connect(gateway.address).is_err());
+    eventually("the gateway no longer listens", || std::net::TcpStream::connect(gateway.address).is_err());
     assert_eq!(caller.status(open).0.code, Code::Ok);
     drop(caller);
     assert_eq!(gateway.wait().code(), Some(0));
@@ -100,9 +101,9 @@
     let mut gateway = serve(SETTINGS, &fleet.list());
     let mut caller = Caller::new(gateway.address);
     caller.unary("echo-once");
-    caller.until("it is out", || fleet.any(|s| matches!(s, ObservationKind::Call { .. })));
+    caller.until("the worker received the call", || fleet.any(|s| matches!(s, ObservationKind::Call { .. })));
     gateway.signal("TERM");
-    eventually("it drains", || std::net::TcpStream::connect(gateway.address).is_err());
+    eventually("the gateway drains", || std::net::TcpStream::connect(gateway.address).is_err());
     gateway.signal("TERM");
     assert_eq!(gateway.wait().code(), Some(130));
 }
@@ -112,13 +113,13 @@
     let fleet = Fleet::new(1, SPEC);
     let settings = SETTINGS.replace("(check-every 5ms)", "(check-every 5ms) (kept \"kept.sexp\")");
     let dir = tempfile::tempdir().expect("temporary folder");
-    std::fs::write(dir.path().join("workers.sexp"), fleet.list()).expect("written");
+    std::fs::write(dir.path().join("workers.sexp"), fleet.list()).expect("worker list written");
     let first = serve_in(dir, &settings, None);
-    eventually("the list is kept", || first.dir.path().join("kept.sexp").exists());
-    let kept = std::fs::read(first.dir.path().join("kept.sexp")).expect("file readable");
+    eventually("the list is persisted", || first.dir.path().join("kept.sexp").exists());
+    let persisted_list = std::fs::read(first.dir.path().join("kept.sexp")).expect("file readable");
     drop(first);
     let dir = tempfile::tempdir().expect("temporary folder");
-    std::fs::write(dir.path().join("kept.sexp"), kept).expect("written");
+    std::fs::write(dir.path().join("kept.sexp"), persisted_list).expect("persisted list written");
     let second = serve_in(dir, &settings, None);
     let mut caller = Caller::new(second.address);
     let rpc = caller.unary("echo");
@@ -139,11 +140,14 @@
     for handle in &fleet.handles {
         handle.inject(Fault::Unresponsive(true));
     }
-    let began = std::time::Instant::now();
+    let sent_at = std::time::Instant::now();
     let rpc = caller.unary("echo-once");
     let (status, trailers) = caller.status(rpc);
     assert_eq!(status.code, Code::DeadlineExceeded, "{}", status.message);
     assert_eq!(trailers["grpc-retry-pushback-ms"], "-1");
-    assert!(began.elapsed() > std::time::Duration::from_millis(900), "it was waited for");
-    assert_eq!(fleet.count(|s| matches!(s, ObservationKind::Call { .. })), 2, "each was sent once");
+    assert!(
+        sent_at.elapsed() > std::time::Duration::from_millis(900),
+        "the call waits for the worker until its deadline"
+    );
+    assert_eq!(fleet.count(|s| matches!(s, ObservationKind::Call { .. })), 2, "each call was sent once");
 }
