--- a/crates/admin/src/api/changes.rs
+++ b/crates/admin/src/api/changes.rs
@@ -4,7 +4,7 @@
 use nettleferry_tenancy::{Applied, Change, Condition, IdempotentResponse};
 use serde_json::Value;
 
-use crate::message::{Answer, Request, Response};
+use crate::message::{Outcome, Request, Response};
 use crate::problem::Problem;
 use crate::routes::Operation;
 
@@ -20,7 +20,7 @@
         &mut self,
         invocation: &Invocation<'_>,
         runtime: &impl Runtime,
-    ) -> Result<Answer, Problem> {
+    ) -> Result<Outcome, Problem> {
         let (name, spec) = new_tenant(invocation.request)?;
         self.change(invocation, &Change::Create { name, spec }, runtime)
     }
@@ -30,7 +30,7 @@
         &mut self,
         invocation: &Invocation<'_>,
         runtime: &impl Runtime,
-    ) -> Result<Answer, Problem> {
+    ) -> Result<Outcome, Problem> {
         expect_content_type(invocation.request, &[MERGE_PATCH, JSON])?;
         let change =
             Change::Patch { name: invocation.name.to_owned(), patch: json_body(invocation.request.body)? };
@@ -42,7 +42,7 @@
         &mut self,
         invocation: &Invocation<'_>,
         runtime: &impl Runtime,
-    ) -> Result<Answer, Problem> {
+    ) -> Result<Outcome, Problem> {
         let grace_ms = invocation.query.number("grace_ms", 0, MAX_GRACE_MS, DEFAULT_GRACE_MS)?;
         self.change(invocation, &Change::Remove { name: invocation.name.to_owned(), grace_ms }, runtime)
     }
@@ -52,7 +52,7 @@
         &mut self,
         invocation: &Invocation<'_>,
         runtime: &impl Runtime,
-    ) -> Result<Answer, Problem> {
+    ) -> Result<Outcome, Problem> {
         self.change(invocation, &Change::Suspend { name: invocation.name.to_owned() }, runtime)
     }
 
@@ -61,7 +61,7 @@
         &mut self,
         invocation: &Invocation<'_>,
         runtime: &impl Runtime,
-    ) -> Result<Answer, Problem> {
+    ) -> Result<Outcome, Problem> {
         self.change(invocation, &Change::Resume { name: invocation.name.to_owned() }, runtime)
     }
 
@@ -72,7 +72,7 @@
         invocation: &Invocation<'_>,
         change: &Change,
         runtime: &impl Runtime,
-    ) -> Result<Answer, Problem> {
+    ) -> Result<Outcome, Problem> {
         check_serving(runtime)
             .map_err(|p| Problem { detail: format!("nothing can be changed: {}", p.detail), ..p })?;
         if let Some(why) = &self.read_only {
@@ -93,11 +93,11 @@
         let after = after.ok_or_else(|| internal("a change left no tenant"))?;
         let response = tenant_response(invocation.route.status, &after)?;
         if dry_run {
-            return Ok(Answer::Ready(Response { status: 200, ..response }));
+            return Ok(Outcome::Ready(Response { status: 200, ..response }));
         }
         // Nothing was changed. The response still waits until every controller acts on the tenant's current state.
         let Some(entry) = entry else {
-            return Ok(Answer::Committed { response, revision: after.revision, restricts: true });
+            return Ok(Outcome::Committed { response, revision: after.revision, restricts: true });
         };
         let keyed_response = key.as_ref().map(|key| {
             let (status, body, revision) = (response.status, response.body.clone(), after.revision);
@@ -109,7 +109,7 @@
             Problem::new(503, "not-kept", format!("the change was not kept, and has not happened: {error}"))
         })?;
         self.snapshot.apply(&entry).map_err(internal)?;
-        Ok(Answer::Committed { response, revision: entry.revision, restricts: entry.restricts() })
+        Ok(Outcome::Committed { response, revision: entry.revision, restricts: entry.restricts() })
     }
 }
 
@@ -132,7 +132,7 @@
 }
 
 /// The stored response to an earlier request with the same key. Fails if that request had another body.
-fn repeated_response(before: IdempotentResponse, fingerprint: u64) -> Result<Answer, Problem> {
+fn repeated_response(before: IdempotentResponse, fingerprint: u64) -> Result<Outcome, Problem> {
     if before.fingerprint != fingerprint {
         let detail = "this Idempotency-Key came before with another body";
         return Err(Problem {
@@ -143,7 +143,7 @@
     let headers =
         vec![("ETag", format!("\"{}\"", before.revision)), ("Idempotency-Replayed", "true".to_owned())];
     let response = Response { status: before.status, content_type: JSON, headers, body: before.body };
-    Ok(Answer::Committed { response, revision: before.revision, restricts: true })
+    Ok(Outcome::Committed { response, revision: before.revision, restricts: true })
 }
 
 /// The condition in an If-Match header, which is required.
--- a/crates/admin/src/api/mod.rs
+++ b/crates/admin/src/api/mod.rs
@@ -18,7 +18,7 @@
 use nettleferry_tenancy::{Entry, Millis, Revision, TenantSnapshot};
 use serde_json::json;
 
-use crate::message::{Answer, Caller, Request};
+use crate::message::{Caller, Outcome, Request};
 use crate::openapi;
 use crate::problem::Problem;
 use crate::routes::{Operation, Role, Route, RouteMatch, find};
@@ -96,27 +96,27 @@
         all
     }
 
-    /// Handles a request. `held_for` is `None` for a new request. For one that was answered with [`Answer::Wait`] before,
+    /// Handles a request. `held_for` is `None` for a new request. For one that was answered with [`Outcome::Wait`] before,
     /// it is the time since the request arrived.
-    pub fn answer(
+    pub fn handle(
         &mut self,
         request: &Request<'_>,
         caller: &Caller,
         runtime: &mut impl Runtime,
         now: Millis,
         held_for: Option<Duration>,
-    ) -> Answer {
+    ) -> Outcome {
         let (path, query) = request.target.split_once('?').unwrap_or((request.target, ""));
         let found = match find(request.method, path) {
             RouteMatch::Route(route, name) => Ok((route, name)),
-            RouteMatch::OtherMethods(methods) => return Answer::Ready(method_not_allowed(&methods)),
+            RouteMatch::OtherMethods(methods) => return Outcome::Ready(method_not_allowed(&methods)),
             RouteMatch::NoSuchPath => {
                 Err(Problem::new(404, "no-such-path", format!("there is no {path}; see /v1/openapi.json")))
             }
         };
-        let answer = found.and_then(|(route, name)| {
+        let outcome = found.and_then(|(route, name)| {
             if !is_permitted(route, caller) {
-                let detail = format!("the key {} may not {}", caller.name, route.id);
+                let detail = format!("the key {} may not {}", caller.name, route.operation_id);
                 return Err(Problem::new(403, "forbidden", detail));
             }
             let query = Query::read(query, route)?;
@@ -126,7 +126,7 @@
             let invocation = Invocation { route, name, query, request, caller, now };
             self.dispatch(&invocation, runtime)
         });
-        answer.unwrap_or_else(|problem| Answer::Ready(problem.response()))
+        outcome.unwrap_or_else(|problem| Outcome::Ready(problem.response()))
     }
 
     /// Executes the operation of the request's route.
@@ -134,7 +134,7 @@
         &mut self,
         invocation: &Invocation<'_>,
         runtime: &mut impl Runtime,
-    ) -> Result<Answer, Problem> {
+    ) -> Result<Outcome, Problem> {
         let query = &invocation.query;
         match invocation.route.operation {
             Operation::ListTenants => self.list_tenants(query),
--- a/crates/admin/src/api/reads.rs
+++ b/crates/admin/src/api/reads.rs
@@ -4,7 +4,7 @@
 use nettleferry_tenancy::{Denied, Tenant};
 use serde_json::json;
 
-use crate::message::Answer;
+use crate::message::Outcome;
 use crate::problem::Problem;
 
 use super::Api;
@@ -20,14 +20,14 @@
     }
 
     /// Returns a page of the tenants, by name.
-    pub(super) fn list_tenants(&self, query: &Query) -> Result<Answer, Problem> {
+    pub(super) fn list_tenants(&self, query: &Query) -> Result<Outcome, Problem> {
         let all = self.snapshot.page(query.text("after").unwrap_or(""), query.rows()?);
         let next = next_cursor(&all, query.rows()?, |t| t.name.clone());
         ready_json(200, &json!({ "tenants": all, "next": next, "revision": self.snapshot.revision() }))
     }
 
     /// Returns a page of the usage of all tenants, by name.
-    pub(super) fn list_usage(&self, query: &Query, runtime: &impl Runtime) -> Result<Answer, Problem> {
+    pub(super) fn list_usage(&self, query: &Query, runtime: &impl Runtime) -> Result<Outcome, Problem> {
         let page = self.snapshot.page(query.text("after").unwrap_or(""), query.rows()?);
         let next = next_cursor(&page, query.rows()?, |t| t.name.clone());
         let all: Vec<Usage> = page.into_iter().map(|t| runtime.usage(t)).collect();
@@ -35,7 +35,7 @@
     }
 
     /// Returns a page of the audit trail, optionally of one tenant only.
-    pub(super) fn list_audit(&self, query: &Query) -> Result<Answer, Problem> {
+    pub(super) fn list_audit(&self, query: &Query) -> Result<Outcome, Problem> {
         let after = query.number("after", 0, u64::MAX, 0)?;
         let rows = query.rows()?;
         let all = self.store.entries(after, rows, query.text("tenant")).map_err(internal)?;
@@ -44,13 +44,13 @@
     }
 
     /// Returns all controllers and the revisions that they run.
-    pub(super) fn list_controllers(&self, runtime: &impl Runtime) -> Result<Answer, Problem> {
+    pub(super) fn list_controllers(&self, runtime: &impl Runtime) -> Result<Outcome, Problem> {
         let revision = self.snapshot.revision();
         ready_json(200, &json!({ "controllers": runtime.controllers(), "revision": revision }))
     }
 
     /// Returns the progress of a change: the one that the request names, or the last one.
-    pub(super) fn read_change(&self, query: &Query, runtime: &impl Runtime) -> Result<Answer, Problem> {
+    pub(super) fn read_change(&self, query: &Query, runtime: &impl Runtime) -> Result<Outcome, Problem> {
         let revision = query.number("revision", 0, u64::MAX, self.snapshot.revision())?;
         ready_json(200, &runtime.change_progress(revision))
     }
@@ -60,7 +60,7 @@
         &self,
         invocation: &Invocation<'_>,
         runtime: &mut impl Runtime,
-    ) -> Result<Answer, Problem> {
+    ) -> Result<Outcome, Problem> {
         let number = invocation.query.controller()?;
         let incarnation = invocation.query.number("life", 1, u64::MAX, 1)?;
         expect_content_type(invocation.request, &[JSON])?;
@@ -72,7 +72,7 @@
     }
 
     /// Executes an operator's decision on which snapshot is authoritative.
-    pub(super) fn recover(&self, query: &Query, runtime: &mut impl Runtime) -> Result<Answer, Problem> {
+    pub(super) fn recover(&self, query: &Query, runtime: &mut impl Runtime) -> Result<Outcome, Problem> {
         let choice = query.text("take").unwrap_or("");
         ready_json(200, &runtime.recover(&self.snapshot, choice, query.dry_run()?)?)
     }
@@ -83,7 +83,7 @@
         name: &str,
         drained: bool,
         runtime: &mut impl Runtime,
-    ) -> Result<Answer, Problem> {
+    ) -> Result<Outcome, Problem> {
         let unknown_worker = || Problem::new(404, "unknown-worker", format!("there is no worker {name}"));
         if !runtime.set_drained(name, drained) {
             return Err(unknown_worker());
@@ -97,7 +97,7 @@
         &self,
         invocation: &Invocation<'_>,
         runtime: &mut impl Runtime,
-    ) -> Result<Answer, Problem> {
+    ) -> Result<Outcome, Problem> {
         let number = invocation.query.controller()?;
         expect_content_type(invocation.request, &[JSON])?;
         let entries: Vec<String> = serde_json::from_value(json_body(invocation.request.body)?)
@@ -106,7 +106,7 @@
     }
 
     /// Returns a list of the collected audit logs, or a page of the one that the request names.
-    pub(super) fn read_audit_logs(&self, query: &Query, runtime: &impl Runtime) -> Result<Answer, Problem> {
+    pub(super) fn read_audit_logs(&self, query: &Query, runtime: &impl Runtime) -> Result<Outcome, Problem> {
         let from = query.number("from", 0, u64::MAX, 0)?;
         ready_json(200, &runtime.audit_logs(query.text("of"), from, query.rows()?)?)
     }
@@ -117,7 +117,7 @@
         query: &Query,
         fenced: bool,
         runtime: &mut impl Runtime,
-    ) -> Result<Answer, Problem> {
+    ) -> Result<Outcome, Problem> {
         let number = query.controller()?;
         ready_json(200, &runtime.set_fenced(number, fenced))
     }
--- a/crates/admin/src/api/replication.rs
+++ b/crates/admin/src/api/replication.rs
@@ -4,7 +4,7 @@
 
 use serde_json::{Value, json};
 
-use crate::message::Answer;
+use crate::message::Outcome;
 use crate::problem::Problem;
 
 use super::Api;
@@ -23,7 +23,11 @@
 
 impl<S: ChangeStore> Api<S> {
     /// Returns the snapshot. If a follower requests it, the response can include a lease on it.
-    pub(super) fn read_snapshot(&self, query: &Query, runtime: &mut impl Runtime) -> Result<Answer, Problem> {
+    pub(super) fn read_snapshot(
+        &self,
+        query: &Query,
+        runtime: &mut impl Runtime,
+    ) -> Result<Outcome, Problem> {
         let follower = record_follower(query, runtime)?;
         check_serving(runtime)?;
         let StoreIdentity { name, epoch } = &self.identity;
@@ -48,7 +52,7 @@
         query: &Query,
         runtime: &mut impl Runtime,
         held_for: Option<Duration>,
-    ) -> Result<Answer, Problem> {
+    ) -> Result<Outcome, Problem> {
         let after = query.number("after", 0, u64::MAX, 0)?;
         let rows = query.rows()?;
         let wait = Duration::from_millis(query.number("wait_ms", 0, MAX_WATCH_WAIT_MS, 0)?);
@@ -70,7 +74,7 @@
             return Err(Problem::new(409, "ahead", detail));
         }
         if after == self.snapshot.revision() && held_for.unwrap_or_default() < wait {
-            return Ok(Answer::Wait(wait));
+            return Ok(Outcome::Wait(wait));
         }
         let all = self.store.entries(after, rows, None).map_err(internal)?;
         // A store that was filled from a snapshot may lack the changes before it.
--- a/crates/admin/src/api/responses.rs
+++ b/crates/admin/src/api/responses.rs
@@ -5,7 +5,7 @@
 use nettleferry_tenancy::Tenant;
 use serde::Serialize;
 
-use crate::message::{Answer, Response};
+use crate::message::{Outcome, Response};
 use crate::problem::Problem;
 
 use super::ports::Runtime;
@@ -27,13 +27,13 @@
 }
 
 /// An answer with a JSON body that is sent now.
-pub(super) fn ready_json(status: u16, body: &impl Serialize) -> Result<Answer, Problem> {
-    json_response(status, body).map(Answer::Ready)
+pub(super) fn ready_json(status: u16, body: &impl Serialize) -> Result<Outcome, Problem> {
+    json_response(status, body).map(Outcome::Ready)
 }
 
 /// An answer with a tenant and its ETag that is sent now.
-pub(super) fn ready_tenant(status: u16, tenant: &Tenant) -> Result<Answer, Problem> {
-    tenant_response(status, tenant).map(Answer::Ready)
+pub(super) fn ready_tenant(status: u16, tenant: &Tenant) -> Result<Outcome, Problem> {
+    tenant_response(status, tenant).map(Outcome::Ready)
 }
 
 /// A response with a tenant and its ETag.
--- a/crates/admin/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -16,6 +16,6 @@
 pub mod routes;
 
 pub use api::{Api, ChangeStore, Runtime};
-pub use message::{Answer, Caller, Request, Response};
+pub use message::{Caller, Outcome, Request, Response};
 pub use problem::Problem;
 pub use routes::Role;
--- a/crates/admin/src/message.rs
+++ b/crates/admin/src/message.rs
@@ -45,7 +45,7 @@
 
 /// The result of handling a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Answer {
+pub enum Outcome {
     /// The response is to be sent now.
     Ready(Response),
     /// A change was committed. The response is to be sent once enough other controllers have persisted the change and,
--- a/crates/admin/src/openapi/mod.rs
+++ b/crates/admin/src/openapi/mod.rs
@@ -59,7 +59,7 @@
             "the tenant's ETag, or *; 412 if the tenant was changed since, 428 if the header is missing";
         parameters.push(json!({ "name": "If-Match", "in": "header", "required": true, "description": description, "schema": { "type": "string" } }));
     }
-    if route.id == "createTenant" {
+    if route.operation_id == "createTenant" {
         let description =
             "a request that is repeated with the same key is not executed again and gets the same response";
         parameters.push(json!({ "name": "Idempotency-Key", "in": "header", "description": description, "schema": { "type": "string", "maxLength": 128 } }));
@@ -70,7 +70,7 @@
     responses.insert(route.status.to_string(), json!({ "description": route.summary, "content": content }));
     responses.insert("default".to_owned(), problem);
     let mut object = json!({
-        "operationId": route.id, "summary": route.summary, "description": format!("Role: {}", json!(route.role).as_str().unwrap_or("")),
+        "operationId": route.operation_id, "summary": route.summary, "description": format!("Role: {}", json!(route.role).as_str().unwrap_or("")),
         "parameters": parameters, "responses": responses,
     });
     if let (Some(body), Value::Object(fields)) = (route.body, &mut object) {
--- a/crates/admin/src/routes.rs
+++ b/crates/admin/src/routes.rs
@@ -110,7 +110,7 @@
     /// The operation that the route executes.
     pub operation: Operation,
     /// The `operationId` in the OpenAPI document.
-    pub id: &'static str,
+    pub operation_id: &'static str,
     /// The summary in the OpenAPI document.
     pub summary: &'static str,
     /// The query parameters that the route accepts.
@@ -157,7 +157,7 @@
 macro_rules! route {
     ($method:literal $path:literal $role:ident $operation:ident $id:literal $summary:literal, $status:literal $response:literal $(, $field:ident: $value:expr)*) => {
         Route { $($field: $value,)* ..Route {
-            method: $method, path: $path, role: Role::$role, operation: Operation::$operation, id: $id, summary: $summary,
+            method: $method, path: $path, role: Role::$role, operation: Operation::$operation, operation_id: $id, summary: $summary,
             query: &[], conditional: false, body: None, response: $response, status: $status,
         } }
     };
--- a/crates/admin/tests/api.rs
+++ b/crates/admin/tests/api.rs
@@ -6,7 +6,7 @@
     Api, ChangeStore, ChangeStoreError, ClockReading, ControllerRevision, ControllerState, LeaseGrant,
     RecoveryPending, Runtime, StoreIdentity, Usage, Worker,
 };
-use nettleferry_admin::{Answer, Caller, Problem, Request, Response, Role, openapi, routes};
+use nettleferry_admin::{Caller, Outcome, Problem, Request, Response, Role, openapi, routes};
 use nettleferry_tenancy::{Entry, IdempotentResponse, Revision, Tenant, TenantSnapshot};
 use serde_json::{Value, json};
 
@@ -158,15 +158,15 @@
         }
     }
 
-    fn send(&mut self, request: Request<'_>, held_for: Option<Duration>) -> Answer {
+    fn send(&mut self, request: Request<'_>, held_for: Option<Duration>) -> Outcome {
         let caller = Caller { name: "ada".to_owned(), role: self.role };
-        self.api.answer(&request, &caller, &mut self.runtime, 1_000, held_for)
+        self.api.handle(&request, &caller, &mut self.runtime, 1_000, held_for)
     }
 
     fn respond(&mut self, request: Request<'_>) -> Response {
         match self.send(request, None) {
-            Answer::Ready(response) | Answer::Committed { response, .. } => response,
-            Answer::Wait(_) => panic!("the response must be ready"),
+            Outcome::Ready(response) | Outcome::Committed { response, .. } => response,
+            Outcome::Wait(_) => panic!("the response must be ready"),
         }
     }
 
@@ -365,18 +365,20 @@
     let watch = |target| Request { method: "GET", target, ..Request::default() };
     assert_eq!(
         fixture.send(watch("/v1/watch?after=2&wait_ms=5000&controller=7"), None),
-        Answer::Wait(Duration::from_secs(5))
+        Outcome::Wait(Duration::from_secs(5))
     );
     assert_eq!(fixture.runtime.states, [(7, 2)]);
     // A held request does not record its state again, but it fails if its incarnation was fenced meanwhile.
     let again = || watch("/v1/watch?after=2&wait_ms=5000&controller=7");
-    assert_eq!(fixture.send(again(), Some(Duration::from_secs(1))), Answer::Wait(Duration::from_secs(5)));
+    assert_eq!(fixture.send(again(), Some(Duration::from_secs(1))), Outcome::Wait(Duration::from_secs(5)));
     assert_eq!(fixture.runtime.states, [(7, 2)]);
     fixture.runtime.fenced = true;
-    let Answer::Ready(fenced) = fixture.send(again(), Some(Duration::from_secs(1))) else { panic!("fenced") };
+    let Outcome::Ready(fenced) = fixture.send(again(), Some(Duration::from_secs(1))) else {
+        panic!("fenced")
+    };
     assert_eq!(fenced.status, 403);
     fixture.runtime.fenced = false;
-    let Answer::Ready(empty) =
+    let Outcome::Ready(empty) =
         fixture.send(watch("/v1/watch?after=2&wait_ms=5000"), Some(Duration::from_secs(5)))
     else {
         panic!("the wait is over")
@@ -466,7 +468,7 @@
             .status;
         assert!(status != 405 && status != 403, "{} {target}: {status}", route.method);
         let operation = &document["paths"][route.path][route.method.to_ascii_lowercase()];
-        assert_eq!(operation["operationId"], route.id);
+        assert_eq!(operation["operationId"], route.operation_id);
         let names = operation["parameters"].as_array().expect("parameters");
         assert!(route.query.iter().all(|known| names.iter().any(|p| p["name"] == known.name)));
         let schema =
@@ -537,7 +539,7 @@
     let mut post = |target| match fixture
         .send(Request { method: "POST", target, if_match: Some("*"), ..Request::default() }, None)
     {
-        Answer::Committed { revision, restricts, .. } => (revision, restricts),
+        Outcome::Committed { revision, restricts, .. } => (revision, restricts),
         other => panic!("{other:?}"),
     };
     assert_eq!(post("/v1/tenants/a/suspend"), (2, true));
--- a/crates/administration/src/leader/server_loop.rs
+++ b/crates/administration/src/leader/server_loop.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use nettleferry_admin::api::{Api, StoreIdentity};
-use nettleferry_admin::{Answer, Caller, Problem, Request};
+use nettleferry_admin::{Caller, Outcome, Problem, Request};
 use nettleferry_fleet::Millis;
 use nettleferry_fleet::lease::expires_at;
 use nettleferry_fleet::membership::Version;
@@ -78,14 +78,14 @@
         let request = api_request(request);
         let now = wall_ms();
         self.context.served.revision = self.api.snapshot().revision();
-        let answer = self.api.answer(&request, caller, &mut self.context, now, held_for);
+        let outcome = self.api.handle(&request, caller, &mut self.context, now, held_for);
         self.install_decision();
         self.publish_changes();
         self.wake_ready_changes();
-        match answer {
-            Answer::Ready(response) => Disposition::Reply(reply(response)),
-            Answer::Wait(span) => Disposition::Wait(span),
-            Answer::Committed { response, revision, restricts } => {
+        match outcome {
+            Outcome::Ready(response) => Disposition::Reply(reply(response)),
+            Outcome::Wait(span) => Disposition::Wait(span),
+            Outcome::Committed { response, revision, restricts } => {
                 let version = Version { epoch: self.context.served.epoch, revision };
                 self.update_own_in_force();
                 let fleet = self.context.members.fleet_state(self.context.now());
--- a/crates/audit-log/src/audit.rs
+++ b/crates/audit-log/src/audit.rs
@@ -193,8 +193,9 @@
             EntryKind::Event { event: Event::Fenced, .. } => {
                 self.explain(who, "it was fenced".to_owned());
             }
-            EntryKind::Gap { lines, why } => {
-                let reason = format!("{lines} entries before entry {} are missing: {why}", entry.number);
+            EntryKind::Gap { entries, reason } => {
+                let number = entry.number;
+                let reason = format!("{entries} entries before entry {number} are missing: {reason}");
                 self.add_gap(Some(who), reason);
             }
             _ => {}
@@ -301,12 +302,12 @@
             incarnation,
             version,
             newer: newer.version,
-            elsewhere: newer.incarnation,
+            newer_incarnation: newer.incarnation,
             certainty: if certain { Certainty::Certain } else { Certainty::Doubtful },
             least_ms,
             most_ms,
             calls,
-            why: self.explanation(incarnation, stage),
+            reason: self.explanation(incarnation, stage),
         })
     }
 
@@ -345,7 +346,7 @@
             action: change.action.clone(),
             certainty: calls.certainty(),
             calls,
-            why: self.explanation(incarnation, stage),
+            reason: self.explanation(incarnation, stage),
         })
     }
 
--- a/crates/audit-log/src/chain.rs
+++ b/crates/audit-log/src/chain.rs
@@ -28,14 +28,14 @@
         number: u64,
     },
     /// An entry declares that entries were lost before it; see [`EntryKind::Gap`].
-    #[error("entry {number} says that {entries} entries are missing: {why}")]
+    #[error("entry {number} says that {entries} entries are missing: {reason}")]
     DeclaredGap {
         /// Number of the declaring entry.
         number: u64,
         /// Number of missing entries.
         entries: u64,
         /// Why they are missing.
-        why: String,
+        reason: String,
     },
     /// The log does not begin with its first entry: the oldest were deleted to bound its size.
     #[error("it begins with entry {first}: the oldest were deleted")]
@@ -68,9 +68,9 @@
             continue;
         };
         checked.errors.extend(previous.as_ref().and_then(|previous| broken_link(previous, &entry)));
-        if let EntryKind::Gap { lines, why } = &entry.kind {
-            let (entries, why) = (*lines, why.clone());
-            checked.errors.push(ChainError::DeclaredGap { number: entry.number, entries, why });
+        if let EntryKind::Gap { entries, reason } = &entry.kind {
+            let (entries, reason) = (*entries, reason.clone());
+            checked.errors.push(ChainError::DeclaredGap { number: entry.number, entries, reason });
         }
         let tail = Tail { number: entry.number, hash: hash(text) };
         checked.tail = Some(tail.clone());
--- a/crates/audit-log/src/entry.rs
+++ b/crates/audit-log/src/entry.rs
@@ -80,8 +80,8 @@
         #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
         orders: BTreeMap<String, u64>,
         /// Calls rejected because the controller had no lease.
-        #[serde(default, skip_serializing_if = "is_zero")]
-        refused: u64,
+        #[serde(rename = "refused", default, skip_serializing_if = "is_zero")]
+        rejected: u64,
     },
     /// A single event that is recorded individually because it is rare or explains a finding.
     #[serde(rename = "one")]
@@ -106,9 +106,11 @@
     /// Entries before this one were dropped.
     Gap {
         /// The number of dropped entries.
-        lines: u64,
-        /// The reason.
-        why: String,
+        #[serde(rename = "lines")]
+        entries: u64,
+        /// Why they were dropped.
+        #[serde(rename = "why")]
+        reason: String,
     },
     /// The leader accepted a change of a tenant.
     Accepted {
--- a/crates/audit-log/src/findings.rs
+++ b/crates/audit-log/src/findings.rs
@@ -83,7 +83,8 @@
     /// The newer version that another controller applied first.
     pub newer: Version,
     /// The incarnation that applied the newer version.
-    pub elsewhere: Incarnation,
+    #[serde(rename = "elsewhere")]
+    pub newer_incarnation: Incarnation,
     /// Whether the finding is certain.
     #[serde(rename = "sure")]
     pub certainty: Certainty,
@@ -94,7 +95,8 @@
     /// The calls that were accepted after the newer version was applied, by tenant.
     pub calls: BTreeMap<String, CallCount>,
     /// The reason, as far as the logs show it.
-    pub why: String,
+    #[serde(rename = "why")]
+    pub reason: String,
 }
 
 /// Calls of a tenant that a controller accepted although the tenant's suspension or removal had been acknowledged as in
@@ -116,7 +118,8 @@
     /// The number of calls.
     pub calls: CallCount,
     /// The reason, as far as the logs show it.
-    pub why: String,
+    #[serde(rename = "why")]
+    pub reason: String,
 }
 
 /// A part of an audit log that can't be evaluated.
--- a/crates/audit-log/src/recorder.rs
+++ b/crates/audit-log/src/recorder.rs
@@ -234,7 +234,7 @@
             calls: self.calls.take(|id| names.tenant(id)),
             attempts: self.attempts.take(|id| names.worker(id)),
             orders: self.orders.take(|id| names.worker(id)),
-            refused: std::mem::take(&mut self.rejected),
+            rejected: std::mem::take(&mut self.rejected),
         };
         self.append_interval(interval, kind);
     }
@@ -247,9 +247,9 @@
             return;
         }
         if self.dropped > 0 {
-            let lines = std::mem::take(&mut self.dropped);
-            let why = "the disk did not take lines fast enough".to_owned();
-            self.push(Interval::at(interval.from), EntryKind::Gap { lines, why });
+            let entries = std::mem::take(&mut self.dropped);
+            let reason = "the disk did not take lines fast enough".to_owned();
+            self.push(Interval::at(interval.from), EntryKind::Gap { entries, reason });
         }
         self.push(interval, kind);
     }
--- a/crates/audit-log/src/view.rs
+++ b/crates/audit-log/src/view.rs
@@ -35,9 +35,11 @@
     /// The number of the last change in the snapshot.
     pub revision: u64,
     /// The version of the worker list, numbered from 1 in each incarnation; 0 if none was loaded.
-    pub list: u64,
+    #[serde(rename = "list")]
+    pub worker_list: u64,
     /// The checksum of the settings file.
-    pub settings: u64,
+    #[serde(rename = "settings")]
+    pub settings_checksum: u64,
     /// The program's version.
     pub program: String,
 }
--- a/crates/audit-log/tests/golden.rs
+++ b/crates/audit-log/tests/golden.rs
@@ -35,19 +35,19 @@
 #[test]
 fn reports_keep_their_fields() {
     let who = Incarnation { controller: 2, incarnation: 9 };
-    let elsewhere = Incarnation { controller: 1, incarnation: 8 };
+    let other = Incarnation { controller: 1, incarnation: 8 };
     let report = Report {
         actors: vec![Actor { incarnation: who, version: (1, 4).into(), from: Some(-3), to: None, calls: 7 }],
         stale_activity: vec![StaleActivity {
             incarnation: who,
             version: (1, 4).into(),
             newer: (1, 5).into(),
-            elsewhere,
+            newer_incarnation: other,
             certainty: Certainty::Certain,
             least_ms: 10,
             most_ms: 30,
             calls: [("morava".to_owned(), CallCount { certain: 1, possible: 2 })].into(),
-            why: "w".to_owned(),
+            reason: "w".to_owned(),
         }],
         late_calls: vec![LateCalls {
             incarnation: who,
@@ -56,9 +56,9 @@
             action: "suspend".to_owned(),
             certainty: Certainty::Doubtful,
             calls: CallCount { certain: 0, possible: 2 },
-            why: "w".to_owned(),
+            reason: "w".to_owned(),
         }],
-        forks: vec![Fork { epochs: vec![1, 2], sides: vec![elsewhere, who] }],
+        forks: vec![Fork { epochs: vec![1, 2], sides: vec![other, who] }],
         gaps: vec![
             Gap { incarnation: None, reason: "a".to_owned() },
             Gap { incarnation: Some(who), reason: "b".to_owned() },
--- a/crates/config/src/form/mod.rs
+++ b/crates/config/src/form/mod.rs
@@ -108,7 +108,7 @@
         };
         let found = keywords.iter().find(|(w, _)| *w == text).map(|(_, v)| *v);
         if found.is_none() {
-            let hint = nearest(&text, keywords.iter().map(|(w, _)| *w));
+            let hint = suggestion(&text, keywords.iter().map(|(w, _)| *w));
             self.source.error(span, format!("{what} is one of {}{hint}", all()));
         }
         found
@@ -212,7 +212,7 @@
             match item {
                 Node::List { items, span } => match items.first() {
                     Some(Node::Atom { text, .. }) => {
-                        let hint = nearest(text, self.known_keys.iter().copied());
+                        let hint = suggestion(text, self.known_keys.iter().copied());
                         self.source.error(*span, format!("{} has no key ({text} ...){hint}", self.name));
                     }
                     _ => self.source.error(*span, format!("{}: a list begins with its key", self.name)),
@@ -226,7 +226,7 @@
 }
 
 /// Returns the suggestion ": did you mean x?" with the most similar of `words`, or an empty string if none is similar.
-pub fn nearest<'a>(text: &str, words: impl Iterator<Item = &'a str>) -> String {
+pub fn suggestion<'a>(text: &str, words: impl Iterator<Item = &'a str>) -> String {
     let nearest = words
         .map(|word| (strsim::damerau_levenshtein(text, word), word))
         .filter(|(distance, word)| *distance <= (word.len() / 3).max(1))
--- a/crates/config/src/settings/models.rs
+++ b/crates/config/src/settings/models.rs
@@ -4,7 +4,7 @@
 
 use nettleferry::{ClassId, Micros};
 
-use crate::form::{Bytes, Form, TimeSpan, nearest};
+use crate::form::{Bytes, Form, TimeSpan, suggestion};
 
 /// The maximum number of models in a file.
 pub const MAX_MODELS: usize = 100_000;
@@ -147,7 +147,7 @@
     let class: Option<String> = form.required("class");
     let found = class.as_ref().and_then(|class| classes.iter().position(|known| known == class));
     if let (Some(class), None) = (&class, found) {
-        let hint = nearest(class, classes.iter().map(String::as_str));
+        let hint = suggestion(class, classes.iter().map(String::as_str));
         form.error(format!("model {model}: there is no class {class}{hint}"));
     }
     ClassId(found.unwrap_or(0))
--- a/crates/gateway/src/commands/fleet/audit_text.rs
+++ b/crates/gateway/src/commands/fleet/audit_text.rs
@@ -65,8 +65,8 @@
         incarnation(found.incarnation),
         found.version.revision,
         found.newer.revision,
-        incarnation(found.elsewhere),
-        found.why
+        incarnation(found.newer_incarnation),
+        found.reason
     )];
     let calls = found.calls.iter().filter(|(tenant, _)| filter.shows_tenant(tenant));
     lines.extend(calls.map(|(tenant, count)| format!("    {} calls of {tenant}", range(*count))));
@@ -82,7 +82,7 @@
         incarnation(found.incarnation),
         found.action,
         found.change.revision,
-        found.why
+        found.reason
     )
 }
 
--- a/crates/gateway/src/controller/audit.rs
+++ b/crates/gateway/src/controller/audit.rs
@@ -37,8 +37,8 @@
             store: self.snapshot_source.store.clone(),
             epoch: self.snapshot_source.epoch,
             revision: self.tenants.as_ref().map_or(0, Tenants::revision),
-            list: self.list_version,
-            settings: self.config.checksum,
+            worker_list: self.list_version,
+            settings_checksum: self.config.checksum,
             program: env!("CARGO_PKG_VERSION").to_owned(),
         };
         self.record(|recorder, now, names| recorder.view_applied(now, view, names));
--- a/crates/scale/src/settings.rs
+++ b/crates/scale/src/settings.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use nettleferry_config::Errors;
-use nettleferry_config::form::{Bytes, Form, Source, TimeSpan, nearest};
+use nettleferry_config::form::{Bytes, Form, Source, TimeSpan, suggestion};
 
 use crate::capacity::Capacity;
 use crate::fit::FEWEST_SIZES;
@@ -183,7 +183,7 @@
     }
     let Some(measure) = measures.iter().find(|measure| measure.name() == subject.name()) else {
         let names = || measures.iter().map(|measure| measure.name());
-        let hint = nearest(subject.name(), names());
+        let hint = suggestion(subject.name(), names());
         let all = names().collect::<Vec<_>>().join(", ");
         subject.error(format!("this file measures {all}, not {}{hint}", subject.name()));
         return None;
--- a/crates/scenario/src/script.rs
+++ b/crates/scenario/src/script.rs
@@ -436,7 +436,7 @@
         "cut-after" => FaultKind::CutAfter(form.required("messages")?),
         "half-frame" => FaultKind::HalfFrame,
         other => {
-            let hint = nettleferry_config::form::nearest(other, FAULT_NAMES.into_iter());
+            let hint = nettleferry_config::form::suggestion(other, FAULT_NAMES.into_iter());
             form.error(format!("there is no trouble {other}{hint}"));
             return None;
         }
