--- a/crates/admin/src/api/changes.rs
+++ b/crates/admin/src/api/changes.rs
@@ -1,5 +1,5 @@
-//! Operations that change tenants, under the condition of If-Match. A creation with an idempotency key is executed
-//! only once.
+//! Operations that change tenants. All but the creation require an If-Match header; a creation with an idempotency key
+//! is executed only once.
 
 use nettleferry_tenancy::{Applied, Change, Condition, IdempotentResponse};
 use serde_json::Value;
@@ -15,7 +15,7 @@
 use super::responses::{JSON, MERGE_PATCH, check_serving, internal, tenant_response};
 
 impl<S: ChangeStore> Api<S> {
-    /// Creates a tenant.
+    /// Creates the tenant that the request's body describes.
     pub(super) fn create_tenant(
         &mut self,
         invocation: &Invocation<'_>,
@@ -65,8 +65,8 @@
         self.change(invocation, &Change::Resume { name: invocation.name.to_owned() }, runtime)
     }
 
-    /// Commits a change and applies it to the snapshot. A dry run commits nothing, and returns the tenant as it would be
-    /// with status 200.
+    /// Commits a change and applies it to the snapshot. A dry run commits nothing and responds with status 200 and the
+    /// tenant as the change would leave it.
     fn change(
         &mut self,
         invocation: &Invocation<'_>,
@@ -84,18 +84,19 @@
         let key = idempotency_key(invocation, dry_run)?;
         let fingerprint = fingerprint(invocation.request.body);
         if let Some(key) = &key
-            && let Some(before) = self.store.stored_response(key).map_err(internal)?
+            && let Some(stored) = self.store.stored_response(key).map_err(internal)?
         {
-            return repeated_response(before, fingerprint);
+            return repeated_response(stored, fingerprint);
         }
         let Applied { tenant: after, entry } =
             self.snapshot.evaluate(change, condition, &invocation.caller.name, invocation.now)?;
-        let after = after.ok_or_else(|| internal("a change left no tenant"))?;
+        let after = after.ok_or_else(|| internal("the evaluated change has no resulting tenant"))?;
         let response = tenant_response(invocation.route.status, &after)?;
         if dry_run {
             return Ok(Outcome::Ready(Response { status: 200, ..response }));
         }
-        // Nothing was changed. The response still waits until every controller acts on the tenant's current state.
+        // The tenant is in the requested state already. The response still waits until every controller acts on that
+        // state.
         let Some(entry) = entry else {
             return Ok(Outcome::Committed { response, revision: after.revision, restricts: true });
         };
@@ -106,7 +107,11 @@
         let committed =
             self.store.commit(&entry, keyed_response.as_ref().map(|(key, response)| (*key, response)));
         committed.map_err(|error| {
-            Problem::new(503, "not-kept", format!("the change was not kept, and has not happened: {error}"))
+            Problem::new(
+                503,
+                "not-kept",
+                format!("the change could not be stored and has no effect: {error}"),
+            )
         })?;
         self.snapshot.apply(&entry).map_err(internal)?;
         Ok(Outcome::Committed { response, revision: entry.revision, restricts: entry.restricts() })
@@ -117,9 +122,10 @@
 fn idempotency_key(invocation: &Invocation<'_>, dry_run: bool) -> Result<Option<String>, Problem> {
     let creates = invocation.route.operation == Operation::CreateTenant;
     match invocation.request.idempotency_key.filter(|_| creates && !dry_run) {
-        Some(key) if key.is_empty() || key.len() > MAX_IDEMPOTENCY_KEY_BYTES => {
-            Err(Problem::field("Idempotency-Key", format!("1 to {MAX_IDEMPOTENCY_KEY_BYTES} bytes")))
-        }
+        Some(key) if key.is_empty() || key.len() > MAX_IDEMPOTENCY_KEY_BYTES => Err(Problem::field(
+            "Idempotency-Key",
+            format!("must have 1 to {MAX_IDEMPOTENCY_KEY_BYTES} bytes, but has {}", key.len()),
+        )),
         // The caller's name is part of the key, so that callers can't use each other's keys.
         Some(key) => Ok(Some(format!("{}/{key}", invocation.caller.name))),
         None => Ok(None),
@@ -131,33 +137,35 @@
     u64::from(crc32fast::hash(body)) << 32 | body.len() as u64
 }
 
-/// The stored response to an earlier request with the same key. Fails if that request had another body.
-fn repeated_response(before: IdempotentResponse, fingerprint: u64) -> Result<Outcome, Problem> {
-    if before.fingerprint != fingerprint {
-        let detail = "this Idempotency-Key came before with another body";
+/// The stored response to an earlier request with the same idempotency key. Fails if that request had another body.
+fn repeated_response(stored: IdempotentResponse, fingerprint: u64) -> Result<Outcome, Problem> {
+    if stored.fingerprint != fingerprint {
+        let detail = "this Idempotency-Key was used before with another body";
         return Err(Problem {
             field: Some("Idempotency-Key".to_owned()),
             ..Problem::new(422, "key-reused", detail)
         });
     }
     let headers =
-        vec![("ETag", format!("\"{}\"", before.revision)), ("Idempotency-Replayed", "true".to_owned())];
-    let response = Response { status: before.status, content_type: JSON, headers, body: before.body };
-    Ok(Outcome::Committed { response, revision: before.revision, restricts: true })
+        vec![("ETag", format!("\"{}\"", stored.revision)), ("Idempotency-Replayed", "true".to_owned())];
+    let response = Response { status: stored.status, content_type: JSON, headers, body: stored.body };
+    Ok(Outcome::Committed { response, revision: stored.revision, restricts: true })
 }
 
 /// The condition in an If-Match header, which is required.
 fn condition(if_match: Option<&str>) -> Result<Condition, Problem> {
     let Some(tag) = if_match else {
-        let detail = "send If-Match with the tenant's ETag, or * to change it whatever it is";
+        let detail = "the If-Match header is missing: send the tenant's ETag, or * to change any revision";
         return Err(Problem::new(428, "condition-wanted", detail));
     };
     if tag.trim() == "*" {
         return Ok(Condition::Any);
     }
     let number = tag.trim().strip_prefix('"').and_then(|t| t.strip_suffix('"')).and_then(|t| t.parse().ok());
-    let invalid_tag =
-        || Problem { status: 400, ..Problem::field("If-Match", "one ETag in quotes, such as \"17\", or *") };
+    let invalid_tag = || Problem {
+        status: 400,
+        ..Problem::field("If-Match", "must be one ETag in quotes, such as \"17\", or *")
+    };
     number.map(Condition::AtRevision).ok_or_else(invalid_tag)
 }
 
@@ -165,11 +173,11 @@
 fn new_tenant(request: &Request<'_>) -> Result<(String, Value), Problem> {
     expect_content_type(request, &[JSON])?;
     let Value::Object(mut body) = json_body(request.body)? else {
-        return Err(Problem::field("the body", "a JSON object with the tenant's name"));
+        return Err(Problem::field("the body", "must be a JSON object with the tenant's name"));
     };
     match body.remove("name") {
         Some(Value::String(name)) => Ok((name, Value::Object(body))),
-        Some(_) => Err(Problem::field("name", "is to be a string")),
+        Some(_) => Err(Problem::field("name", "must be a string")),
         None => Err(Problem::field("name", "is missing")),
     }
 }
--- a/crates/admin/src/api/invocation.rs
+++ b/crates/admin/src/api/invocation.rs
@@ -25,12 +25,15 @@
     if request.content_type.is_some_and(|content_type| accepted.contains(&content_type)) {
         return Ok(());
     }
-    let detail = format!("Content-Type is to be {}", accepted.join(" or "));
+    let actual = request.content_type.unwrap_or("missing");
+    let detail = format!("Content-Type must be {}, but is {actual}", accepted.join(" or "));
     Err(Problem { field: Some("Content-Type".to_owned()), ..Problem::new(415, "media-type", detail) })
 }
 
 /// Parses a body as JSON.
 pub(super) fn json_body(body: &[u8]) -> Result<Value, Problem> {
-    serde_json::from_slice(body)
-        .map_err(|e| Problem { status: 400, ..Problem::field("the body", format!("no JSON: {e}")) })
+    serde_json::from_slice(body).map_err(|error| Problem {
+        status: 400,
+        ..Problem::field("the body", format!("is not valid JSON: {error}"))
+    })
 }
--- a/crates/admin/src/api/mod.rs
+++ b/crates/admin/src/api/mod.rs
@@ -69,7 +69,7 @@
         &self.identity
     }
 
-    /// The store, for operations that are not part of the API.
+    /// The store, for operations that the API does not offer.
     pub fn store(&mut self) -> &mut S {
         &mut self.store
     }
@@ -96,8 +96,8 @@
         all
     }
 
-    /// Handles a request. `held_for` is `None` for a new request. For one that was answered with [`Outcome::Wait`] before,
-    /// it is the time since the request arrived.
+    /// Handles a request. `held_for` is `None` for a new request. For a request whose previous outcome was
+    /// [`Outcome::Wait`], it is the time since the request arrived.
     pub fn handle(
         &mut self,
         request: &Request<'_>,
@@ -110,13 +110,16 @@
         let found = match find(request.method, path) {
             RouteMatch::Route(route, name) => Ok((route, name)),
             RouteMatch::OtherMethods(methods) => return Outcome::Ready(method_not_allowed(&methods)),
-            RouteMatch::NoSuchPath => {
-                Err(Problem::new(404, "no-such-path", format!("there is no {path}; see /v1/openapi.json")))
-            }
+            RouteMatch::NoSuchPath => Err(Problem::new(
+                404,
+                "no-such-path",
+                format!("no route has the path {path}; see /v1/openapi.json"),
+            )),
         };
         let outcome = found.and_then(|(route, name)| {
             if !is_permitted(route, caller) {
-                let detail = format!("the key {} may not {}", caller.name, route.operation_id);
+                let detail =
+                    format!("the role of key {} does not permit {}", caller.name, route.operation_id);
                 return Err(Problem::new(403, "forbidden", detail));
             }
             let query = Query::read(query, route)?;
@@ -156,7 +159,7 @@
             Operation::ReadAuditLogs => self.read_audit_logs(query, runtime),
             Operation::ReadChange => self.read_change(query, runtime),
             Operation::ReadDocument => ready_json(200, &openapi::document()),
-            Operation::Watch => Err(internal("a watch is answered elsewhere")),
+            Operation::Watch => Err(internal("watch was dispatched as an operation that never waits")),
             Operation::CreateTenant => self.create_tenant(invocation, runtime),
             Operation::ChangeTenant => self.patch_tenant(invocation, runtime),
             Operation::RemoveTenant => self.remove_tenant(invocation, runtime),
@@ -169,7 +172,7 @@
 /// Whether the caller's role permits the route.
 fn is_permitted(route: &Route, caller: &Caller) -> bool {
     match route.role {
-        // Every role may read what controllers read, but only a controller or an admin may send reports of a controller.
+        // Every role may read what controllers read, but only a controller or an admin may send a controller's reports.
         Role::Controller if route.method == "GET" => true,
         Role::Controller => matches!(caller.role, Role::Controller | Role::Admin),
         least => caller.role >= least,
--- a/crates/admin/src/api/ports.rs
+++ b/crates/admin/src/api/ports.rs
@@ -29,7 +29,7 @@
         entry: &Entry,
         idempotent: Option<(&str, &IdempotentResponse)>,
     ) -> Result<(), ChangeStoreError>;
-    /// The response that is stored under an idempotency key; `None` if there is none.
+    /// The response that is stored under an idempotency key; `None` for an unknown key.
     fn stored_response(&self, key: &str) -> Result<Option<IdempotentResponse>, ChangeStoreError>;
     /// At most `limit` changes after a revision, in order, optionally of one tenant only.
     fn entries(
@@ -43,16 +43,16 @@
 /// The identity of a tenant store. A restore keeps the name and increases the epoch.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoreIdentity {
-    /// The store's name, which is random.
+    /// The store's name, a random identifier.
     pub name: String,
-    /// The store's epoch.
+    /// The number of the store's epoch, which a restore increases.
     pub epoch: u64,
 }
 
 /// A tenant's use of one controller: open calls now, and counts of calls since the controller's start.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Usage {
-    /// The tenant's name.
+    /// The name of the tenant.
     pub tenant: String,
     /// The tenant's uid, which distinguishes tenants of the same name.
     pub uid: Revision,
@@ -62,13 +62,13 @@
     pub held_calls: u32,
     /// Memory of the models in use, in bytes.
     pub loaded_memory_bytes: u64,
-    /// Calls admitted.
+    /// Calls admitted since the controller's start.
     pub admitted: u64,
-    /// Calls rejected by admission control.
+    /// Calls rejected by admission control since the controller's start.
     pub refused: u64,
     /// Open calls by class.
     pub open_by_class: BTreeMap<String, u32>,
-    /// Ended calls by final answer.
+    /// Calls ended since the controller's start, by final answer.
     pub ends: BTreeMap<String, u64>,
 }
 
@@ -87,7 +87,7 @@
     pub drained: bool,
 }
 
-/// A controller and the revision that it runs.
+/// A controller and the revision that is in force at it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ControllerRevision {
     /// The controller's number.
@@ -124,7 +124,7 @@
 /// A lease on the snapshot that the follower has after this response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseGrant {
-    /// How long the follower may act on the snapshot, in milliseconds.
+    /// The time for which the follower may act on the snapshot, in milliseconds.
     pub duration_ms: u64,
     /// The fencing token of the follower's incarnation; later incarnations have higher ones.
     pub fencing_token: u64,
@@ -139,7 +139,7 @@
     pub at_ms: u64,
 }
 
-/// The fleet has not agreed on the authoritative snapshot yet, so that none may be returned or changed.
+/// The error while the fleet has not agreed on the authoritative snapshot: none may be returned or changed until then.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error(
     "the fleet has not agreed on a snapshot yet ({cause}; {responded} controllers have responded, {expected} are expected): see GET /v1/fleet"
@@ -159,8 +159,8 @@
     fn usage(&self, tenant: &Tenant) -> Usage;
     /// All workers that the controller knows, by name.
     fn workers(&self) -> Vec<Worker>;
-    /// Drains a worker by hand, or ends such a drain so that the worker list decides again. Returns false if there is no
-    /// worker of this name.
+    /// Drains a worker by hand, or ends such a drain so that the worker list determines its state again. Returns false
+    /// if no worker has this name.
     fn set_drained(&mut self, worker: &str, drained: bool) -> bool;
     /// All known controllers, by number.
     fn controllers(&self) -> Vec<ControllerRevision>;
@@ -196,11 +196,11 @@
     /// # Errors
     /// Returns a problem if audit logs are not collected here.
     fn append_audit_entries(&mut self, controller: u32, entries: Vec<String>) -> Result<u64, Problem>;
-    /// Without an owner, a list of the collected audit logs. With one, at most `limit` entries of the owner's log from the
-    /// index `from` on.
+    /// Without an owner, a list of the collected audit logs. With one, at most `limit` entries of the owner's log from
+    /// the index `from` on.
     ///
     /// # Errors
-    /// Returns a problem if there is no log of that owner.
+    /// Returns a problem if no log of this owner was collected.
     fn audit_logs(&self, owner: Option<&str>, from: u64, limit: usize) -> Result<Value, Problem>;
     /// The progress of a change: how many controllers have persisted it, and which ones may still act without it.
     fn change_progress(&self, revision: Revision) -> Value;
@@ -211,8 +211,8 @@
     fn check_serving(&self) -> Result<(), RecoveryPending>;
     /// The state of the fleet, as far as this controller knows it.
     fn fleet_status(&self) -> Value;
-    /// Makes the snapshot that an operator chose the authoritative one. `choice` is `own` for this controller's snapshot,
-    /// or the number of another controller. A dry run only returns the differences.
+    /// Makes the snapshot that an operator chose the authoritative one. `choice` is `own` for this controller's
+    /// snapshot, or the number of another controller. A dry run only returns the differences.
     ///
     /// # Errors
     /// Returns a problem if the choice is invalid or there is no such snapshot.
--- a/crates/admin/src/api/query.rs
+++ b/crates/admin/src/api/query.rs
@@ -19,7 +19,7 @@
                 return Err(Problem::field(&*name, format!("no such query parameter; known here: {known}")));
             }
             if all.iter().any(|(n, _)| *n == name) {
-                return Err(Problem::field(&*name, "given twice"));
+                return Err(Problem::field(&*name, "is given more than once"));
             }
             all.push((name.into_owned(), value.into_owned()));
         }
@@ -35,16 +35,18 @@
     pub(super) fn number(&self, name: &str, min: u64, max: u64, default: u64) -> Result<u64, Problem> {
         let Some(text) = self.text(name) else { return Ok(default) };
         let number = text.parse().ok().filter(|n| (min..=max).contains(n));
-        number.ok_or_else(|| Problem::field(name, format!("a whole number from {min} to {max}")))
+        number.ok_or_else(|| {
+            Problem::field(name, format!("must be a whole number from {min} to {max}, but is {text}"))
+        })
     }
 
-    /// The required parameter `controller`.
+    /// The parameter `controller`, a controller's number. Fails if the request omits it.
     pub(super) fn controller(&self) -> Result<u32, Problem> {
         let number = self.number("controller", 0, u64::from(u32::MAX), u64::MAX)?;
-        u32::try_from(number).map_err(|_| Problem::field("controller", "the number of the controller"))
+        u32::try_from(number).map_err(|_| Problem::field("controller", "must be the number of a controller"))
     }
 
-    /// The number of rows of a page, as the parameter `limit` says.
+    /// The maximum number of rows of a page: the parameter `limit`, or [`DEFAULT_PAGE_ROWS`] without it.
     pub(super) fn rows(&self) -> Result<usize, Problem> {
         Ok(self.number("limit", 1, MAX_PAGE_ROWS as u64, DEFAULT_PAGE_ROWS as u64)? as usize)
     }
@@ -54,7 +56,7 @@
         match self.text("dry_run") {
             None | Some("false") => Ok(false),
             Some("true") => Ok(true),
-            Some(_) => Err(Problem::field("dry_run", "true or false")),
+            Some(other) => Err(Problem::field("dry_run", format!("must be true or false, but is {other}"))),
         }
     }
 }
--- a/crates/admin/src/api/reads.rs
+++ b/crates/admin/src/api/reads.rs
@@ -14,7 +14,7 @@
 use super::responses::{JSON, check_serving, internal, next_cursor, ready_json};
 
 impl<S: ChangeStore> Api<S> {
-    /// The tenant of a name, or the problem that there is none.
+    /// The tenant with this name. Fails if it does not exist.
     pub(super) fn existing_tenant(&self, name: &str) -> Result<Tenant, Problem> {
         self.snapshot.get(name).cloned().ok_or_else(|| Denied::Unknown(name.to_owned()).into())
     }
@@ -43,13 +43,13 @@
         ready_json(200, &json!({ "entries": all, "next": next }))
     }
 
-    /// Returns all controllers and the revisions that they run.
+    /// Returns all controllers and the revision that is in force at each.
     pub(super) fn list_controllers(&self, runtime: &impl Runtime) -> Result<Outcome, Problem> {
         let revision = self.snapshot.revision();
         ready_json(200, &json!({ "controllers": runtime.controllers(), "revision": revision }))
     }
 
-    /// Returns the progress of a change: the one that the request names, or the last one.
+    /// Returns the progress of the change that the request names; the last change if it names none.
     pub(super) fn read_change(&self, query: &Query, runtime: &impl Runtime) -> Result<Outcome, Problem> {
         let revision = query.number("revision", 0, u64::MAX, self.snapshot.revision())?;
         ready_json(200, &runtime.change_progress(revision))
@@ -77,7 +77,7 @@
         ready_json(200, &runtime.recover(&self.snapshot, choice, query.dry_run()?)?)
     }
 
-    /// Drains a worker by hand, or ends such a drain so that the worker list decides again.
+    /// Drains a worker by hand, or ends such a drain so that the worker list determines its state again.
     pub(super) fn set_drained(
         &self,
         name: &str,
@@ -101,7 +101,7 @@
         let number = invocation.query.controller()?;
         expect_content_type(invocation.request, &[JSON])?;
         let entries: Vec<String> = serde_json::from_value(json_body(invocation.request.body)?)
-            .map_err(|e| Problem::field("the body", format!("an array of lines: {e}")))?;
+            .map_err(|error| Problem::field("the body", format!("must be an array of strings: {error}")))?;
         ready_json(200, &json!({ "last": runtime.append_audit_entries(number, entries)? }))
     }
 
--- a/crates/admin/src/api/replication.rs
+++ b/crates/admin/src/api/replication.rs
@@ -45,8 +45,8 @@
         ready_json(200, &body)
     }
 
-    /// Returns the entries after a revision. A follower gets a lease if it has the newest snapshot after that. If there are
-    /// no entries yet, the request waits for one, at most for the time that it states.
+    /// Returns the entries after a revision. A follower that has the newest snapshot once it has applied them also gets
+    /// a lease. If there are no entries yet, the request waits for one, at most for its parameter `wait_ms`.
     pub(super) fn watch(
         &self,
         query: &Query,
@@ -66,20 +66,26 @@
         if query.text("store").is_some_and(|store| store != self.identity.name)
             || epoch != self.identity.epoch
         {
-            return Err(Problem::new(410, "another-store", "this is another store: take the snapshot"));
+            return Err(Problem::new(
+                410,
+                "another-store",
+                "the revision belongs to another store or epoch: request /v1/snapshot",
+            ));
         }
         if after > self.snapshot.revision() {
             let detail =
-                format!("revision {after} is not there; the last one is {}", self.snapshot.revision());
+                format!("revision {after} does not exist yet: the last one is {}", self.snapshot.revision());
             return Err(Problem::new(409, "ahead", detail));
         }
         if after == self.snapshot.revision() && held_for.unwrap_or_default() < wait {
             return Ok(Outcome::Wait(wait));
         }
         let all = self.store.entries(after, rows, None).map_err(internal)?;
-        // A store that was filled from a snapshot may lack the changes before it.
+        // A store that was filled from a snapshot may lack the changes before that snapshot.
         if all.first().is_some_and(|entry| entry.revision != after + 1) {
-            return Err(Problem::new(410, "too-old", "changes so old are not kept: take the snapshot"));
+            let detail =
+                format!("the store no longer has all changes after revision {after}: request /v1/snapshot");
+            return Err(Problem::new(410, "too-old", detail));
         }
         let next = next_cursor(&all, rows, |e| e.revision);
         // A lease covers the newest snapshot only, so a follower that still lacks a change gets none.
@@ -114,7 +120,8 @@
     Ok(Some(Follower { number, incarnation }))
 }
 
-/// The follower that sent a request whose state was recorded before. Fails if it was fenced or has ended since.
+/// The follower that sent a held request, whose state was recorded on arrival. Fails if the follower's incarnation was
+/// fenced or has ended since.
 fn check_follower(query: &Query, runtime: &impl Runtime) -> Result<Option<Follower>, Problem> {
     let follower = follower(query)?;
     if let Some(Follower { number, incarnation }) = follower {
--- a/crates/admin/src/api/responses.rs
+++ b/crates/admin/src/api/responses.rs
@@ -26,12 +26,12 @@
     Ok(Response { status, content_type: JSON, headers: Vec::new(), body })
 }
 
-/// An answer with a JSON body that is sent now.
+/// The outcome of an operation that responds at once with a JSON body.
 pub(super) fn ready_json(status: u16, body: &impl Serialize) -> Result<Outcome, Problem> {
     json_response(status, body).map(Outcome::Ready)
 }
 
-/// An answer with a tenant and its ETag that is sent now.
+/// The outcome of an operation that responds at once with a tenant and its ETag.
 pub(super) fn ready_tenant(status: u16, tenant: &Tenant) -> Result<Outcome, Problem> {
     tenant_response(status, tenant).map(Outcome::Ready)
 }
@@ -45,7 +45,7 @@
 
 /// The response to a method that the path does not support.
 pub(super) fn method_not_allowed(methods: &[&'static str]) -> Response {
-    let detail = format!("{} is answered here", methods.join(", "));
+    let detail = format!("this path supports only {}", methods.join(", "));
     let mut response = Problem::new(405, "method-not-allowed", detail).response();
     response.headers.push(("Allow", methods.join(", ")));
     response
--- a/crates/admin/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -2,7 +2,7 @@
 //! tenants and the state of the running controller.
 //!
 //! This crate implements the semantics of HTTP (RFC 9110: ETag and If-Match; RFC 9457: problem details; RFC 7396: merge
-//! patch). It must not depend on sockets, files, the verification of keys, or calls.
+//! patch). It must not depend on sockets, files, the verification of API keys, or the handling of calls.
 //!
 //! * [`routes`]: the table of routes and their roles. [`api`]: the operations. [`problem`]: errors as problem details.
 //! * [`message`]: requests and responses. [`openapi`]: the OpenAPI document, generated from the same table.
--- a/crates/admin/src/message.rs
+++ b/crates/admin/src/message.rs
@@ -22,20 +22,20 @@
     pub target: &'a str,
     /// The Content-Type header, without parameters.
     pub content_type: Option<&'a str>,
-    /// The If-Match header.
+    /// The value of the If-Match header.
     pub if_match: Option<&'a str>,
-    /// The Idempotency-Key header.
+    /// The value of the Idempotency-Key header.
     pub idempotency_key: Option<&'a str>,
-    /// The body; empty if there is none.
+    /// The body; empty for a request without one.
     pub body: &'a [u8],
 }
 
-/// An HTTP response.
+/// An HTTP response of the API.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Response {
     /// The HTTP status code.
     pub status: u16,
-    /// The Content-Type header.
+    /// The value of the Content-Type header.
     pub content_type: &'static str,
     /// All other headers, as names and values.
     pub headers: Vec<(&'static str, String)>,
@@ -46,7 +46,7 @@
 /// The result of handling a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The response is to be sent now.
+    /// The request is complete: the response is to be sent now.
     Ready(Response),
     /// A change was committed. The response is to be sent once enough other controllers have persisted the change and,
     /// if the change is restrictive, once no controller acts on the state before it.
@@ -58,7 +58,7 @@
         /// Whether the change withdraws a right or a share from a tenant.
         restricts: bool,
     },
-    /// There are no changes to return yet. The request is to be handled again when the snapshot has changed, or when this
-    /// time has passed since its arrival.
+    /// The request is a long poll and there are no changes to return yet. It is to be handled again when the snapshot
+    /// has changed, or when this time has passed since its arrival.
     Wait(Duration),
 }
--- a/crates/admin/src/openapi/builders.rs
+++ b/crates/admin/src/openapi/builders.rs
@@ -22,7 +22,7 @@
     json!({ "type": ["integer", "null"], "minimum": 0, "description": description })
 }
 
-/// A string.
+/// A string without restrictions.
 pub(super) fn text(description: &str) -> Value {
     json!({ "type": "string", "description": description })
 }
--- a/crates/admin/src/openapi/mod.rs
+++ b/crates/admin/src/openapi/mod.rs
@@ -83,7 +83,7 @@
     object
 }
 
-/// The OpenAPI document.
+/// Generates the OpenAPI document from [`ROUTES`].
 pub fn document() -> Value {
     let mut paths: Map<String, Value> = Map::new();
     for route in ROUTES {
--- a/crates/admin/src/openapi/reports.rs
+++ b/crates/admin/src/openapi/reports.rs
@@ -1,4 +1,4 @@
-//! Schemas of the reports of controllers: entries of their audit logs, and their demand of limits.
+//! Schemas of the reports of controllers: entries of their audit logs, and their demand for limits.
 
 use serde_json::{Value, json};
 
@@ -10,7 +10,7 @@
         "Lines": { "type": "array", "items": { "type": "string" }, "description": "lines of an audit log, each exactly as it was written and hashed" },
         "Delivered": object(&["last"], json!({ "last": integer("number of the last line that is stored") })),
         "Records": { "type": "object", "required": ["by"], "properties": {
-            "by": integer("incarnation of the administration, on whose clock all times are"),
+            "by": integer("incarnation of the administration, whose clock all times refer to"),
             "records": { "type": "array", "items": { "type": "object" }, "description": "of: owner of the log, lines: number of stored lines, last: number of the last line" },
             "lines": reference("Lines"), "next": { "type": ["integer", "null"], "description": "`from` of the next page; null on the last page" },
         } },
--- a/crates/admin/src/openapi/tenants.rs
+++ b/crates/admin/src/openapi/tenants.rs
@@ -7,7 +7,7 @@
 /// The properties of a tenant that requests can set.
 fn tenant_settings() -> Map<String, Value> {
     let rate = json!({ "type": ["number", "null"], "minimum": 0, "maximum": 1e7, "description": "calls per second" });
-    let burst = json!({ "type": ["integer", "null"], "minimum": 1, "description": "calls that may be admitted at once, beyond the rate" });
+    let burst = json!({ "type": ["integer", "null"], "minimum": 1, "description": "number of calls that may be admitted at once in excess of the rate" });
     let limits = json!({
         "type": "object", "additionalProperties": false, "description": "limits in the whole installation; an absent limit does not apply",
         "properties": {
--- a/crates/admin/src/problem.rs
+++ b/crates/admin/src/problem.rs
@@ -15,7 +15,7 @@
     pub status: u16,
     /// The kind of the problem. The `type` member of the response is `/problems/` followed by the kind.
     pub kind: &'static str,
-    /// What happened, and how the request can be corrected.
+    /// A description of the error and of how the request can be corrected.
     pub detail: String,
     /// The invalid field, header or parameter, if the problem is about one.
     pub field: Option<String>,
--- a/crates/admin/src/routes.rs
+++ b/crates/admin/src/routes.rs
@@ -3,13 +3,13 @@
 
 use serde::{Deserialize, Serialize};
 
-/// What the holder of an API key may do. Operators may do all that viewers may, and admins may do everything.
+/// The rights that an API key grants. Operators may do all that viewers may, and admins may do everything.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
     /// For followers: reads the snapshot and the changes, and sends reports.
     Controller,
-    /// Reads everything.
+    /// Reads all tenants, usage, workers, logs and the state of the fleet.
     Viewer,
     /// Also suspends and resumes tenants, drains workers, and fences controllers.
     Operator,
@@ -18,7 +18,7 @@
 }
 
 impl Role {
-    /// The role of a name in the settings; `None` if there is none.
+    /// The role with this name in the settings; `None` if no role has it.
     pub fn named(name: &str) -> Option<Self> {
         Some(match name {
             "controller" => Self::Controller,
@@ -55,11 +55,11 @@
     ListAudit,
     /// Lists all workers.
     ListWorkers,
-    /// Drains a worker by hand.
+    /// Drains a worker by hand: this controller assigns nothing new to it, whatever the worker list says.
     DrainWorker,
-    /// Ends a drain by hand, so that the worker list decides again.
+    /// Ends a worker's drain by hand, so that the worker list determines its state again.
     UndrainWorker,
-    /// Lists controllers and the revisions that they run.
+    /// Lists controllers and the revision that is in force at each.
     ListControllers,
     /// Returns the changes after a revision, as a long poll.
     Watch,
@@ -79,7 +79,7 @@
     AppendAuditEntries,
     /// Returns a list of the collected audit logs, or a page of one.
     ReadAuditLogs,
-    /// Lends shares of limits according to reported demand.
+    /// Lends shares of limits to a controller according to the demand that it reports.
     GrantLoans,
     /// Returns the OpenAPI document.
     ReadDocument,
@@ -88,7 +88,7 @@
 /// A query parameter of a route.
 #[derive(Clone, Copy, Debug)]
 pub struct QueryParameter {
-    /// The parameter's name.
+    /// The name of the parameter in the query string.
     pub name: &'static str,
     /// The parameter's description in the OpenAPI document.
     pub description: &'static str,
@@ -101,7 +101,7 @@
 /// A method and path of the API, with its properties.
 #[derive(Clone, Copy, Debug)]
 pub struct Route {
-    /// The HTTP method.
+    /// The HTTP method, such as `GET`.
     pub method: &'static str,
     /// The path, in which `{name}` stands for one variable segment.
     pub path: &'static str,
@@ -177,8 +177,8 @@
     route!("GET" "/v1/audit" Viewer ListAudit "listAudit" "List the audit trail of tenant changes, in order", 200 "AuditPage", query: &[parameter("after", "return entries after this revision"), parameter("limit", "maximum number of entries, 1 to 1000"), parameter("tenant", "return entries of this tenant only")]),
     route!("GET" "/v1/workers" Viewer ListWorkers "listWorkers" "List the workers that the controller knows", 200 "WorkerPage"),
     route!("POST" "/v1/workers/{name}/drain" Operator DrainWorker "drainWorker" "Assign nothing new from this controller to a worker, whatever the worker list says", 200 "Worker"),
-    route!("POST" "/v1/workers/{name}/undrain" Operator UndrainWorker "undrainWorker" "End a drain by hand, so that the worker list decides again", 200 "Worker"),
-    route!("GET" "/v1/controllers" Viewer ListControllers "listControllers" "List controllers and the revision that each runs", 200 "ControllerPage"),
+    route!("POST" "/v1/workers/{name}/undrain" Operator UndrainWorker "undrainWorker" "End a drain by hand, so that the worker list determines the worker's state again", 200 "Worker"),
+    route!("GET" "/v1/controllers" Viewer ListControllers "listControllers" "List controllers and the revision that is in force at each", 200 "ControllerPage"),
     route!("GET" "/v1/watch" Controller Watch "watch" "Changes after a revision; waits for one (long poll)", 200 "AuditPage", query: &[parameter("after", "return changes after this revision"), parameter("limit", "maximum number of changes, 1 to 1000"), parameter("wait_ms", "maximum time to wait for a change in milliseconds, 0 to 60000"), parameter("store", "name of the store that the revision belongs to; 410 if this is another store"), parameter("epoch", "epoch of that store; 410 if this store has another epoch"), parameter("sum", "CRC-32 of the controller's snapshot"), parameter("controller", "number of the controller, if a controller sends the request; its snapshot is at the revision `after`"), INCARNATION, IN_FORCE, DURABLE, STOPS_WITHOUT_LEASE, STOPPED]),
     route!("GET" "/v1/snapshot" Controller ReadSnapshot "readSnapshot" "All tenants with their revision; 503 while the fleet has not agreed on a snapshot", 200 "Snapshot", query: CONTROLLER_STATE),
     route!("GET" "/v1/fleet" Viewer ReadFleet "readFleet" "Snapshot version of each controller, and why the fleet waits for a recovery", 200 "Fleet"),
@@ -188,11 +188,11 @@
     route!("GET" "/v1/fleet/change" Viewer ReadChange "readChange" "Progress of a change: how many controllers have persisted it, and which may still act without it", 200 "Progress", query: &[parameter("revision", "revision of the change; default: the last one")]),
     route!("POST" "/v1/fleet/records" Controller AppendAuditEntries "deliverRecords" "Append lines to the collected audit log of a controller, in order", 200 "Delivered", body: Some("Lines"), query: &[CONTROLLER_NUMBER]),
     route!("GET" "/v1/fleet/records" Viewer ReadAuditLogs "readRecords" "List the collected audit logs, or read a page of one", 200 "Records", query: &[parameter("of", "owner of the log: a controller's number, or administration; absent: list all logs"), parameter("from", "index of the first line: the `next` of the previous page"), parameter("limit", "maximum number of lines, 1 to 1000")]),
-    route!("POST" "/v1/fleet/loans" Controller GrantLoans "reportDemand" "Report a controller's demand of limits; returns its loans", 200 "Loans", body: Some("Demands"), query: &[CONTROLLER_NUMBER, INCARNATION]),
+    route!("POST" "/v1/fleet/loans" Controller GrantLoans "reportDemand" "Report a controller's demand for limits; returns its loans", 200 "Loans", body: Some("Demands"), query: &[CONTROLLER_NUMBER, INCARNATION]),
     route!("GET" "/v1/openapi.json" Viewer ReadDocument "readDocument" "This document", 200 "Document"),
 ];
 
-/// What a request's method and path match.
+/// The result of looking up a request's method and path in the table of routes.
 #[derive(Debug)]
 pub enum RouteMatch<'a> {
     /// A route, and the part of the path that stands for `{name}`.
--- a/crates/admin/tests/api.rs
+++ b/crates/admin/tests/api.rs
@@ -1,4 +1,4 @@
-//! The API with a store in memory and a simulated controller.
+//! Tests of the API on a store in memory and a simulated controller.
 
 use std::time::Duration;
 
@@ -41,8 +41,8 @@
         limit: usize,
         tenant: Option<&str>,
     ) -> Result<Vec<Entry>, ChangeStoreError> {
-        let fits = |e: &&Entry| e.revision > after && tenant.is_none_or(|name| e.tenant == name);
-        Ok(self.entries.iter().filter(fits).take(limit).cloned().collect())
+        let matches = |e: &&Entry| e.revision > after && tenant.is_none_or(|name| e.tenant == name);
+        Ok(self.entries.iter().filter(matches).take(limit).cloned().collect())
     }
 }
 
@@ -50,7 +50,7 @@
 struct TestRuntime {
     drained: bool,
     states: Vec<(u32, Revision)>,
-    /// Why no snapshot is returned, if recovery is pending.
+    /// The error of `check_serving`; `None` if the snapshot may be returned and changed.
     pending: Option<RecoveryPending>,
     fenced: bool,
 }
@@ -205,7 +205,7 @@
 }
 
 fn read(response: &Response) -> (u16, Value) {
-    (response.status, serde_json::from_str(&response.body).expect("json"))
+    (response.status, serde_json::from_str(&response.body).expect("body is JSON"))
 }
 
 fn header<'a>(response: &'a Response, name: &str) -> Option<&'a str> {
@@ -227,7 +227,7 @@
     assert_eq!(
         fixture.patch("a", Some("\"1\""), r#"{"weight":2}"#).status,
         412,
-        "a concurrent change came first"
+        "the tenant was changed since revision 1"
     );
     assert_eq!(fixture.post("/v1/tenants/a/suspend", Some("*")).1["state"], "suspended");
     assert_eq!(fixture.post("/v1/tenants/a/resume?dry_run=true", Some("*")).1["state"], "active");
@@ -242,8 +242,12 @@
     assert_eq!((fixture.api.remove_expired(1_499).len(), fixture.api.remove_expired(1_500).len()), (0, 1));
     assert_eq!(fixture.get("/v1/tenants/a").0, 404);
     let audit = fixture.get("/v1/audit?tenant=a").1;
-    let actions: Vec<&str> =
-        audit["entries"].as_array().expect("rows").iter().filter_map(|e| e["action"].as_str()).collect();
+    let actions: Vec<&str> = audit["entries"]
+        .as_array()
+        .expect("entries is an array")
+        .iter()
+        .filter_map(|e| e["action"].as_str())
+        .collect();
     assert_eq!(actions, ["create", "change", "suspend", "remove", "gone"]);
     assert_eq!(
         (audit["entries"][0]["who"].clone(), audit["entries"][4]["who"].clone()),
@@ -301,9 +305,9 @@
     let mut fixture = Fixture::new();
     let first = fixture.create(json!({"name": "a"}), Some("k1"));
     fixture.patch("a", Some("*"), r#"{"weight":3}"#);
-    let again = fixture.create(json!({"name": "a"}), Some("k1"));
+    let repeated = fixture.create(json!({"name": "a"}), Some("k1"));
     assert_eq!(
-        (again.status, &again.body, header(&again, "Idempotency-Replayed")),
+        (repeated.status, &repeated.body, header(&repeated, "Idempotency-Replayed")),
         (201, &first.body, Some("true"))
     );
     assert_eq!(fixture.create(json!({"name": "b"}), Some("k1")).status, 422);
@@ -369,29 +373,32 @@
     );
     assert_eq!(fixture.runtime.states, [(7, 2)]);
     // A held request does not record its state again, but it fails if its incarnation was fenced meanwhile.
-    let again = || watch("/v1/watch?after=2&wait_ms=5000&controller=7");
-    assert_eq!(fixture.send(again(), Some(Duration::from_secs(1))), Outcome::Wait(Duration::from_secs(5)));
+    let held_request = || watch("/v1/watch?after=2&wait_ms=5000&controller=7");
+    assert_eq!(
+        fixture.send(held_request(), Some(Duration::from_secs(1))),
+        Outcome::Wait(Duration::from_secs(5))
+    );
     assert_eq!(fixture.runtime.states, [(7, 2)]);
     fixture.runtime.fenced = true;
-    let Outcome::Ready(fenced) = fixture.send(again(), Some(Duration::from_secs(1))) else {
-        panic!("fenced")
+    let Outcome::Ready(fenced) = fixture.send(held_request(), Some(Duration::from_secs(1))) else {
+        panic!("the held request of a fenced incarnation must be answered")
     };
     assert_eq!(fenced.status, 403);
     fixture.runtime.fenced = false;
     let Outcome::Ready(empty) =
         fixture.send(watch("/v1/watch?after=2&wait_ms=5000"), Some(Duration::from_secs(5)))
     else {
-        panic!("the wait is over")
+        panic!("a request must be answered once its wait is over")
     };
     assert_eq!(read(&empty).1["entries"], json!([]));
     assert_eq!(fixture.get("/v1/watch?after=9").0, 409);
     let mut follower = TenantSnapshot::default();
     let (_, changes) = fixture.get("/v1/watch?after=0");
-    let entries: Vec<Entry> = serde_json::from_value(changes["entries"].clone()).expect("entries");
-    entries.iter().for_each(|entry| follower.apply(entry).expect("the next entry"));
+    let entries: Vec<Entry> = serde_json::from_value(changes["entries"].clone()).expect("entries are valid");
+    entries.iter().for_each(|entry| follower.apply(entry).expect("entry has the next revision"));
     assert_eq!(&follower, fixture.api.snapshot());
     let snapshot: TenantSnapshot =
-        serde_json::from_value(fixture.get("/v1/snapshot").1["book"].clone()).expect("a snapshot");
+        serde_json::from_value(fixture.get("/v1/snapshot").1["book"].clone()).expect("book is a snapshot");
     assert_eq!(
         (fixture.get("/v1/watch?store=s2&after=1").0, fixture.get("/v1/watch?store=s1&after=1").0),
         (410, 200)
@@ -418,11 +425,11 @@
 #[test]
 fn openapi_file_matches_the_code() {
     let file = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs/openapi.json");
-    let text = serde_json::to_string_pretty(&openapi::document()).expect("json") + "\n";
+    let text = serde_json::to_string_pretty(&openapi::document()).expect("document is serialized") + "\n";
     if std::env::var_os("NETTLEFERRY_WRITE_DOCS").is_some() {
-        std::fs::write(&file, &text).expect("written");
+        std::fs::write(&file, &text).expect("docs/openapi.json is written");
     }
-    let committed = std::fs::read_to_string(&file).expect("docs/openapi.json");
+    let committed = std::fs::read_to_string(&file).expect("docs/openapi.json is read");
     assert!(
         committed == text,
         "docs/openapi.json differs from the generated document: run this test with NETTLEFERRY_WRITE_DOCS=1"
@@ -445,8 +452,9 @@
         ..Request::default()
     });
     let tenant = fixture.get("/v1/tenants/a").1;
-    let fields =
-        |value: &Value| -> Vec<String> { value.as_object().expect("an object").keys().cloned().collect() };
+    let fields = |value: &Value| -> Vec<String> {
+        value.as_object().expect("value is an object").keys().cloned().collect()
+    };
     let schema = &document["components"]["schemas"]["Tenant"]["properties"];
     let (mut actual, mut documented) = (fields(&tenant), fields(schema));
     actual.sort();
@@ -469,12 +477,12 @@
         assert!(status != 405 && status != 403, "{} {target}: {status}", route.method);
         let operation = &document["paths"][route.path][route.method.to_ascii_lowercase()];
         assert_eq!(operation["operationId"], route.operation_id);
-        let names = operation["parameters"].as_array().expect("parameters");
+        let names = operation["parameters"].as_array().expect("parameters is an array");
         assert!(route.query.iter().all(|known| names.iter().any(|p| p["name"] == known.name)));
         let schema =
             operation["responses"][route.status.to_string()]["content"]["application/json"]["schema"]["$ref"]
                 .as_str();
-        let name = schema.and_then(|s| s.rsplit('/').next()).expect("a schema");
+        let name = schema.and_then(|s| s.rsplit('/').next()).expect("response refers to a schema");
         assert!(document["components"]["schemas"][name].is_object(), "{name}");
     }
 }
