--- a/crates/config/src/form/mod.rs
+++ b/crates/config/src/form/mod.rs
@@ -38,7 +38,7 @@
         Self { source, name, items: items.into_iter().map(Some).collect(), span, known_keys: Vec::new() }
     }
 
-    /// The first word of the list, which is its key.
+    /// The key of the list, which is its first word; "the file" for the form of a whole text.
     pub fn name(&self) -> &str {
         &self.name
     }
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Reads the next atom. `None` if there is none, or if it is invalid, which is reported.
+    /// Reads the next atom. `None` if no atom is left, and if the atom is not a valid value, which is reported.
     pub fn next_item<T: Value>(&mut self) -> Option<T> {
         let at = self.items.iter().position(|item| matches!(item, Some(Node::Atom { .. })))?;
         let node = self.items[at].take()?;
@@ -101,17 +101,17 @@
     /// it in the error message.
     pub fn keyword<T: Copy>(&mut self, what: &str, keywords: &[(&str, T)]) -> Option<T> {
         let at = self.items.iter().position(|item| matches!(item, Some(Node::Atom { .. })));
-        let all = || keywords.iter().map(|(w, _)| *w).collect::<Vec<_>>().join(", ");
+        let all = || keywords.iter().map(|(word, _)| *word).collect::<Vec<_>>().join(", ");
         let Some(Node::Atom { text, span }) = at.and_then(|at| self.items[at].take()) else {
             self.error(format!("({} ...) lacks {what}: write one of {}", self.name, all()));
             return None;
         };
-        let found = keywords.iter().find(|(w, _)| *w == text).map(|(_, v)| *v);
-        if found.is_none() {
-            let hint = suggestion(&text, keywords.iter().map(|(w, _)| *w));
+        let value = keywords.iter().find(|(word, _)| *word == text).map(|(_, value)| *value);
+        if value.is_none() {
+            let hint = suggestion(&text, keywords.iter().map(|(word, _)| *word));
             self.source.error(span, format!("{what} is one of {}{hint}", all()));
         }
-        found
+        value
     }
 
     /// Reads all lists with a key, in order.
@@ -139,7 +139,8 @@
         first
     }
 
-    /// Reads the list with a key, or returns an empty one. For lists in which each value has a default.
+    /// Reads the list with a key, or returns an empty form if there is none. For lists in which each value has a
+    /// default.
     pub fn list_or_empty(&mut self, key: &'static str) -> Form {
         let span = self.span;
         self.optional_list(key)
@@ -189,8 +190,8 @@
         value.unwrap_or(default)
     }
 
-    /// Reads all remaining lists whose first element is a word. For files in which the keys are names or events and the
-    /// order of the lists matters.
+    /// Reads all remaining lists whose first element is an atom, whatever it is. For files in which the keys are names
+    /// or events and the order of the lists matters.
     pub fn remaining_lists(&mut self) -> Vec<Form> {
         let mut found = Vec::new();
         for item in &mut self.items {
--- a/crates/config/src/form/source.rs
+++ b/crates/config/src/form/source.rs
@@ -34,8 +34,8 @@
 
 impl fmt::Display for Errors {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (n, diagnostic) in self.0.iter().enumerate() {
-            if n > 0 {
+        for (index, diagnostic) in self.0.iter().enumerate() {
+            if index > 0 {
                 writeln!(f)?;
             }
             write!(f, "{diagnostic}")?;
@@ -73,7 +73,7 @@
         self.inner.text.get(span.from..span.to).unwrap_or("")
     }
 
-    /// Reports an error.
+    /// Adds an error about a range of the text.
     pub fn error(&self, span: Span, message: impl Into<String>) {
         self.inner.errors.borrow_mut().push(SyntaxError { span, message: message.into() });
     }
@@ -95,7 +95,7 @@
     fn diagnostic(&self, error: &SyntaxError) -> Diagnostic {
         let text = &self.inner.text;
         let before = &text[..error.span.from.min(text.len())];
-        let line_start = before.rfind('\n').map_or(0, |at| at + 1);
+        let line_start = before.rfind('\n').map_or(0, |newline| newline + 1);
         let first_line = self.text_at(error.span).lines().next().unwrap_or("");
         Diagnostic {
             file: self.inner.file.clone(),
--- a/crates/config/src/form/tests.rs
+++ b/crates/config/src/form/tests.rs
@@ -7,8 +7,8 @@
     assert_eq!(TimeSpan::parse("600ms"), Some(TimeSpan(600_000)));
     assert_eq!(TimeSpan::parse("1.5s"), Some(TimeSpan(1_500_000)));
     assert_eq!(Bytes::parse("2GiB"), Some(Bytes(2 << 30)));
-    for bad in ["600", "ms", "", "-1s", "1e400s", "5 s", "1..2s", "9999999999999h"] {
-        assert_eq!(TimeSpan::parse(bad), None, "{bad:?}");
+    for invalid in ["600", "ms", "", "-1s", "1e400s", "5 s", "1..2s", "9999999999999h"] {
+        assert_eq!(TimeSpan::parse(invalid), None, "{invalid:?}");
     }
 }
 
--- a/crates/config/src/form/value.rs
+++ b/crates/config/src/form/value.rs
@@ -54,7 +54,7 @@
 impl Value for f64 {
     const EXPECTED: &'static str = "a number that is not negative, such as 0.3";
     fn parse(text: &str) -> Option<Self> {
-        text.parse().ok().filter(|x: &f64| x.is_finite() && *x >= 0.0)
+        text.parse().ok().filter(|number: &f64| number.is_finite() && *number >= 0.0)
     }
 }
 
@@ -69,7 +69,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TimeSpan(pub Micros);
 
-/// Parses a number followed by the name of a unit, and multiplies it by the factor of the unit.
+/// Parses a number followed by the name of a unit, and multiplies it by the factor of the unit. `None` if the number or
+/// the unit is invalid, or the product is 9e15 or more.
 fn with_unit(text: &str, units: &[(&str, f64)]) -> Option<f64> {
     let digits = text.find(|c: char| !c.is_ascii_digit() && c != '.').unwrap_or(text.len());
     let (number, unit) = text.split_at(digits);
--- a/crates/config/src/settings/admin.rs
+++ b/crates/config/src/settings/admin.rs
@@ -8,7 +8,7 @@
 
 use crate::form::{Bytes, Form, TimeSpan};
 
-/// Default of [`AdminSettings::reserve`] if there are loans.
+/// Default of [`AdminSettings::reserve`] if the settings have `(loans ...)`.
 const DEFAULT_RESERVE: f64 = 0.2;
 
 /// Default of [`AuditLog::max_bytes`].
@@ -23,7 +23,7 @@
 /// Longest duration of a lease, microseconds.
 const MAX_LEASE: Micros = 60_000_000;
 
-/// The maximum number of peers of a controller. In a larger fleet it is enough to ask some of the controllers.
+/// The maximum number of peers of a controller. In a larger fleet it is enough to name some of the controllers.
 const MAX_PEERS: usize = 64;
 
 /// Default of [`AdminSettings::queue_length`].
@@ -48,7 +48,7 @@
 /// The settings of a controller's audit log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AuditLog {
-    /// The folder in which it is stored.
+    /// The folder in which the log is stored.
     pub folder: PathBuf,
     /// The maximum size, bytes; the oldest entries are dropped.
     pub max_bytes: u64,
@@ -72,7 +72,7 @@
     pub store: PathBuf,
     /// The keys that authorize API requests.
     pub keys: Vec<AdminKey>,
-    /// Controllers that are asked for the version of their snapshot after a loss of the store.
+    /// Controllers from which the leader requests the versions of their snapshots after a loss of the store.
     pub peers: Vec<SocketAddr>,
     /// The file of the key for requests to the peers, of role controller.
     pub peer_key: Option<PathBuf>,
@@ -91,7 +91,8 @@
     pub key_file: PathBuf,
     /// The file in which the last snapshot is persisted, for a start while the leader is unreachable.
     pub snapshot_file: PathBuf,
-    /// The endpoint at which controllers without a snapshot can fetch this controller's; `None` if there is none.
+    /// The endpoint at which controllers without a snapshot can fetch the one of this controller; `None` if it is not
+    /// served.
     pub snapshot_server: Option<SnapshotServer>,
     /// Controllers from which a snapshot is fetched if this one has none and the leader is unreachable.
     pub peers: Vec<SocketAddr>,
@@ -108,19 +109,19 @@
     pub keys: Vec<AdminKey>,
 }
 
-/// What a follower does without a lease, while it can't know whether its snapshot is still in force.
+/// The behaviour of a follower without a lease, while it can't know whether its snapshot is still in force.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LeaselessPolicy {
-    /// Whether it rejects calls. If not, it continues with the snapshot that it has.
+    /// Whether the follower rejects calls. If not, it continues with the snapshot that it has.
     pub rejects: bool,
-    /// The time without a lease after which it reports that it is not ready; `None` if it stays ready.
+    /// The time without a lease after which the follower reports that it is not ready; `None` if it stays ready.
     pub not_ready_after: Option<Micros>,
 }
 
 /// A key of the administration API.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AdminKey {
-    /// The unique name, which the history of changes shows.
+    /// The unique name, which the audit trail of tenant changes shows.
     pub name: String,
     /// The role: `viewer`, `operator`, `admin` or `controller`.
     pub role: String,
@@ -152,7 +153,7 @@
     let Some(mut loans) = form.optional_list("loans") else { return 1.0 };
     let reserve = loans.value_or("reserve", DEFAULT_RESERVE);
     if !(0.0..=1.0).contains(&reserve) {
-        loans.error("(reserve ...) is a share, from 0 to 1");
+        loans.error("(reserve ...) must be a share from 0 to 1");
     }
     loans.finish();
     reserve
@@ -211,7 +212,7 @@
     let lease = lease(form);
     let required_replicas: u64 = form.value_or("held-by", 1);
     if required_replicas > MAX_PEERS as u64 {
-        form.error(format!("(held-by {required_replicas}): at most {MAX_PEERS}"));
+        form.error(format!("(held-by {required_replicas}): must be at most {MAX_PEERS}"));
     }
     Some(LeaderSettings {
         listen: listen?,
@@ -254,7 +255,7 @@
         peer.finish();
     }
     if all.len() > MAX_PEERS {
-        form.error(format!("{} peers: at most {MAX_PEERS}", all.len()));
+        form.error(format!("{} peers: must be at most {MAX_PEERS}", all.len()));
     }
     all
 }
@@ -273,7 +274,7 @@
             if !hash.starts_with("$argon2") {
                 key.error("the hash must be an argon2 hash as printed by nettleferry admin key");
             }
-            if keys.iter().any(|k| k.name == name) {
+            if keys.iter().any(|other| other.name == name) {
                 key.error(format!("key {name} is defined more than once: names must be unique"));
             }
             keys.push(AdminKey { name, role, hash });
--- a/crates/config/src/settings/classes.rs
+++ b/crates/config/src/settings/classes.rs
@@ -33,7 +33,7 @@
         }
         let late_share = form.value_or("late-share", 0.0);
         if late_share > 1.0 {
-            form.error(format!("class {name}: (late-share ...) is a share, from 0 to 1"));
+            form.error(format!("class {name}: (late-share ...) must be a share from 0 to 1"));
         }
         classes.push(Class {
             latency_objective,
@@ -49,7 +49,7 @@
     if classes.is_empty() {
         top.error("the settings name no (class ...): write at least one, with effect, aim and deadline");
     } else if classes.len() > MAX_CLASSES {
-        top.error(format!("{} classes; at most {MAX_CLASSES} are taken", classes.len()));
+        top.error(format!("{} classes: must be at most {MAX_CLASSES}", classes.len()));
     }
     Classes { classes, names }
 }
@@ -62,7 +62,7 @@
     Unsafe,
 }
 
-/// Reads `(effect ...)`.
+/// Reads `(effect ...)`: whether a call of the class may be executed more than once.
 fn effect(form: &mut Form) -> Option<Effect> {
     let mut form = form.required_list("effect")?;
     let kinds = [("safe", EffectKind::Safe), ("keyed", EffectKind::Keyed), ("unsafe", EffectKind::Unsafe)];
@@ -99,7 +99,7 @@
         form.finish();
     }
     if tenants.len() > MAX_TENANTS {
-        top.error(format!("{} tenants; at most {MAX_TENANTS} are taken", tenants.len()));
+        top.error(format!("{} tenants: must be at most {MAX_TENANTS}", tenants.len()));
     }
     Tenants { tenants, ids }
 }
--- a/crates/config/src/settings/limits.rs
+++ b/crates/config/src/settings/limits.rs
@@ -9,11 +9,12 @@
 pub struct EdgeLimits {
     /// Maximum number of open calls.
     pub open_calls: usize,
-    /// Maximum number of models that are kept by name.
+    /// Maximum number of models whose names and ids the engine stores. The least recently used ones without open calls
+    /// are evicted.
     pub remembered_models: usize,
     /// Responses are sent at least this long before the client's deadline.
     pub answer_margin: Micros,
-    /// Timeout of a probe.
+    /// Timeout of a probe request to a worker.
     pub probe_timeout: Micros,
     /// `grpc-retry-pushback-ms` of a rejection for which the decision module returns no retry advice.
     pub pushback: Micros,
@@ -35,8 +36,8 @@
     pub send_queue: usize,
     /// HTTP/2 receive window of a stream, bytes.
     pub stream_window: u32,
-    /// Maximum number of streams of a connection that the client reset before they were handled; at more, the
-    /// connection is closed.
+    /// Maximum number of streams of a connection that the client has reset before they were handled. A connection with
+    /// more is closed.
     pub reset_streams: usize,
     /// Time after which a connection without calls is closed.
     pub idle_timeout: Micros,
@@ -46,15 +47,15 @@
     pub drain_timeout: Micros,
 }
 
-/// Reads `(limits ...)`.
+/// Reads `(limits ...)`. Without an entry, a limit has its default.
 pub(super) fn limits(top: &mut Form) -> (Limits, EdgeLimits) {
     let mut form = top.list_or_empty("limits");
     let mut integer = |key, default: u64, min: u64| {
-        let n = form.value_or(key, default);
-        if n < min {
-            form.error(format!("({key} {n}): {min} at the least"));
+        let number = form.value_or(key, default);
+        if number < min {
+            form.error(format!("({key} {number}): {min} at the least"));
         }
-        usize::try_from(n.max(min)).unwrap_or(usize::MAX)
+        usize::try_from(number.max(min)).unwrap_or(usize::MAX)
     };
     let attempts = integer("attempts", 3, 1);
     let open_calls = integer("open-calls", 20_000, 1);
@@ -68,7 +69,7 @@
     let mut size = |key, default: u64, min: u64, max: u64| {
         let bytes = form.value_or(key, Bytes(default)).0;
         if bytes < min || bytes > max {
-            form.error(format!("({key} ...): from {min}B to {max}B"));
+            form.error(format!("({key} ...): must be from {min}B to {max}B"));
         }
         bytes.clamp(min, max)
     };
--- a/crates/config/src/settings/metrics.rs
+++ b/crates/config/src/settings/metrics.rs
@@ -10,14 +10,15 @@
 /// The upper limit of [`MetricsSettings::max_series`].
 pub const MAX_SERIES: u64 = 100_000;
 
-/// How metrics are exported.
+/// The settings of the export of metrics.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MetricsSettings {
     /// The address at which metrics can be scraped; `None` if there is no such endpoint.
     pub scrape: Option<SocketAddr>,
-    /// Whether calls are counted. If not, their series stay at zero; the comparison shows the cost of counting.
+    /// Whether calls are counted. If not, the series that count calls stay at zero, so that the cost of counting can be
+    /// measured by comparison.
     pub count_calls: bool,
-    /// The maximum number of series that count calls.
+    /// The maximum number of series that count calls, from 1 to [`MAX_SERIES`].
     pub max_series: usize,
     /// Prometheus remote write; `None` if samples are not sent.
     pub remote_write: Option<RemoteWriteSettings>,
@@ -48,12 +49,12 @@
     pub batch_samples: usize,
     /// The longest time that a sample waits for its batch to fill.
     pub batch_age: Micros,
-    /// The timeout of a request.
+    /// The timeout of a request to the receiver.
     pub timeout: Micros,
-    /// The time before version 2.0 is tried again with a receiver that did not support it. It increases with each
+    /// The time before remote write 2.0 is tried again with a receiver that did not support it. It increases with each
     /// attempt, up to twelve times this value.
     pub renegotiate_after: Micros,
-    /// The longest time that a controller spends at shutdown to send the last samples.
+    /// The longest time that the controller spends at shutdown on sending the last samples.
     pub flush_timeout: Micros,
 }
 
@@ -78,7 +79,7 @@
     let mut form = top.list_or_empty("figures");
     let series = form.value_or("series", 5_000u64);
     if series == 0 || series > MAX_SERIES {
-        form.error(format!("(series {series}): from 1 to {MAX_SERIES}"));
+        form.error(format!("(series {series}): must be from 1 to {MAX_SERIES}"));
     }
     let remote_write = form.optional_list("push").and_then(remote_write);
     let settings = MetricsSettings {
--- a/crates/config/src/settings/mod.rs
+++ b/crates/config/src/settings/mod.rs
@@ -63,13 +63,13 @@
     pub models: Models,
     /// Limits and timeouts of client and worker connections.
     pub edge: EdgeLimits,
-    /// How metrics are exported.
+    /// The export of metrics.
     pub metrics: MetricsSettings,
     /// The administration of tenants; `None` if the tenants are those in the settings and no API is served.
     pub admin: Option<AdminSettings>,
-    /// The behaviour after a restart.
+    /// The behaviour after a restart of this controller.
     pub recovery: Recovery,
-    /// The CRC-32 of the file's text, by which controllers with different settings are detected.
+    /// The CRC-32 of the file's text. Controllers with different settings are detected by it.
     pub checksum: u64,
 }
 
@@ -77,7 +77,7 @@
 struct Identity {
     /// The number of this controller, from 0.
     number: u32,
-    /// The number of controllers.
+    /// The number of controllers in the fleet.
     controllers: u32,
     zone: Option<String>,
     seed: Option<u64>,
--- a/crates/config/src/settings/models.rs
+++ b/crates/config/src/settings/models.rs
@@ -50,6 +50,7 @@
 pub struct Models {
     exact: HashMap<String, Model>,
     prefixes: HashMap<String, Model>,
+    /// The length of the longest prefix, bytes.
     longest_prefix: usize,
     groups: Vec<String>,
 }
@@ -70,14 +71,17 @@
         self.find(name).filter(serves_version)
     }
 
-    /// Finds the settings of a model, whatever its version. `None` if no name or prefix matches.
+    /// Finds the settings of a model, for any version. `None` if no name or prefix matches.
     pub fn find(&self, name: &str) -> Option<&Model> {
         if let Some(model) = self.exact.get(name) {
             return Some(model);
         }
         // The longest prefix first. Starting at the longest one in the settings bounds the loop for long names.
         let longest = name.len().min(self.longest_prefix);
-        (0..=longest).rev().filter_map(|n| name.get(..n)).find_map(|prefix| self.prefixes.get(prefix))
+        (0..=longest)
+            .rev()
+            .filter_map(|length| name.get(..length))
+            .find_map(|prefix| self.prefixes.get(prefix))
     }
 }
 
@@ -119,7 +123,7 @@
     if count == 0 {
         top.error("the settings name no (model ...): every call would be NOT_FOUND; write (model \"*\" (class ...))");
     } else if count as usize > MAX_MODELS {
-        top.error(format!("{count} models; at most {MAX_MODELS} are taken"));
+        top.error(format!("{count} models: must be at most {MAX_MODELS}"));
     }
     models
 }
--- a/crates/config/src/settings/policy.rs
+++ b/crates/config/src/settings/policy.rs
@@ -27,16 +27,16 @@
     top.keyword_or("weights", &keywords, Weights::None)
 }
 
-/// Reads `(loading ...)`.
+/// Reads `(loading ...)`: how models are loaded onto workers.
 pub(super) fn loading(top: &mut Form) -> Loading {
     let mut form = top.list_or_empty("loading");
     let keywords = [("load", WhenAbsent::Load), ("miss", WhenAbsent::Miss)];
     let when_absent = form.keyword_or("when-absent", &keywords, WhenAbsent::Load);
-    let (mut window, mut floor, mut share) = (0, 0.0, 0.0);
+    let (mut ration_window, mut ration_floor, mut ration_share) = (0, 0.0, 0.0);
     if let Some(mut ration) = form.optional_list("ration") {
-        window = ration.required::<TimeSpan>("window").map_or(0, |span| span.0);
-        floor = ration.value_or("floor", 0.0);
-        share = ration.value_or("share", 0.0);
+        ration_window = ration.required::<TimeSpan>("window").map_or(0, |span| span.0);
+        ration_floor = ration.value_or("floor", 0.0);
+        ration_share = ration.value_or("share", 0.0);
         ration.finish();
     }
     let loading = Loading {
@@ -46,9 +46,9 @@
         order_timeout: form.micros_or("order-timeout", 10_000_000),
         notes: form.value_or("notes", true),
         reports_concurrency: form.value_or("crowd", true),
-        ration_window: window,
-        ration_floor: floor,
-        ration_share: share,
+        ration_window,
+        ration_floor,
+        ration_share,
         unknown_prior_orders: false,
         memory_price: form.value_or("memory-price", 0.0),
     };
@@ -73,7 +73,7 @@
         overload_span: form.micros_or("fall", 0),
     };
     if rules.start_capacity <= 0.0 || rules.start_capacity > 1.0 {
-        form.error("(start-capacity ...): a share above 0, at most 1");
+        form.error("(start-capacity ...): must be a share above 0 and at most 1");
     }
     form.finish();
     rules
--- a/crates/config/src/settings/recovery.rs
+++ b/crates/config/src/settings/recovery.rs
@@ -5,19 +5,20 @@
 /// The settings of the behaviour after a restart.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Recovery {
-    /// After which starts the controller limits admission: it rejects calls on arrival that can't be answered in time.
+    /// The starts after which the controller limits admission: it rejects calls on arrival that can't be answered in
+    /// time.
     pub restart_admission: RestartAdmissionPolicy,
 }
 
-/// After which starts a controller limits admission.
+/// The starts after which a controller limits admission.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum RestartAdmissionPolicy {
-    /// After none.
+    /// No start.
     Never,
-    /// After a start that finds the persisted worker list of an earlier incarnation.
+    /// A start that finds the persisted worker list of an earlier incarnation.
     #[default]
     Restart,
-    /// After each start.
+    /// Every start.
     Always,
 }
 
--- a/crates/config/src/syntax.rs
+++ b/crates/config/src/syntax.rs
@@ -33,9 +33,9 @@
         /// The range in the text, quotes included.
         span: Span,
     },
-    /// A list.
+    /// A list in parentheses.
     List {
-        /// The elements.
+        /// The nodes between the parentheses.
         items: Vec<Node>,
         /// The range in the text, parentheses included; only the opening one if the list is not closed.
         span: Span,
@@ -104,9 +104,9 @@
 /// The result of parsing a text.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Syntax {
-    /// The top-level nodes.
+    /// The nodes that are in no list, in order.
     pub nodes: Vec<Node>,
-    /// The errors. Invalid strings are left out of the nodes; unclosed lists are included.
+    /// The errors. Invalid text is left out of the nodes; unclosed lists are included.
     pub errors: Vec<SyntaxError>,
 }
 
@@ -114,7 +114,7 @@
 pub fn parse(text: &str) -> Syntax {
     let mut parser = SyntaxParser { text, open_lists: Vec::new(), syntax: Syntax::default() };
     if text.len() > MAX_TEXT_BYTES {
-        let message = format!("the text has {} bytes; at most {MAX_TEXT_BYTES} are read", text.len());
+        let message = format!("the text has {} bytes: must be at most {MAX_TEXT_BYTES}", text.len());
         parser.error(Span { from: 0, to: 0 }, message);
         return parser.syntax;
     }
@@ -156,12 +156,12 @@
         while !input.is_empty() {
             let from = input.current_token_start();
             let before = input.checkpoint();
-            let found = token(&mut input);
+            let parsed = token(&mut input);
             let span = Span { from, to: input.current_token_start() };
-            match found {
+            match parsed {
                 Ok(Token::Blank) => {}
                 Ok(Token::Open) if self.open_lists.len() == MAX_DEPTH => {
-                    self.error(span, format!("lists are nested deeper than {MAX_DEPTH}"));
+                    self.error(span, format!("lists are nested deeper than {MAX_DEPTH} levels"));
                     return false;
                 }
                 Ok(Token::Open) => self.open_lists.push(OpenList { from, items: Vec::new() }),
@@ -169,7 +169,7 @@
                 Ok(Token::Atom(text)) => self.push(Node::Atom { text, span }),
                 Err(_) => {
                     input.reset(&before);
-                    let skipped = self.report_invalid_string(from);
+                    let skipped = self.report_invalid_text(from);
                     input.next_slice(skipped);
                 }
             }
@@ -186,13 +186,13 @@
         }
     }
 
-    /// Reports an invalid string at `from`; no other token can be invalid. Returns the number of bytes to skip: the
-    /// rest of the line, and at least 1.
-    fn report_invalid_string(&mut self, from: usize) -> usize {
+    /// Reports that no token begins at `from`: the text there is an invalid string, or whitespace that [`token`] does
+    /// not accept, such as a no-break space. Returns the number of bytes to skip: the rest of the line, and at least 1.
+    fn report_invalid_text(&mut self, from: usize) -> usize {
         let rest = &self.text[from..];
         let line = rest.find('\n').unwrap_or(rest.len());
-        let message =
-            "this string has no closing quote on its line, or an escape other than \\\" \\\\ \\n \\t";
+        let message = "this is a string without a closing quote or with an escape other than \\\" \\\\ \\n \\t, or \
+                       whitespace other than space, tab and line break";
         self.error(Span { from, to: from + line }, message);
         line.max(1)
     }
--- a/crates/config/src/syntax/tests.rs
+++ b/crates/config/src/syntax/tests.rs
@@ -14,7 +14,7 @@
 fn nodes_have_their_spans() {
     let Syntax { nodes, errors } = parse("; head\n(a \"b\\\"c\" (d))");
     assert!(errors.is_empty());
-    let Node::List { items, span } = &nodes[0] else { panic!("a list") };
+    let Node::List { items, span } = &nodes[0] else { panic!("the first node must be a list") };
     assert_eq!(*span, Span { from: 7, to: 21 });
     assert_eq!(items[1], Node::Atom { text: "b\"c".to_owned(), span: Span { from: 10, to: 16 } });
 }
@@ -26,6 +26,18 @@
     assert_eq!(positions, vec![3, 8, 14, 5], "an unmatched ), an unterminated string, two unclosed lists");
 }
 
+#[test]
+fn strings_may_span_lines_and_unusual_whitespace_is_an_error() {
+    let Syntax { nodes, errors } = parse("\"a\nb\"");
+    assert!(errors.is_empty(), "{errors:?}");
+    assert_eq!(nodes, [Node::Atom { text: "a\nb".to_owned(), span: Span { from: 0, to: 5 } }]);
+    let Syntax { nodes, errors } = parse("a\u{a0}b\nc");
+    assert_eq!(errors.len(), 1);
+    assert_eq!(errors[0].span, Span { from: 1, to: 4 });
+    assert!(errors[0].message.contains("whitespace other than space, tab and line break"), "{errors:?}");
+    assert_eq!(nodes.len(), 2, "the rest of the line is skipped: {nodes:?}");
+}
+
 #[test]
 fn deep_nesting_is_rejected() {
     let Syntax { errors, .. } = parse(&"(".repeat(100_000));
--- a/crates/config/src/workers.rs
+++ b/crates/config/src/workers.rs
@@ -1,4 +1,4 @@
-//! The worker list, a file. A list with any error is rejected as a whole.
+//! The text of the worker list, which is stored in a file. A list with any error is rejected as a whole.
 //!
 //! ```text
 //! (worker w1 (address "127.0.0.1:9001") (zone room-a) (kind std-2c) (weight 1) (cell c1) (state on)
@@ -29,7 +29,7 @@
     pub zone: String,
     /// The kind of machine; `default` if not set.
     pub kind: String,
-    /// The weight, whose meaning the setting `weights` defines; 1 if not set.
+    /// The weight; 1 if not set. The setting `weights` defines its meaning.
     pub weight: f64,
     /// The cell; the worker's name if not set.
     pub cell: String,
@@ -58,7 +58,7 @@
         form.finish();
     }
     if workers.len() > MAX_WORKERS {
-        top.error(format!("{} workers; at most {MAX_WORKERS} are taken", workers.len()));
+        top.error(format!("{} workers: must be at most {MAX_WORKERS}", workers.len()));
     }
     top.finish();
     source.into_result(Some(workers))
@@ -94,7 +94,7 @@
             WorkerState::Draining => "draining",
             WorkerState::Gone => "gone",
         };
-        let born = worker.started_at.map_or(String::new(), |us| format!(" (born {us}us)"));
+        let born = worker.started_at.map_or(String::new(), |micros| format!(" (born {micros}us)"));
         let _ = writeln!(
             out,
             "(worker {} (address \"{}\") (zone {}) (kind {}) (weight {}) (cell {}) (state {state}){born})",
