--- a/crates/audit-log/src/audit.rs
+++ b/crates/audit-log/src/audit.rs
@@ -18,7 +18,7 @@
 /// The number of findings of each kind that a report lists; further ones are only counted.
 pub const MAX_FINDINGS: usize = 1_000;
 
-/// The stage of a valid lease, in the spelling of the entries.
+/// The stage of a valid lease, as entries contain it.
 const STAGE_CURRENT: &str = "current";
 
 /// The counted acts of one entry, with its times on the leader's clock.
@@ -26,9 +26,9 @@
 struct Interval {
     incarnation: Incarnation,
     version: Version,
-    /// The time of the first act; `None` if the clock is not known.
+    /// The time of the first act; `None` if the bounds of the clock are not known.
     first: Option<TimeBounds>,
-    /// The time of the last act; `None` if the clock is not known.
+    /// The time of the last act; `None` if the bounds of the clock are not known.
     last: Option<TimeBounds>,
     calls: BTreeMap<String, u64>,
     stage: String,
@@ -55,11 +55,11 @@
 struct Arrival {
     incarnation: Incarnation,
     version: Version,
-    /// `None` if the clock is not known.
+    /// `None` if the bounds of the clock are not known.
     at: Option<TimeBounds>,
 }
 
-/// An arrival whose time is known.
+/// An [`Arrival`] with a known time.
 #[derive(Clone, Copy, Debug)]
 struct KnownArrival {
     incarnation: Incarnation,
@@ -93,15 +93,14 @@
     accepted: BTreeMap<Version, AcceptedChange>,
     /// The time at which the leader acknowledged each change as in force on all controllers.
     in_force: BTreeMap<Version, TimeBounds>,
-    /// Logged events of each incarnation that explain why it acted on an old version.
+    /// Explanations of why each incarnation acted on an old version, from the events in its log.
     explanations: BTreeMap<Incarnation, BTreeSet<String>>,
     gaps: Vec<Gap>,
 }
 
 impl Audit {
-    /// Adds the log of the leader's administration. `incarnation` is the leader's current one, whose clock the audit
-    /// uses. From earlier incarnations only the accepted changes are used, since their clocks are unrelated to this
-    /// one.
+    /// Adds the log of the leader's administration. `incarnation` is the leader's current incarnation, whose clock the
+    /// audit uses. Acknowledgements by earlier incarnations are ignored, since their clocks are unrelated to this one.
     pub fn add_leader(&mut self, incarnation: u64, entries: &[Entry]) {
         for entry in entries {
             match &entry.kind {
@@ -123,8 +122,8 @@
         self.add_controller(incarnation, entries, true);
     }
 
-    /// Adds the log of a controller. `leader` is the incarnation of the leader whose clock the audit uses; `is_leader`
-    /// tells whether the leader wrote this log.
+    /// Adds the log of a controller. `leader` is the incarnation of the leader whose clock the audit uses. `is_leader`
+    /// is true if the leader wrote this log.
     pub fn add_controller(&mut self, leader: u64, entries: &[Entry], is_leader: bool) {
         for run in entries.chunk_by(|one, next| one.incarnation == next.incarnation) {
             self.add_incarnation(leader, run, is_leader);
@@ -133,20 +132,20 @@
 
     /// Adds the entries of one incarnation; there is at least one.
     fn add_incarnation(&mut self, leader: u64, entries: &[Entry], is_leader: bool) {
-        let incarnation = entries.first().map_or(0, |entry| entry.incarnation);
+        let incarnation_id = entries.first().map_or(0, |entry| entry.incarnation);
         let started = entries.iter().find_map(|entry| match &entry.kind {
             EntryKind::Started { controller, .. } => Some(*controller),
             _ => None,
         });
         let Some(controller) = started else {
-            let reason = format!("incarnation {incarnation:016x} has no entry that names its controller");
+            let reason = format!("incarnation {incarnation_id:016x} has no entry that names its controller");
             self.gaps.push(Gap { incarnation: None, reason });
             return;
         };
-        let who = Incarnation { controller, incarnation };
+        let incarnation = Incarnation { controller, incarnation: incarnation_id };
         let clock = clock_bounds(leader, entries);
         // Entries of the leader itself are already on the leader's clock.
-        let on_leader_clock = is_leader && incarnation == leader;
+        let on_leader_clock = is_leader && incarnation_id == leader;
         let bounds =
             |moment| if on_leader_clock { Some(TimeBounds::at(moment)) } else { clock.bounds_of(moment) };
         let mut views: BTreeMap<u32, &View> = BTreeMap::new();
@@ -155,11 +154,11 @@
                 EntryKind::View { view, parts } => {
                     views.insert(*view, parts);
                     let (version, at) = (parts.version(), bounds(entry.from));
-                    self.arrivals.push(Arrival { incarnation: who, version, at });
+                    self.arrivals.push(Arrival { incarnation, version, at });
                 }
                 EntryKind::Activity { view, stage, calls, .. } => match views.get(view) {
                     Some(parts) => self.intervals.push(Interval {
-                        incarnation: who,
+                        incarnation,
                         version: parts.version(),
                         first: bounds(entry.from),
                         last: bounds(entry.to),
@@ -169,41 +168,42 @@
                     None => {
                         let number = entry.number;
                         let reason = format!("entry {number} refers to view {view}, whose entry is missing");
-                        self.add_gap(Some(who), reason);
+                        self.add_gap(Some(incarnation), reason);
                     }
                 },
-                _ => self.add_explanation(who, entry),
+                _ => self.add_explanation(incarnation, entry),
             }
         }
         if !on_leader_clock && bounds(entries.last().map_or(0, |entry| entry.to)).is_none() {
-            let reason = "its clock is not known: it exchanged nothing with this incarnation of the leader";
-            self.add_gap(Some(who), reason.to_owned());
+            let reason = "its clock has no bounds: the log has no consistent exchanges with this incarnation of \
+                          the leader";
+            self.add_gap(Some(incarnation), reason.to_owned());
         }
     }
 
     /// Adds an entry that explains why the incarnation acted on an old version, or that declares a gap.
-    fn add_explanation(&mut self, who: Incarnation, entry: &Entry) {
+    fn add_explanation(&mut self, incarnation: Incarnation, entry: &Entry) {
         match &entry.kind {
             EntryKind::Event { event: Event::LeaseExpiredDuringPause { stalled_ms }, .. } => {
                 self.explain(
-                    who,
+                    incarnation,
                     format!("its process was paused for {stalled_ms} ms while its lease expired"),
                 );
             }
             EntryKind::Event { event: Event::Fenced, .. } => {
-                self.explain(who, "it was fenced".to_owned());
+                self.explain(incarnation, "it was fenced".to_owned());
             }
             EntryKind::Gap { entries, reason } => {
                 let number = entry.number;
                 let reason = format!("{entries} entries before entry {number} are missing: {reason}");
-                self.add_gap(Some(who), reason);
+                self.add_gap(Some(incarnation), reason);
             }
             _ => {}
         }
     }
 
-    fn explain(&mut self, who: Incarnation, explanation: String) {
-        self.explanations.entry(who).or_default().insert(explanation);
+    fn explain(&mut self, incarnation: Incarnation, explanation: String) {
+        self.explanations.entry(incarnation).or_default().insert(explanation);
     }
 
     /// Adds a part of a log that can't be evaluated, for example because its hash chain is broken.
@@ -212,12 +212,13 @@
     }
 
     /// The reason why an incarnation acted on an old version while its lease was at `stage`.
-    fn explanation(&self, who: Incarnation, stage: &str) -> String {
-        let mut all: Vec<String> = self.explanations.get(&who).into_iter().flatten().cloned().collect();
+    fn explanation(&self, incarnation: Incarnation, stage: &str) -> String {
+        let mut all: Vec<String> =
+            self.explanations.get(&incarnation).into_iter().flatten().cloned().collect();
         if stage != STAGE_CURRENT {
-            all.push(format!("it had no lease ({stage}): no response of the leader reached it"));
+            all.push(format!("it had no lease ({stage}): no response from the leader reached it"));
         } else if all.is_empty() {
-            all.push("it had a lease: the change was on its way".to_owned());
+            all.push("it had a lease: the change had not reached it yet".to_owned());
         }
         all.join("; ")
     }
@@ -233,6 +234,7 @@
         report
     }
 
+    /// The activity of each incarnation on each version, ordered by version.
     fn actors(&self) -> Vec<Actor> {
         let mut all: BTreeMap<(Version, Incarnation), Actor> = BTreeMap::new();
         for interval in &self.intervals {
@@ -248,10 +250,11 @@
         all.into_values().collect()
     }
 
-    /// The version newer than `version` that another controller was the first to apply, judged by the latest possible
-    /// times.
-    fn first_newer(&self, who: Incarnation, version: Version) -> Option<KnownArrival> {
-        let others = self.arrivals.iter().filter(|arrival| arrival.incarnation.controller != who.controller);
+    /// The first arrival of a version newer than `version` at another controller, by the latest possible times. `None`
+    /// if no such arrival has a known time.
+    fn first_newer_arrival(&self, incarnation: Incarnation, version: Version) -> Option<KnownArrival> {
+        let others =
+            self.arrivals.iter().filter(|arrival| arrival.incarnation.controller != incarnation.controller);
         let newer = others.filter(|arrival| arrival.version > version);
         let known = newer.filter_map(|arrival| {
             let Arrival { incarnation, version, at } = *arrival;
@@ -265,8 +268,8 @@
         for interval in self.intervals.iter().filter(|interval| !interval.calls.is_empty()) {
             all.entry((interval.incarnation, interval.version)).or_default().push(interval);
         }
-        for ((who, version), intervals) in all {
-            let Some(newer) = self.first_newer(who, version) else { continue };
+        for ((incarnation, version), intervals) in all {
+            let Some(newer) = self.first_newer_arrival(incarnation, version) else { continue };
             let found = self.stale_activity(&intervals, newer);
             report.omitted += extend_bounded(&mut report.stale_activity, found);
         }
@@ -385,8 +388,8 @@
 fn clock_bounds(leader: u64, entries: &[Entry]) -> ClockBounds {
     let mut clock = ClockBounds::default();
     for entry in entries {
-        if let EntryKind::ClockExchange { leader: answered_by, leader_time } = &entry.kind
-            && *answered_by == leader
+        if let EntryKind::ClockExchange { leader: responder, leader_time } = &entry.kind
+            && *responder == leader
         {
             clock.add_exchange(ClockExchange {
                 sent: entry.from,
--- a/crates/audit-log/src/chain.rs
+++ b/crates/audit-log/src/chain.rs
@@ -8,37 +8,38 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ChainError {
     /// A text cannot be parsed as an entry.
-    #[error("text {index} is no entry: it was altered")]
+    #[error("text {index} cannot be parsed as an entry: it was altered")]
     Unreadable {
         /// Index of the text in the log, from 0.
         index: usize,
     },
-    /// The entries between two numbers are missing.
-    #[error("entries {} to {} are missing", after + 1, before - 1)]
+    /// The number of an entry does not follow on that of the previous entry. If it is higher, the entries between the
+    /// two are missing. If it is not, the texts are not in order or the numbers started again.
+    #[error("entry {after} is followed by entry {before}: entries are missing or not in order")]
     Missing {
-        /// Number of the last entry before the gap.
+        /// Number of the previous entry.
         after: u64,
-        /// Number of the first entry after the gap.
+        /// Number of the entry.
         before: u64,
     },
     /// The hash in an entry is not that of the previous text: one of the two was altered.
-    #[error("entry {number} does not follow on the one before: one of them was altered")]
+    #[error("entry {number} does not contain the hash of the previous entry: one of the two was altered")]
     Altered {
         /// Number of the entry whose hash does not match.
         number: u64,
     },
-    /// An entry declares that entries were lost before it; see [`EntryKind::Gap`].
-    #[error("entry {number} says that {entries} entries are missing: {reason}")]
+    /// An entry declares that entries before it were dropped; see [`EntryKind::Gap`].
+    #[error("entry {number} declares that {entries} entries before it were dropped: {reason}")]
     DeclaredGap {
         /// Number of the declaring entry.
         number: u64,
-        /// Number of missing entries.
+        /// Number of dropped entries.
         entries: u64,
-        /// Why they are missing.
+        /// Why they were dropped.
         reason: String,
     },
     /// The log does not begin with its first entry: the oldest were deleted to bound its size.
-    #[error("it begins with entry {first}: the oldest were deleted")]
+    #[error("the log begins with entry {first}: the older ones were deleted")]
     Truncated {
         /// Number of the oldest remaining entry.
         first: u64,
@@ -59,7 +60,7 @@
 /// Parses the texts of an audit log, given in order, and checks the hash chain.
 pub fn check<'a>(texts: impl IntoIterator<Item = &'a str>) -> CheckedLog {
     let mut checked = CheckedLog::default();
-    // `None` after an unreadable text: the link from it to the next entry can't be checked.
+    // `None` after an unreadable text, as the link from it to the next entry can't be checked.
     let mut previous = Some(Tail { number: 0, hash: GENESIS_HASH.to_owned() });
     for (index, text) in texts.into_iter().enumerate() {
         let Ok(entry) = Entry::from_json(text) else {
--- a/crates/audit-log/src/chain/tests.rs
+++ b/crates/audit-log/src/chain/tests.rs
@@ -16,6 +16,7 @@
     }
 }
 
+/// The log that two successive incarnations of a controller write.
 fn log() -> Vec<String> {
     let mut all = Vec::new();
     let mut tail = None;
@@ -66,7 +67,7 @@
         assert_eq!(
             chain_errors(&altered),
             [ChainError::Altered { number: index as u64 + 2 }],
-            "line {index}"
+            "entry at index {index} is altered"
         );
         let mut garbled = texts.clone();
         garbled[index].truncate(9);
--- a/crates/audit-log/src/clock.rs
+++ b/crates/audit-log/src/clock.rs
@@ -6,7 +6,7 @@
 
 use crate::Millis;
 
-/// The assumed drift between two clocks, in thousandths of the elapsed time; the same as for leases.
+/// The assumed drift between two clocks, in thousandths of the elapsed time. Leases assume the same drift.
 pub const DRIFT_PER_MILLE: Millis = 10;
 /// The number of exchanges that are stored for one incarnation. When it is reached, only every second exchange is kept
 /// and added, then every fourth, and so on.
@@ -43,9 +43,9 @@
 /// The times of a request to the leader and its response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClockExchange {
-    /// When the request was sent, on the controller's clock.
+    /// The time at which the request was sent, on the controller's clock.
     pub sent: Millis,
-    /// When the response was received, on the controller's clock.
+    /// The time at which the response was received, on the controller's clock.
     pub received: Millis,
     /// A reading of the leader's clock between the two.
     pub leader_time: Millis,
@@ -87,8 +87,8 @@
         });
     }
 
-    /// The bounds on the leader's clock of a time on the controller's clock. `None` if there was no exchange, or if the
-    /// exchanges contradict each other.
+    /// Converts a time on the controller's clock into bounds on the leader's clock. `None` without any exchange, and if
+    /// the exchanges contradict each other.
     pub fn bounds_of(&self, moment: Millis) -> Option<TimeBounds> {
         let moment = i64::try_from(moment).ok()?;
         let bounds = self.exchanges.iter().map(|exchange| bounds_by(exchange, moment));
@@ -96,7 +96,7 @@
             earliest: one.earliest.max(other.earliest),
             latest: one.latest.min(other.latest),
         })?;
-        // Empty bounds: a clock drifted by more than DRIFT_PER_MILLE, so no bound can be trusted.
+        // If the bounds are empty, a clock drifted by more than DRIFT_PER_MILLE, so no bound can be trusted.
         (all.earliest <= all.latest).then_some(all)
     }
 }
@@ -114,6 +114,7 @@
     }
 }
 
+/// Converts a time to a signed number, so that differences can be negative.
 fn signed(moment: Millis) -> i64 {
     i64::try_from(moment).unwrap_or(i64::MAX)
 }
--- a/crates/audit-log/src/clock/tests.rs
+++ b/crates/audit-log/src/clock/tests.rs
@@ -12,11 +12,11 @@
     assert_eq!(clock.bounds_of(5), None);
     clock.add_exchange(exchange(1_000, 1_010, 50_000));
     assert_eq!(clock.bounds_of(1_005), Some(TimeBounds { earliest: 49_994, latest: 50_006 }));
-    let later = clock.bounds_of(11_000).expect("known");
+    let later = clock.bounds_of(11_000).expect("one exchange bounds the time");
     assert_eq!((later.earliest, later.latest), (59_890, 60_100));
-    // A slow exchange has wider bounds and does not widen the known ones.
+    // The bounds of a slow exchange are wider, and must not widen those of the first one.
     clock.add_exchange(exchange(10_000, 15_000, 60_500));
-    let now = clock.bounds_of(11_000).expect("known");
+    let now = clock.bounds_of(11_000).expect("two exchanges bound the time");
     assert!(now.earliest >= 59_890 && now.latest <= 60_100, "{now:?}");
 }
 
@@ -29,15 +29,15 @@
 }
 
 #[test]
-fn remembered_exchanges_are_bounded() {
+fn number_of_stored_exchanges_is_bounded() {
     let mut clock = ClockBounds::default();
     for n in 0..100_000 {
         clock.add_exchange(exchange(n * 10, n * 10 + 2, n * 10 + 70_001));
     }
     assert!(clock.exchanges.len() <= MAX_EXCHANGES);
-    let span = clock.bounds_of(500_000).expect("known");
+    let bounds = clock.bounds_of(500_000).expect("the exchanges bound the time");
     assert!(
-        span.earliest <= 570_000 && span.latest >= 570_000 && span.latest - span.earliest < 20,
-        "{span:?}"
+        bounds.earliest <= 570_000 && bounds.latest >= 570_000 && bounds.latest - bounds.earliest < 20,
+        "{bounds:?}"
     );
 }
--- a/crates/audit-log/src/entry.rs
+++ b/crates/audit-log/src/entry.rs
@@ -39,7 +39,7 @@
     pub to: Millis,
     /// The hash of the previous entry's text; [`GENESIS_HASH`] in the first entry.
     pub prev: Hash,
-    /// The content.
+    /// The content, which depends on the kind of entry.
     #[serde(flatten)]
     pub kind: EntryKind,
 }
@@ -48,7 +48,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "what", rename_all = "snake_case")]
 pub enum EntryKind {
-    /// An incarnation started.
+    /// The incarnation started. This is the first entry of each incarnation.
     #[serde(rename = "began")]
     Started {
         /// The number of the controller.
@@ -60,7 +60,7 @@
     View {
         /// The number of the view in this incarnation, from 1.
         view: u32,
-        /// The view itself.
+        /// The versions that make up the view.
         parts: View,
     },
     /// Counts of the acts in an interval. They were all done under the same view and at the same stage of the lease.
@@ -88,7 +88,7 @@
     Event {
         /// The number of the view; 0 if none was applied yet.
         view: u32,
-        /// The event.
+        /// The event that happened.
         #[serde(rename = "act")]
         event: Event,
     },
@@ -157,7 +157,7 @@
     /// The stage of the controller's lease changed.
     #[serde(rename = "stage")]
     LeaseStageChanged {
-        /// The new stage.
+        /// The new stage of the lease, such as `current`.
         stage: String,
     },
     /// Calls were accepted although the lease expired in the meantime, because the process was paused.
@@ -171,7 +171,7 @@
     Fenced,
 }
 
-/// Takes a reference because serde's `skip_serializing_if` passes one.
+/// Whether a count is zero. Takes a reference because serde's `skip_serializing_if` passes one.
 fn is_zero(count: &u64) -> bool {
     *count == 0
 }
--- a/crates/audit-log/src/findings.rs
+++ b/crates/audit-log/src/findings.rs
@@ -56,16 +56,17 @@
 /// The activity of one incarnation on one version of the tenants.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Actor {
-    /// The incarnation.
+    /// The incarnation that acted.
     #[serde(rename = "who")]
     pub incarnation: Incarnation,
     /// The version that it acted on.
     #[serde(rename = "book")]
     pub version: Version,
-    /// The earliest possible time of its first act on the version, milliseconds on the leader's clock; `None` if its
-    /// clock is not known.
+    /// The earliest possible time of its first act on the version, milliseconds on the leader's clock; `None` if the
+    /// time of any of its acts is not known.
     pub from: Option<i64>,
-    /// The latest possible time of its last act on the version; see `from`.
+    /// The latest possible time of its last act on the version, among the acts whose times are known, milliseconds on
+    /// the leader's clock; `None` if no time is known.
     pub to: Option<i64>,
     /// The number of calls that it accepted on the version.
     pub calls: u64,
@@ -88,9 +89,10 @@
     /// Whether the finding is certain.
     #[serde(rename = "sure")]
     pub certainty: Certainty,
-    /// Lower bound of the time from the newer version's application to the last act on the old one, milliseconds.
+    /// Lower bound of the time from the newer version's application to the last act on the old one, milliseconds; at
+    /// least 0.
     pub least_ms: i64,
-    /// Upper bound of that time, milliseconds.
+    /// Upper bound of that time, milliseconds; at least 0.
     pub most_ms: i64,
     /// The calls that were accepted after the newer version was applied, by tenant.
     pub calls: BTreeMap<String, CallCount>,
@@ -108,7 +110,7 @@
     pub incarnation: Incarnation,
     /// The name of the tenant.
     pub tenant: String,
-    /// The version with which the change came into force.
+    /// The version that the change created.
     pub change: Version,
     /// The kind of change: `suspend` or `remove`.
     pub action: String,
@@ -128,7 +130,7 @@
     /// The incarnation that wrote the log, if known.
     #[serde(rename = "who")]
     pub incarnation: Option<Incarnation>,
-    /// What is missing or unreadable.
+    /// The missing or unreadable part, and the cause.
     #[serde(rename = "what")]
     pub reason: String,
 }
--- a/crates/audit-log/src/lib.rs
+++ b/crates/audit-log/src/lib.rs
@@ -1,5 +1,6 @@
 //! The audit log, in which each controller records on which version of its inputs it acted and when, and the audit that
-//! compares the logs of a fleet.
+//! compares the logs of a fleet. An act is an accepted call, a sent attempt or a sent load order; calls that were
+//! rejected without a lease are counted as well.
 //!
 //! The crate does no I/O, reads no clock and uses no randomness; times are passed in. It depends on versions and
 //! counts, not on sockets, files or calls.
--- a/crates/audit-log/src/recorder.rs
+++ b/crates/audit-log/src/recorder.rs
@@ -1,9 +1,10 @@
 //! Records a controller's own audit log.
 //!
 //! Frequent acts only increment a counter: that costs no disk access, reads no clock, and allocates only for the first
-//! act of a tenant or worker. The counters become an entry when the view or the stage of the lease changes, and when
-//! the interval is [`MAX_INTERVAL`] old. Entries wait in a bounded queue until the caller takes and stores them;
-//! entries that do not fit are dropped, and the next entry that fits follows an [`EntryKind::Gap`] with their number.
+//! act of a tenant or worker. The counters become an entry when the view or the stage of the lease changes, before an
+//! entry for a single event, and when the interval is [`MAX_INTERVAL`] old. Entries wait in a bounded queue until the
+//! caller takes and stores them. Entries that do not fit are dropped, and the next entry that fits follows an
+//! [`EntryKind::Gap`] with their number.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
@@ -23,7 +24,7 @@
 /// The name under which acts beyond [`MAX_COUNTED_NAMES`] are counted.
 pub const OTHERS: &str = "(others)";
 
-/// The stage of the lease at the start, in the spelling of the entries.
+/// The stage of the lease when an incarnation starts, as entries contain it.
 const FIRST_STAGE: &str = "current";
 
 /// Counts of one kind of act in the open interval, by tenant or worker id.
@@ -44,7 +45,7 @@
         }
     }
 
-    /// Removes all counts and returns them by name.
+    /// Removes all counts and returns them by name. Counts of ids with the same name are added.
     fn take(&mut self, name: impl Fn(u64) -> String) -> BTreeMap<String, u64> {
         let mut all = BTreeMap::new();
         for (id, count) in self.counts.drain() {
@@ -87,6 +88,7 @@
 }
 
 impl Interval {
+    /// The interval of a single moment.
     fn at(moment: Millis) -> Self {
         Self { from: moment, to: moment }
     }
@@ -142,10 +144,10 @@
         self.view.as_ref().map_or(0, |view| view.number)
     }
 
-    /// Records that the controller applied a view. Earlier acts are written under the previous view; a view that equals
+    /// Records that the controller applied a view. Earlier acts are written under the previous view. A view that equals
     /// the current one is ignored.
     pub fn view_applied(&mut self, now: Millis, view: View, names: &impl NameResolver) {
-        if self.view.as_ref().is_some_and(|before| before.view == view) {
+        if self.view.as_ref().is_some_and(|current| current.view == view) {
             return;
         }
         self.close(names);
@@ -254,6 +256,7 @@
         self.push(interval, kind);
     }
 
+    /// Chains an entry to the log's tail and queues its text.
     fn push(&mut self, interval: Interval, kind: EntryKind) {
         let number = self.tail.number + 1;
         let entry = Entry {
--- a/crates/audit-log/src/view.rs
+++ b/crates/audit-log/src/view.rs
@@ -28,7 +28,7 @@
 /// applied them, and starts a new one when any field changes.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct View {
-    /// The identity of the store from which the tenants' snapshot was taken; empty if there is no snapshot.
+    /// The name of the store from which the tenants' snapshot was taken; empty without a snapshot.
     pub store: String,
     /// The epoch of that store.
     pub epoch: u64,
@@ -40,7 +40,7 @@
     /// The checksum of the settings file.
     #[serde(rename = "settings")]
     pub settings_checksum: u64,
-    /// The program's version.
+    /// The version of the program that the controller runs.
     pub program: String,
 }
 
--- a/crates/audit-log/tests/golden.rs
+++ b/crates/audit-log/tests/golden.rs
@@ -34,12 +34,12 @@
 
 #[test]
 fn reports_keep_their_fields() {
-    let who = Incarnation { controller: 2, incarnation: 9 };
+    let incarnation = Incarnation { controller: 2, incarnation: 9 };
     let other = Incarnation { controller: 1, incarnation: 8 };
     let report = Report {
-        actors: vec![Actor { incarnation: who, version: (1, 4).into(), from: Some(-3), to: None, calls: 7 }],
+        actors: vec![Actor { incarnation, version: (1, 4).into(), from: Some(-3), to: None, calls: 7 }],
         stale_activity: vec![StaleActivity {
-            incarnation: who,
+            incarnation,
             version: (1, 4).into(),
             newer: (1, 5).into(),
             newer_incarnation: other,
@@ -50,7 +50,7 @@
             reason: "w".to_owned(),
         }],
         late_calls: vec![LateCalls {
-            incarnation: who,
+            incarnation,
             tenant: "morava".to_owned(),
             change: (1, 5).into(),
             action: "suspend".to_owned(),
@@ -58,10 +58,10 @@
             calls: CallCount { certain: 0, possible: 2 },
             reason: "w".to_owned(),
         }],
-        forks: vec![Fork { epochs: vec![1, 2], sides: vec![other, who] }],
+        forks: vec![Fork { epochs: vec![1, 2], sides: vec![other, incarnation] }],
         gaps: vec![
             Gap { incarnation: None, reason: "a".to_owned() },
-            Gap { incarnation: Some(who), reason: "b".to_owned() },
+            Gap { incarnation: Some(incarnation), reason: "b".to_owned() },
         ],
         omitted: 6,
     };
--- a/crates/audit-log/tests/truth.rs
+++ b/crates/audit-log/tests/truth.rs
@@ -15,7 +15,7 @@
 use rand_chacha::ChaCha8Rng;
 
 const CONTROLLERS: usize = 5;
-/// Simulated time of one fleet.
+/// The simulated time, milliseconds.
 const DURATION: Millis = 60_000;
 const TENANTS: u64 = 3;
 const LEADER: u64 = 99;
@@ -55,14 +55,14 @@
 
 /// The logs of a simulated fleet, and what actually happened.
 struct Simulated {
-    /// By controller.
+    /// The logs by controller.
     logs: Vec<Vec<String>>,
     /// The log of the leader's administration.
     leader_log: Vec<String>,
     calls: Vec<Call>,
-    /// By controller: the time at which it applied each revision.
+    /// The time at which each controller applied each revision, by controller.
     arrivals: Vec<BTreeMap<u64, f64>>,
-    /// Suspensions: the revision, the tenant and the time of the acknowledgement.
+    /// The acknowledged suspensions: the revision, the tenant and the time of the acknowledgement.
     acknowledged: Vec<(u64, u64, f64)>,
 }
 
@@ -83,7 +83,7 @@
     let mut recorders: Vec<Recorder> = clocks
         .iter()
         .enumerate()
-        .map(|(n, c)| Recorder::new(c.read(0.0), n as u64 + 1, n as u32 + 1, "1.0", None))
+        .map(|(n, clock)| Recorder::new(clock.read(0.0), n as u64 + 1, n as u32 + 1, "1.0", None))
         .collect();
     let mut leader_recorder = Recorder::new(0, LEADER, 0, "1.0", None);
     let mut simulated = Simulated {
@@ -94,7 +94,7 @@
         acknowledged: Vec::new(),
     };
     let (mut revision, mut revisions) = (0, vec![0; CONTROLLERS]);
-    // By controller: the end of its link failure, and the end of its pause.
+    // The end of each controller's link failure, and the end of its pause.
     let (mut cut_until, mut paused_until) = (vec![0.0; CONTROLLERS], vec![0.0; CONTROLLERS]);
     // Suspensions that are not acknowledged yet: revision and tenant.
     let mut pending: Vec<(u64, u64)> = Vec::new();
@@ -125,40 +125,40 @@
             if now < paused_until[n] {
                 continue;
             }
-            let read = clocks[n].read(now);
+            let local_time = clocks[n].read(now);
             if now >= cut_until[n] && random.random_bool(0.1) {
                 // The request and the response take up to 200 ms each; the leader read its clock in between.
                 let (request_delay, response_delay) =
                     (random.random_range(0.0..200.0), random.random_range(0.0..200.0));
                 let sent = clocks[n].read(now - request_delay - response_delay);
                 let leader_time = leader_clock.read(now - response_delay);
-                let exchange = ClockExchange { sent, received: read, leader_time };
+                let exchange = ClockExchange { sent, received: local_time, leader_time };
                 recorders[n].clock_exchange(LEADER, exchange);
                 if revisions[n] < revision && random.random_bool(0.7) {
                     revisions[n] = revision;
-                    recorders[n].view_applied(read, view(revision), &NumberedNames);
+                    recorders[n].view_applied(local_time, view(revision), &NumberedNames);
                     simulated.arrivals[n].insert(revision, now);
                 }
             }
             if random.random_bool(0.3) {
                 let tenant = random.random_range(0..TENANTS);
-                recorders[n].call_accepted(read, tenant);
+                recorders[n].call_accepted(local_time, tenant);
                 simulated.calls.push(Call { controller: n, at: now, tenant, revision: revisions[n] });
             }
-            recorders[n].tick(read, &NumberedNames);
+            recorders[n].tick(local_time, &NumberedNames);
             let texts: Vec<String> = recorders[n].take(usize::MAX).collect();
             simulated.logs[n].extend(texts);
         }
         // Some changes are acknowledged before all controllers have applied them, so that there are late calls to find.
         pending.retain(|(suspension, tenant)| {
-            let all = revisions.iter().all(|applied| applied >= suspension);
-            let done = all || random.random_bool(0.01);
-            if done {
+            let applied_by_all = revisions.iter().all(|applied| applied >= suspension);
+            let acknowledged = applied_by_all || random.random_bool(0.01);
+            if acknowledged {
                 leader_recorder
                     .append(leader_clock.read(now), EntryKind::InForce { epoch: 1, revision: *suspension });
                 simulated.acknowledged.push((*suspension, *tenant, now));
             }
-            !done
+            !acknowledged
         });
     }
     for (n, recorder) in recorders.iter_mut().enumerate() {
@@ -202,54 +202,64 @@
             report.stale_activity.len(),
             report.late_calls.len()
         );
-        // Calls after an acknowledgement.
+        // Calls that were accepted after an acknowledgement.
         for (revision, tenant, at) in &simulated.acknowledged {
             for n in 0..CONTROLLERS {
-                let truly = |c: &&Call| {
-                    c.controller == n && c.tenant == *tenant && c.revision < *revision && c.at > *at
+                let is_late = |call: &&Call| {
+                    call.controller == n
+                        && call.tenant == *tenant
+                        && call.revision < *revision
+                        && call.at > *at
                 };
-                let truth = simulated.calls.iter().filter(truly).count() as u64;
-                let found = report.late_calls.iter().find(|a| {
-                    a.incarnation == incarnation(n)
-                        && a.change == Version { epoch: 1, revision: *revision }
-                        && a.tenant == format!("t{tenant}")
+                let actual = simulated.calls.iter().filter(is_late).count() as u64;
+                let found = report.late_calls.iter().find(|finding| {
+                    finding.incarnation == incarnation(n)
+                        && finding.change == Version { epoch: 1, revision: *revision }
+                        && finding.tenant == format!("t{tenant}")
                 });
-                let (least, most) = found.map_or((0, 0), |a| a.calls.into());
+                let (least, most) = found.map_or((0, 0), |finding| finding.calls.into());
                 assert!(
-                    least <= truth && truth <= most,
-                    "seed {seed}, controller {n}, revision {revision}: {truth} actual, {least} to {most} reported"
+                    least <= actual && actual <= most,
+                    "seed {seed}, controller {n}, revision {revision}: {actual} actual, {least} to {most} reported"
                 );
-                match found.map(|a| a.certainty) {
+                match found.map(|finding| finding.certainty) {
                     Some(Certainty::Certain) => certain += 1,
                     Some(Certainty::Doubtful) => doubtful += 1,
                     None => {}
                 }
             }
         }
-        // Calls on a version after another controller had applied a newer one.
+        // Calls that were accepted on a version after another controller had applied a newer one.
         for n in 0..CONTROLLERS {
-            for version in 0..=*simulated.arrivals[n].keys().max().expect("0 at the least") {
-                let elsewhere = (0..CONTROLLERS).filter(|o| *o != n);
-                let newer = elsewhere.filter_map(|o| {
-                    let first = simulated.arrivals[o].range(version + 1..).map(|(_, at)| *at);
+            for version in
+                0..=*simulated.arrivals[n].keys().max().expect("revision 0 is applied at the start")
+            {
+                let others = (0..CONTROLLERS).filter(|other| *other != n);
+                let newer = others.filter_map(|other| {
+                    let first = simulated.arrivals[other].range(version + 1..).map(|(_, at)| *at);
                     first.min_by(f64::total_cmp)
                 });
                 let since = newer.min_by(f64::total_cmp);
-                let truly = |c: &&Call| {
-                    c.controller == n && c.revision == version && since.is_some_and(|since| c.at > since)
+                let is_stale = |call: &&Call| {
+                    call.controller == n
+                        && call.revision == version
+                        && since.is_some_and(|since| call.at > since)
                 };
-                let truth = simulated.calls.iter().filter(truly).count() as u64;
-                let found = report.stale_activity.iter().find(|b| {
-                    b.incarnation == incarnation(n) && b.version == Version { epoch: 1, revision: version }
+                let actual = simulated.calls.iter().filter(is_stale).count() as u64;
+                let found = report.stale_activity.iter().find(|finding| {
+                    finding.incarnation == incarnation(n)
+                        && finding.version == Version { epoch: 1, revision: version }
                 });
-                let least: u64 = found.map_or(0, |b| b.calls.values().map(|c| c.certain).sum());
-                let most: u64 = found.map_or(0, |b| b.calls.values().map(|c| c.possible).sum());
+                let least: u64 =
+                    found.map_or(0, |finding| finding.calls.values().map(|count| count.certain).sum());
+                let most: u64 =
+                    found.map_or(0, |finding| finding.calls.values().map(|count| count.possible).sum());
                 assert!(
-                    least <= truth && truth <= most,
-                    "seed {seed}, controller {n}, revision {version}: {truth} actual, {least} to {most} reported"
+                    least <= actual && actual <= most,
+                    "seed {seed}, controller {n}, revision {version}: {actual} actual, {least} to {most} reported"
                 );
-                if let Some(found) = found.filter(|b| b.certainty == Certainty::Certain) {
-                    assert!(truth > 0, "seed {seed}: certain, and false: {found:?}");
+                if let Some(found) = found.filter(|finding| finding.certainty == Certainty::Certain) {
+                    assert!(actual > 0, "seed {seed}: a certain finding is false: {found:?}");
                 }
             }
         }
@@ -262,15 +272,15 @@
 #[test]
 fn changed_digit_breaks_the_hash_chain() {
     let simulated = simulate(7);
-    let whole = &simulated.logs[0];
+    let intact = &simulated.logs[0];
     let mut random = ChaCha8Rng::seed_from_u64(1);
     for _ in 0..300 {
-        let line = random.random_range(0..whole.len() - 1);
-        let mut altered = whole.clone();
+        let line = random.random_range(0..intact.len() - 1);
+        let mut altered = intact.clone();
         let mut bytes = altered[line].clone().into_bytes();
-        let digits: Vec<usize> = (0..bytes.len()).filter(|at| bytes[*at].is_ascii_digit()).collect();
-        let at = digits[random.random_range(0..digits.len())];
-        bytes[at] = if bytes[at] == b'9' { b'3' } else { bytes[at] + 1 };
+        let digits: Vec<usize> = (0..bytes.len()).filter(|index| bytes[*index].is_ascii_digit()).collect();
+        let index = digits[random.random_range(0..digits.len())];
+        bytes[index] = if bytes[index] == b'9' { b'3' } else { bytes[index] + 1 };
         altered[line] = String::from_utf8(bytes).expect("ASCII");
         let checked = check(altered.iter().map(String::as_str));
         assert!(!checked.errors.is_empty(), "line {line}: {}", altered[line]);
@@ -296,5 +306,9 @@
     let report = audit.report();
     assert_eq!(report.forks.len(), 1, "{:?}", report.forks);
     assert_eq!((report.forks[0].epochs.clone(), report.forks[0].sides.len()), (vec![3, 4], 2));
-    assert_eq!(report.stale_activity.len(), 1, "the one on the older epoch is behind");
+    assert_eq!(
+        report.stale_activity.len(),
+        1,
+        "only the controller on the older epoch acted on an old version"
+    );
 }
