--- a/crates/admin/src/api/mod.rs
+++ b/crates/admin/src/api/mod.rs
@@ -96,8 +96,8 @@
         all
     }
 
-    /// Handles a request. `held_for` is `None` for a new request. For a request whose previous outcome was
-    /// [`Outcome::Wait`], it is the time since the request arrived.
+    /// Handles a request at the wall-clock time `now`. `held_for` is `None` for a new request. For a request whose
+    /// previous outcome was [`Outcome::Wait`], it is the time since the request arrived.
     pub fn handle(
         &mut self,
         request: &Request<'_>,
