--- a/crates/audit-log/src/view.rs
+++ b/crates/audit-log/src/view.rs
@@ -28,17 +28,19 @@
 /// applied them, and starts a new one when any field changes.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct View {
-    /// The identity of the store from which the tenants' snapshot was taken; empty if there is no snapshot.
+    /// The name of the store from which the tenants' snapshot was taken; empty without a snapshot.
     pub store: String,
     /// The epoch of that store.
     pub epoch: u64,
     /// The number of the last change in the snapshot.
     pub revision: u64,
     /// The version of the worker list, numbered from 1 in each incarnation; 0 if none was loaded.
-    pub list: u64,
+    #[serde(rename = "list")]
+    pub worker_list: u64,
     /// The checksum of the settings file.
-    pub settings: u64,
-    /// The program's version.
+    #[serde(rename = "settings")]
+    pub settings_checksum: u64,
+    /// The version of the program that the controller runs.
     pub program: String,
 }
 
