--- a/crates/gateway/src/commands/demo.rs
+++ b/crates/gateway/src/commands/demo.rs
@@ -60,7 +60,7 @@
                 spec: spec.clone(),
                 store: Arc::clone(&store),
                 epoch,
-                records: None,
+                observations: None,
                 cold: false,
                 seed: u64::from(number),
             })
--- a/crates/gateway/src/commands/soak.rs
+++ b/crates/gateway/src/commands/soak.rs
@@ -8,7 +8,7 @@
 
 use clap::Args;
 use clap::builder::TypedValueParser;
-use nettleferry_soak::{Extras, Plan, Report, Rule, Size, play};
+use nettleferry_soak::{Extras, Plan, Report, Rule, Size, execute};
 
 use super::error::CommandError;
 use super::exit_code;
@@ -94,7 +94,7 @@
         if self.plan || self.keep.is_some() {
             print!("{plan}");
         }
-        Ok(play(plan, program, &folder)?)
+        Ok(execute(plan, program, &folder)?)
     }
 }
 
--- a/crates/gateway/src/commands/worker.rs
+++ b/crates/gateway/src/commands/worker.rs
@@ -37,7 +37,7 @@
             spec,
             store: Arc::new(Mutex::new(Store::default())),
             epoch: Instant::now(),
-            records: None,
+            observations: None,
             seed: 1,
         })
         .map_err(CommandError::system(format!("can't listen on {listen}")))?;
--- a/crates/gateway/tests/admin.rs
+++ b/crates/gateway/tests/admin.rs
@@ -257,7 +257,7 @@
         fleet
             .look()
             .iter()
-            .filter(|r| r.worker == name && matches!(r.seen, ObservationKind::Call { .. }))
+            .filter(|r| r.worker == name && matches!(r.kind, ObservationKind::Call { .. }))
             .count()
     };
     assert_eq!((at(&mut fleet, "w1"), at(&mut fleet, "w2")), (0, 20));
--- a/crates/gateway/tests/common/mod.rs
+++ b/crates/gateway/tests/common/mod.rs
@@ -214,7 +214,7 @@
                     spec: spec.clone(),
                     store: Arc::clone(&store),
                     epoch,
-                    records: Some(sender.clone()),
+                    observations: Some(sender.clone()),
                     cold: false,
                     seed: n as u64,
                 })
@@ -240,7 +240,7 @@
     }
 
     pub(crate) fn count(&mut self, pick: impl Fn(&ObservationKind) -> bool) -> usize {
-        self.look().iter().filter(|r| pick(&r.seen)).count()
+        self.look().iter().filter(|r| pick(&r.kind)).count()
     }
 
     #[track_caller]
--- a/crates/gateway/tests/cut.rs
+++ b/crates/gateway/tests/cut.rs
@@ -50,8 +50,8 @@
 fn arrived_attempts(records: &[Observation]) -> BTreeMap<String, Vec<Attempt>> {
     let mut streams = BTreeMap::new();
     let mut attempts: BTreeMap<String, Vec<Attempt>> = BTreeMap::new();
-    for Observation { worker, seen, .. } in records {
-        match seen {
+    for Observation { worker, kind, .. } in records {
+        match kind {
             ObservationKind::Call { stream, id, attempt, .. } => {
                 let of_call = attempts.entry(id.clone()).or_default();
                 streams.insert((worker, *stream), (id.clone(), of_call.len()));
@@ -113,8 +113,8 @@
         CUT.iter().all(|name| {
             let ours = records.iter().filter(|r| r.worker == *name);
             let newer =
-                |r: &Observation| matches!(&r.seen, ObservationKind::Call { id, .. } if id == "after");
-            ours.skip_while(|r| !matches!(r.seen, ObservationKind::Link { cut: false, .. })).any(newer)
+                |r: &Observation| matches!(&r.kind, ObservationKind::Call { id, .. } if id == "after");
+            ours.skip_while(|r| !matches!(r.kind, ObservationKind::Link { cut: false, .. })).any(newer)
         })
     });
     let arrived = arrived_attempts(fleet.look());
--- a/crates/gateway/tests/loans.rs
+++ b/crates/gateway/tests/loans.rs
@@ -74,7 +74,7 @@
     fn update(&mut self, fleet: &mut Fleet) -> usize {
         let records = fleet.look();
         for record in &records[self.seen..] {
-            match &record.seen {
+            match &record.kind {
                 ObservationKind::Call { stream, .. } => {
                     _ = self.open.insert((record.worker.clone(), *stream))
                 }
@@ -121,7 +121,7 @@
         let from = fleet.look().len();
         eventually("calls flow", || {
             concurrent.update(fleet);
-            fleet.look()[from..].iter().filter(|r| matches!(r.seen, ObservationKind::Answered { .. })).count()
+            fleet.look()[from..].iter().filter(|r| matches!(r.kind, ObservationKind::Answered { .. })).count()
                 >= count
         });
         assert!(concurrent.most <= LIMIT, "{} at once", concurrent.most);
@@ -160,7 +160,7 @@
         concurrent.update(&mut cluster.fleet);
         cluster.fleet.look()[from..]
             .iter()
-            .filter(|r| matches!(r.seen, ObservationKind::Answered { .. }))
+            .filter(|r| matches!(r.kind, ObservationKind::Answered { .. }))
             .count()
             >= 100
     });
--- a/crates/gateway/tests/soak.rs
+++ b/crates/gateway/tests/soak.rs
@@ -4,7 +4,7 @@
 
 use std::process::Command;
 
-use nettleferry_soak::{Extras, Plan, Size, play};
+use nettleferry_soak::{Extras, Plan, Size, execute};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_nettleferry");
 
@@ -16,7 +16,7 @@
 fn assert_no_findings_with(seed: u64, faults: bool, extras: Extras) {
     let dir = tempfile::tempdir().expect("temporary folder");
     let plan = Plan::draw_with(seed, Size::SMALL, faults, extras);
-    let report = play(plan, Path::new(PROGRAM), dir.path()).expect("the soak runs");
+    let report = execute(plan, Path::new(PROGRAM), dir.path()).expect("the soak runs");
     let found: Vec<_> =
         report.findings.iter().map(|f| format!("{f}\n{}", report.timeline(f).join("\n"))).collect();
     assert!(found.is_empty(), "seed {seed}, faults {faults}, {:?}:\n{}", report.ends, found.join("\n"));
--- a/crates/gateway/tests/streams.rs
+++ b/crates/gateway/tests/streams.rs
@@ -195,14 +195,14 @@
         let seen = fleet.look();
         let ended: std::collections::HashSet<(&str, u64)> = seen
             .iter()
-            .filter_map(|r| match &r.seen {
+            .filter_map(|r| match &r.kind {
                 ObservationKind::Gone { stream } | ObservationKind::Answered { stream, .. } => {
                     Some((r.worker.as_str(), *stream))
                 }
                 _ => None,
             })
             .collect();
-        let call = |r: &nettleferry_test_servers::Observation| match &r.seen {
+        let call = |r: &nettleferry_test_servers::Observation| match &r.kind {
             ObservationKind::Call { stream, .. } => Some((r.worker.clone(), *stream)),
             _ => None,
         };
--- a/crates/scenario/src/attempts.rs
+++ b/crates/scenario/src/attempts.rs
@@ -62,7 +62,7 @@
                 all[at].1.end = Some(AttemptEnd { at: record.at, kind });
             }
         };
-        match &record.seen {
+        match &record.kind {
             ObservationKind::Call { stream, id, controller, attempt, .. } => {
                 open.insert((worker, *stream), all.len());
                 let attempt = Attempt {
@@ -84,7 +84,7 @@
             ObservationKind::Answered { stream, never_ran, .. } => {
                 end_attempt(*stream, if *never_ran { EndKind::NeverRan } else { EndKind::Answered });
             }
-            ObservationKind::Down | ObservationKind::Fell => {
+            ObservationKind::Down | ObservationKind::Overloaded => {
                 let streams: Vec<u64> = open.keys().filter(|(w, _)| *w == worker).map(|(_, s)| *s).collect();
                 for stream in streams {
                     if let Some(at) = open.remove(&(worker, stream)) {
--- a/crates/scenario/src/audit.rs
+++ b/crates/scenario/src/audit.rs
@@ -289,7 +289,7 @@
             }
         }
         for record in &self.evidence.workers {
-            if let ObservationKind::Order { controller, model, .. } = &record.seen {
+            if let ObservationKind::Order { controller, model, .. } = &record.kind {
                 self.check_drained(Arrival {
                     worker: &record.worker,
                     controller: controller.parse().unwrap_or(usize::MAX),
@@ -337,7 +337,8 @@
 
     /// Rule 4: no worker is overloaded while it is warming up.
     fn check_overload(&mut self) {
-        for record in self.evidence.workers.iter().filter(|record| record.seen == ObservationKind::Fell) {
+        for record in self.evidence.workers.iter().filter(|record| record.kind == ObservationKind::Overloaded)
+        {
             let what = format!("{} was pushed over while cold", record.worker);
             self.breaches.push(Breach { rule: 4, at: record.at, call: None, what });
         }
@@ -389,7 +390,7 @@
     fn load_orders(&self, number: usize) -> Vec<LoadOrder> {
         let mut orders = Vec::new();
         for record in &self.evidence.workers {
-            if let ObservationKind::Order { controller, .. } = &record.seen
+            if let ObservationKind::Order { controller, .. } = &record.kind
                 && controller.parse() == Ok(number)
             {
                 let earliest_sent = self.links.earliest_sent(&record.worker, number, record.at);
--- a/crates/scenario/src/event_log.rs
+++ b/crates/scenario/src/event_log.rs
@@ -58,7 +58,7 @@
     for record in &evidence.workers {
         let worker = record.worker.as_str();
         let call_of = |stream: &u64| streams.get(&(worker, *stream)).copied();
-        let (what, call) = match &record.seen {
+        let (what, call) = match &record.kind {
             ObservationKind::Call { stream, id, model, controller, attempt, .. } => {
                 streams.insert((worker, *stream), id);
                 let number = attempt.map_or("without a number".to_owned(), |number| number.to_string());
--- a/crates/scenario/src/evidence.rs
+++ b/crates/scenario/src/evidence.rs
@@ -187,7 +187,7 @@
         cuts.push(Cut { worker: worker.to_owned(), zone, interval: Interval { from, to } });
     };
     for record in workers {
-        let ObservationKind::Link { address_index, conn, cut } = record.seen else { continue };
+        let ObservationKind::Link { address_index, conn, cut } = record.kind else { continue };
         let link = Link { worker: &record.worker, door: address_index, conn };
         if cut {
             open.entry(link).or_insert(record.at);
--- a/crates/scenario/src/report.rs
+++ b/crates/scenario/src/report.rs
@@ -79,7 +79,7 @@
         out.push('\n');
     }
     let count =
-        |is_kind: fn(&ObservationKind) -> bool| evidence.workers.iter().filter(|r| is_kind(&r.seen)).count();
+        |is_kind: fn(&ObservationKind) -> bool| evidence.workers.iter().filter(|r| is_kind(&r.kind)).count();
     let _ = writeln!(
         out,
         "workers: {} attempts, {} ran, {} load orders, {} probes, {} deaths, {} fell over",
@@ -88,7 +88,7 @@
         count(|s| matches!(s, ObservationKind::Order { .. })),
         count(|s| matches!(s, ObservationKind::Probe)),
         count(|s| matches!(s, ObservationKind::Down)),
-        count(|s| matches!(s, ObservationKind::Fell)),
+        count(|s| matches!(s, ObservationKind::Overloaded)),
     );
     out
 }
--- a/crates/scenario/src/setup.rs
+++ b/crates/scenario/src/setup.rs
@@ -79,7 +79,7 @@
             spec: script.spec.clone(),
             store: Arc::clone(&context.store),
             epoch: context.epoch,
-            records: Some(context.records.clone()),
+            observations: Some(context.records.clone()),
             cold: script.cold,
             seed: script.seed.wrapping_add(index as u64),
         })
--- a/crates/scenario/tests/audit.rs
+++ b/crates/scenario/tests/audit.rs
@@ -36,8 +36,8 @@
     e.clients.push(ClientRecord { at, id: id.into(), what });
 }
 
-fn worker(e: &mut Evidence, at: u64, name: &str, seen: ObservationKind) {
-    e.workers.push(Observation { at, worker: name.into(), seen });
+fn worker(e: &mut Evidence, at: u64, name: &str, kind: ObservationKind) {
+    e.workers.push(Observation { at, worker: name.into(), kind });
 }
 
 fn sent(e: &mut Evidence, at: u64, id: &str, effect: Effect) {
@@ -56,7 +56,7 @@
 /// Records the arrival of the next attempt of a call. Attempts are numbered in the order of these records.
 fn arrive(e: &mut Evidence, at: u64, name: &str, stream: u64, id: &str) {
     let is_earlier =
-        |r: &&Observation| matches!(&r.seen, ObservationKind::Call { id: other, .. } if other == id);
+        |r: &&Observation| matches!(&r.kind, ObservationKind::Call { id: other, .. } if other == id);
     let attempt = Some(e.workers.iter().filter(is_earlier).count() as u32);
     let (id, model, controller) = (id.into(), "echo".into(), "0".into());
     worker(e, at, name, ObservationKind::Call { stream, id, model, controller, attempt, core_time: 1000 });
@@ -242,7 +242,7 @@
     e.workers
         .iter_mut()
         .rev()
-        .find(|r| r.worker == name && is(&r.seen))
+        .find(|r| r.worker == name && is(&r.kind))
         .expect("the worker has such a record")
 }
 
@@ -258,7 +258,7 @@
     // An answer that w2 sends right after the link was restored may precede its reading of the cancellation. One that
     // it sends 300 ms later shows that the first attempt was not cancelled.
     let mut ran = first_attempt_delayed(Effect::Idempotent);
-    record(&mut ran, "w2", |s| matches!(s, ObservationKind::Gone { .. })).seen =
+    record(&mut ran, "w2", |s| matches!(s, ObservationKind::Gone { .. })).kind =
         ObservationKind::Answered { stream: 1, served: true, never_ran: false };
     assert_eq!(breaches(&ran), vec![], "answered before the worker read the cancellation");
     record(&mut ran, "w2", |s| matches!(s, ObservationKind::Answered { .. })).at = 3 * S + 300 * MS;
@@ -350,13 +350,13 @@
 fn attempt_numbers_are_present_and_distinct() {
     let mut e = first_attempt_delayed(Effect::Idempotent);
     if let ObservationKind::Call { attempt, .. } =
-        &mut record(&mut e, "w1", |s| matches!(s, ObservationKind::Call { .. })).seen
+        &mut record(&mut e, "w1", |s| matches!(s, ObservationKind::Call { .. })).kind
     {
         *attempt = Some(0);
     }
     assert_breach(&e, 2, "with number 0 again");
     if let ObservationKind::Call { attempt, .. } =
-        &mut record(&mut e, "w1", |s| matches!(s, ObservationKind::Call { .. })).seen
+        &mut record(&mut e, "w1", |s| matches!(s, ObservationKind::Call { .. })).kind
     {
         *attempt = None;
     }
@@ -413,8 +413,8 @@
     order.list_changes.push(ListChange { at: S, written: S, worker: "w1".into(), state: WorkerState::Gone });
     sent(&mut order, 3 * S, "y", Effect::Idempotent);
     client(&mut order, 3 * S + 1, "y", ClientObservation::Final(FinalStatus::Refused));
-    let seen = ObservationKind::Order { controller: "0".into(), model: "echo".into(), copies: 1 };
-    worker(&mut order, 3 * S, "w1", seen);
+    let load_order = ObservationKind::Order { controller: "0".into(), model: "echo".into(), replicas: 1 };
+    worker(&mut order, 3 * S, "w1", load_order);
     assert_breach(&order, 3, "an order to load echo reached w1");
 }
 
@@ -423,7 +423,7 @@
     let mut e = empty();
     worker(&mut e, S, "w1", ObservationKind::Up { cold: true });
     assert_eq!(breaches(&e), vec![]);
-    worker(&mut e, 2 * S, "w1", ObservationKind::Fell);
+    worker(&mut e, 2 * S, "w1", ObservationKind::Overloaded);
     assert_breach(&e, 4, "w1 was pushed over while cold");
 }
 
@@ -436,8 +436,9 @@
             client(&mut e, S + n + 1, &format!("c{n}"), ClientObservation::Final(FinalStatus::Served));
         }
         for at in times {
-            let seen = ObservationKind::Order { controller: "0".into(), model: "echo".into(), copies: 1 };
-            worker(&mut e, *at, "w1", seen);
+            let load_order =
+                ObservationKind::Order { controller: "0".into(), model: "echo".into(), replicas: 1 };
+            worker(&mut e, *at, "w1", load_order);
         }
         e
     };
--- a/crates/soak/src/audit.rs
+++ b/crates/soak/src/audit.rs
@@ -118,7 +118,7 @@
 
 /// A change of a worker's entry in the directory's list.
 #[derive(Clone, Debug)]
-pub struct ListEvent {
+pub struct ListChange {
     /// Serial number of the list with this change.
     pub serial: u32,
     /// The worker's number.
@@ -158,6 +158,15 @@
     pub arrived: Moment,
 }
 
+/// A call that arrived at a worker although no client had sent it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct UnknownCall {
+    /// The call's id.
+    pub id: u64,
+    /// The number of the worker that it arrived at.
+    pub worker: usize,
+}
+
 /// A start of a worker's process.
 #[derive(Clone, Copy, Debug)]
 pub struct WorkerStart {
@@ -177,15 +186,14 @@
     /// The controller's number.
     pub controller: usize,
     /// Description for the report.
-    pub what: String,
+    pub description: String,
 }
 
 #[derive(Default)]
 struct Observations {
     calls: BTreeMap<u64, Call>,
-    /// Calls that no client had sent, each with the number of the worker that it arrived at.
-    strangers: Vec<(u64, usize)>,
-    events: Vec<ListEvent>,
+    unknown_calls: Vec<UnknownCall>,
+    list_changes: Vec<ListChange>,
     sent_lists: Vec<SentList>,
     starts: Vec<WorkerStart>,
     incidents: Vec<Incident>,
@@ -204,10 +212,10 @@
 pub struct Record {
     /// Calls sent by clients, by id.
     pub calls: BTreeMap<u64, Call>,
-    /// Ids of calls that no client had sent, each with the number of the worker that it arrived at.
-    pub strangers: Vec<(u64, usize)>,
+    /// Calls that no client had sent.
+    pub unknown_calls: Vec<UnknownCall>,
     /// Changes of the directory's list.
-    pub events: Vec<ListEvent>,
+    pub list_changes: Vec<ListChange>,
     /// Lists sent to controllers. For each controller and serial number, only the first is recorded.
     pub sent_lists: Vec<SentList>,
     /// Starts of workers' processes after rolling replacements.
@@ -299,7 +307,7 @@
                 let (arrived, over, ran) = (now, None, false);
                 call.attempts.push(Attempt { worker, connection, arrived, timestamped, patience, over, ran });
             }
-            None => observations.strangers.push((id, worker)),
+            None => observations.unknown_calls.push(UnknownCall { id, worker }),
         }
     }
 
@@ -328,8 +336,8 @@
     }
 
     /// Records a change of the directory's list.
-    pub fn list_changed(&self, event: ListEvent) {
-        self.observations().events.push(event);
+    pub fn list_changed(&self, change: ListChange) {
+        self.observations().list_changes.push(change);
     }
 
     /// Records that a controller was sent a list with all changes up to `serial`, at the kernel's timestamp or else
@@ -349,13 +357,13 @@
     }
 
     /// Records something that the test does to a controller, for the timeline of findings.
-    pub fn incident(&self, controller: usize, what: impl Into<String>) {
-        let incident = Incident { at: self.now(), controller, what: what.into() };
+    pub fn incident(&self, controller: usize, description: impl Into<String>) {
+        let incident = Incident { at: self.now(), controller, description: description.into() };
         self.observations().incidents.push(incident);
     }
 
     /// Records that the test's own threads ran late by `lag`.
-    pub fn lag_seen(&self, lag: Duration) {
+    pub fn lag_measured(&self, lag: Duration) {
         let now = self.now();
         self.observations().lag.push((now, lag));
     }
@@ -370,8 +378,8 @@
         Record {
             drift,
             calls: observations.calls,
-            strangers: observations.strangers,
-            events: observations.events,
+            unknown_calls: observations.unknown_calls,
+            list_changes: observations.list_changes,
             sent_lists: observations.sent_lists,
             starts: observations.starts,
             incidents: observations.incidents,
--- a/crates/soak/src/controller.rs
+++ b/crates/soak/src/controller.rs
@@ -91,9 +91,9 @@
 
 /// The result of terminating a controller.
 #[derive(Clone, Copy, Debug)]
-pub enum Ended {
+pub enum TerminationOutcome {
     /// The process exited by itself.
-    ByItself(ExitStatus),
+    Exited(ExitStatus),
     /// The process had not exited in time and was killed, as the platform does.
     Killed,
     /// The controller was not in service, as during another disturbance. Nothing was done.
@@ -367,9 +367,9 @@
     }
 
     /// Sends the signals of `termination` and waits until the process has exited, or kills it when the platform would.
-    pub fn terminate(&self, termination: &Termination, audit: &Audit) -> io::Result<Ended> {
+    pub fn terminate(&self, termination: &Termination, audit: &Audit) -> io::Result<TerminationOutcome> {
         if !self.leave_service(Phase::Ending) {
-            return Ok(Ended::NotServing);
+            return Ok(TerminationOutcome::NotServing);
         }
         let mut kill_at = None;
         for (after, signal) in &termination.signals {
@@ -384,7 +384,7 @@
         let ended = self.wait_or_kill(kill_at)?;
         let how = ended.map_or_else(|| "killed".to_owned(), |status| format!("ended by itself, {status}"));
         audit.incident(self.number, how);
-        Ok(ended.map_or(Ended::Killed, Ended::ByItself))
+        Ok(ended.map_or(TerminationOutcome::Killed, TerminationOutcome::Exited))
     }
 
     /// Waits until the process has exited. At `kill_at` it kills the process, as the platform does, and returns `None`.
--- a/crates/soak/src/directory.rs
+++ b/crates/soak/src/directory.rs
@@ -11,7 +11,7 @@
 use simple_dns::rdata::{A, RData, SOA, SRV, TXT};
 use simple_dns::{CLASS, Name, Packet, ResourceRecord};
 
-use crate::audit::{Audit, ListEvent};
+use crate::audit::{Audit, ListChange};
 use crate::kernel_time;
 
 /// A worker's entry in the list.
@@ -65,7 +65,7 @@
         if let Some(entry) = list.entries.get_mut(worker) {
             change(entry);
             let in_service = entry.listed && entry.in_service;
-            audit.list_changed(ListEvent { serial, worker, in_service });
+            audit.list_changed(ListChange { serial, worker, in_service });
         }
         serial
     }
--- a/crates/soak/src/judge.rs
+++ b/crates/soak/src/judge.rs
@@ -11,7 +11,9 @@
 use std::fmt;
 use std::time::Duration;
 
-use crate::audit::{Arrival, Attempt, Call, Class, End, Interval, ListEvent, Moment, Record, WorkerStart};
+use crate::audit::{
+    Arrival, Attempt, Call, Class, End, Interval, ListChange, Moment, Record, UnknownCall, WorkerStart,
+};
 use crate::controller::{DRAIN_GRACE, OVERLOAD_FACTOR, OVERLOAD_SPAN, SLOW_START, START_CAPACITY};
 
 /// An invariant that the judge checks.
@@ -61,10 +63,19 @@
     pub rule: Rule,
     /// The call, worker or controller concerned, or the whole run.
     pub subject: Subject,
-    /// The number of the responsible controller and the time; `None` if no single controller is responsible.
-    pub seen: Option<(usize, Moment)>,
+    /// The responsible controller and the time. `None` if no single controller is responsible.
+    pub occurrence: Option<Occurrence>,
     /// Description for the report.
-    pub what: String,
+    pub description: String,
+}
+
+/// The controller at which a finding occurred, and the time.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Occurrence {
+    /// The controller's number.
+    pub controller: usize,
+    /// The time of the attempt or the end of the call that broke the invariant.
+    pub at: Moment,
 }
 
 /// The result of judging a record.
@@ -105,7 +116,7 @@
 
 impl fmt::Display for Finding {
     fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
-        write!(out, "{:?}: {}", self.rule, self.what)
+        write!(out, "{:?}: {}", self.rule, self.description)
     }
 }
 
@@ -144,9 +155,12 @@
             _ => None,
         };
         if let Some((event, at)) = crossing {
-            let what = format!("call {id:016x}: {event} as it was sent");
-            let (subject, seen) = (Subject::Call(*id), Some((call.controller, at)));
-            undecided.push(Finding { rule: Rule::OneAnswer, subject, seen, what });
+            undecided.push(Finding {
+                rule: Rule::OneAnswer,
+                subject: Subject::Call(*id),
+                occurrence: Some(Occurrence { controller: call.controller, at }),
+                description: format!("call {id:016x}: {event} as it was sent"),
+            });
         }
     }
     broken.extend(too_many_undecided(record, undecided.len()));
@@ -156,12 +170,12 @@
 fn too_many_undecided(record: &Record, undecided: usize) -> Option<Finding> {
     let attempts: usize = record.calls.values().map(|call| call.attempts.len()).sum();
     let allowed = (attempts * UNDECIDED_PER_THOUSAND / 1_000).max(MIN_UNDECIDED);
-    let what = format!("{undecided} findings are undecided, {allowed} allowed of {attempts} attempts");
+    let description = format!("{undecided} findings are undecided, {allowed} allowed of {attempts} attempts");
     (undecided > allowed).then_some(Finding {
         rule: Rule::Undecided,
         subject: Subject::Run,
-        seen: None,
-        what,
+        occurrence: None,
+        description,
     })
 }
 
@@ -170,9 +184,13 @@
     for (id, call) in &record.calls {
         judge_call(record, *id, call, order, &mut found);
     }
-    for (id, worker) in &record.strangers {
-        let what = format!("{id:016x} arrived at worker {worker}, and no client had sent it");
-        found.push(Finding { rule: Rule::Stranger, subject: Subject::Call(*id), seen: None, what });
+    for UnknownCall { id, worker } in &record.unknown_calls {
+        found.push(Finding {
+            rule: Rule::Stranger,
+            subject: Subject::Call(*id),
+            occurrence: None,
+            description: format!("call {id:016x} arrived at worker {worker}, and no client had sent it"),
+        });
     }
     judge_slow_start(record, order, &mut found);
     found
@@ -186,9 +204,13 @@
 
 fn judge_call(record: &Record, id: u64, call: &Call, order: EventOrder, found: &mut Vec<Finding>) {
     let mut broken = |rule, at: Moment, what: String| {
-        let what = format!("call {id:016x} ({:?}) of controller {}: {what}", call.class, call.controller);
-        let (subject, seen) = (Subject::Call(id), Some((call.controller, at)));
-        found.push(Finding { rule, subject, seen, what });
+        let controller = call.controller;
+        found.push(Finding {
+            rule,
+            subject: Subject::Call(id),
+            occurrence: Some(Occurrence { controller, at }),
+            description: format!("call {id:016x} ({:?}) of controller {controller}: {what}", call.class),
+        });
     };
     let ended = call.end.map_or(call.sent.latest, |(_, at)| at);
     let end = call.end.map(|(end, _)| end);
@@ -267,7 +289,7 @@
     attempt: &Attempt,
     order: EventOrder,
 ) -> Option<Moment> {
-    let notified_at = |event: &ListEvent| {
+    let notified_at = |event: &ListChange| {
         let lists = record
             .sent_lists
             .iter()
@@ -275,7 +297,7 @@
         let moment = |sent| if event.in_service { order.permission(sent) } else { order.restriction(sent) };
         lists.map(|list| moment(list.sent)).min().filter(|at| *at <= attempt.arrived)
     };
-    let events = record.events.iter().filter(|event| event.worker == attempt.worker);
+    let events = record.list_changes.iter().filter(|event| event.worker == attempt.worker);
     let newest = events.filter_map(|event| Some((event, notified_at(event)?))).max_by_key(|(e, _)| e.serial);
     newest.filter(|(event, _)| !event.in_service).map(|(_, at)| at)
 }
@@ -321,12 +343,12 @@
             // The platform counts an overload against controllers only if over two thirds of the calls in the window
             // came from controllers that had been notified of the start.
             if is_overload && notified * 3 > count * 2 {
-                let what = format!(
+                let description = format!(
                     "worker {worker} got {count} calls in {OVERLOAD_SPAN:?} at an age of {age:?}, {notified} of them from controllers notified of its start, {:.1} allowed",
                     budget(age)
                 );
                 let subject = Subject::Worker(worker);
-                found.push(Finding { rule: Rule::SlowStart, subject, seen: None, what });
+                found.push(Finding { rule: Rule::SlowStart, subject, occurrence: None, description });
                 break;
             }
         }
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -31,4 +31,4 @@
 pub use judge::{Finding, Rule};
 pub use plan::{Extras, Plan, Size};
 pub use report::Report;
-pub use run::{SoakError, play};
+pub use run::{SoakError, execute};
--- a/crates/soak/src/report.rs
+++ b/crates/soak/src/report.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crate::audit::{End, Incident, Moment, Record, SentList};
-use crate::judge::Finding;
+use crate::judge::{Finding, Occurrence};
 
 /// Events within this span before or after a finding belong to its timeline.
 const TIMELINE_SPAN: Duration = Duration::from_secs(4);
@@ -86,7 +86,7 @@
     /// The lists sent to the finding's controller and its starts, exits and signals around the finding, one line each,
     /// in order of time. Empty if the finding names no controller.
     pub fn timeline(&self, finding: &Finding) -> Vec<String> {
-        let Some((controller, at)) = finding.seen else { return Vec::new() };
+        let Some(Occurrence { controller, at }) = finding.occurrence else { return Vec::new() };
         let is_near = |moment: Moment| moment.abs_diff(at) < TIMELINE_SPAN;
         let lists = self.sent_lists.iter().filter(|list| list.controller == controller);
         let lists = lists.map(|list| {
@@ -95,7 +95,7 @@
         });
         let incidents = self.incidents.iter().filter(|incident| incident.controller == controller);
         let incidents =
-            incidents.map(|incident| (incident.at, format!("{:?}: {}", incident.at, incident.what)));
+            incidents.map(|incident| (incident.at, format!("{:?}: {}", incident.at, incident.description)));
         let marker = std::iter::once((at, format!("{at:?}: the finding")));
         let mut all: Vec<_> = lists.chain(incidents).chain(marker).filter(|(at, _)| is_near(*at)).collect();
         all.sort();
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -13,7 +13,9 @@
 
 use crate::audit::{Audit, Interval};
 use crate::client::Client;
-use crate::controller::{Controller, DRAIN_GRACE, EARLIEST_KILL, Ended, Fleet, KILL_AFTER, Termination};
+use crate::controller::{
+    Controller, DRAIN_GRACE, EARLIEST_KILL, Fleet, KILL_AFTER, Termination, TerminationOutcome,
+};
 use crate::directory::{Directory, Entry, List};
 use crate::judge::{Finding, Rule, Subject, Verdict, judge};
 use crate::plan::{Disturbance, Plan, SignalSeries};
@@ -48,7 +50,7 @@
 const PANIC_MARKER: &str = "panicked at";
 
 /// A run in progress: its plan, its parties, and findings that do not come from the judge.
-struct Rig {
+struct Run {
     plan: Plan,
     fleet: Fleet,
     audit: Arc<Audit>,
@@ -60,22 +62,22 @@
 }
 
 /// Executes a plan with `program` as the controllers' executable. Configurations and logs are written to `dir`.
-pub fn play(plan: Plan, program: &Path, dir: &Path) -> Result<Report, SoakError> {
+pub fn execute(plan: Plan, program: &Path, dir: &Path) -> Result<Report, SoakError> {
     let shims = plan.faults.iter().any(|faults| *faults != shim::Faults::default());
     let library = if shims { Some(shim::compile(dir)?) } else { None };
-    let rig = Arc::new(Rig::start(plan, program, library.as_deref(), dir)?);
+    let run = Arc::new(Run::start(plan, program, library.as_deref(), dir)?);
     let stop = Arc::new(AtomicBool::new(false));
-    let lag = watch_lag(&rig.audit, &stop)?;
-    rig.start_controllers()?;
-    let clients = rig.start_clients(&stop);
-    let disturbances = rig.start_disturbances();
-    std::thread::sleep(rig.plan.size.span);
+    let lag = watch_lag(&run.audit, &stop)?;
+    run.start_controllers()?;
+    let clients = run.start_clients(&stop);
+    let disturbances = run.start_disturbances();
+    std::thread::sleep(run.plan.size.span);
     stop.store(true, Ordering::Release);
     for thread in disturbances.into_iter().chain(clients).chain([lag]) {
         let _ = thread.join();
     }
-    rig.end_controllers();
-    Ok(rig.report())
+    run.end_controllers();
+    Ok(run.report())
 }
 
 /// Starts a thread that measures the lag of the test's own threads until `stop` is set. It measures how much longer
@@ -109,7 +111,7 @@
             let answered = exchange().is_ok();
             let lag = if answered { oversleep.max(began.elapsed()) } else { oversleep };
             if lag > LAG_INTERVAL {
-                audit.lag_seen(lag);
+                audit.lag_measured(lag);
             }
         }
     }))
@@ -119,7 +121,7 @@
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
 }
 
-impl Rig {
+impl Run {
     fn start(plan: Plan, program: &Path, library: Option<&Path>, dir: &Path) -> io::Result<Self> {
         let audit = Arc::new(Audit::default());
         let (mut workers, mut links, mut entries) = (Vec::new(), Vec::new(), Vec::new());
@@ -142,9 +144,9 @@
         Ok(Self { plan, fleet, audit, directory, workers, links, controllers, findings })
     }
 
-    fn record_finding(&self, rule: Rule, what: String) {
+    fn record_finding(&self, rule: Rule, description: String) {
         let mut findings = self.findings.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
-        findings.push(Finding { rule, subject: Subject::Run, seen: None, what });
+        findings.push(Finding { rule, subject: Subject::Run, occurrence: None, description });
     }
 
     fn start_controller(&self, controller: &Controller) {
@@ -169,8 +171,8 @@
 
     fn start_controllers(self: &Arc<Self>) -> io::Result<()> {
         let starts = self.controllers.iter().map(|controller| {
-            let (rig, controller) = (Arc::clone(self), Arc::clone(controller));
-            std::thread::spawn(move || rig.start_controller(&controller))
+            let (run, controller) = (Arc::clone(self), Arc::clone(controller));
+            std::thread::spawn(move || run.start_controller(&controller))
         });
         for start in starts.collect::<Vec<_>>() {
             let _ = start.join();
@@ -194,10 +196,10 @@
     fn start_disturbances(self: &Arc<Self>) -> Vec<JoinHandle<()>> {
         let began = Instant::now();
         let disturbances = self.plan.disturbances.iter().map(|(at, disturbance)| {
-            let (rig, at, disturbance) = (Arc::clone(self), *at, *disturbance);
+            let (run, at, disturbance) = (Arc::clone(self), *at, *disturbance);
             std::thread::spawn(move || {
                 std::thread::sleep(at.saturating_sub(began.elapsed()));
-                rig.apply(disturbance);
+                run.apply(disturbance);
             })
         });
         disturbances.collect()
@@ -287,15 +289,15 @@
     /// as during another disturbance.
     fn terminate(&self, controller: &Controller, termination: &Termination) -> bool {
         match controller.terminate(termination, &self.audit) {
-            Ok(Ended::NotServing) => return false,
-            Ok(Ended::ByItself(status)) if status.success() => {}
-            Ok(Ended::ByItself(status)) => {
+            Ok(TerminationOutcome::NotServing) => return false,
+            Ok(TerminationOutcome::Exited(status)) if status.success() => {}
+            Ok(TerminationOutcome::Exited(status)) => {
                 let what = format!("controller {} ended with {status}", controller.number);
                 self.record_finding(Rule::Process, what);
             }
             // The platform kills such a process too, so the kill is not a finding. Requests that it left open are
             // judged as lost.
-            Ok(Ended::Killed) => {}
+            Ok(TerminationOutcome::Killed) => {}
             Err(error) => {
                 self.record_finding(Rule::Process, format!("controller {}: {error}", controller.number))
             }
@@ -352,25 +354,25 @@
 
     fn end_controllers(self: &Arc<Self>) {
         let ends = self.controllers.iter().map(|controller| {
-            let (rig, controller) = (Arc::clone(self), Arc::clone(controller));
+            let (run, controller) = (Arc::clone(self), Arc::clone(controller));
             std::thread::spawn(move || {
                 if controller.phase() != crate::controller::Phase::Serving {
                     return;
                 }
-                match controller.terminate(&Termination::plain(KILL_AFTER), &rig.audit) {
-                    Ok(Ended::NotServing) => {}
-                    Ok(Ended::ByItself(status)) if status.success() => {}
-                    Ok(Ended::ByItself(status)) => {
-                        rig.record_finding(
+                match controller.terminate(&Termination::plain(KILL_AFTER), &run.audit) {
+                    Ok(TerminationOutcome::NotServing) => {}
+                    Ok(TerminationOutcome::Exited(status)) if status.success() => {}
+                    Ok(TerminationOutcome::Exited(status)) => {
+                        run.record_finding(
                             Rule::Process,
                             format!("controller {}: {status}", controller.number),
                         );
                     }
-                    Ok(Ended::Killed) => {
+                    Ok(TerminationOutcome::Killed) => {
                         let what = format!("controller {} did not end by itself", controller.number);
-                        rig.record_finding(Rule::Process, what);
+                        run.record_finding(Rule::Process, what);
                     }
-                    Err(error) => rig.record_finding(Rule::Process, format!("{error}")),
+                    Err(error) => run.record_finding(Rule::Process, format!("{error}")),
                 }
             })
         });
@@ -391,8 +393,8 @@
                     _ => continue,
                 };
                 let subject = Subject::Controller(controller.number);
-                let what = format!("controller {}: {line}", controller.number);
-                findings.push(Finding { rule, subject, seen: None, what });
+                let description = format!("controller {}: {line}", controller.number);
+                findings.push(Finding { rule, subject, occurrence: None, description });
             }
         }
         Report::new(self.plan.seed, self.plan.disturbances.len(), record, findings, undecided)
--- a/crates/soak/tests/judge.rs
+++ b/crates/soak/tests/judge.rs
@@ -5,7 +5,7 @@
 
 use nettleferry_soak::Rule;
 use nettleferry_soak::audit::{
-    Arrival, Attempt, Call, Class, End, Interval, ListEvent, Record, SentList, WorkerStart,
+    Arrival, Attempt, Call, Class, End, Interval, ListChange, Record, SentList, UnknownCall, WorkerStart,
 };
 use nettleferry_soak::judge::{Verdict, judge};
 
@@ -44,8 +44,8 @@
 fn record(call: Call) -> Record {
     Record {
         calls: BTreeMap::from([(ID, call)]),
-        strangers: Vec::new(),
-        events: Vec::new(),
+        unknown_calls: Vec::new(),
+        list_changes: Vec::new(),
         sent_lists: Vec::new(),
         starts: Vec::new(),
         incidents: Vec::new(),
@@ -143,7 +143,7 @@
         call.attempts = vec![attempt(3_000, 3_100)];
         (call.ttl, call.end) = (ms(9_000), Some((End::Served, ms(3_200))));
         let mut record = record(call);
-        record.events = vec![ListEvent { serial: 2, worker: 0, in_service: false }];
+        record.list_changes = vec![ListChange { serial: 2, worker: 0, in_service: false }];
         record.sent_lists = vec![list_sent_at(0, 2, sent_at), list_sent_at(1, 2, 10)];
         broken(&record)
     };
@@ -190,7 +190,7 @@
 #[test]
 fn call_that_no_client_sent_is_found() {
     let mut record = record(valid_call(Class::Safe));
-    record.strangers = vec![(9, 0)];
+    record.unknown_calls = vec![UnknownCall { id: 9, worker: 0 }];
     assert_eq!(broken(&record), [Rule::Stranger]);
 }
 
@@ -201,8 +201,8 @@
     call.attempts = vec![attempt(arrived, arrived + 50)];
     (call.ttl, call.end) = (ms(9_000), Some((End::Served, ms(arrived + 100))));
     let mut record = record(call);
-    let listed = |serial, in_service| ListEvent { serial, worker: 0, in_service };
-    record.events = vec![listed(2, false), listed(3, true)];
+    let listed = |serial, in_service| ListChange { serial, worker: 0, in_service };
+    record.list_changes = vec![listed(2, false), listed(3, true)];
     record.sent_lists = [Some(drain_sent), return_sent].into_iter().flatten().collect();
     judge(&record)
 }
@@ -252,7 +252,7 @@
     call.attempts = vec![attempt(3_000, 3_050)];
     (call.ttl, call.end) = (ms(9_000), Some((End::Served, ms(3_100))));
     let mut record = record(call);
-    record.events = vec![ListEvent { serial: 2, worker: 0, in_service: false }];
+    record.list_changes = vec![ListChange { serial: 2, worker: 0, in_service: false }];
     record.sent_lists = vec![between(2, 1_500, 1_500), between(4, 2_900, 2_900)];
     assert_eq!(broken(&record), [Rule::Drain]);
 }
--- a/crates/test-servers/src/models.rs
+++ b/crates/test-servers/src/models.rs
@@ -17,20 +17,20 @@
     #[error("climb wants the input HEIGHT, FP32, one dimension, at least two values")]
     NoHeight,
     /// The number of values differs from the shape of the tensor.
-    #[error("HEIGHT has {got} values, but its shape says {stated}")]
+    #[error("HEIGHT has {actual} values, but its shape says {expected}")]
     Length {
         /// Number of values in the request.
-        got: usize,
+        actual: usize,
         /// Number of values according to the shape.
-        stated: i64,
+        expected: i64,
     },
     /// The parameter `segments` is out of range.
-    #[error("segments is a whole number from 1 to the number of steps, {most}; given: {got}")]
+    #[error("segments is a whole number from 1 to the number of steps, {max}; given: {actual}")]
     Segments {
         /// The value in the request; 0 if the parameter is not an integer.
-        got: i64,
+        actual: i64,
         /// The maximum: the number of steps between neighbouring heights.
-        most: usize,
+        max: usize,
     },
 }
 
@@ -102,12 +102,12 @@
         None => input.contents.as_ref().map(|c| c.fp32_contents.clone()).unwrap_or_default(),
     };
     if heights.len() as i64 != input.shape[0] {
-        return Err(BadInput::Length { got: heights.len(), stated: input.shape[0] });
+        return Err(BadInput::Length { actual: heights.len(), expected: input.shape[0] });
     }
     let steps = heights.len().checked_sub(1).filter(|n| *n > 0).ok_or(BadInput::NoHeight)?;
     let requested = request.parameters.get("segments").map_or(Some(1), InferParameter::int64).unwrap_or(0);
     let segments = usize::try_from(requested).ok().filter(|n| (1..=steps).contains(n));
-    let segments = segments.ok_or(BadInput::Segments { got: requested, most: steps })?;
+    let segments = segments.ok_or(BadInput::Segments { actual: requested, max: steps })?;
     let (min_length, longer_segments) = (steps / segments, steps % segments);
     let mut from = 0;
     let sums = (0..segments).map(|n| {
--- a/crates/test-servers/src/models/tests.rs
+++ b/crates/test-servers/src/models/tests.rs
@@ -30,12 +30,12 @@
 #[test]
 fn invalid_inputs_are_reported() {
     let error = |heights: &[f32], n| answer(&climb_request("climb", "", heights, n)).expect_err("invalid");
-    assert_eq!(error(&[1.0, 2.0], 2), BadInput::Segments { got: 2, most: 1 });
-    assert_eq!(error(&[1.0, 2.0], 0), BadInput::Segments { got: 0, most: 1 });
+    assert_eq!(error(&[1.0, 2.0], 2), BadInput::Segments { actual: 2, max: 1 });
+    assert_eq!(error(&[1.0, 2.0], 0), BadInput::Segments { actual: 0, max: 1 });
     assert_eq!(error(&[1.0], 1), BadInput::NoHeight);
     let mut short = climb_request("climb", "", &[1.0, 2.0], 1);
     short.inputs[0].shape = vec![i64::MAX];
-    assert_eq!(answer(&short), Err(BadInput::Length { got: 2, stated: i64::MAX }));
+    assert_eq!(answer(&short), Err(BadInput::Length { actual: 2, expected: i64::MAX }));
     assert!(matches!(answer(&ModelInferRequest::default()), Err(BadInput::NoModel(_))));
     assert!(exists("echo-a") && !exists("echoes"));
 }
--- a/crates/test-servers/src/server/mod.rs
+++ b/crates/test-servers/src/server/mod.rs
@@ -45,7 +45,7 @@
     /// The time from which the times of observations are counted.
     pub epoch: Instant,
     /// Channel for observations; `None`: they are not recorded.
-    pub records: Option<Sender<Observation>>,
+    pub observations: Option<Sender<Observation>>,
     /// Whether the worker starts cold and warms up.
     pub cold: bool,
     /// Seed of the random numbers by which [`Fault::FailFast`] selects calls.
@@ -233,9 +233,10 @@
     }
 
     /// Records an observation.
-    fn observe(&self, seen: ObservationKind) {
-        if let Some(records) = &self.options.records {
-            let _ = records.send(Observation { at: self.now(), worker: self.options.name.clone(), seen });
+    fn observe(&self, kind: ObservationKind) {
+        if let Some(observations) = &self.options.observations {
+            let _ =
+                observations.send(Observation { at: self.now(), worker: self.options.name.clone(), kind });
         }
     }
 
@@ -253,8 +254,8 @@
     }
 
     /// Closes all sockets and drops all calls, orders and replicas, as when a process dies.
-    fn die(&mut self, seen: ObservationKind) {
-        self.observe(seen);
+    fn die(&mut self, kind: ObservationKind) {
+        self.observe(kind);
         let store = Arc::clone(&self.options.store);
         if let Some(mut worker) = self.worker.take() {
             worker.release_store(&mut lock(&store));
--- a/crates/test-servers/src/server/observation.rs
+++ b/crates/test-servers/src/server/observation.rs
@@ -10,7 +10,7 @@
     /// Name of the worker.
     pub worker: String,
     /// What was observed.
-    pub seen: ObservationKind,
+    pub kind: ObservationKind,
 }
 
 /// The kinds of observations.
@@ -24,7 +24,7 @@
     /// The worker died by [`super::Fault::Die`].
     Down,
     /// The worker died because it was sent too much work while it warmed up.
-    Fell,
+    Overloaded,
     /// The complete request of a call was received.
     Call {
         /// Number of the stream, unique at this worker.
@@ -76,7 +76,7 @@
         /// Name of the model.
         model: String,
         /// Number of replicas ordered.
-        copies: u32,
+        replicas: u32,
     },
     /// A health probe (`ServerReady`) was received.
     Probe,
--- a/crates/test-servers/src/server/request.rs
+++ b/crates/test-servers/src/server/request.rs
@@ -259,7 +259,7 @@
         let controller = self.rpcs.get(&stream).map(|rpc| rpc.controller.clone()).unwrap_or_default();
         let model = request.model_name;
         if replicas > 0 {
-            self.observe(ObservationKind::Order { controller, model: model.clone(), copies: replicas });
+            self.observe(ObservationKind::Order { controller, model: model.clone(), replicas });
         }
         self.last_number += 1;
         let order = self.last_number;
--- a/crates/test-servers/src/server/response.rs
+++ b/crates/test-servers/src/server/response.rs
@@ -36,7 +36,7 @@
                 WorkerEvent::OrderAnswered { order, loaded, complete } => {
                     self.answer_order(order, loaded, complete);
                 }
-                WorkerEvent::Fell => self.die(ObservationKind::Fell),
+                WorkerEvent::Overloaded => self.die(ObservationKind::Overloaded),
             }
         }
     }
@@ -194,7 +194,7 @@
             (orca::LOADS, load.loads as f64),
         ];
         orca::OrcaLoadReport {
-            cpu_utilization: load.util,
+            cpu_utilization: load.utilization,
             mem_utilization: load.memory_held,
             named_metrics: named.into_iter().map(|(k, v)| (k.to_owned(), v)).collect(),
             ..Default::default()
--- a/crates/test-servers/src/worker.rs
+++ b/crates/test-servers/src/worker.rs
@@ -68,14 +68,14 @@
         complete: bool,
     },
     /// The worker stopped because it was sent too much work while it warmed up.
-    Fell,
+    Overloaded,
 }
 
 /// The load of a worker at one time.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
     /// Utilization of the cores, 0 to 1, relative to the current capacity.
-    pub util: f64,
+    pub utilization: f64,
     /// Number of running calls.
     pub inflight: usize,
     /// Number of waiting calls.
@@ -326,7 +326,7 @@
         // One further call is tolerated, so that a single call never exceeds the limit.
         if sent > self.spec.overload_factor * possible + core_time {
             self.down = true;
-            self.events.push(WorkerEvent::Fell);
+            self.events.push(WorkerEvent::Overloaded);
         }
     }
 
@@ -349,7 +349,7 @@
         let loads = self.replicas.values().map(|set| set.loading.len() + set.queued as usize).sum();
         let held: u64 = self.replicas.values().map(ReplicaSet::memory_in_use).sum();
         LoadReport {
-            util: busy.min(1.0),
+            utilization: busy.min(1.0),
             inflight: self.running.len(),
             queue: self.waiting.len(),
             memory_held: held as f64 / self.spec.memory.max(1) as f64,
--- a/crates/test-servers/src/worker/tests.rs
+++ b/crates/test-servers/src/worker/tests.rs
@@ -129,7 +129,7 @@
         for no in 0..200 {
             test.call(no * MS, no, "m");
         }
-        test.when(&WorkerEvent::Fell).is_some()
+        test.when(&WorkerEvent::Overloaded).is_some()
     };
     // The limit is 0.2 x 2 cores x 500 ms x 2 = 400 ms of work; 200 calls of 10 ms are five times that.
     assert!(stops_under_flood(true));
