--- a/crates/test-servers/src/lib.rs
+++ b/crates/test-servers/src/lib.rs
@@ -3,11 +3,11 @@
 //!
 //! The servers rely on the public protocol and the worker model only, not on the internals of the gateway.
 //!
-//! * [`worker`]: a model of a worker without I/O or clock: cores, lanes, queue, replicas and memory, loads, warm-up and
-//!   overload. [`store`]: the model store that all workers share.
+//! * [`worker`]: a model of a worker without I/O or a clock. It simulates cores, lanes, the queue, replicas and memory,
+//!   loads, warm-up and overload. [`store`]: the model store that all workers share.
 //! * [`models`]: the models `echo` and `climb`. [`spec`]: the description of a worker, and its text format.
 //! * [`server`]: a gRPC server for the worker model, in its own thread. It injects faults and records observations.
-//! * [`receiver`]: a remote-write receiver that can reject requests, delay or break off its responses. [`watch`]:
+//! * [`receiver`]: a remote-write receiver that can reject requests, and delay or break off its responses. [`watch`]:
 //!   evaluates alert rules over the received samples.
 
 #![forbid(unsafe_code)]
--- a/crates/test-servers/src/models.rs
+++ b/crates/test-servers/src/models.rs
@@ -14,7 +14,7 @@
     #[error("there is no model {0}: the names are echo, echo-*, climb and climb-*")]
     NoModel(String),
     /// The request to `climb` has no valid input `HEIGHT`.
-    #[error("climb wants the input HEIGHT, FP32, one dimension, at least two values")]
+    #[error("climb needs an input HEIGHT of datatype FP32 with one dimension and at least two values")]
     NoHeight,
     /// The number of values differs from the shape of the tensor.
     #[error("HEIGHT has {actual} values, but its shape says {expected}")]
@@ -34,20 +34,20 @@
     },
 }
 
-/// The result of a call. A streamed call gets it in parts, any other call in one response.
+/// The result of a call. A streamed call gets it in parts. Any other call gets it in one response.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Answer {
     /// The input tensors, unchanged.
     Echo(Box<ModelInferResponse>),
-    /// Total ascent and descent of each segment.
+    /// The result of `climb`.
     Climb {
         /// Name of the model.
         model: String,
         /// Id of the request.
         id: String,
-        /// Ascent and descent of each segment.
+        /// Total ascent and descent of each segment.
         segments: Vec<(f32, f32)>,
-        /// Whether tensors are encoded as raw bytes, as in the request, instead of typed contents.
+        /// Whether tensors are encoded as raw bytes instead of typed contents. The request decides it.
         raw: bool,
     },
 }
@@ -71,7 +71,7 @@
 pub fn exists(name: &str) -> bool {
     ["echo", "climb"]
         .iter()
-        .any(|m| name.strip_prefix(m).is_some_and(|rest| rest.is_empty() || rest.starts_with('-')))
+        .any(|model| name.strip_prefix(model).is_some_and(|rest| rest.is_empty() || rest.starts_with('-')))
 }
 
 fn echo(request: &ModelInferRequest) -> ModelInferResponse {
@@ -128,7 +128,7 @@
 }
 
 impl Answer {
-    /// The number of responses in which the result is streamed.
+    /// Returns the number of responses in which the result is streamed.
     pub fn parts(&self) -> usize {
         match self {
             Self::Echo(_) => 1,
--- a/crates/test-servers/src/receiver.rs
+++ b/crates/test-servers/src/receiver.rs
@@ -1,5 +1,5 @@
 //! A Prometheus remote-write receiver for tests, for versions 1.0 and 2.0 of the protocol. It stores the samples that
-//! it receives, checks them for errors of the sender, and can reject requests, delay or break off its responses.
+//! it receives, checks them for errors of the sender, and can reject requests, and delay or break off its responses.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -15,12 +15,12 @@
 
 use crate::watch::Watch;
 
-/// How the receiver responds to requests.
+/// The behaviour of the receiver towards requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Mode {
     /// Accepts every valid request.
     Accept,
-    /// Accepts version 1.0; responds 415 to version 2.0.
+    /// Accepts version 1.0 and responds 415 to version 2.0.
     Version1Only,
     /// Responds with this status and stores nothing. The second value, if present, is sent as Retry-After in seconds.
     Answer(u16, Option<u32>),
@@ -59,27 +59,27 @@
     pub series: BTreeMap<SeriesLabels, Vec<ReceivedSample>>,
     /// Native histograms by series, with their times, in order of arrival, without repeated ones.
     pub natives: BTreeMap<SeriesLabels, Vec<(i64, NativeHistogram)>>,
-    /// Number of accepted requests by protocol version: 2.0, then 1.0.
+    /// Number of requests whose samples were stored, by protocol version: 2.0, then 1.0.
     pub requests: [u64; 2],
     /// Number of requests that were rejected because of the [`Mode`].
     pub rejected: u64,
     /// Number of samples and histograms that were received again with the same time and value.
     pub repeated: u64,
     /// Errors of the sender: a second value for the same time, a time before that of the last sample, labels out of
-    /// order, a time in the future or before the created timestamp, a counter that decreases without a new created
-    /// timestamp, and a sample after the staleness marker of its series.
+    /// order, a time in the future or before the created timestamp, and, for counters with an unchanged created
+    /// timestamp, a decrease or a sample after the staleness marker.
     pub faults: Vec<String>,
     /// The alert rules that are evaluated over the samples, if any.
     pub watch: Option<Watch>,
 }
 
-/// Maximum time by which a sample may lie in the future. Sender and receiver share the clock of one machine, so only
-/// rounding has to be allowed for.
+/// Maximum time, in milliseconds, by which a sample may lie in the future. Sender and receiver share the clock of one
+/// machine, so only rounding has to be allowed for.
 const FUTURE_MS: i64 = 2_000;
 
 fn now_ms() -> i64 {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    i64::try_from(since.as_millis()).unwrap_or(i64::MAX)
+    let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    i64::try_from(since_epoch.as_millis()).unwrap_or(i64::MAX)
 }
 
 impl ReceivedData {
@@ -105,28 +105,46 @@
         let times = series.samples.iter().map(|s| s.0).chain(series.natives.iter().map(|n| n.0));
         for at_ms in times {
             if at_ms > now + FUTURE_MS || series.created_ms.is_some_and(|created| created > at_ms) {
-                self.faults.push(format!("{name} at {at_ms}: in the future or before creation ({now})"));
+                self.faults.push(format!(
+                    "{name} at {at_ms}: in the future at {now}, or before the created timestamp {:?}",
+                    series.created_ms
+                ));
             }
         }
-        if !series.natives.is_empty() {
-            let received = self.natives.entry(series.labels.clone()).or_default();
-            for (at_ms, native) in series.natives {
-                let same = |old: &NativeHistogram| {
-                    old.sum.to_bits() == native.sum.to_bits()
-                        && (old.count, &old.buckets) == (native.count, &native.buckets)
-                };
-                match received.iter().find(|r| r.0 == at_ms) {
-                    Some((_, old)) if same(old) => self.repeated += 1,
-                    None if received.last().is_none_or(|l| l.0 < at_ms) => received.push((at_ms, native)),
-                    _ => self.faults.push(format!("{name} at {at_ms}: conflicting or late histogram")),
+        self.receive_histograms(&name, &series);
+        self.receive_samples(&name, &series);
+    }
+
+    /// Stores the native histograms of a series. Errors of the sender are recorded under `name`.
+    fn receive_histograms(&mut self, name: &str, series: &Series) {
+        if series.natives.is_empty() {
+            return;
+        }
+        let received = self.natives.entry(series.labels.clone()).or_default();
+        for (at_ms, native) in &series.natives {
+            let same = |old: &NativeHistogram| {
+                old.sum.to_bits() == native.sum.to_bits()
+                    && (old.count, &old.buckets) == (native.count, &native.buckets)
+            };
+            match received.iter().find(|r| r.0 == *at_ms) {
+                Some((_, old)) if same(old) => self.repeated += 1,
+                None if received.last().is_none_or(|l| l.0 < *at_ms) => {
+                    received.push((*at_ms, native.clone()));
                 }
+                _ => self.faults.push(format!(
+                    "{name} at {at_ms}: histogram received with another value, or after a later one"
+                )),
             }
         }
+    }
+
+    /// Stores the samples of a series. Errors of the sender are recorded under `name`.
+    fn receive_samples(&mut self, name: &str, series: &Series) {
         if series.samples.is_empty() {
             return;
         }
         let received = self.series.entry(series.labels.clone()).or_default();
-        for (at_ms, value) in series.samples {
+        for &(at_ms, value) in &series.samples {
             match received.iter().find(|r| r.at_ms == at_ms) {
                 Some(old) if old.value.to_bits() == value.to_bits() => self.repeated += 1,
                 Some(old) => {
@@ -142,7 +160,8 @@
                         && let Some(last) = received.last().filter(|l| l.created_ms == sample.created_ms)
                     {
                         if remote_write::is_stale(last.value) {
-                            self.faults.push(format!("{name} at {at_ms}: after the staleness marker"));
+                            self.faults
+                                .push(format!("{name} at {at_ms}: received after the staleness marker"));
                         } else if value < last.value {
                             self.faults.push(format!(
                                 "{name} at {at_ms}: counter decreased to {value} from {}",
@@ -166,15 +185,20 @@
     pub address: SocketAddr,
     mode: Arc<Mutex<Mode>>,
     data: Arc<Mutex<ReceivedData>>,
-    cut: Arc<AtomicUsize>,
+    /// Number of bytes of a request after which the server closes the connection.
+    request_limit: Arc<AtomicUsize>,
     stop: Stop,
-    ended: Arc<AtomicBool>,
+    /// Set when the receiver is dropped. Ends the thread that evaluates alert rules.
+    stopped: Arc<AtomicBool>,
     threads: Vec<JoinHandle<()>>,
 }
 
 /// Interval at which the alert rules are checked for due evaluations.
 const RULES_INTERVAL: Duration = Duration::from_millis(20);
 
+/// Number of bytes sent of a response that is broken off: `HTTP/1.1 `, the status line up to the status.
+const STATUS_LINE_PREFIX_BYTES: usize = 9;
+
 /// Maximum size of a decompressed request body.
 const MAX_BODY_BYTES: usize = 64 << 20;
 
@@ -186,24 +210,25 @@
     pub fn start(mode: Mode) -> io::Result<Self> {
         let limits = Http1Limits { body_bytes: 16 << 20, ..Http1Limits::default() };
         let mut server = Http1Server::bind(SocketAddr::from(([127, 0, 0, 1], 0)), limits)?;
-        let (address, stop, cut) = (server.local_addr()?, server.stop(), server.cut_requests());
-        cut.store(request_limit(&mode), Ordering::Relaxed);
+        let (address, stop, limit) = (server.local_addr()?, server.stop(), server.cut_requests());
+        limit.store(request_limit(&mode), Ordering::Relaxed);
         let mode = Arc::new(Mutex::new(mode));
         let data = Arc::new(Mutex::new(ReceivedData::default()));
         let (thread_mode, thread_data) = (Arc::clone(&mode), Arc::clone(&data));
         let thread = std::thread::Builder::new().name("receiver".to_owned()).spawn(move || {
-            let ended = server.run(|request| {
+            let result = server.run(|request| {
                 let mode = lock(&thread_mode).clone();
                 if let Mode::Slow(delay) = mode {
                     std::thread::sleep(delay);
                 }
                 reply(request, &mode, &mut lock(&thread_data))
             });
-            if let Err(error) = ended {
-                eprintln!("test receiver: {error}");
+            if let Err(error) = result {
+                eprintln!("the test receiver's server failed: {error}");
             }
         })?;
-        Ok(Self { address, mode, data, cut, stop, ended: Arc::default(), threads: vec![thread] })
+        let (request_limit, stopped) = (limit, Arc::default());
+        Ok(Self { address, mode, data, request_limit, stop, stopped, threads: vec![thread] })
     }
 
     /// Starts to evaluate alert rules over the received samples, in a thread of its own. The clock of the rules runs
@@ -213,9 +238,9 @@
     /// If a thread cannot be created.
     pub fn watch(&mut self, rules: Vec<Rule>, speed: u32) -> io::Result<()> {
         lock(&self.data).watch = Some(Watch::new(rules, now_ms(), speed));
-        let (data, ended) = (Arc::clone(&self.data), Arc::clone(&self.ended));
+        let (data, stopped) = (Arc::clone(&self.data), Arc::clone(&self.stopped));
         let thread = std::thread::Builder::new().name("rules".to_owned()).spawn(move || {
-            while !ended.load(Ordering::Acquire) {
+            while !stopped.load(Ordering::Acquire) {
                 if let Some(watch) = &mut lock(&data).watch {
                     watch.tick(now_ms());
                 }
@@ -228,7 +253,7 @@
 
     /// Sets the mode for all later requests.
     pub fn set_mode(&self, mode: Mode) {
-        self.cut.store(request_limit(&mode), Ordering::Relaxed);
+        self.request_limit.store(request_limit(&mode), Ordering::Relaxed);
         *lock(&self.mode) = mode;
     }
 
@@ -241,7 +266,7 @@
 impl Drop for Receiver {
     fn drop(&mut self) {
         self.stop.stop();
-        self.ended.store(true, Ordering::Release);
+        self.stopped.store(true, Ordering::Release);
         for thread in self.threads.drain(..) {
             let _ = thread.join();
         }
@@ -259,25 +284,29 @@
 
 /// Responds to a request and stores its samples, according to the mode.
 fn reply(request: &Request<'_>, mode: &Mode, data: &mut ReceivedData) -> Reply {
-    if let Mode::Answer(status, after) = *mode {
+    if let Mode::Answer(status, retry_after) = *mode {
         data.rejected += 1;
-        let headers = after.map(|s| ("Retry-After", s.to_string())).into_iter().collect();
-        return Reply { headers, ..Reply::text(status, "as told\n") };
+        let headers = retry_after.map(|s| ("Retry-After", s.to_string())).into_iter().collect();
+        return Reply {
+            headers,
+            ..Reply::text(status, format!("the test receiver responds {status} to all requests\n"))
+        };
     }
     let content_type = request.header("content-type").unwrap_or("");
     let version = match content_type {
         t if t == Version::Two.content_type() => Version::Two,
         t if t == Version::One.content_type() || t == "application/x-protobuf" => Version::One,
-        _ => return Reply::text(415, "no such message\n"),
+        _ => return Reply::text(415, format!("unsupported content type {content_type:?}\n")),
     };
     let assume_version_1 = *mode == Mode::AssumeVersion1;
     let version = if assume_version_1 { Version::One } else { version };
     if version == Version::Two && *mode == Mode::Version1Only {
         data.rejected += 1;
-        return Reply::text(415, "version 1.0 alone\n");
+        return Reply::text(415, "remote write 2.0 is not supported, only 1.0\n");
     }
-    if request.header("content-encoding") != Some("snappy") {
-        return Reply::text(415, "snappy alone\n");
+    let encoding = request.header("content-encoding").unwrap_or("");
+    if encoding != "snappy" {
+        return Reply::text(415, format!("unsupported content encoding {encoding:?}, expected snappy\n"));
     }
     let series = match remote_write::decode(version, request.body, MAX_BODY_BYTES) {
         Ok(series) => series,
@@ -287,7 +316,7 @@
         && let Some(bad) = series.iter().find(|s| s.labels.iter().any(|(_, v)| v == value))
     {
         data.rejected += 1;
-        return Reply::text(400, format!("bad series {:?}\n", bad.labels));
+        return Reply::text(400, format!("rejected label value {value:?} in series {:?}\n", bad.labels));
     }
     data.requests[usize::from(version == Version::One)] += 1;
     let samples: usize = series.iter().map(|s| s.samples.len()).sum();
@@ -296,8 +325,8 @@
         data.receive(s);
     }
     match mode {
-        Mode::LoseAcknowledgement => return Reply::text(500, "forgotten\n"),
-        Mode::CutAnswer => return Reply { cut: Some(9), ..Reply::text(204, "") },
+        Mode::LoseAcknowledgement => return Reply::text(500, "samples stored, acknowledgement withheld\n"),
+        Mode::CutAnswer => return Reply { cut: Some(STATUS_LINE_PREFIX_BYTES), ..Reply::text(204, "") },
         _ if version == Version::One => return Reply::text(204, ""),
         _ => {}
     }
--- a/crates/test-servers/src/server/fault.rs
+++ b/crates/test-servers/src/server/fault.rs
@@ -19,24 +19,24 @@
     FailFast(f64),
     /// Calls of models with this prefix are never answered. `None` ends the fault.
     Hang(Option<String>),
-    /// Factor on the CPU time of calls; 1: normal.
+    /// Factor on the CPU time of calls. 1 is normal.
     Slow(f64),
-    /// Load reports have this age; 0: current.
+    /// Load reports have this age. 0 ends the fault.
     StaleReports(Micros),
     /// Breaks the connection of the next stream that sends this many response messages. `None` ends the fault.
     CutAfter(Option<u32>),
-    /// Breaks the connection in the middle of a message of the next response.
+    /// Breaks the connection within the next response message.
     HalfFrame,
     /// Sends GOAWAY on all connections while streams are open. Streams that were not received yet never run.
     GoAway,
-    /// Cuts or restores the link at one address: while it is cut, nothing is accepted, read or written there.
+    /// Cuts or restores the link at one address. While the link is cut, nothing is accepted, read or written there.
     Cut {
         /// Index of the address in the addresses of the worker.
         address_index: usize,
         /// True cuts the link; false restores it.
         cut: bool,
     },
-    /// New connections are not read for this time; 0 ends the fault.
+    /// New connections are not read for this time. 0 ends the fault.
     SlowHandshake(Micros),
     /// Replicas of models with this prefix become invalid and are unloaded, except those that run calls.
     InvalidateReplicas(String),
@@ -45,7 +45,7 @@
 }
 
 impl Server {
-    /// Applies a fault.
+    /// Applies a fault. [`Fault::Stop`] is handled by [`Server::run`].
     pub(super) fn inject(&mut self, fault: Fault) -> io::Result<()> {
         match fault {
             Fault::Die => self.die(ObservationKind::Down),
--- a/crates/test-servers/src/server/mod.rs
+++ b/crates/test-servers/src/server/mod.rs
@@ -1,8 +1,8 @@
 //! A test worker that serves the public gRPC protocol. It runs the worker model in a thread of its own, injects faults
 //! and records observations.
 //!
-//! * [`fault`]: the faults. [`observation`]: the observations. [`request`]: handling of incoming streams and messages.
-//!   [`response`]: responses, trailers and load reports.
+//! * [`fault`]: the faults and how they are injected. [`observation`]: the types of observations.
+//! * [`request`]: handling of incoming streams and messages. [`response`]: responses, trailers and load reports.
 
 mod fault;
 mod observation;
@@ -35,8 +35,8 @@
 pub struct Options {
     /// Name of the worker, which observations carry.
     pub name: String,
-    /// Addresses on which it listens; port 0 selects a free port. With several addresses, the link at each can be cut
-    /// separately.
+    /// Addresses on which the worker listens. Port 0 selects a free port. If there are several, the link at each can be
+    /// cut separately.
     pub addresses: Vec<SocketAddr>,
     /// The description of the worker.
     pub spec: Spec,
@@ -44,7 +44,7 @@
     pub store: Arc<Mutex<Store>>,
     /// The time from which the times of observations are counted.
     pub epoch: Instant,
-    /// Channel for observations; `None`: they are not recorded.
+    /// Channel to which observations are sent. `None` if they are not recorded.
     pub observations: Option<Sender<Observation>>,
     /// Whether the worker starts cold and warms up.
     pub cold: bool,
@@ -56,7 +56,7 @@
 pub struct Handle {
     /// Name of the worker.
     pub name: String,
-    /// Addresses on which it listens, with the actual ports.
+    /// Addresses on which the worker listens, with the actual ports.
     pub addresses: Vec<SocketAddr>,
     faults: Sender<Fault>,
     waker: Arc<mio::Waker>,
@@ -109,11 +109,12 @@
         };
         let _ = ready.send(Ok((server.addresses.clone(), server.hub.waker())));
         if let Err(error) = server.run() {
-            eprintln!("test worker {}: {error}", server.options.name);
+            eprintln!("test worker {} failed: {error}", server.options.name);
         }
     })?;
-    let (addresses, waker) =
-        started.recv().map_err(|_| io::Error::other("the test worker's thread ended"))??;
+    let (addresses, waker) = started
+        .recv()
+        .map_err(|_| io::Error::other("the test worker's thread ended before it listened"))??;
     Ok(Handle { name, addresses, faults, waker, thread: Some(thread) })
 }
 
@@ -124,7 +125,7 @@
     address_index: usize,
 }
 
-/// The load of the worker at an earlier time.
+/// The load of the worker at an earlier time, for stale load reports.
 struct PastLoad {
     at: Micros,
     load: LoadReport,
@@ -135,7 +136,7 @@
     conn: ConnKey,
     method: String,
     controller: String,
-    /// A later incarnation of the controller had been seen when the stream opened.
+    /// When the stream opened, a request of a later incarnation of the controller had already arrived.
     fenced: bool,
     attempt: Option<u32>,
     /// The response headers have been sent.
@@ -170,7 +171,7 @@
     worker: Option<Worker>,
     random: ChaCha8Rng,
     rpcs: BTreeMap<StreamKey, Rpc>,
-    /// The highest fencing token seen from each controller.
+    /// The highest fencing token received from each controller.
     fences: BTreeMap<String, u64>,
     calls: BTreeMap<CallNumber, Call>,
     orders: BTreeMap<OrderNumber, StreamKey>,
@@ -184,12 +185,12 @@
     fail_fast: f64,
     hang: Option<String>,
     slow: f64,
-    /// Age of load reports; 0: current.
+    /// Age of load reports. 0 if they are current.
     report_delay: Micros,
     cut_after: Option<u32>,
     half_frame: bool,
     slow_handshake: Micros,
-    /// A link was restored since the last poll, and its data has not been read yet.
+    /// A link was restored since the last poll. Its data has not been read yet.
     link_restored: bool,
 }
 
@@ -227,12 +228,12 @@
         Ok(server)
     }
 
-    /// Current time since the epoch of the observations.
+    /// Returns the time since the epoch of the observations.
     fn now(&self) -> Micros {
         self.options.epoch.elapsed().as_micros() as Micros
     }
 
-    /// Records an observation.
+    /// Sends an observation to the channel in the options, if there is one.
     fn observe(&self, kind: ObservationKind) {
         if let Some(observations) = &self.options.observations {
             let _ =
@@ -277,11 +278,15 @@
         let mut events = Vec::new();
         loop {
             let now = self.now();
-            let next = self.worker.as_ref().filter(|_| !self.unresponsive).and_then(Worker::next_event);
+            let worker_event =
+                self.worker.as_ref().filter(|_| !self.unresponsive).and_then(Worker::next_event);
             let resume = self.delayed.front().map(|delayed| delayed.until);
-            let next =
-                if self.link_restored { Some(now) } else { [next, resume].into_iter().flatten().min() };
-            let wait = next.map(|at| Duration::from_micros(at.saturating_sub(now)));
+            let next_event = if self.link_restored {
+                Some(now)
+            } else {
+                [worker_event, resume].into_iter().flatten().min()
+            };
+            let wait = next_event.map(|at| Duration::from_micros(at.saturating_sub(now)));
             self.hub.poll(wait, &mut events)?;
             while let Ok(fault) = self.faults.try_recv() {
                 if fault == Fault::Stop {
--- a/crates/test-servers/src/server/observation.rs
+++ b/crates/test-servers/src/server/observation.rs
@@ -1,4 +1,4 @@
-//! Observations at the sockets of a test worker. The audit of a scenario uses them as evidence.
+//! Events that a test worker observes at its sockets. The audit of a scenario uses them as evidence.
 
 use crate::store::Micros;
 
@@ -9,11 +9,11 @@
     pub at: Micros,
     /// Name of the worker.
     pub worker: String,
-    /// What was observed.
+    /// The observed event.
     pub kind: ObservationKind,
 }
 
-/// The kinds of observations.
+/// An event that a test worker observes.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ObservationKind {
     /// The worker has started to listen.
@@ -33,21 +33,21 @@
         id: String,
         /// Name of the model.
         model: String,
-        /// Number of the controller, from the request header.
+        /// Number of the controller, from the request header. Empty if the header is missing.
         controller: String,
-        /// Number of the attempt, from the request header; `None` if it is missing or malformed.
+        /// Number of the attempt, from the request header. `None` if it is missing or malformed.
         attempt: Option<u32>,
-        /// CPU time that the call takes, faults included.
+        /// CPU time that the call takes, including [`super::Fault::Slow`].
         core_time: Micros,
     },
-    /// The link at an address, or one connection, was cut or restored. Data that was sent while it was cut is read
-    /// after it is restored.
+    /// The link at an address, or one connection, was cut or restored. Data sent while it is cut is read after it is
+    /// restored.
     Link {
         /// Index of the address in the addresses of the worker.
         address_index: usize,
-        /// Number of the connection; `None` for the whole address.
+        /// Number of the connection. `None` for the whole address.
         conn: Option<u64>,
-        /// True if it was cut, false if it was restored.
+        /// True if the link was cut, false if it was restored.
         cut: bool,
     },
     /// A call began to run. From then on it may have had an effect.
@@ -55,7 +55,7 @@
         /// Number of the stream.
         stream: u64,
     },
-    /// The stream was cancelled by the client, or its connection broke.
+    /// The controller cancelled the stream, or its connection broke.
     Gone {
         /// Number of the stream.
         stream: u64,
@@ -71,7 +71,7 @@
     },
     /// A load order for at least one replica was received. Queries with zero replicas are not recorded.
     Order {
-        /// Number of the controller, from the request header.
+        /// Number of the controller, from the request header. Empty if the header is missing.
         controller: String,
         /// Name of the model.
         model: String,
--- a/crates/test-servers/src/server/request.rs
+++ b/crates/test-servers/src/server/request.rs
@@ -77,7 +77,7 @@
         }
         let controller = header(metadata::CONTROLLER);
         let attempt = header(metadata::ATTEMPT).parse().ok();
-        let fenced = self.is_fenced(&controller, header(metadata::FENCE).parse().ok());
+        let fenced = self.record_fence(&controller, header(metadata::FENCE).parse().ok());
         let rpc = Rpc {
             conn,
             method,
@@ -121,9 +121,9 @@
         }
     }
 
-    /// Records a fencing token and returns whether a later incarnation of the controller was seen before. A request
-    /// without a token is never fenced.
-    fn is_fenced(&mut self, controller: &str, token: Option<u64>) -> bool {
+    /// Records the fencing token of a request and returns whether the request is fenced: a request of a later
+    /// incarnation of the controller has arrived before. A request without a token is never fenced.
+    fn record_fence(&mut self, controller: &str, token: Option<u64>) -> bool {
         let Some(token) = token else { return false };
         let newest = self.fences.entry(controller.to_owned()).or_default();
         *newest = (*newest).max(token);
@@ -139,7 +139,7 @@
         if fenced && matches!(method.as_str(), "ModelInfer" | "ModelStreamInfer" | "RepositoryModelLoad") {
             let mut trailers = HeaderMap::new();
             trailers.insert(metadata::NEVER_RAN, HeaderValue::from_static(metadata::FENCED));
-            let message = "a later life of this controller was seen";
+            let message = "a request of a later incarnation of this controller has arrived";
             return self.finish(stream, Status::new(Code::Unavailable, message), trailers);
         }
         match method.as_str() {
@@ -173,7 +173,7 @@
                 self.reply(stream, &RepositoryModelUnloadResponse {});
             }
             _ => {
-                let status = Status::new(Code::Unimplemented, format!("no method {method}"));
+                let status = Status::new(Code::Unimplemented, format!("unknown method {method:?}"));
                 self.finish(stream, status, HeaderMap::new());
             }
         }
@@ -181,11 +181,11 @@
 
     /// Decodes a request message. If it is malformed, ends the stream with an error and returns `None`.
     fn decoded<M: Message + Default>(&mut self, stream: StreamKey, payload: Bytes) -> Option<M> {
-        let read = M::decode(payload);
-        if let Err(error) = &read {
+        let message = M::decode(payload);
+        if let Err(error) = &message {
             self.finish(stream, Status::new(Code::InvalidArgument, error.to_string()), HeaderMap::new());
         }
-        read.ok()
+        message.ok()
     }
 
     /// Handles the request of a call.
@@ -206,7 +206,8 @@
             core_time,
         });
         if self.unresponsive || self.hang.as_ref().is_some_and(|prefix| model.starts_with(prefix)) {
-            // The call stays pending for ever, so that the end of the client side does not end the stream.
+            // The call is counted as pending and never ends, so that the stream stays open when the client closes its
+            // side.
             if let Some(rpc) = self.rpcs.get_mut(&stream) {
                 rpc.pending += 1;
             }
@@ -218,7 +219,11 @@
         };
         if self.fail_fast > 0.0 && self.random.random::<f64>() < self.fail_fast {
             self.observe(ObservationKind::Runs { stream: number });
-            return self.finish(stream, Status::new(Code::Internal, "failing fast"), HeaderMap::new());
+            return self.finish(
+                stream,
+                Status::new(Code::Internal, "injected fault: the call fails as soon as it runs"),
+                HeaderMap::new(),
+            );
         }
         self.last_number += 1;
         let call = self.last_number;
@@ -235,8 +240,8 @@
         self.handle_worker_events(events);
     }
 
-    /// Rejects an invalid request. On a stream with other calls, only this call ends, with an error message on the
-    /// stream.
+    /// Rejects an invalid request. On a stream with other calls, only this call ends: an error message is sent, and the
+    /// stream stays open.
     fn reject_invalid(&mut self, stream: StreamKey, id: &str, streamed: bool, message: String) {
         let only_call = self.rpcs.get(&stream).is_none_or(|rpc| rpc.pending == 0 && rpc.sent == 0);
         if streamed && !only_call {
--- a/crates/test-servers/src/server/response.rs
+++ b/crates/test-servers/src/server/response.rs
@@ -11,10 +11,14 @@
 use super::{ObservationKind, Server};
 use crate::worker::{CallNumber, OrderNumber, Rejection, Worker, WorkerEvent};
 
-/// Load note of a call whose load failed. The other values are those of [`crate::worker::ReplicaNote`].
+/// Value of the load note of a call whose load failed. The other values are those of [`crate::worker::ReplicaNote`].
 const LOAD_FAILED_NOTE: f64 = 4.0;
-/// Allowance for the frame headers of queued data, when a connection is cut after that data.
-const CUT_SLACK: u64 = 64;
+/// Bytes that are sent in addition to queued data before a connection is cut: allows for the data's frame headers.
+const CUT_SLACK_BYTES: u64 = 64;
+/// Length of an HTTP/2 frame header in bytes.
+const FRAME_HEADER_BYTES: u64 = 9;
+/// Length prefix of a gRPC message of 65,535 bytes. The connection breaks before as many bytes are sent.
+const INCOMPLETE_MESSAGE_PREFIX: [u8; 5] = [0, 0, 0, 0xff, 0xff];
 
 impl Server {
     /// Handles events of the worker model: records them and sends responses.
@@ -45,13 +49,13 @@
     fn reject(&mut self, number: CallNumber, reason: Rejection) {
         let Some(call) = self.calls.remove(&number) else { return };
         let note = self.worker.as_mut().and_then(|worker| worker.take_note(number));
-        let (mark, message) = match reason {
-            Rejection::Full => (metadata::FULL, "no room"),
+        let (trailer_value, message) = match reason {
+            Rejection::Full => (metadata::FULL, "the queue is full, or there is no memory for a replica"),
             Rejection::Miss => (metadata::MISS, "the model is not loaded"),
-            Rejection::LoadFailed => (metadata::LOAD_FAILED, "the load failed"),
+            Rejection::LoadFailed => (metadata::LOAD_FAILED, "the load of the model failed"),
         };
         let mut trailers = HeaderMap::new();
-        trailers.insert(metadata::NEVER_RAN, HeaderValue::from_static(mark));
+        trailers.insert(metadata::NEVER_RAN, HeaderValue::from_static(trailer_value));
         let mut report = self.report();
         if let Some(note) = note {
             report.named_metrics.insert(orca::SAME_MODEL_CALLS.to_owned(), f64::from(note.same_model_calls));
@@ -77,7 +81,11 @@
             self.hub.finish(stream, Some(merged(status, trailers)));
         } else {
             trailers.insert(metadata::NEVER_RAN, HeaderValue::from_static(metadata::FULL));
-            self.finish(stream, Status::new(Code::Unavailable, "no room, or the load failed"), trailers);
+            self.finish(
+                stream,
+                Status::new(Code::Unavailable, "there is no memory for the replicas, or their load failed"),
+                trailers,
+            );
         }
     }
 
@@ -117,8 +125,8 @@
         rpc.sent += 1;
         let (conn, sent) = (rpc.conn, rpc.sent);
         if std::mem::take(&mut self.half_frame) {
-            // The gRPC length prefix announces more bytes than follow, so that the connection breaks within a message.
-            let mut raw = vec![0, 0, 0, 0xff, 0xff];
+            // The length prefix announces more bytes than follow, so that the connection breaks within a message.
+            let mut raw = INCOMPLETE_MESSAGE_PREFIX.to_vec();
             raw.extend_from_slice(&payload);
             self.hub.send_raw(stream, raw.into());
             self.hub.cut_after(conn, 16);
@@ -128,14 +136,14 @@
         if self.cut_after.is_some_and(|n| sent >= n) {
             // Queued data is still sent before the connection closes.
             self.cut_after = None;
-            self.hub.cut_after(conn, self.hub.queued(stream) as u64 + 9 + CUT_SLACK);
-            self.hub.send_raw(stream, vec![0, 0, 0, 0xff, 0xff].into());
+            self.hub.cut_after(conn, self.hub.queued(stream) as u64 + FRAME_HEADER_BYTES + CUT_SLACK_BYTES);
+            self.hub.send_raw(stream, Bytes::from_static(&INCOMPLETE_MESSAGE_PREFIX));
             self.hub.send_raw(stream, Bytes::from(vec![0; 4096]));
         }
     }
 
-    /// Handles the end of the response to a call. The trailers, with the load note and the load report, are sent when
-    /// the stream ends.
+    /// Handles the end of the response to a call. If the stream ends with it, sends the trailers with the load note of
+    /// the call and the load report.
     fn end_response(&mut self, number: CallNumber, stream: StreamKey) {
         let note = self.worker.as_mut().and_then(|worker| worker.take_note(number));
         let mut report = self.report();
@@ -179,7 +187,8 @@
         }
     }
 
-    /// Returns the load report, delayed by [`super::Fault::StaleReports`].
+    /// Returns the load report. Under [`super::Fault::StaleReports`], it is that of an earlier time, or the current one
+    /// if no report is old enough.
     fn report(&self) -> orca::OrcaLoadReport {
         let now = self.now();
         let past =
--- a/crates/test-servers/src/spec.rs
+++ b/crates/test-servers/src/spec.rs
@@ -17,13 +17,13 @@
 /// The description of a test worker.
 #[derive(Clone, Debug)]
 pub struct Spec {
-    /// CPU cores, which running calls share; may be fractional.
+    /// Number of CPU cores, which running calls share. It may be fractional.
     pub cores: f64,
     /// Memory for replicas, in bytes.
     pub memory: u64,
-    /// Maximum number of waiting calls; further calls are rejected.
+    /// Maximum number of waiting calls. Further calls are rejected.
     pub queue: usize,
-    /// Maximum number of concurrent loads; further loads are queued.
+    /// Maximum number of concurrent loads. Further loads are queued.
     pub loads_at_once: usize,
     /// Time without calls or orders after which the replicas of a model are unloaded.
     pub keep_alive: Micros,
@@ -31,7 +31,7 @@
     pub load_when_absent: bool,
     /// Whether the worker loads another replica without an order while calls wait for a lane of a loaded model.
     pub load_extra_replicas: bool,
-    /// Time in which a cold worker warms up to full capacity; 0: no warm-up.
+    /// Time in which a cold worker warms up to full capacity. 0 disables the warm-up.
     pub warm_up: Micros,
     /// Capacity at the start of the warm-up, as a share of full capacity. It grows linearly from there.
     pub start_capacity: f64,
@@ -40,14 +40,14 @@
     pub overload_factor: f64,
     /// Time window over which the work for the overload limit is summed.
     pub overload_window: Micros,
-    /// Models by name prefix; the longest matching prefix applies.
+    /// Resources of models by name prefix. The entry with the longest matching prefix applies.
     pub models: Vec<ModelSpec>,
 }
 
 /// The resources that a model needs at a worker.
 #[derive(Clone, Debug)]
 pub struct ModelSpec {
-    /// Prefix of the names of the models described; empty: any name.
+    /// Prefix of the names of the models to which the entry applies. An empty prefix matches any name.
     pub prefix: String,
     /// Number of calls that one replica runs concurrently.
     pub lanes: u32,
@@ -81,7 +81,7 @@
 }
 
 impl ModelSpec {
-    /// The default resources, for models of any name.
+    /// Returns the default resources, for models of any name.
     pub fn any() -> Self {
         Self {
             prefix: String::new(),
@@ -97,11 +97,12 @@
 impl Spec {
     /// Returns the resources of a model: the entry with the longest matching prefix, or the default.
     pub fn model(&self, name: &str) -> ModelSpec {
-        let best = self.models.iter().filter(|m| name.starts_with(&m.prefix)).max_by_key(|m| m.prefix.len());
-        best.cloned().unwrap_or_else(ModelSpec::any)
+        let longest_match =
+            self.models.iter().filter(|m| name.starts_with(&m.prefix)).max_by_key(|m| m.prefix.len());
+        longest_match.cloned().unwrap_or_else(ModelSpec::any)
     }
 
-    /// Reads a description from a form. Missing keys take their defaults; errors are recorded in the form.
+    /// Reads a description from a form. Missing keys take their defaults, and errors are recorded in the form.
     pub fn read(form: &mut Form) -> Self {
         let base = Self::default();
         let mut spec = Self {
@@ -148,7 +149,11 @@
     spec
 }
 
-/// Parses the file of one worker: its listening address and its description. `file` is the name that errors quote.
+/// Parses the file of one worker: its listening address and its description. Errors quote `file` as the name of the
+/// file.
+///
+/// # Errors
+/// If the text is malformed or does not describe a worker.
 pub fn read_file(file: &str, text: &str) -> Result<(SocketAddr, Spec), Errors> {
     let (source, mut top) = Form::parse(file, text);
     let listen = top.required("listen");
--- a/crates/test-servers/src/store.rs
+++ b/crates/test-servers/src/store.rs
@@ -4,15 +4,15 @@
 /// A time or a duration in microseconds.
 pub type Micros = u64;
 
-/// The model store.
+/// A model store with its fetches in progress.
 #[derive(Clone, Debug)]
 pub struct Store {
     /// Number of concurrent fetches that run at full speed. A fetch that begins when there are more takes
     /// proportionally longer.
     pub full_speed_fetches: u32,
-    /// Maximum number of concurrent fetches; further fetches are refused.
+    /// Maximum number of concurrent fetches. Further fetches are refused.
     pub max_fetches: u32,
-    /// Factor on the duration of all fetches, to simulate a slow store; 1: normal.
+    /// Factor on the duration of all fetches, to simulate a slow store. 1 is normal speed.
     pub slowness: f64,
     running: u32,
     /// Number of fetches that were refused.
@@ -22,7 +22,7 @@
 }
 
 impl Store {
-    /// Creates a store at normal speed, with at least one fetch in both limits.
+    /// Creates a store at normal speed. A limit of 0 counts as 1.
     pub fn new(full_speed_fetches: u32, max_fetches: u32) -> Self {
         Self {
             full_speed_fetches: full_speed_fetches.max(1),
--- a/crates/test-servers/src/watch.rs
+++ b/crates/test-servers/src/watch.rs
@@ -14,9 +14,9 @@
 pub struct Episode {
     /// Labels of the alert, including `alertname`.
     pub labels: Labels,
-    /// When the alert began to fire.
+    /// Time of the evaluation at which the alert began to fire.
     pub from: Millis,
-    /// When the alert cleared; `None` while it fires.
+    /// Time of the evaluation at which the alert cleared. `None` while it fires.
     pub to: Option<Millis>,
 }
 
@@ -68,8 +68,8 @@
                 while *next <= rule_now {
                     *next += interval;
                 }
-                if let Err(what) = alerts.evaluate(&self.store, rule_now) {
-                    self.errors.push(format!("{}: {what}", alerts.rule().alert));
+                if let Err(error) = alerts.evaluate(&self.store, rule_now) {
+                    self.errors.push(format!("{}: {error}", alerts.rule().alert));
                 }
             }
             firing.extend(alerts.firing().into_iter().cloned());
--- a/crates/test-servers/src/watch/tests.rs
+++ b/crates/test-servers/src/watch/tests.rs
@@ -5,7 +5,7 @@
 #[test]
 fn alert_fires_and_clears_on_an_accelerated_clock() {
     let text = "groups: [{name: g, interval: 10s, rules: [{alert: A, expr: x > 0, for: 20s}]}]";
-    let rules = nettleferry_alerts::rules::read("r", text).expect("valid");
+    let rules = nettleferry_alerts::rules::read("r", text).expect("valid rules");
     let mut watch = Watch::new(rules, 1_000_000, 10);
     let labels = [("__name__".to_owned(), "x".to_owned())];
     for step in 0..20 {
--- a/crates/test-servers/src/worker.rs
+++ b/crates/test-servers/src/worker.rs
@@ -1,5 +1,5 @@
-//! A deterministic model of a worker, without I/O or clock. Running calls share the cores. A worker that warms up has
-//! part of its capacity, and stops when it is sent too much work.
+//! A deterministic model of a worker, without I/O or a clock. Running calls share the cores. A worker that warms up has
+//! only part of its capacity, and stops for good if it is sent too much work.
 //!
 //! This module handles calls and capacity; [`replicas`] handles loads, memory and the eviction of replicas.
 
@@ -46,21 +46,21 @@
     Runs(CallNumber),
     /// A part of the result of a call is complete. The last part ends the call.
     PartComplete {
-        /// The call.
+        /// Number of the call.
         call: CallNumber,
         /// Index of the part, from 0.
         part: u32,
     },
     /// A call was rejected.
     Rejected {
-        /// The call.
+        /// Number of the call.
         call: CallNumber,
-        /// The reason.
+        /// The reason for the rejection.
         reason: Rejection,
     },
     /// A load order is complete or has failed.
     OrderAnswered {
-        /// The order.
+        /// Number of the order.
         order: OrderNumber,
         /// Number of loaded replicas of the model.
         loaded: u32,
@@ -96,7 +96,7 @@
     pub model: &'a str,
     /// CPU time of the whole call on one core.
     pub core_time: Micros,
-    /// Number of parts of the result; 0 counts as 1.
+    /// Number of parts of the result. 0 counts as 1.
     pub parts: u32,
 }
 
@@ -126,13 +126,13 @@
     replicas: u32,
 }
 
-/// A call that arrived while the worker warmed up; counts towards the overload limit.
+/// A call that arrived while the worker warmed up. Its core time counts towards the overload limit.
 struct Arrival {
     at: Micros,
     core_time: f64,
 }
 
-/// The load note of a call, which its response reports.
+/// The load note of a call, which is sent with its response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallNote {
     /// State of the replicas of its model when the call arrived.
@@ -144,7 +144,7 @@
 /// The state of a worker model.
 pub struct Worker {
     spec: Spec,
-    /// When the worker started cold; `None` if it started warm.
+    /// Time of a cold start. `None` if the worker started warm.
     started: Option<Micros>,
     now: Micros,
     running: BTreeMap<CallNumber, Running>,
@@ -185,7 +185,7 @@
         &self.spec
     }
 
-    /// The current capacity, as a share of full capacity.
+    /// Returns the current capacity, as a share of full capacity.
     fn capacity(&self) -> f64 {
         let Some(started) = self.started else { return 1.0 };
         let age = self.now.saturating_sub(started) as f64;
@@ -195,15 +195,14 @@
         self.spec.start_capacity + (1.0 - self.spec.start_capacity) * age / self.spec.warm_up as f64
     }
 
-    /// CPU time that each running call gets per microsecond; at most one core.
+    /// Returns the number of cores, at most 1, that each running call gets.
     fn speed(&self) -> f64 {
         let cores = self.spec.cores * self.capacity();
         (cores / self.running.len().max(1) as f64).min(1.0)
     }
 
-    /// Returns when [`Worker::advance_to`] must be called next: the end of a part, a fetch, a load or a keep-alive
-    /// time.
-    /// `None` if nothing is pending.
+    /// Returns the time at which [`Worker::advance_to`] must be called next: the end of a part, a fetch, a load or a
+    /// keep-alive time. Returns `None` if nothing is pending.
     pub fn next_event(&self) -> Option<Micros> {
         let speed = self.speed();
         let parts =
@@ -323,20 +322,20 @@
         }
         let sent: f64 = self.arrivals.iter().map(|arrival| arrival.core_time).sum();
         let possible = self.spec.cores * self.capacity() * window as f64;
-        // One further call is tolerated, so that a single call never exceeds the limit.
+        // The work of the arriving call is added to the limit, so that a single call never exceeds it.
         if sent > self.spec.overload_factor * possible + core_time {
             self.down = true;
             self.events.push(WorkerEvent::Overloaded);
         }
     }
 
-    /// Number of calls of a model that run or wait.
+    /// Returns the number of calls of a model that run or wait.
     fn calls_of(&self, model: &str) -> u32 {
         let running = self.replicas.get(model).map_or(0, |set| set.running);
         running + self.waiting.iter().filter(|waiting| waiting.model == model).count() as u32
     }
 
-    /// Cancels a call. A waiting call is dropped; a running call still runs to its end.
+    /// Cancels a call. A waiting call is dropped. A running call still runs to its end.
     pub fn cancel(&mut self, now: Micros, call: CallNumber, store: &mut Store, out: &mut Vec<WorkerEvent>) {
         self.advance_to(now, store, out);
         self.waiting.retain(|waiting| waiting.number != call);
--- a/crates/test-servers/src/worker/replicas.rs
+++ b/crates/test-servers/src/worker/replicas.rs
@@ -5,11 +5,11 @@
 
 /// A load in progress.
 pub(super) struct ReplicaLoad {
-    /// When the fetch from the model store ends.
+    /// Time at which the fetch from the model store ends.
     fetched_at: Micros,
-    /// When the load is complete.
+    /// Time at which the load is complete.
     loaded_at: Micros,
-    /// The end of the fetch has been reported to the model store.
+    /// The fetch has ended, and [`Store::end`] was called for it.
     fetched: bool,
 }
 
@@ -18,13 +18,13 @@
 pub(super) struct ReplicaSet {
     /// Number of loaded replicas.
     pub(super) loaded: u32,
-    /// Number of calls that run on them.
+    /// Number of calls that run on the replicas.
     pub(super) running: u32,
-    /// Loads in progress.
+    /// Loads in progress, up to the limit of concurrent loads.
     pub(super) loading: Vec<ReplicaLoad>,
     /// Number of loads that wait because the worker is at its limit of concurrent loads.
     pub(super) queued: u32,
-    /// When a call or an order last used the set, or a load for it was queued or completed.
+    /// Time at which a call or an order last used the set, or a load for it was last queued or completed.
     pub(super) last_used: Micros,
     /// Memory of one replica, in bytes.
     pub(super) memory: u64,
@@ -33,12 +33,12 @@
 }
 
 impl ReplicaSet {
-    /// Number of replicas that run calls, with calls packed on as few replicas as possible.
+    /// Returns the number of replicas that run calls, if calls are packed on as few replicas as possible.
     fn working(&self) -> u32 {
         self.running.div_ceil(self.lanes.max(1))
     }
 
-    /// Number of replicas that are loaded, loading or queued.
+    /// Returns the number of replicas that are loaded, loading or queued.
     fn total(&self) -> u32 {
         self.loaded + self.loading.len() as u32 + self.queued
     }
@@ -48,12 +48,12 @@
         self.loading.is_empty() && self.queued == 0
     }
 
-    /// Memory of the replicas that run calls or are loading, in bytes.
+    /// Returns the memory of the replicas that run calls or are loading, in bytes.
     pub(super) fn memory_in_use(&self) -> u64 {
         (u64::from(self.working()) + self.loading.len() as u64) * self.memory
     }
 
-    /// When the next fetch or load ends.
+    /// Returns the time at which the next fetch or load ends.
     pub(super) fn next_load_event(&self) -> Option<Micros> {
         let next = |load: &ReplicaLoad| {
             if load.fetched { load.loaded_at } else { load.fetched_at.min(load.loaded_at) }
@@ -63,8 +63,9 @@
 }
 
 impl Worker {
-    /// Accepts an order to have at least `replicas` replicas of a model loaded. 0 only queries how many are loaded. The
-    /// order ends with [`WorkerEvent::OrderAnswered`] in `out`, in this call or in a later one.
+    /// Accepts an order to have at least `replicas` replicas of a model loaded. An order of 0 only queries how many are
+    /// loaded. The order ends with [`WorkerEvent::OrderAnswered`], which is appended to `out` by this method or later
+    /// by another one.
     pub fn order(
         &mut self,
         now: Micros,
@@ -132,9 +133,9 @@
                 .replicas
                 .iter_mut()
                 .filter(|(name, set)| name.as_str() != model && set.loaded > set.working());
-            let Some((_, oldest)) = idle.min_by_key(|(_, set)| set.last_used) else { return false };
-            oldest.loaded -= 1;
-            free += oldest.memory;
+            let Some((_, evicted)) = idle.min_by_key(|(_, set)| set.last_used) else { return false };
+            evicted.loaded -= 1;
+            free += evicted.memory;
         }
         let set = self.replicas.entry(model.to_owned()).or_default();
         (set.memory, set.lanes, set.last_used) = (spec.memory, spec.lanes, self.now);
