--- a/crates/soak/shim/faults.c
+++ b/crates/soak/shim/faults.c
@@ -6,14 +6,15 @@
  *   SOAK_SHORT          reads and writes of stream sockets that transfer fewer bytes than they could
  *   SOAK_INTERRUPT      reads, writes, accepts and waits that return EINTR
  *   SOAK_ACCEPT         accepts that fail (ECONNABORTED, ENFILE, ENOBUFS, ENOMEM, EMFILE)
- *   SOAK_SOCKET         socket creations that fail (ENFILE, ENOBUFS, ENOMEM)
- *   SOAK_CONNECT        connects that fail immediately (EADDRNOTAVAIL, ENETUNREACH, EAGAIN, EHOSTUNREACH)
+ *   SOAK_SOCKET         creations of IPv4 sockets that fail (ENFILE, ENOBUFS, ENOMEM)
+ *   SOAK_CONNECT        connects of stream sockets that fail immediately (EADDRNOTAVAIL, ENETUNREACH, EAGAIN,
+ *                       EHOSTUNREACH)
  *   SOAK_FIRST_CONNECTS number of stream connects, from the first on, that all fail with one of these errors
  *   SOAK_BREAK          reads that break a connection opened by the process and fail (ETIMEDOUT, EHOSTUNREACH)
- *   SOAK_START          number of socket, bind and epoll_create1 calls, from the first on, that all fail: socket with an
- *                       error of SOAK_SOCKET, bind with EADDRINUSE, epoll_create1 with ENFILE
+ *   SOAK_START          number of calls of socket for IPv4, bind and epoll_create1, from the first on, that all fail:
+ *                       socket with an error of SOAK_SOCKET, bind with EADDRINUSE, epoll_create1 with ENFILE
  *   SOAK_LOG            writes to standard error that fail (ENOSPC, EIO)
- *   SOAK_SIGNAL         sends on sockets other than AF_INET that fail (ENOBUFS): wake-up bytes of signal handlers
+ *   SOAK_SIGNAL         sends on sockets other than IPv4 that fail (ENOBUFS), such as wake-up bytes of signal handlers
  *   SOAK_CLOCK_BY       step of the wall clock in ms
  *   SOAK_CLOCK_AT       time of the step in ms after the start of the process
  */
@@ -40,7 +41,7 @@
 static atomic_long start_faults, connect_faults;
 static atomic_ulong random_state;
 static struct timespec start_time;
-/* File descriptors of connections that the process has opened. */
+/* Whether the process opened a connection on this file descriptor, for descriptors below MAX_FDS. */
 #define MAX_FDS 4096
 static atomic_uchar opened[MAX_FDS];
 static int (*real_clock)(clockid_t, struct timespec *);
--- a/crates/soak/src/audit.rs
+++ b/crates/soak/src/audit.rs
@@ -10,8 +10,8 @@
 /// Time since the run began.
 pub type Moment = Duration;
 
-/// When an event happened, as far as the test can know. The test reads the clock before and after the event and may be
-/// preempted in between. It keeps both readings, so that the judge can tell which orders of events are possible.
+/// The span of time in which an event happened. The test reads the clock before and after an event and may be preempted
+/// in between. It keeps both readings, so that the judge can tell which orders of events are possible.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Interval {
     /// The event did not happen before this moment.
@@ -21,7 +21,7 @@
 }
 
 impl Interval {
-    /// The interval of an event whose moment is known exactly.
+    /// Creates the interval of an event whose moment is known exactly.
     pub fn at(moment: Moment) -> Self {
         Self { earliest: moment, latest: moment }
     }
@@ -46,7 +46,7 @@
     }
 }
 
-/// How a call ended at its client.
+/// The outcome of a call at its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
     /// Served with the body that was sent.
@@ -59,17 +59,19 @@
     Failed,
     /// The connection ended without an answer.
     Lost,
-    /// No answer arrived within half a second after the deadline.
+    /// No answer arrived within half a second after [`crate::controller::DEADLINE`], even if the request's own time to
+    /// live was shorter.
     Unanswered,
     /// The controller closed the idle connection while the request was on its way. A client sends such a request again.
     Crossed,
-    /// The controller closed the new connection during a connection flood, just as the request was sent. It can't be
-    /// told from outside whether the controller had accepted the request.
+    /// In a run with connection floods, the controller closed the new connection just as the request was sent. The
+    /// client can't determine whether the controller had accepted the request.
     CrossedNew,
-    /// The controller's process exited after SIGTERM just as the request was sent. It can't be told from outside
-    /// whether the controller had accepted the request.
+    /// The controller's process exited after SIGTERM just as the request was sent. The client can't determine whether
+    /// the controller had accepted the request.
     CrossedEnd,
-    /// The request was sent within the platform's slack before the controller was killed for not exiting after SIGTERM.
+    /// The request was sent within the platform's slack before the controller was killed for not exiting after SIGTERM,
+    /// or before it was suspended if it was still suspended when it was killed.
     CrossedKill,
     /// The test killed the controller, as one of its disturbances.
     Killed,
@@ -83,13 +85,14 @@
     pub worker: usize,
     /// The connection to the worker that it arrived on.
     pub connection: u64,
-    /// When the whole command had arrived.
+    /// When the last byte of the command arrived.
     pub arrived: Moment,
     /// Whether `arrived` is a kernel timestamp. Otherwise it is the time of the reading thread, which may run late.
     pub timestamped: bool,
-    /// Time limit that the controller sent to the worker, milliseconds.
+    /// Time limit that the controller sent to the worker as the field `patience`, in milliseconds.
     pub patience: u64,
-    /// When the worker wrote the answer, the controller cancelled the attempt, or the connection ended.
+    /// When the attempt ended: the worker answered, the controller cancelled it, or the connection ended. `None` while
+    /// it is open.
     pub over: Option<Moment>,
     /// Whether the worker ran the call.
     pub ran: bool,
@@ -102,17 +105,17 @@
     pub class: Class,
     /// The number of the controller that it was sent to.
     pub controller: usize,
-    /// When the last byte of the request was passed to the operating system.
+    /// The interval in which the last byte of the request was passed to the operating system.
     pub sent: Interval,
-    /// Time to live that the request carries.
+    /// Time that the request gives the call, counted from its last byte.
     pub ttl: Duration,
-    /// When the client cancelled the call or closed the connection.
+    /// The interval in which the client cancelled the call or closed the connection.
     pub client_left: Option<Interval>,
-    /// How the call ended at the client, and when.
+    /// The outcome of the call at the client, and its time. `None` while the call is open.
     pub end: Option<(End, Moment)>,
     /// Number of final answers that arrived.
     pub answers: u32,
-    /// Attempts at workers, by arrival once the record is complete.
+    /// Attempts at workers. In a [`Record`], they are in order of arrival.
     pub attempts: Vec<Attempt>,
 }
 
@@ -127,14 +130,14 @@
     pub in_service: bool,
 }
 
-/// A list that a controller got, in an answer of the directory or in its configuration.
+/// A list that a controller was sent, in an answer of the directory or in its configuration.
 #[derive(Clone, Copy, Debug)]
 pub struct SentList {
     /// The controller's number.
     pub controller: usize,
     /// Serial number of the last change that the list contains.
     pub serial: u32,
-    /// When the list was sent.
+    /// The interval in which the list was sent.
     pub sent: Interval,
 }
 
@@ -154,7 +157,7 @@
     pub worker: usize,
     /// The number of the controller that sent the attempt. `None` if no client had sent the call.
     pub controller: Option<usize>,
-    /// When the whole command had arrived.
+    /// When the last byte of the command arrived.
     pub arrived: Moment,
 }
 
@@ -172,16 +175,16 @@
 pub struct WorkerStart {
     /// The worker's number.
     pub worker: usize,
-    /// When the process started.
+    /// The interval in which the process started.
     pub at: Interval,
     /// Serial number of the list change that announces the start.
     pub serial: u32,
 }
 
-/// Something that the test did to a controller, for the timeline of a finding.
+/// A start, signal or exit of a controller's process, for the timeline of a finding.
 #[derive(Clone, Debug)]
 pub struct Incident {
-    /// When the test did it.
+    /// The time of the start, signal or exit.
     pub at: Moment,
     /// The controller's number.
     pub controller: usize,
@@ -220,13 +223,13 @@
     pub sent_lists: Vec<SentList>,
     /// Starts of workers' processes after rolling replacements.
     pub starts: Vec<WorkerStart>,
-    /// What the test did to controllers.
+    /// Starts, signals and exits of controllers' processes.
     pub incidents: Vec<Incident>,
     /// Arrivals of all attempts at workers, in order of time.
     pub arrivals: Vec<Arrival>,
-    /// Lag of the test's own threads, with the moment at which it was observed.
+    /// Measurements of how late the test's own threads ran, each with its moment.
     pub lag: Vec<(Moment, Duration)>,
-    /// How far the wall clock, which kernel timestamps use, drifted from the run's monotonic clock.
+    /// Drift of the wall clock, which kernel timestamps use, against the run's monotonic clock.
     pub drift: Duration,
 }
 
@@ -243,16 +246,17 @@
         self.observations.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The current moment of the run.
+    /// Returns the current moment of the run.
     pub fn now(&self) -> Moment {
         self.began.elapsed()
     }
 
-    /// The interval of an event that happened between `earliest` and now: the exact moment if the kernel gave a usable
-    /// timestamp.
-    fn timestamped(&self, earliest: Moment, timestamp: Option<KernelTime>) -> Interval {
-        let seen = Interval { earliest, latest: self.now() };
-        timestamp.and_then(|timestamp| self.wall_clock.moment(timestamp, seen)).map_or(seen, Interval::at)
+    /// Returns the interval of an event that happened between `earliest` and now. It is a single moment if `timestamp`
+    /// lies between the two.
+    fn event_interval(&self, earliest: Moment, timestamp: Option<KernelTime>) -> Interval {
+        let observed = Interval { earliest, latest: self.now() };
+        let moment = timestamp.and_then(|timestamp| self.wall_clock.moment(timestamp, observed));
+        moment.map_or(observed, Interval::at)
     }
 
     /// Records that a client is about to send the last bytes of a request.
@@ -293,18 +297,18 @@
         });
     }
 
-    /// Records the arrival of an attempt at a worker's proxy, at the kernel's timestamp or else now.
-    /// `patience` is the time limit sent to the worker, in milliseconds.
+    /// Records the arrival of an attempt at a worker's proxy, at the kernel's timestamp or else now. `patience` is the
+    /// time limit sent to the worker, in milliseconds.
     pub fn attempt_arrived(&self, id: u64, at: ConnectionId, patience: u64, timestamp: Option<KernelTime>) {
         let ConnectionId { worker, connection } = at;
-        let seen = self.timestamped(Moment::ZERO, timestamp);
-        let (now, timestamped) = (seen.latest, seen.earliest == seen.latest);
+        let interval = self.event_interval(Moment::ZERO, timestamp);
+        let (arrived, timestamped) = (interval.latest, interval.earliest == interval.latest);
         let mut observations = self.observations();
         let controller = observations.calls.get(&id).map(|call| call.controller);
-        observations.arrivals.push(Arrival { worker, controller, arrived: now });
+        observations.arrivals.push(Arrival { worker, controller, arrived });
         match observations.calls.get_mut(&id) {
             Some(call) => {
-                let (arrived, over, ran) = (now, None, false);
+                let (over, ran) = (None, false);
                 call.attempts.push(Attempt { worker, connection, arrived, timestamped, patience, over, ran });
             }
             None => observations.unknown_calls.push(UnknownCall { id, worker }),
@@ -319,7 +323,7 @@
     /// Records that an attempt was cancelled or lost its connection, at the kernel's timestamp or else now.
     pub fn attempt_withdrawn(&self, id: u64, at: ConnectionId, timestamp: Option<KernelTime>) {
         let ConnectionId { worker, connection } = at;
-        let now = self.timestamped(Moment::ZERO, timestamp).latest;
+        let now = self.event_interval(Moment::ZERO, timestamp).latest;
         self.call(id, |call| {
             let is_at_connection =
                 |attempt: &&mut Attempt| (attempt.worker, attempt.connection) == (worker, connection);
@@ -343,7 +347,7 @@
     /// Records that a controller was sent a list with all changes up to `serial`, at the kernel's timestamp or else
     /// between `earliest` and now.
     pub fn list_sent(&self, controller: usize, serial: u32, earliest: Moment, timestamp: Option<KernelTime>) {
-        let sent = self.timestamped(earliest, timestamp);
+        let sent = self.event_interval(earliest, timestamp);
         let mut observations = self.observations();
         if !observations.sent_lists.iter().any(|list| (list.controller, list.serial) == (controller, serial))
         {
@@ -356,13 +360,13 @@
         self.observations().starts.push(WorkerStart { worker, at, serial });
     }
 
-    /// Records something that the test does to a controller, for the timeline of findings.
+    /// Records a start, signal or exit of a controller's process, for the timeline of findings.
     pub fn incident(&self, controller: usize, description: impl Into<String>) {
         let incident = Incident { at: self.now(), controller, description: description.into() };
         self.observations().incidents.push(incident);
     }
 
-    /// Records that the test's own threads ran late by `lag`.
+    /// Records a measurement of how late the test's own threads ran.
     pub fn lag_measured(&self, lag: Duration) {
         let now = self.now();
         self.observations().lag.push((now, lag));
--- a/crates/soak/src/client.rs
+++ b/crates/soak/src/client.rs
@@ -15,24 +15,21 @@
 use crate::audit::{Audit, Class, End};
 use crate::controller::{Controller, DEADLINE, Phase, ProcessEnd};
 use crate::plan::Extras;
-use crate::wire::FrameReader;
+use crate::wire::{FrameReader, REFUSED, SERVED};
 
 /// Number of functions that clients request.
 const FUNCTIONS: u64 = 12;
-/// How long after the deadline a client waits before it records that no answer arrived.
+/// Time that a client waits after [`DEADLINE`] before it records that no answer arrived.
 const ANSWER_GRACE: Duration = Duration::from_millis(500);
 /// A request sent within this span before the connection ends may have crossed its close.
 const CROSSING_SPAN: Duration = Duration::from_millis(50);
-/// How long after a connection closed a client waits for the exit of a process that is shutting down.
+/// Time that a client waits, after a connection closed during a shutdown, for the exit of the controller's process.
 const EXIT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Result codes of answers.
-const SERVED: u8 = 79;
-const REFUSED: u8 = 66;
 
 /// The next action of a client.
 #[derive(Clone, Copy, Debug)]
 enum Action {
-    /// Send this many requests at once and wait for all answers.
+    /// Send this many requests without waiting in between, then wait for all answers.
     Batch(u32),
     /// Send one request in several small writes.
     Fragmented,
@@ -44,13 +41,13 @@
     ShortDeadline,
     /// Send half a request and close the connection.
     PartialRequest,
-    /// Send random bytes.
+    /// Send random bytes on a new connection and close it.
     Garbage,
     /// Leave the connection idle, then send a request on it.
     IdleThenRequest,
 }
 
-/// A simulated client.
+/// A simulated client of one controller.
 pub struct Client {
     controller: Arc<Controller>,
     audit: Arc<Audit>,
@@ -68,9 +65,9 @@
     last_stream: u32,
     /// Unanswered requests, by stream.
     open: BTreeMap<u32, OpenRequest>,
-    /// The controller accepts no new requests on it.
+    /// The controller sent GO_AWAY: it accepts no new requests on the connection.
     closing: bool,
-    /// At least one request on it was answered.
+    /// At least one request on the connection was answered.
     has_answered: bool,
     opened: Instant,
     /// The controller's count of kills when the connection was opened.
@@ -81,11 +78,11 @@
 struct OpenRequest {
     id: u64,
     body: Vec<u8>,
-    /// When the last byte had been sent.
+    /// The time after the last byte was sent.
     sent: Instant,
 }
 
-/// The end of a request whose connection ended with its controller's process.
+/// Returns the outcome of a request whose connection ended because the controller's process exited.
 fn end_at_shutdown(request: &OpenRequest, end: ProcessEnd) -> End {
     // A process that the test had suspended with SIGSTOP answers nothing until it is killed.
     let last_served = end.stopped_since.filter(|_| end.killed).unwrap_or(end.earliest);
@@ -182,7 +179,8 @@
         }
     }
 
-    /// The current connection, or a new one if there is none that takes requests. `None` if it can't be opened.
+    /// Returns the current connection, or a new one if the current one takes no requests. Returns `None` if no
+    /// connection can be opened.
     fn connected(&mut self) -> Option<&mut Connection> {
         // With extra shutdowns, clients use a connection until it ends, even after GO_AWAY.
         let ignores_go_away = self.extras.shutdowns && self.controller.phase() == Phase::Ending;
@@ -208,13 +206,13 @@
         self.connection.as_mut()
     }
 
-    /// Sends one request, in several writes if `pieces`. Returns its id, or `None` if it could not be sent.
-    fn send_request(&mut self, ttl: Duration, pieces: bool) -> Option<u64> {
+    /// Sends one request, in several writes if `fragmented`. Returns its id, or `None` if it could not be sent.
+    fn send_request(&mut self, ttl: Duration, fragmented: bool) -> Option<u64> {
         let id = self.ids.fetch_add(1, Ordering::AcqRel);
         let class = if self.random.random_ratio(1, 3) { Class::Once } else { Class::Safe };
         let function = self.random.random_range(0..FUNCTIONS);
         let body: Vec<u8> = (0..self.random.random_range(0..600)).map(|_| self.random.random()).collect();
-        let steps: Vec<usize> = (0..4).map(|_| self.random.random_range(1..90)).collect();
+        let fragment_lengths: Vec<usize> = (0..4).map(|_| self.random.random_range(1..90)).collect();
         let (audit, controller) = (Arc::clone(&self.audit), self.controller.number);
         let connection = self.connected()?;
         connection.last_stream += 1;
@@ -230,10 +228,11 @@
         ];
         frames::request(&mut bytes, stream, &fields, &body);
         let mut from = 0;
-        if pieces {
-            for step in steps {
-                let to = (from + step).min(bytes.len() - 1);
-                // The time to live counts from the last byte. A connection that fails before has carried no request.
+        if fragmented {
+            for length in fragment_lengths {
+                let to = (from + length).min(bytes.len() - 1);
+                // The time to live counts from the last byte. If an earlier write fails, the controller got no complete
+                // request, and no call is recorded.
                 connection.socket.write_all(&bytes[from..to]).ok()?;
                 from = to;
                 std::thread::sleep(Duration::from_millis(3));
@@ -282,7 +281,8 @@
         true
     }
 
-    /// Waits until each open request is answered, the connection ends, or the deadline is well past.
+    /// Waits until each open request is answered, the connection ends, or [`ANSWER_GRACE`] has passed after the
+    /// deadline.
     fn wait_for_all(&mut self) {
         let waiting_since = Instant::now();
         while self.connection.as_ref().is_some_and(|connection| !connection.open.is_empty()) {
@@ -320,13 +320,13 @@
         }
     }
 
-    /// How the process exited that a connection opened at `opened` led to. `None` without extra shutdowns, or if the
-    /// process has not exited after SIGTERM.
+    /// Returns the exit of the controller's process, if it was asked to exit and exited after the time `opened`.
+    /// Returns `None` in runs without extra shutdowns.
     fn process_end(&self, opened: Instant) -> Option<ProcessEnd> {
         if !self.extras.shutdowns {
             return None;
         }
-        // The connection closes before the test can see that the process has exited.
+        // The kernel closes the connection before the test observes the exit of the process.
         let until = Instant::now() + EXIT_TIMEOUT;
         while self.controller.phase() == Phase::Ending && Instant::now() < until {
             std::thread::sleep(Duration::from_millis(1));
--- a/crates/soak/src/controller.rs
+++ b/crates/soak/src/controller.rs
@@ -16,23 +16,24 @@
 use crate::directory::{Directory, List};
 use crate::plan::SignalSeries;
 use crate::shim::Faults;
-use crate::wire::FrameReader;
+use crate::wire::{FrameReader, SERVED};
 
-/// The platform treats a controller that is not ready within this span of its start as failed.
+/// Time after its start at which the platform treats a controller that is not ready as failed.
 pub const READY_TIMEOUT: Duration = Duration::from_secs(30);
 /// Deadline of the calls of every class.
 pub const DEADLINE: Duration = Duration::from_millis(2_000);
-/// How long after it was notified of a worker's drain a controller may still send calls there.
+/// Time for which a controller may still send calls to a draining worker, counted from the notification of the drain.
 pub const DRAIN_GRACE: Duration = Duration::from_millis(1_000);
-/// Span between SIGTERM and SIGKILL in runs without extra shutdowns: 3 s, whatever the longest deadline, plus 0.7 s.
+/// Span between SIGTERM and SIGKILL in runs without extra shutdowns: 3 s, even if no deadline is that long, plus 0.7 s.
 pub const KILL_AFTER: Duration = Duration::from_millis(3_700);
-/// Shortest span between SIGTERM and SIGKILL that the platform allows: the longest deadline, at most 3 s, plus 0.7 s.
+/// Shortest span between SIGTERM and SIGKILL that the platform allows: the longest deadline of a class, here
+/// [`DEADLINE`] and at most 3 s, plus 0.7 s.
 pub const EARLIEST_KILL: Duration = Duration::from_millis(2_700);
 /// Share of its capacity that a worker has when it starts.
 pub const START_CAPACITY: f64 = 0.2;
-/// How long after its start a worker is cold.
+/// Time after its start in which a worker's capacity grows to full capacity. Until then it is cold.
 pub const SLOW_START: Duration = Duration::from_millis(8_000);
-/// Load, as a multiple of its capacity, from which on a worker is overloaded.
+/// Load above which a cold worker is overloaded, as a multiple of its current capacity.
 pub const OVERLOAD_FACTOR: f64 = 2.5;
 /// Length of the window over which a worker's load is measured.
 pub const OVERLOAD_SPAN: Duration = Duration::from_millis(1_000);
@@ -43,18 +44,18 @@
 
 /// Second octets of the loopback addresses of runs, one for each block of addresses.
 const BLOCK_OCTETS: std::ops::Range<u8> = 20..220;
-/// The process that is bound to this port at the last address of a block owns the block.
+/// Port that serves as the lock of a block: the process that is bound to it at the block's last address owns the block.
 const BLOCK_PORT: u16 = FIRST_PORT - 1;
 
 /// A block of loopback addresses that no other process uses for a run.
 struct Block {
     second_octet: u8,
-    /// Keeps the block for as long as this process runs.
+    /// Bound to [`BLOCK_PORT`] for as long as this process runs.
     _lock: TcpListener,
 }
 
-/// The block of this process: the first free one from an index derived from the process id on. Without the lock,
-/// clients of two processes with the same index would reach each other's controllers.
+/// Returns the block of this process: the first free one, searched from an index derived from the process id. Without
+/// the lock, clients of two processes with the same index would reach each other's controllers.
 fn block() -> io::Result<&'static Block> {
     static BLOCK: OnceLock<Option<Block>> = OnceLock::new();
     let free = || {
@@ -71,7 +72,7 @@
     BLOCK.get_or_init(free).as_ref().ok_or_else(|| io::ErrorKind::AddrInUse.into())
 }
 
-/// An address for a controller that no other run on this machine uses.
+/// Returns an address for a controller that no other run on this machine uses.
 fn own_address(number: usize) -> io::Result<SocketAddr> {
     static NEXT_PORT: AtomicU16 = AtomicU16::new(0);
     let port = FIRST_PORT + NEXT_PORT.fetch_add(1, Ordering::AcqRel) % 10_000;
@@ -81,18 +82,18 @@
 /// The state of a controller, as its clients see it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// Its process takes requests.
+    /// The process takes requests.
     Serving,
-    /// Its process was asked to exit and may still run.
+    /// The process was asked to exit and may still run.
     Ending,
-    /// It has no process, or one that is not ready yet.
+    /// There is no process, or it is not ready yet.
     Down,
 }
 
 /// The result of terminating a controller.
 #[derive(Clone, Copy, Debug)]
 pub enum TerminationOutcome {
-    /// The process exited by itself.
+    /// The process exited in time, with this status.
     Exited(ExitStatus),
     /// The process had not exited in time and was killed, as the platform does.
     Killed,
@@ -116,7 +117,7 @@
     pub kills: AtomicU64,
     /// The exit of the last process that was asked to exit.
     last_end: Mutex<Option<ProcessEnd>>,
-    /// When the test suspended the process, while it is suspended.
+    /// The time at which the test suspended the process. `None` while it is not suspended.
     stopped_since: Mutex<Option<Instant>>,
 }
 
@@ -129,11 +130,11 @@
     pub latest: Instant,
     /// Whether it was killed for not exiting in time.
     pub killed: bool,
-    /// When the test had suspended it with SIGSTOP, if it was suspended at its exit.
+    /// The time at which the test suspended it with SIGSTOP. `None` if it was not suspended at its exit.
     pub stopped_since: Option<Instant>,
 }
 
-/// How a process is asked to exit.
+/// A procedure that makes a process exit: signals, and SIGKILL if it is still running later.
 #[derive(Clone, Debug)]
 pub struct Termination {
     /// Signals, each with the delay after the one before.
@@ -143,13 +144,13 @@
 }
 
 impl Termination {
-    /// A single SIGTERM.
+    /// Creates a termination with a single SIGTERM.
     pub fn plain(kill_after: Duration) -> Self {
         Self { signals: vec![(Duration::ZERO, Signal::TERM)], kill_after }
     }
 
-    /// A series of signals, each `gap` after the one before. `middle` is the delay after SIGTERM at which the shutdown
-    /// is taken to be half done.
+    /// Creates a termination with a series of signals, each `gap` after the one before. `middle` is the delay after
+    /// SIGTERM at which [`SignalSeries::ReloadDuringShutdown`] sends SIGHUP.
     pub fn series(series: SignalSeries, gap: Duration, middle: Duration, kill_after: Duration) -> Self {
         let (hup, term) = (Signal::HUP, Signal::TERM);
         let signals = match series {
@@ -167,9 +168,10 @@
 struct State {
     phase: Phase,
     child: Option<Child>,
+    /// Number of processes started so far. Log files are numbered by it.
     lives: u32,
-    /// Stops the directory's thread at the address in the last configuration.
-    directory: Arc<AtomicBool>,
+    /// Stop flag of the directory's thread at the address in the last configuration.
+    stop_directory: Arc<AtomicBool>,
 }
 
 /// Settings that all controllers of a run share.
@@ -191,7 +193,7 @@
         let dir = dir.join(format!("n{number}"));
         std::fs::create_dir_all(&dir)?;
         let address = own_address(number)?;
-        let state = State { phase: Phase::Down, child: None, lives: 0, directory: Arc::default() };
+        let state = State { phase: Phase::Down, child: None, lives: 0, stop_directory: Arc::default() };
         Ok(Self {
             number,
             address,
@@ -210,12 +212,12 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The current state, as clients see it.
+    /// Returns the current state, as clients see it.
     pub fn phase(&self) -> Phase {
         self.state().phase
     }
 
-    /// The exit of the last process that was asked to exit, if there was one.
+    /// Returns the exit of the last process that was asked to exit, if there was one.
     pub fn last_end(&self) -> Option<ProcessEnd> {
         *self.last_end.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -228,13 +230,14 @@
 
     /// Suspends the process with SIGSTOP for `span`.
     pub fn freeze(&self, span: Duration, audit: &Audit) {
-        let set = |since| *self.stopped_since.lock().unwrap_or_else(PoisonError::into_inner) = since;
-        set(Some(Instant::now()));
+        let set_stopped_since =
+            |since| *self.stopped_since.lock().unwrap_or_else(PoisonError::into_inner) = since;
+        set_stopped_since(Some(Instant::now()));
         audit.incident(self.number, "stopped");
         self.signal(Signal::STOP);
         std::thread::sleep(span);
         self.signal(Signal::CONT);
-        set(None);
+        set_stopped_since(None);
         audit.incident(self.number, "resumed");
     }
 
@@ -243,12 +246,12 @@
         self.launch(fleet, directory, audit)?;
         let end = Instant::now() + READY_TIMEOUT;
         while Instant::now() < end {
-            if self.ready() {
+            if self.is_ready() {
                 self.state().phase = Phase::Serving;
                 audit.incident(self.number, "ready");
                 return Ok(true);
             }
-            if self.exited()?.is_some() {
+            if self.exit_status()?.is_some() {
                 return Ok(false);
             }
             std::thread::sleep(Duration::from_millis(10));
@@ -256,8 +259,8 @@
         Ok(false)
     }
 
-    /// Starts a process, sends SIGTERM `after` its start, and waits for its exit. Returns `None` if it had to be
-    /// killed, `kill_after` the signal.
+    /// Starts a process, sends SIGTERM when the span `after` has passed, and waits for its exit. Returns its status, or
+    /// `None` if it was killed because it still ran `kill_after` later.
     pub fn end_before_ready(
         &self,
         fleet: Fleet,
@@ -273,7 +276,7 @@
         self.wait_or_kill(Instant::now() + kill_after)
     }
 
-    /// Writes the configuration, with a new address of the directory, and starts a process.
+    /// Writes the configuration, in which the directory has a new address, and starts a process.
     fn launch(&self, fleet: Fleet, directory: &Arc<Directory>, audit: &Arc<Audit>) -> io::Result<()> {
         let stop = Arc::new(AtomicBool::new(false));
         let resolver = directory.open(self.number, Arc::clone(audit), Arc::clone(&stop))?;
@@ -283,8 +286,8 @@
         let before_start = audit.now();
         let life = {
             let mut state = self.state();
-            state.directory.store(true, Ordering::Release);
-            state.directory = stop;
+            state.stop_directory.store(true, Ordering::Release);
+            state.stop_directory = stop;
             state.lives += 1;
             state.lives
         };
@@ -297,11 +300,12 @@
         let child = command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(log).spawn()?;
         audit.list_sent(self.number, list.serial, before_start, None);
         self.state().child = Some(child);
-        audit.incident(self.number, format!("life {life} started"));
+        audit.incident(self.number, format!("process {life} started"));
         Ok(())
     }
 
-    fn ready(&self) -> bool {
+    /// Whether the process answers a readiness query, and is ready.
+    fn is_ready(&self) -> bool {
         let query = || -> io::Result<bool> {
             let mut socket = TcpStream::connect_timeout(&self.address, Duration::from_millis(200))?;
             socket.set_read_timeout(Some(Duration::from_millis(500)))?;
@@ -313,7 +317,7 @@
                 let length = socket.read(&mut buffer)?;
                 reader.push(&buffer[..length]);
                 if let Some(frame) = reader.next_frame() {
-                    return Ok(frame.kind == kind::READY_ANSWER && frame.payload.first() == Some(&79));
+                    return Ok(frame.kind == kind::READY_ANSWER && frame.payload.first() == Some(&SERVED));
                 }
                 if length == 0 {
                     return Ok(false);
@@ -323,8 +327,8 @@
         query().unwrap_or(false)
     }
 
-    /// The exit status of the process; `None` if it still runs or there is none.
-    pub fn exited(&self) -> io::Result<Option<ExitStatus>> {
+    /// Returns the exit status of the process, or `None` if it still runs or there is no process.
+    pub fn exit_status(&self) -> io::Result<Option<ExitStatus>> {
         match &mut self.state().child {
             Some(child) => child.try_wait(),
             None => Ok(None),
@@ -339,19 +343,19 @@
         }
     }
 
-    /// Takes the controller out of service and into `phase`. Returns false if it was not in service, so that only one
-    /// disturbance at a time starts or ends its processes.
+    /// Changes the state of a controller that is in service to `phase`. Returns false if it was not in service, so that
+    /// only one disturbance at a time starts or ends its processes.
     fn leave_service(&self, phase: Phase) -> bool {
         let mut state = self.state();
-        let served = state.phase == Phase::Serving;
-        if served {
+        let was_serving = state.phase == Phase::Serving;
+        if was_serving {
             state.phase = phase;
         }
-        served
+        was_serving
     }
 
-    /// Kills the process as a disturbance: requests that are open then need no answer. Returns false if the controller
-    /// was not in service.
+    /// Kills the process as a disturbance, after which its open requests need no answer. Returns false if the
+    /// controller was not in service.
     pub fn kill(&self, audit: &Audit) -> bool {
         if !self.leave_service(Phase::Down) {
             return false;
@@ -366,7 +370,8 @@
         true
     }
 
-    /// Sends the signals of `termination` and waits until the process has exited, or kills it when the platform would.
+    /// Sends the signals of `termination` and waits until the process has exited. At the end of its `kill_after`, it
+    /// kills the process, as the platform does.
     pub fn terminate(&self, termination: &Termination, audit: &Audit) -> io::Result<TerminationOutcome> {
         if !self.leave_service(Phase::Ending) {
             return Ok(TerminationOutcome::NotServing);
@@ -381,25 +386,28 @@
             }
         }
         let kill_at = kill_at.unwrap_or_else(Instant::now);
-        let ended = self.wait_or_kill(kill_at)?;
-        let how = ended.map_or_else(|| "killed".to_owned(), |status| format!("ended by itself, {status}"));
-        audit.incident(self.number, how);
-        Ok(ended.map_or(TerminationOutcome::Killed, TerminationOutcome::Exited))
+        let status = self.wait_or_kill(kill_at)?;
+        let description = status.map_or_else(
+            || "killed for not exiting after SIGTERM".to_owned(),
+            |status| format!("exited ({status})"),
+        );
+        audit.incident(self.number, description);
+        Ok(status.map_or(TerminationOutcome::Killed, TerminationOutcome::Exited))
     }
 
-    /// Waits until the process has exited. At `kill_at` it kills the process, as the platform does, and returns `None`.
-    /// Requests that are unanswered then count as lost.
+    /// Waits until the process has exited and returns its status. At `kill_at`, it kills the process, as the platform
+    /// does, and returns `None`. Requests that are unanswered then count as lost, unless they were sent just before.
     fn wait_or_kill(&self, kill_at: Instant) -> io::Result<Option<ExitStatus>> {
-        let mut last_seen = Instant::now();
+        let mut last_running = Instant::now();
         while Instant::now() < kill_at {
             let before = Instant::now();
-            if let Some(status) = self.exited()? {
-                self.record_end(last_seen, false);
+            if let Some(status) = self.exit_status()? {
+                self.record_end(last_running, false);
                 let mut state = self.state();
                 (state.phase, state.child) = (Phase::Down, None);
                 return Ok(Some(status));
             }
-            last_seen = before;
+            last_running = before;
             std::thread::sleep(Duration::from_millis(5));
         }
         let child = self.state().child.take();
@@ -413,8 +421,8 @@
         Ok(None)
     }
 
-    /// Writes a configuration with a new address of the directory and sends SIGHUP. If `half`, the process first gets
-    /// SIGHUP while the file is half written.
+    /// Writes a configuration, in which the directory has a new address, and sends SIGHUP. If `half`, the process first
+    /// gets a SIGHUP while the file is half written.
     pub fn reload(
         &self,
         fleet: Fleet,
@@ -435,13 +443,13 @@
         std::fs::rename(&new, self.config_path())?;
         self.signal(Signal::HUP);
         let mut state = self.state();
-        // The old address stops answering. Lists that it sent before still count as sent.
-        state.directory.store(true, Ordering::Release);
-        state.directory = stop;
+        // The thread at the old address stops. Lists that it sent before stay in the record.
+        state.stop_directory.store(true, Ordering::Release);
+        state.stop_directory = stop;
         Ok(())
     }
 
-    /// The logs of all its processes, in order of their starts.
+    /// Returns the logs of all processes so far, in order of their starts. Logs that can't be read are left out.
     pub fn logs(&self) -> Vec<String> {
         let lives = self.state().lives;
         let read = |life| std::fs::read_to_string(self.dir.join(format!("life-{life}.log")));
@@ -493,7 +501,7 @@
 impl Drop for Controller {
     fn drop(&mut self) {
         let mut state = self.state();
-        state.directory.store(true, Ordering::Release);
+        state.stop_directory.store(true, Ordering::Release);
         if let Some(mut child) = state.child.take() {
             let _ = child.kill();
             let _ = child.wait();
--- a/crates/soak/src/directory.rs
+++ b/crates/soak/src/directory.rs
@@ -23,7 +23,7 @@
     pub in_service: bool,
     /// Whether answers contain the entry.
     pub listed: bool,
-    /// Start of the worker's process, in Unix milliseconds; 0 if it started long ago.
+    /// Start of the worker's process, in Unix milliseconds. 0 if it started long ago.
     pub started_ms: u64,
 }
 
@@ -40,19 +40,19 @@
 #[derive(Default)]
 pub struct Directory {
     list: Mutex<List>,
-    /// The directory answers no queries.
+    /// While true, the directory answers no queries.
     pub unresponsive: AtomicBool,
     /// Delay of answers in milliseconds.
     pub delay: AtomicU64,
 }
 
 impl Directory {
-    /// A directory that serves `list`.
+    /// Creates a directory that serves `list`.
     pub fn new(list: List) -> Self {
         Self { list: Mutex::new(list), ..Self::default() }
     }
 
-    /// A copy of the current list.
+    /// Returns a copy of the current list.
     pub fn list(&self) -> List {
         self.list.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
@@ -70,7 +70,8 @@
         serial
     }
 
-    /// Opens an address for a controller, which answers queries until `stop` is set.
+    /// Binds a new address for a controller and starts a thread that answers queries there until `stop` is set. Returns
+    /// the address.
     pub fn open(
         self: &Arc<Self>,
         controller: usize,
@@ -79,7 +80,7 @@
     ) -> io::Result<SocketAddr> {
         let socket = UdpSocket::bind("127.0.0.1:0")?;
         socket.set_read_timeout(Some(Duration::from_millis(200)))?;
-        // Without kernel timestamps, the interval around the send is used.
+        // If the kernel does not support timestamps, the clock readings before and after the send are used.
         let _ = kernel_time::enable_send_timestamps(&socket);
         let address = socket.local_addr()?;
         let directory = Arc::clone(self);
@@ -109,6 +110,8 @@
     }
 }
 
+/// Encodes the answer to the query with this id: an SRV, an A and a TXT record for each listed worker. Returns `None`
+/// if the encoding fails.
 fn answer(id: u16, list: &List) -> Option<Vec<u8>> {
     let mut packet = Packet::new_reply(id);
     let targets: Vec<String> = (0..list.entries.len()).map(|n| format!("s-{n}.east.hosts")).collect();
--- a/crates/soak/src/judge.rs
+++ b/crates/soak/src/judge.rs
@@ -37,7 +37,7 @@
     Stranger,
     /// A controller process starts, exits when signalled, and does not crash.
     Process,
-    /// A controller logged that one of its internal checks found a broken invariant.
+    /// No internal check of a controller logs a broken invariant.
     Guard,
     /// The test can determine the order of events for nearly all attempts.
     Undecided,
@@ -59,7 +59,7 @@
 /// A broken or undecided invariant.
 #[derive(Clone, Debug)]
 pub struct Finding {
-    /// The invariant.
+    /// The invariant that is broken or undecided.
     pub rule: Rule,
     /// The call, worker or controller concerned, or the whole run.
     pub subject: Subject,
@@ -74,7 +74,7 @@
 pub struct Occurrence {
     /// The controller's number.
     pub controller: usize,
-    /// The time of the attempt or the end of the call that broke the invariant.
+    /// The time of the attempt that broke the invariant, or of the end of the call.
     pub at: Moment,
 }
 
@@ -87,7 +87,7 @@
     pub undecided: Vec<Finding>,
 }
 
-/// The order that is assumed for events whose intervals overlap.
+/// The order that the judge assumes for events whose intervals overlap.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum EventOrder {
     /// In the controllers' favour: permissions take effect early, restrictions late.
@@ -97,7 +97,7 @@
 }
 
 impl EventOrder {
-    /// When an event that forbids something took effect.
+    /// Returns the moment at which an event that forbids something is assumed to take effect.
     fn restriction(self, interval: Interval) -> Moment {
         match self {
             Self::Best => interval.latest,
@@ -105,7 +105,7 @@
         }
     }
 
-    /// When an event that permits something took effect.
+    /// Returns the moment at which an event that permits something is assumed to take effect.
     fn permission(self, interval: Interval) -> Moment {
         match self {
             Self::Best => interval.earliest,
@@ -122,21 +122,22 @@
 
 /// Slack that the platform allows on each time bound.
 const SLACK: Duration = Duration::from_millis(50);
-/// How long after its client has gone an attempt may still start.
+/// Time for which attempts of a call may still start after its client has cancelled it or disconnected.
 const CLIENT_GONE_SLACK: Duration = Duration::from_millis(100);
-/// How far the time limit sent to a worker may exceed the time left until the client's deadline.
+/// Maximum by which the time limit sent to a worker may exceed the time left until the client's deadline.
 const DEADLINE_SLACK: Duration = Duration::from_millis(150);
-/// Mean core time of a call at a worker: the middle of the workers' range of call times.
+/// Mean core time of a call at a worker, in seconds: the middle of the workers' range of call times.
 const MEAN_CORE_SECONDS: f64 = 0.016;
-/// The platform treats a controller as notified of a change this long after it, even if the directory did not answer.
+/// Time after a change of the list from which on the platform treats every controller as notified of it, even if the
+/// directory did not answer.
 const MAX_NOTIFICATION_DELAY: Duration = Duration::from_millis(4_500);
-/// Below this number of calls in the window, the platform's larger allowance on a cold worker's budget applies.
+/// Number of calls below which the platform grants a larger allowance on a cold worker's budget.
 const SMALL_BUDGET_CALLS: f64 = 30.0;
-/// The lag of the test's own threads widens a bound if it was observed within this span of the event.
+/// The lag of the test's own threads widens a bound if it was measured within this span before or after the event.
 const LAG_WINDOW: Duration = Duration::from_millis(1_500);
 
-/// Undecided findings allowed per thousand attempts: the share of attempts that may fall into the microseconds of a
-/// send. A higher bound would let the test hide broken invariants.
+/// Undecided findings allowed per thousand attempts, for attempts that arrive within the microseconds that a send
+/// takes. A higher bound would let the test hide broken invariants.
 const UNDECIDED_PER_THOUSAND: usize = 1;
 /// Undecided findings allowed in any run, however few its attempts.
 const MIN_UNDECIDED: usize = 2;
@@ -150,8 +151,8 @@
     undecided.retain(|finding| !certain.contains(&key(finding)));
     for (id, call) in &record.calls {
         let crossing = match call.end {
-            Some((End::CrossedEnd, at)) => Some(("its controller's process ended", at)),
-            Some((End::CrossedNew, at)) => Some(("its new connection was closed in a crowd", at)),
+            Some((End::CrossedEnd, at)) => Some(("its controller's process exited", at)),
+            Some((End::CrossedNew, at)) => Some(("its new connection was closed", at)),
             _ => None,
         };
         if let Some((event, at)) = crossing {
@@ -170,7 +171,8 @@
 fn too_many_undecided(record: &Record, undecided: usize) -> Option<Finding> {
     let attempts: usize = record.calls.values().map(|call| call.attempts.len()).sum();
     let allowed = (attempts * UNDECIDED_PER_THOUSAND / 1_000).max(MIN_UNDECIDED);
-    let description = format!("{undecided} findings are undecided, {allowed} allowed of {attempts} attempts");
+    let description =
+        format!("{undecided} findings are undecided, at most {allowed} are allowed for {attempts} attempts");
     (undecided > allowed).then_some(Finding {
         rule: Rule::Undecided,
         subject: Subject::Run,
@@ -196,9 +198,9 @@
     found
 }
 
-/// The largest lag of the test's own threads that was observed near `at`.
+/// Returns the largest lag of the test's own threads that was measured near `at`.
 fn lag(record: &Record, at: Moment) -> Duration {
-    let nearby = record.lag.iter().filter(|(seen, _)| seen.abs_diff(at) < LAG_WINDOW);
+    let nearby = record.lag.iter().filter(|(measured_at, _)| measured_at.abs_diff(at) < LAG_WINDOW);
     nearby.map(|(_, lag)| *lag).max().unwrap_or_default()
 }
 
@@ -234,7 +236,7 @@
     for pair in call.attempts.windows(2) {
         let slack = SLACK + lag(record, pair[1].arrived);
         if pair[0].over.is_none_or(|over| over > pair[1].arrived + slack) {
-            broken(Rule::NoOverlap, pair[1].arrived, format!("{:?} while {:?}", pair[1], pair[0]));
+            broken(Rule::NoOverlap, pair[1].arrived, format!("{:?} overlaps {:?}", pair[1], pair[0]));
         }
     }
     for attempt in &call.attempts {
@@ -264,10 +266,13 @@
         let patience = attempt.patience;
         broken(
             Rule::Deadline,
-            format!("worker {} got a patience of {patience} ms, {remaining:?} remained", attempt.worker),
+            format!(
+                "worker {} got a time limit of {patience} ms, {remaining:?} remained until the client's deadline",
+                attempt.worker
+            ),
         );
     }
-    if let Some(since) = out_of_service(record, call.controller, attempt, order)
+    if let Some(since) = notified_of_drain(record, call.controller, attempt, order)
         && attempt.arrived > since + DRAIN_GRACE + SLACK + lag
     {
         let after = attempt.arrived - since;
@@ -281,29 +286,32 @@
     }
 }
 
-/// When a controller was notified that the worker of an attempt takes no new calls. `None` if it was not notified
-/// before the attempt arrived, or was notified of the worker's return to service since.
-fn out_of_service(
+/// Returns the moment at which a controller was notified that the worker of an attempt takes no new calls. Returns
+/// `None` if it was not notified before the attempt arrived, or if its newest notification by then was of the worker's
+/// return to service.
+fn notified_of_drain(
     record: &Record,
     controller: usize,
     attempt: &Attempt,
     order: EventOrder,
 ) -> Option<Moment> {
-    let notified_at = |event: &ListChange| {
+    let notified_at = |change: &ListChange| {
         let lists = record
             .sent_lists
             .iter()
-            .filter(|list| list.controller == controller && list.serial >= event.serial);
-        let moment = |sent| if event.in_service { order.permission(sent) } else { order.restriction(sent) };
+            .filter(|list| list.controller == controller && list.serial >= change.serial);
+        let moment = |sent| if change.in_service { order.permission(sent) } else { order.restriction(sent) };
         lists.map(|list| moment(list.sent)).min().filter(|at| *at <= attempt.arrived)
     };
-    let events = record.list_changes.iter().filter(|event| event.worker == attempt.worker);
-    let newest = events.filter_map(|event| Some((event, notified_at(event)?))).max_by_key(|(e, _)| e.serial);
-    newest.filter(|(event, _)| !event.in_service).map(|(_, at)| at)
+    let changes = record.list_changes.iter().filter(|change| change.worker == attempt.worker);
+    let newest = changes
+        .filter_map(|change| Some((change, notified_at(change)?)))
+        .max_by_key(|(change, _)| change.serial);
+    newest.filter(|(change, _)| !change.in_service).map(|(_, at)| at)
 }
 
-/// The number of calls of mean core time that a cold worker may get in the window that ends at `age`, with the
-/// platform's allowance for random variation.
+/// Returns the number of calls of mean core time that a cold worker may get in the window that ends at `age`, including
+/// the platform's allowance for random variation.
 fn budget(age: Duration) -> f64 {
     let progress = (age.as_secs_f64() / SLOW_START.as_secs_f64()).min(1.0);
     let capacity = START_CAPACITY + (1.0 - START_CAPACITY) * progress;
@@ -315,7 +323,7 @@
     }
 }
 
-/// Whether the controller that sent an arrival counts as notified of the worker's start by then.
+/// Whether the controller that sent an attempt counts as notified of the worker's start when the attempt arrives.
 fn was_notified(record: &Record, start: &WorkerStart, arrival: &Arrival, order: EventOrder) -> bool {
     if arrival.arrived >= order.restriction(start.at) + MAX_NOTIFICATION_DELAY {
         return true;
--- a/crates/soak/src/kernel_time.rs
+++ b/crates/soak/src/kernel_time.rs
@@ -18,7 +18,7 @@
 
 use crate::audit::{Interval, Moment};
 
-/// Number of readings of both clocks, of which the one with the least uncertainty is used.
+/// Number of measurements of the clocks' offset, of which the one with the least uncertainty is used.
 const CLOCK_READINGS: usize = 16;
 
 /// A kernel timestamp: time since the Unix epoch.
@@ -47,16 +47,16 @@
         measurements.min_by_key(|clock| clock.uncertainty).unwrap_or_else(measure)
     }
 
-    /// Converts a kernel timestamp to a moment within `seen`, the interval that the test's own clock readings give.
-    /// `None` if the timestamp lies outside this interval, as after a step of the wall clock.
-    pub fn moment(&self, timestamp: KernelTime, seen: Interval) -> Option<Moment> {
+    /// Converts a kernel timestamp to a moment within `observed`, the interval between the test's own clock readings.
+    /// Returns `None` if the timestamp lies outside this interval, as after a step of the wall clock.
+    pub fn moment(&self, timestamp: KernelTime, observed: Interval) -> Option<Moment> {
         let moment = timestamp.checked_sub(self.zero)?;
-        let earliest = seen.earliest.saturating_sub(self.uncertainty);
-        let is_possible = (earliest..=seen.latest + self.uncertainty).contains(&moment);
-        is_possible.then(|| moment.clamp(seen.earliest, seen.latest))
+        let earliest = observed.earliest.saturating_sub(self.uncertainty);
+        let is_possible = (earliest..=observed.latest + self.uncertainty).contains(&moment);
+        is_possible.then(|| moment.clamp(observed.earliest, observed.latest))
     }
 
-    /// How far the wall clock moved against the run's clock between two measurements.
+    /// Returns the change of the offset between two measurements.
     pub fn drift(&self, later: &Self) -> Duration {
         self.zero.abs_diff(later.zero)
     }
@@ -80,8 +80,8 @@
     Ok(setsockopt(&socket.as_fd(), sockopt::Timestamping, &flags)?)
 }
 
-/// The kernel's time of the last datagram sent on `socket`. Drains the socket's queue of timestamps; `None` if it is
-/// empty.
+/// Removes all timestamps from the socket's queue and returns the newest: the kernel's time of the last datagram sent.
+/// Returns `None` if the queue is empty.
 pub fn last_send(socket: &UdpSocket) -> Option<KernelTime> {
     let mut last = None;
     while let Some(timestamp) = next_send(socket) {
@@ -109,8 +109,8 @@
     Ok(setsockopt(&socket.as_fd(), sockopt::ReceiveTimestampns, &true)?)
 }
 
-/// Reads into `buffer`. Returns the number of bytes and the kernel's time at which the last of them was received, if it
-/// gave one. Zero bytes mean that the peer closed the connection.
+/// Reads into `buffer`. Returns the number of bytes and the kernel's time at which the last of them was received, or no
+/// time if the kernel did not timestamp them. Zero bytes mean that the peer closed the connection.
 ///
 /// # Errors
 ///
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -18,7 +18,7 @@
     pub workers: usize,
     /// Number of clients per controller.
     pub clients: usize,
-    /// How long clients send requests.
+    /// Duration for which clients send requests.
     pub span: Duration,
 }
 
@@ -36,30 +36,30 @@
     /// Clients use their connections until their controller's process has exited, SIGKILL follows SIGTERM as early as
     /// the platform allows, and processes get series of signals.
     pub shutdowns: bool,
-    /// Idle connections up to a controller's descriptor limit, and connections that are closed as soon as they are
-    /// open, while the directory is unresponsive.
+    /// Floods of connections: idle connections use up a controller's descriptors, and further ones are closed as soon
+    /// as they are open, while the directory is unresponsive.
     pub crowd: bool,
 }
 
 /// A series of signals sent to one process within [`SERIES_SPAN`] or during its shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SignalSeries {
-    /// SIGHUP, SIGHUP, SIGTERM.
+    /// Two SIGHUPs, then SIGTERM.
     ReloadReloadEnd,
-    /// SIGHUP, SIGTERM, SIGHUP.
+    /// A SIGTERM between two SIGHUPs.
     ReloadEndReload,
-    /// SIGTERM, SIGHUP, SIGHUP.
+    /// SIGTERM, then two SIGHUPs.
     EndReloadReload,
-    /// SIGTERM twice.
+    /// Two SIGTERMs.
     EndEnd,
-    /// SIGTERM, then SIGHUP in the middle of the shutdown.
+    /// SIGTERM, then SIGHUP during the shutdown.
     ReloadDuringShutdown,
     /// SIGTERM to a new process before it is ready.
     EndBeforeReady,
 }
 
 impl SignalSeries {
-    /// All series, for a random choice.
+    /// All series. A plan chooses from them at random.
     const ALL: [Self; 6] = [
         Self::ReloadReloadEnd,
         Self::ReloadEndReload,
@@ -70,7 +70,8 @@
     ];
 }
 
-/// The signals of a series are sent within this span.
+/// Maximum span between the first and the last signal of a series. [`SignalSeries::ReloadDuringShutdown`] may take
+/// longer.
 pub const SERIES_SPAN: Duration = Duration::from_millis(50);
 
 /// A disturbance and the number of the controller or worker that it affects.
@@ -92,11 +93,11 @@
     Crash(usize),
     /// A worker's process handles no commands for this span.
     Hang(usize, Duration),
-    /// A worker's network drops all bytes for this span.
+    /// A worker's network drops all bytes for this span. Its connections are then reset.
     Blackhole(usize, Duration),
-    /// A worker's connections are reset (`true`) or shut down in order (`false`).
+    /// A worker's connections are reset (`true`) or shut down orderly (`false`).
     Reset(usize, bool),
-    /// A worker fails some calls for this span.
+    /// A worker answers some calls as crashed for this span.
     Fail(usize, Duration),
     /// A worker's answers are delayed and split into small writes for this span.
     Slow(usize, Duration),
@@ -126,12 +127,12 @@
     pub disturbances: Vec<(Duration, Disturbance)>,
 }
 
-/// Groups of disturbances start no earlier than this, so that all controllers are ready, and no later than this before
-/// clients stop.
+/// Span at the beginning of a run, so that all controllers are ready, and before clients stop, in which no group of
+/// disturbances starts.
 const QUIET_SPAN: Duration = Duration::from_millis(1_500);
 /// Disturbances of one group start within this many milliseconds of each other, so that they overlap.
 const GROUP_SPAN_MS: u64 = 400;
-/// Combined with the seed to draw the optional disturbances.
+/// Combined with the seed, so that optional disturbances are drawn from a random sequence of their own.
 const EXTRAS_SALT: u64 = 0x5eed_0e87_7a50_0001;
 
 impl Plan {
@@ -179,18 +180,18 @@
     if number.is_multiple_of(3) {
         return Faults::default();
     }
-    let mut some = |max: u32| if random.random_bool(0.5) { random.random_range(1..=max) } else { 0 };
+    let mut rate_or_zero = |max: u32| if random.random_bool(0.5) { random.random_range(1..=max) } else { 0 };
     let mut faults = Faults {
-        short: some(300),
-        interrupt: some(100),
-        accept: some(150),
-        socket: some(40),
-        connect: some(60),
+        short: rate_or_zero(300),
+        interrupt: rate_or_zero(100),
+        accept: rate_or_zero(150),
+        socket: rate_or_zero(40),
+        connect: rate_or_zero(60),
         first_connects: 0,
-        broken: some(5),
-        start: some(6),
-        log: some(300),
-        signal: some(500),
+        broken: rate_or_zero(5),
+        start: rate_or_zero(6),
+        log: rate_or_zero(300),
+        signal: rate_or_zero(500),
         clock: None,
     };
     if random.random_bool(0.4) {
@@ -204,14 +205,14 @@
 fn extra_disturbances(seed: u64, size: Size, extras: Extras) -> Vec<(Duration, Disturbance)> {
     let mut random = ChaCha8Rng::seed_from_u64(seed ^ EXTRAS_SALT);
     let last = size.span.saturating_sub(QUIET_SPAN).as_millis() as u64;
-    let mut all = Vec::new();
+    let mut disturbances = Vec::new();
     if extras.shutdowns {
         let mut at = QUIET_SPAN.as_millis() as u64;
         while at < last {
             let controller = random.random_range(0..size.controllers);
             let series = SignalSeries::ALL[random.random_range(0..SignalSeries::ALL.len())];
             let gap = Duration::from_millis(random.random_range(0..SERIES_SPAN.as_millis() as u64 / 2));
-            all.push((Duration::from_millis(at), Disturbance::Signals(controller, series, gap)));
+            disturbances.push((Duration::from_millis(at), Disturbance::Signals(controller, series, gap)));
             at += random.random_range(400..1_500);
         }
     }
@@ -219,9 +220,9 @@
         let start = random.random_range(QUIET_SPAN.as_millis() as u64..last);
         let span = Duration::from_millis(random.random_range(1_000..3_000));
         let controller = random.random_range(0..size.controllers);
-        all.push((Duration::from_millis(start), Disturbance::ConnectionFlood(controller, span)));
+        disturbances.push((Duration::from_millis(start), Disturbance::ConnectionFlood(controller, span)));
     }
-    all
+    disturbances
 }
 
 fn disturbance(random: &mut ChaCha8Rng, size: Size) -> Disturbance {
--- a/crates/soak/src/proxy.rs
+++ b/crates/soak/src/proxy.rs
@@ -1,6 +1,6 @@
 //! A TCP proxy that stands for the network between controllers and one worker. It forwards bytes and can drop or delay
-//! them, split them into small writes, or close connections. Whatever the disturbance, it reads a controller's commands
-//! as they arrive and records them in the audit with the kernel's timestamps.
+//! them, split them into small writes, or close connections. It reads a controller's commands as they arrive, even if
+//! it does not forward them, and records them in the audit with the kernel's timestamps.
 
 use std::collections::BTreeSet;
 use std::io::{self, Read, Write};
@@ -21,19 +21,19 @@
 /// The disturbances of one worker's network.
 #[derive(Debug, Default)]
 pub struct Link {
-    /// Drops bytes in both directions while connections stay open.
+    /// While true, bytes of both directions are dropped and connections stay open.
     pub unresponsive: AtomicBool,
     /// Delay of answers in milliseconds.
     pub delay: AtomicU64,
-    /// Splits answers into small writes.
+    /// While true, answers are split into small writes.
     pub pieces: AtomicBool,
-    /// Resets new connections.
+    /// While true, new connections are reset.
     pub closed: AtomicBool,
     sockets: Mutex<Vec<TcpStream>>,
 }
 
 impl Link {
-    /// Closes all connections, with a reset or with an orderly shutdown.
+    /// Closes all connections, with a reset if `reset`, else with an orderly shutdown.
     pub fn close_all(&self, reset: bool) {
         let mut sockets = self.sockets.lock().unwrap_or_else(PoisonError::into_inner);
         for socket in sockets.drain(..) {
@@ -52,7 +52,7 @@
     }
 }
 
-/// Makes the socket send a reset when it is dropped, and ends reads from it.
+/// Makes the socket send a reset when it is closed, and ends reads from it.
 fn reset_when_dropped(socket: &TcpStream) {
     let _ = rustix::net::sockopt::set_socket_linger(socket, Some(Duration::ZERO));
     let _ = socket.shutdown(Shutdown::Read);
@@ -75,7 +75,7 @@
             }
             let id = ConnectionId { worker, connection };
             let (link, audit) = (Arc::clone(&link), Arc::clone(&audit));
-            // A thread of its own, so that connecting to the worker does not delay connections behind this one.
+            // Each connection is set up in a thread of its own, so that it does not delay those accepted after it.
             let forward = move || _ = forward(id, socket, target, &link, &audit);
             let _ = std::thread::Builder::new().stack_size(CONNECTION_STACK_BYTES).spawn(forward);
         }
@@ -94,8 +94,8 @@
     controller.set_nodelay(true)?;
     upstream.set_nodelay(true)?;
     link.register(&controller)?;
-    // If the link was closed since the connection arrived, `close_all` may have run before this connection was
-    // registered.
+    // The link may have been closed after the connection was accepted. If `close_all` ran before the registration, it
+    // has missed the connection.
     if link.closed.load(Ordering::Acquire) {
         reset_when_dropped(&controller);
         return Ok(());
@@ -118,14 +118,14 @@
     Ok(())
 }
 
-/// Forwards one direction of a connection.
+/// Forwards the bytes of one direction of a connection.
 struct Forwarder {
     id: ConnectionId,
     from: TcpStream,
     to: TcpStream,
     link: Arc<Link>,
     audit: Arc<Audit>,
-    /// Ids of the calls whose attempts were sent on the connection and not cancelled.
+    /// Ids of the calls whose attempts arrived on the connection and were not cancelled.
     open: Arc<Mutex<BTreeSet<u64>>>,
     /// Bytes of this direction were dropped. Nothing more is forwarded, as the stream would have a gap.
     lost_bytes: bool,
@@ -151,7 +151,7 @@
         self.end();
     }
 
-    /// Forwards answers from the worker to the controller, delayed and split as the link demands.
+    /// Forwards answers from the worker to the controller, delayed and split as set in the link.
     fn forward_responses(mut self) {
         let mut buffer = vec![0; 16 << 10];
         while let Ok(length @ 1..) = self.from.read(&mut buffer) {
@@ -198,7 +198,7 @@
         }
     }
 
-    /// Handles the end of the connection: its open attempts count as withdrawn.
+    /// Handles the end of the connection: records its open attempts as withdrawn and closes the other side.
     fn end(&self) {
         let calls = std::mem::take(&mut *self.open());
         for call in calls {
--- a/crates/soak/src/report.rs
+++ b/crates/soak/src/report.rs
@@ -5,10 +5,10 @@
 use crate::audit::{End, Incident, Moment, Record, SentList};
 use crate::judge::{Finding, Occurrence};
 
-/// Events within this span before or after a finding belong to its timeline.
+/// Span before and after a finding whose events are in its timeline.
 const TIMELINE_SPAN: Duration = Duration::from_secs(4);
 
-/// Statistics of a set of time spans.
+/// The median and the maximum of a set of time spans.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Spans {
     /// The median length; zero for an empty set.
@@ -45,9 +45,9 @@
     pub lag: Duration,
     /// Number of attempts whose arrival has a kernel timestamp.
     pub timestamped: usize,
-    /// Lengths of the intervals in which the sends of lists lie: the uncertainty of their times.
+    /// Uncertainty of the times at which lists were sent: the lengths of the intervals in which these times lie.
     pub list_spans: Spans,
-    /// How far the wall clock, which kernel timestamps use, drifted from the run's monotonic clock.
+    /// Drift of the wall clock, which kernel timestamps use, against the run's monotonic clock.
     pub drift: Duration,
     sent_lists: Vec<SentList>,
     incidents: Vec<Incident>,
@@ -83,23 +83,23 @@
         }
     }
 
-    /// The lists sent to the finding's controller and its starts, exits and signals around the finding, one line each,
-    /// in order of time. Empty if the finding names no controller.
+    /// Returns the lists sent to the finding's controller, and its starts, exits and signals, around the time of the
+    /// finding: one line each, in order of time. Returns no lines if the finding concerns no single controller.
     pub fn timeline(&self, finding: &Finding) -> Vec<String> {
         let Some(Occurrence { controller, at }) = finding.occurrence else { return Vec::new() };
         let is_near = |moment: Moment| moment.abs_diff(at) < TIMELINE_SPAN;
         let lists = self.sent_lists.iter().filter(|list| list.controller == controller);
         let lists = lists.map(|list| {
             let (from, to) = (list.sent.earliest, list.sent.latest);
-            (from, format!("{from:?} to {to:?}: sent the list with events up to {}", list.serial))
+            (from, format!("{from:?} to {to:?}: list with changes up to {} was sent", list.serial))
         });
         let incidents = self.incidents.iter().filter(|incident| incident.controller == controller);
         let incidents =
             incidents.map(|incident| (incident.at, format!("{:?}: {}", incident.at, incident.description)));
         let marker = std::iter::once((at, format!("{at:?}: the finding")));
-        let mut all: Vec<_> = lists.chain(incidents).chain(marker).filter(|(at, _)| is_near(*at)).collect();
-        all.sort();
-        all.into_iter().map(|(_, line)| line).collect()
+        let mut lines: Vec<_> = lists.chain(incidents).chain(marker).filter(|(at, _)| is_near(*at)).collect();
+        lines.sort();
+        lines.into_iter().map(|(_, line)| line).collect()
     }
 }
 
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -27,7 +27,7 @@
 /// A run could not be executed.
 #[derive(Debug, thiserror::Error)]
 pub enum SoakError {
-    /// An operation of the operating system failed.
+    /// The operating system reported an error.
     #[error("{0}")]
     System(#[from] io::Error),
     /// The fault library could not be built.
@@ -35,8 +35,8 @@
     Shim(#[from] ShimError),
 }
 
-/// Number of idle connections of a connection flood: more than a controller has descriptors.
-const FLOOD_IDLE: usize = 300;
+/// Number of idle connections of a connection flood, more than a controller has descriptors.
+const FLOOD_IDLE_CONNECTIONS: usize = 300;
 /// Connect timeout of a connection flood.
 const FLOOD_CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
 /// Pause between the short connections of a connection flood.
@@ -44,12 +44,12 @@
 
 /// Interval at which the test measures the lag of its own threads.
 const LAG_INTERVAL: Duration = Duration::from_millis(10);
-/// Text in a controller's log line that reports a broken invariant.
+/// Text by which a controller's log line reports a broken invariant.
 const GUARD_MARKER: &str = "invariant broken";
-/// Text in a controller's log line that reports a panic.
+/// Text by which a controller's log line reports a panic.
 const PANIC_MARKER: &str = "panicked at";
 
-/// A run in progress: its plan, its parties, and findings that do not come from the judge.
+/// A run in progress.
 struct Run {
     plan: Plan,
     fleet: Fleet,
@@ -58,6 +58,7 @@
     workers: Vec<Worker>,
     links: Vec<Arc<Link>>,
     controllers: Vec<Arc<Controller>>,
+    /// Findings that do not come from the judge: failed starts, signals and exits of controllers.
     findings: std::sync::Mutex<Vec<Finding>>,
 }
 
@@ -80,9 +81,9 @@
     Ok(run.report())
 }
 
-/// Starts a thread that measures the lag of the test's own threads until `stop` is set. It measures how much longer
-/// than requested a sleep takes, and how long a new connection takes to exchange one byte with a thread of its own, as
-/// at the proxies.
+/// Starts a thread that measures the lag of the test's own threads until `stop` is set. The lag is the greater of two
+/// times: how much longer than requested a sleep takes, and how long a new connection takes to exchange one byte with a
+/// thread of its own, as at the proxies.
 fn watch_lag(audit: &Arc<Audit>, stop: &Arc<AtomicBool>) -> io::Result<JoinHandle<()>> {
     let (audit, stop) = (Arc::clone(audit), Arc::clone(stop));
     let listener = TcpListener::bind("127.0.0.1:0")?;
@@ -96,7 +97,7 @@
             let _ = std::thread::Builder::new().stack_size(CONNECTION_STACK_BYTES).spawn(answer);
         }
     });
-    let exchange = move || -> io::Result<()> {
+    let exchange_byte = move || -> io::Result<()> {
         let mut socket = TcpStream::connect(address)?;
         socket.set_nodelay(true)?;
         socket.write_all(b"x")?;
@@ -108,7 +109,7 @@
             std::thread::sleep(LAG_INTERVAL);
             let oversleep = began.elapsed().saturating_sub(LAG_INTERVAL);
             let began = Instant::now();
-            let answered = exchange().is_ok();
+            let answered = exchange_byte().is_ok();
             let lag = if answered { oversleep.max(began.elapsed()) } else { oversleep };
             if lag > LAG_INTERVAL {
                 audit.lag_measured(lag);
@@ -153,18 +154,19 @@
         match controller.start(self.fleet, &self.directory, &self.audit) {
             Ok(true) => {}
             Ok(false) => {
-                let last = controller.logs().pop().unwrap_or_default();
-                let last = last.lines().last().unwrap_or("no log output").to_owned();
+                let log = controller.logs().pop().unwrap_or_default();
+                let last_line = log.lines().last().unwrap_or("no log output");
                 self.record_finding(
                     Rule::Process,
                     format!(
-                        "controller {} ({:?}) did not start: {last}",
+                        "controller {} ({:?}) did not become ready: {last_line}",
                         controller.number, controller.faults
                     ),
                 );
             }
             Err(error) => {
-                self.record_finding(Rule::Process, format!("controller {}: {error}", controller.number))
+                let description = format!("starting controller {} failed: {error}", controller.number);
+                self.record_finding(Rule::Process, description);
             }
         }
     }
@@ -182,8 +184,9 @@
 
     fn start_clients(&self, stop: &Arc<AtomicBool>) -> Vec<JoinHandle<()>> {
         let ids = Arc::new(AtomicU64::new(self.plan.seed << 40 | 1));
-        let places = self.controllers.iter().flat_map(|c| (0..self.plan.size.clients).map(move |n| (c, n)));
-        let clients = places.map(|(controller, number)| {
+        let client_numbers =
+            self.controllers.iter().flat_map(|c| (0..self.plan.size.clients).map(move |n| (c, n)));
+        let clients = client_numbers.map(|(controller, number)| {
             let seed = self.plan.seed ^ ((controller.number * 64 + number) as u64) << 20;
             let (audit, ids, stop) = (Arc::clone(&self.audit), Arc::clone(&ids), Arc::clone(stop));
             let extras = self.plan.extras;
@@ -251,7 +254,7 @@
         }
     }
 
-    /// How long after SIGTERM a process is killed, unless it has exited.
+    /// Returns the span between SIGTERM and SIGKILL for a process that does not exit.
     fn kill_after(&self) -> Duration {
         if self.plan.extras.shutdowns { EARLIEST_KILL } else { KILL_AFTER }
     }
@@ -268,38 +271,39 @@
         self.start_controller(controller);
     }
 
-    /// Starts a process and sends SIGTERM before it is ready. It may have no signal handler yet, so ending by the
-    /// signal is as good as a successful exit.
+    /// Starts a process and sends SIGTERM before it is ready. The process may have no signal handler yet, so
+    /// termination by the signal is as valid as a successful exit.
     fn end_before_ready(&self, controller: &Controller, after: Duration) {
         let (fleet, kill_after) = (self.fleet, self.kill_after());
-        let ended = controller.end_before_ready(fleet, &self.directory, &self.audit, after, kill_after);
-        let what = match ended {
+        let exit = controller.end_before_ready(fleet, &self.directory, &self.audit, after, kill_after);
+        let description = match exit {
             Ok(Some(status)) if status.success() || status.signal() == Some(Signal::TERM.as_raw()) => return,
-            Ok(Some(status)) => format!("ended with {status}"),
-            Ok(None) => format!("had not ended {kill_after:?} later"),
+            Ok(Some(status)) => format!("exited ({status})"),
+            Ok(None) => format!("still ran {kill_after:?} later"),
             Err(error) => error.to_string(),
         };
         self.record_finding(
             Rule::Process,
-            format!("controller {}, SIGTERM {after:?} after its start: {what}", controller.number),
+            format!("controller {}, SIGTERM {after:?} after its start: {description}", controller.number),
         );
     }
 
-    /// Terminates a controller and records a finding if it exits with an error. Returns false if it was not in service,
-    /// as during another disturbance.
+    /// Terminates a controller and records a finding if it exits unsuccessfully. Returns false if it was not in
+    /// service, as during another disturbance.
     fn terminate(&self, controller: &Controller, termination: &Termination) -> bool {
         match controller.terminate(termination, &self.audit) {
             Ok(TerminationOutcome::NotServing) => return false,
             Ok(TerminationOutcome::Exited(status)) if status.success() => {}
             Ok(TerminationOutcome::Exited(status)) => {
-                let what = format!("controller {} ended with {status}", controller.number);
-                self.record_finding(Rule::Process, what);
+                let description = format!("controller {} exited ({status})", controller.number);
+                self.record_finding(Rule::Process, description);
             }
-            // The platform kills such a process too, so the kill is not a finding. Requests that it left open are
-            // judged as lost.
+            // The platform kills such a process too, so the kill is not a finding. Requests that the process left open
+            // count as lost, unless they were sent just before the kill.
             Ok(TerminationOutcome::Killed) => {}
             Err(error) => {
-                self.record_finding(Rule::Process, format!("controller {}: {error}", controller.number))
+                let description = format!("terminating controller {} failed: {error}", controller.number);
+                self.record_finding(Rule::Process, description);
             }
         }
         true
@@ -324,7 +328,8 @@
             return;
         }
         if let Err(error) = controller.reload(self.fleet, &self.directory, &self.audit, half) {
-            self.record_finding(Rule::Process, format!("controller {}: {error}", controller.number));
+            let description = format!("reloading controller {} failed: {error}", controller.number);
+            self.record_finding(Rule::Process, description);
         }
     }
 
@@ -363,16 +368,21 @@
                     Ok(TerminationOutcome::NotServing) => {}
                     Ok(TerminationOutcome::Exited(status)) if status.success() => {}
                     Ok(TerminationOutcome::Exited(status)) => {
-                        run.record_finding(
-                            Rule::Process,
-                            format!("controller {}: {status}", controller.number),
-                        );
+                        let description = format!("controller {} exited ({status})", controller.number);
+                        run.record_finding(Rule::Process, description);
                     }
                     Ok(TerminationOutcome::Killed) => {
-                        let what = format!("controller {} did not end by itself", controller.number);
-                        run.record_finding(Rule::Process, what);
+                        let number = controller.number;
+                        let description = format!(
+                            "controller {number} still ran {KILL_AFTER:?} after SIGTERM and was killed"
+                        );
+                        run.record_finding(Rule::Process, description);
+                    }
+                    Err(error) => {
+                        let description =
+                            format!("terminating controller {} failed: {error}", controller.number);
+                        run.record_finding(Rule::Process, description);
                     }
-                    Err(error) => run.record_finding(Rule::Process, format!("{error}")),
                 }
             })
         });
@@ -401,12 +411,12 @@
     }
 }
 
-/// Fills a controller's descriptors with idle connections, and opens and closes further connections, for a span.
+/// For a span, uses up a controller's descriptors with idle connections, and opens and closes further connections.
 fn flood_connections(address: SocketAddr, span: Duration) {
     let end = Instant::now() + span;
     let connect = || TcpStream::connect_timeout(&address, FLOOD_CONNECT_TIMEOUT).ok();
     let idle: Vec<TcpStream> =
-        (0..FLOOD_IDLE).take_while(|_| Instant::now() < end).filter_map(|_| connect()).collect();
+        (0..FLOOD_IDLE_CONNECTIONS).take_while(|_| Instant::now() < end).filter_map(|_| connect()).collect();
     while Instant::now() < end {
         drop(connect());
         std::thread::sleep(FLOOD_PAUSE);
--- a/crates/soak/src/shim.rs
+++ b/crates/soak/src/shim.rs
@@ -43,21 +43,21 @@
     pub short: u32,
     /// Reads, writes, accepts and waits that are interrupted.
     pub interrupt: u32,
-    /// Accepts that fail.
+    /// Calls of `accept4` that fail.
     pub accept: u32,
-    /// Socket creations that fail.
+    /// Creations of IPv4 sockets that fail.
     pub socket: u32,
-    /// Connects that fail immediately.
+    /// Connects of stream sockets that fail immediately.
     pub connect: u32,
-    /// Number of connects, from the process's first on, that all fail.
+    /// Number of connects of stream sockets, from the process's first on, that all fail.
     pub first_connects: u32,
     /// Reads that break the connection and fail, on connections that the process opened.
     pub broken: u32,
-    /// Number of socket, bind and epoll creation calls, from the process's first on, that all fail.
+    /// Number of `socket`, `bind` and `epoll_create1` calls, from the process's first on, that all fail.
     pub start: u32,
     /// Writes to standard error that fail.
     pub log: u32,
-    /// Wake-up bytes of signal handlers that are lost.
+    /// Writes of wake-up bytes by signal handlers that fail.
     pub signal: u32,
     /// A step of the wall clock: when, in milliseconds after the process's start, and by how many milliseconds.
     pub clock: Option<(u64, i64)>,
--- a/crates/soak/src/wire.rs
+++ b/crates/soak/src/wire.rs
@@ -34,31 +34,38 @@
     }
 }
 
-/// Parses the RESP count or length with the type byte `mark` at `from`. Returns it and the offset after its line.
-fn parse_length(buffer: &[u8], from: usize, mark: u8) -> Option<(usize, usize)> {
+/// Parses the RESP count or length with this type byte at `from`. Returns it and the offset after its line, or `None`
+/// if the line is incomplete or malformed.
+fn parse_length(buffer: &[u8], from: usize, type_byte: u8) -> Option<(usize, usize)> {
     let rest = buffer.get(from..)?;
     let end = rest.windows(2).position(|two| two == b"\r\n")?;
-    let digits = rest.get(..end)?.strip_prefix(&[mark])?;
+    let digits = rest.get(..end)?.strip_prefix(&[type_byte])?;
     Some((std::str::from_utf8(digits).ok()?.parse().ok()?, from + end + 2))
 }
 
-/// The value of the field `name` in a list such as `name=value,name=value`.
+/// Returns the value of the field `name` in a list such as `name=value,name=value`.
 pub fn field<'a>(fields: &'a [u8], name: &str) -> Option<&'a str> {
     let text = std::str::from_utf8(fields).ok()?;
     text.split(',').find_map(|field| field.strip_prefix(name)?.strip_prefix('='))
 }
 
-/// Encodes a worker's answer to the command with this id or tag.
-pub fn answer(id: &[u8], word: &str, fields: &str, body: &[u8]) -> Vec<u8> {
+/// Encodes a worker's answer to the command with this id or tag. `result` is the word for the outcome, such as
+/// `served`.
+pub fn answer(id: &[u8], result: &str, fields: &str, body: &[u8]) -> Vec<u8> {
     let mut out = Vec::new();
-    resp::command(&mut out, &[id, word.as_bytes(), fields.as_bytes(), body]);
+    resp::command(&mut out, &[id, result.as_bytes(), fields.as_bytes(), body]);
     out
 }
 
+/// Result code of the answer to a served request, and of the readiness answer of a controller that is ready.
+pub(crate) const SERVED: u8 = 79;
+/// Result code of the answer to a refused request.
+pub(crate) const REFUSED: u8 = 66;
+
 /// A frame from a controller to a client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Frame {
-    /// Frame type, see [`nettleferry_platform::frames::kind`].
+    /// Frame type, one of [`nettleferry_platform::frames::kind`] or unknown.
     pub kind: u8,
     /// Number of the stream; 0 for the connection as a whole.
     pub stream: u32,
--- a/crates/soak/src/worker.rs
+++ b/crates/soak/src/worker.rs
@@ -19,17 +19,20 @@
 const LOAD_TIME: Duration = Duration::from_millis(60);
 /// Range of the duration of a call, in milliseconds.
 const CALL_TIME_MS: std::ops::Range<u64> = 3..30;
-/// A call with a time limit below this, in milliseconds, may be dropped without an answer.
+/// Time limit, in milliseconds, below which half of the calls are dropped without an answer.
 const SHORT_PATIENCE_MS: u64 = 40;
 /// During the disturbance `fails`, one in this many calls is answered as crashed.
 const CRASHED_ANSWER_RATIO: u32 = 3;
 
+/// Interval at which a worker checks [`WorkerDisturbances::hangs`].
+const HANG_CHECK_INTERVAL: Duration = Duration::from_millis(20);
+
 /// The disturbances of one worker's process.
 #[derive(Debug, Default)]
 pub struct WorkerDisturbances {
-    /// The process hangs: it handles no commands and sends no answers.
+    /// While true, the process handles no commands and sends no answers.
     pub hangs: AtomicBool,
-    /// Some calls are answered as crashed after they have run.
+    /// While true, some calls are answered as crashed after they have run.
     pub fails: AtomicBool,
 }
 
@@ -37,15 +40,19 @@
 pub struct Worker {
     /// The address that the worker listens on.
     pub address: SocketAddr,
-    /// The worker's disturbances, which may be switched at any time.
+    /// The worker's disturbances, which may be changed at any time.
     pub disturbances: Arc<WorkerDisturbances>,
     jobs: Sender<Job>,
     sockets: Arc<Mutex<Vec<TcpStream>>>,
 }
 
+/// A message to the thread that handles a worker's jobs.
 enum Job {
+    /// A command arrived. The answer is written to `to`.
     Command { connection: u64, parts: CommandParts, to: Arc<Mutex<TcpStream>> },
-    Ended { connection: u64 },
+    /// A connection ended. Its pending answers are dropped.
+    ConnectionEnded { connection: u64 },
+    /// The worker crashed and restarted.
     Restart,
 }
 
@@ -56,7 +63,7 @@
         let address = listener.local_addr()?;
         let (sender, receiver) = channel();
         let disturbances = Arc::new(WorkerDisturbances::default());
-        let core = Core {
+        let executor = Executor {
             number,
             audit,
             disturbances: Arc::clone(&disturbances),
@@ -64,9 +71,9 @@
             loaded: BTreeSet::new(),
             due: BinaryHeap::new(),
             pending: BTreeMap::new(),
-            next: 0,
+            last_number: 0,
         };
-        std::thread::spawn(move || core.run(&receiver));
+        std::thread::spawn(move || executor.run(&receiver));
         let sockets = Arc::new(Mutex::new(Vec::new()));
         let (jobs, open_sockets) = (sender.clone(), Arc::clone(&sockets));
         std::thread::spawn(move || {
@@ -103,66 +110,66 @@
                 let _ = jobs.send(Job::Command { connection, parts, to: Arc::clone(&to) });
             }
         }
-        let _ = jobs.send(Job::Ended { connection });
+        let _ = jobs.send(Job::ConnectionEnded { connection });
     };
     std::thread::Builder::new().stack_size(CONNECTION_STACK_BYTES).spawn(read)?;
     Ok(())
 }
 
 /// The time at which the pending answer with this number is sent.
-struct Due {
+struct DueAnswer {
     at: Instant,
     number: u64,
 }
 
-impl PartialEq for Due {
+impl PartialEq for DueAnswer {
     fn eq(&self, other: &Self) -> bool {
         self.cmp(other).is_eq()
     }
 }
 
-impl Eq for Due {}
+impl Eq for DueAnswer {}
 
-impl PartialOrd for Due {
+impl PartialOrd for DueAnswer {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Due {
+impl Ord for DueAnswer {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
-        // Reversed: the heap pops the greatest, and the earliest is needed.
+        // The order is reversed, so that the heap pops the earliest time first.
         (other.at, other.number).cmp(&(self.at, self.number))
     }
 }
 
-struct Pending {
+/// An answer that is sent when its load or call has taken its time.
+struct PendingAnswer {
     connection: u64,
     id: Vec<u8>,
-    /// The id of the call; `None` for a control request.
+    /// The id of the call. `None` for a load.
     call: Option<u64>,
-    /// The function that counts as loaded once the answer is sent.
+    /// The function that is loaded when the answer is sent. `None` for a call.
     loads: Option<String>,
     /// The encoded answer.
     bytes: Vec<u8>,
     to: Arc<Mutex<TcpStream>>,
 }
 
-struct Core {
+/// The state of a worker, owned by the thread that handles its jobs.
+struct Executor {
     number: usize,
     audit: Arc<Audit>,
     disturbances: Arc<WorkerDisturbances>,
     random: ChaCha8Rng,
     loaded: BTreeSet<String>,
-    due: BinaryHeap<Due>,
-    pending: BTreeMap<u64, Pending>,
-    next: u64,
+    due: BinaryHeap<DueAnswer>,
+    pending: BTreeMap<u64, PendingAnswer>,
+    /// The number of the newest pending answer.
+    last_number: u64,
 }
 
-/// How often a worker checks whether it is to hang.
-const HANG_CHECK_INTERVAL: Duration = Duration::from_millis(20);
-
-impl Core {
+impl Executor {
     fn run(mut self, jobs: &Receiver<Job>) {
         loop {
             if self.disturbances.hangs.load(Ordering::Acquire) {
@@ -186,7 +193,9 @@
                 self.pending.clear();
                 self.due.clear();
             }
-            Job::Ended { connection } => self.pending.retain(|_, pending| pending.connection != connection),
+            Job::ConnectionEnded { connection } => {
+                self.pending.retain(|_, pending| pending.connection != connection)
+            }
             Job::Command { connection, parts, to } => self.command(connection, &parts, to),
         }
     }
@@ -206,7 +215,7 @@
                 let Some(asset) = field(fields, "asset") else { return };
                 let bytes = answer(id, "served", "instances=1", b"");
                 let loads = Some(asset.to_owned());
-                let pending = Pending { connection, id: id.clone(), call: None, loads, bytes, to };
+                let pending = PendingAnswer { connection, id: id.clone(), call: None, loads, bytes, to };
                 self.schedule(LOAD_TIME, pending);
             }
             b"CALL" => self.call(connection, id, fields, parts.get(3), to),
@@ -240,15 +249,16 @@
         } else {
             answer(id, "served", "n=w", body.map(Vec::as_slice).unwrap_or_default())
         };
-        let work = Duration::from_millis(self.random.random_range(CALL_TIME_MS));
-        let pending = Pending { connection, id: id.to_vec(), call: Some(number), loads: None, bytes, to };
-        self.schedule(work, pending);
+        let call_time = Duration::from_millis(self.random.random_range(CALL_TIME_MS));
+        let pending =
+            PendingAnswer { connection, id: id.to_vec(), call: Some(number), loads: None, bytes, to };
+        self.schedule(call_time, pending);
     }
 
-    fn schedule(&mut self, span: Duration, pending: Pending) {
-        self.next += 1;
-        self.due.push(Due { at: Instant::now() + span, number: self.next });
-        self.pending.insert(self.next, pending);
+    fn schedule(&mut self, delay: Duration, pending: PendingAnswer) {
+        self.last_number += 1;
+        self.due.push(DueAnswer { at: Instant::now() + delay, number: self.last_number });
+        self.pending.insert(self.last_number, pending);
     }
 
     fn answer_due(&mut self) {
--- a/crates/soak/tests/judge.rs
+++ b/crates/soak/tests/judge.rs
@@ -27,7 +27,7 @@
     }
 }
 
-/// A valid call that was sent one second into the run and served.
+/// Returns a valid call that was sent one second into the run and served.
 fn valid_call(class: Class) -> Call {
     Call {
         class,
@@ -57,7 +57,7 @@
 
 fn broken(record: &Record) -> Vec<Rule> {
     let Verdict { broken, undecided } = judge(record);
-    assert!(undecided.is_empty(), "the order of all is known: {undecided:?}");
+    assert!(undecided.is_empty(), "no finding depends on the order of events: {undecided:?}");
     broken.into_iter().map(|finding| finding.rule).collect()
 }
 
@@ -67,7 +67,7 @@
     broken(&record(call))
 }
 
-/// A list that a controller was sent at a moment known exactly.
+/// Returns a list that a controller was sent at a moment known exactly, in milliseconds.
 fn list_sent_at(controller: usize, serial: u32, at: u64) -> SentList {
     SentList { controller, serial, sent: Interval::at(ms(at)) }
 }
@@ -114,7 +114,7 @@
     );
     assert!(
         broken_by(Class::Safe, |call| call.client_left = Some(Interval::at(ms(950)))).is_empty(),
-        "within 0.1 s"
+        "an attempt is allowed within 0.1 s after its client left"
     );
 }
 
@@ -133,12 +133,15 @@
 #[test]
 fn patience_beyond_the_deadline_is_found() {
     assert_eq!(broken_by(Class::Safe, |call| call.attempts[0].patience = 2_200), [Rule::Deadline]);
-    assert!(broken_by(Class::Safe, |call| call.attempts[0].patience = 2_100).is_empty(), "within 0.15 s");
+    assert!(
+        broken_by(Class::Safe, |call| call.attempts[0].patience = 2_100).is_empty(),
+        "the time limit may exceed the deadline by 0.15 s"
+    );
 }
 
 #[test]
 fn attempt_at_a_draining_worker_is_found_only_after_the_controller_was_notified() {
-    let drained = |sent_at: u64| {
+    let broken_after_drain = |sent_at: u64| {
         let mut call = valid_call(Class::Safe);
         call.attempts = vec![attempt(3_000, 3_100)];
         (call.ttl, call.end) = (ms(9_000), Some((End::Served, ms(3_200))));
@@ -147,13 +150,13 @@
         record.sent_lists = vec![list_sent_at(0, 2, sent_at), list_sent_at(1, 2, 10)];
         broken(&record)
     };
-    assert_eq!(drained(1_500), [Rule::Drain]);
-    assert!(drained(2_500).is_empty(), "within its grace");
-    assert!(drained(3_500).is_empty(), "it was not told");
+    assert_eq!(broken_after_drain(1_500), [Rule::Drain]);
+    assert!(broken_after_drain(2_500).is_empty(), "the attempt arrives within the grace period");
+    assert!(broken_after_drain(3_500).is_empty(), "the controller was not notified before the attempt");
 }
 
-/// Calls that arrive at a worker 0.1 s after its start: first those of a controller that was not notified of the start,
-/// then those of one that was.
+/// Returns a record of calls that arrive at a worker 0.1 s after its start: first those of a controller that was not
+/// notified of the start, then those of one that was.
 fn cold_worker_with_calls(notified: u64, unnotified: u64) -> Record {
     let mut record = record(valid_call(Class::Safe));
     record.starts = vec![WorkerStart { worker: 0, at: Interval::at(ms(1_000)), serial: 2 }];
@@ -196,18 +199,18 @@
 
 /// Judges one attempt at a worker that was drained (change 2) and returned to service (change 3), with the times at
 /// which the controller was sent these changes.
-fn returned(drain_sent: SentList, return_sent: Option<SentList>, arrived: u64) -> Verdict {
+fn judge_after_return(drain_sent: SentList, return_sent: Option<SentList>, arrived: u64) -> Verdict {
     let mut call = valid_call(Class::Safe);
     call.attempts = vec![attempt(arrived, arrived + 50)];
     (call.ttl, call.end) = (ms(9_000), Some((End::Served, ms(arrived + 100))));
     let mut record = record(call);
-    let listed = |serial, in_service| ListChange { serial, worker: 0, in_service };
-    record.list_changes = vec![listed(2, false), listed(3, true)];
+    let change = |serial, in_service| ListChange { serial, worker: 0, in_service };
+    record.list_changes = vec![change(2, false), change(3, true)];
     record.sent_lists = [Some(drain_sent), return_sent].into_iter().flatten().collect();
     judge(&record)
 }
 
-fn between(serial: u32, earliest: u64, latest: u64) -> SentList {
+fn list_sent_between(serial: u32, earliest: u64, latest: u64) -> SentList {
     SentList { controller: 0, serial, sent: Interval { earliest: ms(earliest), latest: ms(latest) } }
 }
 
@@ -219,47 +222,59 @@
 /// sending a list and recording the send, and the controller had already acted on the list.
 #[test]
 fn attempt_between_the_sending_of_a_list_and_its_record_is_undecided() {
-    for (drain_before, recorded_after) in [(1_539_400, 101), (1_755_400, 39)] {
+    for (drain_before_us, recorded_after_us) in [(1_539_400, 101), (1_755_400, 39)] {
         let us = Duration::from_micros;
         let arrived = us(4_000_000);
-        let drain = SentList { controller: 0, serial: 2, sent: Interval::at(arrived - us(drain_before)) };
-        let sent = Interval { earliest: arrived - us(200), latest: arrived + us(recorded_after) };
-        let returned = returned(drain, Some(SentList { controller: 0, serial: 3, sent }), 4_000);
-        assert!(returned.broken.is_empty(), "the list had been sent: {:?}", returned.broken);
-        assert_eq!(rules(&returned.undecided), [Rule::Drain], "it may not have been");
+        let drain = SentList { controller: 0, serial: 2, sent: Interval::at(arrived - us(drain_before_us)) };
+        let sent = Interval { earliest: arrived - us(200), latest: arrived + us(recorded_after_us) };
+        let verdict = judge_after_return(drain, Some(SentList { controller: 0, serial: 3, sent }), 4_000);
+        assert!(
+            verdict.broken.is_empty(),
+            "the list may have been sent before the attempt: {:?}",
+            verdict.broken
+        );
+        assert_eq!(
+            rules(&verdict.undecided),
+            [Rule::Drain],
+            "the list may not have been sent before the attempt"
+        );
     }
 }
 
 #[test]
 fn attempt_long_after_a_notified_drain_is_broken_in_each_order() {
-    let verdict = returned(between(2, 1_500, 1_800), None, 3_000);
+    let verdict = judge_after_return(list_sent_between(2, 1_500, 1_800), None, 3_000);
     assert_eq!((rules(&verdict.broken), verdict.undecided.len()), (vec![Rule::Drain], 0));
 }
 
 #[test]
 fn return_to_service_sent_after_the_attempt_permits_nothing() {
-    let verdict = returned(between(2, 1_500, 1_500), Some(between(3, 3_001, 3_200)), 3_000);
+    let verdict = judge_after_return(
+        list_sent_between(2, 1_500, 1_500),
+        Some(list_sent_between(3, 3_001, 3_200)),
+        3_000,
+    );
     assert_eq!((rules(&verdict.broken), verdict.undecided.len()), (vec![Rule::Drain], 0));
-    let never = returned(between(2, 1_500, 1_500), None, 3_000);
+    let never = judge_after_return(list_sent_between(2, 1_500, 1_500), None, 3_000);
     assert_eq!((rules(&never.broken), never.undecided.len()), (vec![Rule::Drain], 0));
 }
 
 #[test]
 fn drain_that_was_sent_and_lost_forbids_attempts() {
-    // The platform counts a controller as notified of a change once an answer that contains it is sent. A later answer
-    // that contains it too and does arrive changes nothing.
+    // The platform counts a controller as notified of a change once an answer that contains the change is sent, even if
+    // the answer is lost. A later answer that also contains the change and arrives does not reset the time.
     let mut call = valid_call(Class::Safe);
     call.attempts = vec![attempt(3_000, 3_050)];
     (call.ttl, call.end) = (ms(9_000), Some((End::Served, ms(3_100))));
     let mut record = record(call);
     record.list_changes = vec![ListChange { serial: 2, worker: 0, in_service: false }];
-    record.sent_lists = vec![between(2, 1_500, 1_500), between(4, 2_900, 2_900)];
+    record.sent_lists = vec![list_sent_between(2, 1_500, 1_500), list_sent_between(4, 2_900, 2_900)];
     assert_eq!(broken(&record), [Rule::Drain]);
 }
 
 #[test]
 fn attempt_after_a_drain_with_an_uncertain_send_time_is_undecided() {
-    let verdict = returned(between(2, 1_500, 2_500), None, 3_000);
+    let verdict = judge_after_return(list_sent_between(2, 1_500, 2_500), None, 3_000);
     assert_eq!((verdict.broken.len(), rules(&verdict.undecided)), (0, vec![Rule::Drain]));
 }
 
@@ -284,14 +299,14 @@
 
 #[test]
 fn too_many_undecided_findings_are_a_finding() {
-    let undecided = |count: u64| {
+    let judge_undecided_calls = |count: u64| {
         let mut call = valid_call(Class::Safe);
         call.client_left = Some(Interval { earliest: ms(900), latest: ms(950) });
         let mut record = record(call.clone());
         record.calls = (0..count).map(|id| (id, call.clone())).collect();
         judge(&record)
     };
-    assert!(undecided(2).broken.is_empty());
-    let verdict = undecided(3);
+    assert!(judge_undecided_calls(2).broken.is_empty());
+    let verdict = judge_undecided_calls(3);
     assert_eq!((rules(&verdict.broken), verdict.undecided.len()), (vec![Rule::Undecided], 3));
 }
