--- a/crates/soak/src/audit.rs
+++ b/crates/soak/src/audit.rs
@@ -1,5 +1,6 @@
-//! Records what is observed at the sockets during a run: for each call, when it was sent, its attempts at workers, and
-//! how it ended; also changes of the directory's list, worker starts, and the lag of the test itself.
+//! Records what is observed at the sockets during a run. For each call, that is the time at which it was sent, its
+//! attempts at workers, and its outcome. Changes of the directory's list, starts of workers, and the lag of the test
+//! itself are recorded too.
 
 use std::collections::BTreeMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
--- a/crates/soak/src/controller.rs
+++ b/crates/soak/src/controller.rs
@@ -124,9 +124,9 @@
 /// The exit of a process that was asked to exit.
 #[derive(Clone, Copy, Debug)]
 pub struct ProcessEnd {
-    /// The last moment at which the process was seen running.
+    /// The last moment at which the process was observed running.
     pub earliest: Instant,
-    /// The moment at which its exit was seen.
+    /// The moment at which its exit was observed.
     pub latest: Instant,
     /// Whether it was killed for not exiting in time.
     pub killed: bool,
--- a/crates/soak/src/judge.rs
+++ b/crates/soak/src/judge.rs
@@ -4,8 +4,8 @@
 //! Where the test can't tell in which order two events happened, the record holds the interval in which each of them
 //! lies. The record is judged in two orders. In the order that favours the controller, an event that permits something
 //! counts from the start of its interval, and an event that forbids something from the end. An invariant that is broken
-//! in this order is broken. An invariant that is broken only in the opposite order is undecided and reported as such;
-//! too many undecided findings are a finding of their own.
+//! in this order is broken. An invariant that is broken only in the opposite order is undecided and reported as such.
+//! Too many undecided findings are a finding of their own.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -140,9 +140,9 @@
 /// takes. A higher bound would let the test hide broken invariants.
 const UNDECIDED_PER_THOUSAND: usize = 1;
 /// Undecided findings allowed in any run, however few its attempts.
-const MIN_UNDECIDED: usize = 2;
+const MIN_ALLOWED_UNDECIDED: usize = 2;
 
-/// Judges a record. Findings about known calls come first, in the order of call ids.
+/// Judges a record. Among the broken invariants, findings about calls of clients come first, in the order of call ids.
 pub fn judge(record: &Record) -> Verdict {
     let mut broken = findings(record, EventOrder::Best);
     let key = |finding: &Finding| (finding.rule, finding.subject);
@@ -170,7 +170,7 @@
 
 fn too_many_undecided(record: &Record, undecided: usize) -> Option<Finding> {
     let attempts: usize = record.calls.values().map(|call| call.attempts.len()).sum();
-    let allowed = (attempts * UNDECIDED_PER_THOUSAND / 1_000).max(MIN_UNDECIDED);
+    let allowed = (attempts * UNDECIDED_PER_THOUSAND / 1_000).max(MIN_ALLOWED_UNDECIDED);
     let description =
         format!("{undecided} findings are undecided, at most {allowed} are allowed for {attempts} attempts");
     (undecided > allowed).then_some(Finding {
@@ -181,21 +181,22 @@
     })
 }
 
+/// Returns the invariants that are broken if overlapping events happened in this order.
 fn findings(record: &Record, order: EventOrder) -> Vec<Finding> {
-    let mut found = Vec::new();
+    let mut findings = Vec::new();
     for (id, call) in &record.calls {
-        judge_call(record, *id, call, order, &mut found);
+        judge_call(record, *id, call, order, &mut findings);
     }
     for UnknownCall { id, worker } in &record.unknown_calls {
-        found.push(Finding {
+        findings.push(Finding {
             rule: Rule::Stranger,
             subject: Subject::Call(*id),
             occurrence: None,
             description: format!("call {id:016x} arrived at worker {worker}, and no client had sent it"),
         });
     }
-    judge_slow_start(record, order, &mut found);
-    found
+    judge_slow_start(record, order, &mut findings);
+    findings
 }
 
 /// Returns the largest lag of the test's own threads that was measured near `at`.
@@ -204,14 +205,17 @@
     nearby.map(|(_, lag)| *lag).max().unwrap_or_default()
 }
 
-fn judge_call(record: &Record, id: u64, call: &Call, order: EventOrder, found: &mut Vec<Finding>) {
-    let mut broken = |rule, at: Moment, what: String| {
+fn judge_call(record: &Record, id: u64, call: &Call, order: EventOrder, findings: &mut Vec<Finding>) {
+    let mut broken = |rule, at: Moment, description: String| {
         let controller = call.controller;
-        found.push(Finding {
+        findings.push(Finding {
             rule,
             subject: Subject::Call(id),
             occurrence: Some(Occurrence { controller, at }),
-            description: format!("call {id:016x} ({:?}) of controller {controller}: {what}", call.class),
+            description: format!(
+                "call {id:016x} ({:?}) of controller {controller}: {description}",
+                call.class
+            ),
         });
     };
     let ended = call.end.map_or(call.sent.latest, |(_, at)| at);
@@ -240,7 +244,9 @@
         }
     }
     for attempt in &call.attempts {
-        judge_attempt(record, call, attempt, order, &mut |rule, what| broken(rule, attempt.arrived, what));
+        judge_attempt(record, call, attempt, order, &mut |rule, description| {
+            broken(rule, attempt.arrived, description)
+        });
     }
 }
 
@@ -334,7 +340,7 @@
         .any(|list| order.restriction(list.sent) <= arrival.arrived)
 }
 
-fn judge_slow_start(record: &Record, order: EventOrder, found: &mut Vec<Finding>) {
+fn judge_slow_start(record: &Record, order: EventOrder, findings: &mut Vec<Finding>) {
     for start in &record.starts {
         // The earlier the start, the older the worker and the larger its budget.
         let (worker, started) = (start.worker, order.permission(start.at));
@@ -356,7 +362,7 @@
                     budget(age)
                 );
                 let subject = Subject::Worker(worker);
-                found.push(Finding { rule: Rule::SlowStart, subject, occurrence: None, description });
+                findings.push(Finding { rule: Rule::SlowStart, subject, occurrence: None, description });
                 break;
             }
         }
--- a/crates/soak/src/report.rs
+++ b/crates/soak/src/report.rs
@@ -11,9 +11,9 @@
 /// The median and the maximum of a set of time spans.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Spans {
-    /// The median length; zero for an empty set.
+    /// The median length. Zero for an empty set.
     pub median: Duration,
-    /// The greatest length; zero for an empty set.
+    /// The greatest length. Zero for an empty set.
     pub longest: Duration,
 }
 
--- a/crates/soak/src/shim.rs
+++ b/crates/soak/src/shim.rs
@@ -10,21 +10,21 @@
 #[derive(Debug, thiserror::Error)]
 pub enum ShimError {
     /// Writing the source or running the compiler failed.
-    #[error("{what}: {source}")]
+    #[error("{operation} failed: {source}")]
     System {
         /// The operation that failed.
-        what: &'static str,
+        operation: &'static str,
         /// The error of the operating system.
         source: std::io::Error,
     },
-    /// The compiler exited with an error; holds its standard error.
+    /// The compiler exited with an error. Holds its standard error.
     #[error("the C compiler failed to build the fault library: {0}")]
     Compiler(String),
 }
 
 /// Compiles the library into `dir` with the system's `cc`. Returns its path.
 pub fn compile(dir: &Path) -> Result<PathBuf, ShimError> {
-    let system = |what| move |source| ShimError::System { what, source };
+    let system = |operation| move |source| ShimError::System { operation, source };
     let (from, to) = (dir.join("faults.c"), dir.join("faults.so"));
     std::fs::write(&from, SOURCE).map_err(system("writing the source of the fault library"))?;
     let mut compiler = Command::new("cc");
--- a/crates/soak/src/wire.rs
+++ b/crates/soak/src/wire.rs
@@ -67,7 +67,7 @@
 pub struct Frame {
     /// Frame type, one of [`nettleferry_platform::frames::kind`] or unknown.
     pub kind: u8,
-    /// Number of the stream; 0 for the connection as a whole.
+    /// Number of the stream. 0 stands for the connection as a whole.
     pub stream: u32,
     /// Bytes after the frame header.
     pub payload: Vec<u8>,
--- a/crates/test-servers/src/models.rs
+++ b/crates/test-servers/src/models.rs
@@ -27,7 +27,7 @@
     /// The parameter `segments` is out of range.
     #[error("segments is a whole number from 1 to the number of steps, {max}; given: {actual}")]
     Segments {
-        /// The value in the request; 0 if the parameter is not an integer.
+        /// The value in the request. 0 if the parameter is not an integer.
         actual: i64,
         /// The maximum: the number of steps between neighbouring heights.
         max: usize,
--- a/crates/test-servers/src/server/fault.rs
+++ b/crates/test-servers/src/server/fault.rs
@@ -33,7 +33,7 @@
     Cut {
         /// Index of the address in the addresses of the worker.
         address_index: usize,
-        /// True cuts the link; false restores it.
+        /// True cuts the link. False restores it.
         cut: bool,
     },
     /// New connections are not read for this time. 0 ends the fault.
--- a/crates/test-servers/src/server/mod.rs
+++ b/crates/test-servers/src/server/mod.rs
@@ -66,7 +66,7 @@
 impl Handle {
     /// Injects a fault. The worker applies it asynchronously.
     pub fn inject(&self, fault: Fault) {
-        // The send fails only if the thread has ended; the fault then has no effect.
+        // The send fails only if the thread has ended. The fault then has no effect.
         let _ = self.faults.send(fault);
         let _ = self.waker.wake();
     }
@@ -167,7 +167,7 @@
     addresses: Vec<SocketAddr>,
     listeners: Vec<ListenerKey>,
     faults: Receiver<Fault>,
-    /// The worker model; `None` while the worker is dead.
+    /// The worker model. `None` while the worker is dead.
     worker: Option<Worker>,
     random: ChaCha8Rng,
     rpcs: BTreeMap<StreamKey, Rpc>,
@@ -177,7 +177,7 @@
     orders: BTreeMap<OrderNumber, StreamKey>,
     /// The last number given to a call or a load order.
     last_number: u64,
-    /// Past loads, oldest first; filled while load reports are delayed.
+    /// Past loads, oldest first. Filled while load reports are delayed.
     history: VecDeque<PastLoad>,
     delayed: VecDeque<DelayedConnection>,
     unresponsive: bool,
--- a/crates/test-servers/src/worker.rs
+++ b/crates/test-servers/src/worker.rs
@@ -1,7 +1,7 @@
 //! A deterministic model of a worker, without I/O or a clock. Running calls share the cores. A worker that warms up has
 //! only part of its capacity, and stops for good if it is sent too much work.
 //!
-//! This module handles calls and capacity; [`replicas`] handles loads, memory and the eviction of replicas.
+//! This module handles calls and capacity. [`replicas`] handles loads, memory and the eviction of replicas.
 
 mod replicas;
 
@@ -90,7 +90,7 @@
 /// A call that arrives at the worker.
 #[derive(Clone, Copy, Debug)]
 pub struct IncomingCall<'a> {
-    /// Identifies the call; unique at this worker.
+    /// Number of the call, unique at this worker.
     pub number: CallNumber,
     /// Name of the model.
     pub model: &'a str,
--- a/crates/test-servers/src/worker/replicas.rs
+++ b/crates/test-servers/src/worker/replicas.rs
@@ -148,7 +148,7 @@
         let set = self.replicas.get(model);
         let loads_finished = set.is_none_or(|set| set.loads_finished());
         let absent = set.is_none_or(|set| set.loaded == 0);
-        // The last replica may have been unloaded while calls waited; it is then loaded again.
+        // If the last replica was unloaded while calls waited, a replica is loaded again.
         if loads_finished && (absent || self.spec.load_extra_replicas) {
             let queued = self.queue_loads(model, 1);
             if absent && !queued {
