--- a/crates/soak/src/controller.rs
+++ b/crates/soak/src/controller.rs
@@ -387,10 +387,7 @@
         }
         let kill_at = kill_at.unwrap_or_else(Instant::now);
         let status = self.wait_or_kill(kill_at)?;
-        let description = status.map_or_else(
-            || "killed for not exiting after SIGTERM".to_owned(),
-            |status| format!("exited ({status})"),
-        );
+        let description = status.map_or_else(|| "killed".to_owned(), |status| format!("exited ({status})"));
         audit.incident(self.number, description);
         Ok(status.map_or(TerminationOutcome::Killed, TerminationOutcome::Exited))
     }
