--- a/crates/gateway/tests/admin.rs
+++ b/crates/gateway/tests/admin.rs
@@ -275,7 +275,7 @@
             .look()
             .iter()
             .filter(|observation| {
-                observation.worker == name && matches!(observation.seen, ObservationKind::Call { .. })
+                observation.worker == name && matches!(observation.kind, ObservationKind::Call { .. })
             })
             .count()
     };
--- a/crates/gateway/tests/common/mod.rs
+++ b/crates/gateway/tests/common/mod.rs
@@ -225,7 +225,7 @@
                     spec: spec.clone(),
                     store: Arc::clone(&store),
                     epoch,
-                    records: Some(sender.clone()),
+                    observations: Some(sender.clone()),
                     cold: false,
                     seed: n as u64,
                 })
@@ -251,7 +251,7 @@
     }
 
     pub(crate) fn count(&mut self, matches: impl Fn(&ObservationKind) -> bool) -> usize {
-        self.look().iter().filter(|observation| matches(&observation.seen)).count()
+        self.look().iter().filter(|observation| matches(&observation.kind)).count()
     }
 
     #[track_caller]
--- a/crates/gateway/tests/cut.rs
+++ b/crates/gateway/tests/cut.rs
@@ -51,8 +51,8 @@
 fn arrived_attempts(records: &[Observation]) -> BTreeMap<String, Vec<Attempt>> {
     let mut streams = BTreeMap::new();
     let mut attempts: BTreeMap<String, Vec<Attempt>> = BTreeMap::new();
-    for Observation { worker, seen, .. } in records {
-        match seen {
+    for Observation { worker, kind, .. } in records {
+        match kind {
             ObservationKind::Call { stream, id, attempt, .. } => {
                 let call_attempts = attempts.entry(id.clone()).or_default();
                 streams.insert((worker, *stream), (id.clone(), call_attempts.len()));
@@ -115,9 +115,9 @@
         CUT.iter().all(|name| {
             let of_worker = records.iter().filter(|record| record.worker == *name);
             let is_later_call =
-                |record: &Observation| matches!(&record.seen, ObservationKind::Call { id, .. } if id == "after");
+                |record: &Observation| matches!(&record.kind, ObservationKind::Call { id, .. } if id == "after");
             of_worker
-                .skip_while(|record| !matches!(record.seen, ObservationKind::Link { cut: false, .. }))
+                .skip_while(|record| !matches!(record.kind, ObservationKind::Link { cut: false, .. }))
                 .any(is_later_call)
         })
     });
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -13,7 +13,9 @@
 
 use crate::audit::{Audit, Interval};
 use crate::client::Client;
-use crate::controller::{Controller, DRAIN_GRACE, EARLIEST_KILL, Ended, Fleet, KILL_AFTER, Termination};
+use crate::controller::{
+    Controller, DRAIN_GRACE, EARLIEST_KILL, Fleet, KILL_AFTER, Termination, TerminationOutcome,
+};
 use crate::directory::{Directory, Entry, List};
 use crate::judge::{Finding, Rule, Subject, Verdict, judge};
 use crate::plan::{Disturbance, Plan, SignalSeries};
@@ -25,7 +27,7 @@
 /// A run could not be executed.
 #[derive(Debug, thiserror::Error)]
 pub enum SoakError {
-    /// An operation of the operating system failed.
+    /// The operating system reported an error.
     #[error("{0}")]
     System(#[from] io::Error),
     /// The fault library could not be built.
@@ -33,8 +35,8 @@
     Shim(#[from] ShimError),
 }
 
-/// Number of idle connections of a connection flood: more than a controller has descriptors.
-const FLOOD_IDLE: usize = 300;
+/// Number of idle connections of a connection flood, more than a controller has descriptors.
+const FLOOD_IDLE_CONNECTIONS: usize = 300;
 /// Connect timeout of a connection flood.
 const FLOOD_CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
 /// Pause between the short connections of a connection flood.
@@ -42,13 +44,13 @@
 
 /// Interval at which the test measures the lag of its own threads.
 const LAG_INTERVAL: Duration = Duration::from_millis(10);
-/// Text in a controller's log line that reports a broken invariant.
+/// Text by which a controller's log line reports a broken invariant.
 const GUARD_MARKER: &str = "invariant broken";
-/// Text in a controller's log line that reports a panic.
+/// Text by which a controller's log line reports a panic.
 const PANIC_MARKER: &str = "panicked at";
 
-/// A run in progress: its plan, its parties, and findings that do not come from the judge.
-struct Rig {
+/// A run in progress.
+struct Run {
     plan: Plan,
     fleet: Fleet,
     audit: Arc<Audit>,
@@ -56,31 +58,32 @@
     workers: Vec<Worker>,
     links: Vec<Arc<Link>>,
     controllers: Vec<Arc<Controller>>,
+    /// Findings that do not come from the judge: failed starts, signals and exits of controllers.
     findings: std::sync::Mutex<Vec<Finding>>,
 }
 
 /// Executes a plan with `program` as the controllers' executable. Configurations and logs are written to `dir`.
-pub fn play(plan: Plan, program: &Path, dir: &Path) -> Result<Report, SoakError> {
+pub fn execute(plan: Plan, program: &Path, dir: &Path) -> Result<Report, SoakError> {
     let shims = plan.faults.iter().any(|faults| *faults != shim::Faults::default());
     let library = if shims { Some(shim::compile(dir)?) } else { None };
-    let rig = Arc::new(Rig::start(plan, program, library.as_deref(), dir)?);
+    let run = Arc::new(Run::start(plan, program, library.as_deref(), dir)?);
     let stop = Arc::new(AtomicBool::new(false));
-    let lag = watch_lag(&rig.audit, &stop)?;
-    rig.start_controllers()?;
-    let clients = rig.start_clients(&stop);
-    let disturbances = rig.start_disturbances();
-    std::thread::sleep(rig.plan.size.span);
+    let lag = watch_lag(&run.audit, &stop)?;
+    run.start_controllers()?;
+    let clients = run.start_clients(&stop);
+    let disturbances = run.start_disturbances();
+    std::thread::sleep(run.plan.size.span);
     stop.store(true, Ordering::Release);
     for thread in disturbances.into_iter().chain(clients).chain([lag]) {
         let _ = thread.join();
     }
-    rig.end_controllers();
-    Ok(rig.report())
+    run.end_controllers();
+    Ok(run.report())
 }
 
-/// Starts a thread that measures the lag of the test's own threads until `stop` is set. It measures how much longer
-/// than requested a sleep takes, and how long a new connection takes to exchange one byte with a thread of its own, as
-/// at the proxies.
+/// Starts a thread that measures the lag of the test's own threads until `stop` is set. The lag is the greater of two
+/// times: how much longer than requested a sleep takes, and how long a new connection takes to exchange one byte with a
+/// thread of its own, as at the proxies.
 fn watch_lag(audit: &Arc<Audit>, stop: &Arc<AtomicBool>) -> io::Result<JoinHandle<()>> {
     let (audit, stop) = (Arc::clone(audit), Arc::clone(stop));
     let listener = TcpListener::bind("127.0.0.1:0")?;
@@ -94,7 +97,7 @@
             let _ = std::thread::Builder::new().stack_size(CONNECTION_STACK_BYTES).spawn(answer);
         }
     });
-    let exchange = move || -> io::Result<()> {
+    let exchange_byte = move || -> io::Result<()> {
         let mut socket = TcpStream::connect(address)?;
         socket.set_nodelay(true)?;
         socket.write_all(b"x")?;
@@ -106,10 +109,10 @@
             std::thread::sleep(LAG_INTERVAL);
             let oversleep = began.elapsed().saturating_sub(LAG_INTERVAL);
             let began = Instant::now();
-            let answered = exchange().is_ok();
+            let answered = exchange_byte().is_ok();
             let lag = if answered { oversleep.max(began.elapsed()) } else { oversleep };
             if lag > LAG_INTERVAL {
-                audit.lag_seen(lag);
+                audit.lag_measured(lag);
             }
         }
     }))
@@ -119,7 +122,7 @@
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
 }
 
-impl Rig {
+impl Run {
     fn start(plan: Plan, program: &Path, library: Option<&Path>, dir: &Path) -> io::Result<Self> {
         let audit = Arc::new(Audit::default());
         let (mut workers, mut links, mut entries) = (Vec::new(), Vec::new(), Vec::new());
@@ -142,35 +145,36 @@
         Ok(Self { plan, fleet, audit, directory, workers, links, controllers, findings })
     }
 
-    fn record_finding(&self, rule: Rule, what: String) {
+    fn record_finding(&self, rule: Rule, description: String) {
         let mut findings = self.findings.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
-        findings.push(Finding { rule, subject: Subject::Run, seen: None, what });
+        findings.push(Finding { rule, subject: Subject::Run, occurrence: None, description });
     }
 
     fn start_controller(&self, controller: &Controller) {
         match controller.start(self.fleet, &self.directory, &self.audit) {
             Ok(true) => {}
             Ok(false) => {
-                let last = controller.logs().pop().unwrap_or_default();
-                let last = last.lines().last().unwrap_or("no log output").to_owned();
+                let log = controller.logs().pop().unwrap_or_default();
+                let last_line = log.lines().last().unwrap_or("no log output");
                 self.record_finding(
                     Rule::Process,
                     format!(
-                        "controller {} ({:?}) did not start: {last}",
+                        "controller {} ({:?}) did not become ready: {last_line}",
                         controller.number, controller.faults
                     ),
                 );
             }
             Err(error) => {
-                self.record_finding(Rule::Process, format!("controller {}: {error}", controller.number))
+                let description = format!("starting controller {} failed: {error}", controller.number);
+                self.record_finding(Rule::Process, description);
             }
         }
     }
 
     fn start_controllers(self: &Arc<Self>) -> io::Result<()> {
         let starts = self.controllers.iter().map(|controller| {
-            let (rig, controller) = (Arc::clone(self), Arc::clone(controller));
-            std::thread::spawn(move || rig.start_controller(&controller))
+            let (run, controller) = (Arc::clone(self), Arc::clone(controller));
+            std::thread::spawn(move || run.start_controller(&controller))
         });
         for start in starts.collect::<Vec<_>>() {
             let _ = start.join();
@@ -180,8 +184,9 @@
 
     fn start_clients(&self, stop: &Arc<AtomicBool>) -> Vec<JoinHandle<()>> {
         let ids = Arc::new(AtomicU64::new(self.plan.seed << 40 | 1));
-        let places = self.controllers.iter().flat_map(|c| (0..self.plan.size.clients).map(move |n| (c, n)));
-        let clients = places.map(|(controller, number)| {
+        let client_numbers =
+            self.controllers.iter().flat_map(|c| (0..self.plan.size.clients).map(move |n| (c, n)));
+        let clients = client_numbers.map(|(controller, number)| {
             let seed = self.plan.seed ^ ((controller.number * 64 + number) as u64) << 20;
             let (audit, ids, stop) = (Arc::clone(&self.audit), Arc::clone(&ids), Arc::clone(stop));
             let extras = self.plan.extras;
@@ -194,10 +199,10 @@
     fn start_disturbances(self: &Arc<Self>) -> Vec<JoinHandle<()>> {
         let began = Instant::now();
         let disturbances = self.plan.disturbances.iter().map(|(at, disturbance)| {
-            let (rig, at, disturbance) = (Arc::clone(self), *at, *disturbance);
+            let (run, at, disturbance) = (Arc::clone(self), *at, *disturbance);
             std::thread::spawn(move || {
                 std::thread::sleep(at.saturating_sub(began.elapsed()));
-                rig.apply(disturbance);
+                run.apply(disturbance);
             })
         });
         disturbances.collect()
@@ -249,7 +254,7 @@
         }
     }
 
-    /// How long after SIGTERM a process is killed, unless it has exited.
+    /// Returns the span between SIGTERM and SIGKILL for a process that does not exit.
     fn kill_after(&self) -> Duration {
         if self.plan.extras.shutdowns { EARLIEST_KILL } else { KILL_AFTER }
     }
@@ -266,38 +271,39 @@
         self.start_controller(controller);
     }
 
-    /// Starts a process and sends SIGTERM before it is ready. It may have no signal handler yet, so ending by the
-    /// signal is as good as a successful exit.
+    /// Starts a process and sends SIGTERM before it is ready. The process may have no signal handler yet, so
+    /// termination by the signal is as valid as a successful exit.
     fn end_before_ready(&self, controller: &Controller, after: Duration) {
         let (fleet, kill_after) = (self.fleet, self.kill_after());
-        let ended = controller.end_before_ready(fleet, &self.directory, &self.audit, after, kill_after);
-        let what = match ended {
+        let exit = controller.end_before_ready(fleet, &self.directory, &self.audit, after, kill_after);
+        let description = match exit {
             Ok(Some(status)) if status.success() || status.signal() == Some(Signal::TERM.as_raw()) => return,
-            Ok(Some(status)) => format!("ended with {status}"),
-            Ok(None) => format!("had not ended {kill_after:?} later"),
+            Ok(Some(status)) => format!("exited ({status})"),
+            Ok(None) => format!("still ran {kill_after:?} later"),
             Err(error) => error.to_string(),
         };
         self.record_finding(
             Rule::Process,
-            format!("controller {}, SIGTERM {after:?} after its start: {what}", controller.number),
+            format!("controller {}, SIGTERM {after:?} after its start: {description}", controller.number),
         );
     }
 
-    /// Terminates a controller and records a finding if it exits with an error. Returns false if it was not in service,
-    /// as during another disturbance.
+    /// Terminates a controller and records a finding if it exits unsuccessfully. Returns false if it was not in
+    /// service, as during another disturbance.
     fn terminate(&self, controller: &Controller, termination: &Termination) -> bool {
         match controller.terminate(termination, &self.audit) {
-            Ok(Ended::NotServing) => return false,
-            Ok(Ended::ByItself(status)) if status.success() => {}
-            Ok(Ended::ByItself(status)) => {
-                let what = format!("controller {} ended with {status}", controller.number);
-                self.record_finding(Rule::Process, what);
+            Ok(TerminationOutcome::NotServing) => return false,
+            Ok(TerminationOutcome::Exited(status)) if status.success() => {}
+            Ok(TerminationOutcome::Exited(status)) => {
+                let description = format!("controller {} exited ({status})", controller.number);
+                self.record_finding(Rule::Process, description);
             }
-            // The platform kills such a process too, so the kill is not a finding. Requests that it left open are
-            // judged as lost.
-            Ok(Ended::Killed) => {}
+            // The platform kills such a process too, so the kill is not a finding. Requests that the process left open
+            // count as lost, unless they were sent just before the kill.
+            Ok(TerminationOutcome::Killed) => {}
             Err(error) => {
-                self.record_finding(Rule::Process, format!("controller {}: {error}", controller.number))
+                let description = format!("terminating controller {} failed: {error}", controller.number);
+                self.record_finding(Rule::Process, description);
             }
         }
         true
@@ -322,7 +328,8 @@
             return;
         }
         if let Err(error) = controller.reload(self.fleet, &self.directory, &self.audit, half) {
-            self.record_finding(Rule::Process, format!("controller {}: {error}", controller.number));
+            let description = format!("reloading controller {} failed: {error}", controller.number);
+            self.record_finding(Rule::Process, description);
         }
     }
 
@@ -352,25 +359,30 @@
 
     fn end_controllers(self: &Arc<Self>) {
         let ends = self.controllers.iter().map(|controller| {
-            let (rig, controller) = (Arc::clone(self), Arc::clone(controller));
+            let (run, controller) = (Arc::clone(self), Arc::clone(controller));
             std::thread::spawn(move || {
                 if controller.phase() != crate::controller::Phase::Serving {
                     return;
                 }
-                match controller.terminate(&Termination::plain(KILL_AFTER), &rig.audit) {
-                    Ok(Ended::NotServing) => {}
-                    Ok(Ended::ByItself(status)) if status.success() => {}
-                    Ok(Ended::ByItself(status)) => {
-                        rig.record_finding(
-                            Rule::Process,
-                            format!("controller {}: {status}", controller.number),
+                match controller.terminate(&Termination::plain(KILL_AFTER), &run.audit) {
+                    Ok(TerminationOutcome::NotServing) => {}
+                    Ok(TerminationOutcome::Exited(status)) if status.success() => {}
+                    Ok(TerminationOutcome::Exited(status)) => {
+                        let description = format!("controller {} exited ({status})", controller.number);
+                        run.record_finding(Rule::Process, description);
+                    }
+                    Ok(TerminationOutcome::Killed) => {
+                        let number = controller.number;
+                        let description = format!(
+                            "controller {number} still ran {KILL_AFTER:?} after SIGTERM and was killed"
                         );
+                        run.record_finding(Rule::Process, description);
                     }
-                    Ok(Ended::Killed) => {
-                        let what = format!("controller {} did not end by itself", controller.number);
-                        rig.record_finding(Rule::Process, what);
+                    Err(error) => {
+                        let description =
+                            format!("terminating controller {} failed: {error}", controller.number);
+                        run.record_finding(Rule::Process, description);
                     }
-                    Err(error) => rig.record_finding(Rule::Process, format!("{error}")),
                 }
             })
         });
@@ -391,20 +403,20 @@
                     _ => continue,
                 };
                 let subject = Subject::Controller(controller.number);
-                let what = format!("controller {}: {line}", controller.number);
-                findings.push(Finding { rule, subject, seen: None, what });
+                let description = format!("controller {}: {line}", controller.number);
+                findings.push(Finding { rule, subject, occurrence: None, description });
             }
         }
         Report::new(self.plan.seed, self.plan.disturbances.len(), record, findings, undecided)
     }
 }
 
-/// Fills a controller's descriptors with idle connections, and opens and closes further connections, for a span.
+/// For a span, uses up a controller's descriptors with idle connections, and opens and closes further connections.
 fn flood_connections(address: SocketAddr, span: Duration) {
     let end = Instant::now() + span;
     let connect = || TcpStream::connect_timeout(&address, FLOOD_CONNECT_TIMEOUT).ok();
     let idle: Vec<TcpStream> =
-        (0..FLOOD_IDLE).take_while(|_| Instant::now() < end).filter_map(|_| connect()).collect();
+        (0..FLOOD_IDLE_CONNECTIONS).take_while(|_| Instant::now() < end).filter_map(|_| connect()).collect();
     while Instant::now() < end {
         drop(connect());
         std::thread::sleep(FLOOD_PAUSE);
--- a/crates/soak/src/shim.rs
+++ b/crates/soak/src/shim.rs
@@ -10,21 +10,21 @@
 #[derive(Debug, thiserror::Error)]
 pub enum ShimError {
     /// Writing the source or running the compiler failed.
-    #[error("{what}: {source}")]
+    #[error("{operation} failed: {source}")]
     System {
         /// The operation that failed.
-        what: &'static str,
+        operation: &'static str,
         /// The error of the operating system.
         source: std::io::Error,
     },
-    /// The compiler exited with an error; holds its standard error.
+    /// The compiler exited with an error. Holds its standard error.
     #[error("the C compiler failed to build the fault library: {0}")]
     Compiler(String),
 }
 
 /// Compiles the library into `dir` with the system's `cc`. Returns its path.
 pub fn compile(dir: &Path) -> Result<PathBuf, ShimError> {
-    let system = |what| move |source| ShimError::System { what, source };
+    let system = |operation| move |source| ShimError::System { operation, source };
     let (from, to) = (dir.join("faults.c"), dir.join("faults.so"));
     std::fs::write(&from, SOURCE).map_err(system("writing the source of the fault library"))?;
     let mut compiler = Command::new("cc");
@@ -43,21 +43,21 @@
     pub short: u32,
     /// Reads, writes, accepts and waits that are interrupted.
     pub interrupt: u32,
-    /// Accepts that fail.
+    /// Calls of `accept4` that fail.
     pub accept: u32,
-    /// Socket creations that fail.
+    /// Creations of IPv4 sockets that fail.
     pub socket: u32,
-    /// Connects that fail immediately.
+    /// Connects of stream sockets that fail immediately.
     pub connect: u32,
-    /// Number of connects, from the process's first on, that all fail.
+    /// Number of connects of stream sockets, from the process's first on, that all fail.
     pub first_connects: u32,
     /// Reads that break the connection and fail, on connections that the process opened.
     pub broken: u32,
-    /// Number of socket, bind and epoll creation calls, from the process's first on, that all fail.
+    /// Number of `socket`, `bind` and `epoll_create1` calls, from the process's first on, that all fail.
     pub start: u32,
     /// Writes to standard error that fail.
     pub log: u32,
-    /// Wake-up bytes of signal handlers that are lost.
+    /// Writes of wake-up bytes by signal handlers that fail.
     pub signal: u32,
     /// A step of the wall clock: when, in milliseconds after the process's start, and by how many milliseconds.
     pub clock: Option<(u64, i64)>,
--- a/crates/test-servers/src/models.rs
+++ b/crates/test-servers/src/models.rs
@@ -14,40 +14,40 @@
     #[error("there is no model {0}: the names are echo, echo-*, climb and climb-*")]
     NoModel(String),
     /// The request to `climb` has no valid input `HEIGHT`.
-    #[error("climb wants the input HEIGHT, FP32, one dimension, at least two values")]
+    #[error("climb needs an input HEIGHT of datatype FP32 with one dimension and at least two values")]
     NoHeight,
     /// The number of values differs from the shape of the tensor.
-    #[error("HEIGHT has {got} values, but its shape says {stated}")]
+    #[error("HEIGHT has {actual} values, but its shape says {expected}")]
     Length {
         /// Number of values in the request.
-        got: usize,
+        actual: usize,
         /// Number of values according to the shape.
-        stated: i64,
+        expected: i64,
     },
     /// The parameter `segments` is out of range.
-    #[error("segments is a whole number from 1 to the number of steps, {most}; given: {got}")]
+    #[error("segments is a whole number from 1 to the number of steps, {max}; given: {actual}")]
     Segments {
-        /// The value in the request; 0 if the parameter is not an integer.
-        got: i64,
+        /// The value in the request. 0 if the parameter is not an integer.
+        actual: i64,
         /// The maximum: the number of steps between neighbouring heights.
-        most: usize,
+        max: usize,
     },
 }
 
-/// The result of a call. A streamed call gets it in parts, any other call in one response.
+/// The result of a call. A streamed call gets it in parts. Any other call gets it in one response.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Answer {
     /// The input tensors, unchanged.
     Echo(Box<ModelInferResponse>),
-    /// Total ascent and descent of each segment.
+    /// The result of `climb`.
     Climb {
         /// Name of the model.
         model: String,
         /// Id of the request.
         id: String,
-        /// Ascent and descent of each segment.
+        /// Total ascent and descent of each segment.
         segments: Vec<(f32, f32)>,
-        /// Whether tensors are encoded as raw bytes, as in the request, instead of typed contents.
+        /// Whether tensors are encoded as raw bytes instead of typed contents. The request decides it.
         raw: bool,
     },
 }
@@ -71,7 +71,7 @@
 pub fn exists(name: &str) -> bool {
     ["echo", "climb"]
         .iter()
-        .any(|m| name.strip_prefix(m).is_some_and(|rest| rest.is_empty() || rest.starts_with('-')))
+        .any(|model| name.strip_prefix(model).is_some_and(|rest| rest.is_empty() || rest.starts_with('-')))
 }
 
 fn echo(request: &ModelInferRequest) -> ModelInferResponse {
@@ -102,12 +102,12 @@
         None => input.contents.as_ref().map(|c| c.fp32_contents.clone()).unwrap_or_default(),
     };
     if heights.len() as i64 != input.shape[0] {
-        return Err(BadInput::Length { got: heights.len(), stated: input.shape[0] });
+        return Err(BadInput::Length { actual: heights.len(), expected: input.shape[0] });
     }
     let steps = heights.len().checked_sub(1).filter(|n| *n > 0).ok_or(BadInput::NoHeight)?;
     let requested = request.parameters.get("segments").map_or(Some(1), InferParameter::int64).unwrap_or(0);
     let segments = usize::try_from(requested).ok().filter(|n| (1..=steps).contains(n));
-    let segments = segments.ok_or(BadInput::Segments { got: requested, most: steps })?;
+    let segments = segments.ok_or(BadInput::Segments { actual: requested, max: steps })?;
     let (min_length, longer_segments) = (steps / segments, steps % segments);
     let mut from = 0;
     let sums = (0..segments).map(|n| {
@@ -128,7 +128,7 @@
 }
 
 impl Answer {
-    /// The number of responses in which the result is streamed.
+    /// Returns the number of responses in which the result is streamed.
     pub fn parts(&self) -> usize {
         match self {
             Self::Echo(_) => 1,
--- a/crates/test-servers/src/server/mod.rs
+++ b/crates/test-servers/src/server/mod.rs
@@ -1,8 +1,8 @@
 //! A test worker that serves the public gRPC protocol. It runs the worker model in a thread of its own, injects faults
 //! and records observations.
 //!
-//! * [`fault`]: the faults. [`observation`]: the observations. [`request`]: handling of incoming streams and messages.
-//!   [`response`]: responses, trailers and load reports.
+//! * [`fault`]: the faults and how they are injected. [`observation`]: the types of observations.
+//! * [`request`]: handling of incoming streams and messages. [`response`]: responses, trailers and load reports.
 
 mod fault;
 mod observation;
@@ -35,8 +35,8 @@
 pub struct Options {
     /// Name of the worker, which observations carry.
     pub name: String,
-    /// Addresses on which it listens; port 0 selects a free port. With several addresses, the link at each can be cut
-    /// separately.
+    /// Addresses on which the worker listens. Port 0 selects a free port. If there are several, the link at each can be
+    /// cut separately.
     pub addresses: Vec<SocketAddr>,
     /// The description of the worker.
     pub spec: Spec,
@@ -44,8 +44,8 @@
     pub store: Arc<Mutex<Store>>,
     /// The time from which the times of observations are counted.
     pub epoch: Instant,
-    /// Channel for observations; `None`: they are not recorded.
-    pub records: Option<Sender<Observation>>,
+    /// Channel to which observations are sent. `None` if they are not recorded.
+    pub observations: Option<Sender<Observation>>,
     /// Whether the worker starts cold and warms up.
     pub cold: bool,
     /// Seed of the random numbers by which [`Fault::FailFast`] selects calls.
@@ -56,7 +56,7 @@
 pub struct Handle {
     /// Name of the worker.
     pub name: String,
-    /// Addresses on which it listens, with the actual ports.
+    /// Addresses on which the worker listens, with the actual ports.
     pub addresses: Vec<SocketAddr>,
     faults: Sender<Fault>,
     waker: Arc<mio::Waker>,
@@ -66,7 +66,7 @@
 impl Handle {
     /// Injects a fault. The worker applies it asynchronously.
     pub fn inject(&self, fault: Fault) {
-        // The send fails only if the thread has ended; the fault then has no effect.
+        // The send fails only if the thread has ended. The fault then has no effect.
         let _ = self.faults.send(fault);
         let _ = self.waker.wake();
     }
@@ -109,11 +109,12 @@
         };
         let _ = ready.send(Ok((server.addresses.clone(), server.hub.waker())));
         if let Err(error) = server.run() {
-            eprintln!("test worker {}: {error}", server.options.name);
+            eprintln!("test worker {} failed: {error}", server.options.name);
         }
     })?;
-    let (addresses, waker) =
-        started.recv().map_err(|_| io::Error::other("the test worker's thread ended"))??;
+    let (addresses, waker) = started
+        .recv()
+        .map_err(|_| io::Error::other("the test worker's thread ended before it listened"))??;
     Ok(Handle { name, addresses, faults, waker, thread: Some(thread) })
 }
 
@@ -124,7 +125,7 @@
     address_index: usize,
 }
 
-/// The load of the worker at an earlier time.
+/// The load of the worker at an earlier time, for stale load reports.
 struct PastLoad {
     at: Micros,
     load: LoadReport,
@@ -135,7 +136,7 @@
     conn: ConnKey,
     method: String,
     controller: String,
-    /// A later incarnation of the controller had been seen when the stream opened.
+    /// When the stream opened, a request of a later incarnation of the controller had already arrived.
     fenced: bool,
     attempt: Option<u32>,
     /// The response headers have been sent.
@@ -166,17 +167,17 @@
     addresses: Vec<SocketAddr>,
     listeners: Vec<ListenerKey>,
     faults: Receiver<Fault>,
-    /// The worker model; `None` while the worker is dead.
+    /// The worker model. `None` while the worker is dead.
     worker: Option<Worker>,
     random: ChaCha8Rng,
     rpcs: BTreeMap<StreamKey, Rpc>,
-    /// The highest fencing token seen from each controller.
+    /// The highest fencing token received from each controller.
     fences: BTreeMap<String, u64>,
     calls: BTreeMap<CallNumber, Call>,
     orders: BTreeMap<OrderNumber, StreamKey>,
     /// The last number given to a call or a load order.
     last_number: u64,
-    /// Past loads, oldest first; filled while load reports are delayed.
+    /// Past loads, oldest first. Filled while load reports are delayed.
     history: VecDeque<PastLoad>,
     delayed: VecDeque<DelayedConnection>,
     unresponsive: bool,
@@ -184,12 +185,12 @@
     fail_fast: f64,
     hang: Option<String>,
     slow: f64,
-    /// Age of load reports; 0: current.
+    /// Age of load reports. 0 if they are current.
     report_delay: Micros,
     cut_after: Option<u32>,
     half_frame: bool,
     slow_handshake: Micros,
-    /// A link was restored since the last poll, and its data has not been read yet.
+    /// A link was restored since the last poll. Its data has not been read yet.
     link_restored: bool,
 }
 
@@ -227,15 +228,16 @@
         Ok(server)
     }
 
-    /// Current time since the epoch of the observations.
+    /// Returns the time since the epoch of the observations.
     fn now(&self) -> Micros {
         self.options.epoch.elapsed().as_micros() as Micros
     }
 
-    /// Records an observation.
-    fn observe(&self, seen: ObservationKind) {
-        if let Some(records) = &self.options.records {
-            let _ = records.send(Observation { at: self.now(), worker: self.options.name.clone(), seen });
+    /// Sends an observation to the channel in the options, if there is one.
+    fn observe(&self, kind: ObservationKind) {
+        if let Some(observations) = &self.options.observations {
+            let _ =
+                observations.send(Observation { at: self.now(), worker: self.options.name.clone(), kind });
         }
     }
 
@@ -253,8 +255,8 @@
     }
 
     /// Closes all sockets and drops all calls, orders and replicas, as when a process dies.
-    fn die(&mut self, seen: ObservationKind) {
-        self.observe(seen);
+    fn die(&mut self, kind: ObservationKind) {
+        self.observe(kind);
         let store = Arc::clone(&self.options.store);
         if let Some(mut worker) = self.worker.take() {
             worker.release_store(&mut lock(&store));
@@ -276,11 +278,15 @@
         let mut events = Vec::new();
         loop {
             let now = self.now();
-            let next = self.worker.as_ref().filter(|_| !self.unresponsive).and_then(Worker::next_event);
+            let worker_event =
+                self.worker.as_ref().filter(|_| !self.unresponsive).and_then(Worker::next_event);
             let resume = self.delayed.front().map(|delayed| delayed.until);
-            let next =
-                if self.link_restored { Some(now) } else { [next, resume].into_iter().flatten().min() };
-            let wait = next.map(|at| Duration::from_micros(at.saturating_sub(now)));
+            let next_event = if self.link_restored {
+                Some(now)
+            } else {
+                [worker_event, resume].into_iter().flatten().min()
+            };
+            let wait = next_event.map(|at| Duration::from_micros(at.saturating_sub(now)));
             self.hub.poll(wait, &mut events)?;
             while let Ok(fault) = self.faults.try_recv() {
                 if fault == Fault::Stop {
