--- a/crates/alerts/src/rules.rs
+++ b/crates/alerts/src/rules.rs
@@ -13,36 +13,36 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RuleError {
     /// The file does not have the format of a rule file.
-    #[error("{file}: {what}")]
+    #[error("{file}: {message}")]
     Format {
         /// Name of the rule file, as passed to [`read`].
         file: String,
         /// Message of the YAML parser, with line and column.
-        what: String,
+        message: String,
     },
     /// The file contains rule unit tests instead of rules.
     #[error("{file}: this is a file of rule unit tests: run it with nettleferry alerts test {file}")]
-    Tests {
+    UnitTestFile {
         /// Name of the rule file, as passed to [`read`].
         file: String,
     },
     /// The PromQL parser rejected the expression of an alert.
-    #[error("{file}: alert {alert}: {what}")]
+    #[error("{file}: alert {alert}: {message}")]
     Expression {
         /// Name of the rule file, as passed to [`read`].
         file: String,
         /// Name of the alert.
         alert: String,
         /// Message of the PromQL parser.
-        what: String,
+        message: String,
     },
     /// A duration is malformed: `for` or `keep_firing_for` of an alert, or `interval` of a group.
-    #[error("{file}: alert {alert}: {text:?} is no duration, such as 30s, 5m or 1h30m")]
+    #[error("{file}: {owner}: {text:?} is not a duration such as 30s, 5m or 1h30m")]
     Duration {
         /// Name of the rule file, as passed to [`read`].
         file: String,
-        /// Name of the alert; for an `interval`, name of the group.
-        alert: String,
+        /// The alert or the group that sets the duration, such as `alert X` or `group Y`.
+        owner: String,
         /// The malformed duration, as written.
         text: String,
     },
@@ -125,34 +125,38 @@
 /// # Errors
 /// If the text is not a rule file, or if an expression or a duration in it is malformed.
 pub fn read(file: &str, text: &str) -> Result<Vec<Rule>, RuleError> {
-    let format = |e: serde_yaml_ng::Error| RuleError::Format { file: file.to_owned(), what: e.to_string() };
+    let format =
+        |e: serde_yaml_ng::Error| RuleError::Format { file: file.to_owned(), message: e.to_string() };
     // A unit test file is detected first: the error of the strict parser would only name an unknown field.
     let is_test_file =
         |value: &serde_yaml_ng::Value| value.get("rule_files").is_some() && value.get("groups").is_none();
     if serde_yaml_ng::from_str::<serde_yaml_ng::Value>(text).is_ok_and(|value| is_test_file(&value)) {
-        return Err(RuleError::Tests { file: file.to_owned() });
+        return Err(RuleError::UnitTestFile { file: file.to_owned() });
     }
     let file_content: File = serde_yaml_ng::from_str(text).map_err(format)?;
     let mut rules = Vec::new();
     for group in file_content.groups {
-        let parse_duration = |alert: &str, text: Option<&String>| match text {
+        let parse_duration = |owner: String, text: Option<&String>| match text {
             None => Ok(None),
             Some(text) => duration(text).map(Some).ok_or_else(|| RuleError::Duration {
                 file: file.to_owned(),
-                alert: alert.to_owned(),
+                owner,
                 text: text.clone(),
             }),
         };
-        let interval = parse_duration(&group.name, group.interval.as_ref())?;
+        let interval = parse_duration(format!("group {}", group.name), group.interval.as_ref())?;
         for entry in group.rules {
-            let expr = parser::parse(&entry.expr).map_err(|what| RuleError::Expression {
+            let expr = parser::parse(&entry.expr).map_err(|message| RuleError::Expression {
                 file: file.to_owned(),
                 alert: entry.alert.clone(),
-                what,
+                message,
             })?;
+            let owner = || format!("alert {}", entry.alert);
+            let pending_for = parse_duration(owner(), entry.pending_for.as_ref())?.unwrap_or(0);
+            let keep_firing_for = parse_duration(owner(), entry.keep_firing_for.as_ref())?.unwrap_or(0);
             rules.push(Rule {
-                pending_for: parse_duration(&entry.alert, entry.pending_for.as_ref())?.unwrap_or(0),
-                keep_firing_for: parse_duration(&entry.alert, entry.keep_firing_for.as_ref())?.unwrap_or(0),
+                pending_for,
+                keep_firing_for,
                 group: group.name.clone(),
                 alert: entry.alert,
                 expr,
--- a/crates/alerts/src/rules/tests.rs
+++ b/crates/alerts/src/rules/tests.rs
@@ -17,6 +17,8 @@
     let error = |body: &str| rule(body).expect_err("invalid").to_string();
     assert!(error("{alert: A, expr: up, fro: 5m}").contains("fro"));
     assert!(error("{alert: A, expr: 'sum by (', for: 5m}").contains("alert A"));
-    assert!(error("{alert: A, expr: up, for: 5 minutes}").contains("no duration"));
+    assert!(
+        error("{alert: A, expr: up, for: 5 minutes}").contains("alert A: \"5 minutes\" is not a duration")
+    );
     assert_eq!(rule("{alert: A, expr: up, for: 5m}").expect("valid")[0].pending_for, 300_000);
 }
--- a/crates/gateway/src/commands/scenario.rs
+++ b/crates/gateway/src/commands/scenario.rs
@@ -59,7 +59,8 @@
         let program = std::env::current_exe().map_err(CommandError::system("can't find this program"))?;
         let dir = self.keep.clone().unwrap_or_else(run::default_dir);
         let script_folder = self.file.parent().unwrap_or(Path::new(""));
-        let played = run::run(script, &run::Stage { program: &program, dir: &dir, script_folder, log });
+        let environment = run::Environment { program: &program, dir: &dir, script_folder, log_filter: log };
+        let played = run::run(script, &environment);
         if self.keep.is_none() {
             let _ = std::fs::remove_dir_all(&dir);
         }
--- a/crates/scenario/src/alerting/tests.rs
+++ b/crates/scenario/src/alerting/tests.rs
@@ -7,7 +7,7 @@
 fn late_missing_and_unexpected_alerts_are_reported() {
     let s = 1_000_000;
     let alerts = vec![ExpectedAlert { alert: "A".into(), after: 10 * s, within: 5 * s, clear_by: 40 * s }];
-    let watch = Watch { rules: String::new(), every: s, speed: 1, alerts };
+    let watch = Watch { rule_file: String::new(), push_interval: s, speed: 1, alerts };
     let fired = |alert: &str, from, to| FiredAlert { alert: alert.into(), labels: String::new(), from, to };
     let seen = |alerts| ReceiverReport { alerts, faults: vec![], samples: 1 };
     assert!(unmet_expectations(&watch, &seen(vec![fired("A", 12 * s, Some(30 * s))])).is_empty());
--- a/crates/scenario/src/client.rs
+++ b/crates/scenario/src/client.rs
@@ -92,7 +92,7 @@
     }
 
     /// Number of RPCs that have not ended.
-    pub fn open(&self) -> usize {
+    pub fn open_rpcs(&self) -> usize {
         self.rpcs.len()
     }
 
--- a/crates/scenario/src/stage.rs
+++ b/crates/scenario/src/environment.rs
@@ -1,15 +1,15 @@
-//! The environment of a scenario: the program under test and the folders of the run.
+//! The environment of a run, which the caller chooses independently of the scenario file.
 
 use std::path::Path;
 
-/// The environment in which a scenario runs.
-pub struct Stage<'a> {
-    /// The program that controllers run.
+/// The program that a scenario runs, and the folders that it uses.
+pub struct Environment<'a> {
+    /// Path of the program that runs as a controller.
     pub program: &'a Path,
     /// The folder for the files of the run. It is created if it does not exist.
     pub dir: &'a Path,
     /// The folder to which file names in the scenario are relative.
     pub script_folder: &'a Path,
     /// The log filter of the controllers.
-    pub log: &'a str,
+    pub log_filter: &'a str,
 }
--- a/crates/scenario/src/error.rs
+++ b/crates/scenario/src/error.rs
@@ -12,19 +12,22 @@
     #[error("invalid alert rules of the scenario: {0}")]
     Rules(#[from] nettleferry_alerts::rules::RuleError),
     /// A system call failed.
-    #[error("{what}: {source}")]
+    #[error("{operation}: {source}")]
     System {
         /// The operation that failed.
-        what: &'static str,
+        operation: &'static str,
         /// The error of the system call.
         source: io::Error,
     },
-    /// The thread of the clients panicked, or the scenario has no controller.
-    #[error("the clients failed")]
-    Clients,
+    /// The thread of the clients panicked.
+    #[error("the thread of the clients panicked")]
+    ClientsPanicked,
+    /// The scenario has no controllers, whose settings the clients need.
+    #[error("the scenario has no controllers")]
+    NoControllers,
 }
 
 /// Converts an I/O error to a [`ScenarioError`] that names the failed operation.
-pub(crate) fn system(what: &'static str) -> impl FnOnce(io::Error) -> ScenarioError {
-    move |source| ScenarioError::System { what, source }
+pub(crate) fn system(operation: &'static str) -> impl FnOnce(io::Error) -> ScenarioError {
+    move |source| ScenarioError::System { operation, source }
 }
--- a/crates/scenario/src/fleet.rs
+++ b/crates/scenario/src/fleet.rs
@@ -77,7 +77,7 @@
     }
 
     /// Whether the process was started and its end was not observed yet.
-    pub fn runs(&self) -> bool {
+    pub fn is_running(&self) -> bool {
         self.child.is_some()
     }
 
@@ -128,7 +128,7 @@
 
     /// Returns the exit code once the process has ended, with an inner `None` if a signal ended it. Returns `None`
     /// while it is running.
-    pub fn ended(&mut self) -> Option<Option<i32>> {
+    pub fn try_wait(&mut self) -> Option<Option<i32>> {
         let status = self.child.as_mut()?.try_wait().ok()??;
         self.child = None;
         Some(status.code())
@@ -143,7 +143,7 @@
 }
 
 /// A worker's entry in the worker lists.
-pub struct WorkerLine {
+pub struct WorkerEntry {
     /// Addresses of the worker, one for each zone of controllers.
     pub addresses: Vec<SocketAddr>,
     /// The entry. In each written file, its address is replaced by the one for the zone of that file.
@@ -155,7 +155,7 @@
     dir: PathBuf,
     /// Zones of controllers, in the order of the workers' addresses.
     pub zones: Vec<String>,
-    lines: Vec<WorkerLine>,
+    entries: Vec<WorkerEntry>,
     /// While this is set, [`WorkerLists::write`] writes nothing.
     pub stale: bool,
     /// Changes of workers' states that were written, in order of time.
@@ -164,19 +164,19 @@
 
 impl WorkerLists {
     /// Creates lists of the given workers without writing them. The files are written to `dir`.
-    pub fn new(dir: PathBuf, zones: Vec<String>, lines: Vec<WorkerLine>) -> Self {
-        Self { dir, zones, lines, stale: false, changes: Vec::new() }
+    pub fn new(dir: PathBuf, zones: Vec<String>, entries: Vec<WorkerEntry>) -> Self {
+        Self { dir, zones, entries, stale: false, changes: Vec::new() }
     }
 
     /// Name of the file for a zone's controllers.
-    pub fn file(zone: &str) -> String {
+    pub fn file_name(zone: &str) -> String {
         format!("workers-{zone}.sexp")
     }
 
     /// Changes a worker's state, and its time of start if `started_at` is given. [`WorkerLists::write`] writes the
     /// change.
     pub fn change(&mut self, name: &str, state: WorkerState, started_at: Option<Micros>) {
-        let mut workers = self.lines.iter_mut().map(|line| &mut line.worker);
+        let mut workers = self.entries.iter_mut().map(|entry| &mut entry.worker);
         if let Some(worker) = workers.find(|worker| worker.name == name) {
             worker.state = state;
             worker.started_at = started_at.or(worker.started_at);
@@ -195,17 +195,17 @@
         let at = now();
         for (index, zone) in self.zones.iter().enumerate() {
             let list: Vec<Worker> = self
-                .lines
+                .entries
                 .iter()
-                .map(|line| Worker { address: line.addresses[index], ..line.worker.clone() })
+                .map(|entry| Worker { address: entry.addresses[index], ..entry.worker.clone() })
                 .collect();
-            let path = self.dir.join(Self::file(zone));
+            let path = self.dir.join(Self::file_name(zone));
             let temporary = path.with_extension("new");
             std::fs::write(&temporary, workers::write(&list))?;
             std::fs::rename(&temporary, &path)?;
         }
         let written = now();
-        for WorkerLine { worker, .. } in &self.lines {
+        for WorkerEntry { worker, .. } in &self.entries {
             let last = self.changes.iter().rev().find(|change| change.worker == worker.name);
             if last.map(|change| change.state) != Some(worker.state) {
                 let (worker, state) = (worker.name.clone(), worker.state);
--- a/crates/scenario/src/run.rs
+++ b/crates/scenario/src/run.rs
@@ -24,8 +24,8 @@
 use crate::timeline::{Action, Timeline};
 use crate::traffic::{self, Addresses, ClientCommand};
 
+pub use crate::environment::Environment;
 pub use crate::error::ScenarioError;
-pub use crate::stage::Stage;
 
 /// Time within which a controller must exit after SIGTERM at the end of the run.
 const END_LIMIT: Duration = Duration::from_secs(20);
@@ -77,24 +77,24 @@
 /// # Errors
 /// The settings or alert rules of the scenario are invalid, a system call fails, a controller can't be started, or the
 /// thread of the clients fails.
-pub fn run(script: &Script, stage: &Stage<'_>) -> Result<RunOutcome, ScenarioError> {
-    std::fs::create_dir_all(stage.dir).map_err(system("can't create the folder of the run"))?;
-    let receiver = setup::start_receiver(script, stage.script_folder)?;
+pub fn run(script: &Script, environment: &Environment<'_>) -> Result<RunOutcome, ScenarioError> {
+    std::fs::create_dir_all(environment.dir).map_err(system("can't create the folder of the run"))?;
+    let receiver = setup::start_receiver(script, environment.script_folder)?;
     let epoch = Instant::now();
     let epoch_ms = i64::try_from(unix_time() / 1000).unwrap_or(0);
     let zones = setup::distinct(&script.controllers.zones);
-    let store = Arc::new(Mutex::new(Store::new(script.store.at_speed, script.store.most)));
+    let store = Arc::new(Mutex::new(Store::new(script.store.full_speed_fetches, script.store.max_fetches)));
     let (records, observations) = channel();
     let context = WorkerContext { zones: zones.clone(), store: Arc::clone(&store), epoch, records };
     let workers = setup::start_workers(script, context)?;
-    let mut lists = WorkerLists::new(stage.dir.to_owned(), zones, workers.lines);
+    let mut lists = WorkerLists::new(environment.dir.to_owned(), zones, workers.entries);
     lists.write(|| 0).map_err(system("can't write the worker list"))?;
-    let prepared = setup::prepare_controllers(script, stage, receiver.as_ref())?;
+    let prepared = setup::prepare_controllers(script, environment, receiver.as_ref())?;
     let parameters = rule_parameters(&prepared.config);
     let (clients, commands) = channel();
     let mut run = Run {
         script,
-        program: stage.program,
+        program: environment.program,
         epoch,
         handles: workers.handles,
         locations: workers.locations,
@@ -170,7 +170,7 @@
             self.perform_due()?;
             std::thread::sleep(TICK);
         }
-        clients.join().map_err(|_| ScenarioError::Clients)?.map_err(system("the clients failed"))
+        clients.join().map_err(|_| ScenarioError::ClientsPanicked)?.map_err(system("the clients failed"))
     }
 
     fn add_fault(&mut self, begin: Micros, fault: &ScriptedFault) {
@@ -198,7 +198,7 @@
             self.perform(action)?;
         }
         for number in 0..self.controllers.len() {
-            if let Some(code) = self.controllers[number].ended() {
+            if let Some(code) = self.controllers[number].try_wait() {
                 self.record_end(number, code);
                 self.set_address(number, None);
             }
@@ -255,7 +255,7 @@
                 }
                 self.controllers[number].terminate();
             }
-            Action::Start(number) if self.controllers[number].runs() => {
+            Action::Start(number) if self.controllers[number].is_running() => {
                 // The process got SIGTERM and still answers calls; it is started again once that process has ended.
                 let retry_at = self.now() + RESTART_PAUSE;
                 self.timeline.add(retry_at, Action::Start(number));
@@ -313,7 +313,7 @@
                     std::thread::sleep(START_PAUSE);
                 }
                 Err(source) => {
-                    return Err(ScenarioError::System { what: "can't start a controller", source });
+                    return Err(ScenarioError::System { operation: "can't start a controller", source });
                 }
             }
         }
@@ -332,7 +332,7 @@
             self.controllers[number].terminate();
         }
         for number in 0..self.controllers.len() {
-            if self.controllers[number].runs() {
+            if self.controllers[number].is_running() {
                 let code = self.controllers[number].wait(END_LIMIT);
                 if code != Some(0) {
                     self.unexpected_exits
--- a/crates/scenario/src/script.rs
+++ b/crates/scenario/src/script.rs
@@ -21,7 +21,7 @@
     /// Capacity and behaviour of each worker.
     pub spec: Spec,
     /// Whether workers start cold.
-    pub cold: bool,
+    pub start_cold: bool,
     /// Limits of the model store that all workers share.
     pub store: StoreLimits,
     /// Delay after which the start or the crash of a worker appears in the worker list.
@@ -52,22 +52,22 @@
     }
 }
 
-/// How many fetches the model store serves at once.
+/// Limits on the concurrent fetches from the model store.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct StoreLimits {
     /// Number of fetches up to which each runs at full speed.
-    pub at_speed: u32,
+    pub full_speed_fetches: u32,
     /// Maximum number of concurrent fetches.
-    pub most: u32,
+    pub max_fetches: u32,
 }
 
 /// A remote-write receiver of the controllers' metrics, and the alerts that are expected to fire there.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Watch {
     /// Path of the alert rule file. A relative path starts at the folder of the scenario file.
-    pub rules: String,
+    pub rule_file: String,
     /// Interval at which controllers push their metrics.
-    pub every: Micros,
+    pub push_interval: Micros,
     /// Seconds that pass on the clock of the alert rules in one second of the run.
     pub speed: u32,
     /// Alerts that have to fire. No other alert may fire.
@@ -192,7 +192,7 @@
 /// The options of the form `(workers ...)` other than number and zones.
 struct WorkerOptions {
     spec: Spec,
-    cold: bool,
+    start_cold: bool,
 }
 
 /// Parses the text of a scenario file. `file` is its name in error messages.
@@ -211,7 +211,8 @@
     let controllers = zoned(top, "controllers", MAX_CONTROLLERS, |_| ());
     let mut options = None;
     let workers = zoned(top, "workers", MAX_WORKERS, |form| {
-        options = Some(WorkerOptions { spec: Spec::read(form), cold: form.value_or("start-cold", false) });
+        options =
+            Some(WorkerOptions { spec: Spec::read(form), start_cold: form.value_or("start-cold", false) });
     });
     let store = store_limits(top);
     let list_lag = top.micros_or("list-lag", DEFAULT_LIST_LAG);
@@ -228,7 +229,7 @@
     let faults = faults(top, count(&workers), count(&controllers));
     let watch = top.optional_list("receiver").map(watch);
     let Header { name, length, seed } = header?;
-    let WorkerOptions { spec, cold } = options?;
+    let WorkerOptions { spec, start_cold } = options?;
     Some(Script {
         name,
         length,
@@ -236,7 +237,7 @@
         controllers: controllers?,
         workers: workers?,
         spec,
-        cold,
+        start_cold,
         store,
         list_lag,
         settings: settings?,
@@ -259,8 +260,10 @@
 
 fn store_limits(top: &mut Form) -> StoreLimits {
     let mut form = top.list_or_empty("store");
-    let limits =
-        StoreLimits { at_speed: form.value_or("at-speed", 8u32), most: form.value_or("most", 32u32) };
+    let limits = StoreLimits {
+        full_speed_fetches: form.value_or("at-speed", 8u32),
+        max_fetches: form.value_or("most", 32u32),
+    };
     form.finish();
     limits
 }
@@ -280,8 +283,8 @@
 /// Reads `(receiver (rules ...) (every ...) (speed ...) (fires NAME ...) ...)`.
 fn watch(mut form: Form) -> Watch {
     let span = |form: &mut Form, key| form.required::<TimeSpan>(key).map_or(0, |s| s.0);
-    let rules = form.required("rules").unwrap_or_default();
-    let every = form.micros_or("every", 1_000_000).max(10_000);
+    let rule_file = form.required("rules").unwrap_or_default();
+    let push_interval = form.micros_or("every", 1_000_000).max(10_000);
     let speed = form.value_or("speed", 1u32);
     if speed == 0 || speed > 100 {
         form.error(format!("(speed {speed}): from 1 to 100"));
@@ -294,7 +297,7 @@
         fires.finish();
     }
     form.finish();
-    Watch { rules, every, speed, alerts }
+    Watch { rule_file, push_interval, speed, alerts }
 }
 
 trait ParseByName {
--- a/crates/scenario/src/setup.rs
+++ b/crates/scenario/src/setup.rs
@@ -12,16 +12,16 @@
 use nettleferry_test_servers::receiver::{Mode, Receiver};
 use nettleferry_test_servers::{Handle, Observation, Options, Store, spawn};
 
+use crate::environment::Environment;
 use crate::error::{ScenarioError, system};
 use crate::evidence::Location;
-use crate::fleet::{Controller, WorkerLine, WorkerLists};
+use crate::fleet::{Controller, WorkerEntry, WorkerLists};
 use crate::script::{Script, Watch};
-use crate::stage::Stage;
 
 /// The started test workers, with their list entries and locations.
 pub(crate) struct Workers {
     pub(crate) handles: Vec<Handle>,
-    pub(crate) lines: Vec<WorkerLine>,
+    pub(crate) entries: Vec<WorkerEntry>,
     pub(crate) locations: BTreeMap<String, Location>,
 }
 
@@ -59,7 +59,7 @@
 /// Starts a remote-write receiver with the alert rules of the scenario, if it has one.
 pub(crate) fn start_receiver(script: &Script, folder: &Path) -> Result<Option<Receiver>, ScenarioError> {
     let Some(watch) = &script.watch else { return Ok(None) };
-    let path = folder.join(&watch.rules);
+    let path = folder.join(&watch.rule_file);
     let text =
         std::fs::read_to_string(&path).map_err(system("can't read the alert rule file of the scenario"))?;
     let rules = nettleferry_alerts::rules::read(&path.display().to_string(), &text)?;
@@ -70,7 +70,7 @@
 
 /// Starts the workers. Each sends records of what happens at its sockets until its thread ends.
 pub(crate) fn start_workers(script: &Script, context: WorkerContext) -> Result<Workers, ScenarioError> {
-    let mut workers = Workers { handles: Vec::new(), lines: Vec::new(), locations: BTreeMap::new() };
+    let mut workers = Workers { handles: Vec::new(), entries: Vec::new(), locations: BTreeMap::new() };
     for index in 0..script.workers.count {
         let zone = script.workers.zone(index).to_owned();
         let handle = spawn(Options {
@@ -80,7 +80,7 @@
             store: Arc::clone(&context.store),
             epoch: context.epoch,
             records: Some(context.records.clone()),
-            cold: script.cold,
+            cold: script.start_cold,
             seed: script.seed.wrapping_add(index as u64),
         })
         .map_err(system("can't start a stand-in worker"))?;
@@ -92,10 +92,10 @@
             weight: 1.0,
             cell: handle.name.clone(),
             state: WorkerState::On,
-            started_at: script.cold.then(unix_time),
+            started_at: script.start_cold.then(unix_time),
         };
         workers.locations.insert(handle.name.clone(), Location { zone, cell: handle.name.clone() });
-        workers.lines.push(WorkerLine { addresses: handle.addresses.clone(), worker });
+        workers.entries.push(WorkerEntry { addresses: handle.addresses.clone(), worker });
         workers.handles.push(handle);
     }
     Ok(workers)
@@ -104,7 +104,7 @@
 /// Writes the controllers' settings files, without starting the controllers.
 pub(crate) fn prepare_controllers(
     script: &Script,
-    stage: &Stage,
+    environment: &Environment,
     receiver: Option<&Receiver>,
 ) -> Result<Controllers, ScenarioError> {
     let mut controllers = Vec::new();
@@ -117,19 +117,19 @@
         }
         let name = format!("controller-{number}.sexp");
         config = Some(settings::read(&name, &text).map_err(ScenarioError::Settings)?);
-        let path = stage.dir.join(name);
+        let path = environment.dir.join(name);
         std::fs::write(&path, text).map_err(system("can't write a controller's settings"))?;
-        let log = stage.dir.join(format!("controller-{number}.log"));
-        controllers.push(Controller::new(number, zone, path, log, stage.log.to_owned()));
+        let log = environment.dir.join(format!("controller-{number}.log"));
+        controllers.push(Controller::new(number, zone, path, log, environment.log_filter.to_owned()));
     }
-    Ok(Controllers { controllers, config: config.ok_or(ScenarioError::Clients)? })
+    Ok(Controllers { controllers, config: config.ok_or(ScenarioError::NoControllers)? })
 }
 
 /// The settings by which a controller pushes its metrics to the receiver.
 fn push_settings(watch: &Watch, receiver: &Receiver, number: usize) -> String {
     format!(
         "(figures (push (to \"{}\") (every {}us) (batch-age 20ms) (spool \"spool-{number}\") (label instance \"c{number}\")))\n",
-        receiver.address, watch.every
+        receiver.address, watch.push_interval
     )
 }
 
@@ -140,7 +140,7 @@
          (workers (file \"{}\") (check-every 50ms) (kept \"kept-{number}.sexp\"))\n{}\n",
         script.controllers.count,
         script.seed.wrapping_add(number as u64) % (1 << 32),
-        WorkerLists::file(zone),
+        WorkerLists::file_name(zone),
         script.settings,
     )
 }
