--- a/crates/alerts/src/check.rs
+++ b/crates/alerts/src/check.rs
@@ -36,7 +36,7 @@
 /// Returns a message for each metric, label or label value in a rule that the catalog does not have, sorted and without
 /// duplicates. Label values are checked where a matcher requires one (`=`, `=~`).
 pub fn check(rule: &Rule, catalog: &Catalog) -> Vec<String> {
-    let mut found = Vec::new();
+    let mut problems = Vec::new();
     let mut metrics = BTreeSet::new();
     walk(&rule.expr, &mut |expr| {
         let selector = match expr {
@@ -46,11 +46,11 @@
         };
         if let Some(vs) = selector {
             metrics.extend(vs.name.clone());
-            check_selector(vs, catalog, &mut found);
+            check_selector(vs, catalog, &mut problems);
         }
     });
     if metrics.is_empty() {
-        found.push("it names no metric".to_owned());
+        problems.push("the expression names no metric".to_owned());
     }
     // A label in `by`, `without`, `on` or `ignoring` must belong to a metric of the rule.
     let known = |label: &str| {
@@ -65,34 +65,34 @@
         };
         let Some(LabelModifier::Include(labels) | LabelModifier::Exclude(labels)) = modifier else { return };
         for label in labels.labels.iter().filter(|l| !known(l)) {
-            found.push(format!("no metric of it has the label {label}"));
+            problems.push(format!("no metric of the rule has the label {label}"));
         }
     });
-    found.sort();
-    found.dedup();
-    found
+    problems.sort();
+    problems.dedup();
+    problems
 }
 
-fn check_selector(vs: &VectorSelector, catalog: &Catalog, found: &mut Vec<String>) {
-    let Some(name) = &vs.name else {
-        found.push("a selector has no metric name".to_owned());
+fn check_selector(selector: &VectorSelector, catalog: &Catalog, problems: &mut Vec<String>) {
+    let Some(name) = &selector.name else {
+        problems.push("a selector has no metric name".to_owned());
         return;
     };
     let Some(metric) = catalog.metrics.get(name) else {
-        found.push(format!("there is no metric {name}"));
+        problems.push(format!("there is no metric {name}"));
         return;
     };
-    for matcher in &vs.matchers.matchers {
+    for matcher in &selector.matchers.matchers {
         if catalog.external_labels.contains(&matcher.name) {
             continue;
         }
         let Some(values) = metric.get(&matcher.name) else {
-            found.push(format!("{name} has no label {}", matcher.name));
+            problems.push(format!("{name} has no label {}", matcher.name));
             continue;
         };
         let requires_value = matches!(matcher.op, MatchOp::Equal | MatchOp::Re(_));
         if requires_value && !values.iter().any(|v| matcher.is_match(v)) {
-            found.push(format!("{name}: no series has {}={:?}", matcher.name, matcher.value));
+            problems.push(format!("{name}: no series has {}={:?}", matcher.name, matcher.value));
         }
     }
 }
--- a/crates/alerts/src/eval/aggregation.rs
+++ b/crates/alerts/src/eval/aggregation.rs
@@ -9,17 +9,17 @@
 use super::value::{UnsupportedExpression, Value, without_metric_name};
 use crate::rules::Millis;
 
-/// Evaluates an aggregation operator.
+/// Evaluates an aggregation operator over the vector that its operand returns, with one result for each group.
 pub(super) fn aggregate(
-    a: &AggregateExpr,
+    aggregation: &AggregateExpr,
     store: &Store,
     at: Millis,
 ) -> Result<Value, UnsupportedExpression> {
-    let Value::Vector(all) = eval(&a.expr, store, at)? else {
-        return Err(UnsupportedExpression(a.to_string()));
+    let Value::Vector(all) = eval(&aggregation.expr, store, at)? else {
+        return Err(UnsupportedExpression(aggregation.to_string()));
     };
     let group_labels = |labels: &Labels| -> Labels {
-        match &a.modifier {
+        match &aggregation.modifier {
             None => Labels::new(),
             Some(LabelModifier::Include(by)) => {
                 by.labels.iter().filter_map(|l| Some((l.clone(), labels.get(l)?.clone()))).collect()
@@ -35,7 +35,7 @@
     for (labels, value) in all {
         groups.entry(group_labels(&labels)).or_default().push(value);
     }
-    let combine: fn(&[f64]) -> f64 = match a.op.to_string().as_str() {
+    let combine: fn(&[f64]) -> f64 = match aggregation.op.to_string().as_str() {
         "sum" => |v| v.iter().sum(),
         "max" => |v| v.iter().copied().fold(f64::NEG_INFINITY, f64::max),
         "min" => |v| v.iter().copied().fold(f64::INFINITY, f64::min),
--- a/crates/alerts/src/eval/binary.rs
+++ b/crates/alerts/src/eval/binary.rs
@@ -36,9 +36,9 @@
 }
 
 /// Returns the labels by which a series is matched with one on the other side, according to `on` or `ignoring`.
-fn matching_labels(b: &BinaryExpr, labels: &Labels) -> Labels {
+fn matching_labels(expr: &BinaryExpr, labels: &Labels) -> Labels {
     let mut remaining = without_metric_name(labels.clone());
-    match b.modifier.as_ref().and_then(|m| m.matching.as_ref()) {
+    match expr.modifier.as_ref().and_then(|modifier| modifier.matching.as_ref()) {
         Some(LabelModifier::Include(on)) => remaining.retain(|l, _| on.labels.contains(l)),
         Some(LabelModifier::Exclude(ignoring)) => remaining.retain(|l, _| !ignoring.labels.contains(l)),
         None => {}
@@ -46,7 +46,7 @@
     remaining
 }
 
-/// Evaluates a binary operator.
+/// Evaluates both operands, and applies the operator to them.
 pub(super) fn binary(expr: &BinaryExpr, store: &Store, at: Millis) -> Result<Value, UnsupportedExpression> {
     let (lhs, rhs) = (eval(&expr.lhs, store, at)?, eval(&expr.rhs, store, at)?);
     let operation = Operation::new(expr);
@@ -163,9 +163,9 @@
             let mut matches = right.iter().zip(&keys).filter(|(_, k)| **k == key).map(|((_, y), _)| *y);
             let Some(y) = matches.next() else { continue };
             if matches.next().is_some() {
-                let what =
+                let unsupported =
                     format!("the operator {operator} where several series on the right match {labels:?}");
-                return Err(UnsupportedExpression(what));
+                return Err(UnsupportedExpression(unsupported));
             }
             let result = if many_to_one || self.filters { self.result_labels(labels) } else { key };
             if !many_to_one && out.iter().any(|(labels, _)| *labels == result) {
--- a/crates/alerts/src/eval/selector.rs
+++ b/crates/alerts/src/eval/selector.rs
@@ -13,19 +13,19 @@
 }
 
 fn select<'a>(
-    vs: &VectorSelector,
+    selector: &VectorSelector,
     store: &'a Store,
 ) -> Result<Vec<SelectedSeries<'a>>, UnsupportedExpression> {
-    if vs.at.is_some() {
+    if selector.at.is_some() {
         return Err(UnsupportedExpression("the @ modifier".to_owned()));
     }
-    if !vs.matchers.or_matchers.is_empty() {
-        return Err(UnsupportedExpression("or between matchers".to_owned()));
+    if !selector.matchers.or_matchers.is_empty() {
+        return Err(UnsupportedExpression("or between label matchers".to_owned()));
     }
     let empty = String::new();
     let matches = |labels: &Labels| {
-        vs.name.as_ref().is_none_or(|name| labels.get("__name__") == Some(name))
-            && vs.matchers.matchers.iter().all(|m| m.is_match(labels.get(&m.name).unwrap_or(&empty)))
+        selector.name.as_ref().is_none_or(|name| labels.get("__name__") == Some(name))
+            && selector.matchers.matchers.iter().all(|m| m.is_match(labels.get(&m.name).unwrap_or(&empty)))
     };
     let selected = store.series.iter().filter(|(labels, _)| matches(labels));
     Ok(selected.map(|(labels, samples)| SelectedSeries { labels, samples }).collect())
@@ -43,13 +43,13 @@
 /// Evaluates an instant selector: the newest sample of each matching series, unless it is older than [`LOOKBACK`] or a
 /// staleness marker.
 pub(super) fn instant(
-    vs: &VectorSelector,
+    selector: &VectorSelector,
     store: &Store,
     at: Millis,
 ) -> Result<Vec<(Labels, f64)>, UnsupportedExpression> {
-    let at = with_offset(at, vs.offset.as_ref());
+    let at = with_offset(at, selector.offset.as_ref());
     let mut all = Vec::new();
-    for SelectedSeries { labels, samples } in select(vs, store)? {
+    for SelectedSeries { labels, samples } in select(selector, store)? {
         let end = samples.partition_point(|sample| sample.at <= at);
         let Some(newest) = samples[..end].last() else { continue };
         if newest.at > at - LOOKBACK && !is_stale(newest.value) {
@@ -81,7 +81,7 @@
     at: Millis,
 ) -> Result<RangeVector, UnsupportedExpression> {
     let Some(Expr::MatrixSelector(ms)) = arg else {
-        return Err(UnsupportedExpression("a range other than of a selector".to_owned()));
+        return Err(UnsupportedExpression("a range vector other than a selector".to_owned()));
     };
     let to = with_offset(at, ms.vs.offset.as_ref());
     let from = to - ms.range.as_millis() as Millis;
--- a/crates/alerts/src/eval/tests.rs
+++ b/crates/alerts/src/eval/tests.rs
@@ -19,7 +19,7 @@
 }
 
 fn value(expr: &str, at: Millis) -> Vec<(String, f64)> {
-    match eval(&parse(expr).expect("valid PromQL"), &store(), at).expect("supported") {
+    match eval(&parse(expr).expect("valid PromQL"), &store(), at).expect("supported expression") {
         Value::Scalar(x) => vec![(String::new(), x)],
         Value::Vector(all) => {
             all.into_iter().map(|(l, x)| (l.get("class").cloned().unwrap_or_default(), x)).collect()
@@ -34,9 +34,12 @@
 #[test]
 fn rates_are_extrapolated_and_zero_for_a_constant_counter() {
     let rates = value("rate(calls[5m])", 1_200_000);
-    let near = |x: f64, y: f64| (x - y).abs() < 1e-9;
-    assert!(near(rates[0].1, 1.0 / 15.0) && near(rates[1].1, 2.0 / 15.0) && rates[2].1 == 0.0, "{rates:?}");
-    assert!(value("rate(calls[20s])", 10_000).is_empty(), "a rate needs two samples");
+    let is_close = |x: f64, y: f64| (x - y).abs() < 1e-9;
+    assert!(
+        is_close(rates[0].1, 1.0 / 15.0) && is_close(rates[1].1, 2.0 / 15.0) && rates[2].1 == 0.0,
+        "{rates:?}"
+    );
+    assert!(value("rate(calls[20s])", 10_000).is_empty(), "one sample gives no rate");
 }
 
 #[test]
@@ -46,8 +49,9 @@
     for (n, v) in [10.0, 20.0, 0.0, 10.0].into_iter().enumerate() {
         store.add(&labels, n as i64 * 60_000, v);
     }
-    let got = eval(&parse("increase(x[3m])").expect("valid PromQL"), &store, 180_000).expect("supported");
-    let Value::Vector(all) = got else { panic!("a vector") };
+    let increase = eval(&parse("increase(x[3m])").expect("valid PromQL"), &store, 180_000)
+        .expect("supported expression");
+    let Value::Vector(all) = increase else { panic!("the result is not a vector") };
     assert!(all[0].1 > 10.0 && all[0].1 < 35.0, "{all:?}");
 }
 
@@ -85,9 +89,11 @@
 #[test]
 fn unsupported_expressions_are_named() {
     let error = |expr: &str| {
-        eval(&parse(expr).expect("valid PromQL"), &store(), 0).expect_err("unsupported").to_string()
+        eval(&parse(expr).expect("valid PromQL"), &store(), 0)
+            .expect_err("unsupported expression")
+            .to_string()
     };
     assert!(error("deriv(calls[5m])").contains("deriv"));
     assert!(error("topk(1, calls)").contains("topk"));
-    assert!(error("max_over_time(rate(calls[5m])[1h:])").contains("range other than"));
+    assert!(error("max_over_time(rate(calls[5m])[1h:])").contains("range vector other than a selector"));
 }
--- a/crates/alerts/src/rules.rs
+++ b/crates/alerts/src/rules.rs
@@ -78,7 +78,7 @@
     annotations: BTreeMap<String, String>,
 }
 
-/// An alerting rule.
+/// An alerting rule, with its expression and durations parsed.
 #[derive(Clone, Debug)]
 pub struct Rule {
     /// Name of the group that contains the rule.
--- a/crates/alerts/src/rules/tests.rs
+++ b/crates/alerts/src/rules/tests.rs
@@ -13,12 +13,15 @@
 
 #[test]
 fn errors_name_the_unknown_key_or_the_alert() {
-    let rule = |body: &str| read("a.yml", &format!("groups:\n- name: g\n  rules:\n  - {body}"));
-    let error = |body: &str| rule(body).expect_err("invalid").to_string();
+    let read_rule = |body: &str| read("a.yml", &format!("groups:\n- name: g\n  rules:\n  - {body}"));
+    let error = |body: &str| read_rule(body).expect_err("invalid rule file").to_string();
     assert!(error("{alert: A, expr: up, fro: 5m}").contains("fro"));
     assert!(error("{alert: A, expr: 'sum by (', for: 5m}").contains("alert A"));
     assert!(
         error("{alert: A, expr: up, for: 5 minutes}").contains("alert A: \"5 minutes\" is not a duration")
     );
-    assert_eq!(rule("{alert: A, expr: up, for: 5m}").expect("valid")[0].pending_for, 300_000);
+    let interval =
+        read("a.yml", "groups: [{name: g, interval: soon, rules: []}]").expect_err("invalid rule file");
+    assert!(interval.to_string().contains("group g: \"soon\" is not a duration"));
+    assert_eq!(read_rule("{alert: A, expr: up, for: 5m}").expect("valid rule file")[0].pending_for, 300_000);
 }
--- a/crates/alerts/src/state.rs
+++ b/crates/alerts/src/state.rs
@@ -8,8 +8,11 @@
 
 #[derive(Clone, Copy, Debug)]
 struct ActiveAlert {
+    /// Time from which the alert has been pending.
     since: Millis,
-    fired: bool,
+    /// Whether the alert is firing; if not, it is pending.
+    firing: bool,
+    /// Time of the last evaluation at which the expression was true.
     last_true: Millis,
 }
 
@@ -39,27 +42,29 @@
     pub fn evaluate(&mut self, store: &Store, at: Millis) -> Result<(), UnsupportedExpression> {
         let result = match eval(&self.rule.expr, store, at)? {
             Value::Vector(series) => series,
-            Value::Scalar(_) => return Err(UnsupportedExpression("a rule that is a number".to_owned())),
+            Value::Scalar(_) => {
+                return Err(UnsupportedExpression("a rule whose result is a scalar".to_owned()));
+            }
         };
         for (mut labels, _) in result {
             labels.remove("__name__");
             labels.extend(self.rule.labels.clone());
             labels.insert("alertname".to_owned(), self.rule.alert.clone());
             let alert =
-                self.active.entry(labels).or_insert(ActiveAlert { since: at, fired: false, last_true: at });
+                self.active.entry(labels).or_insert(ActiveAlert { since: at, firing: false, last_true: at });
             alert.last_true = at;
-            alert.fired |= at - alert.since >= self.rule.pending_for;
+            alert.firing |= at - alert.since >= self.rule.pending_for;
         }
         let keep_firing_for = self.rule.keep_firing_for;
         self.active.retain(|_, alert| {
-            alert.last_true == at || alert.fired && at - alert.last_true < keep_firing_for
+            alert.last_true == at || alert.firing && at - alert.last_true < keep_firing_for
         });
         Ok(())
     }
 
     /// Returns the labels of each firing alert, with `alertname` and the labels of the rule.
     pub fn firing(&self) -> Vec<&Labels> {
-        self.active.iter().filter(|(_, a)| a.fired).map(|(l, _)| l).collect()
+        self.active.iter().filter(|(_, alert)| alert.firing).map(|(labels, _)| labels).collect()
     }
 }
 
--- a/crates/alerts/src/state/tests.rs
+++ b/crates/alerts/src/state/tests.rs
@@ -6,7 +6,7 @@
 #[test]
 fn alert_is_pending_then_firing_then_kept_firing() {
     let text = "groups: [{name: g, rules: [{alert: A, expr: x > 0, for: 2m, keep_firing_for: 3m}]}]";
-    let rule = rules::read("a", text).expect("valid").remove(0);
+    let rule = rules::read("a", text).expect("valid rule file").remove(0);
     let labels: Labels = [("__name__".to_owned(), "x".to_owned())].into();
     let mut store = Store::default();
     // The expression is true at minute 1 and at minutes 3 to 6.
@@ -16,7 +16,7 @@
     let mut alerts = Alerts::new(rule);
     let mut firing = Vec::new();
     for minute in 0..12 {
-        alerts.evaluate(&store, minute * 60_000).expect("supported");
+        alerts.evaluate(&store, minute * 60_000).expect("supported expression");
         if !alerts.firing().is_empty() {
             firing.push(minute);
         }
--- a/crates/alerts/src/unit.rs
+++ b/crates/alerts/src/unit.rs
@@ -93,10 +93,10 @@
     /// test that could not run.
     pub fn run(&self, rules: &[Rule]) -> Vec<String> {
         let mut unmet = Vec::new();
-        for (n, test) in self.tests.iter().enumerate() {
-            let name = if test.name.is_empty() { format!("test {}", n + 1) } else { test.name.clone() };
-            if let Err(what) = self.run_test(test, rules, &name, &mut unmet) {
-                unmet.push(format!("{name}: {what}"));
+        for (index, test) in self.tests.iter().enumerate() {
+            let name = if test.name.is_empty() { format!("test {}", index + 1) } else { test.name.clone() };
+            if let Err(error) = self.run_test(test, rules, &name, &mut unmet) {
+                unmet.push(format!("{name}: {error}"));
             }
         }
         unmet
@@ -115,20 +115,20 @@
         let mut store = Store::default();
         for input in &test.input_series {
             let labels = parse_series(&input.series)?;
-            for (at, value) in parse_values(&input.values)?.into_iter().enumerate() {
+            for (index, value) in parse_values(&input.values)?.into_iter().enumerate() {
                 if let Some(value) = value {
-                    store.add(&labels, at as Millis * interval, value);
+                    store.add(&labels, index as Millis * interval, value);
                 }
             }
         }
         let mut expected: BTreeMap<Millis, Vec<&Expected>> = BTreeMap::new();
-        for e in &test.alert_rule_test {
-            let at =
-                duration(&e.eval_time).ok_or(format!("eval_time is not a duration: {:?}", e.eval_time))?;
-            if !rules.iter().any(|r| r.alert == e.alertname) {
-                return Err(format!("there is no alert {}", e.alertname));
+        for expectation in &test.alert_rule_test {
+            let Expected { eval_time, alertname, .. } = expectation;
+            let at = duration(eval_time).ok_or(format!("eval_time is not a duration: {eval_time:?}"))?;
+            if !rules.iter().any(|rule| rule.alert == *alertname) {
+                return Err(format!("no rule defines the alert {alertname}"));
             }
-            expected.entry(at).or_default().push(e);
+            expected.entry(at).or_default().push(expectation);
         }
         let Some(last) = expected.keys().last().copied() else {
             return Err("alert_rule_test has no entries".to_owned());
@@ -136,21 +136,22 @@
         let mut alerts: Vec<Alerts> = rules.iter().cloned().map(Alerts::new).collect();
         let mut at = 0;
         while at <= last {
-            for a in &mut alerts {
-                a.evaluate(&store, at).map_err(|e| format!("alert {}: {e}", a.rule().alert))?;
+            for alert in &mut alerts {
+                alert.evaluate(&store, at).map_err(|e| format!("alert {}: {e}", alert.rule().alert))?;
             }
             // An expectation between two evaluations is checked against the earlier evaluation.
-            for (when, all) in expected.range(at..at + self.interval) {
-                for e in all {
-                    let expected_alerts: BTreeSet<Labels> =
-                        e.exp_alerts.iter().map(|a| expected_labels(&a.exp_labels, &e.alertname)).collect();
-                    let named = alerts.iter().filter(|a| a.rule().alert == e.alertname);
-                    let got: BTreeSet<Labels> = named.flat_map(|a| a.firing()).cloned().collect();
-                    if expected_alerts != got {
+            for (eval_time, expectations) in expected.range(at..at + self.interval) {
+                for Expected { alertname, exp_alerts, .. } in expectations {
+                    let expected_alerts: BTreeSet<Labels> = exp_alerts
+                        .iter()
+                        .map(|alert| expected_labels(&alert.exp_labels, alertname))
+                        .collect();
+                    let named = alerts.iter().filter(|alert| alert.rule().alert == *alertname);
+                    let firing: BTreeSet<Labels> = named.flat_map(|alert| alert.firing()).cloned().collect();
+                    if expected_alerts != firing {
                         unmet.push(format!(
-                            "{name}: {} at {} s: expected {expected_alerts:?}, got {got:?}",
-                            e.alertname,
-                            when / 1000
+                            "{name}: {alertname} at {} s: expected {expected_alerts:?}, got {firing:?}",
+                            eval_time / 1000
                         ));
                     }
                 }
@@ -200,7 +201,7 @@
         } else {
             // A sign after the first character separates the start value from the step.
             let separator =
-                head.char_indices().skip(1).find(|(_, c)| matches!(c, '+' | '-')).map(|(at, _)| at);
+                head.char_indices().skip(1).find(|(_, c)| matches!(c, '+' | '-')).map(|(index, _)| index);
             let (start, step) = head.split_at(separator.unwrap_or(head.len()));
             let start: f64 = start.parse().map_err(|_| malformed())?;
             let step: f64 = if step.is_empty() { 0.0 } else { step.parse().map_err(|_| malformed())? };
