--- a/crates/simulation/src/follow.rs
+++ b/crates/simulation/src/follow.rs
@@ -1,5 +1,5 @@
 //! Simulates followers that replicate tenant changes from one leader over a network that loses packets. Leases and
-//! membership are those of `nettleferry-fleet`; heartbeats and backoff follow the program.
+//! membership are those of `nettleferry-fleet`. Timeouts and backoff of heartbeats equal those of the program.
 
 use hdrhistogram::Histogram;
 use nettleferry_fleet::lease::{self, HEARTBEATS_PER_SPAN, Holder, LeasePolicy};
@@ -17,7 +17,7 @@
 const CHANGE_BYTES: u64 = 700;
 /// Bytes of a heartbeat, and of a response without changes.
 const EMPTY_BYTES: u64 = 400;
-/// Time for which the leader's thread processes one request or response.
+/// Time that the leader's thread takes to process one request or response.
 const PROCESSING_TIME: Micros = 30;
 /// Number of heartbeat intervals after which a heartbeat without a response has failed, as in the program's follower.
 const TIMEOUT_INTERVALS: u64 = 2;
@@ -31,7 +31,7 @@
 const SAMPLING_INTERVAL: Micros = 20_000;
 /// Maximum number of doublings of the backoff.
 const MAX_BACKOFF_DOUBLINGS: u32 = 16;
-/// Unit of the histogram of the times until a change is in force.
+/// Unit of the histogram of the times from a change to its acknowledgement.
 const TIME_UNIT: Micros = 100;
 /// Upper bound of that histogram: 100 seconds.
 const MAX_TIME_UNITS: u64 = 1_000_000;
@@ -45,7 +45,7 @@
     pub network: Network,
     /// Duration of a lease in milliseconds.
     pub lease_ms: u64,
-    /// Mean number of changes per second. Each change restricts a tenant.
+    /// Mean number of changes per second at the leader. Each change restricts a tenant.
     pub changes: f64,
     /// Length of the run in virtual time.
     pub length: Micros,
@@ -79,10 +79,10 @@
     /// Mean number of heartbeats and responses per second at the leader.
     #[serde(rename = "asks_mean")]
     pub requests_mean: f64,
-    /// Maximum number of heartbeats and responses in one second.
+    /// Maximum number of heartbeats and responses in one second at the leader.
     #[serde(rename = "asks_peak")]
     pub requests_peak: u64,
-    /// Maximum number of bytes in one second.
+    /// Maximum number of bytes in one second at the leader.
     pub bytes_peak: u64,
     /// Share of the time for which the leader's thread is busy.
     pub busy: f64,
@@ -126,7 +126,7 @@
     Send(usize),
     /// A heartbeat arrives at the leader.
     Arrival(Heartbeat),
-    /// The leader answers a waiting heartbeat, even if there is no change.
+    /// The delay of a waiting heartbeat ends: the leader responds to it without a change.
     ResponseDue { follower: usize, number: u64 },
     /// A response arrives at the follower.
     Response(Response),
@@ -143,6 +143,7 @@
     number: u64,
     /// Consecutive heartbeats without a response.
     failures: u32,
+    /// Duration of the latest lease in milliseconds; `None` before the first.
     lease_ms: Option<u64>,
 }
 
@@ -162,9 +163,11 @@
     followers: Vec<Follower>,
     /// Heartbeats that wait at the leader, by follower.
     waiting: Vec<Option<WaitingHeartbeat>>,
-    open: Vec<OpenChange>,
+    open_changes: Vec<OpenChange>,
+    /// Revision of the latest acknowledged change, which is also the number of acknowledged changes.
     acknowledged: u64,
-    times: Histogram<u64>,
+    /// Times from a change to its acknowledgement, in units of [`TIME_UNIT`].
+    acknowledgement_times: Histogram<u64>,
     meter: Meter,
     /// Time until which the leader's thread is busy.
     busy_until: Micros,
@@ -219,10 +222,11 @@
             revision: 0,
             followers: (0..count).map(follower).collect(),
             waiting: vec![None; count],
-            open: Vec::new(),
+            open_changes: Vec::new(),
             acknowledged: 0,
-            times: Histogram::new_with_bounds(1, MAX_TIME_UNITS, 3)
-                .unwrap_or_else(|_| Histogram::new(3).expect("three digits")),
+            acknowledgement_times: Histogram::new_with_bounds(1, MAX_TIME_UNITS, 3).unwrap_or_else(|_| {
+                Histogram::new(3).expect("three is a valid number of significant digits")
+            }),
             meter: Meter::default(),
             busy_until: 0,
             busy_time: 0,
@@ -238,9 +242,9 @@
             plan: self.plan,
             made: self.revision,
             acknowledged: self.acknowledged,
-            p50_ms: self.times.value_at_quantile(0.5) as f64 / units_per_ms,
-            p99_ms: self.times.value_at_quantile(0.99) as f64 / units_per_ms,
-            max_ms: self.times.max() as f64 / units_per_ms,
+            p50_ms: self.acknowledgement_times.value_at_quantile(0.5) as f64 / units_per_ms,
+            p99_ms: self.acknowledgement_times.value_at_quantile(0.99) as f64 / units_per_ms,
+            max_ms: self.acknowledgement_times.max() as f64 / units_per_ms,
             without_lease: self.samples.without as f64 / self.samples.all.max(1) as f64,
             violations: self.violations,
             requests_mean: self.meter.total() as f64 / (self.plan.length as f64 / 1e6),
@@ -270,7 +274,7 @@
     /// Makes a change and sends it to the followers whose heartbeats are waiting.
     fn make_change(&mut self, now: Micros) {
         self.revision += 1;
-        self.open.push(OpenChange { revision: self.revision, made: now });
+        self.open_changes.push(OpenChange { revision: self.revision, made: now });
         for follower in 0..self.waiting.len() {
             if let Some(waiting) = self.waiting[follower].take() {
                 self.respond(now, follower, waiting);
@@ -320,7 +324,8 @@
         self.events.schedule(done + wait_ms * 1000, Event::ResponseDue { follower, number });
     }
 
-    /// Sends a follower the changes that it does not have and, if membership grants one, a lease.
+    /// Sends a follower the changes that it does not have, with a lease if leases are granted. Sends nothing if the
+    /// membership refuses the follower.
     fn respond(&mut self, now: Micros, follower: usize, heartbeat: WaitingHeartbeat) {
         let done = self.process(now);
         let revision = self.revision;
@@ -369,13 +374,13 @@
     /// Acknowledges the changes that are in force everywhere. A follower that lacks such a change and is allowed to
     /// accept calls is counted as a violation.
     fn acknowledge(&mut self, now: Micros) {
-        while let Some(&OpenChange { revision, made }) = self.open.first() {
+        while let Some(&OpenChange { revision, made }) = self.open_changes.first() {
             if !self.membership.progress(ms(now), version(revision), 0).is_in_force() {
                 return;
             }
-            self.open.remove(0);
+            self.open_changes.remove(0);
             self.acknowledged = revision;
-            let _ = self.times.record(((now - made) / TIME_UNIT).max(1));
+            let _ = self.acknowledgement_times.record(((now - made) / TIME_UNIT).max(1));
             let violates = |follower: &&Follower| {
                 follower.revision < revision && follower.lease.stage(ms(now)).accepts_calls()
             };
@@ -385,7 +390,7 @@
 
     fn sample(&mut self, now: Micros) {
         self.acknowledge(now);
-        // Followers that are still starting during the first lease duration are not counted.
+        // Followers that start have no lease yet, so the first lease duration is not counted.
         if ms(now) > self.plan.lease_ms {
             for follower in &self.followers {
                 self.samples.all += 1;
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -20,7 +20,7 @@
 /// Microseconds of virtual time.
 pub type Micros = u64;
 
-/// Milliseconds of virtual time, the unit of `nettleferry-fleet`.
+/// Converts a virtual time to milliseconds, the unit of `nettleferry-fleet`, and rounds it down.
 pub fn ms(at: Micros) -> u64 {
     at / 1000
 }
--- a/crates/simulation/src/network.rs
+++ b/crates/simulation/src/network.rs
@@ -39,7 +39,7 @@
     }
 }
 
-/// Number of requests and bytes in one second. Serialized as a pair.
+/// Number of requests and of bytes in one second, or the maximum of each over several seconds. Serialized as a pair.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 #[serde(into = "[u64; 2]")]
 pub struct Peak {
@@ -50,7 +50,7 @@
 }
 
 impl Peak {
-    /// The maximum of each of the two numbers.
+    /// Returns the maximum of the requests and the maximum of the bytes, which may come from different arguments.
     pub fn max(self, other: Self) -> Self {
         Self { requests: self.requests.max(other.requests), bytes: self.bytes.max(other.bytes) }
     }
@@ -80,12 +80,13 @@
         second.bytes += bytes;
     }
 
-    /// The largest number of requests and the largest number of bytes in any second, which need not be the same second.
+    /// Returns the largest number of requests and the largest number of bytes in any second. They need not come from the
+    /// same second.
     pub fn peak(&self) -> Peak {
         self.seconds.iter().copied().fold(Peak::default(), Peak::max)
     }
 
-    /// Total number of requests.
+    /// Returns the number of requests over all seconds.
     pub fn total(&self) -> u64 {
         self.seconds.iter().map(|second| second.requests).sum()
     }
--- a/crates/simulation/src/power/bootstrap.rs
+++ b/crates/simulation/src/power/bootstrap.rs
@@ -38,12 +38,15 @@
         let request = state.request;
         let timeout = SnapshotResponse { controller, peer, snapshot: None, request };
         self.events.schedule(now + RESPONSE_TIMEOUT, Event::Response(timeout));
-        let Some(there) = self.plan.network.transfer_time(&mut self.random, EMPTY_BYTES) else { return };
-        let arrival = now + there;
+        let Some(request_time) = self.plan.network.transfer_time(&mut self.random, EMPTY_BYTES) else {
+            return;
+        };
+        let arrival = now + request_time;
         let snapshot = match peer {
             None => self.is_leader_available(arrival).then(|| snapshot(&self.plan)),
             Some(peer) => self.controllers[peer_number(controller, peer)].snapshot.clone(),
         };
+        // A leader that is not available does not respond. A peer without a snapshot responds that it has none.
         if peer.is_none() && snapshot.is_none() {
             return;
         }
@@ -52,13 +55,14 @@
             None => self.leader.count(arrival, bytes),
             Some(peer) => self.peers[peer_number(controller, peer)].count(arrival, bytes),
         }
-        if let Some(back) = self.plan.network.transfer_time(&mut self.random, bytes) {
+        if let Some(response_time) = self.plan.network.transfer_time(&mut self.random, bytes) {
             let response = SnapshotResponse { controller, peer, snapshot, request };
-            self.events.schedule(arrival + back, Event::Response(response));
+            self.events.schedule(arrival + response_time, Event::Response(response));
         }
     }
 
     /// Takes the next step of a controller without a snapshot. In each round it asks the leader first and then peers.
+    /// Does nothing if the controller has a snapshot.
     pub(super) fn bootstrap(&mut self, now: Micros, controller: usize) {
         let state = &mut self.controllers[controller];
         if state.snapshot.is_some() {
@@ -81,7 +85,7 @@
         }
     }
 
-    /// Processes a response or a timeout. A response to an earlier request is ignored.
+    /// Processes a response or a timeout, whichever comes first. A response to an earlier request is ignored.
     pub(super) fn handle_snapshot_response(&mut self, now: Micros, response: SnapshotResponse) {
         let SnapshotResponse { controller, peer, snapshot, request } = response;
         let state = &mut self.controllers[controller];
--- a/crates/simulation/src/power/calls.rs
+++ b/crates/simulation/src/power/calls.rs
@@ -44,7 +44,7 @@
                     self.end_call(first, CallEnd::Refused);
                 } else {
                     let retry = CallAttempt { controller, first, refusals: refusals + 1, model };
-                    self.events.schedule(retry_at, Event::Call(retry));
+                    self.events.schedule(retry_at, Event::Retry(retry));
                 }
             }
         }
@@ -113,6 +113,7 @@
         let Some(position) = controller.queue.iter().position(is_ready) else { return };
         controller.serving = controller.queue.remove(position);
         if let Some(call) = &controller.serving {
+            // Admission control tracks waiting calls only.
             controller.admission.call_ended(call.number);
         }
         let warmed_up = (now as f64 / plan.warm_up.max(1) as f64).min(1.0);
@@ -142,7 +143,7 @@
             let end = if latency <= self.plan.latency_objective {
                 CallEnd::InTime
             } else if latency <= self.plan.deadline {
-                CallEnd::PastObjective
+                CallEnd::Late
             } else {
                 CallEnd::Abandoned
             };
--- a/crates/simulation/src/power/mod.rs
+++ b/crates/simulation/src/power/mod.rs
@@ -1,6 +1,6 @@
 //! Simulates the restart of all controllers at once after a power loss: workers have to warm up, all replicas are lost,
 //! some controllers have lost their snapshots, and clients send their full load. Admission control and bootstrap are
-//! those of `nettleferry-fleet`; load orders are limited as by the rules of the platform.
+//! those of `nettleferry-fleet`. Each controller limits its load orders by a window, as the platform requires.
 //!
 //! The rest is modelled in simple terms: each controller has its own share of the workers, a first-in-first-out queue,
 //! and replicas that are loaded from one shared model store, which slows down as the number of concurrent loads grows.
@@ -34,17 +34,19 @@
 const START_JITTER: Micros = 100_000;
 /// Number of workers of each controller.
 const WORKERS: u32 = 2;
+/// Share of calls served in time from which an interval is not degraded.
+const READY_SHARE: f64 = 0.9;
 
 enum Event {
     /// A client retries a call after a refusal.
-    Call(CallAttempt),
+    Retry(CallAttempt),
     /// A client of this controller makes a new call.
-    NextClient(usize),
+    NewCall(usize),
     /// The call that the workers of a controller are processing is finished.
     Served(usize),
     /// The load of a replica is finished.
     Loaded { controller: usize, model: u32 },
-    /// A controller without a snapshot takes the next step to obtain one.
+    /// A controller takes the next step to obtain a snapshot, unless it has one.
     Bootstrap(usize),
     /// A request for a snapshot is answered or times out.
     Response(SnapshotResponse),
@@ -54,7 +56,7 @@
 
 struct CallAttempt {
     controller: usize,
-    /// When the client made the call for the first time.
+    /// Time of the client's first attempt.
     first: Micros,
     /// How often the call was refused.
     refusals: u32,
@@ -81,7 +83,7 @@
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum CallEnd {
     InTime,
-    PastObjective,
+    Late,
     Refused,
     Abandoned,
 }
@@ -91,10 +93,10 @@
     in_time: u64,
     late: u64,
     refused: u64,
-    given_up: u64,
+    abandoned: u64,
 }
 
-/// Calls of one interval.
+/// Counts of the calls whose first attempt was in one interval.
 #[derive(Clone, Copy, Default)]
 struct Interval {
     ended: u64,
@@ -107,15 +109,18 @@
     bootstrap: Bootstrap,
     /// Number of the latest request for a snapshot; responses to earlier ones are ignored.
     request: u64,
+    /// Whether the leader was asked in the current round.
     leader_asked: bool,
     admission: Gate,
     queue: VecDeque<QueuedCall>,
     serving: Option<QueuedCall>,
-    /// Replicas that are ordered, and whether they are loaded.
+    /// Models with an ordered replica, and whether it is loaded.
     replicas: BTreeMap<u32, bool>,
     /// Models without a replica, in the order in which they were called.
     missing: VecDeque<u32>,
+    /// Times of the load orders in the window of their limit.
     load_orders: VecDeque<Micros>,
+    /// Times at which calls were admitted, in the same window.
     accepted: VecDeque<Micros>,
     served: u64,
 }
@@ -132,7 +137,9 @@
     intervals: Vec<Interval>,
     counts: CallCounts,
     refusals: u64,
+    /// Requests for snapshots at the leader.
     leader: Meter,
+    /// Requests for snapshots at each controller.
     peers: Vec<Meter>,
     load_orders: Meter,
 }
@@ -164,7 +171,7 @@
             let start = random.random_range(0..START_JITTER);
             controllers.push(SimulatedController::new(&plan, start, &mut random));
             events.schedule(start, Event::Bootstrap(number));
-            events.schedule(start, Event::NextClient(number));
+            events.schedule(start, Event::NewCall(number));
         }
         events.schedule(0, Event::Tick);
         Self {
@@ -185,13 +192,13 @@
 
     fn handle(&mut self, now: Micros, event: Event) {
         match event {
-            Event::NextClient(controller) => {
+            Event::NewCall(controller) => {
                 let model = self.random.random_range(0..self.plan.models);
                 self.handle_call(now, CallAttempt { controller, first: now, refusals: 0, model });
                 let gap = -(1.0 - self.random.random::<f64>()).ln() / self.plan.calls_per_second;
-                self.events.schedule(now + (gap * 1e6) as Micros, Event::NextClient(controller));
+                self.events.schedule(now + (gap * 1e6) as Micros, Event::NewCall(controller));
             }
-            Event::Call(attempt) => self.handle_call(now, attempt),
+            Event::Retry(attempt) => self.handle_call(now, attempt),
             Event::Served(controller) => self.finish_call(now, controller),
             Event::Loaded { controller, model } => {
                 self.loading -= 1;
@@ -221,7 +228,7 @@
             in_time: self.counts.in_time,
             late: self.counts.late,
             refused: self.counts.refused,
-            given_up: self.counts.given_up,
+            given_up: self.counts.abandoned,
             refusals: self.refusals,
             with_snapshot: with_snapshot.clone().count() as u32,
             last_snapshot_ms: with_snapshot
@@ -234,12 +241,13 @@
         }
     }
 
-    /// See [`Outcome::ready_ms`].
+    /// End in milliseconds of the last degraded interval; `None` if the last complete interval is degraded.
     fn ready_ms(&self) -> Option<u64> {
         // Calls that were made within one deadline of the end of the run have not all ended.
         let complete = ((self.plan.length - self.plan.deadline) / INTERVAL) as usize;
         let intervals = &self.intervals[..complete.max(1)];
-        let is_degraded = |interval: &Interval| (interval.in_time as f64) < 0.9 * interval.ended as f64;
+        let is_degraded =
+            |interval: &Interval| (interval.in_time as f64) < READY_SHARE * interval.ended as f64;
         let ready = intervals.iter().rposition(is_degraded).map_or(0, |last| last + 1);
         (ready < intervals.len()).then_some(ready as u64 * INTERVAL / 1000)
     }
@@ -248,9 +256,9 @@
     fn end_call(&mut self, first: Micros, end: CallEnd) {
         let count = match end {
             CallEnd::InTime => &mut self.counts.in_time,
-            CallEnd::PastObjective => &mut self.counts.late,
+            CallEnd::Late => &mut self.counts.late,
             CallEnd::Refused => &mut self.counts.refused,
-            CallEnd::Abandoned => &mut self.counts.given_up,
+            CallEnd::Abandoned => &mut self.counts.abandoned,
         };
         *count += 1;
         if let Some(interval) = self.intervals.get_mut((first / INTERVAL) as usize) {
--- a/crates/simulation/src/power/plan.rs
+++ b/crates/simulation/src/power/plan.rs
@@ -5,7 +5,7 @@
 use crate::Micros;
 use crate::network::{Network, Peak};
 
-/// When the leader is available again.
+/// The time from which the leader is available again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LeaderReturn {
@@ -24,7 +24,7 @@
     pub controllers: u32,
     /// Network between the controllers and to the leader.
     pub network: Network,
-    /// When the leader is available again.
+    /// Time from which the leader is available again.
     #[serde(rename = "administration")]
     pub leader_return: LeaderReturn,
     /// Probability that a controller has lost its persisted snapshot.
@@ -96,7 +96,7 @@
     /// Maximum numbers of requests and bytes in one second at the leader.
     #[serde(rename = "administration_peak")]
     pub leader_peak: Peak,
-    /// The same maxima over all controllers as peers.
+    /// Maximum numbers of requests and bytes in one second at any controller that peers ask for its snapshot.
     pub peer_peak: Peak,
     /// Maximum number of load orders in one second, over all controllers together.
     #[serde(rename = "orders_peak")]
--- a/crates/simulation/tests/golden.rs
+++ b/crates/simulation/tests/golden.rs
@@ -16,7 +16,7 @@
 fn follow_outcome_keeps_its_json() {
     let (lease_ms, changes, length) = (6_000, 0.5, 4_000_000);
     let plan = follow::Plan { controllers: 5, network: NETWORK, lease_ms, changes, length, seed: 7 };
-    let json = serde_json::to_string(&follow::simulate(plan)).expect("JSON");
+    let json = serde_json::to_string(&follow::simulate(plan)).expect("outcome serialized as JSON");
     assert_eq!(json, expected(0));
 }
 
@@ -45,7 +45,7 @@
             length: 6_000_000,
             seed: 7,
         };
-        let json = serde_json::to_string(&power::simulate(plan)).expect("JSON");
+        let json = serde_json::to_string(&power::simulate(plan)).expect("outcome serialized as JSON");
         assert_eq!(json, expected(1 + index));
     }
 }
--- a/crates/simulation/tests/simulations.rs
+++ b/crates/simulation/tests/simulations.rs
@@ -8,7 +8,7 @@
     Network { loss, delay: 2_000, bandwidth: 100e6 }
 }
 
-fn followers(controllers: u32, loss: f64, seed: u64) -> follow::Plan {
+fn follow_plan(controllers: u32, loss: f64, seed: u64) -> follow::Plan {
     let (lease_ms, changes, length) = (6_000, 0.5, 30_000_000);
     follow::Plan { controllers, network: network(loss), lease_ms, changes, length, seed }
 }
@@ -17,20 +17,20 @@
 fn no_follower_accepts_calls_without_an_acknowledged_change_at_any_loss() {
     for loss in [0.0, 0.05, 0.2] {
         for seed in 0..4 {
-            let outcome = follow::simulate(followers(32, loss, seed));
+            let outcome = follow::simulate(follow_plan(32, loss, seed));
             assert_eq!(outcome.violations, 0, "{outcome:?}");
             assert!(outcome.made > 5 && outcome.acknowledged + 10 >= outcome.made, "{outcome:?}");
             // At any loss, a change is in force within the duration of a lease and the clock error.
             assert!(outcome.max_ms <= 6_000.0 + 60.0 + 25.0, "{outcome:?}");
         }
     }
-    let lossless = follow::simulate(followers(32, 0.0, 9));
+    let lossless = follow::simulate(follow_plan(32, 0.0, 9));
     assert!(lossless.without_lease == 0.0 && lossless.p99_ms < 50.0, "{lossless:?}");
-    let lossy = follow::simulate(followers(32, 0.3, 9));
+    let lossy = follow::simulate(follow_plan(32, 0.3, 9));
     assert!(lossy.p99_ms > lossless.p99_ms && lossy.without_lease < 0.01, "{lossy:?}");
 }
 
-fn plan(leader_return: power::LeaderReturn, lost_snapshots: f64) -> power::Plan {
+fn power_plan(leader_return: power::LeaderReturn, lost_snapshots: f64) -> power::Plan {
     power::Plan {
         controllers: 24,
         network: network(0.01),
@@ -62,7 +62,7 @@
         (LeaderReturn::Never, 0.5, true),
         (LeaderReturn::Never, 1.0, false),
     ] {
-        let outcome = power::simulate(plan(leader_return, lost_snapshots));
+        let outcome = power::simulate(power_plan(leader_return, lost_snapshots));
         assert_eq!(outcome.with_snapshot == 24, recovers, "{leader_return:?}: {outcome:?}");
         assert_eq!(outcome.ready_ms.is_some(), recovers, "{outcome:?}");
     }
@@ -71,8 +71,8 @@
 #[test]
 fn equal_seeds_give_equal_outcomes_and_admission_rejects_early() {
     let (first, second) = (
-        power::simulate(plan(power::LeaderReturn::First, 0.2)),
-        power::simulate(plan(power::LeaderReturn::First, 0.2)),
+        power::simulate(power_plan(power::LeaderReturn::First, 0.2)),
+        power::simulate(power_plan(power::LeaderReturn::First, 0.2)),
     );
     assert_eq!(format!("{first:?}"), format!("{second:?}"));
     // More calls arrive than the workers can serve while they warm up. Without admission control more of them wait in
@@ -81,7 +81,7 @@
         power::simulate(power::Plan {
             calls_per_second: 110.0,
             admission,
-            ..plan(power::LeaderReturn::First, 0.0)
+            ..power_plan(power::LeaderReturn::First, 0.0)
         })
     };
     let (with, without) = (overloaded(true), overloaded(false));
