--- a/crates/scenario/src/alerting/tests.rs
+++ b/crates/scenario/src/alerting/tests.rs
@@ -9,17 +9,17 @@
     let alerts = vec![ExpectedAlert { alert: "A".into(), after: 10 * s, within: 5 * s, clear_by: 40 * s }];
     let watch = Watch { rule_file: String::new(), push_interval: s, speed: 1, alerts };
     let fired = |alert: &str, from, to| FiredAlert { alert: alert.into(), labels: String::new(), from, to };
-    let seen = |alerts| ReceiverReport { alerts, faults: vec![], samples: 1 };
-    assert!(unmet_expectations(&watch, &seen(vec![fired("A", 12 * s, Some(30 * s))])).is_empty());
-    for (alerts, reported) in [
+    let report = |alerts| ReceiverReport { alerts, faults: vec![], samples: 1 };
+    assert!(unmet_expectations(&watch, &report(vec![fired("A", 12 * s, Some(30 * s))])).is_empty());
+    for (alerts, expected) in [
         (vec![], "A did not fire"),
         (vec![fired("A", 9 * s, Some(30 * s))], "fired at 9.0 s"),
         (vec![fired("A", 16 * s, Some(30 * s))], "fired at 16.0 s"),
-        (vec![fired("A", 12 * s, None)], "was not clear"),
+        (vec![fired("A", 12 * s, None)], "A had not cleared by 40.0 s"),
         (vec![fired("A", 12 * s, Some(20 * s)), fired("B", 1, None)], "B fired"),
     ] {
-        let unmet = unmet_expectations(&watch, &seen(alerts));
-        assert!(unmet.len() == 1 && unmet[0].contains(reported), "{unmet:?}");
+        let unmet = unmet_expectations(&watch, &report(alerts));
+        assert!(unmet.len() == 1 && unmet[0].contains(expected), "{unmet:?}");
     }
     assert_eq!(unmet_expectations(&watch, &ReceiverReport::default()).len(), 2);
 }
--- a/crates/scenario/src/attempts.rs
+++ b/crates/scenario/src/attempts.rs
@@ -19,7 +19,7 @@
     /// Value of the `nettleferry-attempt` header; `None` if the header is missing or invalid.
     pub(crate) number: Option<u32>,
     pub(crate) arrived: Micros,
-    /// Whether the worker began to process it.
+    /// Whether the worker began to execute the call, so that it may have had an effect.
     pub(crate) ran: bool,
     /// `None` if the attempt was still open at the end of the run.
     pub(crate) end: Option<AttemptEnd>,
@@ -36,7 +36,7 @@
 pub(crate) enum EndKind {
     /// Cancelled by the controller, or ended by the loss of its connection or worker.
     Cancelled,
-    /// Answered; the attempt may have run.
+    /// Answered without proof that the attempt did not run.
     Answered,
     /// Answered with proof that the worker did not run it.
     NeverRan,
@@ -52,14 +52,14 @@
 /// Groups the attempts by call id, ordered by attempt number. The crash of a worker ends its open attempts.
 pub(crate) fn attempts(evidence: &Evidence) -> BTreeMap<String, Vec<Attempt>> {
     let mut records: Vec<_> = evidence.workers.iter().collect();
-    records.sort_by_key(|r| r.at);
+    records.sort_by_key(|record| record.at);
     let mut all: Vec<(String, Attempt)> = Vec::new();
     let mut open: BTreeMap<(&str, u64), usize> = BTreeMap::new();
     for record in records {
         let worker = record.worker.as_str();
         let mut end_attempt = |stream: u64, kind| {
-            if let Some(at) = open.remove(&(worker, stream)) {
-                all[at].1.end = Some(AttemptEnd { at: record.at, kind });
+            if let Some(index) = open.remove(&(worker, stream)) {
+                all[index].1.end = Some(AttemptEnd { at: record.at, kind });
             }
         };
         match &record.seen {
@@ -76,8 +76,8 @@
                 all.push((id.clone(), attempt));
             }
             ObservationKind::Runs { stream } => {
-                if let Some(at) = open.get(&(worker, *stream)) {
-                    all[*at].1.ran = true;
+                if let Some(index) = open.get(&(worker, *stream)) {
+                    all[*index].1.ran = true;
                 }
             }
             ObservationKind::Gone { stream } => end_attempt(*stream, EndKind::Cancelled),
@@ -87,8 +87,8 @@
             ObservationKind::Down | ObservationKind::Fell => {
                 let streams: Vec<u64> = open.keys().filter(|(w, _)| *w == worker).map(|(_, s)| *s).collect();
                 for stream in streams {
-                    if let Some(at) = open.remove(&(worker, stream)) {
-                        all[at].1.end = Some(AttemptEnd { at: record.at, kind: EndKind::Cancelled });
+                    if let Some(index) = open.remove(&(worker, stream)) {
+                        all[index].1.end = Some(AttemptEnd { at: record.at, kind: EndKind::Cancelled });
                     }
                 }
             }
@@ -103,7 +103,7 @@
         by_call.entry(id).or_default().push(attempt);
     }
     for attempts in by_call.values_mut() {
-        attempts.sort_by_key(|a| (a.number, a.arrived));
+        attempts.sort_by_key(|attempt| (attempt.number, attempt.arrived));
     }
     by_call
 }
@@ -130,15 +130,15 @@
             .evidence
             .controller_runs
             .iter()
-            .filter(|l| l.controller == controller)
-            .map(|l| l.zone.as_str())
+            .filter(|run| run.controller == controller)
+            .map(|run| run.zone.as_str())
             .collect();
         let is_between = move |cut: &&Cut| cut.worker == worker && zones.contains(&cut.zone.as_str());
         self.evidence.cuts.iter().filter(is_between).map(|cut| cut.interval)
     }
 
-    /// The earliest time at which the controller can have sent a message that arrived at the worker at `at`. Nothing
-    /// arrives while a link is cut; whatever was sent in that time arrives when the link is restored.
+    /// The earliest time at which the controller can have sent a message that arrived at the worker at `at`. A message
+    /// that is sent while the link is cut arrives when the link is restored.
     pub(crate) fn earliest_sent(&self, worker: &str, controller: usize, at: Micros) -> Micros {
         let mut earliest = at;
         while let Some(cut) = self
@@ -167,6 +167,7 @@
         // An answered attempt was not cancelled before the worker answered, unless the cancellation was delayed: one
         // that was sent while the link was cut is read once the link is restored.
         let delaying_cut = self.cuts(&attempt.worker, attempt.controller).find(|cut| {
+            // If the attempt arrived just after the restoration, its cancellation can only be read after it.
             let read_from = if attempt.arrived > cut.to && attempt.arrived - cut.to <= self.slack {
                 attempt.arrived
             } else {
--- a/crates/scenario/src/client.rs
+++ b/crates/scenario/src/client.rs
@@ -39,7 +39,7 @@
     pub method: &'static str,
     /// Messages that are sent when the RPC is opened.
     pub messages: Vec<Bytes>,
-    /// Leaves the request stream open for further messages: see [`Client::send`].
+    /// Whether the request stream stays open for further messages, see [`Client::send`].
     pub keep_open: bool,
     /// Value of the `grpc-timeout` header; `None` sends none.
     pub timeout: Option<Duration>,
@@ -58,14 +58,14 @@
 /// An open RPC.
 struct Rpc {
     number: u64,
-    /// Whether the HTTP status was not 200.
-    wrong_status: bool,
+    /// Whether the HTTP status of the response was not 200.
+    wrong_http_status: bool,
 }
 
-/// A gRPC client with up to `width` connections to each address, which it uses in turn.
+/// A gRPC client with a limited number of connections to each address, which it uses in turn.
 pub struct Client {
     hub: Hub,
-    width: usize,
+    connections_per_address: usize,
     connections: HashMap<SocketAddr, Connections>,
     rpcs: HashMap<StreamKey, Rpc>,
     streams: HashMap<u64, StreamKey>,
@@ -75,14 +75,15 @@
 }
 
 impl Client {
-    /// Creates a client that opens up to `width` connections (at least one) to each address on demand.
+    /// Creates a client that opens up to `connections_per_address` connections, at least one, to each address on
+    /// demand.
     ///
     /// # Errors
-    /// The system refuses the event queue.
-    pub fn new(width: usize, limits: NetLimits) -> io::Result<Self> {
+    /// The event queue of the sockets can't be created.
+    pub fn new(connections_per_address: usize, limits: NetLimits) -> io::Result<Self> {
         Ok(Self {
             hub: Hub::new(limits)?,
-            width: width.max(1),
+            connections_per_address: connections_per_address.max(1),
             connections: HashMap::new(),
             rpcs: HashMap::new(),
             streams: HashMap::new(),
@@ -91,7 +92,7 @@
         })
     }
 
-    /// Number of RPCs that have not ended.
+    /// Returns the number of RPCs that have not ended.
     pub fn open_rpcs(&self) -> usize {
         self.rpcs.len()
     }
@@ -99,7 +100,7 @@
     /// Opens an RPC and returns its number. The RPC ends with exactly one [`ClientEvent::End`], unless it is cancelled.
     ///
     /// # Errors
-    /// The system refuses a socket, or a header is invalid.
+    /// A socket can't be created, a header is invalid, or a new connection closes before the stream is opened.
     pub fn call(&mut self, to: SocketAddr, request: ClientRequest) -> io::Result<u64> {
         self.prepare_connection(to)?;
         let mut head = Request::post(format!("http://{to}{SERVICE}{}", request.method))
@@ -115,7 +116,7 @@
         let stream = self.open_stream(to, head)?;
         self.last_rpc += 1;
         let rpc = self.last_rpc;
-        self.rpcs.insert(stream, Rpc { number: rpc, wrong_status: false });
+        self.rpcs.insert(stream, Rpc { number: rpc, wrong_http_status: false });
         self.streams.insert(rpc, stream);
         for message in request.messages {
             self.hub.send(stream, message);
@@ -126,10 +127,10 @@
         Ok(rpc)
     }
 
-    /// Opens a connection if there are fewer than `width`, and advances to the next one in turn.
+    /// Opens a connection if there are fewer than permitted, and selects the next one in turn.
     fn prepare_connection(&mut self, to: SocketAddr) -> io::Result<()> {
         let connections = self.connections.entry(to).or_default();
-        if connections.keys.len() < self.width {
+        if connections.keys.len() < self.connections_per_address {
             connections.keys.push(self.hub.connect(to)?);
         }
         connections.next += 1;
@@ -178,10 +179,10 @@
         }
     }
 
-    /// Resumes (`on`) or pauses reading the responses of an RPC.
-    pub fn set_reading(&mut self, rpc: u64, on: bool) {
+    /// Resumes (`reading`) or pauses reading the responses of an RPC; does nothing if the RPC has ended.
+    pub fn set_reading(&mut self, rpc: u64, reading: bool) {
         let Some(stream) = self.streams.get(&rpc) else { return };
-        if on {
+        if reading {
             self.hub.resume(*stream);
         } else {
             self.hub.pause(*stream);
@@ -216,13 +217,13 @@
             }
             NetEvent::Head { stream, head } if head.status != http::StatusCode::OK => {
                 if let Some(rpc) = self.rpcs.get_mut(&stream) {
-                    rpc.wrong_status = true;
+                    rpc.wrong_http_status = true;
                 }
             }
             NetEvent::Trailers { stream, trailers } => {
-                if let Some(Rpc { number: rpc, wrong_status }) = self.rpcs.remove(&stream) {
+                if let Some(Rpc { number: rpc, wrong_http_status }) = self.rpcs.remove(&stream) {
                     self.streams.remove(&rpc);
-                    let fallback = if wrong_status {
+                    let fallback = if wrong_http_status {
                         "the response is not gRPC: its HTTP status is not 200"
                     } else {
                         "the response has no valid grpc-status"
--- a/crates/scenario/src/fleet.rs
+++ b/crates/scenario/src/fleet.rs
@@ -15,7 +15,7 @@
 use crate::evidence::ListChange;
 
 /// Time within which a started controller must report its listening address.
-const START_LIMIT: Duration = Duration::from_secs(20);
+const START_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// A controller and its process, which can be started more than once. The process is killed on drop.
 pub struct Controller {
@@ -26,15 +26,22 @@
     /// Listening address, which is the same for every incarnation; `None` before the first start.
     pub address: Option<SocketAddr>,
     settings: PathBuf,
-    log: PathBuf,
-    level: String,
+    log_file: PathBuf,
+    log_filter: String,
     child: Option<Child>,
 }
 
 impl Controller {
-    /// Creates a controller without starting it. Its process appends its log, filtered by `level`, to the file `log`.
-    pub fn new(number: usize, zone: String, settings: PathBuf, log: PathBuf, level: String) -> Self {
-        Self { number, zone, address: None, settings, log, level, child: None }
+    /// Creates a controller without starting it. Its process reads the file `settings` and appends its log, filtered by
+    /// `log_filter`, to `log_file`.
+    pub fn new(
+        number: usize,
+        zone: String,
+        settings: PathBuf,
+        log_file: PathBuf,
+        log_filter: String,
+    ) -> Self {
+        Self { number, zone, address: None, settings, log_file, log_filter, child: None }
     }
 
     /// Starts the process and waits until it listens.
@@ -42,22 +49,25 @@
     /// # Errors
     /// The process can't be started, or does not listen in time; it is killed in that case.
     pub fn start(&mut self, program: &Path) -> io::Result<()> {
-        let log = File::options().create(true).append(true).open(&self.log)?;
+        let log = File::options().create(true).append(true).open(&self.log_file)?;
         let mut command = Command::new(program);
-        command.args(["--log", &self.level, "serve"]).arg(&self.settings);
+        command.args(["--log", &self.log_filter, "serve"]).arg(&self.settings);
         if let Some(address) = self.address {
             command.args(["--listen", &address.to_string()]);
         }
         let mut child = command.stdin(Stdio::null()).stdout(Stdio::piped()).stderr(log).spawn()?;
-        let out = child.stdout.take().ok_or_else(|| io::Error::other("no standard output"))?;
+        let stdout = child
+            .stdout
+            .take()
+            .ok_or_else(|| io::Error::other("the controller's standard output is not a pipe"))?;
         let (sender, lines) = channel();
         std::thread::spawn(move || {
-            for line in BufReader::new(out).lines().map_while(Result::ok) {
+            for line in BufReader::new(stdout).lines().map_while(Result::ok) {
                 let _ = sender.send(line);
             }
         });
-        let first = lines.recv_timeout(START_LIMIT);
-        let address = first.ok().and_then(|l| l.strip_prefix("listening grpc ").and_then(|a| a.parse().ok()));
+        let first_line = lines.recv_timeout(START_TIMEOUT).ok();
+        let address = first_line.and_then(|line| line.strip_prefix("listening grpc ")?.parse().ok());
         self.child = Some(child);
         match address {
             Some(address) => {
@@ -66,9 +76,9 @@
             }
             None => {
                 self.kill();
-                let log = std::fs::read_to_string(&self.log).unwrap_or_default();
+                let log = std::fs::read_to_string(&self.log_file).unwrap_or_default();
                 Err(io::Error::other(format!(
-                    "controller {} did not listen: {}",
+                    "controller {} did not report a listening address; its log: {}",
                     self.number,
                     log.trim_end()
                 )))
@@ -76,14 +86,14 @@
         }
     }
 
-    /// Whether the process was started and its end was not observed yet.
+    /// Returns whether the process was started and its end was not observed yet.
     pub fn is_running(&self) -> bool {
         self.child.is_some()
     }
 
     fn signal(&self, signal: Signal) {
         if let Some(child) = &self.child {
-            // The id can't belong to another process, since it is not released before `wait`.
+            // The process id can't belong to another process, since it is reserved until the exit code is read.
             let _ = kill_process(Pid::from_child(child), signal);
         }
     }
@@ -109,7 +119,7 @@
     /// Waits for the end of the process and returns its exit code. Returns `None` if a signal ended the process, or if
     /// it was killed because it did not end within `limit`.
     pub fn wait(&mut self, limit: Duration) -> Option<i32> {
-        let until = Instant::now() + limit;
+        let deadline = Instant::now() + limit;
         loop {
             let child = self.child.as_mut()?;
             match child.try_wait() {
@@ -117,7 +127,7 @@
                     self.child = None;
                     return status.code();
                 }
-                Ok(None) if Instant::now() < until => std::thread::sleep(Duration::from_millis(10)),
+                Ok(None) if Instant::now() < deadline => std::thread::sleep(Duration::from_millis(10)),
                 _ => {
                     self.kill();
                     return None;
@@ -126,8 +136,8 @@
         }
     }
 
-    /// Returns the exit code once the process has ended, with an inner `None` if a signal ended it. Returns `None`
-    /// while it is running.
+    /// Checks without waiting whether the process has ended, and returns its exit code, with an inner `None` if a signal
+    /// ended it. Returns `None` if it is running, or was not started.
     pub fn try_wait(&mut self) -> Option<Option<i32>> {
         let status = self.child.as_mut()?.try_wait().ok()??;
         self.child = None;
@@ -168,7 +178,7 @@
         Self { dir, zones, entries, stale: false, changes: Vec::new() }
     }
 
-    /// Name of the file for a zone's controllers.
+    /// Returns the name of the list file for a zone's controllers.
     pub fn file_name(zone: &str) -> String {
         format!("workers-{zone}.sexp")
     }
--- a/crates/scenario/src/run.rs
+++ b/crates/scenario/src/run.rs
@@ -28,24 +28,24 @@
 pub use crate::error::ScenarioError;
 
 /// Time within which a controller must exit after SIGTERM at the end of the run.
-const END_LIMIT: Duration = Duration::from_secs(20);
-/// Maximum number of retries of a failed restart of a controller, whose listening address may still be in use for a
-/// moment.
-const START_RETRIES: u32 = 50;
-/// Pause between two attempts to start a controller.
-const START_PAUSE: Duration = Duration::from_millis(100);
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(20);
+/// Maximum number of retries of a failed restart of a controller. Its listening address may still be in use right after
+/// the previous process has ended.
+const MAX_START_RETRIES: u32 = 50;
+/// Delay before a retry of a failed restart.
+const START_RETRY_DELAY: Duration = Duration::from_millis(100);
 /// Interval at which due actions and ended processes are checked.
 const TICK: Duration = Duration::from_millis(2);
-/// Delay before another attempt to start a controller whose earlier process is still running.
-const RESTART_PAUSE: Micros = 50_000;
+/// Delay before a scripted start is tried again while the previous process of the controller is still running.
+const RUNNING_RETRY_DELAY: Micros = 50_000;
 
 /// The results of a run.
 pub struct RunOutcome {
-    /// What was observed during the run.
+    /// Observations and actions of the run.
     pub evidence: Evidence,
     /// Descriptions of processes that ended without SIGTERM, or not with exit code 0.
     pub unexpected_exits: Vec<String>,
-    /// What the remote-write receiver recorded; `None` if the scenario has none.
+    /// Alerts and errors that the remote-write receiver recorded; `None` if the scenario has none.
     pub alerts: Option<alerting::ReceiverReport>,
 }
 
@@ -67,16 +67,17 @@
     timeline: Timeline,
 }
 
-/// A folder for the files of a run, named by the id of this process. It is not created.
+/// Returns a path in the system's temporary folder for the files of a run, which contains the id of this process. The
+/// folder is not created.
 pub fn default_dir() -> PathBuf {
     std::env::temp_dir().join(format!("nettleferry-day-{}", std::process::id()))
 }
 
-/// Runs a scenario and returns what was observed.
+/// Runs a scenario and returns the evidence for the audit.
 ///
 /// # Errors
 /// The settings or alert rules of the scenario are invalid, a system call fails, a controller can't be started, or the
-/// thread of the clients fails.
+/// thread of the clients panics.
 pub fn run(script: &Script, environment: &Environment<'_>) -> Result<RunOutcome, ScenarioError> {
     std::fs::create_dir_all(environment.dir).map_err(system("can't create the folder of the run"))?;
     let receiver = setup::start_receiver(script, environment.script_folder)?;
@@ -162,7 +163,9 @@
             commands,
         };
         let thread = std::thread::Builder::new().name("clients".to_owned());
-        let clients = thread.spawn(move || traffic::run(plan)).map_err(system("can't start a thread"))?;
+        let clients = thread
+            .spawn(move || traffic::run(plan))
+            .map_err(system("can't start the thread of the clients"))?;
         for fault in &self.script.faults {
             self.add_fault(begin, fault);
         }
@@ -170,7 +173,10 @@
             self.perform_due()?;
             std::thread::sleep(TICK);
         }
-        clients.join().map_err(|_| ScenarioError::ClientsPanicked)?.map_err(system("the clients failed"))
+        clients
+            .join()
+            .map_err(|_| ScenarioError::ClientsPanicked)?
+            .map_err(system("the clients failed with an I/O error"))
     }
 
     fn add_fault(&mut self, begin: Micros, fault: &ScriptedFault) {
@@ -256,8 +262,8 @@
                 self.controllers[number].terminate();
             }
             Action::Start(number) if self.controllers[number].is_running() => {
-                // The process got SIGTERM and still answers calls; it is started again once that process has ended.
-                let retry_at = self.now() + RESTART_PAUSE;
+                // The previous process got SIGTERM and still answers calls. The start is tried again until it ends.
+                let retry_at = self.now() + RUNNING_RETRY_DELAY;
                 self.timeline.add(retry_at, Action::Start(number));
             }
             Action::Start(number) => self.start(number)?,
@@ -266,7 +272,7 @@
                 self.store.lock().unwrap_or_else(PoisonError::into_inner).slowness = factor;
             }
             Action::OneOff { rate, until } => {
-                // Sending fails only if the clients have ended, which need no command then.
+                // Sending fails only after the clients have ended, when they need no command.
                 let _ = self.clients.send(ClientCommand::OneOff { rate, until });
             }
             Action::CutZone { zone, cut } => self.set_zone_cut(&zone, cut),
@@ -288,16 +294,16 @@
     /// Cuts (`cut`) or restores the links between a zone and all other zones.
     fn set_zone_cut(&self, zone: &str, cut: bool) {
         for handle in &self.handles {
-            let home = self.locations.get(&handle.name).map_or("", |location| location.zone.as_str());
-            for (address_index, from) in self.lists.zones.iter().enumerate() {
-                if (home == zone) != (from == zone) {
+            let worker_zone = self.locations.get(&handle.name).map_or("", |location| location.zone.as_str());
+            for (address_index, controller_zone) in self.lists.zones.iter().enumerate() {
+                if (worker_zone == zone) != (controller_zone == zone) {
                     handle.inject(Fault::Cut { address_index, cut });
                 }
             }
         }
     }
 
-    /// Sets the address to which clients send calls; `None`: clients do not use the controller.
+    /// Sets the address at which clients reach a controller. With `None`, they send it no calls.
     fn set_address(&self, number: usize, address: Option<SocketAddr>) {
         self.addresses.lock().unwrap_or_else(PoisonError::into_inner)[number] = address;
     }
@@ -308,9 +314,9 @@
         loop {
             match self.controllers[number].start(self.program) {
                 Ok(()) => break,
-                Err(_) if retries < START_RETRIES && self.controllers[number].address.is_some() => {
+                Err(_) if retries < MAX_START_RETRIES && self.controllers[number].address.is_some() => {
                     retries += 1;
-                    std::thread::sleep(START_PAUSE);
+                    std::thread::sleep(START_RETRY_DELAY);
                 }
                 Err(source) => {
                     return Err(ScenarioError::System { operation: "can't start a controller", source });
@@ -333,7 +339,7 @@
         }
         for number in 0..self.controllers.len() {
             if self.controllers[number].is_running() {
-                let code = self.controllers[number].wait(END_LIMIT);
+                let code = self.controllers[number].wait(SHUTDOWN_TIMEOUT);
                 if code != Some(0) {
                     self.unexpected_exits
                         .push(format!("controller {number} exited after SIGTERM with code {code:?}"));
--- a/crates/scenario/src/script.rs
+++ b/crates/scenario/src/script.rs
@@ -20,7 +20,7 @@
     pub workers: Zoned,
     /// Capacity and behaviour of each worker.
     pub spec: Spec,
-    /// Whether workers start cold.
+    /// Whether workers start cold, with a part of their capacity.
     pub start_cold: bool,
     /// Limits of the model store that all workers share.
     pub store: StoreLimits,
@@ -30,7 +30,7 @@
     pub settings: String,
     /// Streams of calls; at least one.
     pub traffic: Vec<Traffic>,
-    /// Faults in the order of their start times.
+    /// Faults, ordered by start time.
     pub faults: Vec<ScriptedFault>,
     /// A remote-write receiver that evaluates alert rules, if the scenario has one.
     pub watch: Option<Watch>,
@@ -123,11 +123,11 @@
     pub workers: Vec<String>,
     /// Numbers of the affected controllers; empty means all.
     pub controllers: Vec<usize>,
-    /// Duration of the fault; 0 if it is momentary.
+    /// Duration of the fault; 0 for a momentary fault and for a rolling restart, which lasts one step for each worker.
     pub span: Micros,
 }
 
-/// The kinds of faults.
+/// A kind of fault, with its parameter.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FaultKind {
     /// Workers crash and start again, with a part of their capacity at first.
@@ -136,13 +136,13 @@
     Unresponsive,
     /// Workers return an error for this share of their calls immediately after having run them.
     FastErrors(f64),
-    /// Calls take longer by this factor.
+    /// Calls take this many times as much CPU time.
     Slow(f64),
     /// Workers' load reports are delayed by this time.
     StaleReports(Micros),
     /// All links between this zone and the other zones are cut.
     Cut(String),
-    /// Every worker in turn drains, stops and starts again. The value is the time from one worker to the next.
+    /// The workers drain, stop and start again, one after the other. The value is the time from one worker to the next.
     RollingRestart(Micros),
     /// Changes are not written to the worker list.
     StaleList,
@@ -152,7 +152,7 @@
     Stop,
     /// Controllers are stopped (SIGSTOP) and continued.
     Stall,
-    /// The model store is slower by this factor.
+    /// Fetches from the model store take this many times as long.
     SlowStore(f64),
     /// A new release of the models with this prefix invalidates all their replicas.
     Release(String),
@@ -180,6 +180,12 @@
 pub const MAX_CONTROLLERS: u64 = 16;
 /// Maximum number of calls per second of one stream of traffic.
 pub const MAX_RATE: f64 = 5_000.0;
+/// Maximum ratio of the clock of the alert rules to that of the run.
+const MAX_SPEED: u32 = 100;
+const DEFAULT_PUSH_INTERVAL: Micros = 1_000_000;
+const MIN_PUSH_INTERVAL: Micros = 10_000;
+const MAX_SEGMENTS: i64 = 1_000;
+const MAX_INPUT_BYTES: u64 = 16 << 20;
 const DEFAULT_LIST_LAG: Micros = 200_000;
 
 /// The form `(day NAME ...)` of a scenario file.
@@ -248,7 +254,7 @@
 }
 
 fn header(mut form: Form) -> Header {
-    let name = form.name_argument();
+    let name = name_argument(&mut form);
     let length = form.required::<TimeSpan>("length").map_or(1, |span| span.0);
     if length == 0 || length > MAX_LENGTH {
         form.error(format!("(length ...): more than 0, at most {}s", MAX_LENGTH / 1_000_000));
@@ -284,14 +290,14 @@
 fn watch(mut form: Form) -> Watch {
     let span = |form: &mut Form, key| form.required::<TimeSpan>(key).map_or(0, |s| s.0);
     let rule_file = form.required("rules").unwrap_or_default();
-    let push_interval = form.micros_or("every", 1_000_000).max(10_000);
+    let push_interval = form.micros_or("every", DEFAULT_PUSH_INTERVAL).max(MIN_PUSH_INTERVAL);
     let speed = form.value_or("speed", 1u32);
-    if speed == 0 || speed > 100 {
-        form.error(format!("(speed {speed}): from 1 to 100"));
+    if speed == 0 || speed > MAX_SPEED {
+        form.error(format!("(speed {speed}): from 1 to {MAX_SPEED}"));
     }
     let mut alerts = Vec::new();
     for mut fires in form.lists("fires") {
-        let alert = fires.name_argument();
+        let alert = name_argument(&mut fires);
         let (after, within) = (span(&mut fires, "after"), span(&mut fires, "within"));
         alerts.push(ExpectedAlert { alert, after, within, clear_by: span(&mut fires, "clear-by") });
         fires.finish();
@@ -300,28 +306,29 @@
     Watch { rule_file, push_interval, speed, alerts }
 }
 
-trait ParseByName {
-    fn name_argument(&mut self) -> String;
+/// Reads the next item of a form as its name; empty if it is missing.
+fn name_argument(form: &mut Form) -> String {
+    form.required_item::<String>("its name").unwrap_or_default()
 }
 
-impl ParseByName for Form {
-    fn name_argument(&mut self) -> String {
-        self.required_item::<String>("its name").unwrap_or_default()
-    }
-}
-
-/// Reads `(key COUNT (zones ...) ...)`, with a count of at most `most`. `read` reads the other options of the form.
-fn zoned(top: &mut Form, key: &'static str, most: u64, read: impl FnOnce(&mut Form)) -> Option<Zoned> {
+/// Reads `(key COUNT (zones ...) ...)`, with a count of at most `max_count`. `read_options` reads the other options of
+/// the form.
+fn zoned(
+    top: &mut Form,
+    key: &'static str,
+    max_count: u64,
+    read_options: impl FnOnce(&mut Form),
+) -> Option<Zoned> {
     let mut form = top.required_list(key)?;
     let count = form.required_item::<u64>("how many")?;
-    if count == 0 || count > most {
-        form.error(format!("({key} {count}): from 1 to {most}"));
+    if count == 0 || count > max_count {
+        form.error(format!("({key} {count}): from 1 to {max_count}"));
     }
     let zones = words(&mut form, "zones");
     let zones = if zones.is_empty() { vec!["a".to_owned()] } else { zones };
-    read(&mut form);
+    read_options(&mut form);
     form.finish();
-    Some(Zoned { count: count.clamp(1, most) as usize, zones })
+    Some(Zoned { count: count.clamp(1, max_count) as usize, zones })
 }
 
 /// Reads the words of the optional list `(key WORD ...)`.
@@ -345,7 +352,7 @@
 }
 
 fn traffic(mut form: Form) -> Traffic {
-    let name = form.name_argument();
+    let name = name_argument(&mut form);
     if !nettleferry_test_servers::models::exists(&name) {
         form.error(format!(
             "traffic {name}: the models of the test workers are echo, echo-*, climb and climb-*"
@@ -361,8 +368,8 @@
         rate: rate.min(MAX_RATE),
         streamed: form.value_or("streamed", false),
         shared: form.value_or("shared", false),
-        segments: form.value_or("segments", 1i64).clamp(1, 1000),
-        bytes: form.value_or("bytes", 64u64).min(16 << 20) as usize,
+        segments: form.value_or("segments", 1i64).clamp(1, MAX_SEGMENTS),
+        bytes: form.value_or("bytes", 64u64).min(MAX_INPUT_BYTES) as usize,
         deadline: form.optional::<TimeSpan>("deadline").map(|s| s.0),
         cancel: share(&mut form, "cancel"),
         slow: share(&mut form, "slow"),
@@ -400,7 +407,7 @@
 
 fn scripted_fault(at: Micros, mut form: Form, workers: usize, controllers: usize) -> Option<ScriptedFault> {
     let kind = fault_kind(&mut form)?;
-    let is_momentary = matches!(
+    let has_no_duration = matches!(
         kind,
         FaultKind::Release(_)
             | FaultKind::GoAway
@@ -408,7 +415,7 @@
             | FaultKind::HalfFrame
             | FaultKind::RollingRestart(_)
     );
-    let span = if is_momentary { 0 } else { form.required::<TimeSpan>("for")?.0 };
+    let span = if has_no_duration { 0 } else { form.required::<TimeSpan>("for")?.0 };
     let workers = worker_names(&mut form, workers);
     let controllers = controller_numbers(&mut form, controllers);
     form.finish();
@@ -440,7 +447,7 @@
         "half-frame" => FaultKind::HalfFrame,
         other => {
             let hint = nettleferry_config::form::nearest(other, FAULT_NAMES.into_iter());
-            form.error(format!("there is no trouble {other}{hint}"));
+            form.error(format!("there is no fault {other}{hint}"));
             return None;
         }
     })
@@ -451,7 +458,7 @@
     for name in &names {
         let number = name.strip_prefix('w').and_then(|number| number.parse::<usize>().ok());
         if !number.is_some_and(|number| (1..=workers).contains(&number)) {
-            form.error(format!("there is no worker {name}: they are w1 to w{workers}"));
+            form.error(format!("there is no worker {name}: the workers are w1 to w{workers}"));
         }
     }
     names
@@ -464,7 +471,7 @@
             Some(number) => numbers.push(number),
             None => {
                 form.error(format!(
-                    "there is no controller {text}: they are 0 to {}",
+                    "there is no controller {text}: the controllers are 0 to {}",
                     controllers.max(1) - 1
                 ));
             }
--- a/crates/scenario/src/script/tests.rs
+++ b/crates/scenario/src/script/tests.rs
@@ -26,11 +26,11 @@
     );
     let errors = read("d.sexp", &text).expect_err("the scenario contains unknown names").to_string();
     for part in [
-        "there is no worker w9: they are w1 to w3",
+        "there is no worker w9: the workers are w1 to w3",
         "cut lacks (for ...)",
-        "there is no trouble crush: did you mean crash?",
+        "there is no fault crush: did you mean crash?",
         "traffic zebra",
     ] {
-        assert!(errors.contains(part), "{part} in {errors}");
+        assert!(errors.contains(part), "no error contains {part:?}: {errors}");
     }
 }
--- a/crates/scenario/src/setup.rs
+++ b/crates/scenario/src/setup.rs
@@ -40,7 +40,7 @@
     pub(crate) config: Config,
 }
 
-/// Wall clock time in microseconds since the Unix epoch.
+/// Returns the wall-clock time in microseconds since the Unix epoch.
 pub(crate) fn unix_time() -> Micros {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as Micros
 }
@@ -63,8 +63,11 @@
     let text =
         std::fs::read_to_string(&path).map_err(system("can't read the alert rule file of the scenario"))?;
     let rules = nettleferry_alerts::rules::read(&path.display().to_string(), &text)?;
-    let mut receiver = Receiver::start(Mode::Accept).map_err(system("can't start a receiver"))?;
-    receiver.watch(rules, watch.speed).map_err(system("can't start a thread"))?;
+    let mut receiver =
+        Receiver::start(Mode::Accept).map_err(system("can't start the remote-write receiver"))?;
+    receiver
+        .watch(rules, watch.speed)
+        .map_err(system("can't start the thread that evaluates alert rules"))?;
     Ok(Some(receiver))
 }
 
@@ -83,7 +86,7 @@
             cold: script.start_cold,
             seed: script.seed.wrapping_add(index as u64),
         })
-        .map_err(system("can't start a stand-in worker"))?;
+        .map_err(system("can't start a test worker"))?;
         let worker = Worker {
             name: handle.name.clone(),
             address: handle.addresses[0],
@@ -101,7 +104,7 @@
     Ok(workers)
 }
 
-/// Writes the controllers' settings files, without starting the controllers.
+/// Writes the controllers' settings files. The controllers are not started.
 pub(crate) fn prepare_controllers(
     script: &Script,
     environment: &Environment,
@@ -125,7 +128,7 @@
     Ok(Controllers { controllers, config: config.ok_or(ScenarioError::NoControllers)? })
 }
 
-/// The settings by which a controller pushes its metrics to the receiver.
+/// Returns the settings by which a controller pushes its metrics to the receiver.
 fn push_settings(watch: &Watch, receiver: &Receiver, number: usize) -> String {
     format!(
         "(figures (push (to \"{}\") (every {}us) (batch-age 20ms) (spool \"spool-{number}\") (label instance \"c{number}\")))\n",
@@ -133,7 +136,7 @@
     )
 }
 
-/// The settings of a controller: the parts that the run adds, followed by those of the scenario.
+/// Returns the settings of a controller: the parts that the run adds, followed by those of the scenario.
 fn controller_settings(script: &Script, number: usize, zone: &str) -> String {
     format!(
         "(listen (grpc \"127.0.0.1:0\"))\n(controller (number {number}) (of {}) (zone \"{zone}\") (seed {}))\n\
--- a/crates/scenario/src/timeline.rs
+++ b/crates/scenario/src/timeline.rs
@@ -7,15 +7,15 @@
 
 use crate::script::{FaultKind, ScriptedFault};
 
-/// How long a worker that was unresponsive and crashed stays down before it starts again.
-const DOWN_FOR: Micros = 50_000;
+/// Time from the crash that ends an unresponsive period of a worker to the restart of the worker.
+const RESTART_DELAY: Micros = 50_000;
 
 /// A single action of a run.
 #[derive(Clone, Debug)]
 pub(crate) enum Action {
     /// Injects a fault into a worker.
     Fault { worker: String, fault: Fault },
-    /// Changes a worker's state in the lists. `restarted`: the worker has just started, and its time of start changes.
+    /// Changes a worker's state in the lists, and also its time of start if it has `restarted`.
     List { worker: String, state: WorkerState, restarted: bool },
     /// Stops (`true`) or resumes the writing of the worker lists.
     StaleList(bool),
@@ -27,7 +27,7 @@
     Start(usize),
     /// Sends SIGSTOP (`stalled`) or SIGCONT to a controller.
     Stall { controller: usize, stalled: bool },
-    /// Slows down the model store by this factor.
+    /// Sets the factor on the duration of fetches from the model store.
     StoreSlowness(f64),
     /// Makes the clients send additional calls, `rate` per second until `until`, each for a different model.
     OneOff { rate: f64, until: Micros },
@@ -52,6 +52,7 @@
 /// The actions of a run in order of time. Actions with equal times keep the order in which they were added.
 pub(crate) struct Timeline {
     actions: BTreeMap<(Micros, u64), Action>,
+    /// Number of actions added so far.
     added: u64,
     list_lag: Micros,
 }
@@ -111,7 +112,7 @@
                 for worker in scope.workers {
                     self.add_worker_fault(scope.from, worker, Fault::Unresponsive(true));
                     self.add_worker_fault(scope.to, worker, Fault::Die);
-                    self.add_restart(scope.to + DOWN_FOR, worker);
+                    self.add_restart(scope.to + RESTART_DELAY, worker);
                 }
             }
             FaultKind::RollingRestart(step) => self.add_rolling_restart(*step, scope),
@@ -158,7 +159,8 @@
         }
     }
 
-    /// Makes one worker after the other drain, stop and start again, with `step` between two workers.
+    /// Restarts one worker after the other, at intervals of `step`. A worker drains for six tenths of this time, and is
+    /// down for the next two tenths.
     fn add_rolling_restart(&mut self, step: Micros, scope: &Scope) {
         for (index, worker) in scope.workers.iter().enumerate() {
             let from = scope.from + step * index as Micros;
@@ -213,7 +215,7 @@
     Some(Toggle { on, off })
 }
 
-/// The fault of a worker that has no end of its own; `None` for other kinds.
+/// The fault of a worker that is injected once and not ended by the run; `None` for other kinds.
 fn momentary(kind: &FaultKind) -> Option<Fault> {
     match kind {
         FaultKind::GoAway => Some(Fault::GoAway),
