--- a/crates/scenario/src/audit.rs
+++ b/crates/scenario/src/audit.rs
@@ -30,17 +30,17 @@
 pub struct Breach {
     /// Number of the rule, from 1 to 5.
     pub rule: u8,
-    /// When the rule was broken, as far as the evidence shows.
+    /// Time at which the rule was broken, as far as the evidence shows.
     pub at: Micros,
     /// The id of the call concerned; `None` if the breach concerns a worker or a controller only.
     pub call: Option<String>,
     /// Description of what was observed.
-    pub what: String,
+    pub description: String,
 }
 
 impl fmt::Display for Breach {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "rule {} broken at {:.3} s: {}", self.rule, self.at as f64 / 1e6, self.what)
+        write!(f, "rule {} broken at {:.3} s: {}", self.rule, self.at as f64 / 1e6, self.description)
     }
 }
 
@@ -77,7 +77,7 @@
     controller: usize,
     at: Micros,
     call: Option<&'a str>,
-    what: String,
+    description: String,
 }
 
 /// Checks all rules and returns the breaches, ordered by rule and then by time.
@@ -101,7 +101,7 @@
 fn calls(evidence: &Evidence) -> BTreeMap<&str, Call<'_>> {
     let mut calls: BTreeMap<&str, Call<'_>> = BTreeMap::new();
     for record in &evidence.clients {
-        if let ClientObservation::Sent { controller, deadline, effect, slow, .. } = &record.what {
+        if let ClientObservation::Sent { controller, deadline, effect, slow, .. } = &record.observation {
             let call = Call {
                 controller: *controller,
                 sent: record.at,
@@ -116,7 +116,7 @@
             calls.insert(&record.id, call);
         }
         let Some(call) = calls.get_mut(record.id.as_str()) else { continue };
-        match &record.what {
+        match &record.observation {
             ClientObservation::Sent { .. } => {}
             ClientObservation::Part => call.last_part = Some(record.at),
             ClientObservation::Final(kind) => {
@@ -137,9 +137,9 @@
 }
 
 impl Auditor<'_> {
-    fn add_call_breach(&mut self, rule: u8, at: Micros, id: &str, what: &str) {
-        let what = format!("call {id}: {what}");
-        self.breaches.push(Breach { rule, at, call: Some(id.to_owned()), what });
+    fn add_call_breach(&mut self, rule: u8, at: Micros, id: &str, description: &str) {
+        let description = format!("call {id}: {description}");
+        self.breaches.push(Breach { rule, at, call: Some(id.to_owned()), description });
     }
 
     /// The incarnation of a controller that was running at a given time.
@@ -169,8 +169,8 @@
     fn check_answers(&mut self, id: &str, call: &Call, attempts: &[Attempt]) {
         let first = call.finals.first().copied();
         if call.finals.len() > 1 {
-            let what = format!("{} final answers", call.finals.len());
-            self.add_call_breach(1, call.finals[1].at, id, &what);
+            let description = format!("{} final answers", call.finals.len());
+            self.add_call_breach(1, call.finals[1].at, id, &description);
         }
         if let (Some(part), Some(answer)) = (call.last_part, first)
             && part > answer.at
@@ -195,8 +195,8 @@
         for attempt in attempts {
             // An attempt that was already on its way when the call ended is permitted.
             if self.links.attempt_earliest_sent(attempt) > ended {
-                let what = format!("an attempt reached {} after the call had ended", attempt.worker);
-                self.add_call_breach(1, attempt.arrived, id, &what);
+                let description = format!("an attempt reached {} after the call had ended", attempt.worker);
+                self.add_call_breach(1, attempt.arrived, id, &description);
             }
         }
     }
@@ -205,8 +205,8 @@
     fn check_effects(&mut self, id: &str, call: &Call, attempts: &[Attempt]) {
         let runs: Vec<&Attempt> = attempts.iter().filter(|attempt| attempt.ran).collect();
         if *call.effect == Effect::NonIdempotent && runs.len() > 1 {
-            let what = format!("unsafe, and ran at {} and at {}", runs[0].worker, runs[1].worker);
-            self.add_call_breach(2, runs[1].arrived, id, &what);
+            let description = format!("unsafe, and ran at {} and at {}", runs[0].worker, runs[1].worker);
+            self.add_call_breach(2, runs[1].arrived, id, &description);
         }
         let may_repeat =
             matches!(call.effect, Effect::Idempotent | Effect::IdempotencyKey { scope: KeyScope::All, .. });
@@ -223,11 +223,11 @@
         for (index, later) in attempts.iter().enumerate() {
             for earlier in &attempts[..index] {
                 if self.links.attempt_earliest_end(earlier) > later.arrived {
-                    let what = format!(
+                    let description = format!(
                         "an attempt at {} began while one at {} was open",
                         later.worker, earlier.worker
                     );
-                    self.add_call_breach(2, later.arrived, id, &what);
+                    self.add_call_breach(2, later.arrived, id, &description);
                 }
             }
         }
@@ -239,8 +239,8 @@
             if attempt.number.is_none() || repeated {
                 let number =
                     attempt.number.map_or("no number".to_owned(), |number| format!("number {number} again"));
-                let what = format!("an attempt at {} with {number}", attempt.worker);
-                self.add_call_breach(2, attempt.arrived, id, &what);
+                let description = format!("an attempt at {} with {number}", attempt.worker);
+                self.add_call_breach(2, attempt.arrived, id, &description);
             }
         }
     }
@@ -250,28 +250,29 @@
     fn check_keyed(&mut self, id: &str, scope: KeyScope, window: Micros, attempts: &[Attempt]) {
         let Some(first) = attempts.iter().position(Attempt::may_have_run) else { return };
         let location = |worker: &str| self.evidence.locations.get(worker).cloned().unwrap_or_default();
-        let bound = &attempts[first].worker;
-        let home = location(bound);
+        let first_worker = &attempts[first].worker;
+        let first_location = location(first_worker);
         // The first attempt was sent before any later attempt arrived, even if it arrived after them itself.
         let latest_sent = attempts[first..].iter().map(|attempt| attempt.arrived).min().unwrap_or(0);
         let mut found = Vec::new();
         for later in &attempts[first + 1..] {
-            let there = location(&later.worker);
-            let within = match scope {
+            let later_location = location(&later.worker);
+            let in_scope = match scope {
                 KeyScope::All => true,
-                KeyScope::Zone => there.zone == home.zone,
-                KeyScope::Cell => there.cell == home.cell,
+                KeyScope::Zone => later_location.zone == first_location.zone,
+                KeyScope::Cell => later_location.cell == first_location.cell,
             };
-            if !within {
-                let what = format!("keyed, repeated at {} outside the group of {bound}", later.worker);
-                found.push((later.arrived, what));
+            if !in_scope {
+                let description =
+                    format!("keyed, repeated at {} outside the group of {first_worker}", later.worker);
+                found.push((later.arrived, description));
             }
             if self.links.attempt_earliest_sent(later) > latest_sent + window {
                 found.push((later.arrived, "keyed, repeated after its window".to_owned()));
             }
         }
-        for (at, what) in found {
-            self.add_call_breach(2, at, id, &what);
+        for (at, description) in found {
+            self.add_call_breach(2, at, id, &description);
         }
     }
 
@@ -284,7 +285,7 @@
                     controller: attempt.controller,
                     at: attempt.arrived,
                     call: Some(id),
-                    what: format!("call {id}"),
+                    description: format!("call {id}"),
                 });
             }
         }
@@ -295,16 +296,16 @@
                     controller: controller.parse().unwrap_or(usize::MAX),
                     at: record.at,
                     call: None,
-                    what: format!("an order to load {model}"),
+                    description: format!("an order to load {model}"),
                 });
             }
         }
     }
 
     fn check_drained(&mut self, arrival: Arrival) {
-        let Arrival { worker, controller, at, call, what } = arrival;
+        let Arrival { worker, controller, at, call, description } = arrival;
         let grace = self.evidence.parameters.drain_grace + self.evidence.parameters.list_check;
-        // It may have been sent at any time from `earliest_sent` until it arrived.
+        // The attempt or load order may have been sent at any time from `earliest_sent` until it arrived.
         let earliest_sent = self.links.earliest_sent(worker, controller, at);
         let Some(listed) = self.last_listed(worker, earliest_sent) else { return };
         let turned_on_in_transit = |change: &ListChange| {
@@ -325,8 +326,8 @@
             return;
         }
         let late_ms = (at - listed.at) / 1000;
-        let what = format!("{what} reached {worker} {late_ms} ms after word of its drain");
-        self.breaches.push(Breach { rule: 3, at, call: call.map(str::to_owned), what });
+        let description = format!("{description} reached {worker} {late_ms} ms after word of its drain");
+        self.breaches.push(Breach { rule: 3, at, call: call.map(str::to_owned), description });
     }
 
     /// The last change of a worker's list entry that was made no later than `at`.
@@ -338,8 +339,8 @@
     /// Rule 4: no worker is overloaded while it is warming up.
     fn check_overload(&mut self) {
         for record in self.evidence.workers.iter().filter(|record| record.seen == ObservationKind::Fell) {
-            let what = format!("{} was pushed over while cold", record.worker);
-            self.breaches.push(Breach { rule: 4, at: record.at, call: None, what });
+            let description = format!("{} was pushed over while cold", record.worker);
+            self.breaches.push(Breach { rule: 4, at: record.at, call: None, description });
         }
     }
 
@@ -370,10 +371,10 @@
             let accepted = calls.iter().filter(|sent| **sent >= since && **sent <= order.arrived).count();
             let permitted = parameters.ration_floor + parameters.ration_share * accepted as f64;
             if count as f64 > permitted {
-                let what = format!(
+                let description = format!(
                     "controller {controller}: {count} load orders in the window, {permitted:.1} permitted by {accepted} calls"
                 );
-                found.push(Breach { rule: 5, at: order.arrived, call: None, what });
+                found.push(Breach { rule: 5, at: order.arrived, call: None, description });
             }
         }
         self.breaches.extend(found);
@@ -407,7 +408,7 @@
     fn calls_sent(&self, number: usize) -> Vec<Micros> {
         let mut calls = Vec::new();
         for record in &self.evidence.clients {
-            if let ClientObservation::Sent { controller, .. } = record.what
+            if let ClientObservation::Sent { controller, .. } = record.observation
                 && controller == number
                 && self.was_running(number, record.at)
             {
--- a/crates/scenario/src/event_log.rs
+++ b/crates/scenario/src/event_log.rs
@@ -1,4 +1,4 @@
-//! The evidence as text with one line per event: all of it, or only what concerns one call.
+//! Formats the evidence as text with one line per event: either all events or those that concern one call.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -8,14 +8,14 @@
 
 use crate::evidence::{ClientObservation, Evidence};
 
-/// How long before the first event of a call the events of its workers and its controller are included.
-const BEFORE: Micros = 5_000_000;
+/// Time before the first event of a call from which the events of its workers and its controller are included.
+const CONTEXT_BEFORE: Micros = 5_000_000;
 
 /// One event with its time, its observer, and the id of the call to which it belongs, if any.
 struct Line {
     at: Micros,
     observer: String,
-    what: String,
+    text: String,
     call: Option<String>,
 }
 
@@ -25,7 +25,7 @@
     lines.extend(evidence.list_changes.iter().map(|change| Line {
         at: change.at,
         observer: "list".to_owned(),
-        what: format!("{} is {}", change.worker, state_text(change.state)),
+        text: format!("{} is {}", change.worker, state_text(change.state)),
         call: None,
     }));
     lines.extend(controller_lines(evidence));
@@ -36,7 +36,7 @@
 fn client_lines(evidence: &Evidence) -> Vec<Line> {
     let records = evidence.clients.iter();
     let lines = records.map(|record| {
-        let what = match &record.what {
+        let text = match &record.observation {
             ClientObservation::Sent { controller, model, deadline, effect, class, .. } => format!(
                 "sent to controller {controller}: {model}, class {class}, {}, gives up at {:.3}",
                 effect_text(*effect),
@@ -47,7 +47,7 @@
             ClientObservation::Cancelled => "cancelled by the client".to_owned(),
             ClientObservation::Lost => "the client's connection broke".to_owned(),
         };
-        Line { at: record.at, observer: "client".to_owned(), what, call: Some(record.id.clone()) }
+        Line { at: record.at, observer: "client".to_owned(), text, call: Some(record.id.clone()) }
     });
     lines.collect()
 }
@@ -58,7 +58,7 @@
     for record in &evidence.workers {
         let worker = record.worker.as_str();
         let call_of = |stream: &u64| streams.get(&(worker, *stream)).copied();
-        let (what, call) = match &record.seen {
+        let (text, call) = match &record.seen {
             ObservationKind::Call { stream, id, model, controller, attempt, .. } => {
                 streams.insert((worker, *stream), id);
                 let number = attempt.map_or("without a number".to_owned(), |number| number.to_string());
@@ -84,7 +84,7 @@
             other => (format!("{other:?}"), None),
         };
         let call = call.map(str::to_owned);
-        lines.push(Line { at: record.at, observer: worker.to_owned(), what, call });
+        lines.push(Line { at: record.at, observer: worker.to_owned(), text, call });
     }
     lines
 }
@@ -113,17 +113,18 @@
     }
 }
 
-/// The zone of the controllers whose link to the worker's address `door` was cut or restored at time `at`.
-fn link_origin(evidence: &Evidence, worker: &str, door: usize, at: Micros) -> String {
+/// The zone of the controllers whose link to a worker was cut or restored at time `at`, or the index of the worker's
+/// address if no such cut is known.
+fn link_origin(evidence: &Evidence, worker: &str, address_index: usize, at: Micros) -> String {
     let mut cuts = evidence.cuts.iter();
     let cut = cuts.find(|cut| cut.worker == worker && (cut.interval.from == at || cut.interval.to == at));
-    cut.map_or(format!("door {door}"), |cut| format!("zone {}", cut.zone))
+    cut.map_or(format!("door {address_index}"), |cut| format!("zone {}", cut.zone))
 }
 
 fn controller_lines(evidence: &Evidence) -> Vec<Line> {
     let mut lines = Vec::new();
-    let mut add_line = |at, controller: usize, what: String| {
-        lines.push(Line { at, observer: format!("controller {controller}"), what, call: None });
+    let mut add_line = |at, controller: usize, text: String| {
+        lines.push(Line { at, observer: format!("controller {controller}"), text, call: None });
     };
     for run in &evidence.controller_runs {
         add_line(run.from, run.controller, format!("listens, zone {}", run.zone));
@@ -143,7 +144,7 @@
 
 fn write_line(out: &mut String, line: &Line) {
     let call = line.call.as_ref().map_or(String::new(), |id| format!("call {id}: "));
-    let _ = writeln!(out, "{:10.6} s  {:12}  {call}{}", line.at as f64 / 1e6, line.observer, line.what);
+    let _ = writeln!(out, "{:10.6} s  {:12}  {call}{}", line.at as f64 / 1e6, line.observer, line.text);
 }
 
 /// Returns all events of a run as lines in order of time.
@@ -155,29 +156,29 @@
     out
 }
 
-/// Returns the events of the call `id`, and what happened in that time, and shortly before, to the workers and the
-/// controller involved.
+/// Returns the events of the call `id`, and the events of the workers and the controller involved from
+/// [`CONTEXT_BEFORE`] the first of these to the last.
 pub fn of_call(evidence: &Evidence, id: &str) -> String {
     let lines = lines(evidence);
     let is_of_call = |line: &Line| line.call.as_deref() == Some(id);
     let call_lines = || lines.iter().filter(|line| is_of_call(line));
     let mut involved: Vec<String> = call_lines().map(|line| line.observer.clone()).collect();
     for record in evidence.clients.iter().filter(|record| record.id == id) {
-        if let ClientObservation::Sent { controller, .. } = &record.what {
+        if let ClientObservation::Sent { controller, .. } = &record.observation {
             involved.push(format!("controller {controller}"));
         }
     }
-    let from = call_lines().map(|line| line.at).min().unwrap_or(0);
-    let to = call_lines().map(|line| line.at).max().unwrap_or(0);
+    let first = call_lines().map(|line| line.at).min().unwrap_or(0);
+    let last = call_lines().map(|line| line.at).max().unwrap_or(0);
     // A fault that began before the call may explain what happened to it.
-    let interval = from.saturating_sub(BEFORE)..=to;
+    let interval = first.saturating_sub(CONTEXT_BEFORE)..=last;
     let mut out = String::new();
     for line in &lines {
         let is_context = line.call.is_none()
             && interval.contains(&line.at)
             && involved.contains(&line.observer)
-            && !line.what.starts_with("Probe")
-            && !line.what.starts_with("Order");
+            && !line.text.starts_with("Probe")
+            && !line.text.starts_with("Order");
         if is_of_call(line) || is_context {
             out.push_str("    ");
             write_line(&mut out, line);
--- a/crates/scenario/src/evidence.rs
+++ b/crates/scenario/src/evidence.rs
@@ -9,12 +9,12 @@
 /// An event of a call as recorded by its client.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClientRecord {
-    /// When the client recorded the event.
+    /// Time at which the client recorded the event.
     pub at: Micros,
     /// Id of the call.
     pub id: String,
-    /// The event.
-    pub what: ClientObservation,
+    /// What the client did or observed.
+    pub observation: ClientObservation,
 }
 
 /// What a client did or observed.
@@ -50,11 +50,12 @@
 /// The outcome that a final answer reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FinalStatus {
-    /// Status OK.
+    /// The call was served: status OK.
     Served,
-    /// Status UNAVAILABLE with permission to retry.
+    /// The call was refused: its RPC ended with status UNAVAILABLE and trailers that permit a retry, or a message of a
+    /// stream reported UNAVAILABLE.
     Refused,
-    /// Any other status.
+    /// The call ended with any other status.
     Failed,
 }
 
@@ -65,11 +66,12 @@
     pub controller: usize,
     /// Zone of the controller.
     pub zone: String,
-    /// When the process began to listen.
+    /// Time at which the process was observed to listen.
     pub from: Micros,
-    /// When SIGTERM was sent. The process still has to answer the calls that it had accepted.
+    /// Time at which SIGTERM was sent; `None` if it was not sent before the end of the run. The process still has to
+    /// answer the calls that it had accepted.
     pub ending: Option<Micros>,
-    /// When the end of the process was observed; `None` if it was running until the end of the run.
+    /// Time at which the end of the process was observed; `None` if it was running until the end of the run.
     pub to: Option<Micros>,
 }
 
@@ -94,7 +96,7 @@
 pub struct Stall {
     /// Number of the controller.
     pub controller: usize,
-    /// When the controller was stopped.
+    /// Scripted time from SIGSTOP to SIGCONT.
     pub interval: Interval,
 }
 
@@ -105,7 +107,7 @@
     pub worker: String,
     /// Zone of the controllers.
     pub zone: String,
-    /// When the links were cut.
+    /// Time from the cut to the restoration, which is [`Micros::MAX`] if the links were not restored.
     pub interval: Interval,
 }
 
@@ -113,7 +115,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Link<'a> {
     worker: &'a str,
-    door: usize,
+    address_index: usize,
     conn: Option<u64>,
 }
 
@@ -173,7 +175,7 @@
     pub parameters: RuleParameters,
     /// Locations of the workers by name.
     pub locations: BTreeMap<String, Location>,
-    /// When the run ended.
+    /// Time at which the run ended.
     pub until: Micros,
 }
 
@@ -182,21 +184,21 @@
 pub fn cuts(workers: &[Observation], zones: &[String]) -> Vec<Cut> {
     let mut open: BTreeMap<Link, Micros> = BTreeMap::new();
     let mut cuts = Vec::new();
-    let mut add_cut = |worker: &str, door: usize, from, to| {
-        let zone = zones.get(door).cloned().unwrap_or_default();
+    let mut add_cut = |worker: &str, address_index: usize, from, to| {
+        let zone = zones.get(address_index).cloned().unwrap_or_default();
         cuts.push(Cut { worker: worker.to_owned(), zone, interval: Interval { from, to } });
     };
     for record in workers {
         let ObservationKind::Link { address_index, conn, cut } = record.seen else { continue };
-        let link = Link { worker: &record.worker, door: address_index, conn };
+        let link = Link { worker: &record.worker, address_index, conn };
         if cut {
             open.entry(link).or_insert(record.at);
         } else if let Some(from) = open.remove(&link) {
             add_cut(&record.worker, address_index, from, record.at);
         }
     }
-    for (Link { worker, door, .. }, from) in open {
-        add_cut(worker, door, from, Micros::MAX);
+    for (Link { worker, address_index, .. }, from) in open {
+        add_cut(worker, address_index, from, Micros::MAX);
     }
     cuts
 }
--- a/crates/scenario/src/report.rs
+++ b/crates/scenario/src/report.rs
@@ -1,4 +1,4 @@
-//! Totals of a run as readable text.
+//! Formats the totals of a run as text: calls by class, and events at the workers.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -25,7 +25,7 @@
     latencies: Vec<Micros>,
 }
 
-/// A call that was sent, for the evaluation of its final answer.
+/// The properties of a sent call that its final answer is compared with.
 struct SentCall<'a> {
     class: &'a str,
     at: Micros,
@@ -36,7 +36,7 @@
     let mut calls: BTreeMap<&str, SentCall> = BTreeMap::new();
     let mut classes: BTreeMap<&str, ClassTotals> = BTreeMap::new();
     for record in &evidence.clients {
-        if let ClientObservation::Sent { class, latency_objective, .. } = &record.what {
+        if let ClientObservation::Sent { class, latency_objective, .. } = &record.observation {
             let latency_objective = *latency_objective;
             calls.insert(&record.id, SentCall { class, at: record.at, latency_objective });
             classes.entry(class).or_default().sent += 1;
@@ -45,7 +45,7 @@
         let Some(call) = calls.get(record.id.as_str()) else { continue };
         let class = classes.entry(call.class).or_default();
         let latency = record.at.saturating_sub(call.at);
-        match record.what {
+        match record.observation {
             ClientObservation::Final(FinalStatus::Served) => {
                 class.latencies.push(latency);
                 if latency <= call.latency_objective { class.in_time += 1 } else { class.late += 1 }
--- a/crates/scenario/src/traffic.rs
+++ b/crates/scenario/src/traffic.rs
@@ -24,7 +24,7 @@
 use crate::evidence::{ClientObservation, ClientRecord, FinalStatus};
 use crate::script::Traffic;
 
-/// The addresses of the controllers by number. Clients send no calls to a controller whose address is `None`.
+/// The addresses of the controllers by number. A controller gets no calls while its address is `None`.
 pub type Addresses = Arc<Mutex<Vec<Option<SocketAddr>>>>;
 
 /// A command to the running clients.
@@ -38,7 +38,7 @@
     },
 }
 
-/// The inputs of the clients.
+/// The parameters of the clients of a run, and the channel through which the run controls them.
 pub struct Plan {
     /// Streams of calls to send.
     pub traffic: Vec<Traffic>,
@@ -84,8 +84,9 @@
 /// A stream of calls and its progress.
 struct Source {
     traffic: Traffic,
-    /// When the next call is due.
+    /// Time at which the next call is due.
     next: Micros,
+    /// Time from which no more calls are sent.
     until: Micros,
     /// Number of calls due so far.
     count: u64,
@@ -154,13 +155,13 @@
         self.plan.epoch.elapsed().as_micros() as Micros
     }
 
-    fn record(&mut self, id: &str, what: ClientObservation) {
-        self.records.push(ClientRecord { at: self.now(), id: id.to_owned(), what });
+    fn record(&mut self, id: &str, observation: ClientObservation) {
+        self.records.push(ClientRecord { at: self.now(), id: id.to_owned(), observation });
     }
 
     fn run(&mut self) -> io::Result<()> {
         let mut events = Vec::new();
-        let mut finished = false;
+        let mut shared_streams_closed = false;
         loop {
             let now = self.now();
             while let Ok(ClientCommand::OneOff { rate, until }) = self.plan.commands.try_recv() {
@@ -170,8 +171,8 @@
             self.send_due(now)?;
             self.fire_timers(now);
             if now >= self.plan.until {
-                if !finished {
-                    finished = true;
+                if !shared_streams_closed {
+                    shared_streams_closed = true;
                     for rpc in self.shared.values() {
                         self.client.finish(*rpc);
                     }
@@ -201,8 +202,8 @@
             while self.sources[index].next <= now.min(self.sources[index].until.saturating_sub(1)) {
                 let source = &mut self.sources[index];
                 // Exponential gaps between calls give Poisson arrivals; the lower bound avoids ln(0).
-                let unit: f64 = self.random.random::<f64>().max(1e-12);
-                source.next += (-unit.ln() * 1e6 / source.traffic.rate.max(1e-3)).max(1.0) as Micros;
+                let uniform: f64 = self.random.random::<f64>().max(1e-12);
+                source.next += (-uniform.ln() * 1e6 / source.traffic.rate.max(1e-3)).max(1.0) as Micros;
                 source.count += 1;
                 self.send(index)?;
             }
@@ -418,7 +419,7 @@
     }
 }
 
-/// Encodes the request of a call.
+/// Encodes a request: a generated height profile for a `climb` model, or `traffic.bytes` bytes for an `echo` model.
 fn encode_request(traffic: &Traffic, model: &str, id: &str) -> Bytes {
     let request = if model.starts_with("climb") {
         let heights: Vec<f32> = (0..=traffic.segments * 4).map(|n| ((n * 37) % 11) as f32).collect();
