--- a/crates/scenario/src/audit.rs
+++ b/crates/scenario/src/audit.rs
@@ -326,7 +326,7 @@
             return;
         }
         let late_ms = (at - listed.at) / 1000;
-        let description = format!("{description} reached {worker} {late_ms} ms after word of its drain");
+        let description = format!("{description} reached {worker} {late_ms} ms after its drain was listed");
         self.breaches.push(Breach { rule: 3, at, call: call.map(str::to_owned), description });
     }
 
@@ -339,7 +339,7 @@
     /// Rule 4: no worker is overloaded while it is warming up.
     fn check_overload(&mut self) {
         for record in self.evidence.workers.iter().filter(|record| record.seen == ObservationKind::Fell) {
-            let description = format!("{} was pushed over while cold", record.worker);
+            let description = format!("{} was overloaded while warming up", record.worker);
             self.breaches.push(Breach { rule: 4, at: record.at, call: None, description });
         }
     }
--- a/crates/scenario/src/event_log.rs
+++ b/crates/scenario/src/event_log.rs
@@ -38,7 +38,7 @@
     let lines = records.map(|record| {
         let text = match &record.observation {
             ClientObservation::Sent { controller, model, deadline, effect, class, .. } => format!(
-                "sent to controller {controller}: {model}, class {class}, {}, gives up at {:.3}",
+                "sent to controller {controller}: {model}, class {class}, {}, deadline at {:.3}",
                 effect_text(*effect),
                 *deadline as f64 / 1e6
             ),
@@ -66,7 +66,7 @@
             }
             ObservationKind::Runs { stream } => ("the attempt runs".to_owned(), call_of(stream)),
             ObservationKind::Gone { stream } => {
-                ("the attempt is withdrawn or its connection gone".to_owned(), call_of(stream))
+                ("the attempt is cancelled, or its connection is closed".to_owned(), call_of(stream))
             }
             ObservationKind::Answered { stream, served, never_ran } => {
                 let outcome = match (served, never_ran) {
@@ -118,7 +118,7 @@
 fn link_origin(evidence: &Evidence, worker: &str, address_index: usize, at: Micros) -> String {
     let mut cuts = evidence.cuts.iter();
     let cut = cuts.find(|cut| cut.worker == worker && (cut.interval.from == at || cut.interval.to == at));
-    cut.map_or(format!("door {address_index}"), |cut| format!("zone {}", cut.zone))
+    cut.map_or(format!("address {address_index}"), |cut| format!("zone {}", cut.zone))
 }
 
 fn controller_lines(evidence: &Evidence) -> Vec<Line> {
@@ -129,15 +129,15 @@
     for run in &evidence.controller_runs {
         add_line(run.from, run.controller, format!("listens, zone {}", run.zone));
         if let Some(at) = run.ending {
-            add_line(at, run.controller, "is told to end".to_owned());
+            add_line(at, run.controller, "gets SIGTERM".to_owned());
         }
         if let Some(at) = run.to {
-            add_line(at, run.controller, "is gone".to_owned());
+            add_line(at, run.controller, "has ended".to_owned());
         }
     }
     for stall in &evidence.stalls {
-        add_line(stall.interval.from, stall.controller, "stands still".to_owned());
-        add_line(stall.interval.to, stall.controller, "goes on".to_owned());
+        add_line(stall.interval.from, stall.controller, "is stopped by SIGSTOP".to_owned());
+        add_line(stall.interval.to, stall.controller, "is continued by SIGCONT".to_owned());
     }
     lines
 }
--- a/crates/scenario/tests/audit.rs
+++ b/crates/scenario/tests/audit.rs
@@ -443,7 +443,7 @@
     worker(&mut evidence, S, "w1", ObservationKind::Up { cold: true });
     assert_eq!(breaches(&evidence), vec![]);
     worker(&mut evidence, 2 * S, "w1", ObservationKind::Fell);
-    assert_breach(&evidence, 4, "w1 was pushed over while cold");
+    assert_breach(&evidence, 4, "w1 was overloaded while warming up");
 }
 
 #[test]
