--- a/crates/gateway/tests/hollow.rs
+++ b/crates/gateway/tests/hollow.rs
@@ -9,7 +9,7 @@
 use std::process::{Child, ChildStdin, Command, Stdio};
 use std::sync::mpsc::{Receiver, channel};
 
-use nettleferry_hollow::followers::report::{Change, Second, Summary};
+use nettleferry_hollow::followers::report::{ChangePropagation, Second, Summary};
 use nettleferry_hollow::report::Line;
 use nettleferry_test_servers::ObservationKind;
 use serde_json::json;
@@ -64,7 +64,7 @@
     }
 
     #[track_caller]
-    fn change(&self, of: u64) -> Change {
+    fn change(&self, of: u64) -> ChangePropagation {
         self.wait("a change came to all", |line| match line {
             Line::FollowersChange(change) if change.revision == of => Some(change),
             _ => None,
--- a/crates/hollow/src/bounds.rs
+++ b/crates/hollow/src/bounds.rs
@@ -16,32 +16,32 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SettingsError {
     /// The target address is not a loopback address. Hollow peers must not put load on other machines.
-    #[error("{0} is no loopback address: hollow peers speak to this machine alone")]
+    #[error("{0} is no loopback address: hollow peers connect only to this machine")]
     NotLoopback(SocketAddr),
     /// More peers were requested than the resources allow.
-    #[error("{count} peers need {need} {what}, and {have} may be used: {fit} fit")]
+    #[error("{count} peers need {needed} {resource}, and {available} may be used: {max_count} fit")]
     TooMany {
         /// Requested number of peers.
         count: u64,
         /// Amount of the scarce resource that this number of peers needs.
-        need: u64,
+        needed: u64,
         /// Name of the scarce resource, as shown in the message.
-        what: &'static str,
+        resource: &'static str,
         /// Amount of the scarce resource that peers may use.
-        have: u64,
+        available: u64,
         /// Largest number of peers that would be accepted.
-        fit: u64,
+        max_count: u64,
     },
     /// The requested number of peers is 0.
     #[error("a run has at least one peer")]
     NoPeers,
     /// An option's value has the wrong form or is out of its range.
-    #[error("{what}: {why}")]
+    #[error("{option}: {requirement}")]
     OutOfRange {
         /// Name of the command-line option.
-        what: &'static str,
+        option: &'static str,
         /// Permitted range or form of the value.
-        why: String,
+        requirement: String,
     },
 }
 
@@ -68,16 +68,16 @@
     }
     let descriptors = machine.descriptors.saturating_sub(RESERVED_DESCRIPTORS);
     let memory = machine.memory / MEMORY_DIVISOR;
-    let fit = (descriptors / each.descriptors).min(memory / each.memory).min(MAX_PEERS);
-    if count <= fit {
+    let max_count = (descriptors / each.descriptors).min(memory / each.memory).min(MAX_PEERS);
+    if count <= max_count {
         return Ok(());
     }
-    let (need, have, what) = if count.saturating_mul(each.descriptors) > descriptors {
+    let (needed, available, resource) = if count.saturating_mul(each.descriptors) > descriptors {
         (count.saturating_mul(each.descriptors), descriptors, "descriptors")
     } else if count.saturating_mul(each.memory) > memory {
         (count.saturating_mul(each.memory), memory, "bytes of memory")
     } else {
         (count, MAX_PEERS, "places in a process")
     };
-    Err(SettingsError::TooMany { count, need, what, have, fit })
+    Err(SettingsError::TooMany { count, needed, resource, available, max_count })
 }
--- a/crates/hollow/src/followers/follower.rs
+++ b/crates/hollow/src/followers/follower.rs
@@ -248,8 +248,9 @@
         shared.version(store, version.epoch, version.revision)
     }
 
-    /// Updates the follower after an exchange: its snapshot, its lease and its backoff.
-    pub fn handle_answer(
+    /// Updates the follower's snapshot, lease and backoff after an exchange. Returns the outcome, with the time of the
+    /// next request.
+    pub fn finish_exchange(
         &mut self,
         exchange: Exchange,
         answer: &Result<Answer, Http1Error>,
--- a/crates/hollow/src/followers/mod.rs
+++ b/crates/hollow/src/followers/mod.rs
@@ -57,7 +57,9 @@
     pub fn check(&self, machine: Machine) -> Result<(), SettingsError> {
         bounds::check_loopback(self.administration)?;
         bounds::check_count(u64::from(self.count), RESOURCES_PER_PEER, machine)?;
-        let out_of_range = |what, why: &str| Err(SettingsError::OutOfRange { what, why: why.to_owned() });
+        let out_of_range = |option, requirement: &str| {
+            Err(SettingsError::OutOfRange { option, requirement: requirement.to_owned() })
+        };
         if self.first_number.checked_add(self.count - 1).is_none() {
             return out_of_range("--first-number", "the last follower's number is beyond 4294967295");
         }
--- a/crates/hollow/src/followers/propagation.rs
+++ b/crates/hollow/src/followers/propagation.rs
@@ -5,7 +5,7 @@
 use hdrhistogram::Histogram;
 use nettleferry_tenancy::Revision;
 
-use super::report::Change;
+use super::report::ChangePropagation;
 use crate::report::histogram;
 
 /// Maximum number of pending changes. If there are more, the oldest counts as incomplete.
@@ -37,7 +37,7 @@
 
     /// Records that a follower received a change `after_ms` milliseconds after it was made. Returns the change with its
     /// propagation times if this was the last follower.
-    pub fn record(&mut self, revision: Revision, after_ms: u64) -> Option<Change> {
+    pub fn record(&mut self, revision: Revision, after_ms: u64) -> Option<ChangePropagation> {
         self.to_each.saturating_record(after_ms * 1_000);
         if self.abandoned.is_some_and(|abandoned| revision <= abandoned) {
             return None;
@@ -56,7 +56,7 @@
         let max_ms = times.last().copied().unwrap_or(0);
         self.to_last.saturating_record(u64::from(max_ms) * 1_000);
         let followers = times.len() as u64;
-        Some(Change {
+        Some(ChangePropagation {
             revision,
             followers,
             p50_ms: percentile(&times, 50),
--- a/crates/hollow/src/followers/report.rs
+++ b/crates/hollow/src/followers/report.rs
@@ -111,7 +111,7 @@
 
 /// Propagation times of a change that has reached all followers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Change {
+pub struct ChangePropagation {
     /// Revision that the change created.
     pub revision: Revision,
     /// Number of followers that received it.
--- a/crates/hollow/src/followers/run.rs
+++ b/crates/hollow/src/followers/run.rs
@@ -206,7 +206,7 @@
                     self.poll_connection(index * CONNECTIONS + connection_of(sent.kind), lines)?;
                 }
                 Phase::AnswerInTransit(exchange, answer) => {
-                    self.handle_answer(index, Exchange { ended_at: now, ..exchange }, &answer, lines)?;
+                    self.finish_exchange(index, Exchange { ended_at: now, ..exchange }, &answer, lines)?;
                 }
             }
         }
@@ -265,7 +265,7 @@
         let exchange = Exchange { kind, started_at, ended_at: now };
         let delay = peer.link.next_delay();
         if delay.is_zero() || answer.is_err() {
-            return self.handle_answer(index, exchange, &answer, lines);
+            return self.finish_exchange(index, exchange, &answer, lines);
         }
         let arrives_at = now + delay;
         let in_time = arrives_at < deadline;
@@ -280,7 +280,7 @@
 
     /// Handles the end of an exchange: updates the follower, the counters and the propagation times, and schedules the
     /// next request.
-    fn handle_answer<W: Write>(
+    fn finish_exchange<W: Write>(
         &mut self,
         index: usize,
         exchange: Exchange,
@@ -289,7 +289,7 @@
     ) -> io::Result<()> {
         let peer = &mut self.peers[index];
         let received = peer.connections[connection_of(exchange.kind)].received();
-        let outcome = peer.follower.handle_answer(exchange, answer, &mut self.shared);
+        let outcome = peer.follower.finish_exchange(exchange, answer, &mut self.shared);
         self.counts.record(&outcome, received as u64);
         peer.phase = Phase::Idle;
         self.timers.set(index, outcome.retry_at);
--- a/crates/hollow/src/report.rs
+++ b/crates/hollow/src/report.rs
@@ -17,7 +17,7 @@
     /// Activity of hollow followers during one second.
     FollowersSecond(followers::Second),
     /// A change that has reached all hollow followers.
-    FollowersChange(followers::Change),
+    FollowersChange(followers::ChangePropagation),
     /// Totals of hollow followers since the start or the previous summary.
     FollowersSummary(Box<followers::Summary>),
     /// Activity of hollow controllers during one second.
--- a/crates/hollow/tests/followers.rs
+++ b/crates/hollow/tests/followers.rs
@@ -74,7 +74,7 @@
 
     fn respond(&mut self, answer: Result<Answer, Http1Error>) -> Outcome {
         let exchange = Exchange { kind: self.next_request().0, started_at: self.now, ended_at: self.now };
-        self.follower.handle_answer(exchange, &answer, &mut self.shared)
+        self.follower.finish_exchange(exchange, &answer, &mut self.shared)
     }
 
     /// A follower that has applied the first snapshot.
@@ -125,11 +125,11 @@
     fixture.respond(page);
     let mut later = Follower::new(4, 78, true, 5, fixture.now);
     let exchange = Exchange { kind: RequestKind::Snapshot, started_at: fixture.now, ended_at: fixture.now };
-    assert_eq!(later.handle_answer(exchange, &snapshot, &mut fixture.shared).kind, OutcomeKind::Snapshot);
+    assert_eq!(later.finish_exchange(exchange, &snapshot, &mut fixture.shared).kind, OutcomeKind::Snapshot);
     assert_eq!((later.revision(), fixture.follower.revision()), (Some(1), Some(2)));
     let exchange = Exchange { kind: RequestKind::Watch, ..exchange };
     let page = fixture.administration.page(1);
-    assert_eq!(later.handle_answer(exchange, &page, &mut fixture.shared).kind, OutcomeKind::Page);
+    assert_eq!(later.finish_exchange(exchange, &page, &mut fixture.shared).kind, OutcomeKind::Page);
     assert_eq!(
         later.request(&fixture.shared).target.replace("controller=4&life=78", "controller=3&life=77"),
         { fixture.next_request().1 }
@@ -182,14 +182,14 @@
     // The response to the first request takes a second. Its lease of 6 s expires 5,940 ms after the request.
     let exchange = Exchange { kind: RequestKind::Snapshot, started_at: began, ended_at: began + ms(1_000) };
     let snapshot = fixture.administration.snapshot();
-    fixture.follower.handle_answer(exchange, &snapshot, &mut fixture.shared);
+    fixture.follower.finish_exchange(exchange, &snapshot, &mut fixture.shared);
     let leases = fixture.follower.leases();
     assert!(leases.is_valid(began + ms(5_939)) && !leases.is_valid(began + ms(5_940)));
     // The next lease arrives 1,060 ms after the first has expired.
     let exchange =
         Exchange { kind: RequestKind::Watch, started_at: began + ms(7_000), ended_at: began + ms(7_000) };
     let page = fixture.administration.page(1);
-    fixture.follower.handle_answer(exchange, &page, &mut fixture.shared);
+    fixture.follower.finish_exchange(exchange, &page, &mut fixture.shared);
     let covered = fixture.follower.leases().coverage(began + ms(8_000));
     assert_eq!(fixture.follower.leases().lapses, 1);
     assert_eq!(
@@ -241,9 +241,9 @@
         let each = PeerResources { descriptors: 2, memory: 64 << 10 };
         match check_count(count, each, machine) {
             Ok(()) => prop_assert!(count * 2 <= descriptors && count * each.memory <= memory),
-            Err(SettingsError::TooMany { fit, .. }) => {
-                prop_assert!(fit < count);
-                prop_assert!(fit == 0 || check_count(fit, each, machine) == Ok(()));
+            Err(SettingsError::TooMany { max_count, .. }) => {
+                prop_assert!(max_count < count);
+                prop_assert!(max_count == 0 || check_count(max_count, each, machine) == Ok(()));
             }
             Err(other) => prop_assert!(false, "{other}"),
         }
