--- a/crates/hollow/src/bounds.rs
+++ b/crates/hollow/src/bounds.rs
@@ -33,14 +33,14 @@
         max_count: u64,
     },
     /// The requested number of peers is 0.
-    #[error("a run has at least one peer")]
+    #[error("0 peers were requested: a run has at least one peer")]
     NoPeers,
     /// An option's value has the wrong form or is out of its range.
     #[error("{option}: {requirement}")]
     OutOfRange {
         /// Name of the command-line option.
         option: &'static str,
-        /// Permitted range or form of the value.
+        /// Permitted range or form of the value; for most options also the value that was given.
         requirement: String,
     },
 }
@@ -48,7 +48,7 @@
 /// Upper bound on the resources of one peer.
 #[derive(Clone, Copy, Debug)]
 pub struct PeerResources {
-    /// File descriptors.
+    /// Open file descriptors.
     pub descriptors: u64,
     /// Memory in bytes.
     pub memory: u64,
@@ -77,7 +77,7 @@
     } else if count.saturating_mul(each.memory) > memory {
         (count.saturating_mul(each.memory), memory, "bytes of memory")
     } else {
-        (count, MAX_PEERS, "places in a process")
+        (count, MAX_PEERS, "peer slots of a process")
     };
     Err(SettingsError::TooMany { count, needed, resource, available, max_count })
 }
--- a/crates/hollow/src/controllers/report.rs
+++ b/crates/hollow/src/controllers/report.rs
@@ -9,17 +9,17 @@
 pub struct Counts {
     /// Calls sent.
     pub calls: u64,
-    /// Calls that succeeded.
+    /// Calls that ended with the status OK.
     pub served: u64,
-    /// Calls that ended with another status: rejected, failed or past their deadline.
+    /// Calls that ended with another status or without a readable one: rejected, failed or past their deadline.
     pub not_served: u64,
-    /// Calls without a status: the stream or connection failed, or no connection could be opened.
+    /// Calls that failed without a response: the stream or connection failed, or no connection could be opened.
     pub broken: u64,
     /// Calls and probes that were not sent because their controller already had too many outstanding.
     pub not_begun: u64,
     /// Probes sent.
     pub probes: u64,
-    /// Probes that succeeded.
+    /// Probes that ended with the status OK.
     pub probes_served: u64,
     /// Connections established.
     pub connected: u64,
@@ -62,7 +62,7 @@
     /// Counters of this second.
     #[serde(flatten)]
     pub counts: Counts,
-    /// Processor time of this process during this second, in microseconds.
+    /// Processor time of the main thread, which runs all peers, during this second, in microseconds.
     pub processor_us: u64,
     /// Maximum delay of a timer during this second, in microseconds. A long delay means that this process, not the
     /// worker, limits the load.
@@ -86,11 +86,11 @@
     pub call_time: Percentiles,
     /// Latency of successful probes, in microseconds.
     pub probe_time: Percentiles,
-    /// Processor time of this process during the interval, in microseconds.
+    /// Processor time of the main thread, which runs all peers, during the interval, in microseconds.
     pub processor_us: u64,
     /// Resident memory of this process at the end of the interval, in KiB.
     pub resident_kib: u64,
-    /// Delay of timers after their due time, in microseconds.
+    /// Time from the due time of a timer until it is handled, in microseconds.
     #[serde(rename = "timer_late")]
     pub timer_delay: Percentiles,
 }
--- a/crates/hollow/src/controllers/run.rs
+++ b/crates/hollow/src/controllers/run.rs
@@ -1,4 +1,4 @@
-//! The event loop of a run: all controllers share one hub; each has a connection, a timer and a random generator.
+//! The event loop of a run. All controllers share one hub. Each has a connection, a timer and a random generator.
 
 use std::collections::HashMap;
 use std::io::{self, Read, Write};
@@ -41,7 +41,7 @@
 struct Controller {
     number: u32,
     connection: Option<ConnKey>,
-    /// Whether its first timer was due, which opens the connection.
+    /// Whether the first timer was handled, which opens the connection.
     started: bool,
     random: ChaCha8Rng,
 }
@@ -58,8 +58,8 @@
     call_time: Histogram<u64>,
     probe_time: Histogram<u64>,
     timer_delay: Histogram<u64>,
-    second: Baseline,
-    interval: Baseline,
+    second_start: Baseline,
+    interval_start: Baseline,
     max_timer_delay: Duration,
     started_at: Instant,
 }
@@ -68,16 +68,16 @@
 struct Baseline {
     at: Instant,
     counts: Counts,
-    processor: Duration,
+    processor_time: Duration,
 }
 
 impl Baseline {
     fn now(at: Instant, counts: Counts) -> Self {
-        Self { at, counts, processor: process::processor_time() }
+        Self { at, counts, processor_time: process::processor_time() }
     }
 
     fn processor_us(&self) -> u64 {
-        process::processor_time().saturating_sub(self.processor).as_micros() as u64
+        process::processor_time().saturating_sub(self.processor_time).as_micros() as u64
     }
 }
 
@@ -106,8 +106,8 @@
             call_time: histogram(),
             probe_time: histogram(),
             timer_delay: histogram(),
-            second: Baseline::now(started_at, Counts::default()),
-            interval: Baseline::now(started_at, Counts::default()),
+            second_start: Baseline::now(started_at, Counts::default()),
+            interval_start: Baseline::now(started_at, Counts::default()),
             max_timer_delay: Duration::ZERO,
             started_at,
             settings,
@@ -135,12 +135,12 @@
             if control.take_summary_request() {
                 lines.write(&Line::ControllersSummary(Box::new(self.end_interval(now))))?;
             }
-            if now >= self.second.at + REPORT_INTERVAL {
+            if now >= self.second_start.at + REPORT_INTERVAL {
                 lines.write(&Line::ControllersSecond(self.end_second(now)))?;
             }
             self.run_due_timers(now);
             let wakeups =
-                [Some(self.second.at + REPORT_INTERVAL), self.timers.next_due(), control.deadline()];
+                [Some(self.second_start.at + REPORT_INTERVAL), self.timers.next_due(), control.deadline()];
             let wait = wakeups.into_iter().flatten().min();
             let wait = wait.map(|at| at.saturating_duration_since(Instant::now()));
             self.hub.poll(wait, &mut events)?;
@@ -183,8 +183,8 @@
         Some(Duration::from_secs_f64(-mean * (1.0 - uniform).ln()))
     }
 
-    /// Returns the connection of a controller. Opens one if there is none or the worker is shutting it down; `None` if
-    /// that fails.
+    /// Returns the connection of a controller. Opens a new one if there is none or it accepts no new streams, for
+    /// example because the worker sent GOAWAY. Returns `None` if no connection can be opened.
     fn ensure_connection(&mut self, index: usize) -> Option<ConnKey> {
         let controller = &mut self.controllers[index];
         if let Some(connection) = controller.connection.filter(|key| !self.hub.is_going_away(*key)) {
@@ -197,7 +197,8 @@
         controller.connection
     }
 
-    /// Sends a call or a probe of a controller, chosen at random in proportion to the two rates.
+    /// Sends a call or a probe of a controller, chosen at random in proportion to the two rates. Sends none if the
+    /// connection can't be opened or already has [`MAX_OUTSTANDING`] open streams.
     fn send_request(&mut self, index: usize, now: Instant) {
         let Settings { calls_per_second, probes_per_second, deadline, .. } = self.settings;
         let random = &mut self.controllers[index].random;
@@ -215,7 +216,9 @@
             RequestKind::Call => ("ModelInfer", self.call_body.clone()),
             RequestKind::Probe => ("ServerReady", ServerReadyRequest {}.encode_to_vec().into()),
         };
-        let Some(request) = request(method, self.controllers[index].number, kind, deadline) else { return };
+        let Some(request) = build_request(method, self.controllers[index].number, kind, deadline) else {
+            return;
+        };
         let Some(stream) = self.hub.open(connection, request) else { return };
         self.hub.send(stream, body);
         self.hub.finish(stream, None);
@@ -242,6 +245,7 @@
         }
     }
 
+    /// Counts the response of a call or a probe, and records the latency if it succeeded.
     fn record_response(&mut self, stream: StreamKey, trailers: &HeaderMap) {
         let Some(OutstandingRequest { kind, sent_at }) = self.outstanding.remove(&stream) else { return };
         let latency = sent_at.elapsed().as_micros() as u64;
@@ -260,16 +264,17 @@
         }
     }
 
+    /// Returns the report of the current second and starts the next one.
     fn end_second(&mut self, now: Instant) -> Second {
         let second = Second {
             at_ms: (now - self.started_at).as_millis() as u64,
             controllers: self.controllers.len() as u64,
             connections: self.hub.open_connections() as u64,
-            counts: self.counts.since(&self.second.counts),
-            processor_us: self.second.processor_us(),
+            counts: self.counts.since(&self.second_start.counts),
+            processor_us: self.second_start.processor_us(),
             timer_delay_us: self.max_timer_delay.as_micros() as u64,
         };
-        self.second = Baseline::now(now, self.counts);
+        self.second_start = Baseline::now(now, self.counts);
         self.max_timer_delay = Duration::ZERO;
         second
     }
@@ -279,15 +284,15 @@
         let summary = Summary {
             controllers: self.controllers.len() as u64,
             connections: self.hub.open_connections() as u64,
-            ran_ms: (now - self.interval.at).as_millis() as u64,
-            counts: self.counts.since(&self.interval.counts),
+            ran_ms: (now - self.interval_start.at).as_millis() as u64,
+            counts: self.counts.since(&self.interval_start.counts),
             call_time: Percentiles::from(&self.call_time),
             probe_time: Percentiles::from(&self.probe_time),
-            processor_us: self.interval.processor_us(),
+            processor_us: self.interval_start.processor_us(),
             resident_kib: process::resident_kib(),
             timer_delay: Percentiles::from(&self.timer_delay),
         };
-        self.interval = Baseline::now(now, self.counts);
+        self.interval_start = Baseline::now(now, self.counts);
         self.call_time.reset();
         self.probe_time.reset();
         self.timer_delay.reset();
@@ -296,7 +301,12 @@
 }
 
 /// Builds a request with the headers that a real controller sends.
-fn request(method: &str, controller: u32, kind: RequestKind, deadline: Duration) -> Option<Request<()>> {
+fn build_request(
+    method: &str,
+    controller: u32,
+    kind: RequestKind,
+    deadline: Duration,
+) -> Option<Request<()>> {
     let mut request = Request::post(format!("http://worker{SERVICE}{method}"))
         .header("content-type", "application/grpc")
         .header("te", "trailers")
--- a/crates/hollow/src/followers/answer.rs
+++ b/crates/hollow/src/followers/answer.rs
@@ -5,10 +5,10 @@
 use nettleferry_tenancy::{Entry, Revision, TenantSnapshot};
 use serde::Deserialize;
 
-/// The lease fields of a response.
+/// The lease that a response grants.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 pub struct Lease {
-    /// Span of the granted lease in milliseconds; `None` if the response grants none.
+    /// Span of the lease in milliseconds; `None` if the response grants none.
     #[serde(default)]
     pub lease_ms: Option<u64>,
 }
@@ -57,25 +57,25 @@
     pub lease: Lease,
 }
 
-/// A page with its complete entries.
+/// A page with all fields of its entries.
 #[derive(Deserialize)]
 struct Entries {
     entries: Vec<Entry>,
 }
 
-/// A snapshot with its complete tenants.
+/// A snapshot with its tenants.
 #[derive(Deserialize)]
 struct CompleteSnapshot {
     #[serde(rename = "book")]
     tenants: TenantSnapshot,
 }
 
-/// Parses the complete entries of a page; `None` if the body is malformed.
+/// Parses all fields of the entries of a page; `None` if the body is malformed.
 pub fn entries(answer: &Answer) -> Option<Vec<Entry>> {
     serde_json::from_slice::<Entries>(&answer.body).ok().map(|page| page.entries)
 }
 
-/// Parses the complete tenants of a snapshot; `None` if the body is malformed.
+/// Parses all tenants of a snapshot; `None` if the body is malformed.
 pub fn tenant_snapshot(answer: &Answer) -> Option<TenantSnapshot> {
     serde_json::from_slice::<CompleteSnapshot>(&answer.body).ok().map(|snapshot| snapshot.tenants)
 }
--- a/crates/hollow/src/followers/follower.rs
+++ b/crates/hollow/src/followers/follower.rs
@@ -1,4 +1,4 @@
-//! The protocol state of one hollow follower, without sockets: its next request, the handling of responses, and its
+//! The protocol state of one hollow follower, without sockets: the next request, the handling of responses, and the
 //! leases.
 
 use std::time::{Duration, Instant};
@@ -40,13 +40,13 @@
 pub struct Exchange {
     /// Kind of the request.
     pub kind: RequestKind,
-    /// When the exchange started. A lease span is counted from here.
+    /// Start of the exchange, from which the span of a granted lease is counted.
     pub started_at: Instant,
-    /// When the response arrived or the request failed.
+    /// Time at which the response arrived or the request failed.
     pub ended_at: Instant,
 }
 
-/// How an exchange ended.
+/// The way in which an exchange ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OutcomeKind {
     /// A page of changes, which may be empty.
@@ -57,11 +57,11 @@
     SnapshotRequired,
     /// This incarnation is fenced.
     Fenced,
-    /// Another status than success, or a snapshot that the follower could not apply.
+    /// A response with any other status, or a snapshot that the follower could not apply.
     Refused,
     /// The response can't be parsed.
     Malformed,
-    /// No response before the timeout.
+    /// No complete response arrived before the timeout.
     TimedOut,
     /// The connection could not be opened or failed.
     Broken,
@@ -70,9 +70,9 @@
 /// Result of an exchange.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Outcome {
-    /// How the exchange ended.
+    /// The way in which the exchange ended.
     pub kind: OutcomeKind,
-    /// When the next request may be sent.
+    /// Earliest time of the next request.
     pub retry_at: Instant,
     /// Changes that the follower applied.
     pub changes: Vec<Change>,
@@ -83,7 +83,7 @@
 /// Lease history of a follower.
 #[derive(Clone, Copy, Debug)]
 pub struct Leases {
-    /// When the follower sent its first request.
+    /// Time of the follower's first request.
     started_at: Instant,
     first_granted_at: Option<Instant>,
     expires_at: Option<Instant>,
@@ -114,7 +114,7 @@
         self.expires_at.is_some_and(|expires_at| now < expires_at)
     }
 
-    /// Returns whether a lease was ever granted.
+    /// Returns whether the follower has been granted any lease.
     pub fn ever_granted(&self) -> bool {
         self.first_granted_at.is_some()
     }
@@ -131,7 +131,7 @@
     }
 }
 
-/// How much of a follower's time was covered by leases.
+/// The time of one or more followers, and the part of it that was covered by leases.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Coverage {
     /// Time since the first request.
@@ -165,11 +165,11 @@
 pub struct Follower {
     number: u32,
     incarnation: u64,
-    /// Whether it reports that it rejects calls without a lease.
+    /// Whether the follower reports that it rejects calls without a lease.
     requires_lease: bool,
     fenced: bool,
     position: Option<SnapshotPosition>,
-    /// Whether its next request is for the snapshot.
+    /// Whether the next request is for the snapshot.
     needs_snapshot: bool,
     lease_span: LeaseSpan,
     backoff: Backoff,
@@ -193,31 +193,32 @@
         }
     }
 
-    /// Returns its controller number and its incarnation.
+    /// Returns the controller number and the incarnation that the follower reports.
     pub fn identity(&self) -> (u32, u64) {
         (self.number, self.incarnation)
     }
 
-    /// Returns its lease history.
+    /// Returns the lease history.
     pub fn leases(&self) -> &Leases {
         &self.leases
     }
 
-    /// Returns the revision that it has applied; `None` if it has no snapshot.
+    /// Returns the newest revision that the follower has applied; `None` without a snapshot.
     pub fn revision(&self) -> Option<Revision> {
         self.position.as_ref().map(|position| position.version.revision)
     }
 
-    /// Returns whether its incarnation is fenced.
+    /// Returns whether the administration has reported that this incarnation is fenced.
     pub fn is_fenced(&self) -> bool {
         self.fenced
     }
 
-    /// Returns its next request. It asks for the snapshot if the follower needs one, or if `shared` no longer has the
-    /// checksum of its revision.
-    pub fn request(&self, shared: &SharedSnapshot) -> Request {
+    /// Returns the next request: for the snapshot if the follower needs one or `shared` no longer has the checksum of
+    /// its revision, else a watch.
+    pub fn next_request(&self, shared: &SharedSnapshot) -> Request {
         let version = self.snapshot_version(shared);
-        // A follower has no work or disk, so a received revision is in force and persisted at once.
+        // A hollow follower serves no calls and persists nothing, so it reports each revision as in force and persisted
+        // as soon as it is received.
         let revision = version.as_ref().map_or(0, |version| version.revision);
         let heartbeat = Heartbeat {
             controller: self.number,
@@ -268,7 +269,7 @@
                 self.backoff.succeeded();
                 exchange.ended_at
             }
-            // After a page that does not continue its revision, the follower requests the snapshot without delay.
+            // After a page that does not continue the follower's revision, the snapshot is requested without delay.
             OutcomeKind::SnapshotRequired if answer.as_ref().is_ok_and(|answer| answer.status == 200) => {
                 exchange.ended_at
             }
--- a/crates/hollow/src/followers/link.rs
+++ b/crates/hollow/src/followers/link.rs
@@ -18,8 +18,8 @@
 }
 
 impl Link {
-    /// Creates a link that delays each message by `delay` and, with probability `loss`, by a retransmission timeout.
-    /// `seed` and `stream` select its random sequence.
+    /// Creates a link that delays each message by `delay`, and with probability `loss` by a retransmission timeout in
+    /// addition. `seed` and `stream` select its random sequence.
     pub fn new(delay: Duration, loss: f64, seed: u64, stream: u64) -> Self {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         random.set_stream(stream);
--- a/crates/hollow/src/followers/mod.rs
+++ b/crates/hollow/src/followers/mod.rs
@@ -31,11 +31,11 @@
 pub struct Settings {
     /// Address of the administration's API.
     pub administration: SocketAddr,
-    /// API token of a key that permits a controller to follow.
+    /// API token of a key with the role `controller`.
     pub token: String,
     /// Number of followers.
     pub count: u32,
-    /// Controller number of the first; the others are numbered consecutively.
+    /// Controller number of the first follower; the others are numbered consecutively.
     pub first_number: u32,
     /// Seed of the random numbers: incarnations, backoff and packet loss.
     pub seed: u64,
@@ -57,23 +57,25 @@
     pub fn check(&self, machine: Machine) -> Result<(), SettingsError> {
         bounds::check_loopback(self.administration)?;
         bounds::check_count(u64::from(self.count), RESOURCES_PER_PEER, machine)?;
-        let out_of_range = |option, requirement: &str| {
-            Err(SettingsError::OutOfRange { option, requirement: requirement.to_owned() })
-        };
+        let out_of_range = |option, requirement| Err(SettingsError::OutOfRange { option, requirement });
         if self.first_number.checked_add(self.count - 1).is_none() {
-            return out_of_range("--first-number", "the last follower's number is beyond 4294967295");
+            let requirement = "the last follower's number must be at most 4294967295";
+            return out_of_range("--first-number", requirement.to_owned());
         }
         if !(0.0..=0.9).contains(&self.loss) {
-            return out_of_range("--loss", "from 0 to 0.9");
+            return out_of_range("--loss", format!("from 0 to 0.9, not {}", self.loss));
         }
         if self.delay > MAX_DELAY || self.begin_within > MAX_DURATION {
-            return out_of_range("--delay", "at most 10 s; --begin-within: at most a day");
+            let delay = format!("at most 10 s, not {:?}", self.delay);
+            let begin_within = format!("--begin-within: at most a day, not {:?}", self.begin_within);
+            return out_of_range("--delay", format!("{delay}; {begin_within}"));
         }
         if self.duration.is_some_and(|duration| duration.is_zero() || duration > MAX_DURATION) {
-            return out_of_range("--seconds", "from 1 to 86400");
+            return out_of_range("--seconds", "from 1 to 86400".to_owned());
         }
         if self.token.is_empty() || !self.token.bytes().all(|byte| byte.is_ascii_graphic()) {
-            return out_of_range("--key", "a token, NAME.SECRET, or a file that holds one");
+            let requirement = "must be a token, NAME.SECRET, or a file that contains one";
+            return out_of_range("--key", requirement.to_owned());
         }
         Ok(())
     }
--- a/crates/hollow/src/followers/propagation.rs
+++ b/crates/hollow/src/followers/propagation.rs
@@ -1,4 +1,4 @@
-//! Measures how long changes take to reach each follower, and to reach all of them.
+//! Measures the time from a change until each follower receives it, and until all have received it.
 
 use std::collections::BTreeMap;
 
@@ -29,7 +29,7 @@
 }
 
 impl Propagation {
-    /// Creates the measurement for this number of followers.
+    /// Creates an empty measurement for this number of followers.
     pub fn new(followers: usize) -> Self {
         let (to_each, to_last) = (histogram(), histogram());
         Self { followers, pending: BTreeMap::new(), abandoned: None, to_each, to_last, incomplete: 0 }
@@ -72,7 +72,7 @@
         self.incomplete = 0;
     }
 
-    /// Ends the measurement: pending changes count as incomplete.
+    /// Ends the measurement. Changes that are still pending count as incomplete.
     pub fn finish(&mut self) {
         self.incomplete += self.pending.len() as u64;
         self.pending.clear();
--- a/crates/hollow/src/followers/report.rs
+++ b/crates/hollow/src/followers/report.rs
@@ -43,7 +43,7 @@
 }
 
 impl Counts {
-    /// Counts the outcome of an exchange whose response had `bytes_in` bytes.
+    /// Counts the outcome of an exchange in which `bytes_in` bytes were received.
     pub fn record(&mut self, outcome: &Outcome, bytes_in: u64) {
         self.bytes_in += bytes_in;
         self.changes += outcome.changes.len() as u64;
@@ -101,7 +101,7 @@
     /// Counters of this second.
     #[serde(flatten)]
     pub counts: Counts,
-    /// Processor time of this process during this second, in microseconds.
+    /// Processor time of the main thread, which runs all peers, during this second, in microseconds.
     pub processor_us: u64,
     /// Maximum delay of a timer during this second, in microseconds. A long delay means that this process, not the
     /// administration, limits the load.
@@ -118,9 +118,9 @@
     pub followers: u64,
     /// Time from the change until half of the followers had received it, in milliseconds of this machine's wall clock.
     pub p50_ms: u32,
-    /// Time until 99 percent had received it, in milliseconds.
+    /// Time from the change until 99 percent had received it, in milliseconds.
     pub p99_ms: u32,
-    /// Time until all had received it, in milliseconds.
+    /// Time from the change until all had received it, in milliseconds.
     pub max_ms: u32,
 }
 
@@ -142,9 +142,9 @@
     pub lapses: u64,
     /// Fraction of the interval with a valid lease, over all followers, counted from each one's first request.
     pub coverage: f64,
-    /// The same fraction, counted from each follower's first lease.
+    /// Fraction of the interval with a valid lease, over all followers, counted from each one's first lease.
     pub coverage_since_first: f64,
-    /// Requests per second and follower.
+    /// Requests sent per second and follower.
     #[serde(rename = "asks_per_follower_second")]
     pub requests_per_follower_second: f64,
     /// Bytes received per second and follower, without snapshots.
@@ -157,11 +157,11 @@
     pub change_to_last: Percentiles,
     /// Changes that did not reach all followers before the end of the run, or before too many newer ones were pending.
     pub changes_incomplete: u64,
-    /// Processor time of this process during the interval, in microseconds.
+    /// Processor time of the main thread, which runs all peers, during the interval, in microseconds.
     pub processor_us: u64,
     /// Resident memory of this process at the end of the interval, in KiB.
     pub resident_kib: u64,
-    /// Delay of timers after their due time, in microseconds.
+    /// Time from the due time of a timer until it is handled, in microseconds.
     #[serde(rename = "timer_late")]
     pub timer_delay: Percentiles,
 }
--- a/crates/hollow/src/followers/run.rs
+++ b/crates/hollow/src/followers/run.rs
@@ -25,22 +25,22 @@
 use crate::timers::Timers;
 
 /// Connections per follower: one for watches, and one for snapshots and the deregistration.
-const CONNECTIONS: usize = 2;
-const WATCHES: usize = 0;
-const SNAPSHOTS: usize = 1;
-const WAKE: Token = Token(usize::MAX);
+const CONNECTIONS_PER_FOLLOWER: usize = 2;
+const WATCH_CONNECTION: usize = 0;
+const SNAPSHOT_CONNECTION: usize = 1;
+const WAKER_TOKEN: Token = Token(usize::MAX);
 /// Maximum number of events per poll.
 const EVENT_CAPACITY: usize = 1_024;
 const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// State of a follower's exchange. The follower's timer ends each state.
+/// State of a follower's exchange. The follower's timer ends each state; a response can end `AwaitingAnswer` earlier.
 #[derive(Debug)]
 enum Phase {
     /// No request is active; the timer starts the next one.
     Idle,
     /// The request is delayed by the simulated link. The time is the start of the exchange.
     RequestInTransit(Request, Instant),
-    /// The request was sent.
+    /// The request was sent. The timer is set to its deadline.
     AwaitingAnswer(SentRequest),
     /// The response is delayed by the simulated link.
     AnswerInTransit(Exchange, Result<Answer, Http1Error>),
@@ -59,13 +59,14 @@
     follower: Follower,
     link: Link,
     phase: Phase,
-    connections: [ClientConnection; CONNECTIONS],
+    connections: [ClientConnection; CONNECTIONS_PER_FOLLOWER],
 }
 
+/// Returns the index of the connection for requests of this kind.
 fn connection_of(kind: RequestKind) -> usize {
     match kind {
-        RequestKind::Watch => WATCHES,
-        RequestKind::Snapshot => SNAPSHOTS,
+        RequestKind::Watch => WATCH_CONNECTION,
+        RequestKind::Snapshot => SNAPSHOT_CONNECTION,
     }
 }
 
@@ -92,15 +93,15 @@
     counts: Counts,
     coverage: Coverage,
     lapses: u64,
-    processor: Duration,
+    processor_time: Duration,
 }
 
 /// Counters and usage at the start of the current second, and the maximum timer delay during it.
 struct CurrentSecond {
     ends_at: Instant,
     counts: Counts,
-    processor: Duration,
-    timer_delay: Duration,
+    processor_time: Duration,
+    max_timer_delay: Duration,
 }
 
 impl Followers {
@@ -108,11 +109,11 @@
     /// checked the settings. Fails if the poll can't be created.
     pub fn new(settings: Settings) -> io::Result<Self> {
         let poll = Poll::new()?;
-        let waker = Arc::new(Waker::new(poll.registry(), WAKE)?);
+        let waker = Arc::new(Waker::new(poll.registry(), WAKER_TOKEN)?);
         let (started_at, count) = (Instant::now(), settings.count as usize);
         let mut timers = Timers::new(count);
         let peers = (0..settings.count).map(|index| {
-            let (peer, first_request_at) = peer(&settings, index, started_at);
+            let (peer, first_request_at) = new_peer(&settings, index, started_at);
             timers.set(index as usize, first_request_at);
             peer
         });
@@ -120,15 +121,15 @@
         let second = CurrentSecond {
             ends_at: started_at + REPORT_INTERVAL,
             counts: Counts::default(),
-            processor: process::processor_time(),
-            timer_delay: Duration::ZERO,
+            processor_time: process::processor_time(),
+            max_timer_delay: Duration::ZERO,
         };
         let interval = Interval {
             started_at,
             counts: Counts::default(),
             coverage: Coverage::default(),
             lapses: 0,
-            processor: second.processor,
+            processor_time: second.processor_time,
         };
         Ok(Self {
             authorization: format!("Bearer {}", settings.token),
@@ -179,7 +180,7 @@
             let wait = wakeups.into_iter().flatten().min();
             let wait = wait.map(|at| at.saturating_duration_since(Instant::now()));
             poll(&mut self.poll, &mut events, wait)?;
-            for event in events.iter().filter(|event| event.token() != WAKE) {
+            for event in events.iter().filter(|event| event.token() != WAKER_TOKEN) {
                 self.poll_connection(event.token().0, &mut lines)?;
             }
         }
@@ -195,7 +196,7 @@
         while let Some((index, at)) = self.timers.pop_due(now) {
             let delay = now.saturating_duration_since(at);
             self.timer_delay.saturating_record(delay.as_micros() as u64);
-            self.second.timer_delay = self.second.timer_delay.max(delay);
+            self.second.max_timer_delay = self.second.max_timer_delay.max(delay);
             match std::mem::replace(&mut self.peers[index].phase, Phase::Idle) {
                 Phase::Idle => self.start_request(index, now, lines)?,
                 Phase::RequestInTransit(request, started_at) => {
@@ -203,7 +204,7 @@
                 }
                 Phase::AwaitingAnswer(sent) => {
                     self.peers[index].phase = Phase::AwaitingAnswer(sent);
-                    self.poll_connection(index * CONNECTIONS + connection_of(sent.kind), lines)?;
+                    self.poll_connection(index * CONNECTIONS_PER_FOLLOWER + connection_of(sent.kind), lines)?;
                 }
                 Phase::AnswerInTransit(exchange, answer) => {
                     self.finish_exchange(index, Exchange { ended_at: now, ..exchange }, &answer, lines)?;
@@ -221,7 +222,7 @@
         lines: &mut LineWriter<W>,
     ) -> io::Result<()> {
         let peer = &mut self.peers[index];
-        let (request, delay) = (peer.follower.request(&self.shared), peer.link.next_delay());
+        let (request, delay) = (peer.follower.next_request(&self.shared), peer.link.next_delay());
         if delay.is_zero() {
             return self.send(index, request, now, lines);
         }
@@ -239,14 +240,14 @@
         lines: &mut LineWriter<W>,
     ) -> io::Result<()> {
         let Request { kind, target, timeout } = request;
-        let to = self.settings.administration;
-        let bytes = encode_request(to, "GET", &target, &[("Authorization", &self.authorization)], b"");
+        let address = self.settings.administration;
+        let bytes = encode_request(address, "GET", &target, &[("Authorization", &self.authorization)], b"");
         self.counts.requests += 1;
         self.counts.bytes_out += bytes.len() as u64;
         let (connection, deadline) = (connection_of(kind), started_at + timeout);
-        let token = Token(index * CONNECTIONS + connection);
+        let token = Token(index * CONNECTIONS_PER_FOLLOWER + connection);
         let peer = &mut self.peers[index];
-        peer.connections[connection].send(self.poll.registry(), token, to, bytes, deadline);
+        peer.connections[connection].send(self.poll.registry(), token, address, bytes, deadline);
         peer.phase = Phase::AwaitingAnswer(SentRequest { kind, started_at, deadline });
         self.timers.set(index, deadline);
         self.poll_connection(token.0, lines)
@@ -255,7 +256,7 @@
     /// Reads and writes on the connection of `token` as far as possible. Handles the response once it is complete or
     /// the request has failed.
     fn poll_connection<W: Write>(&mut self, token: usize, lines: &mut LineWriter<W>) -> io::Result<()> {
-        let (index, connection) = (token / CONNECTIONS, token % CONNECTIONS);
+        let (index, connection) = (token / CONNECTIONS_PER_FOLLOWER, token % CONNECTIONS_PER_FOLLOWER);
         let Some(peer) = self.peers.get_mut(index) else { return Ok(()) };
         let now = Instant::now();
         let Some(answer) = peer.connections[connection].poll(now) else { return Ok(()) };
@@ -288,9 +289,9 @@
         lines: &mut LineWriter<W>,
     ) -> io::Result<()> {
         let peer = &mut self.peers[index];
-        let received = peer.connections[connection_of(exchange.kind)].received();
+        let bytes_in = peer.connections[connection_of(exchange.kind)].received();
         let outcome = peer.follower.finish_exchange(exchange, answer, &mut self.shared);
-        self.counts.record(&outcome, received as u64);
+        self.counts.record(&outcome, bytes_in as u64);
         peer.phase = Phase::Idle;
         self.timers.set(index, outcome.retry_at);
         let wall_ms = wall() / 1_000;
@@ -303,8 +304,9 @@
         Ok(())
     }
 
+    /// Returns the report of the current second and starts the next one.
     fn end_second(&mut self, now: Instant) -> Second {
-        let processor = process::processor_time();
+        let processor_time = process::processor_time();
         let revisions = || self.peers.iter().map(|peer| peer.follower.revision().unwrap_or(0));
         let second = Second {
             at_ms: (now - self.started_at).as_millis() as u64,
@@ -313,14 +315,16 @@
             oldest_revision: revisions().min().unwrap_or(0),
             newest_revision: revisions().max().unwrap_or(0),
             counts: self.counts.since(&self.second.counts),
-            processor_us: processor.saturating_sub(self.second.processor).as_micros() as u64,
-            timer_delay_us: self.second.timer_delay.as_micros() as u64,
+            processor_us: processor_time.saturating_sub(self.second.processor_time).as_micros() as u64,
+            timer_delay_us: self.second.max_timer_delay.as_micros() as u64,
         };
         let ends_at = (self.second.ends_at + REPORT_INTERVAL).max(now);
-        self.second = CurrentSecond { ends_at, counts: self.counts, processor, timer_delay: Duration::ZERO };
+        self.second =
+            CurrentSecond { ends_at, counts: self.counts, processor_time, max_timer_delay: Duration::ZERO };
         second
     }
 
+    /// Returns the number of followers with a valid lease at `now`.
     fn leased(&self, now: Instant) -> u64 {
         self.peers.iter().filter(|peer| peer.follower.leases().is_valid(now)).count() as u64
     }
@@ -332,12 +336,13 @@
             counts: self.counts,
             coverage: self.coverage(now),
             lapses: self.peers.iter().map(|peer| peer.follower.leases().lapses).sum(),
-            processor: process::processor_time(),
+            processor_time: process::processor_time(),
         };
         let before = std::mem::replace(&mut self.interval, interval);
         let counts = self.counts.since(&before.counts);
         let coverage = self.interval.coverage.since(&before.coverage);
-        let fraction = |of: Duration| coverage.leased.as_secs_f64() / of.as_secs_f64().max(f64::MIN_POSITIVE);
+        let leased_fraction =
+            |total: Duration| coverage.leased.as_secs_f64() / total.as_secs_f64().max(f64::MIN_POSITIVE);
         let per_follower_second =
             |count: u64| count as f64 / coverage.total.as_secs_f64().max(f64::MIN_POSITIVE);
         let summary = Summary {
@@ -348,15 +353,16 @@
                 as u64,
             leased: self.leased(now),
             lapses: self.interval.lapses - before.lapses,
-            coverage: fraction(coverage.total),
-            coverage_since_first: fraction(coverage.since_first),
+            coverage: leased_fraction(coverage.total),
+            coverage_since_first: leased_fraction(coverage.since_first),
             requests_per_follower_second: per_follower_second(counts.requests),
             bytes_in_per_follower_second: per_follower_second(counts.bytes_in - counts.snapshot_bytes_in),
             bytes_out_per_follower_second: per_follower_second(counts.bytes_out),
             change_to_each: Percentiles::from(&self.propagation.to_each),
             change_to_last: Percentiles::from(&self.propagation.to_last),
             changes_incomplete: self.propagation.incomplete,
-            processor_us: (self.interval.processor.saturating_sub(before.processor)).as_micros() as u64,
+            processor_us: self.interval.processor_time.saturating_sub(before.processor_time).as_micros()
+                as u64,
             resident_kib: process::resident_kib(),
             timer_delay: Percentiles::from(&self.timer_delay),
         };
@@ -365,35 +371,37 @@
         summary
     }
 
+    /// Returns the coverage by leases, summed over all followers.
     fn coverage(&self, now: Instant) -> Coverage {
-        let each = self.peers.iter().map(|peer| peer.follower.leases().coverage(now));
-        each.fold(Coverage::default(), |sum, one| Coverage {
-            total: sum.total + one.total,
-            since_first: sum.since_first + one.since_first,
-            leased: sum.leased + one.leased,
+        let coverages = self.peers.iter().map(|peer| peer.follower.leases().coverage(now));
+        coverages.fold(Coverage::default(), |sum, coverage| Coverage {
+            total: sum.total + coverage.total,
+            since_first: sum.since_first + coverage.since_first,
+            leased: sum.leased + coverage.leased,
         })
     }
 
     /// Deregisters all followers that ever had a lease, as a real follower does at an orderly shutdown. Waits until all
     /// requests have ended or timed out.
     fn deregister_all(&mut self) -> io::Result<()> {
-        let (to, deadline) = (self.settings.administration, Instant::now() + DEREGISTRATION_TIMEOUT);
+        let (address, deadline) = (self.settings.administration, Instant::now() + DEREGISTRATION_TIMEOUT);
         for (index, peer) in self.peers.iter_mut().enumerate() {
-            peer.connections[WATCHES].close();
+            peer.connections[WATCH_CONNECTION].close();
             if !peer.follower.leases().ever_granted() {
                 continue;
             }
             let (number, incarnation) = peer.follower.identity();
             let headers = [("Authorization", self.authorization.as_str())];
-            let bytes = encode_request(to, "GET", &deregistration_target(number, incarnation), &headers, b"");
-            let token = Token(index * CONNECTIONS + SNAPSHOTS);
-            peer.connections[SNAPSHOTS].send(self.poll.registry(), token, to, bytes, deadline);
+            let bytes =
+                encode_request(address, "GET", &deregistration_target(number, incarnation), &headers, b"");
+            let token = Token(index * CONNECTIONS_PER_FOLLOWER + SNAPSHOT_CONNECTION);
+            peer.connections[SNAPSHOT_CONNECTION].send(self.poll.registry(), token, address, bytes, deadline);
         }
         let mut events = Events::with_capacity(EVENT_CAPACITY);
         loop {
             let now = Instant::now();
             let is_waiting = |peer: &mut Peer| {
-                let connection = &mut peer.connections[SNAPSHOTS];
+                let connection = &mut peer.connections[SNAPSHOT_CONNECTION];
                 connection.deadline().is_some() && connection.poll(now).is_none()
             };
             let waiting = self.peers.iter_mut().map(is_waiting).filter(|waiting| *waiting).count();
@@ -406,7 +414,7 @@
 }
 
 /// Creates the follower with this index. Returns it and the time of its first request.
-fn peer(settings: &Settings, index: u32, started_at: Instant) -> (Peer, Instant) {
+fn new_peer(settings: &Settings, index: u32, started_at: Instant) -> (Peer, Instant) {
     let number = settings.first_number + index;
     let mut random = ChaCha8Rng::seed_from_u64(settings.seed);
     random.set_stream(u64::from(number) << 1);
@@ -429,6 +437,7 @@
     (peer, first_request_at)
 }
 
+/// Waits for events, for at most `wait`. Returns early without an error if a signal interrupts the wait.
 fn poll(poll: &mut Poll, events: &mut Events, wait: Option<Duration>) -> io::Result<()> {
     match poll.poll(events, wait) {
         Err(error) if error.kind() != io::ErrorKind::Interrupted => Err(error),
--- a/crates/hollow/src/followers/shared_snapshot.rs
+++ b/crates/hollow/src/followers/shared_snapshot.rs
@@ -12,7 +12,8 @@
 /// Number of revisions whose checksums are retained. A follower that is further behind requests the snapshot.
 const MAX_CHECKSUMS: usize = 4_096;
 
-/// The newest snapshot that any follower of the process has received, and the checksums of recent revisions.
+/// The tenants at the newest revision that any follower of the process has received, and the checksums of recent
+/// revisions.
 #[derive(Debug, Default)]
 pub struct SharedSnapshot {
     store: String,
@@ -28,6 +29,7 @@
         Some(SnapshotVersion { store: store.to_owned(), epoch, revision, checksum })
     }
 
+    /// Returns whether the shared snapshot has this store and epoch.
     fn is_same_history(&self, store: &str, epoch: u64) -> bool {
         self.store == store && self.epoch == epoch
     }
--- a/crates/hollow/src/report.rs
+++ b/crates/hollow/src/report.rs
@@ -8,7 +8,7 @@
 use crate::controllers::report as controllers;
 use crate::followers::report as followers;
 
-/// One line of a run's standard output, tagged by `kind`.
+/// One line of a run's standard output; the field `kind` names the variant.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 pub enum Line {
@@ -35,7 +35,7 @@
     pub count: u64,
     /// Seed of the random numbers.
     pub seed: u64,
-    /// Process id.
+    /// Id of the process that runs the peers.
     pub process: u32,
 }
 
@@ -44,7 +44,7 @@
 pub struct Percentiles {
     /// Number of samples.
     pub count: u64,
-    /// Mean.
+    /// Arithmetic mean.
     pub mean: f64,
     /// Median.
     pub p50: u64,
@@ -54,7 +54,7 @@
     pub p99: u64,
     /// 99.9th percentile.
     pub p999: u64,
-    /// Maximum.
+    /// Largest sample.
     pub max: u64,
 }
 
@@ -80,7 +80,8 @@
 /// Precision of histogram values, in decimal digits.
 const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// Creates an empty histogram of microseconds. Longer durations, recorded with saturation, count as ten minutes.
+/// Creates an empty histogram of microseconds. Durations over ten minutes, recorded with saturation, count as ten
+/// minutes.
 pub fn histogram() -> Histogram<u64> {
     let created = Histogram::new_with_bounds(1, MAX_TRACKED_US, SIGNIFICANT_DIGITS);
     created.expect("constant histogram bounds are valid")
--- a/crates/hollow/tests/followers.rs
+++ b/crates/hollow/tests/followers.rs
@@ -15,7 +15,7 @@
 
 const LEASE_SPAN_MS: u64 = 6_000;
 
-/// The tenants and changes of an administration, and its responses.
+/// A test administration: its tenants and changes, from which its responses are made.
 #[derive(Default)]
 struct Administration {
     tenants: TenantSnapshot,
@@ -25,10 +25,9 @@
 impl Administration {
     fn create(&mut self, name: &str) {
         let change = Change::Create { name: name.to_owned(), spec: json!({ "note": "n" }) };
-        let applied =
-            self.tenants.evaluate(&change, Condition::Any, "ada", 1_000).expect("the change is valid");
-        let entry = applied.entry.expect("the change creates an entry");
-        self.tenants.apply(&entry).expect("the entry is the next one");
+        let applied = self.tenants.evaluate(&change, Condition::Any, "ada", 1_000).expect("change is valid");
+        let entry = applied.entry.expect("change creates an entry");
+        self.tenants.apply(&entry).expect("entry follows the current revision");
         self.entries.push(entry);
     }
 
@@ -68,7 +67,7 @@
     }
 
     fn next_request(&self) -> (RequestKind, String) {
-        let request = self.follower.request(&self.shared);
+        let request = self.follower.next_request(&self.shared);
         (request.kind, request.target)
     }
 
@@ -77,7 +76,7 @@
         self.follower.finish_exchange(exchange, &answer, &mut self.shared)
     }
 
-    /// A follower that has applied the first snapshot.
+    /// Creates a fixture whose follower has applied the first snapshot.
     fn with_snapshot() -> Self {
         let mut fixture = Self::new();
         let snapshot = fixture.administration.snapshot();
@@ -103,7 +102,10 @@
     let page = fixture.administration.page(1);
     let outcome = fixture.respond(page);
     assert_eq!(outcome.kind, OutcomeKind::Page);
-    assert_eq!(outcome.changes.iter().map(|c| (c.revision, c.at_ms)).collect::<Vec<_>>(), [(2, 1_000)]);
+    assert_eq!(
+        outcome.changes.iter().map(|change| (change.revision, change.at_ms)).collect::<Vec<_>>(),
+        [(2, 1_000)]
+    );
     let checksum = fixture.administration.tenants.checksum();
     let expected = format!(
         "/v1/watch?controller=3&life=77&in_force=2&kept=2&ends=1&ended=0\
@@ -112,7 +114,7 @@
     assert_eq!(
         fixture.next_request(),
         (RequestKind::Watch, expected),
-        "the checksum is that of a real follower's snapshot"
+        "the watch reports the checksum that a real follower computes"
     );
 }
 
@@ -123,15 +125,21 @@
     fixture.administration.create("b");
     let page = fixture.administration.page(1);
     fixture.respond(page);
-    let mut later = Follower::new(4, 78, true, 5, fixture.now);
+    let mut late_follower = Follower::new(4, 78, true, 5, fixture.now);
     let exchange = Exchange { kind: RequestKind::Snapshot, started_at: fixture.now, ended_at: fixture.now };
-    assert_eq!(later.finish_exchange(exchange, &snapshot, &mut fixture.shared).kind, OutcomeKind::Snapshot);
-    assert_eq!((later.revision(), fixture.follower.revision()), (Some(1), Some(2)));
+    assert_eq!(
+        late_follower.finish_exchange(exchange, &snapshot, &mut fixture.shared).kind,
+        OutcomeKind::Snapshot
+    );
+    assert_eq!((late_follower.revision(), fixture.follower.revision()), (Some(1), Some(2)));
     let exchange = Exchange { kind: RequestKind::Watch, ..exchange };
     let page = fixture.administration.page(1);
-    assert_eq!(later.finish_exchange(exchange, &page, &mut fixture.shared).kind, OutcomeKind::Page);
+    assert_eq!(late_follower.finish_exchange(exchange, &page, &mut fixture.shared).kind, OutcomeKind::Page);
     assert_eq!(
-        later.request(&fixture.shared).target.replace("controller=4&life=78", "controller=3&life=77"),
+        late_follower
+            .next_request(&fixture.shared)
+            .target
+            .replace("controller=4&life=78", "controller=3&life=77"),
         { fixture.next_request().1 }
     );
 }
@@ -141,12 +149,12 @@
     let mut fixture = Fixture::with_snapshot();
     fixture.administration.create("b");
     fixture.administration.create("c");
-    let gap = fixture.administration.page(2);
-    let lapse = fixture.now + Duration::from_millis(LEASE_SPAN_MS);
-    fixture.now = lapse;
-    let outcome = fixture.respond(gap);
-    assert_eq!((outcome.kind, outcome.retry_at), (OutcomeKind::SnapshotRequired, lapse));
-    assert!(!fixture.follower.leases().is_valid(lapse));
+    let page_after_gap = fixture.administration.page(2);
+    let after_expiry = fixture.now + Duration::from_millis(LEASE_SPAN_MS);
+    fixture.now = after_expiry;
+    let outcome = fixture.respond(page_after_gap);
+    assert_eq!((outcome.kind, outcome.retry_at), (OutcomeKind::SnapshotRequired, after_expiry));
+    assert!(!fixture.follower.leases().is_valid(after_expiry));
     assert_eq!(fixture.next_request().0, RequestKind::Snapshot);
     let snapshot = fixture.administration.snapshot();
     fixture.respond(snapshot);
@@ -164,9 +172,9 @@
         let outcome = fixture.respond(failure);
         waits.push(outcome.retry_at - fixture.now);
     }
-    for (wait, most) in waits.iter().zip([100, 200, 400]) {
-        let most = Duration::from_millis(most);
-        assert!((most / 2..=most).contains(wait), "{waits:?}");
+    for (wait, max_wait_ms) in waits.iter().zip([100, 200, 400]) {
+        let max_wait = Duration::from_millis(max_wait_ms);
+        assert!((max_wait / 2..=max_wait).contains(wait), "{waits:?}");
     }
     let fenced = answer(403, json!({ "type": "/problems/fenced" }));
     assert_eq!(fixture.respond(fenced).kind, OutcomeKind::Fenced);
@@ -177,23 +185,24 @@
 #[test]
 fn a_lease_is_counted_from_the_request_and_time_without_one_is_measured() {
     let mut fixture = Fixture::new();
-    let began = fixture.now;
+    let start = fixture.now;
     let ms = Duration::from_millis;
-    // The response to the first request takes a second. Its lease of 6 s expires 5,940 ms after the request.
-    let exchange = Exchange { kind: RequestKind::Snapshot, started_at: began, ended_at: began + ms(1_000) };
+    // The response to the first request takes a second. Its lease of 6 s expires 5,940 ms after the request: the span
+    // is shortened by the maximum difference of two clocks, 1 %.
+    let exchange = Exchange { kind: RequestKind::Snapshot, started_at: start, ended_at: start + ms(1_000) };
     let snapshot = fixture.administration.snapshot();
     fixture.follower.finish_exchange(exchange, &snapshot, &mut fixture.shared);
     let leases = fixture.follower.leases();
-    assert!(leases.is_valid(began + ms(5_939)) && !leases.is_valid(began + ms(5_940)));
+    assert!(leases.is_valid(start + ms(5_939)) && !leases.is_valid(start + ms(5_940)));
     // The next lease arrives 1,060 ms after the first has expired.
     let exchange =
-        Exchange { kind: RequestKind::Watch, started_at: began + ms(7_000), ended_at: began + ms(7_000) };
+        Exchange { kind: RequestKind::Watch, started_at: start + ms(7_000), ended_at: start + ms(7_000) };
     let page = fixture.administration.page(1);
     fixture.follower.finish_exchange(exchange, &page, &mut fixture.shared);
-    let covered = fixture.follower.leases().coverage(began + ms(8_000));
+    let coverage = fixture.follower.leases().coverage(start + ms(8_000));
     assert_eq!(fixture.follower.leases().lapses, 1);
     assert_eq!(
-        (covered.total, covered.since_first, covered.leased),
+        (coverage.total, coverage.since_first, coverage.leased),
         (ms(8_000), ms(7_000), ms(7_000 - 1_060))
     );
 }
@@ -205,18 +214,18 @@
     assert!(outcome.without_lease && outcome.kind == OutcomeKind::Page);
     assert!(
         fixture.next_request().1.ends_with("&wait_ms=20000"),
-        "the watch waits as it does if no leases are granted"
+        "without a lease the watch uses the wait for an administration that grants none"
     );
 }
 
 #[test]
 fn a_change_is_reported_once_the_last_follower_has_it() {
     let mut propagation = Propagation::new(100);
-    for after in 1..100 {
-        assert_eq!(propagation.record(7, after), None);
+    for after_ms in 1..100 {
+        assert_eq!(propagation.record(7, after_ms), None);
     }
     assert_eq!(propagation.record(8, 1), None);
-    let change = propagation.record(7, 900).expect("the last follower completes the change");
+    let change = propagation.record(7, 900).expect("change has reached the last follower");
     assert_eq!((change.revision, change.followers), (7, 100));
     assert_eq!((change.p50_ms, change.p99_ms, change.max_ms), (50, 99, 900));
     propagation.finish();
