--- a/crates/gateway/src/commands/admin/client.rs
+++ b/crates/gateway/src/commands/admin/client.rs
@@ -62,15 +62,15 @@
 
     /// Fetches all pages of a list and returns the rows; `key` is the field of a page that contains its rows.
     pub(crate) fn get_pages(&mut self, path: &str, key: &str) -> Result<Vec<Value>, CommandError> {
-        let (mut all, mut after) = (Vec::new(), String::new());
+        let (mut all_rows, mut after) = (Vec::new(), String::new());
         loop {
             let mut page = self.get(&format!("{path}?limit={PAGE_ROWS}&after={after}"))?;
             if let Some(rows) = page[key].as_array_mut() {
-                all.append(rows);
+                all_rows.append(rows);
             }
             match page["next"].as_str() {
-                Some(next) => after = escaped(next),
-                None => return Ok(all),
+                Some(next) => after = percent_encoded(next),
+                None => return Ok(all_rows),
             }
         }
     }
@@ -100,11 +100,12 @@
         let problem = ApiError::Problem {
             status: response.status,
             title: text("title", ""),
-            detail: text("detail", "no reason was given"),
+            detail: text("detail", "the response has no detail"),
         };
         Err(problem.into())
     }
 
+    /// Waits for the response to the request that was sent last.
     fn response(&mut self) -> Result<Answer, CommandError> {
         let mut responses = Vec::new();
         loop {
@@ -120,7 +121,9 @@
 }
 
 /// Percent-encodes a path segment or a query value (RFC 3986).
-pub(crate) fn escaped(part: &str) -> String {
-    let plain = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'.' | b'_' | b'~');
-    part.bytes().map(|b| if plain(b) { char::from(b).to_string() } else { format!("%{b:02X}") }).collect()
+pub(crate) fn percent_encoded(part: &str) -> String {
+    let is_unreserved = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'.' | b'_' | b'~');
+    part.bytes()
+        .map(|b| if is_unreserved(b) { char::from(b).to_string() } else { format!("%{b:02X}") })
+        .collect()
 }
--- a/crates/gateway/src/commands/admin/mod.rs
+++ b/crates/gateway/src/commands/admin/mod.rs
@@ -18,7 +18,7 @@
 use super::error::CommandError;
 use super::exit_code;
 use arguments::Action;
-pub(crate) use client::{Api, Client, escaped};
+pub(crate) use client::{Api, Client, percent_encoded};
 use printer::Printer;
 use requests::Requests;
 
@@ -37,7 +37,7 @@
 impl Admin {
     pub(crate) fn run(self) -> Result<u8, CommandError> {
         match &self.action {
-            Action::Key { name, role } => make_key(name, role)?,
+            Action::Key { name, role } => generate_key(name, role)?,
             Action::Snapshot { store, file } => store::snapshot(store, file)?,
             Action::Restore { file, store } => store::restore(file, store)?,
             Action::Openapi => announce(&format!("{:#}", nettleferry_admin::openapi::document()))?,
@@ -50,7 +50,7 @@
     }
 }
 
-fn make_key(name: &str, role: &str) -> Result<(), CommandError> {
+fn generate_key(name: &str, role: &str) -> Result<(), CommandError> {
     let GeneratedKey { token, hash } = keys::generate(name)?;
     announce(&format!("token: {token}"))?;
     announce(&format!("settings: (key {name} {role} \"{hash}\")"))
--- a/crates/gateway/src/commands/admin/requests.rs
+++ b/crates/gateway/src/commands/admin/requests.rs
@@ -4,7 +4,7 @@
 
 use super::super::error::{CommandError, UsageError};
 use super::arguments::{Action, Conditions, TenantAction};
-use super::client::{Client, escaped};
+use super::client::{Client, percent_encoded};
 use super::printer::Printer;
 
 const TENANT_COLUMNS: [&str; 6] = ["name", "state", "revision", "limits", "models", "note"];
@@ -17,7 +17,7 @@
 /// A request that changes one tenant.
 struct Change<'a> {
     method: &'static str,
-    /// Appended to the tenant's path: an action such as `/suspend`, or a query.
+    /// Text appended to the tenant's path: an action such as `/suspend`, or a query.
     suffix: &'a str,
     patch: Option<&'a Value>,
 }
@@ -106,9 +106,9 @@
     }
 
     fn workers(&mut self, drain: Option<&str>, undrain: Option<&str>) -> Result<(), CommandError> {
-        for (name, verb) in [(drain, "drain"), (undrain, "undrain")] {
+        for (name, operation) in [(drain, "drain"), (undrain, "undrain")] {
             if let Some(name) = name {
-                let target = format!("/v1/workers/{}/{verb}", escaped(name));
+                let target = format!("/v1/workers/{}/{operation}", percent_encoded(name));
                 self.client.request("POST", &target, &[], None)?;
             }
         }
@@ -117,7 +117,7 @@
     }
 
     fn audit(&mut self, tenant: Option<&str>, after: u64) -> Result<(), CommandError> {
-        let filter = tenant.map_or(String::new(), |tenant| format!("&tenant={}", escaped(tenant)));
+        let filter = tenant.map_or(String::new(), |tenant| format!("&tenant={}", percent_encoded(tenant)));
         let page = self.client.get(&format!("/v1/audit?after={after}&limit=1000{filter}"))?;
         self.printer.rows(rows(&page, "entries"), &AUDIT_COLUMNS)
     }
@@ -132,7 +132,7 @@
 }
 
 fn tenant_path(name: &str) -> String {
-    format!("/v1/tenants/{}", escaped(name))
+    format!("/v1/tenants/{}", percent_encoded(name))
 }
 
 fn rows<'a>(page: &'a Value, key: &str) -> &'a [Value] {
--- a/crates/gateway/src/commands/admin/table.rs
+++ b/crates/gateway/src/commands/admin/table.rs
@@ -5,24 +5,25 @@
 use comfy_table::{Table, presets};
 use serde_json::Value;
 
+/// Formats one value for a table cell; null becomes an empty text.
 fn cell(value: &Value) -> String {
     match value {
         Value::Null => String::new(),
         Value::String(text) => text.clone(),
         Value::Object(fields) => {
-            fields.iter().map(|(name, v)| format!("{name}={}", cell(v))).collect::<Vec<_>>().join(" ")
+            fields.iter().map(|(name, value)| format!("{name}={}", cell(value))).collect::<Vec<_>>().join(" ")
         }
-        Value::Array(all) => all.iter().map(cell).collect::<Vec<_>>().join(" "),
+        Value::Array(items) => items.iter().map(cell).collect::<Vec<_>>().join(" "),
         other => other.to_string(),
     }
 }
 
 /// Formats a list of objects as a table with these columns and a row for each object.
-pub(super) fn rows(all: &[Value], columns: &[&str]) -> String {
+pub(super) fn rows(objects: &[Value], columns: &[&str]) -> String {
     let mut table = Table::new();
-    table.load_style(presets::NOTHING).set_header(columns.iter().map(|c| c.to_uppercase()));
-    for row in all {
-        table.add_row(columns.iter().map(|c| cell(&row[*c])));
+    table.load_style(presets::NOTHING).set_header(columns.iter().map(|column| column.to_uppercase()));
+    for object in objects {
+        table.add_row(columns.iter().map(|column| cell(&object[*column])));
     }
     table.trim_fmt()
 }
@@ -37,7 +38,7 @@
     table.trim_fmt()
 }
 
-/// Lists the values that differ, a line for each with its path: `-` for the value before, `+` for the value after.
+/// Formats the values that differ, a line for each with its path: `-` for the value before, `+` for the value after.
 pub(super) fn difference(before: &Value, after: &Value) -> String {
     let mut lines = Vec::new();
     collect_differences("", before, after, &mut lines);
--- a/crates/gateway/src/commands/alerts.rs
+++ b/crates/gateway/src/commands/alerts.rs
@@ -56,7 +56,9 @@
 fn check_files(files: &[PathBuf], settings: Option<&Path>) -> Result<u8, CommandError> {
     let config = match settings {
         Some(path) => settings_file::read(path)?,
-        None => settings::read("the plain settings", MINIMAL_SETTINGS).map_err(CommandError::InvalidFile)?,
+        None => {
+            settings::read("the minimal settings", MINIMAL_SETTINGS).map_err(CommandError::InvalidFile)?
+        }
     };
     let catalog = catalog(&config)?;
     let (mut alerts, mut findings) = (0, 0);
@@ -91,12 +93,12 @@
     for name in &tests.rule_files {
         rules.extend(read_rules(&folder.join(name))?);
     }
-    let unmet = tests.run(&rules);
-    for expectation in &unmet {
+    let unmet_expectations = tests.run(&rules);
+    for expectation in &unmet_expectations {
         announce(expectation)?;
     }
-    announce(&format!("{} alerts, {} expectations not met", rules.len(), unmet.len()))?;
-    Ok(exit_code::of_check(unmet.is_empty()))
+    announce(&format!("{} alerts, {} expectations not met", rules.len(), unmet_expectations.len()))?;
+    Ok(exit_code::of_check(unmet_expectations.is_empty()))
 }
 
 fn read_rules(path: &Path) -> Result<Vec<rules::Rule>, CommandError> {
--- a/crates/gateway/src/commands/call.rs
+++ b/crates/gateway/src/commands/call.rs
@@ -20,7 +20,7 @@
 
 /// Timeout for establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long the end of a call is still awaited after its timeout.
+/// Additional wait for the end of a call after its timeout.
 const END_GRACE: Duration = Duration::from_secs(1);
 /// Trailer with the delay, in milliseconds, after which the server accepts a retry; a negative number means that the
 /// client must not retry (gRFC A6).
@@ -73,10 +73,10 @@
             }],
             ..Default::default()
         };
-        let raw: Vec<u8> = self.values.iter().flat_map(|v| v.to_le_bytes()).collect();
+        let raw: Vec<u8> = self.values.iter().flat_map(|value| value.to_le_bytes()).collect();
         request.raw_input_contents = vec![raw.into()];
         for param in &self.param {
-            let (name, value) = parameter(param).ok_or_else(|| UsageError::Parameter(param.clone()))?;
+            let (name, value) = parse_parameter(param).ok_or_else(|| UsageError::Parameter(param.clone()))?;
             request.parameters.insert(name.to_owned(), value.into());
         }
         Ok(request)
@@ -84,16 +84,19 @@
 
     pub(crate) fn run(self) -> Result<u8, CommandError> {
         let request = self.request()?;
-        let failed = || CommandError::system("can't open a socket");
         let limits = NetLimits { connect_timeout: CONNECT_TIMEOUT, ..NetLimits::default() };
-        let mut client = Client::new(1, limits).map_err(failed())?;
+        let mut client = Client::new(1, limits).map_err(CommandError::system("can't create the client"))?;
         let timeout = Duration::from_millis(self.timeout_ms);
-        client.call(self.address, self.client_request(&request, timeout)).map_err(failed())?;
-        let until = Instant::now() + timeout + END_GRACE;
+        client
+            .call(self.address, self.client_request(&request, timeout))
+            .map_err(CommandError::system(format!("can't start the call to {}", self.address)))?;
+        let give_up_at = Instant::now() + timeout + END_GRACE;
         let mut events = Vec::new();
         let mut served = true;
-        while Instant::now() < until {
-            client.poll(Some(until - Instant::now()), &mut events).map_err(failed())?;
+        while Instant::now() < give_up_at {
+            client
+                .poll(Some(give_up_at - Instant::now()), &mut events)
+                .map_err(CommandError::system("can't poll the connection"))?;
             for event in events.drain(..) {
                 match event {
                     ClientEvent::Message { payload, .. } => served &= self.print_message(payload)?,
@@ -117,14 +120,13 @@
     }
 
     fn client_request(&self, request: &ModelInferRequest, timeout: Duration) -> ClientRequest {
-        let tenant = self.tenant.iter();
+        let tenant_header =
+            |tenant: &String| (nettleferry_proto::metadata::TENANT.to_owned(), tenant.clone());
         ClientRequest {
             method: if self.stream { "ModelStreamInfer" } else { "ModelInfer" },
             messages: vec![request.encode_to_vec().into()],
             timeout: Some(timeout),
-            headers: tenant
-                .map(|tenant| (nettleferry_proto::metadata::TENANT.to_owned(), tenant.clone()))
-                .collect(),
+            headers: self.tenant.iter().map(tenant_header).collect(),
             ..ClientRequest::default()
         }
     }
@@ -143,15 +145,15 @@
             ModelInferResponse::decode(payload).map_err(UsageError::Response)?
         };
         for (index, output) in response.outputs.iter().enumerate() {
-            let raw = response.raw_output_contents.get(index);
-            let values = fp32_values(output, raw);
+            let values = fp32_values(output, response.raw_output_contents.get(index));
             announce(&format!("{} {} {:?}: {values:?}", output.name, output.datatype, output.shape))?;
         }
         Ok(true)
     }
 }
 
-fn parameter(text: &str) -> Option<(&str, i64)> {
+/// Splits `NAME=VALUE` and parses the value; `None` if the text has another form.
+fn parse_parameter(text: &str) -> Option<(&str, i64)> {
     let (name, value) = text.split_once('=')?;
     Some((name, value.parse().ok()?))
 }
@@ -160,7 +162,7 @@
 fn retry_advice(trailers: &HeaderMap) -> String {
     match trailers.get(PUSHBACK_TRAILER).and_then(|value| value.to_str().ok()) {
         Some(ms) if ms.starts_with('-') => " (the server advises against a retry)".to_owned(),
-        Some(ms) => format!(" (a retry is harmless after {ms} ms)"),
+        Some(ms) => format!(" (the server accepts a retry after {ms} ms)"),
         None => String::new(),
     }
 }
--- a/crates/gateway/src/commands/console.rs
+++ b/crates/gateway/src/commands/console.rs
@@ -1,4 +1,4 @@
-//! Text files and standard output, as commands use them.
+//! Reads text files and writes to standard output, for all commands.
 
 use std::io::Write;
 use std::path::Path;
--- a/crates/gateway/src/commands/demo.rs
+++ b/crates/gateway/src/commands/demo.rs
@@ -91,7 +91,7 @@
         let workers = Workers::start(self.workers, &worker_spec())?;
         let folder = std::env::temp_dir().join(format!("nettleferry-demo-{}", std::process::id()));
         std::fs::create_dir_all(&folder)
-            .map_err(CommandError::system("can't make a folder for the worker list"))?;
+            .map_err(CommandError::system("can't create a folder for the worker list"))?;
         let file = folder.join("workers.sexp");
         std::fs::write(&file, workers::write(&workers.list))
             .map_err(CommandError::system("can't write the worker list"))?;
--- a/crates/gateway/src/commands/error.rs
+++ b/crates/gateway/src/commands/error.rs
@@ -59,7 +59,7 @@
     #[error("{0}")]
     AuditLog(#[from] WalError),
     /// A plot can't be drawn or written.
-    #[error("{}: {source}", file.display())]
+    #[error("can't draw the plot {}: {source}", file.display())]
     Plot {
         /// Path of the SVG file.
         file: PathBuf,
@@ -89,17 +89,18 @@
         error: nettleferry_scale::measure::MeasureError,
     },
     /// An operation of the operating system failed.
-    #[error("{what}: {source}")]
+    #[error("{context}: {source}")]
     System {
         /// Description of the failed operation.
-        what: String,
+        context: String,
         /// Error of the operation.
         source: io::Error,
     },
     /// The administration API refused a request, or could not be reached.
-    #[error("the administration: {0}")]
+    #[error("request to the administration failed: {0}")]
     Api(#[from] ApiError),
-    /// The command rejected arguments that the command-line parser had accepted.
+    /// The command rejected arguments that the command-line parser had accepted, or failed with another error that has
+    /// the same exit code.
     #[error("{0}")]
     Usage(#[from] UsageError),
 }
@@ -108,7 +109,7 @@
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum ApiError {
     /// No complete response was received.
-    #[error("{address}: {error}")]
+    #[error("no response from {address}: {error}")]
     NoResponse {
         /// Address of the API.
         address: SocketAddr,
@@ -127,15 +128,16 @@
     },
 }
 
-/// Arguments that a command rejects.
+/// Arguments that a command rejects. [`Self::Histogram`] and [`Self::Response`] have other causes, but the same exit
+/// code.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum UsageError {
     /// `top --every` is out of range.
-    #[error("--every: must be from 0.1 to 60 seconds")]
-    RefreshInterval,
+    #[error("--every {0}: must be from 0.1 to 60 seconds")]
+    RefreshInterval(f64),
     /// `load --seconds` is out of range.
-    #[error("--seconds: must be more than 0 and at most 3600")]
-    RoundLength,
+    #[error("--seconds {0}: must be more than 0 and at most 3600")]
+    RoundLength(f64),
     /// `call --param` is not a name and an integer separated by `=`.
     #[error("--param {0:?}: write NAME=VALUE with a whole number, such as segments=3")]
     Parameter(String),
@@ -164,7 +166,7 @@
 
 impl CommandError {
     /// Returns the exit code of the process that ends with this error.
-    pub(crate) fn code(&self) -> u8 {
+    pub(crate) fn exit_code(&self) -> u8 {
         match self {
             Self::Usage(_) => exit_code::USAGE,
             Self::Read { .. }
@@ -192,9 +194,9 @@
     }
 
     /// Returns a function for `map_err` that wraps an I/O error with a description of the failed operation.
-    pub(super) fn system(what: impl Into<String>) -> impl FnOnce(io::Error) -> Self {
-        let what = what.into();
-        move |source| Self::System { what, source }
+    pub(super) fn system(context: impl Into<String>) -> impl FnOnce(io::Error) -> Self {
+        let context = context.into();
+        move |source| Self::System { context, source }
     }
 
     /// Returns a function for `map_err` that wraps an error of a plot with the path of its file.
--- a/crates/gateway/src/commands/fleet/audit.rs
+++ b/crates/gateway/src/commands/fleet/audit.rs
@@ -8,7 +8,7 @@
 use nettleferry_audit_log::{Audit, Report};
 use serde_json::{Value, json};
 
-use super::super::admin::{Api, Client, escaped};
+use super::super::admin::{Api, Client, percent_encoded};
 use super::super::error::CommandError;
 use super::output::Output;
 
@@ -17,9 +17,10 @@
 /// Maximum number of entries requested in one page.
 const PAGE_ENTRIES: usize = 1_000;
 
-/// One audit log, with the errors that the check of its hash chain found.
+/// An audit log, with the errors that the check of its hash chain found.
 struct FetchedLog {
-    /// Origin of the log: a controller's number or [`ADMINISTRATION_LOG`], as the leader returns it, or a folder's path.
+    /// Origin of the log: a controller's number or [`ADMINISTRATION_LOG`], as the leader returns it, or the path of a
+    /// folder.
     source: String,
     checked: CheckedLog,
 }
@@ -50,7 +51,7 @@
     let mut entries: Vec<String> = Vec::new();
     let mut next = Some(0);
     while let Some(from) = next.filter(|_| entries.len() < MAX_ENTRIES) {
-        let source = escaped(source);
+        let source = percent_encoded(source);
         let page = client.get(&format!("/v1/fleet/records?of={source}&from={from}&limit={PAGE_ENTRIES}"))?;
         let lines = page["lines"].as_array().into_iter().flatten();
         entries.extend(lines.filter_map(|line| line.as_str().map(str::to_owned)));
@@ -68,23 +69,23 @@
         } else {
             audit.add_controller(fetched.leader, &checked.entries, false);
         }
-        for fault in &checked.errors {
-            audit.add_gap(None, format!("record of {source}: {fault}"));
+        for error in &checked.errors {
+            audit.add_gap(None, format!("record of {source}: {error}"));
         }
     }
     audit.report()
 }
 
 /// Result of `fleet verify`.
-pub(super) struct Verified {
+pub(super) struct Verification {
     pub(super) output: Output,
-    /// No log has missing or altered entries.
+    /// Whether no log has missing or altered entries. Entries that were deleted at the start of a log don't count.
     pub(super) complete: bool,
 }
 
 /// Checks the hash chain of the audit log in `folder`, or without a folder those of all logs that the leader has
 /// collected.
-pub(super) fn verify(folder: Option<&Path>, api: &Api) -> Result<Verified, CommandError> {
+pub(super) fn verify(folder: Option<&Path>, api: &Api) -> Result<Verification, CommandError> {
     let logs = match folder {
         Some(folder) => {
             let checked = audit_log_writer::read(folder.to_owned())?;
@@ -92,33 +93,34 @@
         }
         None => fetch(&mut Client::new(api)?)?.logs,
     };
-    let mut verified = Verified { output: Output { json: json!([]), lines: Vec::new() }, complete: true };
+    let mut verification =
+        Verification { output: Output { json: json!([]), lines: Vec::new() }, complete: true };
     let mut rows = Vec::new();
     for log in &logs {
         let complete = log.checked.errors.iter().all(is_expected);
-        verified.complete &= complete;
-        verified.output.lines.extend(log_lines(log, complete));
+        verification.complete &= complete;
+        verification.output.lines.extend(log_lines(log, complete));
         rows.push(log_row(log, complete));
     }
-    verified.output.json = json!(rows);
-    Ok(verified)
+    verification.output.json = json!(rows);
+    Ok(verification)
 }
 
-/// Whether an error is no damage: a log's oldest entries are deleted to bound its size.
-fn is_expected(fault: &ChainError) -> bool {
-    matches!(fault, ChainError::Truncated { .. })
+/// Returns whether an error is expected in an undamaged log: its oldest entries are deleted to bound its size.
+fn is_expected(error: &ChainError) -> bool {
+    matches!(error, ChainError::Truncated { .. })
 }
 
 fn log_lines(log: &FetchedLog, complete: bool) -> Vec<String> {
     let state = if complete { "whole" } else { "NOT whole" };
     let FetchedLog { source, checked } = log;
     let mut lines = vec![format!("record of {source}: {} lines, {state}", checked.entries.len())];
-    lines.extend(checked.errors.iter().map(|fault| format!("  {fault}")));
+    lines.extend(checked.errors.iter().map(|error| format!("  {error}")));
     lines
 }
 
 fn log_row(log: &FetchedLog, complete: bool) -> Value {
     let FetchedLog { source, checked } = log;
-    let faults: Vec<String> = checked.errors.iter().map(ToString::to_string).collect();
-    json!({ "of": source, "lines": checked.entries.len(), "whole": complete, "faults": faults })
+    let errors: Vec<String> = checked.errors.iter().map(ToString::to_string).collect();
+    json!({ "of": source, "lines": checked.entries.len(), "whole": complete, "faults": errors })
 }
--- a/crates/gateway/src/commands/fleet/audit_text.rs
+++ b/crates/gateway/src/commands/fleet/audit_text.rs
@@ -29,13 +29,13 @@
     let actors = report.actors.iter().filter(|actor| filter.shows_version(actor.version));
     lines.extend(actors.map(actor_line));
     lines.push("On an older version while a newer one was in force elsewhere:".to_owned());
-    let stale = report.stale_activity.iter().filter(|found| filter.shows_version(found.version));
-    for found in stale.filter(|found| found.calls.keys().any(|tenant| filter.shows_tenant(tenant))) {
-        lines.extend(stale_lines(found, filter));
+    let stale_activity = report.stale_activity.iter().filter(|stale| filter.shows_version(stale.version));
+    for stale in stale_activity.filter(|stale| stale.calls.keys().any(|tenant| filter.shows_tenant(tenant))) {
+        lines.extend(stale_lines(stale, filter));
     }
     lines.push("Calls taken after a change was said to be in force everywhere:".to_owned());
-    let late = report.late_calls.iter().filter(|found| filter.shows_version(found.change));
-    lines.extend(late.filter(|found| filter.shows_tenant(&found.tenant)).map(late_line));
+    let late_calls = report.late_calls.iter().filter(|late| filter.shows_version(late.change));
+    lines.extend(late_calls.filter(|late| filter.shows_tenant(&late.tenant)).map(late_line));
     lines.extend(report.forks.iter().map(fork_line));
     lines.push("Where nothing can be said:".to_owned());
     lines.extend(report.gaps.iter().map(gap_line));
@@ -57,32 +57,32 @@
     )
 }
 
-fn stale_lines(found: &StaleActivity, filter: &Filter) -> Vec<String> {
-    let (least, most) = (found.least_ms.max(0), found.most_ms.max(0));
+fn stale_lines(stale: &StaleActivity, filter: &Filter) -> Vec<String> {
+    let (least, most) = (stale.least_ms.max(0), stale.most_ms.max(0));
     let mut lines = vec![format!(
         "  {}: {} on revision {}, {} was in force at {}, for {least} to {most} ms: {}",
-        certainty(found.certainty),
-        incarnation(found.incarnation),
-        found.version.revision,
-        found.newer.revision,
-        incarnation(found.elsewhere),
-        found.why
+        certainty(stale.certainty),
+        incarnation(stale.incarnation),
+        stale.version.revision,
+        stale.newer.revision,
+        incarnation(stale.elsewhere),
+        stale.why
     )];
-    let calls = found.calls.iter().filter(|(tenant, _)| filter.shows_tenant(tenant));
+    let calls = stale.calls.iter().filter(|(tenant, _)| filter.shows_tenant(tenant));
     lines.extend(calls.map(|(tenant, count)| format!("    {} calls of {tenant}", range(*count))));
     lines
 }
 
-fn late_line(found: &LateCalls) -> String {
+fn late_line(late: &LateCalls) -> String {
     format!(
         "  {}: {} calls of {} at {} after {} (revision {}): {}",
-        certainty(found.certainty),
-        range(found.calls),
-        found.tenant,
-        incarnation(found.incarnation),
-        found.action,
-        found.change.revision,
-        found.why
+        certainty(late.certainty),
+        range(late.calls),
+        late.tenant,
+        incarnation(late.incarnation),
+        late.action,
+        late.change.revision,
+        late.why
     )
 }
 
@@ -92,13 +92,13 @@
 }
 
 fn gap_line(gap: &Gap) -> String {
-    let prefix = gap.incarnation.map_or_else(String::new, |who| format!("{}: ", incarnation(who)));
+    let prefix = gap.incarnation.map_or_else(String::new, |source| format!("{}: ", incarnation(source)));
     format!("  {prefix}{}", gap.reason)
 }
 
 /// Formats an incarnation as its controller's number and the upper 32 bits of its random number.
-pub(super) fn incarnation(who: Incarnation) -> String {
-    format!("controller {} (life {:08x})", who.controller, who.incarnation >> 32)
+pub(super) fn incarnation(incarnation: Incarnation) -> String {
+    format!("controller {} (life {:08x})", incarnation.controller, incarnation.incarnation >> 32)
 }
 
 fn certainty(certainty: Certainty) -> &'static str {
@@ -108,11 +108,13 @@
     }
 }
 
+/// Formats a number of calls; as a range if not all of them are certain.
 fn range(count: CallCount) -> String {
     let CallCount { certain, possible } = count;
     if certain == possible { certain.to_string() } else { format!("{certain} to {possible}") }
 }
 
+/// Formats a time in milliseconds as seconds; `?` if it is unknown.
 fn seconds(at_ms: Option<i64>) -> String {
     at_ms.map_or_else(|| "?".to_owned(), |ms| format!("{:.3} s", ms as f64 / 1000.0))
 }
--- a/crates/gateway/src/commands/fleet/mod.rs
+++ b/crates/gateway/src/commands/fleet/mod.rs
@@ -18,7 +18,7 @@
 use clap::{Args, Subcommand};
 use serde_json::Value;
 
-use super::admin::{Api, Client, escaped};
+use super::admin::{Api, Client, percent_encoded};
 use super::error::CommandError;
 use super::exit_code;
 use output::Output;
@@ -88,9 +88,9 @@
         let output = match self.action {
             Action::Simulate(simulate) => return simulate.run(),
             Action::Verify { folder } => {
-                let verified = audit::verify(folder.as_deref(), &self.api)?;
-                verified.output.print(self.json)?;
-                return Ok(exit_code::of_check(verified.complete));
+                let verification = audit::verify(folder.as_deref(), &self.api)?;
+                verification.output.print(self.json)?;
+                return Ok(exit_code::of_check(verification.complete));
             }
             Action::Status => {
                 let json = Client::new(&self.api)?.get("/v1/fleet")?;
@@ -120,7 +120,7 @@
                 Output { lines: vec![text::incarnations(&json, controller, "let in")], json }
             }
             Action::Recover { take, yes } => {
-                let target = format!("/v1/fleet/recover?take={}&dry_run={}", escaped(&take), !yes);
+                let target = format!("/v1/fleet/recover?take={}&dry_run={}", percent_encoded(&take), !yes);
                 let json = post(&self.api, &target)?;
                 Output { lines: text::recovery(&json, yes), json }
             }
--- a/crates/gateway/src/commands/fleet/plans.rs
+++ b/crates/gateway/src/commands/fleet/plans.rs
@@ -1,4 +1,5 @@
-//! Reads the file of `fleet simulate` into one run for each combination of fleet size, loss and seed.
+//! Reads the file of `fleet simulate` into runs: one for each combination of fleet size, loss and seed, and for a power
+//! failure two, without and with admission.
 
 use nettleferry_config::form::{Bytes, Errors, Form, TimeSpan};
 use nettleferry_simulation::network::Network;
@@ -30,7 +31,7 @@
     seed: u64,
 }
 
-/// The lists of values that a form varies, apart from the seeds; each combination is a run.
+/// The lists of values that a form varies, apart from the seeds.
 struct Variations {
     controllers: Vec<u32>,
     losses: Vec<f64>,
@@ -40,16 +41,16 @@
     fn read(form: &mut Form) -> Self {
         let controllers: Vec<u32> = numbers(form, "controllers", &["3", "30", "300"]);
         if controllers.iter().any(|n| !(2..=MAX_CONTROLLERS).contains(n)) {
-            form.error(format!("(controllers ...): 2 to {MAX_CONTROLLERS}"));
+            form.error(format!("(controllers ...): must be from 2 to {MAX_CONTROLLERS}"));
         }
         let losses: Vec<f64> = numbers(form, "loss", &["0"]);
         if losses.iter().any(|loss| !(0.0..=0.5).contains(loss)) {
-            form.error("(loss ...): fraction of the packets, 0 to 0.5");
+            form.error("(loss ...): must be a fraction of the packets, from 0 to 0.5");
         }
         Self { controllers, losses }
     }
 
-    /// Returns all combinations; seeds vary fastest, fleet sizes slowest.
+    /// Returns all combinations, ordered by fleet size, then by loss, then by seed as listed.
     fn combinations(&self, seeds: &[u64]) -> Vec<Combination> {
         let mut all = Vec::new();
         for &controllers in &self.controllers {
@@ -86,17 +87,24 @@
     let network = network(&mut form);
     let lease_ms = form.micros_or("lease", 6_000_000) / 1000;
     if !LEASE_RANGE_MS.contains(&lease_ms) {
-        form.error("(lease ...): 200ms to 60s");
+        form.error("(lease ...): must be from 200ms to 60s");
     }
-    let changes: f64 = form.value_or("changes-per-second", 0.5);
-    if !(0.001..=1_000.0).contains(&changes) {
-        form.error("(changes-per-second ...): 0.001 to 1000");
+    let changes_per_second: f64 = form.value_or("changes-per-second", 0.5);
+    if !(0.001..=1_000.0).contains(&changes_per_second) {
+        form.error("(changes-per-second ...): must be from 0.001 to 1000");
     }
     let length = length(&mut form);
     form.finish();
     let plan = |Combination { controllers, loss, seed }| {
         let network = Network { loss, ..network };
-        Run::Follow(follow::Plan { controllers, network, lease_ms, changes, length, seed })
+        Run::Follow(follow::Plan {
+            controllers,
+            network,
+            lease_ms,
+            changes: changes_per_second,
+            length,
+            seed,
+        })
     };
     variations.combinations(seeds).into_iter().map(plan).collect()
 }
@@ -116,10 +124,10 @@
     runs
 }
 
-/// Reads a plan with placeholders for the values that vary: controllers, admission and seed.
+/// Reads the plan of a power failure with placeholders for the values that vary: controllers, admission and seed.
 fn power_plan(form: &mut Form, network: Network) -> power::Plan {
     let after = form.optional::<TimeSpan>("administration-after").map(|span| span.0);
-    let administration = match (form.value_or("administration", true), after) {
+    let leader_return = match (form.value_or("administration", true), after) {
         (false, _) => power::LeaderReturn::Never,
         (true, Some(after)) => power::LeaderReturn::After(after),
         (true, None) => power::LeaderReturn::First,
@@ -127,7 +135,7 @@
     let plan = power::Plan {
         controllers: 0,
         network,
-        leader_return: administration,
+        leader_return,
         lost_snapshots: form.value_or("lost-books", 0.1f64).clamp(0.0, 1.0),
         tenants: form.value_or("tenants", 500u64).min(20_000),
         calls_per_second: form.value_or("calls-per-second", 70.0f64).clamp(0.1, 10_000.0),
@@ -150,17 +158,18 @@
     plan
 }
 
-/// Reads the network, with no loss in place of the value that varies.
+/// Reads the network with a loss of 0 as placeholder, because the loss varies.
 fn network(form: &mut Form) -> Network {
     let delay = form.micros_or("delay", 2_000).max(2);
     let bandwidth = form.optional::<Bytes>("bandwidth").map_or(100 << 20, |bytes| bytes.0).max(1) as f64;
     Network { loss: 0.0, delay, bandwidth }
 }
 
+/// Reads the virtual time of a run, in microseconds.
 fn length(form: &mut Form) -> u64 {
     let length = form.micros_or("length", DEFAULT_LENGTH_US);
     if !(MIN_LENGTH_US..=MAX_LENGTH_US).contains(&length) {
-        form.error("(length ...): 1s to 1h");
+        form.error("(length ...): must be from 1s to 1h");
     }
     length.clamp(MIN_LENGTH_US, MAX_LENGTH_US)
 }
--- a/crates/gateway/src/commands/fleet/plots.rs
+++ b/crates/gateway/src/commands/fleet/plots.rs
@@ -1,4 +1,4 @@
-//! Plots of `fleet simulate`: one figure over the number of controllers.
+//! Plots of `fleet simulate`. Each shows one figure of the runs against the number of controllers.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -81,9 +81,10 @@
         for run in outcomes.iter().filter(|run| run["play"] == self.kind) {
             let outcome = &run["outcome"];
             let plan = &outcome["plan"];
-            let gate = plan["gate"].as_bool().map_or("", |gate| if gate { ", gate" } else { ", no gate" });
+            let admission =
+                plan["gate"].as_bool().map_or("", |enabled| if enabled { ", gate" } else { ", no gate" });
             let Some(value) = outcome[self.figure].as_f64() else { continue };
-            let name = format!("loss {}{gate}", plan["network"]["loss"]);
+            let name = format!("loss {}{admission}", plan["network"]["loss"]);
             let controllers = plan["controllers"].as_u64().unwrap_or(1);
             lines.entry(name).or_default().entry(controllers).or_default().add(value);
         }
--- a/crates/gateway/src/commands/fleet/simulate.rs
+++ b/crates/gateway/src/commands/fleet/simulate.rs
@@ -49,7 +49,7 @@
 }
 
 fn draw(outcomes: &[Value], folder: &Path) -> Result<(), CommandError> {
-    std::fs::create_dir_all(folder).map_err(CommandError::system("can't make the folder"))?;
+    std::fs::create_dir_all(folder).map_err(CommandError::system("can't create the folder for the plots"))?;
     plots::PLOTS.iter().try_for_each(|plot| plot.draw(outcomes, folder))
 }
 
--- a/crates/gateway/src/commands/fleet/text.rs
+++ b/crates/gateway/src/commands/fleet/text.rs
@@ -83,18 +83,19 @@
     format!("  {member} {bound}")
 }
 
-/// Formats the number of incarnations of a controller that were fenced or admitted; `done` describes which.
-pub(super) fn incarnations(response: &Value, controller: u32, done: &str) -> String {
+/// Formats the number of incarnations of a controller that were fenced or admitted. `action` is the printed text for
+/// one of the two.
+pub(super) fn incarnations(response: &Value, controller: u32, action: &str) -> String {
     let count = response["lives"].as_u64().unwrap_or(0);
     let noun = if count == 1 { "life" } else { "lives" };
-    format!("controller {controller}: {count} {noun} {done}")
+    format!("controller {controller}: {count} {noun} {action}")
 }
 
-/// Formats the selected snapshot and how the others differ from it; `done` is false for a dry run.
-pub(super) fn recovery(response: &Value, done: bool) -> Vec<String> {
+/// Formats the selected snapshot and how the others differ from it; `applied` is false for a dry run.
+pub(super) fn recovery(response: &Value, applied: bool) -> Vec<String> {
     let mut lines = vec![format!(
         "{}: the book of controller {} at revision {}, {} tenants, epoch {}",
-        if done { "stands now" } else { "would stand; nothing was done, add --yes" },
+        if applied { "stands now" } else { "would stand; nothing was done, add --yes" },
         response["controller"],
         response["revision"],
         response["tenants"],
--- a/crates/gateway/src/commands/fleet/timeline.rs
+++ b/crates/gateway/src/commands/fleet/timeline.rs
@@ -61,8 +61,9 @@
         Self { report, activities, rows, begin, end }
     }
 
-    fn row(&self, who: Incarnation) -> f64 {
-        self.rows.iter().position(|row| *row == who).unwrap_or(0) as f64
+    /// Returns the position of an incarnation's row on the vertical axis.
+    fn row(&self, incarnation: Incarnation) -> f64 {
+        self.rows.iter().position(|row| *row == incarnation).unwrap_or(0) as f64
     }
 
     fn draw(&self, area: &DrawingArea<SVGBackend, Shift>) -> Result<(), PlotError> {
@@ -75,7 +76,7 @@
             .y_label_area_size(150)
             .build_cartesian_2d(self.begin..self.end * 1.02, 0.0..rows as f64)?;
         let label =
-            |y: &f64| self.rows.get(y.floor() as usize).map_or(String::new(), |who| incarnation(*who));
+            |y: &f64| self.rows.get(y.floor() as usize).map_or(String::new(), |row| incarnation(*row));
         chart
             .configure_mesh()
             .disable_y_mesh()
@@ -84,7 +85,7 @@
             .x_desc("seconds since the start of the administration")
             .draw()?;
         self.draw_activities(&mut chart)?;
-        self.draw_stale(&mut chart)?;
+        self.draw_stale_activity(&mut chart)?;
         area.present()
     }
 
@@ -100,15 +101,16 @@
         Ok(())
     }
 
-    fn draw_stale(&self, chart: &mut Chart) -> Result<(), PlotError> {
-        for found in &self.report.stale_activity {
+    /// Shades the last part of each bar, during which its incarnation may have acted on a stale version.
+    fn draw_stale_activity(&self, chart: &mut Chart) -> Result<(), PlotError> {
+        for stale in &self.report.stale_activity {
             let matches = |activity: &&Activity| {
-                activity.actor.incarnation == found.incarnation && activity.actor.version == found.version
+                activity.actor.incarnation == stale.incarnation && activity.actor.version == stale.version
             };
             let Some(activity) = self.activities.iter().find(matches) else { continue };
-            let row = self.row(found.incarnation);
-            let since = (activity.to - found.most_ms as f64 / 1000.0).max(activity.from);
-            let colour = if found.certainty == Certainty::Certain { RED.mix(0.5) } else { RED.mix(0.2) };
+            let row = self.row(stale.incarnation);
+            let since = (activity.to - stale.most_ms as f64 / 1000.0).max(activity.from);
+            let colour = if stale.certainty == Certainty::Certain { RED.mix(0.5) } else { RED.mix(0.2) };
             let corners = [(since, row + 0.05), (activity.to, row + 0.95)];
             chart.draw_series([Rectangle::new(corners, colour.filled())])?;
         }
--- a/crates/gateway/src/commands/load.rs
+++ b/crates/gateway/src/commands/load.rs
@@ -56,7 +56,7 @@
 
 /// Timeout for establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(5);
-/// How long calls that are open at the end of a round are still awaited.
+/// Additional wait for the calls that are open at the end of a round.
 const LAST_CALLS_GRACE: Duration = Duration::from_secs(30);
 /// Maximum time that a poll waits for events.
 const MAX_WAIT: Duration = Duration::from_secs(1);
@@ -66,14 +66,16 @@
 const MIN_RATE: f64 = 1e-9;
 /// Maximum recorded latency, in microseconds; longer ones are recorded as this value.
 const MAX_LATENCY_US: u64 = 60_000_000;
-/// Request to a climb model: the number of heights in its input, and the number of segments of the response.
+/// Number of heights in the input of a call of a climb model.
 const CLIMB_HEIGHTS: usize = 65;
+/// Number of segments for which a climb model returns the ascent and descent.
 const CLIMB_SEGMENTS: i64 = 4;
 
 /// Results of one round.
 struct Round {
     served: u64,
     not_served: u64,
+    /// Time from the first call to the end of the last one.
     span: Duration,
     latency_us: Histogram<u64>,
 }
@@ -83,9 +85,7 @@
         let latency_us = Histogram::new_with_bounds(1, MAX_LATENCY_US, 3)?;
         Ok(Self { served: 0, not_served: 0, span: Duration::ZERO, latency_us })
     }
-}
 
-impl Round {
     fn calls_per_second(&self) -> f64 {
         self.served as f64 / self.span.as_secs_f64()
     }
@@ -105,14 +105,14 @@
 impl Load {
     pub(crate) fn run(self) -> Result<u8, CommandError> {
         if !(self.seconds > 0.0 && self.seconds <= MAX_ROUND_SECONDS) {
-            return Err(UsageError::RoundLength.into());
+            return Err(UsageError::RoundLength(self.seconds).into());
         }
         let mut targets = vec![Target { name: "through", address: self.address, rates: Vec::new() }];
         targets.extend(self.against.map(|address| Target { name: "direct", address, rates: Vec::new() }));
         let request = self.request();
         for number in 1..=self.rounds {
             for target in &mut targets {
-                let round = self.round(target.address, &request)?;
+                let round = self.run_round(target.address, &request)?;
                 target.rates.push(round.calls_per_second());
                 announce(&format!(
                     "round {number} {}: {:.0} calls/s, {} not served, p50 {:.2} ms, p99 {:.2} ms, p99.9 {:.2} ms",
@@ -142,12 +142,14 @@
     fn compare_with_server_live_rate(&self, through: f64) -> Result<(), CommandError> {
         let live =
             ClientRequest { method: "ServerLive", messages: vec![Bytes::new()], ..ClientRequest::default() };
-        let own = self.round(self.address, &live)?.calls_per_second();
-        announce(&format!("the gateway's own answers (ServerLive): {own:.0} a second at the same load"))?;
-        if through < own * GATEWAY_BOUND_MIN_RATIO {
+        let server_live_rate = self.run_round(self.address, &live)?.calls_per_second();
+        announce(&format!(
+            "the gateway's own answers (ServerLive): {server_live_rate:.0} a second at the same load"
+        ))?;
+        if through < server_live_rate * GATEWAY_BOUND_MIN_RATIO {
             announce(&format!(
                 "calls come to {:.1}% of that: lanes, cores and work of the workers bound this figure, not the gateway",
-                100.0 * through / own.max(MIN_RATE)
+                100.0 * through / server_live_rate.max(MIN_RATE)
             ))?;
         }
         Ok(())
@@ -166,35 +168,38 @@
     }
 
     /// Runs one round: keeps `open` calls open until its end, then awaits those for at most [`LAST_CALLS_GRACE`].
-    fn round(&self, address: SocketAddr, request: &ClientRequest) -> Result<Round, CommandError> {
-        let failed = || CommandError::system("the client failed");
+    fn run_round(&self, address: SocketAddr, request: &ClientRequest) -> Result<Round, CommandError> {
+        let start_failed = || CommandError::system("can't start a call");
         let limits = NetLimits { connect_timeout: CONNECT_TIMEOUT, ..NetLimits::default() };
-        let mut client = Client::new(self.connections as usize, limits).map_err(failed())?;
+        let mut client = Client::new(self.connections as usize, limits)
+            .map_err(CommandError::system("can't create the client"))?;
         let mut open = HashMap::new();
         let mut round = Round::new()?;
         let start = Instant::now();
-        let until = start + Duration::from_secs_f64(self.seconds);
+        let round_end = start + Duration::from_secs_f64(self.seconds);
         for _ in 0..self.open {
-            open.insert(client.call(address, request.clone()).map_err(failed())?, Instant::now());
+            open.insert(client.call(address, request.clone()).map_err(start_failed())?, Instant::now());
         }
         let mut events = Vec::new();
         while !open.is_empty() {
-            client.poll(Some(MAX_WAIT), &mut events).map_err(failed())?;
+            client
+                .poll(Some(MAX_WAIT), &mut events)
+                .map_err(CommandError::system("can't poll the connections"))?;
             let now = Instant::now();
             for event in events.drain(..) {
                 let ClientEvent::End { rpc, status, .. } = event else { continue };
-                let Some(since) = open.remove(&rpc) else { continue };
+                let Some(sent_at) = open.remove(&rpc) else { continue };
                 if status.is_ok_and(|status| status.code == Code::Ok) {
                     round.served += 1;
-                    round.latency_us.saturating_record((now - since).as_micros() as u64);
+                    round.latency_us.saturating_record((now - sent_at).as_micros() as u64);
                 } else {
                     round.not_served += 1;
                 }
-                if now < until {
-                    open.insert(client.call(address, request.clone()).map_err(failed())?, now);
+                if now < round_end {
+                    open.insert(client.call(address, request.clone()).map_err(start_failed())?, now);
                 }
             }
-            if now > until + LAST_CALLS_GRACE {
+            if now > round_end + LAST_CALLS_GRACE {
                 round.not_served += open.len() as u64;
                 break;
             }
@@ -204,6 +209,7 @@
     }
 }
 
+/// Returns the median, of an even number of values the greater of the middle two; 0 if there are no values.
 fn median(mut values: Vec<f64>) -> f64 {
     values.sort_by(f64::total_cmp);
     values.get(values.len() / 2).copied().unwrap_or(0.0)
--- a/crates/gateway/src/commands/scale.rs
+++ b/crates/gateway/src/commands/scale.rs
@@ -64,21 +64,22 @@
             signal_hook::flag::register(signal, interrupt.flag())
                 .map_err(CommandError::system("can't register a signal handler"))?;
         }
-        let program = std::env::current_exe().map_err(CommandError::system("can't find this program"))?;
+        let program = std::env::current_exe()
+            .map_err(CommandError::system("can't determine the path of this program"))?;
         let origin = lines::Origin { commit: self.commit, seed: settings.seed };
         let bar =
             SizesProgress::new(settings.measures.iter().map(|measure| measure.sizes().values.len()).sum());
-        let mut printed = Ok(());
-        let mut observed = |observation: &run::Observation| {
-            if printed.is_ok() {
-                printed = announce(&lines::observation(observation, &origin));
+        let mut print_result = Ok(());
+        let mut print_observation = |observation: &run::Observation| {
+            if print_result.is_ok() {
+                print_result = announce(&lines::observation(observation, &origin));
             }
         };
         let environment =
-            RunEnvironment { program, capacity, interrupt, progress: &bar, observed: &mut observed };
+            RunEnvironment { program, capacity, interrupt, progress: &bar, observed: &mut print_observation };
         let report = run::run(&mut settings, environment);
         bar.0.finish_and_clear();
-        printed?;
+        print_result?;
         announce(&lines::conclusion(&report, &origin).join("\n"))?;
         eprintln!("{}", table::render(&report));
         if let Some(folder) = &self.plots {
@@ -89,9 +90,9 @@
 }
 
 fn exit_code_of(report: Report) -> Result<u8, CommandError> {
-    let kept = report.all_kept();
+    let bounds_kept = report.all_kept();
     match report.end {
-        End::Done => Ok(exit_code::of_check(kept)),
+        End::Done => Ok(exit_code::of_check(bounds_kept)),
         End::Interrupted => Ok(exit_code::INTERRUPTED),
         End::Failed { measure, size, error } => Err(CommandError::Scale { measure, size, error }),
     }
--- a/crates/gateway/src/commands/scenario.rs
+++ b/crates/gateway/src/commands/scenario.rs
@@ -33,44 +33,46 @@
         let text = read_file(&self.file)?;
         let script =
             script::read(&self.file.display().to_string(), &text).map_err(CommandError::InvalidFile)?;
-        let played = self.play(&script, log)?;
+        let outcome = self.run_script(&script, log)?;
         if let Some(folder) = &self.keep {
-            std::fs::write(folder.join("evidence.txt"), event_log::all(&played.evidence))
+            std::fs::write(folder.join("evidence.txt"), event_log::all(&outcome.evidence))
                 .map_err(CommandError::system("can't write evidence.txt"))?;
         }
-        announce(report::summary(&played.evidence).trim_end())?;
-        let breaches = audit(&played.evidence, Slack::default());
-        print_breaches(&breaches, &played.evidence)?;
-        for end in &played.unexpected_exits {
-            announce(end)?;
+        announce(report::summary(&outcome.evidence).trim_end())?;
+        let breaches = audit(&outcome.evidence, Slack::default());
+        print_breaches(&breaches, &outcome.evidence)?;
+        for exit in &outcome.unexpected_exits {
+            announce(exit)?;
         }
-        let alerts = script.watch.as_ref().zip(played.alerts.as_ref());
-        let unmet = alerts.map_or(Ok(Vec::new()), |(watch, seen)| print_alerts(watch, seen))?;
-        let rules_kept = breaches.is_empty() && played.unexpected_exits.is_empty();
+        let alerts = script.watch.as_ref().zip(outcome.alerts.as_ref());
+        let unmet = alerts.map_or(Ok(Vec::new()), |(watch, received)| print_alerts(watch, received))?;
+        let rules_kept = breaches.is_empty() && outcome.unexpected_exits.is_empty();
         announce(&format!("day {}: {}", script.name, if rules_kept { "no rule broken" } else { "BROKEN" }))?;
         if script.watch.is_some() {
-            let outcome = if unmet.is_empty() { "as expected" } else { "NOT as expected" };
-            announce(&format!("day {}: alerts came {outcome}", script.name))?;
+            let verdict = if unmet.is_empty() { "as expected" } else { "NOT as expected" };
+            announce(&format!("day {}: alerts came {verdict}", script.name))?;
         }
         Ok(exit_code::of_check(rules_kept && unmet.is_empty()))
     }
 
-    fn play(&self, script: &Script, log: &str) -> Result<run::RunOutcome, CommandError> {
-        let program = std::env::current_exe().map_err(CommandError::system("can't find this program"))?;
+    /// Runs the script in a folder that is removed afterwards, unless it is to be kept.
+    fn run_script(&self, script: &Script, log: &str) -> Result<run::RunOutcome, CommandError> {
+        let program = std::env::current_exe()
+            .map_err(CommandError::system("can't determine the path of this program"))?;
         let dir = self.keep.clone().unwrap_or_else(run::default_dir);
         let script_folder = self.file.parent().unwrap_or(Path::new(""));
-        let played = run::run(script, &run::Stage { program: &program, dir: &dir, script_folder, log });
+        let outcome = run::run(script, &run::Stage { program: &program, dir: &dir, script_folder, log });
         if self.keep.is_none() {
             let _ = std::fs::remove_dir_all(&dir);
         }
-        played.map_err(|error| match error {
+        outcome.map_err(|error| match error {
             run::ScenarioError::Settings(errors) => CommandError::InvalidFile(errors),
             other => CommandError::Scenario(other),
         })
     }
 }
 
-/// Prints the broken rules, and all events of the first calls that broke one.
+/// Prints the first breaches of the rules, and all events of the first calls that breached one.
 fn print_breaches(breaches: &[Breach], evidence: &Evidence) -> Result<(), CommandError> {
     for breach in breaches.iter().take(MAX_FINDINGS) {
         announce(&breach.to_string())?;
@@ -86,14 +88,14 @@
     Ok(())
 }
 
-/// Prints the alerts that fired and the expectations that were not met. Returns all of the latter.
-fn print_alerts(watch: &Watch, seen: &alerting::ReceiverReport) -> Result<Vec<String>, CommandError> {
+/// Prints the alerts that fired and the first expectations that were not met. Returns all unmet expectations.
+fn print_alerts(watch: &Watch, received: &alerting::ReceiverReport) -> Result<Vec<String>, CommandError> {
     let seconds = |at_us: u64| at_us as f64 / 1e6;
-    for alert in &seen.alerts {
-        let to = alert.to.map_or("the end".to_owned(), |to| format!("{:.1} s", seconds(to)));
-        announce(&format!("alert {}{}: {:.1} s to {to}", alert.alert, alert.labels, seconds(alert.from)))?;
+    for alert in &received.alerts {
+        let end = alert.to.map_or("the end".to_owned(), |to| format!("{:.1} s", seconds(to)));
+        announce(&format!("alert {}{}: {:.1} s to {end}", alert.alert, alert.labels, seconds(alert.from)))?;
     }
-    let unmet = alerting::unmet_expectations(watch, seen);
+    let unmet = alerting::unmet_expectations(watch, received);
     for expectation in unmet.iter().take(MAX_FINDINGS) {
         announce(expectation)?;
     }
--- a/crates/gateway/src/commands/soak.rs
+++ b/crates/gateway/src/commands/soak.rs
@@ -68,7 +68,8 @@
         };
         let program = match &self.program {
             Some(program) => program.clone(),
-            None => std::env::current_exe().map_err(CommandError::system("can't find this program"))?,
+            None => std::env::current_exe()
+                .map_err(CommandError::system("can't determine the path of this program"))?,
         };
         let mut totals = Totals::default();
         for seed in self.seed..self.seed.saturating_add(self.seeds) {
@@ -81,11 +82,11 @@
     }
 
     fn run_seed(&self, seed: u64, size: Size, program: &Path) -> Result<Report, CommandError> {
-        let temporary =
+        let temporary_folder =
             tempfile::tempdir().map_err(CommandError::system("can't create a temporary folder"))?;
         let folder = match &self.keep {
             Some(keep) => keep.join(seed.to_string()),
-            None => temporary.path().to_owned(),
+            None => temporary_folder.path().to_owned(),
         };
         std::fs::create_dir_all(&folder)
             .map_err(CommandError::system("can't create the folder of the run"))?;
@@ -102,9 +103,11 @@
 #[derive(Default)]
 struct Totals {
     seeds: usize,
+    /// Number of seeds with findings.
     broken_seeds: usize,
     attempts: usize,
-    broken: BTreeMap<Rule, usize>,
+    /// Number of findings of each rule.
+    findings: BTreeMap<Rule, usize>,
     undecided: usize,
     /// Longest delay of the test's own threads.
     lag: Duration,
@@ -118,17 +121,17 @@
         self.undecided += report.undecided.len();
         self.lag = self.lag.max(report.lag);
         for finding in &report.findings {
-            *self.broken.entry(finding.rule).or_default() += 1;
+            *self.findings.entry(finding.rule).or_default() += 1;
         }
     }
 }
 
 impl fmt::Display for Totals {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Self { seeds, broken_seeds, attempts, broken, undecided, lag } = self;
+        let Self { seeds, broken_seeds, attempts, findings, undecided, lag } = self;
         write!(out, "{seeds} seeds, {broken_seeds} with a broken invariant; {attempts} attempts; ")?;
         write!(out, "{undecided} undecided; the test ran late by {lag:?} at the most")?;
-        broken.iter().try_for_each(|(rule, count)| write!(out, "; {rule:?} {count}"))
+        findings.iter().try_for_each(|(rule, count)| write!(out, "; {rule:?} {count}"))
     }
 }
 
--- a/crates/gateway/src/commands/top.rs
+++ b/crates/gateway/src/commands/top.rs
@@ -48,11 +48,11 @@
         let usage = client.get_pages("/v1/usage", "usage")?;
         let workers = client.get("/v1/workers")?;
         let controllers = client.get("/v1/controllers")?;
-        let before: BTreeMap<String, u64> =
+        let previously_accepted: BTreeMap<String, u64> =
             self.usage.iter().map(|row| (text(row, "tenant"), number(row, "admitted"))).collect();
         let rate = |row: &Value| {
             let tenant = text(row, "tenant");
-            let accepted = number(row, "admitted").saturating_sub(*before.get(&tenant)?);
+            let accepted = number(row, "admitted").saturating_sub(*previously_accepted.get(&tenant)?);
             Some((tenant, accepted as f64 / seconds.max(MIN_RATE_SPAN_SECONDS)))
         };
         self.rates = usage.iter().filter_map(rate).collect();
@@ -82,7 +82,7 @@
 impl Top {
     pub(crate) fn run(self) -> Result<u8, CommandError> {
         if !REFRESH_INTERVAL_SECONDS.contains(&self.every) {
-            return Err(UsageError::RefreshInterval.into());
+            return Err(UsageError::RefreshInterval(self.every).into());
         }
         let mut client = Client::new(&self.api)?;
         let mut sample = Sample::default();
@@ -106,23 +106,24 @@
         client: &mut Client,
         sample: &mut Sample,
     ) -> io::Result<()> {
-        let every = Duration::from_secs_f64(self.every);
-        let mut refreshed = Instant::now();
+        let interval = Duration::from_secs_f64(self.every);
+        let mut refreshed_at = Instant::now();
         loop {
             let drawn = terminal.draw(|frame| screen::draw(frame, sample));
             drawn.map_err(|error| io::Error::other(error.to_string()))?;
-            match wait(every.saturating_sub(refreshed.elapsed()))? {
+            match wait(interval.saturating_sub(refreshed_at.elapsed()))? {
                 Wake::Quit => return Ok(()),
                 Wake::Redraw => continue,
                 Wake::Timeout => {}
             }
-            let seconds = refreshed.elapsed().as_secs_f64();
-            refreshed = Instant::now();
+            let seconds = refreshed_at.elapsed().as_secs_f64();
+            refreshed_at = Instant::now();
             sample.error = sample.refresh(client, seconds).err().map(|error| error.to_string());
         }
     }
 }
 
+/// Waits for terminal input, for at most `timeout`.
 fn wait(timeout: Duration) -> io::Result<Wake> {
     if !event::poll(timeout)? {
         return Ok(Wake::Timeout);
--- a/crates/gateway/src/commands/top/screen/tests.rs
+++ b/crates/gateway/src/commands/top/screen/tests.rs
@@ -17,16 +17,17 @@
         revision: 17,
         ..Sample::default()
     };
-    let mut terminal = Terminal::new(TestBackend::new(100, 30)).expect("a screen");
+    let mut terminal = Terminal::new(TestBackend::new(100, 30)).expect("test terminal created");
     let mut render = |sample: &Sample| {
-        terminal.draw(|frame| draw(frame, sample)).expect("drawn");
+        terminal.draw(|frame| draw(frame, sample)).expect("screen drawn");
         terminal.backend().to_string()
     };
     let screen = render(&sample);
-    let at = |what: &str| screen.find(what).unwrap_or_else(|| panic!("{what} in {screen}"));
-    assert!(at("morava") < at("kalahari"));
-    for what in ["revision 17", "open 10", "held 4", "refused 6", "5 MiB", "quick", "drained by hand"] {
-        at(what);
+    let position =
+        |text: &str| screen.find(text).unwrap_or_else(|| panic!("{text:?} is not on the screen:\n{screen}"));
+    assert!(position("morava") < position("kalahari"));
+    for text in ["revision 17", "open 10", "held 4", "refused 6", "5 MiB", "quick", "drained by hand"] {
+        position(text);
     }
     sample.error = Some("no answer".to_owned());
     assert!(render(&sample).contains("no answer"));
--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -38,7 +38,7 @@
         Ok(code) => ExitCode::from(code),
         Err(error) => {
             logs::write_line(format_args!("nettleferry: {error}"));
-            ExitCode::from(error.code())
+            ExitCode::from(error.exit_code())
         }
     }
 }
