--- a/crates/gateway/tests/hollow.rs
+++ b/crates/gateway/tests/hollow.rs
@@ -10,7 +10,7 @@
 use std::process::{Child, ChildStdin, Command, Stdio};
 use std::sync::mpsc::{Receiver, channel};
 
-use nettleferry_hollow::followers::report::{Change, Second, Summary};
+use nettleferry_hollow::followers::report::{ChangePropagation, Second, Summary};
 use nettleferry_hollow::report::Line;
 use nettleferry_test_servers::ObservationKind;
 use serde_json::json;
@@ -70,7 +70,7 @@
 
     /// Waits for the report that the change with this revision has reached all simulated followers.
     #[track_caller]
-    fn change(&self, revision: u64) -> Change {
+    fn change(&self, revision: u64) -> ChangePropagation {
         self.wait("a change that reached all followers", |line| match line {
             Line::FollowersChange(change) if change.revision == revision => Some(change),
             _ => None,
--- a/crates/hollow/src/followers/propagation.rs
+++ b/crates/hollow/src/followers/propagation.rs
@@ -1,11 +1,11 @@
-//! Measures how long changes take to reach each follower, and to reach all of them.
+//! Measures the time from a change until each follower receives it, and until all have received it.
 
 use std::collections::BTreeMap;
 
 use hdrhistogram::Histogram;
 use nettleferry_tenancy::Revision;
 
-use super::report::Change;
+use super::report::ChangePropagation;
 use crate::report::histogram;
 
 /// Maximum number of pending changes. If there are more, the oldest counts as incomplete.
@@ -29,7 +29,7 @@
 }
 
 impl Propagation {
-    /// Creates the measurement for this number of followers.
+    /// Creates an empty measurement for this number of followers.
     pub fn new(followers: usize) -> Self {
         let (to_each, to_last) = (histogram(), histogram());
         Self { followers, pending: BTreeMap::new(), abandoned: None, to_each, to_last, incomplete: 0 }
@@ -37,7 +37,7 @@
 
     /// Records that a follower received a change `after_ms` milliseconds after it was made. Returns the change with its
     /// propagation times if this was the last follower.
-    pub fn record(&mut self, revision: Revision, after_ms: u64) -> Option<Change> {
+    pub fn record(&mut self, revision: Revision, after_ms: u64) -> Option<ChangePropagation> {
         self.to_each.saturating_record(after_ms * 1_000);
         if self.abandoned.is_some_and(|abandoned| revision <= abandoned) {
             return None;
@@ -56,7 +56,7 @@
         let max_ms = times.last().copied().unwrap_or(0);
         self.to_last.saturating_record(u64::from(max_ms) * 1_000);
         let followers = times.len() as u64;
-        Some(Change {
+        Some(ChangePropagation {
             revision,
             followers,
             p50_ms: percentile(&times, 50),
@@ -72,7 +72,7 @@
         self.incomplete = 0;
     }
 
-    /// Ends the measurement: pending changes count as incomplete.
+    /// Ends the measurement. Changes that are still pending count as incomplete.
     pub fn finish(&mut self) {
         self.incomplete += self.pending.len() as u64;
         self.pending.clear();
