--- a/crates/metrics/src/groups.rs
+++ b/crates/metrics/src/groups.rs
@@ -17,12 +17,12 @@
 use crate::latency::LatencyHistogram;
 use crate::layout::SeriesLayout;
 
-/// The bounds that the registry requires of a label set.
+/// Trait bounds that the registry requires of a label set.
 trait Labels: Clone + Hash + Eq + EncodeLabelSet + std::fmt::Debug + Send + Sync + 'static {}
 
 impl<L: Clone + Hash + Eq + EncodeLabelSet + std::fmt::Debug + Send + Sync + 'static> Labels for L {}
 
-/// Returns the label values of an enum's variants.
+/// Returns the label value of each of the given variants, in their order.
 fn label_values<T: Copy + 'static>(
     values: &'static [T],
     label: fn(T) -> &'static str,
@@ -83,14 +83,14 @@
 
 /// Counters of ended calls and their latency histograms.
 pub(crate) struct CallSeries {
-    /// Indexed by [`SeriesLayout::index`].
+    /// Counters of ended calls, indexed by [`SeriesLayout::index`].
     pub(crate) calls: Vec<Counter>,
-    /// Indexed by class number.
+    /// Histogram of each class, indexed by class number.
     pub(crate) latency: Vec<LatencyHistogram>,
 }
 
 impl CallSeries {
-    /// Registers the series.
+    /// Registers a counter for each combination of label values in `layout`, and a histogram for each of its classes.
     pub(crate) fn register(registry: &mut Registry, layout: &SeriesLayout) -> Self {
         let calls = Family::<CallLabels, Counter>::default();
         let mut call_handles = Vec::with_capacity(layout.series_count());
@@ -134,7 +134,7 @@
 }
 
 impl WorkerSeries {
-    /// Registers the series. `limits` are the names of the limits whose hits are counted.
+    /// Registers the group, with a counter of hits for each name in `limits`.
     pub(crate) fn register(registry: &mut Registry, limits: &[&'static str]) -> Self {
         let reason = |reason| ReasonLabels { reason };
         let note = |note| NoteLabels { note };
@@ -210,7 +210,7 @@
 }
 
 impl FleetSeries {
-    /// Registers the series.
+    /// Registers the group, with a gauge for each step and lease stage and a counter for each reason of a rejection.
     pub(crate) fn register(registry: &mut Registry) -> Self {
         let step_help = "Step of the return from a restart: 1 for the one it is in";
         let rejections_help = "Calls refused at once after a restart, or for want of a lease";
@@ -272,7 +272,7 @@
 }
 
 impl RemoteWriteSeries {
-    /// Registers the series.
+    /// Registers the group, with a counter of samples for each way in which a sample leaves the queue.
     pub(crate) fn register(registry: &mut Registry) -> Self {
         let samples_help = "Samples to be pushed, by what became of them";
         let changes_help = "Changes between the versions of remote write";
--- a/crates/metrics/src/labels.rs
+++ b/crates/metrics/src/labels.rs
@@ -14,7 +14,7 @@
             impl $name {
                 /// All variants, in declaration order.
                 pub const ALL: &[Self] = &[$(Self::$variant),*];
-                /// Number of variants.
+                /// Number of variants, which is the length of `ALL`.
                 pub const COUNT: usize = Self::ALL.len();
 
                 /// Returns the label value of the variant.
@@ -51,7 +51,7 @@
         Error => "error",
         /// The worker rejected the attempt before any processing.
         Full => "full",
-        /// No response came in time.
+        /// No response arrived before the attempt timed out.
         Timeout => "timeout",
         /// The connection could not be established, or broke before the request was sent completely.
         ConnectFailed => "connect_failed",
@@ -73,7 +73,7 @@
         LoadBegan => "began",
         /// The call waited for a load that had already started.
         LoadWaited => "waited",
-        /// The load failed.
+        /// The load that the call waited for failed.
         LoadFailed => "failed",
     }
 
@@ -85,7 +85,7 @@
         Full => "full",
         /// The load order failed in any other way.
         Failed => "failed",
-        /// No response came in time.
+        /// No response arrived before the load order timed out.
         Timeout => "timeout",
     }
 
@@ -105,7 +105,7 @@
     RecoveryStep {
         /// The return to service is complete or was not needed: calls are not limited.
         None => "none",
-        /// There is no worker list yet.
+        /// The controller has no worker list yet, and rejects all calls.
         NoList => "no-list",
         /// Calls are admitted as far as they can be answered in time.
         Partial => "part",
@@ -115,14 +115,14 @@
 
     /// Why a controller rejected a call on arrival, after a restart or without a lease.
     RecoveryRejection {
-        /// There is no worker list yet.
+        /// The controller has no worker list yet.
         NoList => "no-list",
         /// Waiting calls of the same model were too old, or too many calls were waiting.
         Overloaded => "crowded",
         /// The call is not idempotent, and the worker list was persisted by an earlier incarnation and not read since
         /// the start.
         UnconfirmedList => "unproven",
-        /// The controller has no lease.
+        /// The controller has no lease, or its incarnation is fenced.
         WithoutLease => "without-lease",
     }
 
@@ -158,7 +158,7 @@
 
     /// How a probe ended.
     ProbeEnd {
-        /// The worker responded.
+        /// The worker responded to the probe.
         Answered => "answered",
         /// The worker did not respond, or the probe failed otherwise.
         Failed => "failed",
--- a/crates/metrics/src/latency.rs
+++ b/crates/metrics/src/latency.rs
@@ -25,7 +25,7 @@
 pub struct NativeHistogram {
     /// Resolution of the buckets; see [`NATIVE_SCHEMA`].
     pub schema: i32,
-    /// Number of observations.
+    /// Number of observations, which is the sum of the counts in `buckets`.
     pub count: u64,
     /// Sum of the observations, in seconds.
     pub sum: f64,
@@ -72,8 +72,8 @@
     pub fn observe(&self, micros: u64) {
         let seconds = micros as f64 / MICROS_PER_SECOND;
         let mut observations = self.lock();
-        if let Some(at) = LATENCY_BUCKETS.iter().position(|upper| seconds <= *upper) {
-            observations.classic_buckets[at] += 1;
+        if let Some(bucket) = LATENCY_BUCKETS.iter().position(|upper| seconds <= *upper) {
+            observations.classic_buckets[bucket] += 1;
         }
         observations.sum_micros = observations.sum_micros.saturating_add(micros);
         observations.histogram.saturating_record(micros.max(1));
@@ -118,7 +118,7 @@
         let count = observations.histogram.len();
         drop(observations);
         // The last bucket (+Inf) counts the observations above the largest bound.
-        let bounded: u64 = buckets.iter().map(|b| b.1).sum();
+        let bounded: u64 = buckets.iter().map(|(_, count)| count).sum();
         buckets.push((f64::MAX, count - bounded));
         encoder.encode_histogram::<NoLabelSet>(sum, count, &buckets, None)
     }
--- a/crates/metrics/src/latency/tests.rs
+++ b/crates/metrics/src/latency/tests.rs
@@ -29,24 +29,24 @@
 proptest! {
     #[test]
     fn native_buckets_hold_every_observation_and_only_grow(
-        some in prop::collection::vec(1u64..600_000_000, 1..200),
+        latencies in prop::collection::vec(1u64..600_000_000, 1..200),
     ) {
         let latency = LatencyHistogram::default();
-        let mut before = latency.native();
-        for micros in &some {
+        let mut previous = latency.native();
+        for micros in &latencies {
             latency.observe(*micros);
-            let now = latency.native();
-            prop_assert_eq!(now.count, now.buckets.iter().map(|b| b.1).sum::<u64>());
-            prop_assert!(now.buckets.windows(2).all(|w| w[0].0 < w[1].0));
-            for (index, count) in &before.buckets {
-                prop_assert!(now.buckets.iter().any(|(i, c)| i == index && c >= count));
+            let current = latency.native();
+            prop_assert_eq!(current.count, current.buckets.iter().map(|b| b.1).sum::<u64>());
+            prop_assert!(current.buckets.windows(2).all(|w| w[0].0 < w[1].0));
+            for (index, count) in &previous.buckets {
+                prop_assert!(current.buckets.iter().any(|(i, c)| i == index && c >= count));
             }
             // The HdrHistogram is within 1 %, so a value may move up by at most one native bucket.
             let expected = native_index(*micros);
-            prop_assert!(now.buckets.iter().any(|(i, _)| *i == expected || *i == expected + 1));
-            before = now;
+            prop_assert!(current.buckets.iter().any(|(i, _)| *i == expected || *i == expected + 1));
+            previous = current;
         }
-        let sum: u64 = some.iter().sum();
-        prop_assert!((before.sum - sum as f64 / 1e6).abs() < 1e-6);
+        let sum: u64 = latencies.iter().sum();
+        prop_assert!((previous.sum - sum as f64 / 1e6).abs() < 1e-6);
     }
 }
--- a/crates/metrics/src/layout/tests.rs
+++ b/crates/metrics/src/layout/tests.rs
@@ -11,13 +11,13 @@
         for end in CallEnd::ALL {
             for tenant in [None, Some(0), Some(1), Some(2)] {
                 for group in 0..4 {
-                    seen.insert(layout.index(class, *end, tenant, group).expect("there"));
+                    seen.insert(layout.index(class, *end, tenant, group).expect("class exists"));
                 }
             }
         }
     }
     assert_eq!(seen.len(), layout.series_count());
-    assert!(seen.iter().all(|at| *at < layout.series_count()));
+    assert!(seen.iter().all(|index| *index < layout.series_count()));
     assert_eq!(layout.index(2, CallEnd::ServedInTime, None, 0), None);
 }
 
--- a/crates/metrics/src/lib.rs
+++ b/crates/metrics/src/lib.rs
@@ -5,8 +5,8 @@
 //! on sockets, clocks or open calls: callers pass in the values. The scrape endpoint and remote write read the
 //! registry.
 //!
-//! * [`registry`]: all series. A series is looked up by index, so recording a value does not allocate, and only
-//!   recording a latency takes a lock, which is the one of its histogram.
+//! * [`registry`]: all series. A series is looked up by index, so recording a value does not allocate. Only recording a
+//!   latency takes a lock, that of the histogram of the call's class.
 //! * [`updates`]: groups of values that are recorded or set together.
 //! * [`labels`]: label values as enums.
 //! * [`latency`]: call latencies of a class, in classic and native buckets.
--- a/crates/metrics/src/registry.rs
+++ b/crates/metrics/src/registry.rs
@@ -73,8 +73,8 @@
         increment(&self.workers.probes, end as usize);
     }
 
-    /// Raises the backstop counter to `total`. It counts the calls that the engine ended because the decision module
-    /// left them without an answer.
+    /// Raises the backstop counter to `total`, the number of calls that the engine ended because the decision module
+    /// had left them without an answer.
     pub fn set_backstop_ends(&self, total: u64) {
         raise(&self.workers.backstop_ends, total);
     }
--- a/crates/metrics/src/registry/tests.rs
+++ b/crates/metrics/src/registry/tests.rs
@@ -15,7 +15,7 @@
 #[test]
 fn all_series_are_zero_from_the_start() {
     let layout = SeriesLayout::new(names("c", 2), &names("t", 1), &names("m", 1), 1000);
-    let text = Metrics::new(layout, &["open_calls"]).text().expect("text");
+    let text = Metrics::new(layout, &["open_calls"]).text().expect("metrics text is encoded");
     let series = |name: &str| text.lines().filter(|l| l.starts_with(name)).count();
     // Two classes, six ends, three tenants (t0, other, none), two model groups (m0, other).
     assert_eq!(series("nettleferry_calls_total"), 2 * 6 * 3 * 2);
@@ -34,7 +34,7 @@
     metrics.record_call(&call(1, CallEnd::ServedLate, Some(1), 0));
     metrics.record_call(&call(0, CallEnd::Refused, None, 9));
     metrics.record_attempt(AttemptCause::Full);
-    let text = metrics.text().expect("text");
+    let text = metrics.text().expect("metrics text is encoded");
     let counted: Vec<&str> =
         text.lines().filter(|l| l.starts_with("nettleferry_calls_total") && !l.ends_with(" 0")).collect();
     assert_eq!(counted.len(), 2, "{counted:?}");
@@ -56,9 +56,9 @@
     for n in 0..10_000 {
         metrics.record_call(&call(n % 3, CallEnd::ServedInTime, Some(n), n));
     }
-    let text = metrics.text().expect("text");
+    let text = metrics.text().expect("metrics text is encoded");
     let series: Vec<&str> = text.lines().filter(|l| l.starts_with("nettleferry_calls_total")).collect();
     assert!(series.len() <= 2_000, "{}", series.len());
     let sum: u64 = series.iter().filter_map(|l| l.rsplit(' ').next()?.parse::<u64>().ok()).sum();
-    assert_eq!(sum, 10_000, "the rest is counted under other");
+    assert_eq!(sum, 10_000, "calls without a series of their own are counted under other");
 }
--- a/crates/metrics/src/sample.rs
+++ b/crates/metrics/src/sample.rs
@@ -28,7 +28,7 @@
 /// Parses the OpenMetrics text of [`crate::Metrics::text`]. Lines that can't be parsed as samples are ignored.
 pub fn parse(text: &str) -> Vec<ParsedSample> {
     let mut kind = SeriesKind::Gauge;
-    let mut all = Vec::new();
+    let mut samples = Vec::new();
     for line in text.lines() {
         if let Some(declaration) = line.strip_prefix("# TYPE ") {
             kind = match declaration.rsplit(' ').next() {
@@ -39,10 +39,10 @@
         } else if !line.starts_with('#')
             && let Some(sample) = parse_sample(line, kind)
         {
-            all.push(sample);
+            samples.push(sample);
         }
     }
-    all
+    samples
 }
 
 /// Parses a sample line. Returns `None` if the line is malformed.
@@ -66,9 +66,9 @@
 fn unquote(text: &str) -> Option<(String, &str)> {
     let mut content = String::new();
     let mut chars = text.char_indices();
-    while let Some((at, c)) = chars.next() {
+    while let Some((position, c)) = chars.next() {
         match c {
-            '"' => return Some((content, &text[at + 1..])),
+            '"' => return Some((content, &text[position + 1..])),
             '\\' => match chars.next()?.1 {
                 'n' => content.push('\n'),
                 other => content.push(other),
--- a/crates/metrics/src/updates.rs
+++ b/crates/metrics/src/updates.rs
@@ -11,7 +11,7 @@
     pub end: CallEnd,
     /// Tenant number; `None` for a call without a tenant.
     pub tenant: Option<usize>,
-    /// Model group number.
+    /// Model group number. Numbers without a series of their own are counted under `other`.
     pub group: usize,
     /// Microseconds from arrival to final answer. Only the latency of served calls is recorded.
     pub latency_micros: u64,
@@ -20,7 +20,7 @@
 /// State of a controller's return to service after a restart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RecoveryState {
-    /// Current phase.
+    /// Phase that the controller is in.
     pub step: RecoveryStep,
     /// Total number of rejected calls by reason, in the order of [`RecoveryRejection::ALL`].
     pub rejections: [u64; RecoveryRejection::COUNT],
@@ -29,9 +29,9 @@
 /// State of a follower's lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseState {
-    /// Current stage.
+    /// Stage that the lease is in.
     pub stage: LeaseStage,
-    /// Total number of leases that expired before they were renewed.
+    /// Total number of leases that expired before they were renewed, or were in force when the controller was fenced.
     pub expiries: u64,
     /// Total number of actions that began within a lease and finished after it had expired, because the process
     /// stalled in between.
