--- a/crates/remote-write/src/excluded.rs
+++ b/crates/remote-write/src/excluded.rs
@@ -6,9 +6,10 @@
 use crate::Micros;
 use crate::limits::Limits;
 
+/// The excluded series. Entries whose exclusion has ended remain until [`ExcludedSeries::contains`] is called for them.
 #[derive(Debug, Default)]
 pub(crate) struct ExcludedSeries {
-    /// End of the exclusion of each series.
+    /// Time at which the exclusion of each series ends.
     until: BTreeMap<u64, Micros>,
 }
 
--- a/crates/remote-write/src/negotiation.rs
+++ b/crates/remote-write/src/negotiation.rs
@@ -54,33 +54,34 @@
 pub struct Negotiation {
     backoff: Backoff,
     fallback: Option<Fallback>,
-    /// Lanes with a message in the preferred version in flight.
-    preferred_lanes: BTreeSet<usize>,
+    /// Shards with a message in the preferred version in flight.
+    preferred_shards: BTreeSet<usize>,
     changes: u64,
 }
 
 impl Negotiation {
     /// Creates a negotiation that starts with the preferred version.
     pub fn new(backoff: Backoff) -> Self {
-        Self { backoff, fallback: None, preferred_lanes: BTreeSet::new(), changes: 0 }
+        Self { backoff, fallback: None, preferred_shards: BTreeSet::new(), changes: 0 }
     }
 
-    /// Returns the version for the next message on a lane, which has at most one message in flight. The caller must
+    /// Returns the version for the next message of a shard, which has at most one message in flight. The caller must
     /// report the outcome with [`Negotiation::handle_response`].
-    pub fn next_version(&mut self, now: Micros, lane: usize) -> ProtocolVersion {
+    pub fn next_version(&mut self, now: Micros, shard: usize) -> ProtocolVersion {
         // During the fallback at most one message in flight uses the preferred version.
-        let preferred = self.fallback.is_none_or(|f| now >= f.retry_at && self.preferred_lanes.is_empty());
+        let preferred =
+            self.fallback.is_none_or(|fallback| now >= fallback.retry_at && self.preferred_shards.is_empty());
         if preferred {
-            self.preferred_lanes.insert(lane);
+            self.preferred_shards.insert(shard);
             return ProtocolVersion::Preferred;
         }
         ProtocolVersion::Plain
     }
 
-    /// Handles the response to a lane's message, or its failure. Responses to messages in the plain version are
-    /// ignored.
-    pub fn handle_response(&mut self, now: Micros, lane: usize, acceptance: Acceptance) {
-        if !self.preferred_lanes.remove(&lane) {
+    /// Handles the response to a shard's message, or the failure to get one. Responses to messages in the plain version
+    /// are ignored.
+    pub fn handle_response(&mut self, now: Micros, shard: usize, acceptance: Acceptance) {
+        if !self.preferred_shards.remove(&shard) {
             return;
         }
         match (acceptance, self.fallback) {
@@ -105,12 +106,13 @@
         self.fallback = Some(Fallback { backoff, retry_at: now.saturating_add(backoff) });
     }
 
-    /// Returns the version in use. New attempts with the preferred version during a fallback do not count.
+    /// Returns the version in use. During a fallback this is the plain version, also while the preferred version is
+    /// tried again.
     pub fn version(&self) -> ProtocolVersion {
         if self.fallback.is_some() { ProtocolVersion::Plain } else { ProtocolVersion::Preferred }
     }
 
-    /// Returns how often the version in use has changed.
+    /// Returns how often [`Negotiation::version`] has changed since the start.
     pub fn changes(&self) -> u64 {
         self.changes
     }
--- a/crates/remote-write/src/queue.rs
+++ b/crates/remote-write/src/queue.rs
@@ -9,7 +9,8 @@
 //! * Invalid: some samples of the batch were rejected because of their contents. The batch is halved, by series and
 //!   then by time, until the invalid samples are isolated and dropped. The number of times that a batch is halved is
 //!   bounded. A series that was rejected by itself while others of its batch were accepted is excluded for a while.
-//! * Unavailable: the same batch is sent again after an exponential backoff with jitter, or after Retry-After.
+//! * Unavailable: the batch is sent again after an exponential backoff with jitter, and no earlier than a Retry-After
+//!   allows.
 //!
 //! A full queue drops the oldest samples of all shards first, because the newest are the most valuable. Samples that
 //! exceed the maximum age are dropped as well. A batch in flight is kept, since the receiver may have accepted it.
@@ -39,7 +40,7 @@
 pub struct Queue<V = f64> {
     limits: Limits,
     shards: Vec<Shard<V>>,
-    /// Timestamp of the last sample of each series, in milliseconds since the Unix epoch.
+    /// Latest timestamp that was offered for each series, in milliseconds since the Unix epoch.
     last_times: BTreeMap<u64, i64>,
     excluded: ExcludedSeries,
     random: ChaCha8Rng,
@@ -53,7 +54,7 @@
     batch_number: u64,
     /// Maximum number of shards with a batch in flight.
     window: usize,
-    /// Index of the shard that is served first in the next round.
+    /// Index of the shard from which [`Queue::due`] counts the shards.
     next_shard: usize,
     /// Time before which no shard sends, because of a Retry-After.
     paused_until: Micros,
@@ -97,7 +98,8 @@
         self.completed.drain(..)
     }
 
-    /// From now on, sends batches without waiting for further samples. Called before the sender shuts down.
+    /// Makes the queue send batches without waiting for further samples from now on. Called before the sender shuts
+    /// down.
     pub fn flush(&mut self) {
         self.flushing = true;
     }
@@ -161,7 +163,7 @@
         let size = queued.size();
         while self.bytes + size > self.limits.max_bytes {
             if !self.drop_oldest() {
-                // No sample can be dropped, because all are part of a batch that was started.
+                // All queued samples are part of a batch that was started, so the new sample is dropped.
                 self.counters.dropped_full += 1;
                 self.completed.push(queued.sample.at_ms);
                 return;
@@ -179,7 +181,7 @@
         self.completed.extend(samples.iter().map(|queued| queued.sample.at_ms));
     }
 
-    /// Drops the oldest sample that is not part of a batch. Returns false if there is none.
+    /// Drops the oldest sample that is not part of a batch. Returns false if all samples are part of a batch.
     fn drop_oldest(&mut self) -> bool {
         let shards = self.shards.iter_mut().filter(|shard| !shard.waiting.is_empty());
         let oldest = shards.min_by_key(|shard| shard.waiting.front().map(|first| first.sequence));
@@ -190,17 +192,18 @@
     }
 
     fn drop_expired(&mut self, now: Micros) {
-        let since = now.saturating_sub(self.limits.max_age);
+        let arrived_since = now.saturating_sub(self.limits.max_age);
         let mut expired = Vec::new();
         for shard in &mut self.shards {
-            shard.remove_older(since, &mut expired);
+            shard.remove_older(arrived_since, &mut expired);
         }
         self.complete(&expired);
         self.counters.dropped_old += expired.len() as u64;
     }
 
-    /// Appends the batches to be sent at `now` to `send`. For each of them the caller must call
-    /// [`Queue::handle_response`], also if no response arrives.
+    /// Appends batches to be sent at `now` to `send`. For each of them the caller must call
+    /// [`Queue::handle_response`], also if no response arrives. One call may leave out a shard that is ready, so while
+    /// [`Queue::next_due`] returns `now`, the caller must call this method again.
     pub fn due(&mut self, now: Micros, send: &mut Vec<Batch<V>>) {
         self.drop_expired(now);
         if now < self.paused_until {
@@ -216,7 +219,7 @@
                 && let Some(batch) = self.start_attempt(shard)
             {
                 send.push(batch);
-                // The next round continues from the last shard that sent a batch.
+                // Both the rest of this pass and the next one count from the last shard that sent a batch.
                 self.next_shard = shard;
             }
         }
--- a/crates/remote-write/src/record_tracker.rs
+++ b/crates/remote-write/src/record_tracker.rs
@@ -24,7 +24,7 @@
 }
 
 impl<P> RecordTracker<P> {
-    /// Adds a record that contains `samples` samples with the timestamp `at_ms`.
+    /// Adds a record with this number of samples, all with the timestamp `at_ms`.
     pub fn add(&mut self, at_ms: i64, record: P, samples: usize) {
         let empty = || OpenRound { records: Vec::new(), samples_left: 0 };
         let round = self.open.entry(at_ms).or_insert_with(empty);
@@ -32,8 +32,8 @@
         round.samples_left += samples;
     }
 
-    /// Handles a sample with the timestamp `at_ms` that has left the queue. If it was the last one of its round,
-    /// returns the records of the round; otherwise the result is empty.
+    /// Handles a sample with the timestamp `at_ms` that has left the queue. If it was the last queued sample with this
+    /// timestamp, returns the records with the timestamp. Otherwise the result is empty.
     pub fn complete_sample(&mut self, at_ms: i64) -> Vec<P> {
         let Some(round) = self.open.get_mut(&at_ms) else { return Vec::new() };
         round.samples_left = round.samples_left.saturating_sub(1);
@@ -43,7 +43,7 @@
         self.open.remove(&at_ms).map(|round| round.records).unwrap_or_default()
     }
 
-    /// Returns the number of rounds with samples that are still queued.
+    /// Returns the number of timestamps of which samples are still queued.
     pub fn open_rounds(&self) -> usize {
         self.open.len()
     }
--- a/crates/remote-write/src/response.rs
+++ b/crates/remote-write/src/response.rs
@@ -37,9 +37,9 @@
     pub dropped_order: u64,
     /// Samples dropped because the limit on the number of series was reached.
     pub dropped_series: u64,
-    /// Batches sent, including repeated ones.
+    /// Attempts to send a batch or a part of one.
     pub batches: u64,
-    /// Batches sent again.
+    /// Attempts to send a batch, or a part of one, after the first attempt.
     pub retries: u64,
     /// Number of times that a batch or a part of one was halved.
     pub splits: u64,
--- a/crates/remote-write/src/sample_clock/tests.rs
+++ b/crates/remote-write/src/sample_clock/tests.rs
@@ -7,11 +7,11 @@
 const HOUR: Micros = 3_600 * SECOND;
 const START: Micros = 1_764_590_000 * SECOND;
 
-/// Reads the clock once a second for `seconds` seconds. The wall clock is ahead of the monotonic clock by `off`
-/// microseconds.
-fn run(clock: &mut SampleClock, from: Micros, seconds: u64, off: i64) -> Vec<Micros> {
+/// Reads the clock once a second for `seconds` seconds. The wall clock shows [`START`] plus the monotonic time plus
+/// `offset` microseconds.
+fn run(clock: &mut SampleClock, from: Micros, seconds: u64, offset: i64) -> Vec<Micros> {
     let at = |n| from + n * SECOND;
-    (1..=seconds).map(|n| clock.now(at(n), (START + at(n)).saturating_add_signed(off))).collect()
+    (1..=seconds).map(|n| clock.now(at(n), (START + at(n)).saturating_add_signed(offset))).collect()
 }
 
 #[test]
@@ -19,8 +19,12 @@
     let mut clock = SampleClock::new(0, START, 0);
     run(&mut clock, 0, 100, 0);
     let times = run(&mut clock, 100 * SECOND, 2 * 3_600 + 1, -(HOUR as i64));
-    assert!(times.windows(2).all(|w| w[1] - w[0] >= SECOND / 2), "half speed at the least");
-    assert_eq!((clock.offset(), clock.steps_forward()), (0, 0), "together again after two hours");
+    assert!(times.windows(2).all(|w| w[1] - w[0] >= SECOND / 2), "the clock runs at half speed or more");
+    assert_eq!(
+        (clock.offset(), clock.steps_forward()),
+        (0, 0),
+        "the clock agrees with the wall clock after two hours"
+    );
 }
 
 #[test]
@@ -28,15 +32,15 @@
     let mut clock = SampleClock::new(0, START, 0);
     run(&mut clock, 0, 10, 0);
     let times = run(&mut clock, 10 * SECOND, 60, 24 * HOUR as i64);
-    assert!(times.windows(2).all(|w| w[1] - w[0] <= SECOND + SECOND / 20), "not yet");
+    assert!(times.windows(2).all(|w| w[1] - w[0] <= SECOND + SECOND / 20), "the step is not confirmed yet");
     run(&mut clock, 70 * SECOND, 2, 24 * HOUR as i64);
     assert_eq!((clock.offset(), clock.steps_forward()), (0, 1));
     // A wall clock that steps forward and back again within the confirmation time is not followed.
-    let mut jumps = SampleClock::new(0, START, 0);
-    run(&mut jumps, 0, 59, HOUR as i64);
-    run(&mut jumps, 59 * SECOND, 200, 0);
-    run(&mut jumps, 259 * SECOND, 59, HOUR as i64);
-    assert_eq!(jumps.steps_forward(), 0);
+    let mut clock = SampleClock::new(0, START, 0);
+    run(&mut clock, 0, 59, HOUR as i64);
+    run(&mut clock, 59 * SECOND, 200, 0);
+    run(&mut clock, 259 * SECOND, 59, HOUR as i64);
+    assert_eq!(clock.steps_forward(), 0);
 }
 
 #[test]
@@ -61,10 +65,10 @@
     fn clock_never_goes_back(steps in prop::collection::vec((0u64..100_000_000, any::<u64>()), 1..200)) {
         let mut clock = SampleClock::new(0, START, 0);
         let (mut monotonic, mut last) = (0, START);
-        for (passed, wall) in steps {
-            monotonic += passed;
+        for (elapsed, wall) in steps {
+            monotonic += elapsed;
             let now = clock.now(monotonic, wall % (4 * START));
-            prop_assert!(now >= last + passed / 2);
+            prop_assert!(now >= last + elapsed / 2);
             last = now;
         }
     }
--- a/crates/remote-write/src/shard.rs
+++ b/crates/remote-write/src/shard.rs
@@ -14,6 +14,7 @@
     pub(crate) samples: Vec<QueuedSample<V>>,
 }
 
+/// The waiting samples of a shard, and the state of its current batch.
 pub(crate) struct Shard<V> {
     /// Samples that are not part of a batch yet, in order of arrival.
     pub(crate) waiting: VecDeque<QueuedSample<V>>,
@@ -60,7 +61,8 @@
             || self.waiting.front().is_some_and(|first| first.arrived + limits.batch_age <= now)
     }
 
-    /// Returns the time from which a batch may be sent, or `None` if there are no samples to send.
+    /// Returns the time from which a batch may be sent, or `None` if the shard has no samples. Only valid while no
+    /// batch is in flight.
     pub(crate) fn next_due(&self, limits: &Limits, flushing: bool) -> Option<Micros> {
         if self.has_batch(limits, flushing) {
             return Some(self.not_before);
@@ -84,8 +86,8 @@
         }
         let in_flight = usize::from(self.in_flight);
         for part in self.parts.iter_mut().skip(in_flight) {
-            let fresh = part.samples.partition_point(|queued| queued.arrived < since);
-            removed.extend(part.samples.drain(..fresh));
+            let expired = part.samples.partition_point(|queued| queued.arrived < since);
+            removed.extend(part.samples.drain(..expired));
         }
         let mut position = 0;
         self.parts.retain(|part| {
--- a/crates/remote-write/tests/queue.rs
+++ b/crates/remote-write/tests/queue.rs
@@ -26,19 +26,19 @@
 /// Sends all due batches with the same response to each, until nothing is due or the receiver is unavailable. Returns
 /// the batches that were sent.
 fn drain(queue: &mut Queue, now: u64, response: Response) -> Vec<Batch> {
-    let mut all = Vec::new();
+    let mut sent = Vec::new();
     loop {
         let mut send = Vec::new();
         queue.due(now, &mut send);
         if send.is_empty() {
-            return all;
+            return sent;
         }
         for batch in &send {
             queue.handle_response(now, batch.shard, batch.number, response);
         }
-        all.extend(send);
+        sent.extend(send);
         if matches!(response, Response::Unavailable { .. }) {
-            return all;
+            return sent;
         }
     }
 }
@@ -54,10 +54,10 @@
     assert_eq!((send.len(), queue.next_due(SECOND - 1)), (0, Some(SECOND)));
     queue.offer(SECOND - 1, sample(1, 9));
     queue.due(SECOND - 1, &mut send);
-    assert_eq!(send[0].samples.len(), 10, "it is full");
+    assert_eq!(send[0].samples.len(), 10, "the batch is full");
     queue.handle_response(SECOND, 0, send[0].number, Response::Accepted);
     queue.offer(2 * SECOND, sample(1, 10));
-    assert_eq!(drain(&mut queue, 3 * SECOND, Response::Accepted).len(), 1, "it is old");
+    assert_eq!(drain(&mut queue, 3 * SECOND, Response::Accepted).len(), 1, "the batch is old enough");
     assert_eq!((queue.len(), queue.counters().accepted), (0, 11));
 }
 
@@ -67,7 +67,7 @@
     queue.offer(0, sample(1, 0));
     let first = drain(&mut queue, SECOND, Response::Unavailable { retry_after: None });
     queue.offer(SECOND, sample(1, 1));
-    let next = queue.next_due(SECOND).expect("it is tried again");
+    let next = queue.next_due(SECOND).expect("a retry is scheduled");
     assert!((SECOND + 15 * MILLISECOND..=SECOND + 30 * MILLISECOND).contains(&next), "{next}");
     let mut send = Vec::new();
     queue.due(next, &mut send);
@@ -90,25 +90,25 @@
     }
     drain(&mut queue, SECOND, Response::Unavailable { retry_after: Some(40 * SECOND) });
     assert_eq!(queue.next_due(SECOND), Some(41 * SECOND));
-    let mut none = Vec::new();
-    queue.due(40 * SECOND, &mut none);
-    assert!(none.is_empty());
+    let mut send = Vec::new();
+    queue.due(40 * SECOND, &mut send);
+    assert!(send.is_empty());
     let mut now = 41 * SECOND;
-    let mut waits = Vec::new();
+    let mut delays = Vec::new();
     for _ in 0..12 {
         assert_eq!(
             drain(&mut queue, now, Response::Unavailable { retry_after: None }).len(),
             1,
-            "one asks for all"
+            "a single batch is sent while the receiver is unavailable"
         );
-        let next = queue.next_due(now).expect("there is more");
-        waits.push(next - now);
+        let next = queue.next_due(now).expect("a retry is scheduled");
+        delays.push(next - now);
         now = next;
         if now > 58 * SECOND {
             break;
         }
     }
-    assert!(waits.iter().all(|w| *w <= Limits::default().max_backoff), "{waits:?}");
+    assert!(delays.iter().all(|delay| *delay <= Limits::default().max_backoff), "{delays:?}");
 }
 
 #[test]
@@ -116,7 +116,7 @@
     let limits =
         Limits { max_bytes: 5_000 * SAMPLE_BYTES, max_age: 7_200 * SECOND, batch_samples: 100, ..limits() };
     let mut queue = Queue::new(limits, 1);
-    let mut tries = 0;
+    let mut attempts = 0;
     for second in 0..600u64 {
         for series in 0..50 {
             queue.offer(second * SECOND, sample(series, second as i64 * 1000));
@@ -124,24 +124,24 @@
         let mut now = second * SECOND;
         while let Some(next) = queue.next_due(now).filter(|at| *at < (second + 1) * SECOND) {
             now = next.max(now + 1);
-            tries += drain(&mut queue, now, Response::Unavailable { retry_after: None }).len();
+            attempts += drain(&mut queue, now, Response::Unavailable { retry_after: None }).len();
         }
         assert!(queue.bytes() <= limits.max_bytes);
     }
-    let away = queue.counters();
-    assert_eq!(away.offered, 30_000);
-    assert!(tries < 600, "no storm: {tries} tries in ten minutes");
+    let during_outage = queue.counters();
+    assert_eq!(during_outage.offered, 30_000);
+    assert!(attempts < 600, "{attempts} attempts in ten minutes");
     let queued = queue.len();
-    let back = drain(&mut queue, 700 * SECOND, Response::Accepted);
+    let after_outage = drain(&mut queue, 700 * SECOND, Response::Accepted);
     let mut last: BTreeMap<u64, i64> = BTreeMap::new();
-    for sample in back.iter().flat_map(|b| &b.samples) {
-        let before = last.insert(sample.series, sample.at_ms);
-        assert!(before.is_none_or(|t| t < sample.at_ms), "in order, once each");
+    for sample in after_outage.iter().flat_map(|b| &b.samples) {
+        let previous = last.insert(sample.series, sample.at_ms);
+        assert!(previous.is_none_or(|t| t < sample.at_ms), "samples of a series are sent in order and once");
     }
-    assert!(last.values().all(|t| *t == 599_000), "the newest are there");
+    assert!(last.values().all(|t| *t == 599_000), "the newest sample of each series is sent");
     let counters = queue.counters();
     assert_eq!(counters.accepted as usize, queued);
-    assert_eq!(counters.accepted + counters.dropped_full, 30_000, "what is missing is counted");
+    assert_eq!(counters.accepted + counters.dropped_full, 30_000, "samples that were not sent are counted");
 }
 
 #[test]
@@ -153,18 +153,18 @@
         }
     }
     drain(&mut queue, SECOND, Response::Unavailable { retry_after: None });
-    let mut at_once = Vec::new();
+    let mut batch_counts = Vec::new();
     let mut now = 10 * SECOND;
     for _ in 0..12 {
         let mut send = Vec::new();
         queue.due(now, &mut send);
-        at_once.push(send.len());
+        batch_counts.push(send.len());
         now += 10 * MILLISECOND;
         for batch in send {
             queue.handle_response(now, batch.shard, batch.number, Response::Accepted);
         }
     }
-    assert_eq!(at_once[..4], [1, 2, 4, 8], "{at_once:?}");
+    assert_eq!(batch_counts[..4], [1, 2, 4, 8], "{batch_counts:?}");
 }
 
 #[test]
@@ -188,9 +188,9 @@
     assert_eq!((queue.len(), queue.counters().dropped_series), (5, 3));
 }
 
-/// Sends all due batches, and rejects as invalid each one that contains a sample for which `bad` returns true.
+/// Sends all due batches, and rejects as invalid each one that contains a sample for which `is_invalid` returns true.
 /// Returns the number of requests.
-fn respond_by_content(queue: &mut Queue, now: u64, bad: impl Fn(&Sample) -> bool) -> usize {
+fn respond_by_content(queue: &mut Queue, now: u64, is_invalid: impl Fn(&Sample) -> bool) -> usize {
     let mut requests = 0;
     loop {
         let mut send = Vec::new();
@@ -201,7 +201,7 @@
         for batch in send {
             requests += 1;
             let response =
-                if batch.samples.iter().any(&bad) { Response::Invalid } else { Response::Accepted };
+                if batch.samples.iter().any(&is_invalid) { Response::Invalid } else { Response::Accepted };
             queue.handle_response(now, batch.shard, batch.number, response);
         }
     }
@@ -217,8 +217,8 @@
         }
     }
     let requests = respond_by_content(&mut queue, SECOND, |s| s.series == 617);
-    let c = queue.counters();
-    assert_eq!((c.accepted, c.rejected, queue.len()), (2_997, 3, 0));
+    let counters = queue.counters();
+    assert_eq!((counters.accepted, counters.rejected, queue.len()), (2_997, 3, 0));
     assert!(requests <= 2 * 12 + 3, "{requests} requests");
     // The series is excluded for a while, and then sent again, since its samples may be valid by then.
     for at in 4..8 {
@@ -227,7 +227,7 @@
         }
     }
     assert_eq!(queue.excluded_series(), 1);
-    assert!(respond_by_content(&mut queue, 4 * SECOND, |s| s.series == 617) <= 2, "no search");
+    assert!(respond_by_content(&mut queue, 4 * SECOND, |s| s.series == 617) <= 2, "no further halving");
     assert_eq!(queue.counters().rejected, 7);
     queue.offer(700 * SECOND, sample(617, 9));
     respond_by_content(&mut queue, 702 * SECOND, |_| false);
@@ -253,7 +253,7 @@
     for series in 0..1_000 {
         queue.offer(SECOND, sample(series, 1));
     }
-    assert_eq!(drain(&mut queue, 3 * SECOND, Response::Rejected).len(), 1, "and none is left out");
+    assert_eq!(drain(&mut queue, 3 * SECOND, Response::Rejected).len(), 1, "no series is excluded");
     assert_eq!((queue.len(), queue.bytes()), (0, 0));
 }
 
@@ -263,11 +263,15 @@
     for series in 0..4 {
         queue.offer(0, sample(series, 0));
     }
-    assert_eq!(respond_by_content(&mut queue, SECOND, |_| true), 7, "halved down to each");
+    assert_eq!(
+        respond_by_content(&mut queue, SECOND, |_| true),
+        7,
+        "the batch is halved down to single samples"
+    );
     assert_eq!(
         (queue.counters().rejected, queue.excluded_series()),
         (4, 0),
-        "it is the receiver, not the series"
+        "no series is excluded if the receiver accepts none of the batch"
     );
     for series in 0..4 {
         queue.offer(2 * SECOND, sample(series, 1));
@@ -291,8 +295,8 @@
     let rest = drain(&mut queue, 5 * SECOND, Response::Accepted);
     assert_eq!((first[0].number, &first[0].samples), (rest[0].number, &rest[0].samples));
     let times: Vec<i64> = rest.iter().flat_map(|b| &b.samples).map(|s| s.at_ms).collect();
-    let want: Vec<i64> = (0..20).step_by(2).chain((1..20).step_by(2)).chain([100]).collect();
-    assert_eq!(times, want);
+    let expected: Vec<i64> = (0..20).step_by(2).chain((1..20).step_by(2)).chain([100]).collect();
+    assert_eq!(times, expected);
 }
 
 #[test]
@@ -344,7 +348,10 @@
                     now += span * MILLISECOND;
                     queue.due(now, &mut in_flight);
                     for (n, batch) in in_flight.iter().enumerate() {
-                        prop_assert!(in_flight[n + 1..].iter().all(|b| b.shard != batch.shard), "two of a shard are out");
+                        prop_assert!(
+                            in_flight[n + 1..].iter().all(|b| b.shard != batch.shard),
+                            "a shard has two batches in flight"
+                        );
                         prop_assert!(!batch.samples.is_empty() && batch.samples.len() <= 10);
                     }
                 }
@@ -355,10 +362,10 @@
             prop_assert_eq!(c.offered, completed + queue.len() as u64);
             prop_assert_eq!(c.accepted, accepted_count);
             drained += queue.drain_completed().count() as u64;
-            prop_assert_eq!(drained, completed, "each that has gone is named once");
+            prop_assert_eq!(drained, completed, "each sample that left the queue is reported once");
         }
         for times in accepted_times.values() {
-            prop_assert!(times.windows(2).all(|w| w[0] < w[1]), "in order, once each");
+            prop_assert!(times.windows(2).all(|w| w[0] < w[1]), "samples of a series are accepted in order and once");
         }
     }
 }
