--- a/crates/platform/src/answer.rs
+++ b/crates/platform/src/answer.rs
@@ -1,4 +1,4 @@
-//! The kind of an invoker's answer, and its fields with the load note and the load report.
+//! Parsing of the kind and the fields of an invoker's answer. The fields include the load note and the load report.
 
 use nettleferry::{LoadNote, Report};
 
@@ -7,13 +7,13 @@
 pub enum AnswerKind {
     /// The request was served.
     Served,
-    /// The invoker has no replica of the function; the request did not run.
+    /// The invoker has no replica of the function. The request did not run.
     NotLoaded,
-    /// The invoker is at capacity; the request did not run.
+    /// The invoker is at capacity. The request did not run.
     Overloaded,
     /// The invoker failed the request, which may have run.
     Crashed,
-    /// The request had expired or been cancelled before the invoker received it; it did not run.
+    /// The request had expired or been cancelled before the invoker received it. It did not run.
     AlreadyEnded,
     /// The answer to a health check: the invoker is in service.
     InService,
@@ -22,7 +22,7 @@
 }
 
 impl AnswerKind {
-    /// Parses a keyword; `None` if it is unknown.
+    /// Parses a keyword. Returns `None` if it is unknown.
     pub fn parse(text: &str) -> Option<Self> {
         Some(match text {
             "served" => Self::Served,
@@ -40,7 +40,7 @@
 /// The fields of an answer. Fields that were not sent are `None`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct AnswerFields {
-    /// Whether the function was loaded when the request arrived.
+    /// Whether the function was loaded when the request arrived, and how a load that it waited for ended.
     pub note: Option<LoadNote>,
     /// Number of loaded replicas, in the answer to a load order.
     pub instances: Option<u32>,
@@ -69,7 +69,7 @@
                     });
                 }
                 "instances" => parsed.instances = Some(value.parse().ok()?),
-                "l" => parsed.report = Some(report(value)?),
+                "l" => parsed.report = Some(parse_report(value)?),
                 _ => {}
             }
         }
@@ -77,13 +77,13 @@
     }
 }
 
-/// Parses a load report such as `inflight:7;util:0.61`. The names that the settings use for these values are accepted
-/// as well. Returns `None` if a part is malformed or a value is negative or not finite.
-fn report(text: &str) -> Option<Report> {
+/// Parses a load report such as `inflight:7;util:0.61`. The names that the simulator's reports use for these values are
+/// accepted as well. Returns `None` if a part is malformed or a value is negative or not finite.
+fn parse_report(text: &str) -> Option<Report> {
     let mut report = Report::default();
     for part in text.split(';').filter(|part| !part.is_empty()) {
         let (name, value) = part.split_once(':')?;
-        let value = value.parse::<f64>().ok().filter(|v| v.is_finite() && *v >= 0.0)?;
+        let value = value.parse::<f64>().ok().filter(|value| value.is_finite() && *value >= 0.0)?;
         match name {
             "inflight" | "rif" => report.inflight = Some(value),
             "queue" | "q" => report.queue = Some(value),
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -11,7 +11,7 @@
 pub struct Config {
     /// The address to listen on for clients.
     pub listen: SocketAddr,
-    /// Seed for random numbers, in hex digits; different at each start.
+    /// Seed for random numbers, in hex digits. It differs at each start.
     pub seed: String,
     /// The resource limits of the machine.
     pub limits: Limits,
@@ -27,7 +27,7 @@
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(default)]
 pub struct Limits {
-    /// Memory in MB.
+    /// Memory of the machine, in MB.
     pub memory_mb: u64,
     /// Maximum number of file descriptors of a process.
     pub sockets: u64,
@@ -44,24 +44,24 @@
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
     /// The text is not a JSON object.
-    #[error("the configuration: {0}")]
+    #[error("configuration is not a JSON object: {0}")]
     Json(#[from] serde_json::Error),
     /// A field has the wrong type or an invalid value.
-    #[error("the configuration: field {name}: {source}")]
+    #[error("configuration field {name} is invalid: {source}")]
     Field {
-        /// The field's name.
+        /// Name of the field in the JSON object.
         name: &'static str,
-        /// The parser's error.
+        /// Why the field's value was rejected.
         source: serde_json::Error,
     },
     /// A required field is missing.
-    #[error("the configuration: field {0} is missing")]
+    #[error("configuration field {0} is missing")]
     Missing(&'static str),
 }
 
 type Object = serde_json::Map<String, serde_json::Value>;
 
-/// Removes a field from the object and parses it; `None` if the field is absent.
+/// Removes a field from the object and parses it. Returns `None` if the field is absent.
 fn field<T: serde::de::DeserializeOwned>(
     object: &mut Object,
     name: &'static str,
@@ -87,9 +87,11 @@
         })
     }
 
-    /// The seed as a number. A seed that is not hexadecimal is hashed instead.
+    /// Returns the seed as a number. A seed that is not a hexadecimal number of at most 64 bits is hashed instead.
     pub fn seed_number(&self) -> u64 {
-        let hashed = || self.seed.bytes().fold(0u64, |n, b| n.wrapping_mul(257).wrapping_add(u64::from(b)));
+        let hashed = || {
+            self.seed.bytes().fold(0u64, |hash, byte| hash.wrapping_mul(257).wrapping_add(u64::from(byte)))
+        };
         u64::from_str_radix(&self.seed, 16).unwrap_or_else(|_| hashed())
     }
 }
--- a/crates/platform/src/directory/dns.rs
+++ b/crates/platform/src/directory/dns.rs
@@ -42,7 +42,7 @@
     for record in &packet.answers {
         let RData::SRV(srv) = &record.rdata else { continue };
         if !is_list_name(&record.name) {
-            return Err(ListError::Record(format!("{}: the list of another service", record.name)));
+            return Err(ListError::Record(format!("{}: SRV record of another service", record.name)));
         }
         let invoker = hosts.invoker(srv)?;
         invokers.insert(invoker.id.clone(), invoker);
@@ -50,7 +50,7 @@
     Ok(List { serial, invokers: invokers.into_values().collect() })
 }
 
-/// Whether this is [`LIST_NAME`]. DNS names are case-insensitive.
+/// Returns whether this is [`LIST_NAME`]. DNS names are case-insensitive.
 fn is_list_name(name: &Name) -> bool {
     name.to_string().eq_ignore_ascii_case(LIST_NAME)
 }
@@ -72,25 +72,26 @@
     Ok(())
 }
 
-/// The serial of the SOA record, which is the number of the directory's last event.
+/// Returns the serial of the SOA record, which is the number of the directory's last event.
 fn serial(packet: &Packet) -> Result<u32, ListError> {
     let mut records = packet.name_servers.iter().chain(&packet.answers).chain(&packet.additional_records);
     let serial = records.find_map(|record| match &record.rdata {
         RData::SOA(soa) => Some(soa.serial),
         _ => None,
     });
-    serial.ok_or_else(|| ListError::Record("no SOA record".to_owned()))
+    serial.ok_or_else(|| ListError::Record("response has no SOA record".to_owned()))
 }
 
 /// The A and TXT records of a response, by host name.
 struct HostRecords {
     addresses: BTreeMap<String, Ipv4Addr>,
-    texts: BTreeMap<String, BTreeMap<String, String>>,
+    /// Attributes in the TXT records of each host.
+    attributes: BTreeMap<String, BTreeMap<String, String>>,
 }
 
 impl HostRecords {
     fn collect(packet: &Packet) -> Self {
-        let mut hosts = Self { addresses: BTreeMap::new(), texts: BTreeMap::new() };
+        let mut hosts = Self { addresses: BTreeMap::new(), attributes: BTreeMap::new() };
         for record in packet.answers.iter().chain(&packet.additional_records) {
             let host = record.name.to_string();
             match &record.rdata {
@@ -98,7 +99,7 @@
                     hosts.addresses.insert(host, Ipv4Addr::from(a.address));
                 }
                 RData::TXT(txt) => {
-                    let attributes = hosts.texts.entry(host).or_default();
+                    let attributes = hosts.attributes.entry(host).or_default();
                     for (name, value) in txt.attributes() {
                         attributes.insert(name, value.unwrap_or_default());
                     }
@@ -112,12 +113,12 @@
     /// Builds the invoker that an SRV record names from its A and TXT records.
     fn invoker(&self, srv: &SRV) -> Result<Invoker, ListError> {
         let target = srv.target.to_string();
-        let missing = |what: &str| ListError::Record(format!("{target}: {what}"));
+        let error = |reason: &str| ListError::Record(format!("{target}: {reason}"));
         let mut labels = target.split('.');
-        let (id, zone) = labels.next().zip(labels.next()).ok_or_else(|| missing("no zone in its name"))?;
-        let address = self.addresses.get(&target).ok_or_else(|| missing("no A record"))?;
-        let text = self.texts.get(&target).ok_or_else(|| missing("no TXT record"))?;
-        let attribute = |name: &str| text.get(name).cloned().unwrap_or_default();
+        let (id, zone) = labels.next().zip(labels.next()).ok_or_else(|| error("host name has no zone"))?;
+        let address = self.addresses.get(&target).ok_or_else(|| error("host has no A record"))?;
+        let attributes = self.attributes.get(&target).ok_or_else(|| error("host has no TXT record"))?;
+        let attribute = |name: &str| attributes.get(name).cloned().unwrap_or_default();
         Ok(Invoker {
             id: id.to_owned(),
             address: Some(SocketAddr::new(IpAddr::V4(*address), srv.port)),
--- a/crates/platform/src/directory/events.rs
+++ b/crates/platform/src/directory/events.rs
@@ -6,13 +6,14 @@
 
 use super::{Invoker, List, ListError, State};
 
-/// The events that the configuration contains.
+/// The directory's events that the configuration contains. Together they describe the list at the start of the
+/// controller.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub struct KnownEvents {
-    /// Number of the last event.
+    /// Number of the last event that the list includes.
     #[serde(default, rename = "pos")]
     pub number: u32,
-    /// The events, in order.
+    /// The events, in the order in which they apply.
     #[serde(default)]
     pub entries: Vec<ListEvent>,
 }
@@ -20,10 +21,10 @@
 /// An event of the directory.
 #[derive(Clone, Debug, Deserialize)]
 pub struct ListEvent {
-    /// Number of the event.
+    /// Number of the event in the directory's sequence.
     #[serde(rename = "pos")]
     pub number: u32,
-    /// The change of the list.
+    /// The change that the event makes to the list.
     pub hosts: HostChange,
 }
 
@@ -87,7 +88,7 @@
 }
 
 impl InstanceChange {
-    /// The invoker as it is after the event.
+    /// Converts the change to the invoker's state after the event.
     fn invoker(&self) -> Result<Invoker, ListError> {
         let address = match &self.host_port {
             Some(text) => Some(text.parse().map_err(|_| {
--- a/crates/platform/src/directory/mod.rs
+++ b/crates/platform/src/directory/mod.rs
@@ -1,4 +1,5 @@
-//! The list of invokers, from events in the configuration (`events`) and from responses to DNS queries (`dns`).
+//! Parsing of the list of invokers, from events in the configuration (`events`) and from responses to DNS queries
+//! (`dns`).
 
 mod dns;
 mod events;
@@ -14,32 +15,32 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum State {
-    /// In service.
+    /// The invoker is in service and accepts requests.
     Up,
-    /// Finishes its open requests and must get no new ones.
+    /// The invoker finishes its open requests and must get no new ones.
     Draining,
-    /// No longer in the list. Occurs in events only.
+    /// The invoker is no longer in the list. This state occurs in events only.
     Removed,
 }
 
 /// An invoker of the list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Invoker {
-    /// The invoker's id.
+    /// The invoker's id, which is unique in the list.
     pub id: String,
-    /// The address that the invoker listens on; `None` in the event that removes it.
+    /// The address that the invoker listens on. `None` if an event gives no address, as when it removes the invoker.
     pub address: Option<SocketAddr>,
     /// The zone that the invoker runs in.
     pub zone: String,
     /// The kind of machine that the invoker runs on.
     pub kind: String,
-    /// The invoker's cell.
+    /// Name of the cell that the invoker belongs to.
     pub cell: String,
     /// The invoker's weight; see [`nettleferry::Weights`] for its meaning.
     pub weight: f64,
     /// Whether the invoker is in service, draining or removed.
     pub state: State,
-    /// Start time in Unix milliseconds; 0: unknown or long ago.
+    /// Start time in milliseconds since the Unix epoch. 0 if it is unknown or long ago.
     pub started_ms: u64,
 }
 
@@ -47,23 +48,23 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ListError {
     /// The response is not a DNS message, or a query can't be built.
-    #[error("not a valid DNS message: {0}")]
+    #[error("DNS message is invalid: {0}")]
     Dns(String),
     /// The message is the response to another query, or not a response.
-    #[error("not the answer to this query")]
+    #[error("message is not a response to this query")]
     Unexpected,
     /// The response is truncated.
-    #[error("the response is truncated")]
+    #[error("response is truncated")]
     Truncated,
-    /// The directory reports a failure, with this response code.
-    #[error("the directory reports {0}")]
+    /// The directory could not answer the query, and responded with this DNS response code.
+    #[error("directory responded with {0}")]
     Failure(String),
     /// A record of the response, or an address in an event, is missing or invalid.
     #[error("{0}")]
     Record(String),
 }
 
-/// The list of invokers as it is after an event.
+/// The list of invokers after an event.
 #[derive(Clone, Debug, PartialEq)]
 pub struct List {
     /// Number of the last event that the list includes.
--- a/crates/platform/src/frames.rs
+++ b/crates/platform/src/frames.rs
@@ -7,15 +7,15 @@
 pub const FRAME_LENGTHS: std::ops::RangeInclusive<u32> = 5..=262_144;
 /// Maximum size of a request's body in bytes.
 pub const MAX_BODY_BYTES: usize = 16 << 10;
-/// Maximum size of a frame's payload in bytes; a longer payload is skipped as it arrives. Apart from its body, a
+/// Maximum size of a frame's payload in bytes. A longer payload is skipped as it arrives. Apart from its body, a
 /// request contains some hundred bytes of fields.
 pub const MAX_PAYLOAD_BYTES: usize = MAX_BODY_BYTES + (8 << 10);
 /// Size of the header in bytes: length, type and stream.
 const HEADER_BYTES: usize = 9;
 
-/// Frame types.
+/// Values of a frame's type byte.
 pub mod kind {
-    /// A client's request.
+    /// A request of a client, which the controller answers on the same stream.
     pub const REQUEST: u8 = 7;
     /// The answer to a request. On stream 0 it is an error that belongs to no request.
     pub const ANSWER: u8 = 8;
@@ -41,7 +41,7 @@
 }
 
 impl Code {
-    /// The code's byte on the wire.
+    /// Returns the code's byte on the wire.
     pub fn byte(self) -> u8 {
         match self {
             Self::Served => 79,
@@ -56,23 +56,24 @@
 pub enum Frame {
     /// A frame with its payload.
     Complete {
-        /// The frame's type, one of [`kind`] or unknown.
+        /// The frame's type byte, one of [`kind`] or unknown.
         kind: u8,
-        /// The frame's stream.
+        /// Number of the stream that the frame belongs to.
         stream: u32,
-        /// The frame's payload.
+        /// The bytes after the frame's header.
         payload: Bytes,
     },
     /// A frame whose payload exceeds [`MAX_PAYLOAD_BYTES`] and is skipped.
     TooLong {
-        /// The frame's type.
+        /// The frame's type byte, one of [`kind`] or unknown.
         kind: u8,
-        /// The frame's stream.
+        /// Number of the stream that the frame belongs to.
         stream: u32,
     },
 }
 
-/// A framing error. The start of the next frame is then unknown, so the connection can't be read any further.
+/// A framing error. The start of the next frame is then unknown, so the connection can't be read any further. The
+/// client receives the error's text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
     /// The frame's length is outside [`FRAME_LENGTHS`].
@@ -110,32 +111,32 @@
             return Ok(None);
         }
         let (kind, stream) = (input[4], u32::from_be_bytes([input[5], input[6], input[7], input[8]]));
-        let payload = length as usize - (HEADER_BYTES - 4);
-        if payload > MAX_PAYLOAD_BYTES {
+        let payload_bytes = length as usize - (HEADER_BYTES - 4);
+        if payload_bytes > MAX_PAYLOAD_BYTES {
             input.advance(HEADER_BYTES);
-            self.skip = payload;
+            self.skip = payload_bytes;
             return Ok(Some(Frame::TooLong { kind, stream }));
         }
-        if input.len() < HEADER_BYTES + payload {
+        if input.len() < HEADER_BYTES + payload_bytes {
             return Ok(None);
         }
         input.advance(HEADER_BYTES);
         // Copied, because a slice would keep the whole read buffer alive.
-        let content = Bytes::copy_from_slice(&input[..payload]);
-        input.advance(payload);
-        Ok(Some(Frame::Complete { kind, stream, payload: content }))
+        let payload = Bytes::copy_from_slice(&input[..payload_bytes]);
+        input.advance(payload_bytes);
+        Ok(Some(Frame::Complete { kind, stream, payload }))
     }
 
-    /// Whether `input` ends in an incomplete frame, or the payload of a frame is still being skipped.
+    /// Returns whether `input` ends in an incomplete frame, or the payload of a frame is still being skipped.
     pub fn is_mid_frame(&self, input: &BytesMut) -> bool {
         self.skip > 0 || !input.is_empty()
     }
 }
 
-/// Why the fields of a request can't be parsed.
+/// Why the fields of a request can't be parsed. The client receives the error's text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FieldsError {
-    /// The payload ends before the fields that their count and sizes announce.
+    /// The payload is shorter than the count and the sizes of its fields require.
     #[error("the fields are cut short")]
     Truncated,
     /// A field's name or value is not UTF-8.
@@ -175,13 +176,13 @@
         Ok((Self(fields), rest))
     }
 
-    /// The value of a field; `None` if it is absent.
+    /// Returns the value of a field, or `None` if it is absent.
     pub fn get(&self, name: &str) -> Option<&'a str> {
         self.0.iter().find(|(known, _)| *known == name).map(|(_, value)| *value)
     }
 }
 
-/// Appends an answer without fields.
+/// Appends an answer that has a body but no fields.
 pub fn answer(out: &mut Vec<u8>, stream: u32, code: Code, body: &[u8]) {
     header(out, kind::ANSWER, stream, 2 + body.len());
     out.put_u8(code.byte());
@@ -217,14 +218,14 @@
     out.put_slice(&payload);
 }
 
-/// Appends a frame without a payload, for test clients.
+/// Appends a frame of any type that has no payload, for test clients.
 pub fn bare(out: &mut Vec<u8>, kind: u8, stream: u32) {
     header(out, kind, stream, 0);
 }
 
-/// Appends the header of a frame.
-fn header(out: &mut Vec<u8>, kind: u8, stream: u32, payload: usize) {
-    out.put_u32((HEADER_BYTES - 4 + payload) as u32);
+/// Appends the header of a frame with a payload of this size.
+fn header(out: &mut Vec<u8>, kind: u8, stream: u32, payload_bytes: usize) {
+    out.put_u32((HEADER_BYTES - 4 + payload_bytes) as u32);
     out.put_u8(kind);
     out.put_u32(stream);
 }
--- a/crates/platform/src/request.rs
+++ b/crates/platform/src/request.rs
@@ -9,11 +9,11 @@
     pub class: &'a str,
     /// The request's id, 16 lower-case hex digits.
     pub id: &'a str,
-    /// How long the client waits for the answer, in milliseconds.
+    /// Time that the client waits for the answer, in milliseconds.
     pub timeout_ms: f64,
     /// Id of the function, 16 lower-case hex digits.
     pub function: &'a str,
-    /// Name of the tenant; `None` where there are no tenants.
+    /// Name of the tenant. `None` if the request names no tenant.
     pub tenant: Option<&'a str>,
     /// The idempotency key, by which invokers drop repeats of requests of a keyed class. It is forwarded unchanged.
     pub idempotency_key: Option<&'a str>,
@@ -43,7 +43,7 @@
     /// A field is not an id of 16 lower-case hex digits.
     #[error("the field {0} is not 16 hex digits")]
     InvalidId(&'static str),
-    /// A number can't be parsed, or is out of its range.
+    /// A number can't be parsed or is out of its range, or a tag has no value.
     #[error("the figure {0} is not a number in its range")]
     InvalidNumber(&'static str),
     /// The body is longer than [`MAX_BODY_BYTES`].
@@ -99,7 +99,7 @@
                     let lanes = value.parse().ok().filter(|n| (1..=MAX_LANES).contains(n));
                     request.lanes = Some(lanes.ok_or(RequestError::InvalidNumber("lanes"))?);
                 }
-                // Tags for other services.
+                // The tag is meant for another service.
                 _ => {}
             }
         }
@@ -107,7 +107,7 @@
     }
 }
 
-/// Whether the text consists of 16 lower-case hex digits.
+/// Returns whether the text consists of 16 lower-case hex digits.
 fn is_id(text: &str) -> bool {
     text.len() == 16 && text.bytes().all(|b| b.is_ascii_digit() || (b'a'..=b'f').contains(&b))
 }
@@ -115,7 +115,7 @@
 /// Parses a number greater than 0 and at most `max`. Only decimal digits and a point are accepted, without a sign or an
 /// exponent.
 fn number(name: &'static str, text: &str, max: f64) -> Result<f64, RequestError> {
-    let plain = text.len() <= 24 && text.bytes().all(|b| b.is_ascii_digit() || b == b'.');
-    let value = if plain { text.parse::<f64>().ok() } else { None };
-    value.filter(|v| *v > 0.0 && *v <= max).ok_or(RequestError::InvalidNumber(name))
+    let is_decimal = text.len() <= 24 && text.bytes().all(|b| b.is_ascii_digit() || b == b'.');
+    let value = if is_decimal { text.parse::<f64>().ok() } else { None };
+    value.filter(|value| *value > 0.0 && *value <= max).ok_or(RequestError::InvalidNumber(name))
 }
