--- a/crates/platform-settings/src/fields.rs
+++ b/crates/platform-settings/src/fields.rs
@@ -12,24 +12,24 @@
 pub struct FieldError {
     /// Path of the field, as in `classes[1].deadline_ms`.
     pub path: String,
-    /// What is wrong with the field; follows the path in the error message.
+    /// What is wrong with the field, as the part of the error message after the path.
     pub reason: &'static str,
 }
 
 /// A JSON object, which may be absent, and the path that leads to it.
 pub(crate) struct Fields<'a> {
-    /// Path of the object; empty for the outermost object.
+    /// Path of the object. It is empty for the outermost object.
     path: String,
-    /// `None` if the object is absent; all its fields then count as absent.
+    /// Fields of the object. `None` if the object is absent, in which case all its fields count as absent.
     object: Option<&'a Map<String, Value>>,
 }
 
 impl<'a> Fields<'a> {
-    /// The outermost object of the settings.
-    pub(crate) fn of(value: &'a Value) -> Result<Self, FieldError> {
+    /// Returns the outermost object of the settings, or an error if `value` is not an object.
+    pub(crate) fn outermost(value: &'a Value) -> Result<Self, FieldError> {
         match value {
             Value::Object(object) => Ok(Self { path: String::new(), object: Some(object) }),
-            _ => Err(FieldError { path: "settings".to_owned(), reason: "is no object" }),
+            _ => Err(FieldError { path: "settings".to_owned(), reason: "is not an object" }),
         }
     }
 
@@ -37,12 +37,12 @@
         if self.path.is_empty() { name.to_owned() } else { format!("{}.{name}", self.path) }
     }
 
-    /// The error for an invalid field of this object.
+    /// Creates the error for an invalid field of this object.
     pub(crate) fn error(&self, name: &str, reason: &'static str) -> FieldError {
         FieldError { path: self.path_of(name), reason }
     }
 
-    /// The error for a missing field of this object.
+    /// Creates the error for a missing field of this object.
     pub(crate) fn missing(&self, name: &str) -> FieldError {
         self.error(name, "is missing")
     }
@@ -51,83 +51,86 @@
         self.object?.get(name).filter(|value| !value.is_null())
     }
 
-    /// Converts a field with `read`; `None` if the field is absent. If `read` returns `None`, the field is invalid and
-    /// the error has this reason.
-    fn read<T>(
+    /// Returns the result of `convert` for a field, or `None` if the field is absent. If `convert` returns `None`, the
+    /// field is invalid and the error has this reason.
+    fn convert<T>(
         &self,
         name: &str,
         reason: &'static str,
-        read: impl FnOnce(&'a Value) -> Option<T>,
+        convert: impl FnOnce(&'a Value) -> Option<T>,
     ) -> Result<Option<T>, FieldError> {
         match self.value(name) {
-            Some(value) => read(value).map(Some).ok_or_else(|| self.error(name, reason)),
+            Some(value) => convert(value).map(Some).ok_or_else(|| self.error(name, reason)),
             None => Ok(None),
         }
     }
 
-    /// A nested object, which may be absent.
+    /// Returns a nested object. If it is absent, all its fields count as absent.
     pub(crate) fn object(&self, name: &str) -> Result<Fields<'a>, FieldError> {
-        let object = self.read(name, "is no object", Value::as_object)?;
+        let object = self.convert(name, "is not an object", Value::as_object)?;
         Ok(Fields { path: self.path_of(name), object })
     }
 
-    /// The objects of a list; empty if the list is absent.
+    /// Returns the objects of a list. The result is empty if the list is absent.
     pub(crate) fn list(&self, name: &str) -> Result<Vec<Fields<'a>>, FieldError> {
-        let values = self.read(name, "is not a list", Value::as_array)?.map_or(&[][..], Vec::as_slice);
-        let fields = values.iter().enumerate().map(|(at, value)| {
-            let path = format!("{}[{at}]", self.path_of(name));
+        let values = self.convert(name, "is not a list", Value::as_array)?.map_or(&[][..], Vec::as_slice);
+        let fields = values.iter().enumerate().map(|(index, value)| {
+            let path = format!("{}[{index}]", self.path_of(name));
             match value {
                 Value::Object(object) => Ok(Fields { path, object: Some(object) }),
-                _ => Err(FieldError { path, reason: "is no object" }),
+                _ => Err(FieldError { path, reason: "is not an object" }),
             }
         });
         fields.collect()
     }
 
-    /// A duration, which the settings state in milliseconds, in microseconds.
+    /// Returns a duration in microseconds, which the settings state in milliseconds, or `None` if it is absent.
     pub(crate) fn duration(&self, name: &str) -> Result<Option<Micros>, FieldError> {
         let duration = |value: &Value| value.as_f64().filter(|ms| *ms >= 0.0).and_then(|_| micros(value));
-        self.read(name, "is not a valid duration in milliseconds", duration)
+        self.convert(name, "is not a valid duration in milliseconds", duration)
     }
 
-    /// A finite number of 0 or more.
+    /// Returns a finite number of 0 or more, or `None` if it is absent.
     pub(crate) fn number(&self, name: &str) -> Result<Option<f64>, FieldError> {
         let number = |value: &Value| value.as_f64().filter(|number| number.is_finite() && *number >= 0.0);
-        self.read(name, "is not a number of 0 or more", number)
+        self.convert(name, "is not a number of 0 or more", number)
     }
 
-    /// An integer of 0 or more, which may be written with a fraction of zero, as in `3.0`.
+    /// Returns an integer of 0 or more, or `None` if it is absent. It may be written with a fraction of zero, as in
+    /// `3.0`.
     pub(crate) fn integer(&self, name: &str) -> Result<Option<u64>, FieldError> {
-        let from_float =
-            |value: &Value| value.as_f64().filter(|f| f.fract() == 0.0 && (0.0..1e15).contains(f));
-        self.read(name, "is not an integer of 0 or more", |value| {
+        let from_float = |value: &Value| {
+            value.as_f64().filter(|number| number.fract() == 0.0 && (0.0..1e15).contains(number))
+        };
+        self.convert(name, "is not an integer of 0 or more", |value| {
             value.as_u64().or_else(|| from_float(value).map(|number| number as u64))
         })
     }
 
-    /// An integer of 0 or more. A value beyond 32 bits is replaced by [`u32::MAX`].
+    /// Returns an integer of 0 or more, or `None` if it is absent. A value beyond 32 bits is replaced by [`u32::MAX`].
     pub(crate) fn integer_u32(&self, name: &str) -> Result<Option<u32>, FieldError> {
         Ok(self.integer(name)?.map(|number| u32::try_from(number).unwrap_or(u32::MAX)))
     }
 
-    /// A boolean; false if the field is absent.
+    /// Returns a boolean, which is false if the field is absent.
     pub(crate) fn boolean(&self, name: &str) -> Result<bool, FieldError> {
-        Ok(self.read(name, "is neither true nor false", Value::as_bool)?.unwrap_or(false))
+        Ok(self.convert(name, "is neither true nor false", Value::as_bool)?.unwrap_or(false))
     }
 
-    /// A string.
+    /// Returns a string, or `None` if the field is absent.
     pub(crate) fn text(&self, name: &str) -> Result<Option<&'a str>, FieldError> {
-        self.read(name, "is not a string", Value::as_str)
+        self.convert(name, "is not a string", Value::as_str)
     }
 
-    /// The value that belongs to the field's keyword.
+    /// Returns the value that `keywords` assigns to the field's text, or `None` if the field is absent. Any other text
+    /// is an error.
     pub(crate) fn keyword<T: Copy>(
         &self,
         name: &str,
         keywords: &[(&str, T)],
     ) -> Result<Option<T>, FieldError> {
-        let known =
-            |text: &str| keywords.iter().find(|(keyword, _)| *keyword == text).map(|(_, meaning)| *meaning);
-        self.read(name, "is not one of the accepted keywords", |value| value.as_str().and_then(known))
+        let value_of =
+            |text: &str| keywords.iter().find(|(keyword, _)| *keyword == text).map(|(_, value)| *value);
+        self.convert(name, "is not one of the accepted keywords", |value| value.as_str().and_then(value_of))
     }
 }
--- a/crates/platform-settings/src/lib.rs
+++ b/crates/platform-settings/src/lib.rs
@@ -2,7 +2,7 @@
 //! and the controller.
 //!
 //! An absent value gets the default that the platform documents. A value of the wrong type is an error that names its
-//! field. The crate uses the decision module's types, and depends on neither sockets nor the clock.
+//! field. The crate uses the decision module's types, and does not depend on sockets or the clock.
 
 #![forbid(unsafe_code)]
 
@@ -23,13 +23,13 @@
     pub classes: Vec<String>,
     /// Names of the tenants, in the order of their ids.
     pub tenants: Vec<String>,
-    /// Name of this controller's zone, if stated.
+    /// Name of this controller's zone, if the settings state one.
     pub zone: Option<String>,
     /// Maximum number of attempts in flight on one connection to a worker.
     pub streams: u32,
-    /// Time after which an idle connection to a worker is closed, in microseconds; 0 if not stated.
+    /// Time after which an idle connection to a worker is closed, in microseconds. 0 if the settings state none.
     pub idle_timeout: Micros,
-    /// Maximum number of open requests of a controller, if stated.
+    /// Maximum number of open requests of a controller, if the settings state one.
     pub open_calls: Option<u64>,
 }
 
@@ -43,12 +43,12 @@
 /// Upper bound of durations in milliseconds, exclusive.
 const MAX_MS: f64 = 1e15;
 
-/// Parses the settings object of the first message that a controller receives.
+/// Parses the settings from a JSON object, which has the format of the simulator's first message to a controller.
 ///
 /// # Errors
 /// Fails at the first field that is missing or invalid.
-pub fn read(info: &Value) -> Result<PlatformSettings, FieldError> {
-    let fields = Fields::of(info)?;
+pub fn read(value: &Value) -> Result<PlatformSettings, FieldError> {
+    let fields = Fields::outermost(value)?;
     let classes = classes(&fields)?;
     let tenants = tenants(&fields)?;
     let stats = fields.object("stats")?;
@@ -86,6 +86,7 @@
     })
 }
 
+/// Keywords of the field `weights`.
 const WEIGHTS: [(&str, Weights); 4] = [
     ("none", Weights::None),
     ("nominal", Weights::Nominal),
@@ -104,7 +105,7 @@
     for class in fields.list("classes")? {
         let name = class.text("name")?.ok_or_else(|| class.missing("name"))?;
         if names.iter().any(|known| known == name) {
-            return Err(class.error("name", "stands twice"));
+            return Err(class.error("name", "is the name of more than one class"));
         }
         names.push(name.to_owned());
         let deadline = class.duration("deadline_ms")?.ok_or_else(|| class.missing("deadline_ms"))?;
@@ -123,7 +124,7 @@
     Ok(Named { names, items: classes })
 }
 
-/// The effect of repeating a call of a class. By default a call must not run twice.
+/// Returns the effect of repeating a call of a class. By default a call must not run twice.
 fn effect(class: &Fields) -> Result<Effect, FieldError> {
     let scopes = [("all", KeyScope::All), ("zone", KeyScope::Zone), ("cell", KeyScope::Cell)];
     let scope = class.keyword("key_scope", &scopes)?.unwrap_or(KeyScope::All);
@@ -147,9 +148,9 @@
 }
 
 fn loading(family: &Fields) -> Result<Loading, FieldError> {
-    let absent = [("load", WhenAbsent::Load), ("miss", WhenAbsent::Miss)];
+    let when_absent = [("load", WhenAbsent::Load), ("miss", WhenAbsent::Miss)];
     Ok(Loading {
-        when_absent: family.keyword("when_absent", &absent)?.unwrap_or(WhenAbsent::Load),
+        when_absent: family.keyword("when_absent", &when_absent)?.unwrap_or(WhenAbsent::Load),
         keep_alive: family.duration("linger_idle_ms")?.unwrap_or(0),
         orders: family.boolean("orders")?,
         order_timeout: family.duration("order_timeout_ms")?.unwrap_or(0),
--- a/crates/platform-settings/tests/faults.rs
+++ b/crates/platform-settings/tests/faults.rs
@@ -4,6 +4,7 @@
 use nettleferry_platform_settings::read;
 use serde_json::{Value, json};
 
+/// Returns settings that are valid, with some fields absent and some at their bounds.
 fn valid() -> Value {
     json!({
         "classes": [
@@ -18,10 +19,10 @@
     })
 }
 
-/// The valid settings with one field replaced, given by its JSON pointer.
-fn with(path: &str, value: Value) -> Value {
+/// Returns the valid settings with a new value for one field, given by its JSON pointer.
+fn with(pointer: &str, value: Value) -> Value {
     let mut settings = valid();
-    *settings.pointer_mut(path).unwrap_or_else(|| panic!("no field at {path}")) = value;
+    *settings.pointer_mut(pointer).unwrap_or_else(|| panic!("no field at {pointer}")) = value;
     settings
 }
 
@@ -73,12 +74,12 @@
         ("/obligations/start_capacity", json!(-0.1), "obligations.start_capacity"),
         ("/family_info/load_share", json!("a quarter"), "family_info.load_share"),
     ];
-    for (path, value, named) in invalid {
-        let error = read(&with(path, value.clone())).expect_err(path);
-        assert_eq!(error.path, named, "{value}");
-        assert!(error.to_string().contains(named), "{error}");
+    for (pointer, value, path) in invalid {
+        let error = read(&with(pointer, value.clone())).expect_err(pointer);
+        assert_eq!(error.path, path, "{value}");
+        assert!(error.to_string().contains(path), "{error}");
     }
     for value in [json!(null), json!([]), json!("settings")] {
-        assert_eq!(read(&value).expect_err("no object").path, "settings");
+        assert_eq!(read(&value).expect_err("settings that are not an object").path, "settings");
     }
 }
--- a/crates/platform-settings/tests/golden.rs
+++ b/crates/platform-settings/tests/golden.rs
@@ -4,7 +4,7 @@
 use nettleferry_platform_settings::read;
 use serde_json::{Value, json};
 
-/// Settings with every field.
+/// Returns settings with every field that the parser knows.
 fn complete() -> Value {
     json!({
         "me": 1, "n_instances": 3, "zone": "a", "over_share_worth": 0.5, "discovery": "ask", "weights": "rough",
@@ -30,30 +30,30 @@
 }
 
 /// Collects each leaf of a value, as a JSON pointer and as the path that an error names.
-fn leaves(pointer: &str, path: &str, value: &Value, found: &mut Vec<(String, String)>) {
+fn leaves(pointer: &str, path: &str, value: &Value, collected: &mut Vec<(String, String)>) {
     match value {
         Value::Object(fields) => {
             for (name, value) in fields {
                 let path = if path.is_empty() { name.clone() } else { format!("{path}.{name}") };
-                leaves(&format!("{pointer}/{name}"), &path, value, found);
+                leaves(&format!("{pointer}/{name}"), &path, value, collected);
             }
         }
         Value::Array(values) => {
-            for (n, value) in values.iter().enumerate() {
-                leaves(&format!("{pointer}/{n}"), &format!("{path}[{n}]"), value, found);
+            for (index, value) in values.iter().enumerate() {
+                leaves(&format!("{pointer}/{index}"), &format!("{path}[{index}]"), value, collected);
             }
         }
-        _ => found.push((pointer.to_owned(), path.to_owned())),
+        _ => collected.push((pointer.to_owned(), path.to_owned())),
     }
 }
 
 #[test]
 fn every_field_is_read() {
     assert!(read(&complete()).is_ok());
-    let mut found = Vec::new();
-    leaves("", "", &complete(), &mut found);
-    assert_eq!(found.len(), 45);
-    for (pointer, path) in found {
+    let mut fields = Vec::new();
+    leaves("", "", &complete(), &mut fields);
+    assert_eq!(fields.len(), 45);
+    for (pointer, path) in fields {
         let mut settings = complete();
         *settings.pointer_mut(&pointer).expect("the field exists") = json!({ "wrong": [] });
         let error = read(&settings).expect_err(&path);
