--- a/adapter/tests/malformed.rs
+++ b/adapter/tests/malformed.rs
@@ -3,39 +3,40 @@
 use std::io::Write;
 use std::process::{Command, Stdio};
 
+/// Runs the adapter with this input. Returns whether it succeeded, and its standard output and standard error.
 fn run(input: &str) -> (bool, String, String) {
     let mut child = Command::new(env!("CARGO_BIN_EXE_nettleferry-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
-        .expect("the adapter starts");
+        .expect("adapter is started");
     // The adapter may exit before it has read all input; only its output is checked.
-    let _ = child.stdin.take().expect("piped").write_all(input.as_bytes());
-    let out = child.wait_with_output().expect("the adapter ends");
+    let _ = child.stdin.take().expect("standard input is piped").write_all(input.as_bytes());
+    let output = child.wait_with_output().expect("adapter exits");
     let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
-    (out.status.success(), text(&out.stdout), text(&out.stderr))
+    (output.status.success(), text(&output.stdout), text(&output.stderr))
 }
 
 #[test]
 fn an_empty_batch_is_answered() {
-    let (ok, out, _) = run("{\"t_ms\":1.5,\"turn\":1,\"input\":[]}\n");
-    assert!(ok);
-    assert_eq!(out, "{\"turn\":1,\"outbox\":[]}\n");
+    let (success, stdout, _) = run("{\"t_ms\":1.5,\"turn\":1,\"input\":[]}\n");
+    assert!(success);
+    assert_eq!(stdout, "{\"turn\":1,\"outbox\":[]}\n");
 }
 
 #[test]
 fn a_malformed_line_is_reported_with_its_number() {
-    let good = "{\"t_ms\":1.5,\"turn\":1,\"input\":[]}\n";
-    for (bad, word) in [
+    let valid_line = "{\"t_ms\":1.5,\"turn\":1,\"input\":[]}\n";
+    for (malformed_line, message) in [
         ("{nonsense", "not JSON"),
         ("{\"t_ms\":2,\"turn\":2,\"input\":[[\"NO_SUCH\",1]]}", "no such event"),
         ("{\"t_ms\":2,\"turn\":2,\"input\":[[\"WAKE\",1]]}", "too short"),
         ("{\"t_ms\":2,\"turn\":2,\"input\":[[\"ENLIST\",1,2,{}]]}", "no request class"),
     ] {
-        let (ok, _, stderr) = run(&format!("{good}{bad}\n"));
-        assert!(!ok, "{bad}");
-        assert!(stderr.contains("line 2") && stderr.contains(word), "{stderr}");
+        let (success, _, stderr) = run(&format!("{valid_line}{malformed_line}\n"));
+        assert!(!success, "{malformed_line}");
+        assert!(stderr.contains("line 2") && stderr.contains(message), "{stderr}");
         assert!(!stderr.contains("panicked"), "{stderr}");
     }
 }
