--- a/crates/gateway/benches/measure.rs
+++ b/crates/gateway/benches/measure.rs
@@ -326,7 +326,7 @@
         let leader = serve(&format!("{SETTINGS}{admin}"), "");
         let api = leader.line("listening admin ");
         let http = AdminClient { api, token };
-        let (status, told) = http.ask("POST", "/v1/tenants", "", "{\"name\":\"a\"}");
+        let (status, told) = http.send("POST", "/v1/tenants", "", "{\"name\":\"a\"}");
         assert_eq!(status, 201, "{told}");
         let dir = tempfile::tempdir().expect("temporary folder");
         std::fs::write(dir.path().join("workers.sexp"), fleet.list()).expect("written");
@@ -346,11 +346,12 @@
 fn pairs(what: &str, tenant: &str, with: &Program, without: &Program) {
     let rate = |of: &Program| {
         let mut caller = Caller::new(of.address);
-        let mut request = ask("ModelInfer", &echo("echo", "u", 256));
+        let mut request = client_request("ModelInfer", &echo("echo", "u", 256));
         if !tenant.is_empty() {
             request.headers.push(("nettleferry-tenant".to_owned(), tenant.to_owned()));
         }
-        let mut open: std::collections::HashSet<u64> = (0..64).map(|_| caller.ask(request.clone())).collect();
+        let mut open: std::collections::HashSet<u64> =
+            (0..64).map(|_| caller.start_rpc(request.clone())).collect();
         let (begun, mut calls, mut heard) = (Instant::now(), 0u64, Vec::new());
         while begun.elapsed() < Duration::from_secs(3) {
             caller.client.poll(Some(Duration::from_millis(50)), &mut heard).expect("polls");
@@ -359,7 +360,7 @@
                     && open.remove(&rpc)
                 {
                     calls += 1;
-                    open.insert(caller.ask(request.clone()));
+                    open.insert(caller.start_rpc(request.clone()));
                 }
             }
         }
@@ -529,8 +530,8 @@
     let models: Vec<String> = (0..models).map(|n| format!("climb-{n}")).collect();
     if known {
         let mut first = Caller::new(gateway.address);
-        let request = |m: &String| ask("ModelStreamInfer", &climb(m, "first", 8));
-        let rpcs: Vec<u64> = models.iter().map(|m| first.ask(request(m))).collect();
+        let request = |m: &String| client_request("ModelStreamInfer", &climb(m, "first", 8));
+        let rpcs: Vec<u64> = models.iter().map(|m| first.start_rpc(request(m))).collect();
         for rpc in rpcs {
             first.status(rpc);
         }
--- a/crates/gateway/tests/admin.rs
+++ b/crates/gateway/tests/admin.rs
@@ -70,9 +70,9 @@
     assert_eq!(code(&mut caller, Some("b"), "echo").0, Code::Ok);
     // The in-flight call hangs at its worker. The held calls wait because the load of their model never completes.
     fleet.handles[0].inject(Fault::Hang(Some("echo-".to_owned())));
-    let stream = caller.ask(nettleferry_scenario::client::ClientRequest {
+    let stream = caller.start_rpc(nettleferry_scenario::client::ClientRequest {
         headers: vec![("nettleferry-tenant".to_owned(), "a".to_owned())],
-        ..ask("ModelStreamInfer", &climb("climb", "s", 50))
+        ..client_request("ModelStreamInfer", &climb("climb", "s", 50))
     });
     caller.message(stream);
     let in_flight = call(&mut caller, Some("a"), "echo-x");
@@ -100,7 +100,7 @@
     let (status, _) = caller.end(stream);
     assert!(status.is_ok(), "the stream ends with a status");
     assert_eq!(caller.status(other_tenants_call).0.code, Code::Ok, "calls of other tenants are not affected");
-    eventually("the tenant is removed", || leader.ask("GET", "/v1/tenants/a", "", "").0 == 404);
+    eventually("the tenant is removed", || leader.send("GET", "/v1/tenants/a", "", "").0 == 404);
     // A new tenant of the same name starts with zero usage.
     fleet.handles[0].inject(Fault::Hang(None));
     leader.create(json!({"name": "a"}));
@@ -129,7 +129,7 @@
             let revision = http.get("/v1/tenants/a")["revision"].as_u64().expect("a numeric revision");
             let body = json!({"note": format!("{client_number}-{n}")}).to_string();
             let (status, response) =
-                http.ask("PATCH", "/v1/tenants/a", &format!("If-Match: \"{revision}\"\r\n"), &body);
+                http.send("PATCH", "/v1/tenants/a", &format!("If-Match: \"{revision}\"\r\n"), &body);
             match status {
                 200 => {
                     assert_eq!(response["revision"], revision + 1);
@@ -180,7 +180,7 @@
     std::fs::write(dir.path().join("tenants.redb"), vec![7; 20_000]).expect("damaged store written");
     let leader = start(dir, token, &key_settings);
     assert_eq!(leader.get("/v1/tenants/b")["state"], "suspended");
-    let (status, response) = leader.ask("POST", "/v1/tenants/b/resume", "If-Match: *\r\n", "");
+    let (status, response) = leader.send("POST", "/v1/tenants/b/resume", "If-Match: *\r\n", "");
     assert!(
         status == 503 && response["detail"].as_str().is_some_and(|d| d.contains("nothing can be changed")),
         "{response}"
@@ -236,13 +236,13 @@
             "nme",
         ),
     ] {
-        let (status, head, body) = leader.raw(&request);
+        let (status, head, body) = leader.send_raw(&request);
         assert_eq!(status, expected_status, "{head}\n{body}");
         assert!(body.contains(expected_text), "{expected_text} in {body}");
     }
     // Two pipelined requests are answered in order.
     let keep_alive_auth = format!("Authorization: Bearer {}\r\n", leader.token);
-    let (_, _, responses) = leader.raw(&format!(
+    let (_, _, responses) = leader.send_raw(&format!(
         "GET /v1/tenants/a HTTP/1.1\r\n{keep_alive_auth}\r\nGET /v1/tenants/none HTTP/1.1\r\n{auth}\r\n"
     ));
     assert!(responses.contains("HTTP/1.1 404") && responses.contains("\"name\":\"a\""), "{responses}");
@@ -272,7 +272,7 @@
     }
     let calls_at = |fleet: &mut Fleet, name: &str| {
         fleet
-            .look()
+            .observations()
             .iter()
             .filter(|observation| {
                 observation.worker == name && matches!(observation.seen, ObservationKind::Call { .. })
@@ -282,11 +282,11 @@
     assert_eq!((calls_at(&mut fleet, "w1"), calls_at(&mut fleet, "w2")), (0, 20));
     leader.change("POST", "/v1/workers/w1/undrain", "");
     eventually("the undrained worker gets calls again", || {
-        let n = fleet.look().len();
+        let n = fleet.observations().len();
         code(&mut caller, Some("a"), &format!("echo-{n}"));
         calls_at(&mut fleet, "w1") > 0
     });
-    assert_eq!(leader.ask("POST", "/v1/workers/w9/drain", "", "").0, 404);
+    assert_eq!(leader.send("POST", "/v1/workers/w9/drain", "", "").0, 404);
 }
 
 #[test]
@@ -410,7 +410,7 @@
         let controllers = response["controllers"].as_array().expect("an array of controllers");
         controllers.len() == 3 && controllers.iter().all(|c| c["revision"] == response["revision"])
     });
-    let (status, response) = AdminClient { token: follower_token.clone(), ..leader.http.clone() }.ask(
+    let (status, response) = AdminClient { token: follower_token.clone(), ..leader.http.clone() }.send(
         "POST",
         "/v1/tenants",
         "",
@@ -448,9 +448,9 @@
         rows.len() == 2 && rows.iter().all(|row| row["standing"] == "foreign")
     });
     assert!([&first, &second].iter().all(|p| call_status(p, "early") == Code::Ok));
-    let (status, response) = leader.ask("POST", "/v1/fleet/recover?take=own&dry_run=true", "", "");
+    let (status, response) = leader.send("POST", "/v1/fleet/recover?take=own&dry_run=true", "", "");
     assert_eq!((status, &response["done"]), (200, &json!(false)), "{response}");
-    assert_eq!(leader.ask("POST", "/v1/fleet/recover?take=own", "", "").0, 200);
+    assert_eq!(leader.send("POST", "/v1/fleet/recover?take=own", "", "").0, 200);
     eventually("both followers use the new store", || {
         [&first, &second]
             .iter()
--- a/crates/gateway/tests/audit.rs
+++ b/crates/gateway/tests/audit.rs
@@ -82,7 +82,7 @@
     let clients: Vec<_> = [&current, &late].iter().map(|p| calls("kalahari", p.address, &stop)).collect();
     link.set(LinkMode::Blackhole);
     let suspended_at = Instant::now();
-    let (status, _) = leader.ask("POST", "/v1/tenants/kalahari/suspend", "If-Match: *\r\n", "");
+    let (status, _) = leader.send("POST", "/v1/tenants/kalahari/suspend", "If-Match: *\r\n", "");
     assert_eq!(status, 202, "the late follower may serve by the earlier version for an unlimited time");
     // The change is in force at the other follower by now: calls that the late one serves from here on are stale.
     let in_force_at = Instant::now();
--- a/crates/gateway/tests/common/admin_client.rs
+++ b/crates/gateway/tests/common/admin_client.rs
@@ -69,9 +69,9 @@
 impl AdminClient {
     /// Sends a complete request and reads until the connection is closed. Returns the status (0 if no response
     /// arrived), the head and the body.
-    pub(crate) fn raw(&self, request: &str) -> (u16, String, String) {
+    pub(crate) fn send_raw(&self, request: &str) -> (u16, String, String) {
         let mut socket = TcpStream::connect(self.api).expect("connection to the API opened");
-        socket.set_read_timeout(Some(PATIENCE)).expect("socket option set");
+        socket.set_read_timeout(Some(CONDITION_TIMEOUT)).expect("socket option set");
         socket.write_all(request.as_bytes()).expect("request sent");
         let mut text = String::new();
         let _ = socket.read_to_string(&mut text);
@@ -82,7 +82,7 @@
 
     /// Sends a request with the token and these further headers. Returns the status and the JSON body, `Null` if the
     /// body is not JSON.
-    pub(crate) fn ask(&self, method: &str, target: &str, headers: &str, body: &str) -> (u16, Value) {
+    pub(crate) fn send(&self, method: &str, target: &str, headers: &str, body: &str) -> (u16, Value) {
         let content_type =
             if method == "PATCH" { "application/merge-patch+json" } else { "application/json" };
         let request = format!(
@@ -90,18 +90,18 @@
             self.token,
             body.len()
         );
-        let (status, _, body) = self.raw(&request);
+        let (status, _, body) = self.send_raw(&request);
         (status, serde_json::from_str(&body).unwrap_or(Value::Null))
     }
 
     pub(crate) fn get(&self, target: &str) -> Value {
-        self.ask("GET", target, "", "").1
+        self.send("GET", target, "", "").1
     }
 
     /// Creates a tenant and waits until it is in force.
     #[track_caller]
     pub(crate) fn create(&self, tenant: Value) {
-        let (status, response) = self.ask("POST", "/v1/tenants", "", &tenant.to_string());
+        let (status, response) = self.send("POST", "/v1/tenants", "", &tenant.to_string());
         assert_eq!(status, 201, "{response}");
         self.in_force();
     }
@@ -109,7 +109,7 @@
     /// Makes a change that must be accepted, waits until it is in force, and returns the response body.
     #[track_caller]
     pub(crate) fn change(&self, method: &str, target: &str, body: &str) -> Value {
-        let (status, response) = self.ask(method, target, "If-Match: *\r\n", body);
+        let (status, response) = self.send(method, target, "If-Match: *\r\n", body);
         assert!((200..300).contains(&status), "{response}");
         self.in_force();
         response
@@ -128,7 +128,7 @@
 /// Starts a unary call with this tenant header; returns its RPC number.
 pub(crate) fn call(caller: &mut Caller, tenant: Option<&str>, model: &str) -> u64 {
     let headers = tenant.map(|name| ("nettleferry-tenant".to_owned(), name.to_owned())).into_iter().collect();
-    caller.ask(ClientRequest { headers, ..ask("ModelInfer", &echo(model, "u", 64)) })
+    caller.start_rpc(ClientRequest { headers, ..client_request("ModelInfer", &echo(model, "u", 64)) })
 }
 
 /// Makes a unary call with this tenant header. Returns its status code and its `grpc-retry-pushback-ms`, empty if there
--- a/crates/gateway/tests/common/mod.rs
+++ b/crates/gateway/tests/common/mod.rs
@@ -26,12 +26,12 @@
 use prost::Message;
 
 /// How long a test waits for a condition before it fails.
-pub(crate) const PATIENCE: Duration = Duration::from_secs(30);
+pub(crate) const CONDITION_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Polls until a condition holds; panics with `what` after `PATIENCE`.
+/// Polls until a condition holds; panics with `what` after `CONDITION_TIMEOUT`.
 #[track_caller]
 pub(crate) fn eventually(what: &str, mut condition: impl FnMut() -> bool) {
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + CONDITION_TIMEOUT;
     while !condition() {
         assert!(Instant::now() < deadline, "timed out waiting for: {what}");
         std::thread::sleep(Duration::from_millis(3));
@@ -58,7 +58,7 @@
                 let _ = line_sender.send(line);
             }
         });
-        let first_line = lines.recv_timeout(PATIENCE).unwrap_or_else(|_| {
+        let first_line = lines.recv_timeout(CONDITION_TIMEOUT).unwrap_or_else(|_| {
             let _ = child.kill();
             let mut log = String::new();
             let _ = child.stderr.take().expect("stderr is piped").read_to_string(&mut log);
@@ -75,7 +75,7 @@
 
     /// The address in the next line of output, which must begin with `start`.
     pub(crate) fn line(&self, start: &str) -> SocketAddr {
-        let line = self.lines.recv_timeout(PATIENCE).expect("a further line on stdout");
+        let line = self.lines.recv_timeout(CONDITION_TIMEOUT).expect("a further line on stdout");
         listener_address(&line, start)
     }
 
@@ -89,7 +89,7 @@
     }
 
     pub(crate) fn wait(&mut self) -> ExitStatus {
-        let deadline = Instant::now() + PATIENCE;
+        let deadline = Instant::now() + CONDITION_TIMEOUT;
         loop {
             if let Some(status) = self.child.try_wait().expect("status of the child") {
                 return status;
@@ -200,8 +200,9 @@
 /// Test servers `w1`, `w2`, ... in threads, and the observations they report.
 pub(crate) struct Fleet {
     pub(crate) handles: Vec<Handle>,
-    observations: Receiver<Observation>,
-    pub(crate) records: Vec<Observation>,
+    receiver: Receiver<Observation>,
+    /// Observations received up to now.
+    received: Vec<Observation>,
 }
 
 pub(crate) const SPEC: &str =
@@ -214,7 +215,7 @@
     }
 
     pub(crate) fn of(count: usize, spec: Spec) -> Self {
-        let (sender, observations) = channel();
+        let (sender, receiver) = channel();
         let store = Arc::new(Mutex::new(Store::default()));
         let epoch = Instant::now();
         let handles = (1..=count)
@@ -232,7 +233,7 @@
                 .expect("test server listens")
             })
             .collect();
-        Self { handles, observations, records: Vec::new() }
+        Self { handles, receiver, received: Vec::new() }
     }
 
     pub(crate) fn list(&self) -> String {
@@ -241,9 +242,9 @@
     }
 
     /// All observations up to now, in the order of their arrival.
-    pub(crate) fn look(&mut self) -> &[Observation] {
-        self.records.extend(self.observations.try_iter());
-        &self.records
+    pub(crate) fn observations(&mut self) -> &[Observation] {
+        self.received.extend(self.receiver.try_iter());
+        &self.received
     }
 
     pub(crate) fn any(&mut self, matches: impl Fn(&ObservationKind) -> bool) -> bool {
@@ -251,7 +252,7 @@
     }
 
     pub(crate) fn count(&mut self, matches: impl Fn(&ObservationKind) -> bool) -> usize {
-        self.look().iter().filter(|observation| matches(&observation.seen)).count()
+        self.observations().iter().filter(|observation| matches(&observation.seen)).count()
     }
 
     #[track_caller]
@@ -267,7 +268,8 @@
     events: Vec<ClientEvent>,
 }
 
-pub(crate) type Ended = (Result<Status, StreamError>, HeaderMap);
+/// How an RPC ended: its status or transport error, and its trailers.
+pub(crate) type RpcEnd = (Result<Status, StreamError>, HeaderMap);
 
 impl Caller {
     pub(crate) fn new(to: SocketAddr) -> Self {
@@ -276,19 +278,20 @@
     }
 
     /// Starts an RPC and returns its number.
-    pub(crate) fn ask(&mut self, request: ClientRequest) -> u64 {
+    pub(crate) fn start_rpc(&mut self, request: ClientRequest) -> u64 {
         self.client.call(self.to, request).expect("call started")
     }
 
     /// Starts an `echo` call of 64 bytes at this model.
     pub(crate) fn unary(&mut self, model: &str) -> u64 {
-        self.ask(ask("ModelInfer", &echo(model, "u", 64)))
+        self.start_rpc(client_request("ModelInfer", &echo(model, "u", 64)))
     }
 
-    /// Removes and returns the first event that `select` accepts, polling for up to `PATIENCE`; other events are kept.
+    /// Removes and returns the first event that `select` accepts, polling for up to `CONDITION_TIMEOUT`. Other events are
+    /// kept.
     #[track_caller]
     pub(crate) fn wait<T>(&mut self, what: &str, mut select: impl FnMut(&ClientEvent) -> Option<T>) -> T {
-        let deadline = Instant::now() + PATIENCE;
+        let deadline = Instant::now() + CONDITION_TIMEOUT;
         loop {
             let selected =
                 self.events.iter().enumerate().find_map(|(index, event)| Some((index, select(event)?)));
@@ -316,9 +319,9 @@
         ModelStreamInferResponse::decode(self.message(number)).expect("a ModelStreamInferResponse")
     }
 
-    /// Waits for the end of an RPC: its status or transport error, and its trailers.
+    /// Waits for the end of an RPC.
     #[track_caller]
-    pub(crate) fn end(&mut self, number: u64) -> Ended {
+    pub(crate) fn end(&mut self, number: u64) -> RpcEnd {
         self.wait("the end of the RPC", |event| match event {
             ClientEvent::End { rpc, status, trailers } if *rpc == number => {
                 Some((status.clone(), trailers.clone()))
@@ -355,7 +358,7 @@
 }
 
 /// An RPC of this method with one request message.
-pub(crate) fn ask(method: &'static str, request: &ModelInferRequest) -> ClientRequest {
+pub(crate) fn client_request(method: &'static str, request: &ModelInferRequest) -> ClientRequest {
     ClientRequest { method, messages: vec![request.encode_to_vec().into()], ..ClientRequest::default() }
 }
 
--- a/crates/gateway/tests/common/process.rs
+++ b/crates/gateway/tests/common/process.rs
@@ -32,7 +32,7 @@
     }
 
     /// Waits until the node reports its listener.
-    pub(crate) fn of(mut child: Child) -> Self {
+    pub(crate) fn wait_until_listening(mut child: Child) -> Self {
         let mut line = String::new();
         BufReader::new(child.stdout.take().expect("stdout is piped"))
             .read_line(&mut line)
--- a/crates/gateway/tests/cut.rs
+++ b/crates/gateway/tests/cut.rs
@@ -75,7 +75,7 @@
     let program = serve(SETTINGS, &fleet.list());
     let mut caller = Caller::new(program.address);
     let call = |caller: &mut Caller, kind: &str, n: usize, id: &str| {
-        caller.ask(ask("ModelInfer", &echo(&format!("{kind}-{n}"), id, 64)))
+        caller.start_rpc(client_request("ModelInfer", &echo(&format!("{kind}-{n}"), id, 64)))
     };
     // Warm-up: the decision module assigns no calls to workers that have not responded yet.
     for (n, kind) in (0..MODELS).flat_map(|n| KINDS.map(|kind| (n, kind))) {
@@ -86,7 +86,7 @@
     let mut calls = BTreeMap::new();
     for (n, kind) in (0..MODELS).flat_map(|n| KINDS.map(|kind| (n, kind))) {
         let id = format!("{kind}-{n}");
-        calls.insert(caller.ask(ask("ModelInfer", &echo(&id, &id, 64))), (kind, id));
+        calls.insert(caller.start_rpc(client_request("ModelInfer", &echo(&id, &id, 64))), (kind, id));
     }
     // The workers behind the cut links don't respond. Idempotent calls are retried at the third worker.
     let mut refused = Vec::new();
@@ -111,7 +111,7 @@
         calls_after += 1;
         let rpc = call(&mut caller, "echo-safe", calls_after, "after");
         let _ = caller.end(rpc);
-        let records = fleet.look();
+        let records = fleet.observations();
         CUT.iter().all(|name| {
             let of_worker = records.iter().filter(|record| record.worker == *name);
             let is_later_call =
@@ -121,7 +121,7 @@
                 .any(is_later_call)
         })
     });
-    let arrived = arrived_attempts(fleet.look());
+    let arrived = arrived_attempts(fleet.observations());
     let kind = |id: &str| KINDS.into_iter().find(|kind| id.starts_with(kind));
     let is_non_idempotent = |id: &str| matches!(kind(id), Some("echo-once" | "echo-patient"));
     let behind_a_cut =
--- a/crates/gateway/tests/descriptors.rs
+++ b/crates/gateway/tests/descriptors.rs
@@ -106,7 +106,7 @@
     let dir = tempfile::tempdir().expect("temporary folder");
     let path = dir.path().join("config.json");
     std::fs::write(&path, configuration.to_string()).expect("configuration written");
-    let node = Node::of(Node::spawn(&path, DESCRIPTORS));
+    let node = Node::wait_until_listening(Node::spawn(&path, DESCRIPTORS));
     let fields = |id: &'static str| {
         let tags = "memory_mb:9;lanes:4;load_ms:50";
         [("op", "safe"), ("call", id), ("ttl", "20000"), ("row", "000000000000000b"), ("tags", tags)]
@@ -186,7 +186,7 @@
         .into_iter()
         .map(|child| {
             std::thread::spawn(move || {
-                let node = Node::of(child);
+                let node = Node::wait_until_listening(child);
                 let mut client = Client::connect(node.address);
                 let mut frame = Vec::new();
                 frames::bare(&mut frame, kind::READY, 0);
--- a/crates/gateway/tests/exchanged_json.rs
+++ b/crates/gateway/tests/exchanged_json.rs
@@ -111,7 +111,7 @@
     leader.change("POST", "/v1/tenants/morava/resume", "");
     eventually("the tenant is resumed at the follower", || call_status(&follower, "morava") == Code::Ok);
     leader.change("DELETE", "/v1/tenants/taymyr?grace_ms=1", "");
-    eventually("the tenant is removed", || leader.ask("GET", "/v1/tenants/taymyr", "", "").0 == 404);
+    eventually("the tenant is removed", || leader.send("GET", "/v1/tenants/taymyr", "", "").0 == 404);
     // A follower without stored data receives all tenants in a snapshot.
     let _second = cluster.follower(cluster.dir(), 1, recorder.address, FOLLOWER);
     let expected: BTreeSet<String> = std::fs::read_to_string(golden::path("exchanged.txt"))
@@ -125,7 +125,7 @@
         let names = exchanged(&recorder);
         expected.is_subset(&names) && names.len() > 150
     });
-    let (status, _) = leader.ask("POST", "/v1/fleet/fence?controller=1", "", "");
+    let (status, _) = leader.send("POST", "/v1/fleet/fence?controller=1", "", "");
     assert_eq!(status, 200);
     eventually("the follower got a 403 response", || {
         exchanged(&recorder).iter().any(|line| line.contains(" 403 response.type = "))
--- a/crates/gateway/tests/golden_lists.rs
+++ b/crates/gateway/tests/golden_lists.rs
@@ -80,7 +80,7 @@
 
 fn scrape(address: SocketAddr) -> String {
     let mut socket = TcpStream::connect(address).expect("connection to the metrics listener opened");
-    socket.set_read_timeout(Some(PATIENCE)).expect("socket option set");
+    socket.set_read_timeout(Some(CONDITION_TIMEOUT)).expect("socket option set");
     socket.write_all(b"GET /metrics HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n").expect("request sent");
     let mut text = String::new();
     socket.read_to_string(&mut text).expect("the response is UTF-8");
--- a/crates/gateway/tests/held_watches.rs
+++ b/crates/gateway/tests/held_watches.rs
@@ -66,7 +66,7 @@
     /// Reads the response. Returns the status (0 if no response arrived) and the JSON body, `Null` if it is not JSON.
     fn response(mut self) -> (u16, Value) {
         let mut text = String::new();
-        self.0.set_read_timeout(Some(PATIENCE)).expect("socket option set");
+        self.0.set_read_timeout(Some(CONDITION_TIMEOUT)).expect("socket option set");
         let _ = self.0.read_to_string(&mut text);
         let (head, body) = text.split_once("\r\n\r\n").unwrap_or((&text, ""));
         let status = head.split(' ').nth(1).and_then(|word| word.parse().ok()).unwrap_or(0);
@@ -123,7 +123,7 @@
 /// Asserts that the leader is behind and refuses changes.
 fn assert_behind(leader: &Leader) {
     assert_eq!(leader.get("/v1/fleet")["cause"], "behind");
-    let (status, response) = leader.ask("POST", "/v1/tenants", "", "{\"name\":\"new\"}");
+    let (status, response) = leader.send("POST", "/v1/tenants", "", "{\"name\":\"new\"}");
     assert_eq!(
         status, 503,
         "no change is accepted until an operator decides which snapshot counts: {response}"
@@ -205,7 +205,7 @@
         fleet_entry(&leader, OLD_INCARNATION).expect("the leader lists the incarnation")["lease_left_ms"],
         Value::Null
     );
-    let (status, head, _) = leader.raw(&format!(
+    let (status, head, _) = leader.send_raw(&format!(
         "POST /v1/tenants/kalahari/suspend HTTP/1.1\r\nHost: x\r\nConnection: close\r\nAuthorization: Bearer {}\r\n\
          If-Match: *\r\nContent-Length: 0\r\n\r\n",
         leader.token
@@ -222,7 +222,7 @@
     let (status, _) = watch(&cluster, OLD_INCARNATION, &own_version, 0).response();
     assert_eq!(status, 200);
     let http = leader.http.clone();
-    let change = std::thread::spawn(move || http.ask("POST", "/v1/tenants", "", "{\"name\":\"undecided\"}"));
+    let change = std::thread::spawn(move || http.send("POST", "/v1/tenants", "", "{\"name\":\"undecided\"}"));
     eventually("the leader has made the change", || {
         leader.get("/v1/controllers")["revision"] == own_version.revision + 1
     });
@@ -248,7 +248,7 @@
     eventually("the leader serves after the operator's decision", || {
         call_status(&leader.program, "kalahari") == Code::Ok
     });
-    assert_eq!(leader.ask("POST", "/v1/tenants", "", "{\"name\":\"new\"}").0, 201);
+    assert_eq!(leader.send("POST", "/v1/tenants", "", "{\"name\":\"new\"}").0, 201);
 }
 
 #[test]
@@ -280,5 +280,5 @@
     assert_eq!((status, &response["type"]), (410, &json!("/problems/another-store")), "{response}");
     let fleet = leader.get("/v1/fleet");
     assert_eq!((&fleet["reports_refused"], &fleet["step"]), (&json!(5), &json!("serving")), "{fleet}");
-    assert_eq!(leader.ask("POST", "/v1/tenants", "", "{\"name\":\"new\"}").0, 201);
+    assert_eq!(leader.send("POST", "/v1/tenants", "", "{\"name\":\"new\"}").0, 201);
 }
--- a/crates/gateway/tests/hollow.rs
+++ b/crates/gateway/tests/hollow.rs
@@ -47,12 +47,15 @@
         Self { child, input, lines }
     }
 
-    /// Reads lines of the report until `select` accepts one. Panics with `what` if no line arrives within `PATIENCE`.
+    /// Reads lines of the report until `select` accepts one. Panics with `what` if no line arrives
+    /// within `CONDITION_TIMEOUT`.
     #[track_caller]
     fn wait<T>(&self, what: &str, mut select: impl FnMut(Line) -> Option<T>) -> T {
         loop {
-            let line =
-                self.lines.recv_timeout(PATIENCE).unwrap_or_else(|_| panic!("timed out waiting for: {what}"));
+            let line = self
+                .lines
+                .recv_timeout(CONDITION_TIMEOUT)
+                .unwrap_or_else(|_| panic!("timed out waiting for: {what}"));
             if let Some(found) = select(line) {
                 return found;
             }
@@ -123,7 +126,7 @@
 #[track_caller]
 fn change_everywhere(leader: &Leader, action: &str) -> u64 {
     let token = &leader.http.token;
-    let (status, head, body) = leader.raw(&format!(
+    let (status, head, body) = leader.send_raw(&format!(
         "POST /v1/tenants/t0/{action} HTTP/1.1\r\nHost: x\r\nConnection: close\r\nAuthorization: Bearer {token}\r\n\
          If-Match: *\r\nContent-Length: 0\r\n\r\n"
     ));
--- a/crates/gateway/tests/kill.rs
+++ b/crates/gateway/tests/kill.rs
@@ -57,7 +57,7 @@
 
     /// Starts the node and waits for its READY answer.
     fn start_node(&self) -> Node {
-        let node = Node::of(Node::spawn(&self.path, 256));
+        let node = Node::wait_until_listening(Node::spawn(&self.path, 256));
         assert_eq!(node.address, self.address);
         let mut client = Client::connect(node.address);
         let mut frame = Vec::new();
--- a/crates/gateway/tests/leaving.rs
+++ b/crates/gateway/tests/leaving.rs
@@ -84,7 +84,7 @@
         let dir = tempfile::tempdir().expect("temporary folder");
         let path = dir.path().join("config.json");
         std::fs::write(&path, config(directory.address, &listed).to_string()).expect("configuration written");
-        let node = Node::of(Node::spawn(&path, 256));
+        let node = Node::wait_until_listening(Node::spawn(&path, 256));
         // The function has one lane: the first call occupies it, the others wait.
         let mut first = Client::connect(node.address);
         let warm_up = ask(&mut first, 1, b"x");
--- a/crates/gateway/tests/limits.rs
+++ b/crates/gateway/tests/limits.rs
@@ -37,21 +37,24 @@
     let gateway = serve(SETTINGS, &fleet.list());
     let mut caller = Caller::new(gateway.address);
     let code = |caller: &mut Caller, ask: ClientRequest| {
-        let rpc = caller.ask(ask);
+        let rpc = caller.start_rpc(ask);
         let (status, _) = caller.status(rpc);
         (status.code, status.message)
     };
     let good = echo("echo", "1", 8);
     let with = |name: &str, value: &str| {
-        let mut ask = ask("ModelInfer", &good);
+        let mut ask = client_request("ModelInfer", &good);
         ask.headers.push((name.to_owned(), value.to_owned()));
         ask
     };
-    assert_eq!(code(&mut caller, ClientRequest { method: "Fly", ..ask("x", &good) }).0, Code::Unimplemented);
-    assert_eq!(code(&mut caller, ask("ModelInfer", &echo("zebra", "1", 8))).0, Code::NotFound);
+    assert_eq!(
+        code(&mut caller, ClientRequest { method: "Fly", ..client_request("x", &good) }).0,
+        Code::Unimplemented
+    );
+    assert_eq!(code(&mut caller, client_request("ModelInfer", &echo("zebra", "1", 8))).0, Code::NotFound);
     let mut version = climb("climb", "1", 1);
     version.model_version = "7".into();
-    assert_eq!(code(&mut caller, ask("ModelInfer", &version)).0, Code::NotFound);
+    assert_eq!(code(&mut caller, client_request("ModelInfer", &version)).0, Code::NotFound);
     assert_eq!(code(&mut caller, with("grpc-timeout", "soon")).0, Code::InvalidArgument);
     assert_eq!(code(&mut caller, with("grpc-encoding", "snappy")).0, Code::Unimplemented);
     let noise = ClientRequest {
@@ -62,7 +65,7 @@
     assert_eq!(code(&mut caller, noise).0, Code::InvalidArgument);
     let empty = ClientRequest { method: "ModelInfer", ..ClientRequest::default() };
     assert_eq!(code(&mut caller, empty).0, Code::InvalidArgument);
-    let (wrong, words) = code(&mut caller, ask("ModelInfer", &climb_with(5)));
+    let (wrong, words) = code(&mut caller, client_request("ModelInfer", &climb_with(5)));
     assert_eq!(wrong, Code::InvalidArgument, "the worker's own word about the call: {words}");
     assert!(words.contains("segments is a whole number from 1"), "{words}");
     served(&mut caller);
@@ -79,13 +82,16 @@
     let gateway = serve(&format!("{SETTINGS}(limits (message-size 64KiB))"), &fleet.list());
     let mut caller = Caller::new(gateway.address);
     let before = gateway.resident();
-    let rpc = caller.ask(ask("ModelInfer", &echo("echo", "1", 100 << 10)));
+    let rpc = caller.start_rpc(client_request("ModelInfer", &echo("echo", "1", 100 << 10)));
     let (status, _) = caller.status(rpc);
     assert_eq!(status.code, Code::ResourceExhausted);
     assert!(status.message.contains("at most 65536"), "{}", status.message);
     // A message whose length prefix announces 1 GiB is refused before its body is read.
-    let giant =
-        caller.ask(ClientRequest { method: "ModelStreamInfer", keep_open: true, ..ClientRequest::default() });
+    let giant = caller.start_rpc(ClientRequest {
+        method: "ModelStreamInfer",
+        keep_open: true,
+        ..ClientRequest::default()
+    });
     caller.client.send_raw(giant, Bytes::from_static(&[0, 0x40, 0, 0, 0, 1, 2, 3]));
     assert_eq!(caller.status(giant).0.code, Code::ResourceExhausted);
     served(&mut caller);
@@ -101,7 +107,7 @@
     let mut caller = Caller::new(gateway.address);
     served(&mut caller);
     let mut raw = TcpStream::connect(gateway.address).expect("connects");
-    raw.set_read_timeout(Some(PATIENCE)).expect("socket option set");
+    raw.set_read_timeout(Some(CONDITION_TIMEOUT)).expect("socket option set");
     raw.write_all(PREFACE).expect("sent");
     // HEADERS on stream 1 without END_HEADERS, then CONTINUATION after CONTINUATION.
     raw.write_all(&[0, 0, 1, 1, 0, 0, 0, 0, 1, 0x82]).expect("sent");
@@ -134,7 +140,7 @@
     let mut caller = Caller::new(gateway.address);
     served(&mut caller);
     let mut raw = TcpStream::connect(gateway.address).expect("connects");
-    raw.set_read_timeout(Some(PATIENCE)).expect("socket option set");
+    raw.set_read_timeout(Some(CONDITION_TIMEOUT)).expect("socket option set");
     let mut bytes = PREFACE.to_vec();
     for n in 0..20_000u32 {
         let stream = (2 * n + 1).to_be_bytes();
@@ -186,7 +192,7 @@
         let rpc = caller.unary("echo-once");
         caller.status(rpc).0.code == Code::Unavailable
     });
-    let ready = caller.ask(ClientRequest {
+    let ready = caller.start_rpc(ClientRequest {
         method: "ServerReady",
         messages: vec![Bytes::new()],
         ..ClientRequest::default()
@@ -207,7 +213,7 @@
     let gateway = serve_in(dir, SETTINGS, Some(24));
     let mut caller = Caller::new(gateway.address);
     // Connects before the descriptors are exhausted.
-    let live = caller.ask(ClientRequest {
+    let live = caller.start_rpc(ClientRequest {
         method: "ServerLive",
         messages: vec![Bytes::new()],
         ..ClientRequest::default()
@@ -267,7 +273,7 @@
 fn other_content_types_are_415() {
     let gateway = serve(SETTINGS, "");
     let mut raw = TcpStream::connect(gateway.address).expect("connects");
-    raw.set_read_timeout(Some(PATIENCE)).expect("socket option set");
+    raw.set_read_timeout(Some(CONDITION_TIMEOUT)).expect("socket option set");
     let mut bytes = PREFACE.to_vec();
     // :method POST, :scheme http, :path /, content-type "text/html" (indexed name 31).
     let block = [&[0x83, 0x86, 0x84, 0x0f, 0x10, 9][..], b"text/html"].concat();
--- a/crates/gateway/tests/loans.rs
+++ b/crates/gateway/tests/loans.rs
@@ -32,12 +32,13 @@
         let stop = Arc::new(AtomicBool::new(false));
         let ended = Arc::clone(&stop);
         let thread = std::thread::spawn(move || {
-            let limits = nettleferry_net::NetLimits { connect_timeout: PATIENCE, ..Default::default() };
+            let limits =
+                nettleferry_net::NetLimits { connect_timeout: CONDITION_TIMEOUT, ..Default::default() };
             let mut client = nettleferry_scenario::client::Client::new(1, limits).expect("client created");
             let headers = vec![("nettleferry-tenant".to_owned(), "kalahari".to_owned())];
             let one = || nettleferry_scenario::client::ClientRequest {
                 headers: headers.clone(),
-                ..ask("ModelInfer", &echo("echo", "u", 64))
+                ..client_request("ModelInfer", &echo("echo", "u", 64))
             };
             let (mut out, mut heard) = (0, Vec::new());
             while !ended.load(Ordering::Acquire) {
@@ -72,7 +73,7 @@
 impl ConcurrentCalls {
     /// Applies new observations; returns the number of calls open now.
     fn update(&mut self, fleet: &mut Fleet) -> usize {
-        let records = fleet.look();
+        let records = fleet.observations();
         for record in &records[self.seen..] {
             match &record.seen {
                 ObservationKind::Call { stream, .. } => {
@@ -118,10 +119,13 @@
     // Faults under traffic at all controllers, each longer than a lease.
     let floods: Vec<Flood> = all.iter().map(|p| Flood::at(p.address, 30)).collect();
     let cycles = |concurrent: &mut ConcurrentCalls, fleet: &mut Fleet, count: usize| {
-        let from = fleet.look().len();
+        let from = fleet.observations().len();
         eventually("calls flow", || {
             concurrent.update(fleet);
-            fleet.look()[from..].iter().filter(|r| matches!(r.seen, ObservationKind::Answered { .. })).count()
+            fleet.observations()[from..]
+                .iter()
+                .filter(|r| matches!(r.seen, ObservationKind::Answered { .. }))
+                .count()
                 >= count
         });
         assert!(concurrent.most <= LIMIT, "{} at once", concurrent.most);
@@ -151,14 +155,14 @@
     cycles(&mut concurrent, &mut cluster.fleet, 200);
     // The limit is lowered to a fifth while all of it is lent: once the change is reported in force, no call may exceed it.
     let (status, told) =
-        leader.ask("PATCH", "/v1/tenants/kalahari", "If-Match: *\r\n", "{\"limits\":{\"open_calls\":8}}");
+        leader.send("PATCH", "/v1/tenants/kalahari", "If-Match: *\r\n", "{\"limits\":{\"open_calls\":8}}");
     assert_eq!(status, 200, "{told}");
     eventually("those that were open have ended", || concurrent.update(&mut cluster.fleet) <= 8);
     concurrent.most = 0;
-    let from = cluster.fleet.look().len();
+    let from = cluster.fleet.observations().len();
     eventually("calls flow", || {
         concurrent.update(&mut cluster.fleet);
-        cluster.fleet.look()[from..]
+        cluster.fleet.observations()[from..]
             .iter()
             .filter(|r| matches!(r.seen, ObservationKind::Answered { .. }))
             .count()
--- a/crates/gateway/tests/metrics.rs
+++ b/crates/gateway/tests/metrics.rs
@@ -10,7 +10,7 @@
 
 fn scrape(address: SocketAddr) -> String {
     let mut socket = TcpStream::connect(address).expect("connects");
-    socket.set_read_timeout(Some(PATIENCE)).expect("socket option set");
+    socket.set_read_timeout(Some(CONDITION_TIMEOUT)).expect("socket option set");
     socket.write_all(b"GET /metrics HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n").expect("sent");
     let mut text = String::new();
     socket.read_to_string(&mut text).expect("text");
@@ -41,7 +41,7 @@
         let rpc = caller.unary("echo");
         assert_eq!(caller.status(rpc).0.code, Code::Ok);
     }
-    let wrong = caller.ask(ask("ModelInfer", &climb("climb", "x", 0)));
+    let wrong = caller.start_rpc(client_request("ModelInfer", &climb("climb", "x", 0)));
     assert_eq!(caller.status(wrong).0.code, Code::InvalidArgument);
     let served = "nettleferry_calls_total{class=\"quick\",end=\"served_in_time\",tenant=\"none\",model_group=\"echo\"}";
     eventually("five calls are counted", || value(&scrape(address), served) == 5.0);
@@ -64,7 +64,7 @@
     let address = gateway.scrape();
     let status = |request: &str| {
         let mut socket = TcpStream::connect(address).expect("connects");
-        socket.set_read_timeout(Some(PATIENCE)).expect("socket option set");
+        socket.set_read_timeout(Some(CONDITION_TIMEOUT)).expect("socket option set");
         socket.write_all(request.as_bytes()).expect("sent");
         let mut text = String::new();
         socket.read_to_string(&mut text).expect("text");
--- a/crates/gateway/tests/node.rs
+++ b/crates/gateway/tests/node.rs
@@ -9,7 +9,7 @@
 use nettleferry_platform::frames::{self, kind};
 
 /// Timeout of each wait in these tests; every wait is for an event.
-const PATIENCE: Duration = Duration::from_secs(20);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// A running node, killed on drop.
 struct Node(Child);
@@ -41,7 +41,7 @@
 
 fn directory() -> (UdpSocket, SocketAddr) {
     let socket = UdpSocket::bind("127.0.0.1:0").expect("a free port");
-    socket.set_read_timeout(Some(PATIENCE)).expect("socket option set");
+    socket.set_read_timeout(Some(WAIT_TIMEOUT)).expect("socket option set");
     let address = socket.local_addr().expect("an address");
     (socket, address)
 }
@@ -153,7 +153,7 @@
     second.recv_from(&mut buffer).expect("read again without a further signal");
 
     let mut client = TcpStream::connect(address).expect("connects");
-    client.set_read_timeout(Some(PATIENCE)).expect("socket option set");
+    client.set_read_timeout(Some(WAIT_TIMEOUT)).expect("socket option set");
     let mut word = Vec::new();
     frames::bare(&mut word, kind::READY, 0);
     client.write_all(&word).expect("written");
--- a/crates/gateway/tests/one_process.rs
+++ b/crates/gateway/tests/one_process.rs
@@ -32,7 +32,7 @@
     let dir = tempfile::tempdir().expect("temporary folder");
     let path = dir.path().join("config.json");
     std::fs::write(&path, configuration.to_string()).expect("configuration written");
-    let node = Node::of(Node::spawn(&path, 256));
+    let node = Node::wait_until_listening(Node::spawn(&path, 256));
     let mut client = Client::connect(node.address);
     for id in 1..20 {
         let stream = client.send_request("safe", id, id, b"ab");
--- a/crates/gateway/tests/recovery.rs
+++ b/crates/gateway/tests/recovery.rs
@@ -192,7 +192,7 @@
     program.write_list(&fleet.list().replacen("))", ") (state draining))", 1));
     eventually("the drained worker gets nothing new", || {
         let before = fleet.handles[0].name.clone();
-        let seen = |fleet: &mut Fleet| fleet.look().iter().filter(|r| r.worker == before).count();
+        let seen = |fleet: &mut Fleet| fleet.observations().iter().filter(|r| r.worker == before).count();
         let start = seen(&mut fleet);
         for _ in 0..5 {
             let rpc = caller.unary("echo");
@@ -212,9 +212,9 @@
     let dirs = cluster.stop_with_files(followers);
     let leader = cluster.administration(dir, true);
     assert_eq!(step(&leader), (json!("waiting"), json!("damaged")));
-    let refused = leader.ask("POST", "/v1/tenants", "", "{\"name\":\"new\"}");
+    let refused = leader.send("POST", "/v1/tenants", "", "{\"name\":\"new\"}");
     assert_eq!(refused.0, 503, "{}", refused.1);
-    let (given, told) = leader.ask("GET", "/v1/snapshot", "", "");
+    let (given, told) = leader.send("GET", "/v1/snapshot", "", "");
     assert_eq!(given, 503, "an empty book is not given: {told}");
     // Its own clients are refused for now (RESOURCE_EXHAUSTED), not denied: the tenants are unknown.
     assert_eq!(
--- a/crates/gateway/tests/scale.rs
+++ b/crates/gateway/tests/scale.rs
@@ -9,7 +9,7 @@
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::Value;
 
-const PATIENCE: Duration = Duration::from_secs(60);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// A running `nettleferry scale`, killed on drop.
 struct Run(Child);
@@ -44,7 +44,7 @@
 }
 
 fn eventually<T>(what: &str, mut found: impl FnMut() -> Option<T>) -> T {
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + WAIT_TIMEOUT;
     loop {
         if let Some(value) = found() {
             return value;
--- a/crates/gateway/tests/signals.rs
+++ b/crates/gateway/tests/signals.rs
@@ -80,7 +80,7 @@
     let path = dir.path().join("config.json");
     let mut configuration = config(here.address, &first_list);
     std::fs::write(&path, configuration.to_string()).expect("configuration written");
-    let mut node = Node::of(Node::spawn(&path, 256));
+    let mut node = Node::wait_until_listening(Node::spawn(&path, 256));
     let mut client = Client::connect(node.address);
     let held = client.send_request("once", 1, 9, b"hold");
     let end = Instant::now() + TEST_TIMEOUT;
@@ -172,7 +172,7 @@
     let dir = tempfile::tempdir().expect("temporary folder");
     let path = dir.path().join("config.json");
     std::fs::write(&path, config(directory.address, &listed).to_string()).expect("configuration written");
-    let node = Node::of(Node::spawn(&path, 256));
+    let node = Node::wait_until_listening(Node::spawn(&path, 256));
     let mut client = Client::connect(node.address);
     let warm = client.send_request("safe", 1, 9, b"");
     assert_eq!(client.read_answer(warm).0, SERVED);
--- a/crates/gateway/tests/stored_data.rs
+++ b/crates/gateway/tests/stored_data.rs
@@ -188,7 +188,7 @@
     }
     // A repeated request with the same idempotency key gets the same response.
     let first = recorded_state()["first"].clone();
-    let (status, answer) = http.ask(
+    let (status, answer) = http.send(
         "POST",
         "/v1/tenants",
         "Idempotency-Key: once-1\r\n",
--- a/crates/gateway/tests/stragglers.rs
+++ b/crates/gateway/tests/stragglers.rs
@@ -79,7 +79,7 @@
         "POST /v1/tenants/{tenant}/suspend HTTP/1.1\r\nHost: x\r\nConnection: close\r\nAuthorization: Bearer {}\r\nIf-Match: *\r\nContent-Length: 0\r\n\r\n",
         http.token
     );
-    let (status, head, _) = http.raw(&request);
+    let (status, head, _) = http.send_raw(&request);
     (status, head)
 }
 
@@ -190,7 +190,7 @@
 }
 
 fn ready(caller: &mut Caller) -> bool {
-    let rpc = caller.ask(nettleferry_scenario::client::ClientRequest {
+    let rpc = caller.start_rpc(nettleferry_scenario::client::ClientRequest {
         method: "ServerReady",
         messages: vec![bytes::Bytes::new()],
         ..Default::default()
@@ -245,7 +245,7 @@
     eventually("both have leases", || leader.get("/v1/fleet")["leases"] == 2);
     for n in 0..20 {
         let (status, told) =
-            leader.ask("POST", "/v1/tenants", "", &json!({ "name": format!("t{n}") }).to_string());
+            leader.send("POST", "/v1/tenants", "", &json!({ "name": format!("t{n}") }).to_string());
         assert_eq!(status, 201, "{told}");
         // Even a power loss of all machines now would not lose the change: each follower has it on disk.
         for program in &followers {
@@ -266,7 +266,7 @@
     eventually("their leases are out", || leader.get("/v1/fleet")["leases"] == 0);
     let stuck = cluster.follower(dir, 3, cluster.api, "");
     eventually("it has a lease", || leader.get("/v1/fleet")["leases"] == 1);
-    let (status, told) = leader.ask("POST", "/v1/tenants", "", "{\"name\":\"late\"}");
+    let (status, told) = leader.send("POST", "/v1/tenants", "", "{\"name\":\"late\"}");
     assert_eq!((status, &told["type"]), (503, &json!("/problems/not-held")), "{told}");
     assert_eq!(leader.get("/v1/tenants/late")["state"], "active", "it was made");
     eventually("and goes out", || call_status(&stuck, "late") == Code::Ok);
--- a/crates/gateway/tests/streams.rs
+++ b/crates/gateway/tests/streams.rs
@@ -24,7 +24,7 @@
         handle.inject(Fault::CutAfter(Some(3)));
     }
     let mut caller = Caller::new(gateway.address);
-    let rpc = caller.ask(ask("ModelStreamInfer", &climb("climb", "c", 6)));
+    let rpc = caller.start_rpc(client_request("ModelStreamInfer", &climb("climb", "c", 6)));
     for _ in 0..3 {
         let part = caller.response(rpc);
         assert!(part.error_message.is_empty() && !is_final(&part));
@@ -42,12 +42,12 @@
     let mut fleet = Fleet::new(2, SLOW);
     let gateway = serve(SETTINGS, &fleet.list());
     let mut caller = Caller::new(gateway.address);
-    let rpc = caller.ask(ask("ModelStreamInfer", &climb("climb", "c", 4)));
+    let rpc = caller.start_rpc(client_request("ModelStreamInfer", &climb("climb", "c", 4)));
     caller.response(rpc);
     caller.client.cancel(rpc);
     caller.until("the worker sees the cancel", || fleet.any(|s| matches!(s, ObservationKind::Gone { .. })));
     // A later call on the same connection is answered; the cancelled one is not retried.
-    let next = caller.ask(ask("ModelStreamInfer", &climb("climb", "d", 1)));
+    let next = caller.start_rpc(client_request("ModelStreamInfer", &climb("climb", "d", 1)));
     assert!(is_final(&caller.response(next)));
     assert_eq!(fleet.count(is_call), 2);
     assert!(caller.events().iter().all(|h| !matches!(h, ClientEvent::Message { rpc: r, .. } if *r == rpc)));
@@ -61,7 +61,8 @@
     let bad = climb("nobody", "bad", 1);
     let messages = [climb("climb", "a", 3), bad, climb("climb", "b", 2), echo("echo", "e", 9)];
     let messages: Vec<Bytes> = messages.iter().map(|m| m.encode_to_vec().into()).collect();
-    let rpc = caller.ask(ClientRequest { method: "ModelStreamInfer", messages, ..ClientRequest::default() });
+    let rpc =
+        caller.start_rpc(ClientRequest { method: "ModelStreamInfer", messages, ..ClientRequest::default() });
     let mut finals = std::collections::BTreeMap::new();
     let mut parts = std::collections::BTreeMap::new();
     while finals.len() < 4 {
@@ -94,7 +95,7 @@
         keep_open: true,
         ..ClientRequest::default()
     };
-    let rpc = caller.ask(ask);
+    let rpc = caller.start_rpc(ask);
     caller.response(rpc);
     caller.client.send(rpc, climb("nobody", "bad", 1).encode_to_vec().into());
     let (status, _) = caller.status(rpc);
@@ -116,7 +117,7 @@
     // A response of about 30 MB that its client does not read.
     let segments = 150_000;
     let mut slow = Caller::new(gateway.address);
-    let rpc = slow.ask(ask("ModelStreamInfer", &climb("climb", "s", segments)));
+    let rpc = slow.start_rpc(client_request("ModelStreamInfer", &climb("climb", "s", segments)));
     slow.client.set_reading(rpc, false);
     slow.until("it runs", || {
         fleet.any(|s| matches!(s, ObservationKind::Call { model, .. } if model == "climb"))
@@ -149,7 +150,8 @@
     let gateway = serve(&format!("{SETTINGS}(limits (calls-per-stream 2))"), &fleet.list());
     let mut caller = Caller::new(gateway.address);
     let messages = (0..40).map(|n| echo("echo", &n.to_string(), 9).encode_to_vec().into()).collect();
-    let rpc = caller.ask(ClientRequest { method: "ModelStreamInfer", messages, ..ClientRequest::default() });
+    let rpc =
+        caller.start_rpc(ClientRequest { method: "ModelStreamInfer", messages, ..ClientRequest::default() });
     for _ in 0..40 {
         assert!(is_final(&caller.response(rpc)));
     }
@@ -167,9 +169,9 @@
     // Timeouts spread around the time at which the last segment arrives.
     let mut open = std::collections::BTreeMap::new();
     for n in 0..60u64 {
-        let mut ask = ask("ModelStreamInfer", &climb("climb", &n.to_string(), 4));
+        let mut ask = client_request("ModelStreamInfer", &climb("climb", &n.to_string(), 4));
         ask.timeout = Some(std::time::Duration::from_millis(190 + n * 2));
-        open.insert(caller.ask(ask), 0);
+        open.insert(caller.start_rpc(ask), 0);
     }
     let mut ends = 0;
     while ends < 60 {
@@ -192,7 +194,7 @@
     // A call may be both answered and cancelled, if its response was in flight at the cancellation. A request cancelled
     // before it arrived completely is never observed as a call.
     eventually("withdrawn calls are withdrawn at the workers", || {
-        let seen = fleet.look();
+        let seen = fleet.observations();
         let ended: std::collections::HashSet<(&str, u64)> = seen
             .iter()
             .filter_map(|r| match &r.seen {
--- a/crates/gateway/tests/upkeep.rs
+++ b/crates/gateway/tests/upkeep.rs
@@ -52,7 +52,7 @@
     links.iter().zip(modes).for_each(|(link, mode)| link.set(mode));
     for n in 0..200 {
         let body = json!({ "note": n.to_string() }).to_string();
-        let (status, told) = leader.ask("PATCH", "/v1/tenants/kalahari", "If-Match: *\r\n", &body);
+        let (status, told) = leader.send("PATCH", "/v1/tenants/kalahari", "If-Match: *\r\n", &body);
         assert_eq!(status, 200, "{told}");
         if n % 20 == 0 {
             all.iter().for_each(|program| assert_eq!(call_status(program, "kalahari"), Code::Ok));
@@ -136,6 +136,6 @@
     });
     assert_eq!(call_status(&back, "kalahari"), Code::PermissionDenied, "it goes back to no earlier epoch");
     assert_eq!(call_status(&all[0], "kalahari"), Code::Ok, "the other one stands where it was");
-    let (status, told) = leader.ask("POST", "/v1/tenants", "", "{\"name\":\"new\"}");
+    let (status, told) = leader.send("POST", "/v1/tenants", "", "{\"name\":\"new\"}");
     assert_eq!(status, 503, "no change until it is decided which one stands: {told}");
 }
