--- a/crates/gateway/tests/loans.rs
+++ b/crates/gateway/tests/loans.rs
@@ -17,37 +17,38 @@
 use nettleferry_test_servers::ObservationKind;
 use serde_json::json;
 
+/// Limit of the tenant on open calls over all controllers.
 const LIMIT: usize = 40;
+/// Settings of the test worker. Its queue and lanes admit more calls than the limit.
 const WORKERS: &str = "(listen \"127.0.0.1:0\") (cores 512) (queue 10000) (model \"\" (lanes 512) (load-time 1ms) (work 100ms))";
 
-/// Keeps a number of a tenant's calls open at a controller, from a thread; refused calls are replaced after a short
-/// delay. Ends on drop.
+/// A thread that keeps a number of the tenant's calls open at a controller and replaces those that end. Stopped on drop.
 struct Flood {
     stop: Arc<AtomicBool>,
     thread: Option<std::thread::JoinHandle<()>>,
 }
 
 impl Flood {
-    fn at(at: SocketAddr, open: usize) -> Self {
+    fn start(controller: SocketAddr, target: usize) -> Self {
         let stop = Arc::new(AtomicBool::new(false));
-        let ended = Arc::clone(&stop);
+        let stop_requested = Arc::clone(&stop);
         let thread = std::thread::spawn(move || {
             let limits =
                 nettleferry_net::NetLimits { connect_timeout: CONDITION_TIMEOUT, ..Default::default() };
             let mut client = nettleferry_scenario::client::Client::new(1, limits).expect("client created");
             let headers = vec![("nettleferry-tenant".to_owned(), "kalahari".to_owned())];
-            let one = || nettleferry_scenario::client::ClientRequest {
+            let request = || nettleferry_scenario::client::ClientRequest {
                 headers: headers.clone(),
                 ..client_request("ModelInfer", &echo("echo", "u", 64))
             };
-            let (mut out, mut heard) = (0, Vec::new());
-            while !ended.load(Ordering::Acquire) {
-                while out < open && client.call(at, one()).is_ok() {
-                    out += 1;
+            let (mut open, mut events) = (0, Vec::new());
+            while !stop_requested.load(Ordering::Acquire) {
+                while open < target && client.call(controller, request()).is_ok() {
+                    open += 1;
                 }
                 // The poll bounds the rate of new calls to a process that was killed.
-                client.poll(Some(Duration::from_millis(5)), &mut heard).expect("polls");
-                out -= heard.drain(..).filter(|h| matches!(h, ClientEvent::End { .. })).count();
+                client.poll(Some(Duration::from_millis(5)), &mut events).expect("client polled");
+                open -= events.drain(..).filter(|event| matches!(event, ClientEvent::End { .. })).count();
             }
         });
         Self { stop, thread: Some(thread) }
@@ -63,30 +64,33 @@
     }
 }
 
-/// Concurrent calls at the workers, from their observations: those open now, and the maximum since it was last reset.
+/// Concurrent calls at the workers, counted from their observations.
 struct ConcurrentCalls {
+    /// Calls open now, by worker and stream.
     open: BTreeSet<(String, u64)>,
-    seen: usize,
-    most: usize,
+    /// Number of observations applied.
+    applied: usize,
+    /// Maximum of open calls since it was last reset.
+    peak: usize,
 }
 
 impl ConcurrentCalls {
     /// Applies new observations; returns the number of calls open now.
     fn update(&mut self, fleet: &mut Fleet) -> usize {
-        let records = fleet.observations();
-        for record in &records[self.seen..] {
-            match &record.seen {
+        let observations = fleet.observations();
+        for observation in &observations[self.applied..] {
+            match &observation.seen {
                 ObservationKind::Call { stream, .. } => {
-                    _ = self.open.insert((record.worker.clone(), *stream))
+                    _ = self.open.insert((observation.worker.clone(), *stream))
                 }
                 ObservationKind::Gone { stream } | ObservationKind::Answered { stream, .. } => {
-                    self.open.remove(&(record.worker.clone(), *stream));
+                    self.open.remove(&(observation.worker.clone(), *stream));
                 }
                 _ => {}
             }
-            self.most = self.most.max(self.open.len());
+            self.peak = self.peak.max(self.open.len());
         }
-        self.seen = records.len();
+        self.applied = observations.len();
         self.open.len()
     }
 }
@@ -103,71 +107,73 @@
         let more = "(without-lease refuse) (loans (reserve 0.2))";
         cluster.follower(cluster.dir(), number as u32 + 1, links[number].address, more)
     };
-    let mut all: Vec<Program> = (0..3).map(|n| follower(&cluster, n)).collect();
-    for program in &all {
-        eventually("it serves", || call_status(program, "kalahari") == Code::Ok);
+    let mut followers: Vec<Program> = (0..3).map(|n| follower(&cluster, n)).collect();
+    for program in &followers {
+        eventually("the follower serves the tenant", || call_status(program, "kalahari") == Code::Ok);
     }
-    let mut concurrent = ConcurrentCalls { open: BTreeSet::new(), seen: 0, most: 0 };
-    // The controller with the traffic gets the whole limit but the others' reserves of 2 each. Equal shares would be 10.
-    for one in [0, 1] {
-        let _flood = Flood::at(all[one].address, 60);
-        eventually("the limit follows the traffic", || {
+    let mut concurrent = ConcurrentCalls { open: BTreeSet::new(), applied: 0, peak: 0 };
+    // The only controller with traffic gets the whole limit except the reserves of the others, 2 each. An equal share
+    // would be 10.
+    for index in [0, 1] {
+        let _flood = Flood::start(followers[index].address, 60);
+        eventually("almost the whole limit is lent to the controller with the traffic", || {
             concurrent.update(&mut cluster.fleet) >= LIMIT - 3 * 2 - 1
         });
     }
-    assert!(concurrent.most <= LIMIT, "{} at once", concurrent.most);
+    assert!(concurrent.peak <= LIMIT, "{} concurrent calls", concurrent.peak);
     // Faults under traffic at all controllers, each longer than a lease.
-    let floods: Vec<Flood> = all.iter().map(|p| Flood::at(p.address, 30)).collect();
-    let cycles = |concurrent: &mut ConcurrentCalls, fleet: &mut Fleet, count: usize| {
-        let from = fleet.observations().len();
-        eventually("calls flow", || {
+    let floods: Vec<Flood> = followers.iter().map(|p| Flood::start(p.address, 30)).collect();
+    let wait_for_responses = |concurrent: &mut ConcurrentCalls, fleet: &mut Fleet, count: usize| {
+        let first = fleet.observations().len();
+        eventually("the workers answer calls", || {
             concurrent.update(fleet);
-            fleet.observations()[from..]
+            fleet.observations()[first..]
                 .iter()
-                .filter(|r| matches!(r.seen, ObservationKind::Answered { .. }))
+                .filter(|observation| matches!(observation.seen, ObservationKind::Answered { .. }))
                 .count()
                 >= count
         });
-        assert!(concurrent.most <= LIMIT, "{} at once", concurrent.most);
+        assert!(concurrent.peak <= LIMIT, "{} concurrent calls", concurrent.peak);
     };
-    cycles(&mut concurrent, &mut cluster.fleet, 300);
+    wait_for_responses(&mut concurrent, &mut cluster.fleet, 300);
     for mode in [LinkMode::Blackhole, LinkMode::RequestsOnly, LinkMode::ResponsesOnly, LinkMode::Closed] {
         links[0].set(mode);
-        cycles(&mut concurrent, &mut cluster.fleet, 400);
+        wait_for_responses(&mut concurrent, &mut cluster.fleet, 400);
         links[0].set(LinkMode::Forward);
-        cycles(&mut concurrent, &mut cluster.fleet, 200);
+        wait_for_responses(&mut concurrent, &mut cluster.fleet, 200);
     }
-    all[1].signal("STOP");
-    cycles(&mut concurrent, &mut cluster.fleet, 400);
-    all[1].signal("CONT");
-    cycles(&mut concurrent, &mut cluster.fleet, 200);
-    all[2].signal("KILL");
-    cycles(&mut concurrent, &mut cluster.fleet, 300);
+    followers[1].signal("STOP");
+    wait_for_responses(&mut concurrent, &mut cluster.fleet, 400);
+    followers[1].signal("CONT");
+    wait_for_responses(&mut concurrent, &mut cluster.fleet, 200);
+    followers[2].signal("KILL");
+    wait_for_responses(&mut concurrent, &mut cluster.fleet, 300);
     drop(floods);
-    all[2] = follower(&cluster, 2);
-    let floods: Vec<Flood> = all.iter().map(|p| Flood::at(p.address, 30)).collect();
-    cycles(&mut concurrent, &mut cluster.fleet, 300);
+    followers[2] = follower(&cluster, 2);
+    let floods: Vec<Flood> = followers.iter().map(|p| Flood::start(p.address, 30)).collect();
+    wait_for_responses(&mut concurrent, &mut cluster.fleet, 300);
     // A graceful shutdown returns the controller's share at once, before its lease expires.
-    all[0].signal("TERM");
-    eventually("it has said that it ended", || {
+    followers[0].signal("TERM");
+    eventually("the stopped controller has returned its lease", || {
         incarnations(&leader).iter().any(|l| l["controller"] == 1 && l["lease_left_ms"].is_null())
     });
-    cycles(&mut concurrent, &mut cluster.fleet, 200);
-    // The limit is lowered to a fifth while all of it is lent: once the change is reported in force, no call may exceed it.
-    let (status, told) =
+    wait_for_responses(&mut concurrent, &mut cluster.fleet, 200);
+    // The limit is lowered to a fifth while all of it is lent. When the open calls are down to the new
+    // limit, they must not exceed it again.
+    let (status, response) =
         leader.send("PATCH", "/v1/tenants/kalahari", "If-Match: *\r\n", "{\"limits\":{\"open_calls\":8}}");
-    assert_eq!(status, 200, "{told}");
-    eventually("those that were open have ended", || concurrent.update(&mut cluster.fleet) <= 8);
-    concurrent.most = 0;
-    let from = cluster.fleet.observations().len();
-    eventually("calls flow", || {
+    assert_eq!(status, 200, "{response}");
+    eventually("the open calls are down to the new limit", || concurrent.update(&mut cluster.fleet) <= 8);
+    concurrent.peak = 0;
+    let first = cluster.fleet.observations().len();
+    eventually("the workers answer calls", || {
         concurrent.update(&mut cluster.fleet);
-        cluster.fleet.observations()[from..]
+        cluster.fleet.observations()[first..]
             .iter()
-            .filter(|r| matches!(r.seen, ObservationKind::Answered { .. }))
+            .filter(|observation| matches!(observation.seen, ObservationKind::Answered { .. }))
             .count()
             >= 100
     });
-    assert!(concurrent.most <= 8, "{} at once", concurrent.most);
+    assert!(concurrent.peak <= 8, "{} concurrent calls", concurrent.peak);
     drop(floods);
 }
--- a/crates/gateway/tests/node.rs
+++ b/crates/gateway/tests/node.rs
@@ -7,8 +7,9 @@
 use std::time::Duration;
 
 use nettleferry_platform::frames::{self, kind};
+use serde_json::{Value, json};
 
-/// Timeout of each wait in these tests; every wait is for an event.
+/// Timeout of each wait for an event.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// A running node, killed on drop.
@@ -27,8 +28,8 @@
     }
 
     fn signal(&self, name: &str) {
-        let done = Command::new("kill").args([&format!("-{name}"), &self.0.id().to_string()]).status();
-        assert!(done.expect("kill runs").success());
+        let status = Command::new("kill").args([&format!("-{name}"), &self.0.id().to_string()]).status();
+        assert!(status.expect("kill runs").success());
     }
 }
 
@@ -39,15 +40,17 @@
     }
 }
 
+/// A UDP socket that stands for a directory and sends no response, with its address.
 fn directory() -> (UdpSocket, SocketAddr) {
     let socket = UdpSocket::bind("127.0.0.1:0").expect("a free port");
     socket.set_read_timeout(Some(WAIT_TIMEOUT)).expect("socket option set");
-    let address = socket.local_addr().expect("an address");
+    let address = socket.local_addr().expect("the socket is bound");
     (socket, address)
 }
 
+/// A configuration with this directory. Its unknown fields must be ignored.
 fn config(resolver: SocketAddr) -> String {
-    serde_json::json!({
+    json!({
         "listen": "127.0.0.1:0", "seed": "1f", "resolver": resolver.to_string(), "unknown": {"to": "us"},
         "settings": {
             "classes": [{"name": "safe", "deadline_ms": 4000, "effect": "free", "unknown": 1}],
@@ -57,70 +60,77 @@
     .to_string()
 }
 
+/// A configuration whose field `name` has this value.
+fn config_with(name: &str, value: Value) -> String {
+    let mut config: Value = serde_json::from_str(&config(directory().1)).expect("valid JSON");
+    config[name] = value;
+    config.to_string()
+}
+
+/// A configuration whose setting at this JSON pointer has this value.
+fn config_with_setting(pointer: &str, value: Value) -> String {
+    let mut config: Value = serde_json::from_str(&config(directory().1)).expect("valid JSON");
+    *config["settings"].pointer_mut(pointer).expect("the configuration has this setting") = value;
+    config.to_string()
+}
+
+/// A list of known invokers with one invoker, whose field `name` has this value.
+fn list_with(name: &str, value: Value) -> Value {
+    let mut instance = json!({"instanceId": "s-1", "hostPort": "127.0.0.1:9", "lifecycle": "up"});
+    instance[name] = value;
+    json!({"pos": 1, "entries": [{"pos": 1, "hosts": {"instances": [instance]}}]})
+}
+
 #[test]
 fn unusable_configuration_gives_one_line_and_exit_code_2() {
     let dir = tempfile::tempdir().expect("temporary folder");
     let path = dir.path().join("config.json");
-    let with_field = |name: &str, value: serde_json::Value| {
-        let mut config: serde_json::Value = serde_json::from_str(&config(directory().1)).expect("valid JSON");
-        config[name] = value;
-        config.to_string()
-    };
-    let instance = |name: &str, value: serde_json::Value| {
-        let mut one = serde_json::json!({"instanceId": "s-1", "hostPort": "127.0.0.1:9", "lifecycle": "up"});
-        one[name] = value;
-        serde_json::json!({"pos": 1, "entries": [{"pos": 1, "hosts": {"instances": [one]}}]})
-    };
-    let setting = |path: &str, value: serde_json::Value| {
-        let mut config: serde_json::Value = serde_json::from_str(&config(directory().1)).expect("valid JSON");
-        *config["settings"].pointer_mut(path).expect("it is there") = value;
-        Some(config.to_string())
-    };
-    let texts = [
+    // Configuration file (`None`: there is no file), and what the error must name.
+    let cases = [
         (None, ""),
         (Some("{\"listen\":".to_owned()), ""),
         (Some("{}".to_owned()), "listen"),
         (Some("[]".to_owned()), ""),
         // An error in a field is reported with its name.
-        (Some(with_field("resolver", 5.into())), "resolver"),
-        (Some(with_field("limits", "many".into())), "limits"),
-        (Some(with_field("known", serde_json::json!({"pos": -1}))), "known"),
+        (Some(config_with("resolver", 5.into())), "resolver"),
+        (Some(config_with("limits", "many".into())), "limits"),
+        (Some(config_with("known", json!({"pos": -1}))), "known"),
         (
-            Some(with_field("settings", serde_json::json!({"classes": [{"name": "a", "deadline_ms": "x"}]}))),
+            Some(config_with("settings", json!({"classes": [{"name": "a", "deadline_ms": "x"}]}))),
             "deadline_ms",
         ),
-        (Some(with_field("listen", "127.0.0.1".into())), "listen"),
-        (Some(with_field("seed", 5.into())), "seed"),
-        (Some(with_field("limits", serde_json::json!({"sockets": -1}))), "limits"),
-        (Some(with_field("settings", serde_json::Value::Null)), "settings"),
-        (Some(with_field("settings", serde_json::json!([]))), "settings"),
-        (Some(with_field("settings", serde_json::json!({}))), "classes"),
+        (Some(config_with("listen", "127.0.0.1".into())), "listen"),
+        (Some(config_with("seed", 5.into())), "seed"),
+        (Some(config_with("limits", json!({"sockets": -1}))), "limits"),
+        (Some(config_with("settings", Value::Null)), "settings"),
+        (Some(config_with("settings", json!([]))), "settings"),
+        (Some(config_with("settings", json!({}))), "classes"),
         // Errors in the list of known invokers.
-        (Some(with_field("known", instance("hostPort", "nowhere".into()))), "s-1"),
-        (Some(with_field("known", instance("hostPort", "127.0.0.1:65536".into()))), "s-1"),
-        (Some(with_field("known", instance("instanceId", 7.into()))), "known"),
-        (Some(with_field("known", instance("lifecycle", "asleep".into()))), "known"),
-        (Some(with_field("known", serde_json::json!({"pos": 4294967296u64}))), "known"),
+        (Some(config_with("known", list_with("hostPort", "nowhere".into()))), "s-1"),
+        (Some(config_with("known", list_with("hostPort", "127.0.0.1:65536".into()))), "s-1"),
+        (Some(config_with("known", list_with("instanceId", 7.into()))), "known"),
+        (Some(config_with("known", list_with("lifecycle", "asleep".into()))), "known"),
+        (Some(config_with("known", json!({"pos": 4294967296u64}))), "known"),
         // Errors in nested settings.
-        (setting("/classes/0/effect", "harmless".into()), "classes[0].effect"),
-        (setting("/classes/0/deadline_ms", (-4).into()), "classes[0].deadline_ms"),
-        (setting("/limits/max_attempts", "3".into()), "limits.max_attempts"),
-        (setting("/limits/max_attempts", 0.into()), "limits.max_attempts"),
-        (setting("/limits/connect_timeout_ms", serde_json::json!({})), "limits.connect_timeout_ms"),
-        (setting("/n_instances", 0.into()), "n_instances"),
-        (setting("/n_instances", 1.5.into()), "n_instances"),
-        (setting("/me", 1.into()), "field me"),
+        (Some(config_with_setting("/classes/0/effect", "harmless".into())), "classes[0].effect"),
+        (Some(config_with_setting("/classes/0/deadline_ms", (-4).into())), "classes[0].deadline_ms"),
+        (Some(config_with_setting("/limits/max_attempts", "3".into())), "limits.max_attempts"),
+        (Some(config_with_setting("/limits/max_attempts", 0.into())), "limits.max_attempts"),
+        (Some(config_with_setting("/limits/connect_timeout_ms", json!({}))), "limits.connect_timeout_ms"),
+        (Some(config_with_setting("/n_instances", 0.into())), "n_instances"),
+        (Some(config_with_setting("/n_instances", 1.5.into())), "n_instances"),
+        (Some(config_with_setting("/me", 1.into())), "field me"),
     ];
-    for (text, named) in texts {
+    for (text, field) in cases {
         if let Some(text) = &text {
-            std::fs::write(&path, text).expect("written");
+            std::fs::write(&path, text).expect("configuration written");
         }
         let mut node = Node::start(&path);
-        let mut said = String::new();
-        node.0.stderr.take().expect("piped").read_to_string(&mut said).expect("text");
+        let mut stderr = String::new();
+        node.0.stderr.take().expect("stderr is piped").read_to_string(&mut stderr).expect("stderr is UTF-8");
         assert_eq!(node.0.wait().expect("status of the child").code(), Some(2), "{text:?}");
-        assert_eq!(said.lines().count(), 1, "{said}");
-        assert!(said.contains(named), "{named} is named: {said}");
+        assert_eq!(stderr.lines().count(), 1, "{stderr}");
+        assert!(stderr.contains(field), "the error must name {field}: {stderr}");
     }
 }
 
@@ -128,45 +138,45 @@
 fn sighup_switches_directory_once_its_file_is_complete_and_sigterm_drains() {
     let dir = tempfile::tempdir().expect("temporary folder");
     let path = dir.path().join("config.json");
-    let ((first, one), (second, two)) = (directory(), directory());
-    std::fs::write(&path, config(one)).expect("written");
+    let ((first, first_address), (second, second_address)) = (directory(), directory());
+    std::fs::write(&path, config(first_address)).expect("configuration written");
     let mut node = Node::start(&path);
-    let mut said = BufReader::new(node.0.stdout.take().expect("piped"));
+    let mut stdout = BufReader::new(node.0.stdout.take().expect("stdout is piped"));
     let mut line = String::new();
-    said.read_line(&mut line).expect("text");
+    stdout.read_line(&mut line).expect("a line on stdout");
     let address =
         line.trim_end().strip_prefix("listening frames ").expect("the line that reports the listener");
     let mut buffer = [0; 512];
-    first.recv_from(&mut buffer).expect("the first directory is asked");
+    first.recv_from(&mut buffer).expect("request to the first directory");
 
-    std::fs::write(&path, &config(two)[..40]).expect("written");
+    std::fs::write(&path, &config(second_address)[..40]).expect("partial configuration written");
     for _ in 0..3 {
         node.signal("HUP");
     }
-    let mut logs = BufReader::new(node.0.stderr.take().expect("piped"));
+    let mut log = BufReader::new(node.0.stderr.take().expect("stderr is piped"));
     let mut line = String::new();
     while !line.contains("configuration not reloaded") {
         line.clear();
-        assert!(logs.read_line(&mut line).expect("text") > 0, "it goes on");
+        assert!(log.read_line(&mut line).expect("log readable") > 0, "the node must not end");
     }
-    std::fs::write(&path, config(two)).expect("written");
-    second.recv_from(&mut buffer).expect("read again without a further signal");
+    std::fs::write(&path, config(second_address)).expect("configuration written");
+    second.recv_from(&mut buffer).expect("request to the second directory, without a further signal");
 
-    let mut client = TcpStream::connect(address).expect("connects");
+    let mut client = TcpStream::connect(address).expect("connection opened");
     client.set_read_timeout(Some(WAIT_TIMEOUT)).expect("socket option set");
-    let mut word = Vec::new();
-    frames::bare(&mut word, kind::READY, 0);
-    client.write_all(&word).expect("written");
+    let mut frame = Vec::new();
+    frames::bare(&mut frame, kind::READY, 0);
+    client.write_all(&frame).expect("READY frame sent");
     let mut answer = [0; 11];
-    client.read_exact(&mut answer).expect("answered");
+    client.read_exact(&mut answer).expect("READY_ANSWER frame received");
     assert_eq!(answer[4], kind::READY_ANSWER);
     node.signal("TERM");
     node.signal("HUP");
-    let mut answer = [0; 9];
-    client.read_exact(&mut answer).expect("an answer");
-    assert_eq!(answer[4], kind::GO_AWAY);
+    let mut frame = [0; 9];
+    client.read_exact(&mut frame).expect("GO_AWAY frame received");
+    assert_eq!(frame[4], kind::GO_AWAY);
     // Reads the log to its end, so that a full pipe can't block the process.
     let mut rest = Vec::new();
-    logs.read_to_end(&mut rest).expect("text");
+    log.read_to_end(&mut rest).expect("log readable");
     assert_eq!(node.0.wait().expect("status of the child").code(), Some(0));
 }
--- a/crates/gateway/tests/one_process.rs
+++ b/crates/gateway/tests/one_process.rs
@@ -17,18 +17,21 @@
 #[test]
 fn node_is_one_dynamically_linked_process_with_one_thread() {
     let program = std::fs::read(env!("CARGO_BIN_EXE_nettleferry")).expect("program file readable");
-    assert!(program.windows(LOADER.len()).any(|bytes| bytes == LOADER), "it names the system's loader");
+    assert!(
+        program.windows(LOADER.len()).any(|bytes| bytes == LOADER),
+        "the program must contain the name of the dynamic loader"
+    );
 
     let invoker = Invoker::start(|command: &ReceivedCommand| match command.keyword() {
         "CALL" => Reaction::Answer("served", "n=w", command.parts[3].clone()),
         _ => Reaction::Answer("green", "-", vec![]),
     });
-    let silent = UdpSocket::bind("127.0.0.1:0").expect("a free port");
+    let directory = UdpSocket::bind("127.0.0.1:0").expect("a free port");
     let peer = UdpSocket::bind("127.0.0.1:0").expect("a free port");
     let listed = vec![ListedInvoker::new(0, invoker.address)];
-    let mut configuration = config(silent.local_addr().expect("bound"), &listed);
-    configuration["peers"] = serde_json::json!([peer.local_addr().expect("bound").to_string()]);
-    configuration["peers_all"] = peer.local_addr().expect("bound").to_string().into();
+    let mut configuration = config(directory.local_addr().expect("the socket is bound"), &listed);
+    configuration["peers"] = serde_json::json!([peer.local_addr().expect("the socket is bound").to_string()]);
+    configuration["peers_all"] = peer.local_addr().expect("the socket is bound").to_string().into();
     let dir = tempfile::tempdir().expect("temporary folder");
     let path = dir.path().join("config.json");
     std::fs::write(&path, configuration.to_string()).expect("configuration written");
@@ -40,5 +43,5 @@
     }
     assert_eq!(node.threads_and_children(), (1, 0));
     peer.set_nonblocking(true).expect("socket option set");
-    assert!(peer.recv_from(&mut [0; 300]).is_err(), "nothing is sent to a peer");
+    assert!(peer.recv_from(&mut [0; 300]).is_err(), "the node must send nothing to its peer");
 }
--- a/crates/gateway/tests/recovery.rs
+++ b/crates/gateway/tests/recovery.rs
@@ -3,10 +3,11 @@
 
 mod common;
 use common::admin_client::*;
+use common::cluster::{call_status, free_address};
 use common::link::{Link, LinkMode};
 use common::*;
 
-use std::net::{SocketAddr, TcpListener};
+use std::net::SocketAddr;
 use std::path::Path;
 use std::process::Command;
 use std::time::Instant;
@@ -14,37 +15,32 @@
 use nettleferry_net::grpc::Code;
 use serde_json::{Value, json};
 
-/// A free port on a loopback address that no other test uses, so that no other process takes the port meanwhile.
-fn free_address(host: &str) -> SocketAddr {
-    let listener = TcpListener::bind(format!("{host}:0")).expect("a free port");
-    listener.local_addr().expect("bound")
-}
-
-/// The status code of an `echo` call of this tenant at a controller.
-fn call_status(program: &Program, tenant: &str) -> Code {
-    code(&mut Caller::new(program.address), Some(tenant), "echo").0
-}
-
-/// Settings of an administration and two followers, each of which can be killed and restarted.
+/// Settings of an administration and two followers, each of which can be killed and restarted. Unlike in
+/// [`common::cluster::Cluster`], the followers serve their snapshots to their peers.
 struct Cluster {
     fleet: Fleet,
     host: String,
+    /// Token of an operator's key.
     token: String,
+    /// Settings lines that accept the operator's key and the followers' key.
     keys: String,
+    /// Token of the followers' key.
     key: String,
+    /// Address of the administration's API.
     api: SocketAddr,
     /// Address at which followers reach the administration.
     through: SocketAddr,
+    /// Addresses at which the followers serve their snapshots.
     snapshot_listeners: Vec<SocketAddr>,
 }
 
 impl Cluster {
     fn new(host: &str) -> Self {
-        let (token, line) = key("ada", "admin");
-        let (key, fleet_line) = key("fleet", "controller");
+        let (token, operator_settings) = key("ada", "admin");
+        let (key, follower_settings) = key("fleet", "controller");
         let api = free_address(host);
         let snapshot_listeners = (0..2).map(|_| free_address(host)).collect();
-        let keys = format!("{line} {fleet_line}");
+        let keys = format!("{operator_settings} {follower_settings}");
         Self {
             fleet: Fleet::new(1, SPEC),
             host: host.to_owned(),
@@ -59,17 +55,18 @@
 
     fn dir(&self) -> tempfile::TempDir {
         let dir = tempfile::tempdir().expect("temporary folder");
-        std::fs::write(dir.path().join("workers.sexp"), self.fleet.list()).expect("written");
-        std::fs::write(dir.path().join("key"), &self.key).expect("written");
+        std::fs::write(dir.path().join("workers.sexp"), self.fleet.list()).expect("worker list written");
+        std::fs::write(dir.path().join("key"), &self.key).expect("key file written");
         dir
     }
 
-    /// The `(peer ...)` settings of all followers but this one.
-    fn peers(&self, but: Option<usize>) -> String {
-        let all = self.snapshot_listeners.iter().enumerate().filter(|(n, _)| Some(*n) != but);
-        all.map(|(_, at)| format!("(peer \"{at}\")")).collect()
+    /// The `(peer ...)` settings for all followers except this one.
+    fn peers(&self, excluded: Option<usize>) -> String {
+        let peers = self.snapshot_listeners.iter().enumerate().filter(|(index, _)| Some(*index) != excluded);
+        peers.map(|(_, address)| format!("(peer \"{address}\")")).collect()
     }
 
+    /// Starts the administration; with `peers`, it can restore its store from the followers.
     fn administration(&self, dir: tempfile::TempDir, peers: bool) -> Leader {
         let peers =
             if peers { format!("{} (peer-key-file \"key\")", self.peers(None)) } else { String::new() };
@@ -81,15 +78,15 @@
     }
 
     /// Starts the follower with this index, from 0; its controller number is one higher.
-    fn follower(&self, dir: tempfile::TempDir, number: usize) -> Program {
+    fn follower(&self, dir: tempfile::TempDir, index: usize) -> Program {
         let admin = format!(
             "(admin (follow \"{}\") (key-file \"key\") (kept \"kept.json\") (listen \"{}\") {} {})",
             self.through,
-            self.snapshot_listeners[number],
+            self.snapshot_listeners[index],
             self.keys,
-            self.peers(Some(number))
+            self.peers(Some(index))
         );
-        let settings = format!("{SETTINGS}{admin}(controller (number {}) (of 3))", number + 1);
+        let settings = format!("{SETTINGS}{admin}(controller (number {}) (of 3))", index + 1);
         serve_in(dir, &settings, None)
     }
 
@@ -102,19 +99,21 @@
     fn started(&self, tenants: &[Value]) -> (Leader, Vec<Program>) {
         let leader = self.administration(self.dir(), true);
         let followers = self.followers();
-        eventually("nobody holds any book: the first may be made", || step(&self.http()).0 == "serving");
+        eventually("the administration serves, as no follower has a snapshot", || {
+            step(&self.http()).0 == "serving"
+        });
         tenants.iter().for_each(|tenant| leader.create(tenant.clone()));
-        let last = tenants.last().and_then(|t| t["name"].as_str()).expect("a tenant with a name");
+        let last = tenants.last().and_then(|tenant| tenant["name"].as_str()).expect("a tenant with a name");
         for program in &followers {
-            eventually("it follows", || call_status(program, last) == Code::Ok);
+            eventually("the follower serves the last tenant", || call_status(program, last) == Code::Ok);
             wait_until_persisted(program, tenants.len() as u64);
         }
         (leader, followers)
     }
 
     /// Kills the followers; returns folders with their persisted snapshots.
-    fn stop_with_files(&self, followers: Vec<Program>) -> Vec<tempfile::TempDir> {
-        followers.into_iter().map(|p| self.kill_keeping(p, &["kept.json"])).collect()
+    fn kill_followers(&self, followers: Vec<Program>) -> Vec<tempfile::TempDir> {
+        followers.into_iter().map(|program| self.kill_and_copy(program, &["kept.json"])).collect()
     }
 
     /// Restarts the followers from these folders.
@@ -122,17 +121,17 @@
         dirs.into_iter().enumerate().map(|(n, dir)| self.follower(dir, n)).collect()
     }
 
-    /// Kills a process; returns a new folder with these of its files.
-    fn kill_keeping(&self, program: Program, files: &[&str]) -> tempfile::TempDir {
+    /// Kills a process; returns a new folder with copies of these of its files.
+    fn kill_and_copy(&self, program: Program, files: &[&str]) -> tempfile::TempDir {
         program.signal("KILL");
         let dir = self.dir();
         // The record of the lease span is always copied: the tests damage other files.
         let lease = program.dir.path().join("tenants.lease");
         if lease.exists() {
-            std::fs::copy(lease, dir.path().join("tenants.lease")).expect("copied");
+            std::fs::copy(lease, dir.path().join("tenants.lease")).expect("lease record copied");
         }
         for name in files {
-            std::fs::copy(program.dir.path().join(name), dir.path().join(name)).expect("copied");
+            std::fs::copy(program.dir.path().join(name), dir.path().join(name)).expect("file copied");
         }
         dir
     }
@@ -145,17 +144,19 @@
 /// Waits until a follower has persisted this revision, so that a restart would begin with it.
 fn wait_until_persisted(program: &Program, revision: u64) {
     let file = program.dir.path().join("kept.json");
-    let mark = format!("\"revision\":{revision}");
-    eventually("it is kept", || std::fs::read_to_string(&file).is_ok_and(|text| text.contains(&mark)));
+    let revision_field = format!("\"revision\":{revision}");
+    eventually("the revision is persisted", || {
+        std::fs::read_to_string(&file).is_ok_and(|text| text.contains(&revision_field))
+    });
 }
 
 /// The leader's recovery step and its cause, from `/v1/fleet`.
 fn step(http: &AdminClient) -> (Value, Value) {
-    let told = http.get("/v1/fleet");
-    (told["step"].clone(), told["cause"].clone())
+    let response = http.get("/v1/fleet");
+    (response["step"].clone(), response["cause"].clone())
 }
 
-/// Creates a FIFO: opening it for writing blocks until somebody reads it.
+/// Creates a FIFO. Opening it for writing blocks until another process opens it for reading.
 fn fifo(path: &Path) {
     assert!(Command::new("mkfifo").arg(path).status().expect("mkfifo runs").success());
 }
@@ -166,39 +167,39 @@
     let dir = tempfile::tempdir().expect("temporary folder");
     // The persisted list is written to a FIFO that nobody reads, so that the write blocks forever.
     fifo(&dir.path().join("kept.sexp.new"));
-    std::fs::write(dir.path().join("workers.sexp"), fleet.list()).expect("written");
+    std::fs::write(dir.path().join("workers.sexp"), fleet.list()).expect("worker list written");
     let settings = SETTINGS.replace("(check-every 5ms)", "(check-every 5ms) (kept \"kept.sexp\")");
     let program = serve_in(dir, &settings, None);
     let mut caller = Caller::new(program.address);
     for round in 0..20 {
         // Each list is to be persisted: the write of the first one blocks, and only the latest one would be written next.
-        let drained = if round % 2 == 0 { "(state draining)" } else { "" };
-        let list = fleet.list().replacen("))", &format!(") {drained})"), 1);
+        let state = if round % 2 == 0 { "(state draining)" } else { "" };
+        let list = fleet.list().replacen("))", &format!(") {state})"), 1);
         program.write_list(&list);
-        let begun = Instant::now();
-        let all: Vec<u64> = (0..20).map(|_| caller.unary("echo-brief")).collect();
-        for rpc in all {
+        let started = Instant::now();
+        let rpcs: Vec<u64> = (0..20).map(|_| caller.unary("echo-brief")).collect();
+        for rpc in rpcs {
             let (status, _) = caller.status(rpc);
             assert_eq!(
                 status.code,
                 Code::Ok,
                 "round {round}, after {:?}: {}",
-                begun.elapsed(),
+                started.elapsed(),
                 status.message
             );
         }
     }
     // New lists still take effect: with the first worker draining, only the second one gets new calls.
     program.write_list(&fleet.list().replacen("))", ") (state draining))", 1));
-    eventually("the drained worker gets nothing new", || {
-        let before = fleet.handles[0].name.clone();
-        let seen = |fleet: &mut Fleet| fleet.observations().iter().filter(|r| r.worker == before).count();
-        let start = seen(&mut fleet);
+    eventually("the draining worker gets no new calls", || {
+        let worker = fleet.handles[0].name.clone();
+        let count = |fleet: &mut Fleet| fleet.observations().iter().filter(|o| o.worker == worker).count();
+        let count_before = count(&mut fleet);
         for _ in 0..5 {
             let rpc = caller.unary("echo");
             assert_eq!(caller.status(rpc).0.code, Code::Ok);
         }
-        seen(&mut fleet) == start
+        count(&mut fleet) == count_before
     });
 }
 
@@ -207,35 +208,41 @@
     let cluster = Cluster::new("127.0.7.1");
     let (leader, followers) = cluster.started(&[json!({"name": "kalahari"}), json!({"name": "morava"})]);
     // All processes are killed; the store is damaged and its snapshot is lost.
-    let dir = cluster.kill_keeping(leader.program, &[]);
-    std::fs::write(dir.path().join("tenants.redb"), vec![7; 20_000]).expect("written");
-    let dirs = cluster.stop_with_files(followers);
+    let dir = cluster.kill_and_copy(leader.program, &[]);
+    std::fs::write(dir.path().join("tenants.redb"), vec![7; 20_000]).expect("damaged store written");
+    let dirs = cluster.kill_followers(followers);
     let leader = cluster.administration(dir, true);
     assert_eq!(step(&leader), (json!("waiting"), json!("damaged")));
-    let refused = leader.send("POST", "/v1/tenants", "", "{\"name\":\"new\"}");
-    assert_eq!(refused.0, 503, "{}", refused.1);
-    let (given, told) = leader.send("GET", "/v1/snapshot", "", "");
-    assert_eq!(given, 503, "an empty book is not given: {told}");
-    // Its own clients are refused for now (RESOURCE_EXHAUSTED), not denied: the tenants are unknown.
+    let (status, response) = leader.send("POST", "/v1/tenants", "", "{\"name\":\"new\"}");
+    assert_eq!(status, 503, "{response}");
+    let (status, response) = leader.send("GET", "/v1/snapshot", "", "");
+    assert_eq!(status, 503, "an empty snapshot must not be served: {response}");
+    // Calls at the administration are refused for now (RESOURCE_EXHAUSTED), not denied: it does not know the tenants.
     assert_eq!(
         code(&mut Caller::new(leader.program.address), Some("kalahari"), "echo").0,
         Code::ResourceExhausted
     );
     let followers = cluster.restart(dirs);
     for program in &followers {
-        assert_eq!(call_status(program, "kalahari"), Code::Ok, "from the first call on");
+        assert_eq!(
+            call_status(program, "kalahari"),
+            Code::Ok,
+            "the persisted snapshot holds from the first call on"
+        );
     }
-    eventually("the administration has caught up", || step(&leader).0 == "serving");
+    eventually("the administration has restored its store", || step(&leader).0 == "serving");
     assert_eq!(leader.get("/v1/tenants")["tenants"].as_array().map(Vec::len), Some(2));
     assert_eq!(code(&mut Caller::new(leader.program.address), Some("kalahari"), "echo").0, Code::Ok);
     leader.change("POST", "/v1/tenants/kalahari/suspend", "");
     for program in &followers {
-        eventually("changes flow again", || call_status(program, "kalahari") == Code::PermissionDenied);
+        eventually("the follower has the suspension", || {
+            call_status(program, "kalahari") == Code::PermissionDenied
+        });
     }
     // The restored snapshot is durable.
-    let dir = cluster.kill_keeping(leader.program, &["tenants.redb"]);
+    let dir = cluster.kill_and_copy(leader.program, &["tenants.redb"]);
     let leader = cluster.administration(dir, true);
-    eventually("it serves what it took over", || step(&leader).0 == "serving");
+    eventually("the restarted administration serves", || step(&leader).0 == "serving");
     assert_eq!(leader.get("/v1/tenants/kalahari")["state"], "suspended");
 }
 
@@ -244,24 +251,27 @@
     let cluster = Cluster::new("127.0.7.2");
     let (leader, followers) = cluster.started(&[json!({"name": "kalahari"})]);
     // A copy of the store from before the suspension, taken while no process has it open.
-    let older = cluster.kill_keeping(leader.program, &["tenants.redb"]);
-    let now = cluster.dir();
-    std::fs::copy(older.path().join("tenants.redb"), now.path().join("tenants.redb")).expect("copied");
-    let leader = cluster.administration(now, true);
+    let older_dir = cluster.kill_and_copy(leader.program, &["tenants.redb"]);
+    let current_dir = cluster.dir();
+    std::fs::copy(older_dir.path().join("tenants.redb"), current_dir.path().join("tenants.redb"))
+        .expect("store copied");
+    let leader = cluster.administration(current_dir, true);
     leader.change("POST", "/v1/tenants/kalahari/suspend", "");
     for program in &followers {
-        eventually("it is suspended", || call_status(program, "kalahari") == Code::PermissionDenied);
+        eventually("the follower has the suspension", || {
+            call_status(program, "kalahari") == Code::PermissionDenied
+        });
         wait_until_persisted(program, 2);
     }
     leader.program.signal("KILL");
     drop(leader);
-    let dirs = cluster.stop_with_files(followers);
-    let leader = cluster.administration(older, true);
+    let dirs = cluster.kill_followers(followers);
+    let leader = cluster.administration(older_dir, true);
     let followers = cluster.restart(dirs);
-    eventually("the administration has what its followers hold", || {
+    eventually("the administration has the suspension from its followers", || {
         assert!(
             followers.iter().all(|p| call_status(p, "kalahari") == Code::PermissionDenied),
-            "never served again"
+            "no follower may serve the suspended tenant"
         );
         step(&leader).0 == "serving" && leader.get("/v1/tenants/kalahari")["state"] == "suspended"
     });
@@ -274,7 +284,10 @@
     assert!(program.wait().success());
     let log = program.log();
     let line = log.lines().find(|l| l.contains("recovery pending"));
-    assert!(line.is_some_and(|l| l.contains("behind")), "a store that went back is logged: {log}");
+    assert!(
+        line.is_some_and(|l| l.contains("behind")),
+        "the log must report that the store is behind: {log}"
+    );
     assert!(log.contains("snapshot installed, it is authoritative now"), "{log}");
 }
 
@@ -287,28 +300,32 @@
     leader.create(json!({"name": "kalahari"}));
     let mut followers = cluster.followers();
     for program in &followers {
-        eventually("it follows", || call_status(program, "kalahari") == Code::Ok);
+        eventually("the follower serves the tenant", || call_status(program, "kalahari") == Code::Ok);
         wait_until_persisted(program, 1);
     }
     for mode in [LinkMode::Blackhole, LinkMode::RequestsOnly, LinkMode::Closed] {
         link.set(mode);
         // The first follower loses its disk; the second keeps running.
-        let dir = cluster.kill_keeping(followers.remove(0), &[]);
-        std::fs::write(dir.path().join("kept.json"), "").expect("an empty file");
+        let dir = cluster.kill_and_copy(followers.remove(0), &[]);
+        std::fs::write(dir.path().join("kept.json"), "").expect("empty file written");
         followers.insert(0, cluster.follower(dir, 0));
         assert_eq!(
             call_status(&followers[0], "kalahari"),
             Code::ResourceExhausted,
-            "refused, not denied, until it knows"
+            "calls are refused, not denied, while the tenants are unknown"
         );
-        eventually("it has the book of its peer", || call_status(&followers[0], "kalahari") == Code::Ok);
+        eventually("the follower has the snapshot of its peer", || {
+            call_status(&followers[0], "kalahari") == Code::Ok
+        });
         assert_eq!(call_status(&followers[0], "nobody"), Code::PermissionDenied);
         wait_until_persisted(&followers[0], 1);
     }
     link.set(LinkMode::Forward);
     leader.create(json!({"name": "later"}));
     for program in &followers {
-        eventually("the administration is followed again", || call_status(program, "later") == Code::Ok);
+        eventually("the follower gets changes from the administration again", || {
+            call_status(program, "later") == Code::Ok
+        });
     }
 }
 
@@ -317,51 +334,57 @@
     let cluster = Cluster::new("127.0.7.4");
     let (leader, followers) =
         cluster.started(&[json!({"name": "kalahari"}), json!({"name": "morava", "note": "as it was"})]);
-    let dir = cluster.kill_keeping(leader.program, &[]);
-    let dirs = cluster.stop_with_files(followers);
+    let dir = cluster.kill_and_copy(leader.program, &[]);
+    let dirs = cluster.kill_followers(followers);
     // One file is altered: its text is changed, and its checksum line removed, as in files of an earlier version.
     let file = dirs[1].path().join("kept.json");
-    let text = std::fs::read_to_string(&file).expect("text");
-    let (_, json) = text.split_once('\n').expect("a head");
-    std::fs::write(&file, json.replace("as it was", "as forged")).expect("written");
+    let text = std::fs::read_to_string(&file).expect("persisted snapshot readable");
+    let (_, json) = text.split_once('\n').expect("a checksum line");
+    std::fs::write(&file, json.replace("as it was", "as forged")).expect("altered snapshot written");
     let leader = cluster.administration(dir, true);
     let followers = cluster.restart(dirs);
-    eventually("it is open which book stands", || step(&leader) == (json!("waiting"), json!("disagreed")));
+    eventually("the administration waits, as the snapshots differ", || {
+        step(&leader) == (json!("waiting"), json!("disagreed"))
+    });
     assert!(
         followers.iter().all(|p| call_status(p, "kalahari") == Code::Ok),
-        "both go on with what they hold"
+        "both followers go on with their own snapshots"
     );
-    let run = |words: &[&str]| {
+    let run = |arguments: &[&str]| {
         let mut command = Command::new(PROGRAM);
         command
             .args(["fleet", "--api", &cluster.api.to_string()])
-            .args(words)
+            .args(arguments)
             .env("NETTLEFERRY_KEY", &cluster.token);
-        let out = command.output().expect("it runs");
+        let out = command.output().expect("nettleferry fleet runs");
         (
             out.status.code(),
             String::from_utf8_lossy(&out.stdout).into_owned() + &String::from_utf8_lossy(&out.stderr),
         )
     };
-    let (done, told) = run(&["status"]);
-    assert!(done == Some(0) && told.contains("waiting (disagreed)"), "{told}");
-    eventually("both have given theirs", || {
+    let (exit_code, output) = run(&["status"]);
+    assert!(exit_code == Some(0) && output.contains("waiting (disagreed)"), "{output}");
+    eventually("both followers have sent their snapshots", || {
         ["1", "2"].iter().all(|n| run(&["recover", "--take", n]).0 == Some(0))
     });
-    let (done, told) = run(&["recover", "--take", "1"]);
+    let (exit_code, output) = run(&["recover", "--take", "1"]);
     assert!(
-        done == Some(0) && told.contains("nothing was done") && told.contains("morava would be another"),
-        "{told}"
+        exit_code == Some(0)
+            && output.contains("nothing was done")
+            && output.contains("morava would be another"),
+        "{output}"
     );
     assert_eq!(step(&leader).0, "waiting");
-    let (done, told) = run(&["recover", "--take", "1", "--yes"]);
-    assert!(done == Some(0) && told.contains("stands now"), "{told}");
-    eventually("the word of the operator stands", || step(&leader).0 == "serving");
+    let (exit_code, output) = run(&["recover", "--take", "1", "--yes"]);
+    assert!(exit_code == Some(0) && output.contains("stands now"), "{output}");
+    eventually("the snapshot that the operator chose is in force", || step(&leader).0 == "serving");
     assert_eq!(leader.get("/v1/tenants/morava")["note"], "as it was");
     leader.change("POST", "/v1/tenants/morava/suspend", "");
     for program in &followers {
-        eventually("both follow it", || call_status(program, "morava") == Code::PermissionDenied);
+        eventually("the follower has the change", || {
+            call_status(program, "morava") == Code::PermissionDenied
+        });
     }
-    let (done, told) = run(&["recover", "--take", "9", "--yes"]);
-    assert!(done == Some(1) && told.contains("has given no book"), "{told}");
+    let (exit_code, output) = run(&["recover", "--take", "9", "--yes"]);
+    assert!(exit_code == Some(1) && output.contains("has given no book"), "{output}");
 }
