--- a/crates/gateway/tests/loans.rs
+++ b/crates/gateway/tests/loans.rs
@@ -154,7 +154,7 @@
     wait_for_responses(&mut concurrent, &mut cluster.fleet, 300);
     // A graceful shutdown returns the controller's share at once, before its lease expires.
     followers[0].signal("TERM");
-    eventually("the stopped controller has returned its lease", || {
+    eventually("the stopped controller is listed without a lease", || {
         incarnations(&leader).iter().any(|l| l["controller"] == 1 && l["lease_left_ms"].is_null())
     });
     wait_for_responses(&mut concurrent, &mut cluster.fleet, 200);
--- a/crates/gateway/tests/remote_write.rs
+++ b/crates/gateway/tests/remote_write.rs
@@ -8,10 +8,13 @@
 use nettleferry_proto::remote_write::is_stale;
 use nettleferry_test_servers::receiver::{Mode, ReceivedData, Receiver};
 
+/// Metric that counts calls by class, end, model group and tenant.
 const CALLS: &str = "nettleferry_calls_total";
+/// Labels of the series that counts the calls of these tests that were served in time.
 const SERVED: [(&str, &str); 4] =
     [("class", "quick"), ("end", "served_in_time"), ("model_group", "echo"), ("tenant", "none")];
 
+/// Settings with remote write to this receiver, at short intervals.
 fn settings(receiver: &Receiver) -> String {
     format!(
         "{SETTINGS}(figures (push (to \"{}\") (every 40ms) (batch-age 10ms) (spool \"spool\") (label instance \"c0\")))",
@@ -19,14 +22,15 @@
     )
 }
 
-/// Served calls by the latest sample; -1 if there is none.
-fn served(kept: &ReceivedData) -> f64 {
-    kept.find(CALLS, &SERVED).last().map_or(-1.0, |t| t.value)
+/// The number of served calls in the latest sample; -1 if there is none.
+fn served(data: &ReceivedData) -> f64 {
+    data.find(CALLS, &SERVED).last().map_or(-1.0, |sample| sample.value)
 }
 
-fn call(gateway: &Program, times: usize) {
+/// Makes this number of calls, one after another; each must be served.
+fn call(gateway: &Program, count: usize) {
     let mut caller = Caller::new(gateway.address);
-    for _ in 0..times {
+    for _ in 0..count {
         let rpc = caller.unary("echo");
         assert_eq!(caller.status(rpc).0.code, Code::Ok);
     }
@@ -40,10 +44,10 @@
     eventually("zeros arrive before any call", || served(&receiver.data()) == 0.0);
     call(&gateway, 7);
     eventually("seven calls arrive", || served(&receiver.data()) == 7.0);
-    let kept = receiver.data();
-    assert_eq!(kept.faults, Vec::<String>::new());
-    assert!(kept.requests[0] > 0 && kept.requests[1] == 0, "version 2.0");
-    let samples = kept.find(CALLS, &[("instance", "c0"), SERVED[0], SERVED[1], SERVED[2], SERVED[3]]);
+    let data = receiver.data();
+    assert_eq!(data.faults, Vec::<String>::new());
+    assert!(data.requests[0] > 0 && data.requests[1] == 0, "all requests are of version 2.0");
+    let samples = data.find(CALLS, &[("instance", "c0"), SERVED[0], SERVED[1], SERVED[2], SERVED[3]]);
     assert!(samples.iter().all(|s| s.created_ms.is_some_and(|c| c <= s.at_ms)));
     assert!(samples.windows(2).all(|w| w[0].at_ms < w[1].at_ms && w[0].value <= w[1].value));
 }
@@ -55,8 +59,8 @@
     let gateway = serve(&settings(&receiver), &fleet.list());
     call(&gateway, 3);
     eventually("three calls arrive", || served(&receiver.data()) == 3.0);
-    let kept = receiver.data();
-    assert!(kept.faults.is_empty() && kept.requests[0] == 0 && kept.rejected >= 1, "{:?}", kept.faults);
+    let data = receiver.data();
+    assert!(data.faults.is_empty() && data.requests[0] == 0 && data.rejected >= 1, "{:?}", data.faults);
 }
 
 /// A graceful shutdown sends a last round with all counts, then a staleness marker on each series.
@@ -71,29 +75,33 @@
     call(&gateway, 9);
     gateway.signal("TERM");
     assert!(gateway.wait().success());
-    let kept = receiver.data();
-    assert_eq!(kept.faults, Vec::<String>::new());
-    let all = kept.find(CALLS, &SERVED);
-    assert_eq!(all.iter().map(|t| t.value).take(2).collect::<Vec<_>>(), [0.0, 9.0]);
-    for (labels, taken) in &kept.series {
-        assert!(taken.len() == 3 && is_stale(taken[2].value), "{labels:?}: {taken:?}");
+    let data = receiver.data();
+    assert_eq!(data.faults, Vec::<String>::new());
+    let samples = data.find(CALLS, &SERVED);
+    assert_eq!(samples.iter().map(|sample| sample.value).take(2).collect::<Vec<_>>(), [0.0, 9.0]);
+    for (labels, samples) in &data.series {
+        assert!(samples.len() == 3 && is_stale(samples[2].value), "{labels:?}: {samples:?}");
     }
-    for (labels, taken) in &kept.natives {
-        assert!(taken.len() == 3 && is_stale(taken[2].1.sum), "{labels:?}");
+    for (labels, histograms) in &data.natives {
+        assert!(histograms.len() == 3 && is_stale(histograms[2].1.sum), "{labels:?}");
     }
-    let quick = kept.natives.iter().find(|(l, _)| l.iter().any(|(_, v)| v == "quick")).expect("native");
-    assert_eq!((quick.1[0].1.count, quick.1[1].1.count), (0, 9));
-    assert_eq!(quick.1[1].1.buckets.iter().map(|b| b.1).sum::<u64>(), 9);
+    let (_, histograms) = data
+        .natives
+        .iter()
+        .find(|(labels, _)| labels.iter().any(|(_, value)| value == "quick"))
+        .expect("a native histogram of the class quick");
+    assert_eq!((histograms[0].1.count, histograms[1].1.count), (0, 9));
+    assert_eq!(histograms[1].1.buckets.iter().map(|bucket| bucket.1).sum::<u64>(), 9);
     // Nothing is left for the next incarnation to send.
     let dir = tempfile::tempdir().expect("temporary folder");
-    std::fs::rename(gateway.dir.path().join("spool"), dir.path().join("spool")).expect("the log exists");
-    std::fs::write(dir.path().join("workers.sexp"), fleet.list()).expect("written");
+    std::fs::rename(gateway.dir.path().join("spool"), dir.path().join("spool")).expect("log folder moved");
+    std::fs::write(dir.path().join("workers.sexp"), fleet.list()).expect("worker list written");
     let _next = serve_in(dir, &settings, None);
-    eventually("the next incarnation's first round", || served(&receiver.data()) == 0.0);
-    let kept = receiver.data();
-    let all = kept.find(CALLS, &SERVED);
-    assert_eq!((all.len(), kept.repeated, kept.faults), (4, 0, Vec::new()), "no second marker");
-    assert!(all[3].created_ms > all[2].created_ms);
+    eventually("the first round of the next incarnation arrives", || served(&receiver.data()) == 0.0);
+    let data = receiver.data();
+    let samples = data.find(CALLS, &SERVED);
+    assert_eq!((samples.len(), data.repeated, data.faults), (4, 0, Vec::new()), "no second staleness marker");
+    assert!(samples[3].created_ms > samples[2].created_ms);
 }
 
 #[test]
@@ -106,16 +114,17 @@
     receiver.set_mode(Mode::Answer(503, Some(3600)));
     call(&gateway, 3);
     gateway.signal("TERM");
-    assert!(gateway.wait().success(), "it ends all the same");
+    assert!(gateway.wait().success(), "the process exits with success although the receiver is unavailable");
     receiver.set_mode(Mode::Accept);
     let dir = tempfile::tempdir().expect("temporary folder");
-    std::fs::rename(gateway.dir.path().join("spool"), dir.path().join("spool")).expect("the log exists");
-    std::fs::write(dir.path().join("workers.sexp"), fleet.list()).expect("written");
+    std::fs::rename(gateway.dir.path().join("spool"), dir.path().join("spool")).expect("log folder moved");
+    std::fs::write(dir.path().join("workers.sexp"), fleet.list()).expect("worker list written");
     let _next = serve_in(dir, &settings, None);
-    let values = || receiver.data().find(CALLS, &SERVED).iter().map(|t| t.value).collect::<Vec<_>>();
-    eventually("the flush and a new incarnation", || values().len() == 4);
-    let all = values();
-    assert!(all[..2] == [0.0, 3.0] && is_stale(all[2]) && all[3] == 0.0, "{all:?}");
+    let values =
+        || receiver.data().find(CALLS, &SERVED).iter().map(|sample| sample.value).collect::<Vec<_>>();
+    eventually("the flush and the first sample of the next incarnation arrive", || values().len() == 4);
+    let values = values();
+    assert!(values[..2] == [0.0, 3.0] && is_stale(values[2]) && values[3] == 0.0, "{values:?}");
     assert_eq!(receiver.data().faults, Vec::<String>::new());
 }
 
@@ -125,20 +134,24 @@
     let receiver = Receiver::start(Mode::Version1Only).expect("receiver listens");
     let settings = settings(&receiver).replace("(every 40ms)", "(every 40ms) (ask-again 200ms)");
     let _gateway = serve(&settings, &fleet.list());
-    eventually("1.0 is spoken", || receiver.data().requests[1] > 3);
+    eventually("requests of version 1.0 arrive", || receiver.data().requests[1] > 3);
     receiver.set_mode(Mode::Accept);
-    eventually("2.0 is spoken again", || receiver.data().requests[0] > 3);
+    eventually("requests of version 2.0 arrive", || receiver.data().requests[0] > 3);
     eventually("native histograms arrive", || !receiver.data().natives.is_empty());
     // A receiver that parses 2.0 as 1.0 and answers 204 has stored nothing: its response has no count of written
     // samples, so that the sender falls back to 1.0.
-    let before = receiver.data().find("nettleferry_open_calls", &[]).len();
+    let rounds_before = receiver.data().find("nettleferry_open_calls", &[]).len();
     receiver.set_mode(Mode::AssumeVersion1);
-    eventually("1.0 again", || receiver.data().find("nettleferry_open_calls", &[]).len() > before + 3);
-    let changes = || receiver.data().find("nettleferry_push_version_changes_total", &[]);
-    eventually("each change is counted", || changes().last().is_some_and(|t| t.value >= 3.0));
-    let kept = receiver.data();
-    assert_eq!(kept.faults, Vec::<String>::new());
-    let rounds = kept.find("nettleferry_open_calls", &[]);
+    eventually("samples of version 1.0 arrive", || {
+        receiver.data().find("nettleferry_open_calls", &[]).len() > rounds_before + 3
+    });
+    let version_changes = || receiver.data().find("nettleferry_push_version_changes_total", &[]);
+    eventually("each change of version is counted", || {
+        version_changes().last().is_some_and(|sample| sample.value >= 3.0)
+    });
+    let data = receiver.data();
+    assert_eq!(data.faults, Vec::<String>::new());
+    let rounds = data.find("nettleferry_open_calls", &[]);
     assert!(rounds.windows(2).all(|w| w[0].at_ms < w[1].at_ms));
 }
 
@@ -149,14 +162,16 @@
         .expect("receiver listens");
     let gateway = serve(&settings(&receiver), &fleet.list());
     call(&gateway, 6);
-    eventually("its neighbours arrive", || served(&receiver.data()) == 6.0);
-    let refused = || receiver.data().find("nettleferry_push_samples_total", &[("end", "refused")]);
-    eventually("the rejected samples are counted", || refused().last().is_some_and(|t| t.value > 0.0));
-    let kept = receiver.data();
-    assert!(kept.find("nettleferry_load_orders_sent_total", &[]).is_empty());
-    assert_eq!(kept.faults, Vec::<String>::new());
-    // All other series of the registry are there.
-    assert!(!kept.find("nettleferry_workers", &[]).is_empty() && !kept.natives.is_empty());
+    eventually("samples of other series arrive", || served(&receiver.data()) == 6.0);
+    let rejected_samples = || receiver.data().find("nettleferry_push_samples_total", &[("end", "refused")]);
+    eventually("the rejected samples are counted", || {
+        rejected_samples().last().is_some_and(|sample| sample.value > 0.0)
+    });
+    let data = receiver.data();
+    assert!(data.find("nettleferry_load_orders_sent_total", &[]).is_empty());
+    assert_eq!(data.faults, Vec::<String>::new());
+    // Other series have arrived.
+    assert!(!data.find("nettleferry_workers", &[]).is_empty() && !data.natives.is_empty());
 }
 
 #[test]
@@ -166,26 +181,26 @@
     let settings = settings(&receiver).replace("(every 40ms)", "(every 200ms) (timeout 2s)");
     let gateway = serve(&settings, &fleet.list());
     call(&gateway, 2);
-    let retries = |kept: &ReceivedData| {
-        kept.find("nettleferry_push_retries_total", &[]).last().map_or(0.0, |t| t.value)
+    let retries = |data: &ReceivedData| {
+        data.find("nettleferry_push_retries_total", &[]).last().map_or(0.0, |sample| sample.value)
     };
     let rounds = || receiver.data().find("nettleferry_open_calls", &[]);
-    // The receiver cuts requests off: a partial request counts as not sent.
+    // The receiver closes the connection within a request; the samples of a partial request must be sent again.
     let mut caller = Caller::new(gateway.address);
     for _ in 0..20 {
         let rpc = caller.unary("echo");
         assert_eq!(caller.status(rpc).0.code, Code::Ok);
     }
     receiver.set_mode(Mode::CutAnswer);
-    eventually("batches come again", || receiver.data().repeated > 0);
+    eventually("batches are sent again", || receiver.data().repeated > 0);
     receiver.set_mode(Mode::Slow(std::time::Duration::from_millis(300)));
-    let then = rounds().len();
-    eventually("a slow one takes them", || rounds().len() > then + 3);
+    let rounds_before = rounds().len();
+    eventually("the slow receiver stores rounds", || rounds().len() > rounds_before + 3);
     receiver.set_mode(Mode::Accept);
     eventually("all calls have arrived", || served(&receiver.data()) == 22.0);
     eventually("retries are counted", || retries(&receiver.data()) > 0.0);
-    let kept = receiver.data();
-    assert_eq!(kept.faults, Vec::<String>::new());
+    let data = receiver.data();
+    assert_eq!(data.faults, Vec::<String>::new());
     assert!(rounds().windows(2).all(|w| w[0].at_ms < w[1].at_ms));
 }
 
@@ -202,21 +217,25 @@
     eventually("the first round arrives", || served(&receiver.data()) == 0.0);
     // A file replaces the folder: nothing can be opened, created or removed in it.
     let log_folder = gateway.dir.path().join("spool");
-    std::fs::rename(&log_folder, gateway.dir.path().join("away")).expect("renamed");
-    std::fs::write(&log_folder, "").expect("written");
+    std::fs::rename(&log_folder, gateway.dir.path().join("away")).expect("log folder renamed");
+    std::fs::write(&log_folder, "").expect("file written in place of the folder");
     call(&gateway, 4);
-    eventually("calls arrive all the same", || served(&receiver.data()) == 4.0);
-    let failed = || receiver.data().find("nettleferry_spool_failures_total", &[]);
-    eventually("the failure is counted", || failed().last().is_some_and(|t| t.value > 0.0));
-    std::fs::remove_file(&log_folder).expect("removed");
-    std::fs::rename(gateway.dir.path().join("away"), &log_folder).expect("renamed");
-    let failures = failed().last().map_or(0.0, |t| t.value);
-    let then = failed().len();
-    eventually("rounds go on", || failed().len() > then + 8);
-    eventually("it works again", || {
-        let all = failed();
-        all.len() > 4
-            && all[all.len() - 4..].iter().all(|t| t.value == all[all.len() - 1].value && t.value >= failures)
+    eventually("the calls arrive although the log fails", || served(&receiver.data()) == 4.0);
+    let failure_samples = || receiver.data().find("nettleferry_spool_failures_total", &[]);
+    eventually("the failures are counted", || {
+        failure_samples().last().is_some_and(|sample| sample.value > 0.0)
+    });
+    std::fs::remove_file(&log_folder).expect("file removed");
+    std::fs::rename(gateway.dir.path().join("away"), &log_folder).expect("log folder renamed back");
+    let failures = failure_samples().last().map_or(0.0, |sample| sample.value);
+    let rounds_before = failure_samples().len();
+    eventually("further rounds arrive", || failure_samples().len() > rounds_before + 8);
+    eventually("the number of failures no longer grows", || {
+        let samples = failure_samples();
+        samples.len() > 4
+            && samples[samples.len() - 4..]
+                .iter()
+                .all(|sample| sample.value == samples[samples.len() - 1].value && sample.value >= failures)
     });
     assert_eq!(receiver.data().faults, Vec::<String>::new());
 }
@@ -228,43 +247,46 @@
     let receiver = Receiver::start(Mode::Answer(503, None)).expect("receiver listens");
     let gateway = serve(&settings(&receiver), &fleet.list());
     call(&gateway, 5);
-    // Measured by the log's size, since one round may have several rejected attempts.
-    let kept = || {
+    // Rounds are counted by the size of the log, since one round may have several rejected attempts.
+    let log_bytes = || {
         let files = std::fs::read_dir(gateway.dir.path().join("spool")).into_iter().flatten().flatten();
-        files.filter_map(|file| file.metadata().ok()).map(|m| m.len()).sum::<u64>()
+        files.filter_map(|file| file.metadata().ok()).map(|metadata| metadata.len()).sum::<u64>()
     };
-    eventually("the first round is kept", || kept() > 0);
-    let first = kept();
-    eventually("a dozen rounds are kept", || kept() > first * 12);
+    eventually("the first round is logged", || log_bytes() > 0);
+    let first_round_bytes = log_bytes();
+    eventually("a dozen rounds are logged", || log_bytes() > first_round_bytes * 12);
     gateway.signal("KILL");
     let dir = tempfile::tempdir().expect("temporary folder");
     let log_folder = dir.path().join("spool");
-    std::fs::rename(gateway.dir.path().join("spool"), &log_folder).expect("the log exists");
-    std::fs::write(dir.path().join("workers.sexp"), fleet.list()).expect("written");
+    std::fs::rename(gateway.dir.path().join("spool"), &log_folder).expect("log folder moved");
+    std::fs::write(dir.path().join("workers.sexp"), fleet.list()).expect("worker list written");
     drop(gateway);
     let mut files: Vec<_> = std::fs::read_dir(&log_folder)
-        .expect("folder readable")
-        .map(|e| e.expect("readable").path())
+        .expect("log folder readable")
+        .map(|entry| entry.expect("directory entry readable").path())
         .collect();
     files.sort();
-    let mut bytes = std::fs::read(&files[0]).expect("readable");
-    let (middle, tail) = (bytes.len() / 2, bytes.len() - 7);
+    let mut bytes = std::fs::read(&files[0]).expect("segment readable");
+    let (middle, truncated_length) = (bytes.len() / 2, bytes.len() - 7);
     bytes[middle] ^= 0x10;
-    bytes.truncate(tail);
-    std::fs::write(&files[0], bytes).expect("written");
+    bytes.truncate(truncated_length);
+    std::fs::write(&files[0], bytes).expect("damaged segment written");
     receiver.set_mode(Mode::Accept);
     let _next = serve_in(dir, &settings(&receiver), None);
     let rounds = || receiver.data().find(CALLS, &SERVED);
     eventually("rounds of the new incarnation arrive", || {
-        let all = rounds();
-        all.iter().position(|t| is_stale(t.value)).is_some_and(|at| at + 2 < all.len())
+        let samples = rounds();
+        samples
+            .iter()
+            .position(|sample| is_stale(sample.value))
+            .is_some_and(|index| index + 2 < samples.len())
     });
-    let kept = receiver.data();
-    assert_eq!(kept.faults, Vec::<String>::new());
-    let all = rounds();
-    let marker = all.iter().position(|t| is_stale(t.value)).expect("a staleness marker");
-    assert!(marker > 2, "valid rounds of the old incarnation are there");
-    assert!(all[..marker].iter().all(|t| (0.0..=5.0).contains(&t.value)), "{all:?}");
+    let data = receiver.data();
+    assert_eq!(data.faults, Vec::<String>::new());
+    let samples = rounds();
+    let marker = samples.iter().position(|sample| is_stale(sample.value)).expect("a staleness marker");
+    assert!(marker > 2, "valid rounds of the killed incarnation must arrive");
+    assert!(samples[..marker].iter().all(|s| (0.0..=5.0).contains(&s.value)), "{samples:?}");
 }
 
 #[test]
@@ -273,19 +295,21 @@
     let receiver = Receiver::start(Mode::Answer(503, None)).expect("receiver listens");
     let gateway = serve(&settings(&receiver), &fleet.list());
     call(&gateway, 5);
-    eventually("it is tried again and again", || receiver.data().rejected > 5);
-    let back =
+    eventually("the receiver has rejected several requests", || receiver.data().rejected > 5);
+    let outage_end_ms =
         std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).expect("after 1970").as_millis();
     receiver.set_mode(Mode::Accept);
     eventually("five calls arrive", || served(&receiver.data()) == 5.0);
-    // A single series: other shards send their series in separate batches.
+    // Only one series is looked at: other shards send their series in separate batches.
     let rounds = || receiver.data().find("nettleferry_open_calls", &[]);
-    eventually("later rounds arrive", || rounds().last().is_some_and(|t| t.at_ms > back as i64));
-    let kept = receiver.data();
-    assert_eq!((kept.faults, kept.repeated), (Vec::new(), 0));
+    eventually("rounds from after the outage arrive", || {
+        rounds().last().is_some_and(|t| t.at_ms > outage_end_ms as i64)
+    });
+    let data = receiver.data();
+    assert_eq!((data.faults, data.repeated), (Vec::new(), 0));
     let rounds = rounds();
-    assert!(rounds[0].at_ms < back as i64, "rounds of the time away are there");
-    assert!(rounds.windows(2).all(|w| w[0].at_ms < w[1].at_ms), "in order, once each");
+    assert!(rounds[0].at_ms < outage_end_ms as i64, "rounds from during the outage must arrive");
+    assert!(rounds.windows(2).all(|w| w[0].at_ms < w[1].at_ms), "each round arrives once and in order");
 }
 
 #[test]
@@ -293,18 +317,18 @@
     let fleet = Fleet::new(1, SPEC);
     let receiver = Receiver::start(Mode::LoseAcknowledgement).expect("receiver listens");
     let gateway = serve(&settings(&receiver), &fleet.list());
-    eventually("batches come again", || receiver.data().repeated > 0);
+    eventually("batches are sent again", || receiver.data().repeated > 0);
     // 403 rejects a batch whatever it contains; after a 400, the sender would split the batch to find the invalid series.
     receiver.set_mode(Mode::Answer(403, None));
-    eventually("batches are refused", || receiver.data().rejected > 2);
+    eventually("batches are rejected", || receiver.data().rejected > 2);
     receiver.set_mode(Mode::Accept);
     call(&gateway, 2);
-    eventually("later ones arrive", || served(&receiver.data()) == 2.0);
-    let kept = receiver.data();
-    assert_eq!(kept.faults, Vec::<String>::new());
-    let refused = || receiver.data().find("nettleferry_push_samples_total", &[("end", "refused")]);
+    eventually("later samples arrive", || served(&receiver.data()) == 2.0);
+    let data = receiver.data();
+    assert_eq!(data.faults, Vec::<String>::new());
+    let rejected_samples = || receiver.data().find("nettleferry_push_samples_total", &[("end", "refused")]);
     eventually("the rejection is counted in a series that arrives", || {
-        refused().last().is_some_and(|t| t.value > 0.0)
+        rejected_samples().last().is_some_and(|sample| sample.value > 0.0)
     });
 }
 
@@ -317,32 +341,37 @@
     eventually("four calls arrive", || served(&receiver.data()) == 4.0);
     // From here on nothing is acknowledged; the samples of two more calls are in the log only.
     receiver.set_mode(Mode::Answer(503, None));
-    let away = receiver.data().find("nettleferry_open_calls", &[]).len();
+    let rounds_before = receiver.data().find("nettleferry_open_calls", &[]).len();
     call(&gateway, 2);
-    let before = receiver.data().rejected;
-    eventually("rounds pass", || receiver.data().rejected > before + 6);
+    let rejected_before = receiver.data().rejected;
+    eventually("the receiver has rejected further requests", || {
+        receiver.data().rejected > rejected_before + 6
+    });
     gateway.signal("KILL");
     let dir = tempfile::tempdir().expect("temporary folder");
-    std::fs::rename(gateway.dir.path().join("spool"), dir.path().join("spool")).expect("the log exists");
-    std::fs::write(dir.path().join("workers.sexp"), fleet.list()).expect("written");
+    std::fs::rename(gateway.dir.path().join("spool"), dir.path().join("spool")).expect("log folder moved");
+    std::fs::write(dir.path().join("workers.sexp"), fleet.list()).expect("worker list written");
     drop(gateway);
     receiver.set_mode(Mode::Accept);
     let _next = serve_in(dir, &settings(&receiver), None);
     let samples = || receiver.data().find(CALLS, &SERVED);
-    eventually("the next life's own samples arrive", || {
-        let all = samples();
-        let marker = all.iter().position(|t| is_stale(t.value));
-        marker.is_some_and(|at| at + 1 < all.len())
+    eventually("samples of the next incarnation arrive", || {
+        let samples = samples();
+        let marker = samples.iter().position(|sample| is_stale(sample.value));
+        marker.is_some_and(|index| index + 1 < samples.len())
     });
-    let kept = receiver.data();
-    assert_eq!(kept.faults, Vec::<String>::new());
-    let all = samples();
-    let marker = all.iter().position(|t| is_stale(t.value)).expect("a staleness marker");
-    assert!(marker > away, "{marker} samples of the old life; {away} had come before it was away");
-    assert_eq!(all[marker - 1].value, 6.0, "the last word of the old life");
-    assert_eq!(all[marker + 1].value, 0.0, "the new one counts anew");
-    assert!(all[marker + 1].created_ms > all[marker - 1].created_ms);
-    assert!(all.windows(2).all(|w| w[0].at_ms < w[1].at_ms));
+    let data = receiver.data();
+    assert_eq!(data.faults, Vec::<String>::new());
+    let samples = samples();
+    let marker = samples.iter().position(|sample| is_stale(sample.value)).expect("a staleness marker");
+    assert!(
+        marker > rounds_before,
+        "{marker} samples of the killed incarnation; {rounds_before} had arrived before the outage"
+    );
+    assert_eq!(samples[marker - 1].value, 6.0, "the last sample of the killed incarnation");
+    assert_eq!(samples[marker + 1].value, 0.0, "the next incarnation counts from 0");
+    assert!(samples[marker + 1].created_ms > samples[marker - 1].created_ms);
+    assert!(samples.windows(2).all(|w| w[0].at_ms < w[1].at_ms));
 }
 
 /// The receiver stored samples that it never acknowledged; the next incarnation sends them again with the same values.
@@ -352,20 +381,23 @@
     let receiver = Receiver::start(Mode::LoseAcknowledgement).expect("receiver listens");
     let gateway = serve(&settings(&receiver), &fleet.list());
     call(&gateway, 3);
-    eventually("it is written and not acknowledged", || served(&receiver.data()) >= 0.0);
+    eventually("samples are stored without an acknowledgement", || served(&receiver.data()) >= 0.0);
     gateway.signal("KILL");
     let dir = tempfile::tempdir().expect("temporary folder");
-    std::fs::rename(gateway.dir.path().join("spool"), dir.path().join("spool")).expect("the log exists");
-    std::fs::write(dir.path().join("workers.sexp"), fleet.list()).expect("written");
+    std::fs::rename(gateway.dir.path().join("spool"), dir.path().join("spool")).expect("log folder moved");
+    std::fs::write(dir.path().join("workers.sexp"), fleet.list()).expect("worker list written");
     drop(gateway);
-    let before = receiver.data().repeated;
+    let repeated_before = receiver.data().repeated;
     receiver.set_mode(Mode::Accept);
     let _next = serve_in(dir, &settings(&receiver), None);
-    eventually("a marker and a new life", || {
-        let all = receiver.data().find(CALLS, &SERVED);
-        all.iter().position(|t| is_stale(t.value)).is_some_and(|at| at + 1 < all.len())
+    eventually("a staleness marker and a sample of the next incarnation arrive", || {
+        let samples = receiver.data().find(CALLS, &SERVED);
+        samples
+            .iter()
+            .position(|sample| is_stale(sample.value))
+            .is_some_and(|index| index + 1 < samples.len())
     });
-    let kept = receiver.data();
-    assert_eq!(kept.faults, Vec::<String>::new());
-    assert!(kept.repeated > before, "what it had is sent again, the same");
+    let data = receiver.data();
+    assert_eq!(data.faults, Vec::<String>::new());
+    assert!(data.repeated > repeated_before, "samples that the receiver has are sent again unchanged");
 }
--- a/crates/gateway/tests/soak.rs
+++ b/crates/gateway/tests/soak.rs
@@ -1,7 +1,6 @@
 //! The soak test over real processes, at a size that a small machine runs in seconds. `nettleferry soak` runs larger ones.
 
 use std::path::Path;
-
 use std::process::Command;
 
 use nettleferry_soak::{Extras, Plan, Size, play};
@@ -17,10 +16,13 @@
     let dir = tempfile::tempdir().expect("temporary folder");
     let plan = Plan::draw_with(seed, Size::SMALL, faults, extras);
     let report = play(plan, Path::new(PROGRAM), dir.path()).expect("the soak runs");
-    let found: Vec<_> =
-        report.findings.iter().map(|f| format!("{f}\n{}", report.timeline(f).join("\n"))).collect();
-    assert!(found.is_empty(), "seed {seed}, faults {faults}, {:?}:\n{}", report.ends, found.join("\n"));
-    assert!(report.attempts > 0, "calls were sent: {:?}", report.ends);
+    let findings: Vec<_> = report
+        .findings
+        .iter()
+        .map(|finding| format!("{finding}\n{}", report.timeline(finding).join("\n")))
+        .collect();
+    assert!(findings.is_empty(), "seed {seed}, faults {faults}, {:?}:\n{}", report.ends, findings.join("\n"));
+    assert!(report.attempts > 0, "no call was sent: {:?}", report.ends);
 }
 
 #[test]
@@ -55,8 +57,8 @@
         ("--seconds", "3"),
         ("--seeds", "0"),
     ] {
-        let out = Command::new(PROGRAM).args(["soak", field, value]).output().expect("it runs");
-        let told = String::from_utf8_lossy(&out.stderr);
-        assert!(out.status.code() == Some(2) && told.contains(field), "{field} {value}: {told}");
+        let out = Command::new(PROGRAM).args(["soak", field, value]).output().expect("nettleferry soak runs");
+        let stderr = String::from_utf8_lossy(&out.stderr);
+        assert!(out.status.code() == Some(2) && stderr.contains(field), "{field} {value}: {stderr}");
     }
 }
