--- a/crates/gateway/tests/common/mod.rs
+++ b/crates/gateway/tests/common/mod.rs
@@ -287,8 +287,8 @@
         self.start_rpc(client_request("ModelInfer", &echo(model, "u", 64)))
     }
 
-    /// Removes and returns the first event that `select` accepts, polling for up to `CONDITION_TIMEOUT`. Other events are
-    /// kept.
+    /// Removes and returns the first event that `select` accepts, polling for up to `CONDITION_TIMEOUT`. Other events
+    /// are kept.
     #[track_caller]
     pub(crate) fn wait<T>(&mut self, what: &str, mut select: impl FnMut(&ClientEvent) -> Option<T>) -> T {
         let deadline = Instant::now() + CONDITION_TIMEOUT;
--- a/crates/gateway/tests/limits.rs
+++ b/crates/gateway/tests/limits.rs
@@ -256,8 +256,8 @@
     let fleet = Fleet::new(1, SPEC);
     let dir = tempfile::tempdir().expect("temporary folder");
     std::fs::write(dir.path().join("workers.sexp"), fleet.list()).expect("worker list written");
-    // Another thread rereads the worker list every millisecond, so it may take the descriptor that becomes free when the
-    // spare one is closed.
+    // Another thread rereads the worker list every millisecond, so it may take the descriptor that becomes free when
+    // the spare one is closed.
     let settings = SETTINGS.replace("(check-every 5ms)", "(check-every 1ms)");
     assert_ne!(settings, SETTINGS, "SETTINGS contains the interval at which the list is checked");
     let gateway = serve_in(dir, &settings, Some(24));
--- a/crates/gateway/tests/loans.rs
+++ b/crates/gateway/tests/loans.rs
@@ -22,7 +22,8 @@
 /// Settings of the test worker. Its queue and lanes admit more calls than the limit.
 const WORKERS: &str = "(listen \"127.0.0.1:0\") (cores 512) (queue 10000) (model \"\" (lanes 512) (load-time 1ms) (work 100ms))";
 
-/// A thread that keeps a number of the tenant's calls open at a controller and replaces those that end. Stopped on drop.
+/// A thread that keeps a number of the tenant's calls open at a controller and replaces those that end. Stopped on
+/// drop.
 struct Flood {
     stop: Arc<AtomicBool>,
     thread: Option<std::thread::JoinHandle<()>>,
--- a/crates/gateway/tests/recovery.rs
+++ b/crates/gateway/tests/recovery.rs
@@ -172,7 +172,7 @@
     let program = serve_in(dir, &settings, None);
     let mut caller = Caller::new(program.address);
     for round in 0..20 {
-        // Each list is to be persisted: the write of the first one blocks, and only the latest one would be written next.
+        // The write of the first list blocks; only the latest one waits to be written next.
         let state = if round % 2 == 0 { "(state draining)" } else { "" };
         let list = fleet.list().replacen("))", &format!(") {state})"), 1);
         program.write_list(&list);
--- a/crates/gateway/tests/remote_write.rs
+++ b/crates/gateway/tests/remote_write.rs
@@ -318,7 +318,8 @@
     let receiver = Receiver::start(Mode::LoseAcknowledgement).expect("receiver listens");
     let gateway = serve(&settings(&receiver), &fleet.list());
     eventually("batches are sent again", || receiver.data().repeated > 0);
-    // 403 rejects a batch whatever it contains; after a 400, the sender would split the batch to find the invalid series.
+    // 403 rejects a batch whatever it contains. After a 400, the sender would split the batch to find the invalid
+    // series.
     receiver.set_mode(Mode::Answer(403, None));
     eventually("batches are rejected", || receiver.data().rejected > 2);
     receiver.set_mode(Mode::Accept);
--- a/crates/gateway/tests/soak.rs
+++ b/crates/gateway/tests/soak.rs
@@ -1,4 +1,5 @@
-//! The soak test over real processes, at a size that a small machine runs in seconds. `nettleferry soak` runs larger ones.
+//! The soak test over real processes, at a size that a small machine runs in seconds. `nettleferry soak` runs larger
+//! ones.
 
 use std::path::Path;
 use std::process::Command;
