--- a/crates/gateway/benches/outage.rs
+++ b/crates/gateway/benches/outage.rs
@@ -13,6 +13,7 @@
 
 /// Microseconds in a second.
 const SECOND: u64 = 1_000_000;
+/// Number of series, each with one sample a second.
 const SERIES: u64 = 100_000;
 /// Length of the outage in seconds.
 const OUTAGE_SECONDS: u64 = 600;
@@ -22,32 +23,33 @@
 const LOG_BYTES: u64 = 256 << 20;
 
 /// A remote-write sender without its network side.
-struct Push {
+struct Sender {
     queue: Queue,
     spool: WriteAheadLog<DirectoryStorage>,
     record_tracker: RecordTracker<Position>,
+    /// The series by number, without samples.
     labels: Vec<Series>,
 }
 
-impl Push {
+impl Sender {
     /// The encoded request of these samples.
     fn body(&self, samples: &[Sample]) -> Vec<u8> {
-        let one = |s: &Sample| Series {
-            samples: vec![(s.at_ms, s.value)],
-            ..self.labels[s.series as usize].clone()
+        let series_of = |sample: &Sample| Series {
+            samples: vec![(sample.at_ms, sample.value)],
+            ..self.labels[sample.series as usize].clone()
         };
-        let all: Vec<Series> = samples.iter().map(one).collect();
-        encode(Version::Two, &all).expect("encodes")
+        let series: Vec<Series> = samples.iter().map(series_of).collect();
+        encode(Version::Two, &series).expect("request encoded")
     }
 
     /// Logs and queues one sample of each series.
-    fn round(&mut self, second: u64) {
+    fn offer_round(&mut self, second: u64) {
         let at_ms = second as i64 * 1000;
         let samples: Vec<Sample> =
             (0..SERIES).map(|series| Sample { series, at_ms, value: (second * series) as f64 }).collect();
-        for part in samples.chunks(RECORD_SAMPLES) {
-            let position = self.spool.append(&self.body(part)).expect("write-ahead log is written");
-            self.record_tracker.add(at_ms, position, part.len());
+        for chunk in samples.chunks(RECORD_SAMPLES) {
+            let position = self.spool.append(&self.body(chunk)).expect("record appended");
+            self.record_tracker.add(at_ms, position, chunk.len());
         }
         for sample in samples {
             self.queue.offer(second * SECOND, sample);
@@ -55,18 +57,26 @@
         self.acknowledge_completed();
     }
 
-    /// Releases log records whose samples are all done.
+    /// Acknowledges the log records all of whose samples have left the queue, so that the log can delete them.
     fn acknowledge_completed(&mut self) {
         for at_ms in self.queue.drain_completed().collect::<Vec<_>>() {
             for position in self.record_tracker.complete_sample(at_ms) {
-                self.spool.acknowledge(position).expect("write-ahead log is written");
+                self.spool.acknowledge(position).expect("record acknowledged");
             }
         }
     }
 }
 
-/// Resident memory of this process in MiB.
-fn resident() -> f64 {
+/// Memory and log size at a simulated time.
+struct PlotPoint {
+    second: f64,
+    queue_mib: f64,
+    log_mib: f64,
+    resident_mib: f64,
+}
+
+/// Resident memory of this process in MiB; 0 if it is unknown.
+fn resident_mib() -> f64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find(|l| l.starts_with("VmRSS:")).unwrap_or("");
     line.split_whitespace().nth(1).and_then(|n| n.parse::<f64>().ok()).unwrap_or(0.0) / 1024.0
@@ -74,11 +84,11 @@
 
 pub(crate) fn measure() {
     let dir = tempfile::tempdir().expect("temporary folder");
-    let disk = DirectoryStorage::open(dir.path().join("spool")).expect("log folder opens");
+    let storage = DirectoryStorage::open(dir.path().join("spool")).expect("log folder opened");
     let limits = WalLimits { bytes: LOG_BYTES, segment_bytes: LOG_BYTES / 16 };
-    let (spool, _) = WriteAheadLog::open(disk, limits).expect("opens");
+    let (spool, _) = WriteAheadLog::open(storage, limits).expect("log opened");
     let limits = Limits { shards: 4, ..Limits::default() };
-    let label = |n: &str, v: String| (n.to_owned(), v);
+    let label = |name: &str, value: String| (name.to_owned(), value);
     let labels = (0..SERIES).map(|n| Series {
         labels: vec![label("__name__", format!("metric_{}", n % 50)), label("slot", format!("s{}", n / 50))],
         samples: Vec::new(),
@@ -87,21 +97,23 @@
         created_ms: Some(1),
     });
     let queue = Queue::new(limits, 1);
-    let mut push = Push { queue, spool, record_tracker: RecordTracker::default(), labels: labels.collect() };
-    let (mut plot, mut due) = (Vec::new(), Vec::<Batch>::new());
-    let (mut tries, mut back) = (0u64, None);
-    let mut drained = (0u64, 0.0);
+    let mut sender =
+        Sender { queue, spool, record_tracker: RecordTracker::default(), labels: labels.collect() };
+    let (mut points, mut due) = (Vec::new(), Vec::<Batch>::new());
+    // Seconds from the end of the outage until less than one round of samples was queued.
+    let mut recovery_seconds = None;
+    let (mut attempts, mut drained_samples, mut drain_seconds) = (0u64, 0u64, 0.0);
     for second in 1..=OUTAGE_SECONDS + 60 {
-        push.round(second);
+        sender.offer_round(second);
         let mut now = second * SECOND;
-        let begun = Instant::now();
+        let started = Instant::now();
         if second <= OUTAGE_SECONDS {
-            while let Some(next) = push.queue.next_due(now).filter(|at| *at < (second + 1) * SECOND) {
+            while let Some(next) = sender.queue.next_due(now).filter(|at| *at < (second + 1) * SECOND) {
                 now = next.max(now + 1);
-                push.queue.due(now, &mut due);
+                sender.queue.due(now, &mut due);
                 for batch in due.drain(..) {
-                    tries += 1;
-                    push.queue.handle_response(
+                    attempts += 1;
+                    sender.queue.handle_response(
                         now,
                         batch.shard,
                         batch.number,
@@ -109,87 +121,94 @@
                     );
                 }
             }
-        } else if back.is_none() {
+        } else if recovery_seconds.is_none() {
             // Sends as much as one thread encodes in a second of real time; each response takes 1 ms of simulated time.
-            while begun.elapsed().as_secs_f64() < 1.0 && !push.queue.is_empty() {
-                push.queue.due(now, &mut due);
+            while started.elapsed().as_secs_f64() < 1.0 && !sender.queue.is_empty() {
+                sender.queue.due(now, &mut due);
                 if due.is_empty() {
                     break;
                 }
                 now += 1_000;
                 for batch in due.drain(..) {
-                    std::hint::black_box(push.body(&batch.samples));
-                    drained.0 += batch.samples.len() as u64;
-                    push.queue.handle_response(now, batch.shard, batch.number, Response::Accepted);
+                    std::hint::black_box(sender.body(&batch.samples));
+                    drained_samples += batch.samples.len() as u64;
+                    sender.queue.handle_response(now, batch.shard, batch.number, Response::Accepted);
                 }
             }
-            drained.1 += begun.elapsed().as_secs_f64();
-            if push.queue.len() < SERIES as usize {
-                back = Some(second - OUTAGE_SECONDS);
+            drain_seconds += started.elapsed().as_secs_f64();
+            if sender.queue.len() < SERIES as usize {
+                recovery_seconds = Some(second - OUTAGE_SECONDS);
             }
         }
-        push.acknowledge_completed();
+        sender.acknowledge_completed();
         let mib = |bytes: f64| bytes / f64::from(1 << 20);
         if second % 5 == 0 || second > OUTAGE_SECONDS {
-            plot.push((
-                second as f64,
-                mib(push.queue.bytes() as f64),
-                mib(push.spool.bytes() as f64),
-                resident(),
-            ));
+            points.push(PlotPoint {
+                second: second as f64,
+                queue_mib: mib(sender.queue.bytes() as f64),
+                log_mib: mib(sender.spool.bytes() as f64),
+                resident_mib: resident_mib(),
+            });
         }
-        if back.is_some() {
+        if recovery_seconds.is_some() {
             break;
         }
     }
-    let most = |pick: fn(&(f64, f64, f64, f64)) -> f64| plot.iter().map(pick).fold(0.0, f64::max);
-    let c = push.queue.counters();
+    let maximum = |pick: fn(&PlotPoint) -> f64| points.iter().map(pick).fold(0.0, f64::max);
+    let counters = sender.queue.counters();
     println!(
-        "outage: {} s at {SERIES} samples a second: queue at most {:.1} MiB of {}, spool at most {:.1} MiB of {}, this process {:.0} to {:.0} MiB; {tries} tries",
+        "outage: {} s at {SERIES} samples a second: queue at most {:.1} MiB of {}, log at most {:.1} MiB of {}, resident memory of this process {:.0} to {:.0} MiB; {attempts} attempts",
         OUTAGE_SECONDS,
-        most(|p| p.1),
+        maximum(|point| point.queue_mib),
         Limits::default().max_bytes >> 20,
-        most(|p| p.2),
+        maximum(|point| point.log_mib),
         LOG_BYTES >> 20,
-        plot.first().map_or(0.0, |p| p.3),
-        most(|p| p.3),
+        points.first().map_or(0.0, |point| point.resident_mib),
+        maximum(|point| point.resident_mib),
     );
     println!(
-        "outage: back: {:.0} samples a second drained on one thread, {:.1} times the fresh rate; nothing behind after {back:?} s; \
-         {} offered, {} taken, {} dropped, {} kept",
-        drained.0 as f64 / drained.1,
-        drained.0 as f64 / drained.1 / SERIES as f64,
-        c.offered,
-        c.accepted,
-        c.dropped_full,
-        push.queue.len()
+        "outage: then {:.0} samples a second sent on one thread, {:.1} times the rate of new ones; backlog sent after {recovery_seconds:?} s; \
+         {} offered, {} accepted, {} dropped, {} queued",
+        drained_samples as f64 / drain_seconds,
+        drained_samples as f64 / drain_seconds / SERIES as f64,
+        counters.offered,
+        counters.accepted,
+        counters.dropped_full,
+        sender.queue.len()
+    );
+    assert_eq!(
+        counters.offered,
+        counters.accepted + counters.dropped_full + counters.dropped_old + sender.queue.len() as u64
     );
-    assert_eq!(c.offered, c.accepted + c.dropped_full + c.dropped_old + push.queue.len() as u64);
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs/plots/outage.svg");
-    draw(&file, &plot).expect("the plot is written");
+    draw(&file, &points).expect("plot written");
 }
 
-fn draw(file: &Path, plot: &[(f64, f64, f64, f64)]) -> Result<(), Box<dyn std::error::Error>> {
+fn draw(file: &Path, points: &[PlotPoint]) -> Result<(), Box<dyn std::error::Error>> {
     let area = SVGBackend::new(file, (860, 420)).into_drawing_area();
     area.fill(&WHITE)?;
-    let top = plot.iter().map(|p| p.1.max(p.2).max(p.3)).fold(1.0, f64::max) * 1.1;
-    let last = plot.last().map_or(1.0, |p| p.0);
+    let top = points
+        .iter()
+        .map(|point| point.queue_mib.max(point.log_mib).max(point.resident_mib))
+        .fold(1.0, f64::max)
+        * 1.1;
+    let last_second = points.last().map_or(1.0, |point| point.second);
     let mut chart = ChartBuilder::on(&area)
         .caption("The receiver is away for 600 s at 100,000 samples a second", ("sans-serif", 18))
         .margin(12)
         .x_label_area_size(36)
         .y_label_area_size(52)
-        .build_cartesian_2d(0.0..last, 0.0..top)?;
+        .build_cartesian_2d(0.0..last_second, 0.0..top)?;
     chart.configure_mesh().x_desc("seconds").y_desc("MiB").draw()?;
-    type Line<'a> = (&'a str, RGBColor, fn(&(f64, f64, f64, f64)) -> f64);
+    type Line<'a> = (&'a str, RGBColor, fn(&PlotPoint) -> f64);
     let lines: [Line; 3] = [
-        ("queue in memory", BLUE, |p| p.1),
-        ("spool on disk", RED, |p| p.2),
-        ("whole process", BLACK, |p| p.3),
+        ("queue in memory", BLUE, |point| point.queue_mib),
+        ("spool on disk", RED, |point| point.log_mib),
+        ("whole process", BLACK, |point| point.resident_mib),
     ];
     for (name, color, pick) in lines {
         chart
-            .draw_series(LineSeries::new(plot.iter().map(|p| (p.0, pick(p))), &color))?
+            .draw_series(LineSeries::new(points.iter().map(|point| (point.second, pick(point))), &color))?
             .label(name)
             .legend(move |(x, y)| PathElement::new([(x, y), (x + 18, y)], color));
     }
