--- a/crates/gateway/benches/isolation.rs
+++ b/crates/gateway/benches/isolation.rs
@@ -211,7 +211,7 @@
 pub(crate) fn measure() {
     let mut curves: BTreeMap<&str, Vec<f64>> = BTreeMap::new();
     println!(
-        "isolation (simulated): {TENANTS} tenants, one sends ten times its limit in bursts with {MAX_RETRIES} retries each and ignores the pushback"
+        "isolation (simulated): {TENANTS} tenants; one sends ten times its limit in bursts; {MAX_RETRIES} retries of each rejected call, without regard to the pushback"
     );
     for limit in LIMITS {
         curves.clear();
--- a/crates/gateway/benches/outage.rs
+++ b/crates/gateway/benches/outage.rs
@@ -194,7 +194,7 @@
         * 1.1;
     let last_second = points.last().map_or(1.0, |point| point.second);
     let mut chart = ChartBuilder::on(&area)
-        .caption("The receiver is away for 600 s at 100,000 samples a second", ("sans-serif", 18))
+        .caption("Receiver outage of 600 s at 100,000 samples a second", ("sans-serif", 18))
         .margin(12)
         .x_label_area_size(36)
         .y_label_area_size(52)
@@ -203,8 +203,8 @@
     type Line<'a> = (&'a str, RGBColor, fn(&PlotPoint) -> f64);
     let lines: [Line; 3] = [
         ("queue in memory", BLUE, |point| point.queue_mib),
-        ("spool on disk", RED, |point| point.log_mib),
-        ("whole process", BLACK, |point| point.resident_mib),
+        ("write-ahead log on disk", RED, |point| point.log_mib),
+        ("resident memory of the process", BLACK, |point| point.resident_mib),
     ];
     for (name, color, pick) in lines {
         chart
--- a/crates/gateway/tests/loans.rs
+++ b/crates/gateway/tests/loans.rs
@@ -122,7 +122,8 @@
         });
     }
     assert!(concurrent.peak <= LIMIT, "{} concurrent calls", concurrent.peak);
-    // Faults under traffic at all controllers, each longer than a lease.
+    // Faults under traffic at all controllers. With this limit and work, at most 400 calls end in a second, so each
+    // partition and the pause last at least as long as a lease.
     let floods: Vec<Flood> = followers.iter().map(|p| Flood::start(p.address, 30)).collect();
     let wait_for_responses = |concurrent: &mut ConcurrentCalls, fleet: &mut Fleet, count: usize| {
         let first = fleet.observations().len();
--- a/crates/gateway/tests/remote_write.rs
+++ b/crates/gateway/tests/remote_write.rs
@@ -300,7 +300,7 @@
         std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).expect("after 1970").as_millis();
     receiver.set_mode(Mode::Accept);
     eventually("five calls arrive", || served(&receiver.data()) == 5.0);
-    // Only one series is looked at: other shards send their series in separate batches.
+    // Only one series is compared, since other shards send their series in separate batches.
     let rounds = || receiver.data().find("nettleferry_open_calls", &[]);
     eventually("rounds from after the outage arrive", || {
         rounds().last().is_some_and(|t| t.at_ms > outage_end_ms as i64)
--- a/crates/gateway/tests/signals.rs
+++ b/crates/gateway/tests/signals.rs
@@ -200,7 +200,7 @@
     };
     wait_until(Duration::from_millis(600));
     node.signal("CONT");
-    // Later than the platform sends requests: this one must be answered before the kill.
+    // A request that arrives later than KILL_GRACE after SIGTERM must be answered before the kill.
     wait_until(KILL_GRACE + Duration::from_millis(200));
     let late = client.send_request("safe", 2, 9, b"");
     assert_eq!(client.read_answer(late).0, SERVED);
--- a/crates/gateway/tests/upkeep.rs
+++ b/crates/gateway/tests/upkeep.rs
@@ -145,12 +145,12 @@
         std::fs::read_to_string(&persisted).is_ok_and(|text| text.contains("\"state\":\"suspended\""))
     });
     let dir = kill_and_copy_snapshot(&cluster, moved);
-    let back = cluster.follower(dir, 1, cluster.api, FOLLOWER);
+    let returned = cluster.follower(dir, 1, cluster.api, FOLLOWER);
     eventually("the first administration reports that it is behind", || {
         leader.get("/v1/fleet")["cause"] == "behind"
     });
     assert_eq!(
-        call_status(&back, "kalahari"),
+        call_status(&returned, "kalahari"),
         Code::PermissionDenied,
         "the follower must not return to the earlier epoch"
     );
