--- a/crates/durable/src/memory.rs
+++ b/crates/durable/src/memory.rs
@@ -30,7 +30,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct MemoryStorage {
     durable: BTreeMap<PathBuf, Vec<u8>>,
-    /// Changes of directory entries since the last [`Storage::sync_names`], in order.
+    /// Changes of directory entries since the last [`Storage::sync_directory`], in order.
     pending: Vec<NameChange>,
     /// Number of further operations that succeed before power is lost; `None` for no power loss.
     pub operations_left: Option<usize>,
@@ -134,7 +134,7 @@
         Ok(())
     }
 
-    fn sync_names(&mut self, _: &Path) -> io::Result<()> {
+    fn sync_directory(&mut self, _: &Path) -> io::Result<()> {
         self.begin_operation()?;
         self.durable = self.visible();
         self.pending.clear();
--- a/crates/durable/src/record_file.rs
+++ b/crates/durable/src/record_file.rs
@@ -124,7 +124,7 @@
         if let Some(stray) = &self.stray {
             // The write would otherwise overwrite it in `.new`, or leave it as the previous version in `.before`.
             files.rename(stray, &self.path)?;
-            files.sync_names(&self.path)?;
+            files.sync_directory(&self.path)?;
             self.stray = None;
         }
         files.write(&self.new, &encode(version, payload))?;
@@ -136,7 +136,7 @@
             }
         }
         files.rename(&self.new, &self.path)?;
-        files.sync_names(&self.path)?;
+        files.sync_directory(&self.path)?;
         (self.version, self.intact) = (version, true);
         Ok(version)
     }
--- a/crates/durable/src/storage.rs
+++ b/crates/durable/src/storage.rs
@@ -14,7 +14,7 @@
     /// Returns an error if the file can't be read.
     fn read(&self, path: &Path) -> io::Result<Option<Vec<u8>>>;
     /// Creates or overwrites a file and syncs its content. Its directory entry becomes durable only with
-    /// [`Storage::sync_names`].
+    /// [`Storage::sync_directory`].
     ///
     /// # Errors
     /// Returns an error if the file can't be written; a part of it may exist then.
@@ -28,7 +28,7 @@
     ///
     /// # Errors
     /// Returns an error if the directory can't be synced.
-    fn sync_names(&mut self, path: &Path) -> io::Result<()>;
+    fn sync_directory(&mut self, path: &Path) -> io::Result<()>;
 }
 
 /// How far beyond the maximum payload a file is read, in bytes; larger than any header.
@@ -61,7 +61,7 @@
         fs::rename(from, to)
     }
 
-    fn sync_names(&mut self, path: &Path) -> io::Result<()> {
+    fn sync_directory(&mut self, path: &Path) -> io::Result<()> {
         let directory =
             path.parent().filter(|p| !p.as_os_str().is_empty()).map_or(PathBuf::from("."), Path::to_owned);
         File::open(directory)?.sync_all()
--- a/crates/durable/tests/writer.rs
+++ b/crates/durable/tests/writer.rs
@@ -27,8 +27,8 @@
     fn rename(&mut self, from: &Path, to: &Path) -> io::Result<()> {
         self.disk.rename(from, to)
     }
-    fn sync_names(&mut self, path: &Path) -> io::Result<()> {
-        self.disk.sync_names(path)
+    fn sync_directory(&mut self, path: &Path) -> io::Result<()> {
+        self.disk.sync_directory(path)
     }
 }
 
--- a/crates/gateway/benches/measure.rs
+++ b/crates/gateway/benches/measure.rs
@@ -246,7 +246,7 @@
     let series: Vec<Series> = sample::parse(&text)
         .into_iter()
         .map(|s| Series {
-            natives: Vec::new(),
+            native_histograms: Vec::new(),
             labels: s.labels,
             samples: vec![(1_764_590_000_000, s.value)],
             kind: SeriesKind::Counter,
--- a/crates/gateway/benches/outage.rs
+++ b/crates/gateway/benches/outage.rs
@@ -82,7 +82,7 @@
     let labels = (0..SERIES).map(|n| Series {
         labels: vec![label("__name__", format!("metric_{}", n % 50)), label("slot", format!("s{}", n / 50))],
         samples: Vec::new(),
-        natives: Vec::new(),
+        native_histograms: Vec::new(),
         kind: SeriesKind::Counter,
         created_ms: Some(1),
     });
--- a/crates/gateway/src/remote_write/log.rs
+++ b/crates/gateway/src/remote_write/log.rs
@@ -121,7 +121,7 @@
     pub(super) fn write_roster(&mut self, mut series: Vec<Series>) {
         for one in &mut series {
             one.samples.clear();
-            one.natives.clear();
+            one.native_histograms.clear();
         }
         let mut written = Vec::new();
         for part in series.chunks(MAX_RECORD_SERIES) {
--- a/crates/gateway/src/remote_write/series.rs
+++ b/crates/gateway/src/remote_write/series.rs
@@ -103,7 +103,7 @@
                 all.push(Series {
                     labels: known.labels.clone(),
                     samples: Vec::new(),
-                    natives: Vec::new(),
+                    native_histograms: Vec::new(),
                     kind: known.kind,
                     created_ms,
                 });
@@ -112,7 +112,7 @@
             match &sample.value {
                 SampleValue::Number(value) => all[index].samples.push((sample.at_ms, *value)),
                 SampleValue::Native(native) => {
-                    all[index].natives.push((sample.at_ms, NativeHistogram::clone(native)));
+                    all[index].native_histograms.push((sample.at_ms, NativeHistogram::clone(native)));
                 }
             }
         }
--- a/crates/gateway/src/remote_write/write_loop.rs
+++ b/crates/gateway/src/remote_write/write_loop.rs
@@ -118,7 +118,8 @@
                 self.log.discard(position);
                 continue;
             };
-            let is_roster = series.iter().all(|one| one.samples.is_empty() && one.natives.is_empty());
+            let is_roster =
+                series.iter().all(|one| one.samples.is_empty() && one.native_histograms.is_empty());
             let numbers = self.register_series(position, &series);
             if is_roster {
                 ended.extend(numbers);
@@ -153,7 +154,7 @@
                 self.series.add_earlier_created(number, created_ms);
             }
             numbers.push(number);
-            let natives = one.natives.iter().map(|(at_ms, _)| *at_ms);
+            let natives = one.native_histograms.iter().map(|(at_ms, _)| *at_ms);
             for at_ms in one.samples.iter().map(|(at_ms, _)| *at_ms).chain(natives) {
                 *times.entry(at_ms).or_default() += 1;
             }
@@ -170,8 +171,10 @@
         for one in series {
             let number = self.series.number(&one.labels, one.kind);
             let values = one.samples.into_iter().map(|(at_ms, value)| (at_ms, SampleValue::Number(value)));
-            let natives =
-                one.natives.into_iter().map(|(at_ms, value)| (at_ms, SampleValue::Native(Arc::new(value))));
+            let natives = one
+                .native_histograms
+                .into_iter()
+                .map(|(at_ms, value)| (at_ms, SampleValue::Native(Arc::new(value))));
             for (at_ms, value) in values.chain(natives) {
                 offered += 1;
                 self.last_sample_time_ms = self.last_sample_time_ms.max(at_ms);
--- a/crates/hollow/src/followers/follower.rs
+++ b/crates/hollow/src/followers/follower.rs
@@ -264,14 +264,14 @@
         };
         let retry_at = match kind {
             OutcomeKind::Page | OutcomeKind::Snapshot => {
-                self.backoff.succeeded();
+                self.backoff.reset();
                 exchange.ended_at
             }
             // After a page that does not continue its revision, the follower requests the snapshot without delay.
             OutcomeKind::SnapshotRequired if answer.as_ref().is_ok_and(|answer| answer.status == 200) => {
                 exchange.ended_at
             }
-            _ => exchange.ended_at + Duration::from_millis(self.backoff.failed()),
+            _ => exchange.ended_at + Duration::from_millis(self.backoff.next_delay()),
         };
         if let Some(lease) = lease {
             self.record_lease(exchange, lease);
--- a/crates/proto/src/peek.rs
+++ b/crates/proto/src/peek.rs
@@ -14,7 +14,7 @@
     Malformed(usize),
     /// The field with this number is not valid UTF-8.
     #[error("field {0} is not UTF-8")]
-    NotText(u32),
+    NotUtf8(u32),
     /// A parameter can't be decoded.
     #[error("a parameter is malformed")]
     Parameter,
@@ -124,7 +124,7 @@
     if bytes.len() > MAX_NAME_BYTES {
         return Err(PeekError::TooLong { field, length: bytes.len() });
     }
-    std::str::from_utf8(bytes).map(str::to_owned).map_err(|_| PeekError::NotText(field))
+    std::str::from_utf8(bytes).map(str::to_owned).map_err(|_| PeekError::NotUtf8(field))
 }
 
 /// Decodes a map entry with the name and the value of a parameter.
--- a/crates/proto/src/remote_write.rs
+++ b/crates/proto/src/remote_write.rs
@@ -64,7 +64,7 @@
     /// Timestamps with values.
     pub samples: Vec<(i64, f64)>,
     /// Timestamps with native histograms; not encoded in version 1.0.
-    pub natives: Vec<(i64, NativeHistogram)>,
+    pub native_histograms: Vec<(i64, NativeHistogram)>,
     /// Metric type; not encoded in version 1.0, which decodes as a gauge.
     pub kind: SeriesKind,
     /// Creation time of a counter in milliseconds since 1970; not encoded in version 1.0.
@@ -157,12 +157,12 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum BodyError {
     /// The decompressed size exceeds the limit.
-    #[error("the body unpacks to {got} bytes; at most {max} are taken")]
+    #[error("the decompressed body has {size} bytes, the maximum is {max_size}")]
     TooLarge {
         /// Decompressed size in bytes.
-        got: usize,
+        size: usize,
         /// Maximum decompressed size in bytes.
-        max: usize,
+        max_size: usize,
     },
     /// The body is not a valid snappy block.
     #[error("the body is not sound snappy: {0}")]
@@ -256,7 +256,7 @@
                 .iter()
                 .map(|(timestamp, value)| v2::Sample { value: *value, timestamp: *timestamp })
                 .collect(),
-            histograms: s.natives.iter().map(|(at, native)| native.encode(*at)).collect(),
+            histograms: s.native_histograms.iter().map(|(at, native)| native.encode(*at)).collect(),
             metadata: Some(v2::Metadata { r#type: kind.into(), ..Default::default() }),
             created_timestamp: s.created_ms.unwrap_or(0),
             ..Default::default()
@@ -270,9 +270,9 @@
 /// # Errors
 /// If the body is malformed, too large, or contains an unsupported histogram.
 pub fn decode(version: Version, body: &[u8], max_bytes: usize) -> Result<Vec<Series>, BodyError> {
-    let got = snap::raw::decompress_len(body).map_err(|e| BodyError::Snappy(e.to_string()))?;
-    if got > max_bytes {
-        return Err(BodyError::TooLarge { got, max: max_bytes });
+    let size = snap::raw::decompress_len(body).map_err(|e| BodyError::Snappy(e.to_string()))?;
+    if size > max_bytes {
+        return Err(BodyError::TooLarge { size, max_size: max_bytes });
     }
     let message =
         snap::raw::Decoder::new().decompress_vec(body).map_err(|e| BodyError::Snappy(e.to_string()))?;
@@ -283,7 +283,7 @@
             let series = request.timeseries.into_iter().map(|s| Series {
                 labels: s.labels.into_iter().map(|l| (l.name, l.value)).collect(),
                 samples: s.samples.into_iter().map(|s| (s.timestamp, s.value)).collect(),
-                natives: Vec::new(),
+                native_histograms: Vec::new(),
                 kind: SeriesKind::Gauge,
                 created_ms: None,
             });
@@ -309,9 +309,9 @@
         Some(v2::metadata::MetricType::Histogram) => SeriesKind::Histogram,
         _ => SeriesKind::Gauge,
     };
-    let natives = s.histograms.iter().map(NativeHistogram::decode).collect::<Option<_>>();
+    let native_histograms = s.histograms.iter().map(NativeHistogram::decode).collect::<Option<_>>();
     Ok(Series {
-        natives: natives.ok_or(BodyError::Histogram { series: index })?,
+        native_histograms: native_histograms.ok_or(BodyError::Histogram { series: index })?,
         labels: labels.collect::<Result<_, _>>()?,
         samples: s.samples.into_iter().map(|s| (s.timestamp, s.value)).collect(),
         kind,
--- a/crates/proto/src/remote_write/tests.rs
+++ b/crates/proto/src/remote_write/tests.rs
@@ -15,7 +15,7 @@
             (1_764_590_000_000 + n as i64, n as f64),
             (1_764_590_015_000 + n as i64, n as f64 + 1.0),
         ],
-        natives: Vec::new(),
+        native_histograms: Vec::new(),
         kind: SeriesKind::Counter,
         created_ms: Some(1_764_589_000_000),
     }
@@ -44,7 +44,7 @@
 #[test]
 fn oversized_bodies_and_bad_symbols_are_rejected() {
     let body = encode(Version::Two, &(0..100).map(series).collect::<Vec<_>>()).expect("encodes");
-    assert!(matches!(decode(Version::Two, &body, 100), Err(BodyError::TooLarge { max: 100, .. })));
+    assert!(matches!(decode(Version::Two, &body, 100), Err(BodyError::TooLarge { max_size: 100, .. })));
     let mut request = encode_v2(&[series(0)]);
     request.timeseries[0].labels_refs[1] = 99;
     let body = snap::raw::Encoder::new().compress_vec(&request.encode_to_vec()).expect("compresses");
@@ -59,7 +59,7 @@
     let mut one = series(0);
     let buckets = vec![(-30, 4), (-29, 1), (-20, 7), (0, 1), (1, 2)];
     let native = NativeHistogram { schema: 3, count: 15, sum: 3.25, buckets };
-    one.natives =
+    one.native_histograms =
         vec![(7, native.clone()), (8, NativeHistogram { buckets: vec![], count: 0, ..native.clone() })];
     let body = encode(Version::Two, &[one.clone()]).expect("encodes");
     assert_eq!(decode(Version::Two, &body, 1000), Ok(vec![one.clone()]));
--- a/crates/simulation/src/follow.rs
+++ b/crates/simulation/src/follow.rs
@@ -4,7 +4,7 @@
 use hdrhistogram::Histogram;
 use nettleferry_fleet::lease::{self, HEARTBEATS_PER_SPAN, Holder, LeasePolicy};
 use nettleferry_fleet::membership::{Incarnation, MemberState, Membership, Version};
-use nettleferry_tenancy::replication::{MAX_BACKOFF, MIN_BACKOFF};
+use nettleferry_tenancy::replication::{INITIAL_BACKOFF, MAX_BACKOFF};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use serde::Serialize;
@@ -361,7 +361,7 @@
         follower.number += 1;
         follower.failures += 1;
         let doublings = (follower.failures - 1).min(MAX_BACKOFF_DOUBLINGS);
-        let longest_ms = (MIN_BACKOFF << doublings).min(MAX_BACKOFF);
+        let longest_ms = (INITIAL_BACKOFF << doublings).min(MAX_BACKOFF);
         let wait_ms = self.random.random_range(longest_ms / 2..=longest_ms);
         self.events.schedule(now + wait_ms * 1000, Event::Send(follower_index));
     }
--- a/crates/tenancy/src/replication.rs
+++ b/crates/tenancy/src/replication.rs
@@ -7,7 +7,7 @@
 use crate::{Millis, Revision};
 
 /// Upper bound of the delay after the first failure, in milliseconds. It doubles with each further failure.
-pub const MIN_BACKOFF: Millis = 100;
+pub const INITIAL_BACKOFF: Millis = 100;
 /// Maximum delay after a failure, in milliseconds.
 pub const MAX_BACKOFF: Millis = 10_000;
 
@@ -73,9 +73,9 @@
     }
 
     /// Counts a failure and returns the delay before the next attempt, in milliseconds.
-    pub fn failed(&mut self) -> Millis {
+    pub fn next_delay(&mut self) -> Millis {
         self.failures = self.failures.saturating_add(1);
-        let bound = MIN_BACKOFF.saturating_mul(1 << (self.failures - 1).min(16)).min(MAX_BACKOFF);
+        let bound = INITIAL_BACKOFF.saturating_mul(1 << (self.failures - 1).min(16)).min(MAX_BACKOFF);
         bound / 2 + self.next_random() % (bound / 2 + 1)
     }
 
@@ -88,7 +88,7 @@
     }
 
     /// Resets the number of consecutive failures.
-    pub fn succeeded(&mut self) {
+    pub fn reset(&mut self) {
         self.failures = 0;
     }
 }
@@ -149,14 +149,14 @@
             ReplicationResponse::Snapshot { store, snapshot } => {
                 self.store = store;
                 self.needs_snapshot = false;
-                self.backoff.succeeded();
+                self.backoff.reset();
                 if snapshot != self.snapshot {
                     self.snapshot = snapshot.clone();
                     updates.push(Update::Replaced(snapshot));
                 }
             }
             ReplicationResponse::Entries(entries) => {
-                self.backoff.succeeded();
+                self.backoff.reset();
                 self.apply(entries, updates);
             }
             ReplicationResponse::Diverged => {
@@ -185,6 +185,6 @@
     }
 
     fn wait(&mut self, now: Millis) {
-        self.not_before = now.saturating_add(self.backoff.failed());
+        self.not_before = now.saturating_add(self.backoff.next_delay());
     }
 }
--- a/crates/tenancy/src/snapshot.rs
+++ b/crates/tenancy/src/snapshot.rs
@@ -219,7 +219,7 @@
     }
 
     fn create(&self, name: &str, spec: &Value, actor: &str, now: Millis) -> Result<Applied, Denied> {
-        validation::name(name)?;
+        validation::validate_name(name)?;
         if self.tenants.contains_key(name) {
             return Err(Denied::Exists(name.to_owned()));
         }
@@ -234,7 +234,7 @@
             state: State::Active,
             gone_at_ms: None,
             created_ms: now,
-            spec: validation::spec(spec.clone())?,
+            spec: validation::parse_spec(spec.clone())?,
         };
         Ok(self.entry(Action::Create, actor, now, None, Some(tenant)))
     }
@@ -295,5 +295,5 @@
     }
     let mut document = serde_json::to_value(spec).map_err(|e| FieldError::new("the body", e.to_string()))?;
     json_patch::merge(&mut document, patch);
-    Ok(validation::spec(document)?)
+    Ok(validation::parse_spec(document)?)
 }
--- a/crates/tenancy/src/validation.rs
+++ b/crates/tenancy/src/validation.rs
@@ -40,7 +40,7 @@
 ///
 /// # Errors
 /// Returns an error if the name has another form or is longer than [`MAX_NAME_LENGTH`].
-pub fn name(name: &str) -> Result<(), FieldError> {
+pub fn validate_name(name: &str) -> Result<(), FieldError> {
     let valid = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
     let valid_first = name.starts_with(|c: char| c.is_ascii_alphanumeric());
     if valid_first && name.len() <= MAX_NAME_LENGTH && name.chars().all(valid) {
@@ -54,7 +54,7 @@
 ///
 /// # Errors
 /// Returns an error for an unknown field, a wrong type or a value out of bounds.
-pub fn spec(value: Value) -> Result<Spec, FieldError> {
+pub fn parse_spec(value: Value) -> Result<Spec, FieldError> {
     let spec: Spec = serde_path_to_error::deserialize(value).map_err(|error| {
         let path = error.path().to_string();
         FieldError::new(if path == "." { "the body".to_owned() } else { path }, error.inner().to_string())
--- a/crates/tenant-store/src/error.rs
+++ b/crates/tenant-store/src/error.rs
@@ -37,7 +37,7 @@
     Unavailable,
     /// A value can't be serialized as JSON.
     #[error("a value can't be written: {0}")]
-    Encode(#[from] serde_json::Error),
+    Json(#[from] serde_json::Error),
     /// The directory of the file can't be created.
     #[error("the tenant store {path}: {source}")]
     File {
--- a/crates/test-servers/src/receiver.rs
+++ b/crates/test-servers/src/receiver.rs
@@ -102,15 +102,15 @@
             self.faults.push(format!("labels out of order: {name}"));
         }
         let now = now_ms();
-        let times = series.samples.iter().map(|s| s.0).chain(series.natives.iter().map(|n| n.0));
+        let times = series.samples.iter().map(|s| s.0).chain(series.native_histograms.iter().map(|n| n.0));
         for at_ms in times {
             if at_ms > now + FUTURE_MS || series.created_ms.is_some_and(|created| created > at_ms) {
                 self.faults.push(format!("{name} at {at_ms}: in the future or before creation ({now})"));
             }
         }
-        if !series.natives.is_empty() {
+        if !series.native_histograms.is_empty() {
             let received = self.natives.entry(series.labels.clone()).or_default();
-            for (at_ms, native) in series.natives {
+            for (at_ms, native) in series.native_histograms {
                 let same = |old: &NativeHistogram| {
                     old.sum.to_bits() == native.sum.to_bits()
                         && (old.count, &old.buckets) == (native.count, &native.buckets)
@@ -291,7 +291,7 @@
     }
     data.requests[usize::from(version == Version::One)] += 1;
     let samples: usize = series.iter().map(|s| s.samples.len()).sum();
-    let natives: usize = series.iter().map(|s| s.natives.len()).sum();
+    let natives: usize = series.iter().map(|s| s.native_histograms.len()).sum();
     for s in series {
         data.receive(s);
     }
