--- a/crates/durable/src/lib.rs
+++ b/crates/durable/src/lib.rs
@@ -1,6 +1,7 @@
-//! Crash-safe storage of small records, one per file. Each write stores a version number and a checksum with the
-//! payload and keeps the previous intact version in a second file. Reading a file reports whether its record is
-//! intact, recovered from the previous version, unframed, damaged or absent. The payload is opaque to this crate.
+//! Crash-safe storage of small records, one per file. Each write stores a version number and a checksum with
+//! the payload and keeps the previous intact version in a second file. Opening a file reports whether its
+//! record is intact, recovered from the previous version, without a header, damaged or absent. The payload is
+//! opaque to this crate.
 //!
 //! [`RecordFile`] writes synchronously. [`RecordWriter`] writes on a background thread, for callers that must not
 //! block on the disk.
--- a/crates/durable/src/memory.rs
+++ b/crates/durable/src/memory.rs
@@ -7,7 +7,7 @@
 
 use crate::storage::Storage;
 
-/// How much of an interrupted write survives a simulated power loss.
+/// The part of an interrupted write that survives a simulated power loss.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Loss {
     /// No byte survives: the file is empty.
@@ -32,13 +32,14 @@
     durable: BTreeMap<PathBuf, Vec<u8>>,
     /// Changes of directory entries since the last [`Storage::sync_directory`], in order.
     pending: Vec<NameChange>,
-    /// Number of further operations that succeed before power is lost; `None` for no power loss.
+    /// Number of further writes, renames and syncs that succeed before power is lost. `None` for no power
+    /// loss.
     pub operations_left: Option<usize>,
     /// Whether every operation that changes a file fails.
     pub read_only: bool,
     /// Maximum size of a file in bytes; `None` for no maximum.
     pub capacity: Option<usize>,
-    /// Path and content of the write that the power loss interrupted.
+    /// Path and content of the last write that the power loss interrupted.
     interrupted: Option<(PathBuf, Vec<u8>)>,
 }
 
@@ -55,12 +56,13 @@
         self.pending.len()
     }
 
-    /// Returns the storage as it is after a power loss. The first `names` pending changes survive. If all of them do,
-    /// `loss` determines the content of a write that was in progress; otherwise that write has no effect.
-    pub fn lose_power(&self, names: usize, loss: Loss) -> Self {
+    /// Returns the storage as it is after a power loss. The first `surviving` pending changes survive. If
+    /// these are all, `loss` determines the content of a write that was in progress. Otherwise that write has
+    /// no effect.
+    pub fn lose_power(&self, surviving: usize, loss: Loss) -> Self {
         let mut files = self.durable.clone();
-        self.pending.iter().take(names).for_each(|change| apply(&mut files, change));
-        if let Some((path, bytes)) = self.interrupted.as_ref().filter(|_| names >= self.pending.len()) {
+        self.pending.iter().take(surviving).for_each(|change| apply(&mut files, change));
+        if let Some((path, bytes)) = self.interrupted.as_ref().filter(|_| surviving >= self.pending.len()) {
             let survived = match loss {
                 Loss::Lost => Vec::new(),
                 Loss::Torn => bytes[..bytes.len() / 2].to_vec(),
--- a/crates/durable/src/record.rs
+++ b/crates/durable/src/record.rs
@@ -2,7 +2,8 @@
 //! The header is a comment in S-expression syntax, so a persisted worker list remains a valid S-expression file that
 //! people can read. [`crate::RecordFile`] stores the bytes.
 
-/// Maximum length of a payload in bytes. A longer payload is not written, and a header that states one is invalid.
+/// Maximum length of a payload in bytes. A longer payload is not written, and a record whose header states a
+/// greater length is rejected.
 pub const MAX_PAYLOAD_BYTES: usize = 64 << 20;
 
 const MAGIC: &str = ";nettleferry-keep";
@@ -26,7 +27,7 @@
     /// header was introduced.
     #[error("the record has no header")]
     Unframed,
-    /// There are no bytes.
+    /// The input has no bytes.
     #[error("the record is empty")]
     Empty,
     /// The header is malformed or truncated.
@@ -72,12 +73,14 @@
     if bytes.is_empty() {
         return Err(RecordError::Empty);
     }
-    let seen = bytes.len().min(MAGIC.len());
-    if bytes[..seen] != MAGIC.as_bytes()[..seen] {
+    let prefix_length = bytes.len().min(MAGIC.len());
+    if bytes[..prefix_length] != MAGIC.as_bytes()[..prefix_length] {
         return Err(RecordError::Unframed);
     }
-    let end = bytes.iter().take(MAX_HEADER_BYTES).position(|&b| b == b'\n').ok_or(RecordError::Header)?;
-    let header = std::str::from_utf8(&bytes[MAGIC.len().min(end)..end]).map_err(|_| RecordError::Header)?;
+    let header_end =
+        bytes.iter().take(MAX_HEADER_BYTES).position(|&b| b == b'\n').ok_or(RecordError::Header)?;
+    let header = std::str::from_utf8(&bytes[MAGIC.len().min(header_end)..header_end])
+        .map_err(|_| RecordError::Header)?;
     let mut fields = header.split_ascii_whitespace();
     let mut field = || fields.next().ok_or(RecordError::Header);
     let format: u32 = field()?.parse().map_err(|_| RecordError::Header)?;
@@ -85,13 +88,13 @@
         return Err(RecordError::Format(format));
     }
     let version: u64 = field()?.parse().map_err(|_| RecordError::Header)?;
-    let expected: usize = field()?.parse().map_err(|_| RecordError::Header)?;
-    let crc = u32::from_str_radix(field()?, 16).map_err(|_| RecordError::Header)?;
-    let payload = &bytes[end + 1..];
-    if payload.len() != expected || expected > MAX_PAYLOAD_BYTES {
-        return Err(RecordError::Length { found: payload.len(), expected });
+    let expected_length: usize = field()?.parse().map_err(|_| RecordError::Header)?;
+    let expected_checksum = u32::from_str_radix(field()?, 16).map_err(|_| RecordError::Header)?;
+    let payload = &bytes[header_end + 1..];
+    if payload.len() != expected_length || expected_length > MAX_PAYLOAD_BYTES {
+        return Err(RecordError::Length { found: payload.len(), expected: expected_length });
     }
-    if checksum(version, payload) != crc {
+    if checksum(version, payload) != expected_checksum {
         return Err(RecordError::Checksum);
     }
     Ok(Record { version, payload: payload.to_vec() })
--- a/crates/durable/src/record_file.rs
+++ b/crates/durable/src/record_file.rs
@@ -10,10 +10,10 @@
 use crate::record::{MAX_PAYLOAD_BYTES, Record, RecordError, decode, encode};
 use crate::storage::Storage;
 
-/// What was found in a record's file when it was opened.
+/// The content of a record's file when it was opened.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FileContents {
-    /// The newest version.
+    /// The newest version is intact.
     Intact(Record),
     /// The newest version is damaged, and the previous one is intact.
     Older {
@@ -22,17 +22,17 @@
         /// Why the newest version could not be decoded.
         error: RecordError,
     },
-    /// The whole file, which has no header: a version of the program from before the header was introduced wrote it.
-    /// Whether it is complete is unknown.
+    /// The file has no header: another program wrote it, or a version of this program from before the header
+    /// was introduced. Contains the whole file, which may be incomplete.
     Unframed(Vec<u8>),
     /// Neither the newest nor the previous version can be decoded.
     Damaged(RecordError),
-    /// No version exists.
+    /// No write has completed.
     Absent,
 }
 
 impl FileContents {
-    /// Returns the name of the variant used in logs and metrics.
+    /// Returns the name of the variant in logs and metrics.
     pub fn as_str(&self) -> &'static str {
         match self {
             Self::Intact(_) => "sound",
@@ -48,13 +48,13 @@
 #[derive(Debug)]
 pub struct RecordFile {
     path: PathBuf,
-    new: PathBuf,
-    before: PathBuf,
+    new_path: PathBuf,
+    previous_path: PathBuf,
     version: u64,
     /// Whether the file at `path` is usable, so that the next write keeps it as the previous version.
     intact: bool,
-    /// Set if an interrupted write left no file at `path`: the file that has the newest intact version.
-    stray: Option<PathBuf>,
+    /// The file that has the newest intact version, if an interrupted write left no file at `path`.
+    recovered_from: Option<PathBuf>,
 }
 
 impl RecordFile {
@@ -63,29 +63,30 @@
     /// # Errors
     /// Returns an error if the storage can't be read.
     pub fn open(files: &impl Storage, path: &Path) -> io::Result<(Self, FileContents)> {
-        let beside = |suffix: &str| {
+        let sibling = |suffix: &str| {
             let mut name = path.file_name().unwrap_or_default().to_owned();
             name.push(suffix);
             path.with_file_name(name)
         };
-        let (new, before) = (beside(".new"), beside(".before"));
+        let (new_path, previous_path) = (sibling(".new"), sibling(".before"));
         let read = |path: &Path| files.read(path).map(|bytes| bytes.map(|b| (decode(&b), b)));
-        let mut stray = None;
+        let mut recovered_from = None;
         let found = match read(path)? {
             Some((Ok(record), _)) => FileContents::Intact(record),
             Some((Err(RecordError::Unframed), bytes)) => FileContents::Unframed(bytes),
-            Some((Err(error), _)) => match read(&before)? {
+            Some((Err(error), _)) => match read(&previous_path)? {
                 Some((Ok(record), _)) => FileContents::Older { record, error },
                 _ => FileContents::Damaged(error),
             },
-            // Power was lost between the two renames: the newest version is still in the `.new` file.
-            None => match (read(&new)?, read(&before)?) {
+            // Power was lost between the two renames, so the newest version is still in the `.new` file. If
+            // that file is damaged, the `.before` file has the newest intact version.
+            None => match (read(&new_path)?, read(&previous_path)?) {
                 (Some((Ok(record), _)), _) => {
-                    stray = Some(new.clone());
+                    recovered_from = Some(new_path.clone());
                     FileContents::Intact(record)
                 }
                 (_, Some((Ok(record), _))) => {
-                    stray = Some(before.clone());
+                    recovered_from = Some(previous_path.clone());
                     FileContents::Intact(record)
                 }
                 (_, Some((Err(error), _))) => FileContents::Damaged(error),
@@ -100,7 +101,8 @@
             _ => 0,
         };
         let intact = matches!(found, FileContents::Intact(_) | FileContents::Unframed(_));
-        Ok((Self { path: path.to_owned(), new, before, version, intact, stray }, found))
+        let path = path.to_owned();
+        Ok((Self { path, new_path, previous_path, version, intact, recovered_from }, found))
     }
 
     /// Returns the path of the newest version.
@@ -121,21 +123,22 @@
             ));
         }
         let version = self.version + 1;
-        if let Some(stray) = &self.stray {
-            // The write would otherwise overwrite it in `.new`, or leave it as the previous version in `.before`.
-            files.rename(stray, &self.path)?;
+        if let Some(recovered_from) = &self.recovered_from {
+            // A failure below must not lose the newest version: if it is in `.new`, the write would overwrite
+            // it.
+            files.rename(recovered_from, &self.path)?;
             files.sync_directory(&self.path)?;
-            self.stray = None;
+            self.recovered_from = None;
         }
-        files.write(&self.new, &encode(version, payload))?;
+        files.write(&self.new_path, &encode(version, payload))?;
         if self.intact {
-            match files.rename(&self.path, &self.before) {
+            match files.rename(&self.path, &self.previous_path) {
                 // No file exists at `path`, so there is no previous version to keep.
                 Err(error) if error.kind() == io::ErrorKind::NotFound => {}
                 result => result?,
             }
         }
-        files.rename(&self.new, &self.path)?;
+        files.rename(&self.new_path, &self.path)?;
         files.sync_directory(&self.path)?;
         (self.version, self.intact) = (version, true);
         Ok(version)
--- a/crates/durable/src/storage.rs
+++ b/crates/durable/src/storage.rs
@@ -19,7 +19,7 @@
     /// # Errors
     /// Returns an error if the file can't be written; a part of it may exist then.
     fn write(&mut self, path: &Path, bytes: &[u8]) -> io::Result<()>;
-    /// Renames a file and replaces an existing file of the new name.
+    /// Renames a file, which replaces an existing file of the new name.
     ///
     /// # Errors
     /// Returns `NotFound` if the file does not exist, or the error of the operating system.
@@ -31,7 +31,7 @@
     fn sync_directory(&mut self, path: &Path) -> io::Result<()>;
 }
 
-/// How far beyond the maximum payload a file is read, in bytes; larger than any header.
+/// Number of bytes that are read beyond the maximum payload. Larger than any header.
 const HEADER_ALLOWANCE_BYTES: u64 = 4096;
 
 /// [`Storage`] in the file system of the operating system.
--- a/crates/durable/src/writer.rs
+++ b/crates/durable/src/writer.rs
@@ -11,10 +11,10 @@
 use crate::record_file::{FileContents, RecordFile};
 use crate::storage::Storage;
 
-/// Totals of submitted payloads by outcome, since the start.
+/// Totals of submitted payloads by outcome, since the writer was started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Payloads submitted.
+    /// Payloads passed to [`RecordWriter::submit`].
     pub submitted: u64,
     /// Payloads that were written and are durable.
     pub written: u64,
@@ -26,11 +26,15 @@
 
 #[derive(Default)]
 struct Queue {
-    waiting: Option<Vec<u8>>,
-    busy: bool,
-    ended: bool,
+    /// The payload to be written next.
+    queued: Option<Vec<u8>>,
+    /// Whether the thread is writing a payload.
+    write_in_progress: bool,
+    /// Whether the thread is to stop once nothing is queued.
+    stopping: bool,
     counters: Counters,
-    /// Number of the submission that is being written, counted by [`Counters::submitted`].
+    /// Number of the submission that is being written or was written last, as returned by
+    /// [`RecordWriter::submit`].
     writing: u64,
     /// Number of the last submission that is durable.
     durable: u64,
@@ -56,37 +60,37 @@
 /// thread, or abandons the thread if the disk does not respond in time.
 pub struct RecordWriter {
     shared: Arc<Shared>,
-    found: Receiver<io::Result<FileContents>>,
+    initial_contents: Receiver<io::Result<FileContents>>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl RecordWriter {
-    /// Starts the thread, which opens the file. `written` is called on that thread with the result of each write: the
-    /// version that was written, or the error.
+    /// Starts the thread, which opens the file. `on_write` is called on that thread with the result of each
+    /// write: the version that was written, or the error.
     ///
     /// # Errors
     /// Returns an error if the thread can't be started.
     pub fn start<F: Storage + 'static>(
         mut files: F,
         path: &Path,
-        written: impl Fn(io::Result<u64>) + Send + 'static,
+        on_write: impl Fn(io::Result<u64>) + Send + 'static,
     ) -> io::Result<Self> {
         let shared = Arc::new(Shared::default());
         let (thread_shared, path) = (Arc::clone(&shared), path.to_owned());
-        let (found_sender, found) = channel();
+        let (contents_sender, initial_contents) = channel();
         let work = move || {
-            // Sending fails if the handle was dropped meanwhile; nobody needs the contents then.
+            // Sending fails if the handle was dropped. The contents are not needed then.
             let mut file = match RecordFile::open(&files, &path) {
                 Ok((file, contents)) => {
-                    let _ = found_sender.send(Ok(contents));
+                    let _ = contents_sender.send(Ok(contents));
                     Some(file)
                 }
                 Err(error) => {
-                    let _ = found_sender.send(Err(error));
+                    let _ = contents_sender.send(Err(error));
                     None
                 }
             };
-            while let Some(payload) = next(&thread_shared) {
+            while let Some(payload) = next_payload(&thread_shared) {
                 let result = match &mut file {
                     Some(file) => file.write(&mut files, &payload),
                     None => Err(io::Error::other("the file could not be opened")),
@@ -101,21 +105,21 @@
                         Err(_) => queue.counters.failed += 1,
                     }
                 }
-                written(result);
+                on_write(result);
             }
         };
         let thread = std::thread::Builder::new().name(THREAD_NAME.to_owned()).spawn(work)?;
-        Ok(Self { shared, found, thread: Some(thread) })
+        Ok(Self { shared, initial_contents, thread: Some(thread) })
     }
 
-    /// Returns what the file contained at the start, or `None` if it could not be read within `timeout`. The contents
-    /// are returned once: a second call returns `None`.
+    /// Returns the contents of the file when the thread opened it, or `None` if it was not opened within
+    /// `timeout`. The contents are returned only once: a second call waits for `timeout` and returns `None`.
     ///
     /// # Errors
-    /// Returns an error if the file can't be read.
+    /// Returns an error if the file can't be opened.
     pub fn initial_contents(&self, timeout: Duration) -> io::Result<Option<FileContents>> {
-        match self.found.recv_timeout(timeout) {
-            Ok(found) => found.map(Some),
+        match self.initial_contents.recv_timeout(timeout) {
+            Ok(contents) => contents.map(Some),
             Err(_) => Ok(None),
         }
     }
@@ -126,7 +130,7 @@
         let mut queue = self.shared.lock();
         queue.counters.submitted += 1;
         let number = queue.counters.submitted;
-        if queue.waiting.replace(payload).is_some() {
+        if queue.queued.replace(payload).is_some() {
             queue.counters.superseded += 1;
         }
         drop(queue);
@@ -134,8 +138,8 @@
         number
     }
 
-    /// Returns the number of the last submission that is durable, 0 if there is none. Submissions of lower numbers are
-    /// durable or replaced by it.
+    /// Returns the number of the last submission that is durable, or 0 if none is. It supersedes all
+    /// submissions with lower numbers, of which some may never have been written.
     pub fn durable(&self) -> u64 {
         self.shared.lock().durable
     }
@@ -147,10 +151,10 @@
 
     /// Blocks until nothing is queued or being written. Returns false if `timeout` elapsed first.
     pub fn flush(&self, timeout: Duration) -> bool {
-        let until = Instant::now() + timeout;
+        let deadline = Instant::now() + timeout;
         let mut queue = self.shared.lock();
-        while queue.busy || queue.waiting.is_some() {
-            let remaining = until.saturating_duration_since(Instant::now());
+        while queue.write_in_progress || queue.queued.is_some() {
+            let remaining = deadline.saturating_duration_since(Instant::now());
             if remaining.is_zero() {
                 return false;
             }
@@ -163,13 +167,13 @@
 /// The thread's name, as the operating system shows it.
 const THREAD_NAME: &str = "keeper";
 
-/// How long dropping a writer waits for the disk before it abandons the thread.
+/// Maximum time for which dropping a writer waits for the disk. After that the thread is abandoned.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(2);
 
 impl Drop for RecordWriter {
     fn drop(&mut self) {
         let flushed = self.flush(SHUTDOWN_TIMEOUT);
-        self.shared.lock().ended = true;
+        self.shared.lock().stopping = true;
         self.shared.wake.notify_one();
         if let Some(thread) = self.thread.take().filter(|_| flushed) {
             let _ = thread.join();
@@ -177,18 +181,18 @@
     }
 }
 
-/// Waits for the next payload to write; returns `None` if the thread is to stop.
-fn next(shared: &Shared) -> Option<Vec<u8>> {
+/// Waits for the next payload to write. Returns `None` if the thread is to stop.
+fn next_payload(shared: &Shared) -> Option<Vec<u8>> {
     let mut queue = shared.lock();
-    queue.busy = false;
+    queue.write_in_progress = false;
     loop {
-        if let Some(newest) = queue.waiting.take() {
-            queue.busy = true;
+        if let Some(payload) = queue.queued.take() {
+            queue.write_in_progress = true;
             queue.writing = queue.counters.submitted;
-            return Some(newest);
+            return Some(payload);
         }
         shared.idle.notify_all();
-        if queue.ended {
+        if queue.stopping {
             return None;
         }
         queue = shared.wake.wait(queue).unwrap_or_else(PoisonError::into_inner);
--- a/crates/durable/tests/writer.rs
+++ b/crates/durable/tests/writer.rs
@@ -10,7 +10,7 @@
 /// A disk that announces each write and blocks it until the test releases it.
 struct StalledDisk {
     disk: MemoryStorage,
-    began: Sender<()>,
+    write_started: Sender<()>,
     release: Receiver<()>,
 }
 
@@ -19,8 +19,8 @@
         self.disk.read(path)
     }
     fn write(&mut self, path: &Path, bytes: &[u8]) -> io::Result<()> {
-        let _ = self.began.send(());
-        // Receiving fails if the test has ended; the write then continues.
+        let _ = self.write_started.send(());
+        // Receiving fails if the test has ended. The write continues then.
         let _ = self.release.recv();
         self.disk.write(path, bytes)
     }
@@ -36,18 +36,23 @@
 
 #[test]
 fn stalled_disk_blocks_only_the_writer_thread() {
-    let ((began_sender, began), (release, release_receiver)) = (channel(), channel());
+    let (started_sender, write_started) = channel();
+    let (release, release_receiver) = channel();
     let (result_sender, results) = channel();
-    let stalled =
-        StalledDisk { disk: MemoryStorage::default(), began: began_sender, release: release_receiver };
+    let stalled = StalledDisk {
+        disk: MemoryStorage::default(),
+        write_started: started_sender,
+        release: release_receiver,
+    };
     let writer = RecordWriter::start(stalled, Path::new("kept"), move |result| {
         let _ = result_sender.send(result.ok());
     })
-    .expect("started");
-    let found = writer.initial_contents(TIMEOUT).expect("readable").expect("in time");
+    .expect("writer thread started");
+    let found =
+        writer.initial_contents(TIMEOUT).expect("file opened").expect("file opened within the timeout");
     assert_eq!(found, FileContents::Absent);
     writer.submit(b"0".to_vec());
-    began.recv_timeout(TIMEOUT).expect("the first write has begun and is stalled");
+    write_started.recv_timeout(TIMEOUT).expect("the first write has begun and is stalled");
     for n in 1..=1000 {
         writer.submit(format!("{n}").into_bytes());
     }
