--- a/crates/tenant-store/src/checksummed.rs
+++ b/crates/tenant-store/src/checksummed.rs
@@ -1,5 +1,5 @@
-//! Encoding of stored values: the CRC-32 of the value's JSON (`u32`, little-endian), followed by the JSON. Which table
-//! a value belongs to is known to the caller only.
+//! Encoding of stored values: the CRC-32 of the value's JSON (`u32`, little-endian), followed by the JSON.
+//! The encoding does not contain the table or the key.
 
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -8,13 +8,13 @@
 
 /// A stored value that does not match its checksum or can't be parsed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("a value of table {table}, {key}, is damaged: {reason}")]
+#[error("table {table}, key {key}: the value is damaged: {reason}")]
 pub struct DamagedValue {
     /// The table that the value is stored in.
     pub table: &'static str,
     /// The value's key in that table, as text for the error message.
     pub key: String,
-    /// What is wrong with the value: its length, its checksum or its JSON.
+    /// Why the value is damaged: its length, its checksum or its JSON is wrong.
     pub reason: String,
 }
 
@@ -37,7 +37,10 @@
 pub fn decode<T: DeserializeOwned>(table: &'static str, key: &str, bytes: &[u8]) -> Result<T, DamagedValue> {
     let damaged = |reason: String| DamagedValue { table, key: key.to_owned(), reason };
     let Some((checksum, json)) = bytes.split_first_chunk::<CHECKSUM_BYTES>() else {
-        return Err(damaged(format!("{} bytes", bytes.len())));
+        return Err(damaged(format!(
+            "it has {} bytes, the checksum alone has {CHECKSUM_BYTES}",
+            bytes.len()
+        )));
     };
     if crc32fast::hash(json) != u32::from_le_bytes(*checksum) {
         return Err(damaged("its checksum does not match".to_owned()));
--- a/crates/tenant-store/src/error.rs
+++ b/crates/tenant-store/src/error.rs
@@ -12,7 +12,7 @@
     /// An operation of the database failed, or the database detected that its file is damaged.
     #[error("{context}: {source}")]
     Database {
-        /// The operation that failed, as a message.
+        /// What failed, as a message such as "the audit trail can't be read".
         context: &'static str,
         /// The error of the database.
         source: Box<redb::Error>,
@@ -32,14 +32,15 @@
         /// The store's format version.
         found: u64,
     },
-    /// The file has failed and could not be reopened since.
-    #[error("the tenant store can't be used just now: its file has failed")]
+    /// An operation failed with an I/O error, and the file could not be reopened since.
+    #[error("the tenant store is unavailable: its file could not be reopened after an I/O error")]
     Unavailable,
-    /// A value can't be serialized as JSON.
-    #[error("a value can't be written: {0}")]
+    /// A value can't be serialized as JSON, or the JSON of a value of format 1 can't be parsed in a
+    /// migration.
+    #[error("a value can't be converted to or from JSON: {0}")]
     Json(#[from] serde_json::Error),
     /// The directory of the file can't be created.
-    #[error("the tenant store {path}: {source}")]
+    #[error("the directory of the tenant store {path} can't be created: {source}")]
     File {
         /// The path of the store's file.
         path: PathBuf,
@@ -49,8 +50,8 @@
 }
 
 impl StoreError {
-    /// Whether a retry may succeed: the file could not be read or written for the moment. For all other errors the
-    /// content of the file, or the change itself, is wrong.
+    /// Returns whether a retry may succeed: an I/O operation failed, or the file could not be reopened after
+    /// one. Other errors are treated as permanent.
     pub fn is_transient(&self) -> bool {
         match self {
             Self::Database { source, .. } => matches!(**source, redb::Error::Io(_) | redb::Error::PreviousIo),
@@ -60,9 +61,9 @@
     }
 }
 
-/// Converts results of the database.
+/// Adds a message to the errors of database operations.
 pub(crate) trait DatabaseResult<T> {
-    /// Converts an error into a [`StoreError`] with a message of the operation that failed.
+    /// Converts an error into a [`StoreError::Database`] with the message `context`.
     fn context(self, context: &'static str) -> Result<T, StoreError>;
 }
 
--- a/crates/tenant-store/src/format.rs
+++ b/crates/tenant-store/src/format.rs
@@ -1,4 +1,4 @@
-//! The version of the store's format, which the migration and the errors refer to.
+//! The version of the file format of the store.
 
 /// The format version of stores that this program writes. In version 1, values had no checksums.
 pub const FORMAT: u64 = 2;
--- a/crates/tenant-store/src/lib.rs
+++ b/crates/tenant-store/src/lib.rs
@@ -1,9 +1,9 @@
 //! Persistent storage of tenants and their audit trail in a redb database. Each change is one durable transaction.
 //!
-//! This crate stores what `nettleferry-tenancy` decides: a change is stored completely or not at all. It must not
-//! depend on HTTP, on calls, or on who requests a change.
+//! This crate stores the changes that `nettleferry-tenancy` evaluates: a change is stored completely or not
+//! at all. It must not depend on HTTP, on calls, or on who requests a change.
 //!
-//! * [`store`]: the store itself: opening, commits, and recovery after an I/O failure. [`schema`]: the tables.
+//! * [`store`]: opens the store, commits changes, and recovers from I/O failures. [`schema`]: the tables.
 //!   `migration`, `reader` and `writer`: the operations on the tables.
 //! * [`checksummed`]: the encoding of values with a checksum. [`origin`]: the identity of a store.
 //! * [`snapshot`]: the whole store as a text file, which replaces the previous one atomically. [`error`]: the errors.
--- a/crates/tenant-store/src/migration.rs
+++ b/crates/tenant-store/src/migration.rs
@@ -14,8 +14,8 @@
 const CREATE_FAILED: &str = "the tenant store's tables can't be created";
 const MIGRATE_FAILED: &str = "the tenant store can't be migrated";
 
-/// Creates missing tables and migrates a store of an earlier format, in one transaction. Fails with
-/// [`StoreError::NewerFormat`] for a store that a later version of the program wrote.
+/// Creates missing tables, migrates a store of an earlier format and names a new store, in one transaction.
+/// Fails with [`StoreError::NewerFormat`] for a store that a later version of the program wrote.
 pub(crate) fn migrate(database: &Database) -> Result<(), StoreError> {
     let write = database.begin_write().context("the tenant store can't be written")?;
     migrate_tables(&write)?;
@@ -42,19 +42,20 @@
     }
     let has_store_name = meta.get(META_STORE).context(MIGRATE_FAILED)?.is_some();
     if !has_store_name {
-        // The name is random, so that a newly created store is never mistaken for an older one with the same revisions.
+        // The name is random, so that a newly created store is not mistaken for another one with the same
+        // revisions.
         meta.insert(META_STORE, RandomState::new().hash_one(FORMAT)).context(MIGRATE_FAILED)?;
     }
     Ok(())
 }
 
 fn add_tenant_checksums(tenants: &mut Table<'_, &'static str, &'static [u8]>) -> Result<(), StoreError> {
-    let mut old = Vec::new();
+    let mut format_1_rows = Vec::new();
     for row in tenants.iter().context(MIGRATE_FAILED)? {
         let (name, json) = row.context(MIGRATE_FAILED)?;
-        old.push((name.value().to_owned(), json.value().to_vec()));
+        format_1_rows.push((name.value().to_owned(), json.value().to_vec()));
     }
-    for (name, json) in old {
+    for (name, json) in format_1_rows {
         let tenant: Tenant = serde_json::from_slice(&json)?;
         tenants.insert(name.as_str(), checksummed::encode(&tenant)?.as_slice()).context(MIGRATE_FAILED)?;
     }
@@ -62,12 +63,12 @@
 }
 
 fn add_audit_checksums(audit: &mut Table<'_, u64, &'static [u8]>) -> Result<(), StoreError> {
-    let mut old = Vec::new();
+    let mut format_1_rows = Vec::new();
     for row in audit.iter().context(MIGRATE_FAILED)? {
         let (revision, json) = row.context(MIGRATE_FAILED)?;
-        old.push((revision.value(), json.value().to_vec()));
+        format_1_rows.push((revision.value(), json.value().to_vec()));
     }
-    for (revision, json) in old {
+    for (revision, json) in format_1_rows {
         let entry: Entry = serde_json::from_slice(&json)?;
         audit.insert(revision, checksummed::encode(&entry)?.as_slice()).context(MIGRATE_FAILED)?;
     }
--- a/crates/tenant-store/src/schema.rs
+++ b/crates/tenant-store/src/schema.rs
@@ -5,7 +5,7 @@
 use crate::error::{DatabaseResult, StoreError};
 use crate::origin::Origin;
 
-/// Numbers about the store as a whole, under the `META_` keys below.
+/// Properties of the store as a whole, under the `META_` keys below.
 pub(crate) const META: TableDefinition<&str, u64> = TableDefinition::new("meta");
 /// The tenants, by name.
 pub(crate) const TENANTS: TableDefinition<&str, &[u8]> = TableDefinition::new("tenants");
@@ -16,7 +16,7 @@
 /// Idempotency keys by the revision of their change, so that the oldest response can be found and deleted.
 pub(crate) const RESPONSE_ORDER: TableDefinition<u64, &str> = TableDefinition::new("once_order");
 
-/// [`META`], opened for writing.
+/// The table [`META`] within a write transaction.
 pub(crate) type MetaTable<'txn> = redb::Table<'txn, &'static str, u64>;
 
 /// The format version of the store.
@@ -33,7 +33,12 @@
 /// Writes the identity of the store. Fails if the name is not a hexadecimal number of at most 64 bits.
 pub(crate) fn write_origin(meta: &mut MetaTable<'_>, origin: &Origin) -> Result<(), StoreError> {
     let write_failed = "the store's name can't be written";
-    let invalid_name = |_| StoreError::Inconsistent(format!("{:?} is no store's name", origin.store));
+    let invalid_name = |_| {
+        StoreError::Inconsistent(format!(
+            "the store name {:?} is not a hexadecimal number of at most 64 bits",
+            origin.store
+        ))
+    };
     let store = u64::from_str_radix(&origin.store, 16).map_err(invalid_name)?;
     meta.insert(META_STORE, store).context(write_failed)?;
     meta.insert(META_EPOCH, origin.epoch).context(write_failed)?;
--- a/crates/tenant-store/src/snapshot.rs
+++ b/crates/tenant-store/src/snapshot.rs
@@ -13,7 +13,7 @@
 
 use crate::origin::Origin;
 
-/// The format version of the files that are written; no other is read.
+/// The format version of the files that are written. Files of other versions are rejected.
 const FORMAT: u32 = 1;
 /// The kind in the header, which distinguishes snapshots from other files.
 const KIND: &str = "nettleferry-tenants";
@@ -35,7 +35,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum SnapshotError {
     /// Reading or writing the file failed.
-    #[error("the snapshot {path}: {source}")]
+    #[error("the snapshot {path} can't be read or written: {source}")]
     Io {
         /// The path of the file.
         path: PathBuf,
@@ -49,7 +49,7 @@
         path: PathBuf,
         /// The number of the invalid line, from 1.
         line: usize,
-        /// What is wrong with the line.
+        /// Why the line, or the file as a whole, is invalid.
         reason: String,
     },
 }
@@ -85,29 +85,29 @@
     /// Writes the snapshot to a file, replacing an existing one. The file is durable once this has returned.
     ///
     /// # Errors
-    /// Returns an error if a file can't be written, renamed or synced. A file that existed before is intact then, or has
-    /// been replaced by the complete new one.
+    /// Returns an error if a file can't be written, renamed or synced. The file at `path` then has either its
+    /// previous content or the complete new one.
     pub fn write(&self, path: &Path) -> Result<(), SnapshotError> {
-        let io = |source| SnapshotError::Io { path: path.to_owned(), source };
+        let io_error = |source| SnapshotError::Io { path: path.to_owned(), source };
         let (tenants, audit) = (self.tenants.len(), self.audit.len());
         let (kind, origin) = (KIND.to_owned(), self.origin.clone());
         let header = Header { kind, format: FORMAT, revision: self.revision, tenants, audit, origin };
-        let mut text = json_line(&header).map_err(io)?;
+        let mut text = json_line(&header).map_err(io_error)?;
         for tenant in &self.tenants {
-            text.push_str(&json_line(tenant).map_err(io)?);
+            text.push_str(&json_line(tenant).map_err(io_error)?);
         }
         for entry in &self.audit {
-            text.push_str(&json_line(entry).map_err(io)?);
+            text.push_str(&json_line(entry).map_err(io_error)?);
         }
-        let footer = json_line(&Footer { crc32: crc32fast::hash(text.as_bytes()) }).map_err(io)?;
+        let footer = json_line(&Footer { crc32: crc32fast::hash(text.as_bytes()) }).map_err(io_error)?;
         text.push_str(&footer);
         let temporary = path.with_extension("new");
-        let mut file = File::create(&temporary).map_err(io)?;
-        file.write_all(text.as_bytes()).and_then(|()| file.sync_all()).map_err(io)?;
-        fs::rename(&temporary, path).map_err(io)?;
+        let mut file = File::create(&temporary).map_err(io_error)?;
+        file.write_all(text.as_bytes()).and_then(|()| file.sync_all()).map_err(io_error)?;
+        fs::rename(&temporary, path).map_err(io_error)?;
         // The rename is durable only once the directory is synced.
         let directory = path.parent().filter(|p| !p.as_os_str().is_empty()).unwrap_or(Path::new("."));
-        File::open(directory).and_then(|directory| directory.sync_all()).map_err(io)
+        File::open(directory).and_then(|directory| directory.sync_all()).map_err(io_error)
     }
 
     /// Reads a snapshot file.
@@ -124,7 +124,7 @@
         };
         let lines: Vec<&str> = text.lines().collect();
         let Some((footer, body)) = lines.split_last() else {
-            return Err(invalid(0, "it is empty".to_owned()));
+            return Err(invalid(0, "the file is empty".to_owned()));
         };
         let footer_index = lines.len() - 1;
         let checksum: Footer = serde_json::from_str(footer).map_err(|_| {
--- a/crates/tenant-store/src/store.rs
+++ b/crates/tenant-store/src/store.rs
@@ -41,7 +41,7 @@
     ///
     /// # Errors
     /// Returns an error if the file can't be opened or read, is damaged, or has a newer format. A damaged file is not
-    /// repaired or removed.
+    /// removed or replaced.
     pub fn open(path: &Path) -> Result<(Self, TenantSnapshot), StoreError> {
         let file_error = |source| StoreError::File { path: path.to_owned(), source };
         if let Some(directory) = path.parent().filter(|parent| !parent.as_os_str().is_empty()) {
@@ -111,7 +111,8 @@
     /// stored responses are deleted.
     ///
     /// # Errors
-    /// Returns an error if the store can't be written; its content is unchanged then.
+    /// Returns an error if the store can't be written or the name in `origin` is not a hexadecimal number.
+    /// The content is unchanged then.
     pub fn install(&mut self, snapshot: &TenantSnapshot, origin: &Origin) -> Result<(), StoreError> {
         writer::install(self.database()?, snapshot, origin)
     }
@@ -120,8 +121,8 @@
     /// durable once this has returned. After a transient error the commit is retried once.
     ///
     /// # Errors
-    /// Returns an error if the change could not be committed. If part of it may have reached the file, it is undone before
-    /// the next change is committed.
+    /// Returns an error if the change could not be committed. If it may have reached the file
+    /// nevertheless, it is undone before the next change is committed.
     pub fn commit(
         &mut self,
         entry: &Entry,
@@ -185,9 +186,10 @@
         })
     }
 
-    /// Fills an empty store with the content of a snapshot, in one transaction. The store gets the name of the snapshot's
-    /// store and a higher epoch. The epoch is at least `now_ms`, the wall clock, so that two restores of one snapshot
-    /// have different epochs.
+    /// Fills an empty store with the content of a snapshot, in one transaction. The store gets the name of
+    /// the snapshot's store and a higher epoch. The epoch is at least `now_ms`, the wall clock, so that two
+    /// restores of one snapshot have different epochs. If the snapshot has no origin, the store keeps its
+    /// own.
     ///
     /// # Errors
     /// Returns an error if the store is not empty or can't be written.
@@ -196,7 +198,8 @@
     }
 }
 
-/// Fails unless all pages of the database match their checksums.
+/// Fails if the database does not match its checksums, even if redb could repair it: the check returns false
+/// after a repair.
 fn check_integrity(mut opened: Database) -> Result<Database, StoreError> {
     let intact = opened.check_integrity().context("the tenant store can't be checked")?;
     if !intact {
--- a/crates/tenant-store/src/writer.rs
+++ b/crates/tenant-store/src/writer.rs
@@ -11,11 +11,11 @@
 };
 use crate::snapshot::Snapshot;
 
-/// Maximum number of responses stored under idempotency keys. Beyond it the oldest one is deleted.
+/// Maximum number of responses stored under idempotency keys. When it is exceeded, the oldest one is deleted.
 pub(crate) const MAX_IDEMPOTENT_RESPONSES: u64 = 10_000;
 
 const COMMIT_FAILED: &str = "the change can't be committed";
-const UNDO_FAILED: &str = "a change that failed can't be undone";
+const UNDO_FAILED: &str = "the change whose commit failed can't be undone";
 const INSTALL_FAILED: &str = "the snapshot can't be installed";
 const RESTORE_FAILED: &str = "the snapshot can't be restored";
 
@@ -40,7 +40,7 @@
     let mut meta = write.open_table(META).context(COMMIT_FAILED)?;
     let before = meta.get(META_REVISION).context(COMMIT_FAILED)?.map_or(0, |value| value.value());
     if entry.revision != before + 1 {
-        let reason = format!("revision {} does not follow on {before}", entry.revision);
+        let reason = format!("revision {} does not follow revision {before}", entry.revision);
         return Err(StoreError::Inconsistent(reason));
     }
     meta.insert(META_REVISION, entry.revision).context(COMMIT_FAILED)?;
@@ -75,7 +75,8 @@
     Ok(())
 }
 
-/// Undoes `entry` if it is the last change of the store. `key` is the idempotency key of its response, if it has one.
+/// Undoes `entry` if its revision is that of the store. `key` is the idempotency key of its response, if it
+/// has one.
 pub(crate) fn undo(database: &Database, entry: &Entry, key: Option<&str>) -> Result<(), StoreError> {
     let write = database.begin_write().context(UNDO_FAILED)?;
     if !undo_if_last(&write, entry, key)? {
@@ -84,7 +85,8 @@
     write.commit().context(UNDO_FAILED)
 }
 
-/// Undoes a change within a transaction. Returns false without writing anything if it is not the last change.
+/// Undoes a change within a transaction. Returns false without writing anything if the store has another
+/// revision.
 fn undo_if_last(write: &WriteTransaction, entry: &Entry, key: Option<&str>) -> Result<bool, StoreError> {
     let mut meta = write.open_table(META).context(UNDO_FAILED)?;
     let last = meta.get(META_REVISION).context(UNDO_FAILED)?.map_or(0, |value| value.value());
@@ -140,7 +142,7 @@
     write_origin(&mut meta, origin)
 }
 
-/// Fills an empty store with the content of a snapshot. `now_ms` is the lowest epoch that the store gets.
+/// Fills an empty store with the content of a snapshot. The store's epoch becomes at least `now_ms`.
 pub(crate) fn restore(database: &Database, snapshot: &Snapshot, now_ms: u64) -> Result<(), StoreError> {
     let write = database.begin_write().context(RESTORE_FAILED)?;
     fill(&write, snapshot, now_ms)?;
--- a/crates/tenant-store/tests/crash.rs
+++ b/crates/tenant-store/tests/crash.rs
@@ -22,9 +22,9 @@
     synced: Vec<u8>,
     /// Number of write operations so far.
     operations: u64,
-    /// Operations after this many fail.
+    /// Number of operations after which further ones fail.
     fails_at: Option<u64>,
-    /// Operations after this many succeed again.
+    /// Number of operations after which further ones succeed again.
     works_at: Option<u64>,
 }
 
@@ -36,7 +36,7 @@
     }
 
     fn state(&self) -> std::sync::MutexGuard<'_, DiskState> {
-        self.0.lock().expect("not poisoned")
+        self.0.lock().expect("the mutex is not poisoned")
     }
 
     /// Counts a write operation, and fails it if the disk is failing.
@@ -45,7 +45,7 @@
         state.operations += 1;
         let works_again = state.works_at.is_some_and(|at| state.operations > at);
         if state.fails_at.is_some_and(|at| state.operations > at) && !works_again {
-            return Err(io::Error::other("the disk is gone"));
+            return Err(io::Error::other("simulated disk failure"));
         }
         Ok(state)
     }
@@ -83,7 +83,11 @@
 }
 
 fn evaluate(snapshot: &TenantSnapshot, change: &Change) -> Entry {
-    snapshot.evaluate(change, Condition::Any, "ada", 1_000).expect("valid").entry.expect("a change")
+    snapshot
+        .evaluate(change, Condition::Any, "ada", 1_000)
+        .expect("the change is valid")
+        .entry
+        .expect("the change has an effect")
 }
 
 fn create(snapshot: &TenantSnapshot, name: &str) -> Entry {
@@ -97,11 +101,11 @@
 #[test]
 fn change_is_complete_or_absent_wherever_the_disk_fails() {
     let disk = FailingDisk::default();
-    let (mut store, mut snapshot) = Store::open_backend(disk.clone()).expect("opens");
+    let (mut store, mut snapshot) = Store::open_backend(disk.clone()).expect("the store opens");
     for name in ["a", "b", "c"] {
         let entry = create(&snapshot, name);
-        store.commit(&entry, None).expect("committed");
-        snapshot.apply(&entry).expect("the next revision");
+        store.commit(&entry, None).expect("the commit succeeds");
+        snapshot.apply(&entry).expect("the entry has the next revision");
     }
     drop(store);
     let base = disk.state().written.clone();
@@ -111,33 +115,36 @@
         Change::Suspend { name: "b".to_owned() },
         Change::Remove { name: "c".to_owned(), grace_ms: 5 },
     ];
-    let (mut points, mut complete, mut absent) = (0, 0, 0);
+    let (mut failure_points, mut complete, mut absent) = (0, 0, 0);
     for change in changes {
         let next = evaluate(&snapshot, &change);
         let mut after = snapshot.clone();
-        after.apply(&next).expect("the next revision");
+        after.apply(&next).expect("the entry has the next revision");
         for fails_at in 0.. {
             let disk = FailingDisk::with_content(base.clone(), None);
-            let Ok((mut store, _)) = Store::open_backend(disk.clone()) else { panic!("it opens") };
+            let Ok((mut store, _)) = Store::open_backend(disk.clone()) else { panic!("the store opens") };
             let operations_before = disk.state().operations;
             disk.state().fails_at = Some(operations_before + fails_at);
             let committed = store.commit(&next, Some(("k", &stored_response(next.revision))));
             // A killed process writes nothing, so dropping the store must not either.
             disk.state().fails_at = Some(0);
             drop(store);
-            points += 1;
+            failure_points += 1;
             let contents = {
                 let state = disk.state();
                 [state.written.clone(), state.synced.clone()]
             };
             for content in contents {
                 let reopened = Store::open_backend(FailingDisk::with_content(content, None));
-                let (store, found) = reopened.expect("it opens again");
-                let response = store.idempotent_response("k").expect("readable");
+                let (store, found) = reopened.expect("the store opens again");
+                let response = store.idempotent_response("k").expect("the responses can be read");
                 if found == after {
                     complete += 1;
                     assert_eq!(response, Some(stored_response(next.revision)), "its response is stored");
-                    assert_eq!(store.audit(3, 9, None).expect("readable"), std::slice::from_ref(&next));
+                    assert_eq!(
+                        store.audit(3, 9, None).expect("audit trail read"),
+                        std::slice::from_ref(&next)
+                    );
                 } else {
                     absent += 1;
                     assert_eq!((&found, &response), (&snapshot, &None), "failed at {fails_at}");
@@ -149,10 +156,10 @@
             }
         }
     }
-    println!("{points} failure points: change complete {complete} times, absent {absent} times");
+    println!("{failure_points} failure points: change complete {complete} times, absent {absent} times");
     assert!(
-        points > 20 && complete > 0 && absent > 0,
-        "{points} points, {complete} complete, {absent} absent"
+        failure_points > 20 && complete > 0 && absent > 0,
+        "{failure_points} failure points, {complete} complete, {absent} absent"
     );
 }
 
@@ -178,21 +185,21 @@
 
 #[test]
 fn flipped_byte_is_an_error_or_changes_nothing_and_never_panics() {
-    let dir = tempfile::tempdir().expect("a folder");
+    let dir = tempfile::tempdir().expect("temporary directory created");
     let path = dir.path().join("tenants.redb");
-    let (mut store, mut snapshot) = Store::open(&path).expect("opens");
+    let (mut store, mut snapshot) = Store::open(&path).expect("the store opens");
     for n in 0..40 {
         let entry = create(&snapshot, &format!("tenant-{n}"));
-        store.commit(&entry, None).expect("committed");
-        snapshot.apply(&entry).expect("the next revision");
+        store.commit(&entry, None).expect("the commit succeeds");
+        snapshot.apply(&entry).expect("the entry has the next revision");
     }
     drop(store);
-    let bytes = std::fs::read(&path).expect("readable");
+    let bytes = std::fs::read(&path).expect("the file can be read");
     let (mut detected, mut harmless) = (0, 0);
     for at in (0..bytes.len()).step_by(bytes.len() / 150) {
         let mut damaged = bytes.clone();
         damaged[at] ^= 0x20;
-        std::fs::write(&path, &damaged).expect("written");
+        std::fs::write(&path, &damaged).expect("damaged file written");
         match Store::open(&path) {
             Err(_) => detected += 1,
             Ok((_, found)) => {
@@ -206,33 +213,34 @@
 
 #[test]
 fn snapshot_restores_the_store_and_a_damaged_one_names_its_line() {
-    let dir = tempfile::tempdir().expect("a folder");
-    let (mut store, mut snapshot) = Store::open(&dir.path().join("a.redb")).expect("opens");
+    let dir = tempfile::tempdir().expect("temporary directory created");
+    let (mut store, mut snapshot) = Store::open(&dir.path().join("a.redb")).expect("the store opens");
     for name in ["a", "b"] {
         let entry = create(&snapshot, name);
-        store.commit(&entry, None).expect("committed");
-        snapshot.apply(&entry).expect("the next revision");
+        store.commit(&entry, None).expect("the commit succeeds");
+        snapshot.apply(&entry).expect("the entry has the next revision");
     }
     let file = dir.path().join("s.snapshot");
-    store.snapshot().expect("read").write(&file).expect("written");
-    let read = Snapshot::read(&file).expect("valid");
-    let (mut other, empty) = Store::open(&dir.path().join("b.redb")).expect("opens");
+    store.snapshot().expect("the store can be read").write(&file).expect("snapshot written");
+    let read = Snapshot::read(&file).expect("the snapshot is valid");
+    let (mut other, empty) = Store::open(&dir.path().join("b.redb")).expect("the store opens");
     assert_eq!(empty, TenantSnapshot::default());
-    other.restore(&read, 5).expect("committed");
-    let restored = other.snapshot().expect("read");
-    let before = read.origin.clone().expect("an origin");
-    let after = restored.origin.clone().expect("an origin");
+    other.restore(&read, 5).expect("the commit succeeds");
+    let restored = other.snapshot().expect("the store can be read");
+    let before = read.origin.clone().expect("the snapshot has an origin");
+    let after = restored.origin.clone().expect("the snapshot has an origin");
     assert_eq!((after.store, after.epoch), (before.store, 5), "the same store at a higher epoch");
     assert_eq!(Snapshot { origin: read.origin.clone(), ..restored }, read);
     assert!(other.restore(&read, 5).is_err(), "a store that is not empty is not overwritten");
     drop(other);
-    assert_eq!(Store::open(&dir.path().join("b.redb")).expect("opens").1, snapshot);
-    let text = std::fs::read_to_string(&file).expect("text");
-    std::fs::write(&file, text.replace("\"open_calls\":5", "\"open_calls\":6")).expect("written");
-    let error = Snapshot::read(&file).expect_err("damaged").to_string();
+    assert_eq!(Store::open(&dir.path().join("b.redb")).expect("the store opens").1, snapshot);
+    let text = std::fs::read_to_string(&file).expect("the snapshot is text");
+    std::fs::write(&file, text.replace("\"open_calls\":5", "\"open_calls\":6"))
+        .expect("changed snapshot written");
+    let error = Snapshot::read(&file).expect_err("the checksum does not match").to_string();
     assert!(error.contains("line 6") && error.contains("checksum"), "{error}");
-    std::fs::write(&file, &text[..text.len() / 2]).expect("written");
-    assert!(Snapshot::read(&file).expect_err("cut off").to_string().contains("cut off"));
+    std::fs::write(&file, &text[..text.len() / 2]).expect("truncated snapshot written");
+    assert!(Snapshot::read(&file).expect_err("the footer is missing").to_string().contains("cut off"));
 }
 
 #[test]
@@ -241,27 +249,31 @@
     const META: TableDefinition<&str, u64> = TableDefinition::new("meta");
     const TENANTS: TableDefinition<&str, &[u8]> = TableDefinition::new("tenants");
     const AUDIT: TableDefinition<u64, &[u8]> = TableDefinition::new("audit");
-    let dir = tempfile::tempdir().expect("a folder");
+    let dir = tempfile::tempdir().expect("temporary directory created");
     let path = dir.path().join("old.redb");
     let entry = create(&TenantSnapshot::default(), "a");
     let write_store = |format: u64| {
-        let database = Database::create(&path).expect("created");
-        let write = database.begin_write().expect("begins");
+        let database = Database::create(&path).expect("database created");
+        let write = database.begin_write().expect("transaction begun");
         {
-            let mut meta = write.open_table(META).expect("a table");
-            meta.insert("format", format).expect("inserted");
-            meta.insert("revision", 1).expect("inserted");
-            let tenant = serde_json::to_vec(&entry.after).expect("json");
-            write.open_table(TENANTS).expect("a table").insert("a", tenant.as_slice()).expect("inserted");
-            let json = serde_json::to_vec(&entry).expect("json");
-            write.open_table(AUDIT).expect("a table").insert(1, json.as_slice()).expect("inserted");
+            let mut meta = write.open_table(META).expect("table opened");
+            meta.insert("format", format).expect("row inserted");
+            meta.insert("revision", 1).expect("row inserted");
+            let tenant = serde_json::to_vec(&entry.after).expect("serialized as JSON");
+            write
+                .open_table(TENANTS)
+                .expect("table opened")
+                .insert("a", tenant.as_slice())
+                .expect("row inserted");
+            let json = serde_json::to_vec(&entry).expect("serialized as JSON");
+            write.open_table(AUDIT).expect("table opened").insert(1, json.as_slice()).expect("row inserted");
         }
-        write.commit().expect("committed");
+        write.commit().expect("the commit succeeds");
     };
     write_store(1);
-    let (store, snapshot) = Store::open(&path).expect("migrated");
+    let (store, snapshot) = Store::open(&path).expect("the store is migrated");
     assert_eq!(snapshot.get("a"), entry.after.as_ref());
-    assert_eq!(store.audit(0, 9, Some("a")).expect("readable"), std::slice::from_ref(&entry));
+    assert_eq!(store.audit(0, 9, Some("a")).expect("audit trail read"), std::slice::from_ref(&entry));
     drop(store);
     assert_eq!(Store::open(&path).expect("opens without another migration").1, snapshot);
     write_store(99);
@@ -272,41 +284,43 @@
 #[test]
 fn failed_change_is_undone_once_the_disk_works_again() {
     let (mut committed, mut failed) = (0, 0);
-    for span in [1, 3, 12] {
+    for failing_operations in [1, 3, 12] {
         for fails_at in 0..40 {
             let disk = FailingDisk::default();
-            let (mut store, mut snapshot) = Store::open_backend(disk.clone()).expect("opens");
+            let (mut store, mut snapshot) = Store::open_backend(disk.clone()).expect("the store opens");
             let first = create(&snapshot, "a");
-            store.commit(&first, None).expect("committed");
-            snapshot.apply(&first).expect("the next revision");
+            store.commit(&first, None).expect("the commit succeeds");
+            snapshot.apply(&first).expect("the entry has the next revision");
             {
                 let mut state = disk.state();
                 let from = state.operations + fails_at;
-                (state.fails_at, state.works_at) = (Some(from), Some(from + span));
+                (state.fails_at, state.works_at) = (Some(from), Some(from + failing_operations));
             }
             let in_doubt = create(&snapshot, "b");
             match store.commit(&in_doubt, Some(("k", &stored_response(in_doubt.revision)))) {
                 Ok(()) => {
                     committed += 1;
-                    snapshot.apply(&in_doubt).expect("the next revision");
+                    snapshot.apply(&in_doubt).expect("the entry has the next revision");
                 }
                 Err(_) => failed += 1,
             }
             // The disk works again.
             (disk.state().fails_at, disk.state().works_at) = (None, None);
             let later = create(&snapshot, "c");
-            store.commit(&later, None).unwrap_or_else(|e| panic!("span {span}, fails at {fails_at}: {e}"));
-            snapshot.apply(&later).expect("the next revision");
-            let has_response = store.idempotent_response("k").expect("readable").is_some();
+            store
+                .commit(&later, None)
+                .unwrap_or_else(|e| panic!("{failing_operations} operations fail from {fails_at} on: {e}"));
+            snapshot.apply(&later).expect("the entry has the next revision");
+            let has_response = store.idempotent_response("k").expect("the responses can be read").is_some();
             drop(store);
-            let (store, found) = Store::open_backend(disk.clone()).expect("opens again");
-            assert_eq!(found, snapshot, "span {span}, fails at {fails_at}");
+            let (store, found) = Store::open_backend(disk.clone()).expect("the store opens again");
+            assert_eq!(found, snapshot, "{failing_operations} operations fail from {fails_at} on");
             assert_eq!(
                 has_response,
                 snapshot.tenants().len() == 3,
                 "a response is stored only with its change"
             );
-            assert_eq!(store.audit(0, 9, None).expect("readable").len(), snapshot.tenants().len());
+            assert_eq!(store.audit(0, 9, None).expect("audit trail read").len(), snapshot.tenants().len());
         }
     }
     assert!(committed > 0 && failed > 0, "{committed} committed, {failed} failed");
