--- a/crates/tenancy/src/audit.rs
+++ b/crates/tenancy/src/audit.rs
@@ -17,7 +17,7 @@
     Suspend,
     /// The tenant was resumed.
     Resume,
-    /// The removal of the tenant was requested; its grace period began.
+    /// The removal of the tenant was requested, and its grace period began.
     Remove,
     /// The tenant was removed at the end of its grace period.
     Gone,
@@ -26,7 +26,7 @@
 /// One change, with the tenant before and after it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Revision of the snapshot after the change.
+    /// Revision of the tenant snapshot after the change.
     pub revision: Revision,
     /// Time of the change by the leader's wall clock, which may step. Only revisions order the entries.
     pub at_ms: Millis,
@@ -85,11 +85,11 @@
 fn rights_withdrawn(before: Option<&[String]>, after: Option<&[String]>) -> bool {
     let Some(after) = after else { return false };
     let Some(before) = before else { return true };
-    let covers = |right: &String, old: &String| match right.strip_suffix('*') {
+    let covers = |new: &String, old: &String| match new.strip_suffix('*') {
         Some(prefix) => old.trim_end_matches('*').starts_with(prefix),
-        None => right == old,
+        None => new == old,
     };
-    before.iter().any(|old| !after.iter().any(|right| covers(right, old)))
+    before.iter().any(|old| !after.iter().any(|new| covers(new, old)))
 }
 
 #[cfg(test)]
--- a/crates/tenancy/src/idempotency.rs
+++ b/crates/tenancy/src/idempotency.rs
@@ -12,10 +12,10 @@
     pub fingerprint: u64,
     /// HTTP status of the response.
     pub status: u16,
-    /// Revision of the snapshot after the request.
+    /// Revision of the tenant snapshot after the request.
     pub revision: Revision,
     /// Body of the response.
     pub body: String,
-    /// Time at which the request was accepted.
+    /// Time at which the request was accepted, by the leader's wall clock.
     pub at_ms: Millis,
 }
--- a/crates/tenancy/src/lib.rs
+++ b/crates/tenancy/src/lib.rs
@@ -6,7 +6,7 @@
 //! * [`model`]: a tenant with its limits and rights, as it is stored and sent.
 //! * [`validation`]: the bounds of configured values. Each error names its field.
 //! * [`snapshot`]: all tenants at one revision. A change is applied completely or rejected.
-//! * [`replication`]: a snapshot that follows the one of another controller.
+//! * [`replication`]: a replica of the snapshot of another controller.
 //! * [`idempotency`]: stored responses to requests with an idempotency key.
 //! * [`audit`]: who changed what and when, with the tenant before and after the change.
 
@@ -25,7 +25,8 @@
 pub use snapshot::{Applied, Change, Condition, Denied, TenantSnapshot};
 pub use validation::FieldError;
 
-/// The sequence number of a change, incremented by one with each change; 0 before the first.
+/// The sequence number of a change: 1 for the first one, incremented by one with each further change. A
+/// snapshot without changes has revision 0.
 pub type Revision = u64;
 /// Milliseconds since the Unix epoch by the leader's wall clock, which may step.
 pub type Millis = u64;
--- a/crates/tenancy/src/model.rs
+++ b/crates/tenancy/src/model.rs
@@ -15,7 +15,7 @@
     pub limits: Limits,
     /// Additional limits by class name. A call must satisfy these and `limits`.
     pub classes: BTreeMap<String, ClassLimits>,
-    /// Weight relative to other tenants in the scheduling of held calls; `None` stands for 1.
+    /// Weight of the tenant when a full queue of held calls is divided among tenants. `None` stands for 1.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub weight: Option<f64>,
     /// Models that the tenant may call: names, or prefixes followed by `*`. `None` allows all models.
@@ -30,19 +30,21 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limits {
-    /// Accepted calls per second.
+    /// Maximum rate of accepted calls, per second.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub rate_per_second: Option<f64>,
-    /// Calls accepted at once beyond the rate. The default is the calls of a tenth of a second, at least 1.
+    /// Maximum number of calls that are accepted at the same time. The default is the number of calls that
+    /// the rate allows in a tenth of a second, but at least 1.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub burst: Option<u32>,
-    /// Concurrent calls without a final answer.
+    /// Maximum number of open calls: accepted calls without a final response.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub open_calls: Option<u32>,
-    /// Concurrent open calls that are not assigned to a worker.
+    /// Maximum number of held calls: open calls that wait for a worker.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub held_calls: Option<u32>,
-    /// Total memory in bytes of the models in use: those with an open call or a call within the last minute.
+    /// Maximum memory in bytes of the models in use: those with an open call or one that ended within the
+    /// last minute.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub loaded_memory_bytes: Option<u64>,
     /// Maximum share of the fleet's running calls while calls of other tenants are held, above 0 and at most 1.
@@ -54,24 +56,25 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ClassLimits {
-    /// Accepted calls per second.
+    /// Maximum rate of accepted calls, per second.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub rate_per_second: Option<f64>,
-    /// Calls accepted at once beyond the rate, with the default of [`Limits::burst`].
+    /// Maximum number of calls that are accepted at the same time, with the same default as
+    /// [`Limits::burst`].
     #[serde(skip_serializing_if = "Option::is_none")]
     pub burst: Option<u32>,
-    /// Concurrent calls without a final answer.
+    /// Maximum number of open calls: accepted calls without a final response.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub open_calls: Option<u32>,
 }
 
-/// The state of a tenant.
+/// The state of a tenant, which decides whether its calls are accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum State {
     /// New calls are accepted.
     Active,
-    /// New calls are rejected; open calls continue.
+    /// New calls are rejected. Open calls continue.
     Suspended,
     /// New calls are rejected. When the grace period ends, open calls are ended and the tenant is removed.
     Removing,
@@ -88,12 +91,12 @@
     pub revision: Revision,
     /// Whether calls are accepted, and whether the tenant is being removed.
     pub state: State,
-    /// End of the grace period; set while the tenant is being removed.
+    /// End of the grace period. Set only while the tenant is being removed.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub gone_at_ms: Option<Millis>,
-    /// Time of creation.
+    /// Time at which the tenant was created.
     pub created_ms: Millis,
-    /// Limits, rights, weight and note.
+    /// The configuration: limits, rights, weight and note.
     #[serde(flatten)]
     pub spec: Spec,
 }
@@ -101,10 +104,10 @@
 impl Spec {
     /// Returns whether the tenant has the right to call this model.
     pub fn may_call(&self, model: &str) -> bool {
-        let matches = |right: &String| match right.strip_suffix('*') {
+        let matches = |pattern: &String| match pattern.strip_suffix('*') {
             Some(prefix) => model.starts_with(prefix),
-            None => right == model,
+            None => pattern == model,
         };
-        self.models.as_ref().is_none_or(|all| all.iter().any(matches))
+        self.models.as_ref().is_none_or(|patterns| patterns.iter().any(matches))
     }
 }
--- a/crates/tenancy/src/replication.rs
+++ b/crates/tenancy/src/replication.rs
@@ -6,20 +6,22 @@
 use crate::snapshot::TenantSnapshot;
 use crate::{Millis, Revision};
 
-/// Upper bound of the delay after the first failure, in milliseconds. It doubles with each further failure.
+/// Upper bound of the delay after the first failure, in milliseconds. The bound doubles with each further
+/// failure.
 pub const INITIAL_BACKOFF: Millis = 100;
 /// Maximum delay after a failure, in milliseconds.
 pub const MAX_BACKOFF: Millis = 10_000;
 
-/// A request to the controller whose snapshot is replicated.
+/// A request to the other controller, whose snapshot is replicated.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ReplicationRequest {
     /// Requests the complete snapshot.
     Snapshot,
-    /// Requests the entries after a revision. The other controller may delay the response until there is one.
+    /// Requests the entries after a revision. The other controller may delay the response until there are
+    /// any.
     Watch {
-        /// Name of the store that the revision belongs to. A store that was created anew has another name, and its
-        /// revisions can't be compared with those of the former one.
+        /// Name of the store that the revision belongs to. Revisions of different stores can't be compared,
+        /// and a store that is created anew gets another name.
         store: String,
         /// Revision of the replica.
         after: Revision,
@@ -38,14 +40,14 @@
     },
     /// The entries after the requested revision, in order. An empty list means that nothing has changed.
     Entries(Vec<Entry>),
-    /// The other controller cannot send the entries: it has another store, has deleted them already, or is at an
+    /// The other controller can't send the entries: it has another store, no longer has them, or is at an
     /// earlier revision.
     Diverged,
     /// No response was received, or an invalid one.
     Failed,
 }
 
-/// A change of the replica that the caller has to put in force, in order.
+/// A change of the replica. The caller applies the changes to its own state in the same order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Update {
     /// One tenant changed.
@@ -58,13 +60,14 @@
 #[derive(Clone, Debug)]
 pub struct Backoff {
     failures: u32,
-    random: u64,
+    /// State of the random number generator; never 0.
+    random_state: u64,
 }
 
 impl Backoff {
     /// Creates a backoff without failures. `seed` determines the jitter.
     pub fn new(seed: u64) -> Self {
-        Self { failures: 0, random: seed | 1 }
+        Self { failures: 0, random_state: seed | 1 }
     }
 
     /// Returns the number of consecutive failures.
@@ -81,10 +84,10 @@
 
     /// Xorshift generator. The jitter spreads the retries of followers that lost the same peer.
     fn next_random(&mut self) -> u64 {
-        self.random ^= self.random << 13;
-        self.random ^= self.random >> 7;
-        self.random ^= self.random << 17;
-        self.random
+        self.random_state ^= self.random_state << 13;
+        self.random_state ^= self.random_state >> 7;
+        self.random_state ^= self.random_state << 17;
+        self.random_state
     }
 
     /// Resets the number of consecutive failures.
@@ -101,6 +104,7 @@
     /// Whether the next request is for the complete snapshot.
     needs_snapshot: bool,
     backoff: Backoff,
+    /// Earliest time of the next request.
     not_before: Millis,
 }
 
@@ -133,7 +137,7 @@
         (request, self.not_before)
     }
 
-    /// Returns the number of consecutive failures.
+    /// Returns the number of consecutive requests that failed or showed that the replica has diverged.
     pub fn failures(&self) -> u32 {
         self.backoff.failures()
     }
@@ -161,9 +165,9 @@
             }
             ReplicationResponse::Diverged => {
                 self.needs_snapshot = true;
-                self.wait(now);
+                self.back_off(now);
             }
-            ReplicationResponse::Failed => self.wait(now),
+            ReplicationResponse::Failed => self.back_off(now),
         }
     }
 
@@ -184,7 +188,7 @@
         }
     }
 
-    fn wait(&mut self, now: Millis) {
+    fn back_off(&mut self, now: Millis) {
         self.not_before = now.saturating_add(self.backoff.next_delay());
     }
 }
--- a/crates/tenancy/src/snapshot.rs
+++ b/crates/tenancy/src/snapshot.rs
@@ -1,6 +1,7 @@
-//! All tenants at one revision. A change is evaluated against the snapshot and either applied completely or rejected
-//! without effect. An applied change is described by one [`Entry`]. Applying the same entries in order to equal
-//! snapshots yields equal snapshots, which is how controllers replicate. The caller stores and sends the entries.
+//! All tenants at one revision. A change is evaluated against the snapshot and either applied completely or
+//! rejected without effect. An applied change is described by one [`Entry`]. Applying the same entries in
+//! order to equal snapshots yields equal snapshots, so controllers replicate a snapshot by its entries. The
+//! caller stores and sends the entries.
 
 use std::collections::BTreeMap;
 
@@ -133,7 +134,8 @@
 pub const MAX_TENANTS: usize = 20_000;
 
 impl TenantSnapshot {
-    /// Returns the CRC-32 of the snapshot's JSON, in which tenants are sorted by name.
+    /// Returns the CRC-32 of the snapshot's JSON. As the JSON has the tenants sorted by name, equal snapshots
+    /// have equal checksums.
     pub fn checksum(&self) -> u32 {
         crc32fast::hash(&serde_json::to_vec(self).unwrap_or_default())
     }
@@ -257,11 +259,12 @@
         Applied { tenant, entry: Some(entry) }
     }
 
-    /// Returns the entry that removes a tenant whose grace period has ended, to be applied by the caller; `None` if
-    /// there is none. If the wall clock steps, a grace period still ends only once the clock reads its end or later.
+    /// Returns the entry that removes a tenant whose grace period has ended, or `None` if there is no such
+    /// tenant. The caller stores and applies the entry. `now` may step: a grace period ends once `now` is at
+    /// or past its end.
     pub fn due_removal(&self, now: Millis) -> Option<Entry> {
-        let over = |t: &&Tenant| t.gone_at_ms.is_some_and(|at| at <= now);
-        let tenant = self.tenants.values().find(over)?.clone();
+        let grace_period_ended = |t: &&Tenant| t.gone_at_ms.is_some_and(|at| at <= now);
+        let tenant = self.tenants.values().find(grace_period_ended)?.clone();
         self.entry(Action::Gone, PROGRAM_ACTOR, now, Some(tenant), None).entry
     }
 
--- a/crates/tenancy/src/validation.rs
+++ b/crates/tenancy/src/validation.rs
@@ -25,7 +25,7 @@
 pub struct FieldError {
     /// Path of the field from the outermost object, such as `limits.burst` or `models[2]`.
     pub field: String,
-    /// What is wrong with the value, or which values are valid.
+    /// Which values are valid, or why this one is not.
     pub message: String,
 }
 
@@ -46,8 +46,9 @@
     if valid_first && name.len() <= MAX_NAME_LENGTH && name.chars().all(valid) {
         return Ok(());
     }
-    let what = format!("1 to {MAX_NAME_LENGTH} letters, digits, '-', '_' and '.', a letter or digit first");
-    Err(FieldError::new("name", what))
+    let expected =
+        format!("1 to {MAX_NAME_LENGTH} letters, digits, '-', '_' and '.', a letter or digit first");
+    Err(FieldError::new("name", expected))
 }
 
 /// Deserializes and validates the configuration of a tenant.
@@ -59,11 +60,11 @@
         let path = error.path().to_string();
         FieldError::new(if path == "." { "the body".to_owned() } else { path }, error.inner().to_string())
     })?;
-    check(&spec)?;
+    check_spec(&spec)?;
     Ok(spec)
 }
 
-fn rate(field: &str, rate: Option<f64>, burst: Option<u32>) -> Result<(), FieldError> {
+fn check_rate(field: &str, rate: Option<f64>, burst: Option<u32>) -> Result<(), FieldError> {
     if rate.is_some_and(|r| !(0.0..=MAX_RATE).contains(&r)) {
         return Err(FieldError::new(format!("{field}.rate_per_second"), format!("from 0 to {MAX_RATE}")));
     }
@@ -79,8 +80,8 @@
     Ok(())
 }
 
-fn check(spec: &Spec) -> Result<(), FieldError> {
-    rate("limits", spec.limits.rate_per_second, spec.limits.burst)?;
+fn check_spec(spec: &Spec) -> Result<(), FieldError> {
+    check_rate("limits", spec.limits.rate_per_second, spec.limits.burst)?;
     if spec.limits.fleet_share.is_some_and(|s| !(s > 0.0 && s <= 1.0)) {
         return Err(FieldError::new("limits.fleet_share", "above 0, at most 1"));
     }
@@ -88,7 +89,7 @@
         return Err(FieldError::new("classes", format!("at most {MAX_CLASSES}")));
     }
     for (class, limits) in &spec.classes {
-        rate(&format!("classes.{class}"), limits.rate_per_second, limits.burst)?;
+        check_rate(&format!("classes.{class}"), limits.rate_per_second, limits.burst)?;
     }
     if spec.weight.is_some_and(|w| !(1.0 / MAX_WEIGHT..=MAX_WEIGHT).contains(&w)) {
         return Err(FieldError::new("weight", format!("from {} to {MAX_WEIGHT}", 1.0 / MAX_WEIGHT)));
@@ -107,8 +108,8 @@
             || inner_star
             || model.contains(char::is_control)
         {
-            let what = format!("1 to {MAX_MODEL_LENGTH} characters, with * at the end alone");
-            return Err(FieldError::new(format!("models[{index}]"), what));
+            let expected = format!("1 to {MAX_MODEL_LENGTH} characters, with * at the end alone");
+            return Err(FieldError::new(format!("models[{index}]"), expected));
         }
     }
     Ok(())
--- a/crates/tenancy/tests/golden.rs
+++ b/crates/tenancy/tests/golden.rs
@@ -10,7 +10,7 @@
 fn tenants_of_earlier_versions_are_read_and_written_alike() {
     for text in [FULL, BARE, REMOVING] {
         let tenant: Tenant = serde_json::from_str(text).unwrap_or_else(|error| panic!("{error}: {text}"));
-        assert_eq!(serde_json::to_string(&tenant).expect("JSON"), text);
+        assert_eq!(serde_json::to_string(&tenant).expect("serialized as JSON"), text);
     }
 }
 
@@ -32,6 +32,6 @@
             side("after", after)
         );
         let entry: Entry = serde_json::from_str(&text).unwrap_or_else(|error| panic!("{error}: {text}"));
-        assert_eq!(serde_json::to_string(&entry).expect("JSON"), text);
+        assert_eq!(serde_json::to_string(&entry).expect("serialized as JSON"), text);
     }
 }
--- a/crates/tenancy/tests/replication.rs
+++ b/crates/tenancy/tests/replication.rs
@@ -27,11 +27,11 @@
         if let Ok(applied) = self.snapshot.evaluate(&change, Condition::Any, "p", n)
             && let Some(entry) = applied.entry
         {
-            self.snapshot.apply(&entry).expect("the entry is the next");
+            self.snapshot.apply(&entry).expect("the entry has the next revision");
             self.audit_trail.push(entry);
         }
         while let Some(entry) = self.snapshot.due_removal(n) {
-            self.snapshot.apply(&entry).expect("the entry is the next");
+            self.snapshot.apply(&entry).expect("the entry has the next revision");
             self.audit_trail.push(entry);
         }
     }
@@ -53,11 +53,11 @@
     }
 }
 
-/// Applies the follower's updates to the snapshot that is in force.
+/// Applies the follower's updates to the snapshot that the controller enforces.
 fn apply(in_force: &mut TenantSnapshot, updates: &mut Vec<Update>) {
     for update in updates.drain(..) {
         match update {
-            Update::Changed(entry) => in_force.apply(&entry).expect("in order, none left out"),
+            Update::Changed(entry) => in_force.apply(&entry).expect("the updates are in order and complete"),
             Update::Replaced(snapshot) => *in_force = snapshot,
         }
     }
@@ -73,16 +73,16 @@
     follower.response_received(0, peer.response(ReplicationRequest::Snapshot, 9), &mut updates);
     apply(&mut in_force, &mut updates);
     assert_eq!(in_force, peer.snapshot);
-    let mut waits = Vec::new();
+    let mut delays = Vec::new();
     for _ in 0..12 {
         follower.response_received(1_000, ReplicationResponse::Failed, &mut updates);
-        waits.push(follower.next().1 - 1_000);
+        delays.push(follower.next().1 - 1_000);
     }
     assert!(
-        waits[0] <= 100 && waits.iter().all(|w| *w <= MAX_BACKOFF) && waits[11] >= MAX_BACKOFF / 2,
-        "{waits:?}"
+        delays[0] <= 100 && delays.iter().all(|delay| *delay <= MAX_BACKOFF) && delays[11] >= MAX_BACKOFF / 2,
+        "{delays:?}"
     );
-    // The peer has another store, whose changes have the same revision numbers as those that were replicated.
+    // The peer restarts with another store, in which the same revision numbers stand for other changes.
     let mut other = Peer { store: "restored", ..Peer::default() };
     (0..20).for_each(|n| other.change(n * 3));
     let (request, _) = follower.next();
@@ -112,7 +112,8 @@
                 2 => follower.response_received(n, ReplicationResponse::Failed, &mut updates),
                 3 => {
                     // The response to an earlier request is received again.
-                    follower.response_received(n, peer.response(ReplicationRequest::Watch { store: String::new(), after: 0 }, limit), &mut updates);
+                    let earlier = ReplicationRequest::Watch { store: String::new(), after: 0 };
+                    follower.response_received(n, peer.response(earlier, limit), &mut updates);
                 }
                 _ => follower.response_received(n, peer.response(request, limit), &mut updates),
             }
--- a/crates/tenancy/tests/snapshot.rs
+++ b/crates/tenancy/tests/snapshot.rs
@@ -11,7 +11,7 @@
 ) -> Result<Applied, Denied> {
     let applied = snapshot.evaluate(&change, condition, "ada", 1_000)?;
     if let Some(entry) = &applied.entry {
-        snapshot.apply(entry).expect("the entry is the next");
+        snapshot.apply(entry).expect("the entry has the next revision");
     }
     Ok(applied)
 }
@@ -28,22 +28,22 @@
 fn merge_patch_changes_the_members_it_names_and_null_removes_one() {
     let mut snapshot = TenantSnapshot::default();
     create(&mut snapshot, "a", json!({"limits": {"rate_per_second": 5, "open_calls": 9}, "models": ["x*"]}))
-        .expect("valid");
+        .expect("the tenant is created");
     let after = patch(&mut snapshot, "a", json!({"limits": {"rate_per_second": null, "held_calls": 2}}))
-        .expect("valid");
+        .expect("the patch is valid");
     let tenant = after.tenant.expect("the tenant exists");
     assert_eq!((tenant.spec.limits.rate_per_second, tenant.spec.limits.open_calls), (None, Some(9)));
     assert_eq!((tenant.spec.limits.held_calls, tenant.revision, tenant.uid), (Some(2), 2, 1));
     assert!(tenant.spec.may_call("xyz") && !tenant.spec.may_call("y"));
     // A patch that makes no difference creates no revision.
-    let same = patch(&mut snapshot, "a", json!({"limits": {"held_calls": 2}})).expect("valid");
+    let same = patch(&mut snapshot, "a", json!({"limits": {"held_calls": 2}})).expect("the patch is valid");
     assert_eq!((same.entry, snapshot.revision()), (None, 2));
 }
 
 #[test]
 fn validation_error_names_its_field() {
     let mut snapshot = TenantSnapshot::default();
-    create(&mut snapshot, "a", json!({})).expect("valid");
+    create(&mut snapshot, "a", json!({})).expect("the tenant is created");
     let invalid_field = |denied: Result<Applied, Denied>| match denied {
         Err(Denied::Invalid(error)) => error.field,
         other => panic!("{other:?}"),
@@ -71,7 +71,7 @@
 #[test]
 fn conditions_and_states_are_enforced() {
     let mut snapshot = TenantSnapshot::default();
-    create(&mut snapshot, "a", json!({})).expect("valid");
+    create(&mut snapshot, "a", json!({})).expect("the tenant is created");
     assert_eq!(create(&mut snapshot, "a", json!({})), Err(Denied::Exists("a".to_owned())));
     assert_eq!(patch(&mut snapshot, "b", json!({})), Err(Denied::Unknown("b".to_owned())));
     let suspend = || Change::Suspend { name: "a".to_owned() };
@@ -82,7 +82,7 @@
     );
     let remove = || Change::Remove { name: "a".to_owned(), grace_ms: 500 };
     let removing = evaluate_and_apply(&mut snapshot, remove(), Condition::Any)
-        .expect("valid")
+        .expect("the removal is valid")
         .tenant
         .expect("the tenant still exists");
     assert_eq!((removing.state, removing.gone_at_ms), (State::Removing, Some(1_500)));
@@ -97,19 +97,19 @@
         Err(Denied::Removing("a".to_owned()))
     );
     assert_eq!((snapshot.due_removal(1_499), snapshot.next_removal()), (None, Some(1_500)));
-    let entry = snapshot.due_removal(1_500).expect("due");
-    snapshot.apply(&entry).expect("the entry is the next");
+    let entry = snapshot.due_removal(1_500).expect("the removal is due");
+    snapshot.apply(&entry).expect("the entry has the next revision");
     assert_eq!((entry.action, snapshot.get("a"), snapshot.next_removal()), (Action::Gone, None, None));
-    let again =
+    let recreated =
         create(&mut snapshot, "a", json!({})).expect("its name is free").tenant.expect("the tenant exists");
-    assert_eq!(again.uid, 5, "another tenant");
+    assert_eq!(recreated.uid, 5, "a new tenant with the name of the removed one");
 }
 
 #[test]
 fn pages_are_sorted_by_name() {
     let mut snapshot = TenantSnapshot::default();
     for name in ["c", "a", "d", "b"] {
-        create(&mut snapshot, name, json!({})).expect("valid");
+        create(&mut snapshot, name, json!({})).expect("the tenant is created");
     }
     let names =
         |after, limit| snapshot.page(after, limit).into_iter().map(|t| t.name.as_str()).collect::<Vec<_>>();
@@ -136,7 +136,7 @@
         for ((change, condition), gap) in changes {
             now += gap;
             while let Some(entry) = snapshot.due_removal(now) {
-                snapshot.apply(&entry).expect("the entry is the next");
+                snapshot.apply(&entry).expect("the entry has the next revision");
                 entries.push(entry);
             }
             let condition = condition.map_or(Condition::Any, Condition::AtRevision);
@@ -145,7 +145,7 @@
                 Ok(applied) => {
                     prop_assert_eq!(&snapshot, &before, "evaluation changes nothing");
                     if let Some(entry) = applied.entry {
-                        snapshot.apply(&entry).expect("the entry is the next");
+                        snapshot.apply(&entry).expect("the entry has the next revision");
                         prop_assert_eq!(entry.before.as_ref(), before.get(&entry.tenant));
                         entries.push(entry);
                     }
@@ -156,12 +156,12 @@
         }
         let mut replayed = TenantSnapshot::default();
         for entry in &entries {
-            replayed.apply(entry).expect("the entry is the next");
+            replayed.apply(entry).expect("the entry has the next revision");
             prop_assert!(replayed.apply(entry).is_err(), "no entry is applied twice");
         }
         prop_assert_eq!(&replayed, &snapshot);
-        let text = serde_json::to_string(&snapshot).expect("json");
-        let back: TenantSnapshot = serde_json::from_str(&text).expect("json");
-        prop_assert_eq!(back, snapshot);
+        let text = serde_json::to_string(&snapshot).expect("serialized as JSON");
+        let parsed: TenantSnapshot = serde_json::from_str(&text).expect("parsed as a snapshot");
+        prop_assert_eq!(parsed, snapshot);
     }
 }
