--- a/crates/wal/src/error.rs
+++ b/crates/wal/src/error.rs
@@ -11,7 +11,7 @@
     /// The payload of a record is longer than [`MAX_PAYLOAD_BYTES`].
     #[error("record of {bytes} bytes is too long: at most {} bytes are allowed", MAX_PAYLOAD_BYTES)]
     TooLong {
-        /// The length of the payload.
+        /// The length of the payload, in bytes.
         bytes: usize,
     },
     /// An operation of the storage failed.
--- a/crates/wal/src/record.rs
+++ b/crates/wal/src/record.rs
@@ -4,13 +4,13 @@
 pub use crate::error::MAX_PAYLOAD_BYTES;
 use crate::error::WalError;
 
-/// Length of the header that precedes the payload.
+/// Length of the header that precedes the payload, in bytes.
 pub const HEADER_BYTES: usize = 9;
 
 const DATA_CODE: u8 = 1;
 const ACK_CODE: u8 = 2;
 
-/// What a record contains.
+/// The kind of a record, which determines what its payload contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RecordKind {
     /// Data of the log's owner.
@@ -45,7 +45,8 @@
         /// The offset of the next record, according to the length of this one.
         next: usize,
     },
-    /// A record that is cut off or has an impossible length. Records after it can't be located.
+    /// A record that is truncated, or whose length exceeds [`MAX_PAYLOAD_BYTES`]. Records after it can't be
+    /// located.
     Torn,
     /// The end of the segment.
     End,
--- a/crates/wal/src/storage.rs
+++ b/crates/wal/src/storage.rs
@@ -11,11 +11,12 @@
     fn list(&self) -> io::Result<Vec<u64>>;
     /// Reads a whole file.
     fn read(&self, number: u64) -> io::Result<Vec<u8>>;
-    /// Appends bytes to a file, which is created if it does not exist. On an error, part of the bytes may be written.
+    /// Appends bytes to a file, which is created if it does not exist. On an error, a part of the bytes may
+    /// have been written.
     fn append(&mut self, number: u64, bytes: &[u8]) -> io::Result<()>;
     /// Truncates a file to a length.
     fn truncate(&mut self, number: u64, length: u64) -> io::Result<()>;
-    /// Removes a file.
+    /// Removes a file with all its records.
     fn remove(&mut self, number: u64) -> io::Result<()>;
     /// Makes all appended bytes of a file durable.
     fn sync(&mut self, number: u64) -> io::Result<()>;
@@ -27,9 +28,10 @@
     file: File,
 }
 
-/// Stores segments as the files `NUMBER.spool` of a directory. The file that was written last stays open.
+/// Stores segments as the files `NUMBER.spool` of a directory. The file that was written last stays open. The
+/// directory itself is not synced.
 pub struct DirectoryStorage {
-    folder: PathBuf,
+    directory: PathBuf,
     open: Option<OpenFile>,
 }
 
@@ -38,13 +40,13 @@
     ///
     /// # Errors
     /// Returns an error if the directory can't be created.
-    pub fn open(folder: PathBuf) -> io::Result<Self> {
-        fs::create_dir_all(&folder)?;
-        Ok(Self { folder, open: None })
+    pub fn open(directory: PathBuf) -> io::Result<Self> {
+        fs::create_dir_all(&directory)?;
+        Ok(Self { directory, open: None })
     }
 
     fn path(&self, number: u64) -> PathBuf {
-        self.folder.join(format!("{number:020}.spool"))
+        self.directory.join(format!("{number:020}.spool"))
     }
 
     /// The file of a segment, which is opened for appending unless it is open already.
@@ -56,14 +58,14 @@
         self.open
             .as_mut()
             .map(|open| &mut open.file)
-            .ok_or_else(|| io::Error::other("the file was just opened"))
+            .ok_or_else(|| io::Error::other(format!("segment file {number} is not open")))
     }
 }
 
 impl SegmentStorage for DirectoryStorage {
     fn list(&self) -> io::Result<Vec<u64>> {
         let mut numbers = Vec::new();
-        for entry in fs::read_dir(&self.folder)? {
+        for entry in fs::read_dir(&self.directory)? {
             let name = entry?.file_name();
             // Files with other names are not segments.
             let number: Option<u64> =
@@ -103,7 +105,8 @@
 pub struct MemoryStorage {
     /// The content of each file, by number.
     pub files: BTreeMap<u64, Vec<u8>>,
-    /// Total bytes that fit; `None` means no limit. As on a real disk, an append that does not fit is written in part.
+    /// Maximum bytes of all files together; `None` for no limit. An append that does not fit is written in
+    /// part, as on a real disk.
     pub capacity: Option<usize>,
     /// Whether all operations that change a file fail.
     pub read_only: bool,
--- a/crates/wal/src/wal.rs
+++ b/crates/wal/src/wal.rs
@@ -35,22 +35,22 @@
     }
 }
 
-/// Counts of records and bytes, including those that recovery found when the log was opened.
+/// Counts since the log was opened, including what its recovery found.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Records appended.
+    /// Data records that were appended.
     pub appended: u64,
-    /// Records acknowledged.
+    /// Records that were acknowledged.
     pub acknowledged: u64,
-    /// Unacknowledged records dropped because of [`Limits::bytes`].
+    /// Unacknowledged records that were dropped because the log reached [`Limits::bytes`].
     pub dropped_full: u64,
     /// Damaged records that recovery skipped.
     pub damaged: u64,
-    /// Bytes of a torn record at the end of the newest segment.
+    /// Bytes from a torn or damaged last record to the end of the newest segment.
     pub torn_bytes: u64,
-    /// Bytes after damage in an older segment, in which no records can be located.
+    /// Bytes from a torn record to the end of an older segment. No records can be located in them.
     pub lost_bytes: u64,
-    /// Appends that failed in the storage.
+    /// Appends of data records or acknowledgements that failed in the storage.
     pub failed_appends: u64,
 }
 
@@ -77,12 +77,12 @@
     unacknowledged: BTreeSet<u64>,
 }
 
-/// A write-ahead log on a storage.
+/// A write-ahead log whose segments are files of the storage `S`.
 pub struct WriteAheadLog<S> {
     storage: S,
     limits: Limits,
     segments: BTreeMap<u64, Segment>,
-    /// The number of the segment that is written to; its file exists only once something was appended.
+    /// The number of the segment that is written to. Its file is created by the first append.
     newest: u64,
     counters: Counters,
     /// Whether part of a failed append may be left at the end of the newest segment.
@@ -90,8 +90,8 @@
 }
 
 impl<S: SegmentStorage> WriteAheadLog<S> {
-    /// Opens a log and recovers its unacknowledged records. A torn record at the end is truncated. Damaged records in the
-    /// middle are skipped and counted.
+    /// Opens a log and recovers its unacknowledged records. A torn record at the end is truncated. Damaged
+    /// records before it are skipped and counted.
     ///
     /// # Errors
     /// Returns an error if the storage fails.
@@ -123,7 +123,7 @@
         Ok((log, Recovered { records: recovered.collect() }))
     }
 
-    /// Reads a segment: its data records are added to `records`, and records that it acknowledges are removed from them.
+    /// Reads a segment. Adds its data records to `records` and removes those that it acknowledges.
     fn scan(
         &mut self,
         number: u64,
@@ -169,7 +169,7 @@
         Ok(())
     }
 
-    /// Counts of records and bytes, including those that recovery found.
+    /// Counts since the log was opened, including what its recovery found.
     pub fn counters(&self) -> Counters {
         self.counters
     }
@@ -179,8 +179,9 @@
         self.segments.values().map(|s| s.bytes).sum()
     }
 
-    /// The number of the segment that is written to. An unacknowledged record in an older segment prevents the removal of
-    /// all segments after it. The owner of the log can append such a record again and acknowledge the old copy.
+    /// The number of the segment that is written to. An unacknowledged record in an older segment prevents
+    /// the removal of all segments after it. To release them, the owner of the log can append the record
+    /// again and acknowledge the old copy.
     pub fn newest_segment(&self) -> u64 {
         self.newest
     }
@@ -208,7 +209,8 @@
     /// Appends a record.
     ///
     /// # Errors
-    /// Returns an error if the payload is too long or the storage fails. The record is not part of the log then.
+    /// Returns an error if the payload is longer than [`record::MAX_PAYLOAD_BYTES`] or the storage fails. The
+    /// record is not part of the log then.
     pub fn append(&mut self, payload: &[u8]) -> Result<Position, WalError> {
         let position = self.write(RecordKind::Data, payload)?;
         self.counters.appended += 1;
@@ -221,7 +223,8 @@
     /// Acknowledges a record. Does nothing if the record was acknowledged or dropped before.
     ///
     /// # Errors
-    /// Returns an error if the storage fails.
+    /// Returns an error if the storage fails. The record counts as acknowledged, but may be recovered when
+    /// the log is opened again.
     pub fn acknowledge(&mut self, position: Position) -> Result<(), WalError> {
         let segment = self.segments.get_mut(&position.segment);
         let removed = segment.is_some_and(|s| s.unacknowledged.remove(&position.offset));
@@ -233,16 +236,17 @@
         payload[..8].copy_from_slice(&position.segment.to_le_bytes());
         payload[8..].copy_from_slice(&position.offset.to_le_bytes());
         // After the last unacknowledged record all segments are removed, so its acknowledgement need not be written.
-        let written = if self.unacknowledged() == 0 {
+        let write_result = if self.unacknowledged() == 0 {
             Ok(())
         } else {
             self.write(RecordKind::Ack, &payload).map(|_| ())
         };
         self.remove_acknowledged_segments()?;
-        written
+        write_result
     }
 
-    /// Makes all previous appends and acknowledgements durable.
+    /// Makes the appends and acknowledgements in the newest segment durable. Those in a segment that was
+    /// closed since the previous sync are not synced.
     ///
     /// # Errors
     /// Returns an error if the storage fails.
@@ -276,7 +280,8 @@
         Ok(Position { segment, offset })
     }
 
-    /// Truncates the bytes that a failed append may have written. Returns false if that fails, too.
+    /// Truncates the bytes that a failed append may have written. Returns false if the truncation fails as
+    /// well.
     fn truncate_failed_append(&mut self) -> bool {
         let length = self.segments.get(&self.newest).map_or(0, |s| s.bytes);
         let truncated = self.storage.truncate(self.newest, length);
@@ -286,7 +291,8 @@
         !self.dirty
     }
 
-    /// Drops the oldest segments, with their unacknowledged records, until `additional` bytes fit.
+    /// Drops the oldest segments, with their unacknowledged records, until `additional` bytes fit within
+    /// [`Limits::bytes`].
     fn drop_oldest_segments(&mut self, additional: u64) -> Result<(), WalError> {
         while self.bytes() + additional > self.limits.bytes {
             let Some((&oldest, segment)) = self.segments.first_key_value() else { break };
--- a/crates/wal/tests/wal.rs
+++ b/crates/wal/tests/wal.rs
@@ -10,7 +10,7 @@
 }
 
 fn open(storage: MemoryStorage) -> (WriteAheadLog<MemoryStorage>, Vec<RecoveredRecord>) {
-    let (log, recovered) = WriteAheadLog::open(storage, limits()).expect("opens");
+    let (log, recovered) = WriteAheadLog::open(storage, limits()).expect("the log opens");
     (log, recovered.records)
 }
 
@@ -22,7 +22,7 @@
 /// A log with ten records of 100 bytes; record `n` consists of the byte `n`.
 fn log_of_ten_records() -> (WriteAheadLog<MemoryStorage>, Vec<Position>) {
     let (mut log, _) = open(MemoryStorage::default());
-    let positions = (0..10).map(|n| log.append(&[n; 100]).expect("appended")).collect();
+    let positions = (0..10).map(|n| log.append(&[n; 100]).expect("the append succeeds")).collect();
     (log, positions)
 }
 
@@ -30,7 +30,7 @@
 fn unacknowledged_records_are_recovered_in_order() {
     let (mut log, positions) = log_of_ten_records();
     for n in [0, 1, 4, 7] {
-        log.acknowledge(positions[n]).expect("appended");
+        log.acknowledge(positions[n]).expect("the acknowledgement succeeds");
     }
     let (log, found) = open(log.into_storage());
     assert_eq!(first_bytes(&found), [2, 3, 5, 6, 8, 9]);
@@ -42,7 +42,7 @@
 fn acknowledged_segments_are_removed() {
     let (mut log, positions) = log_of_ten_records();
     for position in &positions {
-        log.acknowledge(*position).expect("appended");
+        log.acknowledge(*position).expect("the acknowledgement succeeds");
         log.acknowledge(*position).expect("a second acknowledgement is ignored");
     }
     assert_eq!((log.bytes(), log.unacknowledged(), log.counters().acknowledged), (0, 0, 10));
@@ -55,7 +55,7 @@
 fn size_limit_drops_the_oldest_records_and_counts_them() {
     let (mut log, _) = open(MemoryStorage::default());
     for n in 0..100 {
-        log.append(&[n; 100]).expect("appended");
+        log.append(&[n; 100]).expect("the append succeeds");
         assert!(log.bytes() <= limits().bytes);
     }
     let dropped = log.counters().dropped_full;
@@ -69,16 +69,16 @@
 fn torn_tail_is_truncated_after_the_last_valid_record() {
     let (log, _) = log_of_ten_records();
     let intact = log.into_storage();
-    let newest = *intact.files.keys().last().expect("there");
+    let newest = *intact.files.keys().last().expect("the log has a segment");
     let length = intact.files[&newest].len();
     for cut in 1..109 {
         let mut storage = intact.clone();
-        storage.files.get_mut(&newest).expect("there").truncate(length - cut);
+        storage.files.get_mut(&newest).expect("the newest segment exists").truncate(length - cut);
         let (mut log, found) = open(storage);
         assert_eq!(first_bytes(&found), (0..9).collect::<Vec<u8>>(), "cut {cut}");
         assert_eq!(log.counters().torn_bytes, 109 - cut as u64);
         // The log accepts appends, and the truncated record is never recovered.
-        log.append(&[42; 100]).expect("appended");
+        log.append(&[42; 100]).expect("the append succeeds");
         let (_, found) = open(log.into_storage());
         assert_eq!(found.len(), 10);
         assert_eq!(found[9].payload[0], 42);
@@ -93,8 +93,8 @@
     assert!(matches!(log.append(&[77; 100]), Err(WalError::Io(_))));
     assert_eq!(log.counters().failed_appends, 1);
     log.storage().capacity = None;
-    log.append(&[78; 100]).expect("appended");
-    log.acknowledge(positions[0]).expect("appended");
+    log.append(&[78; 100]).expect("the append succeeds");
+    log.acknowledge(positions[0]).expect("the acknowledgement succeeds");
     let (log, found) = open(log.into_storage());
     assert_eq!(first_bytes(&found), [1, 2, 3, 4, 5, 6, 7, 8, 9, 78], "the failed record is not recovered");
     assert_eq!(log.counters(), Counters::default(), "nothing is damaged");
@@ -113,18 +113,18 @@
 
 #[test]
 fn directory_storage_persists_records() {
-    let folder = tempfile::tempdir().expect("a folder");
+    let parent = tempfile::tempdir().expect("temporary directory created");
     let open = || {
-        WriteAheadLog::open(DirectoryStorage::open(folder.path().join("spool")).expect("created"), limits())
-            .expect("opens")
+        let storage = DirectoryStorage::open(parent.path().join("spool")).expect("directory created");
+        WriteAheadLog::open(storage, limits()).expect("the log opens")
     };
     let (mut log, _) = open();
-    let first = log.append(b"one").expect("appended");
-    log.append(b"two").expect("appended");
-    log.acknowledge(first).expect("appended");
-    log.sync().expect("durable");
+    let first = log.append(b"one").expect("the append succeeds");
+    log.append(b"two").expect("the append succeeds");
+    log.acknowledge(first).expect("the acknowledgement succeeds");
+    log.sync().expect("the sync succeeds");
     drop(log);
-    std::fs::write(folder.path().join("spool/notes.txt"), "not a segment").expect("written");
+    std::fs::write(parent.path().join("spool/notes.txt"), "not a segment").expect("other file written");
     let (_, found) = open();
     assert_eq!(
         found.records.iter().map(|record| record.payload.clone()).collect::<Vec<_>>(),
@@ -135,7 +135,8 @@
 #[test]
 fn oversized_record_is_rejected() {
     let (mut log, _) = open(MemoryStorage::default());
-    let error = log.append(&vec![0; record::MAX_PAYLOAD_BYTES + 1]).expect_err("too long").to_string();
+    let error =
+        log.append(&vec![0; record::MAX_PAYLOAD_BYTES + 1]).expect_err("the payload is too long").to_string();
     assert!(error.contains("at most 1048576"), "{error}");
 }
 
@@ -148,15 +149,15 @@
         let mut position = at.index(sizes.iter().map(|s| s.1).sum());
         for (number, size) in sizes {
             if position < size {
-                storage.files.get_mut(&number).expect("there")[position] ^= 1 << bit;
+                storage.files.get_mut(&number).expect("the segment exists")[position] ^= 1 << bit;
                 break;
             }
             position -= size;
         }
         let (log, found) = open(storage);
-        let c = log.counters();
-        prop_assert!(found.len() < 10 && found.len() >= 7, "{} are left", found.len());
-        prop_assert!(c.damaged + c.torn_bytes + c.lost_bytes > 0, "lost records are counted");
+        let counters = log.counters();
+        prop_assert!(found.len() < 10 && found.len() >= 7, "{} of 10 records recovered", found.len());
+        prop_assert!(counters.damaged + counters.torn_bytes + counters.lost_bytes > 0, "lost records are counted");
         for RecoveredRecord { payload, .. } in &found {
             prop_assert!(payload.len() == 100 && payload.iter().all(|b| *b == payload[0]));
         }
@@ -164,9 +165,11 @@
     }
 
     #[test]
-    fn random_segment_content_never_panics(files in prop::collection::btree_map(0u64..5, prop::collection::vec(any::<u8>(), 0..300), 0..4)) {
+    fn random_segment_content_never_panics(
+        files in prop::collection::btree_map(0u64..5, prop::collection::vec(any::<u8>(), 0..300), 0..4),
+    ) {
         let (mut log, _) = open(MemoryStorage { files, ..MemoryStorage::default() });
-        log.append(b"x").expect("appended");
+        log.append(b"x").expect("the append succeeds");
     }
 
     #[test]
@@ -175,32 +178,32 @@
     ) {
         let (mut log, _) = open(MemoryStorage::default());
         let mut model: BTreeMap<Position, Vec<u8>> = BTreeMap::new();
-        let mut count = 0u32;
+        let mut appended = 0u32;
         for (action, pick) in steps {
             match action {
                 0..6 => {
-                    count += 1;
-                    let payload = count.to_le_bytes().to_vec();
-                    let before = log.counters().dropped_full;
-                    let position = log.append(&payload).expect("appended");
+                    appended += 1;
+                    let payload = appended.to_le_bytes().to_vec();
+                    let dropped_before = log.counters().dropped_full;
+                    let position = log.append(&payload).expect("the append succeeds");
                     // The size limit drops the oldest records.
-                    for _ in before..log.counters().dropped_full {
+                    for _ in dropped_before..log.counters().dropped_full {
                         model.pop_first();
                     }
                     model.insert(position, payload);
                 }
                 6..9 if !model.is_empty() => {
-                    let position = *model.keys().nth(pick.index(model.len())).expect("there");
-                    let before = log.counters().dropped_full;
-                    log.acknowledge(position).expect("appended");
+                    let position = *model.keys().nth(pick.index(model.len())).expect("the index is within the model");
+                    let dropped_before = log.counters().dropped_full;
+                    log.acknowledge(position).expect("the acknowledgement succeeds");
                     model.remove(&position);
-                    for _ in before..log.counters().dropped_full {
+                    for _ in dropped_before..log.counters().dropped_full {
                         model.pop_first();
                     }
                 }
                 _ => {
-                    let (next, found) = open(log.into_storage());
-                    log = next;
+                    let (reopened, found) = open(log.into_storage());
+                    log = reopened;
                     prop_assert_eq!(&found.into_iter().map(|record| (record.position, record.payload)).collect::<BTreeMap<_, _>>(), &model);
                 }
             }
