--- a/crates/admission/src/account.rs
+++ b/crates/admission/src/account.rs
@@ -8,8 +8,8 @@
 use crate::policy::{Policy, RateLimit};
 use crate::verdict::{RejectReason, Rejection};
 
-/// A model counts toward its tenant's memory limit until this long after its last open call has ended, in
-/// microseconds.
+/// Time in microseconds for which a model still counts toward its tenant's memory limit after its last open
+/// call has ended.
 pub const MODEL_IDLE_TIMEOUT: Micros = 60_000_000;
 
 /// A call to be checked for admission.
@@ -43,9 +43,9 @@
 /// Whether the limits that depend on the other tenants admit one more call of a tenant.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SharedLimits {
-    /// One more waiting call is within the tenant's share of the queue.
+    /// Whether one more waiting call is within the tenant's share of the queue.
     pub(crate) within_queue_share: bool,
-    /// The tenant is within its share of the running calls, or no other tenant has calls waiting.
+    /// Whether the tenant is within its share of the running calls, or no other tenant has calls waiting.
     pub(crate) within_fleet_share: bool,
 }
 
@@ -61,6 +61,7 @@
 struct ModelUse {
     memory: u64,
     open: u32,
+    /// Time at which the last call ended, or at which the first one was admitted if none has ended.
     last_used: Micros,
 }
 
@@ -76,8 +77,9 @@
     pub(crate) counters: Counters,
 }
 
-/// The rate limiter for a new limit. An existing limiter is adapted, so that calls it has admitted still count.
-fn limiter(current: Option<Gcra>, limit: Option<RateLimit>) -> Option<Gcra> {
+/// Returns the rate limiter for a new limit. An existing limiter is adapted, so that calls it has admitted
+/// still count.
+fn update_limiter(current: Option<Gcra>, limit: Option<RateLimit>) -> Option<Gcra> {
     let limit = limit?;
     Some(match current {
         Some(mut current) => {
@@ -90,14 +92,14 @@
 
 impl Account {
     pub(crate) fn set_policy(&mut self, policy: Policy) {
-        self.rate = limiter(self.rate.take(), policy.limits.rate);
+        self.rate = update_limiter(self.rate.take(), policy.limits.rate);
         for class in self.classes.values_mut() {
             (class.open_limit, class.rate) = (None, None);
         }
         for (class, limits) in &policy.classes {
             let account = self.classes.entry(*class).or_default();
             account.open_limit = limits.open;
-            account.rate = limiter(account.rate.take(), limits.rate);
+            account.rate = update_limiter(account.rate.take(), limits.rate);
         }
         self.policy = policy;
     }
@@ -114,7 +116,7 @@
         }
     }
 
-    /// Number of calls that wait for a worker.
+    /// Number of held calls: open calls that wait for a worker.
     pub(crate) fn held(&self) -> u32 {
         self.counters.open - self.counters.running
     }
@@ -124,7 +126,7 @@
         self.classes.iter().map(|(class, account)| (*class, account.open))
     }
 
-    /// Removes models that have been idle for [`MODEL_IDLE_TIMEOUT`] from the tenant's memory.
+    /// Stops counting models that have been idle for [`MODEL_IDLE_TIMEOUT`] toward the tenant's memory limit.
     pub(crate) fn expire_idle_models(&mut self, now: Micros) {
         while let Some(&(last_used, model)) = self.idle_models.first()
             && last_used + MODEL_IDLE_TIMEOUT <= now
--- a/crates/admission/src/admission.rs
+++ b/crates/admission/src/admission.rs
@@ -4,12 +4,12 @@
 //! Limits on the number of calls are checked before rates, and rates are charged only when all other limits admit the
 //! call. A rejected call therefore costs its tenant nothing.
 //!
-//! Fairness: calls that wait for a worker share a queue of bounded length. While the queue is full, a tenant may have
-//! as many calls waiting as its weighted share of the queue among the tenants with waiting calls, and at least one.
-//! Tenants with few waiting calls are thus admitted, while a tenant that fills the queue is rejected even if its burst
-//! of calls stays within its rate. Since a tenant's first waiting call is admitted to a full queue, with many tenants
-//! more calls can wait than the queue's length. A tenant's share of the running calls is enforced only while another
-//! tenant has calls waiting.
+//! Fairness: calls that wait for a worker share a queue of bounded capacity. While the queue is full, a
+//! tenant may have as many calls waiting as its weighted share of the queue among the tenants with waiting
+//! calls, and at least one. Tenants with few waiting calls are thus admitted, while a tenant that fills the
+//! queue is rejected even if its burst of calls stays within its rate. Since a tenant's first waiting call is
+//! admitted to a full queue, with many tenants more calls can wait than the queue's capacity. A tenant's
+//! share of the running calls is enforced only while another tenant has calls waiting.
 
 use std::collections::BTreeMap;
 
@@ -23,8 +23,8 @@
 #[derive(Clone, Debug)]
 pub struct Admission {
     accounts: BTreeMap<usize, Account>,
-    /// Length of the queue of waiting calls. Weights apply only while it is full.
-    queue_length: u32,
+    /// Number of waiting calls, over all tenants, from which on the queue counts as full and weights apply.
+    queue_capacity: u32,
     held: u32,
     running: u32,
     /// Weights of the tenants that have calls waiting, kept so that a verdict need not iterate over all tenants.
@@ -33,11 +33,12 @@
 }
 
 impl Admission {
-    /// Creates an instance without tenants. `queue_length` is the length of the queue of waiting calls; 0 counts as 1.
-    pub fn new(queue_length: u32) -> Self {
+    /// Creates an instance without tenants. `queue_capacity` is the number of waiting calls from which on the
+    /// queue counts as full; 0 counts as 1.
+    pub fn new(queue_capacity: u32) -> Self {
         Self {
             accounts: BTreeMap::new(),
-            queue_length: queue_length.max(1),
+            queue_capacity: queue_capacity.max(1),
             held: 0,
             running: 0,
             waiting_weights: BTreeMap::new(),
@@ -87,12 +88,12 @@
         self.accounts.get(&tenant).into_iter().flat_map(Account::open_by_class)
     }
 
-    /// Number of calls that wait for a worker, over all tenants.
+    /// Number of held calls, which wait for a worker, over all tenants.
     pub fn held(&self) -> u32 {
         self.held
     }
 
-    /// Decides on a call, and counts it as open and waiting if it is admitted.
+    /// Decides whether a call is admitted. An admitted call counts as open and waiting.
     pub fn admit(&mut self, now: Micros, request: CallRequest) -> Verdict {
         self.now = self.now.max(now);
         let now = self.now;
@@ -120,7 +121,7 @@
 
     /// Whether the tenant may have one more call waiting.
     fn within_queue_share(&self, tenant: usize) -> bool {
-        if self.held < self.queue_length {
+        if self.held < self.queue_capacity {
             return true;
         }
         let Some(account) = self.accounts.get(&tenant) else { return true };
@@ -128,7 +129,7 @@
             return true;
         }
         let total_weight: f64 = self.waiting_weights.values().sum();
-        let share = f64::from(self.queue_length) * account.policy().weight / total_weight;
+        let share = f64::from(self.queue_capacity) * account.policy().weight / total_weight;
         f64::from(account.held()) + 1.0 <= share.max(1.0)
     }
 
--- a/crates/admission/src/gcra.rs
+++ b/crates/admission/src/gcra.rs
@@ -1,10 +1,12 @@
-//! The generic cell rate algorithm (ITU-T I.371): a rate limiter with bursts. Its state is one number, the theoretical
-//! arrival time of the next call. It needs no timer and no refill step, and is exact at any rate.
+//! The generic cell rate algorithm (ITU-T I.371): a rate limiter with bursts. Its state is one number, the
+//! theoretical arrival time of the next call, so it needs no timer and no refill step. The interval between
+//! calls is rounded down to whole nanoseconds.
 
 use crate::Micros;
 use crate::policy::RateLimit;
 
-/// Nanoseconds. At ten million calls per second the interval between calls is still 100 of them.
+/// A time or a duration in nanoseconds. Microseconds would be too coarse: at ten million calls per second the
+/// interval between calls is 100 ns.
 type Nanos = u128;
 
 const NANOS_PER_SECOND: f64 = 1e9;
@@ -13,16 +15,17 @@
 /// The error for a call that does not conform to a rate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RateExceeded {
-    /// Microseconds until a call conforms; `None`: no call ever conforms at this rate.
+    /// Microseconds until a call conforms. `None` if the rate admits no calls.
     pub retry_after: Option<Micros>,
 }
 
 /// A rate limiter with bursts.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Gcra {
-    /// Time between two calls at the full rate; `None`: the rate is zero and no call conforms.
+    /// Time between two calls at the full rate. `None` if the rate is not a positive, finite number, so that
+    /// no call conforms.
     interval: Option<Nanos>,
-    /// How far a call may arrive ahead of its theoretical arrival time.
+    /// Maximum time by which a call may arrive before its theoretical arrival time.
     tolerance: Nanos,
     /// Time at which the next call would arrive at the full rate.
     theoretical_arrival: Nanos,
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -1,9 +1,10 @@
-//! Admission control by tenant: decides whether a call is accepted, before the decision module sees it.
+//! Admission control by tenant: decides whether a call is accepted, before the decision module assigns it to
+//! a worker.
 //!
-//! The crate does no I/O and reads no clock, and the same sequence of inputs yields the same verdicts. Tenants, classes
-//! and models are plain numbers. The crate does not depend on names, sockets, the decision module, the engine or the
-//! source of the limits. Times are microseconds on a monotonic clock; a time that lies before an earlier one counts as
-//! that earlier one.
+//! The crate does no I/O and reads no clock, and the same sequence of inputs yields the same verdicts.
+//! Tenants, classes and models are plain numbers. The crate does not depend on names, sockets, the decision
+//! module, the engine or the source of the limits. Times are microseconds on a monotonic clock. A time that
+//! lies before the latest one passed in counts as that latest one.
 //!
 //! * [`admission`]: the tenants of a controller, and the verdict on each call.
 //! * [`policy`]: the limits of a tenant and its classes. [`verdict`]: verdicts and the reasons of rejections.
--- a/crates/admission/src/policy.rs
+++ b/crates/admission/src/policy.rs
@@ -23,13 +23,13 @@
 /// The limits and the weight of a tenant. `None` means no limit.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Policy {
-    /// Whether the tenant may open calls at all.
+    /// Whether calls of the tenant are admitted. False for a tenant that is suspended or being removed.
     pub active: bool,
     /// Limits on the tenant's calls of all classes together.
     pub limits: Limits,
-    /// Further limits on the calls of single classes, by class.
+    /// Additional limits on the calls of single classes, by class.
     pub classes: BTreeMap<usize, Limits>,
-    /// Maximum number of calls that wait for a worker.
+    /// Maximum number of held calls, which wait for a worker.
     pub held: Option<u32>,
     /// Maximum memory of the models in use, in bytes; see [`crate::MODEL_IDLE_TIMEOUT`].
     pub memory: Option<u64>,
--- a/crates/admission/src/verdict.rs
+++ b/crates/admission/src/verdict.rs
@@ -6,7 +6,7 @@
 /// Why a call is rejected. The discriminant of a variant (`reason as usize`) is its index in [`RejectReason::ALL`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RejectReason {
-    /// This controller knows no such tenant.
+    /// The tenant is not known to this controller.
     UnknownTenant,
     /// The tenant is suspended or is being removed.
     InactiveTenant,
@@ -60,12 +60,12 @@
     }
 }
 
-/// A rejected call.
+/// The rejection of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Rejection {
-    /// Why the call is rejected.
+    /// The reason of the rejection.
     pub reason: RejectReason,
-    /// Microseconds after which a retry may be admitted, if known.
+    /// Microseconds after which a retry may be admitted; `None` if that is not known.
     pub retry_after: Option<Micros>,
 }
 
