--- a/crates/proto/src/lib.rs
+++ b/crates/proto/src/lib.rs
@@ -1,7 +1,7 @@
 //! Protobuf messages of the published protocols that nettleferry uses, and readers that decode only the metadata of
 //! inference messages.
 //!
-//! This crate depends on the published field names and numbers only. It must not depend on calls, workers or decisions.
+//! This crate contains encodings and names only. It must not depend on calls, workers or decisions.
 //!
 //! * [`inference`]: the Open Inference Protocol v2 over gRPC with its model repository extension.
 //! * [`orca`]: `xds.data.orca.v3.OrcaLoadReport`, sent in the trailer [`orca::TRAILER`].
@@ -15,7 +15,7 @@
 pub mod peek;
 pub mod remote_write;
 
-/// Messages of the gRPC service `inference.GRPCInferenceService`.
+/// Messages and names of the gRPC service `inference.GRPCInferenceService`.
 pub mod inference {
     include!(concat!(env!("OUT_DIR"), "/inference.rs"));
 
@@ -23,7 +23,8 @@
     pub const SERVICE: &str = "/inference.GRPCInferenceService/";
     /// Boolean response parameter that marks the last response of a call on a stream.
     pub const FINAL: &str = "triton_final_response";
-    /// Parameter of `RepositoryModelLoad` (int64): the desired number of replicas. 0 only queries the loaded ones.
+    /// Parameter of `RepositoryModelLoad` (int64): the desired number of replicas. 0 only queries the number
+    /// of loaded ones.
     pub const REPLICAS: &str = "copies";
 
     impl From<bool> for InferParameter {
@@ -39,7 +40,7 @@
     }
 
     impl InferParameter {
-        /// The value if it is an int64.
+        /// Returns the value if it is an int64.
         pub fn int64(&self) -> Option<i64> {
             match self.parameter_choice {
                 Some(infer_parameter::ParameterChoice::Int64Param(n)) => Some(n),
@@ -47,7 +48,7 @@
             }
         }
 
-        /// The value if it is a boolean.
+        /// Returns the value if it is a boolean.
         pub fn boolean(&self) -> Option<bool> {
             match self.parameter_choice {
                 Some(infer_parameter::ParameterChoice::BoolParam(b)) => Some(b),
@@ -63,8 +64,8 @@
 
     /// Trailer with a base64-encoded report (gRFC A51).
     pub const TRAILER: &str = "endpoint-load-metrics-bin";
-    /// Named metric: state of the replica for this call. 1: it was loaded; 2: the call started the load; 3: the call
-    /// waited for the load; 4: the load failed.
+    /// Named metric: state of the replica for this call. 1: it was loaded. 2: the call started its
+    /// load. 3: the call waited for a load in progress. 4: the load failed.
     pub const LOAD_NOTE: &str = "nettleferry.copy_note";
     /// Named metric: calls of the same model at the worker when this call arrived.
     pub const SAME_MODEL_CALLS: &str = "nettleferry.same_model_calls";
@@ -89,7 +90,8 @@
     pub const MISS: &str = "miss";
     /// Value of [`NEVER_RAN`]: the load for which the call waited has failed.
     pub const LOAD_FAILED: &str = "load-failed";
-    /// Value of [`NEVER_RAN`]: the worker has seen a later incarnation of the same controller, see [`FENCE`].
+    /// Value of [`NEVER_RAN`]: the worker has seen a later incarnation of the same controller (see
+    /// [`FENCE`]).
     pub const FENCED: &str = "fenced";
     /// Header to workers: the fencing token of the controller's incarnation, which is higher for a later incarnation. A
     /// worker that has seen a higher token of the same controller rejects the call without reading it.
--- a/crates/proto/src/peek.rs
+++ b/crates/proto/src/peek.rs
@@ -21,9 +21,9 @@
     /// A model name, version, id or parameter name exceeds [`MAX_NAME_BYTES`].
     #[error("field {field} has {length} bytes; at most {MAX_NAME_BYTES} are taken")]
     TooLong {
-        /// Field number.
+        /// Number of the field in the message.
         field: u32,
-        /// Length in bytes.
+        /// Length of the value in bytes.
         length: usize,
     },
     /// The request has more than [`MAX_PARAMETERS`] parameters.
@@ -39,20 +39,20 @@
 /// The metadata of a `ModelInferRequest`.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct InferHead {
-    /// `model_name`.
+    /// Name of the model (`model_name`).
     pub model: String,
-    /// `model_version`; if empty, the worker chooses one.
+    /// Version of the model (`model_version`). If empty, the worker chooses one.
     pub version: String,
-    /// `id` chosen by the client.
+    /// Identifier of the request (`id`), chosen by the client.
     pub id: String,
-    /// `parameters` with their names, in the order sent.
+    /// Names and values of the `parameters`, in the order in which they were sent.
     pub parameters: Vec<(String, InferParameter)>,
 }
 
 /// The metadata of a `ModelStreamInferResponse`.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ResponseHead {
-    /// `error_message`, truncated to [`MAX_NAME_BYTES`]; empty if there is no error.
+    /// Error message (`error_message`), truncated to [`MAX_NAME_BYTES`]. Empty if there was no error.
     pub error: String,
     /// Whether `infer_response.parameters["triton_final_response"]` is true.
     pub is_final: bool,
@@ -60,7 +60,7 @@
     pub has_response: bool,
 }
 
-/// The value of a field; only length-delimited values are kept.
+/// The value of a field. Only length-delimited values are kept.
 enum FieldValue {
     Bytes(Bytes),
     Other,
@@ -83,25 +83,25 @@
         Self { remaining: message.clone(), message_bytes: message.len() }
     }
 
-    /// An error at the current offset.
+    /// Returns the error for malformed content at the current offset.
     fn malformed(&self) -> PeekError {
         PeekError::Malformed(self.message_bytes - self.remaining.len())
     }
 
-    fn split_bytes(&mut self, n: usize) -> Result<Bytes, PeekError> {
-        if self.remaining.len() < n {
+    fn split_bytes(&mut self, length: usize) -> Result<Bytes, PeekError> {
+        if self.remaining.len() < length {
             return Err(self.malformed());
         }
-        Ok(self.remaining.split_to(n))
+        Ok(self.remaining.split_to(length))
     }
 
-    /// The next field; `None` at the end of the message.
+    /// Reads the next field. Returns `None` at the end of the message.
     fn next(&mut self) -> Result<Option<Field>, PeekError> {
         if !self.remaining.has_remaining() {
             return Ok(None);
         }
-        let (number, wire) = decode_key(&mut self.remaining).map_err(|_| self.malformed())?;
-        let value = match wire {
+        let (number, wire_type) = decode_key(&mut self.remaining).map_err(|_| self.malformed())?;
+        let value = match wire_type {
             WireType::Varint => {
                 decode_varint(&mut self.remaining).map_err(|_| self.malformed())?;
                 FieldValue::Other
@@ -119,7 +119,7 @@
     }
 }
 
-/// Decodes a name of at most [`MAX_NAME_BYTES`]; `field` is the number reported in an error.
+/// Decodes a name of at most [`MAX_NAME_BYTES`]. `field` is the field number that an error reports.
 fn decode_name(field: u32, bytes: &Bytes) -> Result<String, PeekError> {
     if bytes.len() > MAX_NAME_BYTES {
         return Err(PeekError::TooLong { field, length: bytes.len() });
@@ -127,12 +127,12 @@
     std::str::from_utf8(bytes).map(str::to_owned).map_err(|_| PeekError::NotUtf8(field))
 }
 
-/// Decodes a map entry with the name and the value of a parameter.
+/// Decodes a map entry, which contains the name and the value of a parameter.
 fn decode_parameter(entry: &Bytes) -> Result<(String, InferParameter), PeekError> {
     let mut fields = FieldReader::new(entry);
     let (mut key, mut value) = (String::new(), InferParameter::default());
-    while let Some(Field { number, value: content }) = fields.next()? {
-        match (number, content) {
+    while let Some(field) = fields.next()? {
+        match (field.number, field.value) {
             (1, FieldValue::Bytes(bytes)) => key = decode_name(4, &bytes)?,
             (2, FieldValue::Bytes(bytes)) => {
                 value = prost::Message::decode(bytes).map_err(|_| PeekError::Parameter)?
@@ -143,10 +143,10 @@
     Ok((key, value))
 }
 
-/// Reads the metadata of a `ModelInferRequest` (fields 1 to 4); tensors are skipped without decoding.
+/// Reads the metadata of a `ModelInferRequest` (fields 1 to 4). Tensors are skipped without decoding.
 ///
 /// # Errors
-/// If the message is malformed, or a name or the number of parameters exceeds its limit.
+/// Returns an error if the message is malformed, or a name or the number of parameters exceeds its limit.
 pub fn infer_request(message: &Bytes) -> Result<InferHead, PeekError> {
     let mut head = InferHead::default();
     let mut fields = FieldReader::new(message);
@@ -167,10 +167,10 @@
     Ok(head)
 }
 
-/// Reads the metadata of a `ModelStreamInferResponse`; tensors are skipped without decoding.
+/// Reads the metadata of a `ModelStreamInferResponse`. Tensors are skipped without decoding.
 ///
 /// # Errors
-/// If the message is malformed or the name of a parameter is too long.
+/// Returns an error if the message is malformed or the name of a parameter exceeds [`MAX_NAME_BYTES`].
 pub fn stream_response(message: &Bytes) -> Result<ResponseHead, PeekError> {
     let mut head = ResponseHead::default();
     let mut fields = FieldReader::new(message);
@@ -205,9 +205,10 @@
     out.put_slice(content);
 }
 
-/// The encoding of `infer_response { parameters { triton_final_response: true } }`. Appending it to an encoded
-/// `ModelStreamInferResponse` marks that as the last one: protobuf merges repeated occurrences of an embedded message
-/// ("Last One Wins" in the documentation of the encoding), so that the tensors before it are unchanged.
+/// Returns the encoding of `infer_response { parameters { triton_final_response: true } }`. Appending it to
+/// an encoded `ModelStreamInferResponse` marks that as the last one of its call. As protobuf merges repeated
+/// occurrences of an embedded message ("Last One Wins" in the documentation of the encoding), the tensors
+/// before it are unchanged.
 pub fn final_marker() -> Bytes {
     let mut value = BytesMut::new();
     encode_key(1, WireType::Varint, &mut value);
@@ -222,7 +223,8 @@
     out.freeze()
 }
 
-/// Marks an encoded `ModelStreamInferResponse` as the last one of its call.
+/// Returns an encoded `ModelStreamInferResponse` that is marked as the last one of its call (see
+/// [`final_marker`]).
 pub fn with_final_marker(message: &Bytes) -> Bytes {
     let marker = final_marker();
     let mut out = BytesMut::with_capacity(message.len() + marker.len());
--- a/crates/proto/src/peek/tests.rs
+++ b/crates/proto/src/peek/tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of `peek`.
+//! Unit tests of the metadata readers.
 
 use super::*;
 use crate::inference::*;
@@ -17,7 +17,7 @@
 
 #[test]
 fn head_is_read_past_large_tensors() {
-    let head = infer_request(&request().encode_to_vec().into()).expect("valid");
+    let head = infer_request(&request().encode_to_vec().into()).expect("the request is valid");
     assert_eq!((head.model.as_str(), head.version.as_str(), head.id.as_str()), ("climb", "2", "r-1"));
     assert_eq!(head.parameters[0].1.int64(), Some(3));
 }
@@ -35,7 +35,7 @@
 #[test]
 fn long_name_is_rejected_with_its_field() {
     let long = ModelInferRequest { id: "x".repeat(MAX_NAME_BYTES + 1), ..request() };
-    let error = infer_request(&long.encode_to_vec().into()).expect_err("too long");
+    let error = infer_request(&long.encode_to_vec().into()).expect_err("the id is too long");
     assert_eq!(error, PeekError::TooLong { field: 3, length: MAX_NAME_BYTES + 1 });
 }
 
@@ -50,11 +50,12 @@
         }),
     };
     let bytes = Bytes::from(response.encode_to_vec());
-    assert!(!stream_response(&bytes).expect("valid").is_final);
+    assert!(!stream_response(&bytes).expect("the response is valid").is_final);
     let marked = with_final_marker(&bytes);
-    assert!(stream_response(&marked).expect("valid").is_final);
-    let read = ModelStreamInferResponse::decode(marked).expect("valid").infer_response.expect("a response");
-    assert_eq!(read.raw_output_contents, vec![Bytes::from_static(b"tensor")]);
-    assert_eq!(read.parameters[FINAL].boolean(), Some(true));
-    assert_eq!(read.id, "r-1");
+    assert!(stream_response(&marked).expect("the response is valid").is_final);
+    let decoded = ModelStreamInferResponse::decode(marked).expect("the message is valid");
+    let response = decoded.infer_response.expect("it contains a response");
+    assert_eq!(response.raw_output_contents, vec![Bytes::from_static(b"tensor")]);
+    assert_eq!(response.parameters[FINAL].boolean(), Some(true));
+    assert_eq!(response.id, "r-1");
 }
--- a/crates/proto/src/remote_write.rs
+++ b/crates/proto/src/remote_write.rs
@@ -18,7 +18,7 @@
     include!(concat!(env!("OUT_DIR"), "/io.prometheus.write.v2.rs"));
 }
 
-/// The protocol versions, in the order of preference of a sender.
+/// The protocol versions, with the one that a sender prefers first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Version {
     /// Version 2.0, with the message `io.prometheus.write.v2.Request`.
@@ -28,7 +28,7 @@
 }
 
 impl Version {
-    /// Content-Type header of a request.
+    /// Returns the value of a request's header `Content-Type`.
     pub fn content_type(self) -> &'static str {
         match self {
             Self::Two => "application/x-protobuf;proto=io.prometheus.write.v2.Request",
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Value of the header `X-Prometheus-Remote-Write-Version`.
+    /// Returns the value of a request's header `X-Prometheus-Remote-Write-Version`.
     pub fn header(self) -> &'static str {
         match self {
             Self::Two => "2.0.0",
@@ -61,13 +61,13 @@
 pub struct Series {
     /// Names and values of the labels, including `__name__`.
     pub labels: Vec<(String, String)>,
-    /// Timestamps with values.
+    /// Samples: timestamp in milliseconds since 1970, and value.
     pub samples: Vec<(i64, f64)>,
-    /// Timestamps with native histograms; not encoded in version 1.0.
+    /// Native histograms with their timestamps in milliseconds since 1970. Version 1.0 does not encode them.
     pub native_histograms: Vec<(i64, NativeHistogram)>,
-    /// Metric type; not encoded in version 1.0, which decodes as a gauge.
+    /// Metric type. Version 1.0 does not encode it, and decodes every series as a gauge.
     pub kind: SeriesKind,
-    /// Creation time of a counter in milliseconds since 1970; not encoded in version 1.0.
+    /// Creation time of the series in milliseconds since 1970, if known. Version 1.0 does not encode it.
     pub created_ms: Option<i64>,
 }
 
@@ -77,32 +77,32 @@
 pub struct NativeHistogram {
     /// Resolution of the buckets, from -4 to 8.
     pub schema: i32,
-    /// Number of observations.
+    /// Total number of observations in all buckets.
     pub count: u64,
-    /// Sum of the observations. A staleness marker ends the series.
+    /// Sum of the observations, or a staleness marker (see [`stale`]) if the series has ended.
     pub sum: f64,
     /// Indices of the buckets in ascending order, with their counts.
     pub buckets: Vec<(i32, u64)>,
 }
 
 impl NativeHistogram {
-    /// A staleness marker, which ends a series of native histograms.
+    /// Creates the staleness marker that ends a series of native histograms.
     pub fn stale(schema: i32) -> Self {
         Self { schema, count: 0, sum: stale(), buckets: Vec::new() }
     }
 
     fn encode(&self, timestamp: i64) -> v2::Histogram {
         let (mut spans, mut deltas): (Vec<v2::BucketSpan>, Vec<i64>) = Default::default();
-        let (mut next, mut before) = (0, 0);
+        let (mut next_index, mut previous_count) = (0, 0);
         for (index, count) in &self.buckets {
             match spans.last_mut() {
-                Some(span) if *index == next => span.length += 1,
-                _ => spans.push(v2::BucketSpan { offset: index - next, length: 1 }),
+                Some(span) if *index == next_index => span.length += 1,
+                _ => spans.push(v2::BucketSpan { offset: index - next_index, length: 1 }),
             }
-            next = index + 1;
+            next_index = index + 1;
             let count = i64::try_from(*count).unwrap_or(i64::MAX);
-            deltas.push(count - before);
-            before = count;
+            deltas.push(count - previous_count);
+            previous_count = count;
         }
         v2::Histogram {
             count: Some(v2::histogram::Count::CountInt(self.count)),
@@ -116,39 +116,39 @@
         }
     }
 
-    /// Decodes a histogram with its timestamp. `None` if the bucket counts do not match the total count, or if it uses
-    /// an unsupported feature.
+    /// Decodes a histogram with its timestamp. Returns `None` if the bucket counts do not match the total
+    /// count, or if it uses an unsupported feature.
     fn decode(message: &v2::Histogram) -> Option<(i64, Self)> {
         let Some(v2::histogram::Count::CountInt(count)) = message.count else { return None };
         let (mut buckets, mut deltas) = (Vec::new(), message.positive_deltas.iter());
-        let (mut next, mut before) = (0i32, 0i64);
+        let (mut next_index, mut bucket_count) = (0i32, 0i64);
         for span in &message.positive_spans {
-            next = next.checked_add(span.offset)?;
+            next_index = next_index.checked_add(span.offset)?;
             for _ in 0..span.length {
-                before = before.checked_add(*deltas.next()?)?;
-                buckets.push((next, u64::try_from(before).ok()?));
-                next = next.checked_add(1)?;
+                bucket_count = bucket_count.checked_add(*deltas.next()?)?;
+                buckets.push((next_index, u64::try_from(bucket_count).ok()?));
+                next_index = next_index.checked_add(1)?;
             }
         }
-        let sum = buckets.iter().try_fold(0u64, |sum, (_, n)| sum.checked_add(*n))?;
+        let total = buckets.iter().try_fold(0u64, |total, (_, count)| total.checked_add(*count))?;
         let supported =
             deltas.next().is_none() && message.negative_spans.is_empty() && message.custom_values.is_empty();
-        let valid = supported && sum == count && (-4..=8).contains(&message.schema);
+        let valid = supported && total == count && (-4..=8).contains(&message.schema);
         valid
             .then_some((message.timestamp, Self { schema: message.schema, count, sum: message.sum, buckets }))
     }
 }
 
-/// The bits of the NaN that serves as staleness marker, which states that a series has ended. Other NaNs are ordinary
-/// values.
+/// The bits of the NaN that is the staleness marker, the last value of a series that has ended. Other NaNs
+/// are ordinary values.
 pub const STALE_BITS: u64 = 0x7ff0_0000_0000_0002;
 
-/// The value of a staleness marker.
+/// Returns the value of a staleness marker.
 pub fn stale() -> f64 {
     f64::from_bits(STALE_BITS)
 }
 
-/// Whether a value is a staleness marker.
+/// Returns whether a value is a staleness marker.
 pub fn is_stale(value: f64) -> bool {
     value.to_bits() == STALE_BITS
 }
@@ -164,22 +164,23 @@
         /// Maximum decompressed size in bytes.
         max_size: usize,
     },
-    /// The body is not a valid snappy block.
-    #[error("the body is not sound snappy: {0}")]
+    /// The body is not a valid snappy block, or can't be compressed as one.
+    #[error("snappy compression or decompression of the body failed: {0}")]
     Snappy(String),
     /// The decompressed body is not a valid message of the version.
-    #[error("the body is no message of its version: {0}")]
+    #[error("the decompressed body is not a valid message of the protocol version: {0}")]
     Protobuf(String),
     /// The bucket counts of a native histogram do not match its total count, or it uses an unsupported feature.
     #[error(
-        "series {series}: a native histogram is not sound, or not of whole counts in exponential buckets"
+        "series {series}: a native histogram has inconsistent counts, or other than integer counts in \
+         positive exponential buckets"
     )]
     Histogram {
         /// Index of the series in the request.
         series: usize,
     },
     /// A label refers to an undefined symbol, or has a name without a value.
-    #[error("series {series}: a label refers to what is not in the symbols")]
+    #[error("series {series}: a label refers to an undefined symbol or has no value")]
     Symbol {
         /// Index of the series in the request.
         series: usize,
@@ -189,7 +190,7 @@
 /// Encodes series as a compressed request body.
 ///
 /// # Errors
-/// If the compression fails.
+/// Returns an error if the compression fails.
 pub fn encode(version: Version, series: &[Series]) -> Result<Vec<u8>, BodyError> {
     let message = match version {
         Version::One => encode_v1(series).encode_to_vec(),
@@ -198,7 +199,7 @@
     snap::raw::Encoder::new().compress_vec(&message).map_err(|e| BodyError::Snappy(e.to_string()))
 }
 
-/// The labels of a series, sorted by name.
+/// Returns the labels of a series, sorted by name.
 fn sorted_labels(series: &Series) -> Vec<&(String, String)> {
     let mut labels: Vec<_> = series.labels.iter().collect();
     labels.sort();
@@ -217,7 +218,7 @@
             .map(|(timestamp, value)| v1::Sample { value: *value, timestamp: *timestamp })
             .collect(),
     };
-    // A series that has only native histograms would be sent without samples.
+    // A series that has only native histograms is left out, as it would have no samples.
     v1::WriteRequest {
         timeseries: series.iter().filter(|s| !s.samples.is_empty()).map(encode_series).collect(),
     }
@@ -268,7 +269,7 @@
 /// Decodes a compressed request body of at most `max_bytes` after decompression.
 ///
 /// # Errors
-/// If the body is malformed, too large, or contains an unsupported histogram.
+/// Returns an error if the body is malformed or too large, or contains an unsupported histogram.
 pub fn decode(version: Version, body: &[u8], max_bytes: usize) -> Result<Vec<Series>, BodyError> {
     let size = snap::raw::decompress_len(body).map_err(|e| BodyError::Snappy(e.to_string()))?;
     if size > max_bytes {
@@ -299,7 +300,8 @@
 }
 
 fn decode_v2_series(index: usize, s: v2::TimeSeries, symbols: &[String]) -> Result<Series, BodyError> {
-    let symbol = |at: u32| symbols.get(at as usize).cloned().ok_or(BodyError::Symbol { series: index });
+    let symbol =
+        |reference: u32| symbols.get(reference as usize).cloned().ok_or(BodyError::Symbol { series: index });
     if !s.labels_refs.len().is_multiple_of(2) {
         return Err(BodyError::Symbol { series: index });
     }
