--- a/crates/durable/src/storage.rs
+++ b/crates/durable/src/storage.rs
@@ -8,7 +8,7 @@
 
 /// File operations by path. Every operation may block on the disk.
 pub trait Storage: Send {
-    /// Reads a whole file; returns `None` if it does not exist.
+    /// Reads a whole file. Returns `None` if it does not exist.
     ///
     /// # Errors
     /// Returns an error if the file can't be read.
@@ -17,7 +17,7 @@
     /// [`Storage::sync_directory`].
     ///
     /// # Errors
-    /// Returns an error if the file can't be written; a part of it may exist then.
+    /// Returns an error if the file can't be written. A part of it may exist then.
     fn write(&mut self, path: &Path, bytes: &[u8]) -> io::Result<()>;
     /// Renames a file, which replaces an existing file of the new name.
     ///
--- a/crates/durable/tests/writer.rs
+++ b/crates/durable/tests/writer.rs
@@ -49,7 +49,7 @@
     })
     .expect("writer thread started");
     let found =
-        writer.initial_contents(TIMEOUT).expect("file opened").expect("file opened within the timeout");
+        writer.initial_contents(TIMEOUT).expect("the file can be opened").expect("opened within the timeout");
     assert_eq!(found, FileContents::Absent);
     writer.submit(b"0".to_vec());
     write_started.recv_timeout(TIMEOUT).expect("the first write has begun and is stalled");
--- a/crates/tenancy/src/lib.rs
+++ b/crates/tenancy/src/lib.rs
@@ -1,7 +1,7 @@
 //! The tenant model: limits and rights of tenants, changes to them, and the audit trail of these changes.
 //!
-//! This crate does no I/O and reads no clock; times are passed in as values. It does not depend on files, sockets,
-//! HTTP or the handling of calls.
+//! This crate does no I/O and reads no clock. Times are passed in as values. It does not depend on files,
+//! sockets, HTTP or the handling of calls.
 //!
 //! * [`model`]: a tenant with its limits and rights, as it is stored and sent.
 //! * [`validation`]: the bounds of configured values. Each error names its field.
--- a/crates/tenant-store/src/store.rs
+++ b/crates/tenant-store/src/store.rs
@@ -83,7 +83,7 @@
     /// undone if it reached the file. Does nothing if there was no failure.
     ///
     /// # Errors
-    /// Returns an error if the file still fails; the call may be repeated.
+    /// Returns an error if the file still can't be opened or written. The call may be repeated.
     pub fn reopen(&mut self) -> Result<(), StoreError> {
         if !self.failed && self.database.is_some() {
             return Ok(());
@@ -98,8 +98,8 @@
         Ok(())
     }
 
-    /// The identity of the store. A newly created store has a name of its own; a restored one has the name of the store
-    /// that the snapshot was made of, and a higher epoch.
+    /// The identity of the store. A newly created store has a name of its own. A restored one has the name of
+    /// the store that the snapshot was made of, and a higher epoch.
     ///
     /// # Errors
     /// Returns an error if the store can't be read.
--- a/crates/wal/tests/wal.rs
+++ b/crates/wal/tests/wal.rs
@@ -19,7 +19,7 @@
     records.iter().map(|record| record.payload[0]).collect()
 }
 
-/// A log with ten records of 100 bytes; record `n` consists of the byte `n`.
+/// A log with ten records of 100 bytes each. Record `n` repeats the byte `n`.
 fn log_of_ten_records() -> (WriteAheadLog<MemoryStorage>, Vec<Position>) {
     let (mut log, _) = open(MemoryStorage::default());
     let positions = (0..10).map(|n| log.append(&[n; 100]).expect("the append succeeds")).collect();
