--- a/crates/durable/src/storage.rs
+++ b/crates/durable/src/storage.rs
@@ -8,18 +8,18 @@
 
 /// File operations by path. Every operation may block on the disk.
 pub trait Storage: Send {
-    /// Reads a whole file; returns `None` if it does not exist.
+    /// Reads a whole file. Returns `None` if it does not exist.
     ///
     /// # Errors
     /// Returns an error if the file can't be read.
     fn read(&self, path: &Path) -> io::Result<Option<Vec<u8>>>;
     /// Creates or overwrites a file and syncs its content. Its directory entry becomes durable only with
-    /// [`Storage::sync_names`].
+    /// [`Storage::sync_directory`].
     ///
     /// # Errors
-    /// Returns an error if the file can't be written; a part of it may exist then.
+    /// Returns an error if the file can't be written. A part of it may exist then.
     fn write(&mut self, path: &Path, bytes: &[u8]) -> io::Result<()>;
-    /// Renames a file and replaces an existing file of the new name.
+    /// Renames a file, which replaces an existing file of the new name.
     ///
     /// # Errors
     /// Returns `NotFound` if the file does not exist, or the error of the operating system.
@@ -28,10 +28,10 @@
     ///
     /// # Errors
     /// Returns an error if the directory can't be synced.
-    fn sync_names(&mut self, path: &Path) -> io::Result<()>;
+    fn sync_directory(&mut self, path: &Path) -> io::Result<()>;
 }
 
-/// How far beyond the maximum payload a file is read, in bytes; larger than any header.
+/// Number of bytes that are read beyond the maximum payload. Larger than any header.
 const HEADER_ALLOWANCE_BYTES: u64 = 4096;
 
 /// [`Storage`] in the file system of the operating system.
@@ -61,7 +61,7 @@
         fs::rename(from, to)
     }
 
-    fn sync_names(&mut self, path: &Path) -> io::Result<()> {
+    fn sync_directory(&mut self, path: &Path) -> io::Result<()> {
         let directory =
             path.parent().filter(|p| !p.as_os_str().is_empty()).map_or(PathBuf::from("."), Path::to_owned);
         File::open(directory)?.sync_all()
--- a/crates/gateway/benches/measure.rs
+++ b/crates/gateway/benches/measure.rs
@@ -252,7 +252,7 @@
     let series: Vec<Series> = sample::parse(&text)
         .into_iter()
         .map(|sample| Series {
-            natives: Vec::new(),
+            native_histograms: Vec::new(),
             labels: sample.labels,
             samples: vec![(1_764_590_000_000, sample.value)],
             kind: SeriesKind::Counter,
--- a/crates/test-servers/src/receiver.rs
+++ b/crates/test-servers/src/receiver.rs
@@ -102,7 +102,7 @@
             self.faults.push(format!("labels out of order: {name}"));
         }
         let now = now_ms();
-        let times = series.samples.iter().map(|s| s.0).chain(series.natives.iter().map(|n| n.0));
+        let times = series.samples.iter().map(|s| s.0).chain(series.native_histograms.iter().map(|n| n.0));
         for at_ms in times {
             if at_ms > now + FUTURE_MS || series.created_ms.is_some_and(|created| created > at_ms) {
                 self.faults.push(format!(
@@ -117,11 +117,11 @@
 
     /// Stores the native histograms of a series. Errors of the sender are recorded under `name`.
     fn receive_histograms(&mut self, name: &str, series: &Series) {
-        if series.natives.is_empty() {
+        if series.native_histograms.is_empty() {
             return;
         }
         let received = self.natives.entry(series.labels.clone()).or_default();
-        for (at_ms, native) in &series.natives {
+        for (at_ms, native) in &series.native_histograms {
             let same = |old: &NativeHistogram| {
                 old.sum.to_bits() == native.sum.to_bits()
                     && (old.count, &old.buckets) == (native.count, &native.buckets)
@@ -320,7 +320,7 @@
     }
     data.requests[usize::from(version == Version::One)] += 1;
     let samples: usize = series.iter().map(|s| s.samples.len()).sum();
-    let natives: usize = series.iter().map(|s| s.natives.len()).sum();
+    let natives: usize = series.iter().map(|s| s.native_histograms.len()).sum();
     for s in series {
         data.receive(s);
     }
