--- a/crates/gateway/src/commands/scale.rs
+++ b/crates/gateway/src/commands/scale.rs
@@ -44,11 +44,11 @@
 }
 
 impl Progress for SizesProgress {
-    fn doing(&self, what: &str) {
-        self.0.set_message(what.to_owned());
+    fn begin_step(&self, description: &str) {
+        self.0.set_message(description.to_owned());
     }
 
-    fn done(&self) {
+    fn finish_size(&self) {
         self.0.inc(1);
     }
 }
@@ -69,13 +69,18 @@
         let bar =
             SizesProgress::new(settings.measures.iter().map(|measure| measure.sizes().values.len()).sum());
         let mut printed = Ok(());
-        let mut observed = |observation: &run::Observation| {
+        let mut on_observation = |observation: &run::Observation| {
             if printed.is_ok() {
                 printed = announce(&lines::observation(observation, &origin));
             }
         };
-        let environment =
-            RunEnvironment { program, capacity, interrupt, progress: &bar, observed: &mut observed };
+        let environment = RunEnvironment {
+            program,
+            capacity,
+            interrupt,
+            progress: &bar,
+            on_observation: &mut on_observation,
+        };
         let report = run::run(&mut settings, environment);
         bar.0.finish_and_clear();
         printed?;
--- a/crates/scale/src/context.rs
+++ b/crates/scale/src/context.rs
@@ -20,17 +20,17 @@
 /// Receives the progress of a run, such as for a progress bar.
 pub trait Progress {
     /// Called with a description of the current step.
-    fn doing(&self, what: &str);
+    fn begin_step(&self, description: &str);
     /// Called when a measure has finished one size.
-    fn done(&self);
+    fn finish_size(&self);
 }
 
 /// A [`Progress`] that discards all updates.
 pub struct NoProgress;
 
 impl Progress for NoProgress {
-    fn doing(&self, _: &str) {}
-    fn done(&self) {}
+    fn begin_step(&self, _: &str) {}
+    fn finish_size(&self) {}
 }
 
 /// The conditions under which a run ends early.
@@ -75,8 +75,8 @@
     }
 
     /// Reports the current step to the progress display.
-    pub fn doing(&self, what: &str) {
-        self.progress.doing(what);
+    pub fn begin_step(&self, description: &str) {
+        self.progress.begin_step(description);
     }
 
     /// Fails if the measure must end: on an interrupt, past the deadline, over the memory limit, or when a child has
--- a/crates/scale/src/fit.rs
+++ b/crates/scale/src/fit.rs
@@ -3,7 +3,7 @@
 use serde::Serialize;
 
 /// Minimum number of sizes for a fit.
-pub const FEWEST_SIZES: usize = 4;
+pub const MIN_SIZES: usize = 4;
 
 /// A least-squares line, with the standard error of its slope.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
@@ -66,9 +66,9 @@
 }
 
 impl Fit {
-    /// Fits pairs of size and value; none if there are fewer than [`FEWEST_SIZES`].
+    /// Fits pairs of size and value; none if there are fewer than [`MIN_SIZES`].
     pub fn from_points(points: &[(f64, f64)]) -> Option<Self> {
-        if points.len() < FEWEST_SIZES {
+        if points.len() < MIN_SIZES {
             return None;
         }
         let line = Line::through(points)?;
--- a/crates/scale/src/measure/administration/mod.rs
+++ b/crates/scale/src/measure/administration/mod.rs
@@ -118,14 +118,14 @@
     fn run_at(&mut self, size: u64, context: &mut Context<'_>) -> Result<Observations, MeasureError> {
         let script = &self.script;
         let span = Duration::from_micros(script.interval);
-        context.doing(&format!("{NAME} {size}: starts"));
+        context.begin_step(&format!("{NAME} {size}: starts"));
         let mut fleet = Fleet::start(script, size, context)?;
         let started = Instant::now();
         fleet.start_followers(script, size, context)?;
         let start = started.elapsed();
-        context.doing(&format!("{NAME} {size}: quiet"));
+        context.begin_step(&format!("{NAME} {size}: quiet"));
         let quiet = Interval::measure(&mut fleet, context, |_, context| context.wait(span))?;
-        context.doing(&format!("{NAME} {size}: changes"));
+        context.begin_step(&format!("{NAME} {size}: changes"));
         let mut changes = None;
         let busy = Interval::measure(&mut fleet, context, |fleet, context| {
             changes = Some(Changes::make(script.rate, span, script.tenants, fleet, context)?);
--- a/crates/scale/src/measure/list/mod.rs
+++ b/crates/scale/src/measure/list/mod.rs
@@ -161,7 +161,7 @@
 impl List {
     /// Cores used while the list does not change.
     fn rest(&self, gateway: &Gateway, context: &mut Context<'_>) -> Result<f64, MeasureError> {
-        context.doing(&format!("{NAME} {}: at rest", gateway.workers.len()));
+        context.begin_step(&format!("{NAME} {}: at rest", gateway.workers.len()));
         let (before, began) = (gateway.sample()?, Instant::now());
         context.wait(self.rest)?;
         let used = gateway.sample()?.processor.saturating_sub(before.processor);
@@ -179,7 +179,7 @@
     ) -> Result<ChangeCost, MeasureError> {
         let (before, began) = (gateway.sample()?, Instant::now());
         for number in 1..=count {
-            context.doing(&format!("{NAME} {}: change {number} of {count}", gateway.workers.len()));
+            context.begin_step(&format!("{NAME} {}: change {number} of {count}", gateway.workers.len()));
             change(gateway, context)?;
             context.wait(self.settle)?;
         }
--- a/crates/scale/src/measure/mod.rs
+++ b/crates/scale/src/measure/mod.rs
@@ -39,15 +39,15 @@
     /// Unit of the values.
     pub unit: Unit,
     /// Description in one line.
-    pub what: &'static str,
+    pub description: &'static str,
 }
 
 /// Defines metrics as statics, and `METRICS` with all of them.
 macro_rules! metrics {
-    ($($constant:ident = $name:literal, $unit:ident, $what:literal;)*) => {
+    ($($constant:ident = $name:literal, $unit:ident, $description:literal;)*) => {
         $(
-            #[doc = $what]
-            pub static $constant: Metric = Metric { name: $name, unit: $unit, what: $what };
+            #[doc = $description]
+            pub static $constant: Metric = Metric { name: $name, unit: $unit, description: $description };
         )*
         /// All metrics of the measure.
         pub static METRICS: &[&Metric] = &[$(&$constant),*];
--- a/crates/scale/src/measure/worker/mod.rs
+++ b/crates/scale/src/measure/worker/mod.rs
@@ -101,7 +101,7 @@
     fn run_at(&mut self, size: u64, context: &mut Context<'_>) -> Result<Observations, MeasureError> {
         let span = Duration::from_micros(self.script.interval);
         let mut observations = Observations::default();
-        context.doing(&format!("{NAME} {size}: connections"));
+        context.begin_step(&format!("{NAME} {size}: connections"));
         let (worker, address) = start_worker(context)?;
         let idle = sample(worker, context)?;
         let idle_controllers = self.start_controllers(address, size, 0.0, context)?;
@@ -114,7 +114,7 @@
         let connect = connected.processor.saturating_sub(idle.processor);
         observe_connections(connect, &rested, rest, &connections, &mut observations);
         idle_controllers.into_iter().for_each(|child| context.children.stop(child));
-        context.doing(&format!("{NAME} {size}: calls"));
+        context.begin_step(&format!("{NAME} {size}: calls"));
         let calling = self.start_controllers(address, size, 1.0, context)?;
         context.wait(connecting(size))?;
         summaries(&calling, context)?;
--- a/crates/scale/src/rig.rs
+++ b/crates/scale/src/rig.rs
@@ -39,7 +39,7 @@
 impl RigUsage {
     /// Classifies an interval. With `in_process`, the measured code runs inside the rig's process, whose own use is
     /// then no limit.
-    pub fn judge(own_cores: f64, idle: f64, in_process: bool) -> Self {
+    pub fn classify(own_cores: f64, idle: f64, in_process: bool) -> Self {
         let bound = if idle < MIN_IDLE_SHARE {
             RigBound::Machine
         } else if !in_process && own_cores > BUSY_PROCESS_CORES {
@@ -65,12 +65,12 @@
         Ok(Self { began: Instant::now(), own, machine: MachineTime::now()? })
     }
 
-    /// Ends the interval; `in_process` is as in [`RigUsage::judge`].
+    /// Ends the interval; `in_process` is as in [`RigUsage::classify`].
     pub fn end(self, in_process: bool) -> io::Result<RigUsage> {
         let own = Process::own().processor()?.saturating_sub(self.own);
         let wall = self.began.elapsed().as_secs_f64().max(1e-9);
         let idle = MachineTime::now()?.idle_share_since(self.machine);
-        Ok(RigUsage::judge(own.as_secs_f64() / wall, idle, in_process))
+        Ok(RigUsage::classify(own.as_secs_f64() / wall, idle, in_process))
     }
 }
 
--- a/crates/scale/src/run.rs
+++ b/crates/scale/src/run.rs
@@ -42,7 +42,7 @@
 
 impl Observation {
     /// Whether the value belongs to this metric.
-    pub fn is(&self, id: &MetricId) -> bool {
+    pub fn belongs_to(&self, id: &MetricId) -> bool {
         self.measure == id.measure && self.metric == id.metric.name
     }
 }
@@ -118,7 +118,7 @@
     /// Receives the progress of the run.
     pub progress: &'a dyn Progress,
     /// Receives each value as soon as its size is done, so that a run that ends early has reported its results.
-    pub observed: &'a mut dyn FnMut(&Observation),
+    pub on_observation: &'a mut dyn FnMut(&Observation),
 }
 
 /// Runs all measures. All child processes have ended when it returns.
@@ -131,7 +131,7 @@
     let observed = runner.observed;
     let fitted = settings.measures.iter().flat_map(|measure| fits(&**measure, &observed)).collect();
     let targets = settings.budgets.iter().map(|budget| budget.estimate(&observed)).collect();
-    let verdicts = settings.bounds.iter().map(|bound| bound.judge(&observed)).collect();
+    let verdicts = settings.bounds.iter().map(|bound| bound.check(&observed)).collect();
     Report { observed, fitted, targets, verdicts, end }
 }
 
@@ -148,7 +148,7 @@
             let name = measure.name();
             for size in measure.sizes().values.clone() {
                 match self.run_at(&mut **measure, size) {
-                    Ok(()) => self.environment.progress.done(),
+                    Ok(()) => self.environment.progress.finish_size(),
                     Err(MeasureError::Interrupted) => return End::Interrupted,
                     Err(error) => return End::Failed { measure: name, size, error },
                 }
@@ -159,7 +159,7 @@
 
     fn run_at(&mut self, measure: &mut dyn Measure, size: u64) -> Result<(), MeasureError> {
         let (name, dimension) = (measure.name(), measure.sizes().dimension);
-        self.environment.progress.doing(&format!("{name} {size}"));
+        self.environment.progress.begin_step(&format!("{name} {size}"));
         let folder = tempfile::tempdir().map_err(MeasureError::system("a folder for files"))?;
         let mut children =
             Children::new(self.environment.program.clone(), self.environment.capacity.processes);
@@ -185,7 +185,7 @@
                 rig_cores: rig.own_cores,
                 idle: rig.idle,
             };
-            (self.environment.observed)(&observation);
+            (self.environment.on_observation)(&observation);
             self.observed.push(observation);
         }
         Ok(())
@@ -208,7 +208,7 @@
     for metric in measure.metrics() {
         let id = MetricId { measure: name, metric };
         let Some(fit) = Fit::from_points(&points(observed, &id)) else { continue };
-        let rig_bound = observed.iter().any(|one| one.is(&id) && one.rig != RigBound::None);
+        let rig_bound = observed.iter().any(|one| one.belongs_to(&id) && one.rig != RigBound::None);
         all.push(FittedMetric {
             measure: name,
             metric: metric.name,
--- a/crates/scale/src/settings.rs
+++ b/crates/scale/src/settings.rs
@@ -6,7 +6,7 @@
 use nettleferry_config::form::{Bytes, Form, Source, TimeSpan, suggestion};
 
 use crate::capacity::Capacity;
-use crate::fit::FEWEST_SIZES;
+use crate::fit::MIN_SIZES;
 use crate::measure::{MEASURE_KINDS, Measure, Metric, Unit};
 use crate::verdict::{Bound, Budget, MetricId, Subject};
 
@@ -216,9 +216,9 @@
 
 fn require_fit_sizes(subject: &Form, measure: &dyn Measure, what: &str) {
     let sizes = measure.sizes();
-    if sizes.values.len() < FEWEST_SIZES {
+    if sizes.values.len() < MIN_SIZES {
         subject.error(format!(
-            "{what} needs a fit over at least {FEWEST_SIZES} sizes; ({} ({} ...)) has {}",
+            "{what} needs a fit over at least {MIN_SIZES} sizes; ({} ({} ...)) has {}",
             measure.name(),
             sizes.dimension,
             sizes.values.len()
--- a/crates/scale/src/verdict.rs
+++ b/crates/scale/src/verdict.rs
@@ -77,7 +77,7 @@
 
     fn value(&self, observed: &[Observation]) -> Option<f64> {
         let value = |wanted: u64| {
-            let found = observed.iter().find(|one| one.is(self.id()) && one.size == wanted);
+            let found = observed.iter().find(|one| one.belongs_to(self.id()) && one.size == wanted);
             found.map(|one| one.value)
         };
         match self {
@@ -93,7 +93,7 @@
 
 /// The pairs of size and value that were observed for a metric.
 pub fn points(observed: &[Observation], id: &MetricId) -> Vec<(f64, f64)> {
-    observed.iter().filter(|one| one.is(id)).map(|one| (one.size as f64, one.value)).collect()
+    observed.iter().filter(|one| one.belongs_to(id)).map(|one| (one.size as f64, one.value)).collect()
 }
 
 /// An upper bound.
@@ -137,7 +137,7 @@
 
 impl Bound {
     /// Checks the bound against the observed values.
-    pub fn judge(&self, observed: &[Observation]) -> Verdict {
+    pub fn check(&self, observed: &[Observation]) -> Verdict {
         let value = self.subject.value(observed);
         let outcome = match value {
             Some(value) if value <= self.max => Outcome::Kept,
@@ -146,7 +146,7 @@
         };
         let rig_bound = observed
             .iter()
-            .filter(|one| one.is(self.subject.id()) && self.subject.involves_size(one.size))
+            .filter(|one| one.belongs_to(self.subject.id()) && self.subject.involves_size(one.size))
             .any(|one| one.rig != RigBound::None);
         let (bound, unit) = (self.subject.label(), self.subject.unit());
         Verdict { bound, max: self.max, value, unit, outcome, rig_bound }
@@ -191,7 +191,7 @@
 impl Budget {
     /// Returns the value at the target size, extrapolated by the linear fit if that size was not observed.
     pub fn estimate(&self, observed: &[Observation]) -> TargetEstimate {
-        let at_target = observed.iter().find(|one| one.is(&self.id) && one.size == self.size);
+        let at_target = observed.iter().find(|one| one.belongs_to(&self.id) && one.size == self.size);
         let line = Fit::from_points(&points(observed, &self.id)).map(|fit| fit.line);
         let extrapolated = line.map(|line| line.at(self.size as f64));
         let value = at_target.map(|one| one.value).or(extrapolated);
--- a/crates/scale/tests/shape.rs
+++ b/crates/scale/tests/shape.rs
@@ -25,7 +25,7 @@
         capacity,
         interrupt: Interrupt::default(),
         progress: &NoProgress,
-        observed: &mut |_| {},
+        on_observation: &mut |_| {},
     };
     run(&mut settings, environment)
 }
