--- a/crates/scale/src/capacity.rs
+++ b/crates/scale/src/capacity.rs
@@ -1,4 +1,4 @@
-//! The share of the machine that a run may use, and checks of whether a size fits into it.
+//! The resources of the machine that a run may use, and checks of whether a size fits into them.
 
 use std::fmt;
 use std::fs;
@@ -12,19 +12,19 @@
 pub const MAX_PROCESSES: u64 = 300;
 /// Descriptors reserved for the rig's own use.
 const RESERVED_DESCRIPTORS: u64 = 64;
-/// Number of local ports that is assumed if the system's port range can't be read.
+/// Number of local ports to assume if the system's port range can't be read.
 const DEFAULT_PORTS: u64 = 28_000;
 
-/// Resources that one size needs, as upper estimates.
+/// Upper estimates of the resources that the measurement of one size needs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Needs {
     /// Memory of all processes together, in bytes.
     pub memory: u64,
-    /// Number of processes without the rig's own.
+    /// Number of processes besides the rig's own.
     pub processes: u64,
     /// Descriptors of the process that opens the most.
     pub descriptors: u64,
-    /// Local ports.
+    /// Number of local ports that connections occupy.
     pub ports: u64,
     /// Duration of the measurement.
     pub time: Duration,
@@ -33,42 +33,43 @@
 /// Resources that are available to a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Capacity {
-    /// Memory, in bytes.
+    /// Memory of all processes together, in bytes.
     pub memory: u64,
-    /// Number of processes without the rig's own.
+    /// Number of processes besides the rig's own.
     pub processes: u64,
     /// Descriptors that one process may open.
     pub descriptors: u64,
-    /// Local ports.
+    /// Number of local ports for connections.
     pub ports: u64,
 }
 
 /// A resource of which a size needs more than is available.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Shortage {
-    what: &'static str,
+    resource: &'static str,
     needed: u64,
-    there: u64,
-    bytes: bool,
+    available: u64,
+    /// Whether the amounts are bytes rather than numbers of things.
+    in_bytes: bool,
 }
 
 impl fmt::Display for Shortage {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let gib = |bytes: u64| bytes as f64 / (1u64 << 30) as f64;
-        let Self { what, needed, there, bytes } = *self;
-        if bytes {
-            write!(f, "{:.1} GiB of {what}; there are {:.1} GiB for a run", gib(needed), gib(there))
+        let Self { resource, needed, available, in_bytes } = *self;
+        if in_bytes {
+            write!(f, "{:.1} GiB of {resource}; there are {:.1} GiB for a run", gib(needed), gib(available))
         } else {
-            write!(f, "{needed} {what}; there are {there} for a run")
+            write!(f, "{needed} {resource}; there are {available} for a run")
         }
     }
 }
 
 impl Capacity {
-    /// The resources of this machine for a run: half of its memory up to [`MAX_MEMORY`], and the limits of this
-    /// process.
+    /// Returns the resources of this machine for a run: half of its memory up to [`MAX_MEMORY`],
+    /// [`MAX_PROCESSES`], the descriptor limit of this process and the port range of the system.
     pub fn of_machine() -> Self {
-        let half = memory_of_machine().map_or(MAX_MEMORY, |all| all / 2);
+        let half = memory_of_machine().map_or(MAX_MEMORY, |total| total / 2);
         let descriptors = getrlimit(Resource::Nofile).current.unwrap_or(u64::MAX);
         Self {
             memory: half.min(MAX_MEMORY),
@@ -78,17 +79,19 @@
         }
     }
 
-    /// The first resource that does not suffice for these needs, if any.
+    /// Returns the first resource that does not suffice for these needs; none if they fit.
     pub fn shortage(&self, needs: &Needs) -> Option<Shortage> {
-        let short =
-            |what, needed, there, bytes| (needed > there).then_some(Shortage { what, needed, there, bytes });
-        short("memory", needs.memory, self.memory, true)
-            .or_else(|| short("processes", needs.processes, self.processes, false))
-            .or_else(|| short("descriptors of one process", needs.descriptors, self.descriptors, false))
-            .or_else(|| short("local ports", needs.ports, self.ports, false))
+        let shortage = |resource, needed, available, in_bytes| {
+            (needed > available).then_some(Shortage { resource, needed, available, in_bytes })
+        };
+        shortage("memory", needs.memory, self.memory, true)
+            .or_else(|| shortage("processes", needs.processes, self.processes, false))
+            .or_else(|| shortage("descriptors of one process", needs.descriptors, self.descriptors, false))
+            .or_else(|| shortage("local ports", needs.ports, self.ports, false))
     }
 
-    /// The largest size up to `size` whose needs fit; 0 if none does. `needs` must grow with the size.
+    /// Returns the largest size up to `size` whose needs fit, or 0 if none does. This is a binary search, so `needs`
+    /// must not decrease as the size grows.
     pub fn largest_fit(&self, size: u64, needs: impl Fn(u64) -> Needs) -> u64 {
         let (mut fits, mut fails) = (0, size.saturating_add(1));
         while fails - fits > 1 {
--- a/crates/scale/src/children.rs
+++ b/crates/scale/src/children.rs
@@ -1,4 +1,5 @@
-//! Child processes of a run. Each one runs in its own process group; its output is read, and it is ended by its id.
+//! Child processes of a run, and their standard input, output and error. Each child has its own process group, so that
+//! a signal from the terminal reaches only the rig, which then terminates the children.
 
 use std::collections::VecDeque;
 use std::ffi::OsStr;
@@ -24,10 +25,11 @@
 const OUTPUT_QUEUE_LINES: usize = 4_096;
 /// Length in bytes at which a line of output is split.
 const MAX_OUTPUT_LINE_BYTES: u64 = 1 << 20;
-/// Time between SIGTERM and SIGKILL.
+/// Time between SIGTERM and SIGKILL; also the limit of a wait for the exit of a child that closed its output, and for
+/// the rest of the log of a child that exited.
 const TERMINATION_TIMEOUT: Duration = Duration::from_secs(3);
-/// Interval at which the exit of a child is polled.
-const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Interval at which [`wait_until`] polls its condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Handle of a child that [`Children::start`] returned; it refers to no process after the child is stopped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -43,22 +45,22 @@
 /// The most recent lines of a child's standard error, and the number of all lines so far.
 #[derive(Default)]
 struct Log {
-    last: VecDeque<String>,
-    lines: u64,
+    last_lines: VecDeque<String>,
+    line_count: u64,
 }
 
 impl Log {
     fn push(&mut self, mut line: String) {
-        let mut terminate = line.len().min(MAX_LOG_LINE_BYTES);
-        while !line.is_char_boundary(terminate) {
-            terminate -= 1;
+        let mut length = line.len().min(MAX_LOG_LINE_BYTES);
+        while !line.is_char_boundary(length) {
+            length -= 1;
         }
-        line.truncate(terminate);
-        if self.last.len() == LOG_LINES {
-            self.last.pop_front();
+        line.truncate(length);
+        if self.last_lines.len() == LOG_LINES {
+            self.last_lines.pop_front();
         }
-        self.last.push_back(line);
-        self.lines += 1;
+        self.last_lines.push_back(line);
+        self.line_count += 1;
     }
 }
 
@@ -70,7 +72,8 @@
 }
 
 impl Children {
-    /// Creates an empty set. [`Children::start`] runs `program`, at most `max_processes` processes at once.
+    /// Creates a set without children. [`Children::start`] runs `program`, and allows at most `max_processes` children
+    /// at a time.
     pub fn new(program: PathBuf, max_processes: u64) -> Self {
         Self { program, max_processes, running: Vec::new() }
     }
@@ -84,7 +87,7 @@
     ) -> Result<ChildId, MeasureError> {
         if self.ids().count() as u64 >= self.max_processes {
             return Err(MeasureError::Unexpected(format!(
-                "{label}: more than {} processes",
+                "{label}: more than {} processes are not allowed at a time",
                 self.max_processes
             )));
         }
@@ -105,17 +108,17 @@
         Ok(ChildId(self.running.len() - 1))
     }
 
-    /// Process ids of the running children.
+    /// Process ids of the children that have not been stopped.
     pub fn ids(&self) -> impl Iterator<Item = u32> + '_ {
         self.running.iter().flatten().map(|running| running.child.id())
     }
 
-    /// The process of a running child, for sampling its resource usage; none after its end.
+    /// The process of a child, for sampling its resource usage; none for a stopped child.
     pub fn process(&self, id: ChildId) -> Option<Process> {
         self.get(id).map(|running| Process::by_id(running.child.id()))
     }
 
-    /// Resident memory of all running children, in bytes.
+    /// Resident memory of all running children, in bytes. A child whose memory can't be read counts as 0.
     pub fn resident(&self) -> u64 {
         self.ids().filter_map(|id| Process::by_id(id).resident().ok()).sum()
     }
@@ -124,15 +127,19 @@
     pub fn next_line(&mut self, id: ChildId, limit: Duration) -> Result<String, MeasureError> {
         let until = Instant::now() + limit;
         let Some(running) = self.get(id) else {
-            return Err(MeasureError::Unexpected("read from a child that was already stopped".to_owned()));
+            return Err(MeasureError::Unexpected(
+                "can't read the output of a child that was already stopped".to_owned(),
+            ));
         };
         match running.output.recv_timeout(until.saturating_duration_since(Instant::now())) {
             Ok(line) => Ok(line),
-            Err(RecvTimeoutError::Timeout) => Err(self.child_error(id, "it said nothing in time")),
+            Err(RecvTimeoutError::Timeout) => {
+                Err(self.child_error(id, &format!("no line on standard output within {limit:?}")))
+            }
             Err(RecvTimeoutError::Disconnected) => {
-                self.wait_for_end(id, TERMINATION_TIMEOUT);
+                self.wait_for_exit(id, TERMINATION_TIMEOUT);
                 self.check()?;
-                Err(self.child_error(id, "it closed its standard output"))
+                Err(self.child_error(id, "standard output was closed"))
             }
         }
     }
@@ -142,7 +149,7 @@
         self.get(id)?.output.try_recv().ok()
     }
 
-    /// Writes a line to can't write to a child's standard input; does nothing for a stopped child.
+    /// Writes a line to a child's standard input; does nothing for a stopped child.
     pub fn write_line(&mut self, id: ChildId, line: &str) -> Result<(), MeasureError> {
         let stdin = self.get_mut(id).and_then(|running| running.child.stdin.as_mut());
         let Some(stdin) = stdin else { return Ok(()) };
@@ -152,30 +159,31 @@
 
     /// Number of lines that a child has logged so far; 0 for a stopped child.
     pub fn log_line_count(&self, id: ChildId) -> u64 {
-        self.get(id).map_or(0, |running| lock(&running.log).lines)
+        self.get(id).map_or(0, |running| lock(&running.log).line_count)
     }
 
-    /// The kept log lines of a child that follow its first `after` lines.
+    /// The most recent log lines of a child, without its first `after` lines.
     pub fn log_lines_after(&self, id: ChildId, after: u64) -> Vec<String> {
         let Some(running) = self.get(id) else { return Vec::new() };
         let log = lock(&running.log);
-        let fresh = usize::try_from(log.lines.saturating_sub(after)).unwrap_or(usize::MAX);
-        let known = log.last.len().saturating_sub(fresh);
-        log.last.iter().skip(known).cloned().collect()
+        let new = usize::try_from(log.line_count.saturating_sub(after)).unwrap_or(usize::MAX);
+        let skipped = log.last_lines.len().saturating_sub(new);
+        log.last_lines.iter().skip(skipped).cloned().collect()
     }
 
-    /// The kept log lines of a child, oldest first.
+    /// The most recent log lines of a child, oldest first; empty for a stopped child.
     pub fn last_log(&self, id: ChildId) -> Vec<String> {
-        self.get(id).map_or_else(Vec::new, |running| lock(&running.log).last.iter().cloned().collect())
+        self.get(id).map_or_else(Vec::new, |running| lock(&running.log).last_lines.iter().cloned().collect())
     }
 
-    /// Builds an error with the child's label and its last log lines.
+    /// Builds an error with the child's label, `what` as its description, and the last log lines.
     pub fn child_error(&self, id: ChildId, what: &str) -> MeasureError {
         let label = self.get(id).map_or_else(String::new, |running| running.label.clone());
         MeasureError::Child { label, what: what.to_owned(), log: self.last_log(id).join("\n") }
     }
 
-    /// Fails if a child has exited without being stopped; the error has the label and the last log lines of the first.
+    /// Fails if a child has exited without being stopped; the error has the label and the last log lines of the first
+    /// such child, which is removed from the set.
     pub fn check(&mut self) -> Result<(), MeasureError> {
         for slot in &mut self.running {
             let Some(running) = slot else { continue };
@@ -183,21 +191,21 @@
             let Some(running) = slot.take() else { continue };
             // The reader thread drops its reference at the end of the stream: the log is then complete.
             wait_until(TERMINATION_TIMEOUT, || Arc::strong_count(&running.log) == 1);
-            let log: Vec<String> = lock(&running.log).last.iter().cloned().collect();
+            let log: Vec<String> = lock(&running.log).last_lines.iter().cloned().collect();
             let (label, status) = (running.label, status.to_string());
             return Err(MeasureError::ChildDied { label, status, log: log.join("\n") });
         }
         Ok(())
     }
 
-    /// Ends one child: closes its standard input, sends SIGTERM, and SIGKILL if it is still running after a timeout.
+    /// Stops one child: closes its standard input, sends SIGTERM, and SIGKILL if it is still running after a timeout.
     pub fn stop(&mut self, id: ChildId) {
         if let Some(running) = self.running.get_mut(id.0).and_then(Option::take) {
             terminate(vec![running]);
         }
     }
 
-    /// Ends all children as [`Children::stop`] does, with one timeout for all of them.
+    /// Stops all children as [`Children::stop`] does, with one timeout for all of them.
     pub fn stop_all(&mut self) {
         terminate(self.running.iter_mut().filter_map(Option::take).collect());
     }
@@ -210,7 +218,7 @@
         self.running.get_mut(id.0)?.as_mut()
     }
 
-    fn wait_for_end(&mut self, id: ChildId, limit: Duration) {
+    fn wait_for_exit(&mut self, id: ChildId, limit: Duration) {
         if let Some(running) = self.get_mut(id) {
             wait_until(limit, || !matches!(running.child.try_wait(), Ok(None)));
         }
@@ -223,11 +231,13 @@
     }
 }
 
-/// Signals all children before waiting for any of them, so that they shut down in parallel.
+/// Stops the children. Signals all of them before waiting for any, so that they shut down in parallel.
 fn terminate(mut children: Vec<RunningChild>) {
     for running in &mut children {
         drop(running.child.stdin.take());
-        // The child has not been reaped, so its process id can't have been reused.
+        // The process id of a child that has not been reaped can't have been reused. Exited children are reaped by
+        // `check`, which removes them from the set. The exception is a child that `next_line` reaped while `check`
+        // reported another one.
         let _ = kill_process(Pid::from_child(&running.child), Signal::TERM);
     }
     let until = Instant::now() + TERMINATION_TIMEOUT;
@@ -241,13 +251,13 @@
 }
 
 /// Polls a condition until it holds; returns false if it does not hold within the limit.
-fn wait_until(limit: Duration, mut holds: impl FnMut() -> bool) -> bool {
+fn wait_until(limit: Duration, mut condition: impl FnMut() -> bool) -> bool {
     let until = Instant::now() + limit;
-    while !holds() {
+    while !condition() {
         if Instant::now() >= until {
             return false;
         }
-        thread::sleep(EXIT_POLL_INTERVAL);
+        thread::sleep(POLL_INTERVAL);
     }
     true
 }
--- a/crates/scale/src/context.rs
+++ b/crates/scale/src/context.rs
@@ -17,7 +17,7 @@
 /// Minimum interval between two checks of memory and children.
 const MEMORY_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Receives the progress of a run, such as for a progress bar.
+/// Receives the progress of a run, for example to show a progress bar.
 pub trait Progress {
     /// Called with a description of the current step.
     fn begin_step(&self, description: &str);
@@ -36,7 +36,7 @@
 /// The conditions under which a run ends early.
 #[derive(Clone, Debug)]
 pub struct RunLimits {
-    /// The time at which the run ends at the latest.
+    /// Latest time at which the run ends.
     pub deadline: Instant,
     /// Ends the run when it is set.
     pub interrupt: Interrupt,
@@ -48,7 +48,7 @@
 pub struct Context<'run> {
     /// The child processes of this size.
     pub children: &'run mut Children,
-    /// Random numbers, seeded by the file's seed, the measure and the size alone.
+    /// Random numbers, whose seed depends on the seed of the plan file, the measure and the size alone.
     pub random: ChaCha8Rng,
     progress: &'run dyn Progress,
     folder: &'run Path,
@@ -89,7 +89,7 @@
         if now >= self.limits.deadline {
             return Err(MeasureError::Deadline);
         }
-        if self.memory_checked_at.is_some_and(|seen| now < seen + MEMORY_CHECK_INTERVAL) {
+        if self.memory_checked_at.is_some_and(|checked_at| now < checked_at + MEMORY_CHECK_INTERVAL) {
             return Ok(());
         }
         self.memory_checked_at = Some(now);
@@ -105,31 +105,32 @@
         let until = Instant::now() + span;
         loop {
             self.check()?;
-            let left = until.saturating_duration_since(Instant::now());
-            if left.is_zero() {
+            let remaining = until.saturating_duration_since(Instant::now());
+            if remaining.is_zero() {
                 return Ok(());
             }
-            thread::sleep(left.min(POLL_INTERVAL));
+            thread::sleep(remaining.min(POLL_INTERVAL));
         }
     }
 
-    /// Polls `done` until it returns a value; none after `limit`. Fails early if [`Context::check`] does.
+    /// Polls `poll` until it returns a value; none if it does not within `limit`. Fails early if [`Context::check`]
+    /// does.
     pub fn wait_for<T>(
         &mut self,
         limit: Duration,
-        mut done: impl FnMut(&mut Self) -> Result<Option<T>, MeasureError>,
+        mut poll: impl FnMut(&mut Self) -> Result<Option<T>, MeasureError>,
     ) -> Result<Option<T>, MeasureError> {
         let until = Instant::now() + limit;
         loop {
             self.check()?;
-            if let Some(value) = done(self)? {
+            if let Some(value) = poll(self)? {
                 return Ok(Some(value));
             }
-            let left = until.saturating_duration_since(Instant::now());
-            if left.is_zero() {
+            let remaining = until.saturating_duration_since(Instant::now());
+            if remaining.is_zero() {
                 return Ok(None);
             }
-            thread::sleep(left.min(POLL_INTERVAL));
+            thread::sleep(remaining.min(POLL_INTERVAL));
         }
     }
 }
--- a/crates/scale/src/fit.rs
+++ b/crates/scale/src/fit.rs
@@ -5,7 +5,7 @@
 /// Minimum number of sizes for a fit.
 pub const MIN_SIZES: usize = 4;
 
-/// A least-squares line, with the standard error of its slope.
+/// A least-squares line through pairs of size and value.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Line {
     /// Value of the line at size 0.
@@ -22,7 +22,7 @@
         self.intercept + self.slope * size
     }
 
-    /// Fits a line; none for fewer than three points or points that all have the same size.
+    /// Fits a line through pairs of x and y; none for fewer than three points, or if all have the same x.
     pub fn through(points: &[(f64, f64)]) -> Option<Self> {
         if points.len() < 3 {
             return None;
@@ -66,7 +66,7 @@
 }
 
 impl Fit {
-    /// Fits pairs of size and value; none if there are fewer than [`MIN_SIZES`].
+    /// Fits pairs of size and value. None if there are fewer than [`MIN_SIZES`], or if all sizes are equal.
     pub fn from_points(points: &[(f64, f64)]) -> Option<Self> {
         if points.len() < MIN_SIZES {
             return None;
@@ -74,8 +74,8 @@
         let line = Line::through(points)?;
         let positive = points.iter().all(|(x, y)| *x > 0.0 && *y > 0.0);
         let logarithms: Vec<(f64, f64)> = points.iter().map(|(x, y)| (x.ln(), y.ln())).collect();
-        let power = if positive { Line::through(&logarithms) } else { None };
-        let exponent = power.map(|line| Exponent { power: line.slope, error: line.slope_error });
+        let power_law = if positive { Line::through(&logarithms) } else { None };
+        let exponent = power_law.map(|line| Exponent { power: line.slope, error: line.slope_error });
         Some(Self { line, exponent, sizes: points.len() })
     }
 }
--- a/crates/scale/src/interrupt.rs
+++ b/crates/scale/src/interrupt.rs
@@ -1,9 +1,9 @@
-//! A flag that cancels a run.
+//! A flag that interrupts a run.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-/// Cancellation flag, set by a signal handler or a test and polled by the run. Clones share the flag.
+/// Flag that interrupts a run. It is set by a signal handler or a test and polled by the run; clones share the flag.
 #[derive(Clone, Debug, Default)]
 pub struct Interrupt(Arc<AtomicBool>);
 
--- a/crates/scale/src/lib.rs
+++ b/crates/scale/src/lib.rs
@@ -1,4 +1,4 @@
-//! Scale runs: measure how costs grow with the size of the fleet, fit the growth and check it against bounds.
+//! Scale runs, which measure how costs grow with the size of the fleet, fit the growth and check it against bounds.
 //!
 //! This crate may depend on the decision module, the settings format, processes and `/proc`, but not on the command
 //! line or on the internals of the program that it starts.
@@ -7,8 +7,9 @@
 //! * [`measure`]: the available measures, one module each, behind the trait [`measure::Measure`].
 //! * [`context`], [`children`], [`process`], [`rig`]: the services that a measure uses while it runs.
 //! * [`run`]: runs the measures in order until all are done, the deadline passes or the run is interrupted.
-//! * [`fit`], [`verdict`], [`report`]: least-squares fits, checks of bounds, and the output as JSON
-//!   lines, tables and plots.
+//! * [`interrupt`]: the flag that interrupts a run.
+//! * [`fit`], [`verdict`], [`report`]: least-squares fits, checks of bounds, and the output as JSON lines, tables and
+//!   plots.
 
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
--- a/crates/scale/src/measure/mod.rs
+++ b/crates/scale/src/measure/mod.rs
@@ -14,20 +14,21 @@
 
 use crate::capacity::Needs;
 use crate::context::Context;
+use crate::fit::MIN_SIZES;
 
 /// The unit of a metric.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Unit {
-    /// Microseconds.
+    /// Time in microseconds.
     Microseconds,
-    /// Bytes.
+    /// Memory or other data in bytes.
     Bytes,
     /// A number of things, or of events per second.
     Count,
     /// Cores: processor time divided by elapsed time.
     Cores,
-    /// Bytes per second.
+    /// Data rate in bytes per second.
     BytesPerSecond,
 }
 
@@ -38,7 +39,7 @@
     pub name: &'static str,
     /// Unit of the values.
     pub unit: Unit,
-    /// Description in one line.
+    /// Description in one line, which is also the doc comment of the metric's static.
     pub description: &'static str,
 }
 
@@ -73,14 +74,14 @@
     }
 }
 
-/// Why a measure ended before it had its results.
+/// An error that ends a measure before it has its results.
 #[derive(Debug, thiserror::Error)]
 pub enum MeasureError {
     /// The run was cancelled by a signal or a caller.
     #[error("interrupted")]
     Interrupted,
     /// The run passed the deadline of its plan file.
-    #[error("the deadline of the file has passed")]
+    #[error("the run passed the deadline of its plan file")]
     Deadline,
     /// The run and its children use more memory than allowed.
     #[error("{used} bytes of memory are in use; the limit of a run is {allowed}")]
@@ -115,10 +116,10 @@
     System {
         /// The operation, or the resource that it concerned.
         what: String,
-        /// The cause.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// The measured program behaved in a way that the measure does not handle.
+    /// The measured program, or the measure itself, did something unexpected that the text describes.
     #[error("{0}")]
     Unexpected(String),
 }
@@ -131,46 +132,49 @@
     }
 }
 
-/// The sizes of a measure in ascending order, with their position in the plan file.
+/// The sizes of a measure, with their position in the plan file.
 #[derive(Clone, Debug)]
 pub struct Sizes {
-    /// What the sizes count, such as `workers` or `followers`; also the key of the list in the plan file.
+    /// Dimension of the sizes, such as `workers` or `followers`. It is the key of the list in the plan file.
     pub dimension: &'static str,
-    /// The sizes.
+    /// Sizes in ascending order.
     pub values: Vec<u64>,
     /// Position of the list in the plan file, for errors.
     pub span: Span,
 }
 
 /// Maximum number of sizes of a measure.
-const MOST_SIZES: usize = 12;
+const MAX_SIZES: usize = 12;
 
 impl Sizes {
-    /// Reads the required list `(of SIZE SIZE ...)` of a measure. Invalid sizes are recorded as errors of the form.
-    pub fn read(form: &mut Form, of: &'static str) -> Option<Self> {
-        let mut list = form.required_list(of)?;
+    /// Reads the required list `(DIMENSION SIZE SIZE ...)` of a measure. Invalid sizes are recorded as errors of the
+    /// form.
+    pub fn read(form: &mut Form, dimension: &'static str) -> Option<Self> {
+        let mut list = form.required_list(dimension)?;
         let span = list.span();
         let mut values: Vec<u64> = Vec::new();
         while let Some(size) = list.next_item::<u64>() {
             values.push(size);
         }
-        if values.is_empty() || values.len() > MOST_SIZES {
-            list.error(format!("({of} ...): write 1 to {MOST_SIZES} sizes; a fit needs at least 4"));
+        if values.is_empty() || values.len() > MAX_SIZES {
+            list.error(format!(
+                "({dimension} ...): write 1 to {MAX_SIZES} sizes; a fit needs at least {MIN_SIZES}"
+            ));
         }
         if values.contains(&0) {
-            list.error(format!("({of} ...): a size is at least 1"));
+            list.error(format!("({dimension} ...): a size is at least 1"));
         }
         if values.windows(2).any(|pair| pair[0] >= pair[1]) {
-            list.error(format!("({of} ...): write each size once, the smallest first"));
+            list.error(format!("({dimension} ...): write each size once, the smallest first"));
         }
         list.finish();
-        Some(Self { dimension: of, values, span })
+        Some(Self { dimension, values, span })
     }
 }
 
 /// A measurement that is repeated at several sizes.
 pub trait Measure {
-    /// Name of the measure, which is also its key in the plan file.
+    /// Name of the measure, which is its key in the plan file.
     fn name(&self) -> &'static str;
 
     /// The sizes to measure at.
@@ -179,11 +183,11 @@
     /// The metrics that the measure may report.
     fn metrics(&self) -> &'static [&'static Metric];
 
-    /// Upper estimate of the resources that a size needs; must grow with the size.
+    /// Upper estimate of the resources that a size needs. It must not decrease as the size grows.
     fn needs(&self, size: u64) -> Needs;
 
-    /// Measures at one size. Called once for each size, in ascending order. Children that are still running when it
-    /// returns are stopped by the caller.
+    /// Measures at one size. The run calls this once for each size, in ascending order, and then stops the children
+    /// that are still running.
     fn run_at(&mut self, size: u64, context: &mut Context<'_>) -> Result<Observations, MeasureError>;
 }
 
--- a/crates/scale/src/process.rs
+++ b/crates/scale/src/process.rs
@@ -32,12 +32,13 @@
         Self { folder: PathBuf::from(format!("/proc/{id}")) }
     }
 
-    /// This process.
+    /// The calling process.
     pub fn own() -> Self {
         Self { folder: PathBuf::from("/proc/self") }
     }
 
-    /// Reads the current resource usage. I/O and descriptors are 0 where they can't be read.
+    /// Reads the current resource usage. Fails if the processor time or the memory can't be read; counts of
+    /// I/O and descriptors that can't be read are 0.
     pub fn sample(&self) -> io::Result<Sample> {
         let io = self.text("io").unwrap_or_default();
         Ok(Sample {
@@ -45,11 +46,12 @@
             resident: self.resident()?,
             read: field(&io, "rchar:").unwrap_or(0),
             written: field(&io, "wchar:").unwrap_or(0),
-            descriptors: fs::read_dir(self.folder.join("fd")).map_or(0, |open| open.count() as u64),
+            descriptors: fs::read_dir(self.folder.join("fd")).map_or(0, |entries| entries.count() as u64),
         })
     }
 
-    /// Processor time of all running threads, from `schedstat` in nanoseconds; `stat` counts in steps of 10 ms.
+    /// Processor time of all running threads. It is read from `schedstat`, which counts nanoseconds, because `stat`
+    /// counts in steps of 10 ms.
     pub fn processor(&self) -> io::Result<Duration> {
         let mut nanoseconds = 0;
         for task in fs::read_dir(self.folder.join("task"))? {
@@ -64,7 +66,8 @@
     pub fn resident(&self) -> io::Result<u64> {
         let status = self.text("status")?;
         let kilobytes = field(&status, "VmRSS:");
-        kilobytes.map(|kb| kb * 1024).ok_or_else(|| io::Error::other("the process status has no VmRSS"))
+        let missing = || io::Error::other(format!("{}/status has no VmRSS line", self.folder.display()));
+        kilobytes.map(|kilobytes| kilobytes * 1024).ok_or_else(missing)
     }
 
     fn text(&self, name: &str) -> io::Result<String> {
--- a/crates/scale/src/report/lines.rs
+++ b/crates/scale/src/report/lines.rs
@@ -1,5 +1,5 @@
-//! The JSON lines of a run: one for each observation, fit, estimate at the target size and verdict, and
-//! one for the end.
+//! The JSON lines of a run: one for each observation, fit, estimate at the target size and verdict, and one for the
+//! end of the run.
 
 use serde::Serialize;
 
--- a/crates/scale/src/report/table.rs
+++ b/crates/scale/src/report/table.rs
@@ -13,24 +13,26 @@
 pub fn amount(value: f64, unit: Option<Unit>) -> String {
     match unit {
         Some(Unit::Microseconds) => scaled(value, &[(1e6, "s"), (1e3, "ms"), (1.0, "us"), (1e-3, "ns")]),
-        Some(Unit::Bytes) => scaled(value, BYTES),
-        Some(Unit::BytesPerSecond) => format!("{}/s", scaled(value, BYTES)),
+        Some(Unit::Bytes) => scaled(value, BYTE_UNITS),
+        Some(Unit::BytesPerSecond) => format!("{}/s", scaled(value, BYTE_UNITS)),
         Some(Unit::Cores) => format!("{} cores", plain(value)),
         Some(Unit::Count) => plain(value),
         None => format!("{value:.3}"),
     }
 }
 
-/// Formats a number with three decimals, or in scientific notation if it is small, as slopes are.
+/// Formats a number with three decimals, or in scientific notation if it is small, as most slopes are.
 fn plain(value: f64) -> String {
     if value != 0.0 && value.abs() < 0.01 { format!("{value:.1e}") } else { format!("{value:.3}") }
 }
 
-const BYTES: &[(f64, &str)] = &[(1073741824.0, "GiB"), (1048576.0, "MiB"), (1024.0, "KiB"), (1.0, "B")];
+/// Units of bytes and their factors, the largest first.
+const BYTE_UNITS: &[(f64, &str)] = &[(1073741824.0, "GiB"), (1048576.0, "MiB"), (1024.0, "KiB"), (1.0, "B")];
 
+/// Formats a value in the first unit whose factor it reaches, or else in the last. `units` has the largest unit first.
 fn scaled(value: f64, units: &[(f64, &str)]) -> String {
-    let fitting = units.iter().find(|(factor, _)| value.abs() >= *factor).or(units.last());
-    fitting.map_or_else(String::new, |(factor, name)| format!("{:.2} {name}", value / factor))
+    let unit = units.iter().find(|(factor, _)| value.abs() >= *factor).or(units.last());
+    unit.map_or_else(String::new, |(factor, name)| format!("{:.2} {name}", value / factor))
 }
 
 fn table(header: &[&str]) -> Table {
@@ -61,35 +63,35 @@
 
 /// Formats a table for each measure, with a row for each metric and a column for each size.
 fn observations(report: &Report) -> Vec<String> {
-    let mut measures: Vec<&str> = report.observed.iter().map(|one| one.measure).collect();
+    let mut measures: Vec<&str> = report.observed.iter().map(|observed| observed.measure).collect();
     measures.dedup();
     let mut parts: Vec<String> =
         measures.into_iter().map(|measure| observations_of(report, measure)).collect();
-    if report.observed.iter().any(|one| one.rig != RigBound::None) {
+    if report.observed.iter().any(|observed| observed.rig != RigBound::None) {
         parts.push("* bounded by the rig's own process or by the machine, not by the program".to_owned());
     }
     parts
 }
 
 fn observations_of(report: &Report, measure: &str) -> String {
-    let ours = || report.observed.iter().filter(|one| one.measure == measure);
-    let sizes: BTreeSet<u64> = ours().map(|one| one.size).collect();
+    let of_measure = || report.observed.iter().filter(|observed| observed.measure == measure);
+    let sizes: BTreeSet<u64> = of_measure().map(|observed| observed.size).collect();
     let mut metrics: Vec<&str> = Vec::new();
-    for one in ours() {
-        if !metrics.contains(&one.metric) {
-            metrics.push(one.metric);
+    for observed in of_measure() {
+        if !metrics.contains(&observed.metric) {
+            metrics.push(observed.metric);
         }
     }
-    let of = ours().next().map_or("", |one| one.dimension);
-    let columns = sizes.iter().map(|size| format!("{size} {of}"));
+    let dimension = of_measure().next().map_or("", |observed| observed.dimension);
+    let columns = sizes.iter().map(|size| format!("{size} {dimension}"));
     let mut table = table(&[measure]);
     table.set_header([measure.to_owned()].into_iter().chain(columns));
     for metric in metrics {
         let cells = sizes.iter().map(|size| {
-            let found = ours().find(|one| one.metric == metric && one.size == *size);
-            found.map_or_else(String::new, |one| {
-                let mark = if one.rig == RigBound::None { "" } else { " *" };
-                format!("{}{mark}", amount(one.value, Some(one.unit)))
+            let observed = of_measure().find(|observed| observed.metric == metric && observed.size == *size);
+            observed.map_or_else(String::new, |observed| {
+                let mark = if observed.rig == RigBound::None { "" } else { " *" };
+                format!("{}{mark}", amount(observed.value, Some(observed.unit)))
             })
         });
         table.add_row([metric.to_owned()].into_iter().chain(cells));
@@ -103,8 +105,8 @@
         let (line, exponent) = (fitted.fit.line, fitted.fit.exponent);
         let slope =
             format!("{} a {}", amount(line.slope, Some(fitted.unit)), fitted.dimension.trim_end_matches('s'));
-        let power = exponent.map_or_else(String::new, |e| format!("{:.2}", e.power));
-        let error = exponent.map_or_else(String::new, |e| format!("{:.2}", e.error));
+        let power = exponent.map_or_else(String::new, |exponent| format!("{:.2}", exponent.power));
+        let error = exponent.map_or_else(String::new, |exponent| format!("{:.2}", exponent.error));
         table.add_row([
             fitted.measure,
             fitted.metric,
--- a/crates/scale/src/rig.rs
+++ b/crates/scale/src/rig.rs
@@ -13,7 +13,7 @@
 /// Below this idle share of all cores, the machine is saturated.
 const MIN_IDLE_SHARE: f64 = 0.1;
 
-/// What limits the metrics of an interval beside the measured program.
+/// The part of the test setup, other than the measured program, that limits the metrics of an interval.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RigBound {
@@ -32,13 +32,13 @@
     pub own_cores: f64,
     /// Idle share of all cores of the machine.
     pub idle: f64,
-    /// What limits the metrics at this usage.
+    /// Part of the test setup that limits the metrics at this usage.
     pub bound: RigBound,
 }
 
 impl RigUsage {
-    /// Classifies an interval. With `in_process`, the measured code runs inside the rig's process, whose own use is
-    /// then no limit.
+    /// Classifies an interval. With `in_process`, the measured code runs inside the rig's process, so a busy
+    /// rig is then not reported as the limit.
     pub fn classify(own_cores: f64, idle: f64, in_process: bool) -> Self {
         let bound = if idle < MIN_IDLE_SHARE {
             RigBound::Machine
@@ -53,22 +53,22 @@
 
 /// Measures the processor use of the rig and the machine over an interval.
 pub struct RigWatch {
-    began: Instant,
-    own: Duration,
+    started: Instant,
+    own_processor: Duration,
     machine: MachineTime,
 }
 
 impl RigWatch {
-    /// Starts an interval.
+    /// Starts an interval at the current time.
     pub fn begin() -> io::Result<Self> {
-        let own = Process::own().processor()?;
-        Ok(Self { began: Instant::now(), own, machine: MachineTime::now()? })
+        let own_processor = Process::own().processor()?;
+        Ok(Self { started: Instant::now(), own_processor, machine: MachineTime::now()? })
     }
 
-    /// Ends the interval; `in_process` is as in [`RigUsage::classify`].
+    /// Ends the interval and returns its usage; `in_process` is as in [`RigUsage::classify`].
     pub fn end(self, in_process: bool) -> io::Result<RigUsage> {
-        let own = Process::own().processor()?.saturating_sub(self.own);
-        let wall = self.began.elapsed().as_secs_f64().max(1e-9);
+        let own = Process::own().processor()?.saturating_sub(self.own_processor);
+        let wall = self.started.elapsed().as_secs_f64().max(1e-9);
         let idle = MachineTime::now()?.idle_share_since(self.machine);
         Ok(RigUsage::classify(own.as_secs_f64() / wall, idle, in_process))
     }
@@ -77,7 +77,7 @@
 /// Time of all cores since boot, in ticks of the kernel.
 #[derive(Clone, Copy)]
 struct MachineTime {
-    all: u64,
+    total: u64,
     idle: u64,
 }
 
@@ -87,15 +87,15 @@
         let line = text.lines().next().unwrap_or("");
         let ticks: Vec<u64> = line.split_whitespace().skip(1).filter_map(|word| word.parse().ok()).collect();
         // Fields: user nice system idle iowait irq softirq steal. The guest fields after them are included in user.
-        let all = ticks.iter().take(8).sum();
+        let total = ticks.iter().take(8).sum();
         let idle = ticks.get(3).copied().unwrap_or(0) + ticks.get(4).copied().unwrap_or(0);
-        Ok(Self { all, idle })
+        Ok(Self { total, idle })
     }
 
     /// Idle share of the time since `before`; 1 if no tick has passed.
     fn idle_share_since(self, before: Self) -> f64 {
-        let all = self.all.saturating_sub(before.all);
+        let total = self.total.saturating_sub(before.total);
         let idle = self.idle.saturating_sub(before.idle);
-        if all == 0 { 1.0 } else { idle as f64 / all as f64 }
+        if total == 0 { 1.0 } else { idle as f64 / total as f64 }
     }
 }
--- a/crates/scale/src/run.rs
+++ b/crates/scale/src/run.rs
@@ -23,7 +23,7 @@
     /// Name of the metric.
     #[serde(rename = "figure")]
     pub metric: &'static str,
-    /// What the size counts.
+    /// Dimension of the size, such as `workers` or `followers`.
     #[serde(rename = "of")]
     pub dimension: &'static str,
     /// Size at which the value was observed.
@@ -32,7 +32,7 @@
     pub value: f64,
     /// Unit of the value.
     pub unit: Unit,
-    /// What limited the result beside the measured program.
+    /// Whether the rig or the machine limited the value.
     pub rig: RigBound,
     /// Number of cores that the rig's own process used.
     pub rig_cores: f64,
@@ -55,7 +55,7 @@
     /// Name of the metric.
     #[serde(rename = "figure")]
     pub metric: &'static str,
-    /// What the size counts.
+    /// Dimension of the size, such as `workers` or `followers`.
     #[serde(rename = "of")]
     pub dimension: &'static str,
     /// Unit of the metric.
@@ -67,7 +67,7 @@
     pub rig_bound: bool,
 }
 
-/// How a run ended.
+/// The end of a run.
 #[derive(Debug)]
 pub enum End {
     /// All measures completed.
@@ -96,32 +96,33 @@
     pub targets: Vec<TargetEstimate>,
     /// Verdicts on the bounds, in the order of the plan file.
     pub verdicts: Vec<Verdict>,
-    /// How the run ended.
+    /// Whether the run completed, was interrupted or failed.
     pub end: End,
 }
 
 impl Report {
     /// Whether the run completed and kept all bounds.
     pub fn all_kept(&self) -> bool {
-        matches!(self.end, End::Done) && self.verdicts.iter().all(|v| v.outcome == Outcome::Kept)
+        matches!(self.end, End::Done) && self.verdicts.iter().all(|verdict| verdict.outcome == Outcome::Kept)
     }
 }
 
-/// The environment of a run, beside its settings.
+/// The environment of a run, in addition to its settings.
 pub struct RunEnvironment<'a> {
     /// The program that is run in child processes.
     pub program: PathBuf,
     /// Resources that the run may use.
     pub capacity: Capacity,
-    /// Cancels the run when it is set.
+    /// Ends the run when it is set.
     pub interrupt: Interrupt,
     /// Receives the progress of the run.
     pub progress: &'a dyn Progress,
-    /// Receives each value as soon as its size is done, so that a run that ends early has reported its results.
+    /// Receives each value when the measurement of its size has ended, so that the results up to then are reported even
+    /// if the run ends early.
     pub on_observation: &'a mut dyn FnMut(&Observation),
 }
 
-/// Runs all measures. All child processes have ended when it returns.
+/// Runs all measures, up to the first failure or interrupt. All child processes have ended when it returns.
 pub fn run(settings: &mut Settings, environment: RunEnvironment<'_>) -> Report {
     let deadline = Instant::now() + settings.deadline;
     let limits =
@@ -160,7 +161,7 @@
     fn run_at(&mut self, measure: &mut dyn Measure, size: u64) -> Result<(), MeasureError> {
         let (name, dimension) = (measure.name(), measure.sizes().dimension);
         self.environment.progress.begin_step(&format!("{name} {size}"));
-        let folder = tempfile::tempdir().map_err(MeasureError::system("a folder for files"))?;
+        let folder = tempfile::tempdir().map_err(MeasureError::system("can't create a temporary folder"))?;
         let mut children =
             Children::new(self.environment.program.clone(), self.environment.capacity.processes);
         let seed = seed_of(self.seed, name, size);
@@ -192,9 +193,9 @@
     }
 }
 
-/// Derives the seed of a measure at a size, which does not depend on the other measures and sizes of the plan file.
+/// Derives the seed of a measure at a size as an FNV-1a hash, so that it does not depend on the other measures and
+/// sizes of the plan file.
 fn seed_of(seed: u64, measure: &str, size: u64) -> u64 {
-    // FNV-1a.
     let mut hash = 0xcbf2_9ce4_8422_2325_u64;
     for byte in measure.bytes().chain(size.to_le_bytes()).chain(seed.to_le_bytes()) {
         hash = (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
@@ -202,14 +203,17 @@
     hash
 }
 
+/// Returns the fits of the metrics of a measure that were observed at enough sizes.
 fn fits(measure: &dyn Measure, observed: &[Observation]) -> Vec<FittedMetric> {
     let (name, sizes) = (measure.name(), measure.sizes());
-    let mut all = Vec::new();
+    let mut fits = Vec::new();
     for metric in measure.metrics() {
         let id = MetricId { measure: name, metric };
         let Some(fit) = Fit::from_points(&points(observed, &id)) else { continue };
-        let rig_bound = observed.iter().any(|one| one.belongs_to(&id) && one.rig != RigBound::None);
-        all.push(FittedMetric {
+        let rig_bound = observed
+            .iter()
+            .any(|observation| observation.belongs_to(&id) && observation.rig != RigBound::None);
+        fits.push(FittedMetric {
             measure: name,
             metric: metric.name,
             dimension: sizes.dimension,
@@ -218,5 +222,5 @@
             rig_bound,
         });
     }
-    all
+    fits
 }
--- a/crates/scale/src/settings.rs
+++ b/crates/scale/src/settings.rs
@@ -2,17 +2,22 @@
 
 use std::time::Duration;
 
+use nettleferry::Micros;
 use nettleferry_config::Errors;
 use nettleferry_config::form::{Bytes, Form, Source, TimeSpan, suggestion};
+use nettleferry_config::syntax::Span;
 
 use crate::capacity::Capacity;
 use crate::fit::MIN_SIZES;
 use crate::measure::{MEASURE_KINDS, Measure, Metric, Unit};
 use crate::verdict::{Bound, Budget, MetricId, Subject};
 
-/// Default and maximum of `deadline`, in microseconds.
-const DEFAULT_DEADLINE: u64 = 180_000_000;
-const MAX_DEADLINE: u64 = 1_800_000_000;
+/// Default of `deadline`.
+const DEFAULT_DEADLINE: Micros = 180_000_000;
+/// Minimum of `deadline`.
+const MIN_DEADLINE: Micros = 1_000_000;
+/// Maximum of `deadline`.
+const MAX_DEADLINE: Micros = 1_800_000_000;
 
 /// A validated plan of a run.
 pub struct Settings {
@@ -22,14 +27,14 @@
     pub deadline: Duration,
     /// Measures, in the order in which they run.
     pub measures: Vec<Box<dyn Measure>>,
-    /// Bounds that the results must keep.
+    /// Bounds that the results are checked against.
     pub bounds: Vec<Bound>,
     /// Budgets of metrics at the target size.
     pub budgets: Vec<Budget>,
 }
 
-/// Parses and validates a plan file. `file` names it in errors. Sizes that don't fit into `capacity` are rejected with
-/// the largest size that does.
+/// Parses and validates the plan file whose content is `text`; `file` names it in errors. A size that does not fit into
+/// `capacity` is an error that states the largest size that fits.
 pub fn read(file: &str, text: &str, capacity: &Capacity) -> Result<Settings, Errors> {
     let (source, mut top) = Form::parse(file, text);
     let seed = top.value_or("seed", 1);
@@ -48,9 +53,9 @@
     source.into_result(Some(Settings { seed, deadline, measures, bounds, budgets }))
 }
 
-fn read_deadline(mut form: Form) -> u64 {
+fn read_deadline(mut form: Form) -> Micros {
     let span = form.required_item::<TimeSpan>("its span").map_or(DEFAULT_DEADLINE, |span| span.0);
-    if !(1_000_000..=MAX_DEADLINE).contains(&span) {
+    if !(MIN_DEADLINE..=MAX_DEADLINE).contains(&span) {
         form.error("(deadline ...): write 1s to 30min");
     }
     form.finish();
@@ -74,25 +79,23 @@
     measures
 }
 
-/// Checks each size on its own, because measures and sizes run one after another.
+/// Checks that each size fits into the capacity. Sizes are checked one by one, because only one of them runs at a time.
 fn check_sizes(source: &Source, measures: &[Box<dyn Measure>], capacity: &Capacity) {
     for measure in measures {
         let sizes = measure.sizes();
         for size in &sizes.values {
-            let Some(short) = capacity.shortage(&measure.needs(*size)) else { continue };
+            let Some(shortage) = capacity.shortage(&measure.needs(*size)) else { continue };
             let fits = capacity.largest_fit(*size, |size| measure.needs(size));
-            let what = format!("{} {size} can't fit: needs {short}; write at most {fits}", sizes.dimension);
-            source.error(sizes.span, what);
+            let message =
+                format!("{} {size} can't fit: needs {shortage}; write at most {fits}", sizes.dimension);
+            source.error(sizes.span, message);
             break;
         }
     }
 }
 
-fn check_time(
-    source: &Source,
-    measures: &[Box<dyn Measure>],
-    (span, deadline): (nettleferry_config::syntax::Span, Duration),
-) {
+/// Checks that the deadline suffices for the estimated time of all measures. `span` is the position for errors.
+fn check_time(source: &Source, measures: &[Box<dyn Measure>], (span, deadline): (Span, Duration)) {
     let mut needed = Duration::ZERO;
     let mut parts = Vec::new();
     for measure in measures {
@@ -128,6 +131,7 @@
     bounds
 }
 
+/// The kinds of [`Subject`], whose forms are parsed differently.
 #[derive(Clone, Copy)]
 enum SubjectKind {
     At,
@@ -135,13 +139,14 @@
     Exponent,
 }
 
-/// Parses `(MEASURE FIGURE SIZE...) MOST` in a bound.
+/// Parses the content of a bound, `(MEASURE FIGURE SIZE...) MOST`.
 fn read_subject(form: &mut Form, measures: &[Box<dyn Measure>], kind: SubjectKind) -> Option<Bound> {
     let max = match kind {
         SubjectKind::At => None,
         SubjectKind::Ratio | SubjectKind::Exponent => Some(form.required_item::<f64>("the maximum")),
     };
     let Some((mut subject, measure, id)) = read_metric(form, measures) else {
+        // Skips the maximum of an `at-most` bound, which can't be parsed without the unit of the metric.
         let _ = form.next_item::<String>();
         return None;
     };
@@ -168,7 +173,8 @@
     bound
 }
 
-/// Parses the list `(MEASURE FIGURE ...)` in a form up to the metric; the sizes that follow are left to the caller.
+/// Parses the list `(MEASURE FIGURE ...)` in a form, and returns it with the measure and the metric that it names. The
+/// sizes that follow in the list are parsed by the caller. None if the list is missing or names no known metric.
 fn read_metric<'m>(
     form: &mut Form,
     measures: &'m [Box<dyn Measure>],
@@ -178,8 +184,8 @@
         form.error(format!("({} ...) lacks its figure: write (MEASURE FIGURE ...)", form.name()));
         return None;
     };
-    for more in lists {
-        more.error("one figure per bound: write another bound for this one");
+    for extra in lists {
+        extra.error("one figure per bound: write another bound for this one");
     }
     let Some(measure) = measures.iter().find(|measure| measure.name() == subject.name()) else {
         let names = || measures.iter().map(|measure| measure.name());
@@ -188,8 +194,9 @@
         subject.error(format!("this file measures {all}, not {}{hint}", subject.name()));
         return None;
     };
-    let words: Vec<(&str, &'static Metric)> = measure.metrics().iter().map(|f| (f.name, *f)).collect();
-    let metric = subject.keyword("the figure", &words)?;
+    let metrics: Vec<(&str, &'static Metric)> =
+        measure.metrics().iter().map(|metric| (metric.name, *metric)).collect();
+    let metric = subject.keyword("the figure", &metrics)?;
     Some((subject, &**measure, MetricId { measure: measure.name(), metric }))
 }
 
@@ -214,6 +221,7 @@
     Some(amount)
 }
 
+/// Records an error if the measure has too few sizes for a fit; `what` names the part of the plan that needs the fit.
 fn require_fit_sizes(subject: &Form, measure: &dyn Measure, what: &str) {
     let sizes = measure.sizes();
     if sizes.values.len() < MIN_SIZES {
@@ -248,6 +256,7 @@
             budgets.extend(target.zip(max).map(|(size, max)| Budget { id, size, max }));
             subject.finish();
         } else {
+            // Skips the budget, which can't be parsed without the unit of the metric.
             let _ = budget.next_item::<String>();
         }
         budget.finish();
--- a/crates/scale/src/verdict.rs
+++ b/crates/scale/src/verdict.rs
@@ -12,7 +12,7 @@
 pub struct MetricId {
     /// Name of the measure.
     pub measure: &'static str,
-    /// The metric.
+    /// Metric among those of the measure.
     pub metric: &'static Metric,
 }
 
@@ -21,14 +21,14 @@
 pub enum Subject {
     /// A metric at one size.
     At {
-        /// The metric.
+        /// The bounded metric.
         id: MetricId,
         /// Size at which the metric is bounded.
         size: u64,
     },
     /// The ratio of a metric between two sizes.
     Ratio {
-        /// The metric.
+        /// The metric of both values.
         id: MetricId,
         /// Size of the numerator.
         size: u64,
@@ -37,7 +37,7 @@
     },
     /// The exponent of the power law by which a metric grows with the size.
     Exponent {
-        /// The metric.
+        /// The metric whose growth is bounded.
         id: MetricId,
     },
 }
@@ -48,7 +48,7 @@
         let label = |id: &MetricId| format!("{} {}", id.measure, id.metric.name);
         match self {
             Self::At { id, size } => format!("{} {size}", label(id)),
-            Self::Ratio { id, size, base_size: over } => format!("ratio {} {size}:{over}", label(id)),
+            Self::Ratio { id, size, base_size } => format!("ratio {} {size}:{base_size}", label(id)),
             Self::Exponent { id } => format!("exponent {}", label(id)),
         }
     }
@@ -75,16 +75,20 @@
         }
     }
 
+    /// Computes the quantity. None if a value that it needs was not observed, or if it is not defined, as is a ratio to
+    /// 0 or the exponent of values that are not above zero.
     fn value(&self, observed: &[Observation]) -> Option<f64> {
-        let value = |wanted: u64| {
-            let found = observed.iter().find(|one| one.belongs_to(self.id()) && one.size == wanted);
-            found.map(|one| one.value)
+        let value_at = |size: u64| {
+            observed
+                .iter()
+                .find(|observation| observation.belongs_to(self.id()) && observation.size == size)
+                .map(|observation| observation.value)
         };
         match self {
-            Self::At { size, .. } => value(*size),
+            Self::At { size, .. } => value_at(*size),
             Self::Ratio { size, base_size, .. } => {
-                let below = value(*base_size)?;
-                (below > 0.0).then_some(value(*size)? / below)
+                let base = value_at(*base_size)?;
+                (base > 0.0).then_some(value_at(*size)? / base)
             }
             Self::Exponent { id } => Some(Fit::from_points(&points(observed, id))?.exponent?.power),
         }
@@ -96,7 +100,7 @@
     observed.iter().filter(|one| one.belongs_to(id)).map(|one| (one.size as f64, one.value)).collect()
 }
 
-/// An upper bound.
+/// An upper bound of a quantity.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bound {
     /// The bounded quantity.
@@ -113,7 +117,8 @@
     Kept,
     /// The value exceeds the bound.
     Broken,
-    /// The value could not be computed, because the metric was not observed at the sizes that it needs.
+    /// The value could not be computed: the metric was not observed at the sizes that it needs, or the ratio or the
+    /// exponent is not defined for the observed values.
     NotMeasured,
 }
 
@@ -122,7 +127,7 @@
 pub struct Verdict {
     /// Description of the bounded quantity.
     pub bound: String,
-    /// Maximum that the bound allows.
+    /// Maximum that the bound allows, inclusive.
     #[serde(rename = "most")]
     pub max: f64,
     /// Value of the bounded quantity, if it could be computed.
@@ -146,8 +151,9 @@
         };
         let rig_bound = observed
             .iter()
-            .filter(|one| one.belongs_to(self.subject.id()) && self.subject.involves_size(one.size))
-            .any(|one| one.rig != RigBound::None);
+            .filter(|observation| observation.belongs_to(self.subject.id()))
+            .filter(|observation| self.subject.involves_size(observation.size))
+            .any(|observation| observation.rig != RigBound::None);
         let (bound, unit) = (self.subject.label(), self.subject.unit());
         Verdict { bound, max: self.max, value, unit, outcome, rig_bound }
     }
@@ -156,7 +162,7 @@
 /// The budget of a metric at the target size.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Budget {
-    /// The metric.
+    /// Metric that the budget limits.
     pub id: MetricId,
     /// Target size of the measure.
     pub size: u64,
@@ -184,17 +190,19 @@
     pub error: Option<f64>,
     /// Budget of the metric.
     pub budget: f64,
-    /// The value divided by the budget: above 1 the budget is exceeded.
+    /// The value divided by the budget; the budget is exceeded above 1.
     pub factor: Option<f64>,
 }
 
 impl Budget {
     /// Returns the value at the target size, extrapolated by the linear fit if that size was not observed.
     pub fn estimate(&self, observed: &[Observation]) -> TargetEstimate {
-        let at_target = observed.iter().find(|one| one.belongs_to(&self.id) && one.size == self.size);
+        let at_target = observed
+            .iter()
+            .find(|observation| observation.belongs_to(&self.id) && observation.size == self.size);
         let line = Fit::from_points(&points(observed, &self.id)).map(|fit| fit.line);
         let extrapolated = line.map(|line| line.at(self.size as f64));
-        let value = at_target.map(|one| one.value).or(extrapolated);
+        let value = at_target.map(|observation| observation.value).or(extrapolated);
         let error = line.filter(|_| at_target.is_none()).map(|line| line.slope_error * self.size as f64);
         TargetEstimate {
             measure: self.id.measure,
--- a/crates/scale/tests/settings.rs
+++ b/crates/scale/tests/settings.rs
@@ -5,14 +5,15 @@
 
 const GIB: u64 = 1 << 30;
 
-/// Resources of a machine of known size, so that the tests don't depend on the one they run on.
+/// Resources of a fixed machine, so that the tests don't depend on the one that runs them.
 fn capacity() -> Capacity {
     Capacity { memory: 4 * GIB, processes: 300, descriptors: 1_000, ports: 28_000 }
 }
 
+/// Returns the errors of an invalid plan file.
 fn rejection(text: &str) -> String {
     match settings::read("x.sexp", text, &capacity()) {
-        Ok(_) => panic!("taken: {text}"),
+        Ok(_) => panic!("the plan file was accepted: {text}"),
         Err(errors) => errors.to_string(),
     }
 }
@@ -57,10 +58,9 @@
 #[test]
 fn size_beyond_the_memory_is_rejected_with_the_largest_that_fits() {
     let text = |size: u64| format!("(deadline 30min)\n(list\n  (workers 10 {size}))");
-    let many_descriptors = capacity();
-    let small = Capacity { memory: GIB, ..many_descriptors };
+    let small = Capacity { memory: GIB, ..capacity() };
     let errors = match settings::read("x.sexp", &text(100_000), &small) {
-        Ok(_) => panic!("taken"),
+        Ok(_) => panic!("a size beyond the memory was accepted"),
         Err(errors) => errors.to_string(),
     };
     assert!(errors.contains("x.sexp:3:3: workers 100000 can't fit: needs "), "{errors}");
@@ -70,23 +70,30 @@
         .nth(1)
         .and_then(|rest| rest.split(|c: char| !c.is_ascii_digit()).next())
         .and_then(|digits| digits.parse().ok())
-        .expect("a number");
-    assert!(settings::read("x.sexp", &text(fits), &small).is_ok(), "{fits} fits");
-    assert!(settings::read("x.sexp", &text(fits + 1), &small).is_err(), "{fits} is the most that fits");
+        .expect("the error states the largest size that fits");
+    assert!(
+        settings::read("x.sexp", &text(fits), &small).is_ok(),
+        "size {fits} is reported to fit, but was rejected"
+    );
+    assert!(
+        settings::read("x.sexp", &text(fits + 1), &small).is_err(),
+        "size {fits} is reported to be the largest that fits, but the next one was accepted"
+    );
 }
 
 #[test]
 fn size_beyond_descriptors_processes_or_ports_is_rejected() {
     let text = "(list (workers 10))";
-    let rooms = [
+    let cases = [
         (Capacity { descriptors: 10, ..capacity() }, "descriptors of one process; there are 10 for a run"),
         (Capacity { processes: 1, ..capacity() }, "2 processes; there are 1 for a run"),
         (Capacity { ports: 1, ..capacity() }, "local ports; there are 1 for a run"),
     ];
-    for (capacity, wanted) in rooms {
-        let errors = settings::read("x.sexp", text, &capacity).err().expect("refused").to_string();
+    for (capacity, expected) in cases {
+        let errors =
+            settings::read("x.sexp", text, &capacity).err().expect("the plan file is rejected").to_string();
         assert!(errors.contains("x.sexp:1:7: workers 10 can't fit: needs "), "{errors}");
-        assert!(errors.contains(wanted), "{errors}");
+        assert!(errors.contains(expected), "{errors}");
     }
 }
 
--- a/crates/scale/tests/shape.rs
+++ b/crates/scale/tests/shape.rs
@@ -11,7 +11,7 @@
 use nettleferry_scale::settings;
 use nettleferry_scale::verdict::Outcome;
 
-/// Runs compare times, so only one runs at a time.
+/// Serializes the runs, because each compares times that concurrent runs would distort.
 static RUN_LOCK: Mutex<()> = Mutex::new(());
 
 fn run_plan(text: &str) -> Report {
@@ -20,7 +20,7 @@
     let mut settings =
         settings::read("shape.sexp", text, &capacity).unwrap_or_else(|errors| panic!("{errors}"));
     let environment = RunEnvironment {
-        // The plan starts no child process.
+        // The plan starts no child process, so the program is not run.
         program: PathBuf::from("/nonexistent"),
         capacity,
         interrupt: Interrupt::default(),
