--- a/crates/scale/src/measure/administration/fleet.rs
+++ b/crates/scale/src/measure/administration/fleet.rs
@@ -1,15 +1,15 @@
-//! The processes of the measure: an administration, real followers, and processes of hollow followers.
+//! The child processes of the measure: an administration, real followers, and processes of hollow followers.
 
 use std::fs;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
-use std::time::Duration;
+use std::time::{Duration, Instant};
 
 use nettleferry_hollow::followers::report::Summary;
 use nettleferry_hollow::report::Line;
 use rand::RngExt;
 
-use super::Script;
+use super::Parameters;
 use super::api::Api;
 use crate::children::ChildId;
 use crate::context::Context;
@@ -17,11 +17,11 @@
 
 /// Maximum number of hollow followers in one process.
 pub const FOLLOWERS_PER_PROCESS: u64 = 500;
-/// Time within which a process must print an expected line, and all followers must have a lease.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// Time within which a process must print an expected line, and within which all followers must get a lease.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(30);
 /// Interval at which the number of leases is polled.
 const LEASE_POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// Settings shared by all real processes. The worker list is empty because the measure makes no calls.
+/// Settings that all real processes have in common. The worker list is empty because the measure makes no calls.
 const SETTINGS: &str = "(listen (grpc \"127.0.0.1:0\"))\n(workers (file \"workers.sexp\"))\n\
     (class quick (effect safe) (aim 1s) (deadline 20s))\n(model \"echo\" (class quick) (lanes 64))\n";
 
@@ -31,51 +31,59 @@
     pub administration: ChildId,
     /// Client of the administration's API.
     pub api: Api,
-    /// Processes of real followers, one each.
+    /// Processes of the real followers, each with one follower.
     pub real: Vec<ChildId>,
-    /// Processes of hollow followers, up to [`FOLLOWERS_PER_PROCESS`] each.
+    /// Processes of the hollow followers, each with up to [`FOLLOWERS_PER_PROCESS`] of them.
     pub hollow: Vec<ChildId>,
+    /// Address of the administration's API.
     address: SocketAddr,
+    /// File with the token of the followers.
     key_file: PathBuf,
 }
 
-/// An API key: the token of the client, and the form for the administration's settings.
+/// An API key.
 struct ApiKey {
+    /// Token with which a client authenticates.
     token: String,
+    /// Form that admits the key in the settings of the administration.
     settings: String,
 }
 
 impl Fleet {
-    /// Starts the administration and creates the tenants of the script.
-    pub fn start(script: &Script, size: u64, context: &mut Context<'_>) -> Result<Self, MeasureError> {
-        let (admin, follower) =
-            (generate_key("scale", "admin", context)?, generate_key("fleet", "controller", context)?);
+    /// Starts the administration and creates the tenants.
+    pub fn start(
+        parameters: &Parameters,
+        size: u64,
+        context: &mut Context<'_>,
+    ) -> Result<Self, MeasureError> {
+        let admin_key = generate_key("scale", "admin", context)?;
+        let follower_key = generate_key("fleet", "controller", context)?;
         let key_file = context.folder().join("key");
-        write(&key_file, &follower.token)?;
-        let controllers = size + u64::from(script.real) + 1;
+        write(&key_file, &follower_key.token)?;
+        let controllers = size + u64::from(parameters.real) + 1;
         let settings = format!(
             "(admin (listen \"127.0.0.1:0\") (store \"tenants.redb\") (lease {}us) {} {})\n\
              (controller (number 0) (of {controllers}))\n",
-            script.lease, admin.settings, follower.settings
+            parameters.lease, admin_key.settings, follower_key.settings
         );
         let administration = serve("administration", &settings, context)?;
-        let address = address(administration, "listening admin ", context)?;
-        let mut api = Api::new(address, &admin.token)?;
-        for n in 0..script.tenants {
-            api.create(&tenant(n), context)?;
+        let address = read_address(administration, "listening admin ", context)?;
+        let mut api = Api::new(address, &admin_key.token)?;
+        for n in 0..parameters.tenants {
+            api.create_tenant(&tenant_name(n), context)?;
         }
         Ok(Self { administration, api, real: Vec::new(), hollow: Vec::new(), address, key_file })
     }
 
-    /// Starts all followers and waits until each has a lease.
+    /// Starts all followers and waits until each has a lease. `size` is the number of hollow followers.
     pub fn start_followers(
         &mut self,
-        script: &Script,
+        parameters: &Parameters,
         size: u64,
         context: &mut Context<'_>,
     ) -> Result<(), MeasureError> {
-        let controllers = size + u64::from(script.real) + 1;
-        for number in 1..=script.real {
+        let controllers = size + u64::from(parameters.real) + 1;
+        for number in 1..=parameters.real {
             let settings = format!(
                 "(admin (follow \"{}\") (key-file \"{}\") (kept \"kept.json\") (without-lease refuse))\n\
                  (controller (number {number}) (of {controllers}))\n",
@@ -83,17 +91,17 @@
                 self.key_file.display()
             );
             let child = serve(&format!("follower-{number}"), &settings, context)?;
-            address(child, "listening grpc ", context)?;
+            read_address(child, "listening grpc ", context)?;
             self.real.push(child);
         }
         let mut started = 0;
         while started < size {
             let count = FOLLOWERS_PER_PROCESS.min(size - started);
-            let child = self.start_hollow(count, u64::from(script.real) + 1 + started, context)?;
+            let child = self.start_hollow(count, u64::from(parameters.real) + 1 + started, context)?;
             self.hollow.push(child);
             started += count;
         }
-        self.wait_for_leases(size + u64::from(script.real), context)
+        self.wait_for_leases(size + u64::from(parameters.real), context)
     }
 
     fn start_hollow(
@@ -115,15 +123,16 @@
         context.children.start(&format!("hollow followers from {first_number}"), arguments)
     }
 
-    fn wait_for_leases(&mut self, wanted: u64, context: &mut Context<'_>) -> Result<(), MeasureError> {
-        let until = std::time::Instant::now() + PATIENCE;
+    fn wait_for_leases(&mut self, expected: u64, context: &mut Context<'_>) -> Result<(), MeasureError> {
+        let deadline = Instant::now() + RESPONSE_TIMEOUT;
         loop {
             let leases = self.api.leases(context)?;
-            if leases >= wanted {
+            if leases >= expected {
                 return Ok(());
             }
-            if std::time::Instant::now() > until {
-                let what = format!("{leases} of {wanted} followers have a lease after {PATIENCE:?}");
+            if Instant::now() > deadline {
+                let what =
+                    format!("{leases} of {expected} followers have a lease after {RESPONSE_TIMEOUT:?}");
                 return Err(context.children.child_error(self.administration, &what));
             }
             context.wait(LEASE_POLL_INTERVAL)?;
@@ -135,21 +144,21 @@
         for child in &self.hollow {
             context.children.write_line(*child, "summary")?;
         }
-        self.hollow.iter().map(|child| summary(*child, context)).collect()
+        self.hollow.iter().map(|child| read_summary(*child, context)).collect()
     }
 }
 
-/// Name of the `n`th tenant.
-pub fn tenant(n: u64) -> String {
+/// Name of the tenant with this number, counted from 0.
+pub fn tenant_name(n: u64) -> String {
     format!("tenant-{n}")
 }
 
-/// Generates an API key with the program's `admin key` command.
+/// Generates an API key with the command `admin key`.
 fn generate_key(name: &str, role: &str, context: &mut Context<'_>) -> Result<ApiKey, MeasureError> {
     let child = context.children.start(&format!("key {name}"), ["admin", "key", name, role])?;
     let (mut token, mut settings) = (None, None);
     while token.is_none() || settings.is_none() {
-        let line = context.children.next_line(child, PATIENCE)?;
+        let line = context.children.next_line(child, RESPONSE_TIMEOUT)?;
         token = token.or(line.strip_prefix("token: ").map(str::to_owned));
         settings = settings.or(line.strip_prefix("settings: ").map(str::to_owned));
     }
@@ -157,40 +166,46 @@
     Ok(ApiKey { token: token.unwrap_or_default(), settings: settings.unwrap_or_default() })
 }
 
-/// Starts a `serve` process in its own folder.
+/// Starts a `serve` process with a folder of its own, which is named by `label`.
 fn serve(label: &str, settings: &str, context: &mut Context<'_>) -> Result<ChildId, MeasureError> {
     let folder = context.folder().join(label);
-    fs::create_dir_all(&folder).map_err(MeasureError::system("a folder for files"))?;
+    fs::create_dir_all(&folder)
+        .map_err(MeasureError::system(format!("can't create {}", folder.display())))?;
     write(&folder.join("workers.sexp"), "")?;
     let file = folder.join("settings.sexp");
     write(&file, &format!("{SETTINGS}{settings}"))?;
     context.children.start(label, [Path::new("serve"), &file])
 }
 
-/// Reads a process's output up to the line that begins with `words`, and returns the address that follows them.
-fn address(child: ChildId, words: &str, context: &mut Context<'_>) -> Result<SocketAddr, MeasureError> {
+/// Reads the output of a process up to the line that begins with `prefix`, and returns the address that follows it.
+fn read_address(child: ChildId, prefix: &str, context: &mut Context<'_>) -> Result<SocketAddr, MeasureError> {
     loop {
-        let line = context.children.next_line(child, PATIENCE)?;
-        let address = line.strip_prefix(words).map(|address| address.parse());
+        let line = context.children.next_line(child, RESPONSE_TIMEOUT)?;
+        let address = line.strip_prefix(prefix).map(|address| address.parse());
         match address {
             Some(Ok(address)) => return Ok(address),
             Some(Err(_)) => {
                 return Err(context
                     .children
-                    .child_error(child, &format!("no address in the output: {line}")));
+                    .child_error(child, &format!("invalid address in the output line {line:?}")));
             }
             None => {}
         }
     }
 }
 
-fn summary(child: ChildId, context: &mut Context<'_>) -> Result<Summary, MeasureError> {
+/// Reads the output of a process of hollow followers up to its next summary.
+fn read_summary(child: ChildId, context: &mut Context<'_>) -> Result<Summary, MeasureError> {
     loop {
-        let line = context.children.next_line(child, PATIENCE)?;
+        let line = context.children.next_line(child, RESPONSE_TIMEOUT)?;
         match serde_json::from_str::<Line>(&line) {
             Ok(Line::FollowersSummary(summary)) => return Ok(*summary),
             Ok(_) => {}
-            Err(error) => return Err(context.children.child_error(child, &format!("{error}: {line}"))),
+            Err(error) => {
+                return Err(context
+                    .children
+                    .child_error(child, &format!("can't parse the output line {line:?}: {error}")));
+            }
         }
     }
 }
--- a/crates/scale/src/measure/administration/mod.rs
+++ b/crates/scale/src/measure/administration/mod.rs
@@ -1,5 +1,5 @@
 //! The measure `administration`: resource usage of a real administration and of real followers, with and without
-//! changes, by the number of followers. Most followers are hollow ones that run in separate processes.
+//! changes, by the number of hollow followers. These are simulated, and many of them share a process.
 
 mod api;
 mod fleet;
@@ -23,53 +23,68 @@
 /// Key of the measure in the plan file.
 pub const NAME: &str = "administration";
 
-const MOST_REAL: u32 = 8;
-const MOST_TENANTS: u64 = 20_000;
-const MOST_RATE: f64 = 1_000.0;
+/// Maximum of `real`.
+const MAX_REAL: u32 = 8;
+/// Maximum of `tenants`.
+const MAX_TENANTS: u64 = 20_000;
+/// Minimum of `changes-per-second`.
+const MIN_RATE: f64 = 0.01;
+/// Maximum of `changes-per-second`.
+const MAX_RATE: f64 = 1_000.0;
+/// Minimum of `interval`.
+const MIN_INTERVAL: Micros = 100_000;
+/// Maximum of `interval`.
 const MAX_INTERVAL: Micros = 120_000_000;
-/// Upper estimates that are used to reject sizes that don't fit the machine: memory of a real or hollow process and of
-/// a follower, time to start the processes and time to create a tenant.
+
+// Upper estimates of the resources that a size needs, to reject sizes that don't fit the machine.
+
+/// Memory of a process, real or hollow.
 const PROCESS_BYTES: u64 = 64 << 20;
+/// Memory that a hollow follower adds, over all processes.
 const FOLLOWER_BYTES: u64 = 256 << 10;
+/// Time to start all processes.
 const START_TIME: Duration = Duration::from_secs(5);
+/// Time to create a tenant.
 const TENANT_TIME: Duration = Duration::from_millis(10);
 
 /// Parses `(administration ...)`.
 pub fn read(form: &mut Form) -> Option<Box<dyn Measure>> {
     let sizes = Sizes::read(form, "followers");
-    let script = Script {
+    let parameters = Parameters {
         real: form.value_or("real", 1),
         lease: form.micros_or("lease", 6_000_000),
         tenants: form.value_or("tenants", 100),
         rate: form.value_or("changes-per-second", 5.0),
         interval: form.micros_or("interval", 6_000_000),
     };
-    if script.real > MOST_REAL {
-        form.error(format!("(real ...): write 0 to {MOST_REAL}"));
+    if parameters.real > MAX_REAL {
+        form.error(format!("(real ...): write 0 to {MAX_REAL}"));
     }
-    if !(MIN_SPAN * 1_000..=MAX_SPAN * 1_000).contains(&script.lease) {
+    if !(MIN_SPAN * 1_000..=MAX_SPAN * 1_000).contains(&parameters.lease) {
         form.error("(lease ...): write 200ms to 60s");
     }
-    if !(1..=MOST_TENANTS).contains(&script.tenants) {
-        form.error(format!("(tenants ...): write 1 to {MOST_TENANTS}"));
+    if !(1..=MAX_TENANTS).contains(&parameters.tenants) {
+        form.error(format!("(tenants ...): write 1 to {MAX_TENANTS}"));
     }
-    if !(0.01..=MOST_RATE).contains(&script.rate) {
-        form.error(format!("(changes-per-second ...): write 0.01 to {MOST_RATE}"));
+    if !(MIN_RATE..=MAX_RATE).contains(&parameters.rate) {
+        form.error(format!("(changes-per-second ...): write {MIN_RATE} to {MAX_RATE}"));
     }
-    if !(100_000..=MAX_INTERVAL).contains(&script.interval) {
+    if !(MIN_INTERVAL..=MAX_INTERVAL).contains(&parameters.interval) {
         form.error("(interval ...): write 100ms to 2min");
     }
-    let most = (MAX_INCARNATIONS as u64).saturating_sub(u64::from(script.real));
-    if let Some(size) = sizes.as_ref().and_then(|sizes| sizes.values.iter().find(|size| **size > most)) {
+    let max_followers = (MAX_INCARNATIONS as u64).saturating_sub(u64::from(parameters.real));
+    if let Some(size) =
+        sizes.as_ref().and_then(|sizes| sizes.values.iter().find(|size| **size > max_followers))
+    {
         form.error(format!(
-            "followers {size}: an administration gives leases to {MAX_INCARNATIONS} lives; write at most {most}"
+            "followers {size}: an administration gives leases to {MAX_INCARNATIONS} lives; write at most {max_followers}"
         ));
     }
-    Some(Box::new(Administration { sizes: sizes?, script }))
+    Some(Box::new(Administration { sizes: sizes?, parameters }))
 }
 
-/// The steps of the measurement at each size.
-struct Script {
+/// The parameters of the measurement, which are the same at each size.
+struct Parameters {
     /// Number of real followers, in addition to the hollow ones.
     real: u32,
     /// Duration of a lease.
@@ -84,7 +99,7 @@
 
 struct Administration {
     sizes: Sizes,
-    script: Script,
+    parameters: Parameters,
 }
 
 impl Measure for Administration {
@@ -102,8 +117,8 @@
 
     fn needs(&self, size: u64) -> Needs {
         let hollow = size.div_ceil(FOLLOWERS_PER_PROCESS);
-        let processes = 1 + u64::from(self.script.real) + hollow;
-        let tenants = TENANT_TIME.saturating_mul(u32::try_from(self.script.tenants).unwrap_or(u32::MAX));
+        let processes = 1 + u64::from(self.parameters.real) + hollow;
+        let tenants = TENANT_TIME.saturating_mul(u32::try_from(self.parameters.tenants).unwrap_or(u32::MAX));
         Needs {
             memory: processes
                 .saturating_mul(PROCESS_BYTES)
@@ -111,24 +126,24 @@
             processes,
             descriptors: size.saturating_mul(2),
             ports: size.saturating_mul(2),
-            time: START_TIME + tenants + 2 * Duration::from_micros(self.script.interval),
+            time: START_TIME + tenants + 2 * Duration::from_micros(self.parameters.interval),
         }
     }
 
     fn run_at(&mut self, size: u64, context: &mut Context<'_>) -> Result<Observations, MeasureError> {
-        let script = &self.script;
-        let span = Duration::from_micros(script.interval);
+        let parameters = &self.parameters;
+        let span = Duration::from_micros(parameters.interval);
         context.begin_step(&format!("{NAME} {size}: starts"));
-        let mut fleet = Fleet::start(script, size, context)?;
+        let mut fleet = Fleet::start(parameters, size, context)?;
         let started = Instant::now();
-        fleet.start_followers(script, size, context)?;
+        fleet.start_followers(parameters, size, context)?;
         let start = started.elapsed();
         context.begin_step(&format!("{NAME} {size}: quiet"));
         let quiet = Interval::measure(&mut fleet, context, |_, context| context.wait(span))?;
         context.begin_step(&format!("{NAME} {size}: changes"));
         let mut changes = None;
         let busy = Interval::measure(&mut fleet, context, |fleet, context| {
-            changes = Some(Changes::make(script.rate, span, script.tenants, fleet, context)?);
+            changes = Some(Changes::make(parameters.rate, span, parameters.tenants, fleet, context)?);
             Ok(())
         })?;
         let mut observations = Observations::default();
@@ -142,25 +157,27 @@
     }
 }
 
+/// Number of cores that used this processor time over `span`.
 fn cores(processor: Duration, span: Duration) -> f64 {
     processor.as_secs_f64() / span.as_secs_f64()
 }
 
+/// Records the usage of the interval without changes.
 fn observe_quiet(quiet: &Interval, size: u64, observations: &mut Observations) {
     let seconds = quiet.span.as_secs_f64();
-    let asks = quiet.sum(|summary| summary.counts.requests);
+    let requests = quiet.sum(|summary| summary.counts.requests);
     let follower_seconds = size as f64 * seconds;
-    observations.add(&QUIET_PROCESSOR, cores(quiet.administration, quiet.span));
-    observations.add(&ASKS, asks / seconds);
-    observations.add(&ASK_PROCESSOR, quiet.administration.as_secs_f64() * 1e6 / asks);
+    observations.add(&QUIET_PROCESSOR, cores(quiet.administration_processor, quiet.span));
+    observations.add(&ASKS, requests / seconds);
+    observations.add(&ASK_PROCESSOR, quiet.administration_processor.as_secs_f64() * 1e6 / requests);
     observations.add(&QUIET_TO, quiet.sum(|summary| summary.counts.bytes_in) / follower_seconds);
     observations.add(&QUIET_FROM, quiet.sum(|summary| summary.counts.bytes_out) / follower_seconds);
-    if let Some(real) = quiet.real {
+    if let Some(real) = quiet.follower_processor {
         observations.add(&FOLLOWER_PROCESSOR, cores(real, quiet.span));
     }
 }
 
-/// Records the cost of changes, beyond the usage of the quiet interval.
+/// Records the cost of changes: the usage of the interval with changes, beyond that of the interval without.
 fn observe_changes(
     quiet: &Interval,
     busy: &Interval,
@@ -170,34 +187,37 @@
 ) {
     let (made, seconds) = (changes.made as f64, busy.span.as_secs_f64());
     let beyond = |quiet_cores: f64, processor: Duration| processor.as_secs_f64() - quiet_cores * seconds;
-    let administration = beyond(cores(quiet.administration, quiet.span), busy.administration);
+    let administration =
+        beyond(cores(quiet.administration_processor, quiet.span), busy.administration_processor);
     observations.add(&CHANGE_RATE, made / seconds);
     observations.add(&CHANGE_PROCESSOR, administration * 1e6 / made);
     observations.add(&NOT_EVERYWHERE, changes.not_everywhere as f64);
     if !changes.everywhere.is_empty() {
-        let at = |part| changes.everywhere.value_at_quantile(part) as f64;
-        observations.add(&EVERYWHERE_P50, at(0.5));
-        observations.add(&EVERYWHERE_P99, at(0.99));
+        let quantile = |quantile| changes.everywhere.value_at_quantile(quantile) as f64;
+        observations.add(&EVERYWHERE_P50, quantile(0.5));
+        observations.add(&EVERYWHERE_P99, quantile(0.99));
         observations.add(&EVERYWHERE_MAX, changes.everywhere.max() as f64);
     }
     observations.add(&CHANGE_TO_EACH_P99, busy.maximum(|summary| summary.change_to_each.p99 as f64));
     let quiet_bytes = quiet.sum(|summary| summary.counts.bytes_in) / quiet.span.as_secs_f64() * seconds;
     let change_bytes = busy.sum(|summary| summary.counts.bytes_in) - quiet_bytes;
     observations.add(&CHANGE_BYTES, change_bytes / made / size as f64);
-    if let (Some(quiet_real), Some(real)) = (quiet.real, busy.real) {
+    if let (Some(quiet_real), Some(real)) = (quiet.follower_processor, busy.follower_processor) {
         let real = beyond(cores(quiet_real, quiet.span), real);
         observations.add(&FOLLOWER_CHANGE_PROCESSOR, real * 1e6 / made);
     }
 }
 
+/// Records the resource usage at the end, and the usage over both intervals.
 fn observe_ends(quiet: &Interval, busy: &Interval, observations: &mut Observations) {
-    observations.add(&MEMORY, busy.end.resident as f64);
-    observations.add(&DESCRIPTORS, busy.end.descriptors as f64);
+    observations.add(&MEMORY, busy.administration_at_end.resident as f64);
+    observations.add(&DESCRIPTORS, busy.administration_at_end.descriptors as f64);
     observations.add(&UNLEASED, (quiet.unleased() + busy.unleased()) / 2.0);
-    if let Some(resident) = busy.real_resident {
+    if let Some(resident) = busy.follower_resident {
         observations.add(&FOLLOWER_MEMORY, resident as f64);
     }
-    let hollow =
-        |interval: &Interval| interval.maximum(|s| s.processor_us as f64 / 1e3 / s.ran_ms.max(1) as f64);
-    observations.add(&HOLLOW_PROCESSOR, hollow(quiet).max(hollow(busy)));
+    let hollow_cores = |interval: &Interval| {
+        interval.maximum(|summary| summary.processor_us as f64 / 1e3 / summary.ran_ms.max(1) as f64)
+    };
+    observations.add(&HOLLOW_PROCESSOR, hollow_cores(quiet).max(hollow_cores(busy)));
 }
--- a/crates/scale/src/measure/list/calls.rs
+++ b/crates/scale/src/measure/list/calls.rs
@@ -21,10 +21,10 @@
 const MAX_LATENCY_MICROS: u64 = 60_000_000;
 /// Size of the input tensor of a call, in bytes.
 const CALL_TENSOR_BYTES: usize = 256;
-/// Interval at which the thread checks whether it must stop.
+/// Maximum interval at which the thread checks whether it must stop.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Results of the calls that ended in a period.
+/// Results of the calls that ended in an interval.
 pub struct CallStats {
     /// Latency of the calls that were served, in microseconds.
     pub latency: Histogram<u64>,
@@ -63,15 +63,15 @@
         };
         let interval = Duration::from_secs_f64(1.0 / rate);
         let (thread_stats, stopped) = (Arc::clone(&stats), Arc::clone(&stop));
-        let work = move || {
+        let run = move || {
             let result = Caller::new(gateway, request, interval, thread_stats)
                 .and_then(|mut caller| caller.run(&stopped));
             if let Err(error) = result {
-                // The measure fails on its own: the next period has no served call.
-                eprintln!("calls of the scale run ended: {error}");
+                // The measure fails because an interval has no served call.
+                eprintln!("the calls of the scale run ended early: {error}");
             }
         };
-        let thread = thread::Builder::new().name("calls".to_owned()).spawn(work)?;
+        let thread = thread::Builder::new().name("calls".to_owned()).spawn(run)?;
         Ok(Self { stats, stop, thread: Some(thread) })
     }
 
@@ -91,11 +91,13 @@
     }
 }
 
+/// The state of the calling thread.
 struct Caller {
     client: Client,
     gateway: SocketAddr,
     request: ClientRequest,
     interval: Duration,
+    /// Start times of the open calls, by the number of the RPC.
     open: HashMap<u64, Instant>,
     events: Vec<ClientEvent>,
     stats: Arc<Mutex<CallStats>>,
@@ -113,14 +115,14 @@
     }
 
     fn run(&mut self, stop: &AtomicBool) -> io::Result<()> {
-        let mut next = Instant::now();
+        let mut next_call = Instant::now();
         while !stop.load(Ordering::Relaxed) {
             let now = Instant::now();
-            if now >= next {
-                next = (next + self.interval).max(now);
+            if now >= next_call {
+                next_call = (next_call + self.interval).max(now);
                 self.begin_call(now)?;
             }
-            let wait = next.saturating_duration_since(Instant::now()).min(POLL_INTERVAL);
+            let wait = next_call.saturating_duration_since(Instant::now()).min(POLL_INTERVAL);
             self.client.poll(Some(wait), &mut self.events)?;
             self.record_ended_calls();
         }
--- a/crates/scale/src/measure/module/mod.rs
+++ b/crates/scale/src/measure/module/mod.rs
@@ -1,9 +1,10 @@
-//! The measure `module`: the cost of calls, of changes of the worker list and of the state for functions in the
-//! decision module, by the number of workers in the list. The module runs inside this process on a simulated clock.
+//! The measure `module`: the cost of calls and of changes of the worker list in the decision module, and the memory of
+//! its state for functions, by the number of workers in the list. The module runs inside this process on a simulated
+//! clock.
 
 mod driver;
 mod metrics;
-mod play;
+mod workload;
 
 use std::time::Duration;
 
@@ -11,7 +12,7 @@
 use nettleferry_config::form::Form;
 
 use self::metrics::{LIST_REPLACED, LIST_WHOLE, METRICS, REMEMBERED, STATE};
-use self::play::Playback;
+use self::workload::Workload;
 use super::{Measure, MeasureError, Metric, Observations, Sizes};
 use crate::capacity::Needs;
 use crate::context::Context;
@@ -20,66 +21,85 @@
 /// Key of the measure in the plan file.
 pub const NAME: &str = "module";
 
-/// Maximum number of functions.
-const MOST_FUNCTIONS: u64 = 1_000_000;
+/// Maximum of `functions`.
+const MAX_FUNCTIONS: u64 = 1_000_000;
 /// Maximum of `calls` and of `again`.
-const MOST_CALLS: u64 = 10_000_000;
-/// Maximum number of calls per second of simulated time.
-const MOST_RATE: f64 = 1_000_000.0;
-/// Upper estimates that are used to reject sizes that don't fit the machine: memory of a worker and of a function, time
-/// of a call, and time for each worker in the first call of a function.
+const MAX_CALLS: u64 = 10_000_000;
+/// Minimum of `calls-per-second`, in calls per second of simulated time.
+const MIN_RATE: f64 = 0.001;
+/// Maximum of `calls-per-second`.
+const MAX_RATE: f64 = 1_000_000.0;
+/// Limit of `answer-after`, exclusive. It keeps the answers well within the timeout of the simulated clients.
+const MAX_ANSWER_DELAY: Micros = 1_000_000;
+
+// Upper estimates of the resources that a size needs, to reject sizes that don't fit the machine.
+
+/// Memory of a worker.
 const WORKER_BYTES: u64 = 2_000;
+/// Memory of a function that was called.
 const FUNCTION_BYTES: u64 = 4_000;
+/// Time to handle a call, in addition to [`CALL_NANOSECONDS_PER_WORKER`].
 const CALL_NANOSECONDS: u64 = 50_000;
-const CALL_WORKER_NANOSECONDS: u64 = 20;
+/// Time to handle a call for each worker of the list, as in the first call of a function.
+const CALL_NANOSECONDS_PER_WORKER: u64 = 20;
 
 /// Parses `(module ...)`.
 pub fn read(form: &mut Form) -> Option<Box<dyn Measure>> {
     let sizes = Sizes::read(form, "workers");
-    let functions = integer(form, "functions", 10_000, MOST_FUNCTIONS);
-    let calls = integer(form, "calls", 20_000, MOST_CALLS);
-    let again = integer(form, "again", 2_000, MOST_CALLS);
+    let functions = bounded_integer(form, "functions", 10_000, MAX_FUNCTIONS);
+    let rare_calls = bounded_integer(form, "calls", 20_000, MAX_CALLS);
+    let recent_calls = bounded_integer(form, "again", 2_000, MAX_CALLS);
     let rate: f64 = form.value_or("calls-per-second", 125.0);
-    if !(0.001..=MOST_RATE).contains(&rate) {
-        form.error(format!("(calls-per-second ...): write 0.001 to {MOST_RATE}"));
+    if !(MIN_RATE..=MAX_RATE).contains(&rate) {
+        form.error(format!("(calls-per-second ...): write {MIN_RATE} to {MAX_RATE}"));
     }
-    let script = Script {
+    let parameters = Parameters {
         functions,
-        calls,
-        again,
-        call_every: (1e6 / rate.clamp(0.001, MOST_RATE)) as Micros,
-        replace_every: form.micros_or("replace-every", 20_000_000),
-        answer_after: form.micros_or("answer-after", 20_000),
+        rare_calls,
+        recent_calls,
+        call_interval: (1e6 / rate.clamp(MIN_RATE, MAX_RATE)) as Micros,
+        replace_interval: form.micros_or("replace-every", 20_000_000),
+        answer_delay: form.micros_or("answer-after", 20_000),
         keep_alive: form.micros_or("keep-alive", 8_000_000),
         probes: form.value_or("probes", true),
     };
-    if script.answer_after >= 1_000_000 {
+    if parameters.answer_delay >= MAX_ANSWER_DELAY {
         form.error("(answer-after ...): write less than 1s");
     }
-    Some(Box::new(Module { sizes: sizes?, script, kept_controllers: Vec::new() }))
+    Some(Box::new(Module { sizes: sizes?, parameters, kept_controllers: Vec::new() }))
 }
 
-fn integer(form: &mut Form, key: &'static str, usual: u64, most: u64) -> u64 {
-    let value = form.value_or(key, usual);
-    if !(1..=most).contains(&value) {
-        form.error(format!("({key} ...): write 1 to {most}"));
+/// Reads an optional integer from 1 to `max`. A value out of this range is an error of the form and is clamped.
+fn bounded_integer(form: &mut Form, key: &'static str, default: u64, max: u64) -> u64 {
+    let value = form.value_or(key, default);
+    if !(1..=max).contains(&value) {
+        form.error(format!("({key} ...): write 1 to {max}"));
     }
-    value.clamp(1, most)
+    value.clamp(1, max)
 }
 
-/// The steps of the measurement at each size.
-struct Script {
+/// The parameters of the measurement, which are the same at each size. Times are on the simulated clock.
+struct Parameters {
+    /// Number of functions that are called in turn.
     functions: u64,
-    calls: u64,
-    again: u64,
-    call_every: Micros,
-    replace_every: Micros,
-    answer_after: Micros,
+    /// Number of calls of rare functions: all functions in turn, in rounds.
+    rare_calls: u64,
+    /// Number of calls of recently called functions, after the calls of rare ones.
+    recent_calls: u64,
+    /// Interval between two calls.
+    call_interval: Micros,
+    /// Interval at which one worker of the list is replaced; 0 replaces none.
+    replace_interval: Micros,
+    /// Time from sending an attempt to its answer.
+    answer_delay: Micros,
+    /// Keep-alive of loaded functions, as in the settings of a controller.
     keep_alive: Micros,
+    /// Whether the module may probe workers.
     probes: bool,
 }
 
-impl Script {
+impl Parameters {
+    /// Settings of the decision module.
     fn settings(&self) -> Settings {
         let class = Class {
             latency_objective: 600_000,
@@ -106,15 +126,16 @@
 
 struct Module {
     sizes: Sizes,
-    script: Script,
+    parameters: Parameters,
     /// Controllers of the sizes that are done. Their memory is not freed, because reusing it would hide the growth of
     /// the next controller.
     kept_controllers: Vec<Controller>,
 }
 
 impl Module {
-    fn bytes(&self, workers: u64) -> u64 {
-        let functions = self.script.functions.min(self.script.calls);
+    /// Upper estimate of the memory of a controller with this number of workers, in bytes.
+    fn controller_bytes(&self, workers: u64) -> u64 {
+        let functions = self.parameters.functions.min(self.parameters.rare_calls);
         functions.saturating_mul(FUNCTION_BYTES).saturating_add(workers.saturating_mul(WORKER_BYTES))
     }
 }
@@ -133,30 +154,37 @@
     }
 
     fn needs(&self, size: u64) -> Needs {
-        let before = self.sizes.values.iter().filter(|smaller| **smaller < size);
-        let memory = before.map(|smaller| self.bytes(*smaller)).fold(self.bytes(size), u64::saturating_add);
-        let call = CALL_NANOSECONDS.saturating_add(size.saturating_mul(CALL_WORKER_NANOSECONDS));
-        let calls = self.script.calls + self.script.again;
-        Needs { memory, time: Duration::from_nanos(calls.saturating_mul(call)), ..Needs::default() }
+        let smaller_sizes = self.sizes.values.iter().filter(|smaller| **smaller < size);
+        let memory = smaller_sizes
+            .map(|smaller| self.controller_bytes(*smaller))
+            .fold(self.controller_bytes(size), u64::saturating_add);
+        let call_nanoseconds =
+            CALL_NANOSECONDS.saturating_add(size.saturating_mul(CALL_NANOSECONDS_PER_WORKER));
+        let calls = self.parameters.rare_calls + self.parameters.recent_calls;
+        Needs {
+            memory,
+            time: Duration::from_nanos(calls.saturating_mul(call_nanoseconds)),
+            ..Needs::default()
+        }
     }
 
     fn run_at(&mut self, size: u64, context: &mut Context<'_>) -> Result<Observations, MeasureError> {
-        let mut play = Playback::new(&self.script, size, context)?;
+        let mut workload = Workload::new(&self.parameters, size, context)?;
         let mut observations = Observations { in_process: true, ..Observations::default() };
-        observations.add(&LIST_WHOLE, play.first_list());
-        let before = resident()?;
-        play.rare_calls(context)?;
-        let after = resident()?;
+        observations.add(&LIST_WHOLE, workload.deliver_list());
+        let before = own_memory()?;
+        workload.rare_calls(context)?;
+        let after = own_memory()?;
         observations.add(&STATE, after.saturating_sub(before) as f64);
-        observations.add(&REMEMBERED, play.remembered() as f64);
-        play.recent_calls(context)?;
-        observations.add(&LIST_REPLACED, play.replace_all());
-        play.observe(&mut observations)?;
-        self.kept_controllers.push(play.into_controller());
+        observations.add(&REMEMBERED, workload.state_entries() as f64);
+        workload.recent_calls(context)?;
+        observations.add(&LIST_REPLACED, workload.replace_all());
+        workload.observe(&mut observations)?;
+        self.kept_controllers.push(workload.into_controller());
         Ok(observations)
     }
 }
 
-fn resident() -> Result<u64, MeasureError> {
+fn own_memory() -> Result<u64, MeasureError> {
     Process::own().resident().map_err(MeasureError::system("can't read the rig's own memory"))
 }
--- a/crates/scale/src/measure/worker/metrics.rs
+++ b/crates/scale/src/measure/worker/metrics.rs
@@ -1,22 +1,22 @@
-//! The metrics of `worker`.
+//! The metrics of `worker`. A percentile is the maximum of those that the processes of hollow controllers report.
 
 use crate::measure::Metric;
 use crate::measure::Unit::{Bytes, Cores, Count, Microseconds};
 use crate::measure::metrics;
 
 metrics! {
-    CONNECTIONS = "connections", Count, "connections that stand at the end, over all controllers";
-    NOT_CONNECTED = "not-connected", Count, "connections that were refused or not made in time";
-    CLOSED = "closed", Count, "connections that were closed by the worker or broken";
+    CONNECTIONS = "connections", Count, "open connections at the end of the interval at rest";
+    NOT_CONNECTED = "not-connected", Count, "connections that were refused or not established in time";
+    CLOSED = "closed", Count, "connections that the worker closed or that failed";
     MEMORY = "memory", Bytes, "resident memory of the worker with all connections, before the first call";
     MEMORY_AFTER = "memory-after", Bytes, "resident memory of the worker at the end";
     DESCRIPTORS = "descriptors", Count, "open descriptors of the worker";
     CONNECT_PROCESSOR = "connect-processor", Microseconds, "processor time of the worker per connection";
     REST = "rest", Cores, "cores used by the worker with open connections and no calls";
     CALL_PROCESSOR = "call-processor", Microseconds, "processor time of the worker per call or probe, beyond that at rest";
-    CALLS = "calls", Count, "calls a second that were served";
-    NOT_SERVED = "not-served", Count, "calls that were not served, broken ones among them";
-    CALL_P50 = "call-p50", Microseconds, "a call from its beginning to its answer: the middle one, the greatest of the processes";
-    CALL_P99 = "call-p99", Microseconds, "a call from its beginning to its answer: 99 in 100, the greatest of the processes";
+    CALLS = "calls", Count, "calls served per second";
+    NOT_SERVED = "not-served", Count, "calls that were not served, including those that ended without a status";
+    CALL_P50 = "call-p50", Microseconds, "latency of a served call: median";
+    CALL_P99 = "call-p99", Microseconds, "latency of a served call: 99th percentile";
     HOLLOW_PROCESSOR = "hollow-processor", Cores, "cores used by the busiest process of hollow controllers";
 }
--- a/crates/scale/src/measure/worker/mod.rs
+++ b/crates/scale/src/measure/worker/mod.rs
@@ -23,41 +23,51 @@
 /// Key of the measure in the plan file.
 pub const NAME: &str = "worker";
 
-const MOST_RATE: f64 = 50_000.0;
+/// Maximum of `calls-per-second` and `probes-per-second`.
+const MAX_RATE: f64 = 50_000.0;
+/// Minimum of `interval`.
+const MIN_INTERVAL: Micros = 100_000;
+/// Maximum of `interval`.
 const MAX_INTERVAL: Micros = 120_000_000;
 /// Maximum number of hollow controllers in one process.
 const CONTROLLERS_PER_PROCESS: u64 = 2_500;
 /// Rate at which connections are opened. It is limited so that the listen queue of the system does not overflow.
 const CONNECTS_PER_SECOND: u64 = 2_000;
-/// Upper estimates that are used to reject sizes that don't fit the machine.
+/// Time within which a process must print an expected line.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(30);
+/// Settings of the stand-in worker, whose calls take almost no work.
+const WORKER_SETTINGS: &str = "(listen \"127.0.0.1:0\") (cores 8) (queue 10000)\n\
+    (model \"\" (lanes 10000) (load-time 1ms) (work 1us))\n";
+
+// Upper estimates of the resources that a size needs, to reject sizes that don't fit the machine.
+
+/// Memory of a process.
 const PROCESS_BYTES: u64 = 128 << 20;
+/// Memory that a connection adds, over all processes.
 const CONNECTION_BYTES: u64 = 256 << 10;
+/// Time to start all processes.
 const START_TIME: Duration = Duration::from_secs(5);
-const PATIENCE: Duration = Duration::from_secs(30);
-/// Settings of the stand-in worker, whose calls take almost no work.
-const WORKER: &str = "(listen \"127.0.0.1:0\") (cores 8) (queue 10000)\n\
-    (model \"\" (lanes 10000) (load-time 1ms) (work 1us))\n";
 
 /// Parses `(worker ...)`.
 pub fn read(form: &mut Form) -> Option<Box<dyn Measure>> {
     let sizes = Sizes::read(form, "controllers");
-    let script = Script {
+    let parameters = Parameters {
         calls: form.value_or("calls-per-second", 1_000.0),
         probes: form.value_or("probes-per-second", 0.0),
         interval: form.micros_or("interval", 3_000_000),
     };
-    let in_range = |rate: f64| (0.0..=MOST_RATE).contains(&rate);
-    if !in_range(script.calls) || !in_range(script.probes) || script.calls <= 0.0 {
-        form.error(format!("(calls-per-second ...), (probes-per-second ...): write up to {MOST_RATE}"));
+    let in_range = |rate: f64| (0.0..=MAX_RATE).contains(&rate);
+    if !in_range(parameters.calls) || !in_range(parameters.probes) || parameters.calls <= 0.0 {
+        form.error(format!("(calls-per-second ...), (probes-per-second ...): write up to {MAX_RATE}"));
     }
-    if !(100_000..=MAX_INTERVAL).contains(&script.interval) {
+    if !(MIN_INTERVAL..=MAX_INTERVAL).contains(&parameters.interval) {
         form.error("(interval ...): write 100ms to 2min");
     }
-    Some(Box::new(Worker { sizes: sizes?, script }))
+    Some(Box::new(Worker { sizes: sizes?, parameters }))
 }
 
-/// The steps of the measurement at each size.
-struct Script {
+/// The parameters of the measurement, which are the same at each size.
+struct Parameters {
     /// Calls per second, over all controllers.
     calls: f64,
     /// Probes per second, over all controllers.
@@ -68,7 +78,7 @@
 
 struct Worker {
     sizes: Sizes,
-    script: Script,
+    parameters: Parameters,
 }
 
 impl Measure for Worker {
@@ -86,7 +96,7 @@
 
     fn needs(&self, size: u64) -> Needs {
         let processes = 1 + 2 * size.div_ceil(CONTROLLERS_PER_PROCESS);
-        let connecting = Duration::from_secs(2 * size / CONNECTS_PER_SECOND);
+        let connect_times = Duration::from_secs(2 * size / CONNECTS_PER_SECOND);
         Needs {
             memory: processes
                 .saturating_mul(PROCESS_BYTES)
@@ -94,58 +104,62 @@
             processes,
             descriptors: size.saturating_add(64),
             ports: size.saturating_mul(2),
-            time: START_TIME + connecting + 2 * Duration::from_micros(self.script.interval),
+            time: START_TIME + connect_times + 2 * Duration::from_micros(self.parameters.interval),
         }
     }
 
     fn run_at(&mut self, size: u64, context: &mut Context<'_>) -> Result<Observations, MeasureError> {
-        let span = Duration::from_micros(self.script.interval);
+        let span = Duration::from_micros(self.parameters.interval);
         let mut observations = Observations::default();
         context.begin_step(&format!("{NAME} {size}: connections"));
         let (worker, address) = start_worker(context)?;
-        let idle = sample(worker, context)?;
+        let unconnected = sample(worker, context)?;
         let idle_controllers = self.start_controllers(address, size, 0.0, context)?;
-        context.wait(connecting(size))?;
+        context.wait(connect_time(size))?;
         let connected = sample(worker, context)?;
         context.wait(span)?;
-        let rested = sample(worker, context)?;
-        let rest = (rested.processor.saturating_sub(connected.processor)).as_secs_f64() / span.as_secs_f64();
+        let at_rest = sample(worker, context)?;
+        let rest_cores =
+            at_rest.processor.saturating_sub(connected.processor).as_secs_f64() / span.as_secs_f64();
         let connections = summaries(&idle_controllers, context)?;
-        let connect = connected.processor.saturating_sub(idle.processor);
-        observe_connections(connect, &rested, rest, &connections, &mut observations);
+        let connect_processor = connected.processor.saturating_sub(unconnected.processor);
+        observe_connections(connect_processor, &at_rest, rest_cores, &connections, &mut observations);
         idle_controllers.into_iter().for_each(|child| context.children.stop(child));
         context.begin_step(&format!("{NAME} {size}: calls"));
-        let calling = self.start_controllers(address, size, 1.0, context)?;
-        context.wait(connecting(size))?;
-        summaries(&calling, context)?;
+        let calling_controllers = self.start_controllers(address, size, 1.0, context)?;
+        context.wait(connect_time(size))?;
+        // Resets the counters, so that the summaries after the interval don't include the time of connecting.
+        summaries(&calling_controllers, context)?;
         let before = sample(worker, context)?;
         context.wait(span)?;
         let after = sample(worker, context)?;
-        let calls = summaries(&calling, context)?;
-        observe_calls(&before, &after, rest * span.as_secs_f64(), &calls, &mut observations);
+        let calls = summaries(&calling_controllers, context)?;
+        let rest_seconds = rest_cores * span.as_secs_f64();
+        observe_calls(&before, &after, rest_seconds, &calls, &mut observations);
         Ok(observations)
     }
 }
 
-/// Time within which all controllers have connected.
-fn connecting(size: u64) -> Duration {
+/// Time within which `size` controllers connect.
+fn connect_time(size: u64) -> Duration {
     Duration::from_millis(1_000 + size * 1_000 / CONNECTS_PER_SECOND)
 }
 
 impl Worker {
-    /// Starts `size` hollow controllers, which together make `part` (0 to 1) of the script's calls and probes.
+    /// Starts `size` hollow controllers, which together make `load_fraction` (0 to 1) of the configured calls and
+    /// probes.
     fn start_controllers(
         &self,
         worker: SocketAddr,
         size: u64,
-        part: f64,
+        load_fraction: f64,
         context: &mut Context<'_>,
     ) -> Result<Vec<ChildId>, MeasureError> {
         let mut children = Vec::new();
         let mut started = 0;
         while started < size {
             let count = CONTROLLERS_PER_PROCESS.min(size - started);
-            let share = part * count as f64 / size as f64;
+            let share = load_fraction * count as f64 / size as f64;
             let arguments = [
                 "hollow".to_owned(),
                 "controllers".to_owned(),
@@ -154,8 +168,8 @@
                 format!("--first-number={}", started + 1),
                 format!("--seed={}", context.random.random::<u32>()),
                 format!("--begin-within={}", size * 1_000 / CONNECTS_PER_SECOND),
-                format!("--calls-per-second={}", self.script.calls * share),
-                format!("--probes-per-second={}", self.script.probes * share),
+                format!("--calls-per-second={}", self.parameters.calls * share),
+                format!("--probes-per-second={}", self.parameters.probes * share),
             ];
             let label = format!("hollow controllers from {}", started + 1);
             children.push(context.children.start(&label, arguments)?);
@@ -165,22 +179,26 @@
     }
 }
 
-/// Starts a stand-in worker and returns the address on which it listens.
+/// Starts a stand-in worker and returns it with the address on which it listens.
 fn start_worker(context: &mut Context<'_>) -> Result<(ChildId, SocketAddr), MeasureError> {
     let file = context.folder().join("worker.sexp");
-    fs::write(&file, WORKER).map_err(MeasureError::system("can't write the worker's file"))?;
+    fs::write(&file, WORKER_SETTINGS)
+        .map_err(MeasureError::system("can't write the settings of the worker"))?;
     let arguments = ["worker".to_owned(), file.display().to_string()];
     let child = context.children.start("worker", arguments)?;
-    let line = context.children.next_line(child, PATIENCE)?;
+    let line = context.children.next_line(child, RESPONSE_TIMEOUT)?;
     let address = line.strip_prefix("listening grpc ").and_then(|address| address.parse().ok());
-    let address = address
-        .ok_or_else(|| context.children.child_error(child, &format!("no address in the output: {line}")))?;
+    let address = address.ok_or_else(|| {
+        context.children.child_error(child, &format!("no address in the output line {line:?}"))
+    })?;
     Ok((child, address))
 }
 
 fn sample(child: ChildId, context: &Context<'_>) -> Result<Sample, MeasureError> {
     let process = context.children.process(child);
-    let process = process.ok_or_else(|| MeasureError::Unexpected("the worker was stopped".to_owned()))?;
+    let process = process.ok_or_else(|| {
+        MeasureError::Unexpected("can't sample the worker, which was already stopped".to_owned())
+    })?;
     process.sample().map_err(MeasureError::system("can't read the resource usage of the worker"))
 }
 
@@ -189,16 +207,21 @@
     for child in children {
         context.children.write_line(*child, "summary")?;
     }
-    children.iter().map(|child| summary(*child, context)).collect()
+    children.iter().map(|child| read_summary(*child, context)).collect()
 }
 
-fn summary(child: ChildId, context: &mut Context<'_>) -> Result<Summary, MeasureError> {
+/// Reads the output of a process of hollow controllers up to its next summary.
+fn read_summary(child: ChildId, context: &mut Context<'_>) -> Result<Summary, MeasureError> {
     loop {
-        let line = context.children.next_line(child, PATIENCE)?;
+        let line = context.children.next_line(child, RESPONSE_TIMEOUT)?;
         match serde_json::from_str::<Line>(&line) {
             Ok(Line::ControllersSummary(summary)) => return Ok(*summary),
             Ok(_) => {}
-            Err(error) => return Err(context.children.child_error(child, &format!("{error}: {line}"))),
+            Err(error) => {
+                return Err(context
+                    .children
+                    .child_error(child, &format!("can't parse the output line {line:?}: {error}")));
+            }
         }
     }
 }
@@ -211,10 +234,12 @@
     summaries.iter().map(value).fold(0.0, f64::max)
 }
 
+/// Records the cost of the connections. `connect_processor` is the processor time of the worker while they were opened,
+/// `rest_cores` its usage in cores after that.
 fn observe_connections(
-    processor: Duration,
-    rested: &Sample,
-    rest: f64,
+    connect_processor: Duration,
+    at_rest: &Sample,
+    rest_cores: f64,
     summaries: &[Summary],
     observations: &mut Observations,
 ) {
@@ -222,23 +247,25 @@
     observations.add(&CONNECTIONS, sum(summaries, |summary| summary.connections));
     observations.add(&NOT_CONNECTED, sum(summaries, |summary| summary.counts.not_connected));
     observations.add(&CLOSED, sum(summaries, |summary| summary.counts.closed));
-    observations.add(&MEMORY, rested.resident as f64);
-    observations.add(&DESCRIPTORS, rested.descriptors as f64);
-    observations.add(&REST, rest);
-    observations.add(&CONNECT_PROCESSOR, processor.as_secs_f64() * 1e6 / connected);
+    observations.add(&MEMORY, at_rest.resident as f64);
+    observations.add(&DESCRIPTORS, at_rest.descriptors as f64);
+    observations.add(&REST, rest_cores);
+    observations.add(&CONNECT_PROCESSOR, connect_processor.as_secs_f64() * 1e6 / connected);
 }
 
+/// Records the cost of the calls between two samples of the worker. `rest_seconds` is the processor time that the
+/// worker uses at rest in the same interval.
 fn observe_calls(
     before: &Sample,
     after: &Sample,
-    at_rest: f64,
+    rest_seconds: f64,
     summaries: &[Summary],
     observations: &mut Observations,
 ) {
-    let answered = sum(summaries, |summary| summary.counts.served + summary.counts.probes_served);
-    let processor = after.processor.saturating_sub(before.processor).as_secs_f64() - at_rest;
+    let served = sum(summaries, |summary| summary.counts.served + summary.counts.probes_served);
+    let processor = after.processor.saturating_sub(before.processor).as_secs_f64() - rest_seconds;
     let seconds = maximum(summaries, |summary| summary.ran_ms as f64) / 1e3;
-    observations.add(&CALL_PROCESSOR, processor * 1e6 / answered);
+    observations.add(&CALL_PROCESSOR, processor * 1e6 / served);
     observations.add(&CALLS, sum(summaries, |summary| summary.counts.served) / seconds);
     observations
         .add(&NOT_SERVED, sum(summaries, |summary| summary.counts.not_served + summary.counts.broken));
