--- a/crates/gateway/src/commands/scale.rs
+++ b/crates/gateway/src/commands/scale.rs
@@ -44,11 +44,11 @@
 }
 
 impl Progress for SizesProgress {
-    fn doing(&self, what: &str) {
-        self.0.set_message(what.to_owned());
+    fn begin_step(&self, description: &str) {
+        self.0.set_message(description.to_owned());
     }
 
-    fn done(&self) {
+    fn finish_size(&self) {
         self.0.inc(1);
     }
 }
@@ -75,8 +75,13 @@
                 print_result = announce(&lines::observation(observation, &origin));
             }
         };
-        let environment =
-            RunEnvironment { program, capacity, interrupt, progress: &bar, observed: &mut print_observation };
+        let environment = RunEnvironment {
+            program,
+            capacity,
+            interrupt,
+            progress: &bar,
+            on_observation: &mut print_observation,
+        };
         let report = run::run(&mut settings, environment);
         bar.0.finish_and_clear();
         print_result?;
