--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -5,8 +5,8 @@
 //! observes sockets, exit codes and logs.
 //!
 //! * [`plan`] draws the disturbances of a run from its seed, and [`run`] executes them.
-//! * [`controller`] starts and signals controller processes, [`shim`] injects faults into their system calls, and
-//!   [`proxy`] is the network between them and the workers.
+//! * [`controller`] configures, starts, signals and terminates controller processes, [`shim`] injects faults into their
+//!   system calls, and [`proxy`] is the network between them and the workers.
 //! * [`worker`], [`directory`] and [`client`] stand in for the other parties. [`wire`] is their side of the protocol.
 //! * [`audit`] records what was observed, [`kernel_time`] adds the kernel's timestamps, [`judge`] checks the record
 //!   against the invariants, and [`report`] summarises the run.
