--- a/crates/hollow/src/followers/follower.rs
+++ b/crates/hollow/src/followers/follower.rs
@@ -80,6 +80,23 @@
     pub without_lease: bool,
 }
 
+/// Result of an exchange before the backoff and the lease history are updated, from which the [`Outcome`] follows.
+#[derive(Clone, Debug)]
+struct ExchangeResult {
+    kind: OutcomeKind,
+    /// Lease part of the applied page or snapshot. `None` if neither was applied.
+    lease: Option<Lease>,
+    /// Changes of the applied page, including those that the follower had before. Empty for a snapshot.
+    changes: Vec<Change>,
+}
+
+impl ExchangeResult {
+    /// Creates the result of an exchange that applied neither a page nor a snapshot.
+    fn failed(kind: OutcomeKind) -> Self {
+        Self { kind, lease: None, changes: Vec::new() }
+    }
+}
+
 /// Lease history of a follower.
 #[derive(Clone, Copy, Debug)]
 pub struct Leases {
@@ -258,10 +275,10 @@
         shared: &mut SharedSnapshot,
     ) -> Outcome {
         let previous = self.revision().unwrap_or(0);
-        let (kind, lease, mut changes) = match answer {
-            Err(Http1Error::Timeout) => (OutcomeKind::TimedOut, None, Vec::new()),
-            Err(Http1Error::Broken(_)) => (OutcomeKind::Broken, None, Vec::new()),
-            Err(Http1Error::Malformed) => (OutcomeKind::Malformed, None, Vec::new()),
+        let ExchangeResult { kind, lease, mut changes } = match answer {
+            Err(Http1Error::Timeout) => ExchangeResult::failed(OutcomeKind::TimedOut),
+            Err(Http1Error::Broken(_)) => ExchangeResult::failed(OutcomeKind::Broken),
+            Err(Http1Error::Malformed) => ExchangeResult::failed(OutcomeKind::Malformed),
             Ok(answer) => self.handle_response(exchange.kind, answer, shared),
         };
         let retry_at = match kind {
@@ -288,40 +305,39 @@
         kind: RequestKind,
         answer: &Answer,
         shared: &mut SharedSnapshot,
-    ) -> (OutcomeKind, Option<Lease>, Vec<Change>) {
-        let failed = |kind| (kind, None, Vec::new());
+    ) -> ExchangeResult {
         match (answer.status, kind) {
             (200, RequestKind::Snapshot) => {
                 let Ok(snapshot) = serde_json::from_slice::<Snapshot>(&answer.body) else {
-                    return failed(OutcomeKind::Malformed);
+                    return ExchangeResult::failed(OutcomeKind::Malformed);
                 };
                 let lease = snapshot.lease;
                 if self.apply_snapshot(snapshot, answer, shared) {
-                    (OutcomeKind::Snapshot, Some(lease), Vec::new())
+                    ExchangeResult { kind: OutcomeKind::Snapshot, lease: Some(lease), changes: Vec::new() }
                 } else {
-                    failed(OutcomeKind::Refused)
+                    ExchangeResult::failed(OutcomeKind::Refused)
                 }
             }
             (200, RequestKind::Watch) => {
                 let Ok(page) = serde_json::from_slice::<Page>(&answer.body) else {
-                    return failed(OutcomeKind::Malformed);
+                    return ExchangeResult::failed(OutcomeKind::Malformed);
                 };
                 if self.apply_page(&page, answer, shared) {
-                    (OutcomeKind::Page, Some(page.lease), page.entries)
+                    ExchangeResult { kind: OutcomeKind::Page, lease: Some(page.lease), changes: page.entries }
                 } else {
                     self.needs_snapshot = true;
-                    failed(OutcomeKind::SnapshotRequired)
+                    ExchangeResult::failed(OutcomeKind::SnapshotRequired)
                 }
             }
             (409 | 410, _) => {
                 self.needs_snapshot = true;
-                failed(OutcomeKind::SnapshotRequired)
+                ExchangeResult::failed(OutcomeKind::SnapshotRequired)
             }
             _ if answer::is_fenced(answer) => {
                 self.fenced = true;
-                failed(OutcomeKind::Fenced)
+                ExchangeResult::failed(OutcomeKind::Fenced)
             }
-            _ => failed(OutcomeKind::Refused),
+            _ => ExchangeResult::failed(OutcomeKind::Refused),
         }
     }
 
--- a/crates/hollow/src/timers.rs
+++ b/crates/hollow/src/timers.rs
@@ -4,11 +4,21 @@
 use std::collections::BinaryHeap;
 use std::time::Instant;
 
+/// An entry of the queue. Entries are ordered by `due_at` first, then by `peer` and `generation`.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct Timer {
+    due_at: Instant,
+    /// Index of the peer.
+    peer: usize,
+    /// Number of timers that were set for the peer up to this one.
+    generation: u64,
+}
+
 /// Timers, addressed by the index of their peer.
 #[derive(Debug)]
 pub struct Timers {
-    /// Due time, peer and generation. Replaced timers stay here until they are due.
-    queue: BinaryHeap<Reverse<(Instant, usize, u64)>>,
+    /// The earliest timer comes first. Replaced timers stay here until they are due.
+    queue: BinaryHeap<Reverse<Timer>>,
     /// Generation of each peer's current timer; an entry of another generation was replaced.
     generations: Vec<u64>,
 }
@@ -22,22 +32,23 @@
     /// Sets a peer's timer to `at` and cancels its previous one.
     pub fn set(&mut self, peer: usize, at: Instant) {
         self.generations[peer] += 1;
-        self.queue.push(Reverse((at, peer, self.generations[peer])));
+        let timer = Timer { due_at: at, peer, generation: self.generations[peer] };
+        self.queue.push(Reverse(timer));
     }
 
     /// Due time of the earliest entry. The entry may be a replaced timer, so a wakeup at this time can find none due.
     pub fn next_due(&self) -> Option<Instant> {
-        self.queue.peek().map(|Reverse((at, ..))| *at)
+        self.queue.peek().map(|Reverse(timer)| timer.due_at)
     }
 
     /// Removes the next timer that is due at `now`. Returns its peer and its due time, or `None` if none is due.
     pub fn pop_due(&mut self, now: Instant) -> Option<(usize, Instant)> {
-        while let Some(Reverse((at, peer, generation))) = self.queue.peek().copied()
-            && at <= now
+        while let Some(Reverse(timer)) = self.queue.peek().copied()
+            && timer.due_at <= now
         {
             self.queue.pop();
-            if self.generations[peer] == generation {
-                return Some((peer, at));
+            if self.generations[timer.peer] == timer.generation {
+                return Some((timer.peer, timer.due_at));
             }
         }
         None
