--- a/src/controller.rs
+++ b/src/controller.rs
@@ -34,8 +34,8 @@
     pub(crate) replicas: BTreeSet<ReplicaKey>,
     /// Functions with pending loads.
     pub(crate) loading_functions: BTreeSet<FunctionId>,
-    /// Functions by the time bucket in which they are next swept; the key is the bucket's number, in steps of
-    /// `IDLE_BUCKET`. An entry is stale if the function's `idle_bucket` differs from its key.
+    /// Functions by the time bucket in which they are next swept. The key is that time divided by
+    /// `IDLE_BUCKET`, rounded up. An entry is stale if the function's `idle_bucket` differs from its key.
     pub(crate) idle_functions: BTreeMap<Micros, Vec<FunctionId>>,
     pub(crate) calls: BTreeMap<RequestId, Call>,
     pub(crate) hold_queue: BTreeMap<Priority, RequestId>,
--- a/src/decision/attempts.rs
+++ b/src/decision/attempts.rs
@@ -55,7 +55,7 @@
             sent: self.now,
             loading: !warm,
             trial,
-            probed: false,
+            late: false,
         };
         self.attempts.insert(AttemptId { request: id, number }, attempt);
         self.schedule_timeout_check(worker_id);
@@ -117,7 +117,7 @@
             call.first_run = call.first_run.or(Some(run));
         }
         if outcome != Outcome::NotLoaded {
-            call.failed_at = Some(attempt.worker);
+            call.last_failed_worker = Some(attempt.worker);
         }
         self.retry_or_answer(id.request, outcome);
     }
--- a/src/decision/events.rs
+++ b/src/decision/events.rs
@@ -68,7 +68,7 @@
             }
             Event::Probed { worker, outcome, report } => self.probe_ended(worker, outcome, report),
             Event::Timer { .. } | Event::Message { .. } => {}
-            Event::ClientGone { request } => self.client_disconnected(request),
+            Event::ClientGone { request } => self.close_call_and_cancel_loads(request),
         }
     }
 }
--- a/src/decision/health_check.rs
+++ b/src/decision/health_check.rs
@@ -19,9 +19,9 @@
 const SUSPECT_RETRY: Micros = 100_000;
 
 impl Controller {
-    /// Marks the worker as suspect and probes it after a connection broke or became silent: it gets no new
-    /// calls until the probe ends. Connections that break together count as one failure; returns true for the
-    /// first.
+    /// Marks the worker as suspect and probes it, after a connection broke or a load order got no answer. The
+    /// worker gets no new calls until the probe ends. Connections that break together count as one failure:
+    /// returns true only for the first.
     pub(super) fn suspect_connection(&mut self, id: WorkerId) -> bool {
         let Some(worker) = self.workers.get_mut(&id) else { return false };
         let first = !std::mem::replace(&mut worker.connection_suspect, true);
@@ -92,7 +92,7 @@
         let worker = &self.workers[&id];
         let silent = probe.sent.is_some_and(|sent| worker.last_response <= sent);
         let overdue = silent && self.attempts.values().any(|a| self.is_overdue(id, worker, a));
-        let late_attempt = self.attempts.values().any(|a| a.worker == id && a.probed);
+        let late_attempt = self.attempts.values().any(|a| a.worker == id && a.late);
         if outcome == Outcome::ConnectFailed || worker.down || overdue && probe.previous_unanswered {
             self.eject_unresponsive(id);
         } else if connection_broke {
@@ -113,7 +113,7 @@
 struct EndedProbe {
     /// Send time; `None` if this controller sent no probe.
     sent: Option<Micros>,
-    /// The probe was sent because a connection broke.
+    /// The worker was marked as suspect before the probe ended.
     was_suspect: bool,
     /// The previous probe got no answer either.
     previous_unanswered: bool,
--- a/src/decision/hold_queue.rs
+++ b/src/decision/hold_queue.rs
@@ -20,8 +20,8 @@
 
 /// Held calls examined per response; bounds the time to handle an event.
 const RELEASE_SCAN: usize = 512;
-/// Held calls are also examined without a response, as capacity becomes free with time. This is the interval
-/// between two such examinations, in event intervals.
+/// Interval, in event intervals, at which held calls are examined while no response arrives, as capacity also
+/// becomes free with time.
 const RELEASE_INTERVAL_STEPS: Micros = 4;
 /// Lower bound of the interval between two examinations without a response.
 const RELEASE_INTERVAL_MIN: Micros = 20_000;
@@ -90,7 +90,7 @@
             let in_time = |call: &&Call| self.now < call.answer_by;
             let Some(call) = self.calls.get(&id).filter(in_time) else { continue };
             // Calls with the same values of these have the same eligible workers.
-            let constraints = (call.function, call.class, call.failed_at, call.first_run);
+            let constraints = (call.function, call.class, call.last_failed_worker, call.first_run);
             if unplaceable.contains(&constraints) {
                 continue;
             }
--- a/src/decision/outlier_ejection.rs
+++ b/src/decision/outlier_ejection.rs
@@ -35,14 +35,14 @@
 /// Upper bound of the duration of an ejection.
 const EJECTION_MAX: Micros = 4_000_000;
 
-/// The reason for an ejection.
+/// The reason for an ejection, as written to the log.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum EjectionReason {
     /// The failure rate is too high.
     Failures,
-    /// The process died.
+    /// The process is taken for dead: it refused a connection, or reset one where no probe can be sent.
     Down,
-    /// The worker does not respond.
+    /// Probes failed, or responses are overdue where no probe can be sent.
     Unresponsive,
 }
 
@@ -91,7 +91,8 @@
         }
     }
 
-    /// Whether the remembered state shows that any worker served the function.
+    /// Whether the function's state shows that a worker served it. State is removed some time after the last
+    /// call.
     fn ever_served(&self, id: FunctionId) -> bool {
         self.functions.get(&id).is_some_and(|f| !f.latencies.is_empty() || !f.warm_replicas.is_empty())
     }
--- a/src/decision/placement.rs
+++ b/src/decision/placement.rs
@@ -31,9 +31,9 @@
 /// Whether ejected workers are eligible.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum EjectedWorkers {
-    /// Not eligible, except for trials.
+    /// Ejected workers are eligible only for trial calls.
     Excluded,
-    /// Eligible, because all workers are ejected.
+    /// Ejected workers are eligible, because all workers are ejected.
     Permitted,
 }
 
@@ -69,7 +69,7 @@
         let found = self
             .select_warm(call, function)
             .or_else(|| self.select_without_replica(call, function))
-            .or_else(|| call.failed_at.filter(last_failed));
+            .or_else(|| call.last_failed_worker.filter(last_failed));
         let in_service = |w: &Worker| w.entry.state == WorkerState::On && !w.ejected;
         if found.is_some() || self.workers.values().any(in_service) {
             return found;
@@ -91,7 +91,7 @@
         let is_eligible = |w: WorkerId| self.is_eligible(w, call, function, EjectedWorkers::Excluded);
         let usable = || {
             let all = last_warm.into_iter().chain(order());
-            all.filter(|w| warm(w) && is_eligible(*w) && call.failed_at != Some(*w))
+            all.filter(|w| warm(w) && is_eligible(*w) && call.last_failed_worker != Some(*w))
         };
         let pressure = |w: WorkerId| self.pressure(function, w, call.class);
         if let Some(worker) = usable().find(|w| pressure(*w) < PRESSURE_LIMIT) {
@@ -119,14 +119,14 @@
         let pending_only = Some(&function.pending_loads).filter(|_| no_new_load);
         let pressure = |w: WorkerId| self.pressure(function, w, call.class);
         let usable = |w: &WorkerId| {
-            call.failed_at != Some(*w)
+            call.last_failed_worker != Some(*w)
                 && !self.is_warm(function, *w)
                 && pressure(*w) < PRESSURE_MAX
                 && self.is_eligible(*w, call, function, EjectedWorkers::Excluded)
         };
         let order = || self.walk_order(call.function, function, call.class, pending_only);
-        // Where only orders load functions, the call waits for a home that is busy with loads: other
-        // controllers don't look for a replica elsewhere.
+        // Where only orders load functions, the call waits while loads of this controller occupy the home: a
+        // replica elsewhere would not be found by the other controllers, which look at the home.
         let only_orders_load =
             self.settings.loading.when_absent == WhenAbsent::Miss && pending_only.is_none();
         let home = if only_orders_load { self.home(call, function) } else { None };
@@ -138,8 +138,8 @@
         candidates.find(|w| pressure(*w) < PRESSURE_LIMIT).or_else(|| order().find(|w| usable(w)))
     }
 
-    /// The first worker in the function's order that is neither ejected, in slow start nor at the pressure
-    /// limit, and has not rejected the function too often in a row.
+    /// The first worker in the function's order that is past its slow start, below [`PRESSURE_MAX`], not
+    /// excluded by an ejection, and has not rejected the function too often in a row.
     fn home(&self, call: &Call, function: &Function) -> Option<WorkerId> {
         let rejected_too_often =
             |w: &WorkerId| function.avoided.get(w).is_some_and(|a| a.rejections >= MAX_REJECTIONS);
@@ -174,7 +174,7 @@
         let Some(worker) = self.workers.get(&id) else { return false };
         let warm = self.is_warm(function, id);
         let in_flight = function.in_flight.get(&id).copied().unwrap_or(0);
-        // After its ejection, a worker gets one trial at a time, and no non-idempotent calls.
+        // A worker whose ejection time has passed gets one trial call at a time, never a non-idempotent one.
         let non_idempotent = self.settings.classes[call.class].effect == Effect::NonIdempotent;
         let excluded = self.ejection_active(worker) || worker.ejected && non_idempotent;
         // The lanes bound of the design. Calls that wait for a load use no core, so they count only for their
--- a/src/decision/replica_loading.rs
+++ b/src/decision/replica_loading.rs
@@ -22,12 +22,12 @@
 const MAX_LOADS_PER_WORKER: usize = 2;
 /// Weight of one sample in the mean load time.
 const LOAD_TIME_WEIGHT: f64 = 0.3;
-/// An order answered within this time found a replica that was already loaded, so that it is no load time
-/// sample.
-const ALREADY_LOADED: Micros = 20_000;
-/// How long a function avoids a worker after a failed or rejected load, as a share of the function's expected
-/// load time.
-const AVOID_LOADS: f64 = 0.5;
+/// Longest time in which an order is answered if the replica was already loaded. Such an answer is not used
+/// as a load time sample.
+const ALREADY_LOADED_ANSWER_MAX: Micros = 20_000;
+/// Time for which a function avoids a worker after a failed or rejected load, as a share of the function's
+/// expected load time.
+const AVOIDANCE_LOAD_TIME_SHARE: f64 = 0.5;
 /// Number of consecutive rejections after which a worker is not used as a home, until a load succeeds there
 /// or the record of the rejections expires. A failed load counts as this many.
 pub(super) const MAX_REJECTIONS: u32 = 3;
@@ -128,7 +128,7 @@
         if outcome == Outcome::Ok || replicas > 0 {
             self.replica_found(replica);
             self.functions.get_mut(&function_id).expect("just seen").avoided.remove(&worker_id);
-            if elapsed > ALREADY_LOADED {
+            if elapsed > ALREADY_LOADED_ANSWER_MAX {
                 self.record_load_time(function_id, elapsed as f64);
             }
         } else if outcome != Outcome::Cancelled {
@@ -137,11 +137,11 @@
         self.release_held(None);
     }
 
-    /// Makes the function avoid the worker for `AVOID_LOADS` of its expected load time, and adds to the
-    /// number of rejections.
+    /// Makes the function avoid the worker for a share of its expected load time, and adds to the number of
+    /// rejections.
     pub(super) fn avoid_worker(&mut self, replica: ReplicaKey, rejections: u32) {
         let Some(function) = self.functions.get(&replica.function) else { return };
-        let until = self.now + (self.expected_load_time(function) * AVOID_LOADS) as Micros;
+        let until = self.now + (self.expected_load_time(function) * AVOIDANCE_LOAD_TIME_SHARE) as Micros;
         let function = self.functions.get_mut(&replica.function).expect("just seen");
         let avoidance = function.avoided.entry(replica.worker).or_default();
         avoidance.until = until;
--- a/src/decision/response_timeout.rs
+++ b/src/decision/response_timeout.rs
@@ -25,7 +25,7 @@
     pub(super) fn schedule_timeout_check(&mut self, id: WorkerId) {
         let Some(worker) = self.workers.get(&id) else { return };
         let pending = self.attempts.values().filter(|a| a.worker == id);
-        let since = |a: &Attempt| if a.probed { a.sent.max(worker.last_response) } else { a.sent };
+        let since = |a: &Attempt| if a.late { a.sent.max(worker.last_response) } else { a.sent };
         let Some(at) = pending.map(|a| since(a) + self.response_timeout(a)).min() else { return };
         let ejected_until = if worker.ejected { worker.ejected_until } else { 0 };
         let at = at.max(ejected_until).max(self.now + self.release_interval());
@@ -63,13 +63,15 @@
         }
     }
 
-    /// Marks newly overdue attempts, and cancels those that are lost: later responses arrived from the
-    /// worker, and it is not under pressure. Returns whether any attempt became overdue.
+    /// Marks the attempts whose response timeout has passed since they were sent, and cancels the idempotent
+    /// ones among them that are lost: the worker responded after they were sent, and is not under pressure.
+    /// Returns whether any attempt was marked.
     fn cancel_lost_attempts(&mut self, id: WorkerId) -> bool {
-        let late = |a: &Attempt| a.worker == id && !a.probed && self.now >= a.sent + self.response_timeout(a);
-        let late: Vec<_> = self.attempts.iter().filter(|(_, a)| late(a)).map(|(id, _)| *id).collect();
+        let newly_late =
+            |a: &Attempt| a.worker == id && !a.late && self.now >= a.sent + self.response_timeout(a);
+        let late: Vec<_> = self.attempts.iter().filter(|(_, a)| newly_late(a)).map(|(id, _)| *id).collect();
         for attempt_id in &late {
-            self.attempts.get_mut(attempt_id).expect("just seen").probed = true;
+            self.attempts.get_mut(attempt_id).expect("just seen").late = true;
             let attempt = &self.attempts[attempt_id];
             let function = self.functions.get(&attempt.function);
             let low_pressure = function.is_some_and(|f| self.pressure(f, id, attempt.class) < PRESSURE_LIMIT);
@@ -96,8 +98,8 @@
         attempt.worker == id && self.now >= since() + self.response_timeout(attempt)
     }
 
-    /// Cancels an idempotent attempt so that the call can be retried elsewhere. Drawback: slow calls may run
-    /// twice.
+    /// Cancels the attempt so that the call can be retried elsewhere, if cancellation is permitted and the
+    /// call is idempotent, not streaming and has attempts left. Drawback: slow calls may run twice.
     fn cancel_if_idempotent(&mut self, id: AttemptId) {
         let AttemptId { request, number } = id;
         let Some(call) = self.calls.get(&request) else { return };
--- a/src/decision/retention.rs
+++ b/src/decision/retention.rs
@@ -59,12 +59,12 @@
 }
 
 impl Controller {
-    /// How long the state of a function is kept after its last call.
+    /// Time since its last call after which the state of a function may be removed.
     fn retention(&self) -> Micros {
         RETENTION_WINDOWS * ARRIVAL_WINDOW.max(self.settings.loading.keep_alive)
     }
 
-    /// Returns the function's state after the last sweep, and creates it if there is none.
+    /// Applies the last sweep to the function and returns its state; creates the state if there is none.
     pub(super) fn function_mut(&mut self, id: FunctionId) -> &mut Function {
         self.apply_sweep(id);
         if !self.functions.contains_key(&id) {
@@ -114,7 +114,7 @@
 
     fn sweep_idle_function(&mut self, id: FunctionId, bucket_key: Micros) {
         if self.functions.get(&id).is_none_or(|f| f.idle_bucket != bucket_key) {
-            // A stale queue entry: the function was removed, and has a new entry if it was called again.
+            // A stale entry: the function was removed, and has a new entry if it was called again.
             return;
         }
         self.apply_sweep(id);
--- a/src/decision/retry.rs
+++ b/src/decision/retry.rs
@@ -69,7 +69,7 @@
         // With a single attempt permitted, a miss ends the call and orders a replica for later calls; that
         // order must not be cancelled.
         if self.settings.limits.max_attempts > 1 {
-            self.client_disconnected(id);
+            self.close_call_and_cancel_loads(id);
         } else {
             self.close_call(id);
         }
@@ -84,9 +84,10 @@
         self.finish_call(id);
     }
 
-    /// Ends a call whose client expects no response any more. If no other call waits for the function, its
-    /// load orders are cancelled unless they have already been sent.
-    pub(super) fn client_disconnected(&mut self, id: RequestId) {
+    /// Ends a call that needs no response any more: the client disconnected, or the final answer was sent. If
+    /// no call of the function is then held and no attempt in flight, its load orders are cancelled unless
+    /// they have already been sent.
+    pub(super) fn close_call_and_cancel_loads(&mut self, id: RequestId) {
         let Some(function) = self.calls.get(&id).map(|call| call.function) else { return };
         self.close_call(id);
         let state = self.functions.get(&function);
@@ -96,7 +97,8 @@
         }
     }
 
-    /// Removes the state of a call.
+    /// Removes the call from the state, the hold queue and the answer timers. An attempt in flight is kept
+    /// until it ends.
     pub(super) fn finish_call(&mut self, id: RequestId) {
         self.dequeue_held(id);
         if let Some(call) = self.calls.remove(&id) {
--- a/src/decision/slow_start.rs
+++ b/src/decision/slow_start.rs
@@ -1,8 +1,9 @@
 //! Limits the calls sent to a worker in slow start to a budget of core time, granted in slots to the
 //! controllers in turn.
 //!
-//! Each controller knows the start time of the worker, its own number and the number of controllers, so that
-//! it can compute its slots without communication. `docs/design.md` has the bound on the sum over all
+//! A slot is the core time of one call; in each round, every controller has one slot. Each controller knows
+//! the start time of the worker, its own number and the number of controllers, so that it can compute its
+//! slots without communication. `docs/design.md` has the bound on the sum over all
 //! controllers and its proof. The worker is chosen in `placement`. Guards against overload of a worker in
 //! slow start: bursts right after its start, late worker lists, a restart of this controller, and lists that
 //! lose the worker for a moment.
@@ -19,10 +20,10 @@
 
 /// A slot of one controller in the slow start of a worker.
 pub(super) struct SlowStartSlot {
-    /// A call may be sent now.
+    /// The budget of the slot has been granted: a call may be sent now.
     due: bool,
-    /// Value of `Worker::budget_used` once this slot is used: the budget granted by the controller's next
-    /// slot.
+    /// Value of `Worker::budget_used` once this slot is used: the budget of all rounds up to and including
+    /// that of this slot.
     pub(super) used_after: f64,
 }
 
--- a/src/decision/worker_load.rs
+++ b/src/decision/worker_load.rs
@@ -46,8 +46,8 @@
         let may_probe = self.may_probe_load();
         let Some(call) = self.calls.get_mut(&id) else { return true };
         let Some(worker) = self.workers.get_mut(&worker_id) else { return true };
-        // Where only orders load functions, a worker without a replica answers at once, so that no probe is
-        // needed.
+        // Where only orders load functions, a call of a function without a known replica is answered at once
+        // with a miss, so that no probe is needed.
         let has_replica = |f: &Function| !f.warm_replicas.is_empty() || !f.pending_loads.is_empty();
         let will_miss = self.settings.loading.when_absent == WhenAbsent::Miss
             && !self.functions.get(&call.function).is_some_and(has_replica);
--- a/src/interface/actions.rs
+++ b/src/interface/actions.rs
@@ -23,14 +23,14 @@
     },
     /// Send the final answer: the request was not served and may safely be retried.
     Refuse {
-        /// The refused request.
+        /// The request that the answer belongs to.
         request: RequestId,
-        /// How long the client is advised to wait before it retries; `None` for no advice.
+        /// Delay that the client is advised to wait before it retries; `None` for no advice.
         retry_after: Option<Micros>,
     },
     /// Send the final answer: the request failed, and it may or may not have executed.
     Fail {
-        /// The failed request.
+        /// The request that the answer belongs to.
         request: RequestId,
     },
     /// Order a worker to load a function until it has at least `count` replicas; 0 only queries the number.
--- a/src/interface/events.rs
+++ b/src/interface/events.rs
@@ -54,7 +54,7 @@
     pub tenant: Option<TenantId>,
     /// The function to call.
     pub function: FunctionId,
-    /// Time from the event until the client gives up.
+    /// Time from the arrival of the request until the client stops waiting for an answer.
     pub time_left: Micros,
     /// Expected execution time on a standard core.
     pub cpu_time_hint: Option<Micros>,
@@ -76,9 +76,9 @@
         /// The entries of the update.
         entries: Vec<WorkerEntry>,
     },
-    /// A request arrived.
+    /// A client sent a request. Its id must not have been used before.
     Request(Request),
-    /// An attempt ended.
+    /// An attempt ended. Reported exactly once for each [`Action::Send`](crate::Action::Send).
     Outcome {
         /// The request of the attempt.
         request: RequestId,
@@ -107,7 +107,7 @@
         /// Number of the attempt, from 0.
         attempt: u32,
     },
-    /// A load order or a query was answered, or ended without an answer.
+    /// A load order, or a query of the number of replicas, was answered or ended without an answer.
     Loaded {
         /// The worker of the order.
         worker: WorkerId,
@@ -122,16 +122,16 @@
     },
     /// A health probe ended.
     Probed {
-        /// The probed worker.
+        /// The worker that the probe was sent to.
         worker: WorkerId,
         /// The outcome of the probe.
         outcome: Outcome,
         /// Load report attached to the answer.
         report: Option<Report>,
     },
-    /// A timer expired.
+    /// A timer that was started for an [`Action::SetTimer`](crate::Action::SetTimer) expired.
     Timer {
-        /// The tag of the [`Action::SetTimer`](crate::Action::SetTimer) that started it.
+        /// The tag of that action.
         tag: u64,
     },
     /// The client disconnected; the request needs no answer.
@@ -141,7 +141,7 @@
     },
     /// A message from another controller arrived. Messages are currently ignored.
     Message {
-        /// The sending controller.
+        /// The controller that sent the message.
         from: PeerId,
         /// The content of the message.
         bytes: Vec<u8>,
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -56,7 +56,7 @@
     pub quota_per_s: Option<f64>,
 }
 
-/// How the controller receives the worker list.
+/// Whether updates of the worker list are pushed to the controller or requested by it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Discovery {
     /// Updates are pushed without a request.
@@ -67,7 +67,7 @@
     Poll,
 }
 
-/// When workers report their load.
+/// The messages with which workers report their load.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Reports {
     /// Workers send no load reports.
@@ -93,7 +93,7 @@
     Live,
 }
 
-/// How a worker treats a call of a function that it has not loaded.
+/// A worker's treatment of a call whose function it has not loaded.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum WhenAbsent {
     /// The worker loads the function while the call waits.
@@ -107,11 +107,12 @@
 /// Settings for loading functions.
 #[derive(Clone, Debug, Default)]
 pub struct Loading {
-    /// How a worker treats a call of a function that it has not loaded.
+    /// A worker's treatment of a call whose function it has not loaded.
     pub when_absent: WhenAbsent,
     /// Minimum time that an idle replica stays loaded, unless its memory is needed.
     pub keep_alive: Micros,
-    /// [`Action::Load`](crate::Action::Load) and [`Action::Unload`](crate::Action::Unload) are permitted.
+    /// Whether the controller may order loads and unloads ([`Action::Load`](crate::Action::Load),
+    /// [`Action::Unload`](crate::Action::Unload)).
     pub orders: bool,
     /// A load order fails if it is not answered within this time.
     pub order_timeout: Micros,
@@ -137,11 +138,11 @@
 pub struct Limits {
     /// Maximum number of attempts per request, including the first.
     pub max_attempts: u32,
-    /// A request may have two attempts in flight.
+    /// Whether a request may have two attempts in flight.
     pub parallel_attempts: bool,
-    /// [`Action::Probe`](crate::Action::Probe) is permitted.
+    /// Whether the controller may send health probes ([`Action::Probe`](crate::Action::Probe)).
     pub probes: bool,
-    /// [`Action::Cancel`](crate::Action::Cancel) is permitted.
+    /// Whether the controller may cancel attempts ([`Action::Cancel`](crate::Action::Cancel)).
     pub cancel: bool,
     /// Longest retry advice that clients follow; `None` means that clients get no such advice.
     pub retry_after: Option<Micros>,
@@ -185,9 +186,9 @@
     pub tenants: Vec<Tenant>,
     /// Priority weight of a request over its tenant's quota, relative to the weight of its class.
     pub over_quota_weight: f64,
-    /// How the worker list is received.
+    /// Whether updates of the worker list are pushed to the controller or requested by it.
     pub discovery: Discovery,
-    /// When workers report their load.
+    /// The messages with which workers report their load.
     pub reports: Reports,
     /// The meaning of the weights in the worker list.
     pub weights: Weights,
@@ -210,7 +211,7 @@
     NoControllers,
     /// `controller_index` is not less than `controllers`.
     ControllerIndexOutOfRange,
-    /// [`Limits::max_attempts`] is zero.
+    /// [`Limits::max_attempts`] is zero, so that no request could be sent.
     NoAttempts,
 }
 
--- a/src/rendezvous.rs
+++ b/src/rendezvous.rs
@@ -20,7 +20,7 @@
 use crate::interface::{FunctionId, WorkerId};
 
 /// Up to this many workers, each function stores its complete order.
-const COMPLETE_LIST: usize = 64;
+const COMPLETE_ORDER_MAX: usize = 64;
 /// Number of homes stored per function for longer lists.
 const HOMES: usize = 24;
 /// Expected number of workers found by the first pass over a longer list: more than `HOMES`, as the actual
@@ -29,7 +29,7 @@
 /// The homes are computed again if fewer than this remain.
 const MIN_HOMES: usize = 8;
 /// Maximum length of the change log.
-const CHANGE_LOG: usize = 1_024;
+const CHANGE_LOG_MAX: usize = 1_024;
 /// If a function missed more changes than the length of the list divided by this, computing its homes again
 /// is cheaper than repairing them.
 const REPAIR_RATIO: usize = 16;
@@ -67,6 +67,8 @@
     splitmix64(worker.0.wrapping_mul(0x2545_f491_4f6c_dd1d))
 }
 
+/// Hashes the pair to a uniform value in (0, 1] and returns its negative logarithm divided by the weight, so
+/// that a worker comes first for a share of the functions that is proportional to its weight.
 fn score(function_hash: u64, worker_hash: u64, weight: f64) -> f64 {
     let hash = splitmix64(function_hash ^ worker_hash);
     let unit = ((hash >> 11) as f64 + 1.0) / (1u64 << 53) as f64;
@@ -125,14 +127,17 @@
 #[derive(Default)]
 pub(crate) struct Fleet {
     all: Candidates,
+    /// Position of each worker in `all`.
     index: BTreeMap<WorkerId, usize>,
-    changed: VecDeque<WorkerId>,
+    /// Workers that were added, removed or weighted anew, the latest last.
+    change_log: VecDeque<WorkerId>,
     /// Total number of changes, including those no longer in the log.
-    changes: u64,
+    change_count: u64,
     /// Score limit of the first pass that computes homes; 0 if it has to be estimated. Affects only the cost,
     /// not the result.
     score_limit: f64,
-    hashes: Cell<u64>,
+    /// Number of hashes computed so far.
+    hash_count: Cell<u64>,
 }
 
 impl Fleet {
@@ -159,21 +164,21 @@
                 }
             }
         }
-        self.changes += 1;
+        self.change_count += 1;
         self.score_limit = 0.0;
-        self.changed.push_back(worker);
-        if self.changed.len() > CHANGE_LOG {
-            self.changed.pop_front();
+        self.change_log.push_back(worker);
+        if self.change_log.len() > CHANGE_LOG_MAX {
+            self.change_log.pop_front();
         }
     }
 
     /// Number of function and worker hashes computed so far, a measure of the cost of long lists.
     pub(crate) fn hashes_computed(&self) -> u64 {
-        self.hashes.get()
+        self.hash_count.get()
     }
 
     fn count_hashes(&self, hashes: usize) {
-        self.hashes.set(self.hashes.get() + hashes as u64);
+        self.hash_count.set(self.hash_count.get() + hashes as u64);
     }
 
     /// Returns the worker's position in the function's order, or `None` if it is not in service.
@@ -239,7 +244,7 @@
     workers: Vec<WorkerId>,
     /// The homes are exactly the workers before this position; `None` if they are the complete order.
     end: Option<Position>,
-    /// Value of `Fleet::changes` at the last update plus 1, or 0 before the first update.
+    /// Value of `Fleet::change_count` at the last update plus 1, or 0 before the first update.
     changes_applied: u64,
 }
 
@@ -255,21 +260,22 @@
 
     /// Applies the changes of the list since the last update.
     pub(crate) fn update(&mut self, function: FunctionId, fleet: &mut Fleet) {
-        let now = fleet.changes + 1;
-        if self.changes_applied == now {
+        let current = fleet.change_count + 1;
+        if self.changes_applied == current {
             return;
         }
-        let missed = (now - self.changes_applied) as usize;
-        let repairable = missed <= fleet.changed.len() && missed <= fleet.all.workers.len() / REPAIR_RATIO;
+        let missed = (current - self.changes_applied) as usize;
+        let repairable = missed <= fleet.change_log.len() && missed <= fleet.all.workers.len() / REPAIR_RATIO;
         if self.changes_applied == 0 || !repairable || !self.repair(function, fleet, missed) {
             self.compute(function, fleet);
         }
-        self.changes_applied = now;
+        self.changes_applied = current;
     }
 
-    /// Applies the latest changes one by one. Returns false if too few homes remain.
+    /// Applies the last `missed` changes: removes the changed workers from the homes and inserts those that
+    /// now belong there. Returns false if too few homes remain.
     fn repair(&mut self, function: FunctionId, fleet: &Fleet, missed: usize) -> bool {
-        let changed = || fleet.changed.range(fleet.changed.len() - missed..);
+        let changed = || fleet.change_log.range(fleet.change_log.len() - missed..);
         for worker in changed() {
             self.workers.retain(|home| home != worker);
         }
@@ -284,7 +290,7 @@
             let at = self.workers.partition_point(before);
             self.workers.insert(at, *worker);
         }
-        let max_homes = if self.covers_all() { COMPLETE_LIST } else { 2 * HOMES };
+        let max_homes = if self.covers_all() { COMPLETE_ORDER_MAX } else { 2 * HOMES };
         if self.workers.len() > max_homes {
             self.end = fleet.position(function, self.workers[HOMES]);
             self.workers.truncate(HOMES);
@@ -292,6 +298,7 @@
         self.covers_all() || self.workers.len() >= MIN_HOMES
     }
 
+    /// Computes the homes in one or more passes over the list, each with a higher score limit.
     fn compute(&mut self, function: FunctionId, fleet: &mut Fleet) {
         let (all, hash) = (fleet.all.workers.len(), splitmix64(function.0));
         if fleet.score_limit == 0.0 {
@@ -299,7 +306,7 @@
         }
         let (mut below, mut pass) = (fleet.score_limit, 1);
         let positions = loop {
-            if all <= COMPLETE_LIST || pass > MAX_PASSES {
+            if all <= COMPLETE_ORDER_MAX || pass > MAX_PASSES {
                 below = f64::INFINITY;
             }
             fleet.count_hashes(all);
@@ -316,7 +323,7 @@
                 below
             };
         }
-        let kept = if all <= COMPLETE_LIST { all } else { positions.len().min(HOMES) };
+        let kept = if all <= COMPLETE_ORDER_MAX { all } else { positions.len().min(HOMES) };
         let limit = Some(Position::from_score(below)).filter(|_| below < f64::INFINITY);
         self.end = positions.get(kept).copied().or(limit);
         self.workers = positions[..kept].iter().map(|position| position.worker).collect();
--- a/src/rendezvous/tests.rs
+++ b/src/rendezvous/tests.rs
@@ -57,7 +57,7 @@
         );
         assert_eq!(homes.covers_all(), homes.workers().len() == complete.len() || complete.is_empty());
         assert!(homes.workers().len() >= MIN_HOMES.min(complete.len()), "the homes are not too few");
-        assert!(homes.workers().len() <= COMPLETE_LIST, "the homes are not too many");
+        assert!(homes.workers().len() <= COMPLETE_ORDER_MAX, "the homes are not too many");
         assert_eq!(
             walked(function, homes, &self.fleet, None),
             complete,
--- a/src/state.rs
+++ b/src/state.rs
@@ -15,7 +15,7 @@
     pub(crate) entry: WorkerEntry,
     /// Number of this controller's attempts in flight at the worker.
     pub(crate) in_flight: u32,
-    /// Number of those on replicas that are presumed warm; the lanes bound applies to these.
+    /// Number of these attempts that use replicas presumed warm; the lanes bound applies to them.
     pub(crate) warm_in_flight: u32,
     /// Number of loads that this controller has pending at the worker.
     pub(crate) pending_loads: usize,
@@ -31,19 +31,21 @@
     pub(crate) next_ejection: Micros,
     /// A trial call is in flight at the ejected worker.
     pub(crate) trial_in_flight: bool,
-    /// Time of the last response of any kind.
+    /// Time of the last probe answer or response to an attempt, not counting errors. Set to the send time of
+    /// an attempt if no other is in flight, as the timeout of its response counts from then on.
     pub(crate) last_response: Micros,
     /// Time of the scheduled check for overdue responses.
     pub(crate) timeout_check: Option<Micros>,
     /// Send time of the probe in flight.
     pub(crate) probe_sent: Option<Micros>,
-    /// A connection to the worker failed; the probe in flight shows whether the process failed too.
+    /// A connection to the worker failed, and no probe has shown yet whether the process failed too. The
+    /// worker gets no new calls until then.
     pub(crate) connection_suspect: bool,
-    /// The previous probe got no answer.
+    /// The probe before the one in flight got no answer.
     pub(crate) probe_unanswered: bool,
     /// Functions whose load orders were lost when a connection broke.
     pub(crate) lost_orders: BTreeSet<FunctionId>,
-    /// Load pressure derived from the last response.
+    /// Load pressure derived from the last response or failed probe.
     pub(crate) last_pressure: PressureSample,
     /// The last load report.
     pub(crate) last_report: Option<ReceivedReport>,
@@ -51,7 +53,8 @@
     pub(crate) started_at: Option<Micros>,
     /// Slow-start slots before this time may have been used by an earlier incarnation of this controller.
     pub(crate) budget_from: Option<Micros>,
-    /// Slow-start budget that will have been granted by the time of this controller's next slot.
+    /// Slow-start budget, in microseconds of core time, of all rounds before that of this controller's next
+    /// slot.
     pub(crate) budget_used: f64,
 }
 
@@ -80,7 +83,7 @@
 pub(crate) struct ReceivedReport {
     /// The content of the report.
     pub(crate) report: Report,
-    /// Time of receipt.
+    /// Time at which the controller received the report.
     pub(crate) at: Micros,
 }
 
@@ -99,14 +102,16 @@
     pub(crate) warm_replicas: BTreeMap<WorkerId, Micros>,
     /// Start times of the loads that this controller has pending, by worker.
     pub(crate) pending_loads: BTreeMap<WorkerId, Micros>,
-    /// Workers that rejected a replica for lack of memory or failed to load it.
+    /// Workers that rejected a replica for lack of memory or failed to load it, or at which the ration
+    /// permitted no order.
     pub(crate) avoided: BTreeMap<WorkerId, Avoidance>,
     /// Number of attempts in flight, by worker.
     pub(crate) in_flight: BTreeMap<WorkerId, u32>,
     /// Time at which a replica was last ordered. If a call finds no replica after that, replicas observed up
     /// to the order are no longer trusted.
     pub(crate) last_order: Option<Micros>,
-    /// Concurrent calls of the function divided by its lanes, as last reported by each worker.
+    /// Concurrent calls of the function at each worker divided by its lanes, recorded at the last served
+    /// attempt: those that the worker reported, or this controller's own attempts in flight if more.
     pub(crate) reported_pressure: BTreeMap<WorkerId, PressureSample>,
     /// Number of calls in the hold queue.
     pub(crate) held_calls: u32,
@@ -132,7 +137,8 @@
 pub(crate) struct Avoidance {
     /// Time until which the worker gets no calls of the function.
     pub(crate) until: Micros,
-    /// Consecutive rejections for lack of memory; a failed load counts as several.
+    /// Consecutive rejections for lack of memory. A load that the ration did not permit counts as one; a load
+    /// that failed counts as several.
     pub(crate) rejections: u32,
 }
 
@@ -141,7 +147,8 @@
 pub(crate) struct Priority {
     /// The call can no longer meet its latency objective.
     pub(crate) objective_missed: bool,
-    /// Recent arrivals of the function times its mean latency, computed when the call arrives.
+    /// Recent arrivals of the function times its mean latency, computed when the call arrives; increased for
+    /// calls over their tenant's quota.
     pub(crate) recent_work: u64,
     /// Arrival sequence number; breaks ties.
     pub(crate) sequence: u64,
@@ -152,7 +159,7 @@
 pub(crate) struct Call {
     /// Index of the class in the settings.
     pub(crate) class: usize,
-    /// The called function.
+    /// The function to execute.
     pub(crate) function: FunctionId,
     /// Time at which the call arrived.
     pub(crate) arrived: Micros,
@@ -168,8 +175,8 @@
     pub(crate) held: bool,
     /// The first attempt that may have executed.
     pub(crate) first_run: Option<FirstRun>,
-    /// The worker of the last failed attempt; it is retried only if no other worker is eligible.
-    pub(crate) failed_at: Option<WorkerId>,
+    /// The worker of the last failed attempt; it gets the call again only if no other worker is eligible.
+    pub(crate) last_failed_worker: Option<WorkerId>,
     /// Number of load probes sent on behalf of the call.
     pub(crate) probes: u32,
     /// The response stream has started; the call can no longer be retried.
@@ -208,8 +215,8 @@
     pub(crate) loading: bool,
     /// The attempt is a trial of an ejected worker.
     pub(crate) trial: bool,
-    /// A probe was sent because the response is overdue.
-    pub(crate) probed: bool,
+    /// A timeout check found that the response timeout has passed since the attempt was sent.
+    pub(crate) late: bool,
 }
 
 /// The end of an attempt, with the additional information in its response.
