--- a/adapter/src/controllers.rs
+++ b/adapter/src/controllers.rs
@@ -22,7 +22,8 @@
 }
 
 impl Controllers {
-    /// Handles one batch of events and returns the reply line.
+    /// Handles one line of input, a batch of events, and returns the reply line. A malformed line is an error;
+    /// its events up to the malformed one have then been handled.
     pub(crate) fn handle_batch(&mut self, text: &str) -> Result<String, WireError> {
         let line: Value = serde_json::from_str(text).map_err(WireError::NotJson)?;
         let time = line.get("t_ms").ok_or(WireError::Batch("t_ms is missing"))?;
--- a/adapter/src/main.rs
+++ b/adapter/src/main.rs
@@ -23,7 +23,7 @@
     }
 }
 
-/// Handles one line and writes its reply; an empty line has none.
+/// Handles one line of input and writes its reply. An empty line gets no reply.
 fn answer_line(
     controllers: &mut Controllers,
     line: std::io::Result<String>,
--- a/adapter/src/wire/error.rs
+++ b/adapter/src/wire/error.rs
@@ -34,11 +34,11 @@
     /// The first value of the array is not a string.
     #[error("name is missing or not a string")]
     NoName,
-    /// There is no event of this name.
+    /// The wire format has no event with the name that was read.
     #[error("{0}: no such event")]
     UnknownEvent(String),
     /// The event that starts a controller has no settings object.
-    #[error("ENLIST: no object in info")]
+    #[error("ENLIST: info is missing or not an object")]
     NoInfo,
     /// The settings of a controller can't be parsed.
     #[error("ENLIST: {0}")]
@@ -49,11 +49,11 @@
     /// A field is missing or invalid.
     #[error("{event}: {field} {error}")]
     Field {
-        /// The event's name.
+        /// Name of the event, or `entry` for an entry of the worker list.
         event: String,
-        /// The field's name.
+        /// Name of the field in the wire format.
         field: &'static str,
-        /// The error in the field.
+        /// The reason why the field is invalid; completes a sentence that begins with the field's name.
         error: FieldError,
     },
 }
@@ -67,15 +67,15 @@
     /// The value does not have the expected type, which is given here.
     #[error("is not {0}")]
     NotA(&'static str),
-    /// The value is not a keyword of the wire format.
-    #[error("is unknown")]
-    UnknownKeyword,
-    /// The value is not a number of the wire format.
-    #[error("{0} is unknown")]
-    UnknownNumber(u64),
-    /// The settings have no request class of this name.
-    #[error("is not a known class")]
-    UnknownClass,
+    /// The text is not a keyword that the wire format permits here.
+    #[error("is not a known keyword: {0:?}")]
+    UnknownKeyword(String),
+    /// The number is not a code that the wire format permits here.
+    #[error("is not a known code: {0}")]
+    UnknownCode(u64),
+    /// The controller's settings have no request class with the given name.
+    #[error("is not a class of the settings: {0:?}")]
+    UnknownClass(String),
     /// An entry of the worker list is not an array.
     #[error("hold an entry that is not an array")]
     EntryNotAnArray,
--- a/adapter/src/wire/events.rs
+++ b/adapter/src/wire/events.rs
@@ -18,7 +18,7 @@
 /// Upper bound for the concurrent calls of a verdict; larger values are clamped.
 const CONCURRENT_CALLS_MAX: u64 = 30;
 
-/// Parses one event.
+/// Parses one event. Zones and machine kinds that were not named before are added to `names`.
 pub(crate) fn read_event(fields: &Fields, names: &mut Names) -> Result<Event, EventError> {
     Ok(match fields.name {
         "TOPOLOGY" => worker_list(fields, names)?,
@@ -51,12 +51,13 @@
 }
 
 fn worker_list(fields: &Fields, names: &mut Names) -> Result<Event, EventError> {
-    let form = match fields.text(2, "form")? {
+    let keyword = fields.text(2, "form")?;
+    let form = match keyword {
         "diff" => ListForm::Changes,
         "snapshot" => ListForm::Complete,
         "disk" => ListForm::Restored,
         "error" => ListForm::Failed,
-        _ => return Err(fields.error("form", FieldError::UnknownKeyword)),
+        _ => return Err(unknown_keyword(fields, "form", keyword)),
     };
     let items = match fields.get(4, "items")? {
         Value::Array(items) => items.as_slice(),
@@ -86,15 +87,17 @@
             "on" => WorkerState::On,
             "fading" => WorkerState::Draining,
             "off" => WorkerState::Gone,
-            _ => return Err(fields.error("state", FieldError::UnknownKeyword)),
+            keyword => return Err(unknown_keyword(fields, "state", keyword)),
         },
         started_at: fields.optional_time(6, "born_ms")?.filter(|&started_at| started_at > 0),
     })
 }
 
 fn request(fields: &Fields, names: &Names) -> Result<Request, EventError> {
-    let class = fields.text(3, "kind")?;
-    let class = names.class(class).ok_or_else(|| fields.error("kind", FieldError::UnknownClass))?;
+    let class_name = fields.text(3, "kind")?;
+    let class = names
+        .class(class_name)
+        .ok_or_else(|| fields.error("kind", FieldError::UnknownClass(class_name.to_string())))?;
     let tenant = match fields.get(4, "user_group")? {
         Value::String(name) => names.tenant(name),
         _ => None,
@@ -137,7 +140,11 @@
     })
 }
 
-/// Decodes a string of hexadecimal digit pairs.
+fn unknown_keyword(fields: &Fields, field: &'static str, keyword: &str) -> EventError {
+    fields.error(field, FieldError::UnknownKeyword(keyword.to_string()))
+}
+
+/// Decodes a string of hexadecimal digit pairs; `None` if it is not one.
 fn hex(text: &str) -> Option<Vec<u8>> {
     let byte = |pair: &[u8]| {
         let pair = std::str::from_utf8(pair).ok().filter(|p| p.len() == 2)?;
--- a/adapter/src/wire/fields.rs
+++ b/adapter/src/wire/fields.rs
@@ -30,7 +30,7 @@
     /// Returns a non-negative integer.
     pub(crate) fn integer(&self, index: usize, field: &'static str) -> Result<u64, EventError> {
         let value = self.get(index, field)?;
-        value.as_u64().ok_or_else(|| self.error(field, FieldError::NotA("a whole number")))
+        value.as_u64().ok_or_else(|| self.error(field, FieldError::NotA("a non-negative whole number")))
     }
 
     /// Returns a non-negative integer, or `None` for null.
@@ -46,7 +46,7 @@
     }
 
     pub(super) fn text(&self, index: usize, field: &'static str) -> Result<&str, EventError> {
-        self.get(index, field)?.as_str().ok_or_else(|| self.error(field, FieldError::NotA("a text")))
+        self.get(index, field)?.as_str().ok_or_else(|| self.error(field, FieldError::NotA("a string")))
     }
 
     pub(super) fn boolean(&self, index: usize, field: &'static str) -> Result<bool, EventError> {
@@ -108,7 +108,7 @@
             7 => Outcome::Cancelled,
             8 => Outcome::NeverSent,
             9 => Outcome::NotLoaded,
-            other => return Err(self.error("verdict", FieldError::UnknownNumber(other))),
+            other => return Err(self.error("verdict", FieldError::UnknownCode(other))),
         })
     }
 }
--- a/adapter/src/wire/names.rs
+++ b/adapter/src/wire/names.rs
@@ -14,12 +14,12 @@
     tenants: BTreeMap<String, usize>,
     zones: BTreeMap<String, u32>,
     kinds: BTreeMap<String, u32>,
-    /// Unknown classes are accepted, as there is no controller to handle the event.
+    /// Whether every class name is accepted; set where no controller handles the event.
     lenient: bool,
 }
 
 impl Names {
-    /// Creates an empty table that accepts unknown classes.
+    /// Creates an empty table that accepts every class name, as class 0.
     pub(crate) fn lenient() -> Self {
         Self { lenient: true, ..Self::default() }
     }
