--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,4 +1,4 @@
-//! Edge cases of the site's rules: answers in time, idempotency, drains, slow start, load order ration,
+//! Edge cases of the site's rules: answers in time, idempotency, drains, slow start, load order ration and
 //! attempt limit.
 
 mod common;
@@ -14,14 +14,14 @@
     let mut harness = Harness::new(settings(), 0);
     let mut actions = harness.call(1, IDEMPOTENT, 9, 2);
     actions.extend(harness.call(2, NON_IDEMPOTENT, 9, 2));
-    assert!(refused(&actions, 1) && refused(&actions, 2), "nothing was ever sent: a further try is harmless");
-    // With the only lane of the only worker in use, the calls are held, and must still be answered in time.
+    assert!(refused(&actions, 1) && refused(&actions, 2), "neither call was sent, so that a retry is safe");
+    // The calls are held while the only lane of the only worker is in use, and must still be answered in time.
     let mut harness = Harness::new(settings(), 1);
     harness.serve_warm(3, 9, 1);
     harness.call(4, IDEMPOTENT, 9, 1);
     harness.call(5, NON_IDEMPOTENT, 9, 1);
     let actions = harness.advance(4 * S);
-    assert!(refused(&actions, 5), "it was never sent");
+    assert!(refused(&actions, 5), "the call was never sent");
 }
 
 #[test]
@@ -30,21 +30,21 @@
     // deadline.
     let mut harness = Harness::new(settings(), 1);
     harness.serve_warm(3, 9, 1);
-    let at = sent(&harness.call(4, IDEMPOTENT, 9, 1)).unwrap();
+    let worker = sent(&harness.call(4, IDEMPOTENT, 9, 1)).unwrap();
     harness.call(5, IDEMPOTENT, 9, 1);
     harness.now += 4 * S;
-    let mut actions = harness.end_attempt(4, 0, at, Outcome::Ok, None);
+    let mut actions = harness.end_attempt(4, 0, worker, Outcome::Ok, None);
     actions.extend(harness.advance(2 * MS));
-    assert!(sends(&actions).is_empty(), "nobody waits for it any more: {actions:?}");
-    assert!(refused(&actions, 5), "it was never sent: {actions:?}");
+    assert!(sends(&actions).is_empty(), "the client no longer waits for an answer: {actions:?}");
+    assert!(refused(&actions, 5), "the call was never sent: {actions:?}");
 }
 
 #[test]
-fn a_deadline_with_an_attempt_out_is_answered_by_timer() {
+fn a_call_with_an_attempt_in_flight_is_answered_by_timer_at_its_deadline() {
     let mut harness = Harness::new(settings(), 1);
     harness.call(1, NON_IDEMPOTENT, 9, 2);
     let actions = harness.advance(4 * S);
-    assert!(failed(&actions, 1) && !refused(&actions, 1), "it may have run");
+    assert!(failed(&actions, 1) && !refused(&actions, 1), "the call may have executed");
     // The late outcome of the attempt must have no effect.
     let late = harness.end_attempt(1, 0, 1, Outcome::Error, None);
     assert!(!failed(&late, 1) && !refused(&late, 1) && sends(&late).is_empty());
@@ -54,8 +54,8 @@
 fn a_non_idempotent_call_that_may_have_run_fails() {
     for outcome in [Outcome::Error, Outcome::Timeout, Outcome::Reset, Outcome::Cancelled] {
         let mut harness = Harness::new(settings(), 4);
-        let at = sent(&harness.call(1, NON_IDEMPOTENT, 9, 2)).unwrap();
-        let after = harness.end_attempt(1, 0, at, outcome, None);
+        let worker = sent(&harness.call(1, NON_IDEMPOTENT, 9, 2)).unwrap();
+        let after = harness.end_attempt(1, 0, worker, outcome, None);
         assert!(failed(&after, 1), "{outcome:?}");
         assert!(!refused(&after, 1) && sends(&after).is_empty(), "{outcome:?}");
     }
@@ -65,8 +65,8 @@
 fn a_non_idempotent_call_proven_not_run_is_retried() {
     for outcome in [Outcome::Rejected, Outcome::ConnectFailed] {
         let mut harness = Harness::new(settings(), 4);
-        let at = sent(&harness.call(1, NON_IDEMPOTENT, 9, 2)).unwrap();
-        let mut after = harness.end_attempt(1, 0, at, outcome, None);
+        let worker = sent(&harness.call(1, NON_IDEMPOTENT, 9, 2)).unwrap();
+        let mut after = harness.end_attempt(1, 0, worker, outcome, None);
         after.extend(harness.advance(S));
         assert!(sent(&after).is_some() && !failed(&after, 1), "{outcome:?}");
     }
@@ -75,37 +75,37 @@
 #[test]
 fn a_non_idempotent_call_that_was_never_sent_is_refused() {
     let mut harness = Harness::new(settings(), 4);
-    let at = sent(&harness.call(1, NON_IDEMPOTENT, 9, 2)).unwrap();
-    let after = harness.end_attempt(1, 0, at, Outcome::NeverSent, None);
+    let worker = sent(&harness.call(1, NON_IDEMPOTENT, 9, 2)).unwrap();
+    let after = harness.end_attempt(1, 0, worker, Outcome::NeverSent, None);
     assert!(refused(&after, 1));
 }
 
 #[test]
 fn a_keyed_call_is_repeated_only_in_its_zone_and_window() {
     let mut harness = Harness::new(settings(), 8);
-    let at = sent(&harness.call(1, KEYED, 9, 2)).unwrap();
-    let again =
-        sent(&harness.end_attempt(1, 0, at, Outcome::Error, None)).expect("inside the window it is repeated");
-    assert_eq!(again % 2, at % 2, "workers of one zone have numbers of one parity");
+    let first_worker = sent(&harness.call(1, KEYED, 9, 2)).unwrap();
+    let second_worker = sent(&harness.end_attempt(1, 0, first_worker, Outcome::Error, None))
+        .expect("the call is repeated within the window");
+    assert_eq!(second_worker % 2, first_worker % 2, "workers of one zone have ids of the same parity");
     harness.advance(2 * S);
-    let after = harness.end_attempt(1, 1, again, Outcome::Error, None);
-    assert!(failed(&after, 1), "past the window it can only fail");
+    let after = harness.end_attempt(1, 1, second_worker, Outcome::Error, None);
+    assert!(failed(&after, 1), "the call fails once its window has passed");
     assert!(sends(&after).is_empty() && !refused(&after, 1));
 }
 
 #[test]
 fn a_keyed_call_held_past_its_window_is_not_sent() {
     let mut harness = Harness::new(settings(), 2);
-    let at = sent(&harness.call(1, KEYED, 9, 1)).unwrap();
-    harness.update_worker(at, WorkerState::Draining, None);
+    let worker = sent(&harness.call(1, KEYED, 9, 1)).unwrap();
+    harness.update_worker(worker, WorkerState::Draining, None);
     assert!(
-        sends(&harness.end_attempt(1, 0, at, Outcome::Error, None)).is_empty(),
+        sends(&harness.end_attempt(1, 0, worker, Outcome::Error, None)).is_empty(),
         "no worker of its zone is left"
     );
     harness.advance(2 * S);
-    assert!(sends(&harness.update_worker(at, WorkerState::On, None)).is_empty());
-    let end = harness.advance(2 * S);
-    assert!(failed(&end, 1));
+    assert!(sends(&harness.update_worker(worker, WorkerState::On, None)).is_empty());
+    let actions = harness.advance(2 * S);
+    assert!(failed(&actions, 1));
 }
 
 #[test]
@@ -119,8 +119,8 @@
         harness.update_worker(home, state, None);
         let after = harness.end_attempt(2, 0, home, Outcome::NotLoaded, None);
         assert_eq!(loads(&after), 0);
-        assert!(sends(&after).iter().all(|(_, w)| *w != home));
-        assert!(sends(&harness.call(3, IDEMPOTENT, 9, 1)).iter().all(|(_, w)| *w != home));
+        assert!(sends(&after).iter().all(|(_, worker)| *worker != home));
+        assert!(sends(&harness.call(3, IDEMPOTENT, 9, 1)).iter().all(|(_, worker)| *worker != home));
     }
 }
 
@@ -128,8 +128,8 @@
 fn a_worker_missing_from_a_complete_list_is_gone() {
     let mut harness = Harness::new(settings(), 2);
     let home = harness.serve_warm(1, 9, 1);
-    let left = vec![entry(3 - home)];
-    harness.handle(Event::Workers { form: ListForm::Complete, entries: left });
+    let remaining = vec![entry(3 - home)];
+    harness.handle(Event::Workers { form: ListForm::Complete, entries: remaining });
     assert_eq!(sent(&harness.call(2, IDEMPOTENT, 9, 1)), Some(3 - home));
 }
 
@@ -148,35 +148,35 @@
     let mut count = 0;
     for id in 100..200 {
         let mut queue = sends(&harness.call(id, IDEMPOTENT, 9, 8));
-        while let Some((request, at)) = queue.pop() {
+        while let Some((request, worker)) = queue.pop() {
             count += 1;
-            queue.extend(sends(&harness.end_attempt(request, 0, at, Outcome::Ok, Some(LoadNote::Warm))));
+            queue.extend(sends(&harness.end_attempt(request, 0, worker, Outcome::Ok, Some(LoadNote::Warm))));
         }
     }
-    assert!((1..=6).contains(&count), "{count} sent at once");
+    assert!((1..=6).contains(&count), "{count} calls sent at once");
     let later = sends(&harness.advance(500 * MS)).len();
-    assert!(later <= 3, "{later} more in half a second");
+    assert!(later <= 3, "{later} more calls sent within half a second");
 }
 
 #[test]
 fn a_controller_that_called_a_worker_before_its_restart_waits_for_its_slot() {
     // With this many controllers, one controller's share of an overload span is far less than a call, so that
     // each has to wait for its slot.
-    let mut first_after_start = Vec::new();
-    for me in [0, 60, 120, 180] {
-        let mut harness = Harness::new(Settings { controllers: 200, controller_index: me, ..settings() }, 1);
+    let mut first_call_delays = Vec::new();
+    for controller_index in [0, 60, 120, 180] {
+        let mut harness = Harness::new(Settings { controllers: 200, controller_index, ..settings() }, 1);
         harness.serve_warm(1, 9, 8);
         harness.advance(10 * S);
         let started_at = harness.now;
         harness.update_worker(1, WorkerState::On, Some(started_at));
-        let mut at = sent(&harness.call(2, IDEMPOTENT, 9, 8)).map(|_| 0);
-        while at.is_none() && harness.now < started_at + 3 * S {
-            at = sent(&harness.advance(10 * MS)).map(|_| harness.now - started_at);
+        let mut delay = sent(&harness.call(2, IDEMPOTENT, 9, 8)).map(|_| 0);
+        while delay.is_none() && harness.now < started_at + 3 * S {
+            delay = sent(&harness.advance(10 * MS)).map(|_| harness.now - started_at);
         }
-        first_after_start.push(at.unwrap_or(3 * S));
+        first_call_delays.push(delay.unwrap_or(3 * S));
     }
-    let at_once = first_after_start.iter().filter(|at| **at < 500 * MS).count();
-    assert!(at_once <= 1, "times of the first call after the start: {first_after_start:?}");
+    let early_calls = first_call_delays.iter().filter(|delay| **delay < 500 * MS).count();
+    assert!(early_calls <= 1, "delays of the first call after the start: {first_call_delays:?}");
 }
 
 #[test]
@@ -187,7 +187,7 @@
     harness.handle(Event::Workers { form: ListForm::Restored, entries: vec![warming] });
     assert!(sends(&harness.call(1, IDEMPOTENT, 9, 2)).is_empty());
     assert!(sends(&harness.advance(1900 * MS)).is_empty());
-    assert_eq!(sends(&harness.advance(S)).len(), 1, "after an overload span it takes calls again");
+    assert_eq!(sends(&harness.advance(S)).len(), 1, "the worker gets calls again after an overload span");
 }
 
 #[test]
@@ -202,43 +202,43 @@
     for _ in 0..600 {
         id += 1;
         let mut queue: Vec<(u64, u64)> = sends(&harness.call(id, IDEMPOTENT, id, 2));
-        while let Some((request, at)) = queue.pop() {
+        while let Some((request, worker)) = queue.pop() {
             let attempt = 0;
-            let after = harness.end_attempt(request, attempt, at, Outcome::NotLoaded, None);
+            let after = harness.end_attempt(request, attempt, worker, Outcome::NotLoaded, None);
             orders.extend(std::iter::repeat_n(harness.now, loads(&after)));
         }
         harness.now += 5 * MS;
     }
-    assert!(orders.len() > 2, "{}", orders.len());
-    for (n, at) in orders.iter().enumerate() {
-        let before = orders[..=n].iter().filter(|t| **t + S >= *at).count();
-        assert!(before <= 2, "{before} orders within a window");
+    assert!(orders.len() > 2, "{} orders", orders.len());
+    for (index, ordered_at) in orders.iter().enumerate() {
+        let orders_in_window = orders[..=index].iter().filter(|t| **t + S >= *ordered_at).count();
+        assert!(orders_in_window <= 2, "{orders_in_window} orders within a window");
     }
 }
 
 #[test]
 fn orders_of_an_earlier_incarnation_count_towards_the_ration() {
-    for (unknown_prior_orders, least) in [(false, 2), (true, 0)] {
+    for (unknown_prior_orders, expected) in [(false, 2), (true, 0)] {
         let mut settings = settings();
         settings.loading.when_absent = WhenAbsent::Miss;
         settings.loading.ration_window = S;
         settings.loading.ration_floor = 2.0;
         settings.loading.unknown_prior_orders = unknown_prior_orders;
         let mut harness = Harness::new(settings, 8);
-        let mut given = 0;
+        let mut order_count = 0;
         for id in 1..=20 {
-            for (request, at) in sends(&harness.call(id, IDEMPOTENT, id, 2)) {
-                given += loads(&harness.end_attempt(request, 0, at, Outcome::NotLoaded, None));
+            for (request, worker) in sends(&harness.call(id, IDEMPOTENT, id, 2)) {
+                order_count += loads(&harness.end_attempt(request, 0, worker, Outcome::NotLoaded, None));
             }
         }
-        assert_eq!(given, least, "unknown_prior_orders: {unknown_prior_orders}");
+        assert_eq!(order_count, expected, "unknown_prior_orders: {unknown_prior_orders}");
         harness.now += S + 100 * MS;
         for id in 21..=40 {
-            for (request, at) in sends(&harness.call(id, IDEMPOTENT, id, 2)) {
-                given += loads(&harness.end_attempt(request, 0, at, Outcome::NotLoaded, None));
+            for (request, worker) in sends(&harness.call(id, IDEMPOTENT, id, 2)) {
+                order_count += loads(&harness.end_attempt(request, 0, worker, Outcome::NotLoaded, None));
             }
         }
-        assert_eq!(given, least + 2, "a window after the start the complete ration is available");
+        assert_eq!(order_count, expected + 2, "the complete ration is available one window after the start");
     }
 }
 
@@ -246,23 +246,23 @@
 fn the_attempt_limit_is_kept() {
     let mut harness = Harness::new(settings(), 8);
     let mut queue = sends(&harness.call(1, IDEMPOTENT, 9, 2));
-    let mut count = 0;
-    let mut over = false;
-    while let Some((_, at)) = queue.pop() {
-        let after = harness.end_attempt(1, count, at, Outcome::Error, None);
-        count += 1;
-        over |= refused(&after, 1);
+    let mut attempts = 0;
+    let mut was_refused = false;
+    while let Some((_, worker)) = queue.pop() {
+        let after = harness.end_attempt(1, attempts, worker, Outcome::Error, None);
+        attempts += 1;
+        was_refused |= refused(&after, 1);
         queue.extend(sends(&after));
     }
-    assert_eq!(count, 3);
-    assert!(over);
+    assert_eq!(attempts, 3);
+    assert!(was_refused);
 }
 
 #[test]
 fn late_duplicate_and_unknown_events_are_ignored() {
     let mut harness = Harness::new(settings(), 2);
-    let at = sent(&harness.call(1, IDEMPOTENT, 9, 2)).unwrap();
-    harness.end_attempt(1, 0, at, Outcome::Ok, Some(LoadNote::Warm));
+    let worker = sent(&harness.call(1, IDEMPOTENT, 9, 2)).unwrap();
+    harness.end_attempt(1, 0, worker, Outcome::Ok, Some(LoadNote::Warm));
     for event in [
         Event::ClientGone { request: RequestId(1) },
         Event::ClientGone { request: RequestId(77) },
@@ -281,8 +281,8 @@
     ] {
         assert!(sends(&harness.handle(event)).is_empty());
     }
-    let again = harness.end_attempt(1, 0, at, Outcome::Error, None);
-    assert!(sends(&again).is_empty() && !failed(&again, 1) && !refused(&again, 1));
+    let actions = harness.end_attempt(1, 0, worker, Outcome::Error, None);
+    assert!(sends(&actions).is_empty() && !failed(&actions, 1) && !refused(&actions, 1));
 }
 
 #[test]
@@ -301,10 +301,14 @@
     let mut settings = settings();
     settings.classes[KEYED].effect = Effect::IdempotencyKey { scope: KeyScope::Cell, window: 2 * S };
     let mut harness = Harness::new(settings, 8);
-    let at = sent(&harness.call(1, KEYED, 9, 2)).unwrap();
-    let again =
-        sent(&harness.end_attempt(1, 0, at, Outcome::Reset, None)).expect("its cell has another worker");
-    assert_eq!(again % 4, at % 4, "workers of one cell have numbers alike modulo four");
+    let first_worker = sent(&harness.call(1, KEYED, 9, 2)).unwrap();
+    let second_worker = sent(&harness.end_attempt(1, 0, first_worker, Outcome::Reset, None))
+        .expect("its cell has another worker");
+    assert_eq!(
+        second_worker % 4,
+        first_worker % 4,
+        "workers of one cell have ids that are equal modulo four"
+    );
 }
 
 #[test]
@@ -312,15 +316,15 @@
     let mut settings = settings();
     settings.loading.when_absent = WhenAbsent::Miss;
     let mut harness = Harness::new(settings, 2);
-    let at = sent(&harness.call(1, NON_IDEMPOTENT, 9, 2)).unwrap();
-    let after = harness.end_attempt(1, 0, at, Outcome::NotLoaded, None);
+    let worker = sent(&harness.call(1, NON_IDEMPOTENT, 9, 2)).unwrap();
+    let after = harness.end_attempt(1, 0, worker, Outcome::NotLoaded, None);
     assert!(loads(&after) == 1 && !failed(&after, 1) && !refused(&after, 1));
-    let stands = Event::Loaded {
-        worker: WorkerId(at),
+    let loaded = Event::Loaded {
+        worker: WorkerId(worker),
         function: FunctionId(9),
         outcome: Outcome::Ok,
         replicas: 1,
         elapsed: S,
     };
-    assert_eq!(sends(&harness.handle(stands)), vec![(1, at)]);
+    assert_eq!(sends(&harness.handle(loaded)), vec![(1, worker)]);
 }
