--- a/src/rendezvous/tests.rs
+++ b/src/rendezvous/tests.rs
@@ -26,9 +26,14 @@
 }
 
 /// The complete order, as seen by an iteration that does not end early.
-fn walked(function: FunctionId, homes: &Homes, fleet: &Fleet, open: Option<&Candidates>) -> Vec<WorkerId> {
-    let further = (0..).map_while(|part| fleet.beyond_homes(function, homes, part, open));
-    homes.workers().iter().copied().chain(further.flatten()).collect()
+fn complete_order(
+    function: FunctionId,
+    homes: &Homes,
+    fleet: &Fleet,
+    open: Option<&Candidates>,
+) -> Vec<WorkerId> {
+    let beyond_homes = (0..).map_while(|part| fleet.beyond_homes(function, homes, part, open));
+    homes.workers().iter().copied().chain(beyond_homes.flatten()).collect()
 }
 
 /// A fleet, and the same list as a plain map.
@@ -47,6 +52,7 @@
         }
     }
 
+    /// Updates the homes, and compares them and the rest of the order with the reference.
     fn check(&mut self, function: FunctionId, homes: &mut Homes) {
         homes.update(function, &mut self.fleet);
         let complete = reference(function, &self.listed);
@@ -56,10 +62,10 @@
             "the homes are the first workers of the order"
         );
         assert_eq!(homes.covers_all(), homes.workers().len() == complete.len() || complete.is_empty());
-        assert!(homes.workers().len() >= MIN_HOMES.min(complete.len()), "the homes are not too few");
-        assert!(homes.workers().len() <= COMPLETE_ORDER_MAX, "the homes are not too many");
+        assert!(homes.workers().len() >= MIN_HOMES.min(complete.len()), "fewer homes than the minimum");
+        assert!(homes.workers().len() <= COMPLETE_ORDER_MAX, "more homes than the maximum");
         assert_eq!(
-            walked(function, homes, &self.fleet, None),
+            complete_order(function, homes, &self.fleet, None),
             complete,
             "the order continues beyond the homes"
         );
@@ -75,14 +81,15 @@
         }
         let mut expected = reference(function, &self.listed);
         expected.retain(|w| homes.workers().contains(w) || open.workers.contains(w));
-        assert_eq!(walked(function, homes, &self.fleet, Some(&open)), expected);
+        assert_eq!(complete_order(function, homes, &self.fleet, Some(&open)), expected);
     }
 
+    /// Checks that `ranked` returns those of some given workers that are in service, in order.
     fn check_ranked(&self, function: FunctionId, rng: &mut TestRng) {
-        let some: Vec<WorkerId> = (0..9).map(|_| WorkerId(rng.below(900))).collect();
+        let given_workers: Vec<WorkerId> = (0..9).map(|_| WorkerId(rng.below(900))).collect();
         let mut expected = reference(function, &self.listed);
-        expected.retain(|w| some.contains(w));
-        let mut ranked = self.fleet.ranked(function, some.into_iter());
+        expected.retain(|w| given_workers.contains(w));
+        let mut ranked = self.fleet.ranked(function, given_workers.into_iter());
         ranked.dedup();
         assert_eq!(ranked, expected);
     }
@@ -113,8 +120,8 @@
         let mut functions: Vec<(FunctionId, Homes)> =
             (0..6).map(|_| (FunctionId(rng.below(u64::MAX)), Homes::default())).collect();
         for _ in 0..60 {
-            let most = [1, 3, 12, size][rng.below(4) as usize];
-            for _ in 0..1 + rng.below(most) {
+            let max_changes = [1, 3, 12, size][rng.below(4) as usize];
+            for _ in 0..1 + rng.below(max_changes) {
                 let worker = rng.below(size + size / 4 + 1);
                 let weight = Some(weight(&mut rng, kind)).filter(|_| rng.below(3) > 0);
                 fleet.set(worker, weight);
@@ -149,14 +156,15 @@
     let mut fleet = FleetWithReference::default();
     let (function, mut homes) = (FunctionId(99), Homes::default());
     for round in 0..4 {
-        let (from, other) = if round % 2 == 0 { (0, 10_000) } else { (10_000, 0) };
-        (0..1_500).for_each(|worker| fleet.set(other + worker, None));
-        (0..1_500).for_each(|worker| fleet.set(from + worker, Some(1.0)));
+        let (first_added, first_removed) = if round % 2 == 0 { (0, 10_000) } else { (10_000, 0) };
+        (0..1_500).for_each(|worker| fleet.set(first_removed + worker, None));
+        (0..1_500).for_each(|worker| fleet.set(first_added + worker, Some(1.0)));
         fleet.check(function, &mut homes);
     }
 }
 
-/// Changes are applied one at a time, all at once, or in groups between which workers come and go unseen.
+/// Changes are applied one at a time, all at once, or in groups, so that a worker may be removed and added
+/// again between two updates of the homes.
 #[test]
 fn the_grouping_of_changes_makes_no_difference() {
     let function = FunctionId(3);
--- a/tests/any_order.rs
+++ b/tests/any_order.rs
@@ -21,23 +21,26 @@
 struct SeenAttempt {
     worker: u64,
     sent: Micros,
-    end: Option<Outcome>,
+    /// `None` while the attempt is in flight.
+    outcome: Option<Outcome>,
 }
 
 /// A call as recorded by the test.
 struct SeenCall {
     class: usize,
-    due: Micros,
+    /// Time by which the call must be answered.
+    deadline: Micros,
     attempts: Vec<SeenAttempt>,
     answered: bool,
 }
 
+/// Whether the outcome proves that the attempt did not execute.
 fn proven_not_run(outcome: Outcome) -> bool {
     matches!(outcome, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NeverSent | Outcome::NotLoaded)
 }
 
 /// Outcomes to draw from; repeated entries are more likely.
-const ENDS: [Outcome; 9] = [
+const ATTEMPT_OUTCOMES: [Outcome; 9] = [
     Outcome::Ok,
     Outcome::Ok,
     Outcome::Ok,
@@ -49,6 +52,7 @@
     Outcome::NotLoaded,
 ];
 
+/// One random sequence of events, and what the test recorded of it.
 struct Run {
     random: Random,
     harness: Harness,
@@ -56,9 +60,12 @@
     states: BTreeMap<u64, WorkerState>,
     /// Unanswered load orders, as pairs of worker and function.
     pending_orders: Vec<(u64, u64)>,
+    /// Times of all load orders.
     orders: Vec<Micros>,
+    /// Times of all requests.
     arrivals: Vec<Micros>,
     last_id: u64,
+    /// Number of calls with a final answer.
     answered: usize,
 }
 
@@ -82,20 +89,22 @@
         }
     }
 
+    /// Plays the events, and checks the actions and that each call is answered in time.
     fn run(mut self) {
         for step in 0..4_000 {
-            self.calls.retain(|_, call| !call.answered || call.attempts.iter().any(|a| a.end.is_none()));
+            self.calls.retain(|_, call| !call.answered || call.attempts.iter().any(|a| a.outcome.is_none()));
             self.harness.now += self.random.below(6) * MS;
             for action in &self.next_event(step) {
                 self.check(action);
             }
             let now = self.harness.now;
-            let late = self.calls.values().filter(|call| !call.answered && call.due + 8 * MS < now).count();
+            let late =
+                self.calls.values().filter(|call| !call.answered && call.deadline + 8 * MS < now).count();
             assert_eq!(late, 0, "every call is answered in time");
         }
         self.harness.advance(4 * S);
         let answered = self.answered;
-        assert!(answered > 300, "{answered}");
+        assert!(answered > 300, "{answered} calls were answered");
     }
 
     /// Generates a random event that is legal in the current state.
@@ -104,7 +113,7 @@
             .calls
             .iter()
             .flat_map(|(id, call)| call.attempts.iter().enumerate().map(move |(n, a)| (*id, n as u32, a)))
-            .filter(|(_, _, attempt)| attempt.end.is_none())
+            .filter(|(_, _, attempt)| attempt.outcome.is_none())
             .map(|(id, n, _)| (id, n))
             .collect();
         let pick = self.random.below(10);
@@ -124,25 +133,24 @@
 
     fn arrive(&mut self) -> Vec<Action> {
         let class = self.random.below(3) as usize;
-        let left = (50 + self.random.below(3_000)) * MS;
+        let time_left = (50 + self.random.below(3_000)) * MS;
         let now = self.harness.now;
         self.last_id += 1;
-        let call = SeenCall { class, due: now + left, attempts: vec![], answered: false };
+        let call = SeenCall { class, deadline: now + time_left, attempts: vec![], answered: false };
         self.calls.insert(self.last_id, call);
         self.arrivals.push(now);
         let function = self.random.below(12);
         let lanes = 1 + self.random.below(3) as u32;
-        self.harness.handle(Event::Request(Request {
-            time_left: left,
-            ..request(self.last_id, class, function, lanes)
-        }))
+        self.harness
+            .handle(Event::Request(Request { time_left, ..request(self.last_id, class, function, lanes) }))
     }
 
+    /// Ends an attempt in flight with a random outcome.
     fn end_attempt(&mut self, id: u64, number: u32) -> Vec<Action> {
-        let outcome = ENDS[self.random.below(9) as usize];
+        let outcome = ATTEMPT_OUTCOMES[self.random.below(9) as usize];
         let call = self.calls.get_mut(&id).unwrap();
         let attempt = &mut call.attempts[number as usize];
-        attempt.end = Some(outcome);
+        attempt.outcome = Some(outcome);
         let was_answered = call.answered;
         call.answered |= outcome == Outcome::Ok;
         self.answered += usize::from(call.answered && !was_answered);
@@ -159,6 +167,7 @@
         })
     }
 
+    /// Answers a pending load order with a random outcome.
     fn end_order(&mut self) -> Vec<Action> {
         let index = self.random.below(self.pending_orders.len() as u64) as usize;
         let (worker, function) = self.pending_orders.swap_remove(index);
@@ -172,6 +181,7 @@
         })
     }
 
+    /// Puts a random worker into service, with or without a restart, or drains it.
     fn change_worker(&mut self) -> Vec<Action> {
         let worker = 1 + self.random.below(6);
         let states = [WorkerState::On, WorkerState::On, WorkerState::Draining];
@@ -188,8 +198,11 @@
             Action::Send { request, worker, .. } => self.check_send(request.0, worker.0),
             Action::Refuse { request, .. } => {
                 let call = self.calls.get_mut(&request.0).unwrap();
-                let clean = call.attempts.iter().all(|a| a.end.is_some_and(proven_not_run));
-                assert!(clean || call.class == 0, "refused though it may have run");
+                let never_executed = call.attempts.iter().all(|a| a.outcome.is_some_and(proven_not_run));
+                assert!(
+                    never_executed || call.class == 0,
+                    "a call that may have executed is refused only if it is idempotent"
+                );
                 assert!(!std::mem::replace(&mut call.answered, true), "each call is answered once");
                 self.answered += 1;
             }
@@ -202,9 +215,9 @@
                 let now = self.harness.now;
                 assert_eq!(self.states[&worker.0], WorkerState::On, "nothing new goes to a draining worker");
                 self.orders.push(now);
-                let inside = |t: &&Micros| **t + S >= now;
-                let arrived = self.arrivals.iter().filter(inside).count() as f64;
-                let ordered = self.orders.iter().filter(inside).count() as f64;
+                let in_window = |t: &&Micros| **t + S >= now;
+                let arrived = self.arrivals.iter().filter(in_window).count() as f64;
+                let ordered = self.orders.iter().filter(in_window).count() as f64;
                 assert!(ordered <= 3.0 + 0.1 * arrived, "orders stay within the ration");
                 self.pending_orders.push((worker.0, function.0));
             }
@@ -216,15 +229,15 @@
         let now = self.harness.now;
         let call = self.calls.get_mut(&id).expect("nothing is sent for a completed call");
         assert!(!call.answered, "nothing is sent after the answer");
-        assert!(call.attempts.iter().all(|a| a.end.is_some()), "one attempt at a time");
+        assert!(call.attempts.iter().all(|a| a.outcome.is_some()), "one attempt at a time");
         assert_eq!(self.states[&worker], WorkerState::On, "nothing new goes to a draining worker");
-        if let Some(first) = call.attempts.iter().find(|a| !proven_not_run(a.end.unwrap())) {
-            assert_ne!(call.class, 1, "a non-idempotent call that may have run is not repeated");
+        if let Some(first) = call.attempts.iter().find(|a| !proven_not_run(a.outcome.unwrap())) {
+            assert_ne!(call.class, 1, "a non-idempotent call that may have executed is not repeated");
             if call.class == 2 {
                 assert!(now < first.sent + 2 * S && worker % 2 == first.worker % 2);
             }
         }
-        call.attempts.push(SeenAttempt { worker, sent: now, end: None });
+        call.attempts.push(SeenAttempt { worker, sent: now, outcome: None });
         assert!(call.attempts.len() <= 3);
     }
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -65,12 +65,15 @@
     }
 }
 
+/// A controller, the time, and the worker list that it received first.
 pub(crate) struct Harness {
     pub(crate) controller: Controller,
     pub(crate) now: Micros,
     pub(crate) workers: Vec<WorkerEntry>,
 }
 
+/// The list entry of a worker in service. Even and odd ids are in different zones; ids that are equal modulo 4
+/// are in the same cell.
 pub(crate) fn entry(id: u64) -> WorkerEntry {
     WorkerEntry {
         worker: WorkerId(id),
@@ -94,13 +97,15 @@
         harness
     }
 
+    /// Passes the event to the controller at the current time, and returns the resulting actions.
     pub(crate) fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.controller.handle(self.now, event, &mut actions);
         actions
     }
 
-    /// Advances the time in steps of one event interval, with a timer event in each.
+    /// Advances the time by `span`, in steps of one event interval with a timer event in each, and returns all
+    /// actions.
     pub(crate) fn advance(&mut self, span: Micros) -> Vec<Action> {
         let end = self.now + span;
         let mut all = Vec::new();
@@ -111,10 +116,12 @@
         all
     }
 
+    /// Reports a request with 4 s left to answer it.
     pub(crate) fn call(&mut self, id: u64, class: usize, function: u64, lanes: u32) -> Vec<Action> {
         self.handle(Event::Request(request(id, class, function, lanes)))
     }
 
+    /// Ends an attempt 50 ms after it was sent. The call is complete if the outcome is [`Outcome::Ok`].
     pub(crate) fn end_attempt(
         &mut self,
         id: u64,
@@ -148,14 +155,15 @@
         })
     }
 
-    /// Has one call of the function served without a load, so that its worker becomes the last warm one;
-    /// returns that worker.
+    /// Calls the function and ends the call as served by a loaded replica, so that the worker becomes the
+    /// function's last warm one. Returns the worker.
     pub(crate) fn serve_warm(&mut self, id: u64, function: u64, lanes: u32) -> u64 {
         let worker = sent(&self.call(id, 0, function, lanes)).expect("a first call is sent");
         self.end_attempt(id, 0, worker, Outcome::Ok, Some(LoadNote::Warm));
         worker
     }
 
+    /// Reports a list update with only this worker.
     pub(crate) fn update_worker(
         &mut self,
         id: u64,
@@ -194,22 +202,27 @@
     actions.iter().filter_map(pair).collect()
 }
 
+/// Whether the call is refused by these actions.
 pub(crate) fn refused(actions: &[Action], id: u64) -> bool {
     actions.iter().any(|a| matches!(a, Action::Refuse { request, .. } if request.0 == id))
 }
 
+/// Whether the call is failed by these actions.
 pub(crate) fn failed(actions: &[Action], id: u64) -> bool {
     actions.iter().any(|a| matches!(a, Action::Fail { request } if request.0 == id))
 }
 
+/// Whether an attempt of the call is cancelled by these actions.
 pub(crate) fn cancels(actions: &[Action], id: u64) -> bool {
     actions.iter().any(|a| matches!(a, Action::Cancel { request, .. } if request.0 == id))
 }
 
+/// Number of load orders among the actions, without queries.
 pub(crate) fn loads(actions: &[Action]) -> usize {
     actions.iter().filter(|a| matches!(a, Action::Load { count, .. } if *count > 0)).count()
 }
 
+/// Number of probes among the actions.
 pub(crate) fn probes(actions: &[Action]) -> usize {
     actions.iter().filter(|a| matches!(a, Action::Probe { .. })).count()
 }
