--- a/adapter/tests/malformed.rs
+++ b/adapter/tests/malformed.rs
@@ -32,6 +32,17 @@
         ("{nonsense", "not JSON"),
         ("{\"t_ms\":2,\"turn\":2,\"input\":[[\"NO_SUCH\",1]]}", "no such event"),
         ("{\"t_ms\":2,\"turn\":2,\"input\":[[\"WAKE\",1]]}", "too short"),
+        (
+            "{\"t_ms\":2,\"turn\":2,\"input\":[[\"TOPOLOGY\",1,\"partial\",null,[]]]}",
+            "TOPOLOGY: form is not a known keyword: \"partial\"",
+        ),
+        (
+            "{\"t_ms\":2,\"turn\":2,\"input\":[[\"CHECK_RESULT\",1,7,42,null,null]]}",
+            "CHECK_RESULT: verdict is not a known code: 42",
+        ),
+        ("{\"t_ms\":2,\"turn\":2,\"input\":[[\"TOPOLOGY\",1,5]]}", "form is not a string"),
+        ("{\"t_ms\":2,\"turn\":2,\"input\":[[\"WAKE\",1,-2]]}", "tag is not a non-negative whole number"),
+        ("{\"t_ms\":2,\"turn\":2,\"input\":[[\"ENLIST\",1,2,[]]]}", "info is missing or not an object"),
         ("{\"t_ms\":2,\"turn\":2,\"input\":[[\"ENLIST\",1,2,{}]]}", "no request class"),
     ] {
         let (success, _, stderr) = run(&format!("{valid_line}{malformed_line}\n"));
--- a/src/decision/attempts.rs
+++ b/src/decision/attempts.rs
@@ -122,6 +122,8 @@
         self.retry_or_answer(id.request, outcome);
     }
 
+    /// Records what a served attempt shows: that a replica is warm, the function's concurrent calls at the
+    /// worker, its latency or load time, and the worker's pressure.
     fn record_success(&mut self, attempt: &Attempt, end: &AttemptEnd) {
         let (worker_id, elapsed, note) = (attempt.worker, end.elapsed as f64, end.note);
         self.replica_found(ReplicaKey { worker: worker_id, function: attempt.function });
--- a/src/interface/workers.rs
+++ b/src/interface/workers.rs
@@ -23,11 +23,11 @@
     pub zone: ZoneId,
     /// The kind of machine that the worker runs on.
     pub kind: KindId,
-    /// Weight; [`Settings::weights`](crate::Settings::weights) defines what it means.
+    /// Weight of the worker, with the meaning that [`Settings::weights`](crate::Settings::weights) defines.
     pub weight: f64,
     /// The cell that the worker belongs to.
     pub cell: CellId,
-    /// State in the list.
+    /// Whether the worker is in service, draining or gone.
     pub state: WorkerState,
     /// Time at which the worker's process last started; `None` means long ago.
     pub started_at: Option<Micros>,
