--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -13,8 +13,8 @@
 //! 3. Each response releases the first held calls that a worker can take.
 //!
 //! **All other rules are guards** against specific failures. They decide whether a worker may take a request
-//! ([`placement`]) or run when an attempt ends ([`attempts`]). Each module lists its guards at its head, with the
-//! failures that they prevent in parentheses.
+//! ([`placement`]) or run when an attempt ends ([`attempts`]). Each module lists its guards at its head, with
+//! the failures that they prevent in parentheses.
 //!
 //! | module | decides |
 //! | --- | --- |
