--- a/src/decision/attempts.rs
+++ b/src/decision/attempts.rs
@@ -55,7 +55,7 @@
             sent: self.now,
             loading: !warm,
             trial,
-            probed: false,
+            late: false,
         };
         self.attempts.insert(AttemptId { request: id, number }, attempt);
         self.schedule_timeout_check(worker_id);
@@ -117,11 +117,13 @@
             call.first_run = call.first_run.or(Some(run));
         }
         if outcome != Outcome::NotLoaded {
-            call.failed_at = Some(attempt.worker);
+            call.last_failed_worker = Some(attempt.worker);
         }
         self.retry_or_answer(id.request, outcome);
     }
 
+    /// Records what a served attempt shows: that a replica is warm, the function's concurrent calls at the
+    /// worker, its latency or load time, and the worker's pressure.
     fn record_success(&mut self, attempt: &Attempt, end: &AttemptEnd) {
         let (worker_id, elapsed, note) = (attempt.worker, end.elapsed as f64, end.note);
         self.replica_found(ReplicaKey { worker: worker_id, function: attempt.function });
